--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -22,12 +22,12 @@
 	"spantack/core/cells"
 	"spantack/core/coldstart"
 	"spantack/core/sched"
+	"spantack/internal/asynclog"
 	"spantack/internal/background"
-	"spantack/internal/board"
 	"spantack/internal/clock"
 	"spantack/internal/config"
+	"spantack/internal/discovery"
 	"spantack/internal/features"
-	"spantack/internal/lines"
 	"spantack/internal/manage"
 	"spantack/internal/msgpackrpc"
 	"spantack/internal/peers"
@@ -78,7 +78,7 @@
 	_, err := parser.Parse(os.Args[1:])
 	signals := catch() // before the configuration is read: until then a signal would end the process
 	defer signals.release()
-	out := lines.New(os.Stderr)
+	out := asynclog.New(os.Stderr)
 	var c *config.Config
 	if err == nil {
 		c, err = config.Load(os.Getenv)
@@ -219,7 +219,7 @@
 	ready.Store(true)
 	log.Info().Str("listen", c.Listen).Uint64("known", c.Last).Msg("serving")
 
-	follower := &board.Follower{Names: c.Names, Last: c.Last, Apply: apply, Clock: now, Log: log,
+	follower := &discovery.Follower{Names: c.Names, Last: c.Last, Apply: apply, Clock: now, Log: log,
 		Tries: coldstart.Tries{Rank: c.Tier.Rank, Siblings: c.Settings.Siblings}}
 	follower.Move(c.Board)
 	group, serving := errgroup.WithContext(serving)
--- a/internal/house/house_test.go
+++ b/internal/archtest/imports_test.go
@@ -1,5 +1,5 @@
-// Package house holds the project's own rules on what may import what.
-package house
+// Package archtest tests which package may import which.
+package archtest
 
 import (
 	"go/parser"
@@ -73,7 +73,7 @@
 	}
 	may, known := allowed[place]
 	if !known {
-		return []string{path + ": in no place of the house"}
+		return []string{path + ": in no known place"}
 	}
 	f, err := parser.ParseFile(token.NewFileSet(), path, text, parser.ImportsOnly)
 	if err != nil {
--- a/internal/lines/lines.go
+++ b/internal/asynclog/writer.go
@@ -1,6 +1,6 @@
-// Package lines writes log lines without making anybody wait. Lines are logged where locks are held and requests wait; who reads the log
+// Package asynclog writes log lines without blocking the caller. Lines are logged where locks are held and requests wait; who reads the log
 // may be slow, stopped or gone, and must not stop the router.
-package lines
+package asynclog
 
 import (
 	"fmt"
--- a/internal/lines/lines_test.go
+++ b/internal/asynclog/writer_test.go
@@ -1,4 +1,4 @@
-package lines
+package asynclog
 
 import (
 	"bytes"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,8 +10,8 @@
 	"slices"
 	"strconv"
 
-	"spantack/internal/board"
 	"spantack/internal/clock"
+	"spantack/internal/discovery"
 	"spantack/internal/router"
 	"spantack/rules"
 )
@@ -40,7 +40,7 @@
 
 	Last    uint64 // number of the last event of Notices
 	Notices []router.Notice
-	Names   board.Names
+	Names   discovery.Names
 
 	keys shape // of the file
 }
@@ -157,7 +157,7 @@
 	if err := c.tier(&d); err != nil {
 		return nil, err
 	}
-	if c.Last, c.Notices, err = board.ParseKnown(d.Known, c.Names); err != nil {
+	if c.Last, c.Notices, err = discovery.ParseKnown(d.Known, c.Names); err != nil {
 		return nil, fmt.Errorf("known.%w", err)
 	}
 	return c, nil
@@ -215,7 +215,7 @@
 	c.IdleClose = clock.Millis(t.Permissions.IdleClose)
 	c.MaxStreams = t.Permissions.MaxStreams
 	c.Tier.May, c.Tier.Rank = t.Permissions.MayTell, t.Rank
-	c.Names = board.Names{Zones: set.Zones, Kinds: set.Kinds}
+	c.Names = discovery.Names{Zones: set.Zones, Kinds: set.Kinds}
 	for _, us := range []int64{set.Guarantees.StopSendingWithin, set.Extra.HeedWithin} {
 		if ms := clock.Millis(us); us > 0 && (c.MostWait == 0 || ms < c.MostWait) {
 			c.MostWait = ms
--- a/internal/board/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -1,4 +1,4 @@
-package board
+package discovery
 
 import (
 	"io"
--- a/internal/board/frames.go
+++ b/internal/discovery/frames.go
@@ -1,5 +1,6 @@
-// Package board follows the notice board: the list of servers, its changes, and purges, as numbered events.
-package board
+// Package discovery watches the discovery service (the settings call it board): the list of servers, its changes, and purges, as numbered
+// events.
+package discovery
 
 import (
 	"encoding/binary"
--- a/lab/local/local.go
+++ b/lab/local/local.go
@@ -21,7 +21,7 @@
 
 	"spantack/internal/clock"
 	"spantack/internal/msgpackrpc"
-	"spantack/standin/board"
+	"spantack/standin/discovery"
 	"spantack/standin/link"
 	"spantack/standin/tier"
 )
@@ -52,7 +52,7 @@
 // Deployment is one that runs.
 type Deployment struct {
 	Ledger  *tier.Ledger
-	Board   *board.Board
+	Board   *discovery.Board
 	Caches  []*tier.Server
 	Areas   []*tier.Server
 	Routers []*Router
@@ -67,7 +67,7 @@
 	mu      sync.Mutex
 	servers map[string]*tier.Server
 	next    uint32
-	known   []board.Server
+	known   []discovery.Server
 }
 
 // Router is one router process.
@@ -112,7 +112,7 @@
 			return d, err
 		}
 	}
-	if d.Board, err = board.Listen(); err != nil {
+	if d.Board, err = discovery.Listen(); err != nil {
 		return d, err
 	}
 	if opt.Relayed {
@@ -185,7 +185,7 @@
 	if kind == kindCache {
 		zone = byte(1 + len(d.Caches)%max(d.opt.Depots, 1))
 	}
-	d.known = append(d.known, board.Server{ID: opt.ID, Addr: s.Addr(), Zone: zone, Kind: kind, Weight: 4, Started: started})
+	d.known = append(d.known, discovery.Server{ID: opt.ID, Addr: s.Addr(), Zone: zone, Kind: kind, Weight: 4, Started: started})
 	return s, nil
 }
 
--- a/standin/board/board.go
+++ b/standin/discovery/server.go
@@ -1,5 +1,5 @@
-// Package board is a stand-in for the notice board: numbered events over TCP, as the protocol describes them.
-package board
+// Package discovery is a stand-in for the discovery service: numbered events over TCP, as the protocol describes them.
+package discovery
 
 import (
 	"encoding/binary"
