--- /dev/null
+++ b/internal/resp/call.go
@@ -0,0 +1,93 @@
+package resp
+
+import (
+	"math"
+	"time"
+
+	"spantack/internal/clock"
+	"spantack/internal/router"
+)
+
+// call is one attempt. Its fields are guarded by Pools.mu.
+type call struct {
+	pools  *Pools
+	try    router.Attempt
+	chosen float64
+	sent   float64
+	conn   *conn       // nil until a connection takes it
+	begun  bool        // the writer has begun on it: only now can an answer be its own
+	whole  bool        // all of it was handed to the socket
+	doubt  bool        // another attempt of its id ended on this connection: an answer may be that one's
+	answer *router.End // to a call in doubt, told once what may be out for it was given up
+	over   bool
+	done   chan router.End
+}
+
+// end hands the attempt's end to whoever waits for it. Pools.mu is held.
+func (k *call) end(e router.End) {
+	if !k.over {
+		k.over = true
+		k.done <- e
+	}
+}
+
+// Done implements router.Call.
+func (k *call) Done() <-chan router.End { return k.done }
+
+// Drop implements router.Call. An attempt on which the writer has not begun is taken back: the server never hears of it.
+// For others Drop waits for the DROP to be written, and closes a connection on which nothing was heard since the attempt
+// went out: a machine that is cut off reads no DROP, but the close gives up all that is open on it. Both guard the rule
+// that a request has one attempt out at a time, since its next one may go anywhere. A DROP that can't be written soon,
+// behind a write that is stuck, is no word to rely on: the connection is closed where another attempt may follow, and
+// where the attempt itself is stuck, since it must not arrive after it was given up. Else, where no attempt can follow,
+// the connection stays unless it has been silent for a while: a client in a hurry tells nothing of it.
+func (k *call) Drop(again bool) {
+	p := k.pools
+	p.mu.Lock()
+	c := k.conn
+	if k.over || c == nil || c.dead {
+		k.over = true
+		p.mu.Unlock()
+		return
+	}
+	k.over = true
+	delete(c.calls, k.try.ID)
+	if !k.begun {
+		c.rest()
+		p.mu.Unlock()
+		return
+	}
+	now := p.clock.Now()
+	written := make(chan struct{})
+	c.giveUp(k.try.ID, command{written: written})
+	p.mu.Unlock()
+
+	patient := time.NewTimer(clock.Duration(dropPatient))
+	defer patient.Stop()
+	stuck := false
+	select {
+	case <-written:
+	case <-c.gone:
+	case <-patient.C:
+		stuck = true
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	silent := c.heard < k.sent && (again || len(c.calls) == 0 && now-k.sent > silentFor)
+	if silent || stuck && (again || !k.whole) {
+		c.close()
+	}
+	c.rest()
+}
+
+// left is how long the attempt may still take to go out, in milliseconds. It guards the rules on drains and purges told since
+// the choice of its server, and that on effects: a repeat must not leave once its class no longer drops repeats. Pools.mu is held.
+func (k *call) left() float64 {
+	most := math.Inf(1)
+	for _, limit := range []float64{k.pools.opt.MostWait, k.try.Within} {
+		if limit > 0 {
+			most = min(most, limit)
+		}
+	}
+	return most - (k.pools.clock.Now() - k.chosen)
+}
--- /dev/null
+++ b/internal/resp/conn.go
@@ -0,0 +1,267 @@
+package resp
+
+import (
+	"bufio"
+	"cmp"
+	"errors"
+	"fmt"
+	"maps"
+	"net"
+	"time"
+
+	"spantack/internal/clock"
+	"spantack/internal/router"
+	"spantack/rules"
+)
+
+// conn is one connection. Its fields are guarded by Pools.mu unless they say otherwise.
+type conn struct {
+	pool    *pool
+	net     net.Conn
+	queue   chan command
+	gone    chan struct{} // closed with the connection
+	calls   map[string]*call
+	dropped map[string]float64 // when ids were given up here: their next attempt must follow on this connection
+	ended   map[string]float64 // when attempts of these ids ended here unserved: an answer may come a second time
+	idle    *clock.Timer
+	used    float64
+	heard   float64 // when the last answer came
+	dead    bool
+}
+
+type command struct {
+	text    []byte
+	call    *call         // of a GET, which is written only while it is due
+	written chan struct{} // closed once written; nil: nobody waits
+	settles *call         // whose end may be told once this is written; nil: none
+}
+
+// start gives an attempt to a connection. Pools.mu is held.
+func (c *conn) start(k *call) {
+	select {
+	case c.queue <- command{text: appendGet(nil, k.try), call: k}:
+		k.conn = c
+		c.calls[k.try.ID] = k
+		k.sent = k.pools.clock.Now()
+		k.doubt = c.dropped[k.try.ID] != 0 || c.ended[k.try.ID] != 0
+		c.used = k.sent
+		c.idle.Stop()
+	default:
+		k.end(router.End{Code: rules.Skipped})
+	}
+}
+
+// rest arms the idle close when nothing is out on the connection. Pools.mu is held.
+func (c *conn) rest() {
+	if c.dead || len(c.calls) > 0 {
+		return
+	}
+	if c.pool.closed {
+		c.close()
+		return
+	}
+	c.idle.Stop()
+	var own *clock.Timer
+	own = c.pool.owner.clock.AfterFunc(idleShare*c.pool.owner.opt.IdleClose, func() {
+		c.pool.owner.mu.Lock()
+		defer c.pool.owner.mu.Unlock()
+		if len(c.calls) == 0 && c.idle == own { // not if it was used, and armed anew, while this waited for the lock
+			c.close()
+		}
+	})
+	c.idle = own
+}
+
+// close ends the connection and every attempt out on it. Pools.mu is held.
+func (c *conn) close() {
+	if c.dead {
+		return
+	}
+	c.dead = true
+	c.idle.Stop()
+	close(c.gone)
+	c.net.Close()
+	c.pool.owner.conns--
+	for i, o := range c.pool.conns {
+		if o == c {
+			c.pool.conns = append(c.pool.conns[:i], c.pool.conns[i+1:]...)
+			break
+		}
+	}
+	for _, k := range c.calls {
+		switch {
+		case !k.begun: // still in the queue: it never ran
+			k.end(router.End{Code: rules.Refused})
+		default:
+			k.end(*cmp.Or(k.answer, &router.End{Code: rules.Reset}))
+		}
+	}
+	clear(c.calls)
+}
+
+// giveUp queues the DROP of an id. Pools.mu is held.
+func (c *conn) giveUp(id string, m command) {
+	c.note(c.dropped, id)
+	m.text = AppendArray(nil, []byte("DROP"), []byte(id))
+	select {
+	case c.queue <- m:
+	default: // a connection that takes nothing more is no good: its end gives up all that is out on it
+		c.close()
+	}
+}
+
+// note keeps an id and forgets those that are too old to matter. Pools.mu is held.
+func (c *conn) note(ids map[string]float64, id string) {
+	now := c.pool.owner.clock.Now()
+	maps.DeleteFunc(ids, func(_ string, at float64) bool { return now-at > dropMemory })
+	ids[id] = now
+}
+
+// due tells whether an attempt may still be written, and how long that may take: one that waited too long for its connection is not
+// sent, which proves that nothing ran, and one of which no byte went out must not begin to go out too late.
+func (c *conn) due(k *call) (wait float64, ok bool) {
+	p := c.pool.owner
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	left := k.left()
+	if !k.over && left < 0 {
+		delete(c.calls, k.try.ID)
+		k.end(router.End{Code: rules.Refused})
+		c.rest()
+	}
+	k.begun = !k.over
+	if k.begun {
+		delete(c.dropped, k.try.ID) // the DROP is written
+	}
+	return min(max(left, leastWrite), writeLimit), k.begun
+}
+
+// write puts queued commands on the socket, each within a bounded time.
+func (c *conn) write() {
+	for {
+		select {
+		case <-c.gone:
+			return
+		case m := <-c.queue:
+			wait := float64(writeLimit)
+			if m.call != nil {
+				var ok bool
+				if wait, ok = c.due(m.call); !ok {
+					continue
+				}
+			}
+			c.net.SetWriteDeadline(clock.Deadline(wait))
+			_, err := c.net.Write(m.text)
+			if m.written != nil {
+				close(m.written)
+			}
+			c.wrote(m, err)
+			if err != nil {
+				c.fail(err)
+				return
+			}
+		}
+	}
+}
+
+// wrote books a command that is on the socket, or with an error one that is not whole there: what did not come whole to a
+// server never ran.
+func (c *conn) wrote(m command, err error) {
+	p := c.pool.owner
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	switch k := m.call; {
+	case k != nil && err == nil:
+		k.whole = true
+		p.written.Add(1)
+	case k != nil && !k.over:
+		delete(c.calls, k.try.ID)
+		k.end(router.End{Code: rules.Refused})
+	}
+	if k := m.settles; k != nil && c.calls[k.try.ID] == k {
+		delete(c.calls, k.try.ID)
+		k.end(*k.answer)
+		c.rest()
+	}
+}
+
+// steady is a connection that must go on with what it has begun: after each read the next bytes are due soon. It
+// guards against answers that stop short on a connection that stays open, and hold up all that is out on it.
+type steady struct{ net.Conn }
+
+func (s *steady) Read(b []byte) (int, error) {
+	n, err := s.Conn.Read(b)
+	s.Conn.SetReadDeadline(clock.Deadline(stallLimit))
+	return n, err
+}
+
+// read takes answers to their calls until the stream ends.
+func (c *conn) read() {
+	in := bufio.NewReaderSize(&steady{Conn: c.net}, readBuffer)
+	for {
+		c.net.SetReadDeadline(time.Time{}) // the first byte may take as long as its attempt
+		_, err := in.Peek(1)
+		c.net.SetReadDeadline(clock.Deadline(stallLimit)) // also where it came with the answer before
+		var parts [][]byte
+		if err == nil {
+			parts, err = ReadArray(in)
+		}
+		var id string
+		var end router.End
+		if err == nil {
+			id, end, err = parseAnswer(parts)
+		}
+		if err != nil {
+			c.fail(err)
+			return
+		}
+		p := c.pool.owner
+		p.mu.Lock()
+		if k := c.calls[id]; k != nil && k.begun && k.answer == nil {
+			if end.Same && k.try.Have == "" { // it can't be this request's: nothing on the stream can be trusted
+				p.mu.Unlock()
+				c.fail(fmt.Errorf("%w: SAME for a client without a copy", errMalformed))
+				return
+			}
+			if made := end.Made; !k.doubt || made == 0 || k.try.MaxAge == 0 || p.clock.Now()-made <= k.try.MaxAge {
+				c.answered(k, end)
+			} // else another attempt's, which took an older copy: this one's is to come
+		}
+		c.heard = p.clock.Now()
+		c.used = c.heard
+		c.rest()
+		p.mu.Unlock()
+	}
+}
+
+// answered ends a call. If another attempt of its id ended on this connection, the answer may be that one's, second or
+// late, and this attempt still be out: it is given up first, or two would be out at once. Pools.mu is held.
+func (c *conn) answered(k *call, end router.End) {
+	id := k.try.ID
+	if end.Code != rules.Done {
+		c.note(c.ended, id)
+	}
+	switch {
+	case !k.doubt:
+		delete(c.calls, id)
+		k.end(end)
+	case end.Code == rules.Done: // it is its request's: nobody has to wait
+		delete(c.calls, id)
+		k.end(end)
+		c.giveUp(id, command{})
+	default:
+		k.answer = &end
+		c.giveUp(id, command{settles: k})
+	}
+}
+
+// fail closes the connection, and says so if the other side is at fault.
+func (c *conn) fail(err error) {
+	p := c.pool.owner
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if errors.Is(err, errMalformed) {
+		p.fault(c.pool, err)
+	}
+	c.close()
+}
