--- /dev/null
+++ b/lab/live/play.go
@@ -0,0 +1,292 @@
+package live
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"os"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"gonum.org/v1/plot/plotter"
+
+	"spantack/core/coldstart"
+	"spantack/lab/local"
+	"spantack/standin/link"
+)
+
+// play is a scenario under way.
+type play struct {
+	*Scenario
+	opt    Options
+	d      *local.Deployment
+	res    *Result
+	begin  time.Time
+	dead   []int
+	frozen chan error
+}
+
+// watchEvery is how often the ledger is looked at. It keeps the greatest number out between two looks itself.
+const watchEvery = 50 * time.Millisecond
+
+// Play runs a scenario. Its error is of the rig; what fell short is in the result.
+func (s *Scenario) Play(ctx context.Context, opt Options) (*Result, error) {
+	limit := s.Asks * float64(opt.Routers)
+	features := ""
+	if s.Asks > 0 || s.Verdicts {
+		text, err := json.Marshal(map[string]any{"fleet": map[string]any{"enabled": true, "asks": limit, "floor": s.Floor, "verdicts": s.Verdicts}})
+		if err != nil {
+			return nil, err
+		}
+		features = string(text)
+	}
+	d, err := local.Start(ctx, local.Options{Routers: opt.Routers, Depots: s.Depots, Caches: 4, Areas: areas, Peers: features != "", Relayed: true, Seed: opt.Seed, Binary: opt.Binary,
+		Delay: time.Duration(s.DelayMs * float64(time.Millisecond)), Features: features})
+	if err != nil {
+		return nil, err
+	}
+	p := &play{Scenario: s, opt: opt, d: d, begin: time.Now(), res: &Result{Scenario: s.Name, Routers: opt.Routers, Seed: opt.Seed, Limit: int(limit),
+		Floors: int(math.Round(limit * s.Floor))}}
+	err = p.run(ctx)
+	return p.res, errors.Join(err, d.Stop())
+}
+
+func (p *play) run(ctx context.Context) error {
+	if p.d.Mesh != nil {
+		if err := p.set(&p.Weather); err != nil {
+			return err
+		}
+	}
+	loading, stop := context.WithCancel(ctx)
+	defer stop()
+	done := make(chan error, 1)
+	var rep *local.Report
+	go func() {
+		var err error
+		rep, err = p.d.Run(loading, local.Load{Seed: p.opt.Seed, Requests: math.MaxInt32, Every: time.Duration(p.EveryMs * float64(time.Millisecond)),
+			Conns: 2, Families: 1, Objects: math.MaxInt32, Redial: true})
+		done <- err
+	}()
+	for i := range p.Steps {
+		if p.opt.Tell != nil {
+			p.opt.Tell(p.Steps[i].Name, i, len(p.Steps))
+		}
+		if err := p.step(ctx, &p.Steps[i]); err != nil {
+			return fmt.Errorf("%s: %w", p.Steps[i].Name, err)
+		}
+	}
+	stop()
+	if err := <-done; err != nil && !errors.Is(err, context.Canceled) {
+		return err
+	}
+	all := rep.All()
+	p.res.Served, p.res.Refused, p.res.Failed, p.res.Lost, p.res.Wrong = all.Served, all.Refused, all.Failed, all.Lost, all.Wrong
+	p.res.Overlaps = len(p.d.Ledger.Overlaps())
+	if p.d.Mesh != nil {
+		p.res.Longest = p.d.Mesh.Counts().Longest
+	}
+	return nil
+}
+
+// set puts a weather in force.
+func (p *play) set(w *Weather) error {
+	ms := func(f float64) time.Duration { return time.Duration(f * float64(time.Millisecond)) }
+	l := link.Weather{Loss: w.Loss, Double: w.Double, Delay: ms(w.DelayMs), Jitter: ms(w.JitterMs)}
+	if w.Parts > 1 || w.Alone != "" {
+		l.Groups = make([]int, p.opt.Routers)
+		for i := range l.Groups {
+			l.Groups[i] = i % max(w.Parts, 1)
+		}
+	}
+	if w.Alone != "" {
+		keeper, err := p.keeper()
+		if err != nil {
+			return err
+		}
+		l.Groups[keeper] = -1
+	}
+	return p.d.Mesh.Set(l)
+}
+
+// step begins what a step is about and watches the ledger until its end.
+func (p *play) step(ctx context.Context, s *Step) error {
+	if s.Weather != nil {
+		if err := p.set(s.Weather); err != nil {
+			return err
+		}
+	}
+	if err := p.strike(s); err != nil {
+		return err
+	}
+	if s.Restart {
+		for _, i := range p.dead {
+			if err := p.d.Restart(ctx, i); err != nil {
+				return err
+			}
+		}
+		p.dead = nil
+	}
+	k := Kept{Step: s.Name, Bound: p.res.Limit + s.Slack, TookS: s.ForS}
+	dialled, _, _, _ := p.d.BoardLink.Counts()
+	p.board(s.Board)
+	lost := p.d.Areas[0].Name()
+	if s.Lose {
+		p.d.Cut(0)
+	}
+	_, before := p.d.Ledger.Asks()
+	begin, broke, flips := time.Now(), time.Now(), 0
+	regained := false
+	for time.Since(begin).Seconds() < s.ForS && !regained {
+		if err := ctx.Err(); err != nil {
+			return err
+		}
+		time.Sleep(watchEvery)
+		if s.Board == "breaks" && time.Since(broke) >= breaksEvery {
+			broke = time.Now()
+			p.board("cut")
+			p.board("open")
+		}
+		if s.AllBack {
+			if _, open, _, _ := p.d.BoardLink.Counts(); open >= p.opt.Routers-len(p.dead) {
+				regained, k.TookS = true, time.Since(begin).Seconds()
+			}
+		}
+		out, _ := p.d.Ledger.Asks()
+		bound := p.res.Limit + s.Slack
+		if s.Floors && time.Since(begin).Seconds() > s.SettleS {
+			bound = p.res.Floors
+			k.Bound = bound
+		}
+		k.Most = max(k.Most, out)
+		at := time.Since(p.begin).Seconds()
+		p.res.out, p.res.bound = append(p.res.out, plotter.XY{X: at, Y: float64(out)}), append(p.res.bound, plotter.XY{X: at, Y: float64(bound)})
+		if p.Asks > 0 && out > bound && k.Fault == "" {
+			k.Fault = fmt.Sprintf("%d out at the head office %.2f s into it, %d may be", out, time.Since(begin).Seconds(), bound)
+		}
+		if s.Regains && out > p.res.Floors+p.res.Floors/4 {
+			regained, k.TookS = true, time.Since(begin).Seconds()
+		}
+		if w := s.Weather; w != nil && w.Flips > 0 && time.Since(begin).Seconds() > s.ForS*float64(flips+1)/float64(2*w.Flips) {
+			next := *w
+			if flips++; flips%2 == 1 {
+				next.Parts = 0
+			}
+			if err := p.set(&next); err != nil {
+				return err
+			}
+		}
+	}
+	_, after := p.d.Ledger.Asks()
+	for _, g := range p.d.Ledger.Gets() {
+		if s.Named != nil && g.Next == lost && g.At.Sub(begin).Seconds() > s.SettleS {
+			k.Named++
+		}
+	}
+	k.Tries, k.TriesMay = p.d.BoardLink.MostDials(len(dialled), triesIn), p.triesMay()
+	switch k.Fills = after - before; {
+	case k.Fault != "":
+	case s.Named != nil && k.Named > *s.Named:
+		k.Fault = fmt.Sprintf("%d fills name an area cache %.1f s after it died, %d may", k.Named, s.SettleS, *s.Named)
+	case s.Tries && k.Tries > k.TriesMay:
+		k.Fault = fmt.Sprintf("%d tries at the list service within %v, %d may be", k.Tries, triesIn, k.TriesMay)
+	case s.AllBack && !regained:
+		k.Fault = "not all routers are back at the list service"
+	case s.Regains && !regained:
+		k.Fault = fmt.Sprintf("never more out than the %d of the floors", p.res.Floors)
+	case s.Fills && k.Fills == 0:
+		k.Fault = "nothing was filled, though the floors are there"
+	}
+	p.res.Steps = append(p.res.Steps, k)
+	if p.frozen != nil {
+		err := <-p.frozen
+		p.frozen = nil
+		return err
+	}
+	return nil
+}
+
+// triesMay is the bound of core/coldstart on tries within triesIn, twice over for processes that a busy machine runs late.
+func (p *play) triesMay() int {
+	period := coldstart.Tries{Siblings: p.opt.Routers}.Period()
+	return 2 * (p.opt.Routers*int(triesIn.Microseconds())/int(period) + 1)
+}
+
+// board does to the list service what a step says.
+func (p *play) board(how string) {
+	switch how {
+	case "cut":
+		p.d.BoardLink.Set(link.State{Cut: true})
+	case "silent":
+		p.d.BoardLink.Set(link.State{Silent: true})
+	case "open", "breaks":
+		p.d.BoardLink.Set(link.State{})
+	}
+}
+
+// strike kills or freezes whom a step names.
+func (p *play) strike(s *Step) error {
+	var victims []int
+	if s.Kill == "keeper" || s.Freeze == "keeper" {
+		keeper, err := p.keeper()
+		if err != nil {
+			return err
+		}
+		victims = []int{keeper}
+	} else if part, err := strconv.ParseFloat(s.Kill, 64); err == nil {
+		for i := range int(math.Ceil(part * float64(p.opt.Routers))) {
+			victims = append(victims, i)
+		}
+	}
+	if s.Freeze != "" {
+		p.frozen = make(chan error, 1)
+		go func() { p.frozen <- p.d.Routers[victims[0]].Freeze(time.Duration(s.FreezeS * float64(time.Second))) }()
+		return nil
+	}
+	for _, i := range victims {
+		if err := p.d.Routers[i].Kill(); err != nil {
+			return err
+		}
+		p.dead = append(p.dead, i)
+	}
+	return nil
+}
+
+// keeper asks routers, one after the other, whom they have for the keeper, until one knows.
+func (p *play) keeper() (int, error) {
+	for begin := time.Now(); time.Since(begin) < 20*time.Second; time.Sleep(200 * time.Millisecond) {
+		for _, r := range p.d.Routers {
+			if rank := saysKeeper(r); rank >= 0 && rank < len(p.d.Routers) {
+				return rank, nil
+			}
+		}
+	}
+	return 0, errors.New("no router knows a keeper")
+}
+
+// saysKeeper reads from a router's log whom it has for the keeper; -1: nobody.
+func saysKeeper(r *local.Router) int {
+	if r.Signal(syscall.SIGUSR1) != nil {
+		return -1
+	}
+	time.Sleep(100 * time.Millisecond)
+	text, err := os.ReadFile(r.Log)
+	if err != nil {
+		return -1
+	}
+	keeper := -1
+	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
+		var line struct {
+			Limits []struct{ Keeper int }
+		}
+		if strings.Contains(lines.Text(), `"message":"fleet"`) && json.Unmarshal(lines.Bytes(), &line) == nil && len(line.Limits) == 1 {
+			keeper = line.Limits[0].Keeper
+		}
+	}
+	return keeper
+}
