--- a/emulator/shield.go
+++ b/emulator/shield.go
@@ -112,7 +112,6 @@
 	jobs   jobHeap
 	out    map[int64]*shieldJob
 	work   float64 // done for each fill out
-	looked int64
 	wishes []shieldWish
 	later  queue
 	made   int64
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -208,7 +208,6 @@
 	talk      talk
 	flushes   []flush
 	uses      []use // by depot, as reported
-	acts      []rules.Action
 }
 
 // New lays out a world at the start of its day.
--- a/internal/resp/pool_test.go
+++ b/internal/resp/pool_test.go
@@ -258,6 +258,9 @@
 	wantCode(t, k, rules.Miss)
 	// the reader arms the idle close under the same lock as it ends the attempt
 	p.mu.Lock()
+	if conns := p.servers["s-1"].conns; len(conns) != 1 || len(conns[0].calls) != 0 || conns[0].idle == nil {
+		t.Error("the answer left no connection that is idle")
+	}
 	p.mu.Unlock()
 	fake.Advance(24_000)
 	if _, err := one.in.ReadByte(); err == nil {
