--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -60,7 +60,7 @@
 	clientBytes = 32 << 10
 	// turnEvery, in milliseconds, moves and releases are looked at while no request comes.
 	turnEvery = 500
-	// spareSockets are for the listener, the board, logs and connections on their way out.
+	// spareSockets are for the listener, the discovery service, logs and connections on their way out.
 	spareSockets = 48
 	// leastConns there may be to servers, whatever the limits: with none a router would refuse all. They come out of the spare ones.
 	leastConns = 8
@@ -217,11 +217,11 @@
 		takeOver(core, shelf, log)
 	}
 	ready.Store(true)
-	log.Info().Str("listen", c.Listen).Uint64("known", c.Last).Msg("serving")
+	log.Info().Str("listen", c.Listen).Uint64("known", c.LastKnown).Msg("serving")
 
-	follower := &discovery.Follower{Names: c.Names, Last: c.Last, Apply: apply, Clock: now, Log: log,
+	watcher := &discovery.Watcher{Names: c.Names, LastApplied: c.LastKnown, Apply: apply, Clock: now, Log: log,
 		Tries: coldstart.Tries{Rank: c.Tier.Rank, Siblings: c.Settings.Siblings}}
-	follower.Move(c.Board)
+	watcher.SetAddress(c.DiscoveryAddr)
 	group, serving := errgroup.WithContext(serving)
 	var talk *peers.Talk
 	limits := on.Limits()
@@ -235,7 +235,7 @@
 	} else if limits != nil { // nobody to keep it with: an even share of all that are listed
 		core.Lease(limits[0].Most / float64(max(c.Settings.Siblings, 1)))
 	}
-	group.Go(func() error { return follower.Run(serving) })
+	group.Go(func() error { return watcher.Run(serving) })
 	var files reloads
 	var longest atomic.Value // of a class's deadline, in milliseconds
 	longest.Store(c.Longest)
@@ -266,7 +266,7 @@
 			case <-serving.Done():
 				return nil
 			case <-signals.hangUp:
-				c = reconfigure(c, again, core, server, pools, follower.Move, &files, log)
+				c = reconfigure(c, again, core, server, pools, watcher.SetAddress, &files, log)
 				longest.Store(c.Longest)
 				on = refeature(file, on, c, core, now, log)
 			}
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -70,7 +70,7 @@
 }
 
 // reconfigure takes the file in anew after SIGHUP and returns the configuration in force. Nothing of a file applies unless all of it can
-// be used. The board's address and the settings change in a running router; limits, seed and what connections rest on take a restart.
+// be used. The address of the discovery service and the settings change in a running router; limits, seed and what connections rest on take a restart.
 func reconfigure(old *config.Config, again reload, core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, move func(string), files *reloads,
 	log zerolog.Logger) *config.Config {
 	c, err := again()
@@ -92,13 +92,13 @@
 		c.MaxStreams != old.MaxStreams || c.Settings.Zone != old.Settings.Zone {
 		log.Warn().Msg("new configuration differs in what takes a restart")
 	}
-	log.Info().Str("from", old.Board).Str("board", c.Board).Int("classes", len(c.Settings.Classes)).
+	log.Info().Str("from", old.DiscoveryAddr).Str("board", c.DiscoveryAddr).Int("classes", len(c.Settings.Classes)).
 		Int("attempts", c.Settings.Permissions.MaxAttempts).Msg("new configuration")
-	if c.Board != old.Board {
-		move(c.Board)
+	if c.DiscoveryAddr != old.DiscoveryAddr {
+		move(c.DiscoveryAddr)
 	}
 	taken := *c
-	taken.Notices = nil // those of the start: the board has told what came since
+	taken.Notices = nil // those of the start: the watch has brought what came since
 	taken.MemoryMB, taken.Sockets, taken.DialTimeout, taken.IdleClose, taken.MaxStreams = old.MemoryMB, old.Sockets, old.DialTimeout, old.IdleClose, old.MaxStreams
 	return &taken
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,13 +18,13 @@
 
 // Config is a checked configuration. Times are milliseconds.
 type Config struct {
-	Name   string
-	Listen string
-	Manage string // the second address; empty: none
-	Socket int    // descriptor of an inherited listening socket for clients; -1: none
-	Shelf  string // folder that the processes of this router share; empty: none
-	Board  string
-	Seed   int64
+	Name          string
+	Listen        string
+	Manage        string // the second address; empty: none
+	Socket        int    // descriptor of an inherited listening socket for clients; -1: none
+	Shelf         string // folder that the processes of this router share; empty: none
+	DiscoveryAddr string // of the discovery service: the field board
+	Seed          int64
 
 	MemoryMB float64
 	Sockets  int
@@ -38,9 +38,9 @@
 
 	Tier Tier
 
-	Last    uint64 // number of the last event of Notices
-	Notices []router.Notice
-	Names   discovery.Names
+	LastKnown uint64 // number of the last event of Notices
+	Notices   []router.Notice
+	Names     discovery.Names
 
 	keys shape // of the file
 }
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{keys: keys, Board: d.Board, Manage: d.Manage, Socket: -1, MemoryMB: d.Limits.MemoryMB, Sockets: d.Limits.Sockets}
+	c := &Config{keys: keys, DiscoveryAddr: d.Board, Manage: d.Manage, Socket: -1, MemoryMB: d.Limits.MemoryMB, Sockets: d.Limits.Sockets}
 	seed, err := strconv.ParseUint(d.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
@@ -157,7 +157,7 @@
 	if err := c.tier(&d); err != nil {
 		return nil, err
 	}
-	if c.Last, c.Notices, err = discovery.ParseKnown(d.Known, c.Names); err != nil {
+	if c.LastKnown, c.Notices, err = discovery.ParseInitialEvents(d.Known, c.Names); err != nil {
 		return nil, fmt.Errorf("known.%w", err)
 	}
 	return c, nil
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -14,7 +14,7 @@
 	"spantack/internal/router"
 )
 
-func newBoard(t *testing.T) net.Listener {
+func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,8 +24,8 @@
 	return l
 }
 
-// asked takes a follower's connection and reads what it asks from.
-func asked(t *testing.T, l net.Listener) net.Conn {
+// acceptWatch accepts a watcher's connection and reads the event number that it resumes after.
+func acceptWatch(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
 	nc, err := l.Accept()
 	if err != nil {
@@ -39,22 +39,22 @@
 	return nc
 }
 
-// A watch falls silent at each point, or says too little too slowly, with the last router of a tier of hundreds waiting for its slot
-// besides: what is told at the next one is in force within the 4 s after a stop at which it binds; where the next is silent too, within the 7 s
-// after which all that was told binds.
+// A watch falls silent at each point, or sends too little too slowly, with the last router of a fleet of hundreds waiting for its slot
+// besides: an update on the next connection is in force within the 4 s after a stop at which it binds; where the next is silent too, within
+// the 7 s after which every update binds.
 func TestSilence(t *testing.T) {
-	event := appendFrame(nil, 42, kindChanges, []byte(record))
+	event := appendFrame(nil, 42, kindUpdate, []byte(record))
 	for name, part := range map[string][]byte{"before the first frame": nil, "in a frame's head": event[:2], "in its number": event[:9],
 		"in its payload": event[:len(event)-1], "a byte at a time": event, "before the first frame, twice": nil} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			l := newBoard(t)
+			l := listen(t)
 			applied := make(chan router.Notice, 8)
-			f := &Follower{Names: names, Last: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Tries: coldstart.Tries{Rank: 299, Siblings: 300},
+			w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Tries: coldstart.Tries{Rank: 299, Siblings: 300},
 				Apply: func(n router.Notice) { applied <- n }}
-			f.Move(l.Addr().String())
-			go f.Run(t.Context())
-			first := asked(t, l)
+			w.SetAddress(l.Addr().String())
+			go w.Run(t.Context())
+			first := acceptWatch(t, l)
 			silent := time.Now()
 			if name == "a byte at a time" {
 				go func() {
@@ -70,10 +70,10 @@
 			}
 			limit := 4 * time.Second
 			if strings.HasSuffix(name, "twice") {
-				asked(t, l)
+				acceptWatch(t, l)
 				limit = 7 * time.Second
 			}
-			asked(t, l).Write(event)
+			acceptWatch(t, l).Write(event)
 			<-applied
 			if took := time.Since(silent); took > limit {
 				t.Errorf("in force %v after the stop", took)
@@ -82,34 +82,34 @@
 	}
 }
 
-// act is a log that does something at its first line: the follower stands just before it rests.
-type act struct {
+// hookWriter is a log that calls a function at its first line: the watcher is about to wait for its retry.
+type hookWriter struct {
 	do   func()
 	done bool
 }
 
-func (a *act) Write(line []byte) (int, error) {
-	if !a.done {
-		a.done = true
-		a.do()
+func (h *hookWriter) Write(line []byte) (int, error) {
+	if !h.done {
+		h.done = true
+		h.do()
 	}
 	return len(line), nil
 }
 
-// The board moves, twice in a row, just as a router begins to rest after a loss: it comes to the last address.
-func TestMoveTwiceWhileResting(t *testing.T) {
-	old, skipped, last := newBoard(t), newBoard(t), newBoard(t)
-	f := &Follower{Names: names, Last: 41, Clock: &clock.Clock{}, Tries: coldstart.Tries{Rank: 7, Siblings: 300},
+// The address changes twice in a row just as a watcher begins to wait for a retry: it connects to the last one.
+func TestAddressChangesTwiceBeforeRetry(t *testing.T) {
+	old, skipped, last := listen(t), listen(t), listen(t)
+	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Tries: coldstart.Tries{Rank: 7, Siblings: 300},
 		Apply: func(router.Notice) {}}
-	f.Log = zerolog.New(&act{do: func() {
-		f.Move(skipped.Addr().String())
-		f.Move(last.Addr().String())
+	w.Log = zerolog.New(&hookWriter{do: func() {
+		w.SetAddress(skipped.Addr().String())
+		w.SetAddress(last.Addr().String())
 	}})
-	f.Move(old.Addr().String())
-	go f.Run(t.Context())
-	asked(t, old).Close()
+	w.SetAddress(old.Addr().String())
+	go w.Run(t.Context())
+	acceptWatch(t, old).Close()
 	began := time.Now()
-	asked(t, last)
+	acceptWatch(t, last)
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("%v until it asked at the new address", took)
 	}
@@ -119,14 +119,14 @@
 	}
 }
 
-// The board moves while a router still dials the old address, and again while it dials the next: nobody listens there any more.
-func TestMoveWhileDialling(t *testing.T) {
-	last := newBoard(t)
-	gone := newBoard(t)
+// The address changes while a watcher still dials the old one, where nobody listens any more.
+func TestAddressChangesWhileDialling(t *testing.T) {
+	last := listen(t)
+	gone := listen(t)
 	gone.Close()
-	f := &Follower{Names: names, Last: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Apply: func(router.Notice) {}}
-	f.Move(gone.Addr().String())
-	go f.Run(t.Context())
-	f.Move(last.Addr().String())
-	asked(t, last)
+	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Apply: func(router.Notice) {}}
+	w.SetAddress(gone.Addr().String())
+	go w.Run(t.Context())
+	w.SetAddress(last.Addr().String())
+	acceptWatch(t, last)
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,7 +17,7 @@
 
 var names = Names{Zones: []string{"central", "east"}, Kinds: []string{"std", "parent"}}
 
-// appendFrame is the test's own board.
+// appendFrame encodes a frame as the discovery service does.
 func appendFrame(buf []byte, number uint64, kind byte, payload []byte) []byte {
 	buf = binary.BigEndian.AppendUint32(buf, uint32(frameHead+len(payload)))
 	buf = append(binary.BigEndian.AppendUint64(buf, number), kind)
@@ -35,12 +35,12 @@
 		payload string
 		want    router.Notice
 	}{
-		{kindNothing, "", router.Notice{}},
-		{kindWhole, record, router.Notice{Whole: true, Servers: []router.Server{server}}},
-		{kindChanges, record + record, router.Notice{Servers: []router.Server{server, server}}},
-		{kindObject, "\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55\x00\x00\x00\x00\x00\x00\x03\xe8",
+		{kindHeartbeat, "", router.Notice{}},
+		{kindSnapshot, record, router.Notice{Whole: true, Servers: []router.Server{server}}},
+		{kindUpdate, record + record, router.Notice{Servers: []router.Server{server, server}}},
+		{kindPurgeObject, "\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55\x00\x00\x00\x00\x00\x00\x03\xe8",
 			router.Notice{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", At: 1000}}},
-		{kindGroup, "\x00\x11\x00\x00\x00\x00\x00\x00\x03\xe8", router.Notice{Purge: &router.Purge{Group: 17, At: 1000}}},
+		{kindPurgeGroup, "\x00\x11\x00\x00\x00\x00\x00\x00\x03\xe8", router.Notice{Purge: &router.Purge{Group: 17, At: 1000}}},
 	} {
 		stream := appendFrame(nil, 42, c.kind, []byte(c.payload))
 		f, err := readFrame(iotest.OneByteReader(bytes.NewReader(stream)), names)
@@ -52,8 +52,8 @@
 		}
 	}
 	for _, bad := range []string{"\xff\xff\xff\xff", "\x00\x00\x00\x08",
-		string(appendFrame(nil, 1, kindWhole, []byte(record[1:]))), string(appendFrame(nil, 1, 9, nil)),
-		string(appendFrame(nil, 1, kindChanges, []byte(strings.Replace(record, "\x01\x01\x00", "\x03\x01\x00", 1))))} {
+		string(appendFrame(nil, 1, kindSnapshot, []byte(record[1:]))), string(appendFrame(nil, 1, 9, nil)),
+		string(appendFrame(nil, 1, kindUpdate, []byte(strings.Replace(record, "\x01\x01\x00", "\x03\x01\x00", 1))))} {
 		if _, err := readFrame(strings.NewReader(bad), names); !errors.Is(err, errMalformed) {
 			t.Errorf("%q: %v", bad, err)
 		}
@@ -77,7 +77,7 @@
 const target = `{"uid":"s-00c41f7a","endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,"state":"Ready","capacity_hint":4.5,"boot_ms":0}`
 
 func TestKnown(t *testing.T) {
-	last, notices, err := ParseKnown([]byte(`{"rev":43,"notices":[{"rev":41,"pool":{"rev":7,"all":true,"targets":[`+target+`]}},
+	last, notices, err := ParseInitialEvents([]byte(`{"rev":43,"notices":[{"rev":41,"pool":{"rev":7,"all":true,"targets":[`+target+`]}},
 		{"rev":42,"flush":{"asset":"7f3a9c21e0b4d655","ms":1764576000123}},
 		{"rev":43,"flush":{"collection":17,"ms":1764576000480}}]}`), names)
 	want := []router.Notice{
@@ -91,7 +91,7 @@
 	for field, swap := range map[string][2]string{"uid": {"s-00c41f7a", ""}, "endpoint": {"10.1.0.9", "nowhere"},
 		"az": {"east", "west"}, "model": {"std", "odd"}, "state": {"Ready", "Asleep"}} {
 		text := `{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":[` + strings.Replace(target, swap[0], swap[1], 1) + `]}}]}`
-		if _, _, err := ParseKnown([]byte(text), names); err == nil || !strings.Contains(err.Error(), "targets[0]."+field) {
+		if _, _, err := ParseInitialEvents([]byte(text), names); err == nil || !strings.Contains(err.Error(), "targets[0]."+field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- a/internal/discovery/frames.go
+++ b/internal/discovery/frames.go
@@ -1,5 +1,5 @@
-// Package discovery watches the discovery service (the settings call it board): the list of servers, its changes, and purges, as numbered
-// events.
+// Package discovery watches the discovery service (the settings' field `board`), which sends the list of servers, its changes, and purges
+// as numbered events.
 package discovery
 
 import (
@@ -12,17 +12,18 @@
 	"spantack/internal/router"
 )
 
-// Names are the lists of the settings in which frames give places.
+// Names are the lists of the settings into which the indexes in frames point.
 type Names struct {
 	Zones, Kinds []string
 }
 
+// Kinds of frame.
 const (
-	kindNothing = iota
-	kindWhole
-	kindChanges
-	kindObject
-	kindGroup
+	kindHeartbeat = iota
+	kindSnapshot
+	kindUpdate
+	kindPurgeObject
+	kindPurgeGroup
 )
 
 const (
@@ -31,12 +32,12 @@
 	maxFrame   = frameHead + recordSize*4096
 )
 
-// statuses are the module's words for the board's states, by number.
+// statuses maps the numbers of the protocol to the decision module's names of a server's status.
 var statuses = []string{"healthy", "cordoned", "deregistered"}
 
 var errMalformed = errors.New("malformed frame")
 
-// frame is one event of the board; kind 0 brings nothing.
+// frame is one event of the stream; a heartbeat carries none.
 type frame struct {
 	number uint64
 	kind   byte
@@ -44,17 +45,17 @@
 }
 
 // readFrame reads one frame.
-func readFrame(in io.Reader, names Names) (f frame, err error) {
+func readFrame(reader io.Reader, names Names) (f frame, err error) {
 	var size [4]byte
-	if _, err := io.ReadFull(in, size[:]); err != nil {
+	if _, err := io.ReadFull(reader, size[:]); err != nil {
 		return f, err
 	}
-	n := binary.BigEndian.Uint32(size[:])
-	if n < frameHead || n > maxFrame {
-		return f, fmt.Errorf("%w: length %d", errMalformed, n)
+	length := binary.BigEndian.Uint32(size[:])
+	if length < frameHead || length > maxFrame {
+		return f, fmt.Errorf("%w: length %d", errMalformed, length)
 	}
-	body := make([]byte, n)
-	if _, err := io.ReadFull(in, body); err != nil {
+	body := make([]byte, length)
+	if _, err := io.ReadFull(reader, body); err != nil {
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -65,12 +66,13 @@
 	return f, err
 }
 
+// parsePayload reads what a frame of the given kind carries behind its head.
 func parsePayload(kind byte, body []byte, names Names) (n router.Notice, err error) {
 	switch kind {
-	case kindNothing:
+	case kindHeartbeat:
 		return n, nil
-	case kindWhole, kindChanges:
-		n.Whole = kind == kindWhole
+	case kindSnapshot, kindUpdate:
+		n.Whole = kind == kindSnapshot
 		if len(body)%recordSize != 0 {
 			return n, fmt.Errorf("%w: %d bytes of records", errMalformed, len(body))
 		}
@@ -82,13 +84,13 @@
 			n.Servers = append(n.Servers, s)
 		}
 		return n, nil
-	case kindObject:
+	case kindPurgeObject:
 		if len(body) == 16 {
 			n.Purge = &router.Purge{Object: fmt.Sprintf("%016x", binary.BigEndian.Uint64(body)),
 				At: float64(binary.BigEndian.Uint64(body[8:]))}
 			return n, nil
 		}
-	case kindGroup:
+	case kindPurgeGroup:
 		if len(body) == 10 {
 			n.Purge = &router.Purge{Group: int64(binary.BigEndian.Uint16(body)),
 				At: float64(binary.BigEndian.Uint64(body[2:]))}
@@ -98,7 +100,7 @@
 	return n, fmt.Errorf("%w: kind %d with %d bytes", errMalformed, kind, len(body))
 }
 
-// parseRecord reads id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8.
+// parseRecord reads one server: id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8 bytes.
 func parseRecord(b []byte, names Names) (s router.Server, err error) {
 	state, zone, kind := int(b[10]), int(b[11]), int(b[12])
 	if state >= len(statuses) || zone >= len(names.Zones) || kind >= len(names.Kinds) {
--- a/internal/discovery/known.go
+++ b/internal/discovery/initial.go
@@ -9,16 +9,18 @@
 	"spantack/internal/router"
 )
 
-type known struct {
+// initialEvents is the settings' document `known`.
+type initialEvents struct {
 	Rev     uint64
 	Notices []struct {
 		Rev   uint64
-		Pool  *pool
-		Flush *flush
+		Pool  *serverList
+		Flush *purgeNotice
 	}
 }
 
-type pool struct {
+// serverList is a snapshot of the list of servers, or a change of it.
+type serverList struct {
 	All     bool
 	Targets []struct {
 		UID          string
@@ -32,21 +34,23 @@
 	}
 }
 
-type flush struct {
+// purgeNotice names what is purged: an object or a collection.
+type purgeNotice struct {
 	Asset      string
 	Collection int64
 	Ms         float64
 }
 
-var states = map[string]string{"Ready": "healthy", "Terminating": "cordoned", "Gone": "deregistered"}
+// statusOf maps the states of the document to the decision module's names of a server's status.
+var statusOf = map[string]string{"Ready": "healthy", "Terminating": "cordoned", "Gone": "deregistered"}
 
-// ParseKnown reads the events of the start and the number of the last one.
-func ParseKnown(text []byte, names Names) (last uint64, notices []router.Notice, err error) {
-	var k known
-	if err := json.Unmarshal(text, &k); err != nil {
+// ParseInitialEvents reads the settings' document `known`, the events from before the start, and returns the number of the last one too.
+func ParseInitialEvents(text []byte, names Names) (last uint64, notices []router.Notice, err error) {
+	var document initialEvents
+	if err := json.Unmarshal(text, &document); err != nil {
 		return 0, nil, err
 	}
-	for i, e := range k.Notices {
+	for i, e := range document.Notices {
 		var n router.Notice
 		switch {
 		case e.Pool != nil:
@@ -61,13 +65,14 @@
 		notices = append(notices, n)
 		last = max(last, e.Rev)
 	}
-	return max(last, k.Rev), notices, nil
+	return max(last, document.Rev), notices, nil
 }
 
-func (p *pool) notice(names Names) (n router.Notice, err error) {
+// notice checks the list against the settings' names and converts it.
+func (p *serverList) notice(names Names) (n router.Notice, err error) {
 	n.Whole = p.All
 	for i, t := range p.Targets {
-		status, known := states[t.State]
+		status, known := statusOf[t.State]
 		_, addrErr := netip.ParseAddrPort(t.Endpoint)
 		switch {
 		case t.UID == "":
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/watcher_test.go
@@ -11,23 +11,23 @@
 	"spantack/internal/router"
 )
 
-// A lost or malformed stream is opened anew from the last event applied, and no event is applied twice.
-func TestFollow(t *testing.T) {
+// A lost or malformed stream is reopened after the last event applied, and no event is applied twice.
+func TestReconnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	applied := make(chan router.Notice, 8)
-	f := &Follower{Names: names, Last: 41, Clock: clock.NewFake(0), Log: zerolog.Nop(),
+	w := &Watcher{Names: names, LastApplied: 41, Clock: clock.NewFake(0), Log: zerolog.Nop(),
 		Apply: func(n router.Notice) { applied <- n }}
-	f.Move(l.Addr().String())
-	go f.Run(t.Context())
+	w.SetAddress(l.Addr().String())
+	go w.Run(t.Context())
 	purge := []byte("\x00\x11\x00\x00\x00\x00\x00\x00\x03\xe8")
 	for _, c := range []struct{ asks, sends string }{
-		{"\x00\x00\x00\x00\x00\x00\x00\x29", string(appendFrame(nil, 42, kindChanges, []byte(record))) + "\xff\xff\xff\xff"},
-		{"\x00\x00\x00\x00\x00\x00\x00\x2a", string(appendFrame(appendFrame(appendFrame(nil, 42, kindChanges, []byte(record)),
-			42, kindNothing, nil), 43, kindGroup, purge))},
+		{"\x00\x00\x00\x00\x00\x00\x00\x29", string(appendFrame(nil, 42, kindUpdate, []byte(record))) + "\xff\xff\xff\xff"},
+		{"\x00\x00\x00\x00\x00\x00\x00\x2a", string(appendFrame(appendFrame(appendFrame(nil, 42, kindUpdate, []byte(record)),
+			42, kindHeartbeat, nil), 43, kindPurgeGroup, purge))},
 		{"\x00\x00\x00\x00\x00\x00\x00\x2b", ""},
 	} {
 		nc, err := l.Accept()
@@ -52,14 +52,14 @@
 	}
 }
 
-// A board that moves is followed at once, from the last event that came whole; the half event that the old connection
-// had brought is asked for again.
-func TestMove(t *testing.T) {
+// After a change of the address the watch resumes there at once, after the last event that came whole; the half event that the old
+// connection had brought is requested again.
+func TestAddressChanges(t *testing.T) {
 	applied := make(chan router.Notice, 8)
-	f := &Follower{Names: names, Last: 41, Clock: clock.NewFake(0), Log: zerolog.Nop(),
+	w := &Watcher{Names: names, LastApplied: 41, Clock: clock.NewFake(0), Log: zerolog.Nop(),
 		Apply: func(n router.Notice) { applied <- n }}
-	event := appendFrame(nil, 42, kindChanges, []byte(record))
-	next := appendFrame(nil, 43, kindChanges, []byte(record))
+	event := appendFrame(nil, 42, kindUpdate, []byte(record))
+	next := appendFrame(nil, 43, kindUpdate, []byte(record))
 	for i, c := range []struct{ asks, sends string }{
 		{"\x00\x00\x00\x00\x00\x00\x00\x29", string(event) + string(next[:20])},
 		{"\x00\x00\x00\x00\x00\x00\x00\x2a", string(next)},
@@ -69,9 +69,9 @@
 			t.Fatal(err)
 		}
 		defer l.Close()
-		f.Move(l.Addr().String())
+		w.SetAddress(l.Addr().String())
 		if i == 0 {
-			go f.Run(t.Context())
+			go w.Run(t.Context())
 		}
 		nc, err := l.Accept()
 		if err != nil {
