--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -1,5 +1,5 @@
-// Package asynclog writes log lines without blocking the caller. Lines are logged where locks are held and requests wait; who reads the log
-// may be slow, stopped or gone, and must not stop the router.
+// Package asynclog writes log lines without blocking the caller. Lines are logged where locks are held and requests wait, and the reader of
+// the log may be slow, stopped or gone: it must not stop the router.
 package asynclog
 
 import (
@@ -10,77 +10,78 @@
 )
 
 const (
-	room     = 256     // lines that wait at the most
-	most     = 1 << 20 // bytes of them
-	patience = 100     // milliseconds that Close waits for what is left
+	maxLines     = 256     // capacity of the queue, in lines
+	maxBytes     = 1 << 20 // and in bytes
+	closeTimeout = 100     // milliseconds that Close waits for the queue to drain
 )
 
-// Writer passes lines on from a goroutine of its own. What finds no room is dropped, and counted in a line of its own once there is room
-// again. It is safe for concurrent use.
+// Writer queues lines and writes them from a goroutine of its own. Lines that find the queue full are dropped; the next line written is
+// preceded by one that counts them. It is safe for concurrent use.
 type Writer struct {
-	queue chan []byte
-	quit  chan struct{}
-	ended chan struct{}
-	held  atomic.Int64 // bytes that wait
-	lost  atomic.Int64 // lines dropped and not told of
+	queue        chan []byte
+	quit         chan struct{}
+	finished     chan struct{}
+	pendingBytes atomic.Int64 // in the queue
+	dropped      atomic.Int64 // lines dropped and not reported yet
 }
 
 // New returns a writer to a destination that may block or fail. Close ends it.
-func New(to io.Writer) *Writer {
-	w := &Writer{queue: make(chan []byte, room), quit: make(chan struct{}), ended: make(chan struct{})}
-	go w.pass(to)
+func New(destination io.Writer) *Writer {
+	w := &Writer{queue: make(chan []byte, maxLines), quit: make(chan struct{}), finished: make(chan struct{})}
+	go w.forward(destination)
 	return w
 }
 
-// Write takes one line. It never waits and never fails.
+// Write queues a copy of one line. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	size := int64(len(line))
-	if w.held.Add(size) <= most {
+	if w.pendingBytes.Add(size) <= maxBytes {
 		select {
 		case w.queue <- append([]byte(nil), line...):
 			return len(line), nil
 		default:
 		}
 	}
-	w.held.Add(-size)
-	w.lost.Add(1)
+	w.pendingBytes.Add(-size)
+	w.dropped.Add(1)
 	return len(line), nil
 }
 
-// Close writes what is left, unless that takes too long. What comes later is dropped. It is called once.
+// Close writes the queued lines, for closeTimeout at most. Later lines are dropped. It must be called once only.
 func (w *Writer) Close() {
 	close(w.quit)
-	patient := time.NewTimer(patience * time.Millisecond)
-	defer patient.Stop()
+	timeout := time.NewTimer(closeTimeout * time.Millisecond)
+	defer timeout.Stop()
 	select {
-	case <-w.ended:
-	case <-patient.C:
+	case <-w.finished:
+	case <-timeout.C:
 	}
 }
 
-func (w *Writer) pass(to io.Writer) {
-	defer close(w.ended)
+// forward writes queued lines until Close.
+func (w *Writer) forward(destination io.Writer) {
+	defer close(w.finished)
 	for {
-		select { // what waits comes before the end
+		select { // queued lines are written before quit is looked at
 		case line := <-w.queue:
-			w.put(to, line)
+			w.writeLine(destination, line)
 			continue
 		default:
 		}
 		select {
 		case line := <-w.queue:
-			w.put(to, line)
+			w.writeLine(destination, line)
 		case <-w.quit:
 			return
 		}
 	}
 }
 
-// put writes a line, and before it how many were lost. What a destination does not take is lost: there is nobody to tell.
-func (w *Writer) put(to io.Writer, line []byte) {
-	if n := w.lost.Swap(0); n > 0 {
-		_, _ = fmt.Fprintf(to, "{\"level\":\"warn\",\"lost\":%d,\"message\":\"log lines were not taken\"}\n", n)
+// writeLine writes a line, preceded by the count of dropped ones, if any. A write error is ignored: there is no other log to report it to.
+func (w *Writer) writeLine(destination io.Writer, line []byte) {
+	if n := w.dropped.Swap(0); n > 0 {
+		_, _ = fmt.Fprintf(destination, "{\"level\":\"warn\",\"lost\":%d,\"message\":\"log lines were not taken\"}\n", n)
 	}
-	_, _ = to.Write(line)
-	w.held.Add(-int64(len(line)))
+	_, _ = destination.Write(line)
+	w.pendingBytes.Add(-int64(len(line)))
 }
