--- a/lab/live/play.go
+++ b/lab/live/play.go
@@ -133,7 +133,7 @@
 		p.dead = nil
 	}
 	k := Kept{Step: s.Name, Bound: p.res.Limit + s.Slack, TookS: s.ForS}
-	dialled, _, _, _ := p.d.BoardLink.Counts()
+	dialled, _, _, _ := p.d.DiscoveryLink.Counts()
 	p.board(s.Board)
 	lost := p.d.Areas[0].Name()
 	if s.Lose {
@@ -153,7 +153,7 @@
 			p.board("open")
 		}
 		if s.AllBack {
-			if _, open, _, _ := p.d.BoardLink.Counts(); open >= p.opt.Routers-len(p.dead) {
+			if _, open, _, _ := p.d.DiscoveryLink.Counts(); open >= p.opt.Routers-len(p.dead) {
 				regained, k.TookS = true, time.Since(begin).Seconds()
 			}
 		}
@@ -188,7 +188,7 @@
 			k.Named++
 		}
 	}
-	k.Tries, k.TriesMay = p.d.BoardLink.MostDials(len(dialled), triesIn), p.triesMay()
+	k.Tries, k.TriesMay = p.d.DiscoveryLink.MostDials(len(dialled), triesIn), p.triesMay()
 	switch k.Fills = after - before; {
 	case k.Fault != "":
 	case s.Named != nil && k.Named > *s.Named:
@@ -221,11 +221,11 @@
 func (p *play) board(how string) {
 	switch how {
 	case "cut":
-		p.d.BoardLink.Set(link.State{Cut: true})
+		p.d.DiscoveryLink.Set(link.State{Cut: true})
 	case "silent":
-		p.d.BoardLink.Set(link.State{Silent: true})
+		p.d.DiscoveryLink.Set(link.State{Silent: true})
 	case "open", "breaks":
-		p.d.BoardLink.Set(link.State{})
+		p.d.DiscoveryLink.Set(link.State{})
 	}
 }
 
--- a/lab/local/coldstart_test.go
+++ b/lab/local/coldstart_test.go
@@ -28,7 +28,7 @@
 	back := func() {
 		t.Helper()
 		for begin := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-			if _, open, _, _ := d.BoardLink.Counts(); open == routers {
+			if _, open, _, _ := d.DiscoveryLink.Counts(); open == routers {
 				return
 			}
 			if time.Since(begin) > 10*time.Second {
@@ -40,29 +40,29 @@
 	period := time.Duration(coldstart.Tries{Siblings: routers}.Period()) * time.Microsecond
 	for round := range 3 {
 		time.Sleep(1200 * time.Millisecond) // a connection that held is a new start
-		before, _, _, _ := d.BoardLink.Counts()
+		before, _, _, _ := d.DiscoveryLink.Counts()
 		if round < 2 {
-			d.BoardLink.Set(link.State{Cut: true})
+			d.DiscoveryLink.Set(link.State{Cut: true})
 			time.Sleep(3 * time.Second)
 		} else { // all break, and each new connection breaks at its first piece
 			for range 20 {
-				d.BoardLink.Set(link.State{Cut: true})
-				d.BoardLink.Set(link.State{})
+				d.DiscoveryLink.Set(link.State{Cut: true})
+				d.DiscoveryLink.Set(link.State{})
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
-		after, _, _, _ := d.BoardLink.Counts()
+		after, _, _, _ := d.DiscoveryLink.Counts()
 		tries := after[len(before):]
 		for _, part := range []time.Duration{4, 1} {
 			span := period / part
-			if most, bound := d.BoardLink.MostDials(len(before), span), 2*(routers/int(part)+1); most > bound {
+			if most, bound := d.DiscoveryLink.MostDials(len(before), span), 2*(routers/int(part)+1); most > bound {
 				t.Errorf("round %d: %d tries within %v, %d at most", round, most, span, bound)
 			}
 		}
 		if len(tries) < 2*routers {
 			t.Errorf("round %d: %d tries of %d routers: they gave up, or nothing was cut", round, len(tries), routers)
 		}
-		d.BoardLink.Set(link.State{})
+		d.DiscoveryLink.Set(link.State{})
 		back()
 	}
 }
--- a/lab/local/demo.go
+++ b/lab/local/demo.go
@@ -11,7 +11,7 @@
 // called with the share that is done.
 func Demo(ctx context.Context, out io.Writer, progress func(done, all int)) (err error) {
 	const requests = 1500
-	fmt.Fprintln(out, "building the router and starting 4 depot caches, an area cache, the head office, a notice board")
+	fmt.Fprintln(out, "building the router and starting 4 depot caches, an area cache, the head office, a discovery service")
 	d, err := Start(ctx, Options{Routers: 1, Caches: 4, Delay: 3 * time.Millisecond})
 	if err != nil {
 		return err
--- a/lab/local/local.go
+++ b/lab/local/local.go
@@ -1,5 +1,5 @@
-// Package local brings up a small deployment on loopback: stand-ins for depot caches, area cache, head office and notice
-// board, and real router processes between them.
+// Package local brings up a small deployment on loopback: stand-ins for depot caches, area cache, head office and discovery
+// service, and real router processes between them.
 package local
 
 import (
@@ -39,7 +39,7 @@
 	Managed  bool          // routers have a second address, and get their listening socket handed down
 	Peers    bool          // routers may send one another datagrams, over a mesh that the caller may spoil
 	Seed     uint64        // of that mesh
-	Relayed  bool          // a relay stands before the notice board: BoardLink
+	Relayed  bool          // routers reach the discovery service by a relay: DiscoveryLink
 }
 
 // Kinds of server, by their places in the settings.
@@ -51,14 +51,14 @@
 
 // Deployment is one that runs.
 type Deployment struct {
-	Ledger  *tier.Ledger
-	Board   *discovery.Board
-	Caches  []*tier.Server
-	Areas   []*tier.Server
-	Routers []*Router
-	Mesh    *link.Mesh // nil without Peers
-	// BoardLink is what routers reach the notice board by; nil where they reach it straight.
-	BoardLink *link.Relay
+	Ledger    *tier.Ledger
+	Discovery *discovery.Service
+	Caches    []*tier.Server
+	Areas     []*tier.Server
+	Routers   []*Router
+	Mesh      *link.Mesh // nil without Peers
+	// DiscoveryLink is the relay between routers and the discovery service; nil without Options.Relayed.
+	DiscoveryLink *link.Relay
 
 	listens []netip.AddrPort
 	dir     string
@@ -112,11 +112,11 @@
 			return d, err
 		}
 	}
-	if d.Board, err = discovery.Listen(); err != nil {
+	if d.Discovery, err = discovery.Listen(); err != nil {
 		return d, err
 	}
 	if opt.Relayed {
-		if d.BoardLink, err = link.NewRelay(d.Board.Addr()); err != nil {
+		if d.DiscoveryLink, err = link.NewRelay(d.Discovery.Addr()); err != nil {
 			return d, err
 		}
 	}
@@ -137,7 +137,7 @@
 		}
 		d.Caches = append(d.Caches, s)
 	}
-	d.Board.List(true, d.known...)
+	d.Discovery.Publish(true, d.known...)
 	if opt.Features != "" {
 		if err = d.WriteFeatures(opt.Features); err != nil {
 			return d, err
@@ -204,11 +204,11 @@
 	}
 	row := d.known[at]
 	row.State = 1
-	d.Board.List(false, row)
+	d.Discovery.Publish(false, row)
 	time.Sleep(drain)
 	old.Close()
 	row.State = 2
-	d.Board.List(false, row)
+	d.Discovery.Publish(false, row)
 	d.known = append(d.known[:at], d.known[at+1:]...)
 	addr := ""
 	if sameAddr {
@@ -219,7 +219,7 @@
 		return err
 	}
 	d.Caches[which] = fresh
-	d.Board.List(false, d.known[len(d.known)-1])
+	d.Discovery.Publish(false, d.known[len(d.known)-1])
 	return nil
 }
 
@@ -355,18 +355,18 @@
 
 func (d *Deployment) config(i int) string { return filepath.Join(d.dir, fmt.Sprintf("n%d.json", i)) }
 
-// boardAddr is where routers look for the notice board.
-func (d *Deployment) boardAddr() string {
-	if d.BoardLink != nil {
-		return d.BoardLink.Addr()
+// discoveryAddr returns the address under which routers reach the discovery service.
+func (d *Deployment) discoveryAddr() string {
+	if d.DiscoveryLink != nil {
+		return d.DiscoveryLink.Addr()
 	}
-	return d.Board.Addr()
+	return d.Discovery.Addr()
 }
 
 // Configure writes a router's configuration; change, if not nil, may do what it likes with the document before. Routers take it on SIGHUP.
 func (d *Deployment) Configure(i int, change func(doc map[string]any)) error {
 	doc := map[string]any{"seed": fmt.Sprintf("%016x", 7919*(i+1)), "limits": map[string]any{"memory_mb": 192, "sockets": 512},
-		"board": d.boardAddr(), "known": map[string]any{"rev": 0, "notices": []any{}}, "settings": d.settings(i)}
+		"board": d.discoveryAddr(), "known": map[string]any{"rev": 0, "notices": []any{}}, "settings": d.settings(i)}
 	if d.Mesh != nil {
 		d.speak(i, doc)
 	}
@@ -482,11 +482,11 @@
 	for _, s := range servers {
 		s.Close()
 	}
-	if d.BoardLink != nil {
-		d.BoardLink.Close()
+	if d.DiscoveryLink != nil {
+		d.DiscoveryLink.Close()
 	}
-	if d.Board != nil {
-		d.Board.Close()
+	if d.Discovery != nil {
+		d.Discovery.Close()
 	}
 	if d.Mesh != nil {
 		d.Mesh.Close()
--- a/lab/local/operate_test.go
+++ b/lab/local/operate_test.go
@@ -124,7 +124,7 @@
 	if status, _, err := r.Call(t.Context(), http.MethodPut, "/api/exclude/s-00000000"); err != nil || status != http.StatusNotFound {
 		t.Errorf("an unknown id: %d, %v", status, err)
 	}
-	until(t, "list", func() bool { return figures(t, r)["app.discovered"] == 3 }) // it comes from the board alone, after the router is ready
+	until(t, "list", func() bool { return figures(t, r)["app.discovered"] == 3 }) // it comes from the discovery service alone, after the router is ready
 	call(t, r, http.MethodPut, "/api/exclude/"+d.Caches[0].Name())
 	rep, err := d.Run(t.Context(), Load{Seed: 12, Requests: requests, Every: 500 * time.Microsecond, Conns: 2, Families: 2, Objects: 100})
 	if err != nil {
@@ -147,7 +147,7 @@
 	until(t, "forwards", func() bool { return figures(t, r)["app.forwards"] == len(d.Ledger.Gets()) }) // may lag behind the answer
 }
 
-// A file that can't be used is turned down whole: neither its classes nor its board hold. A good one holds for requests that come.
+// A file that can't be used is turned down whole: neither its classes nor its discovery address hold. A good one holds for requests that come.
 func TestNewSettings(t *testing.T) {
 	d := start(t, Options{Routers: 1, Caches: 2, Managed: true})
 	r := d.Routers[0]
--- a/standin/discovery/server.go
+++ b/standin/discovery/server.go
@@ -10,6 +10,14 @@
 	"time"
 )
 
+// Kinds of frame.
+const (
+	kindHeartbeat   = 0
+	kindSnapshot    = 1
+	kindUpdate      = 2
+	kindPurgeObject = 3
+)
+
 // Server is one entry of the list.
 type Server struct {
 	ID      uint32
@@ -21,67 +29,67 @@
 	Started int64 // Unix milliseconds; 0: long ago
 }
 
-// Board holds events and tells them to whoever connects.
-type Board struct {
-	l net.Listener
+// Service holds events and tells them to whoever connects.
+type Service struct {
+	listener net.Listener
 
-	mu     sync.Mutex
-	frames [][]byte // event n at n-1
-	more   chan struct{}
-	wg     sync.WaitGroup
-	done   chan struct{}
+	mu         sync.Mutex
+	frames     [][]byte // event n at index n-1
+	changed    chan struct{}
+	goroutines sync.WaitGroup
+	done       chan struct{}
 }
 
-// Listen starts a board on loopback.
-func Listen() (*Board, error) {
+// Listen starts a discovery service on loopback. Close ends it.
+func Listen() (*Service, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Board{l: l, more: make(chan struct{}), done: make(chan struct{})}
-	b.wg.Go(b.accept)
-	return b, nil
+	s := &Service{listener: l, changed: make(chan struct{}), done: make(chan struct{})}
+	s.goroutines.Go(s.accept)
+	return s, nil
 }
 
-// Addr is where routers connect.
-func (b *Board) Addr() string { return b.l.Addr().String() }
+// Addr returns the address that routers connect to.
+func (s *Service) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the board and its connections.
-func (b *Board) Close() {
-	close(b.done)
-	b.l.Close()
-	b.wg.Wait()
+// Close ends the service and its connections.
+func (s *Service) Close() {
+	close(s.done)
+	s.listener.Close()
+	s.goroutines.Wait()
 }
 
-// List adds an event with the whole list, or with what has changed.
-func (b *Board) List(whole bool, servers ...Server) {
-	kind := byte(2)
-	if whole {
-		kind = 1
+// Publish adds an event: a snapshot of the list of servers, or an update of some of them.
+func (s *Service) Publish(snapshot bool, servers ...Server) {
+	kind := byte(kindUpdate)
+	if snapshot {
+		kind = kindSnapshot
 	}
 	var body []byte
-	for _, s := range servers {
-		body = binary.BigEndian.AppendUint32(body, s.ID)
-		ip := s.Addr.Addr().As4()
-		body = binary.BigEndian.AppendUint16(append(body, ip[:]...), s.Addr.Port())
-		body = append(body, s.State, s.Zone, s.Kind, 0, 0)
-		body = binary.BigEndian.AppendUint32(body, uint32(s.Weight*1000))
-		body = binary.BigEndian.AppendUint64(body, uint64(s.Started))
+	for _, server := range servers {
+		body = binary.BigEndian.AppendUint32(body, server.ID)
+		ip := server.Addr.Addr().As4()
+		body = binary.BigEndian.AppendUint16(append(body, ip[:]...), server.Addr.Port())
+		body = append(body, server.State, server.Zone, server.Kind, 0, 0)
+		body = binary.BigEndian.AppendUint32(body, uint32(server.Weight*1000))
+		body = binary.BigEndian.AppendUint64(body, uint64(server.Started))
 	}
-	b.add(kind, body)
+	s.add(kind, body)
 }
 
-// Purge adds a purge of an object.
-func (b *Board) Purge(object uint64, ms int64) {
-	b.add(3, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, object), uint64(ms)))
+// Purge adds an event that purges an object's copies made before ms (Unix milliseconds).
+func (s *Service) Purge(object uint64, ms int64) {
+	s.add(kindPurgeObject, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, object), uint64(ms)))
 }
 
-func (b *Board) add(kind byte, body []byte) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.frames = append(b.frames, frame(uint64(len(b.frames)+1), kind, body))
-	close(b.more)
-	b.more = make(chan struct{})
+func (s *Service) add(kind byte, body []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.frames = append(s.frames, frame(uint64(len(s.frames)+1), kind, body))
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func frame(number uint64, kind byte, body []byte) []byte {
@@ -89,24 +97,24 @@
 	return append(append(binary.BigEndian.AppendUint64(f, number), kind), body...)
 }
 
-func (b *Board) accept() {
+func (s *Service) accept() {
 	for {
-		c, err := b.l.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		b.wg.Go(func() { b.serve(c) })
+		s.goroutines.Go(func() { s.serve(c) })
 	}
 }
 
-// serve tells one router all events after the one that it names, and then that there is nothing new, once a second.
-func (b *Board) serve(c net.Conn) {
+// serve sends one router all events after the one that it names, and a heartbeat each second.
+func (s *Service) serve(c net.Conn) {
 	defer c.Close()
 	stop := make(chan struct{})
 	defer close(stop)
-	b.wg.Go(func() { // the end of the board, or of the connection, ends a write that hangs
+	s.goroutines.Go(func() { // ends a write that is blocked when the service or the connection ends
 		select {
-		case <-b.done:
+		case <-s.done:
 			c.Close()
 		case <-stop:
 		}
@@ -119,23 +127,23 @@
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
-		b.mu.Lock()
+		s.mu.Lock()
 		var send []byte
-		for ; next < len(b.frames); next++ {
-			send = append(send, b.frames[next]...)
+		for ; next < len(s.frames); next++ {
+			send = append(send, s.frames[next]...)
 		}
-		more := b.more
-		b.mu.Unlock()
+		changed := s.changed
+		s.mu.Unlock()
 		if _, err := c.Write(send); err != nil {
 			return
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-tick.C:
-			if _, err := c.Write(frame(uint64(next), 0, nil)); err != nil {
+			if _, err := c.Write(frame(uint64(next), kindHeartbeat, nil)); err != nil {
 				return
 			}
-		case <-b.done:
+		case <-s.done:
 			return
 		}
 	}
