--- a/cmd/spanctl/router_test.go
+++ b/cmd/spanctl/router_test.go
@@ -26,7 +26,7 @@
 			calls.Add(1)
 			return nil
 		}
-		s := &manage.Server{Ready: on.Load, Exclude: by, Include: by, Evacuate: func() { on.Store(false) }, Rejoin: func() { on.Store(true) }, Log: zerolog.Nop(),
+		s := &manage.Server{Ready: on.Load, Exclude: by, Include: by, Drain: func() { on.Store(false) }, Rejoin: func() { on.Store(true) }, Log: zerolog.Nop(),
 			Figures: func() []manage.Figure { return []manage.Figure{{Name: "outstanding", Value: 3, Gauge: true}} }}
 		l, err := manage.Listen(ctx, "127.0.0.1:0")
 		if err != nil {
--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -171,7 +171,7 @@
 	defer stopAccepting()
 
 	now := &clock.Clock{}
-	shelf := manage.NewShelf(c.Shelf, log)
+	state := manage.NewStateDir(c.StateDir, log)
 	inherited := c.Socket >= 0
 	memory, sockets := c.MemoryMB*(1<<20), c.Sockets
 	if inherited { // one process replaces another while that serves: the limits count for both
@@ -209,12 +209,12 @@
 			return err
 		}
 	}
-	shelf.Restore(core.Adopt)
+	state.Restore(core.Adopt)
 	for _, n := range c.Notices {
 		apply(n)
 	}
 	if inherited {
-		takeOver(core, shelf, log)
+		takeOver(core, state, log)
 	}
 	ready.Store(true)
 	log.Info().Str("listen", c.Listen).Uint64("known", c.LastKnown).Msg("serving")
@@ -240,15 +240,15 @@
 	var longest atomic.Value // of a class's deadline, in milliseconds
 	longest.Store(c.Longest)
 	if second != nil {
-		if err := shelf.Serving(); err != nil {
+		if err := state.ClaimServing(); err != nil {
 			log.Warn().Err(err).Msg("can't say that this process serves")
 		}
-		staff := operate(core, server, pools, shelf, &files, log)
+		staff := operate(core, server, pools, state, &files, log)
 		staff.Ready = server.Ready
 		group.Go(func() error { return staff.Serve(serving, second) })
-		group.Go(func() error { return shelf.Follow(serving, core.Adopt) })
+		group.Go(func() error { return state.WatchEjected(serving, core.Adopt) })
 		if inherited {
-			group.Go(func() error { return shelf.Leave(serving, core.Beliefs) })
+			group.Go(func() error { return state.SaveBeliefs(serving, core.Beliefs) })
 		}
 	}
 	var later *background.Runner
@@ -278,10 +278,10 @@
 		case <-serving.Done():
 			return nil
 		}
-		shelf.Ending() // first: whoever is told that this process is not ready must find no word of it
+		state.ReleaseServing() // first: whoever is told that this process is not ready must find its claim withdrawn
 		ending.Store(true)
 		stay, last, take := theEnd(longest.Load().(float64))
-		if inherited && shelf.Replaced() { // the other process takes what comes: to take more would only have it cut short
+		if inherited && state.Replaced() { // the other process takes what comes: to take more would only have it cut short
 			stay = 0
 		}
 		log.Info().Bool("replaced", stay == 0).Msg("stopping")
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -44,14 +44,16 @@
 }
 
 // operate ties the calls of the second address to the parts that carry them out; Ready is left to the caller.
-func operate(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, shelf *manage.Shelf, files *reloads, log zerolog.Logger) *manage.Server {
+func operate(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, state *manage.StateDir, files *reloads, log zerolog.Logger) *manage.Server {
 	change := func(do func(string) error) func(string) error {
-		return func(id string) error { return shelf.Change(core.Adopt, func() error { return do(id) }, core.Outs) }
+		return func(id string) error {
+			return state.ChangeEjected(core.Adopt, func() error { return do(id) }, core.Outs)
+		}
 	}
 	return &manage.Server{
 		Figures: func() []manage.Figure { return figures(core, pools, files) },
 		Exclude: change(core.Exclude), Include: change(core.Include),
-		Evacuate: server.Evacuate, Rejoin: server.Rejoin, Log: log,
+		Drain: server.Evacuate, Rejoin: server.Rejoin, Log: log,
 	}
 }
 
@@ -105,8 +107,8 @@
 
 // takeOver starts with what the process believed that this one replaces, where there is one. Without it a router begins with small
 // limits and no idea of who fails.
-func takeOver(core *router.Router, shelf *manage.Shelf, log zerolog.Logger) {
-	b, found, err := shelf.Beliefs()
+func takeOver(core *router.Router, state *manage.StateDir, log zerolog.Logger) {
+	b, found, err := state.LoadBeliefs()
 	if err == nil && found {
 		err = core.Believe(b)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 	Listen        string
 	Manage        string // the second address; empty: none
 	Socket        int    // descriptor of an inherited listening socket for clients; -1: none
-	Shelf         string // folder that the processes of this router share; empty: none
+	StateDir      string // directory that the processes of this router share; empty: none
 	DiscoveryAddr string // of the discovery service: the field board
 	Seed          int64
 
@@ -112,7 +112,7 @@
 		if _, err := netip.ParseAddrPort(c.Manage); err != nil {
 			return nil, fmt.Errorf("mgmt: %w", err)
 		}
-		c.Shelf = getenv("TMPDIR")
+		c.StateDir = getenv("TMPDIR")
 	}
 	if fd := getenv("RELAY_SOCKET_FD"); fd != "" {
 		if c.Socket, err = strconv.Atoi(fd); err != nil || c.Socket <= 2 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,12 +29,12 @@
 		c.MostWait != 300 || c.Longest != 3000 || c.LastKnown != 3 || len(c.Notices) != 1 || c.Settings.Zone != "east" {
 		t.Errorf("%+v", c)
 	}
-	if c.Manage != "" || c.Socket != -1 || c.Shelf != "" {
+	if c.Manage != "" || c.Socket != -1 || c.StateDir != "" {
 		t.Errorf("what is not asked for is on: %+v", c)
 	}
 	env["TMPDIR"] = "/t"
 	env["RELAY_MGMT"], env["RELAY_SOCKET_FD"] = "127.0.0.1:9100", "4"
-	if c, err = Load(func(name string) string { return env[name] }); err != nil || c.Manage != "127.0.0.1:9100" || c.Socket != 4 || c.Shelf != "/t" {
+	if c, err = Load(func(name string) string { return env[name] }); err != nil || c.Manage != "127.0.0.1:9100" || c.Socket != 4 || c.StateDir != "/t" {
 		t.Errorf("%+v, %v", c, err)
 	}
 	for name, value := range map[string]string{"RELAY_MGMT": "here", "RELAY_SOCKET_FD": "two"} {
--- a/internal/manage/crossings_test.go
+++ b/internal/manage/crossings_test.go
@@ -12,26 +12,26 @@
 	"github.com/rs/zerolog"
 )
 
-// What the other process wrote is adopted here while a call takes a server out: the call must come after or before, not in
-// between, or what was read before it would undo it.
-func TestFollowCrossesChange(t *testing.T) {
+// What the other process wrote is adopted here while a call ejects a server: the call must come after or before, not in between, or what was
+// read before it would undo it.
+func TestWatchInterleavedWithChange(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, outsFile), []byte(`["s-1"]`), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, ejectedFile), []byte(`["s-1"]`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s := NewShelf(dir, zerolog.Nop())
+	state := NewStateDir(dir, zerolog.Nop())
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	entered, leave, ended := make(chan struct{}), make(chan struct{}), make(chan error)
 	go func() {
-		ended <- s.Follow(ctx, func([]string) error { // it has read, and stands before it adopts
+		ended <- state.WatchEjected(ctx, func([]string) error { // it has read, and stands before it adopts
 			entered <- struct{}{}
 			<-leave
 			return nil
 		})
 	}()
 	<-entered
-	if unlock, err := s.lock(syscall.LOCK_EX | syscall.LOCK_NB); err == nil {
+	if unlock, err := state.lock(syscall.LOCK_EX | syscall.LOCK_NB); err == nil {
 		t.Error("a call may change what is out between reading and adopting")
 		unlock()
 	} else if !errors.Is(err, syscall.EWOULDBLOCK) {
@@ -42,38 +42,38 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if err := s.Change(func([]string) error { return nil }, func() error { return nil }, func() []string { return []string{"s-2"} }); err != nil {
+	if err := state.ChangeEjected(func([]string) error { return nil }, func() error { return nil }, func() []string { return []string{"s-2"} }); err != nil {
 		t.Error(err)
 	}
-	if ids, err := s.Outs(); err != nil || len(ids) != 1 || ids[0] != "s-2" {
+	if ids, err := state.Ejected(); err != nil || len(ids) != 1 || ids[0] != "s-2" {
 		t.Errorf("%v, %v", ids, err)
 	}
 }
 
-// The next process says that it serves, then dies or is told to end, before this one asks: it takes no work, and this one must not
-// stop taking it. Until the word is said whole nobody is replaced.
-func TestWordOfOneThatEnds(t *testing.T) {
-	for name, end := range map[string]func(*Shelf){
-		"dies":           func(s *Shelf) { s.word.Close() }, // as the system does for it
-		"is told to end": (*Shelf).Ending,
+// The next process claims that it serves, then dies or is told to end, before this one asks: it takes no work, and this one must not
+// stop taking it. Until the claim is written whole nobody is replaced.
+func TestClaimOfProcessThatEnds(t *testing.T) {
+	for name, end := range map[string]func(*StateDir){
+		"dies":           func(s *StateDir) { s.servingLock.Close() }, // as the system does for it
+		"is told to end": (*StateDir).ReleaseServing,
 	} {
 		dir := t.TempDir()
-		old, next, last := NewShelf(dir, zerolog.Nop()), NewShelf(dir, zerolog.Nop()), NewShelf(dir, zerolog.Nop())
-		says := func(s *Shelf) {
-			if err := s.Serving(); err != nil {
+		old, next, last := NewStateDir(dir, zerolog.Nop()), NewStateDir(dir, zerolog.Nop()), NewStateDir(dir, zerolog.Nop())
+		claim := func(s *StateDir) {
+			if err := s.ClaimServing(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		says(old)
+		claim(old)
 		if old.Replaced() {
 			t.Errorf("%s: replaced by itself", name)
 		}
-		staged, err := next.stage(servingFile, 1) // it stands before its word has its name
+		staged, err := next.writeTemp(servingFile, 1) // its claim is written but not renamed yet
 		if err != nil || old.Replaced() {
-			t.Errorf("%s: replaced by half a word, %v", name, err)
+			t.Errorf("%s: replaced by half a claim, %v", name, err)
 		}
 		staged.Close()
-		says(next)
+		claim(next)
 		if !old.Replaced() || next.Replaced() {
 			t.Errorf("%s: not replaced by one that serves", name)
 		}
@@ -81,34 +81,36 @@
 		if old.Replaced() || next.Replaced() {
 			t.Errorf("%s: replaced by one that serves no longer", name)
 		}
-		says(last)
+		claim(last)
 		if !old.Replaced() {
 			t.Errorf("%s: not replaced by the one after it", name)
 		}
-		old.Ending()
-		last.Ending()
+		old.ReleaseServing()
+		last.ReleaseServing()
 	}
 }
 
-// Another process was stopped in the middle of a change: a call is answered with a no, in time.
-func TestChangeOfOneThatIsStopped(t *testing.T) {
+// Another process was stopped in the middle of a change: a call is answered with an error, in time.
+func TestChangeWhileLockHolderIsStopped(t *testing.T) {
 	dir := t.TempDir()
-	stopped, s := NewShelf(dir, zerolog.Nop()), NewShelf(dir, zerolog.Nop())
+	stopped, state := NewStateDir(dir, zerolog.Nop()), NewStateDir(dir, zerolog.Nop())
 	in, leave := make(chan struct{}), make(chan struct{})
 	ended := make(chan error)
 	nothing := func([]string) error { return nil }
 	go func() {
-		ended <- stopped.Change(nothing, func() error { close(in); <-leave; return nil }, func() []string { return nil })
+		ended <- stopped.ChangeEjected(nothing, func() error { close(in); <-leave; return nil }, func() []string { return nil })
 	}()
 	<-in
 	answer := make(chan error, 1)
-	go func() { answer <- s.Change(nothing, func() error { return nil }, func() []string { return nil }) }()
+	go func() {
+		answer <- state.ChangeEjected(nothing, func() error { return nil }, func() []string { return nil })
+	}()
 	select {
 	case err := <-answer:
 		if !errors.Is(err, syscall.EWOULDBLOCK) {
 			t.Errorf("answered %v", err)
 		}
-	case <-time.After(10 * lockPatience * time.Millisecond):
+	case <-time.After(10 * lockTimeout * time.Millisecond):
 		t.Error("a call waits for a process that is stopped")
 	}
 	close(leave)
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	s = &Server{Ready: c.ready.Load, Exclude: by("out"), Include: by("back"), Log: zerolog.Nop(),
-		Evacuate: func() { c.note("empty"); c.ready.Store(false) }, Rejoin: func() { c.note("rejoin"); c.ready.Store(true) },
+		Drain: func() { c.note("empty"); c.ready.Store(false) }, Rejoin: func() { c.note("rejoin"); c.ready.Store(true) },
 		Figures: func() []Figure {
 			return []Figure{{Name: "results.page.succeeded", Value: 812}, {Name: "outstanding", Value: 14, Gauge: true}}
 		}}
@@ -115,7 +115,7 @@
 		{"PUT /api/exclude/s-full", 503, "disk full\n"},
 		{"PUT /api/include/s-1", 200, "yes\n"},
 		{"PUT /api/include/s-0", 404, "id: no such server is listed\n"},
-		{"PUT /api/exclude/" + strings.Repeat("x", longestID+1), 400, "id: too long\n"},
+		{"PUT /api/exclude/" + strings.Repeat("x", maxIDLength+1), 400, "id: too long\n"},
 		{"PUT /api/exclude/", 404, ""},
 		{"GET /api/exclude/s-1", 405, ""},
 		{"PUT /api/evacuate", 200, "yes\n"},
@@ -139,7 +139,7 @@
 // Callers that connect and send no whole call, however many, hold up no call; nor does what is no HTTP.
 func TestHeldConnections(t *testing.T) {
 	addr, _, s := serve(t)
-	for i := range 3 * MostConns {
+	for i := range 3 * MaxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -151,7 +151,7 @@
 		t.Errorf("status %d beside held connections", status)
 	}
 	s.mu.Lock()
-	if n := len(s.conns); n > MostConns {
+	if n := len(s.conns); n > MaxConns {
 		t.Errorf("%d connections are held", n)
 	}
 	s.mu.Unlock()
@@ -163,16 +163,16 @@
 }
 
 // Two processes of one router change what is out: none forgets what the other did, and each hears of it by the file.
-func TestShelfTwoProcesses(t *testing.T) {
+func TestStateDirTwoProcesses(t *testing.T) {
 	dir := t.TempDir()
 	type process struct {
-		shelf *Shelf
+		state *StateDir
 		list  *roster.Roster
 		mu    sync.Mutex
 	}
 	start := func() *process {
-		p := &process{shelf: NewShelf(dir, zerolog.Nop()), list: roster.New()}
-		ids, err := p.shelf.Outs()
+		p := &process{state: NewStateDir(dir, zerolog.Nop()), list: roster.New()}
+		ids, err := p.state.Ejected()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -187,7 +187,7 @@
 			return err
 		}
 	}
-	outs := func(p *process) func() []string {
+	ejected := func(p *process) func() []string {
 		return func() []string {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -195,7 +195,7 @@
 		}
 	}
 	change := func(p *process, id string, in bool) error {
-		return p.shelf.Change(adopt(p), func() error {
+		return p.state.ChangeEjected(adopt(p), func() error {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			ids := p.list.Outs()
@@ -206,7 +206,7 @@
 			}
 			_, err := p.list.Adopt(ids)
 			return err
-		}, outs(p))
+		}, ejected(p))
 	}
 	old := start()
 	if err := change(old, "a", false); err != nil {
@@ -225,14 +225,14 @@
 	if err := change(fresh, "a", true); err != nil {
 		t.Fatal(err)
 	}
-	if got := outs(fresh)(); len(got) != 40 || slices.Contains(got, "a") {
+	if got := ejected(fresh)(); len(got) != 40 || slices.Contains(got, "a") {
 		t.Errorf("%d are out: %v", len(got), got)
 	}
 	heard := make(chan struct{})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- old.shelf.Follow(ctx, func(ids []string) error {
+		ended <- old.state.WatchEjected(ctx, func(ids []string) error {
 			if len(ids) == 40 {
 				close(heard)
 			}
@@ -244,25 +244,25 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if got := outs(old)(); slices.Contains(got, "a") {
+	if got := ejected(old)(); slices.Contains(got, "a") {
 		t.Errorf("the other process still has %v out", got)
 	}
-	if err := os.Remove(filepath.Join(dir, outsFile)); err != nil {
+	if err := os.Remove(filepath.Join(dir, ejectedFile)); err != nil {
 		t.Fatal(err)
 	}
 	if err := change(fresh, "b", false); err != nil { // a file that was lost undoes nothing
 		t.Fatal(err)
 	}
-	if got := outs(fresh)(); len(got) != 41 {
+	if got := ejected(fresh)(); len(got) != 41 {
 		t.Errorf("%d are out after the file was lost", len(got))
 	}
-	for _, id := range outs(fresh)() {
+	for _, id := range ejected(fresh)() {
 		if err := change(fresh, id, true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	old.shelf.Restore(adopt(old))
-	if got := outs(old)(); len(got) != 0 {
+	old.state.Restore(adopt(old))
+	if got := ejected(old)(); len(got) != 0 {
 		t.Errorf("the last one put back is still out at the other process: %v", got)
 	}
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
@@ -271,31 +271,31 @@
 	}
 }
 
-// A file that another program spoilt is no reason to stop; without a shelf all works but is not handed on.
-func TestShelfSpoilt(t *testing.T) {
+// A corrupt file is no reason to stop; without a state directory all works but is not handed over.
+func TestStateDirCorrupt(t *testing.T) {
 	dir := t.TempDir()
-	s := NewShelf(dir, zerolog.Nop())
+	s := NewStateDir(dir, zerolog.Nop())
 	if s.Replaced() {
 		t.Error("replaced by nobody")
 	}
-	if err := s.Serving(); err != nil || s.Replaced() {
+	if err := s.ClaimServing(); err != nil || s.Replaced() {
 		t.Errorf("replaced by itself, %v", err)
 	}
-	for _, text := range []string{"", "{", `{"a":1}`, strings.Repeat(" ", mostBytes+1)} {
-		if err := os.WriteFile(filepath.Join(dir, outsFile), []byte(text), 0o600); err != nil {
+	for _, text := range []string{"", "{", `{"a":1}`, strings.Repeat(" ", maxFileBytes+1)} {
+		if err := os.WriteFile(filepath.Join(dir, ejectedFile), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if ids, err := s.Outs(); err == nil || ids != nil {
+		if ids, err := s.Ejected(); err == nil || ids != nil {
 			t.Errorf("%.10q: read as %v", text, ids)
 		}
 	}
-	word := filepath.Join(dir, servingFile)
-	if err := errors.Join(os.Remove(word), os.WriteFile(word, []byte("1"), 0o600)); err != nil || s.Replaced() {
-		t.Errorf("replaced by a word that no living process keeps, %v", err)
+	claim := filepath.Join(dir, servingFile)
+	if err := errors.Join(os.Remove(claim), os.WriteFile(claim, []byte("1"), 0o600)); err != nil || s.Replaced() {
+		t.Errorf("replaced by a claim that no living process holds, %v", err)
 	}
-	none := NewShelf("", zerolog.Nop())
+	none := NewStateDir("", zerolog.Nop())
 	called := false
-	if err := none.Change(nil, func() error { called = true; return nil }, nil); err != nil || !called || none.Serving() != nil || none.Replaced() {
-		t.Error("without a shelf")
+	if err := none.ChangeEjected(nil, func() error { called = true; return nil }, nil); err != nil || !called || none.ClaimServing() != nil || none.Replaced() {
+		t.Error("without a state directory")
 	}
 }
--- a/internal/manage/socket.go
+++ b/internal/manage/socket.go
@@ -8,10 +8,9 @@
 	"syscall"
 )
 
-// Socket is a listening socket that somebody else holds and hands down to one process after another. It differs from a listener of package
-// net in one thing: whether a call on it blocks is a property that all holders share, and a supervisor that starts the next
-// process may set it at any time. Accept sets it back before each try; else the process could sit in accept, and would not end
-// when it is told to.
+// Socket is a listening socket that a supervisor holds and passes to one process after another. Unlike a listener of package net it does not
+// rely on the descriptor's non-blocking mode, which all holders share and a supervisor that starts the next process may clear at any time:
+// Accept sets the mode again before each attempt. Otherwise the process could block in accept and not end when it is told to.
 type Socket struct {
 	file   *os.File
 	raw    syscall.RawConn
@@ -42,7 +41,7 @@
 		return nil, fmt.Errorf("descriptor %d is no TCP socket", fd)
 	}
 	syscall.CloseOnExec(fd)
-	if err := syscall.SetNonblock(fd, true); err != nil { // first, so that the file waits by the poller
+	if err := syscall.SetNonblock(fd, true); err != nil { // before NewFile, so that the file uses the runtime's poller
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
 	s := &Socket{file: os.NewFile(uintptr(fd), "clients"), addr: &addr}
@@ -54,33 +53,33 @@
 
 // Accept waits for the next connection. After Close its error is net.ErrClosed.
 func (s *Socket) Accept() (net.Conn, error) {
-	taken := -1
-	var fault error
+	accepted := -1
+	var acceptErr error
 	err := s.raw.Read(func(fd uintptr) bool {
-		if fault = syscall.SetNonblock(int(fd), true); fault != nil {
+		if acceptErr = syscall.SetNonblock(int(fd), true); acceptErr != nil {
 			return true
 		}
-		taken, _, fault = syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
-		return fault != syscall.EAGAIN && fault != syscall.EINTR // another process may have been faster
+		accepted, _, acceptErr = syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		return acceptErr != syscall.EAGAIN && acceptErr != syscall.EINTR // another process may have been faster
 	})
 	switch {
 	case err != nil && s.closed.Load():
 		return nil, fmt.Errorf("accept: %w", net.ErrClosed)
 	case err != nil:
 		return nil, fmt.Errorf("accept: %w", err)
-	case fault != nil:
-		return nil, fmt.Errorf("accept: %w", fault)
+	case acceptErr != nil:
+		return nil, fmt.Errorf("accept: %w", acceptErr)
 	}
-	file := os.NewFile(uintptr(taken), "client")
-	defer file.Close() // the connection has a copy
+	file := os.NewFile(uintptr(accepted), "client")
+	defer file.Close() // FileConn duplicates the descriptor
 	return net.FileConn(file)
 }
 
-// Close ends Accept here; others that hold the socket go on with it.
+// Close ends Accept in this process; other holders of the socket are not affected.
 func (s *Socket) Close() error {
 	s.closed.Store(true)
 	return s.file.Close()
 }
 
-// Addr is where the socket listens.
+// Addr returns the address that the socket listens on.
 func (s *Socket) Addr() net.Addr { return s.addr }
--- a/lab/local/local.go
+++ b/lab/local/local.go
@@ -327,12 +327,12 @@
 		if r.Manage, err = freeAddr(); err != nil {
 			return nil, err
 		}
-		shelf := filepath.Join(d.dir, name)
-		if err := os.MkdirAll(shelf, 0o700); err != nil {
+		stateDir := filepath.Join(d.dir, name)
+		if err := os.MkdirAll(stateDir, 0o700); err != nil {
 			return nil, err
 		}
 		r.cmd.ExtraFiles = []*os.File{r.socket} // the first one is descriptor 3
-		r.cmd.Env = append(r.cmd.Env, "RELAY_MGMT="+r.Manage, "RELAY_SOCKET_FD=3", "TMPDIR="+shelf)
+		r.cmd.Env = append(r.cmd.Env, "RELAY_MGMT="+r.Manage, "RELAY_SOCKET_FD=3", "TMPDIR="+stateDir)
 	}
 	r.cmd.Stdout, r.cmd.Stderr = log, log
 	if err := r.cmd.Start(); err != nil {
