--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -111,8 +111,8 @@
 }
 
 // feature loads the features file against the settings in force; nil without a file.
-func feature(file string, c *config.Config) (*features.File, router.Frame, error) {
-	none := router.Frame{}
+func feature(file string, c *config.Config) (*features.File, router.Features, error) {
+	none := router.Features{}
 	if file == "" {
 		return nil, none, nil
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, none, fmt.Errorf("%s: %w", file, err)
 	}
-	return f, router.Frame{Cells: a, Moves: f.Document(), Release: f.Release(), Shape: g, Shield: f.Guard()}, nil
+	return f, router.Features{Cells: a, Moves: f.Document(), Release: f.Release(), Shape: g, Shield: f.Guard()}, nil
 }
 
 // connections shares descriptors and bytes of memory out: how many connections clients may hold, and how many there may be to servers.
@@ -186,9 +186,9 @@
 		return err
 	}
 	if file != "" {
-		core.PlanInTurn()
+		core.PlanOnTick()
 	}
-	if err := core.Put(frame); err != nil {
+	if err := core.ApplyFeatures(frame); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	apply := func(n router.Notice) {
@@ -196,7 +196,7 @@
 		core.Apply(n)
 	}
 	var ready, ending atomic.Bool
-	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, Turned: core.Turned, MostConns: clients,
+	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, Turned: core.CountRefused, MostConns: clients,
 		MostQueued: int64(queueShare * memory), Clock: now, Log: log}
 	server.Ready = func() bool { return ready.Load() && !ending.Load() && !server.Evacuated() }
 	listener, err := openClients(c)
@@ -256,7 +256,7 @@
 		if later, err = background.New(now, uint64(c.Seed), log); err != nil {
 			return err
 		}
-		later.Every(serving, "turn", turnEvery, sched.Prompt, core.Turn)
+		later.Every(serving, "turn", turnEvery, sched.Prompt, core.Tick)
 		group.Go(func() error { return later.Run(serving) })
 	}
 	group.Go(func() error { return report(serving, core, server, talk, later, log) })
@@ -315,7 +315,7 @@
 		log.Error().Err(err).Msg("new features can't be used")
 		return old
 	}
-	if err := core.Put(frame); err != nil { // it was checked: this can't be
+	if err := core.ApplyFeatures(frame); err != nil { // it was checked: this can't be
 		log.Error().Err(err).Msg("new features can't be used")
 	}
 	version, shape := int64(0), int64(0)
@@ -370,7 +370,7 @@
 			log.Info().Int("living", living).Interface("limits", all).Msg("fleet")
 		}
 	}
-	if g := core.Guard(); g != nil {
+	if g := core.ShieldStatus(); g != nil {
 		log.Info().Float64("limit", g.Limit).Float64("share", g.Share).Int("out", g.Out).Int("given_up", g.GivenUp).Float64("deep", g.Deep).Msg("shield")
 	}
 	p, demand := core.Cells()
--- a/cmd/spantack/tier.go
+++ b/cmd/spantack/tier.go
@@ -31,7 +31,7 @@
 	if !t.Speaks() && limits == nil && !judges {
 		return nil, nil
 	}
-	talk := &peers.Talk{Tier: t, Listen: c.Tier.Listen, Peers: c.Tier.Peers, All: c.Tier.All, Crowded: core.Crowded, Clock: now, Log: log}
+	talk := &peers.Talk{Tier: t, Listen: c.Tier.Listen, Peers: c.Tier.Peers, All: c.Tier.All, Crowded: core.ReportCrowded, Clock: now, Log: log}
 	if limits != nil || judges {
 		talk.Fleet, err = fleet.New(clock.Micros(now.Steady()), fleet.Options{Rank: c.Tier.Rank, Siblings: len(c.Tier.Peers),
 			Depot: depot, Depots: depots, Seed: uint64(c.Seed), Limits: limits,
@@ -39,18 +39,18 @@
 		if err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
 		}
-		talk.Asking = core.Asking
+		talk.Asking = core.HeadOfficeFills
 		if limits != nil {
 			talk.Lease = core.Lease
 			core.Lease(talk.Fleet.Share(clock.Micros(now.Steady()), 0)) // before the first request
 		}
 		if judges {
-			talk.Sources, talk.Shun = core.Sources, core.Shun
+			talk.Sources, talk.Shun = core.AreaCaches, core.Eject
 		}
 	}
 	talk.Ready()
 	if t.Speaks() {
-		core.Tell = talk.Tell
+		core.OnCrowded = talk.Tell
 	}
 	return talk, nil
 }
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -52,8 +52,8 @@
 	g.cancel = cancel
 	setup(g, u)
 	a := g.Serve(ctx, Request{ID: "r1", Class: "page", Object: "front", SizeKb: 100, Allow: 1500, Arrived: g.clock.Now()})
-	if len(g.mail) != 0 {
-		t.Errorf("%d mailboxes left", len(g.mail))
+	if len(g.mailboxes) != 0 {
+		t.Errorf("%d mailboxes left", len(g.mailboxes))
 	}
 	return a, u.sends
 }
@@ -72,7 +72,7 @@
 			u.send = func(_ int, c *call) { c.done <- good; g.Finish() }
 		}, Served, 1},
 		"answer and overdue": {func(g *rig, u *held) {
-			u.send = func(_ int, c *call) { c.done <- good; g.clock.Advance(1475 + overdueBy) }
+			u.send = func(_ int, c *call) { c.done <- good; g.clock.Advance(1475 + overdueAfter) }
 		}, Served, 1},
 		"answer and client gone": {func(g *rig, u *held) {
 			u.send = func(_ int, c *call) { c.done <- good; g.cancel() }
@@ -86,15 +86,15 @@
 		"client gone while an attempt is given up": {func(g *rig, u *held) {
 			u.send = func(n int, c *call) {
 				if n == 1 {
-					g.take(rules.Event{Kind: rules.Outcome, Call: "none"})
-					g.mail["r1"] <- rules.Action{Kind: rules.Cancel, Call: "r1", Attempt: 0}
+					g.stepLocked(rules.Event{Kind: rules.Outcome, Call: "none"})
+					g.mailboxes["r1"] <- rules.Action{Kind: rules.Cancel, Call: "r1", Attempt: 0}
 				}
 			}
 			u.drop = func() { g.cancel() }
 		}, None, 1},
 		"end of the process while an attempt is given up": {func(g *rig, u *held) {
 			u.send = func(n int, c *call) {
-				g.mail["r1"] <- rules.Action{Kind: rules.Cancel, Call: "r1", Attempt: 0}
+				g.mailboxes["r1"] <- rules.Action{Kind: rules.Cancel, Call: "r1", Attempt: 0}
 			}
 			done := false
 			u.drop = func() {
@@ -129,7 +129,7 @@
 		g.serve("r1")
 		c := <-g.up.sent
 		g.mu.Lock()
-		g.mail["r1"] <- rules.Action{Kind: kind, Call: "r1"}
+		g.mailboxes["r1"] <- rules.Action{Kind: kind, Call: "r1"}
 		g.mu.Unlock()
 		<-g.answer
 		select {
@@ -150,8 +150,8 @@
 	g.serve("r1")
 	select {
 	case a := <-g.answer:
-		if a.Verdict != Failed || len(g.mail) != 0 {
-			t.Errorf("verdict %d, %d mailboxes left", a.Verdict, len(g.mail))
+		if a.Verdict != Failed || len(g.mailboxes) != 0 {
+			t.Errorf("verdict %d, %d mailboxes left", a.Verdict, len(g.mailboxes))
 		}
 	case c := <-g.up.sent:
 		t.Errorf("sent to %s without a key", c.Server)
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -6,11 +6,11 @@
 	"spantack/internal/clock"
 )
 
-// leastLease stands for a share of nothing: 0 would stand for no limit.
-const leastLease = 1e-6
+// minLease replaces a share of 0, which the module would take for no limit.
+const minLease = 1e-6
 
-// Lease bounds the fills that ask the head office by this router's share of a limit that the whole fleet keeps. Of a share of one or more only
-// whole ones count, so that the sum is kept always; of less, one goes out now and then, and the sum is kept in the mean.
+// Lease bounds the fills that ask the head office by this router's share of a limit on the whole fleet. A share of one or more is rounded down,
+// so that the sum of all shares never exceeds the limit; with a smaller share one fill goes out now and then, and the limit holds on average.
 func (r *Router) Lease(share float64) {
 	if share >= 1 {
 		share = math.Floor(share)
@@ -18,31 +18,31 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	r.rules.Lease(r.last, max(share, leastLease))
+	r.rules.Lease(r.last, max(share, minLease))
 }
 
-// Asking is how many fills that ask the head office this router has out, and how many requests it has refused since its start.
-func (r *Router) Asking() (out int, refused int64) {
+// HeadOfficeFills returns how many fills that ask the head office are open here, and how many requests were refused since the start.
+func (r *Router) HeadOfficeFills() (open int, refused int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.Asking(), r.Counters.Refused.Load()
 }
 
-// Sources names the listed area caches, and those of them that breakers keep this router off.
-func (r *Router) Sources() (all, shut []string) {
+// AreaCaches returns the listed area caches, and those of them whose breakers are open here.
+func (r *Router) AreaCaches() (all, avoided []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.Sources(clock.Micros(r.clock.Now()))
 }
 
-// Shun keeps this router off the servers that the fleet's verdicts name, and off no others that they named before. Nothing new goes to them, as
-// to one that drains. It tells which have come and which have gone.
-func (r *Router) Shun(ids []string) {
+// Eject replaces the set of servers that the fleet's verdicts eject. Ejected servers get nothing new, like draining ones; the others are
+// readmitted. Each change is logged.
+func (r *Router) Eject(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rows := r.list.Shun(ids)
 	for _, row := range rows {
 		r.log.Info().Str("server", row.Node).Bool("off", row.Status != "healthy").Msg("fleet's verdict")
 	}
-	r.hear(rows)
+	r.applyRowsLocked(rows)
 }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -9,17 +9,17 @@
 	"spantack/rules"
 )
 
-// What staff do with a running router, and what it tells them. The life of a request stands in serve.go.
+// This file has the operations of staff and of the successor process on a running router. The life of a request is in serve.go.
 
-// mostTallies bounds the classes that are counted: settings may change as often as staff like.
-const mostTallies = 256
+// maxTallies bounds the classes that are counted, for each reload may bring new ones.
+const maxTallies = 256
 
-// tally makes room for the counts of the settings' classes. Those of classes that were dropped are kept, for counts start
-// with the process, unless there are too many.
-func (r *Router) tally(set rules.Settings) {
+// resizeTallies makes a tally for each class of the settings. Tallies of dropped classes are kept, for counts start with the process, unless
+// there would be more than maxTallies.
+func (r *Router) resizeTallies(set rules.Settings) {
 	next := map[string]*Tally{}
 	old := r.tallies.Load()
-	if old != nil && len(*old)+len(set.Classes) <= mostTallies {
+	if old != nil && len(*old)+len(set.Classes) <= maxTallies {
 		maps.Copy(next, *old)
 	}
 	for _, c := range set.Classes {
@@ -32,7 +32,7 @@
 	r.tallies.Store(&next)
 }
 
-// count books the end of a request. One whose client left, or whose class is none, stands under no count.
+// count counts the end of a request by class and verdict. One whose client left or whose class is unknown is not counted.
 func (r *Router) count(class string, v Verdict) {
 	t := (*r.tallies.Load())[class]
 	switch {
@@ -46,23 +46,23 @@
 	}
 }
 
-// Turned books a request that the front refused before Serve, for want of room.
-func (r *Router) Turned(class string) { r.count(class, Refused) }
+// CountRefused counts a request that the front refused before Serve because its queue was full.
+func (r *Router) CountRefused(class string) { r.count(class, Refused) }
 
-// Tallies are the counts of all classes, by name.
+// Tallies returns the counts of all classes, ordered by name.
 func (r *Router) Tallies() []*Tally {
 	return slices.SortedFunc(maps.Values(*r.tallies.Load()), func(a, b *Tally) int { return cmp.Compare(a.Class, b.Class) })
 }
 
-// Open is how many requests are taken and not ended.
+// Open returns the number of requests that were taken and have not ended.
 func (r *Router) Open() int64 {
 	n := &r.Counters
-	ended := n.Served.Load() + n.Refused.Load() + n.Failed.Load() + n.Gone.Load() // first: what comes meanwhile is open
+	ended := n.Served.Load() + n.Refused.Load() + n.Failed.Load() + n.Gone.Load() // read first, so that requests that arrive meanwhile count as open
 	return max(n.Taken.Load()-ended, 0)
 }
 
-// Caches tells how many caches are listed, those of other depots too, and how many of them get nothing from this router: taken out by
-// hand, or shut off by their breakers.
+// Caches returns how many caches are listed, including other depots', and how many of them get nothing from this router: excluded by hand, or
+// with an open breaker.
 func (r *Router) Caches() (listed, off int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,52 +70,52 @@
 	return r.list.Count(r.rules.Cache, r.rules.Avoided(now))
 }
 
-// Exclude takes a server out before it returns: nothing that is picked from then on goes to it or is filled from it, whatever the
-// list says, until Include. Its error is roster.ErrUnknown or roster.ErrFull.
+// Exclude ejects a server by hand before it returns: no later attempt goes to it or is filled from it, whatever its listed status, until
+// Include. Its error is roster.ErrUnknown or roster.ErrFull.
 func (r *Router) Exclude(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rows, err := r.list.Exclude(id)
-	r.hear(rows)
+	r.applyRowsLocked(rows)
 	return err
 }
 
-// Include puts a server back. Its error is roster.ErrUnknown.
+// Include readmits a server. Its error is roster.ErrUnknown.
 func (r *Router) Include(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rows, err := r.list.Include(id)
-	r.hear(rows)
+	r.applyRowsLocked(rows)
 	return err
 }
 
-// Outs names the servers that are out.
-func (r *Router) Outs() []string {
+// Excluded returns the servers that are excluded.
+func (r *Router) Excluded() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list.Outs()
 }
 
-// Adopt replaces what is out, as another process of this router left it.
+// Adopt replaces the excluded servers by those that another process of this router wrote.
 func (r *Router) Adopt(ids []string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rows, err := r.list.Adopt(ids)
-	r.hear(rows)
+	r.applyRowsLocked(rows)
 	return err
 }
 
-// Crowded takes to the module that routers of other depots find a server crowded.
-func (r *Router) Crowded(server string) { r.step(rules.Event{Kind: rules.Crowded, Node: server}) }
+// ReportCrowded tells the module that routers of other depots find a server crowded.
+func (r *Router) ReportCrowded(server string) { r.step(rules.Event{Kind: rules.Crowded, Node: server}) }
 
-// hear tells the module of rows that changed by hand. r.mu is held.
-func (r *Router) hear(rows []rules.Row) {
+// applyRowsLocked passes rows that staff or the fleet changed to the module. r.mu is held.
+func (r *Router) applyRowsLocked(rows []rules.Row) {
 	if len(rows) > 0 {
-		r.take(rules.Event{Kind: rules.Members, Mode: "update", Rows: rows})
+		r.stepLocked(rules.Event{Kind: rules.Members, Mode: "update", Rows: rows})
 	}
 }
 
-// Retune puts other settings in force for requests that come from now on. Its error names the field at fault; nothing has changed then.
+// Retune puts new settings in force for later requests. On error, which names the field at fault, nothing has changed.
 func (r *Router) Retune(set rules.Settings) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,28 +123,28 @@
 	if err := r.rules.Retune(r.last, set); err != nil {
 		return err
 	}
-	r.heed(set)
+	r.applySettingsLocked(set)
 	return nil
 }
 
-// heed takes in what the router itself reads of settings that the module has taken. r.mu is held, or nobody else has r yet.
-func (r *Router) heed(set rules.Settings) {
-	r.tally(set)
+// applySettingsLocked reads the settings that the router itself needs. r.mu is held, or r is not shared yet.
+func (r *Router) applySettingsLocked(set rules.Settings) {
+	r.resizeTallies(set)
 	r.fields, r.keyed = set.Report.Fields, map[string]bool{}
 	for _, c := range set.Classes {
 		r.keyed[c.Name] = c.Idempotency == "idempotency_key"
 	}
 }
 
-// Beliefs are what the module has learnt, for a process that takes over.
+// Beliefs returns what the module has learnt, for a process that takes over.
 func (r *Router) Beliefs() rules.Beliefs {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.Beliefs(clock.Micros(r.clock.Now()))
 }
 
-// Believe takes over what the process believed that this one replaces. It is called once the list of servers is known. Its error tells
-// what can't be true; nothing of it is believed then.
+// Believe adopts the beliefs of the process that this one replaces. It is called once the list of servers is known. On error, which names what
+// is implausible, nothing is adopted.
 func (r *Router) Believe(b rules.Beliefs) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -46,8 +46,8 @@
 		c.done <- End{Code: rules.Done}
 	}
 	<-g.answer
-	if err := g.Adopt([]string{"box-1"}); err != nil || len(g.Outs()) != 1 {
-		t.Errorf("adopted %v, %v", g.Outs(), err)
+	if err := g.Adopt([]string{"box-1"}); err != nil || len(g.Excluded()) != 1 {
+		t.Errorf("adopted %v, %v", g.Excluded(), err)
 	}
 	if listed, off := g.Caches(); listed != 1 || off != 1 {
 		t.Errorf("adopted: %d listed, %d off", listed, off)
@@ -64,8 +64,8 @@
 	}
 	c.done <- End{Code: rules.Done}
 	<-g.answer
-	g.Turned("page")
-	g.Turned("nothing")
+	g.CountRefused("page")
+	g.CountRefused("nothing")
 	set := rules.Settings{Classes: []rules.Class{{Name: "price", Deadline: 1_000_000, Promise: 400_000, Idempotency: "read_like", Group: "all"}},
 		Permissions: rules.Permissions{MaxAttempts: 1}}
 	if err := g.Retune(set); err != nil {
@@ -78,13 +78,13 @@
 	if len(list) != 2 || list[0].Class != "page" || list[0].Served.Load() != 1 || list[0].Refused.Load() != 1 || list[1].Class != "price" || g.Open() != 0 {
 		t.Errorf("%d classes, %d open", len(list), g.Open())
 	}
-	for i := range 2 * mostTallies { // settings that change for ever keep the counts in bounds
+	for i := range 2 * maxTallies { // settings that change for ever keep the counts in bounds
 		set.Classes[0].Name = "class-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
 		if err := g.Retune(set); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := len(g.Tallies()); n > mostTallies {
+	if n := len(g.Tallies()); n > maxTallies {
 		t.Errorf("%d classes are counted", n)
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router takes requests through the decision module. It knows no protocol and no socket: a front hands it
-// Requests, an Upstream carries its attempts, and notices tell it of servers and purges.
+// Package router serves requests by the decision module. It knows no protocol and no socket: a front hands it
+// Requests, an Upstream carries its attempts, and discovery hands it Notices of servers and purges.
 package router
 
 import (
@@ -117,7 +117,7 @@
 	Purge   *Purge
 }
 
-// Counters count what a Router took in, sent and answered.
+// Counters count the requests of a Router, its attempts, and its answers by kind.
 type Counters struct {
 	Taken, Sent, Served, Refused, Failed, Gone, Overdue, Faults atomic.Int64
 }
@@ -125,20 +125,20 @@
 // Router shares one decision module between the requests of this process.
 type Router struct {
 	Counters Counters
-	// Tell, if set before requests come, is told which server this router found crowded by itself. It must not wait.
-	Tell func(server string)
+	// OnCrowded, if set before the first request, is called with each server that this router itself found crowded. It must not block.
+	OnCrowded func(server string)
 
 	clock    *clock.Clock
 	log      zerolog.Logger
 	upstream Upstream
 
-	mu     sync.Mutex // held only while the module decides; never across I/O
-	rules  *cells.Module
-	list   *roster.Roster
-	last   int64 // the module's clock must not run backwards
-	mail   map[string]chan rules.Action
-	fields []string        // what load reports hold, in the module's order
-	keyed  map[string]bool // classes whose requests carry an idempotency key
+	mu        sync.Mutex // held only while the module decides; never across I/O
+	rules     *cells.Module
+	list      *roster.Roster
+	last      int64 // the module's clock must not run backwards
+	mailboxes map[string]chan rules.Action
+	fields    []string        // what load reports hold, in the module's order
+	keyed     map[string]bool // classes whose requests carry an idempotency key
 
 	tallies atomic.Pointer[map[string]*Tally] // by class; the map itself never changes
 
@@ -157,19 +157,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r := &Router{clock: c, log: log, upstream: upstream, rules: module, list: roster.New(), mail: map[string]chan rules.Action{},
+	r := &Router{clock: c, log: log, upstream: upstream, rules: module, list: roster.New(), mailboxes: map[string]chan rules.Action{},
 		finish: make(chan struct{})}
-	r.heed(set)
+	r.applySettingsLocked(set)
 	return r, nil
 }
 
-// Finish answers all that is still open, and what comes later: the process is about to end, and what it leaves
-// unanswered is lost. It is called once.
+// Finish fails all open requests and all later ones, so that none is left without an answer when the process ends. It must be called once
+// only.
 func (r *Router) Finish() { close(r.finish) }
 
-// Frame is what a features file sets: an assignment of cells, a document of moves and a release that fit it, a shape of the hierarchy, and a shield of the head
-// office. nil: none.
-type Frame struct {
+// Features is what a features file sets: an assignment of cells, a document of moves and a release that fit it, a shape of the hierarchy,
+// and a shield of the head office. A nil field is off.
+type Features struct {
 	Cells   *cells.Assignment
 	Moves   *moves.Document
 	Release *stages.Stage
@@ -177,9 +177,9 @@
 	Shield  *shield.Document
 }
 
-// Put puts a frame in force before it returns. No request sees a part without the others. Its error is that of the release or the shield, which
-// is then not in force.
-func (r *Router) Put(f Frame) error {
+// ApplyFeatures puts features in force before it returns. No request sees a part without the others. The error is that of the release or the
+// shield, which is then not in force.
+func (r *Router) ApplyFeatures(f Features) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
@@ -189,18 +189,18 @@
 	return errors.Join(r.rules.Stage(r.last, f.Release), r.rules.Shield(r.last, f.Shield))
 }
 
-// Guard tells how the shield of the head office stands; nil without one.
-func (r *Router) Guard() *cells.GuardNow {
+// ShieldStatus returns the state of the shield of the head office; nil without one.
+func (r *Router) ShieldStatus() *cells.GuardNow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.GuardNow()
 }
 
-// Turn lets the time of moves and of a release pass while no request comes, and works out what plan for fills is due, beside the requests.
-func (r *Router) Turn() {
+// Tick advances moves and a release while no request comes, and computes a due plan for fills outside the lock.
+func (r *Router) Tick() {
 	r.mu.Lock()
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	says := r.rules.Turn(r.last)
+	actions := r.rules.Turn(r.last)
 	plan := r.rules.Wanted()
 	r.mu.Unlock()
 	if plan != nil {
@@ -209,44 +209,45 @@
 		r.rules.Planned(plan)
 		r.mu.Unlock()
 	}
-	for _, a := range says {
+	for _, a := range actions {
 		r.log.Info().Str("text", a.Text).Msg("module says")
 	}
 }
 
-// PlanInTurn leaves plans for many areas to Turn. It is called before requests come, by one who calls Turn now and then.
-func (r *Router) PlanInTurn() {
+// PlanOnTick leaves the computing of plans for many areas to Tick, which the caller must then call regularly. It is called before the first
+// request.
+func (r *Router) PlanOnTick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rules.Elsewhere = true
 }
 
-// Release tells how far the release is, nil without one.
+// Release returns the progress of the release; nil without one.
 func (r *Router) Release() *cells.StageNow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.StageNow()
 }
 
-// Moves tells how far the moves of this depot are, and the version of their document; 0 while there is none.
+// Moves returns the progress of the moves of this depot, and the version of their document; 0 while there is none.
 func (r *Router) Moves() ([]cells.MoveNow, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.Paths(clock.Micros(r.clock.Now())), r.rules.Moves()
 }
 
-// mostDemand is how many tenants' demand is told of.
-const mostDemand = 500
+// maxDemand bounds the tenants whose demand Cells returns.
+const maxDemand = 500
 
-// Cells is a picture of the cells at present, and what tenants asked for of late; nil while nothing is confined.
+// Cells returns the present state of the cells and the recent demand of tenants; nil while cells are off.
 func (r *Router) Cells() (*cells.Picture, []cells.Demand) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Micros(r.clock.Now())
-	return r.rules.Picture(now), r.rules.Demand(now, mostDemand)
+	return r.rules.Picture(now), r.rules.Demand(now, maxDemand)
 }
 
-// Apply takes a notice to the module before it returns; the first whole list is the one restored at the start.
+// Apply passes a notice to the module before it returns.
 func (r *Router) Apply(n Notice) {
 	ev := rules.Event{Kind: rules.Members, Mode: "update"}
 	if n.Whole {
@@ -264,19 +265,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ev.Rows = r.list.Note(n.Whole, ev.Rows)
-	r.take(ev)
+	r.stepLocked(ev)
 }
 
-// step takes one event to the module and each action to the mailbox of the request that it names. The timers that
-// the module sets are the router's own: they must reach it even when their request is long over.
+// step passes one event to the module, and each action to the mailbox of the request that it names. The timers that
+// the module sets belong to the router: they fire even when their request has ended.
 func (r *Router) step(ev rules.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.take(ev)
+	r.stepLocked(ev)
 }
 
-// take is step for one who holds the lock.
-func (r *Router) take(ev rules.Event) {
+// stepLocked is step for a caller that holds r.mu.
+func (r *Router) stepLocked(ev rules.Event) {
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
 	for _, a := range r.decide(ev) {
 		switch a.Kind {
@@ -284,13 +285,13 @@
 			r.clock.AfterFunc(clock.Millis(a.In), func() { r.step(rules.Event{Kind: rules.Timer, Token: a.Token}) })
 		case rules.Get, rules.Refuse, rules.Fail, rules.Cancel:
 			select {
-			case r.mail[a.Call] <- a:
-			default: // nobody waits for it, or the mailbox is full: the deadline still answers the request
+			case r.mailboxes[a.Call] <- a:
+			default: // no request waits for it, or the mailbox is full: the request is still answered at its deadline
 				r.Counters.Faults.Add(1)
 			}
 		case rules.Tell:
-			if r.Tell != nil {
-				r.Tell(a.Node)
+			if r.OnCrowded != nil {
+				r.OnCrowded(a.Node)
 			}
 		case rules.Log:
 			r.log.Info().Str("text", a.Text).Msg("module says")
@@ -298,8 +299,8 @@
 	}
 }
 
-// decide keeps a fault in the module from taking every open request down with it.
-func (r *Router) decide(ev rules.Event) (acts []rules.Action) {
+// decide calls the module and recovers from its panics, which would end every open request.
+func (r *Router) decide(ev rules.Event) (actions []rules.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.Counters.Faults.Add(1)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -116,8 +116,8 @@
 	if a := <-g.answer; a.Verdict != Refused {
 		t.Errorf("answer %+v", a)
 	}
-	if len(g.mail) != 0 {
-		t.Errorf("%d mailboxes left", len(g.mail))
+	if len(g.mailboxes) != 0 {
+		t.Errorf("%d mailboxes left", len(g.mailboxes))
 	}
 }
 
@@ -192,8 +192,8 @@
 	if a := <-g.answer; a.Verdict != Failed {
 		t.Errorf("answer %+v", a)
 	}
-	if len(g.mail) != 0 {
-		t.Errorf("%d mailboxes left", len(g.mail))
+	if len(g.mailboxes) != 0 {
+		t.Errorf("%d mailboxes left", len(g.mailboxes))
 	}
 }
 
@@ -210,7 +210,7 @@
 		c.done <- End{Code: rules.Done}
 		for open := 1; open > 0; { // the next one has the same id
 			g.mu.Lock()
-			open = len(g.mail)
+			open = len(g.mailboxes)
 			g.mu.Unlock()
 		}
 	}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -13,45 +13,44 @@
 	marginShare = 0.1
 	leastMargin = 5
 	mostMargin  = 25
-	// lastMoment before the end of its time no further attempt of a request goes out.
-	lastMoment = 1
-	// overdueBy is how long past that the module may leave a request without an answer before the router gives one.
-	overdueBy = 10
-	// mailboxRoom is far more than the module ever has to say to one request at once.
-	mailboxRoom = 16
+	// retryCutoff before the end of a request's time, and later, no further attempt goes out.
+	retryCutoff = 1
+	// overdueAfter is how long past its deadline the module may leave a request without an answer before the router fails it.
+	overdueAfter = 10
+	// mailboxSize is far more than the actions that the module ever has for one request at once.
+	mailboxSize = 16
 )
 
-// Serve takes one request from its arrival to its final answer. The module says what to do next at every turn; ctx
-// ends when the client no longer waits.
+// Serve carries one request from its arrival to its final answer. The module decides each step; ctx ends when the client no longer waits.
 func (r *Router) Serve(ctx context.Context, q Request) (answer Answer) {
 	r.Counters.Taken.Add(1)
 	defer func() { r.count(q.Class, answer.Verdict) }()
-	mail := make(chan rules.Action, mailboxRoom)
+	mailbox := make(chan rules.Action, mailboxSize)
 	end := q.Arrived + q.Allow - min(max(marginShare*q.Allow, leastMargin), mostMargin)
-	late, lateTimer := r.clock.Alarm(end + overdueBy - r.clock.Now())
+	late, lateTimer := r.clock.Alarm(end + overdueAfter - r.clock.Now())
 	defer lateTimer.Stop()
 	r.mu.Lock()
-	_, twice := r.mail[q.ID]
+	_, duplicate := r.mailboxes[q.ID]
 	keyless := r.keyed[q.Class] && q.Key == ""
-	if !twice && !keyless {
-		r.mail[q.ID] = mail
-		r.take(rules.Event{Kind: rules.Request, Call: q.ID, Class: q.Class, Tenant: q.Tenant, Object: q.Object, Part: q.Part, Group: q.Group,
+	if !duplicate && !keyless {
+		r.mailboxes[q.ID] = mailbox
+		r.stepLocked(rules.Event{Kind: rules.Request, Call: q.ID, Class: q.Class, Tenant: q.Tenant, Object: q.Object, Part: q.Part, Group: q.Group,
 			SizeKb: q.SizeKb, ExpiresIn: clock.Micros(end - r.clock.Now())})
 	}
 	r.mu.Unlock()
-	// Guards the first request of an id, whose answer must not go to the second; and a class that has got keys since the front
-	// read this request by older settings: its servers could not tell a repeat.
-	if twice || keyless {
+	// The answer to the first request of an id must not go to a second one. And where a class requires keys since a reload, after the front
+	// read this request by the older settings, its servers could not recognize a repeat.
+	if duplicate || keyless {
 		r.Counters.Failed.Add(1)
 		return Answer{Verdict: Failed}
 	}
 	defer func() {
 		r.mu.Lock()
-		delete(r.mail, q.ID)
+		delete(r.mailboxes, q.ID)
 		r.mu.Unlock()
 	}()
 
-	// What is out for this request: never more than one attempt.
+	// The open attempt of this request: there is never more than one.
 	var (
 		call    Call
 		done    <-chan End
@@ -61,15 +60,15 @@
 		server  string
 		number  = -1
 	)
-	// What has happened and is not dealt with yet.
+	// Events that have not been handled yet.
 	var (
 		timedOut, overdue bool
-		word              *rules.Action // the module's
+		action            *rules.Action // the module's next action
 	)
-	over := func(e End) { // books the end of the attempt that is out
+	endAttempt := func(e End) { // reports the end of the open attempt to the module
 		timer.Stop()
 		call, done, timeout, timedOut = nil, nil, nil, false
-		r.report(e.Load, rules.Event{Kind: rules.Outcome, Call: q.ID, Attempt: number, Node: server, Code: e.Code, Note: e.Note,
+		r.reportOutcome(e.Load, rules.Event{Kind: rules.Outcome, Call: q.ID, Attempt: number, Node: server, Code: e.Code, Note: e.Note,
 			Rtt: clock.Micros(r.clock.Now() - sentAt), UpstreamWait: clock.Micros(e.Waited), Final: e.Code == rules.Done})
 	}
 	giveUp := func() {
@@ -85,7 +84,7 @@
 	for {
 		var e End
 		ended := false
-		if word == nil {
+		if action == nil {
 			select {
 			case e = <-done:
 				ended = true
@@ -95,20 +94,20 @@
 				overdue = true
 			case <-timeout:
 				timedOut = true
-			case a := <-mail:
-				word = &a
+			case a := <-mailbox:
+				action = &a
 			}
 		}
 		if !ended {
-			e, ended = take(done)
+			e, ended = tryReceive(done)
 		}
-		overdue = overdue || rung(late)
-		timedOut = timedOut || rung(timeout)
-		// Of what has happened the first in this order counts. An attempt's end comes first: it may be the answer, and no
-		// time-out makes it one that is still out. After it come all that forbid a further attempt, then what may bring one.
+		overdue = overdue || fired(late)
+		timedOut = timedOut || fired(timeout)
+		// Of several events the first in this order is handled. An attempt's end comes first: it may be the answer, and a time-out does not
+		// make the attempt open again. Next are the events that forbid a further attempt, then those that may lead to one.
 		switch {
 		case ended:
-			over(e)
+			endAttempt(e)
 			switch {
 			case e.Code == rules.Done && ctx.Err() != nil:
 				r.Counters.Gone.Add(1)
@@ -121,22 +120,22 @@
 			abandon()
 			r.Counters.Gone.Add(1)
 			return Answer{}
-		case rung(r.finish):
+		case fired(r.finish):
 			abandon()
 			r.Counters.Failed.Add(1)
 			return Answer{Verdict: Failed}
-		case overdue: // guards the one answer that is owed against a module that gave none
+		case overdue: // the module gave no answer
 			abandon()
 			r.Counters.Overdue.Add(1)
 			r.Counters.Failed.Add(1)
 			r.log.Error().Str("request", q.ID).Msg("module gave no answer in time")
 			return Answer{Verdict: Failed}
 		case timedOut:
-			call.Drop(r.clock.Now() < end-lastMoment)
-			over(End{Code: rules.TimedOut})
-		case word != nil:
-			a := *word
-			word = nil
+			call.Drop(r.clock.Now() < end-retryCutoff)
+			endAttempt(End{Code: rules.TimedOut})
+		case action != nil:
+			a := *action
+			action = nil
 			switch a.Kind {
 			case rules.Get:
 				try := Attempt{Request: &q, Server: a.Node, Patience: clock.Millis(a.TimeOut), Within: clock.Millis(a.Within), Effects: a.Effects}
@@ -155,7 +154,7 @@
 			case rules.Cancel:
 				if call != nil && a.Attempt == number {
 					call.Drop(true)
-					over(End{Code: rules.Cancelled})
+					endAttempt(End{Code: rules.Cancelled})
 				}
 			case rules.Refuse:
 				giveUp()
@@ -170,8 +169,8 @@
 	}
 }
 
-// take receives what is ready on c; ok is false where nothing is.
-func take[T any](c <-chan T) (v T, ok bool) {
+// tryReceive receives from c without blocking; ok is false where nothing is ready.
+func tryReceive[T any](c <-chan T) (v T, ok bool) {
 	select {
 	case v, ok = <-c:
 		return v, ok
@@ -180,8 +179,8 @@
 	}
 }
 
-// rung tells whether c has brought something, or is closed.
-func rung(c <-chan struct{}) bool {
+// fired reports whether c has a value ready or is closed.
+func fired(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
