--- /dev/null
+++ b/internal/testwait/testwait_test.go
@@ -0,0 +1,86 @@
+package testwait
+
+import (
+	"fmt"
+	"net"
+	"runtime"
+	"sync"
+	"testing"
+	"time"
+)
+
+// The waits end with what they wait for.
+func TestWaits(t *testing.T) {
+	c := make(chan int, 1)
+	Send(t, c, 7, "room in the channel")
+	if v := Receive(t, c, "the value that was sent"); v != 7 {
+		t.Errorf("received %d", v)
+	}
+	close(c)
+	if v := Receive(t, c, "the end of the channel"); v != 0 {
+		t.Errorf("received %d from a closed channel", v)
+	}
+	var g sync.WaitGroup
+	ran := false
+	g.Go(func() { ran = true })
+	Group(t, &g, "a goroutine")
+	if !ran {
+		t.Error("the goroutine has not run")
+	}
+	calls := 0
+	Until(t, "the third call", func() bool { calls++; return calls == 3 })
+	if calls != 3 {
+		t.Errorf("%d calls", calls)
+	}
+}
+
+// Both ends of a connection carry bytes.
+func TestConnections(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	near := Dial(t, l.Addr().String())
+	far := Accept(t, l, "the connection just dialled")
+	if _, err := near.Write([]byte("x")); err != nil {
+		t.Fatal(err)
+	}
+	got := make([]byte, 1)
+	if _, err := far.Read(got); err != nil || got[0] != 'x' {
+		t.Errorf("read %q, %v", got, err)
+	}
+}
+
+// failing is a testing.TB that notes its failure and ends the goroutine, as a test's does.
+type failing struct {
+	testing.TB
+	said string
+}
+
+func (f *failing) Helper() {}
+
+func (f *failing) Fatalf(format string, args ...any) {
+	f.said = fmt.Sprintf(format, args...)
+	runtime.Goexit()
+}
+
+// A wait for what never comes fails the test and names it.
+func TestWaitsEnd(t *testing.T) {
+	const limit = 5 * time.Millisecond
+	for name, wait := range map[string]func(f *failing){
+		"Receive": func(f *failing) { ReceiveWithin(f, limit, make(chan int), "a value") },
+		"Until":   func(f *failing) { UntilWithin(f, limit, "a value", func() bool { return false }) },
+	} {
+		f := &failing{}
+		ended := make(chan struct{})
+		go func() {
+			defer close(ended)
+			wait(f)
+		}()
+		Receive(t, ended, "the end of "+name)
+		if f.said != "waited 5ms for a value" {
+			t.Errorf("%s said %q", name, f.said)
+		}
+	}
+}
