--- a/internal/msgpackrpc/crossings_test.go
+++ b/internal/msgpackrpc/crossings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"io"
 	"net"
 	"sync"
@@ -9,6 +10,7 @@
 	"time"
 
 	"spantack/internal/router"
+	"spantack/internal/testwait"
 )
 
 // What crosses on a client's connection. The client holds back what it sends, and the handler its answer, until the server
@@ -21,9 +23,7 @@
 		"evacuate": func(c *client) { c.Evacuate() },
 		"end": func(c *client) {
 			c.stop()
-			for !c.draining() {
-				time.Sleep(time.Millisecond)
-			}
+			testwait.Until(c.t, "the end of accepting", c.draining)
 			c.Server.mu.Lock()
 			rest := c.all()
 			c.Server.mu.Unlock()
@@ -50,9 +50,7 @@
 		}
 		c.stop()
 		c.Close()
-		if err := <-c.ended; err != nil {
-			t.Error(err)
-		}
+		c.finish()
 	}
 	testHookAwait = func() {}
 }
@@ -90,23 +88,19 @@
 		}
 	})
 	c.request(1, "page", "0000000000000001")
-	<-enter
+	testwait.Receive(t, enter, "the first request")
 	c.Write(encode(nil, []any{uint64(2), "cancel", []any{uint64(1)}}))
 	c.request(1, "page", "0000000000000002")
-	if id := <-enter; id != "0000000000000002" {
+	if id := testwait.Receive(t, enter, "the second request"); id != "0000000000000002" {
 		t.Fatalf("asked %s", id)
 	}
-	leave <- router.Answer{} // either of them: both wait for the same word, so it is said twice
-	for {                    // until one handler has ended
+	testwait.Send(t, leave, router.Answer{}, "the end of a handler") // either of them: both wait for the same word, so it is said twice
+	testwait.Until(t, "one handler to end", func() bool {
 		c.Server.mu.Lock()
-		booked := c.queued
-		c.Server.mu.Unlock()
-		if booked == requestCost {
-			break
-		}
-		time.Sleep(time.Millisecond)
-	}
-	leave <- router.Answer{Verdict: router.Failed}
+		defer c.Server.mu.Unlock()
+		return c.queued == requestCost
+	})
+	testwait.Send(t, leave, router.Answer{Verdict: router.Failed}, "the end of the other handler")
 	c.expect("[1 1 [Error map[]] <nil>]")
 }
 
@@ -129,19 +123,13 @@
 		for _, ending := range []bool{false, true} {
 			c := start(t)
 			c.request(1, "page", "0000000000000001")
-			a := <-c.asked
+			a := c.next()
 			if ending {
 				c.stop()
-				for !c.draining() {
-					time.Sleep(time.Millisecond)
-				}
+				testwait.Until(c.t, "the end of accepting", c.draining)
 			}
 			leave(c)
-			select {
-			case <-a.ctx.Done():
-			case <-time.After(10 * time.Second):
-				t.Errorf("%s, ending %v: the request waits on", name, ending)
-			}
+			testwait.Receive(t, a.ctx.Done(), fmt.Sprintf("the end of the request of a client that left: %s, ending %v", name, ending))
 		}
 	}
 }
@@ -160,16 +148,12 @@
 		_, err := caller.Do(ctx, router.Request{ID: "0000000000000001", Class: "page", Allow: 1500})
 		ended <- err
 	}()
-	a := <-c.asked
+	a := c.next()
 	giveUp()
-	if err := <-ended; err != context.Canceled {
+	if err := testwait.Receive(t, ended, "the end of the call"); err != context.Canceled {
 		t.Error(err)
 	}
-	select {
-	case <-a.ctx.Done():
-	case <-time.After(10 * time.Second):
-		t.Error("the request waits on")
-	}
+	a.cancelled(t)
 }
 
 // A client writes its last byte and is gone: whether its request was begun or not, it does not wait on.
@@ -184,22 +168,19 @@
 			c.Conn.(*net.TCPConn).SetLinger(0)
 		}
 		c.Close()
-		<-taken // until then no connection is there to end
-		for gone := false; !gone; {
+		testwait.Receive(t, taken, "the connection to be taken up") // until then none is there to end
+		testwait.Until(t, "the end of the connection and of its request", func() bool {
 			select {
 			case a := <-c.asked:
-				<-a.ctx.Done()
+				a.cancelled(t)
 			default:
-				c.Server.mu.Lock()
-				gone = len(c.conns) == 0 && c.queued == 0
-				c.Server.mu.Unlock()
-				time.Sleep(time.Millisecond)
 			}
-		}
+			c.Server.mu.Lock()
+			defer c.Server.mu.Unlock()
+			return len(c.conns) == 0 && c.queued == 0
+		})
 		c.stop()
-		if err := <-c.ended; err != nil {
-			t.Error(err)
-		}
+		c.finish()
 	}
 }
 
@@ -219,7 +200,7 @@
 	const large = 200 << 10
 	c := start(t, func(s *Server) { s.MostQueued, s.MostConns = 40*large, 8 })
 	c.request(1, "page", "0000000000000001")
-	asked := <-c.asked
+	asked := c.next()
 	// No one writes for a connection made here: what is answered on it waits, as for a client that does not read.
 	deaf := &conn{server: c.Server, queue: make(chan answer, queueRoom)}
 	for id := range uint64(queueRoom) {
@@ -227,7 +208,7 @@
 			t.Fatal(err)
 		}
 	}
-	asked.answer <- router.Answer{Verdict: router.Served, Body: make([]byte, large)}
+	asked.reply(t, router.Answer{Verdict: router.Served, Body: make([]byte, large)})
 	d := decoder{in: c.in, left: 2 * large, most: 2 * large}
 	v, err := d.value(0)
 	if list, _ := v.([]any); err != nil || len(list) != 4 || list[2] != nil {
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -16,6 +16,7 @@
 
 	"spantack/internal/clock"
 	"spantack/internal/router"
+	"spantack/internal/testwait"
 )
 
 // client is the test's side of a connection; the test is the router too, by way of asked.
@@ -66,18 +67,49 @@
 		defer close(over)
 		c.ended <- s.Serve(ctx, l)
 	}()
-	if c.Conn, err = net.Dial("tcp", c.addr); err != nil {
-		t.Fatal(err)
-	}
+	c.Conn = testwait.Dial(t, c.addr)
 	c.in = bufio.NewReader(c.Conn)
 	t.Cleanup(func() { // nothing of one test runs on into the next
 		stop()
 		c.Close()
-		<-over
+		testwait.Receive(t, over, "the end of Serve")
 	})
 	return c
 }
 
+// another is a further client of the same server.
+func (c *client) another() *client {
+	c.t.Helper()
+	nc := testwait.Dial(c.t, c.addr)
+	return &client{t: c.t, Conn: nc, in: bufio.NewReader(nc), asked: c.asked}
+}
+
+// next is the next request that comes to the handler.
+func (c *client) next() *asked {
+	c.t.Helper()
+	return testwait.Receive(c.t, c.asked, "a request at the handler")
+}
+
+// finish waits for the end of Serve, which must be an orderly one.
+func (c *client) finish() {
+	c.t.Helper()
+	if err := testwait.Receive(c.t, c.ended, "the end of Serve"); err != nil {
+		c.t.Error(err)
+	}
+}
+
+// reply ends a request at the handler.
+func (a *asked) reply(t *testing.T, answer router.Answer) {
+	t.Helper()
+	testwait.Send(t, a.answer, answer, "the answer to "+a.ID)
+}
+
+// cancelled waits until the handler of a request is told that its client no longer waits.
+func (a *asked) cancelled(t *testing.T) {
+	t.Helper()
+	testwait.Receive(t, a.ctx.Done(), "the end of "+a.ID)
+}
+
 func (c *client) request(id uint64, method, ref string) {
 	c.Write(encode(nil, []any{uint64(0), id, method, []any{map[string]any{"ref": ref, "allow": "1500"}, []byte(nil)}}))
 }
@@ -99,17 +131,17 @@
 	c.request(4, "page", "0000000000000004")
 	byRef := map[string]*asked{}
 	for range 3 {
-		a := <-c.asked
+		a := c.next()
 		byRef[a.ID] = a
 	}
-	byRef["0000000000000004"].answer <- router.Answer{Verdict: router.Served, Body: []byte{0, 255}}
+	byRef["0000000000000004"].reply(t, router.Answer{Verdict: router.Served, Body: []byte{0, 255}})
 	c.expect("[1 4 <nil> [[0 255] map[]]]")
-	byRef["0000000000000002"].answer <- router.Answer{Verdict: router.Served, Same: true}
+	byRef["0000000000000002"].reply(t, router.Answer{Verdict: router.Served, Same: true})
 	c.expect("[1 2 <nil> [[] map[keep:1]]]")
-	byRef["0000000000000003"].answer <- router.Answer{Verdict: router.Refused, RetryAfter: 99.6}
+	byRef["0000000000000003"].reply(t, router.Answer{Verdict: router.Refused, RetryAfter: 99.6})
 	c.expect("[1 3 [Full map[cooldown:100]] <nil>]")
 	c.request(5, "page", "0000000000000005")
-	(<-c.asked).answer <- router.Answer{Verdict: router.Failed}
+	c.next().reply(t, router.Answer{Verdict: router.Failed})
 	c.expect("[1 5 [Error map[]] <nil>]")
 }
 
@@ -128,11 +160,11 @@
 func TestCancel(t *testing.T) {
 	c := start(t)
 	c.request(1, "page", "0000000000000001")
-	a := <-c.asked
+	a := c.next()
 	c.Write(encode(nil, []any{uint64(2), "cancel", []any{uint64(1), uint64(99)}}))
-	<-a.ctx.Done()
+	a.cancelled(t)
 	c.request(2, "page", "0000000000000002")
-	(<-c.asked).answer <- router.Answer{Verdict: router.Failed}
+	c.next().reply(t, router.Answer{Verdict: router.Failed})
 	c.expect("[1 2 [Error map[]] <nil>]")
 }
 
@@ -142,16 +174,13 @@
 		string(encode(nil, []any{uint64(0), uint64(1), "page", []any{map[string]any{"ref": "0000000000000002", "allow": "9"}, []byte(nil)}}))} {
 		c := start(t)
 		c.request(1, "page", "0000000000000001")
-		a := <-c.asked
+		a := c.next()
 		c.Write([]byte(text))
-		<-a.ctx.Done()
+		a.cancelled(t)
 		if _, err := c.in.ReadByte(); err == nil {
 			t.Errorf("%q: the connection is still open", text)
 		}
-		next, err := net.Dial("tcp", c.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
+		next := testwait.Dial(t, c.addr)
 		next.Write(encode(nil, []any{uint64(0), uint64(1), "health", []any{}}))
 		want := []any{int64(1), int64(1), nil, []any{true, map[string]any{}}}
 		if v, err := readMessage(bufio.NewReader(next)); err != nil || !reflect.DeepEqual(v, want) {
@@ -165,33 +194,31 @@
 func TestDrain(t *testing.T) {
 	c := start(t)
 	c.request(1, "page", "0000000000000001")
-	a := <-c.asked
+	a := c.next()
 	c.stop()
-	a.answer <- router.Answer{Verdict: router.Served, Body: []byte("x")}
+	a.reply(t, router.Answer{Verdict: router.Served, Body: []byte("x")})
 	c.expect("[1 1 <nil> [[120] map[]]]")
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("after the last answer: %v", err)
 	}
 	c.Close()
-	if err := <-c.ended; err != nil {
-		t.Error(err)
-	}
+	c.finish()
 }
 
 // A message that has begun when the end comes is read to its end and answered.
 func TestDrainInsideMessage(t *testing.T) {
 	c := start(t)
 	c.request(1, "page", "0000000000000001")
-	a := <-c.asked
+	a := c.next()
 	text := encode(nil, []any{uint64(0), uint64(2), "page", []any{map[string]any{"ref": "0000000000000002", "allow": "1500"}, []byte(nil)}})
 	c.request(3, "film", "0000000000000003") // its answer tells that the reader is past it
 	c.Write(text[:9])
 	c.expect("[1 3 [Error map[reason:unknown method]] <nil>]")
 	c.stop()
-	a.answer <- router.Answer{Verdict: router.Failed}
+	a.reply(t, router.Answer{Verdict: router.Failed})
 	c.expect("[1 1 [Error map[]] <nil>]")
 	c.Write(text[9:])
-	(<-c.asked).answer <- router.Answer{Verdict: router.Failed}
+	c.next().reply(t, router.Answer{Verdict: router.Failed})
 	c.expect("[1 2 [Error map[]] <nil>]")
 }
 
@@ -201,22 +228,22 @@
 	fake, turned := clock.NewFake(1_764_576_000_000), make(chan string, 1)
 	c := start(t, func(s *Server) { s.Clock, s.Turned = fake, func(class string) { turned <- class } })
 	c.request(1, "page", "0000000000000001")
-	a := <-c.asked
+	a := c.next()
 	c.Evacuate()
 	if !c.Evacuated() {
 		t.Error("not evacuated")
 	}
 	c.request(2, "page", "0000000000000002") // clients go on using open connections
-	b := <-c.asked
+	b := c.next()
 	fake.Advance(refuseAfter)
 	c.request(3, "page", "0000000000000003")
 	c.expect("[1 3 [Full map[cooldown:1000]] <nil>]")
-	if class := <-turned; class != "page" {
+	if class := testwait.Receive(t, turned, "a request that was refused"); class != "page" {
 		t.Errorf("refused a request of %q", class)
 	}
-	a.answer <- router.Answer{Verdict: router.Served, Body: []byte("x")}
+	a.reply(t, router.Answer{Verdict: router.Served, Body: []byte("x")})
 	c.expect("[1 1 <nil> [[120] map[]]]")
-	b.answer <- router.Answer{Verdict: router.Failed}
+	b.reply(t, router.Answer{Verdict: router.Failed})
 	c.expect("[1 2 [Error map[]] <nil>]")
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("after the last answer: %v", err)
@@ -225,14 +252,9 @@
 	if c.Evacuated() {
 		t.Error("evacuated after the end of it")
 	}
-	nc, err := net.Dial("tcp", c.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	again := &client{t: t, Conn: nc, in: bufio.NewReader(nc), asked: c.asked}
+	again := c.another()
 	again.request(1, "page", "0000000000000004")
-	(<-again.asked).answer <- router.Answer{Verdict: router.Failed}
+	again.next().reply(t, router.Answer{Verdict: router.Failed})
 	again.expect("[1 1 [Error map[]] <nil>]")
 }
 
@@ -243,7 +265,7 @@
 	c.request(1, "page", "0000000000000001")
 	c.expect("[1 1 [Error map[reason:unknown method]] <nil>]")
 	c.request(2, "price", "0000000000000002")
-	(<-c.asked).answer <- router.Answer{Verdict: router.Failed}
+	c.next().reply(t, router.Answer{Verdict: router.Failed})
 	c.expect("[1 2 [Error map[]] <nil>]")
 }
 
@@ -257,11 +279,11 @@
 	if err := c.answer(2, router.Answer{Verdict: router.Served, Body: make([]byte, 10)}); err == nil || s.queued != 80 {
 		t.Errorf("a full queue takes another answer: %v, %d bytes booked", err, s.queued)
 	}
-	<-c.queue
+	testwait.Receive(t, c.queue, "the first answer in the queue")
 	if err := c.answer(3, router.Answer{Verdict: router.Served, Body: make([]byte, 30)}); err != nil || s.queued != 80 {
 		t.Errorf("%v, %d bytes booked", err, s.queued)
 	}
-	if text := string((<-c.queue).parts[0]); text != string(appendError(nil, 3, "Error", "reason", "too many answers wait")) {
+	if text := string(testwait.Receive(t, c.queue, "an answer in the queue").parts[0]); text != string(appendError(nil, 3, "Error", "reason", "too many answers wait")) {
 		t.Errorf("%q", text)
 	}
 }
@@ -272,41 +294,35 @@
 func TestQuietGivesWay(t *testing.T) {
 	c := start(t) // with two places
 	c.request(1, "page", "0000000000000001")
-	(<-c.asked).answer <- router.Answer{Verdict: router.Failed}
+	c.next().reply(t, router.Answer{Verdict: router.Failed})
 	c.expect("[1 1 [Error map[]] <nil>]")
-	for owed := true; owed; { // the client may have its answer a moment before the server books that
+	testwait.Until(t, "the answer to be booked", func() bool { // the client may have it a moment before
 		c.Server.mu.Lock()
-		owed = false
+		defer c.Server.mu.Unlock()
 		for o := range c.conns {
-			owed = owed || math.IsInf(o.rank(), 1)
-		}
-		c.Server.mu.Unlock()
-	}
-	dial := func() *client {
-		nc, err := net.Dial("tcp", c.addr)
-		if err != nil {
-			t.Fatal(err)
+			if math.IsInf(o.rank(), 1) {
+				return false
+			}
 		}
-		t.Cleanup(func() { nc.Close() })
-		return &client{t: t, Conn: nc, in: bufio.NewReader(nc), asked: c.asked}
-	}
-	busy := dial()
+		return true
+	})
+	busy := c.another()
 	busy.request(1, "page", "0000000000000002")
-	owed := <-c.asked
-	next := dial()
+	owed := c.next()
+	next := c.another()
 	next.request(1, "page", "0000000000000003")
-	other := <-c.asked
+	other := c.next()
 	// Half the idle limit: a connection closed only for being idle would still be open then.
 	c.Conn.SetReadDeadline(time.Now().Add(clock.Duration(idleLimit / 2)))
 	var late net.Error
 	if _, err := c.in.ReadByte(); err == nil || errors.As(err, &late) && late.Timeout() {
 		t.Errorf("the quiet connection is still open (%v)", err)
 	}
-	if _, err := dial().in.ReadByte(); err == nil {
+	if _, err := c.another().in.ReadByte(); err == nil {
 		t.Error("a connection found a place where all were owed answers")
 	}
 	for _, a := range []*asked{owed, other} {
-		a.answer <- router.Answer{Verdict: router.Failed}
+		a.reply(t, router.Answer{Verdict: router.Failed})
 	}
 	busy.expect("[1 1 [Error map[]] <nil>]")
 	next.expect("[1 1 [Error map[]] <nil>]")
