--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -62,7 +62,7 @@
 	c.giveUp(k.try.ID, command{written: written})
 	p.mu.Unlock()
 
-	patient := time.NewTimer(clock.Duration(dropPatient))
+	patient := time.NewTimer(clock.Duration(p.timeouts.drop))
 	defer patient.Stop()
 	stuck := false
 	select {
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -133,7 +133,7 @@
 	if k.begun {
 		delete(c.dropped, k.try.ID) // the DROP is written
 	}
-	return min(max(left, leastWrite), writeLimit), k.begun
+	return min(max(left, leastWrite), p.timeouts.write), k.begun
 }
 
 // write puts queued commands on the socket, each within a bounded time.
@@ -143,7 +143,7 @@
 		case <-c.gone:
 			return
 		case m := <-c.queue:
-			wait := float64(writeLimit)
+			wait := c.pool.owner.timeouts.write
 			if m.call != nil {
 				var ok bool
 				if wait, ok = c.due(m.call); !ok {
--- a/internal/resp/crossings_test.go
+++ b/internal/resp/crossings_test.go
@@ -24,6 +24,7 @@
 func shared(t *testing.T, addr string, mostWait float64) *Pools {
 	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleClose: 30_000, MaxStreams: 8, MostConns: 1, MostWait: mostWait},
 		clock.NewFake(1000), zerolog.Nop())
+	p.timeouts.write = patient // a write that is stuck is still so when the test goes on
 	list(p, "s-1", addr)
 	return p
 }
@@ -110,12 +111,20 @@
 // request, and what waits behind it never ran.
 func TestStuckPastTheGrace(t *testing.T) {
 	c := listen(t)
-	p := shared(t, c.addr(), 50)
+	p := shared(t, c.addr(), 500)
 	k := send(p, "first")
 	one := c.accept()
 	one.expect("GET first")
-	stuck := stick(t, p, one)
-	behind := send(p, "behind")
+	stuck, behind := newCall(p, "stuck"), newCall(p, "behind")
+	stuck.try.Body = tooMuch
+	p.mu.Lock()
+	for _, next := range []*call{stuck, behind} { // at once, or the first may have ended before the second comes
+		p.servers["s-1"].conns[0].start(next)
+	}
+	p.mu.Unlock()
+	if _, err := one.in.Peek(1); err != nil {
+		t.Fatal(err)
+	}
 	wantCode(t, stuck, rules.Refused)
 	wantCode(t, behind, rules.Refused)
 	wantCode(t, k, rules.Reset) // it was with the server
@@ -130,7 +139,7 @@
 	peer.Conn.(*net.TCPConn).SetLinger(0)
 	peer.Close()
 	nc.Read(make([]byte, 1)) // the reset is here
-	k := &call{pools: p, try: router.Attempt{Request: &router.Request{ID: "a"}}, chosen: 1000, done: make(chan router.End, 1)}
+	k := newCall(p, "a")
 	o := bare(p, nc)
 	p.mu.Lock()
 	o.start(k)
@@ -139,7 +148,7 @@
 	wantCode(t, k, rules.Refused)
 
 	o = bare(p, nc)
-	k = &call{pools: p, try: router.Attempt{Request: &router.Request{ID: "b"}}, chosen: 1000, done: make(chan router.End, 1)}
+	k = newCall(p, "b")
 	p.mu.Lock()
 	o.start(k)
 	o.close() // the reader saw the close first
@@ -147,6 +156,11 @@
 	wantCode(t, k, rules.Refused)
 }
 
+// newCall is an attempt that is not sent yet.
+func newCall(p *Pools, id string) *call {
+	return &call{pools: p, try: router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"}, chosen: 1000, done: make(chan router.End, 1)}
+}
+
 // bare is a connection without reader and writer.
 func bare(p *Pools, nc net.Conn) *conn {
 	return &conn{pool: p.servers["s-1"], net: nc, queue: make(chan command, 4), calls: map[string]*call{},
@@ -191,7 +205,7 @@
 
 // dialled returns an attempt whose connection has come up and waits for Pools.mu. It leaves that locked: the caller unlocks it.
 func dialled(p *Pools, c *cache) (k *call, l *pool, one *link) {
-	k = &call{pools: p, try: router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1"}, chosen: 1000, done: make(chan router.End, 1)}
+	k = newCall(p, "a")
 	p.mu.Lock()
 	l = p.servers["s-1"]
 	l.opening++
--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -47,7 +47,8 @@
 	log   zerolog.Logger
 	ctx   context.Context
 
-	written atomic.Int64 // attempts put on a socket whole
+	timeouts timeouts     // set at the start
+	written  atomic.Int64 // attempts put on a socket whole
 
 	mu      sync.Mutex
 	servers map[string]*pool // by id
@@ -56,6 +57,12 @@
 	logged  float64
 }
 
+// timeouts bound writes to servers, in milliseconds.
+type timeouts struct {
+	write float64 // of one command
+	drop  float64 // of the wait for a DROP to be written
+}
+
 // pool holds the connections to one server. Its fields are guarded by Pools.mu.
 type pool struct {
 	owner    *Pools
@@ -67,7 +74,7 @@
 
 // NewPools returns pools without servers; ctx ends their connections.
 func NewPools(ctx context.Context, opt Options, c *clock.Clock, log zerolog.Logger) *Pools {
-	return &Pools{opt: opt, clock: c, log: log, ctx: ctx, servers: map[string]*pool{}}
+	return &Pools{opt: opt, clock: c, log: log, ctx: ctx, timeouts: timeouts{writeLimit, dropPatient}, servers: map[string]*pool{}}
 }
 
 // Retune takes new settings' time after which a drain or purge binds, for attempts that are not written yet too.
--- a/internal/resp/pool_test.go
+++ b/internal/resp/pool_test.go
@@ -72,9 +72,13 @@
 	l.Write(AppendArray(nil, parts...))
 }
 
+// patient is a bound in milliseconds on a write that the test lets go on, whatever the machine's speed.
+var patient = float64(testwait.Limit.Milliseconds())
+
 func newPools(t *testing.T, addr string) (*Pools, *clock.Clock) {
 	fake := clock.NewFake(1000)
 	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleClose: 30_000, MaxStreams: 2, MostConns: 2, MostWait: 300}, fake, zerolog.Nop())
+	p.timeouts.drop = patient // none is stuck
 	list(p, "s-1", addr)
 	return p, fake
 }
