--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -53,13 +53,19 @@
 
 // Group waits until all goroutines of g have ended.
 func Group(t testing.TB, g *sync.WaitGroup, what string) {
+	t.Helper()
+	GroupWithin(t, Limit, g, what)
+}
+
+// GroupWithin is Group with a bound of its own, for goroutines that wait themselves.
+func GroupWithin(t testing.TB, limit time.Duration, g *sync.WaitGroup, what string) {
 	t.Helper()
 	ended := make(chan struct{})
 	go func() {
 		g.Wait()
 		close(ended)
 	}()
-	Receive(t, ended, what)
+	ReceiveWithin(t, limit, ended, what)
 }
 
 // Until polls holds until it returns true.
