--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -8,6 +8,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"spantack/internal/loopback"
 )
 
 const (
@@ -84,6 +86,18 @@
 	}
 }
 
+// Listen opens a listener at an address that no other process is given, so that nobody else connects to it, and closes it when the test
+// ends.
+func Listen(t testing.TB) *net.TCPListener {
+	t.Helper()
+	l, err := net.Listen("tcp", loopback.Free())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l.(*net.TCPListener)
+}
+
 // Accept returns the next connection to l, which is a TCP listener or wraps one. Its reads and writes are bounded, and it is closed
 // when the test ends.
 func Accept(t testing.TB, l net.Listener, what string) net.Conn {
