--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -150,6 +150,12 @@
 	return min(stayOpen, last), last, take
 }
 
+// spareTime is how much later than planned the process may be gone, by the longest deadline: a busy machine lets it run late.
+func spareTime(longest float64) float64 {
+	_, last, take := theEnd(longest)
+	return min(longest, longestKept) + killSlack - spareEnd - last - take
+}
+
 // reload brings the configuration for a SIGHUP.
 type reload func() (*config.Config, error)
 
@@ -285,7 +291,8 @@
 			stay = 0
 		}
 		log.Info().Bool("replaced", stay == 0).Msg("stopping")
-		server.Patience = last + take - stay // read once accepting has ended
+		server.Patience = last + take - stay // these are read once accepting has ended
+		server.Take, server.Late = take, spareTime(longest.Load().(float64))
 		now.AfterFunc(stay, stopAccepting)
 		now.AfterFunc(last, core.Finish)
 		return nil
--- a/cmd/spantack/main_test.go
+++ b/cmd/spantack/main_test.go
@@ -108,6 +108,9 @@
 		if last+take > kill-spareEnd+1e-6 || stay > last || stay < 600 || take <= 0 {
 			t.Errorf("deadline of %v ms: takes requests for %v, answers by %v, gone by %v, SIGKILL at %v", longest, stay, last, last+take, kill)
 		}
+		if gone := last + take + spareTime(longest); gone > kill-spareEnd+1e-6 || spareTime(longest) < -1e-6 {
+			t.Errorf("deadline of %v ms: gone by %v where the machine is slow, SIGKILL at %v", longest, gone, kill)
+		}
 		if longest >= 300 && (stay != stayOpen || take != takeAnswer || last < kill-stopEarly) {
 			t.Errorf("deadline of %v ms: stays %v, answers by %v, %v to take them", longest, stay, last, take)
 		}
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -51,6 +51,13 @@
 	return c.quietAt
 }
 
+// owed tells whether an answer is to be given, or was given less than take milliseconds ago and is not written yet.
+func (c *conn) owed(take float64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.open) > 0 || c.unsent > 0 && c.server.Clock.Now()-c.quietAt < take
+}
+
 type answer struct {
 	parts net.Buffers
 	size  int64 // reserved
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math"
 	"net"
+	"slices"
 	"sync"
 	"time"
 
@@ -29,6 +30,7 @@
 	connPart    = 8           // of MostQueued, what the answers of one connection may hold when others need the rest
 	requestCost = 8 << 10     // bytes that an open request takes besides its body
 	acceptPause = 20          // after an accept that failed
+	cutPause    = 5           // between looks at connections that are owed an answer at the end
 	freshConn   = 100         // a new connection is given so long for its first message to be on its way
 	readBuffer  = 4 << 10
 	logEvery    = 1000
@@ -46,6 +48,8 @@
 	MostConns  int
 	MostQueued int64   // bytes of open requests and of answers waiting to be written, on all connections
 	Patience   float64 // how long open requests may hold up the end of Serve
+	Take       float64 // how long clients have to take an answer that was given late in that time
+	Late       float64 // how much longer than Patience connections stay for that, and for answers that are due and not given yet
 	Clock      *clock.Clock
 	Log        zerolog.Logger
 
@@ -100,16 +104,34 @@
 	for _, c := range rest {
 		c.poke()
 	}
-	last := time.AfterFunc(clock.Duration(s.Patience), func() {
-		for _, c := range rest {
-			c.net.Close()
-		}
-	})
+	last := time.AfterFunc(clock.Duration(s.Patience), func() { s.cut(rest) })
 	defer last.Stop()
 	wait.Wait()
 	return nil
 }
 
+// cut closes connections at the end of Patience. One that is owed an answer stays until Late is over: the answers are given just
+// before, and a process that the machine lets run late must not close on its clients with all of them in hand.
+func (s *Server) cut(rest []*conn) {
+	s.mu.Lock()
+	end := s.emptyAt + s.Patience + s.Late
+	s.mu.Unlock()
+	for {
+		late := s.Clock.Now() >= end
+		rest = slices.DeleteFunc(rest, func(c *conn) bool {
+			if !late && c.owed(s.Take) {
+				return false
+			}
+			c.net.Close()
+			return true
+		})
+		if len(rest) == 0 {
+			return
+		}
+		time.Sleep(clock.Duration(cutPause))
+	}
+}
+
 // all are the connections there are. s.mu is held.
 func (s *Server) all() []*conn {
 	list := make([]*conn, 0, len(s.conns))
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -202,6 +202,28 @@
 	c.finish()
 }
 
+// The process is run so late that an answer is given only once Patience is over: the client still gets it. One that is never given holds up
+// the end no longer than Late.
+func TestDrainRunLate(t *testing.T) {
+	const patience = 20
+	c := start(t, func(s *Server) { s.Patience, s.Take, s.Late = patience, 60_000, 60_000 })
+	c.request(1, "page", "0000000000000001")
+	a := c.next()
+	c.stop()
+	testwait.Until(t, "the end of accepting", c.draining)
+	time.Sleep(10 * patience * time.Millisecond)
+	a.reply(t, router.Answer{Verdict: router.Failed})
+	c.expect("[1 1 [Error map[]] <nil>]")
+	c.finish()
+
+	c = start(t, func(s *Server) { s.Patience, s.Take, s.Late = patience, 60_000, patience })
+	c.request(1, "page", "0000000000000001")
+	a = c.next()
+	c.stop()
+	a.cancelled(t)
+	c.finish()
+}
+
 // A message that has begun when the end comes is read to its end and answered.
 func TestDrainInsideMessage(t *testing.T) {
 	c := start(t)
