--- a/standin/tier/tier.go
+++ b/standin/tier/tier.go
@@ -218,8 +218,9 @@
 	defer func() { // what is open on a connection that closes is given up
 		mu.Lock()
 		defer mu.Unlock()
-		for _, d := range drops {
+		for id, d := range drops {
 			close(d)
+			s.opt.Ledger.end(id)
 		}
 		drops = nil
 	}()
