--- a/cmd/spantack/main_test.go
+++ b/cmd/spantack/main_test.go
@@ -5,12 +5,13 @@
 	"bytes"
 	"fmt"
 	"io"
-	"net"
 	"syscall"
 	"testing"
 	"time"
 
 	"spantack/internal/config"
+	"spantack/internal/loopback"
+	"spantack/internal/testwait"
 )
 
 const document = `{"seed":"01","limits":{"memory_mb":192,"sockets":256},"board":%q,"known":{"rev":1,"notices":[{"rev":1,
@@ -20,26 +21,15 @@
 	"Extra":{"MasterKind":1,"ShieldKind":-1,"NotesGiven":"all"},"Kinds":["box","origin"],
 	"Permissions":{"MaxAttempts":3,"DialTimeout":5000000,"MaxStreams":32},"Zone":"east","Zones":["east"]}}`
 
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	return l
-}
-
 // The whole program: ready after the known events, a request through a cache, and after SIGTERM the answer that was
 // still owed, before a clean end.
 func TestRun(t *testing.T) {
-	board, moved, cache, free := listen(t), listen(t), listen(t), listen(t)
+	board, moved, cache := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
 	c, err := config.Parse(fmt.Appendf(nil, document, board.Addr(), cache.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Listen = free.Addr().String()
-	free.Close()
+	c.Listen = loopback.Free()
 	ended := make(chan error, 1)
 	files := make(chan string)
 	signals := catch()
@@ -47,16 +37,9 @@
 	go func() {
 		ended <- run(c, func() (*config.Config, error) { return config.Parse([]byte(<-files)) }, flags{}, signals, io.Discard)
 	}()
-	told, err := board.Accept() // the board is asked once the router serves
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer told.Close()
-	client, err := net.Dial("tcp", c.Listen)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer client.Close()
+	const fromFirst = "\x00\x00\x00\x00\x00\x00\x00\x01"
+	testwait.AcceptHello(t, board, fromFirst, "the watch, which begins once the router serves")
+	client := testwait.Dial(t, c.Listen)
 	expect := func(from io.Reader, want string) {
 		t.Helper()
 		got := make([]byte, len(want))
@@ -64,15 +47,10 @@
 			t.Fatalf("got %q (%v), want %q", got, err, want)
 		}
 	}
-	expect(told, "\x00\x00\x00\x00\x00\x00\x00\x01")
 	io.WriteString(client, "\x94\x00\x01\xa6health\x91\x80")
 	expect(client, "\x94\x01\x01\xc0\x92\xc3\x80")
 	io.WriteString(client, "\x94\x00\x02\xa4page\x92\x83\xa3ref\xb00000000000000001\xa5allow\xa530000\xa6lookup\xb0000000000000007f\xc4\x00")
-	server, err := cache.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer server.Close()
+	server := testwait.Accept(t, cache, "the router at the cache")
 	in := bufio.NewReader(server)
 	expect(in, "*4\r\n$3\r\nGET\r\n$16\r\n0000000000000001\r\n")
 	// SIGHUP, with a request open: a file that can't be used changes nothing, a good one moves the board
@@ -80,14 +58,9 @@
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		files <- fmt.Sprintf(document, address, cache.Addr())
+		testwait.Send(t, files, fmt.Sprintf(document, address, cache.Addr()), "a new configuration")
 	}
-	there, err := moved.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer there.Close()
-	expect(there, "\x00\x00\x00\x00\x00\x00\x00\x01")
+	testwait.AcceptHello(t, moved, fromFirst, "the watch at its new address")
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +80,7 @@
 		t.Errorf("after the last answer: %q, %v", rest, err)
 	}
 	client.Close()
-	if err := <-ended; err != nil {
+	if err := testwait.Receive(t, ended, "the end of run"); err != nil {
 		t.Error(err)
 	}
 }
@@ -134,6 +107,9 @@
 		if last+take > kill-spareEnd+1e-6 || stay > last || stay < 600 || take <= 0 {
 			t.Errorf("deadline of %v ms: takes requests for %v, answers by %v, gone by %v, SIGKILL at %v", longest, stay, last, last+take, kill)
 		}
+		if gone := last + take + spareTime(longest); gone > kill-spareEnd+1e-6 || spareTime(longest) < -1e-6 {
+			t.Errorf("deadline of %v ms: gone by %v where the machine is slow, SIGKILL at %v", longest, gone, kill)
+		}
 		if longest >= 300 && (stay != stayOpen || take != takeAnswer || last < kill-stopEarly) {
 			t.Errorf("deadline of %v ms: stays %v, answers by %v, %v to take them", longest, stay, last, take)
 		}
