--- a/rules/helper.go
+++ b/rules/helper.go
@@ -22,6 +22,14 @@
 	return m.sum * math.Exp(-float64(now-m.at)/span) / span
 }
 
+// mean is a mean of what came: of the first few all alike, then one that forgets.
+type mean struct{ value, count float64 }
+
+func (m *mean) add(x, leastStep float64) {
+	m.count++
+	m.value += max(1/m.count, leastStep) * (x - m.value)
+}
+
 // at returns list[i], or the zero value outside it.
 func at[T any](list []T, i int) (v T) {
 	if i >= 0 && i < len(list) {
@@ -64,6 +72,22 @@
 	return r.sendMean[q.class]
 }
 
+// classWork estimates the mean sending time of ev's class as ev comes. Requests tell their sizes at once, answers teach them
+// slowly and large ones late: the greater mean counts, for servers are pushed over by what is sent too much.
+func (r *Router) classWork(ev *Event, class int) float64 {
+	taught := r.sendMean[class]
+	if ev.SizeKb <= 0 || r.set.Extra.PaceKbPerS <= 0 {
+		return taught
+	}
+	m := r.sizes[ev.Class]
+	if m == nil {
+		m = &mean{value: taught, count: 1}
+		r.sizes[ev.Class] = m
+	}
+	m.add(ev.SizeKb/r.set.Extra.PaceKbPerS*1e6, meanStep)
+	return max(taught, m.value)
+}
+
 // aim is how long an answer to q may take in full worth.
 func (r *Router) aim(q *request) float64 {
 	c := &r.set.Classes[q.class]
--- a/rules/picking.go
+++ b/rules/picking.go
@@ -51,7 +51,7 @@
 func (r *Router) usableFor(q *request, n *node) bool {
 	shut := n.brk.open(r.now) && (n.brk.dead || !r.poolOf(q.Set).panic)
 	return n.usable && !shut && !slices.Contains(q.tried, n) && r.sameGroup(q, n) &&
-		r.affordable(n, r.sendMean[q.class])
+		r.affordable(n, q.work)
 }
 
 // pickCache takes the first usable cache, of two when hot; full: one was passed over for its limit alone.
@@ -111,7 +111,7 @@
 				continue
 			}
 			closed = true
-			if r.affordable(n, r.sendMean[q.class]) && r.room(q, n) {
+			if r.affordable(n, q.work) && r.room(q, n) {
 				return n, how
 			}
 		}
@@ -164,7 +164,7 @@
 		act.Source = a.source.name
 	}
 	act.TimeOut, act.Within = max(q.deadline-r.now, 1), r.window(q)
-	a.at, a.work, a.nodeHad = r.now, r.sendMean[q.class], a.node.answered
+	a.at, a.work, a.nodeHad = r.now, q.work, a.node.answered
 	for i, n := range []*node{a.node, a.source, r.origin} {
 		if n == nil || i > 0 && !(a.fills && (i == 1 || act.How&HeldOnly == 0)) {
 			continue
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -22,9 +22,9 @@
 	r := &Router{set: set, rng: rand.New(rand.NewPCG(uint64(seed), 0)), classes: map[string]int{},
 		nodes: map[string]*node{}, requests: map[string]*request{}, purged: map[purgeKey]int64{},
 		watched: map[int64]*request{}, tenants: map[string]*tenant{}, recent: map[string]int{},
-		sendMean: make([]float64, len(set.Classes)), behind: node{limit: behindMost}}
+		sendMean: make([]float64, len(set.Classes)), behind: node{limit: behindMost, role: roleOrigin}}
 	r.behindMost, r.asksMost, r.upRank = behindMost, behindMost, newRanks(nil, false)
-	r.pools, r.behind.role, r.empty = map[int]*pool{0: {list: -1}}, roleOrigin, &pool{rank: r.upRank}
+	r.pools, r.sizes, r.empty = map[int]*pool{0: {list: -1}}, map[string]*mean{}, &pool{rank: r.upRank}
 	effects := []string{"read_like", "idempotency_key", "non_idempotent"}
 	for i, c := range set.Classes {
 		if c.Name == "" || c.Deadline <= 0 || !slices.Contains(effects, c.Idempotency) {
@@ -98,7 +98,7 @@
 		return
 	}
 	q := &request{Event: *ev, class: class, account: r.poolOf(ev.Set).account, deadline: r.now + ev.ExpiresIn,
-		most: r.set.Permissions.MaxAttempts}
+		most: r.set.Permissions.MaxAttempts, work: r.classWork(ev, class)}
 	if t := r.tenants[q.Tenant]; t != nil {
 		t.add(r.now, rateSpan, 1)
 		q.over = t.rate(r.now, rateSpan)*1e6 > t.quota
--- a/rules/state.go
+++ b/rules/state.go
@@ -175,7 +175,8 @@
 	account        int
 	part           string // object and part: what is kept and filled on its own
 	deadline       int64
-	attempts, most int // made, and allowed when it came
+	attempts, most int     // made, and allowed when it came
+	work           float64 // mean sending time of its class, when it came
 	out, started   bool
 	over           bool  // past its tenant's share
 	ranNode        *node // where the first attempt that may have run went, at ranAt; nil: none may have
@@ -213,9 +214,10 @@
 	tenants    map[string]*tenant
 	recent     map[string]int
 	recentN    int
-	sendMean   []float64 // by class: mean sending time seen
-	tail       []float64 // by class: what few answers exceed, in usual times
-	spare      float64   // requests that may be called back as lost
+	sendMean   []float64        // by class: mean sending time seen
+	sizes      map[string]*mean // by name of class: mean sending time of requests as they come
+	tail       []float64        // by class: what few answers exceed, in usual times
+	spare      float64          // requests that may be called back as lost
 	peak       [roleOther + 1]float64
 	purgeSpan  int64 // how long a purge matters
 	token      int64
