--- a/lab/local/local.go
+++ b/lab/local/local.go
@@ -9,6 +9,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/netip"
@@ -36,6 +37,7 @@
 	Script   func(tier.Get) tier.Fault
 	Delay    time.Duration // of a cache; above it three times as much
 	Binary   string        // the router; empty: built for the purpose
+	Flags    []string      // further ones of its command line
 	Managed  bool          // routers have a second address, and get their listening socket handed down
 	Peers    bool          // routers may send one another datagrams, over a mesh that the caller may spoil
 	Seed     uint64        // of that mesh
@@ -283,9 +285,11 @@
 	return set
 }
 
-// freeAddr finds a free port of loopback.
+// freeAddr finds an address of loopback that is free until a router listens there: the host part is drawn at random, for a port of 127.0.0.1 may be
+// taken meanwhile by any connection that the machine opens.
 func freeAddr() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	host := net.IPv4(127, byte(1+rand.IntN(254)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
+	l, err := net.Listen("tcp", net.JoinHostPort(host.String(), "0"))
 	if err != nil {
 		return "", err
 	}
@@ -318,7 +322,7 @@
 		return nil, err
 	}
 	defer log.Close() // the process has its own
-	r.cmd = exec.Command(d.binary)
+	r.cmd = exec.Command(d.binary, d.opt.Flags...)
 	if d.opt.Features != "" {
 		r.cmd.Args = append(r.cmd.Args, "--features", filepath.Join(d.dir, "features.jsonnet"))
 	}
