--- /dev/null
+++ b/lab/local/coldservers_test.go
@@ -0,0 +1,179 @@
+package local
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"spantack/internal/router"
+)
+
+// coldBudget is what the settings allow a cache that started a while ago, in requests of mean work.
+type coldBudget struct {
+	from, multiple float64       // capacity at the start, as a part of the whole; and how many times its capacity it bears
+	warmsIn, span  time.Duration // until it is warm; and for how long it bears that multiple
+	perSpan        float64       // requests that a warm cache works off in a span
+}
+
+// cacheWeight is the weight under which add lists a server: transfers at once.
+const cacheWeight = 4
+
+// newColdBudget reads the budget from the settings, for requests of a mean size.
+func newColdBudget(settings map[string]any, meanKb float64) coldBudget {
+	guarantees, extra := settings["Guarantees"].(map[string]any), settings["Extra"].(map[string]any)
+	micros := func(name string) time.Duration { return time.Duration(guarantees[name].(int)) * time.Microsecond }
+	work := meanKb / float64(extra["PaceKbPerS"].(int)) // seconds
+	return coldBudget{from: guarantees["ColdFrom"].(float64), multiple: float64(guarantees["TipMultiple"].(int)), warmsIn: micros("Cold"), span: micros("Fall"),
+		perSpan: cacheWeight * micros("Fall").Seconds() / work}
+}
+
+// bound is the most that a cache may get within a span that begins at an age: the budget of the span's beginning, which is the least in it, and
+// what chance may add.
+func (b coldBudget) bound(age time.Duration) int {
+	part := min(b.from+(1-b.from)*max(age.Seconds(), 0)/b.warmsIn.Seconds(), 1)
+	calls := b.multiple * part * b.perSpan
+	return int(calls + 2*math.Sqrt(calls) + 2)
+}
+
+// spanCounts is, for each of some times in order, how many there are within the span that begins with it.
+func spanCounts(times []time.Time, span time.Duration) []int {
+	counts, last := make([]int, len(times)), 0
+	for first, begin := range times {
+		for last < len(times) && times[last].Sub(begin) <= span {
+			last++
+		}
+		counts[first] = last - first
+	}
+	return counts
+}
+
+// burst is a load of one class, more than cold caches bear. The sizes of its objects are spread evenly.
+type burst struct {
+	requests, objects int
+	every             time.Duration
+	leastKb, mostKb   int
+}
+
+func (b burst) meanKb() float64 { return float64(b.leastKb+b.mostKb) / 2 }
+
+// send plays a burst and returns what became of its requests.
+func (b burst) send(t *testing.T, d *Deployment) (sum Count) {
+	t.Helper()
+	const connections = 2 // to each router
+	var lines []*line
+	for _, r := range d.Routers {
+		for range connections {
+			lines = append(lines, &line{addr: r.Addr})
+		}
+	}
+	defer func() {
+		for _, l := range lines {
+			l.close()
+		}
+	}()
+	rng := rand.New(rand.NewPCG(17, 18))
+	var (
+		mu   sync.Mutex
+		open sync.WaitGroup
+	)
+	tick := time.NewTicker(b.every)
+	defer tick.Stop()
+	for i := range b.requests {
+		<-tick.C
+		object := rng.IntN(b.objects)
+		q := router.Request{ID: fmt.Sprintf("c01d%012x", i), Class: Classes[1], Object: Object(0, object), Allow: 3000,
+			SizeKb: float64(b.leastKb + object*37%(b.mostKb-b.leastKb+1))}
+		to := lines[rng.IntN(len(lines))]
+		open.Go(func() {
+			a, _, err := to.do(t.Context(), q)
+			mu.Lock()
+			defer mu.Unlock()
+			sum.book(&q, a, err, 0)
+		})
+	}
+	open.Wait()
+	return sum
+}
+
+// checkColdCalls judges the calls at a cold cache, in order: those within any span, against the budget of the span's beginning.
+func checkColdCalls(t *testing.T, name string, calls []time.Time, started time.Time, budget coldBudget) {
+	t.Helper()
+	worst := 0.0
+	for first, got := range spanCounts(calls, budget.span) {
+		age := calls[first].Sub(started)
+		bound := budget.bound(age)
+		worst = max(worst, float64(got)/float64(bound))
+		if got > bound {
+			t.Errorf("%s: %d calls within %v from %v after its start, %d may be", name, got, budget.span, age, bound)
+			break
+		}
+	}
+	t.Logf("%s: %d calls, at most %.2f of the bound, which begins at %d", name, len(calls), worst, budget.bound(0))
+}
+
+// Two of eight caches come back cold under a burst that gives each cache more than a cold one bears. All that reaches them from all processes
+// within any span of the settings' length, by the caches' request logs, is within the budget of the settings, and beyond it what chance adds;
+// also where objects take two and six times as long to send as the settings of their class suggest, so that routers must learn it.
+func TestColdCachesKeepTheirBudgetUnderAllProcesses(t *testing.T) {
+	const caches, cold = 8, 2
+	fleet := `{"fleet": {"enabled": true, "asks": 1500, "floor": 0.5, "verdicts": true}}`
+	twofold := burst{requests: 1400, objects: 600, every: 3 * time.Millisecond, leastKb: 100, mostKb: 700}
+	sixfold := burst{requests: 1400, objects: 600, every: 3 * time.Millisecond, leastKb: 60, mostKb: 2340}
+	for _, tc := range []struct {
+		name string
+		opt  Options
+		load burst
+	}{
+		{"twenty processes", Options{Routers: 20}, twofold},
+		{"thirty processes", Options{Routers: 30}, sixfold},
+		{"thirty processes with datagrams", Options{Routers: 30, Peers: true, Features: fleet, Flags: []string{"--peers"}}, sixfold},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			tc.opt.Caches, tc.opt.Delay = caches, time.Millisecond
+			d := start(t, tc.opt)
+			sent := make(chan Count, 1)
+			go func() { sent <- tc.load.send(t, d) }()
+			time.Sleep(300 * time.Millisecond) // the burst is there before
+			started := map[string]time.Time{}
+			for i := range cold {
+				before := time.Now()
+				if err := d.Replace(i, 10*time.Millisecond, i == 0); err != nil {
+					t.Fatal(err)
+				}
+				started[d.Caches[i].Name()] = before
+			}
+			sum := <-sent
+			calls := map[string][]time.Time{}
+			for _, g := range d.Ledger.Gets() {
+				calls[g.Server] = append(calls[g.Server], g.At)
+			}
+			budget := newColdBudget(Settings(tc.opt.Routers), tc.load.meanKb())
+			used := 0
+			for name, begun := range started {
+				used += len(calls[name])
+				checkColdCalls(t, name, calls[name], begun, budget)
+			}
+			if used == 0 {
+				t.Error("cold caches got nothing: their budget is not used")
+			}
+			warm := 0
+			for _, c := range d.Caches[cold:] {
+				warm = max(warm, slices.Max(append(spanCounts(calls[c.Name()], budget.span), 0)))
+			}
+			if warm <= budget.bound(0) {
+				t.Errorf("warm caches got %d calls within %v at most: the burst would not push over a cold one, which bears %d", warm, budget.span, budget.bound(0))
+			}
+			if d.Mesh != nil && d.Mesh.Counts().Passed == 0 {
+				t.Error("no datagram passed between routers")
+			}
+			if sum.Wrong > 0 {
+				t.Errorf("%d wrong answers", sum.Wrong)
+			}
+			t.Logf("warm caches: %d within %v at most; answers %+v", warm, budget.span, sum)
+		})
+	}
+}
