--- a/standin/discovery/server.go
+++ b/standin/discovery/server.go
@@ -4,6 +4,7 @@
 import (
 	"encoding/binary"
 	"io"
+	"math/rand/v2"
 	"net"
 	"net/netip"
 	"sync"
@@ -23,33 +24,39 @@
 
 // Board holds events and tells them to whoever connects.
 type Board struct {
-	l net.Listener
+	addr string
 
 	mu     sync.Mutex
+	l      net.Listener // closed while the board is down
+	mode   Mode
+	conns  map[net.Conn]bool
 	frames [][]byte // event n at n-1
 	more   chan struct{}
 	wg     sync.WaitGroup
 	done   chan struct{}
 }
 
-// Listen starts a board on loopback.
+// Listen starts a board on loopback, at a host part of its own: a port of 127.0.0.1 might be taken by another connection while it is down.
 func Listen() (*Board, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	host := net.IPv4(127, byte(1+rand.IntN(254)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
+	l, err := net.Listen("tcp", net.JoinHostPort(host.String(), "0"))
 	if err != nil {
 		return nil, err
 	}
-	b := &Board{l: l, more: make(chan struct{}), done: make(chan struct{})}
-	b.wg.Go(b.accept)
+	b := &Board{addr: l.Addr().String(), l: l, conns: map[net.Conn]bool{}, more: make(chan struct{}), done: make(chan struct{})}
+	b.wg.Go(func() { b.accept(l) })
 	return b, nil
 }
 
 // Addr is where routers connect.
-func (b *Board) Addr() string { return b.l.Addr().String() }
+func (b *Board) Addr() string { return b.addr }
 
 // Close ends the board and its connections.
 func (b *Board) Close() {
 	close(b.done)
+	b.mu.Lock()
 	b.l.Close()
+	b.mu.Unlock()
 	b.wg.Wait()
 }
 
@@ -89,13 +96,24 @@
 	return append(append(binary.BigEndian.AppendUint64(f, number), kind), body...)
 }
 
-func (b *Board) accept() {
+func (b *Board) accept(l net.Listener) {
 	for {
-		c, err := b.l.Accept()
+		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		b.wg.Go(func() { b.serve(c) })
+		b.mu.Lock()
+		b.conns[c] = true
+		if b.mode == Down { // set meanwhile
+			c.Close()
+		}
+		b.mu.Unlock()
+		b.wg.Go(func() {
+			b.serve(c)
+			b.mu.Lock()
+			delete(b.conns, c)
+			b.mu.Unlock()
+		})
 	}
 }
 
@@ -115,13 +133,17 @@
 	if _, err := io.ReadFull(c, last[:]); err != nil {
 		return
 	}
+	if !b.awaitFirstFrame() {
+		return
+	}
 	next := int(binary.BigEndian.Uint64(last[:]))
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		b.mu.Lock()
 		var send []byte
-		for ; next < len(b.frames); next++ {
+		mute := b.mode == Mute
+		for ; next < len(b.frames) && !mute; next++ {
 			send = append(send, b.frames[next]...)
 		}
 		more := b.more
@@ -132,6 +154,9 @@
 		select {
 		case <-more:
 		case <-tick.C:
+			if b.present() == Mute {
+				continue
+			}
 			if _, err := c.Write(frame(uint64(next), 0, nil)); err != nil {
 				return
 			}
