--- /dev/null
+++ b/lab/local/readiness_test.go
@@ -0,0 +1,175 @@
+package local
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os/exec"
+	"runtime"
+	"slices"
+	"testing"
+	"time"
+
+	"spantack/internal/msgpackrpc"
+	"spantack/internal/router"
+	"spantack/standin/discovery"
+)
+
+const (
+	// nineInTenReady is how soon nine in ten restarted routers have to be ready, allReady how soon all.
+	nineInTenReady = 10 * time.Second
+	allReady       = 30 * time.Second
+)
+
+// keepBusy runs a loop on each core until the test ends, an end of their own after bound at the latest.
+func keepBusy(t *testing.T, bound time.Duration) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	t.Cleanup(cancel)
+	for range runtime.NumCPU() {
+		loop := exec.CommandContext(ctx, "/bin/sh", "-c", "while :; do :; done")
+		if err := loop.Start(); err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() {
+			cancel()
+			_ = loop.Wait() // killed: that is its end
+		})
+	}
+}
+
+// knownList is the configuration's form of the list of servers: what a router that starts is told before it hears from discovery.
+func (d *Deployment) knownList() map[string]any {
+	set := Settings(d.opt.Routers)
+	zones, kinds := set["Zones"].([]string), set["Kinds"].([]string)
+	var targets []any
+	for _, s := range d.known {
+		targets = append(targets, map[string]any{"uid": fmt.Sprintf("s-%08x", s.ID), "endpoint": s.Addr.String(), "az": zones[s.Zone], "model": kinds[s.Kind],
+			"pod_group": 0, "state": "Ready", "capacity_hint": s.Weight, "boot_ms": s.Started})
+	}
+	return map[string]any{"rev": 1, "notices": []any{map[string]any{"rev": 1, "pool": map[string]any{"rev": 1, "all": true, "targets": targets}}}}
+}
+
+// ready waits until a router that has just been started takes its address and says over it that it is ready, as the platform's front does.
+func ready(ctx context.Context, r *Router) error {
+	for {
+		probe, cancel := context.WithTimeout(ctx, time.Second)
+		c, err := msgpackrpc.Dial(r.Addr, 1000)
+		yes := false
+		if err == nil {
+			yes, err = c.Ready(probe)
+			c.Close()
+		}
+		cancel()
+		if yes {
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return fmt.Errorf("router at %s is not ready: %w", r.Addr, errors.Join(ctx.Err(), err))
+		case ended := <-r.done:
+			r.done <- ended
+			return fmt.Errorf("router at %s ended: %v", r.Addr, ended)
+		case <-time.After(10 * time.Millisecond):
+		}
+	}
+}
+
+// restartAll kills all routers, starts them anew at once and returns how long each took to be ready, in order.
+func restartAll(t *testing.T, d *Deployment) []time.Duration {
+	t.Helper()
+	for _, r := range d.Routers {
+		if err := r.Kill(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), allReady)
+	defer cancel()
+	type outcome struct {
+		took time.Duration
+		err  error
+	}
+	outcomes := make(chan outcome, len(d.Routers))
+	for i, before := range d.Routers {
+		begin := time.Now()
+		r, err := d.start(i, before)
+		if err != nil {
+			t.Fatal(err)
+		}
+		d.Routers[i] = r
+		go func() {
+			err := ready(ctx, r)
+			outcomes <- outcome{time.Since(begin), err}
+		}()
+	}
+	var took []time.Duration
+	for range d.Routers {
+		o := <-outcomes
+		if o.err != nil {
+			t.Error(o.err)
+		}
+		took = append(took, o.took)
+	}
+	slices.Sort(took)
+	return took
+}
+
+// checkForwards asks each router for an object, again if it refuses, and finds by the caches' request log that it was sent on: a router is not
+// ready that does not know where to send.
+func checkForwards(t *testing.T, d *Deployment, round int) {
+	t.Helper()
+	const tries = 5
+	asked := map[string]int{} // by id of request: the router
+	for i, r := range d.Routers {
+		c, err := msgpackrpc.Dial(r.Addr, 5000)
+		if err != nil {
+			t.Fatalf("router %d: %v", i, err)
+		}
+		for try := range tries {
+			q := router.Request{ID: fmt.Sprintf("%04x%04x%08x", round, try, i), Class: Classes[1], Object: Object(0, i), SizeKb: 20, Allow: 3000}
+			asked[q.ID] = i
+			a, err := c.Do(t.Context(), q)
+			if err != nil || a.Verdict == router.Served {
+				break
+			}
+		}
+		c.Close()
+	}
+	sent := map[int]bool{}
+	for _, g := range d.Ledger.Gets() {
+		if i, known := asked[g.ID]; known {
+			sent[i] = true
+		}
+	}
+	for i := range d.Routers {
+		if !sent[i] {
+			t.Errorf("router %d says that it is ready and sent no request on", i)
+		}
+	}
+}
+
+// Thirty processes killed at one moment and started anew at once, on a machine on which a loop keeps each core busy, while discovery is slow, mute or
+// down: nine in ten are ready within 10 s and all within 30 s, and each sends requests on by what its configuration tells.
+func TestNineInTenAreReadyInTime(t *testing.T) {
+	const routers = 30
+	fleet := `{"fleet": {"enabled": true, "asks": 300, "floor": 0.5, "verdicts": true}}`
+	d := start(t, Options{Routers: routers, Caches: 4, Peers: true, Features: fleet, Flags: []string{"--peers"}})
+	for i := range routers {
+		if err := d.Configure(i, func(doc map[string]any) { doc["known"] = d.knownList() }); err != nil {
+			t.Fatal(err)
+		}
+	}
+	keepBusy(t, 2*time.Minute)
+	for round, mode := range []discovery.Mode{discovery.Slow, discovery.Mute, discovery.Down} {
+		if err := d.Board.SetMode(mode); err != nil {
+			t.Fatal(err)
+		}
+		took := restartAll(t, d)
+		ninth := took[(len(took)*9+9)/10-1]
+		t.Logf("discovery %v: ready after %v least, %v median, %v nine in ten, %v most", mode, took[0], took[len(took)/2], ninth, took[len(took)-1])
+		if ninth > nineInTenReady {
+			t.Errorf("discovery %v: nine in ten are ready after %v, %v is the limit", mode, ninth, nineInTenReady)
+		}
+		checkForwards(t, d, round)
+	}
+}
