--- a/rules/beliefs.go
+++ b/rules/beliefs.go
@@ -57,6 +57,9 @@
 	SendMean, Tail float64
 }
 
+// longAgo is a time before the start of any server.
+const longAgo = 1
+
 // Bounds on what is believed of what another process left; times are microseconds.
 const (
 	oldBeliefs  = 5_000_000 // past that age they tell of another time
@@ -127,6 +130,7 @@
 		}
 	}
 	r.behind.believe(&b.Behind)
+	r.began = longAgo // what cold servers were sent before is known
 	for _, c := range b.Classes {
 		if i, known := r.classes[c.Name]; known {
 			r.sendMean[i], r.tail[i] = c.SendMean, c.Tail
--- a/rules/cold.go
+++ b/rules/cold.go
@@ -24,7 +24,7 @@
 	if sum <= 0 {
 		work *= n.luck
 	}
-	return sum+work <= coldSafety*mult*frac*r.capacity(n)*float64(fall)
+	return sum+work <= coldSafety*r.accounted(n)*mult*frac*r.capacity(n)*float64(fall)
 }
 
 // drawDue reports that the next look at a cold n draws its luck anew.
--- a/rules/helper.go
+++ b/rules/helper.go
@@ -72,6 +72,23 @@
 	return r.sendMean[q.class]
 }
 
+// begin begins a step.
+func (r *Router) begin(now int64) {
+	r.now, r.acts = now, nil
+	if r.began == 0 {
+		r.began = now
+	}
+}
+
+// accounted is the part of the span of the rule on cold servers for which this router knows what was sent to n in its name. A process before it
+// may have sent the whole budget just before it ended.
+func (r *Router) accounted(n *node) float64 {
+	if n.cameUp >= r.began {
+		return 1
+	}
+	return min(float64(r.now-r.began)/float64(max(r.set.Guarantees.Fall, 1)), 1)
+}
+
 // classWork estimates the mean sending time of ev's class as ev comes. Requests tell their sizes at once, answers teach them
 // slowly and large ones late: the greater mean counts, for servers are pushed over by what is sent too much.
 func (r *Router) classWork(ev *Event, class int) float64 {
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -55,7 +55,7 @@
 
 // Step takes what came in at a time and returns what to do, in order.
 func (r *Router) Step(now int64, events []Event) []Action {
-	r.now, r.acts = now, nil
+	r.begin(now)
 	for i := range events {
 		ev := &events[i]
 		switch ev.Kind {
--- a/rules/state.go
+++ b/rules/state.go
@@ -194,6 +194,7 @@
 	set        Settings
 	rng        *rand.Rand
 	now        int64
+	began      int64 // when the first step was; 0: before it
 	acts       []Action
 	classes    map[string]int
 	nodes      map[string]*node
