--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -44,14 +44,16 @@
 }
 
 // operate ties the calls of the second address to the parts that carry them out; Ready is left to the caller.
-func operate(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, shelf *manage.Shelf, files *reloads, log zerolog.Logger) *manage.Server {
+func operate(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, state *manage.StateDir, files *reloads, log zerolog.Logger) *manage.Server {
 	change := func(do func(string) error) func(string) error {
-		return func(id string) error { return shelf.Change(core.Adopt, func() error { return do(id) }, core.Outs) }
+		return func(id string) error {
+			return state.ChangeEjected(core.Adopt, func() error { return do(id) }, core.Outs)
+		}
 	}
 	return &manage.Server{
 		Figures: func() []manage.Figure { return figures(core, pools, files) },
 		Exclude: change(core.Exclude), Include: change(core.Include),
-		Evacuate: server.Evacuate, Rejoin: server.Rejoin, Log: log,
+		Drain: server.Evacuate, Rejoin: server.Rejoin, Log: log,
 	}
 }
 
@@ -70,7 +72,7 @@
 }
 
 // reconfigure takes the file in anew after SIGHUP and returns the configuration in force. Nothing of a file applies unless all of it can
-// be used. The board's address and the settings change in a running router; limits, seed and what connections rest on take a restart.
+// be used. The address of the discovery service and the settings change in a running router; limits, seed and what connections rest on take a restart.
 func reconfigure(old *config.Config, again reload, core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, move func(string), files *reloads,
 	log zerolog.Logger) *config.Config {
 	c, err := again()
@@ -92,21 +94,21 @@
 		c.MaxStreams != old.MaxStreams || c.Settings.Zone != old.Settings.Zone {
 		log.Warn().Msg("new configuration differs in what takes a restart")
 	}
-	log.Info().Str("from", old.Board).Str("board", c.Board).Int("classes", len(c.Settings.Classes)).
+	log.Info().Str("from", old.DiscoveryAddr).Str("board", c.DiscoveryAddr).Int("classes", len(c.Settings.Classes)).
 		Int("attempts", c.Settings.Permissions.MaxAttempts).Msg("new configuration")
-	if c.Board != old.Board {
-		move(c.Board)
+	if c.DiscoveryAddr != old.DiscoveryAddr {
+		move(c.DiscoveryAddr)
 	}
 	taken := *c
-	taken.Notices = nil // those of the start: the board has told what came since
+	taken.Notices = nil // those of the start: the watch has brought what came since
 	taken.MemoryMB, taken.Sockets, taken.DialTimeout, taken.IdleClose, taken.MaxStreams = old.MemoryMB, old.Sockets, old.DialTimeout, old.IdleClose, old.MaxStreams
 	return &taken
 }
 
 // takeOver starts with what the process believed that this one replaces, where there is one. Without it a router begins with small
 // limits and no idea of who fails.
-func takeOver(core *router.Router, shelf *manage.Shelf, log zerolog.Logger) {
-	b, found, err := shelf.Beliefs()
+func takeOver(core *router.Router, state *manage.StateDir, log zerolog.Logger) {
+	b, found, err := state.LoadBeliefs()
 	if err == nil && found {
 		err = core.Believe(b)
 	}
--- a/lab/local/readiness_test.go
+++ b/lab/local/readiness_test.go
@@ -161,7 +161,7 @@
 	}
 	keepBusy(t, 2*time.Minute)
 	for round, mode := range []discovery.Mode{discovery.Slow, discovery.Mute, discovery.Down} {
-		if err := d.Board.SetMode(mode); err != nil {
+		if err := d.Discovery.SetMode(mode); err != nil {
 			t.Fatal(err)
 		}
 		took := restartAll(t, d)
--- a/standin/discovery/mode.go
+++ b/standin/discovery/mode.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Mode is how a Board treats those who connect.
+// Mode is how a Service treats those who connect.
 type Mode int
 
 // The modes.
@@ -20,34 +20,34 @@
 // String names the mode.
 func (m Mode) String() string { return [...]string{"serving", "slow", "mute", "down"}[m] }
 
-// firstFrameAfter is how late the first frame of a connection is while a board is slow. The next comes when one would have come anyway.
+// firstFrameAfter is how late the first frame of a connection is while a service is slow. The next comes when one would have come anyway.
 const firstFrameAfter = 1500 * time.Millisecond
 
-// SetMode changes how the board treats connections: Mute those that there are too, Slow new ones alone; Down ends all.
-func (b *Board) SetMode(mode Mode) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.mode == Down && mode != Down {
-		l, err := net.Listen("tcp", b.addr)
+// SetMode changes how the service treats connections: Mute those that there are too, Slow new ones alone; Down ends all.
+func (s *Service) SetMode(mode Mode) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.mode == Down && mode != Down {
+		l, err := net.Listen("tcp", s.addr)
 		if err != nil {
 			return fmt.Errorf("mode %v: %w", mode, err)
 		}
-		b.l = l
-		b.wg.Go(func() { b.accept(l) })
+		s.listener = l
+		s.goroutines.Go(func() { s.accept(l) })
 	}
-	if b.mode != Down && mode == Down {
-		b.l.Close()
-		for c := range b.conns {
+	if s.mode != Down && mode == Down {
+		s.listener.Close()
+		for c := range s.conns {
 			c.Close()
 		}
 	}
-	b.mode = mode
+	s.mode = mode
 	return nil
 }
 
-// awaitFirstFrame waits until a connection in the board's present mode gets its first frame; false: the board has ended.
-func (b *Board) awaitFirstFrame() bool {
-	if b.present() != Slow {
+// awaitFirstFrame waits until a connection in the present mode gets its first frame; false: the service has ended.
+func (s *Service) awaitFirstFrame() bool {
+	if s.present() != Slow {
 		return true
 	}
 	timer := time.NewTimer(firstFrameAfter)
@@ -55,13 +55,13 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-b.done:
+	case <-s.done:
 		return false
 	}
 }
 
-func (b *Board) present() Mode {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.mode
+func (s *Service) present() Mode {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.mode
 }
