--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"io"
 	"net"
 	"strings"
 	"testing"
@@ -11,32 +10,21 @@
 
 	"spantack/core/coldstart"
 	"spantack/internal/clock"
+	"spantack/internal/loopback"
 	"spantack/internal/router"
+	"spantack/internal/testwait"
 )
 
-func listen(t *testing.T) net.Listener {
+// acceptWatch accepts a watcher's connection and reads the event number that it resumes after.
+func acceptWatch(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	return l
+	return acceptWatchAfter(t, l, "\x00\x00\x00\x00\x00\x00\x00\x29")
 }
 
-// acceptWatch accepts a watcher's connection and reads the event number that it resumes after.
-func acceptWatch(t *testing.T, l net.Listener) net.Conn {
+// acceptWatchAfter accepts a watcher's connection, which must resume after a given event number.
+func acceptWatchAfter(t *testing.T, l net.Listener, want string) net.Conn {
 	t.Helper()
-	nc, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { nc.Close() })
-	var from [8]byte
-	if _, err := io.ReadFull(nc, from[:]); err != nil || string(from[:]) != "\x00\x00\x00\x00\x00\x00\x00\x29" {
-		t.Fatalf("asked from %q (%v)", from, err)
-	}
-	return nc
+	return testwait.AcceptHello(t, l, want, "a watcher")
 }
 
 // A watch falls silent at each point, or sends too little too slowly, with the last router of a fleet of hundreds waiting for its slot
@@ -48,14 +36,14 @@
 		"in its payload": event[:len(event)-1], "a byte at a time": event, "before the first frame, twice": nil} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			l := listen(t)
+			l := testwait.Listen(t)
 			applied := make(chan router.Notice, 8)
 			w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Tries: coldstart.Tries{Rank: 299, Siblings: 300},
 				Apply: func(n router.Notice) { applied <- n }}
 			w.SetAddress(l.Addr().String())
 			go w.Run(t.Context())
 			first := acceptWatch(t, l)
-			silent := time.Now()
+			silent := testwait.StartStopwatch()
 			if name == "a byte at a time" {
 				go func() {
 					for _, b := range part {
@@ -74,8 +62,8 @@
 				limit = 7 * time.Second
 			}
 			acceptWatch(t, l).Write(event)
-			<-applied
-			if took := time.Since(silent); took > limit {
+			testwait.Receive(t, applied, "the event to be applied")
+			if took := silent.Elapsed(); took > limit {
 				t.Errorf("in force %v after the stop", took)
 			}
 		})
@@ -98,7 +86,7 @@
 
 // The address changes twice in a row just as a watcher begins to wait for a retry: it connects to the last one.
 func TestAddressChangesTwiceBeforeRetry(t *testing.T) {
-	old, skipped, last := listen(t), listen(t), listen(t)
+	old, skipped, last := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
 	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Tries: coldstart.Tries{Rank: 7, Siblings: 300},
 		Apply: func(router.Notice) {}}
 	w.Log = zerolog.New(&hookWriter{do: func() {
@@ -108,12 +96,12 @@
 	w.SetAddress(old.Addr().String())
 	go w.Run(t.Context())
 	acceptWatch(t, old).Close()
-	began := time.Now()
+	began := testwait.StartStopwatch()
 	acceptWatch(t, last)
-	if took := time.Since(began); took > 2*time.Second {
+	if took := began.Elapsed(); took > 2*time.Second {
 		t.Errorf("%v until it asked at the new address", took)
 	}
-	skipped.(*net.TCPListener).SetDeadline(time.Now())
+	skipped.SetDeadline(time.Now())
 	if _, err := skipped.Accept(); err == nil {
 		t.Error("it went to the address that was left at once")
 	}
@@ -121,11 +109,9 @@
 
 // The address changes while a watcher still dials the old one, where nobody listens any more.
 func TestAddressChangesWhileDialling(t *testing.T) {
-	last := listen(t)
-	gone := listen(t)
-	gone.Close()
+	last := testwait.Listen(t)
 	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Apply: func(router.Notice) {}}
-	w.SetAddress(gone.Addr().String())
+	w.SetAddress(loopback.Free())
 	go w.Run(t.Context())
 	w.SetAddress(last.Addr().String())
 	acceptWatch(t, last)
--- a/standin/discovery/server.go
+++ b/standin/discovery/server.go
@@ -4,6 +4,7 @@
 import (
 	"encoding/binary"
 	"io"
+	"math/rand/v2"
 	"net"
 	"net/netip"
 	"sync"
@@ -29,35 +30,42 @@
 	Started int64 // Unix milliseconds; 0: long ago
 }
 
-// Service holds events and tells them to whoever connects.
+// Service holds events and sends them to whoever connects.
 type Service struct {
-	listener net.Listener
+	addr string
 
 	mu         sync.Mutex
-	frames     [][]byte // event n at index n-1
+	listener   net.Listener // closed while the service is down
+	mode       Mode
+	conns      map[net.Conn]bool
+	frames     [][]byte // event n at n-1
 	changed    chan struct{}
 	goroutines sync.WaitGroup
 	done       chan struct{}
 }
 
-// Listen starts a discovery service on loopback. Close ends it.
+// Listen starts a discovery service on loopback, at a host part of its own: a port of 127.0.0.1 might be taken by another connection while the
+// service is down. Close ends it.
 func Listen() (*Service, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	host := net.IPv4(127, byte(1+rand.IntN(254)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
+	l, err := net.Listen("tcp", net.JoinHostPort(host.String(), "0"))
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{listener: l, changed: make(chan struct{}), done: make(chan struct{})}
-	s.goroutines.Go(s.accept)
+	s := &Service{addr: l.Addr().String(), listener: l, conns: map[net.Conn]bool{}, changed: make(chan struct{}), done: make(chan struct{})}
+	s.goroutines.Go(func() { s.accept(l) })
 	return s, nil
 }
 
 // Addr returns the address that routers connect to.
-func (s *Service) Addr() string { return s.listener.Addr().String() }
+func (s *Service) Addr() string { return s.addr }
 
 // Close ends the service and its connections.
 func (s *Service) Close() {
 	close(s.done)
+	s.mu.Lock()
 	s.listener.Close()
+	s.mu.Unlock()
 	s.goroutines.Wait()
 }
 
@@ -97,13 +105,24 @@
 	return append(append(binary.BigEndian.AppendUint64(f, number), kind), body...)
 }
 
-func (s *Service) accept() {
+func (s *Service) accept(l net.Listener) {
 	for {
-		c, err := s.listener.Accept()
+		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		s.goroutines.Go(func() { s.serve(c) })
+		s.mu.Lock()
+		s.conns[c] = true
+		if s.mode == Down { // set meanwhile
+			c.Close()
+		}
+		s.mu.Unlock()
+		s.goroutines.Go(func() {
+			s.serve(c)
+			s.mu.Lock()
+			delete(s.conns, c)
+			s.mu.Unlock()
+		})
 	}
 }
 
@@ -123,13 +142,17 @@
 	if _, err := io.ReadFull(c, last[:]); err != nil {
 		return
 	}
+	if !s.awaitFirstFrame() {
+		return
+	}
 	next := int(binary.BigEndian.Uint64(last[:]))
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		s.mu.Lock()
 		var send []byte
-		for ; next < len(s.frames); next++ {
+		mute := s.mode == Mute
+		for ; next < len(s.frames) && !mute; next++ {
 			send = append(send, s.frames[next]...)
 		}
 		changed := s.changed
@@ -140,6 +163,9 @@
 		select {
 		case <-changed:
 		case <-tick.C:
+			if s.present() == Mute {
+				continue
+			}
 			if _, err := c.Write(frame(uint64(next), kindHeartbeat, nil)); err != nil {
 				return
 			}
