--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -252,7 +252,7 @@
 		staff := operate(core, server, pools, state, &files, log)
 		staff.Ready = server.Ready
 		group.Go(func() error { return staff.Serve(serving, second) })
-		group.Go(func() error { return state.WatchEjected(serving, core.Adopt) })
+		group.Go(func() error { return state.WatchExcluded(serving, core.Adopt) })
 		if inherited {
 			group.Go(func() error { return state.SaveBeliefs(serving, core.Beliefs) })
 		}
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -47,7 +47,7 @@
 func operate(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, state *manage.StateDir, files *reloads, log zerolog.Logger) *manage.Server {
 	change := func(do func(string) error) func(string) error {
 		return func(id string) error {
-			return state.ChangeEjected(core.Adopt, func() error { return do(id) }, core.Excluded)
+			return state.ChangeExcluded(core.Adopt, func() error { return do(id) }, core.Excluded)
 		}
 	}
 	return &manage.Server{
--- a/internal/manage/crossings_test.go
+++ b/internal/manage/crossings_test.go
@@ -14,11 +14,11 @@
 	"spantack/internal/testwait"
 )
 
-// What the other process wrote is adopted here while a call ejects a server: the call must come after or before, not in between, or what was
+// What the other process wrote is adopted here while a call excludes a server: the call must come after or before, not in between, or what was
 // read before it would undo it.
 func TestWatchInterleavedWithChange(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, ejectedFile), []byte(`["s-1"]`), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, excludedFile), []byte(`["s-1"]`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	state := NewStateDir(dir, zerolog.Nop())
@@ -26,7 +26,7 @@
 	defer stop()
 	entered, leave, ended := make(chan struct{}), make(chan struct{}), make(chan error)
 	go func() {
-		ended <- state.WatchEjected(ctx, func([]string) error { // it has read, and stands before it adopts
+		ended <- state.WatchExcluded(ctx, func([]string) error { // it has read, and stands before it adopts
 			entered <- struct{}{}
 			<-leave
 			return nil
@@ -44,10 +44,10 @@
 	if err := testwait.Receive(t, ended, "the end of Follow"); err != nil {
 		t.Error(err)
 	}
-	if err := state.ChangeEjected(func([]string) error { return nil }, func() error { return nil }, func() []string { return []string{"s-2"} }); err != nil {
+	if err := state.ChangeExcluded(func([]string) error { return nil }, func() error { return nil }, func() []string { return []string{"s-2"} }); err != nil {
 		t.Error(err)
 	}
-	if ids, err := state.Ejected(); err != nil || len(ids) != 1 || ids[0] != "s-2" {
+	if ids, err := state.Excluded(); err != nil || len(ids) != 1 || ids[0] != "s-2" {
 		t.Errorf("%v, %v", ids, err)
 	}
 }
@@ -100,12 +100,12 @@
 	ended := make(chan error)
 	nothing := func([]string) error { return nil }
 	go func() {
-		ended <- stopped.ChangeEjected(nothing, func() error { close(in); <-leave; return nil }, func() []string { return nil })
+		ended <- stopped.ChangeExcluded(nothing, func() error { close(in); <-leave; return nil }, func() []string { return nil })
 	}()
 	testwait.Receive(t, in, "a change to begin")
 	answer := make(chan error, 1)
 	go func() {
-		answer <- state.ChangeEjected(nothing, func() error { return nil }, func() []string { return nil })
+		answer <- state.ChangeExcluded(nothing, func() error { return nil }, func() []string { return nil })
 	}()
 	const inTime = 10 * lockTimeout * time.Millisecond
 	if err := testwait.ReceiveWithin(t, inTime, answer, "the answer to a call beside a process that is stopped"); !errors.Is(err, syscall.EWOULDBLOCK) {
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -168,7 +168,7 @@
 	}
 	start := func() *process {
 		p := &process{state: NewStateDir(dir, zerolog.Nop()), list: roster.New()}
-		ids, err := p.state.Ejected()
+		ids, err := p.state.Excluded()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -183,7 +183,7 @@
 			return err
 		}
 	}
-	ejected := func(p *process) func() []string {
+	excluded := func(p *process) func() []string {
 		return func() []string {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -191,7 +191,7 @@
 		}
 	}
 	once := func(p *process, id string, in bool) error {
-		return p.state.ChangeEjected(adopt(p), func() error {
+		return p.state.ChangeExcluded(adopt(p), func() error {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			ids := p.list.Outs()
@@ -202,7 +202,7 @@
 			}
 			_, err := p.list.Adopt(ids)
 			return err
-		}, ejected(p))
+		}, excluded(p))
 	}
 	change := func(p *process, id string, in bool) error { // again where others had the lock for so long that a caller is told no
 		err := once(p, id, in)
@@ -228,14 +228,14 @@
 	if err := change(fresh, "a", true); err != nil {
 		t.Fatal(err)
 	}
-	if got := ejected(fresh)(); len(got) != 40 || slices.Contains(got, "a") {
+	if got := excluded(fresh)(); len(got) != 40 || slices.Contains(got, "a") {
 		t.Errorf("%d are out: %v", len(got), got)
 	}
 	heard := make(chan struct{})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- old.state.WatchEjected(ctx, func(ids []string) error {
+		ended <- old.state.WatchExcluded(ctx, func(ids []string) error {
 			if len(ids) == 40 {
 				close(heard)
 			}
@@ -247,25 +247,25 @@
 	if err := testwait.Receive(t, ended, "the end of Follow"); err != nil {
 		t.Error(err)
 	}
-	if got := ejected(old)(); slices.Contains(got, "a") {
+	if got := excluded(old)(); slices.Contains(got, "a") {
 		t.Errorf("the other process still has %v out", got)
 	}
-	if err := os.Remove(filepath.Join(dir, ejectedFile)); err != nil {
+	if err := os.Remove(filepath.Join(dir, excludedFile)); err != nil {
 		t.Fatal(err)
 	}
 	if err := change(fresh, "b", false); err != nil { // a file that was lost undoes nothing
 		t.Fatal(err)
 	}
-	if got := ejected(fresh)(); len(got) != 41 {
+	if got := excluded(fresh)(); len(got) != 41 {
 		t.Errorf("%d are out after the file was lost", len(got))
 	}
-	for _, id := range ejected(fresh)() {
+	for _, id := range excluded(fresh)() {
 		if err := change(fresh, id, true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	old.state.Restore(adopt(old))
-	if got := ejected(old)(); len(got) != 0 {
+	if got := excluded(old)(); len(got) != 0 {
 		t.Errorf("the last one put back is still out at the other process: %v", got)
 	}
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
@@ -285,10 +285,10 @@
 		t.Errorf("replaced by itself, %v", err)
 	}
 	for _, text := range []string{"", "{", `{"a":1}`, strings.Repeat(" ", maxFileBytes+1)} {
-		if err := os.WriteFile(filepath.Join(dir, ejectedFile), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, excludedFile), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if ids, err := s.Ejected(); err == nil || ids != nil {
+		if ids, err := s.Excluded(); err == nil || ids != nil {
 			t.Errorf("%.10q: read as %v", text, ids)
 		}
 	}
@@ -298,7 +298,7 @@
 	}
 	none := NewStateDir("", zerolog.Nop())
 	called := false
-	if err := none.ChangeEjected(nil, func() error { called = true; return nil }, nil); err != nil || !called || none.ClaimServing() != nil || none.Replaced() {
+	if err := none.ChangeExcluded(nil, func() error { called = true; return nil }, nil); err != nil || !called || none.ClaimServing() != nil || none.Replaced() {
 		t.Error("without a state directory")
 	}
 }
--- a/internal/manage/statedir.go
+++ b/internal/manage/statedir.go
@@ -17,7 +17,7 @@
 	"spantack/rules"
 )
 
-// StateDir is the directory that the processes of one router share while one replaces the other. It holds the servers that were ejected by
+// StateDir is the directory that the processes of one router share while one replaces the other. It holds the servers that were excluded by
 // hand, the process that serves, and the handover state (beliefs). A lost or unreadable file counts as empty, for the directory is new after
 // a crash. A nil StateDir shares nothing; all its methods may be called.
 type StateDir struct {
@@ -28,12 +28,12 @@
 
 const (
 	// The files keep their names between releases: a process may replace one of an older release.
-	ejectedFile  = "spantack-outs.json"
+	excludedFile = "spantack-outs.json"
 	lockFile     = "spantack-lock"
 	servingFile  = "spantack-serving"
 	beliefsFile  = "spantack-beliefs.json"
 	maxFileBytes = 256 << 10
-	// watchInterval is how often ejectedFile is checked for changes by the other process, in milliseconds. It must stay well under the
+	// watchInterval is how often excludedFile is checked for changes by the other process, in milliseconds. It must stay well under the
 	// 500 ms after which an exclusion binds.
 	watchInterval = 100
 	// saveInterval is how often the beliefs are written while this process serves, in milliseconds.
@@ -96,24 +96,24 @@
 	return errors.Is(syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB), syscall.EWOULDBLOCK)
 }
 
-// Ejected reads the servers that were ejected by hand; none without a file.
-func (d *StateDir) Ejected() (ids []string, err error) {
+// Excluded reads the servers that were excluded by hand; none without a file.
+func (d *StateDir) Excluded() (ids []string, err error) {
 	if d == nil {
 		return nil, nil
 	}
-	if err = d.readFile(ejectedFile, &ids); errors.Is(err, fs.ErrNotExist) {
+	if err = d.readFile(excludedFile, &ids); errors.Is(err, fs.ErrNotExist) {
 		err = nil
 	}
 	return ids, err
 }
 
-// Restore passes the ejected servers of the file to adopt. A missing or unreadable file changes nothing: it must neither undo a call nor keep
+// Restore passes the excluded servers of the file to adopt. A missing or unreadable file changes nothing: it must neither undo a call nor keep
 // the router from serving.
 func (d *StateDir) Restore(adopt func([]string) error) {
 	if d == nil {
 		return
 	}
-	ids, err := d.Ejected()
+	ids, err := d.Excluded()
 	if err == nil && ids != nil {
 		err = adopt(ids)
 	}
@@ -155,10 +155,10 @@
 	return b, err == nil, err
 }
 
-// ChangeEjected makes one change to the ejected servers under the lock that the processes share: it adopts what the other process wrote, calls
-// change, and writes what ejected returns then. A nil StateDir only calls change. Where another process, stopped in the middle of a change,
+// ChangeExcluded makes one change to the excluded servers under the lock that the processes share: it adopts what the other process wrote, calls
+// change, and writes what excluded returns then. A nil StateDir only calls change. Where another process, stopped in the middle of a change,
 // holds the lock for longer than lockTimeout, the error is EWOULDBLOCK.
-func (d *StateDir) ChangeEjected(adopt func([]string) error, change func() error, ejected func() []string) error {
+func (d *StateDir) ChangeExcluded(adopt func([]string) error, change func() error, excluded func() []string) error {
 	if d == nil {
 		return change()
 	}
@@ -175,10 +175,10 @@
 	if err := change(); err != nil {
 		return err
 	}
-	return d.writeFile(ejectedFile, append([]string{}, ejected()...)) // never nil, which would be written as null
+	return d.writeFile(excludedFile, append([]string{}, excluded()...)) // never nil, which would be written as null
 }
 
-// lock takes the lock on the ejected servers; mode is that of flock. With LOCK_NB the error is EWOULDBLOCK while another process holds it.
+// lock takes the lock on the excluded servers; mode is that of flock. With LOCK_NB the error is EWOULDBLOCK while another process holds it.
 func (d *StateDir) lock(mode int) (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(d.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err == nil {
@@ -190,9 +190,9 @@
 	return nil, fmt.Errorf("lock of what is out: %w", err)
 }
 
-// WatchEjected adopts what the other process writes, until ctx ends. It reads and adopts under the lock, or a change made between the two
+// WatchExcluded adopts what the other process writes, until ctx ends. It reads and adopts under the lock, or a change made between the two
 // would be undone. While another process holds the lock it retries at the next tick.
-func (d *StateDir) WatchEjected(ctx context.Context, adopt func([]string) error) error {
+func (d *StateDir) WatchExcluded(ctx context.Context, adopt func([]string) error) error {
 	if d == nil {
 		return nil
 	}
@@ -200,7 +200,7 @@
 	defer ticker.Stop()
 	var adopted fs.FileInfo
 	for {
-		info, err := os.Stat(filepath.Join(d.dir, ejectedFile))
+		info, err := os.Stat(filepath.Join(d.dir, excludedFile))
 		if err == nil && (adopted == nil || !os.SameFile(adopted, info) || info.ModTime() != adopted.ModTime()) {
 			if unlock, err := d.lock(syscall.LOCK_SH | syscall.LOCK_NB); err == nil {
 				adopted = info // from before the lock: a later write is noticed at the next tick
