--- a/standin/tier/tier.go
+++ b/standin/tier/tier.go
@@ -35,10 +35,10 @@
 	Class  string
 	Object string
 	Part   string
-	Next   string // where a miss is filled from
-	Held   bool   // the source gives only what it holds
-	MaxAge int64  // ms, the oldest copy that will do; 0: any
-	At     time.Time
+	Next   string    // where a miss is filled from
+	Held   bool      // the source gives only what it holds
+	MaxAge int64     // ms, the oldest copy that will do; 0: any
+	At     time.Time // when the kernel received it whole
 }
 
 // Ledger notes what reached the servers of one deployment, and judges what can be judged from there.
@@ -117,6 +117,10 @@
 	Source func(id string) *Server // finds the servers that fills come from
 	Script func(Get) Fault         // nil: no faults
 	Ledger *Ledger
+	// Narrow gives connections the smallest buffers: a command of 32 KB or more blocks its sender until the server reads.
+	Narrow bool
+	// Listener is where the server takes connections; nil: it opens one at Addr.
+	Listener net.Listener
 }
 
 // Server is one server of the tier.
@@ -124,11 +128,15 @@
 	opt Options
 	l   net.Listener
 
-	mu    sync.Mutex
-	held  map[string]time.Time // by object and part: when the head office gave it out
-	conns map[net.Conn]bool
-	wg    sync.WaitGroup
-	gone  bool
+	reading gate // closed while the server reads nothing
+
+	mu       sync.Mutex
+	held     map[string]time.Time // by object and part: when the head office gave it out
+	conns    map[net.Conn]*arrivals
+	accepted int
+	wg       sync.WaitGroup
+	gone     bool
+	done     chan struct{} // closed by Close
 }
 
 // mostAtOnce bounds what one connection has open; more are answered BUSY.
@@ -139,11 +147,14 @@
 	if opt.Addr == "" {
 		opt.Addr = "127.0.0.1:0"
 	}
-	l, err := net.Listen("tcp", opt.Addr)
+	l, err := opt.Listener, error(nil)
+	if l == nil {
+		l, err = listen(opt.Addr, opt.Narrow)
+	}
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{opt: opt, l: l, held: map[string]time.Time{}, conns: map[net.Conn]bool{}}
+	s := &Server{opt: opt, l: l, held: map[string]time.Time{}, conns: map[net.Conn]*arrivals{}, done: make(chan struct{})}
 	s.wg.Go(s.accept)
 	return s, nil
 }
@@ -158,7 +169,10 @@
 func (s *Server) Close() {
 	s.l.Close()
 	s.mu.Lock()
-	s.gone = true
+	if !s.gone {
+		s.gone = true
+		close(s.done)
+	}
 	for c := range s.conns {
 		c.Close()
 	}
@@ -172,15 +186,21 @@
 		if err != nil {
 			return
 		}
+		in, err := newArrivals(c.(*net.TCPConn), &s.reading, s.done)
+		if err != nil {
+			c.Close()
+			continue
+		}
 		s.mu.Lock()
+		s.accepted++
 		if s.gone {
 			c.Close()
 		} else {
-			s.conns[c] = true
+			s.conns[c] = in
 		}
 		s.mu.Unlock()
 		s.wg.Go(func() {
-			s.serve(c)
+			s.serve(c, in)
 			s.mu.Lock()
 			delete(s.conns, c)
 			s.mu.Unlock()
@@ -188,6 +208,25 @@
 	}
 }
 
+// Pause makes the server read nothing from its connections until Resume, as a process that hangs; a read that waits already still gets what
+// comes first.
+func (s *Server) Pause() { s.reading.close() }
+
+// Resume ends a Pause.
+func (s *Server) Resume() { s.reading.open() }
+
+// Connections tells how many connections were accepted so far, how many of them are open, and how many of those hold bytes that were not read.
+func (s *Server) Connections() (accepted, open, unread int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, in := range s.conns {
+		if in.unread() {
+			unread++
+		}
+	}
+	return s.accepted, len(s.conns), unread
+}
+
 // Body is what the head office has under an object and part: whoever asked can tell that it is whole.
 func Body(object, part string) []byte {
 	h := fnv.New64a()
@@ -200,7 +239,7 @@
 	return body
 }
 
-func (s *Server) serve(c net.Conn) {
+func (s *Server) serve(c net.Conn, arrived *arrivals) {
 	defer c.Close()
 	var (
 		write sync.Mutex
@@ -214,7 +253,7 @@
 		defer write.Unlock()
 		_, _ = c.Write(resp.AppendArray(nil, parts...)) // a client that is gone needs no answer
 	}
-	in := bufio.NewReader(c)
+	in := bufio.NewReader(arrived)
 	defer func() { // what is open on a connection that closes is given up
 		mu.Lock()
 		defer mu.Unlock()
@@ -240,7 +279,7 @@
 			}
 			mu.Unlock()
 		case len(parts) == 4 && string(parts[0]) == "GET":
-			g := parse(s.Name(), parts)
+			g := parse(s.Name(), parts, arrived.at)
 			d := make(chan struct{})
 			mu.Lock()
 			full := len(drops) >= mostAtOnce
@@ -280,8 +319,8 @@
 }
 
 // parse reads GET ID FIELDS BODY.
-func parse(server string, parts [][]byte) Get {
-	g := Get{Server: server, ID: string(parts[1]), At: time.Now()}
+func parse(server string, parts [][]byte, at time.Time) Get {
+	g := Get{Server: server, ID: string(parts[1]), At: at}
 	for pair := range strings.SplitSeq(string(parts[2]), ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
