--- /dev/null
+++ b/cmd/spantack/departed_test.go
@@ -0,0 +1,515 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"os"
+	"os/exec"
+	"runtime"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+	"unsafe"
+
+	caches "spantack/standin/tier"
+)
+
+// A client that cancels or closes its connection has gone: an attempt of its request that begins more than departedGrace later is late, and
+// mostLate of them are let pass. Everything here is judged by the caches' log of requests: by when the kernel received an attempt whole, against
+// the moment at which the client's act was done.
+const (
+	departedGrace = 100 * time.Millisecond
+	mostLate      = 2
+)
+
+// playsAtOnce bounds how many deployments are up at a time.
+const playsAtOnce = 4
+
+// wayOut is a way in which a client leaves.
+type wayOut struct {
+	name string
+	// asks means that the client's request goes out in the same moment.
+	asks  bool
+	leave func(c *caller, request []byte)
+}
+
+var waysOut = []wayOut{
+	{name: "cancel", leave: func(c *caller, _ []byte) { io.WriteString(c, "\x93\x02\xa6cancel\x91\x02") }},
+	{name: "close", leave: func(c *caller, _ []byte) { c.Close() }},
+	{name: "reset", leave: func(c *caller, _ []byte) { c.reset() }},
+	{name: "half-close", leave: func(c *caller, _ []byte) { c.CloseWrite() }},
+	{name: "close with its last byte", asks: true, leave: func(c *caller, request []byte) {
+		c.cork()
+		c.Write(request)
+		c.Close()
+	}},
+	{name: "cancel with its last byte", asks: true, leave: func(c *caller, request []byte) {
+		c.Write(append(slices.Clone(request), "\x93\x02\xa6cancel\x91\x02"...))
+	}},
+	{name: "reset after its last byte", asks: true, leave: func(c *caller, request []byte) {
+		c.Write(request)
+		c.reset()
+	}},
+}
+
+// reset closes the connection such that its peer sees a reset.
+func (c *caller) reset() {
+	c.SetLinger(0)
+	c.Close()
+}
+
+// cork makes the kernel send the last bytes and the end of the stream together.
+func (c *caller) cork() {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	if err := raw.Control(func(fd uintptr) {
+		syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_CORK, 1)
+	}); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// waitingPlace is where in the router a request waits when its client leaves. Nothing can begin there until the test lets it.
+type waitingPlace struct {
+	name     string
+	each     int  // clients for each way out; 0: three
+	caches   int  // 0: three
+	sockets  int  // 0: enough for all
+	body     int  // bytes in the requests of those who leave
+	unasked  bool // they ask in the moment in which they leave
+	held     bool // first attempts are with the caches, and end when the test says so, such that a further one follows
+	lateDial bool // connections to the caches do not come up
+	paused   bool // the caches read nothing
+	blockers int  // commands longer than a connection takes, which were begun before
+	busy     bool // it is also played on a busy core
+}
+
+// fewestSockets leave the router so few connections to caches that attempts share them.
+const fewestSockets = 64
+
+// longCommand is the body of a request that no connection to a cache that is paused takes whole.
+const longCommand = 48_000
+
+var waitingPlaces = []waitingPlace{
+	{name: "module", unasked: true},
+	{name: "late dial", lateDial: true},
+	{name: "queue behind a stuck write", paused: true, blockers: 8, sockets: fewestSockets},
+	{name: "its own stuck write", paused: true, body: longCommand},
+	{name: "between attempts", held: true, busy: true},
+	{name: "late dial, hundreds", lateDial: true, each: 30, caches: 10, sockets: 2048, busy: true},
+}
+
+// condition is what else befalls the router at that time.
+type condition struct {
+	name    string
+	stopped bool // it gets no processor time from before its client leaves until after the next attempt could begin
+	ending  bool // it was told to end
+	busy    bool // it shares one core with programs that never rest
+}
+
+var conditions = []condition{{name: "serving"}, {name: "stopped", stopped: true}, {name: "ending", ending: true}, {name: "busy", busy: true}}
+
+func TestDepartedIsNotSentOn(t *testing.T) {
+	t.Parallel()
+	plays := make(chan struct{}, playsAtOnce)
+	for _, place := range waitingPlaces {
+		for _, under := range conditions {
+			if under.busy && !place.busy {
+				continue
+			}
+			t.Run(strings.ReplaceAll(place.name+"/"+under.name, " ", "-"), func(t *testing.T) {
+				t.Parallel()
+				plays <- struct{}{}
+				defer func() { <-plays }()
+				newDeparture(t, place, under).play()
+			})
+		}
+	}
+}
+
+// departure is one deployment from which clients leave.
+type departure struct {
+	*deployment
+	place   waitingPlace
+	under   condition
+	gate    chan struct{} // closed when attempts may end
+	open    []func()      // lets connections come up
+	leavers []*leaver
+	stays   []*caller
+	waiting int // requests at the place
+}
+
+// leaver is a client that leaves.
+type leaver struct {
+	*caller
+	ref  string
+	way  wayOut
+	left time.Time // when its act was done
+}
+
+const (
+	departedDeadline = 10 * time.Second // far more than a play takes: nothing ends because its time is up
+	staying          = 2                // clients that stay
+)
+
+func newDeparture(t *testing.T, place waitingPlace, under condition) *departure {
+	p := &departure{place: place, under: under, gate: make(chan struct{})}
+	plan := blueprint{caches: place.caches, sockets: place.sockets, deadline: departedDeadline}
+	if plan.caches == 0 {
+		plan.caches = 3
+	}
+	if plan.sockets == 0 {
+		plan.sockets = 256
+	}
+	plan.cache = func(_ int, opt *caches.Options) {
+		opt.Narrow = place.paused
+		if place.lateDial {
+			late := newLateListener(t)
+			opt.Listener = late
+			p.open = append(p.open, func() { late.comeUp(t) })
+		}
+	}
+	if place.held || place.unasked {
+		plan.script = p.hold
+	}
+	if under.busy {
+		core := newBusyCore(t)
+		plan.start = core.start
+	}
+	p.deployment = deploy(t, plan)
+	return p
+}
+
+// hold lets an attempt end only when the test says so: by ERR, by BUSY or by a connection that breaks.
+func (p *departure) hold(g caches.Get) caches.Fault {
+	select {
+	case <-p.gate:
+		return caches.None
+	default:
+	}
+	<-p.gate
+	return []caches.Fault{caches.Err, caches.Busy, caches.Spoil}[g.ID[len(g.ID)-1]%3]
+}
+
+// play brings all clients to the place, lets them leave, and then, later than the grace, lets what waits there go on.
+func (p *departure) play() {
+	p.connectAll()
+	p.fill()
+	if p.under.ending {
+		p.signal(syscall.SIGTERM)
+		await(p.t, "the router says that it ends", func() bool { return p.stays[0].probe(1) == "not ready" })
+	}
+	if p.under.stopped {
+		p.stop()
+	}
+	p.leave()
+	time.Sleep(departedGrace + 20*time.Millisecond)
+	begin := time.Now()
+	p.release()
+	if p.under.stopped {
+		p.signal(syscall.SIGCONT)
+	}
+	p.goesOn(begin)
+	p.finish(p.under.ending)
+	p.judge()
+}
+
+// connectAll opens all connections, at once: the router closes those that say nothing for long.
+func (p *departure) connectAll() {
+	each := p.place.each
+	if each == 0 {
+		each = 3
+	}
+	if p.place.sockets == fewestSockets {
+		each = 2 // more clients find no place
+	}
+	for _, way := range waysOut {
+		for range each {
+			ref := fmt.Sprintf("%016x", 1+len(p.leavers))
+			p.leavers = append(p.leavers, &leaver{caller: p.connect(), ref: ref, way: way})
+		}
+	}
+	for range staying {
+		p.stays = append(p.stays, p.connect())
+	}
+	for _, l := range p.leavers {
+		l.health(1)
+	}
+	for _, c := range p.stays {
+		c.health(1)
+	}
+}
+
+// fill brings the requests to the place where they wait.
+func (p *departure) fill() {
+	if p.place.paused {
+		for _, cache := range p.caches {
+			cache.Pause()
+		}
+	}
+	if p.place.blockers > 0 {
+		blocker := p.connect()
+		for number := range p.place.blockers {
+			blocker.Write(request(byte(2+number), fmt.Sprintf("b%015x", number), departedDeadline, longCommand))
+		}
+		p.stuck(p.place.blockers)
+	}
+	sent := map[string]*caller{}
+	if !p.place.unasked {
+		for _, l := range p.leavers {
+			if !l.way.asks {
+				sent[l.ref] = l.caller
+			}
+		}
+	}
+	for number, c := range p.stays {
+		sent[stayingRef(number)] = c
+	}
+	for ref, c := range sent {
+		c.Write(request(2, ref, departedDeadline, p.place.body))
+	}
+	for _, c := range sent {
+		c.health(1) // the router has read the request
+	}
+	p.waiting = len(sent)
+	if p.place.held {
+		for ref := range sent {
+			p.arrived(ref)
+		}
+	}
+	if p.place.body > 0 {
+		p.stuck(len(sent))
+	}
+}
+
+func stayingRef(number int) string { return fmt.Sprintf("a%015x", number) }
+
+// arrived waits until an attempt has come to a cache.
+func (p *departure) arrived(ref string) {
+	p.t.Helper()
+	await(p.t, "an attempt of "+ref, func() bool {
+		return slices.ContainsFunc(p.requests.Gets(), func(g caches.Get) bool { return g.ID == ref })
+	})
+}
+
+// stuck waits until so many connections hold the beginning of a command.
+func (p *departure) stuck(want int) {
+	p.t.Helper()
+	await(p.t, fmt.Sprintf("%d commands begun", want), func() bool {
+		all := 0
+		for _, cache := range p.caches {
+			_, _, unread := cache.Connections()
+			all += unread
+		}
+		return all >= want
+	})
+}
+
+// stop takes the processor from the router.
+func (p *departure) stop() {
+	p.t.Helper()
+	p.signal(syscall.SIGSTOP)
+	await(p.t, "the router is stopped", func() bool {
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+		return err == nil && strings.Contains(string(text), ") T ")
+	})
+}
+
+// leave lets all clients that leave do so. No program is started beside this meanwhile: until it runs it holds copies of this process's
+// connections, and a close, which has no effect before all copies are closed, would come late.
+func (p *departure) leave() {
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
+	for _, l := range p.leavers {
+		l.way.leave(l.caller, request(2, l.ref, departedDeadline, p.place.body))
+		l.left = time.Now()
+	}
+}
+
+// release lets what waits go on, and returns when the router can find out.
+func (p *departure) release() {
+	close(p.gate)
+	for _, cache := range p.caches {
+		cache.Resume()
+	}
+	for _, comeUp := range p.open {
+		comeUp()
+	}
+	if p.under.stopped {
+		time.Sleep(50 * time.Millisecond) // for what the caches say; the verdict does not need it
+	}
+	if p.place.lateDial {
+		await(p.t, "half of the connections to caches that come up", func() bool {
+			all := 0
+			for _, cache := range p.caches {
+				accepted, _, _ := cache.Connections()
+				all += accepted
+			}
+			return 2*all >= p.waiting
+		})
+	}
+}
+
+// goesOn waits for an attempt of a client that has stayed: the place is one from which attempts begin.
+func (p *departure) goesOn(since time.Time) {
+	p.t.Helper()
+	await(p.t, "an attempt of a client that stayed", func() bool {
+		return slices.ContainsFunc(p.requests.Gets(), func(g caches.Get) bool {
+			return g.ID[0] == stayingRef(0)[0] && (g.At.After(since) || p.place.unasked)
+		})
+	})
+}
+
+func (p *departure) judge() {
+	p.t.Helper()
+	clients := map[string]*leaver{}
+	for _, l := range p.leavers {
+		clients[l.ref] = l
+	}
+	var late []string
+	for _, g := range p.requests.Gets() {
+		l := clients[g.ID]
+		if l == nil {
+			continue
+		}
+		if after := g.At.Sub(l.left); after > departedGrace {
+			late = append(late, fmt.Sprintf("%s (%s) %v after it had left by %q", g.ID, g.Server, after, l.way.name))
+		}
+	}
+	switch {
+	case len(late) > mostLate:
+		p.t.Errorf("%d attempts for clients that had gone: %s; log: %s", len(late), strings.Join(late, ", "), p.stderr)
+	case len(late) > 0:
+		p.t.Logf("%d attempts for clients that had gone, %d are let pass: %s", len(late), mostLate, strings.Join(late, ", "))
+	}
+}
+
+// lateListener is a listener at which connections come up only once the test says so.
+type lateListener struct {
+	addr net.Addr
+	open func() net.Listener
+
+	up     chan struct{} // closed once inner is set
+	closed chan struct{}
+	once   sync.Once
+	inner  net.Listener
+}
+
+type textAddr string
+
+func (a textAddr) Network() string { return "tcp" }
+func (a textAddr) String() string  { return string(a) }
+
+func newLateListener(t *testing.T) *lateListener {
+	t.Helper()
+	addr, open := full(t)
+	return &lateListener{addr: textAddr(addr), open: open, up: make(chan struct{}), closed: make(chan struct{})}
+}
+
+// comeUp takes connections up from now on, with room for all that come at once.
+func (l *lateListener) comeUp(t *testing.T) {
+	t.Helper()
+	l.inner = l.open()
+	raw, err := l.inner.(*net.TCPListener).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := raw.Control(func(fd uintptr) { syscall.Listen(int(fd), syscall.SOMAXCONN) }); err != nil {
+		t.Fatal(err)
+	}
+	close(l.up)
+}
+
+// Accept implements net.Listener.
+func (l *lateListener) Accept() (net.Conn, error) {
+	select {
+	case <-l.up:
+		return l.inner.Accept()
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+// Close implements net.Listener.
+func (l *lateListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
+	select {
+	case <-l.up:
+		return l.inner.Close()
+	default:
+		return nil
+	}
+}
+
+// Addr implements net.Listener.
+func (l *lateListener) Addr() net.Addr { return l.addr }
+
+// spinners are the programs that share a core with the router; they end by themselves after spinnersEnd, in seconds.
+const (
+	spinners    = 2
+	spinnersEnd = "4"
+)
+
+// busyCore is one core of the machine on which programs never rest.
+type busyCore struct{ mask [128]byte }
+
+// newBusyCore chooses a core that this process may use, and makes it busy until the end of the test.
+func newBusyCore(t *testing.T) *busyCore {
+	t.Helper()
+	var may [128]byte
+	if err := affinity(syscall.SYS_SCHED_GETAFFINITY, &may); err != nil {
+		t.Fatal(err)
+	}
+	var cores []int
+	for core := range 8 * len(may) {
+		if may[core/8]&(1<<(core%8)) != 0 {
+			cores = append(cores, core)
+		}
+	}
+	chosen := cores[rand.IntN(len(cores))] // another one for each play that runs beside this one
+	core := &busyCore{}
+	core.mask[chosen/8] = 1 << (chosen % 8)
+	for range spinners {
+		spinner := exec.Command("timeout", spinnersEnd, "sh", "-c", "while :; do :; done")
+		spinner.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+		if err := core.start(spinner); err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() {
+			syscall.Kill(-spinner.Process.Pid, syscall.SIGKILL)
+			spinner.Wait()
+		})
+	}
+	return core
+}
+
+// start starts a program on the core.
+func (b *busyCore) start(cmd *exec.Cmd) error {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	var before [128]byte
+	if err := affinity(syscall.SYS_SCHED_GETAFFINITY, &before); err != nil {
+		return err
+	}
+	if err := affinity(syscall.SYS_SCHED_SETAFFINITY, &b.mask); err != nil {
+		return err
+	}
+	err := cmd.Start() // it inherits the thread's core
+	return errors.Join(err, affinity(syscall.SYS_SCHED_SETAFFINITY, &before))
+}
+
+// affinity reads or sets the cores of this thread.
+func affinity(call uintptr, mask *[128]byte) error {
+	if _, _, errno := syscall.RawSyscall(call, 0, uintptr(len(mask)), uintptr(unsafe.Pointer(mask))); errno != 0 {
+		return errno
+	}
+	return nil
+}
--- a/internal/msgpackrpc/call.go
+++ b/internal/msgpackrpc/call.go
@@ -62,6 +62,7 @@
 	case !room:
 		return c.refuse(m, fullWait)
 	}
+	q.Departed = func() bool { return c.departed(one) }
 	requests.Go(func() {
 		defer s.reserve(-cost)
 		a := s.handle(one, q)
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -145,13 +145,16 @@
 		case m := <-c.queue:
 			wait := float64(writeLimit)
 			if m.call != nil {
+				if m.call.departed() {
+					continue // its Drop takes it off this connection
+				}
 				var ok bool
 				if wait, ok = c.due(m.call); !ok {
 					continue
 				}
 			}
 			c.net.SetWriteDeadline(clock.Deadline(wait))
-			_, err := c.net.Write(m.text)
+			err := c.put(m)
 			if m.written != nil {
 				close(m.written)
 			}
@@ -176,7 +179,11 @@
 		p.written.Add(1)
 	case k != nil && !k.over:
 		delete(c.calls, k.try.ID)
-		k.end(router.End{Code: rules.Refused})
+		end := router.End{Code: rules.Refused}
+		if errors.Is(err, errDeparted) { // the server has no part in that
+			end.Code = rules.Skipped
+		}
+		k.end(end)
 	}
 	if k := m.settles; k != nil && c.calls[k.try.ID] == k {
 		delete(c.calls, k.try.ID)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -35,6 +35,9 @@
 	Allow   float64 // how long the client waits from Arrived on
 	Arrived float64
 	Body    []byte
+	// Departed tells whether the client has left, as soon as that can be known: the context of Serve may end later. It looks at the client's
+	// connection, and may wait some milliseconds. Nil: only the context tells.
+	Departed func() bool
 }
 
 // Verdict is the kind of a final answer.
