--- a/standin/discovery/server.go
+++ b/standin/discovery/server.go
@@ -28,13 +28,17 @@
 	mu     sync.Mutex
 	frames [][]byte // event n at n-1
 	more   chan struct{}
+	asked  int // connections that have asked for events
 	wg     sync.WaitGroup
 	done   chan struct{}
 }
 
 // Listen starts a board on loopback.
-func Listen() (*Board, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func Listen() (*Board, error) { return ListenAt("127.0.0.1:0") }
+
+// ListenAt starts a board at an address, as one that comes back to where it was.
+func ListenAt(addr string) (*Board, error) {
+	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -53,6 +57,13 @@
 	b.wg.Wait()
 }
 
+// Watches is how many connections have asked for events so far.
+func (b *Board) Watches() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.asked
+}
+
 // List adds an event with the whole list, or with what has changed.
 func (b *Board) List(whole bool, servers ...Server) {
 	kind := byte(2)
@@ -115,6 +126,9 @@
 	if _, err := io.ReadFull(c, last[:]); err != nil {
 		return
 	}
+	b.mu.Lock()
+	b.asked++
+	b.mu.Unlock()
 	next := int(binary.BigEndian.Uint64(last[:]))
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
