--- a/rules/picking.go
+++ b/rules/picking.go
@@ -87,7 +87,7 @@
 
 // pickSource takes the object's first parent not open, full or cold at its budget; held copies if shut.
 func (r *Router) pickSource(q *request) (source *node, how int) {
-	if r.set.Extra.SharesFills && r.sincePurge(q) == 0 {
+	if r.set.Extra.SharesFills && r.sinceChange(q, 0) == 0 {
 		how = Join // not after a purge: what is under way may be older
 	}
 	behind := &r.behind
--- a/rules/purges.go
+++ b/rules/purges.go
@@ -2,9 +2,8 @@
 
 // The oldest copy that will do, and what a purge changes in it.
 
-import "maps"
+import "container/heap"
 
-// Times are microseconds; the rest are ratios or counts.
 const (
 	freshJitter = 0.2   // random share taken off the fresh time: the design's
 	purgeMargin = 1_000 // us taken off age limits after a purge, for the tick
@@ -12,42 +11,43 @@
 
 // purge notes a purge for PurgeTakes and as long as a fill begun before may still be running.
 func (r *Router) purge(ev *Event) {
-	maps.DeleteFunc(r.purged, func(_ purgeKey, made int64) bool { return r.now-made > r.purgeSpan })
+	for len(r.purges) > 0 && r.now-r.purges[0].made > r.purgeSpan {
+		if oldest := heap.Pop(&r.purges).(datedPurge); r.purged[oldest.key] == oldest.made {
+			delete(r.purged, oldest.key)
+		}
+	}
 	key := purgeKey{object: ev.Object}
 	if ev.Object == "" {
 		key.group = ev.Group
 	}
 	r.purged[key] = max(r.purged[key], r.now-ev.Age)
+	heap.Push(&r.purges, datedPurge{key, r.purged[key]})
 }
 
-// sincePurge tells how long ago the object of q was purged, or 0 if not lately.
-func (r *Router) sincePurge(q *request) (since int64) {
+// sinceChange tells how long ago the object of q was purged or, newest not 0, made anew; 0: not lately.
+func (r *Router) sinceChange(q *request, newest int64) int64 {
+	changed := newest != 0
 	for _, key := range []purgeKey{{object: q.Object}, {group: q.Group}} {
-		made, known := r.purged[key]
-		age := max(r.now-made-purgeMargin, 1)
-		if known && age <= r.purgeSpan && (since == 0 || age < since) {
-			since = age
+		if made, known := r.purged[key]; known && r.now-made-purgeMargin <= r.purgeSpan {
+			newest, changed = max(newest, made), true
 		}
 	}
-	return since
+	if !changed {
+		return 0
+	}
+	return max(r.now-newest-purgeMargin, 1)
 }
 
-// maxAge is the oldest copy that will do, 0 for any: fresh less jitter, held: grace too; none before a purge
-// or the request's own time.
-func (r *Router) maxAge(q *request) int64 {
-	fresh := at(r.set.Extra.FreshFor, q.class)
-	limit := int64(0)
-	if fresh > 0 {
+// maxAge is the oldest copy that will do, 0 for any: fresh less jitter, or with grace; none before a change.
+func (r *Router) maxAge(q *request) (limit int64) {
+	if fresh := at(r.set.Extra.FreshFor, q.class); fresh > 0 {
 		limit = fresh - int64(freshJitter*r.rng.Float64()*float64(fresh))
 		if q.held {
 			limit = fresh + at(r.set.Extra.GraceFor, q.class)
 		}
 		limit = max(limit, q.MayAge)
 	}
-	if since := r.sincePurge(q); since != 0 && (limit == 0 || since < limit) {
-		limit = since
-	}
-	if since := max(r.now-q.MadeFrom-purgeMargin, 1); q.MadeFrom != 0 && (limit == 0 || since < limit) {
+	if since := r.sinceChange(q, q.MadeFrom); since != 0 && (limit == 0 || since < limit) {
 		limit = since
 	}
 	return limit
--- a/rules/state.go
+++ b/rules/state.go
@@ -24,6 +24,28 @@
 	group  int64
 }
 
+// datedPurge is a purge and when it was made.
+type datedPurge struct {
+	key  purgeKey
+	made int64
+}
+
+// purgeHeap holds purges for container/heap, the oldest first.
+type purgeHeap []datedPurge
+
+func (h purgeHeap) Len() int           { return len(h) }
+func (h purgeHeap) Less(i, j int) bool { return h[i].made < h[j].made }
+func (h purgeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *purgeHeap) Push(purge any)    { *h = append(*h, purge.(datedPurge)) }
+
+func (h *purgeHeap) Pop() any {
+	last := len(*h) - 1
+	purge := (*h)[last]
+	(*h)[last] = datedPurge{} // lets its name go
+	*h = (*h)[:last]
+	return purge
+}
+
 type sent struct {
 	at   int64
 	work float64
@@ -210,6 +232,7 @@
 	asked      int  // of that, what is known to ask it
 	requests   map[string]*request
 	purged     map[purgeKey]int64 // when an object, or a group, was purged
+	purges     purgeHeap          // all purges since the oldest of these
 	tenants    map[string]*tenant
 	recent     map[string]int
 	recentN    int
