--- a/rules/scale_bench_test.go
+++ b/rules/scale_bench_test.go
@@ -39,3 +39,45 @@
 		})
 	}
 }
+
+// BenchmarkDecisionOfMany is one request and its good answer, with so many caches in the zone: those of fleets of 300 to 11,000 routers.
+func BenchmarkDecisionOfMany(b *testing.B) {
+	const perSecond = 718 // requests of one router at the peak
+	for _, caches := range []int{46, 155, 464, 1700} {
+		b.Run(fmt.Sprintf("caches=%d", caches), func(b *testing.B) {
+			r, err := New(settings(), 1)
+			if err != nil {
+				b.Fatal(err)
+			}
+			now := int64(sec)
+			r.Step(now, []Event{{Kind: Members, Mode: "replace", Rows: rows(caches, max(caches/18, 1))}})
+			objects := make([]string, 4096)
+			for i := range objects {
+				objects[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
+			}
+			events := make([]Event, 1)
+			for i := 0; b.Loop(); i++ {
+				now += sec / perSecond
+				object := objects[i%len(objects)]
+				events[0] = Event{Kind: Request, Call: object, Class: "small", Object: object, SizeKb: 50, ExpiresIn: 3 * sec}
+				node, token := "", int64(0)
+				for _, a := range r.Step(now, events) {
+					switch a.Kind {
+					case Get:
+						node = a.Node
+					case SetTimer:
+						token = a.Token
+					}
+				}
+				if node == "" {
+					b.Fatal("no attempt")
+				}
+				events[0] = Event{Kind: Outcome, Call: object, Node: node, Code: Done, Note: 1, Rtt: 50 * ms, Final: true}
+				r.Step(now, events)
+				events[0] = Event{Kind: Timer, Token: token}
+				r.Step(now, events)
+			}
+			b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*perSecond*100, "%core")
+		})
+	}
+}
