--- a/cmd/spanlab/main.go
+++ b/cmd/spanlab/main.go
@@ -40,6 +40,7 @@
 	Scale struct {
 		List scaleListCmd `cmd:"" help:"Lists the scale tests."`
 		Run  scaleRunCmd  `cmd:"" help:"Runs one at several sizes; exits with 3 when the budget of a router is passed."`
+		Page scalePageCmd `cmd:"" help:"Puts the figures of results into the capacity page."`
 	} `cmd:"" help:"What the fleet's own mechanisms cost as it grows."`
 }
 
--- a/cmd/spanlab/scale.go
+++ b/cmd/spanlab/scale.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"os"
 	"runtime/debug"
 
 	"spantack/lab/scale"
@@ -79,3 +80,24 @@
 	}
 	return results, nil
 }
+
+type scalePageCmd struct {
+	Page    string `default:"docs/CAPACITY.md" type:"existingfile" help:"The page, with figures named as in it."`
+	Results string `default:"docs/results/scale" type:"existingdir" help:"Folder with a folder of results for each test."`
+}
+
+func (c *scalePageCmd) Run() error {
+	set, err := scale.ReadSet(c.Results)
+	if err != nil {
+		return fmt.Errorf("--results: %w", err)
+	}
+	page, err := os.ReadFile(c.Page)
+	if err != nil {
+		return fmt.Errorf("--page: %w", err)
+	}
+	page, err = set.UpdatePage(page)
+	if err != nil {
+		return fmt.Errorf("--page: %w", err)
+	}
+	return os.WriteFile(c.Page, page, 0o644)
+}
