--- a/standin/discovery/server.go
+++ b/standin/discovery/server.go
@@ -40,6 +40,7 @@
 	conns      map[net.Conn]bool
 	frames     [][]byte // event n at n-1
 	changed    chan struct{}
+	watches    int // connections that have asked for events
 	goroutines sync.WaitGroup
 	done       chan struct{}
 }
@@ -48,7 +49,12 @@
 // service is down. Close ends it.
 func Listen() (*Service, error) {
 	host := net.IPv4(127, byte(1+rand.IntN(254)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
-	l, err := net.Listen("tcp", net.JoinHostPort(host.String(), "0"))
+	return ListenAt(net.JoinHostPort(host.String(), "0"))
+}
+
+// ListenAt starts a discovery service at an address, such as one that comes back to where it was.
+func ListenAt(addr string) (*Service, error) {
+	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -69,6 +75,13 @@
 	s.goroutines.Wait()
 }
 
+// Watches returns how many connections have asked for events so far.
+func (s *Service) Watches() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.watches
+}
+
 // Publish adds an event: a snapshot of the list of servers, or an update of some of them.
 func (s *Service) Publish(snapshot bool, servers ...Server) {
 	kind := byte(kindUpdate)
@@ -142,6 +155,9 @@
 	if _, err := io.ReadFull(c, last[:]); err != nil {
 		return
 	}
+	s.mu.Lock()
+	s.watches++
+	s.mu.Unlock()
 	if !s.awaitFirstFrame() {
 		return
 	}
