--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -202,9 +202,9 @@
 		core.Apply(n)
 	}
 	var ready, ending atomic.Bool
-	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, Turned: core.CountRefused, MostConns: clients,
+	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, OnRefused: core.CountRefused, MostConns: clients,
 		MostQueued: int64(queueShare * memory), Clock: now, Log: log}
-	server.Ready = func() bool { return ready.Load() && !ending.Load() && !server.Evacuated() }
+	server.Ready = func() bool { return ready.Load() && !ending.Load() && !server.Draining() }
 	listener, err := openClients(c)
 	if err != nil {
 		return err
@@ -365,11 +365,11 @@
 
 func counters(core *router.Router, server *msgpackrpc.Server, talk *peers.Talk, log zerolog.Logger) {
 	n := &core.Counters
-	gaveWay, turnedAway, clientFaults := server.Counts()
+	evicted, rejected, clientFaults := server.Counts()
 	log.Info().Int64("taken", n.Taken.Load()).Int64("sent", n.Sent.Load()).Int64("served", n.Served.Load()).
 		Int64("refused", n.Refused.Load()).Int64("failed", n.Failed.Load()).Int64("gone", n.Gone.Load()).
-		Int64("overdue", n.Overdue.Load()).Int64("faults", n.Faults.Load()).Int64("client_faults", clientFaults).Int64("gave_way", gaveWay).
-		Int64("turned_away", turnedAway).Msg("counters")
+		Int64("overdue", n.Overdue.Load()).Int64("faults", n.Faults.Load()).Int64("client_faults", clientFaults).Int64("gave_way", evicted).
+		Int64("turned_away", rejected).Msg("counters")
 	if talk != nil {
 		n := talk.Counts()
 		log.Info().Int64("told", n.Told).Int64("heard", n.Heard).Int64("dropped", n.Dropped).Int64("found", n.Found).Msg("peers")
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -53,7 +53,7 @@
 	return &manage.Server{
 		Figures: func() []manage.Figure { return figures(core, pools, files) },
 		Exclude: change(core.Exclude), Include: change(core.Include),
-		Drain: server.Evacuate, Rejoin: server.Rejoin, Log: log,
+		Drain: server.Drain, Rejoin: server.Rejoin, Log: log,
 	}
 }
 
--- a/internal/msgpackrpc/call.go
+++ b/internal/msgpackrpc/call.go
@@ -12,8 +12,8 @@
 	"spantack/internal/router"
 )
 
-// take acts on one message; an error ends the connection.
-func (c *conn) take(ctx context.Context, m message, arrived float64, requests *sync.WaitGroup) error {
+// handleMessage handles one message; an error ends the connection.
+func (c *conn) handleMessage(ctx context.Context, m message, arrived float64, requests *sync.WaitGroup) error {
 	s := c.server
 	if m.kind == kindNotify {
 		if m.method == "cancel" {
@@ -26,28 +26,28 @@
 		if s.Ready() {
 			buf[len(buf)-1] = 0xc3
 		}
-		return c.send(answer{parts: net.Buffers{appendFields(buf)}})
+		return c.enqueue(answer{parts: net.Buffers{appendFields(buf)}})
 	}
-	keyed, known := s.class(m.method)
+	keyed, known := s.lookupClass(m.method)
 	if !known {
-		return c.send(answer{parts: net.Buffers{appendError(nil, m.id, "Error", "reason", "unknown method")}})
+		return c.enqueue(answer{parts: net.Buffers{appendError(nil, m.id, "Error", "reason", "unknown method")}})
 	}
 	q, err := parseRequest(m.method, m.params, keyed)
 	if err != nil {
-		s.fault(fmt.Errorf("request: %w", err))
-		return c.send(answer{parts: net.Buffers{appendError(nil, m.id, "Error", "reason", err.Error())}})
+		s.recordFault(fmt.Errorf("request: %w", err))
+		return c.enqueue(answer{parts: net.Buffers{appendError(nil, m.id, "Error", "reason", err.Error())}})
 	}
 	q.Arrived = arrived
-	if s.refuses() {
-		return c.refuse(m, evacuatedWait)
+	if s.refusesRequests() {
+		return c.refuse(m, drainCooldown)
 	}
 	cost := int64(requestCost + len(q.Body))
-	reserved := s.reserve(cost) // guards memory against a flood of requests
+	reserved := s.reserve(cost) // bounds the memory of open requests
 	c.mu.Lock()
-	_, twice := c.open[m.id]
-	room := reserved && !twice && len(c.open) < maxOpen
+	_, duplicate := c.open[m.id]
+	room := reserved && !duplicate && len(c.open) < maxOpen
 	var one context.Context
-	own := &taken{}
+	own := &openRequest{}
 	if room {
 		one, own.cancel = context.WithCancel(ctx)
 		c.open[m.id] = own
@@ -57,20 +57,20 @@
 		s.reserve(-cost)
 	}
 	switch {
-	case twice:
+	case duplicate:
 		return fmt.Errorf("%w: message id %d is open already", errMalformed, m.id)
 	case !room:
-		return c.refuse(m, fullWait)
+		return c.refuse(m, fullCooldown)
 	}
 	q.Departed = func() bool { return c.departed(one) }
 	requests.Go(func() {
 		defer s.reserve(-cost)
 		a := s.handle(one, q)
-		c.sent(1) // or the connection might give way between here and the answer's place in the queue
-		defer c.sent(-1)
+		c.addUnsent(1) // or the connection might be evicted before the answer is queued
+		defer c.addUnsent(-1)
 		if c.finish(m.id, own) && a.Verdict != router.None {
 			if err := c.answer(m.id, a); err != nil {
-				s.fault(err)
+				s.recordFault(err)
 				c.net.Close()
 			}
 		}
@@ -78,15 +78,15 @@
 	return nil
 }
 
-// refuse answers a request that was not taken; wait is how long its client should stay away, in milliseconds.
-func (c *conn) refuse(m message, wait string) error {
-	if c.server.Turned != nil {
-		c.server.Turned(m.method)
+// refuse answers a request that is not accepted; cooldown is how long its client should stay away, in milliseconds.
+func (c *conn) refuse(m message, cooldown string) error {
+	if c.server.OnRefused != nil {
+		c.server.OnRefused(m.method)
 	}
-	return c.send(answer{parts: net.Buffers{appendError(nil, m.id, "Full", "cooldown", wait)}})
+	return c.enqueue(answer{parts: net.Buffers{appendError(nil, m.id, "Full", "cooldown", cooldown)}})
 }
 
-// handle keeps a panic in one request from taking all others down with it.
+// handle calls Handle and turns a panic into a failed answer.
 func (s *Server) handle(ctx context.Context, q router.Request) (a router.Answer) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -97,12 +97,12 @@
 	return s.Handle(ctx, q)
 }
 
-// cancel ends requests whose client no longer waits; none of them is answered.
+// cancel ends requests that the client cancelled; none of them is answered.
 func (c *conn) cancel(ids []any) {
 	for _, v := range ids {
 		id, ok := toUint(v)
 		if !ok {
-			c.server.fault(errors.New("cancel: no message id"))
+			c.server.recordFault(errors.New("cancel: no message id"))
 			continue
 		}
 		c.mu.Lock()
@@ -112,9 +112,9 @@
 	}
 }
 
-// finish takes a request off the open ones. It is true once for each: whoever gets it may answer. A request that was
-// cancelled ends here a second time, when its id may stand for another.
-func (c *conn) finish(id uint64, one *taken) bool {
+// finish removes a request from the open ones. It returns true once for each: that caller may answer. A request that was cancelled is finished a
+// second time, when its id may belong to another.
+func (c *conn) finish(id uint64, one *openRequest) bool {
 	c.mu.Lock()
 	open := one != nil && c.open[id] == one
 	if open {
@@ -125,8 +125,8 @@
 	if open {
 		one.cancel()
 	}
-	if last && c.server.draining() {
-		c.poke()
+	if last && c.server.closesConnections() {
+		c.wake()
 	}
 	return open
 }
@@ -136,19 +136,19 @@
 	switch a.Verdict {
 	case router.Served:
 		size := int64(len(a.Body))
-		if !c.server.book(c, size) { // guards memory against clients that do not read
-			return c.send(answer{parts: net.Buffers{appendError(nil, id, "Error", "reason", "too many answers wait")}})
+		if !c.server.reserveAnswer(c, size) { // bounds the memory held by clients that do not read
+			return c.enqueue(answer{parts: net.Buffers{appendError(nil, id, "Error", "reason", "too many answers wait")}})
 		}
 		head := appendBinHead(append(appendResult(nil, id), 0x92), len(a.Body))
 		tail := appendFields(nil)
 		if a.Same {
 			tail = appendFields(nil, "keep", "1")
 		}
-		return c.send(answer{parts: net.Buffers{head, a.Body, tail}, size: size})
+		return c.enqueue(answer{parts: net.Buffers{head, a.Body, tail}, size: size})
 	case router.Refused:
 		wait := strconv.FormatFloat(a.RetryAfter, 'f', 0, 64)
-		return c.send(answer{parts: net.Buffers{appendError(nil, id, "Full", "cooldown", wait)}})
+		return c.enqueue(answer{parts: net.Buffers{appendError(nil, id, "Full", "cooldown", wait)}})
 	default:
-		return c.send(answer{parts: net.Buffers{appendError(nil, id, "Error")}})
+		return c.enqueue(answer{parts: net.Buffers{appendError(nil, id, "Error")}})
 	}
 }
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -21,59 +21,60 @@
 	queue  chan answer
 	booked int64 // bytes of answers waiting to be written; guarded by Server.mu
 
-	mu      sync.Mutex
-	open    map[uint64]*taken // by message id
-	unsent  int               // answers queued and not yet written
-	inside  bool              // the reader is within a message
-	leaving bool              // the reader looks for a last message
-	poked   bool              // poke came since the reader left the last message
-	spoken  bool              // a whole message has come
-	quietAt float64           // when it last became quiet: connected, or the last answer written
+	mu          sync.Mutex
+	open        map[uint64]*openRequest // by message id
+	unsent      int                     // answers queued and not yet written
+	inMessage   bool                    // the reader is reading a message
+	awaitsLast  bool                    // the reader waits for a last message before the connection closes
+	woken       bool                    // wake was called since the reader finished the last message
+	receivedAny bool                    // a whole message has been received
+	quietAt     float64                 // when it last became idle: connected, or the last answer written
 }
 
-// taken is a request that is open. It is told from a later one under the same message id by its address.
-type taken struct{ cancel context.CancelFunc }
+// openRequest is a request that has no answer yet. Its address distinguishes it from a later one under the same message id.
+type openRequest struct{ cancel context.CancelFunc }
 
-// testHookAwait is called where a reader has looked whether its connection is wanted, before it acts on that.
+// testHookAwait is called after a reader has checked whether its connection is to close, before it acts on that.
 var testHookAwait = func() {}
 
-// rank orders connections by how gladly they are let go, the least first: those that never said anything, then
-// those that are quiet for longest. One that is owed an answer is not let go.
-func (c *conn) rank() float64 {
+// evictionRank orders connections for eviction, the least first: those that never sent a message, then those that have been idle for longest.
+// It is infinite, which bars eviction, while an answer is due.
+func (c *conn) evictionRank() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case len(c.open) > 0 || c.unsent > 0:
 		return math.Inf(1)
-	case !c.spoken && c.server.Clock.Now()-c.quietAt > freshConn:
-		return c.quietAt - firstLimit
+	case !c.receivedAny && c.server.Clock.Now()-c.quietAt > freshConn:
+		return c.quietAt - firstMessageTimeout
 	}
 	return c.quietAt
 }
 
-// owed tells whether an answer is to be given, or was given less than take milliseconds ago and is not written yet.
+// owed reports whether an answer is due, or was queued less than take milliseconds ago and is not written yet.
 func (c *conn) owed(take float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open) > 0 || c.unsent > 0 && c.server.Clock.Now()-c.quietAt < take
 }
 
+// answer is one encoded answer in the queue of a connection.
 type answer struct {
 	parts net.Buffers
 	size  int64 // reserved
 }
 
-// serve reads requests until the connection ends, then lets go of those still open.
+// serve reads requests until the connection ends, then cancels those still open.
 func (c *conn) serve() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var requests, writer sync.WaitGroup
 	writer.Go(c.write)
 	err := c.read(ctx, &requests)
 	if errors.Is(err, errMalformed) {
-		c.server.fault(err)
+		c.server.recordFault(err)
 	}
 	if err != nil {
-		c.net.Close() // first, so that no answer can follow what broke the stream
+		c.net.Close() // first, so that no answer follows a malformed message
 	}
 	cancel()
 	requests.Wait()
@@ -85,11 +86,12 @@
 	c.net.Close()
 }
 
-// linger ends the stream and reads what crossed that, or the reset would destroy the last answers on their way.
+// linger closes the write side and reads what the client still sent: unread bytes would turn the close into a reset, which can destroy the
+// last answers under way.
 func (c *conn) linger() {
 	if t, ok := c.net.(*net.TCPConn); ok {
 		t.CloseWrite()
-		t.SetReadDeadline(clock.Deadline(lingerLimit))
+		t.SetReadDeadline(clock.Deadline(lingerTimeout))
 		var sink [512]byte
 		for {
 			if _, err := t.Read(sink[:]); err != nil {
@@ -99,60 +101,59 @@
 	}
 }
 
-// poke makes a waiting reader look again whether the connection may close. A message that has begun is not cut short:
-// its request would be lost with all that are open.
-func (c *conn) poke() {
+// wake makes a waiting reader check again whether the connection is to close. A message that has begun is not cut short, or its request would
+// be lost with all open ones.
+func (c *conn) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.poked = true
-	if !c.inside && !c.leaving { // a last look has its time: requests are on their way
+	c.woken = true
+	if !c.inMessage && !c.awaitsLast { // the wait for a last message is not cut short: requests may be under way
 		c.net.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// enter sets the time by which the message that has begun must end.
-func (c *conn) enter() {
+// beginMessage sets the deadline for the rest of a message.
+func (c *conn) beginMessage() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inside = true
-	c.net.SetReadDeadline(clock.Deadline(frameLimit))
+	c.inMessage = true
+	c.net.SetReadDeadline(clock.Deadline(messageTimeout))
 }
 
-// await sets the time by which the next message must begin. When the connection is not wanted any more, that is
-// soon: what the client wrote before it could know counts as taken. A poke that comes meanwhile stands: the reader is
-// back here at once.
-func (c *conn) await() (last bool) {
+// awaitMessage sets the deadline for the start of the next message. On a connection that is to close, it allows only for messages that the
+// client sent before it could know; last reports that. A concurrent wake takes precedence: the reader returns here at once.
+func (c *conn) awaitMessage() (last bool) {
 	c.mu.Lock()
-	c.inside, c.leaving, c.poked = false, false, false
+	c.inMessage, c.awaitsLast, c.woken = false, false, false
 	c.mu.Unlock()
-	draining, refuses := c.server.draining(), c.server.refuses()
+	closing, refusing := c.server.closesConnections(), c.server.refusesRequests()
 	testHookAwait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.poked {
+	if c.woken {
 		return false
 	}
-	last = draining && len(c.open) == 0
-	c.leaving = last
-	wait := float64(idleLimit)
+	last = closing && len(c.open) == 0
+	c.awaitsLast = last
+	wait := float64(idleTimeout)
 	switch {
-	case last && refuses:
-		wait = shortLook
+	case last && refusing:
+		wait = refusingDrainTimeout
 	case last:
-		wait = lastLook
-	case !c.spoken:
-		wait = firstLimit
+		wait = drainTimeout
+	case !c.receivedAny:
+		wait = firstMessageTimeout
 	}
 	c.net.SetReadDeadline(clock.Deadline(wait))
 	return last
 }
 
-// read takes in messages. It returns nil when the connection has nothing open and is not wanted any more.
+// read reads and handles messages. It returns nil when no request is open and the connection is to close.
 func (c *conn) read(ctx context.Context, requests *sync.WaitGroup) error {
-	in := bufio.NewReaderSize(c.net, readBuffer)
+	reader := bufio.NewReaderSize(c.net, readBuffer)
 	for {
-		last := c.await()
-		if _, err := in.Peek(1); err != nil {
+		last := c.awaitMessage()
+		if _, err := reader.Peek(1); err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
 				return err
 			}
@@ -161,8 +162,8 @@
 			}
 			continue
 		}
-		c.enter()
-		v, err := readMessage(in)
+		c.beginMessage()
+		v, err := readMessage(reader)
 		if err != nil {
 			return err
 		}
@@ -172,40 +173,40 @@
 			return err
 		}
 		c.mu.Lock()
-		c.spoken, c.quietAt = true, arrived
+		c.receivedAny, c.quietAt = true, arrived
 		c.mu.Unlock()
-		if err := c.take(ctx, m, arrived, requests); err != nil {
+		if err := c.handleMessage(ctx, m, arrived, requests); err != nil {
 			return err
 		}
 	}
 }
 
-// idle tells whether nothing came or went for so long that the client has no more use for the connection.
+// idle reports whether the connection has been idle for its time limit.
 func (c *conn) idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	limit := float64(idleLimit)
-	if !c.spoken {
-		limit = firstLimit
+	limit := float64(idleTimeout)
+	if !c.receivedAny {
+		limit = firstMessageTimeout
 	}
 	return len(c.open) == 0 && c.unsent == 0 && c.server.Clock.Now()-c.quietAt >= limit
 }
 
-// send queues an answer without waiting for the client.
-func (c *conn) send(a answer) error {
-	c.sent(1)
+// enqueue queues an answer without blocking; its error is a full queue.
+func (c *conn) enqueue(a answer) error {
+	c.addUnsent(1)
 	select {
 	case c.queue <- a:
 		return nil
 	default:
-		c.sent(-1)
-		c.server.book(c, -a.size)
+		c.addUnsent(-1)
+		c.server.reserveAnswer(c, -a.size)
 		return fmt.Errorf("%d answers wait for a client that does not read", queueRoom)
 	}
 }
 
-// sent books answers that are to be written, or with -1 one that is.
-func (c *conn) sent(n int) {
+// addUnsent changes the number of answers that are due and not written.
+func (c *conn) addUnsent(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unsent += n
@@ -217,13 +218,13 @@
 	broken := false
 	for a := range c.queue {
 		if !broken {
-			c.net.SetWriteDeadline(clock.Deadline(writeLimit))
+			c.net.SetWriteDeadline(clock.Deadline(writeTimeout))
 			if _, err := a.parts.WriteTo(c.net); err != nil {
 				broken = true
 				c.net.Close()
 			}
 		}
-		c.server.book(c, -a.size)
-		c.sent(-1)
+		c.server.reserveAnswer(c, -a.size)
+		c.addUnsent(-1)
 	}
 }
--- a/internal/msgpackrpc/crossings_test.go
+++ b/internal/msgpackrpc/crossings_test.go
@@ -16,19 +16,19 @@
 // What crosses on a client's connection. The client holds back what it sends, and the handler its answer, until the server
 // stands at the point that the test is about.
 
-// Evacuate, or the end, comes between a reader's look whether its connection is wanted and its wait for the next message:
+// Drain, or the end, comes between a reader's check whether its connection is to close and its wait for the next message:
 // the connection must close as others do, and not stay for the idle time.
 func TestEmptiedWhileReaderLooks(t *testing.T) {
 	for name, empty := range map[string]func(*client){
-		"evacuate": func(c *client) { c.Evacuate() },
+		"drain": func(c *client) { c.Drain() },
 		"end": func(c *client) {
 			c.stop()
-			testwait.Until(c.t, "the end of accepting", c.draining)
+			testwait.Until(c.t, "the end of accepting", c.closesConnections)
 			c.Server.mu.Lock()
-			rest := c.all()
+			rest := c.connections()
 			c.Server.mu.Unlock()
-			for _, o := range rest { // its own pokes may come a moment later: these are the same
-				o.poke()
+			for _, o := range rest { // its own calls of wake may come a moment later: these are the same
+				o.wake()
 			}
 		},
 	} {
@@ -44,7 +44,7 @@
 		close(started)
 		c.Write(encode(nil, []any{uint64(0), uint64(1), "health", []any{map[string]any{}}}))
 		c.expect("[1 1 <nil> [true map[]]]")
-		c.SetReadDeadline(time.Now().Add(idleLimit / 3 * time.Millisecond))
+		c.SetReadDeadline(time.Now().Add(idleTimeout / 3 * time.Millisecond))
 		if _, err := c.in.ReadByte(); err != io.EOF {
 			t.Errorf("%s: the connection stays: %v", name, err)
 		}
@@ -63,17 +63,17 @@
 
 func (d *deadlines) SetReadDeadline(time.Time) error { d.set++; return nil }
 
-// A reader that looks for a last message has its time for that, whoever pokes it meanwhile: a request on its way counts
+// A reader that looks for a last message has its time for that, whoever wakes it meanwhile: a request on its way counts
 // as taken.
 func TestPokeInLastLook(t *testing.T) {
 	d := &deadlines{}
-	c := &conn{net: d, leaving: true}
-	c.poke()
+	c := &conn{net: d, awaitsLast: true}
+	c.wake()
 	if d.set != 0 {
 		t.Error("the last look was cut short")
 	}
 	c = &conn{net: d}
-	if c.poke(); d.set != 1 {
+	if c.wake(); d.set != 1 {
 		t.Error("a waiting reader was not woken")
 	}
 }
@@ -126,7 +126,7 @@
 			a := c.next()
 			if ending {
 				c.stop()
-				testwait.Until(c.t, "the end of accepting", c.draining)
+				testwait.Until(c.t, "the end of accepting", c.closesConnections)
 			}
 			leave(c)
 			testwait.Receive(t, a.ctx.Done(), fmt.Sprintf("the end of the request of a client that left: %s, ending %v", name, ending))
@@ -187,9 +187,9 @@
 // Staff empty a server that has not begun to serve: its second address is open by then. What it serves from then on closes likewise.
 func TestEmptiedBeforeItServes(t *testing.T) {
 	begin := make(chan struct{})
-	c := start(t, func(s *Server) { go func() { <-begin; s.Evacuate() }() })
+	c := start(t, func(s *Server) { go func() { <-begin; s.Drain() }() })
 	close(begin)
-	c.SetReadDeadline(time.Now().Add(firstLimit / 2 * time.Millisecond))
+	c.SetReadDeadline(time.Now().Add(firstMessageTimeout / 2 * time.Millisecond))
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("the connection stays: %v", err)
 	}
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -15,36 +15,36 @@
 	"spantack/internal/router"
 )
 
-// Figures of client connections; times are milliseconds.
+// Bounds of client connections; times are milliseconds.
 const (
-	maxOpen     = 32          // requests open on one connection: what a client may
-	queueRoom   = 4 * maxOpen // answers waiting to be written on one connection
-	firstLimit  = 2_000       // for the first message: usual clients connect to ask, others hold a place in silence
-	idleLimit   = 6_000       // clients close idle connections after 4 s; this is for those that hold them for good
-	frameLimit  = 2_000       // for the rest of a message once it has begun
-	writeLimit  = 10_000      // for one answer: a client that takes none of it is gone
-	lastLook    = 50          // for a message already on its way when the connection is to be closed
-	refuseAfter = 1_500       // of an Evacuate: 4 s after its call no connection may hold a request of the last 2 s
-	shortLook   = 1           // as lastLook, from then on
-	lingerLimit = 250         // for what crosses our close
-	connPart    = 8           // of MostQueued, what the answers of one connection may hold when others need the rest
-	requestCost = 8 << 10     // bytes that an open request takes besides its body
-	acceptPause = 20          // after an accept that failed
-	cutPause    = 5           // between looks at connections that are owed an answer at the end
-	freshConn   = 100         // a new connection is given so long for its first message to be on its way
-	readBuffer  = 4 << 10
-	logEvery    = 1000
+	maxOpen              = 32          // requests open on one connection: what a client may
+	queueRoom            = 4 * maxOpen // answers waiting to be written on one connection
+	firstMessageTimeout  = 2_000       // for the first message: clients connect to send one at once
+	idleTimeout          = 6_000       // clients close idle connections after 4 s; this bounds those that do not
+	messageTimeout       = 2_000       // for the rest of a message once it has begun
+	writeTimeout         = 10_000      // for one answer: a client that reads none of it is gone
+	drainTimeout         = 50          // for a message already under way when the connection is to be closed
+	refuseAfter          = 1_500       // after Drain: 4 s after the call no connection may have a request of the last 2 s open
+	refusingDrainTimeout = 1           // replaces drainTimeout once requests are refused
+	lingerTimeout        = 250         // for bytes that the client sent before it saw the close
+	connShare            = 8           // a connection may hold 1/connShare of MostQueued while memory is short
+	requestCost          = 8 << 10     // bytes that an open request takes besides its body
+	acceptPause          = 20          // after an accept that failed
+	closeInterval        = 5           // between checks for connections whose answers have been written, at the end
+	freshConn            = 100         // a new connection is not evicted first for so long: its first message is under way
+	readBuffer           = 4 << 10
+	logInterval          = 1000
 
-	fullWait      = "100"  // cooldown of a request that finds no room
-	evacuatedWait = "1000" // and of one that comes to a server that was emptied
+	fullCooldown  = "100"  // cooldown of a request for which there is no room
+	drainCooldown = "1000" // cooldown of a request to a drained server
 )
 
-// Server serves clients. Its fields are set before Serve.
+// Server serves clients over MessagePack-RPC. Its exported fields are set before Serve.
 type Server struct {
 	Handle     func(context.Context, router.Request) router.Answer
 	Ready      func() bool
 	Keyed      map[string]bool    // the classes, and whether their requests carry an idempotency key; Retune changes them
-	Turned     func(class string) // told of each request of a class that is refused here; nil: nobody
+	OnRefused  func(class string) // called with the class of each request that is refused here; may be nil
 	MostConns  int
 	MostQueued int64   // bytes of open requests and of answers waiting to be written, on all connections
 	Patience   float64 // how long open requests may hold up the end of Serve
@@ -53,23 +53,23 @@
 	Clock      *clock.Clock
 	Log        zerolog.Logger
 
-	mu         sync.Mutex // where both are held, it is taken before that of a conn
-	conns      map[*conn]bool
-	queued     int64
-	drains     bool // no connection is wanted any more, since emptyAt, in milliseconds
-	ends       bool // for good
-	emptyAt    float64
-	faults     int64
-	logged     float64
-	gaveWay    int64
-	turnedAway int64
+	mu            sync.Mutex // locked before a conn's where both are held
+	conns         map[*conn]bool
+	queued        int64
+	draining      bool // connections are closed as they become free, since drainingSince (milliseconds)
+	shuttingDown  bool // draining will not end
+	drainingSince float64
+	faults        int64
+	logged        float64
+	evicted       int64
+	rejected      int64
 }
 
 // Serve accepts connections until ctx ends, then closes each as soon as no request is open on it, and returns when
-// all are closed. Requests that still come refuseAfter milliseconds later, on connections that are never without one, are refused: they
+// all are closed. Requests that come more than refuseAfter milliseconds later, on connections that always have one open, are refused: they
 // would be cut short at the end.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	s.mu.Lock() // staff may empty the server before it serves
+	s.mu.Lock() // Drain may be called before Serve
 	s.conns = map[*conn]bool{}
 	s.mu.Unlock()
 	defer context.AfterFunc(ctx, func() { l.Close() })()
@@ -80,13 +80,13 @@
 			if ctx.Err() != nil {
 				break
 			}
-			s.fault(fmt.Errorf("accept: %w", err))
-			time.Sleep(clock.Duration(acceptPause)) // out of descriptors, say: try again without spinning
+			s.recordFault(fmt.Errorf("accept: %w", err))
+			time.Sleep(clock.Duration(acceptPause)) // the process may be out of descriptors: retry without spinning
 			continue
 		}
-		c := &conn{server: s, net: nc, open: map[uint64]*taken{}, queue: make(chan answer, queueRoom),
+		c := &conn{server: s, net: nc, open: map[uint64]*openRequest{}, queue: make(chan answer, queueRoom),
 			quietAt: s.Clock.Now()}
-		if !s.place(c) {
+		if !s.admit(c) {
 			nc.Close()
 			continue
 		}
@@ -98,11 +98,11 @@
 		})
 	}
 	s.mu.Lock()
-	s.drains, s.ends, s.emptyAt = true, true, s.Clock.Now()
-	rest := s.all()
+	s.draining, s.shuttingDown, s.drainingSince = true, true, s.Clock.Now()
+	rest := s.connections()
 	s.mu.Unlock()
 	for _, c := range rest {
-		c.poke()
+		c.wake()
 	}
 	last := time.AfterFunc(clock.Duration(s.Patience), func() { s.cut(rest) })
 	defer last.Stop()
@@ -114,7 +114,7 @@
 // before, and a process that the machine lets run late must not close on its clients with all of them in hand.
 func (s *Server) cut(rest []*conn) {
 	s.mu.Lock()
-	end := s.emptyAt + s.Patience + s.Late
+	end := s.drainingSince + s.Patience + s.Late
 	s.mu.Unlock()
 	for {
 		late := s.Clock.Now() >= end
@@ -128,12 +128,12 @@
 		if len(rest) == 0 {
 			return
 		}
-		time.Sleep(clock.Duration(cutPause))
+		time.Sleep(clock.Duration(closeInterval))
 	}
 }
 
-// all are the connections there are. s.mu is held.
-func (s *Server) all() []*conn {
+// connections returns the open connections. s.mu is held.
+func (s *Server) connections() []*conn {
 	list := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
 		list = append(list, c)
@@ -141,39 +141,39 @@
 	return list
 }
 
-// Evacuate empties the server until Rejoin: each connection closes once no request is open on it, and refuseAfter milliseconds later
-// requests that still come are refused. New connections are taken, for the front learns late, and close likewise.
-func (s *Server) Evacuate() {
+// Drain drains the server until Rejoin: each connection is closed once no request is open on it, and requests that come more than refuseAfter
+// milliseconds later are refused. New connections are accepted, for the load balancer learns of it late, and closed likewise.
+func (s *Server) Drain() {
 	s.mu.Lock()
-	if !s.drains {
-		s.drains, s.emptyAt = true, s.Clock.Now()
+	if !s.draining {
+		s.draining, s.drainingSince = true, s.Clock.Now()
 	}
-	list := s.all()
+	list := s.connections()
 	s.mu.Unlock()
 	for _, c := range list {
-		c.poke()
+		c.wake()
 	}
 }
 
-// Rejoin ends an Evacuate.
+// Rejoin ends draining, unless the server is shutting down.
 func (s *Server) Rejoin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drains = s.ends
+	s.draining = s.shuttingDown
 }
 
-// Evacuated tells whether the server is being emptied, or is empty.
-func (s *Server) Evacuated() bool {
+// Draining reports whether Drain is in force.
+func (s *Server) Draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.drains && !s.ends
+	return s.draining && !s.shuttingDown
 }
 
-// refuses tells whether requests are no longer taken: those who keep connections busy must not keep the server from being empty.
-func (s *Server) refuses() bool {
+// refusesRequests reports whether requests are refused because the server drains: clients that keep connections busy must not prevent that.
+func (s *Server) refusesRequests() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.drains && s.Clock.Now()-s.emptyAt >= refuseAfter
+	return s.draining && s.Clock.Now()-s.drainingSince >= refuseAfter
 }
 
 // Retune replaces the classes.
@@ -183,18 +183,17 @@
 	s.Keyed = keyed
 }
 
-// class tells whether a class is known, and whether its requests carry an idempotency key.
-func (s *Server) class(name string) (keyed, known bool) {
+// lookupClass reports whether a class is known, and whether its requests carry an idempotency key.
+func (s *Server) lookupClass(name string) (keyed, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keyed, known = s.Keyed[name]
 	return keyed, known
 }
 
-// place books a new connection. Where all places are taken, the one that is quiet for longest gives way: a client that
-// asked once and holds its connection for good must not keep others out. Without a quiet one the new one finds none.
-// Those that give way are closed once the lock is let go.
-func (s *Server) place(c *conn) bool {
+// admit registers a new connection. At MostConns the connection that has been idle for longest is evicted: clients that hold idle connections
+// must not keep others out. Without an idle one the new connection is rejected. Evicted ones are closed after the lock is released.
+func (s *Server) admit(c *conn) bool {
 	var gone []*conn
 	defer func() {
 		for _, o := range gone {
@@ -207,47 +206,48 @@
 		var oldest *conn
 		least := math.Inf(1)
 		for o := range s.conns {
-			if at := o.rank(); at < least {
+			if at := o.evictionRank(); at < least {
 				oldest, least = o, at
 			}
 		}
 		if oldest == nil {
-			s.turnedAway++
+			s.rejected++
 			return false
 		}
 		delete(s.conns, oldest)
-		s.gaveWay++
+		s.evicted++
 		gone = append(gone, oldest)
 	}
 	s.conns[c] = true
 	return true
 }
 
-// Counts tells how many connections gave way to others, how many found no place, and how many faults there were.
-func (s *Server) Counts() (gaveWay, turnedAway, faults int64) {
+// Counts returns the numbers of connections evicted and rejected, and of faults.
+func (s *Server) Counts() (evicted, rejected, faults int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gaveWay, s.turnedAway, s.faults
+	return s.evicted, s.rejected, s.faults
 }
 
-func (s *Server) draining() bool {
+// closesConnections reports whether connections without open requests are to be closed.
+func (s *Server) closesConnections() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.drains
+	return s.draining
 }
 
-// fault counts what a client or the system did wrong, and logs it at most once a second.
-func (s *Server) fault(err error) {
+// recordFault counts a fault of a client or of the system, and logs at most one a second.
+func (s *Server) recordFault(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults++
-	if now := s.Clock.Now(); now-s.logged >= logEvery {
+	if now := s.Clock.Now(); now-s.logged >= logInterval {
 		s.logged = now
 		s.Log.Warn().Err(err).Int64("faults", s.faults).Msg("client connection fault")
 	}
 }
 
-// reserve books n bytes, unless too many are booked already; a negative n gives them back.
+// reserve reserves n bytes of MostQueued, or reports false where they are not free; a negative n releases them.
 func (s *Server) reserve(n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,13 +258,13 @@
 	return true
 }
 
-// book reserves n bytes for an answer on a connection, or with a negative n gives them back. Past half of all, a connection that
-// has answers waiting gets no more than a part: clients that do not read must not leave others without large answers.
-func (s *Server) book(c *conn, n int64) bool {
+// reserveAnswer reserves n bytes for an answer on a connection; a negative n releases them. While more than half of MostQueued is reserved, a
+// connection with unwritten answers gets no more than its share, so that clients which do not read leave room for the others.
+func (s *Server) reserveAnswer(c *conn, n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all, own := s.queued+n, c.booked+n
-	if n > 0 && (all > s.MostQueued || c.booked > 0 && own > s.MostQueued/connPart && all > s.MostQueued/2) {
+	if n > 0 && (all > s.MostQueued || c.booked > 0 && own > s.MostQueued/connShare && all > s.MostQueued/2) {
 		return false
 	}
 	s.queued, c.booked = all, own
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -210,7 +210,7 @@
 	c.request(1, "page", "0000000000000001")
 	a := c.next()
 	c.stop()
-	testwait.Until(t, "the end of accepting", c.draining)
+	testwait.Until(t, "the end of accepting", c.closesConnections)
 	time.Sleep(10 * patience * time.Millisecond)
 	a.reply(t, router.Answer{Verdict: router.Failed})
 	c.expect("[1 1 [Error map[]] <nil>]")
@@ -243,14 +243,14 @@
 
 // Emptied by staff: what is open gets its answer, and the connection closes after it; a client that keeps its connection busy is refused
 // in time; and after it all is as before.
-func TestEvacuate(t *testing.T) {
+func TestDrainUntilRejoin(t *testing.T) {
 	fake, turned := clock.NewFake(1_764_576_000_000), make(chan string, 1)
-	c := start(t, func(s *Server) { s.Clock, s.Turned = fake, func(class string) { turned <- class } })
+	c := start(t, func(s *Server) { s.Clock, s.OnRefused = fake, func(class string) { turned <- class } })
 	c.request(1, "page", "0000000000000001")
 	a := c.next()
-	c.Evacuate()
-	if !c.Evacuated() {
-		t.Error("not evacuated")
+	c.Drain()
+	if !c.Draining() {
+		t.Error("not draining")
 	}
 	c.request(2, "page", "0000000000000002") // clients go on using open connections
 	b := c.next()
@@ -268,8 +268,8 @@
 		t.Errorf("after the last answer: %v", err)
 	}
 	c.Rejoin()
-	if c.Evacuated() {
-		t.Error("evacuated after the end of it")
+	if c.Draining() {
+		t.Error("draining after Rejoin")
 	}
 	again := c.another()
 	again.request(1, "page", "0000000000000004")
@@ -319,7 +319,7 @@
 		c.Server.mu.Lock()
 		defer c.Server.mu.Unlock()
 		for o := range c.conns {
-			if math.IsInf(o.rank(), 1) {
+			if math.IsInf(o.evictionRank(), 1) {
 				return false
 			}
 		}
@@ -332,7 +332,7 @@
 	next.request(1, "page", "0000000000000003")
 	other := c.next()
 	// Half the idle limit: a connection closed only for being idle would still be open then.
-	c.Conn.SetReadDeadline(time.Now().Add(clock.Duration(idleLimit / 2)))
+	c.Conn.SetReadDeadline(time.Now().Add(clock.Duration(idleTimeout / 2)))
 	var late net.Error
 	if _, err := c.in.ReadByte(); err == nil || errors.As(err, &late) && late.Timeout() {
 		t.Errorf("the quiet connection is still open (%v)", err)
@@ -357,15 +357,15 @@
 		after float64
 		want  bool
 	}{
-		{&conn{}, firstLimit - 1, false},
-		{&conn{}, firstLimit, true},
-		{&conn{spoken: true}, idleLimit - 1, false},
-		{&conn{spoken: true}, idleLimit, true},
-		{&conn{spoken: true, unsent: 1}, idleLimit, false},
+		{&conn{}, firstMessageTimeout - 1, false},
+		{&conn{}, firstMessageTimeout, true},
+		{&conn{receivedAny: true}, idleTimeout - 1, false},
+		{&conn{receivedAny: true}, idleTimeout, true},
+		{&conn{receivedAny: true, unsent: 1}, idleTimeout, false},
 	} {
 		x.c.server, x.c.quietAt = s, fake.Now()-x.after
 		if got := x.c.idle(); got != x.want {
-			t.Errorf("spoken %v, %d unsent, after %v ms: idle %v", x.c.spoken, x.c.unsent, x.after, got)
+			t.Errorf("spoken %v, %d unsent, after %v ms: idle %v", x.c.receivedAny, x.c.unsent, x.after, got)
 		}
 	}
 }
