--- a/internal/router/interleavings_test.go
+++ b/internal/router/interleavings_test.go
@@ -41,8 +41,8 @@
 	c.call.Drop(again)
 }
 
-// crossing plays one request with what happens inside Send and Drop, and returns its answer and how many attempts went out.
-func crossing(t *testing.T, setup func(g *rig, u *held)) (Answer, int) {
+// playInterleaved plays one request with what happens inside Send and Drop, and returns its answer and how many attempts went out.
+func playInterleaved(t *testing.T, setup func(g *rig, u *held)) (Answer, int) {
 	t.Helper()
 	g := newRig(t, "box", "parent", "origin")
 	u := &held{t: t}
@@ -113,7 +113,7 @@
 		}, Failed, 0},
 	} {
 		for range plays {
-			a, n := crossing(t, c.setup)
+			a, n := playInterleaved(t, c.setup)
 			if a.Verdict != c.verdict || n != c.attempts {
 				t.Errorf("%s: verdict %d after %d attempts, want %d after %d", name, a.Verdict, n, c.verdict, c.attempts)
 				break
