--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -111,8 +111,8 @@
 }
 
 // feature loads the features file against the settings in force; nil without a file.
-func feature(file string, c *config.Config) (*features.File, router.Frame, error) {
-	none := router.Frame{}
+func feature(file string, c *config.Config) (*features.File, router.Features, error) {
+	none := router.Features{}
 	if file == "" {
 		return nil, none, nil
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, none, fmt.Errorf("%s: %w", file, err)
 	}
-	return f, router.Frame{Cells: a, Moves: f.Document(), Release: f.Release(), Shape: g, Shield: f.Guard()}, nil
+	return f, router.Features{Cells: a, Moves: f.Document(), Release: f.Release(), Shape: g, Shield: f.Guard()}, nil
 }
 
 // connections shares descriptors and bytes of memory out: how many connections clients may hold, and how many there may be to servers.
@@ -192,9 +192,9 @@
 		return err
 	}
 	if file != "" {
-		core.PlanInTurn()
+		core.PlanOnTick()
 	}
-	if err := core.Put(frame); err != nil {
+	if err := core.ApplyFeatures(frame); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	apply := func(n router.Notice) {
@@ -202,9 +202,9 @@
 		core.Apply(n)
 	}
 	var ready, ending atomic.Bool
-	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, Turned: core.Turned, MostConns: clients,
+	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, OnRefused: core.CountRefused, MostConns: clients,
 		MostQueued: int64(queueShare * memory), Clock: now, Log: log}
-	server.Ready = func() bool { return ready.Load() && !ending.Load() && !server.Evacuated() }
+	server.Ready = func() bool { return ready.Load() && !ending.Load() && !server.Draining() }
 	listener, err := openClients(c)
 	if err != nil {
 		return err
@@ -252,7 +252,7 @@
 		staff := operate(core, server, pools, state, &files, log)
 		staff.Ready = server.Ready
 		group.Go(func() error { return staff.Serve(serving, second) })
-		group.Go(func() error { return state.WatchEjected(serving, core.Adopt) })
+		group.Go(func() error { return state.WatchExcluded(serving, core.Adopt) })
 		if inherited {
 			group.Go(func() error { return state.SaveBeliefs(serving, core.Beliefs) })
 		}
@@ -262,7 +262,7 @@
 		if later, err = background.New(now, uint64(c.Seed), log); err != nil {
 			return err
 		}
-		later.Every(serving, "turn", turnEvery, sched.Prompt, core.Turn)
+		later.Every(serving, "turn", turnEvery, sched.Prompt, core.Tick)
 		group.Go(func() error { return later.Run(serving) })
 	}
 	group.Go(func() error { return report(serving, core, server, talk, later, log) })
@@ -322,7 +322,7 @@
 		log.Error().Err(err).Msg("new features can't be used")
 		return old
 	}
-	if err := core.Put(frame); err != nil { // it was checked: this can't be
+	if err := core.ApplyFeatures(frame); err != nil { // it was checked: this can't be
 		log.Error().Err(err).Msg("new features can't be used")
 	}
 	version, shape := int64(0), int64(0)
@@ -365,11 +365,11 @@
 
 func counters(core *router.Router, server *msgpackrpc.Server, talk *peers.Talk, log zerolog.Logger) {
 	n := &core.Counters
-	gaveWay, turnedAway, clientFaults := server.Counts()
+	evicted, rejected, clientFaults := server.Counts()
 	log.Info().Int64("taken", n.Taken.Load()).Int64("sent", n.Sent.Load()).Int64("served", n.Served.Load()).
 		Int64("refused", n.Refused.Load()).Int64("failed", n.Failed.Load()).Int64("gone", n.Gone.Load()).
-		Int64("overdue", n.Overdue.Load()).Int64("faults", n.Faults.Load()).Int64("client_faults", clientFaults).Int64("gave_way", gaveWay).
-		Int64("turned_away", turnedAway).Msg("counters")
+		Int64("overdue", n.Overdue.Load()).Int64("faults", n.Faults.Load()).Int64("client_faults", clientFaults).Int64("gave_way", evicted).
+		Int64("turned_away", rejected).Msg("counters")
 	if talk != nil {
 		n := talk.Counts()
 		log.Info().Int64("told", n.Told).Int64("heard", n.Heard).Int64("dropped", n.Dropped).Int64("found", n.Found).Msg("peers")
@@ -377,7 +377,7 @@
 			log.Info().Int("living", living).Interface("limits", all).Msg("fleet")
 		}
 	}
-	if g := core.Guard(); g != nil {
+	if g := core.ShieldStatus(); g != nil {
 		log.Info().Float64("limit", g.Limit).Float64("share", g.Share).Int("out", g.Out).Int("given_up", g.GivenUp).Float64("deep", g.Deep).Msg("shield")
 	}
 	p, demand := core.Cells()
