--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -19,7 +19,7 @@
 	// ConnLimit bounds the use of a connection by a test, which reads and writes on it many times.
 	ConnLimit = time.Minute
 
-	pollEvery = time.Millisecond
+	pollEvery = 5 * time.Millisecond
 )
 
 // Receive returns the next value from c, or the zero value once c is closed.
--- a/lab/local/coldstart_test.go
+++ b/lab/local/coldstart_test.go
@@ -1,11 +1,11 @@
 package local
 
 import (
-	"context"
 	"testing"
 	"time"
 
 	"spantack/core/coldstart"
+	"spantack/internal/testwait"
 	"spantack/standin/link"
 )
 
@@ -14,9 +14,7 @@
 // within the same milliseconds, every 250 ms. When it is back, all are there within a period and what a late process needs.
 func TestColdStartSparesTheListService(t *testing.T) {
 	const routers = 24
-	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
-	defer cancel()
-	d, err := Start(ctx, Options{Routers: routers, Caches: 2, Relayed: true})
+	d, err := Start(bounded(t, 2*time.Minute, "the deployment to start"), Options{Routers: routers, Caches: 2, Relayed: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,14 +25,10 @@
 	}()
 	back := func() {
 		t.Helper()
-		for begin := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-			if _, open, _, _ := d.BoardLink.Counts(); open == routers {
-				return
-			}
-			if time.Since(begin) > 10*time.Second {
-				t.Fatal("not all routers are back")
-			}
-		}
+		testwait.UntilWithin(t, 10*time.Second, "all routers to be back", func() bool {
+			_, open, _, _ := d.BoardLink.Counts()
+			return open == routers
+		})
 	}
 	back()
 	period := time.Duration(coldstart.Tries{Siblings: routers}.Period()) * time.Microsecond
--- a/lab/local/local_test.go
+++ b/lab/local/local_test.go
@@ -19,6 +19,7 @@
 	"spantack/core/moves"
 	"spantack/core/stages"
 	"spantack/internal/features"
+	"spantack/internal/testwait"
 	"spantack/standin/tier"
 )
 
@@ -59,7 +60,7 @@
 func start(t *testing.T, opt Options) *Deployment {
 	t.Helper()
 	opt.Binary = binary
-	d, err := Start(t.Context(), opt)
+	d, err := Start(bounded(t, saysWithin, "the deployment to start"), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,27 +92,58 @@
 	return cell
 }
 
-// saysWithin ends a wait for nothing.
-const saysWithin = time.Minute
+const (
+	// saysWithin bounds the waits for what routers do.
+	saysWithin = time.Minute
+	// loadWithin bounds a load with all its answers, which takes half a minute at most on a machine that is free.
+	loadWithin = 4 * time.Minute
+	// callWithin bounds a call to a router, which has limits of its own.
+	callWithin = testwait.Limit
+)
+
+// bounded is a context for a wait of the test; its end names what was awaited.
+func bounded(t *testing.T, limit time.Duration, what string) context.Context {
+	t.Helper()
+	ctx, cancel := context.WithTimeoutCause(t.Context(), limit, fmt.Errorf("waited %v for %s", limit, what))
+	t.Cleanup(cancel)
+	return ctx
+}
+
+// run sends a load and waits for all answers.
+func run(t *testing.T, d *Deployment, load Load) (*Report, error) {
+	t.Helper()
+	ctx := bounded(t, loadWithin, fmt.Sprintf("the answers to %d requests of seed %d", load.Requests, load.Seed))
+	rep, err := d.Run(ctx, load)
+	if late := context.Cause(ctx); late != nil { // requests that were out count as lost
+		err = late
+	}
+	return rep, err
+}
+
+// running is run beside the test.
+func running(t *testing.T, d *Deployment, load Load) <-chan *Report {
+	t.Helper()
+	ended := make(chan *Report, 1)
+	go func() {
+		rep, err := run(t, d, load)
+		if err != nil {
+			t.Error(err)
+		}
+		ended <- rep
+	}()
+	return ended
+}
 
 // waitLog returns once a router's log holds some words.
 func waitLog(t *testing.T, r *Router, words string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), saysWithin)
-	defer cancel()
-	for {
-		if ctx.Err() != nil {
-			t.Fatalf("the log of %s does not say %q", r.Addr, words)
-		}
+	testwait.UntilWithin(t, saysWithin, fmt.Sprintf("the log of %s to say %q", r.Addr, words), func() bool {
 		log, err := os.ReadFile(r.Log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.Contains(string(log), words) {
-			return
-		}
-		time.Sleep(5 * time.Millisecond)
-	}
+		return strings.Contains(string(log), words)
+	})
 }
 
 // Three routers, a flood by one tenant whose caches also fail now and then: no request of any tenant reaches a cache
@@ -125,7 +157,7 @@
 		return tier.None
 	}})
 	const requests = 3000
-	rep, err := d.Run(t.Context(), Load{Seed: 5, Requests: requests, Every: 700 * time.Microsecond, Conns: 2, Families: 4, Objects: 200, Flood: 0, Times: 3})
+	rep, err := run(t, d, Load{Seed: 5, Requests: requests, Every: 700 * time.Microsecond, Conns: 2, Families: 4, Objects: 200, Flood: 0, Times: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +219,7 @@
 		}
 	}
 	half := func(seed uint64) {
-		rep, err := d.Run(t.Context(), Load{Seed: seed, Requests: 300, Every: time.Millisecond, Conns: 2, Families: 4, Objects: 50})
+		rep, err := run(t, d, Load{Seed: seed, Requests: 300, Every: time.Millisecond, Conns: 2, Families: 4, Objects: 50})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -216,15 +248,9 @@
 		t.Errorf("before: %v", got)
 	}
 
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	ran := make(chan *Report, 1)
-	go func() {
-		rep, _ := d.Run(ctx, Load{Seed: 3, Requests: 600, Every: time.Millisecond, Conns: 2, Families: 4, Objects: 50})
-		ran <- rep
-	}()
+	ran := running(t, d, Load{Seed: 3, Requests: 600, Every: time.Millisecond, Conns: 2, Families: 4, Objects: 50})
 	hangUp(after, `"cells":2`)
-	if all := (<-ran).All(); all.Served != 600 {
+	if all := testwait.ReceiveWithin(t, loadWithin+saysWithin, ran, "the load").All(); all.Served != 600 {
 		t.Errorf("while it changed: %+v", all)
 	}
 	from := len(d.Ledger.Gets())
@@ -283,14 +309,7 @@
 		}
 	}
 	note()
-	ran := make(chan *Report, 1)
-	go func() {
-		rep, err := d.Run(t.Context(), Load{Seed: 9, Requests: requests, Every: 1200 * time.Microsecond, Conns: 2, Families: 3, Objects: 300})
-		if err != nil {
-			t.Error(err)
-		}
-		ran <- rep
-	}()
+	ran := running(t, d, Load{Seed: 9, Requests: requests, Every: 1200 * time.Microsecond, Conns: 2, Families: 3, Objects: 300})
 	now := float64(time.Now().UnixMilli())
 	move := moves.Move{Tenant: "mover", Depot: moves.AllDepots, From: "one", To: "two", Start: now + 1000, Shift: moves.LeastShift, Slow: 15_000, Settle: 2000}
 	tell(&moves.Document{Version: 1, Moves: []moves.Move{move}}, `"moves":1`)
@@ -303,7 +322,7 @@
 	lost := move
 	lost.To = "three"
 	tell(&moves.Document{Version: 2, Moves: []moves.Move{lost}}, "new features can't be used") // a move under way can't be led elsewhere
-	rep := <-ran
+	rep := testwait.ReceiveWithin(t, loadWithin+saysWithin, ran, "the load")
 	all := rep.All()
 	if n := all.Served + all.Refused + all.Failed; n != requests || all.Wrong+all.Lost > 0 {
 		t.Errorf("answers: %+v, want %d in all, none wrong or lost", all, requests)
@@ -362,7 +381,7 @@
 		return tier.None
 	}})
 	run := func(seed uint64, requests int) *Report {
-		rep, err := d.Run(t.Context(), Load{Seed: seed, Requests: requests, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
+		rep, err := run(t, d, Load{Seed: seed, Requests: requests, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -429,7 +448,7 @@
 	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text)})
 	ages := func(seed uint64, check func(family string, g tier.Get, at float64)) (seen int) {
 		from := len(d.Ledger.Gets())
-		rep, err := d.Run(t.Context(), Load{Seed: seed, Requests: 600, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
+		rep, err := run(t, d, Load{Seed: seed, Requests: 600, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -505,7 +524,7 @@
 	}
 	run := func(seed uint64, objects int) map[string]map[string]bool { // of each object, the sources that its fills named
 		from := len(d.Ledger.Gets())
-		rep, err := d.Run(t.Context(), Load{Seed: seed, Requests: 1500, Every: time.Millisecond, Conns: 2, Families: 3, Objects: objects})
+		rep, err := run(t, d, Load{Seed: seed, Requests: 1500, Every: time.Millisecond, Conns: 2, Families: 3, Objects: objects})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lab/local/operate_test.go
+++ b/lab/local/operate_test.go
@@ -13,12 +13,13 @@
 
 	"spantack/internal/msgpackrpc"
 	"spantack/internal/router"
+	"spantack/internal/testwait"
 )
 
 // call makes a call that is owed a yes.
 func call(t *testing.T, r *Router, method, path string) string {
 	t.Helper()
-	status, body, err := r.Call(t.Context(), method, path)
+	status, body, err := r.Call(bounded(t, callWithin, "a call"), method, path)
 	if err != nil || status != http.StatusOK {
 		t.Fatalf("%s %s: %d %q, %v", method, path, status, body, err)
 	}
@@ -48,27 +49,19 @@
 	const requests = 6000
 	d := start(t, Options{Routers: 1, Caches: 4, Delay: time.Millisecond, Managed: true})
 	var sent atomic.Int64
-	at := func(n int64) { // waits until so many requests have been sent
-		for sent.Load() < n {
-			time.Sleep(time.Millisecond)
-		}
+	at := func(n int64) {
+		t.Helper()
+		testwait.UntilWithin(t, saysWithin, fmt.Sprintf("%d requests to be sent", n), func() bool { return sent.Load() >= n })
 	}
 	out := d.Caches[1].Name()
-	ended := make(chan *Report, 1)
-	go func() {
-		rep, err := d.Run(t.Context(), Load{Seed: 11, Requests: requests, Every: 500 * time.Microsecond, Conns: 6, Families: 4, Objects: 200, Redial: true,
-			Sent: func(i int) { sent.Store(int64(i)) }})
-		if err != nil {
-			t.Error(err)
-		}
-		ended <- rep
-	}()
+	ended := running(t, d, Load{Seed: 11, Requests: requests, Every: 500 * time.Microsecond, Conns: 6, Families: 4, Objects: 200, Redial: true,
+		Sent: func(i int) { sent.Store(int64(i)) }})
 	at(300)
 	call(t, d.Routers[0], http.MethodPut, "/api/exclude/"+out)
 	from := sent.Load() + 1
 	at(from + 200)
 	replace := func() {
-		if err := d.ReplaceRouter(t.Context(), 0); err != nil {
+		if err := d.ReplaceRouter(bounded(t, saysWithin, "the router to be replaced"), 0); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -79,7 +72,7 @@
 	call(t, d.Routers[0], http.MethodPut, "/api/include/"+out)
 	back := sent.Load() + 1
 	replace()
-	rep := <-ended
+	rep := testwait.ReceiveWithin(t, loadWithin+saysWithin, ended, "the load")
 	all := rep.All()
 	if all.Served+all.Refused+all.Failed != requests || all.Wrong+all.Lost > 0 {
 		t.Errorf("answers %+v, want %d, none wrong or lost", all, requests)
@@ -121,12 +114,12 @@
 	const requests = 1500
 	d := start(t, Options{Routers: 1, Caches: 3, Delay: time.Millisecond, Managed: true})
 	r := d.Routers[0]
-	if status, _, err := r.Call(t.Context(), http.MethodPut, "/api/exclude/s-00000000"); err != nil || status != http.StatusNotFound {
+	if status, _, err := r.Call(bounded(t, callWithin, "a call"), http.MethodPut, "/api/exclude/s-00000000"); err != nil || status != http.StatusNotFound {
 		t.Errorf("an unknown id: %d, %v", status, err)
 	}
 	until(t, "list", func() bool { return figures(t, r)["app.discovered"] == 3 }) // it comes from the board alone, after the router is ready
 	call(t, r, http.MethodPut, "/api/exclude/"+d.Caches[0].Name())
-	rep, err := d.Run(t.Context(), Load{Seed: 12, Requests: requests, Every: 500 * time.Microsecond, Conns: 2, Families: 2, Objects: 100})
+	rep, err := run(t, d, Load{Seed: 12, Requests: requests, Every: 500 * time.Microsecond, Conns: 2, Families: 2, Objects: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +153,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		return c.Do(t.Context(), router.Request{ID: fmt.Sprintf("%016x", n), Class: class, Object: Object(0, n), SizeKb: 20, Allow: 3000})
+		return c.Do(bounded(t, callWithin, "an answer"), router.Request{ID: fmt.Sprintf("%016x", n), Class: class, Object: Object(0, n), SizeKb: 20, Allow: 3000})
 	}
 	rejected := 0
 	for name, change := range map[string]func(doc map[string]any){
@@ -209,11 +202,7 @@
 // until waits for what follows from a signal.
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for begin := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Since(begin) > saysWithin {
-			t.Fatalf("%s: never", what)
-		}
-	}
+	testwait.UntilWithin(t, saysWithin, what, holds)
 }
 
 // An emptied router says no at both addresses, answers what it had, closes its clients' connections and runs on; then it works again.
@@ -221,7 +210,7 @@
 	d := start(t, Options{Routers: 1, Caches: 2, Delay: 100 * time.Millisecond, Managed: true})
 	r := d.Routers[0]
 	work := func(seed uint64) {
-		rep, err := d.Run(t.Context(), Load{Seed: seed, Requests: 50, Every: time.Millisecond, Conns: 1, Families: 1, Objects: 5})
+		rep, err := run(t, d, Load{Seed: seed, Requests: 50, Every: time.Millisecond, Conns: 1, Families: 1, Objects: 5})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -238,7 +227,7 @@
 	defer c.Close()
 	answers := make(chan router.Answer, 1)
 	go func() {
-		a, err := c.Do(t.Context(), router.Request{ID: "0000000000000001", Class: Classes[0], Object: Object(0, 1), SizeKb: 20, Allow: 3000})
+		a, err := c.Do(bounded(t, callWithin, "an answer"), router.Request{ID: "0000000000000001", Class: Classes[0], Object: Object(0, 1), SizeKb: 20, Allow: 3000})
 		if err != nil {
 			t.Error(err)
 		}
@@ -246,14 +235,14 @@
 	}()
 	until(t, "a request out", func() bool { return len(d.Ledger.Gets()) > before })
 	call(t, r, http.MethodPut, "/api/evacuate")
-	if status, _, err := r.Call(t.Context(), http.MethodGet, "/api/ready"); err != nil || status != http.StatusServiceUnavailable {
+	if status, _, err := r.Call(bounded(t, callWithin, "a call"), http.MethodGet, "/api/ready"); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("ready while it is emptied: %d, %v", status, err)
 	}
-	if a := <-answers; a.Verdict != router.Served {
+	if a := testwait.Receive(t, answers, "the answer to the open request"); a.Verdict != router.Served {
 		t.Errorf("what was open got %+v", a)
 	}
 	until(t, "the connection closed", func() bool {
-		_, err := c.Ready(t.Context())
+		_, err := c.Ready(bounded(t, callWithin, "health"))
 		return errors.Is(err, msgpackrpc.ErrClosed)
 	})
 	front, err := msgpackrpc.Dial(r.Addr, 1000)
@@ -261,7 +250,7 @@
 		t.Fatal(err)
 	}
 	defer front.Close()
-	if ready, err := front.Ready(t.Context()); err != nil || ready {
+	if ready, err := front.Ready(bounded(t, callWithin, "health")); err != nil || ready {
 		t.Errorf("to the front: %v, %v", ready, err)
 	}
 	call(t, r, http.MethodPut, "/api/rejoin")
