--- a/rules/picking.go
+++ b/rules/picking.go
@@ -51,7 +51,7 @@
 func (r *Router) usableFor(q *request, n *node) bool {
 	shut := n.brk.open(r.now) && (n.brk.dead || !r.poolOf(q.Set).panic)
 	return n.usable && !shut && !slices.Contains(q.tried, n) && r.sameGroup(q, n) &&
-		r.affordable(n, r.sendMean[q.class])
+		r.affordable(n, q.work)
 }
 
 // pickCache takes the first usable cache, of two when hot; full: one was passed over for its limit alone.
@@ -87,15 +87,10 @@
 
 // pickSource takes the object's first parent not open, full or cold at its budget; held copies if shut.
 func (r *Router) pickSource(q *request) (source *node, how int) {
-	if r.set.Extra.SharesFills && r.sincePurge(q) == 0 {
+	if r.set.Extra.SharesFills && r.sinceChange(q, 0) == 0 {
 		how = Join // not after a purge: what is under way may be older
 	}
-	behind := &r.behind
-	if q.looked > 0 { // counted with those known to ask: most of the others are hits
-		behind = &node{role: roleOther, limit: min(behind.limit, r.asksMost), out: r.asked} // no account's
-	}
-	shut := r.origin == nil || r.origin.gate(q.account).open(r.now) || !r.room(q, behind) ||
-		q.looked == 0 && r.asksMost < behindMost
+	shut := r.origin == nil || r.origin.gate(q.account).open(r.now) || !r.mayAsk(q)
 	if shut && len(r.parents) > 0 {
 		how |= HeldOnly
 	}
@@ -103,7 +98,7 @@
 	if q.Above != 0 {
 		first = r.poolOf(q.Above).rank
 	}
-	closed := len(first.nodes) == 0 || len(q.sources) > 0
+	closed := len(first.nodes) == 0 || len(q.sources) > 0 || q.heldDone && q.attempts == 1
 	for rank := first; ; rank = r.upRank {
 		rank.start(q.Object)
 		for n := rank.next(); n != nil; n = rank.next() {
@@ -111,7 +106,7 @@
 				continue
 			}
 			closed = true
-			if r.affordable(n, r.sendMean[q.class]) && r.room(q, n) {
+			if r.affordable(n, q.work) && r.room(q, n) {
 				return n, how
 			}
 		}
@@ -119,15 +114,24 @@
 			break
 		}
 	}
-	// Departure: where none but open, full or cold ones are left, the origin takes fills, within its limit.
+	// Departure: where all are full, cold, or open and no copy is held, the origin takes fills, in its limit.
 	if closed && !shut && r.room(q, r.origin) && !slices.Contains(q.sources, r.origin) {
 		return r.origin, how
 	}
 	return nil, how
 }
 
-// without answers q if no cache can be used: refused if some are merely full or it is confined to those that
-// failed, else a source is asked.
+// mayAsk reports room at the origin for q. Known asks have a limit of their own; Confine's bound is on all.
+func (r *Router) mayAsk(q *request) bool {
+	if q.looked == 0 {
+		return r.room(q, &r.behind) && r.asksMost >= behindMost
+	}
+	known := node{role: roleOther, limit: min(r.behind.limit, r.asksMost), out: r.asked} // no account's
+	all := node{role: roleOrigin, limit: r.behindMost, out: r.behind.out, stakes: r.behind.stakes}
+	return r.room(q, &known) && (r.behindMost >= behindMost || r.room(q, &all))
+}
+
+// without answers q if no cache can be used: refused if some are full or it is confined, else by a source.
 func (r *Router) without(q *request, full bool) {
 	source, how := r.pickSource(q)
 	straight := r.set.Extra.Straight && r.origin != nil && q.Set == 0
@@ -164,7 +168,7 @@
 		act.Source = a.source.name
 	}
 	act.TimeOut, act.Within = max(q.deadline-r.now, 1), r.window(q)
-	a.at, a.work, a.nodeHad = r.now, r.sendMean[q.class], a.node.answered
+	a.at, a.work, a.nodeHad = r.now, q.work, a.node.answered
 	for i, n := range []*node{a.node, a.source, r.origin} {
 		if n == nil || i > 0 && !(a.fills && (i == 1 || act.How&HeldOnly == 0)) {
 			continue
