--- a/lab/local/coldservers_test.go
+++ b/lab/local/coldservers_test.go
@@ -60,16 +60,17 @@
 
 func (b burst) meanKb() float64 { return float64(b.leastKb+b.mostKb) / 2 }
 
-// send plays a burst and returns what became of its requests.
-func (b burst) send(t *testing.T, d *Deployment) (sum Count) {
-	t.Helper()
-	const connections = 2 // to each router
-	var lines []*line
+// clientsOf are the clients of a burst: two connections to each router, opened anew where one was closed.
+func clientsOf(d *Deployment) (clients []*line) {
 	for _, r := range d.Routers {
-		for range connections {
-			lines = append(lines, &line{addr: r.Addr})
-		}
+		clients = append(clients, &line{addr: r.Addr, redial: true}, &line{addr: r.Addr, redial: true})
 	}
+	return clients
+}
+
+// send plays a burst and returns what became of its requests.
+func (b burst) send(t *testing.T, lines []*line) (sum Count) {
+	t.Helper()
 	defer func() {
 		for _, l := range lines {
 			l.close()
@@ -127,16 +128,20 @@
 		name string
 		opt  Options
 		load burst
+		// restarted is the part of the routers that are killed and start anew while most of the first budget has been sent.
+		restarted float64
 	}{
-		{"twenty processes", Options{Routers: 20}, twofold},
-		{"thirty processes", Options{Routers: 30}, sixfold},
-		{"thirty processes with datagrams", Options{Routers: 30, Peers: true, Features: fleet, Flags: []string{"--peers"}}, sixfold},
+		{"twenty processes", Options{Routers: 20}, twofold, 0},
+		{"thirty processes", Options{Routers: 30}, sixfold, 0},
+		{"thirty processes, seven in ten start anew", Options{Routers: 30}, sixfold, 0.7},
+		{"thirty processes with datagrams", Options{Routers: 30, Peers: true, Features: fleet, Flags: []string{"--peers"}}, sixfold, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.opt.Caches, tc.opt.Delay = caches, time.Millisecond
 			d := start(t, tc.opt)
 			sent := make(chan Count, 1)
-			go func() { sent <- tc.load.send(t, d) }()
+			clients := clientsOf(d)
+			go func() { sent <- tc.load.send(t, clients) }()
 			time.Sleep(300 * time.Millisecond) // the burst is there before
 			started := map[string]time.Time{}
 			for i := range cold {
@@ -146,6 +151,10 @@
 				}
 				started[d.Caches[i].Name()] = before
 			}
+			if tc.restarted > 0 {
+				time.Sleep(time.Second)
+				restart(t, d, int(tc.restarted*float64(tc.opt.Routers)))
+			}
 			sum := <-sent
 			calls := map[string][]time.Time{}
 			for _, g := range d.Ledger.Gets() {
--- a/lab/local/readiness_test.go
+++ b/lab/local/readiness_test.go
@@ -75,10 +75,10 @@
 	}
 }
 
-// restartAll kills all routers, starts them anew at once and returns how long each took to be ready, in order.
-func restartAll(t *testing.T, d *Deployment) []time.Duration {
+// restart kills the first so many routers, starts them anew at once and returns how long each took to be ready, in order.
+func restart(t *testing.T, d *Deployment, count int) []time.Duration {
 	t.Helper()
-	for _, r := range d.Routers {
+	for _, r := range d.Routers[:count] {
 		if err := r.Kill(); err != nil {
 			t.Fatal(err)
 		}
@@ -89,8 +89,8 @@
 		took time.Duration
 		err  error
 	}
-	outcomes := make(chan outcome, len(d.Routers))
-	for i, before := range d.Routers {
+	outcomes := make(chan outcome, count)
+	for i, before := range d.Routers[:count] {
 		begin := time.Now()
 		r, err := d.start(i, before)
 		if err != nil {
@@ -103,7 +103,7 @@
 		}()
 	}
 	var took []time.Duration
-	for range d.Routers {
+	for range count {
 		o := <-outcomes
 		if o.err != nil {
 			t.Error(o.err)
@@ -164,7 +164,7 @@
 		if err := d.Board.SetMode(mode); err != nil {
 			t.Fatal(err)
 		}
-		took := restartAll(t, d)
+		took := restart(t, d, routers)
 		ninth := took[(len(took)*9+9)/10-1]
 		t.Logf("discovery %v: ready after %v least, %v median, %v nine in ten, %v most", mode, took[0], took[len(took)/2], ninth, took[len(took)-1])
 		if ninth > nineInTenReady {
