--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -60,7 +60,7 @@
 	clientBytes = 32 << 10
 	// turnEvery, in milliseconds, moves and releases are looked at while no request comes.
 	turnEvery = 500
-	// spareSockets are for the listener, the board, logs and connections on their way out.
+	// spareSockets are for the listener, the discovery service, logs and connections on their way out.
 	spareSockets = 48
 	// leastConns there may be to servers, whatever the limits: with none a router would refuse all. They come out of the spare ones.
 	leastConns = 8
@@ -150,6 +150,12 @@
 	return min(stayOpen, last), last, take
 }
 
+// spareTime is how much later than planned the process may be gone, by the longest deadline: a busy machine lets it run late.
+func spareTime(longest float64) float64 {
+	_, last, take := theEnd(longest)
+	return min(longest, longestKept) + killSlack - spareEnd - last - take
+}
+
 // reload brings the configuration for a SIGHUP.
 type reload func() (*config.Config, error)
 
@@ -171,7 +177,7 @@
 	defer stopAccepting()
 
 	now := &clock.Clock{}
-	shelf := manage.NewShelf(c.Shelf, log)
+	state := manage.NewStateDir(c.StateDir, log)
 	inherited := c.Socket >= 0
 	memory, sockets := c.MemoryMB*(1<<20), c.Sockets
 	if inherited { // one process replaces another while that serves: the limits count for both
@@ -209,19 +215,19 @@
 			return err
 		}
 	}
-	shelf.Restore(core.Adopt)
+	state.Restore(core.Adopt)
 	for _, n := range c.Notices {
 		apply(n)
 	}
 	if inherited {
-		takeOver(core, shelf, log)
+		takeOver(core, state, log)
 	}
 	ready.Store(true)
-	log.Info().Str("listen", c.Listen).Uint64("known", c.Last).Msg("serving")
+	log.Info().Str("listen", c.Listen).Uint64("known", c.LastKnown).Msg("serving")
 
-	follower := &discovery.Follower{Names: c.Names, Last: c.Last, Apply: apply, Clock: now, Log: log,
+	watcher := &discovery.Watcher{Names: c.Names, LastApplied: c.LastKnown, Apply: apply, Clock: now, Log: log,
 		Tries: coldstart.Tries{Rank: c.Tier.Rank, Siblings: c.Settings.Siblings}}
-	follower.Move(c.Board)
+	watcher.SetAddress(c.DiscoveryAddr)
 	group, serving := errgroup.WithContext(serving)
 	var talk *peers.Talk
 	limits := on.Limits()
@@ -235,20 +241,20 @@
 	} else if limits != nil { // nobody to keep it with: an even share of all that are listed
 		core.Lease(limits[0].Most / float64(max(c.Settings.Siblings, 1)))
 	}
-	group.Go(func() error { return follower.Run(serving) })
+	group.Go(func() error { return watcher.Run(serving) })
 	var files reloads
 	var longest atomic.Value // of a class's deadline, in milliseconds
 	longest.Store(c.Longest)
 	if second != nil {
-		if err := shelf.Serving(); err != nil {
+		if err := state.ClaimServing(); err != nil {
 			log.Warn().Err(err).Msg("can't say that this process serves")
 		}
-		staff := operate(core, server, pools, shelf, &files, log)
+		staff := operate(core, server, pools, state, &files, log)
 		staff.Ready = server.Ready
 		group.Go(func() error { return staff.Serve(serving, second) })
-		group.Go(func() error { return shelf.Follow(serving, core.Adopt) })
+		group.Go(func() error { return state.WatchEjected(serving, core.Adopt) })
 		if inherited {
-			group.Go(func() error { return shelf.Leave(serving, core.Beliefs) })
+			group.Go(func() error { return state.SaveBeliefs(serving, core.Beliefs) })
 		}
 	}
 	var later *background.Runner
@@ -266,7 +272,7 @@
 			case <-serving.Done():
 				return nil
 			case <-signals.hangUp:
-				c = reconfigure(c, again, core, server, pools, follower.Move, &files, log)
+				c = reconfigure(c, again, core, server, pools, watcher.SetAddress, &files, log)
 				longest.Store(c.Longest)
 				on = refeature(file, on, c, core, now, log)
 			}
@@ -278,14 +284,15 @@
 		case <-serving.Done():
 			return nil
 		}
-		shelf.Ending() // first: whoever is told that this process is not ready must find no word of it
+		state.ReleaseServing() // first: whoever is told that this process is not ready must find its claim withdrawn
 		ending.Store(true)
 		stay, last, take := theEnd(longest.Load().(float64))
-		if inherited && shelf.Replaced() { // the other process takes what comes: to take more would only have it cut short
+		if inherited && state.Replaced() { // the other process takes what comes: to take more would only have it cut short
 			stay = 0
 		}
 		log.Info().Bool("replaced", stay == 0).Msg("stopping")
-		server.Patience = last + take - stay // read once accepting has ended
+		server.Patience = last + take - stay // these are read once accepting has ended
+		server.Take, server.Late = take, spareTime(longest.Load().(float64))
 		now.AfterFunc(stay, stopAccepting)
 		now.AfterFunc(last, core.Finish)
 		return nil
--- a/standin/discovery/mode_test.go
+++ b/standin/discovery/mode_test.go
@@ -17,7 +17,7 @@
 const within = 10 * time.Second
 
 // connect opens a connection and asks for all events.
-func connect(t *testing.T, b *Board) net.Conn {
+func connect(t *testing.T, b *Service) net.Conn {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", b.Addr(), within)
 	if err != nil {
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	b.List(true)
+	b.Publish(true)
 	set := func(mode Mode) {
 		t.Helper()
 		if err := b.SetMode(mode); err != nil {
