--- a/cmd/spantack/departed_test.go
+++ b/cmd/spantack/departed_test.go
@@ -17,6 +17,7 @@
 	"time"
 	"unsafe"
 
+	"spantack/internal/testwait"
 	caches "spantack/standin/tier"
 )
 
@@ -401,7 +402,7 @@
 func (p *departure) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
-	await(p.t, "the router is stopped", func() bool {
+	testwait.Until(p.t, "the router is stopped", func() bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		return err == nil && strings.Contains(string(text), ") T ")
 	})
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"spantack/internal/testwait"
 	"spantack/standin/discovery"
 	caches "spantack/standin/tier"
 )
@@ -43,21 +44,23 @@
 }
 
 func crowdWhileDiscoveryIsDown(t *testing.T, limit int) {
-	addr := ownAddress(t)
-	board, err := discovery.ListenAt(addr)
+	service, err := discovery.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := deploy(t, blueprint{caches: 2, sockets: limit, deadline: 2 * time.Second, discovery: addr, start: limited(limit)})
+	defer service.Close()
+	d := deploy(t, blueprint{caches: 2, sockets: limit, deadline: 2 * time.Second, discovery: service.Addr(), start: limited(limit)})
 	list := append(d.list(stateReady, stateReady), entry(d.origin, originID, stateReady, kindOrigin))
-	board.List(true, list...)
-	await(t, "the router's first watch", func() bool { return board.Watches() > 0 })
-	board.Close()
+	service.Publish(true, list...)
+	testwait.Until(t, "the router's first watch", func() bool { return service.Watches() > 0 })
+	if err := service.SetMode(discovery.Down); err != nil {
+		t.Fatal(err)
+	}
 
 	crowd := gather(d.listen, limit+limit/2)
 	defer crowd.disperse()
-	await(t, "so many idle clients as the router has descriptors", func() bool { return crowd.came() >= limit })
-	await(t, "idle clients hold the third of the descriptors that is theirs", func() bool {
+	testwait.Until(t, "so many idle clients as the router has descriptors", func() bool { return crowd.came() >= limit })
+	testwait.Until(t, "idle clients hold the third of the descriptors that is theirs", func() bool {
 		return descriptors(t, d.cmd.Process.Pid) >= limit/clientShare
 	})
 	time.Sleep(crowdedFor)
@@ -67,14 +70,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(replacement.Close)
-	if board, err = discovery.ListenAt(addr); err != nil {
+	service.Publish(false, append(d.list(stateGone, stateGone), entry(replacement, firstCache+100, stateReady, kindCache))...)
+	before := service.Watches()
+	back := time.Now()
+	if err := service.SetMode(discovery.Serving); err != nil {
 		t.Fatal(err)
 	}
-	defer board.Close()
-	board.List(true, list...)
-	back := time.Now()
-	board.List(false, append(d.list(stateGone, stateGone), entry(replacement, firstCache+100, stateReady, kindCache))...)
-	await(t, "the watch after the return of discovery", func() bool { return board.Watches() > 0 })
+	testwait.Until(t, "the watch after the return of discovery", func() bool { return service.Watches() > before })
 	if took := time.Since(back); took > followsWithin {
 		t.Errorf("watched again %v after the return of discovery, %v are allowed", took, followsWithin)
 	}
@@ -141,7 +143,7 @@
 	d.t.Helper()
 	begin := time.Now()
 	served, number := false, 0
-	await(d.t, "an object that is served, by "+cache.Name(), func() bool {
+	testwait.Until(d.t, "an object that is served, by "+cache.Name(), func() bool {
 		number++
 		served = d.ask(fmt.Sprintf("%016x", number)) == nil || served
 		return served && slices.ContainsFunc(d.requests.Gets(), func(g caches.Get) bool { return g.Server == cache.Name() })
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -134,7 +134,7 @@
 	if k.begun {
 		delete(c.dropped, k.try.ID) // the DROP is written
 	}
-	return min(max(left, leastWrite), writeLimit), k.begun
+	return min(max(left, leastWrite), p.timeouts.write), k.begun
 }
 
 // write puts queued commands on the socket, each within a bounded time.
@@ -144,7 +144,7 @@
 		case <-c.gone:
 			return
 		case m := <-c.queue:
-			wait := float64(writeLimit)
+			wait := c.pool.owner.timeouts.write
 			if m.call != nil {
 				if m.call.departed() {
 					continue // its Drop takes it off this connection
