--- a/cmd/spantack/departed_test.go
+++ b/cmd/spantack/departed_test.go
@@ -98,7 +98,7 @@
 	paused   bool // the caches read nothing
 	blockers int  // commands longer than a connection takes, which were begun before
 	busy     bool // it is also played on a busy core
-	kernel   bool // it is the system's: what waits there goes on also while the router is stopped, and nobody can keep it
+	kernel   bool // it is the system's, which needs no router to go on: the router gets the time to take back what waits there
 }
 
 // fewestSockets leave the router so few connections to caches that attempts share them.
@@ -228,6 +228,9 @@
 	}
 	p.leave()
 	time.Sleep(departedGrace + 20*time.Millisecond)
+	if p.place.kernel {
+		within(func() bool { return p.connections(established) <= staying })
+	}
 	begin := time.Now()
 	p.release()
 	if p.under.stopped {
@@ -346,7 +349,7 @@
 	switch {
 	case p.place.lateDial:
 		return within(func() bool {
-			p.dials = p.dialling()
+			p.dials = p.connections(dialling)
 			return 2*p.dials >= len(sent)
 		})
 	case p.place.held:
@@ -385,15 +388,21 @@
 	})
 }
 
-// dialling counts the connections to the caches for which the system has sent a first packet and heard nothing.
-func (p *departure) dialling() (count int) {
+// States of a connection, as the system's table numbers them.
+const (
+	established = 1
+	dialling    = 2 // its first packet is out, and nothing was heard
+)
+
+// connections counts those to the caches that are in a state.
+func (p *departure) connections(state int) (count int) {
 	p.t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	for _, cache := range p.caches {
-		count += strings.Count(string(table), fmt.Sprintf(" 0100007F:%04X 02 ", cache.Addr().Port()))
+		count += strings.Count(string(table), fmt.Sprintf(" 0100007F:%04X %02X ", cache.Addr().Port(), state))
 	}
 	return count
 }
--- a/internal/msgpackrpc/departed.go
+++ b/internal/msgpackrpc/departed.go
@@ -7,9 +7,9 @@
 )
 
 // A reader that lags behind its socket is waited for: behindTries times behindPause. It never waits for anything but its client, so that it
-// has caught up after the first pause unless bytes come faster than it reads.
+// has caught up after the first pause, unless bytes come faster than it reads or the process loses the processor during each pause.
 const (
-	behindTries = 10
+	behindTries = 50
 	behindPause = 200 * time.Microsecond
 )
 
--- a/internal/resp/put.go
+++ b/internal/resp/put.go
@@ -8,7 +8,7 @@
 // errDeparted ends a connection on which a command was half written when its client left.
 var errDeparted = errors.New("the client of a command that is half written has left")
 
-// put writes a command. Where the connection takes it in parts, it looks before each further one whether the command's client has left: what
+// put writes a command. Where the connection takes it in parts, it looks before each but the first whether the command's client has left: what
 // would come whole to the server only then must not.
 func (c *conn) put(m command) error {
 	socket, ok := c.net.(syscall.Conn)
@@ -23,12 +23,12 @@
 	rest, first := m.text, true
 	var failed error
 	err = raw.Write(func(fd uintptr) (done bool) {
-		if !first && m.call.departed() {
-			failed = errDeparted
-			return true
-		}
-		first = false
 		for len(rest) > 0 {
+			if !first && m.call.departed() {
+				failed = errDeparted
+				return true
+			}
+			first = false
 			n, err := syscall.Write(int(fd), rest)
 			switch {
 			case err == nil:
