--- a/standin/discovery/server.go
+++ b/standin/discovery/server.go
@@ -38,9 +38,9 @@
 	listener   net.Listener // closed while the service is down
 	mode       Mode
 	conns      map[net.Conn]bool
+	watches    int      // connections that have asked for events so far
 	frames     [][]byte // event n at n-1
 	changed    chan struct{}
-	watches    int // connections that have asked for events
 	goroutines sync.WaitGroup
 	done       chan struct{}
 }
@@ -49,12 +49,7 @@
 // service is down. Close ends it.
 func Listen() (*Service, error) {
 	host := net.IPv4(127, byte(1+rand.IntN(254)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
-	return ListenAt(net.JoinHostPort(host.String(), "0"))
-}
-
-// ListenAt starts a discovery service at an address, such as one that comes back to where it was.
-func ListenAt(addr string) (*Service, error) {
-	l, err := net.Listen("tcp", addr)
+	l, err := net.Listen("tcp", net.JoinHostPort(host.String(), "0"))
 	if err != nil {
 		return nil, err
 	}
