--- a/rules/state.go
+++ b/rules/state.go
@@ -24,6 +24,28 @@
 	group  int64
 }
 
+// datedPurge is a purge and when it was made.
+type datedPurge struct {
+	key  purgeKey
+	made int64
+}
+
+// purgeHeap holds purges for container/heap, the oldest first.
+type purgeHeap []datedPurge
+
+func (h purgeHeap) Len() int           { return len(h) }
+func (h purgeHeap) Less(i, j int) bool { return h[i].made < h[j].made }
+func (h purgeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *purgeHeap) Push(purge any)    { *h = append(*h, purge.(datedPurge)) }
+
+func (h *purgeHeap) Pop() any {
+	last := len(*h) - 1
+	purge := (*h)[last]
+	(*h)[last] = datedPurge{} // lets its name go
+	*h = (*h)[:last]
+	return purge
+}
+
 type sent struct {
 	at   int64
 	work float64
@@ -175,7 +197,8 @@
 	account        int
 	part           string // object and part: what is kept and filled on its own
 	deadline       int64
-	attempts, most int // made, and allowed when it came
+	attempts, most int     // made, and allowed when it came
+	work           float64 // mean sending time of its class, when it came
 	out, started   bool
 	over           bool  // past its tenant's share
 	ranNode        *node // where the first attempt that may have run went, at ranAt; nil: none may have
@@ -193,6 +216,7 @@
 	set        Settings
 	rng        *rand.Rand
 	now        int64
+	began      int64 // when the first step was; 0: before it
 	acts       []Action
 	classes    map[string]int
 	nodes      map[string]*node
@@ -210,12 +234,14 @@
 	asked      int  // of that, what is known to ask it
 	requests   map[string]*request
 	purged     map[purgeKey]int64 // when an object, or a group, was purged
+	purges     purgeHeap          // all purges since the oldest of these
 	tenants    map[string]*tenant
 	recent     map[string]int
 	recentN    int
-	sendMean   []float64 // by class: mean sending time seen
-	tail       []float64 // by class: what few answers exceed, in usual times
-	spare      float64   // requests that may be called back as lost
+	sendMean   []float64        // by class: mean sending time seen
+	sizes      map[string]*mean // by name of class: mean sending time of requests as they come
+	tail       []float64        // by class: what few answers exceed, in usual times
+	spare      float64          // requests that may be called back as lost
 	peak       [roleOther + 1]float64
 	purgeSpan  int64 // how long a purge matters
 	token      int64
