--- a/internal/resp/crossings_test.go
+++ b/internal/resp/crossings_test.go
@@ -5,12 +5,12 @@
 	"net"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/rs/zerolog"
 
 	"spantack/internal/clock"
 	"spantack/internal/router"
+	"spantack/internal/testwait"
 	"spantack/rules"
 )
 
@@ -24,6 +24,7 @@
 func shared(t *testing.T, addr string, mostWait float64) *Pools {
 	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleClose: 30_000, MaxStreams: 8, MostConns: 1, MostWait: mostWait},
 		clock.NewFake(1000), zerolog.Nop())
+	p.timeouts.write = patient // a write that is stuck is still so when the test goes on
 	list(p, "s-1", addr)
 	return p
 }
@@ -110,12 +111,20 @@
 // request, and what waits behind it never ran.
 func TestStuckPastTheGrace(t *testing.T) {
 	c := listen(t)
-	p := shared(t, c.addr(), 50)
+	p := shared(t, c.addr(), 500)
 	k := send(p, "first")
 	one := c.accept()
 	one.expect("GET first")
-	stuck := stick(t, p, one)
-	behind := send(p, "behind")
+	stuck, behind := newCall(p, "stuck"), newCall(p, "behind")
+	stuck.try.Body = tooMuch
+	p.mu.Lock()
+	for _, next := range []*call{stuck, behind} { // at once, or the first may have ended before the second comes
+		p.servers["s-1"].conns[0].start(next)
+	}
+	p.mu.Unlock()
+	if _, err := one.in.Peek(1); err != nil {
+		t.Fatal(err)
+	}
 	wantCode(t, stuck, rules.Refused)
 	wantCode(t, behind, rules.Refused)
 	wantCode(t, k, rules.Reset) // it was with the server
@@ -125,15 +134,12 @@
 func TestEarlyCloseCrossesGet(t *testing.T) {
 	c := listen(t)
 	p, _ := newPools(t, c.addr())
-	nc, err := net.Dial("tcp", c.addr())
-	if err != nil {
-		t.Fatal(err)
-	}
+	nc := testwait.Dial(t, c.addr())
 	peer := c.accept()
 	peer.Conn.(*net.TCPConn).SetLinger(0)
 	peer.Close()
 	nc.Read(make([]byte, 1)) // the reset is here
-	k := &call{pools: p, try: router.Attempt{Request: &router.Request{ID: "a"}}, chosen: 1000, done: make(chan router.End, 1)}
+	k := newCall(p, "a")
 	o := bare(p, nc)
 	p.mu.Lock()
 	o.start(k)
@@ -142,7 +148,7 @@
 	wantCode(t, k, rules.Refused)
 
 	o = bare(p, nc)
-	k = &call{pools: p, try: router.Attempt{Request: &router.Request{ID: "b"}}, chosen: 1000, done: make(chan router.End, 1)}
+	k = newCall(p, "b")
 	p.mu.Lock()
 	o.start(k)
 	o.close() // the reader saw the close first
@@ -150,6 +156,11 @@
 	wantCode(t, k, rules.Refused)
 }
 
+// newCall is an attempt that is not sent yet.
+func newCall(p *Pools, id string) *call {
+	return &call{pools: p, try: router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"}, chosen: 1000, done: make(chan router.End, 1)}
+}
+
 // bare is a connection without reader and writer.
 func bare(p *Pools, nc net.Conn) *conn {
 	return &conn{pool: p.servers["s-1"], net: nc, queue: make(chan command, 4), calls: map[string]*call{},
@@ -194,7 +205,7 @@
 
 // dialled returns an attempt whose connection has come up and waits for Pools.mu. It leaves that locked: the caller unlocks it.
 func dialled(p *Pools, c *cache) (k *call, l *pool, one *link) {
-	k = &call{pools: p, try: router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1"}, chosen: 1000, done: make(chan router.End, 1)}
+	k = newCall(p, "a")
 	p.mu.Lock()
 	l = p.servers["s-1"]
 	l.opening++
@@ -223,11 +234,11 @@
 	k, l, one := dialled(p, c)
 	k.over = true // Drop, which finds no connection yet
 	p.mu.Unlock()
-	for up := false; !up; {
+	testwait.Until(t, "the connection to be up", func() bool {
 		p.mu.Lock()
-		up = len(l.conns) == 1
-		p.mu.Unlock()
-	}
+		defer p.mu.Unlock()
+		return len(l.conns) == 1
+	})
 	send(p, "next")
 	one.expect("GET next")
 }
@@ -265,8 +276,7 @@
 	one.say("a", "BUSY", "-", "")
 	wantCode(t, k, rules.Busy)
 	k = again()
-	c.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)) // on the same connection none comes
-	two := c.accept()
+	two := c.accept() // on the same connection none comes
 	two.expect("GET a")
 	one.say("a", "BUSY", "-", "")
 	crossed := send(p, "b") // once it is answered, the second BUSY has been read
@@ -312,16 +322,14 @@
 		defer close(advanced)
 		fake.Advance(idleShare * p.opt.IdleClose)
 	}()
-	for fake.Now() < due { // the timer's function runs, and waits for the lock
-		time.Sleep(time.Millisecond)
-	}
+	testwait.Until(t, "the idle time to be over", func() bool { return fake.Now() >= due }) // the timer's function waits for the lock
 	k2 := &call{pools: p, try: router.Attempt{Request: &router.Request{ID: "b"}}, done: make(chan router.End, 1)}
 	o.calls["b"] = k2
 	o.idle.Stop()
 	delete(o.calls, "b")
 	o.rest()
 	p.mu.Unlock()
-	<-advanced
+	testwait.Receive(t, advanced, "the timer of the idle time")
 	if p.open() != 1 {
 		t.Error("closed at once after use")
 	}
@@ -338,12 +346,5 @@
 	one.expect("GET b")
 	one.Write([]byte("*2\r\n$1\r\na\r\n$4\r\nMISS\r\n*2\r\n$1\r\nb"))
 	wantCode(t, first, rules.Miss)
-	select {
-	case e := <-second.Done():
-		if e.Code != rules.Reset {
-			t.Errorf("ended %q", e.Code)
-		}
-	case <-time.After(10 * stallLimit * time.Millisecond):
-		t.Error("held up by an answer that does not end")
-	}
+	wantCode(t, second, rules.Reset) // not held up by an answer that does not end
 }
