--- a/cmd/spantack/departed_test.go
+++ b/cmd/spantack/departed_test.go
@@ -17,6 +17,7 @@
 	"time"
 	"unsafe"
 
+	"spantack/internal/testwait"
 	caches "spantack/standin/tier"
 )
 
@@ -97,19 +98,25 @@
 	paused   bool // the caches read nothing
 	blockers int  // commands longer than a connection takes, which were begun before
 	busy     bool // it is also played on a busy core
+	kernel   bool // it is the system's, which needs no router to go on: the router gets the time to take back what waits there
 }
 
 // fewestSockets leave the router so few connections to caches that attempts share them.
 const fewestSockets = 64
 
-// longCommand is the body of a request that no connection to a cache that is paused takes whole.
-const longCommand = 48_000
+const (
+	// longCommand is the body of a request that no connection to a cache that is paused takes whole.
+	longCommand = 48_000
+	// shortCommand is one that goes whole to the socket, but not to the cache.
+	shortCommand = 20_000
+)
 
 var waitingPlaces = []waitingPlace{
 	{name: "module", unasked: true},
 	{name: "late dial", lateDial: true, busy: true},
 	{name: "queue behind a stuck write", paused: true, blockers: 8, sockets: fewestSockets},
 	{name: "its own stuck write", paused: true, body: longCommand},
+	{name: "in the send queue", paused: true, body: shortCommand, kernel: true},
 	{name: "between attempts", held: true, busy: true},
 	{name: "late dial, hundreds", lateDial: true, each: 30, caches: 10, sockets: 2048},
 }
@@ -129,7 +136,7 @@
 	plays := make(chan struct{}, playsAtOnce)
 	for _, place := range waitingPlaces {
 		for _, under := range conditions {
-			if under.busy && !place.busy {
+			if under.busy && !place.busy || under.stopped && place.kernel {
 				continue
 			}
 			t.Run(strings.ReplaceAll(place.name+"/"+under.name, " ", "-"), func(t *testing.T) {
@@ -221,6 +228,9 @@
 	}
 	p.leave()
 	time.Sleep(departedGrace + 20*time.Millisecond)
+	if p.place.kernel {
+		within(func() bool { return p.connections(established) <= staying })
+	}
 	begin := time.Now()
 	p.release()
 	if p.under.stopped {
@@ -339,7 +349,7 @@
 	switch {
 	case p.place.lateDial:
 		return within(func() bool {
-			p.dials = p.dialling()
+			p.dials = p.connections(dialling)
 			return 2*p.dials >= len(sent)
 		})
 	case p.place.held:
@@ -378,15 +388,21 @@
 	})
 }
 
-// dialling counts the connections to the caches for which the system has sent a first packet and heard nothing.
-func (p *departure) dialling() (count int) {
+// States of a connection, as the system's table numbers them.
+const (
+	established = 1
+	dialling    = 2 // its first packet is out, and nothing was heard
+)
+
+// connections counts those to the caches that are in a state.
+func (p *departure) connections(state int) (count int) {
 	p.t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	for _, cache := range p.caches {
-		count += strings.Count(string(table), fmt.Sprintf(" 0100007F:%04X 02 ", cache.Addr().Port()))
+		count += strings.Count(string(table), fmt.Sprintf(" 0100007F:%04X %02X ", cache.Addr().Port(), state))
 	}
 	return count
 }
@@ -395,7 +411,7 @@
 func (p *departure) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
-	await(p.t, "the router is stopped", func() bool {
+	testwait.Until(p.t, "the router is stopped", func() bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		return err == nil && strings.Contains(string(text), ") T ")
 	})
--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -14,22 +14,13 @@
 	"testing"
 	"time"
 
+	"spantack/internal/testwait"
 	caches "spantack/standin/tier"
 )
 
 // awaitLimit ends every wait of a test that the router, a client or a stand-in should end by itself.
 const awaitLimit = 20 * time.Second
 
-// await polls until reached is true, and names what was awaited where it never is.
-func await(t *testing.T, what string, reached func() bool) {
-	t.Helper()
-	for begin := time.Now(); !reached(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(begin) > awaitLimit {
-			t.Fatalf("awaited for %v in vain: %s", awaitLimit, what)
-		}
-	}
-}
-
 // addresses counts the loopback addresses that this process has given out.
 var addresses atomic.Uint32
 
@@ -170,7 +161,7 @@
 	case <-time.After(awaitLimit):
 		d.t.Fatal("the router does not end after SIGTERM")
 	}
-	await(d.t, "the end of all connections to the caches", func() bool {
+	testwait.Until(d.t, "the end of all connections to the caches", func() bool {
 		for _, cache := range d.caches {
 			if _, open, _ := cache.Connections(); open > 0 {
 				return false
@@ -190,7 +181,7 @@
 func (d *deployment) connect() *caller {
 	d.t.Helper()
 	var conn net.Conn
-	await(d.t, "a connection to the router", func() (up bool) {
+	testwait.Until(d.t, "a connection to the router", func() (up bool) {
 		var err error
 		conn, err = net.DialTimeout("tcp", d.listen, awaitLimit)
 		return err == nil
