--- a/core/fleet/datagram.go
+++ b/core/fleet/datagram.go
@@ -17,7 +17,7 @@
 //	relay    target:2 token:4 limit:1 keeper:2   ask it for me
 //	ask      limit:1 want:4 stamp:4 of:4    a promise to the receiver, and what is wanted; the stamp is echoed, of a start of the keeper
 //	lend     limit:1 amount:4 term:4 stamp:4 asked:4
-//	word     server:4 word:1        what the sender's depot finds of a server
+//	report   server:4 condition:1   what the sender's depot observes of a server
 //
 // A rumour is rank:2 incarnation:4 refuted:2 state:1; as many follow as there is room for.
 const (
@@ -42,10 +42,10 @@
 	relay
 	ask
 	lend
-	word
+	report
 )
 
-var bodySizes = map[op]int{ping: 9, ack: 9, relay: 9, ask: 13, lend: 17, word: 5}
+var bodySizes = map[op]int{ping: 9, ack: 9, relay: 9, ask: 13, lend: 17, report: 5}
 
 // The reasons why a datagram is dropped.
 var (
@@ -74,7 +74,7 @@
 	term                  int64   // us
 	stamp, of, asked      uint32
 	server                uint32
-	word                  Word
+	condition             Condition
 	rumours               []rumour
 }
 
@@ -109,8 +109,8 @@
 		buf = b.AppendUint32(buf, uint32(m.term/termUnit))
 		buf = b.AppendUint32(buf, m.stamp)
 		buf = b.AppendUint32(buf, m.asked)
-	case word:
-		buf = append(b.AppendUint32(buf, m.server), byte(m.word))
+	case report:
+		buf = append(b.AppendUint32(buf, m.server), byte(m.condition))
 	}
 	for _, r := range m.rumours {
 		if len(buf)+rumourSize > MaxDatagram {
@@ -157,9 +157,9 @@
 	case lend:
 		m.limit, m.amount, m.term = int(d[0]), float64(b.Uint32(d[1:]))*amountUnit, int64(b.Uint32(d[5:]))*termUnit
 		m.stamp, m.asked = b.Uint32(d[9:]), b.Uint32(d[13:])
-	case word:
-		if m.server, m.word = b.Uint32(d), Word(d[4]); m.word == 0 || m.word >= words {
-			return fmt.Errorf("%w: word %d", ErrMalformed, m.word)
+	case report:
+		if m.server, m.condition = b.Uint32(d), Condition(d[4]); m.condition == 0 || m.condition >= conditionEnd {
+			return fmt.Errorf("%w: condition %d", ErrMalformed, m.condition)
 		}
 	}
 	for d = d[size:]; len(d) > 0; d = d[rumourSize:] {
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	node.Send = func(to int, b []byte) {
-		if to == Everybody {
+		if to == Broadcast {
 			for rank := range w.procs {
 				if rank != i {
 					node.Send(rank, b)
@@ -450,66 +450,6 @@
 	}
 }
 
-// judged counts the routers that hold a verdict of a server.
-func (w *world) judged(server uint32, all []uint32) (count int) {
-	for i, p := range w.procs {
-		if p.up {
-			for _, s := range p.node.Judged(w.local(i), Failing, all) {
-				if s == server {
-					count++
-				}
-			}
-		}
-	}
-	return count
-}
-
-// A verdict needs two depots, reaches 99 in 100 of 300 routers 2.5 s after the second found it at 30% loss, and ends in time once nobody finds it any more. One
-// sick depot that calls all servers failing takes none out; two take no more than one in three.
-func TestVerdicts(t *testing.T) {
-	all := []uint32{11, 12, 13, 14, 15, 16, 17}
-	for seed := range uint64(5) {
-		w := newWorld(t, seed, 300)
-		w.loss = 0.3
-		w.run(w.now+second, nil)
-		find := func(long int64, servers []uint32, ranks ...int) {
-			for end := w.now + long; w.now < end; {
-				for _, i := range ranks {
-					for _, s := range servers {
-						w.procs[i].node.Find(w.local(i), s, Failing)
-					}
-				}
-				w.run(w.now+second/5, nil)
-			}
-		}
-		find(3*second, all, 0, 4, 8) // ranks of one depot
-		if n := w.judged(11, all); n != 0 {
-			t.Errorf("seed %d: %d routers take the word of one depot", seed, n)
-		}
-		w.run(w.now+4*second, nil)
-		find(5*second/2, []uint32{13}, 0, 1)
-		if n := w.judged(13, all); n < 297 {
-			t.Errorf("seed %d: %d of 300 have heard of a failing server after 2.5 s", seed, n)
-		}
-		if i := 7; len(w.procs[i].node.Judged(w.local(i), Failing, all)) == 1 { // own evidence wins
-			w.procs[i].node.Fine(w.local(i), 13)
-			if len(w.procs[i].node.Judged(w.local(i), Failing, all)) != 0 {
-				t.Errorf("seed %d: a router keeps off a server that has just answered it well", seed)
-			}
-		}
-		w.run(w.now+standsFor+wordKept+25_000, nil)
-		if n := w.judged(13, all); n != 0 {
-			t.Errorf("seed %d: %d routers hold a verdict that has outlived its witnesses", seed, n)
-		}
-		find(4*second, all, 0, 1)
-		for i, p := range w.procs {
-			if out := p.node.Judged(w.local(i), Failing, all); len(out) > 2 {
-				t.Fatalf("seed %d: router %d keeps off %d of 7 servers", seed, i, len(out))
-			}
-		}
-	}
-}
-
 func FuzzHear(f *testing.F) {
 	m := message{rank: 1, incarnation: 2, sequence: 3, op: ping, rumours: []rumour{{0, 1, 0, Dead}, {1, 9, 9, Alive}}}
 	for o := range bodySizes {
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -95,7 +95,7 @@
 	Lent, Promises       int64
 }
 
-// Node is one router's part. It is not safe for concurrent use. Send is told whom a datagram goes to, a rank or Everybody; it must not keep the bytes.
+// Node is one router's part. It is not safe for concurrent use. Send is told whom a datagram goes to, a rank or Broadcast; it must not keep the bytes.
 type Node struct {
 	Counts Counts
 	Send   func(rank int, datagram []byte)
@@ -115,7 +115,7 @@
 	relays   map[uint32]relayed
 	slow     int // how far this router misses answers itself
 	limits   []*lending
-	talks    talks
+	health   health
 	in, say  message
 	buf      []byte
 }
@@ -129,7 +129,7 @@
 		return nil, fmt.Errorf("Limits: %d, %d at most", len(o.Limits), mostLimits)
 	}
 	n := &Node{opt: o, rng: rand.New(rand.NewPCG(o.Seed, uint64(o.Rank)<<32|uint64(o.Incarnation))), started: now,
-		members: make([]member, o.Siblings), out: question{target: -1}, relays: map[uint32]relayed{}, Send: func(int, []byte) {}, talks: newTalks()}
+		members: make([]member, o.Siblings), out: question{target: -1}, relays: map[uint32]relayed{}, Send: func(int, []byte) {}, health: newHealth()}
 	for rank := range n.members {
 		n.members[rank].rank = rank
 		if rank != o.Rank {
@@ -186,12 +186,12 @@
 	n.sequence++
 	m.rank, m.depot, m.incarnation, m.sequence = n.opt.Rank, n.opt.Depot, n.opt.Incarnation, n.sequence
 	m.rumours = m.rumours[:0]
-	if to != Everybody && n.members[to].accused { // it must hear what is said of it, to put that right
+	if to != Broadcast && n.members[to].accused { // it must hear what is said of it, to put that right
 		t := &n.members[to]
 		m.rumours = append(m.rumours, rumour{t.rank, t.incarnation, t.refuted, Suspect})
 	}
 	room := (MaxDatagram - headSize - 1 - bodySizes[m.op]) / rumourSize
-	for i := 0; to != Everybody && i < len(n.fresh) && len(m.rumours) < room; {
+	for i := 0; to != Broadcast && i < len(n.fresh) && len(m.rumours) < room; {
 		t := &n.members[n.fresh[i]]
 		m.rumours = append(m.rumours, t.rumour)
 		if t.spread--; t.spread == 0 {
@@ -242,7 +242,7 @@
 	for _, k := range n.limits {
 		k.tick(now)
 	}
-	n.sayings(now)
+	n.repeatReports(now)
 	return now + tickEvery
 }
 
@@ -357,8 +357,8 @@
 		if m.limit < len(n.limits) {
 			n.limits[m.limit].lent(now, m)
 		}
-	case word:
-		n.hearWord(now, about{m.server, m.word}, m.depot)
+	case report:
+		n.receiveReport(now, healthKey{m.server, m.condition}, m.depot)
 	}
 	return nil
 }
--- a/core/fleet/verdicts.go
+++ b/core/fleet/verdicts.go
@@ -5,198 +5,216 @@
 	"slices"
 )
 
-// Word is what is said of a server.
-type Word byte
+// Condition is what a health report tells of a server.
+type Condition byte
 
-// The words.
+// The conditions.
 const (
-	Failing Word = iota + 1 // its answers fail, or do not come
-	Crowded                 // it is late, or turns away
-	words
+	Failing      Condition = iota + 1 // its answers fail, or do not come
+	Crowded                           // it is late, or turns requests away
+	conditionEnd                      // first value that is none
 )
 
-// Everybody stands for all routers of the tier where a rank is asked for: one datagram that reaches all.
-const Everybody = -1
+// Broadcast stands for all members in place of a rank: one datagram that reaches all.
+const Broadcast = -1
 
-// Times in microseconds. At 30% loss a verdict of which two depots are sure has reached 99 in 100 of the routers 2.5 s after the second found it, and
-// none outlives the last word of its last but one witness by more than wordKept and a datagram's way.
+// Times in microseconds. At 30% loss a verdict that two depots support has reached 99 in 100 of the routers 2.5 s after the second one observed the server.
+// A verdict ends reportLifetime after the last report of all depots but one at the latest, and a report is sent for as long as its observation stands.
 const (
-	quorum     = 2       // depots that must say so: where one depot's own link is full or broken, all it reaches looks bad
-	sayFirst   = 250_000 // between the first sayings of a finding, until sayOften were made
-	sayOften   = 6
-	sayAgain   = 750_000   // and from then on, for as long as it stands
-	standsFor  = 2_000_000 // a finding that is not made again stands so long
-	wordKept   = 3_000_000 // a word counts so long after it was heard
-	outPart    = 3         // one in so many servers of a kind may be out by verdict: a sick tier must not empty it
-	mostFound  = 128       // findings of this router, and
-	mostTalked = 1024      // words that are kept account of
-	sayBudget  = 100_000   // least mean time between datagrams of words
-	sayBurst   = 8
+	verdictQuorum       = 2 // depots that must report a server: behind a full or broken link of one depot every server looks bad
+	firstRepeatInterval = 250_000
+	firstRepeats        = 6 // reports of an observation that are sent at firstRepeatInterval
+	repeatInterval      = 750_000
+	observationLifetime = 2_000_000 // of an observation that is not made again
+	reportLifetime      = 3_000_000 // of a report that was received
+	ejectedPart         = 3         // one in so many servers of a kind may be ejected: verdicts must not empty a kind
+	maxObservations     = 128       // of this router
+	maxReported         = 1024      // servers and conditions of which reports are kept
+	reportInterval      = 100_000   // least mean time between reports that this router sends
+	reportBurst         = 8
 )
 
-// about is a server and a word of it.
-type about struct {
-	server uint32
-	word   Word
+// healthKey names a server and a condition reported of it.
+type healthKey struct {
+	server    uint32
+	condition Condition
 }
 
-// finding is what this router has found by itself.
-type finding struct {
-	at    int64 // last
-	said  int64
-	times int
+// observation is what this router itself saw of a server.
+type observation struct {
+	seenAt     int64
+	reportedAt int64
+	reports    int // sent, or left to others that sent the same
 }
 
-// talks are what is said in a tier.
-type talks struct {
-	found    map[about]*finding
-	heard    map[about]map[int]int64 // by depot: when, last
-	fine     map[uint32]int64        // when a server was last found well here
-	budget   float64
-	budgetAt int64
+// health holds this router's observations and the reports of all depots.
+type health struct {
+	observed  map[healthKey]*observation
+	reports   map[healthKey]map[int]int64 // time of the last report, by depot
+	succeeded map[uint32]int64            // time of the last good answer here, by server
+	tokens    float64                     // reports that may be sent now
+	tokensAt  int64
 }
 
-func newTalks() talks {
-	return talks{found: map[about]*finding{}, heard: map[about]map[int]int64{}, fine: map[uint32]int64{}, budget: sayBurst}
+func newHealth() health {
+	return health{observed: map[healthKey]*observation{}, reports: map[healthKey]map[int]int64{}, succeeded: map[uint32]int64{}, tokens: reportBurst}
 }
 
-// Find says that this router has found something of a server by itself. It is told to all, again and again while it is found.
-func (n *Node) Find(now int64, server uint32, w Word) {
-	t := &n.talks
-	key := about{server, w}
-	f := t.found[key]
-	if f == nil {
-		if len(t.found) >= mostFound {
+// ReportFailure tells that this router itself saw a condition of a server. All members are told, again and again for as long as the caller repeats it.
+// Observations beyond maxObservations are dropped.
+func (n *Node) ReportFailure(now int64, server uint32, condition Condition) {
+	key := healthKey{server, condition}
+	seen := n.health.observed[key]
+	if seen == nil {
+		if len(n.health.observed) >= maxObservations {
 			return
 		}
-		f = &finding{}
-		t.found[key] = f
+		seen = &observation{}
+		n.health.observed[key] = seen
 	}
-	f.at = now
-	n.hearWord(now, key, n.opt.Depot)
-	n.say1(now, key, f)
+	seen.seenAt = now
+	n.receiveReport(now, key, n.opt.Depot)
+	n.sendReport(now, key, seen)
 }
 
-// Fine says that a server has just answered this router well: that wins here over what others say, and ends what this one said.
-func (n *Node) Fine(now int64, server uint32) {
-	t := &n.talks
-	if len(t.fine) < mostTalked || t.fine[server] != 0 {
-		t.fine[server] = now
+// ReportSuccess tells that a server has just answered this router well. That overrides earlier reports of others here, and ends this router's own.
+func (n *Node) ReportSuccess(now int64, server uint32) {
+	h := &n.health
+	if len(h.succeeded) < maxReported || h.succeeded[server] != 0 {
+		h.succeeded[server] = now
 	}
-	for w := Failing; w < words; w++ {
-		delete(t.found, about{server, w})
+	for condition := Failing; condition < conditionEnd; condition++ {
+		delete(h.observed, healthKey{server, condition})
 	}
 }
 
-// Judged lists the servers of which a verdict is in force, of all that there are: those with the most depots behind it first, and of equals the one with
-// the lesser number, the same at all routers that have heard the same. No more than one in three of all, but one of two or more.
-func (n *Node) Judged(now int64, w Word, all []uint32) (out []uint32) {
-	type judged struct {
+// Ejected lists the servers, of all that there are, on which a verdict is in force: those that most depots report first, of equals the one with the lesser
+// number, the same at all routers that have received the same. One in ejectedPart of all at most, but one of two or more.
+func (n *Node) Ejected(now int64, condition Condition, all []uint32) []uint32 {
+	type verdict struct {
 		server uint32
-		sure   int
+		depots int
 	}
-	var found []judged
+	var verdicts []verdict
 	for _, server := range all {
-		key, sure := about{server, w}, 0
-		for _, at := range n.talks.heard[key] {
-			if now-at < wordKept && at > n.talks.fine[server] {
-				sure++
+		depots := 0
+		for _, at := range n.health.reports[healthKey{server, condition}] {
+			if now-at < reportLifetime && at > n.health.succeeded[server] {
+				depots++
 			}
 		}
-		if sure >= quorum {
-			found = append(found, judged{server, sure})
+		if depots >= verdictQuorum {
+			verdicts = append(verdicts, verdict{server, depots})
 		}
 	}
-	slices.SortFunc(found, func(a, b judged) int {
-		if a.sure != b.sure {
-			return b.sure - a.sure
+	slices.SortFunc(verdicts, func(a, b verdict) int {
+		if a.depots != b.depots {
+			return b.depots - a.depots
 		}
 		return int(int64(a.server) - int64(b.server))
 	})
-	most := len(all) / outPart
+	most := len(all) / ejectedPart
 	if most == 0 && len(all) > 1 {
 		most = 1
 	}
-	for _, j := range found[:min(len(found), most)] {
-		out = append(out, j.server)
+	var ejected []uint32
+	for _, v := range verdicts[:min(len(verdicts), most)] {
+		ejected = append(ejected, v.server)
 	}
-	return out
+	return ejected
 }
 
-// sayings says again what still stands.
-func (n *Node) sayings(now int64) {
-	t := &n.talks
-	for _, key := range sortedKeys(t.found) {
-		f := t.found[key]
-		if now-f.at >= standsFor {
-			delete(t.found, key)
+// repeatReports sends reports of the observations that stand, and forgets those that do not.
+func (n *Node) repeatReports(now int64) {
+	h := &n.health
+	for _, key := range sortedKeys(h.observed) {
+		seen := h.observed[key]
+		if now-seen.seenAt >= observationLifetime {
+			delete(h.observed, key)
 			continue
 		}
-		n.hearWord(now, key, n.opt.Depot)
-		n.say1(now, key, f)
+		n.receiveReport(now, key, n.opt.Depot)
+		n.sendReport(now, key, seen)
 	}
-	if len(t.heard) >= mostTalked/2 {
-		maps.DeleteFunc(t.heard, func(_ about, by map[int]int64) bool {
-			maps.DeleteFunc(by, func(_ int, at int64) bool { return now-at >= wordKept })
-			return len(by) == 0
-		})
-		maps.DeleteFunc(t.fine, func(_ uint32, at int64) bool { return now-at >= wordKept })
+	if len(h.reports) >= maxReported/2 {
+		h.expire(now)
 	}
 }
 
-// sortedKeys makes what is said come in the same order on every run.
-func sortedKeys(m map[about]*finding) []about {
-	keys := slices.Collect(maps.Keys(m))
-	slices.SortFunc(keys, func(a, b about) int {
+// expire forgets reports and good answers that no longer count.
+func (h *health) expire(now int64) {
+	maps.DeleteFunc(h.reports, func(_ healthKey, byDepot map[int]int64) bool {
+		maps.DeleteFunc(byDepot, func(_ int, at int64) bool { return now-at >= reportLifetime })
+		return len(byDepot) == 0
+	})
+	maps.DeleteFunc(h.succeeded, func(_ uint32, at int64) bool { return now-at >= reportLifetime })
+}
+
+// sortedKeys orders observations, so that reports are sent in the same order on every run.
+func sortedKeys(observed map[healthKey]*observation) []healthKey {
+	keys := slices.Collect(maps.Keys(observed))
+	slices.SortFunc(keys, func(a, b healthKey) int {
 		if a.server != b.server {
 			return int(int64(a.server) - int64(b.server))
 		}
-		return int(a.word) - int(b.word)
+		return int(a.condition) - int(b.condition)
 	})
 	return keys
 }
 
-// say1 tells all of one finding, if that is due, the budget bears it and not enough others have said so.
-func (n *Node) say1(now int64, key about, f *finding) {
-	wait := int64(sayAgain)
-	if f.times < sayOften {
-		wait = sayFirst
+// sendReport tells all members of an observation if that is due, within the rate allowed, and not while enough other depots report the same.
+func (n *Node) sendReport(now int64, key healthKey, seen *observation) {
+	interval := int64(repeatInterval)
+	if seen.reports < firstRepeats {
+		interval = firstRepeatInterval
 	}
-	if f.times > 0 && now-f.said < wait {
+	if seen.reports > 0 && now-seen.reportedAt < interval {
 		return
 	}
-	others := 0
-	for depot, at := range n.talks.heard[key] {
-		if depot != n.opt.Depot && now-at < wait {
-			others++
-		}
-	}
-	if others > quorum { // one more than is needed, for some of them may not have been heard elsewhere
-		f.said = now
-		f.times++
+	if n.reportedByOthers(now, key, interval) > verdictQuorum { // one more than needed: some of their reports may be lost elsewhere
+		seen.reportedAt = now
+		seen.reports++
 		return
 	}
-	t := &n.talks
-	t.budget, t.budgetAt = min(t.budget+float64(now-t.budgetAt)/sayBudget, sayBurst), now
-	if t.budget < 1 {
+	if !n.health.takeToken(now) {
 		return
 	}
-	t.budget--
-	f.said = now
-	f.times++
-	n.say.op, n.say.server, n.say.word = word, key.server, key.word
-	n.send(Everybody)
+	seen.reportedAt = now
+	seen.reports++
+	n.say.op, n.say.server, n.say.condition = report, key.server, key.condition
+	n.send(Broadcast)
+}
+
+// reportedByOthers counts the other depots from which a report was received within the interval.
+func (n *Node) reportedByOthers(now int64, key healthKey, interval int64) (others int) {
+	for depot, at := range n.health.reports[key] {
+		if depot != n.opt.Depot && now-at < interval {
+			others++
+		}
+	}
+	return others
+}
+
+// takeToken takes from the bucket that bounds the rate of reports; false: it is empty.
+func (h *health) takeToken(now int64) bool {
+	h.tokens = min(h.tokens+float64(now-h.tokensAt)/reportInterval, reportBurst)
+	h.tokensAt = now
+	if h.tokens < 1 {
+		return false
+	}
+	h.tokens--
+	return true
 }
 
-// hearWord books that a depot says something of a server.
-func (n *Node) hearWord(now int64, key about, depot int) {
-	by := n.talks.heard[key]
-	if by == nil {
-		if len(n.talks.heard) >= mostTalked {
+// receiveReport notes that a depot reports a condition of a server. Beyond maxReported of them it is dropped.
+func (n *Node) receiveReport(now int64, key healthKey, depot int) {
+	byDepot := n.health.reports[key]
+	if byDepot == nil {
+		if len(n.health.reports) >= maxReported {
 			return
 		}
-		by = map[int]int64{}
-		n.talks.heard[key] = by
+		byDepot = map[int]int64{}
+		n.health.reports[key] = byDepot
 	}
-	by[depot] = now
+	byDepot[depot] = now
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -262,10 +262,10 @@
 	t.mu.Lock()
 	for _, name := range failing {
 		if id, ok := peers.Number(name); ok {
-			t.Fleet.Find(now, id, fleet.Failing)
+			t.Fleet.ReportFailure(now, id, fleet.Failing)
 		}
 	}
-	for _, id := range t.Fleet.Judged(now, fleet.Failing, ids) {
+	for _, id := range t.Fleet.Ejected(now, fleet.Failing, ids) {
 		off = append(off, names[id])
 	}
 	t.mu.Unlock()
@@ -314,7 +314,7 @@
 	}
 	for _, p := range out {
 		at := t.All
-		if p.to != fleet.Everybody {
+		if p.to != fleet.Broadcast {
 			at = t.Peers[p.to]
 		}
 		if _, err := conn.WriteToUDPAddrPort(p.bytes, at); err != nil && ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
--- a/lab/scale/fleettests.go
+++ b/lab/scale/fleettests.go
@@ -342,7 +342,7 @@
 	}
 	judged := 0
 	for _, p := range f.w.processes {
-		judged += len(p.node.Judged(f.w.now, fleet.Failing, []uint32{failingServer, failingServer + 1, failingServer + 2}))
+		judged += len(p.node.Ejected(f.w.now, fleet.Failing, []uint32{failingServer, failingServer + 1, failingServer + 2}))
 	}
 	f.result.Figures = append(f.result.Figures, Figure{"knowing", float64(judged) / float64(len(f.w.processes))})
 	for _, trouble := range []Trouble{ZoneLost, RegionLost} {
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -223,12 +223,12 @@
 		for _, node := range nodes {
 			node.Tick(now)
 		}
-		nodes[0].Find(now, failingServer, fleet.Failing)
+		nodes[0].ReportFailure(now, failingServer, fleet.Failing)
 		for len(flights) > 0 {
 			f := flights[0]
 			flights = flights[1:]
 			for rank, node := range nodes {
-				if rank == f.to || f.to == fleet.Everybody && rank != f.from {
+				if rank == f.to || f.to == fleet.Broadcast && rank != f.from {
 					if err := node.Hear(now, f.from, f.bytes); err != nil {
 						t.Fatal(err)
 					}
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -139,7 +139,7 @@
 	if w.folded() {
 		w.disguise(p, speaker, datagram)
 	}
-	if to == fleet.Everybody {
+	if to == fleet.Broadcast {
 		for _, other := range w.processes {
 			if other != p {
 				w.deliver(p, speaker, other.primary, datagram, true)
@@ -258,7 +258,7 @@
 		return // of a node that is no more
 	}
 	if w.failing != 0 {
-		p.node.Find(w.now, w.failing, fleet.Failing)
+		p.node.ReportFailure(w.now, w.failing, fleet.Failing)
 	}
 	next := p.node.Tick(w.now)
 	w.schedule(event{at: max(next, w.now+slotTime), from: p.primary, to: p.primary, starts: p.starts})
