--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -55,7 +55,7 @@
 	cmd      *exec.Cmd
 	listen   string
 	stderr   *bytes.Buffer
-	requests *caches.Ledger
+	requests *caches.RequestLog
 	origin   *caches.Server
 	caches   []*caches.Server
 	exited   chan error
@@ -70,15 +70,15 @@
 // deploy starts the caches and the router, and returns once the router takes requests.
 func deploy(t *testing.T, plan blueprint) *deployment {
 	t.Helper()
-	d := &deployment{t: t, plan: plan, listen: ownAddress(t), stderr: &bytes.Buffer{}, requests: caches.NewLedger(), exited: make(chan error, 1)}
-	origin, err := caches.Listen(caches.Options{ID: originID, Origin: true, Ledger: d.requests})
+	d := &deployment{t: t, plan: plan, listen: ownAddress(t), stderr: &bytes.Buffer{}, requests: caches.NewRequestLog(), exited: make(chan error, 1)}
+	origin, err := caches.Listen(caches.Options{ID: originID, Origin: true, RequestLog: d.requests})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(origin.Close)
 	d.origin = origin
 	for number := range plan.caches {
-		opt := caches.Options{ID: uint32(firstCache + number), Ledger: d.requests, Script: plan.script, Source: d.source}
+		opt := caches.Options{ID: uint32(firstCache + number), RequestLog: d.requests, Script: plan.script, Source: d.source}
 		if plan.cache != nil {
 			plan.cache(number, &opt)
 		}
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -65,7 +65,7 @@
 	})
 	time.Sleep(crowdedFor)
 
-	replacement, err := caches.Listen(caches.Options{ID: firstCache + 100, Ledger: d.requests, Source: d.source})
+	replacement, err := caches.Listen(caches.Options{ID: firstCache + 100, RequestLog: d.requests, Source: d.source})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -42,7 +42,7 @@
 	Floors  bool     `json:"floors,omitempty"`  // no more than the floors may be out
 	Fills   bool     `json:"fills,omitempty"`   // and some must be
 	Lose    bool     `json:"lose,omitempty"`    // the first area cache dies, and nothing is listed
-	Named   *int     `json:"named,omitempty"`   // so many fills may still name it after SettleS, by the caches' ledger
+	Named   *int     `json:"named,omitempty"`   // so many fills may still name it after SettleS, by the caches' request log
 	Slack   int      `json:"slack,omitempty"`   // more that may be out than the limit
 	Board   string   `json:"board,omitempty"`   // the list service: "cut", "silent", "breaks" (each connection, ten times a second) or "open"; left out: as before
 	Tries   bool     `json:"tries,omitempty"`   // the bound on tries at the list service must hold
--- a/lab/live/play.go
+++ b/lab/live/play.go
@@ -32,7 +32,7 @@
 	frozen chan error
 }
 
-// watchEvery is how often the ledger is looked at. It keeps the greatest number out between two looks itself.
+// watchEvery is how often the request log is looked at. It keeps the greatest number out between two looks itself.
 const watchEvery = 50 * time.Millisecond
 
 // Play runs a scenario. Its error is of the rig; what fell short is in the result.
@@ -87,7 +87,7 @@
 	}
 	all := rep.All()
 	p.res.Served, p.res.Refused, p.res.Failed, p.res.Lost, p.res.Wrong = all.Served, all.Refused, all.Failed, all.Lost, all.Wrong
-	p.res.Overlaps = len(p.d.Ledger.Overlaps())
+	p.res.Overlaps = len(p.d.RequestLog.Overlaps())
 	if p.d.Mesh != nil {
 		p.res.Longest = p.d.Mesh.Counts().Longest
 	}
@@ -114,7 +114,7 @@
 	return p.d.Mesh.Set(l)
 }
 
-// step begins what a step is about and watches the ledger until its end.
+// step begins what a step is about and watches the request log until its end.
 func (p *play) step(ctx context.Context, s *Step) error {
 	if s.Weather != nil {
 		if err := p.set(s.Weather); err != nil {
@@ -139,7 +139,7 @@
 	if s.Lose {
 		p.d.Cut(0)
 	}
-	_, before := p.d.Ledger.Asks()
+	_, before := p.d.RequestLog.Asks()
 	begin, broke, flips := time.Now(), time.Now(), 0
 	regained := false
 	for time.Since(begin).Seconds() < s.ForS && !regained {
@@ -157,7 +157,7 @@
 				regained, k.TookS = true, time.Since(begin).Seconds()
 			}
 		}
-		out, _ := p.d.Ledger.Asks()
+		out, _ := p.d.RequestLog.Asks()
 		bound := p.res.Limit + s.Slack
 		if s.Floors && time.Since(begin).Seconds() > s.SettleS {
 			bound = p.res.Floors
@@ -182,17 +182,14 @@
 			}
 		}
 	}
-	_, after := p.d.Ledger.Asks()
-	for _, g := range p.d.Ledger.Gets() {
-		if s.Named != nil && g.Next == lost && g.At.Sub(begin).Seconds() > s.SettleS {
-			k.Named++
-		}
-	}
+	_, after := p.d.RequestLog.Asks()
+	namedAt := p.fillsNaming(s, lost, begin)
+	k.Named = len(namedAt)
 	k.Tries, k.TriesMay = p.d.DiscoveryLink.MostDials(len(dialled), triesIn), p.triesMay()
 	switch k.Fills = after - before; {
 	case k.Fault != "":
 	case s.Named != nil && k.Named > *s.Named:
-		k.Fault = fmt.Sprintf("%d fills name an area cache %.1f s after it died, %d may", k.Named, s.SettleS, *s.Named)
+		k.Fault = fmt.Sprintf("%d fills name an area cache %.1f s after it died, %d may: %s", k.Named, s.SettleS, *s.Named, strings.Join(namedAt, ", "))
 	case s.Tries && k.Tries > k.TriesMay:
 		k.Fault = fmt.Sprintf("%d tries at the list service within %v, %d may be", k.Tries, triesIn, k.TriesMay)
 	case s.AllBack && !regained:
@@ -211,6 +208,19 @@
 	return nil
 }
 
+// fillsNaming lists the fills that named a dead area cache after a step had settled, each as its time from the step's begin. None where the step states no bound.
+func (p *play) fillsNaming(s *Step, areaCache string, begin time.Time) (times []string) {
+	if s.Named == nil {
+		return nil
+	}
+	for _, get := range p.d.RequestLog.Gets() {
+		if after := get.At.Sub(begin).Seconds(); get.Next == areaCache && after > s.SettleS {
+			times = append(times, fmt.Sprintf("%.2f s", after))
+		}
+	}
+	return times
+}
+
 // triesMay is the bound of core/coldstart on tries within triesIn, twice over for processes that a busy machine runs late.
 func (p *play) triesMay() int {
 	period := coldstart.Tries{Siblings: p.opt.Routers}.Period()
--- a/lab/live/result.go
+++ b/lab/live/result.go
@@ -16,7 +16,7 @@
 // Kept is what became of a step.
 type Kept struct {
 	Step     string  `json:"step"`
-	Most     int     `json:"most"`  // out at the head office at once, by its own ledger
+	Most     int     `json:"most"`  // out at the head office at once, by its own request log
 	Bound    int     `json:"bound"` // what may have been
 	Fills    int     `json:"fills"`
 	TookS    float64 `json:"tookS"` // until more than the floors were out, or the step's length
@@ -72,7 +72,7 @@
 		verdict, r.Limit, most, tries, r.Served, r.Refused, r.Failed, r.Lost, r.Wrong)
 }
 
-// Write puts result.json, table.md and a chart of the ledger beside its bound into a folder, which is made if need be.
+// Write puts result.json, table.md and a chart of the request log beside its bound into a folder, which is made if need be.
 func (r *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("--out: %w", err)
@@ -82,7 +82,7 @@
 		return err
 	}
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "# %s: %d routers, seed %d\n\nLimit %d, of it floors %d. Most out at the head office at once, by its own ledger.\n\n", r.Scenario, r.Routers, r.Seed, r.Limit, r.Floors)
+	fmt.Fprintf(&b, "# %s: %d routers, seed %d\n\nLimit %d, of it floors %d. Most out at the head office at once, by its own request log.\n\n", r.Scenario, r.Routers, r.Seed, r.Limit, r.Floors)
 	b.WriteString("Tries are at the list service, the most within 100 ms.\n\n| step | most out | may be | fills | tries | may be | named | s | |\n|---|---|---|---|---|---|---|---|---|\n")
 	for _, s := range r.Steps {
 		word := s.Fault
@@ -99,7 +99,7 @@
 	}
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Fills at the head office, %d routers", r.Routers)
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "out at once, by its ledger"
+	p.X.Label.Text, p.Y.Label.Text = "seconds", "out at once, by its request log"
 	p.Y.Min = 0
 	if err := plotutil.AddLines(p, "out", r.out, "may be", r.bound); err != nil {
 		return fmt.Errorf("chart: %w", err)
--- a/lab/local/coldservers_test.go
+++ b/lab/local/coldservers_test.go
@@ -157,7 +157,7 @@
 			}
 			sum := <-sent
 			calls := map[string][]time.Time{}
-			for _, g := range d.Ledger.Gets() {
+			for _, g := range d.RequestLog.Gets() {
 				calls[g.Server] = append(calls[g.Server], g.At)
 			}
 			budget := newColdBudget(Settings(tc.opt.Routers), tc.load.meanKb())
--- a/lab/local/coldstart_test.go
+++ b/lab/local/coldstart_test.go
@@ -10,7 +10,7 @@
 )
 
 // Twenty-four real routers lose the list service at one moment, for 3 s, twice; then it takes connections and breaks them off at once. By its own
-// ledger their tries keep the stated bound all the time, with twice its number for processes that a busy machine runs late; before, all of them tried
+// request log their tries keep the stated bound all the time, with twice its number for processes that a busy machine runs late; before, all of them tried
 // within the same milliseconds, every 250 ms. When it is back, all are there within a period and what a late process needs.
 func TestColdStartSparesTheListService(t *testing.T) {
 	const routers = 24
--- a/lab/local/demo.go
+++ b/lab/local/demo.go
@@ -29,7 +29,7 @@
 	}
 	looks, hits := map[string]int{}, map[string]int{}
 	held := map[string]bool{}
-	for _, g := range d.Ledger.Gets() {
+	for _, g := range d.RequestLog.Gets() {
 		key := g.Server + " " + g.Object + "/" + g.Part
 		if looks[g.Class]++; held[key] {
 			hits[g.Class]++
--- a/lab/local/local.go
+++ b/lab/local/local.go
@@ -53,12 +53,12 @@
 
 // Deployment is one that runs.
 type Deployment struct {
-	Ledger    *tier.Ledger
-	Discovery *discovery.Service
-	Caches    []*tier.Server
-	Areas     []*tier.Server
-	Routers   []*Router
-	Mesh      *link.Mesh // nil without Peers
+	RequestLog *tier.RequestLog
+	Discovery  *discovery.Service
+	Caches     []*tier.Server
+	Areas      []*tier.Server
+	Routers    []*Router
+	Mesh       *link.Mesh // nil without Peers
 	// DiscoveryLink is the relay between routers and the discovery service; nil without Options.Relayed.
 	DiscoveryLink *link.Relay
 
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d = &Deployment{Ledger: tier.NewLedger(), dir: dir, opt: opt, binary: opt.Binary, servers: map[string]*tier.Server{}}
+	d = &Deployment{RequestLog: tier.NewRequestLog(), dir: dir, opt: opt, binary: opt.Binary, servers: map[string]*tier.Server{}}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, d.Stop())
@@ -172,7 +172,7 @@
 	if kind != kindCache {
 		delay *= 3
 	}
-	opt := tier.Options{ID: d.next * 2654435761, Addr: addr, Origin: kind == kindOrigin, Delay: delay, Source: d.server, Ledger: d.Ledger}
+	opt := tier.Options{ID: d.next * 2654435761, Addr: addr, Origin: kind == kindOrigin, Delay: delay, Source: d.server, RequestLog: d.RequestLog}
 	if kind == kindCache {
 		opt.Script = d.opt.Script
 	}
--- a/lab/local/local_test.go
+++ b/lab/local/local_test.go
@@ -181,7 +181,7 @@
 	}
 	cell := cellOf(t, d, text)
 	seen := map[string]int{}
-	for _, g := range d.Ledger.Gets() {
+	for _, g := range d.RequestLog.Gets() {
 		want := "two"
 		if strings.HasPrefix(g.Object, "00") {
 			want = "one"
@@ -195,7 +195,7 @@
 	if seen["one"] == 0 || seen["two"] == 0 {
 		t.Errorf("attempts by cell: %v", seen)
 	}
-	if o := d.Ledger.Overlaps(); len(o) > 0 {
+	if o := d.RequestLog.Overlaps(); len(o) > 0 {
 		t.Errorf("two attempts out at once: %v", o)
 	}
 }
@@ -230,7 +230,7 @@
 	homes := func(from int) map[string]map[string]bool {
 		cell := cellOf(t, d, before)
 		seen := map[string]map[string]bool{"loud": {}, "rest": {}}
-		for _, g := range d.Ledger.Gets()[from:] {
+		for _, g := range d.RequestLog.Gets()[from:] {
 			who := "rest"
 			if strings.HasPrefix(g.Object, "00") {
 				who = "loud"
@@ -253,7 +253,7 @@
 	if all := testwait.ReceiveWithin(t, loadWithin+saysWithin, ran, "the load").All(); all.Served != 600 {
 		t.Errorf("while it changed: %+v", all)
 	}
-	from := len(d.Ledger.Gets())
+	from := len(d.RequestLog.Gets())
 	half(4)
 	if got := homes(from); !got["loud"]["two"] || got["loud"]["one"] || got["rest"]["two"] {
 		t.Errorf("after: %v", got)
@@ -330,11 +330,11 @@
 	if all.Served < requests*99/100 {
 		t.Errorf("%d of %d served", all.Served, requests)
 	}
-	if o := d.Ledger.Overlaps(); len(o) > 0 {
+	if o := d.RequestLog.Overlaps(); len(o) > 0 {
 		t.Errorf("two attempts out at once: %v", o)
 	}
 	seen := map[string]int{}
-	for _, g := range d.Ledger.Gets() {
+	for _, g := range d.RequestLog.Gets() {
 		if !strings.HasPrefix(g.Object, "00") || lists[g.Server] == nil {
 			continue
 		}
@@ -447,7 +447,7 @@
 	}
 	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text)})
 	ages := func(seed uint64, check func(family string, g tier.Get, at float64)) (seen int) {
-		from := len(d.Ledger.Gets())
+		from := len(d.RequestLog.Gets())
 		rep, err := run(t, d, Load{Seed: seed, Requests: 600, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
 		if err != nil {
 			t.Fatal(err)
@@ -457,7 +457,7 @@
 				t.Errorf("family %d: %+v", family, c)
 			}
 		}
-		for _, g := range d.Ledger.Gets()[from:] {
+		for _, g := range d.RequestLog.Gets()[from:] {
 			if family := g.Object[:2]; g.Class != "stock-report" && family != "00" {
 				check(family, g, float64(g.At.UnixMilli()))
 				seen++
@@ -523,7 +523,7 @@
 		}
 	}
 	run := func(seed uint64, objects int) map[string]map[string]bool { // of each object, the sources that its fills named
-		from := len(d.Ledger.Gets())
+		from := len(d.RequestLog.Gets())
 		rep, err := run(t, d, Load{Seed: seed, Requests: 1500, Every: time.Millisecond, Conns: 2, Families: 3, Objects: objects})
 		if err != nil {
 			t.Fatal(err)
@@ -532,7 +532,7 @@
 			t.Errorf("seed %d: %+v", seed, all)
 		}
 		asked := map[string]map[string]bool{}
-		for _, g := range d.Ledger.Gets()[from:] {
+		for _, g := range d.RequestLog.Gets()[from:] {
 			if g.Class == "stock-report" || g.Next == "" {
 				continue
 			}
@@ -588,7 +588,7 @@
 	if astray > len(left)/10 || len(left) < 300 { // trials
 		t.Errorf("after the cut %d of %d objects were asked of what is not there", astray, len(left))
 	}
-	if o := d.Ledger.Overlaps(); len(o) > 0 {
+	if o := d.RequestLog.Overlaps(); len(o) > 0 {
 		t.Errorf("two attempts out at once: %v", o)
 	}
 }
--- a/lab/local/operate_test.go
+++ b/lab/local/operate_test.go
@@ -80,11 +80,11 @@
 	if all.Served < requests*9/10 {
 		t.Errorf("only %d served of %d", all.Served, requests)
 	}
-	if crossed := d.Ledger.Overlaps(); len(crossed) > 0 {
+	if crossed := d.RequestLog.Overlaps(); len(crossed) > 0 {
 		t.Errorf("two attempts at once: %v", crossed)
 	}
 	between, after := 0, 0
-	for _, g := range d.Ledger.Gets() {
+	for _, g := range d.RequestLog.Gets() {
 		i, err := strconv.ParseInt(g.ID[8:], 16, 64)
 		if err != nil {
 			t.Fatal(err)
@@ -137,7 +137,7 @@
 			t.Errorf("%s: %d, want %d", name, got, want)
 		}
 	}
-	until(t, "forwards", func() bool { return figures(t, r)["app.forwards"] == len(d.Ledger.Gets()) }) // may lag behind the answer
+	until(t, "forwards", func() bool { return figures(t, r)["app.forwards"] == len(d.RequestLog.Gets()) }) // may lag behind the answer
 }
 
 // A file that can't be used is turned down whole: neither its classes nor its discovery address hold. A good one holds for requests that come.
@@ -219,7 +219,7 @@
 		}
 	}
 	work(13)
-	before := len(d.Ledger.Gets())
+	before := len(d.RequestLog.Gets())
 	c, err := msgpackrpc.Dial(r.Addr, 1000)
 	if err != nil {
 		t.Fatal(err)
@@ -233,7 +233,7 @@
 		}
 		answers <- a
 	}()
-	until(t, "a request out", func() bool { return len(d.Ledger.Gets()) > before })
+	until(t, "a request out", func() bool { return len(d.RequestLog.Gets()) > before })
 	call(t, r, http.MethodPut, "/api/evacuate")
 	if status, _, err := r.Call(bounded(t, callWithin, "a call"), http.MethodGet, "/api/ready"); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("ready while it is emptied: %d, %v", status, err)
--- a/lab/local/readiness_test.go
+++ b/lab/local/readiness_test.go
@@ -136,7 +136,7 @@
 		c.Close()
 	}
 	sent := map[int]bool{}
-	for _, g := range d.Ledger.Gets() {
+	for _, g := range d.RequestLog.Gets() {
 		if i, known := asked[g.ID]; known {
 			sent[i] = true
 		}
--- a/standin/tier/tier.go
+++ b/standin/tier/tier.go
@@ -1,5 +1,5 @@
 // Package tier is a stand-in for depot caches, area caches and the head office: RESP servers on loopback that hold, fill
-// and fail on a script, and a ledger of what reached them.
+// and fail on a script, and a log of the requests that reached them.
 package tier
 
 import (
@@ -41,82 +41,15 @@
 	At     time.Time // when the kernel received it whole
 }
 
-// Ledger notes what reached the servers of one deployment, and judges what can be judged from there.
-type Ledger struct {
-	mu      sync.Mutex
-	gets    []Get
-	out     map[string]int
-	overlap []string
-	asks    int // fills that ask the head office, out at present
-	most    int // since it was last asked for
-	asked   int // in all
-}
-
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{out: map[string]int{}} }
-
-// Gets are all attempts so far.
-func (l *Ledger) Gets() []Get {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]Get(nil), l.gets...)
-}
-
-// Overlaps are the requests that had two attempts at servers at once.
-func (l *Ledger) Overlaps() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]string(nil), l.overlap...)
-}
-
-// Asks are the fills that ask the head office: the most that were out at once since Asks was last called, and how many there were in all.
-func (l *Ledger) Asks() (most, all int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	most, l.most = l.most, l.asks
-	return most, l.asked
-}
-
-// ask books a fill that asks the head office, until what it returns is called.
-func (l *Ledger) ask() (done func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.asks++
-	l.asked++
-	l.most = max(l.most, l.asks)
-	return func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.asks--
-	}
-}
-
-func (l *Ledger) begin(g Get) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.gets = append(l.gets, g)
-	if l.out[g.ID]++; l.out[g.ID] > 1 {
-		l.overlap = append(l.overlap, g.ID)
-	}
-}
-
-func (l *Ledger) end(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.out[id]--; l.out[id] <= 0 {
-		delete(l.out, id)
-	}
-}
-
 // Options describe a server.
 type Options struct {
-	ID     uint32 // in the list of servers
-	Addr   string // where it listens; empty: any free port of loopback
-	Origin bool   // holds everything
-	Delay  time.Duration
-	Source func(id string) *Server // finds the servers that fills come from
-	Script func(Get) Fault         // nil: no faults
-	Ledger *Ledger
+	ID         uint32 // in the list of servers
+	Addr       string // where it listens; empty: any free port of loopback
+	Origin     bool   // holds everything
+	Delay      time.Duration
+	Source     func(id string) *Server // finds the servers that fills come from
+	Script     func(Get) Fault         // nil: no faults
+	RequestLog *RequestLog
 	// Narrow gives connections the smallest buffers: a command of 32 KB or more blocks its sender until the server reads.
 	Narrow bool
 	// Listener is where the server takes connections; nil: it opens one at Addr.
@@ -245,7 +178,7 @@
 		write sync.Mutex
 		open  sync.WaitGroup
 		mu    sync.Mutex
-		drops = map[string]chan struct{}{}
+		drops = map[string]openAttempt{}
 	)
 	defer open.Wait()
 	say := func(parts ...[]byte) {
@@ -257,9 +190,9 @@
 	defer func() { // what is open on a connection that closes is given up
 		mu.Lock()
 		defer mu.Unlock()
-		for id, d := range drops {
-			close(d)
-			s.opt.Ledger.end(id)
+		for _, open := range drops {
+			close(open.dropped)
+			s.opt.RequestLog.end(open.attempt, time.Now(), closed)
 		}
 		drops = nil
 	}()
@@ -273,10 +206,10 @@
 			say(parts[1], []byte("UP"))
 		case len(parts) == 2 && string(parts[0]) == "DROP":
 			mu.Lock()
-			if d := drops[string(parts[1])]; d != nil {
-				close(d)
+			if open, found := drops[string(parts[1])]; found {
+				close(open.dropped)
 				delete(drops, string(parts[1]))
-				s.opt.Ledger.end(string(parts[1]))
+				s.opt.RequestLog.end(open.attempt, arrived.at, dropped)
 			}
 			mu.Unlock()
 		case len(parts) == 4 && string(parts[0]) == "GET":
@@ -285,8 +218,7 @@
 			mu.Lock()
 			full := len(drops) >= mostAtOnce
 			if !full {
-				drops[g.ID] = d
-				s.opt.Ledger.begin(g)
+				drops[g.ID] = openAttempt{s.opt.RequestLog.begin(g), d}
 			}
 			mu.Unlock()
 			if full {
@@ -296,10 +228,10 @@
 			open.Go(func() {
 				answer, fault := s.answer(g, d)
 				mu.Lock()
-				_, still := drops[g.ID]
+				open, still := drops[g.ID]
 				if still {
 					delete(drops, g.ID)
-					s.opt.Ledger.end(g.ID)
+					s.opt.RequestLog.end(open.attempt, time.Now(), answered)
 				}
 				mu.Unlock()
 				switch {
@@ -319,6 +251,12 @@
 	}
 }
 
+// openAttempt is an attempt that a connection has open.
+type openAttempt struct {
+	attempt *attempt
+	dropped chan struct{} // closed when the attempt is given up
+}
+
 // parse reads GET ID FIELDS BODY.
 func parse(server string, parts [][]byte, at time.Time) Get {
 	g := Get{Server: server, ID: string(parts[1]), At: at}
@@ -363,7 +301,7 @@
 			made, held, deep = src.fill(g)
 			if note = "TCP_MISS"; deep {
 				note = "TCP_MISS_ROOT"
-				defer s.opt.Ledger.ask()()
+				defer s.opt.RequestLog.ask()()
 			}
 		}
 	}
