--- a/rules/outcomes.go
+++ b/rules/outcomes.go
@@ -92,7 +92,7 @@
 		r.act(Action{Kind: Fail, Call: q.Call})
 		return
 	case q.held: // nothing held: a source that may not have been picked yet, else a refusal
-		q.held = false
+		q.held, q.missed = false, true
 		if ev.Code != Miss && ev.Code != Busy {
 			q.cache, q.tried = nil, append(q.tried, a.node)
 		}
--- a/rules/picking.go
+++ b/rules/picking.go
@@ -22,7 +22,7 @@
 		r.passOn(q)
 		return
 	}
-	a, full, how, missed := attempt{node: q.cache}, false, 0, q.looked > 0 || q.wasHeld
+	a, full, how, missed := attempt{node: q.cache}, false, 0, q.looked > 0 || q.missed
 	if a.node == nil || !r.usableFor(q, a.node) {
 		q.held = false
 		a.node, full = r.pickCache(q, q.Set)
@@ -190,7 +190,7 @@
 		a.sourceHad = a.source.answered
 	}
 	r.occupy(a.node, q.account, 1)
-	q.cur, q.out = a, true
+	q.cur, q.out, q.missed = a, true, false
 	q.attempts++
 	r.act(act)
 	r.watch(q)
--- a/rules/state.go
+++ b/rules/state.go
@@ -206,6 +206,7 @@
 	cur            attempt
 	cache          *node   // the cache whose fill failed
 	held, wasHeld  bool    // the next attempt takes a held copy, without a fill; it has been made
+	missed         bool    // the last attempt asked for a held copy in vain
 	full           bool    // when a source was last picked, one was at its limit or cold budget
 	looked         int     // 1: its source is known to hold no copy, so that a fill asks the origin
 	tried, sources []*node // caches and sources that failed this request
