--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -186,7 +186,7 @@
 	debug.SetMemoryLimit(int64(memoryShare * memory))
 	clients, mostConns := connections(sockets, memory)
 	pools := resp.NewPools(serving, resp.Options{DialTimeout: c.DialTimeout, IdleClose: c.IdleClose,
-		MaxStreams: c.MaxStreams, MostConns: mostConns, MostWait: c.MostWait}, now, log)
+		MaxStreams: c.MaxStreams, MaxConns: mostConns, MaxWait: c.MaxWait}, now, log)
 	core, err := router.New(c.Settings, c.Seed, now, pools, log)
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 		core.Apply(n)
 	}
 	var ready, ending atomic.Bool
-	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, OnRefused: core.CountRefused, MostConns: clients,
+	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, OnRefused: core.CountRefused, MaxConns: clients,
 		MostQueued: int64(queueShare * memory), Clock: now, Log: log}
 	server.Ready = func() bool { return ready.Load() && !ending.Load() && !server.Draining() }
 	listener, err := openClients(c)
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -88,7 +88,7 @@
 		return old
 	}
 	server.Retune(keyed(c))
-	pools.Retune(c.MostWait)
+	pools.Retune(c.MaxWait)
 	files.applied.Add(1)
 	if c.MemoryMB != old.MemoryMB || c.Sockets != old.Sockets || c.DialTimeout != old.DialTimeout || c.IdleClose != old.IdleClose ||
 		c.MaxStreams != old.MaxStreams || c.Settings.Zone != old.Settings.Zone {
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -37,7 +37,7 @@
 	MostOut   int   // attempts out at once
 	Lease     int64 // an attempt that has not ended by then counts as lost
 	Backoff   int64 // before the second attempt; twice as much before each further one, with jitter
-	MostWait  int64 // greatest back-off
+	MaxWait   int64 // greatest back-off
 	Patience  int64 // waiting for this long raises a job by one priority, so that none starves
 	Tick      int64 // of the timing wheel; 1,000 if 0
 }
@@ -61,8 +61,8 @@
 		return fmt.Errorf("mostQueue: %d is under 1", c.MostQueue)
 	case c.MostOut < 1:
 		return fmt.Errorf("mostOut: %d is under 1", c.MostOut)
-	case c.Lease <= 0 || c.Backoff <= 0 || c.MostWait < c.Backoff || c.Patience <= 0 || c.Tick < 0:
-		return errors.New("lease, backoff, patience: above 0; mostWait: backoff at least; tick: 0 or more")
+	case c.Lease <= 0 || c.Backoff <= 0 || c.MaxWait < c.Backoff || c.Patience <= 0 || c.Tick < 0:
+		return errors.New("lease, backoff, patience: above 0; maxWait: backoff at least; tick: 0 or more")
 	}
 	return nil
 }
@@ -272,7 +272,7 @@
 		s.forget(j)
 		return []Over{{j.ID, "tries"}}
 	}
-	wait := math.Min(float64(s.cfg.Backoff)*math.Exp2(float64(j.attempt-1)), float64(s.cfg.MostWait))
+	wait := math.Min(float64(s.cfg.Backoff)*math.Exp2(float64(j.attempt-1)), float64(s.cfg.MaxWait))
 	j.state = resting
 	j.timer = s.wheel.Add(s.now+int64(wait*(0.5+0.5*s.rng.Float64())), j.num)
 	return nil
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -17,7 +17,7 @@
 
 func config() Config {
 	return Config{Resources: []Resource{{"link", 1000, 500 * ms}, {"origin", 200, 500 * ms}}, MostQueue: 100, MostOut: 8, Lease: 2 * sec,
-		Backoff: 100 * ms, MostWait: 5 * sec, Patience: 10 * sec}
+		Backoff: 100 * ms, MaxWait: 5 * sec, Patience: 10 * sec}
 }
 
 func scheduler(t *testing.T, cfg Config) *Scheduler {
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -39,7 +39,7 @@
 // New returns a runner without jobs; seed feeds the jitter of back-offs.
 func New(c *clock.Clock, seed uint64, log zerolog.Logger) (*Runner, error) {
 	s, err := sched.New(sched.Config{Resources: []sched.Resource{{Name: "core", PerS: coreMsPerS, Span: clock.Micros(1000)}}, MostQueue: mostQueue, MostOut: 1,
-		Lease: clock.Micros(leaseMs), Backoff: clock.Micros(backoffMs), MostWait: clock.Micros(longestMs), Patience: clock.Micros(patienceMs)}, clock.Micros(c.Now()), seed)
+		Lease: clock.Micros(leaseMs), Backoff: clock.Micros(backoffMs), MaxWait: clock.Micros(longestMs), Patience: clock.Micros(patienceMs)}, clock.Micros(c.Now()), seed)
 	if err != nil {
 		return nil, fmt.Errorf("background: %w", err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,7 +33,7 @@
 	DialTimeout float64
 	IdleClose   float64
 	MaxStreams  int
-	MostWait    float64 // the least time after which a drain or purge binds
+	MaxWait     float64 // the least time after which a drain or purge binds
 	Longest     float64 // the longest deadline of a class
 
 	Tier Tier
@@ -217,8 +217,8 @@
 	c.Tier.May, c.Tier.Rank = t.Permissions.MayTell, t.Rank
 	c.Names = discovery.Names{Zones: set.Zones, Kinds: set.Kinds}
 	for _, us := range []int64{set.Guarantees.StopSendingWithin, set.Extra.HeedWithin} {
-		if ms := clock.Millis(us); us > 0 && (c.MostWait == 0 || ms < c.MostWait) {
-			c.MostWait = ms
+		if ms := clock.Millis(us); us > 0 && (c.MaxWait == 0 || ms < c.MaxWait) {
+			c.MaxWait = ms
 		}
 	}
 	for i, class := range set.Classes {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,7 +26,7 @@
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.1:5050" || c.DiscoveryAddr != "127.2.0.1:4222" || uint64(c.Seed) != 0x8c1f30d27a5be964 ||
 		c.MemoryMB != 192 || c.Sockets != 1024 || c.DialTimeout != 400 || c.IdleClose != 30_000 || c.MaxStreams != 32 ||
-		c.MostWait != 300 || c.Longest != 3000 || c.LastKnown != 3 || len(c.Notices) != 1 || c.Settings.Zone != "east" {
+		c.MaxWait != 300 || c.Longest != 3000 || c.LastKnown != 3 || len(c.Notices) != 1 || c.Settings.Zone != "east" {
 		t.Errorf("%+v", c)
 	}
 	if c.Manage != "" || c.Socket != -1 || c.StateDir != "" {
--- a/internal/msgpackrpc/interleavings_test.go
+++ b/internal/msgpackrpc/interleavings_test.go
@@ -198,7 +198,7 @@
 // A client that does not read must not fill what all may hold: the large answers of others failed then, small ones did not.
 func TestUnreadAnswersLeaveRoom(t *testing.T) {
 	const large = 200 << 10
-	c := start(t, func(s *Server) { s.MostQueued, s.MostConns = 40*large, 8 })
+	c := start(t, func(s *Server) { s.MostQueued, s.MaxConns = 40*large, 8 })
 	c.request(1, "page", "0000000000000001")
 	asked := c.next()
 	// No one writes for a connection made here: what is answered on it waits, as for a client that does not read.
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -45,7 +45,7 @@
 	Ready      func() bool
 	Keyed      map[string]bool    // the classes, and whether their requests carry an idempotency key; Retune changes them
 	OnRefused  func(class string) // called with the class of each request that is refused here; may be nil
-	MostConns  int
+	MaxConns   int
 	MostQueued int64   // bytes of open requests and of answers waiting to be written, on all connections
 	Patience   float64 // how long open requests may hold up the end of Serve
 	Take       float64 // how long clients have to take an answer that was given late in that time
@@ -191,7 +191,7 @@
 	return keyed, known
 }
 
-// admit registers a new connection. At MostConns the connection that has been idle for longest is evicted: clients that hold idle connections
+// admit registers a new connection. At MaxConns the connection that has been idle for longest is evicted: clients that hold idle connections
 // must not keep others out. Without an idle one the new connection is rejected. Evicted ones are closed after the lock is released.
 func (s *Server) admit(c *conn) bool {
 	var gone []*conn
@@ -202,7 +202,7 @@
 	}()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.conns) >= s.MostConns {
+	for len(s.conns) >= s.MaxConns {
 		var oldest *conn
 		least := math.Inf(1)
 		for o := range s.conns {
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	l := testwait.Listen(t)
 	c := &client{t: t, asked: make(chan *asked, 4), ended: make(chan error, 1), addr: l.Addr().String()}
-	s := &Server{Ready: func() bool { return true }, Keyed: map[string]bool{"page": false, "report": true}, MostConns: 2,
+	s := &Server{Ready: func() bool { return true }, Keyed: map[string]bool{"page": false, "report": true}, MaxConns: 2,
 		MostQueued: 1 << 20, Patience: 60_000, Clock: &clock.Clock{}, Log: zerolog.Nop(),
 		Handle: func(ctx context.Context, q router.Request) router.Answer {
 			a := &asked{q, ctx, make(chan router.Answer)}
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -10,24 +10,24 @@
 
 // call is one attempt. Its fields are guarded by Pools.mu.
 type call struct {
-	pools  *Pools
-	try    router.Attempt
-	chosen float64
-	sent   float64
-	conn   *conn       // nil until a connection takes it
-	begun  bool        // the writer has begun on it: only now can an answer be its own
-	whole  bool        // all of it was handed to the socket
-	endsAt int64       // where it ends among the bytes of its connection, once it is whole
-	doubt  bool        // another attempt of its id ended on this connection: an answer may be that one's
-	answer *router.End // to a call in doubt, told once what may be out for it was given up
-	over   bool
-	done   chan router.End
+	pools        *Pools
+	attempt      router.Attempt
+	chosen       float64
+	sent         float64
+	conn         *conn       // nil until a connection takes it
+	writeBegun   bool        // the writer has begun on it: only now can an answer be its own
+	fullyWritten bool        // all of it was handed to the socket
+	endsAt       int64       // where it ends among the bytes of its connection, once it is whole
+	ambiguous    bool        // another attempt of its id ended on this connection: an answer may be that one's
+	answer       *router.End // to a call in doubt, told once what may be out for it was given up
+	finished     bool
+	done         chan router.End
 }
 
 // end hands the attempt's end to whoever waits for it. Pools.mu is held.
 func (k *call) end(e router.End) {
-	if !k.over {
-		k.over = true
+	if !k.finished {
+		k.finished = true
 		k.done <- e
 	}
 }
@@ -47,21 +47,21 @@
 	p := k.pools
 	p.mu.Lock()
 	c := k.conn
-	if k.over || c == nil || c.dead {
-		k.over = true
+	if k.finished || c == nil || c.closed {
+		k.finished = true
 		p.mu.Unlock()
 		return
 	}
-	k.over = true
-	delete(c.calls, k.try.ID)
-	if !k.begun {
-		c.rest()
+	k.finished = true
+	delete(c.calls, k.attempt.ID)
+	if !k.writeBegun {
+		c.closeWhenIdle()
 		p.mu.Unlock()
 		return
 	}
 	now := p.clock.Now()
 	written := make(chan struct{})
-	c.giveUp(k.try.ID, command{written: written})
+	c.queueDrop(k.attempt.ID, command{written: written})
 	p.mu.Unlock()
 
 	patient := time.NewTimer(clock.Duration(p.timeouts.drop))
@@ -73,7 +73,7 @@
 	case <-patient.C:
 		stuck = true
 	}
-	patience := float64(dropPatient)
+	patience := float64(dropWriteTimeout)
 	if stuck { // it has had that time
 		patience = 0
 	}
@@ -84,18 +84,18 @@
 		c.abort()
 		return
 	}
-	silent := c.heard < k.sent && (again || len(c.calls) == 0 && now-k.sent > silentFor)
-	if silent || stuck && (again || !k.whole) {
+	silent := c.lastAnswer < k.sent && (again || len(c.calls) == 0 && now-k.sent > silenceLimit)
+	if silent || stuck && (again || !k.fullyWritten) {
 		c.close()
 	}
-	c.rest()
+	c.closeWhenIdle()
 }
 
-// left is how long the attempt may still take to go out, in milliseconds. It guards the rules on drains and purges told since
+// remaining is how long the attempt may still take to go out, in milliseconds. It guards the rules on drains and purges told since
 // the choice of its server, and that on effects: a repeat must not leave once its class no longer drops repeats. Pools.mu is held.
-func (k *call) left() float64 {
+func (k *call) remaining() float64 {
 	most := math.Inf(1)
-	for _, limit := range []float64{k.pools.opt.MostWait, k.try.Within} {
+	for _, limit := range []float64{k.pools.opt.MaxWait, k.attempt.Within} {
 		if limit > 0 {
 			most = min(most, limit)
 		}
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -16,18 +16,18 @@
 
 // conn is one connection. Its fields are guarded by Pools.mu unless they say otherwise.
 type conn struct {
-	pool    *pool
-	net     net.Conn
-	queue   chan command
-	gone    chan struct{} // closed with the connection
-	calls   map[string]*call
-	dropped map[string]float64 // when ids were given up here: their next attempt must follow on this connection
-	ended   map[string]float64 // when attempts of these ids ended here unserved: an answer may come a second time
-	idle    *clock.Timer
-	used    float64
-	heard   float64 // when the last answer came
-	handed  int64   // bytes of commands handed to the socket whole
-	dead    bool
+	pool         *pool
+	net          net.Conn
+	queue        chan command
+	gone         chan struct{} // closed with the connection
+	calls        map[string]*call
+	dropped      map[string]float64 // when ids were given up here: their next attempt must follow on this connection
+	ended        map[string]float64 // when attempts of these ids ended here unserved: an answer may come a second time
+	idle         *clock.Timer
+	lastUse      float64
+	lastAnswer   float64 // when the last answer came
+	bytesWritten int64   // bytes of commands handed to the socket whole
+	closed       bool
 }
 
 type command struct {
@@ -37,24 +37,24 @@
 	settles *call         // whose end may be told once this is written; nil: none
 }
 
-// start gives an attempt to a connection. Pools.mu is held.
-func (c *conn) start(k *call) {
+// enqueue gives an attempt to a connection. Pools.mu is held.
+func (c *conn) enqueue(k *call) {
 	select {
-	case c.queue <- command{text: appendGet(nil, k.try), call: k}:
+	case c.queue <- command{text: appendGet(nil, k.attempt), call: k}:
 		k.conn = c
-		c.calls[k.try.ID] = k
+		c.calls[k.attempt.ID] = k
 		k.sent = k.pools.clock.Now()
-		k.doubt = c.dropped[k.try.ID] != 0 || c.ended[k.try.ID] != 0
-		c.used = k.sent
+		k.ambiguous = c.dropped[k.attempt.ID] != 0 || c.ended[k.attempt.ID] != 0
+		c.lastUse = k.sent
 		c.idle.Stop()
 	default:
 		k.end(router.End{Code: rules.Skipped})
 	}
 }
 
-// rest arms the idle close when nothing is out on the connection. Pools.mu is held.
-func (c *conn) rest() {
-	if c.dead || len(c.calls) > 0 {
+// closeWhenIdle arms the idle close when nothing is out on the connection. Pools.mu is held.
+func (c *conn) closeWhenIdle() {
+	if c.closed || len(c.calls) > 0 {
 		return
 	}
 	if c.pool.closed {
@@ -75,10 +75,10 @@
 
 // close ends the connection and every attempt out on it. Pools.mu is held.
 func (c *conn) close() {
-	if c.dead {
+	if c.closed {
 		return
 	}
-	c.dead = true
+	c.closed = true
 	c.idle.Stop()
 	close(c.gone)
 	c.net.Close()
@@ -91,7 +91,7 @@
 	}
 	for _, k := range c.calls {
 		switch {
-		case !k.begun: // still in the queue: it never ran
+		case !k.writeBegun: // still in the queue: it never ran
 			k.end(router.End{Code: rules.Refused})
 		default:
 			k.end(*cmp.Or(k.answer, &router.End{Code: rules.Reset}))
@@ -100,9 +100,9 @@
 	clear(c.calls)
 }
 
-// giveUp queues the DROP of an id. Pools.mu is held.
-func (c *conn) giveUp(id string, m command) {
-	c.note(c.dropped, id)
+// queueDrop queues the DROP of an id. Pools.mu is held.
+func (c *conn) queueDrop(id string, m command) {
+	c.remember(c.dropped, id)
 	m.text = AppendArray(nil, []byte("DROP"), []byte(id))
 	select {
 	case c.queue <- m:
@@ -111,30 +111,30 @@
 	}
 }
 
-// note keeps an id and forgets those that are too old to matter. Pools.mu is held.
-func (c *conn) note(ids map[string]float64, id string) {
+// remember keeps an id and forgets those that are too old to matter. Pools.mu is held.
+func (c *conn) remember(ids map[string]float64, id string) {
 	now := c.pool.owner.clock.Now()
-	maps.DeleteFunc(ids, func(_ string, at float64) bool { return now-at > dropMemory })
+	maps.DeleteFunc(ids, func(_ string, at float64) bool { return now-at > dropRetention })
 	ids[id] = now
 }
 
-// due tells whether an attempt may still be written, and how long that may take: one that waited too long for its connection is not
+// beginWrite tells whether an attempt may still be written, and how long that may take: one that waited too long for its connection is not
 // sent, which proves that nothing ran, and one of which no byte went out must not begin to go out too late.
-func (c *conn) due(k *call) (wait float64, ok bool) {
+func (c *conn) beginWrite(k *call) (wait float64, ok bool) {
 	p := c.pool.owner
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	left := k.left()
-	if !k.over && left < 0 {
-		delete(c.calls, k.try.ID)
+	left := k.remaining()
+	if !k.finished && left < 0 {
+		delete(c.calls, k.attempt.ID)
 		k.end(router.End{Code: rules.Refused})
-		c.rest()
+		c.closeWhenIdle()
 	}
-	k.begun = !k.over
-	if k.begun {
-		delete(c.dropped, k.try.ID) // the DROP is written
+	k.writeBegun = !k.finished
+	if k.writeBegun {
+		delete(c.dropped, k.attempt.ID) // the DROP is written
 	}
-	return min(max(left, leastWrite), p.timeouts.write), k.begun
+	return min(max(left, minWriteTimeout), p.timeouts.write), k.writeBegun
 }
 
 // write puts queued commands on the socket, each within a bounded time.
@@ -150,13 +150,13 @@
 					continue // its Drop takes it off this connection
 				}
 				var ok bool
-				if wait, ok = c.due(m.call); !ok {
+				if wait, ok = c.beginWrite(m.call); !ok {
 					continue
 				}
 			}
 			c.net.SetWriteDeadline(clock.Deadline(wait))
-			err := c.put(m)
-			c.wrote(m, err)
+			err := c.writeCommand(m)
+			c.recordWrite(m, err)
 			if m.written != nil {
 				close(m.written)
 			}
@@ -168,39 +168,39 @@
 	}
 }
 
-// wrote books a command that is on the socket, or with an error one that is not whole there: what did not come whole to a
+// recordWrite books a command that is on the socket, or with an error one that is not whole there: what did not come whole to a
 // server never ran.
-func (c *conn) wrote(m command, err error) {
+func (c *conn) recordWrite(m command, err error) {
 	p := c.pool.owner
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil {
-		c.handed += int64(len(m.text))
+		c.bytesWritten += int64(len(m.text))
 	}
 	switch k := m.call; {
 	case k != nil && err == nil:
-		k.whole, k.endsAt = true, c.handed
+		k.fullyWritten, k.endsAt = true, c.bytesWritten
 		p.written.Add(1)
-	case k != nil && !k.over:
-		delete(c.calls, k.try.ID)
+	case k != nil && !k.finished:
+		delete(c.calls, k.attempt.ID)
 		end := router.End{Code: rules.Refused}
 		if errors.Is(err, errDeparted) { // the server has no part in that
 			end.Code = rules.Skipped
 		}
 		k.end(end)
 	}
-	if k := m.settles; k != nil && c.calls[k.try.ID] == k {
-		delete(c.calls, k.try.ID)
+	if k := m.settles; k != nil && c.calls[k.attempt.ID] == k {
+		delete(c.calls, k.attempt.ID)
 		k.end(*k.answer)
-		c.rest()
+		c.closeWhenIdle()
 	}
 }
 
-// steady is a connection that must go on with what it has begun: after each read the next bytes are due soon. It
+// stallGuard is a connection that must go on with what it has begun: after each read the next bytes are due soon. It
 // guards against answers that stop short on a connection that stays open, and hold up all that is out on it.
-type steady struct{ net.Conn }
+type stallGuard struct{ net.Conn }
 
-func (s *steady) Read(b []byte) (int, error) {
+func (s *stallGuard) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	s.Conn.SetReadDeadline(clock.Deadline(stallLimit))
 	return n, err
@@ -208,7 +208,7 @@
 
 // read takes answers to their calls until the stream ends.
 func (c *conn) read() {
-	in := bufio.NewReaderSize(&steady{Conn: c.net}, readBuffer)
+	in := bufio.NewReaderSize(&stallGuard{Conn: c.net}, readBuffer)
 	for {
 		c.net.SetReadDeadline(time.Time{}) // the first byte may take as long as its attempt
 		_, err := in.Peek(1)
@@ -228,41 +228,41 @@
 		}
 		p := c.pool.owner
 		p.mu.Lock()
-		if k := c.calls[id]; k != nil && k.begun && k.answer == nil {
-			if end.Same && k.try.Have == "" { // it can't be this request's: nothing on the stream can be trusted
+		if k := c.calls[id]; k != nil && k.writeBegun && k.answer == nil {
+			if end.Same && k.attempt.Have == "" { // it can't be this request's: nothing on the stream can be trusted
 				p.mu.Unlock()
 				c.fail(fmt.Errorf("%w: SAME for a client without a copy", errMalformed))
 				return
 			}
-			if made := end.Made; !k.doubt || made == 0 || k.try.MaxAge == 0 || p.clock.Now()-made <= k.try.MaxAge {
-				c.answered(k, end)
+			if made := end.Made; !k.ambiguous || made == 0 || k.attempt.MaxAge == 0 || p.clock.Now()-made <= k.attempt.MaxAge {
+				c.handleAnswer(k, end)
 			} // else another attempt's, which took an older copy: this one's is to come
 		}
-		c.heard = p.clock.Now()
-		c.used = c.heard
-		c.rest()
+		c.lastAnswer = p.clock.Now()
+		c.lastUse = c.lastAnswer
+		c.closeWhenIdle()
 		p.mu.Unlock()
 	}
 }
 
-// answered ends a call. If another attempt of its id ended on this connection, the answer may be that one's, second or
+// handleAnswer ends a call. If another attempt of its id ended on this connection, the answer may be that one's, second or
 // late, and this attempt still be out: it is given up first, or two would be out at once. Pools.mu is held.
-func (c *conn) answered(k *call, end router.End) {
-	id := k.try.ID
+func (c *conn) handleAnswer(k *call, end router.End) {
+	id := k.attempt.ID
 	if end.Code != rules.Done {
-		c.note(c.ended, id)
+		c.remember(c.ended, id)
 	}
 	switch {
-	case !k.doubt:
+	case !k.ambiguous:
 		delete(c.calls, id)
 		k.end(end)
 	case end.Code == rules.Done: // it is its request's: nobody has to wait
 		delete(c.calls, id)
 		k.end(end)
-		c.giveUp(id, command{})
+		c.queueDrop(id, command{})
 	default:
 		k.answer = &end
-		c.giveUp(id, command{settles: k})
+		c.queueDrop(id, command{settles: k})
 	}
 }
 
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -22,8 +22,8 @@
 var tooMuch = []byte(strings.Repeat("x", 32<<20))
 
 // shared are pools with one connection for all attempts.
-func shared(t *testing.T, addr string, mostWait float64) *Pools {
-	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleClose: 30_000, MaxStreams: 8, MostConns: 1, MostWait: mostWait},
+func shared(t *testing.T, addr string, maxWait float64) *Pools {
+	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleClose: 30_000, MaxStreams: 8, MaxConns: 1, MaxWait: maxWait},
 		clock.NewFake(1000), zerolog.Nop())
 	p.timeouts.write = patient // a write that is stuck is still so when the test goes on
 	list(p, "s-1", addr)
@@ -47,7 +47,7 @@
 }
 
 // rest reads all that still comes, and tells whether it ended in the middle of something.
-func (l *link) rest() (n int64, err error) { return io.Copy(io.Discard, l.in) }
+func (l *link) readRest() (n int64, err error) { return io.Copy(io.Discard, l.in) }
 
 // The DROP of an attempt is stuck behind another's write, and the server has answered since, so that it is no silent one:
 // the connection must be closed before Drop returns, or the next attempt is a second one at once.
@@ -75,7 +75,7 @@
 	one := c.accept()
 	one.expect("GET a")
 	stick(t, p, one).Drop(false)
-	if n, _ := one.rest(); n >= int64(len(tooMuch)) {
+	if n, _ := one.readRest(); n >= int64(len(tooMuch)) {
 		t.Errorf("%d bytes came: the request was sent on whole", n)
 	}
 	if n := p.open(); n != 0 {
@@ -117,10 +117,10 @@
 	one := c.accept()
 	one.expect("GET first")
 	stuck, behind := newCall(p, "stuck"), newCall(p, "behind")
-	stuck.try.Body = tooMuch
+	stuck.attempt.Body = tooMuch
 	p.mu.Lock()
 	for _, next := range []*call{stuck, behind} { // at once, or the first may have ended before the second comes
-		p.servers["s-1"].conns[0].start(next)
+		p.servers["s-1"].conns[0].enqueue(next)
 	}
 	p.mu.Unlock()
 	if _, err := one.in.Peek(1); err != nil {
@@ -143,7 +143,7 @@
 	k := newCall(p, "a")
 	o := bare(p, nc)
 	p.mu.Lock()
-	o.start(k)
+	o.enqueue(k)
 	p.mu.Unlock()
 	o.write()
 	wantCode(t, k, rules.Refused)
@@ -151,7 +151,7 @@
 	o = bare(p, nc)
 	k = newCall(p, "b")
 	p.mu.Lock()
-	o.start(k)
+	o.enqueue(k)
 	o.close() // the reader saw the close first
 	p.mu.Unlock()
 	wantCode(t, k, rules.Refused)
@@ -159,7 +159,7 @@
 
 // newCall is an attempt that is not sent yet.
 func newCall(p *Pools, id string) *call {
-	return &call{pools: p, try: router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"}, chosen: 1000, done: make(chan router.End, 1)}
+	return &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"}, chosen: 1000, done: make(chan router.End, 1)}
 }
 
 // bare is a connection without reader and writer.
@@ -223,7 +223,7 @@
 	l.retire()
 	p.mu.Unlock()
 	wantCode(t, k, rules.Refused)
-	if n, err := one.rest(); n != 0 || err != nil {
+	if n, err := one.readRest(); n != 0 || err != nil {
 		t.Errorf("%d bytes (%v) on a connection to a server that left", n, err)
 	}
 }
@@ -233,7 +233,7 @@
 	c := listen(t)
 	p := shared(t, c.addr(), 0)
 	k, l, one := dialled(p, c)
-	k.over = true // Drop, which finds no connection yet
+	k.finished = true // Drop, which finds no connection yet
 	p.mu.Unlock()
 	testwait.Until(t, "the connection to be up", func() bool {
 		p.mu.Lock()
@@ -254,7 +254,7 @@
 			p.Retune(ms.grace)
 			fake.Advance(200) // since its choice
 			k, _, one := dialled(p, c)
-			k.try.Within = ms.within
+			k.attempt.Within = ms.within
 			p.mu.Unlock()
 			wantCode(t, k, rules.Refused)
 			send(p, "next")
@@ -324,11 +324,11 @@
 		fake.Advance(idleShare * p.opt.IdleClose)
 	}()
 	testwait.Until(t, "the idle time to be over", func() bool { return fake.Now() >= due }) // the timer's function waits for the lock
-	k2 := &call{pools: p, try: router.Attempt{Request: &router.Request{ID: "b"}}, done: make(chan router.End, 1)}
+	k2 := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "b"}}, done: make(chan router.End, 1)}
 	o.calls["b"] = k2
 	o.idle.Stop()
 	delete(o.calls, "b")
-	o.rest()
+	o.closeWhenIdle()
 	p.mu.Unlock()
 	testwait.Receive(t, advanced, "the timer of the idle time")
 	if p.open() != 1 {
--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -21,22 +21,22 @@
 	DialTimeout float64
 	IdleClose   float64 // the server closes a connection after so much idle time
 	MaxStreams  int     // attempts at once on one connection
-	MostConns   int     // connections to all servers together
-	MostWait    float64 // an attempt not written so long after its choice must not be: drains and purges bind
+	MaxConns    int     // connections to all servers together
+	MaxWait     float64 // an attempt not written so long after its choice must not be: drains and purges bind
 }
 
 const (
-	idleShare   = 0.8  // of IdleClose, after which we close first: a close that crosses an attempt proves nothing
-	writeLimit  = 2000 // ms for one command
-	leastWrite  = 20   // ms for an attempt that is due at the last moment
-	queueRoom   = 64   // commands waiting to be written on one connection
-	dropPatient = 20   // ms to wait for a DROP to be written
-	dropMemory  = 2000 // ms within which the next attempt of a dropped id would come
-	silentFor   = 250  // ms without an answer after which a connection whose attempt was given up is no good
-	stallLimit  = 1000 // ms within an answer without a further byte
-	readBuffer  = 4 << 10
-	connsEach   = 24 // connections to one server before they are shared
-	logEvery    = 1000
+	idleShare        = 0.8  // of IdleClose, after which we close first: a close that crosses an attempt proves nothing
+	writeTimeout     = 2000 // ms for one command
+	minWriteTimeout  = 20   // ms for an attempt that is due at the last moment
+	queueCapacity    = 64   // commands waiting to be written on one connection
+	dropWriteTimeout = 20   // ms to wait for a DROP to be written
+	dropRetention    = 2000 // ms within which the next attempt of a dropped id would come
+	silenceLimit     = 250  // ms without an answer after which a connection whose attempt was given up is no good
+	stallLimit       = 1000 // ms within an answer without a further byte
+	readBuffer       = 4 << 10
+	connsPerServer   = 24 // connections to one server before they are shared
+	logEvery         = 1000
 )
 
 // Pools hold the connections to every server, by the server's id and address: addresses are used again, and what
@@ -74,14 +74,14 @@
 
 // NewPools returns pools without servers; ctx ends their connections.
 func NewPools(ctx context.Context, opt Options, c *clock.Clock, log zerolog.Logger) *Pools {
-	return &Pools{opt: opt, clock: c, log: log, ctx: ctx, timeouts: timeouts{writeLimit, dropPatient}, servers: map[string]*pool{}}
+	return &Pools{opt: opt, clock: c, log: log, ctx: ctx, timeouts: timeouts{writeTimeout, dropWriteTimeout}, servers: map[string]*pool{}}
 }
 
 // Retune takes new settings' time after which a drain or purge binds, for attempts that are not written yet too.
-func (p *Pools) Retune(mostWait float64) {
+func (p *Pools) Retune(maxWait float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opt.MostWait = mostWait
+	p.opt.MaxWait = maxWait
 }
 
 // Apply keeps the addresses in step with the list of servers. Attempts out at a server that left go on.
@@ -127,7 +127,7 @@
 
 // Send puts an attempt to its server. Its end comes on the call's channel.
 func (p *Pools) Send(try router.Attempt) router.Call {
-	k := &call{pools: p, try: try, chosen: p.clock.Now(), done: make(chan router.End, 1)}
+	k := &call{pools: p, attempt: try, chosen: p.clock.Now(), done: make(chan router.End, 1)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.servers[try.Server]
@@ -135,10 +135,10 @@
 		k.end(router.End{Code: rules.Skipped})
 		return k
 	}
-	c, open := l.pick(&k.try)
+	c, open := l.pick(&k.attempt)
 	switch {
 	case c != nil:
-		c.start(k)
+		c.enqueue(k)
 	case open:
 		l.opening++
 		p.conns++
@@ -161,30 +161,30 @@
 		case c.dropped[id] != 0:
 			return nil, false
 		case try.Effects && c.ended[id] != 0:
-		case len(c.calls) >= l.owner.opt.MaxStreams || len(c.queue) >= queueRoom/2:
-		case best == nil || len(c.calls) < len(best.calls) || len(c.calls) == len(best.calls) && c.used > best.used:
+		case len(c.calls) >= l.owner.opt.MaxStreams || len(c.queue) >= queueCapacity/2:
+		case best == nil || len(c.calls) < len(best.calls) || len(c.calls) == len(best.calls) && c.lastUse > best.lastUse:
 			best = c
 		}
 	}
 	if best != nil && len(best.calls) == 0 {
 		return best, false
 	}
-	if len(l.conns)+l.opening < connsEach && l.owner.spare(best == nil) {
+	if len(l.conns)+l.opening < connsPerServer && l.owner.mayOpen(best == nil) {
 		return nil, true
 	}
 	return best, false
 }
 
-// spare tells whether a connection may be opened. In need it closes the one idle for longest: the connections that
+// mayOpen tells whether a connection may be opened. In need it closes the one idle for longest: the connections that
 // other servers once needed must not keep a server without any.
-func (p *Pools) spare(need bool) bool {
-	if p.conns < p.opt.MostConns || !need {
-		return p.conns < p.opt.MostConns
+func (p *Pools) mayOpen(need bool) bool {
+	if p.conns < p.opt.MaxConns || !need {
+		return p.conns < p.opt.MaxConns
 	}
 	var oldest *conn
 	for _, l := range p.servers {
 		for _, c := range l.conns {
-			if len(c.calls) == 0 && (oldest == nil || c.used < oldest.used) {
+			if len(c.calls) == 0 && (oldest == nil || c.lastUse < oldest.lastUse) {
 				oldest = c
 			}
 		}
@@ -211,17 +211,17 @@
 		p.mu.Unlock()
 		return
 	}
-	c := &conn{pool: l, net: nc, queue: make(chan command, queueRoom), gone: make(chan struct{}),
-		calls: map[string]*call{}, dropped: map[string]float64{}, ended: map[string]float64{}, used: p.clock.Now()}
+	c := &conn{pool: l, net: nc, queue: make(chan command, queueCapacity), gone: make(chan struct{}),
+		calls: map[string]*call{}, dropped: map[string]float64{}, ended: map[string]float64{}, lastUse: p.clock.Now()}
 	l.conns = append(l.conns, c)
 	switch {
 	case p.ctx.Err() != nil, l.closed: // it left the list while the connection came up: another machine may be there now
 		k.end(router.End{Code: rules.Refused})
 		c.close()
-	case !k.over:
-		c.start(k)
+	case !k.finished:
+		c.enqueue(k)
 	default:
-		c.rest()
+		c.closeWhenIdle()
 	}
 	p.mu.Unlock()
 	stop := context.AfterFunc(p.ctx, func() { nc.Close() })
--- a/internal/resp/pool_test.go
+++ b/internal/resp/pool_test.go
@@ -72,7 +72,7 @@
 
 func newPools(t *testing.T, addr string) (*Pools, *clock.Clock) {
 	fake := clock.NewFake(1000)
-	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleClose: 30_000, MaxStreams: 2, MostConns: 2, MostWait: 300}, fake, zerolog.Nop())
+	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleClose: 30_000, MaxStreams: 2, MaxConns: 2, MaxWait: 300}, fake, zerolog.Nop())
 	p.timeouts.drop = patient // none is stuck
 	list(p, "s-1", addr)
 	return p, fake
@@ -100,7 +100,7 @@
 	testwait.Until(l.t, "an answer to be heard", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.servers["s-1"].conns[0].heard > 0
+		return p.servers["s-1"].conns[0].lastAnswer > 0
 	})
 }
 
@@ -269,12 +269,12 @@
 	calls := map[string]*call{}
 	p.mu.Lock()
 	for _, id := range []string{"late", "over", "good"} {
-		k := &call{pools: p, try: router.Attempt{Request: &router.Request{ID: id}}, chosen: fake.Now(), done: make(chan router.End, 1)}
-		c.start(k)
+		k := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}}, chosen: fake.Now(), done: make(chan router.End, 1)}
+		c.enqueue(k)
 		calls[id] = k
 		fake.Advance(301)
 	}
-	calls["good"].chosen, calls["over"].chosen, calls["over"].over = fake.Now(), fake.Now(), true
+	calls["good"].chosen, calls["over"].chosen, calls["over"].finished = fake.Now(), fake.Now(), true
 	p.mu.Unlock()
 	go c.write()
 	defer close(c.gone)
@@ -301,9 +301,9 @@
 	near, far := net.Pipe()
 	testwait.Bound(t, far)
 	c := bare(p, near)
-	k := &call{pools: p, try: router.Attempt{Request: &router.Request{ID: "a"}}, chosen: 1000, done: make(chan router.End, 1)}
+	k := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "a"}}, chosen: 1000, done: make(chan router.End, 1)}
 	p.mu.Lock()
-	c.start(k) // queued, and no writer yet
+	c.enqueue(k) // queued, and no writer yet
 	p.mu.Unlock()
 	go c.read()
 	l := &link{t, far, bufio.NewReader(far)}
@@ -346,7 +346,7 @@
 // due.
 func TestStall(t *testing.T) {
 	r := &recorder{}
-	if _, err := (&steady{Conn: r}).Read(nil); err != nil || r.due.IsZero() {
+	if _, err := (&stallGuard{Conn: r}).Read(nil); err != nil || r.due.IsZero() {
 		t.Errorf("no deadline for the next byte (%v)", err)
 	}
 }
--- a/internal/resp/sendqueue.go
+++ b/internal/resp/sendqueue.go
@@ -43,7 +43,7 @@
 	for begin := time.Now(); ; time.Sleep(clock.Duration(queueLook)) {
 		waiting := notSent(c.net)
 		p.mu.Lock()
-		sent := !k.whole || c.handed-waiting >= k.endsAt
+		sent := !k.fullyWritten || c.bytesWritten-waiting >= k.endsAt
 		p.mu.Unlock()
 		if sent || time.Since(begin) > clock.Duration(ms) {
 			return sent
@@ -53,7 +53,7 @@
 
 // abort closes the connection and throws away what waits in its send queue. Pools.mu is held.
 func (c *conn) abort() {
-	if t, ok := c.net.(*net.TCPConn); ok && !c.dead {
+	if t, ok := c.net.(*net.TCPConn); ok && !c.closed {
 		t.SetLinger(0)
 	}
 	c.close()
--- a/internal/resp/writecommand.go
+++ b/internal/resp/writecommand.go
@@ -8,9 +8,9 @@
 // errDeparted ends a connection on which a command was half written when its client left.
 var errDeparted = errors.New("the client of a command that is half written has left")
 
-// put writes a command. Where the connection takes it in parts, it looks before each but the first whether the command's client has left: what
+// writeCommand writes a command. Where the connection takes it in parts, it looks before each but the first whether the command's client has left: what
 // would come whole to the server only then must not.
-func (c *conn) put(m command) error {
+func (c *conn) writeCommand(m command) error {
 	socket, ok := c.net.(syscall.Conn)
 	if !ok || m.call == nil {
 		_, err := c.net.Write(m.text)
@@ -50,5 +50,5 @@
 
 // departed tells whether the client of an attempt has left.
 func (k *call) departed() bool {
-	return k.try.Departed != nil && k.try.Departed()
+	return k.attempt.Departed != nil && k.attempt.Departed()
 }
