--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -203,7 +203,7 @@
 	}
 	var ready, ending atomic.Bool
 	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, OnRefused: core.CountRefused, MaxConns: clients,
-		MostQueued: int64(queueShare * memory), Clock: now, Log: log}
+		MaxQueued: int64(queueShare * memory), Clock: now, Log: log}
 	server.Ready = func() bool { return ready.Load() && !ending.Load() && !server.Draining() }
 	listener, err := openClients(c)
 	if err != nil {
--- a/internal/msgpackrpc/interleavings_test.go
+++ b/internal/msgpackrpc/interleavings_test.go
@@ -198,7 +198,7 @@
 // A client that does not read must not fill what all may hold: the large answers of others failed then, small ones did not.
 func TestUnreadAnswersLeaveRoom(t *testing.T) {
 	const large = 200 << 10
-	c := start(t, func(s *Server) { s.MostQueued, s.MaxConns = 40*large, 8 })
+	c := start(t, func(s *Server) { s.MaxQueued, s.MaxConns = 40*large, 8 })
 	c.request(1, "page", "0000000000000001")
 	asked := c.next()
 	// No one writes for a connection made here: what is answered on it waits, as for a client that does not read.
@@ -216,7 +216,7 @@
 	}
 	c.Server.mu.Lock()
 	defer c.Server.mu.Unlock()
-	if deaf.booked < c.MostQueued/4 {
+	if deaf.booked < c.MaxQueued/4 {
 		t.Errorf("%d bytes are all that wait for one client while nobody else needs them", deaf.booked)
 	}
 }
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -27,7 +27,7 @@
 	refuseAfter          = 1_500       // after Drain: 4 s after the call no connection may have a request of the last 2 s open
 	refusingDrainTimeout = 1           // replaces drainTimeout once requests are refused
 	lingerTimeout        = 250         // for bytes that the client sent before it saw the close
-	connShare            = 8           // a connection may hold 1/connShare of MostQueued while memory is short
+	connShare            = 8           // a connection may hold 1/connShare of MaxQueued while memory is short
 	requestCost          = 8 << 10     // bytes that an open request takes besides its body
 	acceptPause          = 20          // after an accept that failed
 	closeInterval        = 5           // between checks for connections whose answers have been written, at the end
@@ -46,7 +46,7 @@
 	Keyed      map[string]bool    // the classes, and whether their requests carry an idempotency key; Retune changes them
 	OnRefused  func(class string) // called with the class of each request that is refused here; may be nil
 	MaxConns   int
-	MostQueued int64   // bytes of open requests and of answers waiting to be written, on all connections
+	MaxQueued int64   // bytes of open requests and of answers waiting to be written, on all connections
 	Patience   float64 // how long open requests may hold up the end of Serve
 	Take       float64 // how long clients have to take an answer that was given late in that time
 	Late       float64 // how much longer than Patience connections stay for that, and for answers that are due and not given yet
@@ -247,24 +247,24 @@
 	}
 }
 
-// reserve reserves n bytes of MostQueued, or reports false where they are not free; a negative n releases them.
+// reserve reserves n bytes of MaxQueued, or reports false where they are not free; a negative n releases them.
 func (s *Server) reserve(n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n > 0 && s.queued+n > s.MostQueued {
+	if n > 0 && s.queued+n > s.MaxQueued {
 		return false
 	}
 	s.queued += n
 	return true
 }
 
-// reserveAnswer reserves n bytes for an answer on a connection; a negative n releases them. While more than half of MostQueued is reserved, a
+// reserveAnswer reserves n bytes for an answer on a connection; a negative n releases them. While more than half of MaxQueued is reserved, a
 // connection with unwritten answers gets no more than its share, so that clients which do not read leave room for the others.
 func (s *Server) reserveAnswer(c *conn, n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all, own := s.queued+n, c.booked+n
-	if n > 0 && (all > s.MostQueued || c.booked > 0 && own > s.MostQueued/connShare && all > s.MostQueued/2) {
+	if n > 0 && (all > s.MaxQueued || c.booked > 0 && own > s.MaxQueued/connShare && all > s.MaxQueued/2) {
 		return false
 	}
 	s.queued, c.booked = all, own
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -42,7 +42,7 @@
 	l := testwait.Listen(t)
 	c := &client{t: t, asked: make(chan *asked, 4), ended: make(chan error, 1), addr: l.Addr().String()}
 	s := &Server{Ready: func() bool { return true }, Keyed: map[string]bool{"page": false, "report": true}, MaxConns: 2,
-		MostQueued: 1 << 20, Patience: 60_000, Clock: &clock.Clock{}, Log: zerolog.Nop(),
+		MaxQueued: 1 << 20, Patience: 60_000, Clock: &clock.Clock{}, Log: zerolog.Nop(),
 		Handle: func(ctx context.Context, q router.Request) router.Answer {
 			a := &asked{q, ctx, make(chan router.Answer)}
 			c.asked <- a
@@ -290,7 +290,7 @@
 
 // Answers that nobody reads are bounded, by connection and in bytes.
 func TestQueueBounds(t *testing.T) {
-	s := &Server{MostQueued: 100, Clock: &clock.Clock{}}
+	s := &Server{MaxQueued: 100, Clock: &clock.Clock{}}
 	c := &conn{server: s, queue: make(chan answer, 1)}
 	if err := c.answer(1, router.Answer{Verdict: router.Served, Body: make([]byte, 80)}); err != nil {
 		t.Fatal(err)
