--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -41,17 +41,17 @@
 
 // Server serves clients over MessagePack-RPC. Its exported fields are set before Serve.
 type Server struct {
-	Handle     func(context.Context, router.Request) router.Answer
-	Ready      func() bool
-	Keyed      map[string]bool    // the classes, and whether their requests carry an idempotency key; Retune changes them
-	OnRefused  func(class string) // called with the class of each request that is refused here; may be nil
-	MaxConns   int
+	Handle    func(context.Context, router.Request) router.Answer
+	Ready     func() bool
+	Keyed     map[string]bool    // the classes, and whether their requests carry an idempotency key; Retune changes them
+	OnRefused func(class string) // called with the class of each request that is refused here; may be nil
+	MaxConns  int
 	MaxQueued int64   // bytes of open requests and of answers waiting to be written, on all connections
-	Patience   float64 // how long open requests may hold up the end of Serve
-	Take       float64 // how long clients have to take an answer that was given late in that time
-	Late       float64 // how much longer than Patience connections stay for that, and for answers that are due and not given yet
-	Clock      *clock.Clock
-	Log        zerolog.Logger
+	Patience  float64 // how long open requests may hold up the end of Serve
+	Take      float64 // how long clients have to take an answer that was given late in that time
+	Late      float64 // how much longer than Patience connections stay for that, and for answers that are due and not given yet
+	Clock     *clock.Clock
+	Log       zerolog.Logger
 
 	mu            sync.Mutex // locked before a conn's where both are held
 	conns         map[*conn]bool
