--- a/cmd/spanctl/router_test.go
+++ b/cmd/spanctl/router_test.go
@@ -9,6 +9,7 @@
 
 	"spantack/core/roster"
 	"spantack/internal/manage"
+	"spantack/internal/testwait"
 )
 
 // Calls reach every router that is named, also where one says no, and the exit tells of that.
@@ -51,7 +52,7 @@
 	command(t, "router exclude a/b "+one, "", "no: 404")
 	stop()
 	for range 2 {
-		if err := <-ended; err != nil {
+		if err := testwait.Receive(t, ended, "a management server to end"); err != nil {
 			t.Error(err)
 		}
 	}
--- a/core/cells/above_test.go
+++ b/core/cells/above_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"spantack/core/hierarchy"
+	"spantack/internal/testwait"
 	"spantack/rules"
 )
 
@@ -150,7 +151,7 @@
 	for i := range 50 {
 		later.Step(int64(i), []rules.Event{{Kind: rules.Request, Call: fmt.Sprint(i), Class: "page", Object: "aa", Group: 50, SizeKb: 5, ExpiresIn: 3 * sec}})
 	}
-	<-done
+	testwait.Receive(t, done, "the work beside events")
 	later.Planned(p)
 	if got, want := later.up.route.Parts(), atOnce.up.route.Parts(); !slices.Equal(got, want) || slices.Max(got) <= 0 {
 		t.Errorf("worked out elsewhere %v, at once %v", got, want)
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -8,6 +8,8 @@
 	"testing"
 
 	"go.uber.org/goleak"
+
+	"spantack/internal/testwait"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -41,14 +43,14 @@
 		if n, err := w.Write(line); n != len(line) || err != nil {
 			t.Fatal(n, err)
 		}
-		<-entered
+		testwait.Receive(t, entered, "the first line to be written")
 		for i := range maxLines + 7 {
 			line = fmt.Appendf(line[:0], "%d\n", i) // the caller's buffer is used again
 			w.Write(line)
 		}
 		close(destination.release)
 		w.Close()
-		<-w.finished
+		testwait.Receive(t, w.finished, "the writer to end")
 		want := "first\n{\"level\":\"warn\",\"lost\":7,\"message\":\"log lines were not taken\"}\n"
 		for i := range maxLines {
 			want += fmt.Sprintf("%d\n", i)
@@ -66,13 +68,13 @@
 	w := New(destination)
 	half := []byte(strings.Repeat("x", maxBytes/2))
 	w.Write(half)
-	<-entered
+	testwait.Receive(t, entered, "the first line to be written")
 	w.Write(half)
 	w.Write(half) // the one too many
 	w.Close()
 	w.Write([]byte("after the end\n"))
 	close(destination.release)
-	<-w.finished
+	testwait.Receive(t, w.finished, "the writer to end")
 	if got, lost := destination.got.Len(), w.dropped.Load(); got < maxBytes || got > maxBytes+len(`{"level":"warn","lost":2,"message":"log lines were not taken"}`)+1 || lost != 0 {
 		t.Errorf("%d bytes passed on, %d lines dropped and not reported", got, lost)
 	}
--- a/internal/background/background_test.go
+++ b/internal/background/background_test.go
@@ -14,6 +14,7 @@
 
 	"spantack/core/sched"
 	"spantack/internal/clock"
+	"spantack/internal/testwait"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -67,7 +68,7 @@
 	}
 	stop()
 	c.Advance(20_000)
-	if err := <-done; err != nil {
+	if err := testwait.Receive(t, done, "the runner to end"); err != nil {
 		t.Error(err)
 	}
 	if i, j, k := slices.Index(ran, "urgent"), slices.Index(ran, "prompt"), slices.Index(ran, "idle"); i > j || j > k || len(ran) != 6 {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,6 +14,7 @@
 
 	"spantack/core/peers"
 	"spantack/internal/clock"
+	"spantack/internal/testwait"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -93,7 +94,7 @@
 		go func() { ended <- talk.run(ctx, conn) }()
 		ends[i] = func() {
 			cancel()
-			if err := <-ended; err != nil {
+			if err := testwait.Receive(t, ended, "a talk to end"); err != nil {
 				t.Error(err)
 			}
 		}
@@ -109,7 +110,7 @@
 		t.Helper()
 		seen := map[int]bool{}
 		for len(seen) < last-first+1-4 {
-			f := <-finds
+			f := testwait.Receive(t, finds, "a find of "+server)
 			if f.rank < first || f.rank > last {
 				t.Fatalf("%s found by %d", server, f.rank)
 			}
@@ -208,7 +209,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- talk.Run(ctx) }()
-	if line := <-said; !strings.Contains(line, "peer_listen: ") || !strings.Contains(line, "in use") {
+	if line := testwait.Receive(t, said, "the log line on the address"); !strings.Contains(line, "peer_listen: ") || !strings.Contains(line, "in use") {
 		t.Errorf("said %s", line)
 	}
 	before.Close()
@@ -220,7 +221,7 @@
 		runtime.Gosched()
 	}
 	cancel()
-	if err := <-ended; err != nil {
+	if err := testwait.Receive(t, ended, "the talk to end"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/router/interleavings_test.go
+++ b/internal/router/interleavings_test.go
@@ -127,11 +127,11 @@
 	for _, kind := range []rules.ActionKind{rules.Refuse, rules.Fail} {
 		g := newRig(t, "box", "origin")
 		g.serve("r1")
-		c := <-g.up.sent
+		c := g.nextAttempt()
 		g.mu.Lock()
 		g.mailboxes["r1"] <- rules.Action{Kind: kind, Call: "r1"}
 		g.mu.Unlock()
-		<-g.answer
+		g.nextAnswer()
 		select {
 		case <-c.dropped:
 		default:
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -26,12 +26,12 @@
 	for _, n := range []Notice{{}, listed("cordoned"), listed("healthy"), listed("deregistered"), listed("healthy")} {
 		g.Apply(n)
 		g.serve("r1")
-		c := <-g.up.sent
+		c := g.nextAttempt()
 		if c.Server != "origin-1" {
 			t.Errorf("after %+v: sent to %s", n, c.Server)
 		}
 		c.done <- End{Code: rules.Done}
-		<-g.answer
+		g.nextAnswer()
 	}
 	if listed, off := g.Caches(); listed != 1 || off != 1 {
 		t.Errorf("%d listed, %d off", listed, off)
@@ -40,12 +40,12 @@
 		t.Fatal(err)
 	}
 	g.serve("r2")
-	if c := <-g.up.sent; c.Server != "box-1" {
+	if c := g.nextAttempt(); c.Server != "box-1" {
 		t.Errorf("put back, and sent to %s", c.Server)
 	} else {
 		c.done <- End{Code: rules.Done}
 	}
-	<-g.answer
+	g.nextAnswer()
 	if err := g.Adopt([]string{"box-1"}); err != nil || len(g.Excluded()) != 1 {
 		t.Errorf("adopted %v, %v", g.Excluded(), err)
 	}
@@ -58,12 +58,12 @@
 func TestTallies(t *testing.T) {
 	g := newRig(t, "box", "origin")
 	g.serve("r1")
-	c := <-g.up.sent
+	c := g.nextAttempt()
 	if open := g.Open(); open != 1 {
 		t.Errorf("%d open", open)
 	}
 	c.done <- End{Code: rules.Done}
-	<-g.answer
+	g.nextAnswer()
 	g.CountRefused("page")
 	g.CountRefused("nothing")
 	set := rules.Settings{Classes: []rules.Class{{Name: "price", Deadline: 1_000_000, Promise: 400_000, Idempotency: "read_like", Group: "all"}},
@@ -93,8 +93,8 @@
 func TestBeliefs(t *testing.T) {
 	g, next := newRig(t, "box", "origin"), newRig(t, "box", "origin")
 	g.serve("r1")
-	(<-g.up.sent).done <- End{Code: rules.Done}
-	<-g.answer
+	g.nextAttempt().done <- End{Code: rules.Done}
+	g.nextAnswer()
 	if err := next.Believe(g.Beliefs()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -7,6 +7,7 @@
 	"github.com/rs/zerolog"
 
 	"spantack/internal/clock"
+	"spantack/internal/testwait"
 	"spantack/rules"
 )
 
@@ -31,6 +32,7 @@
 // rig is a router with one cache, one parent and the origin, and a clock that the test moves.
 type rig struct {
 	*Router
+	t      *testing.T
 	clock  *clock.Clock
 	up     *upstream
 	cancel context.CancelFunc
@@ -49,7 +51,7 @@
 		Zone:        "east",
 		Zones:       []string{"east", "hub"},
 	}
-	g := &rig{clock: clock.NewFake(1_764_576_000_000), up: &upstream{make(chan *call, 1)}, answer: make(chan Answer, 1)}
+	g := &rig{t: t, clock: clock.NewFake(1_764_576_000_000), up: &upstream{make(chan *call, 1)}, answer: make(chan Answer, 1)}
 	var err error
 	if g.Router, err = New(set, 1, g.clock, g.up, zerolog.Nop()); err != nil {
 		t.Fatal(err)
@@ -70,15 +72,33 @@
 	}()
 }
 
+// nextAttempt returns the next attempt that the router sends.
+func (g *rig) nextAttempt() *call {
+	g.t.Helper()
+	return testwait.Receive(g.t, g.up.sent, "an attempt")
+}
+
+// nextAnswer returns the next final answer.
+func (g *rig) nextAnswer() Answer {
+	g.t.Helper()
+	return testwait.Receive(g.t, g.answer, "a final answer")
+}
+
+// awaitDrop returns once the router has given an attempt up.
+func (g *rig) awaitDrop(c *call) {
+	g.t.Helper()
+	testwait.Receive(g.t, c.dropped, "an attempt to be given up")
+}
+
 func TestServed(t *testing.T) {
 	g := newRig(t, "box", "parent", "origin")
 	g.serve("r1")
-	c := <-g.up.sent
+	c := g.nextAttempt()
 	if c.Server != "box-1" || c.Source != "parent-1" || c.Keep != 1 || c.MaxAge > 20_000 || c.MaxAge < 16_000 || c.Patience != 1475 {
 		t.Errorf("first attempt %+v", c.Attempt)
 	}
 	c.done <- End{Code: rules.Done, Note: 2, Body: []byte("bytes")}
-	if a := <-g.answer; a.Verdict != Served || string(a.Body) != "bytes" {
+	if a := g.nextAnswer(); a.Verdict != Served || string(a.Body) != "bytes" {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -88,17 +108,17 @@
 func TestGraceThenRefusal(t *testing.T) {
 	g := newRig(t, "box", "parent", "origin")
 	g.serve("r1")
-	c := <-g.up.sent
+	c := g.nextAttempt()
 	c.done <- End{Code: rules.Failed, Note: 7, Waited: 300}
-	held := <-g.up.sent
+	held := g.nextAttempt()
 	if held.Server != "box-1" || held.Source != "" || held.MaxAge != 30_000 {
 		t.Errorf("held attempt %+v", held.Attempt)
 	}
 	held.done <- End{Code: rules.Miss}
-	origin := <-g.up.sent
+	origin := g.nextAttempt()
 	origin.done <- End{Code: rules.Busy, Note: 6}
-	(<-g.up.sent).done <- End{Code: rules.Miss}
-	if a := <-g.answer; a.Verdict != Refused || a.RetryAfter <= 0 || a.RetryAfter > 1000 {
+	g.nextAttempt().done <- End{Code: rules.Miss}
+	if a := g.nextAnswer(); a.Verdict != Refused || a.RetryAfter <= 0 || a.RetryAfter > 1000 {
 		t.Errorf("answer %+v", a)
 	}
 	if n := g.Counters.Sent.Load(); n != 4 {
@@ -110,10 +130,10 @@
 func TestDeadline(t *testing.T) {
 	g := newRig(t, "box", "origin")
 	g.serve("r1")
-	c := <-g.up.sent
+	c := g.nextAttempt()
 	g.clock.Advance(1475)
-	<-c.dropped
-	if a := <-g.answer; a.Verdict != Refused {
+	g.awaitDrop(c)
+	if a := g.nextAnswer(); a.Verdict != Refused {
 		t.Errorf("answer %+v", a)
 	}
 	if len(g.mailboxes) != 0 {
@@ -125,10 +145,10 @@
 func TestClientGone(t *testing.T) {
 	g := newRig(t, "box", "origin")
 	g.serve("r1")
-	c := <-g.up.sent
+	c := g.nextAttempt()
 	g.cancel()
-	<-c.dropped
-	if a := <-g.answer; a.Verdict != None || g.Counters.Gone.Load() != 1 {
+	g.awaitDrop(c)
+	if a := g.nextAnswer(); a.Verdict != None || g.Counters.Gone.Load() != 1 {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -146,22 +166,22 @@
 		g.clock.Advance(2000)
 	}()
 	g.serve("r1")
-	if a := <-g.answer; a.Verdict != Failed || g.Counters.Overdue.Load() != 1 {
+	if a := g.nextAnswer(); a.Verdict != Failed || g.Counters.Overdue.Load() != 1 {
 		t.Errorf("answer %+v", a)
 	}
-	<-done
+	testwait.Receive(t, done, "the clock's goroutine to end")
 }
 
 // Two open requests of one id would get each other's answers.
 func TestSameID(t *testing.T) {
 	g := newRig(t, "box", "origin")
 	g.serve("r1")
-	c := <-g.up.sent
+	c := g.nextAttempt()
 	if a := g.Serve(context.Background(), Request{ID: "r1", Class: "page", Allow: 1000, Arrived: g.clock.Now()}); a.Verdict != Failed {
 		t.Errorf("the second got %+v", a)
 	}
 	c.done <- End{Code: rules.Done, Same: true}
-	if a := <-g.answer; a.Verdict != Served || !a.Same {
+	if a := g.nextAnswer(); a.Verdict != Served || !a.Same {
 		t.Errorf("the first got %+v", a)
 	}
 }
@@ -171,13 +191,13 @@
 	g := newRig(t, "box", "origin")
 	g.Apply(Notice{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: "cordoned"}}})
 	g.serve("r1")
-	if c := <-g.up.sent; c.Server != "origin-1" {
+	if c := g.nextAttempt(); c.Server != "origin-1" {
 		t.Errorf("sent to %s", c.Server)
 	} else {
 		g.Apply(Notice{Whole: true})
 		c.done <- End{Code: rules.Reset}
 	}
-	if a := <-g.answer; a.Verdict != Refused {
+	if a := g.nextAnswer(); a.Verdict != Refused {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -186,10 +206,10 @@
 func TestFinish(t *testing.T) {
 	g := newRig(t, "box", "origin")
 	g.serve("r1")
-	c := <-g.up.sent
+	c := g.nextAttempt()
 	g.Finish()
-	<-c.dropped
-	if a := <-g.answer; a.Verdict != Failed {
+	g.awaitDrop(c)
+	if a := g.nextAnswer(); a.Verdict != Failed {
 		t.Errorf("answer %+v", a)
 	}
 	if len(g.mailboxes) != 0 {
@@ -203,7 +223,7 @@
 	g := newRig(t, "box", "origin")
 	for allow, want := range map[float64]float64{1500: 1475, 60: 54, 20: 15} {
 		go g.Serve(context.Background(), Request{ID: "r", Class: "page", Object: "front", SizeKb: 100, Allow: allow, Arrived: g.clock.Now()})
-		c := <-g.up.sent
+		c := g.nextAttempt()
 		if c.Patience != want {
 			t.Errorf("of %v ms the attempt got %v, want %v", allow, c.Patience, want)
 		}
