--- a/core/fleet/datagram.go
+++ b/core/fleet/datagram.go
@@ -10,16 +10,16 @@
 // A datagram, numbers big-endian. The head is that of core/peers, so that routers of the version before drop ours as of an unknown kind, and
 // theirs are told from ours by the kind:
 //
-//	version:1 kind:1 rank:2 depot:2 incarnation:4 sequence:4 op:1 body rumours
+//	version:1 kind:1 rank:2 depot:2 incarnation:4 sequence:4 op:1 body updates
 //
-//	ping     target:2 token:4 limit:1 keeper:2   is that one there? and who is known to keep a limit, 65535: nobody
-//	ack      target:2 token:4 limit:1 keeper:2   it is
-//	relay    target:2 token:4 limit:1 keeper:2   ask it for me
-//	ask      limit:1 want:4 stamp:4 of:4    a promise to the receiver, and what is wanted; the stamp is echoed, of a start of the keeper
-//	lend     limit:1 amount:4 term:4 stamp:4 asked:4
-//	report   server:4 condition:1   what the sender's depot observes of a server
+//	ping          target:2 token:4 limit:1 holder:2   a probe, with the known holder of a limit; 65535: none
+//	ack           target:2 token:4 limit:1 holder:2   its answer
+//	pingRequest   target:2 token:4 limit:1 holder:2   probe it for me
+//	leaseRequest  limit:1 want:4 stamp:4 of:4   what is wanted, and a vote for the receiver: its stamp echoed, and its incarnation
+//	leaseGrant    limit:1 amount:4 term:4 stamp:4 asked:4
+//	report        server:4 condition:1   what the sender's depot observes of a server
 //
-// A rumour is rank:2 incarnation:4 refuted:2 state:1; as many follow as there is room for.
+// An update is rank:2 incarnation:4 refuted:2 state:1; as many follow as there is room for.
 const (
 	// MaxDatagram is the platform's bound in bytes. None longer is ever built.
 	MaxDatagram = 256
@@ -28,7 +28,7 @@
 
 	version    = 1
 	headSize   = 14
-	rumourSize = 9
+	updateSize = 9
 )
 
 // nobody is no rank.
@@ -39,13 +39,13 @@
 const (
 	ping op = iota + 1
 	ack
-	relay
-	ask
-	lend
+	pingRequest
+	leaseRequest
+	leaseGrant
 	report
 )
 
-var bodySizes = map[op]int{ping: 9, ack: 9, relay: 9, ask: 13, lend: 17, report: 5}
+var bodySizes = map[op]int{ping: 9, ack: 9, pingRequest: 9, leaseRequest: 13, leaseGrant: 17, report: 5}
 
 // The reasons why a datagram is dropped.
 var (
@@ -54,8 +54,8 @@
 	ErrOld       = errors.New("old or repeated datagram")
 )
 
-// rumour is what is said of a router.
-type rumour struct {
+// update is a membership update about one router.
+type update struct {
 	rank        int
 	incarnation uint32
 	refuted     uint16
@@ -69,13 +69,13 @@
 	op                    op
 	target                int
 	token                 uint32
-	limit, keeper         int
-	amount                float64 // wanted, or lent
+	limit, holder         int
+	amount                float64 // wanted, or granted
 	term                  int64   // us
 	stamp, of, asked      uint32
 	server                uint32
 	condition             Condition
-	rumours               []rumour
+	updates               []update
 }
 
 // unit of amounts on the wire, and of terms.
@@ -84,7 +84,7 @@
 	termUnit   = 1000 // us
 )
 
-// append writes m behind buf, with as many of its rumours as fit.
+// append writes m behind buf, with as many of its updates as fit.
 func (m *message) append(buf []byte) []byte {
 	b := binary.BigEndian
 	buf = append(buf, version, Kind)
@@ -94,16 +94,16 @@
 	buf = b.AppendUint32(buf, m.sequence)
 	buf = append(buf, byte(m.op))
 	switch m.op {
-	case ping, ack, relay:
+	case ping, ack, pingRequest:
 		buf = b.AppendUint16(buf, uint16(m.target))
 		buf = b.AppendUint32(buf, m.token)
-		buf = b.AppendUint16(append(buf, byte(m.limit)), uint16(m.keeper))
-	case ask:
+		buf = b.AppendUint16(append(buf, byte(m.limit)), uint16(m.holder))
+	case leaseRequest:
 		buf = append(buf, byte(m.limit))
 		buf = b.AppendUint32(buf, units(m.amount, true))
 		buf = b.AppendUint32(buf, m.stamp)
 		buf = b.AppendUint32(buf, m.of)
-	case lend:
+	case leaseGrant:
 		buf = append(buf, byte(m.limit))
 		buf = b.AppendUint32(buf, units(m.amount, false))
 		buf = b.AppendUint32(buf, uint32(m.term/termUnit))
@@ -112,8 +112,8 @@
 	case report:
 		buf = append(b.AppendUint32(buf, m.server), byte(m.condition))
 	}
-	for _, r := range m.rumours {
-		if len(buf)+rumourSize > MaxDatagram {
+	for _, r := range m.updates {
+		if len(buf)+updateSize > MaxDatagram {
 			break
 		}
 		buf = b.AppendUint16(buf, uint16(r.rank))
@@ -124,7 +124,7 @@
 	return buf
 }
 
-// units rounds what is lent down, so that the sum of it stays under the pool, and what is wanted up.
+// units rounds leases down, so that their sum stays under the pool, and demand up.
 func units(amount float64, up bool) uint32 {
 	n := math.Floor(amount / amountUnit)
 	if up {
@@ -133,7 +133,7 @@
 	return uint32(min(max(n, 0), math.MaxUint32))
 }
 
-// parse reads a datagram into m, whose room for rumours is used again. Its error wraps ErrMalformed.
+// parse reads a datagram into m, whose room for updates is used again. Its error wraps ErrMalformed.
 func (m *message) parse(d []byte) error {
 	b := binary.BigEndian
 	switch {
@@ -142,19 +142,19 @@
 	case d[0] != version || d[1] != Kind:
 		return fmt.Errorf("%w: version %d, kind %d", ErrMalformed, d[0], d[1])
 	}
-	rumours := m.rumours[:0]
+	updates := m.updates[:0]
 	*m = message{rank: int(b.Uint16(d[2:])), depot: int(b.Uint16(d[4:])), incarnation: b.Uint32(d[6:]), sequence: b.Uint32(d[10:]), op: op(d[14])}
 	d = d[headSize+1:]
 	size, known := bodySizes[m.op]
-	if !known || len(d) < size || (len(d)-size)%rumourSize != 0 {
+	if !known || len(d) < size || (len(d)-size)%updateSize != 0 {
 		return fmt.Errorf("%w: op %d with %d bytes", ErrMalformed, m.op, len(d))
 	}
 	switch m.op {
-	case ping, ack, relay:
-		m.target, m.token, m.limit, m.keeper = int(b.Uint16(d)), b.Uint32(d[2:]), int(d[6]), int(b.Uint16(d[7:]))
-	case ask:
+	case ping, ack, pingRequest:
+		m.target, m.token, m.limit, m.holder = int(b.Uint16(d)), b.Uint32(d[2:]), int(d[6]), int(b.Uint16(d[7:]))
+	case leaseRequest:
 		m.limit, m.amount, m.stamp, m.of = int(d[0]), float64(b.Uint32(d[1:]))*amountUnit, b.Uint32(d[5:]), b.Uint32(d[9:])
-	case lend:
+	case leaseGrant:
 		m.limit, m.amount, m.term = int(d[0]), float64(b.Uint32(d[1:]))*amountUnit, int64(b.Uint32(d[5:]))*termUnit
 		m.stamp, m.asked = b.Uint32(d[9:]), b.Uint32(d[13:])
 	case report:
@@ -162,13 +162,13 @@
 			return fmt.Errorf("%w: condition %d", ErrMalformed, m.condition)
 		}
 	}
-	for d = d[size:]; len(d) > 0; d = d[rumourSize:] {
-		r := rumour{rank: int(b.Uint16(d)), incarnation: b.Uint32(d[2:]), refuted: b.Uint16(d[6:]), state: State(d[8])}
+	for d = d[size:]; len(d) > 0; d = d[updateSize:] {
+		r := update{rank: int(b.Uint16(d)), incarnation: b.Uint32(d[2:]), refuted: b.Uint16(d[6:]), state: State(d[8])}
 		if r.state > Dead {
 			return fmt.Errorf("%w: state %d", ErrMalformed, r.state)
 		}
-		rumours = append(rumours, r)
+		updates = append(updates, r)
 	}
-	m.rumours = rumours
+	m.updates = updates
 	return nil
 }
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 
 const second = int64(1_000_000)
 
-// world is a tier in virtual time: a network that loses, doubles and delays, cuts by groups and one-way, and processes that crash, come
+// world is a fleet in virtual time: a network that loses, doubles and delays, cuts by groups and one-way, and processes that crash, come
 // back, stand still, and whose clocks run apart.
 type world struct {
 	rng    *rand.Rand
@@ -135,7 +135,7 @@
 			next := p.node.Tick(w.local(f.to))
 			w.push(w.now+max(next-w.local(f.to), 1000), f.to, f.to, nil)
 		default:
-			err := p.node.Hear(w.local(f.to), f.from, f.bytes)
+			err := p.node.Receive(w.local(f.to), f.from, f.bytes)
 			if err != nil && !errors.Is(err, ErrOld) {
 				panic(err)
 			}
@@ -169,8 +169,8 @@
 // kill ends a process; it is started again later, with nothing, by start.
 func (w *world) kill(i int) { w.procs[i].up = false }
 
-// The bound of the package, whatever happens: floors and loans never pass the limit. With the check of a loan's end, of promises at the
-// start, or of the incarnation that was promised taken out, this fails within 200 seeds.
+// The bound of the package, whatever happens: floors and leases never pass the limit. With the check of a lease's end, of votes at the
+// start, or of the incarnation that was voted for taken out, this fails within 200 seeds.
 func TestSharesNeverPassTheLimit(t *testing.T) {
 	seeds := uint64(400)
 	if testing.Short() {
@@ -201,7 +201,7 @@
 				clear(w.oneWay)
 				clear(w.lag)
 			case 8, 9:
-				if keeper := w.procs[i].node.Holdings(w.local(i))[0].Keeper; keeper >= 0 {
+				if keeper := w.procs[i].node.Holdings(w.local(i))[0].Holder; keeper >= 0 {
 					w.lag[keeper] = w.rng.Int64N(3 * second)
 					w.run(w.now+w.lag[keeper]+second, look)
 					w.group[keeper] = 9 // and is cut off with what is on its way to it
@@ -225,7 +225,7 @@
 			}
 		}
 		for _, p := range w.procs {
-			lent += int(p.node.Counts.Lent)
+			lent += int(p.node.Counts.Granted)
 		}
 	}
 	if most < 39 || lent < int(seeds)*50 {
@@ -233,8 +233,8 @@
 	}
 }
 
-// The keeper is one that not all would name, as the first choice was away when it came to lend. It is cut off with its loans out, and all others
-// start anew that moment, with nothing known of what they had promised: they must not have a second keeper before the first one's loans have ended.
+// The holder is one that not all would name, as the first choice was away when it came to grant. It is cut off with its leases out, and all others
+// start anew that moment, with nothing known of what they had voted for: they must not have a second holder before the first one's leases have ended.
 func TestWhoStartsAnewPromisesLate(t *testing.T) {
 	for seed := range uint64(20) {
 		limit := Limit{Name: "fills", Most: 40, Floor: 0.25}
@@ -244,7 +244,7 @@
 		w.run(w.now+Regain, nil)
 		w.start(t, first)
 		w.run(w.now+2*second, nil)
-		keeper := w.procs[first].node.Holdings(w.local(first))[0].Keeper
+		keeper := w.procs[first].node.Holdings(w.local(first))[0].Holder
 		if keeper < 0 || keeper == first {
 			t.Fatalf("seed %d: kept by %d, first choice %d", seed, keeper, first)
 		}
@@ -266,27 +266,27 @@
 	}
 }
 
-// A promise counts from the stamp that it echoes: one that was long on its way has nearly ended.
+// A vote counts from the stamp that it echoes: one that was long on its way has nearly ended.
 func TestPromiseOnItsWayHasBegun(t *testing.T) {
-	for age, lends := range map[int64]bool{second: true, promised - second/10: false, promised + second: false} {
+	for age, lends := range map[int64]bool{second: true, voteLifetime - second/10: false, voteLifetime + second: false} {
 		w := newWorld(t, 1, 3, Limit{Name: "a", Most: 9})
 		w.run(w.now+Regain, nil)
-		keeper := w.procs[0].node.Holdings(w.local(0))[0].Keeper
-		k, now := w.procs[keeper].node.limits[0], w.local(keeper)+10*second // nothing that was promised holds any more
+		keeper := w.procs[0].node.Holdings(w.local(0))[0].Holder
+		k, now := w.procs[keeper].node.limits[0], w.local(keeper)+10*second // no vote counts any more
 		for rank := range 3 {
 			if rank != keeper {
-				k.asked(now, &message{rank: rank, of: k.n.opt.Incarnation, stamp: k.stampAt(now - age), amount: 1})
+				k.handleRequest(now, &message{rank: rank, of: k.n.opt.Incarnation, stamp: k.stampAt(now - age), amount: 1})
 			}
 		}
-		k.tallied = 0
-		if _, term := k.grant(now, (keeper+1)%3); (term > 0) != lends || term > max(promised-age, 0) {
+		k.countedAt = 0
+		if _, term := k.grant(now, (keeper+1)%3); (term > 0) != lends || term > max(voteLifetime-age, 0) {
 			t.Errorf("a loan of %d us on promises that were %d us on their way", term, age)
 		}
 	}
 }
 
 // What stays usable: while cut in three the part with more than half of the routers has six tenths of the pool or more, the others their floors;
-// a keeper that dies, or is cut off, is replaced within Regain, also where it dies the moment that the parts are one again.
+// a holder that dies, or is cut off, is replaced within Regain, also where it dies the moment that the parts are one again.
 func TestPoolIsRegained(t *testing.T) {
 	for seed := range uint64(12) {
 		limit := Limit{Name: "fills", Most: 90, Floor: 0.3}
@@ -296,11 +296,11 @@
 		if sum := w.mean(0, nil); sum < 0.9*limit.Most {
 			t.Fatalf("seed %d: %v of %v in use in a whole tier", seed, sum, limit.Most)
 		}
-		keeper := w.procs[0].node.Holdings(w.local(0))[0].Keeper
+		keeper := w.procs[0].node.Holdings(w.local(0))[0].Holder
 		if keeper < 0 {
 			t.Fatalf("seed %d: no keeper", seed)
 		}
-		for i := range w.group { // the keeper and five others are cut off, in two parts
+		for i := range w.group { // the holder and five others are cut off, in two parts
 			if d := (i - keeper + 15) % 15; d < 6 {
 				w.group[i] = 1 + d%2
 			}
@@ -315,7 +315,7 @@
 		clear(w.group)
 		next := -1
 		for i := range w.procs {
-			if h := w.procs[i].node.Holdings(w.local(i))[0]; h.Keeps {
+			if h := w.procs[i].node.Holdings(w.local(i))[0]; h.Holds {
 				next = i
 			}
 		}
@@ -338,7 +338,7 @@
 	for i := range 28 {
 		w.kill(i)
 	}
-	w.run(w.now+40*second, nil) // most questions go to dead ones, one after the other
+	w.run(w.now+40*second, nil) // most probes go to dead members, one after the other
 	for i := 28; i < 40; i++ {
 		if living := w.procs[i].node.Living(); living != 12 {
 			t.Errorf("router %d holds %d of 40 for up where 12 are", i, living)
@@ -356,7 +356,7 @@
 }
 
 // Two halves that each hold the other for dead find one another again; a process that stood still for three seconds, and one that hears but is
-// not heard by one other, are not taken out by the tier for longer than they deserve.
+// not heard by one other, are not declared dead for longer than they deserve.
 func TestWhoIsUpAfterTrouble(t *testing.T) {
 	w := newWorld(t, 5, 20)
 	w.run(w.now+4*second, nil)
@@ -398,7 +398,7 @@
 		"Limits[0].a: NaN is not above 0 to 1000000": func(o *Options) { o.Limits = []Limit{{Name: "a", Most: math.NaN()}} },
 		"Limits[0].floor: 2 is not 0 to 1":           func(o *Options) { o.Limits = []Limit{{Name: "a", Most: 1, Floor: 2}} },
 		"Limits[0].spare: 1500000 us is not 0 to less than 1500000": func(o *Options) {
-			o.Limits = []Limit{{Name: "a", Most: 1, Spare: lentFor}}
+			o.Limits = []Limit{{Name: "a", Most: 1, Spare: leaseLifetime}}
 		},
 	} {
 		o := good
@@ -409,7 +409,7 @@
 	}
 }
 
-// A tier of one keeps its limits by itself.
+// A fleet of one keeps its limits by itself.
 func TestAlone(t *testing.T) {
 	w := newWorld(t, 1, 1, Limit{Name: "a", Most: 5, Floor: 0.4})
 	w.run(w.now+Regain, nil)
@@ -426,7 +426,7 @@
 	}
 }
 
-// Routers of the version before are in the tier while it is upgraded: each side drops the other's datagrams as of an unknown kind, and goes on.
+// Routers of the version before are in the fleet while it is upgraded: each side drops the other's datagrams as of an unknown kind, and goes on.
 func TestVersionsIgnoreOneAnother(t *testing.T) {
 	old, err := peers.New(peers.Options{Rank: 1, Siblings: 20, Depots: 4, Incarnation: 1})
 	if err != nil {
@@ -442,16 +442,16 @@
 			t.Errorf("a router of the version before takes %x for its own", b)
 		}
 	}
-	for now := int64(0); now < 5*second; now += tickEvery {
+	for now := int64(0); now < 5*second; now += tickInterval {
 		n.Tick(now)
 	}
-	if err := n.Hear(second, 1, old.Saw(second, "s-00000001")); !errors.Is(err, ErrMalformed) || heard == 0 || n.Share(5*second, 0) != 1 {
+	if err := n.Receive(second, 1, old.Saw(second, "s-00000001")); !errors.Is(err, ErrMalformed) || heard == 0 || n.Share(5*second, 0) != 1 {
 		t.Errorf("%v, %d datagrams, share %v", err, heard, n.Share(5*second, 0))
 	}
 }
 
-func FuzzHear(f *testing.F) {
-	m := message{rank: 1, incarnation: 2, sequence: 3, op: ping, rumours: []rumour{{0, 1, 0, Dead}, {1, 9, 9, Alive}}}
+func FuzzReceive(f *testing.F) {
+	m := message{rank: 1, incarnation: 2, sequence: 3, op: ping, updates: []update{{0, 1, 0, Dead}, {1, 9, 9, Alive}}}
 	for o := range bodySizes {
 		m.op = o
 		f.Add(m.append(nil))
@@ -466,7 +466,7 @@
 				t.Fatalf("%d bytes", len(d))
 			}
 		}
-		if err := n.Hear(second, 1, b); err != nil && !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrStranger) && !errors.Is(err, ErrOld) {
+		if err := n.Receive(second, 1, b); err != nil && !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrStranger) && !errors.Is(err, ErrOld) {
 			t.Fatal(err)
 		}
 		n.Tick(2 * second)
@@ -476,18 +476,18 @@
 	})
 }
 
-func BenchmarkHear(b *testing.B) {
+func BenchmarkReceive(b *testing.B) {
 	n, err := New(0, Options{Siblings: 300, Depots: 40, Incarnation: 1, Limits: []Limit{{Name: "a", Most: 100, Floor: 0.2}}})
 	if err != nil {
 		b.Fatal(err)
 	}
 	var d [300][]byte
-	m := message{op: ack, keeper: nobody, incarnation: 1, rumours: []rumour{{5, 1, 0, Alive}, {6, 1, 0, Alive}}}
+	m := message{op: ack, holder: nobody, incarnation: 1, updates: []update{{5, 1, 0, Alive}, {6, 1, 0, Alive}}}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		m.rank, m.sequence = 1+i%299, uint32(i+1)
 		d[m.rank] = m.append(d[m.rank][:0])
-		if err := n.Hear(int64(i), m.rank, d[m.rank]); err != nil {
+		if err := n.Receive(int64(i), m.rank, d[m.rank]); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -509,6 +509,6 @@
 
 func ExampleNode_Share() {
 	n, _ := New(0, Options{Siblings: 4, Depots: 1, Incarnation: 1, Limits: []Limit{{Name: "fills at the head office", Most: 40, Floor: 0.2}}})
-	fmt.Println(n.Share(0, 0), "of its own, before anybody lends")
-	// Output: 2 of its own, before anybody lends
+	fmt.Println(n.Share(0, 0), "of its own, before anybody grants a lease")
+	// Output: 2 of its own, before anybody grants a lease
 }
--- a/core/fleet/scale_bench_test.go
+++ b/core/fleet/scale_bench_test.go
@@ -32,10 +32,10 @@
 			now := second
 			b.ResetTimer()
 			for b.Loop() {
-				now += tickEvery
+				now += tickInterval
 				n.Tick(now)
 			}
-			b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*1e6/tickEvery*100, "%core")
+			b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*1e6/tickInterval*100, "%core")
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(routers), "heap-B/router")
 		})
 	}
@@ -48,22 +48,22 @@
 			n := scaleNode(b, routers, Limit{Name: "fills", Most: float64(4 * routers), Floor: 0.25})
 			now := second + 10*second
 			n.Tick(now)
-			m := message{op: ask, amount: 1e5, of: 1}
-			gap := int64(450_000 / routers) // as many come in one renewal
+			m := message{op: leaseRequest, amount: 1e5, of: 1}
+			gap := int64(450_000 / routers) // as many come in one renewInterval
 			step := func(i int) {
 				now += gap
 				m.rank, m.sequence, m.stamp = 1+i%(routers-1), uint32(i+1), n.limits[0].stampAt(now)
-				n.limits[0].asked(now, &m)
+				n.limits[0].handleRequest(now, &m)
 			}
 			for i := range 4 * routers {
 				step(i)
 			}
-			lent := n.Counts.Lent
+			lent := n.Counts.Granted
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
 				step(i)
 			}
-			if n.Counts.Lent == lent {
+			if n.Counts.Granted == lent {
 				b.Fatal("nothing is lent")
 			}
 			b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*float64(routers)/0.45*100, "%core")
--- a/core/fleet/verdicts.go
+++ b/core/fleet/verdicts.go
@@ -181,7 +181,7 @@
 	}
 	seen.reportedAt = now
 	seen.reports++
-	n.say.op, n.say.server, n.say.condition = report, key.server, key.condition
+	n.outgoing.op, n.outgoing.server, n.outgoing.condition = report, key.server, key.condition
 	n.send(Broadcast)
 }
 
--- a/emulator/tierlimits.go
+++ b/emulator/tierlimits.go
@@ -292,7 +292,7 @@
 	for len(w.post) > 0 && w.post[0].at <= w.now {
 		l := heap.Pop(&w.post).(letter)
 		if n := w.nodes[l.to]; n != nil {
-			_ = n.Hear(l.at+sec, l.from, l.bytes) // an old one is one that overtook another
+			_ = n.Receive(l.at+sec, l.from, l.bytes) // an old one is one that overtook another
 		}
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -291,7 +291,7 @@
 func (t *Talk) hear(rank int, datagram []byte, from netip.AddrPort) {
 	now := clock.Micros(t.Clock.Steady())
 	t.mu.Lock()
-	err := t.Fleet.Hear(now, rank, datagram)
+	err := t.Fleet.Receive(now, rank, datagram)
 	share := t.share(now)
 	t.mu.Unlock()
 	if err != nil && !errors.Is(err, fleet.ErrOld) {
--- a/lab/live/play.go
+++ b/lab/live/play.go
@@ -292,10 +292,10 @@
 	keeper := -1
 	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
 		var line struct {
-			Limits []struct{ Keeper int }
+			Limits []struct{ Holder int }
 		}
 		if strings.Contains(lines.Text(), `"message":"fleet"`) && json.Unmarshal(lines.Bytes(), &line) == nil && len(line.Limits) == 1 {
-			keeper = line.Limits[0].Keeper
+			keeper = line.Limits[0].Holder
 		}
 	}
 	return keeper
--- a/lab/scale/fleettests.go
+++ b/lab/scale/fleettests.go
@@ -182,7 +182,7 @@
 			continue
 		}
 		running++
-		if p.node.Holdings(w.now)[0].Keeper >= 0 {
+		if p.node.Holdings(w.now)[0].Holder >= 0 {
 			led++
 		}
 	}
@@ -300,7 +300,7 @@
 	votes := make([]int, w.routers)
 	best := otherwise
 	for _, p := range w.processes {
-		if rank := p.node.Holdings(w.now)[0].Keeper; rank >= 0 {
+		if rank := p.node.Holdings(w.now)[0].Holder; rank >= 0 {
 			if votes[rank]++; votes[rank] > votes[best] {
 				best = rank
 			}
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -229,7 +229,7 @@
 			flights = flights[1:]
 			for rank, node := range nodes {
 				if rank == f.to || f.to == fleet.Broadcast && rank != f.from {
-					if err := node.Hear(now, f.from, f.bytes); err != nil {
+					if err := node.Receive(now, f.from, f.bytes); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -248,7 +248,7 @@
 
 func (w *world) hear(p *process, from int, datagram []byte) {
 	p.traffic.add(w.now, len(datagram))
-	if err := p.node.Hear(w.now, from, datagram); err != nil && !errors.Is(err, fleet.ErrOld) {
+	if err := p.node.Receive(w.now, from, datagram); err != nil && !errors.Is(err, fleet.ErrOld) {
 		w.fault = fmt.Errorf("rank %d hears %d: %w", p.primary, from, err)
 	}
 }
