--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -201,10 +201,10 @@
 				clear(w.oneWay)
 				clear(w.lag)
 			case 8, 9:
-				if keeper := w.procs[i].node.Holdings(w.local(i))[0].Holder; keeper >= 0 {
-					w.lag[keeper] = w.rng.Int64N(3 * second)
-					w.run(w.now+w.lag[keeper]+second, look)
-					w.group[keeper] = 9 // and is cut off with what is on its way to it
+				if holder := w.procs[i].node.Holdings(w.local(i))[0].Holder; holder >= 0 {
+					w.lag[holder] = w.rng.Int64N(3 * second)
+					w.run(w.now+w.lag[holder]+second, look)
+					w.group[holder] = 9 // and is cut off with what is on its way to it
 				}
 			case 2:
 				w.loss = w.rng.Float64() * 0.4
@@ -244,13 +244,13 @@
 		w.run(w.now+Regain, nil)
 		w.start(t, first)
 		w.run(w.now+2*second, nil)
-		keeper := w.procs[first].node.Holdings(w.local(first))[0].Holder
-		if keeper < 0 || keeper == first {
-			t.Fatalf("seed %d: kept by %d, first choice %d", seed, keeper, first)
+		holder := w.procs[first].node.Holdings(w.local(first))[0].Holder
+		if holder < 0 || holder == first {
+			t.Fatalf("seed %d: kept by %d, first choice %d", seed, holder, first)
 		}
-		w.group[keeper] = 1
+		w.group[holder] = 1
 		for i := range w.procs {
-			if i != keeper {
+			if i != holder {
 				w.kill(i)
 				w.start(t, i)
 			}
@@ -261,7 +261,7 @@
 			}
 		})
 		if sum := w.mean(0, nil); sum < 0.8*limit.Most {
-			t.Errorf("seed %d: %.2f of %v in use once they have a keeper", seed, sum, limit.Most)
+			t.Errorf("seed %d: %.2f of %v in use once they have a holder", seed, sum, limit.Most)
 		}
 	}
 }
@@ -271,15 +271,15 @@
 	for age, lends := range map[int64]bool{second: true, voteLifetime - second/10: false, voteLifetime + second: false} {
 		w := newWorld(t, 1, 3, Limit{Name: "a", Most: 9})
 		w.run(w.now+Regain, nil)
-		keeper := w.procs[0].node.Holdings(w.local(0))[0].Holder
-		k, now := w.procs[keeper].node.limits[0], w.local(keeper)+10*second // no vote counts any more
+		holder := w.procs[0].node.Holdings(w.local(0))[0].Holder
+		k, now := w.procs[holder].node.limits[0], w.local(holder)+10*second // no vote counts any more
 		for rank := range 3 {
-			if rank != keeper {
+			if rank != holder {
 				k.handleRequest(now, &message{rank: rank, of: k.n.opt.Incarnation, stamp: k.stampAt(now - age), amount: 1})
 			}
 		}
 		k.countedAt = 0
-		if _, term := k.grant(now, (keeper+1)%3); (term > 0) != lends || term > max(voteLifetime-age, 0) {
+		if _, term := k.grant(now, (holder+1)%3); (term > 0) != lends || term > max(voteLifetime-age, 0) {
 			t.Errorf("a loan of %d us on promises that were %d us on their way", term, age)
 		}
 	}
@@ -296,12 +296,12 @@
 		if sum := w.mean(0, nil); sum < 0.9*limit.Most {
 			t.Fatalf("seed %d: %v of %v in use in a whole tier", seed, sum, limit.Most)
 		}
-		keeper := w.procs[0].node.Holdings(w.local(0))[0].Holder
-		if keeper < 0 {
-			t.Fatalf("seed %d: no keeper", seed)
+		holder := w.procs[0].node.Holdings(w.local(0))[0].Holder
+		if holder < 0 {
+			t.Fatalf("seed %d: no holder", seed)
 		}
 		for i := range w.group { // the holder and five others are cut off, in two parts
-			if d := (i - keeper + 15) % 15; d < 6 {
+			if d := (i - holder + 15) % 15; d < 6 {
 				w.group[i] = 1 + d%2
 			}
 		}
@@ -319,13 +319,13 @@
 				next = i
 			}
 		}
-		if next < 0 || next == keeper {
-			t.Fatalf("seed %d: kept by %d, by %d before the cut", seed, next, keeper)
+		if next < 0 || next == holder {
+			t.Fatalf("seed %d: kept by %d, by %d before the cut", seed, next, holder)
 		}
 		w.kill(next)
 		w.run(w.now+Regain, nil)
 		if sum := w.mean(0, nil); sum < 0.6*(limit.Most-floors)+floors*14/15 {
-			t.Errorf("seed %d: %v in use %v s after the keeper died", seed, sum, Regain/second)
+			t.Errorf("seed %d: %v in use %v s after the holder died", seed, sum, Regain/second)
 		}
 	}
 }
--- a/lab/live/cold-start.jsonnet
+++ b/lab/live/cold-start.jsonnet
@@ -6,7 +6,7 @@
   floor: 0,
   delayMs: 20,
   everyMs: 20,
-  weather: {},
+  conditions: {},
   steps: [
     { name: 'all there', forS: 10, allBack: true },
     { name: 'it holds', forS: 1.5 },
--- a/lab/live/fleet-limits.jsonnet
+++ b/lab/live/fleet-limits.jsonnet
@@ -7,21 +7,21 @@
   floor: 1 / 3,  // one for each router: whole ones, so that the bound is hard
   delayMs: 70,  // of a cache; an area cache and the head office take three times as long
   everyMs: 2,  // between two requests to all routers, of sixteen; fewer for more
-  weather: fair,
+  conditions: fair,
   steps: [
     { name: 'whole', forS: 25, regains: true },
     // None of three parts has more than half: floors alone, once loans have ended.
-    { name: 'cut in three', weather: fair { parts: 3 }, forS: 8, settleS: 4, floors: true, fills: true },
-    { name: 'healed', weather: fair, forS: 25, regains: true },
-    { name: 'keeper cut off', weather: fair { alone: 'keeper' }, forS: 25, regains: true },
-    { name: 'keeper back', weather: fair, forS: 3 },
-    { name: 'five cuts and heals in ten seconds', weather: fair { parts: 3, flips: 5 }, forS: 10 },
-    { name: 'settled', weather: fair, forS: 25, regains: true },
-    { name: 'keeper killed', kill: 'keeper', forS: 2 },
-    { name: 'keeper back with nothing', restart: true, forS: 25, regains: true },
+    { name: 'cut in three', conditions: fair { parts: 3 }, forS: 8, settleS: 4, floors: true, fills: true },
+    { name: 'healed', conditions: fair, forS: 25, regains: true },
+    { name: 'holder cut off', conditions: fair { alone: 'holder' }, forS: 25, regains: true },
+    { name: 'holder back', conditions: fair, forS: 3 },
+    { name: 'five cuts and heals in ten seconds', conditions: fair { parts: 3, flips: 5 }, forS: 10 },
+    { name: 'settled', conditions: fair, forS: 25, regains: true },
+    { name: 'holder killed', kill: 'holder', forS: 2 },
+    { name: 'holder back with nothing', restart: true, forS: 25, regains: true },
     // What a process that stood still had decided before goes out after: one thing late.
-    { name: 'keeper frozen', freeze: 'keeper', freezeS: 3, forS: 5, slack: 1 },
-    { name: 'keeper thawed', forS: 25, regains: true, slack: 1 },
+    { name: 'holder frozen', freeze: 'holder', freezeS: 3, forS: 5, slack: 1 },
+    { name: 'holder thawed', forS: 25, regains: true, slack: 1 },
     { name: 'seven in ten killed', kill: '0.7', forS: 6, settleS: 4, floors: true },
     { name: 'all back', restart: true, forS: 25, regains: true },
   ],
--- a/lab/live/fleet-verdicts.jsonnet
+++ b/lab/live/fleet-verdicts.jsonnet
@@ -8,7 +8,7 @@
   verdicts: true,
   delayMs: 5,
   everyMs: 30,
-  weather: { loss: 0.3, double: 0.1, delayMs: 1, jitterMs: 20 },
+  conditions: { loss: 0.3, double: 0.1, delayMs: 1, jitterMs: 20 },
   steps: [
     { name: 'all well', forS: 4 },
     // Two depots find it in some seconds; 2.5 s after the second all have heard. Its own breaker ends at the finders after 10 s at the soonest.
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -17,50 +17,50 @@
 //go:embed *.jsonnet
 var files embed.FS
 
-// Weather is what befalls datagrams between routers from a step on.
-type Weather struct {
+// Conditions are what befalls datagrams between routers from a step on.
+type Conditions struct {
 	Loss     float64 `json:"loss,omitempty"`
 	Double   float64 `json:"double,omitempty"`
 	DelayMs  float64 `json:"delayMs,omitempty"`
 	JitterMs float64 `json:"jitterMs,omitempty"`
 	Parts    int     `json:"parts,omitempty"` // the tier falls into so many, by rank in turn
-	Alone    string  `json:"alone,omitempty"` // "keeper": that one hears nobody, and nobody hears it
+	Alone    string  `json:"alone,omitempty"` // "holder": that one hears nobody, and nobody hears it
 	Flips    int     `json:"flips,omitempty"` // cut and healed so often during the step
 }
 
 // Step is a while in which something is the matter, and what must hold meanwhile. The limit must hold in every step.
 type Step struct {
-	Name    string   `json:"name"`
-	Weather *Weather `json:"weather,omitempty"` // nil: as before
-	Kill    string   `json:"kill,omitempty"`    // "keeper", or the part of all routers that die at once
-	Restart bool     `json:"restart,omitempty"` // those that are dead come back, under their names
-	Freeze  string   `json:"freeze,omitempty"`  // "keeper" stands still for FreezeS
-	FreezeS float64  `json:"freezeS,omitempty"`
-	ForS    float64  `json:"forS"`
-	SettleS float64  `json:"settleS,omitempty"` // after which Floors holds
-	Regains bool     `json:"regains,omitempty"` // more than the floors must be out before the step ends; it ends then
-	Floors  bool     `json:"floors,omitempty"`  // no more than the floors may be out
-	Fills   bool     `json:"fills,omitempty"`   // and some must be
-	Lose    bool     `json:"lose,omitempty"`    // the first area cache dies, and nothing is listed
-	Named   *int     `json:"named,omitempty"`   // so many fills may still name it after SettleS, by the caches' request log
-	Slack   int      `json:"slack,omitempty"`   // more that may be out than the limit
-	Board   string   `json:"board,omitempty"`   // the list service: "cut", "silent", "breaks" (each connection, ten times a second) or "open"; left out: as before
-	Tries   bool     `json:"tries,omitempty"`   // the bound on tries at the list service must hold
-	AllBack bool     `json:"allBack,omitempty"` // all that live must be connected to it before the step ends; it ends then
+	Name       string      `json:"name"`
+	Conditions *Conditions `json:"conditions,omitempty"` // nil: as before
+	Kill       string      `json:"kill,omitempty"`       // "holder", or the part of all routers that die at once
+	Restart    bool        `json:"restart,omitempty"`    // those that are dead come back, under their names
+	Freeze     string      `json:"freeze,omitempty"`     // "holder" stands still for FreezeS
+	FreezeS    float64     `json:"freezeS,omitempty"`
+	ForS       float64     `json:"forS"`
+	SettleS    float64     `json:"settleS,omitempty"` // after which Floors holds
+	Regains    bool        `json:"regains,omitempty"` // more than the floors must be out before the step ends; it ends then
+	Floors     bool        `json:"floors,omitempty"`  // no more than the floors may be out
+	Fills      bool        `json:"fills,omitempty"`   // and some must be
+	Lose       bool        `json:"lose,omitempty"`    // the first area cache dies, and nothing is listed
+	Named      *int        `json:"named,omitempty"`   // so many fills may still name it after SettleS, by the caches' request log
+	Slack      int         `json:"slack,omitempty"`   // more that may be out than the limit
+	Board      string      `json:"board,omitempty"`   // the list service: "cut", "silent", "breaks" (each connection, ten times a second) or "open"; left out: as before
+	Tries      bool        `json:"tries,omitempty"`   // the bound on tries at the list service must hold
+	AllBack    bool        `json:"allBack,omitempty"` // all that live must be connected to it before the step ends; it ends then
 }
 
 // Scenario is one file.
 type Scenario struct {
-	Name     string  `json:"-"`
-	Title    string  `json:"title"`
-	Asks     float64 `json:"asks"` // the limit, for each router; 0: none is kept
-	Floor    float64 `json:"floor"`
-	Depots   int     `json:"depots,omitempty"`
-	Verdicts bool    `json:"verdicts,omitempty"`
-	DelayMs  float64 `json:"delayMs"`
-	EveryMs  float64 `json:"everyMs"`
-	Weather  Weather `json:"weather"`
-	Steps    []Step  `json:"steps"`
+	Name       string     `json:"-"`
+	Title      string     `json:"title"`
+	Asks       float64    `json:"asks"` // the limit, for each router; 0: none is kept
+	Floor      float64    `json:"floor"`
+	Depots     int        `json:"depots,omitempty"`
+	Verdicts   bool       `json:"verdicts,omitempty"`
+	DelayMs    float64    `json:"delayMs"`
+	EveryMs    float64    `json:"everyMs"`
+	Conditions Conditions `json:"conditions"`
+	Steps      []Step     `json:"steps"`
 }
 
 // Names of the scenarios.
@@ -92,8 +92,8 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	for i, step := range s.Steps {
-		if part, err := strconv.ParseFloat(step.Kill, 64); step.Kill != "" && step.Kill != "keeper" && (err != nil || !(part > 0 && part < 1)) {
-			return nil, fmt.Errorf("%s: steps[%d].kill: %q is not keeper, nor above 0 to below 1", name, i, step.Kill)
+		if part, err := strconv.ParseFloat(step.Kill, 64); step.Kill != "" && step.Kill != "holder" && (err != nil || !(part > 0 && part < 1)) {
+			return nil, fmt.Errorf("%s: steps[%d].kill: %q is not holder, nor above 0 to below 1", name, i, step.Kill)
 		}
 		if !(step.ForS > 0 && step.ForS <= 600) {
 			return nil, fmt.Errorf("%s: steps[%d].forS: %v is not above 0 to 600", name, i, step.ForS)
--- a/lab/live/play.go
+++ b/lab/live/play.go
@@ -59,7 +59,7 @@
 
 func (p *play) run(ctx context.Context) error {
 	if p.d.Mesh != nil {
-		if err := p.set(&p.Weather); err != nil {
+		if err := p.set(&p.Conditions); err != nil {
 			return err
 		}
 	}
@@ -94,10 +94,10 @@
 	return nil
 }
 
-// set puts a weather in force.
-func (p *play) set(w *Weather) error {
+// set puts network conditions in force.
+func (p *play) set(w *Conditions) error {
 	ms := func(f float64) time.Duration { return time.Duration(f * float64(time.Millisecond)) }
-	l := link.Weather{Loss: w.Loss, Double: w.Double, Delay: ms(w.DelayMs), Jitter: ms(w.JitterMs)}
+	l := link.Conditions{Loss: w.Loss, Double: w.Double, Delay: ms(w.DelayMs), Jitter: ms(w.JitterMs)}
 	if w.Parts > 1 || w.Alone != "" {
 		l.Groups = make([]int, p.opt.Routers)
 		for i := range l.Groups {
@@ -105,19 +105,19 @@
 		}
 	}
 	if w.Alone != "" {
-		keeper, err := p.keeper()
+		holder, err := p.holder()
 		if err != nil {
 			return err
 		}
-		l.Groups[keeper] = -1
+		l.Groups[holder] = -1
 	}
 	return p.d.Mesh.Set(l)
 }
 
 // step begins what a step is about and watches the request log until its end.
 func (p *play) step(ctx context.Context, s *Step) error {
-	if s.Weather != nil {
-		if err := p.set(s.Weather); err != nil {
+	if s.Conditions != nil {
+		if err := p.set(s.Conditions); err != nil {
 			return err
 		}
 	}
@@ -172,7 +172,7 @@
 		if s.Regains && out > p.res.Floors+p.res.Floors/4 {
 			regained, k.TookS = true, time.Since(begin).Seconds()
 		}
-		if w := s.Weather; w != nil && w.Flips > 0 && time.Since(begin).Seconds() > s.ForS*float64(flips+1)/float64(2*w.Flips) {
+		if w := s.Conditions; w != nil && w.Flips > 0 && time.Since(begin).Seconds() > s.ForS*float64(flips+1)/float64(2*w.Flips) {
 			next := *w
 			if flips++; flips%2 == 1 {
 				next.Parts = 0
@@ -242,12 +242,12 @@
 // strike kills or freezes whom a step names.
 func (p *play) strike(s *Step) error {
 	var victims []int
-	if s.Kill == "keeper" || s.Freeze == "keeper" {
-		keeper, err := p.keeper()
+	if s.Kill == "holder" || s.Freeze == "holder" {
+		holder, err := p.holder()
 		if err != nil {
 			return err
 		}
-		victims = []int{keeper}
+		victims = []int{holder}
 	} else if part, err := strconv.ParseFloat(s.Kill, 64); err == nil {
 		for i := range int(math.Ceil(part * float64(p.opt.Routers))) {
 			victims = append(victims, i)
@@ -267,20 +267,20 @@
 	return nil
 }
 
-// keeper asks routers, one after the other, whom they have for the keeper, until one knows.
-func (p *play) keeper() (int, error) {
+// holder asks routers, one after the other, whom they have for the holder, until one knows.
+func (p *play) holder() (int, error) {
 	for begin := time.Now(); time.Since(begin) < 20*time.Second; time.Sleep(200 * time.Millisecond) {
 		for _, r := range p.d.Routers {
-			if rank := saysKeeper(r); rank >= 0 && rank < len(p.d.Routers) {
+			if rank := reportedHolder(r); rank >= 0 && rank < len(p.d.Routers) {
 				return rank, nil
 			}
 		}
 	}
-	return 0, errors.New("no router knows a keeper")
+	return 0, errors.New("no router knows a holder")
 }
 
-// saysKeeper reads from a router's log whom it has for the keeper; -1: nobody.
-func saysKeeper(r *local.Router) int {
+// reportedHolder reads from a router's log whom it has for the holder; -1: nobody.
+func reportedHolder(r *local.Router) int {
 	if r.Signal(syscall.SIGUSR1) != nil {
 		return -1
 	}
@@ -289,14 +289,14 @@
 	if err != nil {
 		return -1
 	}
-	keeper := -1
+	holder := -1
 	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
 		var line struct {
 			Limits []struct{ Holder int }
 		}
 		if strings.Contains(lines.Text(), `"message":"fleet"`) && json.Unmarshal(lines.Bytes(), &line) == nil && len(line.Limits) == 1 {
-			keeper = line.Limits[0].Holder
+			holder = line.Limits[0].Holder
 		}
 	}
-	return keeper
+	return holder
 }
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -133,7 +133,7 @@
 }
 
 func TestBadInput(t *testing.T) {
-	if _, err := Find("weather"); err == nil || !strings.Contains(err.Error(), `NAME "weather"`) || !strings.Contains(err.Error(), "membership") {
+	if _, err := Find("conditions"); err == nil || !strings.Contains(err.Error(), `NAME "conditions"`) || !strings.Contains(err.Error(), "membership") {
 		t.Errorf("no such test: %v", err)
 	}
 	test, err := Find("discovery")
--- a/standin/link/link_test.go
+++ b/standin/link/link_test.go
@@ -54,7 +54,7 @@
 	hears(0, m.Addr(2), "all")
 	hears(1, m.Addr(2), "all")
 	// What is cut off does not come, and what is sent afterwards does: the first to arrive is the second that was sent.
-	for _, w := range []Weather{{Groups: []int{0, 1, 0}}, {OneWay: map[[2]int]bool{{0, 1}: true}}, {Loss: 1}} {
+	for _, w := range []Conditions{{Groups: []int{0, 1, 0}}, {OneWay: map[[2]int]bool{{0, 1}: true}}, {Loss: 1}} {
 		if err := m.Set(w); err != nil {
 			t.Fatal(err)
 		}
@@ -67,14 +67,14 @@
 			t.Errorf("%+v: %+v, before %+v", w, now, before)
 		}
 	}
-	if err := m.Set(Weather{OneWay: map[[2]int]bool{{0, 1}: true}, Double: 1, Delay: time.Millisecond}); err != nil {
+	if err := m.Set(Conditions{OneWay: map[[2]int]bool{{0, 1}: true}, Double: 1, Delay: time.Millisecond}); err != nil {
 		t.Fatal(err)
 	}
 	say(1, m.Addr(0), "back")
 	hears(0, m.Addr(1), "back")
 	hears(0, m.Addr(1), "back")
-	if m.Set(Weather{Groups: []int{1}}) == nil || m.Set(Weather{Loss: 2}) == nil {
-		t.Error("weather that can't be is taken")
+	if m.Set(Conditions{Groups: []int{1}}) == nil || m.Set(Conditions{Loss: 2}) == nil {
+		t.Error("conditions that can't be are taken")
 	}
 }
 
--- a/standin/link/mesh.go
+++ b/standin/link/mesh.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Weather is what befalls datagrams between routers. The zero value is a fair day.
-type Weather struct {
+// Conditions are what befalls datagrams between routers. The zero value loses and delays nothing.
+type Conditions struct {
 	Loss, Double float64 // parts of all
 	Delay        time.Duration
 	Jitter       time.Duration   // more, at random: what it makes overtake arrives in another order
@@ -30,14 +30,14 @@
 	doors []*net.UDPConn // by rank
 	all   *net.UDPConn
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	weather Weather
-	listens []netip.AddrPort // where each router takes datagrams in
-	ranks   map[netip.AddrPort]int
-	counts  Counts
-	closed  bool
-	wg      sync.WaitGroup
+	mu         sync.Mutex
+	rng        *rand.Rand
+	conditions Conditions
+	listens    []netip.AddrPort // where each router takes datagrams in
+	ranks      map[netip.AddrPort]int
+	counts     Counts
+	closed     bool
+	wg         sync.WaitGroup
 }
 
 // maxDatagram is more than any router may send: a longer one shows.
@@ -83,8 +83,8 @@
 // All is the address that reaches all routers.
 func (m *Mesh) All() string { return m.all.LocalAddr().String() }
 
-// Set changes the weather. What is under way goes by what was.
-func (m *Mesh) Set(w Weather) error {
+// Set changes the conditions, for what is sent from now on.
+func (m *Mesh) Set(w Conditions) error {
 	if len(w.Groups) != 0 && len(w.Groups) != len(m.listens) {
 		return fmt.Errorf("Groups: %d for %d routers", len(w.Groups), len(m.listens))
 	}
@@ -93,7 +93,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.weather = w
+	m.conditions = w
 	return nil
 }
 
@@ -141,7 +141,7 @@
 	defer m.mu.Unlock()
 	from, known := m.ranks[at]
 	m.counts.Longest = max(m.counts.Longest, len(b))
-	w := &m.weather
+	w := &m.conditions
 	switch {
 	case !known || from == to && len(m.listens) > 1:
 		return
