--- /dev/null
+++ b/core/lease/topology.go
@@ -0,0 +1,101 @@
+package lease
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// Topology places routers in the tree by their ranks.
+type Topology struct {
+	// Routers is how many there may be: ranks are below it. Those that are not there cost their floors and nothing else.
+	Routers int
+	// Sizes are the numbers of ranks in a group of each level below the fleet, smallest first. Each is a multiple of the one before.
+	Sizes []int
+	// Electors are the ranks that elect the fleet's holder, of which it is one.
+	Electors []int
+}
+
+const (
+	maxRouters  = 1 << 16
+	maxLevels   = 4 // with that of the fleet
+	maxElectors = 15
+)
+
+// Check reports the field that can't be used.
+func (t *Topology) Check() error {
+	if t.Routers < 1 || t.Routers > maxRouters {
+		return fmt.Errorf("Routers: %d is not 1 to %d", t.Routers, maxRouters)
+	}
+	if len(t.Sizes) >= maxLevels {
+		return fmt.Errorf("Sizes: %d levels, %d at most", len(t.Sizes), maxLevels-1)
+	}
+	before := 1
+	for i, size := range t.Sizes {
+		if size <= before || size%before != 0 {
+			return fmt.Errorf("Sizes[%d]: %d is not a multiple of %d above it", i, size, before)
+		}
+		before = size
+	}
+	if n := len(t.Electors); n < 1 || n > maxElectors || n%2 == 0 {
+		return fmt.Errorf("Electors: %d, an odd number up to %d is wanted", n, maxElectors)
+	}
+	for i, rank := range t.Electors {
+		if rank < 0 || rank >= t.Routers {
+			return fmt.Errorf("Electors[%d]: rank %d of %d", i, rank, t.Routers)
+		}
+		if slices.Contains(t.Electors[:i], rank) {
+			return fmt.Errorf("Electors[%d]: rank %d twice", i, rank)
+		}
+	}
+	return nil
+}
+
+// fleetLevel is the level of the fleet: 0 is a router's own use, 1 that of the smallest groups.
+func (t *Topology) fleetLevel() int { return len(t.Sizes) + 1 }
+
+// sameGroup tells whether two routers are in one group of a level.
+func (t *Topology) sameGroup(level, a, b int) bool {
+	if level >= t.fleetLevel() {
+		return true
+	}
+	size := t.Sizes[level-1]
+	return a/size == b/size
+}
+
+// members lists the ranks that may hold a router's group of a level.
+func (t *Topology) members(level, rank int) []int {
+	if level >= t.fleetLevel() {
+		return t.Electors
+	}
+	size := t.Sizes[level-1]
+	first := rank / size * size
+	var ranks []int
+	for member := first; member < min(first+size, t.Routers); member++ {
+		ranks = append(ranks, member)
+	}
+	return ranks
+}
+
+// Limit is the number that is held together.
+type Limit struct {
+	Most  float64 // of all routers together
+	Floor float64 // part of it that is split evenly into floors, 0 to 1; the rest is the pool
+	Spare int64   // us before the end of a lease from which nothing is begun under it
+}
+
+// maxLimit bounds Limit.Most: amounts go over the wire in 32 bits.
+const maxLimit = 1e6
+
+// Check reports the field that can't be used.
+func (l *Limit) Check() error {
+	switch {
+	case !(l.Most > 0 && l.Most <= maxLimit):
+		return fmt.Errorf("Most: %v is not above 0 to %v", l.Most, maxLimit)
+	case !(l.Floor >= 0 && l.Floor <= 1):
+		return fmt.Errorf("Floor: %v is not 0 to 1", l.Floor)
+	case l.Spare < 0 || l.Spare >= leaseLifetime:
+		return errors.New("Spare: not 0 to less than the lifetime of a lease")
+	}
+	return nil
+}
