--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -232,7 +232,7 @@
 	var talk *peers.Talk
 	limits := on.Limits()
 	if (f.Peers || limits != nil || on.Judges()) && c.Tier.May {
-		if talk, err = tier(c, limits, on.Judges(), core, now, log); err != nil {
+		if talk, err = tier(c, limits, on.LeaseTree(), on.Judges(), core, now, log); err != nil {
 			return err
 		}
 	}
--- a/cmd/spantack/tier.go
+++ b/cmd/spantack/tier.go
@@ -7,6 +7,7 @@
 	"github.com/rs/zerolog"
 
 	"spantack/core/fleet"
+	"spantack/core/lease"
 	tierwide "spantack/core/peers"
 	"spantack/internal/clock"
 	"spantack/internal/config"
@@ -21,7 +22,7 @@
 )
 
 // tier ties what routers tell one another to the decision module. nil: the tier is too small for that.
-func tier(c *config.Config, limits []fleet.Limit, judges bool, core *router.Router, now *clock.Clock, log zerolog.Logger) (*peers.Talk, error) {
+func tier(c *config.Config, limits []fleet.Limit, tree *lease.Topology, judges bool, core *router.Router, now *clock.Clock, log zerolog.Logger) (*peers.Talk, error) {
 	depot, depots := slices.Index(c.Settings.Zones, c.Settings.Zone), len(c.Settings.Zones)
 	t, err := tierwide.New(tierwide.Options{Rank: c.Tier.Rank, Siblings: len(c.Tier.Peers), Depot: depot, Depots: depots,
 		Incarnation: uint32(now.Now() / 1000)})
@@ -32,9 +33,12 @@
 		return nil, nil
 	}
 	talk := &peers.Talk{Tier: t, Listen: c.Tier.Listen, Peers: c.Tier.Peers, All: c.Tier.All, Crowded: core.ReportCrowded, Clock: now, Log: log}
+	if tree != nil && tree.Routers < len(c.Tier.Peers) {
+		return nil, fmt.Errorf("fleet.tree.routers: %d, and the settings have %d peers", tree.Routers, len(c.Tier.Peers))
+	}
 	if limits != nil || judges {
 		talk.Fleet, err = fleet.New(clock.Micros(now.Steady()), fleet.Options{Rank: c.Tier.Rank, Siblings: len(c.Tier.Peers),
-			Depot: depot, Depots: depots, Seed: uint64(c.Seed), Limits: limits,
+			Depot: depot, Depots: depots, Seed: uint64(c.Seed), Limits: limits, Tree: tree,
 			Incarnation: uint32((now.Now() - incarnationsFrom) / incarnationEvery)})
 		if err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
--- a/core/fleet/datagram.go
+++ b/core/fleet/datagram.go
@@ -5,6 +5,8 @@
 	"errors"
 	"fmt"
 	"math"
+
+	"spantack/core/lease"
 )
 
 // A datagram, numbers big-endian. The head is that of core/peers, so that routers of the version before drop ours as of an unknown kind, and
@@ -17,6 +19,10 @@
 //	pingRequest   target:2 token:4 limit:1 holder:2   probe it for me
 //	leaseRequest  limit:1 want:4 stamp:4 of:4   what is wanted, and a vote for the receiver: its stamp echoed, and its incarnation
 //	leaseGrant    limit:1 amount:4 term:4 stamp:4 asked:4
+//	treeRequest   limit:1 level:1 want:4 number:4 weight:2                   messages of core/lease
+//	treeGrant     limit:1 level:1 amount:4 term:4 number:4 holder:2
+//	treeVote      limit:1 stamp:4 of:4
+//	treeVoteAck   limit:1 stamp:4 elected:1
 //	report        server:4 condition:1   what the sender's depot observes of a server
 //
 // An update is rank:2 incarnation:4 refuted:2 state:1; as many follow as there is room for.
@@ -43,9 +49,14 @@
 	leaseRequest
 	leaseGrant
 	report
+	treeRequest
+	treeGrant
+	treeVote
+	treeVoteAck
 )
 
-var bodySizes = map[op]int{ping: 9, ack: 9, pingRequest: 9, leaseRequest: 13, leaseGrant: 17, report: 5}
+var bodySizes = map[op]int{ping: 9, ack: 9, pingRequest: 9, leaseRequest: 13, leaseGrant: 17, report: 5, treeRequest: 12, treeGrant: 16, treeVote: 9,
+	treeVoteAck: 6}
 
 // The reasons why a datagram is dropped.
 var (
@@ -75,6 +86,7 @@
 	stamp, of, asked      uint32
 	server                uint32
 	condition             Condition
+	tree                  lease.Message // less its incarnation, which is the head's
 	updates               []update
 }
 
@@ -109,6 +121,8 @@
 		buf = b.AppendUint32(buf, uint32(m.term/termUnit))
 		buf = b.AppendUint32(buf, m.stamp)
 		buf = b.AppendUint32(buf, m.asked)
+	case treeRequest, treeGrant, treeVote, treeVoteAck:
+		buf = m.appendTree(buf)
 	case report:
 		buf = append(b.AppendUint32(buf, m.server), byte(m.condition))
 	}
@@ -157,6 +171,8 @@
 	case leaseGrant:
 		m.limit, m.amount, m.term = int(d[0]), float64(b.Uint32(d[1:]))*amountUnit, int64(b.Uint32(d[5:]))*termUnit
 		m.stamp, m.asked = b.Uint32(d[9:]), b.Uint32(d[13:])
+	case treeRequest, treeGrant, treeVote, treeVoteAck:
+		m.parseTree(d)
 	case report:
 		if m.server, m.condition = b.Uint32(d), Condition(d[4]); m.condition == 0 || m.condition >= conditionEnd {
 			return fmt.Errorf("%w: condition %d", ErrMalformed, m.condition)
@@ -172,3 +188,58 @@
 	m.updates = updates
 	return nil
 }
+
+// treeKinds are the kinds of message of core/lease, by the operations that carry them.
+var treeKinds = map[op]lease.Kind{treeRequest: lease.Request, treeGrant: lease.Grant, treeVote: lease.Vote, treeVoteAck: lease.VoteAck}
+
+// treeOps are the operations by kind.
+var treeOps = map[lease.Kind]op{lease.Request: treeRequest, lease.Grant: treeGrant, lease.Vote: treeVote, lease.VoteAck: treeVoteAck}
+
+// appendTree writes the body of a message of core/lease.
+func (m *message) appendTree(buf []byte) []byte {
+	b, t := binary.BigEndian, &m.tree
+	buf = append(buf, byte(m.limit))
+	switch m.op {
+	case treeRequest:
+		buf = b.AppendUint32(append(buf, byte(t.Level)), units(t.Amount, true))
+		buf = b.AppendUint32(buf, t.Number)
+		buf = b.AppendUint16(buf, uint16(t.Weight))
+	case treeGrant:
+		buf = b.AppendUint32(append(buf, byte(t.Level)), units(t.Amount, false))
+		buf = b.AppendUint32(buf, uint32(t.Term/lease.TermUnit))
+		buf = b.AppendUint32(buf, t.Number)
+		buf = b.AppendUint16(buf, uint16(t.Holder))
+	case treeVote:
+		buf = b.AppendUint32(buf, t.Stamp)
+		buf = b.AppendUint32(buf, t.Of)
+	case treeVoteAck:
+		elected := byte(0)
+		if t.Elected {
+			elected = 1
+		}
+		buf = append(b.AppendUint32(buf, t.Stamp), elected)
+	}
+	return buf
+}
+
+// parseTree reads what appendTree wrote. Which values have a place in the tree is core/lease's to say.
+func (m *message) parseTree(d []byte) {
+	b := binary.BigEndian
+	m.limit = int(d[0])
+	t := &m.tree
+	*t = lease.Message{Kind: treeKinds[m.op], Incarnation: m.incarnation}
+	switch m.op {
+	case treeRequest:
+		t.Level, t.Amount, t.Number, t.Weight = int(d[1]), float64(b.Uint32(d[2:]))*amountUnit, b.Uint32(d[6:]), int(b.Uint16(d[10:]))
+	case treeGrant:
+		t.Level, t.Amount, t.Term, t.Number = int(d[1]), float64(b.Uint32(d[2:]))*amountUnit, int64(b.Uint32(d[6:]))*lease.TermUnit, b.Uint32(d[10:])
+		t.Holder = int(b.Uint16(d[14:]))
+		if t.Holder == nobody {
+			t.Holder = lease.Nobody
+		}
+	case treeVote:
+		t.Stamp, t.Of = b.Uint32(d[1:]), b.Uint32(d[5:])
+	case treeVoteAck:
+		t.Stamp, t.Elected = b.Uint32(d[1:]), d[5] == 1
+	}
+}
--- a/core/fleet/limits.go
+++ b/core/fleet/limits.go
@@ -39,8 +39,8 @@
 	Spare int64   // us before the end of a lease from which nothing is begun under it: how long what was begun lasts
 }
 
-// lease is what one router has of a pool.
-type lease struct {
+// allotment is what one router has of a pool.
+type allotment struct {
 	amount float64
 	until  int64 // by the holder's clock
 }
@@ -49,8 +49,8 @@
 type lessee struct {
 	votedUntil int64 // until when its vote counts here
 	want       float64
-	wantedAt   int64            // 0: never
-	leases     [maxLeases]lease // that may still be used
+	wantedAt   int64                // 0: never
+	leases     [maxLeases]allotment // that may still be used
 }
 
 func (b *lessee) out(now int64) (most float64) {
@@ -63,7 +63,7 @@
 }
 
 // add books a lease in place of one that has ended. Where none has, two become one that is no less than either.
-func (b *lessee) add(now int64, l lease) {
+func (b *lessee) add(now int64, l allotment) {
 	at := 0
 	for i := range b.leases {
 		if b.leases[i].until < b.leases[at].until {
@@ -71,7 +71,7 @@
 		}
 	}
 	if old := b.leases[at]; now < old.until {
-		l = lease{max(l.amount, old.amount), max(l.until, old.until)}
+		l = allotment{max(l.amount, old.amount), max(l.until, old.until)}
 	}
 	b.leases[at] = l
 }
@@ -95,7 +95,7 @@
 	}
 	requested   int           // requests made
 	lastGranted uint32        // the newest request that was answered
-	lease       lease         // by the own clock
+	lease       allotment     // by the own clock
 	grantedAt   int64         // when its holder last granted a lease
 	unanswered  int           // requests since the last that was answered
 	avoided     map[int]int64 // routers that do not answer requests, and until when
@@ -136,9 +136,15 @@
 func (k *limitState) floor() float64 { return k.opt.Most * k.opt.Floor / float64(k.n.opt.Siblings) }
 func (k *limitState) pool() float64  { return k.opt.Most * (1 - k.opt.Floor) }
 
+// LimitName is the name of a limit by its place.
+func (n *Node) LimitName(limit int) string { return n.opt.Limits[limit].Name }
+
 // Share is how much of a limit this router may have in use at present. What hundreds of routers use of shares below one, by drawing lots,
 // keeps the limit in the mean; what they take with Take keeps it always.
 func (n *Node) Share(now int64, limit int) float64 {
+	if n.trees != nil {
+		return n.trees[limit].Share(now)
+	}
 	k := n.limits[limit]
 	if now < k.lease.until-k.opt.Spare {
 		return k.floor() + k.lease.amount
@@ -147,10 +153,19 @@
 }
 
 // Want says how much of a limit this router could use at present.
-func (n *Node) Want(limit int, amount float64) { n.limits[limit].want = amount }
+func (n *Node) Want(limit int, amount float64) {
+	if n.trees != nil {
+		n.trees[limit].Want(amount)
+		return
+	}
+	n.limits[limit].want = amount
+}
 
 // Take takes one from a limit; false: there is none to be had.
 func (n *Node) Take(now int64, limit int) bool {
+	if n.trees != nil {
+		return n.trees[limit].Take(now)
+	}
 	k := n.limits[limit]
 	if float64(k.inUse+1) > n.Share(now, limit) {
 		return false
@@ -161,6 +176,10 @@
 
 // Give gives one back.
 func (n *Node) Give(limit int) {
+	if n.trees != nil {
+		n.trees[limit].Give()
+		return
+	}
 	if k := n.limits[limit]; k.inUse > 0 {
 		k.inUse--
 	}
@@ -171,14 +190,18 @@
 	Name   string
 	Share  float64
 	InUse  int
-	Holder int  // rank of the router that grants; -1: none is known
-	Holds  bool // this one does
+	Holder int   // rank of the router that grants; -1: none is known
+	Holds  bool  // this one does, all of it or in a tree a group
+	Levels []int `json:",omitempty"` // of the groups of a tree that this one holds: 1 is the smallest
 }
 
 // Holdings are those of all limits.
 func (n *Node) Holdings(now int64) (all []Holding) {
+	for i := range n.trees {
+		all = append(all, n.treeHolding(now, i))
+	}
 	for i, k := range n.limits {
-		h := Holding{k.opt.Name, n.Share(now, i), k.inUse, k.currentHolder(now), false}
+		h := Holding{Name: k.opt.Name, Share: n.Share(now, i), InUse: k.inUse, Holder: k.currentHolder(now)}
 		if h.Holder == nobody {
 			h.Holder = -1
 		}
@@ -265,7 +288,7 @@
 		}
 		b.want, b.wantedAt = want, now
 		if amount, term := k.grant(now, to); term > 0 {
-			k.lease, k.grantedAt = lease{amount, now + term}, now
+			k.lease, k.grantedAt = allotment{amount, now + term}, now
 		}
 		return
 	}
@@ -361,7 +384,7 @@
 	b := &k.lessees[rank]
 	amount = max(min(min(b.want, k.fairShare)+k.surplus, free), 0)
 	amount = float64(units(amount, false)) * amountUnit // as it goes over the wire
-	b.add(now, lease{amount, now + term + int64(float64(term)*drift)})
+	b.add(now, allotment{amount, now + term + int64(float64(term)*drift)})
 	k.n.Counts.Granted++
 	return amount, term
 }
@@ -388,6 +411,6 @@
 	k.holderIncarnation, k.holderStamp, k.lastGranted = m.incarnation, m.stamp, m.asked
 	if m.term >= minLease && m.term <= leaseLifetime {
 		k.grantedAt = now
-		k.lease = lease{m.amount, sent + m.term - int64(float64(m.term)*drift)}
+		k.lease = allotment{m.amount, sent + m.term - int64(float64(m.term)*drift)}
 	}
 }
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -7,6 +7,7 @@
 	"math/rand/v2"
 	"slices"
 
+	"spantack/core/lease"
 	"spantack/core/peers"
 )
 
@@ -86,6 +87,8 @@
 	Incarnation    uint32 // greater at each start of this router
 	Seed           uint64
 	Limits         []Limit
+	// Tree has limits kept by a tree of leases (core/lease), the same at all routers; nil: by one holder for all.
+	Tree *lease.Topology
 }
 
 // Counts of a Node since its start.
@@ -99,6 +102,8 @@
 type Node struct {
 	Counts Counts
 	Send   func(rank int, datagram []byte)
+	// HolderChanged is told when this router asks another holder for leases of a limit's groups of a level; holder -1: none is known.
+	HolderChanged func(limit, level, holder int)
 
 	opt                Options
 	rng                *rand.Rand
@@ -115,6 +120,7 @@
 	indirect           map[uint32]indirectProbe
 	healthScore        int // Lifeguard: grows as this router itself misses answers
 	limits             []*limitState
+	trees              []*lease.Node // in place of limits, where Options.Tree is set
 	health             *HealthReports
 	received, outgoing message
 	buf                []byte
@@ -129,7 +135,8 @@
 		return nil, fmt.Errorf("Limits: %d, %d at most", len(o.Limits), maxLimits)
 	}
 	n := &Node{opt: o, rng: rand.New(rand.NewPCG(o.Seed, uint64(o.Rank)<<32|uint64(o.Incarnation))), started: now,
-		members: make([]member, o.Siblings), probe: probe{target: -1}, indirect: map[uint32]indirectProbe{}, Send: func(int, []byte) {}}
+		members: make([]member, o.Siblings), probe: probe{target: -1}, indirect: map[uint32]indirectProbe{}, Send: func(int, []byte) {},
+		HolderChanged: func(int, int, int) {}}
 	for rank := range n.members {
 		n.members[rank].rank = rank
 		if rank != o.Rank {
@@ -142,6 +149,9 @@
 	n.disseminate(me)
 	n.shuffle()
 	n.due = now + int64(n.rng.Float64()*probeInterval)
+	if o.Tree != nil {
+		return n, n.newTrees(now)
+	}
 	for i, l := range o.Limits {
 		k, err := newLimitState(n, i, l)
 		if err != nil {
@@ -187,12 +197,13 @@
 	n.sequence++
 	m.rank, m.depot, m.incarnation, m.sequence = n.opt.Rank, n.opt.Depot, n.opt.Incarnation, n.sequence
 	m.updates = m.updates[:0]
-	if to != Broadcast && n.members[to].suspected { // it must be told, so that it can refute that
+	withUpdates := to != Broadcast && m.op < treeRequest
+	if withUpdates && n.members[to].suspected { // it must be told, so that it can refute that
 		t := &n.members[to]
 		m.updates = append(m.updates, update{t.rank, t.incarnation, t.refuted, Suspect})
 	}
 	room := (MaxDatagram - headSize - 1 - bodySizes[m.op]) / updateSize
-	for i := 0; to != Broadcast && i < len(n.toSpread) && len(m.updates) < room; {
+	for i := 0; withUpdates && i < len(n.toSpread) && len(m.updates) < room; {
 		t := &n.members[n.toSpread[i]]
 		m.updates = append(m.updates, t.update)
 		if t.transmissions--; t.transmissions == 0 {
@@ -243,6 +254,9 @@
 	for _, k := range n.limits {
 		k.tick(now)
 	}
+	for _, tree := range n.trees {
+		tree.Tick(now)
+	}
 	n.health.Tick(now)
 	return now + tickInterval
 }
@@ -358,6 +372,8 @@
 		if m.limit < len(n.limits) {
 			n.limits[m.limit].handleGrant(now, m)
 		}
+	case treeRequest, treeGrant, treeVote, treeVoteAck:
+		n.receiveTree(now, rank, m)
 	case report:
 		n.health.Receive(now, m.server, m.condition, m.depot)
 	}
--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -1,6 +1,7 @@
 package lease
 
 import (
+	"cmp"
 	"maps"
 	"math"
 	"slices"
@@ -12,11 +13,15 @@
 	shareLifetime  = 100_000   // of a fair share that was computed
 )
 
+// worthShorter is how many times as much an older lease must bear to be granted of in place of the present one: what it bears ends sooner.
+const worthShorter = 4.0 / 3
+
 // maxAccounts bounds the processes that a holder keeps account of: several times the ranks of the largest group below the fleet's children.
 const maxAccounts = 4096
 
-// maxLeases of one lessee may be out at once: it asks every renewInterval, and a lease lasts less than four of those.
-const maxLeases = 5
+// maxLeases of one lessee may be out at once: at no level does a lease last longer than seven of the intervals in which it is renewed. Beyond that two count as one
+// that is no less than either, which ends only when no more are granted.
+const maxLeases = 8
 
 // lesseeKey names a process: one that restarts may still have out what it granted before.
 type lesseeKey struct {
@@ -27,6 +32,7 @@
 // account is what a holder knows of a lessee.
 type account struct {
 	want     float64
+	weight   int // how many routers are below it
 	wantedAt int64
 	leases   [maxLeases]allotment // that may still be in use
 }
@@ -59,8 +65,8 @@
 type holder struct {
 	accounts   map[lesseeKey]*account
 	computedAt int64
-	share      float64 // that none gets more than
-	surplus    float64 // for each that wants, where there is more than all want
+	share      float64 // for each router below a lessee, that none gets more than
+	surplus    float64 // for each router below, where there is more than all want
 }
 
 func newHolder() *holder { return &holder{accounts: map[lesseeKey]*account{}} }
@@ -75,56 +81,62 @@
 	return sum
 }
 
-// active tells whether anybody has asked lately.
-func (h *holder) active(now int64) bool {
+// weight is how many routers lessees ask for together; 0: nobody has asked lately.
+func (h *holder) weight(now int64) (sum int) {
 	for _, a := range h.accounts {
 		if now-a.wantedAt < demandLifetime {
-			return true
+			sum += a.weight
 		}
 	}
-	return false
+	return sum
 }
 
+func (h *holder) active(now int64) bool { return h.weight(now) > 0 }
+
 // expire forgets processes that ask no more and have nothing out.
 func (h *holder) expire(now int64) {
 	maps.DeleteFunc(h.accounts, func(_ lesseeKey, a *account) bool { return now-a.wantedAt >= demandLifetime && a.out(now) == 0 })
 }
 
-// divide computes the fair shares of a capacity: as much for each as it wants, and where that is too much, none gets more than a share that the capacity just
-// bears (max-min fairness).
+// divide computes the fair shares of a capacity: as much for each lessee as it wants, and where that is too much, none gets more for each router below it than
+// a share that the capacity just bears (max-min fairness, weighted).
 func (h *holder) divide(now int64, capacity float64) {
 	if h.computedAt != 0 && now-h.computedAt < shareLifetime {
 		return
 	}
 	h.computedAt = now
-	var wants []float64
-	sum := 0.0
+	var asking []*account
+	wanted, weights := 0.0, 0.0
 	for _, a := range h.accounts {
 		if now-a.wantedAt < demandLifetime {
-			wants = append(wants, a.want)
+			asking = append(asking, a)
 		}
 	}
-	slices.Sort(wants)
-	for _, want := range wants {
-		sum += want
+	slices.SortFunc(asking, func(a, b *account) int { return cmp.Compare(a.want*float64(b.weight), b.want*float64(a.weight)) })
+	for _, a := range asking {
+		wanted += a.want
+		weights += float64(a.weight)
 	}
 	h.share, h.surplus = capacity, 0
-	if sum <= capacity {
-		h.surplus = (capacity - sum) / float64(max(len(wants), 1))
+	if wanted <= capacity {
+		h.surplus = (capacity - wanted) / max(weights, 1)
 		return
 	}
 	left := capacity
-	for i, want := range wants {
-		if part := left / float64(len(wants)-i); want >= part {
+	for _, a := range asking {
+		part := left / weights
+		if a.want >= part*float64(a.weight) {
 			h.share = part
 			return
 		}
-		left -= want
+		left -= a.want
+		weights -= float64(a.weight)
 	}
 }
 
-// grant gives a lessee a lease of the capacity that lasts until its end, or for a shorter lifetime. Term 0: there is none to be had.
-func (h *holder) grant(now int64, key lesseeKey, want float64, capacity allotment, lifetime int64) (amount float64, term int64) {
+// grant gives a lessee a lease of one of the capacities, the first of which is the present one. It ends before that one does, and lasts for the lifetime at
+// most. Term 0: there is none to be had.
+func (h *holder) grant(now int64, key lesseeKey, want float64, weight int, capacities []allotment, lifetime int64) (amount float64, term int64) {
 	a := h.accounts[key]
 	if a == nil {
 		h.expire(now)
@@ -134,20 +146,33 @@
 		a = &account{}
 		h.accounts[key] = a
 	}
-	a.want, a.wantedAt = want, now
-	term = min(lifetime, int64(float64(capacity.until-now)/(1+drift))) / TermUnit * TermUnit
-	if term < minTerm {
+	a.want, a.weight, a.wantedAt = want, weight, now
+	h.divide(now, capacities[0].amount)
+	fair := min(want, h.share*float64(weight)) + h.surplus*float64(weight)
+	others := h.outOfOthers(now, key)
+	for _, capacity := range capacities {
+		lasts := min(lifetime, int64(float64(capacity.until-now)/(1+drift))) / TermUnit * TermUnit
+		if lasts < minTerm {
+			continue
+		}
+		if fits := max(min(fair, capacity.amount-others), 0); term == 0 || fits > amount*worthShorter {
+			amount, term = fits, lasts
+		}
+	}
+	if term == 0 {
 		return 0, 0
 	}
-	h.divide(now, capacity.amount)
-	free := capacity.amount
+	amount = math.Floor(amount/AmountUnit) * AmountUnit // as it goes over the wire
+	a.add(now, allotment{amount, now + term + int64(math.Ceil(float64(term)*drift))})
+	return amount, term
+}
+
+// outOfOthers is the most that all other lessees may have in use.
+func (h *holder) outOfOthers(now int64, key lesseeKey) (sum float64) {
 	for other, its := range h.accounts {
 		if other != key {
-			free -= its.out(now)
+			sum += its.out(now)
 		}
 	}
-	amount = max(min(min(want, h.share)+h.surplus, free), 0)
-	amount = math.Floor(amount/AmountUnit) * AmountUnit // as it goes over the wire
-	a.add(now, allotment{amount, now + term + int64(math.Ceil(float64(term)*drift))})
-	return amount, term
+	return sum
 }
--- a/core/lease/message.go
+++ b/core/lease/message.go
@@ -18,6 +18,7 @@
 	Incarnation uint32 // of the sender
 	Level       int    // of the group whose holder a Request is for, and a Grant from
 	Amount      float64
+	Weight      int    // of a Request: how many routers it is for
 	Term        int64  // of a Grant: us that the lease lasts from when the Request was sent
 	Number      uint32 // of a Request, echoed by its Grant
 	Holder      int    // of a Grant for the fleet's children that has nothing: who is elected, as far as the sender knows; -1: unknown
--- a/core/lease/node.go
+++ b/core/lease/node.go
@@ -7,8 +7,9 @@
 )
 
 // Regain is the time in which the pool is in use again after a holder, a group or a part of the fleet was lost: until its lessees avoid it or it is taken for down,
-// until the votes for it have ended, and until requests have come up the tree and grants down it. Held by a test at three levels with one datagram in ten lost.
-const Regain = 25_000_000
+// until the votes for it have ended, and until requests have come up the tree and grants down it. Held by a test at three levels with one datagram in ten lost, where
+// routers know who is up; where they learn it from one another, it counts from when they have.
+const Regain = 30_000_000
 
 // Options of a Node.
 type Options struct {
@@ -105,7 +106,7 @@
 // Holder is the router from which this one has a lease for its own use; -1: none.
 func (n *Node) Holder(now int64) int {
 	if n.lessees[0].available(now) == 0 && now >= n.lessees[0].lease.until {
-		return nobody
+		return Nobody
 	}
 	return n.lessees[0].holder
 }
@@ -113,21 +114,24 @@
 // Holds lists the levels of the groups that this router holds at present: it has a lease for them or, at the fleet's, is elected.
 func (n *Node) Holds(now int64) (levels []int) {
 	for level := 1; level < len(n.holders); level++ {
-		if n.capacity(now, level).until > now && n.holders[level].active(now) {
+		if n.capacities(now, level)[0].until > now && n.holders[level].active(now) {
 			levels = append(levels, level)
 		}
 	}
 	return levels
 }
 
-// capacity is what this router may grant leases of at a level.
-func (n *Node) capacity(now int64, level int) allotment {
+// capacities are what this router may grant leases of at a level, the present one first.
+func (n *Node) capacities(now int64, level int) []allotment {
 	if level < n.opt.Topology.fleetLevel() {
-		return n.lessees[level].lease
+		return n.lessees[level].leases(now)
 	}
-	return allotment{n.pool(), n.ballot.electedUntil(now, len(n.opt.Topology.Electors))}
+	return []allotment{{n.pool(), n.ballot.electedUntil(now, len(n.opt.Topology.Electors))}}
 }
 
+// maxWeight is the most routers that a request can be for on the wire.
+const maxWeight = 1<<16 - 1
+
 // tickInterval is how often Tick wants to be called.
 const tickInterval = 50_000
 
@@ -151,19 +155,19 @@
 // request asks the holder of the group above for what is wanted.
 func (n *Node) request(now int64, l *lessee) {
 	before, level := l.holder, l.level+1
-	to := l.chooseHolder(now, n.opt.Topology.members(level, n.opt.Rank), level == n.opt.Topology.fleetLevel(), n.up,
-		func(rank int) uint64 { return hash(level, rank) })
+	order := func(rank int) uint64 { return hash(level, rank) }
+	to := l.chooseHolder(now, n.opt.Topology.members(level, n.opt.Rank), level == n.opt.Topology.fleetLevel(), n.up, order)
 	if to != before {
 		n.Change(level, to)
 	}
-	if to == nobody {
+	if to == Nobody {
 		return
 	}
-	want := max(n.want-n.floor(), 0)
+	want, weight := max(n.want-n.floor(), 0), 1
 	if l.level > 0 {
-		want = n.holders[l.level].demand(now)
+		want, weight = n.holders[l.level].demand(now), n.holders[l.level].weight(now)
 	}
-	m := Message{Kind: Request, Incarnation: n.opt.Incarnation, Level: level, Amount: want, Number: l.send(now)}
+	m := Message{Kind: Request, Incarnation: n.opt.Incarnation, Level: level, Amount: want, Weight: min(weight, maxWeight), Number: l.send(now)}
 	if to != n.opt.Rank {
 		n.Counts.Sent++
 		n.Send(to, m)
@@ -176,7 +180,7 @@
 // knownHolder is who is elected to hold the fleet, as far as an elector knows; nobody for other levels.
 func (n *Node) knownHolder(now int64, level int) int {
 	if level < n.opt.Topology.fleetLevel() || n.elector == nil || now-n.elector.electedAt >= hintLifetime {
-		return nobody
+		return Nobody
 	}
 	return n.elector.elected
 }
@@ -194,7 +198,7 @@
 
 // grant answers a request as the holder of a level's group.
 func (n *Node) grant(now int64, from int, m *Message) (amount float64, term int64) {
-	amount, term = n.holders[m.Level].grant(now, lesseeKey{from, m.Incarnation}, m.Amount, n.capacity(now, m.Level), lifetimeAt(m.Level-1))
+	amount, term = n.holders[m.Level].grant(now, lesseeKey{from, m.Incarnation}, m.Amount, m.Weight, n.capacities(now, m.Level), lifetimeAt(m.Level-1))
 	if term > 0 {
 		n.Counts.Granted++
 	}
@@ -204,8 +208,12 @@
 // vote tells the candidate that it has this elector's vote, or asks for the stamp that the vote echoes.
 func (n *Node) vote(now int64) {
 	e := n.elector
-	to := e.chooseCandidate(now, n.opt.Topology.Electors, n.up, func(rank int) uint64 { return hash(n.opt.Topology.fleetLevel(), rank) })
-	if to == nobody {
+	if n.elected(now) {
+		e.elected, e.electedAt = n.opt.Rank, now
+		n.announce(now)
+	}
+	to := e.chooseCandidate(now, n.opt.Topology.Electors, func(rank int) uint64 { return hash(n.opt.Topology.fleetLevel(), rank) })
+	if to == Nobody {
 		return
 	}
 	mayVote := now-n.started >= voteLifetime+voteLifetime*drift*2 // votes given before the start are forgotten
@@ -217,7 +225,7 @@
 		return
 	}
 	m := Message{Kind: Vote, Incarnation: n.opt.Incarnation}
-	if mayVote && e.stamp != 0 && e.incarnation != 0 {
+	if mayVote && e.stamp != 0 && e.incarnation != 0 && e.unanswered < maxVotesUnanswered {
 		m.Stamp, m.Of = e.stamp, e.incarnation
 		e.until = now + voteLifetime
 		n.Counts.Votes++
@@ -227,6 +235,21 @@
 	n.Send(to, m)
 }
 
+// elected tells whether this router holds the fleet.
+func (n *Node) elected(now int64) bool {
+	return n.ballot.electedUntil(now, len(n.opt.Topology.Electors)) > now
+}
+
+// announce tells all other electors that this router holds the fleet: those that were cut off learn it so, and tell lessees that ask them.
+func (n *Node) announce(now int64) {
+	for _, rank := range n.opt.Topology.Electors {
+		if rank != n.opt.Rank {
+			n.Counts.Sent++
+			n.Send(rank, Message{Kind: VoteAck, Incarnation: n.opt.Incarnation, Stamp: n.stampAt(now), Elected: true})
+		}
+	}
+}
+
 // stampAt is a time of this process in units of TermUnit; it begins anew after 49 days.
 func (n *Node) stampAt(now int64) uint32 { return uint32((now - n.started) / TermUnit) }
 
@@ -259,13 +282,13 @@
 	}
 	switch m.Kind {
 	case Request:
-		if m.Level < 1 || m.Level > t.fleetLevel() || !(m.Amount >= 0) {
+		if m.Level < 1 || m.Level > t.fleetLevel() || !(m.Amount >= 0) || m.Weight < 1 || m.Weight > maxWeight {
 			return false
 		}
 		return t.sameGroup(m.Level, from, n.opt.Rank) && (m.Level < t.fleetLevel() || n.elector != nil)
 	case Grant:
 		return m.Level >= 1 && m.Level <= t.fleetLevel() && t.sameGroup(m.Level, from, n.opt.Rank) && m.Amount >= 0 && m.Amount <= n.pool() &&
-			(m.Holder == nobody || slices.Contains(t.Electors, m.Holder))
+			(m.Holder == Nobody || slices.Contains(t.Electors, m.Holder))
 	}
 	return n.elector != nil && slices.Contains(t.Electors, from)
 }
@@ -279,9 +302,8 @@
 	if stamp == 0 {
 		return // no stamp yet: the next vote will do
 	}
-	elected := n.ballot.electedUntil(now, len(n.opt.Topology.Electors)) > now
 	n.Counts.Sent++
-	n.Send(from, Message{Kind: VoteAck, Incarnation: n.opt.Incarnation, Stamp: stamp, Elected: elected})
+	n.Send(from, Message{Kind: VoteAck, Incarnation: n.opt.Incarnation, Stamp: stamp, Elected: n.elected(now)})
 }
 
 func (n *Node) receiveVoteAck(now int64, from int, m *Message) {
--- a/deploy/features.jsonnet
+++ b/deploy/features.jsonnet
@@ -109,5 +109,11 @@
     asks: 40,  // of all routers at once, whatever parts the fleet falls into
     floor: 0.25,  // part of them split evenly among all routers of the settings, up or not; the rest is lent
     verdicts: false,  // keep off area caches that two depots find failing
+    // For a fleet of many hundreds: groups of routers lease the limit to one another, so that none hears from all. Left out: one router holds it for all.
+    tree: {
+      routers: 12000,  // ranks that there may be; each costs its floor, there or not
+      groups: [16, 512],  // ranks in a group, smallest first: as many as a site has, and a region
+      electors: [0, 2200, 4400, 6600, 8800],  // ranks of which more than half elect the holder of the fleet; three or five, in different regions
+    },
   },
 }
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -18,6 +18,7 @@
 	"spantack/core/cells"
 	"spantack/core/fleet"
 	"spantack/core/hierarchy"
+	"spantack/core/lease"
 	"spantack/core/moves"
 	"spantack/core/shield"
 	"spantack/core/stages"
@@ -74,6 +75,16 @@
 	Floor   float64 `json:"floor,omitempty" jsonschema_description:"part of that which is split evenly and never lent, 0 to 1"`
 	// Verdicts keeps routers off area caches that two depots find failing.
 	Verdicts bool `json:"verdicts,omitempty" jsonschema_description:"routers keep off area caches that two depots find failing"`
+	// Tree has the limit kept by a tree of leases: no router hears from more than its group. Left out: one router hears from all.
+	Tree lease.Topology `json:"tree,omitzero" jsonschema_description:"groups that lease the limit to one another, for a fleet of many hundreds or more"`
+}
+
+// LeaseTree is the tree by which the fleet's limits are kept; nil: one router holds each.
+func (f *File) LeaseTree() *lease.Topology {
+	if f == nil || !f.Fleet.Enabled || reflect.DeepEqual(f.Fleet.Tree, lease.Topology{}) {
+		return nil
+	}
+	return &f.Fleet.Tree
 }
 
 // Judges tells whether the fleet's verdicts are said and heeded.
@@ -181,6 +192,11 @@
 			return fmt.Errorf("fleet.%w", err)
 		}
 	}
+	if tree := f.LeaseTree(); tree != nil {
+		if err := tree.Check(); err != nil {
+			return fmt.Errorf("fleet.tree.%w", err)
+		}
+	}
 	if f.Fleet.Enabled && f.Fleet.Asks == 0 && !f.Fleet.Verdicts {
 		return errors.New("fleet.asks: 0, and fleet.verdicts false: one of them is wanted where it is enabled")
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -48,6 +48,7 @@
 
 	conn    *net.UDPConn // nil: the address can't be had at present
 	outbox  []parcel
+	changes []holderChange // to be logged
 	refused int64
 	judged  []string // what Shun was told last
 	waiting chan string
@@ -62,6 +63,12 @@
 	bytes []byte
 }
 
+// holderChange is a holder that this router asks for leases from now on.
+type holderChange struct {
+	limit         string
+	level, holder int
+}
+
 // Ready makes room for words. It is called once, before Tell and Run.
 func (t *Talk) Ready() {
 	if t.Fleet != nil {
@@ -70,6 +77,11 @@
 				t.outbox = append(t.outbox, parcel{to, slices.Clone(datagram)})
 			}
 		}
+		t.Fleet.HolderChanged = func(limit, level, holder int) {
+			if len(t.changes) < mostOut {
+				t.changes = append(t.changes, holderChange{t.Fleet.LimitName(limit), level, holder})
+			}
+		}
 	}
 	t.waiting = make(chan string, mostWaiting)
 	t.ranks = make(map[netip.AddrPort]int, len(t.Peers))
@@ -303,12 +315,15 @@
 	t.post(context.Background())
 }
 
-// post writes what waits to be sent.
+// post writes what waits to be sent, and logs changes of holders.
 func (t *Talk) post(ctx context.Context) {
 	t.mu.Lock()
-	out, conn := t.outbox, t.conn
-	t.outbox = nil
+	out, changes, conn := t.outbox, t.changes, t.conn
+	t.outbox, t.changes = nil, nil
 	t.mu.Unlock()
+	for _, change := range changes {
+		t.Log.Info().Str("limit", change.limit).Int("level", change.level).Int("holder", change.holder).Msg("lease holder")
+	}
 	if conn == nil {
 		return
 	}
