--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -356,6 +356,7 @@
 	}
 	for number := uint32(1); number < 20; number++ { // until what idle ones had has ended
 		now += renewInterval
+		n.Tick(now)
 		ask(1, number)
 	}
 	ask(2, 1)
