--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -23,16 +23,17 @@
 	Double   float64 `json:"double,omitempty"`
 	DelayMs  float64 `json:"delayMs,omitempty"`
 	JitterMs float64 `json:"jitterMs,omitempty"`
-	Parts    int     `json:"parts,omitempty"` // the tier falls into so many, by rank in turn
-	Alone    string  `json:"alone,omitempty"` // "holder": that one hears nobody, and nobody hears it
-	Flips    int     `json:"flips,omitempty"` // cut and healed so often during the step
+	Blocks   int     `json:"blocks,omitempty"` // the fleet falls into so many, of neighbouring ranks
+	Parts    int     `json:"parts,omitempty"`  // the tier falls into so many, by rank in turn
+	Alone    string  `json:"alone,omitempty"`  // "holder": that one hears nobody, and nobody hears it
+	Flips    int     `json:"flips,omitempty"`  // cut and healed so often during the step
 }
 
 // Step is a while in which something is the matter, and what must hold meanwhile. The limit must hold in every step.
 type Step struct {
 	Name       string      `json:"name"`
 	Conditions *Conditions `json:"conditions,omitempty"` // nil: as before
-	Kill       string      `json:"kill,omitempty"`       // "holder", or the part of all routers that die at once
+	Kill       string      `json:"kill,omitempty"`       // "holder", "fleet" for the one that holds the fleet in a tree, or the part of all routers that die at once
 	Restart    bool        `json:"restart,omitempty"`    // those that are dead come back, under their names
 	Freeze     string      `json:"freeze,omitempty"`     // "holder" stands still for FreezeS
 	FreezeS    float64     `json:"freezeS,omitempty"`
@@ -57,6 +58,7 @@
 	Floor      float64    `json:"floor"`
 	Depots     int        `json:"depots,omitempty"`
 	Verdicts   bool       `json:"verdicts,omitempty"`
+	Group      int        `json:"group,omitempty"` // ranks in a group of a tree of leases; 0: one router holds the limit
 	DelayMs    float64    `json:"delayMs"`
 	EveryMs    float64    `json:"everyMs"`
 	Conditions Conditions `json:"conditions"`
@@ -92,8 +94,8 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	for i, step := range s.Steps {
-		if part, err := strconv.ParseFloat(step.Kill, 64); step.Kill != "" && step.Kill != "holder" && (err != nil || !(part > 0 && part < 1)) {
-			return nil, fmt.Errorf("%s: steps[%d].kill: %q is not holder, nor above 0 to below 1", name, i, step.Kill)
+		if part, err := strconv.ParseFloat(step.Kill, 64); step.Kill != "" && step.Kill != "holder" && step.Kill != "fleet" && (err != nil || !(part > 0 && part < 1)) {
+			return nil, fmt.Errorf("%s: steps[%d].kill: %q is not holder or fleet, nor above 0 to below 1", name, i, step.Kill)
 		}
 		if !(step.ForS > 0 && step.ForS <= 600) {
 			return nil, fmt.Errorf("%s: steps[%d].forS: %v is not above 0 to 600", name, i, step.ForS)
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -13,7 +13,7 @@
 // Sixteen real processes under each script. The verdict is the stand-ins' request logs'; how long a step takes decides nothing but whether what must come back did at
 // all within its time. fleet-verdicts: without verdicts seven fills still name the dead area cache after the step has settled.
 func TestScenarios(t *testing.T) {
-	for _, name := range []string{"fleet-limits", "fleet-verdicts"} {
+	for _, name := range []string{"fleet-limits", "fleet-verdicts", "fleet-tree"} {
 		t.Run(name, func(t *testing.T) {
 			s, err := Load(name)
 			if err != nil {
--- a/lab/live/play.go
+++ b/lab/live/play.go
@@ -9,6 +9,7 @@
 	"fmt"
 	"math"
 	"os"
+	"slices"
 	"strconv"
 	"strings"
 	"syscall"
@@ -17,6 +18,7 @@
 	"gonum.org/v1/plot/plotter"
 
 	"spantack/core/coldstart"
+	"spantack/core/lease"
 	"spantack/lab/local"
 	"spantack/standin/link"
 )
@@ -40,7 +42,7 @@
 	limit := s.Asks * float64(opt.Routers)
 	features := ""
 	if s.Asks > 0 || s.Verdicts {
-		text, err := json.Marshal(map[string]any{"fleet": map[string]any{"enabled": true, "asks": limit, "floor": s.Floor, "verdicts": s.Verdicts}})
+		text, err := json.Marshal(map[string]any{"fleet": s.fleetFeature(opt.Routers, limit)})
 		if err != nil {
 			return nil, err
 		}
@@ -94,10 +96,36 @@
 	return nil
 }
 
+// fleetElectors is how many routers elect the holder of the fleet in a tree.
+const fleetElectors = 5
+
+// fleetFeature is the section of the features file for a limit.
+func (s *Scenario) fleetFeature(routers int, limit float64) map[string]any {
+	feature := map[string]any{"enabled": true, "asks": limit, "floor": s.Floor, "verdicts": s.Verdicts}
+	if s.Group > 0 {
+		feature["tree"] = s.topology(routers)
+	}
+	return feature
+}
+
+// topology is the tree of a scenario's leases: groups of neighbouring ranks, and electors in different groups.
+func (s *Scenario) topology(routers int) lease.Topology {
+	t := lease.Topology{Routers: routers, Groups: []int{s.Group}}
+	for i := range fleetElectors {
+		t.Electors = append(t.Electors, i*routers/fleetElectors)
+	}
+	return t
+}
+
 // set puts network conditions in force.
 func (p *play) set(w *Conditions) error {
 	ms := func(f float64) time.Duration { return time.Duration(f * float64(time.Millisecond)) }
 	l := link.Conditions{Loss: w.Loss, Double: w.Double, Delay: ms(w.DelayMs), Jitter: ms(w.JitterMs)}
+	if w.Blocks > 1 {
+		for rank := range p.opt.Routers {
+			l.Groups = append(l.Groups, rank*w.Blocks/p.opt.Routers)
+		}
+	}
 	if w.Parts > 1 || w.Alone != "" {
 		l.Groups = make([]int, p.opt.Routers)
 		for i := range l.Groups {
@@ -248,6 +276,12 @@
 			return err
 		}
 		victims = []int{holder}
+	} else if s.Kill == "fleet" {
+		holder, err := p.fleetHolder()
+		if err != nil {
+			return err
+		}
+		victims = []int{holder}
 	} else if part, err := strconv.ParseFloat(s.Kill, 64); err == nil {
 		for i := range int(math.Ceil(part * float64(p.opt.Routers))) {
 			victims = append(victims, i)
@@ -279,24 +313,46 @@
 	return 0, errors.New("no router knows a holder")
 }
 
+// fleetLevel is that of the fleet in a tree above groups of one size.
+const fleetLevel = 2
+
+// fleetHolder asks routers, one after the other, until one says that it holds the fleet.
+func (p *play) fleetHolder() (int, error) {
+	for begin := time.Now(); time.Since(begin) < 20*time.Second; time.Sleep(200 * time.Millisecond) {
+		for rank, r := range p.d.Routers {
+			if slices.Contains(reportedLimit(r).Levels, fleetLevel) {
+				return rank, nil
+			}
+		}
+	}
+	return 0, errors.New("no router holds the fleet")
+}
+
 // reportedHolder reads from a router's log whom it has for the holder; -1: nobody.
-func reportedHolder(r *local.Router) int {
+func reportedHolder(r *local.Router) int { return reportedLimit(r).Holder }
+
+// limitLine is what the line fleet of a router's log tells of a limit.
+type limitLine struct {
+	Holder int
+	Levels []int
+}
+
+// reportedLimit has a router log its counters and reads its part in the limit; Holder -1 where it tells nothing.
+func reportedLimit(r *local.Router) limitLine {
+	last := limitLine{Holder: -1}
 	if r.Signal(syscall.SIGUSR1) != nil {
-		return -1
+		return last
 	}
 	time.Sleep(100 * time.Millisecond)
 	text, err := os.ReadFile(r.Log)
 	if err != nil {
-		return -1
+		return last
 	}
-	holder := -1
 	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
-		var line struct {
-			Limits []struct{ Holder int }
-		}
+		var line struct{ Limits []limitLine }
 		if strings.Contains(lines.Text(), `"message":"fleet"`) && json.Unmarshal(lines.Bytes(), &line) == nil && len(line.Limits) == 1 {
-			holder = line.Limits[0].Holder
+			last = line.Limits[0]
 		}
 	}
-	return holder
+	return last
 }
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -174,7 +174,8 @@
 	return []Test{
 		{"decisions", "a request's decision, with all caches listed", runDecisions},
 		{"discovery", "the discovery service: its updates, and all that lose it at once", runDiscovery},
-		{"limits", "leases of one fleet limit that all routers want", runLimits},
+		{"leases", "leases of one fleet limit that all routers want, by a tree of groups, without membership", runLeases},
+		{"limits", "leases of one fleet limit that all routers want, from one holder", runLimits},
 		{"membership", "who is up: probes and membership updates", runMembership},
 		{"purges", "purges, told by the discovery service and remembered by each router", runPurges},
 		{"verdicts", "health reports of one server that all routers observe failing, without membership", runVerdicts},
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"spantack/core/fleet"
+	"spantack/core/lease"
 	"spantack/standin/discovery"
 )
 
@@ -108,6 +109,62 @@
 	}
 }
 
+// Where all routers want of one limit that is kept by a tree, none bears more than its group and its children: the worst stays within the budget of a router, at six times
+// the size with a level more, and the limit is in use before and after losses.
+func TestLeasesOfATreeFitTheBudget(t *testing.T) {
+	for _, routers := range []int{200, 1_200} {
+		r := run(t, "leases", Options{Routers: routers, Seed: 6})
+		if !r.Kept() || r.Simulated != routers {
+			t.Errorf("over the budget of a router, or not all simulated: %s", r.Line())
+		}
+		for name, least := range map[string]float64{"used": 0.95, "used_without_holder": 0.75, "used_without_region": 0.75, "used_after_cut": 0.95, "used_after_restarts": 0.95} {
+			if used, err := r.cost("", name); err != nil || used < least {
+				t.Errorf("%d routers, %s: %v (%v)", routers, name, used, err)
+			}
+		}
+	}
+}
+
+// Datagrams of leases have the sizes that the leases test counts, by the real codec.
+func TestLeaseSizes(t *testing.T) {
+	topology := lease.Topology{Routers: 4, Groups: []int{2}, Electors: []int{0, 1, 3}}
+	const firstTreeOperation = opReport + 1
+	var nodes []*fleet.Node
+	seen := map[int]bool{}
+	now := second
+	for rank := range 4 {
+		node, err := fleet.New(now, fleet.Options{Rank: rank, Siblings: 4, Depots: 1, Incarnation: 1, Seed: 1, Tree: &topology, Limits: []fleet.Limit{{Name: "fills", Most: 40}}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		node.Want(0, 5)
+		nodes = append(nodes, node)
+	}
+	for rank, node := range nodes {
+		node.Send = func(to int, datagram []byte) {
+			if operationOf(datagram) >= firstTreeOperation {
+				seen[len(datagram)] = true
+			}
+			if err := nodes[to].Receive(now, rank, append([]byte(nil), datagram...)); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	for ; now < 20*second; now += second / 20 {
+		for _, node := range nodes {
+			node.Tick(now)
+		}
+	}
+	if len(seen) != len(leaseSizes) {
+		t.Errorf("sizes %v", seen)
+	}
+	for kind, size := range leaseSizes {
+		if !seen[size] {
+			t.Errorf("no datagram of kind %d with %d bytes: %v", kind, size, seen)
+		}
+	}
+}
+
 // Everything but processor time is the same for a seed, and another seed gives other figures.
 func TestSameSeedSameResult(t *testing.T) {
 	text := func(name string, seed uint64) string {
