--- a/core/lease/node.go
+++ b/core/lease/node.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Regain is the time in which the pool is in use again after a holder, a group or a part of the fleet was lost: until its lessees avoid it or it is taken for down,
+// Regain is the time in which eight tenths of the pool are in use again after a holder, a group or a part of the fleet was lost: until its lessees avoid it or it is taken for down,
 // until the votes for it have ended, and until requests have come up the tree and grants down it. Held by a test at three levels with one datagram in ten lost, where
 // routers know who is up; where they learn it from one another, it counts from when they have.
 const Regain = 30_000_000
@@ -105,7 +105,7 @@
 
 // Holder is the router from which this one has a lease for its own use; -1: none.
 func (n *Node) Holder(now int64) int {
-	if n.lessees[0].available(now) == 0 && now >= n.lessees[0].lease.until {
+	if now >= n.lessees[0].lease.until {
 		return Nobody
 	}
 	return n.lessees[0].holder
