--- a/lab/local/operate_test.go
+++ b/lab/local/operate_test.go
@@ -61,6 +61,10 @@
 	from := sent.Load() + 1
 	at(from + 200)
 	replace := func() {
+		begin := time.Now()
+		defer func() {
+			t.Logf("replaced from %v to %v", begin.Format("15:04:05.000000"), time.Now().Format("15:04:05.000000"))
+		}()
 		if err := d.ReplaceRouter(bounded(t, saysWithin, "the router to be replaced"), 0); err != nil {
 			t.Fatal(err)
 		}
--- a/standin/tier/requestlog.go
+++ b/standin/tier/requestlog.go
@@ -30,11 +30,17 @@
 // reads its connections on a busy machine decides nothing. A close has no such time and counts from when it was read, an answer from before it is written.
 type attempt struct {
 	server string
+	from   string // the connection's other end
 	begun  time.Time
 	ended  time.Time // zero: it is out
 	ending ending
 }
 
+// overlapTime is how a time stands in what Overlaps tells.
+const overlapTime = "15:04:05.000000"
+
+func (a *attempt) String() string { return a.server + " from " + a.from }
+
 // NewRequestLog returns an empty log.
 func NewRequestLog() *RequestLog { return &RequestLog{attempts: map[string][]*attempt{}} }
 
@@ -65,9 +71,9 @@
 	for _, next := range byTime[1:] {
 		switch {
 		case last.ended.IsZero():
-			lines = append(lines, fmt.Sprintf("%s at %s while out at %s", id, next.server, last.server))
+			lines = append(lines, fmt.Sprintf("%s at %v at %s while out at %s", id, next.begun.Format(overlapTime), next, last))
 		case next.begun.Before(last.ended):
-			lines = append(lines, fmt.Sprintf("%s at %s %v before it ended at %s by %s", id, next.server, last.ended.Sub(next.begun), last.server, last.ending))
+			lines = append(lines, fmt.Sprintf("%s at %v at %s, %v before it ended at %s by %s", id, next.begun.Format(overlapTime), next, last.ended.Sub(next.begun), last, last.ending))
 		}
 		if !last.ended.IsZero() && (next.ended.IsZero() || next.ended.After(last.ended)) {
 			last = next
@@ -99,18 +105,20 @@
 }
 
 // begin notes an attempt, which is out until end is called.
-func (l *RequestLog) begin(g Get) *attempt {
+func (l *RequestLog) begin(g Get, from string) *attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gets = append(l.gets, g)
-	a := &attempt{server: g.Server, begun: g.At}
+	a := &attempt{server: g.Server, from: from, begun: g.At}
 	l.attempts[g.ID] = append(l.attempts[g.ID], a)
 	return a
 }
 
-// end notes when and how an attempt ended.
+// end notes when and how an attempt ended. Of several ends the earliest counts: a DROP that arrived before the answer went out may be read after that.
 func (l *RequestLog) end(a *attempt, at time.Time, how ending) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a.ended, a.ending = at, how
+	if a.ended.IsZero() || at.Before(a.ended) {
+		a.ended, a.ending = at, how
+	}
 }
--- a/standin/tier/requestlog_test.go
+++ b/standin/tier/requestlog_test.go
@@ -140,3 +140,20 @@
 		}
 	}
 }
+
+// A DROP that arrived before an answer went out, but is read after it, ends the attempt when it arrived; one that arrived later changes nothing.
+func TestTheEarliestEndCounts(t *testing.T) {
+	log := NewRequestLog()
+	begun := time.Unix(100, 0)
+	a := log.begin(Get{ID: "a", At: begun}, "")
+	log.end(a, begun.Add(5*time.Millisecond), answered)
+	log.end(a, begun.Add(2*time.Millisecond), dropped)
+	log.end(a, begun.Add(9*time.Millisecond), dropped)
+	if want := begun.Add(2 * time.Millisecond); !a.ended.Equal(want) || a.ending != dropped {
+		t.Errorf("ended at %v by %s, want %v by DROP", a.ended, a.ending, want)
+	}
+	log.begin(Get{ID: "a", At: begun.Add(3 * time.Millisecond)}, "")
+	if o := log.Overlaps(); len(o) > 0 {
+		t.Errorf("overlaps: %v", o)
+	}
+}
--- a/standin/tier/tier.go
+++ b/standin/tier/tier.go
@@ -75,6 +75,9 @@
 // mostAtOnce bounds what one connection has open; more are answered BUSY.
 const mostAtOnce = 64
 
+// mostDone bounds the answered attempts of one connection whose DROP may still come.
+const mostDone = 4096
+
 // Listen starts a server on loopback.
 func Listen(opt Options) (*Server, error) {
 	if opt.Addr == "" {
@@ -179,6 +182,7 @@
 		open  sync.WaitGroup
 		mu    sync.Mutex
 		drops = map[string]openAttempt{}
+		done  = map[string]*attempt{} // answered, whose DROP may still come
 	)
 	defer open.Wait()
 	say := func(parts ...[]byte) {
@@ -210,6 +214,8 @@
 				close(open.dropped)
 				delete(drops, string(parts[1]))
 				s.opt.RequestLog.end(open.attempt, arrived.at, dropped)
+			} else if answered := done[string(parts[1])]; answered != nil { // it may have come before the answer went out, and be read after that
+				s.opt.RequestLog.end(answered, arrived.at, dropped)
 			}
 			mu.Unlock()
 		case len(parts) == 4 && string(parts[0]) == "GET":
@@ -218,7 +224,7 @@
 			mu.Lock()
 			full := len(drops) >= mostAtOnce
 			if !full {
-				drops[g.ID] = openAttempt{s.opt.RequestLog.begin(g), d}
+				drops[g.ID] = openAttempt{s.opt.RequestLog.begin(g, c.RemoteAddr().String()), d}
 			}
 			mu.Unlock()
 			if full {
@@ -231,6 +237,10 @@
 				open, still := drops[g.ID]
 				if still {
 					delete(drops, g.ID)
+					if len(done) >= mostDone {
+						clear(done)
+					}
+					done[g.ID] = open.attempt
 					s.opt.RequestLog.end(open.attempt, time.Now(), answered)
 				}
 				mu.Unlock()
