--- a/core/lease/lessee.go
+++ b/core/lease/lessee.go
@@ -124,7 +124,10 @@
 	l.granted = m.Number
 	if m.Term < minTerm || m.Term > lifetimeAt(l.level) || m.Amount < 0 {
 		if m.Holder != Nobody && m.Holder != from {
-			l.hint, l.hintAt, l.due = m.Holder, now, now
+			if m.Holder != l.hint { // one that was told before is asked when that is due: two routers may tell of one another
+				l.due = now
+			}
+			l.hint, l.hintAt = m.Holder, now
 		}
 		return
 	}
