--- a/core/fleet/limits.go
+++ b/core/fleet/limits.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"maps"
 	"slices"
+
+	"spantack/core/lease"
 )
 
 // Times in microseconds. How the guarantee of the package follows from them stands there.
@@ -231,21 +233,13 @@
 	top := uint64(0)
 	best = k.n.opt.Rank
 	for rank := range k.n.members {
-		if h := mix(uint64(k.at)<<32 | uint64(rank)); h > top && k.eligible(rank) {
+		if h := lease.Hash(k.at, rank); h > top && k.eligible(rank) {
 			top, best = h, rank
 		}
 	}
 	return best
 }
 
-// mix is the finish of splitmix64.
-func mix(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
 // chooseHolder settles whom to ask, nobody while a vote for one that is of no use any more has not ended. A holder that grants leases is kept; else it is
 // the one that others have, or the candidate.
 func (k *limitState) chooseHolder(now int64) int {
--- a/core/lease/node.go
+++ b/core/lease/node.go
@@ -155,7 +155,7 @@
 // request asks the holder of the group above for what is wanted.
 func (n *Node) request(now int64, l *lessee) {
 	before, level := l.holder, l.level+1
-	order := func(rank int) uint64 { return hash(level, rank) }
+	order := func(rank int) uint64 { return Hash(level, rank) }
 	to := l.chooseHolder(now, n.opt.Topology.members(level, n.opt.Rank), level == n.opt.Topology.fleetLevel(), n.up, order)
 	if to != before {
 		n.Change(level, to)
@@ -187,9 +187,10 @@
 
 func (n *Node) up(rank int) bool { return rank == n.opt.Rank || n.Up(rank) }
 
-// hash orders the candidates of a level, the same at all routers (D. Thaler, C. Ravishankar, "Using name-based mappings to increase hit rates", 1998).
-func hash(level, rank int) uint64 {
-	x := uint64(level)<<32 | uint64(rank)
+// Hash orders the candidates for holding something, the same at all routers: what is a number of its own for each thing that is held (D. Thaler, C. Ravishankar,
+// "Using name-based mappings to increase hit rates", 1998).
+func Hash(what, rank int) uint64 {
+	x := uint64(what)<<32 | uint64(rank)
 	x += 0x9e3779b97f4a7c15 // splitmix64
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -212,7 +213,7 @@
 		e.elected, e.electedAt = n.opt.Rank, now
 		n.announce(now)
 	}
-	to := e.chooseCandidate(now, n.opt.Topology.Electors, func(rank int) uint64 { return hash(n.opt.Topology.fleetLevel(), rank) })
+	to := e.chooseCandidate(now, n.opt.Topology.Electors, func(rank int) uint64 { return Hash(n.opt.Topology.fleetLevel(), rank) })
 	if to == Nobody {
 		return
 	}
