--- /dev/null
+++ b/core/peers/wire_compat_test.go
@@ -0,0 +1,61 @@
+package peers
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// readPins reads testdata/wire_compat.txt: lines "name: hex", the bytes that the program wrote at commit e67ffc3. Routers
+// of that version read them, so no line is ever changed to suit a program.
+func readPins(t *testing.T) map[string][]byte {
+	t.Helper()
+	text, err := os.ReadFile("testdata/wire_compat.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	pins := map[string][]byte{}
+	for line := range strings.Lines(string(text)) {
+		name, digits, _ := strings.Cut(strings.TrimSpace(line), ": ")
+		if pins[name], err = hex.DecodeString(digits); err != nil || len(digits) == 0 {
+			t.Fatalf("line %q: %v", line, err)
+		}
+	}
+	return pins
+}
+
+func TestWireCompat(t *testing.T) {
+	pins := readPins(t)
+	most := make([]uint32, MostServers)
+	for i := range most {
+		most[i] = 0x0a0b0000 + uint32(i)
+	}
+	cases := map[string]Message{
+		"one server":   {Rank: 0x0102, Depot: 0x0304, Incarnation: 0x05060708, Sequence: 0x090a0b0c, 
+			Crowded: []uint32{0x00c41f7a}},
+		"most servers": {Rank: 65534, Depot: 7, Incarnation: 1<<32 - 1, Sequence: 1, Crowded: most},
+	}
+	if len(pins) != len(cases) {
+		t.Errorf("%d fixtures, %d cases", len(pins), len(cases))
+	}
+	for name, want := range cases {
+		t.Run(name, func(t *testing.T) {
+			if got := want.Append(nil); !bytes.Equal(got, pins[name]) {
+				t.Errorf("wrote %x, fixture %x", got, pins[name])
+			}
+			var got Message
+			if err := got.Parse(pins[name]); err != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("read %+v (%v), want %+v", got, err, want)
+			}
+		})
+	}
+}
+
+func TestServerIDsCompat(t *testing.T) {
+	if n, ok := Number("s-00c41f7a"); !ok || n != 0x00c41f7a || name(n) != "s-00c41f7a" {
+		t.Errorf("%#x, %v, %q", n, ok, name(n))
+	}
+}
