--- a/core/fleet/wire_compat_test.go
+++ b/core/fleet/wire_compat_test.go
@@ -11,8 +11,8 @@
 	"spantack/core/lease"
 )
 
-// readPins reads testdata/wire_compat.txt: lines "name: hex", the bytes that the program wrote at commit e67ffc3. Routers
-// of that version read them, so no line is ever changed to suit a program.
+// readPins reads testdata/wire_compat.txt: lines "name: hex", the bytes that the program wrote at commit e67ffc3.
+// Routers of that version read them, so no line is ever changed to suit a program.
 func readPins(t *testing.T) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/wire_compat.txt")
--- a/core/peers/wire_compat_test.go
+++ b/core/peers/wire_compat_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// readPins reads testdata/wire_compat.txt: lines "name: hex", the bytes that the program wrote at commit e67ffc3. Routers
-// of that version read them, so no line is ever changed to suit a program.
+// readPins reads testdata/wire_compat.txt: lines "name: hex", the bytes that the program wrote at commit e67ffc3.
+// Routers of that version read them, so no line is ever changed to suit a program.
 func readPins(t *testing.T) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/wire_compat.txt")
@@ -34,7 +34,7 @@
 		most[i] = 0x0a0b0000 + uint32(i)
 	}
 	cases := map[string]Message{
-		"one server":   {Rank: 0x0102, Depot: 0x0304, Incarnation: 0x05060708, Sequence: 0x090a0b0c, 
+		"one server": {Rank: 0x0102, Depot: 0x0304, Incarnation: 0x05060708, Sequence: 0x090a0b0c,
 			Crowded: []uint32{0x00c41f7a}},
 		"most servers": {Rank: 65534, Depot: 7, Incarnation: 1<<32 - 1, Sequence: 1, Crowded: most},
 	}
--- /dev/null
+++ b/internal/discovery/wire_compat_test.go
@@ -0,0 +1,108 @@
+package discovery
+
+import (
+	"bytes"
+	"encoding/hex"
+	"io"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"spantack/internal/clock"
+	"spantack/internal/router"
+	"spantack/internal/testwait"
+)
+
+// readPins reads testdata/wire_compat.txt: lines "name: hex", frames of the discovery service's protocol as the program
+// of commit e67ffc3 reads them, and what it sends. No line is ever changed to suit a program.
+func readPins(t *testing.T) map[string][]byte {
+	t.Helper()
+	text, err := os.ReadFile("testdata/wire_compat.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	pins := map[string][]byte{}
+	for line := range strings.Lines(string(text)) {
+		name, digits, _ := strings.Cut(strings.TrimSpace(line), ": ")
+		if pins[name], err = hex.DecodeString(digits); err != nil || len(digits) == 0 {
+			t.Fatalf("line %q: %v", line, err)
+		}
+	}
+	return pins
+}
+
+const watchPin = "watch after event 0102030405060708"
+
+func TestFramesCompat(t *testing.T) {
+	healthy := router.Server{ID: "s-00c41f7a", Addr: "10.1.0.9:5050", Zone: "central", Kind: "parent", Cell: 0x0203,
+		Status: "healthy", Weight: 1.5, Started: 0x19ad84b9000}
+	cordoned := router.Server{ID: "s-ffffffff", Addr: "192.168.254.1:65535", Zone: "east", Kind: "std", Cell: 65535,
+		Status: "cordoned", Weight: 4294967.295, Started: 1 << 53}
+	deregistered := router.Server{ID: "s-00000001", Addr: "127.0.0.1:1", Zone: "east", Kind: "parent",
+		Status: "deregistered"}
+	cases := map[string]frame{
+		"heartbeat": {number: 0x0102030405060708, kind: 0},
+		"snapshot of each status": {number: 2, kind: 1,
+			notice: router.Notice{Whole: true, Servers: []router.Server{healthy, cordoned, deregistered}}},
+		"empty snapshot": {number: 3, kind: 1, notice: router.Notice{Whole: true}},
+		"update":         {number: 4, kind: 2, notice: router.Notice{Servers: []router.Server{cordoned}}},
+		"purge of an object": {number: 5, kind: 3,
+			notice: router.Notice{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", At: 1764576000123}}},
+		"purge of a group": {number: 6, kind: 4,
+			notice: router.Notice{Purge: &router.Purge{Group: 0x0111, At: 1764576000480}}},
+	}
+	pins := readPins(t)
+	if len(pins) != len(cases)+1 { // watchPin
+		t.Errorf("%d fixtures, %d cases", len(pins), len(cases)+1)
+	}
+	for name, want := range cases {
+		t.Run(name, func(t *testing.T) {
+			got, err := readFrame(bytes.NewReader(pins[name]), names)
+			if err != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("read %+v (%v), want %+v", got, err, want)
+			}
+		})
+	}
+}
+
+// What the router sends: the number of the last event applied.
+func TestWatchCompat(t *testing.T) {
+	want := readPins(t)[watchPin]
+	l := testwait.Listen(t)
+	w := &Watcher{Names: names, LastApplied: 0x0102030405060708, Clock: clock.NewFake(0), Log: zerolog.Nop(),
+		Apply: func(router.Notice) {}}
+	w.SetAddress(l.Addr().String())
+	go w.Run(t.Context())
+	nc := testwait.Accept(t, l, "the watch")
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(nc, got); err != nil || !bytes.Equal(got, want) || len(want) != 8 {
+		t.Errorf("sent %x (%v), fixture %x", got, err, want)
+	}
+}
+
+// The settings' document `known`, with every key that is read.
+func TestInitialEventsCompat(t *testing.T) {
+	text, err := os.ReadFile("testdata/known.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []router.Notice{
+		{Whole: true, Servers: []router.Server{
+			{ID: "s-00c41f7a", Addr: "10.1.0.9:5050", Zone: "central", Kind: "parent", Cell: 515, Status: "healthy",
+				Weight: 1.5, Started: 1764576000001},
+			{ID: "s-00000002", Addr: "10.1.0.10:5050", Zone: "east", Kind: "std", Cell: 2, Status: "cordoned",
+				Weight: 4.25, Started: 1764576000002},
+			{ID: "s-00000003", Addr: "10.1.0.11:5050", Zone: "east", Kind: "std", Cell: 3, Status: "deregistered",
+				Weight: 0.5, Started: 1764576000003}}},
+		{},
+		{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", At: 1764576000123}},
+		{Purge: &router.Purge{Group: 17, At: 1764576000480}},
+	}
+	last, got, err := ParseInitialEvents(text, names)
+	if err != nil || last != 44 || !reflect.DeepEqual(got, want) {
+		t.Errorf("last %d, %+v (%v), want %+v", last, got, err, want)
+	}
+}
