--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -14,8 +14,8 @@
 	"spantack/rules"
 )
 
-// readPins reads testdata/wire_compat.txt: lines `name: "bytes"`, quoted as in Go, as the program of commit e67ffc3 wrote
-// or read them. Caches rely on them, so no line is ever changed to suit a program.
+// readPins reads testdata/wire_compat.txt: lines `name: "bytes"`, quoted as in Go, as the program of commit e67ffc3
+// wrote or read them. Caches rely on them, so no line is ever changed to suit a program.
 func readPins(t *testing.T) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/wire_compat.txt")
