--- /dev/null
+++ b/cmd/spantack/wire_compat_test.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"os"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"spantack/internal/clock"
+	"spantack/internal/manage"
+	"spantack/internal/resp"
+	"spantack/internal/router"
+	"spantack/rules"
+)
+
+// The figures of the management address, by name and value, as the program of commit e67ffc3 wrote them. Dashboards
+// read them, so testdata/figures.txt is never changed to suit this program.
+func TestFiguresCompat(t *testing.T) {
+	text, err := os.ReadFile("testdata/figures.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := clock.NewFake(1_764_576_000_000)
+	pools := resp.NewPools(t.Context(), resp.Options{DialTimeout: 5000, MaxStreams: 1, MaxConns: 1}, now, zerolog.Nop())
+	core, err := router.New(rules.Settings{
+		Classes: []rules.Class{{Name: "page", Deadline: 3_000_000, Promise: 400_000, Gain: 1,
+			Idempotency: "read_like", Group: "all"}},
+		Extra: rules.Extra{MasterKind: 1, ShieldKind: -1, NotesGiven: "all"}, Kinds: []string{"box", "origin"},
+		Permissions: rules.Permissions{MaxAttempts: 3}, Zone: "east", Zones: []string{"east"}}, 1, now, pools, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := router.Notice{Whole: true}
+	for _, id := range []string{"s-1", "s-2", "s-3"} {
+		n.Servers = append(n.Servers, router.Server{ID: id, Addr: "127.0.0.1:1", Zone: "east", Kind: "box",
+			Status: "healthy", Weight: 4})
+	}
+	n.Servers[2].Kind = "origin" // no cache
+	core.Apply(n)
+	if err := core.Exclude("s-1"); err != nil {
+		t.Fatal(err)
+	}
+	tally := core.Tallies()[0]
+	tally.Served.Add(3)
+	tally.Refused.Add(4)
+	tally.Failed.Add(5)
+	core.Counters.Taken.Add(9)
+	files := &reloads{}
+	files.applied.Add(6)
+	files.rejected.Add(7)
+	if got := string(manage.AppendFigures(nil, figures(core, pools, files))); got != string(text) {
+		t.Errorf("got\n%s\nwant\n%s", got, text)
+	}
+}
+
+var quoted = regexp.MustCompile("`([^`]*)`")
+
+// The operators' page names these figures, and no others.
+func TestFiguresOfOperatorsPage(t *testing.T) {
+	page, err := os.ReadFile("../../docs/operation.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile("testdata/figures.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var named, written []string
+	for line := range strings.Lines(string(page)) {
+		if first, _, found := strings.Cut(strings.TrimPrefix(line, "| "), " | "); found && strings.HasPrefix(first, "`app.") {
+			names := quoted.FindAllStringSubmatch(first, -1)
+			for _, name := range names {
+				full := name[1]
+				if strings.HasPrefix(full, ".") { // it stands for the last part of the row's first name
+					full = names[0][1][:strings.LastIndex(names[0][1], ".")] + full
+				}
+				named = append(named, strings.Replace(full, "CLASS", "page", 1))
+			}
+		}
+	}
+	for line := range strings.Lines(string(text)) {
+		name, _, _ := strings.Cut(line, ":")
+		written = append(written, name)
+	}
+	if got, want := strings.Join(named, "\n"), strings.Join(written, "\n"); got != want {
+		t.Errorf("the page has\n%s\nthe program\n%s", got, want)
+	}
+}
