--- a/cmd/spanctl/document.go
+++ b/cmd/spanctl/document.go
@@ -23,9 +23,9 @@
 
 // onDoc is what all commands on moves share.
 type onDoc struct {
-	File   string  `arg:"" help:"The features file; its sections moves and stage are import 'moves.json' and import 'stage.json'."`
-	DryRun bool    `help:"Says what would change and writes nothing."`
-	Now    float64 `help:"The time to reckon from, Unix milliseconds; the clock's if left out." hidden:""`
+	File   string  `name:"file" arg:"" help:"The features file; its sections moves and stage are import 'moves.json' and import 'stage.json'."`
+	DryRun bool    `name:"dry-run" help:"Says what would change and writes nothing."`
+	Now    float64 `name:"now" help:"The time to reckon from, Unix milliseconds; the clock's if left out." hidden:""`
 }
 
 func (c *onDoc) now() float64 {
--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -13,12 +13,12 @@
 
 type emptyCmd struct {
 	onDoc
-	Cell     string   `arg:"" help:"The cell to be emptied."`
-	Into     []string `required:"" help:"The cells that its tenants go to: each to the one with most room left."`
-	Demand   []string `required:"" help:"Logs or lists as for plan: of all routers of one depot."`
-	Depot    string   `default:"*" help:"The depot; * for all."`
-	BearsKbS float64  `required:"" help:"KB a second that all caches of the depot send at most."`
-	Deep     float64  `default:"0.2" help:"Part of fills that reach the head office."`
+	Cell     string   `name:"cell" arg:"" help:"The cell to be emptied."`
+	Into     []string `name:"into" required:"" help:"The cells that its tenants go to: each to the one with most room left."`
+	Demand   []string `name:"demand" required:"" help:"Logs or lists as for plan: of all routers of one depot."`
+	Depot    string   `name:"depot" default:"*" help:"The depot; * for all."`
+	BearsKbS float64  `name:"bears-kb-s" required:"" help:"KB a second that all caches of the depot send at most."`
+	Deep     float64  `name:"deep" default:"0.2" help:"Part of fills that reach the head office."`
 	terms
 }
 
--- a/cmd/spanctl/main.go
+++ b/cmd/spanctl/main.go
@@ -22,22 +22,22 @@
 )
 
 type cli struct {
-	Check  checkCmd  `cmd:"" help:"Checks a features file as the router would; one line for the first fault, exit code 1."`
-	Shape  shapeCmd  `cmd:"" help:"Who fills from whom: show, diff, plan."`
-	Stage  stageCmd  `cmd:"" help:"Releases let into cells ring by ring: start, status, stop."`
-	Router routerCmd `cmd:"" help:"Running routers, by their second addresses: ready, figures, exclude, include, evacuate, rejoin."`
-	Cells  cellsCmd  `cmd:"" help:"Cells: show, explain, diff, plan; and tenants that move between them: moves, move, empty, hold, resume, back, settle."`
+	Check  checkCmd  `name:"check" cmd:"" help:"Checks a features file as the router would; one line for the first fault, exit code 1."`
+	Shape  shapeCmd  `name:"shape" cmd:"" help:"Who fills from whom: show, diff, plan."`
+	Stage  stageCmd  `name:"stage" cmd:"" help:"Releases let into cells ring by ring: start, status, stop."`
+	Router routerCmd `name:"router" cmd:"" help:"Running routers, by their second addresses: ready, figures, exclude, include, evacuate, rejoin."`
+	Cells  cellsCmd  `name:"cells" cmd:"" help:"Cells: show, explain, diff, plan; and tenants that move between them: moves, move, empty, hold, resume, back, settle."`
 }
 
 type stageCmd struct {
-	Start  startCmd  `cmd:"" help:"Begins a release: opens rings one after the other, each judged before the next."`
-	Status statusCmd `cmd:"" help:"What routers see of a release, from their logs, and what that comes to together."`
-	Stop   stopCmd   `cmd:"" help:"Takes a release back in all cells."`
+	Start  startCmd  `name:"start" cmd:"" help:"Begins a release: opens rings one after the other, each judged before the next."`
+	Status statusCmd `name:"status" cmd:"" help:"What routers see of a release, from their logs, and what that comes to together."`
+	Stop   stopCmd   `name:"stop" cmd:"" help:"Takes a release back in all cells."`
 }
 
 type checkCmd struct {
-	File   string `arg:"" optional:"" help:"The features file."`
-	Schema bool   `help:"Prints the JSON Schema of the file instead."`
+	File   string `name:"file" arg:"" optional:"" help:"The features file."`
+	Schema bool   `name:"schema" help:"Prints the JSON Schema of the file instead."`
 }
 
 func (c *checkCmd) Run(out io.Writer) error {
@@ -74,17 +74,17 @@
 }
 
 type cellsCmd struct {
-	Show    showCmd    `cmd:"" help:"Cells and tenants of a file, and with --caches which cache is in which cell."`
-	Explain explainCmd `cmd:"" help:"Whose a request is, and which caches it may go to."`
-	Diff    diffCmd    `cmd:"" help:"What changes from one file to another."`
-	Plan    planCmd    `cmd:"" help:"Proposes cells for tenants from measured demand."`
-	Moves   movesCmd   `cmd:"" help:"The moves of a file and how far they are."`
-	Move    moveCmd    `cmd:"" help:"Lets a tenant move to another cell."`
-	Empty   emptyCmd   `cmd:"" help:"Plans moves of all tenants of a cell to others."`
-	Hold    holdCmd    `cmd:"" help:"Holds moves where they are."`
-	Resume  resumeCmd  `cmd:"" help:"Lets held moves go on."`
-	Back    backCmd    `cmd:"" help:"Takes moves back."`
-	Settle  settleCmd  `cmd:"" help:"Leaves out moves that are over, once the assignment has their tenants where they went."`
+	Show    showCmd    `name:"show" cmd:"" help:"Cells and tenants of a file, and with --caches which cache is in which cell."`
+	Explain explainCmd `name:"explain" cmd:"" help:"Whose a request is, and which caches it may go to."`
+	Diff    diffCmd    `name:"diff" cmd:"" help:"What changes from one file to another."`
+	Plan    planCmd    `name:"plan" cmd:"" help:"Proposes cells for tenants from measured demand."`
+	Moves   movesCmd   `name:"moves" cmd:"" help:"The moves of a file and how far they are."`
+	Move    moveCmd    `name:"move" cmd:"" help:"Lets a tenant move to another cell."`
+	Empty   emptyCmd   `name:"empty" cmd:"" help:"Plans moves of all tenants of a cell to others."`
+	Hold    holdCmd    `name:"hold" cmd:"" help:"Holds moves where they are."`
+	Resume  resumeCmd  `name:"resume" cmd:"" help:"Lets held moves go on."`
+	Back    backCmd    `name:"back" cmd:"" help:"Takes moves back."`
+	Settle  settleCmd  `name:"settle" cmd:"" help:"Leaves out moves that are over, once the assignment has their tenants where they went."`
 }
 
 // load takes a file in which cells are on.
@@ -101,8 +101,8 @@
 }
 
 type showCmd struct {
-	File   string   `arg:"" help:"The features file."`
-	Caches []string `help:"Ids of a depot's caches."`
+	File   string   `name:"file" arg:"" help:"The features file."`
+	Caches []string `name:"caches" help:"Ids of a depot's caches."`
 }
 
 func (c *showCmd) Run(out io.Writer) error {
@@ -136,14 +136,14 @@
 }
 
 type explainCmd struct {
-	File   string   `arg:"" help:"The features file."`
-	Family int      `help:"Group of the object, 0 to 255."`
-	Class  string   `help:"Class of the request."`
-	Object string   `help:"The object, in hex."`
-	Now    float64  `help:"Unix milliseconds; the clock's if left out." hidden:""`
-	Tenant string   `help:"The tenant as the front names it."`
-	Depot  string   `help:"The depot."`
-	Caches []string `help:"Ids of the depot's caches."`
+	File   string   `name:"file" arg:"" help:"The features file."`
+	Family int      `name:"family" help:"Group of the object, 0 to 255."`
+	Class  string   `name:"class" help:"Class of the request."`
+	Object string   `name:"object" help:"The object, in hex."`
+	Now    float64  `name:"now" help:"Unix milliseconds; the clock's if left out." hidden:""`
+	Tenant string   `name:"tenant" help:"The tenant as the front names it."`
+	Depot  string   `name:"depot" help:"The depot."`
+	Caches []string `name:"caches" help:"Ids of the depot's caches."`
 }
 
 func (c *explainCmd) Run(out io.Writer) error {
@@ -184,8 +184,8 @@
 }
 
 type diffCmd struct {
-	Old string `arg:"" help:"The file in force."`
-	New string `arg:"" help:"The file to come."`
+	Old string `name:"old" arg:"" help:"The file in force."`
+	New string `name:"new" arg:"" help:"The file to come."`
 }
 
 func (c *diffCmd) Run(out io.Writer) error {
@@ -204,11 +204,11 @@
 }
 
 type planCmd struct {
-	File      string   `arg:"" help:"The features file in force: its cells, and the present cell of each tenant."`
-	Demand    []string `required:"" help:"Logs of routers with their lines 'demand', of which the last of each log counts, or JSON files with a list of {name, loads, worth}."`
-	MostWorth float64  `help:"The greatest part of all worth that one cell may hold; 0: any."`
-	MostMoves int      `default:"-1" help:"Tenants that may change their cell; -1: any number."`
-	Seed      uint64   `default:"1" help:"Seed of the search."`
+	File      string   `name:"file" arg:"" help:"The features file in force: its cells, and the present cell of each tenant."`
+	Demand    []string `name:"demand" required:"" help:"Logs of routers with their lines 'demand', of which the last of each log counts, or JSON files with a list of {name, loads, worth}."`
+	MostWorth float64  `name:"most-worth" help:"The greatest part of all worth that one cell may hold; 0: any."`
+	MostMoves int      `name:"most-moves" default:"-1" help:"Tenants that may change their cell; -1: any number."`
+	Seed      uint64   `name:"seed" default:"1" help:"Seed of the search."`
 }
 
 // demandOf reads one file: a list, or a router's log, of which the last line with a demand counts.
--- a/cmd/spanctl/movechange.go
+++ b/cmd/spanctl/movechange.go
@@ -12,8 +12,8 @@
 // change is a command on moves that are there already.
 type change struct {
 	onDoc
-	Tenants []string `arg:"" optional:"" help:"Tenants whose moves are meant."`
-	All     bool     `help:"All moves that are not over."`
+	Tenants []string `name:"tenants" arg:"" optional:"" help:"Tenants whose moves are meant."`
+	All     bool     `name:"all" help:"All moves that are not over."`
 }
 
 // each changes the moves meant, by what set does; it says false for those that can't be changed so.
--- a/cmd/spanctl/movelist.go
+++ b/cmd/spanctl/movelist.go
@@ -37,7 +37,7 @@
 
 type movesCmd struct {
 	onDoc
-	Status []string `help:"Logs of routers with lines 'moves', of which the last of each log counts: how far routers really are."`
+	Status []string `name:"status" help:"Logs of routers with lines 'moves', of which the last of each log counts: how far routers really are."`
 }
 
 // Run lists the moves of a file.
--- a/cmd/spanctl/moves.go
+++ b/cmd/spanctl/moves.go
@@ -29,11 +29,11 @@
 
 // terms are how fast moves go.
 type terms struct {
-	In     time.Duration `default:"30s" help:"Until the first begins: routers must have the document by then."`
-	Warm   time.Duration `help:"For the hot objects alone, named with --hot."`
-	Shift  time.Duration `default:"60s" help:"For the others, at the soonest; 10s or more."`
-	Slow   float64       `default:"5" help:"Multiple of the shift that a move may take while cells are replaced or answer late."`
-	Settle time.Duration `default:"60s" help:"The old cell takes what the new one can't bear for so long after that."`
+	In     time.Duration `name:"in" default:"30s" help:"Until the first begins: routers must have the document by then."`
+	Warm   time.Duration `name:"warm" help:"For the hot objects alone, named with --hot."`
+	Shift  time.Duration `name:"shift" default:"60s" help:"For the others, at the soonest; 10s or more."`
+	Slow   float64       `name:"slow" default:"5" help:"Multiple of the shift that a move may take while cells are replaced or answer late."`
+	Settle time.Duration `name:"settle" default:"60s" help:"The old cell takes what the new one can't bear for so long after that."`
 }
 
 func (t *terms) check() error {
@@ -45,11 +45,11 @@
 
 type moveCmd struct {
 	onDoc
-	Tenant string   `arg:"" help:"The tenant."`
-	To     string   `required:"" help:"The cell that it goes to."`
-	Depot  string   `default:"*" help:"The depot; * for all."`
-	Hot    []string `help:"Objects that go first, hottest first."`
-	Demand []string `help:"Logs or lists as for plan, to say what load cells will see."`
+	Tenant string   `name:"tenant" arg:"" help:"The tenant."`
+	To     string   `name:"to" required:"" help:"The cell that it goes to."`
+	Depot  string   `name:"depot" default:"*" help:"The depot; * for all."`
+	Hot    []string `name:"hot" help:"Objects that go first, hottest first."`
+	Demand []string `name:"demand" help:"Logs or lists as for plan, to say what load cells will see."`
 	terms
 }
 
--- a/cmd/spanctl/router.go
+++ b/cmd/spanctl/router.go
@@ -13,12 +13,12 @@
 
 // routerCmd makes the calls of routers' second addresses (docs/operation.md).
 type routerCmd struct {
-	Ready    routerReadyCmd    `cmd:"" help:"Whether routers take work."`
-	Figures  routerFiguresCmd  `cmd:"" help:"Routers' figures, a line each."`
-	Exclude  routerExcludeCmd  `cmd:"" help:"Takes a server out at routers, whatever the list says, until include."`
-	Include  routerIncludeCmd  `cmd:"" help:"Puts a server back."`
-	Evacuate routerEvacuateCmd `cmd:"" help:"Empties routers; they run on."`
-	Rejoin   routerRejoinCmd   `cmd:"" help:"Puts emptied routers back to work."`
+	Ready    routerReadyCmd    `name:"ready" cmd:"" help:"Whether routers take work."`
+	Figures  routerFiguresCmd  `name:"figures" cmd:"" help:"Routers' figures, a line each."`
+	Exclude  routerExcludeCmd  `name:"exclude" cmd:"" help:"Takes a server out at routers, whatever the list says, until include."`
+	Include  routerIncludeCmd  `name:"include" cmd:"" help:"Puts a server back."`
+	Evacuate routerEvacuateCmd `name:"evacuate" cmd:"" help:"Empties routers; they run on."`
+	Rejoin   routerRejoinCmd   `name:"rejoin" cmd:"" help:"Puts emptied routers back to work."`
 }
 
 // answerTime bounds one call: a router owes its answer within a second.
@@ -32,11 +32,11 @@
 
 // atRouters are the second addresses that a call is made at.
 type atRouters struct {
-	Routers []string `arg:"" help:"Second addresses of routers, host:port."`
+	Routers []string `name:"routers" arg:"" help:"Second addresses of routers, host:port."`
 }
 
 type aboutServer struct {
-	ID string `arg:"" help:"Id of the server, such as s-00c41f7a."`
+	ID string `name:"id" arg:"" help:"Id of the server, such as s-00c41f7a."`
 	atRouters
 }
 
--- a/cmd/spanctl/shape.go
+++ b/cmd/spanctl/shape.go
@@ -11,9 +11,9 @@
 )
 
 type shapeCmd struct {
-	Show shapeShowCmd `cmd:"" help:"Levels and ways of a file's shape."`
-	Diff shapeDiffCmd `cmd:"" help:"What changes from one file's shape to another's."`
-	Plan shapePlanCmd `cmd:"" help:"How fills would be shared out, with areas as warm as told, and lost ones left out."`
+	Show shapeShowCmd `name:"show" cmd:"" help:"Levels and ways of a file's shape."`
+	Diff shapeDiffCmd `name:"diff" cmd:"" help:"What changes from one file's shape to another's."`
+	Plan shapePlanCmd `name:"plan" cmd:"" help:"How fills would be shared out, with areas as warm as told, and lost ones left out."`
 }
 
 // shapeOf takes a file in which the shape is on.
@@ -30,7 +30,7 @@
 }
 
 type shapeShowCmd struct {
-	File string `arg:"" help:"The features file."`
+	File string `name:"file" arg:"" help:"The features file."`
 }
 
 func (c *shapeShowCmd) Run(out io.Writer) error {
@@ -57,8 +57,8 @@
 }
 
 type shapeDiffCmd struct {
-	Old string `arg:"" help:"The file before."`
-	New string `arg:"" help:"The file after."`
+	Old string `name:"old" arg:"" help:"The file before."`
+	New string `name:"new" arg:"" help:"The file after."`
 }
 
 func (c *shapeDiffCmd) Run(out io.Writer) error {
@@ -77,9 +77,9 @@
 }
 
 type shapePlanCmd struct {
-	File  string             `arg:"" help:"The features file."`
-	Bears map[string]float64 `required:"" help:"KB/s that an area's servers bear warm; one that is not named is lost." placeholder:"AREA=KB"`
-	Warm  map[string]float64 `help:"Part of that which they bear now; 1 if left out." placeholder:"AREA=PART"`
+	File  string             `name:"file" arg:"" help:"The features file."`
+	Bears map[string]float64 `name:"bears" required:"" help:"KB/s that an area's servers bear warm; one that is not named is lost." placeholder:"AREA=KB"`
+	Warm  map[string]float64 `name:"warm" help:"Part of that which they bear now; 1 if left out." placeholder:"AREA=PART"`
 }
 
 func (c *shapePlanCmd) Run(out io.Writer) error {
--- a/cmd/spanctl/stage.go
+++ b/cmd/spanctl/stage.go
@@ -42,18 +42,18 @@
 
 type startCmd struct {
 	onDoc
-	Name     string        `required:"" help:"What the release is called."`
-	Prefix   string        `help:"How its objects begin, in hex."`
-	Families []int         `help:"First and last group of its objects."`
-	Ring     []string      `required:"" sep:"none" help:"The cells of one ring, separated by commas; once for each ring, in their order."`
-	In       time.Duration `default:"60s" help:"Until the first ring opens: routers learn meanwhile how its cells differ from others."`
-	For      time.Duration `default:"10m" help:"Time in which a ring must be judged."`
-	Renews   bool          `help:"Its objects have an older version; the head office gives out the new one from the first ring's time on."`
-	Keep     time.Duration `help:"With --renews: how old copies may be where a ring is shut." placeholder:"SPAN"`
-	Back     string        `help:"With --renews, what a ring taken back for harm does until stopped: refuse or serve." placeholder:"refuse|serve"`
-	Go       bool          `help:"Goes on where a ring can't be judged in its time; else it waits."`
-	Rate     float64       `help:"Requests a second that a cell gets at one router, and" placeholder:"N"`
-	Bad      float64       `help:"part of them that is bad on a usual day: with both, says how long harm takes to be found." placeholder:"P"`
+	Name     string        `name:"name" required:"" help:"What the release is called."`
+	Prefix   string        `name:"prefix" help:"How its objects begin, in hex."`
+	Families []int         `name:"families" help:"First and last group of its objects."`
+	Ring     []string      `name:"ring" required:"" sep:"none" help:"The cells of one ring, separated by commas; once for each ring, in their order."`
+	In       time.Duration `name:"in" default:"60s" help:"Until the first ring opens: routers learn meanwhile how its cells differ from others."`
+	For      time.Duration `name:"for" default:"10m" help:"Time in which a ring must be judged."`
+	Renews   bool          `name:"renews" help:"Its objects have an older version; the head office gives out the new one from the first ring's time on."`
+	Keep     time.Duration `name:"keep" help:"With --renews: how old copies may be where a ring is shut." placeholder:"SPAN"`
+	Back     string        `name:"back" help:"With --renews, what a ring taken back for harm does until stopped: refuse or serve." placeholder:"refuse|serve"`
+	Go       bool          `name:"go" help:"Goes on where a ring can't be judged in its time; else it waits."`
+	Rate     float64       `name:"rate" help:"Requests a second that a cell gets at one router, and" placeholder:"N"`
+	Bad      float64       `name:"bad" help:"part of them that is bad on a usual day: with both, says how long harm takes to be found." placeholder:"P"`
 }
 
 func (c *startCmd) Run(out io.Writer) error {
@@ -98,7 +98,7 @@
 
 type stopCmd struct {
 	onDoc
-	In time.Duration `help:"Until it is taken back, where the head office needs time for that."`
+	In time.Duration `name:"in" help:"Until it is taken back, where the head office needs time for that."`
 }
 
 func (c *stopCmd) Run(out io.Writer) error {
@@ -126,7 +126,7 @@
 
 type statusCmd struct {
 	onDoc
-	Logs []string `arg:"" help:"Logs of routers with lines 'stage', of which the last of each counts."`
+	Logs []string `name:"logs" arg:"" help:"Logs of routers with lines 'stage', of which the last of each counts."`
 }
 
 // Run adds up what routers see. They saw different requests, so their bets may be multiplied: the logs are added.
--- a/cmd/spanlab/live.go
+++ b/cmd/spanlab/live.go
@@ -25,11 +25,11 @@
 }
 
 type liveRunCmd struct {
-	Name    string `arg:"" help:"The scenario."`
-	Routers int    `default:"16" help:"How many router processes, 3 to 300."`
-	Seed    uint64 `default:"1" help:"Of the load and the network's chance, 0 to 2^63."`
-	Binary  string `help:"The router's program, such as one of an earlier version; left out: built from the sources." type:"existingfile"`
-	Out     string `help:"Folder for result.json, table.md and a chart."`
+	Name    string `name:"name" arg:"" help:"The scenario."`
+	Routers int    `name:"routers" default:"16" help:"How many router processes, 3 to 300."`
+	Seed    uint64 `name:"seed" default:"1" help:"Of the load and the network's chance, 0 to 2^63."`
+	Binary  string `name:"binary" help:"The router's program, such as one of an earlier version; left out: built from the sources." type:"existingfile"`
+	Out     string `name:"out" help:"Folder for result.json, table.md and a chart."`
 }
 
 // liveWithin bounds a play.
--- a/cmd/spanlab/main.go
+++ b/cmd/spanlab/main.go
@@ -29,19 +29,19 @@
 var errShort = errors.New("a claim falls short")
 
 type cli struct {
-	List    listCmd    `cmd:"" help:"Lists the experiments."`
-	Run     runCmd     `cmd:"" help:"Runs an experiment; exits with 3 when a claim falls short."`
-	Demo    demoCmd    `cmd:"" help:"Brings a small deployment up on loopback, with one real router and a small load."`
-	Compare compareCmd `cmd:"" help:"Sets two results side by side."`
+	List    listCmd    `name:"list" cmd:"" help:"Lists the experiments."`
+	Run     runCmd     `name:"run" cmd:"" help:"Runs an experiment; exits with 3 when a claim falls short."`
+	Demo    demoCmd    `name:"demo" cmd:"" help:"Brings a small deployment up on loopback, with one real router and a small load."`
+	Compare compareCmd `name:"compare" cmd:"" help:"Sets two results side by side."`
 	Live    struct {
-		List liveListCmd `cmd:"" help:"Lists the scenarios."`
-		Run  liveRunCmd  `cmd:"" help:"Plays one; exits with 3 when a bound does not hold."`
-	} `cmd:"" help:"Scripted faults between real router processes on loopback."`
+		List liveListCmd `name:"list" cmd:"" help:"Lists the scenarios."`
+		Run  liveRunCmd  `name:"run" cmd:"" help:"Plays one; exits with 3 when a bound does not hold."`
+	} `name:"live" cmd:"" help:"Scripted faults between real router processes on loopback."`
 	Scale struct {
-		List scaleListCmd `cmd:"" help:"Lists the scale tests."`
-		Run  scaleRunCmd  `cmd:"" help:"Runs one at several sizes; exits with 3 when the budget of a router is passed."`
-		Page scalePageCmd `cmd:"" help:"Puts the figures of results into the capacity page."`
-	} `cmd:"" help:"What the fleet's own mechanisms cost as it grows."`
+		List scaleListCmd `name:"list" cmd:"" help:"Lists the scale tests."`
+		Run  scaleRunCmd  `name:"run" cmd:"" help:"Runs one at several sizes; exits with 3 when the budget of a router is passed."`
+		Page scalePageCmd `name:"page" cmd:"" help:"Puts the figures of results into the capacity page."`
+	} `name:"scale" cmd:"" help:"What the fleet's own mechanisms cost as it grows."`
 }
 
 type listCmd struct{}
@@ -58,12 +58,12 @@
 }
 
 type runCmd struct {
-	Name  string   `arg:"" help:"The experiment."`
-	Seed  uint64   `default:"1" help:"First seed, 0 to 2^63."`
-	Seeds uint64   `default:"1" help:"How many seeds, one after the other."`
-	Size  string   `default:"small" enum:"small,full" help:"small or full."`
-	Out   string   `help:"Folder for result.json, table.md and charts."`
-	Set   []string `help:"path=value, changes the experiment." sep:"none"`
+	Name  string   `name:"name" arg:"" help:"The experiment."`
+	Seed  uint64   `name:"seed" default:"1" help:"First seed, 0 to 2^63."`
+	Seeds uint64   `name:"seeds" default:"1" help:"How many seeds, one after the other."`
+	Size  string   `name:"size" default:"small" enum:"small,full" help:"small or full."`
+	Out   string   `name:"out" help:"Folder for result.json, table.md and charts."`
+	Set   []string `name:"set" help:"path=value, changes the experiment." sep:"none"`
 }
 
 func (c *runCmd) Run() error {
@@ -145,8 +145,8 @@
 }
 
 type compareCmd struct {
-	A string `arg:"" type:"existingfile" help:"result.json"`
-	B string `arg:"" type:"existingfile" help:"result.json"`
+	A string `name:"a" arg:"" type:"existingfile" help:"result.json"`
+	B string `name:"b" arg:"" type:"existingfile" help:"result.json"`
 }
 
 func (c *compareCmd) Run() error {
--- a/cmd/spanlab/scale.go
+++ b/cmd/spanlab/scale.go
@@ -18,10 +18,10 @@
 }
 
 type scaleRunCmd struct {
-	Name    string `arg:"" help:"The test."`
-	Routers []int  `help:"How many request routers; several sizes are run one after the other. Left out: 300, 1000, 3000 and 11000."`
-	Seed    uint64 `default:"1" help:"Of the network's chance and the load, 0 to 2^63."`
-	Out     string `help:"Folder for results.json and charts of cost over size."`
+	Name    string `name:"name" arg:"" help:"The test."`
+	Routers []int  `name:"routers" help:"How many request routers; several sizes are run one after the other. Left out: 300, 1000, 3000 and 11000."`
+	Seed    uint64 `name:"seed" default:"1" help:"Of the network's chance and the load, 0 to 2^63."`
+	Out     string `name:"out" help:"Folder for results.json and charts of cost over size."`
 }
 
 // Memory that a run may take, and how far the collector lets garbage grow below that: worlds are large, and long alive.
@@ -82,8 +82,8 @@
 }
 
 type scalePageCmd struct {
-	Page    string `default:"docs/CAPACITY.md" type:"existingfile" help:"The page, with figures named as in it."`
-	Results string `default:"docs/results/scale" type:"existingdir" help:"Folder with a folder of results for each test."`
+	Page    string `name:"page" default:"docs/CAPACITY.md" type:"existingfile" help:"The page, with figures named as in it."`
+	Results string `name:"results" default:"docs/results/scale" type:"existingdir" help:"Folder with a folder of results for each test."`
 }
 
 func (c *scalePageCmd) Run() error {
--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -68,8 +68,8 @@
 
 // flags are the command line; all else comes from the environment. Without flags nothing new is on.
 type flags struct {
-	Peers    bool   `help:"Tell the other routers of the tier by datagrams which area caches are crowded, where the settings allow that; see docs/peers.md."`
-	Features string `help:"Jsonnet file with what is switched on; see deploy/features.jsonnet." placeholder:"FILE"`
+	Peers    bool   `name:"peers" help:"Tell the other routers of the tier by datagrams which area caches are crowded, where the settings allow that; see docs/peers.md."`
+	Features string `name:"features" help:"Jsonnet file with what is switched on; see deploy/features.jsonnet." placeholder:"FILE"`
 }
 
 func main() {
--- a/core/cells/gate.go
+++ b/core/cells/gate.go
@@ -75,9 +75,11 @@
 
 // Stats count since the start.
 type Stats struct {
-	Admitted, Spilled int64
-	Refused           [reasons]int64
-	Moved, Kept       int64 // requests of tenants on the move sent to the cell they move into; kept from it for want of room there
+	Admitted int64          `json:"Admitted"`
+	Spilled  int64          `json:"Spilled"`
+	Refused  [reasons]int64 `json:"Refused"`
+	Moved    int64          `json:"Moved"` // requests of tenants on the move sent to the cell they move into
+	Kept     int64          `json:"Kept"`  // kept from it for want of room there
 }
 
 // Module is the decision module behind its gate: rules.Router with each request confined to its tenant's cell. Without
--- a/core/fleet/limits.go
+++ b/core/fleet/limits.go
@@ -189,12 +189,12 @@
 
 // Holding is what this router's part in a limit is.
 type Holding struct {
-	Name   string
-	Share  float64
-	InUse  int
-	Holder int   // rank of the router that grants; -1: none is known
-	Holds  bool  // this one does, all of it or in a tree a group
-	Levels []int `json:",omitempty"` // of the groups of a tree that this one holds: 1 is the smallest
+	Name   string  `json:"Name"`
+	Share  float64 `json:"Share"`
+	InUse  int     `json:"InUse"`
+	Holder int     `json:"Holder"`           // rank of the router that grants; -1: none is known
+	Holds  bool    `json:"Holds"`            // this one does, all of it or in a tree a group
+	Levels []int   `json:"Levels,omitempty"` // of the groups of a tree that this one holds: 1 is the smallest
 }
 
 // Holdings are those of all limits.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -71,12 +71,12 @@
 
 // transport holds the settings that the decision module has no use for.
 type transport struct {
-	Rank        int
+	Rank        int `json:"Rank"`
 	Permissions struct {
-		MayTell    bool
-		IdleClose  int64
-		MaxStreams int
-	}
+		MayTell    bool  `json:"MayTell"`
+		IdleClose  int64 `json:"IdleClose"`
+		MaxStreams int   `json:"MaxStreams"`
+	} `json:"Permissions"`
 }
 
 const (
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -11,34 +11,34 @@
 
 // initialEvents is the settings' document `known`.
 type initialEvents struct {
-	Rev     uint64
+	Rev     uint64 `json:"rev"`
 	Notices []struct {
-		Rev   uint64
-		Pool  *serverList
-		Flush *purgeNotice
-	}
+		Rev   uint64       `json:"rev"`
+		Pool  *serverList  `json:"pool"`
+		Flush *purgeNotice `json:"flush"`
+	} `json:"notices"`
 }
 
 // serverList is a snapshot of the list of servers, or a change of it.
 type serverList struct {
-	All     bool
+	All     bool `json:"all"`
 	Targets []struct {
-		UID          string
-		Endpoint     string
-		AZ           string
-		Model        string
-		PodGroup     int64 `json:"pod_group"`
-		State        string
+		UID          string  `json:"uid"`
+		Endpoint     string  `json:"endpoint"`
+		AZ           string  `json:"az"`
+		Model        string  `json:"model"`
+		PodGroup     int64   `json:"pod_group"`
+		State        string  `json:"state"`
 		CapacityHint float64 `json:"capacity_hint"`
 		BootMs       float64 `json:"boot_ms"`
-	}
+	} `json:"targets"`
 }
 
 // purgeNotice names what is purged: an object or a collection.
 type purgeNotice struct {
-	Asset      string
-	Collection int64
-	Ms         float64
+	Asset      string  `json:"asset"`
+	Collection int64   `json:"collection"`
+	Ms         float64 `json:"ms"`
 }
 
 // statusOf maps the states of the document to the decision module's names of a server's status.
--- a/lab/live/play.go
+++ b/lab/live/play.go
@@ -333,8 +333,8 @@
 
 // limitLine is what the line fleet of a router's log tells of a limit.
 type limitLine struct {
-	Holder int
-	Levels []int
+	Holder int   `json:"Holder"`
+	Levels []int `json:"Levels"`
 }
 
 // reportedLimit has a router log its counters and reads its part in the limit; Holder -1 where it tells nothing.
@@ -349,7 +349,9 @@
 		return last
 	}
 	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
-		var line struct{ Limits []limitLine }
+		var line struct {
+			Limits []limitLine `json:"limits"`
+		}
 		if strings.Contains(lines.Text(), `"message":"fleet"`) && json.Unmarshal(lines.Bytes(), &line) == nil && len(line.Limits) == 1 {
 			last = line.Limits[0]
 		}
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -91,30 +91,30 @@
 // Phase is what one phase of a test measured. Bytes are payloads of datagrams and frames, in and out; those of a process are means over
 // the phase, and the worst process is the one with the most.
 type Phase struct {
-	Trouble                 Trouble
-	Seconds                 float64
-	MeanBytesPerSecond      float64
-	WorstBytesPerSecond     float64
-	PeakBytes               float64 // the most of any process in one second
-	WorstDatagramsPerSecond float64
-	CPUPercent              float64 // of one core, for the process with the most bytes; the one figure that a seed does not fix
-	MemoryKB                float64 // state of that process, in the part under test
+	Trouble                 Trouble `json:"Trouble"`
+	Seconds                 float64 `json:"Seconds"`
+	MeanBytesPerSecond      float64 `json:"MeanBytesPerSecond"`
+	WorstBytesPerSecond     float64 `json:"WorstBytesPerSecond"`
+	PeakBytes               float64 `json:"PeakBytes"` // the most of any process in one second
+	WorstDatagramsPerSecond float64 `json:"WorstDatagramsPerSecond"`
+	CPUPercent              float64 `json:"CPUPercent"` // of one core, for the process with the most bytes; the one figure that a seed does not fix
+	MemoryKB                float64 `json:"MemoryKB"`   // state of that process, in the part under test
 }
 
 // Figure is a further result of a test.
 type Figure struct {
-	Name  string
-	Value float64
+	Name  string  `json:"Name"`
+	Value float64 `json:"Value"`
 }
 
 // Result is what one run of a test measured at one size.
 type Result struct {
-	Test      string
-	Routers   int
-	Seed      uint64
-	Simulated int // processes simulated in full; where fewer than routers, each plays several
-	Phases    []Phase
-	Figures   []Figure
+	Test      string   `json:"Test"`
+	Routers   int      `json:"Routers"`
+	Seed      uint64   `json:"Seed"`
+	Simulated int      `json:"Simulated"` // processes simulated in full; where fewer than routers, each plays several
+	Phases    []Phase  `json:"Phases"`
+	Figures   []Figure `json:"Figures"`
 }
 
 // Worst is the greatest of each figure over all phases.
--- a/rules/beliefs.go
+++ b/rules/beliefs.go
@@ -12,49 +12,52 @@
 // sent of late, how long answers take, what is asked for most. A process that takes over from another starts with them. Requests
 // that are out are not among them: the process that sent them still sees their ends. Times are the module's microseconds.
 type Beliefs struct {
-	At      int64
-	Nodes   []NodeBelief
-	Behind  NodeBelief // the head office as seen through area caches
-	Peak    []float64  // by role
-	Classes []ClassBelief
-	Recent  map[string]int // requests by object
-	Spare   float64
+	At      int64          `json:"At"`
+	Nodes   []NodeBelief   `json:"Nodes"`
+	Behind  NodeBelief     `json:"Behind"` // the head office as seen through area caches
+	Peak    []float64      `json:"Peak"`   // by role
+	Classes []ClassBelief  `json:"Classes"`
+	Recent  map[string]int `json:"Recent"` // requests by object
+	Spare   float64        `json:"Spare"`
 }
 
 // NodeBelief is what is known of one process at a server. One that started anew is another.
 type NodeBelief struct {
-	Name            string
-	CameUp          int64
-	Limit           float64
-	CutAt           int64
-	MissPart        float64
-	Answered        float64
-	Answers, Work   Rate
-	Spent           []Spent `json:",omitempty"`
-	DrawnAt         int64
-	Luck            float64
-	Until           int64      // of its breaker; 0: closed
-	Dead            bool       // its last trial failed
-	Weights, Failed [8]float64 // the outcomes that the breaker holds
-	Next            int
+	Name     string     `json:"Name"`
+	CameUp   int64      `json:"CameUp"`
+	Limit    float64    `json:"Limit"`
+	CutAt    int64      `json:"CutAt"`
+	MissPart float64    `json:"MissPart"`
+	Answered float64    `json:"Answered"`
+	Answers  Rate       `json:"Answers"`
+	Work     Rate       `json:"Work"`
+	Spent    []Spent    `json:"Spent,omitempty"`
+	DrawnAt  int64      `json:"DrawnAt"`
+	Luck     float64    `json:"Luck"`
+	Until    int64      `json:"Until"`   // of its breaker; 0: closed
+	Dead     bool       `json:"Dead"`    // its last trial failed
+	Weights  [8]float64 `json:"Weights"` // the outcomes that the breaker holds, with Failed
+	Failed   [8]float64 `json:"Failed"`
+	Next     int        `json:"Next"`
 }
 
 // Rate is a sum that fades, as it stood at a time.
 type Rate struct {
-	Sum float64
-	At  int64
+	Sum float64 `json:"Sum"`
+	At  int64   `json:"At"`
 }
 
 // Spent is work sent to a cold server at a time.
 type Spent struct {
-	At   int64
-	Work float64
+	At   int64   `json:"At"`
+	Work float64 `json:"Work"`
 }
 
 // ClassBelief is what is known of a class.
 type ClassBelief struct {
-	Name           string
-	SendMean, Tail float64
+	Name     string  `json:"Name"`
+	SendMean float64 `json:"SendMean"`
+	Tail     float64 `json:"Tail"`
 }
 
 // longAgo is a time before the start of any server.
--- a/rules/types.go
+++ b/rules/types.go
@@ -1,101 +1,103 @@
 package rules
 
-// Settings is what an instance is told once, at its start. Fields carry the names of the wire's settings, so that
-// encoding/json fills them without tags. All times are microseconds.
+// Settings is what an instance is told once, at its start. The tags of fields are the names of the
+// wire's settings. All times are microseconds.
 type Settings struct {
-	Classes      []Class
-	Discovery    string // "automatic" or "subscribe"
-	Extra        Extra
-	Guarantees   Guarantees
-	Kinds        []string
-	Permissions  Permissions
-	Prices       Prices
-	Report       Report
-	Siblings     int
-	Tenants      []Tenant
-	WeightSource string // "silent", "nominal", "rough" or "live"
-	Zone         string
-	Zones        []string
-
-	OverShareWorth float64
+	Classes      []Class     `json:"Classes"`
+	Discovery    string      `json:"Discovery"` // "automatic" or "subscribe"
+	Extra        Extra       `json:"Extra"`
+	Guarantees   Guarantees  `json:"Guarantees"`
+	Kinds        []string    `json:"Kinds"`
+	Permissions  Permissions `json:"Permissions"`
+	Prices       Prices      `json:"Prices"`
+	Report       Report      `json:"Report"`
+	Siblings     int         `json:"Siblings"`
+	Tenants      []Tenant    `json:"Tenants"`
+	WeightSource string      `json:"WeightSource"` // "silent", "nominal", "rough" or "live"
+	Zone         string      `json:"Zone"`
+	Zones        []string    `json:"Zones"`
+
+	OverShareWorth float64 `json:"OverShareWorth"`
 }
 
 // Class is one class of requests.
 type Class struct {
-	Name        string
-	AimStretch  float64
-	Deadline    int64
-	Promise     int64
-	Gain        float64
-	LateWorth   float64
-	Group       string // "all", "zone" or "cell"
-	Idempotency string // "read_like", "idempotency_key" or "non_idempotent"
-	MemorySpan  int64
-	Stream      bool
+	Name        string  `json:"Name"`
+	AimStretch  float64 `json:"AimStretch"`
+	Deadline    int64   `json:"Deadline"`
+	Promise     int64   `json:"Promise"`
+	Gain        float64 `json:"Gain"`
+	LateWorth   float64 `json:"LateWorth"`
+	Group       string  `json:"Group"`       // "all", "zone" or "cell"
+	Idempotency string  `json:"Idempotency"` // "read_like", "idempotency_key" or "non_idempotent"
+	MemorySpan  int64   `json:"MemorySpan"`
+	Stream      bool    `json:"Stream"`
 }
 
 // Extra describes the tiers behind the router; the slices are by class or, where the name says so, by zone.
 type Extra struct {
-	FreshFor          []int64
-	GraceFor          []int64
-	HeedWithin        int64
-	MasterKind        int
-	MultiPart         []bool
-	Neighbours        string // "silent", "location" or "any"
-	NotesGiven        string // "all", "hit" or "silent"
-	PaceKbPerS        float64
-	ParentFloor       float64
-	ParentWarmsIn     int64
-	PassOn            []bool
-	PurgeTakes        int64
-	SeatsByZone       []int
-	SharesFills       bool
-	ShieldKind        int // -1: no parents
-	StaleEarns        []float64
-	Straight          bool
-	TransitPrice      float64
-	UpperFallMultiple float64
-	ZoneLinkKbPerS    []float64
+	FreshFor          []int64   `json:"FreshFor"`
+	GraceFor          []int64   `json:"GraceFor"`
+	HeedWithin        int64     `json:"HeedWithin"`
+	MasterKind        int       `json:"MasterKind"`
+	MultiPart         []bool    `json:"MultiPart"`
+	Neighbours        string    `json:"Neighbours"` // "silent", "location" or "any"
+	NotesGiven        string    `json:"NotesGiven"` // "all", "hit" or "silent"
+	PaceKbPerS        float64   `json:"PaceKbPerS"`
+	ParentFloor       float64   `json:"ParentFloor"`
+	ParentWarmsIn     int64     `json:"ParentWarmsIn"`
+	PassOn            []bool    `json:"PassOn"`
+	PurgeTakes        int64     `json:"PurgeTakes"`
+	SeatsByZone       []int     `json:"SeatsByZone"`
+	SharesFills       bool      `json:"SharesFills"`
+	ShieldKind        int       `json:"ShieldKind"` // -1: no parents
+	StaleEarns        []float64 `json:"StaleEarns"`
+	Straight          bool      `json:"Straight"`
+	TransitPrice      float64   `json:"TransitPrice"`
+	UpperFallMultiple float64   `json:"UpperFallMultiple"`
+	ZoneLinkKbPerS    []float64 `json:"ZoneLinkKbPerS"`
 }
 
 // Guarantees holds the figures of the rules.
 type Guarantees struct {
-	AskWithin         int64
-	Cold              int64
-	ColdFrom          float64
-	Fall              int64
-	GraceToAnswer     int64
-	StopSendingWithin int64
-	TipMultiple       float64
+	AskWithin         int64   `json:"AskWithin"`
+	Cold              int64   `json:"Cold"`
+	ColdFrom          float64 `json:"ColdFrom"`
+	Fall              int64   `json:"Fall"`
+	GraceToAnswer     int64   `json:"GraceToAnswer"`
+	StopSendingWithin int64   `json:"StopSendingWithin"`
+	TipMultiple       float64 `json:"TipMultiple"`
 }
 
 // Permissions says what the deployment allows.
 type Permissions struct {
-	Cancelling    bool
-	DialTimeout   int64
-	MaxAttempts   int
-	MaxRetryAfter int64
-	Probing       bool
-	RetryAfter    bool
-	SecondCopies  bool
+	Cancelling    bool  `json:"Cancelling"`
+	DialTimeout   int64 `json:"DialTimeout"`
+	MaxAttempts   int   `json:"MaxAttempts"`
+	MaxRetryAfter int64 `json:"MaxRetryAfter"`
+	Probing       bool  `json:"Probing"`
+	RetryAfter    bool  `json:"RetryAfter"`
+	SecondCopies  bool  `json:"SecondCopies"`
 }
 
 // Prices are points taken off the result.
 type Prices struct {
-	Origin, Probe, Waste float64
+	Origin float64 `json:"Origin"`
+	Probe  float64 `json:"Probe"`
+	Waste  float64 `json:"Waste"`
 }
 
 // Report says what load reports hold and how they come.
 type Report struct {
-	Fields []string
-	How    string // "piggyback", "pull" or "silent"
+	Fields []string `json:"Fields"`
+	How    string   `json:"How"` // "piggyback", "pull" or "silent"
 }
 
 // Tenant is a customer with a quota.
 type Tenant struct {
-	Name      string
-	QuotaPerS float64
-	Share     float64
+	Name      string  `json:"Name"`
+	QuotaPerS float64 `json:"QuotaPerS"`
+	Share     float64 `json:"Share"`
 }
 
 // EventKind tells which fields of an Event count.
