--- /dev/null
+++ b/core/fleet/wire_compat_test.go
@@ -0,0 +1,29 @@
+package fleet
+
+import (
+	"testing"
+
+	"spantack/internal/testfixture"
+)
+
+// The log line fleet of a router holds these.
+func TestLoggedHoldingsAreReadAndWrittenAlike(t *testing.T) {
+	testfixture.ReadAndWrite(t, "testdata/holdings.json", "", []Holding{
+		{
+			Name:   "s1",
+			Share:  2.5,
+			InUse:  3,
+			Holder: 4,
+			Holds:  true,
+			Levels: []int{5, 6},
+		},
+		{
+			Name:   "s7",
+			Share:  8.5,
+			InUse:  9,
+			Holder: 10,
+			Holds:  true,
+			Levels: []int{11, 12},
+		},
+	})
+}
--- /dev/null
+++ b/lab/wire_compat_test.go
@@ -0,0 +1,87 @@
+package lab
+
+import (
+	"testing"
+
+	"spantack/internal/testfixture"
+)
+
+// The file result.json of spanlab run, every field set.
+func TestStoredOutcomesAreReadAndWrittenAlike(t *testing.T) {
+	testfixture.ReadAndWrite(t, "testdata/outcomes.json", " ", []*Outcome{
+		{
+			Experiment: "s1",
+			Size:       "s2",
+			Seed:       3,
+			Runs: []Run{
+				{
+					Arm:     "s4",
+					Day:     "s5",
+					Figures: map[string]float64{"s6": 7.5, "s8": 9.5},
+					Seconds: []float64{10.5, 11.5},
+					Broken:  map[string]int64{"s12": 13, "s14": 15},
+				},
+				{
+					Arm:     "s16",
+					Day:     "s17",
+					Figures: map[string]float64{"s18": 19.5, "s20": 21.5},
+					Seconds: []float64{22.5, 23.5},
+					Broken:  map[string]int64{"s24": 25, "s26": 27},
+				},
+			},
+			Claims: []Verdict{
+				{Claim: Claim{
+					Name:  "s28",
+					Of:    "s29",
+					Over:  "s30",
+					Least: new(31.5),
+					Most:  new(32.5),
+				}, Value: 33.5, Kept: true},
+				{Claim: Claim{
+					Name:  "s34",
+					Of:    "s35",
+					Over:  "s36",
+					Least: new(37.5),
+					Most:  new(38.5),
+				}, Value: 39.5, Kept: true},
+			},
+		},
+		{
+			Experiment: "s40",
+			Size:       "s41",
+			Seed:       42,
+			Runs: []Run{
+				{
+					Arm:     "s43",
+					Day:     "s44",
+					Figures: map[string]float64{"s45": 46.5, "s47": 48.5},
+					Seconds: []float64{49.5, 50.5},
+					Broken:  map[string]int64{"s51": 52, "s53": 54},
+				},
+				{
+					Arm:     "s55",
+					Day:     "s56",
+					Figures: map[string]float64{"s57": 58.5, "s59": 60.5},
+					Seconds: []float64{61.5, 62.5},
+					Broken:  map[string]int64{"s63": 64, "s65": 66},
+				},
+			},
+			Claims: []Verdict{
+				{Claim: Claim{
+					Name:  "s67",
+					Of:    "s68",
+					Over:  "s69",
+					Least: new(70.5),
+					Most:  new(71.5),
+				}, Value: 72.5, Kept: true},
+				{Claim: Claim{
+					Name:  "s73",
+					Of:    "s74",
+					Over:  "s75",
+					Least: new(76.5),
+					Most:  new(77.5),
+				}, Value: 78.5, Kept: true},
+			},
+		},
+	})
+}
