--- /dev/null
+++ b/internal/config/wire_compat_test.go
@@ -0,0 +1,54 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/netip"
+	"os"
+	"reflect"
+	"testing"
+
+	"spantack/internal/router"
+)
+
+// The settings of a router's file are those of the fixture of package rules, whose test holds each value; the file has
+// the fields beside them that the router reads. A file that the release before took in is taken in alike.
+func TestStoredConfigIsReadAlike(t *testing.T) {
+	text, err := os.ReadFile("testdata/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile("../../rules/testdata/settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := json.Marshal(c.Settings); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("settings: read as %s, %v, want %s", got, err, want)
+	}
+	if c.DiscoveryAddr != "127.2.0.1:4222" || c.Manage != "127.2.0.1:9100" || uint64(c.Seed) != 0x8c1f30d27a5be964 ||
+		c.MemoryMB != 193 || c.Sockets != 1025 {
+		t.Errorf("read as %+v", c)
+	}
+	if c.DialTimeout != 0.05 || c.IdleClose != 25000.001 || c.MaxStreams != 33 || c.MaxWait != 0.024 ||
+		c.Longest != 0.012 {
+		t.Errorf("settings of transport: read as %+v", c)
+	}
+	tier := Tier{May: true, Rank: 1, Listen: "127.2.0.3:7001", All: netip.MustParseAddrPort("127.2.0.9:7004"),
+		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.2.0.2:7002"), netip.MustParseAddrPort("127.2.0.3:7003")}}
+	if !reflect.DeepEqual(c.Tier, tier) {
+		t.Errorf("tier: read as %+v, want %+v", c.Tier, tier)
+	}
+	notices := []router.Notice{
+		{Whole: true, Servers: []router.Server{{ID: "s-00c41f7a", Addr: "127.2.1.1:80", Zone: "s69", Kind: "s48", Cell: 5,
+			Status: "cordoned", Weight: 4.5, Started: 1764576000001.5}}},
+		{Purge: &router.Purge{Object: "00ab01", At: 1764576000002.5}},
+		{Purge: &router.Purge{Group: 77, At: 1764576000003.5}},
+	}
+	if c.LastKnown != 12 || !reflect.DeepEqual(c.Notices, notices) {
+		t.Errorf("known: read as %d, %+v, want %+v", c.LastKnown, c.Notices, notices)
+	}
+}
--- /dev/null
+++ b/internal/features/schema/wire_compat_test.go
@@ -0,0 +1,22 @@
+package schema
+
+import (
+	"bytes"
+	"os"
+	"testing"
+)
+
+// Editors and checks of others use the schema that spanctl check --schema prints.
+func TestStoredSchemaIsWrittenAlike(t *testing.T) {
+	want, err := os.ReadFile("testdata/schema.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := JSON()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("the schema differs from testdata/schema.json:\n%s", got)
+	}
+}
--- /dev/null
+++ b/internal/features/wire_compat_test.go
@@ -0,0 +1,77 @@
+package features
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+)
+
+// A features file with all on is read as the release before read it, and what it holds is written alike: once from
+// Jsonnet, once from what that evaluates to.
+func TestStoredFeaturesAreReadAndWrittenAlike(t *testing.T) {
+	for _, name := range []string{"all", "shuffle"} {
+		want, err := os.ReadFile("testdata/" + name + ".json")
+		if err != nil {
+			t.Fatal(err)
+		}
+		loaded, err := Load("testdata/" + name + ".jsonnet")
+		if err != nil {
+			t.Fatal(err)
+		}
+		parsed := &File{}
+		d := json.NewDecoder(bytes.NewReader(want))
+		d.DisallowUnknownFields()
+		if err := d.Decode(parsed); err != nil {
+			t.Fatalf("%s.json: %v", name, err)
+		}
+		if !reflect.DeepEqual(loaded, parsed) {
+			t.Errorf("%s: read as %+v from Jsonnet, %+v from JSON", name, loaded, parsed)
+		}
+		got, err := json.MarshalIndent(loaded, "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got = append(got, '\n'); !bytes.Equal(got, want) {
+			t.Errorf("%s: written as %s, want %s", name, got, want)
+		}
+	}
+}
+
+// Each feature of the file with all on is on, and what is made of it holds its values.
+func TestStoredFeaturesAreOn(t *testing.T) {
+	f, err := Load("testdata/all.jsonnet")
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile("testdata/all.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if parsed, err := Parse(text); err != nil || !reflect.DeepEqual(parsed, f) {
+		t.Errorf("all.json: read as %+v, %v, want %+v", parsed, err, f)
+	}
+	g, err := f.Graph()
+	if err != nil || g == nil {
+		t.Fatalf("shape: %v, %v", g, err)
+	}
+	if spec := f.Spec(); spec == nil || spec.Spare != "spare" || spec.Budget.GiveMs != 18 || spec.Keys[0].Named != "acme" {
+		t.Errorf("cells: %+v", spec)
+	}
+	if doc := f.Document(); doc == nil || doc.Version != 8 || doc.Moves[0].BackAt != 1764576040006 {
+		t.Errorf("moves: %+v", doc)
+	}
+	if s := f.Release(); s == nil || s.Version != 9 || s.Rings[1].For != 600012 || s.Margin != 1.25 {
+		t.Errorf("stage: %+v", s)
+	}
+	if d := f.Guard(); d == nil || d.Law != "gradient" || d.LingerMs != 3001 {
+		t.Errorf("shield: %+v", d)
+	}
+	if l := f.Limits(); len(l) != 1 || l[0].Most != 42 || l[0].Floor != 0.25 || !f.Judges() {
+		t.Errorf("fleet: %+v", l)
+	}
+	if tree := f.LeaseTree(); tree == nil || tree.Routers != 12001 || len(tree.Electors) != 3 {
+		t.Errorf("fleet.tree: %+v", tree)
+	}
+}
--- /dev/null
+++ b/internal/manage/wire_compat_test.go
@@ -0,0 +1,84 @@
+package manage
+
+import (
+	"bytes"
+	"context"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"spantack/rules"
+)
+
+// storedDir is a state directory as a process of an earlier release left it.
+const storedDir = "testdata/statedir"
+
+func stored(t *testing.T, dir, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(dir, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// A process reads what one of an earlier release left in the state directory, and leaves the same for it: files of the
+// same names with the same bytes. The file of the process that serves holds its id.
+func TestStoredStateDirIsReadAndWrittenAlike(t *testing.T) {
+	old := NewStateDir(storedDir, zerolog.Nop())
+	ids, err := old.Excluded()
+	if want := []string{"s-00c41f7a", "s-00000002"}; err != nil || !slices.Equal(ids, want) {
+		t.Fatalf("excluded: %v, %v, want %v", ids, err, want)
+	}
+	beliefs, found, err := old.LoadBeliefs()
+	if err != nil || !found || len(beliefs.Nodes) != 2 || beliefs.At != 1 ||
+		beliefs.Nodes[1].Name == "" || beliefs.Spare == 0 {
+		t.Fatalf("beliefs: %+v, %v, %v", beliefs, found, err)
+	}
+	if pid, err := strconv.Atoi(string(stored(t, storedDir, "spantack-serving"))); err != nil || pid <= 0 {
+		t.Fatalf("serving: %d, %v", pid, err)
+	}
+
+	dir := t.TempDir()
+	d := NewStateDir(dir, zerolog.Nop())
+	nothing := func() error { return nil }
+	if err := d.ChangeExcluded(func([]string) error { return nil }, nothing, func() []string { return ids }); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.ClaimServing(); err != nil {
+		t.Fatal(err)
+	}
+	defer d.servingLock.Close()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel() // it is written once before the end is heeded
+	if err := d.SaveBeliefs(ctx, func() rules.Beliefs { return beliefs }); err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, of := range []string{storedDir, dir} {
+		entries, err := os.ReadDir(of)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var list []string
+		for _, e := range entries {
+			list = append(list, e.Name())
+		}
+		if names != nil && !slices.Equal(names, list) {
+			t.Errorf("files %v, want %v", list, names)
+		}
+		names = list
+	}
+	for _, name := range []string{"spantack-outs.json", "spantack-beliefs.json", "spantack-lock"} {
+		if got, want := stored(t, dir, name), stored(t, storedDir, name); !bytes.Equal(got, want) {
+			t.Errorf("%s: written as %s, want %s", name, got, want)
+		}
+	}
+	if got, want := string(stored(t, dir, "spantack-serving")), strconv.Itoa(os.Getpid()); got != want {
+		t.Errorf("spantack-serving: written as %s, want %s", got, want)
+	}
+}
--- a/lab/wire_compat_test.go
+++ b/lab/wire_compat_test.go
@@ -1,6 +1,10 @@
 package lab
 
 import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
 	"testing"
 
 	"spantack/internal/testfixture"
@@ -85,3 +89,35 @@
 		},
 	})
 }
+
+// The result of spanlab run bench-day --seed 41 --size small is read, and Write puts the same bytes into its folder.
+func TestStoredResultIsReadAndWrittenAlike(t *testing.T) {
+	want, err := os.ReadFile("testdata/bench-day.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var outcomes []*Outcome
+	d := json.NewDecoder(bytes.NewReader(want))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&outcomes); err != nil {
+		t.Fatal(err)
+	}
+	if v, err := outcomes[0].Figure("none/calm/attempts"); err != nil || v != 4132 || outcomes[0].Seed != 41 {
+		t.Errorf("attempts %v, %v, seed %d", v, err, outcomes[0].Seed)
+	}
+	e, err := Load("bench-day")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := e.Write(dir, outcomes); err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile(filepath.Join(dir, "result.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("written as %s, want %s", got, want)
+	}
+}
