--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -226,7 +226,7 @@
 	log.Info().Str("listen", c.Listen).Uint64("known", c.LastKnown).Msg("serving")
 
 	watcher := &discovery.Watcher{Names: c.Names, LastApplied: c.LastKnown, Apply: apply, Clock: now, Log: log,
-		Tries: coldstart.Tries{Rank: c.Tier.Rank, Siblings: c.Settings.Siblings}}
+		Tries: coldstart.Tries{Rank: c.Tier.Rank, Siblings: c.Settings.FleetSize}}
 	watcher.SetAddress(c.DiscoveryAddr)
 	group, serving := errgroup.WithContext(serving)
 	var talk *peers.Talk
@@ -239,7 +239,7 @@
 	if talk != nil {
 		group.Go(func() error { return talk.Run(serving) })
 	} else if limits != nil { // nobody to keep it with: an even share of all that are listed
-		core.Lease(limits[0].Most / float64(max(c.Settings.Siblings, 1)))
+		core.Lease(limits[0].Most / float64(max(c.Settings.FleetSize, 1)))
 	}
 	group.Go(func() error { return watcher.Run(serving) })
 	var files reloads
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -116,6 +116,6 @@
 	case err != nil:
 		log.Warn().Err(err).Msg("what the process before believed can't be used")
 	case found:
-		log.Info().Int("servers", len(b.Nodes)).Int("objects", len(b.Recent)).Msg("taking over")
+		log.Info().Int("servers", len(b.Servers)).Int("objects", len(b.RecentRequests)).Msg("taking over")
 	}
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts routers on the simulator's wire: one rules.Router for each instance, nothing shared.
+// Command wirehost hosts routers on the simulator's wire: one rules.Engine for each instance, nothing shared.
 package main
 
 import (
@@ -20,7 +20,7 @@
 // run answers batches until the input ends. A reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
-	routers := map[string]*rules.Router{}
+	routers := map[string]*rules.Engine{}
 	var buf []byte
 	for {
 		batch, err := reader.Read()
@@ -40,7 +40,7 @@
 }
 
 // answer takes the events of a batch to their instances, each instance's in one step, in the order of first events.
-func answer(buf []byte, routers map[string]*rules.Router, batch *wire.Batch) ([]byte, error) {
+func answer(buf []byte, routers map[string]*rules.Engine, batch *wire.Batch) ([]byte, error) {
 	var order []string
 	pending := map[string][]rules.Event{}
 	for _, it := range batch.Items {
@@ -54,7 +54,7 @@
 			delete(routers, it.Instance)
 			pending[it.Instance] = nil
 		case it.Born:
-			router, err := rules.New(*it.Settings, it.Seed)
+			router, err := rules.NewEngine(*it.Settings, it.Seed)
 			if err != nil {
 				return buf, fmt.Errorf("settings of %s: %w", it.Instance, err)
 			}
@@ -73,7 +73,7 @@
 }
 
 // step runs one router; a panic in it becomes the wire's PANIC.
-func step(buf []byte, id string, router *rules.Router, now int64, events []rules.Event) (out []byte) {
+func step(buf []byte, id string, router *rules.Engine, now int64, events []rules.Event) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
 			out = wire.AppendPanic(buf, id, fmt.Sprint(p))
--- a/core/cells/above.go
+++ b/core/cells/above.go
@@ -85,7 +85,7 @@
 		return // what fills have told of its areas stays
 	}
 	for i := range m.up.names {
-		m.rules.Step(now, []rules.Event{{Kind: rules.Confine, Set: firstAreaSet + i}})
+		m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstAreaSet + i}})
 	}
 	m.up = above{graph: g}
 	if g != nil {
@@ -123,7 +123,7 @@
 		}
 		if row := m.above[name]; known && row.Status == "healthy" {
 			names[i] = append(names[i], name)
-			servers[i] = append(servers[i], moves.Server{Weight: max(row.Weight, 1), CameUp: row.CameUp})
+			servers[i] = append(servers[i], moves.Server{Weight: max(row.Weight, 1), CameUp: row.StartedAt})
 		}
 	}
 	_, terms := m.terms()
@@ -131,7 +131,7 @@
 	u.due = math.MaxInt64
 	for i := range areas {
 		if !slices.Equal(names[i], u.names[i]) {
-			m.rules.Step(now, []rules.Event{{Kind: rules.Confine, Set: firstAreaSet + i, Names: names[i]}})
+			m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstAreaSet + i, SubsetServers: names[i]}})
 			u.names[i] = names[i]
 		}
 		kb, warm := terms.KbPerS(now, servers[i])
@@ -183,7 +183,7 @@
 	}
 	if text != u.said {
 		u.said = text
-		m.says = append(m.says, rules.Action{Kind: rules.Log, Text: text})
+		m.says = append(m.says, rules.Action{Kind: rules.ActionLog, LogText: text})
 	}
 }
 
@@ -196,16 +196,16 @@
 	for i := range m.up.seen {
 		if s := &m.up.seen[i]; s.trial != 0 && now >= s.trial && len(m.up.names[i]) > 0 {
 			s.trial = m.nextTrial(now)
-			ev.Above = firstAreaSet + i
+			ev.ParentSubset = firstAreaSet + i
 			return
 		}
 	}
 	switch i := m.up.route.Pick(partHash(ev.Object, 0)); {
 	case i < 0: // no room by the plan: whoever has some after all, within the limits that rules keeps
 	case i < len(m.up.names):
-		ev.Above = firstAreaSet + i
+		ev.ParentSubset = firstAreaSet + i
 	default:
-		ev.Above = nobody
+		ev.ParentSubset = nobody
 	}
 }
 
@@ -229,9 +229,9 @@
 		return
 	}
 	for i := range acts {
-		if a := &acts[i]; a.Kind == rules.Get {
+		if a := &acts[i]; a.Kind == rules.ActionSend {
 			if area, known := m.up.areaOf[a.Source]; known {
-				m.up.asked[a.Call] = area
+				m.up.asked[a.RequestID] = area
 			}
 		}
 	}
@@ -239,21 +239,21 @@
 
 // filled learns from the end of an attempt, or of a request, whether its area gives fills.
 func (m *Module) filled(now int64, ev *rules.Event) {
-	area, known := m.up.asked[ev.Call]
+	area, known := m.up.asked[ev.RequestID]
 	if !known {
 		return
 	}
-	delete(m.up.asked, ev.Call)
-	if ev.Kind != rules.Outcome || area >= len(m.up.seen) {
+	delete(m.up.asked, ev.RequestID)
+	if ev.Kind != rules.EventOutcome || area >= len(m.up.seen) {
 		return
 	}
 	s := &m.up.seen[area]
 	switch {
-	case ev.Note == noteFilled || ev.Note == noteDeep:
+	case ev.CacheStatus == noteFilled || ev.CacheStatus == noteDeep:
 		if s.fails = 0; s.trial != 0 {
 			s.trial, m.up.due = 0, 0
 		}
-	case ev.Note == noteLost:
+	case ev.CacheStatus == noteLost:
 		if s.fails++; s.trial == 0 && s.fails >= lostAfter*len(m.up.names[area]) {
 			s.trial, m.up.due = m.nextTrial(now), 0
 		}
--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -8,24 +8,24 @@
 
 // note keeps the own depot's part of the list of servers.
 func (m *Module) note(ev *rules.Event) {
-	if ev.Mode == "unavailable" {
+	if ev.UpdateMode == "unavailable" {
 		return
 	}
-	if ev.Mode != "update" {
+	if ev.UpdateMode != "update" {
 		clear(m.list)
 		clear(m.above)
 	}
-	for _, row := range ev.Rows {
+	for _, row := range ev.Endpoints {
 		kind := slices.Index(m.set.Kinds, row.Kind)
-		shield := kind == m.set.Extra.ShieldKind
-		delete(m.list, row.Node)
-		delete(m.above, row.Node)
+		shield := kind == m.set.Hierarchy.ParentKind
+		delete(m.list, row.Server)
+		delete(m.above, row.Server)
 		switch {
 		case row.Status == "deregistered":
 		case shield:
-			m.above[row.Node] = row
-		case row.Zone == m.set.Zone && kind != m.set.Extra.MasterKind:
-			m.list[row.Node] = row
+			m.above[row.Server] = row
+		case row.Zone == m.set.Zone && kind != m.set.Hierarchy.OriginKind:
+			m.list[row.Server] = row
 		}
 	}
 	m.listed++
@@ -41,7 +41,7 @@
 	t := &m.tenants[who]
 	home := t.cell
 	write := m.writes[ev.Class]
-	kb := ev.SizeKb
+	kb := ev.SizeKB
 	if kb <= 0 {
 		kb = sizeUnsaid
 	}
@@ -51,7 +51,7 @@
 			return by.why
 		}
 	}
-	if straight := write && m.set.Extra.Straight; !straight && !m.cells[home].live { // what goes past the caches needs none
+	if straight := write && m.set.Hierarchy.AllowsDirectFetch; !straight && !m.cells[home].live { // what goes past the caches needs none
 		home = m.cells[home].spill
 		if home < 0 || !m.cells[home].live {
 			return NoCache
@@ -59,13 +59,13 @@
 		m.Stats.Spilled++
 	}
 	c := &m.cells[home]
-	release := m.stage != nil && m.stage.Stage().Holds(int(ev.Group), ev.Object)
+	release := m.stage != nil && m.stage.Stage().Holds(int(ev.PurgeGroup), ev.Object)
 	if release && !m.onStage(c.name, ev) {
 		return Staged
 	}
 	c.asked.add(now, 1)
 	lately := int8(0)
-	if m.seen.addHash(now, partHash(ev.Object, ev.Part), 1) >= 1+seenAtLeast {
+	if m.seen.addHash(now, partHash(ev.Object, ev.Chunk), 1) >= 1+seenAtLeast {
 		lately = 1
 	}
 	miss, deeper := t.fills.expect(lately, &m.cells[t.cell].fills)
@@ -132,9 +132,9 @@
 		m.parents.take(home, fill)
 		m.origin.take(home, deep)
 	}
-	ev.Set = m.setOf(now, who, home)
+	ev.Subset = m.setOf(now, who, home)
 	if m.spare >= 0 && home != m.spare {
-		ev.Spill = m.spare + 1
+		ev.OverflowSubset = m.spare + 1
 	}
 	if by.into {
 		m.admitMover(now, &by, home, ev)
@@ -147,7 +147,7 @@
 	if m.stage != nil || len(m.paths) > 0 {
 		class = m.classes[ev.Class]
 	}
-	m.open[ev.Call] = open{tenant: int32(who), cell: int32(home), kb: kb, fill: fill, deep: deep, lately: lately, write: write, class: int16(class), release: release, since: now, way: by}
+	m.open[ev.RequestID] = open{tenant: int32(who), cell: int32(home), kb: kb, fill: fill, deep: deep, lately: lately, write: write, class: int16(class), release: release, since: now, way: by}
 	m.Stats.Admitted++
 	return None
 }
@@ -191,22 +191,22 @@
 // not come back together.
 func (m *Module) refuse(ev *rules.Event) rules.Action {
 	most := float64(m.set.Permissions.MaxRetryAfter)
-	return rules.Action{Kind: rules.Refuse, Call: ev.Call, RetryAfter: int64(most * (waitLeast + (1-waitLeast)*m.rng.Float64()))}
+	return rules.Action{Kind: rules.ActionReject, RequestID: ev.RequestID, RetryAfter: int64(most * (waitLeast + (1-waitLeast)*m.rng.Float64()))}
 }
 
 // outcome corrects what was reckoned once it is known whether there was a fill.
 func (m *Module) outcome(now int64, ev *rules.Event) {
-	o, known := m.open[ev.Call]
+	o, known := m.open[ev.RequestID]
 	if !known {
 		return
 	}
 	t := &m.tenants[o.tenant]
-	if ev.Code == rules.Done && !o.write {
+	if ev.Outcome == rules.OutcomeServed && !o.write {
 		missed, deep := 0.0, 0.0
-		if ev.Note == 2 || ev.Note == 3 {
+		if ev.CacheStatus == 2 || ev.CacheStatus == 3 {
 			missed = 1
 		}
-		if ev.Note == 3 {
+		if ev.CacheStatus == 3 {
 			deep = 1
 		}
 		if !o.way.cold { // what it finds in a cell that does not know it yet tells nothing of what it will take
@@ -218,8 +218,8 @@
 		m.origin.settle(int(o.cell), o.kb*deep-o.deep)
 	}
 	m.saw(now, &o, ev)
-	if ev.Final {
-		m.over(ev.Call)
+	if ev.IsFinal {
+		m.over(ev.RequestID)
 	}
 }
 
@@ -227,17 +227,17 @@
 func (m *Module) answered(now int64, acts []rules.Action) {
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
-		case rules.Refuse:
-			if o, known := m.open[a.Call]; known {
+		case rules.ActionReject:
+			if o, known := m.open[a.RequestID]; known {
 				m.cells[o.cell].crowded(now)
 				m.unserved(now, &o, false)
 			}
-			m.over(a.Call)
-		case rules.Fail:
-			if o, known := m.open[a.Call]; known {
+			m.over(a.RequestID)
+		case rules.ActionFail:
+			if o, known := m.open[a.RequestID]; known {
 				m.unserved(now, &o, true)
 			}
-			m.over(a.Call)
+			m.over(a.RequestID)
 		}
 	}
 }
--- a/core/cells/cachesets.go
+++ b/core/cells/cachesets.go
@@ -18,7 +18,7 @@
 	m.dropSets(now)
 	if next == nil {
 		for i := range m.cells {
-			m.rules.Step(now, []rules.Event{{Kind: rules.Confine, Set: i + 1}})
+			m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: i + 1}})
 		}
 		m.assigned, m.spec, m.cells, m.tenants = nil, nil, nil, nil
 		m.capBehind(now, true)
@@ -73,18 +73,18 @@
 		m.open[call] = o
 	}
 	for i := len(m.cells); i < len(before); i++ {
-		m.rules.Step(now, []rules.Event{{Kind: rules.Confine, Set: i + 1}})
+		m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: i + 1}})
 	}
 	give := cmp.Or(spec.Budget.GiveMs, giveAtFirst) * 1000
 	routers := float64(m.routers())
 	link := spec.Budget.FillKbPerS
-	if zone := slices.Index(m.set.Zones, m.set.Zone); link == 0 && zone >= 0 && zone < len(m.set.Extra.ZoneLinkKbPerS) {
-		link = m.set.Extra.ZoneLinkKbPerS[zone]
+	if zone := slices.Index(m.set.Zones, m.set.Zone); link == 0 && zone >= 0 && zone < len(m.set.Hierarchy.ZoneLinkKBPerSecond) {
+		link = m.set.Hierarchy.ZoneLinkKBPerSecond[zone]
 	}
 	m.requests = newTree(spec.Budget.RequestsPerS/routers, shares, give)
 	m.fills = newTree(link/routers, shares, give)
 	m.puts = newTree(spec.Budget.WritesPerS/routers, shares, give)
-	tier := float64(max(m.set.Siblings, 1))
+	tier := float64(max(m.set.FleetSize, 1))
 	m.parents = newTree(spec.Budget.ParentKbPerS/tier, shares, give)
 	m.origin = newTree(spec.Budget.OriginKbPerS/tier, shares, give)
 	m.most = spec.Budget.Open
@@ -97,7 +97,7 @@
 func (m *Module) dropSets(now int64) {
 	for i, t := range m.tenants {
 		if t.setAt != 0 {
-			m.rules.Step(now, []rules.Event{{Kind: rules.Confine, Set: firstTenantSet + i}})
+			m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstTenantSet + i}})
 		}
 	}
 }
@@ -105,10 +105,10 @@
 // routers is how many share the depot, up or not: the settings tell it, nobody else does.
 func (m *Module) routers() int {
 	zone := slices.Index(m.set.Zones, m.set.Zone)
-	if s := m.set.Extra.SeatsByZone; zone >= 0 && zone < len(s) && s[zone] > 0 {
+	if s := m.set.Hierarchy.RoutersByZone; zone >= 0 && zone < len(s) && s[zone] > 0 {
 		return s[zone]
 	}
-	return max(m.set.Siblings, 1)
+	return max(m.set.FleetSize, 1)
 }
 
 // Version is that of the specification in force, 0 without one.
@@ -138,7 +138,7 @@
 			continue
 		}
 		c.names = slices.Clone(names)
-		m.confine = append(m.confine, rules.Event{Kind: rules.Confine, Set: i + 1, Account: i + 1, Share: c.share, Names: c.names})
+		m.confine = append(m.confine, rules.Event{Kind: rules.EventSubset, Subset: i + 1, AccountingGroup: i + 1, CapacityShare: c.share, SubsetServers: c.names})
 	}
 	if len(m.confine) > 0 {
 		m.rules.Step(now, m.confine)
@@ -156,8 +156,8 @@
 	}
 	if t.setAt != m.listed+1 {
 		t.setAt = m.listed + 1
-		m.rules.Step(now, []rules.Event{{Kind: rules.Confine, Set: firstTenantSet + who, Account: t.cell + 1, Share: m.cells[t.cell].share,
-			Names: m.CachesOf(who)}})
+		m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstTenantSet + who, AccountingGroup: t.cell + 1, CapacityShare: m.cells[t.cell].share,
+			SubsetServers: m.CachesOf(who)}})
 	}
 	return firstTenantSet + who
 }
@@ -172,7 +172,7 @@
 }
 
 // Cache tells whether a row of the list is a cache's: no area cache, not the head office.
-func (m *Module) Cache(row rules.Row) bool {
+func (m *Module) Cache(row rules.Endpoint) bool {
 	kind := slices.Index(m.set.Kinds, row.Kind)
-	return kind != m.set.Extra.MasterKind && kind != m.set.Extra.ShieldKind
+	return kind != m.set.Hierarchy.OriginKind && kind != m.set.Hierarchy.ParentKind
 }
--- a/core/cells/gate.go
+++ b/core/cells/gate.go
@@ -82,8 +82,8 @@
 	Kept     int64          `json:"Kept"`  // kept from it for want of room there
 }
 
-// Module is the decision module behind its gate: rules.Router with each request confined to its tenant's cell. Without
-// a specification it is rules.Router and nothing else. It is not safe for concurrent use.
+// Module is the decision module behind its gate: rules.Engine with each request confined to its tenant's cell. Without
+// a specification it is rules.Engine and nothing else. It is not safe for concurrent use.
 type Module struct {
 	Stats Stats
 	// Ahead, in microseconds, is how far the clock by which documents of moves are read is ahead of the times of events.
@@ -92,7 +92,7 @@
 	// an event waits.
 	Elsewhere bool
 
-	rules    *rules.Router
+	rules    *rules.Engine
 	set      rules.Settings
 	rng      *rand.Rand
 	assigned *Assignment
@@ -100,7 +100,7 @@
 	tenants  []tenant
 	cells    []cell
 	spare    int // -1: none
-	list     map[string]rules.Row
+	list     map[string]rules.Endpoint
 	listed   int
 	caches   []string // listed ones of the own depot
 	confine  []rules.Event
@@ -112,7 +112,7 @@
 	open     map[string]open
 	doc      *moves.Document // nil: nobody moves
 	paths    []*moving       // moves of this depot that are not over
-	above    map[string]rules.Row
+	above    map[string]rules.Endpoint
 	up       above
 	behind   []moves.Server // area caches listed
 	lookedAt int64          // when rooms were last measured
@@ -128,11 +128,11 @@
 
 // NewModule returns a module for the settings, confining nothing until Confine is called.
 func NewModule(set rules.Settings, seed int64) (*Module, error) {
-	inner, err := rules.New(set, seed)
+	inner, err := rules.NewEngine(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	m := &Module{rules: inner, set: set, rng: rand.New(rand.NewPCG(uint64(seed), 1)), list: map[string]rules.Row{}, above: map[string]rules.Row{},
+	m := &Module{rules: inner, set: set, rng: rand.New(rand.NewPCG(uint64(seed), 1)), list: map[string]rules.Endpoint{}, above: map[string]rules.Endpoint{},
 		open: map[string]open{}, writes: map[string]bool{}, classes: map[string]int{}, gains: map[string]float64{}, objects: NewHitters(heavyObjects, objectHalfLife)}
 	m.learnClasses(set)
 	return m, nil
@@ -144,19 +144,19 @@
 	clear(m.classes)
 	clear(m.writes)
 	for i, c := range set.Classes {
-		m.gains[c.Name], m.classes[c.Name] = c.Gain, i
-		m.writes[c.Name] = i < len(set.Extra.PassOn) && set.Extra.PassOn[i]
+		m.gains[c.Name], m.classes[c.Name] = c.PriorityWeight, i
+		m.writes[c.Name] = i < len(set.Hierarchy.Uncacheable) && set.Hierarchy.Uncacheable[i]
 	}
 }
 
-// Retune puts other settings in force as rules.Router.Retune does. How late an answer to an open request is told by its
+// Retune puts other settings in force as rules.Router.UpdateSettings does. How late an answer to an open request is told by its
 // class's place among the new ones, or, where it has none, by the first one's: that is all the gate keeps of it.
 func (m *Module) Retune(now int64, set rules.Settings) error {
-	if err := m.rules.Retune(set); err != nil {
+	if err := m.rules.UpdateSettings(set); err != nil {
 		return err
 	}
 	set.Zone, set.Zones, set.Kinds = m.set.Zone, m.set.Zones, m.set.Kinds
-	set.Extra.MasterKind, set.Extra.ShieldKind = m.set.Extra.MasterKind, m.set.Extra.ShieldKind
+	set.Hierarchy.OriginKind, set.Hierarchy.ParentKind = m.set.Hierarchy.OriginKind, m.set.Hierarchy.ParentKind
 	old := m.set
 	m.set = set
 	m.learnClasses(set)
@@ -171,20 +171,22 @@
 }
 
 // Beliefs and Believe are those of the module behind the gate. What the gate itself has learnt of tenants is not handed on.
-func (m *Module) Beliefs(now int64) rules.Beliefs { return m.rules.Beliefs(now) }
+func (m *Module) Beliefs(now int64) rules.LearnedState { return m.rules.LearnedState(now) }
 
 // Believe takes over what another process of the same router believed.
-func (m *Module) Believe(now int64, b rules.Beliefs) error { return m.rules.Believe(now, b) }
+func (m *Module) Believe(now int64, b rules.LearnedState) error {
+	return m.rules.RestoreLearnedState(now, b)
+}
 
 // Avoided names the listed caches of the own depot that requests are kept off by their breakers.
-func (m *Module) Avoided(now int64) []string { return m.rules.Avoided(now) }
+func (m *Module) Avoided(now int64) []string { return m.rules.EjectedCaches(now) }
 
 // Step takes what came in at a time and returns what to do, in order.
 func (m *Module) Step(now int64, events []rules.Event) []rules.Action {
 	var acts []rules.Action
 	if m.spec == nil && m.up.graph == nil && m.guard == nil {
 		for i := range events {
-			if events[i].Kind == rules.Members {
+			if events[i].Kind == rules.EventEndpoints {
 				m.note(&events[i])
 			}
 		}
@@ -194,7 +196,7 @@
 		ev := &events[i]
 		refused := false
 		switch ev.Kind {
-		case rules.Request:
+		case rules.EventRequest:
 			m.askAbove(now, ev)
 			if m.spec == nil {
 				break
@@ -203,15 +205,15 @@
 				m.Stats.Refused[why]++
 				acts, refused = append(acts, m.refuse(ev)), true
 			}
-		case rules.Outcome:
+		case rules.EventOutcome:
 			m.filled(now, ev)
 			m.guarded(now, ev)
 			m.outcome(now, ev)
-		case rules.Gone:
+		case rules.EventAborted:
 			m.filled(now, ev)
 			m.guarded(now, ev)
-			m.over(ev.Call)
-		case rules.Members:
+			m.over(ev.RequestID)
+		case rules.EventEndpoints:
 			m.note(ev)
 		}
 		if refused {
@@ -222,7 +224,7 @@
 		m.asks(next)
 		m.guards(next)
 		m.capBehind(now, false)
-		if ev.Kind == rules.Members {
+		if ev.Kind == rules.EventEndpoints {
 			if m.spec != nil {
 				m.divide(now)
 			}
@@ -243,5 +245,5 @@
 
 // Tenant tells whose request it is, by its place in the specification.
 func (m *Module) Tenant(ev *rules.Event) int {
-	return int(m.assigned.ofKey[m.assigned.keys.find(int(ev.Group), ev.Class, ev.Object, ev.Tenant)])
+	return int(m.assigned.ofKey[m.assigned.keys.find(int(ev.PurgeGroup), ev.Class, ev.Object, ev.Tenant)])
 }
--- a/core/cells/guarding.go
+++ b/core/cells/guarding.go
@@ -42,7 +42,7 @@
 	if m.guard != nil && m.guard.doc == *d {
 		return nil // what fills have told stays
 	}
-	terms, law, err := d.Terms(max(m.set.Siblings, 1))
+	terms, law, err := d.Terms(max(m.set.FleetSize, 1))
 	if err != nil {
 		return err
 	}
@@ -61,9 +61,9 @@
 		return
 	}
 	for i := range acts {
-		if a := &acts[i]; a.Kind == rules.Get && a.Source != "" && a.Source != a.Node && a.How&rules.HeldOnly == 0 {
+		if a := &acts[i]; a.Kind == rules.ActionSend && a.Source != "" && a.Source != a.Server && a.FetchFlags&rules.FetchCachedOnly == 0 {
 			_, area := m.above[a.Source]
-			m.guard.out[a.Call] = !area
+			m.guard.out[a.RequestID] = !area
 			if !area {
 				m.guard.whole++
 			}
@@ -77,34 +77,34 @@
 	if g == nil {
 		return
 	}
-	straight, known := g.out[ev.Call]
+	straight, known := g.out[ev.RequestID]
 	if !known {
 		return
 	}
-	delete(g.out, ev.Call)
+	delete(g.out, ev.RequestID)
 	if straight {
 		g.whole--
 	}
-	unanswered := ev.Kind != rules.Outcome || ev.Code == rules.TimedOut || ev.Code == rules.Cancelled
+	unanswered := ev.Kind != rules.EventOutcome || ev.Outcome == rules.OutcomeTimedOut || ev.Outcome == rules.OutcomeCanceled
 	was := 0.0
 	switch at := m.millis(now); {
 	case unanswered:
 		if len(g.left) < mostLeft {
 			g.left = append(g.left, now+int64(g.doc.LingerMs*1000))
 		}
-		if ev.Code == rules.TimedOut {
-			g.limit.Ended(at, float64(ev.Rtt)/1000, true)
+		if ev.Outcome == rules.OutcomeTimedOut {
+			g.limit.Ended(at, float64(ev.ResponseTime)/1000, true)
 		}
 		return // it tells nothing of what part asks the head office: the slow ones are among these
 	case straight:
-		if ev.Note == noteFilled {
+		if ev.CacheStatus == noteFilled {
 			g.limit.Ended(at, float64(ev.UpstreamWait)/1000, false)
 		}
 		return
-	case ev.Note == noteDeep:
+	case ev.CacheStatus == noteDeep:
 		was = 1
 		g.limit.Ended(at, float64(ev.UpstreamWait)/1000, false)
-	case ev.Note == noteRoot:
+	case ev.CacheStatus == noteRoot:
 		was = 1
 		g.limit.Ended(at, float64(ev.UpstreamWait)/1000, true)
 	}
@@ -119,7 +119,7 @@
 	}
 	most := 0.0 // none
 	if m.spec != nil {
-		most = float64(m.spec.Budget.OriginOpen) / float64(max(m.set.Siblings, 1))
+		most = float64(m.spec.Budget.OriginOpen) / float64(max(m.set.FleetSize, 1))
 	}
 	if g != nil {
 		for len(g.left) > 0 && g.left[0] <= now {
@@ -137,7 +137,7 @@
 		}
 		g.cap = most
 	}
-	m.rules.Step(now, []rules.Event{{Kind: rules.Confine, Behind: most, Asks: m.lease}})
+	m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, MaxPossibleOriginFills: most, MaxConfirmedOriginFills: m.lease}})
 }
 
 // Lease bounds the fills that ask the head office by what this router holds of a limit that the whole fleet keeps: core/fleet. Each is known to
@@ -150,10 +150,10 @@
 }
 
 // Sources names the listed area caches, and those of them that breakers keep this router off.
-func (m *Module) Sources(now int64) (all, shut []string) { return m.rules.Sources(now) }
+func (m *Module) Sources(now int64) (all, shut []string) { return m.rules.Parents(now) }
 
 // Asking is how many such fills are out.
-func (m *Module) Asking() int { return m.rules.Asking() }
+func (m *Module) Asking() int { return m.rules.ConfirmedOriginFills() }
 
 // GuardNow is how the shield stands at a router.
 type GuardNow struct {
@@ -169,5 +169,5 @@
 	if g == nil {
 		return nil
 	}
-	return &GuardNow{Limit: g.limit.Now(), Share: g.doc.Most / float64(max(m.set.Siblings, 1)), Out: len(g.out), GivenUp: len(g.left), Deep: g.deep}
+	return &GuardNow{Limit: g.limit.Now(), Share: g.doc.Most / float64(max(m.set.FleetSize, 1)), Out: len(g.out), GivenUp: len(g.left), Deep: g.deep}
 }
--- a/core/cells/moving.go
+++ b/core/cells/moving.go
@@ -133,7 +133,7 @@
 	m.behind = m.behind[:0]
 	for _, name := range sortedRows(m.above) {
 		if row := m.above[name]; row.Status == "healthy" {
-			m.behind = append(m.behind, moves.Server{Weight: row.Weight, CameUp: row.CameUp})
+			m.behind = append(m.behind, moves.Server{Weight: row.Weight, CameUp: row.StartedAt})
 		}
 	}
 	_, warm := above.KbPerS(now, m.behind)
@@ -151,7 +151,7 @@
 			weight := max(row.Weight, 1)
 			whole += weight * caches.PaceKbPerS
 			if row.Status == "healthy" {
-				servers = append(servers, moves.Server{Weight: weight, CameUp: row.CameUp})
+				servers = append(servers, moves.Server{Weight: weight, CameUp: row.StartedAt})
 			}
 		}
 		kb, _ := caches.KbPerS(now, servers)
@@ -180,7 +180,7 @@
 	}
 }
 
-func sortedRows(rows map[string]rules.Row) []string {
+func sortedRows(rows map[string]rules.Endpoint) []string {
 	names := make([]string, 0, len(rows))
 	for name := range rows {
 		names = append(names, name)
@@ -191,9 +191,9 @@
 
 // terms are what the settings say of caches, and of area caches.
 func (m *Module) terms() (caches, above moves.Terms) {
-	g, x := &m.set.Guarantees, &m.set.Extra
-	caches = moves.Terms{PaceKbPerS: x.PaceKbPerS, ColdFrom: g.ColdFrom, Cold: g.Cold, Fall: g.Fall}
-	above = moves.Terms{PaceKbPerS: x.PaceKbPerS, ColdFrom: x.ParentFloor, Cold: x.ParentWarmsIn, Fall: g.Fall}
+	g, x := &m.set.Guarantees, &m.set.Hierarchy
+	caches = moves.Terms{PaceKbPerS: x.ResponseKBPerSecond, ColdFrom: g.InitialCapacity, Cold: g.WarmUpTime, Fall: g.OverloadWindow}
+	above = moves.Terms{PaceKbPerS: x.ResponseKBPerSecond, ColdFrom: x.ParentInitialCapacity, Cold: x.ParentWarmUpTime, Fall: g.OverloadWindow}
 	return caches, above
 }
 
@@ -262,7 +262,7 @@
 
 // cellHash is the key of a part in a cell.
 func cellHash(ev *rules.Event, cell int) uint64 {
-	return partHash(ev.Object, ev.Part) + uint64(cell+1)*0xd1342543de82ef95
+	return partHash(ev.Object, ev.Chunk) + uint64(cell+1)*0xd1342543de82ef95
 }
 
 // reckon is what a request takes from above where it goes.
@@ -281,21 +281,21 @@
 	m.seen.addHash(now, cellHash(ev, cell), 1)
 	m.Stats.Moved++
 	back := p.from
-	if ev.Set == p.from+1 {
+	if ev.Subset == p.from+1 {
 		back = p.to
 	}
-	if ev.Spill == 0 && m.cells[back].live {
-		ev.Spill = back + 1
+	if ev.OverflowSubset == 0 && m.cells[back].live {
+		ev.OverflowSubset = back + 1
 	}
 }
 
 // saw tells a move's pace how an attempt of its tenant ended.
 func (m *Module) saw(now int64, o *open, ev *rules.Event) {
 	m.judged(now, o, ev)
-	if ev.Code != rules.Done || len(m.paths) == 0 {
+	if ev.Outcome != rules.OutcomeServed || len(m.paths) == 0 {
 		return // whether it was served in time shows at its end
 	}
-	if pace := m.set.Extra.PaceKbPerS; (ev.Note == 2 || ev.Note == 3) && pace > 0 && o.kb > 0 {
+	if pace := m.set.Hierarchy.ResponseKBPerSecond; (ev.CacheStatus == 2 || ev.CacheStatus == 3) && pace > 0 && o.kb > 0 {
 		m.cells[o.cell].room.Learn(float64(ev.UpstreamWait) / (o.kb / pace * 1e6))
 	}
 	if o.way.move == nil {
@@ -307,10 +307,10 @@
 // aims is how long an answer may take in full worth, in microseconds.
 func (m *Module) aims(o *open) float64 {
 	c := &m.set.Classes[o.class]
-	if m.set.Extra.PaceKbPerS <= 0 {
-		return float64(c.Promise)
+	if m.set.Hierarchy.ResponseKBPerSecond <= 0 {
+		return float64(c.LatencyObjective)
 	}
-	return float64(c.Promise) + c.AimStretch*o.kb/m.set.Extra.PaceKbPerS*1e6
+	return float64(c.LatencyObjective) + c.ObjectiveSizeFactor*o.kb/m.set.Hierarchy.ResponseKBPerSecond*1e6
 }
 
 // unserved tells a move's pace, and the stage that runs, of a request that rules refused or failed.
--- a/core/cells/staging.go
+++ b/core/cells/staging.go
@@ -68,7 +68,7 @@
 		if m.stage.Harmed(i) {
 			text += ", by " + why.String()
 		}
-		m.says = append(m.says, rules.Action{Kind: rules.Log, Text: text})
+		m.says = append(m.says, rules.Action{Kind: rules.ActionLog, LogText: text})
 	}
 }
 
@@ -88,9 +88,9 @@
 func (m *Module) onStage(cell string, ev *rules.Event) bool {
 	lets := m.stage.Lets(cell)
 	if lets.From > 0 {
-		ev.MadeFrom = int64(lets.From*1000) - m.Ahead
+		ev.MinVersionTime = int64(lets.From*1000) - m.Ahead
 	}
-	ev.MayAge = int64(lets.Age * 1000)
+	ev.MaxAge = int64(lets.Age * 1000)
 	return !lets.Not
 }
 
@@ -100,12 +100,12 @@
 		return
 	}
 	switch {
-	case ev.Note == noteFilled || ev.Note == noteDeep:
+	case ev.CacheStatus == noteFilled || ev.CacheStatus == noteDeep:
 		m.tally(o, stages.FillBad, 0)
-	case ev.Note >= noteBad:
+	case ev.CacheStatus >= noteBad:
 		m.tally(o, stages.FillBad, 1)
 	}
-	if ev.Code != rules.Done || !ev.Final {
+	if ev.Outcome != rules.OutcomeServed || !ev.IsFinal {
 		return
 	}
 	late := 0.0
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -31,27 +31,27 @@
 
 // Roster is one router's list. It is not safe for concurrent use.
 type Roster struct {
-	rows map[string]rules.Row // as told last; gone ones are not in it
+	rows map[string]rules.Endpoint // as told last; gone ones are not in it
 	outs map[string]bool
 	shun map[string]bool // by verdict: never handed on, never in Outs
 }
 
 // New returns an empty list with nothing out.
 func New() *Roster {
-	return &Roster{rows: map[string]rules.Row{}, outs: map[string]bool{}, shun: map[string]bool{}}
+	return &Roster{rows: map[string]rules.Endpoint{}, outs: map[string]bool{}, shun: map[string]bool{}}
 }
 
 // Note takes a change of the list, or the whole list, and returns it as the decision module is to hear it.
-func (r *Roster) Note(whole bool, rows []rules.Row) []rules.Row {
+func (r *Roster) Note(whole bool, rows []rules.Endpoint) []rules.Endpoint {
 	if whole {
 		clear(r.rows)
 	}
-	heard := make([]rules.Row, 0, len(rows))
+	heard := make([]rules.Endpoint, 0, len(rows))
 	for _, row := range rows {
 		if row.Status == gone {
-			delete(r.rows, row.Node)
+			delete(r.rows, row.Server)
 		} else {
-			r.rows[row.Node] = row
+			r.rows[row.Server] = row
 		}
 		heard = append(heard, r.effective(row))
 	}
@@ -59,15 +59,15 @@
 }
 
 // effective is a row as the module is to hear it.
-func (r *Roster) effective(row rules.Row) rules.Row {
-	if row.Status == healthy && (r.outs[row.Node] || r.shun[row.Node]) {
+func (r *Roster) effective(row rules.Endpoint) rules.Endpoint {
+	if row.Status == healthy && (r.outs[row.Server] || r.shun[row.Server]) {
 		row.Status = out
 	}
 	return row
 }
 
 // Exclude takes a listed server out and returns the rows that the module has to hear; none where it was out already.
-func (r *Roster) Exclude(id string) ([]rules.Row, error) {
+func (r *Roster) Exclude(id string) ([]rules.Endpoint, error) {
 	row, listed := r.rows[id]
 	switch {
 	case r.outs[id]:
@@ -78,11 +78,11 @@
 		return nil, ErrFull
 	}
 	r.outs[id] = true
-	return []rules.Row{r.effective(row)}, nil
+	return []rules.Endpoint{r.effective(row)}, nil
 }
 
 // Include puts a server back, however often it was taken out, listed or not.
-func (r *Roster) Include(id string) ([]rules.Row, error) {
+func (r *Roster) Include(id string) ([]rules.Endpoint, error) {
 	row, listed := r.rows[id]
 	was := r.outs[id]
 	delete(r.outs, id)
@@ -92,11 +92,11 @@
 	case !listed || !was:
 		return nil, nil
 	}
-	return []rules.Row{r.effective(row)}, nil
+	return []rules.Endpoint{r.effective(row)}, nil
 }
 
 // Shun replaces what verdicts keep off and returns the rows that the module has to hear. Servers that are not listed count when they are.
-func (r *Roster) Shun(ids []string) (changed []rules.Row) {
+func (r *Roster) Shun(ids []string) (changed []rules.Endpoint) {
 	next := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		next[id] = true
@@ -118,7 +118,7 @@
 func (r *Roster) Outs() []string { return slices.Sorted(maps.Keys(r.outs)) }
 
 // Adopt replaces what is out and returns the rows that the module has to hear. It refuses a set that it could not have made.
-func (r *Roster) Adopt(ids []string) ([]rules.Row, error) {
+func (r *Roster) Adopt(ids []string) ([]rules.Endpoint, error) {
 	if len(ids) > MostOuts {
 		return nil, fmt.Errorf("%d ids: %w", len(ids), ErrFull)
 	}
@@ -129,7 +129,7 @@
 		}
 		next[id] = true
 	}
-	var changed []rules.Row
+	var changed []rules.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(r.rows)) {
 		if r.outs[id] != next[id] {
 			changed = append(changed, r.rows[id])
@@ -143,7 +143,7 @@
 }
 
 // Count tells how many listed servers there are for which keep is true, and how many of them are out or among avoided.
-func (r *Roster) Count(keep func(rules.Row) bool, avoided []string) (listed, off int) {
+func (r *Roster) Count(keep func(rules.Endpoint) bool, avoided []string) (listed, off int) {
 	for id, row := range r.rows {
 		if !keep(row) {
 			continue
--- a/emulator/config.go
+++ b/emulator/config.go
@@ -269,35 +269,35 @@
 func (c *Config) settings(depot int) rules.Settings {
 	set := rules.Settings{
 		Discovery: "automatic",
-		Extra: rules.Extra{HeedWithin: 300 * ms, MasterKind: 2, ShieldKind: 1, NotesGiven: "all", PaceKbPerS: paceKbS,
-			ParentFloor: parentColdFrom, ParentWarmsIn: parentColdFor, PurgeTakes: 6 * sec, Straight: true, UpperFallMultiple: parentFall},
-		Guarantees: rules.Guarantees{AskWithin: 10 * sec, Cold: cacheColdFor, ColdFrom: cacheColdFrom, Fall: fallSpan,
-			GraceToAnswer: 8 * ms, StopSendingWithin: drainBinds, TipMultiple: cacheFall},
+		Hierarchy: rules.CacheHierarchy{PurgeGracePeriod: 300 * ms, OriginKind: 2, ParentKind: 1, CacheStatusReporting: "all", ResponseKBPerSecond: paceKbS,
+			ParentInitialCapacity: parentColdFrom, ParentWarmUpTime: parentColdFor, PurgePropagationTime: 6 * sec, AllowsDirectFetch: true, ParentOverloadMultiple: parentFall},
+		Guarantees: rules.Guarantees{MaxPollInterval: 10 * sec, WarmUpTime: cacheColdFor, InitialCapacity: cacheColdFrom, OverloadWindow: fallSpan,
+			AnswerGracePeriod: 8 * ms, DrainGracePeriod: drainBinds, OverloadMultiple: cacheFall},
 		Kinds:        []string{"small-box", "area", "head-office"},
-		Permissions:  rules.Permissions{Cancelling: true, DialTimeout: 400 * ms, MaxAttempts: 8, MaxRetryAfter: sec, RetryAfter: true},
-		Siblings:     c.Routers * c.Depots,
+		Permissions:  rules.Permissions{MayCancel: true, DialTimeout: 400 * ms, MaxAttempts: 8, MaxRetryAfter: sec, SendsRetryAfter: true},
+		FleetSize:    c.Routers * c.Depots,
 		WeightSource: "nominal",
 		Zone:         zoneName(depot),
 		Zones:        []string{"hub"},
 	}
 	for i, cl := range classOf {
-		effect := "read_like"
+		effect := rules.IdempotentRead
 		if i == report {
-			effect = "idempotency_key"
+			effect = rules.IdempotentKey
 		}
-		set.Classes = append(set.Classes, rules.Class{Name: cl.name, AimStretch: cl.stretch, Deadline: int64(cl.allow) * ms,
-			Promise: int64(c.promise(i)) * ms, Gain: cl.gain, LateWorth: cl.late, Group: "all", Idempotency: effect, MemorySpan: 6 * sec})
-		set.Extra.PassOn = append(set.Extra.PassOn, i == report)
-		set.Extra.MultiPart = append(set.Extra.MultiPart, i == video)
+		set.Classes = append(set.Classes, rules.Class{Name: cl.name, ObjectiveSizeFactor: cl.stretch, Deadline: int64(cl.allow) * ms,
+			LatencyObjective: int64(c.promise(i)) * ms, PriorityWeight: cl.gain, LateWeightFactor: cl.late, DeduplicationScope: "all", Idempotency: effect, DeduplicationWindow: 6 * sec})
+		set.Hierarchy.Uncacheable = append(set.Hierarchy.Uncacheable, i == report)
+		set.Hierarchy.Chunked = append(set.Hierarchy.Chunked, i == video)
 	}
-	set.Extra.FreshFor, set.Extra.GraceFor = []int64{0, c.fresh(), 0}, []int64{0, c.grace(), 0}
-	set.Extra.StaleEarns = []float64{1, 0.7, 1}
-	set.Extra.SeatsByZone = []int{0}
-	set.Extra.ZoneLinkKbPerS = []float64{0}
+	set.Hierarchy.FreshnessLifetime, set.Hierarchy.StaleGracePeriod = []int64{0, c.fresh(), 0}, []int64{0, c.grace(), 0}
+	set.Hierarchy.StaleWeightFactor = []float64{1, 0.7, 1}
+	set.Hierarchy.RoutersByZone = []int{0}
+	set.Hierarchy.ZoneLinkKBPerSecond = []float64{0}
 	for d := range c.Depots {
 		set.Zones = append(set.Zones, zoneName(d))
-		set.Extra.SeatsByZone = append(set.Extra.SeatsByZone, c.Routers)
-		set.Extra.ZoneLinkKbPerS = append(set.Extra.ZoneLinkKbPerS, c.linkKbS())
+		set.Hierarchy.RoutersByZone = append(set.Hierarchy.RoutersByZone, c.Routers)
+		set.Hierarchy.ZoneLinkKBPerSecond = append(set.Hierarchy.ZoneLinkKBPerSecond, c.linkKbS())
 	}
 	c.Site.differ(&set)
 	return set
--- a/emulator/routers.go
+++ b/emulator/routers.go
@@ -12,7 +12,7 @@
 // list puts a server's state into the list of servers; each router hears of it later, in order.
 func (w *World) list(id int32) {
 	s := &w.servers[id]
-	row := rules.Row{Node: s.name, Zone: "hub", Kind: "area", Status: s.status, Weight: s.channel, CameUp: s.cameUp}
+	row := rules.Endpoint{Server: s.name, Zone: "hub", Kind: "area", Status: rules.EndpointStatus(s.status), Weight: s.channel, StartedAt: s.cameUp}
 	switch s.kind {
 	case cacheServer:
 		row.Zone, row.Kind = zoneName(s.depot), "small-box"
@@ -71,22 +71,22 @@
 	if r.heard >= upTo {
 		return
 	}
-	ev := rules.Event{Kind: rules.Members, Mode: "update"}
+	ev := rules.Event{Kind: rules.EventEndpoints, UpdateMode: "update"}
 	if whole {
-		ev.Mode = "replace"
+		ev.UpdateMode = "replace"
 	}
 	for i := r.heard; i < upTo; i++ {
 		row, s := w.changes[i], &w.servers[w.changed[i]]
 		if s.kind == cacheServer && s.depot != r.depot {
 			continue // depots are told of their own caches
 		}
-		ev.Rows = append(ev.Rows, row)
+		ev.Endpoints = append(ev.Endpoints, row)
 		if _, before := s.drained[id]; row.Status != "healthy" && !before {
 			s.drained[id] = w.now
 		}
 	}
 	r.heard = upTo
-	if len(ev.Rows) > 0 {
+	if len(ev.Endpoints) > 0 {
 		w.step(id, ev)
 	}
 }
@@ -123,12 +123,12 @@
 	rq.end = w.now - clientWay + int64(allow-min(max(0.1*allow, 5), 25))*ms
 	if w.limits != nil && !w.limit(r, wi) {
 		r.free -= int64(w.cfg.RouterUs * 0.75)
-		w.final(e.id, rules.Action{Kind: rules.Refuse, RetryAfter: sec / 2})
+		w.final(e.id, rules.Action{Kind: rules.ActionReject, RetryAfter: sec / 2})
 		return
 	}
 	before := r.module.Stats.Admitted
-	w.step(rq.router, rules.Event{Kind: rules.Request, Call: rq.call, Class: classOf[wi.class].name, Object: wi.object, Part: int64(wi.part),
-		Group: groupOf(wi), SizeKb: wi.kb, ExpiresIn: rq.end - w.now})
+	w.step(rq.router, rules.Event{Kind: rules.EventRequest, RequestID: rq.call, Class: classOf[wi.class].name, Object: wi.object, Chunk: int64(wi.part),
+		PurgeGroup: groupOf(wi), SizeKB: wi.kb, Timeout: rq.end - w.now})
 	if w.cfg.Cells != nil && r.module.Stats.Admitted == before {
 		r.free -= int64(w.cfg.RouterUs * 0.75)
 	}
@@ -156,23 +156,23 @@
 func (w *World) step(id int32, ev rules.Event) {
 	for _, a := range w.routers[id].module.Step(w.now, []rules.Event{ev}) {
 		switch a.Kind {
-		case rules.SetTimer:
-			w.push(event{at: w.now + a.In, kind: evTimer, id: id, gen: w.routers[id].gen, x: a.Token})
-		case rules.Get:
-			if q := w.requestOf(a.Call); q >= 0 && !w.requests[q].answered {
+		case rules.ActionSetTimer:
+			w.push(event{at: w.now + a.Delay, kind: evTimer, id: id, gen: w.routers[id].gen, x: a.TimerToken})
+		case rules.ActionSend:
+			if q := w.requestOf(a.RequestID); q >= 0 && !w.requests[q].answered {
 				w.send(q, a)
 			}
-		case rules.Cancel:
-			if q := w.requestOf(a.Call); q >= 0 && w.requests[q].try >= 0 && w.requests[q].number == int32(a.Attempt) {
-				w.drop(w.requests[q].try, rules.Cancelled)
+		case rules.ActionCancel:
+			if q := w.requestOf(a.RequestID); q >= 0 && w.requests[q].try >= 0 && w.requests[q].number == int32(a.Attempt) {
+				w.drop(w.requests[q].try, rules.OutcomeCanceled)
 			}
-		case rules.Refuse, rules.Fail:
-			if q := w.requestOf(a.Call); q >= 0 {
+		case rules.ActionReject, rules.ActionFail:
+			if q := w.requestOf(a.RequestID); q >= 0 {
 				w.final(q, a)
 			}
-		case rules.Tell:
-			w.tells(id, a.Node)
-		case rules.Log:
+		case rules.ActionReportOverload:
+			w.tells(id, a.Server)
+		case rules.ActionLog:
 			w.staged(id)
 		}
 	}
@@ -185,13 +185,13 @@
 		w.res.broken("two attempts of a request out")
 		return
 	}
-	node, source := w.byName(a.Node), int32(-1)
-	if a.Source != "" && a.Source != a.Node {
+	node, source := w.byName(a.Server), int32(-1)
+	if a.Source != "" && a.Source != a.Server {
 		source = w.byName(a.Source)
 	}
 	id := take(&w.tries, &w.freeTry)
 	t := &w.tries[id]
-	*t = try{gen: t.gen + 1, request: q, rgen: rq.gen, depot: int32(w.routers[rq.router].depot), node: node, source: source, heldOnly: a.How&rules.HeldOnly != 0, maxAge: a.MaxAge,
+	*t = try{gen: t.gen + 1, request: q, rgen: rq.gen, depot: int32(w.routers[rq.router].depot), node: node, source: source, heldOnly: a.FetchFlags&rules.FetchCachedOnly != 0, maxAge: a.MaxAge,
 		sent: w.now, links: [lastStage + 1]int32{-1, -1, -1, -1}, fetch: -1}
 	rq.try = id
 	rq.number++
@@ -200,11 +200,11 @@
 		w.res.broken("sent to a drained server")
 	}
 	w.push(event{at: w.now + w.way(t.depot, &w.servers[node]), kind: evServer, id: id, gen: t.gen})
-	w.push(event{at: w.now + min(a.TimeOut, max(rq.end-w.now, 1)), kind: evTimeout, id: id, gen: t.gen})
+	w.push(event{at: w.now + min(a.Timeout, max(rq.end-w.now, 1)), kind: evTimeout, id: id, gen: t.gen})
 }
 
 // end is how an attempt ends at its server; the router hears of it after the way back.
-func (w *World) end(id int32, code rules.Code, note int64) {
+func (w *World) end(id int32, code rules.AttemptOutcome, note int64) {
 	t := &w.tries[id]
 	t.code, t.note = code, note
 	w.release(id)
@@ -249,14 +249,14 @@
 		return
 	}
 	rq.try = -1
-	if t.code == rules.Done {
+	if t.code == rules.OutcomeServed {
 		rq.served = true
 		w.answered(&t)
 		w.heeded(&t)
-		w.final(t.request, rules.Action{Kind: rules.Get})
+		w.final(t.request, rules.Action{Kind: rules.ActionSend})
 	}
-	w.step(rq.router, rules.Event{Kind: rules.Outcome, Call: rq.call, Attempt: int(rq.number), Node: w.servers[t.node].name, Code: t.code,
-		Note: int(t.note), Rtt: w.now - t.sent, UpstreamWait: t.waited, Final: t.code == rules.Done, Metrics: w.linkUse(int(t.depot))})
+	w.step(rq.router, rules.Event{Kind: rules.EventOutcome, RequestID: rq.call, Attempt: int(rq.number), Server: w.servers[t.node].name, Outcome: t.code,
+		CacheStatus: rules.CacheStatus(t.note), ResponseTime: w.now - t.sent, UpstreamWait: t.waited, IsFinal: t.code == rules.OutcomeServed, LoadReport: w.linkUse(int(t.depot))})
 }
 
 func (w *World) freeTries(id int32) {
@@ -266,7 +266,7 @@
 }
 
 // drop gives an attempt up, and tells the module.
-func (w *World) drop(id int32, code rules.Code) {
+func (w *World) drop(id int32, code rules.AttemptOutcome) {
 	t := w.tries[id]
 	w.freeTries(id)
 	rq := &w.requests[t.request]
@@ -274,8 +274,8 @@
 		return
 	}
 	rq.try = -1
-	w.step(rq.router, rules.Event{Kind: rules.Outcome, Call: rq.call, Attempt: int(rq.number), Node: w.servers[t.node].name, Code: code,
-		Rtt: w.now - t.sent})
+	w.step(rq.router, rules.Event{Kind: rules.EventOutcome, RequestID: rq.call, Attempt: int(rq.number), Server: w.servers[t.node].name, Outcome: code,
+		ResponseTime: w.now - t.sent})
 }
 
 // final is the one answer to a request.
@@ -290,7 +290,7 @@
 	}
 	rq.answered = true
 	rq.cooldown = 0
-	if a.Kind == rules.Refuse {
+	if a.Kind == rules.ActionReject {
 		rq.cooldown = max(a.RetryAfter, 1)
 	}
 	if !rq.closed {
--- a/emulator/site.go
+++ b/emulator/site.go
@@ -74,9 +74,9 @@
 	if s == nil {
 		return
 	}
-	set.Extra.Straight = !s.CachesOnly
+	set.Hierarchy.AllowsDirectFetch = !s.CachesOnly
 	if s.LinkTold {
-		set.Report = rules.Report{Fields: []string{"x1"}, How: "piggyback"}
+		set.LoadReporting = rules.LoadReporting{Fields: []string{"x1"}, Delivery: "piggyback"}
 	}
 }
 
@@ -109,7 +109,7 @@
 	r.heeds = append(r.heeds, heed{int32(which), w.now + purgeBinds})
 	for group := range int64(releaseFamily) {
 		if f.names(group) {
-			w.step(id, rules.Event{Kind: rules.Purged, Group: group, Age: w.now - f.at})
+			w.step(id, rules.Event{Kind: rules.EventPurge, PurgeGroup: group, PurgeAge: w.now - f.at})
 		}
 	}
 }
--- a/emulator/sources.go
+++ b/emulator/sources.go
@@ -142,10 +142,10 @@
 	t.waited = w.now - t.asked
 	switch note {
 	case 6:
-		w.end(id, rules.Busy, note)
+		w.end(id, rules.OutcomeRejected, note)
 	case 8:
-		w.end(id, rules.Miss, note)
+		w.end(id, rules.OutcomeMiss, note)
 	default:
-		w.end(id, rules.Failed, note)
+		w.end(id, rules.OutcomeError, note)
 	}
 }
--- a/emulator/talk.go
+++ b/emulator/talk.go
@@ -137,7 +137,7 @@
 			w.res.broken("datagram on no server")
 			continue
 		}
-		w.step(e.id, rules.Event{Kind: rules.Crowded, Node: w.servers[s].name})
+		w.step(e.id, rules.Event{Kind: rules.EventParentOverloaded, Server: w.servers[s].name})
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -216,7 +216,7 @@
 	c.MaxStreams = t.Permissions.MaxStreams
 	c.Tier.May, c.Tier.Rank = t.Permissions.MayTell, t.Rank
 	c.Names = discovery.Names{Zones: set.Zones, Kinds: set.Kinds}
-	for _, us := range []int64{set.Guarantees.StopSendingWithin, set.Extra.HeedWithin} {
+	for _, us := range []int64{set.Guarantees.DrainGracePeriod, set.Hierarchy.PurgeGracePeriod} {
 		if ms := clock.Millis(us); us > 0 && (c.MaxWait == 0 || ms < c.MaxWait) {
 			c.MaxWait = ms
 		}
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -261,7 +261,7 @@
 
 // Fits holds a file against a router's settings: the names that it uses must be known there.
 func (f *File) Fits(set *rules.Settings) error {
-	if f.Fleet.Enabled && (set.Extra.ShieldKind < 0 || set.Extra.NotesGiven != "all") {
+	if f.Fleet.Enabled && (set.Hierarchy.ParentKind < 0 || set.Hierarchy.CacheStatusReporting != "all") {
 		return errors.New("fleet.enabled: what asks the head office is known by a look at an area cache, and there are none or no notes tell")
 	}
 	spec := f.Spec()
--- a/internal/manage/statedir.go
+++ b/internal/manage/statedir.go
@@ -124,7 +124,7 @@
 
 // SaveBeliefs writes the beliefs every saveInterval until ctx ends, for the process that takes over. It writes nothing while this process is
 // replaced, or older beliefs would overwrite newer ones.
-func (d *StateDir) SaveBeliefs(ctx context.Context, beliefs func() rules.Beliefs) error {
+func (d *StateDir) SaveBeliefs(ctx context.Context, beliefs func() rules.LearnedState) error {
 	if d == nil {
 		return nil
 	}
@@ -145,7 +145,7 @@
 }
 
 // LoadBeliefs reads the beliefs that the previous process saved; found is false where there are none.
-func (d *StateDir) LoadBeliefs() (b rules.Beliefs, found bool, err error) {
+func (d *StateDir) LoadBeliefs() (b rules.LearnedState, found bool, err error) {
 	if d == nil {
 		return b, false, nil
 	}
--- a/internal/resp/codec.go
+++ b/internal/resp/codec.go
@@ -101,9 +101,9 @@
 }
 
 var ways = []struct {
-	bit  int
+	bit  rules.FetchFlags
 	word string
-}{{rules.Join, "join"}, {rules.HeldOnly, "held"}, {rules.PassParent, "nocopy"}, {rules.Renew, "renew"}}
+}{{rules.FetchCollapse, "join"}, {rules.FetchCachedOnly, "held"}, {rules.FetchSkipParentStore, "nocopy"}, {rules.FetchRevalidate, "renew"}}
 
 // appendGet adds the command that puts an attempt to its server.
 func appendGet(buf []byte, a router.Attempt) []byte {
@@ -146,8 +146,8 @@
 	return strconv.FormatFloat(max(math.Floor(ms), 1), 'f', 0, 64)
 }
 
-var codes = map[string]rules.Code{"OK": rules.Done, "SAME": rules.Done, "MISS": rules.Miss, "BUSY": rules.Busy,
-	"ERR": rules.Failed, "VOID": rules.Skipped}
+var codes = map[string]rules.AttemptOutcome{"OK": rules.OutcomeServed, "SAME": rules.OutcomeServed, "MISS": rules.OutcomeMiss, "BUSY": rules.OutcomeRejected,
+	"ERR": rules.OutcomeError, "VOID": rules.OutcomeSkipped}
 
 // notes in the order of the simulator's numbers, from 1.
 var notes = map[string]int{"TCP_HIT": 1, "TCP_MISS": 2, "TCP_MISS_ROOT": 3, "TCP_JOIN": 4, "TCP_STALE": 5,
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -48,7 +48,7 @@
 		c.lastUse = k.sent
 		c.idle.Stop()
 	default:
-		k.end(router.End{Code: rules.Skipped})
+		k.end(router.End{Code: rules.OutcomeSkipped})
 	}
 }
 
@@ -92,9 +92,9 @@
 	for _, k := range c.calls {
 		switch {
 		case !k.writeBegun: // still in the queue: it never ran
-			k.end(router.End{Code: rules.Refused})
+			k.end(router.End{Code: rules.OutcomeConnectionRefused})
 		default:
-			k.end(*cmp.Or(k.answer, &router.End{Code: rules.Reset}))
+			k.end(*cmp.Or(k.answer, &router.End{Code: rules.OutcomeConnectionReset}))
 		}
 	}
 	clear(c.calls)
@@ -127,7 +127,7 @@
 	left := k.remaining()
 	if !k.finished && left < 0 {
 		delete(c.calls, k.attempt.ID)
-		k.end(router.End{Code: rules.Refused})
+		k.end(router.End{Code: rules.OutcomeConnectionRefused})
 		c.closeWhenIdle()
 	}
 	k.writeBegun = !k.finished
@@ -183,9 +183,9 @@
 		p.written.Add(1)
 	case k != nil && !k.finished:
 		delete(c.calls, k.attempt.ID)
-		end := router.End{Code: rules.Refused}
+		end := router.End{Code: rules.OutcomeConnectionRefused}
 		if errors.Is(err, errDeparted) { // the server has no part in that
-			end.Code = rules.Skipped
+			end.Code = rules.OutcomeSkipped
 		}
 		k.end(end)
 	}
@@ -249,14 +249,14 @@
 // late, and this attempt still be out: it is given up first, or two would be out at once. Pools.mu is held.
 func (c *conn) handleAnswer(k *call, end router.End) {
 	id := k.attempt.ID
-	if end.Code != rules.Done {
+	if end.Code != rules.OutcomeServed {
 		c.remember(c.ended, id)
 	}
 	switch {
 	case !k.ambiguous:
 		delete(c.calls, id)
 		k.end(end)
-	case end.Code == rules.Done: // it is its request's: nobody has to wait
+	case end.Code == rules.OutcomeServed: // it is its request's: nobody has to wait
 		delete(c.calls, id)
 		k.end(end)
 		c.queueDrop(id, command{})
--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -132,7 +132,7 @@
 	defer p.mu.Unlock()
 	l := p.servers[try.Server]
 	if l == nil { // it left the list between the choice and here: nothing was sent
-		k.end(router.End{Code: rules.Skipped})
+		k.end(router.End{Code: rules.OutcomeSkipped})
 		return k
 	}
 	c, open := l.pick(&k.attempt)
@@ -144,7 +144,7 @@
 		p.conns++
 		go l.open(k)
 	default:
-		k.end(router.End{Code: rules.Skipped})
+		k.end(router.End{Code: rules.OutcomeSkipped})
 	}
 	return k
 }
@@ -204,7 +204,7 @@
 	l.opening--
 	if err != nil {
 		p.conns--
-		k.end(router.End{Code: rules.Refused})
+		k.end(router.End{Code: rules.OutcomeConnectionRefused})
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			p.fault(l, fmt.Errorf("dial: %w", err))
 		}
@@ -216,7 +216,7 @@
 	l.conns = append(l.conns, c)
 	switch {
 	case p.ctx.Err() != nil, l.closed: // it left the list while the connection came up: another machine may be there now
-		k.end(router.End{Code: rules.Refused})
+		k.end(router.End{Code: rules.OutcomeConnectionRefused})
 		c.close()
 	case !k.finished:
 		c.enqueue(k)
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -42,7 +42,7 @@
 	defer r.mu.Unlock()
 	rows := r.list.Shun(ids)
 	for _, row := range rows {
-		r.log.Info().Str("server", row.Node).Bool("off", row.Status != "healthy").Msg("fleet's verdict")
+		r.log.Info().Str("server", row.Server).Bool("off", row.Status != "healthy").Msg("fleet's verdict")
 	}
 	r.applyRowsLocked(rows)
 }
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -50,6 +50,6 @@
 func (r *Router) reportOutcome(load string, ev rules.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ev.Metrics = parseLoad(r.fields, load)
+	ev.LoadReport = parseLoad(r.fields, load)
 	r.stepLocked(ev)
 }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -106,12 +106,14 @@
 }
 
 // ReportCrowded tells the module that routers of other depots find a server crowded.
-func (r *Router) ReportCrowded(server string) { r.step(rules.Event{Kind: rules.Crowded, Node: server}) }
+func (r *Router) ReportCrowded(server string) {
+	r.step(rules.Event{Kind: rules.EventParentOverloaded, Server: server})
+}
 
 // applyRowsLocked passes rows that staff or the fleet changed to the module. r.mu is held.
-func (r *Router) applyRowsLocked(rows []rules.Row) {
+func (r *Router) applyRowsLocked(rows []rules.Endpoint) {
 	if len(rows) > 0 {
-		r.stepLocked(rules.Event{Kind: rules.Members, Mode: "update", Rows: rows})
+		r.stepLocked(rules.Event{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: rows})
 	}
 }
 
@@ -130,14 +132,14 @@
 // applySettingsLocked reads the settings that the router itself needs. r.mu is held, or r is not shared yet.
 func (r *Router) applySettingsLocked(set rules.Settings) {
 	r.resizeTallies(set)
-	r.fields, r.keyed = set.Report.Fields, map[string]bool{}
+	r.fields, r.keyed = set.LoadReporting.Fields, map[string]bool{}
 	for _, c := range set.Classes {
 		r.keyed[c.Name] = c.Idempotency == "idempotency_key"
 	}
 }
 
 // Beliefs returns what the module has learnt, for a process that takes over.
-func (r *Router) Beliefs() rules.Beliefs {
+func (r *Router) Beliefs() rules.LearnedState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.Beliefs(clock.Micros(r.clock.Now()))
@@ -145,7 +147,7 @@
 
 // Believe adopts the beliefs of the process that this one replaces. It is called once the list of servers is known. On error, which names what
 // is implausible, nothing is adopted.
-func (r *Router) Believe(b rules.Beliefs) error {
+func (r *Router) Believe(b rules.LearnedState) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -66,15 +66,15 @@
 	Source   string // id of the server that fills a miss; empty: none
 	Patience float64
 	Keep     int
-	MaxAge   float64 // 0: the class's fresh time
-	How      int     // bits of rules.Action.How
-	Within   float64 // how long after its choice it may go out; 0: as long as its server may be sent to
-	Effects  bool    // to run it twice does harm: it must not be mistaken for another attempt of its request
+	MaxAge   float64          // 0: the class's fresh time
+	How      rules.FetchFlags // bits of rules.Action.FetchFlags
+	Within   float64          // how long after its choice it may go out; 0: as long as its server may be sent to
+	Effects  bool             // to run it twice does harm: it must not be mistaken for another attempt of its request
 }
 
 // End is how an attempt ended.
 type End struct {
-	Code   rules.Code
+	Code   rules.AttemptOutcome
 	Note   int
 	Waited float64 // for the source
 	Body   []byte
@@ -213,7 +213,7 @@
 		r.mu.Unlock()
 	}
 	for _, a := range actions {
-		r.log.Info().Str("text", a.Text).Msg("module says")
+		r.log.Info().Str("text", a.LogText).Msg("module says")
 	}
 }
 
@@ -252,22 +252,22 @@
 
 // Apply passes a notice to the module before it returns.
 func (r *Router) Apply(n Notice) {
-	ev := rules.Event{Kind: rules.Members, Mode: "update"}
+	ev := rules.Event{Kind: rules.EventEndpoints, UpdateMode: "update"}
 	if n.Whole {
-		ev.Mode = "replace"
+		ev.UpdateMode = "replace"
 	}
 	for _, s := range n.Servers {
-		ev.Rows = append(ev.Rows, rules.Row{Node: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Status: s.Status,
-			Weight: s.Weight, CameUp: clock.Micros(s.Started)})
+		ev.Endpoints = append(ev.Endpoints, rules.Endpoint{Server: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Status: rules.EndpointStatus(s.Status),
+			Weight: s.Weight, StartedAt: clock.Micros(s.Started)})
 	}
 	if n.Purge != nil {
-		r.step(rules.Event{Kind: rules.Purged, Object: n.Purge.Object, Group: n.Purge.Group,
-			Age: clock.Micros(max(r.clock.Now()-n.Purge.At, 0))})
+		r.step(rules.Event{Kind: rules.EventPurge, Object: n.Purge.Object, PurgeGroup: n.Purge.Group,
+			PurgeAge: clock.Micros(max(r.clock.Now()-n.Purge.At, 0))})
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ev.Rows = r.list.Note(n.Whole, ev.Rows)
+	ev.Endpoints = r.list.Note(n.Whole, ev.Endpoints)
 	r.stepLocked(ev)
 }
 
@@ -284,20 +284,20 @@
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
 	for _, a := range r.decide(ev) {
 		switch a.Kind {
-		case rules.SetTimer:
-			r.clock.AfterFunc(clock.Millis(a.In), func() { r.step(rules.Event{Kind: rules.Timer, Token: a.Token}) })
-		case rules.Get, rules.Refuse, rules.Fail, rules.Cancel:
+		case rules.ActionSetTimer:
+			r.clock.AfterFunc(clock.Millis(a.Delay), func() { r.step(rules.Event{Kind: rules.EventTimer, TimerToken: a.TimerToken}) })
+		case rules.ActionSend, rules.ActionReject, rules.ActionFail, rules.ActionCancel:
 			select {
-			case r.mailboxes[a.Call] <- a:
+			case r.mailboxes[a.RequestID] <- a:
 			default: // no request waits for it, or the mailbox is full: the request is still answered at its deadline
 				r.Counters.Faults.Add(1)
 			}
-		case rules.Tell:
+		case rules.ActionReportOverload:
 			if r.OnCrowded != nil {
-				r.OnCrowded(a.Node)
+				r.OnCrowded(a.Server)
 			}
-		case rules.Log:
-			r.log.Info().Str("text", a.Text).Msg("module says")
+		case rules.ActionLog:
+			r.log.Info().Str("text", a.LogText).Msg("module says")
 		}
 	}
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -34,8 +34,8 @@
 	keyless := r.keyed[q.Class] && q.Key == ""
 	if !duplicate && !keyless {
 		r.mailboxes[q.ID] = mailbox
-		r.stepLocked(rules.Event{Kind: rules.Request, Call: q.ID, Class: q.Class, Tenant: q.Tenant, Object: q.Object, Part: q.Part, Group: q.Group,
-			SizeKb: q.SizeKb, ExpiresIn: clock.Micros(end - r.clock.Now())})
+		r.stepLocked(rules.Event{Kind: rules.EventRequest, RequestID: q.ID, Class: q.Class, Tenant: q.Tenant, Object: q.Object, Chunk: q.Part, PurgeGroup: q.Group,
+			SizeKB: q.SizeKb, Timeout: clock.Micros(end - r.clock.Now())})
 	}
 	r.mu.Unlock()
 	// The answer to the first request of an id must not go to a second one. And where a class requires keys since a reload, after the front
@@ -68,8 +68,8 @@
 	endAttempt := func(e End) { // reports the end of the open attempt to the module
 		timer.Stop()
 		call, done, timeout, timedOut = nil, nil, nil, false
-		r.reportOutcome(e.Load, rules.Event{Kind: rules.Outcome, Call: q.ID, Attempt: number, Node: server, Code: e.Code, Note: e.Note,
-			Rtt: clock.Micros(r.clock.Now() - sentAt), UpstreamWait: clock.Micros(e.Waited), Final: e.Code == rules.Done})
+		r.reportOutcome(e.Load, rules.Event{Kind: rules.EventOutcome, RequestID: q.ID, Attempt: number, Server: server, Outcome: e.Code, CacheStatus: rules.CacheStatus(e.Note),
+			ResponseTime: clock.Micros(r.clock.Now() - sentAt), UpstreamWait: clock.Micros(e.Waited), IsFinal: e.Code == rules.OutcomeServed})
 	}
 	giveUp := func() {
 		if call != nil {
@@ -79,7 +79,7 @@
 	}
 	abandon := func() { // ends the request on the module's side
 		giveUp()
-		r.step(rules.Event{Kind: rules.Gone, Call: q.ID})
+		r.step(rules.Event{Kind: rules.EventAborted, RequestID: q.ID})
 	}
 	for {
 		var e End
@@ -109,10 +109,10 @@
 		case ended:
 			endAttempt(e)
 			switch {
-			case e.Code == rules.Done && ctx.Err() != nil:
+			case e.Code == rules.OutcomeServed && ctx.Err() != nil:
 				r.Counters.Gone.Add(1)
 				return Answer{}
-			case e.Code == rules.Done:
+			case e.Code == rules.OutcomeServed:
 				r.Counters.Served.Add(1)
 				return Answer{Verdict: Served, Body: e.Body, Same: e.Same}
 			}
@@ -132,35 +132,35 @@
 			return Answer{Verdict: Failed}
 		case timedOut:
 			call.Drop(r.clock.Now() < end-retryCutoff)
-			endAttempt(End{Code: rules.TimedOut})
+			endAttempt(End{Code: rules.OutcomeTimedOut})
 		case action != nil:
 			a := *action
 			action = nil
 			switch a.Kind {
-			case rules.Get:
-				try := Attempt{Request: &q, Server: a.Node, Patience: clock.Millis(a.TimeOut), Within: clock.Millis(a.Within), Effects: a.Effects}
+			case rules.ActionSend:
+				try := Attempt{Request: &q, Server: a.Server, Patience: clock.Millis(a.Timeout), Within: clock.Millis(a.SendWithin), Effects: a.HasSideEffects}
 				if a.Source != "" {
-					try.Keep, try.MaxAge, try.How = a.Keep, clock.Millis(a.MaxAge), a.How
+					try.Keep, try.MaxAge, try.How = a.RetentionRank, clock.Millis(a.MaxAge), a.FetchFlags
 				}
-				if a.Source != a.Node {
+				if a.Source != a.Server {
 					try.Source = a.Source
 				}
 				number++
-				server, sentAt = a.Node, r.clock.Now()
+				server, sentAt = a.Server, r.clock.Now()
 				timeout, timer = r.clock.Alarm(min(try.Patience, max(end-sentAt, 0)))
 				call = r.upstream.Send(try)
 				done = call.Done()
 				r.Counters.Sent.Add(1)
-			case rules.Cancel:
+			case rules.ActionCancel:
 				if call != nil && a.Attempt == number {
 					call.Drop(true)
-					endAttempt(End{Code: rules.Cancelled})
+					endAttempt(End{Code: rules.OutcomeCanceled})
 				}
-			case rules.Refuse:
+			case rules.ActionReject:
 				giveUp()
 				r.Counters.Refused.Add(1)
 				return Answer{Verdict: Refused, RetryAfter: clock.Millis(a.RetryAfter)}
-			case rules.Fail:
+			case rules.ActionFail:
 				giveUp()
 				r.Counters.Failed.Add(1)
 				return Answer{Verdict: Failed}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -105,9 +105,9 @@
 			}
 			rows--
 			ev := &b.Items[len(b.Items)-1].Event
-			var row rules.Row
+			var row rules.Endpoint
 			if row, err = parseRow(&f); err == nil {
-				ev.Rows = append(ev.Rows, row)
+				ev.Endpoints = append(ev.Endpoints, row)
 			}
 		default:
 			var it Item
@@ -158,8 +158,8 @@
 }
 
 var kinds = map[string]rules.EventKind{
-	"FLEET": rules.Members, "KNOCK": rules.Request, "HEADERS": rules.FirstByte, "RESULT": rules.Outcome,
-	"ABORTED": rules.Gone, "TIMER": rules.Timer, "ECHO": rules.Probed, "REPLACED": rules.Purged,
+	"FLEET": rules.EventEndpoints, "KNOCK": rules.EventRequest, "HEADERS": rules.EventFirstByte, "RESULT": rules.EventOutcome,
+	"ABORTED": rules.EventAborted, "TIMER": rules.EventTimer, "ECHO": rules.EventProbed, "REPLACED": rules.EventPurge,
 }
 
 // needed names the fields without which a message means nothing.
@@ -200,14 +200,14 @@
 				r.settings[v] = it.Settings
 			}
 		case "Mode":
-			ev.Mode = v
+			ev.UpdateMode = rules.UpdateMode(v)
 		case "Rows":
 			rows, err = strconv.Atoi(v)
 			if rows < 0 {
 				err = fmt.Errorf("negative count")
 			}
 		case "Call":
-			ev.Call = v
+			ev.RequestID = v
 		case "Qos":
 			ev.Class = v
 		case "Account":
@@ -215,42 +215,44 @@
 		case "Resource":
 			ev.Object = v
 		case "Node":
-			ev.Node = v
+			ev.Server = v
 		case "Code":
-			ev.Code = rules.Code(v)
+			ev.Outcome = rules.AttemptOutcome(v)
 		case "ExpiresIn":
-			ev.ExpiresIn, err = strconv.ParseInt(v, 10, 64)
+			ev.Timeout, err = strconv.ParseInt(v, 10, 64)
 		case "SizeKb":
-			ev.SizeKb, err = strconv.ParseFloat(v, 64)
+			ev.SizeKB, err = strconv.ParseFloat(v, 64)
 		case "LabelNo", "BatchId":
-			ev.Group, err = strconv.ParseInt(v, 10, 64)
+			ev.PurgeGroup, err = strconv.ParseInt(v, 10, 64)
 		case "Slice":
-			ev.Part, err = strconv.ParseInt(v, 10, 64)
+			ev.Chunk, err = strconv.ParseInt(v, 10, 64)
 		case "Leg":
 			ev.Attempt, err = strconv.Atoi(v)
 		case "Detail":
-			ev.Note, err = strconv.Atoi(v)
+			var status int
+			status, err = strconv.Atoi(v)
+			ev.CacheStatus = rules.CacheStatus(status)
 		case "Rtt":
-			ev.Rtt, err = strconv.ParseInt(v, 10, 64)
+			ev.ResponseTime, err = strconv.ParseInt(v, 10, 64)
 		case "UpstreamWait":
 			ev.UpstreamWait, err = strconv.ParseInt(v, 10, 64)
 		case "Oldness":
-			ev.Age, err = strconv.ParseInt(v, 10, 64)
+			ev.PurgeAge, err = strconv.ParseInt(v, 10, 64)
 		case "Ctx":
-			ev.Token, err = strconv.ParseInt(v, 10, 64)
+			ev.TimerToken, err = strconv.ParseInt(v, 10, 64)
 		case "IsRetry":
-			ev.IsRetry, err = parseBool(v)
+			ev.IsClientRetry, err = parseBool(v)
 		case "Write":
-			ev.Write, err = parseBool(v)
+			ev.IsWrite, err = parseBool(v)
 		case "NoMore":
-			ev.Final, err = parseBool(v)
+			ev.IsFinal, err = parseBool(v)
 		case "Metrics":
 			for _, s := range strings.Split(v, ",") {
 				x, err := strconv.ParseFloat(s, 64)
 				if err != nil {
 					return err
 				}
-				ev.Metrics = append(ev.Metrics, x)
+				ev.LoadReport = append(ev.LoadReport, x)
 			}
 		}
 		return err
@@ -263,11 +265,11 @@
 	return it, rows, err
 }
 
-func parseRow(f *fields) (row rules.Row, err error) {
+func parseRow(f *fields) (row rules.Endpoint, err error) {
 	err = f.each(func(k, v string) (err error) {
 		switch k {
 		case "Node":
-			row.Node = v
+			row.Server = v
 		case "Campus":
 			row.Zone = v
 		case "Shape":
@@ -275,15 +277,15 @@
 		case "Group":
 			row.Cell, err = strconv.ParseInt(v, 10, 64)
 		case "Status":
-			row.Status = v
+			row.Status = rules.EndpointStatus(v)
 		case "Weight":
 			row.Weight, err = strconv.ParseFloat(v, 64)
 		case "CameUp":
-			row.CameUp, err = strconv.ParseInt(v, 10, 64)
+			row.StartedAt, err = strconv.ParseInt(v, 10, 64)
 		}
 		return err
 	}, "")
-	if err == nil && row.Node == "" {
+	if err == nil && row.Server == "" {
 		err = fmt.Errorf("Node is missing")
 	}
 	return row, err
@@ -298,7 +300,7 @@
 
 // Append adds the line for action a of an instance to buf. What is told to peers has no line: instances share nothing here.
 func Append(buf []byte, instance string, a rules.Action) []byte {
-	if a.Kind == rules.Tell {
+	if a.Kind == rules.ActionReportOverload {
 		return buf
 	}
 	str := func(name, v string) {
@@ -313,51 +315,51 @@
 	}
 	verb := func(v string) { buf = append(buf, v...); str("DirectorId", instance) }
 	switch a.Kind {
-	case rules.Get:
+	case rules.ActionSend:
 		if a.Source == "" {
 			verb("ASSIGN")
 		} else {
 			verb("ANSWER_FROM")
 		}
-		str("Call", a.Call)
-		num("GiveUpAfter", a.TimeOut)
-		str("Node", a.Node)
+		str("Call", a.RequestID)
+		num("GiveUpAfter", a.Timeout)
+		str("Node", a.Server)
 		str("Feeder", a.Source)
 		if a.Source != "" {
-			buf = strconv.AppendInt(append(buf, " Retain="...), int64(a.Keep), 10)
+			buf = strconv.AppendInt(append(buf, " Retain="...), int64(a.RetentionRank), 10)
 			num("Oldness", a.MaxAge)
-			num("How", int64(a.How))
+			num("How", int64(a.FetchFlags))
 		}
-	case rules.Refuse:
+	case rules.ActionReject:
 		verb("TURN_AWAY")
-		str("Call", a.Call)
+		str("Call", a.RequestID)
 		num("CoolDown", a.RetryAfter)
-	case rules.Fail:
+	case rules.ActionFail:
 		verb("GIVE_UP")
-		str("Call", a.Call)
-	case rules.Cancel:
+		str("Call", a.RequestID)
+	case rules.ActionCancel:
 		verb("CANCEL")
-		str("Call", a.Call)
+		str("Call", a.RequestID)
 		buf = strconv.AppendInt(append(buf, " Leg="...), int64(a.Attempt), 10)
-	case rules.SetTimer:
+	case rules.ActionSetTimer:
 		verb("SET_TIMER")
-		buf = strconv.AppendInt(append(buf, " FromNow="...), a.In, 10)
-		buf = strconv.AppendInt(append(buf, " Ctx="...), a.Token, 10)
-	case rules.Probe:
+		buf = strconv.AppendInt(append(buf, " FromNow="...), a.Delay, 10)
+		buf = strconv.AppendInt(append(buf, " Ctx="...), a.TimerToken, 10)
+	case rules.ActionProbe:
 		verb("TEST")
-		str("Node", a.Node)
-	case rules.Subscribe:
+		str("Node", a.Server)
+	case rules.ActionSubscribe:
 		verb("SUBSCRIBE")
 		on := byte('0')
-		if a.On {
+		if a.Enabled {
 			on = '1'
 		}
 		buf = append(append(buf, " Want="...), on)
-	case rules.Resolve:
+	case rules.ActionResolve:
 		verb("RESOLVE")
-	case rules.Log:
+	case rules.ActionLog:
 		verb("WRITE_LOG")
-		str("Line", strings.ReplaceAll(a.Text, "\n", " "))
+		str("Line", strings.ReplaceAll(a.LogText, "\n", " "))
 	}
 	return append(buf, '\n')
 }
--- a/rules/breakers.go
+++ b/rules/breakers.go
@@ -6,116 +6,120 @@
 
 // Times are microseconds; the rest are ratios or counts.
 const (
-	breakerHeld     = 3          // outcomes held before a breaker may open: the design's
-	breakerShare    = 0.5        // share of failed outcomes that opens it: the design's
-	breakerRing     = 8          // outcomes held at most: a sudden fault opens it after four
-	breakerCoolDown = 10_000_000 // us a failing source is skipped before its trial: the design's
-	breakerSpread   = 0.3        // random share more: routers must not try a cold parent together
-	cacheCoolDown   = 2_000_000  // us a failing cache is skipped: a trial is one request, peers are few
-	cacheShare      = 0.75       // share of failures that opens a cache: half is better sent again
+	breakerMinOutcomes       = 3          // outcomes held before a breaker may open: the design's
+	breakerFailureRatio      = 0.5        // share of failed outcomes that opens it: the design's
+	breakerMaxOutcomes       = 8          // outcomes held at most: a sudden fault opens it after four
+	breakerCoolDown          = 10_000_000 // us a failing source is skipped before its trial: the design's
+	breakerCoolDownJitter    = 0.3        // random share more: routers must not try a cold parent together
+	cacheBreakerCoolDown     = 2_000_000  // us a failing cache is skipped: a trial is one request, peers are few
+	cacheBreakerFailureRatio = 0.75       // share of failures that opens a cache: half is better sent again
 )
 
-func (b *breaker) open(now int64) bool { return b.until != 0 && (now < b.until || b.trial) }
+func (b *circuitBreaker) isOpen(now int64) bool {
+	return b.openUntil != 0 && (now < b.openUntil || b.trialInFlight)
+}
 
-// ready reports that the next user of the server would be the trial.
-func (b *breaker) ready(now int64) bool { return b.until != 0 && now >= b.until && !b.trial }
+// isReadyForTrial reports that the next user of the server would be the trial.
+func (b *circuitBreaker) isReadyForTrial(now int64) bool {
+	return b.openUntil != 0 && now >= b.openUntil && !b.trialInFlight
+}
 
 // record holds one outcome and opens or resets the breaker.
-func (b *breaker) record(now int64, failed, trial bool, weight, share float64, coolDown int64) {
-	if b.until != 0 {
+func (b *circuitBreaker) record(now int64, failed, trial bool, weight, share float64, coolDown int64) {
+	if b.openUntil != 0 {
 		if trial && failed {
-			b.until, b.dead = now+coolDown, true
+			b.openUntil, b.trialFailed = now+coolDown, true
 		} else if trial {
-			*b = breaker{}
+			*b = circuitBreaker{}
 		}
 		return
 	}
-	held := &b.ring[b.next%breakerRing]
+	held := &b.outcomes[b.next%breakerMaxOutcomes]
 	if held.weight, held.failed = weight, 0; failed {
 		held.failed = weight
 	}
 	b.next++
 	sum, bad := 0.0, 0.0
-	for _, o := range b.ring {
+	for _, o := range b.outcomes {
 		sum += o.weight
 		bad += o.failed
 	}
-	if sum >= breakerHeld && bad >= share*sum && failed {
-		*b = breaker{until: now + coolDown}
+	if sum >= breakerMinOutcomes && bad >= share*sum && failed {
+		*b = circuitBreaker{openUntil: now + coolDown}
 	}
 }
 
-// blame names whom an outcome is charged to. A time-out charges a cache, else a source, only if nothing came,
+// chargedServer names whom an outcome is charged to. A time-out charges a cache, else a source, only if nothing came,
 // and nobody if the client's time ended before the answer was due: clients in a hurry shut no good server.
-func (r *Router) blame(q *request, a *attempt, ev *Event) *node {
-	alive := a.node.answered > a.nodeHad
+func (r *Engine) chargedServer(q *request, a *attempt, ev *Event) *server {
+	alive := a.server.answerCount > a.serverAnswersBefore
 	switch {
-	case ev.Code == TimedOut && (a.lost || !a.silent && float64(ev.Rtt) < r.aim(q)):
+	case ev.Outcome == OutcomeTimedOut && (a.canceledAsLost || !a.canceledAsSilent && float64(ev.ResponseTime) < r.latencyObjective(q)):
 		return nil
-	case ev.Note == 10:
+	case ev.CacheStatus == 10:
 		return r.origin
-	case a.fills && (ev.Note == 6 || ev.Note == 7):
+	case a.fills && (ev.CacheStatus == 6 || ev.CacheStatus == 7):
 		return a.source
-	case ev.Code == Failed && a.fills && alive && r.set.Extra.NotesGiven != "all":
+	case ev.Outcome == OutcomeError && a.fills && alive && r.settings.Hierarchy.CacheStatusReporting != "all":
 		return a.source
-	case ev.Code == Refused, ev.Code == Reset, ev.Code == Failed, ev.Code == TimedOut && !alive:
-		return a.node
-	case ev.Code == TimedOut && a.fills && a.source.answered-a.sourceHad < 1:
+	case ev.Outcome == OutcomeConnectionRefused, ev.Outcome == OutcomeConnectionReset, ev.Outcome == OutcomeError, ev.Outcome == OutcomeTimedOut && !alive:
+		return a.server
+	case ev.Outcome == OutcomeTimedOut && a.fills && a.source.answerCount-a.sourceAnswersBefore < 1:
 		return a.source
 	}
 	return nil
 }
 
-// judge charges the breakers with an outcome, and books what answered.
-func (r *Router) judge(q *request, a *attempt, ev *Event, bad *node) {
-	charge := func(n *node, failed bool, weight float64) {
-		base, share := float64(breakerCoolDown), breakerShare
-		if n.role == roleCache {
-			base, share = cacheCoolDown, cacheShare
+// recordOutcome charges the breakers with an outcome, and books what answered.
+func (r *Engine) recordOutcome(q *request, a *attempt, ev *Event, bad *server) {
+	charge := func(n *server, failed bool, weight float64) {
+		base, share := float64(breakerCoolDown), breakerFailureRatio
+		if n.role == roleEdgeCache {
+			base, share = cacheBreakerCoolDown, cacheBreakerFailureRatio
 		}
 		if !failed {
-			n.answered += weight
-			n.answers.add(r.now, rateSpan, weight)
+			n.answerCount += weight
+			n.recentAnswers.add(r.now, rateWindow, weight)
 		}
-		brk := n.gate(q.account)
+		brk := n.breakerFor(q.accountingGroup)
 		brk.record(r.now, failed, slices.Contains(a.trials, brk), weight, share,
-			int64(base*(1+breakerSpread*r.rng.Float64())))
+			int64(base*(1+breakerCoolDownJitter*r.rng.Float64())))
 	}
-	write := at(r.set.Extra.PassOn, q.class)
-	if ev.Code == Cancelled || ev.Code == Skipped || write && a.node.role != roleCache {
+	write := valueAt(r.settings.Hierarchy.Uncacheable, q.class)
+	if ev.Outcome == OutcomeCanceled || ev.Outcome == OutcomeSkipped || write && a.server.role != roleEdgeCache {
 		return
 	}
 	// A bare error may be the request's own fault, as with an object that nobody knows.
-	if doubt := ev.Code == Failed && ev.Note == 0 && bad == a.node; doubt {
-		q.doubts = append(q.doubts, bad)
+	if doubt := ev.Outcome == OutcomeError && ev.CacheStatus == 0 && bad == a.server; doubt {
+		q.bareErrorCaches = append(q.bareErrorCaches, bad)
 	} else if bad != nil {
 		charge(bad, true, 1)
 	}
-	if ev.Code == Done {
-		for _, n := range q.doubts {
+	if ev.Outcome == OutcomeServed {
+		for _, n := range q.bareErrorCaches {
 			charge(n, true, 1)
 		}
 	}
-	if ev.Code == Done || ev.Code == Miss || ev.Note >= 6 {
-		charge(a.node, false, 1)
+	if ev.Outcome == OutcomeServed || ev.Outcome == OutcomeMiss || ev.CacheStatus >= 6 {
+		charge(a.server, false, 1)
 	}
-	if ev.Code != Done {
+	if ev.Outcome != OutcomeServed {
 		return
 	}
-	if t := &r.tail[q.class]; float64(ev.Rtt) > *t*r.usual(q) {
-		*t *= 1 + tailUp
+	if t := &r.tailMultiple[q.class]; float64(ev.ResponseTime) > *t*r.usualResponseTime(q) {
+		*t *= 1 + tailIncrease
 	} else {
-		*t *= 1 - tailDown
+		*t *= 1 - tailDecrease
 	}
-	r.book(q, a, ev)
+	r.learnFromAnswer(q, a, ev)
 	switch {
 	case !a.fills || write:
-	case ev.Note == 2 || ev.Note == 3:
+	case ev.CacheStatus == 2 || ev.CacheStatus == 3:
 		charge(a.source, false, 1)
-		if ev.Note == 3 && a.source != r.origin && r.origin != nil {
+		if ev.CacheStatus == 3 && a.source != r.origin && r.origin != nil {
 			charge(r.origin, false, 1)
 		}
-	case r.set.Extra.NotesGiven == "silent":
-		charge(a.source, false, a.node.missPart)
+	case r.settings.Hierarchy.CacheStatusReporting == "silent":
+		charge(a.source, false, a.server.missRatio)
 	}
 }
--- a/rules/members.go
+++ b/rules/members.go
@@ -7,61 +7,61 @@
 	"slices"
 )
 
-const askShare = 0.5 // share of AskWithin within which a failed subscription is renewed
+const resubscribeShare = 0.5 // share of MaxPollInterval within which a failed subscription is renewed
 
-// members applies a list of servers. One that left it is not used until it is listed once more.
-func (r *Router) members(ev *Event) {
-	if ev.Mode == "unavailable" {
+// updateEndpoints applies a list of servers. One that left it is not used until it is listed once more.
+func (r *Engine) updateEndpoints(ev *Event) {
+	if ev.UpdateMode == "unavailable" {
 		// ask again, at random so that routers do not ask together
-		wait := askShare * float64(r.set.Guarantees.AskWithin) * (0.1 + 0.9*r.rng.Float64())
-		r.act(Action{Kind: SetTimer, In: int64(wait) + 1})
+		wait := resubscribeShare * float64(r.settings.Guarantees.MaxPollInterval) * (0.1 + 0.9*r.rng.Float64())
+		r.emit(Action{Kind: ActionSetTimer, Delay: int64(wait) + 1})
 		return
 	}
-	if ev.Mode != "update" {
-		for _, n := range r.nodes {
-			n.usable, n.gone = false, true
+	if ev.UpdateMode != "update" {
+		for _, n := range r.servers {
+			n.isHealthy, n.isDelisted = false, true
 		}
 	}
-	for _, row := range ev.Rows {
-		n := r.nodes[row.Node]
+	for _, row := range ev.Endpoints {
+		n := r.servers[row.Server]
 		if n == nil {
-			n = &node{name: row.Node, missPart: unknownMisses, cameUp: row.CameUp}
-			r.nodes[row.Node] = n
+			n = &server{name: row.Server, missRatio: defaultMissRatio, startedAt: row.StartedAt}
+			r.servers[row.Server] = n
 		}
-		if row.CameUp != n.cameUp { // a new process: what was held against the old one is void
-			n.renew(row.CameUp)
+		if row.StartedAt != n.startedAt { // a new process: what was held against the old one is void
+			n.resetForNewProcess(row.StartedAt)
 		}
-		n.usable, n.gone = row.Status == "healthy", row.Status == "deregistered"
+		n.isHealthy, n.isDelisted = row.Status == "healthy", row.Status == "deregistered"
 		if row.Status == "deregistered" {
 			continue
 		}
 		n.zone, n.cell, n.weight = row.Zone, row.Cell, row.Weight
-		n.role = roleCache
-		switch kind := slices.Index(r.set.Kinds, row.Kind); {
-		case kind == r.set.Extra.MasterKind:
+		n.role = roleEdgeCache
+		switch kind := slices.Index(r.settings.Kinds, row.Kind); {
+		case kind == r.settings.Hierarchy.OriginKind:
 			n.role = roleOrigin
-		case kind == r.set.Extra.ShieldKind:
+		case kind == r.settings.Hierarchy.ParentKind:
 			n.role = roleParent
-		case n.zone != r.set.Zone:
-			n.role = roleOther
+		case n.zone != r.settings.Zone:
+			n.role = roleRemoteCache
 		}
-		n.seats = float64(max(r.set.Siblings, 1))
-		if s := at(r.set.Extra.SeatsByZone, slices.Index(r.set.Zones, n.zone)); n.role == roleCache && s > 0 {
-			n.seats = float64(s)
+		n.routers = float64(max(r.settings.FleetSize, 1))
+		if s := valueAt(r.settings.Hierarchy.RoutersByZone, slices.Index(r.settings.Zones, n.zone)); n.role == roleEdgeCache && s > 0 {
+			n.routers = float64(s)
 		}
-		if n.limit == 0 && n.role == roleOrigin {
-			n.limit = firstLimit / n.seats
-		} else if n.limit == 0 {
-			n.limit = firstLimit/n.seats + firstSpare
+		if n.concurrencyLimit == 0 && n.role == roleOrigin {
+			n.concurrencyLimit = initialLimit / n.routers
+		} else if n.concurrencyLimit == 0 {
+			n.concurrencyLimit = initialLimit/n.routers + initialLimitExtra
 		}
 	}
-	maps.DeleteFunc(r.nodes, func(_ string, n *node) bool { return n.gone && n.out == 0 })
+	maps.DeleteFunc(r.servers, func(_ string, n *server) bool { return n.isDelisted && n.inFlight == 0 })
 	r.caches, r.parents, r.origin = nil, nil, nil
-	for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
-		n := r.nodes[name]
+	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
+		n := r.servers[name]
 		switch {
-		case !n.usable:
-		case n.role == roleCache:
+		case !n.isHealthy:
+		case n.role == roleEdgeCache:
 			r.caches = append(r.caches, n)
 		case n.role == roleParent:
 			r.parents = append(r.parents, n)
@@ -69,9 +69,9 @@
 			r.origin = n
 		}
 	}
-	r.listed++
-	r.upRank = newRanks(r.parents, r.weighs)
-	if ev.Mode == "restored" && r.set.Discovery == "subscribe" {
-		r.act(Action{Kind: Subscribe, On: true})
+	r.endpointsVersion++
+	r.parentRanking = newRendezvousRanking(r.parents, r.hasServerWeights)
+	if ev.UpdateMode == "restored" && r.settings.Discovery == "subscribe" {
+		r.emit(Action{Kind: ActionSubscribe, Enabled: true})
 	}
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	roleCache = iota
+	roleEdgeCache = iota
 	roleParent
 	roleOrigin
-	roleOther
+	roleRemoteCache
 )
 
-// New returns a router for the settings; seed feeds its random numbers.
-func New(set Settings, seed int64) (*Router, error) {
-	r := &Router{set: set, rng: rand.New(rand.NewPCG(uint64(seed), 0)), classes: map[string]int{},
-		nodes: map[string]*node{}, requests: map[string]*request{}, purged: map[purgeKey]int64{},
-		watched: map[int64]*request{}, tenants: map[string]*tenant{}, recent: map[string]int{},
-		sendMean: make([]float64, len(set.Classes)), behind: node{limit: behindMost, role: roleOrigin}}
-	r.behindMost, r.asksMost, r.upRank = behindMost, behindMost, newRanks(nil, false)
-	r.pools, r.sizes, r.empty = map[int]*pool{0: {list: -1}}, map[string]*mean{}, &pool{rank: r.upRank}
-	effects := []string{"read_like", "idempotency_key", "non_idempotent"}
+// NewEngine returns a router for the settings; seed feeds its random numbers.
+func NewEngine(set Settings, seed int64) (*Engine, error) {
+	r := &Engine{settings: set, rng: rand.New(rand.NewPCG(uint64(seed), 0)), classes: map[string]int{},
+		servers: map[string]*server{}, requests: map[string]*request{}, purged: map[purgeKey]int64{},
+		watchedAttempts: map[int64]*request{}, tenants: map[string]*tenant{}, recentRequests: map[string]int{},
+		meanSendTime: make([]float64, len(set.Classes)), originFills: server{concurrencyLimit: unlimitedOriginFills, role: roleOrigin}}
+	r.maxPossibleOriginFills, r.maxConfirmedOriginFills, r.parentRanking = unlimitedOriginFills, unlimitedOriginFills, newRendezvousRanking(nil, false)
+	r.subsets, r.meanRequestedSendTime, r.emptySubset = map[int]*subset{0: {endpointsVersion: -1}}, map[string]*runningMean{}, &subset{ranking: r.parentRanking}
+	effects := []Idempotency{IdempotentRead, IdempotentKey, NotIdempotent}
 	for i, c := range set.Classes {
 		if c.Name == "" || c.Deadline <= 0 || !slices.Contains(effects, c.Idempotency) {
 			return nil, fmt.Errorf("Classes[%d]: needs Name, a positive Deadline, a known Idempotency", i)
 		}
 		r.classes[c.Name] = i
-		r.purgeSpan = max(r.purgeSpan, set.Extra.PurgeTakes+c.Deadline)
-		r.sendMean[i] = float64(max(c.Promise, c.Deadline/8)) / 2
-		r.tail = append(r.tail, tailStart)
+		r.purgeRetention = max(r.purgeRetention, set.Hierarchy.PurgePropagationTime+c.Deadline)
+		r.meanSendTime[i] = float64(max(c.LatencyObjective, c.Deadline/8)) / 2
+		r.tailMultiple = append(r.tailMultiple, initialTailMultiple)
 	}
 	for _, t := range set.Tenants {
-		r.tenants[t.Name] = &tenant{quota: t.QuotaPerS / float64(max(set.Siblings, 1))}
+		r.tenants[t.Name] = &tenant{quotaPerSecond: t.QuotaPerSecond / float64(max(set.FleetSize, 1))}
 	}
-	switch m := set.Extra.MasterKind; {
+	switch m := set.Hierarchy.OriginKind; {
 	case len(set.Classes) == 0:
 		return nil, fmt.Errorf("Classes: none")
 	case set.Zone == "":
@@ -48,77 +48,77 @@
 	case set.Permissions.MaxAttempts <= 0:
 		return nil, fmt.Errorf("Permissions.MaxAttempts: must be positive")
 	}
-	r.weighs = set.WeightSource == "nominal" || set.WeightSource == "rough"
-	r.hasX0, r.hasX1 = slices.Index(set.Report.Fields, "x0"), slices.Index(set.Report.Fields, "x1")
+	r.hasServerWeights = set.WeightSource == "nominal" || set.WeightSource == "rough"
+	r.hitRatioIndex, r.linkUseIndex = slices.Index(set.LoadReporting.Fields, "x0"), slices.Index(set.LoadReporting.Fields, "x1")
 	return r, nil
 }
 
 // Step takes what came in at a time and returns what to do, in order.
-func (r *Router) Step(now int64, events []Event) []Action {
-	r.begin(now)
+func (r *Engine) Step(now int64, events []Event) []Action {
+	r.beginStep(now)
 	for i := range events {
 		ev := &events[i]
 		switch ev.Kind {
-		case Members:
-			r.members(ev)
-		case Request:
-			r.take(ev)
-		case FirstByte:
-			if q := r.requests[ev.Call]; q != nil {
+		case EventEndpoints:
+			r.updateEndpoints(ev)
+		case EventRequest:
+			r.acceptRequest(ev)
+		case EventFirstByte:
+			if q := r.requests[ev.RequestID]; q != nil {
 				q.started = true
 			}
-		case Outcome:
-			r.outcome(ev)
-		case Gone:
-			r.drop(ev.Call)
-		case Timer:
-			r.timer(ev.Token)
-		case Purged:
-			r.purge(ev)
-		case Confine:
-			r.confine(ev)
-		case Crowded:
-			r.crowded(r.nodes[ev.Node])
+		case EventOutcome:
+			r.attemptEnded(ev)
+		case EventAborted:
+			r.closeRequest(ev.RequestID)
+		case EventTimer:
+			r.timerFired(ev.TimerToken)
+		case EventPurge:
+			r.recordPurge(ev)
+		case EventSubset:
+			r.defineSubset(ev)
+		case EventParentOverloaded:
+			r.parentOverloaded(r.servers[ev.Server])
 		}
 	}
-	return r.acts
+	return r.actions
 }
 
-func (r *Router) act(a Action) {
-	if r.acts == nil {
-		r.acts = make([]Action, 0, 2)
+func (r *Engine) emit(a Action) {
+	if r.actions == nil {
+		r.actions = make([]Action, 0, 2)
 	}
-	r.acts = append(r.acts, a)
+	r.actions = append(r.actions, a)
 }
 
-func (r *Router) take(ev *Event) {
+func (r *Engine) acceptRequest(ev *Event) {
 	class, known := r.classes[ev.Class]
 	if !known {
-		r.act(Action{Kind: Fail, Call: ev.Call})
+		r.emit(Action{Kind: ActionFail, RequestID: ev.RequestID})
 		return
 	}
-	q := &request{Event: *ev, class: class, account: r.poolOf(ev.Set).account, deadline: r.now + ev.ExpiresIn,
-		most: r.set.Permissions.MaxAttempts, work: r.classWork(ev, class)}
+	q := &request{Event: *ev, class: class, accountingGroup: r.subsetOf(ev.Subset).accountingGroup, deadline: r.now + ev.Timeout,
+		maxAttempts: r.settings.Permissions.MaxAttempts, expectedWork: r.classSendTime(ev, class)}
 	if t := r.tenants[q.Tenant]; t != nil {
-		t.add(r.now, rateSpan, 1)
-		q.over = t.rate(r.now, rateSpan)*1e6 > t.quota
+		t.add(r.now, rateWindow, 1)
+		q.isOverQuota = t.rate(r.now, rateWindow)*1e6 > t.quotaPerSecond
 	}
-	r.requests[q.Call] = q
-	r.spare = min(r.spare+lostShare, lostMost)
-	q.part = partKey(q.Object, q.Part)
-	r.recent[q.Object]++
-	if r.recentN++; r.recentN >= recentRequests {
-		r.recentN = 0
-		maps.DeleteFunc(r.recent, func(k string, n int) bool {
-			r.recent[k] = n / 2
-			r.recentN += n / 2
+	r.requests[q.RequestID] = q
+	r.cancelBudget = min(r.cancelBudget+cancelBudgetPerRequest, maxCancelBudget)
+	q.chunkKey = chunkKey(q.Object, q.Chunk)
+	r.recentRequests[q.Object]++
+	if r.recentRequestCount++; r.recentRequestCount >= recentRequestWindow {
+		r.recentRequestCount = 0
+		maps.DeleteFunc(r.recentRequests, func(k string, n int) bool {
+			r.recentRequests[k] = n / 2
+			r.recentRequestCount += n / 2
 			return n < 2
 		})
 	}
-	r.dispatch(q)
+	r.sendNextAttempt(q)
 }
 
-func (r *Router) drop(call string) {
-	r.settle(r.requests[call])
+func (r *Engine) closeRequest(call string) {
+	r.releaseAttempt(r.requests[call])
 	delete(r.requests, call)
 }
