--- a/cmd/spanctl/document.go
+++ b/cmd/spanctl/document.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	if err := a.Fits(doc); err != nil {
+	if err := a.CheckMigrations(doc); err != nil {
 		return err
 	}
 	if c.DryRun {
--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -56,12 +56,12 @@
 	}
 	for _, cell := range spec.Cells {
 		room := order.CellRoom{Bears: cell.Share * c.BearsKbS, Lives: lives[cell.Name]}
-		if link := spec.Budget.FillKbPerS; link > 0 {
+		if link := spec.Budget.FillKBPerSecond; link > 0 {
 			room.Fill = max(cell.Share*link-fills[cell.Name], 1)
 		}
 		aim.Cells[cell.Name] = room
 	}
-	if link := spec.Budget.FillKbPerS; link > 0 {
+	if link := spec.Budget.FillKBPerSecond; link > 0 {
 		aim.Fill = max(link-sum, 1)
 	}
 	for _, name := range append(slices.Clone(c.Into), c.Cell) {
--- a/cmd/spanctl/main.go
+++ b/cmd/spanctl/main.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	if spec := f.Spec(); spec != nil {
-		fmt.Fprintf(out, "cells: on, version %d, %s, %d cells, %d tenants, %d keys\n", spec.Version, spec.Scheme, len(spec.Cells), len(spec.Tenants), len(spec.Keys))
+		fmt.Fprintf(out, "cells: on, version %d, %s, %d cells, %d tenants, %d keys\n", spec.Version, spec.Scheme, len(spec.Cells), len(spec.Tenants), len(spec.TenantKeys))
 	} else {
 		fmt.Fprintln(out, "cells: off")
 	}
@@ -116,10 +116,10 @@
 	}
 	in := make([][]string, len(spec.Cells))
 	if len(c.Caches) > 0 {
-		in = spec.Divide(c.Caches)
+		in = spec.CachesByCell(c.Caches)
 	}
 	for i, cell := range spec.Cells {
-		fmt.Fprintf(out, "%-16s share %.3f  tenants %5d  no live cache: %s", cell.Name, cell.Share, tenants[cell.Name], spill(cell.Spill))
+		fmt.Fprintf(out, "%-16s share %.3f  tenants %5d  no live cache: %s", cell.Name, cell.Share, tenants[cell.Name], spill(cell.FallbackCell))
 		if len(c.Caches) > 0 {
 			fmt.Fprintf(out, "  caches %s", strings.Join(in[i], ","))
 		}
@@ -159,9 +159,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "keys[%d]: tenant %s, cell %s; no live cache: %s", a.Line, a.Tenant, a.Cell, spill(a.Spill))
-	if a.Spare != "" {
-		fmt.Fprintf(out, "; no room: use %s", a.Spare)
+	fmt.Fprintf(out, "keys[%d]: tenant %s, cell %s; no live cache: %s", a.KeyIndex, a.Tenant, a.Cell, spill(a.FallbackCell))
+	if a.OverflowCell != "" {
+		fmt.Fprintf(out, "; no room: use %s", a.OverflowCell)
 	}
 	if len(c.Caches) > 0 {
 		fmt.Fprintf(out, "; caches %s", strings.Join(a.Caches, ","))
@@ -197,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	for _, line := range cells.Difference(old, next) {
+	for _, line := range cells.Changes(old, next) {
 		fmt.Fprintln(out, line)
 	}
 	return nil
@@ -212,7 +212,7 @@
 }
 
 // demandOf reads one file: a list, or a router's log, of which the last line with a demand counts.
-func demandOf(file string) (list []cells.Demand, err error) {
+func demandOf(file string) (list []cells.TenantDemand, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -224,7 +224,7 @@
 		return list, nil
 	}
 	var entry struct {
-		Demand []cells.Demand `json:"demand"`
+		Demand []cells.TenantDemand `json:"demand"`
 	}
 	if !lastLine(text, "demand", &entry) {
 		return nil, fmt.Errorf("%s: neither a list nor a log with a line 'demand'", file)
@@ -246,8 +246,8 @@
 }
 
 // gather sums the demand of all files by tenant.
-func gather(files []string) ([]cells.Demand, error) {
-	var all []cells.Demand
+func gather(files []string) ([]cells.TenantDemand, error) {
+	var all []cells.TenantDemand
 	place := map[string]int{}
 	for _, file := range files {
 		list, err := demandOf(file)
@@ -255,7 +255,7 @@
 			return nil, err
 		}
 		for i, d := range list {
-			for _, load := range append(slices.Clone(d.Loads), d.Worth) {
+			for _, load := range append(slices.Clone(d.Loads), d.PriorityWeight) {
 				if !(load >= 0 && load < 1e15) {
 					return nil, fmt.Errorf("%s[%d]: %v is no load", file, i, load)
 				}
@@ -272,7 +272,7 @@
 			for r, load := range d.Loads {
 				all[at].Loads[r] += load
 			}
-			all[at].Worth += d.Worth
+			all[at].PriorityWeight += d.PriorityWeight
 		}
 	}
 	return all, nil
@@ -288,7 +288,7 @@
 		return err
 	}
 	place := map[string]int{}
-	aim := plan.Aim{MostWorth: c.MostWorth, MostMoves: c.MostMoves, Seed: c.Seed}
+	aim := plan.Objective{MaxPriorityShare: c.MostWorth, MaxMigrations: c.MostMoves, Seed: c.Seed}
 	for i, cell := range spec.Cells {
 		place[cell.Name] = i
 		aim.Shares = append(aim.Shares, cell.Share)
@@ -303,19 +303,19 @@
 		if !known {
 			at = -1
 		}
-		demand = append(demand, plan.Demand{Name: l.Name, Loads: l.Loads, Worth: l.Worth, Now: at})
+		demand = append(demand, plan.Demand{Name: l.Name, Loads: l.Loads, PriorityWeight: l.PriorityWeight, CurrentCell: at})
 	}
-	p, err := plan.Make(demand, aim)
-	if err != nil && !errors.Is(err, plan.ErrNoPlan) {
+	p, err := plan.Propose(demand, aim)
+	if err != nil && !errors.Is(err, plan.ErrInfeasible) {
 		return err
 	}
-	fmt.Fprintf(out, "worst cell %.3f of an even one, bound %.3f, %d moves, at most %.3f of the worth in one cell\n", p.Worst, p.Bound, p.Moves, p.MostWorth)
+	fmt.Fprintf(out, "worst cell %.3f of an even one, bound %.3f, %d moves, at most %.3f of the worth in one cell\n", p.MaxLoad, p.MaxLoadLowerBound, p.Migrations, p.MaxPriorityShare)
 	for i, d := range demand {
 		switch {
-		case d.Now < 0:
-			fmt.Fprintf(out, "%s: new, to %s\n", d.Name, spec.Cells[p.Cell[i]].Name)
-		case d.Now != p.Cell[i]:
-			fmt.Fprintf(out, "%s: from %s to %s\n", d.Name, spec.Cells[d.Now].Name, spec.Cells[p.Cell[i]].Name)
+		case d.CurrentCell < 0:
+			fmt.Fprintf(out, "%s: new, to %s\n", d.Name, spec.Cells[p.CellByTenant[i]].Name)
+		case d.CurrentCell != p.CellByTenant[i]:
+			fmt.Fprintf(out, "%s: from %s to %s\n", d.Name, spec.Cells[d.CurrentCell].Name, spec.Cells[p.CellByTenant[i]].Name)
 		}
 	}
 	return err
--- a/cmd/spanctl/movelist.go
+++ b/cmd/spanctl/movelist.go
@@ -57,8 +57,8 @@
 			return err
 		}
 		var line struct {
-			Version int64           `json:"version"`
-			Moves   []cells.MoveNow `json:"moves"`
+			Version int64                   `json:"version"`
+			Moves   []cells.MigrationStatus `json:"moves"`
 		}
 		if !lastLine(text, "moves", &line) {
 			return fmt.Errorf("%s: no line 'moves'", file)
--- a/cmd/spanctl/moves.go
+++ b/cmd/spanctl/moves.go
@@ -82,7 +82,7 @@
 
 // cellIn is a tenant's cell in a depot.
 func cellIn(t *cells.Tenant, depot string) string {
-	if in, other := t.Depots[depot]; other {
+	if in, other := t.CellBySite[depot]; other {
 		return in
 	}
 	return t.Cell
--- a/cmd/spanctl/stage.go
+++ b/cmd/spanctl/stage.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	if err := a.FitsStage(&s); err != nil {
+	if err := a.CheckRollout(&s); err != nil {
 		return err
 	}
 	next := *f
@@ -150,7 +150,7 @@
 			return err
 		}
 		var line struct {
-			Stage cells.StageNow `json:"stage"`
+			Stage cells.RolloutStatus `json:"stage"`
 		}
 		if !lastLine(text, "stage", &line) {
 			return fmt.Errorf("%s: no line 'stage'", file)
--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -378,21 +378,21 @@
 		}
 	}
 	if g := core.ShieldStatus(); g != nil {
-		log.Info().Float64("limit", g.Limit).Float64("share", g.Share).Int("out", g.Out).Int("given_up", g.GivenUp).Float64("deep", g.Deep).Msg("shield")
+		log.Info().Float64("limit", g.Limit).Float64("share", g.Share).Int("out", g.InFlight).Int("given_up", g.Abandoned).Float64("deep", g.OriginFraction).Msg("shield")
 	}
 	p, demand := core.Cells()
 	if p == nil {
 		return
 	}
-	line := log.Info().Int64("version", p.Version).Int64("admitted", p.Stats.Admitted).Int64("spilled", p.Stats.Spilled)
-	for why, count := range p.Stats.Refused {
+	line := log.Info().Int64("version", p.Version).Int64("admitted", p.Stats.Admitted).Int64("spilled", p.Stats.FellBack)
+	for why, count := range p.Stats.Rejected {
 		if count > 0 {
 			line = line.Int64("refused: "+cells.Reason(why).String(), count)
 		}
 	}
-	line.Interface("cells", p.Cells).Interface("heavy", p.Heavy).Interface("objects", p.Objects).Msg("cells")
+	line.Interface("cells", p.Cells).Interface("heavy", p.HeavyTenants).Interface("objects", p.HeavyObjects).Msg("cells")
 	if paths, version := core.Moves(); version > 0 {
-		log.Info().Int64("version", version).Int64("moved", p.Stats.Moved).Int64("kept", p.Stats.Kept).Interface("moves", paths).Msg("moves")
+		log.Info().Int64("version", version).Int64("moved", p.Stats.Migrated).Int64("kept", p.Stats.Deferred).Interface("moves", paths).Msg("moves")
 	}
 	if release := core.Release(); release != nil {
 		log.Info().Interface("stage", release).Msg("stage")
--- a/core/cells/above.go
+++ b/core/cells/above.go
@@ -13,100 +13,100 @@
 )
 
 // Sets of area caches are numbered far from those of caches, one for each area of the shape in the document's order.
-const firstAreaSet = 1 << 20
+const firstParentSubset = 1 << 20
 
-// nobody is the number of a set that is never named: fills go to the head office.
-const nobody = -1
+// unnamedSubset is the number of a set that is never named: fills go to the head office.
+const unnamedSubset = -1
 
-// planEvery is how often, in microseconds, a plan is made anew while an area is cold; else that is done when the list of servers changes.
-const planEvery = 500_000
+// replanInterval is how often, in microseconds, a plan is made anew while an area is cold; else that is done when the list of servers changes.
+const replanInterval = 500_000
 
-// above is how this router's fills go to areas.
-type above struct {
-	graph  *hierarchy.Graph // nil: as rules has it, to all alike
-	route  hierarchy.Route
-	names  [][]string // of each area's servers that rules knows
-	due    int64      // when to plan anew, in any case; 0: at the next event
-	said   string
-	broken error // why there is no plan
+// parentSelection is how this router's fills go to areas.
+type parentSelection struct {
+	graph          *hierarchy.Graph // nil: as rules has it, to all alike
+	route          hierarchy.Route
+	serversByGroup [][]string // of each area's servers that rules knows
+	planDueAt      int64      // when to plan anew, in any case; 0: at the next event
+	lastLogged     string
+	planErr        error // why there is no plan
 
-	areaOf map[string]int // of each server that the list has
-	asked  map[string]int // area that a call's attempt under way names for its fill
-	seen   []areaSeen
-	wanted *Planning // to be worked out elsewhere; nil: nothing is due
+	groupByServer  map[string]int // of each server that the list has
+	groupByRequest map[string]int // area that a call's attempt under way names for its fill
+	health         []parentGroupHealth
+	pendingJob     *PlanJob // to be worked out elsewhere; nil: nothing is due
 }
 
-// fewAreas are planned for at once, well under a millisecond; more only where nobody else plans. A plan for 40 takes 170 ms.
-const fewAreas = 8
+// maxGroupsPlannedInline are planned for at once, well under a millisecond; more only where nobody else plans. A plan for 40 takes 170 ms.
+const maxGroupsPlannedInline = 8
 
-// Planning is a plan to be worked out, away from requests: Work takes long, reads nothing of the module, and may run beside it.
-type Planning struct {
+// PlanJob is a plan to be worked out, away from requests: Work takes long, reads nothing of the module, and may run beside it.
+type PlanJob struct {
 	graph *hierarchy.Graph
 	state map[string]hierarchy.Now
 	share *hierarchy.Share
 	err   error
 }
 
-// Work works the plan out.
-func (p *Planning) Work() { p.share, p.err = p.graph.Plan(p.state) }
+// Run works the plan out.
+func (p *PlanJob) Run() { p.share, p.err = p.graph.Plan(p.state) }
 
-// Wanted hands a plan that is due to whoever works it out, once; nil where none is.
-func (m *Module) Wanted() *Planning {
-	p := m.up.wanted
-	m.up.wanted = nil
+// TakePlanJob hands a plan that is due to whoever works it out, once; nil where none is.
+func (m *Admission) TakePlanJob() *PlanJob {
+	p := m.parents.pendingJob
+	m.parents.pendingJob = nil
 	return p
 }
 
-// Planned puts a plan in force that was worked out, unless the shape is another one since. What it reckoned with may be older than the list of
+// ApplyPlanJob puts a plan in force that was worked out, unless the shape is another one since. What it reckoned with may be older than the list of
 // servers: then the next plan is due already.
-func (m *Module) Planned(p *Planning) {
-	if p.graph == m.up.graph {
-		m.follow(p.share, p.err)
+func (m *Admission) ApplyPlanJob(p *PlanJob) {
+	if p.graph == m.parents.graph {
+		m.applyFillPlan(p.share, p.err)
 	}
 }
 
-// areaSeen is what fills tell of an area before the list of servers does.
-type areaSeen struct {
-	fails int   // one after the other, none good between
-	trial int64 // not 0: it is taken to be lost, and this is when one fill is next sent there
+// parentGroupHealth is what fills tell of an area before the list of servers does.
+type parentGroupHealth struct {
+	consecutiveFailures int   // one after the other, none good between
+	nextTrialAt         int64 // not 0: it is taken to be lost, and this is when one fill is next sent there
 }
 
 // An area is taken to be lost after so many failed fills for each of its servers, one after the other and none good between: about when rules
 // has opened the breakers of all, and not when one of several has gone. While it is, one fill of a router goes there
-// in trialEvery to twice that, in microseconds, drawn anew each time, so that trials of routers do not come together.
+// in trialInterval to twice that, in microseconds, drawn anew each time, so that trials of routers do not come together.
 const (
-	lostAfter  = 3
-	trialEvery = 1_000_000
+	failuresPerServer = 3
+	trialInterval     = 1_000_000
 )
 
-// Shape puts a shape of the hierarchy in force, or with nil none. It applies with and without an assignment to cells.
-func (m *Module) Shape(now int64, g *hierarchy.Graph) {
-	if g != nil && m.up.graph != nil && reflect.DeepEqual(g.Shape(), m.up.graph.Shape()) {
+// SetTopology puts a shape of the hierarchy in force, or with nil none. It applies with and without an assignment to cells.
+func (m *Admission) SetTopology(now int64, g *hierarchy.Graph) {
+	if g != nil && m.parents.graph != nil && reflect.DeepEqual(g.Shape(), m.parents.graph.Shape()) {
 		return // what fills have told of its areas stays
 	}
-	for i := range m.up.names {
-		m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstAreaSet + i}})
+	for i := range m.parents.serversByGroup {
+		m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstParentSubset + i}})
 	}
-	m.up = above{graph: g}
+	m.parents = parentSelection{graph: g}
 	if g != nil {
 		n := len(g.Shape().Areas)
-		m.up.asked, m.up.seen, m.up.names = map[string]int{}, make([]areaSeen, n), make([][]string, n)
+		m.parents.groupByRequest, m.parents.health, m.parents.serversByGroup = map[string]int{}, make([]parentGroupHealth, n), make([][]string, n)
 	}
-	m.plan(now)
+	m.planFills(now)
 }
 
-// ShapeVersion is that of the shape in force, 0 without one.
-func (m *Module) ShapeVersion() int64 {
-	if m.up.graph == nil {
+// TopologyVersion is that of the shape in force, 0 without one.
+func (m *Admission) TopologyVersion() int64 {
+	if m.parents.graph == nil {
 		return 0
 	}
-	return m.up.graph.Shape().Version
+	return m.parents.graph.Shape().Version
 }
 
-// plan shares the depots' fills out by the list of servers as it is. All routers that have the same list and shape come to the same plan.
-func (m *Module) plan(now int64) {
-	u := &m.up
-	if u.graph == nil || u.due > now {
+// planFills shares the depots' fills out by the list of servers as it is. All routers that have the same list and shape come to the same plan.
+func (m *Admission) planFills(now int64) {
+	u := &m.parents
+	if u.graph == nil || u.planDueAt > now {
 		return
 	}
 	areas := u.graph.Shape().Areas
@@ -114,57 +114,57 @@
 	for i := range areas {
 		place[areas[i].Name] = i
 	}
-	u.areaOf = map[string]int{}
+	u.groupByServer = map[string]int{}
 	names, servers := make([][]string, len(areas)), make([][]moves.Server, len(areas))
-	for _, name := range sortedRows(m.above) {
+	for _, name := range sortedNodes(m.parentServers) {
 		i, known := place[u.graph.AreaOf(name)]
 		if known {
-			u.areaOf[name] = i
+			u.groupByServer[name] = i
 		}
-		if row := m.above[name]; known && row.Status == "healthy" {
+		if row := m.parentServers[name]; known && row.Status == "healthy" {
 			names[i] = append(names[i], name)
 			servers[i] = append(servers[i], moves.Server{Weight: max(row.Weight, 1), CameUp: row.StartedAt})
 		}
 	}
-	_, terms := m.terms()
+	_, terms := m.capacityTerms()
 	state := map[string]hierarchy.Now{}
-	u.due = math.MaxInt64
+	u.planDueAt = math.MaxInt64
 	for i := range areas {
-		if !slices.Equal(names[i], u.names[i]) {
-			m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstAreaSet + i, SubsetServers: names[i]}})
-			u.names[i] = names[i]
+		if !slices.Equal(names[i], u.serversByGroup[i]) {
+			m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstParentSubset + i, SubsetServers: names[i]}})
+			u.serversByGroup[i] = names[i]
 		}
 		kb, warm := terms.KbPerS(now, servers[i])
-		if u.seen[i].trial != 0 {
+		if u.health[i].nextTrialAt != 0 {
 			kb = 0
 		}
 		state[areas[i].Name] = hierarchy.Now{KbPerS: kb, Warm: warm}
 		if len(servers[i]) > 0 && warm < 1 {
-			u.due = now + planEvery
+			u.planDueAt = now + replanInterval
 		}
 	}
-	if p := (&Planning{graph: u.graph, state: state}); m.Elsewhere && len(areas) > fewAreas {
-		u.wanted = p // until it is there fills go by the plan before, or without one as without a shape
+	if p := (&PlanJob{graph: u.graph, state: state}); m.PlansInBackground && len(areas) > maxGroupsPlannedInline {
+		u.pendingJob = p // until it is there fills go by the plan before, or without one as without a shape
 	} else {
-		p.Work()
-		m.follow(p.share, p.err)
+		p.Run()
+		m.applyFillPlan(p.share, p.err)
 	}
 }
 
-// follow puts a plan in force.
-func (m *Module) follow(share *hierarchy.Share, err error) {
-	u := &m.up
-	if u.broken = err; err != nil { // can't be with figures from the list; fills then go as without a shape
+// applyFillPlan puts a plan in force.
+func (m *Admission) applyFillPlan(share *hierarchy.Share, err error) {
+	u := &m.parents
+	if u.planErr = err; err != nil { // can't be with figures from the list; fills then go as without a shape
 		u.route = hierarchy.Route{}
 	} else {
-		u.route = share.Route(m.set.Zone)
+		u.route = share.Route(m.settings.Zone)
 	}
-	m.sayPlan()
+	m.logFillPlan()
 }
 
-// sayPlan puts a change of the plan by a tenth or more in the log: who gets fills, and that there is no room for some.
-func (m *Module) sayPlan() {
-	u := &m.up
+// logFillPlan puts a change of the plan by a tenth or more in the log: who gets fills, and that there is no room for some.
+func (m *Admission) logFillPlan() {
+	u := &m.parents
 	var to []string
 	for i, part := range u.route.Parts() {
 		if part >= 0.05 {
@@ -173,89 +173,89 @@
 	}
 	text := "fills go to " + strings.Join(to, ", ")
 	switch {
-	case u.broken != nil:
-		text = "no plan for fills: " + u.broken.Error()
+	case u.planErr != nil:
+		text = "no plan for fills: " + u.planErr.Error()
 	case len(to) == 0:
 		text = "fills have no way by the shape, and go as without one"
 	}
 	if u.route.Short >= 0.05 {
 		text += fmt.Sprintf("; no room for %.1f of them", u.route.Short)
 	}
-	if text != u.said {
-		u.said = text
-		m.says = append(m.says, rules.Action{Kind: rules.ActionLog, LogText: text})
+	if text != u.lastLogged {
+		u.lastLogged = text
+		m.logActions = append(m.logActions, rules.Action{Kind: rules.ActionLog, LogText: text})
 	}
 }
 
-// askAbove names the area that a request's fills go to. An object always has the same one, as long as the parts stay.
-func (m *Module) askAbove(now int64, ev *rules.Event) {
-	if m.up.graph == nil {
+// selectParentGroup names the area that a request's fills go to. An object always has the same one, as long as the parts stay.
+func (m *Admission) selectParentGroup(now int64, ev *rules.Event) {
+	if m.parents.graph == nil {
 		return
 	}
-	m.plan(now)
-	for i := range m.up.seen {
-		if s := &m.up.seen[i]; s.trial != 0 && now >= s.trial && len(m.up.names[i]) > 0 {
-			s.trial = m.nextTrial(now)
-			ev.ParentSubset = firstAreaSet + i
+	m.planFills(now)
+	for i := range m.parents.health {
+		if s := &m.parents.health[i]; s.nextTrialAt != 0 && now >= s.nextTrialAt && len(m.parents.serversByGroup[i]) > 0 {
+			s.nextTrialAt = m.nextTrialAt(now)
+			ev.ParentSubset = firstParentSubset + i
 			return
 		}
 	}
-	switch i := m.up.route.Pick(partHash(ev.Object, 0)); {
+	switch i := m.parents.route.Pick(partHash(ev.Object, 0)); {
 	case i < 0: // no room by the plan: whoever has some after all, within the limits that rules keeps
-	case i < len(m.up.names):
-		ev.ParentSubset = firstAreaSet + i
+	case i < len(m.parents.serversByGroup):
+		ev.ParentSubset = firstParentSubset + i
 	default:
-		ev.ParentSubset = nobody
+		ev.ParentSubset = unnamedSubset
 	}
 }
 
-// AboveOf names the area caches that an object's fills are asked of first; without a shape, and where it leaves none, all that are listed.
-func (m *Module) AboveOf(object string) []string {
-	if m.up.graph != nil {
-		if i := m.up.route.Pick(partHash(object, 0)); i >= 0 && i < len(m.up.names) {
-			return m.up.names[i]
+// ParentsOf names the area caches that an object's fills are asked of first; without a shape, and where it leaves none, all that are listed.
+func (m *Admission) ParentsOf(object string) []string {
+	if m.parents.graph != nil {
+		if i := m.parents.route.Pick(partHash(object, 0)); i >= 0 && i < len(m.parents.serversByGroup) {
+			return m.parents.serversByGroup[i]
 		}
 	}
-	return sortedRows(m.above)
+	return sortedNodes(m.parentServers)
 }
 
-func (m *Module) nextTrial(now int64) int64 {
-	return now + trialEvery + int64(m.rng.Float64()*trialEvery)
+func (m *Admission) nextTrialAt(now int64) int64 {
+	return now + trialInterval + int64(m.rng.Float64()*trialInterval)
 }
 
-// asks notes which area an attempt names for its fill.
-func (m *Module) asks(acts []rules.Action) {
-	if m.up.graph == nil {
+// recordFillAttempts notes which area an attempt names for its fill.
+func (m *Admission) recordFillAttempts(acts []rules.Action) {
+	if m.parents.graph == nil {
 		return
 	}
 	for i := range acts {
 		if a := &acts[i]; a.Kind == rules.ActionSend {
-			if area, known := m.up.areaOf[a.Source]; known {
-				m.up.asked[a.RequestID] = area
+			if area, known := m.parents.groupByServer[a.Source]; known {
+				m.parents.groupByRequest[a.RequestID] = area
 			}
 		}
 	}
 }
 
-// filled learns from the end of an attempt, or of a request, whether its area gives fills.
-func (m *Module) filled(now int64, ev *rules.Event) {
-	area, known := m.up.asked[ev.RequestID]
+// observeFill learns from the end of an attempt, or of a request, whether its area gives fills.
+func (m *Admission) observeFill(now int64, ev *rules.Event) {
+	area, known := m.parents.groupByRequest[ev.RequestID]
 	if !known {
 		return
 	}
-	delete(m.up.asked, ev.RequestID)
-	if ev.Kind != rules.EventOutcome || area >= len(m.up.seen) {
+	delete(m.parents.groupByRequest, ev.RequestID)
+	if ev.Kind != rules.EventOutcome || area >= len(m.parents.health) {
 		return
 	}
-	s := &m.up.seen[area]
+	s := &m.parents.health[area]
 	switch {
-	case ev.CacheStatus == noteFilled || ev.CacheStatus == noteDeep:
-		if s.fails = 0; s.trial != 0 {
-			s.trial, m.up.due = 0, 0
+	case ev.CacheStatus == noteFilledBySource || ev.CacheStatus == noteFilledByOrigin:
+		if s.consecutiveFailures = 0; s.nextTrialAt != 0 {
+			s.nextTrialAt, m.parents.planDueAt = 0, 0
 		}
-	case ev.CacheStatus == noteLost:
-		if s.fails++; s.trial == 0 && s.fails >= lostAfter*len(m.up.names[area]) {
-			s.trial, m.up.due = m.nextTrial(now), 0
+	case ev.CacheStatus == noteSourceFailed:
+		if s.consecutiveFailures++; s.nextTrialAt == 0 && s.consecutiveFailures >= failuresPerServer*len(m.parents.serversByGroup[area]) {
+			s.nextTrialAt, m.parents.planDueAt = m.nextTrialAt(now), 0
 		}
 	}
 }
--- a/core/cells/above_test.go
+++ b/core/cells/above_test.go
@@ -11,8 +11,8 @@
 	"spantack/rules"
 )
 
-// twoAreas is a shape in which the depot z has an area at hand and one far off, each with one of the list's area caches.
-func twoAreas(t testing.TB) *hierarchy.Graph {
+// twoParentGroups is a shape in which the depot z has an area at hand and one far off, each with one of the list's area caches.
+func twoParentGroups(t testing.TB) *hierarchy.Graph {
 	t.Helper()
 	g, err := hierarchy.Compile(&hierarchy.Shape{Version: 3, Head: hierarchy.Head{Name: "o", KbPerS: 20_000},
 		Areas:  []hierarchy.Area{{Name: "near", Servers: []string{"p0"}}, {Name: "far", Servers: []string{"p1"}}},
@@ -25,36 +25,36 @@
 	return g
 }
 
-// filler sends requests whose fills end as the sources that are up have it, and counts by source.
-type filler struct {
-	t    *testing.T
-	m    *Module
-	n    int
-	now  int64
-	down map[string]bool
-	log  []string
+// fillClient sends requests whose fills end as the sources that are up have it, and counts by source.
+type fillClient struct {
+	t         *testing.T
+	admission *Admission
+	sent      int
+	now       int64
+	failing   map[string]bool
+	logged    []string
 }
 
-func (f *filler) run(n int) map[string]int {
+func (f *fillClient) run(n int) map[string]int {
 	got := map[string]int{}
 	for range n {
-		f.n++
+		f.sent++
 		f.now += 20 * msec
-		call := fmt.Sprint("f", f.n)
-		acts := f.m.Step(f.now, []rules.Event{{Kind: rules.EventRequest, RequestID: call, Class: "page", Object: fmt.Sprint("aa", f.n), PurgeGroup: 50, SizeKB: 5, Timeout: 3 * sec}})
+		call := fmt.Sprint("f", f.sent)
+		acts := f.admission.Step(f.now, []rules.Event{{Kind: rules.EventRequest, RequestID: call, Class: "page", Object: fmt.Sprint("aa", f.sent), PurgeGroup: 50, SizeKB: 5, Timeout: 3 * sec}})
 		for leg := 0; len(acts) > 0; leg++ {
 			var next []rules.Action
 			for _, a := range acts {
 				switch a.Kind {
 				case rules.ActionLog:
-					f.log = append(f.log, a.LogText)
+					f.logged = append(f.logged, a.LogText)
 				case rules.ActionSend:
 					got[a.Source]++
 					code, note := rules.OutcomeServed, rules.FilledFromSource
-					if f.down[a.Source] {
+					if f.failing[a.Source] {
 						code, note = rules.OutcomeError, rules.SourceUnreachable
 					}
-					next = append(next, f.m.Step(f.now, []rules.Event{{Kind: rules.EventOutcome, RequestID: call, Server: a.Server, Outcome: code, CacheStatus: note, Attempt: leg, ResponseTime: 20 * msec, IsFinal: code == rules.OutcomeServed}})...)
+					next = append(next, f.admission.Step(f.now, []rules.Event{{Kind: rules.EventOutcome, RequestID: call, Server: a.Server, Outcome: code, CacheStatus: note, Attempt: leg, ResponseTime: 20 * msec, IsFinal: code == rules.OutcomeServed}})...)
 				}
 			}
 			acts = next
@@ -63,33 +63,33 @@
 	return got
 }
 
-// Fills go as the shape's plan has it, with cells and without: to both areas by what fits, elsewhere when the list says that one has gone, or
+// ReasonLinkRate go as the shape's plan has it, with cells and without: to both areas by what fits, elsewhere when the list says that one has gone, or
 // before that when its fills fail, with few trials; and back when a trial ends well.
-func TestFillsGoByTheShape(t *testing.T) {
-	for _, spec := range []*Spec{nil, two()} {
-		m, err := NewModule(settings(), 1)
+func TestFillsFollowTheTopology(t *testing.T) {
+	for _, spec := range []*Spec{nil, twoCells()} {
+		m, err := NewAdmission(testSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if spec != nil {
-			m.Confine(sec, compile(t, spec))
+			m.SetAssignment(sec, mustCompile(t, spec))
 		}
-		m.Step(sec, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: rows(names(8)...)}})
-		m.Shape(sec, twoAreas(t))
-		f := &filler{t: t, m: m, now: 2 * sec, down: map[string]bool{}}
+		m.Step(sec, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(cacheNames(8)...)}})
+		m.SetTopology(sec, twoParentGroups(t))
+		f := &fillClient{t: t, admission: m, now: 2 * sec, failing: map[string]bool{}}
 		calm := f.run(400)
 		if calm["p1"] < 110 || calm["p1"] > 210 || calm["p0"]+calm["p1"] != 400 { // 4,000 of 10,000 fit on its way
 			t.Errorf("on a calm day: %v", calm)
 		}
-		f.down["p1"] = true
+		f.failing["p1"] = true
 		f.run(50)
 		if lost := f.run(400); lost["p1"] > 12 || lost["p0"] < 395 { // a trial a second or less, in 8 s
 			t.Errorf("with one area down: %v", lost)
 		}
-		if n := len(f.log); n == 0 || !strings.Contains(f.log[n-1], "fills go to near 1.0") {
-			t.Errorf("log %q", f.log)
+		if n := len(f.logged); n == 0 || !strings.Contains(f.logged[n-1], "fills go to near 1.0") {
+			t.Errorf("log %q", f.logged)
 		}
-		f.down["p1"] = false
+		f.failing["p1"] = false
 		f.run(200)
 		if back := f.run(400); back["p1"] < 110 {
 			t.Errorf("after a good trial: %v", back)
@@ -99,22 +99,22 @@
 		if left := f.run(400); left["p0"] > 0 || left["o"] < 40 {
 			t.Errorf("with the near area off the list: %v", left)
 		}
-		if len(m.up.asked) != 0 {
-			t.Errorf("%d attempts are kept", len(m.up.asked))
+		if len(m.parents.groupByRequest) != 0 {
+			t.Errorf("%d attempts are kept", len(m.parents.groupByRequest))
 		}
-		m.Shape(f.now, nil)
-		if m.ShapeVersion() != 0 || !slices.Equal(m.AboveOf("x"), []string{"p1"}) {
-			t.Errorf("version %d, above %v", m.ShapeVersion(), m.AboveOf("x"))
+		m.SetTopology(f.now, nil)
+		if m.TopologyVersion() != 0 || !slices.Equal(m.ParentsOf("x"), []string{"p1"}) {
+			t.Errorf("version %d, above %v", m.TopologyVersion(), m.ParentsOf("x"))
 		}
 	}
 }
 
 // A plan for many areas is worked out elsewhere: events do not wait for it, fills go by the one before, and one for a shape that is no more is
 // not followed. It is the same plan as one worked out at once.
-func TestPlanElsewhere(t *testing.T) {
+func TestPlanInBackground(t *testing.T) {
 	many := func(version int64) *hierarchy.Graph {
 		s := &hierarchy.Shape{Version: version, Head: hierarchy.Head{Name: "o", KbPerS: 20_000}, Depots: []hierarchy.Depot{{Name: "z", KbPerS: 10_000}}}
-		for i := range fewAreas + 1 {
+		for i := range maxGroupsPlannedInline + 1 {
 			name := fmt.Sprint("area", i)
 			s.Areas = append(s.Areas, hierarchy.Area{Name: name, Servers: []string{fmt.Sprint("p", i)}})
 			s.Ways = append(s.Ways, hierarchy.Way{From: "z", To: name, KbPerS: 20_000, Ms: 10 + float64(i)}, hierarchy.Way{From: name, To: "o", KbPerS: 20_000, Ms: 20})
@@ -125,43 +125,43 @@
 		}
 		return g
 	}
-	later, atOnce := guarded(t, nil), guarded(t, nil)
-	for _, m := range []*Module{later, atOnce} {
+	later, atOnce := newLimitedAdmission(t, nil), newLimitedAdmission(t, nil)
+	for _, m := range []*Admission{later, atOnce} {
 		var areas []rules.Endpoint
-		for i := range fewAreas + 1 {
+		for i := range maxGroupsPlannedInline + 1 {
 			areas = append(areas, rules.Endpoint{Server: fmt.Sprint("p", i), Zone: "hub", Kind: "area", Status: "healthy", Weight: 1})
 		}
 		m.Step(0, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: areas}})
 	}
-	later.Elsewhere = true
-	later.Shape(0, many(1))
-	atOnce.Shape(0, many(1))
-	if later.up.route.Parts() != nil && slices.Max(later.up.route.Parts()) > 0 {
+	later.PlansInBackground = true
+	later.SetTopology(0, many(1))
+	atOnce.SetTopology(0, many(1))
+	if later.parents.route.Parts() != nil && slices.Max(later.parents.route.Parts()) > 0 {
 		t.Error("a plan is followed that nobody has worked out")
 	}
-	p := later.Wanted()
-	if p == nil || later.Wanted() != nil {
+	p := later.TakePlanJob()
+	if p == nil || later.TakePlanJob() != nil {
 		t.Fatal("a plan is not wanted, or twice")
 	}
 	done := make(chan struct{})
 	go func() { // beside events: the race detector looks on
-		p.Work()
+		p.Run()
 		close(done)
 	}()
 	for i := range 50 {
 		later.Step(int64(i), []rules.Event{{Kind: rules.EventRequest, RequestID: fmt.Sprint(i), Class: "page", Object: "aa", PurgeGroup: 50, SizeKB: 5, Timeout: 3 * sec}})
 	}
 	testwait.Receive(t, done, "the work beside events")
-	later.Planned(p)
-	if got, want := later.up.route.Parts(), atOnce.up.route.Parts(); !slices.Equal(got, want) || slices.Max(got) <= 0 {
+	later.ApplyPlanJob(p)
+	if got, want := later.parents.route.Parts(), atOnce.parents.route.Parts(); !slices.Equal(got, want) || slices.Max(got) <= 0 {
 		t.Errorf("worked out elsewhere %v, at once %v", got, want)
 	}
-	later.Shape(100, many(2))
-	old := later.Wanted()
-	later.Shape(200, many(3))
-	old.Work()
-	later.Planned(old)
-	if parts := later.up.route.Parts(); parts != nil && slices.Max(parts) > 0 {
+	later.SetTopology(100, many(2))
+	old := later.TakePlanJob()
+	later.SetTopology(200, many(3))
+	old.Run()
+	later.ApplyPlanJob(old)
+	if parts := later.parents.route.Parts(); parts != nil && slices.Max(parts) > 0 {
 		t.Error("the plan of a shape that is no more is followed")
 	}
 }
--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -6,202 +6,202 @@
 	"spantack/rules"
 )
 
-// note keeps the own depot's part of the list of servers.
-func (m *Module) note(ev *rules.Event) {
+// updateEndpoints keeps the own depot's part of the list of servers.
+func (m *Admission) updateEndpoints(ev *rules.Event) {
 	if ev.UpdateMode == "unavailable" {
 		return
 	}
 	if ev.UpdateMode != "update" {
-		clear(m.list)
-		clear(m.above)
+		clear(m.edgeCaches)
+		clear(m.parentServers)
 	}
 	for _, row := range ev.Endpoints {
-		kind := slices.Index(m.set.Kinds, row.Kind)
-		shield := kind == m.set.Hierarchy.ParentKind
-		delete(m.list, row.Server)
-		delete(m.above, row.Server)
+		kind := slices.Index(m.settings.Kinds, row.Kind)
+		shield := kind == m.settings.Hierarchy.ParentKind
+		delete(m.edgeCaches, row.Server)
+		delete(m.parentServers, row.Server)
 		switch {
 		case row.Status == "deregistered":
 		case shield:
-			m.above[row.Server] = row
-		case row.Zone == m.set.Zone && kind != m.set.Hierarchy.OriginKind:
-			m.list[row.Server] = row
+			m.parentServers[row.Server] = row
+		case row.Zone == m.settings.Zone && kind != m.settings.Hierarchy.OriginKind:
+			m.edgeCaches[row.Server] = row
 		}
 	}
-	m.listed++
-	m.lookedAt = 0
+	m.endpointsVersion++
+	m.capacityMeasuredAt = 0
 }
 
 // admit decides whether a request may try at all, and where. It costs no allocation.
-func (m *Module) admit(now int64, ev *rules.Event) Reason {
-	m.count(now)
-	m.look(now)
-	m.turn(now)
-	who := m.Tenant(ev)
-	t := &m.tenants[who]
+func (m *Admission) admit(now int64, ev *rules.Event) Reason {
+	m.countActiveTenants(now)
+	m.measureCapacity(now)
+	m.tickRollout(now)
+	tenantIndex := m.TenantOf(ev)
+	t := &m.tenants[tenantIndex]
 	home := t.cell
-	write := m.writes[ev.Class]
-	kb := ev.SizeKB
-	if kb <= 0 {
-		kb = sizeUnsaid
-	}
-	var by way
-	if t.move != nil && !write {
-		if home, by = m.route(now, t.move, ev, kb); by.why != None {
-			return by.why
+	write := m.uncacheable[ev.Class]
+	sizeKB := ev.SizeKB
+	if sizeKB <= 0 {
+		sizeKB = defaultRequestKB
+	}
+	var route migrationRoute
+	if t.migration != nil && !write {
+		if home, route = m.routeMigrating(now, t.migration, ev, sizeKB); route.rejected != ReasonNone {
+			return route.rejected
 		}
 	}
-	if straight := write && m.set.Hierarchy.AllowsDirectFetch; !straight && !m.cells[home].live { // what goes past the caches needs none
-		home = m.cells[home].spill
-		if home < 0 || !m.cells[home].live {
-			return NoCache
+	if straight := write && m.settings.Hierarchy.AllowsDirectFetch; !straight && !m.cells[home].hasLiveCache { // what goes past the caches needs none
+		home = m.cells[home].fallback
+		if home < 0 || !m.cells[home].hasLiveCache {
+			return ReasonNoLiveCache
 		}
-		m.Stats.Spilled++
+		m.Stats.FellBack++
 	}
 	c := &m.cells[home]
-	release := m.stage != nil && m.stage.Stage().Holds(int(ev.PurgeGroup), ev.Object)
-	if release && !m.onStage(c.name, ev) {
-		return Staged
+	release := m.rollout != nil && m.rollout.Stage().Holds(int(ev.PurgeGroup), ev.Object)
+	if release && !m.applyRolloutGate(c.name, ev) {
+		return ReasonNotReleased
 	}
-	c.asked.add(now, 1)
-	lately := int8(0)
-	if m.seen.addHash(now, partHash(ev.Object, ev.Chunk), 1) >= 1+seenAtLeast {
-		lately = 1
+	c.arrivals.add(now, 1)
+	recent := int8(0)
+	if m.recentParts.addHash(now, partHash(ev.Object, ev.Chunk), 1) >= 1+recentThreshold {
+		recent = 1
 	}
-	miss, deeper := t.fills.expect(lately, &m.cells[t.cell].fills)
-	fill, deep := kb*miss, kb*deeper
+	miss, deeper := t.missRatio.expect(recent, &m.cells[t.cell].missRatio)
+	fillKB, originKB := sizeKB*miss, sizeKB*deeper
 	if write {
-		fill, deep = 0, 0
-	} else if by.move != nil {
-		fill, deep = by.reckon(fill, deep, kb)
+		fillKB, originKB = 0, 0
+	} else if route.progress != nil {
+		fillKB, originKB = route.adjustFill(fillKB, originKB, sizeKB)
 	}
 	// What it takes of the depot, in seconds of the thing it takes most of.
 	cost := 1e-6
 	for _, of := range [...]struct {
-		t      *tree
+		t      *sharedRate
 		amount float64
-	}{{m.requests, 1}, {m.fills, fill}, {m.parents, fill}, {m.origin, deep}} {
-		if of.t.rate > 0 {
-			cost = max(cost, of.amount/(of.t.rate*1e6))
+	}{{m.requestRate, 1}, {m.linkRate, fillKB}, {m.parentRate, fillKB}, {m.originRate, originKB}} {
+		if of.t.perMicrosecond > 0 {
+			cost = max(cost, of.amount/(of.t.perMicrosecond*1e6))
 		}
 	}
-	used := t.used.add(now, cost) / t.weight
-	t.busy = true
-	t.wants.add(now, kb, fill, m.gains[ev.Class])
-	c.fair.all.add(now, cost)
-	c.fair.see(now, used)
-	over := c.fair.over(now, used)
+	used := t.usage.add(now, cost) / t.weight
+	t.active = true
+	t.demand.add(now, sizeKB, fillKB, m.priorityWeight[ev.Class])
+	c.fairShare.total.add(now, cost)
+	c.fairShare.observe(now, used)
+	over := c.fairShare.exceeds(now, used)
 	if over && !write {
-		return Heavy
+		return ReasonHeavyTenant
 	}
-	why := None
+	reason := ReasonNone
 	if write {
-		m.puts.fill(now)
-		if !m.puts.mayTake(home, !over) {
-			why = Writes
+		m.uncacheableRate.refill(now)
+		if !m.uncacheableRate.mayTake(home, !over) {
+			reason = ReasonUncacheableRate
 		}
 	} else {
-		m.requests.fill(now)
-		m.fills.fill(now)
-		m.parents.fill(now)
-		m.origin.fill(now)
-		quiet := used < c.fair.all.now(now)/max(c.fair.tenants, 1)
+		m.requestRate.refill(now)
+		m.linkRate.refill(now)
+		m.parentRate.refill(now)
+		m.originRate.refill(now)
+		quiet := used < c.fairShare.total.valueAt(now)/max(c.fairShare.activeTenants, 1)
 		switch {
-		case !m.requests.mayTake(home, quiet):
-			why = Requests
-		case !m.fills.mayTake(home, quiet):
-			why = Fills
-		case !m.parents.mayTake(home, quiet):
-			why = Parents
-		case !m.origin.mayTake(home, quiet):
-			why = Origin
+		case !m.requestRate.mayTake(home, quiet):
+			reason = ReasonRequestRate
+		case !m.linkRate.mayTake(home, quiet):
+			reason = ReasonLinkRate
+		case !m.parentRate.mayTake(home, quiet):
+			reason = ReasonParentRate
+		case !m.originRate.mayTake(home, quiet):
+			reason = ReasonOriginRate
 		}
 	}
-	if why == None && m.most > 0 && !m.mayOpen(home) {
-		why = Open
+	if reason == ReasonNone && m.maxOpenRequests > 0 && !m.hasOpenCapacity(home) {
+		reason = ReasonOpenRequests
 	}
-	if why != None {
-		c.fair.press(now)
-		return why
+	if reason != ReasonNone {
+		c.fairShare.observeRejection(now)
+		return reason
 	}
 	if write {
-		m.puts.take(home, 1)
+		m.uncacheableRate.take(home, 1)
 	} else {
-		m.requests.take(home, 1)
-		m.fills.take(home, fill)
-		m.parents.take(home, fill)
-		m.origin.take(home, deep)
-	}
-	ev.Subset = m.setOf(now, who, home)
-	if m.spare >= 0 && home != m.spare {
-		ev.OverflowSubset = m.spare + 1
-	}
-	if by.into {
-		m.admitMover(now, &by, home, ev)
-	} else if !write && len(m.paths) > 0 {
-		c.room.Lives(now, kb, fill)
-	}
-	c.open++
-	m.objects.Add(now, ev.Object, kb)
+		m.requestRate.take(home, 1)
+		m.linkRate.take(home, fillKB)
+		m.parentRate.take(home, fillKB)
+		m.originRate.take(home, originKB)
+	}
+	ev.Subset = m.subsetOf(now, tenantIndex, home)
+	if m.overflowCell >= 0 && home != m.overflowCell {
+		ev.OverflowSubset = m.overflowCell + 1
+	}
+	if route.toDestination {
+		m.admitMigrating(now, &route, home, ev)
+	} else if !write && len(m.activeMigrations) > 0 {
+		c.capacity.Lives(now, sizeKB, fillKB)
+	}
+	c.openRequests++
+	m.heavyObjects.Add(now, ev.Object, sizeKB)
 	class := 0
-	if m.stage != nil || len(m.paths) > 0 {
-		class = m.classes[ev.Class]
+	if m.rollout != nil || len(m.activeMigrations) > 0 {
+		class = m.classIndex[ev.Class]
 	}
-	m.open[ev.RequestID] = open{tenant: int32(who), cell: int32(home), kb: kb, fill: fill, deep: deep, lately: lately, write: write, class: int16(class), release: release, since: now, way: by}
+	m.openRequests[ev.RequestID] = openRequest{tenant: int32(tenantIndex), cell: int32(home), sizeKB: sizeKB, fillKB: fillKB, originKB: originKB, recent: recent, isUncacheable: write, class: int16(class), isRelease: release, admittedAt: now, route: route}
 	m.Stats.Admitted++
-	return None
+	return ReasonNone
 }
 
-// mayOpen keeps a place for each cell's share of the requests open at once.
-func (m *Module) mayOpen(home int) bool {
+// hasOpenCapacity keeps a place for each cell's share of the requests open at once.
+func (m *Admission) hasOpenCapacity(home int) bool {
 	c := &m.cells[home]
-	if float64(c.open) < c.share*float64(m.most) {
+	if float64(c.openRequests) < c.share*float64(m.maxOpenRequests) {
 		return true
 	}
 	kept := 0.0
 	for i := range m.cells {
-		if o := &m.cells[i]; i != home && o.fair.tenants > 0 {
-			kept += max(o.share*float64(m.most)-float64(o.open), 0)
+		if o := &m.cells[i]; i != home && o.fairShare.activeTenants > 0 {
+			kept += max(o.share*float64(m.maxOpenRequests)-float64(o.openRequests), 0)
 		}
 	}
-	return float64(len(m.open))+kept < mostOpenPart*float64(m.most)
+	return float64(len(m.openRequests))+kept < maxOpenFraction*float64(m.maxOpenRequests)
 }
 
-// count finds now and then how many tenants of each cell have asked of late.
-func (m *Module) count(now int64) {
-	if now-m.counted < countEvery && m.counted != 0 {
+// countActiveTenants finds now and then how many tenants of each cell have asked of late.
+func (m *Admission) countActiveTenants(now int64) {
+	if now-m.activeCountedAt < activeCountInterval && m.activeCountedAt != 0 {
 		return
 	}
-	m.counted = now
+	m.activeCountedAt = now
 	for i := range m.cells {
-		m.cells[i].fair.tenants = 0
+		m.cells[i].fairShare.activeTenants = 0
 	}
 	for i := range m.tenants {
 		t := &m.tenants[i]
-		if t.busy && now-t.used.at > busyWithin {
-			t.busy = false
+		if t.active && now-t.usage.updatedAt > activeWithin {
+			t.active = false
 		}
-		if t.busy {
-			m.cells[t.cell].fair.tenants++
+		if t.active {
+			m.cells[t.cell].fairShare.activeTenants++
 		}
 	}
 }
 
-// refuse is the answer at the gate. Whoever is over budget is told to stay away for long, at random so that they do
+// rejection is the answer at the gate. Whoever is over budget is told to stay away for long, at random so that they do
 // not come back together.
-func (m *Module) refuse(ev *rules.Event) rules.Action {
-	most := float64(m.set.Permissions.MaxRetryAfter)
-	return rules.Action{Kind: rules.ActionReject, RequestID: ev.RequestID, RetryAfter: int64(most * (waitLeast + (1-waitLeast)*m.rng.Float64()))}
+func (m *Admission) rejection(ev *rules.Event) rules.Action {
+	most := float64(m.settings.Permissions.MaxRetryAfter)
+	return rules.Action{Kind: rules.ActionReject, RequestID: ev.RequestID, RetryAfter: int64(most * (minRetryAfterFraction + (1-minRetryAfterFraction)*m.rng.Float64()))}
 }
 
-// outcome corrects what was reckoned once it is known whether there was a fill.
-func (m *Module) outcome(now int64, ev *rules.Event) {
-	o, known := m.open[ev.RequestID]
+// observeOutcome corrects what was reckoned once it is known whether there was a fill.
+func (m *Admission) observeOutcome(now int64, ev *rules.Event) {
+	o, known := m.openRequests[ev.RequestID]
 	if !known {
 		return
 	}
 	t := &m.tenants[o.tenant]
-	if ev.Outcome == rules.OutcomeServed && !o.write {
+	if ev.Outcome == rules.OutcomeServed && !o.isUncacheable {
 		missed, deep := 0.0, 0.0
 		if ev.CacheStatus == 2 || ev.CacheStatus == 3 {
 			missed = 1
@@ -209,43 +209,43 @@
 		if ev.CacheStatus == 3 {
 			deep = 1
 		}
-		if !o.way.cold { // what it finds in a cell that does not know it yet tells nothing of what it will take
-			t.fills.learn(o.lately, missed, deep, missStep)
-			m.cells[t.cell].fills.learn(o.lately, missed, deep, cellStep)
+		if !o.route.cold { // what it finds in a cell that does not know it yet tells nothing of what it will take
+			t.missRatio.learn(o.recent, missed, deep, tenantLearningStep)
+			m.cells[t.cell].missRatio.learn(o.recent, missed, deep, cellLearningStep)
 		}
-		m.fills.settle(int(o.cell), o.kb*missed-o.fill)
-		m.parents.settle(int(o.cell), o.kb*missed-o.fill)
-		m.origin.settle(int(o.cell), o.kb*deep-o.deep)
+		m.linkRate.correct(int(o.cell), o.sizeKB*missed-o.fillKB)
+		m.parentRate.correct(int(o.cell), o.sizeKB*missed-o.fillKB)
+		m.originRate.correct(int(o.cell), o.sizeKB*deep-o.originKB)
 	}
-	m.saw(now, &o, ev)
+	m.observeAnswer(now, &o, ev)
 	if ev.IsFinal {
-		m.over(ev.RequestID)
+		m.closeRequest(ev.RequestID)
 	}
 }
 
-// answered looks at what rules decided: final answers, and refusals that show a crowded cell.
-func (m *Module) answered(now int64, acts []rules.Action) {
+// observeDecisions looks at what rules decided: final answers, and refusals that show a crowded cell.
+func (m *Admission) observeDecisions(now int64, acts []rules.Action) {
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
 		case rules.ActionReject:
-			if o, known := m.open[a.RequestID]; known {
-				m.cells[o.cell].crowded(now)
-				m.unserved(now, &o, false)
+			if o, known := m.openRequests[a.RequestID]; known {
+				m.cells[o.cell].observeRejection(now)
+				m.observeUnserved(now, &o, false)
 			}
-			m.over(a.RequestID)
+			m.closeRequest(a.RequestID)
 		case rules.ActionFail:
-			if o, known := m.open[a.RequestID]; known {
-				m.unserved(now, &o, true)
+			if o, known := m.openRequests[a.RequestID]; known {
+				m.observeUnserved(now, &o, true)
 			}
-			m.over(a.RequestID)
+			m.closeRequest(a.RequestID)
 		}
 	}
 }
 
-func (m *Module) over(call string) {
-	delete(m.up.asked, call)
-	if o, known := m.open[call]; known {
-		m.cells[o.cell].open--
-		delete(m.open, call)
+func (m *Admission) closeRequest(call string) {
+	delete(m.parents.groupByRequest, call)
+	if o, known := m.openRequests[call]; known {
+		m.cells[o.cell].openRequests--
+		delete(m.openRequests, call)
 	}
 }
--- a/core/cells/cells_test.go
+++ b/core/cells/cells_test.go
@@ -22,16 +22,16 @@
 	sec  = 1000 * msec
 )
 
-// two cells: "loud" alone in one, "calm" and "quiet" in the other.
-func two() *Spec {
-	return &Spec{Version: 1, Scheme: Fixed,
-		Cells:   []Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
-		Tenants: []Tenant{{Name: "loud", Cell: "one"}, {Name: "calm", Cell: "two"}, {Name: "quiet", Cell: "two"}},
-		Keys:    []Key{{Families: []int{0, 9}, Tenant: "loud"}, {Prefix: "aa", Tenant: "calm"}, {Named: "q", Tenant: "quiet"}, {Tenant: "calm"}},
+// twoCells cells: "loud" alone in one, "calm" and "quiet" in the other.
+func twoCells() *Spec {
+	return &Spec{Version: 1, Scheme: SchemeFixed,
+		Cells:      []Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
+		Tenants:    []Tenant{{Name: "loud", Cell: "one"}, {Name: "calm", Cell: "two"}, {Name: "quiet", Cell: "two"}},
+		TenantKeys: []TenantKey{{PurgeGroupRange: []int{0, 9}, Tenant: "loud"}, {ObjectPrefix: "aa", Tenant: "calm"}, {DeclaredTenant: "q", Tenant: "quiet"}, {Tenant: "calm"}},
 	}
 }
 
-func settings() rules.Settings {
+func testSettings() rules.Settings {
 	return rules.Settings{
 		Classes: []rules.Class{
 			{Name: "page", ObjectiveSizeFactor: 2, Deadline: 3 * sec, LatencyObjective: 300 * msec, PriorityWeight: 1, DeduplicationScope: "all", Idempotency: "read_like"},
@@ -50,7 +50,7 @@
 	}
 }
 
-func rows(caches ...string) []rules.Endpoint {
+func endpointsWith(caches ...string) []rules.Endpoint {
 	list := []rules.Endpoint{{Server: "o", Zone: "hub", Kind: "origin", Status: "healthy", Weight: 100}, {Server: "p0", Zone: "hub", Kind: "area", Status: "healthy", Weight: 50},
 		{Server: "p1", Zone: "hub", Kind: "area", Status: "healthy", Weight: 50}}
 	for _, name := range caches {
@@ -59,14 +59,14 @@
 	return list
 }
 
-func names(n int) (list []string) {
+func cacheNames(n int) (list []string) {
 	for i := range n {
 		list = append(list, fmt.Sprintf("s-%08x", uint32(i+1)*2654435761))
 	}
 	return list
 }
 
-func compile(t testing.TB, spec *Spec) *Assignment {
+func mustCompile(t testing.TB, spec *Spec) *Assignment {
 	t.Helper()
 	a, err := Compile(spec)
 	if err != nil {
@@ -75,36 +75,36 @@
 	return a
 }
 
-func module(t testing.TB, spec *Spec, caches ...string) *Module {
+func newTestAdmission(t testing.TB, spec *Spec, caches ...string) *Admission {
 	t.Helper()
-	m, err := NewModule(settings(), 1)
+	m, err := NewAdmission(testSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Confine(sec, compile(t, spec))
-	m.Step(sec, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: rows(caches...)}})
+	m.SetAssignment(sec, mustCompile(t, spec))
+	m.Step(sec, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(caches...)}})
 	return m
 }
 
-// asker sends requests and ends each with a good answer at once.
-type asker struct {
-	t   testing.TB
-	m   *Module
-	n   int
-	now int64
+// testClient sends requests and ends each with a good answer at once.
+type testClient struct {
+	t         testing.TB
+	admission *Admission
+	sent      int
+	now       int64
 }
 
-// ask returns where the first attempt went, "" for a refusal, "fail" for a failure.
-func (a *asker) ask(ev rules.Event) string {
-	a.n++
-	ev.Kind, ev.RequestID, ev.Timeout = rules.EventRequest, fmt.Sprint("r", a.n), 3*sec
+// request returns where the first attempt went, "" for a refusal, "fail" for a failure.
+func (a *testClient) request(ev rules.Event) string {
+	a.sent++
+	ev.Kind, ev.RequestID, ev.Timeout = rules.EventRequest, fmt.Sprint("r", a.sent), 3*sec
 	if ev.Class == "" {
 		ev.Class = "page"
 	}
-	for _, act := range a.m.Step(a.now, []rules.Event{ev}) {
+	for _, act := range a.admission.Step(a.now, []rules.Event{ev}) {
 		switch act.Kind {
 		case rules.ActionSend:
-			a.m.Step(a.now, []rules.Event{{Kind: rules.EventOutcome, RequestID: ev.RequestID, Server: act.Server, Outcome: rules.OutcomeServed, CacheStatus: 1, ResponseTime: 10 * msec, IsFinal: true}})
+			a.admission.Step(a.now, []rules.Event{{Kind: rules.EventOutcome, RequestID: ev.RequestID, Server: act.Server, Outcome: rules.OutcomeServed, CacheStatus: 1, ResponseTime: 10 * msec, IsFinal: true}})
 			return act.Server
 		case rules.ActionReject:
 			if act.RetryAfter <= 0 || act.RetryAfter > sec {
@@ -124,102 +124,104 @@
 		"version: 0 is under 1":                 func(s *Spec) { s.Version = 0 },
 		"scheme: ":                              func(s *Spec) { s.Scheme = "round" },
 		"width: ":                               func(s *Spec) { s.Width = 2 },
-		"spare: ":                               func(s *Spec) { s.Spare = "one" },
+		"spare: ":                               func(s *Spec) { s.OverflowCell = "one" },
 		"cells: 0 of them":                      func(s *Spec) { s.Cells = nil },
 		"cells: shares come to 1.5":             func(s *Spec) { s.Cells[0].Share = 1 },
 		"cells[0].share: ":                      func(s *Spec) { s.Cells[0].Share = math.NaN() },
 		"cells[1].name: \"one\" is named twice": func(s *Spec) { s.Cells[1].Name = "one" },
-		"cells[0].spill: \"three\" is no other cell; cells are one, two": func(s *Spec) { s.Cells[0].Spill = "three" },
-		"cells[0].spill: \"one\"":                  func(s *Spec) { s.Cells[0].Spill = "one" },
+		"cells[0].spill: \"three\" is no other cell; cells are one, two": func(s *Spec) { s.Cells[0].FallbackCell = "three" },
+		"cells[0].spill: \"one\"":                  func(s *Spec) { s.Cells[0].FallbackCell = "one" },
 		"tenants[1].name: \"loud\" is named twice": func(s *Spec) { s.Tenants[1].Name = "loud" },
 		"tenants[2].cell: \"nine\" is no cell":     func(s *Spec) { s.Tenants[2].Cell = "nine" },
-		"tenants[0].depots[z]: ":                   func(s *Spec) { s.Tenants[0].Depots = map[string]string{"z": "nine"} },
+		"tenants[0].depots[z]: ":                   func(s *Spec) { s.Tenants[0].CellBySite = map[string]string{"z": "nine"} },
 		"tenants[0].weight: ":                      func(s *Spec) { s.Tenants[0].Weight = -1 },
-		"keys[0].tenant: \"who\" is no tenant":     func(s *Spec) { s.Keys[0].Tenant = "who" },
-		"keys[0].families: ":                       func(s *Spec) { s.Keys[0].Families = []int{5, 2} },
-		"keys[1].prefix: ":                         func(s *Spec) { s.Keys[1].Prefix = "AA" },
-		"keys[3]: the last line":                   func(s *Spec) { s.Keys = s.Keys[:4]; s.Keys[3].Class = "page" },
-		"keys[1]: no request gets here":            func(s *Spec) { s.Keys[1] = Key{Families: []int{3, 4}, Prefix: "b", Tenant: "calm"} },
-		"budget.open: ":                            func(s *Spec) { s.Budget.Open = -1 },
+		"keys[0].tenant: \"who\" is no tenant":     func(s *Spec) { s.TenantKeys[0].Tenant = "who" },
+		"keys[0].families: ":                       func(s *Spec) { s.TenantKeys[0].PurgeGroupRange = []int{5, 2} },
+		"keys[1].prefix: ":                         func(s *Spec) { s.TenantKeys[1].ObjectPrefix = "AA" },
+		"keys[3]: the last line":                   func(s *Spec) { s.TenantKeys = s.TenantKeys[:4]; s.TenantKeys[3].Class = "page" },
+		"keys[1]: no request gets here": func(s *Spec) {
+			s.TenantKeys[1] = TenantKey{PurgeGroupRange: []int{3, 4}, ObjectPrefix: "b", Tenant: "calm"}
+		},
+		"budget.open: ": func(s *Spec) { s.Budget.MaxOpenRequests = -1 },
 	} {
-		s := two()
+		s := twoCells()
 		spoil(s)
 		if err := s.Check(); err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("got %v, want %s...", err, want)
 		}
 	}
-	if err := two().Check(); err != nil {
+	if err := twoCells().Check(); err != nil {
 		t.Error(err)
 	}
 }
 
 // Lines that together match all that a later one does shadow it, though none does alone.
-func TestShadowOfManyLines(t *testing.T) {
-	s := two()
-	s.Keys = []Key{{Families: []int{0, 100}, Tenant: "loud"}, {Families: []int{101, 255}, Class: "page", Tenant: "loud"}, {Families: []int{50, 255}, Class: "page", Prefix: "0", Tenant: "calm"}, {Tenant: "calm"}}
+func TestKeyUnreachableBehindSeveral(t *testing.T) {
+	s := twoCells()
+	s.TenantKeys = []TenantKey{{PurgeGroupRange: []int{0, 100}, Tenant: "loud"}, {PurgeGroupRange: []int{101, 255}, Class: "page", Tenant: "loud"}, {PurgeGroupRange: []int{50, 255}, Class: "page", ObjectPrefix: "0", Tenant: "calm"}, {Tenant: "calm"}}
 	if err := s.Check(); err == nil || !strings.HasPrefix(err.Error(), "keys[2]: ") {
 		t.Errorf("got %v", err)
 	}
-	s.Keys[2].Class = ""
+	s.TenantKeys[2].Class = ""
 	if err := s.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-func drawKeys(t *rapid.T) []Key {
+func drawKeys(t *rapid.T) []TenantKey {
 	hex := rapid.StringMatching("[0-3]{0,3}")
-	keys := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Key {
-		k := Key{Prefix: hex.Draw(t, "prefix"), Class: rapid.SampledFrom([]string{"", "page", "report"}).Draw(t, "class"),
-			Named: rapid.SampledFrom([]string{"", "", "q"}).Draw(t, "named"), Tenant: "loud"}
+	keys := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) TenantKey {
+		k := TenantKey{ObjectPrefix: hex.Draw(t, "prefix"), Class: rapid.SampledFrom([]string{"", "page", "report"}).Draw(t, "class"),
+			DeclaredTenant: rapid.SampledFrom([]string{"", "", "q"}).Draw(t, "named"), Tenant: "loud"}
 		if rapid.Bool().Draw(t, "families") {
 			first := rapid.IntRange(0, 255).Draw(t, "first")
-			k.Families = []int{first, rapid.IntRange(first, 255).Draw(t, "last")}
+			k.PurgeGroupRange = []int{first, rapid.IntRange(first, 255).Draw(t, "last")}
 		}
 		return k
 	}), 0, 40).Draw(t, "keys")
-	return append(keys, Key{Tenant: "calm"})
+	return append(keys, TenantKey{Tenant: "calm"})
 }
 
 // The table finds what a look through all lines finds; and a line that Check lets through is found by some request.
-func TestTableAgreesWithThePlainWay(t *testing.T) {
+func TestKeyTableAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := drawKeys(t)
-		table := newTable(keys)
+		table := newKeyTable(keys)
 		for range 30 {
 			family, class := rapid.IntRange(0, 255).Draw(t, "f"), rapid.SampledFrom([]string{"page", "report", "other"}).Draw(t, "c")
 			object, named := rapid.StringMatching("[0-4]{0,4}").Draw(t, "o"), rapid.SampledFrom([]string{"", "q", "x"}).Draw(t, "n")
-			if got, want := table.find(family, class, object, named), plainFind(keys, family, class, object, named); got != want {
+			if got, want := table.find(family, class, object, named), referenceFind(keys, family, class, object, named); got != want {
 				t.Fatalf("%d %q %q %q: line %d, want %d", family, class, object, named, got, want)
 			}
 		}
-		if err := shadowed(keys); err != nil {
+		if err := checkReachable(keys); err != nil {
 			return
 		}
 		for i, k := range keys {
 			found := false
-			for f := 0; f < families && !found; f++ {
+			for f := 0; f < purgeGroupCount && !found; f++ {
 				for _, class := range []string{"page", "report", "other"} {
 					for _, tail := range []string{"", "f", "0", "1", "2", "3"} {
-						object := k.Prefix + tail
-						found = found || plainFind(keys, f, class, object, k.Named) == i
+						object := k.ObjectPrefix + tail
+						found = found || referenceFind(keys, f, class, object, k.DeclaredTenant) == i
 					}
 				}
 			}
-			if !found && len(k.Prefix) == 3 { // longer prefixes than any line's can't be shadowed by parts
+			if !found && len(k.ObjectPrefix) == 3 { // longer prefixes than any line's can't be shadowed by parts
 				t.Fatalf("line %d of %+v is never found, and Check said nothing", i, keys)
 			}
 		}
 	})
 }
 
-func TestQuotasComeOutWhole(t *testing.T) {
+func TestCacheQuotasAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 80).Draw(t, "caches")
 		cells := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Cell {
 			return Cell{Share: rapid.Float64Range(0.001, 1).Draw(t, "share")}
 		}), 1, 20).Draw(t, "cells")
 		sum := 0
-		for i, q := range quotas(cells, n) {
+		for i, q := range cacheQuotas(cells, n) {
 			if sum += q; q < 0 || n >= len(cells) && q == 0 {
 				t.Fatalf("cell %d has %d of %d", i, q, n)
 			}
@@ -231,14 +233,14 @@
 }
 
 // A cache that is replaced by one of another name moves few others: stated in docs/cells.md.
-func TestReplacementMovesLittle(t *testing.T) {
+func TestReplacedCacheMovesFewOthers(t *testing.T) {
 	cells := []Cell{{Name: "a", Share: 0.25}, {Name: "b", Share: 0.25}, {Name: "c", Share: 0.25}, {Name: "d", Share: 0.25}}
 	moved, places, worst, empty := 0, 0, 0, 0
 	for trial := range 300 {
-		caches := names(38)
-		before := divide(cells, caches)
-		few := names(trial + 13)[trial+1:]
-		for _, in := range plainDivide(cells, few) {
+		caches := cacheNames(38)
+		before := divideCaches(cells, caches)
+		few := cacheNames(trial + 13)[trial+1:]
+		for _, in := range independentDivide(cells, few) {
 			if len(in) == 0 {
 				empty++
 			}
@@ -246,7 +248,7 @@
 		gone := trial % 38
 		caches[gone] = fmt.Sprintf("s-%08x", uint32(trial+1000)*2654435761)
 		now := 0
-		for i, in := range divide(cells, caches) {
+		for i, in := range divideCaches(cells, caches) {
 			if len(in) < 9 || len(in) > 10 {
 				t.Fatalf("cell %d has %d of 38 caches", i, len(in))
 			}
@@ -266,8 +268,8 @@
 	}
 }
 
-// sortedDivide goes through all pairs by affinity: what divide must agree with.
-func sortedDivide(cells []Cell, caches []string) [][]string {
+// referenceDivide goes through all pairs by affinity: what divide must agree with.
+func referenceDivide(cells []Cell, caches []string) [][]string {
 	type pair struct {
 		cell, cache int
 		a           float64
@@ -279,7 +281,7 @@
 		}
 	}
 	slices.SortFunc(pairs, func(a, b pair) int { return cmp.Compare(b.a, a.a) })
-	room, in, placed := quotas(cells, len(caches)), make([][]string, len(cells)), map[int]bool{}
+	room, in, placed := cacheQuotas(cells, len(caches)), make([][]string, len(cells)), map[int]bool{}
 	for _, p := range pairs {
 		if !placed[p.cache] && room[p.cell] > 0 {
 			placed[p.cache] = true
@@ -293,104 +295,104 @@
 	return in
 }
 
-func TestDivideAgreesWithThePlainWay(t *testing.T) {
+func TestDivideCachesAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var cells []Cell
 		for i := range rapid.IntRange(1, 12).Draw(t, "cells") {
 			cells = append(cells, Cell{Name: fmt.Sprint("c", i), Share: rapid.Float64Range(0.001, 0.08).Draw(t, "share")})
 		}
-		caches := names(rapid.IntRange(0, 50).Draw(t, "caches"))
-		if got, want := divide(cells, caches), sortedDivide(cells, caches); !slices.EqualFunc(got, want, slices.Equal) {
+		caches := cacheNames(rapid.IntRange(0, 50).Draw(t, "caches"))
+		if got, want := divideCaches(cells, caches), referenceDivide(cells, caches); !slices.EqualFunc(got, want, slices.Equal) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
 	})
 }
 
 func TestFewerCachesThanCells(t *testing.T) {
-	s := two()
+	s := twoCells()
 	s.Cells[0].Share, s.Cells[1].Share = 0.6, 0.4
-	m := module(t, s, "c0")
-	a := &asker{t: t, m: m, now: 2 * sec}
-	if got := a.ask(rules.Event{PurgeGroup: 1, Object: "01"}); got != "c0" {
+	m := newTestAdmission(t, s, "c0")
+	a := &testClient{t: t, admission: m, now: 2 * sec}
+	if got := a.request(rules.Event{PurgeGroup: 1, Object: "01"}); got != "c0" {
 		t.Errorf("the cell with the greater share is sent to %q", got)
 	}
-	if got := a.ask(rules.Event{PurgeGroup: 99, Object: "01"}); got != "" {
+	if got := a.request(rules.Event{PurgeGroup: 99, Object: "01"}); got != "" {
 		t.Errorf("a cell without caches is sent to %q", got)
 	}
-	s.Version, s.Cells[1].Spill = 2, "one"
-	m.Confine(2*sec, compile(t, s))
-	if got := a.ask(rules.Event{PurgeGroup: 99, Object: "01"}); got != "c0" {
+	s.Version, s.Cells[1].FallbackCell = 2, "one"
+	m.SetAssignment(2*sec, mustCompile(t, s))
+	if got := a.request(rules.Event{PurgeGroup: 99, Object: "01"}); got != "c0" {
 		t.Errorf("the named neighbour does not serve: %q", got)
 	}
-	if m.Stats.Spilled != 1 || m.Stats.Refused[NoCache] != 1 {
+	if m.Stats.FellBack != 1 || m.Stats.Rejected[ReasonNoLiveCache] != 1 {
 		t.Errorf("%+v", m.Stats)
 	}
 }
 
 // The only cache of a cell drains, goes, and another comes: refused meanwhile, never spread over the other cell.
 func TestOnlyCacheOfACellIsLost(t *testing.T) {
-	m := module(t, two(), "c0", "c1")
-	a := &asker{t: t, m: m, now: 2 * sec}
-	home := a.ask(rules.Event{PurgeGroup: 1, Object: "01"})
-	row := rows(home)[3]
+	m := newTestAdmission(t, twoCells(), "c0", "c1")
+	a := &testClient{t: t, admission: m, now: 2 * sec}
+	home := a.request(rules.Event{PurgeGroup: 1, Object: "01"})
+	row := endpointsWith(home)[3]
 	for _, status := range []rules.EndpointStatus{"cordoned", "deregistered"} {
 		row.Status = status
 		m.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{row}}})
 		if status == "cordoned" {
 			for range 20 {
-				if got := a.ask(rules.Event{PurgeGroup: 1, Object: fmt.Sprint(a.n)}); got != "" {
+				if got := a.request(rules.Event{PurgeGroup: 1, Object: fmt.Sprint(a.sent)}); got != "" {
 					t.Fatalf("%s: sent to %s", status, got)
 				}
 			}
 		}
 	}
 	// One cache for two cells of equal shares: the first named has it.
-	one, other := a.ask(rules.Event{PurgeGroup: 1, Object: "1"}), a.ask(rules.Event{PurgeGroup: 99, Object: "1"})
+	one, other := a.request(rules.Event{PurgeGroup: 1, Object: "1"}), a.request(rules.Event{PurgeGroup: 99, Object: "1"})
 	if one == "" || other != "" {
 		t.Errorf("one cache left: cells sent to %q and %q", one, other)
 	}
-	m.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: rows("c7")[3:]}})
-	one, other = a.ask(rules.Event{PurgeGroup: 1, Object: "2"}), a.ask(rules.Event{PurgeGroup: 99, Object: "2"})
+	m.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: endpointsWith("c7")[3:]}})
+	one, other = a.request(rules.Event{PurgeGroup: 1, Object: "2"}), a.request(rules.Event{PurgeGroup: 99, Object: "2"})
 	if one == "" || other == "" || one == other {
 		t.Errorf("two caches again: cells sent to %q and %q", one, other)
 	}
 }
 
 // Reports go past the caches to the head office: a cell without a cache has them served all the same.
-func TestReportsNeedNoCache(t *testing.T) {
-	m := module(t, two(), "c0")
-	a := &asker{t: t, m: m, now: 2 * sec}
-	if page, report := a.ask(rules.Event{PurgeGroup: 99, Object: "01"}), a.ask(rules.Event{PurgeGroup: 99, Class: "report"}); page != "" || report != "o" {
+func TestUncacheableRequestsNeedNoCache(t *testing.T) {
+	m := newTestAdmission(t, twoCells(), "c0")
+	a := &testClient{t: t, admission: m, now: 2 * sec}
+	if page, report := a.request(rules.Event{PurgeGroup: 99, Object: "01"}), a.request(rules.Event{PurgeGroup: 99, Class: "report"}); page != "" || report != "o" {
 		t.Errorf("page sent to %q, report to %q", page, report)
 	}
 }
 
 // While its only cache drains, a cell's requests go to the neighbour that it names.
-func TestDrainingCacheHandsOver(t *testing.T) {
-	s := two()
-	s.Cells[0].Spill = "two"
-	m := module(t, s, "c0", "c1")
-	a := &asker{t: t, m: m, now: 2 * sec}
-	home := a.ask(rules.Event{PurgeGroup: 1, Object: "01"})
-	row := rows(home)[3]
+func TestFallbackWhileOnlyCacheDrains(t *testing.T) {
+	s := twoCells()
+	s.Cells[0].FallbackCell = "two"
+	m := newTestAdmission(t, s, "c0", "c1")
+	a := &testClient{t: t, admission: m, now: 2 * sec}
+	home := a.request(rules.Event{PurgeGroup: 1, Object: "01"})
+	row := endpointsWith(home)[3]
 	row.Status = "cordoned"
 	m.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{row}}})
-	if got := a.ask(rules.Event{PurgeGroup: 1, Object: "01"}); got == "" || got == home {
+	if got := a.request(rules.Event{PurgeGroup: 1, Object: "01"}); got == "" || got == home {
 		t.Errorf("sent to %q", got)
 	}
 }
 
 // Routers with different versions send a tenant to its cell by the one or by the other, and nowhere else.
-func TestVersionsApart(t *testing.T) {
-	caches := names(9)
-	next := two()
+func TestRoutersWithDifferentAssignments(t *testing.T) {
+	caches := cacheNames(9)
+	next := twoCells()
 	next.Version = 2
 	next.Tenants[0].Cell, next.Tenants[1].Cell = "two", "one"
-	for i, s := range []*Spec{two(), next} {
-		a := &asker{t: t, m: module(t, s, caches...), now: 2 * sec}
-		in := s.Divide(caches)
+	for i, s := range []*Spec{twoCells(), next} {
+		a := &testClient{t: t, admission: newTestAdmission(t, s, caches...), now: 2 * sec}
+		in := s.CachesByCell(caches)
 		for n := range 100 {
-			if got := a.ask(rules.Event{PurgeGroup: 1, Object: fmt.Sprint(n)}); !slices.Contains(in[i], got) {
+			if got := a.request(rules.Event{PurgeGroup: 1, Object: fmt.Sprint(n)}); !slices.Contains(in[i], got) {
 				t.Fatalf("version %d: sent to %s", s.Version, got)
 			}
 		}
@@ -398,20 +400,20 @@
 }
 
 // Whatever the scheme, no request goes outside the caches that Explain names, and all of those are used.
-func TestConfinement(t *testing.T) {
-	caches := names(12)
-	for _, scheme := range []string{Fixed, Shuffle, Nested, Overflow} {
-		s := two()
+func TestRequestsStayInTheirTenantsCaches(t *testing.T) {
+	caches := cacheNames(12)
+	for _, scheme := range []string{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow} {
+		s := twoCells()
 		s.Scheme = scheme
 		switch scheme {
-		case Shuffle, Nested:
+		case SchemeShuffle, SchemeNested:
 			s.Width = 2
-		case Overflow:
+		case SchemeOverflow:
 			s.Cells = append(s.Cells, Cell{Name: "spare", Share: 0.25})
-			s.Cells[0].Share, s.Cells[1].Share, s.Spare = 0.375, 0.375, "spare"
+			s.Cells[0].Share, s.Cells[1].Share, s.OverflowCell = 0.375, 0.375, "spare"
 		}
-		m := module(t, s, caches...)
-		a := &asker{t: t, m: m, now: 2 * sec}
+		m := newTestAdmission(t, s, caches...)
+		a := &testClient{t: t, admission: m, now: 2 * sec}
 		used := map[string]map[string]bool{}
 		for i := range 600 {
 			a.now += 10 * msec
@@ -423,7 +425,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := a.ask(ev)
+			got := a.request(ev)
 			if !slices.Contains(why.Caches, got) {
 				t.Fatalf("%s: %s of %s sent to %q, not one of %v", scheme, ev.Object, why.Tenant, got, why.Caches)
 			}
@@ -441,12 +443,12 @@
 }
 
 // A flood that uses a cell's share up is refused; the other cell, and the quiet tenant beside a loud one, are not.
-func TestFloodMeetsItsOwnBudget(t *testing.T) {
-	s := two()
-	s.Budget.RequestsPerS = 400 // 200 for this router, 100 for each cell
-	s.Tenants[2].Cell = "one"   // quiet lives with loud
-	m := module(t, s, names(8)...)
-	a := &asker{t: t, m: m, now: 2 * sec}
+func TestFloodIsLimitedToItsCellsShare(t *testing.T) {
+	s := twoCells()
+	s.Budget.RequestsPerSecond = 400 // 200 for this router, 100 for each cell
+	s.Tenants[2].Cell = "one"        // quiet lives with loud
+	m := newTestAdmission(t, s, cacheNames(8)...)
+	a := &testClient{t: t, admission: m, now: 2 * sec}
 	asked, served := map[string]int{}, map[string]int{}
 	for i := range 10_000 { // ten seconds: loud 900 a second, calm 80, quiet 20
 		a.now += msec
@@ -458,7 +460,7 @@
 			ev.PurgeGroup, who = 99, "calm"
 		}
 		asked[who]++
-		if a.ask(ev) != "" {
+		if a.request(ev) != "" {
 			served[who]++
 		}
 	}
@@ -471,12 +473,12 @@
 }
 
 // What a cell lent is its own again within Give, though the borrower goes on.
-func TestShareComesBackWithinGive(t *testing.T) {
+func TestLentShareIsReclaimed(t *testing.T) {
 	const give = 250 * msec
-	tr := newTree(1000, []float64{0.5, 0.5}, float64(give))
+	tr := newSharedRate(1000, []float64{0.5, 0.5}, float64(give))
 	now := sec
 	spend := func(cell int, perMs float64) (got float64) {
-		tr.fill(now)
+		tr.refill(now)
 		for range int(perMs) {
 			if tr.mayTake(cell, false) {
 				tr.take(cell, 1)
@@ -507,23 +509,23 @@
 	if own < 870*0.98 || first > 880*1.05 {
 		t.Errorf("after Give: owner %v, borrower %v, 875 each", own, first)
 	}
-	tr.fill(now + 3600*sec)
-	if most := 1000 * 0.25 * poolPart; tr.pool > most*1.001 {
+	tr.refill(now + 3600*sec)
+	if most := 1000 * 0.25 * poolDepthFraction; tr.pool > most*1.001 {
 		t.Errorf("an idle hour leaves %v to lend, %v at most", tr.pool, most)
 	}
 }
 
-// Writes have a budget of their own: a flood of pages leaves them alone.
-func TestReportsAreCountedApart(t *testing.T) {
-	s := two()
-	s.Budget.RequestsPerS, s.Budget.WritesPerS = 100, 100
-	m := module(t, s, names(4)...)
-	a := &asker{t: t, m: m, now: 2 * sec}
+// ReasonUncacheableRate have a budget of their own: a flood of pages leaves them alone.
+func TestUncacheableRequestsHaveTheirOwnRate(t *testing.T) {
+	s := twoCells()
+	s.Budget.RequestsPerSecond, s.Budget.UncacheablePerSecond = 100, 100
+	m := newTestAdmission(t, s, cacheNames(4)...)
+	a := &testClient{t: t, admission: m, now: 2 * sec}
 	served := 0
 	for i := range 4000 {
 		a.now += msec
-		a.ask(rules.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)})
-		if i%100 == 0 && a.ask(rules.Event{PurgeGroup: 1, Class: "report"}) != "" {
+		a.request(rules.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)})
+		if i%100 == 0 && a.request(rules.Event{PurgeGroup: 1, Class: "report"}) != "" {
 			served++
 		}
 	}
@@ -533,10 +535,10 @@
 }
 
 // Places for open requests: a cell that holds all it can leaves the other its share, and gives back what ends.
-func TestOpenRequestsKeepAShare(t *testing.T) {
-	s := two()
-	s.Budget.Open = 20
-	m := module(t, s, names(8)...)
+func TestOpenRequestsAreReservedByCell(t *testing.T) {
+	s := twoCells()
+	s.Budget.MaxOpenRequests = 20
+	m := newTestAdmission(t, s, cacheNames(8)...)
 	now := 2 * sec
 	open := func(group int64, n int) (calls []string) {
 		for i := range n {
@@ -559,17 +561,17 @@
 	for _, call := range loud {
 		m.Step(now, []rules.Event{{Kind: rules.EventAborted, RequestID: call}})
 	}
-	if len(m.open) != len(calm)+1 {
-		t.Errorf("%d open after the clients left, %d asked", len(m.open), len(calm)+1)
+	if len(m.openRequests) != len(calm)+1 {
+		t.Errorf("%d open after the clients left, %d asked", len(m.openRequests), len(calm)+1)
 	}
 }
 
 // Without a specification a module does to the byte what the rules do alone; and a specification taken away leaves that.
-func TestOffIsWithoutEffect(t *testing.T) {
+func TestNoAssignmentIsWithoutEffect(t *testing.T) {
 	run := func(step func(int64, []rules.Event) []rules.Action) (out []string) {
 		rng := rand.New(rand.NewPCG(3, 3))
 		now := sec
-		step(now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: rows(names(6)...)}})
+		step(now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(cacheNames(6)...)}})
 		for i := range 2000 {
 			now += int64(rng.IntN(5000))
 			call := fmt.Sprint(i)
@@ -585,27 +587,27 @@
 		}
 		return out
 	}
-	plain, err := rules.NewEngine(settings(), 9)
+	plain, err := rules.NewEngine(testSettings(), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := NewModule(settings(), 9)
+	m, err := NewAdmission(testSettings(), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Confine(0, compile(t, two()))
-	m.Confine(0, nil)
+	m.SetAssignment(0, mustCompile(t, twoCells()))
+	m.SetAssignment(0, nil)
 	if a, b := run(plain.Step), run(m.Step); !slices.Equal(a, b) {
 		t.Error("not the same actions")
 	}
-	if m.Picture(0) != nil || m.Version() != 0 {
+	if m.Status(0) != nil || m.AssignmentVersion() != 0 {
 		t.Error("something is left")
 	}
 }
 
 // A specification that can't be used does not get as far as a module.
-func TestBadSpecificationIsNotCompiled(t *testing.T) {
-	bad := two()
+func TestInvalidSpecIsNotCompiled(t *testing.T) {
+	bad := twoCells()
 	bad.Tenants[0].Cell = "nowhere"
 	if a, err := Compile(bad); a != nil || err == nil || !strings.HasPrefix(err.Error(), "cells.tenants[0].cell: ") {
 		t.Errorf("got %v, %v", a, err)
@@ -613,15 +615,15 @@
 }
 
 // What was learnt of a tenant goes with it into a new assignment, whatever its place there.
-func TestTenantsKeepWhatIsKnownOfThem(t *testing.T) {
-	m := module(t, two(), names(4)...)
-	m.tenants[0].fills.miss[0], m.tenants[2].fills.miss[0] = 0.95, 0.1
-	next := two()
+func TestLearnedTenantStateSurvivesNewAssignment(t *testing.T) {
+	m := newTestAdmission(t, twoCells(), cacheNames(4)...)
+	m.tenants[0].missRatio.fill[0], m.tenants[2].missRatio.fill[0] = 0.95, 0.1
+	next := twoCells()
 	next.Version = 2
 	next.Tenants = []Tenant{{Name: "quiet", Cell: "one"}, {Name: "new", Cell: "one"}, {Name: "loud", Cell: "two"}}
-	next.Keys = []Key{{Families: []int{0, 9}, Tenant: "loud"}, {Tenant: "new"}}
-	m.Confine(3*sec, compile(t, next))
-	if m.tenants[0].fills.miss[0] != 0.1 || m.tenants[1].fills != (misses{}) || m.tenants[2].fills.miss[0] != 0.95 {
+	next.TenantKeys = []TenantKey{{PurgeGroupRange: []int{0, 9}, Tenant: "loud"}, {Tenant: "new"}}
+	m.SetAssignment(3*sec, mustCompile(t, next))
+	if m.tenants[0].missRatio.fill[0] != 0.1 || m.tenants[1].missRatio != (missRatio{}) || m.tenants[2].missRatio.fill[0] != 0.95 {
 		t.Errorf("%+v", m.tenants)
 	}
 }
@@ -631,14 +633,14 @@
 func TestRandomDays(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 77))
-		specs := []*Spec{two(), two(), two()}
-		specs[1].Version, specs[1].Scheme, specs[1].Width = 2, Nested, 2
+		specs := []*Spec{twoCells(), twoCells(), twoCells()}
+		specs[1].Version, specs[1].Scheme, specs[1].Width = 2, SchemeNested, 2
 		specs[2].Version = 3
 		specs[2].Cells = append(specs[2].Cells, Cell{Name: "three", Share: 0.0001})
-		specs[2].Cells[0].Share, specs[2].Cells[1].Share, specs[2].Cells[0].Spill = 0.4, 0.4, "three"
-		specs[2].Budget = Budget{RequestsPerS: 300, FillKbPerS: 3000, ParentKbPerS: 4000, OriginKbPerS: 3000, Open: 40, WritesPerS: 30}
-		all := names(9)
-		m := module(t, specs[0], all...)
+		specs[2].Cells[0].Share, specs[2].Cells[1].Share, specs[2].Cells[0].FallbackCell = 0.4, 0.4, "three"
+		specs[2].Budget = Budget{RequestsPerSecond: 300, FillKBPerSecond: 3000, ParentKBPerSecond: 4000, OriginKBPerSecond: 3000, MaxOpenRequests: 40, UncacheablePerSecond: 30}
+		all := cacheNames(9)
+		m := newTestAdmission(t, specs[0], all...)
 		listed := map[string]bool{}
 		for _, name := range all {
 			listed[name] = true
@@ -667,10 +669,10 @@
 			now += int64(rng.IntN(4000))
 			switch rng.IntN(40) {
 			case 0:
-				m.Confine(now, compile(t, specs[rng.IntN(len(specs))]))
+				m.SetAssignment(now, mustCompile(t, specs[rng.IntN(len(specs))]))
 			case 1:
 				name := all[rng.IntN(len(all))]
-				row := rows(name)[3]
+				row := endpointsWith(name)[3]
 				if listed[name] = !listed[name]; !listed[name] {
 					row.Status = []rules.EndpointStatus{"cordoned", "deregistered"}[rng.IntN(2)]
 				}
@@ -680,14 +682,14 @@
 				ev := rules.Event{Kind: rules.EventRequest, RequestID: call, Class: []string{"page", "page", "report"}[rng.IntN(3)], PurgeGroup: int64(rng.IntN(20)),
 					Object: fmt.Sprintf("%04x", rng.IntN(300)), SizeKB: float64(rng.IntN(100)), Timeout: sec}
 				out[call] = ""
-				who := m.tenants[m.Tenant(&ev)]
+				who := m.tenants[m.TenantOf(&ev)]
 				acts := m.Step(now, []rules.Event{ev})
 				for _, a := range acts {
 					if a.Kind != rules.ActionSend || ev.Class == "report" || !strings.HasPrefix(a.Server, "s-") {
 						continue
 					}
 					c := &m.cells[who.cell]
-					if !slices.Contains(c.names, a.Server) && (c.spill < 0 || !slices.Contains(m.cells[c.spill].names, a.Server)) {
+					if !slices.Contains(c.caches, a.Server) && (c.fallback < 0 || !slices.Contains(m.cells[c.fallback].caches, a.Server)) {
 						t.Fatalf("seed %d: %s of %s sent to %s", seed, call, who.name, a.Server)
 					}
 				}
@@ -719,10 +721,10 @@
 		}
 		sum := 0
 		for _, c := range m.cells {
-			sum += c.open
+			sum += c.openRequests
 		}
-		if len(m.open) != 0 || sum != 0 {
-			t.Errorf("seed %d: %d requests and %d places left open", seed, len(m.open), sum)
+		if len(m.openRequests) != 0 || sum != 0 {
+			t.Errorf("seed %d: %d requests and %d places left open", seed, len(m.openRequests), sum)
 		}
 	}
 }
--- a/core/cells/cost_test.go
+++ b/core/cells/cost_test.go
@@ -8,30 +8,30 @@
 	"spantack/rules"
 )
 
-// many is a specification with as many tenants as are planned for, or ten times as many.
-func many(tenants, cells int) *Spec {
-	s := &Spec{Version: 1, Scheme: Fixed, Budget: Budget{RequestsPerS: 1e9, FillKbPerS: 1e9, ParentKbPerS: 1e9, OriginKbPerS: 1e9, WritesPerS: 1e9, Open: 1e6}}
+// manyTenants is a specification with as many tenants as are planned for, or ten times as many.
+func manyTenants(tenants, cells int) *Spec {
+	s := &Spec{Version: 1, Scheme: SchemeFixed, Budget: Budget{RequestsPerSecond: 1e9, FillKBPerSecond: 1e9, ParentKBPerSecond: 1e9, OriginKBPerSecond: 1e9, UncacheablePerSecond: 1e9, MaxOpenRequests: 1e6}}
 	for i := range cells {
 		s.Cells = append(s.Cells, Cell{Name: fmt.Sprint("c", i), Share: 1 / float64(cells)})
 	}
 	for i := range tenants {
 		name := fmt.Sprintf("t%06d", i)
 		s.Tenants = append(s.Tenants, Tenant{Name: name, Cell: fmt.Sprint("c", i%cells)})
-		s.Keys = append(s.Keys, Key{Prefix: fmt.Sprintf("%05x", i), Tenant: name})
+		s.TenantKeys = append(s.TenantKeys, TenantKey{ObjectPrefix: fmt.Sprintf("%05x", i), Tenant: name})
 	}
-	s.Keys = append(s.Keys, Key{Tenant: "t000000"})
+	s.TenantKeys = append(s.TenantKeys, TenantKey{Tenant: "t000000"})
 	return s
 }
 
-// BenchmarkFrame is what the gate adds to a request: admission, and the booking of its outcome, without rules.
-func BenchmarkFrame(b *testing.B) {
+// BenchmarkAdmit is what the gate adds to a request: admission, and the booking of its outcome, without rules.
+func BenchmarkAdmit(b *testing.B) {
 	for _, size := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("tenants=%d", size), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			spec := many(size, 64)
-			m := module(b, spec, names(256)...)
+			spec := manyTenants(size, 64)
+			m := newTestAdmission(b, spec, cacheNames(256)...)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			calls, objects := make([]string, 1024), make([]string, 4096)
@@ -46,21 +46,21 @@
 			for i := 0; b.Loop(); i++ {
 				now += 100
 				ev := rules.Event{Kind: rules.EventRequest, RequestID: calls[i%len(calls)], Class: "page", Object: objects[i%len(objects)], PurgeGroup: 7, SizeKB: 50}
-				if why := m.admit(now, &ev); why != None {
+				if why := m.admit(now, &ev); why != ReasonNone {
 					b.Fatal(why)
 				}
 				ev.Kind, ev.Outcome, ev.CacheStatus, ev.IsFinal = rules.EventOutcome, rules.OutcomeServed, 1, true
-				m.outcome(now, &ev)
+				m.observeOutcome(now, &ev)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(size), "B/tenant")
 		})
 	}
 }
 
-func BenchmarkTable(b *testing.B) {
+func BenchmarkKeyTable(b *testing.B) {
 	for _, size := range []int{100, 10_000, 100_000} {
-		spec := many(size, 64)
-		table := newTable(spec.Keys)
+		spec := manyTenants(size, 64)
+		table := newKeyTable(spec.TenantKeys)
 		object := fmt.Sprintf("%05x%011x", size/2, 1)
 		b.Run(fmt.Sprintf("trie/lines=%d", size), func(b *testing.B) {
 			for b.Loop() {
@@ -69,38 +69,38 @@
 		})
 		b.Run(fmt.Sprintf("plain/lines=%d", size), func(b *testing.B) {
 			for b.Loop() {
-				plainFind(spec.Keys, 7, "page", object, "")
+				referenceFind(spec.TenantKeys, 7, "page", object, "")
 			}
 		})
 	}
 }
 
-func BenchmarkDivide(b *testing.B) {
+func BenchmarkDivideCaches(b *testing.B) {
 	for _, size := range []struct{ cells, caches int }{{8, 38}, {64, 256}} {
-		cells, caches := many(64, size.cells).Cells, names(size.caches)
+		cells, caches := manyTenants(64, size.cells).Cells, cacheNames(size.caches)
 		b.Run(fmt.Sprintf("%dx%d", size.cells, size.caches), func(b *testing.B) {
 			for b.Loop() {
-				divide(cells, caches)
+				divideCaches(cells, caches)
 			}
 		})
 	}
 }
 
-// BenchmarkConfine is a new specification taken in while serving: worked out beside it, and put in force under the module's
+// BenchmarkSetAssignment is a new specification taken in while serving: worked out beside it, and put in force under the module's
 // lock, for which requests wait.
-func BenchmarkConfine(b *testing.B) {
+func BenchmarkSetAssignment(b *testing.B) {
 	for _, size := range []int{10_000, 100_000} {
-		spec := many(size, 64)
+		spec := manyTenants(size, 64)
 		b.Run(fmt.Sprintf("compile/tenants=%d", size), func(b *testing.B) {
 			for b.Loop() {
-				compile(b, spec)
+				mustCompile(b, spec)
 			}
 		})
 		b.Run(fmt.Sprintf("force/tenants=%d", size), func(b *testing.B) {
-			m := module(b, spec, names(256)...)
-			a := compile(b, spec)
+			m := newTestAdmission(b, spec, cacheNames(256)...)
+			a := mustCompile(b, spec)
 			for b.Loop() {
-				m.Confine(2*sec, a)
+				m.SetAssignment(2*sec, a)
 			}
 		})
 	}
--- a/core/cells/explain.go
+++ b/core/cells/explain.go
@@ -2,35 +2,35 @@
 
 import "fmt"
 
-// Answer tells what would become of a request: for operators, who ask before something goes wrong.
-type Answer struct {
-	Line   int      `json:"line"` // of keys, from 0
-	Tenant string   `json:"tenant"`
-	Cell   string   `json:"cell"`
-	Caches []string `json:"caches"` // that the tenant may use in the depot
-	Spare  string   `json:"spare,omitempty"`
-	Spill  string   `json:"spill,omitempty"` // used while the cell has no live cache
+// Explanation tells what would become of a request: for operators, who ask before something goes wrong.
+type Explanation struct {
+	KeyIndex     int      `json:"line"` // of keys, from 0
+	Tenant       string   `json:"tenant"`
+	Cell         string   `json:"cell"`
+	Caches       []string `json:"caches"` // that the tenant may use in the depot
+	OverflowCell string   `json:"spare,omitempty"`
+	FallbackCell string   `json:"spill,omitempty"` // used while the cell has no live cache
 }
 
 // Explain finds tenant, cell and caches of a request in a depot with these caches.
-func (s *Spec) Explain(depot string, caches []string, family int, class, object, named string) (Answer, error) {
+func (s *Spec) Explain(depot string, caches []string, family int, class, object, named string) (Explanation, error) {
 	c, err := Compile(s)
 	if err != nil {
-		return Answer{}, err
+		return Explanation{}, err
 	}
 	line := c.keys.find(family, class, object, named)
-	a := Answer{Line: line, Tenant: s.Keys[line].Tenant, Spare: s.Spare}
-	home := c.cellOf(int(c.ofKey[line]), depot)
-	a.Cell, a.Spill = s.Cells[home].Name, s.Cells[home].Spill
-	a.Caches = s.cachesOf(a.Tenant, caches, divide(s.Cells, caches)[home])
+	a := Explanation{KeyIndex: line, Tenant: s.TenantKeys[line].Tenant, OverflowCell: s.OverflowCell}
+	home := c.cellAt(int(c.tenantByKey[line]), depot)
+	a.Cell, a.FallbackCell = s.Cells[home].Name, s.Cells[home].FallbackCell
+	a.Caches = s.cachesOf(a.Tenant, caches, divideCaches(s.Cells, caches)[home])
 	return a, nil
 }
 
-// Divide tells which caches each cell has in a depot, by the order of the cells.
-func (s *Spec) Divide(caches []string) [][]string { return divide(s.Cells, caches) }
+// CachesByCell tells which caches each cell has in a depot, by the order of the cells.
+func (s *Spec) CachesByCell(caches []string) [][]string { return divideCaches(s.Cells, caches) }
 
-// Difference says in words what changes from one specification to another; nothing if they are alike.
-func Difference(old, next *Spec) []string {
+// Changes says in words what changes from one specification to another; nothing if they are alike.
+func Changes(old, next *Spec) []string {
 	var out []string
 	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	if next.Version <= old.Version && next.Version != 0 {
--- a/core/cells/guarding.go
+++ b/core/cells/guarding.go
@@ -7,42 +7,42 @@
 	"spantack/rules"
 )
 
-// guard bounds what this router's fills may ask of the head office. An attempt that names a source asks the head office only where cache
+// originLimiter bounds what this router's fills may ask of the head office. An attempt that names a source asks the head office only where cache
 // and area cache both lack the object, which nobody can tell before it has ended. So what is out there is reckoned: the attempts
 // out by the part of those before that came to it, and each that was given up without an answer whole, for as long as an area cache may go on
 // with it. rules then has no more attempts out that might ask it than leave the limit kept; past that only held copies are asked for.
-type guard struct {
-	doc   shield.Document
-	limit *shield.Limit
-	deep  float64         // part of fills' attempts that came to the head office
-	out   map[string]bool // calls whose attempt may ask it; true: asks it straight
-	whole int             // those that ask it straight
-	left  []int64         // when those that were given up are reckoned to be over, in order
-	cap   float64         // told to rules last
+type originLimiter struct {
+	document       shield.Document
+	limit          *shield.Limit
+	originFraction float64         // part of fills' attempts that came to the head office
+	inFlight       map[string]bool // calls whose attempt may ask it; true: asks it straight
+	directInFlight int             // those that ask it straight
+	abandonedUntil []int64         // when those that were given up are reckoned to be over, in order
+	announced      float64         // told to rules last
 }
 
 const (
-	deepAtFirst = 0.15 // part of attempts with a source that ask the head office, before any was seen
-	deepStep    = 0.01
-	deepLeast   = 0.02 // reckoned with at least: a surge of new objects is not foreseen
-	capStep     = 0.05 // change of the cap that rules is told of
-	leastCap    = 0.01 // 0 would stand for none
-	mostLeft    = 4096 // fetches given up that are kept count of: far past any limit
+	initialOriginFraction = 0.15 // part of attempts with a source that ask the head office, before any was seen
+	originFractionStep    = 0.01
+	minOriginFraction     = 0.02 // reckoned with at least: a surge of new objects is not foreseen
+	announceStep          = 0.05 // change of the cap that rules is told of
+	minAnnounced          = 0.01 // 0 would stand for none
+	maxAbandoned          = 4096 // fetches given up that are kept count of: far past any limit
 )
 
-// Shield puts a limit at the head office in force, or with nil none. A document that can't be used changes nothing.
-func (m *Module) Shield(now int64, d *shield.Document) error {
+// SetOriginLimit puts a limit at the head office in force, or with nil none. A document that can't be used changes nothing.
+func (m *Admission) SetOriginLimit(now int64, d *shield.Document) error {
 	if d == nil {
-		if m.guard != nil {
-			m.guard = nil
-			m.capBehind(now, true)
+		if m.originLimit != nil {
+			m.originLimit = nil
+			m.announceOriginLimit(now, true)
 		}
 		return nil
 	}
-	if m.guard != nil && m.guard.doc == *d {
+	if m.originLimit != nil && m.originLimit.document == *d {
 		return nil // what fills have told stays
 	}
-	terms, law, err := d.Terms(max(m.set.FleetSize, 1))
+	terms, law, err := d.Terms(max(m.settings.FleetSize, 1))
 	if err != nil {
 		return err
 	}
@@ -50,124 +50,124 @@
 	if err != nil {
 		return err
 	}
-	m.guard = &guard{doc: *d, limit: limit, deep: deepAtFirst, out: map[string]bool{}}
-	m.capBehind(now, true)
+	m.originLimit = &originLimiter{document: *d, limit: limit, originFraction: initialOriginFraction, inFlight: map[string]bool{}}
+	m.announceOriginLimit(now, true)
 	return nil
 }
 
-// guards notes attempts that may ask the head office.
-func (m *Module) guards(acts []rules.Action) {
-	if m.guard == nil {
+// recordOriginAttempts notes attempts that may ask the head office.
+func (m *Admission) recordOriginAttempts(acts []rules.Action) {
+	if m.originLimit == nil {
 		return
 	}
 	for i := range acts {
 		if a := &acts[i]; a.Kind == rules.ActionSend && a.Source != "" && a.Source != a.Server && a.FetchFlags&rules.FetchCachedOnly == 0 {
-			_, area := m.above[a.Source]
-			m.guard.out[a.RequestID] = !area
+			_, area := m.parentServers[a.Source]
+			m.originLimit.inFlight[a.RequestID] = !area
 			if !area {
-				m.guard.whole++
+				m.originLimit.directInFlight++
 			}
 		}
 	}
 }
 
-// guarded learns from the end of an attempt, or of a request.
-func (m *Module) guarded(now int64, ev *rules.Event) {
-	g := m.guard
+// observeOriginAttempt learns from the end of an attempt, or of a request.
+func (m *Admission) observeOriginAttempt(now int64, ev *rules.Event) {
+	g := m.originLimit
 	if g == nil {
 		return
 	}
-	straight, known := g.out[ev.RequestID]
+	straight, known := g.inFlight[ev.RequestID]
 	if !known {
 		return
 	}
-	delete(g.out, ev.RequestID)
+	delete(g.inFlight, ev.RequestID)
 	if straight {
-		g.whole--
+		g.directInFlight--
 	}
 	unanswered := ev.Kind != rules.EventOutcome || ev.Outcome == rules.OutcomeTimedOut || ev.Outcome == rules.OutcomeCanceled
 	was := 0.0
-	switch at := m.millis(now); {
+	switch at := m.documentMillis(now); {
 	case unanswered:
-		if len(g.left) < mostLeft {
-			g.left = append(g.left, now+int64(g.doc.LingerMs*1000))
+		if len(g.abandonedUntil) < maxAbandoned {
+			g.abandonedUntil = append(g.abandonedUntil, now+int64(g.document.LingerMs*1000))
 		}
 		if ev.Outcome == rules.OutcomeTimedOut {
 			g.limit.Ended(at, float64(ev.ResponseTime)/1000, true)
 		}
 		return // it tells nothing of what part asks the head office: the slow ones are among these
 	case straight:
-		if ev.CacheStatus == noteFilled {
+		if ev.CacheStatus == noteFilledBySource {
 			g.limit.Ended(at, float64(ev.UpstreamWait)/1000, false)
 		}
 		return
-	case ev.CacheStatus == noteDeep:
+	case ev.CacheStatus == noteFilledByOrigin:
 		was = 1
 		g.limit.Ended(at, float64(ev.UpstreamWait)/1000, false)
-	case ev.CacheStatus == noteRoot:
+	case ev.CacheStatus == noteOriginFailed:
 		was = 1
 		g.limit.Ended(at, float64(ev.UpstreamWait)/1000, true)
 	}
-	g.deep += deepStep * (was - g.deep)
+	g.originFraction += originFractionStep * (was - g.originFraction)
 }
 
-// capBehind tells rules how many attempts that may ask the head office may be out: by the shield, and by the assignment's own bound.
-func (m *Module) capBehind(now int64, always bool) {
-	g := m.guard
+// announceOriginLimit tells rules how many attempts that may ask the head office may be out: by the shield, and by the assignment's own bound.
+func (m *Admission) announceOriginLimit(now int64, always bool) {
+	g := m.originLimit
 	if g == nil && !always {
 		return
 	}
 	most := 0.0 // none
 	if m.spec != nil {
-		most = float64(m.spec.Budget.OriginOpen) / float64(max(m.set.FleetSize, 1))
+		most = float64(m.spec.Budget.MaxOriginFills) / float64(max(m.settings.FleetSize, 1))
 	}
 	if g != nil {
-		for len(g.left) > 0 && g.left[0] <= now {
-			g.left = g.left[1:]
+		for len(g.abandonedUntil) > 0 && g.abandonedUntil[0] <= now {
+			g.abandonedUntil = g.abandonedUntil[1:]
 		}
-		part := max(g.deep, deepLeast)
-		gone := float64(len(g.left) + g.whole)
-		g.limit.Hold(int(math.Round(float64(len(g.out)-g.whole)*part + gone)))
-		free := max(leastCap, max(g.limit.Now()*(1-g.doc.Reserve)-gone, 0)/part)
+		part := max(g.originFraction, minOriginFraction)
+		gone := float64(len(g.abandonedUntil) + g.directInFlight)
+		g.limit.Hold(int(math.Round(float64(len(g.inFlight)-g.directInFlight)*part + gone)))
+		free := max(minAnnounced, max(g.limit.Now()*(1-g.document.Reserve)-gone, 0)/part)
 		if most == 0 || free < most {
 			most = free
 		}
-		if !always && math.Abs(most-g.cap) <= capStep*g.cap {
+		if !always && math.Abs(most-g.announced) <= announceStep*g.announced {
 			return
 		}
-		g.cap = most
+		g.announced = most
 	}
-	m.rules.Step(now, []rules.Event{{Kind: rules.EventSubset, MaxPossibleOriginFills: most, MaxConfirmedOriginFills: m.lease}})
+	m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, MaxPossibleOriginFills: most, MaxConfirmedOriginFills: m.originFillLease}})
 }
 
-// Lease bounds the fills that ask the head office by what this router holds of a limit that the whole fleet keeps: core/fleet. Each is known to
+// SetOriginFillLease bounds the fills that ask the head office by what this router holds of a limit that the whole fleet keeps: core/fleet. Each is known to
 // ask before it does, as its source was looked at first. 0: there is no such limit.
-func (m *Module) Lease(now int64, most float64) {
-	if most != m.lease {
-		m.lease = most
-		m.capBehind(now, true)
+func (m *Admission) SetOriginFillLease(now int64, most float64) {
+	if most != m.originFillLease {
+		m.originFillLease = most
+		m.announceOriginLimit(now, true)
 	}
 }
 
-// Sources names the listed area caches, and those of them that breakers keep this router off.
-func (m *Module) Sources(now int64) (all, shut []string) { return m.rules.Parents(now) }
+// Parents names the listed area caches, and those of them that breakers keep this router off.
+func (m *Admission) Parents(now int64) (all, shut []string) { return m.engine.Parents(now) }
 
-// Asking is how many such fills are out.
-func (m *Module) Asking() int { return m.rules.ConfirmedOriginFills() }
+// ConfirmedOriginFills is how many such fills are out.
+func (m *Admission) ConfirmedOriginFills() int { return m.engine.ConfirmedOriginFills() }
 
-// GuardNow is how the shield stands at a router.
-type GuardNow struct {
-	Limit, Share float64 // fills that it may have at the head office; and what its part of the document's limit is
-	Out          int     // attempts out that may ask the head office
-	GivenUp      int     // fetches that area caches are reckoned to go on with, though nobody waits
-	Deep         float64 // part of fills' attempts that came to the head office of late
+// OriginLimitStatus is how the shield stands at a router.
+type OriginLimitStatus struct {
+	Limit, Share   float64 // fills that it may have at the head office; and what its part of the document's limit is
+	InFlight       int     // attempts out that may ask the head office
+	Abandoned      int     // fetches that area caches are reckoned to go on with, though nobody waits
+	OriginFraction float64 // part of fills' attempts that came to the head office of late
 }
 
-// GuardNow tells how the shield stands, nil without one.
-func (m *Module) GuardNow() *GuardNow {
-	g := m.guard
+// OriginLimitStatus tells how the shield stands, nil without one.
+func (m *Admission) OriginLimitStatus() *OriginLimitStatus {
+	g := m.originLimit
 	if g == nil {
 		return nil
 	}
-	return &GuardNow{Limit: g.limit.Now(), Share: g.doc.Most / float64(max(m.set.FleetSize, 1)), Out: len(g.out), GivenUp: len(g.left), Deep: g.deep}
+	return &OriginLimitStatus{Limit: g.limit.Now(), Share: g.document.Most / float64(max(m.settings.FleetSize, 1)), InFlight: len(g.inFlight), Abandoned: len(g.abandonedUntil), OriginFraction: g.originFraction}
 }
--- a/core/cells/guarding_test.go
+++ b/core/cells/guarding_test.go
@@ -11,10 +11,10 @@
 	"spantack/rules"
 )
 
-var guardDoc = shield.Document{Law: "gradient", Most: 24, Reserve: 0.1, Burst: 3, UsualMs: 60, LingerMs: 2000}
+var originLimitDocument = shield.Document{Law: "gradient", Most: 24, Reserve: 0.1, Burst: 3, UsualMs: 60, LingerMs: 2000}
 
-// guarded is a module with four caches, two area caches and the head office; its router is one of two.
-func guarded(t testing.TB, doc *shield.Document) *Module {
+// newLimitedAdmission is a module with four caches, two area caches and the head office; its router is one of two.
+func newLimitedAdmission(t testing.TB, doc *shield.Document) *Admission {
 	t.Helper()
 	set := rules.Settings{
 		Classes:   []rules.Class{{Name: "page", Deadline: 3_000_000, LatencyObjective: 600_000, ObjectiveSizeFactor: 2, PriorityWeight: 1, Idempotency: "read_like", DeduplicationScope: "all"}},
@@ -22,7 +22,7 @@
 		Kinds:     []string{"box", "area", "origin"}, Permissions: rules.Permissions{MayCancel: true, MaxAttempts: 4, MaxRetryAfter: 1_000_000},
 		FleetSize: 2, Zone: "z", Zones: []string{"hub", "z"},
 	}
-	m, err := NewModule(set, 1)
+	m, err := NewAdmission(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,29 +32,29 @@
 		rows = append(rows, rules.Endpoint{Server: fmt.Sprint("c", i), Zone: "z", Kind: "box", Status: "healthy", Weight: 400})
 	}
 	m.Step(0, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: rows}})
-	if err := m.Shield(0, doc); err != nil {
+	if err := m.SetOriginLimit(0, doc); err != nil {
 		t.Fatal(err)
 	}
 	return m
 }
 
-// asked is an attempt under way.
-type asked struct {
+// attemptInFlight is an attempt under way.
+type attemptInFlight struct {
 	rules.Action
 	attempt int
 }
 
-// play keeps requests coming, 1 ms apart, and ends each attempt after took ms as end says; it returns the most that were out at the head office
+// runLoad keeps requests coming, 1 ms apart, and ends each attempt after took ms as end says; it returns the most that were out at the head office
 // at once, by way of an area cache and asked to fill, and how many were asked for held copies alone.
-func play(m *Module, from, n int, took int64, end func(i int) rules.Event) (most, held int) {
-	out := map[int64][]asked{}
+func runLoad(m *Admission, from, n int, took int64, end func(i int) rules.Event) (most, held int) {
+	out := map[int64][]attemptInFlight{}
 	deep := 0
 	note := func(now int64, acts []rules.Action, attempt int) {
 		for _, a := range acts {
 			if a.Kind != rules.ActionSend {
 				continue
 			}
-			out[now+took] = append(out[now+took], asked{a, attempt})
+			out[now+took] = append(out[now+took], attemptInFlight{a, attempt})
 			if a.Source == "" || a.Source == a.Server || a.FetchFlags&rules.FetchCachedOnly != 0 {
 				held++
 			} else {
@@ -85,87 +85,87 @@
 	return most, held
 }
 
-func deepAnswer(waitMs int64) func(int) rules.Event {
+func originAnswer(waitMs int64) func(int) rules.Event {
 	return func(int) rules.Event {
-		return rules.Event{Outcome: rules.OutcomeServed, CacheStatus: noteDeep, UpstreamWait: waitMs * 1000}
+		return rules.Event{Outcome: rules.OutcomeServed, CacheStatus: noteFilledByOrigin, UpstreamWait: waitMs * 1000}
 	}
 }
 
 // Where every fill comes to the head office and it becomes slow, what this router has out there comes down from what is borrowed to its
 // share, less what is kept for others; the rest is asked for held copies.
-func TestShieldBoundsFills(t *testing.T) {
-	m := guarded(t, &guardDoc)
-	play(m, 0, 3000, 60, deepAnswer(55)) // the part of fills that come to the head office is learnt
-	calm, _ := play(m, 4000, 2000, 60, deepAnswer(55))
-	share := guardDoc.Most / 2
-	if most := guardDoc.Burst * share / 0.9; float64(calm) > most || float64(calm) < share {
+func TestOriginLimitBoundsFills(t *testing.T) {
+	m := newLimitedAdmission(t, &originLimitDocument)
+	runLoad(m, 0, 3000, 60, originAnswer(55)) // the part of fills that come to the head office is learnt
+	calm, _ := runLoad(m, 4000, 2000, 60, originAnswer(55))
+	share := originLimitDocument.Most / 2
+	if most := originLimitDocument.Burst * share / 0.9; float64(calm) > most || float64(calm) < share {
 		t.Errorf("calm: %d out at most; the share is %v, %v with all that may be borrowed", calm, share, most)
 	}
-	play(m, 7000, 2000, 400, deepAnswer(390))
-	slow, held := play(m, 10_000, 2000, 400, deepAnswer(390))
+	runLoad(m, 7000, 2000, 400, originAnswer(390))
+	slow, held := runLoad(m, 10_000, 2000, 400, originAnswer(390))
 	if float64(slow) > share+1 || held < 100 || slow == 0 {
 		t.Errorf("slow: %d out at most, of a share of %v; %d asked for held copies", slow, share, held)
 	}
-	bare := guarded(t, nil)
-	play(bare, 0, 3000, 60, deepAnswer(55))
-	if most, _ := play(bare, 4000, 2000, 400, deepAnswer(390)); float64(most) < 3*share {
+	bare := newLimitedAdmission(t, nil)
+	runLoad(bare, 0, 3000, 60, originAnswer(55))
+	if most, _ := runLoad(bare, 4000, 2000, 400, originAnswer(390)); float64(most) < 3*share {
 		t.Errorf("without a shield: %d out at most, so the day shows nothing", most)
 	}
 }
 
 // What was given up counts for as long as an area cache may go on with it: then no more than the limit has been sent up since, dropped or not.
-func TestShieldCountsWhatWasGivenUp(t *testing.T) {
-	m := guarded(t, &guardDoc)
-	play(m, 0, 3000, 60, deepAnswer(55))
+func TestOriginLimitCountsAbandonedFills(t *testing.T) {
+	m := newLimitedAdmission(t, &originLimitDocument)
+	runLoad(m, 0, 3000, 60, originAnswer(55))
 	lost := func(int) rules.Event { return rules.Event{Outcome: rules.OutcomeTimedOut} }
 	sent := 0
 	for i := range 10 { // a second in tenths: every attempt ends unanswered after 50 ms
-		before := m.GuardNow().GivenUp
-		play(m, 4000+150*i, 50, 50, lost)
-		sent += m.GuardNow().GivenUp - before
+		before := m.OriginLimitStatus().Abandoned
+		runLoad(m, 4000+150*i, 50, 50, lost)
+		sent += m.OriginLimitStatus().Abandoned - before
 	}
-	if most := guardDoc.Burst * guardDoc.Most / 2; float64(sent) > 2*most {
+	if most := originLimitDocument.Burst * originLimitDocument.Most / 2; float64(sent) > 2*most {
 		t.Errorf("%d sent up and given up within 1.5 s, with a limit of %v", sent, most)
 	}
-	if n := m.GuardNow().GivenUp; n == 0 {
+	if n := m.OriginLimitStatus().Abandoned; n == 0 {
 		t.Error("nothing is reckoned to go on")
 	}
 	m.Step(20_000_000, []rules.Event{{Kind: rules.EventTimer}})
-	if n := m.GuardNow().GivenUp; n != 0 {
+	if n := m.OriginLimitStatus().Abandoned; n != 0 {
 		t.Errorf("%d are reckoned to go on 14 s later", n)
 	}
 }
 
 // Whatever comes back, the books are even at the end, and what is reckoned stays in its bounds.
-func TestShieldBooksEven(t *testing.T) {
+func TestOriginLimitAccountsBalance(t *testing.T) {
 	codes := []rules.AttemptOutcome{rules.OutcomeServed, rules.OutcomeError, rules.OutcomeRejected, rules.OutcomeTimedOut, rules.OutcomeConnectionRefused, rules.OutcomeConnectionReset, rules.OutcomeMiss}
 	rapid.Check(t, func(t *rapid.T) {
-		doc := guardDoc
+		doc := originLimitDocument
 		doc.Law = rapid.SampledFrom([]string{"fixed", "aimd", "gradient", "delay"}).Draw(t, "law")
-		m := guarded(&testing.T{}, &doc)
+		m := newLimitedAdmission(&testing.T{}, &doc)
 		draw := rapid.SliceOfN(rapid.IntRange(0, 11*len(codes)-1), 1, 200).Draw(t, "ends")
-		play(m, 0, len(draw), int64(rapid.IntRange(1, 80).Draw(t, "took")), func(i int) rules.Event {
+		runLoad(m, 0, len(draw), int64(rapid.IntRange(1, 80).Draw(t, "took")), func(i int) rules.Event {
 			d := draw[i%len(draw)]
 			return rules.Event{Outcome: codes[d%len(codes)], CacheStatus: rules.CacheStatus(d / len(codes)), UpstreamWait: int64(d) * 9000}
 		})
-		g := m.guard
+		g := m.originLimit
 		m.Step(1e9, []rules.Event{{Kind: rules.EventTimer}})
-		now := m.GuardNow()
-		if now.Out != 0 || g.whole != 0 || now.GivenUp != 0 || now.Deep < 0 || now.Deep > 1 || now.Limit <= 0 || now.Limit > doc.Burst*now.Share {
-			t.Fatalf("%+v, %d straight", now, g.whole)
+		now := m.OriginLimitStatus()
+		if now.InFlight != 0 || g.directInFlight != 0 || now.Abandoned != 0 || now.OriginFraction < 0 || now.OriginFraction > 1 || now.Limit <= 0 || now.Limit > doc.Burst*now.Share {
+			t.Fatalf("%+v, %d straight", now, g.directInFlight)
 		}
 	})
 }
 
 // Off, the gate acts as if it were not there; a document that can't be used changes nothing.
-func TestShieldOff(t *testing.T) {
-	m, bare := guarded(t, &guardDoc), guarded(t, nil)
-	bad := guardDoc
+func TestNoOriginLimitIsWithoutEffect(t *testing.T) {
+	m, bare := newLimitedAdmission(t, &originLimitDocument), newLimitedAdmission(t, nil)
+	bad := originLimitDocument
 	bad.Burst = 0
-	if err := m.Shield(0, &bad); err == nil || m.GuardNow() == nil || m.guard.doc != guardDoc {
+	if err := m.SetOriginLimit(0, &bad); err == nil || m.OriginLimitStatus() == nil || m.originLimit.document != originLimitDocument {
 		t.Errorf("a document that can't be: %v", err)
 	}
-	if err := m.Shield(0, nil); err != nil || m.GuardNow() != nil {
+	if err := m.SetOriginLimit(0, nil); err != nil || m.OriginLimitStatus() != nil {
 		t.Fatal(err)
 	}
 	for i := range 500 {
@@ -176,12 +176,12 @@
 	}
 }
 
-func BenchmarkGateShielded(b *testing.B) {
+func BenchmarkStepWithOriginLimit(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("shield=%v", on), func(b *testing.B) {
-			m := guarded(b, nil)
+			m := newLimitedAdmission(b, nil)
 			if on {
-				if err := m.Shield(0, &guardDoc); err != nil {
+				if err := m.SetOriginLimit(0, &originLimitDocument); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/core/cells/keys.go
+++ b/core/cells/keys.go
@@ -1,50 +1,50 @@
 package cells
 
-// table finds the first line of the key table that a request matches. Lines that the front's name for a tenant
+// keyTable finds the first line of the key table that a request matches. Lines that the front's name for a tenant
 // decides are found by that name, the others by a trie over the object's hex digits; each holds few lines.
-type table struct {
-	lines []Key
-	named map[string][]int32
-	trie  []trieNode
+type keyTable struct {
+	keys             []TenantKey
+	byDeclaredTenant map[string][]int32
+	trie             []trieNode
 }
 
 type trieNode struct {
-	child    [16]int32 // 0: none
-	lines    []int32   // that begin with the digits down to here, in order
-	byFamily *[families][]int32
+	child   [16]int32 // 0: none
+	keys    []int32   // that begin with the digits down to here, in order
+	byGroup *[purgeGroupCount][]int32
 }
 
-// fewLines are looked through one by one; more are sorted by family first.
-const fewLines = 8
+// maxKeysScanned are looked through one by one; more are sorted by family first.
+const maxKeysScanned = 8
 
-func newTable(lines []Key) *table {
-	t := &table{lines: lines, named: map[string][]int32{}, trie: make([]trieNode, 1)}
+func newKeyTable(lines []TenantKey) *keyTable {
+	t := &keyTable{keys: lines, byDeclaredTenant: map[string][]int32{}, trie: make([]trieNode, 1)}
 	for i, k := range lines {
-		if k.Named != "" {
-			t.named[k.Named] = append(t.named[k.Named], int32(i))
+		if k.DeclaredTenant != "" {
+			t.byDeclaredTenant[k.DeclaredTenant] = append(t.byDeclaredTenant[k.DeclaredTenant], int32(i))
 			continue
 		}
 		at := int32(0)
-		for _, c := range []byte(k.Prefix) {
-			d := digit(c)
+		for _, c := range []byte(k.ObjectPrefix) {
+			d := hexDigit(c)
 			if t.trie[at].child[d] == 0 {
 				t.trie[at].child[d] = int32(len(t.trie))
 				t.trie = append(t.trie, trieNode{})
 			}
 			at = t.trie[at].child[d]
 		}
-		t.trie[at].lines = append(t.trie[at].lines, int32(i))
+		t.trie[at].keys = append(t.trie[at].keys, int32(i))
 	}
 	for i := range t.trie {
 		n := &t.trie[i]
-		if len(n.lines) <= fewLines {
+		if len(n.keys) <= maxKeysScanned {
 			continue
 		}
-		n.byFamily = new([families][]int32)
-		for f := range n.byFamily {
-			for _, l := range n.lines {
-				if t.lines[l].holds(f) {
-					n.byFamily[f] = append(n.byFamily[f], l)
+		n.byGroup = new([purgeGroupCount][]int32)
+		for f := range n.byGroup {
+			for _, l := range n.keys {
+				if t.keys[l].matchesGroup(f) {
+					n.byGroup[f] = append(n.byGroup[f], l)
 				}
 			}
 		}
@@ -52,7 +52,7 @@
 	return t
 }
 
-func digit(c byte) int {
+func hexDigit(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
@@ -62,40 +62,40 @@
 	return -1
 }
 
-func (k *Key) holds(family int) bool {
-	return k.Families == nil || family >= k.Families[0] && family <= k.Families[1]
+func (k *TenantKey) matchesGroup(family int) bool {
+	return k.PurgeGroupRange == nil || family >= k.PurgeGroupRange[0] && family <= k.PurgeGroupRange[1]
 }
 
 // find returns the first line that matches; the last one matches everything.
-func (t *table) find(family int, class, object, named string) int {
-	best := int32(len(t.lines) - 1)
+func (t *keyTable) find(family int, class, object, named string) int {
+	best := int32(len(t.keys) - 1)
 	look := func(lines []int32, whole bool) {
 		for _, l := range lines {
 			if l >= best {
 				return
 			}
-			k := &t.lines[l]
-			if (k.Class == "" || k.Class == class) && k.holds(family) && (!whole || len(k.Prefix) <= len(object) && object[:len(k.Prefix)] == k.Prefix) {
+			k := &t.keys[l]
+			if (k.Class == "" || k.Class == class) && k.matchesGroup(family) && (!whole || len(k.ObjectPrefix) <= len(object) && object[:len(k.ObjectPrefix)] == k.ObjectPrefix) {
 				best = l
 				return
 			}
 		}
 	}
 	if named != "" {
-		look(t.named[named], true)
+		look(t.byDeclaredTenant[named], true)
 	}
 	at := int32(0)
 	for i := 0; ; i++ {
 		n := &t.trie[at]
-		if n.byFamily != nil && family >= 0 && family < families {
-			look(n.byFamily[family], false)
+		if n.byGroup != nil && family >= 0 && family < purgeGroupCount {
+			look(n.byGroup[family], false)
 		} else {
-			look(n.lines, false)
+			look(n.keys, false)
 		}
 		if i >= len(object) {
 			break
 		}
-		d := digit(object[i])
+		d := hexDigit(object[i])
 		if d < 0 || n.child[d] == 0 {
 			break
 		}
--- a/core/cells/members.go
+++ b/core/cells/members.go
@@ -18,9 +18,9 @@
 	return (float64(h.Sum64()>>11) + 0.5) / (1 << 53)
 }
 
-// quotas shares n caches among cells by largest remainder. While there are enough, each cell has one at least; where
+// cacheQuotas shares n caches among cells by largest remainder. While there are enough, each cell has one at least; where
 // there are not, those with the greatest shares have one each, the first named of equal ones.
-func quotas(cells []Cell, n int) []int {
+func cacheQuotas(cells []Cell, n int) []int {
 	q := make([]int, len(cells))
 	order := make([]int, len(cells))
 	total := 0.0
@@ -61,12 +61,12 @@
 	return q
 }
 
-// divide puts each cache into one cell, so that no cache and cell would both rather have each other: the stable matching where
+// divideCaches puts each cache into one cell, so that no cache and cell would both rather have each other: the stable matching where
 // both sides prefer by affinity, found by caches asking cells in turn (Gale and Shapley 1962). As preferences agree there is
 // but one, so whoever has the same list reckons the same, and a cache that is replaced moves little besides: docs/cells.md
 // tells how much.
-func divide(cells []Cell, caches []string) [][]string {
-	room := quotas(cells, len(caches))
+func divideCaches(cells []Cell, caches []string) [][]string {
+	room := cacheQuotas(cells, len(caches))
 	in := make([][]string, len(cells))
 	if len(caches) == 0 {
 		return in
@@ -121,8 +121,8 @@
 	return in
 }
 
-// draw gives a tenant its own caches: the width of greatest affinity.
-func draw(tenant string, caches []string, width int) []string {
+// drawSubset gives a tenant its own caches: the width of greatest affinity.
+func drawSubset(tenant string, caches []string, width int) []string {
 	if len(caches) <= width {
 		return caches
 	}
@@ -149,10 +149,10 @@
 // cachesOf are those that a tenant may use of a depot's caches, in being those of its cell.
 func (s *Spec) cachesOf(tenant string, all, in []string) []string {
 	switch s.Scheme {
-	case Shuffle:
-		return draw(tenant, all, s.Width)
-	case Nested:
-		return draw(tenant, in, s.Width)
+	case SchemeShuffle:
+		return drawSubset(tenant, all, s.Width)
+	case SchemeNested:
+		return drawSubset(tenant, in, s.Width)
 	}
 	return in
 }
--- a/core/cells/moving_test.go
+++ b/core/cells/moving_test.go
@@ -13,8 +13,8 @@
 	"spantack/rules"
 )
 
-// goes is a document in which "calm" goes from cell two to cell one, from second 20 to second 40.
-func goes(change ...func(*moves.Move)) *moves.Document {
+// migrationOfCalm is a document in which "calm" goes from cell two to cell one, from second 20 to second 40.
+func migrationOfCalm(change ...func(*moves.Move)) *moves.Document {
 	m := moves.Move{Tenant: "calm", Depot: "z", From: "two", To: "one", Start: 20_000, Shift: 20_000, Settle: 10_000, Unbounded: true}
 	for _, c := range change {
 		c(&m)
@@ -22,52 +22,52 @@
 	return &moves.Document{Version: 1, Moves: []moves.Move{m}}
 }
 
-func bounded(m *moves.Move) { m.Unbounded, m.Slow = false, 40_000 }
+func boundByCapacity(m *moves.Move) { m.Unbounded, m.Slow = false, 40_000 }
 
-// cellsOf tells by cache which cell it is in.
-func cellsOf(m *Module) map[string]string {
+// cellByCache tells by cache which cell it is in.
+func cellByCache(m *Admission) map[string]string {
 	in := map[string]string{}
 	for _, c := range m.cells {
-		for _, name := range c.names {
+		for _, name := range c.caches {
 			in[name] = c.name
 		}
 	}
 	return in
 }
 
-// sends asks for n objects of calm's, spread over a time, and counts answers by cell; "" counts refusals.
-func (a *asker) sends(n int, over int64, object func(i int) string) map[string]int {
-	in := cellsOf(a.m)
+// requestObjects asks for n objects of calm's, spread over a time, and counts answers by cell; "" counts refusals.
+func (a *testClient) requestObjects(n int, over int64, object func(i int) string) map[string]int {
+	in := cellByCache(a.admission)
 	got := map[string]int{}
 	for i := range n {
 		a.now += over / int64(n)
-		node := a.ask(rules.Event{PurgeGroup: 50, Object: object(i), SizeKB: 50})
+		node := a.request(rules.Event{PurgeGroup: 50, Object: object(i), SizeKB: 50})
 		got[in[node]]++
 	}
 	return got
 }
 
-func any50(i int) string { return fmt.Sprintf("aa%014x", i%50) }
+func oneOf50Objects(i int) string { return fmt.Sprintf("aa%014x", i%50) }
 
-func TestMoveFromStartToEnd(t *testing.T) {
-	a := &asker{t: t, m: module(t, two(), names(8)...), now: 10 * sec}
-	a.m.Move(a.now, goes())
-	if got := a.sends(100, 9*sec, any50); got["two"] != 100 {
+func TestMigrationFromStartToEnd(t *testing.T) {
+	a := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
+	a.admission.SetMigrations(a.now, migrationOfCalm())
+	if got := a.requestObjects(100, 9*sec, oneOf50Objects); got["two"] != 100 {
 		t.Errorf("before it starts: %v", got)
 	}
-	a.sends(1000, 11*sec, any50)
-	if p := a.m.Paths(a.now)[0]; p.Phase != "shifting" || p.Share < 0.4 || p.Share > p.Most {
+	a.requestObjects(1000, 11*sec, oneOf50Objects)
+	if p := a.admission.Migrations(a.now)[0]; p.Phase != "shifting" || p.Share < 0.4 || p.Share > p.MaxShare {
 		t.Errorf("half-way: %+v", p)
 	}
-	half := a.sends(500, sec/10, any50)
+	half := a.requestObjects(500, sec/10, oneOf50Objects)
 	if half["one"] < 100 || half["two"] < 100 || half["one"]+half["two"] != 500 {
 		t.Errorf("half-way: %v", half)
 	}
 	where := map[string]string{}
-	in := cellsOf(a.m)
+	in := cellByCache(a.admission)
 	for i := range 500 { // all parts of an object are in one cell at one time
-		object := any50(i)
-		cell := in[a.ask(rules.Event{PurgeGroup: 50, Object: object, Chunk: int64(i / 50), SizeKB: 50})]
+		object := oneOf50Objects(i)
+		cell := in[a.request(rules.Event{PurgeGroup: 50, Object: object, Chunk: int64(i / 50), SizeKB: 50})]
 		if where[object] == "" {
 			where[object] = cell
 		}
@@ -76,43 +76,43 @@
 		}
 	}
 	a.now = 45 * sec
-	a.sends(200, sec, any50)
-	if got := a.sends(100, sec, any50); got["one"] != 100 {
+	a.requestObjects(200, sec, oneOf50Objects)
+	if got := a.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 {
 		t.Errorf("at its end: %v", got)
 	}
 	a.now = 60 * sec
-	if got := a.sends(100, sec, any50); got["one"] != 100 {
+	if got := a.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 {
 		t.Errorf("after it: %v", got)
 	}
-	spec := two()
+	spec := twoCells()
 	spec.Version, spec.Tenants[1].Cell = 2, "one"
-	a.m.Confine(a.now, compile(t, spec))
-	a.m.Move(a.now, &moves.Document{Version: 2})
-	if got := a.sends(100, sec, any50); got["one"] != 100 || len(a.m.Paths(a.now)) != 0 {
+	a.admission.SetAssignment(a.now, mustCompile(t, spec))
+	a.admission.SetMigrations(a.now, &moves.Document{Version: 2})
+	if got := a.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 || len(a.admission.Migrations(a.now)) != 0 {
 		t.Errorf("under an assignment that has it there: %v", got)
 	}
 }
 
 // Until the move ends, parts that the new cell does not know come no faster than it bears: here links let 40 KB a second of fills into the
 // cell, at this router. With the room's answer thrown away the test finds 19 times as much.
-func TestMoveKeepsToWhatTheNewCellBears(t *testing.T) {
-	spec := two()
-	spec.Budget.FillKbPerS = 2 * 2 * 40 / 0.85
-	a := &asker{t: t, m: module(t, spec, names(8)...), now: 10 * sec}
-	a.m.Move(a.now, goes(bounded))
+func TestMigrationStaysWithinDestinationCapacity(t *testing.T) {
+	spec := twoCells()
+	spec.Budget.FillKBPerSecond = 2 * 2 * 40 / 0.85
+	a := &testClient{t: t, admission: newTestAdmission(t, spec, cacheNames(8)...), now: 10 * sec}
+	a.admission.SetMigrations(a.now, migrationOfCalm(boundByCapacity))
 	a.now = 20 * sec
-	in := cellsOf(a.m)
+	in := cellByCache(a.admission)
 	seen := map[string]bool{}
 	cold := map[int64]float64{} // KB by second
 	for i := range 4000 {
 		a.now += 10 * msec
 		object := fmt.Sprintf("aa%014x", i%400)
-		if node := a.ask(rules.Event{PurgeGroup: 50, Object: object, SizeKB: 20}); in[node] == "one" && !seen[object] {
+		if node := a.request(rules.Event{PurgeGroup: 50, Object: object, SizeKB: 20}); in[node] == "one" && !seen[object] {
 			seen[object] = true
 			cold[a.now/sec] += 20
 		}
 	}
-	if a.m.Stats.Kept == 0 {
+	if a.admission.Stats.Deferred == 0 {
 		t.Error("nothing was kept back")
 	}
 	for s := range cold {
@@ -125,96 +125,96 @@
 	}
 }
 
-func TestMoveWhileACellIsLost(t *testing.T) {
-	down := func(a *asker, cell string) {
-		for name, in := range cellsOf(a.m) {
+func TestMigrationWhileACellIsLost(t *testing.T) {
+	down := func(a *testClient, cell string) {
+		for name, in := range cellByCache(a.admission) {
 			if in == cell {
-				a.m.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{{Server: name, Zone: "z", Kind: "box", Status: "cordoned", Weight: 10}}}})
+				a.admission.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{{Server: name, Zone: "z", Kind: "box", Status: "cordoned", Weight: 10}}}})
 			}
 		}
 	}
-	start := func(change ...func(*moves.Move)) *asker {
-		a := &asker{t: t, m: module(t, two(), names(8)...), now: 10 * sec}
-		a.m.Move(a.now, goes(change...))
+	start := func(change ...func(*moves.Move)) *testClient {
+		a := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
+		a.admission.SetMigrations(a.now, migrationOfCalm(change...))
 		a.now = 19 * sec
-		a.sends(600, 11*sec, any50)
+		a.requestObjects(600, 11*sec, oneOf50Objects)
 		return a
 	}
 	a := start()
 	down(a, "one")
-	if got := a.sends(200, sec, any50); got["two"] != 200 {
+	if got := a.requestObjects(200, sec, oneOf50Objects); got["two"] != 200 {
 		t.Errorf("destination lost half-way: %v", got)
 	}
 	a.now = 60 * sec
-	if got := a.sends(200, sec, any50); got[""] != 200 {
+	if got := a.requestObjects(200, sec, oneOf50Objects); got[""] != 200 {
 		t.Errorf("destination lost, and the move over: %v", got)
 	}
 	a = start()
 	down(a, "two")
-	if got := a.sends(200, sec, any50); got["one"] != 200 {
+	if got := a.requestObjects(200, sec, oneOf50Objects); got["one"] != 200 {
 		t.Errorf("source lost half-way: %v", got)
 	}
 	// Bounded, what the new cell can't bear is refused at once, with the reason.
-	spec := two()
-	spec.Budget.FillKbPerS = 100
-	a = &asker{t: t, m: module(t, spec, names(8)...), now: 10 * sec}
-	a.m.Move(a.now, goes(bounded))
+	spec := twoCells()
+	spec.Budget.FillKBPerSecond = 100
+	a = &testClient{t: t, admission: newTestAdmission(t, spec, cacheNames(8)...), now: 10 * sec}
+	a.admission.SetMigrations(a.now, migrationOfCalm(boundByCapacity))
 	a.now = 25 * sec
 	down(a, "two")
-	got := a.sends(400, sec, func(i int) string { return fmt.Sprintf("aa%014x", i) })
-	if got["one"] == 0 || got[""] == 0 || a.m.Stats.Refused[Moving] == 0 {
-		t.Errorf("source lost, and the new one bears little: %v, %v", got, a.m.Stats.Refused)
+	got := a.requestObjects(400, sec, func(i int) string { return fmt.Sprintf("aa%014x", i) })
+	if got["one"] == 0 || got[""] == 0 || a.admission.Stats.Rejected[ReasonMigrating] == 0 {
+		t.Errorf("source lost, and the new one bears little: %v, %v", got, a.admission.Stats.Rejected)
 	}
 }
 
 // A document taken back leads everything to the old cell within one shift; a router that starts in the midst goes on from the document.
-func TestMoveBackAndRestart(t *testing.T) {
-	a := &asker{t: t, m: module(t, two(), names(8)...), now: 10 * sec}
-	a.m.Move(a.now, goes())
+func TestMigrationRollbackAndRestart(t *testing.T) {
+	a := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
+	a.admission.SetMigrations(a.now, migrationOfCalm())
 	a.now = 25 * sec
-	a.sends(200, 10*sec, any50)
-	back := goes(func(m *moves.Move) { m.BackAt = 35_000 })
+	a.requestObjects(200, 10*sec, oneOf50Objects)
+	back := migrationOfCalm(func(m *moves.Move) { m.BackAt = 35_000 })
 	back.Version = 2
 	mv := &back.Moves[0]
-	a.m.Move(a.now, back)
+	a.admission.SetMigrations(a.now, back)
 	for range 100 { // on the way back each object is in the cell that its place in the order gives it
-		object := any50(a.n)
-		a.sends(1, 50*msec, func(int) string { return object })
-		cell, share := cellsOf(a.m)[a.ask(rules.Event{PurgeGroup: 50, Object: object, SizeKB: 50})], a.m.Paths(a.now)[0].Share
+		object := oneOf50Objects(a.sent)
+		a.requestObjects(1, 50*msec, func(int) string { return object })
+		cell, share := cellByCache(a.admission)[a.request(rules.Event{PurgeGroup: 50, Object: object, SizeKB: 50})], a.admission.Migrations(a.now)[0].Share
 		if want := map[bool]string{true: "one", false: "two"}[mv.Place(object) < share]; cell != want {
 			t.Fatalf("at share %v object at %v goes to %s", share, mv.Place(object), cell)
 		}
 	}
-	a.sends(400, 30*sec, any50)
-	if got := a.sends(100, sec, any50); got["two"] != 100 {
+	a.requestObjects(400, 30*sec, oneOf50Objects)
+	if got := a.requestObjects(100, sec, oneOf50Objects); got["two"] != 100 {
 		t.Errorf("taken back: %v", got)
 	}
-	b := &asker{t: t, m: module(t, two(), names(8)...), now: 30 * sec}
-	b.m.Move(b.now, goes(bounded))
-	if p := b.m.Paths(b.now)[0]; p.Share != p.Least || p.Share < 0.2 {
+	b := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 30 * sec}
+	b.admission.SetMigrations(b.now, migrationOfCalm(boundByCapacity))
+	if p := b.admission.Migrations(b.now)[0]; p.Share != p.MinShare || p.Share < 0.2 {
 		t.Errorf("a router that starts half-way: %+v", p)
 	}
 	b.now = 90 * sec
-	if got := b.sends(100, sec, any50); got["one"] != 100 {
+	if got := b.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 {
 		t.Errorf("and after the end: %v", got)
 	}
 }
 
 // The tenant that moves floods: others of the cell that it moves into are served as before.
-func TestMoverThatFloods(t *testing.T) {
+func TestFloodOfMigratingTenant(t *testing.T) {
 	served := func(times int) (share float64) {
-		spec := two()
-		spec.Budget = Budget{RequestsPerS: 800, FillKbPerS: 4000}
-		a := &asker{t: t, m: module(t, spec, names(8)...), now: 18 * sec}
-		a.m.Move(a.now, goes(bounded))
+		spec := twoCells()
+		spec.Budget = Budget{RequestsPerSecond: 800, FillKBPerSecond: 4000}
+		a := &testClient{t: t, admission: newTestAdmission(t, spec, cacheNames(8)...), now: 18 * sec}
+		a.admission.SetMigrations(a.now, migrationOfCalm(boundByCapacity))
 		asked, got := 0, 0
 		for i := range 6000 {
 			a.now += 5 * msec
 			for range times {
-				a.ask(rules.Event{PurgeGroup: 50, Object: fmt.Sprintf("aa%014x", i*7%3000), SizeKB: 50})
+				a.request(rules.Event{PurgeGroup: 50, Object: fmt.Sprintf("aa%014x", i*7%3000), SizeKB: 50})
 			}
 			asked++
-			if node := a.ask(rules.Event{PurgeGroup: 3, Object: fmt.Sprintf("00%014x", i%40), SizeKB: 20}); node != "" && node != "fail" {
+			if node := a.request(rules.Event{PurgeGroup: 3, Object: fmt.Sprintf("00%014x", i%40), SizeKB: 20}); node != "" && node != "fail" {
 				got++
 			}
 		}
@@ -226,12 +226,12 @@
 	}
 }
 
-func TestFitsNamesTheField(t *testing.T) {
-	a := compile(t, two())
-	if err := a.Fits(goes()); err != nil {
+func TestCheckMigrationsNamesTheField(t *testing.T) {
+	a := mustCompile(t, twoCells())
+	if err := a.CheckMigrations(migrationOfCalm()); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Fits(nil); err != nil {
+	if err := a.CheckMigrations(nil); err != nil {
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(*moves.Move){
@@ -239,31 +239,31 @@
 		`moves.moves[0].from: "x" is no cell`:           func(m *moves.Move) { m.From = "x" },
 		`moves.moves[0].from: loud is in cell one in d`: func(m *moves.Move) { m.Tenant, m.From, m.To = "loud", "two", "two" },
 	} {
-		if err := a.Fits(goes(change)); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if err := a.CheckMigrations(migrationOfCalm(change)); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
-	nested := two()
-	nested.Scheme, nested.Width = Nested, 2
-	if err := compile(t, nested).Fits(goes()); err == nil || !strings.Contains(err.Error(), "schemes fixed and overflow") {
+	nested := twoCells()
+	nested.Scheme, nested.Width = SchemeNested, 2
+	if err := mustCompile(t, nested).CheckMigrations(migrationOfCalm()); err == nil || !strings.Contains(err.Error(), "schemes fixed and overflow") {
 		t.Errorf("got %v", err)
 	}
 }
 
 // Whatever happens to cells and documents, a tenant on the move is served by one of its two cells and no third.
-func TestMoversStayInTheirTwoCells(t *testing.T) {
-	spec := two()
+func TestMigratingTenantStaysInItsTwoCells(t *testing.T) {
+	spec := twoCells()
 	spec.Cells = []Cell{{Name: "one", Share: 0.3}, {Name: "two", Share: 0.3}, {Name: "three", Share: 0.4}}
 	rapid.Check(t, func(t *rapid.T) {
-		a := &asker{t: nil, m: module(noT{}, spec, names(9)...), now: 15 * sec}
-		caches := names(9)
+		a := &testClient{t: nil, admission: newTestAdmission(panickingT{}, spec, cacheNames(9)...), now: 15 * sec}
+		caches := cacheNames(9)
 		version := int64(0)
 		for range 60 {
 			a.now += rapid.Int64Range(0, 2_000_000).Draw(t, "gone")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				version++
-				doc := goes(func(m *moves.Move) {
+				doc := migrationOfCalm(func(m *moves.Move) {
 					m.Start = float64(a.now)/1000 + rapid.Float64Range(-30_000, 10_000).Draw(t, "start")
 					m.Unbounded = rapid.Bool().Draw(t, "unbounded")
 					if rapid.Bool().Draw(t, "back") {
@@ -271,67 +271,67 @@
 					}
 				})
 				doc.Version = version
-				a.m.Move(a.now, doc)
+				a.admission.SetMigrations(a.now, doc)
 			case 1:
 				i := rapid.IntRange(0, 8).Draw(t, "cache")
-				a.m.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{{Server: caches[i], Zone: "z", Kind: "box", Weight: 10,
+				a.admission.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{{Server: caches[i], Zone: "z", Kind: "box", Weight: 10,
 					Status: rapid.SampledFrom([]rules.EndpointStatus{"healthy", "cordoned", "deregistered"}).Draw(t, "status"), StartedAt: rapid.SampledFrom([]int64{0, a.now}).Draw(t, "up")}}}})
 			default:
-				in := cellsOf(a.m)
-				node := a.ask(rules.Event{PurgeGroup: 50, Object: any50(rapid.IntRange(0, 49).Draw(t, "object")), SizeKB: 50})
+				in := cellByCache(a.admission)
+				node := a.request(rules.Event{PurgeGroup: 50, Object: oneOf50Objects(rapid.IntRange(0, 49).Draw(t, "object")), SizeKB: 50})
 				if cell := in[node]; node != "" && node != "fail" && cell != "one" && cell != "two" {
 					t.Fatalf("sent to %s of cell %q", node, cell)
 				}
 			}
-			if open := len(a.m.open); open != 0 {
+			if open := len(a.admission.openRequests); open != 0 {
 				t.Fatalf("%d requests booked as open", open)
 			}
 		}
 	})
 }
 
-// noT is for helpers inside a property: what they would fail by is a fault of the test itself.
-type noT struct{ testing.TB }
+// panickingT is for helpers inside a property: what they would fail by is a fault of the test itself.
+type panickingT struct{ testing.TB }
 
-func (noT) Helper()           {}
-func (noT) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
+func (panickingT) Helper()           {}
+func (panickingT) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
 
 // A document that moves nobody here changes nothing at all.
-func TestMovesElsewhereAreWithoutEffect(t *testing.T) {
-	plain := &asker{t: t, m: module(t, two(), names(8)...), now: 10 * sec}
-	other := &asker{t: t, m: module(t, two(), names(8)...), now: 10 * sec}
-	other.m.Move(other.now, goes(func(m *moves.Move) { m.Depot = "elsewhere" }))
+func TestMigrationsAtOtherSitesAreWithoutEffect(t *testing.T) {
+	plain := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
+	other := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
+	other.admission.SetMigrations(other.now, migrationOfCalm(func(m *moves.Move) { m.Depot = "elsewhere" }))
 	for i := range 2000 {
 		ev := rules.Event{PurgeGroup: int64(i % 60), Object: fmt.Sprintf("%016x", i%37), SizeKB: float64(i % 90)}
 		plain.now, other.now = plain.now+5*msec, other.now+5*msec
-		if a, b := plain.ask(ev), other.ask(ev); a != b {
+		if a, b := plain.request(ev), other.request(ev); a != b {
 			t.Fatalf("request %d: %s, and %s with a document", i, a, b)
 		}
 	}
-	if !slices.Equal(plain.m.Paths(plain.now), other.m.Paths(other.now)) || other.m.Moves() != 1 {
+	if !slices.Equal(plain.admission.Migrations(plain.now), other.admission.Migrations(other.now)) || other.admission.MigrationsVersion() != 1 {
 		t.Error("a path where nobody moves")
 	}
 }
 
-// BenchmarkMover is the gate for a tenant on the move among a thousand that move.
-func BenchmarkMover(b *testing.B) {
-	spec := two()
+// BenchmarkAdmitMigratingTenant is the gate for a tenant on the move among a thousand that move.
+func BenchmarkAdmitMigratingTenant(b *testing.B) {
+	spec := twoCells()
 	doc := &moves.Document{Version: 1}
-	spec.Tenants, spec.Keys = nil, nil
+	spec.Tenants, spec.TenantKeys = nil, nil
 	for i := range 10_000 {
 		name := fmt.Sprintf("t%05d", i)
 		spec.Tenants = append(spec.Tenants, Tenant{Name: name, Cell: "two"})
-		spec.Keys = append(spec.Keys, Key{Prefix: fmt.Sprintf("%05x", i), Tenant: name})
+		spec.TenantKeys = append(spec.TenantKeys, TenantKey{ObjectPrefix: fmt.Sprintf("%05x", i), Tenant: name})
 		if i < 1000 {
 			doc.Moves = append(doc.Moves, moves.Move{Tenant: name, Depot: "z", From: "two", To: "one", Start: 1000, Shift: 1e8, Slow: 2e8})
 		}
 	}
-	spec.Keys = append(spec.Keys, Key{Tenant: "t00000"})
-	m := module(b, spec, names(64)...)
+	spec.TenantKeys = append(spec.TenantKeys, TenantKey{Tenant: "t00000"})
+	m := newTestAdmission(b, spec, cacheNames(64)...)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	m.Move(2*sec, doc)
+	m.SetMigrations(2*sec, doc)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	var objects []string
@@ -345,8 +345,8 @@
 		now += 50
 		i++
 		ev.Object, ev.RequestID = objects[i%1000], "x"
-		if m.admit(now, &ev) == None {
-			m.over("x")
+		if m.admit(now, &ev) == ReasonNone {
+			m.closeRequest("x")
 		}
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(doc.Moves)), "B/move")
--- a/core/cells/picture.go
+++ b/core/cells/picture.go
@@ -6,93 +6,95 @@
 	"slices"
 )
 
-// Picture is what a router can tell of its cells at one moment, for its log and for operators.
-type Picture struct {
-	Version int64      `json:"version"`
-	Stats   Stats      `json:"stats"`
-	Cells   []CellNow  `json:"cells"`
-	Heavy   []HeavyNow `json:"heavy"`
-	Objects []Hitter   `json:"objects"` // by KB asked for of late
+// Status is what a router can tell of its cells at one moment, for its log and for operators.
+type Status struct {
+	Version      int64         `json:"version"`
+	Stats        Stats         `json:"stats"`
+	Cells        []CellStatus  `json:"cells"`
+	HeavyTenants []HeavyTenant `json:"heavy"`
+	HeavyObjects []HeavyHitter `json:"objects"` // by KB asked for of late
 }
 
-// CellNow is one cell.
-type CellNow struct {
-	Name    string   `json:"name"`
-	Live    bool     `json:"live"`
-	Caches  []string `json:"caches"`
-	Open    int      `json:"open"`    // requests under way
-	Tenants float64  `json:"tenants"` // that asked of late
-	Level   float64  `json:"level"`   // use by weight past which a tenant is turned away; 0: nobody is
+// CellStatus is one cell.
+type CellStatus struct {
+	Name           string   `json:"name"`
+	HasLiveCache   bool     `json:"live"`
+	Caches         []string `json:"caches"`
+	OpenRequests   int      `json:"open"`    // requests under way
+	ActiveTenants  float64  `json:"tenants"` // that asked of late
+	FairShareLimit float64  `json:"level"`   // use by weight past which a tenant is turned away; 0: nobody is
 }
 
-// HeavyNow is a tenant that uses much, in parts of what this router may use of the depot in a second.
-type HeavyNow struct {
-	Name string  `json:"name"`
-	Cell string  `json:"cell"`
-	Used float64 `json:"used"`
+// HeavyTenant is a tenant that uses much, in parts of what this router may use of the depot in a second.
+type HeavyTenant struct {
+	Name  string  `json:"name"`
+	Cell  string  `json:"cell"`
+	Usage float64 `json:"used"`
 }
 
-// mostHeavy tenants are told of.
-const mostHeavy = 5
+// maxHeavyListed tenants are told of.
+const maxHeavyListed = 5
 
-// wants is what a tenant asked for of late, let in or not: what a plan must find room for.
-type wants struct {
-	requests, kb, fill, worth float64
-	at                        int64
+// demandRate is what a tenant asked for of late, let in or not: what a plan must find room for.
+type demandRate struct {
+	requests, requestedKB, fillKB, priorityWeight float64
+	updatedAt                                     int64
 }
 
-// wantsSpan in microseconds is how long a request counts in a tenant's demand: a minute, as plans are not made for peaks.
-const wantsSpan = 60e6
+// demandTimeConstant in microseconds is how long a request counts in a tenant's demand: a minute, as plans are not made for peaks.
+const demandTimeConstant = 60e6
 
-func (w *wants) add(now int64, kb, fill, worth float64) {
-	keep := math.Exp(-float64(now-w.at) / wantsSpan)
-	w.requests, w.kb, w.fill, w.worth, w.at = w.requests*keep+1, w.kb*keep+kb, w.fill*keep+fill, w.worth*keep+worth, now
+func (w *demandRate) add(now int64, kb, fill, worth float64) {
+	keep := math.Exp(-float64(now-w.updatedAt) / demandTimeConstant)
+	w.requests, w.requestedKB, w.fillKB, w.priorityWeight, w.updatedAt = w.requests*keep+1, w.requestedKB*keep+kb, w.fillKB*keep+fill, w.priorityWeight*keep+worth, now
 }
 
-// Demand is what one tenant asks of one router: requests, KB and KB to be filled a second, and the worth of timely answers.
-type Demand struct {
-	Name  string    `json:"name"`
-	Loads []float64 `json:"loads"`
-	Worth float64   `json:"worth"`
+// TenantDemand is what one tenant asks of one router: requests, KB and KB to be filled a second, and the worth of timely answers.
+type TenantDemand struct {
+	Name           string    `json:"name"`
+	Loads          []float64 `json:"loads"`
+	PriorityWeight float64   `json:"worth"`
 }
 
-// Demand lists what tenants asked for of late, the greatest by KB first, n at most.
-func (m *Module) Demand(now int64, n int) []Demand {
-	var all []Demand
+// TopDemand lists what tenants asked for of late, the greatest by KB first, n at most.
+func (m *Admission) TopDemand(now int64, n int) []TenantDemand {
+	var all []TenantDemand
 	for i := range m.tenants {
 		t := &m.tenants[i]
-		if t.wants.at == 0 {
+		if t.demand.updatedAt == 0 {
 			continue
 		}
-		perS := math.Exp(-float64(now-t.wants.at)/wantsSpan) / (wantsSpan / 1e6)
-		all = append(all, Demand{t.name, []float64{t.wants.requests * perS, t.wants.kb * perS, t.wants.fill * perS}, t.wants.worth * perS})
+		perS := math.Exp(-float64(now-t.demand.updatedAt)/demandTimeConstant) / (demandTimeConstant / 1e6)
+		all = append(all, TenantDemand{t.name, []float64{t.demand.requests * perS, t.demand.requestedKB * perS, t.demand.fillKB * perS}, t.demand.priorityWeight * perS})
 	}
-	slices.SortFunc(all, func(a, b Demand) int { return cmp.Or(cmp.Compare(b.Loads[1], a.Loads[1]), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(all, func(a, b TenantDemand) int {
+		return cmp.Or(cmp.Compare(b.Loads[1], a.Loads[1]), cmp.Compare(a.Name, b.Name))
+	})
 	return all[:min(n, len(all))]
 }
 
-// Picture tells how the cells are; nil while nothing is confined.
-func (m *Module) Picture(now int64) *Picture {
+// Status tells how the cells are; nil while nothing is confined.
+func (m *Admission) Status(now int64) *Status {
 	if m.spec == nil {
 		return nil
 	}
-	p := &Picture{Version: m.spec.Version, Stats: m.Stats}
+	p := &Status{Version: m.spec.Version, Stats: m.Stats}
 	for i := range m.cells {
 		c := &m.cells[i]
-		level := c.fair.level
+		level := c.fairShare.limit
 		if math.IsInf(level, 1) {
 			level = 0
 		}
-		p.Cells = append(p.Cells, CellNow{c.name, c.live, slices.Clone(c.names), c.open, c.fair.tenants, level})
+		p.Cells = append(p.Cells, CellStatus{c.name, c.hasLiveCache, slices.Clone(c.caches), c.openRequests, c.fairShare.activeTenants, level})
 	}
 	for i := range m.tenants {
 		t := &m.tenants[i]
-		if used := t.used.now(now) / (useSpan / 1e6); t.busy && used > 0 {
-			p.Heavy = append(p.Heavy, HeavyNow{t.name, m.cells[t.cell].name, used})
+		if used := t.usage.valueAt(now) / (usageTimeConstant / 1e6); t.active && used > 0 {
+			p.HeavyTenants = append(p.HeavyTenants, HeavyTenant{t.name, m.cells[t.cell].name, used})
 		}
 	}
-	slices.SortFunc(p.Heavy, func(a, b HeavyNow) int { return cmp.Or(cmp.Compare(b.Used, a.Used), cmp.Compare(a.Name, b.Name)) })
-	p.Heavy = p.Heavy[:min(mostHeavy, len(p.Heavy))]
-	p.Objects = m.objects.Top(mostHeavy)
+	slices.SortFunc(p.HeavyTenants, func(a, b HeavyTenant) int { return cmp.Or(cmp.Compare(b.Usage, a.Usage), cmp.Compare(a.Name, b.Name)) })
+	p.HeavyTenants = p.HeavyTenants[:min(maxHeavyListed, len(p.HeavyTenants))]
+	p.HeavyObjects = m.heavyObjects.Top(maxHeavyListed)
 	return p
 }
--- a/core/cells/plan/plan.go
+++ b/core/cells/plan/plan.go
@@ -21,62 +21,62 @@
 
 // Demand is a tenant as the planner sees it.
 type Demand struct {
-	Name  string
-	Loads Loads
-	Worth float64 // earned a second
-	Now   int     // its cell at present; -1: none
+	Name           string
+	Loads          Loads
+	PriorityWeight float64 // earned a second
+	CurrentCell    int     // its cell at present; -1: none
 }
 
-// Aim is what a plan is made for.
-type Aim struct {
-	Shares    []float64 // of the cells
-	MostWorth float64   // blast radius: the greatest part of all worth that one cell may hold; 0: any
-	MostMoves int       // tenants that may change their cell; below 0: any number
-	Slack     float64   // worst load over its bound past which a further move is worth while; 0.02 if 0
-	Seed      uint64
+// Objective is what a plan is made for.
+type Objective struct {
+	Shares           []float64 // of the cells
+	MaxPriorityShare float64   // blast radius: the greatest part of all worth that one cell may hold; 0: any
+	MaxMigrations    int       // tenants that may change their cell; below 0: any number
+	Slack            float64   // worst load over its bound past which a further move is worth while; 0.02 if 0
+	Seed             uint64
 }
 
 // Plan is an assignment. Loads are relative: 1 is a cell that has of some resource just its share of the total.
 type Plan struct {
-	Cell      []int
-	Worst     float64 // greatest relative load of a cell
-	Bound     float64 // no assignment has a lower one
-	Moves     int
-	MostWorth float64 // greatest part of all worth in one cell
+	CellByTenant      []int
+	MaxLoad           float64 // greatest relative load of a cell
+	MaxLoadLowerBound float64 // no assignment has a lower one
+	Migrations        int
+	MaxPriorityShare  float64 // greatest part of all worth in one cell
 }
 
-// ErrNoPlan is wrapped by the error for an aim that no assignment was found for.
-var ErrNoPlan = errors.New("no assignment keeps the bound on worth")
+// ErrInfeasible is wrapped by the error for an aim that no assignment was found for.
+var ErrInfeasible = errors.New("no assignment keeps the bound on worth")
 
 // planner keeps the load of each cell while tenants are placed and moved.
 type planner struct {
-	demand []Demand
-	rel    [][]float64 // by tenant and resource: part of the total
-	worth  []float64   // part of the total
-	aim    Aim
-	load   [][]float64 // by cell and resource
-	held   []float64   // worth by cell
-	cell   []int
+	demand        []Demand
+	relativeLoad  [][]float64 // by tenant and resource: part of the total
+	priorityShare []float64   // part of the total
+	objective     Objective
+	cellLoad      [][]float64 // by cell and resource
+	cellPriority  []float64   // worth by cell
+	cellByTenant  []int
 }
 
-// Make proposes an assignment: the present one mended by as few moves as it takes, or where tenants have no cell, the
+// Propose proposes an assignment: the present one mended by as few moves as it takes, or where tenants have no cell, the
 // heaviest first to where it hurts least; then single moves and swaps out of the worst cell while they help.
-func Make(demand []Demand, aim Aim) (Plan, error) {
+func Propose(demand []Demand, aim Objective) (Plan, error) {
 	if len(aim.Shares) == 0 || len(demand) == 0 {
 		return Plan{}, errors.New("no cells or no tenants")
 	}
-	p := &planner{demand: demand, aim: aim, cell: make([]int, len(demand)), held: make([]float64, len(aim.Shares)), worth: make([]float64, len(demand))}
-	if p.aim.Slack == 0 {
-		p.aim.Slack = 0.02
+	p := &planner{demand: demand, objective: aim, cellByTenant: make([]int, len(demand)), cellPriority: make([]float64, len(aim.Shares)), priorityShare: make([]float64, len(demand))}
+	if p.objective.Slack == 0 {
+		p.objective.Slack = 0.02
 	}
 	resources := len(demand[0].Loads)
 	totals, worth := make([]float64, resources), 0.0
 	for i, d := range demand {
-		if len(d.Loads) != resources || d.Now >= len(aim.Shares) {
-			return Plan{}, fmt.Errorf("demand of %s: %d loads where others have %d, or cell %d of %d", d.Name, len(d.Loads), resources, d.Now, len(aim.Shares))
+		if len(d.Loads) != resources || d.CurrentCell >= len(aim.Shares) {
+			return Plan{}, fmt.Errorf("demand of %s: %d loads where others have %d, or cell %d of %d", d.Name, len(d.Loads), resources, d.CurrentCell, len(aim.Shares))
 		}
 		floats.Add(totals, demand[i].Loads)
-		worth += d.Worth
+		worth += d.PriorityWeight
 	}
 	for i, d := range demand {
 		rel := make([]float64, resources)
@@ -85,88 +85,90 @@
 				rel[r] = l / totals[r]
 			}
 		}
-		p.rel = append(p.rel, rel)
+		p.relativeLoad = append(p.relativeLoad, rel)
 		if worth > 0 {
-			p.worth[i] = d.Worth / worth
+			p.priorityShare[i] = d.PriorityWeight / worth
 		}
-		p.cell[i] = -1
+		p.cellByTenant[i] = -1
 	}
 	for range aim.Shares {
-		p.load = append(p.load, make([]float64, resources))
+		p.cellLoad = append(p.cellLoad, make([]float64, resources))
 	}
 	var homeless []int
 	for i, d := range demand {
-		if d.Now >= 0 {
-			p.put(i, d.Now)
+		if d.CurrentCell >= 0 {
+			p.place(i, d.CurrentCell)
 		} else {
 			homeless = append(homeless, i)
 		}
 	}
-	slices.SortStableFunc(homeless, func(a, b int) int { return cmp.Compare(floats.Max(p.rel[b]), floats.Max(p.rel[a])) })
+	slices.SortStableFunc(homeless, func(a, b int) int { return cmp.Compare(floats.Max(p.relativeLoad[b]), floats.Max(p.relativeLoad[a])) })
 	for _, i := range homeless {
-		p.put(i, p.best(i))
+		p.place(i, p.cheapestCell(i))
 	}
-	bound := p.bound()
+	bound := p.loadLowerBound()
 	p.search(bound)
-	out := Plan{Cell: p.cell, Bound: bound, MostWorth: floats.Max(p.held)}
+	out := Plan{CellByTenant: p.cellByTenant, MaxLoadLowerBound: bound, MaxPriorityShare: floats.Max(p.cellPriority)}
 	for i, d := range demand {
-		if d.Now >= 0 && d.Now != p.cell[i] {
-			out.Moves++
+		if d.CurrentCell >= 0 && d.CurrentCell != p.cellByTenant[i] {
+			out.Migrations++
 		}
 	}
-	for c := range p.load {
-		out.Worst = max(out.Worst, p.worst(c))
+	for c := range p.cellLoad {
+		out.MaxLoad = max(out.MaxLoad, p.maxLoad(c))
 	}
-	if aim.MostWorth > 0 && out.MostWorth > aim.MostWorth+1e-9 {
-		return out, fmt.Errorf("%w: a cell holds %.3f of it, %.3f at most", ErrNoPlan, out.MostWorth, aim.MostWorth)
+	if aim.MaxPriorityShare > 0 && out.MaxPriorityShare > aim.MaxPriorityShare+1e-9 {
+		return out, fmt.Errorf("%w: a cell holds %.3f of it, %.3f at most", ErrInfeasible, out.MaxPriorityShare, aim.MaxPriorityShare)
 	}
 	return out, nil
 }
 
-func (p *planner) put(i, c int) {
-	if from := p.cell[i]; from >= 0 {
-		floats.Sub(p.load[from], p.rel[i])
-		p.held[from] -= p.worth[i]
+func (p *planner) place(i, c int) {
+	if from := p.cellByTenant[i]; from >= 0 {
+		floats.Sub(p.cellLoad[from], p.relativeLoad[i])
+		p.cellPriority[from] -= p.priorityShare[i]
 	}
-	p.cell[i] = c
-	floats.Add(p.load[c], p.rel[i])
-	p.held[c] += p.worth[i]
+	p.cellByTenant[i] = c
+	floats.Add(p.cellLoad[c], p.relativeLoad[i])
+	p.cellPriority[c] += p.priorityShare[i]
 }
 
-// worst is the greatest relative load of a cell.
-func (p *planner) worst(c int) float64 { return floats.Max(p.load[c]) / p.aim.Shares[c] * p.sum() }
+// maxLoad is the greatest relative load of a cell.
+func (p *planner) maxLoad(c int) float64 {
+	return floats.Max(p.cellLoad[c]) / p.objective.Shares[c] * p.totalShare()
+}
 
-func (p *planner) sum() float64 { return floats.Sum(p.aim.Shares) }
+func (p *planner) totalShare() float64 { return floats.Sum(p.objective.Shares) }
 
 // cost of a cell with a tenant more (or one exchanged for another); worth past its bound weighs most.
 func (p *planner) cost(c, in, out int) float64 {
 	most := 0.0
-	for r, l := range p.load[c] {
+	for r, l := range p.cellLoad[c] {
 		if in >= 0 {
-			l += p.rel[in][r]
+			l += p.relativeLoad[in][r]
 		}
 		if out >= 0 {
-			l -= p.rel[out][r]
+			l -= p.relativeLoad[out][r]
 		}
 		most = max(most, l)
 	}
-	most *= p.sum() / p.aim.Shares[c]
-	held := p.held[c]
+	most *= p.totalShare() / p.objective.Shares[c]
+	held := p.cellPriority[c]
 	if in >= 0 {
-		held += p.worth[in]
+		held += p.priorityShare[in]
 	}
 	if out >= 0 {
-		held -= p.worth[out]
+		held -= p.priorityShare[out]
 	}
-	if p.aim.MostWorth > 0 && held > p.aim.MostWorth+1e-12 {
-		most += 100 * (held - p.aim.MostWorth) / p.aim.MostWorth
+	if p.objective.MaxPriorityShare > 0 && held > p.objective.MaxPriorityShare+1e-12 {
+		most += 100 * (held - p.objective.MaxPriorityShare) / p.objective.MaxPriorityShare
 	}
 	return most
 }
 
-func (p *planner) best(i int) int {
+func (p *planner) cheapestCell(i int) int {
 	best, least := 0, math.Inf(1)
-	for c := range p.load {
+	for c := range p.cellLoad {
 		if cost := p.cost(c, i, -1); cost < least {
 			best, least = c, cost
 		}
@@ -174,12 +176,12 @@
 	return best
 }
 
-// bound is what no assignment can beat: the even one, and each tenant alone in the cell that bears it best.
-func (p *planner) bound() float64 {
+// loadLowerBound is what no assignment can beat: the even one, and each tenant alone in the cell that bears it best.
+func (p *planner) loadLowerBound() float64 {
 	bound := 1.0
-	widest := floats.Max(p.aim.Shares)
-	for i := range p.rel {
-		bound = max(bound, floats.Max(p.rel[i])*p.sum()/widest)
+	widest := floats.Max(p.objective.Shares)
+	for i := range p.relativeLoad {
+		bound = max(bound, floats.Max(p.relativeLoad[i])*p.totalShare()/widest)
 	}
 	return bound
 }
@@ -187,18 +189,18 @@
 // search takes the worst cell again and again and moves the tenant out of it, or swaps two, that helps most for one
 // move. It ends within the slack over the bound, when moves are used up, or when nothing helps.
 func (p *planner) search(bound float64) {
-	rng := rand.New(rand.NewPCG(p.aim.Seed, 0x91a2))
-	in := make([][]int, len(p.load))
-	for i, c := range p.cell {
+	rng := rand.New(rand.NewPCG(p.objective.Seed, 0x91a2))
+	in := make([][]int, len(p.cellLoad))
+	for i, c := range p.cellByTenant {
 		in[c] = append(in[c], i)
 	}
 	moved := func(i, to int) int { // moves more than before if i went there
-		now := p.demand[i].Now
-		if now < 0 || p.cell[i] == to {
+		now := p.demand[i].CurrentCell
+		if now < 0 || p.cellByTenant[i] == to {
 			return 0
 		}
 		switch now {
-		case p.cell[i]:
+		case p.cellByTenant[i]:
 			return 1
 		case to:
 			return -1
@@ -208,17 +210,17 @@
 	moves := 0
 	for range 20 * len(p.demand) {
 		worst, most := 0, 0.0
-		for c := range p.load {
+		for c := range p.cellLoad {
 			if cost := p.cost(c, -1, -1); cost > most {
 				worst, most = c, cost
 			}
 		}
-		if most <= bound*(1+p.aim.Slack) {
+		if most <= bound*(1+p.objective.Slack) {
 			return
 		}
 		left := math.MaxInt
-		if p.aim.MostMoves >= 0 {
-			left = p.aim.MostMoves - moves
+		if p.objective.MaxMigrations >= 0 {
+			left = p.objective.MaxMigrations - moves
 		}
 		type change struct{ out, to, in int }
 		best, gain, price := change{-1, 0, -1}, 1e-9, 0
@@ -236,8 +238,8 @@
 			}
 		}
 		// Cells with the least load are where a tenant can go; a sample of their tenants is what can come back.
-		targets := make([]int, 0, len(p.load))
-		for c := range p.load {
+		targets := make([]int, 0, len(p.cellLoad))
+		for c := range p.cellLoad {
 			if c != worst {
 				targets = append(targets, c)
 			}
@@ -265,7 +267,7 @@
 		}
 		moves += price
 		shift := func(i, from, to int) {
-			p.put(i, to)
+			p.place(i, to)
 			in[from] = slices.DeleteFunc(in[from], func(o int) bool { return o == i })
 			in[to] = append(in[to], i)
 		}
@@ -276,18 +278,18 @@
 	}
 }
 
-// Relaxed solves the linear relaxation, in which a tenant may be spread over cells: the least worst load that any plan
+// RelaxedBound solves the linear relaxation, in which a tenant may be spread over cells: the least worst load that any plan
 // for the aim can have. It is exact and slow: for some thousand variables at most.
-func Relaxed(demand []Demand, aim Aim) (float64, error) {
+func RelaxedBound(demand []Demand, aim Objective) (float64, error) {
 	n, cells, resources := len(demand), len(aim.Shares), len(demand[0].Loads)
 	totals, worth := make([]float64, resources), 0.0
 	for _, d := range demand {
 		floats.Add(totals, d.Loads)
-		worth += d.Worth
+		worth += d.PriorityWeight
 	}
 	// Variables: n*cells parts, the worst load, then a slack for each inequality.
 	rows := n + cells*resources
-	if aim.MostWorth > 0 {
+	if aim.MaxPriorityShare > 0 {
 		rows += cells
 	}
 	parts := n * cells
@@ -310,11 +312,11 @@
 			a.Set(row, parts+1+row-n, 1)
 			row++
 		}
-		if aim.MostWorth > 0 {
+		if aim.MaxPriorityShare > 0 {
 			for i, d := range demand {
-				a.Set(row, i*cells+j, d.Worth/worth)
+				a.Set(row, i*cells+j, d.PriorityWeight/worth)
 			}
-			b[row] = aim.MostWorth
+			b[row] = aim.MaxPriorityShare
 			a.Set(row, parts+1+row-n, 1)
 			row++
 		}
--- a/core/cells/reason.go
+++ b/core/cells/reason.go
@@ -5,20 +5,20 @@
 
 // The reasons.
 const (
-	None     Reason = iota
-	NoCache         // the cell has no live cache, and names no neighbour that has one
-	Heavy           // its tenant uses more than a crowded cell has for it
-	Requests        // the cell's share of requests a second is used up
-	Fills           // its share of the link
-	Parents         // of the area caches
-	Origin          // of the head office
-	Writes          // its share of uncacheable requests
-	Open            // its share of requests open at once
-	Staged          // it asks for a release that its cell has not got, or that was taken back
-	Moving          // its tenant moves, the old cell has no live cache, and the new one can't bear more now
-	reasons
+	ReasonNone            Reason = iota
+	ReasonNoLiveCache            // the cell has no live cache, and names no neighbour that has one
+	ReasonHeavyTenant            // its tenant uses more than a crowded cell has for it
+	ReasonRequestRate            // the cell's share of requests a second is used up
+	ReasonLinkRate               // its share of the link
+	ReasonParentRate             // of the area caches
+	ReasonOriginRate             // of the head office
+	ReasonUncacheableRate        // its share of uncacheable requests
+	ReasonOpenRequests           // its share of requests open at once
+	ReasonNotReleased            // it asks for a release that its cell has not got, or that was taken back
+	ReasonMigrating              // its tenant moves, the old cell has no live cache, and the new one can't bear more now
+	reasonCount
 )
 
-var reasonNames = [reasons]string{"none", "no live cache", "heavy tenant", "requests", "fills", "area caches", "head office", "writes", "open requests", "release not here", "moving"}
+var reasonNames = [reasonCount]string{"none", "no live cache", "heavy tenant", "requests", "fills", "area caches", "head office", "writes", "open requests", "release not here", "moving"}
 
 func (r Reason) String() string { return reasonNames[r] }
--- a/core/cells/retune_test.go
+++ b/core/cells/retune_test.go
@@ -8,7 +8,7 @@
 
 // Settings change while requests of confined tenants are open: these end as they would have, their cell's books come back to nothing,
 // and a class that was dropped is refused by rules.
-func TestRetuneUnderOpenRequests(t *testing.T) {
+func TestUpdateSettingsWithOpenRequests(t *testing.T) {
 	set := rules.Settings{
 		Classes: []rules.Class{{Name: "video", Deadline: 6_000_000, LatencyObjective: 600_000, PriorityWeight: 2, Idempotency: "read_like", DeduplicationScope: "all"},
 			{Name: "price", Deadline: 3_000_000, LatencyObjective: 400_000, PriorityWeight: 1, Idempotency: "read_like", DeduplicationScope: "all"}},
@@ -17,7 +17,7 @@
 		Permissions: rules.Permissions{MayCancel: true, MaxAttempts: 8, MaxRetryAfter: 1_000_000},
 		Zone:        "east", Zones: []string{"east"},
 	}
-	m, err := NewModule(set, 1)
+	m, err := NewAdmission(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,14 +26,14 @@
 		rows = append(rows, rules.Endpoint{Server: name, Zone: "east", Kind: "box", Status: "healthy", Weight: 4})
 	}
 	m.Step(0, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: rows}})
-	spec := &Spec{Version: 1, Scheme: Fixed, Cells: []Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
-		Tenants: []Tenant{{Name: "loud", Cell: "one"}, {Name: "rest", Cell: "two"}}, Keys: []Key{{Families: []int{0, 0}, Tenant: "loud"}, {Tenant: "rest"}},
-		Budget: Budget{RequestsPerS: 3000, Open: 200}}
+	spec := &Spec{Version: 1, Scheme: SchemeFixed, Cells: []Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
+		Tenants: []Tenant{{Name: "loud", Cell: "one"}, {Name: "rest", Cell: "two"}}, TenantKeys: []TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "loud"}, {Tenant: "rest"}},
+		Budget: Budget{RequestsPerSecond: 3000, MaxOpenRequests: 200}}
 	a, err := Compile(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Confine(0, a)
+	m.SetAssignment(0, a)
 	ask := func(call, class string) []rules.Action {
 		return m.Step(1000, []rules.Event{{Kind: rules.EventRequest, RequestID: call, Class: class, Object: "x", PurgeGroup: 0, SizeKB: 10, Timeout: 3_000_000}})
 	}
@@ -44,13 +44,13 @@
 	next := set
 	next.Classes = []rules.Class{{Name: "price", Deadline: 3_000_000, LatencyObjective: 400_000, PriorityWeight: 1, Idempotency: "read_like", DeduplicationScope: "all"}}
 	next.Hierarchy.Uncacheable = nil
-	if err := m.Retune(2000, next); err != nil {
+	if err := m.UpdateSettings(2000, next); err != nil {
 		t.Fatal(err)
 	}
-	if m.writes["price"] {
+	if m.uncacheable["price"] {
 		t.Error("a class of the new settings is still taken for uncacheable")
 	}
-	if err := m.Retune(2000, rules.Settings{}); err == nil {
+	if err := m.UpdateSettings(2000, rules.Settings{}); err == nil {
 		t.Error("settings without a class were taken")
 	}
 	if again := ask("r2", "price"); len(again) == 0 || again[0].Kind != rules.ActionSend {
@@ -61,7 +61,7 @@
 	}
 	m.Step(3000, []rules.Event{{Kind: rules.EventOutcome, RequestID: "r1", Server: acts[0].Server, Outcome: rules.OutcomeServed, IsFinal: true, CacheStatus: 1, ResponseTime: 2000}})
 	m.Step(3000, []rules.Event{{Kind: rules.EventAborted, RequestID: "r2"}, {Kind: rules.EventAborted, RequestID: "r3"}})
-	if len(m.open) != 0 || m.cells[0].open != 0 {
-		t.Errorf("%d open, %d in its cell", len(m.open), m.cells[0].open)
+	if len(m.openRequests) != 0 || m.cells[0].openRequests != 0 {
+		t.Errorf("%d open, %d in its cell", len(m.openRequests), m.cells[0].openRequests)
 	}
 }
--- a/core/cells/sketch_test.go
+++ b/core/cells/sketch_test.go
@@ -21,9 +21,9 @@
 }
 
 // Estimates are never under the truth and hardly ever far over it; the truth fades by half in a half-life.
-func TestCountsAgainstPlainMaps(t *testing.T) {
+func TestCountMinSketchAgainstMap(t *testing.T) {
 	const half = 1e6
-	c := NewCounts(4096, 4, half)
+	c := NewCountMinSketch(4096, 4, half)
 	plain := map[string]float64{}
 	total, now := 0.0, int64(1)
 	for i, key := range zipfKeys(1, 100_000, 50_000) {
@@ -54,9 +54,9 @@
 }
 
 // Whoever has more than 1/size of all is kept, with bounds that hold.
-func TestHeavyKeepsWhatIsHeavy(t *testing.T) {
+func TestHeavyHittersKeepsHeavyKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := NewHitters(10, 1e12)
+		h := NewHeavyHitters(10, 1e12)
 		plain, total := map[string]float64{}, 0.0
 		for _, k := range rapid.SliceOfN(rapid.IntRange(0, 60), 1, 400).Draw(t, "keys") {
 			key, amount := fmt.Sprint(k*k%47), float64(1+k%3)
@@ -64,10 +64,10 @@
 			plain[key] += amount
 			total += amount
 		}
-		top := map[string]Hitter{}
+		top := map[string]HeavyHitter{}
 		for _, x := range h.Top(10) {
 			top[x.Key] = x
-			if x.Count < plain[x.Key]-1e-6 || x.Count-x.Over > plain[x.Key]+1e-6 {
+			if x.Count < plain[x.Key]-1e-6 || x.Count-x.MaxOvercount > plain[x.Key]+1e-6 {
 				t.Fatalf("%+v, counted %v", x, plain[x.Key])
 			}
 		}
@@ -80,8 +80,8 @@
 }
 
 // Old counts fade: who was heavy yesterday makes room.
-func TestHeavyForgets(t *testing.T) {
-	h := NewHitters(2, 1e6)
+func TestHeavyHittersDecay(t *testing.T) {
+	h := NewHeavyHitters(2, 1e6)
 	for range 100 {
 		h.Add(1, "old", 1)
 	}
@@ -93,28 +93,28 @@
 	}
 }
 
-const manyObjects = 1_000_000
+const sketchObjects = 1_000_000
 
-func BenchmarkDemand(b *testing.B) {
-	keys := zipfKeys(2, manyObjects, 1<<20)
+func BenchmarkSketches(b *testing.B) {
+	keys := zipfKeys(2, sketchObjects, 1<<20)
 	b.Run("sketch", func(b *testing.B) {
-		c, h := NewCounts(1<<14, 4, 60e6), NewHitters(1024, 60e6)
+		c, h := NewCountMinSketch(1<<14, 4, 60e6), NewHeavyHitters(1024, 60e6)
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			key := keys[i&(len(keys)-1)]
 			c.Add(int64(i), key, 1)
 			h.Add(int64(i), key, 1)
 		}
-		b.ReportMetric(float64(4*len(c.cells)+1024*80), "bytes")
+		b.ReportMetric(float64(4*len(c.counters)+1024*80), "bytes")
 	})
 	b.Run("map", func(b *testing.B) {
-		m := map[string]*use{}
+		m := map[string]*decayingSum{}
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			key := keys[i&(len(keys)-1)]
 			u := m[key]
 			if u == nil {
-				u = &use{}
+				u = &decayingSum{}
 				m[key] = u
 			}
 			u.add(int64(i), 1)
--- a/core/cells/spec.go
+++ b/core/cells/spec.go
@@ -20,71 +20,71 @@
 
 // The schemes by which a tenant gets its caches. docs/cells.md weighs them.
 const (
-	Fixed    = "fixed"    // every cache in one cell; a tenant uses all of its cell
-	Shuffle  = "shuffle"  // Width caches for each tenant, drawn from all of the depot
-	Nested   = "nested"   // Width caches for each tenant, drawn from its cell
-	Overflow = "overflow" // as Fixed, and one cell that takes what another has no room for
+	SchemeFixed    = "fixed"    // every cache in one cell; a tenant uses all of its cell
+	SchemeShuffle  = "shuffle"  // Width caches for each tenant, drawn from all of the depot
+	SchemeNested   = "nested"   // Width caches for each tenant, drawn from its cell
+	SchemeOverflow = "overflow" // as SchemeFixed, and one cell that takes what another has no room for
 )
 
 // Bounds of a specification.
 const (
-	MaxCells   = 64
-	MaxTenants = 100_000
-	MaxKeys    = 200_000
-	families   = 256
+	MaxCells        = 64
+	MaxTenants      = 100_000
+	MaxTenantKeys   = 200_000
+	purgeGroupCount = 256
 )
 
 // Spec says who is confined to what. It is versioned: routers that hold different versions send a tenant's requests to
 // the cells of either, and to no other.
 type Spec struct {
-	Version int64    `json:"version" jsonschema:"minimum=1" jsonschema_description:"number of this assignment; a later one is greater"`
-	Scheme  string   `json:"scheme" jsonschema:"enum=fixed,enum=shuffle,enum=nested,enum=overflow"`
-	Width   int      `json:"width,omitempty" jsonschema_description:"caches of a tenant, with shuffle and nested"`
-	Spare   string   `json:"spare,omitempty" jsonschema_description:"with overflow: the cell that takes what others have no room for"`
-	Cells   []Cell   `json:"cells"`
-	Tenants []Tenant `json:"tenants"`
-	Keys    []Key    `json:"keys" jsonschema_description:"first match names the tenant; the last line matches all"`
-	Budget  Budget   `json:"budget"`
+	Version      int64       `json:"version" jsonschema:"minimum=1" jsonschema_description:"number of this assignment; a later one is greater"`
+	Scheme       string      `json:"scheme" jsonschema:"enum=fixed,enum=shuffle,enum=nested,enum=overflow"`
+	Width        int         `json:"width,omitempty" jsonschema_description:"caches of a tenant, with shuffle and nested"`
+	OverflowCell string      `json:"spare,omitempty" jsonschema_description:"with overflow: the cell that takes what others have no room for"`
+	Cells        []Cell      `json:"cells"`
+	Tenants      []Tenant    `json:"tenants"`
+	TenantKeys   []TenantKey `json:"keys" jsonschema_description:"first match names the tenant; the last line matches all"`
+	Budget       Budget      `json:"budget"`
 }
 
 // Cell is one subset of each depot's caches. Shares of all cells come to 1 at most.
 type Cell struct {
-	Name  string  `json:"name"`
-	Share float64 `json:"share" jsonschema_description:"part of a depot's caches, and of all that is shared, above 0"`
-	Spill string  `json:"spill,omitempty" jsonschema_description:"cell that serves while this one has no live cache; none: refused"`
+	Name         string  `json:"name"`
+	Share        float64 `json:"share" jsonschema_description:"part of a depot's caches, and of all that is shared, above 0"`
+	FallbackCell string  `json:"spill,omitempty" jsonschema_description:"cell that serves while this one has no live cache; none: refused"`
 }
 
 // Tenant has one cell in all depots, or another one in some.
 type Tenant struct {
-	Name   string            `json:"name"`
-	Cell   string            `json:"cell"`
-	Depots map[string]string `json:"depots,omitempty" jsonschema_description:"cell by depot, where it differs"`
-	Weight float64           `json:"weight,omitempty" jsonschema_description:"right to its cell against others in it; 1 if left out"`
+	Name       string            `json:"name"`
+	Cell       string            `json:"cell"`
+	CellBySite map[string]string `json:"depots,omitempty" jsonschema_description:"cell by depot, where it differs"`
+	Weight     float64           `json:"weight,omitempty" jsonschema_description:"right to its cell against others in it; 1 if left out"`
 }
 
-// Key is a line of the table that tells tenants. A field that is left out matches everything.
-type Key struct {
-	Families []int  `json:"families,omitempty" jsonschema_description:"first and last group of objects, 0 to 255"`
-	Class    string `json:"class,omitempty"`
-	Prefix   string `json:"prefix,omitempty" jsonschema_description:"how the object begins, in hex"`
-	Named    string `json:"named,omitempty" jsonschema_description:"the tenant as the front names it"`
-	Tenant   string `json:"tenant"`
+// TenantKey is a line of the table that tells tenants. A field that is left out matches everything.
+type TenantKey struct {
+	PurgeGroupRange []int  `json:"families,omitempty" jsonschema_description:"first and last group of objects, 0 to 255"`
+	Class           string `json:"class,omitempty"`
+	ObjectPrefix    string `json:"prefix,omitempty" jsonschema_description:"how the object begins, in hex"`
+	DeclaredTenant  string `json:"named,omitempty" jsonschema_description:"the tenant as the front names it"`
+	Tenant          string `json:"tenant"`
 }
 
 // Budget is what all routers of a depot may take together of what its cells share. 0 leaves a thing unlimited.
 type Budget struct {
-	RequestsPerS float64 `json:"requestsPerS" jsonschema_description:"requests that all routers of a depot can handle"`
-	FillKbPerS   float64 `json:"fillKbPerS" jsonschema_description:"fills over the link into the depot; 0: what the settings tell of it"`
-	ParentKbPerS float64 `json:"parentKbPerS" jsonschema_description:"what all area caches can send to all depots"`
-	OriginKbPerS float64 `json:"originKbPerS" jsonschema_description:"what the head office can send to all depots"`
-	OriginOpen   int     `json:"originOpen" jsonschema_description:"fills open at once that may reach the head office, all routers of all depots"`
-	Open         int     `json:"open" jsonschema_description:"requests open at one router"`
-	WritesPerS   float64 `json:"writesPerS" jsonschema_description:"requests of uncacheable classes, apart from all others"`
-	GiveMs       float64 `json:"giveMs" jsonschema_description:"within this a share is free again for its owner; 250 if left out"`
+	RequestsPerSecond    float64 `json:"requestsPerS" jsonschema_description:"requests that all routers of a depot can handle"`
+	FillKBPerSecond      float64 `json:"fillKbPerS" jsonschema_description:"fills over the link into the depot; 0: what the settings tell of it"`
+	ParentKBPerSecond    float64 `json:"parentKbPerS" jsonschema_description:"what all area caches can send to all depots"`
+	OriginKBPerSecond    float64 `json:"originKbPerS" jsonschema_description:"what the head office can send to all depots"`
+	MaxOriginFills       int     `json:"originOpen" jsonschema_description:"fills open at once that may reach the head office, all routers of all depots"`
+	MaxOpenRequests      int     `json:"open" jsonschema_description:"requests open at one router"`
+	UncacheablePerSecond float64 `json:"writesPerS" jsonschema_description:"requests of uncacheable classes, apart from all others"`
+	ReclaimMillis        float64 `json:"giveMs" jsonschema_description:"within this a share is free again for its owner; 250 if left out"`
 }
 
-// fault names the field, as a path from the specification, and what is wrong with it.
-func fault(path, format string, args ...any) error {
+// fieldError names the field, as a path from the specification, and what is wrong with it.
+func fieldError(path, format string, args ...any) error {
 	return fmt.Errorf("%s: %w", path, fmt.Errorf(format, args...))
 }
 
@@ -93,37 +93,37 @@
 	cells := map[string]int{}
 	switch {
 	case s.Version < 1:
-		return fault("version", "%d is under 1", s.Version)
-	case !slices.Contains([]string{Fixed, Shuffle, Nested, Overflow}, s.Scheme):
-		return fault("scheme", "%q is none of fixed, shuffle, nested, overflow", s.Scheme)
-	case (s.Scheme == Shuffle || s.Scheme == Nested) != (s.Width > 0) || s.Width < 0:
-		return fault("width", "%d: above 0 with shuffle and nested, left out otherwise", s.Width)
-	case (s.Scheme == Overflow) != (s.Spare != ""):
-		return fault("spare", "%q: a cell with overflow, left out otherwise", s.Spare)
+		return fieldError("version", "%d is under 1", s.Version)
+	case !slices.Contains([]string{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow}, s.Scheme):
+		return fieldError("scheme", "%q is none of fixed, shuffle, nested, overflow", s.Scheme)
+	case (s.Scheme == SchemeShuffle || s.Scheme == SchemeNested) != (s.Width > 0) || s.Width < 0:
+		return fieldError("width", "%d: above 0 with shuffle and nested, left out otherwise", s.Width)
+	case (s.Scheme == SchemeOverflow) != (s.OverflowCell != ""):
+		return fieldError("spare", "%q: a cell with overflow, left out otherwise", s.OverflowCell)
 	case len(s.Cells) == 0 || len(s.Cells) > MaxCells:
-		return fault("cells", "%d of them, 1 to %d allowed", len(s.Cells), MaxCells)
+		return fieldError("cells", "%d of them, 1 to %d allowed", len(s.Cells), MaxCells)
 	case len(s.Tenants) == 0 || len(s.Tenants) > MaxTenants:
-		return fault("tenants", "%d of them, 1 to %d allowed", len(s.Tenants), MaxTenants)
-	case len(s.Keys) == 0 || len(s.Keys) > MaxKeys:
-		return fault("keys", "%d of them, 1 to %d allowed", len(s.Keys), MaxKeys)
+		return fieldError("tenants", "%d of them, 1 to %d allowed", len(s.Tenants), MaxTenants)
+	case len(s.TenantKeys) == 0 || len(s.TenantKeys) > MaxTenantKeys:
+		return fieldError("keys", "%d of them, 1 to %d allowed", len(s.TenantKeys), MaxTenantKeys)
 	}
 	sum := 0.0
 	for i, c := range s.Cells {
 		at := fmt.Sprintf("cells[%d]", i)
 		if c.Name == "" {
-			return fault(at+".name", "missing")
+			return fieldError(at+".name", "missing")
 		}
 		if _, twice := cells[c.Name]; twice {
-			return fault(at+".name", "%q is named twice", c.Name)
+			return fieldError(at+".name", "%q is named twice", c.Name)
 		}
 		if !(c.Share > 0 && c.Share <= 1) {
-			return fault(at+".share", "%v is not above 0 and at most 1", c.Share)
+			return fieldError(at+".share", "%v is not above 0 and at most 1", c.Share)
 		}
 		cells[c.Name] = i
 		sum += c.Share
 	}
 	if sum > 1+1e-9 {
-		return fault("cells", "shares come to %.4g, 1 at most", sum)
+		return fieldError("cells", "shares come to %.4g, 1 at most", sum)
 	}
 	names := make([]string, 0, len(s.Cells))
 	for _, c := range s.Cells {
@@ -131,33 +131,33 @@
 	}
 	known := strings.Join(names, ", ")
 	for i, c := range s.Cells {
-		if _, is := cells[c.Spill]; c.Spill != "" && (!is || c.Spill == c.Name) {
-			return fault(fmt.Sprintf("cells[%d].spill", i), "%q is no other cell; cells are %s", c.Spill, known)
+		if _, is := cells[c.FallbackCell]; c.FallbackCell != "" && (!is || c.FallbackCell == c.Name) {
+			return fieldError(fmt.Sprintf("cells[%d].spill", i), "%q is no other cell; cells are %s", c.FallbackCell, known)
 		}
 	}
-	if _, is := cells[s.Spare]; s.Spare != "" && !is {
-		return fault("spare", "%q is no cell; cells are %s", s.Spare, known)
+	if _, is := cells[s.OverflowCell]; s.OverflowCell != "" && !is {
+		return fieldError("spare", "%q is no cell; cells are %s", s.OverflowCell, known)
 	}
 	tenants := map[string]bool{}
 	for i, t := range s.Tenants {
 		at := fmt.Sprintf("tenants[%d]", i)
 		if t.Name == "" {
-			return fault(at+".name", "missing")
+			return fieldError(at+".name", "missing")
 		}
 		if tenants[t.Name] {
-			return fault(at+".name", "%q is named twice", t.Name)
+			return fieldError(at+".name", "%q is named twice", t.Name)
 		}
 		tenants[t.Name] = true
 		if _, is := cells[t.Cell]; !is {
-			return fault(at+".cell", "%q is no cell; cells are %s", t.Cell, known)
+			return fieldError(at+".cell", "%q is no cell; cells are %s", t.Cell, known)
 		}
-		for depot, c := range t.Depots {
+		for depot, c := range t.CellBySite {
 			if _, is := cells[c]; !is || depot == "" {
-				return fault(at+".depots["+depot+"]", "%q is no cell; cells are %s", c, known)
+				return fieldError(at+".depots["+depot+"]", "%q is no cell; cells are %s", c, known)
 			}
 		}
 		if !(t.Weight >= 0) || math.IsInf(t.Weight, 1) {
-			return fault(at+".weight", "%v is not above 0", t.Weight)
+			return fieldError(at+".weight", "%v is not above 0", t.Weight)
 		}
 	}
 	if err := s.Budget.check(); err != nil {
@@ -170,63 +170,63 @@
 	for _, f := range []struct {
 		name  string
 		value float64
-	}{{"requestsPerS", b.RequestsPerS}, {"fillKbPerS", b.FillKbPerS}, {"parentKbPerS", b.ParentKbPerS},
-		{"originKbPerS", b.OriginKbPerS}, {"originOpen", float64(b.OriginOpen)}, {"open", float64(b.Open)}, {"writesPerS", b.WritesPerS}, {"giveMs", b.GiveMs}} {
+	}{{"requestsPerS", b.RequestsPerSecond}, {"fillKbPerS", b.FillKBPerSecond}, {"parentKbPerS", b.ParentKBPerSecond},
+		{"originKbPerS", b.OriginKBPerSecond}, {"originOpen", float64(b.MaxOriginFills)}, {"open", float64(b.MaxOpenRequests)}, {"writesPerS", b.UncacheablePerSecond}, {"giveMs", b.ReclaimMillis}} {
 		if !(f.value >= 0 && f.value < 1e12) {
-			return fault("budget."+f.name, "%v is not 0 to 1e12", f.value)
+			return fieldError("budget."+f.name, "%v is not 0 to 1e12", f.value)
 		}
 	}
 	return nil
 }
 
 func (s *Spec) checkKeys(tenants map[string]bool) error {
-	for i, k := range s.Keys {
+	for i, k := range s.TenantKeys {
 		at := fmt.Sprintf("keys[%d]", i)
 		if !tenants[k.Tenant] {
-			return fault(at+".tenant", "%q is no tenant", k.Tenant)
+			return fieldError(at+".tenant", "%q is no tenant", k.Tenant)
 		}
-		if f := k.Families; f != nil && (len(f) != 2 || f[0] < 0 || f[1] >= families || f[0] > f[1]) {
-			return fault(at+".families", "%v is not first and last, 0 to %d", f, families-1)
+		if f := k.PurgeGroupRange; f != nil && (len(f) != 2 || f[0] < 0 || f[1] >= purgeGroupCount || f[0] > f[1]) {
+			return fieldError(at+".families", "%v is not first and last, 0 to %d", f, purgeGroupCount-1)
 		}
-		if len(k.Prefix) > 16 || strings.Trim(k.Prefix, "0123456789abcdef") != "" {
-			return fault(at+".prefix", "%q is not up to 16 hex digits", k.Prefix)
+		if len(k.ObjectPrefix) > 16 || strings.Trim(k.ObjectPrefix, "0123456789abcdef") != "" {
+			return fieldError(at+".prefix", "%q is not up to 16 hex digits", k.ObjectPrefix)
 		}
 	}
-	last := s.Keys[len(s.Keys)-1]
-	if last.Families != nil || last.Class != "" || last.Prefix != "" || last.Named != "" {
-		return fault(fmt.Sprintf("keys[%d]", len(s.Keys)-1), "the last line names the tenant of all else, and nothing more")
+	last := s.TenantKeys[len(s.TenantKeys)-1]
+	if last.PurgeGroupRange != nil || last.Class != "" || last.ObjectPrefix != "" || last.DeclaredTenant != "" {
+		return fieldError(fmt.Sprintf("keys[%d]", len(s.TenantKeys)-1), "the last line names the tenant of all else, and nothing more")
 	}
-	return shadowed(s.Keys)
+	return checkReachable(s.TenantKeys)
 }
 
-// errShadowed is wrapped by the error for a line that can't match.
-var errShadowed = errors.New("no request gets here: lines above match all of it")
+// errUnreachableKey is wrapped by the error for a line that can't match.
+var errUnreachableKey = errors.New("no request gets here: lines above match all of it")
 
-// shadowed finds a line that earlier ones leave nothing: those whose other fields take in its own, and whose
+// checkReachable finds a line that earlier ones leave nothing: those whose other fields take in its own, and whose
 // families come to all of its families together.
-func shadowed(keys []Key) error {
+func checkReachable(keys []TenantKey) error {
 	type rest struct{ class, prefix, named string }
-	seen := map[rest]familySet{} // by the fields besides: the families that lines above match
+	seen := map[rest]groupSet{} // by the fields besides: the families that lines above match
 	for i, k := range keys {
-		own := span(0, families-1)
-		if k.Families != nil {
-			own = span(k.Families[0], k.Families[1])
+		own := groupsBetween(0, purgeGroupCount-1)
+		if k.PurgeGroupRange != nil {
+			own = groupsBetween(k.PurgeGroupRange[0], k.PurgeGroupRange[1])
 		}
 		left := own
-		for n := 0; n <= len(k.Prefix); n++ {
+		for n := 0; n <= len(k.ObjectPrefix); n++ {
 			for _, class := range [...]string{"", k.Class} {
-				for _, named := range [...]string{"", k.Named} {
-					taken := seen[rest{class, k.Prefix[:n], named}]
+				for _, named := range [...]string{"", k.DeclaredTenant} {
+					taken := seen[rest{class, k.ObjectPrefix[:n], named}]
 					for w := range left {
 						left[w] &^= taken[w]
 					}
 				}
 			}
 		}
-		if left == (familySet{}) {
-			return fmt.Errorf("keys[%d]: %w", i, errShadowed)
+		if left == (groupSet{}) {
+			return fmt.Errorf("keys[%d]: %w", i, errUnreachableKey)
 		}
-		at := rest{k.Class, k.Prefix, k.Named}
+		at := rest{k.Class, k.ObjectPrefix, k.DeclaredTenant}
 		all := seen[at]
 		for w := range all {
 			all[w] |= own[w]
@@ -236,10 +236,10 @@
 	return nil
 }
 
-// familySet has a bit for each family.
-type familySet [families / 64]uint64
+// groupSet has a bit for each family.
+type groupSet [purgeGroupCount / 64]uint64
 
-func span(first, last int) (set familySet) {
+func groupsBetween(first, last int) (set groupSet) {
 	for f := first; f <= last; f++ {
 		set[f/64] |= 1 << (f % 64)
 	}
--- a/core/cells/staging_test.go
+++ b/core/cells/staging_test.go
@@ -10,13 +10,13 @@
 	"spantack/rules"
 )
 
-func prices() *stages.Stage {
+func pricesRelease() *stages.Stage {
 	return &stages.Stage{Version: 1, Name: "prices", Prefix: "bb", Since: 10_000, Rings: []stages.Ring{{Cells: []string{"one"}, Open: 60_000, For: 300_000}}}
 }
 
-// releaseDay sends requests of both cells for so many seconds, a tenth of them for the release; in cell one, a part of those is late. It
+// runReleaseDay sends requests of both cells for so many seconds, a tenth of them for the release; in cell one, a part of those is late. It
 // returns how many of the release were let in by cell, before the ring opened and after, and what the log said.
-func releaseDay(t *testing.T, m *Module, late float64, seconds int64) (in map[string]int, log string) {
+func runReleaseDay(t *testing.T, m *Admission, late float64, seconds int64) (in map[string]int, log string) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(3, 3))
 	in = map[string]int{}
@@ -49,7 +49,7 @@
 				m.Step(at, []rules.Event{{Kind: rules.EventOutcome, RequestID: act.RequestID, Server: act.Server, Outcome: rules.OutcomeServed, CacheStatus: 1, ResponseTime: at - now, IsFinal: true}})
 			case rules.ActionReject:
 				if !release {
-					t.Fatalf("a request that is none of the release's is refused: %v", m.Stats.Refused)
+					t.Fatalf("a request that is none of the release's is refused: %v", m.Stats.Rejected)
 				}
 			}
 		}
@@ -57,57 +57,57 @@
 	return in, log
 }
 
-// Requests for a release are refused at once in cells that have not got it, and let in where they have; nothing else is touched.
-func TestReleaseGoesByRing(t *testing.T) {
-	m := module(t, two(), names(8)...)
-	if err := m.Stage(10*sec, prices()); err != nil {
+// ReasonRequestRate for a release are refused at once in cells that have not got it, and let in where they have; nothing else is touched.
+func TestReleaseFollowsItsRings(t *testing.T) {
+	m := newTestAdmission(t, twoCells(), cacheNames(8)...)
+	if err := m.SetRollout(10*sec, pricesRelease()); err != nil {
 		t.Fatal(err)
 	}
-	in, log := releaseDay(t, m, 0, 110)
+	in, log := runReleaseDay(t, m, 0, 110)
 	if in["one after false"]+in["two after false"]+in["two after true"] > 0 || in["one after true"] < 500 {
 		t.Errorf("let in: %v", in)
 	}
-	if m.Stats.Refused[Staged] == 0 || !strings.Contains(log, "release prices, ring 0 ([one]): judging\n") || strings.Contains(log, "stopped") {
-		t.Errorf("refused %v, log %q", m.Stats.Refused, log)
+	if m.Stats.Rejected[ReasonNotReleased] == 0 || !strings.Contains(log, "release prices, ring 0 ([one]): judging\n") || strings.Contains(log, "stopped") {
+		t.Errorf("refused %v, log %q", m.Stats.Rejected, log)
 	}
-	stop := prices()
+	stop := pricesRelease()
 	stop.Version, stop.StopAt = 2, 121_000
-	if err := m.Stage(121*sec, stop); err != nil {
+	if err := m.SetRollout(121*sec, stop); err != nil {
 		t.Fatal(err)
 	}
-	a := &asker{t: t, m: m, now: 122 * sec}
-	a.ask(rules.Event{PurgeGroup: 3, Object: "aa00"})
-	if got := a.ask(rules.Event{PurgeGroup: 3, Object: "bb00"}); got != "" || m.StageNow().Rings[0].State != "stopped" {
-		t.Errorf("after the document stopped it: %q, %+v", got, m.StageNow())
+	a := &testClient{t: t, admission: m, now: 122 * sec}
+	a.request(rules.Event{PurgeGroup: 3, Object: "aa00"})
+	if got := a.request(rules.Event{PurgeGroup: 3, Object: "bb00"}); got != "" || m.RolloutStatus().Rings[0].State != "stopped" {
+		t.Errorf("after the document stopped it: %q, %+v", got, m.RolloutStatus())
 	}
-	if err := m.Stage(123*sec, nil); err != nil || m.StageNow() != nil {
+	if err := m.SetRollout(123*sec, nil); err != nil || m.RolloutStatus() != nil {
 		t.Error("ended, and still there")
 	}
-	if got := a.ask(rules.Event{PurgeGroup: 50, Object: "bb00"}); got == "" {
+	if got := a.request(rules.Event{PurgeGroup: 50, Object: "bb00"}); got == "" {
 		t.Error("refused with no stage in force")
 	}
 }
 
 // A release whose answers come late is stopped by what this router sees, with the measure in the log.
-func TestBadReleaseIsStoppedHere(t *testing.T) {
-	m := module(t, two(), names(8)...)
-	if err := m.Stage(10*sec, prices()); err != nil {
+func TestHarmfulReleaseIsStopped(t *testing.T) {
+	m := newTestAdmission(t, twoCells(), cacheNames(8)...)
+	if err := m.SetRollout(10*sec, pricesRelease()); err != nil {
 		t.Fatal(err)
 	}
-	_, log := releaseDay(t, m, 0.5, 110)
-	if !strings.Contains(log, "stopped, by late answers") || m.StageNow().Rings[0].State != "stopped" || m.StageNow().Rings[0].By != "late answers" {
-		t.Errorf("log %q, %+v", log, m.StageNow())
+	_, log := runReleaseDay(t, m, 0.5, 110)
+	if !strings.Contains(log, "stopped, by late answers") || m.RolloutStatus().Rings[0].State != "stopped" || m.RolloutStatus().Rings[0].HarmMeasure != "late answers" {
+		t.Errorf("log %q, %+v", log, m.RolloutStatus())
 	}
 }
 
 // Prices that are renewed under their names: each cell asks for copies as its ring lets it, by the document's clock, and other objects are
 // left alone.
-func TestRenewedObjectsByAge(t *testing.T) {
-	m := module(t, two(), names(8)...)
-	m.Ahead = 200_000
-	s := prices()
+func TestRenewedObjectsRespectMaxAge(t *testing.T) {
+	m := newTestAdmission(t, twoCells(), cacheNames(8)...)
+	m.DocumentClockOffset = 200_000
+	s := pricesRelease()
 	s.Since, s.Renews, s.Keep = 50_000, true, 600_000
-	if err := m.Stage(10*sec, s); err != nil {
+	if err := m.SetRollout(10*sec, s); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
@@ -118,14 +118,14 @@
 				return a.MaxAge
 			}
 		}
-		t.Fatalf("at %d refused: %v", now, m.Stats.Refused)
+		t.Fatalf("at %d refused: %v", now, m.Stats.Rejected)
 		return 0
 	}
 	usual := ask(55*sec, 3, "aa01")
 	if got := ask(55*sec, 3, "bb01"); usual > 0 && got != 600*sec {
 		t.Errorf("ring shut: %d", got)
 	}
-	if got, most := ask(70*sec, 3, "bb02"), 20*sec+m.Ahead; got > most || got < most-10*msec {
+	if got, most := ask(70*sec, 3, "bb02"), 20*sec+m.DocumentClockOffset; got > most || got < most-10*msec {
 		t.Errorf("ring open: copies as old as %d us, %d since the release", got, most)
 	}
 	if got := ask(70*sec, 50, "bb03"); usual > 0 && got != 600*sec {
@@ -133,48 +133,48 @@
 	}
 	s2 := *s
 	s2.Version, s2.StopAt = 2, 71_000
-	if err := m.Stage(70*sec, &s2); err != nil {
+	if err := m.SetRollout(70*sec, &s2); err != nil {
 		t.Fatal(err)
 	}
 	for _, group := range []int64{3, 50} {
-		if got, most := ask(72*sec, group, "bb04"), 1*sec+m.Ahead; got > most || got < most-10*msec {
+		if got, most := ask(72*sec, group, "bb04"), 1*sec+m.DocumentClockOffset; got > most || got < most-10*msec {
 			t.Errorf("taken back: copies as old as %d us, %d since then", got, most)
 		}
 	}
 }
 
 // With no request at all a ring opens in its time, and the log hears of it once.
-func TestTurnWithoutRequests(t *testing.T) {
-	m := module(t, two(), names(8)...)
-	if err := m.Stage(10*sec, prices()); err != nil {
+func TestTickWithoutRequests(t *testing.T) {
+	m := newTestAdmission(t, twoCells(), cacheNames(8)...)
+	if err := m.SetRollout(10*sec, pricesRelease()); err != nil {
 		t.Fatal(err)
 	}
-	if says := m.Turn(59 * sec); len(says) != 0 {
+	if says := m.Tick(59 * sec); len(says) != 0 {
 		t.Errorf("before: %v", says)
 	}
-	if says := m.Turn(60 * sec); len(says) != 1 || !strings.Contains(says[0].LogText, "judging") {
+	if says := m.Tick(60 * sec); len(says) != 1 || !strings.Contains(says[0].LogText, "judging") {
 		t.Errorf("at its time: %v", says)
 	}
-	if says := m.Turn(61 * sec); len(says) != 0 {
+	if says := m.Tick(61 * sec); len(says) != 0 {
 		t.Errorf("after: %v", says)
 	}
 }
 
-func TestFitsStageNamesTheField(t *testing.T) {
-	a := compile(t, two())
+func TestCheckRolloutNamesTheField(t *testing.T) {
+	a := mustCompile(t, twoCells())
 	for want, spoil := range map[string]func(*stages.Stage){
 		"":                                 func(*stages.Stage) {},
 		"stage.name: ":                     func(s *stages.Stage) { s.Name = "" },
 		"stage.rings[0].cells:":            func(s *stages.Stage) { s.Rings[0].Cells = []string{"x"} },
 		"stage.rings[0].cells: every cell": func(s *stages.Stage) { s.Rings[0].Cells = []string{"one", "two"} },
 	} {
-		s := prices()
+		s := pricesRelease()
 		spoil(s)
-		if err := a.FitsStage(s); (err == nil) != (want == "") || err != nil && !strings.HasPrefix(err.Error(), want) {
+		if err := a.CheckRollout(s); (err == nil) != (want == "") || err != nil && !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
-	if err := a.FitsStage(nil); err != nil {
+	if err := a.CheckRollout(nil); err != nil {
 		t.Error(err)
 	}
 }
--- a/emulator/moving.go
+++ b/emulator/moving.go
@@ -40,7 +40,7 @@
 			if err := ch.Moves.Check(ch.AtS*1000, doc); err != nil {
 				return fmt.Errorf("changes[%d]: %w", i, err)
 			}
-			if err := last.Fits(ch.Moves); err != nil {
+			if err := last.CheckMigrations(ch.Moves); err != nil {
 				return fmt.Errorf("changes[%d]: %w", i, err)
 			}
 			doc = ch.Moves
@@ -70,10 +70,10 @@
 	}
 	r.changed = i + 1
 	if a := w.compiled[i]; a != nil {
-		r.module.Confine(w.now, a)
+		r.module.SetAssignment(w.now, a)
 	}
 	if doc := w.cfg.Changes[i].Moves; doc != nil {
-		r.module.Move(w.now, doc)
+		r.module.SetMigrations(w.now, doc)
 	}
 }
 
@@ -147,7 +147,7 @@
 			w.servers[c].cell, w.servers[c].dividedAt = -1, len(w.changes)
 		}
 		slices.Sort(names)
-		for i, in := range w.cfg.Cells.Divide(names) {
+		for i, in := range w.cfg.Cells.CachesByCell(names) {
 			for _, name := range in {
 				w.servers[place[name]].cell = int32(i)
 			}
@@ -349,7 +349,7 @@
 			if !r.up {
 				continue
 			}
-			for _, p := range r.module.Paths(w.now) {
+			for _, p := range r.module.Migrations(w.now) {
 				if p.Share < 1 {
 					w.res.DoneS = float64(w.now) / float64(sec)
 				}
--- a/emulator/moving_test.go
+++ b/emulator/moving_test.go
@@ -48,7 +48,7 @@
 		want = 0
 	}
 	for i := range w.routers {
-		paths := w.routers[i].module.Paths(w.now)
+		paths := w.routers[i].module.Migrations(w.now)
 		if len(paths) != 12 {
 			t.Errorf("%s: router %d has %d moves", name, i, len(paths))
 		}
@@ -101,7 +101,7 @@
 				cfg.DayS = max(cfg.DayS, 2*cfg.EndS)
 			}
 			r := ends(t, name, cfg, c.back)
-			if r.Gate.Moved == 0 {
+			if r.Gate.Migrated == 0 {
 				t.Errorf("%s, seed %d: nothing moved", name, seed)
 			}
 			if r.Lost > 0 != (slices.ContainsFunc(c.faults, func(f Fault) bool { return f.Kind == "router" })) {
--- a/emulator/prefill.go
+++ b/emulator/prefill.go
@@ -105,7 +105,7 @@
 	}
 	for d := range w.cfg.Depots {
 		var area []int32
-		for _, name := range w.routers[d*w.cfg.Routers].module.AboveOf(object) {
+		for _, name := range w.routers[d*w.cfg.Routers].module.ParentsOf(object) {
 			area = append(area, w.byName(name))
 		}
 		if id := w.first(area, state); !slices.Contains(ids, id) {
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -265,11 +265,11 @@
 	for i := range w.routers {
 		s := &w.routers[i].module.Stats
 		r.Gate.Admitted += s.Admitted
-		r.Gate.Spilled += s.Spilled
-		r.Gate.Moved += s.Moved
-		r.Gate.Kept += s.Kept
-		for j := range s.Refused {
-			r.Gate.Refused[j] += s.Refused[j]
+		r.Gate.FellBack += s.FellBack
+		r.Gate.Migrated += s.Migrated
+		r.Gate.Deferred += s.Deferred
+		for j := range s.Rejected {
+			r.Gate.Rejected[j] += s.Rejected[j]
 		}
 	}
 	w.judge()
--- a/emulator/routers.go
+++ b/emulator/routers.go
@@ -31,24 +31,24 @@
 // boot starts a router that knows nothing but the list.
 func (w *World) boot(id int32) error {
 	r := &w.routers[id]
-	module, err := cells.NewModule(w.cfg.settings(r.depot), int64(r.seeds.Uint64()>>1))
+	module, err := cells.NewAdmission(w.cfg.settings(r.depot), int64(r.seeds.Uint64()>>1))
 	if err != nil {
 		return err
 	}
 	if err := w.joins(id); err != nil {
 		return err
 	}
-	module.Ahead = r.ahead
+	module.DocumentClockOffset = r.ahead
 	if w.cfg.Shield != nil {
-		if err := module.Shield(w.now, w.cfg.Shield); err != nil { // it was checked with the world
+		if err := module.SetOriginLimit(w.now, w.cfg.Shield); err != nil { // it was checked with the world
 			panic(err)
 		}
 	}
 	if w.shape != nil {
-		module.Shape(w.now, w.shape)
+		module.SetTopology(w.now, w.shape)
 	}
 	if w.assigned != nil {
-		module.Confine(w.now, w.assigned)
+		module.SetAssignment(w.now, w.assigned)
 	}
 	r.module, r.up, r.heard, r.told, r.free, r.buckets, r.opened = module, true, 0, w.now, w.now, map[int32]*bucket{}, nil
 	r.heeds = nil
@@ -60,7 +60,7 @@
 	}
 	w.restart(r)
 	if rel := w.cfg.Release; rel != nil && rel.Stage != nil {
-		return r.module.Stage(w.now, rel.Stage)
+		return r.module.SetRollout(w.now, rel.Stage)
 	}
 	return nil
 }
--- a/emulator/spec.go
+++ b/emulator/spec.go
@@ -14,33 +14,33 @@
 // budgets that the world's links bear; and the cell of each tenant.
 func Spec(cfg *Config, n int) (*cells.Spec, []int) {
 	shares := make([]float64, n)
-	spec := &cells.Spec{Version: 1, Scheme: cells.Fixed}
+	spec := &cells.Spec{Version: 1, Scheme: cells.SchemeFixed}
 	for i := range n {
 		shares[i] = 1 / float64(n)
 		spec.Cells = append(spec.Cells, cells.Cell{Name: fmt.Sprintf("cell-%02d", i), Share: shares[i]})
 	}
 	var demand []plan.Demand
 	for i, share := range cfg.TenantShares() {
-		demand = append(demand, plan.Demand{Name: fmt.Sprintf("tenant-%05d", i), Loads: plan.Loads{share}, Worth: share, Now: -1})
+		demand = append(demand, plan.Demand{Name: fmt.Sprintf("tenant-%05d", i), Loads: plan.Loads{share}, PriorityWeight: share, CurrentCell: -1})
 	}
-	proposed, err := plan.Make(demand, plan.Aim{Shares: shares, MostMoves: -1, Seed: cfg.Seed})
+	proposed, err := plan.Propose(demand, plan.Objective{Shares: shares, MaxMigrations: -1, Seed: cfg.Seed})
 	if err != nil {
 		panic(err) // no bound on worth was asked for: there is always a plan
 	}
 	for i, d := range demand {
-		spec.Tenants = append(spec.Tenants, cells.Tenant{Name: d.Name, Cell: spec.Cells[proposed.Cell[i]].Name})
-		spec.Keys = append(spec.Keys, cells.Key{Prefix: TenantPrefix(i), Tenant: d.Name})
+		spec.Tenants = append(spec.Tenants, cells.Tenant{Name: d.Name, Cell: spec.Cells[proposed.CellByTenant[i]].Name})
+		spec.TenantKeys = append(spec.TenantKeys, cells.TenantKey{ObjectPrefix: TenantPrefix(i), Tenant: d.Name})
 	}
-	spec.Keys = append(spec.Keys, cells.Key{Tenant: demand[len(demand)-1].Name})
+	spec.TenantKeys = append(spec.TenantKeys, cells.TenantKey{Tenant: demand[len(demand)-1].Name})
 	spec.Budget = cells.Budget{
-		RequestsPerS: budgetRoom * 1e6 / max(cfg.RouterUs, 1) * float64(cfg.Routers),
-		FillKbPerS:   budgetRoom * cfg.linkKbS(),
-		ParentKbPerS: budgetRoom * cfg.parentChannels() * float64(cfg.Parents) * paceKbS,
-		OriginKbPerS: budgetRoom * cfg.originKbS(),
-		OriginOpen:   int(10 * cfg.originKnee()),
-		Open:         2000,
-		GiveMs:       1000,
-		WritesPerS:   4 * cfg.RateS / float64(cfg.Depots) * classOf[report].share,
+		RequestsPerSecond:    budgetRoom * 1e6 / max(cfg.RouterUs, 1) * float64(cfg.Routers),
+		FillKBPerSecond:      budgetRoom * cfg.linkKbS(),
+		ParentKBPerSecond:    budgetRoom * cfg.parentChannels() * float64(cfg.Parents) * paceKbS,
+		OriginKBPerSecond:    budgetRoom * cfg.originKbS(),
+		MaxOriginFills:       int(10 * cfg.originKnee()),
+		MaxOpenRequests:      2000,
+		ReclaimMillis:        1000,
+		UncacheablePerSecond: 4 * cfg.RateS / float64(cfg.Depots) * classOf[report].share,
 	}
-	return spec, proposed.Cell
+	return spec, proposed.CellByTenant
 }
--- a/emulator/staging.go
+++ b/emulator/staging.go
@@ -47,7 +47,7 @@
 
 // staged notes when a router stops a release; it is called when a router's log says something.
 func (w *World) staged(id int32) {
-	now := w.routers[id].module.StageNow()
+	now := w.routers[id].module.RolloutStatus()
 	if now == nil {
 		return
 	}
@@ -77,7 +77,7 @@
 // judge counts at the end at how many routers a release was stopped, and at how many it passed everywhere.
 func (w *World) judge() {
 	for i := range w.routers {
-		now := w.routers[i].module.StageNow()
+		now := w.routers[i].module.RolloutStatus()
 		if now == nil {
 			continue
 		}
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -65,7 +65,7 @@
 }
 
 type emRouter struct {
-	module  *cells.Module
+	module  *cells.Admission
 	depot   int
 	up      bool
 	seen    bool // clients are sent to it
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(a.Fits(doc), a.FitsStage(f.Release()))
+	return errors.Join(a.CheckMigrations(doc), a.CheckRollout(f.Release()))
 }
 
 // Follows holds a file against the one in force at a time, Unix milliseconds: no move under way may be lost or begun too late, and a stage
@@ -272,13 +272,13 @@
 	for _, c := range set.Classes {
 		classes = append(classes, c.Name)
 	}
-	for i, k := range spec.Keys {
+	for i, k := range spec.TenantKeys {
 		if k.Class != "" && !slices.Contains(classes, k.Class) {
 			return fmt.Errorf("cells.keys[%d].class: %q is no class; classes are %s", i, k.Class, strings.Join(classes, ", "))
 		}
 	}
 	for i, t := range spec.Tenants {
-		for depot := range t.Depots {
+		for depot := range t.CellBySite {
 			if len(set.Zones) > 0 && !slices.Contains(set.Zones, depot) {
 				return fmt.Errorf("cells.tenants[%d].depots[%s]: no such depot; depots are %s", i, depot, strings.Join(set.Zones, ", "))
 			}
--- a/internal/features/wire_compat_test.go
+++ b/internal/features/wire_compat_test.go
@@ -56,7 +56,7 @@
 	if err != nil || g == nil {
 		t.Fatalf("shape: %v, %v", g, err)
 	}
-	if spec := f.Spec(); spec == nil || spec.Spare != "spare" || spec.Budget.GiveMs != 18 || spec.Keys[0].Named != "acme" {
+	if spec := f.Spec(); spec == nil || spec.OverflowCell != "spare" || spec.Budget.ReclaimMillis != 18 || spec.TenantKeys[0].DeclaredTenant != "acme" {
 		t.Errorf("cells: %+v", spec)
 	}
 	if doc := f.Document(); doc == nil || doc.Version != 8 || doc.Moves[0].BackAt != 1764576040006 {
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -18,21 +18,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	r.rules.Lease(r.last, max(share, minLease))
+	r.rules.SetOriginFillLease(r.last, max(share, minLease))
 }
 
 // HeadOfficeFills returns how many fills that ask the head office are open here, and how many requests were refused since the start.
 func (r *Router) HeadOfficeFills() (open int, refused int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.Asking(), r.Counters.Refused.Load()
+	return r.rules.ConfirmedOriginFills(), r.Counters.Refused.Load()
 }
 
 // AreaCaches returns the listed area caches, and those of them whose breakers are open here.
 func (r *Router) AreaCaches() (all, avoided []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.Sources(clock.Micros(r.clock.Now()))
+	return r.rules.Parents(clock.Micros(r.clock.Now()))
 }
 
 // Eject replaces the set of servers that the fleet's verdicts eject. Ejected servers get nothing new, like draining ones; the others are
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -67,7 +67,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Micros(r.clock.Now())
-	return r.list.Count(r.rules.Cache, r.rules.Avoided(now))
+	return r.list.Count(r.rules.IsEdgeCache, r.rules.EjectedCaches(now))
 }
 
 // Exclude ejects a server by hand before it returns: no later attempt goes to it or is filled from it, whatever its listed status, until
@@ -122,7 +122,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	if err := r.rules.Retune(r.last, set); err != nil {
+	if err := r.rules.UpdateSettings(r.last, set); err != nil {
 		return err
 	}
 	r.applySettingsLocked(set)
@@ -142,7 +142,7 @@
 func (r *Router) Beliefs() rules.LearnedState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.Beliefs(clock.Micros(r.clock.Now()))
+	return r.rules.LearnedState(clock.Micros(r.clock.Now()))
 }
 
 // Believe adopts the beliefs of the process that this one replaces. It is called once the list of servers is known. On error, which names what
@@ -151,5 +151,5 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	return r.rules.Believe(r.last, b)
+	return r.rules.RestoreLearnedState(r.last, b)
 }
