--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -136,7 +136,7 @@
 	upstream Upstream
 
 	mu        sync.Mutex // held only while the module decides; never across I/O
-	rules     *cells.Module
+	rules     *cells.Admission
 	list      *roster.Roster
 	last      int64 // the module's clock must not run backwards
 	mailboxes map[string]chan rules.Action
@@ -156,7 +156,7 @@
 
 // New returns a router that decides by the settings and sends by way of upstream.
 func New(set rules.Settings, seed int64, c *clock.Clock, upstream Upstream, log zerolog.Logger) (*Router, error) {
-	module, err := cells.NewModule(set, seed)
+	module, err := cells.NewAdmission(set, seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -186,30 +186,30 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	r.rules.Shape(r.last, f.Shape)
-	r.rules.Confine(r.last, f.Cells)
-	r.rules.Move(r.last, f.Moves)
-	return errors.Join(r.rules.Stage(r.last, f.Release), r.rules.Shield(r.last, f.Shield))
+	r.rules.SetTopology(r.last, f.Shape)
+	r.rules.SetAssignment(r.last, f.Cells)
+	r.rules.SetMigrations(r.last, f.Moves)
+	return errors.Join(r.rules.SetRollout(r.last, f.Release), r.rules.SetOriginLimit(r.last, f.Shield))
 }
 
 // ShieldStatus returns the state of the shield of the head office; nil without one.
-func (r *Router) ShieldStatus() *cells.GuardNow {
+func (r *Router) ShieldStatus() *cells.OriginLimitStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.GuardNow()
+	return r.rules.OriginLimitStatus()
 }
 
 // Tick advances moves and a release while no request comes, and computes a due plan for fills outside the lock.
 func (r *Router) Tick() {
 	r.mu.Lock()
 	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	actions := r.rules.Turn(r.last)
-	plan := r.rules.Wanted()
+	actions := r.rules.Tick(r.last)
+	plan := r.rules.TakePlanJob()
 	r.mu.Unlock()
 	if plan != nil {
-		plan.Work()
+		plan.Run()
 		r.mu.Lock()
-		r.rules.Planned(plan)
+		r.rules.ApplyPlanJob(plan)
 		r.mu.Unlock()
 	}
 	for _, a := range actions {
@@ -222,32 +222,32 @@
 func (r *Router) PlanOnTick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rules.Elsewhere = true
+	r.rules.PlansInBackground = true
 }
 
 // Release returns the progress of the release; nil without one.
-func (r *Router) Release() *cells.StageNow {
+func (r *Router) Release() *cells.RolloutStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.StageNow()
+	return r.rules.RolloutStatus()
 }
 
 // Moves returns the progress of the moves of this depot, and the version of their document; 0 while there is none.
-func (r *Router) Moves() ([]cells.MoveNow, int64) {
+func (r *Router) Moves() ([]cells.MigrationStatus, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.Paths(clock.Micros(r.clock.Now())), r.rules.Moves()
+	return r.rules.Migrations(clock.Micros(r.clock.Now())), r.rules.MigrationsVersion()
 }
 
 // maxDemand bounds the tenants whose demand Cells returns.
 const maxDemand = 500
 
 // Cells returns the present state of the cells and the recent demand of tenants; nil while cells are off.
-func (r *Router) Cells() (*cells.Picture, []cells.Demand) {
+func (r *Router) Cells() (*cells.Status, []cells.TenantDemand) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Micros(r.clock.Now())
-	return r.rules.Picture(now), r.rules.Demand(now, maxDemand)
+	return r.rules.Status(now), r.rules.TopDemand(now, maxDemand)
 }
 
 // Apply passes a notice to the module before it returns.
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -36,12 +36,12 @@
 	r.Figures["wordPrice"] = wordPrice * float64(res.WordBytes) / 256 / max(float64(res.Requests), 1)
 	if len(cfg.Movers) > 0 {
 		for name, v := range map[string]float64{"movers": res.Movers.Share(), "stayers": res.Stayers.Share(), "coldMost": res.ColdMost,
-			"coldShare": res.ColdShare, "cellFill": res.CellFill, "cellBusy": res.CellBusy, "spread": res.Spread, "doneS": res.DoneS, "moved": float64(res.Gate.Moved), "kept": float64(res.Gate.Kept),
+			"coldShare": res.ColdShare, "cellFill": res.CellFill, "cellBusy": res.CellBusy, "spread": res.Spread, "doneS": res.DoneS, "moved": float64(res.Gate.Migrated), "kept": float64(res.Gate.Deferred),
 			"unanswered": float64(res.Overdue), "unended": float64(res.Unended), "endS": cfg.EndS, "moversRefused": float64(res.Movers.Refused) / max(float64(res.Movers.Asked), 1)} {
 			r.Figures[name] = v
 		}
 	}
-	for why, n := range res.Gate.Refused {
+	for why, n := range res.Gate.Rejected {
 		if n > 0 {
 			r.Figures["gate "+cells.Reason(why).String()] = float64(n)
 		}
--- a/lab/local/local_test.go
+++ b/lab/local/local_test.go
@@ -41,11 +41,11 @@
 
 // assignment puts four families into two cells; a version in the other order exchanges them.
 func assignment(version int64, first, second string) string {
-	spec := cells.Spec{Version: version, Scheme: cells.Fixed,
-		Cells:   []cells.Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
-		Tenants: []cells.Tenant{{Name: "loud", Cell: first}, {Name: "rest", Cell: second}},
-		Keys:    []cells.Key{{Families: []int{0, 0}, Tenant: "loud"}, {Tenant: "rest"}},
-		Budget:  cells.Budget{RequestsPerS: 3000, Open: 200},
+	spec := cells.Spec{Version: version, Scheme: cells.SchemeFixed,
+		Cells:      []cells.Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
+		Tenants:    []cells.Tenant{{Name: "loud", Cell: first}, {Name: "rest", Cell: second}},
+		TenantKeys: []cells.TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "loud"}, {Tenant: "rest"}},
+		Budget:     cells.Budget{RequestsPerSecond: 3000, MaxOpenRequests: 200},
 	}
 	text, err := json.Marshal(map[string]any{"cells": struct {
 		Enabled bool `json:"enabled"`
@@ -84,7 +84,7 @@
 		names = append(names, c.Name())
 	}
 	cell := map[string]string{}
-	for i, in := range f.Spec().Divide(names) {
+	for i, in := range f.Spec().CachesByCell(names) {
 		for _, name := range in {
 			cell[name] = f.Spec().Cells[i].Name
 		}
@@ -264,10 +264,10 @@
 // 20,000 requests, each with one right answer, and none at a cache that is in neither of its tenant's cells.
 func TestTenantMovesInService(t *testing.T) {
 	const requests = 20_000
-	spec := cells.Spec{Version: 1, Scheme: cells.Fixed,
-		Cells:   []cells.Cell{{Name: "one", Share: 0.34}, {Name: "two", Share: 0.33}, {Name: "three", Share: 0.33}},
-		Tenants: []cells.Tenant{{Name: "mover", Cell: "one"}, {Name: "rest", Cell: "three"}},
-		Keys:    []cells.Key{{Families: []int{0, 0}, Tenant: "mover"}, {Tenant: "rest"}},
+	spec := cells.Spec{Version: 1, Scheme: cells.SchemeFixed,
+		Cells:      []cells.Cell{{Name: "one", Share: 0.34}, {Name: "two", Share: 0.33}, {Name: "three", Share: 0.33}},
+		Tenants:    []cells.Tenant{{Name: "mover", Cell: "one"}, {Name: "rest", Cell: "three"}},
+		TenantKeys: []cells.TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "mover"}, {Tenant: "rest"}},
 	}
 	file := func(doc *moves.Document) string {
 		f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Stage: stages.Stage{Rings: []stages.Ring{}}}}
@@ -302,7 +302,7 @@
 		for _, c := range d.Caches {
 			names = append(names, c.Name())
 		}
-		for i, in := range spec.Divide(names) {
+		for i, in := range spec.CachesByCell(names) {
 			for _, name := range in {
 				lists[name] = append(lists[name], spec.Cells[i].Name)
 			}
@@ -360,10 +360,10 @@
 // Two routers and a release in one of two cells: refused before its ring opens, served after, and once its objects fail at the caches taken
 // back by each router for itself, while nothing else is touched.
 func TestReleaseInService(t *testing.T) {
-	spec := cells.Spec{Version: 1, Scheme: cells.Fixed,
-		Cells:   []cells.Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
-		Tenants: []cells.Tenant{{Name: "first", Cell: "one"}, {Name: "rest", Cell: "two"}},
-		Keys:    []cells.Key{{Families: []int{0, 0}, Tenant: "first"}, {Families: []int{2, 2}, Tenant: "first"}, {Tenant: "rest"}},
+	spec := cells.Spec{Version: 1, Scheme: cells.SchemeFixed,
+		Cells:      []cells.Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
+		Tenants:    []cells.Tenant{{Name: "first", Cell: "one"}, {Name: "rest", Cell: "two"}},
+		TenantKeys: []cells.TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "first"}, {PurgeGroupRange: []int{2, 2}, Tenant: "first"}, {Tenant: "rest"}},
 	}
 	var bad atomic.Bool
 	opens := float64(time.Now().UnixMilli()) + 12_000 // the routers are up long before
@@ -430,10 +430,10 @@
 // Two routers and prices renewed under their names, from the ring's time to the document's way back: every attempt for them at every server
 // carries the age that its cell's ring allows at that moment, and nothing is refused.
 func TestRenewalInService(t *testing.T) {
-	spec := cells.Spec{Version: 1, Scheme: cells.Fixed,
-		Cells:   []cells.Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
-		Tenants: []cells.Tenant{{Name: "first", Cell: "one"}, {Name: "rest", Cell: "two"}},
-		Keys:    []cells.Key{{Families: []int{0, 0}, Tenant: "first"}, {Families: []int{2, 2}, Tenant: "first"}, {Tenant: "rest"}},
+	spec := cells.Spec{Version: 1, Scheme: cells.SchemeFixed,
+		Cells:      []cells.Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
+		Tenants:    []cells.Tenant{{Name: "first", Cell: "one"}, {Name: "rest", Cell: "two"}},
+		TenantKeys: []cells.TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "first"}, {PurgeGroupRange: []int{2, 2}, Tenant: "first"}, {Tenant: "rest"}},
 	}
 	since := float64(time.Now().UnixMilli()) + 5000
 	const keep = 3_600_000
--- a/lab/play.go
+++ b/lab/play.go
@@ -45,8 +45,8 @@
 	if count == 0 {
 		return cfg, nil
 	}
-	spec.Scheme, spec.Width = cmp.Or(arm.Scheme, cells.Fixed), arm.Width
-	if spec.Scheme == cells.Overflow {
+	spec.Scheme, spec.Width = cmp.Or(arm.Scheme, cells.SchemeFixed), arm.Width
+	if spec.Scheme == cells.SchemeOverflow {
 		overflow(spec)
 	}
 	cfg.Cells = spec
@@ -68,7 +68,7 @@
 		spec.Cells[i].Share *= 7.0 / 8
 	}
 	spec.Cells = append(spec.Cells, cells.Cell{Name: "spare", Share: 1.0 / 8})
-	spec.Spare = "spare"
+	spec.OverflowCell = "spare"
 }
 
 // Play runs all arms on all days, some at once; tick is called after each.
