--- a/cmd/spanctl/document.go
+++ b/cmd/spanctl/document.go
@@ -47,7 +47,7 @@
 	doc := &moves.Document{}
 	if f.Document() != nil {
 		*doc = *f.Document()
-		doc.Moves = slices.Clone(doc.Moves)
+		doc.Migrations = slices.Clone(doc.Migrations)
 	}
 	return f, doc, nil
 }
@@ -55,8 +55,8 @@
 // put checks a changed document against the one in force and writes it.
 func (c *onDoc) put(out io.Writer, f *features.File, doc *moves.Document) error {
 	doc.Version++
-	if doc.Moves == nil {
-		doc.Moves = []moves.Move{} // a list in the file, also an empty one
+	if doc.Migrations == nil {
+		doc.Migrations = []moves.Migration{} // a list in the file, also an empty one
 	}
 	next := *f
 	next.Moves = features.Moves{Enabled: true, Document: *doc}
--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	now := c.now()
-	aim := order.Aim{Depot: c.Depot, Start: now + ms(c.In), Warm: ms(c.Warm), Shift: ms(c.Shift), Slow: c.Slow, Settle: ms(c.Settle), Cells: map[string]order.CellRoom{}, Deep: c.Deep}
+	aim := order.Constraints{Site: c.Depot, Start: now + ms(c.In), WarmUp: ms(c.Warm), MinShift: ms(c.Shift), MaxShiftFactor: c.Slow, Settle: ms(c.Settle), Cells: map[string]order.CellCapacity{}, OriginFillFraction: c.Deep}
 	lives, fills := map[string]float64{}, map[string]float64{}
 	home := map[string]string{}
 	for _, t := range spec.Tenants {
@@ -55,29 +55,29 @@
 		sum += d.Loads[2]
 	}
 	for _, cell := range spec.Cells {
-		room := order.CellRoom{Bears: cell.Share * c.BearsKbS, Lives: lives[cell.Name]}
+		room := order.CellCapacity{SendKbPerS: cell.Share * c.BearsKbS, UsedKbPerS: lives[cell.Name]}
 		if link := spec.Budget.FillKBPerSecond; link > 0 {
-			room.Fill = max(cell.Share*link-fills[cell.Name], 1)
+			room.FillKbPerS = max(cell.Share*link-fills[cell.Name], 1)
 		}
 		aim.Cells[cell.Name] = room
 	}
 	if link := spec.Budget.FillKBPerSecond; link > 0 {
-		aim.Fill = max(link-sum, 1)
+		aim.SiteFillKbPerS = max(link-sum, 1)
 	}
 	for _, name := range append(slices.Clone(c.Into), c.Cell) {
 		if _, known := aim.Cells[name]; !known {
 			return fmt.Errorf("%q is no cell", name)
 		}
 	}
-	var wishes []order.Wish
-	of := map[string]order.Wish{}
+	var wishes []order.Request
+	of := map[string]order.Request{}
 	come := map[string]float64{}
 	for _, d := range list {
 		if home[d.Name] != c.Cell {
 			continue
 		}
 		to := slices.MaxFunc(c.Into, func(a, b string) int {
-			left := func(cell string) float64 { return aim.Cells[cell].Bears - lives[cell] - come[cell] }
+			left := func(cell string) float64 { return aim.Cells[cell].SendKbPerS - lives[cell] - come[cell] }
 			switch {
 			case left(a) < left(b):
 				return -1
@@ -94,29 +94,29 @@
 	if err != nil {
 		return err
 	}
-	for _, name := range sortedKeys(s.LeftOut) {
-		fmt.Fprintf(out, "%s stays: %s\n", name, s.LeftOut[name])
+	for _, name := range sortedKeys(s.Unscheduled) {
+		fmt.Fprintf(out, "%s stays: %s\n", name, s.Unscheduled[name])
 	}
 	for _, t := range spec.Tenants { // who asked for nothing of late moves at the end: there is nothing to fill for it
-		if _, known := of[t.Name]; !known && home[t.Name] == c.Cell && s.LeftOut[t.Name] == "" {
-			s.Moves = append(s.Moves, moves.Move{Tenant: t.Name, Depot: c.Depot, From: c.Cell, To: c.Into[0], Start: max(s.End, aim.Start), Shift: aim.Shift, Slow: aim.Slow * aim.Shift, Settle: aim.Settle})
+		if _, known := of[t.Name]; !known && home[t.Name] == c.Cell && s.Unscheduled[t.Name] == "" {
+			s.Migrations = append(s.Migrations, moves.Migration{Tenant: t.Name, Site: c.Depot, From: c.Cell, To: c.Into[0], Start: max(s.End, aim.Start), MinShift: aim.MinShift, MaxShift: aim.MaxShiftFactor * aim.MinShift, Settle: aim.Settle})
 		}
 	}
-	if len(s.Moves) == 0 {
+	if len(s.Migrations) == 0 {
 		return fmt.Errorf("nobody moves out of %s", c.Cell)
 	}
-	for _, m := range s.Moves {
-		doc.Moves = append(sweep(doc.Moves, now, m.Tenant), m)
+	for _, m := range s.Migrations {
+		doc.Migrations = append(sweep(doc.Migrations, now, m.Tenant), m)
 		tell(out, &m, now)
 	}
-	fmt.Fprintf(out, "%d tenants move within %s; no plan within the limits takes less than %s\n", len(s.Moves), span(s.End-aim.Start), span(s.Bound-aim.Start))
-	for _, name := range sortedKeys(s.Peak) {
-		fmt.Fprintf(out, "%s: %.0f%% of its limit at most\n", name, 100*s.Peak[name])
+	fmt.Fprintf(out, "%d tenants move within %s; no plan within the limits takes less than %s\n", len(s.Migrations), span(s.End-aim.Start), span(s.LowerBound-aim.Start))
+	for _, name := range sortedKeys(s.PeakUse) {
+		fmt.Fprintf(out, "%s: %.0f%% of its limit at most\n", name, 100*s.PeakUse[name])
 	}
-	for _, circle := range order.Circles(&moves.Document{Moves: s.Moves}) {
+	for _, circle := range order.Cycles(&moves.Document{Migrations: s.Migrations}) {
 		fmt.Fprintf(out, "go at one pace, since each needs the room of the next: %s\n", strings.Join(circle, ", "))
 	}
-	loads(out, spec, s.Moves, of)
+	loads(out, spec, s.Migrations, of)
 	return c.put(out, f, doc)
 }
 
--- a/cmd/spanctl/main.go
+++ b/cmd/spanctl/main.go
@@ -59,7 +59,7 @@
 		fmt.Fprintln(out, "cells: off")
 	}
 	if doc := f.Document(); doc != nil {
-		fmt.Fprintf(out, "moves: on, version %d, %d moves\n", doc.Version, len(doc.Moves))
+		fmt.Fprintf(out, "moves: on, version %d, %d moves\n", doc.Version, len(doc.Migrations))
 	}
 	if s := f.Release(); s != nil {
 		fmt.Fprintf(out, "stage: on, %s version %d, %d rings\n", s.Name, s.Version, len(s.Rings))
@@ -68,7 +68,7 @@
 		fmt.Fprintf(out, "shape: on, version %d, %d depots, %d areas, %d ways\n", s.Version, len(s.Depots), len(s.Areas), len(s.Ways))
 	}
 	if d := f.Guard(); d != nil {
-		fmt.Fprintf(out, "shield: on, %s, %v at once, %v of them kept for uncacheable requests\n", d.Law, d.Most, d.Reserve)
+		fmt.Fprintf(out, "shield: on, %s, %v at once, %v of them kept for uncacheable requests\n", d.Algorithm, d.MaxInFlight, d.Reserve)
 	}
 	return nil
 }
@@ -169,13 +169,13 @@
 	fmt.Fprintln(out)
 	if doc := f.Document(); doc != nil {
 		on := onDoc{Now: c.Now}
-		for i := range doc.Moves {
-			m := &doc.Moves[i]
-			if m.Tenant != a.Tenant || m.Depot != c.Depot && m.Depot != moves.AllDepots {
+		for i := range doc.Migrations {
+			m := &doc.Migrations[i]
+			if m.Tenant != a.Tenant || m.Site != c.Depot && m.Site != moves.AllSites {
 				continue
 			}
 			tell(out, m, on.now())
-			if place := m.Place(c.Object); c.Object != "" {
+			if place := m.Position(c.Object); c.Object != "" {
 				fmt.Fprintf(out, "object %s is at %.1f%% of the order: it goes to %s once the share is past that, to %s before\n", c.Object, 100*place, m.To, m.From)
 			}
 		}
--- a/cmd/spanctl/movechange.go
+++ b/cmd/spanctl/movechange.go
@@ -17,7 +17,7 @@
 }
 
 // each changes the moves meant, by what set does; it says false for those that can't be changed so.
-func (c *change) each(out io.Writer, how string, set func(m *moves.Move, now float64) bool) error {
+func (c *change) each(out io.Writer, how string, set func(m *moves.Migration, now float64) bool) error {
 	f, doc, err := c.document()
 	if err != nil {
 		return err
@@ -26,12 +26,12 @@
 		return errors.New("tenants, or --all")
 	}
 	now, found := c.now(), map[string]bool{}
-	for i := range doc.Moves {
-		m := &doc.Moves[i]
+	for i := range doc.Migrations {
+		m := &doc.Migrations[i]
 		if !c.All && !slices.Contains(c.Tenants, m.Tenant) {
 			continue
 		}
-		if p := m.Phase(now); p == moves.Done || p == moves.Back || !set(m, now) {
+		if p := m.Phase(now); p == moves.Done || p == moves.RolledBack || !set(m, now) {
 			if !c.All {
 				return fmt.Errorf("%s is %s: it can't be %s", m.Tenant, p, how)
 			}
@@ -54,11 +54,11 @@
 type holdCmd struct{ change }
 
 func (c *holdCmd) Run(out io.Writer) error {
-	return c.each(out, "held", func(m *moves.Move, now float64) bool {
-		if m.HeldAt > 0 || m.GoesBack(now) {
+	return c.each(out, "held", func(m *moves.Migration, now float64) bool {
+		if m.PausedAt > 0 || m.RollbackStarted(now) {
 			return false
 		}
-		m.HeldAt = now
+		m.PausedAt = now
 		return true
 	})
 }
@@ -66,8 +66,8 @@
 type resumeCmd struct{ change }
 
 func (c *resumeCmd) Run(out io.Writer) error {
-	return c.each(out, "resumed", func(m *moves.Move, now float64) bool {
-		if m.HeldAt == 0 {
+	return c.each(out, "resumed", func(m *moves.Migration, now float64) bool {
+		if m.PausedAt == 0 {
 			return false
 		}
 		*m = m.Resumed(now)
@@ -78,11 +78,11 @@
 type backCmd struct{ change }
 
 func (c *backCmd) Run(out io.Writer) error {
-	return c.each(out, "taken back", func(m *moves.Move, now float64) bool {
-		if m.BackAt > 0 {
+	return c.each(out, "taken back", func(m *moves.Migration, now float64) bool {
+		if m.RollbackAt > 0 {
 			return false
 		}
-		m.BackAt = max(now, m.Start)
+		m.RollbackAt = max(now, m.Start)
 		return true
 	})
 }
--- a/cmd/spanctl/movelist.go
+++ b/cmd/spanctl/movelist.go
@@ -23,14 +23,14 @@
 }
 
 // tell says what a move does from now on.
-func tell(out io.Writer, m *moves.Move, now float64) {
-	fmt.Fprintf(out, "%s in %s: %s to %s, %s", m.Tenant, m.Depot, m.From, m.To, m.Phase(now))
+func tell(out io.Writer, m *moves.Migration, now float64) {
+	fmt.Fprintf(out, "%s in %s: %s to %s, %s", m.Tenant, m.Site, m.From, m.To, m.Phase(now))
 	switch p := m.Phase(now); p {
-	case moves.Planned, moves.Warming, moves.Shifting, moves.Settling, moves.Held:
-		fmt.Fprintf(out, ", %.0f to %.0f%% over; begins %s, over %s at the soonest, needs no more looking at %s", 100*m.Floor(now), 100*m.Share(now),
-			clockTime(m.Start), clockTime(m.Start+m.Warm+m.Shift), clockTime(m.Until()))
-	case moves.GoingBack:
-		fmt.Fprintf(out, ", at most %.0f%% over, none from %s on", 100*m.Share(now), clockTime(m.Until()))
+	case moves.Planned, moves.Warming, moves.Shifting, moves.Settling, moves.Paused:
+		fmt.Fprintf(out, ", %.0f to %.0f%% over; begins %s, over %s at the soonest, needs no more looking at %s", 100*m.MinShare(now), 100*m.MaxShare(now),
+			clockTime(m.Start), clockTime(m.Start+m.WarmUp+m.MinShift), clockTime(m.EndsAt()))
+	case moves.RollingBack:
+		fmt.Fprintf(out, ", at most %.0f%% over, none from %s on", 100*m.MaxShare(now), clockTime(m.EndsAt()))
 	}
 	fmt.Fprintln(out)
 }
@@ -74,10 +74,10 @@
 			seen[m.Tenant] = reach{min(r.least, m.Share), max(r.most, m.Share), r.routers + 1}
 		}
 	}
-	fmt.Fprintf(out, "version %d, %d moves\n", doc.Version, len(doc.Moves))
-	for i := range doc.Moves {
-		tell(out, &doc.Moves[i], c.now())
-		if r, known := seen[doc.Moves[i].Tenant]; known {
+	fmt.Fprintf(out, "version %d, %d moves\n", doc.Version, len(doc.Migrations))
+	for i := range doc.Migrations {
+		tell(out, &doc.Migrations[i], c.now())
+		if r, known := seen[doc.Migrations[i].Tenant]; known {
 			fmt.Fprintf(out, "  at %d routers: %.0f to %.0f%% over\n", r.routers, 100*r.least, 100*r.most)
 		}
 	}
@@ -97,32 +97,32 @@
 	for i := range f.Spec().Tenants {
 		home[f.Spec().Tenants[i].Name] = &f.Spec().Tenants[i]
 	}
-	var left []moves.Move
+	var left []moves.Migration
 	waits := 0
-	for _, m := range doc.Moves {
+	for _, m := range doc.Migrations {
 		want := m.From
 		if m.Phase(now) == moves.Done {
 			want = m.To
-		} else if m.Phase(now) != moves.Back {
+		} else if m.Phase(now) != moves.RolledBack {
 			left = append(left, m)
 			continue
 		}
-		is := cellIn(home[m.Tenant], m.Depot)
+		is := cellIn(home[m.Tenant], m.Site)
 		if is != want {
-			fmt.Fprintf(out, "%s in %s: set its cell to %s (now %s) in %s first\n", m.Tenant, m.Depot, want, is, c.File)
+			fmt.Fprintf(out, "%s in %s: set its cell to %s (now %s) in %s first\n", m.Tenant, m.Site, want, is, c.File)
 			left = append(left, m)
 			waits++
 			continue
 		}
-		fmt.Fprintf(out, "%s in %s: over, left out\n", m.Tenant, m.Depot)
+		fmt.Fprintf(out, "%s in %s: over, left out\n", m.Tenant, m.Site)
 	}
-	if len(left) == len(doc.Moves) {
+	if len(left) == len(doc.Migrations) {
 		if waits > 0 {
 			return fmt.Errorf("%d moves are over, and the assignment does not say so yet", waits)
 		}
 		fmt.Fprintln(out, "no move is over")
 		return nil
 	}
-	doc.Moves = left
+	doc.Migrations = left
 	return c.put(out, f, doc)
 }
--- a/cmd/spanctl/moves.go
+++ b/cmd/spanctl/moves.go
@@ -12,13 +12,13 @@
 )
 
 // loads says what each cell gains and loses, at a time at which the moves are over, where the demand is known.
-func loads(out io.Writer, spec *cells.Spec, ms []moves.Move, demand map[string]order.Wish) {
+func loads(out io.Writer, spec *cells.Spec, ms []moves.Migration, demand map[string]order.Request) {
 	gain, fill := map[string]float64{}, map[string]float64{}
 	for _, m := range ms {
 		w := demand[m.Tenant]
 		gain[m.To] += w.KbPerS
 		gain[m.From] -= w.KbPerS
-		fill[m.To] += 1000 * w.FillKb / (m.Warm + m.Shift)
+		fill[m.To] += 1000 * w.FillKb / (m.WarmUp + m.MinShift)
 	}
 	for _, c := range spec.Cells {
 		if gain[c.Name] != 0 || fill[c.Name] != 0 {
@@ -37,8 +37,8 @@
 }
 
 func (t *terms) check() error {
-	if t.In < 0 || t.Warm < 0 || t.Settle < 0 || t.Shift < moves.LeastShift*time.Millisecond || !(t.Slow >= 1 && t.Slow <= 1000) {
-		return fmt.Errorf("--in, --warm, --settle 0 or more, --shift %s or more, --slow 1 to 1000", time.Duration(moves.LeastShift)*time.Millisecond)
+	if t.In < 0 || t.Warm < 0 || t.Settle < 0 || t.Shift < moves.ShortestShiftMs*time.Millisecond || !(t.Slow >= 1 && t.Slow <= 1000) {
+		return fmt.Errorf("--in, --warm, --settle 0 or more, --shift %s or more, --slow 1 to 1000", time.Duration(moves.ShortestShiftMs)*time.Millisecond)
 	}
 	return nil
 }
@@ -68,15 +68,15 @@
 	}
 	from := cellIn(&spec.Tenants[at], c.Depot)
 	now := c.now()
-	m := moves.Move{Tenant: c.Tenant, Depot: c.Depot, From: from, To: c.To, Start: now + ms(c.In), Warm: ms(c.Warm), Shift: ms(c.Shift), Slow: c.Slow * ms(c.Shift),
-		Settle: ms(c.Settle), Hot: c.Hot}
-	doc.Moves = append(sweep(doc.Moves, now, c.Tenant), m)
+	m := moves.Migration{Tenant: c.Tenant, Site: c.Depot, From: from, To: c.To, Start: now + ms(c.In), WarmUp: ms(c.Warm), MinShift: ms(c.Shift), MaxShift: c.Slow * ms(c.Shift),
+		Settle: ms(c.Settle), HotObjects: c.Hot}
+	doc.Migrations = append(sweep(doc.Migrations, now, c.Tenant), m)
 	wishes, err := wanted(c.Demand, map[string][2]string{c.Tenant: {from, c.To}})
 	if err != nil {
 		return err
 	}
 	tell(out, &m, now)
-	loads(out, spec, []moves.Move{m}, wishes)
+	loads(out, spec, []moves.Migration{m}, wishes)
 	return c.put(out, f, doc)
 }
 
@@ -89,22 +89,22 @@
 }
 
 // wish is a tenant's move as the planner wants it, from what it asks for in KB a second.
-func wish(tenant, from, to string, kbPerS float64) order.Wish {
-	return order.Wish{Tenant: tenant, From: from, To: to, KbPerS: kbPerS, FillKb: kbPerS * order.AskedIn}
+func wish(tenant, from, to string, kbPerS float64) order.Request {
+	return order.Request{Tenant: tenant, From: from, To: to, KbPerS: kbPerS, FillKb: kbPerS * order.WorkingSetSeconds}
 }
 
 func ms(d time.Duration) float64 { return float64(d.Milliseconds()) }
 
 // sweep leaves out what a tenant's ended moves have left behind, so that it may move once more.
-func sweep(all []moves.Move, now float64, tenant string) []moves.Move {
-	return slices.DeleteFunc(all, func(m moves.Move) bool {
-		return m.Tenant == tenant && (m.Phase(now) == moves.Done || m.Phase(now) == moves.Back)
+func sweep(all []moves.Migration, now float64, tenant string) []moves.Migration {
+	return slices.DeleteFunc(all, func(m moves.Migration) bool {
+		return m.Tenant == tenant && (m.Phase(now) == moves.Done || m.Phase(now) == moves.RolledBack)
 	})
 }
 
 // wanted is the demand of tenants as the planner wants it, from logs.
-func wanted(files []string, ways map[string][2]string) (map[string]order.Wish, error) {
-	wishes := map[string]order.Wish{}
+func wanted(files []string, ways map[string][2]string) (map[string]order.Request, error) {
+	wishes := map[string]order.Request{}
 	if len(files) == 0 {
 		return wishes, nil
 	}
--- a/cmd/spanctl/router_test.go
+++ b/cmd/spanctl/router_test.go
@@ -22,7 +22,7 @@
 		on.Store(true)
 		by := func(id string) error {
 			if id != knows {
-				return roster.ErrUnknown
+				return roster.ErrUnknownServer
 			}
 			calls.Add(1)
 			return nil
--- a/cmd/spanctl/stage.go
+++ b/cmd/spanctl/stage.go
@@ -18,7 +18,7 @@
 const stageFile = "stage.json"
 
 // putStage checks a changed release and writes it.
-func (c *onDoc) putStage(out io.Writer, f *features.File, s stages.Stage) error {
+func (c *onDoc) putStage(out io.Writer, f *features.File, s stages.Rollout) error {
 	a, err := cells.Compile(f.Spec())
 	if err != nil {
 		return err
@@ -27,7 +27,7 @@
 		return err
 	}
 	next := *f
-	next.Stage = features.Stage{Enabled: true, Stage: s}
+	next.Stage = features.Stage{Enabled: true, Rollout: s}
 	if err := next.Follows(c.now(), f); err != nil {
 		return err
 	}
@@ -62,14 +62,14 @@
 		return err
 	}
 	now := c.now()
-	s := stages.Stage{Version: 1, Name: c.Name, Prefix: c.Prefix, Since: now}
+	s := stages.Rollout{Version: 1, Name: c.Name, Prefix: c.Prefix, Since: now}
 	if len(c.Families) > 0 {
-		s.Families = c.Families
+		s.FamilyRange = c.Families
 	}
 	if c.Go {
-		s.Unsure = "go"
+		s.OnUndecided = "go"
 	}
-	if s.Renews, s.Keep, s.Back = c.Renews, ms(c.Keep), c.Back; s.Renews {
+	if s.ReplacesObjects, s.OldCopyMaxAge, s.OnRollback = c.Renews, ms(c.Keep), c.Back; s.ReplacesObjects {
 		s.Since = now + ms(c.In) // its copies made before are old ones
 		fmt.Fprintf(out, "the head office must have the new version by %s, and not much sooner: a cell that has no copy gets what is there\n", clockTime(s.Since))
 	}
@@ -80,13 +80,13 @@
 		s.Version = old.Version + 1
 	}
 	for i, r := range c.Ring {
-		s.Rings = append(s.Rings, stages.Ring{Cells: strings.Split(r, ","), Open: now + ms(c.In) + float64(i)*ms(c.For), For: ms(c.For)})
-		fmt.Fprintf(out, "ring %d: %s, at the soonest %s\n", i, r, clockTime(s.Rings[i].Open))
+		s.Rings = append(s.Rings, stages.Ring{Cells: strings.Split(r, ","), OpensAt: now + ms(c.In) + float64(i)*ms(c.For), JudgeWithin: ms(c.For)})
+		fmt.Fprintf(out, "ring %d: %s, at the soonest %s\n", i, r, clockTime(s.Rings[i].OpensAt))
 	}
 	if c.Rate > 0 && c.Bad > 0 && len(s.Rings) > 0 {
-		t, n, all := s.Terms(), float64(len(s.Rings[0].Cells)), float64(len(f.Spec().Cells))
+		t, n, all := s.TestParameters(), float64(len(s.Rings[0].Cells)), float64(len(f.Spec().Cells))
 		for _, harm := range []float64{1.5, 2, 3, 5} {
-			events := t.Finds(harm, n/all, 1)
+			events := t.ExpectedEvents(harm, n/all, 1)
 			perS := c.Rate * c.Bad * (n*harm + all - n)
 			if secs := events / perS; !math.IsInf(secs, 0) {
 				fmt.Fprintf(out, "harm of %.1f times the odds: found by one router after some %s on average, bursts not counted\n", harm, span(1000*secs))
@@ -110,14 +110,14 @@
 	if old == nil {
 		return errors.New("there is no release")
 	}
-	if old.StopAt > 0 {
+	if old.RollbackAt > 0 {
 		return fmt.Errorf("release %s was stopped already", old.Name)
 	}
 	s := *old
 	s.Version++
-	s.StopAt = c.now()
-	if s.StopAt += ms(c.In); s.Renews {
-		fmt.Fprintf(out, "release %s: taken back in all cells; from %s on all copies made before are renewed: by then the head office must have the old version\n", s.Name, clockTime(s.StopAt))
+	s.RollbackAt = c.now()
+	if s.RollbackAt += ms(c.In); s.ReplacesObjects {
+		fmt.Fprintf(out, "release %s: taken back in all cells; from %s on all copies made before are renewed: by then the head office must have the old version\n", s.Name, clockTime(s.RollbackAt))
 	} else {
 		fmt.Fprintf(out, "release %s: taken back in all cells; refused there as soon as a router has this\n", s.Name)
 	}
@@ -142,7 +142,7 @@
 	states := make([]map[string]int, len(s.Rings))
 	sums := make([][]float64, len(s.Rings))
 	for i := range s.Rings {
-		states[i], sums[i] = map[string]int{}, make([]float64, len(stages.Measures()))
+		states[i], sums[i] = map[string]int{}, make([]float64, len(stages.MetricNames()))
 	}
 	for _, file := range c.Logs {
 		text, err := os.ReadFile(file)
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	bound := math.Log(float64(len(stages.Measures())) / s.Terms().Alpha)
+	bound := math.Log(float64(len(stages.MetricNames())) / s.TestParameters().Alpha)
 	harm := ""
 	for i, r := range s.Rings {
 		fmt.Fprintf(out, "ring %d, %s:", i, strings.Join(r.Cells, ","))
@@ -175,9 +175,9 @@
 			fmt.Fprintf(out, " %s at %d routers", state, states[i][state])
 		}
 		for m, e := range sums[i] {
-			fmt.Fprintf(out, "; %s %.1f of %.1f", stages.Measures()[m], e, bound)
+			fmt.Fprintf(out, "; %s %.1f of %.1f", stages.MetricNames()[m], e, bound)
 			if e >= bound {
-				harm = fmt.Sprintf("ring %d does harm, by %s", i, stages.Measures()[m])
+				harm = fmt.Sprintf("ring %d does harm, by %s", i, stages.MetricNames()[m])
 			}
 		}
 		fmt.Fprintln(out)
--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -226,10 +226,10 @@
 	log.Info().Str("listen", c.Listen).Uint64("known", c.LastKnown).Msg("serving")
 
 	watcher := &discovery.Watcher{Names: c.Names, LastApplied: c.LastKnown, Apply: apply, Clock: now, Log: log,
-		Tries: coldstart.Tries{Rank: c.Tier.Rank, Siblings: c.Settings.FleetSize}}
+		Tries: coldstart.Schedule{Rank: c.Tier.Rank, FleetSize: c.Settings.FleetSize}}
 	watcher.SetAddress(c.DiscoveryAddr)
 	group, serving := errgroup.WithContext(serving)
-	var talk *peers.Talk
+	var talk *peers.Transport
 	limits := on.Limits()
 	if (f.Peers || limits != nil || on.Judges()) && c.Tier.May {
 		if talk, err = tier(c, limits, on.LeaseTree(), on.Judges(), core, now, log); err != nil {
@@ -239,7 +239,7 @@
 	if talk != nil {
 		group.Go(func() error { return talk.Run(serving) })
 	} else if limits != nil { // nobody to keep it with: an even share of all that are listed
-		core.Lease(limits[0].Most / float64(max(c.Settings.FleetSize, 1)))
+		core.Lease(limits[0].Max / float64(max(c.Settings.FleetSize, 1)))
 	}
 	group.Go(func() error { return watcher.Run(serving) })
 	var files reloads
@@ -262,7 +262,7 @@
 		if later, err = background.New(now, uint64(c.Seed), log); err != nil {
 			return err
 		}
-		later.Every(serving, "turn", turnEvery, sched.Prompt, core.Tick)
+		later.Every(serving, "turn", turnEvery, sched.High, core.Tick)
 		group.Go(func() error { return later.Run(serving) })
 	}
 	group.Go(func() error { return report(serving, core, server, talk, later, log) })
@@ -345,7 +345,7 @@
 }
 
 // report prints the counters on SIGUSR1.
-func report(ctx context.Context, core *router.Router, server *msgpackrpc.Server, talk *peers.Talk, later *background.Runner, log zerolog.Logger) error {
+func report(ctx context.Context, core *router.Router, server *msgpackrpc.Server, talk *peers.Transport, later *background.Runner, log zerolog.Logger) error {
 	asked := make(chan os.Signal, 1)
 	signal.Notify(asked, syscall.SIGUSR1)
 	defer signal.Stop(asked)
@@ -356,14 +356,14 @@
 		case <-asked:
 			if later == nil {
 				counters(core, server, talk, log)
-			} else if err := later.Submit("report", sched.Steady, 1, func() { counters(core, server, talk, log) }); err != nil && !errors.Is(err, sched.ErrKnown) {
+			} else if err := later.Submit("report", sched.Normal, 1, func() { counters(core, server, talk, log) }); err != nil && !errors.Is(err, sched.ErrDuplicateJob) {
 				log.Warn().Err(err).Msg("report put off")
 			}
 		}
 	}
 }
 
-func counters(core *router.Router, server *msgpackrpc.Server, talk *peers.Talk, log zerolog.Logger) {
+func counters(core *router.Router, server *msgpackrpc.Server, talk *peers.Transport, log zerolog.Logger) {
 	n := &core.Counters
 	evicted, rejected, clientFaults := server.Counts()
 	log.Info().Int64("taken", n.Taken.Load()).Int64("sent", n.Sent.Load()).Int64("served", n.Served.Load()).
@@ -372,8 +372,8 @@
 		Int64("turned_away", rejected).Msg("counters")
 	if talk != nil {
 		n := talk.Counts()
-		log.Info().Int64("told", n.Told).Int64("heard", n.Heard).Int64("dropped", n.Dropped).Int64("found", n.Found).Msg("peers")
-		if all, living := talk.Holdings(); all != nil {
+		log.Info().Int64("told", n.Sent).Int64("heard", n.Received).Int64("dropped", n.Dropped).Int64("found", n.OverloadsFound).Msg("peers")
+		if all, living := talk.LimitStatuses(); all != nil {
 			log.Info().Int("living", living).Interface("limits", all).Msg("fleet")
 		}
 	}
--- a/cmd/spantack/tier.go
+++ b/cmd/spantack/tier.go
@@ -22,39 +22,39 @@
 )
 
 // tier ties what routers tell one another to the decision module. nil: the tier is too small for that.
-func tier(c *config.Config, limits []fleet.Limit, tree *lease.Topology, judges bool, core *router.Router, now *clock.Clock, log zerolog.Logger) (*peers.Talk, error) {
+func tier(c *config.Config, limits []fleet.Limit, tree *lease.Topology, judges bool, core *router.Router, now *clock.Clock, log zerolog.Logger) (*peers.Transport, error) {
 	depot, depots := slices.Index(c.Settings.Zones, c.Settings.Zone), len(c.Settings.Zones)
-	t, err := tierwide.New(tierwide.Options{Rank: c.Tier.Rank, Siblings: len(c.Tier.Peers), Depot: depot, Depots: depots,
+	t, err := tierwide.New(tierwide.Options{Rank: c.Tier.Rank, FleetSize: len(c.Tier.Peers), Site: depot, Sites: depots,
 		Incarnation: uint32(now.Now() / 1000)})
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if !t.Speaks() && limits == nil && !judges {
+	if !t.IsEnabled() && limits == nil && !judges {
 		return nil, nil
 	}
-	talk := &peers.Talk{Tier: t, Listen: c.Tier.Listen, Peers: c.Tier.Peers, All: c.Tier.All, Crowded: core.ReportCrowded, Clock: now, Log: log}
+	talk := &peers.Transport{Gossip: t, ListenAddress: c.Tier.Listen, PeerAddresses: c.Tier.Peers, BroadcastAddress: c.Tier.All, OnOverloaded: core.ReportCrowded, Clock: now, Log: log}
 	if tree != nil && tree.Routers < len(c.Tier.Peers) {
 		return nil, fmt.Errorf("fleet.tree.routers: %d, and the settings have %d peers", tree.Routers, len(c.Tier.Peers))
 	}
 	if limits != nil || judges {
-		talk.Fleet, err = fleet.New(clock.Micros(now.Steady()), fleet.Options{Rank: c.Tier.Rank, Siblings: len(c.Tier.Peers),
-			Depot: depot, Depots: depots, Seed: uint64(c.Seed), Limits: limits, Tree: tree,
+		talk.Fleet, err = fleet.New(clock.Micros(now.Steady()), fleet.Options{Rank: c.Tier.Rank, FleetSize: len(c.Tier.Peers),
+			Site: depot, Sites: depots, Seed: uint64(c.Seed), Limits: limits, LeaseTree: tree,
 			Incarnation: uint32((now.Now() - incarnationsFrom) / incarnationEvery)})
 		if err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
 		}
-		talk.Asking = core.HeadOfficeFills
+		talk.OriginLoad = core.HeadOfficeFills
 		if limits != nil {
-			talk.Lease = core.Lease
-			core.Lease(talk.Fleet.Share(clock.Micros(now.Steady()), 0)) // before the first request
+			talk.OnQuota = core.Lease
+			core.Lease(talk.Fleet.Quota(clock.Micros(now.Steady()), 0)) // before the first request
 		}
 		if judges {
-			talk.Sources, talk.Shun = core.AreaCaches, core.Eject
+			talk.ServerHealth, talk.OnEjected = core.AreaCaches, core.Eject
 		}
 	}
-	talk.Ready()
-	if t.Speaks() {
-		core.OnCrowded = talk.Tell
+	talk.Init()
+	if t.IsEnabled() {
+		core.OnCrowded = talk.ReportOverload
 	}
 	return talk, nil
 }
--- a/core/cells/above.go
+++ b/core/cells/above.go
@@ -123,7 +123,7 @@
 		}
 		if row := m.parentServers[name]; known && row.Status == "healthy" {
 			names[i] = append(names[i], name)
-			servers[i] = append(servers[i], moves.Server{Weight: max(row.Weight, 1), CameUp: row.StartedAt})
+			servers[i] = append(servers[i], moves.Server{Weight: max(row.Weight, 1), StartedAt: row.StartedAt})
 		}
 	}
 	_, terms := m.capacityTerms()
@@ -134,7 +134,7 @@
 			m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstParentSubset + i, SubsetServers: names[i]}})
 			u.serversByGroup[i] = names[i]
 		}
-		kb, warm := terms.KbPerS(now, servers[i])
+		kb, warm := terms.Capacity(now, servers[i])
 		if u.health[i].nextTrialAt != 0 {
 			kb = 0
 		}
--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -59,7 +59,7 @@
 		m.Stats.FellBack++
 	}
 	c := &m.cells[home]
-	release := m.rollout != nil && m.rollout.Stage().Holds(int(ev.PurgeGroup), ev.Object)
+	release := m.rollout != nil && m.rollout.Rollout().Contains(int(ev.PurgeGroup), ev.Object)
 	if release && !m.applyRolloutGate(c.name, ev) {
 		return ReasonNotReleased
 	}
@@ -139,7 +139,7 @@
 	if route.toDestination {
 		m.admitMigrating(now, &route, home, ev)
 	} else if !write && len(m.activeMigrations) > 0 {
-		c.capacity.Lives(now, sizeKB, fillKB)
+		c.capacity.RecordResident(now, sizeKB, fillKB)
 	}
 	c.openRequests++
 	m.heavyObjects.Add(now, ev.Object, sizeKB)
--- a/core/cells/cachesets.go
+++ b/core/cells/cachesets.go
@@ -56,7 +56,7 @@
 		if !named {
 			spill = -1
 		}
-		m.cells[i] = cell{name: c.Name, share: c.Share, fallback: int(spill), missRatio: initialMissRatio, fairShare: fairShare{limit: math.Inf(1)}, capacity: moves.NewRoom()}
+		m.cells[i] = cell{name: c.Name, share: c.Share, fallback: int(spill), missRatio: initialMissRatio, fairShare: fairShare{limit: math.Inf(1)}, capacity: moves.NewCapacityLimiter()}
 		shares[i] = c.Share
 		if c.Name == spec.OverflowCell {
 			m.overflowCell = i
--- a/core/cells/gate.go
+++ b/core/cells/gate.go
@@ -50,8 +50,8 @@
 	missRatio    missRatio // of all its tenants
 	// What rules refused of late, against what came.
 	arrivals, rejections decayingSum
-	capacity             moves.Room // for tenants that move into it
-	warmFraction         float64    // part of what its listed caches would bear warm that they bear
+	capacity             moves.CapacityLimiter // for tenants that move into it
+	warmFraction         float64               // part of what its listed caches would bear warm that they bear
 }
 
 // observeRejection is told that rules refused a request. A few of those tell nothing; many tell that the cell is full.
--- a/core/cells/guarding.go
+++ b/core/cells/guarding.go
@@ -42,7 +42,7 @@
 	if m.originLimit != nil && m.originLimit.document == *d {
 		return nil // what fills have told stays
 	}
-	terms, law, err := d.Terms(max(m.settings.FleetSize, 1))
+	terms, law, err := d.Config(max(m.settings.FleetSize, 1))
 	if err != nil {
 		return err
 	}
@@ -90,23 +90,23 @@
 	switch at := m.documentMillis(now); {
 	case unanswered:
 		if len(g.abandonedUntil) < maxAbandoned {
-			g.abandonedUntil = append(g.abandonedUntil, now+int64(g.document.LingerMs*1000))
+			g.abandonedUntil = append(g.abandonedUntil, now+int64(g.document.AbandonedFetchMs*1000))
 		}
 		if ev.Outcome == rules.OutcomeTimedOut {
-			g.limit.Ended(at, float64(ev.ResponseTime)/1000, true)
+			g.limit.Complete(at, float64(ev.ResponseTime)/1000, true)
 		}
 		return // it tells nothing of what part asks the head office: the slow ones are among these
 	case straight:
 		if ev.CacheStatus == noteFilledBySource {
-			g.limit.Ended(at, float64(ev.UpstreamWait)/1000, false)
+			g.limit.Complete(at, float64(ev.UpstreamWait)/1000, false)
 		}
 		return
 	case ev.CacheStatus == noteFilledByOrigin:
 		was = 1
-		g.limit.Ended(at, float64(ev.UpstreamWait)/1000, false)
+		g.limit.Complete(at, float64(ev.UpstreamWait)/1000, false)
 	case ev.CacheStatus == noteOriginFailed:
 		was = 1
-		g.limit.Ended(at, float64(ev.UpstreamWait)/1000, true)
+		g.limit.Complete(at, float64(ev.UpstreamWait)/1000, true)
 	}
 	g.originFraction += originFractionStep * (was - g.originFraction)
 }
@@ -127,8 +127,8 @@
 		}
 		part := max(g.originFraction, minOriginFraction)
 		gone := float64(len(g.abandonedUntil) + g.directInFlight)
-		g.limit.Hold(int(math.Round(float64(len(g.inFlight)-g.directInFlight)*part + gone)))
-		free := max(minAnnounced, max(g.limit.Now()*(1-g.document.Reserve)-gone, 0)/part)
+		g.limit.SetInFlight(int(math.Round(float64(len(g.inFlight)-g.directInFlight)*part + gone)))
+		free := max(minAnnounced, max(g.limit.Current()*(1-g.document.Reserve)-gone, 0)/part)
 		if most == 0 || free < most {
 			most = free
 		}
@@ -169,5 +169,5 @@
 	if g == nil {
 		return nil
 	}
-	return &OriginLimitStatus{Limit: g.limit.Now(), Share: g.document.Most / float64(max(m.settings.FleetSize, 1)), InFlight: len(g.inFlight), Abandoned: len(g.abandonedUntil), OriginFraction: g.originFraction}
+	return &OriginLimitStatus{Limit: g.limit.Current(), Share: g.document.MaxInFlight / float64(max(m.settings.FleetSize, 1)), InFlight: len(g.inFlight), Abandoned: len(g.abandonedUntil), OriginFraction: g.originFraction}
 }
--- a/core/cells/guarding_test.go
+++ b/core/cells/guarding_test.go
@@ -11,7 +11,7 @@
 	"spantack/rules"
 )
 
-var originLimitDocument = shield.Document{Law: "gradient", Most: 24, Reserve: 0.1, Burst: 3, UsualMs: 60, LingerMs: 2000}
+var originLimitDocument = shield.Document{Algorithm: "gradient", MaxInFlight: 24, Reserve: 0.1, Burst: 3, BaselineMs: 60, AbandonedFetchMs: 2000}
 
 // newLimitedAdmission is a module with four caches, two area caches and the head office; its router is one of two.
 func newLimitedAdmission(t testing.TB, doc *shield.Document) *Admission {
@@ -97,7 +97,7 @@
 	m := newLimitedAdmission(t, &originLimitDocument)
 	runLoad(m, 0, 3000, 60, originAnswer(55)) // the part of fills that come to the head office is learnt
 	calm, _ := runLoad(m, 4000, 2000, 60, originAnswer(55))
-	share := originLimitDocument.Most / 2
+	share := originLimitDocument.MaxInFlight / 2
 	if most := originLimitDocument.Burst * share / 0.9; float64(calm) > most || float64(calm) < share {
 		t.Errorf("calm: %d out at most; the share is %v, %v with all that may be borrowed", calm, share, most)
 	}
@@ -124,7 +124,7 @@
 		runLoad(m, 4000+150*i, 50, 50, lost)
 		sent += m.OriginLimitStatus().Abandoned - before
 	}
-	if most := originLimitDocument.Burst * originLimitDocument.Most / 2; float64(sent) > 2*most {
+	if most := originLimitDocument.Burst * originLimitDocument.MaxInFlight / 2; float64(sent) > 2*most {
 		t.Errorf("%d sent up and given up within 1.5 s, with a limit of %v", sent, most)
 	}
 	if n := m.OriginLimitStatus().Abandoned; n == 0 {
@@ -141,7 +141,7 @@
 	codes := []rules.AttemptOutcome{rules.OutcomeServed, rules.OutcomeError, rules.OutcomeRejected, rules.OutcomeTimedOut, rules.OutcomeConnectionRefused, rules.OutcomeConnectionReset, rules.OutcomeMiss}
 	rapid.Check(t, func(t *rapid.T) {
 		doc := originLimitDocument
-		doc.Law = rapid.SampledFrom([]string{"fixed", "aimd", "gradient", "delay"}).Draw(t, "law")
+		doc.Algorithm = rapid.SampledFrom([]string{"fixed", "aimd", "gradient", "delay"}).Draw(t, "law")
 		m := newLimitedAdmission(&testing.T{}, &doc)
 		draw := rapid.SliceOfN(rapid.IntRange(0, 11*len(codes)-1), 1, 200).Draw(t, "ends")
 		runLoad(m, 0, len(draw), int64(rapid.IntRange(1, 80).Draw(t, "took")), func(i int) rules.Event {
--- a/core/cells/moving.go
+++ b/core/cells/moving.go
@@ -12,9 +12,9 @@
 
 // migrationProgress is one tenant's way from cell to cell in this depot, as this router goes it.
 type migrationProgress struct {
-	migration        *moves.Move
+	migration        *moves.Migration
 	fromCell, toCell int // places of the cells in the assignment in force
-	pace             moves.Pace
+	pace             moves.Pacer
 }
 
 // migrationRoute is how one request of a tenant on the move goes.
@@ -33,8 +33,8 @@
 	if doc == nil {
 		return nil
 	}
-	for i := range doc.Moves {
-		mv := &doc.Moves[i]
+	for i := range doc.Migrations {
+		mv := &doc.Migrations[i]
 		at := fmt.Sprintf("moves.moves[%d]", i)
 		who, known := a.tenantByName[mv.Tenant]
 		if !known {
@@ -49,8 +49,8 @@
 		if a.spec.Scheme != SchemeFixed && a.spec.Scheme != SchemeOverflow {
 			return fieldError(at, "tenants move with schemes fixed and overflow, not %s", a.spec.Scheme)
 		}
-		depots := []string{mv.Depot}
-		if mv.Depot == moves.AllDepots {
+		depots := []string{mv.Site}
+		if mv.Site == moves.AllSites {
 			depots = []string{""}
 			for depot := range a.spec.Tenants[who].CellBySite {
 				depots = append(depots, depot)
@@ -98,9 +98,9 @@
 	if m.migrationDocument == nil {
 		return
 	}
-	for i := range m.migrationDocument.Moves {
-		mv := &m.migrationDocument.Moves[i]
-		if mv.Depot != m.settings.Zone && mv.Depot != moves.AllDepots {
+	for i := range m.migrationDocument.Migrations {
+		mv := &m.migrationDocument.Migrations[i]
+		if mv.Site != m.settings.Zone && mv.Site != moves.AllSites {
 			continue
 		}
 		who, known := m.assignment.tenantByName[mv.Tenant]
@@ -135,10 +135,10 @@
 	m.healthyParents = m.healthyParents[:0]
 	for _, name := range sortedNodes(m.parentServers) {
 		if row := m.parentServers[name]; row.Status == "healthy" {
-			m.healthyParents = append(m.healthyParents, moves.Server{Weight: row.Weight, CameUp: row.StartedAt})
+			m.healthyParents = append(m.healthyParents, moves.Server{Weight: row.Weight, StartedAt: row.StartedAt})
 		}
 	}
-	_, warm := above.KbPerS(now, m.healthyParents)
+	_, warm := above.Capacity(now, m.healthyParents)
 	if len(m.parentServers) == 0 {
 		warm = 1 // fills come straight from the head office
 	}
@@ -151,12 +151,12 @@
 		for _, name := range c.caches {
 			row := m.edgeCaches[name]
 			weight := max(row.Weight, 1)
-			whole += weight * caches.PaceKbPerS
+			whole += weight * caches.StreamKbPerS
 			if row.Status == "healthy" {
-				servers = append(servers, moves.Server{Weight: weight, CameUp: row.StartedAt})
+				servers = append(servers, moves.Server{Weight: weight, StartedAt: row.StartedAt})
 			}
 		}
-		kb, _ := caches.KbPerS(now, servers)
+		kb, _ := caches.Capacity(now, servers)
 		fills := math.Inf(1)
 		for _, of := range [...]struct {
 			t    *sharedRate
@@ -166,13 +166,13 @@
 				fills = min(fills, of.t.perMicrosecond*1e6*c.share*of.warm)
 			}
 		}
-		c.capacity.Bears(now, kb/routers, fills)
+		c.capacity.SetCapacity(now, kb/routers, fills)
 		if c.warmFraction = 0; whole > 0 {
 			c.warmFraction = kb / whole
 		}
 	}
 	for _, p := range m.activeMigrations {
-		p.pace.Bears(min(m.cells[p.fromCell].warmFraction, m.cells[p.toCell].warmFraction))
+		p.pace.SetWarmCapacity(min(m.cells[p.fromCell].warmFraction, m.cells[p.toCell].warmFraction))
 		share := p.pace.Step(m.documentMillis(now), p.migration)
 		cell := p.fromCell
 		if share >= 0.5 {
@@ -192,10 +192,10 @@
 }
 
 // capacityTerms are what the settings say of caches, and of area caches.
-func (m *Admission) capacityTerms() (caches, above moves.Terms) {
+func (m *Admission) capacityTerms() (caches, above moves.CapacityModel) {
 	g, x := &m.settings.Guarantees, &m.settings.Hierarchy
-	caches = moves.Terms{PaceKbPerS: x.ResponseKBPerSecond, ColdFrom: g.InitialCapacity, Cold: g.WarmUpTime, Fall: g.OverloadWindow}
-	above = moves.Terms{PaceKbPerS: x.ResponseKBPerSecond, ColdFrom: x.ParentInitialCapacity, Cold: x.ParentWarmUpTime, Fall: g.OverloadWindow}
+	caches = moves.CapacityModel{StreamKbPerS: x.ResponseKBPerSecond, ColdFraction: g.InitialCapacity, WarmUp: g.WarmUpTime, LoadWindow: g.OverloadWindow}
+	above = moves.CapacityModel{StreamKbPerS: x.ResponseKBPerSecond, ColdFraction: x.ParentInitialCapacity, WarmUp: x.ParentWarmUpTime, LoadWindow: g.OverloadWindow}
 	return caches, above
 }
 
@@ -205,7 +205,7 @@
 // it bears; else it is refused.
 func (m *Admission) routeMigrating(now int64, p *migrationProgress, ev *rules.Event, kb float64) (int, migrationRoute) {
 	ms, mv := m.documentMillis(now), p.migration
-	if !mv.Pending(ms) {
+	if !mv.InProgress(ms) {
 		p.recordPart(m, now, ev)
 		if mv.Phase(ms) == moves.Done {
 			return p.toCell, migrationRoute{}
@@ -213,8 +213,8 @@
 		return p.fromCell, migrationRoute{}
 	}
 	into, other := p.toCell, p.fromCell
-	over := mv.Place(ev.Object) < p.pace.Share()
-	if mv.GoesBack(ms) {
+	over := mv.Position(ev.Object) < p.pace.Share()
+	if mv.RollbackStarted(ms) {
 		into, other, over = p.fromCell, p.toCell, !over
 	}
 	w := migrationRoute{progress: p, toDestination: over}
@@ -236,9 +236,9 @@
 	if w.cold {
 		fill = kb
 	}
-	room := mv.Unbounded || m.cells[into].capacity.Take(now, kb, fill)
+	room := mv.Unbounded || m.cells[into].capacity.TryAcquire(now, kb, fill)
 	if over {
-		p.pace.Offered(ms, room)
+		p.pace.ObserveAdmission(ms, room)
 	}
 	switch {
 	case room:
@@ -256,7 +256,7 @@
 // recordPart books that a part was asked for in the cell where its tenant still lives.
 func (p *migrationProgress) recordPart(m *Admission, now int64, ev *rules.Event) {
 	cell := p.fromCell
-	if p.migration.GoesBack(m.documentMillis(now)) {
+	if p.migration.RollbackStarted(m.documentMillis(now)) {
 		cell = p.toCell
 	}
 	m.recentParts.addHash(now, partInCellHash(ev, cell), 1)
@@ -298,12 +298,12 @@
 		return // whether it was served in time shows at its end
 	}
 	if pace := m.settings.Hierarchy.ResponseKBPerSecond; (ev.CacheStatus == 2 || ev.CacheStatus == 3) && pace > 0 && o.sizeKB > 0 {
-		m.cells[o.cell].capacity.Learn(float64(ev.UpstreamWait) / (o.sizeKB / pace * 1e6))
+		m.cells[o.cell].capacity.ObserveFillCost(float64(ev.UpstreamWait) / (o.sizeKB / pace * 1e6))
 	}
 	if o.route.progress == nil {
 		return
 	}
-	o.route.progress.pace.Saw(m.documentMillis(now), o.route.toDestination, float64(now-o.admittedAt) > m.latencyObjective(o))
+	o.route.progress.pace.ObserveAnswer(m.documentMillis(now), o.route.toDestination, float64(now-o.admittedAt) > m.latencyObjective(o))
 }
 
 // latencyObjective is how long an answer may take in full worth, in microseconds.
@@ -322,11 +322,11 @@
 		if failed {
 			bad = 1
 		}
-		m.countForRollout(o, stages.Failed, bad)
-		m.countForRollout(o, stages.Late, 1)
+		m.countForRollout(o, stages.Failures, bad)
+		m.countForRollout(o, stages.LateAnswers, 1)
 	}
 	if o.route.progress != nil {
-		o.route.progress.pace.Saw(m.documentMillis(now), o.route.toDestination, true)
+		o.route.progress.pace.ObserveAnswer(m.documentMillis(now), o.route.toDestination, true)
 	}
 }
 
@@ -346,7 +346,7 @@
 	ms := m.documentMillis(now)
 	var all []MigrationStatus
 	for _, p := range m.activeMigrations {
-		all = append(all, MigrationStatus{p.migration.Tenant, p.migration.From, p.migration.To, p.migration.Phase(ms).String(), p.pace.Share(), p.migration.Floor(ms), p.migration.Share(ms)})
+		all = append(all, MigrationStatus{p.migration.Tenant, p.migration.From, p.migration.To, p.migration.Phase(ms).String(), p.pace.Share(), p.migration.MinShare(ms), p.migration.MaxShare(ms)})
 	}
 	return all
 }
--- a/core/cells/moving_test.go
+++ b/core/cells/moving_test.go
@@ -14,15 +14,15 @@
 )
 
 // migrationOfCalm is a document in which "calm" goes from cell two to cell one, from second 20 to second 40.
-func migrationOfCalm(change ...func(*moves.Move)) *moves.Document {
-	m := moves.Move{Tenant: "calm", Depot: "z", From: "two", To: "one", Start: 20_000, Shift: 20_000, Settle: 10_000, Unbounded: true}
+func migrationOfCalm(change ...func(*moves.Migration)) *moves.Document {
+	m := moves.Migration{Tenant: "calm", Site: "z", From: "two", To: "one", Start: 20_000, MinShift: 20_000, Settle: 10_000, Unbounded: true}
 	for _, c := range change {
 		c(&m)
 	}
-	return &moves.Document{Version: 1, Moves: []moves.Move{m}}
+	return &moves.Document{Version: 1, Migrations: []moves.Migration{m}}
 }
 
-func boundByCapacity(m *moves.Move) { m.Unbounded, m.Slow = false, 40_000 }
+func boundByCapacity(m *moves.Migration) { m.Unbounded, m.MaxShift = false, 40_000 }
 
 // cellByCache tells by cache which cell it is in.
 func cellByCache(m *Admission) map[string]string {
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	start := func(change ...func(*moves.Move)) *testClient {
+	start := func(change ...func(*moves.Migration)) *testClient {
 		a := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
 		a.admission.SetMigrations(a.now, migrationOfCalm(change...))
 		a.now = 19 * sec
@@ -173,16 +173,16 @@
 	a.admission.SetMigrations(a.now, migrationOfCalm())
 	a.now = 25 * sec
 	a.requestObjects(200, 10*sec, oneOf50Objects)
-	back := migrationOfCalm(func(m *moves.Move) { m.BackAt = 35_000 })
+	back := migrationOfCalm(func(m *moves.Migration) { m.RollbackAt = 35_000 })
 	back.Version = 2
-	mv := &back.Moves[0]
+	mv := &back.Migrations[0]
 	a.admission.SetMigrations(a.now, back)
 	for range 100 { // on the way back each object is in the cell that its place in the order gives it
 		object := oneOf50Objects(a.sent)
 		a.requestObjects(1, 50*msec, func(int) string { return object })
 		cell, share := cellByCache(a.admission)[a.request(rules.Event{PurgeGroup: 50, Object: object, SizeKB: 50})], a.admission.Migrations(a.now)[0].Share
-		if want := map[bool]string{true: "one", false: "two"}[mv.Place(object) < share]; cell != want {
-			t.Fatalf("at share %v object at %v goes to %s", share, mv.Place(object), cell)
+		if want := map[bool]string{true: "one", false: "two"}[mv.Position(object) < share]; cell != want {
+			t.Fatalf("at share %v object at %v goes to %s", share, mv.Position(object), cell)
 		}
 	}
 	a.requestObjects(400, 30*sec, oneOf50Objects)
@@ -234,10 +234,10 @@
 	if err := a.CheckMigrations(nil); err != nil {
 		t.Fatal(err)
 	}
-	for want, change := range map[string]func(*moves.Move){
-		`moves.moves[0].tenant: "x" is no tenant`:       func(m *moves.Move) { m.Tenant = "x" },
-		`moves.moves[0].from: "x" is no cell`:           func(m *moves.Move) { m.From = "x" },
-		`moves.moves[0].from: loud is in cell one in d`: func(m *moves.Move) { m.Tenant, m.From, m.To = "loud", "two", "two" },
+	for want, change := range map[string]func(*moves.Migration){
+		`moves.moves[0].tenant: "x" is no tenant`:       func(m *moves.Migration) { m.Tenant = "x" },
+		`moves.moves[0].from: "x" is no cell`:           func(m *moves.Migration) { m.From = "x" },
+		`moves.moves[0].from: loud is in cell one in d`: func(m *moves.Migration) { m.Tenant, m.From, m.To = "loud", "two", "two" },
 	} {
 		if err := a.CheckMigrations(migrationOfCalm(change)); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
@@ -263,11 +263,11 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				version++
-				doc := migrationOfCalm(func(m *moves.Move) {
+				doc := migrationOfCalm(func(m *moves.Migration) {
 					m.Start = float64(a.now)/1000 + rapid.Float64Range(-30_000, 10_000).Draw(t, "start")
 					m.Unbounded = rapid.Bool().Draw(t, "unbounded")
 					if rapid.Bool().Draw(t, "back") {
-						m.BackAt = m.Start + rapid.Float64Range(0, 30_000).Draw(t, "backAt")
+						m.RollbackAt = m.Start + rapid.Float64Range(0, 30_000).Draw(t, "backAt")
 					}
 				})
 				doc.Version = version
@@ -300,7 +300,7 @@
 func TestMigrationsAtOtherSitesAreWithoutEffect(t *testing.T) {
 	plain := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
 	other := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
-	other.admission.SetMigrations(other.now, migrationOfCalm(func(m *moves.Move) { m.Depot = "elsewhere" }))
+	other.admission.SetMigrations(other.now, migrationOfCalm(func(m *moves.Migration) { m.Site = "elsewhere" }))
 	for i := range 2000 {
 		ev := rules.Event{PurgeGroup: int64(i % 60), Object: fmt.Sprintf("%016x", i%37), SizeKB: float64(i % 90)}
 		plain.now, other.now = plain.now+5*msec, other.now+5*msec
@@ -323,7 +323,7 @@
 		spec.Tenants = append(spec.Tenants, Tenant{Name: name, Cell: "two"})
 		spec.TenantKeys = append(spec.TenantKeys, TenantKey{ObjectPrefix: fmt.Sprintf("%05x", i), Tenant: name})
 		if i < 1000 {
-			doc.Moves = append(doc.Moves, moves.Move{Tenant: name, Depot: "z", From: "two", To: "one", Start: 1000, Shift: 1e8, Slow: 2e8})
+			doc.Migrations = append(doc.Migrations, moves.Migration{Tenant: name, Site: "z", From: "two", To: "one", Start: 1000, MinShift: 1e8, MaxShift: 2e8})
 		}
 	}
 	spec.TenantKeys = append(spec.TenantKeys, TenantKey{Tenant: "t00000"})
@@ -349,5 +349,5 @@
 			m.closeRequest("x")
 		}
 	}
-	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(doc.Moves)), "B/move")
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(doc.Migrations)), "B/move")
 }
--- a/core/cells/staging.go
+++ b/core/cells/staging.go
@@ -18,11 +18,11 @@
 )
 
 // CheckRollout holds a stage against an assignment: its rings must name cells, and leave one without the release to compare with.
-func (a *Assignment) CheckRollout(s *stages.Stage) error {
+func (a *Assignment) CheckRollout(s *stages.Rollout) error {
 	if s == nil {
 		return nil
 	}
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return fmt.Errorf("stage.%w", err)
 	}
 	for i, r := range s.Rings {
@@ -40,7 +40,7 @@
 
 // SetRollout puts a release on its way, or with nil ends that: its objects are then like any others. It must fit the assignment in force.
 // Another version of the same stage goes on from where this router is.
-func (m *Admission) SetRollout(now int64, s *stages.Stage) error {
+func (m *Admission) SetRollout(now int64, s *stages.Rollout) error {
 	if s == nil || m.spec == nil {
 		m.rollout = nil
 		return nil
@@ -61,11 +61,11 @@
 	if m.rollout == nil {
 		return
 	}
-	s := m.rollout.Stage()
+	s := m.rollout.Rollout()
 	for _, i := range m.rollout.Step(m.documentMillis(now)) {
 		state, why := m.rollout.State(i)
 		text := fmt.Sprintf("release %s, ring %d (%v): %s", s.Name, i, s.Rings[i].Cells, state)
-		if m.rollout.Harmed(i) {
+		if m.rollout.HarmObserved(i) {
 			text += ", by " + why.String()
 		}
 		m.logActions = append(m.logActions, rules.Action{Kind: rules.ActionLog, LogText: text})
@@ -86,12 +86,12 @@
 
 // applyRolloutGate sets how old an answer to a request for the release may be in a cell, and reports whether there may be one.
 func (m *Admission) applyRolloutGate(cell string, ev *rules.Event) bool {
-	lets := m.rollout.Lets(cell)
-	if lets.From > 0 {
-		ev.MinVersionTime = int64(lets.From*1000) - m.DocumentClockOffset
+	lets := m.rollout.Gate(cell)
+	if lets.MadeSince > 0 {
+		ev.MinVersionTime = int64(lets.MadeSince*1000) - m.DocumentClockOffset
 	}
-	ev.MaxAge = int64(lets.Age * 1000)
-	return !lets.Not
+	ev.MaxAge = int64(lets.MaxAge * 1000)
+	return !lets.Rejected
 }
 
 // observeForRollout books the end of an attempt for the stage that runs.
@@ -101,9 +101,9 @@
 	}
 	switch {
 	case ev.CacheStatus == noteFilledBySource || ev.CacheStatus == noteFilledByOrigin:
-		m.countForRollout(o, stages.FillBad, 0)
+		m.countForRollout(o, stages.FillErrors, 0)
 	case ev.CacheStatus >= noteFillFailed:
-		m.countForRollout(o, stages.FillBad, 1)
+		m.countForRollout(o, stages.FillErrors, 1)
 	}
 	if ev.Outcome != rules.OutcomeServed || !ev.IsFinal {
 		return
@@ -112,16 +112,16 @@
 	if float64(now-o.admittedAt) > m.latencyObjective(o) {
 		late = 1
 	}
-	m.countForRollout(o, stages.Late, late)
-	m.countForRollout(o, stages.Failed, 0)
+	m.countForRollout(o, stages.LateAnswers, late)
+	m.countForRollout(o, stages.Failures, 0)
 }
 
 // countForRollout counts an event at its cell. Where a cell has the release, failures and fill errors are those of the release alone: among all
 // others they would be found late; of a release that renews objects they are so already before a ring opens, to compare with. Late answers are those of the whole cell, since new objects are filled first and come later by themselves, and
 // a release that harms what else its cell serves must show too.
-func (m *Admission) countForRollout(o *openRequest, measure stages.Measure, bad float64) {
+func (m *Admission) countForRollout(o *openRequest, measure stages.Metric, bad float64) {
 	cell := m.cells[o.cell].name
-	if measure != stages.Late && !o.isRelease && m.rollout.Apart(cell) {
+	if measure != stages.LateAnswers && !o.isRelease && m.rollout.CountsReleaseOnly(cell) {
 		return
 	}
 	m.rollout.Count(cell, measure, 1, bad)
@@ -148,12 +148,12 @@
 	if m.rollout == nil {
 		return nil
 	}
-	s := m.rollout.Stage()
+	s := m.rollout.Rollout()
 	now := &RolloutStatus{Name: s.Name, Version: s.Version}
 	for i, r := range s.Rings {
 		state, why := m.rollout.State(i)
 		ring := RingStatus{Cells: slices.Clone(r.Cells), State: state.String(), Evidence: m.rollout.Evidence(i)}
-		if m.rollout.Harmed(i) {
+		if m.rollout.HarmObserved(i) {
 			ring.HarmMeasure = why.String()
 		}
 		now.Rings = append(now.Rings, ring)
--- a/core/cells/staging_test.go
+++ b/core/cells/staging_test.go
@@ -10,8 +10,8 @@
 	"spantack/rules"
 )
 
-func pricesRelease() *stages.Stage {
-	return &stages.Stage{Version: 1, Name: "prices", Prefix: "bb", Since: 10_000, Rings: []stages.Ring{{Cells: []string{"one"}, Open: 60_000, For: 300_000}}}
+func pricesRelease() *stages.Rollout {
+	return &stages.Rollout{Version: 1, Name: "prices", Prefix: "bb", Since: 10_000, Rings: []stages.Ring{{Cells: []string{"one"}, OpensAt: 60_000, JudgeWithin: 300_000}}}
 }
 
 // runReleaseDay sends requests of both cells for so many seconds, a tenth of them for the release; in cell one, a part of those is late. It
@@ -71,7 +71,7 @@
 		t.Errorf("refused %v, log %q", m.Stats.Rejected, log)
 	}
 	stop := pricesRelease()
-	stop.Version, stop.StopAt = 2, 121_000
+	stop.Version, stop.RollbackAt = 2, 121_000
 	if err := m.SetRollout(121*sec, stop); err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	m := newTestAdmission(t, twoCells(), cacheNames(8)...)
 	m.DocumentClockOffset = 200_000
 	s := pricesRelease()
-	s.Since, s.Renews, s.Keep = 50_000, true, 600_000
+	s.Since, s.ReplacesObjects, s.OldCopyMaxAge = 50_000, true, 600_000
 	if err := m.SetRollout(10*sec, s); err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 		t.Errorf("no ring's: %d", got)
 	}
 	s2 := *s
-	s2.Version, s2.StopAt = 2, 71_000
+	s2.Version, s2.RollbackAt = 2, 71_000
 	if err := m.SetRollout(70*sec, &s2); err != nil {
 		t.Fatal(err)
 	}
@@ -162,11 +162,11 @@
 
 func TestCheckRolloutNamesTheField(t *testing.T) {
 	a := mustCompile(t, twoCells())
-	for want, spoil := range map[string]func(*stages.Stage){
-		"":                                 func(*stages.Stage) {},
-		"stage.name: ":                     func(s *stages.Stage) { s.Name = "" },
-		"stage.rings[0].cells:":            func(s *stages.Stage) { s.Rings[0].Cells = []string{"x"} },
-		"stage.rings[0].cells: every cell": func(s *stages.Stage) { s.Rings[0].Cells = []string{"one", "two"} },
+	for want, spoil := range map[string]func(*stages.Rollout){
+		"":                                 func(*stages.Rollout) {},
+		"stage.name: ":                     func(s *stages.Rollout) { s.Name = "" },
+		"stage.rings[0].cells:":            func(s *stages.Rollout) { s.Rings[0].Cells = []string{"x"} },
+		"stage.rings[0].cells: every cell": func(s *stages.Rollout) { s.Rings[0].Cells = []string{"one", "two"} },
 	} {
 		s := pricesRelease()
 		spoil(s)
--- a/core/coldstart/scale_bench_test.go
+++ b/core/coldstart/scale_bench_test.go
@@ -9,7 +9,7 @@
 func BenchmarkNext(b *testing.B) {
 	for _, routers := range []int{300, 1_000, 3_000, 11_000} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
-			t := Tries{Rank: routers / 2, Siblings: routers}
+			t := Schedule{Rank: routers / 2, FleetSize: routers}
 			now := int64(0)
 			for b.Loop() {
 				now = t.Next(0, now, true)
--- a/core/fleet/doc.go
+++ b/core/fleet/doc.go
@@ -16,7 +16,7 @@
 //
 //   - The floors and all leases never pass the limit: over by 0 of it for 0 ms after a cut, a crash or a heal. What had been begun under a lease may
 //     outlast it; a user that needs more than Spare for that passes the limit by what is still out then, for as long.
-//   - While cut, each router has its floor; the part that holds more than half of all routers has the pool besides, after Regain at the latest in
+//   - While cut, each router has its floor; the part that holds more than half of all routers has the pool besides, after RecoveryTime at the latest in
 //     fleets of 15 (at 300 up to 18 s were seen after a heal). A pool whose holder dies is back after that time. Of a pool that is back, six tenths
 //     or more are leased at any time: what a router that joins is to have must come back first from those that have it. With half of the routers
 //     down or more there are floors alone.
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -62,10 +62,10 @@
 
 func newWorld(t testing.TB, seed uint64, routers int, limits ...Limit) *world {
 	t.Helper()
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), now: second, opt: Options{Siblings: routers, Depots: 4, Seed: seed, Limits: limits},
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), now: second, opt: Options{FleetSize: routers, Sites: 4, Seed: seed, Limits: limits},
 		group: make([]int, routers), oneWay: map[[2]int]bool{}, lag: map[int]int64{}}
 	for i := range routers {
-		w.procs = append(w.procs, &proc{rate: 1 + (w.rng.Float64()*2-1)*drift/2, offset: w.rng.Int64N(1000 * second)})
+		w.procs = append(w.procs, &proc{rate: 1 + (w.rng.Float64()*2-1)*maxClockDrift/2, offset: w.rng.Int64N(1000 * second)})
 		w.start(t, i)
 	}
 	return w
@@ -81,7 +81,7 @@
 	p := w.procs[i]
 	p.starts++
 	o := w.opt
-	o.Rank, o.Depot, o.Incarnation = i, i%4, p.starts
+	o.Rank, o.Site, o.Incarnation = i, i%4, p.starts
 	node, err := New(w.local(i), o)
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 			}
 			return
 		}
-		if len(b) > MaxDatagram {
+		if len(b) > MaxDatagramSize {
 			t.Fatalf("a datagram of %d bytes", len(b))
 		}
 		w.sent++
@@ -111,7 +111,7 @@
 		}
 	}
 	for l := range o.Limits {
-		node.Want(l, 1e5)
+		node.SetDemand(l, 1e5)
 	}
 	p.node, p.up, p.still = node, true, 0
 	w.push(w.now, i, i, nil)
@@ -136,7 +136,7 @@
 			w.push(w.now+max(next-w.local(f.to), 1000), f.to, f.to, nil)
 		default:
 			err := p.node.Receive(w.local(f.to), f.from, f.bytes)
-			if err != nil && !errors.Is(err, ErrOld) {
+			if err != nil && !errors.Is(err, ErrStale) {
 				panic(err)
 			}
 		}
@@ -151,7 +151,7 @@
 func (w *world) shares(limit int, in func(i int) bool) (sum float64) {
 	for i, p := range w.procs {
 		if p.up && w.now >= p.still && (in == nil || in(i)) {
-			sum += p.node.Share(w.local(i), limit)
+			sum += p.node.Quota(w.local(i), limit)
 		}
 	}
 	return sum
@@ -179,14 +179,14 @@
 	most, lent := 0.0, 0
 	for seed := range seeds {
 		routers := 3 + int(seed%11)
-		limit := Limit{Name: "fills", Most: 40, Floor: 0.25}
+		limit := Limit{Name: "fills", Max: 40, FloorFraction: 0.25}
 		w := newWorld(t, seed, routers, limit)
 		w.late = 0.04
 		look := func() {
 			sum := w.shares(0, nil)
 			most = max(most, sum)
-			if sum > limit.Most+1e-6 {
-				t.Fatalf("seed %d, %d routers, at %.3f s: shares of %.3f pass a limit of %v", seed, routers, float64(w.now)/1e6, sum, limit.Most)
+			if sum > limit.Max+1e-6 {
+				t.Fatalf("seed %d, %d routers, at %.3f s: shares of %.3f pass a limit of %v", seed, routers, float64(w.now)/1e6, sum, limit.Max)
 			}
 		}
 		for range 14 {
@@ -201,7 +201,7 @@
 				clear(w.oneWay)
 				clear(w.lag)
 			case 8, 9:
-				if holder := w.procs[i].node.Holdings(w.local(i))[0].Holder; holder >= 0 {
+				if holder := w.procs[i].node.LimitStatuses(w.local(i))[0].Holder; holder >= 0 {
 					w.lag[holder] = w.rng.Int64N(3 * second)
 					w.run(w.now+w.lag[holder]+second, look)
 					w.group[holder] = 9 // and is cut off with what is on its way to it
@@ -225,7 +225,7 @@
 			}
 		}
 		for _, p := range w.procs {
-			lent += int(p.node.Counts.Granted)
+			lent += int(p.node.Counts.LeasesGranted)
 		}
 	}
 	if most < 39 || lent < int(seeds)*50 {
@@ -237,14 +237,14 @@
 // start anew that moment, with nothing known of what they had voted for: they must not have a second holder before the first one's leases have ended.
 func TestWhoStartsAnewPromisesLate(t *testing.T) {
 	for seed := range uint64(20) {
-		limit := Limit{Name: "fills", Most: 40, Floor: 0.25}
+		limit := Limit{Name: "fills", Max: 40, FloorFraction: 0.25}
 		w := newWorld(t, seed, 7, limit)
-		first := w.procs[0].node.limits[0].candidate()
+		first := w.procs[0].node.limits[0].preferredHolder()
 		w.kill(first)
-		w.run(w.now+Regain, nil)
+		w.run(w.now+RecoveryTime, nil)
 		w.start(t, first)
 		w.run(w.now+2*second, nil)
-		holder := w.procs[first].node.Holdings(w.local(first))[0].Holder
+		holder := w.procs[first].node.LimitStatuses(w.local(first))[0].Holder
 		if holder < 0 || holder == first {
 			t.Fatalf("seed %d: kept by %d, first choice %d", seed, holder, first)
 		}
@@ -255,13 +255,13 @@
 				w.start(t, i)
 			}
 		}
-		w.run(w.now+Regain, func() {
-			if sum := w.shares(0, nil); sum > limit.Most+1e-6 {
-				t.Fatalf("seed %d: shares of %.2f pass a limit of %v at %.3f s", seed, sum, limit.Most, float64(w.now)/1e6)
+		w.run(w.now+RecoveryTime, func() {
+			if sum := w.shares(0, nil); sum > limit.Max+1e-6 {
+				t.Fatalf("seed %d: shares of %.2f pass a limit of %v at %.3f s", seed, sum, limit.Max, float64(w.now)/1e6)
 			}
 		})
-		if sum := w.mean(0, nil); sum < 0.8*limit.Most {
-			t.Errorf("seed %d: %.2f of %v in use once they have a holder", seed, sum, limit.Most)
+		if sum := w.mean(0, nil); sum < 0.8*limit.Max {
+			t.Errorf("seed %d: %.2f of %v in use once they have a holder", seed, sum, limit.Max)
 		}
 	}
 }
@@ -269,13 +269,13 @@
 // A vote counts from the stamp that it echoes: one that was long on its way has nearly ended.
 func TestPromiseOnItsWayHasBegun(t *testing.T) {
 	for age, lends := range map[int64]bool{second: true, voteLifetime - second/10: false, voteLifetime + second: false} {
-		w := newWorld(t, 1, 3, Limit{Name: "a", Most: 9})
-		w.run(w.now+Regain, nil)
-		holder := w.procs[0].node.Holdings(w.local(0))[0].Holder
+		w := newWorld(t, 1, 3, Limit{Name: "a", Max: 9})
+		w.run(w.now+RecoveryTime, nil)
+		holder := w.procs[0].node.LimitStatuses(w.local(0))[0].Holder
 		k, now := w.procs[holder].node.limits[0], w.local(holder)+10*second // no vote counts any more
 		for rank := range 3 {
 			if rank != holder {
-				k.handleRequest(now, &message{rank: rank, of: k.n.opt.Incarnation, stamp: k.stampAt(now - age), amount: 1})
+				k.handleRequest(now, &message{rank: rank, candidateIncarnation: k.node.options.Incarnation, stamp: k.stamp(now - age), amount: 1})
 			}
 		}
 		k.countedAt = 0
@@ -286,17 +286,17 @@
 }
 
 // What stays usable: while cut in three the part with more than half of the routers has six tenths of the pool or more, the others their floors;
-// a holder that dies, or is cut off, is replaced within Regain, also where it dies the moment that the parts are one again.
+// a holder that dies, or is cut off, is replaced within RecoveryTime, also where it dies the moment that the parts are one again.
 func TestPoolIsRegained(t *testing.T) {
 	for seed := range uint64(12) {
-		limit := Limit{Name: "fills", Most: 90, Floor: 0.3}
+		limit := Limit{Name: "fills", Max: 90, FloorFraction: 0.3}
 		w := newWorld(t, seed, 15, limit)
 		w.loss = 0.1
-		w.run(w.now+Regain, nil)
-		if sum := w.mean(0, nil); sum < 0.9*limit.Most {
-			t.Fatalf("seed %d: %v of %v in use in a whole tier", seed, sum, limit.Most)
+		w.run(w.now+RecoveryTime, nil)
+		if sum := w.mean(0, nil); sum < 0.9*limit.Max {
+			t.Fatalf("seed %d: %v of %v in use in a whole tier", seed, sum, limit.Max)
 		}
-		holder := w.procs[0].node.Holdings(w.local(0))[0].Holder
+		holder := w.procs[0].node.LimitStatuses(w.local(0))[0].Holder
 		if holder < 0 {
 			t.Fatalf("seed %d: no holder", seed)
 		}
@@ -305,17 +305,17 @@
 				w.group[i] = 1 + d%2
 			}
 		}
-		w.run(w.now+Regain, nil)
+		w.run(w.now+RecoveryTime, nil)
 		big := w.mean(0, func(i int) bool { return w.group[i] == 0 })
 		small := w.shares(0, func(i int) bool { return w.group[i] != 0 })
-		floors := limit.Most * limit.Floor
-		if big < 0.6*(limit.Most-floors)+floors*9/15 || math.Abs(small-floors*6/15) > 1e-6 {
+		floors := limit.Max * limit.FloorFraction
+		if big < 0.6*(limit.Max-floors)+floors*9/15 || math.Abs(small-floors*6/15) > 1e-6 {
 			t.Errorf("seed %d: cut in three, %v in use in the large part, %v in the small ones", seed, big, small)
 		}
 		clear(w.group)
 		next := -1
 		for i := range w.procs {
-			if h := w.procs[i].node.Holdings(w.local(i))[0]; h.Holds {
+			if h := w.procs[i].node.LimitStatuses(w.local(i))[0]; h.Holds {
 				next = i
 			}
 		}
@@ -323,9 +323,9 @@
 			t.Fatalf("seed %d: kept by %d, by %d before the cut", seed, next, holder)
 		}
 		w.kill(next)
-		w.run(w.now+Regain, nil)
-		if sum := w.mean(0, nil); sum < 0.6*(limit.Most-floors)+floors*14/15 {
-			t.Errorf("seed %d: %v in use %v s after the holder died", seed, sum, Regain/second)
+		w.run(w.now+RecoveryTime, nil)
+		if sum := w.mean(0, nil); sum < 0.6*(limit.Max-floors)+floors*14/15 {
+			t.Errorf("seed %d: %v in use %v s after the holder died", seed, sum, RecoveryTime/second)
 		}
 	}
 }
@@ -340,7 +340,7 @@
 	}
 	w.run(w.now+40*second, nil) // most probes go to dead members, one after the other
 	for i := 28; i < 40; i++ {
-		if living := w.procs[i].node.Living(); living != 12 {
+		if living := w.procs[i].node.LiveCount(); living != 12 {
 			t.Errorf("router %d holds %d of 40 for up where 12 are", i, living)
 		}
 	}
@@ -349,7 +349,7 @@
 	}
 	w.run(w.now+6*second, nil)
 	for i := range 40 {
-		if living := w.procs[i].node.Living(); living != 40 {
+		if living := w.procs[i].node.LiveCount(); living != 40 {
 			t.Errorf("router %d holds %d of 40 for up where all are", i, living)
 		}
 	}
@@ -364,13 +364,13 @@
 		w.group[i] = 1
 	}
 	w.run(w.now+30*second, nil)
-	if a, b := w.procs[0].node.Living(), w.procs[19].node.Living(); a != 10 || b != 10 {
+	if a, b := w.procs[0].node.LiveCount(), w.procs[19].node.LiveCount(); a != 10 || b != 10 {
 		t.Errorf("halves of 10 hold %d and %d for up", a, b)
 	}
 	clear(w.group)
 	w.run(w.now+20*second, nil)
 	for i := range 20 {
-		if living := w.procs[i].node.Living(); living != 20 {
+		if living := w.procs[i].node.LiveCount(); living != 20 {
 			t.Errorf("router %d holds %d of 20 for up after the heal", i, living)
 		}
 	}
@@ -383,22 +383,22 @@
 	w.run(w.now+12*second, nil)
 	for i := range 20 {
 		n := w.procs[i].node
-		if !n.Up(3) || !n.Up(12) {
+		if !n.IsUp(3) || !n.IsUp(12) {
 			t.Errorf("router %d holds 3 for %v and 12 for %v", i, n.StateOf(3), n.StateOf(12))
 		}
 	}
 }
 
 func TestBadOptions(t *testing.T) {
-	good := Options{Rank: 1, Siblings: 3, Depots: 2, Limits: []Limit{{Name: "a", Most: 1}}}
+	good := Options{Rank: 1, FleetSize: 3, Sites: 2, Limits: []Limit{{Name: "a", Max: 1}}}
 	for want, change := range map[string]func(*Options){
-		"Siblings: 0": func(o *Options) { o.Siblings = 0 }, "Rank: 3 of 3": func(o *Options) { o.Rank = 3 }, "Depots: 0": func(o *Options) { o.Depots = 0 },
-		"Depot: 2 of 2": func(o *Options) { o.Depot = 2 }, "Limits: 9, 8 at most": func(o *Options) { o.Limits = make([]Limit, 9) },
-		"Limits[0].name: missing":                    func(o *Options) { o.Limits = []Limit{{Most: 1}} },
-		"Limits[0].a: NaN is not above 0 to 1000000": func(o *Options) { o.Limits = []Limit{{Name: "a", Most: math.NaN()}} },
-		"Limits[0].floor: 2 is not 0 to 1":           func(o *Options) { o.Limits = []Limit{{Name: "a", Most: 1, Floor: 2}} },
+		"Siblings: 0": func(o *Options) { o.FleetSize = 0 }, "Rank: 3 of 3": func(o *Options) { o.Rank = 3 }, "Depots: 0": func(o *Options) { o.Sites = 0 },
+		"Depot: 2 of 2": func(o *Options) { o.Site = 2 }, "Limits: 9, 8 at most": func(o *Options) { o.Limits = make([]Limit, 9) },
+		"Limits[0].name: missing":                    func(o *Options) { o.Limits = []Limit{{Max: 1}} },
+		"Limits[0].a: NaN is not above 0 to 1000000": func(o *Options) { o.Limits = []Limit{{Name: "a", Max: math.NaN()}} },
+		"Limits[0].floor: 2 is not 0 to 1":           func(o *Options) { o.Limits = []Limit{{Name: "a", Max: 1, FloorFraction: 2}} },
 		"Limits[0].spare: 1500000 us is not 0 to less than 1500000": func(o *Options) {
-			o.Limits = []Limit{{Name: "a", Most: 1, Spare: leaseLifetime}}
+			o.Limits = []Limit{{Name: "a", Max: 1, ExpiryMargin: leaseLifetime}}
 		},
 	} {
 		o := good
@@ -411,78 +411,78 @@
 
 // A fleet of one keeps its limits by itself.
 func TestAlone(t *testing.T) {
-	w := newWorld(t, 1, 1, Limit{Name: "a", Most: 5, Floor: 0.4})
-	w.run(w.now+Regain, nil)
+	w := newWorld(t, 1, 1, Limit{Name: "a", Max: 5, FloorFraction: 0.4})
+	w.run(w.now+RecoveryTime, nil)
 	taken, n := 0, w.procs[0].node
-	for n.Take(w.local(0), 0) {
+	for n.TryAcquire(w.local(0), 0) {
 		taken++
 	}
 	if taken != 5 {
 		t.Errorf("%d taken of 5", taken)
 	}
-	n.Give(0)
-	if !n.Take(w.local(0), 0) || n.Take(w.local(0), 0) {
+	n.Release(0)
+	if !n.TryAcquire(w.local(0), 0) || n.TryAcquire(w.local(0), 0) {
 		t.Error("one given back is not one to be taken")
 	}
 }
 
 // Routers of the version before are in the fleet while it is upgraded: each side drops the other's datagrams as of an unknown kind, and goes on.
 func TestVersionsIgnoreOneAnother(t *testing.T) {
-	old, err := peers.New(peers.Options{Rank: 1, Siblings: 20, Depots: 4, Incarnation: 1})
+	old, err := peers.New(peers.Options{Rank: 1, FleetSize: 20, Sites: 4, Incarnation: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := New(0, Options{Rank: 0, Siblings: 20, Depots: 4, Incarnation: 1, Limits: []Limit{{Name: "a", Most: 20, Floor: 1}}})
+	n, err := New(0, Options{Rank: 0, FleetSize: 20, Sites: 4, Incarnation: 1, Limits: []Limit{{Name: "a", Max: 20, FloorFraction: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	heard := 0
 	n.Send = func(to int, b []byte) {
-		if heard++; !errors.Is(old.Hear(second, 0, b, func(string) {}), peers.ErrMalformed) {
+		if heard++; !errors.Is(old.Receive(second, 0, b, func(string) {}), peers.ErrMalformed) {
 			t.Errorf("a router of the version before takes %x for its own", b)
 		}
 	}
 	for now := int64(0); now < 5*second; now += tickInterval {
 		n.Tick(now)
 	}
-	if err := n.Receive(second, 1, old.Saw(second, "s-00000001")); !errors.Is(err, ErrMalformed) || heard == 0 || n.Share(5*second, 0) != 1 {
-		t.Errorf("%v, %d datagrams, share %v", err, heard, n.Share(5*second, 0))
+	if err := n.Receive(second, 1, old.ReportOverload(second, "s-00000001")); !errors.Is(err, ErrMalformed) || heard == 0 || n.Quota(5*second, 0) != 1 {
+		t.Errorf("%v, %d datagrams, share %v", err, heard, n.Quota(5*second, 0))
 	}
 }
 
 func FuzzReceive(f *testing.F) {
-	m := message{rank: 1, incarnation: 2, sequence: 3, op: ping, updates: []update{{0, 1, 0, Dead}, {1, 9, 9, Alive}}}
+	m := message{rank: 1, incarnation: 2, sequence: 3, kind: pingMessage, updates: []update{{0, 1, 0, StateDead}, {1, 9, 9, StateAlive}}}
 	for o := range bodySizes {
-		m.op = o
+		m.kind = o
 		f.Add(m.append(nil))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, err := New(0, Options{Rank: 2, Siblings: 4, Depots: 1, Incarnation: 1, Limits: []Limit{{Name: "a", Most: 4, Floor: 0.5}}})
+		n, err := New(0, Options{Rank: 2, FleetSize: 4, Sites: 1, Incarnation: 1, Limits: []Limit{{Name: "a", Max: 4, FloorFraction: 0.5}}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.Send = func(_ int, d []byte) {
-			if len(d) > MaxDatagram {
+			if len(d) > MaxDatagramSize {
 				t.Fatalf("%d bytes", len(d))
 			}
 		}
-		if err := n.Receive(second, 1, b); err != nil && !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrStranger) && !errors.Is(err, ErrOld) {
+		if err := n.Receive(second, 1, b); err != nil && !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrUnknownSender) && !errors.Is(err, ErrStale) {
 			t.Fatal(err)
 		}
 		n.Tick(2 * second)
-		if s := n.Share(2*second, 0); s > 0.5 {
+		if s := n.Quota(2*second, 0); s > 0.5 {
 			t.Fatalf("%x gives a share of %v", b, s)
 		}
 	})
 }
 
 func BenchmarkReceive(b *testing.B) {
-	n, err := New(0, Options{Siblings: 300, Depots: 40, Incarnation: 1, Limits: []Limit{{Name: "a", Most: 100, Floor: 0.2}}})
+	n, err := New(0, Options{FleetSize: 300, Sites: 40, Incarnation: 1, Limits: []Limit{{Name: "a", Max: 100, FloorFraction: 0.2}}})
 	if err != nil {
 		b.Fatal(err)
 	}
 	var d [300][]byte
-	m := message{op: ack, holder: nobody, incarnation: 1, updates: []update{{5, 1, 0, Alive}, {6, 1, 0, Alive}}}
+	m := message{kind: ackMessage, holder: noRank, incarnation: 1, updates: []update{{5, 1, 0, StateAlive}, {6, 1, 0, StateAlive}}}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		m.rank, m.sequence = 1+i%299, uint32(i+1)
@@ -494,21 +494,21 @@
 }
 
 func BenchmarkTakeGive(b *testing.B) {
-	n, err := New(0, Options{Siblings: 4, Depots: 1, Incarnation: 1, Limits: []Limit{{Name: "a", Most: 100, Floor: 1}}})
+	n, err := New(0, Options{FleetSize: 4, Sites: 1, Incarnation: 1, Limits: []Limit{{Name: "a", Max: 100, FloorFraction: 1}}})
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if !n.Take(int64(i), 0) {
+		if !n.TryAcquire(int64(i), 0) {
 			b.Fatal("none left")
 		}
-		n.Give(0)
+		n.Release(0)
 	}
 }
 
-func ExampleNode_Share() {
-	n, _ := New(0, Options{Siblings: 4, Depots: 1, Incarnation: 1, Limits: []Limit{{Name: "fills at the head office", Most: 40, Floor: 0.2}}})
-	fmt.Println(n.Share(0, 0), "of its own, before anybody grants a lease")
+func ExampleNode_Quota() {
+	n, _ := New(0, Options{FleetSize: 4, Sites: 1, Incarnation: 1, Limits: []Limit{{Name: "fills at the head office", Max: 40, FloorFraction: 0.2}}})
+	fmt.Println(n.Quota(0, 0), "of its own, before anybody grants a lease")
 	// Output: 2 of its own, before anybody grants a lease
 }
--- a/core/fleet/scale_bench_test.go
+++ b/core/fleet/scale_bench_test.go
@@ -12,7 +12,7 @@
 // scaleNode is one of so many routers, all of which were heard.
 func scaleNode(b *testing.B, routers int, limits ...Limit) *Node {
 	b.Helper()
-	n, err := New(second, Options{Rank: 0, Siblings: routers, Depots: 4, Incarnation: 1, Seed: 1, Limits: limits})
+	n, err := New(second, Options{Rank: 0, FleetSize: routers, Sites: 4, Incarnation: 1, Seed: 1, Limits: limits})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -45,25 +45,25 @@
 func BenchmarkAsk(b *testing.B) {
 	for _, routers := range scaleSizes {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
-			n := scaleNode(b, routers, Limit{Name: "fills", Most: float64(4 * routers), Floor: 0.25})
+			n := scaleNode(b, routers, Limit{Name: "fills", Max: float64(4 * routers), FloorFraction: 0.25})
 			now := second + 10*second
 			n.Tick(now)
-			m := message{op: leaseRequest, amount: 1e5, of: 1}
+			m := message{kind: leaseRequestMessage, amount: 1e5, candidateIncarnation: 1}
 			gap := int64(450_000 / routers) // as many come in one renewInterval
 			step := func(i int) {
 				now += gap
-				m.rank, m.sequence, m.stamp = 1+i%(routers-1), uint32(i+1), n.limits[0].stampAt(now)
+				m.rank, m.sequence, m.stamp = 1+i%(routers-1), uint32(i+1), n.limits[0].stamp(now)
 				n.limits[0].handleRequest(now, &m)
 			}
 			for i := range 4 * routers {
 				step(i)
 			}
-			lent := n.Counts.Granted
+			lent := n.Counts.LeasesGranted
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
 				step(i)
 			}
-			if n.Counts.Granted == lent {
+			if n.Counts.LeasesGranted == lent {
 				b.Fatal("nothing is lent")
 			}
 			b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*float64(routers)/0.45*100, "%core")
--- a/core/fleet/stored_compat_test.go
+++ b/core/fleet/stored_compat_test.go
@@ -8,7 +8,7 @@
 
 // The log line fleet of a router holds these.
 func TestLoggedHoldingsAreReadAndWrittenAlike(t *testing.T) {
-	testfixture.ReadAndWrite(t, "testdata/holdings.json", "", []Holding{
+	testfixture.ReadAndWrite(t, "testdata/holdings.json", "", []LimitStatus{
 		{
 			Name:   "s1",
 			Share:  2.5,
--- a/core/fleet/verdicts.go
+++ b/core/fleet/verdicts.go
@@ -13,7 +13,7 @@
 // The conditions.
 const (
 	Failing      Condition = iota + 1 // its answers fail, or do not come
-	Crowded                           // it is late, or turns requests away
+	Overloaded                        // it is late, or turns requests away
 	conditionEnd                      // first value that is none
 )
 
@@ -23,63 +23,63 @@
 // Times in microseconds. At 30% loss a verdict that two depots support has reached 99 in 100 of the routers 2.5 s after the second one observed the server.
 // A verdict ends reportLifetime after the last report of all depots but one at the latest, and a report is sent for as long as its observation stands.
 //
-// However many routers observe a server, few report it. Each waits for a random part of a round before it reports, and does not if more than verdictQuorum
+// However many routers observe a server, few report it. Each waits for a random part of a round before it reports, and does not if more than ejectionQuorum
 // other depots have reported the same in that round. The waits are distributed exponentially towards the round's end, so that with the number of routers only
 // the logarithm of the reports sent before they suppress the others grows: J. Nonnenmacher, E. W. Biersack, "Scalable feedback for large groups",
 // IEEE/ACM Transactions on Networking 7(3), 1999.
 const (
-	verdictQuorum       = 2       // depots that must report a server: behind a full or broken link of one depot every server looks bad
+	ejectionQuorum      = 2       // depots that must report a server: behind a full or broken link of one depot every server looks bad
 	firstRound          = 250_000 // longest wait of the first rounds, while few others report
 	firstRounds         = 6
 	laterRound          = 500_000   // longest wait of all others
 	observationLifetime = 500_000   // of an observation that is not made again
 	reportLifetime      = 4_500_000 // of a report that was received
-	ejectedPart         = 3         // one in so many servers of a kind may be ejected: verdicts must not empty a kind
+	serversPerEjection  = 3         // one in so many servers of a kind may be ejected: verdicts must not empty a kind
 	maxObservations     = 128       // of this router
-	maxReported         = 1024      // servers and conditions of which reports are kept
+	maxReports          = 1024      // servers and conditions of which reports are kept
 	reportInterval      = 100_000   // least mean time between reports that this router sends
 	reportBurst         = 8
 )
 
-// healthKey names a server and a condition reported of it.
-type healthKey struct {
+// reportKey names a server and a condition reported of it.
+type reportKey struct {
 	server    uint32
 	condition Condition
 }
 
 // observation is what this router itself saw of a server.
 type observation struct {
-	seenAt     int64
-	roundBegan int64
-	reportDue  int64
-	rounds     int // ended, with a report or without
+	observedAt     int64
+	roundStartedAt int64
+	reportDueAt    int64
+	rounds         int // ended, with a report or without
 }
 
 // HealthReports holds one router's observations of servers and the reports of all depots, and decides when to report. It needs no membership: only how many
 // routers there are. It is not safe for concurrent use. Times are microseconds.
 type HealthReports struct {
-	depot     int // of this router
-	routers   int
+	site      int // of this router
+	fleetSize int
 	rng       *rand.Rand
 	broadcast func(server uint32, condition Condition) // sends a report to all
 
-	observed  map[healthKey]*observation
-	reports   map[healthKey]map[int]int64 // time of the last report, by depot
-	succeeded map[uint32]int64            // time of the last good answer here, by server
-	tokens    float64                     // reports that may be sent now
-	tokensAt  int64
+	observed         map[reportKey]*observation
+	reports          map[reportKey]map[int]int64 // time of the last report, by depot
+	succeededAt      map[uint32]int64            // time of the last good answer here, by server
+	tokens           float64                     // reports that may be sent now
+	tokensRefilledAt int64
 }
 
 // NewHealthReports returns the state of a router of this depot, one of so many, that has observed and received nothing.
 func NewHealthReports(depot, routers int, rng *rand.Rand, broadcast func(server uint32, condition Condition)) *HealthReports {
-	return &HealthReports{depot: depot, routers: routers, rng: rng, broadcast: broadcast, observed: map[healthKey]*observation{},
-		reports: map[healthKey]map[int]int64{}, succeeded: map[uint32]int64{}, tokens: reportBurst}
+	return &HealthReports{site: depot, fleetSize: routers, rng: rng, broadcast: broadcast, observed: map[reportKey]*observation{},
+		reports: map[reportKey]map[int]int64{}, succeededAt: map[uint32]int64{}, tokens: reportBurst}
 }
 
 // ReportFailure tells that this router itself saw a condition of a server. All members are told, again and again for as long as the caller repeats it.
 // Observations beyond maxObservations are dropped.
 func (h *HealthReports) ReportFailure(now int64, server uint32, condition Condition) {
-	key := healthKey{server, condition}
+	key := reportKey{server, condition}
 	seen := h.observed[key]
 	if seen == nil {
 		if len(h.observed) >= maxObservations {
@@ -89,23 +89,23 @@
 		h.observed[key] = seen
 		h.beginRound(now, seen, firstRound)
 	}
-	seen.seenAt = now
-	h.receive(now, key, h.depot)
+	seen.observedAt = now
+	h.receive(now, key, h.site)
 	h.sendReport(now, key, seen)
 }
 
 // ReportSuccess tells that a server has just answered this router well. That overrides earlier reports of others here, and ends this router's own.
 func (h *HealthReports) ReportSuccess(now int64, server uint32) {
-	if len(h.succeeded) < maxReported || h.succeeded[server] != 0 {
-		h.succeeded[server] = now
+	if len(h.succeededAt) < maxReports || h.succeededAt[server] != 0 {
+		h.succeededAt[server] = now
 	}
 	for condition := Failing; condition < conditionEnd; condition++ {
-		delete(h.observed, healthKey{server, condition})
+		delete(h.observed, reportKey{server, condition})
 	}
 }
 
 // Ejected lists the servers, of all that there are, on which a verdict is in force: those that most depots report first, of equals the one with the lesser
-// number, the same at all routers that have received the same. One in ejectedPart of all at most, but one of two or more.
+// number, the same at all routers that have received the same. One in serversPerEjection of all at most, but one of two or more.
 func (h *HealthReports) Ejected(now int64, condition Condition, all []uint32) []uint32 {
 	type verdict struct {
 		server uint32
@@ -114,12 +114,12 @@
 	var verdicts []verdict
 	for _, server := range all {
 		depots := 0
-		for _, at := range h.reports[healthKey{server, condition}] {
-			if now-at < reportLifetime && at > h.succeeded[server] {
+		for _, at := range h.reports[reportKey{server, condition}] {
+			if now-at < reportLifetime && at > h.succeededAt[server] {
 				depots++
 			}
 		}
-		if depots >= verdictQuorum {
+		if depots >= ejectionQuorum {
 			verdicts = append(verdicts, verdict{server, depots})
 		}
 	}
@@ -129,7 +129,7 @@
 		}
 		return int(int64(a.server) - int64(b.server))
 	})
-	most := len(all) / ejectedPart
+	most := len(all) / serversPerEjection
 	if most == 0 && len(all) > 1 {
 		most = 1
 	}
@@ -144,31 +144,31 @@
 func (h *HealthReports) Tick(now int64) {
 	for _, key := range sortedKeys(h.observed) {
 		seen := h.observed[key]
-		if now-seen.seenAt >= observationLifetime {
+		if now-seen.observedAt >= observationLifetime {
 			delete(h.observed, key)
 			continue
 		}
-		h.receive(now, key, h.depot)
+		h.receive(now, key, h.site)
 		h.sendReport(now, key, seen)
 	}
-	if len(h.reports) >= maxReported/2 {
+	if len(h.reports) >= maxReports/2 {
 		h.expire(now)
 	}
 }
 
 // expire forgets reports and good answers that no longer count.
 func (h *HealthReports) expire(now int64) {
-	maps.DeleteFunc(h.reports, func(_ healthKey, byDepot map[int]int64) bool {
+	maps.DeleteFunc(h.reports, func(_ reportKey, byDepot map[int]int64) bool {
 		maps.DeleteFunc(byDepot, func(_ int, at int64) bool { return now-at >= reportLifetime })
 		return len(byDepot) == 0
 	})
-	maps.DeleteFunc(h.succeeded, func(_ uint32, at int64) bool { return now-at >= reportLifetime })
+	maps.DeleteFunc(h.succeededAt, func(_ uint32, at int64) bool { return now-at >= reportLifetime })
 }
 
 // sortedKeys orders observations, so that reports are sent in the same order on every run.
-func sortedKeys(observed map[healthKey]*observation) []healthKey {
+func sortedKeys(observed map[reportKey]*observation) []reportKey {
 	keys := slices.Collect(maps.Keys(observed))
-	slices.SortFunc(keys, func(a, b healthKey) int {
+	slices.SortFunc(keys, func(a, b reportKey) int {
 		if a.server != b.server {
 			return int(int64(a.server) - int64(b.server))
 		}
@@ -179,11 +179,11 @@
 
 // sendReport ends a round that is over: it tells all members of the observation, within the rate allowed, unless enough other depots have reported the same
 // in this round. Then it begins the next round.
-func (h *HealthReports) sendReport(now int64, key healthKey, seen *observation) {
-	if now < seen.reportDue {
+func (h *HealthReports) sendReport(now int64, key reportKey, seen *observation) {
+	if now < seen.reportDueAt {
 		return
 	}
-	suppressed := h.reportedByOthers(key, seen.roundBegan) > verdictQuorum // one more than needed: some of their reports may be lost elsewhere
+	suppressed := h.countOtherReporters(key, seen.roundStartedAt) > ejectionQuorum // one more than needed: some of their reports may be lost elsewhere
 	if !suppressed {
 		if !h.takeToken(now) {
 			return
@@ -200,20 +200,20 @@
 
 // beginRound draws when the observation is to be reported next.
 func (h *HealthReports) beginRound(now int64, seen *observation, longest int64) {
-	seen.roundBegan = now
-	seen.reportDue = now + int64(h.suppressionDelay()*float64(longest))
+	seen.roundStartedAt = now
+	seen.reportDueAt = now + int64(h.suppressionDelay()*float64(longest))
 }
 
 // suppressionDelay draws a wait as a part of the longest, with a density that grows exponentially by the optimal rate for the number of routers.
 func (h *HealthReports) suppressionDelay() float64 {
-	rate := math.Log(float64(h.routers)) + 1
+	rate := math.Log(float64(h.fleetSize)) + 1
 	return math.Log1p(h.rng.Float64()*math.Expm1(rate)) / rate
 }
 
-// reportedByOthers counts the other depots from which a report was received since a time.
-func (h *HealthReports) reportedByOthers(key healthKey, since int64) (others int) {
+// countOtherReporters counts the other depots from which a report was received since a time.
+func (h *HealthReports) countOtherReporters(key reportKey, since int64) (others int) {
 	for depot, at := range h.reports[key] {
-		if depot != h.depot && at >= since {
+		if depot != h.site && at >= since {
 			others++
 		}
 	}
@@ -222,8 +222,8 @@
 
 // takeToken takes from the bucket that bounds the rate of reports; false: it is empty.
 func (h *HealthReports) takeToken(now int64) bool {
-	h.tokens = min(h.tokens+float64(now-h.tokensAt)/reportInterval, reportBurst)
-	h.tokensAt = now
+	h.tokens = min(h.tokens+float64(now-h.tokensRefilledAt)/reportInterval, reportBurst)
+	h.tokensRefilledAt = now
 	if h.tokens < 1 {
 		return false
 	}
@@ -231,15 +231,15 @@
 	return true
 }
 
-// Receive notes that a depot reports a condition of a server. Beyond maxReported of them it is dropped.
+// Receive notes that a depot reports a condition of a server. Beyond maxReports of them it is dropped.
 func (h *HealthReports) Receive(now int64, server uint32, condition Condition, depot int) {
-	h.receive(now, healthKey{server, condition}, depot)
+	h.receive(now, reportKey{server, condition}, depot)
 }
 
-func (h *HealthReports) receive(now int64, key healthKey, depot int) {
+func (h *HealthReports) receive(now int64, key reportKey, depot int) {
 	byDepot := h.reports[key]
 	if byDepot == nil {
-		if len(h.reports) >= maxReported {
+		if len(h.reports) >= maxReports {
 			return
 		}
 		byDepot = map[int]int64{}
@@ -250,19 +250,19 @@
 
 // ReportFailure tells that this router itself saw a condition of a server: see HealthReports.
 func (n *Node) ReportFailure(now int64, server uint32, condition Condition) {
-	n.health.ReportFailure(now, server, condition)
+	n.healthReports.ReportFailure(now, server, condition)
 }
 
 // ReportSuccess tells that a server has just answered this router well: see HealthReports.
-func (n *Node) ReportSuccess(now int64, server uint32) { n.health.ReportSuccess(now, server) }
+func (n *Node) ReportSuccess(now int64, server uint32) { n.healthReports.ReportSuccess(now, server) }
 
 // Ejected lists the servers on which a verdict is in force: see HealthReports.
 func (n *Node) Ejected(now int64, condition Condition, all []uint32) []uint32 {
-	return n.health.Ejected(now, condition, all)
+	return n.healthReports.Ejected(now, condition, all)
 }
 
 // broadcastReport sends a report to all members.
 func (n *Node) broadcastReport(server uint32, condition Condition) {
-	n.outgoing.op, n.outgoing.server, n.outgoing.condition = report, server, condition
+	n.outgoing.kind, n.outgoing.server, n.outgoing.condition = healthReportMessage, server, condition
 	n.send(Broadcast)
 }
--- a/core/fleet/wire_compat_test.go
+++ b/core/fleet/wire_compat_test.go
@@ -31,42 +31,42 @@
 
 func TestWireCompat(t *testing.T) {
 	const sender = 0x05060708 // incarnation of each datagram here
-	updates := []update{{rank: 0x1112, incarnation: 0x13141516, refuted: 0x1718, state: Unheard},
-		{rank: 1, incarnation: 2, refuted: 3, state: Alive}, {rank: 4, incarnation: 5, refuted: 6, state: Suspect},
-		{rank: 7, incarnation: 8, refuted: 9, state: Dead}}
+	updates := []update{{rank: 0x1112, incarnation: 0x13141516, refutations: 0x1718, state: StateUnknown},
+		{rank: 1, incarnation: 2, refutations: 3, state: StateAlive}, {rank: 4, incarnation: 5, refutations: 6, state: StateSuspect},
+		{rank: 7, incarnation: 8, refutations: 9, state: StateDead}}
 	cases := map[string]message{
-		"ping":              {op: ping, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
-		"ping, no holder":   {op: ping, target: 1, token: 2, holder: nobody},
-		"ping with updates": {op: ping, target: 1, token: 2, limit: 3, holder: 4, updates: updates},
-		"ack":               {op: ack, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
-		"ping request":      {op: pingRequest, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
-		"lease request":     {op: leaseRequest, limit: 0x31, amount: 1000.5, stamp: 0x32333435, of: 0x36373839},
-		"lease grant": {op: leaseGrant, limit: 0x31, amount: 0.0009765625, term: 1_234_567_000, stamp: 0x32333435,
-			asked: 0x3a3b3c3d},
-		"report of a failing server": {op: report, server: 0x00c41f7a, condition: Failing},
-		"report of a crowded server": {op: report, server: 0x00c41f7a, condition: Crowded, updates: updates[1:2]},
-		"tree request": {op: treeRequest, limit: 0x41, tree: lease.Message{Kind: lease.Request, Incarnation: sender,
-			Level: 0x42, Amount: 77.25, Number: 0x43444546, Weight: 0x4748}},
-		"tree grant": {op: treeGrant, limit: 0x41, tree: lease.Message{Kind: lease.Grant, Incarnation: sender, Level: 0x42,
-			Amount: 77.25, Term: 2_000_000, Number: 0x43444546, Holder: 0x494a}},
-		"tree grant, no holder": {op: treeGrant, limit: 1, tree: lease.Message{Kind: lease.Grant, Incarnation: sender,
-			Level: 2, Number: 3, Holder: lease.Nobody}},
-		"tree vote": {op: treeVote, limit: 0x41, tree: lease.Message{Kind: lease.Vote, Incarnation: sender,
-			Stamp: 0x4b4c4d4e, Of: 0x4f505152}},
-		"tree vote ack": {op: treeVoteAck, limit: 0x41, tree: lease.Message{Kind: lease.VoteAck, Incarnation: sender,
+		"ping":              {kind: pingMessage, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
+		"ping, no holder":   {kind: pingMessage, target: 1, token: 2, holder: noRank},
+		"ping with updates": {kind: pingMessage, target: 1, token: 2, limit: 3, holder: 4, updates: updates},
+		"ack":               {kind: ackMessage, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
+		"ping request":      {kind: indirectPingMessage, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
+		"lease request":     {kind: leaseRequestMessage, limit: 0x31, amount: 1000.5, stamp: 0x32333435, candidateIncarnation: 0x36373839},
+		"lease grant": {kind: leaseGrantMessage, limit: 0x31, amount: 0.0009765625, term: 1_234_567_000, stamp: 0x32333435,
+			requestSequence: 0x3a3b3c3d},
+		"report of a failing server": {kind: healthReportMessage, server: 0x00c41f7a, condition: Failing},
+		"report of a crowded server": {kind: healthReportMessage, server: 0x00c41f7a, condition: Overloaded, updates: updates[1:2]},
+		"tree request": {kind: treeRequestMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindRequest, Incarnation: sender,
+			Level: 0x42, Amount: 77.25, RequestNumber: 0x43444546, Weight: 0x4748}},
+		"tree grant": {kind: treeGrantMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindGrant, Incarnation: sender, Level: 0x42,
+			Amount: 77.25, Term: 2_000_000, RequestNumber: 0x43444546, KnownHolder: 0x494a}},
+		"tree grant, no holder": {kind: treeGrantMessage, limit: 1, lease: lease.Message{Kind: lease.KindGrant, Incarnation: sender,
+			Level: 2, RequestNumber: 3, KnownHolder: lease.NoRank}},
+		"tree vote": {kind: treeVoteMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindVote, Incarnation: sender,
+			Stamp: 0x4b4c4d4e, CandidateIncarnation: 0x4f505152}},
+		"tree vote ack": {kind: treeVoteAckMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindVoteAck, Incarnation: sender,
 			Stamp: 0x4b4c4d4e}},
-		"tree vote ack, elected": {op: treeVoteAck, limit: 0x41, tree: lease.Message{Kind: lease.VoteAck, Incarnation: sender,
-			Stamp: 0x4b4c4d4e, Elected: true}},
+		"tree vote ack, elected": {kind: treeVoteAckMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindVoteAck, Incarnation: sender,
+			Stamp: 0x4b4c4d4e, IsElected: true}},
 	}
 	pins := readPins(t)
 	if len(pins) != len(cases) {
 		t.Errorf("%d fixtures, %d cases", len(pins), len(cases))
 	}
-	ops := map[op]bool{}
+	ops := map[messageKind]bool{}
 	for name, want := range cases {
-		ops[want.op] = true
+		ops[want.kind] = true
 		t.Run(name, func(t *testing.T) {
-			want.rank, want.depot, want.incarnation, want.sequence = 0x0102, 0x0304, sender, 0x090a0b0c
+			want.rank, want.site, want.incarnation, want.sequence = 0x0102, 0x0304, sender, 0x090a0b0c
 			if got := want.append(nil); !bytes.Equal(got, pins[name]) {
 				t.Errorf("wrote %x, fixture %x", got, pins[name])
 			}
@@ -83,7 +83,7 @@
 
 // Amounts are cut to whole units on the way out: what is wanted up, what is granted down.
 func TestWireRoundingCompat(t *testing.T) {
-	if up, down := units(1.0001, true), units(1.0009, false); up != 1025 || down != 1024 {
+	if up, down := wireUnits(1.0001, true), wireUnits(1.0009, false); up != 1025 || down != 1024 {
 		t.Errorf("up %d, down %d", up, down)
 	}
 }
--- a/core/lease/doc.go
+++ b/core/lease/doc.go
@@ -15,7 +15,7 @@
 //
 //   - The floors and what all routers have on lease never pass the limit: over by 0 of it for 0 ms. What was begun under a lease may outlast it, unless it
 //     takes less than Spare.
-//   - Each router has its floor always. Routers that reach the fleet's holder through their groups' holders have the pool besides; it is in use again Regain
+//   - Each router has its floor always. Routers that reach the fleet's holder through their groups' holders have the pool besides; it is in use again RecoveryTime
 //     after any holder, group or part of the fleet was lost, where more than half of the electors can reach one another. A part that is cut off from
 //     the fleet's holder uses what it had on lease until that ends, and its floors from then on.
 //   - A router that joins, leaves or restarts changes nothing for others but their share. Routers need not agree on who is up, nor on who holds a group.
--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -9,12 +9,12 @@
 
 // Times in microseconds.
 const (
-	demandLifetime = 4_000_000 // of what a lessee has asked for
-	shareLifetime  = 100_000   // of a fair share that was computed
+	demandLifetime    = 4_000_000 // of what a lessee has asked for
+	fairShareLifetime = 100_000   // of a fair share that was computed
 )
 
-// worthShorter is how many times as much an older lease must bear to be granted of in place of the present one: what it bears ends sooner.
-const worthShorter = 4.0 / 3
+// shorterLeaseFactor is how many times as much an older lease must bear to be granted of in place of the present one: what it bears ends sooner.
+const shorterLeaseFactor = 4.0 / 3
 
 // maxAccounts bounds the processes that a holder keeps account of: several times the ranks of the largest group below the fleet's children.
 const maxAccounts = 4096
@@ -31,42 +31,42 @@
 
 // account is what a holder knows of a lessee.
 type account struct {
-	want     float64
+	demand   float64
 	weight   int // how many routers are below it
-	wantedAt int64
+	demandAt int64
 	leases   [maxLeases]allotment // that may still be in use
 }
 
-// out is the most that a lessee may have in use from now on.
-func (a *account) out(now int64) (most float64) {
+// outstanding is the most that a lessee may have in use from now on.
+func (a *account) outstanding(now int64) (most float64) {
 	for _, l := range a.leases {
-		if now < l.until {
+		if now < l.expiresAt {
 			most = max(most, l.amount)
 		}
 	}
 	return most
 }
 
-// add books a lease in place of one that has ended. Where none has, two become one that is no less than either.
-func (a *account) add(now int64, l allotment) {
+// record books a lease in place of one that has ended. Where none has, two become one that is no less than either.
+func (a *account) record(now int64, l allotment) {
 	oldest := &a.leases[0]
 	for i := range a.leases {
-		if a.leases[i].until < oldest.until {
+		if a.leases[i].expiresAt < oldest.expiresAt {
 			oldest = &a.leases[i]
 		}
 	}
-	if now < oldest.until {
-		l = allotment{max(l.amount, oldest.amount), max(l.until, oldest.until)}
+	if now < oldest.expiresAt {
+		l = allotment{max(l.amount, oldest.amount), max(l.expiresAt, oldest.expiresAt)}
 	}
 	*oldest = l
 }
 
 // holder grants leases to the members of one group, or to the holders of the groups in it.
 type holder struct {
-	accounts   map[lesseeKey]*account
-	computedAt int64
-	share      float64 // for each router below a lessee, that none gets more than
-	surplus    float64 // for each router below, where there is more than all want
+	accounts         map[lesseeKey]*account
+	sharesComputedAt int64
+	fairShare        float64 // for each router below a lessee, that none gets more than
+	surplusShare     float64 // for each router below, where there is more than all want
 }
 
 func newHolder() *holder { return &holder{accounts: map[lesseeKey]*account{}} }
@@ -74,8 +74,8 @@
 // demand is what lessees want together.
 func (h *holder) demand(now int64) (sum float64) {
 	for _, a := range h.accounts {
-		if now-a.wantedAt < demandLifetime {
-			sum += a.want
+		if now-a.demandAt < demandLifetime {
+			sum += a.demand
 		}
 	}
 	return sum
@@ -84,52 +84,52 @@
 // weight is how many routers lessees ask for together; 0: nobody has asked lately.
 func (h *holder) weight(now int64) (sum int) {
 	for _, a := range h.accounts {
-		if now-a.wantedAt < demandLifetime {
+		if now-a.demandAt < demandLifetime {
 			sum += a.weight
 		}
 	}
 	return sum
 }
 
-func (h *holder) active(now int64) bool { return h.weight(now) > 0 }
+func (h *holder) hasDemand(now int64) bool { return h.weight(now) > 0 }
 
 // expire forgets processes that ask no more and have nothing out.
 func (h *holder) expire(now int64) {
-	maps.DeleteFunc(h.accounts, func(_ lesseeKey, a *account) bool { return now-a.wantedAt >= demandLifetime && a.out(now) == 0 })
+	maps.DeleteFunc(h.accounts, func(_ lesseeKey, a *account) bool { return now-a.demandAt >= demandLifetime && a.outstanding(now) == 0 })
 }
 
-// divide computes the fair shares of a capacity: as much for each lessee as it wants, and where that is too much, none gets more for each router below it than
+// computeFairShares computes the fair shares of a capacity: as much for each lessee as it wants, and where that is too much, none gets more for each router below it than
 // a share that the capacity just bears (max-min fairness, weighted).
-func (h *holder) divide(now int64, capacity float64) {
-	if h.computedAt != 0 && now-h.computedAt < shareLifetime {
+func (h *holder) computeFairShares(now int64, capacity float64) {
+	if h.sharesComputedAt != 0 && now-h.sharesComputedAt < fairShareLifetime {
 		return
 	}
-	h.computedAt = now
+	h.sharesComputedAt = now
 	var asking []*account
 	wanted, weights := 0.0, 0.0
 	for _, a := range h.accounts {
-		if now-a.wantedAt < demandLifetime {
+		if now-a.demandAt < demandLifetime {
 			asking = append(asking, a)
 		}
 	}
-	slices.SortFunc(asking, func(a, b *account) int { return cmp.Compare(a.want*float64(b.weight), b.want*float64(a.weight)) })
+	slices.SortFunc(asking, func(a, b *account) int { return cmp.Compare(a.demand*float64(b.weight), b.demand*float64(a.weight)) })
 	for _, a := range asking {
-		wanted += a.want
+		wanted += a.demand
 		weights += float64(a.weight)
 	}
-	h.share, h.surplus = capacity, 0
+	h.fairShare, h.surplusShare = capacity, 0
 	if wanted <= capacity {
-		h.surplus = (capacity - wanted) / max(weights, 1)
+		h.surplusShare = (capacity - wanted) / max(weights, 1)
 		return
 	}
 	left := capacity
 	for _, a := range asking {
 		part := left / weights
-		if a.want >= part*float64(a.weight) {
-			h.share = part
+		if a.demand >= part*float64(a.weight) {
+			h.fairShare = part
 			return
 		}
-		left -= a.want
+		left -= a.demand
 		weights -= float64(a.weight)
 	}
 }
@@ -146,16 +146,16 @@
 		a = &account{}
 		h.accounts[key] = a
 	}
-	a.want, a.weight, a.wantedAt = want, weight, now
-	h.divide(now, capacities[0].amount)
-	fair := min(want, h.share*float64(weight)) + h.surplus*float64(weight)
-	others := h.outOfOthers(now, key)
+	a.demand, a.weight, a.demandAt = want, weight, now
+	h.computeFairShares(now, capacities[0].amount)
+	fair := min(want, h.fairShare*float64(weight)) + h.surplusShare*float64(weight)
+	others := h.outstandingToOthers(now, key)
 	for _, capacity := range capacities {
-		lasts := min(lifetime, int64(float64(capacity.until-now)/(1+drift))) / TermUnit * TermUnit
+		lasts := min(lifetime, int64(float64(capacity.expiresAt-now)/(1+maxClockDrift))) / TermUnit * TermUnit
 		if lasts < minTerm {
 			continue
 		}
-		if fits := max(min(fair, capacity.amount-others), 0); term == 0 || fits > amount*worthShorter {
+		if fits := max(min(fair, capacity.amount-others), 0); term == 0 || fits > amount*shorterLeaseFactor {
 			amount, term = fits, lasts
 		}
 	}
@@ -163,15 +163,15 @@
 		return 0, 0
 	}
 	amount = math.Floor(amount/AmountUnit) * AmountUnit // as it goes over the wire
-	a.add(now, allotment{amount, now + term + int64(math.Ceil(float64(term)*drift))})
+	a.record(now, allotment{amount, now + term + int64(math.Ceil(float64(term)*maxClockDrift))})
 	return amount, term
 }
 
-// outOfOthers is the most that all other lessees may have in use.
-func (h *holder) outOfOthers(now int64, key lesseeKey) (sum float64) {
+// outstandingToOthers is the most that all other lessees may have in use.
+func (h *holder) outstandingToOthers(now int64, key lesseeKey) (sum float64) {
 	for other, its := range h.accounts {
 		if other != key {
-			sum += its.out(now)
+			sum += its.outstanding(now)
 		}
 	}
 	return sum
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -10,8 +10,8 @@
 // randomTopology draws a tree of one to three levels over so many routers.
 func randomTopology(rng *rand.Rand, routers int) Topology {
 	t := Topology{Routers: routers}
-	for size := 2 + rng.IntN(3); len(t.Groups) < rng.IntN(maxLevels) && size < routers; size *= 2 + rng.IntN(3) {
-		t.Groups = append(t.Groups, size)
+	for size := 2 + rng.IntN(3); len(t.GroupSizes) < rng.IntN(maxLevels) && size < routers; size *= 2 + rng.IntN(3) {
+		t.GroupSizes = append(t.GroupSizes, size)
 	}
 	electors := 1 + 2*rng.IntN(min((routers+1)/2, 3))
 	t.Electors = rng.Perm(routers)[:electors]
@@ -72,14 +72,14 @@
 	for seed := range seeds {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		topology := randomTopology(rng, 3+rng.IntN(30))
-		limit := Limit{Most: 40, Floor: 0.25 * float64(rng.IntN(2))}
+		limit := Limit{Max: 40, FloorFraction: 0.25 * float64(rng.IntN(2))}
 		w := newWorld(t, seed, topology, limit)
 		w.late = 0.04
 		check := func() {
 			sum := w.shares(nil)
 			most = max(most, sum)
-			if sum > limit.Most+1e-6 {
-				t.Fatalf("seed %d, %+v, at %.3f s: shares of %.3f pass a limit of %v", seed, topology, float64(w.now)/1e6, sum, limit.Most)
+			if sum > limit.Max+1e-6 {
+				t.Fatalf("seed %d, %+v, at %.3f s: shares of %.3f pass a limit of %v", seed, topology, float64(w.now)/1e6, sum, limit.Max)
 			}
 		}
 		w.run(w.now+12*second, check) // until there is a holder to be lost
@@ -93,7 +93,7 @@
 			}
 		}
 		for _, p := range w.processes {
-			granted += p.node.Counts.Granted
+			granted += p.node.Counts.LeasesGranted
 		}
 	}
 	if most < 39 || granted < int64(seeds)*100 {
@@ -102,18 +102,18 @@
 }
 
 // tree is 64 routers in regions of 16 and sites of 4.
-var tree = Topology{Routers: 64, Groups: []int{4, 16}, Electors: []int{1, 18, 35, 52, 61}}
+var tree = Topology{Routers: 64, GroupSizes: []int{4, 16}, Electors: []int{1, 18, 35, 52, 61}}
 
-// The pool is in use Regain after a start, and again after each holder was lost, one after the other from the smallest group's to the fleet's, with one datagram
+// The pool is in use RecoveryTime after a start, and again after each holder was lost, one after the other from the smallest group's to the fleet's, with one datagram
 // in ten lost; meanwhile all but the routers below the lost holder keep what they have.
 func TestPoolIsRegained(t *testing.T) {
-	limit := Limit{Most: 128, Floor: 0.25}
+	limit := Limit{Max: 128, FloorFraction: 0.25}
 	for seed := range uint64(6) {
 		w := newWorld(t, seed, tree, limit)
 		w.loss = 0.1
-		w.run(w.now+Regain, nil)
-		if use := w.mean(nil); use < 0.9*limit.Most {
-			t.Fatalf("seed %d: %.1f of %v in use in a whole fleet", seed, use, limit.Most)
+		w.run(w.now+RecoveryTime, nil)
+		if use := w.mean(nil); use < 0.9*limit.Max {
+			t.Fatalf("seed %d: %.1f of %v in use in a whole fleet", seed, use, limit.Max)
 		}
 		for level := 1; level <= tree.fleetLevel(); level++ {
 			holders := w.holders(level)
@@ -121,9 +121,9 @@
 				t.Fatalf("seed %d: nobody holds a group of level %d", seed, level)
 			}
 			w.kill(holders[0])
-			w.run(w.now+Regain, nil)
-			if use := w.mean(nil); use < 0.85*limit.Most {
-				t.Errorf("seed %d: %.1f of %v in use %d s after a holder of level %d was lost", seed, use, limit.Most, Regain/second, level)
+			w.run(w.now+RecoveryTime, nil)
+			if use := w.mean(nil); use < 0.85*limit.Max {
+				t.Errorf("seed %d: %.1f of %v in use %d s after a holder of level %d was lost", seed, use, limit.Max, RecoveryTime/second, level)
 			}
 			w.start(holders[0])
 		}
@@ -133,41 +133,41 @@
 // Two of four regions are cut off from the others, and from one another, for a minute: the part with three of the five electors has the pool, the others have their floors
 // once their leases have ended. All have it again after the heal.
 func TestRegionsCutOff(t *testing.T) {
-	limit := Limit{Most: 128, Floor: 0.25}
-	floors := limit.Most * limit.Floor
+	limit := Limit{Max: 128, FloorFraction: 0.25}
+	floors := limit.Max * limit.FloorFraction
 	for seed := range uint64(4) {
 		w := newWorld(t, seed, tree, limit)
-		w.run(w.now+Regain, nil)
+		w.run(w.now+RecoveryTime, nil)
 		cutOff := func(rank int) bool { return rank < 32 }
 		for rank := range w.part {
 			if cutOff(rank) {
 				w.part[rank] = 1 + rank/16
 			}
 		}
-		w.run(w.now+Regain, nil)
+		w.run(w.now+RecoveryTime, nil)
 		if use := w.shares(cutOff); math.Abs(use-floors/2) > 1e-6 {
 			t.Errorf("seed %d: %.1f in use in the regions that are cut off, their floors are %.1f", seed, use, floors/2)
 		}
-		if use := w.mean(func(rank int) bool { return !cutOff(rank) }); use < 0.9*(limit.Most-floors)+floors/2 {
+		if use := w.mean(func(rank int) bool { return !cutOff(rank) }); use < 0.9*(limit.Max-floors)+floors/2 {
 			t.Errorf("seed %d: %.1f in use in the part with the electors", seed, use)
 		}
 		w.run(w.now+second*60, nil)
 		clear(w.part)
-		w.run(w.now+Regain, nil)
-		if use := w.mean(nil); use < 0.9*limit.Most {
-			t.Errorf("seed %d: %.1f of %v in use after the heal", seed, use, limit.Most)
+		w.run(w.now+RecoveryTime, nil)
+		if use := w.mean(nil); use < 0.9*limit.Max {
+			t.Errorf("seed %d: %.1f of %v in use after the heal", seed, use, limit.Max)
 		}
 	}
 }
 
 // Seven in ten routers restart at once, and others join that were never there: nobody else restarts, and the pool is in use again.
 func TestRestartsAndNewcomers(t *testing.T) {
-	limit := Limit{Most: 128, Floor: 0.25}
+	limit := Limit{Max: 128, FloorFraction: 0.25}
 	w := newWorld(t, 5, tree, limit)
 	for rank := 56; rank < 64; rank++ { // a site and a half that is to come
 		w.kill(rank)
 	}
-	w.run(w.now+Regain, nil)
+	w.run(w.now+RecoveryTime, nil)
 	for rank := range 56 {
 		if rank%10 < 7 {
 			w.kill(rank)
@@ -177,9 +177,9 @@
 	for rank := 56; rank < 64; rank++ {
 		w.start(rank)
 	}
-	w.run(w.now+Regain, nil)
-	if use := w.mean(nil); use < 0.9*limit.Most {
-		t.Errorf("%.1f of %v in use", use, limit.Most)
+	w.run(w.now+RecoveryTime, nil)
+	if use := w.mean(nil); use < 0.9*limit.Max {
+		t.Errorf("%.1f of %v in use", use, limit.Max)
 	}
 	if use := w.shares(func(rank int) bool { return rank >= 56 }); use < 8 {
 		t.Errorf("%.1f in use at the 8 that have joined", use)
@@ -188,25 +188,25 @@
 
 // A busy router gets what idle ones leave: max-min fairness through all levels.
 func TestBusyRoutersGetMore(t *testing.T) {
-	limit := Limit{Most: 128}
+	limit := Limit{Max: 128}
 	w := newWorld(t, 6, tree, limit)
 	for rank, p := range w.processes {
-		p.node.Want(0.5)
+		p.node.SetDemand(0.5)
 		if rank == 7 || rank == 40 {
-			p.node.Want(1e5)
+			p.node.SetDemand(1e5)
 		}
 	}
-	w.run(w.now+Regain, nil)
-	if use := w.mean(func(rank int) bool { return rank == 7 || rank == 40 }); use < 0.5*limit.Most {
-		t.Errorf("%.1f of %v in use at the two that want more", use, limit.Most)
+	w.run(w.now+RecoveryTime, nil)
+	if use := w.mean(func(rank int) bool { return rank == 7 || rank == 40 }); use < 0.5*limit.Max {
+		t.Errorf("%.1f of %v in use at the two that want more", use, limit.Max)
 	}
 }
 
 // No process exchanges messages with more than its group and its children, at the same rate in a fleet of eight times the size.
 func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
 	worst := func(topology Topology) float64 {
-		w := newWorld(t, 7, topology, Limit{Most: 1000})
-		w.run(w.now+Regain, nil)
+		w := newWorld(t, 7, topology, Limit{Max: 1000})
+		w.run(w.now+RecoveryTime, nil)
 		for _, p := range w.processes {
 			p.traffic = 0
 		}
@@ -217,28 +217,28 @@
 		}
 		return float64(most) / 10
 	}
-	small := worst(Topology{Routers: 64, Groups: []int{8}, Electors: []int{1, 18, 35}})
-	large := worst(Topology{Routers: 512, Groups: []int{8, 64}, Electors: []int{1, 180, 350}})
+	small := worst(Topology{Routers: 64, GroupSizes: []int{8}, Electors: []int{1, 18, 35}})
+	large := worst(Topology{Routers: 512, GroupSizes: []int{8, 64}, Electors: []int{1, 180, 350}})
 	if large > 1.6*small { // one level more; a process may hold one group of each
 		t.Errorf("%.0f messages a second at the worst of 512 routers, %.0f of 64", large, small)
 	}
 }
 
 func TestBadOptions(t *testing.T) {
-	good := Options{Rank: 1, Topology: Topology{Routers: 8, Groups: []int{2, 4}, Electors: []int{0, 3, 5}}, Limit: Limit{Most: 1}}
+	good := Options{Rank: 1, Topology: Topology{Routers: 8, GroupSizes: []int{2, 4}, Electors: []int{0, 3, 5}}, Limit: Limit{Max: 1}}
 	for want, change := range map[string]func(*Options){
 		"routers: 0":            func(o *Options) { o.Topology.Routers = 0 },
 		"Rank: 8 of 8":          func(o *Options) { o.Rank = 8 },
-		"groups: 4 levels":      func(o *Options) { o.Topology.Groups = []int{2, 4, 8, 16} },
-		"groups[1]: 3 is not":   func(o *Options) { o.Topology.Groups = []int{2, 3} },
-		"groups[0]: 1 is not":   func(o *Options) { o.Topology.Groups = []int{1} },
+		"groups: 4 levels":      func(o *Options) { o.Topology.GroupSizes = []int{2, 4, 8, 16} },
+		"groups[1]: 3 is not":   func(o *Options) { o.Topology.GroupSizes = []int{2, 3} },
+		"groups[0]: 1 is not":   func(o *Options) { o.Topology.GroupSizes = []int{1} },
 		"electors: 2":           func(o *Options) { o.Topology.Electors = []int{0, 1} },
 		"electors: 0":           func(o *Options) { o.Topology.Electors = nil },
 		"electors[1]: rank 8":   func(o *Options) { o.Topology.Electors = []int{0, 8, 1} },
 		"electors[2]: rank 0 t": func(o *Options) { o.Topology.Electors = []int{0, 3, 0} },
-		"most: NaN":             func(o *Options) { o.Limit.Most = math.NaN() },
-		"floor: 2":              func(o *Options) { o.Limit.Floor = 2 },
-		"spare":                 func(o *Options) { o.Limit.Spare = leaseLifetime },
+		"most: NaN":             func(o *Options) { o.Limit.Max = math.NaN() },
+		"floor: 2":              func(o *Options) { o.Limit.FloorFraction = 2 },
+		"spare":                 func(o *Options) { o.Limit.ExpiryMargin = leaseLifetime },
 	} {
 		opt := good
 		change(&opt)
@@ -250,39 +250,39 @@
 
 // Messages that have no place in the tree are dropped and counted, and change nothing.
 func TestStrangersAreDropped(t *testing.T) {
-	w := newWorld(t, 8, tree, Limit{Most: 128})
-	w.run(w.now+Regain, nil)
+	w := newWorld(t, 8, tree, Limit{Max: 128})
+	w.run(w.now+RecoveryTime, nil)
 	n, now := w.processes[5].node, w.local(5)
-	before, dropped := n.Share(now), n.Counts.Dropped
+	before, dropped := n.Quota(now), n.Counts.Dropped
 	messages := []Message{
-		{Kind: 0}, {Kind: kindEnd}, {Kind: Request, Level: 0, Weight: 1}, {Kind: Request, Level: 9, Weight: 1}, {Kind: Request, Level: 1, Weight: 1, Amount: math.NaN()}, {Kind: Request, Level: 1}, {Kind: Request, Level: 1, Weight: 1 << 16},
-		{Kind: Request, Level: 3, Weight: 1}, {Kind: Grant, Level: 0}, {Kind: Grant, Level: 9}, {Kind: Grant, Level: 1, Amount: 1e9}, {Kind: Vote}, {Kind: VoteAck},
+		{Kind: 0}, {Kind: kindEnd}, {Kind: KindRequest, Level: 0, Weight: 1}, {Kind: KindRequest, Level: 9, Weight: 1}, {Kind: KindRequest, Level: 1, Weight: 1, Amount: math.NaN()}, {Kind: KindRequest, Level: 1}, {Kind: KindRequest, Level: 1, Weight: 1 << 16},
+		{Kind: KindRequest, Level: 3, Weight: 1}, {Kind: KindGrant, Level: 0}, {Kind: KindGrant, Level: 9}, {Kind: KindGrant, Level: 1, Amount: 1e9}, {Kind: KindVote}, {Kind: KindVoteAck},
 	}
 	for _, m := range messages {
 		n.Receive(now, 6, m)
 	}
-	n.Receive(now, 40, Message{Kind: Request, Level: 1, Weight: 1}) // of another site
-	n.Receive(now, 64, Message{Kind: Request, Level: 1, Weight: 1}) // of no router
-	n.Receive(now, 5, Message{Kind: Request, Level: 1, Weight: 1})  // its own
-	if got, want := n.Counts.Dropped-dropped, int64(len(messages)+3); got != want || n.Share(now) != before {
-		t.Errorf("%d dropped, want %d; share %v, %v before", got, want, n.Share(now), before)
+	n.Receive(now, 40, Message{Kind: KindRequest, Level: 1, Weight: 1}) // of another site
+	n.Receive(now, 64, Message{Kind: KindRequest, Level: 1, Weight: 1}) // of no router
+	n.Receive(now, 5, Message{Kind: KindRequest, Level: 1, Weight: 1})  // its own
+	if got, want := n.Counts.Dropped-dropped, int64(len(messages)+3); got != want || n.Quota(now) != before {
+		t.Errorf("%d dropped, want %d; share %v, %v before", got, want, n.Quota(now), before)
 	}
 }
 
 func TestTakeAndGive(t *testing.T) {
-	n, err := New(0, Options{Topology: Topology{Routers: 2, Electors: []int{0}}, Limit: Limit{Most: 4, Floor: 1}})
+	n, err := New(0, Options{Topology: Topology{Routers: 2, Electors: []int{0}}, Limit: Limit{Max: 4, FloorFraction: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	taken := 0
-	for n.Take(0) {
+	for n.TryAcquire(0) {
 		taken++
 	}
 	if taken != 2 {
 		t.Errorf("%d taken of a floor of two", taken)
 	}
-	n.Give()
-	if !n.Take(0) || n.InUse() != 2 {
+	n.Release()
+	if !n.TryAcquire(0) || n.InUse() != 2 {
 		t.Errorf("%d in use", n.InUse())
 	}
 }
@@ -293,19 +293,19 @@
 	l := newLessee(0)
 	l.holder = 3
 	sentAt := 100 * second
-	number := l.send(sentAt)
+	number := l.recordRequest(sentAt)
 	h := newHolder()
 	grantedAt := 900 * second // by the holder's clock, at the moment in which the request was sent
 	amount, granted := h.grant(grantedAt, lesseeKey{0, 1}, 5, 1, []allotment{{5, grantedAt + 10*second}}, term)
-	l.receive(sentAt+late, 3, &Message{Incarnation: 1, Amount: amount, Term: granted, Number: number})
+	l.handleGrant(sentAt+late, 3, &Message{Incarnation: 1, Amount: amount, Term: granted, RequestNumber: number})
 	if l.available(sentAt+late) != 5 {
 		t.Fatalf("%v on lease", l.available(sentAt+late))
 	}
 	out := h.accounts[lesseeKey{0, 1}]
-	slow, fast := 1-drift/2, 1+drift/2
+	slow, fast := 1-maxClockDrift/2, 1+maxClockDrift/2
 	for passed := late; passed < 2*term; passed += 1000 { // of real time since the request was sent
 		atLessee, atHolder := sentAt+int64(float64(passed)*slow), grantedAt+int64(float64(passed)*fast)
-		if l.available(atLessee) > out.out(atHolder) {
+		if l.available(atLessee) > out.outstanding(atHolder) {
 			t.Fatalf("%d us after its request a lease counts at the lessee, and no more at the holder", passed)
 		}
 	}
@@ -315,10 +315,10 @@
 func TestOldGrantsAreDropped(t *testing.T) {
 	l := newLessee(0)
 	l.holder = 3
-	first := l.send(second)
-	latest := l.send(2 * second)
+	first := l.recordRequest(second)
+	latest := l.recordRequest(2 * second)
 	grant := func(number uint32, amount float64) {
-		l.receive(2*second+1000, 3, &Message{Incarnation: 1, Amount: amount, Term: leaseLifetime, Number: number})
+		l.handleGrant(2*second+1000, 3, &Message{Incarnation: 1, Amount: amount, Term: leaseLifetime, RequestNumber: number})
 	}
 	grant(latest, 2)
 	grant(first, 9)
@@ -331,14 +331,14 @@
 // alone is a router that is the only elector, elected, in a fleet of eight without groups.
 func alone(t *testing.T) (n *Node, now int64) {
 	t.Helper()
-	n, err := New(0, Options{Rank: 0, Incarnation: 1, Topology: Topology{Routers: 8, Electors: []int{0}}, Limit: Limit{Most: 10}})
+	n, err := New(0, Options{Rank: 0, Incarnation: 1, Topology: Topology{Routers: 8, Electors: []int{0}}, Limit: Limit{Max: 10}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for now < 2*voteLifetime {
 		now = n.Tick(now)
 	}
-	if !n.elected(now) {
+	if !n.isElected(now) {
 		t.Fatal("the only elector is not elected")
 	}
 	return n, now
@@ -350,13 +350,13 @@
 	granted := map[uint32]float64{} // last, by incarnation
 	var asking uint32
 	n.Send = func(_ int, m Message) {
-		if m.Kind == Grant {
+		if m.Kind == KindGrant {
 			granted[asking] = m.Amount
 		}
 	}
 	ask := func(incarnation, number uint32) {
 		asking = incarnation
-		n.Receive(now, 3, Message{Kind: Request, Incarnation: incarnation, Level: 1, Amount: 1e5, Weight: 1, Number: number})
+		n.Receive(now, 3, Message{Kind: KindRequest, Incarnation: incarnation, Level: 1, Amount: 1e5, Weight: 1, RequestNumber: number})
 	}
 	for number := uint32(1); number < 20; number++ { // until what idle ones had has ended
 		now += renewInterval
@@ -371,17 +371,17 @@
 
 // A vote counts from the holder's stamp that it echoes, however late it comes.
 func TestVoteCountsFromItsStamp(t *testing.T) {
-	n, err := New(0, Options{Rank: 0, Incarnation: 1, Topology: Topology{Routers: 3, Electors: []int{0, 1, 2}}, Limit: Limit{Most: 10}})
+	n, err := New(0, Options{Rank: 0, Incarnation: 1, Topology: Topology{Routers: 3, Electors: []int{0, 1, 2}}, Limit: Limit{Max: 10}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	stampedAt, now := 10*second, 13*second
-	n.Receive(now, 1, Message{Kind: Vote, Incarnation: 5, Of: 1, Stamp: n.stampAt(stampedAt)})
-	if until := n.ballot.votes[1]; until <= now || until > stampedAt+voteLifetime {
+	n.Receive(now, 1, Message{Kind: KindVote, Incarnation: 5, CandidateIncarnation: 1, Stamp: n.stamp(stampedAt)})
+	if until := n.ballot.voteExpiresAt[1]; until <= now || until > stampedAt+voteLifetime {
 		t.Errorf("a vote on a stamp of %d us counts until %d us", stampedAt, until)
 	}
-	n.Receive(now, 2, Message{Kind: Vote, Incarnation: 5, Of: 9, Stamp: n.stampAt(stampedAt)})
-	if until := n.ballot.votes[2]; until != 0 {
+	n.Receive(now, 2, Message{Kind: KindVote, Incarnation: 5, CandidateIncarnation: 9, Stamp: n.stamp(stampedAt)})
+	if until := n.ballot.voteExpiresAt[2]; until != 0 {
 		t.Errorf("a vote for another start counts until %d us", until)
 	}
 }
@@ -395,15 +395,15 @@
 	if got := e.chooseCandidate(now, electors, order); got != 0 {
 		t.Fatalf("candidate %d, 0 is first", got)
 	}
-	e.incarnation, e.until = 7, now+voteLifetime
-	e.unanswered = maxUnanswered
-	for at := now; at < e.until; at += voteInterval {
-		if got := e.chooseCandidate(at, electors, order); got != 0 && got != Nobody {
+	e.candidateIncarnation, e.voteExpiresAt = 7, now+voteLifetime
+	e.unansweredVotes = maxUnanswered
+	for at := now; at < e.voteExpiresAt; at += voteInterval {
+		if got := e.chooseCandidate(at, electors, order); got != 0 && got != NoRank {
 			t.Fatalf("candidate %d while the vote for 0 counts", got)
 		}
 	}
-	e.avoided[0] = e.until + second
-	if got := e.chooseCandidate(e.until, electors, order); got != 1 {
+	e.avoidedUntil[0] = e.voteExpiresAt + second
+	if got := e.chooseCandidate(e.voteExpiresAt, electors, order); got != 1 {
 		t.Errorf("candidate %d once the vote has ended, 1 is next", got)
 	}
 }
@@ -413,15 +413,15 @@
 	l := newLessee(1)
 	l.holder = 3
 	grant := func(at int64, amount float64) {
-		l.receive(at, 3, &Message{Incarnation: 1, Amount: amount, Term: lifetimeAt(1), Number: l.send(at)})
+		l.handleGrant(at, 3, &Message{Incarnation: 1, Amount: amount, Term: leaseLifetimeAt(1), RequestNumber: l.recordRequest(at)})
 	}
 	grant(second, 9)
 	first := l.lease
 	grant(2*second, 4)
-	if got := l.leases(2 * second); len(got) != 2 || got[0] != l.lease || got[1] != first {
+	if got := l.grantableLeases(2 * second); len(got) != 2 || got[0] != l.lease || got[1] != first {
 		t.Errorf("%v, want the present lease and %v", got, first)
 	}
-	if got := l.leases(first.until); len(got) != 1 {
+	if got := l.grantableLeases(first.expiresAt); len(got) != 1 {
 		t.Errorf("%v after the older one has ended", got)
 	}
 }
--- a/core/lease/wire_compat_test.go
+++ b/core/lease/wire_compat_test.go
@@ -7,12 +7,12 @@
 // e67ffc3 hold these.
 func TestWireCompat(t *testing.T) {
 	for name, c := range map[string]struct{ got, want any }{
-		"request":            {Request, Kind(1)},
-		"grant":              {Grant, Kind(2)},
-		"vote":               {Vote, Kind(3)},
-		"vote ack":           {VoteAck, Kind(4)},
-		"end of the kinds":   {kindEnd, Kind(5)},
-		"nobody":             {Nobody, -1},
+		"request":            {KindRequest, MessageKind(1)},
+		"grant":              {KindGrant, MessageKind(2)},
+		"vote":               {KindVote, MessageKind(3)},
+		"vote ack":           {KindVoteAck, MessageKind(4)},
+		"end of the kinds":   {kindEnd, MessageKind(5)},
+		"nobody":             {NoRank, -1},
 		"unit of amounts":    {AmountUnit, 1.0 / 1024},
 		"unit of terms (us)": {TermUnit, 1000},
 	} {
--- a/core/lease/world_test.go
+++ b/core/lease/world_test.go
@@ -63,7 +63,7 @@
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: second, opt: Options{Seed: seed, Topology: topology, Limit: limit},
 		part: make([]int, topology.Routers), oneWay: map[[2]int]bool{}}
 	for rank := range topology.Routers {
-		w.processes = append(w.processes, &process{rate: 1 + (w.rng.Float64()*2-1)*drift/2, offset: w.rng.Int64N(1000 * second)})
+		w.processes = append(w.processes, &process{rate: 1 + (w.rng.Float64()*2-1)*maxClockDrift/2, offset: w.rng.Int64N(1000 * second)})
 		w.start(rank)
 	}
 	return w
@@ -87,11 +87,11 @@
 		w.t.Fatal(err)
 	}
 	node.Send = func(to int, m Message) { w.send(rank, to, m) }
-	node.Up = func(other int) bool {
+	node.IsUp = func(other int) bool {
 		up := w.processes[other].running && w.part[other] == w.part[rank]
 		return up != (w.confused > 0 && w.rng.Float64() < w.confused)
 	}
-	node.Want(1e5)
+	node.SetDemand(1e5)
 	p.node, p.running, p.still = node, true, 0
 	w.push(event{at: w.now, from: rank, to: rank, starts: p.starts})
 }
@@ -148,7 +148,7 @@
 func (w *world) shares(match func(rank int) bool) (sum float64) {
 	for rank, p := range w.processes {
 		if p.running && w.now >= p.still && (match == nil || match(rank)) {
-			sum += p.node.Share(w.local(rank))
+			sum += p.node.Quota(w.local(rank))
 		}
 	}
 	return sum
@@ -170,7 +170,7 @@
 		if !p.running {
 			continue
 		}
-		for _, held := range p.node.Holds(w.local(rank)) {
+		for _, held := range p.node.HeldLevels(w.local(rank)) {
 			if held == level {
 				ranks = append(ranks, rank)
 			}
--- a/core/moves/document_test.go
+++ b/core/moves/document_test.go
@@ -15,8 +15,8 @@
 
 const start = 1_764_576_000_000.0
 
-func move() Move {
-	return Move{Tenant: "t", Depot: "d", From: "a", To: "b", Start: start, Warm: 20_000, Shift: 60_000, Settle: 30_000, Hot: []string{"h0", "h1", "h2"}}
+func move() Migration {
+	return Migration{Tenant: "t", Site: "d", From: "a", To: "b", Start: start, WarmUp: 20_000, MinShift: 60_000, Settle: 30_000, HotObjects: []string{"h0", "h1", "h2"}}
 }
 
 func TestPhases(t *testing.T) {
@@ -26,24 +26,24 @@
 			t.Errorf("%v ms: %s, want %s", at, got, want)
 		}
 	}
-	m.HeldAt = start + 50_000
-	if got := m.Phase(start + 500_000); got != Held || m.Share(start+500_000) != m.Share(start+50_000) || !math.IsInf(m.Until(), 1) {
-		t.Errorf("%s at share %v until %v", got, m.Share(start+500_000), m.Until())
+	m.PausedAt = start + 50_000
+	if got := m.Phase(start + 500_000); got != Paused || m.MaxShare(start+500_000) != m.MaxShare(start+50_000) || !math.IsInf(m.EndsAt(), 1) {
+		t.Errorf("%s at share %v until %v", got, m.MaxShare(start+500_000), m.EndsAt())
 	}
-	m.BackAt = start + 600_000
-	if m.Phase(start+600_001) != GoingBack || m.Phase(m.Until()+1) != Back || m.Share(m.Until()+1) != 0 {
-		t.Errorf("%s, then %s", m.Phase(start+600_001), m.Phase(m.Until()+1))
+	m.RollbackAt = start + 600_000
+	if m.Phase(start+600_001) != RollingBack || m.Phase(m.EndsAt()+1) != RolledBack || m.MaxShare(m.EndsAt()+1) != 0 {
+		t.Errorf("%s, then %s", m.Phase(start+600_001), m.Phase(m.EndsAt()+1))
 	}
 }
 
 // A held move goes on from where it stood, however long it was held.
 func TestResumedGoesOnWhereItStood(t *testing.T) {
 	m := move()
-	m.HeldAt = start + 40_000
+	m.PausedAt = start + 40_000
 	for _, at := range []float64{start + 40_000, start + 90_000, start + 1e6} {
 		r := m.Resumed(at)
-		if math.Abs(r.Share(at)-m.Share(at)) > 1e-9 || r.Share(at+10_000) <= m.Share(at) || r.HeldAt != 0 {
-			t.Errorf("held at %v, resumed at %v", m.Share(at), r.Share(at))
+		if math.Abs(r.MaxShare(at)-m.MaxShare(at)) > 1e-9 || r.MaxShare(at+10_000) <= m.MaxShare(at) || r.PausedAt != 0 {
+			t.Errorf("held at %v, resumed at %v", m.MaxShare(at), r.MaxShare(at))
 		}
 	}
 }
@@ -53,31 +53,31 @@
 func TestShareIsSteady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := move()
-		m.Warm = rapid.Float64Range(1000, 60_000).Draw(t, "warm")
-		m.Shift = rapid.Float64Range(LeastShift, 300_000).Draw(t, "shift")
+		m.WarmUp = rapid.Float64Range(1000, 60_000).Draw(t, "warm")
+		m.MinShift = rapid.Float64Range(ShortestShiftMs, 300_000).Draw(t, "shift")
 		if rapid.Bool().Draw(t, "held") {
-			m.HeldAt = start + rapid.Float64Range(0, 300_000).Draw(t, "heldAt")
+			m.PausedAt = start + rapid.Float64Range(0, 300_000).Draw(t, "heldAt")
 		}
 		if rapid.Bool().Draw(t, "back") {
-			m.BackAt = start + rapid.Float64Range(0, 300_000).Draw(t, "backAt")
+			m.RollbackAt = start + rapid.Float64Range(0, 300_000).Draw(t, "backAt")
 		}
 		apart := rapid.Float64Range(0, 2000).Draw(t, "apart")
-		fastest := max(1/m.Shift, hotShare/m.Warm)
-		m.Slow = m.Shift * rapid.Float64Range(1, 4).Draw(t, "slow")
+		fastest := max(1/m.MinShift, hotShare/m.WarmUp)
+		m.MaxShift = m.MinShift * rapid.Float64Range(1, 4).Draw(t, "slow")
 		last := 0.0
 		for at := start - 5000; at < start+800_000; at += 777 {
-			share := m.Share(at)
-			if low := m.Floor(at); low < 0 || low > share || share > 1 {
+			share := m.MaxShare(at)
+			if low := m.MinShare(at); low < 0 || low > share || share > 1 {
 				t.Fatalf("share %v over a floor of %v", share, low)
 			}
-			if at > m.Until() && m.Floor(at) != share {
-				t.Fatalf("over, and still %v to %v", m.Floor(at), share)
+			if at > m.EndsAt() && m.MinShare(at) != share {
+				t.Fatalf("over, and still %v to %v", m.MinShare(at), share)
 			}
-			back := m.BackAt > 0 && at > m.BackAt // and was so at the last look
-			if turned := back && at-777 <= m.BackAt; !turned && (back && share > last+1e-9 || !back && share < last-1e-9) {
+			back := m.RollbackAt > 0 && at > m.RollbackAt // and was so at the last look
+			if turned := back && at-777 <= m.RollbackAt; !turned && (back && share > last+1e-9 || !back && share < last-1e-9) {
 				t.Fatalf("share %v after %v at %v", share, last, at)
 			}
-			if d := math.Abs(m.Share(at+apart) - share); d > apart*fastest+1e-6 {
+			if d := math.Abs(m.MaxShare(at+apart) - share); d > apart*fastest+1e-6 {
 				t.Fatalf("clocks %v ms apart differ by %v", apart, d)
 			}
 			last = share
@@ -88,17 +88,17 @@
 // Objects move in one order, the hot ones first as named, and each moves once.
 func TestObjectsMoveInOrder(t *testing.T) {
 	m := move()
-	if m.Place("h0") >= m.Place("h1") || m.Place("h2") >= hotShare {
-		t.Errorf("hot objects at %v, %v, %v", m.Place("h0"), m.Place("h1"), m.Place("h2"))
+	if m.Position("h0") >= m.Position("h1") || m.Position("h2") >= hotShare {
+		t.Errorf("hot objects at %v, %v, %v", m.Position("h0"), m.Position("h1"), m.Position("h2"))
 	}
-	half, moved := start+m.Warm+m.Shift/2, 0
+	half, moved := start+m.WarmUp+m.MinShift/2, 0
 	for i := range 10_000 {
 		object := fmt.Sprintf("%016x", i)
-		place := m.Place(object)
-		if place < m.Share(start+m.Warm) || place >= m.Share(start+m.Warm+m.Shift) {
+		place := m.Position(object)
+		if place < m.MaxShare(start+m.WarmUp) || place >= m.MaxShare(start+m.WarmUp+m.MinShift) {
 			t.Fatalf("%s at %v moves in the warming or never", object, place)
 		}
-		if place < m.Share(half) {
+		if place < m.MaxShare(half) {
 			moved++
 		}
 	}
@@ -108,32 +108,32 @@
 }
 
 func TestCheckNamesTheField(t *testing.T) {
-	before := &Document{Version: 3, Moves: []Move{move()}}
+	before := &Document{Version: 3, Migrations: []Migration{move()}}
 	for want, spoil := range map[string]func(*Document){
 		"version: ":                          func(d *Document) { d.Version = 3 },
-		"moves[0].tenant: ":                  func(d *Document) { d.Moves[0].Depot = "" },
-		"moves[0].to: ":                      func(d *Document) { d.Moves[0].To = "a" },
-		"moves[0].start: can't be used: NaN": func(d *Document) { d.Moves[0].Start = math.NaN() },
-		"moves[0].warm: ":                    func(d *Document) { d.Moves[0].Warm = -1 },
-		"moves[0].shift: ":                   func(d *Document) { d.Moves[0].Shift = 9999 },
-		"moves[0].slow: ":                    func(d *Document) { d.Moves[0].Slow = 100 },
-		"moves[1].tenant: can't be used: t moves twice":   func(d *Document) { d.Moves = append(d.Moves, move()); d.Moves[1].Depot = "*" },
-		"moves: can't be used: that of t in d is warming": func(d *Document) { d.Moves = nil },
-		"moves[0].hot: ":    func(d *Document) { d.Moves[0].Warm = 0 },
-		"moves[0].backAt: ": func(d *Document) { d.Moves[0].BackAt = start - 1 },
-		"moves[0].start: can't be used: would be done already": func(d *Document) { d.Moves[0].Tenant = "late" },
+		"moves[0].tenant: ":                  func(d *Document) { d.Migrations[0].Site = "" },
+		"moves[0].to: ":                      func(d *Document) { d.Migrations[0].To = "a" },
+		"moves[0].start: can't be used: NaN": func(d *Document) { d.Migrations[0].Start = math.NaN() },
+		"moves[0].warm: ":                    func(d *Document) { d.Migrations[0].WarmUp = -1 },
+		"moves[0].shift: ":                   func(d *Document) { d.Migrations[0].MinShift = 9999 },
+		"moves[0].slow: ":                    func(d *Document) { d.Migrations[0].MaxShift = 100 },
+		"moves[1].tenant: can't be used: t moves twice":   func(d *Document) { d.Migrations = append(d.Migrations, move()); d.Migrations[1].Site = "*" },
+		"moves: can't be used: that of t in d is warming": func(d *Document) { d.Migrations = nil },
+		"moves[0].hot: ":    func(d *Document) { d.Migrations[0].WarmUp = 0 },
+		"moves[0].backAt: ": func(d *Document) { d.Migrations[0].RollbackAt = start - 1 },
+		"moves[0].start: can't be used: would be done already": func(d *Document) { d.Migrations[0].Tenant = "late" },
 	} {
-		d := &Document{Version: 4, Moves: []Move{move()}}
+		d := &Document{Version: 4, Migrations: []Migration{move()}}
 		spoil(d)
 		now := start + 1000
 		if strings.Contains(want, "would be") {
 			now = start + 1e6
 		}
-		if err := d.Check(now, before); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if err := d.Validate(now, before); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
-	if err := (&Document{Version: 4, Moves: []Move{move()}}).Check(start+1e6, before); err != nil {
+	if err := (&Document{Version: 4, Migrations: []Migration{move()}}).Validate(start+1e6, before); err != nil {
 		t.Errorf("a move begun before: %v", err)
 	}
 }
@@ -142,6 +142,6 @@
 	m := move()
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Place("00f3a9c21e0b4d65")
+		m.Position("00f3a9c21e0b4d65")
 	}
 }
--- a/core/moves/order/order.go
+++ b/core/moves/order/order.go
@@ -16,272 +16,272 @@
 	"spantack/core/moves"
 )
 
-// Wish is a tenant that is to move in a depot. Rates are KB a second, of all the depot's routers together.
-type Wish struct {
-	Tenant   string
-	From, To string
-	KbPerS   float64  // what it asks for
-	FillKb   float64  // what its new cell has to fill before it knows the tenant; AskedIn times KbPerS where nothing better is known
-	Hot      []string // objects to go first
+// Request is a tenant that is to move in a depot. Rates are KB a second, of all the depot's routers together.
+type Request struct {
+	Tenant     string
+	From, To   string
+	KbPerS     float64  // what it asks for
+	FillKb     float64  // what its new cell has to fill before it knows the tenant; WorkingSetSeconds times KbPerS where nothing better is known
+	HotObjects []string // objects to go first
 }
 
-// AskedIn is the time, in seconds, in which a tenant asks for most of what it asks for at all.
-const AskedIn = 20.0
+// WorkingSetSeconds is the time, in seconds, in which a tenant asks for most of what it asks for at all.
+const WorkingSetSeconds = 20.0
 
-// CellRoom is what one cell bears. Rates are KB a second.
-type CellRoom struct {
-	Bears float64 // sendings of its caches
-	Lives float64 // of them used now
-	Fill  float64 // fills beyond those of now; 0: no bound
+// CellCapacity is what one cell bears. Rates are KB a second.
+type CellCapacity struct {
+	SendKbPerS float64 // sendings of its caches
+	UsedKbPerS float64 // of them used now
+	FillKbPerS float64 // fills beyond those of now; 0: no bound
 }
 
-// Aim is what a schedule is made for. Times are Unix milliseconds, spans milliseconds, rates KB a second.
-type Aim struct {
-	Depot  string
-	Start  float64
-	Warm   float64 // of a move that names hot objects
-	Shift  float64 // of a move at the least
-	Slow   float64 // multiple of Shift that a move may take in trouble; 1 at the least
-	Settle float64
-	Cells  map[string]CellRoom
-	Fill   float64 // fills into the depot, beyond those of now; 0: no bound
-	Origin float64 // of fills, those that reach the head office; 0: no bound
-	Deep   float64 // part of fills that do
+// Constraints is what a schedule is made for. Times are Unix milliseconds, spans milliseconds, rates KB a second.
+type Constraints struct {
+	Site               string
+	Start              float64
+	WarmUp             float64 // of a move that names hot objects
+	MinShift           float64 // of a move at the least
+	MaxShiftFactor     float64 // multiple of Shift that a move may take in trouble; 1 at the least
+	Settle             float64
+	Cells              map[string]CellCapacity
+	SiteFillKbPerS     float64 // fills into the depot, beyond those of now; 0: no bound
+	OriginFillKbPerS   float64 // of fills, those that reach the head office; 0: no bound
+	OriginFillFraction float64 // part of fills that do
 }
 
 // Schedule is when each tenant moves. A tenant for whom there is no room at any time is left out, with the reason.
 type Schedule struct {
-	Moves   []moves.Move
-	End     float64            // when the last has shifted
-	Bound   float64            // no schedule that keeps the limits ends sooner
-	Peak    map[string]float64 // greatest part of each limit in use, by its name
-	LeftOut map[string]string  // reason by tenant
+	Migrations  []moves.Migration
+	End         float64            // when the last has shifted
+	LowerBound  float64            // no schedule that keeps the limits ends sooner
+	PeakUse     map[string]float64 // greatest part of each limit in use, by its name
+	Unscheduled map[string]string  // reason by tenant
 }
 
-// ErrPlan is wrapped by the error for wishes that can't be planned.
-var ErrPlan = errors.New("no plan")
+// ErrInvalid is wrapped by the error for wishes that can't be planned.
+var ErrInvalid = errors.New("no plan")
 
 const (
-	slotMs    = 1000.0 // of the time table
-	mostSlots = 4 * 3600
-	// grain is the part of a limit that one move takes at most: several go on at once, and a small one is not held up by a large one.
-	grain = 0.5
-	// cellPart of what a cell bears may be in use once all that move there have come.
-	cellPart = 0.95
+	slotMs   = 1000.0 // of the time table
+	maxSlots = 4 * 3600
+	// maxBatchFraction is the part of a limit that one move takes at most: several go on at once, and a small one is not held up by a large one.
+	maxBatchFraction = 0.5
+	// usableCellFraction of what a cell bears may be in use once all that move there have come.
+	usableCellFraction = 0.95
 )
 
 // limit is one thing that moves share, in use by slot.
 type limit struct {
-	name string
-	most float64
-	used []float64
+	name     string
+	capacity float64
+	used     []float64
 }
 
 // planner keeps the time table.
 type planner struct {
-	aim    *Aim
-	limits []*limit
-	fill   map[string]*limit // by cell
-	room   map[string]*limit // load of a cell
-	all    *limit
-	deep   *limit
+	constraints *Constraints
+	limits      []*limit
+	cellFills   map[string]*limit // by cell
+	cellLoads   map[string]*limit // load of a cell
+	siteFills   *limit
+	originFills *limit
 }
 
-func (p *planner) add(name string, most float64) *limit {
-	l := &limit{name: name, most: most, used: make([]float64, mostSlots)}
+func (p *planner) addLimit(name string, most float64) *limit {
+	l := &limit{name: name, capacity: most, used: make([]float64, maxSlots)}
 	p.limits = append(p.limits, l)
 	return l
 }
 
-// trip is a move, or moves that go at the same pace since each needs the room that another leaves.
-type trip struct {
-	wishes []Wish
-	ms     float64 // warm and shift
-	kb     float64
+// batch is a move, or moves that go at the same pace since each needs the room that another leaves.
+type batch struct {
+	requests   []Request
+	durationMs float64 // warm and shift
+	kbPerS     float64
 }
 
 // Plan orders moves: the shortest first, as many at once as the limits of cells, link and head office bear together. Moves that
 // wait for each other's room in a circle go at one pace, so that what comes and what goes keep level.
-func Plan(wishes []Wish, aim Aim) (*Schedule, error) {
-	if err := aim.check(wishes); err != nil {
+func Plan(wishes []Request, aim Constraints) (*Schedule, error) {
+	if err := aim.validate(wishes); err != nil {
 		return nil, err
 	}
-	p := &planner{aim: &aim, fill: map[string]*limit{}, room: map[string]*limit{}}
+	p := &planner{constraints: &aim, cellFills: map[string]*limit{}, cellLoads: map[string]*limit{}}
 	for _, name := range sortedKeys(aim.Cells) {
 		c := aim.Cells[name]
-		if c.Fill > 0 {
-			p.fill[name] = p.add("fills into "+name, c.Fill)
+		if c.FillKbPerS > 0 {
+			p.cellFills[name] = p.addLimit("fills into "+name, c.FillKbPerS)
 		}
-		p.room[name] = p.add("load of "+name, max(cellPart*c.Bears, c.Lives))
-		for i := range p.room[name].used {
-			p.room[name].used[i] = c.Lives
+		p.cellLoads[name] = p.addLimit("load of "+name, max(usableCellFraction*c.SendKbPerS, c.UsedKbPerS))
+		for i := range p.cellLoads[name].used {
+			p.cellLoads[name].used[i] = c.UsedKbPerS
 		}
 	}
-	if aim.Fill > 0 {
-		p.all = p.add("fills into the depot", aim.Fill)
+	if aim.SiteFillKbPerS > 0 {
+		p.siteFills = p.addLimit("fills into the depot", aim.SiteFillKbPerS)
 	}
-	if aim.Origin > 0 {
-		p.deep = p.add("head office", aim.Origin)
+	if aim.OriginFillKbPerS > 0 {
+		p.originFills = p.addLimit("head office", aim.OriginFillKbPerS)
 	}
-	s := &Schedule{Peak: map[string]float64{}, LeftOut: map[string]string{}}
-	s.Bound = p.bound(wishes)
-	var waiting []trip
+	s := &Schedule{PeakUse: map[string]float64{}, Unscheduled: map[string]string{}}
+	s.LowerBound = p.lowerBound(wishes)
+	var waiting []batch
 	for _, w := range wishes {
-		waiting = append(waiting, p.trip([]Wish{w}))
+		waiting = append(waiting, p.newBatch([]Request{w}))
 	}
-	waiting = p.pass(waiting, s)
+	waiting = p.placeBatches(waiting, s)
 	if len(waiting) > 0 { // no room at any time, unless those that leave and those that come go together
-		waiting = p.pass(p.knots(waiting), s)
+		waiting = p.placeBatches(p.joinCycles(waiting), s)
 	}
 	for _, t := range waiting {
-		for _, w := range t.wishes {
-			s.LeftOut[w.Tenant] = p.why(t)
+		for _, w := range t.requests {
+			s.Unscheduled[w.Tenant] = p.unscheduledReason(t)
 		}
 	}
 	for _, l := range p.limits {
-		s.Peak[l.name] = slices.Max(l.used) / l.most
+		s.PeakUse[l.name] = slices.Max(l.used) / l.capacity
 	}
-	slices.SortStableFunc(s.Moves, func(a, b moves.Move) int {
+	slices.SortStableFunc(s.Migrations, func(a, b moves.Migration) int {
 		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	return s, nil
 }
 
-func (a *Aim) check(wishes []Wish) error {
-	if !(a.Start > 0) || !(a.Shift >= moves.LeastShift) || !(a.Slow >= 1) || !(a.Warm >= 0) || !(a.Settle >= 0) || !(a.Fill >= 0) || !(a.Origin >= 0) || !(a.Deep >= 0 && a.Deep <= 1) {
-		return fmt.Errorf("%w: start above 0, shift %d ms or more, slow 1 or more, deep 0 to 1, the rest 0 or more", ErrPlan, moves.LeastShift)
+func (a *Constraints) validate(wishes []Request) error {
+	if !(a.Start > 0) || !(a.MinShift >= moves.ShortestShiftMs) || !(a.MaxShiftFactor >= 1) || !(a.WarmUp >= 0) || !(a.Settle >= 0) || !(a.SiteFillKbPerS >= 0) || !(a.OriginFillKbPerS >= 0) || !(a.OriginFillFraction >= 0 && a.OriginFillFraction <= 1) {
+		return fmt.Errorf("%w: start above 0, shift %d ms or more, slow 1 or more, deep 0 to 1, the rest 0 or more", ErrInvalid, moves.ShortestShiftMs)
 	}
 	seen := map[string]bool{}
 	for _, w := range wishes {
 		for _, cell := range []string{w.From, w.To} {
 			if _, known := a.Cells[cell]; !known {
-				return fmt.Errorf("%w: tenant %s: no cell %q", ErrPlan, w.Tenant, cell)
+				return fmt.Errorf("%w: tenant %s: no cell %q", ErrInvalid, w.Tenant, cell)
 			}
 		}
 		switch {
 		case seen[w.Tenant]:
-			return fmt.Errorf("%w: tenant %s twice", ErrPlan, w.Tenant)
+			return fmt.Errorf("%w: tenant %s twice", ErrInvalid, w.Tenant)
 		case w.From == w.To:
-			return fmt.Errorf("%w: tenant %s is in %s", ErrPlan, w.Tenant, w.To)
+			return fmt.Errorf("%w: tenant %s is in %s", ErrInvalid, w.Tenant, w.To)
 		case !(w.KbPerS >= 0 && w.KbPerS < 1e12) || !(w.FillKb >= 0 && w.FillKb < 1e15):
-			return fmt.Errorf("%w: tenant %s: %v KB/s, %v KB to fill", ErrPlan, w.Tenant, w.KbPerS, w.FillKb)
+			return fmt.Errorf("%w: tenant %s: %v KB/s, %v KB to fill", ErrInvalid, w.Tenant, w.KbPerS, w.FillKb)
 		}
 		seen[w.Tenant] = true
 	}
 	return nil
 }
 
-// trip finds how long moves take: the least shift, or as long as no limit gives more than its grain.
-func (p *planner) trip(wishes []Wish) trip {
-	t := trip{wishes: wishes, ms: p.aim.Shift}
+// newBatch finds how long moves take: the least shift, or as long as no limit gives more than its grain.
+func (p *planner) newBatch(wishes []Request) batch {
+	t := batch{requests: wishes, durationMs: p.constraints.MinShift}
 	sum := 0.0
 	for _, w := range wishes {
-		if l := p.fill[w.To]; l != nil {
-			t.ms = max(t.ms, 1000*w.FillKb/(grain*l.most))
+		if l := p.cellFills[w.To]; l != nil {
+			t.durationMs = max(t.durationMs, 1000*w.FillKb/(maxBatchFraction*l.capacity))
 		}
 		sum += w.FillKb
-		t.kb += w.KbPerS
+		t.kbPerS += w.KbPerS
 	}
-	if p.all != nil {
-		t.ms = max(t.ms, 1000*sum/(grain*p.all.most))
+	if p.siteFills != nil {
+		t.durationMs = max(t.durationMs, 1000*sum/(maxBatchFraction*p.siteFills.capacity))
 	}
-	if p.deep != nil {
-		t.ms = max(t.ms, 1000*sum*p.aim.Deep/(grain*p.deep.most))
+	if p.originFills != nil {
+		t.durationMs = max(t.durationMs, 1000*sum*p.constraints.OriginFillFraction/(maxBatchFraction*p.originFills.capacity))
 	}
-	if slices.ContainsFunc(wishes, func(w Wish) bool { return len(w.Hot) > 0 }) {
-		t.ms += p.aim.Warm
+	if slices.ContainsFunc(wishes, func(w Request) bool { return len(w.HotObjects) > 0 }) {
+		t.durationMs += p.constraints.WarmUp
 	}
 	return t
 }
 
-// bound is the least time by volume: a limit fills no more than its rate.
-func (p *planner) bound(wishes []Wish) float64 {
+// lowerBound is the least time by volume: a limit fills no more than its rate.
+func (p *planner) lowerBound(wishes []Request) float64 {
 	least, all := 0.0, 0.0
 	into := map[string]float64{}
 	for _, w := range wishes {
 		into[w.To] += w.FillKb
 		all += w.FillKb
-		least = max(least, p.aim.Shift)
+		least = max(least, p.constraints.MinShift)
 	}
-	for cell, l := range p.fill {
-		least = max(least, 1000*into[cell]/l.most)
+	for cell, l := range p.cellFills {
+		least = max(least, 1000*into[cell]/l.capacity)
 	}
-	if p.all != nil {
-		least = max(least, 1000*all/p.all.most)
+	if p.siteFills != nil {
+		least = max(least, 1000*all/p.siteFills.capacity)
 	}
-	if p.deep != nil {
-		least = max(least, 1000*all*p.aim.Deep/p.deep.most)
+	if p.originFills != nil {
+		least = max(least, 1000*all*p.constraints.OriginFillFraction/p.originFills.capacity)
 	}
-	return p.aim.Start + least
+	return p.constraints.Start + least
 }
 
-// pass places trips, the shortest first, and returns those for which there was no room.
-func (p *planner) pass(trips []trip, s *Schedule) (left []trip) {
-	slices.SortStableFunc(trips, func(a, b trip) int {
-		return cmp.Or(cmp.Compare(a.ms, b.ms), cmp.Compare(a.kb, b.kb), cmp.Compare(a.wishes[0].Tenant, b.wishes[0].Tenant))
+// placeBatches places trips, the shortest first, and returns those for which there was no room.
+func (p *planner) placeBatches(trips []batch, s *Schedule) (left []batch) {
+	slices.SortStableFunc(trips, func(a, b batch) int {
+		return cmp.Or(cmp.Compare(a.durationMs, b.durationMs), cmp.Compare(a.kbPerS, b.kbPerS), cmp.Compare(a.requests[0].Tenant, b.requests[0].Tenant))
 	})
 	// A trip that found no room because others had not left yet is tried again while trips are still placed.
 	for again := true; again && len(trips) > 0; {
 		again = false
 		left = nil
 		for _, t := range trips {
-			at := p.find(t)
+			at := p.firstFit(t)
 			if at < 0 {
 				left = append(left, t)
 				continue
 			}
 			again = true
-			p.place(t, at)
-			p.book(t, at, s)
+			p.reserve(t, at)
+			p.addMigrations(t, at, s)
 		}
 		trips = left
 	}
 	return trips
 }
 
-// uses calls for each limit that a trip takes of, with how much, from slot to slot; more reports that the rest of the time is meant.
-func (p *planner) uses(t trip, at int, each func(l *limit, much float64, from, until int)) {
-	n := int(math.Ceil(t.ms / slotMs))
+// eachUse calls for each limit that a trip takes of, with how much, from slot to slot; more reports that the rest of the time is meant.
+func (p *planner) eachUse(t batch, at int, each func(l *limit, much float64, from, until int)) {
+	n := int(math.Ceil(t.durationMs / slotMs))
 	net := map[string]float64{}
 	sum := 0.0
-	for _, w := range t.wishes {
-		rate := 1000 * w.FillKb / t.ms
-		if l := p.fill[w.To]; l != nil {
+	for _, w := range t.requests {
+		rate := 1000 * w.FillKb / t.durationMs
+		if l := p.cellFills[w.To]; l != nil {
 			each(l, rate, at, at+n)
 		}
 		sum += rate
 		net[w.To] += w.KbPerS
 		net[w.From] -= w.KbPerS
 	}
-	if p.all != nil {
-		each(p.all, sum, at, at+n)
+	if p.siteFills != nil {
+		each(p.siteFills, sum, at, at+n)
 	}
-	if p.deep != nil {
-		each(p.deep, sum*p.aim.Deep, at, at+n)
+	if p.originFills != nil {
+		each(p.originFills, sum*p.constraints.OriginFillFraction, at, at+n)
 	}
 	for _, cell := range sortedKeys(net) {
 		if much := net[cell]; much > 0 { // from the first on, since a move may go faster than planned
-			each(p.room[cell], much, at, mostSlots)
+			each(p.cellLoads[cell], much, at, maxSlots)
 		} else if much < 0 {
-			each(p.room[cell], much, at+n, mostSlots)
+			each(p.cellLoads[cell], much, at+n, maxSlots)
 		}
 	}
 }
 
-// find is the first slot at which a trip keeps all limits; -1: none.
-func (p *planner) find(t trip) int {
-	n := int(math.Ceil(t.ms / slotMs))
-	for at := 0; at+n < mostSlots; {
+// firstFit is the first slot at which a trip keeps all limits; -1: none.
+func (p *planner) firstFit(t batch) int {
+	n := int(math.Ceil(t.durationMs / slotMs))
+	for at := 0; at+n < maxSlots; {
 		next := at
-		p.uses(t, at, func(l *limit, much float64, from, until int) {
+		p.eachUse(t, at, func(l *limit, much float64, from, until int) {
 			if much <= 0 {
 				return
 			}
 			for i := until - 1; i >= from && next <= at; i-- { // the last that has no room: the trip must begin after it
-				if l.used[i]+much > l.most*(1+1e-9) {
+				if l.used[i]+much > l.capacity*(1+1e-9) {
 					next = i + 1
-					if until == mostSlots && i == mostSlots-1 {
-						next = mostSlots
+					if until == maxSlots && i == maxSlots-1 {
+						next = maxSlots
 					}
 				}
 			}
@@ -294,37 +294,37 @@
 	return -1
 }
 
-func (p *planner) place(t trip, at int) {
-	p.uses(t, at, func(l *limit, much float64, from, until int) {
-		for i := from; i < min(until, mostSlots); i++ {
+func (p *planner) reserve(t batch, at int) {
+	p.eachUse(t, at, func(l *limit, much float64, from, until int) {
+		for i := from; i < min(until, maxSlots); i++ {
 			l.used[i] += much
 		}
 	})
 }
 
-// book writes the moves of a trip.
-func (p *planner) book(t trip, at int, s *Schedule) {
-	for _, w := range t.wishes {
-		m := moves.Move{Tenant: w.Tenant, Depot: p.aim.Depot, From: w.From, To: w.To, Start: p.aim.Start + float64(at)*slotMs, Shift: t.ms, Settle: p.aim.Settle, Hot: w.Hot}
-		if len(w.Hot) > 0 {
-			m.Warm = p.aim.Warm
-			m.Shift = max(t.ms-m.Warm, moves.LeastShift)
+// addMigrations writes the moves of a trip.
+func (p *planner) addMigrations(t batch, at int, s *Schedule) {
+	for _, w := range t.requests {
+		m := moves.Migration{Tenant: w.Tenant, Site: p.constraints.Site, From: w.From, To: w.To, Start: p.constraints.Start + float64(at)*slotMs, MinShift: t.durationMs, Settle: p.constraints.Settle, HotObjects: w.HotObjects}
+		if len(w.HotObjects) > 0 {
+			m.WarmUp = p.constraints.WarmUp
+			m.MinShift = max(t.durationMs-m.WarmUp, moves.ShortestShiftMs)
 		}
-		m.Slow = p.aim.Slow * m.Shift
-		s.Moves = append(s.Moves, m)
-		s.End = max(s.End, m.Start+m.Warm+m.Shift)
+		m.MaxShift = p.constraints.MaxShiftFactor * m.MinShift
+		s.Migrations = append(s.Migrations, m)
+		s.End = max(s.End, m.Start+m.WarmUp+m.MinShift)
 	}
 }
 
-// why tells what keeps a trip from ever finding room.
-func (p *planner) why(t trip) string {
+// unscheduledReason tells what keeps a trip from ever finding room.
+func (p *planner) unscheduledReason(t batch) string {
 	reason := "no time within four hours"
-	p.uses(t, 0, func(l *limit, much float64, _, until int) {
+	p.eachUse(t, 0, func(l *limit, much float64, _, until int) {
 		switch {
-		case much > l.most:
-			reason = fmt.Sprintf("%s: %.0f KB/s needed, %.0f in all", l.name, much, l.most)
-		case until == mostSlots && much > 0 && l.used[mostSlots-1]+much > l.most:
-			reason = fmt.Sprintf("%s: %.0f KB/s needed, %.0f left once all others have moved", l.name, much, l.most-l.used[mostSlots-1])
+		case much > l.capacity:
+			reason = fmt.Sprintf("%s: %.0f KB/s needed, %.0f in all", l.name, much, l.capacity)
+		case until == maxSlots && much > 0 && l.used[maxSlots-1]+much > l.capacity:
+			reason = fmt.Sprintf("%s: %.0f KB/s needed, %.0f left once all others have moved", l.name, much, l.capacity-l.used[maxSlots-1])
 		}
 	})
 	return reason
@@ -356,11 +356,11 @@
 	return g, names
 }
 
-// knots joins trips whose cells lie on a circle into one, and leaves the others.
-func (p *planner) knots(trips []trip) []trip {
+// joinCycles joins trips whose cells lie on a circle into one, and leaves the others.
+func (p *planner) joinCycles(trips []batch) []batch {
 	g, names := cellGraph(func(each func(from, to string)) {
 		for _, t := range trips {
-			each(t.wishes[0].From, t.wishes[0].To)
+			each(t.requests[0].From, t.requests[0].To)
 		}
 	})
 	in := map[string]int{}
@@ -369,10 +369,10 @@
 			in[names[n.ID()]] = i
 		}
 	}
-	joined := map[int][]Wish{}
-	var out []trip
+	joined := map[int][]Request{}
+	var out []batch
 	for _, t := range trips {
-		w := t.wishes[0]
+		w := t.requests[0]
 		if in[w.From] == in[w.To] {
 			joined[in[w.From]] = append(joined[in[w.From]], w)
 		} else {
@@ -380,15 +380,15 @@
 		}
 	}
 	for _, i := range sortedKeys(joined) {
-		out = append(out, p.trip(joined[i]))
+		out = append(out, p.newBatch(joined[i]))
 	}
 	return out
 }
 
-// Circles lists cells whose moves wait for each other's room, each circle from its least cell on: A to B, B to C, C to A.
-func Circles(d *moves.Document) [][]string {
+// Cycles lists cells whose moves wait for each other's room, each circle from its least cell on: A to B, B to C, C to A.
+func Cycles(d *moves.Document) [][]string {
 	g, names := cellGraph(func(each func(from, to string)) {
-		for _, m := range d.Moves {
+		for _, m := range d.Migrations {
 			each(m.From, m.To)
 		}
 	})
--- a/core/moves/pace_test.go
+++ b/core/moves/pace_test.go
@@ -15,17 +15,17 @@
 	return rng.Float64() < 0.02+min(4*max(share-p.bears, 0), 0.9)
 }
 
-// drive takes a pace through a move in virtual time, with perS requests a second; each is called with the share at every look.
-func drive(m *Move, p *Pace, perS float64, rng *rand.Rand, cell func(now float64) plant, each func(now, share float64)) {
-	for now := m.Start - 1000; now < m.Start+m.Warm+m.slow()+m.Settle; now += 1000 / perS {
-		p.Bears(1)
+// drive takes a pace through a move in virtual time, with perSecond requests a second; each is called with the share at every look.
+func drive(m *Migration, p *Pacer, perS float64, rng *rand.Rand, cell func(now float64) plant, each func(now, share float64)) {
+	for now := m.Start - 1000; now < m.Start+m.WarmUp+m.longestShift()+m.Settle; now += 1000 / perS {
+		p.SetWarmCapacity(1)
 		share := p.Step(now, m)
 		if over := rng.Float64() < share; over {
-			p.Saw(now, true, cell(now).late(share, rng))
+			p.ObserveAnswer(now, true, cell(now).late(share, rng))
 		} else {
-			p.Saw(now, false, rng.Float64() < 0.02)
+			p.ObserveAnswer(now, false, rng.Float64() < 0.02)
 		}
-		p.Offered(now, true)
+		p.ObserveAdmission(now, true)
 		each(now, share)
 	}
 }
@@ -34,28 +34,28 @@
 // without passing it by more than the stated overshoot.
 func TestPaceSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := Move{Start: 1e6, Shift: rapid.Float64Range(LeastShift, 60_000).Draw(t, "shift"), Slow: 400_000}
+		m := Migration{Start: 1e6, MinShift: rapid.Float64Range(ShortestShiftMs, 60_000).Draw(t, "shift"), MaxShift: 400_000}
 		bears := rapid.Float64Range(0.15, 1.2).Draw(t, "bears")
 		perS := rapid.Float64Range(30, 300).Draw(t, "perS")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		var p Pace
+		var p Pacer
 		last, lastAt, most, after := 0.0, 0.0, 0.0, 0.0
 		drive(&m, &p, perS, rng, func(float64) plant { return plant{bears} }, func(now, share float64) {
-			if share < m.Floor(now)-m.SlewUp()*2*paceEvery || share > m.Share(now)+1e-9 {
-				t.Fatalf("%v at %v, allowed %v to %v", share, now, m.Floor(now), m.Share(now))
+			if share < m.MinShare(now)-m.MaxRiseRate()*2*stepInterval || share > m.MaxShare(now)+1e-9 {
+				t.Fatalf("%v at %v, allowed %v to %v", share, now, m.MinShare(now), m.MaxShare(now))
 			}
-			if d := share - last; now > m.Start && now < m.Start+m.slow() && (d > m.SlewUp()*(now-lastAt)+m.SlewUp()*4*paceEvery || d < -SlewDown*4*paceEvery) {
+			if d := share - last; now > m.Start && now < m.Start+m.longestShift() && (d > m.MaxRiseRate()*(now-lastAt)+m.MaxRiseRate()*4*stepInterval || d < -MaxFallRate*4*stepInterval) {
 				t.Fatalf("from %v to %v within %v ms", last, share, now-lastAt)
 			}
 			last, lastAt = share, now
-			if m.Floor(now) < bears { // past that the document itself asks for more than is borne
+			if m.MinShare(now) < bears { // past that the document itself asks for more than is borne
 				most = max(most, share)
 			}
-			if now > m.Start+4*m.Shift && m.Floor(now) < bears/2 {
+			if now > m.Start+4*m.MinShift && m.MinShare(now) < bears/2 {
 				after = max(after, share)
 			}
 		})
-		over := m.SlewUp() * (paceEvery + 1000*paceFew/(perS*max(bears, 0.1)) + 2*paceSpan)
+		over := m.MaxRiseRate() * (stepInterval + 1000*minObservations/(perS*max(bears, 0.1)) + 2*observationWindow)
 		if most > min(bears+over+0.1, 1.0001) {
 			t.Fatalf("went to %v where %v is borne and %v is the overshoot", most, bears, over)
 		}
@@ -67,8 +67,8 @@
 
 // A cell that does harm for a while turns the share back, and it goes on once that is over.
 func TestPaceGoesBackAndOn(t *testing.T) {
-	m := Move{Start: 1e6, Shift: 40_000, Slow: 400_000}
-	var p Pace
+	m := Migration{Start: 1e6, MinShift: 40_000, MaxShift: 400_000}
+	var p Pacer
 	rng := rand.New(rand.NewPCG(4, 4))
 	atTrouble, least := 0.0, 1.0
 	drive(&m, &p, 200, rng, func(now float64) plant {
@@ -91,20 +91,20 @@
 
 // Without room the share stays; with room again it goes on.
 func TestPaceWaitsForRoom(t *testing.T) {
-	m := Move{Start: 1e6, Shift: 20_000, Slow: 1e6}
-	var p Pace
+	m := Migration{Start: 1e6, MinShift: 20_000, MaxShift: 1e6}
+	var p Pacer
 	p.Step(m.Start, &m)
 	held := 0.0
 	for i := range 4000 {
 		now := m.Start + float64(i)*20
 		room := now < m.Start+10_000 || now > m.Start+50_000
-		p.Offered(now, room)
-		p.Bears(1)
+		p.ObserveAdmission(now, room)
+		p.SetWarmCapacity(1)
 		p.Step(now, &m)
 		if now < m.Start+13_000 {
 			held = p.Share()
 		}
-		if now > m.Start+13_000 && now < m.Start+50_000 && p.Share() > max(held, m.Floor(now))+1e-9 {
+		if now > m.Start+13_000 && now < m.Start+50_000 && p.Share() > max(held, m.MinShare(now))+1e-9 {
 			t.Fatalf("%v after %v though there is no room", p.Share(), held)
 		}
 	}
@@ -115,16 +115,16 @@
 
 // While either cell is being replaced the share stays, but for what the document asks; afterwards it goes on by itself.
 func TestPaceWaitsOutADeploy(t *testing.T) {
-	m := Move{Start: 1e6, Shift: 20_000, Slow: 1e6}
-	var p Pace
+	m := Migration{Start: 1e6, MinShift: 20_000, MaxShift: 1e6}
+	var p Pacer
 	held := 0.0
 	for now := m.Start; now < m.Start+70_000; now += 100 {
 		deploy := now > m.Start+5000 && now < m.Start+35_000
-		p.Bears(map[bool]float64{true: 0.79, false: 1}[deploy])
+		p.SetWarmCapacity(map[bool]float64{true: 0.79, false: 1}[deploy])
 		share := p.Step(now, &m)
 		if !deploy {
 			held = share
-		} else if share > max(held, m.Floor(now))+m.SlewUp()*2*paceEvery {
+		} else if share > max(held, m.MinShare(now))+m.MaxRiseRate()*2*stepInterval {
 			t.Fatalf("%v after %v in the deploy", share, held)
 		}
 	}
@@ -135,8 +135,8 @@
 
 // A router that had nothing to do for long is where one is that starts then.
 func TestPaceAfterLongQuiet(t *testing.T) {
-	m := Move{Start: 1e6, Shift: 20_000, Slow: 60_000}
-	var p Pace
+	m := Migration{Start: 1e6, MinShift: 20_000, MaxShift: 60_000}
+	var p Pacer
 	p.Step(m.Start, &m)
 	if share := p.Step(m.Start+30_000, &m); math.Abs(share-0.5) > 0.05 {
 		t.Errorf("after 30 of 60 s: %v", share)
@@ -149,22 +149,22 @@
 // Two versions of a document that race: a router goes from the one to the other by bounded steps, wherever it stands.
 func TestPaceNeverJumpsBetweenVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		versions := []Move{}
+		versions := []Migration{}
 		for range 3 {
-			m := Move{Start: 1e6 + rapid.Float64Range(-50_000, 50_000).Draw(t, "start"), Shift: rapid.Float64Range(LeastShift, 100_000).Draw(t, "shift")}
-			m.Slow = m.Shift * rapid.Float64Range(1, 3).Draw(t, "slow")
+			m := Migration{Start: 1e6 + rapid.Float64Range(-50_000, 50_000).Draw(t, "start"), MinShift: rapid.Float64Range(ShortestShiftMs, 100_000).Draw(t, "shift")}
+			m.MaxShift = m.MinShift * rapid.Float64Range(1, 3).Draw(t, "slow")
 			if rapid.Bool().Draw(t, "back") {
-				m.BackAt = m.Start + rapid.Float64Range(0, 60_000).Draw(t, "backAt")
+				m.RollbackAt = m.Start + rapid.Float64Range(0, 60_000).Draw(t, "backAt")
 			}
 			m.Unbounded = rapid.Bool().Draw(t, "unbounded")
 			versions = append(versions, m)
 		}
-		var p Pace
+		var p Pacer
 		last := p.Step(1e6, &versions[0])
 		for now := 1e6; now < 1e6+200_000; now += 100 {
 			m := &versions[int(rapid.IntRange(0, 2).Draw(t, "version"))]
 			share := p.Step(now, m)
-			if math.Abs(share-last) > 4*paceEvery*max(m.SlewUp(), SlewDown)+1e-9 {
+			if math.Abs(share-last) > 4*stepInterval*max(m.MaxRiseRate(), MaxFallRate)+1e-9 {
 				t.Fatalf("from %v to %v", last, share)
 			}
 			last = share
@@ -174,13 +174,13 @@
 
 func BenchmarkPaceStep(b *testing.B) {
 	m := move()
-	var p Pace
+	var p Pacer
 	now := m.Start
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 0.1
-		p.Saw(now, true, false)
-		p.Offered(now, true)
+		p.ObserveAnswer(now, true, false)
+		p.ObserveAdmission(now, true)
 		p.Step(now, &m)
 	}
 }
--- a/core/moves/wire_compat_test.go
+++ b/core/moves/wire_compat_test.go
@@ -8,21 +8,21 @@
 
 // The section moves of a features file, which spanctl cells move writes.
 func TestStoredDocumentIsReadAndWrittenAlike(t *testing.T) {
-	testfixture.ReadAndWrite(t, "testdata/document.json", " ", Document{Version: 8, Moves: []Move{
+	testfixture.ReadAndWrite(t, "testdata/document.json", " ", Document{Version: 8, Migrations: []Migration{
 		{
-			Tenant:    "vending",
-			Depot:     "depot-2",
-			From:      "north",
-			To:        "south",
-			Start:     1764576000000,
-			Warm:      20001,
-			Shift:     30002,
-			Slow:      150003,
-			Settle:    60004,
-			Hot:       []string{"00ab01", "00ab02"},
-			HeldAt:    1764576030005,
-			BackAt:    1764576040006,
-			Unbounded: true,
+			Tenant:     "vending",
+			Site:       "depot-2",
+			From:       "north",
+			To:         "south",
+			Start:      1764576000000,
+			WarmUp:     20001,
+			MinShift:   30002,
+			MaxShift:   150003,
+			Settle:     60004,
+			HotObjects: []string{"00ab01", "00ab02"},
+			PausedAt:   1764576030005,
+			RollbackAt: 1764576040006,
+			Unbounded:  true,
 		},
 	}})
 }
--- a/core/peers/datagram.go
+++ b/core/peers/datagram.go
@@ -12,17 +12,17 @@
 //
 //	version:1 kind:1 rank:2 depot:2 incarnation:4 sequence:4 server:4 ...
 //
-// From one to MostServers servers follow the head, each as the number that its id stands for.
+// From one to MaxServersPerDatagram servers follow the head, each as the number that its id stands for.
 const (
-	// MaxDatagram is the platform's bound in bytes. None longer is ever built.
-	MaxDatagram = 256
-	// MostServers that one datagram names.
-	MostServers = (MaxDatagram - headSize) / serverSize
+	// MaxDatagramSize is the platform's bound in bytes. None longer is ever built.
+	MaxDatagramSize = 256
+	// MaxServersPerDatagram that one datagram names.
+	MaxServersPerDatagram = (MaxDatagramSize - headerSize) / serverSize
 
-	version     = 1
-	kindCrowded = 1
-	headSize    = 14
-	serverSize  = 4
+	datagramVersion = 1
+	kindOverload    = 1
+	headerSize      = 14
+	serverSize      = 4
 )
 
 // ErrMalformed is any datagram that can't be one of ours.
@@ -30,19 +30,19 @@
 
 // Message is a datagram read.
 type Message struct {
-	Rank, Depot           int
+	Rank, Site            int
 	Incarnation, Sequence uint32
-	Crowded               []uint32 // servers
+	Overloaded            []uint32 // servers
 }
 
-// Append writes m behind buf. It names the first MostServers servers at most.
+// Append writes m behind buf. It names the first MaxServersPerDatagram servers at most.
 func (m *Message) Append(buf []byte) []byte {
-	buf = append(buf, version, kindCrowded)
+	buf = append(buf, datagramVersion, kindOverload)
 	buf = binary.BigEndian.AppendUint16(buf, uint16(m.Rank))
-	buf = binary.BigEndian.AppendUint16(buf, uint16(m.Depot))
+	buf = binary.BigEndian.AppendUint16(buf, uint16(m.Site))
 	buf = binary.BigEndian.AppendUint32(buf, m.Incarnation)
 	buf = binary.BigEndian.AppendUint32(buf, m.Sequence)
-	for _, s := range m.Crowded[:min(len(m.Crowded), MostServers)] {
+	for _, s := range m.Overloaded[:min(len(m.Overloaded), MaxServersPerDatagram)] {
 		buf = binary.BigEndian.AppendUint32(buf, s)
 	}
 	return buf
@@ -51,27 +51,27 @@
 // Parse reads a datagram into m, whose room for servers is used again. Its error wraps ErrMalformed.
 func (m *Message) Parse(b []byte) error {
 	switch {
-	case len(b) < headSize+serverSize || len(b) > MaxDatagram || (len(b)-headSize)%serverSize != 0:
+	case len(b) < headerSize+serverSize || len(b) > MaxDatagramSize || (len(b)-headerSize)%serverSize != 0:
 		return fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
-	case b[0] != version:
+	case b[0] != datagramVersion:
 		return fmt.Errorf("%w: version %d", ErrMalformed, b[0])
-	case b[1] != kindCrowded:
+	case b[1] != kindOverload:
 		return fmt.Errorf("%w: kind %d", ErrMalformed, b[1])
 	}
-	m.Rank, m.Depot = int(binary.BigEndian.Uint16(b[2:])), int(binary.BigEndian.Uint16(b[4:]))
+	m.Rank, m.Site = int(binary.BigEndian.Uint16(b[2:])), int(binary.BigEndian.Uint16(b[4:]))
 	m.Incarnation, m.Sequence = binary.BigEndian.Uint32(b[6:]), binary.BigEndian.Uint32(b[10:])
-	m.Crowded = m.Crowded[:0]
-	for b = b[headSize:]; len(b) > 0; b = b[serverSize:] {
-		m.Crowded = append(m.Crowded, binary.BigEndian.Uint32(b))
+	m.Overloaded = m.Overloaded[:0]
+	for b = b[headerSize:]; len(b) > 0; b = b[serverSize:] {
+		m.Overloaded = append(m.Overloaded, binary.BigEndian.Uint32(b))
 	}
 	return nil
 }
 
-// Number is what an id such as "s-00c41f7a" stands for; false for an id of another kind.
-func Number(id string) (uint32, bool) { return number(id) }
+// ParseServerID is what an id such as "s-00c41f7a" stands for; false for an id of another kind.
+func ParseServerID(id string) (uint32, bool) { return parseServerID(id) }
 
-// number is what an id such as "s-00c41f7a" stands for.
-func number(id string) (uint32, bool) {
+// parseServerID is what an id such as "s-00c41f7a" stands for.
+func parseServerID(id string) (uint32, bool) {
 	digits, ok := strings.CutPrefix(id, "s-")
 	if !ok || len(digits) != 8 {
 		return 0, false
@@ -80,5 +80,5 @@
 	return uint32(n), err == nil
 }
 
-// name is the id that stands for a number.
-func name(n uint32) string { return fmt.Sprintf("s-%08x", n) }
+// formatServerID is the id that stands for a number.
+func formatServerID(n uint32) string { return fmt.Sprintf("s-%08x", n) }
--- a/core/peers/peers.go
+++ b/core/peers/peers.go
@@ -2,9 +2,9 @@
 // what they tell. A server is taken for crowded when routers of two depots have said so within a second. It does no I/O and
 // reads no clock; times are microseconds, and never run backwards.
 //
-// Promises, whatever comes in: a datagram of MaxDatagram bytes at most; no more than tellBurst of them at once, and tellEvery between
-// them on average; memory for mostServers servers and one entry for each router of the tier; what was told longer than
-// freshFor ago counts no more, so that silent or cut-off peers leave a router with its own knowledge.
+// Promises, whatever comes in: a datagram of MaxDatagramSize bytes at most; no more than sendBurst of them at once, and sendInterval between
+// them on average; memory for maxTrackedServers servers and one entry for each router of the tier; what was told longer than
+// reportLifetime ago counts no more, so that silent or cut-off peers leave a router with its own knowledge.
 package peers
 
 import (
@@ -17,83 +17,83 @@
 	// quorum is how many depots must find a server crowded: where one depot's own link is full, all its sources look crowded. Two are
 	// the fewest that tell that apart, and each further one is waited for while the crowd grows.
 	quorum = 2
-	// leastSiblings speak: of fewer each asks a server often enough to learn by itself.
-	leastSiblings = 16
-	// freshFor is how long a word counts.
-	freshFor = 1_000_000
-	// againAfter is how soon a router speaks of the same server again, or after quorum others have.
-	againAfter = 250_000
-	// tellEvery is the least mean time between datagrams of a router, tellBurst how many may come at once.
-	tellEvery = 100_000
-	tellBurst = 8
-	// mostServers are kept account of.
-	mostServers = 512
+	// minFleetSize speak: of fewer each asks a server often enough to learn by itself.
+	minFleetSize = 16
+	// reportLifetime is how long a word counts.
+	reportLifetime = 1_000_000
+	// repeatInterval is how soon a router speaks of the same server again, or after quorum others have.
+	repeatInterval = 250_000
+	// sendInterval is the least mean time between datagrams of a router, sendBurst how many may come at once.
+	sendInterval = 100_000
+	sendBurst    = 8
+	// maxTrackedServers are kept account of.
+	maxTrackedServers = 512
 )
 
 // The reasons why a datagram is dropped, beside ErrMalformed.
 var (
-	ErrStranger = errors.New("not a router of this tier")
-	ErrOld      = errors.New("old or repeated datagram")
+	ErrUnknownSender = errors.New("not a router of this tier")
+	ErrStale         = errors.New("old or repeated datagram")
 )
 
 // Options say who speaks.
 type Options struct {
-	Rank, Siblings int    // of this router, and how many there are
-	Depot, Depots  int    // place of its depot among all, and how many there are
-	Incarnation    uint32 // greater at each start of this router, such as the start's Unix time in seconds
+	Rank, FleetSize int    // of this router, and how many there are
+	Site, Sites     int    // place of its depot among all, and how many there are
+	Incarnation     uint32 // greater at each start of this router, such as the start's Unix time in seconds
 }
 
-// Window tells new datagrams of a router from old and repeated ones: the greatest sequence number of its greatest incarnation, and which of the 64
+// ReplayWindow tells new datagrams of a router from old and repeated ones: the greatest sequence number of its greatest incarnation, and which of the 64
 // up to that, by bits from the lowest, have come. Datagrams overtake one another; one that came is not taken in again.
-type Window struct {
+type ReplayWindow struct {
 	incarnation, sequence uint32
-	came                  uint64
+	received              uint64
 }
 
-// Take books a datagram and tells whether it is new.
-func (w *Window) Take(incarnation, sequence uint32) bool {
+// Accept books a datagram and tells whether it is new.
+func (w *ReplayWindow) Accept(incarnation, sequence uint32) bool {
 	switch behind := w.sequence - sequence; {
 	case incarnation > w.incarnation:
-		*w = Window{incarnation, sequence, 1}
+		*w = ReplayWindow{incarnation, sequence, 1}
 	case incarnation < w.incarnation:
 		return false
 	case sequence > w.sequence:
-		w.came, w.sequence = w.came<<(sequence-w.sequence)|1, sequence
-	case behind >= 64 || w.came&(1<<behind) != 0:
+		w.received, w.sequence = w.received<<(sequence-w.sequence)|1, sequence
+	case behind >= 64 || w.received&(1<<behind) != 0:
 		return false
 	default:
-		w.came |= 1 << behind
+		w.received |= 1 << behind
 	}
 	return true
 }
 
-// talk is what is said of one server.
-type talk struct {
-	by    map[int]int64 // when a depot last found it crowded
-	told  int64         // when this router last said so
-	found int64         // when it was last found crowded by quorum
+// serverReports is what is said of one server.
+type serverReports struct {
+	reportedAt   map[int]int64 // when a depot last found it crowded
+	sentAt       int64         // when this router last said so
+	overloadedAt int64         // when it was last found crowded by quorum
 }
 
-// Counts of a Tier since its start.
+// Counts of a Node since its start.
 type Counts struct {
-	Told, Heard, Dropped, Found int64
+	Sent, Received, Dropped, OverloadsFound int64
 }
 
-// Tier is one router's part in the talk. It is not safe for concurrent use.
-type Tier struct {
+// Node is one router's part in the talk. It is not safe for concurrent use.
+type Node struct {
 	Counts Counts
 
-	opt      Options
-	sequence uint32
-	budget   float64 // datagrams that may be sent at once
-	budgetAt int64
-	routers  map[int]Window
-	servers  map[uint32]*talk
-	in       Message
+	options          Options
+	sequence         uint32
+	tokens           float64 // datagrams that may be sent at once
+	tokensRefilledAt int64
+	replayWindows    map[int]ReplayWindow
+	servers          map[uint32]*serverReports
+	received         Message
 }
 
-// CheckPlace reports which of a router's place among its siblings and its depot's among all can't be.
-func CheckPlace(rank, siblings, depot, depots int) error {
+// ValidatePlacement reports which of a router's place among its siblings and its depot's among all can't be.
+func ValidatePlacement(rank, siblings, depot, depots int) error {
 	switch {
 	case siblings < 1 || siblings > 1<<16:
 		return fmt.Errorf("Siblings: %d", siblings)
@@ -108,108 +108,110 @@
 }
 
 // New returns a tier in which nothing was said yet. Its error names the option at fault.
-func New(o Options) (*Tier, error) {
-	if err := CheckPlace(o.Rank, o.Siblings, o.Depot, o.Depots); err != nil {
+func New(o Options) (*Node, error) {
+	if err := ValidatePlacement(o.Rank, o.FleetSize, o.Site, o.Sites); err != nil {
 		return nil, err
 	}
-	return &Tier{opt: o, budget: tellBurst, routers: map[int]Window{}, servers: map[uint32]*talk{}}, nil
+	return &Node{options: o, tokens: sendBurst, replayWindows: map[int]ReplayWindow{}, servers: map[uint32]*serverReports{}}, nil
 }
 
-// Speaks tells whether the tier is large enough for its words to count anywhere.
-func (t *Tier) Speaks() bool { return t.opt.Siblings >= leastSiblings && t.opt.Depots > quorum }
+// IsEnabled tells whether the tier is large enough for its words to count anywhere.
+func (t *Node) IsEnabled() bool {
+	return t.options.FleetSize >= minFleetSize && t.options.Sites > quorum
+}
 
-// Saw takes in that this router found a server crowded by itself, and returns the datagram for all others; nil if there is
+// ReportOverload takes in that this router found a server crowded by itself, and returns the datagram for all others; nil if there is
 // nothing to tell: it was told lately, by this router or enough others, or too much was told.
-func (t *Tier) Saw(now int64, server string) []byte {
-	id, ok := number(server)
-	if !ok || !t.Speaks() {
+func (t *Node) ReportOverload(now int64, server string) []byte {
+	id, ok := parseServerID(server)
+	if !ok || !t.IsEnabled() {
 		return nil
 	}
-	k := t.talkOf(now, id)
+	k := t.reportsOf(now, id)
 	if k == nil {
 		return nil
 	}
-	k.by[t.opt.Depot] = now
-	if now-k.told < againAfter || now-k.found < againAfter {
+	k.reportedAt[t.options.Site] = now
+	if now-k.sentAt < repeatInterval || now-k.overloadedAt < repeatInterval {
 		return nil
 	}
-	t.budget, t.budgetAt = min(t.budget+float64(now-t.budgetAt)/tellEvery, tellBurst), now
-	if t.budget < 1 {
+	t.tokens, t.tokensRefilledAt = min(t.tokens+float64(now-t.tokensRefilledAt)/sendInterval, sendBurst), now
+	if t.tokens < 1 {
 		return nil
 	}
-	t.budget--
-	k.told = now
+	t.tokens--
+	k.sentAt = now
 	t.sequence++
-	t.Counts.Told++
-	m := Message{Rank: t.opt.Rank, Depot: t.opt.Depot, Incarnation: t.opt.Incarnation, Sequence: t.sequence, Crowded: []uint32{id}}
-	return m.Append(make([]byte, 0, headSize+serverSize))
+	t.Counts.Sent++
+	m := Message{Rank: t.options.Rank, Site: t.options.Site, Incarnation: t.options.Incarnation, Sequence: t.sequence, Overloaded: []uint32{id}}
+	return m.Append(make([]byte, 0, headerSize+serverSize))
 }
 
-// Hear takes in a datagram of the router with that rank, as its address tells, and calls crowded for each server that is now
-// found crowded. Its error is ErrMalformed, ErrStranger or ErrOld, wrapped; nothing was taken in then. Its own words, which come
+// Receive takes in a datagram of the router with that rank, as its address tells, and calls crowded for each server that is now
+// found crowded. Its error is ErrMalformed, ErrUnknownSender or ErrStale, wrapped; nothing was taken in then. Its own words, which come
 // back where an address reaches all, are passed over.
-func (t *Tier) Hear(now int64, rank int, datagram []byte, crowded func(server string)) error {
-	if rank == t.opt.Rank {
+func (t *Node) Receive(now int64, rank int, datagram []byte, crowded func(server string)) error {
+	if rank == t.options.Rank {
 		return nil
 	}
-	if err := t.hear(now, rank, datagram, crowded); err != nil {
+	if err := t.receive(now, rank, datagram, crowded); err != nil {
 		t.Counts.Dropped++
 		return err
 	}
-	t.Counts.Heard++
+	t.Counts.Received++
 	return nil
 }
 
-func (t *Tier) hear(now int64, rank int, datagram []byte, crowded func(server string)) error {
-	m := &t.in
+func (t *Node) receive(now int64, rank int, datagram []byte, crowded func(server string)) error {
+	m := &t.received
 	if err := m.Parse(datagram); err != nil {
 		return err
 	}
-	if m.Rank != rank || rank < 0 || rank >= t.opt.Siblings || m.Depot >= t.opt.Depots {
-		return fmt.Errorf("%w: rank %d, depot %d", ErrStranger, m.Rank, m.Depot)
+	if m.Rank != rank || rank < 0 || rank >= t.options.FleetSize || m.Site >= t.options.Sites {
+		return fmt.Errorf("%w: rank %d, depot %d", ErrUnknownSender, m.Rank, m.Site)
 	}
-	last := t.routers[rank]
-	if !last.Take(m.Incarnation, m.Sequence) {
-		return fmt.Errorf("%w: rank %d, %d of %d", ErrOld, rank, m.Sequence, m.Incarnation)
+	last := t.replayWindows[rank]
+	if !last.Accept(m.Incarnation, m.Sequence) {
+		return fmt.Errorf("%w: rank %d, %d of %d", ErrStale, rank, m.Sequence, m.Incarnation)
 	}
-	t.routers[rank] = last
-	for _, id := range m.Crowded {
-		k := t.talkOf(now, id)
+	t.replayWindows[rank] = last
+	for _, id := range m.Overloaded {
+		k := t.reportsOf(now, id)
 		if k == nil {
 			continue
 		}
-		k.by[m.Depot] = now
+		k.reportedAt[m.Site] = now
 		agree := 0
-		for _, at := range k.by {
-			if at > k.found && now-at <= freshFor {
+		for _, at := range k.reportedAt {
+			if at > k.overloadedAt && now-at <= reportLifetime {
 				agree++
 			}
 		}
 		if agree >= quorum {
-			k.found = now
-			t.Counts.Found++
-			crowded(name(id))
+			k.overloadedAt = now
+			t.Counts.OverloadsFound++
+			crowded(formatServerID(id))
 		}
 	}
 	return nil
 }
 
-// talkOf returns what is said of a server; nil if too much is said of others.
-func (t *Tier) talkOf(now int64, id uint32) *talk {
+// reportsOf returns what is said of a server; nil if too much is said of others.
+func (t *Node) reportsOf(now int64, id uint32) *serverReports {
 	k := t.servers[id]
 	if k != nil {
 		return k
 	}
-	if len(t.servers) >= mostServers {
-		maps.DeleteFunc(t.servers, func(_ uint32, k *talk) bool {
-			maps.DeleteFunc(k.by, func(_ int, at int64) bool { return now-at > freshFor })
-			return len(k.by) == 0
+	if len(t.servers) >= maxTrackedServers {
+		maps.DeleteFunc(t.servers, func(_ uint32, k *serverReports) bool {
+			maps.DeleteFunc(k.reportedAt, func(_ int, at int64) bool { return now-at > reportLifetime })
+			return len(k.reportedAt) == 0
 		})
 	}
-	if len(t.servers) >= mostServers {
+	if len(t.servers) >= maxTrackedServers {
 		return nil
 	}
-	k = &talk{by: map[int]int64{}, told: now - againAfter, found: now - freshFor}
+	k = &serverReports{reportedAt: map[int]int64{}, sentAt: now - repeatInterval, overloadedAt: now - reportLifetime}
 	t.servers[id] = k
 	return k
 }
--- a/core/peers/scale_bench_test.go
+++ b/core/peers/scale_bench_test.go
@@ -9,7 +9,7 @@
 func BenchmarkHearOfMany(b *testing.B) {
 	for _, routers := range []int{300, 1_000, 3_000, 11_000} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
-			t, err := New(Options{Siblings: routers, Depots: 50, Incarnation: 1})
+			t, err := New(Options{FleetSize: routers, Sites: 50, Incarnation: 1})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -23,11 +23,11 @@
 				n := uint32(i + 1)
 				d := datagrams[rank]
 				d[10], d[11], d[12], d[13] = byte(n>>24), byte(n>>16), byte(n>>8), byte(n)
-				if err := t.Hear(int64(i)*100, rank, d, quiet); err != nil {
+				if err := t.Receive(int64(i)*100, rank, d, quiet); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(len(t.routers)), "routers-known")
+			b.ReportMetric(float64(len(t.replayWindows)), "routers-known")
 		})
 	}
 }
--- a/core/peers/wire_compat_test.go
+++ b/core/peers/wire_compat_test.go
@@ -29,14 +29,14 @@
 
 func TestWireCompat(t *testing.T) {
 	pins := readPins(t)
-	most := make([]uint32, MostServers)
+	most := make([]uint32, MaxServersPerDatagram)
 	for i := range most {
 		most[i] = 0x0a0b0000 + uint32(i)
 	}
 	cases := map[string]Message{
-		"one server": {Rank: 0x0102, Depot: 0x0304, Incarnation: 0x05060708, Sequence: 0x090a0b0c,
-			Crowded: []uint32{0x00c41f7a}},
-		"most servers": {Rank: 65534, Depot: 7, Incarnation: 1<<32 - 1, Sequence: 1, Crowded: most},
+		"one server": {Rank: 0x0102, Site: 0x0304, Incarnation: 0x05060708, Sequence: 0x090a0b0c,
+			Overloaded: []uint32{0x00c41f7a}},
+		"most servers": {Rank: 65534, Site: 7, Incarnation: 1<<32 - 1, Sequence: 1, Overloaded: most},
 	}
 	if len(pins) != len(cases) {
 		t.Errorf("%d fixtures, %d cases", len(pins), len(cases))
@@ -55,7 +55,7 @@
 }
 
 func TestServerIDsCompat(t *testing.T) {
-	if n, ok := Number("s-00c41f7a"); !ok || n != 0x00c41f7a || name(n) != "s-00c41f7a" {
-		t.Errorf("%#x, %v, %q", n, ok, name(n))
+	if n, ok := ParseServerID("s-00c41f7a"); !ok || n != 0x00c41f7a || formatServerID(n) != "s-00c41f7a" {
+		t.Errorf("%#x, %v, %q", n, ok, formatServerID(n))
 	}
 }
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -13,129 +13,129 @@
 )
 
 const (
-	// MostOuts bounds what may be out at a time: ids of machines that are long gone would pile up else.
-	MostOuts = 1024
-	// longestID bounds what is read from a file of outs.
-	longestID = 64
-	// out is how the module is told of a server that staff took out.
-	out     = "cordoned"
-	gone    = "deregistered"
-	healthy = "healthy"
+	// MaxExclusions bounds what may be out at a time: ids of machines that are long gone would pile up else.
+	MaxExclusions = 1024
+	// maxIDLength bounds what is read from a file of outs.
+	maxIDLength = 64
+	// statusCordoned is how the module is told of a server that staff took out.
+	statusCordoned     = "cordoned"
+	statusDeregistered = "deregistered"
+	statusHealthy      = "healthy"
 )
 
 // The errors of calls.
 var (
-	ErrUnknown = errors.New("no such server is listed")
-	ErrFull    = fmt.Errorf("%d servers are out already", MostOuts)
+	ErrUnknownServer     = errors.New("no such server is listed")
+	ErrTooManyExclusions = fmt.Errorf("%d servers are out already", MaxExclusions)
 )
 
-// Roster is one router's list. It is not safe for concurrent use.
-type Roster struct {
-	rows map[string]rules.Endpoint // as told last; gone ones are not in it
-	outs map[string]bool
-	shun map[string]bool // by verdict: never handed on, never in Outs
+// List is one router's list. It is not safe for concurrent use.
+type List struct {
+	rows     map[string]rules.Endpoint // as told last; gone ones are not in it
+	excluded map[string]bool
+	ejected  map[string]bool // by verdict: never handed on, never in Outs
 }
 
 // New returns an empty list with nothing out.
-func New() *Roster {
-	return &Roster{rows: map[string]rules.Endpoint{}, outs: map[string]bool{}, shun: map[string]bool{}}
+func New() *List {
+	return &List{rows: map[string]rules.Endpoint{}, excluded: map[string]bool{}, ejected: map[string]bool{}}
 }
 
-// Note takes a change of the list, or the whole list, and returns it as the decision module is to hear it.
-func (r *Roster) Note(whole bool, rows []rules.Endpoint) []rules.Endpoint {
-	if whole {
+// Update takes a change of the list, or the whole list, and returns it as the decision module is to hear it.
+func (r *List) Update(snapshot bool, rows []rules.Endpoint) []rules.Endpoint {
+	if snapshot {
 		clear(r.rows)
 	}
-	heard := make([]rules.Endpoint, 0, len(rows))
+	effective := make([]rules.Endpoint, 0, len(rows))
 	for _, row := range rows {
-		if row.Status == gone {
+		if row.Status == statusDeregistered {
 			delete(r.rows, row.Server)
 		} else {
 			r.rows[row.Server] = row
 		}
-		heard = append(heard, r.effective(row))
+		effective = append(effective, r.effective(row))
 	}
-	return heard
+	return effective
 }
 
 // effective is a row as the module is to hear it.
-func (r *Roster) effective(row rules.Endpoint) rules.Endpoint {
-	if row.Status == healthy && (r.outs[row.Server] || r.shun[row.Server]) {
-		row.Status = out
+func (r *List) effective(row rules.Endpoint) rules.Endpoint {
+	if row.Status == statusHealthy && (r.excluded[row.Server] || r.ejected[row.Server]) {
+		row.Status = statusCordoned
 	}
 	return row
 }
 
 // Exclude takes a listed server out and returns the rows that the module has to hear; none where it was out already.
-func (r *Roster) Exclude(id string) ([]rules.Endpoint, error) {
+func (r *List) Exclude(id string) ([]rules.Endpoint, error) {
 	row, listed := r.rows[id]
 	switch {
-	case r.outs[id]:
+	case r.excluded[id]:
 		return nil, nil
 	case !listed:
-		return nil, ErrUnknown
-	case len(r.outs) >= MostOuts:
-		return nil, ErrFull
+		return nil, ErrUnknownServer
+	case len(r.excluded) >= MaxExclusions:
+		return nil, ErrTooManyExclusions
 	}
-	r.outs[id] = true
+	r.excluded[id] = true
 	return []rules.Endpoint{r.effective(row)}, nil
 }
 
-// Include puts a server back, however often it was taken out, listed or not.
-func (r *Roster) Include(id string) ([]rules.Endpoint, error) {
+// Reinstate puts a server back, however often it was taken out, listed or not.
+func (r *List) Reinstate(id string) ([]rules.Endpoint, error) {
 	row, listed := r.rows[id]
-	was := r.outs[id]
-	delete(r.outs, id)
+	was := r.excluded[id]
+	delete(r.excluded, id)
 	switch {
 	case !listed && !was:
-		return nil, ErrUnknown
+		return nil, ErrUnknownServer
 	case !listed || !was:
 		return nil, nil
 	}
 	return []rules.Endpoint{r.effective(row)}, nil
 }
 
-// Shun replaces what verdicts keep off and returns the rows that the module has to hear. Servers that are not listed count when they are.
-func (r *Roster) Shun(ids []string) (changed []rules.Endpoint) {
+// SetEjected replaces what verdicts keep off and returns the rows that the module has to hear. Servers that are not listed count when they are.
+func (r *List) SetEjected(ids []string) (changed []rules.Endpoint) {
 	next := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		next[id] = true
 	}
-	if maps.Equal(next, r.shun) {
+	if maps.Equal(next, r.ejected) {
 		return nil
 	}
-	before := r.shun
-	r.shun = next
+	before := r.ejected
+	r.ejected = next
 	for _, id := range slices.Sorted(maps.Keys(r.rows)) {
-		if before[id] != next[id] && !r.outs[id] && r.rows[id].Status == healthy {
+		if before[id] != next[id] && !r.excluded[id] && r.rows[id].Status == statusHealthy {
 			changed = append(changed, r.effective(r.rows[id]))
 		}
 	}
 	return changed
 }
 
-// Outs are the ids that are out, in order.
-func (r *Roster) Outs() []string { return slices.Sorted(maps.Keys(r.outs)) }
+// Exclusions are the ids that are out, in order.
+func (r *List) Exclusions() []string { return slices.Sorted(maps.Keys(r.excluded)) }
 
-// Adopt replaces what is out and returns the rows that the module has to hear. It refuses a set that it could not have made.
-func (r *Roster) Adopt(ids []string) ([]rules.Endpoint, error) {
-	if len(ids) > MostOuts {
-		return nil, fmt.Errorf("%d ids: %w", len(ids), ErrFull)
+// ReplaceExclusions replaces what is out and returns the rows that the module has to hear. It refuses a set that it could not have made.
+func (r *List) ReplaceExclusions(ids []string) ([]rules.Endpoint, error) {
+	if len(ids) > MaxExclusions {
+		return nil, fmt.Errorf("%d ids: %w", len(ids), ErrTooManyExclusions)
 	}
 	next := make(map[string]bool, len(ids))
 	for i, id := range ids {
-		if id == "" || len(id) > longestID {
+		if id == "" || len(id) > maxIDLength {
 			return nil, fmt.Errorf("id %d: of %d bytes", i, len(id))
 		}
 		next[id] = true
 	}
 	var changed []rules.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(r.rows)) {
-		if r.outs[id] != next[id] {
+		if r.excluded[id] != next[id] {
 			changed = append(changed, r.rows[id])
 		}
 	}
-	r.outs = next
+	r.excluded = next
 	for i := range changed {
 		changed[i] = r.effective(changed[i])
 	}
@@ -143,15 +143,15 @@
 }
 
 // Count tells how many listed servers there are for which keep is true, and how many of them are out or among avoided.
-func (r *Roster) Count(keep func(rules.Endpoint) bool, avoided []string) (listed, off int) {
+func (r *List) Count(matches func(rules.Endpoint) bool, avoided []string) (listed, unavailable int) {
 	for id, row := range r.rows {
-		if !keep(row) {
+		if !matches(row) {
 			continue
 		}
 		listed++
-		if r.outs[id] || slices.Contains(avoided, id) {
-			off++
+		if r.excluded[id] || slices.Contains(avoided, id) {
+			unavailable++
 		}
 	}
-	return listed, off
+	return listed, unavailable
 }
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -26,7 +26,7 @@
 // What is out stays out through a drain, a restart and a whole new list; one call back undoes two calls out.
 func TestOutWhateverTheListSays(t *testing.T) {
 	r := New()
-	r.Note(true, []rules.Endpoint{row("a", "healthy"), row("b", "healthy")})
+	r.Update(true, []rules.Endpoint{row("a", "healthy"), row("b", "healthy")})
 	for i, want := range []string{"a=cordoned ", ""} {
 		if rows, err := r.Exclude("a"); err != nil || statuses(rows) != want {
 			t.Errorf("call %d: %v, %v", i, rows, err)
@@ -40,34 +40,34 @@
 		want  string
 	}{{false, row("a", "cordoned"), "a=cordoned "}, {false, row("a", "deregistered"), "a=deregistered "}, {false, restarted, "a=cordoned "},
 		{true, restarted, "a=cordoned "}} {
-		if got := statuses(r.Note(c.whole, []rules.Endpoint{c.row})); got != c.want {
+		if got := statuses(r.Update(c.whole, []rules.Endpoint{c.row})); got != c.want {
 			t.Errorf("%+v: %s, want %s", c.row, got, c.want)
 		}
 	}
-	rows, err := r.Include("a")
+	rows, err := r.Reinstate("a")
 	if err != nil || statuses(rows) != "a=healthy " || rows[0].StartedAt != 7 {
 		t.Errorf("back: %+v, %v", rows, err)
 	}
-	if rows, err := r.Include("a"); err != nil || rows != nil {
+	if rows, err := r.Reinstate("a"); err != nil || rows != nil {
 		t.Errorf("back twice: %v, %v", rows, err)
 	}
 }
 
 func TestUnknown(t *testing.T) {
 	r := New()
-	r.Note(true, []rules.Endpoint{row("a", "healthy")})
-	if _, err := r.Exclude("x"); !errors.Is(err, ErrUnknown) {
+	r.Update(true, []rules.Endpoint{row("a", "healthy")})
+	if _, err := r.Exclude("x"); !errors.Is(err, ErrUnknownServer) {
 		t.Errorf("out: %v", err)
 	}
-	if _, err := r.Include("x"); !errors.Is(err, ErrUnknown) {
+	if _, err := r.Reinstate("x"); !errors.Is(err, ErrUnknownServer) {
 		t.Errorf("back: %v", err)
 	}
 	r.Exclude("a")
-	r.Note(true, nil)
+	r.Update(true, nil)
 	if listed, off := r.Count(func(rules.Endpoint) bool { return true }, nil); listed != 0 || off != 0 {
 		t.Errorf("%d listed, %d off", listed, off)
 	}
-	if rows, err := r.Include("a"); err != nil || rows != nil {
+	if rows, err := r.Reinstate("a"); err != nil || rows != nil {
 		t.Errorf("back when it has left the list: %v, %v", rows, err)
 	}
 }
@@ -90,12 +90,12 @@
 			case 0:
 				status := rapid.SampledFrom([]rules.EndpointStatus{"healthy", "cordoned", "deregistered"}).Draw(t, "status")
 				list[id] = string(status)
-				hear(r.Note(false, []rules.Endpoint{row(id, status)}))
+				hear(r.Update(false, []rules.Endpoint{row(id, status)}))
 			case 1:
 				clear(heard)
 				clear(list)
 				list[id] = "healthy"
-				hear(r.Note(true, []rules.Endpoint{row(id, "healthy")}))
+				hear(r.Update(true, []rules.Endpoint{row(id, "healthy")}))
 			case 2:
 				known := outs[id] || list[id] == "healthy" || list[id] == "cordoned"
 				rows, err := r.Exclude(id)
@@ -105,12 +105,12 @@
 				outs[id] = known
 				hear(rows)
 			case 3:
-				rows, _ := r.Include(id)
+				rows, _ := r.Reinstate(id)
 				delete(outs, id)
 				hear(rows)
 			case 4:
 				next := rapid.SliceOfDistinct(rapid.SampledFrom(ids), rapid.ID[string]).Draw(t, "outs")
-				rows, err := r.Adopt(next)
+				rows, err := r.ReplaceExclusions(next)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -130,7 +130,7 @@
 			}
 		}
 		maps.DeleteFunc(outs, func(_ string, is bool) bool { return !is })
-		if got := r.Outs(); !slices.Equal(got, slices.Sorted(maps.Keys(outs))) {
+		if got := r.Exclusions(); !slices.Equal(got, slices.Sorted(maps.Keys(outs))) {
 			t.Fatalf("outs %v, want %v", got, outs)
 		}
 	})
@@ -138,14 +138,14 @@
 
 func TestAdoptRefuses(t *testing.T) {
 	r := New()
-	r.Note(true, []rules.Endpoint{row("a", "healthy")})
+	r.Update(true, []rules.Endpoint{row("a", "healthy")})
 	r.Exclude("a")
-	for _, ids := range [][]string{{""}, {string(make([]byte, longestID+1))}, make([]string, MostOuts+1)} {
-		if _, err := r.Adopt(ids); err == nil {
+	for _, ids := range [][]string{{""}, {string(make([]byte, maxIDLength+1))}, make([]string, MaxExclusions+1)} {
+		if _, err := r.ReplaceExclusions(ids); err == nil {
 			t.Errorf("took %d ids", len(ids))
 		}
 	}
-	if got := r.Outs(); !slices.Equal(got, []string{"a"}) {
+	if got := r.Exclusions(); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("outs %v after sets that were refused", got)
 	}
 }
