--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -16,8 +16,8 @@
 )
 
 func config() Config {
-	return Config{Resources: []Resource{{"link", 1000, 500 * ms}, {"origin", 200, 500 * ms}}, MostQueue: 100, MostOut: 8, Lease: 2 * sec,
-		Backoff: 100 * ms, MaxWait: 5 * sec, Patience: 10 * sec}
+	return Config{Resources: []Resource{{"link", 1000, 500 * ms}, {"origin", 200, 500 * ms}}, MaxQueued: 100, MaxRunning: 8, AttemptTimeout: 2 * sec,
+		InitialBackoff: 100 * ms, MaxBackoff: 5 * sec, AgingInterval: 10 * sec}
 }
 
 func scheduler(t *testing.T, cfg Config) *Scheduler {
@@ -47,9 +47,9 @@
 func TestOrderIsRankThenDeadline(t *testing.T) {
 	s := scheduler(t, config())
 	submit(t, s, sec, "idle", Idle, 0, 1, 0)
-	submit(t, s, sec, "late", Steady, 9*sec, 1, 0)
-	submit(t, s, sec, "none", Steady, 0, 1, 0)
-	submit(t, s, sec, "soon", Steady, 5*sec, 1, 0)
+	submit(t, s, sec, "late", Normal, 9*sec, 1, 0)
+	submit(t, s, sec, "none", Normal, 0, 1, 0)
+	submit(t, s, sec, "soon", Normal, 5*sec, 1, 0)
 	submit(t, s, sec, "urgent", Urgent, 0, 1, 0)
 	if got := ids(s.Step(sec)); got != "urgent soon late none idle" {
 		t.Error(got)
@@ -59,10 +59,10 @@
 // A budget gives its rate, whatever waits: over any time no more than that and the span and one attempt.
 func TestBudgetsBind(t *testing.T) {
 	cfg := config()
-	cfg.MostQueue, cfg.MostOut = 1000, 1000
+	cfg.MaxQueued, cfg.MaxRunning = 1000, 1000
 	s := scheduler(t, cfg)
 	for i := range 900 {
-		submit(t, s, sec, fmt.Sprint("j", i), Steady, 0, 30, 5)
+		submit(t, s, sec, fmt.Sprint("j", i), Normal, 0, 30, 5)
 	}
 	taken := 0.0
 	now := sec
@@ -70,15 +70,15 @@
 		r := s.Step(now)
 		for _, x := range r.Start {
 			taken += 30
-			s.End(now, x.ID, x.Attempt, Done, []float64{30, 5})
+			s.Finish(now, x.ID, x.Number, Done, []float64{30, 5})
 		}
 		if most := 1000*float64(now-sec)/1e6 + 500 + 30; taken > most {
 			t.Fatalf("%v taken after %d us, %v at most", taken, now-sec, most)
 		}
-		if r.Next <= now {
-			t.Fatalf("Next is %d at %d", r.Next, now)
+		if r.NextStep <= now {
+			t.Fatalf("Next is %d at %d", r.NextStep, now)
 		}
-		now = min(r.Next, now+100*ms)
+		now = min(r.NextStep, now+100*ms)
 	}
 	if taken < 9900 {
 		t.Errorf("%v taken in 10 s, 10,500 are there", taken)
@@ -88,16 +88,16 @@
 // Foreground work that is late takes the budgets away, and gives them back.
 func TestPressHoldsBackgroundWorkBack(t *testing.T) {
 	s := scheduler(t, config())
-	s.Press(sec, 0)
+	s.SetBudgetFraction(sec, 0)
 	for i := range 60 {
-		submit(t, s, sec, fmt.Sprint("j", i), Steady, 0, 100, 0)
+		submit(t, s, sec, fmt.Sprint("j", i), Normal, 0, 100, 0)
 	}
 	begun := 0
 	run := func(from, to int64) {
 		for now := from; now < to; now += 10 * ms {
 			for _, x := range s.Step(now).Start {
 				begun++
-				s.End(now, x.ID, x.Attempt, Done, []float64{100, 0})
+				s.Finish(now, x.ID, x.Number, Done, []float64{100, 0})
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 	if begun > 5 {
 		t.Errorf("%d begun under full press: what was saved up is 5", begun)
 	}
-	s.Press(4*sec, 0.5)
+	s.SetBudgetFraction(4*sec, 0.5)
 	before := begun
 	run(4*sec, 8*sec)
 	if got := begun - before; got < 18 || got > 21 {
@@ -116,20 +116,20 @@
 // What waits long rises: idle work comes up though steady work never ends.
 func TestNothingStarves(t *testing.T) {
 	cfg := config()
-	cfg.MostOut = 1
+	cfg.MaxRunning = 1
 	s := scheduler(t, cfg)
 	submit(t, s, sec, "idle", Idle, 0, 0, 0)
 	now := sec
 	for i := 0; now < 60*sec; i++ {
-		submit(t, s, now, fmt.Sprint("p", i), Prompt, 0, 0, 0) // one comes while one is done: there is always another
+		submit(t, s, now, fmt.Sprint("p", i), High, 0, 0, 0) // one comes while one is done: there is always another
 		for _, x := range s.Step(now).Start {
 			if x.ID == "idle" {
-				if now > sec+4*cfg.Patience {
+				if now > sec+4*cfg.AgingInterval {
 					t.Errorf("begun after %d us", now-sec)
 				}
 				return
 			}
-			s.End(now, x.ID, x.Attempt, Done, nil)
+			s.Finish(now, x.ID, x.Number, Done, nil)
 		}
 		now += 100 * ms
 	}
@@ -139,7 +139,7 @@
 // Failed attempts come back later and later, lost ones when their lease is over, and no more often than they may.
 func TestRetriesAndLeases(t *testing.T) {
 	s := scheduler(t, config())
-	if _, err := s.Submit(sec, Job{ID: "j", Priority: Steady, Cost: []float64{1, 1}, Tries: 4}); err != nil {
+	if _, err := s.Submit(sec, Job{ID: "j", Priority: Normal, Cost: []float64{1, 1}, MaxAttempts: 4}); err != nil {
 		t.Fatal(err)
 	}
 	var at []int64
@@ -147,9 +147,9 @@
 		r := s.Step(now)
 		for _, x := range r.Start {
 			at = append(at, now)
-			if x.Attempt != 3 { // the third is lost without a word
-				if over := s.End(now, x.ID, x.Attempt, Fail, nil); len(over) > 0 && (over[0].Why != "tries" || x.Attempt != 4) {
-					t.Errorf("%+v at attempt %d", over, x.Attempt)
+			if x.Number != 3 { // the third is lost without a word
+				if over := s.Finish(now, x.ID, x.Number, Failed, nil); len(over) > 0 && (over[0].Reason != "tries" || x.Number != 4) {
+					t.Errorf("%+v at attempt %d", over, x.Number)
 				}
 			}
 		}
@@ -162,36 +162,36 @@
 			t.Errorf("gap %d: %d us", i, gap)
 		}
 	}
-	if wait, rest, running := s.Len(); wait+rest+running != 0 || s.wheel.Len() != 0 {
+	if wait, rest, running := s.Counts(); wait+rest+running != 0 || s.wheel.Len() != 0 {
 		t.Errorf("%d %d %d jobs and %d timers left", wait, rest, running, s.wheel.Len())
 	}
 }
 
 func TestDeadlinesAndRoom(t *testing.T) {
 	cfg := config()
-	cfg.MostQueue, cfg.MostOut = 3, 1
+	cfg.MaxQueued, cfg.MaxRunning = 3, 1
 	s := scheduler(t, cfg)
-	submit(t, s, sec, "running", Steady, 0, 1, 0)
+	submit(t, s, sec, "running", Normal, 0, 1, 0)
 	s.Step(sec)
-	submit(t, s, sec, "due", Steady, 2*sec, 1, 0)
+	submit(t, s, sec, "due", Normal, 2*sec, 1, 0)
 	submit(t, s, sec, "idle", Idle, 0, 1, 0)
-	submit(t, s, sec, "steady", Steady, 0, 1, 0)
-	if _, err := s.Submit(sec, Job{ID: "another", Priority: Idle, Cost: []float64{1, 0}}); !errors.Is(err, ErrFull) {
+	submit(t, s, sec, "steady", Normal, 0, 1, 0)
+	if _, err := s.Submit(sec, Job{ID: "another", Priority: Idle, Cost: []float64{1, 0}}); !errors.Is(err, ErrQueueFull) {
 		t.Errorf("got %v", err)
 	}
-	if over, err := s.Submit(sec, Job{ID: "prompt", Priority: Prompt, Cost: []float64{1, 0}}); err != nil || len(over) != 1 || over[0] != (Over{"idle", "room"}) {
+	if over, err := s.Submit(sec, Job{ID: "prompt", Priority: High, Cost: []float64{1, 0}}); err != nil || len(over) != 1 || over[0] != (Abandoned{"idle", "room"}) {
 		t.Errorf("got %v, %v", over, err)
 	}
-	if _, err := s.Submit(sec, Job{ID: "prompt", Priority: Prompt, Cost: []float64{1, 0}}); !errors.Is(err, ErrKnown) {
+	if _, err := s.Submit(sec, Job{ID: "prompt", Priority: High, Cost: []float64{1, 0}}); !errors.Is(err, ErrDuplicateJob) {
 		t.Errorf("got %v", err)
 	}
-	if _, err := s.Submit(sec, Job{ID: "x", Priority: Prompt, Cost: []float64{1}}); !errors.Is(err, ErrJob) {
+	if _, err := s.Submit(sec, Job{ID: "x", Priority: High, Cost: []float64{1}}); !errors.Is(err, ErrInvalidJob) {
 		t.Errorf("got %v", err)
 	}
-	if r := s.Step(2*sec + 10*ms); len(r.Over) != 1 || r.Over[0] != (Over{"due", "deadline"}) {
+	if r := s.Step(2*sec + 10*ms); len(r.Abandoned) != 1 || r.Abandoned[0] != (Abandoned{"due", "deadline"}) {
 		t.Errorf("got %+v", r)
 	}
-	if s.End(3*sec, "running", 7, Done, nil); s.jobs["running"] == nil {
+	if s.Finish(3*sec, "running", 7, Done, nil); s.jobs["running"] == nil {
 		t.Error("the end of another attempt is taken for this one's")
 	}
 }
@@ -204,7 +204,7 @@
 		now, n := sec, 0
 		running := map[string]int{}
 		over := map[string]bool{}
-		book := func(list []Over) {
+		book := func(list []Abandoned) {
 			for _, o := range list {
 				if over[o.ID] {
 					t.Fatalf("seed %d: %s is over twice", seed, o.ID)
@@ -218,12 +218,12 @@
 			switch rng.IntN(4) {
 			case 0:
 				n++
-				j := Job{ID: fmt.Sprint(n), Priority: Priority(rng.IntN(int(priorities))), Cost: []float64{rng.Float64() * 50, rng.Float64() * 10}, Tries: rng.IntN(4)}
+				j := Job{ID: fmt.Sprint(n), Priority: Priority(rng.IntN(int(priorityCount))), Cost: []float64{rng.Float64() * 50, rng.Float64() * 10}, MaxAttempts: rng.IntN(4)}
 				if rng.IntN(3) == 0 {
 					j.Deadline = now + int64(rng.IntN(3_000_000))
 				}
 				list, err := s.Submit(now, j)
-				if err != nil && !errors.Is(err, ErrFull) {
+				if err != nil && !errors.Is(err, ErrQueueFull) {
 					t.Fatal(err)
 				}
 				book(list)
@@ -238,21 +238,21 @@
 					attempt := running[id]
 					if rng.IntN(3) == 0 {
 						how := Outcome(rng.IntN(3))
-						list := s.End(now, id, attempt, how, []float64{rng.Float64() * 60, 3})
+						list := s.Finish(now, id, attempt, how, []float64{rng.Float64() * 60, 3})
 						delete(running, id)
 						book(list)
 					}
 				}
 			}
 			r := s.Step(now)
-			book(r.Over)
+			book(r.Abandoned)
 			for _, x := range r.Start {
 				if over[x.ID] {
 					t.Fatalf("seed %d: %s begins after it was over", seed, x.ID)
 				}
-				running[x.ID] = x.Attempt
+				running[x.ID] = x.Number
 			}
-			wait, rest, out := s.Len()
+			wait, rest, out := s.Counts()
 			if wait < 0 || rest < 0 || out > 8 || wait > 100 || s.wheel.Len() > len(s.jobs) {
 				t.Fatalf("seed %d: %d wait, %d rest, %d out, %d timers for %d jobs", seed, wait, rest, out, s.wheel.Len(), len(s.jobs))
 			}
@@ -262,20 +262,20 @@
 
 func BenchmarkScheduler(b *testing.B) {
 	cfg := config()
-	cfg.MostQueue, cfg.MostOut, cfg.Resources[0].PerS, cfg.Resources[1].PerS = 1<<20, 1<<20, 1e12, 1e12
+	cfg.MaxQueued, cfg.MaxRunning, cfg.Resources[0].RatePerS, cfg.Resources[1].RatePerS = 1<<20, 1<<20, 1e12, 1e12
 	s, err := New(cfg, 0, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.Press(0, 0)
-	s.level[0] = -1 // nothing begins yet
+	s.SetBudgetFraction(0, 0)
+	s.tokens[0] = -1 // nothing begins yet
 	cost := []float64{1, 1}
 	for i := range 100_000 {
 		if _, err := s.Submit(0, Job{ID: fmt.Sprint("w", i), Priority: Idle, Cost: cost}); err != nil {
 			b.Fatal(err)
 		}
 	}
-	s.Press(0, 1)
+	s.SetBudgetFraction(0, 1)
 	names := make([]string, 1024)
 	for i := range names {
 		names[i] = fmt.Sprint("n", i)
@@ -289,7 +289,7 @@
 			b.Fatal(err)
 		}
 		for _, x := range s.Step(now).Start {
-			s.End(now, x.ID, x.Attempt, Done, cost)
+			s.Finish(now, x.ID, x.Number, Done, cost)
 		}
 	}
 }
--- a/core/sched/wheel.go
+++ b/core/sched/wheel.go
@@ -18,28 +18,28 @@
 // Timers fire in the order of their due times, those of one time in the order in which they were added, and never early: a due
 // time in the past fires at the next Advance.
 type Wheel struct {
-	tick  int64 // microseconds of a slot of the lowest level
-	now   int64 // ticks that have been passed
-	seq   uint64
-	nodes []timer
-	free  int32
-	count int
-	slots [levels][slotCount]int32 // first timer of each slot's list; 0: none
-	used  [levels]uint64           // a bit for each slot that has one
-	batch []int32
+	tick        int64 // microseconds of a slot of the lowest level
+	currentTick int64 // ticks that have been passed
+	seq         uint64
+	timers      []timer
+	freeList    int32
+	count       int
+	slots       [levelCount][slotCount]int32 // first timer of each slot's list; 0: none
+	occupied    [levelCount]uint64           // a bit for each slot that has one
+	batch       []int32
 }
 
 const (
-	levels    = 7
-	slotBits  = 6
-	slotCount = 1 << slotBits
+	levelCount = 7
+	slotBits   = 6
+	slotCount  = 1 << slotBits
 )
 
 type timer struct {
 	due        int64
 	seq        uint64
 	payload    uint64
-	gen        uint32
+	generation uint32
 	next, prev int32 // in the slot's list; 0: none
 	level      int8  // -1: not in a slot
 	slot       uint8
@@ -47,14 +47,14 @@
 
 // Handle names a timer; the zero value names none.
 type Handle struct {
-	at  int32
-	gen uint32
+	index      int32
+	generation uint32
 }
 
 // NewWheel returns a wheel that stands at now, with slots of tick microseconds.
 func NewWheel(now, tick int64) *Wheel {
 	tick = max(tick, 1)
-	return &Wheel{tick: tick, now: now / tick, nodes: make([]timer, 1)}
+	return &Wheel{tick: tick, currentTick: now / tick, timers: make([]timer, 1)}
 }
 
 // Len is how many timers wait.
@@ -62,89 +62,89 @@
 
 // Add sets a timer.
 func (w *Wheel) Add(due int64, payload uint64) Handle {
-	i := w.free
+	i := w.freeList
 	if i != 0 {
-		w.free = w.nodes[i].next
+		w.freeList = w.timers[i].next
 	} else {
-		i = int32(len(w.nodes))
-		w.nodes = append(w.nodes, timer{})
+		i = int32(len(w.timers))
+		w.timers = append(w.timers, timer{})
 	}
 	w.seq++
-	n := &w.nodes[i]
+	n := &w.timers[i]
 	n.due, n.seq, n.payload = due, w.seq, payload
 	w.count++
-	w.place(i, w.now+1)
-	return Handle{i, n.gen}
+	w.place(i, w.currentTick+1)
+	return Handle{i, n.generation}
 }
 
 // Cancel takes a timer back; false if it has fired or was cancelled before.
 func (w *Wheel) Cancel(h Handle) bool {
-	if h.at <= 0 || int(h.at) >= len(w.nodes) || w.nodes[h.at].gen != h.gen || w.nodes[h.at].level < 0 {
+	if h.index <= 0 || int(h.index) >= len(w.timers) || w.timers[h.index].generation != h.generation || w.timers[h.index].level < 0 {
 		return false
 	}
-	w.unlink(h.at)
-	w.drop(h.at)
+	w.unlink(h.index)
+	w.release(h.index)
 	return true
 }
 
-// drop gives a timer's place back; its handles name it no more.
-func (w *Wheel) drop(i int32) {
-	n := &w.nodes[i]
-	n.gen++
+// release gives a timer's place back; its handles name it no more.
+func (w *Wheel) release(i int32) {
+	n := &w.timers[i]
+	n.generation++
 	n.level = -1
-	n.next, w.free = w.free, i
+	n.next, w.freeList = w.freeList, i
 	w.count--
 }
 
 // place puts a timer into the slot of the lowest level that reaches its due time; it fires at the tick first at the earliest.
 func (w *Wheel) place(i int32, first int64) {
-	n := &w.nodes[i]
+	n := &w.timers[i]
 	// The slot that holds the due time fires once that time has passed: a tick later for what is not on a tick's edge.
 	at := max((n.due+w.tick-1)/w.tick, first)
 	level := 0
-	if apart := uint64(at ^ w.now); apart >= slotCount {
-		level = min((bits.Len64(apart)-1)/slotBits, levels-1)
+	if apart := uint64(at ^ w.currentTick); apart >= slotCount {
+		level = min((bits.Len64(apart)-1)/slotBits, levelCount-1)
 	}
 	slot := uint8(at >> (level * slotBits) & (slotCount - 1))
-	if level == levels-1 && at>>(levels*slotBits) != w.now>>(levels*slotBits) {
-		slot = uint8((w.now>>(level*slotBits) + slotCount - 1) & (slotCount - 1)) // past the last level's reach: looked at again on the way
+	if level == levelCount-1 && at>>(levelCount*slotBits) != w.currentTick>>(levelCount*slotBits) {
+		slot = uint8((w.currentTick>>(level*slotBits) + slotCount - 1) & (slotCount - 1)) // past the last level's reach: looked at again on the way
 	}
 	n.level, n.slot = int8(level), slot
 	head := w.slots[level][slot]
 	n.next, n.prev = head, 0
 	if head != 0 {
-		w.nodes[head].prev = i
+		w.timers[head].prev = i
 	}
 	w.slots[level][slot] = i
-	w.used[level] |= 1 << slot
+	w.occupied[level] |= 1 << slot
 }
 
 func (w *Wheel) unlink(i int32) {
-	n := &w.nodes[i]
+	n := &w.timers[i]
 	if n.next != 0 {
-		w.nodes[n.next].prev = n.prev
+		w.timers[n.next].prev = n.prev
 	}
 	if n.prev != 0 {
-		w.nodes[n.prev].next = n.next
+		w.timers[n.prev].next = n.next
 		return
 	}
 	w.slots[n.level][n.slot] = n.next
 	if n.next == 0 {
-		w.used[n.level] &^= 1 << n.slot
+		w.occupied[n.level] &^= 1 << n.slot
 	}
 }
 
-// step is the next tick at which something happens: a slot of the lowest level fires, or one of a higher level has come near;
+// nextTick is the next tick at which something happens: a slot of the lowest level fires, or one of a higher level has come near;
 // math.MaxInt64 if nothing waits.
-func (w *Wheel) step() int64 {
+func (w *Wheel) nextTick() int64 {
 	best := int64(math.MaxInt64)
-	for level := range levels {
-		if w.used[level] == 0 {
+	for level := range levelCount {
+		if w.occupied[level] == 0 {
 			continue
 		}
-		at := w.now >> (level * slotBits)
+		at := w.currentTick >> (level * slotBits)
 		here := at & (slotCount - 1)
-		ahead := bits.RotateLeft64(w.used[level], -int(here+1))
+		ahead := bits.RotateLeft64(w.occupied[level], -int(here+1))
 		to := (at + 1 + int64(bits.TrailingZeros64(ahead))) << (level * slotBits)
 		best = min(best, to)
 	}
@@ -154,7 +154,7 @@
 // Next is a time before which no timer fires; math.MaxInt64 if none waits. Something may have to be moved then, so a caller that sleeps
 // until Next may find that nothing fires yet.
 func (w *Wheel) Next() int64 {
-	if at := w.step(); at != math.MaxInt64 {
+	if at := w.nextTick(); at != math.MaxInt64 {
 		return at * w.tick
 	}
 	return math.MaxInt64
@@ -164,52 +164,52 @@
 func (w *Wheel) Advance(now int64, fire func(payload uint64, due int64)) {
 	to := now / w.tick
 	for {
-		at := w.step()
+		at := w.nextTick()
 		if at > to {
 			break
 		}
-		w.now = at
+		w.currentTick = at
 		// Higher levels first: what they hold for this time may belong into the lowest level's slot.
-		for level := levels - 1; level > 0; level-- {
+		for level := levelCount - 1; level > 0; level-- {
 			if at&(1<<(level*slotBits)-1) == 0 {
-				w.spill(level, uint8(at>>(level*slotBits)&(slotCount-1)))
+				w.cascade(level, uint8(at>>(level*slotBits)&(slotCount-1)))
 			}
 		}
-		w.fire(uint8(at&(slotCount-1)), fire)
+		w.fireSlot(uint8(at&(slotCount-1)), fire)
 	}
-	w.now = max(w.now, to)
+	w.currentTick = max(w.currentTick, to)
 }
 
-// spill places the timers of a slot anew, nearer ones into lower levels.
-func (w *Wheel) spill(level int, slot uint8) {
+// cascade places the timers of a slot anew, nearer ones into lower levels.
+func (w *Wheel) cascade(level int, slot uint8) {
 	i := w.slots[level][slot]
 	w.slots[level][slot] = 0
-	w.used[level] &^= 1 << slot
+	w.occupied[level] &^= 1 << slot
 	for i != 0 {
-		next := w.nodes[i].next
-		w.place(i, w.now) // what is due right now fires next
+		next := w.timers[i].next
+		w.place(i, w.currentTick) // what is due right now fires next
 		i = next
 	}
 }
 
-func (w *Wheel) fire(slot uint8, fire func(payload uint64, due int64)) {
+func (w *Wheel) fireSlot(slot uint8, fire func(payload uint64, due int64)) {
 	w.batch = w.batch[:0]
-	for i := w.slots[0][slot]; i != 0; i = w.nodes[i].next {
+	for i := w.slots[0][slot]; i != 0; i = w.timers[i].next {
 		w.batch = append(w.batch, i)
 	}
 	w.slots[0][slot] = 0
-	w.used[0] &^= 1 << slot
+	w.occupied[0] &^= 1 << slot
 	slices.SortFunc(w.batch, func(a, b int32) int {
-		return cmp.Or(cmp.Compare(w.nodes[a].due, w.nodes[b].due), cmp.Compare(w.nodes[a].seq, w.nodes[b].seq))
+		return cmp.Or(cmp.Compare(w.timers[a].due, w.timers[b].due), cmp.Compare(w.timers[a].seq, w.timers[b].seq))
 	})
 	batch := w.batch
 	w.batch = nil // fire may come back to Advance
 	for _, i := range batch {
-		w.nodes[i].level = -1 // from here on it can't be cancelled
+		w.timers[i].level = -1 // from here on it can't be cancelled
 	}
 	for _, i := range batch {
-		n := w.nodes[i]
-		w.drop(i)
+		n := w.timers[i]
+		w.release(i)
 		fire(n.payload, n.due)
 	}
 	w.batch = batch
--- a/core/sched/wheel_test.go
+++ b/core/sched/wheel_test.go
@@ -92,7 +92,7 @@
 				}
 			default:
 				now += rapid.Int64Range(1, rapid.SampledFrom(far).Draw(t, "by")).Draw(t, "on")
-				if next := w.Next(); p.Len() > 0 && next > max(p.list[0].due, w.now+1) {
+				if next := w.Next(); p.Len() > 0 && next > max(p.list[0].due, w.currentTick+1) {
 					t.Fatalf("Next %d, a timer is due at %d", next, p.list[0].due)
 				}
 				w.Advance(now, func(payload uint64, due int64) { fired = append(fired, fmt.Sprint(payload, "@", due)) })
@@ -168,7 +168,7 @@
 				now += int64(60_000_000 / n)
 				w.Advance(now, func(uint64, int64) {})
 			}
-			b.ReportMetric(float64(cap(w.nodes))*float64(unsafe.Sizeof(timer{}))/float64(n), "B/timer")
+			b.ReportMetric(float64(cap(w.timers))*float64(unsafe.Sizeof(timer{}))/float64(n), "B/timer")
 		})
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
--- a/core/shield/wire_compat_test.go
+++ b/core/shield/wire_compat_test.go
@@ -9,11 +9,11 @@
 // The section shield of a features file.
 func TestStoredDocumentIsReadAndWrittenAlike(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/document.json", " ", Document{
-		Law:      "gradient",
-		Most:     41,
-		Reserve:  0.125,
-		Burst:    3,
-		UsualMs:  91,
-		LingerMs: 3001,
+		Algorithm:        "gradient",
+		MaxInFlight:      41,
+		Reserve:          0.125,
+		Burst:            3,
+		BaselineMs:       91,
+		AbandonedFetchMs: 3001,
 	})
 }
--- a/core/stages/judge.go
+++ b/core/stages/judge.go
@@ -1,5 +1,5 @@
 // Package stages lets a release or a price file into cells ring by ring, and judges each ring against the cells that are still on the old
-// version. Harm stops it.
+// version. Harmful stops it.
 //
 // The guarantee: as long as bad events of ring and control come independently but for bursts as in the time before, a release that does no
 // harm is stopped with probability Alpha at most, however long and however often one looks (Ville's inequality), all measures together.
@@ -13,43 +13,43 @@
 	"math"
 )
 
-// Measure is one kind of bad event.
-type Measure int
+// Metric is one kind of bad event.
+type Metric int
 
 // The measures.
 const (
-	Late     Measure = iota // answers without timely worth
-	Failed                  // requests that failed
-	FillBad                 // fills that failed
-	measures                // how many there are
+	LateAnswers Metric = iota // answers without timely worth
+	Failures                  // requests that failed
+	FillErrors                // fills that failed
+	metricCount               // how many there are
 )
 
-var measureNames = [measures]string{"late answers", "failures", "fill errors"}
+var metricNames = [metricCount]string{"late answers", "failures", "fill errors"}
 
-func (m Measure) String() string { return measureNames[m] }
+func (m Metric) String() string { return metricNames[m] }
 
-// Tally counts events of one side in one look: of N, so many were bad.
-type Tally struct{ N, Bad float64 }
+// Counts counts events of one side in one look: of N, so many were bad.
+type Counts struct{ Total, Bad float64 }
 
-// Look is what ring and control did between two looks, by measure.
-type Look struct{ Ring, Control [measures]Tally }
+// Sample is what ring and control did between two looks, by measure.
+type Sample struct{ Ring, Control [metricCount]Counts }
 
-// Terms say how a ring is judged.
-type Terms struct {
-	Alpha  float64 // probability at most that a release without harm is stopped
-	Beta   float64 // probability at most that harm of Least or more is called sound
-	Least  float64 // smallest harm that matters: factor on the odds of a bad event
-	Margin float64 // factor on those odds that is no harm: rings differ a little by themselves
+// TestParameters say how a ring is judged.
+type TestParameters struct {
+	Alpha   float64 // probability at most that a release without harm is stopped
+	Beta    float64 // probability at most that harm of Least or more is called sound
+	MinHarm float64 // smallest harm that matters: factor on the odds of a bad event
+	Margin  float64 // factor on those odds that is no harm: rings differ a little by themselves
 }
 
-// Check reports the first term that can't be used.
-func (t *Terms) Check() error {
+// Validate reports the first term that can't be used.
+func (t *TestParameters) Validate() error {
 	switch {
 	case !(t.Alpha > 0 && t.Alpha < 0.5):
 		return fmt.Errorf("alpha: %v is not above 0 and under 0.5", t.Alpha)
 	case !(t.Beta > 0 && t.Beta < 0.5):
 		return fmt.Errorf("beta: %v is not above 0 and under 0.5", t.Beta)
-	case !(t.Margin >= 1 && t.Margin < t.Least && t.Least <= 100):
+	case !(t.Margin >= 1 && t.Margin < t.MinHarm && t.MinHarm <= 100):
 		return errors.New("margin, least: 1 <= margin < least <= 100")
 	}
 	return nil
@@ -60,189 +60,189 @@
 
 // The verdicts.
 const (
-	Open  Verdict = iota // neither is shown yet
-	Harm                 // some measure is worse in the ring
-	Sound                // harm of Least or more is ruled out in every measure
+	Undecided Verdict = iota // neither is shown yet
+	Harmful                  // some measure is worse in the ring
+	Healthy                  // harm of Least or more is ruled out in every measure
 )
 
 var verdictNames = []string{"open", "harm", "sound"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// factors on the odds against which evidence is sought, each a bet of the same stake: small harm takes long, great harm must not.
-var factors = [...]float64{1.25, 1.5, 2, 3, 5, 10}
+// oddsFactors on the odds against which evidence is sought, each a bet of the same stake: small harm takes long, great harm must not.
+var oddsFactors = [...]float64{1.25, 1.5, 2, 3, 5, 10}
 
 // evidence of one measure. A bad event is the ring's with probability q: its odds by the numbers of events on both sides, times what they
 // were before, times the margin; with harm times a factor besides. What the events of a look have for or against each factor is
 // summed (Wald 1945), and betting on all of them at once gives a test that may be looked at at any time.
 type evidence struct {
-	before [2]Tally // ring and control, before the ring opened
-	burst  float64  // how much more bad events vary than independent ones: at least 1
-	spread float64  // sum of squared standardized differences, over looks, before
-	looks  float64
-	log    [len(factors)]float64
-	least  float64 // the same for the smallest harm that matters
+	baseline          [2]Counts // ring and control, before the ring opened
+	dispersion        float64   // how much more bad events vary than independent ones: at least 1
+	squaredDeviations float64   // sum of squared standardized differences, over looks, before
+	baselineSamples   float64
+	logRatios         [len(oddsFactors)]float64
+	minHarmLogRatio   float64 // the same for the smallest harm that matters
 }
 
-// Judge weighs a ring against its control. The zero value can't be used: NewJudge makes one.
-type Judge struct {
-	terms Terms
-	of    [measures]evidence
-	open  bool
+// SequentialTest weighs a ring against its control. The zero value can't be used: NewSequentialTest makes one.
+type SequentialTest struct {
+	parameters TestParameters
+	metrics    [metricCount]evidence
+	started    bool
 }
 
-// NewJudge returns a judge that has seen nothing.
-func NewJudge(t Terms) (*Judge, error) {
-	if err := t.Check(); err != nil {
+// NewSequentialTest returns a judge that has seen nothing.
+func NewSequentialTest(t TestParameters) (*SequentialTest, error) {
+	if err := t.Validate(); err != nil {
 		return nil, err
 	}
-	j := &Judge{terms: t}
-	for i := range j.of {
-		j.of[i].burst = 1
+	j := &SequentialTest{parameters: t}
+	for i := range j.metrics {
+		j.metrics[i].dispersion = 1
 	}
 	return j, nil
 }
 
-// Before takes in a look at the time before the ring is opened: how the two differ by themselves, and how much bad events come in bursts.
+// AddBaseline takes in a look at the time before the ring is opened: how the two differ by themselves, and how much bad events come in bursts.
 // It has no effect once Add has been called.
-func (j *Judge) Before(l Look) {
-	if j.open {
+func (j *SequentialTest) AddBaseline(l Sample) {
+	if j.started {
 		return
 	}
-	for i := range j.of {
-		e := &j.of[i]
+	for i := range j.metrics {
+		e := &j.metrics[i]
 		r, c := l.Ring[i], l.Control[i]
-		e.before[0].add(r)
-		e.before[1].add(c)
-		if k := r.Bad + c.Bad; k > 0 && r.N > 0 && c.N > 0 {
-			q := share(r.N, c.N, e.ratio())
+		e.baseline[0].add(r)
+		e.baseline[1].add(c)
+		if k := r.Bad + c.Bad; k > 0 && r.Total > 0 && c.Total > 0 {
+			q := expectedRingShare(r.Total, c.Total, e.baselineOddsRatio())
 			d := r.Bad - k*q
-			e.spread += d * d / (k * q * (1 - q))
-			e.looks++
+			e.squaredDeviations += d * d / (k * q * (1 - q))
+			e.baselineSamples++
 		}
 	}
 }
 
-func (t *Tally) add(o Tally) {
-	t.N += o.N
+func (t *Counts) add(o Counts) {
+	t.Total += o.Total
 	t.Bad += o.Bad
 }
 
-// prior events stand on each side for what is not known of odds: few bad events before must not fix a ratio of 0.
-const prior = 2.0
+// priorEvents events stand on each side for what is not known of odds: few bad events before must not fix a ratio of 0.
+const priorEvents = 2.0
 
-// ratio of the odds of a bad event, ring to control, before.
-func (e *evidence) ratio() float64 {
-	r, c := e.before[0], e.before[1]
-	if r.N == 0 || c.N == 0 {
+// baselineOddsRatio of the odds of a bad event, ring to control, before.
+func (e *evidence) baselineOddsRatio() float64 {
+	r, c := e.baseline[0], e.baseline[1]
+	if r.Total == 0 || c.Total == 0 {
 		return 1
 	}
-	rate := (r.Bad + c.Bad + prior) / (r.N + c.N + prior)
-	return ((r.Bad + prior) / (r.N + prior/rate)) / ((c.Bad + prior) / (c.N + prior/rate))
+	rate := (r.Bad + c.Bad + priorEvents) / (r.Total + c.Total + priorEvents)
+	return ((r.Bad + priorEvents) / (r.Total + priorEvents/rate)) / ((c.Bad + priorEvents) / (c.Total + priorEvents/rate))
 }
 
-// doubt is the factor by which that ratio may be off, two standard errors.
-func (e *evidence) doubt() float64 {
-	r, c := e.before[0], e.before[1]
-	return math.Exp(2 * math.Sqrt(e.burst*(1/(r.Bad+prior)+1/(c.Bad+prior))))
+// baselineUncertainty is the factor by which that ratio may be off, two standard errors.
+func (e *evidence) baselineUncertainty() float64 {
+	r, c := e.baseline[0], e.baseline[1]
+	return math.Exp(2 * math.Sqrt(e.dispersion*(1/(r.Bad+priorEvents)+1/(c.Bad+priorEvents))))
 }
 
-// mostDoubt bounds what doubt adds to the margin: a ring of which nothing was seen before is judged all the same.
-const mostDoubt = 3.0
+// maxUncertainty bounds what doubt adds to the margin: a ring of which nothing was seen before is judged all the same.
+const maxUncertainty = 3.0
 
-func clamp(q float64) float64 { return min(max(q, 1e-9), 1-1e-9) }
+func clampProbability(q float64) float64 { return min(max(q, 1e-9), 1-1e-9) }
 
-// share of bad events that the ring has, at a factor on its odds.
-func share(ring, control, factor float64) float64 {
-	return clamp(factor * ring / (factor*ring + control))
+// expectedRingShare of bad events that the ring has, at a factor on its odds.
+func expectedRingShare(ring, control, factor float64) float64 {
+	return clampProbability(factor * ring / (factor*ring + control))
 }
 
-// begin fixes what was learnt before.
-func (j *Judge) begin() {
-	j.open = true
-	for i := range j.of {
-		if e := &j.of[i]; e.looks >= 5 {
-			e.burst = max(e.spread/e.looks, 1)
+// freezeBaseline fixes what was learnt before.
+func (j *SequentialTest) freezeBaseline() {
+	j.started = true
+	for i := range j.metrics {
+		if e := &j.metrics[i]; e.baselineSamples >= 5 {
+			e.dispersion = max(e.squaredDeviations/e.baselineSamples, 1)
 		}
 	}
 }
 
 // Add takes in a look at the time since the ring was opened.
-func (j *Judge) Add(l Look) {
-	if !j.open {
-		j.begin()
+func (j *SequentialTest) Add(l Sample) {
+	if !j.started {
+		j.freezeBaseline()
 	}
-	for i := range j.of {
-		e := &j.of[i]
+	for i := range j.metrics {
+		e := &j.metrics[i]
 		r, c := l.Ring[i], l.Control[i]
 		k := r.Bad + c.Bad
-		if !(r.N > 0 && c.N > 0 && k > 0) || r.Bad > r.N || c.Bad > c.N {
+		if !(r.Total > 0 && c.Total > 0 && k > 0) || r.Bad > r.Total || c.Bad > c.Total {
 			continue
 		}
-		doubt := min(e.doubt(), mostDoubt)
-		base := e.ratio() * j.terms.Margin * doubt
-		q0 := share(r.N, c.N, base)
-		for f, factor := range factors {
-			e.log[f] += weigh(r.Bad, c.Bad, q0, share(r.N, c.N, base*factor)) / e.burst
+		doubt := min(e.baselineUncertainty(), maxUncertainty)
+		base := e.baselineOddsRatio() * j.parameters.Margin * doubt
+		q0 := expectedRingShare(r.Total, c.Total, base)
+		for f, factor := range oddsFactors {
+			e.logRatios[f] += logLikelihoodRatio(r.Bad, c.Bad, q0, expectedRingShare(r.Total, c.Total, base*factor)) / e.dispersion
 		}
-		low := e.ratio() / math.Sqrt(doubt) // by one standard error: what is called sound must be so if the ring was better before than it looked
-		e.least += weigh(r.Bad, c.Bad, share(r.N, c.N, low), share(r.N, c.N, low*j.terms.Least)) / e.burst
+		low := e.baselineOddsRatio() / math.Sqrt(doubt) // by one standard error: what is called sound must be so if the ring was better before than it looked
+		e.minHarmLogRatio += logLikelihoodRatio(r.Bad, c.Bad, expectedRingShare(r.Total, c.Total, low), expectedRingShare(r.Total, c.Total, low*j.parameters.MinHarm)) / e.dispersion
 	}
 }
 
-// weigh is the log of how much more likely what was seen is with q1 than with q0.
-func weigh(ring, control, q0, q1 float64) float64 {
+// logLikelihoodRatio is the log of how much more likely what was seen is with q1 than with q0.
+func logLikelihoodRatio(ring, control, q0, q1 float64) float64 {
 	return ring*math.Log(q1/q0) + control*math.Log((1-q1)/(1-q0))
 }
 
-// bet is the log of what an even stake on all factors has become.
-func (e *evidence) bet() float64 {
+// mixtureLogRatio is the log of what an even stake on all factors has become.
+func (e *evidence) mixtureLogRatio() float64 {
 	most := math.Inf(-1)
-	for _, l := range e.log {
+	for _, l := range e.logRatios {
 		most = max(most, l)
 	}
 	sum := 0.0
-	for _, l := range e.log {
+	for _, l := range e.logRatios {
 		sum += math.Exp(l - most)
 	}
-	return most + math.Log(sum/float64(len(e.log)))
+	return most + math.Log(sum/float64(len(e.logRatios)))
 }
 
 // Verdict tells what the evidence says, and of harm in which measure.
-func (j *Judge) Verdict() (Verdict, Measure) {
-	sound := j.open
-	for i := range j.of {
-		e := &j.of[i]
-		if e.bet() >= math.Log(float64(measures)/j.terms.Alpha) {
-			return Harm, Measure(i)
+func (j *SequentialTest) Verdict() (Verdict, Metric) {
+	sound := j.started
+	for i := range j.metrics {
+		e := &j.metrics[i]
+		if e.mixtureLogRatio() >= math.Log(float64(metricCount)/j.parameters.Alpha) {
+			return Harmful, Metric(i)
 		}
-		sound = sound && e.least <= math.Log(j.terms.Beta)
+		sound = sound && e.minHarmLogRatio <= math.Log(j.parameters.Beta)
 	}
 	if sound {
-		return Sound, 0
+		return Healthy, 0
 	}
-	return Open, 0
+	return Undecided, 0
 }
 
 // Evidence is the log of the bet on a measure: of routers that saw different requests it may be summed, and the sum is judged by the
 // same bound.
-func (j *Judge) Evidence(m Measure) float64 { return j.of[m].bet() }
+func (j *SequentialTest) Evidence(m Metric) float64 { return j.metrics[m].mixtureLogRatio() }
 
-// Finds is the number of bad events, of ring and control together, after which harm of a factor is found on average, where the ring has a
+// ExpectedEvents is the number of bad events, of ring and control together, after which harm of a factor is found on average, where the ring has a
 // part of all events: what there is to be won from one event, into what a bet must win.
-func (t *Terms) Finds(factor, part, burst float64) float64 {
+func (t *TestParameters) ExpectedEvents(factor, part, burst float64) float64 {
 	base := t.Margin
-	q0, q := share(part, 1-part, base), share(part, 1-part, factor)
+	q0, q := expectedRingShare(part, 1-part, base), expectedRingShare(part, 1-part, factor)
 	best := 0.0
-	for _, f := range factors {
-		q1 := share(part, 1-part, base*f)
+	for _, f := range oddsFactors {
+		q1 := expectedRingShare(part, 1-part, base*f)
 		best = max(best, q*math.Log(q1/q0)+(1-q)*math.Log((1-q1)/(1-q0)))
 	}
 	if best <= 0 {
 		return math.Inf(1)
 	}
-	return math.Log(float64(measures)*float64(len(factors))/t.Alpha) * max(burst, 1) / best
+	return math.Log(float64(metricCount)*float64(len(oddsFactors))/t.Alpha) * max(burst, 1) / best
 }
 
-// Measures names all measures, in their order.
-func Measures() []string { return measureNames[:] }
+// MetricNames names all measures, in their order.
+func MetricNames() []string { return metricNames[:] }
--- a/core/stages/stage_test.go
+++ b/core/stages/stage_test.go
@@ -11,13 +11,13 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-func stage() Stage {
-	return Stage{Version: 1, Name: "prices", Prefix: "00ff", Since: 1000, Rings: []Ring{
-		{Cells: []string{"a"}, Open: 60_000, For: 120_000}, {Cells: []string{"b", "c"}, Open: 70_000, For: 120_000}, {Cells: []string{"d", "e", "f", "g"}, Open: 70_000, For: 120_000}}}
+func stage() Rollout {
+	return Rollout{Version: 1, Name: "prices", Prefix: "00ff", Since: 1000, Rings: []Ring{
+		{Cells: []string{"a"}, OpensAt: 60_000, JudgeWithin: 120_000}, {Cells: []string{"b", "c"}, OpensAt: 70_000, JudgeWithin: 120_000}, {Cells: []string{"d", "e", "f", "g"}, OpensAt: 70_000, JudgeWithin: 120_000}}}
 }
 
 // day plays a stage second by second; rate is the part of a cell's requests that fail at a time.
-func day(t testing.TB, s Stage, seed uint64, perS float64, rate func(p *Progress, cell string) float64, until float64) (*Progress, [][]RingState) {
+func day(t testing.TB, s Rollout, seed uint64, perS float64, rate func(p *Progress, cell string) float64, until float64) (*Progress, [][]RingState) {
 	t.Helper()
 	p, err := NewProgress(&s, 0)
 	if err != nil {
@@ -28,9 +28,9 @@
 	for now := 0.0; now < until; now += 1000 {
 		for _, cell := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 			bad := distuv.Poisson{Lambda: perS * rate(p, cell), Src: src}.Rand()
-			p.Count(cell, Failed, perS, min(bad, perS))
-			p.Count(cell, Late, perS, min(distuv.Poisson{Lambda: perS * 0.02, Src: src}.Rand(), perS))
-			p.Count(cell, FillBad, perS/4, min(distuv.Poisson{Lambda: perS / 4 * 0.01, Src: src}.Rand(), perS/4))
+			p.Count(cell, Failures, perS, min(bad, perS))
+			p.Count(cell, LateAnswers, perS, min(distuv.Poisson{Lambda: perS * 0.02, Src: src}.Rand(), perS))
+			p.Count(cell, FillErrors, perS/4, min(distuv.Poisson{Lambda: perS / 4 * 0.01, Src: src}.Rand(), perS/4))
 		}
 		if changed := p.Step(now); len(changed) > 0 {
 			var now []RingState
@@ -49,37 +49,37 @@
 func TestRingsGoOnOrAreTakenBack(t *testing.T) {
 	good, states := day(t, stage(), 1, 300, func(*Progress, string) float64 { return 0.01 }, 600_000)
 	for i := range 3 {
-		if st, _ := good.State(i); st != Passed {
+		if st, _ := good.State(i); st != RingPassed {
 			t.Errorf("ring %d of a good release: %s", i, st)
 		}
 	}
 	for _, s := range states {
-		if s[1] != Shut && s[0] != Passed || s[2] != Shut && s[1] != Passed {
+		if s[1] != RingClosed && s[0] != RingPassed || s[2] != RingClosed && s[1] != RingPassed {
 			t.Errorf("states %v", s)
 		}
 	}
 	bad, states := day(t, stage(), 2, 300, func(p *Progress, cell string) float64 {
-		if p.Open(cell) {
+		if p.HasRelease(cell) {
 			return 0.05
 		}
 		return 0.01
 	}, 600_000)
 	for _, s := range states {
-		if s[1] != Shut && s[1] != Stopped {
+		if s[1] != RingClosed && s[1] != RingStopped {
 			t.Errorf("a bad release gets to the second ring: %v", s)
 		}
 	}
-	if st, why := bad.State(0); st != Stopped || why != Failed || bad.Open("a") {
+	if st, why := bad.State(0); st != RingStopped || why != Failures || bad.HasRelease("a") {
 		t.Errorf("a bad release: %s by %s", st, why)
 	}
 	later, _ := day(t, stage(), 3, 300, func(p *Progress, cell string) float64 {
-		if p.Open(cell) && cell != "a" {
+		if p.HasRelease(cell) && cell != "a" {
 			return 0.08
 		}
 		return 0.01
 	}, 600_000)
 	for _, cell := range []string{"a", "b", "c", "d"} {
-		if later.Open(cell) {
+		if later.HasRelease(cell) {
 			t.Errorf("harm in the second ring, and %s still has the release", cell)
 		}
 	}
@@ -89,11 +89,11 @@
 func TestCantTell(t *testing.T) {
 	for _, unsure := range []string{"", "go"} {
 		s := stage()
-		s.Unsure = unsure
+		s.OnUndecided = unsure
 		p, _ := day(t, s, 4, 0.5, func(*Progress, string) float64 { return 0.01 }, 250_000)
 		st, _ := p.State(0)
 		next, _ := p.State(1)
-		if st != Unsure || (next == Shut) != (unsure == "") {
+		if st != RingUndecided || (next == RingClosed) != (unsure == "") {
 			t.Errorf("unsure %q: %s, and the next %s", unsure, st, next)
 		}
 	}
@@ -102,10 +102,10 @@
 // The document's stop takes all rings back at its time, and for good.
 func TestStopByDocument(t *testing.T) {
 	s := stage()
-	s.StopAt = 80_000
+	s.RollbackAt = 80_000
 	p, _ := day(t, s, 5, 300, func(*Progress, string) float64 { return 0.01 }, 250_000)
 	for i := range s.Rings {
-		if st, _ := p.State(i); st != Stopped {
+		if st, _ := p.State(i); st != RingStopped {
 			t.Errorf("ring %d: %s", i, st)
 		}
 	}
@@ -118,7 +118,7 @@
 		for _, r := range s.Rings {
 			open := 0
 			for _, c := range r.Cells {
-				if p.Open(c) {
+				if p.HasRelease(c) {
 					open++
 				}
 			}
@@ -128,10 +128,10 @@
 		}
 		return 0.01
 	}, 100_000)
-	if p.Open("h") || p.Open("nowhere") {
+	if p.HasRelease("h") || p.HasRelease("nowhere") {
 		t.Error("a cell in no ring has the release")
 	}
-	if len(p.Evidence(0)) != int(measures) || len(p.look) != 0 && slices.Max(p.Evidence(0)) == math.Inf(1) {
+	if len(p.Evidence(0)) != int(metricCount) || len(p.counts) != 0 && slices.Max(p.Evidence(0)) == math.Inf(1) {
 		t.Error("no evidence")
 	}
 }
@@ -139,13 +139,13 @@
 // What cells answer with of a release that renews objects, at each point of its life: old copies where the ring is shut, new ones where it
 // is open, none or whatever there is where it was taken back for harm, and only what was made since the document took it back.
 func TestWhatCellsAnswerWith(t *testing.T) {
-	type lets map[string]Lets
-	old, renewed, none, restored := Lets{Age: 5000}, Lets{From: 1000}, Lets{Not: true}, Lets{From: 400_000}
-	for back, after := range map[string]Lets{"": none, "serve": old} {
+	type lets map[string]GateDecision
+	old, renewed, none, restored := GateDecision{MaxAge: 5000}, GateDecision{MadeSince: 1000}, GateDecision{Rejected: true}, GateDecision{MadeSince: 400_000}
+	for back, after := range map[string]GateDecision{"": none, "serve": old} {
 		s := stage()
-		s.Renews, s.Keep, s.Back = true, 5000, back
+		s.ReplacesObjects, s.OldCopyMaxAge, s.OnRollback = true, 5000, back
 		bad := func(p *Progress, cell string) float64 {
-			if p.Open(cell) && cell != "a" { // harm shows in the second ring
+			if p.HasRelease(cell) && cell != "a" { // harm shows in the second ring
 				return 0.08
 			}
 			return 0.01
@@ -159,10 +159,10 @@
 			{380_000, 0, lets{"a": after, "b": after, "d": old, "h": old}},
 			{402_000, 400_000, lets{"a": restored, "b": restored, "d": restored, "h": restored}},
 		} {
-			s.StopAt = at.stop
+			s.RollbackAt = at.stop
 			p, _ := day(t, s, 3, 300, bad, at.until)
 			for cell, want := range at.want {
-				if got := p.Lets(cell); got != want {
+				if got := p.Gate(cell); got != want {
 					t.Errorf("back %q, until %v, cell %s: %+v, want %+v", back, at.until, cell, got, want)
 				}
 			}
@@ -170,46 +170,46 @@
 	}
 	s := stage()
 	p, _ := day(t, s, 3, 300, func(*Progress, string) float64 { return 0.01 }, 61_001)
-	if p.Lets("a") != (Lets{}) || p.Lets("b") != none || p.Lets("h") != none {
+	if p.Gate("a") != (GateDecision{}) || p.Gate("b") != none || p.Gate("h") != none {
 		t.Error("new objects")
 	}
-	s.Version, s.Renews, s.Keep = 2, true, 5000
+	s.Version, s.ReplacesObjects, s.OldCopyMaxAge = 2, true, 5000
 	if p.Continue(&s) {
 		t.Error("a release of another kind goes on as the same")
 	}
 }
 
 func TestStageNamesTheField(t *testing.T) {
-	for want, spoil := range map[string]func(*Stage){
-		"version: ":                  func(s *Stage) { s.Version = 0 },
-		"name: ":                     func(s *Stage) { s.Name = "" },
-		"prefix: ":                   func(s *Stage) { s.Prefix = "" },
-		"prefix: can't":              func(s *Stage) { s.Prefix = "xy" },
-		"families: ":                 func(s *Stage) { s.Families = []int{3, 1} },
-		"since: ":                    func(s *Stage) { s.Since = math.NaN() },
-		"unsure: ":                   func(s *Stage) { s.Unsure = "maybe" },
-		"stopAt: ":                   func(s *Stage) { s.StopAt = -1 },
-		"rings: ":                    func(s *Stage) { s.Rings = nil },
-		"rings[1].cells: ":           func(s *Stage) { s.Rings[1].Cells = []string{"a"} },
-		"rings[0].cells: ":           func(s *Stage) { s.Rings[0].Cells = nil },
-		"rings[2].open: ":            func(s *Stage) { s.Rings[2].Open = 5 },
-		"rings[0].open: ":            func(s *Stage) { s.Rings[0].For = 0 },
-		"can't be used: a":           func(s *Stage) { s.Alpha = 0.7 },
-		"back: can't be used: \"so":  func(s *Stage) { s.Back = "so" },
-		"back: ":                     func(s *Stage) { s.Back = "serve" },
-		"keep: ":                     func(s *Stage) { s.Keep = 5 },
-		"keep: can't be used: 0 ms":  func(s *Stage) { s.Renews = true },
-		"keep: can't be used: 1e+10": func(s *Stage) { s.Renews, s.Keep = true, 1e10 },
+	for want, spoil := range map[string]func(*Rollout){
+		"version: ":                  func(s *Rollout) { s.Version = 0 },
+		"name: ":                     func(s *Rollout) { s.Name = "" },
+		"prefix: ":                   func(s *Rollout) { s.Prefix = "" },
+		"prefix: can't":              func(s *Rollout) { s.Prefix = "xy" },
+		"families: ":                 func(s *Rollout) { s.FamilyRange = []int{3, 1} },
+		"since: ":                    func(s *Rollout) { s.Since = math.NaN() },
+		"unsure: ":                   func(s *Rollout) { s.OnUndecided = "maybe" },
+		"stopAt: ":                   func(s *Rollout) { s.RollbackAt = -1 },
+		"rings: ":                    func(s *Rollout) { s.Rings = nil },
+		"rings[1].cells: ":           func(s *Rollout) { s.Rings[1].Cells = []string{"a"} },
+		"rings[0].cells: ":           func(s *Rollout) { s.Rings[0].Cells = nil },
+		"rings[2].open: ":            func(s *Rollout) { s.Rings[2].OpensAt = 5 },
+		"rings[0].open: ":            func(s *Rollout) { s.Rings[0].JudgeWithin = 0 },
+		"can't be used: a":           func(s *Rollout) { s.Alpha = 0.7 },
+		"back: can't be used: \"so":  func(s *Rollout) { s.OnRollback = "so" },
+		"back: ":                     func(s *Rollout) { s.OnRollback = "serve" },
+		"keep: ":                     func(s *Rollout) { s.OldCopyMaxAge = 5 },
+		"keep: can't be used: 0 ms":  func(s *Rollout) { s.ReplacesObjects = true },
+		"keep: can't be used: 1e+10": func(s *Rollout) { s.ReplacesObjects, s.OldCopyMaxAge = true, 1e10 },
 	} {
 		s := stage()
 		spoil(&s)
-		if err := s.Check(); !errors.Is(err, ErrStage) || !strings.HasPrefix(err.Error(), want) {
+		if err := s.Validate(); !errors.Is(err, ErrInvalid) || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
 	s := stage()
-	s.Families = []int{2, 4}
-	if !s.Holds(3, "00ff01") || s.Holds(5, "00ff01") || s.Holds(3, "00fe") {
+	s.FamilyRange = []int{2, 4}
+	if !s.Contains(3, "00ff01") || s.Contains(5, "00ff01") || s.Contains(3, "00fe") {
 		t.Error("what belongs to it")
 	}
 }
--- a/emulator/config.go
+++ b/emulator/config.go
@@ -101,12 +101,12 @@
 // with names of their own, or with Renews objects asked for all day, which the head office gives out in the new version from FromS on,
 // until BackS (0: for good).
 type Release struct {
-	FromS  float64       `json:"fromS"`
-	Part   float64       `json:"part"` // of catalogue requests
-	Harm   float64       `json:"harm"` // part of its objects that fail at every cache; of renewed ones, those that were made new
-	Renews bool          `json:"renews,omitempty"`
-	BackS  float64       `json:"backS,omitempty"`
-	Stage  *stages.Stage `json:"stage"`
+	FromS  float64         `json:"fromS"`
+	Part   float64         `json:"part"` // of catalogue requests
+	Harm   float64         `json:"harm"` // part of its objects that fail at every cache; of renewed ones, those that were made new
+	Renews bool            `json:"renews,omitempty"`
+	BackS  float64         `json:"backS,omitempty"`
+	Stage  *stages.Rollout `json:"stage"`
 }
 
 // releaseFamily is the group of a release's objects.
@@ -172,7 +172,7 @@
 			return fmt.Errorf("faults[%d].part: %v is not above 0 to 1", i, f.Part)
 		}
 	}
-	if r := c.Release; r != nil && r.Stage != nil && r.Stage.Renews != r.Renews {
+	if r := c.Release; r != nil && r.Stage != nil && r.Stage.ReplacesObjects != r.Renews {
 		return errors.New("release.renews: its stage says otherwise")
 	}
 	for i, ch := range c.Changes {
@@ -344,9 +344,9 @@
 // ShieldBy is the document of the head office's shield under a law, as staff who know the head office would write it: a fill takes twice the way
 // on a usual day, and an area cache goes on with a fetch for longer than any client waits. With forget, nothing is reckoned to go on.
 func (c *Config) ShieldBy(law string, forget bool) *shield.Document {
-	d := &shield.Document{Law: law, Most: c.originKnee(), Reserve: 0.1, Burst: 2, UsualMs: 2 * ms2(2*hubWay+2*c.originWay()+originAsk), LingerMs: 10_000}
+	d := &shield.Document{Algorithm: law, MaxInFlight: c.originKnee(), Reserve: 0.1, Burst: 2, BaselineMs: 2 * ms2(2*hubWay+2*c.originWay()+originAsk), AbandonedFetchMs: 10_000}
 	if forget {
-		d.LingerMs = 0
+		d.AbandonedFetchMs = 0
 	}
 	return d
 }
--- a/emulator/moving.go
+++ b/emulator/moving.go
@@ -37,7 +37,7 @@
 			last = a
 		}
 		if ch.Moves != nil {
-			if err := ch.Moves.Check(ch.AtS*1000, doc); err != nil {
+			if err := ch.Moves.Validate(ch.AtS*1000, doc); err != nil {
 				return fmt.Errorf("changes[%d]: %w", i, err)
 			}
 			if err := last.CheckMigrations(ch.Moves); err != nil {
@@ -215,7 +215,7 @@
 }
 
 // wishes are the tenants that move, and where from and to.
-func (c *Config) wishes(trip *Trip) (tenants []int, wishes []order.Wish) {
+func (c *Config) wishes(trip *Trip) (tenants []int, wishes []order.Request) {
 	spec := c.Cells
 	place := map[string]int{}
 	for i, cell := range spec.Cells {
@@ -225,11 +225,11 @@
 	shares := c.TenantShares()
 	add := func(t, to int) {
 		kb := shares[t] * c.RateS * meanKb() / float64(c.Depots)
-		w := order.Wish{Tenant: spec.Tenants[t].Name, From: spec.Tenants[t].Cell, To: spec.Cells[to].Name, KbPerS: kb, FillKb: kb * order.AskedIn}
+		w := order.Request{Tenant: spec.Tenants[t].Name, From: spec.Tenants[t].Cell, To: spec.Cells[to].Name, KbPerS: kb, FillKb: kb * order.WorkingSetSeconds}
 		drift := int(trip.StartS / c.DriftS)
 		for rank := range trip.Hot {
 			for class := video; class <= catalogue; class++ {
-				w.Hot = append(w.Hot, objectName(t, uint64(t)<<48|uint64(class)<<44|uint64(rank+drift)))
+				w.HotObjects = append(w.HotObjects, objectName(t, uint64(t)<<48|uint64(class)<<44|uint64(rank+drift)))
 			}
 		}
 		tenants, wishes = append(tenants, t), append(wishes, w)
@@ -283,47 +283,47 @@
 		if err != nil {
 			return err
 		}
-		doc.Moves = s.Moves
+		doc.Migrations = s.Migrations
 	default:
 		for i, w := range wishes {
-			m := moves.Move{Tenant: w.Tenant, Depot: moves.AllDepots, From: w.From, To: w.To, Start: start, Warm: trip.WarmS * 1000, Shift: trip.ShiftS * 1000,
-				Slow: max(trip.Slow, 1) * trip.ShiftS * 1000, Settle: trip.SettleS * 1000, Hot: w.Hot}
+			m := moves.Migration{Tenant: w.Tenant, Site: moves.AllSites, From: w.From, To: w.To, Start: start, WarmUp: trip.WarmS * 1000, MinShift: trip.ShiftS * 1000,
+				MaxShift: max(trip.Slow, 1) * trip.ShiftS * 1000, Settle: trip.SettleS * 1000, HotObjects: w.HotObjects}
 			switch trip.Style {
 			case "ramp":
-				m.Unbounded, m.Slow = true, m.Shift
+				m.Unbounded, m.MaxShift = true, m.MinShift
 			case "oneByOne":
-				m.Start += float64(i) * (m.Warm + m.Shift)
+				m.Start += float64(i) * (m.WarmUp + m.MinShift)
 			case "paced":
 			default:
 				return fmt.Errorf("style %q: none, paced, ramp, planned, oneByOne or atOnce", trip.Style)
 			}
-			doc.Moves = append(doc.Moves, m)
+			doc.Migrations = append(doc.Migrations, m)
 		}
 	}
-	for _, m := range doc.Moves {
-		c.EndS = max(c.EndS, (m.Start+m.Warm+m.Shift)/1000)
+	for _, m := range doc.Migrations {
+		c.EndS = max(c.EndS, (m.Start+m.WarmUp+m.MinShift)/1000)
 	}
 	c.Changes = append(c.Changes, Change{AtS: max(trip.StartS-3, 0), Moves: doc})
-	later := func(at float64, set func(*moves.Move)) {
+	later := func(at float64, set func(*moves.Migration)) {
 		if at == 0 {
 			return
 		}
-		next := &moves.Document{Version: c.Changes[len(c.Changes)-1].Moves.Version + 1, Moves: slices.Clone(c.Changes[len(c.Changes)-1].Moves.Moves)}
-		for i := range next.Moves {
-			set(&next.Moves[i])
+		next := &moves.Document{Version: c.Changes[len(c.Changes)-1].Moves.Version + 1, Migrations: slices.Clone(c.Changes[len(c.Changes)-1].Moves.Migrations)}
+		for i := range next.Migrations {
+			set(&next.Migrations[i])
 		}
 		c.Changes = append(c.Changes, Change{AtS: at, Moves: next})
 	}
-	later(trip.HoldS, func(m *moves.Move) { m.HeldAt = trip.HoldS * 1000 })
-	later(trip.ResumeS, func(m *moves.Move) { *m = m.Resumed(trip.ResumeS * 1000) })
-	later(trip.BackS, func(m *moves.Move) { m.BackAt = trip.BackS*1000 + 3000 })
+	later(trip.HoldS, func(m *moves.Migration) { m.PausedAt = trip.HoldS * 1000 })
+	later(trip.ResumeS, func(m *moves.Migration) { *m = m.Resumed(trip.ResumeS * 1000) })
+	later(trip.BackS, func(m *moves.Migration) { m.RollbackAt = trip.BackS*1000 + 3000 })
 	return nil
 }
 
 // aim tells the planner what the world's cells bear on a calm day.
-func (c *Config) aim(trip *Trip) order.Aim {
-	a := order.Aim{Depot: moves.AllDepots, Start: trip.StartS * 1000, Warm: trip.WarmS * 1000, Shift: trip.ShiftS * 1000, Slow: max(trip.Slow, 1), Settle: trip.SettleS * 1000,
-		Cells: map[string]order.CellRoom{}, Deep: 0.2}
+func (c *Config) aim(trip *Trip) order.Constraints {
+	a := order.Constraints{Site: moves.AllSites, Start: trip.StartS * 1000, WarmUp: trip.WarmS * 1000, MinShift: trip.ShiftS * 1000, MaxShiftFactor: max(trip.Slow, 1), Settle: trip.SettleS * 1000,
+		Cells: map[string]order.CellCapacity{}, OriginFillFraction: 0.2}
 	sends := c.RateS * meanKb() / float64(c.Depots)
 	fills := c.fillKbS() / float64(c.Depots) * 0.8
 	live := map[string]float64{}
@@ -331,11 +331,11 @@
 		live[c.Cells.Tenants[i].Cell] += share
 	}
 	for _, cell := range c.Cells.Cells {
-		a.Cells[cell.Name] = order.CellRoom{Bears: cell.Share * float64(c.Caches*c.Channels) * paceKbS, Lives: live[cell.Name] * sends,
-			Fill: max(budgetRoom*cell.Share*c.linkKbS()-live[cell.Name]*fills, 1)}
+		a.Cells[cell.Name] = order.CellCapacity{SendKbPerS: cell.Share * float64(c.Caches*c.Channels) * paceKbS, UsedKbPerS: live[cell.Name] * sends,
+			FillKbPerS: max(budgetRoom*cell.Share*c.linkKbS()-live[cell.Name]*fills, 1)}
 	}
-	a.Fill = max(budgetRoom*c.linkKbS()-fills, 1)
-	a.Origin = max((budgetRoom*c.originKbS()-c.fillKbS()*0.35)/float64(c.Depots), 0.02*c.originKbS()/float64(c.Depots))
+	a.SiteFillKbPerS = max(budgetRoom*c.linkKbS()-fills, 1)
+	a.OriginFillKbPerS = max((budgetRoom*c.originKbS()-c.fillKbS()*0.35)/float64(c.Depots), 0.02*c.originKbS()/float64(c.Depots))
 	return a
 }
 
--- a/emulator/shield.go
+++ b/emulator/shield.go
@@ -131,12 +131,12 @@
 	}
 	w := &shieldWorld{Shield: *s, rng: rand.New(rand.NewPCG(seed, 0x5e1d)), out: map[int64]*shieldJob{}, dead: make([]bool, s.Routers), limits: make([]*shield.Limit, s.Routers)}
 	if s.Law != "none" {
-		law, err := shield.ParseLaw(s.Law)
+		law, err := shield.ParseControlAlgorithm(s.Law)
 		if err != nil {
 			return nil, err
 		}
 		for i := range w.limits {
-			terms := shield.Terms{Most: s.Knee, Routers: s.Routers, Reserve: s.Reserve, Burst: s.Burst, UsualMs: s.usualMs()}
+			terms := shield.Config{MaxInFlight: s.Knee, Routers: s.Routers, Reserve: s.Reserve, Burst: s.Burst, BaselineMs: s.usualMs()}
 			if w.limits[i], err = shield.New(terms, law); err != nil {
 				return nil, err
 			}
@@ -233,13 +233,13 @@
 	for w.dead[r] {
 		r = w.rng.IntN(w.Routers)
 	}
-	if l := w.limits[r]; l != nil && !l.May(wi.report, w.rng.Float64()) {
+	if l := w.limits[r]; l != nil && !l.Allows(wi.report, w.rng.Float64()) {
 		w.count(&w.res.Turned, wi)
 		w.again(id)
 		return
 	}
 	if l := w.limits[r]; l != nil {
-		l.Sent()
+		l.Acquire()
 	}
 	w.count(&w.res.Sent, wi)
 	w.made++
@@ -270,7 +270,7 @@
 	took := w.now - j.sent
 	delete(w.out, j.id)
 	if l := w.limits[j.router]; l != nil && !w.dead[j.router] {
-		l.Ended(float64(w.now)/float64(ms), float64(took)/float64(ms), late)
+		l.Complete(float64(w.now)/float64(ms), float64(took)/float64(ms), late)
 	}
 	if late {
 		w.again(j.wish)
--- a/emulator/staging.go
+++ b/emulator/staging.go
@@ -27,7 +27,7 @@
 	}
 	r, fresh := &w.routers[rq.router], w.renewed(t.made)
 	opened := r.opened[w.cellOfCache(t.node)]
-	switch stop := int64(w.cfg.Release.Stage.StopAt) * ms; {
+	switch stop := int64(w.cfg.Release.Stage.RollbackAt) * ms; {
 	case stop > 0 && t.sent+r.ahead >= stop:
 		if fresh {
 			w.res.broken("an answer of a release that was taken back")
--- a/emulator/talk.go
+++ b/emulator/talk.go
@@ -34,7 +34,7 @@
 
 // talk is the datagrams of a world.
 type talk struct {
-	tiers []*peers.Tier // by router; a new one at each start
+	tiers []*peers.Node // by router; a new one at each start
 	rng   *rand.Rand
 	words []word
 	free  []int32
@@ -65,7 +65,7 @@
 	if w.talk.rng == nil {
 		w.talk.rng = rand.New(rand.NewPCG(w.cfg.Seed, 0x7a1c))
 	}
-	tier, err := peers.New(peers.Options{Rank: int(id), Siblings: w.cfg.Depots * w.cfg.Routers, Depot: w.routers[id].depot + 1, Depots: w.cfg.Depots + 1,
+	tier, err := peers.New(peers.Options{Rank: int(id), FleetSize: w.cfg.Depots * w.cfg.Routers, Site: w.routers[id].depot + 1, Sites: w.cfg.Depots + 1,
 		Incarnation: uint32(w.now/sec) + 1})
 	if err != nil {
 		return fmt.Errorf("talk: %w", err)
@@ -86,7 +86,7 @@
 	if s < 0 {
 		return
 	}
-	text := w.talk.tiers[id].Saw(w.now, fmt.Sprintf("s-%08x", s))
+	text := w.talk.tiers[id].ReportOverload(w.now, fmt.Sprintf("s-%08x", s))
 	if text == nil {
 		return
 	}
@@ -127,8 +127,8 @@
 		return
 	}
 	var found []string
-	err := w.talk.tiers[e.id].Hear(w.now, int(from), text, func(server string) { found = append(found, server) })
-	if err != nil && !errors.Is(err, peers.ErrOld) { // old: of a router that has started anew meanwhile
+	err := w.talk.tiers[e.id].Receive(w.now, int(from), text, func(server string) { found = append(found, server) })
+	if err != nil && !errors.Is(err, peers.ErrStale) { // old: of a router that has started anew meanwhile
 		w.res.broken("datagram that its own kind can't use")
 	}
 	for _, name := range found {
--- a/emulator/tierlimits.go
+++ b/emulator/tierlimits.go
@@ -146,8 +146,8 @@
 	if w.Way != "fleet" {
 		return nil
 	}
-	n, err := fleet.New(w.now+sec, fleet.Options{Rank: i, Siblings: w.Routers, Depots: 1, Incarnation: w.starts[i], Seed: w.seed,
-		Limits: []fleet.Limit{{Name: "trial", Most: w.Limit, Floor: w.Floor}}})
+	n, err := fleet.New(w.now+sec, fleet.Options{Rank: i, FleetSize: w.Routers, Sites: 1, Incarnation: w.starts[i], Seed: w.seed,
+		Limits: []fleet.Limit{{Name: "trial", Max: w.Limit, FloorFraction: w.Floor}}})
 	if err != nil {
 		return err
 	}
@@ -265,7 +265,7 @@
 	case "fleet":
 		for i, n := range w.nodes {
 			if n != nil {
-				n.Want(0, w.demand(i))
+				n.SetDemand(0, w.demand(i))
 			}
 		}
 		until := w.now
@@ -281,7 +281,7 @@
 		w.now = until
 		for i, n := range w.nodes {
 			if n != nil {
-				w.shares[i] = n.Share(w.now+sec, 0)
+				w.shares[i] = n.Quota(w.now+sec, 0)
 			}
 		}
 	}
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -225,7 +225,7 @@
 		}
 	}
 	if cfg.Shield != nil {
-		if _, _, err := cfg.Shield.Terms(cfg.Depots * cfg.Routers); err != nil {
+		if _, _, err := cfg.Shield.Config(cfg.Depots * cfg.Routers); err != nil {
 			return nil, fmt.Errorf("shield.%w", err)
 		}
 	}
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -38,8 +38,8 @@
 
 // New returns a runner without jobs; seed feeds the jitter of back-offs.
 func New(c *clock.Clock, seed uint64, log zerolog.Logger) (*Runner, error) {
-	s, err := sched.New(sched.Config{Resources: []sched.Resource{{Name: "core", PerS: coreMsPerS, Span: clock.Micros(1000)}}, MostQueue: mostQueue, MostOut: 1,
-		Lease: clock.Micros(leaseMs), Backoff: clock.Micros(backoffMs), MaxWait: clock.Micros(longestMs), Patience: clock.Micros(patienceMs)}, clock.Micros(c.Now()), seed)
+	s, err := sched.New(sched.Config{Resources: []sched.Resource{{Name: "core", RatePerS: coreMsPerS, BurstWindow: clock.Micros(1000)}}, MaxQueued: mostQueue, MaxRunning: 1,
+		AttemptTimeout: clock.Micros(leaseMs), InitialBackoff: clock.Micros(backoffMs), MaxBackoff: clock.Micros(longestMs), AgingInterval: clock.Micros(patienceMs)}, clock.Micros(c.Now()), seed)
 	if err != nil {
 		return nil, fmt.Errorf("background: %w", err)
 	}
@@ -50,7 +50,7 @@
 func (r *Runner) Submit(id string, p sched.Priority, costMs float64, run func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	over, err := r.sched.Submit(clock.Micros(r.clock.Now()), sched.Job{ID: id, Priority: p, Cost: []float64{costMs}, Tries: 3})
+	over, err := r.sched.Submit(clock.Micros(r.clock.Now()), sched.Job{ID: id, Priority: p, Cost: []float64{costMs}, MaxAttempts: 3})
 	for _, o := range over {
 		delete(r.jobs, o.ID)
 	}
@@ -88,7 +88,7 @@
 	for {
 		r.mu.Lock()
 		ready := r.sched.Step(clock.Micros(r.clock.Now()))
-		for _, o := range ready.Over {
+		for _, o := range ready.Abandoned {
 			delete(r.jobs, o.ID)
 		}
 		r.mu.Unlock()
@@ -99,8 +99,8 @@
 			continue
 		}
 		wait := math.Inf(1)
-		if ready.Next != math.MaxInt64 {
-			wait = max(clock.Millis(ready.Next)-r.clock.Now(), 1)
+		if ready.NextStep != math.MaxInt64 {
+			wait = max(clock.Millis(ready.NextStep)-r.clock.Now(), 1)
 		}
 		rung, timer := r.clock.Alarm(min(wait, leaseMs))
 		select {
@@ -115,11 +115,11 @@
 }
 
 // attempt runs one job and books what it took.
-func (r *Runner) attempt(s sched.Start) {
+func (r *Runner) attempt(s sched.Attempt) {
 	r.mu.Lock()
 	run := r.jobs[s.ID]
 	r.mu.Unlock()
-	began, how := r.clock.Now(), sched.Fail
+	began, how := r.clock.Now(), sched.Failed
 	func() {
 		defer func() {
 			if p := recover(); p != nil { // a fault in work that can wait must not take the router down
@@ -135,7 +135,7 @@
 		delete(r.jobs, s.ID)
 	}
 	now := r.clock.Now()
-	for _, o := range r.sched.End(clock.Micros(now), s.ID, s.Attempt, how, []float64{max(now-began, 0)}) {
+	for _, o := range r.sched.Finish(clock.Micros(now), s.ID, s.Number, how, []float64{max(now-began, 0)}) {
 		delete(r.jobs, o.ID)
 	}
 }
--- a/internal/background/background_test.go
+++ b/internal/background/background_test.go
@@ -37,12 +37,12 @@
 			ran = append(ran, id)
 		}
 	}
-	for id, p := range map[string]sched.Priority{"idle": sched.Idle, "urgent": sched.Urgent, "prompt": sched.Prompt} {
+	for id, p := range map[string]sched.Priority{"idle": sched.Idle, "urgent": sched.Urgent, "prompt": sched.High} {
 		if err := r.Submit(id, p, 1, note(id)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := r.Submit("idle", sched.Urgent, 1, note("idle")); !errors.Is(err, sched.ErrKnown) {
+	if err := r.Submit("idle", sched.Urgent, 1, note("idle")); !errors.Is(err, sched.ErrDuplicateJob) {
 		t.Errorf("twice under one id: %v", err)
 	}
 	if err := r.Submit("broken", sched.Idle, 1, func() { note("broken")(); panic("planned") }); err != nil {
@@ -52,7 +52,7 @@
 	done := make(chan error)
 	go func() { done <- r.Run(ctx) }()
 	var many int
-	r.Every(ctx, "again", 100, sched.Steady, func() {
+	r.Every(ctx, "again", 100, sched.Normal, func() {
 		mu.Lock()
 		defer mu.Unlock()
 		many++
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -32,7 +32,7 @@
 	Names       Names
 	LastApplied uint64              // number of the last event applied; the watch resumes after it
 	Apply       func(router.Notice) // called for each event, one at a time
-	Tries       coldstart.Tries     // schedule of retries, which spreads the routers of a fleet out
+	Tries       coldstart.Schedule  // schedule of retries, which spreads the routers of a fleet out
 	Clock       *clock.Clock
 	Log         zerolog.Logger
 
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -53,7 +53,7 @@
 // Stage is the feature of that name. It needs cells.
 type Stage struct {
 	Enabled bool `json:"enabled"`
-	stages.Stage
+	stages.Rollout
 }
 
 // Shape is the feature of that name.
@@ -95,7 +95,7 @@
 	if f == nil || !f.Fleet.Enabled || f.Fleet.Asks == 0 {
 		return nil
 	}
-	return []fleet.Limit{{Name: "asks", Most: f.Fleet.Asks, Floor: f.Fleet.Floor}}
+	return []fleet.Limit{{Name: "asks", Max: f.Fleet.Asks, FloorFraction: f.Fleet.Floor}}
 }
 
 // Guard is the shield's document; nil while the feature is off.
@@ -119,11 +119,11 @@
 }
 
 // Release is the stage in force; nil while the feature is off.
-func (f *File) Release() *stages.Stage {
+func (f *File) Release() *stages.Rollout {
 	if f == nil || !f.Stage.Enabled {
 		return nil
 	}
-	return &f.Stage.Stage
+	return &f.Stage.Rollout
 }
 
 // Document is the moves in force; nil while the feature is off.
@@ -188,12 +188,12 @@
 		return err
 	}
 	for _, l := range f.Limits() {
-		if err := l.Check(); err != nil {
+		if err := l.Validate(); err != nil {
 			return fmt.Errorf("fleet.%w", err)
 		}
 	}
 	if tree := f.LeaseTree(); tree != nil {
-		if err := tree.Check(); err != nil {
+		if err := tree.Validate(); err != nil {
 			return fmt.Errorf("fleet.tree.%w", err)
 		}
 	}
@@ -201,7 +201,7 @@
 		return errors.New("fleet.asks: 0, and fleet.verdicts false: one of them is wanted where it is enabled")
 	}
 	if d := f.Guard(); d != nil {
-		if _, _, err := d.Terms(1); err != nil {
+		if _, _, err := d.Config(1); err != nil {
 			return fmt.Errorf("shield: %w", err)
 		}
 	}
@@ -220,7 +220,7 @@
 		return errors.New("stage.enabled: needs cells")
 	}
 	if doc != nil {
-		if err := doc.Check(math.Inf(-1), nil); err != nil { // times are looked at when a router takes it in
+		if err := doc.Validate(math.Inf(-1), nil); err != nil { // times are looked at when a router takes it in
 			return fmt.Errorf("moves.%w", err)
 		}
 	}
@@ -253,7 +253,7 @@
 	case was == nil:
 		was = &moves.Document{}
 	}
-	if err := next.Check(now, was); err != nil {
+	if err := next.Validate(now, was); err != nil {
 		return fmt.Errorf("moves.%w", err)
 	}
 	return nil
--- a/internal/features/wire_compat_test.go
+++ b/internal/features/wire_compat_test.go
@@ -59,16 +59,16 @@
 	if spec := f.Spec(); spec == nil || spec.OverflowCell != "spare" || spec.Budget.ReclaimMillis != 18 || spec.TenantKeys[0].DeclaredTenant != "acme" {
 		t.Errorf("cells: %+v", spec)
 	}
-	if doc := f.Document(); doc == nil || doc.Version != 8 || doc.Moves[0].BackAt != 1764576040006 {
+	if doc := f.Document(); doc == nil || doc.Version != 8 || doc.Migrations[0].RollbackAt != 1764576040006 {
 		t.Errorf("moves: %+v", doc)
 	}
-	if s := f.Release(); s == nil || s.Version != 9 || s.Rings[1].For != 600012 || s.Margin != 1.25 {
+	if s := f.Release(); s == nil || s.Version != 9 || s.Rings[1].JudgeWithin != 600012 || s.Margin != 1.25 {
 		t.Errorf("stage: %+v", s)
 	}
-	if d := f.Guard(); d == nil || d.Law != "gradient" || d.LingerMs != 3001 {
+	if d := f.Guard(); d == nil || d.Algorithm != "gradient" || d.AbandonedFetchMs != 3001 {
 		t.Errorf("shield: %+v", d)
 	}
-	if l := f.Limits(); len(l) != 1 || l[0].Most != 42 || l[0].Floor != 0.25 || !f.Judges() {
+	if l := f.Limits(); len(l) != 1 || l[0].Max != 42 || l[0].FloorFraction != 0.25 || !f.Judges() {
 		t.Errorf("fleet: %+v", l)
 	}
 	if tree := f.LeaseTree(); tree == nil || tree.Routers != 12001 || len(tree.Electors) != 3 {
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -135,7 +135,7 @@
 			return
 		}
 		switch err := do(id); {
-		case errors.Is(err, roster.ErrUnknown):
+		case errors.Is(err, roster.ErrUnknownServer):
 			respond(w, http.StatusNotFound, "id: "+err.Error()+"\n")
 		case err != nil:
 			s.Log.Error().Err(err).Str("server", id).Msg("not " + what)
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -48,7 +48,7 @@
 	by := func(what string) func(string) error {
 		return func(id string) error {
 			if id == "s-0" {
-				return roster.ErrUnknown
+				return roster.ErrUnknownServer
 			}
 			if id == "s-full" {
 				return errors.New("disk full")
@@ -163,7 +163,7 @@
 	dir := t.TempDir()
 	type process struct {
 		state *StateDir
-		list  *roster.Roster
+		list  *roster.List
 		mu    sync.Mutex
 	}
 	start := func() *process {
@@ -172,14 +172,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.list.Adopt(ids)
+		p.list.ReplaceExclusions(ids)
 		return p
 	}
 	adopt := func(p *process) func([]string) error {
 		return func(ids []string) error {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			_, err := p.list.Adopt(ids)
+			_, err := p.list.ReplaceExclusions(ids)
 			return err
 		}
 	}
@@ -187,20 +187,20 @@
 		return func() []string {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return p.list.Outs()
+			return p.list.Exclusions()
 		}
 	}
 	once := func(p *process, id string, in bool) error {
 		return p.state.ChangeExcluded(adopt(p), func() error {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			ids := p.list.Outs()
+			ids := p.list.Exclusions()
 			if in {
 				ids = slices.DeleteFunc(ids, func(o string) bool { return o == id })
 			} else {
 				ids = append(ids, id)
 			}
-			_, err := p.list.Adopt(ids)
+			_, err := p.list.ReplaceExclusions(ids)
 			return err
 		}, excluded(p))
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -80,18 +80,18 @@
 	}
 	finds := make(chan find, 1000)
 	now := clock.NewFake(1e6)
-	talks, ends := make([]*Talk, routers), make([]func(), routers)
+	talks, ends := make([]*Transport, routers), make([]func(), routers)
 	start := func(i int, incarnation uint32) {
-		tier, err := peers.New(peers.Options{Rank: i, Siblings: routers, Depot: i, Depots: routers, Incarnation: incarnation})
+		tier, err := peers.New(peers.Options{Rank: i, FleetSize: routers, Site: i, Sites: routers, Incarnation: incarnation})
 		if err != nil {
 			t.Fatal(err)
 		}
-		talks[i] = &Talk{Tier: tier, Peers: known, All: addrOf(h.conn), Crowded: func(s string) { finds <- find{i, s} }, Clock: now, Log: zerolog.Nop()}
-		talks[i].Ready()
+		talks[i] = &Transport{Gossip: tier, PeerAddresses: known, BroadcastAddress: addrOf(h.conn), OnOverloaded: func(s string) { finds <- find{i, s} }, Clock: now, Log: zerolog.Nop()}
+		talks[i].Init()
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		talk, conn := talks[i], own[i]
-		go func() { ended <- talk.run(ctx, conn) }()
+		go func() { ended <- talk.serveConn(ctx, conn) }()
 		ends[i] = func() {
 			cancel()
 			if err := testwait.Receive(t, ended, "a talk to end"); err != nil {
@@ -121,7 +121,7 @@
 	}
 
 	for i := range 4 {
-		talks[i].Tell("s-00000001")
+		talks[i].ReportOverload("s-00000001")
 	}
 	await("s-00000001", 0, 0, 15)
 
@@ -129,7 +129,7 @@
 	h.drop = func(from, to int) bool { return (from < 8) != (to < 8) }
 	h.mu.Unlock()
 	for i := range 4 {
-		talks[i].Tell("s-00000002")
+		talks[i].ReportOverload("s-00000002")
 	}
 	await("s-00000002", 0, 0, 7)
 
@@ -141,7 +141,7 @@
 	own[5], _ = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(to[5]))
 	start(5, 2)
 	for i := 5; i < 9; i++ {
-		talks[i].Tell("s-00000003")
+		talks[i].ReportOverload("s-00000003")
 	}
 	await("s-00000003", 5, 0, 15)
 
@@ -153,7 +153,7 @@
 		vias[3].WriteToUDPAddrPort(b, to[0])
 	}
 	for i := 9; i < 13; i++ { // comes after all of that on the same socket
-		talks[i].Tell("s-00000004")
+		talks[i].ReportOverload("s-00000004")
 	}
 	await("s-00000004", 9, 0, 15)
 	for i := range ends {
@@ -168,19 +168,19 @@
 	for _, v := range vias {
 		v.Close()
 	}
-	if h.longest == 0 || h.longest > peers.MaxDatagram {
+	if h.longest == 0 || h.longest > peers.MaxDatagramSize {
 		t.Errorf("longest datagram: %d bytes", h.longest)
 	}
 }
 
 // Words beyond what can wait are dropped, and nobody waits for them.
 func TestTellDoesNotWait(t *testing.T) {
-	talk := &Talk{}
-	talk.Ready()
-	for range 10 * mostWaiting {
-		talk.Tell("s-00000001")
+	talk := &Transport{}
+	talk.Init()
+	for range 10 * maxQueuedReports {
+		talk.ReportOverload("s-00000001")
 	}
-	if n := len(talk.waiting); n != mostWaiting {
+	if n := len(talk.overloadQueue); n != maxQueuedReports {
 		t.Errorf("%d words wait", n)
 	}
 }
@@ -196,7 +196,7 @@
 // A process that replaces another finds the address taken until that one ends. It serves all the same, and listens then.
 func TestAddressComesFree(t *testing.T) {
 	before := listen(t)
-	tier, err := peers.New(peers.Options{Siblings: 16, Depots: 16})
+	tier, err := peers.New(peers.Options{FleetSize: 16, Sites: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,8 +204,8 @@
 	from := listen(t)
 	defer from.Close()
 	said := make(lines, 100)
-	talk := &Talk{Tier: tier, Listen: addrOf(before).String(), Peers: []netip.AddrPort{addrOf(before), addrOf(from)}, Clock: now, Log: zerolog.New(said)}
-	talk.Ready()
+	talk := &Transport{Gossip: tier, ListenAddress: addrOf(before).String(), PeerAddresses: []netip.AddrPort{addrOf(before), addrOf(from)}, Clock: now, Log: zerolog.New(said)}
+	talk.Init()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- talk.Run(ctx) }()
@@ -213,9 +213,9 @@
 		t.Errorf("said %s", line)
 	}
 	before.Close()
-	m := peers.Message{Rank: 1, Depot: 1, Crowded: []uint32{7}}
-	for talk.Counts().Heard == 0 { // until it has the address; each of these is new
-		now.Advance(openEvery)
+	m := peers.Message{Rank: 1, Site: 1, Overloaded: []uint32{7}}
+	for talk.Counts().Received == 0 { // until it has the address; each of these is new
+		now.Advance(reopenInterval)
 		m.Sequence++
 		from.WriteToUDPAddrPort(m.Append(nil), addrOf(before))
 		runtime.Gosched()
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -40,7 +40,7 @@
 func (r *Router) Eject(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rows := r.list.Shun(ids)
+	rows := r.list.SetEjected(ids)
 	for _, row := range rows {
 		r.log.Info().Str("server", row.Server).Bool("off", row.Status != "healthy").Msg("fleet's verdict")
 	}
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -71,7 +71,7 @@
 }
 
 // Exclude ejects a server by hand before it returns: no later attempt goes to it or is filled from it, whatever its listed status, until
-// Include. Its error is roster.ErrUnknown or roster.ErrFull.
+// Include. Its error is roster.ErrUnknownServer or roster.ErrTooManyExclusions.
 func (r *Router) Exclude(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,11 +80,11 @@
 	return err
 }
 
-// Include readmits a server. Its error is roster.ErrUnknown.
+// Include readmits a server. Its error is roster.ErrUnknownServer.
 func (r *Router) Include(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rows, err := r.list.Include(id)
+	rows, err := r.list.Reinstate(id)
 	r.applyRowsLocked(rows)
 	return err
 }
@@ -93,14 +93,14 @@
 func (r *Router) Excluded() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.Outs()
+	return r.list.Exclusions()
 }
 
 // Adopt replaces the excluded servers by those that another process of this router wrote.
 func (r *Router) Adopt(ids []string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rows, err := r.list.Adopt(ids)
+	rows, err := r.list.ReplaceExclusions(ids)
 	r.applyRowsLocked(rows)
 	return err
 }
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -20,7 +20,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := g.Exclude("box-9"); !errors.Is(err, roster.ErrUnknown) {
+	if err := g.Exclude("box-9"); !errors.Is(err, roster.ErrUnknownServer) {
 		t.Errorf("an unknown one: %v", err)
 	}
 	for _, n := range []Notice{{}, listed("cordoned"), listed("healthy"), listed("deregistered"), listed("healthy")} {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -137,7 +137,7 @@
 
 	mu        sync.Mutex // held only while the module decides; never across I/O
 	rules     *cells.Admission
-	list      *roster.Roster
+	list      *roster.List
 	last      int64 // the module's clock must not run backwards
 	mailboxes map[string]chan rules.Action
 	fields    []string        // what load reports hold, in the module's order
@@ -175,7 +175,7 @@
 type Features struct {
 	Cells   *cells.Assignment
 	Moves   *moves.Document
-	Release *stages.Stage
+	Release *stages.Rollout
 	Shape   *hierarchy.Graph
 	Shield  *shield.Document
 }
@@ -267,7 +267,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ev.Endpoints = r.list.Note(n.Whole, ev.Endpoints)
+	ev.Endpoints = r.list.Update(n.Whole, ev.Endpoints)
 	r.stepLocked(ev)
 }
 
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -63,7 +63,7 @@
 	for i := range all {
 		if all[i].Stopped > 0 {
 			stopped++
-			sum += all[i].StoppedS - cfg.Release.Stage.Rings[0].Open/1000
+			sum += all[i].StoppedS - cfg.Release.Stage.Rings[0].OpensAt/1000
 		}
 		if all[i].Stopped == 0 && all[i].Passed > 0 {
 			passed++
--- a/lab/live/play.go
+++ b/lab/live/play.go
@@ -110,7 +110,7 @@
 
 // topology is the tree of a scenario's leases: groups of neighbouring ranks, and electors in different groups.
 func (s *Scenario) topology(routers int) lease.Topology {
-	t := lease.Topology{Routers: routers, Groups: []int{s.Group}}
+	t := lease.Topology{Routers: routers, GroupSizes: []int{s.Group}}
 	for i := range fleetElectors {
 		t.Electors = append(t.Electors, i*routers/fleetElectors)
 	}
@@ -251,7 +251,7 @@
 
 // triesMay is the bound of core/coldstart on tries within triesIn, twice over for processes that a busy machine runs late.
 func (p *play) triesMay() int {
-	period := coldstart.Tries{Siblings: p.opt.Routers}.Period()
+	period := coldstart.Schedule{FleetSize: p.opt.Routers}.Period()
 	return 2 * (p.opt.Routers*int(triesIn.Microseconds())/int(period) + 1)
 }
 
--- a/lab/local/local_test.go
+++ b/lab/local/local_test.go
@@ -270,11 +270,11 @@
 		TenantKeys: []cells.TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "mover"}, {Tenant: "rest"}},
 	}
 	file := func(doc *moves.Document) string {
-		f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Stage: stages.Stage{Rings: []stages.Ring{}}}}
+		f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Rollout: stages.Rollout{Rings: []stages.Ring{}}}}
 		if doc != nil {
 			f.Moves = features.Moves{Enabled: true, Document: *doc}
 		} else {
-			f.Moves.Moves = []moves.Move{}
+			f.Moves.Migrations = []moves.Migration{}
 		}
 		text, err := json.Marshal(f)
 		if err != nil {
@@ -311,8 +311,8 @@
 	note()
 	ran := running(t, d, Load{Seed: 9, Requests: requests, Every: 1200 * time.Microsecond, Conns: 2, Families: 3, Objects: 300})
 	now := float64(time.Now().UnixMilli())
-	move := moves.Move{Tenant: "mover", Depot: moves.AllDepots, From: "one", To: "two", Start: now + 1000, Shift: moves.LeastShift, Slow: 15_000, Settle: 2000}
-	tell(&moves.Document{Version: 1, Moves: []moves.Move{move}}, `"moves":1`)
+	move := moves.Migration{Tenant: "mover", Site: moves.AllSites, From: "one", To: "two", Start: now + 1000, MinShift: moves.ShortestShiftMs, MaxShift: 15_000, Settle: 2000}
+	tell(&moves.Document{Version: 1, Migrations: []moves.Migration{move}}, `"moves":1`)
 	for i := range 4 {
 		if err := d.Replace(2*i, 700*time.Millisecond, i%2 == 0); err != nil {
 			t.Fatal(err)
@@ -321,7 +321,7 @@
 	}
 	lost := move
 	lost.To = "three"
-	tell(&moves.Document{Version: 2, Moves: []moves.Move{lost}}, "new features can't be used") // a move under way can't be led elsewhere
+	tell(&moves.Document{Version: 2, Migrations: []moves.Migration{lost}}, "new features can't be used") // a move under way can't be led elsewhere
 	rep := testwait.ReceiveWithin(t, loadWithin+saysWithin, ran, "the load")
 	all := rep.All()
 	if n := all.Served + all.Refused + all.Failed; n != requests || all.Wrong+all.Lost > 0 {
@@ -367,9 +367,9 @@
 	}
 	var bad atomic.Bool
 	opens := float64(time.Now().UnixMilli()) + 12_000 // the routers are up long before
-	release := stages.Stage{Version: 1, Name: "r", Families: []int{2, 2}, Since: opens - 12_000, Rings: []stages.Ring{{Cells: []string{"one"}, Open: opens, For: 600_000}}}
-	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Enabled: true, Stage: release}}
-	f.Moves.Moves = []moves.Move{}
+	release := stages.Rollout{Version: 1, Name: "r", FamilyRange: []int{2, 2}, Since: opens - 12_000, Rings: []stages.Ring{{Cells: []string{"one"}, OpensAt: opens, JudgeWithin: 600_000}}}
+	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Enabled: true, Rollout: release}}
+	f.Moves.Migrations = []moves.Migration{}
 	text, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
@@ -437,10 +437,10 @@
 	}
 	since := float64(time.Now().UnixMilli()) + 5000
 	const keep = 3_600_000
-	release := stages.Stage{Version: 1, Name: "r", Families: []int{1, 2}, Since: since, Renews: true, Keep: keep, StopAt: since + 6000,
-		Rings: []stages.Ring{{Cells: []string{"one"}, Open: since, For: 600_000}}}
-	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Enabled: true, Stage: release}}
-	f.Moves.Moves = []moves.Move{}
+	release := stages.Rollout{Version: 1, Name: "r", FamilyRange: []int{1, 2}, Since: since, ReplacesObjects: true, OldCopyMaxAge: keep, RollbackAt: since + 6000,
+		Rings: []stages.Ring{{Cells: []string{"one"}, OpensAt: since, JudgeWithin: 600_000}}}
+	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Enabled: true, Rollout: release}}
+	f.Moves.Migrations = []moves.Migration{}
 	text, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
@@ -470,7 +470,7 @@
 	}
 	seen := ages(1, func(family string, g tier.Get, at float64) {
 		switch {
-		case at >= release.StopAt:
+		case at >= release.RollbackAt:
 		case family == "02" && (g.MaxAge < 1 || float64(g.MaxAge) > at-since):
 			t.Errorf("%s, cell one, %.0f ms since: copies of %d ms", g.Object, at-since, g.MaxAge)
 		case family == "01" && g.MaxAge != 0 && g.MaxAge != keep:
@@ -481,8 +481,8 @@
 		waitLog(t, r, "release r, ring 0 ([one]): stopped")
 	}
 	seen += ages(2, func(family string, g tier.Get, at float64) {
-		if g.MaxAge < 1 || float64(g.MaxAge) > at-release.StopAt {
-			t.Errorf("%s, taken back %.0f ms before: copies of %d ms", g.Object, at-release.StopAt, g.MaxAge)
+		if g.MaxAge < 1 || float64(g.MaxAge) > at-release.RollbackAt {
+			t.Errorf("%s, taken back %.0f ms before: copies of %d ms", g.Object, at-release.RollbackAt, g.MaxAge)
 		}
 	})
 	if seen < 200 {
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -60,7 +60,7 @@
 	const lost = second
 	queue := make(retries, 0, len(ranks))
 	for _, rank := range ranks {
-		queue = append(queue, retry{coldstart.Tries{Rank: rank, Siblings: siblings}.Next(lost, lost, false), rank})
+		queue = append(queue, retry{coldstart.Schedule{Rank: rank, FleetSize: siblings}.Next(lost, lost, false), rank})
 	}
 	heap.Init(&queue)
 	perSecond := make([]int, away/second+2)
@@ -69,7 +69,7 @@
 		try := &queue[0]
 		perSecond[(try.at-lost)/second]++
 		made[try.rank]++
-		try.at = coldstart.Tries{Rank: try.rank, Siblings: siblings}.Next(lost, try.at+tryTakes, true)
+		try.at = coldstart.Schedule{Rank: try.rank, FleetSize: siblings}.Next(lost, try.at+tryTakes, true)
 		heap.Fix(&queue, 0)
 	}
 	return slices.Max(perSecond), slices.Max(made)
--- a/lab/scale/fleettests.go
+++ b/lab/scale/fleettests.go
@@ -179,7 +179,7 @@
 			continue
 		}
 		running++
-		if p.node.Holdings(w.now)[0].Holder >= 0 {
+		if p.node.LimitStatuses(w.now)[0].Holder >= 0 {
 			led++
 		}
 	}
@@ -194,7 +194,7 @@
 			continue
 		}
 		running++
-		if !p.node.Up(rank) {
+		if !p.node.IsUp(rank) {
 			know++
 		}
 	}
@@ -271,7 +271,7 @@
 
 // fleetLimit is the one that all routers want more of than there is, a quarter of it in floors.
 func fleetLimit(routers int) fleet.Limit {
-	return fleet.Limit{Name: "fills", Most: float64(4 * routers), Floor: 0.25}
+	return fleet.Limit{Name: "fills", Max: float64(4 * routers), FloorFraction: 0.25}
 }
 
 func runLimits(o Options) (*Result, error) {
@@ -287,7 +287,7 @@
 		return nil, err
 	}
 	if !f.w.folded() {
-		f.result.Figures = append(f.result.Figures, Figure{"used_at_end", f.w.shares() / limit.Most})
+		f.result.Figures = append(f.result.Figures, Figure{"used_at_end", f.w.shares() / limit.Max})
 	}
 	return f.result, nil
 }
@@ -297,7 +297,7 @@
 	votes := make([]int, w.routers)
 	best := otherwise
 	for _, p := range w.processes {
-		if rank := p.node.Holdings(w.now)[0].Holder; rank >= 0 {
+		if rank := p.node.LimitStatuses(w.now)[0].Holder; rank >= 0 {
 			if votes[rank]++; votes[rank] > votes[best] {
 				best = rank
 			}
@@ -310,7 +310,7 @@
 func (w *world) shares() (sum float64) {
 	for _, p := range w.processes {
 		if !w.lost[p.primary] {
-			sum += p.node.Share(w.now, 0)
+			sum += p.node.Quota(w.now, 0)
 		}
 	}
 	return sum
--- a/lab/scale/leases.go
+++ b/lab/scale/leases.go
@@ -14,7 +14,7 @@
 	leaseVoteAckSize = bodyAt + 6
 )
 
-var leaseSizes = map[lease.Kind]int{lease.Request: leaseRequestSize, lease.Grant: leaseGrantSize, lease.Vote: leaseVoteSize, lease.VoteAck: leaseVoteAckSize}
+var leaseSizes = map[lease.MessageKind]int{lease.KindRequest: leaseRequestSize, lease.KindGrant: leaseGrantSize, lease.KindVote: leaseVoteSize, lease.KindVoteAck: leaseVoteAckSize}
 
 // Of the leases test.
 const (
@@ -35,9 +35,9 @@
 
 // leaseTopology is the tree of a fleet of this size.
 func leaseTopology(routers int) lease.Topology {
-	t := lease.Topology{Routers: routers, Groups: []int{siteGroup}}
+	t := lease.Topology{Routers: routers, GroupSizes: []int{siteGroup}}
 	if routers > 2*regionGroup {
-		t.Groups = append(t.Groups, regionGroup)
+		t.GroupSizes = append(t.GroupSizes, regionGroup)
 	}
 	for i := range electors {
 		t.Electors = append(t.Electors, i*routers/electors)
@@ -76,7 +76,7 @@
 
 func newLeaseWorld(o Options) *leaseWorld {
 	w := &leaseWorld{rng: rand.New(rand.NewPCG(o.Seed, 13)), options: o, topology: leaseTopology(o.Routers), now: second,
-		limit: lease.Limit{Most: float64(4 * o.Routers), Floor: 0.25}}
+		limit: lease.Limit{Max: float64(4 * o.Routers), FloorFraction: 0.25}}
 	for rank := range o.Routers {
 		w.routers = append(w.routers, &leaseRouter{region: rank * fleetRegions / o.Routers})
 	}
@@ -97,8 +97,8 @@
 		w.fault = err
 		return
 	}
-	node.Want(wanted)
-	node.Up = func(other int) bool { return w.reaches(rank, other) }
+	node.SetDemand(wanted)
+	node.IsUp = func(other int) bool { return w.reaches(rank, other) }
 	node.Send = func(to int, m lease.Message) { w.send(rank, to, m) }
 	r.node = node
 }
@@ -142,7 +142,7 @@
 func (w *leaseWorld) inUse() (part float64) {
 	for _, r := range w.routers {
 		if r.up {
-			part += r.node.Share(w.now) / w.limit.Most
+			part += r.node.Quota(w.now) / w.limit.Max
 		}
 	}
 	return part
@@ -150,10 +150,10 @@
 
 // fleetHolder is the rank that holds the fleet; -1: none does.
 func (w *leaseWorld) fleetHolder() int {
-	top := len(w.topology.Groups) + 1
+	top := len(w.topology.GroupSizes) + 1
 	for _, rank := range w.topology.Electors {
 		if r := w.routers[rank]; r.up {
-			for _, level := range r.node.Holds(w.now) {
+			for _, level := range r.node.HeldLevels(w.now) {
 				if level == top {
 					return rank
 				}
@@ -216,7 +216,7 @@
 	if err := r.book(trouble, seconds); err != nil {
 		return err
 	}
-	for r.w.inUse() < least && r.w.now < lostAt+lease.Regain {
+	for r.w.inUse() < least && r.w.now < lostAt+lease.RecoveryTime {
 		if err := r.w.run(r.w.now + second); err != nil {
 			return err
 		}
@@ -260,7 +260,7 @@
 	}
 	r.result.Figures = append(r.result.Figures, Figure{"used_while_cut", r.w.inUse()})
 	r.w.cut = false
-	if err := r.w.run(r.w.now + lease.Regain); err != nil {
+	if err := r.w.run(r.w.now + lease.RecoveryTime); err != nil {
 		return nil, err
 	}
 	r.result.Figures = append(r.result.Figures, Figure{"used_after_cut", r.w.inUse()})
@@ -272,7 +272,7 @@
 	if err := r.book(Restarted, leaseLoss); err != nil {
 		return nil, err
 	}
-	if err := r.w.run(r.w.now + lease.Regain - leaseLoss*second); err != nil {
+	if err := r.w.run(r.w.now + lease.RecoveryTime - leaseLoss*second); err != nil {
 		return nil, err
 	}
 	r.result.Figures = append(r.result.Figures, Figure{"used_after_restarts", r.w.inUse()})
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -127,17 +127,17 @@
 
 // Datagrams of leases have the sizes that the leases test counts, by the real codec.
 func TestLeaseSizes(t *testing.T) {
-	topology := lease.Topology{Routers: 4, Groups: []int{2}, Electors: []int{0, 1, 3}}
+	topology := lease.Topology{Routers: 4, GroupSizes: []int{2}, Electors: []int{0, 1, 3}}
 	const firstTreeOperation = opReport + 1
 	var nodes []*fleet.Node
 	seen := map[int]bool{}
 	now := second
 	for rank := range 4 {
-		node, err := fleet.New(now, fleet.Options{Rank: rank, Siblings: 4, Depots: 1, Incarnation: 1, Seed: 1, Tree: &topology, Limits: []fleet.Limit{{Name: "fills", Most: 40}}})
+		node, err := fleet.New(now, fleet.Options{Rank: rank, FleetSize: 4, Sites: 1, Incarnation: 1, Seed: 1, LeaseTree: &topology, Limits: []fleet.Limit{{Name: "fills", Max: 40}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		node.Want(0, 5)
+		node.SetDemand(0, 5)
 		nodes = append(nodes, node)
 	}
 	for rank, node := range nodes {
@@ -256,16 +256,16 @@
 
 // Datagrams of the real codec have rank, depot, operation, target and updates where wire.go has them.
 func TestDatagramPlaces(t *testing.T) {
-	limit := fleet.Limit{Name: "fills", Most: 40}
+	limit := fleet.Limit{Name: "fills", Max: 40}
 	seen := map[operation]bool{}
 	updates := 0
 	var nodes []*fleet.Node
 	for rank := range 4 {
-		node, err := fleet.New(second, fleet.Options{Rank: rank, Siblings: 4, Depot: rank % 2, Depots: 2, Incarnation: 77, Seed: 1, Limits: []fleet.Limit{limit}})
+		node, err := fleet.New(second, fleet.Options{Rank: rank, FleetSize: 4, Site: rank % 2, Sites: 2, Incarnation: 77, Seed: 1, Limits: []fleet.Limit{limit}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		node.Want(0, 5)
+		node.SetDemand(0, 5)
 		nodes = append(nodes, node)
 	}
 	now := second
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -90,14 +90,14 @@
 // start gives a process a node that knows nothing.
 func (w *world) start(p *process) error {
 	p.starts++
-	node, err := fleet.New(w.now, fleet.Options{Rank: p.primary, Siblings: w.routers, Depot: w.depotOf(p.primary), Depots: w.depots, Incarnation: p.starts,
+	node, err := fleet.New(w.now, fleet.Options{Rank: p.primary, FleetSize: w.routers, Site: w.depotOf(p.primary), Sites: w.depots, Incarnation: p.starts,
 		Seed: w.seed, Limits: w.limits})
 	if err != nil {
 		return err
 	}
 	node.Send = func(to int, datagram []byte) { w.send(p, to, datagram) }
 	for limit := range w.limits {
-		node.Want(limit, wanted)
+		node.SetDemand(limit, wanted)
 	}
 	p.node = node
 	w.schedule(event{at: w.now + w.rng.Int64N(slots/2*slotTime), from: p.primary, to: p.primary, starts: p.starts})
@@ -248,7 +248,7 @@
 
 func (w *world) hear(p *process, from int, datagram []byte) {
 	p.traffic.add(w.now, len(datagram))
-	if err := p.node.Receive(w.now, from, datagram); err != nil && !errors.Is(err, fleet.ErrOld) {
+	if err := p.node.Receive(w.now, from, datagram); err != nil && !errors.Is(err, fleet.ErrStale) {
 		w.fault = fmt.Errorf("rank %d hears %d: %w", p.primary, from, err)
 	}
 }
