--- a/cmd/spanctl/document.go
+++ b/cmd/spanctl/document.go
@@ -18,52 +18,52 @@
 // The commands on moves work on two files: the features file, which they read, and beside it moves.json, which they write and which the features
 // file imports as its section moves. A document is checked whole before anything is written, and written whole or not at all.
 
-// docFile is the name of the file that the commands write.
-const docFile = "moves.json"
+// migrationFile is the name of the file that the commands write.
+const migrationFile = "moves.json"
 
-// onDoc is what all commands on moves share.
-type onDoc struct {
+// documentFlags is what all commands on moves share.
+type documentFlags struct {
 	File   string  `name:"file" arg:"" help:"The features file; its sections moves and stage are import 'moves.json' and import 'stage.json'."`
 	DryRun bool    `name:"dry-run" help:"Says what would change and writes nothing."`
 	Now    float64 `name:"now" help:"The time to reckon from, Unix milliseconds; the clock's if left out." hidden:""`
 }
 
-func (c *onDoc) now() float64 {
+func (c *documentFlags) now() float64 {
 	if c.Now > 0 {
 		return c.Now
 	}
 	return (&clock.Clock{}).Now()
 }
 
-// document is the present document, empty if there is none.
-func (c *onDoc) document() (*features.File, *moves.Document, error) {
+// loadMigration is the present document, empty if there is none.
+func (c *documentFlags) loadMigration() (*features.File, *moves.Document, error) {
 	f, err := features.Load(c.File)
 	if err != nil {
 		return nil, nil, err
 	}
-	if f.Spec() == nil {
+	if f.CellSpec() == nil {
 		return nil, nil, fmt.Errorf("%s: cells are off", c.File)
 	}
 	doc := &moves.Document{}
-	if f.Document() != nil {
-		*doc = *f.Document()
+	if f.ActiveMigration() != nil {
+		*doc = *f.ActiveMigration()
 		doc.Migrations = slices.Clone(doc.Migrations)
 	}
 	return f, doc, nil
 }
 
-// put checks a changed document against the one in force and writes it.
-func (c *onDoc) put(out io.Writer, f *features.File, doc *moves.Document) error {
+// saveMigration checks a changed document against the one in force and writes it.
+func (c *documentFlags) saveMigration(out io.Writer, f *features.File, doc *moves.Document) error {
 	doc.Version++
 	if doc.Migrations == nil {
 		doc.Migrations = []moves.Migration{} // a list in the file, also an empty one
 	}
 	next := *f
-	next.Moves = features.Moves{Enabled: true, Document: *doc}
-	if err := next.Follows(c.now(), f); err != nil {
+	next.Migration = features.Migration{Enabled: true, Document: *doc}
+	if err := next.CheckReplaces(c.now(), f); err != nil {
 		return err
 	}
-	a, err := cells.Compile(f.Spec())
+	a, err := cells.Compile(f.CellSpec())
 	if err != nil {
 		return err
 	}
@@ -74,26 +74,26 @@
 		fmt.Fprintf(out, "dry run: version %d not written\n", doc.Version)
 		return nil
 	}
-	return c.write(out, docFile, "moves", doc.Version, next.Moves, func(f *features.File) bool {
-		return f.Document() != nil && f.Document().Version == doc.Version
+	return c.writeSection(out, migrationFile, "moves", doc.Version, next.Migration, func(f *features.File) bool {
+		return f.ActiveMigration() != nil && f.ActiveMigration().Version == doc.Version
 	})
 }
 
-// write replaces the file that holds a section of the features file, and puts the old one back if the features file does not take its
+// writeSection replaces the file that holds a section of the features file, and puts the old one back if the features file does not take its
 // section from there.
-func (c *onDoc) write(out io.Writer, name, section string, version int64, doc any, taken func(*features.File) bool) error {
+func (c *documentFlags) writeSection(out io.Writer, name, section string, version int64, doc any, taken func(*features.File) bool) error {
 	text, err := json.MarshalIndent(doc, "", "  ")
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	path := filepath.Join(filepath.Dir(c.File), name)
 	before, readErr := os.ReadFile(path)
-	if err := replace(path, append(text, '\n')); err != nil {
+	if err := writeFileAtomically(path, append(text, '\n')); err != nil {
 		return err
 	}
 	if after, err := features.Load(c.File); err != nil || !taken(after) {
 		if readErr == nil { // what was there before comes back
-			err = errors.Join(err, replace(path, before))
+			err = errors.Join(err, writeFileAtomically(path, before))
 		} else {
 			err = errors.Join(err, os.Remove(path))
 		}
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// replace writes a file whole or not at all.
-func replace(path string, text []byte) error {
+// writeFileAtomically writes a file whole or not at all.
+func writeFileAtomically(path string, text []byte) error {
 	t, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return err
--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -11,39 +11,39 @@
 	"spantack/core/moves/order"
 )
 
-type emptyCmd struct {
-	onDoc
-	Cell     string   `name:"cell" arg:"" help:"The cell to be emptied."`
-	Into     []string `name:"into" required:"" help:"The cells that its tenants go to: each to the one with most room left."`
-	Demand   []string `name:"demand" required:"" help:"Logs or lists as for plan: of all routers of one depot."`
-	Depot    string   `name:"depot" default:"*" help:"The depot; * for all."`
-	BearsKbS float64  `name:"bears-kb-s" required:"" help:"KB a second that all caches of the depot send at most."`
-	Deep     float64  `name:"deep" default:"0.2" help:"Part of fills that reach the head office."`
-	terms
+type cellsDrainCmd struct {
+	documentFlags
+	Cell           string   `name:"cell" arg:"" help:"The cell to be emptied."`
+	Targets        []string `name:"into" required:"" help:"The cells that its tenants go to: each to the one with most room left."`
+	Demand         []string `name:"demand" required:"" help:"Logs or lists as for plan: of all routers of one depot."`
+	Site           string   `name:"depot" default:"*" help:"The depot; * for all."`
+	CapacityKBPerS float64  `name:"bears-kb-s" required:"" help:"KB a second that all caches of the depot send at most."`
+	OriginFraction float64  `name:"deep" default:"0.2" help:"Part of fills that reach the head office."`
+	pace
 }
 
-func (c *emptyCmd) Run(out io.Writer) error {
-	f, doc, err := c.document()
+func (c *cellsDrainCmd) Run(out io.Writer) error {
+	f, doc, err := c.loadMigration()
 	if err != nil {
 		return err
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return err
 	}
-	spec := f.Spec()
-	if !(c.BearsKbS > 0) || !(c.Deep >= 0 && c.Deep <= 1) {
+	spec := f.CellSpec()
+	if !(c.CapacityKBPerS > 0) || !(c.OriginFraction >= 0 && c.OriginFraction <= 1) {
 		return errors.New("--bears-kb-s: above 0; --deep: 0 to 1")
 	}
-	list, err := gather(c.Demand)
+	list, err := gatherDemand(c.Demand)
 	if err != nil {
 		return err
 	}
 	now := c.now()
-	aim := order.Constraints{Site: c.Depot, Start: now + ms(c.In), WarmUp: ms(c.Warm), MinShift: ms(c.Shift), MaxShiftFactor: c.Slow, Settle: ms(c.Settle), Cells: map[string]order.CellCapacity{}, OriginFillFraction: c.Deep}
+	aim := order.Constraints{Site: c.Site, Start: now + millis(c.StartDelay), WarmUp: millis(c.WarmDuration), MinShift: millis(c.ShiftDuration), MaxShiftFactor: c.MaxSlowdown, Settle: millis(c.SettleDuration), Cells: map[string]order.CellCapacity{}, OriginFillFraction: c.OriginFraction}
 	lives, fills := map[string]float64{}, map[string]float64{}
 	home := map[string]string{}
 	for _, t := range spec.Tenants {
-		home[t.Name] = cellIn(&t, c.Depot)
+		home[t.Name] = cellAtSite(&t, c.Site)
 	}
 	sum := 0.0
 	for _, d := range list {
@@ -55,7 +55,7 @@
 		sum += d.Loads[2]
 	}
 	for _, cell := range spec.Cells {
-		room := order.CellCapacity{SendKbPerS: cell.Share * c.BearsKbS, UsedKbPerS: lives[cell.Name]}
+		room := order.CellCapacity{SendKbPerS: cell.Share * c.CapacityKBPerS, UsedKbPerS: lives[cell.Name]}
 		if link := spec.Budget.FillKBPerSecond; link > 0 {
 			room.FillKbPerS = max(cell.Share*link-fills[cell.Name], 1)
 		}
@@ -64,7 +64,7 @@
 	if link := spec.Budget.FillKBPerSecond; link > 0 {
 		aim.SiteFillKbPerS = max(link-sum, 1)
 	}
-	for _, name := range append(slices.Clone(c.Into), c.Cell) {
+	for _, name := range append(slices.Clone(c.Targets), c.Cell) {
 		if _, known := aim.Cells[name]; !known {
 			return fmt.Errorf("%q is no cell", name)
 		}
@@ -76,7 +76,7 @@
 		if home[d.Name] != c.Cell {
 			continue
 		}
-		to := slices.MaxFunc(c.Into, func(a, b string) int {
+		to := slices.MaxFunc(c.Targets, func(a, b string) int {
 			left := func(cell string) float64 { return aim.Cells[cell].SendKbPerS - lives[cell] - come[cell] }
 			switch {
 			case left(a) < left(b):
@@ -87,7 +87,7 @@
 			return strings.Compare(b, a)
 		})
 		come[to] += d.Loads[1]
-		w := wish(d.Name, c.Cell, to, d.Loads[1])
+		w := migrationRequest(d.Name, c.Cell, to, d.Loads[1])
 		wishes, of[d.Name] = append(wishes, w), w
 	}
 	s, err := order.Plan(wishes, aim)
@@ -99,25 +99,25 @@
 	}
 	for _, t := range spec.Tenants { // who asked for nothing of late moves at the end: there is nothing to fill for it
 		if _, known := of[t.Name]; !known && home[t.Name] == c.Cell && s.Unscheduled[t.Name] == "" {
-			s.Migrations = append(s.Migrations, moves.Migration{Tenant: t.Name, Site: c.Depot, From: c.Cell, To: c.Into[0], Start: max(s.End, aim.Start), MinShift: aim.MinShift, MaxShift: aim.MaxShiftFactor * aim.MinShift, Settle: aim.Settle})
+			s.Migrations = append(s.Migrations, moves.Migration{Tenant: t.Name, Site: c.Site, From: c.Cell, To: c.Targets[0], Start: max(s.End, aim.Start), MinShift: aim.MinShift, MaxShift: aim.MaxShiftFactor * aim.MinShift, Settle: aim.Settle})
 		}
 	}
 	if len(s.Migrations) == 0 {
 		return fmt.Errorf("nobody moves out of %s", c.Cell)
 	}
 	for _, m := range s.Migrations {
-		doc.Migrations = append(sweep(doc.Migrations, now, m.Tenant), m)
-		tell(out, &m, now)
+		doc.Migrations = append(dropEnded(doc.Migrations, now, m.Tenant), m)
+		printMigration(out, &m, now)
 	}
-	fmt.Fprintf(out, "%d tenants move within %s; no plan within the limits takes less than %s\n", len(s.Migrations), span(s.End-aim.Start), span(s.LowerBound-aim.Start))
+	fmt.Fprintf(out, "%d tenants move within %s; no plan within the limits takes less than %s\n", len(s.Migrations), formatDuration(s.End-aim.Start), formatDuration(s.LowerBound-aim.Start))
 	for _, name := range sortedKeys(s.PeakUse) {
 		fmt.Fprintf(out, "%s: %.0f%% of its limit at most\n", name, 100*s.PeakUse[name])
 	}
 	for _, circle := range order.Cycles(&moves.Document{Migrations: s.Migrations}) {
 		fmt.Fprintf(out, "go at one pace, since each needs the room of the next: %s\n", strings.Join(circle, ", "))
 	}
-	loads(out, spec, s.Migrations, of)
-	return c.put(out, f, doc)
+	printCellLoads(out, spec, s.Migrations, of)
+	return c.saveMigration(out, f, doc)
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/cmd/spanctl/main.go
+++ b/cmd/spanctl/main.go
@@ -22,17 +22,17 @@
 )
 
 type cli struct {
-	Check  checkCmd  `name:"check" cmd:"" help:"Checks a features file as the router would; one line for the first fault, exit code 1."`
-	Shape  shapeCmd  `name:"shape" cmd:"" help:"Who fills from whom: show, diff, plan."`
-	Stage  stageCmd  `name:"stage" cmd:"" help:"Releases let into cells ring by ring: start, status, stop."`
-	Router routerCmd `name:"router" cmd:"" help:"Running routers, by their second addresses: ready, figures, exclude, include, evacuate, rejoin."`
-	Cells  cellsCmd  `name:"cells" cmd:"" help:"Cells: show, explain, diff, plan; and tenants that move between them: moves, move, empty, hold, resume, back, settle."`
+	Check    checkCmd    `name:"check" cmd:"" help:"Checks a features file as the router would; one line for the first fault, exit code 1."`
+	Topology topologyCmd `name:"shape" cmd:"" help:"Who fills from whom: show, diff, plan."`
+	Rollout  rolloutCmd  `name:"stage" cmd:"" help:"Releases let into cells ring by ring: start, status, stop."`
+	Router   routerCmd   `name:"router" cmd:"" help:"Running routers, by their second addresses: ready, figures, exclude, include, evacuate, rejoin."`
+	Cells    cellsCmd    `name:"cells" cmd:"" help:"Cells: show, explain, diff, plan; and tenants that move between them: moves, move, empty, hold, resume, back, settle."`
 }
 
-type stageCmd struct {
-	Start  startCmd  `name:"start" cmd:"" help:"Begins a release: opens rings one after the other, each judged before the next."`
-	Status statusCmd `name:"status" cmd:"" help:"What routers see of a release, from their logs, and what that comes to together."`
-	Stop   stopCmd   `name:"stop" cmd:"" help:"Takes a release back in all cells."`
+type rolloutCmd struct {
+	Start  rolloutStartCmd  `name:"start" cmd:"" help:"Begins a release: opens rings one after the other, each judged before the next."`
+	Status rolloutStatusCmd `name:"status" cmd:"" help:"What routers see of a release, from their logs, and what that comes to together."`
+	Stop   rolloutStopCmd   `name:"stop" cmd:"" help:"Takes a release back in all cells."`
 }
 
 type checkCmd struct {
@@ -53,60 +53,60 @@
 	if err != nil {
 		return err
 	}
-	if spec := f.Spec(); spec != nil {
+	if spec := f.CellSpec(); spec != nil {
 		fmt.Fprintf(out, "cells: on, version %d, %s, %d cells, %d tenants, %d keys\n", spec.Version, spec.Scheme, len(spec.Cells), len(spec.Tenants), len(spec.TenantKeys))
 	} else {
 		fmt.Fprintln(out, "cells: off")
 	}
-	if doc := f.Document(); doc != nil {
+	if doc := f.ActiveMigration(); doc != nil {
 		fmt.Fprintf(out, "moves: on, version %d, %d moves\n", doc.Version, len(doc.Migrations))
 	}
-	if s := f.Release(); s != nil {
+	if s := f.ActiveRollout(); s != nil {
 		fmt.Fprintf(out, "stage: on, %s version %d, %d rings\n", s.Name, s.Version, len(s.Rings))
 	}
-	if s := f.Shape.Shape; f.Shape.Enabled {
-		fmt.Fprintf(out, "shape: on, version %d, %d depots, %d areas, %d ways\n", s.Version, len(s.Depots), len(s.Areas), len(s.Ways))
+	if s := f.Topology.Topology; f.Topology.Enabled {
+		fmt.Fprintf(out, "shape: on, version %d, %d depots, %d areas, %d ways\n", s.Version, len(s.Sites), len(s.ParentGroups), len(s.Links))
 	}
-	if d := f.Guard(); d != nil {
+	if d := f.ActiveOriginLimit(); d != nil {
 		fmt.Fprintf(out, "shield: on, %s, %v at once, %v of them kept for uncacheable requests\n", d.Algorithm, d.MaxInFlight, d.Reserve)
 	}
 	return nil
 }
 
 type cellsCmd struct {
-	Show    showCmd    `name:"show" cmd:"" help:"Cells and tenants of a file, and with --caches which cache is in which cell."`
-	Explain explainCmd `name:"explain" cmd:"" help:"Whose a request is, and which caches it may go to."`
-	Diff    diffCmd    `name:"diff" cmd:"" help:"What changes from one file to another."`
-	Plan    planCmd    `name:"plan" cmd:"" help:"Proposes cells for tenants from measured demand."`
-	Moves   movesCmd   `name:"moves" cmd:"" help:"The moves of a file and how far they are."`
-	Move    moveCmd    `name:"move" cmd:"" help:"Lets a tenant move to another cell."`
-	Empty   emptyCmd   `name:"empty" cmd:"" help:"Plans moves of all tenants of a cell to others."`
-	Hold    holdCmd    `name:"hold" cmd:"" help:"Holds moves where they are."`
-	Resume  resumeCmd  `name:"resume" cmd:"" help:"Lets held moves go on."`
-	Back    backCmd    `name:"back" cmd:"" help:"Takes moves back."`
-	Settle  settleCmd  `name:"settle" cmd:"" help:"Leaves out moves that are over, once the assignment has their tenants where they went."`
+	Show      cellsShowCmd         `name:"show" cmd:"" help:"Cells and tenants of a file, and with --caches which cache is in which cell."`
+	Explain   cellsExplainCmd      `name:"explain" cmd:"" help:"Whose a request is, and which caches it may go to."`
+	Diff      cellsDiffCmd         `name:"diff" cmd:"" help:"What changes from one file to another."`
+	Plan      cellsPlanCmd         `name:"plan" cmd:"" help:"Proposes cells for tenants from measured demand."`
+	Migration migrationListCmd     `name:"moves" cmd:"" help:"The moves of a file and how far they are."`
+	Migrate   cellsMigrateCmd      `name:"move" cmd:"" help:"Lets a tenant move to another cell."`
+	Drain     cellsDrainCmd        `name:"empty" cmd:"" help:"Plans moves of all tenants of a cell to others."`
+	Pause     migrationPauseCmd    `name:"hold" cmd:"" help:"Holds moves where they are."`
+	Resume    migrationResumeCmd   `name:"resume" cmd:"" help:"Lets held moves go on."`
+	Rollback  migrationRollbackCmd `name:"back" cmd:"" help:"Takes moves back."`
+	Finalize  migrationFinalizeCmd `name:"settle" cmd:"" help:"Leaves out moves that are over, once the assignment has their tenants where they went."`
 }
 
-// load takes a file in which cells are on.
-func load(file string) (*cells.Spec, error) {
+// loadCellSpec takes a file in which cells are on.
+func loadCellSpec(file string) (*cells.Spec, error) {
 	f, err := features.Load(file)
 	if err != nil {
 		return nil, err
 	}
-	spec := f.Spec()
+	spec := f.CellSpec()
 	if spec == nil {
 		return nil, fmt.Errorf("%s: cells are off", file)
 	}
 	return spec, nil
 }
 
-type showCmd struct {
+type cellsShowCmd struct {
 	File   string   `name:"file" arg:"" help:"The features file."`
 	Caches []string `name:"caches" help:"Ids of a depot's caches."`
 }
 
-func (c *showCmd) Run(out io.Writer) error {
-	spec, err := load(c.File)
+func (c *cellsShowCmd) Run(out io.Writer) error {
+	spec, err := loadCellSpec(c.File)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 		in = spec.CachesByCell(c.Caches)
 	}
 	for i, cell := range spec.Cells {
-		fmt.Fprintf(out, "%-16s share %.3f  tenants %5d  no live cache: %s", cell.Name, cell.Share, tenants[cell.Name], spill(cell.FallbackCell))
+		fmt.Fprintf(out, "%-16s share %.3f  tenants %5d  no live cache: %s", cell.Name, cell.Share, tenants[cell.Name], overflowText(cell.FallbackCell))
 		if len(c.Caches) > 0 {
 			fmt.Fprintf(out, "  caches %s", strings.Join(in[i], ","))
 		}
@@ -128,38 +128,38 @@
 	return nil
 }
 
-func spill(to string) string {
+func overflowText(to string) string {
 	if to == "" {
 		return "refuse"
 	}
 	return "use " + to
 }
 
-type explainCmd struct {
+type cellsExplainCmd struct {
 	File   string   `name:"file" arg:"" help:"The features file."`
 	Family int      `name:"family" help:"Group of the object, 0 to 255."`
 	Class  string   `name:"class" help:"Class of the request."`
 	Object string   `name:"object" help:"The object, in hex."`
 	Now    float64  `name:"now" help:"Unix milliseconds; the clock's if left out." hidden:""`
 	Tenant string   `name:"tenant" help:"The tenant as the front names it."`
-	Depot  string   `name:"depot" help:"The depot."`
+	Site   string   `name:"depot" help:"The depot."`
 	Caches []string `name:"caches" help:"Ids of the depot's caches."`
 }
 
-func (c *explainCmd) Run(out io.Writer) error {
+func (c *cellsExplainCmd) Run(out io.Writer) error {
 	f, err := features.Load(c.File)
 	if err != nil {
 		return err
 	}
-	spec := f.Spec()
+	spec := f.CellSpec()
 	if spec == nil {
 		return fmt.Errorf("%s: cells are off", c.File)
 	}
-	a, err := spec.Explain(c.Depot, c.Caches, c.Family, c.Class, c.Object, c.Tenant)
+	a, err := spec.Explain(c.Site, c.Caches, c.Family, c.Class, c.Object, c.Tenant)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "keys[%d]: tenant %s, cell %s; no live cache: %s", a.KeyIndex, a.Tenant, a.Cell, spill(a.FallbackCell))
+	fmt.Fprintf(out, "keys[%d]: tenant %s, cell %s; no live cache: %s", a.KeyIndex, a.Tenant, a.Cell, overflowText(a.FallbackCell))
 	if a.OverflowCell != "" {
 		fmt.Fprintf(out, "; no room: use %s", a.OverflowCell)
 	}
@@ -167,14 +167,14 @@
 		fmt.Fprintf(out, "; caches %s", strings.Join(a.Caches, ","))
 	}
 	fmt.Fprintln(out)
-	if doc := f.Document(); doc != nil {
-		on := onDoc{Now: c.Now}
+	if doc := f.ActiveMigration(); doc != nil {
+		on := documentFlags{Now: c.Now}
 		for i := range doc.Migrations {
 			m := &doc.Migrations[i]
-			if m.Tenant != a.Tenant || m.Site != c.Depot && m.Site != moves.AllSites {
+			if m.Tenant != a.Tenant || m.Site != c.Site && m.Site != moves.AllSites {
 				continue
 			}
-			tell(out, m, on.now())
+			printMigration(out, m, on.now())
 			if place := m.Position(c.Object); c.Object != "" {
 				fmt.Fprintf(out, "object %s is at %.1f%% of the order: it goes to %s once the share is past that, to %s before\n", c.Object, 100*place, m.To, m.From)
 			}
@@ -183,17 +183,17 @@
 	return nil
 }
 
-type diffCmd struct {
+type cellsDiffCmd struct {
 	Old string `name:"old" arg:"" help:"The file in force."`
 	New string `name:"new" arg:"" help:"The file to come."`
 }
 
-func (c *diffCmd) Run(out io.Writer) error {
-	old, err := load(c.Old)
+func (c *cellsDiffCmd) Run(out io.Writer) error {
+	old, err := loadCellSpec(c.Old)
 	if err != nil {
 		return err
 	}
-	next, err := load(c.New)
+	next, err := loadCellSpec(c.New)
 	if err != nil {
 		return err
 	}
@@ -203,16 +203,16 @@
 	return nil
 }
 
-type planCmd struct {
-	File      string   `name:"file" arg:"" help:"The features file in force: its cells, and the present cell of each tenant."`
-	Demand    []string `name:"demand" required:"" help:"Logs of routers with their lines 'demand', of which the last of each log counts, or JSON files with a list of {name, loads, worth}."`
-	MostWorth float64  `name:"most-worth" help:"The greatest part of all worth that one cell may hold; 0: any."`
-	MostMoves int      `name:"most-moves" default:"-1" help:"Tenants that may change their cell; -1: any number."`
-	Seed      uint64   `name:"seed" default:"1" help:"Seed of the search."`
+type cellsPlanCmd struct {
+	File          string   `name:"file" arg:"" help:"The features file in force: its cells, and the present cell of each tenant."`
+	Demand        []string `name:"demand" required:"" help:"Logs of routers with their lines 'demand', of which the last of each log counts, or JSON files with a list of {name, loads, worth}."`
+	MaxCellWeight float64  `name:"most-worth" help:"The greatest part of all worth that one cell may hold; 0: any."`
+	MaxMigrations int      `name:"most-moves" default:"-1" help:"Tenants that may change their cell; -1: any number."`
+	Seed          uint64   `name:"seed" default:"1" help:"Seed of the search."`
 }
 
-// demandOf reads one file: a list, or a router's log, of which the last line with a demand counts.
-func demandOf(file string) (list []cells.TenantDemand, err error) {
+// readDemand reads one file: a list, or a router's log, of which the last line with a demand counts.
+func readDemand(file string) (list []cells.TenantDemand, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -226,14 +226,14 @@
 	var entry struct {
 		Demand []cells.TenantDemand `json:"demand"`
 	}
-	if !lastLine(text, "demand", &entry) {
+	if !lastLogRecord(text, "demand", &entry) {
 		return nil, fmt.Errorf("%s: neither a list nor a log with a line 'demand'", file)
 	}
 	return entry.Demand, nil
 }
 
-// lastLine reads the last line of a router's log that has a message; lines that are none of ours are passed over.
-func lastLine(log []byte, message string, into any) (found bool) {
+// lastLogRecord reads the last line of a router's log that has a message; lines that are none of ours are passed over.
+func lastLogRecord(log []byte, message string, into any) (found bool) {
 	for line := range bytes.Lines(log) {
 		var entry struct {
 			Message string `json:"message"`
@@ -245,12 +245,12 @@
 	return found
 }
 
-// gather sums the demand of all files by tenant.
-func gather(files []string) ([]cells.TenantDemand, error) {
+// gatherDemand sums the demand of all files by tenant.
+func gatherDemand(files []string) ([]cells.TenantDemand, error) {
 	var all []cells.TenantDemand
 	place := map[string]int{}
 	for _, file := range files {
-		list, err := demandOf(file)
+		list, err := readDemand(file)
 		if err != nil {
 			return nil, err
 		}
@@ -278,17 +278,17 @@
 	return all, nil
 }
 
-func (c *planCmd) Run(out io.Writer) error {
-	spec, err := load(c.File)
+func (c *cellsPlanCmd) Run(out io.Writer) error {
+	spec, err := loadCellSpec(c.File)
 	if err != nil {
 		return err
 	}
-	lines, err := gather(c.Demand)
+	lines, err := gatherDemand(c.Demand)
 	if err != nil {
 		return err
 	}
 	place := map[string]int{}
-	aim := plan.Objective{MaxPriorityShare: c.MostWorth, MaxMigrations: c.MostMoves, Seed: c.Seed}
+	aim := plan.Objective{MaxPriorityShare: c.MaxCellWeight, MaxMigrations: c.MaxMigrations, Seed: c.Seed}
 	for i, cell := range spec.Cells {
 		place[cell.Name] = i
 		aim.Shares = append(aim.Shares, cell.Share)
--- a/cmd/spanctl/movechange.go
+++ b/cmd/spanctl/movechange.go
@@ -9,16 +9,16 @@
 	"spantack/core/moves"
 )
 
-// change is a command on moves that are there already.
-type change struct {
-	onDoc
+// changeMigrations is a command on moves that are there already.
+type changeMigrations struct {
+	documentFlags
 	Tenants []string `name:"tenants" arg:"" optional:"" help:"Tenants whose moves are meant."`
 	All     bool     `name:"all" help:"All moves that are not over."`
 }
 
-// each changes the moves meant, by what set does; it says false for those that can't be changed so.
-func (c *change) each(out io.Writer, how string, set func(m *moves.Migration, now float64) bool) error {
-	f, doc, err := c.document()
+// applyToEach changes the moves meant, by what set does; it says false for those that can't be changed so.
+func (c *changeMigrations) applyToEach(out io.Writer, how string, set func(m *moves.Migration, now float64) bool) error {
+	f, doc, err := c.loadMigration()
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 			continue
 		}
 		found[m.Tenant] = true
-		tell(out, m, now)
+		printMigration(out, m, now)
 	}
 	for _, t := range c.Tenants {
 		if !found[t] {
@@ -48,13 +48,13 @@
 	if len(found) == 0 {
 		return fmt.Errorf("there is no move to be %s", how)
 	}
-	return c.put(out, f, doc)
+	return c.saveMigration(out, f, doc)
 }
 
-type holdCmd struct{ change }
+type migrationPauseCmd struct{ changeMigrations }
 
-func (c *holdCmd) Run(out io.Writer) error {
-	return c.each(out, "held", func(m *moves.Migration, now float64) bool {
+func (c *migrationPauseCmd) Run(out io.Writer) error {
+	return c.applyToEach(out, "held", func(m *moves.Migration, now float64) bool {
 		if m.PausedAt > 0 || m.RollbackStarted(now) {
 			return false
 		}
@@ -63,10 +63,10 @@
 	})
 }
 
-type resumeCmd struct{ change }
+type migrationResumeCmd struct{ changeMigrations }
 
-func (c *resumeCmd) Run(out io.Writer) error {
-	return c.each(out, "resumed", func(m *moves.Migration, now float64) bool {
+func (c *migrationResumeCmd) Run(out io.Writer) error {
+	return c.applyToEach(out, "resumed", func(m *moves.Migration, now float64) bool {
 		if m.PausedAt == 0 {
 			return false
 		}
@@ -75,10 +75,10 @@
 	})
 }
 
-type backCmd struct{ change }
+type migrationRollbackCmd struct{ changeMigrations }
 
-func (c *backCmd) Run(out io.Writer) error {
-	return c.each(out, "taken back", func(m *moves.Migration, now float64) bool {
+func (c *migrationRollbackCmd) Run(out io.Writer) error {
+	return c.applyToEach(out, "taken back", func(m *moves.Migration, now float64) bool {
 		if m.RollbackAt > 0 {
 			return false
 		}
--- a/cmd/spanctl/movelist.go
+++ b/cmd/spanctl/movelist.go
@@ -11,38 +11,38 @@
 	"spantack/core/moves"
 )
 
-func clockTime(ms float64) string {
+func formatTime(ms float64) string {
 	if math.IsInf(ms, 0) {
 		return "until resumed"
 	}
 	return time.UnixMilli(int64(ms)).UTC().Format("2006-01-02 15:04:05Z")
 }
 
-func span(ms float64) string {
+func formatDuration(ms float64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second).String()
 }
 
-// tell says what a move does from now on.
-func tell(out io.Writer, m *moves.Migration, now float64) {
+// printMigration says what a move does from now on.
+func printMigration(out io.Writer, m *moves.Migration, now float64) {
 	fmt.Fprintf(out, "%s in %s: %s to %s, %s", m.Tenant, m.Site, m.From, m.To, m.Phase(now))
 	switch p := m.Phase(now); p {
 	case moves.Planned, moves.Warming, moves.Shifting, moves.Settling, moves.Paused:
 		fmt.Fprintf(out, ", %.0f to %.0f%% over; begins %s, over %s at the soonest, needs no more looking at %s", 100*m.MinShare(now), 100*m.MaxShare(now),
-			clockTime(m.Start), clockTime(m.Start+m.WarmUp+m.MinShift), clockTime(m.EndsAt()))
+			formatTime(m.Start), formatTime(m.Start+m.WarmUp+m.MinShift), formatTime(m.EndsAt()))
 	case moves.RollingBack:
-		fmt.Fprintf(out, ", at most %.0f%% over, none from %s on", 100*m.MaxShare(now), clockTime(m.EndsAt()))
+		fmt.Fprintf(out, ", at most %.0f%% over, none from %s on", 100*m.MaxShare(now), formatTime(m.EndsAt()))
 	}
 	fmt.Fprintln(out)
 }
 
-type movesCmd struct {
-	onDoc
+type migrationListCmd struct {
+	documentFlags
 	Status []string `name:"status" help:"Logs of routers with lines 'moves', of which the last of each log counts: how far routers really are."`
 }
 
 // Run lists the moves of a file.
-func (c *movesCmd) Run(out io.Writer) error {
-	_, doc, err := c.document()
+func (c *migrationListCmd) Run(out io.Writer) error {
+	_, doc, err := c.loadMigration()
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 			Version int64                   `json:"version"`
 			Moves   []cells.MigrationStatus `json:"moves"`
 		}
-		if !lastLine(text, "moves", &line) {
+		if !lastLogRecord(text, "moves", &line) {
 			return fmt.Errorf("%s: no line 'moves'", file)
 		}
 		if line.Version != doc.Version {
@@ -76,7 +76,7 @@
 	}
 	fmt.Fprintf(out, "version %d, %d moves\n", doc.Version, len(doc.Migrations))
 	for i := range doc.Migrations {
-		tell(out, &doc.Migrations[i], c.now())
+		printMigration(out, &doc.Migrations[i], c.now())
 		if r, known := seen[doc.Migrations[i].Tenant]; known {
 			fmt.Fprintf(out, "  at %d routers: %.0f to %.0f%% over\n", r.routers, 100*r.least, 100*r.most)
 		}
@@ -84,18 +84,18 @@
 	return nil
 }
 
-type settleCmd struct{ onDoc }
+type migrationFinalizeCmd struct{ documentFlags }
 
 // Run takes moves that are over out of the document, and says what the assignment must hold for that.
-func (c *settleCmd) Run(out io.Writer) error {
-	f, doc, err := c.document()
+func (c *migrationFinalizeCmd) Run(out io.Writer) error {
+	f, doc, err := c.loadMigration()
 	if err != nil {
 		return err
 	}
 	now := c.now()
 	home := map[string]*cells.Tenant{}
-	for i := range f.Spec().Tenants {
-		home[f.Spec().Tenants[i].Name] = &f.Spec().Tenants[i]
+	for i := range f.CellSpec().Tenants {
+		home[f.CellSpec().Tenants[i].Name] = &f.CellSpec().Tenants[i]
 	}
 	var left []moves.Migration
 	waits := 0
@@ -107,7 +107,7 @@
 			left = append(left, m)
 			continue
 		}
-		is := cellIn(home[m.Tenant], m.Site)
+		is := cellAtSite(home[m.Tenant], m.Site)
 		if is != want {
 			fmt.Fprintf(out, "%s in %s: set its cell to %s (now %s) in %s first\n", m.Tenant, m.Site, want, is, c.File)
 			left = append(left, m)
@@ -124,5 +124,5 @@
 		return nil
 	}
 	doc.Migrations = left
-	return c.put(out, f, doc)
+	return c.saveMigration(out, f, doc)
 }
--- a/cmd/spanctl/moves.go
+++ b/cmd/spanctl/moves.go
@@ -11,8 +11,8 @@
 	"spantack/core/moves/order"
 )
 
-// loads says what each cell gains and loses, at a time at which the moves are over, where the demand is known.
-func loads(out io.Writer, spec *cells.Spec, ms []moves.Migration, demand map[string]order.Request) {
+// printCellLoads says what each cell gains and loses, at a time at which the moves are over, where the demand is known.
+func printCellLoads(out io.Writer, spec *cells.Spec, ms []moves.Migration, demand map[string]order.Request) {
 	gain, fill := map[string]float64{}, map[string]float64{}
 	for _, m := range ms {
 		w := demand[m.Tenant]
@@ -27,88 +27,88 @@
 	}
 }
 
-// terms are how fast moves go.
-type terms struct {
-	In     time.Duration `name:"in" default:"30s" help:"Until the first begins: routers must have the document by then."`
-	Warm   time.Duration `name:"warm" help:"For the hot objects alone, named with --hot."`
-	Shift  time.Duration `name:"shift" default:"60s" help:"For the others, at the soonest; 10s or more."`
-	Slow   float64       `name:"slow" default:"5" help:"Multiple of the shift that a move may take while cells are replaced or answer late."`
-	Settle time.Duration `name:"settle" default:"60s" help:"The old cell takes what the new one can't bear for so long after that."`
+// pace are how fast moves go.
+type pace struct {
+	StartDelay     time.Duration `name:"in" default:"30s" help:"Until the first begins: routers must have the document by then."`
+	WarmDuration   time.Duration `name:"warm" help:"For the hot objects alone, named with --hot."`
+	ShiftDuration  time.Duration `name:"shift" default:"60s" help:"For the others, at the soonest; 10s or more."`
+	MaxSlowdown    float64       `name:"slow" default:"5" help:"Multiple of the shift that a move may take while cells are replaced or answer late."`
+	SettleDuration time.Duration `name:"settle" default:"60s" help:"The old cell takes what the new one can't bear for so long after that."`
 }
 
-func (t *terms) check() error {
-	if t.In < 0 || t.Warm < 0 || t.Settle < 0 || t.Shift < moves.ShortestShiftMs*time.Millisecond || !(t.Slow >= 1 && t.Slow <= 1000) {
+func (t *pace) validate() error {
+	if t.StartDelay < 0 || t.WarmDuration < 0 || t.SettleDuration < 0 || t.ShiftDuration < moves.ShortestShiftMs*time.Millisecond || !(t.MaxSlowdown >= 1 && t.MaxSlowdown <= 1000) {
 		return fmt.Errorf("--in, --warm, --settle 0 or more, --shift %s or more, --slow 1 to 1000", time.Duration(moves.ShortestShiftMs)*time.Millisecond)
 	}
 	return nil
 }
 
-type moveCmd struct {
-	onDoc
-	Tenant string   `name:"tenant" arg:"" help:"The tenant."`
-	To     string   `name:"to" required:"" help:"The cell that it goes to."`
-	Depot  string   `name:"depot" default:"*" help:"The depot; * for all."`
-	Hot    []string `name:"hot" help:"Objects that go first, hottest first."`
-	Demand []string `name:"demand" help:"Logs or lists as for plan, to say what load cells will see."`
-	terms
+type cellsMigrateCmd struct {
+	documentFlags
+	Tenant     string   `name:"tenant" arg:"" help:"The tenant."`
+	TargetCell string   `name:"to" required:"" help:"The cell that it goes to."`
+	Site       string   `name:"depot" default:"*" help:"The depot; * for all."`
+	HotObjects []string `name:"hot" help:"Objects that go first, hottest first."`
+	Demand     []string `name:"demand" help:"Logs or lists as for plan, to say what load cells will see."`
+	pace
 }
 
-func (c *moveCmd) Run(out io.Writer) error {
-	f, doc, err := c.document()
+func (c *cellsMigrateCmd) Run(out io.Writer) error {
+	f, doc, err := c.loadMigration()
 	if err != nil {
 		return err
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return err
 	}
-	spec := f.Spec()
+	spec := f.CellSpec()
 	at := slices.IndexFunc(spec.Tenants, func(t cells.Tenant) bool { return t.Name == c.Tenant })
 	if at < 0 {
 		return fmt.Errorf("%q is no tenant", c.Tenant)
 	}
-	from := cellIn(&spec.Tenants[at], c.Depot)
+	from := cellAtSite(&spec.Tenants[at], c.Site)
 	now := c.now()
-	m := moves.Migration{Tenant: c.Tenant, Site: c.Depot, From: from, To: c.To, Start: now + ms(c.In), WarmUp: ms(c.Warm), MinShift: ms(c.Shift), MaxShift: c.Slow * ms(c.Shift),
-		Settle: ms(c.Settle), HotObjects: c.Hot}
-	doc.Migrations = append(sweep(doc.Migrations, now, c.Tenant), m)
-	wishes, err := wanted(c.Demand, map[string][2]string{c.Tenant: {from, c.To}})
+	m := moves.Migration{Tenant: c.Tenant, Site: c.Site, From: from, To: c.TargetCell, Start: now + millis(c.StartDelay), WarmUp: millis(c.WarmDuration), MinShift: millis(c.ShiftDuration), MaxShift: c.MaxSlowdown * millis(c.ShiftDuration),
+		Settle: millis(c.SettleDuration), HotObjects: c.HotObjects}
+	doc.Migrations = append(dropEnded(doc.Migrations, now, c.Tenant), m)
+	wishes, err := migrationRequests(c.Demand, map[string][2]string{c.Tenant: {from, c.TargetCell}})
 	if err != nil {
 		return err
 	}
-	tell(out, &m, now)
-	loads(out, spec, []moves.Migration{m}, wishes)
-	return c.put(out, f, doc)
+	printMigration(out, &m, now)
+	printCellLoads(out, spec, []moves.Migration{m}, wishes)
+	return c.saveMigration(out, f, doc)
 }
 
-// cellIn is a tenant's cell in a depot.
-func cellIn(t *cells.Tenant, depot string) string {
+// cellAtSite is a tenant's cell in a depot.
+func cellAtSite(t *cells.Tenant, depot string) string {
 	if in, other := t.CellBySite[depot]; other {
 		return in
 	}
 	return t.Cell
 }
 
-// wish is a tenant's move as the planner wants it, from what it asks for in KB a second.
-func wish(tenant, from, to string, kbPerS float64) order.Request {
+// migrationRequest is a tenant's move as the planner wants it, from what it asks for in KB a second.
+func migrationRequest(tenant, from, to string, kbPerS float64) order.Request {
 	return order.Request{Tenant: tenant, From: from, To: to, KbPerS: kbPerS, FillKb: kbPerS * order.WorkingSetSeconds}
 }
 
-func ms(d time.Duration) float64 { return float64(d.Milliseconds()) }
+func millis(d time.Duration) float64 { return float64(d.Milliseconds()) }
 
-// sweep leaves out what a tenant's ended moves have left behind, so that it may move once more.
-func sweep(all []moves.Migration, now float64, tenant string) []moves.Migration {
+// dropEnded leaves out what a tenant's ended moves have left behind, so that it may move once more.
+func dropEnded(all []moves.Migration, now float64, tenant string) []moves.Migration {
 	return slices.DeleteFunc(all, func(m moves.Migration) bool {
 		return m.Tenant == tenant && (m.Phase(now) == moves.Done || m.Phase(now) == moves.RolledBack)
 	})
 }
 
-// wanted is the demand of tenants as the planner wants it, from logs.
-func wanted(files []string, ways map[string][2]string) (map[string]order.Request, error) {
+// migrationRequests is the demand of tenants as the planner wants it, from logs.
+func migrationRequests(files []string, ways map[string][2]string) (map[string]order.Request, error) {
 	wishes := map[string]order.Request{}
 	if len(files) == 0 {
 		return wishes, nil
 	}
-	list, err := gather(files)
+	list, err := gatherDemand(files)
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +120,7 @@
 		if len(d.Loads) < 2 {
 			return nil, fmt.Errorf("demand of %s: requests and KB a second are needed", d.Name)
 		}
-		wishes[d.Name] = wish(d.Name, way[0], way[1], d.Loads[1])
+		wishes[d.Name] = migrationRequest(d.Name, way[0], way[1], d.Loads[1])
 	}
 	return wishes, nil
 }
--- a/cmd/spanctl/moves_test.go
+++ b/cmd/spanctl/moves_test.go
@@ -54,8 +54,8 @@
 			t.Fatalf("%d, %s: %v", i, c.args, err)
 		}
 		now := int64(0)
-		if f.Document() != nil {
-			now = f.Document().Version
+		if f.ActiveMigration() != nil {
+			now = f.ActiveMigration().Version
 		}
 		if wrote := now != version; wrote != strings.Contains(printed, "written; send SIGHUP") || now > version+1 {
 			t.Errorf("%d, %s: version %d after %d", i, c.args, now, version)
--- a/cmd/spanctl/router.go
+++ b/cmd/spanctl/router.go
@@ -13,59 +13,61 @@
 
 // routerCmd makes the calls of routers' second addresses (docs/operation.md).
 type routerCmd struct {
-	Ready    routerReadyCmd    `name:"ready" cmd:"" help:"Whether routers take work."`
-	Figures  routerFiguresCmd  `name:"figures" cmd:"" help:"Routers' figures, a line each."`
-	Exclude  routerExcludeCmd  `name:"exclude" cmd:"" help:"Takes a server out at routers, whatever the list says, until include."`
-	Include  routerIncludeCmd  `name:"include" cmd:"" help:"Puts a server back."`
-	Evacuate routerEvacuateCmd `name:"evacuate" cmd:"" help:"Empties routers; they run on."`
-	Rejoin   routerRejoinCmd   `name:"rejoin" cmd:"" help:"Puts emptied routers back to work."`
+	Ready   routerReadyCmd   `name:"ready" cmd:"" help:"Whether routers take work."`
+	Metrics routerMetricsCmd `name:"figures" cmd:"" help:"Routers' figures, a line each."`
+	Exclude routerExcludeCmd `name:"exclude" cmd:"" help:"Takes a server out at routers, whatever the list says, until include."`
+	Include routerIncludeCmd `name:"include" cmd:"" help:"Puts a server back."`
+	Drain   routerDrainCmd   `name:"evacuate" cmd:"" help:"Empties routers; they run on."`
+	Rejoin  routerRejoinCmd  `name:"rejoin" cmd:"" help:"Puts emptied routers back to work."`
 }
 
-// answerTime bounds one call: a router owes its answer within a second.
-const answerTime = 3 * time.Second
+// callTimeout bounds one call: a router owes its answer within a second.
+const callTimeout = 3 * time.Second
 
-// mostAnswer bounds what is read of an answer.
-const mostAnswer = 1 << 20
+// maxResponseBytes bounds what is read of an answer.
+const maxResponseBytes = 1 << 20
 
-// errSaidNo is wrapped by what a router says beside a no.
-var errSaidNo = errors.New("no")
+// errRejected is wrapped by what a router says beside a no.
+var errRejected = errors.New("no")
 
-// atRouters are the second addresses that a call is made at.
-type atRouters struct {
+// routerTargets are the second addresses that a call is made at.
+type routerTargets struct {
 	Routers []string `name:"routers" arg:"" help:"Second addresses of routers, host:port."`
 }
 
-type aboutServer struct {
+type serverTarget struct {
 	ID string `name:"id" arg:"" help:"Id of the server, such as s-00c41f7a."`
-	atRouters
+	routerTargets
 }
 
 type (
-	routerReadyCmd    struct{ atRouters }
-	routerFiguresCmd  struct{ atRouters }
-	routerExcludeCmd  struct{ aboutServer }
-	routerIncludeCmd  struct{ aboutServer }
-	routerEvacuateCmd struct{ atRouters }
-	routerRejoinCmd   struct{ atRouters }
+	routerReadyCmd   struct{ routerTargets }
+	routerMetricsCmd struct{ routerTargets }
+	routerExcludeCmd struct{ serverTarget }
+	routerIncludeCmd struct{ serverTarget }
+	routerDrainCmd   struct{ routerTargets }
+	routerRejoinCmd  struct{ routerTargets }
 )
 
-func (c *routerReadyCmd) Run(out io.Writer) error   { return c.call(out, http.MethodGet, "ready") }
-func (c *routerFiguresCmd) Run(out io.Writer) error { return c.call(out, http.MethodGet, "telemetry") }
+func (c *routerReadyCmd) Run(out io.Writer) error { return c.callAll(out, http.MethodGet, "ready") }
+func (c *routerMetricsCmd) Run(out io.Writer) error {
+	return c.callAll(out, http.MethodGet, "telemetry")
+}
 func (c *routerExcludeCmd) Run(out io.Writer) error {
-	return c.call(out, http.MethodPut, "exclude/"+url.PathEscape(c.ID))
+	return c.callAll(out, http.MethodPut, "exclude/"+url.PathEscape(c.ID))
 }
 func (c *routerIncludeCmd) Run(out io.Writer) error {
-	return c.call(out, http.MethodPut, "include/"+url.PathEscape(c.ID))
+	return c.callAll(out, http.MethodPut, "include/"+url.PathEscape(c.ID))
 }
-func (c *routerEvacuateCmd) Run(out io.Writer) error { return c.call(out, http.MethodPut, "evacuate") }
-func (c *routerRejoinCmd) Run(out io.Writer) error   { return c.call(out, http.MethodPut, "rejoin") }
+func (c *routerDrainCmd) Run(out io.Writer) error  { return c.callAll(out, http.MethodPut, "evacuate") }
+func (c *routerRejoinCmd) Run(out io.Writer) error { return c.callAll(out, http.MethodPut, "rejoin") }
 
-// call makes a call at each router, one after the other and at all of them even where some say no, and prints what each said. Its error
+// callAll makes a call at each router, one after the other and at all of them even where some say no, and prints what each said. Its error
 // names those that said no or nothing.
-func (r *atRouters) call(out io.Writer, method, name string) error {
+func (r *routerTargets) callAll(out io.Writer, method, name string) error {
 	var faults []error
 	for _, addr := range r.Routers {
-		text, err := callOne(addr, method, "/api/"+name)
+		text, err := callRouter(addr, method, "/api/"+name)
 		if err != nil {
 			faults = append(faults, fmt.Errorf("%s: %w", addr, err))
 			continue
@@ -77,8 +79,8 @@
 	return errors.Join(faults...)
 }
 
-func callOne(addr, method, path string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
+func callRouter(addr, method, path string) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
@@ -91,12 +93,12 @@
 		return "", err
 	}
 	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
 	if err != nil {
 		return "", err
 	}
 	if a.StatusCode/100 != 2 {
-		return "", fmt.Errorf("%w: %d %s", errSaidNo, a.StatusCode, strings.TrimSpace(string(text)))
+		return "", fmt.Errorf("%w: %d %s", errRejected, a.StatusCode, strings.TrimSpace(string(text)))
 	}
 	return string(text), nil
 }
--- a/cmd/spanctl/stage.go
+++ b/cmd/spanctl/stage.go
@@ -14,12 +14,12 @@
 	"spantack/internal/features"
 )
 
-// stageFile is the file that the commands on releases write.
-const stageFile = "stage.json"
+// rolloutFile is the file that the commands on releases write.
+const rolloutFile = "stage.json"
 
-// putStage checks a changed release and writes it.
-func (c *onDoc) putStage(out io.Writer, f *features.File, s stages.Rollout) error {
-	a, err := cells.Compile(f.Spec())
+// saveRollout checks a changed release and writes it.
+func (c *documentFlags) saveRollout(out io.Writer, f *features.File, s stages.Rollout) error {
+	a, err := cells.Compile(f.CellSpec())
 	if err != nil {
 		return err
 	}
@@ -27,37 +27,37 @@
 		return err
 	}
 	next := *f
-	next.Stage = features.Stage{Enabled: true, Rollout: s}
-	if err := next.Follows(c.now(), f); err != nil {
+	next.Rollout = features.Rollout{Enabled: true, Rollout: s}
+	if err := next.CheckReplaces(c.now(), f); err != nil {
 		return err
 	}
 	if c.DryRun {
 		fmt.Fprintf(out, "dry run: version %d not written\n", s.Version)
 		return nil
 	}
-	return c.write(out, stageFile, "stage", s.Version, next.Stage, func(f *features.File) bool {
-		return f.Release() != nil && f.Release().Version == s.Version
+	return c.writeSection(out, rolloutFile, "stage", s.Version, next.Rollout, func(f *features.File) bool {
+		return f.ActiveRollout() != nil && f.ActiveRollout().Version == s.Version
 	})
 }
 
-type startCmd struct {
-	onDoc
-	Name     string        `name:"name" required:"" help:"What the release is called."`
-	Prefix   string        `name:"prefix" help:"How its objects begin, in hex."`
-	Families []int         `name:"families" help:"First and last group of its objects."`
-	Ring     []string      `name:"ring" required:"" sep:"none" help:"The cells of one ring, separated by commas; once for each ring, in their order."`
-	In       time.Duration `name:"in" default:"60s" help:"Until the first ring opens: routers learn meanwhile how its cells differ from others."`
-	For      time.Duration `name:"for" default:"10m" help:"Time in which a ring must be judged."`
-	Renews   bool          `name:"renews" help:"Its objects have an older version; the head office gives out the new one from the first ring's time on."`
-	Keep     time.Duration `name:"keep" help:"With --renews: how old copies may be where a ring is shut." placeholder:"SPAN"`
-	Back     string        `name:"back" help:"With --renews, what a ring taken back for harm does until stopped: refuse or serve." placeholder:"refuse|serve"`
-	Go       bool          `name:"go" help:"Goes on where a ring can't be judged in its time; else it waits."`
-	Rate     float64       `name:"rate" help:"Requests a second that a cell gets at one router, and" placeholder:"N"`
-	Bad      float64       `name:"bad" help:"part of them that is bad on a usual day: with both, says how long harm takes to be found." placeholder:"P"`
+type rolloutStartCmd struct {
+	documentFlags
+	Name               string        `name:"name" required:"" help:"What the release is called."`
+	Prefix             string        `name:"prefix" help:"How its objects begin, in hex."`
+	Families           []int         `name:"families" help:"First and last group of its objects."`
+	Rings              []string      `name:"ring" required:"" sep:"none" help:"The cells of one ring, separated by commas; once for each ring, in their order."`
+	StartDelay         time.Duration `name:"in" default:"60s" help:"Until the first ring opens: routers learn meanwhile how its cells differ from others."`
+	RingDuration       time.Duration `name:"for" default:"10m" help:"Time in which a ring must be judged."`
+	Replaces           bool          `name:"renews" help:"Its objects have an older version; the head office gives out the new one from the first ring's time on."`
+	MaxStale           time.Duration `name:"keep" help:"With --renews: how old copies may be where a ring is shut." placeholder:"SPAN"`
+	AfterRollback      string        `name:"back" help:"With --renews, what a ring taken back for harm does until stopped: refuse or serve." placeholder:"refuse|serve"`
+	ContinueIfUnsure   bool          `name:"go" help:"Goes on where a ring can't be judged in its time; else it waits."`
+	RequestRate        float64       `name:"rate" help:"Requests a second that a cell gets at one router, and" placeholder:"N"`
+	BaselineErrorRatio float64       `name:"bad" help:"part of them that is bad on a usual day: with both, says how long harm takes to be found." placeholder:"P"`
 }
 
-func (c *startCmd) Run(out io.Writer) error {
-	f, _, err := c.document()
+func (c *rolloutStartCmd) Run(out io.Writer) error {
+	f, _, err := c.loadMigration()
 	if err != nil {
 		return err
 	}
@@ -66,47 +66,47 @@
 	if len(c.Families) > 0 {
 		s.FamilyRange = c.Families
 	}
-	if c.Go {
+	if c.ContinueIfUnsure {
 		s.OnUndecided = "go"
 	}
-	if s.ReplacesObjects, s.OldCopyMaxAge, s.OnRollback = c.Renews, ms(c.Keep), c.Back; s.ReplacesObjects {
-		s.Since = now + ms(c.In) // its copies made before are old ones
-		fmt.Fprintf(out, "the head office must have the new version by %s, and not much sooner: a cell that has no copy gets what is there\n", clockTime(s.Since))
+	if s.ReplacesObjects, s.OldCopyMaxAge, s.OnRollback = c.Replaces, millis(c.MaxStale), c.AfterRollback; s.ReplacesObjects {
+		s.Since = now + millis(c.StartDelay) // its copies made before are old ones
+		fmt.Fprintf(out, "the head office must have the new version by %s, and not much sooner: a cell that has no copy gets what is there\n", formatTime(s.Since))
 	}
-	if old := f.Release(); old != nil {
+	if old := f.ActiveRollout(); old != nil {
 		if old.Name == c.Name {
 			return fmt.Errorf("release %s is there already: stop it, or give the new one a name of its own", c.Name)
 		}
 		s.Version = old.Version + 1
 	}
-	for i, r := range c.Ring {
-		s.Rings = append(s.Rings, stages.Ring{Cells: strings.Split(r, ","), OpensAt: now + ms(c.In) + float64(i)*ms(c.For), JudgeWithin: ms(c.For)})
-		fmt.Fprintf(out, "ring %d: %s, at the soonest %s\n", i, r, clockTime(s.Rings[i].OpensAt))
+	for i, r := range c.Rings {
+		s.Rings = append(s.Rings, stages.Ring{Cells: strings.Split(r, ","), OpensAt: now + millis(c.StartDelay) + float64(i)*millis(c.RingDuration), JudgeWithin: millis(c.RingDuration)})
+		fmt.Fprintf(out, "ring %d: %s, at the soonest %s\n", i, r, formatTime(s.Rings[i].OpensAt))
 	}
-	if c.Rate > 0 && c.Bad > 0 && len(s.Rings) > 0 {
-		t, n, all := s.TestParameters(), float64(len(s.Rings[0].Cells)), float64(len(f.Spec().Cells))
+	if c.RequestRate > 0 && c.BaselineErrorRatio > 0 && len(s.Rings) > 0 {
+		t, n, all := s.TestParameters(), float64(len(s.Rings[0].Cells)), float64(len(f.CellSpec().Cells))
 		for _, harm := range []float64{1.5, 2, 3, 5} {
 			events := t.ExpectedEvents(harm, n/all, 1)
-			perS := c.Rate * c.Bad * (n*harm + all - n)
+			perS := c.RequestRate * c.BaselineErrorRatio * (n*harm + all - n)
 			if secs := events / perS; !math.IsInf(secs, 0) {
-				fmt.Fprintf(out, "harm of %.1f times the odds: found by one router after some %s on average, bursts not counted\n", harm, span(1000*secs))
+				fmt.Fprintf(out, "harm of %.1f times the odds: found by one router after some %s on average, bursts not counted\n", harm, formatDuration(1000*secs))
 			}
 		}
 	}
-	return c.putStage(out, f, s)
+	return c.saveRollout(out, f, s)
 }
 
-type stopCmd struct {
-	onDoc
-	In time.Duration `name:"in" help:"Until it is taken back, where the head office needs time for that."`
+type rolloutStopCmd struct {
+	documentFlags
+	StopDelay time.Duration `name:"in" help:"Until it is taken back, where the head office needs time for that."`
 }
 
-func (c *stopCmd) Run(out io.Writer) error {
-	f, _, err := c.document()
+func (c *rolloutStopCmd) Run(out io.Writer) error {
+	f, _, err := c.loadMigration()
 	if err != nil {
 		return err
 	}
-	old := f.Release()
+	old := f.ActiveRollout()
 	if old == nil {
 		return errors.New("there is no release")
 	}
@@ -116,26 +116,26 @@
 	s := *old
 	s.Version++
 	s.RollbackAt = c.now()
-	if s.RollbackAt += ms(c.In); s.ReplacesObjects {
-		fmt.Fprintf(out, "release %s: taken back in all cells; from %s on all copies made before are renewed: by then the head office must have the old version\n", s.Name, clockTime(s.RollbackAt))
+	if s.RollbackAt += millis(c.StopDelay); s.ReplacesObjects {
+		fmt.Fprintf(out, "release %s: taken back in all cells; from %s on all copies made before are renewed: by then the head office must have the old version\n", s.Name, formatTime(s.RollbackAt))
 	} else {
 		fmt.Fprintf(out, "release %s: taken back in all cells; refused there as soon as a router has this\n", s.Name)
 	}
-	return c.putStage(out, f, s)
+	return c.saveRollout(out, f, s)
 }
 
-type statusCmd struct {
-	onDoc
+type rolloutStatusCmd struct {
+	documentFlags
 	Logs []string `name:"logs" arg:"" help:"Logs of routers with lines 'stage', of which the last of each counts."`
 }
 
 // Run adds up what routers see. They saw different requests, so their bets may be multiplied: the logs are added.
-func (c *statusCmd) Run(out io.Writer) error {
-	f, _, err := c.document()
+func (c *rolloutStatusCmd) Run(out io.Writer) error {
+	f, _, err := c.loadMigration()
 	if err != nil {
 		return err
 	}
-	s := f.Release()
+	s := f.ActiveRollout()
 	if s == nil {
 		return errors.New("there is no release")
 	}
@@ -152,7 +152,7 @@
 		var line struct {
 			Stage cells.RolloutStatus `json:"stage"`
 		}
-		if !lastLine(text, "stage", &line) {
+		if !lastLogRecord(text, "stage", &line) {
 			return fmt.Errorf("%s: no line 'stage'", file)
 		}
 		if line.Stage.Name != s.Name || len(line.Stage.Rings) != len(s.Rings) {
--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -120,18 +120,18 @@
 	if err != nil {
 		return nil, none, err
 	}
-	if err := f.Fits(&c.Settings); err != nil {
+	if err := f.CheckSettings(&c.Settings); err != nil {
 		return nil, none, fmt.Errorf("%s: %w", file, err)
 	}
-	a, err := f.Assignment()
+	a, err := f.CellAssignment()
 	if err != nil {
 		return nil, none, fmt.Errorf("%s: %w", file, err)
 	}
-	g, err := f.Graph()
+	g, err := f.TopologyGraph()
 	if err != nil {
 		return nil, none, fmt.Errorf("%s: %w", file, err)
 	}
-	return f, router.Features{Cells: a, Moves: f.Document(), Release: f.Release(), Shape: g, Shield: f.Guard()}, nil
+	return f, router.Features{Cells: a, Moves: f.ActiveMigration(), Release: f.ActiveRollout(), Shape: g, Shield: f.ActiveOriginLimit()}, nil
 }
 
 // connections shares descriptors and bytes of memory out: how many connections clients may hold, and how many there may be to servers.
@@ -178,15 +178,15 @@
 
 	now := &clock.Clock{}
 	state := manage.NewStateDir(c.StateDir, log)
-	inherited := c.Socket >= 0
-	memory, sockets := c.MemoryMB*(1<<20), c.Sockets
+	inherited := c.ListenerFD >= 0
+	memory, sockets := c.MemoryMB*(1<<20), c.MaxSockets
 	if inherited { // one process replaces another while that serves: the limits count for both
 		memory, sockets = memory/2, sockets/2
 	}
 	debug.SetMemoryLimit(int64(memoryShare * memory))
 	clients, mostConns := connections(sockets, memory)
-	pools := resp.NewPools(serving, resp.Options{DialTimeout: c.DialTimeout, IdleClose: c.IdleClose,
-		MaxStreams: c.MaxStreams, MaxConns: mostConns, MaxWait: c.MaxWait}, now, log)
+	pools := resp.NewPools(serving, resp.Options{DialTimeout: c.DialTimeout, IdleClose: c.IdleTimeout,
+		MaxStreams: c.MaxStreams, MaxConns: mostConns, MaxWait: c.MaxSendDelay}, now, log)
 	core, err := router.New(c.Settings, c.Seed, now, pools, log)
 	if err != nil {
 		return err
@@ -210,29 +210,29 @@
 		return err
 	}
 	var second net.Listener
-	if c.Manage != "" {
-		if second, err = manage.Listen(serving, c.Manage); err != nil {
+	if c.AdminAddr != "" {
+		if second, err = manage.Listen(serving, c.AdminAddr); err != nil {
 			return err
 		}
 	}
 	state.Restore(core.Adopt)
-	for _, n := range c.Notices {
+	for _, n := range c.InitialEvents {
 		apply(n)
 	}
 	if inherited {
 		takeOver(core, state, log)
 	}
 	ready.Store(true)
-	log.Info().Str("listen", c.Listen).Uint64("known", c.LastKnown).Msg("serving")
+	log.Info().Str("listen", c.ListenAddr).Uint64("known", c.LastEventID).Msg("serving")
 
-	watcher := &discovery.Watcher{Names: c.Names, LastApplied: c.LastKnown, Apply: apply, Clock: now, Log: log,
-		Tries: coldstart.Schedule{Rank: c.Tier.Rank, FleetSize: c.Settings.FleetSize}}
+	watcher := &discovery.Watcher{Names: c.Names, LastApplied: c.LastEventID, Apply: apply, Clock: now, Log: log,
+		Tries: coldstart.Schedule{Rank: c.Fleet.Rank, FleetSize: c.Settings.FleetSize}}
 	watcher.SetAddress(c.DiscoveryAddr)
 	group, serving := errgroup.WithContext(serving)
 	var talk *peers.Transport
-	limits := on.Limits()
-	if (f.Peers || limits != nil || on.Judges()) && c.Tier.May {
-		if talk, err = tier(c, limits, on.LeaseTree(), on.Judges(), core, now, log); err != nil {
+	limits := on.FleetLimits()
+	if (f.Peers || limits != nil || on.VerdictsEnabled()) && c.Fleet.GossipEnabled {
+		if talk, err = tier(c, limits, on.LeaseTree(), on.VerdictsEnabled(), core, now, log); err != nil {
 			return err
 		}
 	}
@@ -244,7 +244,7 @@
 	group.Go(func() error { return watcher.Run(serving) })
 	var files reloads
 	var longest atomic.Value // of a class's deadline, in milliseconds
-	longest.Store(c.Longest)
+	longest.Store(c.MaxDeadline)
 	if second != nil {
 		if err := state.ClaimServing(); err != nil {
 			log.Warn().Err(err).Msg("can't say that this process serves")
@@ -273,7 +273,7 @@
 				return nil
 			case <-signals.hangUp:
 				c = reconfigure(c, again, core, server, pools, watcher.SetAddress, &files, log)
-				longest.Store(c.Longest)
+				longest.Store(c.MaxDeadline)
 				on = refeature(file, on, c, core, now, log)
 			}
 		}
@@ -316,7 +316,7 @@
 	}
 	on, frame, err := feature(file, c)
 	if err == nil {
-		err = on.Follows(now.Now(), old)
+		err = on.CheckReplaces(now.Now(), old)
 	}
 	if err != nil {
 		log.Error().Err(err).Msg("new features can't be used")
@@ -330,7 +330,7 @@
 		version = frame.Cells.Version()
 	}
 	if frame.Shape != nil {
-		shape = frame.Shape.Shape().Version
+		shape = frame.Shape.Topology().Version
 	}
 	_, moving := core.Moves()
 	log.Info().Int64("cells", version).Int64("shape", shape).Int64("moves", moving).Str("release", releaseName(on)).Msg("new features")
@@ -338,7 +338,7 @@
 }
 
 func releaseName(f *features.File) string {
-	if s := f.Release(); s != nil {
+	if s := f.ActiveRollout(); s != nil {
 		return s.Name
 	}
 	return ""
--- a/cmd/spantack/main_test.go
+++ b/cmd/spantack/main_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Listen = loopback.Free()
+	c.ListenAddr = loopback.Free()
 	ended := make(chan error, 1)
 	files := make(chan string)
 	signals := catch()
@@ -39,7 +39,7 @@
 	}()
 	const fromFirst = "\x00\x00\x00\x00\x00\x00\x00\x01"
 	testwait.AcceptHello(t, board, fromFirst, "the watch, which begins once the router serves")
-	client := testwait.Dial(t, c.Listen)
+	client := testwait.Dial(t, c.ListenAddr)
 	expect := func(from io.Reader, want string) {
 		t.Helper()
 		got := make([]byte, len(want))
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -20,14 +20,14 @@
 // openClients opens the address for clients: on the descriptor that the platform holds, where it hands one down, so that a process
 // can take over from another with no connection refused.
 func openClients(c *config.Config) (net.Listener, error) {
-	if c.Socket < 0 {
-		l, err := net.Listen("tcp", c.Listen)
+	if c.ListenerFD < 0 {
+		l, err := net.Listen("tcp", c.ListenAddr)
 		if err != nil {
 			return nil, fmt.Errorf("RELAY_LISTEN: %w", err)
 		}
 		return l, nil
 	}
-	s, err := manage.Inherit(c.Socket)
+	s, err := manage.Inherit(c.ListenerFD)
 	if err != nil {
 		return nil, fmt.Errorf("RELAY_SOCKET_FD: %w", err)
 	}
@@ -77,7 +77,7 @@
 	log zerolog.Logger) *config.Config {
 	c, err := again()
 	if err == nil {
-		err = c.Follows(old)
+		err = c.CheckReplaces(old)
 	}
 	if err == nil {
 		err = core.Retune(c.Settings)
@@ -88,9 +88,9 @@
 		return old
 	}
 	server.Retune(keyed(c))
-	pools.Retune(c.MaxWait)
+	pools.Retune(c.MaxSendDelay)
 	files.applied.Add(1)
-	if c.MemoryMB != old.MemoryMB || c.Sockets != old.Sockets || c.DialTimeout != old.DialTimeout || c.IdleClose != old.IdleClose ||
+	if c.MemoryMB != old.MemoryMB || c.MaxSockets != old.MaxSockets || c.DialTimeout != old.DialTimeout || c.IdleTimeout != old.IdleTimeout ||
 		c.MaxStreams != old.MaxStreams || c.Settings.Zone != old.Settings.Zone {
 		log.Warn().Msg("new configuration differs in what takes a restart")
 	}
@@ -100,8 +100,8 @@
 		move(c.DiscoveryAddr)
 	}
 	taken := *c
-	taken.Notices = nil // those of the start: the watch has brought what came since
-	taken.MemoryMB, taken.Sockets, taken.DialTimeout, taken.IdleClose, taken.MaxStreams = old.MemoryMB, old.Sockets, old.DialTimeout, old.IdleClose, old.MaxStreams
+	taken.InitialEvents = nil // those of the start: the watch has brought what came since
+	taken.MemoryMB, taken.MaxSockets, taken.DialTimeout, taken.IdleTimeout, taken.MaxStreams = old.MemoryMB, old.MaxSockets, old.DialTimeout, old.IdleTimeout, old.MaxStreams
 	return &taken
 }
 
--- a/cmd/spantack/tier.go
+++ b/cmd/spantack/tier.go
@@ -24,7 +24,7 @@
 // tier ties what routers tell one another to the decision module. nil: the tier is too small for that.
 func tier(c *config.Config, limits []fleet.Limit, tree *lease.Topology, judges bool, core *router.Router, now *clock.Clock, log zerolog.Logger) (*peers.Transport, error) {
 	depot, depots := slices.Index(c.Settings.Zones, c.Settings.Zone), len(c.Settings.Zones)
-	t, err := tierwide.New(tierwide.Options{Rank: c.Tier.Rank, FleetSize: len(c.Tier.Peers), Site: depot, Sites: depots,
+	t, err := tierwide.New(tierwide.Options{Rank: c.Fleet.Rank, FleetSize: len(c.Fleet.Members), Site: depot, Sites: depots,
 		Incarnation: uint32(now.Now() / 1000)})
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -32,12 +32,12 @@
 	if !t.IsEnabled() && limits == nil && !judges {
 		return nil, nil
 	}
-	talk := &peers.Transport{Gossip: t, ListenAddress: c.Tier.Listen, PeerAddresses: c.Tier.Peers, BroadcastAddress: c.Tier.All, OnOverloaded: core.ReportCrowded, Clock: now, Log: log}
-	if tree != nil && tree.Routers < len(c.Tier.Peers) {
-		return nil, fmt.Errorf("fleet.tree.routers: %d, and the settings have %d peers", tree.Routers, len(c.Tier.Peers))
+	talk := &peers.Transport{Gossip: t, ListenAddress: c.Fleet.ListenAddr, PeerAddresses: c.Fleet.Members, BroadcastAddress: c.Fleet.BroadcastAddr, OnOverloaded: core.ReportCrowded, Clock: now, Log: log}
+	if tree != nil && tree.Routers < len(c.Fleet.Members) {
+		return nil, fmt.Errorf("fleet.tree.routers: %d, and the settings have %d peers", tree.Routers, len(c.Fleet.Members))
 	}
 	if limits != nil || judges {
-		talk.Fleet, err = fleet.New(clock.Micros(now.Steady()), fleet.Options{Rank: c.Tier.Rank, FleetSize: len(c.Tier.Peers),
+		talk.Fleet, err = fleet.New(clock.Micros(now.Steady()), fleet.Options{Rank: c.Fleet.Rank, FleetSize: len(c.Fleet.Members),
 			Site: depot, Sites: depots, Seed: uint64(c.Seed), Limits: limits, LeaseTree: tree,
 			Incarnation: uint32((now.Now() - incarnationsFrom) / incarnationEvery)})
 		if err != nil {
--- a/core/cells/above.go
+++ b/core/cells/above.go
@@ -42,13 +42,13 @@
 // PlanJob is a plan to be worked out, away from requests: Work takes long, reads nothing of the module, and may run beside it.
 type PlanJob struct {
 	graph *hierarchy.Graph
-	state map[string]hierarchy.Now
-	share *hierarchy.Share
+	state map[string]hierarchy.GroupStatus
+	share *hierarchy.FillPlan
 	err   error
 }
 
 // Run works the plan out.
-func (p *PlanJob) Run() { p.share, p.err = p.graph.Plan(p.state) }
+func (p *PlanJob) Run() { p.share, p.err = p.graph.PlanFills(p.state) }
 
 // TakePlanJob hands a plan that is due to whoever works it out, once; nil where none is.
 func (m *Admission) TakePlanJob() *PlanJob {
@@ -81,7 +81,7 @@
 
 // SetTopology puts a shape of the hierarchy in force, or with nil none. It applies with and without an assignment to cells.
 func (m *Admission) SetTopology(now int64, g *hierarchy.Graph) {
-	if g != nil && m.parents.graph != nil && reflect.DeepEqual(g.Shape(), m.parents.graph.Shape()) {
+	if g != nil && m.parents.graph != nil && reflect.DeepEqual(g.Topology(), m.parents.graph.Topology()) {
 		return // what fills have told of its areas stays
 	}
 	for i := range m.parents.serversByGroup {
@@ -89,7 +89,7 @@
 	}
 	m.parents = parentSelection{graph: g}
 	if g != nil {
-		n := len(g.Shape().Areas)
+		n := len(g.Topology().ParentGroups)
 		m.parents.groupByRequest, m.parents.health, m.parents.serversByGroup = map[string]int{}, make([]parentGroupHealth, n), make([][]string, n)
 	}
 	m.planFills(now)
@@ -100,7 +100,7 @@
 	if m.parents.graph == nil {
 		return 0
 	}
-	return m.parents.graph.Shape().Version
+	return m.parents.graph.Topology().Version
 }
 
 // planFills shares the depots' fills out by the list of servers as it is. All routers that have the same list and shape come to the same plan.
@@ -109,7 +109,7 @@
 	if u.graph == nil || u.planDueAt > now {
 		return
 	}
-	areas := u.graph.Shape().Areas
+	areas := u.graph.Topology().ParentGroups
 	place := map[string]int{}
 	for i := range areas {
 		place[areas[i].Name] = i
@@ -117,7 +117,7 @@
 	u.groupByServer = map[string]int{}
 	names, servers := make([][]string, len(areas)), make([][]moves.Server, len(areas))
 	for _, name := range sortedNodes(m.parentServers) {
-		i, known := place[u.graph.AreaOf(name)]
+		i, known := place[u.graph.ParentGroupOf(name)]
 		if known {
 			u.groupByServer[name] = i
 		}
@@ -127,7 +127,7 @@
 		}
 	}
 	_, terms := m.capacityTerms()
-	state := map[string]hierarchy.Now{}
+	state := map[string]hierarchy.GroupStatus{}
 	u.planDueAt = math.MaxInt64
 	for i := range areas {
 		if !slices.Equal(names[i], u.serversByGroup[i]) {
@@ -138,7 +138,7 @@
 		if u.health[i].nextTrialAt != 0 {
 			kb = 0
 		}
-		state[areas[i].Name] = hierarchy.Now{KbPerS: kb, Warm: warm}
+		state[areas[i].Name] = hierarchy.GroupStatus{CapacityKBPerS: kb, WarmFraction: warm}
 		if len(servers[i]) > 0 && warm < 1 {
 			u.planDueAt = now + replanInterval
 		}
@@ -152,7 +152,7 @@
 }
 
 // applyFillPlan puts a plan in force.
-func (m *Admission) applyFillPlan(share *hierarchy.Share, err error) {
+func (m *Admission) applyFillPlan(share *hierarchy.FillPlan, err error) {
 	u := &m.parents
 	if u.planErr = err; err != nil { // can't be with figures from the list; fills then go as without a shape
 		u.route = hierarchy.Route{}
@@ -166,9 +166,9 @@
 func (m *Admission) logFillPlan() {
 	u := &m.parents
 	var to []string
-	for i, part := range u.route.Parts() {
+	for i, part := range u.route.Fractions() {
 		if part >= 0.05 {
-			to = append(to, fmt.Sprintf("%s %.1f", u.graph.Place(i), part))
+			to = append(to, fmt.Sprintf("%s %.1f", u.graph.TargetName(i), part))
 		}
 	}
 	text := "fills go to " + strings.Join(to, ", ")
@@ -178,8 +178,8 @@
 	case len(to) == 0:
 		text = "fills have no way by the shape, and go as without one"
 	}
-	if u.route.Short >= 0.05 {
-		text += fmt.Sprintf("; no room for %.1f of them", u.route.Short)
+	if u.route.RejectedFraction >= 0.05 {
+		text += fmt.Sprintf("; no room for %.1f of them", u.route.RejectedFraction)
 	}
 	if text != u.lastLogged {
 		u.lastLogged = text
--- a/core/cells/above_test.go
+++ b/core/cells/above_test.go
@@ -14,11 +14,11 @@
 // twoParentGroups is a shape in which the depot z has an area at hand and one far off, each with one of the list's area caches.
 func twoParentGroups(t testing.TB) *hierarchy.Graph {
 	t.Helper()
-	g, err := hierarchy.Compile(&hierarchy.Shape{Version: 3, Head: hierarchy.Head{Name: "o", KbPerS: 20_000},
-		Areas:  []hierarchy.Area{{Name: "near", Servers: []string{"p0"}}, {Name: "far", Servers: []string{"p1"}}},
-		Depots: []hierarchy.Depot{{Name: "z", KbPerS: 10_000}},
-		Ways: []hierarchy.Way{{From: "z", To: "near", KbPerS: 20_000, Ms: 10}, {From: "z", To: "far", KbPerS: 4000, Ms: 40}, {From: "z", To: "o", KbPerS: 2000, Ms: 60},
-			{From: "near", To: "o", KbPerS: 20_000, Ms: 20}, {From: "far", To: "o", KbPerS: 20_000, Ms: 20}}})
+	g, err := hierarchy.Compile(&hierarchy.Topology{Version: 3, Origin: hierarchy.Origin{Name: "o", CapacityKBPerS: 20_000},
+		ParentGroups: []hierarchy.ParentGroup{{Name: "near", ServerPrefixes: []string{"p0"}}, {Name: "far", ServerPrefixes: []string{"p1"}}},
+		Sites:        []hierarchy.Site{{Name: "z", PeakFillKBPerS: 10_000}},
+		Links: []hierarchy.Link{{From: "z", To: "near", CapacityKBPerS: 20_000, RTTMillis: 10}, {From: "z", To: "far", CapacityKBPerS: 4000, RTTMillis: 40}, {From: "z", To: "o", CapacityKBPerS: 2000, RTTMillis: 60},
+			{From: "near", To: "o", CapacityKBPerS: 20_000, RTTMillis: 20}, {From: "far", To: "o", CapacityKBPerS: 20_000, RTTMillis: 20}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,11 +113,11 @@
 // not followed. It is the same plan as one worked out at once.
 func TestPlanInBackground(t *testing.T) {
 	many := func(version int64) *hierarchy.Graph {
-		s := &hierarchy.Shape{Version: version, Head: hierarchy.Head{Name: "o", KbPerS: 20_000}, Depots: []hierarchy.Depot{{Name: "z", KbPerS: 10_000}}}
+		s := &hierarchy.Topology{Version: version, Origin: hierarchy.Origin{Name: "o", CapacityKBPerS: 20_000}, Sites: []hierarchy.Site{{Name: "z", PeakFillKBPerS: 10_000}}}
 		for i := range maxGroupsPlannedInline + 1 {
 			name := fmt.Sprint("area", i)
-			s.Areas = append(s.Areas, hierarchy.Area{Name: name, Servers: []string{fmt.Sprint("p", i)}})
-			s.Ways = append(s.Ways, hierarchy.Way{From: "z", To: name, KbPerS: 20_000, Ms: 10 + float64(i)}, hierarchy.Way{From: name, To: "o", KbPerS: 20_000, Ms: 20})
+			s.ParentGroups = append(s.ParentGroups, hierarchy.ParentGroup{Name: name, ServerPrefixes: []string{fmt.Sprint("p", i)}})
+			s.Links = append(s.Links, hierarchy.Link{From: "z", To: name, CapacityKBPerS: 20_000, RTTMillis: 10 + float64(i)}, hierarchy.Link{From: name, To: "o", CapacityKBPerS: 20_000, RTTMillis: 20})
 		}
 		g, err := hierarchy.Compile(s)
 		if err != nil {
@@ -136,7 +136,7 @@
 	later.PlansInBackground = true
 	later.SetTopology(0, many(1))
 	atOnce.SetTopology(0, many(1))
-	if later.parents.route.Parts() != nil && slices.Max(later.parents.route.Parts()) > 0 {
+	if later.parents.route.Fractions() != nil && slices.Max(later.parents.route.Fractions()) > 0 {
 		t.Error("a plan is followed that nobody has worked out")
 	}
 	p := later.TakePlanJob()
@@ -153,7 +153,7 @@
 	}
 	testwait.Receive(t, done, "the work beside events")
 	later.ApplyPlanJob(p)
-	if got, want := later.parents.route.Parts(), atOnce.parents.route.Parts(); !slices.Equal(got, want) || slices.Max(got) <= 0 {
+	if got, want := later.parents.route.Fractions(), atOnce.parents.route.Fractions(); !slices.Equal(got, want) || slices.Max(got) <= 0 {
 		t.Errorf("worked out elsewhere %v, at once %v", got, want)
 	}
 	later.SetTopology(100, many(2))
@@ -161,7 +161,7 @@
 	later.SetTopology(200, many(3))
 	old.Run()
 	later.ApplyPlanJob(old)
-	if parts := later.parents.route.Parts(); parts != nil && slices.Max(parts) > 0 {
+	if parts := later.parents.route.Fractions(); parts != nil && slices.Max(parts) > 0 {
 		t.Error("the plan of a shape that is no more is followed")
 	}
 }
--- a/core/hierarchy/order_test.go
+++ b/core/hierarchy/order_test.go
@@ -43,17 +43,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 24).Draw(t, "nodes")
 		g := plainGraph{make([][]int32, n), make([]bool, n)}
-		var o Order
+		var o TopologicalOrder
 		o.Grow(n)
 		for range rapid.IntRange(1, 150).Draw(t, "changes") {
 			a, b := rapid.IntRange(0, n-1).Draw(t, "a"), rapid.IntRange(0, n-1).Draw(t, "b")
 			if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
-				if o.Remove(a, b) != cut(&g.out[a], int32(b)) {
+				if o.RemoveEdge(a, b) != removeNode(&g.out[a], int32(b)) {
 					t.Fatalf("remove %d > %d", a, b)
 				}
 				continue
 			}
-			circle := o.Add(a, b)
+			circle := o.AddEdge(a, b)
 			if want := g.reaches(b, a); (circle != nil) != want {
 				t.Fatalf("add %d > %d: circle %v, full search %v", a, b, circle, want)
 			}
@@ -62,7 +62,7 @@
 					t.Fatalf("circle %v of %d > %d", circle, a, b)
 				}
 				for i := 1; i+1 < len(circle); i++ {
-					if !o.Has(circle[i], circle[i+1]) {
+					if !o.HasEdge(circle[i], circle[i+1]) {
 						t.Fatalf("circle %v: no edge %d > %d", circle, circle[i], circle[i+1])
 					}
 				}
@@ -73,12 +73,12 @@
 			}
 			for from, list := range g.out {
 				for _, to := range list {
-					if !o.Before(from, int(to)) || !o.Has(from, int(to)) {
+					if !o.Before(from, int(to)) || !o.HasEdge(from, int(to)) {
 						t.Fatalf("after %d > %d: %d is not before %d", a, b, from, to)
 					}
 				}
 			}
-			if slices.ContainsFunc(o.from, func(f int32) bool { return f >= 0 }) {
+			if slices.ContainsFunc(o.discoveredBy, func(f int32) bool { return f >= 0 }) {
 				t.Fatal("a search was not forgotten")
 			}
 		}
@@ -111,15 +111,15 @@
 	b.Run("incremental", func(b *testing.B) {
 		refused := 0
 		for b.Loop() {
-			var o Order
+			var o TopologicalOrder
 			o.Grow(benchNodes)
 			refused = 0
 			for i, e := range all {
-				if o.Add(e[0], e[1]) != nil {
+				if o.AddEdge(e[0], e[1]) != nil {
 					refused++
 				}
 				if i >= 30_000 {
-					o.Remove(all[i-30_000][0], all[i-30_000][1])
+					o.RemoveEdge(all[i-30_000][0], all[i-30_000][1])
 				}
 			}
 		}
@@ -133,10 +133,10 @@
 		for b.Loop() {
 			b.StopTimer()
 			g := plainGraph{make([][]int32, benchNodes), make([]bool, benchNodes)}
-			var o Order
+			var o TopologicalOrder
 			o.Grow(benchNodes)
 			for _, e := range all[:30_000] {
-				if o.Add(e[0], e[1]) == nil {
+				if o.AddEdge(e[0], e[1]) == nil {
 					g.out[e[0]] = append(g.out[e[0]], int32(e[1]))
 				}
 			}
@@ -148,7 +148,7 @@
 				} else {
 					g.out[e[0]] = append(g.out[e[0]], int32(e[1]))
 				}
-				cut(&g.out[all[i][0]], int32(all[i][1]))
+				removeNode(&g.out[all[i][0]], int32(all[i][1]))
 			}
 		}
 		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(searched), "ns/change")
--- a/core/hierarchy/plan_test.go
+++ b/core/hierarchy/plan_test.go
@@ -14,12 +14,12 @@
 
 // random is a problem of so many depots and areas in which something is short: areas, ways or the head office.
 func random(rng *rand.Rand, depots, areas int) *Problem {
-	p := &Problem{Refuse: 1000, Head: 1e9}
+	p := &Problem{RejectionCost: 1000, OriginCapacity: 1e9}
 	all := 0.0
 	for range depots {
 		w := float64(20 + rng.IntN(400))
 		all += w
-		p.Wants = append(p.Wants, w)
+		p.Demand = append(p.Demand, w)
 		var room, ms []float64
 		for range areas {
 			r := 0.0
@@ -28,27 +28,27 @@
 			}
 			room, ms = append(room, r), append(ms, float64(1+rng.IntN(60)))
 		}
-		p.Room, p.Ms = append(p.Room, room), append(p.Ms, ms)
-		p.Direct, p.FarMs = append(p.Direct, float64(rng.IntN(3)*50)), append(p.FarMs, 80)
+		p.LinkCapacity, p.LinkRTT = append(p.LinkCapacity, room), append(p.LinkRTT, ms)
+		p.DirectCapacity, p.DirectRTT = append(p.DirectCapacity, float64(rng.IntN(3)*50)), append(p.DirectRTT, 80)
 	}
 	for range areas {
-		p.Bears = append(p.Bears, all/float64(areas)*(0.1+1.5*rng.Float64()))
-		p.Asks = append(p.Asks, 0.2+0.8*rng.Float64())
+		p.Capacity = append(p.Capacity, all/float64(areas)*(0.1+1.5*rng.Float64()))
+		p.OriginFraction = append(p.OriginFraction, 0.2+0.8*rng.Float64())
 	}
 	if rng.IntN(2) == 0 { // objects have a place
-		p.Stray = 0.5 + rng.Float64()/2
+		p.OffHomeOriginFraction = 0.5 + rng.Float64()/2
 		sum := 0.0
 		for range areas {
-			p.Home = append(p.Home, rng.Float64())
-			p.UpMs = append(p.UpMs, float64(rng.IntN(60)))
-			sum += p.Home[len(p.Home)-1]
+			p.HomeFraction = append(p.HomeFraction, rng.Float64())
+			p.OriginRTT = append(p.OriginRTT, float64(rng.IntN(60)))
+			sum += p.HomeFraction[len(p.HomeFraction)-1]
 		}
-		for a := range p.Home {
-			p.Home[a] /= sum
+		for a := range p.HomeFraction {
+			p.HomeFraction[a] /= sum
 		}
 	}
 	if rng.IntN(4) > 0 {
-		p.Head = all * rng.Float64() * 0.6
+		p.OriginCapacity = all * rng.Float64() * 0.6
 	}
 	return p
 }
@@ -61,16 +61,16 @@
 	}
 	var vars []variable
 	var cost []float64
-	for i := range p.Wants {
-		for a, room := range p.Room[i] {
+	for i := range p.Demand {
+		for a, room := range p.LinkCapacity[i] {
 			if room > 0 {
-				vars, cost = append(vars, variable{i, a, false}), append(cost, p.Ms[i][a]+p.upMs(a)*p.Asks[a])
-				if p.Home != nil {
-					vars, cost = append(vars, variable{i, a, true}), append(cost, p.Ms[i][a]+p.upMs(a)*p.stray(a))
+				vars, cost = append(vars, variable{i, a, false}), append(cost, p.LinkRTT[i][a]+p.originRTT(a)*p.OriginFraction[a])
+				if p.HomeFraction != nil {
+					vars, cost = append(vars, variable{i, a, true}), append(cost, p.LinkRTT[i][a]+p.originRTT(a)*p.offHomeOriginFraction(a))
 				}
 			}
 		}
-		vars, cost = append(vars, variable{i, -1, false}, variable{i, -2, false}), append(cost, p.FarMs[i], p.Refuse)
+		vars, cost = append(vars, variable{i, -1, false}, variable{i, -2, false}), append(cost, p.DirectRTT[i], p.RejectionCost)
 	}
 	n := len(vars)
 	var rows [][]float64
@@ -88,15 +88,15 @@
 		}
 		return 0
 	}
-	for a := range p.Bears {
-		row(p.Bears[a], func(v variable) float64 { return one(v.area == a) })
+	for a := range p.Capacity {
+		row(p.Capacity[a], func(v variable) float64 { return one(v.area == a) })
 	}
-	row(p.Head, func(v variable) float64 {
+	row(p.OriginCapacity, func(v variable) float64 {
 		switch {
 		case v.stray:
-			return p.stray(v.area)
+			return p.offHomeOriginFraction(v.area)
 		case v.area >= 0:
-			return p.Asks[v.area]
+			return p.OriginFraction[v.area]
 		case v.area == -1:
 			return 1
 		}
@@ -105,17 +105,17 @@
 	for k, v := range vars {
 		switch {
 		case v.area == -1:
-			row(p.Direct[v.depot], func(o variable) float64 { return one(o == v) })
+			row(p.DirectCapacity[v.depot], func(o variable) float64 { return one(o == v) })
 		case v.area >= 0 && !v.stray:
-			row(p.Room[v.depot][v.area], func(o variable) float64 { return one(o.depot == v.depot && o.area == v.area) })
-			if p.Home != nil {
-				row(p.Wants[v.depot]*p.Home[v.area], func(o variable) float64 { return one(o == vars[k]) })
+			row(p.LinkCapacity[v.depot][v.area], func(o variable) float64 { return one(o.depot == v.depot && o.area == v.area) })
+			if p.HomeFraction != nil {
+				row(p.Demand[v.depot]*p.HomeFraction[v.area], func(o variable) float64 { return one(o == vars[k]) })
 			}
 		}
 	}
 	// Standard form: a slack for each bound, then what each depot wants.
 	m := len(rows)
-	all := mat.NewDense(m+len(p.Wants), n+m, nil)
+	all := mat.NewDense(m+len(p.Demand), n+m, nil)
 	b := append([]float64(nil), bound...)
 	for r := range rows {
 		for k, v := range rows[r] {
@@ -123,7 +123,7 @@
 		}
 		all.Set(r, n+r, 1)
 	}
-	for i, w := range p.Wants {
+	for i, w := range p.Demand {
 		for k, v := range vars {
 			all.Set(m+i, k, one(v.depot == i))
 		}
@@ -137,38 +137,38 @@
 }
 
 // keeps reports what a plan breaks.
-func keeps(p *Problem, plan *Plan) error {
+func keeps(p *Problem, plan *Allocation) error {
 	const much = 1e-6
-	sent, head := make([]float64, len(p.Bears)), 0.0
-	for i := range p.Wants {
-		sum := plan.Direct[i] + plan.Refused[i]
+	sent, head := make([]float64, len(p.Capacity)), 0.0
+	for i := range p.Demand {
+		sum := plan.Direct[i] + plan.Rejected[i]
 		head += plan.Direct[i]
-		if plan.Direct[i] > p.Direct[i]+much || plan.Refused[i] < -much {
-			return fmt.Errorf("depot %d: %v straight up, %v refused", i, plan.Direct[i], plan.Refused[i])
+		if plan.Direct[i] > p.DirectCapacity[i]+much || plan.Rejected[i] < -much {
+			return fmt.Errorf("depot %d: %v straight up, %v refused", i, plan.Direct[i], plan.Rejected[i])
 		}
-		for a, kb := range plan.To[i] {
-			if kb < -much || kb > p.Room[i][a]+much {
-				return fmt.Errorf("depot %d, area %d: %v of %v", i, a, kb, p.Room[i][a])
+		for a, kb := range plan.ToGroup[i] {
+			if kb < -much || kb > p.LinkCapacity[i][a]+much {
+				return fmt.Errorf("depot %d, area %d: %v of %v", i, a, kb, p.LinkCapacity[i][a])
 			}
 			sum += kb
 			sent[a] += kb
-			home := plan.Home[i][a]
-			if home > kb+much || p.Home != nil && home > p.Wants[i]*p.Home[a]+unit+much {
-				return fmt.Errorf("depot %d, area %d: %v of %v at home, of %v wanted", i, a, home, kb, p.Wants[i])
+			home := plan.ToHomeGroup[i][a]
+			if home > kb+much || p.HomeFraction != nil && home > p.Demand[i]*p.HomeFraction[a]+unitKBPerS+much {
+				return fmt.Errorf("depot %d, area %d: %v of %v at home, of %v wanted", i, a, home, kb, p.Demand[i])
 			}
-			head += home*p.Asks[a] + (kb-home)*p.stray(a)
+			head += home*p.OriginFraction[a] + (kb-home)*p.offHomeOriginFraction(a)
 		}
-		if math.Abs(sum-p.Wants[i]) > unit+much {
-			return fmt.Errorf("depot %d: %v of %v", i, sum, p.Wants[i])
+		if math.Abs(sum-p.Demand[i]) > unitKBPerS+much {
+			return fmt.Errorf("depot %d: %v of %v", i, sum, p.Demand[i])
 		}
 	}
 	for a := range sent {
-		if sent[a] > p.Bears[a]+much {
-			return fmt.Errorf("area %d: %v of %v", a, sent[a], p.Bears[a])
+		if sent[a] > p.Capacity[a]+much {
+			return fmt.Errorf("area %d: %v of %v", a, sent[a], p.Capacity[a])
 		}
 	}
-	if head > p.Head+much || math.Abs(head-plan.HeadKb) > much*(1+head) {
-		return fmt.Errorf("head office: %v of %v, said to be %v", head, p.Head, plan.HeadKb)
+	if head > p.OriginCapacity+much || math.Abs(head-plan.OriginLoad) > much*(1+head) {
+		return fmt.Errorf("head office: %v of %v, said to be %v", head, p.OriginCapacity, plan.OriginLoad)
 	}
 	return nil
 }
@@ -179,7 +179,7 @@
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		p := random(rng, 2+rng.IntN(5), 1+rng.IntN(4))
-		plan, err := p.Best()
+		plan, err := p.Optimal()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -187,14 +187,14 @@
 			t.Errorf("seed %d: %v", seed, err)
 		}
 		want := optimum(t, p)
-		rounding := unit * p.Refuse * float64(len(p.Wants)*(len(p.Bears)+2)+len(p.Bears))
+		rounding := unitKBPerS * p.RejectionCost * float64(len(p.Demand)*(len(p.Capacity)+2)+len(p.Capacity))
 		if plan.Cost < want-rounding || plan.Cost > want+rounding {
 			t.Errorf("seed %d: costs %v, the optimum %v", seed, plan.Cost, want)
 		}
-		if plan.Price > 0 {
+		if plan.OriginPrice > 0 {
 			priced++
 		}
-		for name, other := range map[string]*Plan{"hashed": p.Hashed(), "nearest": p.Nearest(), "bounded": p.Bounded(1.25)} {
+		for name, other := range map[string]*Allocation{"hashed": p.Hashed(), "nearest": p.Nearest(), "bounded": p.Bounded(1.25)} {
 			if err := keeps(p, other); err != nil {
 				t.Errorf("seed %d, %s: %v", seed, name, err)
 			}
@@ -210,17 +210,17 @@
 
 func TestProblemNamesTheField(t *testing.T) {
 	for want, spoil := range map[string]func(*Problem){
-		"fields of other lengths": func(p *Problem) { p.Asks = nil },
-		"wants[1]: ":              func(p *Problem) { p.Wants[1] = math.NaN() },
-		"bears[0]: ":              func(p *Problem) { p.Bears[0] = -1 },
-		"asks[0]: ":               func(p *Problem) { p.Asks[0] = 1.5 },
-		"ways of depot 1":         func(p *Problem) { p.Room[1] = nil },
-		"ms[0]: ":                 func(p *Problem) { p.Ms[0][0] = 2000 },
-		"head[0]: ":               func(p *Problem) { p.Head = math.Inf(1) },
+		"fields of other lengths": func(p *Problem) { p.OriginFraction = nil },
+		"wants[1]: ":              func(p *Problem) { p.Demand[1] = math.NaN() },
+		"bears[0]: ":              func(p *Problem) { p.Capacity[0] = -1 },
+		"asks[0]: ":               func(p *Problem) { p.OriginFraction[0] = 1.5 },
+		"ways of depot 1":         func(p *Problem) { p.LinkCapacity[1] = nil },
+		"ms[0]: ":                 func(p *Problem) { p.LinkRTT[0][0] = 2000 },
+		"head[0]: ":               func(p *Problem) { p.OriginCapacity = math.Inf(1) },
 	} {
 		p := random(rand.New(rand.NewPCG(1, 1)), 3, 2)
 		spoil(p)
-		if _, err := p.Best(); !errors.Is(err, ErrProblem) || !strings.Contains(err.Error(), want) {
+		if _, err := p.Optimal(); !errors.Is(err, ErrProblem) || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
@@ -230,17 +230,17 @@
 func large(seed uint64) *Problem {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	const depots, areas = 200, 40
-	p := &Problem{Refuse: 1000}
+	p := &Problem{RejectionCost: 1000}
 	for i := range depots {
 		w := 500 + 1500*rng.Float64()
-		p.Wants = append(p.Wants, w)
+		p.Demand = append(p.Demand, w)
 		room, ms := make([]float64, areas), make([]float64, areas)
 		for a := range areas {
 			d := math.Abs(float64(i)/depots-float64(a)/areas) * 100
 			room[a], ms[a] = w*max(1.5-d/40, 0.1), 4+d
 		}
-		p.Room, p.Ms = append(p.Room, room), append(p.Ms, ms)
-		p.Direct, p.FarMs = append(p.Direct, w*0.2), append(p.FarMs, 90)
+		p.LinkCapacity, p.LinkRTT = append(p.LinkCapacity, room), append(p.LinkRTT, ms)
+		p.DirectCapacity, p.DirectRTT = append(p.DirectCapacity, w*0.2), append(p.DirectRTT, 90)
 	}
 	for a := range areas {
 		bears, asks := 200*1250.0/areas*1.3, 0.35
@@ -250,24 +250,24 @@
 		case a < 12:
 			bears, asks = bears*0.2, 0.9
 		}
-		p.Bears, p.Asks = append(p.Bears, bears), append(p.Asks, asks)
+		p.Capacity, p.OriginFraction = append(p.Capacity, bears), append(p.OriginFraction, asks)
 	}
-	p.Head = 200 * 1250 * 0.3
+	p.OriginCapacity = 200 * 1250 * 0.3
 	return p
 }
 
 func BenchmarkBest(b *testing.B) {
 	p := large(1)
-	var plan *Plan
+	var plan *Allocation
 	for b.Loop() {
-		plan, _ = p.Best()
+		plan, _ = p.Optimal()
 	}
 	best := 0.0
-	for _, r := range plan.Refused {
+	for _, r := range plan.Rejected {
 		best += r
 	}
 	b.ReportMetric(best/(200*1250), "refused")
-	for name, other := range map[string]*Plan{"hashed": p.Hashed(), "nearest": p.Nearest(), "bounded": p.Bounded(1.25)} {
+	for name, other := range map[string]*Allocation{"hashed": p.Hashed(), "nearest": p.Nearest(), "bounded": p.Bounded(1.25)} {
 		b.ReportMetric(other.Cost/plan.Cost, name+"-cost")
 	}
 }
--- a/core/hierarchy/wire_compat_test.go
+++ b/core/hierarchy/wire_compat_test.go
@@ -8,45 +8,45 @@
 
 // The section shape of a features file.
 func TestStoredShapeIsReadAndWrittenAlike(t *testing.T) {
-	testfixture.ReadAndWrite(t, "testdata/shape.json", " ", Shape{
+	testfixture.ReadAndWrite(t, "testdata/shape.json", " ", Topology{
 		Version: 10,
-		Head:    Head{Name: "head-office", KbPerS: 60001},
-		Areas: []Area{
-			{Name: "west", Servers: []string{"area-w", "area-v"}, Miss: 0.375},
-			{Name: "east", Servers: []string{"area-e"}},
+		Origin:  Origin{Name: "head-office", CapacityKBPerS: 60001},
+		ParentGroups: []ParentGroup{
+			{Name: "west", ServerPrefixes: []string{"area-w", "area-v"}, MissRatio: 0.375},
+			{Name: "east", ServerPrefixes: []string{"area-e"}},
 		},
-		Depots: []Depot{
-			{Name: "depot-1", KbPerS: 9002},
+		Sites: []Site{
+			{Name: "depot-1", PeakFillKBPerS: 9002},
 		},
-		Ways: []Way{
+		Links: []Link{
 			{
-				From:   "depot-1",
-				To:     "west",
-				KbPerS: 12003,
-				Ms:     9,
+				From:           "depot-1",
+				To:             "west",
+				CapacityKBPerS: 12003,
+				RTTMillis:      9,
 			},
 			{
-				From:   "depot-1",
-				To:     "east",
-				KbPerS: 4004,
-				Ms:     30,
+				From:           "depot-1",
+				To:             "east",
+				CapacityKBPerS: 4004,
+				RTTMillis:      30,
 			},
 			{
-				From:   "depot-1",
-				To:     "head-office",
-				KbPerS: 1005,
-				Ms:     45,
+				From:           "depot-1",
+				To:             "head-office",
+				CapacityKBPerS: 1005,
+				RTTMillis:      45,
 			},
 			{
-				From:   "west",
-				To:     "head-office",
-				KbPerS: 60006,
-				Ms:     20,
+				From:           "west",
+				To:             "head-office",
+				CapacityKBPerS: 60006,
+				RTTMillis:      20,
 			},
 			{
-				From:   "east",
-				To:     "head-office",
-				KbPerS: 60007,
+				From:           "east",
+				To:             "head-office",
+				CapacityKBPerS: 60007,
 			},
 		},
 	})
--- a/emulator/config.go
+++ b/emulator/config.go
@@ -57,9 +57,9 @@
 	// DropFetches lets area caches end what they fetch from the head office once nobody waits for it. Else it goes on to its end, and is kept.
 	DropFetches bool `json:"dropFetches,omitempty"`
 
-	Release *Release         `json:"release,omitempty"`
-	Shape   *hierarchy.Shape `json:"-"` // nil: fills go to all area caches alike
-	Shield  *shield.Document `json:"-"` // nil: no limit at the head office but that of rules
+	Release *Release            `json:"release,omitempty"`
+	Shape   *hierarchy.Topology `json:"-"` // nil: fills go to all area caches alike
+	Shield  *shield.Document    `json:"-"` // nil: no limit at the head office but that of rules
 
 	Talk *Talk `json:"talk,omitempty"` // nil: routers tell one another nothing
 	Hot  *Hot  `json:"hot,omitempty"`
--- a/emulator/hubs.go
+++ b/emulator/hubs.go
@@ -17,45 +17,45 @@
 const anything = 1e9
 
 // Hierarchy is the shape of a world with hubs, as a document would have it.
-func (c *Config) Hierarchy(style string) (*hierarchy.Shape, error) {
+func (c *Config) Hierarchy(style string) (*hierarchy.Topology, error) {
 	if c.Hubs < 1 {
 		return nil, fmt.Errorf("shape: hubs: %d is under 1", c.Hubs)
 	}
-	s := &hierarchy.Shape{Version: 1, Head: hierarchy.Head{Name: "head", KbPerS: c.originKbS()}}
+	s := &hierarchy.Topology{Version: 1, Origin: hierarchy.Origin{Name: "head", CapacityKBPerS: c.originKbS()}}
 	if style != Planned {
-		s.Head.KbPerS = anything
+		s.Origin.CapacityKBPerS = anything
 	}
 	for h := range c.Hubs {
-		a := hierarchy.Area{Name: hubName(h), Miss: 0.35}
+		a := hierarchy.ParentGroup{Name: hubName(h), MissRatio: 0.35}
 		for i := h; i < c.Parents; i += c.Hubs {
-			a.Servers = append(a.Servers, parentName(i))
+			a.ServerPrefixes = append(a.ServerPrefixes, parentName(i))
 		}
-		s.Areas = append(s.Areas, a)
-		s.Ways = append(s.Ways, hierarchy.Way{From: a.Name, To: "head", KbPerS: anything, Ms: ms2(c.originWay())})
+		s.ParentGroups = append(s.ParentGroups, a)
+		s.Links = append(s.Links, hierarchy.Link{From: a.Name, To: "head", CapacityKBPerS: anything, RTTMillis: ms2(c.originWay())})
 	}
 	for d := range c.Depots {
-		depot := hierarchy.Depot{Name: zoneName(d), KbPerS: c.fillKbS() / float64(c.Depots)}
+		depot := hierarchy.Site{Name: zoneName(d), PeakFillKBPerS: c.fillKbS() / float64(c.Depots)}
 		if style != Planned {
-			depot.KbPerS = 1 // what there is always fits
+			depot.PeakFillKBPerS = 1 // what there is always fits
 		}
-		s.Depots = append(s.Depots, depot)
+		s.Sites = append(s.Sites, depot)
 		for h := range c.Hubs {
-			way := hierarchy.Way{From: depot.Name, To: hubName(h), KbPerS: c.linkKbS(), Ms: ms2(hubWay)}
+			way := hierarchy.Link{From: depot.Name, To: hubName(h), CapacityKBPerS: c.linkKbS(), RTTMillis: ms2(hubWay)}
 			if h != d%c.Hubs {
 				if style == Direct {
 					continue
 				}
-				if way.Ms = ms2(hubWay + farWay); style == Near { // and so far that no object has its place there
-					way.Ms = hierarchy.Refuse / 2
+				if way.RTTMillis = ms2(hubWay + farWay); style == Near { // and so far that no object has its place there
+					way.RTTMillis = hierarchy.RejectionCostMillis / 2
 				}
 				if c.FarRoom > 0 && style == Planned {
-					way.KbPerS = min(way.KbPerS, c.farKbS())
+					way.CapacityKBPerS = min(way.CapacityKBPerS, c.farKbS())
 				}
 			}
-			s.Ways = append(s.Ways, way)
+			s.Links = append(s.Links, way)
 		}
 		if style != Near {
-			s.Ways = append(s.Ways, hierarchy.Way{From: depot.Name, To: "head", KbPerS: c.linkKbS(), Ms: ms2(hubWay + c.originWay() + originAsk)})
+			s.Links = append(s.Links, hierarchy.Link{From: depot.Name, To: "head", CapacityKBPerS: c.linkKbS(), RTTMillis: ms2(hubWay + c.originWay() + originAsk)})
 		}
 	}
 	return s, nil
--- a/emulator/shapes.go
+++ b/emulator/shapes.go
@@ -117,9 +117,9 @@
 	visited := map[string]bool{depot: true}
 	twice := false
 	var tried []string
-	var pass func(at string, to []string, hop hierarchy.Hop) bool
-	pass = func(at string, to []string, hop hierarchy.Hop) bool {
-		for len(to) > 0 && len(hop.Path) < mostVisits {
+	var pass func(at string, to []string, hop hierarchy.FillPath) bool
+	pass = func(at string, to []string, hop hierarchy.FillPath) bool {
+		for len(to) > 0 && len(hop.Visited) < mostVisits {
 			i := rng.IntN(len(to))
 			next := to[i]
 			to = slices.Delete(slices.Clone(to), i, i+1)
@@ -134,14 +134,14 @@
 			visited[next] = true
 			var on []string
 			var err error
-			further := hierarchy.Hop{Path: append(slices.Clone(hop.Path), next)}
+			further := hierarchy.FillPath{Visited: append(slices.Clone(hop.Visited), next)}
 			switch g := told[next]; guard {
 			case "plain":
-				on = g.Above(next)
+				on = g.Parents(next)
 			case "asker":
-				on, err = g.ForwardFrom(next, at)
+				on, err = g.ForwardByPeer(next, at)
 			default:
-				hop.Tried = tried
+				hop.NoRoute = tried
 				on, further, err = g.Forward(next, hop)
 			}
 			if err == nil && pass(next, on, further) {
@@ -154,7 +154,7 @@
 		}
 		return false
 	}
-	if pass(depot, told[depot].Above(depot), told[depot].Start(depot)) {
+	if pass(depot, told[depot].Parents(depot), told[depot].StartFill(depot)) {
 		res.Served++
 	} else {
 		res.Stuck++
@@ -164,84 +164,84 @@
 	}
 }
 
-func nodesOf(s *hierarchy.Shape) (all []string) {
-	for _, d := range s.Depots {
+func nodesOf(s *hierarchy.Topology) (all []string) {
+	for _, d := range s.Sites {
 		all = append(all, d.Name)
 	}
-	for _, a := range s.Areas {
+	for _, a := range s.ParentGroups {
 		all = append(all, a.Name)
 	}
 	return all
 }
 
 // randomShape draws an order of areas, and ways that all lead down it.
-func randomShape(rng *rand.Rand, areas, depots int) *hierarchy.Shape {
-	s := &hierarchy.Shape{Head: hierarchy.Head{Name: "head", KbPerS: 1e4}}
+func randomShape(rng *rand.Rand, areas, depots int) *hierarchy.Topology {
+	s := &hierarchy.Topology{Origin: hierarchy.Origin{Name: "head", CapacityKBPerS: 1e4}}
 	for i := range areas {
 		name := fmt.Sprint("a", i)
-		s.Areas = append(s.Areas, hierarchy.Area{Name: name, Servers: []string{name + "-"}})
+		s.ParentGroups = append(s.ParentGroups, hierarchy.ParentGroup{Name: name, ServerPrefixes: []string{name + "-"}})
 	}
 	for i := range depots {
-		s.Depots = append(s.Depots, hierarchy.Depot{Name: fmt.Sprint("d", i), KbPerS: 100})
+		s.Sites = append(s.Sites, hierarchy.Site{Name: fmt.Sprint("d", i), PeakFillKBPerS: 100})
 	}
-	s.Ways = randomWays(rng, areas, depots)
+	s.Links = randomWays(rng, areas, depots)
 	return s
 }
 
-func randomWays(rng *rand.Rand, areas, depots int) (ways []hierarchy.Way) {
+func randomWays(rng *rand.Rand, areas, depots int) (ways []hierarchy.Link) {
 	order := rng.Perm(areas)
 	for i, a := range order {
 		name := fmt.Sprint("a", a)
 		if i == 0 || rng.IntN(4) == 0 {
-			ways = append(ways, hierarchy.Way{From: name, To: "head", KbPerS: 1000})
+			ways = append(ways, hierarchy.Link{From: name, To: "head", CapacityKBPerS: 1000})
 		}
 		for _, k := range rng.Perm(i)[:min(i, 1+rng.IntN(3))] {
-			ways = append(ways, hierarchy.Way{From: name, To: fmt.Sprint("a", order[k]), KbPerS: 1000})
+			ways = append(ways, hierarchy.Link{From: name, To: fmt.Sprint("a", order[k]), CapacityKBPerS: 1000})
 		}
 	}
 	for d := range depots {
 		for _, k := range rng.Perm(areas)[:1+rng.IntN(min(areas, 4))] {
-			ways = append(ways, hierarchy.Way{From: fmt.Sprint("d", d), To: fmt.Sprint("a", k), KbPerS: 1000})
+			ways = append(ways, hierarchy.Link{From: fmt.Sprint("d", d), To: fmt.Sprint("a", k), CapacityKBPerS: 1000})
 		}
 	}
 	return ways
 }
 
 // changed is a shape with some change: ways drawn anew, all ways of one area turned to the head office, or one taken away that nobody needs.
-func changed(rng *rand.Rand, s *hierarchy.Shape, areas int) *hierarchy.Shape {
+func changed(rng *rand.Rand, s *hierarchy.Topology, areas int) *hierarchy.Topology {
 	next := *s
-	next.Ways = slices.Clone(s.Ways)
+	next.Links = slices.Clone(s.Links)
 	switch rng.IntN(3) {
 	case 0:
-		next.Ways = randomWays(rng, areas, len(s.Depots))
+		next.Links = randomWays(rng, areas, len(s.Sites))
 	case 1:
 		name := fmt.Sprint("a", rng.IntN(areas))
-		next.Ways = slices.DeleteFunc(next.Ways, func(w hierarchy.Way) bool { return w.From == name })
-		next.Ways = append(next.Ways, hierarchy.Way{From: name, To: "head", KbPerS: 1000})
+		next.Links = slices.DeleteFunc(next.Links, func(w hierarchy.Link) bool { return w.From == name })
+		next.Links = append(next.Links, hierarchy.Link{From: name, To: "head", CapacityKBPerS: 1000})
 	default:
-		w := next.Ways[rng.IntN(len(next.Ways))]
+		w := next.Links[rng.IntN(len(next.Links))]
 		left := 0
-		for _, o := range next.Ways {
+		for _, o := range next.Links {
 			if o.From == w.From {
 				left++
 			}
 		}
 		if left > 1 {
-			next.Ways = slices.DeleteFunc(next.Ways, func(o hierarchy.Way) bool { return o == w })
+			next.Links = slices.DeleteFunc(next.Links, func(o hierarchy.Link) bool { return o == w })
 		}
 	}
 	return &next
 }
 
 // plant puts a way in that closes a circle: from a node that some area leads to, back to that one.
-func plant(rng *rand.Rand, s *hierarchy.Shape) *hierarchy.Shape {
+func plant(rng *rand.Rand, s *hierarchy.Topology) *hierarchy.Topology {
 	next := *s
-	next.Version, next.Ways = 1, slices.Clone(s.Ways)
-	start := fmt.Sprint("a", rng.IntN(len(s.Areas)))
+	next.Version, next.Links = 1, slices.Clone(s.Links)
+	start := fmt.Sprint("a", rng.IntN(len(s.ParentGroups)))
 	at := start
-	for range rng.IntN(len(s.Areas)) {
+	for range rng.IntN(len(s.ParentGroups)) {
 		var up []string
-		for _, w := range s.Ways {
+		for _, w := range s.Links {
 			if w.From == at && w.To != "head" {
 				up = append(up, w.To)
 			}
@@ -251,19 +251,19 @@
 		}
 		at = up[rng.IntN(len(up))]
 	}
-	at2 := rng.IntN(len(next.Ways) + 1)
-	next.Ways = slices.Insert(next.Ways, at2, hierarchy.Way{From: at, To: start, KbPerS: 1000})
+	at2 := rng.IntN(len(next.Links) + 1)
+	next.Links = slices.Insert(next.Links, at2, hierarchy.Link{From: at, To: start, CapacityKBPerS: 1000})
 	return &next
 }
 
 // closes reports that the circle which an error names is one of the shape's.
-func closes(s *hierarchy.Shape, err error) bool {
-	nodes := hierarchy.Circle(err)
+func closes(s *hierarchy.Topology, err error) bool {
+	nodes := hierarchy.Cycle(err)
 	if len(nodes) < 2 || nodes[0] != nodes[len(nodes)-1] {
 		return false
 	}
 	for i := range nodes[1:] {
-		if !slices.ContainsFunc(s.Ways, func(w hierarchy.Way) bool { return w.From == nodes[i] && w.To == nodes[i+1] }) {
+		if !slices.ContainsFunc(s.Links, func(w hierarchy.Link) bool { return w.From == nodes[i] && w.To == nodes[i+1] }) {
 			return false
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,39 +19,39 @@
 // Config is a checked configuration. Times are milliseconds.
 type Config struct {
 	Name          string
-	Listen        string
-	Manage        string // the second address; empty: none
-	Socket        int    // descriptor of an inherited listening socket for clients; -1: none
+	ListenAddr    string
+	AdminAddr     string // the second address; empty: none
+	ListenerFD    int    // descriptor of an inherited listening socket for clients; -1: none
 	StateDir      string // directory that the processes of this router share; empty: none
 	DiscoveryAddr string // of the discovery service: the field board
 	Seed          int64
 
-	MemoryMB float64
-	Sockets  int
+	MemoryMB   float64
+	MaxSockets int
 
-	Settings    rules.Settings
-	DialTimeout float64
-	IdleClose   float64
-	MaxStreams  int
-	MaxWait     float64 // the least time after which a drain or purge binds
-	Longest     float64 // the longest deadline of a class
+	Settings     rules.Settings
+	DialTimeout  float64
+	IdleTimeout  float64
+	MaxStreams   int
+	MaxSendDelay float64 // the least time after which a drain or purge binds
+	MaxDeadline  float64 // the longest deadline of a class
 
-	Tier Tier
+	Fleet Fleet
 
-	LastKnown uint64 // number of the last event of Notices
-	Notices   []router.Notice
-	Names     discovery.Names
+	LastEventID   uint64 // number of the last event of Notices
+	InitialEvents []router.Notice
+	Names         discovery.Names
 
-	keys shape // of the file
+	keys objectKeys // of the file
 }
 
-// Tier is what the file says of the other routers of the tier, for datagrams between them.
-type Tier struct {
-	May    bool // the settings allow datagrams, and the file gives the addresses
-	Rank   int
-	Listen string
-	Peers  []netip.AddrPort // by rank, this router's own too
-	All    netip.AddrPort   // reaches all
+// Fleet is what the file says of the other routers of the tier, for datagrams between them.
+type Fleet struct {
+	GossipEnabled bool // the settings allow datagrams, and the file gives the addresses
+	Rank          int
+	ListenAddr    string
+	Members       []netip.AddrPort // by rank, this router's own too
+	BroadcastAddr netip.AddrPort   // reaches all
 }
 
 type document struct {
@@ -60,17 +60,17 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Board    string          `json:"board"`
-	Listen   string          `json:"peer_listen"`
-	Peers    []string        `json:"peers"`
-	All      string          `json:"peers_all"`
-	Manage   string          `json:"mgmt"`
-	Known    json.RawMessage `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	DiscoveryAddr      string          `json:"board"`
+	FleetListenAddr    string          `json:"peer_listen"`
+	FleetMembers       []string        `json:"peers"`
+	FleetBroadcastAddr string          `json:"peers_all"`
+	AdminAddr          string          `json:"mgmt"`
+	InitialEvents      json.RawMessage `json:"known"`
+	Settings           json.RawMessage `json:"settings"`
 }
 
-// transport holds the settings that the decision module has no use for.
-type transport struct {
+// transportSettings holds the settings that the decision module has no use for.
+type transportSettings struct {
 	Rank        int `json:"Rank"`
 	Permissions struct {
 		MayTell    bool  `json:"MayTell"`
@@ -80,10 +80,10 @@
 }
 
 const (
-	leastSockets = 64
-	leastMemory  = 32
-	// idleUnsaid is the idle close where the settings name none: 30 s, in microseconds.
-	idleUnsaid = 30_000_000
+	minSockets  = 64
+	minMemoryMB = 32
+	// defaultIdleTimeoutMicros is the idle close where the settings name none: 30 s, in microseconds.
+	defaultIdleTimeoutMicros = 30_000_000
 )
 
 // Load reads the environment and the file that it names.
@@ -101,21 +101,21 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Name, c.Listen = getenv("RELAY_NAME"), getenv("RELAY_LISTEN")
-	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+	c.Name, c.ListenAddr = getenv("RELAY_NAME"), getenv("RELAY_LISTEN")
+	if _, err := netip.ParseAddrPort(c.ListenAddr); err != nil {
 		return nil, fmt.Errorf("RELAY_LISTEN: %w", err)
 	}
 	if addr := getenv("RELAY_MGMT"); addr != "" {
-		c.Manage = addr
+		c.AdminAddr = addr
 	}
-	if c.Manage != "" {
-		if _, err := netip.ParseAddrPort(c.Manage); err != nil {
+	if c.AdminAddr != "" {
+		if _, err := netip.ParseAddrPort(c.AdminAddr); err != nil {
 			return nil, fmt.Errorf("mgmt: %w", err)
 		}
 		c.StateDir = getenv("TMPDIR")
 	}
 	if fd := getenv("RELAY_SOCKET_FD"); fd != "" {
-		if c.Socket, err = strconv.Atoi(fd); err != nil || c.Socket <= 2 {
+		if c.ListenerFD, err = strconv.Atoi(fd); err != nil || c.ListenerFD <= 2 {
 			return nil, fmt.Errorf("RELAY_SOCKET_FD: %q is no descriptor above 2", fd)
 		}
 	}
@@ -125,81 +125,81 @@
 // Parse reads the configuration's JSON. An error names the field at fault.
 func Parse(text []byte) (*Config, error) {
 	var d document
-	if err := decode("RELAY_CONFIG", text, &d); err != nil {
+	if err := decodeJSON("RELAY_CONFIG", text, &d); err != nil {
 		return nil, err
 	}
-	keys, err := shapeOf(text)
+	keys, err := collectKeys(text)
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{keys: keys, DiscoveryAddr: d.Board, Manage: d.Manage, Socket: -1, MemoryMB: d.Limits.MemoryMB, Sockets: d.Limits.Sockets}
+	c := &Config{keys: keys, DiscoveryAddr: d.DiscoveryAddr, AdminAddr: d.AdminAddr, ListenerFD: -1, MemoryMB: d.Limits.MemoryMB, MaxSockets: d.Limits.Sockets}
 	seed, err := strconv.ParseUint(d.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
 	c.Seed = int64(seed)
-	if _, err := netip.ParseAddrPort(d.Board); err != nil {
+	if _, err := netip.ParseAddrPort(d.DiscoveryAddr); err != nil {
 		return nil, fmt.Errorf("board: %w", err)
 	}
 	switch {
-	case c.MemoryMB < leastMemory:
-		return nil, fmt.Errorf("limits.memory_mb: %v is under %d", c.MemoryMB, leastMemory)
-	case c.Sockets < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, leastSockets)
+	case c.MemoryMB < minMemoryMB:
+		return nil, fmt.Errorf("limits.memory_mb: %v is under %d", c.MemoryMB, minMemoryMB)
+	case c.MaxSockets < minSockets:
+		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.MaxSockets, minSockets)
 	case d.Settings == nil:
 		return nil, errors.New("settings: missing")
-	case d.Known == nil:
+	case d.InitialEvents == nil:
 		return nil, errors.New("known: missing")
 	}
-	if err := c.settings(d.Settings); err != nil {
+	if err := c.parseSettings(d.Settings); err != nil {
 		return nil, err
 	}
-	if err := c.tier(&d); err != nil {
+	if err := c.parseFleet(&d); err != nil {
 		return nil, err
 	}
-	if c.LastKnown, c.Notices, err = discovery.ParseInitialEvents(d.Known, c.Names); err != nil {
+	if c.LastEventID, c.InitialEvents, err = discovery.ParseInitialEvents(d.InitialEvents, c.Names); err != nil {
 		return nil, fmt.Errorf("known.%w", err)
 	}
 	return c, nil
 }
 
-// tier reads the addresses for datagrams, where the settings allow them and the file gives any.
-func (c *Config) tier(d *document) (err error) {
-	if !c.Tier.May || d.Listen == "" && len(d.Peers) == 0 {
-		c.Tier.May = false
+// parseFleet reads the addresses for datagrams, where the settings allow them and the file gives any.
+func (c *Config) parseFleet(d *document) (err error) {
+	if !c.Fleet.GossipEnabled || d.FleetListenAddr == "" && len(d.FleetMembers) == 0 {
+		c.Fleet.GossipEnabled = false
 		return nil
 	}
-	if _, err = netip.ParseAddrPort(d.Listen); err != nil {
+	if _, err = netip.ParseAddrPort(d.FleetListenAddr); err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	c.Tier.Listen = d.Listen
-	if c.Tier.All, err = netip.ParseAddrPort(d.All); err != nil {
+	c.Fleet.ListenAddr = d.FleetListenAddr
+	if c.Fleet.BroadcastAddr, err = netip.ParseAddrPort(d.FleetBroadcastAddr); err != nil {
 		return fmt.Errorf("peers_all: %w", err)
 	}
-	for i, text := range d.Peers {
+	for i, text := range d.FleetMembers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		c.Tier.Peers = append(c.Tier.Peers, addr)
+		c.Fleet.Members = append(c.Fleet.Members, addr)
 	}
-	if c.Tier.Rank < 0 || c.Tier.Rank >= len(c.Tier.Peers) {
-		return fmt.Errorf("settings.Rank: %d of %d peers", c.Tier.Rank, len(c.Tier.Peers))
+	if c.Fleet.Rank < 0 || c.Fleet.Rank >= len(c.Fleet.Members) {
+		return fmt.Errorf("settings.Rank: %d of %d peers", c.Fleet.Rank, len(c.Fleet.Members))
 	}
 	return nil
 }
 
-func (c *Config) settings(text []byte) error {
-	var t transport
-	if err := decode("settings", text, &c.Settings); err != nil {
+func (c *Config) parseSettings(text []byte) error {
+	var t transportSettings
+	if err := decodeJSON("settings", text, &c.Settings); err != nil {
 		return err
 	}
-	if err := decode("settings", text, &t); err != nil {
+	if err := decodeJSON("settings", text, &t); err != nil {
 		return err
 	}
 	set := &c.Settings
 	if t.Permissions.IdleClose == 0 {
-		t.Permissions.IdleClose = idleUnsaid
+		t.Permissions.IdleClose = defaultIdleTimeoutMicros
 	}
 	switch {
 	case set.Permissions.DialTimeout <= 0:
@@ -212,26 +212,26 @@
 		return errors.New("settings.Zones: none")
 	}
 	c.DialTimeout = clock.Millis(set.Permissions.DialTimeout)
-	c.IdleClose = clock.Millis(t.Permissions.IdleClose)
+	c.IdleTimeout = clock.Millis(t.Permissions.IdleClose)
 	c.MaxStreams = t.Permissions.MaxStreams
-	c.Tier.May, c.Tier.Rank = t.Permissions.MayTell, t.Rank
+	c.Fleet.GossipEnabled, c.Fleet.Rank = t.Permissions.MayTell, t.Rank
 	c.Names = discovery.Names{Zones: set.Zones, Kinds: set.Kinds}
 	for _, us := range []int64{set.Guarantees.DrainGracePeriod, set.Hierarchy.PurgeGracePeriod} {
-		if ms := clock.Millis(us); us > 0 && (c.MaxWait == 0 || ms < c.MaxWait) {
-			c.MaxWait = ms
+		if ms := clock.Millis(us); us > 0 && (c.MaxSendDelay == 0 || ms < c.MaxSendDelay) {
+			c.MaxSendDelay = ms
 		}
 	}
 	for i, class := range set.Classes {
 		if slices.ContainsFunc(set.Classes[:i], func(o rules.Class) bool { return o.Name == class.Name }) {
 			return fmt.Errorf("settings.Classes[%d].Name: %q stands twice", i, class.Name)
 		}
-		c.Longest = max(c.Longest, clock.Millis(class.Deadline))
+		c.MaxDeadline = max(c.MaxDeadline, clock.Millis(class.Deadline))
 	}
 	return nil
 }
 
-// decode names the field that holds a value of the wrong type.
-func decode(what string, text []byte, into any) error {
+// decodeJSON names the field that holds a value of the wrong type.
+func decodeJSON(what string, text []byte, into any) error {
 	err := json.Unmarshal(text, into)
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,17 +24,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Listen != "127.0.0.1:5050" || c.DiscoveryAddr != "127.2.0.1:4222" || uint64(c.Seed) != 0x8c1f30d27a5be964 ||
-		c.MemoryMB != 192 || c.Sockets != 1024 || c.DialTimeout != 400 || c.IdleClose != 30_000 || c.MaxStreams != 32 ||
-		c.MaxWait != 300 || c.Longest != 3000 || c.LastKnown != 3 || len(c.Notices) != 1 || c.Settings.Zone != "east" {
+	if c.Name != "n3" || c.ListenAddr != "127.0.0.1:5050" || c.DiscoveryAddr != "127.2.0.1:4222" || uint64(c.Seed) != 0x8c1f30d27a5be964 ||
+		c.MemoryMB != 192 || c.MaxSockets != 1024 || c.DialTimeout != 400 || c.IdleTimeout != 30_000 || c.MaxStreams != 32 ||
+		c.MaxSendDelay != 300 || c.MaxDeadline != 3000 || c.LastEventID != 3 || len(c.InitialEvents) != 1 || c.Settings.Zone != "east" {
 		t.Errorf("%+v", c)
 	}
-	if c.Manage != "" || c.Socket != -1 || c.StateDir != "" {
+	if c.AdminAddr != "" || c.ListenerFD != -1 || c.StateDir != "" {
 		t.Errorf("what is not asked for is on: %+v", c)
 	}
 	env["TMPDIR"] = "/t"
 	env["RELAY_MGMT"], env["RELAY_SOCKET_FD"] = "127.0.0.1:9100", "4"
-	if c, err = Load(func(name string) string { return env[name] }); err != nil || c.Manage != "127.0.0.1:9100" || c.Socket != 4 || c.StateDir != "/t" {
+	if c, err = Load(func(name string) string { return env[name] }); err != nil || c.AdminAddr != "127.0.0.1:9100" || c.ListenerFD != 4 || c.StateDir != "/t" {
 		t.Errorf("%+v, %v", c, err)
 	}
 	for name, value := range map[string]string{"RELAY_MGMT": "here", "RELAY_SOCKET_FD": "two"} {
@@ -91,12 +91,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := c.Tier; !got.May || got.Rank != 1 || got.Listen != "127.0.0.4:7946" || len(got.Peers) != 2 || got.Peers[1].String() != "127.3.0.2:7946" ||
-		got.All.String() != "127.3.255.1:7946" {
+	if got := c.Fleet; !got.GossipEnabled || got.Rank != 1 || got.ListenAddr != "127.0.0.4:7946" || len(got.Members) != 2 || got.Members[1].String() != "127.3.0.2:7946" ||
+		got.BroadcastAddr.String() != "127.3.255.1:7946" {
 		t.Errorf("%+v", got)
 	}
 	for _, text := range []string{good, may, strings.Replace(talks, `"MayTell":true`, `"MayTell":false`, 1)} {
-		if c, err := Parse([]byte(text)); err != nil || c.Tier.May {
+		if c, err := Parse([]byte(text)); err != nil || c.Fleet.GossipEnabled {
 			t.Errorf("%v, %+v of %s", err, c, text)
 		}
 	}
@@ -140,7 +140,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", c.to, err)
 		}
-		if err := next.Follows(old); c.want == "" && err != nil || c.want != "" && (err == nil || err.Error() != c.want) {
+		if err := next.CheckReplaces(old); c.want == "" && err != nil || c.want != "" && (err == nil || err.Error() != c.want) {
 			t.Errorf("%s for %s: %v, want %q", c.to, c.from, err, c.want)
 		}
 	}
--- a/internal/config/follows.go
+++ b/internal/config/follows.go
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-// mostDepth bounds how deep objects of the file are looked into.
-const mostDepth = 4
+// maxKeyDepth bounds how deep objects of the file are looked into.
+const maxKeyDepth = 4
 
-// shape lists the keys of every object in a file, by its path; a list of objects stands for the keys that all of them have.
-type shape map[string][]string
+// objectKeys lists the keys of every object in a file, by its path; a list of objects stands for the keys that all of them have.
+type objectKeys map[string][]string
 
-func shapeOf(text []byte) (shape, error) {
+func collectKeys(text []byte) (objectKeys, error) {
 	var v any
 	if err := json.Unmarshal(text, &v); err != nil {
 		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	s := shape{}
-	s.walk("", v, mostDepth)
+	s := objectKeys{}
+	s.walk("", v, maxKeyDepth)
 	maps.DeleteFunc(s, func(path string, _ []string) bool { return strings.HasPrefix(path, "known.notices[]") }) // events are of several kinds
 	return s, nil
 }
 
-func (s shape) walk(path string, v any, depth int) {
+func (s objectKeys) walk(path string, v any, depth int) {
 	if depth == 0 {
 		return
 	}
@@ -37,7 +37,7 @@
 		}
 		s[path] = keys
 		for _, k := range keys {
-			s.walk(join(path, k), v[k], depth-1)
+			s.walk(joinPath(path, k), v[k], depth-1)
 		}
 	case []any:
 		for _, e := range v {
@@ -46,16 +46,16 @@
 	}
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-// Follows checks that a file taken in on SIGHUP has every key that the one in force has: one that lacks a key was cut short or is
+// CheckReplaces checks that a file taken in on SIGHUP has every key that the one in force has: one that lacks a key was cut short or is
 // somebody's mistake, and what was set by it would go unnoticed.
-func (c *Config) Follows(old *Config) error {
+func (c *Config) CheckReplaces(old *Config) error {
 	for _, path := range slices.Sorted(maps.Keys(old.keys)) {
 		have, there := c.keys[path]
 		switch {
@@ -67,7 +67,7 @@
 		}
 		for _, k := range old.keys[path] {
 			if !slices.Contains(have, k) {
-				return fmt.Errorf("%s: missing", join(path, k))
+				return fmt.Errorf("%s: missing", joinPath(path, k))
 			}
 		}
 	}
--- a/internal/config/wire_compat_test.go
+++ b/internal/config/wire_compat_test.go
@@ -29,18 +29,18 @@
 	if got, err := json.Marshal(c.Settings); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("settings: read as %s, %v, want %s", got, err, want)
 	}
-	if c.DiscoveryAddr != "127.2.0.1:4222" || c.Manage != "127.2.0.1:9100" || uint64(c.Seed) != 0x8c1f30d27a5be964 ||
-		c.MemoryMB != 193 || c.Sockets != 1025 {
+	if c.DiscoveryAddr != "127.2.0.1:4222" || c.AdminAddr != "127.2.0.1:9100" || uint64(c.Seed) != 0x8c1f30d27a5be964 ||
+		c.MemoryMB != 193 || c.MaxSockets != 1025 {
 		t.Errorf("read as %+v", c)
 	}
-	if c.DialTimeout != 0.05 || c.IdleClose != 25000.001 || c.MaxStreams != 33 || c.MaxWait != 0.024 ||
-		c.Longest != 0.012 {
+	if c.DialTimeout != 0.05 || c.IdleTimeout != 25000.001 || c.MaxStreams != 33 || c.MaxSendDelay != 0.024 ||
+		c.MaxDeadline != 0.012 {
 		t.Errorf("settings of transport: read as %+v", c)
 	}
-	tier := Tier{May: true, Rank: 1, Listen: "127.2.0.3:7001", All: netip.MustParseAddrPort("127.2.0.9:7004"),
-		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.2.0.2:7002"), netip.MustParseAddrPort("127.2.0.3:7003")}}
-	if !reflect.DeepEqual(c.Tier, tier) {
-		t.Errorf("tier: read as %+v, want %+v", c.Tier, tier)
+	tier := Fleet{GossipEnabled: true, Rank: 1, ListenAddr: "127.2.0.3:7001", BroadcastAddr: netip.MustParseAddrPort("127.2.0.9:7004"),
+		Members: []netip.AddrPort{netip.MustParseAddrPort("127.2.0.2:7002"), netip.MustParseAddrPort("127.2.0.3:7003")}}
+	if !reflect.DeepEqual(c.Fleet, tier) {
+		t.Errorf("tier: read as %+v, want %+v", c.Fleet, tier)
 	}
 	notices := []router.Notice{
 		{Whole: true, Servers: []router.Server{{ID: "s-00c41f7a", Addr: "127.2.1.1:80", Zone: "s69", Kind: "s48", Cell: 5,
@@ -48,7 +48,7 @@
 		{Purge: &router.Purge{Object: "00ab01", At: 1764576000002.5}},
 		{Purge: &router.Purge{Group: 77, At: 1764576000003.5}},
 	}
-	if c.LastKnown != 12 || !reflect.DeepEqual(c.Notices, notices) {
-		t.Errorf("known: read as %d, %+v, want %+v", c.LastKnown, c.Notices, notices)
+	if c.LastEventID != 12 || !reflect.DeepEqual(c.InitialEvents, notices) {
+		t.Errorf("known: read as %d, %+v, want %+v", c.LastEventID, c.InitialEvents, notices)
 	}
 }
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -25,17 +25,17 @@
 	"spantack/rules"
 )
 
-// mostBytes bounds the file, each import, and what it evaluates to.
-const mostBytes = 32 << 20
+// maxFileBytes bounds the file, each import, and what it evaluates to.
+const maxFileBytes = 32 << 20
 
 // File is one features file. A feature that is left out is off.
 type File struct {
-	Cells  Cells  `json:"cells,omitempty" jsonschema_description:"tenants confined to subsets of a depot's caches; docs/cells.md"`
-	Moves  Moves  `json:"moves,omitempty" jsonschema_description:"tenants on their way from cell to cell; docs/moves.md"`
-	Stage  Stage  `json:"stage,omitempty" jsonschema_description:"a release let into cells ring by ring; docs/stages.md"`
-	Shape  Shape  `json:"shape,omitempty" jsonschema_description:"who fills from whom; docs/hierarchy.md"`
-	Shield Shield `json:"shield,omitempty" jsonschema_description:"a limit on what fills ask of the head office; docs/hierarchy.md"`
-	Fleet  Fleet  `json:"fleet,omitempty" jsonschema_description:"a limit on fills that ask the head office, kept by all routers together; docs/fleet.md"`
+	Cells       Cells       `json:"cells,omitempty" jsonschema_description:"tenants confined to subsets of a depot's caches; docs/cells.md"`
+	Migration   Migration   `json:"moves,omitempty" jsonschema_description:"tenants on their way from cell to cell; docs/moves.md"`
+	Rollout     Rollout     `json:"stage,omitempty" jsonschema_description:"a release let into cells ring by ring; docs/stages.md"`
+	Topology    Topology    `json:"shape,omitempty" jsonschema_description:"who fills from whom; docs/hierarchy.md"`
+	OriginLimit OriginLimit `json:"shield,omitempty" jsonschema_description:"a limit on what fills ask of the head office; docs/hierarchy.md"`
+	Fleet       Fleet       `json:"fleet,omitempty" jsonschema_description:"a limit on fills that ask the head office, kept by all routers together; docs/fleet.md"`
 }
 
 // Cells is the feature of that name.
@@ -44,107 +44,107 @@
 	cells.Spec
 }
 
-// Moves is the feature of that name. It needs cells.
-type Moves struct {
+// Migration is the feature of that name. It needs cells.
+type Migration struct {
 	Enabled bool `json:"enabled"`
 	moves.Document
 }
 
-// Stage is the feature of that name. It needs cells.
-type Stage struct {
+// Rollout is the feature of that name. It needs cells.
+type Rollout struct {
 	Enabled bool `json:"enabled"`
 	stages.Rollout
 }
 
-// Shape is the feature of that name.
-type Shape struct {
+// Topology is the feature of that name.
+type Topology struct {
 	Enabled bool `json:"enabled"`
-	hierarchy.Shape
+	hierarchy.Topology
 }
 
-// Shield is the feature of that name.
-type Shield struct {
+// OriginLimit is the feature of that name.
+type OriginLimit struct {
 	Enabled bool `json:"enabled"`
 	shield.Document
 }
 
 // Fleet is the feature of that name.
 type Fleet struct {
-	Enabled bool    `json:"enabled"`
-	Asks    float64 `json:"asks,omitempty" jsonschema_description:"fills that ask the head office at once, of all routers, up to 1000000; 0: no such limit"`
-	Floor   float64 `json:"floor,omitempty" jsonschema_description:"part of that which is split evenly and never lent, 0 to 1"`
+	Enabled     bool    `json:"enabled"`
+	OriginFills float64 `json:"asks,omitempty" jsonschema_description:"fills that ask the head office at once, of all routers, up to 1000000; 0: no such limit"`
+	Floor       float64 `json:"floor,omitempty" jsonschema_description:"part of that which is split evenly and never lent, 0 to 1"`
 	// Verdicts keeps routers off area caches that two depots find failing.
 	Verdicts bool `json:"verdicts,omitempty" jsonschema_description:"routers keep off area caches that two depots find failing"`
-	// Tree has the limit kept by a tree of leases: no router hears from more than its group. Left out: one router hears from all.
-	Tree lease.Topology `json:"tree,omitzero" jsonschema_description:"groups that lease the limit to one another, for a fleet of many hundreds or more"`
+	// LeaseTree has the limit kept by a tree of leases: no router hears from more than its group. Left out: one router hears from all.
+	LeaseTree lease.Topology `json:"tree,omitzero" jsonschema_description:"groups that lease the limit to one another, for a fleet of many hundreds or more"`
 }
 
 // LeaseTree is the tree by which the fleet's limits are kept; nil: one router holds each.
 func (f *File) LeaseTree() *lease.Topology {
-	if f == nil || !f.Fleet.Enabled || reflect.DeepEqual(f.Fleet.Tree, lease.Topology{}) {
+	if f == nil || !f.Fleet.Enabled || reflect.DeepEqual(f.Fleet.LeaseTree, lease.Topology{}) {
 		return nil
 	}
-	return &f.Fleet.Tree
+	return &f.Fleet.LeaseTree
 }
 
-// Judges tells whether the fleet's verdicts are said and heeded.
-func (f *File) Judges() bool { return f != nil && f.Fleet.Enabled && f.Fleet.Verdicts }
+// VerdictsEnabled tells whether the fleet's verdicts are said and heeded.
+func (f *File) VerdictsEnabled() bool { return f != nil && f.Fleet.Enabled && f.Fleet.Verdicts }
 
-// Limits are what the fleet keeps together; nil while the feature is off.
-func (f *File) Limits() []fleet.Limit {
-	if f == nil || !f.Fleet.Enabled || f.Fleet.Asks == 0 {
+// FleetLimits are what the fleet keeps together; nil while the feature is off.
+func (f *File) FleetLimits() []fleet.Limit {
+	if f == nil || !f.Fleet.Enabled || f.Fleet.OriginFills == 0 {
 		return nil
 	}
-	return []fleet.Limit{{Name: "asks", Max: f.Fleet.Asks, FloorFraction: f.Fleet.Floor}}
+	return []fleet.Limit{{Name: "asks", Max: f.Fleet.OriginFills, FloorFraction: f.Fleet.Floor}}
 }
 
-// Guard is the shield's document; nil while the feature is off.
-func (f *File) Guard() *shield.Document {
-	if f == nil || !f.Shield.Enabled {
+// ActiveOriginLimit is the shield's document; nil while the feature is off.
+func (f *File) ActiveOriginLimit() *shield.Document {
+	if f == nil || !f.OriginLimit.Enabled {
 		return nil
 	}
-	return &f.Shield.Document
+	return &f.OriginLimit.Document
 }
 
-// Graph is the shape worked out; nil while the feature is off.
-func (f *File) Graph() (*hierarchy.Graph, error) {
-	if f == nil || !f.Shape.Enabled {
+// TopologyGraph is the shape worked out; nil while the feature is off.
+func (f *File) TopologyGraph() (*hierarchy.Graph, error) {
+	if f == nil || !f.Topology.Enabled {
 		return nil, nil
 	}
-	g, err := hierarchy.Compile(&f.Shape.Shape)
+	g, err := hierarchy.Compile(&f.Topology.Topology)
 	if err != nil {
 		return nil, fmt.Errorf("shape.%w", err)
 	}
 	return g, nil
 }
 
-// Release is the stage in force; nil while the feature is off.
-func (f *File) Release() *stages.Rollout {
-	if f == nil || !f.Stage.Enabled {
+// ActiveRollout is the stage in force; nil while the feature is off.
+func (f *File) ActiveRollout() *stages.Rollout {
+	if f == nil || !f.Rollout.Enabled {
 		return nil
 	}
-	return &f.Stage.Rollout
+	return &f.Rollout.Rollout
 }
 
-// Document is the moves in force; nil while the feature is off.
-func (f *File) Document() *moves.Document {
-	if f == nil || !f.Moves.Enabled {
+// ActiveMigration is the moves in force; nil while the feature is off.
+func (f *File) ActiveMigration() *moves.Document {
+	if f == nil || !f.Migration.Enabled {
 		return nil
 	}
-	return &f.Moves.Document
+	return &f.Migration.Document
 }
 
-// Spec is what to confine tenants by; nil while the feature is off.
-func (f *File) Spec() *cells.Spec {
+// CellSpec is what to confine tenants by; nil while the feature is off.
+func (f *File) CellSpec() *cells.Spec {
 	if f == nil || !f.Cells.Enabled {
 		return nil
 	}
 	return &f.Cells.Spec
 }
 
-// Assignment is the specification worked out; nil while the feature is off.
-func (f *File) Assignment() (*cells.Assignment, error) {
-	if spec := f.Spec(); spec != nil {
+// CellAssignment is the specification worked out; nil while the feature is off.
+func (f *File) CellAssignment() (*cells.Assignment, error) {
+	if spec := f.CellSpec(); spec != nil {
 		return cells.Compile(spec)
 	}
 	return nil, nil
@@ -152,7 +152,7 @@
 
 // Load evaluates, decodes and checks a file. The error is one line: file, field, value and what is allowed.
 func Load(path string) (*File, error) {
-	text, err := evaluate(path)
+	text, err := evaluateJsonnet(path)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -169,25 +169,25 @@
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
-	if err := strict(doc, reflect.TypeFor[File](), ""); err != nil {
+	if err := checkStrict(doc, reflect.TypeFor[File](), ""); err != nil {
 		return nil, err
 	}
 	f := &File{}
 	if err := json.Unmarshal(text, f); err != nil {
 		return nil, err
 	}
-	if err := f.check(); err != nil {
+	if err := f.validate(); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// check holds the features against themselves and each other.
-func (f *File) check() error {
-	if _, err := f.Graph(); err != nil {
+// validate holds the features against themselves and each other.
+func (f *File) validate() error {
+	if _, err := f.TopologyGraph(); err != nil {
 		return err
 	}
-	for _, l := range f.Limits() {
+	for _, l := range f.FleetLimits() {
 		if err := l.Validate(); err != nil {
 			return fmt.Errorf("fleet.%w", err)
 		}
@@ -197,21 +197,21 @@
 			return fmt.Errorf("fleet.tree.%w", err)
 		}
 	}
-	if f.Fleet.Enabled && f.Fleet.Asks == 0 && !f.Fleet.Verdicts {
+	if f.Fleet.Enabled && f.Fleet.OriginFills == 0 && !f.Fleet.Verdicts {
 		return errors.New("fleet.asks: 0, and fleet.verdicts false: one of them is wanted where it is enabled")
 	}
-	if d := f.Guard(); d != nil {
+	if d := f.ActiveOriginLimit(); d != nil {
 		if _, _, err := d.Config(1); err != nil {
 			return fmt.Errorf("shield: %w", err)
 		}
 	}
-	spec, doc := f.Spec(), f.Document()
+	spec, doc := f.CellSpec(), f.ActiveMigration()
 	if spec != nil {
 		if err := spec.Check(); err != nil {
 			return fmt.Errorf("cells.%w", err)
 		}
 	}
-	switch release := f.Release(); {
+	switch release := f.ActiveRollout(); {
 	case doc == nil && release == nil:
 		return nil
 	case spec == nil && doc != nil:
@@ -228,21 +228,21 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(a.CheckMigrations(doc), a.CheckRollout(f.Release()))
+	return errors.Join(a.CheckMigrations(doc), a.CheckRollout(f.ActiveRollout()))
 }
 
-// Follows holds a file against the one in force at a time, Unix milliseconds: no move under way may be lost or begun too late, and a stage
+// CheckReplaces holds a file against the one in force at a time, Unix milliseconds: no move under way may be lost or begun too late, and a stage
 // goes on with later versions only.
-func (f *File) Follows(now float64, before *File) error {
-	if a, b := before.Release(), f.Release(); a != nil && b != nil && a.Name == b.Name && b.Version <= a.Version && !reflect.DeepEqual(a, b) {
+func (f *File) CheckReplaces(now float64, previous *File) error {
+	if a, b := previous.ActiveRollout(), f.ActiveRollout(); a != nil && b != nil && a.Name == b.Name && b.Version <= a.Version && !reflect.DeepEqual(a, b) {
 		return fmt.Errorf("stage.version: %d is not after %d, the one in force", b.Version, a.Version)
 	}
-	if before != nil && before.Shape.Enabled && f.Shape.Enabled {
-		if a, b := &before.Shape.Shape, &f.Shape.Shape; b.Version <= a.Version && !reflect.DeepEqual(a, b) {
+	if previous != nil && previous.Topology.Enabled && f.Topology.Enabled {
+		if a, b := &previous.Topology.Topology, &f.Topology.Topology; b.Version <= a.Version && !reflect.DeepEqual(a, b) {
 			return fmt.Errorf("shape.version: %d is not after %d, the one in force", b.Version, a.Version)
 		}
 	}
-	was, next := before.Document(), f.Document()
+	was, next := previous.ActiveMigration(), f.ActiveMigration()
 	switch {
 	case was == nil && next == nil:
 		return nil
@@ -259,12 +259,12 @@
 	return nil
 }
 
-// Fits holds a file against a router's settings: the names that it uses must be known there.
-func (f *File) Fits(set *rules.Settings) error {
+// CheckSettings holds a file against a router's settings: the names that it uses must be known there.
+func (f *File) CheckSettings(set *rules.Settings) error {
 	if f.Fleet.Enabled && (set.Hierarchy.ParentKind < 0 || set.Hierarchy.CacheStatusReporting != "all") {
 		return errors.New("fleet.enabled: what asks the head office is known by a look at an area cache, and there are none or no notes tell")
 	}
-	spec := f.Spec()
+	spec := f.CellSpec()
 	if spec == nil {
 		return nil
 	}
@@ -287,66 +287,66 @@
 	return nil
 }
 
-func evaluate(path string) (text []byte, err error) {
+func evaluateJsonnet(path string) (text []byte, err error) {
 	defer func() {
 		if p := recover(); p != nil { // the evaluator's fault must not take the router down on SIGHUP
 			err = fmt.Errorf("evaluation failed: %v", p)
 		}
 	}()
-	source, err := read(path)
+	source, err := readBounded(path)
 	if err != nil {
 		return nil, err
 	}
 	vm := jsonnet.MakeVM()
 	vm.ErrorFormatter.SetMaxStackTraceSize(2)
-	vm.Importer(&folder{dir: filepath.Dir(path), known: map[string]jsonnet.Contents{}})
+	vm.Importer(&folderImporter{dir: filepath.Dir(path), imported: map[string]jsonnet.Contents{}})
 	out, err := vm.EvaluateAnonymousSnippet(filepath.Base(path), source)
 	if err != nil {
 		return nil, errors.New(strings.Join(strings.Fields(err.Error()), " "))
 	}
-	if len(out) > mostBytes {
-		return nil, fmt.Errorf("evaluates to %d bytes, %d at most", len(out), mostBytes)
+	if len(out) > maxFileBytes {
+		return nil, fmt.Errorf("evaluates to %d bytes, %d at most", len(out), maxFileBytes)
 	}
 	return []byte(out), nil
 }
 
-func read(path string) (string, error) {
+func readBounded(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return "", err
 	}
-	if !info.Mode().IsRegular() || info.Size() > mostBytes {
-		return "", fmt.Errorf("no file of %d bytes at most", mostBytes)
+	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
+		return "", fmt.Errorf("no file of %d bytes at most", maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	return string(text), err
 }
 
-// folder imports from one folder only: a features file says all that it depends on.
-type folder struct {
-	dir   string
-	known map[string]jsonnet.Contents
+// folderImporter imports from one folder only: a features file says all that it depends on.
+type folderImporter struct {
+	dir      string
+	imported map[string]jsonnet.Contents
 }
 
 // Import is for jsonnet.Importer.
-func (f *folder) Import(_, name string) (jsonnet.Contents, string, error) {
+func (f *folderImporter) Import(_, name string) (jsonnet.Contents, string, error) {
 	if !filepath.IsLocal(name) {
 		return jsonnet.Contents{}, "", fmt.Errorf("import %q: not in the file's own folder", name)
 	}
-	if c, known := f.known[name]; known {
+	if c, known := f.imported[name]; known {
 		return c, name, nil
 	}
-	text, err := read(filepath.Join(f.dir, name))
+	text, err := readBounded(filepath.Join(f.dir, name))
 	if err != nil {
 		return jsonnet.Contents{}, "", fmt.Errorf("import %q: %w", name, err)
 	}
 	c := jsonnet.MakeContents(text)
-	f.known[name] = c
+	f.imported[name] = c
 	return c, name, nil
 }
 
-// strict holds a document against a Go type: no field that the type lacks, no value of another kind.
-func strict(doc any, t reflect.Type, at string) error {
+// checkStrict holds a document against a Go type: no field that the type lacks, no value of another kind.
+func checkStrict(doc any, t reflect.Type, at string) error {
 	wrong := func(want string) error {
 		text, err := json.Marshal(doc)
 		if err != nil {
@@ -364,7 +364,7 @@
 			return wrong("an object")
 		}
 		fields := map[string]reflect.Type{}
-		collect(t, fields)
+		collectFields(t, fields)
 		var names []string
 		for name := range fields {
 			names = append(names, name)
@@ -380,7 +380,7 @@
 			if !known {
 				return fmt.Errorf("%s: no such field; fields are %s", strings.TrimPrefix(at+"."+name, "."), strings.Join(names, ", "))
 			}
-			if err := strict(m[name], ft, at+"."+name); err != nil {
+			if err := checkStrict(m[name], ft, at+"."+name); err != nil {
 				return err
 			}
 		}
@@ -390,7 +390,7 @@
 			return wrong("a list")
 		}
 		for i, v := range list {
-			if err := strict(v, t.Elem(), fmt.Sprintf("%s[%d]", at, i)); err != nil {
+			if err := checkStrict(v, t.Elem(), fmt.Sprintf("%s[%d]", at, i)); err != nil {
 				return err
 			}
 		}
@@ -400,7 +400,7 @@
 			return wrong("an object")
 		}
 		for name, v := range m {
-			if err := strict(v, t.Elem(), at+"["+name+"]"); err != nil {
+			if err := checkStrict(v, t.Elem(), at+"["+name+"]"); err != nil {
 				return err
 			}
 		}
@@ -426,12 +426,12 @@
 	return nil
 }
 
-// collect gathers the fields of a struct and of those embedded in it, by their names in JSON.
-func collect(t reflect.Type, into map[string]reflect.Type) {
+// collectFields gathers the fields of a struct and of those embedded in it, by their names in JSON.
+func collectFields(t reflect.Type, into map[string]reflect.Type) {
 	for i := range t.NumField() {
 		f := t.Field(i)
 		if f.Anonymous {
-			collect(f.Type, into)
+			collectFields(f.Type, into)
 			continue
 		}
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -26,7 +26,7 @@
 func TestExampleIsOffAndWholeWhenOn(t *testing.T) {
 	const example = "../../deploy/features.jsonnet"
 	f, err := Load(example)
-	if err != nil || f.Spec() != nil {
+	if err != nil || f.CellSpec() != nil {
 		t.Fatalf("%v, %v", f, err)
 	}
 	text, err := os.ReadFile(example)
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	f, err = Load(write(t, map[string]string{"f.jsonnet": strings.ReplaceAll(string(text), "enabled: false", "enabled: true")}))
-	if err != nil || f.Spec() == nil {
+	if err != nil || f.CellSpec() == nil {
 		t.Fatalf("%v, %v", f, err)
 	}
 }
@@ -75,7 +75,7 @@
 
 func TestImportsFromTheOwnFolder(t *testing.T) {
 	f, err := Load(write(t, map[string]string{"f.jsonnet": "import 'base.libsonnet'", "base.libsonnet": on}))
-	if err != nil || f.Spec().Version != 3 {
+	if err != nil || f.CellSpec().Version != 3 {
 		t.Errorf("%v, %v", f, err)
 	}
 }
@@ -87,15 +87,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Fits(set); err != nil {
+	if err := f.CheckSettings(set); err != nil {
 		t.Error(err)
 	}
 	set.Zones = []string{"y"}
-	if err := f.Fits(set); err == nil || !strings.HasPrefix(err.Error(), "cells.tenants[0].depots[z]: ") {
+	if err := f.CheckSettings(set); err == nil || !strings.HasPrefix(err.Error(), "cells.tenants[0].depots[z]: ") {
 		t.Errorf("got %v", err)
 	}
 	set.Classes[0].Name = "video"
-	if err := f.Fits(set); err == nil || !strings.HasPrefix(err.Error(), "cells.keys[0].class: ") {
+	if err := f.CheckSettings(set); err == nil || !strings.HasPrefix(err.Error(), "cells.keys[0].class: ") {
 		t.Errorf("got %v", err)
 	}
 }
@@ -107,8 +107,8 @@
 	f.Add([]byte(`[1,2]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, err := Parse(text)
-		if err == nil && file.Spec() != nil {
-			if err := file.Spec().Check(); err != nil {
+		if err == nil && file.CellSpec() != nil {
+			if err := file.CellSpec().Check(); err != nil {
 				t.Error(err)
 			}
 		}
--- a/internal/features/wire_compat_test.go
+++ b/internal/features/wire_compat_test.go
@@ -52,23 +52,23 @@
 	if parsed, err := Parse(text); err != nil || !reflect.DeepEqual(parsed, f) {
 		t.Errorf("all.json: read as %+v, %v, want %+v", parsed, err, f)
 	}
-	g, err := f.Graph()
+	g, err := f.TopologyGraph()
 	if err != nil || g == nil {
 		t.Fatalf("shape: %v, %v", g, err)
 	}
-	if spec := f.Spec(); spec == nil || spec.OverflowCell != "spare" || spec.Budget.ReclaimMillis != 18 || spec.TenantKeys[0].DeclaredTenant != "acme" {
+	if spec := f.CellSpec(); spec == nil || spec.OverflowCell != "spare" || spec.Budget.ReclaimMillis != 18 || spec.TenantKeys[0].DeclaredTenant != "acme" {
 		t.Errorf("cells: %+v", spec)
 	}
-	if doc := f.Document(); doc == nil || doc.Version != 8 || doc.Migrations[0].RollbackAt != 1764576040006 {
+	if doc := f.ActiveMigration(); doc == nil || doc.Version != 8 || doc.Migrations[0].RollbackAt != 1764576040006 {
 		t.Errorf("moves: %+v", doc)
 	}
-	if s := f.Release(); s == nil || s.Version != 9 || s.Rings[1].JudgeWithin != 600012 || s.Margin != 1.25 {
+	if s := f.ActiveRollout(); s == nil || s.Version != 9 || s.Rings[1].JudgeWithin != 600012 || s.Margin != 1.25 {
 		t.Errorf("stage: %+v", s)
 	}
-	if d := f.Guard(); d == nil || d.Algorithm != "gradient" || d.AbandonedFetchMs != 3001 {
+	if d := f.ActiveOriginLimit(); d == nil || d.Algorithm != "gradient" || d.AbandonedFetchMs != 3001 {
 		t.Errorf("shield: %+v", d)
 	}
-	if l := f.Limits(); len(l) != 1 || l[0].Max != 42 || l[0].FloorFraction != 0.25 || !f.Judges() {
+	if l := f.FleetLimits(); len(l) != 1 || l[0].Max != 42 || l[0].FloorFraction != 0.25 || !f.VerdictsEnabled() {
 		t.Errorf("fleet: %+v", l)
 	}
 	if tree := f.LeaseTree(); tree == nil || tree.Routers != 12001 || len(tree.Electors) != 3 {
--- a/lab/local/local_test.go
+++ b/lab/local/local_test.go
@@ -84,9 +84,9 @@
 		names = append(names, c.Name())
 	}
 	cell := map[string]string{}
-	for i, in := range f.Spec().CachesByCell(names) {
+	for i, in := range f.CellSpec().CachesByCell(names) {
 		for _, name := range in {
-			cell[name] = f.Spec().Cells[i].Name
+			cell[name] = f.CellSpec().Cells[i].Name
 		}
 	}
 	return cell
@@ -270,11 +270,11 @@
 		TenantKeys: []cells.TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "mover"}, {Tenant: "rest"}},
 	}
 	file := func(doc *moves.Document) string {
-		f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Rollout: stages.Rollout{Rings: []stages.Ring{}}}}
+		f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Rollout: features.Rollout{Rollout: stages.Rollout{Rings: []stages.Ring{}}}}
 		if doc != nil {
-			f.Moves = features.Moves{Enabled: true, Document: *doc}
+			f.Migration = features.Migration{Enabled: true, Document: *doc}
 		} else {
-			f.Moves.Migrations = []moves.Migration{}
+			f.Migration.Migrations = []moves.Migration{}
 		}
 		text, err := json.Marshal(f)
 		if err != nil {
@@ -368,8 +368,8 @@
 	var bad atomic.Bool
 	opens := float64(time.Now().UnixMilli()) + 12_000 // the routers are up long before
 	release := stages.Rollout{Version: 1, Name: "r", FamilyRange: []int{2, 2}, Since: opens - 12_000, Rings: []stages.Ring{{Cells: []string{"one"}, OpensAt: opens, JudgeWithin: 600_000}}}
-	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Enabled: true, Rollout: release}}
-	f.Moves.Migrations = []moves.Migration{}
+	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Rollout: features.Rollout{Enabled: true, Rollout: release}}
+	f.Migration.Migrations = []moves.Migration{}
 	text, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
@@ -439,8 +439,8 @@
 	const keep = 3_600_000
 	release := stages.Rollout{Version: 1, Name: "r", FamilyRange: []int{1, 2}, Since: since, ReplacesObjects: true, OldCopyMaxAge: keep, RollbackAt: since + 6000,
 		Rings: []stages.Ring{{Cells: []string{"one"}, OpensAt: since, JudgeWithin: 600_000}}}
-	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Stage: features.Stage{Enabled: true, Rollout: release}}
-	f.Moves.Migrations = []moves.Migration{}
+	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Rollout: features.Rollout{Enabled: true, Rollout: release}}
+	f.Migration.Migrations = []moves.Migration{}
 	text, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
@@ -494,24 +494,24 @@
 // circle is refused and changes nothing, a later shape moves what it must, and when an area's cache is cut off, unlisted, fills go
 // elsewhere. Every request has one right answer.
 func TestShapeInService(t *testing.T) {
-	shape := func(version int64, areas ...int) *hierarchy.Shape {
-		s := &hierarchy.Shape{Version: version, Head: hierarchy.Head{Name: "head", KbPerS: 1e6}, Depots: []hierarchy.Depot{{Name: "depot-00", KbPerS: 1000}}}
+	shape := func(version int64, areas ...int) *hierarchy.Topology {
+		s := &hierarchy.Topology{Version: version, Origin: hierarchy.Origin{Name: "head", CapacityKBPerS: 1e6}, Sites: []hierarchy.Site{{Name: "depot-00", PeakFillKBPerS: 1000}}}
 		for _, a := range areas {
 			name := fmt.Sprint("area-", a)
-			s.Areas = append(s.Areas, hierarchy.Area{Name: name, Servers: []string{AreaName(a)}})
-			s.Ways = append(s.Ways, hierarchy.Way{From: "depot-00", To: name, KbPerS: 1e6, Ms: 5}, hierarchy.Way{From: name, To: "head", KbPerS: 1e6, Ms: 5})
+			s.ParentGroups = append(s.ParentGroups, hierarchy.ParentGroup{Name: name, ServerPrefixes: []string{AreaName(a)}})
+			s.Links = append(s.Links, hierarchy.Link{From: "depot-00", To: name, CapacityKBPerS: 1e6, RTTMillis: 5}, hierarchy.Link{From: name, To: "head", CapacityKBPerS: 1e6, RTTMillis: 5})
 		}
 		return s
 	}
-	file := func(s *hierarchy.Shape) string {
-		text, err := json.Marshal(map[string]any{"shape": features.Shape{Enabled: true, Shape: *s}})
+	file := func(s *hierarchy.Topology) string {
+		text, err := json.Marshal(map[string]any{"shape": features.Topology{Enabled: true, Topology: *s}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(text)
 	}
 	d := start(t, Options{Routers: 2, Caches: 4, Areas: 3, Delay: time.Millisecond, Features: file(shape(1, 0, 1))})
-	tell := func(s *hierarchy.Shape, says string) {
+	tell := func(s *hierarchy.Topology, says string) {
 		if err := d.WriteFeatures(file(s)); err != nil {
 			t.Fatal(err)
 		}
@@ -557,7 +557,7 @@
 	}
 	before := place(run(1, 200), 0, 1)
 	loop := shape(2, 0, 1)
-	loop.Ways = append(loop.Ways, hierarchy.Way{From: "area-0", To: "area-1", KbPerS: 1}, hierarchy.Way{From: "area-1", To: "area-0", KbPerS: 1})
+	loop.Links = append(loop.Links, hierarchy.Link{From: "area-0", To: "area-1", CapacityKBPerS: 1}, hierarchy.Link{From: "area-1", To: "area-0", CapacityKBPerS: 1})
 	tell(loop, "a circle: area-1 > area-0 > area-1")
 	same := place(run(2, 200), 0, 1)
 	tell(shape(3, 1, 2), `"shape":3`)
