--- a/cmd/spanctl/router_test.go
+++ b/cmd/spanctl/router_test.go
@@ -27,8 +27,8 @@
 			calls.Add(1)
 			return nil
 		}
-		s := &manage.Server{Ready: on.Load, Exclude: by, Include: by, Drain: func() { on.Store(false) }, Rejoin: func() { on.Store(true) }, Log: zerolog.Nop(),
-			Figures: func() []manage.Figure { return []manage.Figure{{Name: "outstanding", Value: 3, Gauge: true}} }}
+		s := &manage.Server{IsReady: on.Load, Exclude: by, Include: by, Drain: func() { on.Store(false) }, Rejoin: func() { on.Store(true) }, Log: zerolog.Nop(),
+			Metrics: func() []manage.Metric { return []manage.Metric{{Name: "outstanding", Value: 3, IsGauge: true}} }}
 		l, err := manage.Listen(ctx, "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -82,7 +82,7 @@
 	defer crowd.disperse()
 	testwait.Until(t, "so many idle clients as the router has descriptors", func() bool { return crowd.came() >= limit })
 	testwait.Until(t, "idle clients hold the third of the descriptors that is theirs", func() bool {
-		return descriptors(t, d.cmd.Process.Pid) >= limit/clientShare
+		return descriptors(t, d.cmd.Process.Pid) >= limit/clientDescriptorDivisor
 	})
 	time.Sleep(away.lasts)
 
--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -36,34 +36,34 @@
 )
 
 const (
-	// stayOpen is how long after SIGTERM connections and requests are still taken, in milliseconds.
-	stayOpen = 800
-	// SIGKILL may come killSlack after the longest deadline, of which longestKept counts at most. What is open
-	// stopEarly before that gets its answer then, so that the process has ended by itself.
-	longestKept = 3000
-	killSlack   = 700
-	stopEarly   = 500
-	// takeAnswer is how long clients have to take those last answers, where they wait so long.
-	takeAnswer = 150
-	// spareEnd before SIGKILL may come the process is gone, whatever the deadlines.
-	spareEnd = 50
-	// memoryShare of the limit is what Go's heap keeps under; the rest is for stacks, buffers and the kernel.
-	memoryShare = 0.7
-	// queueShare of the limit is what open requests and answers waiting for clients may hold.
-	queueShare = 0.25
-	// bodyShare of the limit is what answers on their way in may hold: one on each connection at most.
-	bodyShare = 0.35
-	// clientShare of the descriptors is what usual clients hold at most: they always find so many places.
-	clientShare = 3
-	// extraShare of the limit is what further client connections may take, at clientBytes each.
-	extraShare  = 0.15
-	clientBytes = 32 << 10
-	// turnEvery, in milliseconds, moves and releases are looked at while no request comes.
-	turnEvery = 500
-	// spareSockets are for the listener, the discovery service, logs and connections on their way out.
-	spareSockets = 48
-	// leastConns there may be to servers, whatever the limits: with none a router would refuse all. They come out of the spare ones.
-	leastConns = 8
+	// acceptAfterSignal is how long after SIGTERM connections and requests are still taken, in milliseconds.
+	acceptAfterSignal = 800
+	// SIGKILL may come killGrace after the longest deadline, of which maxHonouredDeadline counts at most. What is open
+	// finalAnswerLead before that gets its answer then, so that the process has ended by itself.
+	maxHonouredDeadline = 3000
+	killGrace           = 700
+	finalAnswerLead     = 500
+	// maxAnswerReadTime is how long clients have to take those last answers, where they wait so long.
+	maxAnswerReadTime = 150
+	// exitMargin before SIGKILL may come the process is gone, whatever the deadlines.
+	exitMargin = 50
+	// heapShare of the limit is what Go's heap keeps under; the rest is for stacks, buffers and the kernel.
+	heapShare = 0.7
+	// requestQueueShare of the limit is what open requests and answers waiting for clients may hold.
+	requestQueueShare = 0.25
+	// responseBodyShare of the limit is what answers on their way in may hold: one on each connection at most.
+	responseBodyShare = 0.35
+	// clientDescriptorDivisor of the descriptors is what usual clients hold at most: they always find so many places.
+	clientDescriptorDivisor = 3
+	// extraClientShare of the limit is what further client connections may take, at bytesPerClient each.
+	extraClientShare = 0.15
+	bytesPerClient   = 32 << 10
+	// tickInterval, in milliseconds, moves and releases are looked at while no request comes.
+	tickInterval = 500
+	// reservedDescriptors are for the listener, the discovery service, logs and connections on their way out.
+	reservedDescriptors = 48
+	// minServerConns there may be to servers, whatever the limits: with none a router would refuse all. They come out of the spare ones.
+	minServerConns = 8
 )
 
 // flags are the command line; all else comes from the environment. Without flags nothing new is on.
@@ -76,7 +76,7 @@
 	var f flags
 	parser := kong.Must(&f, kong.Name("spantack"), kong.Description("A request router; it reads RELAY_NAME, RELAY_LISTEN and RELAY_CONFIG."))
 	_, err := parser.Parse(os.Args[1:])
-	signals := catch() // before the configuration is read: until then a signal would end the process
+	signals := catchSignals() // before the configuration is read: until then a signal would end the process
 	defer signals.release()
 	out := asynclog.New(os.Stderr)
 	var c *config.Config
@@ -95,23 +95,23 @@
 	}
 }
 
-// caught are the signals that the process heeds: they are kept until run comes to them.
-type caught struct {
-	end     context.Context // done at SIGTERM or SIGINT
-	hangUp  chan os.Signal  // one SIGHUP: more before it is heeded mean the same
-	release func()
+// processSignals are the signals that the process heeds: they are kept until run comes to them.
+type processSignals struct {
+	terminate context.Context // done at SIGTERM or SIGINT
+	hangUp    chan os.Signal  // one SIGHUP: more before it is heeded mean the same
+	release   func()
 }
 
-func catch() *caught {
+func catchSignals() *processSignals {
 	end, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	hangUp := make(chan os.Signal, 1)
 	signal.Notify(hangUp, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // who reads the log may be gone: that is no reason to end
-	return &caught{end, hangUp, func() { signal.Stop(hangUp); stop() }}
+	return &processSignals{end, hangUp, func() { signal.Stop(hangUp); stop() }}
 }
 
-// feature loads the features file against the settings in force; nil without a file.
-func feature(file string, c *config.Config) (*features.File, router.Features, error) {
+// loadFeatures loads the features file against the settings in force; nil without a file.
+func loadFeatures(file string, c *config.Config) (*features.File, router.Features, error) {
 	none := router.Features{}
 	if file == "" {
 		return nil, none, nil
@@ -131,38 +131,38 @@
 	if err != nil {
 		return nil, none, fmt.Errorf("%s: %w", file, err)
 	}
-	return f, router.Features{Cells: a, Moves: f.ActiveMigration(), Release: f.ActiveRollout(), Shape: g, Shield: f.ActiveOriginLimit()}, nil
+	return f, router.Features{Cells: a, Migrations: f.ActiveMigration(), Rollout: f.ActiveRollout(), Topology: g, OriginLimit: f.ActiveOriginLimit()}, nil
 }
 
-// connections shares descriptors and bytes of memory out: how many connections clients may hold, and how many there may be to servers.
-func connections(sockets int, memory float64) (clients, servers int) {
-	clients = sockets / clientShare
-	servers = max(min(sockets-clients-spareSockets, int(bodyShare*memory/resp.MaxBody)), leastConns)
-	return max(clients, min(sockets-servers-spareSockets, int(extraShare*memory/clientBytes))), servers
+// divideDescriptors shares descriptors and bytes of memory out: how many connections clients may hold, and how many there may be to servers.
+func divideDescriptors(sockets int, memory float64) (clients, servers int) {
+	clients = sockets / clientDescriptorDivisor
+	servers = max(min(sockets-clients-reservedDescriptors, int(responseBodyShare*memory/resp.MaxBody)), minServerConns)
+	return max(clients, min(sockets-servers-reservedDescriptors, int(extraClientShare*memory/bytesPerClient))), servers
 }
 
-// theEnd plans the end of the process by the longest deadline of a class, in milliseconds from the signal: how long new work is taken, when
-// what is open gets its answer, and how long clients then have to take that. The process is gone spareEnd before SIGKILL may come.
-func theEnd(longest float64) (stay, last, take float64) {
-	kill := min(longest, longestKept) + killSlack
-	take = min(takeAnswer, longest/2)
-	last = min(max(kill-stopEarly, stayOpen), kill-spareEnd-take)
-	return min(stayOpen, last), last, take
+// planShutdown plans the end of the process by the longest deadline of a class, in milliseconds from the signal: how long new work is taken, when
+// what is open gets its answer, and how long clients then have to take that. The process is gone exitMargin before SIGKILL may come.
+func planShutdown(longest float64) (stay, last, take float64) {
+	kill := min(longest, maxHonouredDeadline) + killGrace
+	take = min(maxAnswerReadTime, longest/2)
+	last = min(max(kill-finalAnswerLead, acceptAfterSignal), kill-exitMargin-take)
+	return min(acceptAfterSignal, last), last, take
 }
 
-// spareTime is how much later than planned the process may be gone, by the longest deadline: a busy machine lets it run late.
-func spareTime(longest float64) float64 {
-	_, last, take := theEnd(longest)
-	return min(longest, longestKept) + killSlack - spareEnd - last - take
+// shutdownSlack is how much later than planned the process may be gone, by the longest deadline: a busy machine lets it run late.
+func shutdownSlack(longest float64) float64 {
+	_, last, take := planShutdown(longest)
+	return min(longest, maxHonouredDeadline) + killGrace - exitMargin - last - take
 }
 
-// reload brings the configuration for a SIGHUP.
-type reload func() (*config.Config, error)
+// configLoader brings the configuration for a SIGHUP.
+type configLoader func() (*config.Config, error)
 
 // run serves until SIGTERM or SIGINT and returns when all that was taken has been answered.
-func run(c *config.Config, again reload, f flags, signals *caught, out io.Writer) error {
+func run(c *config.Config, again configLoader, f flags, signals *processSignals, out io.Writer) error {
 	file := f.Features
-	on, frame, err := feature(file, c)
+	on, frame, err := loadFeatures(file, c)
 	if err != nil {
 		return err
 	}
@@ -183,8 +183,8 @@
 	if inherited { // one process replaces another while that serves: the limits count for both
 		memory, sockets = memory/2, sockets/2
 	}
-	debug.SetMemoryLimit(int64(memoryShare * memory))
-	clients, mostConns := connections(sockets, memory)
+	debug.SetMemoryLimit(int64(heapShare * memory))
+	clients, mostConns := divideDescriptors(sockets, memory)
 	pools := resp.NewPools(serving, resp.Options{DialTimeout: c.DialTimeout, IdleClose: c.IdleTimeout,
 		MaxStreams: c.MaxStreams, MaxConns: mostConns, MaxWait: c.MaxSendDelay}, now, log)
 	core, err := router.New(c.Settings, c.Seed, now, pools, log)
@@ -197,15 +197,15 @@
 	if err := core.ApplyFeatures(frame); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	apply := func(n router.Notice) {
+	apply := func(n router.WatchEvent) {
 		pools.Apply(n)
 		core.Apply(n)
 	}
 	var ready, ending atomic.Bool
-	server := &msgpackrpc.Server{Keyed: keyed(c), Handle: core.Serve, OnRefused: core.CountRefused, MaxConns: clients,
-		MaxQueued: int64(queueShare * memory), Clock: now, Log: log}
+	server := &msgpackrpc.Server{Keyed: keyedClasses(c), Handle: core.Serve, OnRefused: core.CountRejected, MaxConns: clients,
+		MaxQueued: int64(requestQueueShare * memory), Clock: now, Log: log}
 	server.Ready = func() bool { return ready.Load() && !ending.Load() && !server.Draining() }
-	listener, err := openClients(c)
+	listener, err := listenForClients(c)
 	if err != nil {
 		return err
 	}
@@ -215,12 +215,12 @@
 			return err
 		}
 	}
-	state.Restore(core.Adopt)
+	state.RestoreExcluded(core.SetExcluded)
 	for _, n := range c.InitialEvents {
 		apply(n)
 	}
 	if inherited {
-		takeOver(core, state, log)
+		restoreLearnedState(core, state, log)
 	}
 	ready.Store(true)
 	log.Info().Str("listen", c.ListenAddr).Uint64("known", c.LastEventID).Msg("serving")
@@ -232,29 +232,29 @@
 	var talk *peers.Transport
 	limits := on.FleetLimits()
 	if (f.Peers || limits != nil || on.VerdictsEnabled()) && c.Fleet.GossipEnabled {
-		if talk, err = tier(c, limits, on.LeaseTree(), on.VerdictsEnabled(), core, now, log); err != nil {
+		if talk, err = newGossip(c, limits, on.LeaseTree(), on.VerdictsEnabled(), core, now, log); err != nil {
 			return err
 		}
 	}
 	if talk != nil {
 		group.Go(func() error { return talk.Run(serving) })
 	} else if limits != nil { // nobody to keep it with: an even share of all that are listed
-		core.Lease(limits[0].Max / float64(max(c.Settings.FleetSize, 1)))
+		core.SetOriginFillQuota(limits[0].Max / float64(max(c.Settings.FleetSize, 1)))
 	}
 	group.Go(func() error { return watcher.Run(serving) })
-	var files reloads
+	var files reloadCounters
 	var longest atomic.Value // of a class's deadline, in milliseconds
 	longest.Store(c.MaxDeadline)
 	if second != nil {
 		if err := state.ClaimServing(); err != nil {
 			log.Warn().Err(err).Msg("can't say that this process serves")
 		}
-		staff := operate(core, server, pools, state, &files, log)
-		staff.Ready = server.Ready
+		staff := newAdminServer(core, server, pools, state, &files, log)
+		staff.IsReady = server.Ready
 		group.Go(func() error { return staff.Serve(serving, second) })
-		group.Go(func() error { return state.WatchExcluded(serving, core.Adopt) })
+		group.Go(func() error { return state.WatchExcluded(serving, core.SetExcluded) })
 		if inherited {
-			group.Go(func() error { return state.SaveBeliefs(serving, core.Beliefs) })
+			group.Go(func() error { return state.SaveLearnedState(serving, core.LearnedState) })
 		}
 	}
 	var later *background.Runner
@@ -262,39 +262,39 @@
 		if later, err = background.New(now, uint64(c.Seed), log); err != nil {
 			return err
 		}
-		later.Every(serving, "turn", turnEvery, sched.High, core.Tick)
+		later.Every(serving, "turn", tickInterval, sched.High, core.Tick)
 		group.Go(func() error { return later.Run(serving) })
 	}
-	group.Go(func() error { return report(serving, core, server, talk, later, log) })
+	group.Go(func() error { return reportOnSignal(serving, core, server, talk, later, log) })
 	group.Go(func() error {
 		for {
 			select {
 			case <-serving.Done():
 				return nil
 			case <-signals.hangUp:
-				c = reconfigure(c, again, core, server, pools, watcher.SetAddress, &files, log)
+				c = reloadConfig(c, again, core, server, pools, watcher.SetAddress, &files, log)
 				longest.Store(c.MaxDeadline)
-				on = refeature(file, on, c, core, now, log)
+				on = reloadFeatures(file, on, c, core, now, log)
 			}
 		}
 	})
 	group.Go(func() error {
 		select {
-		case <-signals.end.Done():
+		case <-signals.terminate.Done():
 		case <-serving.Done():
 			return nil
 		}
 		state.ReleaseServing() // first: whoever is told that this process is not ready must find its claim withdrawn
 		ending.Store(true)
-		stay, last, take := theEnd(longest.Load().(float64))
-		if inherited && state.Replaced() { // the other process takes what comes: to take more would only have it cut short
+		stay, last, take := planShutdown(longest.Load().(float64))
+		if inherited && state.IsReplaced() { // the other process takes what comes: to take more would only have it cut short
 			stay = 0
 		}
 		log.Info().Bool("replaced", stay == 0).Msg("stopping")
 		server.Patience = last + take - stay // these are read once accepting has ended
-		server.Take, server.Late = take, spareTime(longest.Load().(float64))
+		server.Take, server.Late = take, shutdownSlack(longest.Load().(float64))
 		now.AfterFunc(stay, stopAccepting)
-		now.AfterFunc(last, core.Finish)
+		now.AfterFunc(last, core.Close)
 		return nil
 	})
 	group.Go(func() error {
@@ -302,19 +302,19 @@
 		return server.Serve(accepting, listener)
 	})
 	err = group.Wait()
-	counters(core, server, talk, log)
+	logCounters(core, server, talk, log)
 	if errors.Is(err, context.Canceled) {
 		err = nil
 	}
 	return err
 }
 
-// refeature takes the features file in anew after SIGHUP and returns the one in force. A file that can't be used changes nothing.
-func refeature(file string, old *features.File, c *config.Config, core *router.Router, now *clock.Clock, log zerolog.Logger) *features.File {
+// reloadFeatures takes the features file in anew after SIGHUP and returns the one in force. A file that can't be used changes nothing.
+func reloadFeatures(file string, old *features.File, c *config.Config, core *router.Router, now *clock.Clock, log zerolog.Logger) *features.File {
 	if file == "" {
 		return old
 	}
-	on, frame, err := feature(file, c)
+	on, frame, err := loadFeatures(file, c)
 	if err == nil {
 		err = on.CheckReplaces(now.Now(), old)
 	}
@@ -329,23 +329,23 @@
 	if frame.Cells != nil {
 		version = frame.Cells.Version()
 	}
-	if frame.Shape != nil {
-		shape = frame.Shape.Topology().Version
+	if frame.Topology != nil {
+		shape = frame.Topology.Topology().Version
 	}
-	_, moving := core.Moves()
-	log.Info().Int64("cells", version).Int64("shape", shape).Int64("moves", moving).Str("release", releaseName(on)).Msg("new features")
+	_, moving := core.MigrationStatus()
+	log.Info().Int64("cells", version).Int64("shape", shape).Int64("moves", moving).Str("release", rolloutName(on)).Msg("new features")
 	return on
 }
 
-func releaseName(f *features.File) string {
+func rolloutName(f *features.File) string {
 	if s := f.ActiveRollout(); s != nil {
 		return s.Name
 	}
 	return ""
 }
 
-// report prints the counters on SIGUSR1.
-func report(ctx context.Context, core *router.Router, server *msgpackrpc.Server, talk *peers.Transport, later *background.Runner, log zerolog.Logger) error {
+// reportOnSignal prints the counters on SIGUSR1.
+func reportOnSignal(ctx context.Context, core *router.Router, server *msgpackrpc.Server, talk *peers.Transport, later *background.Runner, log zerolog.Logger) error {
 	asked := make(chan os.Signal, 1)
 	signal.Notify(asked, syscall.SIGUSR1)
 	defer signal.Stop(asked)
@@ -355,19 +355,19 @@
 			return nil
 		case <-asked:
 			if later == nil {
-				counters(core, server, talk, log)
-			} else if err := later.Submit("report", sched.Normal, 1, func() { counters(core, server, talk, log) }); err != nil && !errors.Is(err, sched.ErrDuplicateJob) {
+				logCounters(core, server, talk, log)
+			} else if err := later.Submit("report", sched.Normal, 1, func() { logCounters(core, server, talk, log) }); err != nil && !errors.Is(err, sched.ErrDuplicateJob) {
 				log.Warn().Err(err).Msg("report put off")
 			}
 		}
 	}
 }
 
-func counters(core *router.Router, server *msgpackrpc.Server, talk *peers.Transport, log zerolog.Logger) {
+func logCounters(core *router.Router, server *msgpackrpc.Server, talk *peers.Transport, log zerolog.Logger) {
 	n := &core.Counters
 	evicted, rejected, clientFaults := server.Counts()
-	log.Info().Int64("taken", n.Taken.Load()).Int64("sent", n.Sent.Load()).Int64("served", n.Served.Load()).
-		Int64("refused", n.Refused.Load()).Int64("failed", n.Failed.Load()).Int64("gone", n.Gone.Load()).
+	log.Info().Int64("taken", n.Accepted.Load()).Int64("sent", n.Attempts.Load()).Int64("served", n.Served.Load()).
+		Int64("refused", n.Rejected.Load()).Int64("failed", n.Failed.Load()).Int64("gone", n.Departed.Load()).
 		Int64("overdue", n.Overdue.Load()).Int64("faults", n.Faults.Load()).Int64("client_faults", clientFaults).Int64("gave_way", evicted).
 		Int64("turned_away", rejected).Msg("counters")
 	if talk != nil {
@@ -377,10 +377,10 @@
 			log.Info().Int("living", living).Interface("limits", all).Msg("fleet")
 		}
 	}
-	if g := core.ShieldStatus(); g != nil {
+	if g := core.OriginLimitStatus(); g != nil {
 		log.Info().Float64("limit", g.Limit).Float64("share", g.Share).Int("out", g.InFlight).Int("given_up", g.Abandoned).Float64("deep", g.OriginFraction).Msg("shield")
 	}
-	p, demand := core.Cells()
+	p, demand := core.CellStatus()
 	if p == nil {
 		return
 	}
@@ -391,10 +391,10 @@
 		}
 	}
 	line.Interface("cells", p.Cells).Interface("heavy", p.HeavyTenants).Interface("objects", p.HeavyObjects).Msg("cells")
-	if paths, version := core.Moves(); version > 0 {
+	if paths, version := core.MigrationStatus(); version > 0 {
 		log.Info().Int64("version", version).Int64("moved", p.Stats.Migrated).Int64("kept", p.Stats.Deferred).Interface("moves", paths).Msg("moves")
 	}
-	if release := core.Release(); release != nil {
+	if release := core.RolloutStatus(); release != nil {
 		log.Info().Interface("stage", release).Msg("stage")
 	}
 	log.Info().Interface("demand", demand).Msg("demand")
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -14,12 +14,12 @@
 	"spantack/internal/router"
 )
 
-// reloads count what became of files at SIGHUP.
-type reloads struct{ applied, rejected atomic.Int64 }
+// reloadCounters count what became of files at SIGHUP.
+type reloadCounters struct{ applied, rejected atomic.Int64 }
 
-// openClients opens the address for clients: on the descriptor that the platform holds, where it hands one down, so that a process
+// listenForClients opens the address for clients: on the descriptor that the platform holds, where it hands one down, so that a process
 // can take over from another with no connection refused.
-func openClients(c *config.Config) (net.Listener, error) {
+func listenForClients(c *config.Config) (net.Listener, error) {
 	if c.ListenerFD < 0 {
 		l, err := net.Listen("tcp", c.ListenAddr)
 		if err != nil {
@@ -27,15 +27,15 @@
 		}
 		return l, nil
 	}
-	s, err := manage.Inherit(c.ListenerFD)
+	s, err := manage.InheritSocket(c.ListenerFD)
 	if err != nil {
 		return nil, fmt.Errorf("RELAY_SOCKET_FD: %w", err)
 	}
 	return s, nil
 }
 
-// keyed tells of each class whether its requests carry an idempotency key.
-func keyed(c *config.Config) map[string]bool {
+// keyedClasses tells of each class whether its requests carry an idempotency key.
+func keyedClasses(c *config.Config) map[string]bool {
 	classes := map[string]bool{}
 	for _, class := range c.Settings.Classes {
 		classes[class.Name] = class.Idempotency == "idempotency_key"
@@ -43,51 +43,51 @@
 	return classes
 }
 
-// operate ties the calls of the second address to the parts that carry them out; Ready is left to the caller.
-func operate(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, state *manage.StateDir, files *reloads, log zerolog.Logger) *manage.Server {
+// newAdminServer ties the calls of the second address to the parts that carry them out; Ready is left to the caller.
+func newAdminServer(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, state *manage.StateDir, files *reloadCounters, log zerolog.Logger) *manage.Server {
 	change := func(do func(string) error) func(string) error {
 		return func(id string) error {
-			return state.ChangeExcluded(core.Adopt, func() error { return do(id) }, core.Excluded)
+			return state.ChangeExcluded(core.SetExcluded, func() error { return do(id) }, core.Excluded)
 		}
 	}
 	return &manage.Server{
-		Figures: func() []manage.Figure { return figures(core, pools, files) },
+		Metrics: func() []manage.Metric { return metrics(core, pools, files) },
 		Exclude: change(core.Exclude), Include: change(core.Include),
 		Drain: server.Drain, Rejoin: server.Rejoin, Log: log,
 	}
 }
 
-// figures are what the second address tells. Counts start at 0 with the process.
-func figures(core *router.Router, pools *resp.Pools, files *reloads) (list []manage.Figure) {
-	for _, t := range core.Tallies() {
+// metrics are what the second address tells. Counts start at 0 with the process.
+func metrics(core *router.Router, pools *resp.Pools, files *reloadCounters) (list []manage.Metric) {
+	for _, t := range core.CountersByClass() {
 		under := "results." + t.Class
-		list = append(list, manage.Figure{Name: under + ".succeeded", Value: t.Served.Load()},
-			manage.Figure{Name: under + ".declined", Value: t.Refused.Load()}, manage.Figure{Name: under + ".aborted", Value: t.Failed.Load()})
+		list = append(list, manage.Metric{Name: under + ".succeeded", Value: t.Served.Load()},
+			manage.Metric{Name: under + ".declined", Value: t.Rejected.Load()}, manage.Metric{Name: under + ".aborted", Value: t.Failed.Load()})
 	}
-	listed, off := core.Caches()
-	return append(list, manage.Figure{Name: "forwards", Value: pools.Written()},
-		manage.Figure{Name: "outstanding", Value: core.Open(), Gauge: true},
-		manage.Figure{Name: "discovered", Value: int64(listed), Gauge: true}, manage.Figure{Name: "ejected", Value: int64(off), Gauge: true},
-		manage.Figure{Name: "sighup_applied", Value: files.applied.Load()}, manage.Figure{Name: "sighup_rejected", Value: files.rejected.Load()})
+	listed, off := core.CacheCounts()
+	return append(list, manage.Metric{Name: "forwards", Value: pools.Written()},
+		manage.Metric{Name: "outstanding", Value: core.OpenRequests(), IsGauge: true},
+		manage.Metric{Name: "discovered", Value: int64(listed), IsGauge: true}, manage.Metric{Name: "ejected", Value: int64(off), IsGauge: true},
+		manage.Metric{Name: "sighup_applied", Value: files.applied.Load()}, manage.Metric{Name: "sighup_rejected", Value: files.rejected.Load()})
 }
 
-// reconfigure takes the file in anew after SIGHUP and returns the configuration in force. Nothing of a file applies unless all of it can
+// reloadConfig takes the file in anew after SIGHUP and returns the configuration in force. Nothing of a file applies unless all of it can
 // be used. The address of the discovery service and the settings change in a running router; limits, seed and what connections rest on take a restart.
-func reconfigure(old *config.Config, again reload, core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, move func(string), files *reloads,
+func reloadConfig(old *config.Config, again configLoader, core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, move func(string), files *reloadCounters,
 	log zerolog.Logger) *config.Config {
 	c, err := again()
 	if err == nil {
 		err = c.CheckReplaces(old)
 	}
 	if err == nil {
-		err = core.Retune(c.Settings)
+		err = core.UpdateSettings(c.Settings)
 	}
 	if err != nil {
 		files.rejected.Add(1)
 		log.Error().Err(err).Msg("new configuration can't be used")
 		return old
 	}
-	server.Retune(keyed(c))
+	server.Retune(keyedClasses(c))
 	pools.Retune(c.MaxSendDelay)
 	files.applied.Add(1)
 	if c.MemoryMB != old.MemoryMB || c.MaxSockets != old.MaxSockets || c.DialTimeout != old.DialTimeout || c.IdleTimeout != old.IdleTimeout ||
@@ -105,12 +105,12 @@
 	return &taken
 }
 
-// takeOver starts with what the process believed that this one replaces, where there is one. Without it a router begins with small
+// restoreLearnedState starts with what the process believed that this one replaces, where there is one. Without it a router begins with small
 // limits and no idea of who fails.
-func takeOver(core *router.Router, state *manage.StateDir, log zerolog.Logger) {
-	b, found, err := state.LoadBeliefs()
+func restoreLearnedState(core *router.Router, state *manage.StateDir, log zerolog.Logger) {
+	b, found, err := state.LoadLearnedState()
 	if err == nil && found {
-		err = core.Believe(b)
+		err = core.RestoreLearnedState(b)
 	}
 	switch {
 	case err != nil:
--- a/cmd/spantack/process_test.go
+++ b/cmd/spantack/process_test.go
@@ -55,7 +55,7 @@
 }
 
 // limit is when SIGKILL may come after SIGTERM, by the protocol.
-const limit = (2000 + killSlack) * time.Millisecond
+const limit = (2000 + killGrace) * time.Millisecond
 
 // shortText begins a MessagePack text of under 32 bytes; its length is added.
 const shortText = 0xa0
@@ -97,7 +97,7 @@
 func launch(t *testing.T, pipe bool, changes ...func(*exec.Cmd)) (*process, *os.File) {
 	t.Helper()
 	board, one, two := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
-	p := &process{t: t, listen: loopback.Free(), config: filepath.Join(t.TempDir(), "config.json"), hold: map[string]net.Conn{},
+	p := &process{t: t, listen: loopback.FreeAddress(), config: filepath.Join(t.TempDir(), "config.json"), hold: map[string]net.Conn{},
 		log: &logBuffer{}, text: fmt.Sprintf(twoCaches, board.Addr(), one.Addr(), two.Addr())}
 	for _, l := range []net.Listener{one, two} {
 		go p.cache(l)
@@ -216,7 +216,7 @@
 		if err != nil {
 			return false
 		}
-		testwait.Bound(p.t, nc)
+		testwait.BoundConn(p.t, nc)
 		client = nc.(*net.TCPConn)
 		return true
 	})
@@ -319,7 +319,7 @@
 // answer, and the process is gone before SIGKILL may come.
 func TestEndWithHungServers(t *testing.T) {
 	t.Parallel()
-	testwait.Judge(t, func() error { return endWithHungServers(t) })
+	testwait.RetryIfStarved(t, func() error { return endWithHungServers(t) })
 }
 
 func endWithHungServers(t *testing.T) error {
@@ -366,7 +366,7 @@
 	for _, ending := range []bool{false, true} {
 		t.Run(fmt.Sprintf("ending=%v", ending), func(t *testing.T) {
 			t.Parallel()
-			testwait.Judge(t, func() error { return leaveInTurn(t, ways, ending) })
+			testwait.RetryIfStarved(t, func() error { return leaveInTurn(t, ways, ending) })
 		})
 	}
 }
@@ -457,7 +457,7 @@
 func TestLogReaderStopsOrGoes(t *testing.T) {
 	t.Parallel()
 	for _, gone := range []bool{false, true} {
-		testwait.Judge(t, func() error { return endWithLogReader(t, gone) })
+		testwait.RetryIfStarved(t, func() error { return endWithLogReader(t, gone) })
 	}
 }
 
@@ -537,7 +537,7 @@
 		serves := func(addr string) {
 			testwait.Until(t, "a router that is ready", func() bool { return readyStatus(addr) == http.StatusOK })
 		}
-		one, two := loopback.Free(), loopback.Free()
+		one, two := loopback.FreeAddress(), loopback.FreeAddress()
 		old, _ := launch(t, false, managed(one))
 		serves(one)
 		if how != "none" {
@@ -624,7 +624,7 @@
 func TestLeftBehindALateDial(t *testing.T) {
 	t.Parallel()
 	addr, open := full(t)
-	second := loopback.Free()
+	second := loopback.FreeAddress()
 	p, into := launch(t, true, func(c *exec.Cmd) { c.Env = append(c.Env, "RELAY_MGMT="+second, "TMPDIR="+t.TempDir()) })
 	at := regexp.MustCompile(`("uid":"s-0000000[13]","endpoint":")[^"]*`)
 	text := strings.Replace(at.ReplaceAllString(p.text, "${1}"+addr), `"DialTimeout":500000`, `"DialTimeout":20000000`, 1)
--- a/cmd/spantack/wire_compat_test.go
+++ b/cmd/spantack/wire_compat_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := router.Notice{Whole: true}
+	n := router.WatchEvent{IsSnapshot: true}
 	for _, id := range []string{"s-1", "s-2", "s-3"} {
 		n.Servers = append(n.Servers, router.Server{ID: id, Addr: "127.0.0.1:1", Zone: "east", Kind: "box",
 			Status: "healthy", Weight: 4})
@@ -42,15 +42,15 @@
 	if err := core.Exclude("s-1"); err != nil {
 		t.Fatal(err)
 	}
-	tally := core.Tallies()[0]
+	tally := core.CountersByClass()[0]
 	tally.Served.Add(3)
-	tally.Refused.Add(4)
+	tally.Rejected.Add(4)
 	tally.Failed.Add(5)
-	core.Counters.Taken.Add(9)
-	files := &reloads{}
+	core.Counters.Accepted.Add(9)
+	files := &reloadCounters{}
 	files.applied.Add(6)
 	files.rejected.Add(7)
-	if got := string(manage.AppendFigures(nil, figures(core, pools, files))); got != string(text) {
+	if got := string(manage.AppendMetrics(nil, metrics(core, pools, files))); got != string(text) {
 		t.Errorf("got\n%s\nwant\n%s", got, text)
 	}
 }
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -17,12 +17,12 @@
 
 // Budget of all background work of a router.
 const (
-	coreMsPerS = 20.0 // milliseconds of its core a second
-	mostQueue  = 64
-	leaseMs    = 10_000
-	backoffMs  = 500
-	longestMs  = 30_000
-	patienceMs = 2000
+	coreBudgetMsPerS = 20.0 // milliseconds of its core a second
+	maxQueuedJobs    = 64
+	jobLeaseMs       = 10_000
+	backoffMs        = 500
+	maxRetryWaitMs   = 30_000
+	priorityAgingMs  = 2000
 )
 
 // Runner runs jobs. New makes one.
@@ -30,27 +30,27 @@
 	clock *clock.Clock
 	log   zerolog.Logger
 
-	mu    sync.Mutex // never held while a job runs
-	sched *sched.Scheduler
-	jobs  map[string]func()
-	wake  chan struct{}
+	mu        sync.Mutex // never held while a job runs
+	scheduler *sched.Scheduler
+	jobs      map[string]func()
+	wake      chan struct{}
 }
 
 // New returns a runner without jobs; seed feeds the jitter of back-offs.
 func New(c *clock.Clock, seed uint64, log zerolog.Logger) (*Runner, error) {
-	s, err := sched.New(sched.Config{Resources: []sched.Resource{{Name: "core", RatePerS: coreMsPerS, BurstWindow: clock.Micros(1000)}}, MaxQueued: mostQueue, MaxRunning: 1,
-		AttemptTimeout: clock.Micros(leaseMs), InitialBackoff: clock.Micros(backoffMs), MaxBackoff: clock.Micros(longestMs), AgingInterval: clock.Micros(patienceMs)}, clock.Micros(c.Now()), seed)
+	s, err := sched.New(sched.Config{Resources: []sched.Resource{{Name: "core", RatePerS: coreBudgetMsPerS, BurstWindow: clock.Micros(1000)}}, MaxQueued: maxQueuedJobs, MaxRunning: 1,
+		AttemptTimeout: clock.Micros(jobLeaseMs), InitialBackoff: clock.Micros(backoffMs), MaxBackoff: clock.Micros(maxRetryWaitMs), AgingInterval: clock.Micros(priorityAgingMs)}, clock.Micros(c.Now()), seed)
 	if err != nil {
 		return nil, fmt.Errorf("background: %w", err)
 	}
-	return &Runner{clock: c, log: log, sched: s, jobs: map[string]func(){}, wake: make(chan struct{}, 1)}, nil
+	return &Runner{clock: c, log: log, scheduler: s, jobs: map[string]func(){}, wake: make(chan struct{}, 1)}, nil
 }
 
 // Submit queues a job of so many milliseconds, as far as that is known. One that waits or runs already under its id is not queued twice.
 func (r *Runner) Submit(id string, p sched.Priority, costMs float64, run func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	over, err := r.sched.Submit(clock.Micros(r.clock.Now()), sched.Job{ID: id, Priority: p, Cost: []float64{costMs}, MaxAttempts: 3})
+	over, err := r.scheduler.Submit(clock.Micros(r.clock.Now()), sched.Job{ID: id, Priority: p, Cost: []float64{costMs}, MaxAttempts: 3})
 	for _, o := range over {
 		delete(r.jobs, o.ID)
 	}
@@ -87,7 +87,7 @@
 func (r *Runner) Run(ctx context.Context) error {
 	for {
 		r.mu.Lock()
-		ready := r.sched.Step(clock.Micros(r.clock.Now()))
+		ready := r.scheduler.Step(clock.Micros(r.clock.Now()))
 		for _, o := range ready.Abandoned {
 			delete(r.jobs, o.ID)
 		}
@@ -102,7 +102,7 @@
 		if ready.NextStep != math.MaxInt64 {
 			wait = max(clock.Millis(ready.NextStep)-r.clock.Now(), 1)
 		}
-		rung, timer := r.clock.Alarm(min(wait, leaseMs))
+		rung, timer := r.clock.Alarm(min(wait, jobLeaseMs))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -135,7 +135,7 @@
 		delete(r.jobs, s.ID)
 	}
 	now := r.clock.Now()
-	for _, o := range r.sched.Finish(clock.Micros(now), s.ID, s.Number, how, []float64{max(now-began, 0)}) {
+	for _, o := range r.scheduler.Finish(clock.Micros(now), s.ID, s.Number, how, []float64{max(now-began, 0)}) {
 		delete(r.jobs, o.ID)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -42,13 +42,13 @@
 	return c.fake.now
 }
 
-// born is when the process began to tell steady time.
-var born = time.Now()
+// processStart is when the process began to tell steady time.
+var processStart = time.Now()
 
-// Steady is a time in milliseconds that no setting of the system's clock moves: what intervals are reckoned by that others rely on.
-func (c *Clock) Steady() float64 {
+// Monotonic is a time in milliseconds that no setting of the system's clock moves: what intervals are reckoned by that others rely on.
+func (c *Clock) Monotonic() float64 {
 	if c.fake == nil {
-		return float64(time.Since(born).Microseconds()) / 1000
+		return float64(time.Since(processStart).Microseconds()) / 1000
 	}
 	return c.Now()
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,7 +39,7 @@
 	Fleet Fleet
 
 	LastEventID   uint64 // number of the last event of Notices
-	InitialEvents []router.Notice
+	InitialEvents []router.WatchEvent
 	Names         discovery.Names
 
 	keys objectKeys // of the file
--- a/internal/config/wire_compat_test.go
+++ b/internal/config/wire_compat_test.go
@@ -42,11 +42,11 @@
 	if !reflect.DeepEqual(c.Fleet, tier) {
 		t.Errorf("tier: read as %+v, want %+v", c.Fleet, tier)
 	}
-	notices := []router.Notice{
-		{Whole: true, Servers: []router.Server{{ID: "s-00c41f7a", Addr: "127.2.1.1:80", Zone: "s69", Kind: "s48", Cell: 5,
-			Status: "cordoned", Weight: 4.5, Started: 1764576000001.5}}},
-		{Purge: &router.Purge{Object: "00ab01", At: 1764576000002.5}},
-		{Purge: &router.Purge{Group: 77, At: 1764576000003.5}},
+	notices := []router.WatchEvent{
+		{IsSnapshot: true, Servers: []router.Server{{ID: "s-00c41f7a", Addr: "127.2.1.1:80", Zone: "s69", Kind: "s48", Cell: 5,
+			Status: "cordoned", Weight: 4.5, StartedAt: 1764576000001.5}}},
+		{Purge: &router.Purge{Object: "00ab01", Before: 1764576000002.5}},
+		{Purge: &router.Purge{Group: 77, Before: 1764576000003.5}},
 	}
 	if c.LastEventID != 12 || !reflect.DeepEqual(c.InitialEvents, notices) {
 		t.Errorf("known: read as %d, %+v, want %+v", c.LastEventID, c.InitialEvents, notices)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,18 +29,18 @@
 
 func TestFrames(t *testing.T) {
 	server := router.Server{ID: "s-00c41f7a", Addr: "10.1.0.9:5050", Zone: "east", Kind: "std", Cell: 2,
-		Status: "cordoned", Weight: 1.5, Started: 0x19ad84b9000}
+		Status: "cordoned", Weight: 1.5, StartedAt: 0x19ad84b9000}
 	for _, c := range []struct {
 		kind    byte
 		payload string
-		want    router.Notice
+		want    router.WatchEvent
 	}{
-		{kindHeartbeat, "", router.Notice{}},
-		{kindSnapshot, record, router.Notice{Whole: true, Servers: []router.Server{server}}},
-		{kindUpdate, record + record, router.Notice{Servers: []router.Server{server, server}}},
+		{kindHeartbeat, "", router.WatchEvent{}},
+		{kindSnapshot, record, router.WatchEvent{IsSnapshot: true, Servers: []router.Server{server}}},
+		{kindUpdate, record + record, router.WatchEvent{Servers: []router.Server{server, server}}},
 		{kindPurgeObject, "\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55\x00\x00\x00\x00\x00\x00\x03\xe8",
-			router.Notice{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", At: 1000}}},
-		{kindPurgeGroup, "\x00\x11\x00\x00\x00\x00\x00\x00\x03\xe8", router.Notice{Purge: &router.Purge{Group: 17, At: 1000}}},
+			router.WatchEvent{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", Before: 1000}}},
+		{kindPurgeGroup, "\x00\x11\x00\x00\x00\x00\x00\x00\x03\xe8", router.WatchEvent{Purge: &router.Purge{Group: 17, Before: 1000}}},
 	} {
 		stream := appendFrame(nil, 42, c.kind, []byte(c.payload))
 		f, err := readFrame(iotest.OneByteReader(bytes.NewReader(stream)), names)
@@ -80,10 +80,10 @@
 	last, notices, err := ParseInitialEvents([]byte(`{"rev":43,"notices":[{"rev":41,"pool":{"rev":7,"all":true,"targets":[`+target+`]}},
 		{"rev":42,"flush":{"asset":"7f3a9c21e0b4d655","ms":1764576000123}},
 		{"rev":43,"flush":{"collection":17,"ms":1764576000480}}]}`), names)
-	want := []router.Notice{
-		{Whole: true, Servers: []router.Server{{ID: "s-00c41f7a", Addr: "10.1.0.9:5050", Zone: "east", Kind: "std", Cell: 2, Status: "healthy", Weight: 4.5}}},
-		{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", At: 1764576000123}},
-		{Purge: &router.Purge{Group: 17, At: 1764576000480}},
+	want := []router.WatchEvent{
+		{IsSnapshot: true, Servers: []router.Server{{ID: "s-00c41f7a", Addr: "10.1.0.9:5050", Zone: "east", Kind: "std", Cell: 2, Status: "healthy", Weight: 4.5}}},
+		{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", Before: 1764576000123}},
+		{Purge: &router.Purge{Group: 17, Before: 1764576000480}},
 	}
 	if err != nil || last != 43 || !reflect.DeepEqual(notices, want) {
 		t.Errorf("%d, %+v, %v", last, notices, err)
--- a/internal/discovery/frames.go
+++ b/internal/discovery/frames.go
@@ -41,7 +41,7 @@
 type frame struct {
 	number uint64
 	kind   byte
-	notice router.Notice
+	notice router.WatchEvent
 }
 
 // readFrame reads one frame.
@@ -67,12 +67,12 @@
 }
 
 // parsePayload reads what a frame of the given kind carries behind its head.
-func parsePayload(kind byte, body []byte, names Names) (n router.Notice, err error) {
+func parsePayload(kind byte, body []byte, names Names) (n router.WatchEvent, err error) {
 	switch kind {
 	case kindHeartbeat:
 		return n, nil
 	case kindSnapshot, kindUpdate:
-		n.Whole = kind == kindSnapshot
+		n.IsSnapshot = kind == kindSnapshot
 		if len(body)%recordSize != 0 {
 			return n, fmt.Errorf("%w: %d bytes of records", errMalformed, len(body))
 		}
@@ -87,13 +87,13 @@
 	case kindPurgeObject:
 		if len(body) == 16 {
 			n.Purge = &router.Purge{Object: fmt.Sprintf("%016x", binary.BigEndian.Uint64(body)),
-				At: float64(binary.BigEndian.Uint64(body[8:]))}
+				Before: float64(binary.BigEndian.Uint64(body[8:]))}
 			return n, nil
 		}
 	case kindPurgeGroup:
 		if len(body) == 10 {
 			n.Purge = &router.Purge{Group: int64(binary.BigEndian.Uint16(body)),
-				At: float64(binary.BigEndian.Uint64(body[2:]))}
+				Before: float64(binary.BigEndian.Uint64(body[2:]))}
 			return n, nil
 		}
 	}
@@ -110,7 +110,7 @@
 	return router.Server{
 		ID: fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b)), Addr: addr.String(), Status: statuses[state],
 		Zone: names.Zones[zone], Kind: names.Kinds[kind], Cell: int64(binary.BigEndian.Uint16(b[13:])),
-		Weight:  float64(binary.BigEndian.Uint32(b[15:])) / 1000,
-		Started: float64(binary.BigEndian.Uint64(b[19:])),
+		Weight:    float64(binary.BigEndian.Uint32(b[15:])) / 1000,
+		StartedAt: float64(binary.BigEndian.Uint64(b[19:])),
 	}, nil
 }
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -45,20 +45,20 @@
 var statusOf = map[string]string{"Ready": "healthy", "Terminating": "cordoned", "Gone": "deregistered"}
 
 // ParseInitialEvents reads the settings' document `known`, the events from before the start, and returns the number of the last one too.
-func ParseInitialEvents(text []byte, names Names) (last uint64, notices []router.Notice, err error) {
+func ParseInitialEvents(text []byte, names Names) (last uint64, notices []router.WatchEvent, err error) {
 	var document initialEvents
 	if err := json.Unmarshal(text, &document); err != nil {
 		return 0, nil, err
 	}
 	for i, e := range document.Notices {
-		var n router.Notice
+		var n router.WatchEvent
 		switch {
 		case e.Pool != nil:
 			if n, err = e.Pool.notice(names); err != nil {
 				return 0, nil, fmt.Errorf("notices[%d].pool.%w", i, err)
 			}
 		case e.Flush != nil:
-			n.Purge = &router.Purge{Object: e.Flush.Asset, Group: e.Flush.Collection, At: e.Flush.Ms}
+			n.Purge = &router.Purge{Object: e.Flush.Asset, Group: e.Flush.Collection, Before: e.Flush.Ms}
 		default:
 			return 0, nil, fmt.Errorf("notices[%d]: neither pool nor flush", i)
 		}
@@ -69,8 +69,8 @@
 }
 
 // notice checks the list against the settings' names and converts it.
-func (p *serverList) notice(names Names) (n router.Notice, err error) {
-	n.Whole = p.All
+func (p *serverList) notice(names Names) (n router.WatchEvent, err error) {
+	n.IsSnapshot = p.All
 	for i, t := range p.Targets {
 		status, known := statusOf[t.State]
 		_, addrErr := netip.ParseAddrPort(t.Endpoint)
@@ -87,7 +87,7 @@
 			return n, fmt.Errorf("targets[%d].model: unknown %q", i, t.Model)
 		}
 		n.Servers = append(n.Servers, router.Server{ID: t.UID, Addr: t.Endpoint, Zone: t.AZ, Kind: t.Model,
-			Cell: t.PodGroup, Status: status, Weight: t.CapacityHint, Started: t.BootMs})
+			Cell: t.PodGroup, Status: status, Weight: t.CapacityHint, StartedAt: t.BootMs})
 	}
 	return n, nil
 }
--- a/internal/discovery/interleavings_test.go
+++ b/internal/discovery/interleavings_test.go
@@ -37,9 +37,9 @@
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			l := testwait.Listen(t)
-			applied := make(chan router.Notice, 8)
+			applied := make(chan router.WatchEvent, 8)
 			w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Tries: coldstart.Schedule{Rank: 299, FleetSize: 300},
-				Apply: func(n router.Notice) { applied <- n }}
+				Apply: func(n router.WatchEvent) { applied <- n }}
 			w.SetAddress(l.Addr().String())
 			go w.Run(t.Context())
 			first := acceptWatch(t, l)
@@ -88,7 +88,7 @@
 func TestAddressChangesTwiceBeforeRetry(t *testing.T) {
 	old, skipped, last := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
 	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Tries: coldstart.Schedule{Rank: 7, FleetSize: 300},
-		Apply: func(router.Notice) {}}
+		Apply: func(router.WatchEvent) {}}
 	w.Log = zerolog.New(&hookWriter{do: func() {
 		w.SetAddress(skipped.Addr().String())
 		w.SetAddress(last.Addr().String())
@@ -110,8 +110,8 @@
 // The address changes while a watcher still dials the old one, where nobody listens any more.
 func TestAddressChangesWhileDialling(t *testing.T) {
 	last := testwait.Listen(t)
-	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Apply: func(router.Notice) {}}
-	w.SetAddress(loopback.Free())
+	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Apply: func(router.WatchEvent) {}}
+	w.SetAddress(loopback.FreeAddress())
 	go w.Run(t.Context())
 	w.SetAddress(last.Addr().String())
 	acceptWatch(t, last)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -30,9 +30,9 @@
 // Watcher keeps a watch open on the discovery service and applies its events in order. Exported fields are set before Run.
 type Watcher struct {
 	Names       Names
-	LastApplied uint64              // number of the last event applied; the watch resumes after it
-	Apply       func(router.Notice) // called for each event, one at a time
-	Tries       coldstart.Schedule  // schedule of retries, which spreads the routers of a fleet out
+	LastApplied uint64                  // number of the last event applied; the watch resumes after it
+	Apply       func(router.WatchEvent) // called for each event, one at a time
+	Tries       coldstart.Schedule      // schedule of retries, which spreads the routers of a fleet out
 	Clock       *clock.Clock
 	Log         zerolog.Logger
 
@@ -64,12 +64,12 @@
 		addr := w.addr
 		w.cancel = cancel
 		w.mu.Unlock()
-		startedAt := w.Clock.Steady()
+		startedAt := w.Clock.Monotonic()
 		received, err := w.watch(watching, addr)
 		addressChanged := context.Cause(watching) == errAddressChanged
 		if !addressChanged && ctx.Err() == nil {
 			w.logFailure(err, addr, w.LastApplied-before)
-			now := w.Clock.Steady()
+			now := w.Clock.Monotonic()
 			if lostAt == 0 || received && now-startedAt >= stableAfter {
 				lostAt, retried = now, false
 			}
@@ -77,7 +77,7 @@
 			retried = true
 		}
 		if context.Cause(watching) == errAddressChanged { // every router of the fleet learns of that at once
-			lostAt, retried = w.Clock.Steady(), false
+			lostAt, retried = w.Clock.Monotonic(), false
 			w.waitForRetry(ctx, lostAt, retried)
 			retried = true
 		}
@@ -88,7 +88,7 @@
 
 // waitForRetry waits until the schedule allows the next retry, or until ctx ends, which a change of the address also does.
 func (w *Watcher) waitForRetry(ctx context.Context, lostAt float64, retried bool) {
-	now := clock.Micros(w.Clock.Steady())
+	now := clock.Micros(w.Clock.Monotonic())
 	retryAt := w.Tries.Next(clock.Micros(lostAt), now, retried)
 	wait, cancel := context.WithTimeout(ctx, clock.Duration(clock.Millis(retryAt-now)))
 	defer cancel()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,9 +14,9 @@
 // A lost or malformed stream is reopened after the last event applied, and no event is applied twice.
 func TestReconnect(t *testing.T) {
 	l := testwait.Listen(t)
-	applied := make(chan router.Notice, 8)
+	applied := make(chan router.WatchEvent, 8)
 	w := &Watcher{Names: names, LastApplied: 41, Clock: clock.NewFake(0), Log: zerolog.Nop(),
-		Apply: func(n router.Notice) { applied <- n }}
+		Apply: func(n router.WatchEvent) { applied <- n }}
 	w.SetAddress(l.Addr().String())
 	go w.Run(t.Context())
 	purge := []byte("\x00\x11\x00\x00\x00\x00\x00\x00\x03\xe8")
@@ -44,9 +44,9 @@
 // After a change of the address the watch resumes there at once, after the last event that came whole; the half event that the old
 // connection had brought is requested again.
 func TestAddressChanges(t *testing.T) {
-	applied := make(chan router.Notice, 8)
+	applied := make(chan router.WatchEvent, 8)
 	w := &Watcher{Names: names, LastApplied: 41, Clock: clock.NewFake(0), Log: zerolog.Nop(),
-		Apply: func(n router.Notice) { applied <- n }}
+		Apply: func(n router.WatchEvent) { applied <- n }}
 	event := appendFrame(nil, 42, kindUpdate, []byte(record))
 	next := appendFrame(nil, 43, kindUpdate, []byte(record))
 	for i, c := range []struct{ asks, sends string }{
--- a/internal/discovery/wire_compat_test.go
+++ b/internal/discovery/wire_compat_test.go
@@ -38,21 +38,21 @@
 
 func TestFramesCompat(t *testing.T) {
 	healthy := router.Server{ID: "s-00c41f7a", Addr: "10.1.0.9:5050", Zone: "central", Kind: "parent", Cell: 0x0203,
-		Status: "healthy", Weight: 1.5, Started: 0x19ad84b9000}
+		Status: "healthy", Weight: 1.5, StartedAt: 0x19ad84b9000}
 	cordoned := router.Server{ID: "s-ffffffff", Addr: "192.168.254.1:65535", Zone: "east", Kind: "std", Cell: 65535,
-		Status: "cordoned", Weight: 4294967.295, Started: 1 << 53}
+		Status: "cordoned", Weight: 4294967.295, StartedAt: 1 << 53}
 	deregistered := router.Server{ID: "s-00000001", Addr: "127.0.0.1:1", Zone: "east", Kind: "parent",
 		Status: "deregistered"}
 	cases := map[string]frame{
 		"heartbeat": {number: 0x0102030405060708, kind: 0},
 		"snapshot of each status": {number: 2, kind: 1,
-			notice: router.Notice{Whole: true, Servers: []router.Server{healthy, cordoned, deregistered}}},
-		"empty snapshot": {number: 3, kind: 1, notice: router.Notice{Whole: true}},
-		"update":         {number: 4, kind: 2, notice: router.Notice{Servers: []router.Server{cordoned}}},
+			notice: router.WatchEvent{IsSnapshot: true, Servers: []router.Server{healthy, cordoned, deregistered}}},
+		"empty snapshot": {number: 3, kind: 1, notice: router.WatchEvent{IsSnapshot: true}},
+		"update":         {number: 4, kind: 2, notice: router.WatchEvent{Servers: []router.Server{cordoned}}},
 		"purge of an object": {number: 5, kind: 3,
-			notice: router.Notice{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", At: 1764576000123}}},
+			notice: router.WatchEvent{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", Before: 1764576000123}}},
 		"purge of a group": {number: 6, kind: 4,
-			notice: router.Notice{Purge: &router.Purge{Group: 0x0111, At: 1764576000480}}},
+			notice: router.WatchEvent{Purge: &router.Purge{Group: 0x0111, Before: 1764576000480}}},
 	}
 	pins := readPins(t)
 	if len(pins) != len(cases)+1 { // watchPin
@@ -73,7 +73,7 @@
 	want := readPins(t)[watchPin]
 	l := testwait.Listen(t)
 	w := &Watcher{Names: names, LastApplied: 0x0102030405060708, Clock: clock.NewFake(0), Log: zerolog.Nop(),
-		Apply: func(router.Notice) {}}
+		Apply: func(router.WatchEvent) {}}
 	w.SetAddress(l.Addr().String())
 	go w.Run(t.Context())
 	nc := testwait.Accept(t, l, "the watch")
@@ -89,17 +89,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []router.Notice{
-		{Whole: true, Servers: []router.Server{
+	want := []router.WatchEvent{
+		{IsSnapshot: true, Servers: []router.Server{
 			{ID: "s-00c41f7a", Addr: "10.1.0.9:5050", Zone: "central", Kind: "parent", Cell: 515, Status: "healthy",
-				Weight: 1.5, Started: 1764576000001},
+				Weight: 1.5, StartedAt: 1764576000001},
 			{ID: "s-00000002", Addr: "10.1.0.10:5050", Zone: "east", Kind: "std", Cell: 2, Status: "cordoned",
-				Weight: 4.25, Started: 1764576000002},
+				Weight: 4.25, StartedAt: 1764576000002},
 			{ID: "s-00000003", Addr: "10.1.0.11:5050", Zone: "east", Kind: "std", Cell: 3, Status: "deregistered",
-				Weight: 0.5, Started: 1764576000003}}},
+				Weight: 0.5, StartedAt: 1764576000003}}},
 		{},
-		{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", At: 1764576000123}},
-		{Purge: &router.Purge{Group: 17, At: 1764576000480}},
+		{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", Before: 1764576000123}},
+		{Purge: &router.Purge{Group: 17, Before: 1764576000480}},
 	}
 	last, got, err := ParseInitialEvents(text, names)
 	if err != nil || last != 44 || !reflect.DeepEqual(got, want) {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -14,13 +14,13 @@
 	endPort   = 32_000
 )
 
-var handedOut atomic.Uint32
+var addressesGiven atomic.Uint32
 
-// Free returns an address on which nobody listens. It differs from all that this process was given before, until the ports are used up,
+// FreeAddress returns an address on which nobody listens. It differs from all that this process was given before, until the ports are used up,
 // and from those of every other process: the host part follows from the process id. A port that the system picks for a listener which is
 // then closed has neither property, since the system soon gives it to somebody else.
-func Free() string {
+func FreeAddress() string {
 	pid := os.Getpid()
-	port := firstPort + (handedOut.Add(1)-1)%(endPort-firstPort)
+	port := firstPort + (addressesGiven.Add(1)-1)%(endPort-firstPort)
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+pid>>16&0x7f, pid>>8&0xff, pid&0xff, port)
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -10,7 +10,7 @@
 func TestFree(t *testing.T) {
 	seen := map[string]bool{}
 	for range 100 {
-		addr := Free()
+		addr := FreeAddress()
 		if seen[addr] {
 			t.Fatalf("%s was handed out twice", addr)
 		}
--- a/internal/manage/interleavings_test.go
+++ b/internal/manage/interleavings_test.go
@@ -67,24 +67,24 @@
 			}
 		}
 		claim(old)
-		if old.Replaced() {
+		if old.IsReplaced() {
 			t.Errorf("%s: replaced by itself", name)
 		}
 		staged, err := next.writeTemp(servingFile, 1) // its claim is written but not renamed yet
-		if err != nil || old.Replaced() {
+		if err != nil || old.IsReplaced() {
 			t.Errorf("%s: replaced by half a claim, %v", name, err)
 		}
 		staged.Close()
 		claim(next)
-		if !old.Replaced() || next.Replaced() {
+		if !old.IsReplaced() || next.IsReplaced() {
 			t.Errorf("%s: not replaced by one that serves", name)
 		}
 		end(next)
-		if old.Replaced() || next.Replaced() {
+		if old.IsReplaced() || next.IsReplaced() {
 			t.Errorf("%s: replaced by one that serves no longer", name)
 		}
 		claim(last)
-		if !old.Replaced() {
+		if !old.IsReplaced() {
 			t.Errorf("%s: not replaced by the one after it", name)
 		}
 		old.ReleaseServing()
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -31,21 +31,21 @@
 	maxIDLength    = 64
 )
 
-// Figure is one metric.
-type Figure struct {
-	Name  string // without the prefix
-	Value int64
-	Gauge bool // else a counter since the start of the process
+// Metric is one metric.
+type Metric struct {
+	Name    string // without the prefix
+	Value   int64
+	IsGauge bool // else a counter since the start of the process
 }
 
 // metricPrefix precedes every name (the operators' page).
 const metricPrefix = "app."
 
-// AppendFigures writes figures as StatsD lines, such as "app.outstanding:14|g".
-func AppendFigures(buf []byte, figures []Figure) []byte {
+// AppendMetrics writes figures as StatsD lines, such as "app.outstanding:14|g".
+func AppendMetrics(buf []byte, figures []Metric) []byte {
 	for _, f := range figures {
 		kind := "|c\n"
-		if f.Gauge {
+		if f.IsGauge {
 			kind = "|g\n"
 		}
 		buf = append(append(append(buf, metricPrefix...), f.Name...), ':')
@@ -56,8 +56,8 @@
 
 // Server answers the calls on the management address. Its exported fields are set before Serve.
 type Server struct {
-	Ready   func() bool
-	Figures func() []Figure
+	IsReady func() bool
+	Metrics func() []Metric
 	Exclude func(id string) error
 	Include func(id string) error
 	Drain   func()
@@ -104,14 +104,14 @@
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/ready", func(w http.ResponseWriter, _ *http.Request) {
-		if !s.Ready() {
+		if !s.IsReady() {
 			respond(w, http.StatusServiceUnavailable, "no\n")
 			return
 		}
 		respond(w, http.StatusOK, "yes\n")
 	})
 	mux.HandleFunc("GET /api/telemetry", func(w http.ResponseWriter, _ *http.Request) {
-		respond(w, http.StatusOK, string(AppendFigures(nil, s.Figures())))
+		respond(w, http.StatusOK, string(AppendMetrics(nil, s.Metrics())))
 	})
 	mux.HandleFunc("PUT /api/exclude/{id}", s.serverCall("taken out", s.Exclude))
 	mux.HandleFunc("PUT /api/include/{id}", s.serverCall("put back", s.Include))
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -57,13 +57,13 @@
 			return nil
 		}
 	}
-	s = &Server{Ready: c.ready.Load, Exclude: by("out"), Include: by("back"), Log: zerolog.Nop(),
+	s = &Server{IsReady: c.ready.Load, Exclude: by("out"), Include: by("back"), Log: zerolog.Nop(),
 		Drain: func() { c.note("empty"); c.ready.Store(false) }, Rejoin: func() { c.note("rejoin"); c.ready.Store(true) },
-		Figures: func() []Figure {
-			return []Figure{{Name: "results.page.succeeded", Value: 812}, {Name: "outstanding", Value: 14, Gauge: true}}
+		Metrics: func() []Metric {
+			return []Metric{{Name: "results.page.succeeded", Value: 812}, {Name: "outstanding", Value: 14, IsGauge: true}}
 		}}
 	ctx, stop := context.WithCancel(context.Background())
-	l, err := Listen(ctx, loopback.Free())
+	l, err := Listen(ctx, loopback.FreeAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 			}
 		})
 	}
-	testwait.GroupWithin(t, 2*testwait.Limit, &group, "all changes")
+	testwait.WaitGroupWithin(t, 2*testwait.Limit, &group, "all changes")
 	if err := change(fresh, "a", true); err != nil {
 		t.Fatal(err)
 	}
@@ -264,7 +264,7 @@
 			t.Fatal(err)
 		}
 	}
-	old.state.Restore(adopt(old))
+	old.state.RestoreExcluded(adopt(old))
 	if got := excluded(old)(); len(got) != 0 {
 		t.Errorf("the last one put back is still out at the other process: %v", got)
 	}
@@ -278,10 +278,10 @@
 func TestStateDirCorrupt(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStateDir(dir, zerolog.Nop())
-	if s.Replaced() {
+	if s.IsReplaced() {
 		t.Error("replaced by nobody")
 	}
-	if err := s.ClaimServing(); err != nil || s.Replaced() {
+	if err := s.ClaimServing(); err != nil || s.IsReplaced() {
 		t.Errorf("replaced by itself, %v", err)
 	}
 	for _, text := range []string{"", "{", `{"a":1}`, strings.Repeat(" ", maxFileBytes+1)} {
@@ -293,12 +293,12 @@
 		}
 	}
 	claim := filepath.Join(dir, servingFile)
-	if err := errors.Join(os.Remove(claim), os.WriteFile(claim, []byte("1"), 0o600)); err != nil || s.Replaced() {
+	if err := errors.Join(os.Remove(claim), os.WriteFile(claim, []byte("1"), 0o600)); err != nil || s.IsReplaced() {
 		t.Errorf("replaced by a claim that no living process holds, %v", err)
 	}
 	none := NewStateDir("", zerolog.Nop())
 	called := false
-	if err := none.ChangeExcluded(nil, func() error { called = true; return nil }, nil); err != nil || !called || none.ClaimServing() != nil || none.Replaced() {
+	if err := none.ChangeExcluded(nil, func() error { called = true; return nil }, nil); err != nil || !called || none.ClaimServing() != nil || none.IsReplaced() {
 		t.Error("without a state directory")
 	}
 }
--- a/internal/manage/socket.go
+++ b/internal/manage/socket.go
@@ -18,8 +18,8 @@
 	closed atomic.Bool
 }
 
-// Inherit returns the listening socket on a descriptor, which it takes over. Its error is that the descriptor is no such socket.
-func Inherit(fd int) (*Socket, error) {
+// InheritSocket returns the listening socket on a descriptor, which it takes over. Its error is that the descriptor is no such socket.
+func InheritSocket(fd int) (*Socket, error) {
 	on, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	switch {
 	case err != nil:
--- a/internal/manage/socket_test.go
+++ b/internal/manage/socket_test.go
@@ -36,7 +36,7 @@
 	var ends [2]chan error
 	var sockets [2]*Socket
 	for i := range sockets {
-		s, err := Inherit(fds[i])
+		s, err := InheritSocket(fds[i])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,7 @@
 	visit := func() {
 		c := testwait.Dial(t, addr)
 		there := testwait.Receive(t, accepted, "a connection to be accepted")
-		testwait.Bound(t, there)
+		testwait.BoundConn(t, there)
 		c.Write([]byte("x"))
 		var got [1]byte
 		if _, err := there.Read(got[:]); err != nil || got[0] != 'x' {
@@ -92,7 +92,7 @@
 // What is no listening socket is refused.
 func TestInheritWhatIsNone(t *testing.T) {
 	addr, fds := hold(t)
-	if _, err := Inherit(1 << 20); err == nil {
+	if _, err := InheritSocket(1 << 20); err == nil {
 		t.Error("took a descriptor that is not open")
 	}
 	c := testwait.Dial(t, addr)
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if _, err := Inherit(int(f.Fd())); err == nil {
+	if _, err := InheritSocket(int(f.Fd())); err == nil {
 		t.Error("took a connection")
 	}
 	for _, fd := range fds[:2] {
--- a/internal/manage/statedir.go
+++ b/internal/manage/statedir.go
@@ -28,11 +28,11 @@
 
 const (
 	// The files keep their names between releases: a process may replace one of an older release.
-	excludedFile = "spantack-outs.json"
-	lockFile     = "spantack-lock"
-	servingFile  = "spantack-serving"
-	beliefsFile  = "spantack-beliefs.json"
-	maxFileBytes = 256 << 10
+	excludedFile     = "spantack-outs.json"
+	lockFile         = "spantack-lock"
+	servingFile      = "spantack-serving"
+	learnedStateFile = "spantack-beliefs.json"
+	maxFileBytes     = 256 << 10
 	// watchInterval is how often excludedFile is checked for changes by the other process, in milliseconds. It must stay well under the
 	// 500 ms after which an exclusion binds.
 	watchInterval = 100
@@ -75,9 +75,9 @@
 	}
 }
 
-// Replaced reports whether another process has claimed since that it serves, and still does. The claim of one that died or is shutting down
+// IsReplaced reports whether another process has claimed since that it serves, and still does. The claim of one that died or is shutting down
 // does not count.
-func (d *StateDir) Replaced() bool {
+func (d *StateDir) IsReplaced() bool {
 	if d == nil {
 		return false
 	}
@@ -107,9 +107,9 @@
 	return ids, err
 }
 
-// Restore passes the excluded servers of the file to adopt. A missing or unreadable file changes nothing: it must neither undo a call nor keep
+// RestoreExcluded passes the excluded servers of the file to adopt. A missing or unreadable file changes nothing: it must neither undo a call nor keep
 // the router from serving.
-func (d *StateDir) Restore(adopt func([]string) error) {
+func (d *StateDir) RestoreExcluded(adopt func([]string) error) {
 	if d == nil {
 		return
 	}
@@ -122,17 +122,17 @@
 	}
 }
 
-// SaveBeliefs writes the beliefs every saveInterval until ctx ends, for the process that takes over. It writes nothing while this process is
+// SaveLearnedState writes the beliefs every saveInterval until ctx ends, for the process that takes over. It writes nothing while this process is
 // replaced, or older beliefs would overwrite newer ones.
-func (d *StateDir) SaveBeliefs(ctx context.Context, beliefs func() rules.LearnedState) error {
+func (d *StateDir) SaveLearnedState(ctx context.Context, beliefs func() rules.LearnedState) error {
 	if d == nil {
 		return nil
 	}
 	ticker := time.NewTicker(clock.Duration(saveInterval))
 	defer ticker.Stop()
 	for {
-		if !d.Replaced() {
-			if err := d.writeFile(beliefsFile, beliefs()); err != nil {
+		if !d.IsReplaced() {
+			if err := d.writeFile(learnedStateFile, beliefs()); err != nil {
 				d.log.Warn().Err(err).Msg("beliefs can't be left")
 			}
 		}
@@ -144,12 +144,12 @@
 	}
 }
 
-// LoadBeliefs reads the beliefs that the previous process saved; found is false where there are none.
-func (d *StateDir) LoadBeliefs() (b rules.LearnedState, found bool, err error) {
+// LoadLearnedState reads the beliefs that the previous process saved; found is false where there are none.
+func (d *StateDir) LoadLearnedState() (b rules.LearnedState, found bool, err error) {
 	if d == nil {
 		return b, false, nil
 	}
-	if err = d.readFile(beliefsFile, &b); errors.Is(err, fs.ErrNotExist) {
+	if err = d.readFile(learnedStateFile, &b); errors.Is(err, fs.ErrNotExist) {
 		return b, false, nil
 	}
 	return b, err == nil, err
@@ -171,7 +171,7 @@
 		return err
 	}
 	defer unlock()
-	d.Restore(adopt)
+	d.RestoreExcluded(adopt)
 	if err := change(); err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 		if err == nil && (adopted == nil || !os.SameFile(adopted, info) || info.ModTime() != adopted.ModTime()) {
 			if unlock, err := d.lock(syscall.LOCK_SH | syscall.LOCK_NB); err == nil {
 				adopted = info // from before the lock: a later write is noticed at the next tick
-				d.Restore(adopt)
+				d.RestoreExcluded(adopt)
 				unlock()
 			}
 		}
--- a/internal/manage/stored_compat_test.go
+++ b/internal/manage/stored_compat_test.go
@@ -34,7 +34,7 @@
 	if want := []string{"s-00c41f7a", "s-00000002"}; err != nil || !slices.Equal(ids, want) {
 		t.Fatalf("excluded: %v, %v, want %v", ids, err, want)
 	}
-	beliefs, found, err := old.LoadBeliefs()
+	beliefs, found, err := old.LoadLearnedState()
 	if err != nil || !found || len(beliefs.Servers) != 2 || beliefs.TakenAt != 1 ||
 		beliefs.Servers[1].Name == "" || beliefs.CancelBudget == 0 {
 		t.Fatalf("beliefs: %+v, %v, %v", beliefs, found, err)
@@ -55,7 +55,7 @@
 	defer d.servingLock.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // it is written once before the end is heeded
-	if err := d.SaveBeliefs(ctx, func() rules.LearnedState { return beliefs }); err != nil {
+	if err := d.SaveLearnedState(ctx, func() rules.LearnedState { return beliefs }); err != nil {
 		t.Fatal(err)
 	}
 	var names []string
--- a/internal/manage/wire_compat_test.go
+++ b/internal/manage/wire_compat_test.go
@@ -34,7 +34,7 @@
 	}
 	_, state, sample := serve(t)
 	log := make(logged, 4)
-	s := &Server{Ready: sample.Ready, Figures: sample.Figures, Exclude: sample.Exclude, Include: sample.Include,
+	s := &Server{IsReady: sample.IsReady, Metrics: sample.Metrics, Exclude: sample.Exclude, Include: sample.Include,
 		Drain: sample.Drain, Rejoin: sample.Rejoin, Log: zerolog.New(log)}
 	l := testwait.Listen(t)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/msgpackrpc/call.go
+++ b/internal/msgpackrpc/call.go
@@ -37,7 +37,7 @@
 		s.recordFault(fmt.Errorf("request: %w", err))
 		return c.enqueue(answer{parts: net.Buffers{appendError(nil, m.id, "Error", "reason", err.Error())}})
 	}
-	q.Arrived = arrived
+	q.ArrivedAt = arrived
 	if s.refusesRequests() {
 		return c.refuse(m, drainCooldown)
 	}
@@ -62,13 +62,13 @@
 	case !room:
 		return c.refuse(m, fullCooldown)
 	}
-	q.Departed = func() bool { return c.departed(one) }
+	q.ClientDeparted = func() bool { return c.departed(one) }
 	requests.Go(func() {
 		defer s.reserve(-cost)
 		a := s.handle(one, q)
 		c.addUnsent(1) // or the connection might be evicted before the answer is queued
 		defer c.addUnsent(-1)
-		if c.finish(m.id, own) && a.Verdict != router.None {
+		if c.finish(m.id, own) && a.Outcome != router.NoResponse {
 			if err := c.answer(m.id, a); err != nil {
 				s.recordFault(err)
 				c.net.Close()
@@ -87,10 +87,10 @@
 }
 
 // handle calls Handle and turns a panic into a failed answer.
-func (s *Server) handle(ctx context.Context, q router.Request) (a router.Answer) {
+func (s *Server) handle(ctx context.Context, q router.Request) (a router.Response) {
 	defer func() {
 		if p := recover(); p != nil {
-			a = router.Answer{Verdict: router.Failed}
+			a = router.Response{Outcome: router.Failed}
 			s.Log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("request failed")
 		}
 	}()
@@ -132,8 +132,8 @@
 }
 
 // answer queues the final answer to a request.
-func (c *conn) answer(id uint64, a router.Answer) error {
-	switch a.Verdict {
+func (c *conn) answer(id uint64, a router.Response) error {
+	switch a.Outcome {
 	case router.Served:
 		size := int64(len(a.Body))
 		if !c.server.reserveAnswer(c, size) { // bounds the memory held by clients that do not read
@@ -141,11 +141,11 @@
 		}
 		head := appendBinHead(append(appendResult(nil, id), 0x92), len(a.Body))
 		tail := appendFields(nil)
-		if a.Same {
+		if a.NotModified {
 			tail = appendFields(nil, "keep", "1")
 		}
 		return c.enqueue(answer{parts: net.Buffers{head, a.Body, tail}, size: size})
-	case router.Refused:
+	case router.Rejected:
 		wait := strconv.FormatFloat(a.RetryAfter, 'f', 0, 64)
 		return c.enqueue(answer{parts: net.Buffers{appendError(nil, id, "Full", "cooldown", wait)}})
 	default:
--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -34,7 +34,7 @@
 }
 
 type result struct {
-	answer router.Answer
+	answer router.Response
 	ready  bool
 	err    error
 }
@@ -54,10 +54,10 @@
 func (c *Client) Close() error { return c.conn.Close() }
 
 // Do sends a request and waits for its answer. When ctx ends first the router is told, and no answer is owed.
-func (c *Client) Do(ctx context.Context, q router.Request) (router.Answer, error) {
-	pairs := []string{"ref", q.ID, "allow", strconv.FormatFloat(q.Allow, 'f', 0, 64)}
-	for _, f := range [][2]string{{"replay", q.Key}, {"lookup", q.Object}, {"block", strconv.FormatInt(q.Part, 10)},
-		{"family", strconv.FormatInt(q.Group, 10)}, {"room", strconv.FormatFloat(q.SizeKb, 'f', -1, 64)}, {"cached", q.Have}} {
+func (c *Client) Do(ctx context.Context, q router.Request) (router.Response, error) {
+	pairs := []string{"ref", q.ID, "allow", strconv.FormatFloat(q.ClientTimeout, 'f', 0, 64)}
+	for _, f := range [][2]string{{"replay", q.IdempotencyKey}, {"lookup", q.Object}, {"block", strconv.FormatInt(q.Chunk, 10)},
+		{"family", strconv.FormatInt(q.PurgeGroup, 10)}, {"room", strconv.FormatFloat(q.SizeKB, 'f', -1, 64)}, {"cached", q.ClientETag}} {
 		if f[1] != "" {
 			pairs = append(pairs, f[0], f[1])
 		}
@@ -170,9 +170,9 @@
 		if len(list) > 1 {
 			fields, _ = list[1].(map[string]any)
 		}
-		r.answer.Verdict = router.Failed
+		r.answer.Outcome = router.Failed
 		if word == "Full" {
-			r.answer.Verdict = router.Refused
+			r.answer.Outcome = router.Rejected
 			text, _ := fields["cooldown"].(string)
 			r.answer.RetryAfter, _ = strconv.ParseFloat(text, 64) // none is 0
 		}
@@ -186,11 +186,11 @@
 	case bool:
 		r.ready = body
 	case []byte:
-		r.answer.Verdict, r.answer.Body = router.Served, body
+		r.answer.Outcome, r.answer.Body = router.Served, body
 	default:
 		return r, fmt.Errorf("%w: no body", errMalformed)
 	}
 	fields, _ := list[1].(map[string]any)
-	r.answer.Same = fields["keep"] == "1"
+	r.answer.NotModified = fields["keep"] == "1"
 	return r, nil
 }
--- a/internal/msgpackrpc/codec_test.go
+++ b/internal/msgpackrpc/codec_test.go
@@ -137,8 +137,8 @@
 			"family": "17", "room": "412.5", "cached": "4be0c1927d55a6f3", "replay": "5c0f6e1a2b3d4c59"}
 	}
 	q, err := parseRequest("segment", []any{good(), []byte("body")}, true)
-	if err != nil || q.ID != "9b1f03aa5c7e2d41" || q.Allow != 1500 || q.Object != "7f3a9c21e0b4d655" || q.Part != 3 ||
-		q.Group != 17 || q.SizeKb != 412.5 || q.Have != "4be0c1927d55a6f3" || q.Key != "5c0f6e1a2b3d4c59" ||
+	if err != nil || q.ID != "9b1f03aa5c7e2d41" || q.ClientTimeout != 1500 || q.Object != "7f3a9c21e0b4d655" || q.Chunk != 3 ||
+		q.PurgeGroup != 17 || q.SizeKB != 412.5 || q.ClientETag != "4be0c1927d55a6f3" || q.IdempotencyKey != "5c0f6e1a2b3d4c59" ||
 		string(q.Body) != "body" || q.Class != "segment" {
 		t.Fatalf("%+v, %v", q, err)
 	}
--- a/internal/msgpackrpc/interleavings_test.go
+++ b/internal/msgpackrpc/interleavings_test.go
@@ -80,9 +80,9 @@
 
 // A cancelled request's handler ends when its message id stands for another request: that one still gets its answer.
 func TestIdUsedAgainAfterCancel(t *testing.T) {
-	enter, leave := make(chan string), make(chan router.Answer)
+	enter, leave := make(chan string), make(chan router.Response)
 	c := start(t, func(s *Server) {
-		s.Handle = func(_ context.Context, q router.Request) router.Answer { // ends when the test says so, cancelled or not
+		s.Handle = func(_ context.Context, q router.Request) router.Response { // ends when the test says so, cancelled or not
 			enter <- q.ID
 			return <-leave
 		}
@@ -94,13 +94,13 @@
 	if id := testwait.Receive(t, enter, "the second request"); id != "0000000000000002" {
 		t.Fatalf("asked %s", id)
 	}
-	testwait.Send(t, leave, router.Answer{}, "the end of a handler") // either of them: both wait for the same word, so it is said twice
+	testwait.Send(t, leave, router.Response{}, "the end of a handler") // either of them: both wait for the same word, so it is said twice
 	testwait.Until(t, "one handler to end", func() bool {
 		c.Server.mu.Lock()
 		defer c.Server.mu.Unlock()
 		return c.queued == requestCost
 	})
-	testwait.Send(t, leave, router.Answer{Verdict: router.Failed}, "the end of the other handler")
+	testwait.Send(t, leave, router.Response{Outcome: router.Failed}, "the end of the other handler")
 	c.expect("[1 1 [Error map[]] <nil>]")
 }
 
@@ -145,7 +145,7 @@
 	ctx, giveUp := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		_, err := caller.Do(ctx, router.Request{ID: "0000000000000001", Class: "page", Allow: 1500})
+		_, err := caller.Do(ctx, router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1500})
 		ended <- err
 	}()
 	a := c.next()
@@ -204,11 +204,11 @@
 	// No one writes for a connection made here: what is answered on it waits, as for a client that does not read.
 	deaf := &conn{server: c.Server, queue: make(chan answer, queueRoom)}
 	for id := range uint64(queueRoom) {
-		if err := deaf.answer(id, router.Answer{Verdict: router.Served, Body: make([]byte, large)}); err != nil {
+		if err := deaf.answer(id, router.Response{Outcome: router.Served, Body: make([]byte, large)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	asked.reply(t, router.Answer{Verdict: router.Served, Body: make([]byte, large)})
+	asked.reply(t, router.Response{Outcome: router.Served, Body: make([]byte, large)})
 	d := decoder{in: c.in, left: 2 * large, most: 2 * large}
 	v, err := d.value(0)
 	if list, _ := v.([]any); err != nil || len(list) != 4 || list[2] != nil {
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -126,12 +126,12 @@
 	}
 	q.ID = hex("ref", true)
 	q.Object = hex("lookup", false)
-	q.Key = text("replay", keyed)
-	q.Have = text("cached", false)
-	q.Allow = number("allow", 1, longestAllow)
-	q.Part = whole("block", mostPart)
-	q.Group = whole("family", mostGroup)
-	q.SizeKb = number("room", 0, 1e9)
+	q.IdempotencyKey = text("replay", keyed)
+	q.ClientETag = text("cached", false)
+	q.ClientTimeout = number("allow", 1, longestAllow)
+	q.Chunk = whole("block", mostPart)
+	q.PurgeGroup = whole("family", mostGroup)
+	q.SizeKB = number("room", 0, 1e9)
 	return q, err
 }
 
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -41,7 +41,7 @@
 
 // Server serves clients over MessagePack-RPC. Its exported fields are set before Serve.
 type Server struct {
-	Handle    func(context.Context, router.Request) router.Answer
+	Handle    func(context.Context, router.Request) router.Response
 	Ready     func() bool
 	Keyed     map[string]bool    // the classes, and whether their requests carry an idempotency key; Retune changes them
 	OnRefused func(class string) // called with the class of each request that is refused here; may be nil
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -34,7 +34,7 @@
 type asked struct {
 	router.Request
 	ctx    context.Context
-	answer chan router.Answer
+	answer chan router.Response
 }
 
 func start(t *testing.T, setup ...func(*Server)) *client {
@@ -43,14 +43,14 @@
 	c := &client{t: t, asked: make(chan *asked, 4), ended: make(chan error, 1), addr: l.Addr().String()}
 	s := &Server{Ready: func() bool { return true }, Keyed: map[string]bool{"page": false, "report": true}, MaxConns: 2,
 		MaxQueued: 1 << 20, Patience: 60_000, Clock: &clock.Clock{}, Log: zerolog.Nop(),
-		Handle: func(ctx context.Context, q router.Request) router.Answer {
-			a := &asked{q, ctx, make(chan router.Answer)}
+		Handle: func(ctx context.Context, q router.Request) router.Response {
+			a := &asked{q, ctx, make(chan router.Response)}
 			c.asked <- a
 			select {
 			case answer := <-a.answer:
 				return answer
 			case <-ctx.Done():
-				return router.Answer{}
+				return router.Response{}
 			}
 		}}
 	c.Server = s
@@ -96,7 +96,7 @@
 }
 
 // reply ends a request at the handler.
-func (a *asked) reply(t *testing.T, answer router.Answer) {
+func (a *asked) reply(t *testing.T, answer router.Response) {
 	t.Helper()
 	testwait.Send(t, a.answer, answer, "the answer to "+a.ID)
 }
@@ -131,14 +131,14 @@
 		a := c.next()
 		byRef[a.ID] = a
 	}
-	byRef["0000000000000004"].reply(t, router.Answer{Verdict: router.Served, Body: []byte{0, 255}})
+	byRef["0000000000000004"].reply(t, router.Response{Outcome: router.Served, Body: []byte{0, 255}})
 	c.expect("[1 4 <nil> [[0 255] map[]]]")
-	byRef["0000000000000002"].reply(t, router.Answer{Verdict: router.Served, Same: true})
+	byRef["0000000000000002"].reply(t, router.Response{Outcome: router.Served, NotModified: true})
 	c.expect("[1 2 <nil> [[] map[keep:1]]]")
-	byRef["0000000000000003"].reply(t, router.Answer{Verdict: router.Refused, RetryAfter: 99.6})
+	byRef["0000000000000003"].reply(t, router.Response{Outcome: router.Rejected, RetryAfter: 99.6})
 	c.expect("[1 3 [Full map[cooldown:100]] <nil>]")
 	c.request(5, "page", "0000000000000005")
-	c.next().reply(t, router.Answer{Verdict: router.Failed})
+	c.next().reply(t, router.Response{Outcome: router.Failed})
 	c.expect("[1 5 [Error map[]] <nil>]")
 }
 
@@ -161,7 +161,7 @@
 	c.Write(encode(nil, []any{uint64(2), "cancel", []any{uint64(1), uint64(99)}}))
 	a.cancelled(t)
 	c.request(2, "page", "0000000000000002")
-	c.next().reply(t, router.Answer{Verdict: router.Failed})
+	c.next().reply(t, router.Response{Outcome: router.Failed})
 	c.expect("[1 2 [Error map[]] <nil>]")
 }
 
@@ -193,7 +193,7 @@
 	c.request(1, "page", "0000000000000001")
 	a := c.next()
 	c.stop()
-	a.reply(t, router.Answer{Verdict: router.Served, Body: []byte("x")})
+	a.reply(t, router.Response{Outcome: router.Served, Body: []byte("x")})
 	c.expect("[1 1 <nil> [[120] map[]]]")
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("after the last answer: %v", err)
@@ -212,7 +212,7 @@
 	c.stop()
 	testwait.Until(t, "the end of accepting", c.closesConnections)
 	time.Sleep(10 * patience * time.Millisecond)
-	a.reply(t, router.Answer{Verdict: router.Failed})
+	a.reply(t, router.Response{Outcome: router.Failed})
 	c.expect("[1 1 [Error map[]] <nil>]")
 	c.finish()
 
@@ -234,10 +234,10 @@
 	c.Write(text[:9])
 	c.expect("[1 3 [Error map[reason:unknown method]] <nil>]")
 	c.stop()
-	a.reply(t, router.Answer{Verdict: router.Failed})
+	a.reply(t, router.Response{Outcome: router.Failed})
 	c.expect("[1 1 [Error map[]] <nil>]")
 	c.Write(text[9:])
-	c.next().reply(t, router.Answer{Verdict: router.Failed})
+	c.next().reply(t, router.Response{Outcome: router.Failed})
 	c.expect("[1 2 [Error map[]] <nil>]")
 }
 
@@ -260,9 +260,9 @@
 	if class := testwait.Receive(t, turned, "a request that was refused"); class != "page" {
 		t.Errorf("refused a request of %q", class)
 	}
-	a.reply(t, router.Answer{Verdict: router.Served, Body: []byte("x")})
+	a.reply(t, router.Response{Outcome: router.Served, Body: []byte("x")})
 	c.expect("[1 1 <nil> [[120] map[]]]")
-	b.reply(t, router.Answer{Verdict: router.Failed})
+	b.reply(t, router.Response{Outcome: router.Failed})
 	c.expect("[1 2 [Error map[]] <nil>]")
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("after the last answer: %v", err)
@@ -273,7 +273,7 @@
 	}
 	again := c.another()
 	again.request(1, "page", "0000000000000004")
-	again.next().reply(t, router.Answer{Verdict: router.Failed})
+	again.next().reply(t, router.Response{Outcome: router.Failed})
 	again.expect("[1 1 [Error map[]] <nil>]")
 }
 
@@ -284,7 +284,7 @@
 	c.request(1, "page", "0000000000000001")
 	c.expect("[1 1 [Error map[reason:unknown method]] <nil>]")
 	c.request(2, "price", "0000000000000002")
-	c.next().reply(t, router.Answer{Verdict: router.Failed})
+	c.next().reply(t, router.Response{Outcome: router.Failed})
 	c.expect("[1 2 [Error map[]] <nil>]")
 }
 
@@ -292,14 +292,14 @@
 func TestQueueBounds(t *testing.T) {
 	s := &Server{MaxQueued: 100, Clock: &clock.Clock{}}
 	c := &conn{server: s, queue: make(chan answer, 1)}
-	if err := c.answer(1, router.Answer{Verdict: router.Served, Body: make([]byte, 80)}); err != nil {
+	if err := c.answer(1, router.Response{Outcome: router.Served, Body: make([]byte, 80)}); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.answer(2, router.Answer{Verdict: router.Served, Body: make([]byte, 10)}); err == nil || s.queued != 80 {
+	if err := c.answer(2, router.Response{Outcome: router.Served, Body: make([]byte, 10)}); err == nil || s.queued != 80 {
 		t.Errorf("a full queue takes another answer: %v, %d bytes booked", err, s.queued)
 	}
 	testwait.Receive(t, c.queue, "the first answer in the queue")
-	if err := c.answer(3, router.Answer{Verdict: router.Served, Body: make([]byte, 30)}); err != nil || s.queued != 80 {
+	if err := c.answer(3, router.Response{Outcome: router.Served, Body: make([]byte, 30)}); err != nil || s.queued != 80 {
 		t.Errorf("%v, %d bytes booked", err, s.queued)
 	}
 	if text := string(testwait.Receive(t, c.queue, "an answer in the queue").parts[0]); text != string(appendError(nil, 3, "Error", "reason", "too many answers wait")) {
@@ -313,7 +313,7 @@
 func TestQuietGivesWay(t *testing.T) {
 	c := start(t) // with two places
 	c.request(1, "page", "0000000000000001")
-	c.next().reply(t, router.Answer{Verdict: router.Failed})
+	c.next().reply(t, router.Response{Outcome: router.Failed})
 	c.expect("[1 1 [Error map[]] <nil>]")
 	testwait.Until(t, "the answer to be booked", func() bool { // the client may have it a moment before
 		c.Server.mu.Lock()
@@ -341,7 +341,7 @@
 		t.Error("a connection found a place where all were owed answers")
 	}
 	for _, a := range []*asked{owed, other} {
-		a.reply(t, router.Answer{Verdict: router.Failed})
+		a.reply(t, router.Response{Outcome: router.Failed})
 	}
 	busy.expect("[1 1 [Error map[]] <nil>]")
 	next.expect("[1 1 [Error map[]] <nil>]")
--- a/internal/msgpackrpc/wire_compat_test.go
+++ b/internal/msgpackrpc/wire_compat_test.go
@@ -46,8 +46,8 @@
 
 // every is a request with all that a client can say.
 func every() router.Request {
-	return router.Request{ID: "9b1f00000000c0de", Class: "report", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
-		SizeKb: 6.5, Key: "key-1", Have: "tag.2", Allow: 1500, Body: []byte("\x00body\xff")}
+	return router.Request{ID: "9b1f00000000c0de", Class: "report", Object: "7f3a9c21e0b4d655", Chunk: 3, PurgeGroup: 17,
+		SizeKB: 6.5, IdempotencyKey: "key-1", ClientETag: "tag.2", ClientTimeout: 1500, Body: []byte("\x00body\xff")}
 }
 
 // serverConn is a connection of a server on which messages are handled one by one; its answers stay in the queue.
@@ -56,11 +56,11 @@
 	asked chan router.Request
 }
 
-func newServerConn(end router.Answer) serverConn {
+func newServerConn(end router.Response) serverConn {
 	asked := make(chan router.Request, 1)
 	s := &Server{Ready: func() bool { return true }, Keyed: map[string]bool{"page": false, "report": true},
 		MaxQueued: 1 << 20, Clock: clock.NewFake(1e6), Log: zerolog.Nop(),
-		Handle: func(_ context.Context, q router.Request) router.Answer {
+		Handle: func(_ context.Context, q router.Request) router.Response {
 			asked <- q
 			return end
 		}}
@@ -95,8 +95,8 @@
 func TestRequestsCompat(t *testing.T) {
 	pins := readPins(t)
 	all := every()
-	bare := router.Request{ID: "0000000000000001", Class: "page", Allow: 1}
-	text := router.Request{ID: "0000000000000001", Class: "page", Allow: 1, Body: []byte("text")}
+	bare := router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1}
+	text := router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1, Body: []byte("text")}
 	for name, want := range map[string]router.Request{
 		"request with all fields":               all,
 		"request with the least, no body":       bare,
@@ -104,10 +104,10 @@
 		"request with wide numbers and lengths": text,
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newServerConn(router.Answer{Verdict: router.Failed})
+			c := newServerConn(router.Response{Outcome: router.Failed})
 			c.handle(t, pins[name])
 			got := <-c.asked
-			got.Departed = nil
+			got.ClientDeparted = nil
 			if len(want.Body) == 0 {
 				got.Body = nil
 			}
@@ -120,7 +120,7 @@
 
 // A cancelled request has no answer, and its handler is told.
 func TestCancelCompat(t *testing.T) {
-	c := newServerConn(router.Answer{})
+	c := newServerConn(router.Response{})
 	told := false
 	c.open[1] = &openRequest{cancel: func() { told = true }}
 	if got := c.handle(t, readPins(t)["cancel of message 1"]); got != "" || !told || len(c.open) != 0 {
@@ -130,20 +130,20 @@
 
 // What the server writes for each way a request can end.
 func TestAnswersCompat(t *testing.T) {
-	for name, a := range map[string]router.Answer{
-		"served":                     {Verdict: router.Served, Body: []byte("\x00body\xff")},
-		"served, body of 300 bytes":  {Verdict: router.Served, Body: bytes.Repeat([]byte("x"), 300)},
-		"served, client's own copy":  {Verdict: router.Served, Same: true},
-		"refused, retry after 99.6":  {Verdict: router.Refused, RetryAfter: 99.6},
-		"refused, retry after 12345": {Verdict: router.Refused, RetryAfter: 12345},
-		"failed":                     {Verdict: router.Failed},
+	for name, a := range map[string]router.Response{
+		"served":                     {Outcome: router.Served, Body: []byte("\x00body\xff")},
+		"served, body of 300 bytes":  {Outcome: router.Served, Body: bytes.Repeat([]byte("x"), 300)},
+		"served, client's own copy":  {Outcome: router.Served, NotModified: true},
+		"refused, retry after 99.6":  {Outcome: router.Rejected, RetryAfter: 99.6},
+		"refused, retry after 12345": {Outcome: router.Rejected, RetryAfter: 12345},
+		"failed":                     {Outcome: router.Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			wantBytes(t, name, newServerConn(a).handle(t, readPins(t)["request with all fields"]))
 		})
 	}
 	t.Run("none", func(t *testing.T) {
-		c := newServerConn(router.Answer{Verdict: router.None})
+		c := newServerConn(router.Response{Outcome: router.NoResponse})
 		if got := c.handle(t, readPins(t)["request with all fields"]); got != "" {
 			t.Errorf("a client that has left was written %+q", got)
 		}
@@ -170,7 +170,7 @@
 		"health, message id 18446744073709551615": {"health request, id 18446744073709551615", func(*Server) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			sc := newServerConn(router.Answer{Verdict: router.Served, Body: make([]byte, 100)})
+			sc := newServerConn(router.Response{Outcome: router.Served, Body: make([]byte, 100)})
 			if c.set != nil {
 				c.set(sc.server)
 			} else { // room for the request, and none for its answer
@@ -196,7 +196,7 @@
 	for name, do := range map[string]func(*Client) error{
 		"request with all fields": func(c *Client) error { _, err := c.Do(given, every()); return err },
 		"request with the least, no body": func(c *Client) error {
-			_, err := c.Do(given, router.Request{ID: "0000000000000001", Class: "page", Allow: 1})
+			_, err := c.Do(given, router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1})
 			return err
 		},
 		"health request": func(c *Client) error { _, err := c.Ready(given); return err },
@@ -222,13 +222,13 @@
 // What the client reads the answers as.
 func TestClientReadsCompat(t *testing.T) {
 	for name, want := range map[string]result{
-		"served":                     {answer: router.Answer{Verdict: router.Served, Body: []byte("\x00body\xff")}},
-		"served, client's own copy":  {answer: router.Answer{Verdict: router.Served, Body: []byte{}, Same: true}},
-		"refused, retry after 12345": {answer: router.Answer{Verdict: router.Refused, RetryAfter: 12345}},
-		"failed":                     {answer: router.Answer{Verdict: router.Failed}},
-		"unknown method":             {answer: router.Answer{Verdict: router.Failed}},
-		"full":                       {answer: router.Answer{Verdict: router.Refused, RetryAfter: 100}},
-		"drained":                    {answer: router.Answer{Verdict: router.Refused, RetryAfter: 1000}},
+		"served":                     {answer: router.Response{Outcome: router.Served, Body: []byte("\x00body\xff")}},
+		"served, client's own copy":  {answer: router.Response{Outcome: router.Served, Body: []byte{}, NotModified: true}},
+		"refused, retry after 12345": {answer: router.Response{Outcome: router.Rejected, RetryAfter: 12345}},
+		"failed":                     {answer: router.Response{Outcome: router.Failed}},
+		"unknown method":             {answer: router.Response{Outcome: router.Failed}},
+		"full":                       {answer: router.Response{Outcome: router.Rejected, RetryAfter: 100}},
+		"drained":                    {answer: router.Response{Outcome: router.Rejected, RetryAfter: 1000}},
 		"health, ready":              {ready: true},
 		"health, not ready":          {},
 	} {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -232,7 +232,7 @@
 func (t *Transport) maintainLimits(ctx context.Context) error {
 	for ctx.Err() == nil {
 		out, refused := t.OriginLoad()
-		now := clock.Micros(t.Clock.Steady())
+		now := clock.Micros(t.Clock.Monotonic())
 		t.mu.Lock()
 		if t.OnQuota != nil {
 			t.Fleet.SetDemand(originLimit, float64(out)+float64(refused-t.rejectedCounted)+1)
@@ -301,7 +301,7 @@
 
 // receiveFleet takes in a datagram of the fleet's limits, and sends what it calls for.
 func (t *Transport) receiveFleet(rank int, datagram []byte, from netip.AddrPort) {
-	now := clock.Micros(t.Clock.Steady())
+	now := clock.Micros(t.Clock.Monotonic())
 	t.mu.Lock()
 	err := t.Fleet.Receive(now, rank, datagram)
 	share := t.quota(now)
@@ -345,5 +345,5 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.Fleet.LimitStatuses(clock.Micros(t.Clock.Steady())), t.Fleet.LiveCount()
+	return t.Fleet.LimitStatuses(clock.Micros(t.Clock.Monotonic())), t.Fleet.LiveCount()
 }
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -14,28 +14,28 @@
 	attempt      router.Attempt
 	chosen       float64
 	sent         float64
-	conn         *conn       // nil until a connection takes it
-	writeBegun   bool        // the writer has begun on it: only now can an answer be its own
-	fullyWritten bool        // all of it was handed to the socket
-	endsAt       int64       // where it ends among the bytes of its connection, once it is whole
-	ambiguous    bool        // another attempt of its id ended on this connection: an answer may be that one's
-	answer       *router.End // to a call in doubt, told once what may be out for it was given up
+	conn         *conn                 // nil until a connection takes it
+	writeBegun   bool                  // the writer has begun on it: only now can an answer be its own
+	fullyWritten bool                  // all of it was handed to the socket
+	endsAt       int64                 // where it ends among the bytes of its connection, once it is whole
+	ambiguous    bool                  // another attempt of its id ended on this connection: an answer may be that one's
+	answer       *router.AttemptResult // to a call in doubt, told once what may be out for it was given up
 	finished     bool
-	done         chan router.End
+	done         chan router.AttemptResult
 }
 
 // end hands the attempt's end to whoever waits for it. Pools.mu is held.
-func (k *call) end(e router.End) {
+func (k *call) end(e router.AttemptResult) {
 	if !k.finished {
 		k.finished = true
 		k.done <- e
 	}
 }
 
-// Done implements router.Call.
-func (k *call) Done() <-chan router.End { return k.done }
+// Done implements router.PendingAttempt.
+func (k *call) Done() <-chan router.AttemptResult { return k.done }
 
-// Drop implements router.Call. An attempt on which the writer has not begun is taken back: the server never hears of it.
+// Cancel implements router.PendingAttempt. An attempt on which the writer has not begun is taken back: the server never hears of it.
 // For others Drop waits for the DROP to be written, and closes a connection on which nothing was heard since the attempt
 // went out: a machine that is cut off reads no DROP, but the close gives up all that is open on it. Both guard the rule
 // that a request has one attempt out at a time, since its next one may go anywhere. A DROP that can't be written soon,
@@ -43,7 +43,7 @@
 // where the attempt itself is stuck, since it must not arrive after it was given up. Else, where no attempt can follow,
 // the connection stays unless it has been silent for a while: a client in a hurry tells nothing of it. An attempt that still waits in the
 // socket's send queue, since its server does not read, is thrown away with the connection.
-func (k *call) Drop(again bool) {
+func (k *call) Cancel(again bool) {
 	p := k.pools
 	p.mu.Lock()
 	c := k.conn
@@ -95,7 +95,7 @@
 // the choice of its server, and that on effects: a repeat must not leave once its class no longer drops repeats. Pools.mu is held.
 func (k *call) remaining() float64 {
 	most := math.Inf(1)
-	for _, limit := range []float64{k.pools.opt.MaxWait, k.attempt.Within} {
+	for _, limit := range []float64{k.pools.opt.MaxWait, k.attempt.SendWithin} {
 		if limit > 0 {
 			most = min(most, limit)
 		}
--- a/internal/resp/codec.go
+++ b/internal/resp/codec.go
@@ -119,24 +119,24 @@
 	}
 	put("sort", a.Class)
 	put("asset", a.Object)
-	put("slice", strconv.FormatInt(a.Part, 10))
-	put("patience", wholeMillis(a.Patience))
-	put("op", a.Key)
+	put("slice", strconv.FormatInt(a.Chunk, 10))
+	put("patience", wholeMillis(a.Timeout))
+	put("op", a.IdempotencyKey)
 	put("next", a.Source)
-	if a.Keep > 0 {
-		put("admit", strconv.Itoa(a.Keep))
+	if a.RetentionRank > 0 {
+		put("admit", strconv.Itoa(a.RetentionRank))
 	}
 	if a.MaxAge > 0 {
 		put("agelim", wholeMillis(a.MaxAge))
 	}
 	var how []string
 	for _, w := range ways {
-		if a.How&w.bit != 0 {
+		if a.FetchFlags&w.bit != 0 {
 			how = append(how, w.word)
 		}
 	}
 	put("ways", strings.Join(how, "+"))
-	put("cached", a.Have)
+	put("cached", a.ClientETag)
 	return AppendArray(buf, []byte("GET"), []byte(a.ID), []byte(fields.String()), a.Body)
 }
 
@@ -154,7 +154,7 @@
 	"PEER_DENY": 6, "PEER_DEAD": 7, "PEER_MISS": 8, "FILL_FULL": 9, "ROOT_FAIL": 10}
 
 // parseAnswer reads ID WORD FIELDS BODY. Unknown fields are skipped, unknown words are not.
-func parseAnswer(parts [][]byte) (id string, end router.End, err error) {
+func parseAnswer(parts [][]byte) (id string, end router.AttemptResult, err error) {
 	if len(parts) < 2 || len(parts) > bodyPlace+1 {
 		return "", end, fmt.Errorf("%w: %d parts", errMalformed, len(parts))
 	}
@@ -164,7 +164,7 @@
 	if !known {
 		return "", end, fmt.Errorf("%w: unknown word %.20q", errMalformed, word)
 	}
-	end.Code, end.Same = code, word == "SAME"
+	end.Outcome, end.NotModified = code, word == "SAME"
 	if word == "OK" {
 		if len(parts) <= bodyPlace {
 			return "", end, fmt.Errorf("%w: OK without a body", errMalformed)
@@ -178,18 +178,18 @@
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
 		case "n":
-			if end.Note, known = notes[value]; !known {
+			if end.CacheStatus, known = notes[value]; !known {
 				return "", end, fmt.Errorf("%w: unknown note %.20q", errMalformed, value)
 			}
 		case "l":
-			end.Load = value // the router reads it: what it must hold stands in the settings
+			end.LoadReport = value // the router reads it: what it must hold stands in the settings
 		case "t0":
 			if made, bad := strconv.ParseUint(value, 10, 53); bad == nil { // else it is not told: no answer rests on it alone
-				end.Made = float64(made)
+				end.CopyMadeAt = float64(made)
 			}
 		case "slow":
-			end.Waited, err = strconv.ParseFloat(value, 64)
-			if err != nil || !(end.Waited >= 0 && end.Waited < 1e9) {
+			end.SourceWait, err = strconv.ParseFloat(value, 64)
+			if err != nil || !(end.SourceWait >= 0 && end.SourceWait < 1e9) {
 				return "", end, fmt.Errorf("%w: slow=%.20q", errMalformed, value)
 			}
 		}
--- a/internal/resp/codec_test.go
+++ b/internal/resp/codec_test.go
@@ -76,23 +76,23 @@
 func TestAnswers(t *testing.T) {
 	for _, c := range []struct {
 		parts []string
-		want  router.End
+		want  router.AttemptResult
 	}{
 		{[]string{"a", "OK", "sum=1f,t0=1764576000123,n=TCP_MISS_ROOT,slow=41.5", "bytes"},
-			router.End{Code: rules.OutcomeServed, Note: 3, Waited: 41.5, Body: []byte("bytes"), Made: 1764576000123}},
-		{[]string{"a", "SAME", "n=TCP_HIT", ""}, router.End{Code: rules.OutcomeServed, Note: 1, Same: true}},
-		{[]string{"a", "MISS", "n=PEER_DEAD,slow=800", ""}, router.End{Code: rules.OutcomeMiss, Note: 7, Waited: 800}},
-		{[]string{"a", "BUSY", "n=PEER_DENY", "why"}, router.End{Code: rules.OutcomeRejected, Note: 6}},
-		{[]string{"a", "ERR", "n=ROOT_FAIL", ""}, router.End{Code: rules.OutcomeError, Note: 10}},
-		{[]string{"a", "VOID", "-"}, router.End{Code: rules.OutcomeSkipped}},
+			router.AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 3, SourceWait: 41.5, Body: []byte("bytes"), CopyMadeAt: 1764576000123}},
+		{[]string{"a", "SAME", "n=TCP_HIT", ""}, router.AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 1, NotModified: true}},
+		{[]string{"a", "MISS", "n=PEER_DEAD,slow=800", ""}, router.AttemptResult{Outcome: rules.OutcomeMiss, CacheStatus: 7, SourceWait: 800}},
+		{[]string{"a", "BUSY", "n=PEER_DENY", "why"}, router.AttemptResult{Outcome: rules.OutcomeRejected, CacheStatus: 6}},
+		{[]string{"a", "ERR", "n=ROOT_FAIL", ""}, router.AttemptResult{Outcome: rules.OutcomeError, CacheStatus: 10}},
+		{[]string{"a", "VOID", "-"}, router.AttemptResult{Outcome: rules.OutcomeSkipped}},
 	} {
 		var parts [][]byte
 		for _, p := range c.parts {
 			parts = append(parts, []byte(p))
 		}
 		id, end, err := parseAnswer(parts)
-		if err != nil || id != "a" || end.Code != c.want.Code || end.Note != c.want.Note || end.Waited != c.want.Waited ||
-			end.Same != c.want.Same || !bytes.Equal(end.Body, c.want.Body) {
+		if err != nil || id != "a" || end.Outcome != c.want.Outcome || end.CacheStatus != c.want.CacheStatus || end.SourceWait != c.want.SourceWait ||
+			end.NotModified != c.want.NotModified || !bytes.Equal(end.Body, c.want.Body) {
 			t.Errorf("%q: %+v, %v", c.parts, end, err)
 		}
 	}
@@ -104,9 +104,9 @@
 }
 
 func TestGet(t *testing.T) {
-	q := &router.Request{ID: "9b1f", Class: "catalogue", Object: "7f3a", Part: 2, Key: "5c0f", Have: "4be0", Body: []byte("ask")}
-	got := string(appendGet(nil, router.Attempt{Request: q, Source: "s-00c41f7a", Patience: 1499.9, Keep: 1,
-		MaxAge: 0.4, How: rules.FetchCachedOnly | rules.FetchRevalidate}))
+	q := &router.Request{ID: "9b1f", Class: "catalogue", Object: "7f3a", Chunk: 2, IdempotencyKey: "5c0f", ClientETag: "4be0", Body: []byte("ask")}
+	got := string(appendGet(nil, router.Attempt{Request: q, Source: "s-00c41f7a", Timeout: 1499.9, RetentionRank: 1,
+		MaxAge: 0.4, FetchFlags: rules.FetchCachedOnly | rules.FetchRevalidate}))
 	want := "*4\r\n$3\r\nGET\r\n$4\r\n9b1f\r\n$116\r\nsort=catalogue,asset=7f3a,slice=2,patience=1499,op=5c0f," +
 		"next=s-00c41f7a,admit=1,agelim=1,ways=held+renew,cached=4be0\r\n$3\r\nask\r\n"
 	if got != want {
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -48,7 +48,7 @@
 		c.lastUse = k.sent
 		c.idle.Stop()
 	default:
-		k.end(router.End{Code: rules.OutcomeSkipped})
+		k.end(router.AttemptResult{Outcome: rules.OutcomeSkipped})
 	}
 }
 
@@ -92,9 +92,9 @@
 	for _, k := range c.calls {
 		switch {
 		case !k.writeBegun: // still in the queue: it never ran
-			k.end(router.End{Code: rules.OutcomeConnectionRefused})
+			k.end(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
 		default:
-			k.end(*cmp.Or(k.answer, &router.End{Code: rules.OutcomeConnectionReset}))
+			k.end(*cmp.Or(k.answer, &router.AttemptResult{Outcome: rules.OutcomeConnectionReset}))
 		}
 	}
 	clear(c.calls)
@@ -127,7 +127,7 @@
 	left := k.remaining()
 	if !k.finished && left < 0 {
 		delete(c.calls, k.attempt.ID)
-		k.end(router.End{Code: rules.OutcomeConnectionRefused})
+		k.end(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
 		c.closeWhenIdle()
 	}
 	k.writeBegun = !k.finished
@@ -183,9 +183,9 @@
 		p.written.Add(1)
 	case k != nil && !k.finished:
 		delete(c.calls, k.attempt.ID)
-		end := router.End{Code: rules.OutcomeConnectionRefused}
+		end := router.AttemptResult{Outcome: rules.OutcomeConnectionRefused}
 		if errors.Is(err, errDeparted) { // the server has no part in that
-			end.Code = rules.OutcomeSkipped
+			end.Outcome = rules.OutcomeSkipped
 		}
 		k.end(end)
 	}
@@ -218,7 +218,7 @@
 			parts, err = ReadArray(in)
 		}
 		var id string
-		var end router.End
+		var end router.AttemptResult
 		if err == nil {
 			id, end, err = parseAnswer(parts)
 		}
@@ -229,12 +229,12 @@
 		p := c.pool.owner
 		p.mu.Lock()
 		if k := c.calls[id]; k != nil && k.writeBegun && k.answer == nil {
-			if end.Same && k.attempt.Have == "" { // it can't be this request's: nothing on the stream can be trusted
+			if end.NotModified && k.attempt.ClientETag == "" { // it can't be this request's: nothing on the stream can be trusted
 				p.mu.Unlock()
 				c.fail(fmt.Errorf("%w: SAME for a client without a copy", errMalformed))
 				return
 			}
-			if made := end.Made; !k.ambiguous || made == 0 || k.attempt.MaxAge == 0 || p.clock.Now()-made <= k.attempt.MaxAge {
+			if made := end.CopyMadeAt; !k.ambiguous || made == 0 || k.attempt.MaxAge == 0 || p.clock.Now()-made <= k.attempt.MaxAge {
 				c.handleAnswer(k, end)
 			} // else another attempt's, which took an older copy: this one's is to come
 		}
@@ -247,16 +247,16 @@
 
 // handleAnswer ends a call. If another attempt of its id ended on this connection, the answer may be that one's, second or
 // late, and this attempt still be out: it is given up first, or two would be out at once. Pools.mu is held.
-func (c *conn) handleAnswer(k *call, end router.End) {
+func (c *conn) handleAnswer(k *call, end router.AttemptResult) {
 	id := k.attempt.ID
-	if end.Code != rules.OutcomeServed {
+	if end.Outcome != rules.OutcomeServed {
 		c.remember(c.ended, id)
 	}
 	switch {
 	case !k.ambiguous:
 		delete(c.calls, id)
 		k.end(end)
-	case end.Code == rules.OutcomeServed: // it is its request's: nobody has to wait
+	case end.Outcome == rules.OutcomeServed: // it is its request's: nobody has to wait
 		delete(c.calls, id)
 		k.end(end)
 		c.queueDrop(id, command{})
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -31,7 +31,7 @@
 }
 
 // stick puts an attempt on the connection whose write does not end, and returns once the peer has seen its first byte.
-func stick(t *testing.T, p *Pools, l *link) router.Call {
+func stick(t *testing.T, p *Pools, l *link) router.PendingAttempt {
 	t.Helper()
 	k := p.Send(router.Attempt{Request: &router.Request{ID: "stuck", Body: tooMuch}, Server: "s-1"})
 	if _, err := l.in.Peek(1); err != nil {
@@ -60,7 +60,7 @@
 	stuck := stick(t, p, one)
 	one.say("b", "OK", "-", "x")
 	wantCode(t, other, rules.OutcomeServed)
-	k.Drop(true)
+	k.Cancel(true)
 	if n := p.open(); n != 0 {
 		t.Errorf("%d connections open, the attempt on it not given up", n)
 	}
@@ -74,7 +74,7 @@
 	send(p, "a")
 	one := c.accept()
 	one.expect("GET a")
-	stick(t, p, one).Drop(false)
+	stick(t, p, one).Cancel(false)
 	if n, _ := one.readRest(); n >= int64(len(tooMuch)) {
 		t.Errorf("%d bytes came: the request was sent on whole", n)
 	}
@@ -91,7 +91,7 @@
 	one := c.accept()
 	one.expect("GET first")
 	stick(t, p, one)
-	send(p, "left").Drop(false)
+	send(p, "left").Cancel(false)
 	send(p, "stays")
 	discard := make([]byte, len(tooMuch))
 	for head := false; !head; { // the stuck command, whose body is too long for ReadArray
@@ -159,7 +159,7 @@
 
 // newCall is an attempt that is not sent yet.
 func newCall(p *Pools, id string) *call {
-	return &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"}, chosen: 1000, done: make(chan router.End, 1)}
+	return &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"}, chosen: 1000, done: make(chan router.AttemptResult, 1)}
 }
 
 // bare is a connection without reader and writer.
@@ -194,7 +194,7 @@
 		p, _ := newPools(t, c.addr())
 		k, one := out(p, c)
 		one.live(p)
-		k.Drop(true)
+		k.Cancel(true)
 		k = send(p, "a")
 		one.expect("DROP a", "GET a")
 		one.say("a", word, "-", "late but whole")
@@ -254,7 +254,7 @@
 			p.Retune(ms.grace)
 			fake.Advance(200) // since its choice
 			k, _, one := dialled(p, c)
-			k.attempt.Within = ms.within
+			k.attempt.SendWithin = ms.within
 			p.mu.Unlock()
 			wantCode(t, k, rules.OutcomeConnectionRefused)
 			send(p, "next")
@@ -268,8 +268,8 @@
 func TestSecondAnswerOfAnEffect(t *testing.T) {
 	c := listen(t)
 	p, _ := newPools(t, c.addr())
-	again := func() router.Call {
-		return p.Send(router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1", Effects: true})
+	again := func() router.PendingAttempt {
+		return p.Send(router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1", HasSideEffects: true})
 	}
 	k := again()
 	one := c.accept()
@@ -295,7 +295,7 @@
 	p, fake := newPools(t, c.addr())
 	k, one := out(p, c)
 	one.live(p)
-	k.Drop(true)
+	k.Cancel(true)
 	fake.Advance(500)
 	k = p.Send(router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1", MaxAge: 400})
 	one.expect("DROP a", "GET a")
@@ -324,7 +324,7 @@
 		fake.Advance(idleShare * p.opt.IdleClose)
 	}()
 	testwait.Until(t, "the idle time to be over", func() bool { return fake.Now() >= due }) // the timer's function waits for the lock
-	k2 := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "b"}}, done: make(chan router.End, 1)}
+	k2 := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "b"}}, done: make(chan router.AttemptResult, 1)}
 	o.calls["b"] = k2
 	o.idle.Stop()
 	delete(o.calls, "b")
@@ -340,7 +340,7 @@
 func TestStallBehindAnAnswer(t *testing.T) {
 	c := listen(t)
 	p := shared(t, c.addr(), 0)
-	first, second := send(p, "a"), router.Call(nil)
+	first, second := send(p, "a"), router.PendingAttempt(nil)
 	one := c.accept()
 	one.expect("GET a")
 	second = send(p, "b")
@@ -348,7 +348,7 @@
 	one.Write([]byte("*2\r\n$1\r\na\r\n$4\r\nMISS\r\n*2\r\n$1\r\nb"))
 	wantCode(t, first, rules.OutcomeMiss)
 	end := testwait.ReceiveWithin(t, 10*stallLimit*time.Millisecond, second.Done(), "an attempt behind an answer that does not end")
-	if end.Code != rules.OutcomeConnectionReset {
-		t.Errorf("%v behind an answer that does not end", end.Code)
+	if end.Outcome != rules.OutcomeConnectionReset {
+		t.Errorf("%v behind an answer that does not end", end.Outcome)
 	}
 }
--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -85,7 +85,7 @@
 }
 
 // Apply keeps the addresses in step with the list of servers. Attempts out at a server that left go on.
-func (p *Pools) Apply(n router.Notice) {
+func (p *Pools) Apply(n router.WatchEvent) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n.Purge != nil {
@@ -104,7 +104,7 @@
 			p.servers[s.ID] = &pool{owner: p, id: s.ID, addr: s.Addr}
 		}
 	}
-	if !n.Whole {
+	if !n.IsSnapshot {
 		return
 	}
 	for id, old := range p.servers {
@@ -126,13 +126,13 @@
 }
 
 // Send puts an attempt to its server. Its end comes on the call's channel.
-func (p *Pools) Send(try router.Attempt) router.Call {
-	k := &call{pools: p, attempt: try, chosen: p.clock.Now(), done: make(chan router.End, 1)}
+func (p *Pools) Send(try router.Attempt) router.PendingAttempt {
+	k := &call{pools: p, attempt: try, chosen: p.clock.Now(), done: make(chan router.AttemptResult, 1)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.servers[try.Server]
 	if l == nil { // it left the list between the choice and here: nothing was sent
-		k.end(router.End{Code: rules.OutcomeSkipped})
+		k.end(router.AttemptResult{Outcome: rules.OutcomeSkipped})
 		return k
 	}
 	c, open := l.pick(&k.attempt)
@@ -144,7 +144,7 @@
 		p.conns++
 		go l.open(k)
 	default:
-		k.end(router.End{Code: rules.OutcomeSkipped})
+		k.end(router.AttemptResult{Outcome: rules.OutcomeSkipped})
 	}
 	return k
 }
@@ -160,7 +160,7 @@
 			return c, false // its DROP must get there first, or two attempts would be out at once
 		case c.dropped[id] != 0:
 			return nil, false
-		case try.Effects && c.ended[id] != 0:
+		case try.HasSideEffects && c.ended[id] != 0:
 		case len(c.calls) >= l.owner.opt.MaxStreams || len(c.queue) >= queueCapacity/2:
 		case best == nil || len(c.calls) < len(best.calls) || len(c.calls) == len(best.calls) && c.lastUse > best.lastUse:
 			best = c
@@ -204,7 +204,7 @@
 	l.opening--
 	if err != nil {
 		p.conns--
-		k.end(router.End{Code: rules.OutcomeConnectionRefused})
+		k.end(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			p.fault(l, fmt.Errorf("dial: %w", err))
 		}
@@ -216,7 +216,7 @@
 	l.conns = append(l.conns, c)
 	switch {
 	case p.ctx.Err() != nil, l.closed: // it left the list while the connection came up: another machine may be there now
-		k.end(router.End{Code: rules.OutcomeConnectionRefused})
+		k.end(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
 		c.close()
 	case !k.finished:
 		c.enqueue(k)
--- a/internal/resp/pool_test.go
+++ b/internal/resp/pool_test.go
@@ -79,15 +79,15 @@
 }
 
 func list(p *Pools, id, addr string) {
-	p.Apply(router.Notice{Servers: []router.Server{{ID: id, Addr: addr, Status: "healthy"}}})
+	p.Apply(router.WatchEvent{Servers: []router.Server{{ID: id, Addr: addr, Status: "healthy"}}})
 }
 
-func send(p *Pools, id string) router.Call {
+func send(p *Pools, id string) router.PendingAttempt {
 	return p.Send(router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"})
 }
 
 // out is an attempt that has come to the peer, on the first connection to it.
-func out(p *Pools, c *cache) (router.Call, *link) {
+func out(p *Pools, c *cache) (router.PendingAttempt, *link) {
 	k := send(p, "a")
 	one := c.accept()
 	one.expect("GET a")
@@ -106,11 +106,11 @@
 
 func (c *cache) addr() string { return c.Addr().String() }
 
-func wantCode(t *testing.T, k router.Call, want rules.AttemptOutcome) router.End {
+func wantCode(t *testing.T, k router.PendingAttempt, want rules.AttemptOutcome) router.AttemptResult {
 	t.Helper()
 	e := testwait.Receive(t, k.Done(), fmt.Sprintf("an attempt to end %q", want))
-	if e.Code != want {
-		t.Errorf("ended %q, want %q", e.Code, want)
+	if e.Outcome != want {
+		t.Errorf("ended %q, want %q", e.Outcome, want)
 	}
 	return e
 }
@@ -126,7 +126,7 @@
 	b := send(p, "b")
 	two := c.accept()
 	two.expect("GET b")
-	more := []router.Call{send(p, "c"), send(p, "d")}
+	more := []router.PendingAttempt{send(p, "c"), send(p, "d")}
 	wantCode(t, send(p, "e"), rules.OutcomeSkipped)
 	ids := []string{one.command(), two.command()}
 	slices.Sort(ids)
@@ -135,7 +135,7 @@
 	}
 	two.say("b", "OK", "n=TCP_HIT", "bytes of b")
 	one.say("a", "MISS", "-", "")
-	if e := wantCode(t, b, rules.OutcomeServed); string(e.Body) != "bytes of b" || e.Note != 1 {
+	if e := wantCode(t, b, rules.OutcomeServed); string(e.Body) != "bytes of b" || e.CacheStatus != 1 {
 		t.Errorf("%+v", e)
 	}
 	wantCode(t, a, rules.OutcomeMiss)
@@ -156,7 +156,7 @@
 	wantCode(t, k, rules.OutcomeServed)
 	k = send(p, "a") // the connection has been heard of as late as this was sent
 	one.expect("GET a")
-	k.Drop(true)
+	k.Cancel(true)
 	again := send(p, "a")
 	one.expect("DROP a", "GET a")
 	one.say("a", "OK", "-", "x")
@@ -170,7 +170,7 @@
 	p, fake := newPools(t, c.addr())
 	fake.Advance(1)
 	k, one := out(p, c)
-	k.Drop(true)
+	k.Cancel(true)
 	if p.mu.Lock(); p.conns != 0 {
 		t.Error("the connection is still open")
 	}
@@ -205,7 +205,7 @@
 
 // Nothing listens: the refusal proves that nothing ran.
 func TestRefused(t *testing.T) {
-	p, _ := newPools(t, loopback.Free())
+	p, _ := newPools(t, loopback.FreeAddress())
 	wantCode(t, send(p, "a"), rules.OutcomeConnectionRefused)
 }
 
@@ -214,7 +214,7 @@
 	c := listen(t)
 	p, _ := newPools(t, c.addr())
 	k, old := out(p, c)
-	p.Apply(router.Notice{Servers: []router.Server{{ID: "s-1", Status: "deregistered"}}})
+	p.Apply(router.WatchEvent{Servers: []router.Server{{ID: "s-1", Status: "deregistered"}}})
 	wantCode(t, send(p, "b"), rules.OutcomeSkipped)
 	list(p, "s-2", c.addr())
 	fresh := p.Send(router.Attempt{Request: &router.Request{ID: "b"}, Server: "s-2"})
@@ -224,7 +224,7 @@
 	if _, err := old.in.ReadByte(); err == nil {
 		t.Error("the old connection stays open with nothing out on it")
 	}
-	fresh.Drop(false)
+	fresh.Cancel(false)
 }
 
 // A malformed answer ends the connection and what is out on it, not the process.
@@ -264,12 +264,12 @@
 func TestWaitedTooLong(t *testing.T) {
 	p, fake := newPools(t, "127.0.0.1:1")
 	near, far := net.Pipe()
-	testwait.Bound(t, far)
+	testwait.BoundConn(t, far)
 	c := bare(p, near)
 	calls := map[string]*call{}
 	p.mu.Lock()
 	for _, id := range []string{"late", "over", "good"} {
-		k := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}}, chosen: fake.Now(), done: make(chan router.End, 1)}
+		k := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}}, chosen: fake.Now(), done: make(chan router.AttemptResult, 1)}
 		c.enqueue(k)
 		calls[id] = k
 		fake.Advance(301)
@@ -299,9 +299,9 @@
 func TestAnswerAhead(t *testing.T) {
 	p, _ := newPools(t, "127.0.0.1:1")
 	near, far := net.Pipe()
-	testwait.Bound(t, far)
+	testwait.BoundConn(t, far)
 	c := bare(p, near)
-	k := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "a"}}, chosen: 1000, done: make(chan router.End, 1)}
+	k := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "a"}}, chosen: 1000, done: make(chan router.AttemptResult, 1)}
 	p.mu.Lock()
 	c.enqueue(k) // queued, and no writer yet
 	p.mu.Unlock()
--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -33,18 +33,18 @@
 }
 
 func TestCommandsCompat(t *testing.T) {
-	request := &router.Request{ID: "9b1f00000000c0de", Class: "report", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
-		Key: "key-1", Have: "tag.2", Body: []byte("\x00body\xff")}
+	request := &router.Request{ID: "9b1f00000000c0de", Class: "report", Object: "7f3a9c21e0b4d655", Chunk: 3, PurgeGroup: 17,
+		IdempotencyKey: "key-1", ClientETag: "tag.2", Body: []byte("\x00body\xff")}
 	plain := &router.Request{ID: "a", Class: "page"}
 	for name, a := range map[string]router.Attempt{
-		"get with all fields": {Request: request, Server: "s-1", Source: "10.1.0.9:5050", Patience: 1500.9, Keep: 2,
-			MaxAge: 85.9, How: 15, Within: 7, Effects: true},
+		"get with all fields": {Request: request, Server: "s-1", Source: "10.1.0.9:5050", Timeout: 1500.9, RetentionRank: 2,
+			MaxAge: 85.9, FetchFlags: 15, SendWithin: 7, HasSideEffects: true},
 		"get with the least":  {Request: plain},
-		"get, joins":          {Request: plain, How: rules.FetchCollapse},
-		"get, held only":      {Request: plain, How: rules.FetchCachedOnly},
-		"get, passes parent":  {Request: plain, How: rules.FetchSkipParentStore},
-		"get, renews":         {Request: plain, How: rules.FetchRevalidate},
-		"get, shortest times": {Request: plain, Patience: 0.2, MaxAge: 0.2},
+		"get, joins":          {Request: plain, FetchFlags: rules.FetchCollapse},
+		"get, held only":      {Request: plain, FetchFlags: rules.FetchCachedOnly},
+		"get, passes parent":  {Request: plain, FetchFlags: rules.FetchSkipParentStore},
+		"get, renews":         {Request: plain, FetchFlags: rules.FetchRevalidate},
+		"get, shortest times": {Request: plain, Timeout: 0.2, MaxAge: 0.2},
 	} {
 		if got := string(appendGet(nil, a)); got != readPins(t)[name] {
 			t.Errorf("%s: wrote %+q", name, got)
@@ -58,7 +58,7 @@
 	p, _ := newPools(t, s.addr())
 	k, one := out(p, s)
 	one.live(p)
-	go k.Drop(true)
+	go k.Cancel(true)
 	want := readPins(t)["drop"]
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(one.in, got); err != nil || string(got) != want || want == "" {
@@ -73,26 +73,26 @@
 
 func TestAnswersCompat(t *testing.T) {
 
-	cases := map[string]router.End{
-		"answer OK": {Code: "done", Body: []byte("\x00body\xff")},
-		"answer OK with all fields": {Code: "done", Note: 2, Waited: 3.5, Body: []byte("x"), Load: "busy:0.5;queue:3",
-			Made: 1764576000123},
-		"answer SAME":              {Code: "done", Same: true},
-		"answer MISS":              {Code: "enoent"},
-		"answer BUSY":              {Code: "busy"},
-		"answer BUSY, two parts":   {Code: "busy"},
-		"answer ERR":               {Code: "err"},
-		"answer VOID":              {Code: "skipped"},
-		"answer OK, TCP_HIT":       {Code: "done", Body: []byte("x"), Note: 1},
-		"answer OK, TCP_MISS":      {Code: "done", Body: []byte("x"), Note: 2},
-		"answer OK, TCP_MISS_ROOT": {Code: "done", Body: []byte("x"), Note: 3},
-		"answer OK, TCP_JOIN":      {Code: "done", Body: []byte("x"), Note: 4},
-		"answer OK, TCP_STALE":     {Code: "done", Body: []byte("x"), Note: 5},
-		"answer ERR, PEER_DENY":    {Code: "err", Note: 6},
-		"answer ERR, PEER_DEAD":    {Code: "err", Note: 7},
-		"answer ERR, PEER_MISS":    {Code: "err", Note: 8},
-		"answer ERR, FILL_FULL":    {Code: "err", Note: 9},
-		"answer ERR, ROOT_FAIL":    {Code: "err", Note: 10},
+	cases := map[string]router.AttemptResult{
+		"answer OK": {Outcome: "done", Body: []byte("\x00body\xff")},
+		"answer OK with all fields": {Outcome: "done", CacheStatus: 2, SourceWait: 3.5, Body: []byte("x"), LoadReport: "busy:0.5;queue:3",
+			CopyMadeAt: 1764576000123},
+		"answer SAME":              {Outcome: "done", NotModified: true},
+		"answer MISS":              {Outcome: "enoent"},
+		"answer BUSY":              {Outcome: "busy"},
+		"answer BUSY, two parts":   {Outcome: "busy"},
+		"answer ERR":               {Outcome: "err"},
+		"answer VOID":              {Outcome: "skipped"},
+		"answer OK, TCP_HIT":       {Outcome: "done", Body: []byte("x"), CacheStatus: 1},
+		"answer OK, TCP_MISS":      {Outcome: "done", Body: []byte("x"), CacheStatus: 2},
+		"answer OK, TCP_MISS_ROOT": {Outcome: "done", Body: []byte("x"), CacheStatus: 3},
+		"answer OK, TCP_JOIN":      {Outcome: "done", Body: []byte("x"), CacheStatus: 4},
+		"answer OK, TCP_STALE":     {Outcome: "done", Body: []byte("x"), CacheStatus: 5},
+		"answer ERR, PEER_DENY":    {Outcome: "err", CacheStatus: 6},
+		"answer ERR, PEER_DEAD":    {Outcome: "err", CacheStatus: 7},
+		"answer ERR, PEER_MISS":    {Outcome: "err", CacheStatus: 8},
+		"answer ERR, FILL_FULL":    {Outcome: "err", CacheStatus: 9},
+		"answer ERR, ROOT_FAIL":    {Outcome: "err", CacheStatus: 10},
 	}
 	pins, answers := readPins(t), 0
 	for name := range pins {
--- a/internal/resp/writecommand.go
+++ b/internal/resp/writecommand.go
@@ -50,5 +50,5 @@
 
 // departed tells whether the client of an attempt has left.
 func (k *call) departed() bool {
-	return k.attempt.Departed != nil && k.attempt.Departed()
+	return k.attempt.ClientDeparted != nil && k.attempt.ClientDeparted()
 }
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -13,14 +13,14 @@
 func twoCaches(t *testing.T, home string) (g *rig, objects []string) {
 	t.Helper()
 	g = newRig(t, "box", "origin")
-	g.Apply(Notice{Servers: []Server{{ID: "box-2", Zone: "east", Kind: "box", Status: "healthy", Weight: 4}}})
+	g.Apply(WatchEvent{Servers: []Server{{ID: "box-2", Zone: "east", Kind: "box", Status: "healthy", Weight: 4}}})
 	for i := 0; len(objects) < 8; i++ {
 		object := fmt.Sprintf("%016x", i)
 		a := g.ask(t, fmt.Sprint("probe-", i), object)
 		if a.call.Server == home {
 			objects = append(objects, object)
 		}
-		a.call.done <- End{Code: rules.OutcomeServed, Note: 1}
+		a.call.done <- AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 1}
 		testwait.Receive(t, a.answer, "the answer to a probe")
 	}
 	return g, objects
@@ -30,15 +30,15 @@
 type asked struct {
 	call   *call
 	leave  context.CancelFunc
-	answer chan Answer
+	answer chan Response
 }
 
 func (g *rig) ask(t *testing.T, id, object string) *asked {
 	t.Helper()
 	ctx, leave := context.WithCancel(t.Context())
-	a := &asked{leave: leave, answer: make(chan Answer, 1)}
+	a := &asked{leave: leave, answer: make(chan Response, 1)}
 	go func() {
-		a.answer <- g.Serve(ctx, Request{ID: id, Class: "page", Object: object, SizeKb: 100, Allow: 1500, Arrived: g.clock.Now()})
+		a.answer <- g.Serve(ctx, Request{ID: id, Class: "page", Object: object, SizeKB: 100, ClientTimeout: 1500, ArrivedAt: g.clock.Now()})
 	}()
 	a.call = testwait.Receive(t, g.up.sent, "the first attempt of "+id)
 	return a
@@ -52,18 +52,18 @@
 		for i, object := range objects {
 			a := g.ask(t, fmt.Sprint("left-", i), object)
 			a.leave()
-			if got := testwait.Receive(t, a.answer, "the end of a request whose client left"); got.Verdict != None {
-				t.Fatalf("%s: verdict %d", object, got.Verdict)
+			if got := testwait.Receive(t, a.answer, "the end of a request whose client left"); got.Outcome != NoResponse {
+				t.Fatalf("%s: verdict %d", object, got.Outcome)
 			}
 			testwait.Receive(t, a.call.dropped, "the attempt to be given up")
-			a.call.done <- End{Code: rules.OutcomeConnectionReset}
+			a.call.done <- AttemptResult{Outcome: rules.OutcomeConnectionReset}
 		}
 		for i, object := range objects {
 			a := g.ask(t, fmt.Sprint("new-", i), object)
 			if a.call.Server != home {
 				t.Errorf("%s goes to %s, not to %s as before", object, a.call.Server, home)
 			}
-			a.call.done <- End{Code: rules.OutcomeServed, Note: 1}
+			a.call.done <- AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 1}
 			testwait.Receive(t, a.answer, "an answer")
 		}
 	}
@@ -77,12 +77,12 @@
 		if a.call.Server != "box-1" { // shut before all were tried
 			break
 		}
-		a.call.done <- End{Code: rules.OutcomeConnectionReset}
+		a.call.done <- AttemptResult{Outcome: rules.OutcomeConnectionReset}
 		next := testwait.Receive(t, g.up.sent, "the next attempt")
 		if next.Server != "box-2" {
 			t.Fatalf("sent on to %s", next.Server)
 		}
-		next.done <- End{Code: rules.OutcomeServed, Note: 1}
+		next.done <- AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 1}
 		testwait.Receive(t, a.answer, "an answer")
 	}
 	if a := g.ask(t, "last", objects[0]); a.call.Server != "box-2" {
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -6,43 +6,43 @@
 	"spantack/internal/clock"
 )
 
-// minLease replaces a share of 0, which the module would take for no limit.
-const minLease = 1e-6
+// minOriginFillQuota replaces a share of 0, which the module would take for no limit.
+const minOriginFillQuota = 1e-6
 
-// Lease bounds the fills that ask the head office by this router's share of a limit on the whole fleet. A share of one or more is rounded down,
+// SetOriginFillQuota bounds the fills that ask the head office by this router's share of a limit on the whole fleet. A share of one or more is rounded down,
 // so that the sum of all shares never exceeds the limit; with a smaller share one fill goes out now and then, and the limit holds on average.
-func (r *Router) Lease(share float64) {
+func (r *Router) SetOriginFillQuota(share float64) {
 	if share >= 1 {
 		share = math.Floor(share)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	r.rules.SetOriginFillLease(r.last, max(share, minLease))
+	r.lastStepAt = max(r.lastStepAt, clock.Micros(r.clock.Now()))
+	r.admission.SetOriginFillLease(r.lastStepAt, max(share, minOriginFillQuota))
 }
 
-// HeadOfficeFills returns how many fills that ask the head office are open here, and how many requests were refused since the start.
-func (r *Router) HeadOfficeFills() (open int, refused int64) {
+// OriginFills returns how many fills that ask the head office are open here, and how many requests were refused since the start.
+func (r *Router) OriginFills() (open int, refused int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.ConfirmedOriginFills(), r.Counters.Refused.Load()
+	return r.admission.ConfirmedOriginFills(), r.Counters.Rejected.Load()
 }
 
-// AreaCaches returns the listed area caches, and those of them whose breakers are open here.
-func (r *Router) AreaCaches() (all, avoided []string) {
+// Parents returns the listed area caches, and those of them whose breakers are open here.
+func (r *Router) Parents() (all, avoided []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.Parents(clock.Micros(r.clock.Now()))
+	return r.admission.Parents(clock.Micros(r.clock.Now()))
 }
 
-// Eject replaces the set of servers that the fleet's verdicts eject. Ejected servers get nothing new, like draining ones; the others are
+// SetEjected replaces the set of servers that the fleet's verdicts eject. Ejected servers get nothing new, like draining ones; the others are
 // readmitted. Each change is logged.
-func (r *Router) Eject(ids []string) {
+func (r *Router) SetEjected(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rows := r.list.SetEjected(ids)
+	rows := r.endpoints.SetEjected(ids)
 	for _, row := range rows {
 		r.log.Info().Str("server", row.Server).Bool("off", row.Status != "healthy").Msg("fleet's verdict")
 	}
-	r.applyRowsLocked(rows)
+	r.applyEndpointsLocked(rows)
 }
--- a/internal/router/interleavings_test.go
+++ b/internal/router/interleavings_test.go
@@ -25,8 +25,8 @@
 	up *held
 }
 
-func (u *held) Send(a Attempt) Call {
-	c := &call{Attempt: a, done: make(chan End, 1), dropped: make(chan struct{}, 8)}
+func (u *held) Send(a Attempt) PendingAttempt {
+	c := &call{Attempt: a, done: make(chan AttemptResult, 1), dropped: make(chan struct{}, 8)}
 	u.sends++
 	if u.send != nil {
 		u.send(u.sends, c)
@@ -34,15 +34,15 @@
 	return &heldCall{c, u}
 }
 
-func (c *heldCall) Drop(again bool) {
+func (c *heldCall) Cancel(again bool) {
 	if c.up.drop != nil {
 		c.up.drop()
 	}
-	c.call.Drop(again)
+	c.call.Cancel(again)
 }
 
 // playInterleaved plays one request with what happens inside Send and Drop, and returns its answer and how many attempts went out.
-func playInterleaved(t *testing.T, setup func(g *rig, u *held)) (Answer, int) {
+func playInterleaved(t *testing.T, setup func(g *rig, u *held)) (Response, int) {
 	t.Helper()
 	g := newRig(t, "box", "parent", "origin")
 	u := &held{t: t}
@@ -51,7 +51,7 @@
 	defer cancel()
 	g.cancel = cancel
 	setup(g, u)
-	a := g.Serve(ctx, Request{ID: "r1", Class: "page", Object: "front", SizeKb: 100, Allow: 1500, Arrived: g.clock.Now()})
+	a := g.Serve(ctx, Request{ID: "r1", Class: "page", Object: "front", SizeKB: 100, ClientTimeout: 1500, ArrivedAt: g.clock.Now()})
 	if len(g.mailboxes) != 0 {
 		t.Errorf("%d mailboxes left", len(g.mailboxes))
 	}
@@ -59,29 +59,29 @@
 }
 
 func TestOrderOfEvents(t *testing.T) {
-	good := End{Code: rules.OutcomeServed, Body: []byte("bytes")}
+	good := AttemptResult{Outcome: rules.OutcomeServed, Body: []byte("bytes")}
 	for name, c := range map[string]struct {
 		setup    func(g *rig, u *held)
-		verdict  Verdict
+		verdict  Outcome
 		attempts int
 	}{
 		"answer and time-out": {func(g *rig, u *held) {
 			u.send = func(_ int, c *call) { c.done <- good; g.clock.Advance(1475) }
 		}, Served, 1},
 		"answer and end of the process": {func(g *rig, u *held) {
-			u.send = func(_ int, c *call) { c.done <- good; g.Finish() }
+			u.send = func(_ int, c *call) { c.done <- good; g.Close() }
 		}, Served, 1},
 		"answer and overdue": {func(g *rig, u *held) {
 			u.send = func(_ int, c *call) { c.done <- good; g.clock.Advance(1475 + overdueAfter) }
 		}, Served, 1},
 		"answer and client gone": {func(g *rig, u *held) {
 			u.send = func(_ int, c *call) { c.done <- good; g.cancel() }
-		}, None, 1},
+		}, NoResponse, 1},
 		"failure and client gone": {func(g *rig, u *held) {
-			u.send = func(_ int, c *call) { c.done <- End{Code: rules.OutcomeConnectionRefused}; g.cancel() }
-		}, None, 1},
+			u.send = func(_ int, c *call) { c.done <- AttemptResult{Outcome: rules.OutcomeConnectionRefused}; g.cancel() }
+		}, NoResponse, 1},
 		"failure and end of the process": {func(g *rig, u *held) {
-			u.send = func(_ int, c *call) { c.done <- End{Code: rules.OutcomeConnectionRefused}; g.Finish() }
+			u.send = func(_ int, c *call) { c.done <- AttemptResult{Outcome: rules.OutcomeConnectionRefused}; g.Close() }
 		}, Failed, 1},
 		"client gone while an attempt is given up": {func(g *rig, u *held) {
 			u.send = func(n int, c *call) {
@@ -91,7 +91,7 @@
 				}
 			}
 			u.drop = func() { g.cancel() }
-		}, None, 1},
+		}, NoResponse, 1},
 		"end of the process while an attempt is given up": {func(g *rig, u *held) {
 			u.send = func(n int, c *call) {
 				g.mailboxes["r1"] <- rules.Action{Kind: rules.ActionCancel, RequestID: "r1", Attempt: 0}
@@ -100,22 +100,22 @@
 			u.drop = func() {
 				if !done {
 					done = true
-					g.Finish()
+					g.Close()
 				}
 			}
 		}, Failed, 1},
 		"client gone and the module's next attempt": {func(g *rig, u *held) {
 			u.send = func(int, *call) {}
 			g.cancel()
-		}, None, 0},
+		}, NoResponse, 0},
 		"end of the process and the module's first attempt": {func(g *rig, u *held) {
-			g.Finish()
+			g.Close()
 		}, Failed, 0},
 	} {
 		for range plays {
 			a, n := playInterleaved(t, c.setup)
-			if a.Verdict != c.verdict || n != c.attempts {
-				t.Errorf("%s: verdict %d after %d attempts, want %d after %d", name, a.Verdict, n, c.verdict, c.attempts)
+			if a.Outcome != c.verdict || n != c.attempts {
+				t.Errorf("%s: verdict %d after %d attempts, want %d after %d", name, a.Outcome, n, c.verdict, c.attempts)
 				break
 			}
 		}
@@ -143,15 +143,15 @@
 // New settings give a class keys after the front has read a request of it by the old ones: it is not sent on without one.
 func TestClassGetsKeysOnceRead(t *testing.T) {
 	g := newRig(t, "box", "parent", "origin")
-	if err := g.Retune(rules.Settings{Classes: []rules.Class{{Name: "page", Deadline: 3_000_000, Idempotency: "idempotency_key", DeduplicationScope: "all",
+	if err := g.UpdateSettings(rules.Settings{Classes: []rules.Class{{Name: "page", Deadline: 3_000_000, Idempotency: "idempotency_key", DeduplicationScope: "all",
 		DeduplicationWindow: 2_000_000}}, Permissions: rules.Permissions{MaxAttempts: 8}}); err != nil {
 		t.Fatal(err)
 	}
 	g.serve("r1")
 	select {
 	case a := <-g.answer:
-		if a.Verdict != Failed || len(g.mailboxes) != 0 {
-			t.Errorf("verdict %d, %d mailboxes left", a.Verdict, len(g.mailboxes))
+		if a.Outcome != Failed || len(g.mailboxes) != 0 {
+			t.Errorf("verdict %d, %d mailboxes left", a.Outcome, len(g.mailboxes))
 		}
 	case c := <-g.up.sent:
 		t.Errorf("sent to %s without a key", c.Server)
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -7,16 +7,16 @@
 	"spantack/rules"
 )
 
-// loadFieldNames maps the servers' names for the fields of a load report to those of the settings.
-var loadFieldNames = map[string]string{"inflight": "busy_reqs", "queue": "pending", "util": "cpu_share", "latency_ms": "svc_ms",
+// settingsFieldNames maps the servers' names for the fields of a load report to those of the settings.
+var settingsFieldNames = map[string]string{"inflight": "busy_reqs", "queue": "pending", "util": "cpu_share", "latency_ms": "svc_ms",
 	"qps": "served_ps", "eps": "failed_ps"}
 
 // maxLoadValue is the greatest plausible value of a field.
 const maxLoadValue = 1e9
 
-// parseLoad parses a load report, "NAME:VALUE;NAME:VALUE", into the order of the settings' fields. It returns nil where there is no report, a
+// parseLoadReport parses a load report, "NAME:VALUE;NAME:VALUE", into the order of the settings' fields. It returns nil where there is no report, a
 // field is missing or a value is implausible: half a report must not count as zeros, and a bad one must not spoil the answer it came with.
-func parseLoad(fields []string, load string) []float64 {
+func parseLoadReport(fields []string, load string) []float64 {
 	if load == "" || len(fields) == 0 {
 		return nil
 	}
@@ -27,7 +27,7 @@
 	for pair := range strings.SplitSeq(load, ";") {
 		name, text, _ := strings.Cut(pair, ":")
 		for i, f := range fields {
-			if f != name && f != loadFieldNames[name] {
+			if f != name && f != settingsFieldNames[name] {
 				continue
 			}
 			v, err := strconv.ParseFloat(text, 64)
@@ -50,6 +50,6 @@
 func (r *Router) reportOutcome(load string, ev rules.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ev.LoadReport = parseLoad(r.fields, load)
+	ev.LoadReport = parseLoadReport(r.loadFields, load)
 	r.stepLocked(ev)
 }
--- a/internal/router/loads_test.go
+++ b/internal/router/loads_test.go
@@ -12,11 +12,11 @@
 		"": nil, "util:0.61": nil, "util:0.61;x1:": nil, "util:NaN;x1:1": nil, "util:-1;x1:1": nil, "util:1e12;x1:1": nil,
 		";;:": nil, "util;x1": nil, "util:1;util:1": nil,
 	} {
-		if got := parseLoad(fields, load); !slices.Equal(got, want) || (got == nil) != (want == nil) {
+		if got := parseLoadReport(fields, load); !slices.Equal(got, want) || (got == nil) != (want == nil) {
 			t.Errorf("%q: %v, want %v", load, got, want)
 		}
 	}
-	if got := parseLoad(nil, "util:0.61"); got != nil {
+	if got := parseLoadReport(nil, "util:0.61"); got != nil {
 		t.Errorf("%v where the settings name nothing", got)
 	}
 }
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -8,8 +8,8 @@
 	"spantack/rules"
 )
 
-func listed(status string) Notice {
-	return Notice{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: status, Weight: 4}}}
+func listed(status string) WatchEvent {
+	return WatchEvent{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: status, Weight: 4}}}
 }
 
 // A cache that staff took out gets nothing, whatever the list says of it meanwhile, until it is put back.
@@ -23,17 +23,17 @@
 	if err := g.Exclude("box-9"); !errors.Is(err, roster.ErrUnknownServer) {
 		t.Errorf("an unknown one: %v", err)
 	}
-	for _, n := range []Notice{{}, listed("cordoned"), listed("healthy"), listed("deregistered"), listed("healthy")} {
+	for _, n := range []WatchEvent{{}, listed("cordoned"), listed("healthy"), listed("deregistered"), listed("healthy")} {
 		g.Apply(n)
 		g.serve("r1")
 		c := g.nextAttempt()
 		if c.Server != "origin-1" {
 			t.Errorf("after %+v: sent to %s", n, c.Server)
 		}
-		c.done <- End{Code: rules.OutcomeServed}
+		c.done <- AttemptResult{Outcome: rules.OutcomeServed}
 		g.nextAnswer()
 	}
-	if listed, off := g.Caches(); listed != 1 || off != 1 {
+	if listed, off := g.CacheCounts(); listed != 1 || off != 1 {
 		t.Errorf("%d listed, %d off", listed, off)
 	}
 	if err := g.Include("box-1"); err != nil {
@@ -43,13 +43,13 @@
 	if c := g.nextAttempt(); c.Server != "box-1" {
 		t.Errorf("put back, and sent to %s", c.Server)
 	} else {
-		c.done <- End{Code: rules.OutcomeServed}
+		c.done <- AttemptResult{Outcome: rules.OutcomeServed}
 	}
 	g.nextAnswer()
-	if err := g.Adopt([]string{"box-1"}); err != nil || len(g.Excluded()) != 1 {
+	if err := g.SetExcluded([]string{"box-1"}); err != nil || len(g.Excluded()) != 1 {
 		t.Errorf("adopted %v, %v", g.Excluded(), err)
 	}
-	if listed, off := g.Caches(); listed != 1 || off != 1 {
+	if listed, off := g.CacheCounts(); listed != 1 || off != 1 {
 		t.Errorf("adopted: %d listed, %d off", listed, off)
 	}
 }
@@ -59,32 +59,32 @@
 	g := newRig(t, "box", "origin")
 	g.serve("r1")
 	c := g.nextAttempt()
-	if open := g.Open(); open != 1 {
+	if open := g.OpenRequests(); open != 1 {
 		t.Errorf("%d open", open)
 	}
-	c.done <- End{Code: rules.OutcomeServed}
+	c.done <- AttemptResult{Outcome: rules.OutcomeServed}
 	g.nextAnswer()
-	g.CountRefused("page")
-	g.CountRefused("nothing")
+	g.CountRejected("page")
+	g.CountRejected("nothing")
 	set := rules.Settings{Classes: []rules.Class{{Name: "price", Deadline: 1_000_000, LatencyObjective: 400_000, Idempotency: "read_like", DeduplicationScope: "all"}},
 		Permissions: rules.Permissions{MaxAttempts: 1}}
-	if err := g.Retune(set); err != nil {
+	if err := g.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Retune(rules.Settings{}); err == nil {
+	if err := g.UpdateSettings(rules.Settings{}); err == nil {
 		t.Error("settings without a class were taken")
 	}
-	list := g.Tallies()
-	if len(list) != 2 || list[0].Class != "page" || list[0].Served.Load() != 1 || list[0].Refused.Load() != 1 || list[1].Class != "price" || g.Open() != 0 {
-		t.Errorf("%d classes, %d open", len(list), g.Open())
+	list := g.CountersByClass()
+	if len(list) != 2 || list[0].Class != "page" || list[0].Served.Load() != 1 || list[0].Rejected.Load() != 1 || list[1].Class != "price" || g.OpenRequests() != 0 {
+		t.Errorf("%d classes, %d open", len(list), g.OpenRequests())
 	}
-	for i := range 2 * maxTallies { // settings that change for ever keep the counts in bounds
+	for i := range 2 * maxCountedClasses { // settings that change for ever keep the counts in bounds
 		set.Classes[0].Name = "class-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
-		if err := g.Retune(set); err != nil {
+		if err := g.UpdateSettings(set); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := len(g.Tallies()); n > maxTallies {
+	if n := len(g.CountersByClass()); n > maxCountedClasses {
 		t.Errorf("%d classes are counted", n)
 	}
 }
@@ -93,17 +93,17 @@
 func TestBeliefs(t *testing.T) {
 	g, next := newRig(t, "box", "origin"), newRig(t, "box", "origin")
 	g.serve("r1")
-	g.nextAttempt().done <- End{Code: rules.OutcomeServed}
+	g.nextAttempt().done <- AttemptResult{Outcome: rules.OutcomeServed}
 	g.nextAnswer()
-	if err := next.Believe(g.Beliefs()); err != nil {
+	if err := next.RestoreLearnedState(g.LearnedState()); err != nil {
 		t.Fatal(err)
 	}
-	if b := next.Beliefs(); b.RecentRequests["front"] != 1 {
+	if b := next.LearnedState(); b.RecentRequests["front"] != 1 {
 		t.Errorf("%+v", b)
 	}
-	b := g.Beliefs()
+	b := g.LearnedState()
 	b.TakenAt = 0
-	if err := next.Believe(b); err == nil {
+	if err := next.RestoreLearnedState(b); err == nil {
 		t.Error("beliefs of another time were taken")
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,78 +23,78 @@
 
 // Request is one client's request. Times are milliseconds.
 type Request struct {
-	ID      string
-	Class   string
-	Tenant  string // as the front names it; often unknown
-	Object  string
-	Part    int64
-	Group   int64
-	SizeKb  float64
-	Key     string  // idempotency key
-	Have    string  // tag of the copy that the client holds
-	Allow   float64 // how long the client waits from Arrived on
-	Arrived float64
-	Body    []byte
-	// Departed tells whether the client has left, as soon as that can be known: the context of Serve may end later. It looks at the client's
+	ID             string
+	Class          string
+	Tenant         string // as the front names it; often unknown
+	Object         string
+	Chunk          int64
+	PurgeGroup     int64
+	SizeKB         float64
+	IdempotencyKey string  // idempotency key
+	ClientETag     string  // tag of the copy that the client holds
+	ClientTimeout  float64 // how long the client waits from Arrived on
+	ArrivedAt      float64
+	Body           []byte
+	// ClientDeparted tells whether the client has left, as soon as that can be known: the context of Serve may end later. It looks at the client's
 	// connection, and may wait some milliseconds. Nil: only the context tells.
-	Departed func() bool
+	ClientDeparted func() bool
 }
 
-// Verdict is the kind of a final answer.
-type Verdict int
+// Outcome is the kind of a final answer.
+type Outcome int
 
 // The verdicts.
 const (
-	None    Verdict = iota // the client is gone: no answer is owed
-	Served                 // Body, or Same
-	Refused                // RetryAfter; trying again is harmless
+	NoResponse Outcome = iota // the client is gone: no answer is owed
+	Served                    // Body, or Same
+	Rejected                  // RetryAfter; trying again is harmless
 	Failed
 )
 
-// Answer is the one final answer to a request.
-type Answer struct {
-	Verdict    Verdict
-	Body       []byte
-	Same       bool // the client's own copy is the one: no body
-	RetryAfter float64
+// Response is the one final answer to a request.
+type Response struct {
+	Outcome     Outcome
+	Body        []byte
+	NotModified bool // the client's own copy is the one: no body
+	RetryAfter  float64
 }
 
 // Attempt is one try of a request at one server. Times are milliseconds.
 type Attempt struct {
 	*Request
-	Server   string // id of the server
-	Source   string // id of the server that fills a miss; empty: none
-	Patience float64
-	Keep     int
-	MaxAge   float64          // 0: the class's fresh time
-	How      rules.FetchFlags // bits of rules.Action.FetchFlags
-	Within   float64          // how long after its choice it may go out; 0: as long as its server may be sent to
-	Effects  bool             // to run it twice does harm: it must not be mistaken for another attempt of its request
+	Server         string // id of the server
+	Source         string // id of the server that fills a miss; empty: none
+	Timeout        float64
+	RetentionRank  int
+	MaxAge         float64          // 0: the class's fresh time
+	FetchFlags     rules.FetchFlags // bits of rules.Action.FetchFlags
+	SendWithin     float64          // how long after its choice it may go out; 0: as long as its server may be sent to
+	HasSideEffects bool             // to run it twice does harm: it must not be mistaken for another attempt of its request
 }
 
-// End is how an attempt ended.
-type End struct {
-	Code   rules.AttemptOutcome
-	Note   int
-	Waited float64 // for the source
-	Body   []byte
-	Same   bool
-	Load   string  // the server's load report as it came, "NAME:VALUE;NAME:VALUE"; empty: none
-	Made   float64 // Unix milliseconds at which the origin gave the copy out; 0: not told
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
+	Outcome     rules.AttemptOutcome
+	CacheStatus int
+	SourceWait  float64 // for the source
+	Body        []byte
+	NotModified bool
+	LoadReport  string  // the server's load report as it came, "NAME:VALUE;NAME:VALUE"; empty: none
+	CopyMadeAt  float64 // Unix milliseconds at which the origin gave the copy out; 0: not told
 }
 
-// Call is an attempt that is out.
-type Call interface {
+// PendingAttempt is an attempt that is out.
+type PendingAttempt interface {
 	// Done yields the attempt's end, once; nothing after Drop.
-	Done() <-chan End
+	Done() <-chan AttemptResult
 	// Drop gives the attempt up; again tells that another may follow. It returns once the server has been told or
 	// the connection closed, or neither can be done soon.
-	Drop(again bool)
+	Cancel(again bool)
 }
 
 // Upstream carries attempts to servers. Send must not wait for the network.
 type Upstream interface {
-	Send(Attempt) Call
+	Send(Attempt) PendingAttempt
 }
 
 // Server is one entry of the list of servers.
@@ -103,55 +103,55 @@
 	Cell                 int64
 	Status               string // in the module's words
 	Weight               float64
-	Started              float64 // Unix milliseconds; 0: long ago
+	StartedAt            float64 // Unix milliseconds; 0: long ago
 }
 
 // Purge says that copies of an object (empty: of a whole group) made before At are out of date.
 type Purge struct {
 	Object string
 	Group  int64
-	At     float64
+	Before float64
 }
 
-// Notice is a change of the list of servers, the whole list, or a purge.
-type Notice struct {
-	Whole   bool
-	Servers []Server
-	Purge   *Purge
+// WatchEvent is a change of the list of servers, the whole list, or a purge.
+type WatchEvent struct {
+	IsSnapshot bool
+	Servers    []Server
+	Purge      *Purge
 }
 
 // Counters count the requests of a Router, its attempts, and its answers by kind.
 type Counters struct {
-	Taken, Sent, Served, Refused, Failed, Gone, Overdue, Faults atomic.Int64
+	Accepted, Attempts, Served, Rejected, Failed, Departed, Overdue, Faults atomic.Int64
 }
 
 // Router shares one decision module between the requests of this process.
 type Router struct {
 	Counters Counters
-	// OnCrowded, if set before the first request, is called with each server that this router itself found crowded. It must not block.
-	OnCrowded func(server string)
+	// OnOverloaded, if set before the first request, is called with each server that this router itself found crowded. It must not block.
+	OnOverloaded func(server string)
 
 	clock    *clock.Clock
 	log      zerolog.Logger
 	upstream Upstream
 
-	mu        sync.Mutex // held only while the module decides; never across I/O
-	rules     *cells.Admission
-	list      *roster.List
-	last      int64 // the module's clock must not run backwards
-	mailboxes map[string]chan rules.Action
-	fields    []string        // what load reports hold, in the module's order
-	keyed     map[string]bool // classes whose requests carry an idempotency key
+	mu           sync.Mutex // held only while the module decides; never across I/O
+	admission    *cells.Admission
+	endpoints    *roster.List
+	lastStepAt   int64 // the module's clock must not run backwards
+	mailboxes    map[string]chan rules.Action
+	loadFields   []string        // what load reports hold, in the module's order
+	keyedClasses map[string]bool // classes whose requests carry an idempotency key
 
-	tallies atomic.Pointer[map[string]*Tally] // by class; the map itself never changes
+	classCounters atomic.Pointer[map[string]*ClassCounters] // by class; the map itself never changes
 
-	finish chan struct{} // closed when the time for answers is over
+	closed chan struct{} // closed when the time for answers is over
 }
 
-// Tally counts the ends of requests of one class.
-type Tally struct {
-	Class                   string
-	Served, Refused, Failed atomic.Int64
+// ClassCounters counts the ends of requests of one class.
+type ClassCounters struct {
+	Class                    string
+	Served, Rejected, Failed atomic.Int64
 }
 
 // New returns a router that decides by the settings and sends by way of upstream.
@@ -160,24 +160,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r := &Router{clock: c, log: log, upstream: upstream, rules: module, list: roster.New(), mailboxes: map[string]chan rules.Action{},
-		finish: make(chan struct{})}
+	r := &Router{clock: c, log: log, upstream: upstream, admission: module, endpoints: roster.New(), mailboxes: map[string]chan rules.Action{},
+		closed: make(chan struct{})}
 	r.applySettingsLocked(set)
 	return r, nil
 }
 
-// Finish fails all open requests and all later ones, so that none is left without an answer when the process ends. It must be called once
+// Close fails all open requests and all later ones, so that none is left without an answer when the process ends. It must be called once
 // only.
-func (r *Router) Finish() { close(r.finish) }
+func (r *Router) Close() { close(r.closed) }
 
 // Features is what a features file sets: an assignment of cells, a document of moves and a release that fit it, a shape of the hierarchy,
 // and a shield of the head office. A nil field is off.
 type Features struct {
-	Cells   *cells.Assignment
-	Moves   *moves.Document
-	Release *stages.Rollout
-	Shape   *hierarchy.Graph
-	Shield  *shield.Document
+	Cells       *cells.Assignment
+	Migrations  *moves.Document
+	Rollout     *stages.Rollout
+	Topology    *hierarchy.Graph
+	OriginLimit *shield.Document
 }
 
 // ApplyFeatures puts features in force before it returns. No request sees a part without the others. The error is that of the release or the
@@ -185,31 +185,31 @@
 func (r *Router) ApplyFeatures(f Features) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	r.rules.SetTopology(r.last, f.Shape)
-	r.rules.SetAssignment(r.last, f.Cells)
-	r.rules.SetMigrations(r.last, f.Moves)
-	return errors.Join(r.rules.SetRollout(r.last, f.Release), r.rules.SetOriginLimit(r.last, f.Shield))
+	r.lastStepAt = max(r.lastStepAt, clock.Micros(r.clock.Now()))
+	r.admission.SetTopology(r.lastStepAt, f.Topology)
+	r.admission.SetAssignment(r.lastStepAt, f.Cells)
+	r.admission.SetMigrations(r.lastStepAt, f.Migrations)
+	return errors.Join(r.admission.SetRollout(r.lastStepAt, f.Rollout), r.admission.SetOriginLimit(r.lastStepAt, f.OriginLimit))
 }
 
-// ShieldStatus returns the state of the shield of the head office; nil without one.
-func (r *Router) ShieldStatus() *cells.OriginLimitStatus {
+// OriginLimitStatus returns the state of the shield of the head office; nil without one.
+func (r *Router) OriginLimitStatus() *cells.OriginLimitStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.OriginLimitStatus()
+	return r.admission.OriginLimitStatus()
 }
 
 // Tick advances moves and a release while no request comes, and computes a due plan for fills outside the lock.
 func (r *Router) Tick() {
 	r.mu.Lock()
-	r.last = max(r.last, clock.Micros(r.clock.Now()))
-	actions := r.rules.Tick(r.last)
-	plan := r.rules.TakePlanJob()
+	r.lastStepAt = max(r.lastStepAt, clock.Micros(r.clock.Now()))
+	actions := r.admission.Tick(r.lastStepAt)
+	plan := r.admission.TakePlanJob()
 	r.mu.Unlock()
 	if plan != nil {
 		plan.Run()
 		r.mu.Lock()
-		r.rules.ApplyPlanJob(plan)
+		r.admission.ApplyPlanJob(plan)
 		r.mu.Unlock()
 	}
 	for _, a := range actions {
@@ -222,52 +222,52 @@
 func (r *Router) PlanOnTick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rules.PlansInBackground = true
+	r.admission.PlansInBackground = true
 }
 
-// Release returns the progress of the release; nil without one.
-func (r *Router) Release() *cells.RolloutStatus {
+// RolloutStatus returns the progress of the release; nil without one.
+func (r *Router) RolloutStatus() *cells.RolloutStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.RolloutStatus()
+	return r.admission.RolloutStatus()
 }
 
-// Moves returns the progress of the moves of this depot, and the version of their document; 0 while there is none.
-func (r *Router) Moves() ([]cells.MigrationStatus, int64) {
+// MigrationStatus returns the progress of the moves of this depot, and the version of their document; 0 while there is none.
+func (r *Router) MigrationStatus() ([]cells.MigrationStatus, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.Migrations(clock.Micros(r.clock.Now())), r.rules.MigrationsVersion()
+	return r.admission.Migrations(clock.Micros(r.clock.Now())), r.admission.MigrationsVersion()
 }
 
-// maxDemand bounds the tenants whose demand Cells returns.
-const maxDemand = 500
+// maxReportedDemands bounds the tenants whose demand Cells returns.
+const maxReportedDemands = 500
 
-// Cells returns the present state of the cells and the recent demand of tenants; nil while cells are off.
-func (r *Router) Cells() (*cells.Status, []cells.TenantDemand) {
+// CellStatus returns the present state of the cells and the recent demand of tenants; nil while cells are off.
+func (r *Router) CellStatus() (*cells.Status, []cells.TenantDemand) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Micros(r.clock.Now())
-	return r.rules.Status(now), r.rules.TopDemand(now, maxDemand)
+	return r.admission.Status(now), r.admission.TopDemand(now, maxReportedDemands)
 }
 
 // Apply passes a notice to the module before it returns.
-func (r *Router) Apply(n Notice) {
+func (r *Router) Apply(n WatchEvent) {
 	ev := rules.Event{Kind: rules.EventEndpoints, UpdateMode: "update"}
-	if n.Whole {
+	if n.IsSnapshot {
 		ev.UpdateMode = "replace"
 	}
 	for _, s := range n.Servers {
 		ev.Endpoints = append(ev.Endpoints, rules.Endpoint{Server: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Status: rules.EndpointStatus(s.Status),
-			Weight: s.Weight, StartedAt: clock.Micros(s.Started)})
+			Weight: s.Weight, StartedAt: clock.Micros(s.StartedAt)})
 	}
 	if n.Purge != nil {
 		r.step(rules.Event{Kind: rules.EventPurge, Object: n.Purge.Object, PurgeGroup: n.Purge.Group,
-			PurgeAge: clock.Micros(max(r.clock.Now()-n.Purge.At, 0))})
+			PurgeAge: clock.Micros(max(r.clock.Now()-n.Purge.Before, 0))})
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ev.Endpoints = r.list.Update(n.Whole, ev.Endpoints)
+	ev.Endpoints = r.endpoints.Update(n.IsSnapshot, ev.Endpoints)
 	r.stepLocked(ev)
 }
 
@@ -281,7 +281,7 @@
 
 // stepLocked is step for a caller that holds r.mu.
 func (r *Router) stepLocked(ev rules.Event) {
-	r.last = max(r.last, clock.Micros(r.clock.Now()))
+	r.lastStepAt = max(r.lastStepAt, clock.Micros(r.clock.Now()))
 	for _, a := range r.decide(ev) {
 		switch a.Kind {
 		case rules.ActionSetTimer:
@@ -293,8 +293,8 @@
 				r.Counters.Faults.Add(1)
 			}
 		case rules.ActionReportOverload:
-			if r.OnCrowded != nil {
-				r.OnCrowded(a.Server)
+			if r.OnOverloaded != nil {
+				r.OnOverloaded(a.Server)
 			}
 		case rules.ActionLog:
 			r.log.Info().Str("text", a.LogText).Msg("module says")
@@ -310,5 +310,5 @@
 			r.log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("decision module failed")
 		}
 	}()
-	return r.rules.Step(r.last, []rules.Event{ev})
+	return r.admission.Step(r.lastStepAt, []rules.Event{ev})
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -16,18 +16,18 @@
 
 type call struct {
 	Attempt
-	done    chan End
+	done    chan AttemptResult
 	dropped chan struct{}
 }
 
-func (u *upstream) Send(a Attempt) Call {
-	c := &call{Attempt: a, done: make(chan End, 1), dropped: make(chan struct{}, 1)}
+func (u *upstream) Send(a Attempt) PendingAttempt {
+	c := &call{Attempt: a, done: make(chan AttemptResult, 1), dropped: make(chan struct{}, 1)}
 	u.sent <- c
 	return c
 }
 
-func (c *call) Done() <-chan End { return c.done }
-func (c *call) Drop(bool)        { c.dropped <- struct{}{} }
+func (c *call) Done() <-chan AttemptResult { return c.done }
+func (c *call) Cancel(bool)                { c.dropped <- struct{}{} }
 
 // rig is a router with one cache, one parent and the origin, and a clock that the test moves.
 type rig struct {
@@ -36,7 +36,7 @@
 	clock  *clock.Clock
 	up     *upstream
 	cancel context.CancelFunc
-	answer chan Answer
+	answer chan Response
 }
 
 func newRig(t *testing.T, kinds ...string) *rig {
@@ -51,12 +51,12 @@
 		Zone:        "east",
 		Zones:       []string{"east", "hub"},
 	}
-	g := &rig{t: t, clock: clock.NewFake(1_764_576_000_000), up: &upstream{make(chan *call, 1)}, answer: make(chan Answer, 1)}
+	g := &rig{t: t, clock: clock.NewFake(1_764_576_000_000), up: &upstream{make(chan *call, 1)}, answer: make(chan Response, 1)}
 	var err error
 	if g.Router, err = New(set, 1, g.clock, g.up, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
-	n := Notice{Whole: true}
+	n := WatchEvent{IsSnapshot: true}
 	for _, kind := range kinds {
 		n.Servers = append(n.Servers, Server{ID: kind + "-1", Zone: "east", Kind: kind, Status: "healthy", Weight: 4})
 	}
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
 	go func() {
-		g.answer <- g.Serve(ctx, Request{ID: id, Class: "page", Object: "front", SizeKb: 100, Allow: 1500, Arrived: g.clock.Now()})
+		g.answer <- g.Serve(ctx, Request{ID: id, Class: "page", Object: "front", SizeKB: 100, ClientTimeout: 1500, ArrivedAt: g.clock.Now()})
 	}()
 }
 
@@ -79,7 +79,7 @@
 }
 
 // nextAnswer returns the next final answer.
-func (g *rig) nextAnswer() Answer {
+func (g *rig) nextAnswer() Response {
 	g.t.Helper()
 	return testwait.Receive(g.t, g.answer, "a final answer")
 }
@@ -94,11 +94,11 @@
 	g := newRig(t, "box", "parent", "origin")
 	g.serve("r1")
 	c := g.nextAttempt()
-	if c.Server != "box-1" || c.Source != "parent-1" || c.Keep != 1 || c.MaxAge > 20_000 || c.MaxAge < 16_000 || c.Patience != 1475 {
+	if c.Server != "box-1" || c.Source != "parent-1" || c.RetentionRank != 1 || c.MaxAge > 20_000 || c.MaxAge < 16_000 || c.Timeout != 1475 {
 		t.Errorf("first attempt %+v", c.Attempt)
 	}
-	c.done <- End{Code: rules.OutcomeServed, Note: 2, Body: []byte("bytes")}
-	if a := g.nextAnswer(); a.Verdict != Served || string(a.Body) != "bytes" {
+	c.done <- AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 2, Body: []byte("bytes")}
+	if a := g.nextAnswer(); a.Outcome != Served || string(a.Body) != "bytes" {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -109,19 +109,19 @@
 	g := newRig(t, "box", "parent", "origin")
 	g.serve("r1")
 	c := g.nextAttempt()
-	c.done <- End{Code: rules.OutcomeError, Note: 7, Waited: 300}
+	c.done <- AttemptResult{Outcome: rules.OutcomeError, CacheStatus: 7, SourceWait: 300}
 	held := g.nextAttempt()
 	if held.Server != "box-1" || held.Source != "" || held.MaxAge != 30_000 {
 		t.Errorf("held attempt %+v", held.Attempt)
 	}
-	held.done <- End{Code: rules.OutcomeMiss}
+	held.done <- AttemptResult{Outcome: rules.OutcomeMiss}
 	origin := g.nextAttempt()
-	origin.done <- End{Code: rules.OutcomeRejected, Note: 6}
-	g.nextAttempt().done <- End{Code: rules.OutcomeMiss}
-	if a := g.nextAnswer(); a.Verdict != Refused || a.RetryAfter <= 0 || a.RetryAfter > 1000 {
+	origin.done <- AttemptResult{Outcome: rules.OutcomeRejected, CacheStatus: 6}
+	g.nextAttempt().done <- AttemptResult{Outcome: rules.OutcomeMiss}
+	if a := g.nextAnswer(); a.Outcome != Rejected || a.RetryAfter <= 0 || a.RetryAfter > 1000 {
 		t.Errorf("answer %+v", a)
 	}
-	if n := g.Counters.Sent.Load(); n != 4 {
+	if n := g.Counters.Attempts.Load(); n != 4 {
 		t.Errorf("%d attempts", n)
 	}
 }
@@ -133,7 +133,7 @@
 	c := g.nextAttempt()
 	g.clock.Advance(1475)
 	g.awaitDrop(c)
-	if a := g.nextAnswer(); a.Verdict != Refused {
+	if a := g.nextAnswer(); a.Outcome != Rejected {
 		t.Errorf("answer %+v", a)
 	}
 	if len(g.mailboxes) != 0 {
@@ -148,7 +148,7 @@
 	c := g.nextAttempt()
 	g.cancel()
 	g.awaitDrop(c)
-	if a := g.nextAnswer(); a.Verdict != None || g.Counters.Gone.Load() != 1 {
+	if a := g.nextAnswer(); a.Outcome != NoResponse || g.Counters.Departed.Load() != 1 {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -156,7 +156,7 @@
 // A fault in the module costs neither the process nor the one answer.
 func TestModuleFails(t *testing.T) {
 	g := newRig(t, "box", "origin")
-	g.rules = nil // panics at any event
+	g.admission = nil // panics at any event
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -166,7 +166,7 @@
 		g.clock.Advance(2000)
 	}()
 	g.serve("r1")
-	if a := g.nextAnswer(); a.Verdict != Failed || g.Counters.Overdue.Load() != 1 {
+	if a := g.nextAnswer(); a.Outcome != Failed || g.Counters.Overdue.Load() != 1 {
 		t.Errorf("answer %+v", a)
 	}
 	testwait.Receive(t, done, "the clock's goroutine to end")
@@ -177,11 +177,11 @@
 	g := newRig(t, "box", "origin")
 	g.serve("r1")
 	c := g.nextAttempt()
-	if a := g.Serve(context.Background(), Request{ID: "r1", Class: "page", Allow: 1000, Arrived: g.clock.Now()}); a.Verdict != Failed {
+	if a := g.Serve(context.Background(), Request{ID: "r1", Class: "page", ClientTimeout: 1000, ArrivedAt: g.clock.Now()}); a.Outcome != Failed {
 		t.Errorf("the second got %+v", a)
 	}
-	c.done <- End{Code: rules.OutcomeServed, Same: true}
-	if a := g.nextAnswer(); a.Verdict != Served || !a.Same {
+	c.done <- AttemptResult{Outcome: rules.OutcomeServed, NotModified: true}
+	if a := g.nextAnswer(); a.Outcome != Served || !a.NotModified {
 		t.Errorf("the first got %+v", a)
 	}
 }
@@ -189,15 +189,15 @@
 // A drain binds the very next request, and without any server left there is still an answer.
 func TestDrain(t *testing.T) {
 	g := newRig(t, "box", "origin")
-	g.Apply(Notice{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: "cordoned"}}})
+	g.Apply(WatchEvent{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: "cordoned"}}})
 	g.serve("r1")
 	if c := g.nextAttempt(); c.Server != "origin-1" {
 		t.Errorf("sent to %s", c.Server)
 	} else {
-		g.Apply(Notice{Whole: true})
-		c.done <- End{Code: rules.OutcomeConnectionReset}
+		g.Apply(WatchEvent{IsSnapshot: true})
+		c.done <- AttemptResult{Outcome: rules.OutcomeConnectionReset}
 	}
-	if a := g.nextAnswer(); a.Verdict != Refused {
+	if a := g.nextAnswer(); a.Outcome != Rejected {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -207,9 +207,9 @@
 	g := newRig(t, "box", "origin")
 	g.serve("r1")
 	c := g.nextAttempt()
-	g.Finish()
+	g.Close()
 	g.awaitDrop(c)
-	if a := g.nextAnswer(); a.Verdict != Failed {
+	if a := g.nextAnswer(); a.Outcome != Failed {
 		t.Errorf("answer %+v", a)
 	}
 	if len(g.mailboxes) != 0 {
@@ -222,12 +222,12 @@
 func TestMarginOfShortTime(t *testing.T) {
 	g := newRig(t, "box", "origin")
 	for allow, want := range map[float64]float64{1500: 1475, 60: 54, 20: 15} {
-		go g.Serve(context.Background(), Request{ID: "r", Class: "page", Object: "front", SizeKb: 100, Allow: allow, Arrived: g.clock.Now()})
+		go g.Serve(context.Background(), Request{ID: "r", Class: "page", Object: "front", SizeKB: 100, ClientTimeout: allow, ArrivedAt: g.clock.Now()})
 		c := g.nextAttempt()
-		if c.Patience != want {
-			t.Errorf("of %v ms the attempt got %v, want %v", allow, c.Patience, want)
+		if c.Timeout != want {
+			t.Errorf("of %v ms the attempt got %v, want %v", allow, c.Timeout, want)
 		}
-		c.done <- End{Code: rules.OutcomeServed}
+		c.done <- AttemptResult{Outcome: rules.OutcomeServed}
 		for open := 1; open > 0; { // the next one has the same id
 			g.mu.Lock()
 			open = len(g.mailboxes)
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// marginShare of the client's time, within leastMargin and mostMargin, is kept for the way there and back and for a
+	// replyMarginShare of the client's time, within minReplyMargin and maxReplyMargin, is kept for the way there and back and for a
 	// busy core. Times are milliseconds.
-	marginShare = 0.1
-	leastMargin = 5
-	mostMargin  = 25
+	replyMarginShare = 0.1
+	minReplyMargin   = 5
+	maxReplyMargin   = 25
 	// retryCutoff before the end of a request's time, and later, no further attempt goes out.
 	retryCutoff = 1
 	// overdueAfter is how long past its deadline the module may leave a request without an answer before the router fails it.
@@ -22,27 +22,27 @@
 )
 
 // Serve carries one request from its arrival to its final answer. The module decides each step; ctx ends when the client no longer waits.
-func (r *Router) Serve(ctx context.Context, q Request) (answer Answer) {
-	r.Counters.Taken.Add(1)
-	defer func() { r.count(q.Class, answer.Verdict) }()
+func (r *Router) Serve(ctx context.Context, q Request) (answer Response) {
+	r.Counters.Accepted.Add(1)
+	defer func() { r.countOutcome(q.Class, answer.Outcome) }()
 	mailbox := make(chan rules.Action, mailboxSize)
-	end := q.Arrived + q.Allow - min(max(marginShare*q.Allow, leastMargin), mostMargin)
+	end := q.ArrivedAt + q.ClientTimeout - min(max(replyMarginShare*q.ClientTimeout, minReplyMargin), maxReplyMargin)
 	late, lateTimer := r.clock.Alarm(end + overdueAfter - r.clock.Now())
 	defer lateTimer.Stop()
 	r.mu.Lock()
 	_, duplicate := r.mailboxes[q.ID]
-	keyless := r.keyed[q.Class] && q.Key == ""
+	keyless := r.keyedClasses[q.Class] && q.IdempotencyKey == ""
 	if !duplicate && !keyless {
 		r.mailboxes[q.ID] = mailbox
-		r.stepLocked(rules.Event{Kind: rules.EventRequest, RequestID: q.ID, Class: q.Class, Tenant: q.Tenant, Object: q.Object, Chunk: q.Part, PurgeGroup: q.Group,
-			SizeKB: q.SizeKb, Timeout: clock.Micros(end - r.clock.Now())})
+		r.stepLocked(rules.Event{Kind: rules.EventRequest, RequestID: q.ID, Class: q.Class, Tenant: q.Tenant, Object: q.Object, Chunk: q.Chunk, PurgeGroup: q.PurgeGroup,
+			SizeKB: q.SizeKB, Timeout: clock.Micros(end - r.clock.Now())})
 	}
 	r.mu.Unlock()
 	// The answer to the first request of an id must not go to a second one. And where a class requires keys since a reload, after the front
 	// read this request by the older settings, its servers could not recognize a repeat.
 	if duplicate || keyless {
 		r.Counters.Failed.Add(1)
-		return Answer{Verdict: Failed}
+		return Response{Outcome: Failed}
 	}
 	defer func() {
 		r.mu.Lock()
@@ -52,8 +52,8 @@
 
 	// The open attempt of this request: there is never more than one.
 	var (
-		call    Call
-		done    <-chan End
+		call    PendingAttempt
+		done    <-chan AttemptResult
 		timeout <-chan struct{}
 		timer   *clock.Timer
 		sentAt  float64
@@ -65,16 +65,16 @@
 		timedOut, overdue bool
 		action            *rules.Action // the module's next action
 	)
-	endAttempt := func(e End) { // reports the end of the open attempt to the module
+	endAttempt := func(e AttemptResult) { // reports the end of the open attempt to the module
 		timer.Stop()
 		call, done, timeout, timedOut = nil, nil, nil, false
-		r.reportOutcome(e.Load, rules.Event{Kind: rules.EventOutcome, RequestID: q.ID, Attempt: number, Server: server, Outcome: e.Code, CacheStatus: rules.CacheStatus(e.Note),
-			ResponseTime: clock.Micros(r.clock.Now() - sentAt), UpstreamWait: clock.Micros(e.Waited), IsFinal: e.Code == rules.OutcomeServed})
+		r.reportOutcome(e.LoadReport, rules.Event{Kind: rules.EventOutcome, RequestID: q.ID, Attempt: number, Server: server, Outcome: e.Outcome, CacheStatus: rules.CacheStatus(e.CacheStatus),
+			ResponseTime: clock.Micros(r.clock.Now() - sentAt), UpstreamWait: clock.Micros(e.SourceWait), IsFinal: e.Outcome == rules.OutcomeServed})
 	}
 	giveUp := func() {
 		if call != nil {
 			timer.Stop()
-			call.Drop(false)
+			call.Cancel(false)
 		}
 	}
 	abandon := func() { // ends the request on the module's side
@@ -82,14 +82,14 @@
 		r.step(rules.Event{Kind: rules.EventAborted, RequestID: q.ID})
 	}
 	for {
-		var e End
+		var e AttemptResult
 		ended := false
 		if action == nil {
 			select {
 			case e = <-done:
 				ended = true
 			case <-ctx.Done():
-			case <-r.finish:
+			case <-r.closed:
 			case <-late:
 				overdue = true
 			case <-timeout:
@@ -99,78 +99,78 @@
 			}
 		}
 		if !ended {
-			e, ended = tryReceive(done)
+			e, ended = receiveIfReady(done)
 		}
-		overdue = overdue || fired(late)
-		timedOut = timedOut || fired(timeout)
+		overdue = overdue || isReady(late)
+		timedOut = timedOut || isReady(timeout)
 		// Of several events the first in this order is handled. An attempt's end comes first: it may be the answer, and a time-out does not
 		// make the attempt open again. Next are the events that forbid a further attempt, then those that may lead to one.
 		switch {
 		case ended:
 			endAttempt(e)
 			switch {
-			case e.Code == rules.OutcomeServed && ctx.Err() != nil:
-				r.Counters.Gone.Add(1)
-				return Answer{}
-			case e.Code == rules.OutcomeServed:
+			case e.Outcome == rules.OutcomeServed && ctx.Err() != nil:
+				r.Counters.Departed.Add(1)
+				return Response{}
+			case e.Outcome == rules.OutcomeServed:
 				r.Counters.Served.Add(1)
-				return Answer{Verdict: Served, Body: e.Body, Same: e.Same}
+				return Response{Outcome: Served, Body: e.Body, NotModified: e.NotModified}
 			}
 		case ctx.Err() != nil:
 			abandon()
-			r.Counters.Gone.Add(1)
-			return Answer{}
-		case fired(r.finish):
+			r.Counters.Departed.Add(1)
+			return Response{}
+		case isReady(r.closed):
 			abandon()
 			r.Counters.Failed.Add(1)
-			return Answer{Verdict: Failed}
+			return Response{Outcome: Failed}
 		case overdue: // the module gave no answer
 			abandon()
 			r.Counters.Overdue.Add(1)
 			r.Counters.Failed.Add(1)
 			r.log.Error().Str("request", q.ID).Msg("module gave no answer in time")
-			return Answer{Verdict: Failed}
+			return Response{Outcome: Failed}
 		case timedOut:
-			call.Drop(r.clock.Now() < end-retryCutoff)
-			endAttempt(End{Code: rules.OutcomeTimedOut})
+			call.Cancel(r.clock.Now() < end-retryCutoff)
+			endAttempt(AttemptResult{Outcome: rules.OutcomeTimedOut})
 		case action != nil:
 			a := *action
 			action = nil
 			switch a.Kind {
 			case rules.ActionSend:
-				try := Attempt{Request: &q, Server: a.Server, Patience: clock.Millis(a.Timeout), Within: clock.Millis(a.SendWithin), Effects: a.HasSideEffects}
+				try := Attempt{Request: &q, Server: a.Server, Timeout: clock.Millis(a.Timeout), SendWithin: clock.Millis(a.SendWithin), HasSideEffects: a.HasSideEffects}
 				if a.Source != "" {
-					try.Keep, try.MaxAge, try.How = a.RetentionRank, clock.Millis(a.MaxAge), a.FetchFlags
+					try.RetentionRank, try.MaxAge, try.FetchFlags = a.RetentionRank, clock.Millis(a.MaxAge), a.FetchFlags
 				}
 				if a.Source != a.Server {
 					try.Source = a.Source
 				}
 				number++
 				server, sentAt = a.Server, r.clock.Now()
-				timeout, timer = r.clock.Alarm(min(try.Patience, max(end-sentAt, 0)))
+				timeout, timer = r.clock.Alarm(min(try.Timeout, max(end-sentAt, 0)))
 				call = r.upstream.Send(try)
 				done = call.Done()
-				r.Counters.Sent.Add(1)
+				r.Counters.Attempts.Add(1)
 			case rules.ActionCancel:
 				if call != nil && a.Attempt == number {
-					call.Drop(true)
-					endAttempt(End{Code: rules.OutcomeCanceled})
+					call.Cancel(true)
+					endAttempt(AttemptResult{Outcome: rules.OutcomeCanceled})
 				}
 			case rules.ActionReject:
 				giveUp()
-				r.Counters.Refused.Add(1)
-				return Answer{Verdict: Refused, RetryAfter: clock.Millis(a.RetryAfter)}
+				r.Counters.Rejected.Add(1)
+				return Response{Outcome: Rejected, RetryAfter: clock.Millis(a.RetryAfter)}
 			case rules.ActionFail:
 				giveUp()
 				r.Counters.Failed.Add(1)
-				return Answer{Verdict: Failed}
+				return Response{Outcome: Failed}
 			}
 		}
 	}
 }
 
-// tryReceive receives from c without blocking; ok is false where nothing is ready.
-func tryReceive[T any](c <-chan T) (v T, ok bool) {
+// receiveIfReady receives from c without blocking; ok is false where nothing is ready.
+func receiveIfReady[T any](c <-chan T) (v T, ok bool) {
 	select {
 	case v, ok = <-c:
 		return v, ok
@@ -179,8 +179,8 @@
 	}
 }
 
-// fired reports whether c has a value ready or is closed.
-func fired(c <-chan struct{}) bool {
+// isReady reports whether c has a value ready or is closed.
+func isReady(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
--- a/internal/testwait/stopwatch.go
+++ b/internal/testwait/stopwatch.go
@@ -11,28 +11,30 @@
 // Stopwatch measures how long something takes, less the time for which the machine had more to run than CPUs: a bound on it holds on a
 // machine that is busy too, and is as tight as it says on one that is not.
 type Stopwatch struct {
-	began   time.Time
-	starved time.Duration // of the machine, when it began
+	startedAt      time.Time
+	starvedAtStart time.Duration // of the machine, when it began
 }
 
 // StartStopwatch begins a measurement.
-func StartStopwatch() *Stopwatch { return &Stopwatch{time.Now(), starvation()} }
+func StartStopwatch() *Stopwatch { return &Stopwatch{time.Now(), cpuStarvation()} }
 
 // Elapsed is the result so far.
-func (w *Stopwatch) Elapsed() time.Duration { return time.Since(w.began) - (starvation() - w.starved) }
+func (w *Stopwatch) Elapsed() time.Duration {
+	return time.Since(w.startedAt) - (cpuStarvation() - w.starvedAtStart)
+}
 
 // starvedShare is how much of the time some process of the machine waited for a CPU.
 func (w *Stopwatch) starvedShare() float64 {
-	return float64(starvation()-w.starved) / float64(time.Since(w.began))
+	return float64(cpuStarvation()-w.starvedAtStart) / float64(time.Since(w.startedAt))
 }
 
-var stalled = regexp.MustCompile(`some .* total=(\d+)`)
+var cpuPressureTotal = regexp.MustCompile(`some .* total=(\d+)`)
 
-// starvation is for how long, since the machine's start, some process was ready to run and had no CPU. It stays 0 where the system does
+// cpuStarvation is for how long, since the machine's start, some process was ready to run and had no CPU. It stays 0 where the system does
 // not tell.
-func starvation() time.Duration {
+func cpuStarvation() time.Duration {
 	text, _ := os.ReadFile("/proc/pressure/cpu")
-	found := stalled.FindSubmatch(text)
+	found := cpuPressureTotal.FindSubmatch(text)
 	if found == nil {
 		return 0
 	}
@@ -41,15 +43,15 @@
 }
 
 const (
-	// mostPlays is how often a play is tried that a machine without CPUs to spare may spoil.
-	mostPlays = 5
-	// starvedPlay is the share of its time from which on that may be.
-	starvedPlay = 0.2
+	// maxRuns is how often a play is tried that a machine without CPUs to spare may spoil.
+	maxRuns = 5
+	// starvedThreshold is the share of its time from which on that may be.
+	starvedThreshold = 0.2
 )
 
-// Judge runs a play of what must happen within a short time. Where it finds a fault on a machine that was starved meanwhile, it is played
+// RetryIfStarved runs a play of what must happen within a short time. Where it finds a fault on a machine that was starved meanwhile, it is played
 // again; a fault that comes in each play is one.
-func Judge(t testing.TB, play func() error) {
+func RetryIfStarved(t testing.TB, play func() error) {
 	t.Helper()
 	for n := 1; ; n++ {
 		w := StartStopwatch()
@@ -58,7 +60,7 @@
 			return
 		}
 		share := w.starvedShare()
-		if share < starvedPlay || n == mostPlays {
+		if share < starvedThreshold || n == maxRuns {
 			t.Fatalf("play %d, CPUs short for %.2f of the time: %v", n, share, fault)
 		}
 		t.Logf("play %d again, CPUs short for %.2f of the time: %v", n, share, fault)
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -19,7 +19,7 @@
 	// ConnLimit bounds the use of a connection by a test, which reads and writes on it many times.
 	ConnLimit = time.Minute
 
-	pollEvery = 5 * time.Millisecond
+	pollInterval = 5 * time.Millisecond
 )
 
 // Receive returns the next value from c, or the zero value once c is closed.
@@ -54,14 +54,14 @@
 	}
 }
 
-// Group waits until all goroutines of g have ended.
-func Group(t testing.TB, g *sync.WaitGroup, what string) {
+// WaitGroup waits until all goroutines of g have ended.
+func WaitGroup(t testing.TB, g *sync.WaitGroup, what string) {
 	t.Helper()
-	GroupWithin(t, Limit, g, what)
+	WaitGroupWithin(t, Limit, g, what)
 }
 
-// GroupWithin is Group with a bound of its own, for goroutines that wait themselves.
-func GroupWithin(t testing.TB, limit time.Duration, g *sync.WaitGroup, what string) {
+// WaitGroupWithin is WaitGroup with a bound of its own, for goroutines that wait themselves.
+func WaitGroupWithin(t testing.TB, limit time.Duration, g *sync.WaitGroup, what string) {
 	t.Helper()
 	ended := make(chan struct{})
 	go func() {
@@ -80,7 +80,7 @@
 // UntilWithin is Until with a bound of its own, for waits that consist of many steps.
 func UntilWithin(t testing.TB, limit time.Duration, what string, holds func() bool) {
 	t.Helper()
-	for begin := time.Now(); !holds(); time.Sleep(pollEvery) {
+	for begin := time.Now(); !holds(); time.Sleep(pollInterval) {
 		if time.Since(begin) > limit {
 			t.Fatalf("waited %v for %s", limit, what)
 		}
@@ -91,7 +91,7 @@
 // ends.
 func Listen(t testing.TB) *net.TCPListener {
 	t.Helper()
-	l, err := net.Listen("tcp", loopback.Free())
+	l, err := net.Listen("tcp", loopback.FreeAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,19 +116,19 @@
 	if a.err != nil {
 		t.Fatalf("accept of %s: %v", what, a.err)
 	}
-	Bound(t, a.conn)
+	BoundConn(t, a.conn)
 	return a.conn
 }
 
-// mostSilent is how many connections in a row AcceptHello passes over.
-const mostSilent = 20
+// maxSilentConns is how many connections in a row AcceptHello passes over.
+const maxSilentConns = 20
 
 // AcceptHello returns the next connection to l on which the other side first writes hello. It passes over those that end before a byte has
 // come: a dialler that got no CPU in time gives up a connection that the system has made.
 func AcceptHello(t testing.TB, l net.Listener, hello, what string) net.Conn {
 	t.Helper()
 	got := make([]byte, len(hello))
-	for range mostSilent {
+	for range maxSilentConns {
 		nc := Accept(t, l, what)
 		n, err := io.ReadFull(nc, got)
 		if n == 0 && err == io.EOF {
@@ -140,7 +140,7 @@
 		}
 		return nc
 	}
-	t.Fatalf("%d connections of %s ended without a byte", mostSilent, what)
+	t.Fatalf("%d connections of %s ended without a byte", maxSilentConns, what)
 	panic("unreachable")
 }
 
@@ -151,12 +151,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	Bound(t, nc)
+	BoundConn(t, nc)
 	return nc.(*net.TCPConn)
 }
 
-// Bound bounds all reads and writes on nc, which fail with a time-out then, and closes it when the test ends.
-func Bound(t testing.TB, nc net.Conn) {
+// BoundConn bounds all reads and writes on nc, which fail with a time-out then, and closes it when the test ends.
+func BoundConn(t testing.TB, nc net.Conn) {
 	t.Helper()
 	t.Cleanup(func() { nc.Close() })
 	if err := nc.SetDeadline(time.Now().Add(ConnLimit)); err != nil {
--- a/internal/testwait/testwait_test.go
+++ b/internal/testwait/testwait_test.go
@@ -24,7 +24,7 @@
 	var g sync.WaitGroup
 	ran := false
 	g.Go(func() { ran = true })
-	Group(t, &g, "a goroutine")
+	WaitGroup(t, &g, "a goroutine")
 	if !ran {
 		t.Error("the goroutine has not run")
 	}
@@ -59,15 +59,15 @@
 	AcceptHello(t, l, "hello", "the second connection")
 }
 
-// A stopwatch counts no more than the time that passes, and Judge ends with the first play without a fault.
+// A stopwatch counts no more than the time that passes, and RetryIfStarved ends with the first play without a fault.
 func TestJudge(t *testing.T) {
 	w := StartStopwatch()
 	time.Sleep(time.Millisecond)
-	if took := w.Elapsed(); took > time.Since(w.began) {
-		t.Errorf("%v, of %v in all", took, time.Since(w.began))
+	if took := w.Elapsed(); took > time.Since(w.startedAt) {
+		t.Errorf("%v, of %v in all", took, time.Since(w.startedAt))
 	}
 	plays := 0
-	Judge(t, func() error { plays++; return nil })
+	RetryIfStarved(t, func() error { plays++; return nil })
 	if plays != 1 {
 		t.Errorf("%d plays", plays)
 	}
@@ -75,7 +75,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		Judge(f, func() error { return always })
+		RetryIfStarved(f, func() error { return always })
 	}()
 	Receive(t, ended, "the end of plays that all have a fault")
 	if !strings.Contains(f.said, "late") {
--- a/lab/local/coldservers_test.go
+++ b/lab/local/coldservers_test.go
@@ -86,8 +86,8 @@
 	for i := range b.requests {
 		<-tick.C
 		object := rng.IntN(b.objects)
-		q := router.Request{ID: fmt.Sprintf("c01d%012x", i), Class: Classes[1], Object: Object(0, object), Allow: 3000,
-			SizeKb: float64(b.leastKb + object*37%(b.mostKb-b.leastKb+1))}
+		q := router.Request{ID: fmt.Sprintf("c01d%012x", i), Class: Classes[1], Object: Object(0, object), ClientTimeout: 3000,
+			SizeKB: float64(b.leastKb + object*37%(b.mostKb-b.leastKb+1))}
 		to := lines[rng.IntN(len(lines))]
 		open.Go(func() {
 			a, _, err := to.do(t.Context(), q)
--- a/lab/local/load.go
+++ b/lab/local/load.go
@@ -117,12 +117,12 @@
 			class = Classes[1]
 		}
 		q := router.Request{ID: fmt.Sprintf("%08x%08x", load.Seed&math.MaxUint32, i), Class: class, Object: Object(family, rng.IntN(load.Objects)),
-			Group: int64(family), SizeKb: 20, Allow: 3000}
+			PurgeGroup: int64(family), SizeKB: 20, ClientTimeout: 3000}
 		if class == Classes[0] {
-			q.Part = int64(rng.IntN(6))
+			q.Chunk = int64(rng.IntN(6))
 		}
 		if class == Classes[2] {
-			q.Key, q.Body = "key-"+q.ID, []byte("stock")
+			q.IdempotencyKey, q.Body = "key-"+q.ID, []byte("stock")
 		}
 		to := lines[rng.IntN(len(lines))]
 		if load.Sent != nil {
@@ -148,15 +148,15 @@
 	return rep, nil
 }
 
-func (c *Count) book(q *router.Request, a router.Answer, err error, took time.Duration) {
+func (c *Count) book(q *router.Request, a router.Response, err error, took time.Duration) {
 	switch {
 	case errors.Is(err, msgpackrpc.ErrClosed), err != nil:
 		c.Lost++
-	case a.Verdict == router.Refused:
+	case a.Outcome == router.Rejected:
 		c.Refused++
-	case a.Verdict != router.Served:
+	case a.Outcome != router.Served:
 		c.Failed++
-	case !bytes.Equal(a.Body, tier.Body(q.Object, fmt.Sprint(q.Part))):
+	case !bytes.Equal(a.Body, tier.Body(q.Object, fmt.Sprint(q.Chunk))):
 		c.Wrong++
 	default:
 		c.Served++
@@ -189,7 +189,7 @@
 }
 
 // do sends a request; again is 1 if it had to be sent once more.
-func (l *line) do(ctx context.Context, q router.Request) (a router.Answer, again int, err error) {
+func (l *line) do(ctx context.Context, q router.Request) (a router.Response, again int, err error) {
 	for {
 		c, err := l.client()
 		if err != nil {
--- a/lab/local/local.go
+++ b/lab/local/local.go
@@ -292,7 +292,7 @@
 	if before != nil {
 		r.Addr, r.socket, r.starts = before.Addr, before.socket, before.starts+1
 	} else {
-		r.Addr = loopback.Free()
+		r.Addr = loopback.FreeAddress()
 		if d.opt.Managed {
 			if r.socket, r.Addr, err = holdSocket(); err != nil {
 				return nil, err
@@ -314,7 +314,7 @@
 	}
 	r.cmd.Env = append(os.Environ(), "RELAY_NAME="+name, "RELAY_LISTEN="+r.Addr, "RELAY_CONFIG="+d.config(i))
 	if d.opt.Managed {
-		r.Manage = loopback.Free()
+		r.Manage = loopback.FreeAddress()
 		stateDir := filepath.Join(d.dir, name)
 		if err := os.MkdirAll(stateDir, 0o700); err != nil {
 			return nil, err
--- a/lab/local/operate_test.go
+++ b/lab/local/operate_test.go
@@ -151,13 +151,13 @@
 	settings := func(doc map[string]any) map[string]any { return doc["settings"].(map[string]any) }
 	price := map[string]any{"Name": "price", "Promise": 400_000, "Deadline": 3_000_000, "Gain": 1, "LateWorth": 0, "Group": "all", "Idempotency": "read_like",
 		"MemorySpan": 0, "AimStretch": 2}
-	ask := func(class string, n int) (router.Answer, error) {
+	ask := func(class string, n int) (router.Response, error) {
 		c, err := msgpackrpc.Dial(r.Addr, 1000)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		return c.Do(bounded(t, callWithin, "an answer"), router.Request{ID: fmt.Sprintf("%016x", n), Class: class, Object: Object(0, n), SizeKb: 20, Allow: 3000})
+		return c.Do(bounded(t, callWithin, "an answer"), router.Request{ID: fmt.Sprintf("%016x", n), Class: class, Object: Object(0, n), SizeKB: 20, ClientTimeout: 3000})
 	}
 	rejected := 0
 	for name, change := range map[string]func(doc map[string]any){
@@ -179,7 +179,7 @@
 		rejected++
 		until(t, name, func() bool { return figures(t, r)["app.sighup_rejected"] == rejected })
 	}
-	if a, err := ask("catalogue", 1); err != nil || a.Verdict != router.Served {
+	if a, err := ask("catalogue", 1); err != nil || a.Outcome != router.Served {
 		t.Errorf("after files that were turned down: %+v, %v", a, err)
 	}
 	if err := d.Configure(0, func(doc map[string]any) {
@@ -192,10 +192,10 @@
 		t.Fatal(err)
 	}
 	until(t, "a good file", func() bool { return figures(t, r)["app.sighup_applied"] == 1 })
-	if a, err := ask("price", 2); err != nil || a.Verdict != router.Served {
+	if a, err := ask("price", 2); err != nil || a.Outcome != router.Served {
 		t.Errorf("a new class: %+v, %v", a, err)
 	}
-	if a, err := ask("catalogue", 3); err != nil || a.Verdict != router.Failed {
+	if a, err := ask("catalogue", 3); err != nil || a.Outcome != router.Failed {
 		t.Errorf("a class that was dropped: %+v, %v", a, err)
 	}
 	if f := figures(t, r); f["app.sighup_rejected"] != rejected || f["app.results.price.succeeded"] != 1 || f["app.results.catalogue.succeeded"] != 1 {
@@ -229,9 +229,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	answers := make(chan router.Answer, 1)
+	answers := make(chan router.Response, 1)
 	go func() {
-		a, err := c.Do(bounded(t, callWithin, "an answer"), router.Request{ID: "0000000000000001", Class: Classes[0], Object: Object(0, 1), SizeKb: 20, Allow: 3000})
+		a, err := c.Do(bounded(t, callWithin, "an answer"), router.Request{ID: "0000000000000001", Class: Classes[0], Object: Object(0, 1), SizeKB: 20, ClientTimeout: 3000})
 		if err != nil {
 			t.Error(err)
 		}
@@ -242,7 +242,7 @@
 	if status, _, err := r.Call(bounded(t, callWithin, "a call"), http.MethodGet, "/api/ready"); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("ready while it is emptied: %d, %v", status, err)
 	}
-	if a := testwait.Receive(t, answers, "the answer to the open request"); a.Verdict != router.Served {
+	if a := testwait.Receive(t, answers, "the answer to the open request"); a.Outcome != router.Served {
 		t.Errorf("what was open got %+v", a)
 	}
 	until(t, "the connection closed", func() bool {
--- a/lab/local/readiness_test.go
+++ b/lab/local/readiness_test.go
@@ -126,10 +126,10 @@
 			t.Fatalf("router %d: %v", i, err)
 		}
 		for try := range tries {
-			q := router.Request{ID: fmt.Sprintf("%04x%04x%08x", round, try, i), Class: Classes[1], Object: Object(0, i), SizeKb: 20, Allow: 3000}
+			q := router.Request{ID: fmt.Sprintf("%04x%04x%08x", round, try, i), Class: Classes[1], Object: Object(0, i), SizeKB: 20, ClientTimeout: 3000}
 			asked[q.ID] = i
 			a, err := c.Do(t.Context(), q)
-			if err != nil || a.Verdict == router.Served {
+			if err != nil || a.Outcome == router.Served {
 				break
 			}
 		}
--- a/standin/discovery/server.go
+++ b/standin/discovery/server.go
@@ -49,7 +49,7 @@
 // Listen starts a discovery service on loopback, at a host part of its own: a port of 127.0.0.1 might be taken by another connection while the
 // service is down. Close ends it.
 func Listen() (*Service, error) {
-	l, err := net.Listen("tcp", loopback.Free())
+	l, err := net.Listen("tcp", loopback.FreeAddress())
 	if err != nil {
 		return nil, err
 	}
