--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -137,7 +137,7 @@
 // divideDescriptors shares descriptors and bytes of memory out: how many connections clients may hold, and how many there may be to servers.
 func divideDescriptors(sockets int, memory float64) (clients, servers int) {
 	clients = sockets / clientDescriptorDivisor
-	servers = max(min(sockets-clients-reservedDescriptors, int(responseBodyShare*memory/resp.MaxBody)), minServerConns)
+	servers = max(min(sockets-clients-reservedDescriptors, int(responseBodyShare*memory/resp.MaxBodySize)), minServerConns)
 	return max(clients, min(sockets-servers-reservedDescriptors, int(extraClientShare*memory/bytesPerClient))), servers
 }
 
@@ -185,8 +185,8 @@
 	}
 	debug.SetMemoryLimit(int64(heapShare * memory))
 	clients, mostConns := divideDescriptors(sockets, memory)
-	pools := resp.NewPools(serving, resp.Options{DialTimeout: c.DialTimeout, IdleClose: c.IdleTimeout,
-		MaxStreams: c.MaxStreams, MaxConns: mostConns, MaxWait: c.MaxSendDelay}, now, log)
+	pools := resp.NewPools(serving, resp.Options{DialTimeout: c.DialTimeout, IdleTimeout: c.IdleTimeout,
+		MaxStreams: c.MaxStreams, MaxConns: mostConns, MaxSendDelay: c.MaxSendDelay}, now, log)
 	core, err := router.New(c.Settings, c.Seed, now, pools, log)
 	if err != nil {
 		return err
@@ -202,9 +202,9 @@
 		core.Apply(n)
 	}
 	var ready, ending atomic.Bool
-	server := &msgpackrpc.Server{Keyed: keyedClasses(c), Handle: core.Serve, OnRefused: core.CountRejected, MaxConns: clients,
-		MaxQueued: int64(requestQueueShare * memory), Clock: now, Log: log}
-	server.Ready = func() bool { return ready.Load() && !ending.Load() && !server.Draining() }
+	server := &msgpackrpc.Server{KeyRequired: keyedClasses(c), Handle: core.Serve, OnRejected: core.CountRejected, MaxConns: clients,
+		MaxQueuedBytes: int64(requestQueueShare * memory), Clock: now, Log: log}
+	server.IsReady = func() bool { return ready.Load() && !ending.Load() && !server.Draining() }
 	listener, err := listenForClients(c)
 	if err != nil {
 		return err
@@ -226,7 +226,7 @@
 	log.Info().Str("listen", c.ListenAddr).Uint64("known", c.LastEventID).Msg("serving")
 
 	watcher := &discovery.Watcher{Names: c.Names, LastApplied: c.LastEventID, Apply: apply, Clock: now, Log: log,
-		Tries: coldstart.Schedule{Rank: c.Fleet.Rank, FleetSize: c.Settings.FleetSize}}
+		RetrySchedule: coldstart.Schedule{Rank: c.Fleet.Rank, FleetSize: c.Settings.FleetSize}}
 	watcher.SetAddress(c.DiscoveryAddr)
 	group, serving := errgroup.WithContext(serving)
 	var talk *peers.Transport
@@ -250,7 +250,7 @@
 			log.Warn().Err(err).Msg("can't say that this process serves")
 		}
 		staff := newAdminServer(core, server, pools, state, &files, log)
-		staff.IsReady = server.Ready
+		staff.IsReady = server.IsReady
 		group.Go(func() error { return staff.Serve(serving, second) })
 		group.Go(func() error { return state.WatchExcluded(serving, core.SetExcluded) })
 		if inherited {
@@ -291,8 +291,8 @@
 			stay = 0
 		}
 		log.Info().Bool("replaced", stay == 0).Msg("stopping")
-		server.Patience = last + take - stay // these are read once accepting has ended
-		server.Take, server.Late = take, shutdownSlack(longest.Load().(float64))
+		server.ShutdownTimeout = last + take - stay // these are read once accepting has ended
+		server.ResponseReadTimeout, server.ShutdownGracePeriod = take, shutdownSlack(longest.Load().(float64))
 		now.AfterFunc(stay, stopAccepting)
 		now.AfterFunc(last, core.Close)
 		return nil
@@ -365,7 +365,7 @@
 
 func logCounters(core *router.Router, server *msgpackrpc.Server, talk *peers.Transport, log zerolog.Logger) {
 	n := &core.Counters
-	evicted, rejected, clientFaults := server.Counts()
+	evicted, rejected, clientFaults := server.ConnectionCounts()
 	log.Info().Int64("taken", n.Accepted.Load()).Int64("sent", n.Attempts.Load()).Int64("served", n.Served.Load()).
 		Int64("refused", n.Rejected.Load()).Int64("failed", n.Failed.Load()).Int64("gone", n.Departed.Load()).
 		Int64("overdue", n.Overdue.Load()).Int64("faults", n.Faults.Load()).Int64("client_faults", clientFaults).Int64("gave_way", evicted).
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -65,7 +65,7 @@
 			manage.Metric{Name: under + ".declined", Value: t.Rejected.Load()}, manage.Metric{Name: under + ".aborted", Value: t.Failed.Load()})
 	}
 	listed, off := core.CacheCounts()
-	return append(list, manage.Metric{Name: "forwards", Value: pools.Written()},
+	return append(list, manage.Metric{Name: "forwards", Value: pools.AttemptsWritten()},
 		manage.Metric{Name: "outstanding", Value: core.OpenRequests(), IsGauge: true},
 		manage.Metric{Name: "discovered", Value: int64(listed), IsGauge: true}, manage.Metric{Name: "ejected", Value: int64(off), IsGauge: true},
 		manage.Metric{Name: "sighup_applied", Value: files.applied.Load()}, manage.Metric{Name: "sighup_rejected", Value: files.rejected.Load()})
@@ -87,8 +87,8 @@
 		log.Error().Err(err).Msg("new configuration can't be used")
 		return old
 	}
-	server.Retune(keyedClasses(c))
-	pools.Retune(c.MaxSendDelay)
+	server.UpdateClasses(keyedClasses(c))
+	pools.SetMaxSendDelay(c.MaxSendDelay)
 	files.applied.Add(1)
 	if c.MemoryMB != old.MemoryMB || c.MaxSockets != old.MaxSockets || c.DialTimeout != old.DialTimeout || c.IdleTimeout != old.IdleTimeout ||
 		c.MaxStreams != old.MaxStreams || c.Settings.Zone != old.Settings.Zone {
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		if buf, err = answer(buf[:0], routers, batch); err != nil {
+		if buf, err = handleBatch(buf[:0], routers, batch); err != nil {
 			return err
 		}
 		if _, err := out.Write(append(buf, "READY\n"...)); err != nil {
@@ -39,21 +39,21 @@
 	}
 }
 
-// answer takes the events of a batch to their instances, each instance's in one step, in the order of first events.
-func answer(buf []byte, routers map[string]*rules.Engine, batch *wire.Batch) ([]byte, error) {
+// handleBatch takes the events of a batch to their instances, each instance's in one step, in the order of first events.
+func handleBatch(buf []byte, routers map[string]*rules.Engine, batch *wire.Batch) ([]byte, error) {
 	var order []string
 	pending := map[string][]rules.Event{}
-	for _, it := range batch.Items {
+	for _, it := range batch.Messages {
 		events, listed := pending[it.Instance]
 		if !listed {
 			order = append(order, it.Instance)
 			pending[it.Instance] = nil
 		}
 		switch {
-		case it.Shutdown:
+		case it.IsStop:
 			delete(routers, it.Instance)
 			pending[it.Instance] = nil
-		case it.Born:
+		case it.IsStart:
 			router, err := rules.NewEngine(*it.Settings, it.Seed)
 			if err != nil {
 				return buf, fmt.Errorf("settings of %s: %w", it.Instance, err)
@@ -66,14 +66,14 @@
 	}
 	for _, id := range order {
 		if events := pending[id]; len(events) > 0 {
-			buf = step(buf, id, routers[id], batch.Time, events)
+			buf = stepEngine(buf, id, routers[id], batch.Time, events)
 		}
 	}
 	return buf, nil
 }
 
-// step runs one router; a panic in it becomes the wire's PANIC.
-func step(buf []byte, id string, router *rules.Engine, now int64, events []rules.Event) (out []byte) {
+// stepEngine runs one router; a panic in it becomes the wire's PANIC.
+func stepEngine(buf []byte, id string, router *rules.Engine, now int64, events []rules.Event) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
 			out = wire.AppendPanic(buf, id, fmt.Sprint(p))
@@ -81,7 +81,7 @@
 	}()
 	out = buf
 	for _, a := range router.Step(now, events) {
-		out = wire.Append(out, id, a)
+		out = wire.AppendAction(out, id, a)
 	}
 	return out
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -19,7 +19,7 @@
 
 // appendFrame encodes a frame as the discovery service does.
 func appendFrame(buf []byte, number uint64, kind byte, payload []byte) []byte {
-	buf = binary.BigEndian.AppendUint32(buf, uint32(frameHead+len(payload)))
+	buf = binary.BigEndian.AppendUint32(buf, uint32(frameHeaderSize+len(payload)))
 	buf = append(binary.BigEndian.AppendUint64(buf, number), kind)
 	return append(buf, payload...)
 }
@@ -44,7 +44,7 @@
 	} {
 		stream := appendFrame(nil, 42, c.kind, []byte(c.payload))
 		f, err := readFrame(iotest.OneByteReader(bytes.NewReader(stream)), names)
-		if err != nil || f.number != 42 || f.kind != c.kind || !reflect.DeepEqual(f.notice, c.want) {
+		if err != nil || f.number != 42 || f.kind != c.kind || !reflect.DeepEqual(f.event, c.want) {
 			t.Errorf("kind %d: %+v, %v", c.kind, f, err)
 		}
 		if _, err := readFrame(bytes.NewReader(stream[:len(stream)-1]), names); err != io.ErrUnexpectedEOF {
--- a/internal/discovery/frames.go
+++ b/internal/discovery/frames.go
@@ -27,13 +27,13 @@
 )
 
 const (
-	recordSize = 27
-	frameHead  = 9 // number and kind
-	maxFrame   = frameHead + recordSize*4096
+	recordSize      = 27
+	frameHeaderSize = 9 // number and kind
+	maxFrameSize    = frameHeaderSize + recordSize*4096
 )
 
-// statuses maps the numbers of the protocol to the decision module's names of a server's status.
-var statuses = []string{"healthy", "cordoned", "deregistered"}
+// statusesByNumber maps the numbers of the protocol to the decision module's names of a server's status.
+var statusesByNumber = []string{"healthy", "cordoned", "deregistered"}
 
 var errMalformed = errors.New("malformed frame")
 
@@ -41,7 +41,7 @@
 type frame struct {
 	number uint64
 	kind   byte
-	notice router.WatchEvent
+	event  router.WatchEvent
 }
 
 // readFrame reads one frame.
@@ -51,7 +51,7 @@
 		return f, err
 	}
 	length := binary.BigEndian.Uint32(size[:])
-	if length < frameHead || length > maxFrame {
+	if length < frameHeaderSize || length > maxFrameSize {
 		return f, fmt.Errorf("%w: length %d", errMalformed, length)
 	}
 	body := make([]byte, length)
@@ -62,7 +62,7 @@
 		return f, err
 	}
 	f.number, f.kind = binary.BigEndian.Uint64(body), body[8]
-	f.notice, err = parsePayload(f.kind, body[frameHead:], names)
+	f.event, err = parsePayload(f.kind, body[frameHeaderSize:], names)
 	return f, err
 }
 
@@ -103,12 +103,12 @@
 // parseRecord reads one server: id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8 bytes.
 func parseRecord(b []byte, names Names) (s router.Server, err error) {
 	state, zone, kind := int(b[10]), int(b[11]), int(b[12])
-	if state >= len(statuses) || zone >= len(names.Zones) || kind >= len(names.Kinds) {
+	if state >= len(statusesByNumber) || zone >= len(names.Zones) || kind >= len(names.Kinds) {
 		return s, fmt.Errorf("%w: state %d, zone %d, kind %d", errMalformed, state, zone, kind)
 	}
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:]))
 	return router.Server{
-		ID: fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b)), Addr: addr.String(), Status: statuses[state],
+		ID: fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b)), Addr: addr.String(), Status: statusesByNumber[state],
 		Zone: names.Zones[zone], Kind: names.Kinds[kind], Cell: int64(binary.BigEndian.Uint16(b[13:])),
 		Weight:    float64(binary.BigEndian.Uint32(b[15:])) / 1000,
 		StartedAt: float64(binary.BigEndian.Uint64(b[19:])),
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -13,9 +13,9 @@
 type initialEvents struct {
 	Rev     uint64 `json:"rev"`
 	Notices []struct {
-		Rev   uint64       `json:"rev"`
-		Pool  *serverList  `json:"pool"`
-		Flush *purgeNotice `json:"flush"`
+		Rev   uint64      `json:"rev"`
+		Pool  *serverList `json:"pool"`
+		Flush *purgeEvent `json:"flush"`
 	} `json:"notices"`
 }
 
@@ -34,15 +34,15 @@
 	} `json:"targets"`
 }
 
-// purgeNotice names what is purged: an object or a collection.
-type purgeNotice struct {
+// purgeEvent names what is purged: an object or a collection.
+type purgeEvent struct {
 	Asset      string  `json:"asset"`
 	Collection int64   `json:"collection"`
 	Ms         float64 `json:"ms"`
 }
 
-// statusOf maps the states of the document to the decision module's names of a server's status.
-var statusOf = map[string]string{"Ready": "healthy", "Terminating": "cordoned", "Gone": "deregistered"}
+// statusesByState maps the states of the document to the decision module's names of a server's status.
+var statusesByState = map[string]string{"Ready": "healthy", "Terminating": "cordoned", "Gone": "deregistered"}
 
 // ParseInitialEvents reads the settings' document `known`, the events from before the start, and returns the number of the last one too.
 func ParseInitialEvents(text []byte, names Names) (last uint64, notices []router.WatchEvent, err error) {
@@ -54,7 +54,7 @@
 		var n router.WatchEvent
 		switch {
 		case e.Pool != nil:
-			if n, err = e.Pool.notice(names); err != nil {
+			if n, err = e.Pool.watchEvent(names); err != nil {
 				return 0, nil, fmt.Errorf("notices[%d].pool.%w", i, err)
 			}
 		case e.Flush != nil:
@@ -68,11 +68,11 @@
 	return max(last, document.Rev), notices, nil
 }
 
-// notice checks the list against the settings' names and converts it.
-func (p *serverList) notice(names Names) (n router.WatchEvent, err error) {
+// watchEvent checks the list against the settings' names and converts it.
+func (p *serverList) watchEvent(names Names) (n router.WatchEvent, err error) {
 	n.IsSnapshot = p.All
 	for i, t := range p.Targets {
-		status, known := statusOf[t.State]
+		status, known := statusesByState[t.State]
 		_, addrErr := netip.ParseAddrPort(t.Endpoint)
 		switch {
 		case t.UID == "":
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -21,7 +21,7 @@
 const (
 	silenceTimeout = 2500 // without a frame; the service sends one each second
 	dialTimeout    = 500
-	stableAfter    = 1000 // a connection that lasted at least so long counts as a success, and retries start anew when it is lost
+	minStableTime  = 1000 // a connection that lasted at least so long counts as a success, and retries start anew when it is lost
 	logInterval    = 1000
 )
 
@@ -29,19 +29,19 @@
 
 // Watcher keeps a watch open on the discovery service and applies its events in order. Exported fields are set before Run.
 type Watcher struct {
-	Names       Names
-	LastApplied uint64                  // number of the last event applied; the watch resumes after it
-	Apply       func(router.WatchEvent) // called for each event, one at a time
-	Tries       coldstart.Schedule      // schedule of retries, which spreads the routers of a fleet out
-	Clock       *clock.Clock
-	Log         zerolog.Logger
+	Names         Names
+	LastApplied   uint64                  // number of the last event applied; the watch resumes after it
+	Apply         func(router.WatchEvent) // called for each event, one at a time
+	RetrySchedule coldstart.Schedule      // schedule of retries, which spreads the routers of a fleet out
+	Clock         *clock.Clock
+	Log           zerolog.Logger
 
 	mu     sync.Mutex
 	addr   string
 	cancel context.CancelCauseFunc // ends the connection to addr; nil: there is none
 
-	failures int // connections lost and dials that failed
-	loggedAt float64
+	failureCount int // connections lost and dials that failed
+	loggedAt     float64
 }
 
 // SetAddress points the watcher at another discovery service and closes the present connection. The watch resumes there after the last event
@@ -70,7 +70,7 @@
 		if !addressChanged && ctx.Err() == nil {
 			w.logFailure(err, addr, w.LastApplied-before)
 			now := w.Clock.Monotonic()
-			if lostAt == 0 || received && now-startedAt >= stableAfter {
+			if lostAt == 0 || received && now-startedAt >= minStableTime {
 				lostAt, retried = now, false
 			}
 			w.waitForRetry(watching, lostAt, retried)
@@ -89,7 +89,7 @@
 // waitForRetry waits until the schedule allows the next retry, or until ctx ends, which a change of the address also does.
 func (w *Watcher) waitForRetry(ctx context.Context, lostAt float64, retried bool) {
 	now := clock.Micros(w.Clock.Monotonic())
-	retryAt := w.Tries.Next(clock.Micros(lostAt), now, retried)
+	retryAt := w.RetrySchedule.Next(clock.Micros(lostAt), now, retried)
 	wait, cancel := context.WithTimeout(ctx, clock.Duration(clock.Millis(retryAt-now)))
 	defer cancel()
 	<-wait.Done()
@@ -97,10 +97,10 @@
 
 // logFailure logs a lost connection, and further ones at most once a second, for a service that is down is dialled often.
 func (w *Watcher) logFailure(err error, addr string, applied uint64) {
-	w.failures++
+	w.failureCount++
 	if now := w.Clock.Now(); applied > 0 || now-w.loggedAt >= logInterval {
 		w.loggedAt = now
-		w.Log.Warn().Err(err).Str("board", addr).Uint64("last", w.LastApplied).Uint64("applied", applied).Int("lost", w.failures).
+		w.Log.Warn().Err(err).Str("board", addr).Uint64("last", w.LastApplied).Uint64("applied", applied).Int("lost", w.failureCount).
 			Msg("board connection lost")
 	}
 }
@@ -132,7 +132,7 @@
 		if frame.kind == kindHeartbeat || frame.number <= w.LastApplied { // the service may repeat events
 			continue
 		}
-		w.Apply(frame.notice)
+		w.Apply(frame.event)
 		w.LastApplied = frame.number
 	}
 }
--- a/internal/discovery/wire_compat_test.go
+++ b/internal/discovery/wire_compat_test.go
@@ -46,13 +46,13 @@
 	cases := map[string]frame{
 		"heartbeat": {number: 0x0102030405060708, kind: 0},
 		"snapshot of each status": {number: 2, kind: 1,
-			notice: router.WatchEvent{IsSnapshot: true, Servers: []router.Server{healthy, cordoned, deregistered}}},
-		"empty snapshot": {number: 3, kind: 1, notice: router.WatchEvent{IsSnapshot: true}},
-		"update":         {number: 4, kind: 2, notice: router.WatchEvent{Servers: []router.Server{cordoned}}},
+			event: router.WatchEvent{IsSnapshot: true, Servers: []router.Server{healthy, cordoned, deregistered}}},
+		"empty snapshot": {number: 3, kind: 1, event: router.WatchEvent{IsSnapshot: true}},
+		"update":         {number: 4, kind: 2, event: router.WatchEvent{Servers: []router.Server{cordoned}}},
 		"purge of an object": {number: 5, kind: 3,
-			notice: router.WatchEvent{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", Before: 1764576000123}}},
+			event: router.WatchEvent{Purge: &router.Purge{Object: "7f3a9c21e0b4d655", Before: 1764576000123}}},
 		"purge of a group": {number: 6, kind: 4,
-			notice: router.WatchEvent{Purge: &router.Purge{Group: 0x0111, Before: 1764576000480}}},
+			event: router.WatchEvent{Purge: &router.Purge{Group: 0x0111, Before: 1764576000480}}},
 	}
 	pins := readPins(t)
 	if len(pins) != len(cases)+1 { // watchPin
--- a/internal/msgpackrpc/call.go
+++ b/internal/msgpackrpc/call.go
@@ -15,42 +15,42 @@
 // handleMessage handles one message; an error ends the connection.
 func (c *conn) handleMessage(ctx context.Context, m message, arrived float64, requests *sync.WaitGroup) error {
 	s := c.server
-	if m.kind == kindNotify {
+	if m.kind == kindNotification {
 		if m.method == "cancel" {
 			c.cancel(m.params)
 		}
 		return nil
 	}
 	if m.method == "health" {
-		buf := append(appendResult(nil, m.id), 0x92, 0xc2)
-		if s.Ready() {
+		buf := append(appendResultHeader(nil, m.id), 0x92, 0xc2)
+		if s.IsReady() {
 			buf[len(buf)-1] = 0xc3
 		}
-		return c.enqueue(answer{parts: net.Buffers{appendFields(buf)}})
+		return c.enqueue(encodedResponse{parts: net.Buffers{appendFields(buf)}})
 	}
 	keyed, known := s.lookupClass(m.method)
 	if !known {
-		return c.enqueue(answer{parts: net.Buffers{appendError(nil, m.id, "Error", "reason", "unknown method")}})
+		return c.enqueue(encodedResponse{parts: net.Buffers{appendError(nil, m.id, "Error", "reason", "unknown method")}})
 	}
 	q, err := parseRequest(m.method, m.params, keyed)
 	if err != nil {
 		s.recordFault(fmt.Errorf("request: %w", err))
-		return c.enqueue(answer{parts: net.Buffers{appendError(nil, m.id, "Error", "reason", err.Error())}})
+		return c.enqueue(encodedResponse{parts: net.Buffers{appendError(nil, m.id, "Error", "reason", err.Error())}})
 	}
 	q.ArrivedAt = arrived
-	if s.refusesRequests() {
-		return c.refuse(m, drainCooldown)
+	if s.rejectsRequests() {
+		return c.reject(m, drainRetryAfter)
 	}
-	cost := int64(requestCost + len(q.Body))
+	cost := int64(requestOverhead + len(q.Body))
 	reserved := s.reserve(cost) // bounds the memory of open requests
 	c.mu.Lock()
-	_, duplicate := c.open[m.id]
-	room := reserved && !duplicate && len(c.open) < maxOpen
+	_, duplicate := c.openRequests[m.id]
+	room := reserved && !duplicate && len(c.openRequests) < maxOpenRequests
 	var one context.Context
 	own := &openRequest{}
 	if room {
 		one, own.cancel = context.WithCancel(ctx)
-		c.open[m.id] = own
+		c.openRequests[m.id] = own
 	}
 	c.mu.Unlock()
 	if reserved && !room {
@@ -60,30 +60,30 @@
 	case duplicate:
 		return fmt.Errorf("%w: message id %d is open already", errMalformed, m.id)
 	case !room:
-		return c.refuse(m, fullCooldown)
+		return c.reject(m, overloadRetryAfter)
 	}
-	q.ClientDeparted = func() bool { return c.departed(one) }
+	q.ClientDeparted = func() bool { return c.clientDeparted(one) }
 	requests.Go(func() {
 		defer s.reserve(-cost)
 		a := s.handle(one, q)
-		c.addUnsent(1) // or the connection might be evicted before the answer is queued
-		defer c.addUnsent(-1)
-		if c.finish(m.id, own) && a.Outcome != router.NoResponse {
-			if err := c.answer(m.id, a); err != nil {
+		c.addUnsentResponses(1) // or the connection might be evicted before the answer is queued
+		defer c.addUnsentResponses(-1)
+		if c.closeRequest(m.id, own) && a.Outcome != router.NoResponse {
+			if err := c.respond(m.id, a); err != nil {
 				s.recordFault(err)
-				c.net.Close()
+				c.netConn.Close()
 			}
 		}
 	})
 	return nil
 }
 
-// refuse answers a request that is not accepted; cooldown is how long its client should stay away, in milliseconds.
-func (c *conn) refuse(m message, cooldown string) error {
-	if c.server.OnRefused != nil {
-		c.server.OnRefused(m.method)
+// reject answers a request that is not accepted; cooldown is how long its client should stay away, in milliseconds.
+func (c *conn) reject(m message, cooldown string) error {
+	if c.server.OnRejected != nil {
+		c.server.OnRejected(m.method)
 	}
-	return c.enqueue(answer{parts: net.Buffers{appendError(nil, m.id, "Full", "cooldown", cooldown)}})
+	return c.enqueue(encodedResponse{parts: net.Buffers{appendError(nil, m.id, "Full", "cooldown", cooldown)}})
 }
 
 // handle calls Handle and turns a panic into a failed answer.
@@ -100,27 +100,27 @@
 // cancel ends requests that the client cancelled; none of them is answered.
 func (c *conn) cancel(ids []any) {
 	for _, v := range ids {
-		id, ok := toUint(v)
+		id, ok := asUint64(v)
 		if !ok {
 			c.server.recordFault(errors.New("cancel: no message id"))
 			continue
 		}
 		c.mu.Lock()
-		one := c.open[id]
+		one := c.openRequests[id]
 		c.mu.Unlock()
-		c.finish(id, one)
+		c.closeRequest(id, one)
 	}
 }
 
-// finish removes a request from the open ones. It returns true once for each: that caller may answer. A request that was cancelled is finished a
+// closeRequest removes a request from the open ones. It returns true once for each: that caller may answer. A request that was cancelled is finished a
 // second time, when its id may belong to another.
-func (c *conn) finish(id uint64, one *openRequest) bool {
+func (c *conn) closeRequest(id uint64, one *openRequest) bool {
 	c.mu.Lock()
-	open := one != nil && c.open[id] == one
+	open := one != nil && c.openRequests[id] == one
 	if open {
-		delete(c.open, id)
+		delete(c.openRequests, id)
 	}
-	last := len(c.open) == 0
+	last := len(c.openRequests) == 0
 	c.mu.Unlock()
 	if open {
 		one.cancel()
@@ -131,24 +131,24 @@
 	return open
 }
 
-// answer queues the final answer to a request.
-func (c *conn) answer(id uint64, a router.Response) error {
+// respond queues the final answer to a request.
+func (c *conn) respond(id uint64, a router.Response) error {
 	switch a.Outcome {
 	case router.Served:
 		size := int64(len(a.Body))
-		if !c.server.reserveAnswer(c, size) { // bounds the memory held by clients that do not read
-			return c.enqueue(answer{parts: net.Buffers{appendError(nil, id, "Error", "reason", "too many answers wait")}})
+		if !c.server.reserveResponse(c, size) { // bounds the memory held by clients that do not read
+			return c.enqueue(encodedResponse{parts: net.Buffers{appendError(nil, id, "Error", "reason", "too many answers wait")}})
 		}
-		head := appendBinHead(append(appendResult(nil, id), 0x92), len(a.Body))
+		head := appendBinaryHeader(append(appendResultHeader(nil, id), 0x92), len(a.Body))
 		tail := appendFields(nil)
 		if a.NotModified {
 			tail = appendFields(nil, "keep", "1")
 		}
-		return c.enqueue(answer{parts: net.Buffers{head, a.Body, tail}, size: size})
+		return c.enqueue(encodedResponse{parts: net.Buffers{head, a.Body, tail}, reservedSize: size})
 	case router.Rejected:
 		wait := strconv.FormatFloat(a.RetryAfter, 'f', 0, 64)
-		return c.enqueue(answer{parts: net.Buffers{appendError(nil, id, "Full", "cooldown", wait)}})
+		return c.enqueue(encodedResponse{parts: net.Buffers{appendError(nil, id, "Full", "cooldown", wait)}})
 	default:
-		return c.enqueue(answer{parts: net.Buffers{appendError(nil, id, "Error")}})
+		return c.enqueue(encodedResponse{parts: net.Buffers{appendError(nil, id, "Error")}})
 	}
 }
--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -15,8 +15,8 @@
 
 // The most that an answer to a client may hold: an object has 240,000 bytes.
 const (
-	maxAnswerBody = 256 << 10
-	maxAnswer     = maxAnswerBody + 4<<10
+	maxResponseBody = 256 << 10
+	maxResponse     = maxResponseBody + 4<<10
 )
 
 // ErrClosed is what a call ends with whose connection broke: the request may have run.
@@ -27,16 +27,16 @@
 type Client struct {
 	conn net.Conn
 
-	mu     sync.Mutex
-	next   uint64
-	open   map[uint64]chan result
-	closed bool
+	mu        sync.Mutex
+	lastID    uint64
+	openCalls map[uint64]chan result
+	closed    bool
 }
 
 type result struct {
-	answer router.Response
-	ready  bool
-	err    error
+	response router.Response
+	isReady  bool
+	err      error
 }
 
 // Dial opens a connection within ms milliseconds.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{conn: conn, open: map[uint64]chan result{}}
+	c := &Client{conn: conn, openCalls: map[uint64]chan result{}}
 	go c.read()
 	return c, nil
 }
@@ -63,13 +63,13 @@
 		}
 	}
 	r, err := c.call(ctx, q.Class, pairs, q.Body)
-	return r.answer, err
+	return r.response, err
 }
 
 // Ready asks whether the router has taken in what was known at its start.
 func (c *Client) Ready(ctx context.Context) (bool, error) {
 	r, err := c.call(ctx, "health", nil, nil)
-	return r.ready, err
+	return r.isReady, err
 }
 
 func (c *Client) call(ctx context.Context, method string, pairs []string, body []byte) (result, error) {
@@ -79,16 +79,16 @@
 		c.mu.Unlock()
 		return result{}, ErrClosed
 	}
-	c.next++
-	id := c.next
-	c.open[id] = done
+	c.lastID++
+	id := c.lastID
+	c.openCalls[id] = done
 	c.mu.Unlock()
 	buf := appendString(appendUint([]byte{0x94, kindRequest}, id), method)
 	if method == "health" {
 		buf = appendFields(append(buf, 0x91), pairs...)
 	} else {
 		buf = appendFields(append(buf, 0x92), pairs...)
-		buf = append(appendBinHead(buf, len(body)), body...)
+		buf = append(appendBinaryHeader(buf, len(body)), body...)
 	}
 	if _, err := c.conn.Write(buf); err != nil { // one Write is one message: net.Conn keeps them apart
 		c.forget(id)
@@ -99,7 +99,7 @@
 		return r, r.err
 	case <-ctx.Done():
 		c.forget(id)
-		buf := appendString([]byte{0x93, kindNotify}, "cancel")
+		buf := appendString([]byte{0x93, kindNotification}, "cancel")
 		_, _ = c.conn.Write(appendUint(append(buf, 0x91), id)) // on a broken connection the request is given up anyway
 		return result{}, ctx.Err()
 	}
@@ -108,23 +108,23 @@
 func (c *Client) forget(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, id)
+	delete(c.openCalls, id)
 }
 
 func (c *Client) read() {
 	in := bufio.NewReader(c.conn)
 	for {
-		d := decoder{in: in, left: maxAnswer, most: maxAnswerBody}
-		v, err := d.value(0)
+		d := decoder{reader: in, remaining: maxResponse, maxLength: maxResponseBody}
+		v, err := d.readValue(0)
 		if err == nil {
-			err = c.take(v)
+			err = c.deliver(v)
 		}
 		if err != nil {
 			c.conn.Close()
 			c.mu.Lock()
 			c.closed = true
-			for id, done := range c.open {
-				delete(c.open, id)
+			for id, done := range c.openCalls {
+				delete(c.openCalls, id)
 				done <- result{err: fmt.Errorf("%w: %w", ErrClosed, err)}
 			}
 			c.mu.Unlock()
@@ -133,25 +133,25 @@
 	}
 }
 
-// take hands an answer to its call. One that nobody waits for was cancelled.
-func (c *Client) take(v any) error {
+// deliver hands an answer to its call. One that nobody waits for was cancelled.
+func (c *Client) deliver(v any) error {
 	list, _ := v.([]any)
 	if len(list) != 4 {
 		return fmt.Errorf("%w: no answer", errMalformed)
 	}
-	kind, ok := toUint(list[0])
-	id, ok2 := toUint(list[1])
-	if !ok || !ok2 || kind != kindAnswer {
+	kind, ok := asUint64(list[0])
+	id, ok2 := asUint64(list[1])
+	if !ok || !ok2 || kind != kindResponse {
 		return fmt.Errorf("%w: no answer", errMalformed)
 	}
 	c.mu.Lock()
-	done := c.open[id]
-	delete(c.open, id)
+	done := c.openCalls[id]
+	delete(c.openCalls, id)
 	c.mu.Unlock()
 	if done == nil {
 		return nil
 	}
-	r, err := parseAnswer(list[2], list[3])
+	r, err := parseResponse(list[2], list[3])
 	if err != nil {
 		done <- result{err: err}
 		return err
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func parseAnswer(fault, value any) (r result, err error) {
+func parseResponse(fault, value any) (r result, err error) {
 	if fault != nil {
 		list, _ := fault.([]any)
 		word, fields := "", map[string]any{}
@@ -170,11 +170,11 @@
 		if len(list) > 1 {
 			fields, _ = list[1].(map[string]any)
 		}
-		r.answer.Outcome = router.Failed
+		r.response.Outcome = router.Failed
 		if word == "Full" {
-			r.answer.Outcome = router.Rejected
+			r.response.Outcome = router.Rejected
 			text, _ := fields["cooldown"].(string)
-			r.answer.RetryAfter, _ = strconv.ParseFloat(text, 64) // none is 0
+			r.response.RetryAfter, _ = strconv.ParseFloat(text, 64) // none is 0
 		}
 		return r, nil
 	}
@@ -184,13 +184,13 @@
 	}
 	switch body := list[0].(type) {
 	case bool:
-		r.ready = body
+		r.isReady = body
 	case []byte:
-		r.answer.Outcome, r.answer.Body = router.Served, body
+		r.response.Outcome, r.response.Body = router.Served, body
 	default:
 		return r, fmt.Errorf("%w: no body", errMalformed)
 	}
 	fields, _ := list[1].(map[string]any)
-	r.answer.NotModified = fields["keep"] == "1"
+	r.response.NotModified = fields["keep"] == "1"
 	return r, nil
 }
--- a/internal/msgpackrpc/codec.go
+++ b/internal/msgpackrpc/codec.go
@@ -13,35 +13,35 @@
 
 // The most that a message may hold; lengths are checked before anything is allocated.
 const (
-	maxBytes = 48 << 10 // a write carries 48,000 bytes at most
-	maxItems = 64
-	maxDepth = 6
-	maxTotal = 64 << 10
+	maxStringSize  = 48 << 10 // a write carries 48,000 bytes at most
+	maxItems       = 64
+	maxDepth       = 6
+	maxMessageSize = 64 << 10
 )
 
 var errMalformed = errors.New("malformed message")
 
 // decoder reads one message; left is what it may still take, most the longest string or body.
 type decoder struct {
-	in   *bufio.Reader
-	left int
-	most int
+	reader    *bufio.Reader
+	remaining int
+	maxLength int
 }
 
 // readMessage reads one MessagePack value: nil, bool, int64, uint64, float64, string, []byte, []any or
 // map[string]any.
 func readMessage(in *bufio.Reader) (any, error) {
-	d := decoder{in: in, left: maxTotal, most: maxBytes}
-	return d.value(0)
+	d := decoder{reader: in, remaining: maxMessageSize, maxLength: maxStringSize}
+	return d.readValue(0)
 }
 
-func (d *decoder) take(n int) ([]byte, error) {
-	if n > d.most || n > d.left {
+func (d *decoder) readBytes(n int) ([]byte, error) {
+	if n > d.maxLength || n > d.remaining {
 		return nil, fmt.Errorf("%w: %d bytes are too many", errMalformed, n)
 	}
-	d.left -= n
+	d.remaining -= n
 	b := make([]byte, n)
-	if _, err := io.ReadFull(d.in, b); err != nil {
+	if _, err := io.ReadFull(d.reader, b); err != nil {
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -50,9 +50,9 @@
 	return b, nil
 }
 
-// uint reads a big-endian number of n bytes.
-func (d *decoder) uint(n int) (uint64, error) {
-	b, err := d.take(n)
+// readUint reads a big-endian number of n bytes.
+func (d *decoder) readUint(n int) (uint64, error) {
+	b, err := d.readBytes(n)
 	if err != nil {
 		return 0, err
 	}
@@ -61,11 +61,11 @@
 	return binary.BigEndian.Uint64(wide[:]), nil
 }
 
-func (d *decoder) value(depth int) (any, error) {
+func (d *decoder) readValue(depth int) (any, error) {
 	if depth > maxDepth {
 		return nil, fmt.Errorf("%w: nested too deep", errMalformed)
 	}
-	b, err := d.in.ReadByte()
+	b, err := d.reader.ReadByte()
 	if err != nil {
 		if err == io.EOF && depth > 0 {
 			err = io.ErrUnexpectedEOF
@@ -76,11 +76,11 @@
 	case b < 0x80:
 		return int64(b), nil
 	case b < 0x90:
-		return d.object(int(b&0x0f), depth)
+		return d.readMap(int(b&0x0f), depth)
 	case b < 0xa0:
-		return d.array(int(b&0x0f), depth)
+		return d.readArray(int(b&0x0f), depth)
 	case b < 0xc0:
-		return d.text(int(b & 0x1f))
+		return d.readString(int(b & 0x1f))
 	case b >= 0xe0:
 		return int64(int8(b)), nil
 	}
@@ -90,66 +90,66 @@
 	case 0xc2, 0xc3:
 		return b == 0xc3, nil
 	case 0xc4, 0xc5, 0xc6:
-		n, err := d.length(1 << (b - 0xc4))
+		n, err := d.readLength(1 << (b - 0xc4))
 		if err != nil {
 			return nil, err
 		}
-		return d.take(n)
+		return d.readBytes(n)
 	case 0xca:
-		v, err := d.uint(4)
+		v, err := d.readUint(4)
 		return float64(math.Float32frombits(uint32(v))), err
 	case 0xcb:
-		v, err := d.uint(8)
+		v, err := d.readUint(8)
 		return math.Float64frombits(v), err
 	case 0xcc, 0xcd, 0xce, 0xcf:
-		return d.uint(1 << (b - 0xcc))
+		return d.readUint(1 << (b - 0xcc))
 	case 0xd0, 0xd1, 0xd2, 0xd3:
 		size := 1 << (b - 0xd0)
-		v, err := d.uint(size)
+		v, err := d.readUint(size)
 		shift := 64 - 8*size
 		return int64(v<<shift) >> shift, err
 	case 0xd9, 0xda, 0xdb:
-		n, err := d.length(1 << (b - 0xd9))
+		n, err := d.readLength(1 << (b - 0xd9))
 		if err != nil {
 			return nil, err
 		}
-		return d.text(n)
+		return d.readString(n)
 	case 0xdc, 0xdd:
-		n, err := d.length(2 << (b - 0xdc))
+		n, err := d.readLength(2 << (b - 0xdc))
 		if err != nil {
 			return nil, err
 		}
-		return d.array(n, depth)
+		return d.readArray(n, depth)
 	case 0xde, 0xdf:
-		n, err := d.length(2 << (b - 0xde))
+		n, err := d.readLength(2 << (b - 0xde))
 		if err != nil {
 			return nil, err
 		}
-		return d.object(n, depth)
+		return d.readMap(n, depth)
 	}
 	return nil, fmt.Errorf("%w: type %#x", errMalformed, b)
 }
 
-func (d *decoder) length(size int) (int, error) {
-	n, err := d.uint(size)
-	if n > uint64(d.most) {
+func (d *decoder) readLength(size int) (int, error) {
+	n, err := d.readUint(size)
+	if n > uint64(d.maxLength) {
 		return 0, fmt.Errorf("%w: length %d", errMalformed, n)
 	}
 	return int(n), err
 }
 
-func (d *decoder) text(n int) (any, error) {
-	b, err := d.take(n)
+func (d *decoder) readString(n int) (any, error) {
+	b, err := d.readBytes(n)
 	return string(b), err
 }
 
-func (d *decoder) array(n, depth int) (any, error) {
+func (d *decoder) readArray(n, depth int) (any, error) {
 	if n > maxItems {
 		return nil, fmt.Errorf("%w: array of %d", errMalformed, n)
 	}
 	list := make([]any, n)
 	for i := range list {
-		v, err := d.value(depth + 1)
+		v, err := d.readValue(depth + 1)
 		if err != nil {
 			return nil, err
 		}
@@ -158,13 +158,13 @@
 	return list, nil
 }
 
-func (d *decoder) object(n, depth int) (any, error) {
+func (d *decoder) readMap(n, depth int) (any, error) {
 	if n > maxItems {
 		return nil, fmt.Errorf("%w: map of %d", errMalformed, n)
 	}
 	m := make(map[string]any, n)
 	for range n {
-		k, err := d.value(depth + 1)
+		k, err := d.readValue(depth + 1)
 		if err != nil {
 			return nil, err
 		}
@@ -172,7 +172,7 @@
 		if !ok {
 			return nil, fmt.Errorf("%w: a map key is no string", errMalformed)
 		}
-		if m[name], err = d.value(depth + 1); err != nil {
+		if m[name], err = d.readValue(depth + 1); err != nil {
 			return nil, err
 		}
 	}
@@ -200,7 +200,7 @@
 	return append(binary.BigEndian.AppendUint16(append(buf, 0xda), uint16(len(s))), s...)
 }
 
-func appendBinHead(buf []byte, n int) []byte {
+func appendBinaryHeader(buf []byte, n int) []byte {
 	if n <= math.MaxUint8 {
 		return append(buf, 0xc4, byte(n))
 	}
@@ -217,18 +217,18 @@
 }
 
 const (
-	kindRequest = 0
-	kindAnswer  = 1
-	kindNotify  = 2
+	kindRequest      = 0
+	kindResponse     = 1
+	kindNotification = 2
 )
 
-// appendResult begins an answer without error.
-func appendResult(buf []byte, id uint64) []byte {
-	return append(appendUint(append(buf, 0x94, kindAnswer), id), 0xc0)
+// appendResultHeader begins an answer without error.
+func appendResultHeader(buf []byte, id uint64) []byte {
+	return append(appendUint(append(buf, 0x94, kindResponse), id), 0xc0)
 }
 
 // appendError adds a whole answer with an error: its word and fields.
 func appendError(buf []byte, id uint64, word string, pairs ...string) []byte {
-	buf = appendString(append(appendUint(append(buf, 0x94, kindAnswer), id), 0x92), word)
+	buf = appendString(append(appendUint(append(buf, 0x94, kindResponse), id), 0x92), word)
 	return append(appendFields(buf, pairs...), 0xc0)
 }
--- a/internal/msgpackrpc/codec_test.go
+++ b/internal/msgpackrpc/codec_test.go
@@ -26,7 +26,7 @@
 	case string:
 		return appendString(buf, v)
 	case []byte:
-		return append(appendBinHead(buf, len(v)), v...)
+		return append(appendBinaryHeader(buf, len(v)), v...)
 	case []any:
 		buf = append(buf, 0xdc, byte(len(v)>>8), byte(len(v)))
 		for _, e := range v {
@@ -125,7 +125,7 @@
 	}
 	for _, n := range []uint64{0, 127, 128, 255, 256, 65535, 65536, math.MaxUint32, math.MaxUint32 + 1, math.MaxUint64} {
 		v, err := readMessage(bufio.NewReader(bytes.NewReader(appendUint(nil, n))))
-		if got, ok := toUint(v); err != nil || !ok || got != n {
+		if got, ok := asUint64(v); err != nil || !ok || got != n {
 			t.Errorf("%d comes back as %v (%v)", n, v, err)
 		}
 	}
--- a/internal/msgpackrpc/departed.go
+++ b/internal/msgpackrpc/departed.go
@@ -6,63 +6,63 @@
 	"time"
 )
 
-// A reader that lags behind its socket is waited for: behindTries times behindPause. It never waits for anything but its client, so that it
+// A reader that lags behind its socket is waited for: maxSocketPeeks times socketPeekInterval. It never waits for anything but its client, so that it
 // has caught up after the first pause, unless bytes come faster than it reads or the process loses the processor during each pause.
 const (
-	behindTries = 50
-	behindPause = 200 * time.Microsecond
+	maxSocketPeeks     = 50
+	socketPeekInterval = 200 * time.Microsecond
 )
 
-// received is what waits unread on a client's socket.
-type received int
+// socketState is what waits unread on a client's socket.
+type socketState int
 
 const (
-	nothingReceived received = iota
-	moreReceived
-	endReceived // a close, a half-close or a reset
+	socketEmpty socketState = iota
+	socketHasData
+	socketEnded // a close, a half-close or a reset
 )
 
-// departed tells whether the client of a request has left, also where its reader has not had the processor since then: a router that is short of
+// clientDeparted tells whether the client of a request has left, also where its reader has not had the processor since then: a router that is short of
 // processor time finds the answer of a server and the end of a client's stream at once, in no order. ctx is the request's.
-func (c *conn) departed(ctx context.Context) bool {
-	for range behindTries {
+func (c *conn) clientDeparted(ctx context.Context) bool {
+	for range maxSocketPeeks {
 		if ctx.Err() != nil {
 			return true
 		}
-		switch c.waiting() {
-		case nothingReceived:
+		switch c.peekSocket() {
+		case socketEmpty:
 			return ctx.Err() != nil // what was read meanwhile counts
-		case endReceived:
+		case socketEnded:
 			return true
 		}
-		time.Sleep(behindPause) // a cancel, or the end, may stand behind these bytes
+		time.Sleep(socketPeekInterval) // a cancel, or the end, may stand behind these bytes
 	}
 	return ctx.Err() != nil
 }
 
-// waiting looks at the socket without reading from it. Where it can't look it finds nothing: the reader will.
-func (c *conn) waiting() received {
-	socket, ok := c.net.(syscall.Conn)
+// peekSocket looks at the socket without reading from it. Where it can't look it finds nothing: the reader will.
+func (c *conn) peekSocket() socketState {
+	socket, ok := c.netConn.(syscall.Conn)
 	if !ok {
-		return nothingReceived
+		return socketEmpty
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
-		return nothingReceived
+		return socketEmpty
 	}
-	found := nothingReceived
+	found := socketEmpty
 	err = raw.Control(func(fd uintptr) {
 		var first [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case n > 0:
-			found = moreReceived
+			found = socketHasData
 		case err == nil, err == syscall.ECONNRESET, err == syscall.EPIPE, err == syscall.ETIMEDOUT:
-			found = endReceived
+			found = socketEnded
 		}
 	})
 	if err != nil { // closed on this side: the request was let go of
-		return endReceived
+		return socketEnded
 	}
 	return found
 }
--- a/internal/msgpackrpc/interleavings_test.go
+++ b/internal/msgpackrpc/interleavings_test.go
@@ -67,12 +67,12 @@
 // as taken.
 func TestPokeInLastLook(t *testing.T) {
 	d := &deadlines{}
-	c := &conn{net: d, awaitsLast: true}
+	c := &conn{netConn: d, awaitsLastMessage: true}
 	c.wake()
 	if d.set != 0 {
 		t.Error("the last look was cut short")
 	}
-	c = &conn{net: d}
+	c = &conn{netConn: d}
 	if c.wake(); d.set != 1 {
 		t.Error("a waiting reader was not woken")
 	}
@@ -98,7 +98,7 @@
 	testwait.Until(t, "one handler to end", func() bool {
 		c.Server.mu.Lock()
 		defer c.Server.mu.Unlock()
-		return c.queued == requestCost
+		return c.queuedBytes == requestOverhead
 	})
 	testwait.Send(t, leave, router.Response{Outcome: router.Failed}, "the end of the other handler")
 	c.expect("[1 1 [Error map[]] <nil>]")
@@ -177,7 +177,7 @@
 			}
 			c.Server.mu.Lock()
 			defer c.Server.mu.Unlock()
-			return len(c.conns) == 0 && c.queued == 0
+			return len(c.conns) == 0 && c.queuedBytes == 0
 		})
 		c.stop()
 		c.finish()
@@ -198,25 +198,25 @@
 // A client that does not read must not fill what all may hold: the large answers of others failed then, small ones did not.
 func TestUnreadAnswersLeaveRoom(t *testing.T) {
 	const large = 200 << 10
-	c := start(t, func(s *Server) { s.MaxQueued, s.MaxConns = 40*large, 8 })
+	c := start(t, func(s *Server) { s.MaxQueuedBytes, s.MaxConns = 40*large, 8 })
 	c.request(1, "page", "0000000000000001")
 	asked := c.next()
 	// No one writes for a connection made here: what is answered on it waits, as for a client that does not read.
-	deaf := &conn{server: c.Server, queue: make(chan answer, queueRoom)}
-	for id := range uint64(queueRoom) {
-		if err := deaf.answer(id, router.Response{Outcome: router.Served, Body: make([]byte, large)}); err != nil {
+	deaf := &conn{server: c.Server, queue: make(chan encodedResponse, maxQueuedResponses)}
+	for id := range uint64(maxQueuedResponses) {
+		if err := deaf.respond(id, router.Response{Outcome: router.Served, Body: make([]byte, large)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	asked.reply(t, router.Response{Outcome: router.Served, Body: make([]byte, large)})
-	d := decoder{in: c.in, left: 2 * large, most: 2 * large}
-	v, err := d.value(0)
+	d := decoder{reader: c.in, remaining: 2 * large, maxLength: 2 * large}
+	v, err := d.readValue(0)
 	if list, _ := v.([]any); err != nil || len(list) != 4 || list[2] != nil {
 		t.Errorf("a large answer of another client: %.80v, %v", v, err)
 	}
 	c.Server.mu.Lock()
 	defer c.Server.mu.Unlock()
-	if deaf.booked < c.MaxQueued/4 {
-		t.Errorf("%d bytes are all that wait for one client while nobody else needs them", deaf.booked)
+	if deaf.reservedBytes < c.MaxQueuedBytes/4 {
+		t.Errorf("%d bytes are all that wait for one client while nobody else needs them", deaf.reservedBytes)
 	}
 }
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -26,12 +26,12 @@
 	rest := list[1:]
 	switch {
 	case kindOK && kind == kindRequest && len(list) == 4:
-		id, ok := toUint(list[1])
+		id, ok := asUint64(list[1])
 		if !ok {
 			return m, fmt.Errorf("%w: message id", errMalformed)
 		}
 		m.id, rest = id, list[2:]
-	case kindOK && kind == kindNotify && len(list) == 3:
+	case kindOK && kind == kindNotification && len(list) == 3:
 	default:
 		return m, fmt.Errorf("%w: no request", errMalformed)
 	}
@@ -44,7 +44,7 @@
 	return m, nil
 }
 
-func toUint(v any) (uint64, bool) {
+func asUint64(v any) (uint64, bool) {
 	switch n := v.(type) {
 	case uint64:
 		return n, true
@@ -55,10 +55,10 @@
 }
 
 const (
-	longestToken = 64
-	longestAllow = 3.6e6 // ms
-	mostPart     = 1 << 20
-	mostGroup    = 255
+	maxTokenLength   = 64
+	maxClientTimeout = 3.6e6 // ms
+	maxChunk         = 1 << 20
+	maxPurgeGroup    = 255
 )
 
 // parseRequest reads [FIELDS, BODY]. An error names the field that can't be used.
@@ -88,14 +88,14 @@
 	text := func(name string, needed bool) string {
 		v, present := fields[name]
 		s, ok := v.(string)
-		if present && (!ok || !token(s)) || needed && s == "" {
+		if present && (!ok || !isToken(s)) || needed && s == "" {
 			fail(name)
 		}
 		return s
 	}
 	hex := func(name string, needed bool) string {
 		s := text(name, needed)
-		if s != "" && !hex16(s) {
+		if s != "" && !isHexID(s) {
 			fail(name)
 		}
 		return s
@@ -128,15 +128,15 @@
 	q.Object = hex("lookup", false)
 	q.IdempotencyKey = text("replay", keyed)
 	q.ClientETag = text("cached", false)
-	q.ClientTimeout = number("allow", 1, longestAllow)
-	q.Chunk = whole("block", mostPart)
-	q.PurgeGroup = whole("family", mostGroup)
+	q.ClientTimeout = number("allow", 1, maxClientTimeout)
+	q.Chunk = whole("block", maxChunk)
+	q.PurgeGroup = whole("family", maxPurgeGroup)
 	q.SizeKB = number("room", 0, 1e9)
 	return q, err
 }
 
-// hex16 reports that s is an id as the protocol writes it. Caches answer other ids with an error, or close on them.
-func hex16(s string) bool {
+// isHexID reports that s is an id as the protocol writes it. Caches answer other ids with an error, or close on them.
+func isHexID(s string) bool {
 	for _, c := range []byte(s) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
 			return false
@@ -145,13 +145,13 @@
 	return len(s) == 16
 }
 
-// token reports that s can be passed on in a list of name=value pairs: a comma or a line end in it would forge
+// isToken reports that s can be passed on in a list of name=value pairs: a comma or a line end in it would forge
 // other fields.
-func token(s string) bool {
+func isToken(s string) bool {
 	for _, c := range []byte(s) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.') {
 			return false
 		}
 	}
-	return len(s) <= longestToken
+	return len(s) <= maxTokenLength
 }
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -41,8 +41,8 @@
 	t.Helper()
 	l := testwait.Listen(t)
 	c := &client{t: t, asked: make(chan *asked, 4), ended: make(chan error, 1), addr: l.Addr().String()}
-	s := &Server{Ready: func() bool { return true }, Keyed: map[string]bool{"page": false, "report": true}, MaxConns: 2,
-		MaxQueued: 1 << 20, Patience: 60_000, Clock: &clock.Clock{}, Log: zerolog.Nop(),
+	s := &Server{IsReady: func() bool { return true }, KeyRequired: map[string]bool{"page": false, "report": true}, MaxConns: 2,
+		MaxQueuedBytes: 1 << 20, ShutdownTimeout: 60_000, Clock: &clock.Clock{}, Log: zerolog.Nop(),
 		Handle: func(ctx context.Context, q router.Request) router.Response {
 			a := &asked{q, ctx, make(chan router.Response)}
 			c.asked <- a
@@ -206,7 +206,9 @@
 // the end no longer than Late.
 func TestDrainRunLate(t *testing.T) {
 	const patience = 20
-	c := start(t, func(s *Server) { s.Patience, s.Take, s.Late = patience, 60_000, 60_000 })
+	c := start(t, func(s *Server) {
+		s.ShutdownTimeout, s.ResponseReadTimeout, s.ShutdownGracePeriod = patience, 60_000, 60_000
+	})
 	c.request(1, "page", "0000000000000001")
 	a := c.next()
 	c.stop()
@@ -216,7 +218,9 @@
 	c.expect("[1 1 [Error map[]] <nil>]")
 	c.finish()
 
-	c = start(t, func(s *Server) { s.Patience, s.Take, s.Late = patience, 60_000, patience })
+	c = start(t, func(s *Server) {
+		s.ShutdownTimeout, s.ResponseReadTimeout, s.ShutdownGracePeriod = patience, 60_000, patience
+	})
 	c.request(1, "page", "0000000000000001")
 	a = c.next()
 	c.stop()
@@ -245,7 +249,7 @@
 // in time; and after it all is as before.
 func TestDrainUntilRejoin(t *testing.T) {
 	fake, turned := clock.NewFake(1_764_576_000_000), make(chan string, 1)
-	c := start(t, func(s *Server) { s.Clock, s.OnRefused = fake, func(class string) { turned <- class } })
+	c := start(t, func(s *Server) { s.Clock, s.OnRejected = fake, func(class string) { turned <- class } })
 	c.request(1, "page", "0000000000000001")
 	a := c.next()
 	c.Drain()
@@ -254,7 +258,7 @@
 	}
 	c.request(2, "page", "0000000000000002") // clients go on using open connections
 	b := c.next()
-	fake.Advance(refuseAfter)
+	fake.Advance(rejectAfter)
 	c.request(3, "page", "0000000000000003")
 	c.expect("[1 3 [Full map[cooldown:1000]] <nil>]")
 	if class := testwait.Receive(t, turned, "a request that was refused"); class != "page" {
@@ -280,7 +284,7 @@
 // Classes change under a connection: a new one is known at once, one that was dropped no more.
 func TestRetune(t *testing.T) {
 	c := start(t)
-	c.Retune(map[string]bool{"price": false})
+	c.UpdateClasses(map[string]bool{"price": false})
 	c.request(1, "page", "0000000000000001")
 	c.expect("[1 1 [Error map[reason:unknown method]] <nil>]")
 	c.request(2, "price", "0000000000000002")
@@ -290,17 +294,17 @@
 
 // Answers that nobody reads are bounded, by connection and in bytes.
 func TestQueueBounds(t *testing.T) {
-	s := &Server{MaxQueued: 100, Clock: &clock.Clock{}}
-	c := &conn{server: s, queue: make(chan answer, 1)}
-	if err := c.answer(1, router.Response{Outcome: router.Served, Body: make([]byte, 80)}); err != nil {
+	s := &Server{MaxQueuedBytes: 100, Clock: &clock.Clock{}}
+	c := &conn{server: s, queue: make(chan encodedResponse, 1)}
+	if err := c.respond(1, router.Response{Outcome: router.Served, Body: make([]byte, 80)}); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.answer(2, router.Response{Outcome: router.Served, Body: make([]byte, 10)}); err == nil || s.queued != 80 {
-		t.Errorf("a full queue takes another answer: %v, %d bytes booked", err, s.queued)
+	if err := c.respond(2, router.Response{Outcome: router.Served, Body: make([]byte, 10)}); err == nil || s.queuedBytes != 80 {
+		t.Errorf("a full queue takes another answer: %v, %d bytes booked", err, s.queuedBytes)
 	}
 	testwait.Receive(t, c.queue, "the first answer in the queue")
-	if err := c.answer(3, router.Response{Outcome: router.Served, Body: make([]byte, 30)}); err != nil || s.queued != 80 {
-		t.Errorf("%v, %d bytes booked", err, s.queued)
+	if err := c.respond(3, router.Response{Outcome: router.Served, Body: make([]byte, 30)}); err != nil || s.queuedBytes != 80 {
+		t.Errorf("%v, %d bytes booked", err, s.queuedBytes)
 	}
 	if text := string(testwait.Receive(t, c.queue, "an answer in the queue").parts[0]); text != string(appendError(nil, 3, "Error", "reason", "too many answers wait")) {
 		t.Errorf("%q", text)
@@ -361,11 +365,11 @@
 		{&conn{}, firstMessageTimeout, true},
 		{&conn{receivedAny: true}, idleTimeout - 1, false},
 		{&conn{receivedAny: true}, idleTimeout, true},
-		{&conn{receivedAny: true, unsent: 1}, idleTimeout, false},
+		{&conn{receivedAny: true, unsentResponses: 1}, idleTimeout, false},
 	} {
-		x.c.server, x.c.quietAt = s, fake.Now()-x.after
-		if got := x.c.idle(); got != x.want {
-			t.Errorf("spoken %v, %d unsent, after %v ms: idle %v", x.c.receivedAny, x.c.unsent, x.after, got)
+		x.c.server, x.c.idleSince = s, fake.Now()-x.after
+		if got := x.c.isIdleTooLong(); got != x.want {
+			t.Errorf("spoken %v, %d unsent, after %v ms: idle %v", x.c.receivedAny, x.c.unsentResponses, x.after, got)
 		}
 	}
 }
--- a/internal/msgpackrpc/wire_compat_test.go
+++ b/internal/msgpackrpc/wire_compat_test.go
@@ -58,13 +58,13 @@
 
 func newServerConn(end router.Response) serverConn {
 	asked := make(chan router.Request, 1)
-	s := &Server{Ready: func() bool { return true }, Keyed: map[string]bool{"page": false, "report": true},
-		MaxQueued: 1 << 20, Clock: clock.NewFake(1e6), Log: zerolog.Nop(),
+	s := &Server{IsReady: func() bool { return true }, KeyRequired: map[string]bool{"page": false, "report": true},
+		MaxQueuedBytes: 1 << 20, Clock: clock.NewFake(1e6), Log: zerolog.Nop(),
 		Handle: func(_ context.Context, q router.Request) router.Response {
 			asked <- q
 			return end
 		}}
-	return serverConn{&conn{server: s, open: map[uint64]*openRequest{}, queue: make(chan answer, 4)}, asked}
+	return serverConn{&conn{server: s, openRequests: map[uint64]*openRequest{}, queue: make(chan encodedResponse, 4)}, asked}
 }
 
 // handle hands the bytes of one message to the server and returns those of its answer, if there is one.
@@ -122,9 +122,9 @@
 func TestCancelCompat(t *testing.T) {
 	c := newServerConn(router.Response{})
 	told := false
-	c.open[1] = &openRequest{cancel: func() { told = true }}
-	if got := c.handle(t, readPins(t)["cancel of message 1"]); got != "" || !told || len(c.open) != 0 {
-		t.Errorf("answer %+q, told %v, open %v", got, told, c.open)
+	c.openRequests[1] = &openRequest{cancel: func() { told = true }}
+	if got := c.handle(t, readPins(t)["cancel of message 1"]); got != "" || !told || len(c.openRequests) != 0 {
+		t.Errorf("answer %+q, told %v, open %v", got, told, c.openRequests)
 	}
 }
 
@@ -152,16 +152,16 @@
 
 // What the server writes of its own.
 func TestServersOwnAnswersCompat(t *testing.T) {
-	unready := func(s *Server) { s.Ready = func() bool { return false } }
+	unready := func(s *Server) { s.IsReady = func() bool { return false } }
 	for name, c := range map[string]struct {
 		message string
 		set     func(*Server)
 	}{
 		"health, ready":                           {"health request", func(*Server) {}},
 		"health, not ready":                       {"health request", unready},
-		"unknown method":                          {"request with all fields", func(s *Server) { delete(s.Keyed, "report") }},
+		"unknown method":                          {"request with all fields", func(s *Server) { delete(s.KeyRequired, "report") }},
 		"field that can't be used":                {"request without its ref", func(*Server) {}},
-		"full":                                    {"request with all fields", func(s *Server) { s.MaxQueued = 1 }},
+		"full":                                    {"request with all fields", func(s *Server) { s.MaxQueuedBytes = 1 }},
 		"drained":                                 {"request with all fields", func(s *Server) { s.draining = true }},
 		"too many answers wait":                   {"request with all fields", nil},
 		"health, message id 200":                  {"health request, id 200", func(*Server) {}},
@@ -174,7 +174,7 @@
 			if c.set != nil {
 				c.set(sc.server)
 			} else { // room for the request, and none for its answer
-				sc.server.MaxQueued = requestCost + int64(len(every().Body)) + 99
+				sc.server.MaxQueuedBytes = requestOverhead + int64(len(every().Body)) + 99
 			}
 			wantBytes(t, name, sc.handle(t, readPins(t)[c.message]))
 		})
@@ -203,7 +203,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := &written{}
-			err := do(&Client{conn: w, open: map[uint64]chan result{}})
+			err := do(&Client{conn: w, openCalls: map[uint64]chan result{}})
 			if !errors.Is(err, context.Canceled) {
 				t.Fatal(err)
 			}
@@ -222,22 +222,22 @@
 // What the client reads the answers as.
 func TestClientReadsCompat(t *testing.T) {
 	for name, want := range map[string]result{
-		"served":                     {answer: router.Response{Outcome: router.Served, Body: []byte("\x00body\xff")}},
-		"served, client's own copy":  {answer: router.Response{Outcome: router.Served, Body: []byte{}, NotModified: true}},
-		"refused, retry after 12345": {answer: router.Response{Outcome: router.Rejected, RetryAfter: 12345}},
-		"failed":                     {answer: router.Response{Outcome: router.Failed}},
-		"unknown method":             {answer: router.Response{Outcome: router.Failed}},
-		"full":                       {answer: router.Response{Outcome: router.Rejected, RetryAfter: 100}},
-		"drained":                    {answer: router.Response{Outcome: router.Rejected, RetryAfter: 1000}},
-		"health, ready":              {ready: true},
+		"served":                     {response: router.Response{Outcome: router.Served, Body: []byte("\x00body\xff")}},
+		"served, client's own copy":  {response: router.Response{Outcome: router.Served, Body: []byte{}, NotModified: true}},
+		"refused, retry after 12345": {response: router.Response{Outcome: router.Rejected, RetryAfter: 12345}},
+		"failed":                     {response: router.Response{Outcome: router.Failed}},
+		"unknown method":             {response: router.Response{Outcome: router.Failed}},
+		"full":                       {response: router.Response{Outcome: router.Rejected, RetryAfter: 100}},
+		"drained":                    {response: router.Response{Outcome: router.Rejected, RetryAfter: 1000}},
+		"health, ready":              {isReady: true},
 		"health, not ready":          {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v, err := readMessage(bufio.NewReader(strings.NewReader(readPins(t)[name])))
 			done := make(chan result, 1)
-			c := &Client{open: map[uint64]chan result{1: done}}
+			c := &Client{openCalls: map[uint64]chan result{1: done}}
 			if err == nil {
-				err = c.take(v)
+				err = c.deliver(v)
 			}
 			if err != nil || len(done) != 1 {
 				t.Fatalf("%d answers (%v)", len(done), err)
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -8,32 +8,32 @@
 	"spantack/internal/router"
 )
 
-// call is one attempt. Its fields are guarded by Pools.mu.
-type call struct {
+// pendingAttempt is one attempt. Its fields are guarded by Pools.mu.
+type pendingAttempt struct {
 	pools        *Pools
 	attempt      router.Attempt
-	chosen       float64
-	sent         float64
+	chosenAt     float64
+	queuedAt     float64
 	conn         *conn                 // nil until a connection takes it
 	writeBegun   bool                  // the writer has begun on it: only now can an answer be its own
 	fullyWritten bool                  // all of it was handed to the socket
-	endsAt       int64                 // where it ends among the bytes of its connection, once it is whole
+	endOffset    int64                 // where it ends among the bytes of its connection, once it is whole
 	ambiguous    bool                  // another attempt of its id ended on this connection: an answer may be that one's
-	answer       *router.AttemptResult // to a call in doubt, told once what may be out for it was given up
+	heldResult   *router.AttemptResult // to a call in doubt, told once what may be out for it was given up
 	finished     bool
-	done         chan router.AttemptResult
+	result       chan router.AttemptResult
 }
 
-// end hands the attempt's end to whoever waits for it. Pools.mu is held.
-func (k *call) end(e router.AttemptResult) {
+// finish hands the attempt's end to whoever waits for it. Pools.mu is held.
+func (k *pendingAttempt) finish(e router.AttemptResult) {
 	if !k.finished {
 		k.finished = true
-		k.done <- e
+		k.result <- e
 	}
 }
 
 // Done implements router.PendingAttempt.
-func (k *call) Done() <-chan router.AttemptResult { return k.done }
+func (k *pendingAttempt) Done() <-chan router.AttemptResult { return k.result }
 
 // Cancel implements router.PendingAttempt. An attempt on which the writer has not begun is taken back: the server never hears of it.
 // For others Drop waits for the DROP to be written, and closes a connection on which nothing was heard since the attempt
@@ -43,7 +43,7 @@
 // where the attempt itself is stuck, since it must not arrive after it was given up. Else, where no attempt can follow,
 // the connection stays unless it has been silent for a while: a client in a hurry tells nothing of it. An attempt that still waits in the
 // socket's send queue, since its server does not read, is thrown away with the connection.
-func (k *call) Cancel(again bool) {
+func (k *pendingAttempt) Cancel(again bool) {
 	p := k.pools
 	p.mu.Lock()
 	c := k.conn
@@ -53,7 +53,7 @@
 		return
 	}
 	k.finished = true
-	delete(c.calls, k.attempt.ID)
+	delete(c.attempts, k.attempt.ID)
 	if !k.writeBegun {
 		c.closeWhenIdle()
 		p.mu.Unlock()
@@ -69,7 +69,7 @@
 	stuck := false
 	select {
 	case <-written:
-	case <-c.gone:
+	case <-c.done:
 	case <-patient.C:
 		stuck = true
 	}
@@ -77,28 +77,28 @@
 	if stuck { // it has had that time
 		patience = 0
 	}
-	sent := c.sentWithin(k, patience)
+	sent := c.waitUntilSent(k, patience)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !sent {
 		c.abort()
 		return
 	}
-	silent := c.lastAnswer < k.sent && (again || len(c.calls) == 0 && now-k.sent > silenceLimit)
+	silent := c.lastResponseAt < k.queuedAt && (again || len(c.attempts) == 0 && now-k.queuedAt > maxSilence)
 	if silent || stuck && (again || !k.fullyWritten) {
 		c.close()
 	}
 	c.closeWhenIdle()
 }
 
-// remaining is how long the attempt may still take to go out, in milliseconds. It guards the rules on drains and purges told since
+// sendTimeLeft is how long the attempt may still take to go out, in milliseconds. It guards the rules on drains and purges told since
 // the choice of its server, and that on effects: a repeat must not leave once its class no longer drops repeats. Pools.mu is held.
-func (k *call) remaining() float64 {
+func (k *pendingAttempt) sendTimeLeft() float64 {
 	most := math.Inf(1)
-	for _, limit := range []float64{k.pools.opt.MaxWait, k.attempt.SendWithin} {
+	for _, limit := range []float64{k.pools.options.MaxSendDelay, k.attempt.SendWithin} {
 		if limit > 0 {
 			most = min(most, limit)
 		}
 	}
-	return most - (k.pools.clock.Now() - k.chosen)
+	return most - (k.pools.clock.Now() - k.chosenAt)
 }
--- a/internal/resp/codec.go
+++ b/internal/resp/codec.go
@@ -15,38 +15,38 @@
 	"spantack/rules"
 )
 
-// MaxBody is the longest body that an answer may have; an object has 240,000 bytes at most.
-const MaxBody = 256 << 10
+// MaxBodySize is the longest body that an answer may have; an object has 240,000 bytes at most.
+const MaxBodySize = 256 << 10
 
 // The most that an answer may hold besides; lengths are checked before anything is allocated.
 const (
-	maxParts  = 8
-	maxWord   = 4 << 10
-	maxLine   = 16
-	bodyPlace = 3 // ID WORD FIELDS BODY
+	maxArrayLength = 8
+	maxStringSize  = 4 << 10
+	maxLengthLine  = 16
+	bodyIndex      = 3 // ID WORD FIELDS BODY
 )
 
 var errMalformed = errors.New("malformed answer")
 
 // ReadArray reads one array of bulk strings: a command or an answer. Lengths are checked before anything is allocated.
 func ReadArray(in *bufio.Reader) ([][]byte, error) {
-	n, err := readLength(in, '*', maxParts)
+	n, err := readLength(in, '*', maxArrayLength)
 	if err != nil {
 		return nil, err
 	}
 	parts := make([][]byte, n)
 	for i := range parts {
-		limit := maxWord
-		if i == bodyPlace {
-			limit = MaxBody
+		limit := maxStringSize
+		if i == bodyIndex {
+			limit = MaxBodySize
 		}
 		size, err := readLength(in, '$', limit)
 		if err != nil {
-			return nil, inside(err)
+			return nil, unexpectedEOF(err)
 		}
 		text := make([]byte, size+2)
 		if _, err := io.ReadFull(in, text); err != nil {
-			return nil, inside(err)
+			return nil, unexpectedEOF(err)
 		}
 		if text[size] != '\r' || text[size+1] != '\n' {
 			return nil, fmt.Errorf("%w: bulk string without its end", errMalformed)
@@ -56,8 +56,8 @@
 	return parts, nil
 }
 
-// inside makes an end of stream within an answer unlike one between answers.
-func inside(err error) error {
+// unexpectedEOF makes an end of stream within an answer unlike one between answers.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -66,12 +66,12 @@
 
 // readLength reads a line such as "$12\r\n".
 func readLength(in *bufio.Reader, kind byte, limit int) (int, error) {
-	var line [maxLine]byte
+	var line [maxLengthLine]byte
 	for i := range line {
 		b, err := in.ReadByte()
 		if err != nil {
 			if i > 0 {
-				err = inside(err)
+				err = unexpectedEOF(err)
 			}
 			return 0, err
 		}
@@ -100,7 +100,7 @@
 	return buf
 }
 
-var ways = []struct {
+var fetchFlagWords = []struct {
 	bit  rules.FetchFlags
 	word string
 }{{rules.FetchCollapse, "join"}, {rules.FetchCachedOnly, "held"}, {rules.FetchSkipParentStore, "nocopy"}, {rules.FetchRevalidate, "renew"}}
@@ -120,17 +120,17 @@
 	put("sort", a.Class)
 	put("asset", a.Object)
 	put("slice", strconv.FormatInt(a.Chunk, 10))
-	put("patience", wholeMillis(a.Timeout))
+	put("patience", floorMillis(a.Timeout))
 	put("op", a.IdempotencyKey)
 	put("next", a.Source)
 	if a.RetentionRank > 0 {
 		put("admit", strconv.Itoa(a.RetentionRank))
 	}
 	if a.MaxAge > 0 {
-		put("agelim", wholeMillis(a.MaxAge))
+		put("agelim", floorMillis(a.MaxAge))
 	}
 	var how []string
-	for _, w := range ways {
+	for _, w := range fetchFlagWords {
 		if a.FetchFlags&w.bit != 0 {
 			how = append(how, w.word)
 		}
@@ -140,36 +140,36 @@
 	return AppendArray(buf, []byte("GET"), []byte(a.ID), []byte(fields.String()), a.Body)
 }
 
-// wholeMillis rounds down, so that an age limit never lets in more than was meant, but not to 0: that means another
+// floorMillis rounds down, so that an age limit never lets in more than was meant, but not to 0: that means another
 // thing.
-func wholeMillis(ms float64) string {
+func floorMillis(ms float64) string {
 	return strconv.FormatFloat(max(math.Floor(ms), 1), 'f', 0, 64)
 }
 
-var codes = map[string]rules.AttemptOutcome{"OK": rules.OutcomeServed, "SAME": rules.OutcomeServed, "MISS": rules.OutcomeMiss, "BUSY": rules.OutcomeRejected,
+var outcomesByWord = map[string]rules.AttemptOutcome{"OK": rules.OutcomeServed, "SAME": rules.OutcomeServed, "MISS": rules.OutcomeMiss, "BUSY": rules.OutcomeRejected,
 	"ERR": rules.OutcomeError, "VOID": rules.OutcomeSkipped}
 
-// notes in the order of the simulator's numbers, from 1.
-var notes = map[string]int{"TCP_HIT": 1, "TCP_MISS": 2, "TCP_MISS_ROOT": 3, "TCP_JOIN": 4, "TCP_STALE": 5,
+// cacheStatusesByWord in the order of the simulator's numbers, from 1.
+var cacheStatusesByWord = map[string]int{"TCP_HIT": 1, "TCP_MISS": 2, "TCP_MISS_ROOT": 3, "TCP_JOIN": 4, "TCP_STALE": 5,
 	"PEER_DENY": 6, "PEER_DEAD": 7, "PEER_MISS": 8, "FILL_FULL": 9, "ROOT_FAIL": 10}
 
-// parseAnswer reads ID WORD FIELDS BODY. Unknown fields are skipped, unknown words are not.
-func parseAnswer(parts [][]byte) (id string, end router.AttemptResult, err error) {
-	if len(parts) < 2 || len(parts) > bodyPlace+1 {
+// parseResponse reads ID WORD FIELDS BODY. Unknown fields are skipped, unknown words are not.
+func parseResponse(parts [][]byte) (id string, end router.AttemptResult, err error) {
+	if len(parts) < 2 || len(parts) > bodyIndex+1 {
 		return "", end, fmt.Errorf("%w: %d parts", errMalformed, len(parts))
 	}
 	id = string(parts[0])
 	word := string(parts[1])
-	code, known := codes[word]
+	code, known := outcomesByWord[word]
 	if !known {
 		return "", end, fmt.Errorf("%w: unknown word %.20q", errMalformed, word)
 	}
 	end.Outcome, end.NotModified = code, word == "SAME"
 	if word == "OK" {
-		if len(parts) <= bodyPlace {
+		if len(parts) <= bodyIndex {
 			return "", end, fmt.Errorf("%w: OK without a body", errMalformed)
 		}
-		end.Body = parts[bodyPlace]
+		end.Body = parts[bodyIndex]
 	}
 	if len(parts) <= 2 || string(parts[2]) == "-" {
 		return id, end, nil
@@ -178,7 +178,7 @@
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
 		case "n":
-			if end.CacheStatus, known = notes[value]; !known {
+			if end.CacheStatus, known = cacheStatusesByWord[value]; !known {
 				return "", end, fmt.Errorf("%w: unknown note %.20q", errMalformed, value)
 			}
 		case "l":
--- a/internal/resp/codec_test.go
+++ b/internal/resp/codec_test.go
@@ -16,7 +16,7 @@
 )
 
 func drawArray(t *rapid.T) [][]byte {
-	return rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 60), 0, maxParts).Draw(t, "parts")
+	return rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 60), 0, maxArrayLength).Draw(t, "parts")
 }
 
 // Whatever way the network cuts a stream of answers, they come out as they went in.
@@ -55,7 +55,7 @@
 		}
 		parts, err := ReadArray(bufio.NewReader(bytes.NewReader(garbage)))
 		if err == nil {
-			_, _, err = parseAnswer(parts)
+			_, _, err = parseResponse(parts)
 		}
 		if err != nil && err != io.EOF && err != io.ErrUnexpectedEOF && !errors.Is(err, errMalformed) {
 			t.Fatalf("unexpected kind of error: %v", err)
@@ -90,14 +90,14 @@
 		for _, p := range c.parts {
 			parts = append(parts, []byte(p))
 		}
-		id, end, err := parseAnswer(parts)
+		id, end, err := parseResponse(parts)
 		if err != nil || id != "a" || end.Outcome != c.want.Outcome || end.CacheStatus != c.want.CacheStatus || end.SourceWait != c.want.SourceWait ||
 			end.NotModified != c.want.NotModified || !bytes.Equal(end.Body, c.want.Body) {
 			t.Errorf("%q: %+v, %v", c.parts, end, err)
 		}
 	}
 	for _, fields := range []string{"n=TCP_HOT", "slow=soon", "slow=NaN", "slow=-1"} {
-		if _, _, err := parseAnswer([][]byte{[]byte("a"), []byte("OK"), []byte(fields), nil}); err == nil {
+		if _, _, err := parseResponse([][]byte{[]byte("a"), []byte("OK"), []byte(fields), nil}); err == nil {
 			t.Errorf("%q passes", fields)
 		}
 	}
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -23,7 +23,7 @@
 
 // shared are pools with one connection for all attempts.
 func shared(t *testing.T, addr string, maxWait float64) *Pools {
-	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleClose: 30_000, MaxStreams: 8, MaxConns: 1, MaxWait: maxWait},
+	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleTimeout: 30_000, MaxStreams: 8, MaxConns: 1, MaxSendDelay: maxWait},
 		clock.NewFake(1000), zerolog.Nop())
 	p.timeouts.write = patient // a write that is stuck is still so when the test goes on
 	list(p, "s-1", addr)
@@ -43,7 +43,7 @@
 func (p *Pools) open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conns
+	return p.connCount
 }
 
 // rest reads all that still comes, and tells whether it ended in the middle of something.
@@ -119,7 +119,7 @@
 	stuck, behind := newCall(p, "stuck"), newCall(p, "behind")
 	stuck.attempt.Body = tooMuch
 	p.mu.Lock()
-	for _, next := range []*call{stuck, behind} { // at once, or the first may have ended before the second comes
+	for _, next := range []*pendingAttempt{stuck, behind} { // at once, or the first may have ended before the second comes
 		p.servers["s-1"].conns[0].enqueue(next)
 	}
 	p.mu.Unlock()
@@ -158,14 +158,14 @@
 }
 
 // newCall is an attempt that is not sent yet.
-func newCall(p *Pools, id string) *call {
-	return &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"}, chosen: 1000, done: make(chan router.AttemptResult, 1)}
+func newCall(p *Pools, id string) *pendingAttempt {
+	return &pendingAttempt{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"}, chosenAt: 1000, result: make(chan router.AttemptResult, 1)}
 }
 
 // bare is a connection without reader and writer.
 func bare(p *Pools, nc net.Conn) *conn {
-	return &conn{pool: p.servers["s-1"], net: nc, queue: make(chan command, 4), calls: map[string]*call{},
-		dropped: map[string]float64{}, ended: map[string]float64{}, gone: make(chan struct{})}
+	return &conn{pool: p.servers["s-1"], netConn: nc, queue: make(chan command, 4), attempts: map[string]*pendingAttempt{},
+		droppedAt: map[string]float64{}, unservedAt: map[string]float64{}, done: make(chan struct{})}
 }
 
 // An answer comes a second time when the next attempt of its request is out on the same connection: it may end that
@@ -205,13 +205,13 @@
 }
 
 // dialled returns an attempt whose connection has come up and waits for Pools.mu. It leaves that locked: the caller unlocks it.
-func dialled(p *Pools, c *cache) (k *call, l *pool, one *link) {
+func dialled(p *Pools, c *cache) (k *pendingAttempt, l *pool, one *link) {
 	k = newCall(p, "a")
 	p.mu.Lock()
 	l = p.servers["s-1"]
-	l.opening++
-	p.conns++
-	go l.open(k)
+	l.dialing++
+	p.connCount++
+	go l.dial(k)
 	return k, l, c.accept()
 }
 
@@ -251,7 +251,7 @@
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			c := listen(t)
 			p, fake := newPools(t, c.addr())
-			p.Retune(ms.grace)
+			p.SetMaxSendDelay(ms.grace)
 			fake.Advance(200) // since its choice
 			k, _, one := dialled(p, c)
 			k.attempt.SendWithin = ms.within
@@ -316,18 +316,18 @@
 	p.mu.Lock()
 	o := p.servers["s-1"].conns[0]
 	p.mu.Unlock()
-	due := fake.Now() + idleShare*p.opt.IdleClose
+	due := fake.Now() + idleCloseShare*p.options.IdleTimeout
 	p.mu.Lock()
 	advanced := make(chan struct{})
 	go func() {
 		defer close(advanced)
-		fake.Advance(idleShare * p.opt.IdleClose)
+		fake.Advance(idleCloseShare * p.options.IdleTimeout)
 	}()
 	testwait.Until(t, "the idle time to be over", func() bool { return fake.Now() >= due }) // the timer's function waits for the lock
-	k2 := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "b"}}, done: make(chan router.AttemptResult, 1)}
-	o.calls["b"] = k2
-	o.idle.Stop()
-	delete(o.calls, "b")
+	k2 := &pendingAttempt{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "b"}}, result: make(chan router.AttemptResult, 1)}
+	o.attempts["b"] = k2
+	o.idleTimer.Stop()
+	delete(o.attempts, "b")
 	o.closeWhenIdle()
 	p.mu.Unlock()
 	testwait.Receive(t, advanced, "the timer of the idle time")
@@ -347,7 +347,7 @@
 	one.expect("GET b")
 	one.Write([]byte("*2\r\n$1\r\na\r\n$4\r\nMISS\r\n*2\r\n$1\r\nb"))
 	wantCode(t, first, rules.OutcomeMiss)
-	end := testwait.ReceiveWithin(t, 10*stallLimit*time.Millisecond, second.Done(), "an attempt behind an answer that does not end")
+	end := testwait.ReceiveWithin(t, 10*stallTimeout*time.Millisecond, second.Done(), "an attempt behind an answer that does not end")
 	if end.Outcome != rules.OutcomeConnectionReset {
 		t.Errorf("%v behind an answer that does not end", end.Outcome)
 	}
--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -18,43 +18,43 @@
 
 // Options are the figures that the settings and limits give to the pools. Times are milliseconds.
 type Options struct {
-	DialTimeout float64
-	IdleClose   float64 // the server closes a connection after so much idle time
-	MaxStreams  int     // attempts at once on one connection
-	MaxConns    int     // connections to all servers together
-	MaxWait     float64 // an attempt not written so long after its choice must not be: drains and purges bind
+	DialTimeout  float64
+	IdleTimeout  float64 // the server closes a connection after so much idle time
+	MaxStreams   int     // attempts at once on one connection
+	MaxConns     int     // connections to all servers together
+	MaxSendDelay float64 // an attempt not written so long after its choice must not be: drains and purges bind
 }
 
 const (
-	idleShare        = 0.8  // of IdleClose, after which we close first: a close that crosses an attempt proves nothing
-	writeTimeout     = 2000 // ms for one command
-	minWriteTimeout  = 20   // ms for an attempt that is due at the last moment
-	queueCapacity    = 64   // commands waiting to be written on one connection
-	dropWriteTimeout = 20   // ms to wait for a DROP to be written
-	dropRetention    = 2000 // ms within which the next attempt of a dropped id would come
-	silenceLimit     = 250  // ms without an answer after which a connection whose attempt was given up is no good
-	stallLimit       = 1000 // ms within an answer without a further byte
-	readBuffer       = 4 << 10
-	connsPerServer   = 24 // connections to one server before they are shared
-	logEvery         = 1000
+	idleCloseShare    = 0.8  // of IdleTimeout, after which we close first: a close that crosses an attempt proves nothing
+	writeTimeout      = 2000 // ms for one command
+	minWriteTimeout   = 20   // ms for an attempt that is due at the last moment
+	queueCapacity     = 64   // commands waiting to be written on one connection
+	dropWriteTimeout  = 20   // ms to wait for a DROP to be written
+	dropRetention     = 2000 // ms within which the next attempt of a dropped id would come
+	maxSilence        = 250  // ms without an answer after which a connection whose attempt was given up is no good
+	stallTimeout      = 1000 // ms within an answer without a further byte
+	readBufferSize    = 4 << 10
+	maxConnsPerServer = 24 // connections to one server before they are shared
+	logInterval       = 1000
 )
 
 // Pools hold the connections to every server, by the server's id and address: addresses are used again, and what
 // was out at the old machine must not be mixed with the new one's.
 type Pools struct {
-	opt   Options
-	clock *clock.Clock
-	log   zerolog.Logger
-	ctx   context.Context
-
-	timeouts timeouts     // set at the start
-	written  atomic.Int64 // attempts put on a socket whole
-
-	mu      sync.Mutex
-	servers map[string]*pool // by id
-	conns   int              // open and being opened
-	faults  int              // streams closed for malformed answers
-	logged  float64
+	options Options
+	clock   *clock.Clock
+	log     zerolog.Logger
+	ctx     context.Context
+
+	timeouts        timeouts     // set at the start
+	attemptsWritten atomic.Int64 // attempts put on a socket whole
+
+	mu         sync.Mutex
+	servers    map[string]*pool // by id
+	connCount  int              // open and being opened
+	faultCount int              // streams closed for malformed answers
+	loggedAt   float64
 }
 
 // timeouts bound writes to servers, in milliseconds.
@@ -65,23 +65,23 @@
 
 // pool holds the connections to one server. Its fields are guarded by Pools.mu.
 type pool struct {
-	owner    *Pools
+	pools    *Pools
 	id, addr string
 	conns    []*conn
-	opening  int
+	dialing  int
 	closed   bool
 }
 
 // NewPools returns pools without servers; ctx ends their connections.
 func NewPools(ctx context.Context, opt Options, c *clock.Clock, log zerolog.Logger) *Pools {
-	return &Pools{opt: opt, clock: c, log: log, ctx: ctx, timeouts: timeouts{writeTimeout, dropWriteTimeout}, servers: map[string]*pool{}}
+	return &Pools{options: opt, clock: c, log: log, ctx: ctx, timeouts: timeouts{writeTimeout, dropWriteTimeout}, servers: map[string]*pool{}}
 }
 
-// Retune takes new settings' time after which a drain or purge binds, for attempts that are not written yet too.
-func (p *Pools) Retune(maxWait float64) {
+// SetMaxSendDelay takes new settings' time after which a drain or purge binds, for attempts that are not written yet too.
+func (p *Pools) SetMaxSendDelay(maxWait float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opt.MaxWait = maxWait
+	p.options.MaxSendDelay = maxWait
 }
 
 // Apply keeps the addresses in step with the list of servers. Attempts out at a server that left go on.
@@ -101,7 +101,7 @@
 			old = nil
 		}
 		if old == nil && !gone {
-			p.servers[s.ID] = &pool{owner: p, id: s.ID, addr: s.Addr}
+			p.servers[s.ID] = &pool{pools: p, id: s.ID, addr: s.Addr}
 		}
 	}
 	if !n.IsSnapshot {
@@ -117,9 +117,9 @@
 // retire takes a pool off the list and closes what is idle in it; the rest closes when its last attempt ends.
 func (l *pool) retire() {
 	l.closed = true
-	delete(l.owner.servers, l.id)
+	delete(l.pools.servers, l.id)
 	for _, c := range append([]*conn(nil), l.conns...) {
-		if len(c.calls) == 0 {
+		if len(c.attempts) == 0 {
 			c.close()
 		}
 	}
@@ -127,12 +127,12 @@
 
 // Send puts an attempt to its server. Its end comes on the call's channel.
 func (p *Pools) Send(try router.Attempt) router.PendingAttempt {
-	k := &call{pools: p, attempt: try, chosen: p.clock.Now(), done: make(chan router.AttemptResult, 1)}
+	k := &pendingAttempt{pools: p, attempt: try, chosenAt: p.clock.Now(), result: make(chan router.AttemptResult, 1)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.servers[try.Server]
 	if l == nil { // it left the list between the choice and here: nothing was sent
-		k.end(router.AttemptResult{Outcome: rules.OutcomeSkipped})
+		k.finish(router.AttemptResult{Outcome: rules.OutcomeSkipped})
 		return k
 	}
 	c, open := l.pick(&k.attempt)
@@ -140,11 +140,11 @@
 	case c != nil:
 		c.enqueue(k)
 	case open:
-		l.opening++
-		p.conns++
-		go l.open(k)
+		l.dialing++
+		p.connCount++
+		go l.dial(k)
 	default:
-		k.end(router.AttemptResult{Outcome: rules.OutcomeSkipped})
+		k.finish(router.AttemptResult{Outcome: rules.OutcomeSkipped})
 	}
 	return k
 }
@@ -156,20 +156,20 @@
 	id := try.ID
 	for _, c := range l.conns {
 		switch {
-		case c.dropped[id] != 0 && len(c.calls) < l.owner.opt.MaxStreams:
+		case c.droppedAt[id] != 0 && len(c.attempts) < l.pools.options.MaxStreams:
 			return c, false // its DROP must get there first, or two attempts would be out at once
-		case c.dropped[id] != 0:
+		case c.droppedAt[id] != 0:
 			return nil, false
-		case try.HasSideEffects && c.ended[id] != 0:
-		case len(c.calls) >= l.owner.opt.MaxStreams || len(c.queue) >= queueCapacity/2:
-		case best == nil || len(c.calls) < len(best.calls) || len(c.calls) == len(best.calls) && c.lastUse > best.lastUse:
+		case try.HasSideEffects && c.unservedAt[id] != 0:
+		case len(c.attempts) >= l.pools.options.MaxStreams || len(c.queue) >= queueCapacity/2:
+		case best == nil || len(c.attempts) < len(best.attempts) || len(c.attempts) == len(best.attempts) && c.lastUsedAt > best.lastUsedAt:
 			best = c
 		}
 	}
-	if best != nil && len(best.calls) == 0 {
+	if best != nil && len(best.attempts) == 0 {
 		return best, false
 	}
-	if len(l.conns)+l.opening < connsPerServer && l.owner.mayOpen(best == nil) {
+	if len(l.conns)+l.dialing < maxConnsPerServer && l.pools.mayOpen(best == nil) {
 		return nil, true
 	}
 	return best, false
@@ -178,13 +178,13 @@
 // mayOpen tells whether a connection may be opened. In need it closes the one idle for longest: the connections that
 // other servers once needed must not keep a server without any.
 func (p *Pools) mayOpen(need bool) bool {
-	if p.conns < p.opt.MaxConns || !need {
-		return p.conns < p.opt.MaxConns
+	if p.connCount < p.options.MaxConns || !need {
+		return p.connCount < p.options.MaxConns
 	}
 	var oldest *conn
 	for _, l := range p.servers {
 		for _, c := range l.conns {
-			if len(c.calls) == 0 && (oldest == nil || c.lastUse < oldest.lastUse) {
+			if len(c.attempts) == 0 && (oldest == nil || c.lastUsedAt < oldest.lastUsedAt) {
 				oldest = c
 			}
 		}
@@ -195,28 +195,28 @@
 	return oldest != nil
 }
 
-// open dials for one attempt and serves the connection until it ends.
-func (l *pool) open(k *call) {
-	p := l.owner
-	dialer := net.Dialer{Timeout: clock.Duration(p.opt.DialTimeout)}
+// dial dials for one attempt and serves the connection until it ends.
+func (l *pool) dial(k *pendingAttempt) {
+	p := l.pools
+	dialer := net.Dialer{Timeout: clock.Duration(p.options.DialTimeout)}
 	nc, err := dialer.DialContext(p.ctx, "tcp", l.addr)
 	p.mu.Lock()
-	l.opening--
+	l.dialing--
 	if err != nil {
-		p.conns--
-		k.end(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
+		p.connCount--
+		k.finish(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			p.fault(l, fmt.Errorf("dial: %w", err))
+			p.recordFault(l, fmt.Errorf("dial: %w", err))
 		}
 		p.mu.Unlock()
 		return
 	}
-	c := &conn{pool: l, net: nc, queue: make(chan command, queueCapacity), gone: make(chan struct{}),
-		calls: map[string]*call{}, dropped: map[string]float64{}, ended: map[string]float64{}, lastUse: p.clock.Now()}
+	c := &conn{pool: l, netConn: nc, queue: make(chan command, queueCapacity), done: make(chan struct{}),
+		attempts: map[string]*pendingAttempt{}, droppedAt: map[string]float64{}, unservedAt: map[string]float64{}, lastUsedAt: p.clock.Now()}
 	l.conns = append(l.conns, c)
 	switch {
 	case p.ctx.Err() != nil, l.closed: // it left the list while the connection came up: another machine may be there now
-		k.end(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
+		k.finish(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
 		c.close()
 	case !k.finished:
 		c.enqueue(k)
@@ -230,14 +230,14 @@
 	c.read()
 }
 
-// Written is how many attempts were written whole to servers.
-func (p *Pools) Written() int64 { return p.written.Load() }
+// AttemptsWritten is how many attempts were written whole to servers.
+func (p *Pools) AttemptsWritten() int64 { return p.attemptsWritten.Load() }
 
-// fault counts what should not happen, and logs it at most once a second. Pools.mu is held.
-func (p *Pools) fault(l *pool, err error) {
-	p.faults++
-	if now := p.clock.Now(); now-p.logged >= logEvery {
-		p.logged = now
-		p.log.Warn().Err(err).Str("server", l.id).Int("faults", p.faults).Msg("upstream connection closed")
+// recordFault counts what should not happen, and logs it at most once a second. Pools.mu is held.
+func (p *Pools) recordFault(l *pool, err error) {
+	p.faultCount++
+	if now := p.clock.Now(); now-p.loggedAt >= logInterval {
+		p.loggedAt = now
+		p.log.Warn().Err(err).Str("server", l.id).Int("faults", p.faultCount).Msg("upstream connection closed")
 	}
 }
--- a/internal/resp/pool_test.go
+++ b/internal/resp/pool_test.go
@@ -72,7 +72,7 @@
 
 func newPools(t *testing.T, addr string) (*Pools, *clock.Clock) {
 	fake := clock.NewFake(1000)
-	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleClose: 30_000, MaxStreams: 2, MaxConns: 2, MaxWait: 300}, fake, zerolog.Nop())
+	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleTimeout: 30_000, MaxStreams: 2, MaxConns: 2, MaxSendDelay: 300}, fake, zerolog.Nop())
 	p.timeouts.drop = patient // none is stuck
 	list(p, "s-1", addr)
 	return p, fake
@@ -100,7 +100,7 @@
 	testwait.Until(l.t, "an answer to be heard", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.servers["s-1"].conns[0].lastAnswer > 0
+		return p.servers["s-1"].conns[0].lastResponseAt > 0
 	})
 }
 
@@ -171,7 +171,7 @@
 	fake.Advance(1)
 	k, one := out(p, c)
 	k.Cancel(true)
-	if p.mu.Lock(); p.conns != 0 {
+	if p.mu.Lock(); p.connCount != 0 {
 		t.Error("the connection is still open")
 	}
 	p.mu.Unlock()
@@ -234,8 +234,8 @@
 	k, one := out(p, c)
 	one.Write([]byte("HTTP/1.1 200 OK\r\n"))
 	wantCode(t, k, rules.OutcomeConnectionReset)
-	if p.mu.Lock(); p.faults != 1 {
-		t.Errorf("%d faults counted", p.faults)
+	if p.mu.Lock(); p.faultCount != 1 {
+		t.Errorf("%d faults counted", p.faultCount)
 	}
 	p.mu.Unlock()
 }
@@ -249,7 +249,7 @@
 	wantCode(t, k, rules.OutcomeMiss)
 	// the reader arms the idle close under the same lock as it ends the attempt
 	p.mu.Lock()
-	if conns := p.servers["s-1"].conns; len(conns) != 1 || len(conns[0].calls) != 0 || conns[0].idle == nil {
+	if conns := p.servers["s-1"].conns; len(conns) != 1 || len(conns[0].attempts) != 0 || conns[0].idleTimer == nil {
 		t.Error("the answer left no connection that is idle")
 	}
 	p.mu.Unlock()
@@ -266,18 +266,18 @@
 	near, far := net.Pipe()
 	testwait.BoundConn(t, far)
 	c := bare(p, near)
-	calls := map[string]*call{}
+	calls := map[string]*pendingAttempt{}
 	p.mu.Lock()
 	for _, id := range []string{"late", "over", "good"} {
-		k := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}}, chosen: fake.Now(), done: make(chan router.AttemptResult, 1)}
+		k := &pendingAttempt{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}}, chosenAt: fake.Now(), result: make(chan router.AttemptResult, 1)}
 		c.enqueue(k)
 		calls[id] = k
 		fake.Advance(301)
 	}
-	calls["good"].chosen, calls["over"].chosen, calls["over"].finished = fake.Now(), fake.Now(), true
+	calls["good"].chosenAt, calls["over"].chosenAt, calls["over"].finished = fake.Now(), fake.Now(), true
 	p.mu.Unlock()
 	go c.write()
-	defer close(c.gone)
+	defer close(c.done)
 	(&link{t, far, bufio.NewReader(far)}).expect("GET good")
 	wantCode(t, calls["late"], rules.OutcomeConnectionRefused)
 }
@@ -301,7 +301,7 @@
 	near, far := net.Pipe()
 	testwait.BoundConn(t, far)
 	c := bare(p, near)
-	k := &call{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "a"}}, chosen: 1000, done: make(chan router.AttemptResult, 1)}
+	k := &pendingAttempt{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "a"}}, chosenAt: 1000, result: make(chan router.AttemptResult, 1)}
 	p.mu.Lock()
 	c.enqueue(k) // queued, and no writer yet
 	p.mu.Unlock()
--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -67,7 +67,7 @@
 	testwait.Until(t, "the attempt to be forgotten", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return k.(*call).finished
+		return k.(*pendingAttempt).finished
 	})
 }
 
@@ -112,7 +112,7 @@
 			if again := string(AppendArray(nil, parts...)); again != pins[name] {
 				t.Errorf("wrote %+q", again)
 			}
-			id, got, err := parseAnswer(parts)
+			id, got, err := parseResponse(parts)
 			if err != nil || id != "9b1f" || !reflect.DeepEqual(got, want) {
 				t.Errorf("read %s %+v (%v), want %+v", id, got, err, want)
 			}
--- a/internal/resp/writecommand.go
+++ b/internal/resp/writecommand.go
@@ -5,27 +5,27 @@
 	"syscall"
 )
 
-// errDeparted ends a connection on which a command was half written when its client left.
-var errDeparted = errors.New("the client of a command that is half written has left")
+// errClientDeparted ends a connection on which a command was half written when its client left.
+var errClientDeparted = errors.New("the client of a command that is half written has left")
 
 // writeCommand writes a command. Where the connection takes it in parts, it looks before each but the first whether the command's client has left: what
 // would come whole to the server only then must not.
 func (c *conn) writeCommand(m command) error {
-	socket, ok := c.net.(syscall.Conn)
-	if !ok || m.call == nil {
-		_, err := c.net.Write(m.text)
+	socket, ok := c.netConn.(syscall.Conn)
+	if !ok || m.attempt == nil {
+		_, err := c.netConn.Write(m.encoded)
 		return err
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return err
 	}
-	rest, first := m.text, true
+	rest, first := m.encoded, true
 	var failed error
 	err = raw.Write(func(fd uintptr) (done bool) {
 		for len(rest) > 0 {
-			if !first && m.call.departed() {
-				failed = errDeparted
+			if !first && m.attempt.clientDeparted() {
+				failed = errClientDeparted
 				return true
 			}
 			first = false
@@ -48,7 +48,7 @@
 	return err
 }
 
-// departed tells whether the client of an attempt has left.
-func (k *call) departed() bool {
+// clientDeparted tells whether the client of an attempt has left.
+func (k *pendingAttempt) clientDeparted() bool {
 	return k.attempt.ClientDeparted != nil && k.attempt.ClientDeparted()
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -12,11 +12,11 @@
 	"spantack/rules"
 )
 
-// Item is one event on the wire: a start, a stop, or an event for a running instance.
-type Item struct {
+// Message is one event on the wire: a start, a stop, or an event for a running instance.
+type Message struct {
 	Instance string
-	Born     bool
-	Shutdown bool
+	IsStart  bool
+	IsStop   bool
 	Settings *rules.Settings
 	Seed     int64
 	Event    rules.Event
@@ -24,38 +24,38 @@
 
 // Batch is all that came in at one time.
 type Batch struct {
-	Time  int64
-	Items []Item
+	Time     int64
+	Messages []Message
 }
 
 // Reader reads batches.
 type Reader struct {
-	in   *bufio.Reader
-	line int
+	input      *bufio.Reader
+	lineNumber int
 	// decoded settings by text, so that equal texts are decoded once; the result is never written to
 	settings map[string]*rules.Settings
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), settings: map[string]*rules.Settings{}}
+	return &Reader{input: bufio.NewReaderSize(r, 1<<20), settings: map[string]*rules.Settings{}}
 }
 
-func (r *Reader) next() (string, error) {
-	text, err := r.in.ReadString('\n')
+func (r *Reader) readLine() (string, error) {
+	text, err := r.input.ReadString('\n')
 	if err != nil && (err != io.EOF || text == "") {
 		return "", err
 	}
-	r.line++
+	r.lineNumber++
 	return strings.TrimRight(text, "\r\n"), nil
 }
 
-func (r *Reader) fail(text string, format string, args ...any) error {
+func (r *Reader) lineError(text string, format string, args ...any) error {
 	const shown = 200
 	if len(text) > shown {
 		text = text[:shown] + "..."
 	}
-	return fmt.Errorf("line %d: %s: %q", r.line, fmt.Sprintf(format, args...), text)
+	return fmt.Errorf("line %d: %s: %q", r.lineNumber, fmt.Sprintf(format, args...), text)
 }
 
 // Read returns the next batch, or io.EOF at a clean end of input.
@@ -63,12 +63,12 @@
 	var b *Batch
 	rows := 0
 	for {
-		text, err := r.next()
+		text, err := r.readLine()
 		if err == io.EOF && b == nil {
 			return nil, io.EOF
 		}
 		if err == io.EOF {
-			return nil, fmt.Errorf("line %d: input ends inside a batch", r.line)
+			return nil, fmt.Errorf("line %d: input ends inside a batch", r.lineNumber)
 		}
 		if err != nil {
 			return nil, err
@@ -80,15 +80,15 @@
 		f := fields{rest: rest}
 		switch {
 		case b == nil && verb != "ROUND":
-			return nil, r.fail(text, "a batch must begin with ROUND")
+			return nil, r.lineError(text, "a batch must begin with ROUND")
 		case rows > 0 && verb != "ROW":
-			return nil, r.fail(text, "%d ROW lines missing", rows)
+			return nil, r.lineError(text, "%d ROW lines missing", rows)
 		case verb == "ROUND":
 			if b != nil {
-				return nil, r.fail(text, "ROUND inside a batch")
+				return nil, r.lineError(text, "ROUND inside a batch")
 			}
 			b = &Batch{}
-			err = f.each(func(k, v string) (err error) {
+			err = f.forEach(func(k, v string) (err error) {
 				if k == "Time" {
 					b.Time, err = strconv.ParseInt(v, 10, 64)
 				}
@@ -101,40 +101,40 @@
 			return b, nil
 		case verb == "ROW":
 			if rows == 0 {
-				return nil, r.fail(text, "ROW outside a list")
+				return nil, r.lineError(text, "ROW outside a list")
 			}
 			rows--
-			ev := &b.Items[len(b.Items)-1].Event
+			ev := &b.Messages[len(b.Messages)-1].Event
 			var row rules.Endpoint
 			if row, err = parseRow(&f); err == nil {
 				ev.Endpoints = append(ev.Endpoints, row)
 			}
 		default:
-			var it Item
-			it, rows, err = r.parse(verb, &f)
+			var it Message
+			it, rows, err = r.parseMessage(verb, &f)
 			if err == nil && it.Instance == "" {
 				err = fmt.Errorf("DirectorId is missing")
 			}
-			if err == nil && (it.Born || it.Shutdown || it.Event.Kind != 0) {
-				b.Items = append(b.Items, it)
+			if err == nil && (it.IsStart || it.IsStop || it.Event.Kind != 0) {
+				b.Messages = append(b.Messages, it)
 			}
 		}
 		if err != nil {
-			return nil, r.fail(text, "%v", err)
+			return nil, r.lineError(text, "%v", err)
 		}
 	}
 }
 
 // fields walks over the name=value pairs of a line.
 type fields struct {
-	rest string
-	seen string
+	rest  string
+	names string
 }
 
-func (f *fields) has(name string) bool { return strings.Contains(f.seen, " "+name+" ") }
+func (f *fields) has(name string) bool { return strings.Contains(f.names, " "+name+" ") }
 
-// each calls fn for every pair; the value of the field named text extends to the end of the line.
-func (f *fields) each(fn func(k, v string) error, text string) error {
+// forEach calls fn for every pair; the value of the field named text extends to the end of the line.
+func (f *fields) forEach(fn func(k, v string) error, text string) error {
 	var seen strings.Builder
 	rest := f.rest
 	for rest != "" {
@@ -153,35 +153,35 @@
 		}
 		seen.WriteString(" " + k + " ")
 	}
-	f.seen = seen.String()
+	f.names = seen.String()
 	return nil
 }
 
-var kinds = map[string]rules.EventKind{
+var eventKinds = map[string]rules.EventKind{
 	"FLEET": rules.EventEndpoints, "KNOCK": rules.EventRequest, "HEADERS": rules.EventFirstByte, "RESULT": rules.EventOutcome,
 	"ABORTED": rules.EventAborted, "TIMER": rules.EventTimer, "ECHO": rules.EventProbed, "REPLACED": rules.EventPurge,
 }
 
-// needed names the fields without which a message means nothing.
-var needed = map[string][]string{
+// requiredFields names the fields without which a message means nothing.
+var requiredFields = map[string][]string{
 	"BORN": {"Entropy", "BootInfo"}, "FLEET": {"Mode"}, "KNOCK": {"Call", "Qos", "ExpiresIn"},
 	"HEADERS": {"Call"}, "RESULT": {"Call", "Leg", "Code"}, "ABORTED": {"Call"}, "TIMER": {"Ctx"},
 	"ECHO": {"Code", "Node"},
 }
 
-func (r *Reader) parse(verb string, f *fields) (it Item, rows int, err error) {
+func (r *Reader) parseMessage(verb string, f *fields) (it Message, rows int, err error) {
 	known := verb == "BORN" || verb == "SHUTDOWN" || verb == "MAIL"
-	it.Born, it.Shutdown = verb == "BORN", verb == "SHUTDOWN"
-	it.Event.Kind = kinds[verb]
+	it.IsStart, it.IsStop = verb == "BORN", verb == "SHUTDOWN"
+	it.Event.Kind = eventKinds[verb]
 	if !known && it.Event.Kind == 0 {
 		return it, 0, fmt.Errorf("unknown message %q", verb)
 	}
 	text := ""
-	if it.Born {
+	if it.IsStart {
 		text = "BootInfo"
 	}
 	ev := &it.Event
-	err = f.each(func(k, v string) (err error) {
+	err = f.forEach(func(k, v string) (err error) {
 		switch k {
 		case "DirectorId":
 			it.Instance = v
@@ -257,7 +257,7 @@
 		}
 		return err
 	}, text)
-	for _, name := range needed[verb] {
+	for _, name := range requiredFields[verb] {
 		if err == nil && !f.has(name) {
 			err = fmt.Errorf("%s is missing", name)
 		}
@@ -266,7 +266,7 @@
 }
 
 func parseRow(f *fields) (row rules.Endpoint, err error) {
-	err = f.each(func(k, v string) (err error) {
+	err = f.forEach(func(k, v string) (err error) {
 		switch k {
 		case "Node":
 			row.Server = v
@@ -298,8 +298,8 @@
 	return false, fmt.Errorf("want 0 or 1")
 }
 
-// Append adds the line for action a of an instance to buf. What is told to peers has no line: instances share nothing here.
-func Append(buf []byte, instance string, a rules.Action) []byte {
+// AppendAction adds the line for action a of an instance to buf. What is told to peers has no line: instances share nothing here.
+func AppendAction(buf []byte, instance string, a rules.Action) []byte {
 	if a.Kind == rules.ActionReportOverload {
 		return buf
 	}
--- a/internal/wire/wire_compat_test.go
+++ b/internal/wire/wire_compat_test.go
@@ -78,12 +78,12 @@
 		t.Fatal(err)
 	}
 	text := strings.Replace(string(readPin(t, "events.txt")), "@SETTINGS@", settings.String(), 1)
-	outcome := func(attempt int, code rules.AttemptOutcome) Item {
-		return Item{Event: rules.Event{Kind: rules.EventOutcome, RequestID: "ab", Attempt: attempt, Outcome: code}}
+	outcome := func(attempt int, code rules.AttemptOutcome) Message {
+		return Message{Event: rules.Event{Kind: rules.EventOutcome, RequestID: "ab", Attempt: attempt, Outcome: code}}
 	}
-	want := []Item{
-		{Born: true, Seed: -1, Settings: every()},
-		{Instance: "d-2", Born: true, Seed: -7, Settings: &rules.Settings{}},
+	want := []Message{
+		{IsStart: true, Seed: -1, Settings: every()},
+		{Instance: "d-2", IsStart: true, Seed: -7, Settings: &rules.Settings{}},
 		{Event: rules.Event{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: []rules.Endpoint{
 			{Server: "10.1.0.9:5050", Zone: "central", Kind: "parent", Cell: 2, Status: "healthy", Weight: 1.5, StartedAt: 9},
 			{Server: "n2", Zone: "east", Kind: "std", Cell: 3, Status: "cordoned", Weight: 0.25, StartedAt: -8},
@@ -104,18 +104,18 @@
 		{Event: rules.Event{Kind: rules.EventProbed, Outcome: rules.OutcomeServed, Server: "n2", ResponseTime: 3, LoadReport: []float64{0.25}}},
 		{Event: rules.Event{Kind: rules.EventPurge, Object: "7f3a", PurgeAge: 85}},
 		{Event: rules.Event{Kind: rules.EventPurge, PurgeGroup: 11, PurgeAge: 86}},
-		{Shutdown: true},
+		{IsStop: true},
 	}
 	r := NewReader(strings.NewReader(text))
 	b, err := r.Read()
-	if err != nil || b.Time != 5000001 || len(b.Items) != len(want) {
+	if err != nil || b.Time != 5000001 || len(b.Messages) != len(want) {
 		t.Fatalf("%+v (%v), want %d items", b, err, len(want))
 	}
 	for i, w := range want {
 		if w.Instance == "" {
 			w.Instance = "d-1"
 		}
-		if got := b.Items[i]; !reflect.DeepEqual(got, w) {
+		if got := b.Messages[i]; !reflect.DeepEqual(got, w) {
 			t.Errorf("item %d: read %+v, want %+v", i, got, w)
 		}
 	}
@@ -145,7 +145,7 @@
 		{Kind: rules.ActionLog, LogText: "two lines\nnow"},
 		{Kind: rules.ActionReportOverload, Server: "n2"}, // has no line
 	} {
-		got = Append(got, "d-1", a)
+		got = AppendAction(got, "d-1", a)
 	}
 	got = AppendPanic(got, "d-1", "two lines\nnow")
 	lines, want := strings.Split(string(got), "\n"), strings.Split(string(readPin(t, "actions.txt")), "\n")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 
 // What the module tells its peers has no line here; once it would have been an empty one.
 func TestNothingIsToldToPeers(t *testing.T) {
-	if out := Append(nil, "d", rules.Action{Kind: rules.ActionReportOverload, Server: "p"}); len(out) != 0 {
+	if out := AppendAction(nil, "d", rules.Action{Kind: rules.ActionReportOverload, Server: "p"}); len(out) != 0 {
 		t.Errorf("%q", out)
 	}
 }
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if it := b.Items[0]; !it.Born || it.Seed != -1 || it.Settings.Zone != "a b" || it.Settings.FleetSize != 3 {
+	if it := b.Messages[0]; !it.IsStart || it.Seed != -1 || it.Settings.Zone != "a b" || it.Settings.FleetSize != 3 {
 		t.Errorf("born %+v", it)
 	}
 	want := []rules.Event{
@@ -47,11 +47,11 @@
 		{Kind: rules.EventProbed, Outcome: rules.OutcomeServed, Server: "n", ResponseTime: 3},
 	}
 	for i, ev := range want {
-		if got := b.Items[i+1].Event; !reflect.DeepEqual(got, ev) {
+		if got := b.Messages[i+1].Event; !reflect.DeepEqual(got, ev) {
 			t.Errorf("event %d: got %+v, want %+v", i, got, ev)
 		}
 	}
-	if last := b.Items[len(b.Items)-1]; !last.Shutdown || b.Time != 5 {
+	if last := b.Messages[len(b.Messages)-1]; !last.IsStop || b.Time != 5 {
 		t.Errorf("last %+v at %d", last, b.Time)
 	}
 	if _, err := r.Read(); err != io.EOF {
@@ -94,7 +94,7 @@
 		"RESOLVE DirectorId=d":                      {Kind: rules.ActionResolve},
 		"WRITE_LOG DirectorId=d Line=two lines now": {Kind: rules.ActionLog, LogText: "two lines\nnow"},
 	} {
-		if got := string(Append(nil, "d", a)); got != want+"\n" {
+		if got := string(AppendAction(nil, "d", a)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
