--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts routers on the simulator's wire: one rules.Engine for each instance, nothing shared.
+// Command simadapter hosts routers on the simulator's wire: one routing.Engine for each instance, nothing shared.
 package main
 
 import (
@@ -6,21 +6,21 @@
 	"io"
 	"os"
 
-	"spantack/internal/wire"
-	"spantack/rules"
+	"spantack/internal/simwire"
+	"spantack/routing"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers batches until the input ends. A reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
-	reader := wire.NewReader(in)
-	routers := map[string]*rules.Engine{}
+	reader := simwire.NewReader(in)
+	routers := map[string]*routing.Engine{}
 	var buf []byte
 	for {
 		batch, err := reader.Read()
@@ -40,9 +40,9 @@
 }
 
 // handleBatch takes the events of a batch to their instances, each instance's in one step, in the order of first events.
-func handleBatch(buf []byte, routers map[string]*rules.Engine, batch *wire.Batch) ([]byte, error) {
+func handleBatch(buf []byte, routers map[string]*routing.Engine, batch *simwire.Batch) ([]byte, error) {
 	var order []string
-	pending := map[string][]rules.Event{}
+	pending := map[string][]routing.Event{}
 	for _, it := range batch.Messages {
 		events, listed := pending[it.Instance]
 		if !listed {
@@ -54,7 +54,7 @@
 			delete(routers, it.Instance)
 			pending[it.Instance] = nil
 		case it.IsStart:
-			router, err := rules.NewEngine(*it.Settings, it.Seed)
+			router, err := routing.NewEngine(*it.Settings, it.Seed)
 			if err != nil {
 				return buf, fmt.Errorf("settings of %s: %w", it.Instance, err)
 			}
@@ -73,15 +73,15 @@
 }
 
 // stepEngine runs one router; a panic in it becomes the wire's PANIC.
-func stepEngine(buf []byte, id string, router *rules.Engine, now int64, events []rules.Event) (out []byte) {
+func stepEngine(buf []byte, id string, router *routing.Engine, now int64, events []routing.Event) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = wire.AppendPanic(buf, id, fmt.Sprint(p))
+			out = simwire.AppendPanic(buf, id, fmt.Sprint(p))
 		}
 	}()
 	out = buf
 	for _, a := range router.Step(now, events) {
-		out = wire.AppendAction(out, id, a)
+		out = simwire.AppendAction(out, id, a)
 	}
 	return out
 }
--- a/cmd/spanctl/document.go
+++ b/cmd/spanctl/document.go
@@ -10,7 +10,7 @@
 	"slices"
 
 	"spantack/core/cells"
-	"spantack/core/moves"
+	"spantack/core/migration"
 	"spantack/internal/clock"
 	"spantack/internal/features"
 )
@@ -36,7 +36,7 @@
 }
 
 // loadMigration is the present document, empty if there is none.
-func (c *documentFlags) loadMigration() (*features.File, *moves.Document, error) {
+func (c *documentFlags) loadMigration() (*features.File, *migration.Document, error) {
 	f, err := features.Load(c.File)
 	if err != nil {
 		return nil, nil, err
@@ -44,7 +44,7 @@
 	if f.CellSpec() == nil {
 		return nil, nil, fmt.Errorf("%s: cells are off", c.File)
 	}
-	doc := &moves.Document{}
+	doc := &migration.Document{}
 	if f.ActiveMigration() != nil {
 		*doc = *f.ActiveMigration()
 		doc.Migrations = slices.Clone(doc.Migrations)
@@ -53,10 +53,10 @@
 }
 
 // saveMigration checks a changed document against the one in force and writes it.
-func (c *documentFlags) saveMigration(out io.Writer, f *features.File, doc *moves.Document) error {
+func (c *documentFlags) saveMigration(out io.Writer, f *features.File, doc *migration.Document) error {
 	doc.Version++
 	if doc.Migrations == nil {
-		doc.Migrations = []moves.Migration{} // a list in the file, also an empty one
+		doc.Migrations = []migration.Migration{} // a list in the file, also an empty one
 	}
 	next := *f
 	next.Migration = features.Migration{Enabled: true, Document: *doc}
--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
-	"spantack/core/moves"
-	"spantack/core/moves/order"
+	"spantack/core/migration"
+	"spantack/core/migration/schedule"
 )
 
 type cellsDrainCmd struct {
@@ -39,7 +39,7 @@
 		return err
 	}
 	now := c.now()
-	aim := order.Constraints{Site: c.Site, Start: now + millis(c.StartDelay), WarmUp: millis(c.WarmDuration), MinShift: millis(c.ShiftDuration), MaxShiftFactor: c.MaxSlowdown, Settle: millis(c.SettleDuration), Cells: map[string]order.CellCapacity{}, OriginFillFraction: c.OriginFraction}
+	aim := schedule.Constraints{Site: c.Site, Start: now + millis(c.StartDelay), WarmUp: millis(c.WarmDuration), MinShift: millis(c.ShiftDuration), MaxShiftFactor: c.MaxSlowdown, Settle: millis(c.SettleDuration), Cells: map[string]schedule.CellCapacity{}, OriginFillFraction: c.OriginFraction}
 	lives, fills := map[string]float64{}, map[string]float64{}
 	home := map[string]string{}
 	for _, t := range spec.Tenants {
@@ -55,7 +55,7 @@
 		sum += d.Loads[2]
 	}
 	for _, cell := range spec.Cells {
-		room := order.CellCapacity{SendKbPerS: cell.Share * c.CapacityKBPerS, UsedKbPerS: lives[cell.Name]}
+		room := schedule.CellCapacity{SendKbPerS: cell.Share * c.CapacityKBPerS, UsedKbPerS: lives[cell.Name]}
 		if link := spec.Budget.FillKBPerSecond; link > 0 {
 			room.FillKbPerS = max(cell.Share*link-fills[cell.Name], 1)
 		}
@@ -69,8 +69,8 @@
 			return fmt.Errorf("%q is no cell", name)
 		}
 	}
-	var wishes []order.Request
-	of := map[string]order.Request{}
+	var wishes []schedule.Request
+	of := map[string]schedule.Request{}
 	come := map[string]float64{}
 	for _, d := range list {
 		if home[d.Name] != c.Cell {
@@ -90,7 +90,7 @@
 		w := migrationRequest(d.Name, c.Cell, to, d.Loads[1])
 		wishes, of[d.Name] = append(wishes, w), w
 	}
-	s, err := order.Plan(wishes, aim)
+	s, err := schedule.Plan(wishes, aim)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 	}
 	for _, t := range spec.Tenants { // who asked for nothing of late moves at the end: there is nothing to fill for it
 		if _, known := of[t.Name]; !known && home[t.Name] == c.Cell && s.Unscheduled[t.Name] == "" {
-			s.Migrations = append(s.Migrations, moves.Migration{Tenant: t.Name, Site: c.Site, From: c.Cell, To: c.Targets[0], Start: max(s.End, aim.Start), MinShift: aim.MinShift, MaxShift: aim.MaxShiftFactor * aim.MinShift, Settle: aim.Settle})
+			s.Migrations = append(s.Migrations, migration.Migration{Tenant: t.Name, Site: c.Site, From: c.Cell, To: c.Targets[0], Start: max(s.End, aim.Start), MinShift: aim.MinShift, MaxShift: aim.MaxShiftFactor * aim.MinShift, Settle: aim.Settle})
 		}
 	}
 	if len(s.Migrations) == 0 {
@@ -113,7 +113,7 @@
 	for _, name := range sortedKeys(s.PeakUse) {
 		fmt.Fprintf(out, "%s: %.0f%% of its limit at most\n", name, 100*s.PeakUse[name])
 	}
-	for _, circle := range order.Cycles(&moves.Document{Migrations: s.Migrations}) {
+	for _, circle := range schedule.Cycles(&migration.Document{Migrations: s.Migrations}) {
 		fmt.Fprintf(out, "go at one pace, since each needs the room of the next: %s\n", strings.Join(circle, ", "))
 	}
 	printCellLoads(out, spec, s.Migrations, of)
--- a/cmd/spanctl/main.go
+++ b/cmd/spanctl/main.go
@@ -16,7 +16,7 @@
 
 	"spantack/core/cells"
 	"spantack/core/cells/plan"
-	"spantack/core/moves"
+	"spantack/core/migration"
 	"spantack/internal/features"
 	"spantack/internal/features/schema"
 )
@@ -171,7 +171,7 @@
 		on := documentFlags{Now: c.Now}
 		for i := range doc.Migrations {
 			m := &doc.Migrations[i]
-			if m.Tenant != a.Tenant || m.Site != c.Site && m.Site != moves.AllSites {
+			if m.Tenant != a.Tenant || m.Site != c.Site && m.Site != migration.AllSites {
 				continue
 			}
 			printMigration(out, m, on.now())
--- a/cmd/spanctl/movechange.go
+++ b/cmd/spanctl/movechange.go
@@ -6,7 +6,7 @@
 	"io"
 	"slices"
 
-	"spantack/core/moves"
+	"spantack/core/migration"
 )
 
 // changeMigrations is a command on moves that are there already.
@@ -17,7 +17,7 @@
 }
 
 // applyToEach changes the moves meant, by what set does; it says false for those that can't be changed so.
-func (c *changeMigrations) applyToEach(out io.Writer, how string, set func(m *moves.Migration, now float64) bool) error {
+func (c *changeMigrations) applyToEach(out io.Writer, how string, set func(m *migration.Migration, now float64) bool) error {
 	f, doc, err := c.loadMigration()
 	if err != nil {
 		return err
@@ -31,7 +31,7 @@
 		if !c.All && !slices.Contains(c.Tenants, m.Tenant) {
 			continue
 		}
-		if p := m.Phase(now); p == moves.Done || p == moves.RolledBack || !set(m, now) {
+		if p := m.Phase(now); p == migration.Done || p == migration.RolledBack || !set(m, now) {
 			if !c.All {
 				return fmt.Errorf("%s is %s: it can't be %s", m.Tenant, p, how)
 			}
@@ -54,7 +54,7 @@
 type migrationPauseCmd struct{ changeMigrations }
 
 func (c *migrationPauseCmd) Run(out io.Writer) error {
-	return c.applyToEach(out, "held", func(m *moves.Migration, now float64) bool {
+	return c.applyToEach(out, "held", func(m *migration.Migration, now float64) bool {
 		if m.PausedAt > 0 || m.RollbackStarted(now) {
 			return false
 		}
@@ -66,7 +66,7 @@
 type migrationResumeCmd struct{ changeMigrations }
 
 func (c *migrationResumeCmd) Run(out io.Writer) error {
-	return c.applyToEach(out, "resumed", func(m *moves.Migration, now float64) bool {
+	return c.applyToEach(out, "resumed", func(m *migration.Migration, now float64) bool {
 		if m.PausedAt == 0 {
 			return false
 		}
@@ -78,7 +78,7 @@
 type migrationRollbackCmd struct{ changeMigrations }
 
 func (c *migrationRollbackCmd) Run(out io.Writer) error {
-	return c.applyToEach(out, "taken back", func(m *moves.Migration, now float64) bool {
+	return c.applyToEach(out, "taken back", func(m *migration.Migration, now float64) bool {
 		if m.RollbackAt > 0 {
 			return false
 		}
--- a/cmd/spanctl/movelist.go
+++ b/cmd/spanctl/movelist.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"spantack/core/cells"
-	"spantack/core/moves"
+	"spantack/core/migration"
 )
 
 func formatTime(ms float64) string {
@@ -23,13 +23,13 @@
 }
 
 // printMigration says what a move does from now on.
-func printMigration(out io.Writer, m *moves.Migration, now float64) {
+func printMigration(out io.Writer, m *migration.Migration, now float64) {
 	fmt.Fprintf(out, "%s in %s: %s to %s, %s", m.Tenant, m.Site, m.From, m.To, m.Phase(now))
 	switch p := m.Phase(now); p {
-	case moves.Planned, moves.Warming, moves.Shifting, moves.Settling, moves.Paused:
+	case migration.Planned, migration.Warming, migration.Shifting, migration.Settling, migration.Paused:
 		fmt.Fprintf(out, ", %.0f to %.0f%% over; begins %s, over %s at the soonest, needs no more looking at %s", 100*m.MinShare(now), 100*m.MaxShare(now),
 			formatTime(m.Start), formatTime(m.Start+m.WarmUp+m.MinShift), formatTime(m.EndsAt()))
-	case moves.RollingBack:
+	case migration.RollingBack:
 		fmt.Fprintf(out, ", at most %.0f%% over, none from %s on", 100*m.MaxShare(now), formatTime(m.EndsAt()))
 	}
 	fmt.Fprintln(out)
@@ -97,13 +97,13 @@
 	for i := range f.CellSpec().Tenants {
 		home[f.CellSpec().Tenants[i].Name] = &f.CellSpec().Tenants[i]
 	}
-	var left []moves.Migration
+	var left []migration.Migration
 	waits := 0
 	for _, m := range doc.Migrations {
 		want := m.From
-		if m.Phase(now) == moves.Done {
+		if m.Phase(now) == migration.Done {
 			want = m.To
-		} else if m.Phase(now) != moves.RolledBack {
+		} else if m.Phase(now) != migration.RolledBack {
 			left = append(left, m)
 			continue
 		}
--- a/cmd/spanctl/moves.go
+++ b/cmd/spanctl/moves.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"spantack/core/cells"
-	"spantack/core/moves"
-	"spantack/core/moves/order"
+	"spantack/core/migration"
+	"spantack/core/migration/schedule"
 )
 
 // printCellLoads says what each cell gains and loses, at a time at which the moves are over, where the demand is known.
-func printCellLoads(out io.Writer, spec *cells.Spec, ms []moves.Migration, demand map[string]order.Request) {
+func printCellLoads(out io.Writer, spec *cells.Spec, ms []migration.Migration, demand map[string]schedule.Request) {
 	gain, fill := map[string]float64{}, map[string]float64{}
 	for _, m := range ms {
 		w := demand[m.Tenant]
@@ -37,8 +37,8 @@
 }
 
 func (t *pace) validate() error {
-	if t.StartDelay < 0 || t.WarmDuration < 0 || t.SettleDuration < 0 || t.ShiftDuration < moves.ShortestShiftMs*time.Millisecond || !(t.MaxSlowdown >= 1 && t.MaxSlowdown <= 1000) {
-		return fmt.Errorf("--in, --warm, --settle 0 or more, --shift %s or more, --slow 1 to 1000", time.Duration(moves.ShortestShiftMs)*time.Millisecond)
+	if t.StartDelay < 0 || t.WarmDuration < 0 || t.SettleDuration < 0 || t.ShiftDuration < migration.ShortestShiftMs*time.Millisecond || !(t.MaxSlowdown >= 1 && t.MaxSlowdown <= 1000) {
+		return fmt.Errorf("--in, --warm, --settle 0 or more, --shift %s or more, --slow 1 to 1000", time.Duration(migration.ShortestShiftMs)*time.Millisecond)
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 	}
 	from := cellAtSite(&spec.Tenants[at], c.Site)
 	now := c.now()
-	m := moves.Migration{Tenant: c.Tenant, Site: c.Site, From: from, To: c.TargetCell, Start: now + millis(c.StartDelay), WarmUp: millis(c.WarmDuration), MinShift: millis(c.ShiftDuration), MaxShift: c.MaxSlowdown * millis(c.ShiftDuration),
+	m := migration.Migration{Tenant: c.Tenant, Site: c.Site, From: from, To: c.TargetCell, Start: now + millis(c.StartDelay), WarmUp: millis(c.WarmDuration), MinShift: millis(c.ShiftDuration), MaxShift: c.MaxSlowdown * millis(c.ShiftDuration),
 		Settle: millis(c.SettleDuration), HotObjects: c.HotObjects}
 	doc.Migrations = append(dropEnded(doc.Migrations, now, c.Tenant), m)
 	wishes, err := migrationRequests(c.Demand, map[string][2]string{c.Tenant: {from, c.TargetCell}})
@@ -76,7 +76,7 @@
 		return err
 	}
 	printMigration(out, &m, now)
-	printCellLoads(out, spec, []moves.Migration{m}, wishes)
+	printCellLoads(out, spec, []migration.Migration{m}, wishes)
 	return c.saveMigration(out, f, doc)
 }
 
@@ -89,22 +89,22 @@
 }
 
 // migrationRequest is a tenant's move as the planner wants it, from what it asks for in KB a second.
-func migrationRequest(tenant, from, to string, kbPerS float64) order.Request {
-	return order.Request{Tenant: tenant, From: from, To: to, KbPerS: kbPerS, FillKb: kbPerS * order.WorkingSetSeconds}
+func migrationRequest(tenant, from, to string, kbPerS float64) schedule.Request {
+	return schedule.Request{Tenant: tenant, From: from, To: to, KbPerS: kbPerS, FillKb: kbPerS * schedule.WorkingSetSeconds}
 }
 
 func millis(d time.Duration) float64 { return float64(d.Milliseconds()) }
 
 // dropEnded leaves out what a tenant's ended moves have left behind, so that it may move once more.
-func dropEnded(all []moves.Migration, now float64, tenant string) []moves.Migration {
-	return slices.DeleteFunc(all, func(m moves.Migration) bool {
-		return m.Tenant == tenant && (m.Phase(now) == moves.Done || m.Phase(now) == moves.RolledBack)
+func dropEnded(all []migration.Migration, now float64, tenant string) []migration.Migration {
+	return slices.DeleteFunc(all, func(m migration.Migration) bool {
+		return m.Tenant == tenant && (m.Phase(now) == migration.Done || m.Phase(now) == migration.RolledBack)
 	})
 }
 
 // migrationRequests is the demand of tenants as the planner wants it, from logs.
-func migrationRequests(files []string, ways map[string][2]string) (map[string]order.Request, error) {
-	wishes := map[string]order.Request{}
+func migrationRequests(files []string, ways map[string][2]string) (map[string]schedule.Request, error) {
+	wishes := map[string]schedule.Request{}
 	if len(files) == 0 {
 		return wishes, nil
 	}
--- a/cmd/spanctl/router_test.go
+++ b/cmd/spanctl/router_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/rs/zerolog"
 
-	"spantack/core/roster"
-	"spantack/internal/manage"
+	"spantack/core/endpoints"
+	"spantack/internal/admin"
 	"spantack/internal/testwait"
 )
 
@@ -22,14 +22,14 @@
 		on.Store(true)
 		by := func(id string) error {
 			if id != knows {
-				return roster.ErrUnknownServer
+				return endpoints.ErrUnknownServer
 			}
 			calls.Add(1)
 			return nil
 		}
-		s := &manage.Server{IsReady: on.Load, Exclude: by, Include: by, Drain: func() { on.Store(false) }, Rejoin: func() { on.Store(true) }, Log: zerolog.Nop(),
-			Metrics: func() []manage.Metric { return []manage.Metric{{Name: "outstanding", Value: 3, IsGauge: true}} }}
-		l, err := manage.Listen(ctx, "127.0.0.1:0")
+		s := &admin.Server{IsReady: on.Load, Exclude: by, Include: by, Drain: func() { on.Store(false) }, Rejoin: func() { on.Store(true) }, Log: zerolog.Nop(),
+			Metrics: func() []admin.Metric { return []admin.Metric{{Name: "outstanding", Value: 3, IsGauge: true}} }}
+		l, err := admin.Listen(ctx, "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/spanctl/stage.go
+++ b/cmd/spanctl/stage.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"spantack/core/cells"
-	"spantack/core/stages"
+	"spantack/core/rollout"
 	"spantack/internal/features"
 )
 
@@ -18,7 +18,7 @@
 const rolloutFile = "stage.json"
 
 // saveRollout checks a changed release and writes it.
-func (c *documentFlags) saveRollout(out io.Writer, f *features.File, s stages.Rollout) error {
+func (c *documentFlags) saveRollout(out io.Writer, f *features.File, s rollout.Rollout) error {
 	a, err := cells.Compile(f.CellSpec())
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 		return err
 	}
 	now := c.now()
-	s := stages.Rollout{Version: 1, Name: c.Name, Prefix: c.Prefix, Since: now}
+	s := rollout.Rollout{Version: 1, Name: c.Name, Prefix: c.Prefix, Since: now}
 	if len(c.Families) > 0 {
 		s.FamilyRange = c.Families
 	}
@@ -80,7 +80,7 @@
 		s.Version = old.Version + 1
 	}
 	for i, r := range c.Rings {
-		s.Rings = append(s.Rings, stages.Ring{Cells: strings.Split(r, ","), OpensAt: now + millis(c.StartDelay) + float64(i)*millis(c.RingDuration), JudgeWithin: millis(c.RingDuration)})
+		s.Rings = append(s.Rings, rollout.Ring{Cells: strings.Split(r, ","), OpensAt: now + millis(c.StartDelay) + float64(i)*millis(c.RingDuration), JudgeWithin: millis(c.RingDuration)})
 		fmt.Fprintf(out, "ring %d: %s, at the soonest %s\n", i, r, formatTime(s.Rings[i].OpensAt))
 	}
 	if c.RequestRate > 0 && c.BaselineErrorRatio > 0 && len(s.Rings) > 0 {
@@ -142,7 +142,7 @@
 	states := make([]map[string]int, len(s.Rings))
 	sums := make([][]float64, len(s.Rings))
 	for i := range s.Rings {
-		states[i], sums[i] = map[string]int{}, make([]float64, len(stages.MetricNames()))
+		states[i], sums[i] = map[string]int{}, make([]float64, len(rollout.MetricNames()))
 	}
 	for _, file := range c.Logs {
 		text, err := os.ReadFile(file)
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	bound := math.Log(float64(len(stages.MetricNames())) / s.TestParameters().Alpha)
+	bound := math.Log(float64(len(rollout.MetricNames())) / s.TestParameters().Alpha)
 	harm := ""
 	for i, r := range s.Rings {
 		fmt.Fprintf(out, "ring %d, %s:", i, strings.Join(r.Cells, ","))
@@ -175,9 +175,9 @@
 			fmt.Fprintf(out, " %s at %d routers", state, states[i][state])
 		}
 		for m, e := range sums[i] {
-			fmt.Fprintf(out, "; %s %.1f of %.1f", stages.MetricNames()[m], e, bound)
+			fmt.Fprintf(out, "; %s %.1f of %.1f", rollout.MetricNames()[m], e, bound)
 			if e >= bound {
-				harm = fmt.Sprintf("ring %d does harm, by %s", i, stages.MetricNames()[m])
+				harm = fmt.Sprintf("ring %d does harm, by %s", i, rollout.MetricNames()[m])
 			}
 		}
 		fmt.Fprintln(out)
--- a/cmd/spanlab/live.go
+++ b/cmd/spanlab/live.go
@@ -8,14 +8,14 @@
 	"syscall"
 	"time"
 
-	"spantack/lab/live"
+	"spantack/lab/scenario"
 )
 
 type liveListCmd struct{}
 
 func (liveListCmd) Run() error {
-	for _, name := range live.Names() {
-		s, err := live.Load(name)
+	for _, name := range scenario.Names() {
+		s, err := scenario.Load(name)
 		if err != nil {
 			return err
 		}
@@ -39,7 +39,7 @@
 	if c.Routers < 3 || c.Routers > 300 {
 		return fmt.Errorf("--routers %d: 3 to 300", c.Routers)
 	}
-	s, err := live.Load(c.Name)
+	s, err := scenario.Load(c.Name)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	defer cancel()
 	bar := newProgress(len(s.Steps))
 	defer bar.finish()
-	r, err := s.Play(ctx, live.Options{Routers: c.Routers, Seed: c.Seed, Binary: c.Binary, Tell: func(_ string, done, all int) { bar.show(done, all) }})
+	r, err := s.Play(ctx, scenario.Options{Routers: c.Routers, Seed: c.Seed, Binary: c.Binary, Tell: func(_ string, done, all int) { bar.show(done, all) }})
 	if err != nil {
 		return err
 	}
--- a/cmd/spanlab/main.go
+++ b/cmd/spanlab/main.go
@@ -17,7 +17,7 @@
 	"github.com/schollz/progressbar/v3"
 
 	"spantack/lab"
-	"spantack/lab/local"
+	"spantack/lab/process"
 )
 
 // Exit codes.
@@ -115,7 +115,7 @@
 	defer cancel()
 	bar := newProgress(-1)
 	defer bar.finish()
-	return local.Demo(ctx, os.Stdout, func(done, all int) { bar.show(done, all) })
+	return process.Demo(ctx, os.Stdout, func(done, all int) { bar.show(done, all) })
 }
 
 // progress is a bar on a terminal, and nothing elsewhere.
--- a/cmd/spantack/departed_test.go
+++ b/cmd/spantack/departed_test.go
@@ -18,7 +18,7 @@
 	"unsafe"
 
 	"spantack/internal/testwait"
-	caches "spantack/standin/tier"
+	caches "spantack/standin/cache"
 )
 
 // A client that cancels or closes its connection has gone: an attempt of its request that begins more than departedGrace later is late, and
--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"spantack/internal/testwait"
-	caches "spantack/standin/tier"
+	caches "spantack/standin/cache"
 )
 
 // awaitLimit ends every wait of a test that the router, a client or a stand-in should end by itself.
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"spantack/internal/testwait"
+	caches "spantack/standin/cache"
 	"spantack/standin/discovery"
-	caches "spantack/standin/tier"
 )
 
 const (
--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -19,18 +19,18 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"spantack/core/backoff"
 	"spantack/core/cells"
-	"spantack/core/coldstart"
-	"spantack/core/sched"
+	"spantack/core/scheduler"
+	"spantack/internal/admin"
 	"spantack/internal/asynclog"
 	"spantack/internal/background"
 	"spantack/internal/clock"
 	"spantack/internal/config"
 	"spantack/internal/discovery"
 	"spantack/internal/features"
-	"spantack/internal/manage"
+	"spantack/internal/gossip"
 	"spantack/internal/msgpackrpc"
-	"spantack/internal/peers"
 	"spantack/internal/resp"
 	"spantack/internal/router"
 )
@@ -177,7 +177,7 @@
 	defer stopAccepting()
 
 	now := &clock.Clock{}
-	state := manage.NewStateDir(c.StateDir, log)
+	state := admin.NewStateDir(c.StateDir, log)
 	inherited := c.ListenerFD >= 0
 	memory, sockets := c.MemoryMB*(1<<20), c.MaxSockets
 	if inherited { // one process replaces another while that serves: the limits count for both
@@ -211,7 +211,7 @@
 	}
 	var second net.Listener
 	if c.AdminAddr != "" {
-		if second, err = manage.Listen(serving, c.AdminAddr); err != nil {
+		if second, err = admin.Listen(serving, c.AdminAddr); err != nil {
 			return err
 		}
 	}
@@ -226,10 +226,10 @@
 	log.Info().Str("listen", c.ListenAddr).Uint64("known", c.LastEventID).Msg("serving")
 
 	watcher := &discovery.Watcher{Names: c.Names, LastApplied: c.LastEventID, Apply: apply, Clock: now, Log: log,
-		RetrySchedule: coldstart.Schedule{Rank: c.Fleet.Rank, FleetSize: c.Settings.FleetSize}}
+		RetrySchedule: backoff.Schedule{Rank: c.Fleet.Rank, FleetSize: c.Settings.FleetSize}}
 	watcher.SetAddress(c.DiscoveryAddr)
 	group, serving := errgroup.WithContext(serving)
-	var talk *peers.Transport
+	var talk *gossip.Transport
 	limits := on.FleetLimits()
 	if (f.Peers || limits != nil || on.VerdictsEnabled()) && c.Fleet.GossipEnabled {
 		if talk, err = newGossip(c, limits, on.LeaseTree(), on.VerdictsEnabled(), core, now, log); err != nil {
@@ -262,7 +262,7 @@
 		if later, err = background.New(now, uint64(c.Seed), log); err != nil {
 			return err
 		}
-		later.Every(serving, "turn", tickInterval, sched.High, core.Tick)
+		later.Every(serving, "turn", tickInterval, scheduler.High, core.Tick)
 		group.Go(func() error { return later.Run(serving) })
 	}
 	group.Go(func() error { return reportOnSignal(serving, core, server, talk, later, log) })
@@ -345,7 +345,7 @@
 }
 
 // reportOnSignal prints the counters on SIGUSR1.
-func reportOnSignal(ctx context.Context, core *router.Router, server *msgpackrpc.Server, talk *peers.Transport, later *background.Runner, log zerolog.Logger) error {
+func reportOnSignal(ctx context.Context, core *router.Router, server *msgpackrpc.Server, talk *gossip.Transport, later *background.Runner, log zerolog.Logger) error {
 	asked := make(chan os.Signal, 1)
 	signal.Notify(asked, syscall.SIGUSR1)
 	defer signal.Stop(asked)
@@ -356,14 +356,14 @@
 		case <-asked:
 			if later == nil {
 				logCounters(core, server, talk, log)
-			} else if err := later.Submit("report", sched.Normal, 1, func() { logCounters(core, server, talk, log) }); err != nil && !errors.Is(err, sched.ErrDuplicateJob) {
+			} else if err := later.Submit("report", scheduler.Normal, 1, func() { logCounters(core, server, talk, log) }); err != nil && !errors.Is(err, scheduler.ErrDuplicateJob) {
 				log.Warn().Err(err).Msg("report put off")
 			}
 		}
 	}
 }
 
-func logCounters(core *router.Router, server *msgpackrpc.Server, talk *peers.Transport, log zerolog.Logger) {
+func logCounters(core *router.Router, server *msgpackrpc.Server, talk *gossip.Transport, log zerolog.Logger) {
 	n := &core.Counters
 	evicted, rejected, clientFaults := server.ConnectionCounts()
 	log.Info().Int64("taken", n.Accepted.Load()).Int64("sent", n.Attempts.Load()).Int64("served", n.Served.Load()).
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -7,8 +7,8 @@
 
 	"github.com/rs/zerolog"
 
+	"spantack/internal/admin"
 	"spantack/internal/config"
-	"spantack/internal/manage"
 	"spantack/internal/msgpackrpc"
 	"spantack/internal/resp"
 	"spantack/internal/router"
@@ -27,7 +27,7 @@
 		}
 		return l, nil
 	}
-	s, err := manage.InheritSocket(c.ListenerFD)
+	s, err := admin.InheritSocket(c.ListenerFD)
 	if err != nil {
 		return nil, fmt.Errorf("RELAY_SOCKET_FD: %w", err)
 	}
@@ -44,31 +44,31 @@
 }
 
 // newAdminServer ties the calls of the second address to the parts that carry them out; Ready is left to the caller.
-func newAdminServer(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, state *manage.StateDir, files *reloadCounters, log zerolog.Logger) *manage.Server {
+func newAdminServer(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, state *admin.StateDir, files *reloadCounters, log zerolog.Logger) *admin.Server {
 	change := func(do func(string) error) func(string) error {
 		return func(id string) error {
 			return state.ChangeExcluded(core.SetExcluded, func() error { return do(id) }, core.Excluded)
 		}
 	}
-	return &manage.Server{
-		Metrics: func() []manage.Metric { return metrics(core, pools, files) },
+	return &admin.Server{
+		Metrics: func() []admin.Metric { return metrics(core, pools, files) },
 		Exclude: change(core.Exclude), Include: change(core.Include),
 		Drain: server.Drain, Rejoin: server.Rejoin, Log: log,
 	}
 }
 
 // metrics are what the second address tells. Counts start at 0 with the process.
-func metrics(core *router.Router, pools *resp.Pools, files *reloadCounters) (list []manage.Metric) {
+func metrics(core *router.Router, pools *resp.Pools, files *reloadCounters) (list []admin.Metric) {
 	for _, t := range core.CountersByClass() {
 		under := "results." + t.Class
-		list = append(list, manage.Metric{Name: under + ".succeeded", Value: t.Served.Load()},
-			manage.Metric{Name: under + ".declined", Value: t.Rejected.Load()}, manage.Metric{Name: under + ".aborted", Value: t.Failed.Load()})
+		list = append(list, admin.Metric{Name: under + ".succeeded", Value: t.Served.Load()},
+			admin.Metric{Name: under + ".declined", Value: t.Rejected.Load()}, admin.Metric{Name: under + ".aborted", Value: t.Failed.Load()})
 	}
 	listed, off := core.CacheCounts()
-	return append(list, manage.Metric{Name: "forwards", Value: pools.AttemptsWritten()},
-		manage.Metric{Name: "outstanding", Value: core.OpenRequests(), IsGauge: true},
-		manage.Metric{Name: "discovered", Value: int64(listed), IsGauge: true}, manage.Metric{Name: "ejected", Value: int64(off), IsGauge: true},
-		manage.Metric{Name: "sighup_applied", Value: files.applied.Load()}, manage.Metric{Name: "sighup_rejected", Value: files.rejected.Load()})
+	return append(list, admin.Metric{Name: "forwards", Value: pools.AttemptsWritten()},
+		admin.Metric{Name: "outstanding", Value: core.OpenRequests(), IsGauge: true},
+		admin.Metric{Name: "discovered", Value: int64(listed), IsGauge: true}, admin.Metric{Name: "ejected", Value: int64(off), IsGauge: true},
+		admin.Metric{Name: "sighup_applied", Value: files.applied.Load()}, admin.Metric{Name: "sighup_rejected", Value: files.rejected.Load()})
 }
 
 // reloadConfig takes the file in anew after SIGHUP and returns the configuration in force. Nothing of a file applies unless all of it can
@@ -107,7 +107,7 @@
 
 // restoreLearnedState starts with what the process believed that this one replaces, where there is one. Without it a router begins with small
 // limits and no idea of who fails.
-func restoreLearnedState(core *router.Router, state *manage.StateDir, log zerolog.Logger) {
+func restoreLearnedState(core *router.Router, state *admin.StateDir, log zerolog.Logger) {
 	b, found, err := state.LoadLearnedState()
 	if err == nil && found {
 		err = core.RestoreLearnedState(b)
--- a/cmd/spantack/tier.go
+++ b/cmd/spantack/tier.go
@@ -7,11 +7,11 @@
 	"github.com/rs/zerolog"
 
 	"spantack/core/fleet"
+	tierwide "spantack/core/gossip"
 	"spantack/core/lease"
-	tierwide "spantack/core/peers"
 	"spantack/internal/clock"
 	"spantack/internal/config"
-	"spantack/internal/peers"
+	"spantack/internal/gossip"
 	"spantack/internal/router"
 )
 
@@ -22,7 +22,7 @@
 )
 
 // newGossip ties what routers tell one another to the decision module. nil: the tier is too small for that.
-func newGossip(c *config.Config, limits []fleet.Limit, tree *lease.Topology, judges bool, core *router.Router, now *clock.Clock, log zerolog.Logger) (*peers.Transport, error) {
+func newGossip(c *config.Config, limits []fleet.Limit, tree *lease.Topology, judges bool, core *router.Router, now *clock.Clock, log zerolog.Logger) (*gossip.Transport, error) {
 	depot, depots := slices.Index(c.Settings.Zones, c.Settings.Zone), len(c.Settings.Zones)
 	t, err := tierwide.New(tierwide.Options{Rank: c.Fleet.Rank, FleetSize: len(c.Fleet.Members), Site: depot, Sites: depots,
 		Incarnation: uint32(now.Now() / 1000)})
@@ -32,7 +32,7 @@
 	if !t.IsEnabled() && limits == nil && !judges {
 		return nil, nil
 	}
-	talk := &peers.Transport{Gossip: t, ListenAddress: c.Fleet.ListenAddr, PeerAddresses: c.Fleet.Members, BroadcastAddress: c.Fleet.BroadcastAddr, OnOverloaded: core.ReportOverloaded, Clock: now, Log: log}
+	talk := &gossip.Transport{Gossip: t, ListenAddress: c.Fleet.ListenAddr, PeerAddresses: c.Fleet.Members, BroadcastAddress: c.Fleet.BroadcastAddr, OnOverloaded: core.ReportOverloaded, Clock: now, Log: log}
 	if tree != nil && tree.Routers < len(c.Fleet.Members) {
 		return nil, fmt.Errorf("fleet.tree.routers: %d, and the settings have %d peers", tree.Routers, len(c.Fleet.Members))
 	}
--- a/cmd/spantack/wire_compat_test.go
+++ b/cmd/spantack/wire_compat_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/rs/zerolog"
 
+	"spantack/internal/admin"
 	"spantack/internal/clock"
-	"spantack/internal/manage"
 	"spantack/internal/resp"
 	"spantack/internal/router"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // The figures of the management address, by name and value, as the program of commit e67ffc3 wrote them. Dashboards
@@ -24,11 +24,11 @@
 	}
 	now := clock.NewFake(1_764_576_000_000)
 	pools := resp.NewPools(t.Context(), resp.Options{DialTimeout: 5000, MaxStreams: 1, MaxConns: 1}, now, zerolog.Nop())
-	core, err := router.New(rules.Settings{
-		Classes: []rules.Class{{Name: "page", Deadline: 3_000_000, LatencyObjective: 400_000, PriorityWeight: 1,
+	core, err := router.New(routing.Settings{
+		Classes: []routing.Class{{Name: "page", Deadline: 3_000_000, LatencyObjective: 400_000, PriorityWeight: 1,
 			Idempotency: "read_like", DeduplicationScope: "all"}},
-		Hierarchy: rules.CacheHierarchy{OriginKind: 1, ParentKind: -1, CacheStatusReporting: "all"}, Kinds: []string{"box", "origin"},
-		Permissions: rules.Permissions{MaxAttempts: 3}, Zone: "east", Zones: []string{"east"}}, 1, now, pools, zerolog.Nop())
+		Hierarchy: routing.CacheHierarchy{OriginKind: 1, ParentKind: -1, CacheStatusReporting: "all"}, Kinds: []string{"box", "origin"},
+		Permissions: routing.Permissions{MaxAttempts: 3}, Zone: "east", Zones: []string{"east"}}, 1, now, pools, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	files := &reloadCounters{}
 	files.applied.Add(6)
 	files.rejected.Add(7)
-	if got := string(manage.AppendMetrics(nil, metrics(core, pools, files))); got != string(text) {
+	if got := string(admin.AppendMetrics(nil, metrics(core, pools, files))); got != string(text) {
 		t.Errorf("got\n%s\nwant\n%s", got, text)
 	}
 }
--- a/core/coldstart/tries.go
+++ b/core/backoff/tries.go
@@ -1,6 +1,6 @@
-// Package coldstart decides how hundreds of routers that begin, or lose something, at the same moment come to it one after the other. It does
+// Package backoff decides how hundreds of routers that begin, or lose something, at the same moment come to it one after the other. It does
 // no I/O and reads no clock; times are microseconds.
-package coldstart
+package backoff
 
 // Schedule spaces the tries of a tier at a service that all of them use, such as the list of servers, over a period, each router in a slot of
 // its own: slotted access (L. Roberts, "ALOHA packet system with and without slots and capture", 1975) with the slots handed out by rank.
--- a/core/coldstart/tries_test.go
+++ b/core/backoff/tries_test.go
@@ -1,4 +1,4 @@
-package coldstart
+package backoff
 
 import (
 	"math/rand/v2"
--- a/core/cells/above.go
+++ b/core/cells/above.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"spantack/core/hierarchy"
-	"spantack/core/moves"
-	"spantack/rules"
+	"spantack/core/migration"
+	"spantack/routing"
 )
 
 // Sets of area caches are numbered far from those of caches, one for each area of the shape in the document's order.
@@ -85,7 +85,7 @@
 		return // what fills have told of its areas stays
 	}
 	for i := range m.parents.serversByGroup {
-		m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstParentSubset + i}})
+		m.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, Subset: firstParentSubset + i}})
 	}
 	m.parents = parentSelection{graph: g}
 	if g != nil {
@@ -115,7 +115,7 @@
 		place[areas[i].Name] = i
 	}
 	u.groupByServer = map[string]int{}
-	names, servers := make([][]string, len(areas)), make([][]moves.Server, len(areas))
+	names, servers := make([][]string, len(areas)), make([][]migration.Server, len(areas))
 	for _, name := range sortedNodes(m.parentServers) {
 		i, known := place[u.graph.ParentGroupOf(name)]
 		if known {
@@ -123,7 +123,7 @@
 		}
 		if row := m.parentServers[name]; known && row.Status == "healthy" {
 			names[i] = append(names[i], name)
-			servers[i] = append(servers[i], moves.Server{Weight: max(row.Weight, 1), StartedAt: row.StartedAt})
+			servers[i] = append(servers[i], migration.Server{Weight: max(row.Weight, 1), StartedAt: row.StartedAt})
 		}
 	}
 	_, terms := m.capacityTerms()
@@ -131,7 +131,7 @@
 	u.planDueAt = math.MaxInt64
 	for i := range areas {
 		if !slices.Equal(names[i], u.serversByGroup[i]) {
-			m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstParentSubset + i, SubsetServers: names[i]}})
+			m.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, Subset: firstParentSubset + i, SubsetServers: names[i]}})
 			u.serversByGroup[i] = names[i]
 		}
 		kb, warm := terms.Capacity(now, servers[i])
@@ -183,12 +183,12 @@
 	}
 	if text != u.lastLogged {
 		u.lastLogged = text
-		m.logActions = append(m.logActions, rules.Action{Kind: rules.ActionLog, LogText: text})
+		m.logActions = append(m.logActions, routing.Action{Kind: routing.ActionLog, LogText: text})
 	}
 }
 
 // selectParentGroup names the area that a request's fills go to. An object always has the same one, as long as the parts stay.
-func (m *Admission) selectParentGroup(now int64, ev *rules.Event) {
+func (m *Admission) selectParentGroup(now int64, ev *routing.Event) {
 	if m.parents.graph == nil {
 		return
 	}
@@ -224,12 +224,12 @@
 }
 
 // recordFillAttempts notes which area an attempt names for its fill.
-func (m *Admission) recordFillAttempts(acts []rules.Action) {
+func (m *Admission) recordFillAttempts(acts []routing.Action) {
 	if m.parents.graph == nil {
 		return
 	}
 	for i := range acts {
-		if a := &acts[i]; a.Kind == rules.ActionSend {
+		if a := &acts[i]; a.Kind == routing.ActionSend {
 			if area, known := m.parents.groupByServer[a.Source]; known {
 				m.parents.groupByRequest[a.RequestID] = area
 			}
@@ -238,13 +238,13 @@
 }
 
 // observeFill learns from the end of an attempt, or of a request, whether its area gives fills.
-func (m *Admission) observeFill(now int64, ev *rules.Event) {
+func (m *Admission) observeFill(now int64, ev *routing.Event) {
 	area, known := m.parents.groupByRequest[ev.RequestID]
 	if !known {
 		return
 	}
 	delete(m.parents.groupByRequest, ev.RequestID)
-	if ev.Kind != rules.EventOutcome || area >= len(m.parents.health) {
+	if ev.Kind != routing.EventOutcome || area >= len(m.parents.health) {
 		return
 	}
 	s := &m.parents.health[area]
--- a/core/cells/above_test.go
+++ b/core/cells/above_test.go
@@ -8,7 +8,7 @@
 
 	"spantack/core/hierarchy"
 	"spantack/internal/testwait"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // twoParentGroups is a shape in which the depot z has an area at hand and one far off, each with one of the list's area caches.
@@ -41,20 +41,20 @@
 		f.sent++
 		f.now += 20 * msec
 		call := fmt.Sprint("f", f.sent)
-		acts := f.admission.Step(f.now, []rules.Event{{Kind: rules.EventRequest, RequestID: call, Class: "page", Object: fmt.Sprint("aa", f.sent), PurgeGroup: 50, SizeKB: 5, Timeout: 3 * sec}})
+		acts := f.admission.Step(f.now, []routing.Event{{Kind: routing.EventRequest, RequestID: call, Class: "page", Object: fmt.Sprint("aa", f.sent), PurgeGroup: 50, SizeKB: 5, Timeout: 3 * sec}})
 		for leg := 0; len(acts) > 0; leg++ {
-			var next []rules.Action
+			var next []routing.Action
 			for _, a := range acts {
 				switch a.Kind {
-				case rules.ActionLog:
+				case routing.ActionLog:
 					f.logged = append(f.logged, a.LogText)
-				case rules.ActionSend:
+				case routing.ActionSend:
 					got[a.Source]++
-					code, note := rules.OutcomeServed, rules.FilledFromSource
+					code, note := routing.OutcomeServed, routing.FilledFromSource
 					if f.failing[a.Source] {
-						code, note = rules.OutcomeError, rules.SourceUnreachable
+						code, note = routing.OutcomeError, routing.SourceUnreachable
 					}
-					next = append(next, f.admission.Step(f.now, []rules.Event{{Kind: rules.EventOutcome, RequestID: call, Server: a.Server, Outcome: code, CacheStatus: note, Attempt: leg, ResponseTime: 20 * msec, IsFinal: code == rules.OutcomeServed}})...)
+					next = append(next, f.admission.Step(f.now, []routing.Event{{Kind: routing.EventOutcome, RequestID: call, Server: a.Server, Outcome: code, CacheStatus: note, Attempt: leg, ResponseTime: 20 * msec, IsFinal: code == routing.OutcomeServed}})...)
 				}
 			}
 			acts = next
@@ -74,7 +74,7 @@
 		if spec != nil {
 			m.SetAssignment(sec, mustCompile(t, spec))
 		}
-		m.Step(sec, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(cacheNames(8)...)}})
+		m.Step(sec, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(cacheNames(8)...)}})
 		m.SetTopology(sec, twoParentGroups(t))
 		f := &fillClient{t: t, admission: m, now: 2 * sec, failing: map[string]bool{}}
 		calm := f.run(400)
@@ -94,8 +94,8 @@
 		if back := f.run(400); back["p1"] < 110 {
 			t.Errorf("after a good trial: %v", back)
 		}
-		gone := rules.Endpoint{Server: "p0", Zone: "hub", Kind: "area", Status: "deregistered"}
-		m.Step(f.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{gone}}})
+		gone := routing.Endpoint{Server: "p0", Zone: "hub", Kind: "area", Status: "deregistered"}
+		m.Step(f.now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: []routing.Endpoint{gone}}})
 		if left := f.run(400); left["p0"] > 0 || left["o"] < 40 {
 			t.Errorf("with the near area off the list: %v", left)
 		}
@@ -127,11 +127,11 @@
 	}
 	later, atOnce := newLimitedAdmission(t, nil), newLimitedAdmission(t, nil)
 	for _, m := range []*Admission{later, atOnce} {
-		var areas []rules.Endpoint
+		var areas []routing.Endpoint
 		for i := range maxGroupsPlannedInline + 1 {
-			areas = append(areas, rules.Endpoint{Server: fmt.Sprint("p", i), Zone: "hub", Kind: "area", Status: "healthy", Weight: 1})
+			areas = append(areas, routing.Endpoint{Server: fmt.Sprint("p", i), Zone: "hub", Kind: "area", Status: "healthy", Weight: 1})
 		}
-		m.Step(0, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: areas}})
+		m.Step(0, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: areas}})
 	}
 	later.PlansInBackground = true
 	later.SetTopology(0, many(1))
@@ -149,7 +149,7 @@
 		close(done)
 	}()
 	for i := range 50 {
-		later.Step(int64(i), []rules.Event{{Kind: rules.EventRequest, RequestID: fmt.Sprint(i), Class: "page", Object: "aa", PurgeGroup: 50, SizeKB: 5, Timeout: 3 * sec}})
+		later.Step(int64(i), []routing.Event{{Kind: routing.EventRequest, RequestID: fmt.Sprint(i), Class: "page", Object: "aa", PurgeGroup: 50, SizeKB: 5, Timeout: 3 * sec}})
 	}
 	testwait.Receive(t, done, "the work beside events")
 	later.ApplyPlanJob(p)
--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // updateEndpoints keeps the own depot's part of the list of servers.
-func (m *Admission) updateEndpoints(ev *rules.Event) {
+func (m *Admission) updateEndpoints(ev *routing.Event) {
 	if ev.UpdateMode == "unavailable" {
 		return
 	}
@@ -33,7 +33,7 @@
 }
 
 // admit decides whether a request may try at all, and where. It costs no allocation.
-func (m *Admission) admit(now int64, ev *rules.Event) Reason {
+func (m *Admission) admit(now int64, ev *routing.Event) Reason {
 	m.countActiveTenants(now)
 	m.measureCapacity(now)
 	m.tickRollout(now)
@@ -189,19 +189,19 @@
 
 // rejection is the answer at the gate. Whoever is over budget is told to stay away for long, at random so that they do
 // not come back together.
-func (m *Admission) rejection(ev *rules.Event) rules.Action {
+func (m *Admission) rejection(ev *routing.Event) routing.Action {
 	most := float64(m.settings.Permissions.MaxRetryAfter)
-	return rules.Action{Kind: rules.ActionReject, RequestID: ev.RequestID, RetryAfter: int64(most * (minRetryAfterFraction + (1-minRetryAfterFraction)*m.rng.Float64()))}
+	return routing.Action{Kind: routing.ActionReject, RequestID: ev.RequestID, RetryAfter: int64(most * (minRetryAfterFraction + (1-minRetryAfterFraction)*m.rng.Float64()))}
 }
 
 // observeOutcome corrects what was reckoned once it is known whether there was a fill.
-func (m *Admission) observeOutcome(now int64, ev *rules.Event) {
+func (m *Admission) observeOutcome(now int64, ev *routing.Event) {
 	o, known := m.openRequests[ev.RequestID]
 	if !known {
 		return
 	}
 	t := &m.tenants[o.tenant]
-	if ev.Outcome == rules.OutcomeServed && !o.isUncacheable {
+	if ev.Outcome == routing.OutcomeServed && !o.isUncacheable {
 		missed, deep := 0.0, 0.0
 		if ev.CacheStatus == 2 || ev.CacheStatus == 3 {
 			missed = 1
@@ -224,16 +224,16 @@
 }
 
 // observeDecisions looks at what rules decided: final answers, and refusals that show a crowded cell.
-func (m *Admission) observeDecisions(now int64, acts []rules.Action) {
+func (m *Admission) observeDecisions(now int64, acts []routing.Action) {
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
-		case rules.ActionReject:
+		case routing.ActionReject:
 			if o, known := m.openRequests[a.RequestID]; known {
 				m.cells[o.cell].observeRejection(now)
 				m.observeUnserved(now, &o, false)
 			}
 			m.closeRequest(a.RequestID)
-		case rules.ActionFail:
+		case routing.ActionFail:
 			if o, known := m.openRequests[a.RequestID]; known {
 				m.observeUnserved(now, &o, true)
 			}
--- a/core/cells/cachesets.go
+++ b/core/cells/cachesets.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"spantack/core/moves"
-	"spantack/rules"
+	"spantack/core/migration"
+	"spantack/routing"
 )
 
 // Sets of caches are numbered for rules: 1 to MaxCells are the cells, the tenants' own follow.
@@ -18,7 +18,7 @@
 	m.dropTenantSubsets(now)
 	if next == nil {
 		for i := range m.cells {
-			m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: i + 1}})
+			m.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, Subset: i + 1}})
 		}
 		m.assignment, m.spec, m.cells, m.tenants = nil, nil, nil, nil
 		m.announceOriginLimit(now, true)
@@ -56,7 +56,7 @@
 		if !named {
 			spill = -1
 		}
-		m.cells[i] = cell{name: c.Name, share: c.Share, fallback: int(spill), missRatio: initialMissRatio, fairShare: fairShare{limit: math.Inf(1)}, capacity: moves.NewCapacityLimiter()}
+		m.cells[i] = cell{name: c.Name, share: c.Share, fallback: int(spill), missRatio: initialMissRatio, fairShare: fairShare{limit: math.Inf(1)}, capacity: migration.NewCapacityLimiter()}
 		shares[i] = c.Share
 		if c.Name == spec.OverflowCell {
 			m.overflowCell = i
@@ -73,7 +73,7 @@
 		m.openRequests[call] = o
 	}
 	for i := len(m.cells); i < len(previousCells); i++ {
-		m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: i + 1}})
+		m.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, Subset: i + 1}})
 	}
 	reclaim := cmp.Or(spec.Budget.ReclaimMillis, defaultReclaimMillis) * 1000
 	routers := float64(m.routersAtSite())
@@ -97,7 +97,7 @@
 func (m *Admission) dropTenantSubsets(now int64) {
 	for i, t := range m.tenants {
 		if t.subsetVersion != 0 {
-			m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstTenantSubset + i}})
+			m.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, Subset: firstTenantSubset + i}})
 		}
 	}
 }
@@ -138,7 +138,7 @@
 			continue
 		}
 		c.caches = slices.Clone(names)
-		m.scopeEvents = append(m.scopeEvents, rules.Event{Kind: rules.EventSubset, Subset: i + 1, AccountingGroup: i + 1, CapacityShare: c.share, SubsetServers: c.caches})
+		m.scopeEvents = append(m.scopeEvents, routing.Event{Kind: routing.EventSubset, Subset: i + 1, AccountingGroup: i + 1, CapacityShare: c.share, SubsetServers: c.caches})
 	}
 	if len(m.scopeEvents) > 0 {
 		m.engine.Step(now, m.scopeEvents)
@@ -156,7 +156,7 @@
 	}
 	if t.subsetVersion != m.endpointsVersion+1 {
 		t.subsetVersion = m.endpointsVersion + 1
-		m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, Subset: firstTenantSubset + who, AccountingGroup: t.cell + 1, CapacityShare: m.cells[t.cell].share,
+		m.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, Subset: firstTenantSubset + who, AccountingGroup: t.cell + 1, CapacityShare: m.cells[t.cell].share,
 			SubsetServers: m.CachesOf(who)}})
 	}
 	return firstTenantSubset + who
@@ -172,7 +172,7 @@
 }
 
 // IsEdgeCache tells whether a row of the list is a cache's: no area cache, not the head office.
-func (m *Admission) IsEdgeCache(row rules.Endpoint) bool {
+func (m *Admission) IsEdgeCache(row routing.Endpoint) bool {
 	kind := slices.Index(m.settings.Kinds, row.Kind)
 	return kind != m.settings.Hierarchy.OriginKind && kind != m.settings.Hierarchy.ParentKind
 }
--- a/core/cells/cells_test.go
+++ b/core/cells/cells_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"spantack/internal/testseed"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -31,18 +31,18 @@
 	}
 }
 
-func testSettings() rules.Settings {
-	return rules.Settings{
-		Classes: []rules.Class{
+func testSettings() routing.Settings {
+	return routing.Settings{
+		Classes: []routing.Class{
 			{Name: "page", ObjectiveSizeFactor: 2, Deadline: 3 * sec, LatencyObjective: 300 * msec, PriorityWeight: 1, DeduplicationScope: "all", Idempotency: "read_like"},
 			{Name: "report", Deadline: 3 * sec, LatencyObjective: 600 * msec, PriorityWeight: 3, DeduplicationScope: "all", Idempotency: "idempotency_key", DeduplicationWindow: 6 * sec},
 		},
 		Discovery: "automatic",
-		Hierarchy: rules.CacheHierarchy{FreshnessLifetime: []int64{0, 0}, StaleGracePeriod: []int64{0, 0}, OriginKind: 2, ParentKind: 1, CacheStatusReporting: "all", ResponseKBPerSecond: 1000,
+		Hierarchy: routing.CacheHierarchy{FreshnessLifetime: []int64{0, 0}, StaleGracePeriod: []int64{0, 0}, OriginKind: 2, ParentKind: 1, CacheStatusReporting: "all", ResponseKBPerSecond: 1000,
 			Uncacheable: []bool{false, true}, RoutersByZone: []int{0, 2}, AllowsDirectFetch: true, ParentInitialCapacity: 0.1, ParentWarmUpTime: 20 * sec, ParentOverloadMultiple: 2},
-		Guarantees:   rules.Guarantees{WarmUpTime: 10 * sec, InitialCapacity: 0.3, OverloadWindow: 3 * sec, DrainGracePeriod: 500 * msec, OverloadMultiple: 3},
+		Guarantees:   routing.Guarantees{WarmUpTime: 10 * sec, InitialCapacity: 0.3, OverloadWindow: 3 * sec, DrainGracePeriod: 500 * msec, OverloadMultiple: 3},
 		Kinds:        []string{"box", "area", "origin"},
-		Permissions:  rules.Permissions{MayCancel: true, MaxAttempts: 6, MaxRetryAfter: sec, SendsRetryAfter: true},
+		Permissions:  routing.Permissions{MayCancel: true, MaxAttempts: 6, MaxRetryAfter: sec, SendsRetryAfter: true},
 		FleetSize:    2,
 		WeightSource: "nominal",
 		Zone:         "z",
@@ -50,11 +50,11 @@
 	}
 }
 
-func endpointsWith(caches ...string) []rules.Endpoint {
-	list := []rules.Endpoint{{Server: "o", Zone: "hub", Kind: "origin", Status: "healthy", Weight: 100}, {Server: "p0", Zone: "hub", Kind: "area", Status: "healthy", Weight: 50},
+func endpointsWith(caches ...string) []routing.Endpoint {
+	list := []routing.Endpoint{{Server: "o", Zone: "hub", Kind: "origin", Status: "healthy", Weight: 100}, {Server: "p0", Zone: "hub", Kind: "area", Status: "healthy", Weight: 50},
 		{Server: "p1", Zone: "hub", Kind: "area", Status: "healthy", Weight: 50}}
 	for _, name := range caches {
-		list = append(list, rules.Endpoint{Server: name, Zone: "z", Kind: "box", Status: "healthy", Weight: 10})
+		list = append(list, routing.Endpoint{Server: name, Zone: "z", Kind: "box", Status: "healthy", Weight: 10})
 	}
 	return list
 }
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	m.SetAssignment(sec, mustCompile(t, spec))
-	m.Step(sec, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(caches...)}})
+	m.Step(sec, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(caches...)}})
 	return m
 }
 
@@ -95,23 +95,23 @@
 }
 
 // request returns where the first attempt went, "" for a refusal, "fail" for a failure.
-func (a *testClient) request(ev rules.Event) string {
+func (a *testClient) request(ev routing.Event) string {
 	a.sent++
-	ev.Kind, ev.RequestID, ev.Timeout = rules.EventRequest, fmt.Sprint("r", a.sent), 3*sec
+	ev.Kind, ev.RequestID, ev.Timeout = routing.EventRequest, fmt.Sprint("r", a.sent), 3*sec
 	if ev.Class == "" {
 		ev.Class = "page"
 	}
-	for _, act := range a.admission.Step(a.now, []rules.Event{ev}) {
+	for _, act := range a.admission.Step(a.now, []routing.Event{ev}) {
 		switch act.Kind {
-		case rules.ActionSend:
-			a.admission.Step(a.now, []rules.Event{{Kind: rules.EventOutcome, RequestID: ev.RequestID, Server: act.Server, Outcome: rules.OutcomeServed, CacheStatus: 1, ResponseTime: 10 * msec, IsFinal: true}})
+		case routing.ActionSend:
+			a.admission.Step(a.now, []routing.Event{{Kind: routing.EventOutcome, RequestID: ev.RequestID, Server: act.Server, Outcome: routing.OutcomeServed, CacheStatus: 1, ResponseTime: 10 * msec, IsFinal: true}})
 			return act.Server
-		case rules.ActionReject:
+		case routing.ActionReject:
 			if act.RetryAfter <= 0 || act.RetryAfter > sec {
 				a.t.Fatalf("refused with %d us to stay away", act.RetryAfter)
 			}
 			return ""
-		case rules.ActionFail:
+		case routing.ActionFail:
 			return "fail"
 		}
 	}
@@ -313,15 +313,15 @@
 	s.Cells[0].Share, s.Cells[1].Share = 0.6, 0.4
 	m := newTestAdmission(t, s, "c0")
 	a := &testClient{t: t, admission: m, now: 2 * sec}
-	if got := a.request(rules.Event{PurgeGroup: 1, Object: "01"}); got != "c0" {
+	if got := a.request(routing.Event{PurgeGroup: 1, Object: "01"}); got != "c0" {
 		t.Errorf("the cell with the greater share is sent to %q", got)
 	}
-	if got := a.request(rules.Event{PurgeGroup: 99, Object: "01"}); got != "" {
+	if got := a.request(routing.Event{PurgeGroup: 99, Object: "01"}); got != "" {
 		t.Errorf("a cell without caches is sent to %q", got)
 	}
 	s.Version, s.Cells[1].FallbackCell = 2, "one"
 	m.SetAssignment(2*sec, mustCompile(t, s))
-	if got := a.request(rules.Event{PurgeGroup: 99, Object: "01"}); got != "c0" {
+	if got := a.request(routing.Event{PurgeGroup: 99, Object: "01"}); got != "c0" {
 		t.Errorf("the named neighbour does not serve: %q", got)
 	}
 	if m.Stats.FellBack != 1 || m.Stats.Rejected[ReasonNoLiveCache] != 1 {
@@ -333,26 +333,26 @@
 func TestOnlyCacheOfACellIsLost(t *testing.T) {
 	m := newTestAdmission(t, twoCells(), "c0", "c1")
 	a := &testClient{t: t, admission: m, now: 2 * sec}
-	home := a.request(rules.Event{PurgeGroup: 1, Object: "01"})
+	home := a.request(routing.Event{PurgeGroup: 1, Object: "01"})
 	row := endpointsWith(home)[3]
-	for _, status := range []rules.EndpointStatus{"cordoned", "deregistered"} {
+	for _, status := range []routing.EndpointStatus{"cordoned", "deregistered"} {
 		row.Status = status
-		m.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{row}}})
+		m.Step(a.now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: []routing.Endpoint{row}}})
 		if status == "cordoned" {
 			for range 20 {
-				if got := a.request(rules.Event{PurgeGroup: 1, Object: fmt.Sprint(a.sent)}); got != "" {
+				if got := a.request(routing.Event{PurgeGroup: 1, Object: fmt.Sprint(a.sent)}); got != "" {
 					t.Fatalf("%s: sent to %s", status, got)
 				}
 			}
 		}
 	}
 	// One cache for two cells of equal shares: the first named has it.
-	one, other := a.request(rules.Event{PurgeGroup: 1, Object: "1"}), a.request(rules.Event{PurgeGroup: 99, Object: "1"})
+	one, other := a.request(routing.Event{PurgeGroup: 1, Object: "1"}), a.request(routing.Event{PurgeGroup: 99, Object: "1"})
 	if one == "" || other != "" {
 		t.Errorf("one cache left: cells sent to %q and %q", one, other)
 	}
-	m.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: endpointsWith("c7")[3:]}})
-	one, other = a.request(rules.Event{PurgeGroup: 1, Object: "2"}), a.request(rules.Event{PurgeGroup: 99, Object: "2"})
+	m.Step(a.now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: endpointsWith("c7")[3:]}})
+	one, other = a.request(routing.Event{PurgeGroup: 1, Object: "2"}), a.request(routing.Event{PurgeGroup: 99, Object: "2"})
 	if one == "" || other == "" || one == other {
 		t.Errorf("two caches again: cells sent to %q and %q", one, other)
 	}
@@ -362,7 +362,7 @@
 func TestUncacheableRequestsNeedNoCache(t *testing.T) {
 	m := newTestAdmission(t, twoCells(), "c0")
 	a := &testClient{t: t, admission: m, now: 2 * sec}
-	if page, report := a.request(rules.Event{PurgeGroup: 99, Object: "01"}), a.request(rules.Event{PurgeGroup: 99, Class: "report"}); page != "" || report != "o" {
+	if page, report := a.request(routing.Event{PurgeGroup: 99, Object: "01"}), a.request(routing.Event{PurgeGroup: 99, Class: "report"}); page != "" || report != "o" {
 		t.Errorf("page sent to %q, report to %q", page, report)
 	}
 }
@@ -373,11 +373,11 @@
 	s.Cells[0].FallbackCell = "two"
 	m := newTestAdmission(t, s, "c0", "c1")
 	a := &testClient{t: t, admission: m, now: 2 * sec}
-	home := a.request(rules.Event{PurgeGroup: 1, Object: "01"})
+	home := a.request(routing.Event{PurgeGroup: 1, Object: "01"})
 	row := endpointsWith(home)[3]
 	row.Status = "cordoned"
-	m.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{row}}})
-	if got := a.request(rules.Event{PurgeGroup: 1, Object: "01"}); got == "" || got == home {
+	m.Step(a.now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: []routing.Endpoint{row}}})
+	if got := a.request(routing.Event{PurgeGroup: 1, Object: "01"}); got == "" || got == home {
 		t.Errorf("sent to %q", got)
 	}
 }
@@ -392,7 +392,7 @@
 		a := &testClient{t: t, admission: newTestAdmission(t, s, caches...), now: 2 * sec}
 		in := s.CachesByCell(caches)
 		for n := range 100 {
-			if got := a.request(rules.Event{PurgeGroup: 1, Object: fmt.Sprint(n)}); !slices.Contains(in[i], got) {
+			if got := a.request(routing.Event{PurgeGroup: 1, Object: fmt.Sprint(n)}); !slices.Contains(in[i], got) {
 				t.Fatalf("version %d: sent to %s", s.Version, got)
 			}
 		}
@@ -417,7 +417,7 @@
 		used := map[string]map[string]bool{}
 		for i := range 600 {
 			a.now += 10 * msec
-			ev := rules.Event{PurgeGroup: int64(i % 20), Object: fmt.Sprintf("%02x", i)}
+			ev := routing.Event{PurgeGroup: int64(i % 20), Object: fmt.Sprintf("%02x", i)}
 			if i%3 == 0 {
 				ev.Tenant = "q"
 			}
@@ -452,7 +452,7 @@
 	asked, served := map[string]int{}, map[string]int{}
 	for i := range 10_000 { // ten seconds: loud 900 a second, calm 80, quiet 20
 		a.now += msec
-		ev, who := rules.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)}, "loud"
+		ev, who := routing.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)}, "loud"
 		switch {
 		case i%50 == 0:
 			ev.PurgeGroup, ev.Tenant, who = 99, "q", "quiet"
@@ -524,8 +524,8 @@
 	served := 0
 	for i := range 4000 {
 		a.now += msec
-		a.request(rules.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)})
-		if i%100 == 0 && a.request(rules.Event{PurgeGroup: 1, Class: "report"}) != "" {
+		a.request(routing.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)})
+		if i%100 == 0 && a.request(routing.Event{PurgeGroup: 1, Class: "report"}) != "" {
 			served++
 		}
 	}
@@ -543,15 +543,15 @@
 	open := func(group int64, n int) (calls []string) {
 		for i := range n {
 			call := fmt.Sprint("g", group, "-", i, "-", now)
-			for _, act := range m.Step(now, []rules.Event{{Kind: rules.EventRequest, RequestID: call, Class: "page", PurgeGroup: group, Object: call, Timeout: 3 * sec}}) {
-				if act.Kind == rules.ActionSend {
+			for _, act := range m.Step(now, []routing.Event{{Kind: routing.EventRequest, RequestID: call, Class: "page", PurgeGroup: group, Object: call, Timeout: 3 * sec}}) {
+				if act.Kind == routing.ActionSend {
 					calls = append(calls, call)
 				}
 			}
 		}
 		return calls
 	}
-	m.Step(now, []rules.Event{{Kind: rules.EventRequest, RequestID: "first", Class: "page", PurgeGroup: 99, Object: "x", Timeout: 3 * sec}})
+	m.Step(now, []routing.Event{{Kind: routing.EventRequest, RequestID: "first", Class: "page", PurgeGroup: 99, Object: "x", Timeout: 3 * sec}})
 	now += sec
 	loud := open(1, 30)
 	calm := open(99, 9)
@@ -559,7 +559,7 @@
 		t.Errorf("loud %d, calm %d of 20 places", len(loud), len(calm))
 	}
 	for _, call := range loud {
-		m.Step(now, []rules.Event{{Kind: rules.EventAborted, RequestID: call}})
+		m.Step(now, []routing.Event{{Kind: routing.EventAborted, RequestID: call}})
 	}
 	if len(m.openRequests) != len(calm)+1 {
 		t.Errorf("%d open after the clients left, %d asked", len(m.openRequests), len(calm)+1)
@@ -568,26 +568,26 @@
 
 // Without a specification a module does to the byte what the rules do alone; and a specification taken away leaves that.
 func TestNoAssignmentIsWithoutEffect(t *testing.T) {
-	run := func(step func(int64, []rules.Event) []rules.Action) (out []string) {
+	run := func(step func(int64, []routing.Event) []routing.Action) (out []string) {
 		rng := rand.New(rand.NewPCG(3, 3))
 		now := sec
-		step(now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(cacheNames(6)...)}})
+		step(now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(cacheNames(6)...)}})
 		for i := range 2000 {
 			now += int64(rng.IntN(5000))
 			call := fmt.Sprint(i)
-			acts := step(now, []rules.Event{{Kind: rules.EventRequest, RequestID: call, Class: "page", Object: fmt.Sprint(rng.IntN(50)), SizeKB: 40, Timeout: sec}})
+			acts := step(now, []routing.Event{{Kind: routing.EventRequest, RequestID: call, Class: "page", Object: fmt.Sprint(rng.IntN(50)), SizeKB: 40, Timeout: sec}})
 			out = append(out, fmt.Sprintf("%+v", acts))
 			for _, a := range acts {
-				if a.Kind == rules.ActionSend && rng.IntN(10) > 0 {
-					code := []rules.AttemptOutcome{rules.OutcomeServed, rules.OutcomeServed, rules.OutcomeError, rules.OutcomeRejected}[rng.IntN(4)]
-					acts := step(now+50*msec, []rules.Event{{Kind: rules.EventOutcome, RequestID: call, Server: a.Server, Outcome: code, CacheStatus: 1, ResponseTime: 50 * msec, IsFinal: code == rules.OutcomeServed}})
+				if a.Kind == routing.ActionSend && rng.IntN(10) > 0 {
+					code := []routing.AttemptOutcome{routing.OutcomeServed, routing.OutcomeServed, routing.OutcomeError, routing.OutcomeRejected}[rng.IntN(4)]
+					acts := step(now+50*msec, []routing.Event{{Kind: routing.EventOutcome, RequestID: call, Server: a.Server, Outcome: code, CacheStatus: 1, ResponseTime: 50 * msec, IsFinal: code == routing.OutcomeServed}})
 					out = append(out, fmt.Sprintf("%+v", acts))
 				}
 			}
 		}
 		return out
 	}
-	plain, err := rules.NewEngine(testSettings(), 9)
+	plain, err := routing.NewEngine(testSettings(), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -648,16 +648,16 @@
 		now := sec
 		out := map[string]string{}
 		number := map[string]int{}
-		take := func(acts []rules.Action) {
+		take := func(acts []routing.Action) {
 			for _, a := range acts {
 				switch a.Kind {
-				case rules.ActionSend:
+				case routing.ActionSend:
 					if out[a.RequestID] != "" {
 						t.Fatalf("seed %d: two attempts of %s", seed, a.RequestID)
 					}
 					out[a.RequestID] = a.Server
 					number[a.RequestID]++
-				case rules.ActionReject, rules.ActionFail:
+				case routing.ActionReject, routing.ActionFail:
 					if _, open := out[a.RequestID]; !open {
 						t.Fatalf("seed %d: an answer to %s, which is over", seed, a.RequestID)
 					}
@@ -674,18 +674,18 @@
 				name := all[rng.IntN(len(all))]
 				row := endpointsWith(name)[3]
 				if listed[name] = !listed[name]; !listed[name] {
-					row.Status = []rules.EndpointStatus{"cordoned", "deregistered"}[rng.IntN(2)]
+					row.Status = []routing.EndpointStatus{"cordoned", "deregistered"}[rng.IntN(2)]
 				}
-				take(m.Step(now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{row}}}))
+				take(m.Step(now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: []routing.Endpoint{row}}}))
 			default:
 				call := fmt.Sprint(i)
-				ev := rules.Event{Kind: rules.EventRequest, RequestID: call, Class: []string{"page", "page", "report"}[rng.IntN(3)], PurgeGroup: int64(rng.IntN(20)),
+				ev := routing.Event{Kind: routing.EventRequest, RequestID: call, Class: []string{"page", "page", "report"}[rng.IntN(3)], PurgeGroup: int64(rng.IntN(20)),
 					Object: fmt.Sprintf("%04x", rng.IntN(300)), SizeKB: float64(rng.IntN(100)), Timeout: sec}
 				out[call] = ""
 				who := m.tenants[m.TenantOf(&ev)]
-				acts := m.Step(now, []rules.Event{ev})
+				acts := m.Step(now, []routing.Event{ev})
 				for _, a := range acts {
-					if a.Kind != rules.ActionSend || ev.Class == "report" || !strings.HasPrefix(a.Server, "s-") {
+					if a.Kind != routing.ActionSend || ev.Class == "report" || !strings.HasPrefix(a.Server, "s-") {
 						continue
 					}
 					c := &m.cells[who.cell]
@@ -705,19 +705,19 @@
 				node := out[call]
 				if rng.IntN(8) == 0 {
 					delete(out, call)
-					m.Step(now, []rules.Event{{Kind: rules.EventAborted, RequestID: call}})
+					m.Step(now, []routing.Event{{Kind: routing.EventAborted, RequestID: call}})
 					continue
 				}
-				code := []rules.AttemptOutcome{rules.OutcomeServed, rules.OutcomeError, rules.OutcomeRejected, rules.OutcomeConnectionReset, rules.OutcomeTimedOut}[rng.IntN(5)]
-				ev := rules.Event{Kind: rules.EventOutcome, RequestID: call, Attempt: number[call] - 1, Server: node, Outcome: code, CacheStatus: rules.CacheStatus(rng.IntN(11)), ResponseTime: 40 * msec, IsFinal: code == rules.OutcomeServed}
-				if out[call] = ""; code == rules.OutcomeServed {
+				code := []routing.AttemptOutcome{routing.OutcomeServed, routing.OutcomeError, routing.OutcomeRejected, routing.OutcomeConnectionReset, routing.OutcomeTimedOut}[rng.IntN(5)]
+				ev := routing.Event{Kind: routing.EventOutcome, RequestID: call, Attempt: number[call] - 1, Server: node, Outcome: code, CacheStatus: routing.CacheStatus(rng.IntN(11)), ResponseTime: 40 * msec, IsFinal: code == routing.OutcomeServed}
+				if out[call] = ""; code == routing.OutcomeServed {
 					delete(out, call)
 				}
-				take(m.Step(now, []rules.Event{ev}))
+				take(m.Step(now, []routing.Event{ev}))
 			}
 		}
 		for call := range out {
-			m.Step(now, []rules.Event{{Kind: rules.EventAborted, RequestID: call}})
+			m.Step(now, []routing.Event{{Kind: routing.EventAborted, RequestID: call}})
 		}
 		sum := 0
 		for _, c := range m.cells {
--- a/core/cells/cost_test.go
+++ b/core/cells/cost_test.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"testing"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // manyTenants is a specification with as many tenants as are planned for, or ten times as many.
@@ -45,11 +45,11 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += 100
-				ev := rules.Event{Kind: rules.EventRequest, RequestID: calls[i%len(calls)], Class: "page", Object: objects[i%len(objects)], PurgeGroup: 7, SizeKB: 50}
+				ev := routing.Event{Kind: routing.EventRequest, RequestID: calls[i%len(calls)], Class: "page", Object: objects[i%len(objects)], PurgeGroup: 7, SizeKB: 50}
 				if why := m.admit(now, &ev); why != ReasonNone {
 					b.Fatal(why)
 				}
-				ev.Kind, ev.Outcome, ev.CacheStatus, ev.IsFinal = rules.EventOutcome, rules.OutcomeServed, 1, true
+				ev.Kind, ev.Outcome, ev.CacheStatus, ev.IsFinal = routing.EventOutcome, routing.OutcomeServed, 1, true
 				m.observeOutcome(now, &ev)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(size), "B/tenant")
--- a/core/cells/gate.go
+++ b/core/cells/gate.go
@@ -3,9 +3,9 @@
 import (
 	"math/rand/v2"
 
-	"spantack/core/moves"
-	"spantack/core/stages"
-	"spantack/rules"
+	"spantack/core/migration"
+	"spantack/core/rollout"
+	"spantack/routing"
 )
 
 // What the gate starts from and moves by.
@@ -50,8 +50,8 @@
 	missRatio    missRatio // of all its tenants
 	// What rules refused of late, against what came.
 	arrivals, rejections decayingSum
-	capacity             moves.CapacityLimiter // for tenants that move into it
-	warmFraction         float64               // part of what its listed caches would bear warm that they bear
+	capacity             migration.CapacityLimiter // for tenants that move into it
+	warmFraction         float64                   // part of what its listed caches would bear warm that they bear
 }
 
 // observeRejection is told that rules refused a request. A few of those tell nothing; many tell that the cell is full.
@@ -92,34 +92,34 @@
 	// an event waits.
 	PlansInBackground bool
 
-	engine             *rules.Engine
-	settings           rules.Settings
+	engine             *routing.Engine
+	settings           routing.Settings
 	rng                *rand.Rand
 	assignment         *Assignment
 	spec               *Spec // of the assignment
 	tenants            []tenant
 	cells              []cell
 	overflowCell       int // -1: none
-	edgeCaches         map[string]rules.Endpoint
+	edgeCaches         map[string]routing.Endpoint
 	endpointsVersion   int
 	caches             []string // listed ones of the own depot
-	scopeEvents        []rules.Event
+	scopeEvents        []routing.Event
 	uncacheable        map[string]bool
 	classIndex         map[string]int     // places in the settings
 	priorityWeight     map[string]float64 // worth of a timely answer, by class
 	heavyObjects       *HeavyHitters      // by KB asked for
 	recentParts        *CountMinSketch    // requests, by part
 	openRequests       map[string]openRequest
-	migrationDocument  *moves.Document      // nil: nobody moves
+	migrationDocument  *migration.Document  // nil: nobody moves
 	activeMigrations   []*migrationProgress // moves of this depot that are not over
-	parentServers      map[string]rules.Endpoint
+	parentServers      map[string]routing.Endpoint
 	parents            parentSelection
-	healthyParents     []moves.Server // area caches listed
-	capacityMeasuredAt int64          // when rooms were last measured
-	rollout            *stages.Progress
-	originLimit        *originLimiter // nil: nothing bounds what fills ask of the head office but rules
-	originFillLease    float64        // of fills that ask the head office, by the fleet's limit; 0: none
-	logActions         []rules.Action // for the log
+	healthyParents     []migration.Server // area caches listed
+	capacityMeasuredAt int64              // when rooms were last measured
+	rollout            *rollout.Progress
+	originLimit        *originLimiter   // nil: nothing bounds what fills ask of the head office but rules
+	originFillLease    float64          // of fills that ask the head office, by the fleet's limit; 0: none
+	logActions         []routing.Action // for the log
 
 	requestRate, linkRate, parentRate, originRate, uncacheableRate *sharedRate
 	maxOpenRequests                                                int // requests open at once
@@ -127,19 +127,19 @@
 }
 
 // NewAdmission returns a module for the settings, confining nothing until Confine is called.
-func NewAdmission(set rules.Settings, seed int64) (*Admission, error) {
-	inner, err := rules.NewEngine(set, seed)
+func NewAdmission(set routing.Settings, seed int64) (*Admission, error) {
+	inner, err := routing.NewEngine(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	m := &Admission{engine: inner, settings: set, rng: rand.New(rand.NewPCG(uint64(seed), 1)), edgeCaches: map[string]rules.Endpoint{}, parentServers: map[string]rules.Endpoint{},
+	m := &Admission{engine: inner, settings: set, rng: rand.New(rand.NewPCG(uint64(seed), 1)), edgeCaches: map[string]routing.Endpoint{}, parentServers: map[string]routing.Endpoint{},
 		openRequests: map[string]openRequest{}, uncacheable: map[string]bool{}, classIndex: map[string]int{}, priorityWeight: map[string]float64{}, heavyObjects: NewHeavyHitters(maxHeavyObjects, objectHalfLife)}
 	m.indexClasses(set)
 	return m, nil
 }
 
 // indexClasses keeps what the gate has to know of the settings' classes.
-func (m *Admission) indexClasses(set rules.Settings) {
+func (m *Admission) indexClasses(set routing.Settings) {
 	clear(m.priorityWeight)
 	clear(m.classIndex)
 	clear(m.uncacheable)
@@ -151,7 +151,7 @@
 
 // UpdateSettings puts other settings in force as rules.Router.UpdateSettings does. How late an answer to an open request is told by its
 // class's place among the new ones, or, where it has none, by the first one's: that is all the gate keeps of it.
-func (m *Admission) UpdateSettings(now int64, set rules.Settings) error {
+func (m *Admission) UpdateSettings(now int64, set routing.Settings) error {
 	if err := m.engine.UpdateSettings(set); err != nil {
 		return err
 	}
@@ -171,10 +171,10 @@
 }
 
 // LearnedState and Believe are those of the module behind the gate. What the gate itself has learnt of tenants is not handed on.
-func (m *Admission) LearnedState(now int64) rules.LearnedState { return m.engine.LearnedState(now) }
+func (m *Admission) LearnedState(now int64) routing.LearnedState { return m.engine.LearnedState(now) }
 
 // RestoreLearnedState takes over what another process of the same router believed.
-func (m *Admission) RestoreLearnedState(now int64, b rules.LearnedState) error {
+func (m *Admission) RestoreLearnedState(now int64, b routing.LearnedState) error {
 	return m.engine.RestoreLearnedState(now, b)
 }
 
@@ -182,11 +182,11 @@
 func (m *Admission) EjectedCaches(now int64) []string { return m.engine.EjectedCaches(now) }
 
 // Step takes what came in at a time and returns what to do, in order.
-func (m *Admission) Step(now int64, events []rules.Event) []rules.Action {
-	var acts []rules.Action
+func (m *Admission) Step(now int64, events []routing.Event) []routing.Action {
+	var acts []routing.Action
 	if m.spec == nil && m.parents.graph == nil && m.originLimit == nil {
 		for i := range events {
-			if events[i].Kind == rules.EventEndpoints {
+			if events[i].Kind == routing.EventEndpoints {
 				m.updateEndpoints(&events[i])
 			}
 		}
@@ -196,7 +196,7 @@
 		ev := &events[i]
 		refused := false
 		switch ev.Kind {
-		case rules.EventRequest:
+		case routing.EventRequest:
 			m.selectParentGroup(now, ev)
 			if m.spec == nil {
 				break
@@ -205,15 +205,15 @@
 				m.Stats.Rejected[why]++
 				acts, refused = append(acts, m.rejection(ev)), true
 			}
-		case rules.EventOutcome:
+		case routing.EventOutcome:
 			m.observeFill(now, ev)
 			m.observeOriginAttempt(now, ev)
 			m.observeOutcome(now, ev)
-		case rules.EventAborted:
+		case routing.EventAborted:
 			m.observeFill(now, ev)
 			m.observeOriginAttempt(now, ev)
 			m.closeRequest(ev.RequestID)
-		case rules.EventEndpoints:
+		case routing.EventEndpoints:
 			m.updateEndpoints(ev)
 		}
 		if refused {
@@ -224,7 +224,7 @@
 		m.recordFillAttempts(next)
 		m.recordOriginAttempts(next)
 		m.announceOriginLimit(now, false)
-		if ev.Kind == rules.EventEndpoints {
+		if ev.Kind == routing.EventEndpoints {
 			if m.spec != nil {
 				m.assignCaches(now)
 			}
@@ -244,6 +244,6 @@
 }
 
 // TenantOf tells whose request it is, by its place in the specification.
-func (m *Admission) TenantOf(ev *rules.Event) int {
+func (m *Admission) TenantOf(ev *routing.Event) int {
 	return int(m.assignment.tenantByKey[m.assignment.keys.find(int(ev.PurgeGroup), ev.Class, ev.Object, ev.Tenant)])
 }
--- a/core/cells/guarding.go
+++ b/core/cells/guarding.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"spantack/core/shield"
-	"spantack/rules"
+	"spantack/core/originlimit"
+	"spantack/routing"
 )
 
 // originLimiter bounds what this router's fills may ask of the head office. An attempt that names a source asks the head office only where cache
@@ -12,8 +12,8 @@
 // out by the part of those before that came to it, and each that was given up without an answer whole, for as long as an area cache may go on
 // with it. rules then has no more attempts out that might ask it than leave the limit kept; past that only held copies are asked for.
 type originLimiter struct {
-	document       shield.Document
-	limit          *shield.Limit
+	document       originlimit.Document
+	limit          *originlimit.Limit
 	originFraction float64         // part of fills' attempts that came to the head office
 	inFlight       map[string]bool // calls whose attempt may ask it; true: asks it straight
 	directInFlight int             // those that ask it straight
@@ -31,7 +31,7 @@
 )
 
 // SetOriginLimit puts a limit at the head office in force, or with nil none. A document that can't be used changes nothing.
-func (m *Admission) SetOriginLimit(now int64, d *shield.Document) error {
+func (m *Admission) SetOriginLimit(now int64, d *originlimit.Document) error {
 	if d == nil {
 		if m.originLimit != nil {
 			m.originLimit = nil
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	limit, err := shield.New(terms, law)
+	limit, err := originlimit.New(terms, law)
 	if err != nil {
 		return err
 	}
@@ -56,12 +56,12 @@
 }
 
 // recordOriginAttempts notes attempts that may ask the head office.
-func (m *Admission) recordOriginAttempts(acts []rules.Action) {
+func (m *Admission) recordOriginAttempts(acts []routing.Action) {
 	if m.originLimit == nil {
 		return
 	}
 	for i := range acts {
-		if a := &acts[i]; a.Kind == rules.ActionSend && a.Source != "" && a.Source != a.Server && a.FetchFlags&rules.FetchCachedOnly == 0 {
+		if a := &acts[i]; a.Kind == routing.ActionSend && a.Source != "" && a.Source != a.Server && a.FetchFlags&routing.FetchCachedOnly == 0 {
 			_, area := m.parentServers[a.Source]
 			m.originLimit.inFlight[a.RequestID] = !area
 			if !area {
@@ -72,7 +72,7 @@
 }
 
 // observeOriginAttempt learns from the end of an attempt, or of a request.
-func (m *Admission) observeOriginAttempt(now int64, ev *rules.Event) {
+func (m *Admission) observeOriginAttempt(now int64, ev *routing.Event) {
 	g := m.originLimit
 	if g == nil {
 		return
@@ -85,14 +85,14 @@
 	if straight {
 		g.directInFlight--
 	}
-	unanswered := ev.Kind != rules.EventOutcome || ev.Outcome == rules.OutcomeTimedOut || ev.Outcome == rules.OutcomeCanceled
+	unanswered := ev.Kind != routing.EventOutcome || ev.Outcome == routing.OutcomeTimedOut || ev.Outcome == routing.OutcomeCanceled
 	was := 0.0
 	switch at := m.documentMillis(now); {
 	case unanswered:
 		if len(g.abandonedUntil) < maxAbandoned {
 			g.abandonedUntil = append(g.abandonedUntil, now+int64(g.document.AbandonedFetchMs*1000))
 		}
-		if ev.Outcome == rules.OutcomeTimedOut {
+		if ev.Outcome == routing.OutcomeTimedOut {
 			g.limit.Complete(at, float64(ev.ResponseTime)/1000, true)
 		}
 		return // it tells nothing of what part asks the head office: the slow ones are among these
@@ -137,7 +137,7 @@
 		}
 		g.announced = most
 	}
-	m.engine.Step(now, []rules.Event{{Kind: rules.EventSubset, MaxPossibleOriginFills: most, MaxConfirmedOriginFills: m.originFillLease}})
+	m.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, MaxPossibleOriginFills: most, MaxConfirmedOriginFills: m.originFillLease}})
 }
 
 // SetOriginFillLease bounds the fills that ask the head office by what this router holds of a limit that the whole fleet keeps: core/fleet. Each is known to
--- a/core/cells/guarding_test.go
+++ b/core/cells/guarding_test.go
@@ -7,31 +7,31 @@
 
 	"pgregory.net/rapid"
 
-	"spantack/core/shield"
-	"spantack/rules"
+	"spantack/core/originlimit"
+	"spantack/routing"
 )
 
-var originLimitDocument = shield.Document{Algorithm: "gradient", MaxInFlight: 24, Reserve: 0.1, Burst: 3, BaselineMs: 60, AbandonedFetchMs: 2000}
+var originLimitDocument = originlimit.Document{Algorithm: "gradient", MaxInFlight: 24, Reserve: 0.1, Burst: 3, BaselineMs: 60, AbandonedFetchMs: 2000}
 
 // newLimitedAdmission is a module with four caches, two area caches and the head office; its router is one of two.
-func newLimitedAdmission(t testing.TB, doc *shield.Document) *Admission {
+func newLimitedAdmission(t testing.TB, doc *originlimit.Document) *Admission {
 	t.Helper()
-	set := rules.Settings{
-		Classes:   []rules.Class{{Name: "page", Deadline: 3_000_000, LatencyObjective: 600_000, ObjectiveSizeFactor: 2, PriorityWeight: 1, Idempotency: "read_like", DeduplicationScope: "all"}},
-		Hierarchy: rules.CacheHierarchy{OriginKind: 2, ParentKind: 1, CacheStatusReporting: "all", ResponseKBPerSecond: 2000, AllowsDirectFetch: true},
-		Kinds:     []string{"box", "area", "origin"}, Permissions: rules.Permissions{MayCancel: true, MaxAttempts: 4, MaxRetryAfter: 1_000_000},
+	set := routing.Settings{
+		Classes:   []routing.Class{{Name: "page", Deadline: 3_000_000, LatencyObjective: 600_000, ObjectiveSizeFactor: 2, PriorityWeight: 1, Idempotency: "read_like", DeduplicationScope: "all"}},
+		Hierarchy: routing.CacheHierarchy{OriginKind: 2, ParentKind: 1, CacheStatusReporting: "all", ResponseKBPerSecond: 2000, AllowsDirectFetch: true},
+		Kinds:     []string{"box", "area", "origin"}, Permissions: routing.Permissions{MayCancel: true, MaxAttempts: 4, MaxRetryAfter: 1_000_000},
 		FleetSize: 2, Zone: "z", Zones: []string{"hub", "z"},
 	}
 	m, err := NewAdmission(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows := []rules.Endpoint{{Server: "o", Zone: "hub", Kind: "origin", Status: "healthy", Weight: 400}, {Server: "p0", Zone: "hub", Kind: "area", Status: "healthy", Weight: 400},
+	rows := []routing.Endpoint{{Server: "o", Zone: "hub", Kind: "origin", Status: "healthy", Weight: 400}, {Server: "p0", Zone: "hub", Kind: "area", Status: "healthy", Weight: 400},
 		{Server: "p1", Zone: "hub", Kind: "area", Status: "healthy", Weight: 400}}
 	for i := range 4 {
-		rows = append(rows, rules.Endpoint{Server: fmt.Sprint("c", i), Zone: "z", Kind: "box", Status: "healthy", Weight: 400})
+		rows = append(rows, routing.Endpoint{Server: fmt.Sprint("c", i), Zone: "z", Kind: "box", Status: "healthy", Weight: 400})
 	}
-	m.Step(0, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: rows}})
+	m.Step(0, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "replace", Endpoints: rows}})
 	if err := m.SetOriginLimit(0, doc); err != nil {
 		t.Fatal(err)
 	}
@@ -40,22 +40,22 @@
 
 // attemptInFlight is an attempt under way.
 type attemptInFlight struct {
-	rules.Action
+	routing.Action
 	attempt int
 }
 
 // runLoad keeps requests coming, 1 ms apart, and ends each attempt after took ms as end says; it returns the most that were out at the head office
 // at once, by way of an area cache and asked to fill, and how many were asked for held copies alone.
-func runLoad(m *Admission, from, n int, took int64, end func(i int) rules.Event) (most, held int) {
+func runLoad(m *Admission, from, n int, took int64, end func(i int) routing.Event) (most, held int) {
 	out := map[int64][]attemptInFlight{}
 	deep := 0
-	note := func(now int64, acts []rules.Action, attempt int) {
+	note := func(now int64, acts []routing.Action, attempt int) {
 		for _, a := range acts {
-			if a.Kind != rules.ActionSend {
+			if a.Kind != routing.ActionSend {
 				continue
 			}
 			out[now+took] = append(out[now+took], attemptInFlight{a, attempt})
-			if a.Source == "" || a.Source == a.Server || a.FetchFlags&rules.FetchCachedOnly != 0 {
+			if a.Source == "" || a.Source == a.Server || a.FetchFlags&routing.FetchCachedOnly != 0 {
 				held++
 			} else {
 				deep++
@@ -67,27 +67,27 @@
 		now := int64(i)
 		for _, a := range out[now] {
 			ev := end(i)
-			if a.Source == "" || a.Source == a.Server || a.FetchFlags&rules.FetchCachedOnly != 0 {
-				ev = rules.Event{Outcome: rules.OutcomeMiss}
+			if a.Source == "" || a.Source == a.Server || a.FetchFlags&routing.FetchCachedOnly != 0 {
+				ev = routing.Event{Outcome: routing.OutcomeMiss}
 			} else {
 				deep--
 			}
-			ev.Kind, ev.RequestID, ev.Attempt, ev.Server, ev.ResponseTime = rules.EventOutcome, a.RequestID, a.attempt, a.Server, took*1000
-			ev.IsFinal = ev.Outcome == rules.OutcomeServed
-			note(now, m.Step(now*1000, []rules.Event{ev}), a.attempt+1)
+			ev.Kind, ev.RequestID, ev.Attempt, ev.Server, ev.ResponseTime = routing.EventOutcome, a.RequestID, a.attempt, a.Server, took*1000
+			ev.IsFinal = ev.Outcome == routing.OutcomeServed
+			note(now, m.Step(now*1000, []routing.Event{ev}), a.attempt+1)
 		}
 		delete(out, now)
 		if i < from+n {
 			call := fmt.Sprint(i)
-			note(now, m.Step(now*1000, []rules.Event{{Kind: rules.EventRequest, RequestID: call, Class: "page", Object: call, SizeKB: 1, Timeout: 3_000_000}}), 0)
+			note(now, m.Step(now*1000, []routing.Event{{Kind: routing.EventRequest, RequestID: call, Class: "page", Object: call, SizeKB: 1, Timeout: 3_000_000}}), 0)
 		}
 	}
 	return most, held
 }
 
-func originAnswer(waitMs int64) func(int) rules.Event {
-	return func(int) rules.Event {
-		return rules.Event{Outcome: rules.OutcomeServed, CacheStatus: noteFilledByOrigin, UpstreamWait: waitMs * 1000}
+func originAnswer(waitMs int64) func(int) routing.Event {
+	return func(int) routing.Event {
+		return routing.Event{Outcome: routing.OutcomeServed, CacheStatus: noteFilledByOrigin, UpstreamWait: waitMs * 1000}
 	}
 }
 
@@ -117,7 +117,7 @@
 func TestOriginLimitCountsAbandonedFills(t *testing.T) {
 	m := newLimitedAdmission(t, &originLimitDocument)
 	runLoad(m, 0, 3000, 60, originAnswer(55))
-	lost := func(int) rules.Event { return rules.Event{Outcome: rules.OutcomeTimedOut} }
+	lost := func(int) routing.Event { return routing.Event{Outcome: routing.OutcomeTimedOut} }
 	sent := 0
 	for i := range 10 { // a second in tenths: every attempt ends unanswered after 50 ms
 		before := m.OriginLimitStatus().Abandoned
@@ -130,7 +130,7 @@
 	if n := m.OriginLimitStatus().Abandoned; n == 0 {
 		t.Error("nothing is reckoned to go on")
 	}
-	m.Step(20_000_000, []rules.Event{{Kind: rules.EventTimer}})
+	m.Step(20_000_000, []routing.Event{{Kind: routing.EventTimer}})
 	if n := m.OriginLimitStatus().Abandoned; n != 0 {
 		t.Errorf("%d are reckoned to go on 14 s later", n)
 	}
@@ -138,18 +138,18 @@
 
 // Whatever comes back, the books are even at the end, and what is reckoned stays in its bounds.
 func TestOriginLimitAccountsBalance(t *testing.T) {
-	codes := []rules.AttemptOutcome{rules.OutcomeServed, rules.OutcomeError, rules.OutcomeRejected, rules.OutcomeTimedOut, rules.OutcomeConnectionRefused, rules.OutcomeConnectionReset, rules.OutcomeMiss}
+	codes := []routing.AttemptOutcome{routing.OutcomeServed, routing.OutcomeError, routing.OutcomeRejected, routing.OutcomeTimedOut, routing.OutcomeConnectionRefused, routing.OutcomeConnectionReset, routing.OutcomeMiss}
 	rapid.Check(t, func(t *rapid.T) {
 		doc := originLimitDocument
 		doc.Algorithm = rapid.SampledFrom([]string{"fixed", "aimd", "gradient", "delay"}).Draw(t, "law")
 		m := newLimitedAdmission(&testing.T{}, &doc)
 		draw := rapid.SliceOfN(rapid.IntRange(0, 11*len(codes)-1), 1, 200).Draw(t, "ends")
-		runLoad(m, 0, len(draw), int64(rapid.IntRange(1, 80).Draw(t, "took")), func(i int) rules.Event {
+		runLoad(m, 0, len(draw), int64(rapid.IntRange(1, 80).Draw(t, "took")), func(i int) routing.Event {
 			d := draw[i%len(draw)]
-			return rules.Event{Outcome: codes[d%len(codes)], CacheStatus: rules.CacheStatus(d / len(codes)), UpstreamWait: int64(d) * 9000}
+			return routing.Event{Outcome: codes[d%len(codes)], CacheStatus: routing.CacheStatus(d / len(codes)), UpstreamWait: int64(d) * 9000}
 		})
 		g := m.originLimit
-		m.Step(1e9, []rules.Event{{Kind: rules.EventTimer}})
+		m.Step(1e9, []routing.Event{{Kind: routing.EventTimer}})
 		now := m.OriginLimitStatus()
 		if now.InFlight != 0 || g.directInFlight != 0 || now.Abandoned != 0 || now.OriginFraction < 0 || now.OriginFraction > 1 || now.Limit <= 0 || now.Limit > doc.Burst*now.Share {
 			t.Fatalf("%+v, %d straight", now, g.directInFlight)
@@ -169,7 +169,7 @@
 		t.Fatal(err)
 	}
 	for i := range 500 {
-		ev := []rules.Event{{Kind: rules.EventRequest, RequestID: fmt.Sprint(i), Class: "page", Object: fmt.Sprint(i % 40), SizeKB: 1, Timeout: 3_000_000}}
+		ev := []routing.Event{{Kind: routing.EventRequest, RequestID: fmt.Sprint(i), Class: "page", Object: fmt.Sprint(i % 40), SizeKB: 1, Timeout: 3_000_000}}
 		if a, b := m.Step(int64(i)*1000, ev), bare.Step(int64(i)*1000, ev); !reflect.DeepEqual(a, b) {
 			t.Fatalf("request %d: %+v with it off, %+v without", i, a, b)
 		}
@@ -188,8 +188,8 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now, call := int64(i)*1000, "call"
-				acts := m.Step(now, []rules.Event{{Kind: rules.EventRequest, RequestID: call, Class: "page", Object: "o", SizeKB: 1, Timeout: 3_000_000}})
-				m.Step(now+500, []rules.Event{{Kind: rules.EventOutcome, RequestID: call, Server: acts[0].Server, Outcome: rules.OutcomeServed, IsFinal: true, CacheStatus: rules.CacheStatus(1 + i%3), ResponseTime: 500, UpstreamWait: 300}})
+				acts := m.Step(now, []routing.Event{{Kind: routing.EventRequest, RequestID: call, Class: "page", Object: "o", SizeKB: 1, Timeout: 3_000_000}})
+				m.Step(now+500, []routing.Event{{Kind: routing.EventOutcome, RequestID: call, Server: acts[0].Server, Outcome: routing.OutcomeServed, IsFinal: true, CacheStatus: routing.CacheStatus(1 + i%3), ResponseTime: 500, UpstreamWait: 300}})
 			}
 		})
 	}
--- a/core/cells/moving.go
+++ b/core/cells/moving.go
@@ -5,16 +5,16 @@
 	"math"
 	"slices"
 
-	"spantack/core/moves"
-	"spantack/core/stages"
-	"spantack/rules"
+	"spantack/core/migration"
+	"spantack/core/rollout"
+	"spantack/routing"
 )
 
 // migrationProgress is one tenant's way from cell to cell in this depot, as this router goes it.
 type migrationProgress struct {
-	migration        *moves.Migration
+	migration        *migration.Migration
 	fromCell, toCell int // places of the cells in the assignment in force
-	pace             moves.Pacer
+	pace             migration.Pacer
 }
 
 // migrationRoute is how one request of a tenant on the move goes.
@@ -29,7 +29,7 @@
 const capacityInterval = 250_000
 
 // CheckMigrations holds a document of moves against an assignment: tenants and cells must be known, and a tenant's cell be one of its move's two.
-func (a *Assignment) CheckMigrations(doc *moves.Document) error {
+func (a *Assignment) CheckMigrations(doc *migration.Document) error {
 	if doc == nil {
 		return nil
 	}
@@ -50,7 +50,7 @@
 			return fieldError(at, "tenants move with schemes fixed and overflow, not %s", a.spec.Scheme)
 		}
 		depots := []string{mv.Site}
-		if mv.Site == moves.AllSites {
+		if mv.Site == migration.AllSites {
 			depots = []string{""}
 			for depot := range a.spec.Tenants[who].CellBySite {
 				depots = append(depots, depot)
@@ -68,7 +68,7 @@
 
 // SetMigrations puts a document of moves in force, or with nil none. It must fit the assignment in force. A move that goes on keeps its pace; a
 // tenant whose move is over or left out is in the cell that the assignment names, or for a move that is over the one it led to.
-func (m *Admission) SetMigrations(now int64, doc *moves.Document) {
+func (m *Admission) SetMigrations(now int64, doc *migration.Document) {
 	if m.spec == nil {
 		return
 	}
@@ -100,7 +100,7 @@
 	}
 	for i := range m.migrationDocument.Migrations {
 		mv := &m.migrationDocument.Migrations[i]
-		if mv.Site != m.settings.Zone && mv.Site != moves.AllSites {
+		if mv.Site != m.settings.Zone && mv.Site != migration.AllSites {
 			continue
 		}
 		who, known := m.assignment.tenantByName[mv.Tenant]
@@ -135,7 +135,7 @@
 	m.healthyParents = m.healthyParents[:0]
 	for _, name := range sortedNodes(m.parentServers) {
 		if row := m.parentServers[name]; row.Status == "healthy" {
-			m.healthyParents = append(m.healthyParents, moves.Server{Weight: row.Weight, StartedAt: row.StartedAt})
+			m.healthyParents = append(m.healthyParents, migration.Server{Weight: row.Weight, StartedAt: row.StartedAt})
 		}
 	}
 	_, warm := above.Capacity(now, m.healthyParents)
@@ -143,7 +143,7 @@
 		warm = 1 // fills come straight from the head office
 	}
 	routers := float64(m.routersAtSite())
-	var servers []moves.Server
+	var servers []migration.Server
 	for i := range m.cells {
 		c := &m.cells[i]
 		servers = servers[:0]
@@ -153,7 +153,7 @@
 			weight := max(row.Weight, 1)
 			whole += weight * caches.StreamKbPerS
 			if row.Status == "healthy" {
-				servers = append(servers, moves.Server{Weight: weight, StartedAt: row.StartedAt})
+				servers = append(servers, migration.Server{Weight: weight, StartedAt: row.StartedAt})
 			}
 		}
 		kb, _ := caches.Capacity(now, servers)
@@ -182,7 +182,7 @@
 	}
 }
 
-func sortedNodes(rows map[string]rules.Endpoint) []string {
+func sortedNodes(rows map[string]routing.Endpoint) []string {
 	names := make([]string, 0, len(rows))
 	for name := range rows {
 		names = append(names, name)
@@ -192,10 +192,10 @@
 }
 
 // capacityTerms are what the settings say of caches, and of area caches.
-func (m *Admission) capacityTerms() (caches, above moves.CapacityModel) {
+func (m *Admission) capacityTerms() (caches, above migration.CapacityModel) {
 	g, x := &m.settings.Guarantees, &m.settings.Hierarchy
-	caches = moves.CapacityModel{StreamKbPerS: x.ResponseKBPerSecond, ColdFraction: g.InitialCapacity, WarmUp: g.WarmUpTime, LoadWindow: g.OverloadWindow}
-	above = moves.CapacityModel{StreamKbPerS: x.ResponseKBPerSecond, ColdFraction: x.ParentInitialCapacity, WarmUp: x.ParentWarmUpTime, LoadWindow: g.OverloadWindow}
+	caches = migration.CapacityModel{StreamKbPerS: x.ResponseKBPerSecond, ColdFraction: g.InitialCapacity, WarmUp: g.WarmUpTime, LoadWindow: g.OverloadWindow}
+	above = migration.CapacityModel{StreamKbPerS: x.ResponseKBPerSecond, ColdFraction: x.ParentInitialCapacity, WarmUp: x.ParentWarmUpTime, LoadWindow: g.OverloadWindow}
 	return caches, above
 }
 
@@ -203,11 +203,11 @@
 // the cell that the move gives its object; if that is the cell objects go to, and it has no live cache or no room, the other one, which
 // still knows the object; if the other one has no live cache either, or is the one that went, the cell objects go to, as far as
 // it bears; else it is refused.
-func (m *Admission) routeMigrating(now int64, p *migrationProgress, ev *rules.Event, kb float64) (int, migrationRoute) {
+func (m *Admission) routeMigrating(now int64, p *migrationProgress, ev *routing.Event, kb float64) (int, migrationRoute) {
 	ms, mv := m.documentMillis(now), p.migration
 	if !mv.InProgress(ms) {
 		p.recordPart(m, now, ev)
-		if mv.Phase(ms) == moves.Done {
+		if mv.Phase(ms) == migration.Done {
 			return p.toCell, migrationRoute{}
 		}
 		return p.fromCell, migrationRoute{}
@@ -254,7 +254,7 @@
 }
 
 // recordPart books that a part was asked for in the cell where its tenant still lives.
-func (p *migrationProgress) recordPart(m *Admission, now int64, ev *rules.Event) {
+func (p *migrationProgress) recordPart(m *Admission, now int64, ev *routing.Event) {
 	cell := p.fromCell
 	if p.migration.RollbackStarted(m.documentMillis(now)) {
 		cell = p.toCell
@@ -263,7 +263,7 @@
 }
 
 // partInCellHash is the key of a part in a cell.
-func partInCellHash(ev *rules.Event, cell int) uint64 {
+func partInCellHash(ev *routing.Event, cell int) uint64 {
 	return partHash(ev.Object, ev.Chunk) + uint64(cell+1)*0xd1342543de82ef95
 }
 
@@ -278,7 +278,7 @@
 // admitMigrating books a request that goes to the cell that objects go to: only now is it sure to come there, and its part to be known there.
 // Rules may send it to the other cell of its move where that one has no room. That never leads into the cell that objects go to, past what
 // that one bears.
-func (m *Admission) admitMigrating(now int64, w *migrationRoute, cell int, ev *rules.Event) {
+func (m *Admission) admitMigrating(now int64, w *migrationRoute, cell int, ev *routing.Event) {
 	p := w.progress
 	m.recentParts.addHash(now, partInCellHash(ev, cell), 1)
 	m.Stats.Migrated++
@@ -292,9 +292,9 @@
 }
 
 // observeAnswer tells a move's pace how an attempt of its tenant ended.
-func (m *Admission) observeAnswer(now int64, o *openRequest, ev *rules.Event) {
+func (m *Admission) observeAnswer(now int64, o *openRequest, ev *routing.Event) {
 	m.observeForRollout(now, o, ev)
-	if ev.Outcome != rules.OutcomeServed || len(m.activeMigrations) == 0 {
+	if ev.Outcome != routing.OutcomeServed || len(m.activeMigrations) == 0 {
 		return // whether it was served in time shows at its end
 	}
 	if pace := m.settings.Hierarchy.ResponseKBPerSecond; (ev.CacheStatus == 2 || ev.CacheStatus == 3) && pace > 0 && o.sizeKB > 0 {
@@ -322,8 +322,8 @@
 		if failed {
 			bad = 1
 		}
-		m.countForRollout(o, stages.Failures, bad)
-		m.countForRollout(o, stages.LateAnswers, 1)
+		m.countForRollout(o, rollout.Failures, bad)
+		m.countForRollout(o, rollout.LateAnswers, 1)
 	}
 	if o.route.progress != nil {
 		o.route.progress.pace.ObserveAnswer(m.documentMillis(now), o.route.toDestination, true)
--- a/core/cells/moving_test.go
+++ b/core/cells/moving_test.go
@@ -9,20 +9,20 @@
 
 	"pgregory.net/rapid"
 
-	"spantack/core/moves"
-	"spantack/rules"
+	"spantack/core/migration"
+	"spantack/routing"
 )
 
 // migrationOfCalm is a document in which "calm" goes from cell two to cell one, from second 20 to second 40.
-func migrationOfCalm(change ...func(*moves.Migration)) *moves.Document {
-	m := moves.Migration{Tenant: "calm", Site: "z", From: "two", To: "one", Start: 20_000, MinShift: 20_000, Settle: 10_000, Unbounded: true}
+func migrationOfCalm(change ...func(*migration.Migration)) *migration.Document {
+	m := migration.Migration{Tenant: "calm", Site: "z", From: "two", To: "one", Start: 20_000, MinShift: 20_000, Settle: 10_000, Unbounded: true}
 	for _, c := range change {
 		c(&m)
 	}
-	return &moves.Document{Version: 1, Migrations: []moves.Migration{m}}
+	return &migration.Document{Version: 1, Migrations: []migration.Migration{m}}
 }
 
-func boundByCapacity(m *moves.Migration) { m.Unbounded, m.MaxShift = false, 40_000 }
+func boundByCapacity(m *migration.Migration) { m.Unbounded, m.MaxShift = false, 40_000 }
 
 // cellByCache tells by cache which cell it is in.
 func cellByCache(m *Admission) map[string]string {
@@ -41,7 +41,7 @@
 	got := map[string]int{}
 	for i := range n {
 		a.now += over / int64(n)
-		node := a.request(rules.Event{PurgeGroup: 50, Object: object(i), SizeKB: 50})
+		node := a.request(routing.Event{PurgeGroup: 50, Object: object(i), SizeKB: 50})
 		got[in[node]]++
 	}
 	return got
@@ -67,7 +67,7 @@
 	in := cellByCache(a.admission)
 	for i := range 500 { // all parts of an object are in one cell at one time
 		object := oneOf50Objects(i)
-		cell := in[a.request(rules.Event{PurgeGroup: 50, Object: object, Chunk: int64(i / 50), SizeKB: 50})]
+		cell := in[a.request(routing.Event{PurgeGroup: 50, Object: object, Chunk: int64(i / 50), SizeKB: 50})]
 		if where[object] == "" {
 			where[object] = cell
 		}
@@ -87,7 +87,7 @@
 	spec := twoCells()
 	spec.Version, spec.Tenants[1].Cell = 2, "one"
 	a.admission.SetAssignment(a.now, mustCompile(t, spec))
-	a.admission.SetMigrations(a.now, &moves.Document{Version: 2})
+	a.admission.SetMigrations(a.now, &migration.Document{Version: 2})
 	if got := a.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 || len(a.admission.Migrations(a.now)) != 0 {
 		t.Errorf("under an assignment that has it there: %v", got)
 	}
@@ -107,7 +107,7 @@
 	for i := range 4000 {
 		a.now += 10 * msec
 		object := fmt.Sprintf("aa%014x", i%400)
-		if node := a.request(rules.Event{PurgeGroup: 50, Object: object, SizeKB: 20}); in[node] == "one" && !seen[object] {
+		if node := a.request(routing.Event{PurgeGroup: 50, Object: object, SizeKB: 20}); in[node] == "one" && !seen[object] {
 			seen[object] = true
 			cold[a.now/sec] += 20
 		}
@@ -129,11 +129,11 @@
 	down := func(a *testClient, cell string) {
 		for name, in := range cellByCache(a.admission) {
 			if in == cell {
-				a.admission.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{{Server: name, Zone: "z", Kind: "box", Status: "cordoned", Weight: 10}}}})
+				a.admission.Step(a.now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: []routing.Endpoint{{Server: name, Zone: "z", Kind: "box", Status: "cordoned", Weight: 10}}}})
 			}
 		}
 	}
-	start := func(change ...func(*moves.Migration)) *testClient {
+	start := func(change ...func(*migration.Migration)) *testClient {
 		a := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
 		a.admission.SetMigrations(a.now, migrationOfCalm(change...))
 		a.now = 19 * sec
@@ -173,14 +173,14 @@
 	a.admission.SetMigrations(a.now, migrationOfCalm())
 	a.now = 25 * sec
 	a.requestObjects(200, 10*sec, oneOf50Objects)
-	back := migrationOfCalm(func(m *moves.Migration) { m.RollbackAt = 35_000 })
+	back := migrationOfCalm(func(m *migration.Migration) { m.RollbackAt = 35_000 })
 	back.Version = 2
 	mv := &back.Migrations[0]
 	a.admission.SetMigrations(a.now, back)
 	for range 100 { // on the way back each object is in the cell that its place in the order gives it
 		object := oneOf50Objects(a.sent)
 		a.requestObjects(1, 50*msec, func(int) string { return object })
-		cell, share := cellByCache(a.admission)[a.request(rules.Event{PurgeGroup: 50, Object: object, SizeKB: 50})], a.admission.Migrations(a.now)[0].Share
+		cell, share := cellByCache(a.admission)[a.request(routing.Event{PurgeGroup: 50, Object: object, SizeKB: 50})], a.admission.Migrations(a.now)[0].Share
 		if want := map[bool]string{true: "one", false: "two"}[mv.Position(object) < share]; cell != want {
 			t.Fatalf("at share %v object at %v goes to %s", share, mv.Position(object), cell)
 		}
@@ -211,10 +211,10 @@
 		for i := range 6000 {
 			a.now += 5 * msec
 			for range times {
-				a.request(rules.Event{PurgeGroup: 50, Object: fmt.Sprintf("aa%014x", i*7%3000), SizeKB: 50})
+				a.request(routing.Event{PurgeGroup: 50, Object: fmt.Sprintf("aa%014x", i*7%3000), SizeKB: 50})
 			}
 			asked++
-			if node := a.request(rules.Event{PurgeGroup: 3, Object: fmt.Sprintf("00%014x", i%40), SizeKB: 20}); node != "" && node != "fail" {
+			if node := a.request(routing.Event{PurgeGroup: 3, Object: fmt.Sprintf("00%014x", i%40), SizeKB: 20}); node != "" && node != "fail" {
 				got++
 			}
 		}
@@ -234,10 +234,10 @@
 	if err := a.CheckMigrations(nil); err != nil {
 		t.Fatal(err)
 	}
-	for want, change := range map[string]func(*moves.Migration){
-		`moves.moves[0].tenant: "x" is no tenant`:       func(m *moves.Migration) { m.Tenant = "x" },
-		`moves.moves[0].from: "x" is no cell`:           func(m *moves.Migration) { m.From = "x" },
-		`moves.moves[0].from: loud is in cell one in d`: func(m *moves.Migration) { m.Tenant, m.From, m.To = "loud", "two", "two" },
+	for want, change := range map[string]func(*migration.Migration){
+		`moves.moves[0].tenant: "x" is no tenant`:       func(m *migration.Migration) { m.Tenant = "x" },
+		`moves.moves[0].from: "x" is no cell`:           func(m *migration.Migration) { m.From = "x" },
+		`moves.moves[0].from: loud is in cell one in d`: func(m *migration.Migration) { m.Tenant, m.From, m.To = "loud", "two", "two" },
 	} {
 		if err := a.CheckMigrations(migrationOfCalm(change)); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
@@ -263,7 +263,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				version++
-				doc := migrationOfCalm(func(m *moves.Migration) {
+				doc := migrationOfCalm(func(m *migration.Migration) {
 					m.Start = float64(a.now)/1000 + rapid.Float64Range(-30_000, 10_000).Draw(t, "start")
 					m.Unbounded = rapid.Bool().Draw(t, "unbounded")
 					if rapid.Bool().Draw(t, "back") {
@@ -274,11 +274,11 @@
 				a.admission.SetMigrations(a.now, doc)
 			case 1:
 				i := rapid.IntRange(0, 8).Draw(t, "cache")
-				a.admission.Step(a.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: []rules.Endpoint{{Server: caches[i], Zone: "z", Kind: "box", Weight: 10,
-					Status: rapid.SampledFrom([]rules.EndpointStatus{"healthy", "cordoned", "deregistered"}).Draw(t, "status"), StartedAt: rapid.SampledFrom([]int64{0, a.now}).Draw(t, "up")}}}})
+				a.admission.Step(a.now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: []routing.Endpoint{{Server: caches[i], Zone: "z", Kind: "box", Weight: 10,
+					Status: rapid.SampledFrom([]routing.EndpointStatus{"healthy", "cordoned", "deregistered"}).Draw(t, "status"), StartedAt: rapid.SampledFrom([]int64{0, a.now}).Draw(t, "up")}}}})
 			default:
 				in := cellByCache(a.admission)
-				node := a.request(rules.Event{PurgeGroup: 50, Object: oneOf50Objects(rapid.IntRange(0, 49).Draw(t, "object")), SizeKB: 50})
+				node := a.request(routing.Event{PurgeGroup: 50, Object: oneOf50Objects(rapid.IntRange(0, 49).Draw(t, "object")), SizeKB: 50})
 				if cell := in[node]; node != "" && node != "fail" && cell != "one" && cell != "two" {
 					t.Fatalf("sent to %s of cell %q", node, cell)
 				}
@@ -300,9 +300,9 @@
 func TestMigrationsAtOtherSitesAreWithoutEffect(t *testing.T) {
 	plain := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
 	other := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
-	other.admission.SetMigrations(other.now, migrationOfCalm(func(m *moves.Migration) { m.Site = "elsewhere" }))
+	other.admission.SetMigrations(other.now, migrationOfCalm(func(m *migration.Migration) { m.Site = "elsewhere" }))
 	for i := range 2000 {
-		ev := rules.Event{PurgeGroup: int64(i % 60), Object: fmt.Sprintf("%016x", i%37), SizeKB: float64(i % 90)}
+		ev := routing.Event{PurgeGroup: int64(i % 60), Object: fmt.Sprintf("%016x", i%37), SizeKB: float64(i % 90)}
 		plain.now, other.now = plain.now+5*msec, other.now+5*msec
 		if a, b := plain.request(ev), other.request(ev); a != b {
 			t.Fatalf("request %d: %s, and %s with a document", i, a, b)
@@ -316,14 +316,14 @@
 // BenchmarkAdmitMigratingTenant is the gate for a tenant on the move among a thousand that move.
 func BenchmarkAdmitMigratingTenant(b *testing.B) {
 	spec := twoCells()
-	doc := &moves.Document{Version: 1}
+	doc := &migration.Document{Version: 1}
 	spec.Tenants, spec.TenantKeys = nil, nil
 	for i := range 10_000 {
 		name := fmt.Sprintf("t%05d", i)
 		spec.Tenants = append(spec.Tenants, Tenant{Name: name, Cell: "two"})
 		spec.TenantKeys = append(spec.TenantKeys, TenantKey{ObjectPrefix: fmt.Sprintf("%05x", i), Tenant: name})
 		if i < 1000 {
-			doc.Migrations = append(doc.Migrations, moves.Migration{Tenant: name, Site: "z", From: "two", To: "one", Start: 1000, MinShift: 1e8, MaxShift: 2e8})
+			doc.Migrations = append(doc.Migrations, migration.Migration{Tenant: name, Site: "z", From: "two", To: "one", Start: 1000, MinShift: 1e8, MaxShift: 2e8})
 		}
 	}
 	spec.TenantKeys = append(spec.TenantKeys, TenantKey{Tenant: "t00000"})
@@ -339,7 +339,7 @@
 		objects = append(objects, fmt.Sprintf("%05x%011x", i, i*31))
 	}
 	now, i := 3*sec, 0
-	ev := rules.Event{Kind: rules.EventRequest, Class: "page", Timeout: 3 * sec, SizeKB: 50}
+	ev := routing.Event{Kind: routing.EventRequest, Class: "page", Timeout: 3 * sec, SizeKB: 50}
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 50
--- a/core/cells/staging.go
+++ b/core/cells/staging.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
-	"spantack/core/stages"
-	"spantack/rules"
+	"spantack/core/rollout"
+	"spantack/routing"
 )
 
 // Notes of an attempt that tell of its fill.
@@ -18,7 +18,7 @@
 )
 
 // CheckRollout holds a stage against an assignment: its rings must name cells, and leave one without the release to compare with.
-func (a *Assignment) CheckRollout(s *stages.Rollout) error {
+func (a *Assignment) CheckRollout(s *rollout.Rollout) error {
 	if s == nil {
 		return nil
 	}
@@ -40,7 +40,7 @@
 
 // SetRollout puts a release on its way, or with nil ends that: its objects are then like any others. It must fit the assignment in force.
 // Another version of the same stage goes on from where this router is.
-func (m *Admission) SetRollout(now int64, s *stages.Rollout) error {
+func (m *Admission) SetRollout(now int64, s *rollout.Rollout) error {
 	if s == nil || m.spec == nil {
 		m.rollout = nil
 		return nil
@@ -48,7 +48,7 @@
 	if m.rollout != nil && m.rollout.Continue(s) {
 		return nil
 	}
-	p, err := stages.NewProgress(s, m.documentMillis(now))
+	p, err := rollout.NewProgress(s, m.documentMillis(now))
 	if err != nil {
 		return err
 	}
@@ -68,12 +68,12 @@
 		if m.rollout.HarmObserved(i) {
 			text += ", by " + why.String()
 		}
-		m.logActions = append(m.logActions, rules.Action{Kind: rules.ActionLog, LogText: text})
+		m.logActions = append(m.logActions, routing.Action{Kind: routing.ActionLog, LogText: text})
 	}
 }
 
 // Tick lets the time of moves, of a release and of plans pass also while no request comes, and returns what is to be logged.
-func (m *Admission) Tick(now int64) []rules.Action {
+func (m *Admission) Tick(now int64) []routing.Action {
 	m.planFills(now)
 	if m.spec != nil {
 		m.measureCapacity(now)
@@ -85,7 +85,7 @@
 }
 
 // applyRolloutGate sets how old an answer to a request for the release may be in a cell, and reports whether there may be one.
-func (m *Admission) applyRolloutGate(cell string, ev *rules.Event) bool {
+func (m *Admission) applyRolloutGate(cell string, ev *routing.Event) bool {
 	lets := m.rollout.Gate(cell)
 	if lets.MadeSince > 0 {
 		ev.MinVersionTime = int64(lets.MadeSince*1000) - m.DocumentClockOffset
@@ -95,33 +95,33 @@
 }
 
 // observeForRollout books the end of an attempt for the stage that runs.
-func (m *Admission) observeForRollout(now int64, o *openRequest, ev *rules.Event) {
+func (m *Admission) observeForRollout(now int64, o *openRequest, ev *routing.Event) {
 	if m.rollout == nil {
 		return
 	}
 	switch {
 	case ev.CacheStatus == noteFilledBySource || ev.CacheStatus == noteFilledByOrigin:
-		m.countForRollout(o, stages.FillErrors, 0)
+		m.countForRollout(o, rollout.FillErrors, 0)
 	case ev.CacheStatus >= noteFillFailed:
-		m.countForRollout(o, stages.FillErrors, 1)
+		m.countForRollout(o, rollout.FillErrors, 1)
 	}
-	if ev.Outcome != rules.OutcomeServed || !ev.IsFinal {
+	if ev.Outcome != routing.OutcomeServed || !ev.IsFinal {
 		return
 	}
 	late := 0.0
 	if float64(now-o.admittedAt) > m.latencyObjective(o) {
 		late = 1
 	}
-	m.countForRollout(o, stages.LateAnswers, late)
-	m.countForRollout(o, stages.Failures, 0)
+	m.countForRollout(o, rollout.LateAnswers, late)
+	m.countForRollout(o, rollout.Failures, 0)
 }
 
 // countForRollout counts an event at its cell. Where a cell has the release, failures and fill errors are those of the release alone: among all
 // others they would be found late; of a release that renews objects they are so already before a ring opens, to compare with. Late answers are those of the whole cell, since new objects are filled first and come later by themselves, and
 // a release that harms what else its cell serves must show too.
-func (m *Admission) countForRollout(o *openRequest, measure stages.Metric, bad float64) {
+func (m *Admission) countForRollout(o *openRequest, measure rollout.Metric, bad float64) {
 	cell := m.cells[o.cell].name
-	if measure != stages.LateAnswers && !o.isRelease && m.rollout.CountsReleaseOnly(cell) {
+	if measure != rollout.LateAnswers && !o.isRelease && m.rollout.CountsReleaseOnly(cell) {
 		return
 	}
 	m.rollout.Count(cell, measure, 1, bad)
--- a/core/cells/staging_test.go
+++ b/core/cells/staging_test.go
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
-	"spantack/core/stages"
-	"spantack/rules"
+	"spantack/core/rollout"
+	"spantack/routing"
 )
 
-func pricesRelease() *stages.Rollout {
-	return &stages.Rollout{Version: 1, Name: "prices", Prefix: "bb", Since: 10_000, Rings: []stages.Ring{{Cells: []string{"one"}, OpensAt: 60_000, JudgeWithin: 300_000}}}
+func pricesRelease() *rollout.Rollout {
+	return &rollout.Rollout{Version: 1, Name: "prices", Prefix: "bb", Since: 10_000, Rings: []rollout.Ring{{Cells: []string{"one"}, OpensAt: 60_000, JudgeWithin: 300_000}}}
 }
 
 // runReleaseDay sends requests of both cells for so many seconds, a tenth of them for the release; in cell one, a part of those is late. It
@@ -23,7 +23,7 @@
 	n := 0
 	for now := 10 * sec; now < (10+seconds)*sec; now += 4 * msec {
 		n++
-		ev := rules.Event{Kind: rules.EventRequest, RequestID: fmt.Sprint("r", n), Class: "page", Timeout: 3 * sec, SizeKB: 5, Object: fmt.Sprintf("aa%014x", n%100)}
+		ev := routing.Event{Kind: routing.EventRequest, RequestID: fmt.Sprint("r", n), Class: "page", Timeout: 3 * sec, SizeKB: 5, Object: fmt.Sprintf("aa%014x", n%100)}
 		cell := "two"
 		if n%2 == 0 {
 			ev.PurgeGroup, cell = 3, "one"
@@ -35,19 +35,19 @@
 			ev.Object = fmt.Sprintf("bb%014x", n%100)
 		}
 		at := now
-		for _, act := range m.Step(now, []rules.Event{ev}) {
+		for _, act := range m.Step(now, []routing.Event{ev}) {
 			switch act.Kind {
-			case rules.ActionLog:
+			case routing.ActionLog:
 				log += act.LogText + "\n"
-			case rules.ActionSend:
+			case routing.ActionSend:
 				if release {
 					in[fmt.Sprintf("%s after %v", cell, now >= 60*sec)]++
 				}
 				if rng.Float64() < 0.01 || release && rng.Float64() < late {
 					at += sec
 				}
-				m.Step(at, []rules.Event{{Kind: rules.EventOutcome, RequestID: act.RequestID, Server: act.Server, Outcome: rules.OutcomeServed, CacheStatus: 1, ResponseTime: at - now, IsFinal: true}})
-			case rules.ActionReject:
+				m.Step(at, []routing.Event{{Kind: routing.EventOutcome, RequestID: act.RequestID, Server: act.Server, Outcome: routing.OutcomeServed, CacheStatus: 1, ResponseTime: at - now, IsFinal: true}})
+			case routing.ActionReject:
 				if !release {
 					t.Fatalf("a request that is none of the release's is refused: %v", m.Stats.Rejected)
 				}
@@ -76,14 +76,14 @@
 		t.Fatal(err)
 	}
 	a := &testClient{t: t, admission: m, now: 122 * sec}
-	a.request(rules.Event{PurgeGroup: 3, Object: "aa00"})
-	if got := a.request(rules.Event{PurgeGroup: 3, Object: "bb00"}); got != "" || m.RolloutStatus().Rings[0].State != "stopped" {
+	a.request(routing.Event{PurgeGroup: 3, Object: "aa00"})
+	if got := a.request(routing.Event{PurgeGroup: 3, Object: "bb00"}); got != "" || m.RolloutStatus().Rings[0].State != "stopped" {
 		t.Errorf("after the document stopped it: %q, %+v", got, m.RolloutStatus())
 	}
 	if err := m.SetRollout(123*sec, nil); err != nil || m.RolloutStatus() != nil {
 		t.Error("ended, and still there")
 	}
-	if got := a.request(rules.Event{PurgeGroup: 50, Object: "bb00"}); got == "" {
+	if got := a.request(routing.Event{PurgeGroup: 50, Object: "bb00"}); got == "" {
 		t.Error("refused with no stage in force")
 	}
 }
@@ -113,8 +113,8 @@
 	n := 0
 	ask := func(now int64, group int64, object string) int64 {
 		n++
-		for _, a := range m.Step(now, []rules.Event{{Kind: rules.EventRequest, RequestID: fmt.Sprint("a", n), Class: "page", Timeout: 3 * sec, SizeKB: 5, PurgeGroup: group, Object: object}}) {
-			if a.Kind == rules.ActionSend {
+		for _, a := range m.Step(now, []routing.Event{{Kind: routing.EventRequest, RequestID: fmt.Sprint("a", n), Class: "page", Timeout: 3 * sec, SizeKB: 5, PurgeGroup: group, Object: object}}) {
+			if a.Kind == routing.ActionSend {
 				return a.MaxAge
 			}
 		}
@@ -162,11 +162,11 @@
 
 func TestCheckRolloutNamesTheField(t *testing.T) {
 	a := mustCompile(t, twoCells())
-	for want, spoil := range map[string]func(*stages.Rollout){
-		"":                                 func(*stages.Rollout) {},
-		"stage.name: ":                     func(s *stages.Rollout) { s.Name = "" },
-		"stage.rings[0].cells:":            func(s *stages.Rollout) { s.Rings[0].Cells = []string{"x"} },
-		"stage.rings[0].cells: every cell": func(s *stages.Rollout) { s.Rings[0].Cells = []string{"one", "two"} },
+	for want, spoil := range map[string]func(*rollout.Rollout){
+		"":                                 func(*rollout.Rollout) {},
+		"stage.name: ":                     func(s *rollout.Rollout) { s.Name = "" },
+		"stage.rings[0].cells:":            func(s *rollout.Rollout) { s.Rings[0].Cells = []string{"x"} },
+		"stage.rings[0].cells: every cell": func(s *rollout.Rollout) { s.Rings[0].Cells = []string{"one", "two"} },
 	} {
 		s := pricesRelease()
 		spoil(s)
--- a/core/roster/roster.go
+++ b/core/endpoints/roster.go
@@ -1,7 +1,7 @@
-// Package roster keeps the list of servers as it was told, and apart from it what staff have taken out by hand and what the fleet's verdicts keep off. A server that
+// Package endpoints keeps the list of servers as it was told, and apart from it what staff have taken out by hand and what the fleet's verdicts keep off. A server that
 // is out reaches the decision module as one that drains: nothing new goes to it, as request or as source of a fill, whatever the
 // list says of it meanwhile, until it is put back. What a process remembers of that is handed on as Outs, to its successor too.
-package roster
+package endpoints
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 const (
@@ -31,22 +31,22 @@
 
 // List is one router's list. It is not safe for concurrent use.
 type List struct {
-	rows     map[string]rules.Endpoint // as told last; gone ones are not in it
+	rows     map[string]routing.Endpoint // as told last; gone ones are not in it
 	excluded map[string]bool
 	ejected  map[string]bool // by verdict: never handed on, never in Outs
 }
 
 // New returns an empty list with nothing out.
 func New() *List {
-	return &List{rows: map[string]rules.Endpoint{}, excluded: map[string]bool{}, ejected: map[string]bool{}}
+	return &List{rows: map[string]routing.Endpoint{}, excluded: map[string]bool{}, ejected: map[string]bool{}}
 }
 
 // Update takes a change of the list, or the whole list, and returns it as the decision module is to hear it.
-func (r *List) Update(snapshot bool, rows []rules.Endpoint) []rules.Endpoint {
+func (r *List) Update(snapshot bool, rows []routing.Endpoint) []routing.Endpoint {
 	if snapshot {
 		clear(r.rows)
 	}
-	effective := make([]rules.Endpoint, 0, len(rows))
+	effective := make([]routing.Endpoint, 0, len(rows))
 	for _, row := range rows {
 		if row.Status == statusDeregistered {
 			delete(r.rows, row.Server)
@@ -59,7 +59,7 @@
 }
 
 // effective is a row as the module is to hear it.
-func (r *List) effective(row rules.Endpoint) rules.Endpoint {
+func (r *List) effective(row routing.Endpoint) routing.Endpoint {
 	if row.Status == statusHealthy && (r.excluded[row.Server] || r.ejected[row.Server]) {
 		row.Status = statusCordoned
 	}
@@ -67,7 +67,7 @@
 }
 
 // Exclude takes a listed server out and returns the rows that the module has to hear; none where it was out already.
-func (r *List) Exclude(id string) ([]rules.Endpoint, error) {
+func (r *List) Exclude(id string) ([]routing.Endpoint, error) {
 	row, listed := r.rows[id]
 	switch {
 	case r.excluded[id]:
@@ -78,11 +78,11 @@
 		return nil, ErrTooManyExclusions
 	}
 	r.excluded[id] = true
-	return []rules.Endpoint{r.effective(row)}, nil
+	return []routing.Endpoint{r.effective(row)}, nil
 }
 
 // Reinstate puts a server back, however often it was taken out, listed or not.
-func (r *List) Reinstate(id string) ([]rules.Endpoint, error) {
+func (r *List) Reinstate(id string) ([]routing.Endpoint, error) {
 	row, listed := r.rows[id]
 	was := r.excluded[id]
 	delete(r.excluded, id)
@@ -92,11 +92,11 @@
 	case !listed || !was:
 		return nil, nil
 	}
-	return []rules.Endpoint{r.effective(row)}, nil
+	return []routing.Endpoint{r.effective(row)}, nil
 }
 
 // SetEjected replaces what verdicts keep off and returns the rows that the module has to hear. Servers that are not listed count when they are.
-func (r *List) SetEjected(ids []string) (changed []rules.Endpoint) {
+func (r *List) SetEjected(ids []string) (changed []routing.Endpoint) {
 	next := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		next[id] = true
@@ -118,7 +118,7 @@
 func (r *List) Exclusions() []string { return slices.Sorted(maps.Keys(r.excluded)) }
 
 // ReplaceExclusions replaces what is out and returns the rows that the module has to hear. It refuses a set that it could not have made.
-func (r *List) ReplaceExclusions(ids []string) ([]rules.Endpoint, error) {
+func (r *List) ReplaceExclusions(ids []string) ([]routing.Endpoint, error) {
 	if len(ids) > MaxExclusions {
 		return nil, fmt.Errorf("%d ids: %w", len(ids), ErrTooManyExclusions)
 	}
@@ -129,7 +129,7 @@
 		}
 		next[id] = true
 	}
-	var changed []rules.Endpoint
+	var changed []routing.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(r.rows)) {
 		if r.excluded[id] != next[id] {
 			changed = append(changed, r.rows[id])
@@ -143,7 +143,7 @@
 }
 
 // Count tells how many listed servers there are for which keep is true, and how many of them are out or among avoided.
-func (r *List) Count(matches func(rules.Endpoint) bool, avoided []string) (listed, unavailable int) {
+func (r *List) Count(matches func(routing.Endpoint) bool, avoided []string) (listed, unavailable int) {
 	for id, row := range r.rows {
 		if !matches(row) {
 			continue
--- a/core/roster/roster_test.go
+++ b/core/endpoints/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"errors"
@@ -8,14 +8,14 @@
 
 	"pgregory.net/rapid"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
-func row(id string, status rules.EndpointStatus) rules.Endpoint {
-	return rules.Endpoint{Server: id, Kind: "box", Status: status}
+func row(id string, status routing.EndpointStatus) routing.Endpoint {
+	return routing.Endpoint{Server: id, Kind: "box", Status: status}
 }
 
-func statuses(rows []rules.Endpoint) string {
+func statuses(rows []routing.Endpoint) string {
 	text := ""
 	for _, r := range rows {
 		text += r.Server + "=" + string(r.Status) + " "
@@ -26,7 +26,7 @@
 // What is out stays out through a drain, a restart and a whole new list; one call back undoes two calls out.
 func TestOutWhateverTheListSays(t *testing.T) {
 	r := New()
-	r.Update(true, []rules.Endpoint{row("a", "healthy"), row("b", "healthy")})
+	r.Update(true, []routing.Endpoint{row("a", "healthy"), row("b", "healthy")})
 	for i, want := range []string{"a=cordoned ", ""} {
 		if rows, err := r.Exclude("a"); err != nil || statuses(rows) != want {
 			t.Errorf("call %d: %v, %v", i, rows, err)
@@ -36,11 +36,11 @@
 	restarted.StartedAt = 7
 	for _, c := range []struct {
 		whole bool
-		row   rules.Endpoint
+		row   routing.Endpoint
 		want  string
 	}{{false, row("a", "cordoned"), "a=cordoned "}, {false, row("a", "deregistered"), "a=deregistered "}, {false, restarted, "a=cordoned "},
 		{true, restarted, "a=cordoned "}} {
-		if got := statuses(r.Update(c.whole, []rules.Endpoint{c.row})); got != c.want {
+		if got := statuses(r.Update(c.whole, []routing.Endpoint{c.row})); got != c.want {
 			t.Errorf("%+v: %s, want %s", c.row, got, c.want)
 		}
 	}
@@ -55,7 +55,7 @@
 
 func TestUnknown(t *testing.T) {
 	r := New()
-	r.Update(true, []rules.Endpoint{row("a", "healthy")})
+	r.Update(true, []routing.Endpoint{row("a", "healthy")})
 	if _, err := r.Exclude("x"); !errors.Is(err, ErrUnknownServer) {
 		t.Errorf("out: %v", err)
 	}
@@ -64,7 +64,7 @@
 	}
 	r.Exclude("a")
 	r.Update(true, nil)
-	if listed, off := r.Count(func(rules.Endpoint) bool { return true }, nil); listed != 0 || off != 0 {
+	if listed, off := r.Count(func(routing.Endpoint) bool { return true }, nil); listed != 0 || off != 0 {
 		t.Errorf("%d listed, %d off", listed, off)
 	}
 	if rows, err := r.Reinstate("a"); err != nil || rows != nil {
@@ -79,7 +79,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r, heard, outs := New(), map[string]string{}, map[string]bool{}
 		list := map[string]string{}
-		hear := func(rows []rules.Endpoint) {
+		hear := func(rows []routing.Endpoint) {
 			for _, row := range rows {
 				heard[row.Server] = string(row.Status)
 			}
@@ -88,14 +88,14 @@
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				status := rapid.SampledFrom([]rules.EndpointStatus{"healthy", "cordoned", "deregistered"}).Draw(t, "status")
+				status := rapid.SampledFrom([]routing.EndpointStatus{"healthy", "cordoned", "deregistered"}).Draw(t, "status")
 				list[id] = string(status)
-				hear(r.Update(false, []rules.Endpoint{row(id, status)}))
+				hear(r.Update(false, []routing.Endpoint{row(id, status)}))
 			case 1:
 				clear(heard)
 				clear(list)
 				list[id] = "healthy"
-				hear(r.Update(true, []rules.Endpoint{row(id, "healthy")}))
+				hear(r.Update(true, []routing.Endpoint{row(id, "healthy")}))
 			case 2:
 				known := outs[id] || list[id] == "healthy" || list[id] == "cordoned"
 				rows, err := r.Exclude(id)
@@ -138,7 +138,7 @@
 
 func TestAdoptRefuses(t *testing.T) {
 	r := New()
-	r.Update(true, []rules.Endpoint{row("a", "healthy")})
+	r.Update(true, []routing.Endpoint{row("a", "healthy")})
 	r.Exclude("a")
 	for _, ids := range [][]string{{""}, {string(make([]byte, maxIDLength+1))}, make([]string, MaxExclusions+1)} {
 		if _, err := r.ReplaceExclusions(ids); err == nil {
--- a/core/roster/shun_test.go
+++ b/core/endpoints/shun_test.go
@@ -1,15 +1,15 @@
-package roster
+package endpoints
 
 import (
 	"testing"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // What a verdict keeps off drains for the module, apart from what staff took out: neither undoes the other, and a verdict is never handed on.
 func TestShun(t *testing.T) {
 	r := New()
-	r.Update(true, []rules.Endpoint{{Server: "a", Status: "healthy"}, {Server: "b", Status: "healthy"}, {Server: "c", Status: "cordoned"}})
+	r.Update(true, []routing.Endpoint{{Server: "a", Status: "healthy"}, {Server: "b", Status: "healthy"}, {Server: "c", Status: "cordoned"}})
 	if rows := r.SetEjected([]string{"a", "c", "x"}); len(rows) != 1 || rows[0].Server != "a" || rows[0].Status != "cordoned" {
 		t.Fatalf("%+v", rows)
 	}
@@ -29,7 +29,7 @@
 	if outs := r.Exclusions(); len(outs) != 0 {
 		t.Errorf("a verdict is handed on: %v", outs)
 	}
-	if rows := r.Update(false, []rules.Endpoint{{Server: "x", Status: "healthy"}}); rows[0].Status != "healthy" {
+	if rows := r.Update(false, []routing.Endpoint{{Server: "x", Status: "healthy"}}); rows[0].Status != "healthy" {
 		t.Errorf("%+v", rows)
 	}
 	if rows := r.SetEjected(nil); len(rows) != 1 || rows[0].Status != "healthy" {
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"spantack/core/peers"
+	"spantack/core/gossip"
 )
 
 const second = int64(1_000_000)
@@ -428,7 +428,7 @@
 
 // Routers of the version before are in the fleet while it is upgraded: each side drops the other's datagrams as of an unknown kind, and goes on.
 func TestVersionsIgnoreOneAnother(t *testing.T) {
-	old, err := peers.New(peers.Options{Rank: 1, FleetSize: 20, Sites: 4, Incarnation: 1})
+	old, err := gossip.New(gossip.Options{Rank: 1, FleetSize: 20, Sites: 4, Incarnation: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -438,7 +438,7 @@
 	}
 	heard := 0
 	n.Send = func(to int, b []byte) {
-		if heard++; !errors.Is(old.Receive(second, 0, b, func(string) {}), peers.ErrMalformed) {
+		if heard++; !errors.Is(old.Receive(second, 0, b, func(string) {}), gossip.ErrMalformed) {
 			t.Errorf("a router of the version before takes %x for its own", b)
 		}
 	}
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"spantack/core/gossip"
 	"spantack/core/lease"
-	"spantack/core/peers"
 )
 
 // MemberState is what a router is held for.
@@ -43,15 +43,15 @@
 
 // member is a router as this one knows it.
 type member struct {
-	update                                  // what is known, and passed on
-	replayWindow         peers.ReplayWindow // datagrams of it that came
-	lastReceivedAt       int64              // when; 0: never
-	suspicionEndsAt      int64              // of StateSuspect: when it is declared dead
-	suspectedAt          int64              // of StateSuspect
-	confirmedBy          [3]int             // who else suspects it
-	confirmations        int                // how many of them
-	transmissions        int                // how often the update is still to be passed on
-	needsSuspicionNotice bool               // it was suspected or declared dead when it was heard itself: it must hear of that
+	update                                   // what is known, and passed on
+	replayWindow         gossip.ReplayWindow // datagrams of it that came
+	lastReceivedAt       int64               // when; 0: never
+	suspicionEndsAt      int64               // of StateSuspect: when it is declared dead
+	suspectedAt          int64               // of StateSuspect
+	confirmedBy          [3]int              // who else suspects it
+	confirmations        int                 // how many of them
+	transmissions        int                 // how often the update is still to be passed on
+	needsSuspicionNotice bool                // it was suspected or declared dead when it was heard itself: it must hear of that
 }
 
 // supersedes reports that a replaces b: by incarnation, refutation, and of the same the graver state.
@@ -128,7 +128,7 @@
 
 // New returns a node that starts now and knows nothing but the settings. Its error names the option at fault.
 func New(now int64, o Options) (*Node, error) {
-	if err := peers.ValidatePlacement(o.Rank, o.FleetSize, o.Site, o.Sites); err != nil {
+	if err := gossip.ValidatePlacement(o.Rank, o.FleetSize, o.Site, o.Sites); err != nil {
 		return nil, err
 	}
 	if len(o.Limits) > maxLimits {
--- a/core/peers/peers.go
+++ b/core/gossip/peers.go
@@ -1,11 +1,11 @@
-// Package peers decides what a router tells the others of its tier of servers that all of them share, and what it believes of
+// Package gossip decides what a router tells the others of its tier of servers that all of them share, and what it believes of
 // what they tell. A server is taken for crowded when routers of two depots have said so within a second. It does no I/O and
 // reads no clock; times are microseconds, and never run backwards.
 //
 // Promises, whatever comes in: a datagram of MaxDatagramSize bytes at most; no more than sendBurst of them at once, and sendInterval between
 // them on average; memory for maxTrackedServers servers and one entry for each router of the tier; what was told longer than
 // reportLifetime ago counts no more, so that silent or cut-off peers leave a router with its own knowledge.
-package peers
+package gossip
 
 import (
 	"errors"
--- a/core/peers/wire_compat_test.go
+++ b/core/gossip/wire_compat_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"bytes"
--- a/core/moves/document.go
+++ b/core/migration/document.go
@@ -1,4 +1,4 @@
-// Package moves takes tenants from one cell to another while they are served. How far a move may be at a moment follows from its
+// Package migration takes tenants from one cell to another while they are served. How far a move may be at a moment follows from its
 // document and the clock alone, so that routers which share nothing stay together: a router's share of a move lies between Floor and
 // Share, and what it does between them follows what it sees of the cells (Pacer) and what the new cell bears (CapacityLimiter).
 //
@@ -7,7 +7,7 @@
 // two versions of a document a router goes from its share to where the later one lets it be at MaxRiseRate and MaxFallRate, and jumps nowhere.
 //
 // The package does no I/O and reads no clock: times come in as Unix milliseconds.
-package moves
+package migration
 
 import (
 	"errors"
--- a/core/moves/room.go
+++ b/core/migration/room.go
@@ -1,4 +1,4 @@
-package moves
+package migration
 
 import "math"
 
--- a/core/moves/order/order.go
+++ b/core/migration/schedule/order.go
@@ -1,6 +1,6 @@
-// Package order decides when each of many tenants moves: as many at once as the limits of cells, link and head office bear. The router
+// Package schedule decides when each of many tenants moves: as many at once as the limits of cells, link and head office bear. The router
 // does not need it.
-package order
+package schedule
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"gonum.org/v1/gonum/graph/simple"
 	"gonum.org/v1/gonum/graph/topo"
 
-	"spantack/core/moves"
+	"spantack/core/migration"
 )
 
 // Request is a tenant that is to move in a depot. Rates are KB a second, of all the depot's routers together.
@@ -51,7 +51,7 @@
 
 // Schedule is when each tenant moves. A tenant for whom there is no room at any time is left out, with the reason.
 type Schedule struct {
-	Migrations  []moves.Migration
+	Migrations  []migration.Migration
 	End         float64            // when the last has shifted
 	LowerBound  float64            // no schedule that keeps the limits ends sooner
 	PeakUse     map[string]float64 // greatest part of each limit in use, by its name
@@ -141,15 +141,15 @@
 	for _, l := range p.limits {
 		s.PeakUse[l.name] = slices.Max(l.used) / l.capacity
 	}
-	slices.SortStableFunc(s.Migrations, func(a, b moves.Migration) int {
+	slices.SortStableFunc(s.Migrations, func(a, b migration.Migration) int {
 		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	return s, nil
 }
 
 func (a *Constraints) validate(wishes []Request) error {
-	if !(a.Start > 0) || !(a.MinShift >= moves.ShortestShiftMs) || !(a.MaxShiftFactor >= 1) || !(a.WarmUp >= 0) || !(a.Settle >= 0) || !(a.SiteFillKbPerS >= 0) || !(a.OriginFillKbPerS >= 0) || !(a.OriginFillFraction >= 0 && a.OriginFillFraction <= 1) {
-		return fmt.Errorf("%w: start above 0, shift %d ms or more, slow 1 or more, deep 0 to 1, the rest 0 or more", ErrInvalid, moves.ShortestShiftMs)
+	if !(a.Start > 0) || !(a.MinShift >= migration.ShortestShiftMs) || !(a.MaxShiftFactor >= 1) || !(a.WarmUp >= 0) || !(a.Settle >= 0) || !(a.SiteFillKbPerS >= 0) || !(a.OriginFillKbPerS >= 0) || !(a.OriginFillFraction >= 0 && a.OriginFillFraction <= 1) {
+		return fmt.Errorf("%w: start above 0, shift %d ms or more, slow 1 or more, deep 0 to 1, the rest 0 or more", ErrInvalid, migration.ShortestShiftMs)
 	}
 	seen := map[string]bool{}
 	for _, w := range wishes {
@@ -305,10 +305,10 @@
 // addMigrations writes the moves of a trip.
 func (p *planner) addMigrations(t batch, at int, s *Schedule) {
 	for _, w := range t.requests {
-		m := moves.Migration{Tenant: w.Tenant, Site: p.constraints.Site, From: w.From, To: w.To, Start: p.constraints.Start + float64(at)*slotMs, MinShift: t.durationMs, Settle: p.constraints.Settle, HotObjects: w.HotObjects}
+		m := migration.Migration{Tenant: w.Tenant, Site: p.constraints.Site, From: w.From, To: w.To, Start: p.constraints.Start + float64(at)*slotMs, MinShift: t.durationMs, Settle: p.constraints.Settle, HotObjects: w.HotObjects}
 		if len(w.HotObjects) > 0 {
 			m.WarmUp = p.constraints.WarmUp
-			m.MinShift = max(t.durationMs-m.WarmUp, moves.ShortestShiftMs)
+			m.MinShift = max(t.durationMs-m.WarmUp, migration.ShortestShiftMs)
 		}
 		m.MaxShift = p.constraints.MaxShiftFactor * m.MinShift
 		s.Migrations = append(s.Migrations, m)
@@ -386,7 +386,7 @@
 }
 
 // Cycles lists cells whose moves wait for each other's room, each circle from its least cell on: A to B, B to C, C to A.
-func Cycles(d *moves.Document) [][]string {
+func Cycles(d *migration.Document) [][]string {
 	g, names := cellGraph(func(each func(from, to string)) {
 		for _, m := range d.Migrations {
 			each(m.From, m.To)
--- a/core/moves/order/order_test.go
+++ b/core/migration/schedule/order_test.go
@@ -1,4 +1,4 @@
-package order
+package schedule
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"spantack/core/moves"
+	"spantack/core/migration"
 	"spantack/internal/testseed"
 )
 
@@ -52,7 +52,7 @@
 			t.Fatalf("ends at %v, before the bound %v", s.End, s.LowerBound)
 		}
 		if len(s.Migrations) > 0 {
-			if err := (&moves.Document{Version: 1, Migrations: s.Migrations}).Validate(start, nil); err != nil {
+			if err := (&migration.Document{Version: 1, Migrations: s.Migrations}).Validate(start, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -102,7 +102,7 @@
 			t.Errorf("not at one pace: %+v", s.Migrations)
 		}
 	}
-	if got := fmt.Sprint(Cycles(&moves.Document{Migrations: s.Migrations})); got != "[[a b c]]" {
+	if got := fmt.Sprint(Cycles(&migration.Document{Migrations: s.Migrations})); got != "[[a b c]]" {
 		t.Error(got)
 	}
 	s, err = Plan(append(wishes, Request{"4", "a", "b", 3000, 90_000, nil}), aim(cells))
--- a/core/shield/limit.go
+++ b/core/originlimit/limit.go
@@ -1,11 +1,11 @@
-// Package shield bounds what reaches the head office: how many fills a router may have out there, without talk between routers and without
+// Package originlimit bounds what reaches the head office: how many fills a router may have out there, without talk between routers and without
 // a request that nobody asked for.
 //
 // The guarantee is in Limit: over all routers together never more than Burst times the document's limit are out, and a reserve of it is open to
 // uncacheable requests alone. Within that a controller moves each router's limit by how long its own fills take and how many fail.
 //
 // The package does no I/O and reads no clock: times come in, in ms.
-package shield
+package originlimit
 
 import (
 	"errors"
--- a/core/shield/wire_compat_test.go
+++ b/core/originlimit/wire_compat_test.go
@@ -1,4 +1,4 @@
-package shield
+package originlimit
 
 import (
 	"testing"
--- a/core/stages/judge.go
+++ b/core/rollout/judge.go
@@ -1,11 +1,11 @@
-// Package stages lets a release or a price file into cells ring by ring, and judges each ring against the cells that are still on the old
+// Package rollout lets a release or a price file into cells ring by ring, and judges each ring against the cells that are still on the old
 // version. Harmful stops it.
 //
 // The guarantee: as long as bad events of ring and control come independently but for bursts as in the time before, a release that does no
 // harm is stopped with probability Alpha at most, however long and however often one looks (Ville's inequality), all measures together.
 //
 // The package does no I/O and reads no clock: counts and times come in.
-package stages
+package rollout
 
 import (
 	"errors"
--- a/core/stages/stage.go
+++ b/core/rollout/stage.go
@@ -1,4 +1,4 @@
-package stages
+package rollout
 
 import (
 	"errors"
--- a/core/sched/sched.go
+++ b/core/scheduler/sched.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
--- a/core/sched/wheel.go
+++ b/core/scheduler/wheel.go
@@ -1,9 +1,9 @@
-// Package sched is for work that can wait: a timing wheel for very many timers, and a scheduler of background work with
+// Package scheduler is for work that can wait: a timing wheel for very many timers, and a scheduler of background work with
 // priorities, deadlines and budgets.
 //
 // It does no I/O and reads no clock: times come in as microseconds of the caller's choosing, random numbers from a seed.
 // Nothing in it is safe for concurrent use.
-package sched
+package scheduler
 
 import (
 	"cmp"
--- a/emulator/caches.go
+++ b/emulator/caches.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 func (w *World) addServer(s server) int32 {
@@ -104,7 +104,7 @@
 	s := &w.servers[t.node]
 	rq := &w.requests[t.request]
 	if !s.up {
-		w.end(id, rules.OutcomeConnectionRefused, 0)
+		w.end(id, routing.OutcomeConnectionRefused, 0)
 		return
 	}
 	if rq.atServer++; rq.atServer > 1 {
@@ -113,24 +113,24 @@
 	t.arrived = true
 	wi := &w.wishes[rq.wish]
 	if wi.release && !w.cfg.Release.Renews && s.kind == cacheServer && w.harmed(wi) {
-		w.end(id, rules.OutcomeError, 0)
+		w.end(id, routing.OutcomeError, 0)
 		return
 	}
 	if bad := w.poisoned(wi); bad == "err" || bad == "spoilt" {
 		if s.kind == cacheServer {
 			if bad == "err" {
-				w.end(id, rules.OutcomeError, 0)
+				w.end(id, routing.OutcomeError, 0)
 			} else {
-				w.end(id, rules.OutcomeConnectionReset, 0)
+				w.end(id, routing.OutcomeConnectionReset, 0)
 			}
 			return
 		}
 	} else if bad == "root" && s.kind == originServer {
-		w.end(id, rules.OutcomeError, 10)
+		w.end(id, routing.OutcomeError, 10)
 		return
 	}
 	if s.active >= s.most {
-		w.end(id, rules.OutcomeRejected, 0)
+		w.end(id, routing.OutcomeRejected, 0)
 		return
 	}
 	if !w.coldBears(t.node, wi.kb, rq.router) {
@@ -155,12 +155,12 @@
 		t.made, t.note = made, 1
 		w.flow(id, t.node)
 	case t.source < 0:
-		w.end(id, rules.OutcomeMiss, 0)
+		w.end(id, routing.OutcomeMiss, 0)
 	case s.kind == parentServer:
 		t.note = 3
 		w.join(t.node, id)
 	case s.fills >= 5*int(s.channel):
-		w.end(id, rules.OutcomeRejected, 9)
+		w.end(id, routing.OutcomeRejected, 9)
 	default:
 		s.fills++
 		t.filling, t.asked = true, w.now
--- a/emulator/clients.go
+++ b/emulator/clients.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strconv"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // gap is the time to the next arrival in a depot.
@@ -241,7 +241,7 @@
 			w.requests[q].try = -1
 		}
 		w.requests[q].answered = true // none is owed any more
-		w.step(rq.router, rules.Event{Kind: rules.EventAborted, RequestID: rq.call})
+		w.step(rq.router, routing.Event{Kind: routing.EventAborted, RequestID: rq.call})
 	}
 	w.freeRequest(q)
 	wi := &w.wishes[rq.wish]
--- a/emulator/config.go
+++ b/emulator/config.go
@@ -12,10 +12,10 @@
 
 	"spantack/core/cells"
 	"spantack/core/hierarchy"
-	"spantack/core/moves"
-	"spantack/core/shield"
-	"spantack/core/stages"
-	"spantack/rules"
+	"spantack/core/migration"
+	"spantack/core/originlimit"
+	"spantack/core/rollout"
+	"spantack/routing"
 )
 
 // Config describes a world and its day. Times are seconds or, where the name says so, milliseconds.
@@ -57,9 +57,9 @@
 	// DropFetches lets area caches end what they fetch from the head office once nobody waits for it. Else it goes on to its end, and is kept.
 	DropFetches bool `json:"dropFetches,omitempty"`
 
-	Release *Release            `json:"release,omitempty"`
-	Shape   *hierarchy.Topology `json:"-"` // nil: fills go to all area caches alike
-	Shield  *shield.Document    `json:"-"` // nil: no limit at the head office but that of rules
+	Release *Release              `json:"release,omitempty"`
+	Shape   *hierarchy.Topology   `json:"-"` // nil: fills go to all area caches alike
+	Shield  *originlimit.Document `json:"-"` // nil: no limit at the head office but that of rules
 
 	Talk *Talk `json:"talk,omitempty"` // nil: routers tell one another nothing
 	Hot  *Hot  `json:"hot,omitempty"`
@@ -75,8 +75,8 @@
 // later has the last one.
 type Change struct {
 	AtS   float64
-	Cells *cells.Spec     // nil: the one before stays
-	Moves *moves.Document // nil: the one before stays
+	Cells *cells.Spec         // nil: the one before stays
+	Moves *migration.Document // nil: the one before stays
 }
 
 // Flood is one tenant at a multiple of its load for a while.
@@ -101,12 +101,12 @@
 // with names of their own, or with Renews objects asked for all day, which the head office gives out in the new version from FromS on,
 // until BackS (0: for good).
 type Release struct {
-	FromS  float64         `json:"fromS"`
-	Part   float64         `json:"part"` // of catalogue requests
-	Harm   float64         `json:"harm"` // part of its objects that fail at every cache; of renewed ones, those that were made new
-	Renews bool            `json:"renews,omitempty"`
-	BackS  float64         `json:"backS,omitempty"`
-	Stage  *stages.Rollout `json:"stage"`
+	FromS  float64          `json:"fromS"`
+	Part   float64          `json:"part"` // of catalogue requests
+	Harm   float64          `json:"harm"` // part of its objects that fail at every cache; of renewed ones, those that were made new
+	Renews bool             `json:"renews,omitempty"`
+	BackS  float64          `json:"backS,omitempty"`
+	Stage  *rollout.Rollout `json:"stage"`
 }
 
 // releaseFamily is the group of a release's objects.
@@ -266,26 +266,26 @@
 }
 
 // settings are what a router of the depot is told.
-func (c *Config) settings(depot int) rules.Settings {
-	set := rules.Settings{
+func (c *Config) settings(depot int) routing.Settings {
+	set := routing.Settings{
 		Discovery: "automatic",
-		Hierarchy: rules.CacheHierarchy{PurgeGracePeriod: 300 * ms, OriginKind: 2, ParentKind: 1, CacheStatusReporting: "all", ResponseKBPerSecond: paceKbS,
+		Hierarchy: routing.CacheHierarchy{PurgeGracePeriod: 300 * ms, OriginKind: 2, ParentKind: 1, CacheStatusReporting: "all", ResponseKBPerSecond: paceKbS,
 			ParentInitialCapacity: parentColdFrom, ParentWarmUpTime: parentColdFor, PurgePropagationTime: 6 * sec, AllowsDirectFetch: true, ParentOverloadMultiple: parentFall},
-		Guarantees: rules.Guarantees{MaxPollInterval: 10 * sec, WarmUpTime: cacheColdFor, InitialCapacity: cacheColdFrom, OverloadWindow: fallSpan,
+		Guarantees: routing.Guarantees{MaxPollInterval: 10 * sec, WarmUpTime: cacheColdFor, InitialCapacity: cacheColdFrom, OverloadWindow: fallSpan,
 			AnswerGracePeriod: 8 * ms, DrainGracePeriod: drainBinds, OverloadMultiple: cacheFall},
 		Kinds:        []string{"small-box", "area", "head-office"},
-		Permissions:  rules.Permissions{MayCancel: true, DialTimeout: 400 * ms, MaxAttempts: 8, MaxRetryAfter: sec, SendsRetryAfter: true},
+		Permissions:  routing.Permissions{MayCancel: true, DialTimeout: 400 * ms, MaxAttempts: 8, MaxRetryAfter: sec, SendsRetryAfter: true},
 		FleetSize:    c.Routers * c.Depots,
 		WeightSource: "nominal",
 		Zone:         zoneName(depot),
 		Zones:        []string{"hub"},
 	}
 	for i, cl := range classOf {
-		effect := rules.IdempotentRead
+		effect := routing.IdempotentRead
 		if i == report {
-			effect = rules.IdempotentKey
+			effect = routing.IdempotentKey
 		}
-		set.Classes = append(set.Classes, rules.Class{Name: cl.name, ObjectiveSizeFactor: cl.stretch, Deadline: int64(cl.allow) * ms,
+		set.Classes = append(set.Classes, routing.Class{Name: cl.name, ObjectiveSizeFactor: cl.stretch, Deadline: int64(cl.allow) * ms,
 			LatencyObjective: int64(c.promise(i)) * ms, PriorityWeight: cl.gain, LateWeightFactor: cl.late, DeduplicationScope: "all", Idempotency: effect, DeduplicationWindow: 6 * sec})
 		set.Hierarchy.Uncacheable = append(set.Hierarchy.Uncacheable, i == report)
 		set.Hierarchy.Chunked = append(set.Hierarchy.Chunked, i == video)
@@ -343,8 +343,8 @@
 
 // ShieldBy is the document of the head office's shield under a law, as staff who know the head office would write it: a fill takes twice the way
 // on a usual day, and an area cache goes on with a fetch for longer than any client waits. With forget, nothing is reckoned to go on.
-func (c *Config) ShieldBy(law string, forget bool) *shield.Document {
-	d := &shield.Document{Algorithm: law, MaxInFlight: c.originKnee(), Reserve: 0.1, Burst: 2, BaselineMs: 2 * ms2(2*hubWay+2*c.originWay()+originAsk), AbandonedFetchMs: 10_000}
+func (c *Config) ShieldBy(law string, forget bool) *originlimit.Document {
+	d := &originlimit.Document{Algorithm: law, MaxInFlight: c.originKnee(), Reserve: 0.1, Burst: 2, BaselineMs: 2 * ms2(2*hubWay+2*c.originWay()+originAsk), AbandonedFetchMs: 10_000}
 	if forget {
 		d.AbandonedFetchMs = 0
 	}
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"spantack/internal/testseed"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -225,6 +225,6 @@
 	}
 }
 
-func actionTo(server string) rules.Action {
-	return rules.Action{Kind: rules.ActionSend, Server: server, Timeout: sec}
+func actionTo(server string) routing.Action {
+	return routing.Action{Kind: routing.ActionSend, Server: server, Timeout: sec}
 }
--- a/emulator/faults.go
+++ b/emulator/faults.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // kill ends a server's process: what is out at it breaks.
@@ -20,7 +20,7 @@
 			continue
 		}
 		if t.node == id && (t.arrived || t.active) {
-			w.end(int32(i), rules.OutcomeConnectionReset, 0)
+			w.end(int32(i), routing.OutcomeConnectionReset, 0)
 		} else if t.source == id && t.srcActive {
 			t.srcActive = false
 			s.active--
--- a/emulator/links.go
+++ b/emulator/links.go
@@ -3,7 +3,7 @@
 // Links share their capacity among transfers; an attempt's data runs over all on its way at once.
 
 import (
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // way is the time from a router or a cache of a depot to a server.
@@ -125,10 +125,10 @@
 		t.waited = max(w.now-t.asked-int64(w.kbOf(id)/paceKbS*float64(sec)), 0)
 	}
 	if wi := &w.wishes[w.requests[t.request].wish]; wi.release && w.renewed(t.made) && w.harmed(wi) {
-		w.end(id, rules.OutcomeError, 0)
+		w.end(id, routing.OutcomeError, 0)
 		return
 	}
-	w.end(id, rules.OutcomeServed, t.note)
+	w.end(id, routing.OutcomeServed, t.note)
 }
 
 // flow sets an attempt's data on its way from a source to the router, over all that lies between.
--- a/emulator/moving.go
+++ b/emulator/moving.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"spantack/core/cells"
-	"spantack/core/moves"
-	"spantack/core/moves/order"
+	"spantack/core/migration"
+	"spantack/core/migration/schedule"
 )
 
 // gauge measures one cell of one depot over gaugeSpan: fills, and how busy its caches are.
@@ -26,7 +26,7 @@
 // prepare checks and compiles the changes of the day.
 func (w *World) prepare() error {
 	last := w.assigned
-	var doc *moves.Document
+	var doc *migration.Document
 	for i, ch := range w.cfg.Changes {
 		var a *cells.Assignment
 		if ch.Cells != nil {
@@ -215,7 +215,7 @@
 }
 
 // wishes are the tenants that move, and where from and to.
-func (c *Config) wishes(trip *Trip) (tenants []int, wishes []order.Request) {
+func (c *Config) wishes(trip *Trip) (tenants []int, wishes []schedule.Request) {
 	spec := c.Cells
 	place := map[string]int{}
 	for i, cell := range spec.Cells {
@@ -225,7 +225,7 @@
 	shares := c.TenantShares()
 	add := func(t, to int) {
 		kb := shares[t] * c.RateS * meanKb() / float64(c.Depots)
-		w := order.Request{Tenant: spec.Tenants[t].Name, From: spec.Tenants[t].Cell, To: spec.Cells[to].Name, KbPerS: kb, FillKb: kb * order.WorkingSetSeconds}
+		w := schedule.Request{Tenant: spec.Tenants[t].Name, From: spec.Tenants[t].Cell, To: spec.Cells[to].Name, KbPerS: kb, FillKb: kb * schedule.WorkingSetSeconds}
 		drift := int(trip.StartS / c.DriftS)
 		for rank := range trip.Hot {
 			for class := video; class <= catalogue; class++ {
@@ -275,18 +275,18 @@
 		c.Changes, c.EndS = append(c.Changes, Change{AtS: trip.StartS, Cells: &next}), trip.StartS
 		return nil
 	}
-	doc := &moves.Document{Version: 1}
+	doc := &migration.Document{Version: 1}
 	start := trip.StartS * 1000
 	switch trip.Style {
 	case "planned":
-		s, err := order.Plan(wishes, c.aim(trip))
+		s, err := schedule.Plan(wishes, c.aim(trip))
 		if err != nil {
 			return err
 		}
 		doc.Migrations = s.Migrations
 	default:
 		for i, w := range wishes {
-			m := moves.Migration{Tenant: w.Tenant, Site: moves.AllSites, From: w.From, To: w.To, Start: start, WarmUp: trip.WarmS * 1000, MinShift: trip.ShiftS * 1000,
+			m := migration.Migration{Tenant: w.Tenant, Site: migration.AllSites, From: w.From, To: w.To, Start: start, WarmUp: trip.WarmS * 1000, MinShift: trip.ShiftS * 1000,
 				MaxShift: max(trip.Slow, 1) * trip.ShiftS * 1000, Settle: trip.SettleS * 1000, HotObjects: w.HotObjects}
 			switch trip.Style {
 			case "ramp":
@@ -304,26 +304,26 @@
 		c.EndS = max(c.EndS, (m.Start+m.WarmUp+m.MinShift)/1000)
 	}
 	c.Changes = append(c.Changes, Change{AtS: max(trip.StartS-3, 0), Moves: doc})
-	later := func(at float64, set func(*moves.Migration)) {
+	later := func(at float64, set func(*migration.Migration)) {
 		if at == 0 {
 			return
 		}
-		next := &moves.Document{Version: c.Changes[len(c.Changes)-1].Moves.Version + 1, Migrations: slices.Clone(c.Changes[len(c.Changes)-1].Moves.Migrations)}
+		next := &migration.Document{Version: c.Changes[len(c.Changes)-1].Moves.Version + 1, Migrations: slices.Clone(c.Changes[len(c.Changes)-1].Moves.Migrations)}
 		for i := range next.Migrations {
 			set(&next.Migrations[i])
 		}
 		c.Changes = append(c.Changes, Change{AtS: at, Moves: next})
 	}
-	later(trip.HoldS, func(m *moves.Migration) { m.PausedAt = trip.HoldS * 1000 })
-	later(trip.ResumeS, func(m *moves.Migration) { *m = m.Resumed(trip.ResumeS * 1000) })
-	later(trip.BackS, func(m *moves.Migration) { m.RollbackAt = trip.BackS*1000 + 3000 })
+	later(trip.HoldS, func(m *migration.Migration) { m.PausedAt = trip.HoldS * 1000 })
+	later(trip.ResumeS, func(m *migration.Migration) { *m = m.Resumed(trip.ResumeS * 1000) })
+	later(trip.BackS, func(m *migration.Migration) { m.RollbackAt = trip.BackS*1000 + 3000 })
 	return nil
 }
 
 // aim tells the planner what the world's cells bear on a calm day.
-func (c *Config) aim(trip *Trip) order.Constraints {
-	a := order.Constraints{Site: moves.AllSites, Start: trip.StartS * 1000, WarmUp: trip.WarmS * 1000, MinShift: trip.ShiftS * 1000, MaxShiftFactor: max(trip.Slow, 1), Settle: trip.SettleS * 1000,
-		Cells: map[string]order.CellCapacity{}, OriginFillFraction: 0.2}
+func (c *Config) aim(trip *Trip) schedule.Constraints {
+	a := schedule.Constraints{Site: migration.AllSites, Start: trip.StartS * 1000, WarmUp: trip.WarmS * 1000, MinShift: trip.ShiftS * 1000, MaxShiftFactor: max(trip.Slow, 1), Settle: trip.SettleS * 1000,
+		Cells: map[string]schedule.CellCapacity{}, OriginFillFraction: 0.2}
 	sends := c.RateS * meanKb() / float64(c.Depots)
 	fills := c.fillKbS() / float64(c.Depots) * 0.8
 	live := map[string]float64{}
@@ -331,7 +331,7 @@
 		live[c.Cells.Tenants[i].Cell] += share
 	}
 	for _, cell := range c.Cells.Cells {
-		a.Cells[cell.Name] = order.CellCapacity{SendKbPerS: cell.Share * float64(c.Caches*c.Channels) * paceKbS, UsedKbPerS: live[cell.Name] * sends,
+		a.Cells[cell.Name] = schedule.CellCapacity{SendKbPerS: cell.Share * float64(c.Caches*c.Channels) * paceKbS, UsedKbPerS: live[cell.Name] * sends,
 			FillKbPerS: max(budgetRoom*cell.Share*c.linkKbS()-live[cell.Name]*fills, 1)}
 	}
 	a.SiteFillKbPerS = max(budgetRoom*c.linkKbS()-fills, 1)
--- a/emulator/moving_test.go
+++ b/emulator/moving_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"spantack/core/moves"
+	"spantack/core/migration"
 )
 
 // moveDay is a small world in which twelve tenants move from second 6 on, with clocks of routers a second apart either way.
@@ -132,11 +132,11 @@
 func TestDocumentsInARace(t *testing.T) {
 	cfg := moveDay(5, Trip{})
 	first := cfg.Changes[0].Moves
-	back := &moves.Document{Version: 2, Migrations: slices.Clone(first.Migrations)}
+	back := &migration.Document{Version: 2, Migrations: slices.Clone(first.Migrations)}
 	for i := range back.Migrations {
 		back.Migrations[i].RollbackAt = 13_000
 	}
-	on := &moves.Document{Version: 3, Migrations: slices.Clone(first.Migrations)}
+	on := &migration.Document{Version: 3, Migrations: slices.Clone(first.Migrations)}
 	cfg.Changes = append(cfg.Changes, Change{AtS: 12, Moves: back}, Change{AtS: 12.5, Moves: on}) // reloads take up to 2 s: they cross
 	r := ends(t, "race", cfg, false)
 	if r.Spread == 0 || r.Spread > 0.6 {
--- a/emulator/routers.go
+++ b/emulator/routers.go
@@ -6,13 +6,13 @@
 	"strconv"
 
 	"spantack/core/cells"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // list puts a server's state into the list of servers; each router hears of it later, in order.
 func (w *World) list(id int32) {
 	s := &w.servers[id]
-	row := rules.Endpoint{Server: s.name, Zone: "hub", Kind: "area", Status: rules.EndpointStatus(s.status), Weight: s.channel, StartedAt: s.cameUp}
+	row := routing.Endpoint{Server: s.name, Zone: "hub", Kind: "area", Status: routing.EndpointStatus(s.status), Weight: s.channel, StartedAt: s.cameUp}
 	switch s.kind {
 	case cacheServer:
 		row.Zone, row.Kind = zoneName(s.depot), "small-box"
@@ -71,7 +71,7 @@
 	if r.heard >= upTo {
 		return
 	}
-	ev := rules.Event{Kind: rules.EventEndpoints, UpdateMode: "update"}
+	ev := routing.Event{Kind: routing.EventEndpoints, UpdateMode: "update"}
 	if whole {
 		ev.UpdateMode = "replace"
 	}
@@ -123,11 +123,11 @@
 	rq.end = w.now - clientWay + int64(allow-min(max(0.1*allow, 5), 25))*ms
 	if w.limits != nil && !w.limit(r, wi) {
 		r.free -= int64(w.cfg.RouterUs * 0.75)
-		w.final(e.id, rules.Action{Kind: rules.ActionReject, RetryAfter: sec / 2})
+		w.final(e.id, routing.Action{Kind: routing.ActionReject, RetryAfter: sec / 2})
 		return
 	}
 	before := r.module.Stats.Admitted
-	w.step(rq.router, rules.Event{Kind: rules.EventRequest, RequestID: rq.call, Class: classOf[wi.class].name, Object: wi.object, Chunk: int64(wi.part),
+	w.step(rq.router, routing.Event{Kind: routing.EventRequest, RequestID: rq.call, Class: classOf[wi.class].name, Object: wi.object, Chunk: int64(wi.part),
 		PurgeGroup: groupOf(wi), SizeKB: wi.kb, Timeout: rq.end - w.now})
 	if w.cfg.Cells != nil && r.module.Stats.Admitted == before {
 		r.free -= int64(w.cfg.RouterUs * 0.75)
@@ -153,33 +153,33 @@
 }
 
 // step takes an event to a router's module and does what it says.
-func (w *World) step(id int32, ev rules.Event) {
-	for _, a := range w.routers[id].module.Step(w.now, []rules.Event{ev}) {
+func (w *World) step(id int32, ev routing.Event) {
+	for _, a := range w.routers[id].module.Step(w.now, []routing.Event{ev}) {
 		switch a.Kind {
-		case rules.ActionSetTimer:
+		case routing.ActionSetTimer:
 			w.push(event{at: w.now + a.Delay, kind: evTimer, id: id, gen: w.routers[id].gen, x: a.TimerToken})
-		case rules.ActionSend:
+		case routing.ActionSend:
 			if q := w.requestOf(a.RequestID); q >= 0 && !w.requests[q].answered {
 				w.send(q, a)
 			}
-		case rules.ActionCancel:
+		case routing.ActionCancel:
 			if q := w.requestOf(a.RequestID); q >= 0 && w.requests[q].try >= 0 && w.requests[q].number == int32(a.Attempt) {
-				w.drop(w.requests[q].try, rules.OutcomeCanceled)
+				w.drop(w.requests[q].try, routing.OutcomeCanceled)
 			}
-		case rules.ActionReject, rules.ActionFail:
+		case routing.ActionReject, routing.ActionFail:
 			if q := w.requestOf(a.RequestID); q >= 0 {
 				w.final(q, a)
 			}
-		case rules.ActionReportOverload:
+		case routing.ActionReportOverload:
 			w.tells(id, a.Server)
-		case rules.ActionLog:
+		case routing.ActionLog:
 			w.staged(id)
 		}
 	}
 }
 
 // send puts an attempt on its way.
-func (w *World) send(q int32, a rules.Action) {
+func (w *World) send(q int32, a routing.Action) {
 	rq := &w.requests[q]
 	if rq.try >= 0 {
 		w.res.broken("two attempts of a request out")
@@ -191,7 +191,7 @@
 	}
 	id := take(&w.tries, &w.freeTry)
 	t := &w.tries[id]
-	*t = try{gen: t.gen + 1, request: q, rgen: rq.gen, depot: int32(w.routers[rq.router].depot), node: node, source: source, heldOnly: a.FetchFlags&rules.FetchCachedOnly != 0, maxAge: a.MaxAge,
+	*t = try{gen: t.gen + 1, request: q, rgen: rq.gen, depot: int32(w.routers[rq.router].depot), node: node, source: source, heldOnly: a.FetchFlags&routing.FetchCachedOnly != 0, maxAge: a.MaxAge,
 		sent: w.now, links: [lastStage + 1]int32{-1, -1, -1, -1}, fetch: -1}
 	rq.try = id
 	rq.number++
@@ -204,7 +204,7 @@
 }
 
 // end is how an attempt ends at its server; the router hears of it after the way back.
-func (w *World) end(id int32, code rules.AttemptOutcome, note int64) {
+func (w *World) end(id int32, code routing.AttemptOutcome, note int64) {
 	t := &w.tries[id]
 	t.code, t.note = code, note
 	w.release(id)
@@ -249,14 +249,14 @@
 		return
 	}
 	rq.try = -1
-	if t.code == rules.OutcomeServed {
+	if t.code == routing.OutcomeServed {
 		rq.served = true
 		w.answered(&t)
 		w.heeded(&t)
-		w.final(t.request, rules.Action{Kind: rules.ActionSend})
+		w.final(t.request, routing.Action{Kind: routing.ActionSend})
 	}
-	w.step(rq.router, rules.Event{Kind: rules.EventOutcome, RequestID: rq.call, Attempt: int(rq.number), Server: w.servers[t.node].name, Outcome: t.code,
-		CacheStatus: rules.CacheStatus(t.note), ResponseTime: w.now - t.sent, UpstreamWait: t.waited, IsFinal: t.code == rules.OutcomeServed, LoadReport: w.linkUse(int(t.depot))})
+	w.step(rq.router, routing.Event{Kind: routing.EventOutcome, RequestID: rq.call, Attempt: int(rq.number), Server: w.servers[t.node].name, Outcome: t.code,
+		CacheStatus: routing.CacheStatus(t.note), ResponseTime: w.now - t.sent, UpstreamWait: t.waited, IsFinal: t.code == routing.OutcomeServed, LoadReport: w.linkUse(int(t.depot))})
 }
 
 func (w *World) freeTries(id int32) {
@@ -266,7 +266,7 @@
 }
 
 // drop gives an attempt up, and tells the module.
-func (w *World) drop(id int32, code rules.AttemptOutcome) {
+func (w *World) drop(id int32, code routing.AttemptOutcome) {
 	t := w.tries[id]
 	w.freeTries(id)
 	rq := &w.requests[t.request]
@@ -274,12 +274,12 @@
 		return
 	}
 	rq.try = -1
-	w.step(rq.router, rules.Event{Kind: rules.EventOutcome, RequestID: rq.call, Attempt: int(rq.number), Server: w.servers[t.node].name, Outcome: code,
+	w.step(rq.router, routing.Event{Kind: routing.EventOutcome, RequestID: rq.call, Attempt: int(rq.number), Server: w.servers[t.node].name, Outcome: code,
 		ResponseTime: w.now - t.sent})
 }
 
 // final is the one answer to a request.
-func (w *World) final(q int32, a rules.Action) {
+func (w *World) final(q int32, a routing.Action) {
 	rq := &w.requests[q]
 	if rq.answered {
 		w.res.broken("two answers to a request")
@@ -290,7 +290,7 @@
 	}
 	rq.answered = true
 	rq.cooldown = 0
-	if a.Kind == rules.ActionReject {
+	if a.Kind == routing.ActionReject {
 		rq.cooldown = max(a.RetryAfter, 1)
 	}
 	if !rq.closed {
--- a/emulator/shield.go
+++ b/emulator/shield.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"spantack/core/shield"
+	"spantack/core/originlimit"
 )
 
 // Shield describes a trial of limits at the head office: routers with clients behind them, and a head office that slows down when more
@@ -106,7 +106,7 @@
 type shieldWorld struct {
 	Shield
 	rng    *rand.Rand
-	limits []*shield.Limit // nil: none
+	limits []*originlimit.Limit // nil: none
 	dead   []bool
 	now    int64
 	jobs   jobHeap
@@ -129,15 +129,15 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	w := &shieldWorld{Shield: *s, rng: rand.New(rand.NewPCG(seed, 0x5e1d)), out: map[int64]*shieldJob{}, dead: make([]bool, s.Routers), limits: make([]*shield.Limit, s.Routers)}
+	w := &shieldWorld{Shield: *s, rng: rand.New(rand.NewPCG(seed, 0x5e1d)), out: map[int64]*shieldJob{}, dead: make([]bool, s.Routers), limits: make([]*originlimit.Limit, s.Routers)}
 	if s.Law != "none" {
-		law, err := shield.ParseControlAlgorithm(s.Law)
+		law, err := originlimit.ParseControlAlgorithm(s.Law)
 		if err != nil {
 			return nil, err
 		}
 		for i := range w.limits {
-			terms := shield.Config{MaxInFlight: s.Knee, Routers: s.Routers, Reserve: s.Reserve, Burst: s.Burst, BaselineMs: s.usualMs()}
-			if w.limits[i], err = shield.New(terms, law); err != nil {
+			terms := originlimit.Config{MaxInFlight: s.Knee, Routers: s.Routers, Reserve: s.Reserve, Burst: s.Burst, BaselineMs: s.usualMs()}
+			if w.limits[i], err = originlimit.New(terms, law); err != nil {
 				return nil, err
 			}
 		}
--- a/emulator/site.go
+++ b/emulator/site.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // Site is what sets a deployment apart from the first one.
@@ -70,13 +70,13 @@
 }
 
 // differ puts what the site allows into a router's settings.
-func (s *Site) differ(set *rules.Settings) {
+func (s *Site) differ(set *routing.Settings) {
 	if s == nil {
 		return
 	}
 	set.Hierarchy.AllowsDirectFetch = !s.CachesOnly
 	if s.LinkTold {
-		set.LoadReporting = rules.LoadReporting{Fields: []string{"x1"}, Delivery: "piggyback"}
+		set.LoadReporting = routing.LoadReporting{Fields: []string{"x1"}, Delivery: "piggyback"}
 	}
 }
 
@@ -109,7 +109,7 @@
 	r.heeds = append(r.heeds, heed{int32(which), w.now + purgeBinds})
 	for group := range int64(releaseFamily) {
 		if f.names(group) {
-			w.step(id, rules.Event{Kind: rules.EventPurge, PurgeGroup: group, PurgeAge: w.now - f.at})
+			w.step(id, routing.Event{Kind: routing.EventPurge, PurgeGroup: group, PurgeAge: w.now - f.at})
 		}
 	}
 }
--- a/emulator/sources.go
+++ b/emulator/sources.go
@@ -3,7 +3,7 @@
 // What caches fill from: area caches, and the head office behind them.
 
 import (
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // orphan ends a fetch that nobody waits for any more.
@@ -142,10 +142,10 @@
 	t.waited = w.now - t.asked
 	switch note {
 	case 6:
-		w.end(id, rules.OutcomeRejected, note)
+		w.end(id, routing.OutcomeRejected, note)
 	case 8:
-		w.end(id, rules.OutcomeMiss, note)
+		w.end(id, routing.OutcomeMiss, note)
 	default:
-		w.end(id, rules.OutcomeError, note)
+		w.end(id, routing.OutcomeError, note)
 	}
 }
--- a/emulator/staging_test.go
+++ b/emulator/staging_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"spantack/core/stages"
+	"spantack/core/rollout"
 )
 
 // Prices renewed under their names, while routers die and come back, clocks differ and caches are replaced: a cell that has the release never
@@ -21,8 +21,8 @@
 		cfg.DayS, cfg.SkewMs = 34, c.skew
 		confine(&cfg, 3)
 		cfg.Faults = []Fault{{Kind: "router", Depot: 0, Which: 1, AtS: 18, ForS: 4}, {Kind: "deploy", Depot: -1, AtS: 20, ForS: 8, Part: 0.4}}
-		cfg.Release = &Release{FromS: 10, Part: 0.5, Harm: c.harm, Renews: true, BackS: 27, Stage: &stages.Rollout{Version: 1, Name: "prices", FamilyRange: []int{255, 255},
-			Since: 10_000 + c.skew, ReplacesObjects: true, OldCopyMaxAge: 300_000, OnRollback: c.back, RollbackAt: 28_000, Rings: []stages.Ring{{Cells: []string{cfg.Cells.Cells[0].Name}, OpensAt: 12_000, JudgeWithin: 60_000}}}}
+		cfg.Release = &Release{FromS: 10, Part: 0.5, Harm: c.harm, Renews: true, BackS: 27, Stage: &rollout.Rollout{Version: 1, Name: "prices", FamilyRange: []int{255, 255},
+			Since: 10_000 + c.skew, ReplacesObjects: true, OldCopyMaxAge: 300_000, OnRollback: c.back, RollbackAt: 28_000, Rings: []rollout.Ring{{Cells: []string{cfg.Cells.Cells[0].Name}, OpensAt: 12_000, JudgeWithin: 60_000}}}}
 		w, err := New(cfg)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -40,7 +40,7 @@
 	}
 	cfg := small(11)
 	confine(&cfg, 3)
-	cfg.Release = &Release{Stage: &stages.Rollout{ReplacesObjects: true}}
+	cfg.Release = &Release{Stage: &rollout.Rollout{ReplacesObjects: true}}
 	if _, err := New(cfg); err == nil {
 		t.Error("a stage of another kind than its release")
 	}
--- a/emulator/talk.go
+++ b/emulator/talk.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"math/rand/v2"
 
-	"spantack/core/peers"
-	"spantack/rules"
+	"spantack/core/gossip"
+	"spantack/routing"
 )
 
 // What routers of a tier tell one another of crowded area caches (core/peers): datagrams that are late, lost and counted.
@@ -34,7 +34,7 @@
 
 // talk is the datagrams of a world.
 type talk struct {
-	tiers []*peers.Node // by router; a new one at each start
+	tiers []*gossip.Node // by router; a new one at each start
 	rng   *rand.Rand
 	words []word
 	free  []int32
@@ -65,7 +65,7 @@
 	if w.talk.rng == nil {
 		w.talk.rng = rand.New(rand.NewPCG(w.cfg.Seed, 0x7a1c))
 	}
-	tier, err := peers.New(peers.Options{Rank: int(id), FleetSize: w.cfg.Depots * w.cfg.Routers, Site: w.routers[id].depot + 1, Sites: w.cfg.Depots + 1,
+	tier, err := gossip.New(gossip.Options{Rank: int(id), FleetSize: w.cfg.Depots * w.cfg.Routers, Site: w.routers[id].depot + 1, Sites: w.cfg.Depots + 1,
 		Incarnation: uint32(w.now/sec) + 1})
 	if err != nil {
 		return fmt.Errorf("talk: %w", err)
@@ -128,7 +128,7 @@
 	}
 	var found []string
 	err := w.talk.tiers[e.id].Receive(w.now, int(from), text, func(server string) { found = append(found, server) })
-	if err != nil && !errors.Is(err, peers.ErrStale) { // old: of a router that has started anew meanwhile
+	if err != nil && !errors.Is(err, gossip.ErrStale) { // old: of a router that has started anew meanwhile
 		w.res.broken("datagram that its own kind can't use")
 	}
 	for _, name := range found {
@@ -137,7 +137,7 @@
 			w.res.broken("datagram on no server")
 			continue
 		}
-		w.step(e.id, rules.Event{Kind: rules.EventParentOverloaded, Server: w.servers[s].name})
+		w.step(e.id, routing.Event{Kind: routing.EventParentOverloaded, Server: w.servers[s].name})
 	}
 }
 
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -11,7 +11,7 @@
 
 	"spantack/core/cells"
 	"spantack/core/hierarchy"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // Kinds of server.
@@ -128,7 +128,7 @@
 	asked        int64 // when the source was
 	waited       int64
 	note         int64
-	code         rules.AttemptOutcome
+	code         routing.AttemptOutcome
 	made         int64
 	links        [lastStage + 1]int32 // on which its data is; -1: none
 	moving       int                  // of them
@@ -180,7 +180,7 @@
 	farCap   []int32 // line by depot and hub; nil: without bounds
 	origin   int32
 	caches   [][]int32 // live list of each depot, in order of first listing
-	changes  []rules.Endpoint
+	changes  []routing.Endpoint
 	changed  []int32 // server of each change
 
 	wishes   []wish
@@ -354,7 +354,7 @@
 		w.atRouter(e)
 	case evTimer:
 		if r := &w.routers[e.id]; r.up && r.gen == e.gen {
-			w.step(e.id, rules.Event{Kind: rules.EventTimer, TimerToken: e.x})
+			w.step(e.id, routing.Event{Kind: routing.EventTimer, TimerToken: e.x})
 		}
 	case evServer:
 		if w.tries[e.id].gen == e.gen {
@@ -374,7 +374,7 @@
 		}
 	case evTimeout:
 		if w.tries[e.id].gen == e.gen {
-			w.drop(e.id, rules.OutcomeTimedOut)
+			w.drop(e.id, routing.OutcomeTimedOut)
 		}
 	case evLink:
 		w.linkDue(e.id)
--- a/internal/manage/manage.go
+++ b/internal/admin/manage.go
@@ -1,7 +1,7 @@
-// Package manage serves the management address: readiness, metrics, servers excluded and included by hand, and the router drained and put back
+// Package admin serves the management address: readiness, metrics, servers excluded and included by hand, and the router drained and put back
 // to work, over HTTP/1.1 with one call to a connection (the operators' page of daily service). Each call runs a function that it is given.
 // It also has what the processes of one router share while one replaces the other: the state directory and the inherited socket.
-package manage
+package admin
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 	"github.com/rs/zerolog"
 
-	"spantack/core/roster"
+	"spantack/core/endpoints"
 	"spantack/internal/clock"
 )
 
@@ -135,7 +135,7 @@
 			return
 		}
 		switch err := do(id); {
-		case errors.Is(err, roster.ErrUnknownServer):
+		case errors.Is(err, endpoints.ErrUnknownServer):
 			respond(w, http.StatusNotFound, "id: "+err.Error()+"\n")
 		case err != nil:
 			s.Log.Error().Err(err).Str("server", id).Msg("not " + what)
--- a/internal/manage/manage_test.go
+++ b/internal/admin/manage_test.go
@@ -1,4 +1,4 @@
-package manage
+package admin
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"spantack/core/roster"
+	"spantack/core/endpoints"
 	"spantack/internal/loopback"
 	"spantack/internal/testwait"
 )
@@ -48,7 +48,7 @@
 	by := func(what string) func(string) error {
 		return func(id string) error {
 			if id == "s-0" {
-				return roster.ErrUnknownServer
+				return endpoints.ErrUnknownServer
 			}
 			if id == "s-full" {
 				return errors.New("disk full")
@@ -163,11 +163,11 @@
 	dir := t.TempDir()
 	type process struct {
 		state *StateDir
-		list  *roster.List
+		list  *endpoints.List
 		mu    sync.Mutex
 	}
 	start := func() *process {
-		p := &process{state: NewStateDir(dir, zerolog.Nop()), list: roster.New()}
+		p := &process{state: NewStateDir(dir, zerolog.Nop()), list: endpoints.New()}
 		ids, err := p.state.Excluded()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/manage/socket_test.go
+++ b/internal/admin/socket_test.go
@@ -1,4 +1,4 @@
-package manage
+package admin
 
 import (
 	"errors"
--- a/internal/manage/statedir.go
+++ b/internal/admin/statedir.go
@@ -1,4 +1,4 @@
-package manage
+package admin
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"spantack/internal/clock"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // StateDir is the directory that the processes of one router share while one replaces the other. It holds the servers that were excluded by
@@ -124,7 +124,7 @@
 
 // SaveLearnedState writes the beliefs every saveInterval until ctx ends, for the process that takes over. It writes nothing while this process is
 // replaced, or older beliefs would overwrite newer ones.
-func (d *StateDir) SaveLearnedState(ctx context.Context, beliefs func() rules.LearnedState) error {
+func (d *StateDir) SaveLearnedState(ctx context.Context, beliefs func() routing.LearnedState) error {
 	if d == nil {
 		return nil
 	}
@@ -145,7 +145,7 @@
 }
 
 // LoadLearnedState reads the beliefs that the previous process saved; found is false where there are none.
-func (d *StateDir) LoadLearnedState() (b rules.LearnedState, found bool, err error) {
+func (d *StateDir) LoadLearnedState() (b routing.LearnedState, found bool, err error) {
 	if d == nil {
 		return b, false, nil
 	}
--- a/internal/manage/stored_compat_test.go
+++ b/internal/admin/stored_compat_test.go
@@ -1,4 +1,4 @@
-package manage
+package admin
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // storedDir is a state directory as a process of an earlier release left it.
@@ -55,7 +55,7 @@
 	defer d.servingLock.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // it is written once before the end is heeded
-	if err := d.SaveLearnedState(ctx, func() rules.LearnedState { return beliefs }); err != nil {
+	if err := d.SaveLearnedState(ctx, func() routing.LearnedState { return beliefs }); err != nil {
 		t.Fatal(err)
 	}
 	var names []string
--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -16,20 +16,20 @@
 
 // allowed says which of our own packages those of each place may import; tests are free.
 var allowed = map[string][]string{
-	"rules":        {},
-	"core":         {"rules", "core"},
-	"internal":     {"core", "rules", "internal"},
-	"emulator":     {"core", "rules"},
-	"lab":          {"core", "rules", "internal", "emulator", "standin", "lab"},
-	"standin":      {"internal", "standin"},
-	"cmd/spantack": {"core", "rules", "internal"},
-	"cmd/spanctl":  {"core", "internal"},
-	"cmd/spanlab":  {"lab", "emulator"},
-	"cmd/wirehost": {"rules", "internal"},
+	"routing":        {},
+	"core":           {"routing", "core"},
+	"internal":       {"core", "routing", "internal"},
+	"emulator":       {"core", "routing"},
+	"lab":            {"core", "routing", "internal", "emulator", "standin", "lab"},
+	"standin":        {"internal", "standin"},
+	"cmd/spantack":   {"core", "routing", "internal"},
+	"cmd/spanctl":    {"core", "internal"},
+	"cmd/spanlab":    {"lab", "emulator"},
+	"cmd/simadapter": {"routing", "internal"},
 }
 
 // pure places do no I/O and read no clock.
-var pure = []string{"rules", "core", "emulator"}
+var pure = []string{"routing", "core", "emulator"}
 
 var (
 	outside = []string{"net", "net/http", "os", "os/exec", "os/signal", "io/fs", "syscall", "crypto/tls", "math/rand", "crypto/rand", "embed"}
@@ -104,10 +104,10 @@
 	for path, text := range map[string]string{
 		"core/x/x.go":          "package x\nimport \"net\"\n",
 		"core/x/y.go":          "package x\nimport \"time\"\nvar now = time.Now()\n",
-		"rules/x.go":           "package rules\nimport \"spantack/core/cells\"\n",
+		"routing/x.go":         "package routing\nimport \"spantack/core/cells\"\n",
 		"emulator/x.go":        "package emulator\nimport \"spantack/internal/clock\"\n",
 		"cmd/spantack/x.go":    "package main\nimport \"spantack/lab\"\n",
-		"internal/router/x.go": "package router\nimport \"spantack/standin/tier\"\n",
+		"internal/router/x.go": "package router\nimport \"spantack/standin/cache\"\n",
 		"elsewhere/x.go":       "package elsewhere\n",
 	} {
 		if got := faults(path, text); len(got) != 1 {
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"spantack/core/sched"
+	"spantack/core/scheduler"
 	"spantack/internal/clock"
 )
 
@@ -31,14 +31,14 @@
 	log   zerolog.Logger
 
 	mu        sync.Mutex // never held while a job runs
-	scheduler *sched.Scheduler
+	scheduler *scheduler.Scheduler
 	jobs      map[string]func()
 	wake      chan struct{}
 }
 
 // New returns a runner without jobs; seed feeds the jitter of back-offs.
 func New(c *clock.Clock, seed uint64, log zerolog.Logger) (*Runner, error) {
-	s, err := sched.New(sched.Config{Resources: []sched.Resource{{Name: "core", RatePerS: coreBudgetMsPerS, BurstWindow: clock.Micros(1000)}}, MaxQueued: maxQueuedJobs, MaxRunning: 1,
+	s, err := scheduler.New(scheduler.Config{Resources: []scheduler.Resource{{Name: "core", RatePerS: coreBudgetMsPerS, BurstWindow: clock.Micros(1000)}}, MaxQueued: maxQueuedJobs, MaxRunning: 1,
 		AttemptTimeout: clock.Micros(jobLeaseMs), InitialBackoff: clock.Micros(backoffMs), MaxBackoff: clock.Micros(maxRetryWaitMs), AgingInterval: clock.Micros(priorityAgingMs)}, clock.Micros(c.Now()), seed)
 	if err != nil {
 		return nil, fmt.Errorf("background: %w", err)
@@ -47,10 +47,10 @@
 }
 
 // Submit queues a job of so many milliseconds, as far as that is known. One that waits or runs already under its id is not queued twice.
-func (r *Runner) Submit(id string, p sched.Priority, costMs float64, run func()) error {
+func (r *Runner) Submit(id string, p scheduler.Priority, costMs float64, run func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	over, err := r.scheduler.Submit(clock.Micros(r.clock.Now()), sched.Job{ID: id, Priority: p, Cost: []float64{costMs}, MaxAttempts: 3})
+	over, err := r.scheduler.Submit(clock.Micros(r.clock.Now()), scheduler.Job{ID: id, Priority: p, Cost: []float64{costMs}, MaxAttempts: 3})
 	for _, o := range over {
 		delete(r.jobs, o.ID)
 	}
@@ -67,7 +67,7 @@
 
 // Every runs a job again and again, so many milliseconds after its last end, until the context ends. It is left out for once while the
 // queue has no room for it.
-func (r *Runner) Every(ctx context.Context, id string, ms float64, p sched.Priority, run func()) {
+func (r *Runner) Every(ctx context.Context, id string, ms float64, p scheduler.Priority, run func()) {
 	var again func()
 	again = func() {
 		if ctx.Err() != nil {
@@ -115,11 +115,11 @@
 }
 
 // attempt runs one job and books what it took.
-func (r *Runner) attempt(s sched.Attempt) {
+func (r *Runner) attempt(s scheduler.Attempt) {
 	r.mu.Lock()
 	run := r.jobs[s.ID]
 	r.mu.Unlock()
-	began, how := r.clock.Now(), sched.Failed
+	began, how := r.clock.Now(), scheduler.Failed
 	func() {
 		defer func() {
 			if p := recover(); p != nil { // a fault in work that can wait must not take the router down
@@ -127,11 +127,11 @@
 			}
 		}()
 		run()
-		how = sched.Done
+		how = scheduler.Done
 	}()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if how == sched.Done {
+	if how == scheduler.Done {
 		delete(r.jobs, s.ID)
 	}
 	now := r.clock.Now()
--- a/internal/background/background_test.go
+++ b/internal/background/background_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"spantack/core/sched"
+	"spantack/core/scheduler"
 	"spantack/internal/clock"
 	"spantack/internal/testwait"
 )
@@ -37,22 +37,22 @@
 			ran = append(ran, id)
 		}
 	}
-	for id, p := range map[string]sched.Priority{"idle": sched.Idle, "urgent": sched.Urgent, "prompt": sched.High} {
+	for id, p := range map[string]scheduler.Priority{"idle": scheduler.Idle, "urgent": scheduler.Urgent, "prompt": scheduler.High} {
 		if err := r.Submit(id, p, 1, note(id)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := r.Submit("idle", sched.Urgent, 1, note("idle")); !errors.Is(err, sched.ErrDuplicateJob) {
+	if err := r.Submit("idle", scheduler.Urgent, 1, note("idle")); !errors.Is(err, scheduler.ErrDuplicateJob) {
 		t.Errorf("twice under one id: %v", err)
 	}
-	if err := r.Submit("broken", sched.Idle, 1, func() { note("broken")(); panic("planned") }); err != nil {
+	if err := r.Submit("broken", scheduler.Idle, 1, func() { note("broken")(); panic("planned") }); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- r.Run(ctx) }()
 	var many int
-	r.Every(ctx, "again", 100, sched.Normal, func() {
+	r.Every(ctx, "again", 100, scheduler.Normal, func() {
 		mu.Lock()
 		defer mu.Unlock()
 		many++
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,7 +13,7 @@
 	"spantack/internal/clock"
 	"spantack/internal/discovery"
 	"spantack/internal/router"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // Config is a checked configuration. Times are milliseconds.
@@ -29,7 +29,7 @@
 	MemoryMB   float64
 	MaxSockets int
 
-	Settings     rules.Settings
+	Settings     routing.Settings
 	DialTimeout  float64
 	IdleTimeout  float64
 	MaxStreams   int
@@ -222,7 +222,7 @@
 		}
 	}
 	for i, class := range set.Classes {
-		if slices.ContainsFunc(set.Classes[:i], func(o rules.Class) bool { return o.Name == class.Name }) {
+		if slices.ContainsFunc(set.Classes[:i], func(o routing.Class) bool { return o.Name == class.Name }) {
 			return fmt.Errorf("settings.Classes[%d].Name: %q stands twice", i, class.Name)
 		}
 		c.MaxDeadline = max(c.MaxDeadline, clock.Millis(class.Deadline))
--- a/internal/config/wire_compat_test.go
+++ b/internal/config/wire_compat_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := os.ReadFile("../../rules/testdata/settings.json")
+	want, err := os.ReadFile("../../routing/testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/interleavings_test.go
+++ b/internal/discovery/interleavings_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"spantack/core/coldstart"
+	"spantack/core/backoff"
 	"spantack/internal/clock"
 	"spantack/internal/loopback"
 	"spantack/internal/router"
@@ -38,7 +38,7 @@
 			t.Parallel()
 			l := testwait.Listen(t)
 			applied := make(chan router.WatchEvent, 8)
-			w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), RetrySchedule: coldstart.Schedule{Rank: 299, FleetSize: 300},
+			w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), RetrySchedule: backoff.Schedule{Rank: 299, FleetSize: 300},
 				Apply: func(n router.WatchEvent) { applied <- n }}
 			w.SetAddress(l.Addr().String())
 			go w.Run(t.Context())
@@ -87,7 +87,7 @@
 // The address changes twice in a row just as a watcher begins to wait for a retry: it connects to the last one.
 func TestAddressChangesTwiceBeforeRetry(t *testing.T) {
 	old, skipped, last := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
-	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, RetrySchedule: coldstart.Schedule{Rank: 7, FleetSize: 300},
+	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, RetrySchedule: backoff.Schedule{Rank: 7, FleetSize: 300},
 		Apply: func(router.WatchEvent) {}}
 	w.Log = zerolog.New(&hookWriter{do: func() {
 		w.SetAddress(skipped.Addr().String())
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"spantack/core/coldstart"
+	"spantack/core/backoff"
 	"spantack/internal/clock"
 	"spantack/internal/router"
 )
@@ -32,7 +32,7 @@
 	Names         Names
 	LastApplied   uint64                  // number of the last event applied; the watch resumes after it
 	Apply         func(router.WatchEvent) // called for each event, one at a time
-	RetrySchedule coldstart.Schedule      // schedule of retries, which spreads the routers of a fleet out
+	RetrySchedule backoff.Schedule        // schedule of retries, which spreads the routers of a fleet out
 	Clock         *clock.Clock
 	Log           zerolog.Logger
 
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -19,10 +19,10 @@
 	"spantack/core/fleet"
 	"spantack/core/hierarchy"
 	"spantack/core/lease"
-	"spantack/core/moves"
-	"spantack/core/shield"
-	"spantack/core/stages"
-	"spantack/rules"
+	"spantack/core/migration"
+	"spantack/core/originlimit"
+	"spantack/core/rollout"
+	"spantack/routing"
 )
 
 // maxFileBytes bounds the file, each import, and what it evaluates to.
@@ -47,13 +47,13 @@
 // Migration is the feature of that name. It needs cells.
 type Migration struct {
 	Enabled bool `json:"enabled"`
-	moves.Document
+	migration.Document
 }
 
 // Rollout is the feature of that name. It needs cells.
 type Rollout struct {
 	Enabled bool `json:"enabled"`
-	stages.Rollout
+	rollout.Rollout
 }
 
 // Topology is the feature of that name.
@@ -65,7 +65,7 @@
 // OriginLimit is the feature of that name.
 type OriginLimit struct {
 	Enabled bool `json:"enabled"`
-	shield.Document
+	originlimit.Document
 }
 
 // Fleet is the feature of that name.
@@ -99,7 +99,7 @@
 }
 
 // ActiveOriginLimit is the shield's document; nil while the feature is off.
-func (f *File) ActiveOriginLimit() *shield.Document {
+func (f *File) ActiveOriginLimit() *originlimit.Document {
 	if f == nil || !f.OriginLimit.Enabled {
 		return nil
 	}
@@ -119,7 +119,7 @@
 }
 
 // ActiveRollout is the stage in force; nil while the feature is off.
-func (f *File) ActiveRollout() *stages.Rollout {
+func (f *File) ActiveRollout() *rollout.Rollout {
 	if f == nil || !f.Rollout.Enabled {
 		return nil
 	}
@@ -127,7 +127,7 @@
 }
 
 // ActiveMigration is the moves in force; nil while the feature is off.
-func (f *File) ActiveMigration() *moves.Document {
+func (f *File) ActiveMigration() *migration.Document {
 	if f == nil || !f.Migration.Enabled {
 		return nil
 	}
@@ -247,11 +247,11 @@
 	case was == nil && next == nil:
 		return nil
 	case next == nil:
-		next = &moves.Document{Version: was.Version + 1}
+		next = &migration.Document{Version: was.Version + 1}
 	case was != nil && next.Version == was.Version && reflect.DeepEqual(next, was):
 		return nil // the same once more
 	case was == nil:
-		was = &moves.Document{}
+		was = &migration.Document{}
 	}
 	if err := next.Validate(now, was); err != nil {
 		return fmt.Errorf("moves.%w", err)
@@ -260,7 +260,7 @@
 }
 
 // CheckSettings holds a file against a router's settings: the names that it uses must be known there.
-func (f *File) CheckSettings(set *rules.Settings) error {
+func (f *File) CheckSettings(set *routing.Settings) error {
 	if f.Fleet.Enabled && (set.Hierarchy.ParentKind < 0 || set.Hierarchy.CacheStatusReporting != "all") {
 		return errors.New("fleet.enabled: what asks the head office is known by a look at an area cache, and there are none or no notes tell")
 	}
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 func write(t *testing.T, files map[string]string) string {
@@ -81,7 +81,7 @@
 }
 
 func TestFits(t *testing.T) {
-	set := &rules.Settings{Classes: []rules.Class{{Name: "page"}}, Zones: []string{"z"}}
+	set := &routing.Settings{Classes: []routing.Class{{Name: "page"}}, Zones: []string{"z"}}
 	f, err := Parse([]byte(`{"cells":{"enabled":true,"version":1,"scheme":"fixed","cells":[{"name":"a","share":1}],"tenants":[{"name":"t","cell":"a","depots":{"z":"a"}}],
 		"keys":[{"class":"page","tenant":"t"},{"tenant":"t"}],"budget":{}}}`))
 	if err != nil {
--- a/internal/features/schema/schema.go
+++ b/internal/features/schema/schema.go
@@ -25,8 +25,8 @@
 	"hierarchy.ParentGroup": "Area",
 	"hierarchy.Site":        "Depot",
 	"hierarchy.Topology":    "Shape",
-	"moves.Migration":       "Move",
-	"stages.Rollout":        "Stage",
+	"migration.Migration":   "Move",
+	"rollout.Rollout":       "Stage",
 }
 
 // definitionName returns the name of a type's definition, or "" for that of the type itself.
--- a/internal/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -1,5 +1,5 @@
-// Package peers carries what core/peers has to tell and to hear: datagrams between the routers of a tier.
-package peers
+// Package gossip carries what core/peers has to tell and to hear: datagrams between the routers of a tier.
+package gossip
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"spantack/core/fleet"
-	"spantack/core/peers"
+	"spantack/core/gossip"
 	"spantack/internal/clock"
 )
 
@@ -28,7 +28,7 @@
 
 // Transport is this router's part in the talk of its tier. Its fields are set before Run.
 type Transport struct {
-	Gossip           *peers.Node
+	Gossip           *gossip.Node
 	ListenAddress    string           // where datagrams come in
 	PeerAddresses    []netip.AddrPort // of all routers, by rank
 	BroadcastAddress netip.AddrPort   // reaches all
@@ -99,7 +99,7 @@
 }
 
 // Counts are those of the tier.
-func (t *Transport) Counts() peers.Counts {
+func (t *Transport) Counts() gossip.Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.Gossip.Counts
@@ -180,7 +180,7 @@
 }
 
 func (t *Transport) receiveDatagrams(ctx context.Context, conn *net.UDPConn) error {
-	buf := make([]byte, peers.MaxDatagramSize+1) // one that is too long shows
+	buf := make([]byte, gossip.MaxDatagramSize+1) // one that is too long shows
 	var found []string
 	for ctx.Err() == nil {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
@@ -204,7 +204,7 @@
 		t.mu.Lock()
 		err = t.Gossip.Receive(clock.Micros(t.Clock.Now()), rank, buf[:n], func(server string) { found = append(found, server) })
 		t.mu.Unlock()
-		if err != nil && !errors.Is(err, peers.ErrStale) { // those are counted: datagrams overtake one another
+		if err != nil && !errors.Is(err, gossip.ErrStale) { // those are counted: datagrams overtake one another
 			t.logFault(err, from)
 		}
 		for _, server := range found {
@@ -265,7 +265,7 @@
 	names := map[uint32]string{}
 	var ids []uint32
 	for _, name := range all {
-		if id, ok := peers.ParseServerID(name); ok {
+		if id, ok := gossip.ParseServerID(name); ok {
 			names[id] = name
 			ids = append(ids, id)
 		}
@@ -273,7 +273,7 @@
 	var off []string
 	t.mu.Lock()
 	for _, name := range failing {
-		if id, ok := peers.ParseServerID(name); ok {
+		if id, ok := gossip.ParseServerID(name); ok {
 			t.Fleet.ReportFailure(now, id, fleet.Failing)
 		}
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"spantack/core/peers"
+	"spantack/core/gossip"
 	"spantack/internal/clock"
 	"spantack/internal/testwait"
 )
@@ -82,7 +82,7 @@
 	now := clock.NewFake(1e6)
 	talks, ends := make([]*Transport, routers), make([]func(), routers)
 	start := func(i int, incarnation uint32) {
-		tier, err := peers.New(peers.Options{Rank: i, FleetSize: routers, Site: i, Sites: routers, Incarnation: incarnation})
+		tier, err := gossip.New(gossip.Options{Rank: i, FleetSize: routers, Site: i, Sites: routers, Incarnation: incarnation})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,7 +168,7 @@
 	for _, v := range vias {
 		v.Close()
 	}
-	if h.longest == 0 || h.longest > peers.MaxDatagramSize {
+	if h.longest == 0 || h.longest > gossip.MaxDatagramSize {
 		t.Errorf("longest datagram: %d bytes", h.longest)
 	}
 }
@@ -196,7 +196,7 @@
 // A process that replaces another finds the address taken until that one ends. It serves all the same, and listens then.
 func TestAddressComesFree(t *testing.T) {
 	before := listen(t)
-	tier, err := peers.New(peers.Options{FleetSize: 16, Sites: 16})
+	tier, err := gossip.New(gossip.Options{FleetSize: 16, Sites: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +213,7 @@
 		t.Errorf("said %s", line)
 	}
 	before.Close()
-	m := peers.Message{Rank: 1, Site: 1, Overloaded: []uint32{7}}
+	m := gossip.Message{Rank: 1, Site: 1, Overloaded: []uint32{7}}
 	for talk.Counts().Received == 0 { // until it has the address; each of these is new
 		now.Advance(reopenInterval)
 		m.Sequence++
--- a/internal/resp/codec.go
+++ b/internal/resp/codec.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"spantack/internal/router"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // MaxBodySize is the longest body that an answer may have; an object has 240,000 bytes at most.
@@ -101,9 +101,9 @@
 }
 
 var fetchFlagWords = []struct {
-	bit  rules.FetchFlags
+	bit  routing.FetchFlags
 	word string
-}{{rules.FetchCollapse, "join"}, {rules.FetchCachedOnly, "held"}, {rules.FetchSkipParentStore, "nocopy"}, {rules.FetchRevalidate, "renew"}}
+}{{routing.FetchCollapse, "join"}, {routing.FetchCachedOnly, "held"}, {routing.FetchSkipParentStore, "nocopy"}, {routing.FetchRevalidate, "renew"}}
 
 // appendGet adds the command that puts an attempt to its server.
 func appendGet(buf []byte, a router.Attempt) []byte {
@@ -146,8 +146,8 @@
 	return strconv.FormatFloat(max(math.Floor(ms), 1), 'f', 0, 64)
 }
 
-var outcomesByWord = map[string]rules.AttemptOutcome{"OK": rules.OutcomeServed, "SAME": rules.OutcomeServed, "MISS": rules.OutcomeMiss, "BUSY": rules.OutcomeRejected,
-	"ERR": rules.OutcomeError, "VOID": rules.OutcomeSkipped}
+var outcomesByWord = map[string]routing.AttemptOutcome{"OK": routing.OutcomeServed, "SAME": routing.OutcomeServed, "MISS": routing.OutcomeMiss, "BUSY": routing.OutcomeRejected,
+	"ERR": routing.OutcomeError, "VOID": routing.OutcomeSkipped}
 
 // cacheStatusesByWord in the order of the simulator's numbers, from 1.
 var cacheStatusesByWord = map[string]int{"TCP_HIT": 1, "TCP_MISS": 2, "TCP_MISS_ROOT": 3, "TCP_JOIN": 4, "TCP_STALE": 5,
--- a/internal/resp/codec_test.go
+++ b/internal/resp/codec_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"spantack/internal/router"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 func drawArray(t *rapid.T) [][]byte {
@@ -79,12 +79,12 @@
 		want  router.AttemptResult
 	}{
 		{[]string{"a", "OK", "sum=1f,t0=1764576000123,n=TCP_MISS_ROOT,slow=41.5", "bytes"},
-			router.AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 3, SourceWait: 41.5, Body: []byte("bytes"), CopyMadeAt: 1764576000123}},
-		{[]string{"a", "SAME", "n=TCP_HIT", ""}, router.AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 1, NotModified: true}},
-		{[]string{"a", "MISS", "n=PEER_DEAD,slow=800", ""}, router.AttemptResult{Outcome: rules.OutcomeMiss, CacheStatus: 7, SourceWait: 800}},
-		{[]string{"a", "BUSY", "n=PEER_DENY", "why"}, router.AttemptResult{Outcome: rules.OutcomeRejected, CacheStatus: 6}},
-		{[]string{"a", "ERR", "n=ROOT_FAIL", ""}, router.AttemptResult{Outcome: rules.OutcomeError, CacheStatus: 10}},
-		{[]string{"a", "VOID", "-"}, router.AttemptResult{Outcome: rules.OutcomeSkipped}},
+			router.AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 3, SourceWait: 41.5, Body: []byte("bytes"), CopyMadeAt: 1764576000123}},
+		{[]string{"a", "SAME", "n=TCP_HIT", ""}, router.AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 1, NotModified: true}},
+		{[]string{"a", "MISS", "n=PEER_DEAD,slow=800", ""}, router.AttemptResult{Outcome: routing.OutcomeMiss, CacheStatus: 7, SourceWait: 800}},
+		{[]string{"a", "BUSY", "n=PEER_DENY", "why"}, router.AttemptResult{Outcome: routing.OutcomeRejected, CacheStatus: 6}},
+		{[]string{"a", "ERR", "n=ROOT_FAIL", ""}, router.AttemptResult{Outcome: routing.OutcomeError, CacheStatus: 10}},
+		{[]string{"a", "VOID", "-"}, router.AttemptResult{Outcome: routing.OutcomeSkipped}},
 	} {
 		var parts [][]byte
 		for _, p := range c.parts {
@@ -106,7 +106,7 @@
 func TestGet(t *testing.T) {
 	q := &router.Request{ID: "9b1f", Class: "catalogue", Object: "7f3a", Chunk: 2, IdempotencyKey: "5c0f", ClientETag: "4be0", Body: []byte("ask")}
 	got := string(appendGet(nil, router.Attempt{Request: q, Source: "s-00c41f7a", Timeout: 1499.9, RetentionRank: 1,
-		MaxAge: 0.4, FetchFlags: rules.FetchCachedOnly | rules.FetchRevalidate}))
+		MaxAge: 0.4, FetchFlags: routing.FetchCachedOnly | routing.FetchRevalidate}))
 	want := "*4\r\n$3\r\nGET\r\n$4\r\n9b1f\r\n$116\r\nsort=catalogue,asset=7f3a,slice=2,patience=1499,op=5c0f," +
 		"next=s-00c41f7a,admit=1,agelim=1,ways=held+renew,cached=4be0\r\n$3\r\nask\r\n"
 	if got != want {
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -11,7 +11,7 @@
 
 	"spantack/internal/clock"
 	"spantack/internal/router"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // conn is one connection. Its fields are guarded by Pools.mu unless they say otherwise.
@@ -48,7 +48,7 @@
 		c.lastUsedAt = k.queuedAt
 		c.idleTimer.Stop()
 	default:
-		k.finish(router.AttemptResult{Outcome: rules.OutcomeSkipped})
+		k.finish(router.AttemptResult{Outcome: routing.OutcomeSkipped})
 	}
 }
 
@@ -92,9 +92,9 @@
 	for _, k := range c.attempts {
 		switch {
 		case !k.writeBegun: // still in the queue: it never ran
-			k.finish(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
+			k.finish(router.AttemptResult{Outcome: routing.OutcomeConnectionRefused})
 		default:
-			k.finish(*cmp.Or(k.heldResult, &router.AttemptResult{Outcome: rules.OutcomeConnectionReset}))
+			k.finish(*cmp.Or(k.heldResult, &router.AttemptResult{Outcome: routing.OutcomeConnectionReset}))
 		}
 	}
 	clear(c.attempts)
@@ -127,7 +127,7 @@
 	left := k.sendTimeLeft()
 	if !k.finished && left < 0 {
 		delete(c.attempts, k.attempt.ID)
-		k.finish(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
+		k.finish(router.AttemptResult{Outcome: routing.OutcomeConnectionRefused})
 		c.closeWhenIdle()
 	}
 	k.writeBegun = !k.finished
@@ -183,9 +183,9 @@
 		p.attemptsWritten.Add(1)
 	case k != nil && !k.finished:
 		delete(c.attempts, k.attempt.ID)
-		end := router.AttemptResult{Outcome: rules.OutcomeConnectionRefused}
+		end := router.AttemptResult{Outcome: routing.OutcomeConnectionRefused}
 		if errors.Is(err, errClientDeparted) { // the server has no part in that
-			end.Outcome = rules.OutcomeSkipped
+			end.Outcome = routing.OutcomeSkipped
 		}
 		k.finish(end)
 	}
@@ -249,14 +249,14 @@
 // late, and this attempt still be out: it is given up first, or two would be out at once. Pools.mu is held.
 func (c *conn) handleResponse(k *pendingAttempt, end router.AttemptResult) {
 	id := k.attempt.ID
-	if end.Outcome != rules.OutcomeServed {
+	if end.Outcome != routing.OutcomeServed {
 		c.recordID(c.unservedAt, id)
 	}
 	switch {
 	case !k.ambiguous:
 		delete(c.attempts, id)
 		k.finish(end)
-	case end.Outcome == rules.OutcomeServed: // it is its request's: nobody has to wait
+	case end.Outcome == routing.OutcomeServed: // it is its request's: nobody has to wait
 		delete(c.attempts, id)
 		k.finish(end)
 		c.queueDrop(id, command{})
