--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -12,7 +12,7 @@
 	"spantack/internal/clock"
 	"spantack/internal/router"
 	"spantack/internal/testwait"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // What crosses on a connection to a server. The peer holds back what it reads or says until the pool stands at the point
@@ -59,12 +59,12 @@
 	one.expect("GET b")
 	stuck := stick(t, p, one)
 	one.say("b", "OK", "-", "x")
-	wantCode(t, other, rules.OutcomeServed)
+	wantCode(t, other, routing.OutcomeServed)
 	k.Cancel(true)
 	if n := p.open(); n != 0 {
 		t.Errorf("%d connections open, the attempt on it not given up", n)
 	}
-	wantCode(t, stuck, rules.OutcomeConnectionReset) // a part of it went out, and what the server made of it is not known here yet
+	wantCode(t, stuck, routing.OutcomeConnectionReset) // a part of it went out, and what the server made of it is not known here yet
 }
 
 // A client leaves while its own request is half written: it must not come whole to the server later.
@@ -126,9 +126,9 @@
 	if _, err := one.in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	wantCode(t, stuck, rules.OutcomeConnectionRefused)
-	wantCode(t, behind, rules.OutcomeConnectionRefused)
-	wantCode(t, k, rules.OutcomeConnectionReset) // it was with the server
+	wantCode(t, stuck, routing.OutcomeConnectionRefused)
+	wantCode(t, behind, routing.OutcomeConnectionRefused)
+	wantCode(t, k, routing.OutcomeConnectionReset) // it was with the server
 }
 
 // The server closed an idle connection while an attempt was on its way to it: nothing of the attempt got through.
@@ -146,7 +146,7 @@
 	o.enqueue(k)
 	p.mu.Unlock()
 	o.write()
-	wantCode(t, k, rules.OutcomeConnectionRefused)
+	wantCode(t, k, routing.OutcomeConnectionRefused)
 
 	o = bare(p, nc)
 	k = newCall(p, "b")
@@ -154,7 +154,7 @@
 	o.enqueue(k)
 	o.close() // the reader saw the close first
 	p.mu.Unlock()
-	wantCode(t, k, rules.OutcomeConnectionRefused)
+	wantCode(t, k, routing.OutcomeConnectionRefused)
 }
 
 // newCall is an attempt that is not sent yet.
@@ -175,21 +175,21 @@
 	p, _ := newPools(t, c.addr())
 	k, one := out(p, c)
 	one.say("a", "MISS", "-", "")
-	wantCode(t, k, rules.OutcomeMiss)
+	wantCode(t, k, routing.OutcomeMiss)
 	k = send(p, "a")
 	one.expect("GET a")
 	one.say("a", "MISS", "-", "")
-	wantCode(t, k, rules.OutcomeMiss)
+	wantCode(t, k, routing.OutcomeMiss)
 	next := send(p, "b") // stands for the third attempt: by now the second is given up
 	one.expect("DROP a", "GET b")
 	one.say("b", "MISS", "-", "")
-	wantCode(t, next, rules.OutcomeMiss)
+	wantCode(t, next, routing.OutcomeMiss)
 }
 
 // The same where the first attempt was given up and its answer crossed the DROP; a good answer is its request's, whichever
 // attempt it belongs to.
 func TestLateAnswer(t *testing.T) {
-	for word, code := range map[string]rules.AttemptOutcome{"BUSY": rules.OutcomeRejected, "OK": rules.OutcomeServed} {
+	for word, code := range map[string]routing.AttemptOutcome{"BUSY": routing.OutcomeRejected, "OK": routing.OutcomeServed} {
 		c := listen(t)
 		p, _ := newPools(t, c.addr())
 		k, one := out(p, c)
@@ -222,7 +222,7 @@
 	k, l, one := dialled(p, c)
 	l.retire()
 	p.mu.Unlock()
-	wantCode(t, k, rules.OutcomeConnectionRefused)
+	wantCode(t, k, routing.OutcomeConnectionRefused)
 	if n, err := one.readRest(); n != 0 || err != nil {
 		t.Errorf("%d bytes (%v) on a connection to a server that left", n, err)
 	}
@@ -256,7 +256,7 @@
 			k, _, one := dialled(p, c)
 			k.attempt.SendWithin = ms.within
 			p.mu.Unlock()
-			wantCode(t, k, rules.OutcomeConnectionRefused)
+			wantCode(t, k, routing.OutcomeConnectionRefused)
 			send(p, "next")
 			one.expect("GET next")
 		})
@@ -275,7 +275,7 @@
 	one := c.accept()
 	one.expect("GET a")
 	one.say("a", "BUSY", "-", "")
-	wantCode(t, k, rules.OutcomeRejected)
+	wantCode(t, k, routing.OutcomeRejected)
 	k = again()
 	two := c.accept() // on the same connection none comes
 	two.expect("GET a")
@@ -283,9 +283,9 @@
 	crossed := send(p, "b") // once it is answered, the second BUSY has been read
 	one.expect("GET b")
 	one.say("b", "MISS", "-", "")
-	wantCode(t, crossed, rules.OutcomeMiss)
+	wantCode(t, crossed, routing.OutcomeMiss)
 	two.say("a", "OK", "-", "done once")
-	wantCode(t, k, rules.OutcomeServed)
+	wantCode(t, k, routing.OutcomeServed)
 }
 
 // The late answer of an attempt that was given up is a good one, of a copy older than the next attempt may take: since its choice a
@@ -301,7 +301,7 @@
 	one.expect("DROP a", "GET a")
 	one.say("a", "OK", "t0=1000", "of before the purge")
 	one.say("a", "OK", "t0=1200", "of after it")
-	if e := wantCode(t, k, rules.OutcomeServed); string(e.Body) != "of after it" {
+	if e := wantCode(t, k, routing.OutcomeServed); string(e.Body) != "of after it" {
 		t.Errorf("answered with the copy %q", e.Body)
 	}
 }
@@ -312,7 +312,7 @@
 	p, fake := newPools(t, c.addr())
 	k, one := out(p, c)
 	one.say("a", "MISS", "-", "")
-	wantCode(t, k, rules.OutcomeMiss)
+	wantCode(t, k, routing.OutcomeMiss)
 	p.mu.Lock()
 	o := p.servers["s-1"].conns[0]
 	p.mu.Unlock()
@@ -346,9 +346,9 @@
 	second = send(p, "b")
 	one.expect("GET b")
 	one.Write([]byte("*2\r\n$1\r\na\r\n$4\r\nMISS\r\n*2\r\n$1\r\nb"))
-	wantCode(t, first, rules.OutcomeMiss)
+	wantCode(t, first, routing.OutcomeMiss)
 	end := testwait.ReceiveWithin(t, 10*stallTimeout*time.Millisecond, second.Done(), "an attempt behind an answer that does not end")
-	if end.Outcome != rules.OutcomeConnectionReset {
+	if end.Outcome != routing.OutcomeConnectionReset {
 		t.Errorf("%v behind an answer that does not end", end.Outcome)
 	}
 }
--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -13,7 +13,7 @@
 
 	"spantack/internal/clock"
 	"spantack/internal/router"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // Options are the figures that the settings and limits give to the pools. Times are milliseconds.
@@ -132,7 +132,7 @@
 	defer p.mu.Unlock()
 	l := p.servers[try.Server]
 	if l == nil { // it left the list between the choice and here: nothing was sent
-		k.finish(router.AttemptResult{Outcome: rules.OutcomeSkipped})
+		k.finish(router.AttemptResult{Outcome: routing.OutcomeSkipped})
 		return k
 	}
 	c, open := l.pick(&k.attempt)
@@ -144,7 +144,7 @@
 		p.connCount++
 		go l.dial(k)
 	default:
-		k.finish(router.AttemptResult{Outcome: rules.OutcomeSkipped})
+		k.finish(router.AttemptResult{Outcome: routing.OutcomeSkipped})
 	}
 	return k
 }
@@ -204,7 +204,7 @@
 	l.dialing--
 	if err != nil {
 		p.connCount--
-		k.finish(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
+		k.finish(router.AttemptResult{Outcome: routing.OutcomeConnectionRefused})
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			p.recordFault(l, fmt.Errorf("dial: %w", err))
 		}
@@ -216,7 +216,7 @@
 	l.conns = append(l.conns, c)
 	switch {
 	case p.ctx.Err() != nil, l.closed: // it left the list while the connection came up: another machine may be there now
-		k.finish(router.AttemptResult{Outcome: rules.OutcomeConnectionRefused})
+		k.finish(router.AttemptResult{Outcome: routing.OutcomeConnectionRefused})
 		c.close()
 	case !k.finished:
 		c.enqueue(k)
--- a/internal/resp/pool_test.go
+++ b/internal/resp/pool_test.go
@@ -16,7 +16,7 @@
 	"spantack/internal/loopback"
 	"spantack/internal/router"
 	"spantack/internal/testwait"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // cache is the test's side of a server.
@@ -106,7 +106,7 @@
 
 func (c *cache) addr() string { return c.Addr().String() }
 
-func wantCode(t *testing.T, k router.PendingAttempt, want rules.AttemptOutcome) router.AttemptResult {
+func wantCode(t *testing.T, k router.PendingAttempt, want routing.AttemptOutcome) router.AttemptResult {
 	t.Helper()
 	e := testwait.Receive(t, k.Done(), fmt.Sprintf("an attempt to end %q", want))
 	if e.Outcome != want {
@@ -127,7 +127,7 @@
 	two := c.accept()
 	two.expect("GET b")
 	more := []router.PendingAttempt{send(p, "c"), send(p, "d")}
-	wantCode(t, send(p, "e"), rules.OutcomeSkipped)
+	wantCode(t, send(p, "e"), routing.OutcomeSkipped)
 	ids := []string{one.command(), two.command()}
 	slices.Sort(ids)
 	if ids[0] != "GET c" || ids[1] != "GET d" {
@@ -135,14 +135,14 @@
 	}
 	two.say("b", "OK", "n=TCP_HIT", "bytes of b")
 	one.say("a", "MISS", "-", "")
-	if e := wantCode(t, b, rules.OutcomeServed); string(e.Body) != "bytes of b" || e.CacheStatus != 1 {
+	if e := wantCode(t, b, routing.OutcomeServed); string(e.Body) != "bytes of b" || e.CacheStatus != 1 {
 		t.Errorf("%+v", e)
 	}
-	wantCode(t, a, rules.OutcomeMiss)
+	wantCode(t, a, routing.OutcomeMiss)
 	one.Close()
 	two.Close()
 	for _, k := range more { // a break proves nothing
-		wantCode(t, k, rules.OutcomeConnectionReset)
+		wantCode(t, k, routing.OutcomeConnectionReset)
 	}
 }
 
@@ -153,14 +153,14 @@
 	p, _ := newPools(t, c.addr())
 	k, one := out(p, c)
 	one.say("a", "OK", "-", "x")
-	wantCode(t, k, rules.OutcomeServed)
+	wantCode(t, k, routing.OutcomeServed)
 	k = send(p, "a") // the connection has been heard of as late as this was sent
 	one.expect("GET a")
 	k.Cancel(true)
 	again := send(p, "a")
 	one.expect("DROP a", "GET a")
 	one.say("a", "OK", "-", "x")
-	wantCode(t, again, rules.OutcomeServed)
+	wantCode(t, again, routing.OutcomeServed)
 }
 
 // A machine that is cut off never reads the DROP. Both a GET on the same silent connection (fleet day, seed 11) and one
@@ -183,7 +183,7 @@
 	two := c.accept()
 	two.expect("GET a")
 	two.say("a", "OK", "-", "x")
-	wantCode(t, again, rules.OutcomeServed)
+	wantCode(t, again, routing.OutcomeServed)
 }
 
 // Connections that lie idle at one server do not keep another from its first.
@@ -197,8 +197,8 @@
 		_, id, _ := strings.Cut(l.command(), " ")
 		l.say(id, "MISS", "-", "")
 	}
-	wantCode(t, a, rules.OutcomeMiss)
-	wantCode(t, b, rules.OutcomeMiss)
+	wantCode(t, a, routing.OutcomeMiss)
+	wantCode(t, b, routing.OutcomeMiss)
 	p.Send(router.Attempt{Request: &router.Request{ID: "c"}, Server: "s-2"})
 	other.accept().expect("GET c")
 }
@@ -206,7 +206,7 @@
 // Nothing listens: the refusal proves that nothing ran.
 func TestRefused(t *testing.T) {
 	p, _ := newPools(t, loopback.FreeAddress())
-	wantCode(t, send(p, "a"), rules.OutcomeConnectionRefused)
+	wantCode(t, send(p, "a"), routing.OutcomeConnectionRefused)
 }
 
 // A new machine at an old address gets a connection of its own, and one that left the list gets nothing.
@@ -215,12 +215,12 @@
 	p, _ := newPools(t, c.addr())
 	k, old := out(p, c)
 	p.Apply(router.WatchEvent{Servers: []router.Server{{ID: "s-1", Status: "deregistered"}}})
-	wantCode(t, send(p, "b"), rules.OutcomeSkipped)
+	wantCode(t, send(p, "b"), routing.OutcomeSkipped)
 	list(p, "s-2", c.addr())
 	fresh := p.Send(router.Attempt{Request: &router.Request{ID: "b"}, Server: "s-2"})
 	c.accept().expect("GET b")
 	old.say("a", "OK", "-", "late but whole")
-	wantCode(t, k, rules.OutcomeServed)
+	wantCode(t, k, routing.OutcomeServed)
 	if _, err := old.in.ReadByte(); err == nil {
 		t.Error("the old connection stays open with nothing out on it")
 	}
@@ -233,7 +233,7 @@
 	p, _ := newPools(t, c.addr())
 	k, one := out(p, c)
 	one.Write([]byte("HTTP/1.1 200 OK\r\n"))
-	wantCode(t, k, rules.OutcomeConnectionReset)
+	wantCode(t, k, routing.OutcomeConnectionReset)
 	if p.mu.Lock(); p.faultCount != 1 {
 		t.Errorf("%d faults counted", p.faultCount)
 	}
@@ -246,7 +246,7 @@
 	p, fake := newPools(t, c.addr())
 	k, one := out(p, c)
 	one.say("a", "MISS", "-", "")
-	wantCode(t, k, rules.OutcomeMiss)
+	wantCode(t, k, routing.OutcomeMiss)
 	// the reader arms the idle close under the same lock as it ends the attempt
 	p.mu.Lock()
 	if conns := p.servers["s-1"].conns; len(conns) != 1 || len(conns[0].attempts) != 0 || conns[0].idleTimer == nil {
@@ -279,7 +279,7 @@
 	go c.write()
 	defer close(c.done)
 	(&link{t, far, bufio.NewReader(far)}).expect("GET good")
-	wantCode(t, calls["late"], rules.OutcomeConnectionRefused)
+	wantCode(t, calls["late"], routing.OutcomeConnectionRefused)
 }
 
 // Fields that would break the list of pairs never get this far, but a body holds any bytes.
@@ -312,7 +312,7 @@
 	go c.write()
 	l.expect("GET a")
 	l.say("a", "OK", "-", "true")
-	if e := wantCode(t, k, rules.OutcomeServed); string(e.Body) != "true" {
+	if e := wantCode(t, k, routing.OutcomeServed); string(e.Body) != "true" {
 		t.Errorf("served %q", e.Body)
 	}
 	l.say("a", "OK", "-", "second")
@@ -326,7 +326,7 @@
 		p, _ := newPools(t, c.addr())
 		k, one := out(p, c)
 		one.say(words...)
-		wantCode(t, k, rules.OutcomeConnectionReset)
+		wantCode(t, k, routing.OutcomeConnectionReset)
 		if _, err := one.in.ReadByte(); err == nil {
 			t.Errorf("%q: the connection is still open", words)
 		}
--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -11,7 +11,7 @@
 
 	"spantack/internal/router"
 	"spantack/internal/testwait"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // readPins reads testdata/wire_compat.txt: lines `name: "bytes"`, quoted as in Go, as the program of commit e67ffc3
@@ -40,10 +40,10 @@
 		"get with all fields": {Request: request, Server: "s-1", Source: "10.1.0.9:5050", Timeout: 1500.9, RetentionRank: 2,
 			MaxAge: 85.9, FetchFlags: 15, SendWithin: 7, HasSideEffects: true},
 		"get with the least":  {Request: plain},
-		"get, joins":          {Request: plain, FetchFlags: rules.FetchCollapse},
-		"get, held only":      {Request: plain, FetchFlags: rules.FetchCachedOnly},
-		"get, passes parent":  {Request: plain, FetchFlags: rules.FetchSkipParentStore},
-		"get, renews":         {Request: plain, FetchFlags: rules.FetchRevalidate},
+		"get, joins":          {Request: plain, FetchFlags: routing.FetchCollapse},
+		"get, held only":      {Request: plain, FetchFlags: routing.FetchCachedOnly},
+		"get, passes parent":  {Request: plain, FetchFlags: routing.FetchSkipParentStore},
+		"get, renews":         {Request: plain, FetchFlags: routing.FetchRevalidate},
 		"get, shortest times": {Request: plain, Timeout: 0.2, MaxAge: 0.2},
 	} {
 		if got := string(appendGet(nil, a)); got != readPins(t)[name] {
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"spantack/internal/testwait"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // twoCaches is a rig with two caches, and as many objects as a breaker holds outcomes that go to a given one of them.
@@ -20,7 +20,7 @@
 		if a.call.Server == home {
 			objects = append(objects, object)
 		}
-		a.call.done <- AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 1}
+		a.call.done <- AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 1}
 		testwait.Receive(t, a.answer, "the answer to a probe")
 	}
 	return g, objects
@@ -56,14 +56,14 @@
 				t.Fatalf("%s: verdict %d", object, got.Outcome)
 			}
 			testwait.Receive(t, a.call.dropped, "the attempt to be given up")
-			a.call.done <- AttemptResult{Outcome: rules.OutcomeConnectionReset}
+			a.call.done <- AttemptResult{Outcome: routing.OutcomeConnectionReset}
 		}
 		for i, object := range objects {
 			a := g.ask(t, fmt.Sprint("new-", i), object)
 			if a.call.Server != home {
 				t.Errorf("%s goes to %s, not to %s as before", object, a.call.Server, home)
 			}
-			a.call.done <- AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 1}
+			a.call.done <- AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 1}
 			testwait.Receive(t, a.answer, "an answer")
 		}
 	}
@@ -77,12 +77,12 @@
 		if a.call.Server != "box-1" { // shut before all were tried
 			break
 		}
-		a.call.done <- AttemptResult{Outcome: rules.OutcomeConnectionReset}
+		a.call.done <- AttemptResult{Outcome: routing.OutcomeConnectionReset}
 		next := testwait.Receive(t, g.up.sent, "the next attempt")
 		if next.Server != "box-2" {
 			t.Fatalf("sent on to %s", next.Server)
 		}
-		next.done <- AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 1}
+		next.done <- AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 1}
 		testwait.Receive(t, a.answer, "an answer")
 	}
 	if a := g.ask(t, "last", objects[0]); a.call.Server != "box-2" {
--- a/internal/router/interleavings_test.go
+++ b/internal/router/interleavings_test.go
@@ -4,7 +4,7 @@
 	"context"
 	"testing"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // Several things have happened to a request when it is looked at again. The upstream holds Serve inside Send or Drop until
@@ -59,7 +59,7 @@
 }
 
 func TestOrderOfEvents(t *testing.T) {
-	good := AttemptResult{Outcome: rules.OutcomeServed, Body: []byte("bytes")}
+	good := AttemptResult{Outcome: routing.OutcomeServed, Body: []byte("bytes")}
 	for name, c := range map[string]struct {
 		setup    func(g *rig, u *held)
 		verdict  Outcome
@@ -78,23 +78,23 @@
 			u.send = func(_ int, c *call) { c.done <- good; g.cancel() }
 		}, NoResponse, 1},
 		"failure and client gone": {func(g *rig, u *held) {
-			u.send = func(_ int, c *call) { c.done <- AttemptResult{Outcome: rules.OutcomeConnectionRefused}; g.cancel() }
+			u.send = func(_ int, c *call) { c.done <- AttemptResult{Outcome: routing.OutcomeConnectionRefused}; g.cancel() }
 		}, NoResponse, 1},
 		"failure and end of the process": {func(g *rig, u *held) {
-			u.send = func(_ int, c *call) { c.done <- AttemptResult{Outcome: rules.OutcomeConnectionRefused}; g.Close() }
+			u.send = func(_ int, c *call) { c.done <- AttemptResult{Outcome: routing.OutcomeConnectionRefused}; g.Close() }
 		}, Failed, 1},
 		"client gone while an attempt is given up": {func(g *rig, u *held) {
 			u.send = func(n int, c *call) {
 				if n == 1 {
-					g.stepLocked(rules.Event{Kind: rules.EventOutcome, RequestID: "none"})
-					g.mailboxes["r1"] <- rules.Action{Kind: rules.ActionCancel, RequestID: "r1", Attempt: 0}
+					g.stepLocked(routing.Event{Kind: routing.EventOutcome, RequestID: "none"})
+					g.mailboxes["r1"] <- routing.Action{Kind: routing.ActionCancel, RequestID: "r1", Attempt: 0}
 				}
 			}
 			u.drop = func() { g.cancel() }
 		}, NoResponse, 1},
 		"end of the process while an attempt is given up": {func(g *rig, u *held) {
 			u.send = func(n int, c *call) {
-				g.mailboxes["r1"] <- rules.Action{Kind: rules.ActionCancel, RequestID: "r1", Attempt: 0}
+				g.mailboxes["r1"] <- routing.Action{Kind: routing.ActionCancel, RequestID: "r1", Attempt: 0}
 			}
 			done := false
 			u.drop = func() {
@@ -124,12 +124,12 @@
 
 // The module ends a request while an attempt is out: the attempt is given up.
 func TestEndedWhileOut(t *testing.T) {
-	for _, kind := range []rules.ActionKind{rules.ActionReject, rules.ActionFail} {
+	for _, kind := range []routing.ActionKind{routing.ActionReject, routing.ActionFail} {
 		g := newRig(t, "box", "origin")
 		g.serve("r1")
 		c := g.nextAttempt()
 		g.mu.Lock()
-		g.mailboxes["r1"] <- rules.Action{Kind: kind, RequestID: "r1"}
+		g.mailboxes["r1"] <- routing.Action{Kind: kind, RequestID: "r1"}
 		g.mu.Unlock()
 		g.nextAnswer()
 		select {
@@ -143,8 +143,8 @@
 // New settings give a class keys after the front has read a request of it by the old ones: it is not sent on without one.
 func TestClassGetsKeysOnceRead(t *testing.T) {
 	g := newRig(t, "box", "parent", "origin")
-	if err := g.UpdateSettings(rules.Settings{Classes: []rules.Class{{Name: "page", Deadline: 3_000_000, Idempotency: "idempotency_key", DeduplicationScope: "all",
-		DeduplicationWindow: 2_000_000}}, Permissions: rules.Permissions{MaxAttempts: 8}}); err != nil {
+	if err := g.UpdateSettings(routing.Settings{Classes: []routing.Class{{Name: "page", Deadline: 3_000_000, Idempotency: "idempotency_key", DeduplicationScope: "all",
+		DeduplicationWindow: 2_000_000}}, Permissions: routing.Permissions{MaxAttempts: 8}}); err != nil {
 		t.Fatal(err)
 	}
 	g.serve("r1")
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"strings"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // settingsFieldNames maps the servers' names for the fields of a load report to those of the settings.
@@ -47,7 +47,7 @@
 }
 
 // reportOutcome passes an outcome to the module together with the load report that came with it.
-func (r *Router) reportOutcome(load string, ev rules.Event) {
+func (r *Router) reportOutcome(load string, ev routing.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ev.LoadReport = parseLoadReport(r.loadFields, load)
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"spantack/internal/clock"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // This file has the operations of staff and of the successor process on a running router. The life of a request is in serve.go.
@@ -16,7 +16,7 @@
 
 // resizeClassCounters makes a tally for each class of the settings. Tallies of dropped classes are kept, for counts start with the process, unless
 // there would be more than maxCountedClasses.
-func (r *Router) resizeClassCounters(set rules.Settings) {
+func (r *Router) resizeClassCounters(set routing.Settings) {
 	next := map[string]*ClassCounters{}
 	old := r.classCounters.Load()
 	if old != nil && len(*old)+len(set.Classes) <= maxCountedClasses {
@@ -107,18 +107,18 @@
 
 // ReportOverloaded tells the module that routers of other depots find a server crowded.
 func (r *Router) ReportOverloaded(server string) {
-	r.step(rules.Event{Kind: rules.EventParentOverloaded, Server: server})
+	r.step(routing.Event{Kind: routing.EventParentOverloaded, Server: server})
 }
 
 // applyEndpointsLocked passes rows that staff or the fleet changed to the module. r.mu is held.
-func (r *Router) applyEndpointsLocked(rows []rules.Endpoint) {
+func (r *Router) applyEndpointsLocked(rows []routing.Endpoint) {
 	if len(rows) > 0 {
-		r.stepLocked(rules.Event{Kind: rules.EventEndpoints, UpdateMode: "update", Endpoints: rows})
+		r.stepLocked(routing.Event{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: rows})
 	}
 }
 
 // UpdateSettings puts new settings in force for later requests. On error, which names the field at fault, nothing has changed.
-func (r *Router) UpdateSettings(set rules.Settings) error {
+func (r *Router) UpdateSettings(set routing.Settings) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastStepAt = max(r.lastStepAt, clock.Micros(r.clock.Now()))
@@ -130,7 +130,7 @@
 }
 
 // applySettingsLocked reads the settings that the router itself needs. r.mu is held, or r is not shared yet.
-func (r *Router) applySettingsLocked(set rules.Settings) {
+func (r *Router) applySettingsLocked(set routing.Settings) {
 	r.resizeClassCounters(set)
 	r.loadFields, r.keyedClasses = set.LoadReporting.Fields, map[string]bool{}
 	for _, c := range set.Classes {
@@ -139,7 +139,7 @@
 }
 
 // LearnedState returns what the module has learnt, for a process that takes over.
-func (r *Router) LearnedState() rules.LearnedState {
+func (r *Router) LearnedState() routing.LearnedState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.LearnedState(clock.Micros(r.clock.Now()))
@@ -147,7 +147,7 @@
 
 // RestoreLearnedState adopts the beliefs of the process that this one replaces. It is called once the list of servers is known. On error, which names what
 // is implausible, nothing is adopted.
-func (r *Router) RestoreLearnedState(b rules.LearnedState) error {
+func (r *Router) RestoreLearnedState(b routing.LearnedState) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastStepAt = max(r.lastStepAt, clock.Micros(r.clock.Now()))
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -4,8 +4,8 @@
 	"errors"
 	"testing"
 
-	"spantack/core/roster"
-	"spantack/rules"
+	"spantack/core/endpoints"
+	"spantack/routing"
 )
 
 func listed(status string) WatchEvent {
@@ -20,7 +20,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := g.Exclude("box-9"); !errors.Is(err, roster.ErrUnknownServer) {
+	if err := g.Exclude("box-9"); !errors.Is(err, endpoints.ErrUnknownServer) {
 		t.Errorf("an unknown one: %v", err)
 	}
 	for _, n := range []WatchEvent{{}, listed("cordoned"), listed("healthy"), listed("deregistered"), listed("healthy")} {
@@ -30,7 +30,7 @@
 		if c.Server != "origin-1" {
 			t.Errorf("after %+v: sent to %s", n, c.Server)
 		}
-		c.done <- AttemptResult{Outcome: rules.OutcomeServed}
+		c.done <- AttemptResult{Outcome: routing.OutcomeServed}
 		g.nextAnswer()
 	}
 	if listed, off := g.CacheCounts(); listed != 1 || off != 1 {
@@ -43,7 +43,7 @@
 	if c := g.nextAttempt(); c.Server != "box-1" {
 		t.Errorf("put back, and sent to %s", c.Server)
 	} else {
-		c.done <- AttemptResult{Outcome: rules.OutcomeServed}
+		c.done <- AttemptResult{Outcome: routing.OutcomeServed}
 	}
 	g.nextAnswer()
 	if err := g.SetExcluded([]string{"box-1"}); err != nil || len(g.Excluded()) != 1 {
@@ -62,16 +62,16 @@
 	if open := g.OpenRequests(); open != 1 {
 		t.Errorf("%d open", open)
 	}
-	c.done <- AttemptResult{Outcome: rules.OutcomeServed}
+	c.done <- AttemptResult{Outcome: routing.OutcomeServed}
 	g.nextAnswer()
 	g.CountRejected("page")
 	g.CountRejected("nothing")
-	set := rules.Settings{Classes: []rules.Class{{Name: "price", Deadline: 1_000_000, LatencyObjective: 400_000, Idempotency: "read_like", DeduplicationScope: "all"}},
-		Permissions: rules.Permissions{MaxAttempts: 1}}
+	set := routing.Settings{Classes: []routing.Class{{Name: "price", Deadline: 1_000_000, LatencyObjective: 400_000, Idempotency: "read_like", DeduplicationScope: "all"}},
+		Permissions: routing.Permissions{MaxAttempts: 1}}
 	if err := g.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.UpdateSettings(rules.Settings{}); err == nil {
+	if err := g.UpdateSettings(routing.Settings{}); err == nil {
 		t.Error("settings without a class were taken")
 	}
 	list := g.CountersByClass()
@@ -93,7 +93,7 @@
 func TestBeliefs(t *testing.T) {
 	g, next := newRig(t, "box", "origin"), newRig(t, "box", "origin")
 	g.serve("r1")
-	g.nextAttempt().done <- AttemptResult{Outcome: rules.OutcomeServed}
+	g.nextAttempt().done <- AttemptResult{Outcome: routing.OutcomeServed}
 	g.nextAnswer()
 	if err := next.RestoreLearnedState(g.LearnedState()); err != nil {
 		t.Fatal(err)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -12,13 +12,13 @@
 	"github.com/rs/zerolog"
 
 	"spantack/core/cells"
+	"spantack/core/endpoints"
 	"spantack/core/hierarchy"
-	"spantack/core/moves"
-	"spantack/core/roster"
-	"spantack/core/shield"
-	"spantack/core/stages"
+	"spantack/core/migration"
+	"spantack/core/originlimit"
+	"spantack/core/rollout"
 	"spantack/internal/clock"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // Request is one client's request. Times are milliseconds.
@@ -66,15 +66,15 @@
 	Source         string // id of the server that fills a miss; empty: none
 	Timeout        float64
 	RetentionRank  int
-	MaxAge         float64          // 0: the class's fresh time
-	FetchFlags     rules.FetchFlags // bits of rules.Action.FetchFlags
-	SendWithin     float64          // how long after its choice it may go out; 0: as long as its server may be sent to
-	HasSideEffects bool             // to run it twice does harm: it must not be mistaken for another attempt of its request
+	MaxAge         float64            // 0: the class's fresh time
+	FetchFlags     routing.FetchFlags // bits of rules.Action.FetchFlags
+	SendWithin     float64            // how long after its choice it may go out; 0: as long as its server may be sent to
+	HasSideEffects bool               // to run it twice does harm: it must not be mistaken for another attempt of its request
 }
 
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
-	Outcome     rules.AttemptOutcome
+	Outcome     routing.AttemptOutcome
 	CacheStatus int
 	SourceWait  float64 // for the source
 	Body        []byte
@@ -137,9 +137,9 @@
 
 	mu           sync.Mutex // held only while the module decides; never across I/O
 	admission    *cells.Admission
-	endpoints    *roster.List
+	endpoints    *endpoints.List
 	lastStepAt   int64 // the module's clock must not run backwards
-	mailboxes    map[string]chan rules.Action
+	mailboxes    map[string]chan routing.Action
 	loadFields   []string        // what load reports hold, in the module's order
 	keyedClasses map[string]bool // classes whose requests carry an idempotency key
 
@@ -155,12 +155,12 @@
 }
 
 // New returns a router that decides by the settings and sends by way of upstream.
-func New(set rules.Settings, seed int64, c *clock.Clock, upstream Upstream, log zerolog.Logger) (*Router, error) {
+func New(set routing.Settings, seed int64, c *clock.Clock, upstream Upstream, log zerolog.Logger) (*Router, error) {
 	module, err := cells.NewAdmission(set, seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r := &Router{clock: c, log: log, upstream: upstream, admission: module, endpoints: roster.New(), mailboxes: map[string]chan rules.Action{},
+	r := &Router{clock: c, log: log, upstream: upstream, admission: module, endpoints: endpoints.New(), mailboxes: map[string]chan routing.Action{},
 		closed: make(chan struct{})}
 	r.applySettingsLocked(set)
 	return r, nil
@@ -174,10 +174,10 @@
 // and a shield of the head office. A nil field is off.
 type Features struct {
 	Cells       *cells.Assignment
-	Migrations  *moves.Document
-	Rollout     *stages.Rollout
+	Migrations  *migration.Document
+	Rollout     *rollout.Rollout
 	Topology    *hierarchy.Graph
-	OriginLimit *shield.Document
+	OriginLimit *originlimit.Document
 }
 
 // ApplyFeatures puts features in force before it returns. No request sees a part without the others. The error is that of the release or the
@@ -252,16 +252,16 @@
 
 // Apply passes a notice to the module before it returns.
 func (r *Router) Apply(n WatchEvent) {
-	ev := rules.Event{Kind: rules.EventEndpoints, UpdateMode: "update"}
+	ev := routing.Event{Kind: routing.EventEndpoints, UpdateMode: "update"}
 	if n.IsSnapshot {
 		ev.UpdateMode = "replace"
 	}
 	for _, s := range n.Servers {
-		ev.Endpoints = append(ev.Endpoints, rules.Endpoint{Server: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Status: rules.EndpointStatus(s.Status),
+		ev.Endpoints = append(ev.Endpoints, routing.Endpoint{Server: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Status: routing.EndpointStatus(s.Status),
 			Weight: s.Weight, StartedAt: clock.Micros(s.StartedAt)})
 	}
 	if n.Purge != nil {
-		r.step(rules.Event{Kind: rules.EventPurge, Object: n.Purge.Object, PurgeGroup: n.Purge.Group,
+		r.step(routing.Event{Kind: routing.EventPurge, Object: n.Purge.Object, PurgeGroup: n.Purge.Group,
 			PurgeAge: clock.Micros(max(r.clock.Now()-n.Purge.Before, 0))})
 		return
 	}
@@ -273,42 +273,42 @@
 
 // step passes one event to the module, and each action to the mailbox of the request that it names. The timers that
 // the module sets belong to the router: they fire even when their request has ended.
-func (r *Router) step(ev rules.Event) {
+func (r *Router) step(ev routing.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stepLocked(ev)
 }
 
 // stepLocked is step for a caller that holds r.mu.
-func (r *Router) stepLocked(ev rules.Event) {
+func (r *Router) stepLocked(ev routing.Event) {
 	r.lastStepAt = max(r.lastStepAt, clock.Micros(r.clock.Now()))
 	for _, a := range r.decide(ev) {
 		switch a.Kind {
-		case rules.ActionSetTimer:
-			r.clock.AfterFunc(clock.Millis(a.Delay), func() { r.step(rules.Event{Kind: rules.EventTimer, TimerToken: a.TimerToken}) })
-		case rules.ActionSend, rules.ActionReject, rules.ActionFail, rules.ActionCancel:
+		case routing.ActionSetTimer:
+			r.clock.AfterFunc(clock.Millis(a.Delay), func() { r.step(routing.Event{Kind: routing.EventTimer, TimerToken: a.TimerToken}) })
+		case routing.ActionSend, routing.ActionReject, routing.ActionFail, routing.ActionCancel:
 			select {
 			case r.mailboxes[a.RequestID] <- a:
 			default: // no request waits for it, or the mailbox is full: the request is still answered at its deadline
 				r.Counters.Faults.Add(1)
 			}
-		case rules.ActionReportOverload:
+		case routing.ActionReportOverload:
 			if r.OnOverloaded != nil {
 				r.OnOverloaded(a.Server)
 			}
-		case rules.ActionLog:
+		case routing.ActionLog:
 			r.log.Info().Str("text", a.LogText).Msg("module says")
 		}
 	}
 }
 
 // decide calls the module and recovers from its panics, which would end every open request.
-func (r *Router) decide(ev rules.Event) (actions []rules.Action) {
+func (r *Router) decide(ev routing.Event) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.Counters.Faults.Add(1)
 			r.log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("decision module failed")
 		}
 	}()
-	return r.admission.Step(r.lastStepAt, []rules.Event{ev})
+	return r.admission.Step(r.lastStepAt, []routing.Event{ev})
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -8,7 +8,7 @@
 
 	"spantack/internal/clock"
 	"spantack/internal/testwait"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // upstream hands attempts to the test, which plays the servers.
@@ -41,13 +41,13 @@
 
 func newRig(t *testing.T, kinds ...string) *rig {
 	t.Helper()
-	set := rules.Settings{
-		Classes: []rules.Class{{Name: "page", Deadline: 3_000_000, LatencyObjective: 400_000, ObjectiveSizeFactor: 2, PriorityWeight: 1,
+	set := routing.Settings{
+		Classes: []routing.Class{{Name: "page", Deadline: 3_000_000, LatencyObjective: 400_000, ObjectiveSizeFactor: 2, PriorityWeight: 1,
 			Idempotency: "read_like", DeduplicationScope: "all"}},
-		Hierarchy: rules.CacheHierarchy{OriginKind: 2, ParentKind: 1, FreshnessLifetime: []int64{20_000_000}, StaleGracePeriod: []int64{10_000_000},
+		Hierarchy: routing.CacheHierarchy{OriginKind: 2, ParentKind: 1, FreshnessLifetime: []int64{20_000_000}, StaleGracePeriod: []int64{10_000_000},
 			CacheStatusReporting: "all", ResponseKBPerSecond: 2000, PurgePropagationTime: 6_000_000, AllowsDirectFetch: true},
 		Kinds:       []string{"box", "parent", "origin"},
-		Permissions: rules.Permissions{MayCancel: true, MaxAttempts: 8, MaxRetryAfter: 1_000_000},
+		Permissions: routing.Permissions{MayCancel: true, MaxAttempts: 8, MaxRetryAfter: 1_000_000},
 		Zone:        "east",
 		Zones:       []string{"east", "hub"},
 	}
@@ -97,7 +97,7 @@
 	if c.Server != "box-1" || c.Source != "parent-1" || c.RetentionRank != 1 || c.MaxAge > 20_000 || c.MaxAge < 16_000 || c.Timeout != 1475 {
 		t.Errorf("first attempt %+v", c.Attempt)
 	}
-	c.done <- AttemptResult{Outcome: rules.OutcomeServed, CacheStatus: 2, Body: []byte("bytes")}
+	c.done <- AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 2, Body: []byte("bytes")}
 	if a := g.nextAnswer(); a.Outcome != Served || string(a.Body) != "bytes" {
 		t.Errorf("answer %+v", a)
 	}
@@ -109,15 +109,15 @@
 	g := newRig(t, "box", "parent", "origin")
 	g.serve("r1")
 	c := g.nextAttempt()
-	c.done <- AttemptResult{Outcome: rules.OutcomeError, CacheStatus: 7, SourceWait: 300}
+	c.done <- AttemptResult{Outcome: routing.OutcomeError, CacheStatus: 7, SourceWait: 300}
 	held := g.nextAttempt()
 	if held.Server != "box-1" || held.Source != "" || held.MaxAge != 30_000 {
 		t.Errorf("held attempt %+v", held.Attempt)
 	}
-	held.done <- AttemptResult{Outcome: rules.OutcomeMiss}
+	held.done <- AttemptResult{Outcome: routing.OutcomeMiss}
 	origin := g.nextAttempt()
-	origin.done <- AttemptResult{Outcome: rules.OutcomeRejected, CacheStatus: 6}
-	g.nextAttempt().done <- AttemptResult{Outcome: rules.OutcomeMiss}
+	origin.done <- AttemptResult{Outcome: routing.OutcomeRejected, CacheStatus: 6}
+	g.nextAttempt().done <- AttemptResult{Outcome: routing.OutcomeMiss}
 	if a := g.nextAnswer(); a.Outcome != Rejected || a.RetryAfter <= 0 || a.RetryAfter > 1000 {
 		t.Errorf("answer %+v", a)
 	}
@@ -180,7 +180,7 @@
 	if a := g.Serve(context.Background(), Request{ID: "r1", Class: "page", ClientTimeout: 1000, ArrivedAt: g.clock.Now()}); a.Outcome != Failed {
 		t.Errorf("the second got %+v", a)
 	}
-	c.done <- AttemptResult{Outcome: rules.OutcomeServed, NotModified: true}
+	c.done <- AttemptResult{Outcome: routing.OutcomeServed, NotModified: true}
 	if a := g.nextAnswer(); a.Outcome != Served || !a.NotModified {
 		t.Errorf("the first got %+v", a)
 	}
@@ -195,7 +195,7 @@
 		t.Errorf("sent to %s", c.Server)
 	} else {
 		g.Apply(WatchEvent{IsSnapshot: true})
-		c.done <- AttemptResult{Outcome: rules.OutcomeConnectionReset}
+		c.done <- AttemptResult{Outcome: routing.OutcomeConnectionReset}
 	}
 	if a := g.nextAnswer(); a.Outcome != Rejected {
 		t.Errorf("answer %+v", a)
@@ -227,7 +227,7 @@
 		if c.Timeout != want {
 			t.Errorf("of %v ms the attempt got %v, want %v", allow, c.Timeout, want)
 		}
-		c.done <- AttemptResult{Outcome: rules.OutcomeServed}
+		c.done <- AttemptResult{Outcome: routing.OutcomeServed}
 		for open := 1; open > 0; { // the next one has the same id
 			g.mu.Lock()
 			open = len(g.mailboxes)
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"spantack/internal/clock"
-	"spantack/rules"
+	"spantack/routing"
 )
 
 const (
@@ -25,7 +25,7 @@
 func (r *Router) Serve(ctx context.Context, q Request) (answer Response) {
 	r.Counters.Accepted.Add(1)
 	defer func() { r.countOutcome(q.Class, answer.Outcome) }()
-	mailbox := make(chan rules.Action, mailboxSize)
+	mailbox := make(chan routing.Action, mailboxSize)
 	end := q.ArrivedAt + q.ClientTimeout - min(max(replyMarginShare*q.ClientTimeout, minReplyMargin), maxReplyMargin)
 	late, lateTimer := r.clock.Alarm(end + overdueAfter - r.clock.Now())
 	defer lateTimer.Stop()
@@ -34,7 +34,7 @@
 	keyless := r.keyedClasses[q.Class] && q.IdempotencyKey == ""
 	if !duplicate && !keyless {
 		r.mailboxes[q.ID] = mailbox
-		r.stepLocked(rules.Event{Kind: rules.EventRequest, RequestID: q.ID, Class: q.Class, Tenant: q.Tenant, Object: q.Object, Chunk: q.Chunk, PurgeGroup: q.PurgeGroup,
+		r.stepLocked(routing.Event{Kind: routing.EventRequest, RequestID: q.ID, Class: q.Class, Tenant: q.Tenant, Object: q.Object, Chunk: q.Chunk, PurgeGroup: q.PurgeGroup,
 			SizeKB: q.SizeKB, Timeout: clock.Micros(end - r.clock.Now())})
 	}
 	r.mu.Unlock()
@@ -63,13 +63,13 @@
 	// Events that have not been handled yet.
 	var (
 		timedOut, overdue bool
-		action            *rules.Action // the module's next action
+		action            *routing.Action // the module's next action
 	)
 	endAttempt := func(e AttemptResult) { // reports the end of the open attempt to the module
 		timer.Stop()
 		call, done, timeout, timedOut = nil, nil, nil, false
-		r.reportOutcome(e.LoadReport, rules.Event{Kind: rules.EventOutcome, RequestID: q.ID, Attempt: number, Server: server, Outcome: e.Outcome, CacheStatus: rules.CacheStatus(e.CacheStatus),
-			ResponseTime: clock.Micros(r.clock.Now() - sentAt), UpstreamWait: clock.Micros(e.SourceWait), IsFinal: e.Outcome == rules.OutcomeServed})
+		r.reportOutcome(e.LoadReport, routing.Event{Kind: routing.EventOutcome, RequestID: q.ID, Attempt: number, Server: server, Outcome: e.Outcome, CacheStatus: routing.CacheStatus(e.CacheStatus),
+			ResponseTime: clock.Micros(r.clock.Now() - sentAt), UpstreamWait: clock.Micros(e.SourceWait), IsFinal: e.Outcome == routing.OutcomeServed})
 	}
 	giveUp := func() {
 		if call != nil {
@@ -79,7 +79,7 @@
 	}
 	abandon := func() { // ends the request on the module's side
 		giveUp()
-		r.step(rules.Event{Kind: rules.EventAborted, RequestID: q.ID})
+		r.step(routing.Event{Kind: routing.EventAborted, RequestID: q.ID})
 	}
 	for {
 		var e AttemptResult
@@ -109,10 +109,10 @@
 		case ended:
 			endAttempt(e)
 			switch {
-			case e.Outcome == rules.OutcomeServed && ctx.Err() != nil:
+			case e.Outcome == routing.OutcomeServed && ctx.Err() != nil:
 				r.Counters.Departed.Add(1)
 				return Response{}
-			case e.Outcome == rules.OutcomeServed:
+			case e.Outcome == routing.OutcomeServed:
 				r.Counters.Served.Add(1)
 				return Response{Outcome: Served, Body: e.Body, NotModified: e.NotModified}
 			}
@@ -132,12 +132,12 @@
 			return Response{Outcome: Failed}
 		case timedOut:
 			call.Cancel(r.clock.Now() < end-retryCutoff)
-			endAttempt(AttemptResult{Outcome: rules.OutcomeTimedOut})
+			endAttempt(AttemptResult{Outcome: routing.OutcomeTimedOut})
 		case action != nil:
 			a := *action
 			action = nil
 			switch a.Kind {
-			case rules.ActionSend:
+			case routing.ActionSend:
 				try := Attempt{Request: &q, Server: a.Server, Timeout: clock.Millis(a.Timeout), SendWithin: clock.Millis(a.SendWithin), HasSideEffects: a.HasSideEffects}
 				if a.Source != "" {
 					try.RetentionRank, try.MaxAge, try.FetchFlags = a.RetentionRank, clock.Millis(a.MaxAge), a.FetchFlags
@@ -151,16 +151,16 @@
 				call = r.upstream.Send(try)
 				done = call.Done()
 				r.Counters.Attempts.Add(1)
-			case rules.ActionCancel:
+			case routing.ActionCancel:
 				if call != nil && a.Attempt == number {
 					call.Cancel(true)
-					endAttempt(AttemptResult{Outcome: rules.OutcomeCanceled})
+					endAttempt(AttemptResult{Outcome: routing.OutcomeCanceled})
 				}
-			case rules.ActionReject:
+			case routing.ActionReject:
 				giveUp()
 				r.Counters.Rejected.Add(1)
 				return Response{Outcome: Rejected, RetryAfter: clock.Millis(a.RetryAfter)}
-			case rules.ActionFail:
+			case routing.ActionFail:
 				giveUp()
 				r.Counters.Failed.Add(1)
 				return Response{Outcome: Failed}
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads batches of events from the routers' wire and prints the replies. It decides nothing.
-package wire
+// Package simwire reads batches of events from the routers' wire and prints the replies. It decides nothing.
+package simwire
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // Message is one event on the wire: a start, a stop, or an event for a running instance.
@@ -17,9 +17,9 @@
 	Instance string
 	IsStart  bool
 	IsStop   bool
-	Settings *rules.Settings
+	Settings *routing.Settings
 	Seed     int64
-	Event    rules.Event
+	Event    routing.Event
 }
 
 // Batch is all that came in at one time.
@@ -33,12 +33,12 @@
 	input      *bufio.Reader
 	lineNumber int
 	// decoded settings by text, so that equal texts are decoded once; the result is never written to
-	settings map[string]*rules.Settings
+	settings map[string]*routing.Settings
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{input: bufio.NewReaderSize(r, 1<<20), settings: map[string]*rules.Settings{}}
+	return &Reader{input: bufio.NewReaderSize(r, 1<<20), settings: map[string]*routing.Settings{}}
 }
 
 func (r *Reader) readLine() (string, error) {
@@ -105,7 +105,7 @@
 			}
 			rows--
 			ev := &b.Messages[len(b.Messages)-1].Event
-			var row rules.Endpoint
+			var row routing.Endpoint
 			if row, err = parseRow(&f); err == nil {
 				ev.Endpoints = append(ev.Endpoints, row)
 			}
@@ -157,9 +157,9 @@
 	return nil
 }
 
-var eventKinds = map[string]rules.EventKind{
-	"FLEET": rules.EventEndpoints, "KNOCK": rules.EventRequest, "HEADERS": rules.EventFirstByte, "RESULT": rules.EventOutcome,
-	"ABORTED": rules.EventAborted, "TIMER": rules.EventTimer, "ECHO": rules.EventProbed, "REPLACED": rules.EventPurge,
+var eventKinds = map[string]routing.EventKind{
+	"FLEET": routing.EventEndpoints, "KNOCK": routing.EventRequest, "HEADERS": routing.EventFirstByte, "RESULT": routing.EventOutcome,
+	"ABORTED": routing.EventAborted, "TIMER": routing.EventTimer, "ECHO": routing.EventProbed, "REPLACED": routing.EventPurge,
 }
 
 // requiredFields names the fields without which a message means nothing.
@@ -195,12 +195,12 @@
 		case "BootInfo":
 			it.Settings = r.settings[v]
 			if it.Settings == nil {
-				it.Settings = &rules.Settings{}
+				it.Settings = &routing.Settings{}
 				err = json.Unmarshal([]byte(v), it.Settings)
 				r.settings[v] = it.Settings
 			}
 		case "Mode":
-			ev.UpdateMode = rules.UpdateMode(v)
+			ev.UpdateMode = routing.UpdateMode(v)
 		case "Rows":
 			rows, err = strconv.Atoi(v)
 			if rows < 0 {
@@ -217,7 +217,7 @@
 		case "Node":
 			ev.Server = v
 		case "Code":
-			ev.Outcome = rules.AttemptOutcome(v)
+			ev.Outcome = routing.AttemptOutcome(v)
 		case "ExpiresIn":
 			ev.Timeout, err = strconv.ParseInt(v, 10, 64)
 		case "SizeKb":
@@ -231,7 +231,7 @@
 		case "Detail":
 			var status int
 			status, err = strconv.Atoi(v)
-			ev.CacheStatus = rules.CacheStatus(status)
+			ev.CacheStatus = routing.CacheStatus(status)
 		case "Rtt":
 			ev.ResponseTime, err = strconv.ParseInt(v, 10, 64)
 		case "UpstreamWait":
@@ -265,7 +265,7 @@
 	return it, rows, err
 }
 
-func parseRow(f *fields) (row rules.Endpoint, err error) {
+func parseRow(f *fields) (row routing.Endpoint, err error) {
 	err = f.forEach(func(k, v string) (err error) {
 		switch k {
 		case "Node":
@@ -277,7 +277,7 @@
 		case "Group":
 			row.Cell, err = strconv.ParseInt(v, 10, 64)
 		case "Status":
-			row.Status = rules.EndpointStatus(v)
+			row.Status = routing.EndpointStatus(v)
 		case "Weight":
 			row.Weight, err = strconv.ParseFloat(v, 64)
 		case "CameUp":
@@ -299,8 +299,8 @@
 }
 
 // AppendAction adds the line for action a of an instance to buf. What is told to peers has no line: instances share nothing here.
-func AppendAction(buf []byte, instance string, a rules.Action) []byte {
-	if a.Kind == rules.ActionReportOverload {
+func AppendAction(buf []byte, instance string, a routing.Action) []byte {
+	if a.Kind == routing.ActionReportOverload {
 		return buf
 	}
 	str := func(name, v string) {
@@ -315,7 +315,7 @@
 	}
 	verb := func(v string) { buf = append(buf, v...); str("DirectorId", instance) }
 	switch a.Kind {
-	case rules.ActionSend:
+	case routing.ActionSend:
 		if a.Source == "" {
 			verb("ASSIGN")
 		} else {
@@ -330,34 +330,34 @@
 			num("Oldness", a.MaxAge)
 			num("How", int64(a.FetchFlags))
 		}
-	case rules.ActionReject:
+	case routing.ActionReject:
 		verb("TURN_AWAY")
 		str("Call", a.RequestID)
 		num("CoolDown", a.RetryAfter)
-	case rules.ActionFail:
+	case routing.ActionFail:
 		verb("GIVE_UP")
 		str("Call", a.RequestID)
-	case rules.ActionCancel:
+	case routing.ActionCancel:
 		verb("CANCEL")
 		str("Call", a.RequestID)
 		buf = strconv.AppendInt(append(buf, " Leg="...), int64(a.Attempt), 10)
-	case rules.ActionSetTimer:
+	case routing.ActionSetTimer:
 		verb("SET_TIMER")
 		buf = strconv.AppendInt(append(buf, " FromNow="...), a.Delay, 10)
 		buf = strconv.AppendInt(append(buf, " Ctx="...), a.TimerToken, 10)
-	case rules.ActionProbe:
+	case routing.ActionProbe:
 		verb("TEST")
 		str("Node", a.Server)
-	case rules.ActionSubscribe:
+	case routing.ActionSubscribe:
 		verb("SUBSCRIBE")
 		on := byte('0')
 		if a.Enabled {
 			on = '1'
 		}
 		buf = append(append(buf, " Want="...), on)
-	case rules.ActionResolve:
+	case routing.ActionResolve:
 		verb("RESOLVE")
-	case rules.ActionLog:
+	case routing.ActionLog:
 		verb("WRITE_LOG")
 		str("Line", strings.ReplaceAll(a.LogText, "\n", " "))
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"io"
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // What the module tells its peers has no line here; once it would have been an empty one.
 func TestNothingIsToldToPeers(t *testing.T) {
-	if out := AppendAction(nil, "d", rules.Action{Kind: rules.ActionReportOverload, Server: "p"}); len(out) != 0 {
+	if out := AppendAction(nil, "d", routing.Action{Kind: routing.ActionReportOverload, Server: "p"}); len(out) != 0 {
 		t.Errorf("%q", out)
 	}
 }
@@ -34,17 +34,17 @@
 	if it := b.Messages[0]; !it.IsStart || it.Seed != -1 || it.Settings.Zone != "a b" || it.Settings.FleetSize != 3 {
 		t.Errorf("born %+v", it)
 	}
-	want := []rules.Event{
-		{Kind: rules.EventEndpoints, UpdateMode: "restored", Endpoints: []rules.Endpoint{
+	want := []routing.Event{
+		{Kind: routing.EventEndpoints, UpdateMode: "restored", Endpoints: []routing.Endpoint{
 			{Server: "1.2.3.4:5", Zone: "z", Kind: "box", Cell: 2, Status: "healthy", Weight: 1.5, StartedAt: 9}}},
-		{Kind: rules.EventRequest, RequestID: "ab", Class: "c", Object: "x", Timeout: 7, SizeKB: 6.5, PurgeGroup: 3, Chunk: 2, IsClientRetry: true},
-		{Kind: rules.EventOutcome, RequestID: "ab", Attempt: 1, Server: "n", Outcome: rules.OutcomeMiss, ResponseTime: 8, IsFinal: true, CacheStatus: 4,
+		{Kind: routing.EventRequest, RequestID: "ab", Class: "c", Object: "x", Timeout: 7, SizeKB: 6.5, PurgeGroup: 3, Chunk: 2, IsClientRetry: true},
+		{Kind: routing.EventOutcome, RequestID: "ab", Attempt: 1, Server: "n", Outcome: routing.OutcomeMiss, ResponseTime: 8, IsFinal: true, CacheStatus: 4,
 			UpstreamWait: 2, LoadReport: []float64{1, 0.5}},
-		{Kind: rules.EventPurge, PurgeGroup: 11, PurgeAge: 85},
-		{Kind: rules.EventFirstByte, RequestID: "ab"},
-		{Kind: rules.EventAborted, RequestID: "ab"},
-		{Kind: rules.EventTimer, TimerToken: 9},
-		{Kind: rules.EventProbed, Outcome: rules.OutcomeServed, Server: "n", ResponseTime: 3},
+		{Kind: routing.EventPurge, PurgeGroup: 11, PurgeAge: 85},
+		{Kind: routing.EventFirstByte, RequestID: "ab"},
+		{Kind: routing.EventAborted, RequestID: "ab"},
+		{Kind: routing.EventTimer, TimerToken: 9},
+		{Kind: routing.EventProbed, Outcome: routing.OutcomeServed, Server: "n", ResponseTime: 3},
 	}
 	for i, ev := range want {
 		if got := b.Messages[i+1].Event; !reflect.DeepEqual(got, ev) {
@@ -81,18 +81,18 @@
 }
 
 func TestAppend(t *testing.T) {
-	for want, a := range map[string]rules.Action{
-		"ASSIGN DirectorId=d Call=a GiveUpAfter=5 Node=n": {Kind: rules.ActionSend, RequestID: "a", Server: "n", Timeout: 5},
-		"ANSWER_FROM DirectorId=d Call=a GiveUpAfter=5 Node=n Feeder=p Retain=0 Oldness=7 How=3": {Kind: rules.ActionSend, RequestID: "a",
-			Server: "n", Timeout: 5, Source: "p", MaxAge: 7, FetchFlags: rules.FetchCollapse | rules.FetchCachedOnly},
-		"TURN_AWAY DirectorId=d Call=a CoolDown=9":  {Kind: rules.ActionReject, RequestID: "a", RetryAfter: 9},
-		"GIVE_UP DirectorId=d Call=a":               {Kind: rules.ActionFail, RequestID: "a"},
-		"CANCEL DirectorId=d Call=a Leg=0":          {Kind: rules.ActionCancel, RequestID: "a"},
-		"SET_TIMER DirectorId=d FromNow=3 Ctx=0":    {Kind: rules.ActionSetTimer, Delay: 3},
-		"TEST DirectorId=d Node=n":                  {Kind: rules.ActionProbe, Server: "n"},
-		"SUBSCRIBE DirectorId=d Want=1":             {Kind: rules.ActionSubscribe, Enabled: true},
-		"RESOLVE DirectorId=d":                      {Kind: rules.ActionResolve},
-		"WRITE_LOG DirectorId=d Line=two lines now": {Kind: rules.ActionLog, LogText: "two lines\nnow"},
+	for want, a := range map[string]routing.Action{
+		"ASSIGN DirectorId=d Call=a GiveUpAfter=5 Node=n": {Kind: routing.ActionSend, RequestID: "a", Server: "n", Timeout: 5},
+		"ANSWER_FROM DirectorId=d Call=a GiveUpAfter=5 Node=n Feeder=p Retain=0 Oldness=7 How=3": {Kind: routing.ActionSend, RequestID: "a",
+			Server: "n", Timeout: 5, Source: "p", MaxAge: 7, FetchFlags: routing.FetchCollapse | routing.FetchCachedOnly},
+		"TURN_AWAY DirectorId=d Call=a CoolDown=9":  {Kind: routing.ActionReject, RequestID: "a", RetryAfter: 9},
+		"GIVE_UP DirectorId=d Call=a":               {Kind: routing.ActionFail, RequestID: "a"},
+		"CANCEL DirectorId=d Call=a Leg=0":          {Kind: routing.ActionCancel, RequestID: "a"},
+		"SET_TIMER DirectorId=d FromNow=3 Ctx=0":    {Kind: routing.ActionSetTimer, Delay: 3},
+		"TEST DirectorId=d Node=n":                  {Kind: routing.ActionProbe, Server: "n"},
+		"SUBSCRIBE DirectorId=d Want=1":             {Kind: routing.ActionSubscribe, Enabled: true},
+		"RESOLVE DirectorId=d":                      {Kind: routing.ActionResolve},
+		"WRITE_LOG DirectorId=d Line=two lines now": {Kind: routing.ActionLog, LogText: "two lines\nnow"},
 	} {
 		if got := string(AppendAction(nil, "d", a)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
--- a/lab/local/coldservers_test.go
+++ b/lab/process/coldservers_test.go
@@ -1,4 +1,4 @@
-package local
+package process
 
 import (
 	"fmt"
--- a/lab/local/coldstart_test.go
+++ b/lab/process/coldstart_test.go
@@ -1,10 +1,10 @@
-package local
+package process
 
 import (
 	"testing"
 	"time"
 
-	"spantack/core/coldstart"
+	"spantack/core/backoff"
 	"spantack/internal/testwait"
 	"spantack/standin/link"
 )
@@ -31,7 +31,7 @@
 		})
 	}
 	back()
-	period := time.Duration(coldstart.Schedule{FleetSize: routers}.Period()) * time.Microsecond
+	period := time.Duration(backoff.Schedule{FleetSize: routers}.Period()) * time.Microsecond
 	for round := range 3 {
 		time.Sleep(1200 * time.Millisecond) // a connection that held is a new start
 		before, _, _, _ := d.DiscoveryLink.Counts()
--- a/lab/local/load.go
+++ b/lab/process/load.go
@@ -1,4 +1,4 @@
-package local
+package process
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 
 	"spantack/internal/msgpackrpc"
 	"spantack/internal/router"
-	"spantack/standin/tier"
+	"spantack/standin/cache"
 )
 
 // Classes of the load, as in Settings.
@@ -156,7 +156,7 @@
 		c.Refused++
 	case a.Outcome != router.Served:
 		c.Failed++
-	case !bytes.Equal(a.Body, tier.Body(q.Object, fmt.Sprint(q.Chunk))):
+	case !bytes.Equal(a.Body, cache.Body(q.Object, fmt.Sprint(q.Chunk))):
 		c.Wrong++
 	default:
 		c.Served++
--- a/lab/local/local.go
+++ b/lab/process/local.go
@@ -1,6 +1,6 @@
-// Package local brings up a small deployment on loopback: stand-ins for depot caches, area cache, head office and discovery
+// Package process brings up a small deployment on loopback: stand-ins for depot caches, area cache, head office and discovery
 // service, and real router processes between them.
-package local
+package process
 
 import (
 	"bytes"
@@ -22,9 +22,9 @@
 	"spantack/internal/clock"
 	"spantack/internal/loopback"
 	"spantack/internal/msgpackrpc"
+	"spantack/standin/cache"
 	"spantack/standin/discovery"
 	"spantack/standin/link"
-	"spantack/standin/tier"
 )
 
 // Options describe a deployment of one depot.
@@ -34,7 +34,7 @@
 	Caches   int
 	Areas    int    // area caches; 0: one
 	Features string // text of a features file; empty: none
-	Script   func(tier.Get) tier.Fault
+	Script   func(cache.Get) cache.Fault
 	Delay    time.Duration // of a cache; above it three times as much
 	Binary   string        // the router; empty: built for the purpose
 	Flags    []string      // further ones of its command line
@@ -53,10 +53,10 @@
 
 // Deployment is one that runs.
 type Deployment struct {
-	RequestLog *tier.RequestLog
+	RequestLog *cache.RequestLog
 	Discovery  *discovery.Service
-	Caches     []*tier.Server
-	Areas      []*tier.Server
+	Caches     []*cache.Server
+	Areas      []*cache.Server
 	Routers    []*Router
 	Mesh       *link.Mesh // nil without Peers
 	// DiscoveryLink is the relay between routers and the discovery service; nil without Options.Relayed.
@@ -67,7 +67,7 @@
 	opt     Options
 	binary  string
 	mu      sync.Mutex
-	servers map[string]*tier.Server
+	servers map[string]*cache.Server
 	next    uint32
 	known   []discovery.Server
 }
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d = &Deployment{RequestLog: tier.NewRequestLog(), dir: dir, opt: opt, binary: opt.Binary, servers: map[string]*tier.Server{}}
+	d = &Deployment{RequestLog: cache.NewRequestLog(), dir: dir, opt: opt, binary: opt.Binary, servers: map[string]*cache.Server{}}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, d.Stop())
@@ -166,17 +166,17 @@
 }
 
 // add starts a server and puts it into the list that routers begin with.
-func (d *Deployment) add(kind byte, addr string, started int64) (*tier.Server, error) {
+func (d *Deployment) add(kind byte, addr string, started int64) (*cache.Server, error) {
 	d.next++
 	delay := d.opt.Delay
 	if kind != kindCache {
 		delay *= 3
 	}
-	opt := tier.Options{ID: d.next * 2654435761, Addr: addr, Origin: kind == kindOrigin, Delay: delay, Source: d.server, RequestLog: d.RequestLog}
+	opt := cache.Options{ID: d.next * 2654435761, Addr: addr, Origin: kind == kindOrigin, Delay: delay, Source: d.server, RequestLog: d.RequestLog}
 	if kind == kindCache {
 		opt.Script = d.opt.Script
 	}
-	s, err := tier.Listen(opt)
+	s, err := cache.Listen(opt)
 	if err != nil {
 		return nil, err
 	}
@@ -237,7 +237,7 @@
 	s.Close()
 }
 
-func (d *Deployment) server(id string) *tier.Server {
+func (d *Deployment) server(id string) *cache.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.servers[id]
--- a/lab/local/local_test.go
+++ b/lab/process/local_test.go
@@ -1,4 +1,4 @@
-package local
+package process
 
 import (
 	"context"
@@ -16,11 +16,11 @@
 
 	"spantack/core/cells"
 	"spantack/core/hierarchy"
-	"spantack/core/moves"
-	"spantack/core/stages"
+	"spantack/core/migration"
+	"spantack/core/rollout"
 	"spantack/internal/features"
 	"spantack/internal/testwait"
-	"spantack/standin/tier"
+	"spantack/standin/cache"
 )
 
 var binary string
@@ -150,11 +150,11 @@
 // outside its cell, every request has one right answer, and no two attempts of one were out at once.
 func TestFloodStaysInItsCell(t *testing.T) {
 	text := assignment(1, "one", "two")
-	d := start(t, Options{Routers: 3, Caches: 6, Delay: 2 * time.Millisecond, Features: text, Script: func(g tier.Get) tier.Fault {
+	d := start(t, Options{Routers: 3, Caches: 6, Delay: 2 * time.Millisecond, Features: text, Script: func(g cache.Get) cache.Fault {
 		if strings.HasPrefix(g.Object, "00") && strings.HasSuffix(g.ID, "7") {
-			return tier.Err
+			return cache.Err
 		}
-		return tier.None
+		return cache.None
 	}})
 	const requests = 3000
 	rep, err := run(t, d, Load{Seed: 5, Requests: requests, Every: 700 * time.Microsecond, Conns: 2, Families: 4, Objects: 200, Flood: 0, Times: 3})
@@ -269,12 +269,12 @@
 		Tenants:    []cells.Tenant{{Name: "mover", Cell: "one"}, {Name: "rest", Cell: "three"}},
 		TenantKeys: []cells.TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "mover"}, {Tenant: "rest"}},
 	}
-	file := func(doc *moves.Document) string {
-		f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Rollout: features.Rollout{Rollout: stages.Rollout{Rings: []stages.Ring{}}}}
+	file := func(doc *migration.Document) string {
+		f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Rollout: features.Rollout{Rollout: rollout.Rollout{Rings: []rollout.Ring{}}}}
 		if doc != nil {
 			f.Migration = features.Migration{Enabled: true, Document: *doc}
 		} else {
-			f.Migration.Migrations = []moves.Migration{}
+			f.Migration.Migrations = []migration.Migration{}
 		}
 		text, err := json.Marshal(f)
 		if err != nil {
@@ -283,7 +283,7 @@
 		return string(text)
 	}
 	d := start(t, Options{Routers: 3, Caches: 9, Delay: time.Millisecond, Features: file(nil)})
-	tell := func(doc *moves.Document, says string) {
+	tell := func(doc *migration.Document, says string) {
 		if err := d.WriteFeatures(file(doc)); err != nil {
 			t.Fatal(err)
 		}
@@ -311,8 +311,8 @@
 	note()
 	ran := running(t, d, Load{Seed: 9, Requests: requests, Every: 1200 * time.Microsecond, Conns: 2, Families: 3, Objects: 300})
 	now := float64(time.Now().UnixMilli())
-	move := moves.Migration{Tenant: "mover", Site: moves.AllSites, From: "one", To: "two", Start: now + 1000, MinShift: moves.ShortestShiftMs, MaxShift: 15_000, Settle: 2000}
-	tell(&moves.Document{Version: 1, Migrations: []moves.Migration{move}}, `"moves":1`)
+	move := migration.Migration{Tenant: "mover", Site: migration.AllSites, From: "one", To: "two", Start: now + 1000, MinShift: migration.ShortestShiftMs, MaxShift: 15_000, Settle: 2000}
+	tell(&migration.Document{Version: 1, Migrations: []migration.Migration{move}}, `"moves":1`)
 	for i := range 4 {
 		if err := d.Replace(2*i, 700*time.Millisecond, i%2 == 0); err != nil {
 			t.Fatal(err)
@@ -321,7 +321,7 @@
 	}
 	lost := move
 	lost.To = "three"
-	tell(&moves.Document{Version: 2, Migrations: []moves.Migration{lost}}, "new features can't be used") // a move under way can't be led elsewhere
+	tell(&migration.Document{Version: 2, Migrations: []migration.Migration{lost}}, "new features can't be used") // a move under way can't be led elsewhere
 	rep := testwait.ReceiveWithin(t, loadWithin+saysWithin, ran, "the load")
 	all := rep.All()
 	if n := all.Served + all.Refused + all.Failed; n != requests || all.Wrong+all.Lost > 0 {
@@ -367,18 +367,18 @@
 	}
 	var bad atomic.Bool
 	opens := float64(time.Now().UnixMilli()) + 12_000 // the routers are up long before
-	release := stages.Rollout{Version: 1, Name: "r", FamilyRange: []int{2, 2}, Since: opens - 12_000, Rings: []stages.Ring{{Cells: []string{"one"}, OpensAt: opens, JudgeWithin: 600_000}}}
+	release := rollout.Rollout{Version: 1, Name: "r", FamilyRange: []int{2, 2}, Since: opens - 12_000, Rings: []rollout.Ring{{Cells: []string{"one"}, OpensAt: opens, JudgeWithin: 600_000}}}
 	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Rollout: features.Rollout{Enabled: true, Rollout: release}}
-	f.Migration.Migrations = []moves.Migration{}
+	f.Migration.Migrations = []migration.Migration{}
 	text, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text), Script: func(g tier.Get) tier.Fault {
+	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text), Script: func(g cache.Get) cache.Fault {
 		if bad.Load() && strings.HasPrefix(g.Object, "02") {
-			return tier.Err
+			return cache.Err
 		}
-		return tier.None
+		return cache.None
 	}})
 	run := func(seed uint64, requests int) *Report {
 		rep, err := run(t, d, Load{Seed: seed, Requests: requests, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
@@ -437,16 +437,16 @@
 	}
 	since := float64(time.Now().UnixMilli()) + 5000
 	const keep = 3_600_000
-	release := stages.Rollout{Version: 1, Name: "r", FamilyRange: []int{1, 2}, Since: since, ReplacesObjects: true, OldCopyMaxAge: keep, RollbackAt: since + 6000,
-		Rings: []stages.Ring{{Cells: []string{"one"}, OpensAt: since, JudgeWithin: 600_000}}}
+	release := rollout.Rollout{Version: 1, Name: "r", FamilyRange: []int{1, 2}, Since: since, ReplacesObjects: true, OldCopyMaxAge: keep, RollbackAt: since + 6000,
+		Rings: []rollout.Ring{{Cells: []string{"one"}, OpensAt: since, JudgeWithin: 600_000}}}
 	f := features.File{Cells: features.Cells{Enabled: true, Spec: spec}, Rollout: features.Rollout{Enabled: true, Rollout: release}}
-	f.Migration.Migrations = []moves.Migration{}
+	f.Migration.Migrations = []migration.Migration{}
 	text, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text)})
-	ages := func(seed uint64, check func(family string, g tier.Get, at float64)) (seen int) {
+	ages := func(seed uint64, check func(family string, g cache.Get, at float64)) (seen int) {
 		from := len(d.RequestLog.Gets())
 		rep, err := run(t, d, Load{Seed: seed, Requests: 600, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
 		if err != nil {
@@ -468,7 +468,7 @@
 	for _, r := range d.Routers {
 		waitLog(t, r, "release r, ring 0 ([one]): judging")
 	}
-	seen := ages(1, func(family string, g tier.Get, at float64) {
+	seen := ages(1, func(family string, g cache.Get, at float64) {
 		switch {
 		case at >= release.RollbackAt:
 		case family == "02" && (g.MaxAge < 1 || float64(g.MaxAge) > at-since):
@@ -480,7 +480,7 @@
 	for _, r := range d.Routers {
 		waitLog(t, r, "release r, ring 0 ([one]): stopped")
 	}
-	seen += ages(2, func(family string, g tier.Get, at float64) {
+	seen += ages(2, func(family string, g cache.Get, at float64) {
 		if g.MaxAge < 1 || float64(g.MaxAge) > at-release.RollbackAt {
 			t.Errorf("%s, taken back %.0f ms before: copies of %d ms", g.Object, at-release.RollbackAt, g.MaxAge)
 		}
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"slices"
 
-	"spantack/core/coldstart"
+	"spantack/core/backoff"
 )
 
 // Sizes of the discovery protocol in bytes (internal/discovery/frames.go). TestFrameSizes holds them against the stand-in of the service.
@@ -60,7 +60,7 @@
 	const lost = second
 	queue := make(retries, 0, len(ranks))
 	for _, rank := range ranks {
-		queue = append(queue, retry{coldstart.Schedule{Rank: rank, FleetSize: siblings}.Next(lost, lost, false), rank})
+		queue = append(queue, retry{backoff.Schedule{Rank: rank, FleetSize: siblings}.Next(lost, lost, false), rank})
 	}
 	heap.Init(&queue)
 	perSecond := make([]int, away/second+2)
@@ -69,7 +69,7 @@
 		try := &queue[0]
 		perSecond[(try.at-lost)/second]++
 		made[try.rank]++
-		try.at = coldstart.Schedule{Rank: try.rank, FleetSize: siblings}.Next(lost, try.at+tryTakes, true)
+		try.at = backoff.Schedule{Rank: try.rank, FleetSize: siblings}.Next(lost, try.at+tryTakes, true)
 		heap.Fix(&queue, 0)
 	}
 	return slices.Max(perSecond), slices.Max(made)
--- a/lab/scale/rulestests.go
+++ b/lab/scale/rulestests.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"spantack/rules"
+	"spantack/routing"
 )
 
 // cacheZone is the place of a router and its caches, upperZone that of area caches and the head office.
@@ -22,19 +22,19 @@
 )
 
 // settingsOf are those of a router in this fleet.
-func settingsOf(o Options) rules.Settings {
-	return rules.Settings{
-		Classes: []rules.Class{{Name: "small", ObjectiveSizeFactor: 2, Deadline: deadline, LatencyObjective: 300_000, PriorityWeight: 1, DeduplicationScope: "all", Idempotency: "read_like"}},
-		Hierarchy: rules.CacheHierarchy{
+func settingsOf(o Options) routing.Settings {
+	return routing.Settings{
+		Classes: []routing.Class{{Name: "small", ObjectiveSizeFactor: 2, Deadline: deadline, LatencyObjective: 300_000, PriorityWeight: 1, DeduplicationScope: "all", Idempotency: "read_like"}},
+		Hierarchy: routing.CacheHierarchy{
 			FreshnessLifetime: []int64{10 * second}, StaleGracePeriod: []int64{20 * second}, PurgeGracePeriod: second, OriginKind: 2, CacheStatusReporting: "all", ResponseKBPerSecond: 1000,
 			ParentInitialCapacity: 0.1, ParentWarmUpTime: 20 * second, PurgePropagationTime: purgeTakes, RoutersByZone: []int{0, routersAtSite},
 			CollapsesFills: true, ParentKind: 1, AllowsDirectFetch: true, ParentOverloadMultiple: 2,
 		},
-		Guarantees: rules.Guarantees{MaxPollInterval: 10 * second, WarmUpTime: 16 * second, InitialCapacity: 0.2, OverloadWindow: 2 * second, AnswerGracePeriod: 8_000,
+		Guarantees: routing.Guarantees{MaxPollInterval: 10 * second, WarmUpTime: 16 * second, InitialCapacity: 0.2, OverloadWindow: 2 * second, AnswerGracePeriod: 8_000,
 			DrainGracePeriod: 250_000, OverloadMultiple: 2},
 		Kinds:         []string{"box", "parent", "origin"},
-		Permissions:   rules.Permissions{MayCancel: true, MaxAttempts: 6, MaxRetryAfter: 2 * second, SendsRetryAfter: true},
-		LoadReporting: rules.LoadReporting{Fields: []string{"x0"}, Delivery: "piggyback"},
+		Permissions:   routing.Permissions{MayCancel: true, MaxAttempts: 6, MaxRetryAfter: 2 * second, SendsRetryAfter: true},
+		LoadReporting: routing.LoadReporting{Fields: []string{"x0"}, Delivery: "piggyback"},
 		FleetSize:     o.Routers, Zone: cacheZone, Zones: []string{upperZone, cacheZone},
 	}
 }
@@ -56,7 +56,7 @@
 func runPurges(o Options) (*Result, error) {
 	clock, release := lockClock()
 	defer release()
-	router, err := rules.NewEngine(settingsOf(o), int64(o.Seed%(1<<62)))
+	router, err := routing.NewEngine(settingsOf(o), int64(o.Seed%(1<<62)))
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 		for range count {
 			now += gap
 			told++
-			router.Step(now, []rules.Event{{Kind: rules.EventPurge, Object: objectName(told % purgeObjects), PurgeAge: age}})
+			router.Step(now, []routing.Event{{Kind: routing.EventPurge, Object: objectName(told % purgeObjects), PurgeAge: age}})
 		}
 		return (clock.now() - began).Seconds()
 	}
@@ -100,7 +100,7 @@
 	book(RegionsCut, cut+purgeCatchUp, (cut+purgeCatchUp)*purgesPerSecond, float64(cut+1)*purgesPerSecond, used)
 
 	// A router that starts anew asks from the event that it was told to begin with.
-	if router, err = rules.NewEngine(settingsOf(o), int64(o.Seed%(1<<62))); err != nil {
+	if router, err = routing.NewEngine(settingsOf(o), int64(o.Seed%(1<<62))); err != nil {
 		return nil, err
 	}
 	seconds = max(purgeRestart/divide, 2)
@@ -116,8 +116,8 @@
 	options Options
 	seconds float64 // of each phase
 	clock   cpuClock
-	router  *rules.Engine
-	rows    []rules.Endpoint
+	router  *routing.Engine
+	rows    []routing.Endpoint
 	lost    map[string]bool // servers that refuse
 	now     int64
 	made    int
@@ -135,13 +135,13 @@
 )
 
 func (d *decisionRun) list() {
-	now := make([]rules.Endpoint, 0, len(d.rows))
+	now := make([]routing.Endpoint, 0, len(d.rows))
 	for _, row := range d.rows {
 		if !d.lost[row.Server] {
 			now = append(now, row)
 		}
 	}
-	d.router.Step(d.now, []rules.Event{{Kind: rules.EventEndpoints, UpdateMode: "replace", Endpoints: now}})
+	d.router.Step(d.now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "replace", Endpoints: now}})
 }
 
 // decide plays requests for some seconds and returns the processor time that the module took.
@@ -162,22 +162,22 @@
 func (d *decisionRun) one() {
 	d.made++
 	call := objectName(d.made)
-	actions := d.router.Step(d.now, []rules.Event{{Kind: rules.EventRequest, RequestID: call, Class: "small", Object: objectName(d.made % purgeObjects), SizeKB: 50, Timeout: deadline}})
+	actions := d.router.Step(d.now, []routing.Event{{Kind: routing.EventRequest, RequestID: call, Class: "small", Object: objectName(d.made % purgeObjects), SizeKB: 50, Timeout: deadline}})
 	for len(actions) > 0 {
-		var answers []rules.Event
+		var answers []routing.Event
 		for _, a := range actions {
 			switch a.Kind {
-			case rules.ActionSend:
-				answer := rules.Event{Kind: rules.EventOutcome, RequestID: a.RequestID, Attempt: a.Attempt, Server: a.Server, Outcome: rules.OutcomeServed, CacheStatus: 1, ResponseTime: takes, IsFinal: true}
+			case routing.ActionSend:
+				answer := routing.Event{Kind: routing.EventOutcome, RequestID: a.RequestID, Attempt: a.Attempt, Server: a.Server, Outcome: routing.OutcomeServed, CacheStatus: 1, ResponseTime: takes, IsFinal: true}
 				switch {
 				case d.lost[a.Server]:
-					answer.Outcome = rules.OutcomeConnectionRefused
+					answer.Outcome = routing.OutcomeConnectionRefused
 				case a.Server != d.rows[0].Server:
 					d.served++
 				}
 				answers = append(answers, answer)
-			case rules.ActionSetTimer:
-				answers = append(answers, rules.Event{Kind: rules.EventTimer, TimerToken: a.TimerToken})
+			case routing.ActionSetTimer:
+				answers = append(answers, routing.Event{Kind: routing.EventTimer, TimerToken: a.TimerToken})
 			}
 		}
 		if len(answers) == 0 {
@@ -210,7 +210,7 @@
 }
 
 func (d *decisionRun) start() error {
-	router, err := rules.NewEngine(settingsOf(d.options), int64(d.options.Seed%(1<<62)))
+	router, err := routing.NewEngine(settingsOf(d.options), int64(d.options.Seed%(1<<62)))
 	d.router = router
 	if err == nil {
 		d.list()
@@ -219,11 +219,11 @@
 }
 
 // serverRows lists the head office first, then all caches, then the area caches.
-func serverRows(o Options) []rules.Endpoint {
-	rows := []rules.Endpoint{{Server: "s-00000000", Zone: upperZone, Kind: "origin", Status: "healthy", Weight: 1}}
+func serverRows(o Options) []routing.Endpoint {
+	rows := []routing.Endpoint{{Server: "s-00000000", Zone: upperZone, Kind: "origin", Status: "healthy", Weight: 1}}
 	caches := o.scaled(fleetCaches)
 	for i := range caches + o.scaled(fleetZones) {
-		row := rules.Endpoint{Server: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Zone: cacheZone, Kind: "box", Status: "healthy", Weight: 1}
+		row := routing.Endpoint{Server: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Zone: cacheZone, Kind: "box", Status: "healthy", Weight: 1}
 		if i >= caches {
 			row.Zone, row.Kind = upperZone, "parent"
 		}
--- a/lab/live/live.go
+++ b/lab/scenario/live.go
@@ -1,6 +1,6 @@
-// Package live plays scripted faults between real router processes on loopback and judges by what reached the stand-ins and what clients
+// Package scenario plays scripted faults between real router processes on loopback and judges by what reached the stand-ins and what clients
 // got, never by what a router says of itself. What routers say only tells where to aim.
-package live
+package scenario
 
 import (
 	"embed"
--- a/lab/live/live_test.go
+++ b/lab/scenario/live_test.go
@@ -1,4 +1,4 @@
-package live
+package scenario
 
 import (
 	"context"
--- a/lab/live/play.go
+++ b/lab/scenario/play.go
@@ -1,4 +1,4 @@
-package live
+package scenario
 
 import (
 	"bufio"
@@ -17,9 +17,9 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"spantack/core/coldstart"
+	"spantack/core/backoff"
 	"spantack/core/lease"
-	"spantack/lab/local"
+	"spantack/lab/process"
 	"spantack/standin/link"
 )
 
@@ -27,7 +27,7 @@
 type play struct {
 	*Scenario
 	opt    Options
-	d      *local.Deployment
+	d      *process.Deployment
 	res    *Result
 	begin  time.Time
 	dead   []int
@@ -48,7 +48,7 @@
 		}
 		features = string(text)
 	}
-	d, err := local.Start(ctx, local.Options{Routers: opt.Routers, Depots: s.Depots, Caches: 4, Areas: areas, Peers: features != "", Relayed: true, Seed: opt.Seed, Binary: opt.Binary,
+	d, err := process.Start(ctx, process.Options{Routers: opt.Routers, Depots: s.Depots, Caches: 4, Areas: areas, Peers: features != "", Relayed: true, Seed: opt.Seed, Binary: opt.Binary,
 		Delay: time.Duration(s.DelayMs * float64(time.Millisecond)), Features: features})
 	if err != nil {
 		return nil, err
@@ -68,10 +68,10 @@
 	loading, stop := context.WithCancel(ctx)
 	defer stop()
 	done := make(chan error, 1)
-	var rep *local.Report
+	var rep *process.Report
 	go func() {
 		var err error
-		rep, err = p.d.Run(loading, local.Load{Seed: p.opt.Seed, Requests: math.MaxInt32, Every: time.Duration(p.EveryMs * float64(time.Millisecond)),
+		rep, err = p.d.Run(loading, process.Load{Seed: p.opt.Seed, Requests: math.MaxInt32, Every: time.Duration(p.EveryMs * float64(time.Millisecond)),
 			Conns: 2, Families: 1, Objects: math.MaxInt32, Redial: true})
 		done <- err
 	}()
@@ -251,7 +251,7 @@
 
 // triesMay is the bound of core/coldstart on tries within triesIn, twice over for processes that a busy machine runs late.
 func (p *play) triesMay() int {
-	period := coldstart.Schedule{FleetSize: p.opt.Routers}.Period()
+	period := backoff.Schedule{FleetSize: p.opt.Routers}.Period()
 	return 2 * (p.opt.Routers*int(triesIn.Microseconds())/int(period) + 1)
 }
 
@@ -329,7 +329,7 @@
 }
 
 // reportedHolder reads from a router's log whom it has for the holder; -1: nobody.
-func reportedHolder(r *local.Router) int { return reportedLimit(r).Holder }
+func reportedHolder(r *process.Router) int { return reportedLimit(r).Holder }
 
 // limitLine is what the line fleet of a router's log tells of a limit.
 type limitLine struct {
@@ -338,7 +338,7 @@
 }
 
 // reportedLimit has a router log its counters and reads its part in the limit; Holder -1 where it tells nothing.
-func reportedLimit(r *local.Router) limitLine {
+func reportedLimit(r *process.Router) limitLine {
 	last := limitLine{Holder: -1}
 	if r.Signal(syscall.SIGUSR1) != nil {
 		return last
--- a/rules/breakers.go
+++ b/routing/breakers.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // When a server is shut off for a while, and whom an outcome is charged to.
 
--- a/rules/cold.go
+++ b/routing/cold.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // What a server that started lately may be sent.
 
--- a/rules/helper.go
+++ b/routing/helper.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 import (
 	"math"
--- a/rules/limits.go
+++ b/routing/limits.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // How many requests may be out at a server, and what is learnt of sizes and times.
 
--- a/rules/members.go
+++ b/routing/members.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // Which servers there are, by the list.
 
--- a/rules/outcomes.go
+++ b/routing/outcomes.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // What follows when an attempt ends, or does not.
 
--- a/rules/picking.go
+++ b/routing/picking.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // Which server gets a request, and which one fills a miss.
 
--- a/rules/purges.go
+++ b/routing/purges.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // The oldest copy that will do, and what a purge changes in it.
 
--- a/rules/rules.go
+++ b/routing/rules.go
@@ -1,7 +1,7 @@
-// Package rules makes the decisions of a router before tiers of caches with one origin behind them. Each
+// Package routing makes the decisions of a router before tiers of caches with one origin behind them. Each
 // concern has a file of its own, with its tuned values; the interface (settings, events, actions) is in
 // types.go, and what is remembered in state.go.
-package rules
+package routing
 
 import (
 	"fmt"
--- a/rules/state.go
+++ b/routing/state.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // What a Engine remembers: the structures that the decisions beside it read and write. Nothing is decided here.
 
--- a/rules/types.go
+++ b/routing/types.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // Settings is what an instance is told once, at its start. The tags of fields are the names of the
 // wire's settings. All times are microseconds.
--- a/standin/tier/arrival.go
+++ b/standin/cache/arrival.go
@@ -1,4 +1,4 @@
-package tier
+package cache
 
 import (
 	"context"
--- a/standin/tier/tier.go
+++ b/standin/cache/tier.go
@@ -1,6 +1,6 @@
-// Package tier is a stand-in for depot caches, area caches and the head office: RESP servers on loopback that hold, fill
+// Package cache is a stand-in for depot caches, area caches and the head office: RESP servers on loopback that hold, fill
 // and fail on a script, and a log of the requests that reached them.
-package tier
+package cache
 
 import (
 	"bufio"
