--- a/routing/beliefs_test.go
+++ b/routing/beliefs_test.go
@@ -51,8 +51,8 @@
 	return r, rows, now
 }
 
-// What a process leaves, through JSON, is what its successor believes, and it acts by it: the cache that fails is left alone,
-// the cold one has had its part, limits are not learnt anew.
+// What a process leaves, through JSON, is what its successor believes, and it acts by it: the cache that fails is left
+// alone, the cold one has had its part, limits are not learnt anew.
 func TestBeliefsHandedOn(t *testing.T) {
 	for seed := range uint64(20) {
 		old, rows, now := engineWithHistory(t, seed)
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -92,9 +92,10 @@
 	}
 }
 
-// Thirty routers begin as one cache starts cold, and objects take six times as long to send as the settings of their class suggest. Each request
-// tells its size, so all routers together keep the cache's budget, and what chance adds, in every span from the first one on. While only answers
-// taught the mean size, 2% of it each, a span held 24 and 25 requests where 17 may be.
+// Thirty routers begin as one cache starts cold, and objects take six times as long to send as the settings of their
+// class suggest. Each request tells its size, so all routers together keep the cache's budget, and what chance adds, in
+// every span from the first one on. While only answers taught the mean size, 2% of it each, a span held 24 and 25
+// requests where 17 may be.
 func TestColdBudgetFollowsTheSizesOfRequests(t *testing.T) {
 	const meanKb = 1200
 	for name, spread := range map[string]float64{"all alike": 0, "from 60 KB to 2,340 KB": 0.95} {
@@ -103,8 +104,8 @@
 	}
 }
 
-// Seven in ten of thirty routers are killed and start anew while a cache is cold. What they sent before counts, though they do not know of it: with
-// a whole budget anew they sent 28 to 41 requests on these seeds where 27 or 28 may be.
+// Seven in ten of thirty routers are killed and start anew while a cache is cold. What they sent before counts, though
+// they do not know of it: with a whole budget anew they sent 28 to 41 requests on these seeds where 27 or 28 may be.
 func TestRestartedRoutersKeepAColdBudget(t *testing.T) {
 	const median, sigma = 300, 1.2
 	f := coldFleet{routers: 30, weight: 4, every: 90 * ms, meanKb: median * math.Exp(sigma*sigma/2), restarted: 0.7,
--- a/routing/confine_test.go
+++ b/routing/confine_test.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// Fills go to the area that a request names, by the object's rank there; to others when none there can take it; and to the origin where the
-// set has nobody.
+// Fills go to the area that a request names, by the object's rank there; to others when none there can take it; and to
+// the origin where the set has nobody.
 func TestFillsGoToTheAreaNamed(t *testing.T) {
 	g := newTestEngine(t, testSettings(), 2, 4)
 	g.step(Event{Kind: EventSubset, Subset: 50, SubsetServers: []string{"p0", "p2"}})
@@ -191,7 +191,8 @@
 	}
 }
 
-// newOriginLimitEngine is a rig of two accounts in which EventSubset bounds the fills that may ask the origin, with no other limit in the way.
+// newOriginLimitEngine is a rig of two accounts in which EventSubset bounds the fills that may ask the origin, with no
+// other limit in the way.
 func newOriginLimitEngine(t *testing.T, bound float64) *testEngine {
 	g := newSubsetEngine(t, 0.5, 0.5)
 	g.step(Event{Kind: EventSubset, MaxPossibleOriginFills: bound})
@@ -201,7 +202,8 @@
 	return g
 }
 
-// requestMany asks for n new objects of which no server has a copy, and counts the attempts that were left out and may ask the origin.
+// requestMany asks for n new objects of which no server has a copy, and counts the attempts that were left out and may
+// ask the origin.
 func (g *testEngine) requestMany(set, n int, name string) (out int) {
 	for i := range n {
 		a := g.requestIn(set, "small", fmt.Sprint(name, i))
@@ -216,8 +218,9 @@
 	return out
 }
 
-// What a look has shown to ask the origin is counted apart, but the bound that EventSubset sets is on all fills: counted beside the
-// bound, a flood of new objects had twice as much at the origin, which slowed for every cell (0.94 of others' worth for 0.98).
+// What a look has shown to ask the origin is counted apart, but the bound that EventSubset sets is on all fills:
+// counted beside the bound, a flood of new objects had twice as much at the origin, which slowed for every cell (0.94
+// of others' worth for 0.98).
 func TestKnownAsksAreWithinTheBoundOnAll(t *testing.T) {
 	g := newOriginLimitEngine(t, 8)
 	if out := g.requestMany(1, 100, "l"); out < 6 || out > 8 {
--- a/routing/origin_test.go
+++ b/routing/origin_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// distantOriginSettings is a deployment whose origin takes long for a fill even on a quiet day, whose caches report their link's use, and where a
-// request goes to caches alone.
+// distantOriginSettings is a deployment whose origin takes long for a fill even on a quiet day, whose caches report
+// their link's use, and where a request goes to caches alone.
 func distantOriginSettings() Settings {
 	set := testSettings()
 	set.Hierarchy.AllowsDirectFetch, set.Hierarchy.CollapsesFills = false, false
@@ -28,9 +28,9 @@
 	return ev
 }
 
-// Most fills under way are hits, of which the origin hears nothing. Counted as asks, they kept the limit on these full, and a
-// miss was refused while the origin stood idle (rough-1 of the second site: 41% refused, a fifth of the usual asks made). What a
-// look at its source has shown to be a miss goes by a count of its own.
+// Most fills under way are hits, of which the origin hears nothing. Counted as asks, they kept the limit on these full,
+// and a miss was refused while the origin stood idle (rough-1 of the second site: 41% refused, a fifth of the usual
+// asks made). What a look at its source has shown to be a miss goes by a count of its own.
 func TestMissIsAskedForOnceKnown(t *testing.T) {
 	g := newTestEngine(t, distantOriginSettings(), 2, 1)
 	g.raiseLimits()
@@ -79,8 +79,8 @@
 	}
 }
 
-// When the origin slows, what is out there is far too much. Cut by 15% at a time the limit took five seconds to follow; it is cut
-// to what would have been in time, as waits go with what is out.
+// When the origin slows, what is out there is far too much. Cut by 15% at a time the limit took five seconds to follow;
+// it is cut to what would have been in time, as waits go with what is out.
 func TestLimitOnAsksFallsByHowLateTheyWere(t *testing.T) {
 	for _, late := range []float64{1.1, 4} {
 		g := newTestEngine(t, distantOriginSettings(), 2, 1)
@@ -117,9 +117,10 @@
 	}
 }
 
-// The wait for a far origin was taken for a crowd at the parent, on quiet days too: its limit fell, and 10 to 20% of all requests
-// were refused at half load. Only what a wait has above the least of late counts; but on a full link all of it, since there it
-// is the number of fills that must fall (the overload day: the link at 12 times what fits, 0.66 for 0.71).
+// The wait for a far origin was taken for a crowd at the parent, on quiet days too: its limit fell, and 10 to 20% of
+// all requests were refused at half load. Only what a wait has above the least of late counts; but on a full link all
+// of it, since there it is the number of fills that must fall (the overload day: the link at 12 times what fits, 0.66
+// for 0.71).
 func TestFarOriginIsNotItsParentsDoing(t *testing.T) {
 	limit := func(wait int64, link float64) float64 {
 		g := newTestEngine(t, distantOriginSettings(), 2, 1)
@@ -143,10 +144,10 @@
 	}
 }
 
-// Where nothing tells of the link, the wait for an origin that is far for the class's aim was taken for a crowd at the source: of
-// a class wanted in 180 ms a quarter was refused on a quiet day, with two or three fills out at servers that bear dozens
-// (variant harbour-metrics, 0.72 for 0.97 in the simulator). What is usual, and in the time wanted, is not late; what takes
-// several times as long is, and so is what comes past the aim.
+// Where nothing tells of the link, the wait for an origin that is far for the class's aim was taken for a crowd at the
+// source: of a class wanted in 180 ms a quarter was refused on a quiet day, with two or three fills out at servers that
+// bear dozens (variant harbour-metrics, 0.72 for 0.97 in the simulator). What is usual, and in the time wanted, is not
+// late; what takes several times as long is, and so is what comes past the aim.
 func TestUsualWaitOfAHurriedClassIsNotLate(t *testing.T) {
 	limit := func(usual, then int64) float64 {
 		set := testSettings()
@@ -175,8 +176,8 @@
 	}
 }
 
-// However large an object, and however small its class's worth, half of a server's limit is open to it: the largest of a class are owed
-// half of what the class gets in shortage.
+// However large an object, and however small its class's worth, half of a server's limit is open to it: the largest of
+// a class are owed half of what the class gets in shortage.
 func TestHalfIsOpenToTheLargest(t *testing.T) {
 	g := newTestEngine(t, testSettings(), 1, 1)
 	n := g.r.servers["c0"]
@@ -194,8 +195,9 @@
 	}
 }
 
-// Of a parent's and the origin's limit each request has one draw: hundreds of routers, each with room for less than one request, keep to the sum of
-// their limits by it. One that had no room, and then missed a held copy, had a second draw: three fills where two may be (calm+mass 0.83 -> 0.82).
+// Of a parent's and the origin's limit each request has one draw: hundreds of routers, each with room for less than one
+// request, keep to the sum of their limits by it. One that had no room, and then missed a held copy, had a second draw:
+// three fills where two may be (calm+mass 0.83 -> 0.82).
 func TestLimitsAreDrawnOnceForARequest(t *testing.T) {
 	const requests = 2000
 	g := newTestEngine(t, testSettings(), 3, 1)
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A parent found crowded by a late fill is told of, once a sending time; a cache, of which other depots know nothing, is not.
+// A parent found crowded by a late fill is told of, once a sending time; a cache, of which other depots know nothing,
+// is not.
 func TestCrowdedParentIsToldOf(t *testing.T) {
 	g := newTestEngine(t, testSettings(), 1, 1)
 	late := func(note CacheStatus) {
@@ -32,9 +33,10 @@
 	}
 }
 
-// In a tier of hundreds an area cache that waits for the head office is not crowded, nor is one told of for a fill that nobody saw
-// the end of: while six in ten caches started empty, each such fill was told of, and fills went at a quarter of what the
-// area caches bear (join+mass: 66% of requests refused for five seconds). Among few routers the wait counts, as it always has.
+// In a tier of hundreds an area cache that waits for the head office is not crowded, nor is one told of for a fill that
+// nobody saw the end of: while six in ten caches started empty, each such fill was told of, and fills went at a quarter
+// of what the area caches bear (join+mass: 66% of requests refused for five seconds). Among few routers the wait
+// counts, as it always has.
 func TestWaitForTheOriginIsNoCrowd(t *testing.T) {
 	for _, tc := range []struct {
 		routers   int
@@ -57,8 +59,9 @@
 	}
 }
 
-// What peers find crowded is cut here too, as by a late answer, but nothing else follows: it is not told on, no breaker opens,
-// and answers in time raise the limit again. Of 309 routers each had to be turned away at each area cache before.
+// What peers find crowded is cut here too, as by a late answer, but nothing else follows: it is not told on, no breaker
+// opens, and answers in time raise the limit again. Of 309 routers each had to be turned away at each area cache
+// before.
 func TestWordOfPeersCutsAParent(t *testing.T) {
 	set := testSettings()
 	set.WeightSource, set.FleetSize = "nominal", 300
--- a/routing/purges.go
+++ b/routing/purges.go
@@ -1,54 +1,62 @@
 package routing
 
-// The oldest copy that will do, and what a purge changes in it.
-
 import "container/heap"
 
-const (
-	freshnessJitter  = 0.2   // random share taken off the fresh time: the design's
-	purgeClockMargin = 1_000 // us taken off age limits after a purge, for the tick
-)
+// purgeKey names an object, or with no object a group of them.
+type purgeKey struct {
+	object string
+	group  int64
+}
 
-// recordPurge notes a purge for PurgePropagationTime and as long as a fill begun before may still be running.
-func (r *Engine) recordPurge(ev *Event) {
-	for len(r.purges) > 0 && r.now-r.purges[0].madeAt > r.purgeRetention {
-		if oldest := heap.Pop(&r.purges).(datedPurge); r.purged[oldest.key] == oldest.madeAt {
-			delete(r.purged, oldest.key)
-		}
-	}
+// datedPurge is a purge and when it was made.
+type datedPurge struct {
+	key    purgeKey
+	madeAt int64
+}
+
+// purgeHeap is a heap of purges for container/heap, the oldest first.
+type purgeHeap []datedPurge
+
+// Len is part of heap.Interface.
+func (h purgeHeap) Len() int { return len(h) }
+
+// Less is part of heap.Interface.
+func (h purgeHeap) Less(i, j int) bool { return h[i].madeAt < h[j].madeAt }
+
+// Swap is part of heap.Interface.
+func (h purgeHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push is part of heap.Interface.
+func (h *purgeHeap) Push(purge any) { *h = append(*h, purge.(datedPurge)) }
+
+// Pop is part of heap.Interface.
+func (h *purgeHeap) Pop() any {
+	last := len(*h) - 1
+	purge := (*h)[last]
+	(*h)[last] = datedPurge{} // so that its name can be collected
+	*h = (*h)[:last]
+	return purge
+}
+
+// recordPurge keeps a purge for Engine.purgeRetention: until all caches have dropped older copies, and a fill that
+// began before has ended.
+func (e *Engine) recordPurge(ev *Event) {
+	e.forgetOldPurges()
 	key := purgeKey{object: ev.Object}
 	if ev.Object == "" {
 		key.group = ev.PurgeGroup
 	}
-	r.purged[key] = max(r.purged[key], r.now-ev.PurgeAge)
-	heap.Push(&r.purges, datedPurge{key, r.purged[key]})
+	madeAt := max(e.purgedAt[key], e.now-ev.PurgeAge)
+	e.purgedAt[key] = madeAt
+	heap.Push(&e.purges, datedPurge{key, madeAt})
 }
 
-// timeSinceChange tells how long ago the object of q was purged or, newest not 0, made anew; 0: not lately.
-func (r *Engine) timeSinceChange(q *request, newest int64) int64 {
-	changed := newest != 0
-	for _, key := range []purgeKey{{object: q.Object}, {group: q.PurgeGroup}} {
-		if made, known := r.purged[key]; known && r.now-made-purgeClockMargin <= r.purgeRetention {
-			newest, changed = max(newest, made), true
+// forgetOldPurges drops purges past their retention. A key that was purged once more since is kept.
+func (e *Engine) forgetOldPurges() {
+	for len(e.purges) > 0 && e.now-e.purges[0].madeAt > e.purgeRetention {
+		oldest := heap.Pop(&e.purges).(datedPurge)
+		if e.purgedAt[oldest.key] == oldest.madeAt {
+			delete(e.purgedAt, oldest.key)
 		}
 	}
-	if !changed {
-		return 0
-	}
-	return max(r.now-newest-purgeClockMargin, 1)
-}
-
-// maxAge is the oldest copy that will do, 0 for any: fresh less jitter, or with grace; none before a change.
-func (r *Engine) maxAge(q *request) (limit int64) {
-	if fresh := valueAt(r.settings.Hierarchy.FreshnessLifetime, q.class); fresh > 0 {
-		limit = fresh - int64(freshnessJitter*r.rng.Float64()*float64(fresh))
-		if q.wantsCachedCopy {
-			limit = fresh + valueAt(r.settings.Hierarchy.StaleGracePeriod, q.class)
-		}
-		limit = max(limit, q.MaxAge)
-	}
-	if since := r.timeSinceChange(q, q.MinVersionTime); since != 0 && (limit == 0 || since < limit) {
-		limit = since
-	}
-	return limit
 }
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -12,17 +12,17 @@
 type referencePurges struct{ *Engine }
 
 func (p referencePurges) recordPurge(ev *Event) {
-	maps.DeleteFunc(p.purged, func(_ purgeKey, made int64) bool { return p.now-made > p.purgeRetention })
+	maps.DeleteFunc(p.purgedAt, func(_ purgeKey, made int64) bool { return p.now-made > p.purgeRetention })
 	key := purgeKey{object: ev.Object}
 	if ev.Object == "" {
 		key.group = ev.PurgeGroup
 	}
-	p.purged[key] = max(p.purged[key], p.now-ev.PurgeAge)
+	p.purgedAt[key] = max(p.purgedAt[key], p.now-ev.PurgeAge)
 }
 
 func (p referencePurges) sincePurge(q *request) (since int64) {
 	for _, key := range []purgeKey{{object: q.Object}, {group: q.PurgeGroup}} {
-		made, known := p.purged[key]
+		made, known := p.purgedAt[key]
 		age := max(p.now-made-purgeClockMargin, 1)
 		if known && age <= p.purgeRetention && (since == 0 || age < since) {
 			since = age
@@ -36,7 +36,7 @@
 	limit := int64(0)
 	if fresh > 0 {
 		limit = fresh - int64(freshnessJitter*p.rng.Float64()*float64(fresh))
-		if q.wantsCachedCopy {
+		if q.isCachedCopyOnly {
 			limit = fresh + valueAt(p.settings.Hierarchy.StaleGracePeriod, q.class)
 		}
 		limit = max(limit, q.MaxAge)
@@ -50,8 +50,9 @@
 	return limit
 }
 
-// Purges and age limits are those of the plain way, for any purges of objects and groups, of any age and in any order, with
-// settings that change meanwhile. Without the comparison of times in purge, or with the check of the span in timeSinceChange taken out, this fails.
+// Purges and age limits are those of the plain way, for any purges of objects and groups, of any age and in any order,
+// with settings that change meanwhile. Without the comparison of times in purge, or with the check of the span in
+// timeSinceChange taken out, this fails.
 func TestPurgesAreThoseOfThePlainWay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
@@ -84,11 +85,11 @@
 				ev := Event{Kind: EventPurge, Object: object, PurgeGroup: group, PurgeAge: ago.Draw(t, "age")}
 				r.recordPurge(&ev)
 				plain.recordPurge(&ev)
-				if !maps.Equal(r.purged, plain.purged) {
-					t.Fatalf("purges %v, the plain way %v", r.purged, plain.purged)
+				if !maps.Equal(r.purgedAt, plain.purgedAt) {
+					t.Fatalf("purges %v, the plain way %v", r.purgedAt, plain.purgedAt)
 				}
 			default:
-				q := &request{class: rapid.IntRange(0, 1).Draw(t, "class"), wantsCachedCopy: rapid.Bool().Draw(t, "held")}
+				q := &request{class: rapid.IntRange(0, 1).Draw(t, "class"), isCachedCopyOnly: rapid.Bool().Draw(t, "held")}
 				q.Object, q.PurgeGroup, q.MaxAge = object, group, rapid.SampledFrom([]int64{0, 30 * sec}).Draw(t, "may age")
 				if rapid.Bool().Draw(t, "renewed") {
 					q.MinVersionTime = max(now-ago.Draw(t, "renewed ago"), 0)
@@ -118,8 +119,8 @@
 			object = "again and again"
 		}
 		r.Step(int64(i)*gap, []Event{{Kind: EventPurge, Object: object}})
-		if len(r.purges) > most+1 || len(r.purged) > len(r.purges) {
-			t.Fatalf("after %d purges %d are held in the order of their times, %d by name, %d at most", i+1, len(r.purges), len(r.purged), most)
+		if len(r.purges) > most+1 || len(r.purgedAt) > len(r.purges) {
+			t.Fatalf("after %d purges %d are held in the order of their times, %d by name, %d at most", i+1, len(r.purges), len(r.purgedAt), most)
 		}
 	}
 }
--- a/routing/rank_test.go
+++ b/routing/rank_test.go
@@ -16,7 +16,7 @@
 	for _, n := range nodes {
 		h := fnv.New64a()
 		h.Write([]byte(key + "\x00" + n.name))
-		score[n] = -math.Log((float64(mixHash(h.Sum64())) + 0.5) / (1 << 53))
+		score[n] = -math.Log((float64(finishHash(h.Sum64())) + 0.5) / (1 << 53))
 		if weighted && n.weight > 0 {
 			score[n] /= n.weight
 		}
@@ -104,7 +104,7 @@
 			n.inFlight = int(n.concurrencyLimit * crowd * rng.Float64())
 			if rng.IntN(5) == 0 {
 				n.breaker.openUntil = now + int64(rng.IntN(3)-1)*sec
-				n.breaker.trialInFlight = rng.IntN(4) == 0
+				n.breaker.isTrialInFlight = rng.IntN(4) == 0
 			}
 		}
 		for i := range 50 {
--- /dev/null
+++ b/routing/rendezvous.go
@@ -0,0 +1,307 @@
+package routing
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Rendezvous hashing (highest random weight): the servers are ordered by a hash of the key and their name, so that all
+// routers agree on the order, and a server that leaves moves only its own keys. Ordering hundreds of servers costs more
+// than the rest of a decision. A rendezvousRanking holds what can be computed before the key is known; it gives the
+// order that sorting all servers by score would give (a test compares the two), one by one, since more than the first
+// two are hardly ever looked at.
+
+// The constants of FNV-1a with 64 bits.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
+const (
+	// hashBits is the number of bits of a finished hash: as many as a float64 holds exactly.
+	hashBits = 53
+	// maxServersWithoutTable servers are hashed name by name each time: a table would be larger than they are, and each
+	// of thousands of tenants may have a subset of so few.
+	maxServersWithoutTable = 8
+	// maxTakenUnsorted is the number of servers taken one by one after which sorting the rest costs less.
+	maxTakenUnsorted = 6
+	// boundMargin keeps a lower bound below its score in spite of rounding.
+	boundMargin = 1 - 1e-9
+)
+
+// rendezvousRanking orders a fixed list of servers for any key.
+//
+// FNV-1a mixes one byte at a time into the low byte of its state h and multiplies. So what a name does to h depends on
+// h's low byte alone: h ends as h*namePower + nameSums[low byte of h].
+type rendezvousRanking struct {
+	// Of the servers.
+	servers         []*server
+	isWeighted      bool
+	hasSameNameSize bool       // all names have one length
+	boundFactor     []float64  // by server: the lower bound on its score, for a hash's distance to the greatest hash
+	namePower       []uint64   // by server: fnvPrime to the power of its name's length
+	nameSums        [][]uint64 // by low byte, then by server; a row is made when first needed. nil with few servers
+	singleRow       []uint64   // with few servers: the row of the key at hand
+
+	// Of the key at hand.
+	hashes      []uint64   // by server; among equal weights the greatest comes first
+	bestIndex   int        // the first server by lower bound
+	secondIndex int        // the second; -1: there is none
+	nextBounds  [2]float64 // with weights: the lower bounds of the second and the third
+	sorted      []int32    // the order, once it was sorted
+	takenCount  int        // servers that next has given
+	lastIndex   int        // the last of them
+	lastScore   float64    // its score, with weights
+}
+
+// newRendezvousRanking prepares for a list of servers, which must not change from then on.
+func newRendezvousRanking(servers []*server, isWeighted bool) *rendezvousRanking {
+	k := &rendezvousRanking{
+		servers:         servers,
+		hasSameNameSize: true,
+		boundFactor:     make([]float64, len(servers)),
+		namePower:       make([]uint64, len(servers)),
+		hashes:          make([]uint64, len(servers)),
+		sorted:          make([]int32, 0, len(servers)),
+	}
+	if len(servers) > maxServersWithoutTable {
+		k.nameSums = make([][]uint64, 256)
+	} else {
+		k.singleRow = make([]uint64, len(servers))
+	}
+	for i, srv := range servers {
+		k.hasSameNameSize = k.hasSameNameSize && len(srv.name) == len(servers[0].name)
+		k.namePower[i] = 1
+		for range len(srv.name) {
+			k.namePower[i] *= fnvPrime
+		}
+		k.boundFactor[i] = 1
+		if isWeighted && srv.weight > 0 {
+			k.isWeighted = true
+			k.boundFactor[i] = 1 / srv.weight
+		}
+		k.boundFactor[i] *= boundMargin / (1 << hashBits)
+	}
+	return k
+}
+
+// setKey makes key the one at hand, and finds the servers with the two least bounds.
+func (k *rendezvousRanking) setKey(key string) {
+	k.sorted = k.sorted[:0]
+	k.takenCount = 0
+	k.lastIndex = -1
+	k.lastScore = math.Inf(-1)
+	k.bestIndex = 0
+	k.secondIndex = -1
+	if len(k.servers) == 0 {
+		return
+	}
+	state := fnvState(key)
+	row := k.row(byte(state))
+	if k.hasSameNameSize && !k.isWeighted {
+		k.hashUnweighted(state, row)
+	} else {
+		k.hashWithBounds(state, row)
+	}
+}
+
+// fnvState returns the state of FNV-1a after a key and a zero byte, which separates it from a server's name.
+func fnvState(key string) uint64 {
+	state := uint64(fnvOffset)
+	for i := range len(key) {
+		state = (state ^ uint64(key[i])) * fnvPrime
+	}
+	return state * fnvPrime
+}
+
+// row returns what each server's name adds to a state with the low byte.
+func (k *rendezvousRanking) row(low byte) []uint64 {
+	if k.nameSums == nil {
+		k.fillRow(k.singleRow, low)
+		return k.singleRow
+	}
+	if k.nameSums[low] == nil {
+		row := make([]uint64, len(k.servers))
+		k.fillRow(row, low)
+		k.nameSums[low] = row
+	}
+	return k.nameSums[low]
+}
+
+// fillRow computes a row for a low byte.
+func (k *rendezvousRanking) fillRow(row []uint64, low byte) {
+	for i, srv := range k.servers {
+		state := uint64(low)
+		for j := range len(srv.name) {
+			state = (state ^ uint64(srv.name[j])) * fnvPrime
+		}
+		row[i] = state - uint64(low)*k.namePower[i]
+	}
+}
+
+// finishHash mixes a state of FNV into a hash of hashBits bits: FNV spreads late bytes badly.
+func finishHash(state uint64) uint64 {
+	state = (state ^ state>>30) * 0xbf58476d1ce4e5b9
+	state = (state ^ state>>27) * 0x94d049bb133111eb
+	return (state ^ state>>31) >> (64 - hashBits)
+}
+
+// hashUnweighted computes the hashes of servers with equal weights and names of one length, and finds the two greatest.
+func (k *rendezvousRanking) hashUnweighted(state uint64, row []uint64) {
+	hashes := k.hashes[:len(row)]
+	state *= k.namePower[0]
+	greatest, second := uint64(0), uint64(0)
+	for i, sum := range row {
+		hash := finishHash(state + sum)
+		hashes[i] = hash
+		if hash > second && i > 0 {
+			second = hash
+			k.secondIndex = i
+		}
+		if hash > greatest {
+			second = greatest
+			k.secondIndex = k.bestIndex
+			greatest = hash
+			k.bestIndex = i
+		}
+	}
+}
+
+// hashWithBounds computes the hashes where names or weights differ, and finds the two servers with the least bounds.
+func (k *rendezvousRanking) hashWithBounds(state uint64, row []uint64) {
+	hashes := k.hashes[:len(row)]
+	namePower := k.namePower[:len(row)]
+	boundFactor := k.boundFactor[:len(row)]
+	least, second, third := math.Inf(1), math.Inf(1), math.Inf(1)
+	if k.hasSameNameSize {
+		state *= namePower[0]
+	}
+	for i, sum := range row {
+		if k.hasSameNameSize {
+			sum += state
+		} else {
+			sum += state * namePower[i]
+		}
+		hash := finishHash(sum)
+		hashes[i] = hash
+		bound := lowerBound(hash, boundFactor[i])
+		switch {
+		case bound >= third:
+		case bound < least:
+			third, second, least = second, least, bound
+			k.secondIndex, k.bestIndex = k.bestIndex, i
+		case bound < second:
+			third, second = second, bound
+			k.secondIndex = i
+		default:
+			third = bound
+		}
+	}
+	k.nextBounds = [2]float64{second, third}
+}
+
+// lowerBound returns what a server's score is never less than: -log(u) is never less than 1-u.
+func lowerBound(hash uint64, boundFactor float64) float64 {
+	return float64(int64(1<<hashBits-1-hash)) * boundFactor
+}
+
+// score returns a server's score for the key at hand. The least comes first.
+func (k *rendezvousRanking) score(i int) float64 {
+	score := -math.Log((float64(k.hashes[i]) + 0.5) / (1 << hashBits))
+	if weight := k.servers[i].weight; k.isWeighted && weight > 0 {
+		score /= weight
+	}
+	return score
+}
+
+// next returns the servers in their order for the key at hand, then nil.
+func (k *rendezvousRanking) next() *server {
+	if k.takenCount >= len(k.servers) {
+		return nil
+	}
+	k.takenCount++
+	if k.takenCount <= maxTakenUnsorted {
+		if i := k.nextIndex(); i >= 0 {
+			k.lastIndex = i
+			return k.servers[i]
+		}
+	}
+	if len(k.sorted) == 0 {
+		k.sort()
+	}
+	return k.servers[k.sorted[k.takenCount-1]]
+}
+
+// nextIndex finds the server after the one taken last; -1 where the order of equal scores takes a full sort.
+func (k *rendezvousRanking) nextIndex() int {
+	switch {
+	case k.isWeighted:
+		return k.nextWeighted()
+	case k.takenCount == 1:
+		return k.bestIndex
+	case k.takenCount == 2 && k.secondIndex >= 0 && k.hashes[k.secondIndex] < k.hashes[k.bestIndex]:
+		return k.secondIndex
+	}
+	found, greatest := -1, uint64(0)
+	last := k.hashes[k.lastIndex]
+	for i, hash := range k.hashes {
+		isAfterLast := hash < last || hash == last && i > k.lastIndex
+		if isAfterLast && (hash > greatest || found < 0) {
+			found = i
+			greatest = hash
+		}
+	}
+	return found
+}
+
+// nextWeighted is nextIndex for servers of different weights. It takes a logarithm only of a hash whose bound leaves
+// its server in the running.
+func (k *rendezvousRanking) nextWeighted() int {
+	found, least := -1, math.Inf(1)
+	if k.takenCount <= 2 {
+		found, least = k.bestOfBounds()
+		if least < k.nextBounds[k.takenCount-1] { // the usual case: no bound leaves another in the running
+			k.lastScore = least
+			return found
+		}
+	}
+	boundFactor := k.boundFactor[:len(k.hashes)]
+	for i, hash := range k.hashes {
+		if lowerBound(hash, boundFactor[i]) > least || i == found {
+			continue
+		}
+		score := k.score(i)
+		isAfterLast := score > k.lastScore || score == k.lastScore && i > k.lastIndex
+		if isAfterLast && (score < least || score == least && i < found) {
+			found = i
+			least = score
+		}
+	}
+	k.lastScore = least
+	return found
+}
+
+// bestOfBounds returns the next one of the two servers with the least bounds, by score: most likely no other server
+// needs a logarithm. -1: neither is next for certain.
+func (k *rendezvousRanking) bestOfBounds() (found int, least float64) {
+	found, least = -1, math.Inf(1)
+	for _, i := range [...]int{k.bestIndex, k.secondIndex} {
+		if i < 0 || i == k.lastIndex {
+			continue
+		}
+		if score := k.score(i); score > k.lastScore && score < least {
+			found = i
+			least = score
+		}
+	}
+	return found, least
+}
+
+// sort orders all servers by their scores; equal ones stay in the order of the list.
+func (k *rendezvousRanking) sort() {
+	for i := range k.servers {
+		k.sorted = append(k.sorted, int32(i))
+	}
+	slices.SortStableFunc(k.sorted, func(a, b int32) int { return cmp.Compare(k.score(int(a)), k.score(int(b))) })
+}
--- a/routing/retune_test.go
+++ b/routing/retune_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A request that is open keeps the attempts and the class it came with; one that comes later has the new ones; a class that
-// was dropped is no class any more, and one of the same name may have another effect.
+// A request that is open keeps the attempts and the class it came with; one that comes later has the new ones; a class
+// that was dropped is no class any more, and one of the same name may have another effect.
 func TestRetune(t *testing.T) {
 	r := updatedEngine(t)
 	set := baseSettings()
@@ -91,7 +91,7 @@
 	if len(r.settings.Classes) != 2 { // nothing is open any more
 		t.Errorf("%d classes are kept", len(r.settings.Classes))
 	}
-	if c := r.settings.Classes[r.classes["price"]]; c.Idempotency != "non_idempotent" {
+	if c := r.settings.Classes[r.classIndexes["price"]]; c.Idempotency != "non_idempotent" {
 		t.Errorf("%+v", c)
 	}
 }
@@ -111,14 +111,14 @@
 		if err := r.UpdateSettings(set); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if _, known := r.classes["video"]; !known || r.settings.Permissions.MaxAttempts != 8 {
+		if _, known := r.classIndexes["video"]; !known || r.settings.Permissions.MaxAttempts != 8 {
 			t.Errorf("%s: changed something", name)
 		}
 	}
 }
 
-// Whatever settings follow each other while requests are open, each of these keeps what its class said when it came, and the
-// table of classes holds no more than the new ones and those.
+// Whatever settings follow each other while requests are open, each of these keeps what its class said when it came,
+// and the table of classes holds no more than the new ones and those.
 func TestRetuneKeepsOpenRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, err := NewEngine(baseSettings(), 1)
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -2,10 +2,15 @@
 
 import (
 	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"reflect"
+	"regexp"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -158,8 +163,8 @@
 	}
 }
 
-// A parent died, the other was drained: with the breaker of the first open, misses of four in ten requests were refused for ten
-// seconds while the origin stood idle (a join+brink day, 0.39 of its worth).
+// A parent died, the other was drained: with the breaker of the first open, misses of four in ten requests were refused
+// for ten seconds while the origin stood idle (a join+brink day, 0.39 of its worth).
 func TestOriginIsAskedOnceNoCopyIsHeldWhileAllParentsAreOpen(t *testing.T) {
 	g := newTestEngine(t, testSettings(), 3, 1)
 	for i := range 3 {
@@ -386,8 +391,8 @@
 	}
 }
 
-// A request may name the time from which copies will do, which binds a held copy too, and an age that is more than its class allows; a purge
-// binds over both.
+// A request may name the time from which copies will do, which binds a held copy too, and an age that is more than its
+// class allows; a purge binds over both.
 func TestRequestLimitsAge(t *testing.T) {
 	g := newTestEngine(t, testSettings(), 2, 1)
 	g.now += 1000 * sec
@@ -537,8 +542,9 @@
 	return "h"
 }
 
-// randomTraffic makes the settings those of another deployment: one class or twelve, none, all or any of them keyed, deadlines down to a thirtieth
-// and up to twenty times as long, few attempts, no area caches, no worth of old copies. It returns how much longer deadlines are.
+// randomTraffic makes the settings those of another deployment: one class or twelve, none, all or any of them keyed,
+// deadlines down to a thirtieth and up to twenty times as long, few attempts, no area caches, no worth of old copies.
+// It returns how much longer deadlines are.
 func randomTraffic(set *Settings, rng *rand.Rand) float64 {
 	stretch := []float64{1, 0.035, 0.3, 20}[rng.IntN(4)]
 	long := func(us int64) int64 { return int64(stretch * float64(us)) }
@@ -717,23 +723,72 @@
 	return all
 }
 
-// policyFiles are those that deploy/balancer.toml names: the decisions and their tuned values.
-var policyFiles = []string{"rules.go", "members.go", "picking.go", "limits.go", "cold.go", "purges.go", "breakers.go", "outcomes.go"}
+// policyFiles are those that deploy/balancer.toml names as policy: the files that decide, with their tuned values.
+var policyFiles = []string{
+	"engine.go", "requests.go", "selection.go", "rendezvous.go", "concurrency.go", "origin_fills.go", "slow_start.go",
+	"circuit_breaker.go", "outcomes.go", "idempotency.go", "lost_responses.go", "freshness.go", "purges.go",
+	"endpoints.go", "subsets.go", "estimates.go",
+}
 
-// The deploy file names the deciding files. The cap of 940 lines on them together, which this test once held, no longer
-// holds: it made steps be packed into one line. The width of lines is held in the next change to this package.
-func TestPolicyFiles(t *testing.T) {
+// The deploy file names the files that decide, and no others of the package.
+func TestDeployFileNamesThePolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	folder, err := os.Getwd()
-	if err != nil {
-		t.Fatal(err)
+	var named []string
+	for _, match := range regexp.MustCompile(`"routing/([^"]*)"`).FindAllStringSubmatch(string(deploy), -1) {
+		named = append(named, match[1])
+	}
+	slices.Sort(named)
+	if want := slices.Sorted(slices.Values(policyFiles)); !slices.Equal(named, want) {
+		t.Errorf("deploy/balancer.toml names %v, want %v", named, want)
 	}
 	for _, name := range policyFiles {
-		if path := filepath.Base(folder) + "/" + name; !strings.Contains(string(deploy), `"`+path+`"`) {
-			t.Errorf("deploy/balancer.toml: policy lacks %s", path)
+		if _, err := os.Stat(name); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+// The deciding files once were held to 940 lines together, which made steps be packed into one line. In place of that cap
+// each file of the package is held to lines of 120 characters, and each function to 60 lines.
+func TestSourceIsReadable(t *testing.T) {
+	const (
+		maxLineLength    = 120 // characters, a tab counted as 4
+		maxFunctionLines = 60
+	)
+	names, err := filepath.Glob("*.go")
+	if err != nil || len(names) < len(policyFiles) {
+		t.Fatalf("%d files: %v", len(names), err)
+	}
+	for _, name := range names {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for i, line := range strings.Split(string(text), "\n") {
+			if length := len([]rune(strings.ReplaceAll(line, "\t", "    "))); length > maxLineLength {
+				t.Errorf("%s:%d: %d characters", name, i+1, length)
+			}
+		}
+		files := token.NewFileSet()
+		file, err := parser.ParseFile(files, name, text, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, declaration := range file.Decls {
+			function, isFunction := declaration.(*ast.FuncDecl)
+			if !isFunction {
+				continue
+			}
+			lines := files.Position(function.End()).Line - files.Position(function.Pos()).Line + 1
+			if lines > maxFunctionLines {
+				t.Errorf("%s: %s has %d lines", name, function.Name, lines)
+			}
 		}
 	}
 }
@@ -767,7 +822,7 @@
 		t.Errorf("sent to %q", a.Server)
 	}
 	for _, n := range g.r.caches {
-		n.breaker.trialFailed = true
+		n.breaker.hasTrialFailed = true
 	}
 	if a := g.request("small", "y"); a.Server[0] == 'c' {
 		t.Error("a cache whose trial failed was used")
@@ -960,8 +1015,8 @@
 	}
 }
 
-// With no cache left requests go straight to the parents, over the zone's link. On a fleet day with a depot's caches down
-// nothing held that back: up to 19% came late, and kept was 0.86. Late answers of a parent must cut its limit.
+// With no cache left requests go straight to the parents, over the zone's link. On a fleet day with a depot's caches
+// down nothing held that back: up to 19% came late, and kept was 0.86. Late answers of a parent must cut its limit.
 func TestLateParentIsLimited(t *testing.T) {
 	g := newTestEngine(t, testSettings(), 0, 1)
 	p := g.r.servers["p0"]
@@ -980,11 +1035,12 @@
 }
 
 // A large part takes its sending time on an empty link; that alone once counted as late, and on busy days each such
-// answer cut the limits of caches and parents until misses were refused. In a tier of hundreds a late fill is the doing of its
-// source's crowd and cuts that limit alone. When it cut the cache's too, requests went on to other caches, where all was filled
-// once more, and a depot that one new object had jammed filled twice as much for long after (calm+mass, 309 routers: 8,078
-// picks passed their first cache over in 5 s, at a mean limit of 1). Among few routers the depot's own link may be what is full: there
-// caches whose limit stayed had 31 fills of one router out, not 17, and two plays of upgrade+hand in eleven fell from 0.77 to 0.22 and 0.29.
+// answer cut the limits of caches and parents until misses were refused. In a tier of hundreds a late fill is the doing
+// of its source's crowd and cuts that limit alone. When it cut the cache's too, requests went on to other caches, where
+// all was filled once more, and a depot that one new object had jammed filled twice as much for long after (calm+mass,
+// 309 routers: 8,078 picks passed their first cache over in 5 s, at a mean limit of 1). Among few routers the depot's
+// own link may be what is full: there caches whose limit stayed had 31 fills of one router out, not 17, and two plays
+// of upgrade+hand in eleven fell from 0.77 to 0.22 and 0.29.
 func TestLargePartAtFullPaceIsNotLate(t *testing.T) {
 	for _, tc := range []struct {
 		routers       int
--- a/routing/scale_bench_test.go
+++ b/routing/scale_bench_test.go
@@ -34,13 +34,14 @@
 			for i := 0; b.Loop(); i++ {
 				purge(i)
 			}
-			b.ReportMetric(float64(len(r.purged)), "entries")
+			b.ReportMetric(float64(len(r.purgedAt)), "entries")
 			b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*float64(rate)*100, "%core")
 		})
 	}
 }
 
-// BenchmarkDecisionOfMany is one request and its good answer, with so many caches in the zone: those of fleets of 300 to 11,000 routers.
+// BenchmarkDecisionOfMany is one request and its good answer, with so many caches in the zone: those of fleets of 300
+// to 11,000 routers.
 func BenchmarkDecisionOfMany(b *testing.B) {
 	const perSecond = 718 // requests of one router at the peak
 	for _, caches := range []int{46, 155, 464, 1700} {
--- /dev/null
+++ b/routing/selection.go
@@ -0,0 +1,219 @@
+package routing
+
+import "slices"
+
+const (
+	// hotObjectShare is the share of a cache's even part of requests past which an object is hot.
+	hotObjectShare = 0.25
+	// maxUncacheableAttempts bounds the attempts of an uncacheable request: rejections come at once.
+	maxUncacheableAttempts = 3
+	// retentionRank is the rank at which all copies are kept, so that the least recently used one is dropped first.
+	retentionRank = 1
+)
+
+// sendNextAttempt sends a request's next attempt, or gives its final answer where none may follow.
+func (e *Engine) sendNextAttempt(req *request) {
+	if req.attempts >= req.maxAttempts || e.retryWindow(req) <= 0 {
+		e.rejectOrFail(req)
+		return
+	}
+	if e.isUncacheable(req) {
+		e.forwardUncacheable(req)
+		return
+	}
+	mustReachOrigin := req.isMissConfirmed || req.cachedCopyMissed
+	cache, isFull := e.cacheForAttempt(req)
+	if cache == nil {
+		e.rejectOrFetchDirect(req, isFull)
+		return
+	}
+	next := attempt{server: cache}
+	var flags FetchFlags
+	if !req.isCachedCopyOnly {
+		next.source, flags = e.selectFillSource(req)
+		canReachOrigin := next.source != nil && flags&FetchCachedOnly == 0
+		if mustReachOrigin && !canReachOrigin {
+			e.rejectOrFail(req)
+			return
+		}
+	}
+	next.isFill = next.source != nil
+	if !next.isFill { // every source is unusable, or a fill has failed: any cached copy will do
+		req.isCachedCopyOnly = true
+		req.triedCachedCopy = true
+		next.source = next.server
+	}
+	e.sendAttempt(req, next, Action{RetentionRank: retentionRank, FetchFlags: flags, MaxAge: e.maxAge(req)})
+}
+
+// isUncacheable reports that a request runs at the origin and leaves no copy.
+func (e *Engine) isUncacheable(req *request) bool {
+	return valueAt(e.settings.Hierarchy.Uncacheable, req.class)
+}
+
+// cacheForAttempt returns the edge cache of the next attempt: the one whose fill failed, or else one of the request's
+// subset, or of its overflow subset. With none, isFull reports that one of the subset was passed over for its
+// concurrency limit alone.
+func (e *Engine) cacheForAttempt(req *request) (cache *server, isFull bool) {
+	if req.retryCache != nil && e.isEligible(req, req.retryCache) {
+		return req.retryCache, false
+	}
+	req.isCachedCopyOnly = false
+	cache, isFull = e.selectEdgeCache(req, req.Subset)
+	if cache == nil && req.OverflowSubset != 0 {
+		cache, _ = e.selectEdgeCache(req, req.OverflowSubset)
+	}
+	return cache, isFull
+}
+
+// selectEdgeCache selects the first eligible edge cache with capacity in the rendezvous order of the request's chunk;
+// of a hot object the first two share the requests. isFull reports that one was passed over for its concurrency limit
+// alone.
+func (e *Engine) selectEdgeCache(req *request, subsetNumber int) (selected *server, isFull bool) {
+	set := e.subsetOf(subsetNumber)
+	set.inPanic = e.areAllEjected(set.servers)
+	set.ranking.setKey(req.chunkKey)
+	isHot := e.isHot(req.Object, len(set.servers))
+	var first, second *server
+	for srv := set.ranking.next(); srv != nil; srv = set.ranking.next() {
+		if !e.isEligible(req, srv) {
+			continue
+		}
+		if !e.hasCapacity(req, srv) {
+			isFull = true
+			continue
+		}
+		if first != nil {
+			second = srv
+			break
+		}
+		first = srv
+		if !isHot {
+			break
+		}
+	}
+	if second != nil && second.inFlight+1 < first.inFlight && !second.breaker.isReadyForTrial(e.now) {
+		return second, isFull
+	}
+	return first, isFull
+}
+
+// areAllEjected reports that the circuit breakers of all the servers are open.
+func (e *Engine) areAllEjected(servers []*server) bool {
+	for _, srv := range servers {
+		if !srv.breaker.isOpen(e.now) {
+			return false
+		}
+	}
+	return true
+}
+
+// isEligible reports that an edge cache may get a request, its concurrency limit aside. In panic, while the breakers of
+// all caches of the subset are open, those whose half-open trial has not failed may.
+func (e *Engine) isEligible(req *request, srv *server) bool {
+	if srv.breaker.isOpen(e.now) && (srv.breaker.hasTrialFailed || !e.subsetOf(req.Subset).inPanic) {
+		return false
+	}
+	return srv.isHealthy &&
+		!slices.Contains(req.failedCaches, srv) &&
+		e.isInDeduplicationScope(req, srv) &&
+		e.fitsColdBudget(srv, req.expectedWork)
+}
+
+// selectFillSource selects the server that fills a miss: the first parent that is usable in the rendezvous order of the
+// object, else the origin where no parent can serve the request. With FetchCachedOnly the origin must not be asked, and
+// a parent gives only what it has. nil: nothing can fill a miss.
+func (e *Engine) selectFillSource(req *request) (source *server, flags FetchFlags) {
+	if e.settings.Hierarchy.CollapsesFills && e.timeSinceChange(req, 0) == 0 {
+		flags = FetchCollapse // not after a purge: a fill under way may bring an older copy
+	}
+	isOriginClosed := !e.isOriginUsable(req) || !e.mayFillFromOrigin(req)
+	if isOriginClosed && len(e.parents) > 0 {
+		flags |= FetchCachedOnly
+	}
+	source, isAnyFull := e.selectParent(req)
+	if source != nil {
+		return source, flags
+	}
+	// The origin takes fills, within its limit, where all parents are full or cold, or where they are ejected and no
+	// cached copy was found.
+	mayBypassParents := isAnyFull || len(req.failedSources) > 0 || req.triedCachedCopy && req.attempts == 1
+	if mayBypassParents && !isOriginClosed && e.hasCapacity(req, e.origin) &&
+		!slices.Contains(req.failedSources, e.origin) {
+		return e.origin, flags
+	}
+	return nil, flags
+}
+
+// isOriginUsable reports that there is an origin, and that its circuit breaker is not open.
+func (e *Engine) isOriginUsable(req *request) bool {
+	return e.origin != nil && !e.origin.breakerFor(req.accountingGroup).isOpen(e.now)
+}
+
+// selectParent selects a parent with capacity for a request: of its subset first, then of all. It keeps in the request
+// whether one was full or cold, or there was none to select.
+func (e *Engine) selectParent(req *request) (selected *server, isAnyFull bool) {
+	preferred := e.parentRanking
+	if req.ParentSubset != 0 {
+		preferred = e.subsetOf(req.ParentSubset).ranking
+	}
+	isEmpty := len(preferred.servers) == 0
+	selected, isAnyFull = e.firstParentWithCapacity(req, preferred)
+	if selected == nil && preferred != e.parentRanking && !isEmpty {
+		var isOneFull bool
+		selected, isOneFull = e.firstParentWithCapacity(req, e.parentRanking)
+		isAnyFull = isAnyFull || isOneFull
+	}
+	req.areSourcesFull = isEmpty || isAnyFull
+	return selected, req.areSourcesFull
+}
+
+// firstParentWithCapacity selects the first usable parent in the rendezvous order of a request's object. isAnyFull
+// reports that one before it was at its concurrency limit or cold budget.
+func (e *Engine) firstParentWithCapacity(req *request, ranking *rendezvousRanking) (selected *server, isAnyFull bool) {
+	ranking.setKey(req.Object)
+	for srv := ranking.next(); srv != nil; srv = ranking.next() {
+		if srv.breakerFor(req.accountingGroup).isOpen(e.now) || slices.Contains(req.failedSources, srv) {
+			continue
+		}
+		if e.fitsColdBudget(srv, req.expectedWork) && e.hasCapacity(req, srv) {
+			return srv, isAnyFull
+		}
+		isAnyFull = true
+	}
+	return nil, isAnyFull
+}
+
+// rejectOrFetchDirect answers a request that no edge cache can take. Where none was full, and it is not restricted to a
+// subset, the source fetches it directly if the deployment allows that; else it is rejected.
+func (e *Engine) rejectOrFetchDirect(req *request, isFull bool) {
+	source, flags := e.selectFillSource(req)
+	mayFetchDirect := e.settings.Hierarchy.AllowsDirectFetch && e.origin != nil && req.Subset == 0
+	if isFull || !mayFetchDirect || source == nil || !e.isInDeduplicationScope(req, source) {
+		e.rejectOrFail(req)
+		return
+	}
+	next := attempt{server: source, source: e.origin, isFill: true}
+	if source == e.origin || flags&FetchCachedOnly != 0 {
+		next.source = source
+		next.isFill = false
+		flags = 0
+	}
+	e.sendAttempt(req, next, Action{FetchFlags: flags, MaxAge: e.maxAge(req)})
+}
+
+// forwardUncacheable sends an uncacheable request to the origin whatever the circuit breakers say: directly, or else
+// through an edge cache.
+func (e *Engine) forwardUncacheable(req *request) {
+	next := attempt{server: e.origin}
+	isDirect := e.settings.Hierarchy.AllowsDirectFetch && e.origin != nil
+	if !isDirect || !e.isInDeduplicationScope(req, e.origin) {
+		next.server, _ = e.selectEdgeCache(req, req.Subset)
+		next.source = e.origin
+	}
+	if e.origin == nil || next.server == nil || req.attempts >= maxUncacheableAttempts {
+		e.rejectOrFail(req)
+		return
+	}
+	e.sendAttempt(req, next, Action{})
+}
--- /dev/null
+++ b/routing/slow_start.go
@@ -0,0 +1,88 @@
+package routing
+
+import "slices"
+
+// coldBudgetShare is the share of a cold server's budget that is used: requests are uneven and estimates rough.
+const coldBudgetShare = 0.6
+
+// coldSend is work that was sent to a cold server.
+type coldSend struct {
+	sentAt int64
+	work   float64
+}
+
+// warmUp returns how a server of the role warms up: from a fraction of its capacity at its start, to all of it after a
+// time; and past which multiple of its present capacity it is overloaded.
+func (e *Engine) warmUp(role serverRole) (initialCapacity float64, warmUpTime int64, overloadMultiple float64) {
+	if role == roleParent {
+		hierarchy := &e.settings.Hierarchy
+		return hierarchy.ParentInitialCapacity, hierarchy.ParentWarmUpTime, hierarchy.ParentOverloadMultiple
+	}
+	guarantees := &e.settings.Guarantees
+	return guarantees.InitialCapacity, guarantees.WarmUpTime, guarantees.OverloadMultiple
+}
+
+// isCold reports that a server started so recently that its capacity may still be less than its full one.
+func (e *Engine) isCold(srv *server) bool {
+	if srv.role == roleOrigin || srv.startedAt <= 0 {
+		return false
+	}
+	_, warmUpTime, _ := e.warmUp(srv.role)
+	return e.now-srv.startedAt < warmUpTime+e.settings.Guarantees.OverloadWindow
+}
+
+// fitsColdBudget reports that a server may be sent work now: it is warm, or what this router sent it in the last
+// OverloadWindow, with this, is within the router's part of the capacity that it had at that window's start.
+func (e *Engine) fitsColdBudget(srv *server, work float64) bool {
+	if !e.isCold(srv) {
+		return true
+	}
+	window := e.settings.Guarantees.OverloadWindow
+	if e.isColdDrawDue(srv) {
+		srv.coldDrawAt = e.now
+		srv.coldDraw = e.rng.Float64()
+	}
+	srv.coldSends = slices.DeleteFunc(srv.coldSends, func(s coldSend) bool { return e.now-s.sentAt > window })
+	sent := 0.0
+	for _, s := range srv.coldSends {
+		sent += s.work
+	}
+	// The part of one router among hundreds is less than a request: the random draw lets so many of them send one as
+	// keep the sum within the budget.
+	if sent <= 0 {
+		work *= srv.coldDraw
+	}
+	return sent+work <= e.coldBudget(srv)
+}
+
+// coldBudget returns the work, in microseconds of sending time, that this router may send a cold server within an
+// OverloadWindow.
+func (e *Engine) coldBudget(srv *server) float64 {
+	initialCapacity, warmUpTime, overloadMultiple := e.warmUp(srv.role)
+	window := e.settings.Guarantees.OverloadWindow
+	ageAtWindowStart := max(e.now-srv.startedAt-window, 0)
+	fraction := initialCapacity + (1-initialCapacity)*float64(ageAtWindowStart)/float64(max(warmUpTime, 1))
+	return coldBudgetShare * e.knownHistoryShare(srv) * overloadMultiple * fraction * e.capacity(srv) * float64(window)
+}
+
+// isColdDrawDue reports that the next look at a cold server draws its random share anew.
+func (e *Engine) isColdDrawDue(srv *server) bool {
+	return e.now-srv.coldDrawAt > e.settings.Guarantees.OverloadWindow
+}
+
+// knownHistoryShare returns the part of the last OverloadWindow for which this router knows what was sent to a server
+// in its name. A process before it may have sent the whole budget just before it ended.
+func (e *Engine) knownHistoryShare(srv *server) float64 {
+	if srv.startedAt >= e.startedAt {
+		return 1
+	}
+	known := float64(e.now - e.startedAt)
+	return min(known/float64(max(e.settings.Guarantees.OverloadWindow, 1)), 1)
+}
+
+// recordColdSend counts work sent to a server if it is cold. Negative work takes back what never reached it.
+func (e *Engine) recordColdSend(srv *server, work float64) {
+	if e.isCold(srv) {
+		srv.coldSends = append(srv.coldSends, coldSend{e.now, work})
+	}
+}
