--- a/core/fleet/tree_test.go
+++ b/core/fleet/tree_test.go
@@ -124,7 +124,7 @@
 
 func TestTreeOptions(t *testing.T) {
 	bad := lease.Topology{Routers: 24, Electors: []int{0, 1}}
-	if _, err := New(0, Options{FleetSize: 24, Sites: 1, Limits: []Limit{{Name: "a", Max: 1}}, LeaseTree: &bad}); err == nil || err.Error() != "Tree.electors: 2, an odd number up to 15 is wanted" {
+	if _, err := New(0, Options{FleetSize: 24, Sites: 1, Limits: []Limit{{Name: "a", Max: 1}}, LeaseTree: &bad}); err == nil || err.Error() != "Tree.invalid options: electors: 2, an odd number up to 15 is wanted" {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/core/lease/bound_test.go
@@ -0,0 +1,193 @@
+package lease
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// randomTopology draws a tree of one to three levels of groups over so many routers.
+func randomTopology(rng *rand.Rand, routers int) Topology {
+	t := Topology{Routers: routers}
+	for size := 2 + rng.IntN(3); len(t.GroupSizes) < rng.IntN(maxLevels) && size < routers; size *= 2 + rng.IntN(3) {
+		t.GroupSizes = append(t.GroupSizes, size)
+	}
+	electors := 1 + 2*rng.IntN(min((routers+1)/2, 3))
+	t.Electors = rng.Perm(routers)[:electors]
+	return t
+}
+
+// injectFault brings about one fault, or heals all cuts.
+func injectFault(w *world) {
+	routers := len(w.processes)
+	rank := w.rng.IntN(routers)
+	switch w.rng.IntN(11) {
+	case 0:
+		for i := range w.partition { // any number of partitions
+			w.partition[i] = w.rng.IntN(1 + w.rng.IntN(4))
+		}
+	case 1:
+		clear(w.partition)
+		clear(w.oneWay)
+	case 2:
+		w.loss = w.rng.Float64() * 0.4
+	case 3:
+		w.kill(rank)
+	case 4, 5:
+		w.kill(rank)
+		w.start(rank)
+	case 6:
+		w.processes[rank].pausedUntil = w.now + w.rng.Int64N(4*second)
+	case 7:
+		w.oneWay[[2]int{rank, w.rng.IntN(routers)}] = true
+	case 8:
+		w.wrongStates = w.rng.Float64() * 0.3
+	case 9:
+		restartHolder(w)
+	case 10:
+		isolateFleetHolder(w)
+	}
+}
+
+// restartHolder restarts the holder of some group with its leases out.
+func restartHolder(w *world) {
+	holders := w.holders(1 + w.rng.IntN(w.options.Topology.fleetLevel()))
+	if len(holders) == 0 {
+		return
+	}
+	holder := holders[w.rng.IntN(len(holders))]
+	w.kill(holder)
+	w.start(holder)
+}
+
+// isolateFleetHolder cuts the fleet's holder off with its leases out, and restarts half of the other electors.
+func isolateFleetHolder(w *world) {
+	holders := w.holders(w.options.Topology.fleetLevel())
+	if len(holders) == 0 {
+		return
+	}
+	w.partition[holders[0]] = 9
+	for _, elector := range w.options.Topology.Electors {
+		if elector != holders[0] && w.rng.IntN(2) == 0 {
+			w.kill(elector)
+			w.start(elector)
+		}
+	}
+}
+
+// The guarantee of the package, whatever happens: the quotas of all routers never pass the limit.
+func TestQuotasNeverPassTheLimit(t *testing.T) {
+	seeds := uint64(300)
+	if testing.Short() {
+		seeds = 60
+	}
+	greatest, granted := 0.0, int64(0)
+	for seed := range seeds {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		topology := randomTopology(rng, 3+rng.IntN(30))
+		limit := Limit{Max: 40, FloorFraction: 0.25 * float64(rng.IntN(2))}
+		w := newWorld(t, seed, topology, limit)
+		w.late = 0.04
+		check := func() {
+			sum := w.quotas(nil)
+			greatest = max(greatest, sum)
+			if sum > limit.Max+1e-6 {
+				t.Fatalf("seed %d, %+v, at %.3f s: quotas of %.3f pass a limit of %v",
+					seed, topology, float64(w.now)/1e6, sum, limit.Max)
+			}
+		}
+		w.run(w.now+12*second, check) // until there is a holder to be lost
+		for range 14 {
+			injectFault(w)
+			w.run(w.now+w.rng.Int64N(4*second), check)
+			for rank, p := range w.processes {
+				if !p.isRunning && w.rng.IntN(3) == 0 {
+					w.start(rank)
+				}
+			}
+		}
+		for _, p := range w.processes {
+			granted += p.node.Counts.LeasesGranted
+		}
+	}
+	if greatest < 39 || granted < int64(seeds)*100 {
+		t.Errorf("at most %.1f of 40 in use, %d leases: these worlds show nothing", greatest, granted)
+	}
+}
+
+// A lease counts from when its request was sent, however late the grant comes, and expires for the lessee before it
+// does for the holder, whose clock runs faster.
+func TestLeaseExpiresForTheLesseeFirst(t *testing.T) {
+	const (
+		term  = second
+		delay = second / 2 // of the grant
+	)
+	l := newLessee(0)
+	l.holder = 3
+	sentAt := 100 * second
+	number := l.recordRequest(sentAt)
+	h := newHolder()
+	key := lesseeKey{0, 1}
+	grantedAt := 900 * second // by the holder's clock, at the moment at which the request was sent
+	amount, granted := h.grant(grantedAt, key, demand{5, 1}, []Allotment{{5, grantedAt + 10*second}}, term)
+	l.handleGrant(sentAt+delay, 3, &Message{Incarnation: 1, Amount: amount, Term: granted, RequestNumber: number})
+	if l.available(sentAt+delay) != 5 {
+		t.Fatalf("%v on lease", l.available(sentAt+delay))
+	}
+	account := h.accounts[key]
+	slow, fast := 1-maxClockDrift/2, 1+maxClockDrift/2
+	for passed := delay; passed < 2*term; passed += 1000 { // of real time since the request was sent
+		atLessee := sentAt + int64(float64(passed)*slow)
+		atHolder := grantedAt + int64(float64(passed)*fast)
+		if l.available(atLessee) > Outstanding(atHolder, account.leases[:]) {
+			t.Fatalf("%d us after its request a lease counts for the lessee, and no more for the holder", passed)
+		}
+	}
+}
+
+// singleElector is a router that is the only elector, elected, in a fleet of eight without groups.
+func singleElector(t *testing.T) (n *Node, now int64) {
+	t.Helper()
+	n, err := New(0, Options{
+		Incarnation: 1,
+		Topology:    Topology{Routers: 8, Electors: []int{0}},
+		Limit:       Limit{Max: 10},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for now < 2*voteLifetime {
+		now = n.Tick(now)
+	}
+	if !n.isElected(now) {
+		t.Fatal("the only elector is not elected")
+	}
+	return n, now
+}
+
+// A lessee that restarts has forgotten what it granted: what the process before it had on lease counts besides what
+// the new one gets.
+func TestRestartedLesseeCountsTwice(t *testing.T) {
+	n, now := singleElector(t)
+	granted := map[uint32]float64{} // last, by incarnation
+	var requester uint32
+	n.Send = func(_ int, m Message) {
+		if m.Kind == KindGrant {
+			granted[requester] = m.Amount
+		}
+	}
+	request := func(incarnation, number uint32) {
+		requester = incarnation
+		n.Receive(now, 3, Message{
+			Kind: KindRequest, Incarnation: incarnation, Level: 1, Amount: 1e5, Weight: 1, RequestNumber: number,
+		})
+	}
+	for number := uint32(1); number < 20; number++ { // until what others had has expired
+		now += renewInterval
+		n.Tick(now)
+		request(1, number)
+	}
+	request(2, 1)
+	if granted[1] < 9 || granted[1]+granted[2] > 10 {
+		t.Errorf("%v to the process before, %v to the one after it, of 10", granted[1], granted[2])
+	}
+}
--- /dev/null
+++ b/core/lease/lessee_test.go
@@ -0,0 +1,42 @@
+package lease
+
+import "testing"
+
+// A grant that is older than the latest, or of a request that was never sent, is dropped.
+func TestOldGrantsAreDropped(t *testing.T) {
+	l := newLessee(0)
+	l.holder = 3
+	first := l.recordRequest(second)
+	latest := l.recordRequest(2 * second)
+	grant := func(number uint32, amount float64) {
+		l.handleGrant(2*second+1000, 3, &Message{
+			Incarnation: 1, Amount: amount, Term: leaseLifetime, RequestNumber: number,
+		})
+	}
+	grant(latest, 2)
+	grant(first, 9)
+	grant(77, 9)
+	if got := l.available(2*second + 2000); got != 2 {
+		t.Errorf("%v on lease, 2 was granted last", got)
+	}
+}
+
+// Leases may be granted out of each of a holder's older leases until that one expires.
+func TestOlderLeasesKeepTheirExpiry(t *testing.T) {
+	l := newLessee(1)
+	l.holder = 3
+	grant := func(at int64, amount float64) {
+		l.handleGrant(at, 3, &Message{
+			Incarnation: 1, Amount: amount, Term: leaseLifetimeAt(1), RequestNumber: l.recordRequest(at),
+		})
+	}
+	grant(second, 9)
+	first := l.lease
+	grant(2*second, 4)
+	if got := l.capacities(2 * second); len(got) != 2 || got[0] != l.lease || got[1] != first {
+		t.Errorf("%v, want the present lease and %v", got, first)
+	}
+	if got := l.capacities(first.ExpiresAt); len(got) != 1 {
+		t.Errorf("%v after the older one has expired", got)
+	}
+}
--- /dev/null
+++ b/core/lease/rendezvous.go
@@ -0,0 +1,12 @@
+package lease
+
+// RendezvousHash orders the candidates for holding a resource, the same at all routers: the one with the greatest
+// hash comes first. Each resource has a number of its own. (D. Thaler, C. Ravishankar, "Using name-based mappings
+// to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998; the mixing is that of splitmix64.)
+func RendezvousHash(resource, rank int) uint64 {
+	x := uint64(resource)<<32 | uint64(rank)
+	x += 0x9e3779b97f4a7c15
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
+}
--- a/core/lease/world_test.go
+++ b/core/lease/world_test.go
@@ -8,41 +8,43 @@
 
 const second = int64(1_000_000)
 
-// world is a fleet in virtual time: a network that loses, doubles and delays, cuts by parts and one-way, and processes that crash, come back, stand still, and
-// whose clocks run apart.
+// world is a fleet in virtual time: a network that loses, doubles and delays messages and is cut in partitions and
+// one-way, and processes that crash, restart, pause, and whose clocks run at rates of their own.
 type world struct {
 	t         testing.TB
 	rng       *rand.Rand
 	now       int64
-	opt       Options
+	options   Options
 	processes []*process
 	events    eventQueue
-	sequence  int
-	loss      float64
-	late      float64 // part of the messages that come up to 3 s late
-	part      []int   // routers of different parts do not hear one another
-	oneWay    map[[2]int]bool
-	confused  float64 // part of the answers on who is up that are wrong
+	sequence  int // of the latest event
+
+	loss        float64 // part of the messages that are lost
+	late        float64 // part of the messages that come up to 3 s late
+	partition   []int   // by rank; routers of different partitions do not receive one another's messages
+	oneWay      map[[2]int]bool
+	wrongStates float64 // part of the answers on who is up that are wrong
 }
 
 type process struct {
-	node    *Node
-	running bool
-	still   int64 // until when it stands still
-	rate    float64
-	offset  int64
-	starts  uint32
-	traffic int // messages sent and received
+	node        *Node
+	isRunning   bool
+	pausedUntil int64
+	clockRate   float64
+	clockOffset int64
+	starts      uint32
+	traffic     int // messages sent and received
 }
 
-// event is a message on its way, or with none a tick.
+// event is a message on its way or, without one, a tick.
 type event struct {
 	at, sequence int64
 	from, to     int
-	starts       uint32
+	starts       uint32 // of the process that a tick is for
 	message      *Message
 }
 
+// eventQueue is a heap of events by time.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -60,43 +62,56 @@
 
 func newWorld(t testing.TB, seed uint64, topology Topology, limit Limit) *world {
 	t.Helper()
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: second, opt: Options{Seed: seed, Topology: topology, Limit: limit},
-		part: make([]int, topology.Routers), oneWay: map[[2]int]bool{}}
+	w := &world{
+		t:         t,
+		rng:       rand.New(rand.NewPCG(seed, 3)),
+		now:       second,
+		options:   Options{Seed: seed, Topology: topology, Limit: limit},
+		partition: make([]int, topology.Routers),
+		oneWay:    map[[2]int]bool{},
+	}
 	for rank := range topology.Routers {
-		w.processes = append(w.processes, &process{rate: 1 + (w.rng.Float64()*2-1)*maxClockDrift/2, offset: w.rng.Int64N(1000 * second)})
+		w.processes = append(w.processes, &process{
+			clockRate:   1 + (w.rng.Float64()*2-1)*maxClockDrift/2,
+			clockOffset: w.rng.Int64N(1000 * second),
+		})
 		w.start(rank)
 	}
 	return w
 }
 
-// local is a time by a process's own clock.
-func (w *world) local(rank int) int64 {
+// localTime is the present time by a process's own clock.
+func (w *world) localTime(rank int) int64 {
 	p := w.processes[rank]
-	return p.offset + int64(float64(w.now)*p.rate)
+	return p.clockOffset + int64(float64(w.now)*p.clockRate)
 }
 
-// start starts a process anew, with nothing.
+// start starts a process anew, with no state.
 func (w *world) start(rank int) {
 	w.t.Helper()
 	p := w.processes[rank]
 	p.starts++
-	opt := w.opt
-	opt.Rank, opt.Incarnation = rank, p.starts
-	node, err := New(w.local(rank), opt)
+	options := w.options
+	options.Rank = rank
+	options.Incarnation = p.starts
+	node, err := New(w.localTime(rank), options)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	node.Send = func(to int, m Message) { w.send(rank, to, m) }
 	node.IsUp = func(other int) bool {
-		up := w.processes[other].running && w.part[other] == w.part[rank]
-		return up != (w.confused > 0 && w.rng.Float64() < w.confused)
+		isUp := w.processes[other].isRunning && w.partition[other] == w.partition[rank]
+		return isUp != (w.wrongStates > 0 && w.rng.Float64() < w.wrongStates)
 	}
 	node.SetDemand(1e5)
-	p.node, p.running, p.still = node, true, 0
+	p.node = node
+	p.isRunning = true
+	p.pausedUntil = 0
 	w.push(event{at: w.now, from: rank, to: rank, starts: p.starts})
 }
 
-func (w *world) kill(rank int) { w.processes[rank].running = false }
+// kill ends a process; start starts it again.
+func (w *world) kill(rank int) { w.processes[rank].isRunning = false }
 
 func (w *world) push(e event) {
 	w.sequence++
@@ -107,7 +122,7 @@
 func (w *world) send(from, to int, m Message) {
 	w.processes[from].traffic++
 	for range 1 + w.rng.IntN(10)/9 { // one in ten is doubled
-		if w.rng.Float64() < w.loss || w.part[from] != w.part[to] || w.oneWay[[2]int{from, to}] {
+		if w.rng.Float64() < w.loss || w.partition[from] != w.partition[to] || w.oneWay[[2]int{from, to}] {
 			continue
 		}
 		delay := 1400 + w.rng.Int64N(22_000)
@@ -123,20 +138,7 @@
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		p := w.processes[e.to]
-		switch {
-		case !p.running || e.message == nil && e.starts != p.starts:
-		case w.now < p.still:
-			e.at = p.still
-			w.push(e)
-		case e.message == nil:
-			next := p.node.Tick(w.local(e.to))
-			e.at = w.now + max(next-w.local(e.to), 1000)
-			w.push(e)
-		default:
-			p.traffic++
-			p.node.Receive(w.local(e.to), e.from, *e.message)
-		}
+		w.handle(e)
 		if check != nil {
 			check()
 		}
@@ -144,33 +146,50 @@
 	w.now = until
 }
 
-// shares sums up what all that run may have in use, of those that match.
-func (w *world) shares(match func(rank int) bool) (sum float64) {
+func (w *world) handle(e event) {
+	p := w.processes[e.to]
+	switch {
+	case !p.isRunning || e.message == nil && e.starts != p.starts:
+	case w.now < p.pausedUntil:
+		e.at = p.pausedUntil
+		w.push(e)
+	case e.message == nil:
+		next := p.node.Tick(w.localTime(e.to))
+		e.at = w.now + max(next-w.localTime(e.to), 1000)
+		w.push(e)
+	default:
+		p.traffic++
+		p.node.Receive(w.localTime(e.to), e.from, *e.message)
+	}
+}
+
+// quotas sums up what all that run may have in use, of those that match.
+func (w *world) quotas(matches func(rank int) bool) (sum float64) {
 	for rank, p := range w.processes {
-		if p.running && w.now >= p.still && (match == nil || match(rank)) {
-			sum += p.node.Quota(w.local(rank))
+		if p.isRunning && w.now >= p.pausedUntil && (matches == nil || matches(rank)) {
+			sum += p.node.Quota(w.localTime(rank))
 		}
 	}
 	return sum
 }
 
-// mean is the mean of shares over the ten seconds that follow.
-func (w *world) mean(match func(rank int) bool) (sum float64) {
-	const looks = 40
-	for range looks {
-		w.run(w.now+10*second/looks, nil)
-		sum += w.shares(match) / looks
+// meanQuotas is the mean of quotas over the ten seconds that follow.
+func (w *world) meanQuotas(matches func(rank int) bool) (mean float64) {
+	const samples = 40
+	for range samples {
+		w.run(w.now+10*second/samples, nil)
+		mean += w.quotas(matches) / samples
 	}
-	return sum
+	return mean
 }
 
 // holders lists the ranks that hold a level's group at present.
 func (w *world) holders(level int) (ranks []int) {
 	for rank, p := range w.processes {
-		if !p.running {
+		if !p.isRunning {
 			continue
 		}
-		for _, held := range p.node.HeldLevels(w.local(rank)) {
+		for _, held := range p.node.HeldLevels(w.localTime(rank)) {
 			if held == level {
 				ranks = append(ranks, rank)
 			}
