--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -392,8 +392,8 @@
 func TestBadOptions(t *testing.T) {
 	good := Options{Rank: 1, FleetSize: 3, Sites: 2, Limits: []Limit{{Name: "a", Max: 1}}}
 	for want, change := range map[string]func(*Options){
-		"Siblings: 0": func(o *Options) { o.FleetSize = 0 }, "Rank: 3 of 3": func(o *Options) { o.Rank = 3 }, "Depots: 0": func(o *Options) { o.Sites = 0 },
-		"Depot: 2 of 2": func(o *Options) { o.Site = 2 }, "Limits: 9, 8 at most": func(o *Options) { o.Limits = make([]Limit, 9) },
+		"FleetSize: 0 is not 1 to 65536": func(o *Options) { o.FleetSize = 0 }, "Rank: 3 of 3": func(o *Options) { o.Rank = 3 }, "Sites: 0 is not 1 to 65536": func(o *Options) { o.Sites = 0 },
+		"Site: 2 of 2": func(o *Options) { o.Site = 2 }, "Limits: 9, 8 at most": func(o *Options) { o.Limits = make([]Limit, 9) },
 		"Limits[0].name: missing":                    func(o *Options) { o.Limits = []Limit{{Max: 1}} },
 		"Limits[0].a: NaN is not above 0 to 1000000": func(o *Options) { o.Limits = []Limit{{Name: "a", Max: math.NaN()}} },
 		"Limits[0].floor: 2 is not 0 to 1":           func(o *Options) { o.Limits = []Limit{{Name: "a", Max: 1, FloorFraction: 2}} },
