--- /dev/null
+++ b/core/migration/capacity_test.go
@@ -0,0 +1,32 @@
+package migration
+
+import (
+	"math"
+	"testing"
+)
+
+func TestCapacityOfWarmAndColdServers(t *testing.T) {
+	const startedAt = 1_000_000
+	model := CapacityModel{StreamKbPerS: 1000, ColdFraction: 0.32, WarmUp: 11_000_000, LoadWindow: 3_000_000}
+	for _, test := range []struct {
+		age  int64 // microseconds
+		want float64
+	}{
+		{0, 0.32},
+		{3_000_000, 0.32},
+		{8_500_000, 0.66},
+		{14_000_000, 1},
+		{30_000_000, 1},
+	} {
+		if got := model.WarmFraction(startedAt+test.age, startedAt); math.Abs(got-test.want) > 1e-9 {
+			t.Errorf("%d us after its start: %v, want %v", test.age, got, test.want)
+		}
+	}
+	servers := []Server{{Weight: 4}, {Weight: 4, StartedAt: startedAt}}
+	if kb, part := model.Capacity(startedAt, servers); math.Abs(kb-5280) > 1e-6 || math.Abs(part-0.66) > 1e-9 {
+		t.Errorf("one warm, one cold: %v KB/s, %v of both", kb, part)
+	}
+	if kb, part := model.Capacity(startedAt, nil); kb != 0 || part != 0 {
+		t.Errorf("no server: %v KB/s, %v", kb, part)
+	}
+}
