--- /dev/null
+++ b/core/rollout/validate_test.go
@@ -0,0 +1,71 @@
+package rollout
+
+import (
+	"errors"
+	"math"
+	"strings"
+	"testing"
+)
+
+func TestValidateNamesTheField(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change func(*Rollout)
+		want   string // how the error's text begins
+	}{
+		{"version 0", func(r *Rollout) { r.Version = 0 }, "version: "},
+		{"no name", func(r *Rollout) { r.Name = "" }, "name: "},
+		{"no prefix", func(r *Rollout) { r.Prefix = "" }, "prefix: "},
+		{"prefix is not hex", func(r *Rollout) { r.Prefix = "xy" }, `prefix: can't be used: "xy"`},
+		{"families in reverse", func(r *Rollout) { r.FamilyRange = []int{3, 1} }, "families: "},
+		{"since is NaN", func(r *Rollout) { r.Since = math.NaN() }, "since: "},
+		{"unknown word for undecided", func(r *Rollout) { r.OnUndecided = "maybe" }, "unsure: "},
+		{"negative rollback time", func(r *Rollout) { r.RollbackAt = -1 }, "stopAt: "},
+		{"no rings", func(r *Rollout) { r.Rings = nil }, "rings: "},
+		{"cell in two rings", func(r *Rollout) { r.Rings[1].Cells = []string{"a"} }, "rings[1].cells: "},
+		{"ring without cells", func(r *Rollout) { r.Rings[0].Cells = nil }, "rings[0].cells: "},
+		{"ring before the one before", func(r *Rollout) { r.Rings[2].OpensAt = 5 }, "rings[2].open: "},
+		{"no time to judge", func(r *Rollout) { r.Rings[0].JudgeWithin = 0 }, "rings[0].for: "},
+		{"alpha", func(r *Rollout) { r.Alpha = 0.7 }, "alpha: can't be used: 0.7"},
+		{"unknown word for rollback", func(r *Rollout) { r.OnRollback = "so" }, `back: can't be used: "so`},
+		{"new objects served on rollback", func(r *Rollout) { r.OnRollback = "serve" }, "back: "},
+		{"old copies of new objects", func(r *Rollout) { r.OldCopyMaxAge = 5 }, "keep: "},
+		{"no age of old copies", func(r *Rollout) { r.ReplacesObjects = true }, "keep: can't be used: 0 ms"},
+		{"old copies too old", func(r *Rollout) {
+			r.ReplacesObjects = true
+			r.OldCopyMaxAge = 1e10
+		}, "keep: can't be used: 1e+10"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			r := sampleRollout()
+			test.change(&r)
+			if err := r.Validate(); !errors.Is(err, ErrInvalid) || !strings.HasPrefix(err.Error(), test.want) {
+				t.Errorf("got %v, want %s", err, test.want)
+			}
+		})
+	}
+	r := sampleRollout()
+	if err := r.Validate(); err != nil {
+		t.Errorf("the unchanged one: %v", err)
+	}
+}
+
+func TestTestParametersNameWhatIsWrong(t *testing.T) {
+	for _, test := range []struct {
+		field      string
+		parameters TestParameters
+	}{
+		{"alpha", TestParameters{}},
+		{"alpha", TestParameters{Alpha: 0.6, Beta: 0.1, MinHarm: 2, Margin: 1}},
+		{"beta", TestParameters{Alpha: 0.1, Beta: math.NaN(), MinHarm: 2, Margin: 1}},
+		{"least", TestParameters{Alpha: 0.1, Beta: 0.1, MinHarm: 1, Margin: 1}},
+	} {
+		_, err := NewSequentialTest(test.parameters)
+		if !errors.Is(err, ErrInvalid) || !strings.HasPrefix(err.Error(), test.field+": ") {
+			t.Errorf("%+v: got %v, want %s", test.parameters, err, test.field)
+		}
+	}
+	if got := parameters.ExpectedEvents(1, 0.1, 1); !math.IsInf(got, 1) {
+		t.Errorf("no harm is found after %v events", got)
+	}
+}
