--- a/cmd/spanctl/shape_test.go
+++ b/cmd/spanctl/shape_test.go
@@ -20,7 +20,7 @@
 	off := put("off.jsonnet", "{}")
 	for _, c := range []struct{ args, out, err string }{
 		{"check " + one, "shape: on, version 1, 2 depots, 2 areas, 6 ways\n", ""},
-		{"check " + loop, "", "shape.ways[6]: can't be used: a circle: north > south > north"},
+		{"check " + loop, "", "shape.ways[6]: invalid topology: a circle: north > south > north"},
 		{"shape show " + off, "", "the shape is off"},
 		{"shape show " + one, "area south, level 1, servers s-: fills from head\ndepot d1, level 2, 1000 KB/s: fills from north, south\n", ""},
 		{"shape diff " + one + " " + two, "head office head, 900 KB/s: now head, 500 KB/s\n", ""},
@@ -29,7 +29,7 @@
 		{"shape plan " + two + " --bears north=3000", "head office head: 500 of 500 KB/s\n", ""},
 		{"shape plan " + one + " --bears north=3000;south=3000 --warm south=0.1", "area south: 300 of 300 KB/s\n", ""},
 		{"shape plan " + one + " --bears east=3000", "", `"east" is no area`},
-		{"shape plan " + one + " --bears north=-1", "", "no such problem: area north"},
+		{"shape plan " + one + " --bears north=-1", "", "invalid allocation problem: area north"},
 	} {
 		command(t, c.args, c.out, c.err)
 	}
--- a/core/hierarchy/doc.go
+++ b/core/hierarchy/doc.go
@@ -1,9 +1,14 @@
-// Package hierarchy holds the shape of a tier: depots that fill from areas, areas from other areas, and the head office, from which all comes.
-// It changes in service; loops are refused when a shape is read and found when two nodes were told different ones; and when shape or
-// capacity changes, a planner shares the depots' fills among what is left.
+// Package hierarchy decides from which caches a site fills. A [Topology] lists the nodes: sites (edge caches and the
+// routers in front of them), groups of parent caches, and the origin, with the links over which one may fill from
+// another.
 //
-// The guarantees: a shape with a circle is refused whole, with the circle named. A fill passed on by Forward visits no node twice, whatever
-// shapes its nodes have. A plan asks no area, link or head office for more than it was said to bear; what is left over is named as refused.
+//   - [Compile] checks a topology and makes a [Graph] of it. A topology with a cycle of links is rejected as a
+//     whole, and the error names the cycle.
+//   - [Graph.PlanFills] divides the sites' fills among parent groups and the origin. A plan sends no group, link or
+//     origin more than its stated capacity; what does not fit is counted as rejected. [FillPlan.Route] is one
+//     site's part of it.
+//   - [Graph.Forward], [Graph.ForwardByPeer], [ParseLoop] and [LoopDetector] keep a fill from looping while nodes have
+//     different topologies. A fill forwarded by Forward visits no node twice, whatever topologies its nodes have.
 //
-// The package does no I/O and reads no clock: counts and times come in.
+// The package does no I/O and reads no clock. Rates are KB/s, times are milliseconds, fractions are from 0 to 1.
 package hierarchy
--- /dev/null
+++ b/core/hierarchy/flow_network.go
@@ -0,0 +1,279 @@
+package hierarchy
+
+import (
+	"math"
+	"slices"
+)
+
+// flowNetwork finds the flow of least cost from sites to parent groups, past them to the origin, or nowhere, within
+// the capacities of arcs and groups. It is a transportation problem, solved by successive shortest paths with
+// potentials (Ahuja, Magnanti and Orlin, "Network Flows", 9.7). Amounts are whole units, so that the search ends and
+// gives the same result on every machine.
+//
+// Nodes of the search are numbered: sites, then groups. A path runs from a site over arcs to groups, and from a group
+// back to a site whose flow there gives way to the new flow.
+type flowNetwork struct {
+	demand        []int64   // by site
+	capacity      []int64   // by group
+	arcs          [][]arc   // by site, to groups
+	direct        []arc     // by site, to the origin; capacity 0 if there is none
+	groupCost     []float64 // by group: cost of a unit there, in addition to its arc's
+	rejectionCost float64   // cost of a unit that goes nowhere
+
+	sent          []int64    // by group: flow there
+	arcsIntoGroup [][]arcRef // by group
+
+	// State of the search, by node.
+	potential     []float64
+	dist          []float64
+	viaArc        []int32 // arc by which the node was reached: its place among the site's arcs
+	previous      []int32 // node from which it was reached
+	settled       []bool
+	sinkPotential float64 // potential of the end that all paths have in common
+	heap          []heapItem
+}
+
+// arc is a connection from a site to a group or the origin.
+type arc struct {
+	group          int32 // unused for arcs to the origin
+	capacity, flow int64
+	cost           float64 // of a unit
+	offHome        bool    // for objects whose home is another group
+}
+
+// hasCapacity reports whether the arc can take more flow.
+func (a *arc) hasCapacity() bool { return a.flow < a.capacity }
+
+// arcRef names an arc by its site and its place among the site's arcs.
+type arcRef struct{ site, arc int32 }
+
+// clone returns the same problem without flow. Demand and capacity, which solve only reads, are shared.
+func (f *flowNetwork) clone() *flowNetwork {
+	c := &flowNetwork{
+		demand:        f.demand,
+		capacity:      f.capacity,
+		arcs:          make([][]arc, len(f.arcs)),
+		direct:        slices.Clone(f.direct),
+		groupCost:     slices.Clone(f.groupCost),
+		rejectionCost: f.rejectionCost,
+	}
+	for site := range f.arcs {
+		c.arcs[site] = slices.Clone(f.arcs[site])
+	}
+	return c
+}
+
+// solve sends all demand and returns what goes directly to the origin and what goes nowhere, by site; what goes to
+// groups is the flow of the arcs. It must be called once.
+func (f *flowNetwork) solve() (direct, rejected []int64) {
+	f.prepare()
+	direct = make([]int64, len(f.demand))
+	rejected = make([]int64, len(f.demand))
+	for site, left := range f.demand {
+		for left > 0 {
+			end, past := f.search(site)
+			amount := min(left, f.endCapacity(end, past, left))
+			amount = f.pathCapacity(site, end, amount)
+			f.addFlow(site, end, amount)
+			switch {
+			case !past:
+				f.sent[end-len(f.demand)] += amount
+			case f.takesDirect(end):
+				f.direct[end].flow += amount
+				direct[end] += amount
+			default:
+				rejected[end] += amount
+			}
+			left -= amount
+		}
+	}
+	return direct, rejected
+}
+
+// prepare allocates the state of the search.
+func (f *flowNetwork) prepare() {
+	groups := len(f.capacity)
+	nodes := len(f.demand) + groups
+	f.sent = make([]int64, groups)
+	f.arcsIntoGroup = make([][]arcRef, groups)
+	f.potential = make([]float64, nodes)
+	f.dist = make([]float64, nodes)
+	f.viaArc = make([]int32, nodes)
+	f.previous = make([]int32, nodes)
+	f.settled = make([]bool, nodes)
+	for site, arcs := range f.arcs {
+		for i := range arcs {
+			group := arcs[i].group
+			f.arcsIntoGroup[group] = append(f.arcsIntoGroup[group], arcRef{int32(site), int32(i)})
+		}
+	}
+}
+
+// takesDirect reports whether a path past the groups that ends at a site goes on to the origin, and not nowhere.
+func (f *flowNetwork) takesDirect(site int) bool {
+	direct := &f.direct[site]
+	return direct.hasCapacity() && direct.cost <= f.rejectionCost
+}
+
+// endCapacity returns how much of an amount the end of a path can take.
+func (f *flowNetwork) endCapacity(end int, past bool, amount int64) int64 {
+	if past {
+		if f.takesDirect(end) {
+			return f.direct[end].capacity - f.direct[end].flow
+		}
+		return amount
+	}
+	group := end - len(f.demand)
+	return f.capacity[group] - f.sent[group]
+}
+
+// pathCapacity returns how much of an amount the path that search has found from start to end can take.
+func (f *flowNetwork) pathCapacity(start, end int, amount int64) int64 {
+	for node := int32(end); node != int32(start); node = f.previous[node] {
+		if f.isGroup(node) {
+			arc := &f.arcs[f.previous[node]][f.viaArc[node]]
+			amount = min(amount, arc.capacity-arc.flow)
+		} else { // the group gives back what this site sends it
+			amount = min(amount, f.arcs[node][f.viaArc[node]].flow)
+		}
+	}
+	return amount
+}
+
+// addFlow sends an amount over the path that search has found from start to end.
+func (f *flowNetwork) addFlow(start, end int, amount int64) {
+	for node := int32(end); node != int32(start); node = f.previous[node] {
+		if f.isGroup(node) {
+			f.arcs[f.previous[node]][f.viaArc[node]].flow += amount
+		} else {
+			f.arcs[node][f.viaArc[node]].flow -= amount
+		}
+	}
+}
+
+func (f *flowNetwork) isGroup(node int32) bool { return int(node) >= len(f.demand) }
+
+// search finds the cheapest path for one more unit of a site (Dijkstra's algorithm). The path ends at a group with
+// capacity, or at a site from where it goes past the groups, to the origin or nowhere. Costs are reduced by the
+// potentials of their ends, which keeps them from being negative.
+func (f *flowNetwork) search(start int) (end int, past bool) {
+	sites := len(f.demand)
+	for node := range f.dist {
+		f.dist[node] = math.Inf(1)
+		f.settled[node] = false
+	}
+	f.dist[start] = 0
+	f.heap = append(f.heap[:0], heapItem{0, int32(start)})
+	best := math.Inf(1)
+	for len(f.heap) > 0 && f.heap[0].dist < best {
+		item := f.pop()
+		node := int(item.node)
+		if f.settled[node] || item.dist > f.dist[node] {
+			continue
+		}
+		f.settled[node] = true
+		cost := f.endCost(node)
+		if dist := item.dist + max(f.potential[node]+cost-f.sinkPotential, 0); dist < best {
+			best, end, past = dist, node, node < sites
+		}
+		if node < sites {
+			f.relaxFromSite(node, item.dist)
+		} else {
+			f.relaxFromGroup(node, item.dist)
+		}
+	}
+	for node := range f.potential {
+		f.potential[node] += min(f.dist[node], best)
+	}
+	f.sinkPotential += best
+	return end, past
+}
+
+// endCost returns the cost of a unit whose path ends at a node; infinite for a group without capacity.
+func (f *flowNetwork) endCost(node int) float64 {
+	sites := len(f.demand)
+	if node < sites {
+		if direct := &f.direct[node]; direct.hasCapacity() {
+			return min(f.rejectionCost, direct.cost)
+		}
+		return f.rejectionCost
+	}
+	group := node - sites
+	if f.sent[group] < f.capacity[group] {
+		return f.groupCost[group]
+	}
+	return math.Inf(1)
+}
+
+// relaxFromSite updates the distances of the groups that a site has arcs with capacity to.
+func (f *flowNetwork) relaxFromSite(site int, dist float64) {
+	sites := len(f.demand)
+	for i := range f.arcs[site] {
+		arc := &f.arcs[site][i]
+		if arc.hasCapacity() {
+			group := sites + int(arc.group)
+			reduced := max(f.potential[site]+arc.cost-f.potential[group], 0)
+			f.relax(group, dist+reduced, int32(i), int32(site))
+		}
+	}
+}
+
+// relaxFromGroup updates the distances of the sites that send flow to a group: it can give way to other flow.
+func (f *flowNetwork) relaxFromGroup(node int, dist float64) {
+	for _, ref := range f.arcsIntoGroup[node-len(f.demand)] {
+		arc := &f.arcs[ref.site][ref.arc]
+		if arc.flow > 0 {
+			reduced := max(f.potential[node]-arc.cost-f.potential[ref.site], 0)
+			f.relax(int(ref.site), dist+reduced, ref.arc, int32(node))
+		}
+	}
+}
+
+// relax notes a path to a node if it is the shortest so far.
+func (f *flowNetwork) relax(node int, dist float64, viaArc, previous int32) {
+	if dist < f.dist[node] {
+		f.dist[node] = dist
+		f.viaArc[node] = viaArc
+		f.previous[node] = previous
+		f.push(heapItem{dist, int32(node)})
+	}
+}
+
+// heapItem is a node to be visited, in a binary heap by distance. Results depend on the order in which nodes of equal
+// distance leave the heap, so push and pop must keep it.
+type heapItem struct {
+	dist float64
+	node int32
+}
+
+func (f *flowNetwork) push(item heapItem) {
+	f.heap = append(f.heap, item)
+	for i := len(f.heap) - 1; i > 0; {
+		parent := (i - 1) / 2
+		if f.heap[parent].dist <= f.heap[i].dist {
+			break
+		}
+		f.heap[parent], f.heap[i] = f.heap[i], f.heap[parent]
+		i = parent
+	}
+}
+
+func (f *flowNetwork) pop() heapItem {
+	top := f.heap[0]
+	last := len(f.heap) - 1
+	f.heap[0] = f.heap[last]
+	f.heap = f.heap[:last]
+	for i := 0; ; {
+		smallest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
+			if f.heap[child].dist < f.heap[smallest].dist {
+				smallest = child
+			}
+		}
+		if smallest == i {
+			return top
+		}
+		f.heap[i], f.heap[smallest] = f.heap[smallest], f.heap[i]
+		i = smallest
+	}
+}
--- /dev/null
+++ b/core/hierarchy/loop_header.go
@@ -0,0 +1,140 @@
+package hierarchy
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Bounds of a CDN-Loop header, in bytes.
+const (
+	maxLoopHeaderBytes = 4096 // all values together
+	maxLoopIDBytes     = 255
+)
+
+// ErrLoopHeader is wrapped by every error of ParseLoop.
+var ErrLoopHeader = errors.New("CDN-Loop")
+
+// ParseLoop parses the values of CDN-Loop headers (RFC 8586): lists of ids, each a host with an optional port or a
+// pseudonym. Parameters are checked and left out. A value that violates the grammar, or one of the bounds of 4096
+// bytes in all and 255 an id, is an error that wraps ErrLoopHeader. A request with such a header must be treated as
+// one that loops.
+func ParseLoop(values []string) (ids []string, err error) {
+	size := 0
+	for _, value := range values {
+		size += len(value)
+		if size > maxLoopHeaderBytes {
+			return nil, fmt.Errorf("%w: over %d bytes", ErrLoopHeader, maxLoopHeaderBytes)
+		}
+		for rest := value; rest != ""; {
+			var id string
+			id, rest, err = parseLoopItem(rest)
+			if err != nil {
+				return nil, err
+			}
+			if id != "" { // a list may have empty elements (RFC 9110, 5.6.1)
+				ids = append(ids, id)
+			}
+		}
+	}
+	return ids, nil
+}
+
+// ContainsNode reports whether a node's id is among the ids of a CDN-Loop header. Like hosts, ids are compared
+// without case.
+func ContainsNode(ids []string, node string) bool {
+	return slices.ContainsFunc(ids, func(id string) bool { return strings.EqualFold(id, node) })
+}
+
+// parseLoopItem parses one element, an id with its parameters, and returns what follows the comma after it.
+func parseLoopItem(s string) (id, rest string, err error) {
+	s = trimSpace(s)
+	end := 0
+	for end < len(s) && isLoopIDByte(s[end]) {
+		end++
+	}
+	id = s[:end]
+	s = trimSpace(s[end:])
+	if len(id) > maxLoopIDBytes {
+		return "", "", fmt.Errorf("%w: an id of %d bytes, at most %d are allowed", ErrLoopHeader, len(id), maxLoopIDBytes)
+	}
+	for strings.HasPrefix(s, ";") {
+		s, err = skipParameter(id, trimSpace(s[1:]))
+		if err != nil {
+			return "", "", err
+		}
+	}
+	switch {
+	case s == "":
+		return id, "", nil
+	case s[0] == ',':
+		return id, s[1:], nil
+	}
+	return "", "", fmt.Errorf("%w: unexpected %q after %q", ErrLoopHeader, s[0], id)
+}
+
+// skipParameter returns what follows the parameter of an id at the start of s.
+func skipParameter(id, s string) (rest string, err error) {
+	if id == "" {
+		return "", fmt.Errorf("%w: parameters without an id", ErrLoopHeader)
+	}
+	name := tokenLength(s)
+	if name == 0 { // an empty parameter (RFC 9110, 5.6.6)
+		return s, nil
+	}
+	s = s[name:]
+	if !strings.HasPrefix(s, "=") {
+		return "", fmt.Errorf("%w: a parameter of %s has no value", ErrLoopHeader, id)
+	}
+	s = s[1:]
+	value := tokenLength(s)
+	if strings.HasPrefix(s, `"`) {
+		value = quotedLength(s)
+	}
+	if value == 0 {
+		return "", fmt.Errorf("%w: a parameter of %s has an invalid value", ErrLoopHeader, id)
+	}
+	return trimSpace(s[value:]), nil
+}
+
+// trimSpace removes optional whitespace at the start.
+func trimSpace(s string) string { return strings.TrimLeft(s, " \t") }
+
+func isAlphanumeric(c byte) bool {
+	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+}
+
+// isLoopIDByte reports whether a host, a port, an address in brackets or a pseudonym may contain a byte.
+func isLoopIDByte(c byte) bool {
+	return isAlphanumeric(c) || strings.IndexByte("-._~%!$&'()*+:[]", c) >= 0
+}
+
+// isTokenByte reports whether a token may contain a byte (RFC 9110, 5.6.2).
+func isTokenByte(c byte) bool {
+	return isAlphanumeric(c) || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0
+}
+
+// tokenLength returns the length of the token at the start of s.
+func tokenLength(s string) int {
+	n := 0
+	for n < len(s) && isTokenByte(s[n]) {
+		n++
+	}
+	return n
+}
+
+// quotedLength returns the length of the quoted string at the start of s, quotes included; 0 if it does not end.
+func quotedLength(s string) int {
+	for i := 1; i < len(s); i++ {
+		switch c := s[i]; {
+		case c == '"':
+			return i + 1
+		case c == '\\':
+			i++
+		case c < ' ' && c != '\t' || c == 0x7f:
+			return 0
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/core/hierarchy/problem.go
@@ -0,0 +1,132 @@
+package hierarchy
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// Problem is the question how sites divide their fills among parent groups and the origin. Slices are indexed by site
+// or by group. Rates are KB/s, at most 1e12; times are ms, at most RejectionCost; fractions are 0 to 1.
+type Problem struct {
+	Demand         []float64   // by site: its fills
+	Capacity       []float64   // by group: what its caches can serve now
+	OriginFraction []float64   // by group: the part of its requests that the origin must serve
+	LinkCapacity   [][]float64 // by site and group: capacity of the link; 0 if there is none
+	LinkRTT        [][]float64 // by site and group: round trip over the link
+	DirectCapacity []float64   // by site: capacity of its link to the origin; 0 if there is none
+	DirectRTT      []float64   // by site: round trip over that link
+	OriginCapacity float64     // what the origin can serve
+
+	// HomeFraction is, by group, the part of all objects whose home the group is. The home follows from the object's
+	// hash and is the same for all sites, so that the group caches an object once for all sites that request it there.
+	// nil: objects have no home.
+	HomeFraction []float64
+	// OffHomeOriginFraction is the part of requests at another group than the home that the origin must serve, if that
+	// is more than the group's OriginFraction.
+	OffHomeOriginFraction float64
+	// OriginRTT is, by group, the added round trip of a miss; nil stands for 0.
+	OriginRTT []float64
+	// RejectionCost is the cost of a rejected KB, as a round trip in ms. It is above every real one, or nothing would be
+	// served.
+	RejectionCost float64
+}
+
+// ErrProblem is wrapped by every error about the values of a problem.
+var ErrProblem = errors.New("invalid allocation problem")
+
+// Bounds of the values of a problem.
+const (
+	maxRate          = 1e12 // KB/s
+	maxRejectionCost = 1e9  // ms
+)
+
+// Check reports the first field whose length or values are not allowed. The error wraps ErrProblem.
+func (p *Problem) Check() error {
+	if err := p.checkLengths(); err != nil {
+		return err
+	}
+	for site := range p.Demand {
+		if i := indexOutside(maxRate, p.LinkCapacity[site]); i >= 0 {
+			return outsideRange(fmt.Sprintf("LinkCapacity[%d]", site), i, p.LinkCapacity[site][i], maxRate)
+		}
+		if i := indexOutside(p.RejectionCost, p.LinkRTT[site]); i >= 0 {
+			return outsideRange(fmt.Sprintf("LinkRTT[%d]", site), i, p.LinkRTT[site][i], p.RejectionCost)
+		}
+	}
+	for _, field := range []struct {
+		name   string
+		limit  float64
+		values []float64
+	}{
+		{"HomeFraction", 1, p.HomeFraction},
+		{"OffHomeOriginFraction", 1, []float64{p.OffHomeOriginFraction}},
+		{"OriginRTT", p.RejectionCost, p.OriginRTT},
+		{"Demand", maxRate, p.Demand},
+		{"Capacity", maxRate, p.Capacity},
+		{"OriginFraction", 1, p.OriginFraction},
+		{"DirectCapacity", maxRate, p.DirectCapacity},
+		{"DirectRTT", p.RejectionCost, p.DirectRTT},
+		{"OriginCapacity", maxRate, []float64{p.OriginCapacity}},
+		{"RejectionCost", maxRejectionCost, []float64{p.RejectionCost}},
+	} {
+		if i := indexOutside(field.limit, field.values); i >= 0 {
+			return outsideRange(field.name, i, field.values[i], field.limit)
+		}
+	}
+	return nil
+}
+
+// checkLengths ensures that all slices have one value for each site or group.
+func (p *Problem) checkLengths() error {
+	sites, groups := len(p.Demand), len(p.Capacity)
+	for _, field := range []struct {
+		name      string
+		got, want int
+	}{
+		{"OriginFraction", len(p.OriginFraction), groups},
+		{"LinkCapacity", len(p.LinkCapacity), sites},
+		{"LinkRTT", len(p.LinkRTT), sites},
+		{"DirectCapacity", len(p.DirectCapacity), sites},
+		{"DirectRTT", len(p.DirectRTT), sites},
+	} {
+		if field.got != field.want {
+			return fmt.Errorf("%w: %s: %d values, must be %d", ErrProblem, field.name, field.got, field.want)
+		}
+	}
+	for site := range p.Demand {
+		if len(p.LinkCapacity[site]) != groups || len(p.LinkRTT[site]) != groups {
+			return fmt.Errorf("%w: LinkCapacity[%d] and LinkRTT[%d]: %d and %d values, must be %d",
+				ErrProblem, site, site, len(p.LinkCapacity[site]), len(p.LinkRTT[site]), groups)
+		}
+	}
+	if p.HomeFraction != nil && len(p.HomeFraction) != groups {
+		return fmt.Errorf("%w: HomeFraction: %d values, must be %d or none", ErrProblem, len(p.HomeFraction), groups)
+	}
+	if p.OriginRTT != nil && len(p.OriginRTT) != groups {
+		return fmt.Errorf("%w: OriginRTT: %d values, must be %d or none", ErrProblem, len(p.OriginRTT), groups)
+	}
+	return nil
+}
+
+// indexOutside returns the index of the first value that is not 0 to limit; -1 if there is none.
+func indexOutside(limit float64, values []float64) int {
+	return slices.IndexFunc(values, func(v float64) bool { return !(v >= 0 && v <= limit) })
+}
+
+func outsideRange(field string, i int, value, limit float64) error {
+	return fmt.Errorf("%w: %s[%d]: %v, must be 0 to %v", ErrProblem, field, i, value, limit)
+}
+
+// originRTT returns the added round trip of a miss at a group.
+func (p *Problem) originRTT(group int) float64 {
+	if p.OriginRTT == nil {
+		return 0
+	}
+	return p.OriginRTT[group]
+}
+
+// offHomeOriginFraction returns the part of requests at a group for objects of other homes that the origin must serve.
+func (p *Problem) offHomeOriginFraction(group int) float64 {
+	return max(p.OriginFraction[group], p.OffHomeOriginFraction)
+}
--- /dev/null
+++ b/core/hierarchy/route_test.go
@@ -0,0 +1,76 @@
+package hierarchy
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+// A route sends each object to one target, in the fractions that the plan says.
+func TestRoutePicks(t *testing.T) {
+	r := Route{
+		Salts:            []uint64{1, 2, 3},
+		HomeFraction:     []float64{0.6, 0.4},
+		StayFraction:     []float64{1, 0.5},
+		OffHomeFraction:  []float64{0.25, 0, 0.5},
+		RejectedFraction: 0.05,
+	}
+	want := map[int]float64{0: 0.6 + 0.05, 1: 0.2, 2: 0.1, noTarget: 0.05}
+	rng := rand.New(rand.NewPCG(5, 5))
+	const n = 60_000
+	got := map[int]float64{}
+	for range n {
+		hash := rng.Uint64()
+		target := r.Pick(hash)
+		if target != r.Pick(hash) {
+			t.Fatal("one object, two targets")
+		}
+		got[target] += 1.0 / n
+	}
+	for target, fraction := range want {
+		if math.Abs(got[target]-fraction) > 0.01 {
+			t.Errorf("target %d: got %v, want %v", target, got[target], fraction)
+		}
+		if target >= 0 && math.Abs(r.Fractions()[target]-fraction) > 1e-9 {
+			t.Errorf("target %d: fractions %v, want %v", target, r.Fractions(), fraction)
+		}
+	}
+}
+
+// Each target gets its fraction of all objects, and when one loses a part of it, no other object changes its target.
+func TestWeightedRendezvous(t *testing.T) {
+	salts := []uint64{11, 22, 33, 44}
+	before, after := []float64{0.5, 0, 0.3, 0.2}, []float64{0.5, 0, 0.15, 0.2}
+	const n = 40_000
+	var got [4]int
+	rng := rand.New(rand.NewPCG(1, 4))
+	for range n {
+		hash := rng.Uint64()
+		a, b := weightedRendezvous(hash, before, salts), weightedRendezvous(hash, after, salts)
+		got[a]++
+		if a != b && a != 2 {
+			t.Fatalf("from %d to %d", a, b)
+		}
+	}
+	for i, fraction := range before {
+		if math.Abs(float64(got[i])/n-fraction) > 0.01 {
+			t.Errorf("target %d: %d of %d, its fraction is %v", i, got[i], n, fraction)
+		}
+	}
+	if weightedRendezvous(1, nil, nil) != noTarget || weightedRendezvous(1, []float64{0, 0}, salts) != noTarget {
+		t.Error("a target without any fraction")
+	}
+}
+
+func BenchmarkPick(b *testing.B) {
+	fractions, salts := make([]float64, 41), make([]uint64, 41)
+	for i := range fractions {
+		salts[i] = uint64(i) * 0x9e3779b97f4a7c15
+		fractions[i] = 1.0 / 41
+	}
+	hash := uint64(1)
+	for b.Loop() {
+		hash = hash*6364136223846793005 + 1
+		weightedRendezvous(hash, fractions, salts)
+	}
+}
