--- /dev/null
+++ b/internal/features/cells.go
@@ -0,0 +1,75 @@
+package features
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"spantack/core/cells"
+	"spantack/routing"
+)
+
+// Cells is the section that confines tenants to cells: subsets of a site's caches.
+type Cells struct {
+	Enabled bool `json:"enabled"`
+	cells.Spec
+}
+
+// CellSpec returns the specification of cells; nil while the feature is off.
+func (f *File) CellSpec() *cells.Spec {
+	if f == nil || !f.Cells.Enabled {
+		return nil
+	}
+	return &f.Cells.Spec
+}
+
+// CellAssignment returns the compiled specification of cells; nil while the feature is off.
+func (f *File) CellAssignment() (*cells.Assignment, error) {
+	spec := f.CellSpec()
+	if spec == nil {
+		return nil, nil
+	}
+	return cells.Compile(spec)
+}
+
+func (f *File) validateCells() error {
+	spec := f.CellSpec()
+	if spec == nil {
+		return nil
+	}
+	if err := spec.Check(); err != nil {
+		return fmt.Errorf("cells.%w", err)
+	}
+	return nil
+}
+
+// checkCellSettings checks that the classes and sites that the cells name exist in a router's settings.
+func (f *File) checkCellSettings(settings *routing.Settings) error {
+	spec := f.CellSpec()
+	if spec == nil {
+		return nil
+	}
+	var classes []string
+	for _, class := range settings.Classes {
+		classes = append(classes, class.Name)
+	}
+	for i, key := range spec.TenantKeys {
+		if key.Class != "" && !slices.Contains(classes, key.Class) {
+			return fieldError(fmt.Sprintf("cells.keys[%d].class", i), "%q is not a class of the settings; these are %s",
+				key.Class, strings.Join(classes, ", "))
+		}
+	}
+	if len(settings.Zones) == 0 {
+		return nil
+	}
+	for i, tenant := range spec.Tenants {
+		for _, site := range slices.Sorted(maps.Keys(tenant.CellBySite)) {
+			if !slices.Contains(settings.Zones, site) {
+				return fieldError(fmt.Sprintf("cells.tenants[%d].depots[%s]", i, site),
+					"not a depot of the settings; these are %s", strings.Join(settings.Zones, ", "))
+			}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/features/file_test.go
@@ -0,0 +1,148 @@
+package features
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// writeFiles writes files to a new folder and returns the path of f.jsonnet there.
+func writeFiles(t *testing.T, files map[string]string) string {
+	t.Helper()
+	dir := t.TempDir()
+	for name, text := range files {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return filepath.Join(dir, "f.jsonnet")
+}
+
+// cellsOn has one cell with one tenant.
+const cellsOn = `{ cells: { enabled: true, version: 3, scheme: 'fixed', cells: [{ name: 'a', share: 1 }],
+  tenants: [{ name: 't', cell: 'a' }], keys: [{ tenant: 't' }],
+  budget: { requestsPerS: 0, fillKbPerS: 0, parentKbPerS: 0, originKbPerS: 0, open: 0, writesPerS: 0, giveMs: 0 } } }`
+
+func TestExampleIsOffAndValidWhenOn(t *testing.T) {
+	const example = "../../deploy/features.jsonnet"
+	f, err := Load(example)
+	if err != nil || f.CellSpec() != nil {
+		t.Fatalf("%v, %v", f, err)
+	}
+	text, err := os.ReadFile(example)
+	if err != nil {
+		t.Fatal(err)
+	}
+	on := strings.ReplaceAll(string(text), "enabled: false", "enabled: true")
+	f, err = Load(writeFiles(t, map[string]string{"f.jsonnet": on}))
+	if err != nil || f.CellSpec() == nil {
+		t.Fatalf("%v, %v", f, err)
+	}
+}
+
+// replaced returns cellsOn with a part replaced, which must be there.
+func replaced(t *testing.T, old, new string) string {
+	t.Helper()
+	if !strings.Contains(cellsOn, old) {
+		t.Fatalf("no %q in the file", old)
+	}
+	return strings.Replace(cellsOn, old, new, 1)
+}
+
+func TestErrorsAreOneLineWithTheField(t *testing.T) {
+	const lawSet = "most: 9, burst: 2, usualMs: 60"
+	for _, c := range []struct{ name, text, want string }{
+		{"unknown field", replaced(t, "budget:", "budgets:"),
+			"cells.budgets: no such field; fields are budget, cells, enabled,"},
+		{"string for a number", replaced(t, "share: 1", "share: 'x'"),
+			"cells.cells[0].share: \"x\" is not a number"},
+		{"fraction for a whole number", replaced(t, "version: 3", "version: 1.5"),
+			"cells.version: 1.5 is not a whole number"},
+		{"object for a list", replaced(t, "[{ name: 't', cell: 'a' }]", "{ name: 't' }"),
+			"cells.tenants: {\"name\":\"t\"} is not a list"},
+		{"number for a bool", replaced(t, "true", "1"),
+			"cells.enabled: 1 is not true or false"},
+		{"unknown tenant", replaced(t, "tenant: 't'", "tenant: 'u'"),
+			"cells.keys[0].tenant: \"u\" is no tenant"},
+		{"list for a map", replaced(t, "cell: 'a' }]", "cell: 'a', depots: [] }]"),
+			"cells.tenants[0].depots: [] is not an object"},
+		{"unknown law", "{ shield: { enabled: true, law: 'none', " + lawSet + " } }",
+			"shield: no such shield: law: \"none\" is none of"},
+		{"negative time", "{ shield: { enabled: true, law: 'fixed', lingerMs: -1, " + lawSet + " } }",
+			"shield: no such shield: lingerMs: -1 is not"},
+		{"no limit", "{ shield: { enabled: true, law: 'fixed', burst: 2, usualMs: 60 } }",
+			"shield: no such shield: most: 0 is not"},
+		{"group of no multiple",
+			"{ fleet: { enabled: true, asks: 9, tree: { routers: 64, groups: [16, 20], electors: [0] } } }",
+			"fleet.tree.groups[1]: 20 is not a multiple of 16"},
+		{"elector beyond the fleet",
+			"{ fleet: { enabled: true, asks: 9, tree: { routers: 64, groups: [16], electors: [64] } } }",
+			"fleet.tree.electors[0]: rank 64 of 64"},
+		{"even number of electors",
+			"{ fleet: { enabled: true, asks: 9, tree: { routers: 64, groups: [], electors: [0, 1] } } }",
+			"fleet.tree.electors: 2, an odd number"},
+		{"tree of no routers", "{ fleet: { enabled: true, asks: 9, tree: { groups: [], electors: [0] } } }",
+			"fleet.tree.routers: 0 is not 1 to 65536"},
+		{"unknown field of a tree", "{ fleet: { enabled: true, asks: 9, tree: { sizes: [2] } } }",
+			"fleet.tree.sizes: no such field"},
+		{"fleet without a use", "{ fleet: { enabled: true } }",
+			"fleet.asks: 0, must be above 0, or fleet.verdicts true"},
+		{"migration without cells", "{ moves: { enabled: true, version: 1, moves: [] } }",
+			"moves.enabled: true, needs cells.enabled true"},
+		{"rollout without cells", "{ stage: { enabled: true } }",
+			"stage.enabled: true, needs cells.enabled true"},
+		{"number for an object", "{ cells: 7 }",
+			"cells: 7 is not an object"},
+		{"unknown variable", "{ cells: nothing }",
+			"Unknown variable: nothing"},
+		{"import from another folder", "{ cells: import '../secret' }",
+			"import \"../secret\": not in the file's own folder"},
+		{"import from an absolute path", "{ cells: importstr '/etc/passwd' }",
+			"import \"/etc/passwd\": not in the file's own folder"},
+		{"endless recursion", "local f(x) = f(x + 1) + 1; f(0)",
+			"max stack frames exceeded"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			path := writeFiles(t, map[string]string{"f.jsonnet": c.text})
+			_, err := Load(path)
+			if err == nil {
+				t.Fatalf("no error, want %s", c.want)
+			}
+			text := err.Error()
+			if !strings.HasPrefix(text, path+": ") || !strings.Contains(text, c.want) || strings.Contains(text, "\n") {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
+	}
+	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
+		t.Error("a file that does not exist")
+	}
+	if _, err := Load(t.TempDir()); err == nil {
+		t.Error("a folder")
+	}
+}
+
+func TestImportsFromTheOwnFolder(t *testing.T) {
+	files := map[string]string{"f.jsonnet": "import 'base.libsonnet'", "base.libsonnet": cellsOn}
+	f, err := Load(writeFiles(t, files))
+	if err != nil || f.CellSpec().Version != 3 {
+		t.Errorf("%v, %v", f, err)
+	}
+}
+
+// For any input there is an error or a specification that can be put in force, and never a panic.
+func FuzzParse(f *testing.F) {
+	f.Add([]byte(`{"cells":{"enabled":true,"version":1,"scheme":"nested","width":2,"cells":[{"name":"a","share":1}],` +
+		`"tenants":[{"name":"t","cell":"a"}],"keys":[{"tenant":"t"}],"budget":{}}}`))
+	f.Add([]byte(`{"cells":{"enabled":false}}`))
+	f.Add([]byte(`[1,2]`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		file, err := Parse(text)
+		if err == nil && file.CellSpec() != nil {
+			if err := file.CellSpec().Check(); err != nil {
+				t.Error(err)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/features/jsonnet.go
@@ -0,0 +1,81 @@
+package features
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/google/go-jsonnet"
+)
+
+// maxFileBytes bounds the file, each import, and the JSON that it evaluates to.
+const maxFileBytes = 32 << 20
+
+// evaluateJsonnet returns the JSON that a file evaluates to. A panic of the evaluator is returned as an error: a file
+// taken in on SIGHUP must not end the router.
+func evaluateJsonnet(path string) (text []byte, err error) {
+	defer func() {
+		if p := recover(); p != nil {
+			err = fmt.Errorf("evaluation failed: %v", p)
+		}
+	}()
+	source, err := readBounded(path)
+	if err != nil {
+		return nil, err
+	}
+	vm := jsonnet.MakeVM()
+	vm.ErrorFormatter.SetMaxStackTraceSize(2)
+	vm.Importer(&folderImporter{dir: filepath.Dir(path), imported: map[string]jsonnet.Contents{}})
+	out, err := vm.EvaluateAnonymousSnippet(filepath.Base(path), source)
+	if err != nil {
+		return nil, errors.New(oneLine(err.Error()))
+	}
+	if len(out) > maxFileBytes {
+		return nil, fmt.Errorf("evaluates to %d bytes, at most %d are allowed", len(out), maxFileBytes)
+	}
+	return []byte(out), nil
+}
+
+// oneLine replaces all runs of space, newlines included, by one space.
+func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
+
+// readBounded reads a regular file of at most maxFileBytes.
+func readBounded(path string) (string, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return "", err
+	}
+	if !info.Mode().IsRegular() {
+		return "", fmt.Errorf("%s, must be a regular file", info.Mode().Type())
+	}
+	if info.Size() > maxFileBytes {
+		return "", fmt.Errorf("%d bytes, at most %d are allowed", info.Size(), maxFileBytes)
+	}
+	text, err := os.ReadFile(path)
+	return string(text), err
+}
+
+// folderImporter imports files from the folder of the features file alone, so that a copy of the folder is complete.
+type folderImporter struct {
+	dir      string
+	imported map[string]jsonnet.Contents // by name: go-jsonnet wants the same contents each time
+}
+
+// Import implements jsonnet.Importer.
+func (f *folderImporter) Import(_, name string) (jsonnet.Contents, string, error) {
+	if !filepath.IsLocal(name) {
+		return jsonnet.Contents{}, "", fmt.Errorf("import %q: not in the file's own folder", name)
+	}
+	if contents, known := f.imported[name]; known {
+		return contents, name, nil
+	}
+	text, err := readBounded(filepath.Join(f.dir, name))
+	if err != nil {
+		return jsonnet.Contents{}, "", fmt.Errorf("import %q: %w", name, err)
+	}
+	contents := jsonnet.MakeContents(text)
+	f.imported[name] = contents
+	return contents, name, nil
+}
--- a/internal/features/schema/schema.go
+++ b/internal/features/schema/schema.go
@@ -1,4 +1,5 @@
-// Package schema prints the JSON Schema of the features file. It stands apart because the router has no use for it.
+// Package schema prints the JSON Schema of the features file. It is a package of its own because the router does not
+// need it.
 package schema
 
 import (
@@ -12,8 +13,8 @@
 	"spantack/internal/features"
 )
 
-// definitionNames gives the names of definitions that differ from those of their Go types. Readers of the schema may refer to
-// them, so that renaming a type must not change them.
+// definitionNames gives the names of definitions that differ from those of their Go types. Readers of the schema may
+// refer to them, so that renaming a type must not change them.
 var definitionNames = map[string]string{
 	"cells.TenantKey":       "Key",
 	"features.Migration":    "Moves",
@@ -32,7 +33,7 @@
 // definitionName returns the name of a type's definition, or "" for that of the type itself.
 func definitionName(t reflect.Type) string { return definitionNames[t.String()] }
 
-// JSON is the schema, indented.
+// JSON returns the schema, indented.
 func JSON() ([]byte, error) {
 	r := jsonschema.Reflector{ExpandedStruct: true, Namer: definitionName}
 	text, err := json.Marshal(r.Reflect(&features.File{}))
--- /dev/null
+++ b/internal/features/topology.go
@@ -0,0 +1,40 @@
+package features
+
+import (
+	"fmt"
+	"reflect"
+
+	"spantack/core/hierarchy"
+)
+
+// Topology is the section of the hierarchy: which sites and parent groups fill from which.
+type Topology struct {
+	Enabled bool `json:"enabled"`
+	hierarchy.Topology
+}
+
+// TopologyGraph returns the compiled topology; nil while the feature is off.
+func (f *File) TopologyGraph() (*hierarchy.Graph, error) {
+	if f == nil || !f.Topology.Enabled {
+		return nil, nil
+	}
+	graph, err := hierarchy.Compile(&f.Topology.Topology)
+	if err != nil {
+		return nil, fmt.Errorf("shape.%w", err)
+	}
+	return graph, nil
+}
+
+func (f *File) validateTopology() error {
+	_, err := f.TopologyGraph()
+	return err
+}
+
+// checkTopologyReplaces checks that a topology that differs has a later version.
+func (f *File) checkTopologyReplaces(previous *File) error {
+	if previous == nil || !previous.Topology.Enabled || !f.Topology.Enabled {
+		return nil
+	}
+	old, next := &previous.Topology.Topology, &f.Topology.Topology
+	return checkVersion("shape.version", old.Version, next.Version, reflect.DeepEqual(old, next))
+}
--- a/internal/features/wire_compat_test.go
+++ b/internal/features/wire_compat_test.go
@@ -56,7 +56,8 @@
 	if err != nil || g == nil {
 		t.Fatalf("shape: %v, %v", g, err)
 	}
-	if spec := f.CellSpec(); spec == nil || spec.OverflowCell != "spare" || spec.Budget.ReclaimMillis != 18 || spec.TenantKeys[0].DeclaredTenant != "acme" {
+	if spec := f.CellSpec(); spec == nil || spec.OverflowCell != "spare" || spec.Budget.ReclaimMillis != 18 ||
+		spec.TenantKeys[0].DeclaredTenant != "acme" {
 		t.Errorf("cells: %+v", spec)
 	}
 	if doc := f.ActiveMigration(); doc == nil || doc.Version != 8 || doc.Migrations[0].RollbackAt != 1764576040006 {
