--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,16 +1,14 @@
-// Package config reads and checks what a request router is told at its start.
+// Package config reads and checks what a router is told at its start and on SIGHUP: environment variables and the
+// platform's configuration file, whose fields' names it translates once.
 package config
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/netip"
 	"os"
-	"slices"
 	"strconv"
 
-	"spantack/internal/clock"
 	"spantack/internal/discovery"
 	"spantack/internal/router"
 	"spantack/routing"
@@ -18,227 +16,148 @@
 
 // Config is a checked configuration. Times are milliseconds.
 type Config struct {
-	Name          string
-	ListenAddr    string
-	AdminAddr     string // the second address; empty: none
-	ListenerFD    int    // descriptor of an inherited listening socket for clients; -1: none
-	StateDir      string // directory that the processes of this router share; empty: none
-	DiscoveryAddr string // of the discovery service: the field board
-	Seed          int64
-
+	Name       string
+	ListenAddr string // for clients
+	AdminAddr  string // for management calls; empty: none
+	ListenerFD int    // file descriptor of an inherited listening socket for clients; -1: none
+	StateDir   string // shared by the processes that succeed each other as this router; empty: none
+	Seed       int64  // of all random draws
+
+	// Limits on the process's resources.
 	MemoryMB   float64
 	MaxSockets int
 
-	Settings     routing.Settings
-	DialTimeout  float64
-	IdleTimeout  float64
-	MaxStreams   int
-	MaxSendDelay float64 // the least time after which a drain or purge binds
-	MaxDeadline  float64 // the longest deadline of a class
+	// Settings of the decision module, and those of connections to servers.
+	Settings    routing.Settings
+	DialTimeout float64
+	IdleTimeout float64 // after which servers close an unused connection
+	MaxStreams  int     // concurrent requests on a connection
+	MaxDeadline float64 // greatest deadline of a class
+	// MaxSendDelay bounds the time from the choice of a server until the request is written. It is the shorter of the
+	// grace periods after which a drain and a purge bind; 0: no bound.
+	MaxSendDelay float64
 
 	Fleet Fleet
 
-	LastEventID   uint64 // number of the last event of Notices
+	// Discovery: where it is, and what was known of the endpoint list when the file was written.
+	DiscoveryAddr string
+	LastEventID   uint64 // number of the last of InitialEvents
 	InitialEvents []router.WatchEvent
 	Names         discovery.Names
 
 	keys objectKeys // of the file
 }
 
-// Fleet is what the file says of the other routers of the tier, for datagrams between them.
+// Fleet is what the file tells of the other routers.
 type Fleet struct {
-	GossipEnabled bool // the settings allow datagrams, and the file gives the addresses
-	Rank          int
+	// GossipEnabled is set if the settings allow datagrams between routers and the file has the addresses. Only then the
+	// other fields but Rank are set.
+	GossipEnabled bool
+	Rank          int // this router's place in Members
 	ListenAddr    string
-	Members       []netip.AddrPort // by rank, this router's own too
+	Members       []netip.AddrPort // all routers, this one included, by rank
 	BroadcastAddr netip.AddrPort   // reaches all
 }
 
-type document struct {
-	Seed   string `json:"seed"`
-	Limits struct {
-		MemoryMB float64 `json:"memory_mb"`
-		Sockets  int     `json:"sockets"`
-	} `json:"limits"`
-	DiscoveryAddr      string          `json:"board"`
-	FleetListenAddr    string          `json:"peer_listen"`
-	FleetMembers       []string        `json:"peers"`
-	FleetBroadcastAddr string          `json:"peers_all"`
-	AdminAddr          string          `json:"mgmt"`
-	InitialEvents      json.RawMessage `json:"known"`
-	Settings           json.RawMessage `json:"settings"`
+// FieldError is an error in an environment variable or a field of the file.
+type FieldError struct {
+	Field string // variable, or path of the field, such as settings.Classes[0].Name
+	Err   error
 }
 
-// transportSettings holds the settings that the decision module has no use for.
-type transportSettings struct {
-	Rank        int `json:"Rank"`
-	Permissions struct {
-		MayTell    bool  `json:"MayTell"`
-		IdleClose  int64 `json:"IdleClose"`
-		MaxStreams int   `json:"MaxStreams"`
-	} `json:"Permissions"`
+// Error is the field and the error.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns the error without the field.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+// ErrMissing is wrapped by the FieldError of a variable or field that must be there.
+var ErrMissing = errors.New("missing")
+
+// fieldError returns a FieldError. %w may be used in the format.
+func fieldError(field, format string, args ...any) error {
+	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
+func missing(field string) error { return &FieldError{Field: field, Err: ErrMissing} }
+
+// Environment variables. Those after the first three are optional.
 const (
-	minSockets  = 64
-	minMemoryMB = 32
-	// defaultIdleTimeoutMicros is the idle close where the settings name none: 30 s, in microseconds.
-	defaultIdleTimeoutMicros = 30_000_000
+	envName     = "RELAY_NAME"
+	envListen   = "RELAY_LISTEN"
+	envConfig   = "RELAY_CONFIG"
+	envAdmin    = "RELAY_MGMT"
+	envListener = "RELAY_SOCKET_FD"
+	envStateDir = "TMPDIR"
 )
 
-// Load reads the environment and the file that it names.
+// firstInheritedFD is the lowest descriptor that a socket can be inherited as: those below are the standard streams.
+const firstInheritedFD = 3
+
+// Load reads the environment and the file that it names. An error names the variable or the field at fault, its
+// value, and what is allowed.
 func Load(getenv func(string) string) (*Config, error) {
-	for _, name := range []string{"RELAY_NAME", "RELAY_LISTEN", "RELAY_CONFIG"} {
+	for _, name := range []string{envName, envListen, envConfig} {
 		if getenv(name) == "" {
-			return nil, fmt.Errorf("%s: missing", name)
+			return nil, missing(name)
 		}
 	}
-	text, err := os.ReadFile(getenv("RELAY_CONFIG"))
+	text, err := os.ReadFile(getenv(envConfig))
 	if err != nil {
-		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
+		return nil, &FieldError{envConfig, err}
 	}
 	c, err := Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	c.Name, c.ListenAddr = getenv("RELAY_NAME"), getenv("RELAY_LISTEN")
-	if _, err := netip.ParseAddrPort(c.ListenAddr); err != nil {
-		return nil, fmt.Errorf("RELAY_LISTEN: %w", err)
-	}
-	if addr := getenv("RELAY_MGMT"); addr != "" {
-		c.AdminAddr = addr
-	}
-	if c.AdminAddr != "" {
-		if _, err := netip.ParseAddrPort(c.AdminAddr); err != nil {
-			return nil, fmt.Errorf("mgmt: %w", err)
-		}
-		c.StateDir = getenv("TMPDIR")
-	}
-	if fd := getenv("RELAY_SOCKET_FD"); fd != "" {
-		if c.ListenerFD, err = strconv.Atoi(fd); err != nil || c.ListenerFD <= 2 {
-			return nil, fmt.Errorf("RELAY_SOCKET_FD: %q is no descriptor above 2", fd)
-		}
-	}
-	return c, nil
-}
-
-// Parse reads the configuration's JSON. An error names the field at fault.
-func Parse(text []byte) (*Config, error) {
-	var d document
-	if err := decodeJSON("RELAY_CONFIG", text, &d); err != nil {
+	c.Name = getenv(envName)
+	c.ListenAddr = getenv(envListen)
+	if _, err := parseAddr(envListen, c.ListenAddr); err != nil {
 		return nil, err
 	}
-	keys, err := collectKeys(text)
-	if err != nil {
-		return nil, err
-	}
-	c := &Config{keys: keys, DiscoveryAddr: d.DiscoveryAddr, AdminAddr: d.AdminAddr, ListenerFD: -1, MemoryMB: d.Limits.MemoryMB, MaxSockets: d.Limits.Sockets}
-	seed, err := strconv.ParseUint(d.Seed, 16, 64)
-	if err != nil {
-		return nil, fmt.Errorf("seed: %w", err)
-	}
-	c.Seed = int64(seed)
-	if _, err := netip.ParseAddrPort(d.DiscoveryAddr); err != nil {
-		return nil, fmt.Errorf("board: %w", err)
-	}
-	switch {
-	case c.MemoryMB < minMemoryMB:
-		return nil, fmt.Errorf("limits.memory_mb: %v is under %d", c.MemoryMB, minMemoryMB)
-	case c.MaxSockets < minSockets:
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.MaxSockets, minSockets)
-	case d.Settings == nil:
-		return nil, errors.New("settings: missing")
-	case d.InitialEvents == nil:
-		return nil, errors.New("known: missing")
-	}
-	if err := c.parseSettings(d.Settings); err != nil {
+	if err := c.loadAdminAddr(getenv); err != nil {
 		return nil, err
 	}
-	if err := c.parseFleet(&d); err != nil {
+	if err := c.loadListenerFD(getenv); err != nil {
 		return nil, err
 	}
-	if c.LastEventID, c.InitialEvents, err = discovery.ParseInitialEvents(d.InitialEvents, c.Names); err != nil {
-		return nil, fmt.Errorf("known.%w", err)
-	}
 	return c, nil
 }
 
-// parseFleet reads the addresses for datagrams, where the settings allow them and the file gives any.
-func (c *Config) parseFleet(d *document) (err error) {
-	if !c.Fleet.GossipEnabled || d.FleetListenAddr == "" && len(d.FleetMembers) == 0 {
-		c.Fleet.GossipEnabled = false
-		return nil
-	}
-	if _, err = netip.ParseAddrPort(d.FleetListenAddr); err != nil {
-		return fmt.Errorf("peer_listen: %w", err)
-	}
-	c.Fleet.ListenAddr = d.FleetListenAddr
-	if c.Fleet.BroadcastAddr, err = netip.ParseAddrPort(d.FleetBroadcastAddr); err != nil {
-		return fmt.Errorf("peers_all: %w", err)
-	}
-	for i, text := range d.FleetMembers {
-		addr, err := netip.ParseAddrPort(text)
-		if err != nil {
-			return fmt.Errorf("peers[%d]: %w", i, err)
-		}
-		c.Fleet.Members = append(c.Fleet.Members, addr)
+// loadAdminAddr sets the address for management calls: the environment's, or else the file's. Without one there is no
+// state directory either.
+func (c *Config) loadAdminAddr(getenv func(string) string) error {
+	field := "mgmt"
+	if addr := getenv(envAdmin); addr != "" {
+		field = envAdmin
+		c.AdminAddr = addr
 	}
-	if c.Fleet.Rank < 0 || c.Fleet.Rank >= len(c.Fleet.Members) {
-		return fmt.Errorf("settings.Rank: %d of %d peers", c.Fleet.Rank, len(c.Fleet.Members))
+	if c.AdminAddr == "" {
+		return nil
 	}
-	return nil
+	c.StateDir = getenv(envStateDir)
+	_, err := parseAddr(field, c.AdminAddr)
+	return err
 }
 
-func (c *Config) parseSettings(text []byte) error {
-	var t transportSettings
-	if err := decodeJSON("settings", text, &c.Settings); err != nil {
-		return err
-	}
-	if err := decodeJSON("settings", text, &t); err != nil {
-		return err
-	}
-	set := &c.Settings
-	if t.Permissions.IdleClose == 0 {
-		t.Permissions.IdleClose = defaultIdleTimeoutMicros
-	}
-	switch {
-	case set.Permissions.DialTimeout <= 0:
-		return errors.New("settings.Permissions.DialTimeout: must be positive")
-	case t.Permissions.IdleClose < 0:
-		return errors.New("settings.Permissions.IdleClose: must be positive")
-	case t.Permissions.MaxStreams <= 0:
-		return errors.New("settings.Permissions.MaxStreams: must be positive")
-	case len(set.Zones) == 0:
-		return errors.New("settings.Zones: none")
-	}
-	c.DialTimeout = clock.Millis(set.Permissions.DialTimeout)
-	c.IdleTimeout = clock.Millis(t.Permissions.IdleClose)
-	c.MaxStreams = t.Permissions.MaxStreams
-	c.Fleet.GossipEnabled, c.Fleet.Rank = t.Permissions.MayTell, t.Rank
-	c.Names = discovery.Names{Zones: set.Zones, Kinds: set.Kinds}
-	for _, us := range []int64{set.Guarantees.DrainGracePeriod, set.Hierarchy.PurgeGracePeriod} {
-		if ms := clock.Millis(us); us > 0 && (c.MaxSendDelay == 0 || ms < c.MaxSendDelay) {
-			c.MaxSendDelay = ms
-		}
+func (c *Config) loadListenerFD(getenv func(string) string) error {
+	text := getenv(envListener)
+	if text == "" {
+		return nil
 	}
-	for i, class := range set.Classes {
-		if slices.ContainsFunc(set.Classes[:i], func(o routing.Class) bool { return o.Name == class.Name }) {
-			return fmt.Errorf("settings.Classes[%d].Name: %q stands twice", i, class.Name)
-		}
-		c.MaxDeadline = max(c.MaxDeadline, clock.Millis(class.Deadline))
+	fd, err := strconv.Atoi(text)
+	if err != nil || fd < firstInheritedFD {
+		return fieldError(envListener, "%q, must be a descriptor of %d or above", text, firstInheritedFD)
 	}
+	c.ListenerFD = fd
 	return nil
 }
 
-// decodeJSON names the field that holds a value of the wrong type.
-func decodeJSON(what string, text []byte, into any) error {
-	err := json.Unmarshal(text, into)
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) && wrong.Field != "" {
-		return fmt.Errorf("%s.%s: a %s does not fit", what, wrong.Field, wrong.Value)
-	}
+// parseAddr parses an address with a port.
+func parseAddr(field, text string) (netip.AddrPort, error) {
+	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return fmt.Errorf("%s: %w", what, err)
+		return netip.AddrPort{}, &FieldError{field, err}
 	}
-	return nil
+	return addr, nil
 }
--- /dev/null
+++ b/internal/config/fleet_test.go
@@ -0,0 +1,60 @@
+package config
+
+import (
+	"strings"
+	"testing"
+)
+
+// fleetFiles returns a file whose settings allow datagrams, and one that has the addresses for them too.
+func fleetFiles(t *testing.T) (allowed, complete string) {
+	t.Helper()
+	allowed = replaced(t, good, `"Permissions":{`, `"Rank":1,"Permissions":{"MayTell":true,`)
+	complete = replaced(t, allowed, `"board":`, `"peer_listen":"127.0.0.4:7946",`+
+		`"peers":["127.3.0.1:7946","127.3.0.2:7946"],"peers_all":"127.3.255.1:7946","board":`)
+	return allowed, complete
+}
+
+// The addresses for datagrams are parsed only if the settings allow these.
+func TestParseFleet(t *testing.T) {
+	allowed, complete := fleetFiles(t)
+	c, err := Parse([]byte(complete))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := c.Fleet
+	if !got.GossipEnabled || got.Rank != 1 || got.ListenAddr != "127.0.0.4:7946" || len(got.Members) != 2 ||
+		got.Members[1].String() != "127.3.0.2:7946" || got.BroadcastAddr.String() != "127.3.255.1:7946" {
+		t.Errorf("%+v", got)
+	}
+	for name, text := range map[string]string{
+		"no permission":   good,
+		"no addresses":    allowed,
+		"permission lost": replaced(t, complete, `"MayTell":true`, `"MayTell":false`),
+	} {
+		t.Run(name, func(t *testing.T) {
+			if c, err := Parse([]byte(text)); err != nil || c.Fleet.GossipEnabled {
+				t.Errorf("%v, %+v of %s", err, c, text)
+			}
+		})
+	}
+}
+
+func TestParseFleetNamesTheField(t *testing.T) {
+	_, complete := fleetFiles(t)
+	for _, c := range []struct{ name, old, new, want string }{
+		{"own address", "127.0.0.4:7946", "here", "peer_listen:"},
+		{"member's address", "127.3.0.2:7946", "there", "peers[1]:"},
+		{"address of all", "127.3.255.1:7946", "all", "peers_all:"},
+		{"rank beyond the members", `"Rank":1`, `"Rank":2`, "settings.Rank: 2 of 2 peers"},
+		{"negative rank", `"Rank":1`, `"Rank":-1`, "settings.Rank: -1 of 2 peers"},
+		{"string for a bool", `"MayTell":true`, `"MayTell":"yes"`,
+			"settings.Permissions.MayTell: a string, must be true or false"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse([]byte(replaced(t, complete, c.old, c.new)))
+			if err == nil || !strings.HasPrefix(err.Error(), c.want) {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/config/parse.go
@@ -0,0 +1,163 @@
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"reflect"
+	"strconv"
+
+	"spantack/internal/discovery"
+)
+
+// Least limits with which a router can work.
+const (
+	minSockets  = 64
+	minMemoryMB = 32
+)
+
+// document is the configuration file.
+type document struct {
+	Seed   string `json:"seed"` // hexadecimal
+	Limits struct {
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	DiscoveryAddr      string          `json:"board"`
+	FleetListenAddr    string          `json:"peer_listen"`
+	FleetMembers       []string        `json:"peers"`
+	FleetBroadcastAddr string          `json:"peers_all"`
+	AdminAddr          string          `json:"mgmt"`
+	InitialEvents      json.RawMessage `json:"known"`
+	Settings           json.RawMessage `json:"settings"`
+}
+
+// Parse parses and checks the configuration file. An error names the field at fault, its value, and what is allowed.
+func Parse(text []byte) (*Config, error) {
+	var d document
+	if err := decodeJSON(envConfig, text, &d); err != nil {
+		return nil, err
+	}
+	keys, err := collectKeys(text)
+	if err != nil {
+		return nil, err
+	}
+	c := &Config{keys: keys, AdminAddr: d.AdminAddr, ListenerFD: -1}
+	for _, step := range []func(*document) error{
+		c.parseSeed,
+		c.parseDiscoveryAddr,
+		c.parseLimits,
+		requireSections,
+		c.parseSettings,
+		c.parseFleet, // needs the settings
+		c.parseInitialEvents,
+	} {
+		if err := step(&d); err != nil {
+			return nil, err
+		}
+	}
+	return c, nil
+}
+
+func (c *Config) parseSeed(d *document) error {
+	seed, err := strconv.ParseUint(d.Seed, 16, 64)
+	if err != nil {
+		return &FieldError{"seed", err}
+	}
+	c.Seed = int64(seed)
+	return nil
+}
+
+func (c *Config) parseDiscoveryAddr(d *document) error {
+	c.DiscoveryAddr = d.DiscoveryAddr
+	_, err := parseAddr("board", d.DiscoveryAddr)
+	return err
+}
+
+func (c *Config) parseLimits(d *document) error {
+	c.MemoryMB = d.Limits.MemoryMB
+	c.MaxSockets = d.Limits.Sockets
+	if c.MemoryMB < minMemoryMB {
+		return fieldError("limits.memory_mb", "%v, must be %d or more", c.MemoryMB, minMemoryMB)
+	}
+	if c.MaxSockets < minSockets {
+		return fieldError("limits.sockets", "%d, must be %d or more", c.MaxSockets, minSockets)
+	}
+	return nil
+}
+
+func requireSections(d *document) error {
+	if d.Settings == nil {
+		return missing("settings")
+	}
+	if d.InitialEvents == nil {
+		return missing("known")
+	}
+	return nil
+}
+
+// parseFleet parses the addresses of the fleet, if the settings allow datagrams and the file has any address.
+func (c *Config) parseFleet(d *document) (err error) {
+	if d.FleetListenAddr == "" && len(d.FleetMembers) == 0 {
+		c.Fleet.GossipEnabled = false
+	}
+	if !c.Fleet.GossipEnabled {
+		return nil
+	}
+	if _, err := parseAddr("peer_listen", d.FleetListenAddr); err != nil {
+		return err
+	}
+	c.Fleet.ListenAddr = d.FleetListenAddr
+	c.Fleet.BroadcastAddr, err = parseAddr("peers_all", d.FleetBroadcastAddr)
+	if err != nil {
+		return err
+	}
+	for i, text := range d.FleetMembers {
+		addr, err := parseAddr(fmt.Sprintf("peers[%d]", i), text)
+		if err != nil {
+			return err
+		}
+		c.Fleet.Members = append(c.Fleet.Members, addr)
+	}
+	if c.Fleet.Rank < 0 || c.Fleet.Rank >= len(c.Fleet.Members) {
+		return fieldError("settings.Rank", "%d of %d peers, must be 0 or more and below the number of peers",
+			c.Fleet.Rank, len(c.Fleet.Members))
+	}
+	return nil
+}
+
+func (c *Config) parseInitialEvents(d *document) (err error) {
+	c.LastEventID, c.InitialEvents, err = discovery.ParseInitialEvents(d.InitialEvents, c.Names)
+	if err != nil {
+		return fmt.Errorf("known.%w", err)
+	}
+	return nil
+}
+
+// decodeJSON decodes the JSON of a field. An error names the field in it that has a value of the wrong type.
+func decodeJSON(field string, text []byte, into any) error {
+	err := json.Unmarshal(text, into)
+	var wrong *json.UnmarshalTypeError
+	if errors.As(err, &wrong) && wrong.Field != "" {
+		return fieldError(field+"."+wrong.Field, "a %s, must be %s", wrong.Value, kindInJSON(wrong.Type))
+	}
+	if err != nil {
+		return &FieldError{field, err}
+	}
+	return nil
+}
+
+// kindInJSON names the JSON values that a Go type is decoded from.
+func kindInJSON(t reflect.Type) string {
+	switch t.Kind() {
+	case reflect.Bool:
+		return "true or false"
+	case reflect.String:
+		return "a string"
+	case reflect.Slice:
+		return "a list"
+	case reflect.Struct, reflect.Map:
+		return "an object"
+	}
+	return "a number"
+}
--- a/internal/config/wire_compat_test.go
+++ b/internal/config/wire_compat_test.go
@@ -37,14 +37,22 @@
 		c.MaxDeadline != 0.012 {
 		t.Errorf("settings of transport: read as %+v", c)
 	}
-	tier := Fleet{GossipEnabled: true, Rank: 1, ListenAddr: "127.2.0.3:7001", BroadcastAddr: netip.MustParseAddrPort("127.2.0.9:7004"),
-		Members: []netip.AddrPort{netip.MustParseAddrPort("127.2.0.2:7002"), netip.MustParseAddrPort("127.2.0.3:7003")}}
-	if !reflect.DeepEqual(c.Fleet, tier) {
-		t.Errorf("tier: read as %+v, want %+v", c.Fleet, tier)
+	fleet := Fleet{
+		GossipEnabled: true,
+		Rank:          1,
+		ListenAddr:    "127.2.0.3:7001",
+		BroadcastAddr: netip.MustParseAddrPort("127.2.0.9:7004"),
+		Members: []netip.AddrPort{
+			netip.MustParseAddrPort("127.2.0.2:7002"),
+			netip.MustParseAddrPort("127.2.0.3:7003"),
+		},
+	}
+	if !reflect.DeepEqual(c.Fleet, fleet) {
+		t.Errorf("fleet: read as %+v, want %+v", c.Fleet, fleet)
 	}
 	notices := []router.WatchEvent{
-		{IsSnapshot: true, Servers: []router.Server{{ID: "s-00c41f7a", Addr: "127.2.1.1:80", Zone: "s69", Kind: "s48", Cell: 5,
-			Status: "cordoned", Weight: 4.5, StartedAt: 1764576000001.5}}},
+		{IsSnapshot: true, Servers: []router.Server{{ID: "s-00c41f7a", Addr: "127.2.1.1:80", Zone: "s69", Kind: "s48",
+			Cell: 5, Status: "cordoned", Weight: 4.5, StartedAt: 1764576000001.5}}},
 		{Purge: &router.Purge{Object: "00ab01", Before: 1764576000002.5}},
 		{Purge: &router.Purge{Group: 77, Before: 1764576000003.5}},
 	}
