--- a/deploy/features.jsonnet
+++ b/deploy/features.jsonnet
@@ -40,7 +40,7 @@
       giveMs: 250,  // within this a share is free again for its owner
     },
   },
-  // Tenants on their way from cell to cell: docs/moves.md. Times are Unix milliseconds, spans milliseconds. `spanctl cells move` and
+  // Tenants on their way from cell to cell: docs/migration.md. Times are Unix milliseconds, spans milliseconds. `spanctl cells move` and
   // its like write a document; import it here as `moves: import 'moves.json'`.
   moves: {
     enabled: false,
@@ -59,7 +59,7 @@
       },
     ],
   },
-  // A release let into cells ring by ring, and judged: docs/stages.md. Its objects are refused in cells that have not got it.
+  // A release let into cells ring by ring, and judged: docs/rollout.md. Its objects are refused in cells that have not got it.
   stage: {
     enabled: false,
     version: 1,  // greater with every change of this section
--- a/lab/experiments/origin-brownout.jsonnet
+++ b/lab/experiments/origin-brownout.jsonnet
@@ -1,4 +1,4 @@
-// The head office falls to 30% of its capacity for 30 s and returns: by rules alone, and with core/shield in the gate under three laws. An area cache asks it for a part once for all who wait;
+// The head office falls to 30% of its capacity for 30 s and returns: by rules alone, and with core/originlimit in the gate under three laws. An area cache asks it for a part once for all who wait;
 // when they wait no more it goes on all the same (keeps), or gives up (drops). What is kept may make a jam that outlives the brownout; asks that never come back
 // count as late in the module, which ends it by rules alone in most worlds, and also where the shield does not count what was given up (forgets).
 local worlds = import 'worlds.libsonnet';
