--- a/deploy/features.jsonnet
+++ b/deploy/features.jsonnet
@@ -5,15 +5,15 @@
 // and check the file first with `spanctl check deploy/features.jsonnet`. A router takes a changed file in on SIGHUP; one
 // that can't be used is logged, and the settings before it stay in force. `spanctl check --schema` prints all fields.
 {
-  // Tenants confined to cells, subsets of a depot's caches: docs/cells.md.
+  // Tenants confined to cells, subsets of a site's caches: docs/cells.md.
   cells: {
     enabled: false,
     // Greater with every change of this section.
     version: 1,
     // fixed: a tenant uses all caches of its cell. Others: shuffle, nested (both with width), overflow (with spare).
     scheme: 'fixed',
-    // Shares are parts of each depot's caches and of all that cells share; they come to 1 at most. A cell without a live
-    // cache is served by the one named in spill, or refused.
+    // Shares are parts of each site's caches and of all that cells share; they come to 1 at most. A cell without a live
+    // cache is served by the one named in spill, or rejected.
     cells: [
       { name: 'north', share: 0.5, spill: 'south' },
       { name: 'south', share: 0.5 },
@@ -30,12 +30,12 @@
     ],
     // What cells share, and so what is shared out among them. 0: no limit.
     budget: {
-      requestsPerS: 0,  // of all routers of a depot
-      fillKbPerS: 0,  // over the link into a depot; 0: as the settings tell
-      parentKbPerS: 0,  // from all area caches to all depots
-      originKbPerS: 0,  // from the head office to all depots
-      originOpen: 0,  // fills that may reach the head office, open at once, all routers of all depots
-      writesPerS: 0,  // requests of uncacheable classes, all routers of a depot
+      requestsPerS: 0,  // of all routers of a site
+      fillKbPerS: 0,  // over the link into a site; 0: as the settings tell
+      parentKbPerS: 0,  // from all parents to all sites
+      originKbPerS: 0,  // from the origin to all sites
+      originOpen: 0,  // fills that may reach the origin, open at once, all routers of all sites
+      writesPerS: 0,  // requests of uncacheable classes, all routers of a site
       open: 0,  // requests open at one router
       giveMs: 250,  // within this a share is free again for its owner
     },
@@ -59,7 +59,7 @@
       },
     ],
   },
-  // A release let into cells ring by ring, and judged: docs/rollout.md. Its objects are refused in cells that have not got it.
+  // A release let into cells ring by ring, and judged: docs/rollout.md. Its objects are rejected in cells that have not got it.
   stage: {
     enabled: false,
     version: 1,  // greater with every change of this section
@@ -75,7 +75,7 @@
     least: 2,  // smallest harm that matters, as a factor on the odds of a late, failed or badly filled answer
     margin: 1.1,  // a factor that is no harm
   },
-  // Who fills from whom: docs/hierarchy.md. Left out or off, fills go to all area caches alike, by hash.
+  // Who fills from whom: docs/hierarchy.md. Left out or off, fills go to all parents alike, by hash.
   shape: {
     enabled: false,
     version: 1,  // greater with every change of this section
@@ -84,7 +84,7 @@
       { name: 'west', servers: ['area-w'], miss: 0.35 },  // how the names of its servers begin; part that it asks for in turn
       { name: 'east', servers: ['area-e'] },
     ],
-    depots: [{ name: 'depot-1', kbPerS: 9000 }],  // as the list of servers names its zone; what it fills at its peak
+    depots: [{ name: 'depot-1', kbPerS: 9000 }],  // as the endpoint list names its zone; what it fills at its peak
     ways: [
       { from: 'depot-1', to: 'west', kbPerS: 12000, ms: 9 },  // what fits on it; there and back
       { from: 'depot-1', to: 'east', kbPerS: 4000, ms: 30 },
@@ -93,22 +93,22 @@
       { from: 'east', to: 'head-office', kbPerS: 60000, ms: 20 },
     ],
   },
-  // A limit on what fills ask of the head office, of all routers together: docs/hierarchy.md. It works with a shape and without.
+  // A limit on what fills ask of the origin, of all routers together: docs/hierarchy.md. It works with a topology and without.
   shield: {
     enabled: false,
     law: 'gradient',  // or aimd, delay, fixed: how a router's limit follows the times of its own fills
-    most: 40,  // fills at the head office at once that it answers in its usual time
+    most: 40,  // fills at the origin at once that it answers in its usual time
     reserve: 0.1,  // part of them left to uncacheable requests
     burst: 3,  // shares that a router may borrow while fills take no longer than usual
-    usualMs: 90,  // to the first byte of a fill by way of the head office, when it is not crowded
-    lingerMs: 3000,  // how long an area cache may go on with a fetch that nobody waits for
+    usualMs: 90,  // to the first byte of a fill by way of the origin, when it is not overloaded
+    lingerMs: 3000,  // how long a parent may go on with a fetch that nobody waits for
   },
-  // A limit on fills that ask the head office which all routers keep together, by datagrams: docs/fleet.md. It needs peers in the settings.
+  // A limit on fills that ask the origin which all routers keep together, by datagrams: docs/fleet.md. It needs peers in the settings.
   fleet: {
     enabled: false,
     asks: 40,  // of all routers at once, whatever parts the fleet falls into
     floor: 0.25,  // part of them split evenly among all routers of the settings, up or not; the rest is lent
-    verdicts: false,  // keep off area caches that two depots find failing
+    verdicts: false,  // keep off parents that two sites find failing
     // For a fleet of many hundreds: groups of routers lease the limit to one another, so that none hears from all. Left out: one router holds it for all.
     tree: {
       routers: 12000,  // ranks that there may be; each costs its floor, there or not
--- a/lab/experiments/cells-poison.jsonnet
+++ b/lab/experiments/cells-poison.jsonnet
@@ -1,4 +1,4 @@
-// A tenant all of whose answers fail: caches answer ERR, send what can't be read, or the head office fails its fills.
+// A tenant all of whose answers fail: caches answer ERR, send what can't be read, or the origin fails its fills.
 local worlds = import 'worlds.libsonnet';
 local kinds = ['err', 'spoilt', 'root'];
 {
--- a/lab/experiments/hub-loss.jsonnet
+++ b/lab/experiments/hub-loss.jsonnet
@@ -1,5 +1,5 @@
-// One hub of four loses its area caches for 20 s under peak load, and they come back cold. What is left of the area caches just bears its fills,
-// and the head office just what they miss.
+// One hub of four loses its parents for 20 s under peak load, and they come back cold. What is left of the parents just bears its fills,
+// and the origin just what they miss.
 local worlds = import 'worlds.libsonnet';
 local hubs = { hubs: 4, parentRoom: 1.35, linkRoom: 1.9, originRoom: 1.0, dayS: 56 };
 local loss = { kind: 'hub', which: 0, atS: 10, forS: 20 };
--- a/lab/experiments/moves-deploy.jsonnet
+++ b/lab/experiments/moves-deploy.jsonnet
@@ -1,4 +1,4 @@
-// Thirty tenants move between cells in every depot while 91% of the caches are replaced within 22 s. Links and head office have room to
+// Thirty tenants move between cells in every site while 91% of the caches are replaced within 22 s. Links and origin have room to
 // refill the caches of such a deploy: where they have not, the day is lost with moves or without (docs/migration.md).
 local worlds = import 'worlds.libsonnet';
 local roomy = {
--- a/lab/experiments/second-site.jsonnet
+++ b/lab/experiments/second-site.jsonnet
@@ -1,6 +1,6 @@
-// A deployment like the second one: requests go to caches alone, area caches fetch for each fill apart, the head office is far, copies of
-// the catalogue are fresh for 5 s, caches report how full their depot's link is. Half of all groups are purged, the head office slows to
-// a third for 10 s, or both at once: copies go void just when little can be fetched. The arm `silent` has no reports, `near` a head office as near as the
+// A deployment like the second one: requests go to caches alone, parents fetch for each fill apart, the origin is far, copies of
+// the catalogue are fresh for 5 s, caches report how full their site's link is. Half of all groups are purged, the origin slows to
+// a third for 10 s, or both at once: copies go void just when little can be fetched. The arm `silent` has no reports, `near` an origin as near as the
 // first deployment's: by luck what was tuned there held here too.
 local worlds = import 'worlds.libsonnet';
 local site = { cachesOnly: true, apart: true, linkTold: true, originWayMs: 50, freshS: 5, graceS: 30, promiseMs: 300 };
--- a/lab/experiments/shapes.jsonnet
+++ b/lab/experiments/shapes.jsonnet
@@ -1,5 +1,5 @@
-// Random shapes of up to 24 areas at several levels, a third with a circle planted, each changed six times while fills run through nodes of
-// which half have not heard of the last change: every circle is refused and named, no valid shape is, and no fill visits a node twice.
+// Random topologies of up to 24 areas at several levels, a third with a cycle planted, each changed six times while fills run through nodes of
+// which half have not heard of the last change: every cycle is rejected and named, no valid topology is, and no fill visits a node twice.
 {
   title: 'Shapes with circles, and shapes that change under way',
   shapes: {
--- a/lab/experiments/stages.jsonnet
+++ b/lab/experiments/stages.jsonnet
@@ -5,7 +5,7 @@
   version: 1, name: 'release', families: [255, 255], since: 4000, alpha: 0.01,
   rings: [{ cells: ['cell-00'], open: 14000, 'for': 50000 }],
 };
-// Price files under their old names: the ring may open two seconds after the head office has the new ones.
+// Price files under their old names: the ring may open two seconds after the origin has the new ones.
 local renews = stage { renews: true, since: 12000, keep: 300000 };
 local renewed(harm, more={}) = { fromS: 12, part: 0.3, harm: harm, renews: true, stage: renews + more };
 local harms = ['0.005', '0.01', '0.02', '0.05', '0.1', '0.2'];
