--- /dev/null
+++ b/core/cells/admission.go
@@ -0,0 +1,241 @@
+package cells
+
+import (
+	"math/rand/v2"
+
+	"spantack/routing"
+)
+
+// Admission decides on requests before and after the routing engine that it owns: it limits each request to the caches
+// of its tenant's cell, names the parents for its fills, and rejects what exceeds the cell's share. It has three parts
+// that are switched on apart from each other: SetAssignment, SetTopology and SetOriginLimit. Without any of them events
+// pass through to the engine unchanged. It is not safe for concurrent use.
+type Admission struct {
+	// Stats count decisions since the start. Read only.
+	Stats Stats
+	Options
+	*shared
+
+	// With an assignment.
+	scope        scope
+	budget       budget
+	openRequests map[string]openRequest // admitted requests under way, by request ID
+	heavyObjects *HeavyHitters          // by KB requested
+	migrations   migrations
+	rollout      rolloutGate
+
+	// With and without an assignment.
+	parents parentSelection
+	origin  originGate
+}
+
+// Options are set by the owner of an Admission, before the first call or between calls.
+type Options struct {
+	// DocumentClockOffset, in microseconds, is how far the clock of documents (migrations, rollouts) is ahead of the
+	// times of events.
+	DocumentClockOffset int64
+	// PlansInBackground says that the owner asks for TakePlanJob, runs the job apart from requests and hands it to
+	// ApplyPlanJob. Otherwise plans are computed while an event waits.
+	PlansInBackground bool
+}
+
+// shared is what all parts of an Admission use.
+type shared struct {
+	engine     *routing.Engine
+	settings   routing.Settings
+	classes    map[string]requestClass // by name
+	endpoints  endpointList
+	options    *Options
+	stats      *Stats
+	rng        *rand.Rand
+	logActions []routing.Action // to be returned by the next Step or Tick
+}
+
+// requestClass is what admission needs to know of a class in the settings.
+type requestClass struct {
+	index          int // in the settings
+	priorityWeight float64
+	isUncacheable  bool
+}
+
+const (
+	maxHeavyObjects = 256  // objects counted: each with more than 1/256 of all KB is among them
+	objectHalfLife  = 60e6 // microseconds
+)
+
+// NewAdmission returns an Admission without assignment, topology or origin limit. The seed is for the random numbers of
+// admission and engine.
+func NewAdmission(settings routing.Settings, seed int64) (*Admission, error) {
+	engine, err := routing.NewEngine(settings, seed)
+	if err != nil {
+		return nil, err
+	}
+	a := &Admission{
+		openRequests: map[string]openRequest{},
+		heavyObjects: NewHeavyHitters(maxHeavyObjects, objectHalfLife),
+	}
+	a.shared = &shared{
+		engine:    engine,
+		settings:  settings,
+		endpoints: newEndpointList(),
+		options:   &a.Options,
+		stats:     &a.Stats,
+		rng:       rand.New(rand.NewPCG(uint64(seed), 1)),
+	}
+	a.indexClasses()
+	a.scope = scope{shared: a.shared, overflowCell: noCell}
+	a.migrations = migrations{shared: a.shared, scope: &a.scope, budget: &a.budget}
+	a.rollout = rolloutGate{shared: a.shared, scope: &a.scope}
+	a.parents = parentSelection{shared: a.shared}
+	a.origin = originGate{shared: a.shared}
+	return a, nil
+}
+
+// UpdateSettings puts other settings in force, as routing.Engine.UpdateSettings does. An open request keeps its class
+// by name; one whose class is gone counts with the first class of the new settings.
+func (a *Admission) UpdateSettings(now int64, settings routing.Settings) error {
+	if err := a.engine.UpdateSettings(settings); err != nil {
+		return err
+	}
+	old := a.settings
+	settings.Zone, settings.Zones, settings.Kinds = old.Zone, old.Zones, old.Kinds
+	settings.Hierarchy.OriginKind = old.Hierarchy.OriginKind
+	settings.Hierarchy.ParentKind = old.Hierarchy.ParentKind
+	a.settings = settings
+	a.indexClasses()
+	for id, request := range a.openRequests {
+		request.class = int16(a.classes[old.Classes[request.class].Name].index)
+		a.openRequests[id] = request
+	}
+	if a.scope.assignment != nil {
+		a.SetAssignment(now, a.scope.assignment)
+	}
+	return nil
+}
+
+func (s *shared) indexClasses() {
+	uncacheable := s.settings.Hierarchy.Uncacheable
+	s.classes = make(map[string]requestClass, len(s.settings.Classes))
+	for i, class := range s.settings.Classes {
+		s.classes[class.Name] = requestClass{
+			index:          i,
+			priorityWeight: class.PriorityWeight,
+			isUncacheable:  i < len(uncacheable) && uncacheable[i],
+		}
+	}
+}
+
+// documentMillis returns a time as documents have it, in milliseconds.
+func (s *shared) documentMillis(now int64) float64 {
+	return float64(now+s.options.DocumentClockOffset) / 1000
+}
+
+// log appends a line to the pending log actions.
+func (s *shared) log(text string) {
+	s.logActions = append(s.logActions, routing.Action{Kind: routing.ActionLog, LogText: text})
+}
+
+// LearnedState returns what the engine has learned. What admission itself has learned of tenants is not handed over.
+func (a *Admission) LearnedState(now int64) routing.LearnedState { return a.engine.LearnedState(now) }
+
+// RestoreLearnedState takes over what the engine of another process of the same router had learned.
+func (a *Admission) RestoreLearnedState(now int64, state routing.LearnedState) error {
+	return a.engine.RestoreLearnedState(now, state)
+}
+
+// EjectedCaches returns the listed caches of the own site that the engine's circuit breakers exclude.
+func (a *Admission) EjectedCaches(now int64) []string { return a.engine.EjectedCaches(now) }
+
+// Parents returns the listed parents, and those of them that the engine's circuit breakers exclude.
+func (a *Admission) Parents(now int64) (all, excluded []string) { return a.engine.Parents(now) }
+
+// ConfirmedOriginFills returns how many fills are in flight that are known to reach the origin.
+func (a *Admission) ConfirmedOriginFills() int { return a.engine.ConfirmedOriginFills() }
+
+// Step takes the events of a time and returns what to do, in order.
+func (a *Admission) Step(now int64, events []routing.Event) []routing.Action {
+	if a.isPassThrough() {
+		for i := range events {
+			if events[i].Kind == routing.EventEndpoints {
+				a.updateEndpoints(&events[i])
+			}
+		}
+		return a.engine.Step(now, events)
+	}
+	var actions []routing.Action
+	for i := range events {
+		actions = a.stepOne(now, events[i:i+1], actions)
+	}
+	if len(a.logActions) > 0 {
+		actions = append(actions, a.takeLogActions()...)
+	}
+	return actions
+}
+
+// isPassThrough reports whether the engine alone decides.
+func (a *Admission) isPassThrough() bool {
+	return a.scope.spec == nil && a.parents.graph == nil && a.origin.limiter == nil
+}
+
+// stepOne handles one event, given as a slice of one to spare an allocation, and appends what to do.
+func (a *Admission) stepOne(now int64, events []routing.Event, actions []routing.Action) []routing.Action {
+	event := &events[0]
+	switch event.Kind {
+	case routing.EventRequest:
+		a.parents.selectGroup(now, event)
+		if a.scope.spec == nil {
+			break
+		}
+		if reason := a.admit(now, event); reason != ReasonNone {
+			a.Stats.Rejected[reason]++
+			return append(actions, a.rejection(event))
+		}
+	case routing.EventOutcome:
+		a.parents.observeFill(now, event)
+		a.origin.observeAttempt(now, event)
+		a.observeOutcome(now, event)
+	case routing.EventAborted:
+		a.parents.observeFill(now, event)
+		a.origin.observeAttempt(now, event)
+		a.closeRequest(event.RequestID)
+	case routing.EventEndpoints:
+		a.updateEndpoints(event)
+	}
+	decisions := a.engine.Step(now, events)
+	a.observeDecisions(now, decisions)
+	a.parents.recordAttempts(decisions)
+	a.origin.recordAttempts(decisions)
+	a.origin.announceChange(now)
+	if event.Kind == routing.EventEndpoints {
+		if a.scope.spec != nil {
+			a.scope.assignCaches(now)
+		}
+		a.parents.replan(now)
+	}
+	if actions == nil {
+		return decisions
+	}
+	return append(actions, decisions...)
+}
+
+// Tick advances migrations, a rollout and fill plans while there are no requests, and returns the log actions.
+func (a *Admission) Tick(now int64) []routing.Action {
+	a.parents.planIfDue(now)
+	if a.scope.spec != nil {
+		a.migrations.advance(now)
+		a.rollout.advance(now)
+	}
+	return a.takeLogActions()
+}
+
+func (s *shared) takeLogActions() []routing.Action {
+	actions := s.logActions
+	s.logActions = nil
+	return actions
+}
+
+func (a *Admission) updateEndpoints(event *routing.Event) {
+	if a.applyEndpoints(event) {
+		a.migrations.advanceDue()
+	}
+}
--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -1,251 +1,244 @@
 package cells
 
-import (
-	"slices"
+import "spantack/routing"
 
-	"spantack/routing"
+const (
+	defaultRequestKB      = 100.0 // of a request that does not tell its size
+	minRetryAfterFraction = 0.25  // least Retry-After of a rejected request, as a part of the greatest
 )
 
-// updateEndpoints keeps the own depot's part of the list of servers.
-func (m *Admission) updateEndpoints(ev *routing.Event) {
-	if ev.UpdateMode == "unavailable" {
-		return
+// candidate is a request on its way through admission.
+type candidate struct {
+	tenantIndex   int
+	tenant        *tenant
+	cellIndex     int
+	cell          *cell
+	class         requestClass
+	isUncacheable bool
+	isRelease     bool // the object belongs to the rollout's release
+	sizeKB        float64
+	recent        int8 // 1: its chunk was requested recently
+	fillKB        float64
+	originKB      float64
+	usage         float64 // of its tenant, by weight
+	exceedsShare  bool    // the usage is above the fair share of the cell
+	route         migrationRoute
+}
+
+// admit decides whether the engine may handle a request, and with which caches; there must be an assignment. It does
+// not allocate.
+func (a *Admission) admit(now int64, event *routing.Event) Reason {
+	a.scope.countActiveTenants(now)
+	a.migrations.advance(now)
+	a.rollout.advance(now)
+
+	c := a.newCandidate(event)
+	if reason := a.selectCell(now, event, &c); reason != ReasonNone {
+		return reason
 	}
-	if ev.UpdateMode != "update" {
-		clear(m.edgeCaches)
-		clear(m.parentServers)
-	}
-	for _, row := range ev.Endpoints {
-		kind := slices.Index(m.settings.Kinds, row.Kind)
-		shield := kind == m.settings.Hierarchy.ParentKind
-		delete(m.edgeCaches, row.Server)
-		delete(m.parentServers, row.Server)
-		switch {
-		case row.Status == "deregistered":
-		case shield:
-			m.parentServers[row.Server] = row
-		case row.Zone == m.settings.Zone && kind != m.settings.Hierarchy.OriginKind:
-			m.edgeCaches[row.Server] = row
-		}
+	if reason := a.rollout.gate(event, &c); reason != ReasonNone {
+		return reason
 	}
-	m.endpointsVersion++
-	m.capacityMeasuredAt = 0
+	a.estimateFill(now, event, &c)
+	a.recordUsage(now, &c)
+	if c.exceedsShare && !c.isUncacheable {
+		return ReasonHeavyTenant
+	}
+	if reason := a.checkBudget(now, &c); reason != ReasonNone {
+		c.cell.fairShare.observeRejection(now)
+		return reason
+	}
+	a.takeBudget(&c)
+	a.limitScope(now, event, &c)
+	a.recordOpenRequest(now, event, &c)
+	return ReasonNone
+}
+
+func (a *Admission) newCandidate(event *routing.Event) candidate {
+	index := a.scope.tenantOf(event)
+	class := a.classes[event.Class]
+	c := candidate{
+		tenantIndex:   index,
+		tenant:        &a.scope.tenants[index],
+		class:         class,
+		isUncacheable: class.isUncacheable,
+		sizeKB:        event.SizeKB,
+	}
+	if c.sizeKB <= 0 {
+		c.sizeKB = defaultRequestKB
+	}
+	return c
 }
 
-// admit decides whether a request may try at all, and where. It costs no allocation.
-func (m *Admission) admit(now int64, ev *routing.Event) Reason {
-	m.countActiveTenants(now)
-	m.measureCapacity(now)
-	m.tickRollout(now)
-	tenantIndex := m.TenantOf(ev)
-	t := &m.tenants[tenantIndex]
-	home := t.cell
-	write := m.uncacheable[ev.Class]
-	sizeKB := ev.SizeKB
-	if sizeKB <= 0 {
-		sizeKB = defaultRequestKB
-	}
-	var route migrationRoute
-	if t.migration != nil && !write {
-		if home, route = m.routeMigrating(now, t.migration, ev, sizeKB); route.rejected != ReasonNone {
-			return route.rejected
+// selectCell finds the cell of a request: its tenant's, one of the two of a migration, or the fallback of a cell that
+// has no healthy cache.
+func (a *Admission) selectCell(now int64, event *routing.Event, c *candidate) Reason {
+	c.cellIndex = c.tenant.cell
+	if c.tenant.migration != nil && !c.isUncacheable {
+		c.cellIndex, c.route = a.migrations.selectCell(now, c.tenant.migration, event, c.sizeKB)
+		if c.route.rejected != ReasonNone {
+			return c.route.rejected
 		}
 	}
-	if straight := write && m.settings.Hierarchy.AllowsDirectFetch; !straight && !m.cells[home].hasLiveCache { // what goes past the caches needs none
-		home = m.cells[home].fallback
-		if home < 0 || !m.cells[home].hasLiveCache {
+	needsCache := !c.isUncacheable || !a.settings.Hierarchy.AllowsDirectFetch
+	if needsCache && !a.scope.cells[c.cellIndex].hasLiveCache {
+		c.cellIndex = a.scope.cells[c.cellIndex].fallback
+		if c.cellIndex == noCell || !a.scope.cells[c.cellIndex].hasLiveCache {
 			return ReasonNoLiveCache
 		}
-		m.Stats.FellBack++
-	}
-	c := &m.cells[home]
-	release := m.rollout != nil && m.rollout.Rollout().Contains(int(ev.PurgeGroup), ev.Object)
-	if release && !m.applyRolloutGate(c.name, ev) {
-		return ReasonNotReleased
-	}
-	c.arrivals.add(now, 1)
-	recent := int8(0)
-	if m.recentParts.addHash(now, partHash(ev.Object, ev.Chunk), 1) >= 1+recentThreshold {
-		recent = 1
-	}
-	miss, deeper := t.missRatio.expect(recent, &m.cells[t.cell].missRatio)
-	fillKB, originKB := sizeKB*miss, sizeKB*deeper
-	if write {
-		fillKB, originKB = 0, 0
-	} else if route.progress != nil {
-		fillKB, originKB = route.adjustFill(fillKB, originKB, sizeKB)
-	}
-	// What it takes of the depot, in seconds of the thing it takes most of.
-	cost := 1e-6
-	for _, of := range [...]struct {
-		t      *sharedRate
-		amount float64
-	}{{m.requestRate, 1}, {m.linkRate, fillKB}, {m.parentRate, fillKB}, {m.originRate, originKB}} {
-		if of.t.perMicrosecond > 0 {
-			cost = max(cost, of.amount/(of.t.perMicrosecond*1e6))
-		}
+		a.Stats.FellBack++
 	}
-	used := t.usage.add(now, cost) / t.weight
-	t.active = true
-	t.demand.add(now, sizeKB, fillKB, m.priorityWeight[ev.Class])
-	c.fairShare.total.add(now, cost)
-	c.fairShare.observe(now, used)
-	over := c.fairShare.exceeds(now, used)
-	if over && !write {
-		return ReasonHeavyTenant
+	c.cell = &a.scope.cells[c.cellIndex]
+	return ReasonNone
+}
+
+// estimateFill estimates what a request takes of link, parents and origin.
+func (a *Admission) estimateFill(now int64, event *routing.Event, c *candidate) {
+	c.cell.arrivals.add(now, 1)
+	if a.scope.recentChunks.record(now, event.Object, event.Chunk) {
+		c.recent = 1
+	}
+	if c.isUncacheable {
+		return
 	}
+	fillRatio, originRatio := c.tenant.missRatio.expect(c.recent, &a.scope.cells[c.tenant.cell].missRatio)
+	c.fillKB = c.sizeKB * fillRatio
+	c.originKB = c.sizeKB * originRatio
+	if c.route.isColdInDestination() {
+		c.fillKB = c.sizeKB // parents have the object, as the source cell filled it from there
+	}
+}
+
+// recordUsage adds a request, admitted or not, to the usage and demand of its tenant, and compares the usage with the
+// fair share of the cell.
+func (a *Admission) recordUsage(now int64, c *candidate) {
+	cost := a.budget.cost(c.fillKB, c.originKB)
+	c.usage = c.tenant.usage.add(now, cost) / c.tenant.weight
+	c.tenant.isActive = true
+	c.tenant.demand.add(now, c.sizeKB, c.fillKB, c.class.priorityWeight)
+	fair := &c.cell.fairShare
+	fair.total.add(now, cost)
+	fair.observe(now, c.usage)
+	c.exceedsShare = fair.exceeds(now, c.usage)
+}
+
+// checkBudget returns which share of the cell is used up, or ReasonNone. Requests of tenants with little usage may put
+// the cell in debt.
+func (a *Admission) checkBudget(now int64, c *candidate) Reason {
 	reason := ReasonNone
-	if write {
-		m.uncacheableRate.refill(now)
-		if !m.uncacheableRate.mayTake(home, !over) {
-			reason = ReasonUncacheableRate
-		}
+	if c.isUncacheable {
+		reason = a.budget.checkUncacheable(now, c.cellIndex, !c.exceedsShare)
 	} else {
-		m.requestRate.refill(now)
-		m.linkRate.refill(now)
-		m.parentRate.refill(now)
-		m.originRate.refill(now)
-		quiet := used < c.fairShare.total.valueAt(now)/max(c.fairShare.activeTenants, 1)
-		switch {
-		case !m.requestRate.mayTake(home, quiet):
-			reason = ReasonRequestRate
-		case !m.linkRate.mayTake(home, quiet):
-			reason = ReasonLinkRate
-		case !m.parentRate.mayTake(home, quiet):
-			reason = ReasonParentRate
-		case !m.originRate.mayTake(home, quiet):
-			reason = ReasonOriginRate
-		}
+		reason = a.budget.check(now, c.cellIndex, c.usage < c.cell.fairShare.meanUsage(now))
 	}
-	if reason == ReasonNone && m.maxOpenRequests > 0 && !m.hasOpenCapacity(home) {
+	if reason == ReasonNone && !a.hasOpenCapacity(c.cellIndex) {
 		reason = ReasonOpenRequests
 	}
-	if reason != ReasonNone {
-		c.fairShare.observeRejection(now)
-		return reason
-	}
-	if write {
-		m.uncacheableRate.take(home, 1)
-	} else {
-		m.requestRate.take(home, 1)
-		m.linkRate.take(home, fillKB)
-		m.parentRate.take(home, fillKB)
-		m.originRate.take(home, originKB)
-	}
-	ev.Subset = m.subsetOf(now, tenantIndex, home)
-	if m.overflowCell >= 0 && home != m.overflowCell {
-		ev.OverflowSubset = m.overflowCell + 1
-	}
-	if route.toDestination {
-		m.admitMigrating(now, &route, home, ev)
-	} else if !write && len(m.activeMigrations) > 0 {
-		c.capacity.RecordResident(now, sizeKB, fillKB)
-	}
-	c.openRequests++
-	m.heavyObjects.Add(now, ev.Object, sizeKB)
-	class := 0
-	if m.rollout != nil || len(m.activeMigrations) > 0 {
-		class = m.classIndex[ev.Class]
-	}
-	m.openRequests[ev.RequestID] = openRequest{tenant: int32(tenantIndex), cell: int32(home), sizeKB: sizeKB, fillKB: fillKB, originKB: originKB, recent: recent, isUncacheable: write, class: int16(class), isRelease: release, admittedAt: now, route: route}
-	m.Stats.Admitted++
-	return ReasonNone
+	return reason
 }
 
-// hasOpenCapacity keeps a place for each cell's share of the requests open at once.
-func (m *Admission) hasOpenCapacity(home int) bool {
-	c := &m.cells[home]
-	if float64(c.openRequests) < c.share*float64(m.maxOpenRequests) {
-		return true
-	}
-	kept := 0.0
-	for i := range m.cells {
-		if o := &m.cells[i]; i != home && o.fairShare.activeTenants > 0 {
-			kept += max(o.share*float64(m.maxOpenRequests)-float64(o.openRequests), 0)
-		}
+func (a *Admission) takeBudget(c *candidate) {
+	if c.isUncacheable {
+		a.budget.uncacheable.take(c.cellIndex, 1)
+	} else {
+		a.budget.take(c.cellIndex, c.fillKB, c.originKB)
 	}
-	return float64(len(m.openRequests))+kept < maxOpenFraction*float64(m.maxOpenRequests)
 }
 
-// countActiveTenants finds now and then how many tenants of each cell have asked of late.
-func (m *Admission) countActiveTenants(now int64) {
-	if now-m.activeCountedAt < activeCountInterval && m.activeCountedAt != 0 {
-		return
-	}
-	m.activeCountedAt = now
-	for i := range m.cells {
-		m.cells[i].fairShare.activeTenants = 0
+// limitScope names the caches in the event that the engine may use for a request.
+func (a *Admission) limitScope(now int64, event *routing.Event, c *candidate) {
+	event.Subset = a.scope.subsetOf(now, c.tenantIndex, c.cellIndex)
+	if overflow := a.scope.overflowCell; overflow != noCell && c.cellIndex != overflow {
+		event.OverflowSubset = cellSubset(overflow)
 	}
-	for i := range m.tenants {
-		t := &m.tenants[i]
-		if t.active && now-t.usage.updatedAt > activeWithin {
-			t.active = false
-		}
-		if t.active {
-			m.cells[t.cell].fairShare.activeTenants++
-		}
+	if c.route.toDestination {
+		a.migrations.admitToDestination(now, &c.route, c.cellIndex, event)
+	} else if !c.isUncacheable && a.migrations.areActive() {
+		c.cell.capacity.RecordResident(now, c.sizeKB, c.fillKB)
 	}
 }
 
-// rejection is the answer at the gate. Whoever is over budget is told to stay away for long, at random so that they do
-// not come back together.
-func (m *Admission) rejection(ev *routing.Event) routing.Action {
-	most := float64(m.settings.Permissions.MaxRetryAfter)
-	return routing.Action{Kind: routing.ActionReject, RequestID: ev.RequestID, RetryAfter: int64(most * (minRetryAfterFraction + (1-minRetryAfterFraction)*m.rng.Float64()))}
+// recordOpenRequest keeps an admitted request until it ends.
+func (a *Admission) recordOpenRequest(now int64, event *routing.Event, c *candidate) {
+	c.cell.openRequests++
+	a.heavyObjects.Add(now, event.Object, c.sizeKB)
+	request := openRequest{
+		sizeKB:        c.sizeKB,
+		fillKB:        c.fillKB,
+		originKB:      c.originKB,
+		admittedAt:    now,
+		route:         c.route,
+		tenant:        int32(c.tenantIndex),
+		cell:          int32(c.cellIndex),
+		recent:        c.recent,
+		isUncacheable: c.isUncacheable,
+		isRelease:     c.isRelease,
+	}
+	if a.rollout.isActive() || a.migrations.areActive() {
+		request.class = int16(c.class.index)
+	}
+	a.openRequests[event.RequestID] = request
+	a.Stats.Admitted++
+}
+
+// rejection answers a rejected request. Its Retry-After is long, and random so that clients do not come back together.
+func (a *Admission) rejection(event *routing.Event) routing.Action {
+	longest := float64(a.settings.Permissions.MaxRetryAfter)
+	part := minRetryAfterFraction + (1-minRetryAfterFraction)*a.rng.Float64()
+	return routing.Action{
+		Kind:       routing.ActionReject,
+		RequestID:  event.RequestID,
+		RetryAfter: int64(longest * part),
+	}
 }
 
-// observeOutcome corrects what was reckoned once it is known whether there was a fill.
-func (m *Admission) observeOutcome(now int64, ev *routing.Event) {
-	o, known := m.openRequests[ev.RequestID]
-	if !known {
+// observeOutcome learns from the end of an attempt.
+func (a *Admission) observeOutcome(now int64, event *routing.Event) {
+	request, isOpen := a.openRequests[event.RequestID]
+	if !isOpen {
 		return
 	}
-	t := &m.tenants[o.tenant]
-	if ev.Outcome == routing.OutcomeServed && !o.isUncacheable {
-		missed, deep := 0.0, 0.0
-		if ev.CacheStatus == 2 || ev.CacheStatus == 3 {
-			missed = 1
-		}
-		if ev.CacheStatus == 3 {
-			deep = 1
-		}
-		if !o.route.cold { // what it finds in a cell that does not know it yet tells nothing of what it will take
-			t.missRatio.learn(o.recent, missed, deep, tenantLearningStep)
-			m.cells[t.cell].missRatio.learn(o.recent, missed, deep, cellLearningStep)
-		}
-		m.linkRate.correct(int(o.cell), o.sizeKB*missed-o.fillKB)
-		m.parentRate.correct(int(o.cell), o.sizeKB*missed-o.fillKB)
-		m.originRate.correct(int(o.cell), o.sizeKB*deep-o.originKB)
+	if event.Outcome == routing.OutcomeServed && !request.isUncacheable {
+		a.learnFill(&request, event.CacheStatus)
 	}
-	m.observeAnswer(now, &o, ev)
-	if ev.IsFinal {
-		m.closeRequest(ev.RequestID)
+	a.rollout.observeOutcome(now, &request, event)
+	a.migrations.observeOutcome(now, &request, event)
+	if event.IsFinal {
+		a.closeRequest(event.RequestID)
 	}
 }
 
-// observeDecisions looks at what rules decided: final answers, and refusals that show a crowded cell.
-func (m *Admission) observeDecisions(now int64, acts []routing.Action) {
-	for i := range acts {
-		switch a := &acts[i]; a.Kind {
-		case routing.ActionReject:
-			if o, known := m.openRequests[a.RequestID]; known {
-				m.cells[o.cell].observeRejection(now)
-				m.observeUnserved(now, &o, false)
-			}
-			m.closeRequest(a.RequestID)
-		case routing.ActionFail:
-			if o, known := m.openRequests[a.RequestID]; known {
-				m.observeUnserved(now, &o, true)
-			}
-			m.closeRequest(a.RequestID)
-		}
+// learnFill replaces the estimate of what a request takes by what it took.
+func (a *Admission) learnFill(request *openRequest, status routing.CacheStatus) {
+	filled, fromOrigin := 0.0, 0.0
+	if status.IsFilled() {
+		filled = 1
+	}
+	if status == routing.FilledFromOrigin {
+		fromOrigin = 1
+	}
+	if !request.route.isCold { // misses in a cell that is new to the tenant say nothing of later ones
+		tenant := &a.scope.tenants[request.tenant]
+		tenant.missRatio.learn(request.recent, filled, fromOrigin, tenantLearningStep)
+		a.scope.cells[tenant.cell].missRatio.learn(request.recent, filled, fromOrigin, cellLearningStep)
 	}
+	a.budget.correct(request, request.sizeKB*filled, request.sizeKB*fromOrigin)
 }
 
-func (m *Admission) closeRequest(call string) {
-	delete(m.parents.groupByRequest, call)
-	if o, known := m.openRequests[call]; known {
-		m.cells[o.cell].openRequests--
-		delete(m.openRequests, call)
+// observeDecisions learns from the engine's final answers without service: rejections show an overloaded cell.
+func (a *Admission) observeDecisions(now int64, actions []routing.Action) {
+	for i := range actions {
+		action := &actions[i]
+		if action.Kind != routing.ActionReject && action.Kind != routing.ActionFail {
+			continue
+		}
+		if request, isOpen := a.openRequests[action.RequestID]; isOpen {
+			if action.Kind == routing.ActionReject {
+				a.scope.cells[request.cell].observeRejection(now)
+			}
+			a.rollout.observeUnserved(&request, action.Kind == routing.ActionFail)
+			a.migrations.observeUnserved(now, &request)
+		}
+		a.closeRequest(action.RequestID)
 	}
 }
--- a/core/cells/assignment.go
+++ b/core/cells/assignment.go
@@ -2,44 +2,56 @@
 
 import "fmt"
 
-// Assignment is a specification that has passed its check, with all that can be worked out before a router takes it. It does
-// not change and may be shared: working it out takes long, taking it in does not.
+// Assignment is a valid specification with the indexes that routers need. It does not change and may be shared between
+// goroutines: compiling it takes long, putting it in force does not.
 type Assignment struct {
 	spec         *Spec
 	keys         *keyTable
-	tenantByKey  []int32 // tenant by line of the table
-	tenantByName map[string]int32
-	homeCell     []int32 // cell by tenant, where a depot has no other
-	cellByName   map[string]int32
+	tenantByKey  []int32          // index of a tenant by index of a key
+	tenantByName map[string]int32 // index of a tenant
+	homeCell     []int32          // index of a cell by tenant, where CellBySite names no other
+	cellByName   map[string]int32 // index of a cell
 }
 
-// Compile checks a specification and works it out. The specification must not be changed afterwards.
+// Compile validates and indexes a specification, which must not be changed afterwards.
 func Compile(spec *Spec) (*Assignment, error) {
 	if err := spec.Check(); err != nil {
 		return nil, fmt.Errorf("cells.%w", err)
 	}
-	a := &Assignment{spec: spec, keys: newKeyTable(spec.TenantKeys), tenantByKey: make([]int32, len(spec.TenantKeys)), tenantByName: make(map[string]int32, len(spec.Tenants)),
-		homeCell: make([]int32, len(spec.Tenants)), cellByName: map[string]int32{}}
-	for i, c := range spec.Cells {
-		a.cellByName[c.Name] = int32(i)
+	a := &Assignment{
+		spec:         spec,
+		keys:         newKeyTable(spec.TenantKeys),
+		tenantByKey:  make([]int32, len(spec.TenantKeys)),
+		tenantByName: make(map[string]int32, len(spec.Tenants)),
+		homeCell:     make([]int32, len(spec.Tenants)),
+		cellByName:   make(map[string]int32, len(spec.Cells)),
+	}
+	for i, cell := range spec.Cells {
+		a.cellByName[cell.Name] = int32(i)
 	}
 	for i := range spec.Tenants {
-		a.tenantByName[spec.Tenants[i].Name] = int32(i)
-		a.homeCell[i] = a.cellByName[spec.Tenants[i].Cell]
+		tenant := &spec.Tenants[i]
+		a.tenantByName[tenant.Name] = int32(i)
+		a.homeCell[i] = a.cellByName[tenant.Cell]
 	}
-	for i, k := range spec.TenantKeys {
-		a.tenantByKey[i] = a.tenantByName[k.Tenant]
+	for i := range spec.TenantKeys {
+		a.tenantByKey[i] = a.tenantByName[spec.TenantKeys[i].Tenant]
 	}
 	return a, nil
 }
 
-// Version is that of the specification.
+// Version returns the version of the specification.
 func (a *Assignment) Version() int64 { return a.spec.Version }
 
-// cellAt is the place of a tenant's cell in a depot.
-func (a *Assignment) cellAt(tenant int, depot string) int {
-	if name, other := a.spec.Tenants[tenant].CellBySite[depot]; other {
+// cellAt returns the index of a tenant's cell at a site.
+func (a *Assignment) cellAt(tenant int, site string) int {
+	if name, differs := a.spec.Tenants[tenant].CellBySite[site]; differs {
 		return int(a.cellByName[name])
 	}
 	return int(a.homeCell[tenant])
 }
+
+// tenantOf returns the index of the tenant that a request belongs to.
+func (a *Assignment) tenantOf(group int, class, object, declaredTenant string) int {
+	return int(a.tenantByKey[a.keys.find(group, class, object, declaredTenant)])
+}
--- a/core/cells/budget.go
+++ b/core/cells/budget.go
@@ -1,188 +1,103 @@
 package cells
 
-import "math"
+import "cmp"
 
-// sharedRate shares one rate among cells. Each cell has a bucket that fills at its own share; what runs over goes to a pool
-// that any cell may borrow from. A bucket holds what its cell is due in Give, the pool half of what all are: once the
-// owner wants its share its bucket no longer runs over, and what others can still borrow is gone within Give.
-//
-// A fair queue would share as well, but it holds requests back, which spantack does not do: what can't go now is
-// refused now.
-type sharedRate struct {
-	perMicrosecond float64 // a microsecond, all cells; 0: no limit
-	shares         []float64
-	tokens         []float64     // by cell; below 0 is debt
-	borrowed       []decayingSum // by cell: what it borrowed of late
-	pool           float64
-	reclaim        float64 // microseconds
-	refilledAt     int64
-}
-
-// refillInterval is how often, in microseconds, all buckets are filled: a borrower sees what runs over no sooner.
-const refillInterval = 1000
-
-// amplePoolFraction is the part of a full pool down to which anyone may borrow.
-const amplePoolFraction = 0.5
-
-// poolDepthFraction of what is due in Give is the depth of the pool.
-const poolDepthFraction = 0.5
-
-func newSharedRate(perS float64, shares []float64, give float64) *sharedRate {
-	t := &sharedRate{perMicrosecond: perS / 1e6, shares: shares, tokens: make([]float64, len(shares)), borrowed: make([]decayingSum, len(shares)), reclaim: give}
-	for i := range t.tokens {
-		t.tokens[i] = t.bucketDepth(i)
-	}
-	return t
-}
-
-// poolDepth is what can be borrowed at once: little, or a flood that comes out of nothing would take at once what all left in
-// Give, on top of what the others go on taking.
-func (t *sharedRate) poolDepth() float64 { return poolDepthFraction * t.perMicrosecond * t.reclaim }
+const (
+	defaultReclaimMillis = 250.0 // where the budget names none
+	// maxOpenFraction is the part of the requests open at once that cells may fill beyond their shares; the rest is for
+	// tenants with little usage.
+	maxOpenFraction = 0.9
+	// minRequestCost is the least cost of a request, in seconds of what this router may use of the site.
+	minRequestCost = 1e-6
+)
 
-func (t *sharedRate) bucketDepth(cell int) float64 {
-	return t.shares[cell] * t.perMicrosecond * t.reclaim
+// budget is this router's part of what the cells of a site share.
+type budget struct {
+	requests        *sharedRate // requests per second, uncacheable ones apart
+	link            *sharedRate // KB per second of fills into the site
+	parents         *sharedRate // KB per second of fills that parents send
+	origin          *sharedRate // KB per second of fills that the origin sends
+	uncacheable     *sharedRate // uncacheable requests per second
+	maxOpenRequests int         // 0: no limit
 }
 
-// refill brings the buckets up to now.
-func (t *sharedRate) refill(now int64) {
-	gone := float64(now - t.refilledAt)
-	if t.refilledAt != 0 && gone < refillInterval {
-		return
+// newBudget divides the budget of a specification among routers, and among cells by their shares.
+func (s *shared) newBudget(spec *Spec) budget {
+	shares := make([]float64, len(spec.Cells))
+	for i := range spec.Cells {
+		shares[i] = spec.Cells[i].Share
 	}
-	if t.refilledAt == 0 {
-		gone = 0
+	limits := &spec.Budget
+	linkKBPerSecond := limits.FillKBPerSecond
+	if linkKBPerSecond == 0 {
+		linkKBPerSecond = s.linkKBPerSecond()
 	}
-	t.refilledAt = now
-	most := t.poolDepth()
-	for i := range t.tokens {
-		l := t.tokens[i] + t.shares[i]*t.perMicrosecond*gone
-		if d := t.bucketDepth(i); l > d {
-			t.pool += l - d
-			l = d
-		}
-		t.tokens[i] = l
+	reclaim := cmp.Or(limits.ReclaimMillis, defaultReclaimMillis) * 1000
+	atSite, inFleet := float64(s.routersAtSite()), float64(s.fleetSize())
+	return budget{
+		requests:        newSharedRate(limits.RequestsPerSecond/atSite, shares, reclaim),
+		link:            newSharedRate(linkKBPerSecond/atSite, shares, reclaim),
+		uncacheable:     newSharedRate(limits.UncacheablePerSecond/atSite, shares, reclaim),
+		parents:         newSharedRate(limits.ParentKBPerSecond/inFleet, shares, reclaim),
+		origin:          newSharedRate(limits.OriginKBPerSecond/inFleet, shares, reclaim),
+		maxOpenRequests: limits.MaxOpenRequests,
 	}
-	t.pool = min(t.pool, most)
 }
 
-// mayBorrow reports that a cell may borrow. Of a pool that runs low only those may that have borrowed no more than others
-// for their share: a flood finds it empty before the rest does.
-func (t *sharedRate) mayBorrow(cell int) bool {
-	switch {
-	case t.pool <= 0:
-		return false
-	case t.pool > amplePoolFraction*t.poolDepth():
-		return true
-	}
-	sum, shares := 0.0, 0.0
-	for i := range t.borrowed {
-		if l := t.borrowed[i].valueAt(t.refilledAt); l > 0 {
-			sum += l
-			shares += t.shares[i]
+// cost returns what a request takes of this router's part, in seconds of the resource that it takes most of.
+func (b *budget) cost(fillKB, originKB float64) float64 {
+	cost := minRequestCost
+	for _, use := range [...]struct {
+		rate   *sharedRate
+		amount float64
+	}{{b.requests, 1}, {b.link, fillKB}, {b.parents, fillKB}, {b.origin, originKB}} {
+		if use.rate.isLimited() {
+			cost = max(cost, use.amount/use.rate.perSecond())
 		}
 	}
-	return t.borrowed[cell].valueAt(t.refilledAt)*shares <= sum*t.shares[cell]
-}
-
-// mayTake reports that a cell has something left, of its own or borrowed; quiet ones may go into debt as far as the
-// bucket is deep, since what their cell's heavy tenants took was due to them.
-func (t *sharedRate) mayTake(cell int, quiet bool) bool {
-	if t.perMicrosecond == 0 || t.tokens[cell] > 0 || t.mayBorrow(cell) {
-		return true
-	}
-	return quiet && t.tokens[cell] > -t.bucketDepth(cell)
-}
-
-// take spends; what the bucket lacks is borrowed as far as the pool goes, the rest is debt.
-func (t *sharedRate) take(cell int, amount float64) {
-	if t.perMicrosecond == 0 {
-		return
-	}
-	l := t.tokens[cell] - amount
-	if l < 0 && t.pool > 0 {
-		lent := min(-l, t.pool)
-		t.pool -= lent
-		t.borrowed[cell].add(t.refilledAt, lent)
-		l += lent
-	}
-	// Debt ends within twice Give of the last request let in, or a lone huge object would shut its cell for long.
-	t.tokens[cell] = max(l, -2*t.bucketDepth(cell))
+	return cost
 }
 
-// correct takes what was used beyond what was reckoned, or gives back what was not.
-func (t *sharedRate) correct(cell int, more float64) {
-	if more > 0 {
-		t.take(cell, more)
-	} else if t.perMicrosecond > 0 {
-		t.tokens[cell] = min(t.tokens[cell]-more, t.bucketDepth(cell))
+// check returns why a cell may not take a cacheable request now, or ReasonNone.
+func (b *budget) check(now int64, cell int, mayOwe bool) Reason {
+	b.requests.refill(now)
+	b.link.refill(now)
+	b.parents.refill(now)
+	b.origin.refill(now)
+	switch {
+	case !b.requests.mayTake(cell, mayOwe):
+		return ReasonRequestRate
+	case !b.link.mayTake(cell, mayOwe):
+		return ReasonLinkRate
+	case !b.parents.mayTake(cell, mayOwe):
+		return ReasonParentRate
+	case !b.origin.mayTake(cell, mayOwe):
+		return ReasonOriginRate
 	}
+	return ReasonNone
 }
 
-// decayingSum is a rate that forgets over usageTimeConstant.
-type decayingSum struct {
-	sum       float64
-	updatedAt int64
-}
-
-// usageTimeConstant in microseconds: a flood shows within a second, and is forgotten in as much.
-const usageTimeConstant = 2e6
-
-func (u *decayingSum) add(now int64, amount float64) float64 {
-	u.sum = u.sum*math.Exp(-float64(now-u.updatedAt)/usageTimeConstant) + amount
-	u.updatedAt = now
-	return u.sum
-}
-
-func (u *decayingSum) valueAt(now int64) float64 {
-	return u.sum * math.Exp(-float64(now-u.updatedAt)/usageTimeConstant)
-}
-
-// fairShare finds how much of a crowded cell a tenant may use, for its weight: the level falls while the cell refuses, and
-// rises while it does not. Only tenants above it are turned away, so the heaviest go first.
-type fairShare struct {
-	limit         float64     // of use by weight; math.Inf(1): nobody is turned away
-	peak          decayingSum // greatest use seen of late
-	total         decayingSum // use of all tenants, and how many there are
-	activeTenants float64
-	rejectedAt    int64 // when the cell last had to refuse
-	adjustedAt    int64
-}
-
-const (
-	fairAdjustInterval = 50_000  // microseconds between two moves of the level
-	fairRecoveryDelay  = 200_000 // microseconds without a refusal after which it rises
-	fairDecrease       = 0.8
-	fairIncrease       = 1.1
-	// fairMinFraction is the least level, in parts of what the tenants of the cell use on average: one that uses less than
-	// half of that is never the one to go.
-	fairMinFraction = 0.5
-)
-
-// observe takes in a tenant's use by weight.
-func (f *fairShare) observe(now int64, used float64) {
-	if top := f.peak.valueAt(now); used > top {
-		f.peak = decayingSum{used, now}
+// checkUncacheable returns why a cell may not take an uncacheable request now, or ReasonNone.
+func (b *budget) checkUncacheable(now int64, cell int, mayOwe bool) Reason {
+	b.uncacheable.refill(now)
+	if !b.uncacheable.mayTake(cell, mayOwe) {
+		return ReasonUncacheableRate
 	}
+	return ReasonNone
 }
 
-// observeRejection is told when the cell had to refuse.
-func (f *fairShare) observeRejection(now int64) {
-	f.rejectedAt = now
-	if now-f.adjustedAt < fairAdjustInterval {
-		return
-	}
-	f.adjustedAt = now
-	f.limit = min(f.limit, f.peak.valueAt(now))
-	f.limit = max(f.limit*fairDecrease, fairMinFraction*f.total.valueAt(now)/max(f.activeTenants, 1))
+// take spends the estimate of a cacheable request.
+func (b *budget) take(cell int, fillKB, originKB float64) {
+	b.requests.take(cell, 1)
+	b.link.take(cell, fillKB)
+	b.parents.take(cell, fillKB)
+	b.origin.take(cell, originKB)
 }
 
-// exceeds reports that a tenant uses more than the cell has for it.
-func (f *fairShare) exceeds(now int64, used float64) bool {
-	if now-f.rejectedAt > fairRecoveryDelay && now-f.adjustedAt >= fairAdjustInterval {
-		f.adjustedAt = now
-		if f.limit *= fairIncrease; f.limit > 2*f.peak.valueAt(now) {
-			f.limit = math.Inf(1)
-		}
-	}
-	return used > f.limit
+// correct replaces the estimate of a cacheable request by what it used.
+func (b *budget) correct(request *openRequest, filledKB, originKB float64) {
+	cell := int(request.cell)
+	b.link.correct(cell, filledKB-request.fillKB)
+	b.parents.correct(cell, filledKB-request.fillKB)
+	b.origin.correct(cell, originKB-request.originKB)
 }
--- a/core/cells/cells_test.go
+++ b/core/cells/cells_test.go
@@ -617,14 +617,14 @@
 // What was learnt of a tenant goes with it into a new assignment, whatever its place there.
 func TestLearnedTenantStateSurvivesNewAssignment(t *testing.T) {
 	m := newTestAdmission(t, twoCells(), cacheNames(4)...)
-	m.tenants[0].missRatio.fill[0], m.tenants[2].missRatio.fill[0] = 0.95, 0.1
+	m.scope.tenants[0].missRatio.fill[0], m.scope.tenants[2].missRatio.fill[0] = 0.95, 0.1
 	next := twoCells()
 	next.Version = 2
 	next.Tenants = []Tenant{{Name: "quiet", Cell: "one"}, {Name: "new", Cell: "one"}, {Name: "loud", Cell: "two"}}
 	next.TenantKeys = []TenantKey{{PurgeGroupRange: []int{0, 9}, Tenant: "loud"}, {Tenant: "new"}}
 	m.SetAssignment(3*sec, mustCompile(t, next))
-	if m.tenants[0].missRatio.fill[0] != 0.1 || m.tenants[1].missRatio != (missRatio{}) || m.tenants[2].missRatio.fill[0] != 0.95 {
-		t.Errorf("%+v", m.tenants)
+	if m.scope.tenants[0].missRatio.fill[0] != 0.1 || m.scope.tenants[1].missRatio != (missRatio{}) || m.scope.tenants[2].missRatio.fill[0] != 0.95 {
+		t.Errorf("%+v", m.scope.tenants)
 	}
 }
 
@@ -682,14 +682,14 @@
 				ev := routing.Event{Kind: routing.EventRequest, RequestID: call, Class: []string{"page", "page", "report"}[rng.IntN(3)], PurgeGroup: int64(rng.IntN(20)),
 					Object: fmt.Sprintf("%04x", rng.IntN(300)), SizeKB: float64(rng.IntN(100)), Timeout: sec}
 				out[call] = ""
-				who := m.tenants[m.TenantOf(&ev)]
+				who := m.scope.tenants[m.TenantOf(&ev)]
 				acts := m.Step(now, []routing.Event{ev})
 				for _, a := range acts {
 					if a.Kind != routing.ActionSend || ev.Class == "report" || !strings.HasPrefix(a.Server, "s-") {
 						continue
 					}
-					c := &m.cells[who.cell]
-					if !slices.Contains(c.caches, a.Server) && (c.fallback < 0 || !slices.Contains(m.cells[c.fallback].caches, a.Server)) {
+					c := &m.scope.cells[who.cell]
+					if !slices.Contains(c.caches, a.Server) && (c.fallback < 0 || !slices.Contains(m.scope.cells[c.fallback].caches, a.Server)) {
 						t.Fatalf("seed %d: %s of %s sent to %s", seed, call, who.name, a.Server)
 					}
 				}
@@ -720,7 +720,7 @@
 			m.Step(now, []routing.Event{{Kind: routing.EventAborted, RequestID: call}})
 		}
 		sum := 0
-		for _, c := range m.cells {
+		for _, c := range m.scope.cells {
 			sum += c.openRequests
 		}
 		if len(m.openRequests) != 0 || sum != 0 {
--- /dev/null
+++ b/core/cells/demand.go
@@ -0,0 +1,63 @@
+package cells
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// demandTimeConstant, in microseconds, is the time in which a request fades to 1/e in a tenant's demand: a minute, as
+// assignments are not planned for peaks.
+const demandTimeConstant = 60e6
+
+// demandRate is what a tenant requested recently, admitted or not: what a plan must find capacity for. The sums decay
+// with demandTimeConstant.
+type demandRate struct {
+	requests       float64
+	requestedKB    float64
+	fillKB         float64
+	priorityWeight float64
+	updatedAt      int64 // microseconds; 0: no request yet
+}
+
+// add counts a request.
+func (d *demandRate) add(now int64, requestedKB, fillKB, priorityWeight float64) {
+	decay := math.Exp(-float64(now-d.updatedAt) / demandTimeConstant)
+	d.requests = d.requests*decay + 1
+	d.requestedKB = d.requestedKB*decay + requestedKB
+	d.fillKB = d.fillKB*decay + fillKB
+	d.priorityWeight = d.priorityWeight*decay + priorityWeight
+	d.updatedAt = now
+}
+
+// perSecond returns the demand of a tenant per second.
+func (d *demandRate) perSecond(now int64, tenant string) TenantDemand {
+	factor := math.Exp(-float64(now-d.updatedAt)/demandTimeConstant) / (demandTimeConstant / 1e6)
+	return TenantDemand{
+		Name:           tenant,
+		Loads:          []float64{d.requests * factor, d.requestedKB * factor, d.fillKB * factor},
+		PriorityWeight: d.priorityWeight * factor,
+	}
+}
+
+// TenantDemand is what one tenant requests of one router.
+type TenantDemand struct {
+	Name           string    `json:"name"`
+	Loads          []float64 `json:"loads"` // per second: requests, KB requested, KB to be filled
+	PriorityWeight float64   `json:"worth"` // per second, of answers that come in time
+}
+
+// TopDemand lists the demand of tenants, n at most, the greatest by KB requested first.
+func (a *Admission) TopDemand(now int64, n int) []TenantDemand {
+	var all []TenantDemand
+	for i := range a.scope.tenants {
+		t := &a.scope.tenants[i]
+		if t.demand.updatedAt != 0 {
+			all = append(all, t.demand.perSecond(now, t.name))
+		}
+	}
+	slices.SortFunc(all, func(a, b TenantDemand) int {
+		return cmp.Or(cmp.Compare(b.Loads[1], a.Loads[1]), cmp.Compare(a.Name, b.Name))
+	})
+	return all[:min(n, len(all))]
+}
--- a/core/cells/explain.go
+++ b/core/cells/explain.go
@@ -2,74 +2,88 @@
 
 import "fmt"
 
-// Explanation tells what would become of a request: for operators, who ask before something goes wrong.
+// Explanation says what would become of a request, for operators who ask ahead of time.
 type Explanation struct {
-	KeyIndex     int      `json:"line"` // of keys, from 0
+	KeyIndex     int      `json:"line"` // of the tenant key that matches, from 0
 	Tenant       string   `json:"tenant"`
 	Cell         string   `json:"cell"`
-	Caches       []string `json:"caches"` // that the tenant may use in the depot
+	Caches       []string `json:"caches"` // that the tenant may use at the site
 	OverflowCell string   `json:"spare,omitempty"`
-	FallbackCell string   `json:"spill,omitempty"` // used while the cell has no live cache
+	FallbackCell string   `json:"spill,omitempty"` // used while the cell has no healthy cache
 }
 
-// Explain finds tenant, cell and caches of a request in a depot with these caches.
-func (s *Spec) Explain(depot string, caches []string, family int, class, object, named string) (Explanation, error) {
-	c, err := Compile(s)
+// Explain finds tenant, cell and caches of a request at a site with these edge caches.
+func (s *Spec) Explain(
+	site string, caches []string, group int, class, object, declaredTenant string,
+) (Explanation, error) {
+	assignment, err := Compile(s)
 	if err != nil {
 		return Explanation{}, err
 	}
-	line := c.keys.find(family, class, object, named)
-	a := Explanation{KeyIndex: line, Tenant: s.TenantKeys[line].Tenant, OverflowCell: s.OverflowCell}
-	home := c.cellAt(int(c.tenantByKey[line]), depot)
-	a.Cell, a.FallbackCell = s.Cells[home].Name, s.Cells[home].FallbackCell
-	a.Caches = s.cachesOf(a.Tenant, caches, divideCaches(s.Cells, caches)[home])
-	return a, nil
+	key := assignment.keys.find(group, class, object, declaredTenant)
+	tenant := s.TenantKeys[key].Tenant
+	cell := assignment.cellAt(int(assignment.tenantByKey[key]), site)
+	return Explanation{
+		KeyIndex:     key,
+		Tenant:       tenant,
+		Cell:         s.Cells[cell].Name,
+		Caches:       s.cachesOf(tenant, caches, divideCaches(s.Cells, caches)[cell]),
+		OverflowCell: s.OverflowCell,
+		FallbackCell: s.Cells[cell].FallbackCell,
+	}, nil
 }
 
-// CachesByCell tells which caches each cell has in a depot, by the order of the cells.
+// CachesByCell returns the caches of each cell at a site that has these edge caches, in the order of the cells.
 func (s *Spec) CachesByCell(caches []string) [][]string { return divideCaches(s.Cells, caches) }
 
-// Changes says in words what changes from one specification to another; nothing if they are alike.
+// Changes describes, one line each, what differs between two specifications; nothing if they are alike.
 func Changes(old, next *Spec) []string {
-	var out []string
-	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
+	var lines []string
 	if next.Version <= old.Version && next.Version != 0 {
-		say("version %d is not after %d", next.Version, old.Version)
+		lines = append(lines, fmt.Sprintf("version %d is not after %d", next.Version, old.Version))
 	}
-	before := map[string]*Tenant{}
-	for i := range old.Tenants {
-		before[old.Tenants[i].Name] = &old.Tenants[i]
+	lines = append(lines, tenantChanges(old.Tenants, next.Tenants)...)
+	return append(lines, cellChanges(old.Cells, next.Cells)...)
+}
+
+func tenantChanges(old, next []Tenant) (lines []string) {
+	cellOf := map[string]string{} // of tenants that next has not named
+	for _, tenant := range old {
+		cellOf[tenant.Name] = tenant.Cell
 	}
-	for i := range next.Tenants {
-		t := &next.Tenants[i]
-		o := before[t.Name]
-		delete(before, t.Name)
+	for _, tenant := range next {
+		cell, existed := cellOf[tenant.Name]
+		delete(cellOf, tenant.Name)
 		switch {
-		case o == nil:
-			say("tenant %s: new, in cell %s", t.Name, t.Cell)
-		case o.Cell != t.Cell:
-			say("tenant %s: from cell %s to %s", t.Name, o.Cell, t.Cell)
+		case !existed:
+			lines = append(lines, fmt.Sprintf("tenant %s: new, in cell %s", tenant.Name, tenant.Cell))
+		case cell != tenant.Cell:
+			lines = append(lines, fmt.Sprintf("tenant %s: from cell %s to %s", tenant.Name, cell, tenant.Cell))
 		}
 	}
-	for i := range old.Tenants {
-		if name := old.Tenants[i].Name; before[name] != nil {
-			say("tenant %s: no more", name)
+	for _, tenant := range old {
+		if _, isRemoved := cellOf[tenant.Name]; isRemoved {
+			lines = append(lines, fmt.Sprintf("tenant %s: no more", tenant.Name))
 		}
 	}
-	shares := map[string]float64{}
-	for _, c := range old.Cells {
-		shares[c.Name] = c.Share
+	return lines
+}
+
+func cellChanges(old, next []Cell) (lines []string) {
+	shares := map[string]float64{} // of cells that next has not named
+	for _, cell := range old {
+		shares[cell.Name] = cell.Share
 	}
-	for _, c := range next.Cells {
-		if was := shares[c.Name]; was != c.Share {
-			say("cell %s: share %.4g, %.4g before", c.Name, c.Share, was)
+	for _, cell := range next {
+		if before := shares[cell.Name]; before != cell.Share {
+			lines = append(lines, fmt.Sprintf("cell %s: share %.4g, %.4g before", cell.Name, cell.Share, before))
 		}
-		delete(shares, c.Name)
+		delete(shares, cell.Name)
 	}
-	for _, c := range old.Cells {
-		if _, gone := shares[c.Name]; gone {
-			say("cell %s: no more", c.Name)
+	for _, cell := range old {
+		if _, isRemoved := shares[cell.Name]; isRemoved {
+			lines = append(lines, fmt.Sprintf("cell %s: no more", cell.Name))
 		}
 	}
-	return out
+	return lines
 }
--- a/core/cells/guarding_test.go
+++ b/core/cells/guarding_test.go
@@ -87,7 +87,7 @@
 
 func originAnswer(waitMs int64) func(int) routing.Event {
 	return func(int) routing.Event {
-		return routing.Event{Outcome: routing.OutcomeServed, CacheStatus: noteFilledByOrigin, UpstreamWait: waitMs * 1000}
+		return routing.Event{Outcome: routing.OutcomeServed, CacheStatus: routing.FilledFromOrigin, UpstreamWait: waitMs * 1000}
 	}
 }
 
@@ -148,7 +148,7 @@
 			d := draw[i%len(draw)]
 			return routing.Event{Outcome: codes[d%len(codes)], CacheStatus: routing.CacheStatus(d / len(codes)), UpstreamWait: int64(d) * 9000}
 		})
-		g := m.originLimit
+		g := m.origin.limiter
 		m.Step(1e9, []routing.Event{{Kind: routing.EventTimer}})
 		now := m.OriginLimitStatus()
 		if now.InFlight != 0 || g.directInFlight != 0 || now.Abandoned != 0 || now.OriginFraction < 0 || now.OriginFraction > 1 || now.Limit <= 0 || now.Limit > doc.Burst*now.Share {
@@ -162,7 +162,7 @@
 	m, bare := newLimitedAdmission(t, &originLimitDocument), newLimitedAdmission(t, nil)
 	bad := originLimitDocument
 	bad.Burst = 0
-	if err := m.SetOriginLimit(0, &bad); err == nil || m.OriginLimitStatus() == nil || m.originLimit.document != originLimitDocument {
+	if err := m.SetOriginLimit(0, &bad); err == nil || m.OriginLimitStatus() == nil || m.origin.limiter.document != originLimitDocument {
 		t.Errorf("a document that can't be: %v", err)
 	}
 	if err := m.SetOriginLimit(0, nil); err != nil || m.OriginLimitStatus() != nil {
--- /dev/null
+++ b/core/cells/heavy_hitters.go
@@ -0,0 +1,135 @@
+package cells
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// HeavyHitters finds the keys with the greatest counts, in bounded memory: the space-saving algorithm (Metwally,
+// Agrawal and El Abbadi 2005) over a heap, with counts that halve in every half-life. A key that has more than 1/size
+// of all that is counted is among those stored.
+type HeavyHitters struct {
+	index    map[string]*heapEntry
+	heap     []*heapEntry // smallest count first
+	halfLife float64      // microseconds
+	scale    float64      // weight of what is added now: it grows, so that older counts need not be changed
+	agedAt   int64        // time of scale, microseconds; 0: nothing was counted yet
+	capacity int          // of the heap
+}
+
+type heapEntry struct {
+	index        int // in the heap, so that a swap changes no map
+	key          string
+	count        float64
+	maxOvercount float64
+}
+
+// HeavyHitter is one of the keys with the greatest counts. Its count is between Count-MaxOvercount and Count.
+type HeavyHitter struct {
+	Key          string  `json:"key"`
+	Count        float64 `json:"count"`
+	MaxOvercount float64 `json:"over"`
+}
+
+// maxHitterScale is the scale at which all counts are divided by it, long before float64 overflows.
+const maxHitterScale = 1e100
+
+// NewHeavyHitters returns a counter that stores so many keys. The half-life is in microseconds.
+func NewHeavyHitters(size int, halfLife float64) *HeavyHitters {
+	return &HeavyHitters{
+		index:    make(map[string]*heapEntry, size),
+		capacity: max(size, 1),
+		halfLife: halfLife,
+		scale:    1,
+	}
+}
+
+// Add counts an amount under a key.
+func (h *HeavyHitters) Add(now int64, key string, amount float64) {
+	h.age(now)
+	amount *= h.scale
+	entry, known := h.index[key]
+	switch {
+	case known:
+		entry.count += amount
+	case len(h.heap) < h.capacity:
+		entry = &heapEntry{index: len(h.heap), key: key, count: amount}
+		h.heap = append(h.heap, entry)
+		h.index[key] = entry
+		h.siftUp(entry.index)
+		return
+	default: // replace the smallest, whose count may be part of the new key's
+		entry = h.heap[0]
+		delete(h.index, entry.key)
+		*entry = heapEntry{key: key, count: entry.count + amount, maxOvercount: entry.count}
+		h.index[key] = entry
+	}
+	h.siftDown(entry.index)
+}
+
+// Top lists the keys with the greatest counts, n at most, the greatest first.
+func (h *HeavyHitters) Top(n int) []HeavyHitter {
+	entries := slices.Clone(h.heap)
+	slices.SortFunc(entries, func(a, b *heapEntry) int {
+		return cmp.Or(cmp.Compare(b.count, a.count), cmp.Compare(a.key, b.key))
+	})
+	top := make([]HeavyHitter, 0, n)
+	for _, entry := range entries[:min(n, len(entries))] {
+		top = append(top, HeavyHitter{
+			Key:          entry.key,
+			Count:        entry.count / h.scale,
+			MaxOvercount: entry.maxOvercount / h.scale,
+		})
+	}
+	return top
+}
+
+// age brings the scale up to now.
+func (h *HeavyHitters) age(now int64) {
+	if h.agedAt == 0 {
+		h.agedAt = now
+	}
+	if now <= h.agedAt {
+		return
+	}
+	h.scale *= math.Exp2(float64(now-h.agedAt) / h.halfLife)
+	h.agedAt = now
+	if h.scale <= maxHitterScale {
+		return
+	}
+	for _, entry := range h.heap {
+		entry.count /= h.scale
+		entry.maxOvercount /= h.scale
+	}
+	h.scale = 1
+}
+
+func (h *HeavyHitters) swap(i, j int) {
+	h.heap[i], h.heap[j] = h.heap[j], h.heap[i]
+	h.heap[i].index, h.heap[j].index = i, j
+}
+
+func (h *HeavyHitters) siftUp(i int) {
+	for i > 0 && h.heap[i].count < h.heap[(i-1)/2].count {
+		h.swap(i, (i-1)/2)
+		i = (i - 1) / 2
+	}
+}
+
+func (h *HeavyHitters) siftDown(i int) {
+	for {
+		child := 2*i + 1
+		if child >= len(h.heap) {
+			return
+		}
+		if child+1 < len(h.heap) && h.heap[child+1].count < h.heap[child].count {
+			child++
+		}
+		if h.heap[i].count <= h.heap[child].count {
+			return
+		}
+		h.swap(i, child)
+		i = child
+	}
+}
--- a/core/cells/moving_test.go
+++ b/core/cells/moving_test.go
@@ -27,7 +27,7 @@
 // cellByCache tells by cache which cell it is in.
 func cellByCache(m *Admission) map[string]string {
 	in := map[string]string{}
-	for _, c := range m.cells {
+	for _, c := range m.scope.cells {
 		for _, name := range c.caches {
 			in[name] = c.name
 		}
--- a/core/cells/plan/plan_test.go
+++ b/core/cells/plan/plan_test.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		bound, err := RelaxedBound(demand, aim)
+		bound, err := relaxedBound(demand, aim)
 		if err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/core/cells/plan/search.go
@@ -0,0 +1,168 @@
+package plan
+
+import (
+	"cmp"
+	"math"
+	"math/rand/v2"
+	"slices"
+)
+
+const (
+	noTenant         = -1
+	roundsPerTenant  = 20   // bounds the search
+	maxTargetCells   = 4    // cheapest cells that a tenant may go to
+	maxSwapSamples   = 32   // tenants of either cell that are tried in swaps
+	minImprovement   = 1e-9 // gain of a change per migration that is worth it
+	searchSeedStream = 0x91a2
+)
+
+// search improves the placement of a planner by local changes.
+type search struct {
+	*planner
+	rng        *rand.Rand
+	tenants    [][]int // by cell
+	migrations int     // so far
+
+	// The round under way.
+	worstCell       int
+	worstCost       float64
+	best            change
+	bestImprovement float64
+	bestMigration   int // migrations that the best change adds
+}
+
+// change moves a tenant out of the worst cell, and another one back in its place where that is not noTenant.
+type change struct{ out, to, back int }
+
+func newSearch(p *planner) *search {
+	s := &search{
+		planner: p,
+		rng:     rand.New(rand.NewPCG(p.objective.Seed, searchSeedStream)),
+		tenants: make([][]int, len(p.cellLoad)),
+	}
+	for tenant, cell := range p.cellByTenant {
+		s.tenants[cell] = append(s.tenants[cell], tenant)
+	}
+	return s
+}
+
+// run applies, round by round, the change that improves the most expensive cell most per migration. It ends within the
+// slack over the bound, when migrations are used up, or when nothing helps.
+func (s *search) run(bound float64) {
+	for range roundsPerTenant * len(s.demand) {
+		s.startRound()
+		if s.worstCost <= bound*(1+s.objective.Slack) {
+			return
+		}
+		targets := s.targetCells()
+		s.considerMoves(targets)
+		if s.best.out == noTenant {
+			s.considerSwaps(targets)
+		}
+		if s.best.out == noTenant {
+			return
+		}
+		s.apply()
+	}
+}
+
+// startRound finds the most expensive cell.
+func (s *search) startRound() {
+	s.worstCell, s.worstCost = 0, 0
+	for cell := range s.cellLoad {
+		if cost := s.currentCost(cell); cost > s.worstCost {
+			s.worstCell, s.worstCost = cell, cost
+		}
+	}
+	s.best = change{out: noTenant, back: noTenant}
+	s.bestImprovement = minImprovement
+	s.bestMigration = 0
+}
+
+// targetCells returns the cheapest cells other than the worst one.
+func (s *search) targetCells() []int {
+	targets := make([]int, 0, len(s.cellLoad))
+	for cell := range s.cellLoad {
+		if cell != s.worstCell {
+			targets = append(targets, cell)
+		}
+	}
+	slices.SortFunc(targets, func(a, b int) int {
+		return cmp.Or(cmp.Compare(s.currentCost(a), s.currentCost(b)), cmp.Compare(a, b))
+	})
+	return targets[:min(maxTargetCells, len(targets))]
+}
+
+// considerMoves considers each tenant of the worst cell for each target.
+func (s *search) considerMoves(targets []int) {
+	for _, out := range s.tenants[s.worstCell] {
+		for _, to := range targets {
+			s.consider(change{out, to, noTenant})
+		}
+	}
+}
+
+// considerSwaps considers a sample of exchanges between the worst cell and each target.
+func (s *search) considerSwaps(targets []int) {
+	outs := s.tenants[s.worstCell]
+	for _, to := range targets {
+		backs := s.tenants[to]
+		for range min(maxSwapSamples, len(backs)) {
+			back := backs[s.rng.IntN(len(backs))]
+			for range min(maxSwapSamples, len(outs)) {
+				s.consider(change{outs[s.rng.IntN(len(outs))], to, back})
+			}
+		}
+	}
+}
+
+// consider keeps a change as the best one if it is allowed and improves more per migration.
+func (s *search) consider(c change) {
+	added := s.addedMigrations(c.out, c.to)
+	if c.back != noTenant {
+		added += s.addedMigrations(c.back, s.worstCell)
+	}
+	if added > s.remainingMigrations() {
+		return
+	}
+	costAfter := max(s.cost(s.worstCell, c.back, c.out), s.cost(c.to, c.out, c.back))
+	if improvement := (s.worstCost - costAfter) / float64(max(added, 0)+1); improvement > s.bestImprovement {
+		s.best, s.bestImprovement, s.bestMigration = c, improvement, added
+	}
+}
+
+// addedMigrations returns how many more tenants would be out of their current cell if one went to a cell: 1, 0 or -1.
+func (s *search) addedMigrations(tenant, to int) int {
+	current, from := s.demand[tenant].CurrentCell, s.cellByTenant[tenant]
+	switch {
+	case current < 0 || from == to:
+		return 0
+	case current == from:
+		return 1
+	case current == to:
+		return -1
+	}
+	return 0
+}
+
+func (s *search) remainingMigrations() int {
+	if s.objective.MaxMigrations < 0 {
+		return math.MaxInt
+	}
+	return s.objective.MaxMigrations - s.migrations
+}
+
+// apply makes the best change of the round.
+func (s *search) apply() {
+	s.migrations += s.bestMigration
+	s.move(s.best.out, s.worstCell, s.best.to)
+	if s.best.back != noTenant {
+		s.move(s.best.back, s.best.to, s.worstCell)
+	}
+}
+
+func (s *search) move(tenant, from, to int) {
+	s.place(tenant, to)
+	s.tenants[from] = slices.DeleteFunc(s.tenants[from], func(other int) bool { return other == tenant })
+	s.tenants[to] = append(s.tenants[to], tenant)
+}
--- a/core/cells/reason.go
+++ b/core/cells/reason.go
@@ -1,24 +1,38 @@
 package cells
 
-// Reason tells why a request was refused at the gate, for logs and `spanctl`.
+// Reason says why a request was rejected before it came to the routing engine.
 type Reason int8
 
 // The reasons.
 const (
-	ReasonNone            Reason = iota
-	ReasonNoLiveCache            // the cell has no live cache, and names no neighbour that has one
-	ReasonHeavyTenant            // its tenant uses more than a crowded cell has for it
-	ReasonRequestRate            // the cell's share of requests a second is used up
-	ReasonLinkRate               // its share of the link
-	ReasonParentRate             // of the area caches
-	ReasonOriginRate             // of the head office
-	ReasonUncacheableRate        // its share of uncacheable requests
-	ReasonOpenRequests           // its share of requests open at once
-	ReasonNotReleased            // it asks for a release that its cell has not got, or that was taken back
-	ReasonMigrating              // its tenant moves, the old cell has no live cache, and the new one can't bear more now
+	ReasonNone            Reason = iota // the request was admitted
+	ReasonNoLiveCache                   // the cell has no healthy cache, and names no fallback cell that has one
+	ReasonHeavyTenant                   // the tenant uses more than its fair share of an overloaded cell
+	ReasonRequestRate                   // the cell's share of requests per second is used up
+	ReasonLinkRate                      // the cell's share of the link into the site is used up
+	ReasonParentRate                    // the cell's share of what the parents send is used up
+	ReasonOriginRate                    // the cell's share of what the origin sends is used up
+	ReasonUncacheableRate               // the cell's share of uncacheable requests per second is used up
+	ReasonOpenRequests                  // the cell's share of requests open at once is used up
+	ReasonNotReleased                   // the object is of a release that the cell does not have, or no longer has
+	ReasonMigrating                     // the tenant migrates, its old cell has no healthy cache, its new one no capacity
 	reasonCount
 )
 
-var reasonNames = [reasonCount]string{"none", "no live cache", "heavy tenant", "requests", "fills", "area caches", "head office", "writes", "open requests", "release not here", "moving"}
+// reasonNames are log keys and names of figures in the lab's results.
+var reasonNames = [reasonCount]string{
+	ReasonNone:            "none",
+	ReasonNoLiveCache:     "no live cache",
+	ReasonHeavyTenant:     "heavy tenant",
+	ReasonRequestRate:     "requests",
+	ReasonLinkRate:        "fills",
+	ReasonParentRate:      "area caches",
+	ReasonOriginRate:      "head office",
+	ReasonUncacheableRate: "writes",
+	ReasonOpenRequests:    "open requests",
+	ReasonNotReleased:     "release not here",
+	ReasonMigrating:       "moving",
+}
 
+// String returns the name that logs and results use.
 func (r Reason) String() string { return reasonNames[r] }
--- a/core/cells/retune_test.go
+++ b/core/cells/retune_test.go
@@ -47,7 +47,7 @@
 	if err := m.UpdateSettings(2000, next); err != nil {
 		t.Fatal(err)
 	}
-	if m.uncacheable["price"] {
+	if m.classes["price"].isUncacheable {
 		t.Error("a class of the new settings is still taken for uncacheable")
 	}
 	if err := m.UpdateSettings(2000, routing.Settings{}); err == nil {
@@ -61,7 +61,7 @@
 	}
 	m.Step(3000, []routing.Event{{Kind: routing.EventOutcome, RequestID: "r1", Server: acts[0].Server, Outcome: routing.OutcomeServed, IsFinal: true, CacheStatus: 1, ResponseTime: 2000}})
 	m.Step(3000, []routing.Event{{Kind: routing.EventAborted, RequestID: "r2"}, {Kind: routing.EventAborted, RequestID: "r3"}})
-	if len(m.openRequests) != 0 || m.cells[0].openRequests != 0 {
-		t.Errorf("%d open, %d in its cell", len(m.openRequests), m.cells[0].openRequests)
+	if len(m.openRequests) != 0 || m.scope.cells[0].openRequests != 0 {
+		t.Errorf("%d open, %d in its cell", len(m.openRequests), m.scope.cells[0].openRequests)
 	}
 }
--- /dev/null
+++ b/core/cells/rollout.go
@@ -0,0 +1,179 @@
+package cells
+
+import (
+	"fmt"
+	"slices"
+
+	"spantack/core/rollout"
+	"spantack/routing"
+)
+
+// rolloutGate lets a release into the cells that its rollout has reached, and counts what came of it.
+type rolloutGate struct {
+	*shared
+	scope    *scope
+	progress *rollout.Progress // nil: there is no rollout
+}
+
+// CheckRollout validates a rollout for an assignment: its rings must name cells and leave one without the release to
+// compare with.
+func (a *Assignment) CheckRollout(r *rollout.Rollout) error {
+	if r == nil {
+		return nil
+	}
+	if err := r.Validate(); err != nil {
+		return fmt.Errorf("stage.%w", err)
+	}
+	for i, ring := range r.Rings {
+		for _, name := range ring.Cells {
+			if _, exists := a.cellByName[name]; !exists {
+				return fieldError(fmt.Sprintf("stage.rings[%d].cells", i), "%q is no cell", name)
+			}
+		}
+	}
+	if len(a.spec.Cells) < 2 || len(r.Rings[0].Cells) == len(a.spec.Cells) {
+		return fieldError("stage.rings[0].cells", "every cell: none is left to compare with")
+	}
+	return nil
+}
+
+// SetRollout starts a rollout, or with nil ends it: its objects are then like any others. It must fit the assignment in
+// force. Another version of the same rollout goes on from where this router is.
+func (a *Admission) SetRollout(now int64, r *rollout.Rollout) error {
+	if r == nil || a.scope.spec == nil {
+		a.rollout.clear()
+		return nil
+	}
+	return a.rollout.set(now, r)
+}
+
+// RolloutStatus is the state of a rollout at this router.
+type RolloutStatus struct {
+	Name    string       `json:"name"`
+	Version int64        `json:"version"`
+	Rings   []RingStatus `json:"rings"`
+}
+
+// RingStatus is the state of one ring of cells. Evidence is, by metric (late answers, failures, fill errors), the
+// logarithm of a likelihood ratio against the release; that of several routers may be added up.
+type RingStatus struct {
+	Cells       []string  `json:"cells"`
+	State       string    `json:"state"`
+	HarmMeasure string    `json:"by,omitempty"` // the metric that showed harm at this router
+	Evidence    []float64 `json:"evidence"`
+}
+
+// RolloutStatus describes the rollout; nil without one.
+func (a *Admission) RolloutStatus() *RolloutStatus { return a.rollout.status() }
+
+func (g *rolloutGate) isActive() bool { return g.progress != nil }
+
+func (g *rolloutGate) clear() { g.progress = nil }
+
+func (g *rolloutGate) set(now int64, r *rollout.Rollout) error {
+	if g.progress != nil && g.progress.Continue(r) {
+		return nil
+	}
+	progress, err := rollout.NewProgress(r, g.documentMillis(now))
+	if err != nil {
+		return err
+	}
+	g.progress = progress
+	return nil
+}
+
+// advance steps the rollout, and logs rings that changed their state.
+func (g *rolloutGate) advance(now int64) {
+	if g.progress == nil {
+		return
+	}
+	r := g.progress.Rollout()
+	for _, ring := range g.progress.Step(g.documentMillis(now)) {
+		state, metric := g.progress.State(ring)
+		text := fmt.Sprintf("release %s, ring %d (%v): %s", r.Name, ring, r.Rings[ring].Cells, state)
+		if g.progress.HarmObserved(ring) {
+			text += ", by " + metric.String()
+		}
+		g.log(text)
+	}
+}
+
+// gate rejects a request for the release in a cell that must not have it, and bounds the age of the answer in others.
+func (g *rolloutGate) gate(event *routing.Event, c *candidate) Reason {
+	if g.progress == nil || !g.progress.Rollout().Contains(int(event.PurgeGroup), event.Object) {
+		return ReasonNone
+	}
+	c.isRelease = true
+	decision := g.progress.Gate(c.cell.name)
+	if decision.MadeSince > 0 {
+		event.MinVersionTime = int64(decision.MadeSince*1000) - g.options.DocumentClockOffset
+	}
+	event.MaxAge = int64(decision.MaxAge * 1000)
+	if decision.Rejected {
+		return ReasonNotReleased
+	}
+	return ReasonNone
+}
+
+// observeOutcome counts the end of an attempt.
+func (g *rolloutGate) observeOutcome(now int64, request *openRequest, event *routing.Event) {
+	if g.progress == nil {
+		return
+	}
+	switch {
+	case event.CacheStatus.IsFilled():
+		g.count(request, rollout.FillErrors, false)
+	case event.CacheStatus.IsFailure():
+		g.count(request, rollout.FillErrors, true)
+	}
+	if event.Outcome == routing.OutcomeServed && event.IsFinal {
+		g.count(request, rollout.LateAnswers, g.isLate(now, request))
+		g.count(request, rollout.Failures, false)
+	}
+}
+
+// observeUnserved counts a request that the engine rejected or failed.
+func (g *rolloutGate) observeUnserved(request *openRequest, hasFailed bool) {
+	if g.progress == nil {
+		return
+	}
+	g.count(request, rollout.Failures, hasFailed)
+	g.count(request, rollout.LateAnswers, true)
+}
+
+// count counts an event at its cell. In a cell that has the release, failures and fill errors are those of the release
+// alone, or they would be found late among all others; where a release replaces objects, that is so before a ring opens
+// too, as a baseline. Late answers are those of the complete cell: new objects are filled first and are late by
+// themselves, and a release that harms other requests of its cell must show.
+func (g *rolloutGate) count(request *openRequest, metric rollout.Metric, isBad bool) {
+	cell := g.scope.cells[request.cell].name
+	if metric != rollout.LateAnswers && !request.isRelease && g.progress.CountsReleaseOnly(cell) {
+		return
+	}
+	bad := 0.0
+	if isBad {
+		bad = 1
+	}
+	g.progress.Count(cell, metric, 1, bad)
+}
+
+func (g *rolloutGate) status() *RolloutStatus {
+	if g.progress == nil {
+		return nil
+	}
+	r := g.progress.Rollout()
+	status := &RolloutStatus{Name: r.Name, Version: r.Version}
+	for i := range r.Rings {
+		state, metric := g.progress.State(i)
+		ring := RingStatus{
+			Cells:    slices.Clone(r.Rings[i].Cells),
+			State:    state.String(),
+			Evidence: g.progress.Evidence(i),
+		}
+		if g.progress.HarmObserved(i) {
+			ring.HarmMeasure = metric.String()
+		}
+		status.Rings = append(status.Rings, ring)
+	}
+	return status
+}
--- /dev/null
+++ b/core/cells/scope.go
@@ -0,0 +1,285 @@
+package cells
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+
+	"spantack/core/migration"
+	"spantack/routing"
+)
+
+// The engine knows subsets of edge caches by numbers: subset 1 to MaxCells is a cell's, the tenants' own follow.
+const firstTenantSubset = MaxCells + 1
+
+func cellSubset(cell int) int     { return cell + 1 }
+func tenantSubset(tenant int) int { return firstTenantSubset + tenant }
+
+const (
+	noCell         = -1
+	noTenant int32 = -1
+)
+
+const (
+	overloadRejectFraction = 0.05      // of a cell's requests rejected by the engine, above which it is overloaded
+	activeCountInterval    = 500_000   // microseconds between two counts of active tenants
+	activeWithin           = 2_000_000 // microseconds since its last request in which a tenant is active
+)
+
+// scope is the assignment in force: its tenants and cells with their state at this router.
+type scope struct {
+	*shared
+	assignment   *Assignment // nil: none is in force
+	spec         *Spec       // of the assignment
+	tenants      []tenant    // as in the specification
+	cells        []cell      // as in the specification
+	overflowCell int         // or noCell
+	recentChunks recentChunks
+
+	caches          []string        // listed edge caches of the own site, sorted
+	subsetEvents    []routing.Event // reused
+	activeCountedAt int64           // microseconds; 0: never
+}
+
+// tenant is the state of one tenant at this router.
+type tenant struct {
+	name          string
+	weight        float64
+	cell          int
+	usage         decayingSum // in seconds of what this router may use of the site
+	missRatio     missRatio
+	demand        demandRate
+	migration     *migrationProgress // nil: it stays in its cell
+	subsetVersion int                // endpoint list version for which its subset was drawn, plus 1; 0: never
+	isActive      bool
+}
+
+// cell is the state of one cell at this router.
+type cell struct {
+	name         string
+	fallback     int // index of a cell, or noCell
+	share        float64
+	hasLiveCache bool
+	caches       []string // sorted
+	fairShare    fairShare
+	openRequests int
+	missRatio    missRatio // of all its tenants
+	arrivals     decayingSum
+	rejections   decayingSum               // by the engine
+	capacity     migration.CapacityLimiter // for tenants that migrate into it
+	warmFraction float64                   // its caches' capacity, as a part of that when all are warm
+}
+
+// observeRejection records that the engine rejected a request. A few of those say nothing; many say that the cell is
+// overloaded.
+func (c *cell) observeRejection(now int64) {
+	if c.rejections.add(now, 1) > overloadRejectFraction*c.arrivals.valueAt(now) {
+		c.fairShare.observeRejection(now)
+	}
+}
+
+// SetAssignment puts an assignment in force, or with nil none. Requests under way end where they began; what is known
+// of tenants that both assignments have is kept.
+func (a *Admission) SetAssignment(now int64, next *Assignment) {
+	a.scope.dropTenantSubsets(now)
+	if next == nil {
+		a.clearAssignment(now)
+		return
+	}
+	previousCells := a.scope.cells
+	newTenantIndex := a.scope.replace(next)
+	a.reassignOpenRequests(previousCells, newTenantIndex)
+	a.scope.dropCellSubsets(now, len(a.scope.cells), len(previousCells))
+	a.budget = a.newBudget(next.spec)
+	a.origin.setAssignmentLimit(now, next.spec.Budget.MaxOriginFills)
+	a.scope.assignCaches(now)
+	a.migrations.bind(now)
+}
+
+func (a *Admission) clearAssignment(now int64) {
+	a.scope.dropCellSubsets(now, 0, len(a.scope.cells))
+	a.scope.clear()
+	a.origin.setAssignmentLimit(now, 0)
+	a.migrations.clear()
+	a.rollout.clear()
+	clear(a.openRequests)
+}
+
+// AssignmentVersion returns the version of the assignment in force, 0 without one.
+func (a *Admission) AssignmentVersion() int64 {
+	if a.scope.spec == nil {
+		return 0
+	}
+	return a.scope.spec.Version
+}
+
+// TenantOf returns the index in the specification of the tenant that a request belongs to. There must be an assignment.
+func (a *Admission) TenantOf(event *routing.Event) int { return a.scope.tenantOf(event) }
+
+// CachesOf returns the caches that a tenant's requests go to at present; none while there is no assignment.
+func (a *Admission) CachesOf(tenant int) []string { return a.scope.cachesOf(tenant) }
+
+func (s *scope) tenantOf(event *routing.Event) int {
+	return s.assignment.tenantOf(int(event.PurgeGroup), event.Class, event.Object, event.Tenant)
+}
+
+func (s *scope) cachesOf(index int) []string {
+	if s.spec == nil || index < 0 || index >= len(s.tenants) {
+		return nil
+	}
+	t := &s.tenants[index]
+	return s.spec.cachesOf(t.name, s.caches, s.cells[t.cell].caches)
+}
+
+// replace puts the tenants and cells of an assignment in the place of those before. It returns the new index of each
+// tenant by its index before, or noTenant.
+func (s *scope) replace(next *Assignment) (newTenantIndex []int32) {
+	if s.recentChunks.sketch == nil {
+		s.recentChunks = newRecentChunks()
+	}
+	newTenantIndex = s.replaceTenants(next)
+	s.replaceCells(next)
+	s.assignment, s.spec = next, next.spec
+	return newTenantIndex
+}
+
+func (s *scope) replaceTenants(next *Assignment) (newIndex []int32) {
+	previous, previousTenants := s.assignment, s.tenants
+	newIndex = make([]int32, len(previousTenants))
+	for i := range newIndex {
+		newIndex[i] = noTenant
+	}
+	s.tenants = make([]tenant, len(next.spec.Tenants))
+	for i := range next.spec.Tenants {
+		spec, t := &next.spec.Tenants[i], &s.tenants[i]
+		t.name = spec.Name
+		t.weight = cmp.Or(spec.Weight, 1)
+		t.cell = next.cellAt(i, s.settings.Zone)
+		if previous == nil {
+			continue
+		}
+		if old, existed := previous.tenantByName[spec.Name]; existed {
+			newIndex[old] = int32(i)
+			t.usage = previousTenants[old].usage
+			t.missRatio = previousTenants[old].missRatio
+			t.demand = previousTenants[old].demand
+		}
+	}
+	return newIndex
+}
+
+func (s *scope) replaceCells(next *Assignment) {
+	s.cells = make([]cell, len(next.spec.Cells))
+	s.overflowCell = noCell
+	for i, spec := range next.spec.Cells {
+		s.cells[i] = cell{
+			name:      spec.Name,
+			share:     spec.Share,
+			fallback:  noCell,
+			missRatio: initialMissRatio,
+			fairShare: fairShare{limit: math.Inf(1)},
+			capacity:  migration.NewCapacityLimiter(),
+		}
+		if fallback, isNamed := next.cellByName[spec.FallbackCell]; isNamed {
+			s.cells[i].fallback = int(fallback)
+		}
+		if spec.Name == next.spec.OverflowCell {
+			s.overflowCell = i
+		}
+	}
+}
+
+func (s *scope) clear() {
+	s.assignment, s.spec = nil, nil
+	s.tenants, s.cells = nil, nil
+}
+
+// defineSubset tells the engine the servers of a subset; without servers the subset is dropped.
+func (s *shared) defineSubset(now int64, subset int, servers []string) {
+	s.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, Subset: subset, SubsetServers: servers}})
+}
+
+func (s *scope) dropTenantSubsets(now int64) {
+	for i := range s.tenants {
+		if s.tenants[i].subsetVersion != 0 {
+			s.defineSubset(now, tenantSubset(i), nil)
+		}
+	}
+}
+
+func (s *scope) dropCellSubsets(now int64, from, to int) {
+	for i := from; i < to; i++ {
+		s.defineSubset(now, cellSubset(i), nil)
+	}
+}
+
+// assignCaches tells the engine which caches each cell has. Draining caches stay in their cell until they are off the
+// list, so that cells are divided once and not twice when a cache is replaced.
+func (s *scope) assignCaches(now int64) {
+	s.caches = slices.AppendSeq(s.caches[:0], maps.Keys(s.endpoints.edgeCaches))
+	slices.Sort(s.caches)
+	s.subsetEvents = s.subsetEvents[:0]
+	for i, caches := range divideCaches(s.spec.Cells, s.caches) {
+		c := &s.cells[i]
+		if s.spec.Scheme == SchemeShuffle { // the cell's subset is all caches: each tenant has one of its own
+			caches = s.caches
+		}
+		c.hasLiveCache = slices.ContainsFunc(caches, s.endpoints.isHealthyCache)
+		if slices.Equal(c.caches, caches) && len(caches) > 0 {
+			continue
+		}
+		c.caches = slices.Clone(caches)
+		s.subsetEvents = append(s.subsetEvents, routing.Event{
+			Kind:            routing.EventSubset,
+			Subset:          cellSubset(i),
+			AccountingGroup: i + 1,
+			CapacityShare:   c.share,
+			SubsetServers:   c.caches,
+		})
+	}
+	if len(s.subsetEvents) > 0 {
+		s.engine.Step(now, s.subsetEvents)
+	}
+}
+
+// subsetOf returns the subset of caches for a tenant's requests in a cell. A tenant's own subset is drawn when first
+// needed; in other cells than its own, the tenant uses the cell's caches as they are.
+func (s *scope) subsetOf(now int64, index, inCell int) int {
+	t := &s.tenants[index]
+	hasOwnSubset := s.spec.Scheme == SchemeShuffle || s.spec.Scheme == SchemeNested
+	if !hasOwnSubset || inCell != t.cell {
+		return cellSubset(inCell)
+	}
+	if t.subsetVersion != s.endpoints.version+1 {
+		t.subsetVersion = s.endpoints.version + 1
+		s.engine.Step(now, []routing.Event{{
+			Kind:            routing.EventSubset,
+			Subset:          tenantSubset(index),
+			AccountingGroup: t.cell + 1,
+			CapacityShare:   s.cells[t.cell].share,
+			SubsetServers:   s.cachesOf(index),
+		}})
+	}
+	return tenantSubset(index)
+}
+
+// countActiveTenants counts at intervals how many tenants of each cell are active.
+func (s *scope) countActiveTenants(now int64) {
+	if now-s.activeCountedAt < activeCountInterval && s.activeCountedAt != 0 {
+		return
+	}
+	s.activeCountedAt = now
+	for i := range s.cells {
+		s.cells[i].fairShare.activeTenants = 0
+	}
+	for i := range s.tenants {
+		t := &s.tenants[i]
+		if t.isActive && now-t.usage.updatedAt > activeWithin {
+			t.isActive = false
+		}
+		if t.isActive {
+			s.cells[t.cell].fairShare.activeTenants++
+		}
+	}
+}
--- a/core/cells/spec.go
+++ b/core/cells/spec.go
@@ -1,29 +1,28 @@
-// Package cells confines tenants to cells, subsets of a depot's caches, so that what one tenant does harms only its own
-// cell. It decides which tenant a request belongs to, which caches that tenant may use in this depot, and what part
-// of the things that all cells share its cell may take.
+// Package cells decides which requests are admitted, and where they may go: it assigns each tenant of a site to a cell,
+// a subset of the site's edge caches, so that what one tenant does harms its own cell only (shuffle sharding is one of
+// the schemes). Admission is its entry point. It holds
 //
-// The guarantee: a request is sent to no cache outside its tenant's cell, but for the neighbour that the cell names for
-// the time when it has no live cache. A cell finds its share of what is shared free within Give of asking for it
-// again, whatever others had borrowed, plus the time that answers under way take to end.
+//   - the tenant that a request belongs to, by its key;
+//   - the cell's share of what all cells use together: requests, the link, parents, the origin, open requests;
+//   - migrations of tenants between cells, and the rollout of a release by cells;
+//   - the group of parents that fills go to, by the topology;
+//   - the limit on fills that may reach the origin.
+//
+// Guarantees: a request is sent to no cache outside its tenant's cell, except to the fallback cell while the own cell
+// has no healthy cache, to the overflow cell of the overflow scheme, and to the two cells of a migration. A cell gets
+// its share of a common rate back within the reclaim time of asking for it, whatever others had borrowed, plus the
+// time that answers under way take to end.
 //
 // The package does no I/O and reads no clock: times come in as microseconds of the caller's choosing, random numbers
-// from a seed. It is not safe for concurrent use.
+// from a seed. An Admission is not safe for concurrent use; an Assignment is, as it does not change.
 package cells
 
-import (
-	"errors"
-	"fmt"
-	"math"
-	"slices"
-	"strings"
-)
-
-// The schemes by which a tenant gets its caches. docs/cells.md weighs them.
+// The schemes by which a tenant gets its caches. docs/cells.md compares them.
 const (
 	SchemeFixed    = "fixed"    // every cache in one cell; a tenant uses all of its cell
-	SchemeShuffle  = "shuffle"  // Width caches for each tenant, drawn from all of the depot
+	SchemeShuffle  = "shuffle"  // Width caches for each tenant, drawn from all of the site
 	SchemeNested   = "nested"   // Width caches for each tenant, drawn from its cell
-	SchemeOverflow = "overflow" // as SchemeFixed, and one cell that takes what another has no room for
+	SchemeOverflow = "overflow" // as SchemeFixed, and one cell takes what others have no capacity for
 )
 
 // Bounds of a specification.
@@ -31,11 +30,13 @@
 	MaxCells        = 64
 	MaxTenants      = 100_000
 	MaxTenantKeys   = 200_000
-	purgeGroupCount = 256
+	purgeGroupCount = 256 // objects belong to purge groups 0 to 255
+	maxPrefixDigits = 16
+	maxBudget       = 1e12
 )
 
-// Spec says who is confined to what. It is versioned: routers that hold different versions send a tenant's requests to
-// the cells of either, and to no other.
+// Spec assigns tenants to cells, and divides what a site has among the cells. It is versioned: routers that hold
+// different versions send a tenant's requests to the cells of either version, and to no other.
 type Spec struct {
 	Version      int64       `json:"version" jsonschema:"minimum=1" jsonschema_description:"number of this assignment; a later one is greater"`
 	Scheme       string      `json:"scheme" jsonschema:"enum=fixed,enum=shuffle,enum=nested,enum=overflow"`
@@ -47,14 +48,15 @@
 	Budget       Budget      `json:"budget"`
 }
 
-// Cell is one subset of each depot's caches. Shares of all cells come to 1 at most.
+// Cell is one subset of each site's edge caches. The shares of all cells add up to 1 at most.
 type Cell struct {
 	Name         string  `json:"name"`
 	Share        float64 `json:"share" jsonschema_description:"part of a depot's caches, and of all that is shared, above 0"`
 	FallbackCell string  `json:"spill,omitempty" jsonschema_description:"cell that serves while this one has no live cache; none: refused"`
 }
 
-// Tenant has one cell in all depots, or another one in some.
+// Tenant has one cell at all sites, or another one at some. Its weight counts against those of the cell's other
+// tenants.
 type Tenant struct {
 	Name       string            `json:"name"`
 	Cell       string            `json:"cell"`
@@ -62,7 +64,7 @@
 	Weight     float64           `json:"weight,omitempty" jsonschema_description:"right to its cell against others in it; 1 if left out"`
 }
 
-// TenantKey is a line of the table that tells tenants. A field that is left out matches everything.
+// TenantKey is one entry of the list that maps requests to tenants. A field that is left out matches everything.
 type TenantKey struct {
 	PurgeGroupRange []int  `json:"families,omitempty" jsonschema_description:"first and last group of objects, 0 to 255"`
 	Class           string `json:"class,omitempty"`
@@ -71,7 +73,7 @@
 	Tenant          string `json:"tenant"`
 }
 
-// Budget is what all routers of a depot may take together of what its cells share. 0 leaves a thing unlimited.
+// Budget is what all routers of a site (of all sites, where a field says so) may use together. 0 sets no limit.
 type Budget struct {
 	RequestsPerSecond    float64 `json:"requestsPerS" jsonschema_description:"requests that all routers of a depot can handle"`
 	FillKBPerSecond      float64 `json:"fillKbPerS" jsonschema_description:"fills over the link into the depot; 0: what the settings tell of it"`
@@ -82,166 +84,3 @@
 	UncacheablePerSecond float64 `json:"writesPerS" jsonschema_description:"requests of uncacheable classes, apart from all others"`
 	ReclaimMillis        float64 `json:"giveMs" jsonschema_description:"within this a share is free again for its owner; 250 if left out"`
 }
-
-// fieldError names the field, as a path from the specification, and what is wrong with it.
-func fieldError(path, format string, args ...any) error {
-	return fmt.Errorf("%s: %w", path, fmt.Errorf(format, args...))
-}
-
-// Check reports the first thing that can't be used. A specification that passes can be put in force.
-func (s *Spec) Check() error {
-	cells := map[string]int{}
-	switch {
-	case s.Version < 1:
-		return fieldError("version", "%d is under 1", s.Version)
-	case !slices.Contains([]string{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow}, s.Scheme):
-		return fieldError("scheme", "%q is none of fixed, shuffle, nested, overflow", s.Scheme)
-	case (s.Scheme == SchemeShuffle || s.Scheme == SchemeNested) != (s.Width > 0) || s.Width < 0:
-		return fieldError("width", "%d: above 0 with shuffle and nested, left out otherwise", s.Width)
-	case (s.Scheme == SchemeOverflow) != (s.OverflowCell != ""):
-		return fieldError("spare", "%q: a cell with overflow, left out otherwise", s.OverflowCell)
-	case len(s.Cells) == 0 || len(s.Cells) > MaxCells:
-		return fieldError("cells", "%d of them, 1 to %d allowed", len(s.Cells), MaxCells)
-	case len(s.Tenants) == 0 || len(s.Tenants) > MaxTenants:
-		return fieldError("tenants", "%d of them, 1 to %d allowed", len(s.Tenants), MaxTenants)
-	case len(s.TenantKeys) == 0 || len(s.TenantKeys) > MaxTenantKeys:
-		return fieldError("keys", "%d of them, 1 to %d allowed", len(s.TenantKeys), MaxTenantKeys)
-	}
-	sum := 0.0
-	for i, c := range s.Cells {
-		at := fmt.Sprintf("cells[%d]", i)
-		if c.Name == "" {
-			return fieldError(at+".name", "missing")
-		}
-		if _, twice := cells[c.Name]; twice {
-			return fieldError(at+".name", "%q is named twice", c.Name)
-		}
-		if !(c.Share > 0 && c.Share <= 1) {
-			return fieldError(at+".share", "%v is not above 0 and at most 1", c.Share)
-		}
-		cells[c.Name] = i
-		sum += c.Share
-	}
-	if sum > 1+1e-9 {
-		return fieldError("cells", "shares come to %.4g, 1 at most", sum)
-	}
-	names := make([]string, 0, len(s.Cells))
-	for _, c := range s.Cells {
-		names = append(names, c.Name)
-	}
-	known := strings.Join(names, ", ")
-	for i, c := range s.Cells {
-		if _, is := cells[c.FallbackCell]; c.FallbackCell != "" && (!is || c.FallbackCell == c.Name) {
-			return fieldError(fmt.Sprintf("cells[%d].spill", i), "%q is no other cell; cells are %s", c.FallbackCell, known)
-		}
-	}
-	if _, is := cells[s.OverflowCell]; s.OverflowCell != "" && !is {
-		return fieldError("spare", "%q is no cell; cells are %s", s.OverflowCell, known)
-	}
-	tenants := map[string]bool{}
-	for i, t := range s.Tenants {
-		at := fmt.Sprintf("tenants[%d]", i)
-		if t.Name == "" {
-			return fieldError(at+".name", "missing")
-		}
-		if tenants[t.Name] {
-			return fieldError(at+".name", "%q is named twice", t.Name)
-		}
-		tenants[t.Name] = true
-		if _, is := cells[t.Cell]; !is {
-			return fieldError(at+".cell", "%q is no cell; cells are %s", t.Cell, known)
-		}
-		for depot, c := range t.CellBySite {
-			if _, is := cells[c]; !is || depot == "" {
-				return fieldError(at+".depots["+depot+"]", "%q is no cell; cells are %s", c, known)
-			}
-		}
-		if !(t.Weight >= 0) || math.IsInf(t.Weight, 1) {
-			return fieldError(at+".weight", "%v is not above 0", t.Weight)
-		}
-	}
-	if err := s.Budget.check(); err != nil {
-		return err
-	}
-	return s.checkKeys(tenants)
-}
-
-func (b *Budget) check() error {
-	for _, f := range []struct {
-		name  string
-		value float64
-	}{{"requestsPerS", b.RequestsPerSecond}, {"fillKbPerS", b.FillKBPerSecond}, {"parentKbPerS", b.ParentKBPerSecond},
-		{"originKbPerS", b.OriginKBPerSecond}, {"originOpen", float64(b.MaxOriginFills)}, {"open", float64(b.MaxOpenRequests)}, {"writesPerS", b.UncacheablePerSecond}, {"giveMs", b.ReclaimMillis}} {
-		if !(f.value >= 0 && f.value < 1e12) {
-			return fieldError("budget."+f.name, "%v is not 0 to 1e12", f.value)
-		}
-	}
-	return nil
-}
-
-func (s *Spec) checkKeys(tenants map[string]bool) error {
-	for i, k := range s.TenantKeys {
-		at := fmt.Sprintf("keys[%d]", i)
-		if !tenants[k.Tenant] {
-			return fieldError(at+".tenant", "%q is no tenant", k.Tenant)
-		}
-		if f := k.PurgeGroupRange; f != nil && (len(f) != 2 || f[0] < 0 || f[1] >= purgeGroupCount || f[0] > f[1]) {
-			return fieldError(at+".families", "%v is not first and last, 0 to %d", f, purgeGroupCount-1)
-		}
-		if len(k.ObjectPrefix) > 16 || strings.Trim(k.ObjectPrefix, "0123456789abcdef") != "" {
-			return fieldError(at+".prefix", "%q is not up to 16 hex digits", k.ObjectPrefix)
-		}
-	}
-	last := s.TenantKeys[len(s.TenantKeys)-1]
-	if last.PurgeGroupRange != nil || last.Class != "" || last.ObjectPrefix != "" || last.DeclaredTenant != "" {
-		return fieldError(fmt.Sprintf("keys[%d]", len(s.TenantKeys)-1), "the last line names the tenant of all else, and nothing more")
-	}
-	return checkReachable(s.TenantKeys)
-}
-
-// errUnreachableKey is wrapped by the error for a line that can't match.
-var errUnreachableKey = errors.New("no request gets here: lines above match all of it")
-
-// checkReachable finds a line that earlier ones leave nothing: those whose other fields take in its own, and whose
-// families come to all of its families together.
-func checkReachable(keys []TenantKey) error {
-	type rest struct{ class, prefix, named string }
-	seen := map[rest]groupSet{} // by the fields besides: the families that lines above match
-	for i, k := range keys {
-		own := groupsBetween(0, purgeGroupCount-1)
-		if k.PurgeGroupRange != nil {
-			own = groupsBetween(k.PurgeGroupRange[0], k.PurgeGroupRange[1])
-		}
-		left := own
-		for n := 0; n <= len(k.ObjectPrefix); n++ {
-			for _, class := range [...]string{"", k.Class} {
-				for _, named := range [...]string{"", k.DeclaredTenant} {
-					taken := seen[rest{class, k.ObjectPrefix[:n], named}]
-					for w := range left {
-						left[w] &^= taken[w]
-					}
-				}
-			}
-		}
-		if left == (groupSet{}) {
-			return fmt.Errorf("keys[%d]: %w", i, errUnreachableKey)
-		}
-		at := rest{k.Class, k.ObjectPrefix, k.DeclaredTenant}
-		all := seen[at]
-		for w := range all {
-			all[w] |= own[w]
-		}
-		seen[at] = all
-	}
-	return nil
-}
-
-// groupSet has a bit for each family.
-type groupSet [purgeGroupCount / 64]uint64
-
-func groupsBetween(first, last int) (set groupSet) {
-	for f := first; f <= last; f++ {
-		set[f/64] |= 1 << (f % 64)
-	}
-	return set
-}
--- /dev/null
+++ b/core/cells/status.go
@@ -0,0 +1,92 @@
+package cells
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Stats count since the start.
+type Stats struct {
+	Admitted int64              `json:"Admitted"`
+	FellBack int64              `json:"Spilled"` // sent to the fallback cell, as the own cell had no healthy cache
+	Rejected [reasonCount]int64 `json:"Refused"` // by reason
+	Migrated int64              `json:"Moved"`   // requests of migrating tenants sent to the destination cell
+	Deferred int64              `json:"Kept"`    // and sent to the source cell, as the destination had no capacity
+}
+
+// Status is what a router can tell of its cells at one moment, for its log and for operators.
+type Status struct {
+	Version      int64         `json:"version"` // of the assignment
+	Stats        Stats         `json:"stats"`
+	Cells        []CellStatus  `json:"cells"`
+	HeavyTenants []HeavyTenant `json:"heavy"`
+	HeavyObjects []HeavyHitter `json:"objects"` // by KB requested recently
+}
+
+// CellStatus is the state of one cell.
+type CellStatus struct {
+	Name           string   `json:"name"`
+	HasLiveCache   bool     `json:"live"`
+	Caches         []string `json:"caches"`
+	OpenRequests   int      `json:"open"`
+	ActiveTenants  float64  `json:"tenants"`
+	FairShareLimit float64  `json:"level"` // usage by weight above which a tenant is rejected; 0: no limit
+}
+
+// HeavyTenant is a tenant with much recent usage.
+type HeavyTenant struct {
+	Name  string  `json:"name"`
+	Cell  string  `json:"cell"`
+	Usage float64 `json:"used"` // per second, in seconds of what this router may use of the site
+}
+
+// maxHeavyListed bounds the lists of heavy tenants and objects in a Status.
+const maxHeavyListed = 5
+
+// Status describes the cells; nil while there is no assignment.
+func (a *Admission) Status(now int64) *Status {
+	if a.scope.spec == nil {
+		return nil
+	}
+	status := &Status{
+		Version:      a.scope.spec.Version,
+		Stats:        a.Stats,
+		HeavyTenants: a.scope.heavyTenants(now),
+		HeavyObjects: a.heavyObjects.Top(maxHeavyListed),
+	}
+	for i := range a.scope.cells {
+		status.Cells = append(status.Cells, a.scope.cells[i].status())
+	}
+	return status
+}
+
+func (c *cell) status() CellStatus {
+	limit := c.fairShare.limit
+	if math.IsInf(limit, 1) {
+		limit = 0
+	}
+	return CellStatus{
+		Name:           c.name,
+		HasLiveCache:   c.hasLiveCache,
+		Caches:         slices.Clone(c.caches),
+		OpenRequests:   c.openRequests,
+		ActiveTenants:  c.fairShare.activeTenants,
+		FairShareLimit: limit,
+	}
+}
+
+// heavyTenants lists the active tenants with the greatest usage.
+func (s *scope) heavyTenants(now int64) []HeavyTenant {
+	var heavy []HeavyTenant
+	for i := range s.tenants {
+		t := &s.tenants[i]
+		if usage := t.usage.valueAt(now) / (usageTimeConstant / 1e6); t.isActive && usage > 0 {
+			heavy = append(heavy, HeavyTenant{Name: t.name, Cell: s.cells[t.cell].name, Usage: usage})
+		}
+	}
+	slices.SortFunc(heavy, func(a, b HeavyTenant) int {
+		return cmp.Or(cmp.Compare(b.Usage, a.Usage), cmp.Compare(a.Name, b.Name))
+	})
+	return heavy[:min(maxHeavyListed, len(heavy))]
+}
