--- /dev/null
+++ b/cmd/spanctl/cells_plan.go
@@ -0,0 +1,85 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+
+	"spantack/core/cells"
+	"spantack/core/cells/plan"
+)
+
+type cellsPlanCmd struct {
+	File          string   `name:"file" arg:"" help:"The features file in force: its cells, and the present cell of each tenant."`
+	Demand        []string `name:"demand" required:"" help:"Logs of routers with their lines 'demand', of which the last of each log counts, or JSON files with a list of {name, loads, worth}."`
+	MaxCellWeight float64  `name:"most-worth" help:"The greatest part of all priority weight (worth) that one cell may hold; 0: any."`
+	MaxMigrations int      `name:"most-moves" default:"-1" help:"Tenants that may change their cell; -1: any number."`
+	Seed          uint64   `name:"seed" default:"1" help:"Seed of the search."`
+}
+
+// newTenant is the current cell of a tenant that the file does not have yet.
+const newTenant = -1
+
+// Run proposes a cell for each tenant and prints those that change theirs. Even if no proposal keeps the bounds, the
+// one that comes nearest is printed, and the error returned.
+func (c *cellsPlanCmd) Run(out io.Writer) error {
+	_, spec, err := loadCellSpec(c.File)
+	if err != nil {
+		return err
+	}
+	demand, err := gatherDemand(c.Demand)
+	if err != nil {
+		return err
+	}
+	objective := plan.Objective{MaxPriorityShare: c.MaxCellWeight, MaxMigrations: c.MaxMigrations, Seed: c.Seed}
+	for _, cell := range spec.Cells {
+		objective.Shares = append(objective.Shares, cell.Share)
+	}
+	tenants := planDemand(spec, demand)
+	proposal, err := plan.Propose(tenants, objective)
+	if err != nil && !errors.Is(err, plan.ErrInfeasible) {
+		return err
+	}
+	printProposal(out, spec, tenants, proposal)
+	return err
+}
+
+// planDemand adds each tenant's current cell to its demand.
+func planDemand(spec *cells.Spec, demand []cells.TenantDemand) []plan.Demand {
+	cellIndex := map[string]int{}
+	for i, cell := range spec.Cells {
+		cellIndex[cell.Name] = i
+	}
+	currentCell := map[string]int{}
+	for _, tenant := range spec.Tenants {
+		currentCell[tenant.Name] = cellIndex[tenant.Cell]
+	}
+	var tenants []plan.Demand
+	for _, d := range demand {
+		cell, known := currentCell[d.Name]
+		if !known {
+			cell = newTenant
+		}
+		tenants = append(tenants, plan.Demand{
+			Name:           d.Name,
+			Loads:          d.Loads,
+			PriorityWeight: d.PriorityWeight,
+			CurrentCell:    cell,
+		})
+	}
+	return tenants
+}
+
+func printProposal(out io.Writer, spec *cells.Spec, tenants []plan.Demand, p plan.Plan) {
+	fmt.Fprintf(out, "worst cell %.3f of an even one, bound %.3f, %d moves, at most %.3f of the worth in one cell\n",
+		p.MaxLoad, p.MaxLoadLowerBound, p.Migrations, p.MaxPriorityShare)
+	for i, tenant := range tenants {
+		proposed := spec.Cells[p.CellByTenant[i]].Name
+		switch {
+		case tenant.CurrentCell == newTenant:
+			fmt.Fprintf(out, "%s: new, to %s\n", tenant.Name, proposed)
+		case tenant.CurrentCell != p.CellByTenant[i]:
+			fmt.Fprintf(out, "%s: from %s to %s\n", tenant.Name, spec.Cells[tenant.CurrentCell].Name, proposed)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/spanctl/check.go
@@ -0,0 +1,55 @@
+package main
+
+import (
+	"fmt"
+	"io"
+
+	"spantack/internal/features"
+	"spantack/internal/features/schema"
+)
+
+type checkCmd struct {
+	File   string `name:"file" arg:"" optional:"" help:"The features file."`
+	Schema bool   `name:"schema" help:"Prints the JSON Schema of the file instead."`
+}
+
+// Run checks the file and prints a line for each feature that is on.
+func (c *checkCmd) Run(out io.Writer) error {
+	if c.Schema {
+		text, err := schema.JSON()
+		if err != nil {
+			return err
+		}
+		_, err = out.Write(text)
+		return err
+	}
+	f, err := features.Load(c.File)
+	if err != nil {
+		return err
+	}
+	printFeatures(out, f)
+	return nil
+}
+
+func printFeatures(out io.Writer, f *features.File) {
+	if spec := f.CellSpec(); spec != nil {
+		fmt.Fprintf(out, "cells: on, version %d, %s, %d cells, %d tenants, %d keys\n",
+			spec.Version, spec.Scheme, len(spec.Cells), len(spec.Tenants), len(spec.TenantKeys))
+	} else {
+		fmt.Fprintln(out, "cells: off")
+	}
+	if document := f.ActiveMigration(); document != nil {
+		fmt.Fprintf(out, "moves: on, version %d, %d moves\n", document.Version, len(document.Migrations))
+	}
+	if release := f.ActiveRollout(); release != nil {
+		fmt.Fprintf(out, "stage: on, %s version %d, %d rings\n", release.Name, release.Version, len(release.Rings))
+	}
+	if topology := &f.Topology; topology.Enabled {
+		fmt.Fprintf(out, "shape: on, version %d, %d depots, %d areas, %d ways\n",
+			topology.Version, len(topology.Sites), len(topology.ParentGroups), len(topology.Links))
+	}
+	if limit := f.ActiveOriginLimit(); limit != nil {
+		fmt.Fprintf(out, "shield: on, %s, %v at once, %v of them kept for uncacheable requests\n",
+			limit.Algorithm, limit.MaxInFlight, limit.Reserve)
+	}
+}
--- /dev/null
+++ b/cmd/spanctl/demand.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"slices"
+
+	"spantack/core/cells"
+)
+
+// Places of the loads in a tenant's demand, all per second.
+const (
+	loadRequests = iota
+	loadKB       // of answers
+	loadFillKB   // of answers that are filled
+)
+
+// maxLoad bounds a load or weight of a demand.
+const maxLoad = 1e15
+
+// gatherDemand sums up the demand in all files by tenant.
+func gatherDemand(files []string) ([]cells.TenantDemand, error) {
+	var all []cells.TenantDemand
+	index := map[string]int{} // by tenant
+	for _, file := range files {
+		list, err := readDemand(file)
+		if err != nil {
+			return nil, err
+		}
+		for i, demand := range list {
+			if err := checkDemand(demand); err != nil {
+				return nil, fmt.Errorf("%s[%d]: %w", file, i, err)
+			}
+			at, known := index[demand.Name]
+			if !known {
+				index[demand.Name] = len(all)
+				all = append(all, demand)
+				continue
+			}
+			if len(all[at].Loads) != len(demand.Loads) {
+				return nil, fmt.Errorf("%s[%d]: %d loads of %s, %d before",
+					file, i, len(demand.Loads), demand.Name, len(all[at].Loads))
+			}
+			for r, load := range demand.Loads {
+				all[at].Loads[r] += load
+			}
+			all[at].PriorityWeight += demand.PriorityWeight
+		}
+	}
+	return all, nil
+}
+
+func checkDemand(demand cells.TenantDemand) error {
+	for _, load := range append(slices.Clone(demand.Loads), demand.PriorityWeight) {
+		if !(load >= 0 && load < maxLoad) {
+			return fmt.Errorf("%v is no load: must be 0 or more and below %v", load, maxLoad)
+		}
+	}
+	return nil
+}
+
+// readDemand reads one file: a JSON list, or a router's log, of which the last record of demand counts.
+func readDemand(file string) ([]cells.TenantDemand, error) {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("[")) {
+		var list []cells.TenantDemand
+		if err := json.Unmarshal(text, &list); err != nil {
+			return nil, fmt.Errorf("%s: %w", file, err)
+		}
+		return list, nil
+	}
+	var record struct {
+		Demand []cells.TenantDemand `json:"demand"`
+	}
+	if !lastLogRecord(text, "demand", &record) {
+		return nil, fmt.Errorf("%s: neither a list nor a log with a line 'demand'", file)
+	}
+	return record.Demand, nil
+}
+
+// lastLogRecord decodes the last record of a router's log that has a message, and reports whether there is one. Lines
+// that are no records are skipped.
+func lastLogRecord(log []byte, message string, into any) bool {
+	found := false
+	for line := range bytes.Lines(log) {
+		var record struct {
+			Message string `json:"message"`
+		}
+		if json.Unmarshal(line, &record) != nil || record.Message != message {
+			continue
+		}
+		if json.Unmarshal(line, into) == nil {
+			found = true
+		}
+	}
+	return found
+}
+
+// readLogRecord reads the last record of a router's log file that has a message, which must be there.
+func readLogRecord(file, message string, into any) error {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return err
+	}
+	if !lastLogRecord(text, message, into) {
+		return fmt.Errorf("%s: no line '%s'", file, message)
+	}
+	return nil
+}
--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -1,20 +1,23 @@
 package main
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"slices"
 	"strings"
 
+	"spantack/core/cells"
 	"spantack/core/migration"
 	"spantack/core/migration/schedule"
 )
 
 type cellsDrainCmd struct {
 	documentFlags
-	Cell           string   `name:"cell" arg:"" help:"The cell to be emptied."`
-	Targets        []string `name:"into" required:"" help:"The cells that its tenants go to: each to the one with most room left."`
+	Cell           string   `name:"cell" arg:"" help:"The cell to be drained."`
+	Targets        []string `name:"into" required:"" help:"The cells that its tenants go to: each to the one with most capacity left."`
 	Demand         []string `name:"demand" required:"" help:"Logs or lists as for plan: of all routers of one depot."`
 	Site           string   `name:"depot" default:"*" help:"The depot; * for all."`
 	CapacityKBPerS float64  `name:"bears-kb-s" required:"" help:"KB a second that all caches of the depot send at most."`
@@ -22,109 +25,177 @@
 	pace
 }
 
+// cellDrain plans the migrations of one cell's tenants.
+type cellDrain struct {
+	cmd         *cellsDrainCmd
+	spec        *cells.Spec
+	now         float64
+	demand      []cells.TenantDemand
+	cellOf      map[string]string  // by tenant, at the site
+	usedKBPerS  map[string]float64 // by cell: demand of its tenants
+	fillKBPerS  map[string]float64 // by cell: fills of its tenants
+	constraints schedule.Constraints
+	requests    map[string]schedule.Request // by tenant
+}
+
+// Run schedules a migration for each tenant of the cell and adds them to the document.
 func (c *cellsDrainCmd) Run(out io.Writer) error {
-	f, doc, err := c.loadMigration()
+	f, document, err := c.loadMigrations()
 	if err != nil {
 		return err
 	}
-	if err := c.validate(); err != nil {
+	drain, err := c.newDrain(f.CellSpec())
+	if err != nil {
 		return err
 	}
-	spec := f.CellSpec()
-	if !(c.CapacityKBPerS > 0) || !(c.OriginFraction >= 0 && c.OriginFraction <= 1) {
-		return errors.New("--bears-kb-s: above 0; --deep: 0 to 1")
-	}
-	list, err := gatherDemand(c.Demand)
+	planned, err := schedule.Plan(drain.chooseTargets(), drain.constraints)
 	if err != nil {
 		return err
 	}
-	now := c.now()
-	aim := schedule.Constraints{Site: c.Site, Start: now + millis(c.StartDelay), WarmUp: millis(c.WarmDuration), MinShift: millis(c.ShiftDuration), MaxShiftFactor: c.MaxSlowdown, Settle: millis(c.SettleDuration), Cells: map[string]schedule.CellCapacity{}, OriginFillFraction: c.OriginFraction}
-	lives, fills := map[string]float64{}, map[string]float64{}
-	home := map[string]string{}
-	for _, t := range spec.Tenants {
-		home[t.Name] = cellAtSite(&t, c.Site)
-	}
-	sum := 0.0
-	for _, d := range list {
-		if len(d.Loads) < 3 {
-			return fmt.Errorf("demand of %s: requests, KB and KB to be filled a second are needed", d.Name)
-		}
-		lives[home[d.Name]] += d.Loads[1]
-		fills[home[d.Name]] += d.Loads[2]
-		sum += d.Loads[2]
-	}
-	for _, cell := range spec.Cells {
-		room := schedule.CellCapacity{SendKbPerS: cell.Share * c.CapacityKBPerS, UsedKbPerS: lives[cell.Name]}
-		if link := spec.Budget.FillKBPerSecond; link > 0 {
-			room.FillKbPerS = max(cell.Share*link-fills[cell.Name], 1)
-		}
-		aim.Cells[cell.Name] = room
+	for _, tenant := range slices.Sorted(maps.Keys(planned.Unscheduled)) {
+		fmt.Fprintf(out, "%s stays: %s\n", tenant, planned.Unscheduled[tenant])
 	}
-	if link := spec.Budget.FillKBPerSecond; link > 0 {
-		aim.SiteFillKbPerS = max(link-sum, 1)
-	}
-	for _, name := range append(slices.Clone(c.Targets), c.Cell) {
-		if _, known := aim.Cells[name]; !known {
-			return fmt.Errorf("%q is no cell", name)
-		}
+	drain.addIdleTenants(planned)
+	if len(planned.Migrations) == 0 {
+		return fmt.Errorf("nobody moves out of %s", c.Cell)
 	}
-	var wishes []schedule.Request
-	of := map[string]schedule.Request{}
-	come := map[string]float64{}
-	for _, d := range list {
-		if home[d.Name] != c.Cell {
-			continue
-		}
-		to := slices.MaxFunc(c.Targets, func(a, b string) int {
-			left := func(cell string) float64 { return aim.Cells[cell].SendKbPerS - lives[cell] - come[cell] }
-			switch {
-			case left(a) < left(b):
-				return -1
-			case left(a) > left(b):
-				return 1
-			}
-			return strings.Compare(b, a)
-		})
-		come[to] += d.Loads[1]
-		w := migrationRequest(d.Name, c.Cell, to, d.Loads[1])
-		wishes, of[d.Name] = append(wishes, w), w
+	for _, m := range planned.Migrations {
+		document.Migrations = append(dropEnded(document.Migrations, drain.now, m.Tenant), m)
+		printMigration(out, &m, drain.now)
 	}
-	s, err := schedule.Plan(wishes, aim)
-	if err != nil {
-		return err
+	drain.printSchedule(out, planned)
+	return c.saveMigrations(out, f, document)
+}
+
+// newDrain checks the flags, reads the demand, and sets the limits of the schedule.
+func (c *cellsDrainCmd) newDrain(spec *cells.Spec) (*cellDrain, error) {
+	if err := c.validate(); err != nil {
+		return nil, err
 	}
-	for _, name := range sortedKeys(s.Unscheduled) {
-		fmt.Fprintf(out, "%s stays: %s\n", name, s.Unscheduled[name])
+	if !(c.CapacityKBPerS > 0) || !(c.OriginFraction >= 0 && c.OriginFraction <= 1) {
+		return nil, errors.New("--bears-kb-s: above 0; --deep: 0 to 1")
 	}
-	for _, t := range spec.Tenants { // who asked for nothing of late moves at the end: there is nothing to fill for it
-		if _, known := of[t.Name]; !known && home[t.Name] == c.Cell && s.Unscheduled[t.Name] == "" {
-			s.Migrations = append(s.Migrations, migration.Migration{Tenant: t.Name, Site: c.Site, From: c.Cell, To: c.Targets[0], Start: max(s.End, aim.Start), MinShift: aim.MinShift, MaxShift: aim.MaxShiftFactor * aim.MinShift, Settle: aim.Settle})
+	demand, err := gatherDemand(c.Demand)
+	if err != nil {
+		return nil, err
+	}
+	d := &cellDrain{
+		cmd:        c,
+		spec:       spec,
+		now:        c.now(),
+		demand:     demand,
+		cellOf:     map[string]string{},
+		usedKBPerS: map[string]float64{},
+		fillKBPerS: map[string]float64{},
+		requests:   map[string]schedule.Request{},
+	}
+	for _, tenant := range spec.Tenants {
+		d.cellOf[tenant.Name] = cellAtSite(&tenant, c.Site)
+	}
+	if err := d.setConstraints(); err != nil {
+		return nil, err
+	}
+	for _, cell := range append(slices.Clone(c.Targets), c.Cell) {
+		if _, known := d.constraints.Cells[cell]; !known {
+			return nil, fmt.Errorf("%q is no cell", cell)
 		}
 	}
-	if len(s.Migrations) == 0 {
-		return fmt.Errorf("nobody moves out of %s", c.Cell)
+	return d, nil
+}
+
+// setConstraints sets the limits that the schedule keeps: what cells and links have left beside the present demand.
+func (d *cellDrain) setConstraints() error {
+	siteFill := 0.0
+	for _, tenant := range d.demand {
+		if len(tenant.Loads) <= loadFillKB {
+			return fmt.Errorf("demand of %s: requests, KB and KB to be filled a second are needed", tenant.Name)
+		}
+		cell := d.cellOf[tenant.Name]
+		d.usedKBPerS[cell] += tenant.Loads[loadKB]
+		d.fillKBPerS[cell] += tenant.Loads[loadFillKB]
+		siteFill += tenant.Loads[loadFillKB]
+	}
+	d.constraints = schedule.Constraints{
+		Site:               d.cmd.Site,
+		Start:              d.now + millis(d.cmd.StartDelay),
+		WarmUp:             millis(d.cmd.WarmDuration),
+		MinShift:           millis(d.cmd.ShiftDuration),
+		MaxShiftFactor:     d.cmd.MaxSlowdown,
+		Settle:             millis(d.cmd.SettleDuration),
+		Cells:              map[string]schedule.CellCapacity{},
+		OriginFillFraction: d.cmd.OriginFraction,
+	}
+	linkKBPerS := d.spec.Budget.FillKBPerSecond // 0: no bound
+	for _, cell := range d.spec.Cells {
+		capacity := schedule.CellCapacity{
+			SendKbPerS: cell.Share * d.cmd.CapacityKBPerS,
+			UsedKbPerS: d.usedKBPerS[cell.Name],
+		}
+		if linkKBPerS > 0 {
+			capacity.FillKbPerS = max(cell.Share*linkKBPerS-d.fillKBPerS[cell.Name], 1)
+		}
+		d.constraints.Cells[cell.Name] = capacity
 	}
-	for _, m := range s.Migrations {
-		doc.Migrations = append(dropEnded(doc.Migrations, now, m.Tenant), m)
-		printMigration(out, &m, now)
+	if linkKBPerS > 0 {
+		d.constraints.SiteFillKbPerS = max(linkKBPerS-siteFill, 1)
 	}
-	fmt.Fprintf(out, "%d tenants move within %s; no plan within the limits takes less than %s\n", len(s.Migrations), formatDuration(s.End-aim.Start), formatDuration(s.LowerBound-aim.Start))
-	for _, name := range sortedKeys(s.PeakUse) {
-		fmt.Fprintf(out, "%s: %.0f%% of its limit at most\n", name, 100*s.PeakUse[name])
+	return nil
+}
+
+// chooseTargets returns a request for each of the cell's tenants with demand, to the target with most capacity left
+// after those before it.
+func (d *cellDrain) chooseTargets() []schedule.Request {
+	arriving := map[string]float64{} // KB/s by cell
+	left := func(cell string) float64 {
+		return d.constraints.Cells[cell].SendKbPerS - d.usedKBPerS[cell] - arriving[cell]
+	}
+	byCapacityLeft := func(a, b string) int {
+		return cmp.Or(cmp.Compare(left(a), left(b)), strings.Compare(b, a))
+	}
+	var requests []schedule.Request
+	for _, tenant := range d.demand {
+		if d.cellOf[tenant.Name] != d.cmd.Cell {
+			continue
+		}
+		target := slices.MaxFunc(d.cmd.Targets, byCapacityLeft)
+		arriving[target] += tenant.Loads[loadKB]
+		request := newRequest(tenant.Name, d.cmd.Cell, target, tenant.Loads[loadKB])
+		requests = append(requests, request)
+		d.requests[tenant.Name] = request
 	}
-	for _, circle := range schedule.Cycles(&migration.Document{Migrations: s.Migrations}) {
-		fmt.Fprintf(out, "go at one pace, since each needs the room of the next: %s\n", strings.Join(circle, ", "))
+	return requests
+}
+
+// addIdleTenants schedules the cell's tenants without demand after the others, to the first target: nothing is filled
+// for them.
+func (d *cellDrain) addIdleTenants(planned *schedule.Schedule) {
+	for _, tenant := range d.spec.Tenants {
+		_, hasDemand := d.requests[tenant.Name]
+		if hasDemand || d.cellOf[tenant.Name] != d.cmd.Cell || planned.Unscheduled[tenant.Name] != "" {
+			continue
+		}
+		planned.Migrations = append(planned.Migrations, migration.Migration{
+			Tenant:   tenant.Name,
+			Site:     d.cmd.Site,
+			From:     d.cmd.Cell,
+			To:       d.cmd.Targets[0],
+			Start:    max(planned.End, d.constraints.Start),
+			MinShift: d.constraints.MinShift,
+			MaxShift: d.constraints.MaxShiftFactor * d.constraints.MinShift,
+			Settle:   d.constraints.Settle,
+		})
 	}
-	printCellLoads(out, spec, s.Migrations, of)
-	return c.saveMigration(out, f, doc)
 }
 
-func sortedKeys[V any](m map[string]V) []string {
-	var names []string
-	for name := range m {
-		names = append(names, name)
+// printSchedule prints how long the migrations take, how near they come to the limits, and what cells gain and lose.
+func (d *cellDrain) printSchedule(out io.Writer, planned *schedule.Schedule) {
+	fmt.Fprintf(out, "%d tenants move within %s; no plan within the limits takes less than %s\n", len(planned.Migrations),
+		formatDuration(planned.End-d.constraints.Start), formatDuration(planned.LowerBound-d.constraints.Start))
+	for _, limit := range slices.Sorted(maps.Keys(planned.PeakUse)) {
+		fmt.Fprintf(out, "%s: %.0f%% of its limit at most\n", limit, 100*planned.PeakUse[limit])
+	}
+	for _, cycle := range schedule.Cycles(&migration.Document{Migrations: planned.Migrations}) {
+		fmt.Fprintf(out, "go at one pace, since each needs the room of the next: %s\n", strings.Join(cycle, ", "))
 	}
-	slices.Sort(names)
-	return names
+	printCellLoads(out, d.spec, planned.Migrations, d.requests)
 }
--- a/cmd/spanctl/main_test.go
+++ b/cmd/spanctl/main_test.go
@@ -4,14 +4,28 @@
 	"bytes"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 )
 
-const text = `{ cells: { enabled: true, version: %V, scheme: 'fixed', cells: [{ name: 'a', share: 0.5, spill: 'b' }, { name: 'b', share: 0.5 }],
-  tenants: [{ name: 't', cell: 'a' }, { name: 'u', cell: '%C' }], keys: [{ families: [1, 2], tenant: 'u' }, { tenant: 't' }], budget: {} } }`
+// cellsText is a features file with two cells: %V stands for the version, %C for the cell of tenant u.
+const cellsText = `{ cells: { enabled: true, version: %V, scheme: 'fixed',
+  cells: [{ name: 'a', share: 0.5, spill: 'b' }, { name: 'b', share: 0.5 }],
+  tenants: [{ name: 't', cell: 'a' }, { name: 'u', cell: '%C' }],
+  keys: [{ families: [1, 2], tenant: 'u' }, { tenant: 't' }], budget: {} } }`
 
-// folder is a new one; what is returned writes a file there and tells its path.
+// cellsFile returns cellsText with a version and a cell.
+func cellsFile(version, cell string) string {
+	return strings.NewReplacer("%V", version, "%C", cell).Replace(cellsText)
+}
+
+// withSection returns a features file with one more section, which it imports.
+func withSection(file, name, document string) string {
+	return strings.TrimSuffix(strings.TrimSpace(file), "}") + ", " + name + ": import '" + document + "' }"
+}
+
+// folder returns a function that writes a file to a new folder and returns its path.
 func folder(t *testing.T) func(name, text string) string {
 	dir := t.TempDir()
 	return func(name, text string) string {
@@ -24,13 +38,25 @@
 	}
 }
 
-// command runs one, which must print out, and fail with err or, where that is empty, not at all. It returns all that was printed.
+// commandCase is a command line, with what it must print and its error; no error if that is empty.
+type commandCase struct{ args, out, err string }
+
+// runCases runs command lines in turn. F stands for the features file.
+func runCases(t *testing.T, file string, cases []commandCase) {
+	t.Helper()
+	for _, c := range cases {
+		command(t, strings.ReplaceAll(c.args, " F", " "+file), c.out, c.err)
+	}
+}
+
+// command runs a command line, which must print out, and fail with err or, if that is empty, not at all. It returns
+// all that was printed.
 func command(t *testing.T, args, out, err string) string {
 	t.Helper()
 	var printed bytes.Buffer
 	got := run(strings.Fields(args), &printed)
 	if !strings.Contains(printed.String(), out) {
-		t.Errorf("%s: printed %q", args, printed.String())
+		t.Errorf("%s: printed %q, want %q", args, printed.String(), out)
 	}
 	if err == "" && got != nil || err != "" && (got == nil || !strings.Contains(got.Error(), err)) {
 		t.Errorf("%s: error %v, want %q", args, got, err)
@@ -38,30 +64,76 @@
 	return printed.String()
 }
 
-func TestCommands(t *testing.T) {
-	file := folder(t)
-	old := file("old.jsonnet", strings.NewReplacer("%V", "1", "%C", "a").Replace(text))
-	next := file("new.jsonnet", strings.NewReplacer("%V", "2", "%C", "b").Replace(text))
-	demand := file("demand.json", `[{"name":"t","loads":[3,1],"worth":5},{"name":"u","loads":[3,1],"worth":5},{"name":"v","loads":[0.1,0.1],"worth":1}]`)
-	log := file("n0.log", `{"level":"info","message":"serving"}`+"\n"+`{"message":"demand","demand":[{"name":"t","loads":[9,9],"worth":9}]}`+"\n"+
-		`{"message":"demand","demand":[{"name":"t","loads":[1,2],"worth":3},{"name":"u","loads":[1,2],"worth":3}]}`+"\nno JSON\n")
-	for _, c := range []struct{ args, out, err string }{
-		{"check " + old, "cells: on, version 1, fixed, 2 cells, 2 tenants, 2 keys\n", ""},
-		{"check ../../deploy/features.jsonnet", "cells: off\n", ""},
-		{"check --schema", `"cells"`, ""},
-		{"cells show " + old + " --caches c1,c2,c3", "no live cache: use b", ""},
-		{"cells explain " + old + " --family 2 --caches c1,c2", "keys[0]: tenant u, cell a; no live cache: use b; caches c", ""},
-		{"cells diff " + old + " " + next, "tenant u: from cell a to b\n", ""},
-		{"cells diff " + next + " " + old, "version 1 is not after 2\n", ""},
-		{"cells plan " + old + " --demand " + demand, "t: from a to b", ""},
-		{"cells plan " + old + " --demand " + demand + " --most-worth 0.1", "", "no assignment keeps the bound on worth"},
-		{"cells plan " + old + " --demand " + log + "," + log, "worst cell 1.000 of an even one, bound 1.000, 1 moves", ""},
-		{"cells plan " + old + " --demand " + log + "," + demand, "v: new, to b\n", ""},
-		{"cells show ../../deploy/features.jsonnet", "", "cells are off"},
-		{"check " + demand, "", "is not an object"},
-		{"cells plan " + old + " --demand " + old, "", "old.jsonnet"},
-		{"cells whatever", "", "unexpected argument"},
+// Names of commands from earlier releases select the same commands with the same arguments. A line here has all that
+// the command needs; testdata/commandlines.txt has every flag.
+func TestOldCommandNamesAreAccepted(t *testing.T) {
+	const (
+		pace    = " --in 1s --warm 2s --shift 10s --slow 2 --settle 3s"
+		drained = " --into b --demand d --bears-kb-s 9 --deep 0.1" + pace
+	)
+	for _, c := range []struct{ old, new string }{
+		{"shape show f", "topology show f"},
+		{"shape diff f g", "topology diff f g"},
+		{"shape plan f --bears a=1 --warm a=0.5", "topology plan f --bears a=1 --warm a=0.5"},
+		{"stage start f --name n --ring a --in 1s", "rollout start f --name n --ring a --in 1s"},
+		{"stage status f g", "rollout status f g"},
+		{"stage stop f --in 1s", "rollout stop f --in 1s"},
+		{"router figures r:1", "router metrics r:1"},
+		{"router evacuate r:1 r:2", "router drain r:1 r:2"},
+		{"cells moves f --status g", "cells migration f --status g"},
+		{"cells move f t --to b --hot 00,01" + pace, "cells migrate f t --to b --hot 00,01" + pace},
+		{"cells empty f a" + drained, "cells drain f a" + drained},
+		{"cells hold f t u", "cells pause f t u"},
+		{"cells back f --all", "cells rollback f --all"},
+		{"cells settle f --dry-run", "cells finalize f --dry-run"},
 	} {
-		command(t, c.args, c.out, c.err)
+		t.Run(c.old, func(t *testing.T) {
+			oldValues, oldCommand := parsed(t, c.old)
+			newValues, newCommand := parsed(t, c.new)
+			if oldCommand != newCommand || !reflect.DeepEqual(oldValues, newValues) {
+				t.Errorf("parsed as %s, %+v; the new name as %s, %+v", oldCommand, oldValues, newCommand, newValues)
+			}
+		})
+	}
+}
+
+// parsed returns the arguments of a command line, and the command that it selects.
+func parsed(t *testing.T, line string) (cli, string) {
+	t.Helper()
+	var c cli
+	parser, err := newParser(&c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, err := parser.Parse(strings.Fields(line))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c, ctx.Command()
+}
+
+// The help shows the names of commands, but not those that they had in earlier releases.
+func TestHelpHidesOldCommandNames(t *testing.T) {
+	var c cli
+	parser, err := newParser(&c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var printed bytes.Buffer
+	parser.Stdout = &printed
+	parser.Exit = func(int) {}
+	if _, err := parser.Parse([]string{"--help"}); err != nil {
+		t.Logf("after the help: %v", err) // the program has ended there
+	}
+	help := printed.String()
+	for _, name := range []string{"topology show", "rollout start", "router drain", "cells migrate"} {
+		if !strings.Contains(help, name) {
+			t.Errorf("no %s in %s", name, help)
+		}
+	}
+	for _, name := range []string{"shape", "(stage", "evacuate", "(move"} {
+		if strings.Contains(help, name) {
+			t.Errorf("%s in %s", name, help)
+		}
 	}
 }
--- /dev/null
+++ b/cmd/spanctl/migration_change.go
@@ -0,0 +1,147 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+
+	"spantack/core/cells"
+	"spantack/core/migration"
+)
+
+// migrationSelection names the migrations that a command changes.
+type migrationSelection struct {
+	documentFlags
+	Tenants []string `name:"tenants" arg:"" optional:"" help:"Tenants whose migrations are meant."`
+	All     bool     `name:"all" help:"All migrations that are not over."`
+}
+
+// changeFunc changes a migration, or returns false if it can't be changed so at this time.
+type changeFunc func(m *migration.Migration, now float64) bool
+
+// changeEach changes the selected migrations and saves them. One that can't be changed is an error if tenants are
+// named, and skipped with --all. participle says in errors what the change is.
+func (c *migrationSelection) changeEach(out io.Writer, participle string, change changeFunc) error {
+	f, document, err := c.loadMigrations()
+	if err != nil {
+		return err
+	}
+	if c.All == (len(c.Tenants) > 0) {
+		return errors.New("tenants, or --all")
+	}
+	now := c.now()
+	changed := map[string]bool{} // by tenant
+	for i := range document.Migrations {
+		m := &document.Migrations[i]
+		if !c.All && !slices.Contains(c.Tenants, m.Tenant) {
+			continue
+		}
+		if isOver(m, now) || !change(m, now) {
+			if !c.All {
+				return fmt.Errorf("%s is %s: it can't be %s", m.Tenant, m.Phase(now), participle)
+			}
+			continue
+		}
+		changed[m.Tenant] = true
+		printMigration(out, m, now)
+	}
+	for _, tenant := range c.Tenants {
+		if !changed[tenant] {
+			return fmt.Errorf("%s does not move", tenant)
+		}
+	}
+	if len(changed) == 0 {
+		return fmt.Errorf("there is no move to be %s", participle)
+	}
+	return c.saveMigrations(out, f, document)
+}
+
+type migrationPauseCmd struct{ migrationSelection }
+
+// Run pauses migrations: the share that has moved stays as it is.
+func (c *migrationPauseCmd) Run(out io.Writer) error {
+	return c.changeEach(out, "held", func(m *migration.Migration, now float64) bool {
+		if m.PausedAt > 0 || m.RollbackStarted(now) {
+			return false
+		}
+		m.PausedAt = now
+		return true
+	})
+}
+
+type migrationResumeCmd struct{ migrationSelection }
+
+// Run resumes paused migrations, which end later by the time that they were paused.
+func (c *migrationResumeCmd) Run(out io.Writer) error {
+	return c.changeEach(out, "resumed", func(m *migration.Migration, now float64) bool {
+		if m.PausedAt == 0 {
+			return false
+		}
+		*m = m.Resumed(now)
+		return true
+	})
+}
+
+type migrationRollbackCmd struct{ migrationSelection }
+
+// Run rolls migrations back to the old cells.
+func (c *migrationRollbackCmd) Run(out io.Writer) error {
+	return c.changeEach(out, "taken back", func(m *migration.Migration, now float64) bool {
+		if m.RollbackAt > 0 {
+			return false
+		}
+		m.RollbackAt = max(now, m.Start)
+		return true
+	})
+}
+
+type migrationFinalizeCmd struct{ documentFlags }
+
+// Run removes the migrations that are over from the document. One whose tenant has another cell in the assignment
+// than where the migration has ended stays, and what to set there is printed.
+func (c *migrationFinalizeCmd) Run(out io.Writer) error {
+	f, document, err := c.loadMigrations()
+	if err != nil {
+		return err
+	}
+	tenants := map[string]*cells.Tenant{}
+	for i := range f.CellSpec().Tenants {
+		tenant := &f.CellSpec().Tenants[i]
+		tenants[tenant.Name] = tenant
+	}
+	now := c.now()
+	var remaining []migration.Migration
+	unassigned := 0
+	for _, m := range document.Migrations {
+		if !isOver(&m, now) {
+			remaining = append(remaining, m)
+			continue
+		}
+		assigned, ended := cellAtSite(tenants[m.Tenant], m.Site), finalCell(&m, now)
+		if assigned != ended {
+			fmt.Fprintf(out, "%s in %s: set its cell to %s (now %s) in %s first\n", m.Tenant, m.Site, ended, assigned, c.File)
+			remaining = append(remaining, m)
+			unassigned++
+			continue
+		}
+		fmt.Fprintf(out, "%s in %s: over, left out\n", m.Tenant, m.Site)
+	}
+	if len(remaining) == len(document.Migrations) {
+		if unassigned > 0 {
+			return fmt.Errorf("%d moves are over, and the assignment does not say so yet", unassigned)
+		}
+		fmt.Fprintln(out, "no move is over")
+		return nil
+	}
+	document.Migrations = remaining
+	return c.saveMigrations(out, f, document)
+}
+
+// finalCell returns the cell that a tenant has after a migration that is over.
+func finalCell(m *migration.Migration, now float64) string {
+	if m.Phase(now) == migration.Done {
+		return m.To
+	}
+	return m.From
+}
--- /dev/null
+++ b/cmd/spanctl/rollout_status.go
@@ -0,0 +1,87 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"math"
+	"slices"
+	"strings"
+
+	"spantack/core/cells"
+	"spantack/core/rollout"
+)
+
+type rolloutStatusCmd struct {
+	documentFlags
+	Logs []string `name:"logs" arg:"" help:"Logs of routers with lines 'stage', of which the last of each counts."`
+}
+
+// ringSummary is what all routers together see of a ring.
+type ringSummary struct {
+	routersByState map[string]int
+	evidence       []float64 // by metric: logarithm of the odds that the release does harm
+}
+
+// Run prints each ring's states and evidence. Routers see different requests, so that their odds multiply: the
+// logarithms are added.
+func (c *rolloutStatusCmd) Run(out io.Writer) error {
+	_, release, err := c.loadRollout()
+	if err != nil {
+		return err
+	}
+	rings, err := c.summarize(release)
+	if err != nil {
+		return err
+	}
+	metrics := rollout.MetricNames()
+	threshold := math.Log(float64(len(metrics)) / release.TestParameters().Alpha)
+	harm := ""
+	for i, ring := range rings {
+		fmt.Fprintf(out, "ring %d, %s:", i, strings.Join(release.Rings[i].Cells, ","))
+		for _, state := range slices.Sorted(maps.Keys(ring.routersByState)) {
+			fmt.Fprintf(out, " %s at %d routers", state, ring.routersByState[state])
+		}
+		for m, evidence := range ring.evidence {
+			fmt.Fprintf(out, "; %s %.1f of %.1f", metrics[m], evidence, threshold)
+			if evidence >= threshold {
+				harm = fmt.Sprintf("ring %d does harm, by %s", i, metrics[m])
+			}
+		}
+		fmt.Fprintln(out)
+	}
+	if harm != "" {
+		fmt.Fprintf(out, "%s: spanctl stage stop %s\n", harm, c.File)
+	}
+	return nil
+}
+
+// summarize adds up what the logs tell of each ring.
+func (c *rolloutStatusCmd) summarize(release *rollout.Rollout) ([]ringSummary, error) {
+	metrics := len(rollout.MetricNames())
+	rings := make([]ringSummary, len(release.Rings))
+	for i := range rings {
+		rings[i] = ringSummary{routersByState: map[string]int{}, evidence: make([]float64, metrics)}
+	}
+	for _, file := range c.Logs {
+		var record struct {
+			Rollout cells.RolloutStatus `json:"stage"`
+		}
+		if err := readLogRecord(file, "stage", &record); err != nil {
+			return nil, err
+		}
+		status := &record.Rollout
+		if status.Name != release.Name || len(status.Rings) != len(release.Rings) {
+			return nil, fmt.Errorf("%s: tells of release %q", file, status.Name)
+		}
+		for i, ring := range status.Rings {
+			rings[i].routersByState[ring.State]++
+			for m, evidence := range ring.Evidence {
+				if m < metrics {
+					rings[i].evidence[m] += evidence
+				}
+			}
+		}
+	}
+	return rings, nil
+}
--- a/cmd/spanctl/router.go
+++ b/cmd/spanctl/router.go
@@ -11,28 +11,28 @@
 	"time"
 )
 
-// routerCmd makes the calls of routers' second addresses (docs/operation.md).
+// routerCmd makes management calls to running routers (docs/operation.md).
 type routerCmd struct {
-	Ready   routerReadyCmd   `name:"ready" cmd:"" help:"Whether routers take work."`
-	Metrics routerMetricsCmd `name:"figures" cmd:"" help:"Routers' figures, a line each."`
-	Exclude routerExcludeCmd `name:"exclude" cmd:"" help:"Takes a server out at routers, whatever the list says, until include."`
-	Include routerIncludeCmd `name:"include" cmd:"" help:"Puts a server back."`
-	Drain   routerDrainCmd   `name:"evacuate" cmd:"" help:"Empties routers; they run on."`
-	Rejoin  routerRejoinCmd  `name:"rejoin" cmd:"" help:"Puts emptied routers back to work."`
+	Ready   routerReadyCmd   `name:"ready" cmd:"" help:"Whether routers take requests."`
+	Metrics routerMetricsCmd `name:"metrics" aliases:"figures" cmd:"" help:"Routers' metrics, a line each."`
+	Exclude routerExcludeCmd `name:"exclude" cmd:"" help:"Excludes a server at routers, whatever the endpoint list says, until include."`
+	Include routerIncludeCmd `name:"include" cmd:"" help:"Ends the exclusion of a server."`
+	Drain   routerDrainCmd   `name:"drain" aliases:"evacuate" cmd:"" help:"Drains routers; they run on."`
+	Rejoin  routerRejoinCmd  `name:"rejoin" cmd:"" help:"Lets drained routers take requests again."`
 }
 
-// callTimeout bounds one call: a router owes its answer within a second.
+// callTimeout bounds one call. A router must answer within a second.
 const callTimeout = 3 * time.Second
 
-// maxResponseBytes bounds what is read of an answer.
+// maxResponseBytes bounds what is read of a response.
 const maxResponseBytes = 1 << 20
 
-// errRejected is wrapped by what a router says beside a no.
+// errRejected is wrapped by the error for a response that is not a success.
 var errRejected = errors.New("no")
 
-// routerTargets are the second addresses that a call is made at.
+// routerTargets are the routers that a call is made to.
 type routerTargets struct {
-	Routers []string `name:"routers" arg:"" help:"Second addresses of routers, host:port."`
+	Routers []string `name:"routers" arg:"" help:"Addresses of routers for management calls, host:port."`
 }
 
 type serverTarget struct {
@@ -49,56 +49,66 @@
 	routerRejoinCmd  struct{ routerTargets }
 )
 
-func (c *routerReadyCmd) Run(out io.Writer) error { return c.callAll(out, http.MethodGet, "ready") }
-func (c *routerMetricsCmd) Run(out io.Writer) error {
-	return c.callAll(out, http.MethodGet, "telemetry")
-}
+// Run asks whether the routers take requests.
+func (c *routerReadyCmd) Run(out io.Writer) error { return c.call(out, http.MethodGet, "ready") }
+
+// Run prints the routers' metrics.
+func (c *routerMetricsCmd) Run(out io.Writer) error { return c.call(out, http.MethodGet, "telemetry") }
+
+// Run excludes the server.
 func (c *routerExcludeCmd) Run(out io.Writer) error {
-	return c.callAll(out, http.MethodPut, "exclude/"+url.PathEscape(c.ID))
+	return c.call(out, http.MethodPut, "exclude/"+url.PathEscape(c.ID))
 }
+
+// Run ends the server's exclusion.
 func (c *routerIncludeCmd) Run(out io.Writer) error {
-	return c.callAll(out, http.MethodPut, "include/"+url.PathEscape(c.ID))
+	return c.call(out, http.MethodPut, "include/"+url.PathEscape(c.ID))
 }
-func (c *routerDrainCmd) Run(out io.Writer) error  { return c.callAll(out, http.MethodPut, "evacuate") }
-func (c *routerRejoinCmd) Run(out io.Writer) error { return c.callAll(out, http.MethodPut, "rejoin") }
-
-// callAll makes a call at each router, one after the other and at all of them even where some say no, and prints what each said. Its error
-// names those that said no or nothing.
-func (r *routerTargets) callAll(out io.Writer, method, name string) error {
-	var faults []error
-	for _, addr := range r.Routers {
+
+// Run drains the routers.
+func (c *routerDrainCmd) Run(out io.Writer) error { return c.call(out, http.MethodPut, "evacuate") }
+
+// Run lets the routers take requests again.
+func (c *routerRejoinCmd) Run(out io.Writer) error { return c.call(out, http.MethodPut, "rejoin") }
+
+// call calls each router in turn and prints what it responds, a line with its address for each. All are called even
+// if some fail; the error names those.
+func (t *routerTargets) call(out io.Writer, method, name string) error {
+	var failed []error
+	for _, addr := range t.Routers {
 		text, err := callRouter(addr, method, "/api/"+name)
 		if err != nil {
-			faults = append(faults, fmt.Errorf("%s: %w", addr, err))
+			failed = append(failed, fmt.Errorf("%s: %w", addr, err))
 			continue
 		}
 		for line := range strings.Lines(text) {
 			fmt.Fprintf(out, "%s %s\n", addr, strings.TrimRight(line, "\n"))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(failed...)
 }
 
+// callRouter makes one call and returns the body of a successful response. It uses no proxy and keeps no connection.
 func callRouter(addr, method, path string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
 		return "", err
 	}
-	q.Close = true                                      // one call to a connection
-	client := http.Client{Transport: &http.Transport{}} // straight to the router, past any proxy
-	a, err := client.Do(q)
+	request.Close = true
+	client := http.Client{Transport: &http.Transport{}}
+	response, err := client.Do(request)
 	if err != nil {
 		return "", err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return "", err
 	}
-	if a.StatusCode/100 != 2 {
-		return "", fmt.Errorf("%w: %d %s", errRejected, a.StatusCode, strings.TrimSpace(string(text)))
+	if response.StatusCode/100 != 2 {
+		return "", fmt.Errorf("%w: %d %s", errRejected, response.StatusCode, strings.TrimSpace(string(body)))
 	}
-	return string(text), nil
+	return string(body), nil
 }
--- a/cmd/spanctl/wire_compat_test.go
+++ b/cmd/spanctl/wire_compat_test.go
@@ -10,6 +10,19 @@
 	"github.com/alecthomas/kong"
 )
 
+// oldPath is the path to a command by the names that it had in the release that wrote the fixture: those with a new
+// name have the old one as alias.
+func oldPath(node *kong.Node) string {
+	name := node.Name
+	if len(node.Aliases) > 0 {
+		name = node.Aliases[0]
+	}
+	if node.Parent == nil {
+		return name
+	}
+	return oldPath(node.Parent) + " " + name
+}
+
 // Scripts of operators use the names of commands, arguments and flags.
 func TestStoredCommandLinesAreTakenAlike(t *testing.T) {
 	want, err := os.ReadFile("testdata/commandlines.txt")
@@ -23,7 +36,7 @@
 	}
 	var got bytes.Buffer
 	for _, node := range append(parser.Model.Leaves(false), parser.Model.Node) {
-		fmt.Fprint(&got, node.FullPath())
+		fmt.Fprint(&got, oldPath(node))
 		for _, arg := range node.Positional {
 			fmt.Fprintf(&got, " <%s>", arg.Name)
 		}
