--- /dev/null
+++ b/internal/router/counters.go
@@ -0,0 +1,112 @@
+package router
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"sync/atomic"
+
+	"spantack/routing"
+)
+
+// Counters count, since the start of the process, the requests that Serve was given, the attempts and the responses.
+type Counters struct {
+	Accepted atomic.Int64 // requests that Serve was given
+	Attempts atomic.Int64 // attempts that were sent
+
+	// The ends of requests, by outcome.
+	Served   atomic.Int64
+	Rejected atomic.Int64
+	Failed   atomic.Int64
+	Departed atomic.Int64 // NoResponse: the client had left
+
+	Overdue atomic.Int64 // requests that the module left without a response; each is in Failed too
+	Faults  atomic.Int64 // panics of the module, and actions that no request waited for
+}
+
+// countOutcome counts the end of a request.
+func (c *Counters) countOutcome(outcome Outcome) {
+	switch outcome {
+	case NoResponse:
+		c.Departed.Add(1)
+	case Served:
+		c.Served.Add(1)
+	case Rejected:
+		c.Rejected.Add(1)
+	case Failed:
+		c.Failed.Add(1)
+	}
+}
+
+// ClassCounters count the ends of requests of one class since the start of the process.
+type ClassCounters struct {
+	Class    string
+	Served   atomic.Int64
+	Rejected atomic.Int64
+	Failed   atomic.Int64
+}
+
+// maxCountedClasses bounds the classes that are counted, for each reload may bring new ones.
+const maxCountedClasses = 256
+
+// resizeClassCounters makes counters for each class of the settings. Those of dropped classes are kept, for counts
+// start with the process, unless there would be more than maxCountedClasses.
+func (r *Router) resizeClassCounters(set routing.Settings) {
+	var old map[string]*ClassCounters
+	if counters := r.classCounters.Load(); counters != nil {
+		old = *counters
+	}
+	next := map[string]*ClassCounters{}
+	if len(old)+len(set.Classes) <= maxCountedClasses {
+		maps.Copy(next, old)
+	}
+	for _, class := range set.Classes {
+		if old[class.Name] != nil {
+			next[class.Name] = old[class.Name]
+		} else if next[class.Name] == nil {
+			next[class.Name] = &ClassCounters{Class: class.Name}
+		}
+	}
+	r.classCounters.Store(&next)
+}
+
+// countOutcome counts the end of a request by class and outcome. One whose client left or whose class is unknown is
+// not counted.
+func (r *Router) countOutcome(class string, outcome Outcome) {
+	counters := (*r.classCounters.Load())[class]
+	if counters == nil {
+		return
+	}
+	switch outcome {
+	case Served:
+		counters.Served.Add(1)
+	case Rejected:
+		counters.Rejected.Add(1)
+	case Failed:
+		counters.Failed.Add(1)
+	}
+}
+
+// CountRejected counts a request that the front rejected before Serve because its queue was full.
+func (r *Router) CountRejected(class string) { r.countOutcome(class, Rejected) }
+
+// CountersByClass returns the counters of all classes, ordered by name.
+func (r *Router) CountersByClass() []*ClassCounters {
+	byName := func(a, b *ClassCounters) int { return cmp.Compare(a.Class, b.Class) }
+	return slices.SortedFunc(maps.Values(*r.classCounters.Load()), byName)
+}
+
+// OpenRequests returns the number of requests that Serve was given and that have not ended.
+func (r *Router) OpenRequests() int64 {
+	c := &r.Counters
+	ended := c.Served.Load() + c.Rejected.Load() + c.Failed.Load() + c.Departed.Load()
+	return max(c.Accepted.Load()-ended, 0) // read after ended, so that requests that arrive meanwhile count as open
+}
+
+// CacheCounts returns how many edge caches are listed, including other sites', and how many of them get nothing
+// from this router: excluded by hand, or with an open circuit breaker.
+func (r *Router) CacheCounts() (listed, off int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.endpoints.Count(r.admission.IsEdgeCache, r.admission.EjectedCaches(r.nowMicros()))
+}
--- /dev/null
+++ b/internal/router/features.go
@@ -0,0 +1,92 @@
+package router
+
+import (
+	"errors"
+
+	"spantack/core/cells"
+	"spantack/core/hierarchy"
+	"spantack/core/migration"
+	"spantack/core/originlimit"
+	"spantack/core/rollout"
+)
+
+// Features is what a features file sets. A nil field is off.
+type Features struct {
+	Cells       *cells.Assignment
+	Migrations  *migration.Document // fits Cells
+	Rollout     *rollout.Rollout    // fits Cells
+	Topology    *hierarchy.Graph
+	OriginLimit *originlimit.Document
+}
+
+// ApplyFeatures puts features in force before it returns. No request sees a part without the others. The error is
+// that of the rollout or of the origin limit, which is then not in force.
+func (r *Router) ApplyFeatures(f Features) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.advanceLocked()
+	r.admission.SetTopology(now, f.Topology)
+	r.admission.SetAssignment(now, f.Cells)
+	r.admission.SetMigrations(now, f.Migrations)
+	rolloutErr := r.admission.SetRollout(now, f.Rollout)
+	originLimitErr := r.admission.SetOriginLimit(now, f.OriginLimit)
+	return errors.Join(rolloutErr, originLimitErr)
+}
+
+// PlanOnTick leaves the computing of plans for many parent groups to Tick, which the caller must then call
+// regularly. It is called before the first request.
+func (r *Router) PlanOnTick() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.admission.PlansInBackground = true
+}
+
+// Tick advances migrations and a rollout while no request comes, and computes a due plan for fills outside the lock.
+func (r *Router) Tick() {
+	r.mu.Lock()
+	actions := r.admission.Tick(r.advanceLocked())
+	plan := r.admission.TakePlanJob()
+	r.mu.Unlock()
+	if plan != nil {
+		plan.Run()
+		r.mu.Lock()
+		r.admission.ApplyPlanJob(plan)
+		r.mu.Unlock()
+	}
+	for _, action := range actions {
+		r.logModuleText(action)
+	}
+}
+
+// OriginLimitStatus returns the state of the origin limit; nil without one.
+func (r *Router) OriginLimitStatus() *cells.OriginLimitStatus {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.admission.OriginLimitStatus()
+}
+
+// RolloutStatus returns the progress of the rollout; nil without one.
+func (r *Router) RolloutStatus() *cells.RolloutStatus {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.admission.RolloutStatus()
+}
+
+// MigrationStatus returns the progress of this site's migrations, and the version of their document; 0 while there
+// is none.
+func (r *Router) MigrationStatus() (statuses []cells.MigrationStatus, version int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.admission.Migrations(r.nowMicros()), r.admission.MigrationsVersion()
+}
+
+// maxReportedDemands bounds the tenants whose demand CellStatus returns.
+const maxReportedDemands = 500
+
+// CellStatus returns the present state of the cells and the recent demand of tenants; nil while cells are off.
+func (r *Router) CellStatus() (*cells.Status, []cells.TenantDemand) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.nowMicros()
+	return r.admission.Status(now), r.admission.TopDemand(now, maxReportedDemands)
+}
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -3,46 +3,40 @@
 import (
 	"math"
 
-	"spantack/internal/clock"
+	"spantack/routing"
 )
 
-// minOriginFillQuota replaces a share of 0, which the module would take for no limit.
+// minOriginFillQuota replaces a quota of 0, which the module would take for no limit.
 const minOriginFillQuota = 1e-6
 
-// SetOriginFillQuota bounds the fills that ask the head office by this router's share of a limit on the whole fleet. A share of one or more is rounded down,
-// so that the sum of all shares never exceeds the limit; with a smaller share one fill goes out now and then, and the limit holds on average.
-func (r *Router) SetOriginFillQuota(share float64) {
-	if share >= 1 {
-		share = math.Floor(share)
+// SetOriginFillQuota bounds the fills that ask the origin by this router's quota of a limit on the whole fleet. A
+// quota of one or more is rounded down, so that the sum of all quotas never exceeds the limit; with a smaller one a
+// fill goes out now and then, and the limit holds on average.
+func (r *Router) SetOriginFillQuota(quota float64) {
+	if quota >= 1 {
+		quota = math.Floor(quota)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lastStepAt = max(r.lastStepAt, clock.Micros(r.clock.Now()))
-	r.admission.SetOriginFillLease(r.lastStepAt, max(share, minOriginFillQuota))
+	r.admission.SetOriginFillLease(r.advanceLocked(), max(quota, minOriginFillQuota))
 }
 
-// OriginFills returns how many fills that ask the head office are open here, and how many requests were refused since the start.
-func (r *Router) OriginFills() (open int, refused int64) {
+// OriginFills returns how many fills that ask the origin are in flight here, and how many requests were rejected
+// since the start.
+func (r *Router) OriginFills() (inFlight int, rejected int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.ConfirmedOriginFills(), r.Counters.Rejected.Load()
 }
 
-// Parents returns the listed area caches, and those of them whose breakers are open here.
-func (r *Router) Parents() (all, avoided []string) {
+// Parents returns the listed parents, and those of them whose circuit breakers are open here.
+func (r *Router) Parents() (listed, failing []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.admission.Parents(clock.Micros(r.clock.Now()))
+	return r.admission.Parents(r.nowMicros())
 }
 
-// SetEjected replaces the set of servers that the fleet's verdicts eject. Ejected servers get nothing new, like draining ones; the others are
-// readmitted. Each change is logged.
-func (r *Router) SetEjected(ids []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	rows := r.endpoints.SetEjected(ids)
-	for _, row := range rows {
-		r.log.Info().Str("server", row.Server).Bool("off", row.Status != "healthy").Msg("fleet's verdict")
-	}
-	r.applyEndpointsLocked(rows)
+// ReportOverloaded tells the module that routers of other sites find a parent overloaded.
+func (r *Router) ReportOverloaded(server string) {
+	r.step(routing.Event{Kind: routing.EventParentOverloaded, Server: server})
 }
--- /dev/null
+++ b/internal/router/harness_test.go
@@ -0,0 +1,129 @@
+package router
+
+import (
+	"context"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"spantack/internal/clock"
+	"spantack/internal/testwait"
+	"spantack/routing"
+)
+
+// fakeUpstream hands attempts to the test, which plays the servers.
+type fakeUpstream struct{ sent chan *fakeAttempt }
+
+// fakeAttempt is an attempt whose result the test gives.
+type fakeAttempt struct {
+	Attempt
+	result   chan AttemptResult
+	canceled chan struct{} // gets a value for each Cancel
+}
+
+func (u *fakeUpstream) Send(a Attempt) PendingAttempt {
+	attempt := &fakeAttempt{Attempt: a, result: make(chan AttemptResult, 1), canceled: make(chan struct{}, 1)}
+	u.sent <- attempt
+	return attempt
+}
+
+func (a *fakeAttempt) Done() <-chan AttemptResult { return a.result }
+
+func (a *fakeAttempt) Cancel(bool) { a.canceled <- struct{}{} }
+
+// testRouter is a router with a server of each kind that is asked for, and a clock that the test moves.
+type testRouter struct {
+	*Router
+	t         testing.TB
+	clock     *clock.Clock
+	upstream  *fakeUpstream
+	cancel    context.CancelFunc // the client of the last startRequest leaves
+	responses chan Response      // of requests by startRequest
+}
+
+// testSettings are those of a site with edge caches, parents and an origin.
+func testSettings() routing.Settings {
+	return routing.Settings{
+		Classes: []routing.Class{{
+			Name: "page", Deadline: 3_000_000, LatencyObjective: 400_000, ObjectiveSizeFactor: 2, PriorityWeight: 1,
+			Idempotency: routing.IdempotentRead, DeduplicationScope: "all",
+		}},
+		Hierarchy: routing.CacheHierarchy{
+			OriginKind: 2, ParentKind: 1, FreshnessLifetime: []int64{20_000_000}, StaleGracePeriod: []int64{10_000_000},
+			CacheStatusReporting: routing.CacheStatusReported, ResponseKBPerSecond: 2000, PurgePropagationTime: 6_000_000,
+			AllowsDirectFetch: true,
+		},
+		Kinds:       []string{"box", "parent", "origin"},
+		Permissions: routing.Permissions{MayCancel: true, MaxAttempts: 8, MaxRetryAfter: 1_000_000},
+		Zone:        "east",
+		Zones:       []string{"east", "hub"},
+	}
+}
+
+// newTestRouter returns a router that knows one server of each of these kinds, "box-1" of kind "box".
+func newTestRouter(t testing.TB, kinds ...string) *testRouter {
+	t.Helper()
+	r := &testRouter{
+		t:         t,
+		clock:     clock.NewFake(1_764_576_000_000),
+		upstream:  &fakeUpstream{make(chan *fakeAttempt, 1)},
+		responses: make(chan Response, 1),
+	}
+	var err error
+	if r.Router, err = New(testSettings(), 1, r.clock, r.upstream, zerolog.Nop()); err != nil {
+		t.Fatal(err)
+	}
+	list := WatchEvent{IsSnapshot: true}
+	for _, kind := range kinds {
+		list.Servers = append(list.Servers, Server{ID: kind + "-1", Zone: "east", Kind: kind, Status: "healthy", Weight: 4})
+	}
+	r.Apply(list)
+	return r
+}
+
+// pageRequest is a request of a client that waits 1,500 ms from now on.
+func (r *testRouter) pageRequest(id string) Request {
+	return Request{
+		ID: id, Class: "page", Object: "front", SizeKB: 100, ClientTimeout: 1500, ArrivedAt: r.clock.Now(),
+	}
+}
+
+// startRequest serves a request in a goroutine; nextResponse returns what comes of it.
+func (r *testRouter) startRequest(id string) {
+	ctx, cancel := context.WithCancel(r.t.Context())
+	r.cancel = cancel
+	go func() { r.responses <- r.Serve(ctx, r.pageRequest(id)) }()
+}
+
+// nextAttempt returns the next attempt that the router sends.
+func (r *testRouter) nextAttempt() *fakeAttempt {
+	r.t.Helper()
+	return testwait.Receive(r.t, r.upstream.sent, "an attempt")
+}
+
+// nextResponse returns the next final response.
+func (r *testRouter) nextResponse() Response {
+	r.t.Helper()
+	return testwait.Receive(r.t, r.responses, "a final response")
+}
+
+// awaitCancel returns once the router has canceled an attempt.
+func (r *testRouter) awaitCancel(a *fakeAttempt) {
+	r.t.Helper()
+	testwait.Receive(r.t, a.canceled, "an attempt to be canceled")
+}
+
+// openMailboxes is how many requests are open.
+func (r *testRouter) openMailboxes() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.mailboxes)
+}
+
+// checkNoneOpen checks that all requests have ended on the router's side too.
+func (r *testRouter) checkNoneOpen() {
+	r.t.Helper()
+	if n := r.openMailboxes(); n != 0 {
+		r.t.Errorf("%d mailboxes left", n)
+	}
+}
--- /dev/null
+++ b/internal/router/serve_test.go
@@ -0,0 +1,186 @@
+package router
+
+import (
+	"fmt"
+	"testing"
+
+	"spantack/internal/testwait"
+	"spantack/routing"
+)
+
+// A request is sent to an edge cache, with the parent that fills a miss, and the cache's response is the client's.
+func TestServed(t *testing.T) {
+	r := newTestRouter(t, "box", "parent", "origin")
+	r.startRequest("r1")
+	attempt := r.nextAttempt()
+	if attempt.Server != "box-1" || attempt.Source != "parent-1" || attempt.RetentionRank != 1 ||
+		attempt.MaxAge > 20_000 || attempt.MaxAge < 16_000 || attempt.Timeout != 1475 {
+		t.Errorf("first attempt %+v", attempt.Attempt)
+	}
+	attempt.result <- AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 2, Body: []byte("bytes")}
+	if got := r.nextResponse(); got.Outcome != Served || string(got.Body) != "bytes" {
+		t.Errorf("response %+v", got)
+	}
+}
+
+// After a failed fill the same cache is asked for a stale copy within the grace period, with no fill; a miss there
+// with no source left ends in a rejection that says when to come back.
+func TestStaleCopyThenRejection(t *testing.T) {
+	r := newTestRouter(t, "box", "parent", "origin")
+	r.startRequest("r1")
+	failedFill := AttemptResult{
+		Outcome: routing.OutcomeError, CacheStatus: int(routing.SourceUnreachable), SourceWait: 300,
+	}
+	r.nextAttempt().result <- failedFill
+	stale := r.nextAttempt()
+	if stale.Server != "box-1" || stale.Source != "" || stale.MaxAge != 30_000 {
+		t.Errorf("attempt for a stale copy %+v", stale.Attempt)
+	}
+	stale.result <- AttemptResult{Outcome: routing.OutcomeMiss}
+	origin := r.nextAttempt()
+	origin.result <- AttemptResult{Outcome: routing.OutcomeRejected, CacheStatus: int(routing.SourceRejected)}
+	r.nextAttempt().result <- AttemptResult{Outcome: routing.OutcomeMiss}
+	if got := r.nextResponse(); got.Outcome != Rejected || got.RetryAfter <= 0 || got.RetryAfter > 1000 {
+		t.Errorf("response %+v", got)
+	}
+	if n := r.Counters.Attempts.Load(); n != 4 {
+		t.Errorf("%d attempts", n)
+	}
+}
+
+// An attempt that brings nothing is canceled before the client's time is over, and the request still gets its response.
+func TestDeadline(t *testing.T) {
+	r := newTestRouter(t, "box", "origin")
+	r.startRequest("r1")
+	attempt := r.nextAttempt()
+	r.clock.Advance(1475)
+	r.awaitCancel(attempt)
+	if got := r.nextResponse(); got.Outcome != Rejected {
+		t.Errorf("response %+v", got)
+	}
+	r.checkNoneOpen()
+}
+
+// A client that left is owed no response, and what was in flight for it is canceled.
+func TestClientDeparts(t *testing.T) {
+	r := newTestRouter(t, "box", "origin")
+	r.startRequest("r1")
+	attempt := r.nextAttempt()
+	r.cancel()
+	r.awaitCancel(attempt)
+	if got := r.nextResponse(); got.Outcome != NoResponse || r.Counters.Departed.Load() != 1 {
+		t.Errorf("response %+v", got)
+	}
+}
+
+// A fault in the module costs neither the process nor the one response.
+func TestModulePanics(t *testing.T) {
+	r := newTestRouter(t, "box", "origin")
+	r.admission = nil // panics at any event
+	advanced := make(chan struct{})
+	go func() {
+		defer close(advanced)
+		for r.Counters.Faults.Load() == 0 {
+			r.clock.Advance(0)
+		}
+		r.clock.Advance(2000)
+	}()
+	r.startRequest("r1")
+	if got := r.nextResponse(); got.Outcome != Failed || r.Counters.Overdue.Load() != 1 {
+		t.Errorf("response %+v", got)
+	}
+	testwait.Receive(t, advanced, "the clock's goroutine to end")
+}
+
+// Two open requests of one id would get each other's responses.
+func TestDuplicateID(t *testing.T) {
+	r := newTestRouter(t, "box", "origin")
+	r.startRequest("r1")
+	attempt := r.nextAttempt()
+	second := Request{ID: "r1", Class: "page", ClientTimeout: 1000, ArrivedAt: r.clock.Now()}
+	if got := r.Serve(t.Context(), second); got.Outcome != Failed {
+		t.Errorf("the second got %+v", got)
+	}
+	attempt.result <- AttemptResult{Outcome: routing.OutcomeServed, NotModified: true}
+	if got := r.nextResponse(); got.Outcome != Served || !got.NotModified {
+		t.Errorf("the first got %+v", got)
+	}
+}
+
+// Shortly before SIGKILL what is open gets its response and is canceled at its server: left open, it would be lost.
+func TestClose(t *testing.T) {
+	r := newTestRouter(t, "box", "origin")
+	r.startRequest("r1")
+	attempt := r.nextAttempt()
+	r.Close()
+	r.awaitCancel(attempt)
+	if got := r.nextResponse(); got.Outcome != Failed {
+		t.Errorf("response %+v", got)
+	}
+	r.checkNoneOpen()
+}
+
+// Of a short time little is reserved: with 25 ms of 60 reserved, clients in a hurry were rejected what a hit would
+// have brought in time.
+func TestMarginOfShortTime(t *testing.T) {
+	r := newTestRouter(t, "box", "origin")
+	for clientTimeout, want := range map[float64]float64{1500: 1475, 60: 54, 20: 15} {
+		request := r.pageRequest("r")
+		request.ClientTimeout = clientTimeout
+		go r.Serve(t.Context(), request)
+		attempt := r.nextAttempt()
+		if attempt.Timeout != want {
+			t.Errorf("of %v ms the attempt got %v, want %v", clientTimeout, attempt.Timeout, want)
+		}
+		attempt.result <- AttemptResult{Outcome: routing.OutcomeServed}
+		testwait.Until(t, "the end of the request", func() bool { // the next one has the same id
+			return r.openMailboxes() == 0
+		})
+	}
+}
+
+// The module ends a request while an attempt is in flight: the attempt is canceled.
+func TestModuleEndsRequestWithAttemptInFlight(t *testing.T) {
+	for _, kind := range []routing.ActionKind{routing.ActionReject, routing.ActionFail} {
+		t.Run(fmt.Sprint(kind), func(t *testing.T) {
+			r := newTestRouter(t, "box", "origin")
+			r.startRequest("r1")
+			attempt := r.nextAttempt()
+			r.mu.Lock()
+			r.mailboxes["r1"] <- routing.Action{Kind: kind, RequestID: "r1"}
+			r.mu.Unlock()
+			r.nextResponse()
+			select {
+			case <-attempt.canceled:
+			default:
+				t.Error("the attempt was left in flight")
+			}
+		})
+	}
+}
+
+// New settings require keys of a class after the front has read a request of it by the old ones: it is not sent
+// without one.
+func TestClassRequiresKeysOnceRead(t *testing.T) {
+	r := newTestRouter(t, "box", "parent", "origin")
+	err := r.UpdateSettings(routing.Settings{
+		Classes: []routing.Class{{
+			Name: "page", Deadline: 3_000_000, Idempotency: routing.IdempotentKey, DeduplicationScope: "all",
+			DeduplicationWindow: 2_000_000,
+		}},
+		Permissions: routing.Permissions{MaxAttempts: 8},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.startRequest("r1")
+	select {
+	case got := <-r.responses:
+		if got.Outcome != Failed {
+			t.Errorf("outcome %v", got.Outcome)
+		}
+		r.checkNoneOpen()
+	case attempt := <-r.upstream.sent:
+		t.Errorf("sent to %s without a key", attempt.Server)
+	}
+}
