--- a/core/scheduler/wheel_test.go
+++ b/core/scheduler/wheel_test.go
@@ -9,100 +9,106 @@
 	"unsafe"
 
 	"pgregory.net/rapid"
-
-	"spantack/internal/testseed"
 )
 
-func TestMain(m *testing.M) { testseed.Main(m) }
-
-// plain is a heap of timers: what the wheel must agree with, and is measured against.
-type plain struct {
-	list []*entry
-	seq  uint64
+// timerHeap is a heap of timers: what the wheel must agree with, and is measured against.
+type timerHeap struct {
+	entries []*heapEntry
+	lastSeq uint64
 }
 
-type entry struct {
+type heapEntry struct {
 	due     int64
 	seq     uint64
 	payload uint64
-	at      int
+	index   int // -1: fired or cancelled
 }
 
-func (p *plain) Len() int { return len(p.list) }
-func (p *plain) Less(i, j int) bool {
-	return p.list[i].due < p.list[j].due || p.list[i].due == p.list[j].due && p.list[i].seq < p.list[j].seq
+func (h *timerHeap) Len() int { return len(h.entries) }
+
+func (h *timerHeap) Less(i, j int) bool {
+	a, b := h.entries[i], h.entries[j]
+	return a.due < b.due || a.due == b.due && a.seq < b.seq
 }
-func (p *plain) Swap(i, j int) {
-	p.list[i], p.list[j] = p.list[j], p.list[i]
-	p.list[i].at, p.list[j].at = i, j
+
+func (h *timerHeap) Swap(i, j int) {
+	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
+	h.entries[i].index = i
+	h.entries[j].index = j
 }
-func (p *plain) Push(x any) {
-	e := x.(*entry)
-	e.at = len(p.list)
-	p.list = append(p.list, e)
+
+func (h *timerHeap) Push(x any) {
+	e := x.(*heapEntry)
+	e.index = len(h.entries)
+	h.entries = append(h.entries, e)
 }
-func (p *plain) Pop() any {
-	n := len(p.list) - 1
-	e := p.list[n]
-	p.list = p.list[:n]
-	e.at = -1
+
+func (h *timerHeap) Pop() any {
+	last := len(h.entries) - 1
+	e := h.entries[last]
+	h.entries = h.entries[:last]
+	e.index = -1
 	return e
 }
 
-func (p *plain) add(due int64, payload uint64) *entry {
-	p.seq++
-	e := &entry{due: due, seq: p.seq, payload: payload}
-	heap.Push(p, e)
+func (h *timerHeap) add(due int64, payload uint64) *heapEntry {
+	h.lastSeq++
+	e := &heapEntry{due: due, seq: h.lastSeq, payload: payload}
+	heap.Push(h, e)
 	return e
 }
 
-func (p *plain) cancel(e *entry) bool {
-	if e.at < 0 {
+func (h *timerHeap) cancel(e *heapEntry) bool {
+	if e.index < 0 {
 		return false
 	}
-	heap.Remove(p, e.at)
-	e.at = -1
+	heap.Remove(h, e.index)
+	e.index = -1
 	return true
 }
 
+// advance calls fire for each timer that is due.
+func (h *timerHeap) advance(now int64, fire func(payload uint64, due int64)) {
+	for h.Len() > 0 && h.entries[0].due <= now {
+		e := heap.Pop(h).(*heapEntry)
+		fire(e.payload, e.due)
+	}
+}
+
 // A wheel does what a heap does, for timers near and years away, cancelled and set while others fire.
 func TestWheelAgreesWithAHeap(t *testing.T) {
+	type pair struct {
+		handle Handle
+		entry  *heapEntry
+	}
+	distances := []int64{1, 63, 64, 65, 4095, 4096, 1 << 20, 1 << 31, 1 << 43, 1 << 50}
 	rapid.Check(t, func(t *rapid.T) {
-		start := rapid.Int64Range(0, 1<<45).Draw(t, "start")
-		w, p := NewWheel(start, 1), &plain{}
-		now := start
-		type pair struct {
-			h Handle
-			e *entry
-		}
-		var all []pair
-		far := []int64{1, 63, 64, 65, 4095, 4096, 1 << 20, 1 << 31, 1 << 43, 1 << 50}
+		now := rapid.Int64Range(0, 1<<45).Draw(t, "start")
+		w, h := NewWheel(now, 1), &timerHeap{}
+		var pairs []pair
 		var fired, want []string
 		for i := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				due := now + rapid.Int64Range(-5, rapid.SampledFrom(far).Draw(t, "far")).Draw(t, "in")
-				all = append(all, pair{w.Add(due, uint64(i)), p.add(due, uint64(i))})
+				due := now + rapid.Int64Range(-5, rapid.SampledFrom(distances).Draw(t, "far")).Draw(t, "in")
+				pairs = append(pairs, pair{w.Add(due, uint64(i)), h.add(due, uint64(i))})
 			case 2:
-				if len(all) > 0 {
-					x := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
-					if got, want := w.Cancel(x.h), p.cancel(x.e); got != want {
-						t.Fatalf("cancel says %v, the heap %v", got, want)
+				if len(pairs) > 0 {
+					x := pairs[rapid.IntRange(0, len(pairs)-1).Draw(t, "which")]
+					if got, want := w.Cancel(x.handle), h.cancel(x.entry); got != want {
+						t.Fatalf("the wheel cancels %v, the heap %v", got, want)
 					}
 				}
 			default:
-				now += rapid.Int64Range(1, rapid.SampledFrom(far).Draw(t, "by")).Draw(t, "on")
-				if next := w.Next(); p.Len() > 0 && next > max(p.list[0].due, w.currentTick+1) {
-					t.Fatalf("Next %d, a timer is due at %d", next, p.list[0].due)
+				now += rapid.Int64Range(1, rapid.SampledFrom(distances).Draw(t, "by")).Draw(t, "on")
+				if next := w.Next(); h.Len() > 0 && next > max(h.entries[0].due, w.currentTick+1) {
+					t.Fatalf("Next %d, a timer is due at %d", next, h.entries[0].due)
 				}
 				w.Advance(now, func(payload uint64, due int64) { fired = append(fired, fmt.Sprint(payload, "@", due)) })
-				for p.Len() > 0 && p.list[0].due <= now {
-					e := heap.Pop(p).(*entry)
-					want = append(want, fmt.Sprint(e.payload, "@", e.due))
-				}
+				h.advance(now, func(payload uint64, due int64) { want = append(want, fmt.Sprint(payload, "@", due)) })
 			}
-			if w.Len() != p.Len() {
-				t.Fatalf("%d wait, %d in the heap", w.Len(), p.Len())
+			if w.count != h.Len() {
+				t.Fatalf("%d timers in the wheel, %d in the heap", w.count, h.Len())
 			}
 		}
 		if fmt.Sprint(fired) != fmt.Sprint(want) {
@@ -126,8 +132,8 @@
 		})
 	}
 	w.Advance(now+5_000_000+1000, func(uint64, int64) {})
-	if w.Len() != 0 || w.Next() != math.MaxInt64 {
-		t.Errorf("%d left", w.Len())
+	if w.count != 0 || w.Next() != math.MaxInt64 {
+		t.Errorf("%d left", w.count)
 	}
 }
 
@@ -146,8 +152,8 @@
 			}
 		}
 	})
-	if fmt.Sprint(order) != "[1 3]" || w.Len() != 0 {
-		t.Errorf("fired %v, %d left", order, w.Len())
+	if fmt.Sprint(order) != "[1 3]" || w.count != 0 {
+		t.Errorf("fired %v, %d left", order, w.count)
 	}
 }
 
@@ -162,29 +168,28 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				h := w.Add(now+int64(rng.IntN(3_000_000)), 0)
+				handle := w.Add(now+int64(rng.IntN(3_000_000)), 0)
 				w.Add(now+int64(rng.IntN(60_000_000)), 0)
-				w.Cancel(h)
+				w.Cancel(handle)
 				now += int64(60_000_000 / n)
 				w.Advance(now, func(uint64, int64) {})
 			}
-			b.ReportMetric(float64(cap(w.timers))*float64(unsafe.Sizeof(timer{}))/float64(n), "B/timer")
+			bytes := float64(cap(w.timers)) * float64(unsafe.Sizeof(timer{}))
+			b.ReportMetric(bytes/float64(n), "B/timer")
 		})
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			p, now := &plain{}, int64(0)
+			h, now := &timerHeap{}, int64(0)
 			for range n {
-				p.add(int64(rng.IntN(60_000_000)), 0)
+				h.add(int64(rng.IntN(60_000_000)), 0)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				e := p.add(now+int64(rng.IntN(3_000_000)), 0)
-				p.add(now+int64(rng.IntN(60_000_000)), 0)
-				p.cancel(e)
+				entry := h.add(now+int64(rng.IntN(3_000_000)), 0)
+				h.add(now+int64(rng.IntN(60_000_000)), 0)
+				h.cancel(entry)
 				now += int64(60_000_000 / n)
-				for p.Len() > 0 && p.list[0].due <= now {
-					heap.Pop(p)
-				}
+				h.advance(now, func(uint64, int64) {})
 			}
 		})
 	}
