--- a/core/fleet/datagram.go
+++ b/core/fleet/datagram.go
@@ -9,37 +9,44 @@
 	"spantack/core/lease"
 )
 
-// A datagram, numbers big-endian. The head is that of core/peers, so that routers of the version before drop ours as of an unknown kind, and
-// theirs are told from ours by the kind:
+// A datagram, numbers big-endian. Its header is that of core/gossip, so that routers which know only those
+// datagrams drop ours as of an unknown kind, and theirs are told from ours by the kind:
 //
-//	version:1 kind:1 rank:2 depot:2 incarnation:4 sequence:4 op:1 body updates
+//	version:1 kind:1 rank:2 site:2 incarnation:4 sequence:4 message kind:1 body updates
 //
-//	ping          target:2 token:4 limit:1 holder:2   a probe, with the known holder of a limit; 65535: none
-//	ack           target:2 token:4 limit:1 holder:2   its answer
-//	indirectPingMessage   target:2 token:4 limit:1 holder:2   probe it for me
-//	leaseRequestMessage  limit:1 want:4 stamp:4 of:4   what is wanted, and a vote for the receiver: its stamp echoed, and its incarnation
-//	leaseGrantMessage    limit:1 amount:4 term:4 stamp:4 asked:4
-//	treeRequestMessage   limit:1 level:1 want:4 number:4 weight:2                   messages of core/lease
-//	treeGrantMessage     limit:1 level:1 amount:4 term:4 number:4 holder:2
-//	treeVoteMessage      limit:1 stamp:4 of:4
-//	treeVoteAckMessage   limit:1 stamp:4 elected:1
-//	report        server:4 condition:1   what the sender's depot observes of a server
+// The bodies, by the kind of the message:
 //
-// An update is rank:2 incarnation:4 refuted:2 state:1; as many follow as there is room for.
+//	ping            target:2 token:4 limit:1 holder:2      a probe, with the known holder of a limit; 65535: none
+//	ack             target:2 token:4 limit:1 holder:2      its answer
+//	indirect ping   target:2 token:4 limit:1 holder:2      asks the receiver to probe the target
+//	lease request   limit:1 amount:4 stamp:4 candidate incarnation:4      what is wanted, and a vote for the receiver
+//	lease grant     limit:1 amount:4 term:4 stamp:4 request sequence:4
+//	health report   server:4 condition:1                   what the sender observes of a server
+//	tree request    limit:1 level:1 amount:4 number:4 weight:2            messages of core/lease
+//	tree grant      limit:1 level:1 amount:4 term:4 number:4 holder:2
+//	tree vote       limit:1 stamp:4 candidate incarnation:4
+//	tree vote ack   limit:1 stamp:4 elected:1
+//
+// Amounts are in units of lease.AmountUnit, terms and stamps in units of lease.TermUnit. An update is
+//
+//	rank:2 incarnation:4 refutations:2 state:1
+//
+// and as many follow the body as there is room for.
 const (
-	// MaxDatagramSize is the platform's bound in bytes. None longer is ever built.
+	// MaxDatagramSize is the platform's bound in bytes. No longer datagram is ever built.
 	MaxDatagramSize = 256
-	// DatagramKind tells a datagram of ours from one of core/peers.
+	// DatagramKind tells a datagram of this package from one of core/gossip.
 	DatagramKind = 2
 
 	datagramVersion = 1
-	headerSize      = 14
-	updateSize      = 9
+	headerSize      = 15 // bytes, the message kind included
+	updateSize      = 9  // bytes
 )
 
-// noRank is no rank.
-const noRank = 1<<16 - 1
+// wireNoRank stands on the wire for lease.NoRank.
+const wireNoRank = 1<<16 - 1
 
+// messageKind is what a message does. The values are those on the wire.
 type messageKind byte
 
 const (
@@ -53,193 +60,242 @@
 	treeGrantMessage
 	treeVoteMessage
 	treeVoteAckMessage
+
+	messageKindEnd // the first value that is no kind
 )
 
-var bodySizes = map[messageKind]int{pingMessage: 9, ackMessage: 9, indirectPingMessage: 9, leaseRequestMessage: 13, leaseGrantMessage: 17, healthReportMessage: 5, treeRequestMessage: 12, treeGrantMessage: 16, treeVoteMessage: 9,
-	treeVoteAckMessage: 6}
+// messageKinds are the names of the kinds and the sizes of their bodies.
+var messageKinds = [messageKindEnd]struct {
+	name     string
+	bodySize int // bytes
+}{
+	pingMessage:         {"ping", 9},
+	ackMessage:          {"ack", 9},
+	indirectPingMessage: {"indirect ping", 9},
+	leaseRequestMessage: {"lease request", 13},
+	leaseGrantMessage:   {"lease grant", 17},
+	healthReportMessage: {"health report", 5},
+	treeRequestMessage:  {"tree request", 12},
+	treeGrantMessage:    {"tree grant", 16},
+	treeVoteMessage:     {"tree vote", 9},
+	treeVoteAckMessage:  {"tree vote ack", 6},
+}
+
+func (k messageKind) isKnown() bool { return k > 0 && k < messageKindEnd }
+
+// bodySize is the size in bytes of the body of a message of a known kind.
+func (k messageKind) bodySize() int { return messageKinds[k].bodySize }
+
+// isOfTree reports whether the message is one of core/lease.
+func (k messageKind) isOfTree() bool { return k >= treeRequestMessage && k < messageKindEnd }
+
+// String returns the kind's name.
+func (k messageKind) String() string {
+	if !k.isKnown() {
+		return fmt.Sprintf("messageKind(%d)", byte(k))
+	}
+	return messageKinds[k].name
+}
 
 // The reasons why a datagram is dropped.
 var (
-	ErrMalformed     = errors.New("malformed datagram")
-	ErrUnknownSender = errors.New("not a router of this tier")
-	ErrStale         = errors.New("old or repeated datagram")
+	// ErrMalformed is wrapped where the bytes are no datagram of this package.
+	ErrMalformed = errors.New("malformed datagram")
+	// ErrUnknownSender is wrapped where the sender is no router of the settings, or names another rank than its
+	// address.
+	ErrUnknownSender = errors.New("not a router of this fleet")
+	// ErrStale is wrapped where the datagram was received before, or is older than what was received before.
+	ErrStale = errors.New("old or repeated datagram")
 )
 
-// update is a membership update about one router.
-type update struct {
-	rank        int
+// message is a datagram that was parsed or is to be sent. Which fields count depends on its kind.
+type message struct {
+	rank, site  int // of the sender
 	incarnation uint32
-	refutations uint16
-	state       MemberState
-}
+	sequence    uint32 // numbers the datagrams of an incarnation
+	kind        messageKind
 
-// message is a datagram read. Which fields count goes by its op.
-type message struct {
-	rank, site                                   int
-	incarnation, sequence                        uint32
-	kind                                         messageKind
-	target                                       int
-	token                                        uint32
-	limit, holder                                int
-	amount                                       float64 // wanted, or granted
-	term                                         int64   // us
-	stamp, candidateIncarnation, requestSequence uint32
-	server                                       uint32
-	condition                                    Condition
-	lease                                        lease.Message // less its incarnation, which is the head's
-	updates                                      []update
+	target int    // of a probe
+	token  uint32 // of a probe, echoed by its ack
+
+	limit  int // index of the limit that the message is about
+	holder int // of that limit, as the sender of a probe or ack knows it; lease.NoRank: none
+
+	amount               float64 // wanted, or granted
+	term                 int64   // us, of a grant
+	stamp                uint32  // of the holder, in a grant; echoed by a vote
+	candidateIncarnation uint32  // of a vote: the incarnation that sent the stamp
+	requestSequence      uint32  // of a grant: the sequence of its request
+
+	server    uint32
+	condition Condition
+
+	lease lease.Message // of a message of core/lease
+
+	updates []update
 }
 
-// unit of amounts on the wire, and of terms.
-const (
-	amountUnit = 1.0 / 1024
-	termUnit   = 1000 // us
-)
+// append writes m behind buffer, with as many of its updates as fit.
+func (m *message) append(buffer []byte) []byte {
+	order := binary.BigEndian
+	buffer = append(buffer, datagramVersion, DatagramKind)
+	buffer = order.AppendUint16(buffer, uint16(m.rank))
+	buffer = order.AppendUint16(buffer, uint16(m.site))
+	buffer = order.AppendUint32(buffer, m.incarnation)
+	buffer = order.AppendUint32(buffer, m.sequence)
+	buffer = append(buffer, byte(m.kind))
+	buffer = m.appendBody(buffer)
+	for _, u := range m.updates {
+		if len(buffer)+updateSize > MaxDatagramSize {
+			break
+		}
+		buffer = u.append(buffer)
+	}
+	return buffer
+}
 
-// append writes m behind buf, with as many of its updates as fit.
-func (m *message) append(buf []byte) []byte {
-	b := binary.BigEndian
-	buf = append(buf, datagramVersion, DatagramKind)
-	buf = b.AppendUint16(buf, uint16(m.rank))
-	buf = b.AppendUint16(buf, uint16(m.site))
-	buf = b.AppendUint32(buf, m.incarnation)
-	buf = b.AppendUint32(buf, m.sequence)
-	buf = append(buf, byte(m.kind))
+func (m *message) appendBody(buffer []byte) []byte {
+	order := binary.BigEndian
 	switch m.kind {
 	case pingMessage, ackMessage, indirectPingMessage:
-		buf = b.AppendUint16(buf, uint16(m.target))
-		buf = b.AppendUint32(buf, m.token)
-		buf = b.AppendUint16(append(buf, byte(m.limit)), uint16(m.holder))
+		buffer = order.AppendUint16(buffer, uint16(m.target))
+		buffer = order.AppendUint32(buffer, m.token)
+		buffer = append(buffer, byte(m.limit))
+		buffer = order.AppendUint16(buffer, uint16(m.holder))
 	case leaseRequestMessage:
-		buf = append(buf, byte(m.limit))
-		buf = b.AppendUint32(buf, wireUnits(m.amount, true))
-		buf = b.AppendUint32(buf, m.stamp)
-		buf = b.AppendUint32(buf, m.candidateIncarnation)
+		buffer = append(buffer, byte(m.limit))
+		buffer = order.AppendUint32(buffer, amountUp(m.amount))
+		buffer = order.AppendUint32(buffer, m.stamp)
+		buffer = order.AppendUint32(buffer, m.candidateIncarnation)
 	case leaseGrantMessage:
-		buf = append(buf, byte(m.limit))
-		buf = b.AppendUint32(buf, wireUnits(m.amount, false))
-		buf = b.AppendUint32(buf, uint32(m.term/termUnit))
-		buf = b.AppendUint32(buf, m.stamp)
-		buf = b.AppendUint32(buf, m.requestSequence)
-	case treeRequestMessage, treeGrantMessage, treeVoteMessage, treeVoteAckMessage:
-		buf = m.appendTree(buf)
+		buffer = append(buffer, byte(m.limit))
+		buffer = order.AppendUint32(buffer, amountDown(m.amount))
+		buffer = order.AppendUint32(buffer, uint32(m.term/lease.TermUnit))
+		buffer = order.AppendUint32(buffer, m.stamp)
+		buffer = order.AppendUint32(buffer, m.requestSequence)
 	case healthReportMessage:
-		buf = append(b.AppendUint32(buf, m.server), byte(m.condition))
-	}
-	for _, r := range m.updates {
-		if len(buf)+updateSize > MaxDatagramSize {
-			break
-		}
-		buf = b.AppendUint16(buf, uint16(r.rank))
-		buf = b.AppendUint32(buf, r.incarnation)
-		buf = b.AppendUint16(buf, r.refutations)
-		buf = append(buf, byte(r.state))
+		buffer = order.AppendUint32(buffer, m.server)
+		buffer = append(buffer, byte(m.condition))
+	case treeRequestMessage, treeGrantMessage, treeVoteMessage, treeVoteAckMessage:
+		buffer = m.appendLeaseBody(buffer)
 	}
-	return buf
+	return buffer
 }
 
-// wireUnits rounds leases down, so that their sum stays under the pool, and demand up.
-func wireUnits(amount float64, roundUp bool) uint32 {
-	n := math.Floor(amount / amountUnit)
-	if roundUp {
-		n = math.Ceil(amount / amountUnit)
+// amountDown is a lease in units of the wire, rounded down, so that the sum of leases stays within the pool.
+func amountDown(amount float64) uint32 { return clampUnits(math.Floor(amount / lease.AmountUnit)) }
+
+// amountUp is a demand in units of the wire, rounded up.
+func amountUp(amount float64) uint32 { return clampUnits(math.Ceil(amount / lease.AmountUnit)) }
+
+func clampUnits(units float64) uint32 { return uint32(min(max(units, 0), math.MaxUint32)) }
+
+// parseAmount reads an amount.
+func parseAmount(data []byte) float64 {
+	return float64(binary.BigEndian.Uint32(data)) * lease.AmountUnit
+}
+
+// parseTerm reads a term, in microseconds.
+func parseTerm(data []byte) int64 { return int64(binary.BigEndian.Uint32(data)) * lease.TermUnit }
+
+// parseHolder reads a rank that may be none.
+func parseHolder(data []byte) int {
+	if rank := binary.BigEndian.Uint16(data); rank != wireNoRank {
+		return int(rank)
 	}
-	return uint32(min(max(n, 0), math.MaxUint32))
+	return lease.NoRank
 }
 
 // parse reads a datagram into m, whose room for updates is used again. Its error wraps ErrMalformed.
-func (m *message) parse(d []byte) error {
-	b := binary.BigEndian
+func (m *message) parse(datagram []byte) error {
 	switch {
-	case len(d) <= headerSize || len(d) > MaxDatagramSize:
-		return fmt.Errorf("%w: %d bytes", ErrMalformed, len(d))
-	case d[0] != datagramVersion || d[1] != DatagramKind:
-		return fmt.Errorf("%w: version %d, kind %d", ErrMalformed, d[0], d[1])
+	case len(datagram) < headerSize || len(datagram) > MaxDatagramSize:
+		return fmt.Errorf("%w: %d bytes", ErrMalformed, len(datagram))
+	case datagram[0] != datagramVersion || datagram[1] != DatagramKind:
+		return fmt.Errorf("%w: version %d, kind %d", ErrMalformed, datagram[0], datagram[1])
+	}
+	order := binary.BigEndian
+	*m = message{
+		rank:        int(order.Uint16(datagram[2:])),
+		site:        int(order.Uint16(datagram[4:])),
+		incarnation: order.Uint32(datagram[6:]),
+		sequence:    order.Uint32(datagram[10:]),
+		kind:        messageKind(datagram[14]),
+		updates:     m.updates[:0],
 	}
-	updates := m.updates[:0]
-	*m = message{rank: int(b.Uint16(d[2:])), site: int(b.Uint16(d[4:])), incarnation: b.Uint32(d[6:]), sequence: b.Uint32(d[10:]), kind: messageKind(d[14])}
-	d = d[headerSize+1:]
-	size, known := bodySizes[m.kind]
-	if !known || len(d) < size || (len(d)-size)%updateSize != 0 {
-		return fmt.Errorf("%w: op %d with %d bytes", ErrMalformed, m.kind, len(d))
+	rest := datagram[headerSize:]
+	if !m.kind.isKnown() {
+		return fmt.Errorf("%w: %v with %d bytes", ErrMalformed, m.kind, len(rest))
 	}
+	bodySize := m.kind.bodySize()
+	if len(rest) < bodySize || (len(rest)-bodySize)%updateSize != 0 {
+		return fmt.Errorf("%w: %v with %d bytes", ErrMalformed, m.kind, len(rest))
+	}
+	if err := m.parseBody(rest[:bodySize]); err != nil {
+		return err
+	}
+	return m.parseUpdates(rest[bodySize:])
+}
+
+func (m *message) parseBody(body []byte) error {
+	order := binary.BigEndian
 	switch m.kind {
 	case pingMessage, ackMessage, indirectPingMessage:
-		m.target, m.token, m.limit, m.holder = int(b.Uint16(d)), b.Uint32(d[2:]), int(d[6]), int(b.Uint16(d[7:]))
+		m.target = int(order.Uint16(body))
+		m.token = order.Uint32(body[2:])
+		m.limit = int(body[6])
+		m.holder = parseHolder(body[7:])
 	case leaseRequestMessage:
-		m.limit, m.amount, m.stamp, m.candidateIncarnation = int(d[0]), float64(b.Uint32(d[1:]))*amountUnit, b.Uint32(d[5:]), b.Uint32(d[9:])
+		m.limit = int(body[0])
+		m.amount = parseAmount(body[1:])
+		m.stamp = order.Uint32(body[5:])
+		m.candidateIncarnation = order.Uint32(body[9:])
 	case leaseGrantMessage:
-		m.limit, m.amount, m.term = int(d[0]), float64(b.Uint32(d[1:]))*amountUnit, int64(b.Uint32(d[5:]))*termUnit
-		m.stamp, m.requestSequence = b.Uint32(d[9:]), b.Uint32(d[13:])
-	case treeRequestMessage, treeGrantMessage, treeVoteMessage, treeVoteAckMessage:
-		m.parseTree(d)
+		m.limit = int(body[0])
+		m.amount = parseAmount(body[1:])
+		m.term = parseTerm(body[5:])
+		m.stamp = order.Uint32(body[9:])
+		m.requestSequence = order.Uint32(body[13:])
 	case healthReportMessage:
-		if m.server, m.condition = b.Uint32(d), Condition(d[4]); m.condition == 0 || m.condition >= conditionEnd {
+		m.server = order.Uint32(body)
+		m.condition = Condition(body[4])
+		if !m.condition.isKnown() {
 			return fmt.Errorf("%w: condition %d", ErrMalformed, m.condition)
 		}
+	case treeRequestMessage, treeGrantMessage, treeVoteMessage, treeVoteAckMessage:
+		m.parseLeaseBody(body)
 	}
-	for d = d[size:]; len(d) > 0; d = d[updateSize:] {
-		r := update{rank: int(b.Uint16(d)), incarnation: b.Uint32(d[2:]), refutations: b.Uint16(d[6:]), state: MemberState(d[8])}
-		if r.state > StateDead {
-			return fmt.Errorf("%w: state %d", ErrMalformed, r.state)
-		}
-		updates = append(updates, r)
-	}
-	m.updates = updates
 	return nil
 }
 
-// leaseKindOf are the kinds of message of core/lease, by the operations that carry them.
-var leaseKindOf = map[messageKind]lease.MessageKind{treeRequestMessage: lease.KindRequest, treeGrantMessage: lease.KindGrant, treeVoteMessage: lease.KindVote, treeVoteAckMessage: lease.KindVoteAck}
-
-// messageKindOf are the operations by kind.
-var messageKindOf = map[lease.MessageKind]messageKind{lease.KindRequest: treeRequestMessage, lease.KindGrant: treeGrantMessage, lease.KindVote: treeVoteMessage, lease.KindVoteAck: treeVoteAckMessage}
-
-// appendTree writes the body of a message of core/lease.
-func (m *message) appendTree(buf []byte) []byte {
-	b, t := binary.BigEndian, &m.lease
-	buf = append(buf, byte(m.limit))
-	switch m.kind {
-	case treeRequestMessage:
-		buf = b.AppendUint32(append(buf, byte(t.Level)), wireUnits(t.Amount, true))
-		buf = b.AppendUint32(buf, t.RequestNumber)
-		buf = b.AppendUint16(buf, uint16(t.Weight))
-	case treeGrantMessage:
-		buf = b.AppendUint32(append(buf, byte(t.Level)), wireUnits(t.Amount, false))
-		buf = b.AppendUint32(buf, uint32(t.Term/lease.TermUnit))
-		buf = b.AppendUint32(buf, t.RequestNumber)
-		buf = b.AppendUint16(buf, uint16(t.KnownHolder))
-	case treeVoteMessage:
-		buf = b.AppendUint32(buf, t.Stamp)
-		buf = b.AppendUint32(buf, t.CandidateIncarnation)
-	case treeVoteAckMessage:
-		elected := byte(0)
-		if t.IsElected {
-			elected = 1
+// parseUpdates reads the updates that end a datagram.
+func (m *message) parseUpdates(data []byte) error {
+	for ; len(data) > 0; data = data[updateSize:] {
+		u := parseUpdate(data)
+		if u.state > stateDead {
+			return fmt.Errorf("%w: state %d", ErrMalformed, u.state)
 		}
-		buf = append(b.AppendUint32(buf, t.Stamp), elected)
+		m.updates = append(m.updates, u)
 	}
-	return buf
+	return nil
 }
 
-// parseTree reads what appendTree wrote. Which values have a place in the tree is core/lease's to say.
-func (m *message) parseTree(d []byte) {
-	b := binary.BigEndian
-	m.limit = int(d[0])
-	t := &m.lease
-	*t = lease.Message{Kind: leaseKindOf[m.kind], Incarnation: m.incarnation}
-	switch m.kind {
-	case treeRequestMessage:
-		t.Level, t.Amount, t.RequestNumber, t.Weight = int(d[1]), float64(b.Uint32(d[2:]))*amountUnit, b.Uint32(d[6:]), int(b.Uint16(d[10:]))
-	case treeGrantMessage:
-		t.Level, t.Amount, t.Term, t.RequestNumber = int(d[1]), float64(b.Uint32(d[2:]))*amountUnit, int64(b.Uint32(d[6:]))*lease.TermUnit, b.Uint32(d[10:])
-		t.KnownHolder = int(b.Uint16(d[14:]))
-		if t.KnownHolder == noRank {
-			t.KnownHolder = lease.NoRank
-		}
-	case treeVoteMessage:
-		t.Stamp, t.CandidateIncarnation = b.Uint32(d[1:]), b.Uint32(d[5:])
-	case treeVoteAckMessage:
-		t.Stamp, t.IsElected = b.Uint32(d[1:]), d[5] == 1
+// append writes u behind buffer.
+func (u *update) append(buffer []byte) []byte {
+	order := binary.BigEndian
+	buffer = order.AppendUint16(buffer, uint16(u.rank))
+	buffer = order.AppendUint32(buffer, u.incarnation)
+	buffer = order.AppendUint16(buffer, u.refutations)
+	return append(buffer, byte(u.state))
+}
+
+// parseUpdate reads what append wrote. Whether the state is a known one is the caller's to check.
+func parseUpdate(data []byte) update {
+	order := binary.BigEndian
+	return update{
+		rank:        int(order.Uint16(data)),
+		incarnation: order.Uint32(data[2:]),
+		refutations: order.Uint16(data[6:]),
+		state:       memberState(data[8]),
 	}
 }
--- /dev/null
+++ b/core/fleet/lease_tree.go
@@ -0,0 +1,61 @@
+package fleet
+
+import (
+	"fmt"
+
+	"spantack/core/lease"
+)
+
+// startLeaseTrees sets out with this router's part in a tree of leases for each limit, instead of a single holder.
+func (n *Node) startLeaseTrees(now int64) error {
+	for i, limit := range n.options.Limits {
+		tree, err := lease.New(now, lease.Options{
+			Rank:        n.options.Rank,
+			Incarnation: n.options.Incarnation,
+			Seed:        n.options.Seed + uint64(i),
+			Topology:    *n.options.LeaseTree,
+			Limit: lease.Limit{
+				Max:           limit.Max,
+				FloorFraction: limit.FloorFraction,
+				ExpiryMargin:  limit.ExpiryMargin,
+			},
+		})
+		if err != nil {
+			return fmt.Errorf("%w: LeaseTree: %w", ErrInvalidOptions, err)
+		}
+		tree.IsUp = n.IsUp
+		tree.Send = func(to int, m lease.Message) { n.sendTreeMessage(i, to, &m) }
+		tree.OnHolderChange = func(level, holder int) { n.OnHolderChange(i, level, holder) }
+		n.leaseTrees = append(n.leaseTrees, tree)
+	}
+	return nil
+}
+
+// sendTreeMessage sends a message of a limit's tree.
+func (n *Node) sendTreeMessage(limit, to int, m *lease.Message) {
+	if to >= n.options.FleetSize {
+		return // a rank that may join later, and is not in the settings yet
+	}
+	n.send(to, message{kind: messageKindOf[m.Kind], limit: limit, lease: *m})
+}
+
+// handleTreeMessage takes in a message of a limit's tree. Where this router keeps its limits in no tree it is passed
+// over.
+func (n *Node) handleTreeMessage(now int64, m *message) {
+	if m.limit < len(n.leaseTrees) {
+		n.leaseTrees[m.limit].Receive(now, m.rank, m.lease)
+	}
+}
+
+// leaseTreeStatus is this router's part in a limit that is kept by a tree.
+func (n *Node) leaseTreeStatus(now int64, limit int, tree *lease.Node) LimitStatus {
+	levels := tree.HeldLevels(now)
+	return LimitStatus{
+		Name:       n.options.Limits[limit].Name,
+		Quota:      tree.Quota(now),
+		InUse:      tree.InUse(),
+		Holder:     tree.Holder(now),
+		IsHolder:   len(levels) > 0,
+		HeldLevels: levels,
+	}
+}
--- /dev/null
+++ b/core/fleet/node_test.go
@@ -0,0 +1,115 @@
+package fleet
+
+import (
+	"errors"
+	"math"
+	"testing"
+
+	"spantack/core/gossip"
+)
+
+func TestInvalidOptions(t *testing.T) {
+	valid := Options{Rank: 1, FleetSize: 3, Sites: 2, Limits: []Limit{{Name: "a", Max: 1}}}
+	for want, change := range map[string]func(*Options){
+		"FleetSize: 0 is not 1 to 65536": func(o *Options) { o.FleetSize = 0 },
+		"Rank: 3 of 3":                   func(o *Options) { o.Rank = 3 },
+		"Sites: 0 is not 1 to 65536":     func(o *Options) { o.Sites = 0 },
+		"Site: 2 of 2":                   func(o *Options) { o.Site = 2 },
+		"Limits: 9, 8 at most":           func(o *Options) { o.Limits = make([]Limit, 9) },
+		"Limits[0].name: missing":        func(o *Options) { o.Limits = []Limit{{Max: 1}} },
+		"Limits[0].a: NaN is not above 0 to 1000000": func(o *Options) {
+			o.Limits = []Limit{{Name: "a", Max: math.NaN()}}
+		},
+		"Limits[0].floor: 2 is not 0 to 1": func(o *Options) {
+			o.Limits = []Limit{{Name: "a", Max: 1, FloorFraction: 2}}
+		},
+		"Limits[0].expiryMargin: 1500000 us is not 0 to less than 1500000": func(o *Options) {
+			o.Limits = []Limit{{Name: "a", Max: 1, ExpiryMargin: leaseLifetime}}
+		},
+	} {
+		t.Run(want, func(t *testing.T) {
+			options := valid
+			change(&options)
+			_, err := New(0, options)
+			if !errors.Is(err, ErrInvalidOptions) || err.Error() != "invalid options: "+want {
+				t.Errorf("%v, want %s", err, want)
+			}
+		})
+	}
+}
+
+// Routers that know only core/gossip are in the fleet while it is upgraded: each side drops the other's datagrams
+// as of an unknown kind, and goes on.
+func TestVersionsIgnoreOneAnother(t *testing.T) {
+	old, err := gossip.New(gossip.Options{Rank: 1, FleetSize: 20, Sites: 4, Incarnation: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	n, err := New(0, Options{
+		FleetSize: 20, Sites: 4, Incarnation: 1, Limits: []Limit{{Name: "a", Max: 20, FloorFraction: 1}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sent := 0
+	n.Send = func(to int, datagram []byte) {
+		sent++
+		if err := old.Receive(second, 0, datagram, func(string) {}); !errors.Is(err, gossip.ErrMalformed) {
+			t.Errorf("a router of the version before takes %x for its own: %v", datagram, err)
+		}
+	}
+	for now := int64(0); now < 5*second; now += tickInterval {
+		n.Tick(now)
+	}
+	if err := n.Receive(second, 1, old.ReportOverload(second, "s-00000001")); !errors.Is(err, ErrMalformed) {
+		t.Errorf("%v, want %v", err, ErrMalformed)
+	}
+	if quota := n.Quota(5*second, 0); sent == 0 || quota != 1 {
+		t.Errorf("%d datagrams, quota %v", sent, quota)
+	}
+}
+
+// Whatever is received, a node neither fails nor gets more than its floor of it.
+func FuzzReceive(f *testing.F) {
+	m := message{rank: 1, incarnation: 2, sequence: 3, updates: []update{{0, 1, 0, stateDead}, {1, 9, 9, stateAlive}}}
+	for kind := pingMessage; kind < messageKindEnd; kind++ {
+		m.kind = kind
+		f.Add(m.append(nil))
+	}
+	f.Fuzz(func(t *testing.T, datagram []byte) {
+		n, err := New(0, Options{
+			Rank: 2, FleetSize: 4, Sites: 1, Incarnation: 1, Limits: []Limit{{Name: "a", Max: 4, FloorFraction: 0.5}},
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		n.Send = func(_ int, sent []byte) {
+			if len(sent) > MaxDatagramSize {
+				t.Fatalf("%d bytes", len(sent))
+			}
+		}
+		err = n.Receive(second, 1, datagram)
+		isExpected := errors.Is(err, ErrMalformed) || errors.Is(err, ErrUnknownSender) || errors.Is(err, ErrStale)
+		if err != nil && !isExpected {
+			t.Fatal(err)
+		}
+		n.Tick(2 * second)
+		if quota := n.Quota(2*second, 0); quota > 0.5 {
+			t.Fatalf("%x gives a quota of %v", datagram, quota)
+		}
+	})
+}
+
+func TestKindAndConditionNames(t *testing.T) {
+	for kind := pingMessage; kind < messageKindEnd; kind++ {
+		if kind.String() == "" || kind.bodySize() == 0 {
+			t.Errorf("kind %d has no name or no body", byte(kind))
+		}
+	}
+	if got, want := messageKindEnd.String(), "messageKind(11)"; got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+	if got, want := conditionEnd.String(), "Condition(3)"; got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+}
--- a/core/fleet/stored_compat_test.go
+++ b/core/fleet/stored_compat_test.go
@@ -10,20 +10,20 @@
 func TestLoggedHoldingsAreReadAndWrittenAlike(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/holdings.json", "", []LimitStatus{
 		{
-			Name:   "s1",
-			Share:  2.5,
-			InUse:  3,
-			Holder: 4,
-			Holds:  true,
-			Levels: []int{5, 6},
+			Name:       "s1",
+			Quota:      2.5,
+			InUse:      3,
+			Holder:     4,
+			IsHolder:   true,
+			HeldLevels: []int{5, 6},
 		},
 		{
-			Name:   "s7",
-			Share:  8.5,
-			InUse:  9,
-			Holder: 10,
-			Holds:  true,
-			Levels: []int{11, 12},
+			Name:       "s7",
+			Quota:      8.5,
+			InUse:      9,
+			Holder:     10,
+			IsHolder:   true,
+			HeldLevels: []int{11, 12},
 		},
 	})
 }
--- a/core/fleet/wire_compat_test.go
+++ b/core/fleet/wire_compat_test.go
@@ -31,12 +31,12 @@
 
 func TestWireCompat(t *testing.T) {
 	const sender = 0x05060708 // incarnation of each datagram here
-	updates := []update{{rank: 0x1112, incarnation: 0x13141516, refutations: 0x1718, state: StateUnknown},
-		{rank: 1, incarnation: 2, refutations: 3, state: StateAlive}, {rank: 4, incarnation: 5, refutations: 6, state: StateSuspect},
-		{rank: 7, incarnation: 8, refutations: 9, state: StateDead}}
+	updates := []update{{rank: 0x1112, incarnation: 0x13141516, refutations: 0x1718, state: stateUnknown},
+		{rank: 1, incarnation: 2, refutations: 3, state: stateAlive}, {rank: 4, incarnation: 5, refutations: 6, state: stateSuspect},
+		{rank: 7, incarnation: 8, refutations: 9, state: stateDead}}
 	cases := map[string]message{
 		"ping":              {kind: pingMessage, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
-		"ping, no holder":   {kind: pingMessage, target: 1, token: 2, holder: noRank},
+		"ping, no holder":   {kind: pingMessage, target: 1, token: 2, holder: lease.NoRank},
 		"ping with updates": {kind: pingMessage, target: 1, token: 2, limit: 3, holder: 4, updates: updates},
 		"ack":               {kind: ackMessage, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
 		"ping request":      {kind: indirectPingMessage, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
@@ -62,9 +62,9 @@
 	if len(pins) != len(cases) {
 		t.Errorf("%d fixtures, %d cases", len(pins), len(cases))
 	}
-	ops := map[messageKind]bool{}
+	kinds := map[messageKind]bool{}
 	for name, want := range cases {
-		ops[want.kind] = true
+		kinds[want.kind] = true
 		t.Run(name, func(t *testing.T) {
 			want.rank, want.site, want.incarnation, want.sequence = 0x0102, 0x0304, sender, 0x090a0b0c
 			if got := want.append(nil); !bytes.Equal(got, pins[name]) {
@@ -76,14 +76,14 @@
 			}
 		})
 	}
-	if len(ops) != len(bodySizes) {
-		t.Errorf("%d operations of %d have a fixture", len(ops), len(bodySizes))
+	if known := int(messageKindEnd) - 1; len(kinds) != known {
+		t.Errorf("%d kinds of %d have a fixture", len(kinds), known)
 	}
 }
 
 // Amounts are cut to whole units on the way out: what is wanted up, what is granted down.
 func TestWireRoundingCompat(t *testing.T) {
-	if up, down := wireUnits(1.0001, true), wireUnits(1.0009, false); up != 1025 || down != 1024 {
+	if up, down := amountUp(1.0001), amountDown(1.0009); up != 1025 || down != 1024 {
 		t.Errorf("up %d, down %d", up, down)
 	}
 }
