--- a/core/cells/retune_test.go
+++ b/core/cells/admission_test.go
@@ -1,11 +1,53 @@
 package cells
 
 import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
 	"testing"
 
 	"spantack/routing"
 )
 
+// Without a specification a module does to the byte what the rules do alone; and a specification taken away leaves that.
+func TestNoAssignmentIsWithoutEffect(t *testing.T) {
+	run := func(step func(int64, []routing.Event) []routing.Action) (out []string) {
+		rng := rand.New(rand.NewPCG(3, 3))
+		now := sec
+		step(now, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(cacheNames(6)...)}})
+		for i := range 2000 {
+			now += int64(rng.IntN(5000))
+			call := fmt.Sprint(i)
+			acts := step(now, []routing.Event{{Kind: routing.EventRequest, RequestID: call, Class: "page", Object: fmt.Sprint(rng.IntN(50)), SizeKB: 40, Timeout: sec}})
+			out = append(out, fmt.Sprintf("%+v", acts))
+			for _, a := range acts {
+				if a.Kind == routing.ActionSend && rng.IntN(10) > 0 {
+					code := []routing.AttemptOutcome{routing.OutcomeServed, routing.OutcomeServed, routing.OutcomeError, routing.OutcomeRejected}[rng.IntN(4)]
+					acts := step(now+50*msec, []routing.Event{{Kind: routing.EventOutcome, RequestID: call, Server: a.Server, Outcome: code, CacheStatus: 1, ResponseTime: 50 * msec, IsFinal: code == routing.OutcomeServed}})
+					out = append(out, fmt.Sprintf("%+v", acts))
+				}
+			}
+		}
+		return out
+	}
+	plain, err := routing.NewEngine(testSettings(), 9)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m, err := NewAdmission(testSettings(), 9)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m.SetAssignment(0, mustCompile(t, twoCells()))
+	m.SetAssignment(0, nil)
+	if a, b := run(plain.Step), run(m.Step); !slices.Equal(a, b) {
+		t.Error("not the same actions")
+	}
+	if m.Status(0) != nil || m.AssignmentVersion() != 0 {
+		t.Error("something is left")
+	}
+}
+
 // Settings change while requests of confined tenants are open: these end as they would have, their cell's books come back to nothing,
 // and a class that was dropped is refused by rules.
 func TestUpdateSettingsWithOpenRequests(t *testing.T) {
--- /dev/null
+++ b/core/cells/helpers_test.go
@@ -0,0 +1,135 @@
+package cells
+
+import (
+	"fmt"
+	"testing"
+
+	"spantack/internal/testseed"
+	"spantack/routing"
+)
+
+func TestMain(m *testing.M) { testseed.Main(m) }
+
+const (
+	msec = int64(1000)
+	sec  = 1000 * msec
+)
+
+// twoCells cells: "loud" alone in one, "calm" and "quiet" in the other.
+func twoCells() *Spec {
+	return &Spec{Version: 1, Scheme: SchemeFixed,
+		Cells:      []Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
+		Tenants:    []Tenant{{Name: "loud", Cell: "one"}, {Name: "calm", Cell: "two"}, {Name: "quiet", Cell: "two"}},
+		TenantKeys: []TenantKey{{PurgeGroupRange: []int{0, 9}, Tenant: "loud"}, {ObjectPrefix: "aa", Tenant: "calm"}, {DeclaredTenant: "q", Tenant: "quiet"}, {Tenant: "calm"}},
+	}
+}
+
+func testSettings() routing.Settings {
+	return routing.Settings{
+		Classes: []routing.Class{
+			{Name: "page", ObjectiveSizeFactor: 2, Deadline: 3 * sec, LatencyObjective: 300 * msec, PriorityWeight: 1, DeduplicationScope: "all", Idempotency: "read_like"},
+			{Name: "report", Deadline: 3 * sec, LatencyObjective: 600 * msec, PriorityWeight: 3, DeduplicationScope: "all", Idempotency: "idempotency_key", DeduplicationWindow: 6 * sec},
+		},
+		Discovery: "automatic",
+		Hierarchy: routing.CacheHierarchy{FreshnessLifetime: []int64{0, 0}, StaleGracePeriod: []int64{0, 0}, OriginKind: 2, ParentKind: 1, CacheStatusReporting: "all", ResponseKBPerSecond: 1000,
+			Uncacheable: []bool{false, true}, RoutersByZone: []int{0, 2}, AllowsDirectFetch: true, ParentInitialCapacity: 0.1, ParentWarmUpTime: 20 * sec, ParentOverloadMultiple: 2},
+		Guarantees:   routing.Guarantees{WarmUpTime: 10 * sec, InitialCapacity: 0.3, OverloadWindow: 3 * sec, DrainGracePeriod: 500 * msec, OverloadMultiple: 3},
+		Kinds:        []string{"box", "area", "origin"},
+		Permissions:  routing.Permissions{MayCancel: true, MaxAttempts: 6, MaxRetryAfter: sec, SendsRetryAfter: true},
+		FleetSize:    2,
+		WeightSource: "nominal",
+		Zone:         "z",
+		Zones:        []string{"hub", "z"},
+	}
+}
+
+func endpointsWith(caches ...string) []routing.Endpoint {
+	list := []routing.Endpoint{{Server: "o", Zone: "hub", Kind: "origin", Status: "healthy", Weight: 100}, {Server: "p0", Zone: "hub", Kind: "area", Status: "healthy", Weight: 50},
+		{Server: "p1", Zone: "hub", Kind: "area", Status: "healthy", Weight: 50}}
+	for _, name := range caches {
+		list = append(list, routing.Endpoint{Server: name, Zone: "z", Kind: "box", Status: "healthy", Weight: 10})
+	}
+	return list
+}
+
+func cacheNames(n int) (list []string) {
+	for i := range n {
+		list = append(list, fmt.Sprintf("s-%08x", uint32(i+1)*2654435761))
+	}
+	return list
+}
+
+func mustCompile(t testing.TB, spec *Spec) *Assignment {
+	t.Helper()
+	a, err := Compile(spec)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return a
+}
+
+func newTestAdmission(t testing.TB, spec *Spec, caches ...string) *Admission {
+	t.Helper()
+	m, err := NewAdmission(testSettings(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m.SetAssignment(sec, mustCompile(t, spec))
+	m.Step(sec, []routing.Event{{Kind: routing.EventEndpoints, UpdateMode: "replace", Endpoints: endpointsWith(caches...)}})
+	return m
+}
+
+// testClient sends requests and ends each with a good answer at once.
+type testClient struct {
+	t         testing.TB
+	admission *Admission
+	sent      int
+	now       int64
+}
+
+// request returns where the first attempt went, "" for a refusal, "fail" for a failure.
+func (a *testClient) request(ev routing.Event) string {
+	a.sent++
+	ev.Kind, ev.RequestID, ev.Timeout = routing.EventRequest, fmt.Sprint("r", a.sent), 3*sec
+	if ev.Class == "" {
+		ev.Class = "page"
+	}
+	for _, act := range a.admission.Step(a.now, []routing.Event{ev}) {
+		switch act.Kind {
+		case routing.ActionSend:
+			a.admission.Step(a.now, []routing.Event{{Kind: routing.EventOutcome, RequestID: ev.RequestID, Server: act.Server, Outcome: routing.OutcomeServed, CacheStatus: 1, ResponseTime: 10 * msec, IsFinal: true}})
+			return act.Server
+		case routing.ActionReject:
+			if act.RetryAfter <= 0 || act.RetryAfter > sec {
+				a.t.Fatalf("refused with %d us to stay away", act.RetryAfter)
+			}
+			return ""
+		case routing.ActionFail:
+			return "fail"
+		}
+	}
+	a.t.Fatal("no answer")
+	return ""
+}
+
+// manyTenants is a specification with as many tenants as are planned for, or ten times as many.
+func manyTenants(tenants, cells int) *Spec {
+	s := &Spec{Version: 1, Scheme: SchemeFixed, Budget: Budget{RequestsPerSecond: 1e9, FillKBPerSecond: 1e9, ParentKBPerSecond: 1e9, OriginKBPerSecond: 1e9, UncacheablePerSecond: 1e9, MaxOpenRequests: 1e6}}
+	for i := range cells {
+		s.Cells = append(s.Cells, Cell{Name: fmt.Sprint("c", i), Share: 1 / float64(cells)})
+	}
+	for i := range tenants {
+		name := fmt.Sprintf("t%06d", i)
+		s.Tenants = append(s.Tenants, Tenant{Name: name, Cell: fmt.Sprint("c", i%cells)})
+		s.TenantKeys = append(s.TenantKeys, TenantKey{ObjectPrefix: fmt.Sprintf("%05x", i), Tenant: name})
+	}
+	s.TenantKeys = append(s.TenantKeys, TenantKey{Tenant: "t000000"})
+	return s
+}
+
+// panickingT is for helpers inside a property: what they would fail by is a fault of the test itself.
+type panickingT struct{ testing.TB }
+
+func (panickingT) Helper() {}
+
+func (panickingT) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
--- a/core/cells/moving_test.go
+++ b/core/cells/migration_test.go
@@ -290,12 +290,6 @@
 	})
 }
 
-// panickingT is for helpers inside a property: what they would fail by is a fault of the test itself.
-type panickingT struct{ testing.TB }
-
-func (panickingT) Helper()           {}
-func (panickingT) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
-
 // A document that moves nobody here changes nothing at all.
 func TestMigrationsAtOtherSitesAreWithoutEffect(t *testing.T) {
 	plain := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
