--- a/core/migration/capacity.go
+++ b/core/migration/capacity.go
@@ -27,13 +27,13 @@
 // Capacity is what the servers can send together at a time, in KB a second, and the part of it that they would have
 // if all were warm; 0 and 0 without a server.
 func (c *CapacityModel) Capacity(now int64, servers []Server) (kbPerS, warmPart float64) {
-	warmKbPerS := 0.0
+	warmKBPerS := 0.0
 	for _, s := range servers {
 		kbPerS += c.WarmFraction(now, s.StartedAt) * s.Weight * c.StreamKbPerS
-		warmKbPerS += s.Weight * c.StreamKbPerS
+		warmKBPerS += s.Weight * c.StreamKbPerS
 	}
-	if warmKbPerS == 0 {
+	if warmKBPerS == 0 {
 		return 0, 0
 	}
-	return kbPerS, kbPerS / warmKbPerS
+	return kbPerS, kbPerS / warmKBPerS
 }
--- a/core/migration/capacity_limiter.go
+++ b/core/migration/capacity_limiter.go
@@ -30,8 +30,8 @@
 type CapacityLimiter struct {
 	FillCost float64 // of a fill, in sends of the same size, as observed
 
-	sendKbPerS float64 // capacity of this router's part of the caches
-	fillKbPerS float64 // capacity for fills; math.Inf(1): unlimited
+	sendKBPerS float64 // capacity of this router's part of the caches
+	fillKBPerS float64 // capacity for fills; math.Inf(1): unlimited
 	sendTokens float64 // KB; negative while the last request is paid back
 	fillTokens float64 // KB
 	refilledAt int64
@@ -45,16 +45,16 @@
 
 // SetCapacity sets the capacity of this router's part of the cell from now on, in KB a second: of its caches for
 // sends, and for fills into it; math.Inf(1) stands for no limit on fills.
-func (l *CapacityLimiter) SetCapacity(now int64, sendKbPerS, fillKbPerS float64) {
+func (l *CapacityLimiter) SetCapacity(now int64, sendKBPerS, fillKBPerS float64) {
 	l.refill(now)
-	l.sendKbPerS = sendKbPerS
-	l.fillKbPerS = fillKbPerS
+	l.sendKBPerS = sendKBPerS
+	l.fillKBPerS = fillKBPerS
 }
 
 // RecordResident records an admitted request of a tenant that lives in the cell.
-func (l *CapacityLimiter) RecordResident(now int64, sendKb, fillKb float64) {
-	l.residentSends.add(now, sendKb+l.FillCost*fillKb)
-	l.residentFills.add(now, fillKb)
+func (l *CapacityLimiter) RecordResident(now int64, sendKB, fillKB float64) {
+	l.residentSends.add(now, sendKB+l.FillCost*fillKB)
+	l.residentFills.add(now, fillKB)
 }
 
 // ObserveFillCost takes the cost of one fill into FillCost: the time waited for it, in sends of the same size.
@@ -65,12 +65,12 @@
 }
 
 // Available is the rate that is left for migrating tenants, of sends and of fills, in KB a second.
-func (l *CapacityLimiter) Available(now int64) (sendKbPerS, fillKbPerS float64) {
-	sendKbPerS = max(usableFraction*l.sendKbPerS-l.residentSends.perSecond(now), 0)
-	if math.IsInf(l.fillKbPerS, 1) {
-		return sendKbPerS, l.fillKbPerS
+func (l *CapacityLimiter) Available(now int64) (sendKBPerS, fillKBPerS float64) {
+	sendKBPerS = max(usableFraction*l.sendKBPerS-l.residentSends.perSecond(now), 0)
+	if math.IsInf(l.fillKBPerS, 1) {
+		return sendKBPerS, l.fillKBPerS
 	}
-	return sendKbPerS, max(usableFraction*l.fillKbPerS-l.residentFills.perSecond(now), 0)
+	return sendKBPerS, max(usableFraction*l.fillKBPerS-l.residentFills.perSecond(now), 0)
 }
 
 // refill adds what has become available since the last call.
@@ -90,14 +90,14 @@
 }
 
 // TryAcquire admits a request if any capacity is left, and books it. What it takes beyond that is paid back before
-// the next one is admitted. fillKb is 0 for a request that finds its object cached.
-func (l *CapacityLimiter) TryAcquire(now int64, sendKb, fillKb float64) bool {
+// the next one is admitted. fillKB is 0 for a request that finds its object cached.
+func (l *CapacityLimiter) TryAcquire(now int64, sendKB, fillKB float64) bool {
 	l.refill(now)
-	if l.sendTokens <= 0 || fillKb > 0 && l.fillTokens <= 0 {
+	if l.sendTokens <= 0 || fillKB > 0 && l.fillTokens <= 0 {
 		return false
 	}
-	l.sendTokens -= sendKb + l.FillCost*fillKb
-	l.fillTokens -= fillKb
+	l.sendTokens -= sendKB + l.FillCost*fillKB
+	l.fillTokens -= fillKB
 	return true
 }
 
--- a/core/migration/capacity_limiter_test.go
+++ b/core/migration/capacity_limiter_test.go
@@ -11,7 +11,7 @@
 // admitted is a request that the limiter admitted.
 type admitted struct {
 	at         int64
-	kb, fillKb float64
+	kb, fillKB float64
 }
 
 // Over any second and a half, migrating tenants get no more than the capacity that residents leave, half a second's
@@ -19,7 +19,7 @@
 // found.
 func TestCapacityLimiterBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const largestKb = 400.0
+		const largestKB = 400.0
 		sends := rapid.Float64Range(1000, 50_000).Draw(t, "bears")
 		fills := rapid.Float64Range(500, 20_000).Draw(t, "fills")
 		resident := rapid.Float64Range(0, 1).Draw(t, "lives") // load, in parts of the capacity
@@ -38,12 +38,12 @@
 				continue
 			}
 			for range 4 {
-				kb, fillKb := largestKb*rng.Float64(), 0.0
+				kb, fillKB := largestKB*rng.Float64(), 0.0
 				if rng.Float64() < 0.5 {
-					fillKb = kb
+					fillKB = kb
 				}
-				if l.TryAcquire(now, kb, fillKb) {
-					all = append(all, admitted{now, kb + l.FillCost*fillKb, fillKb})
+				if l.TryAcquire(now, kb, fillKB) {
+					all = append(all, admitted{now, kb + l.FillCost*fillKB, fillKB})
 				}
 			}
 		}
@@ -56,10 +56,10 @@
 		const span = 1_500_000
 		worst, worstFills := worstWindow(all, span)
 		seconds := span/1e6 + burstSeconds
-		if limit := available*1.02*seconds + 2*largestKb*(1+l.FillCost); worst > limit {
+		if limit := available*1.02*seconds + 2*largestKB*(1+l.FillCost); worst > limit {
 			t.Fatalf("%v KB in a window, %v allowed (%v a second left)", worst, limit, available)
 		}
-		if limit := availableFills*1.02*seconds + 2*largestKb; worstFills > limit {
+		if limit := availableFills*1.02*seconds + 2*largestKB; worstFills > limit {
 			t.Fatalf("%v KB of fills in a window, %v allowed", worstFills, limit)
 		}
 	})
@@ -68,18 +68,18 @@
 // worstWindow is the most that was admitted within any span once the residents' load has been observed.
 func worstWindow(all []admitted, span int64) (worst, worstFills float64) {
 	const observedBy = 8_000_000
-	first, kb, fillKb := 0, 0.0, 0.0
+	first, kb, fillKB := 0, 0.0, 0.0
 	for _, x := range all {
 		kb += x.kb
-		fillKb += x.fillKb
+		fillKB += x.fillKB
 		for all[first].at < x.at-span {
 			kb -= all[first].kb
-			fillKb -= all[first].fillKb
+			fillKB -= all[first].fillKB
 			first++
 		}
 		if x.at > observedBy {
 			worst = max(worst, kb)
-			worstFills = max(worstFills, fillKb)
+			worstFills = max(worstFills, fillKB)
 		}
 	}
 	return worst, worstFills
--- a/core/migration/schedule/planner.go
+++ b/core/migration/schedule/planner.go
@@ -92,21 +92,21 @@
 
 // lowerBound is when the requests can have migrated at the earliest, by volume: no limit fills faster than its rate.
 func (p *planner) lowerBound(requests []Request) float64 {
-	shortest, allKb := 0.0, 0.0
-	cellKb := map[string]float64{}
+	shortest, allKB := 0.0, 0.0
+	cellKB := map[string]float64{}
 	for _, r := range requests {
-		cellKb[r.To] += r.FillKb
-		allKb += r.FillKb
+		cellKB[r.To] += r.FillKb
+		allKB += r.FillKb
 		shortest = max(shortest, p.constraints.MinShift)
 	}
 	for cell, l := range p.cellFills {
-		shortest = max(shortest, 1000*cellKb[cell]/l.capacity)
+		shortest = max(shortest, 1000*cellKB[cell]/l.capacity)
 	}
 	if p.siteFills != nil {
-		shortest = max(shortest, 1000*allKb/p.siteFills.capacity)
+		shortest = max(shortest, 1000*allKB/p.siteFills.capacity)
 	}
 	if p.originFills != nil {
-		shortest = max(shortest, 1000*allKb*p.constraints.OriginFillFraction/p.originFills.capacity)
+		shortest = max(shortest, 1000*allKB*p.constraints.OriginFillFraction/p.originFills.capacity)
 	}
 	return p.constraints.Start + shortest
 }
@@ -125,20 +125,20 @@
 // maxBatchFraction.
 func (p *planner) newBatch(requests []Request) batch {
 	b := batch{requests: requests, durationMs: p.constraints.MinShift}
-	allKb := 0.0
+	allKB := 0.0
 	for _, r := range requests {
 		if l := p.cellFills[r.To]; l != nil {
 			b.durationMs = max(b.durationMs, 1000*r.FillKb/(maxBatchFraction*l.capacity))
 		}
-		allKb += r.FillKb
+		allKB += r.FillKb
 		b.kbPerS += r.KbPerS
 	}
 	if p.siteFills != nil {
-		b.durationMs = max(b.durationMs, 1000*allKb/(maxBatchFraction*p.siteFills.capacity))
+		b.durationMs = max(b.durationMs, 1000*allKB/(maxBatchFraction*p.siteFills.capacity))
 	}
 	if p.originFills != nil {
-		originKb := 1000 * allKb * p.constraints.OriginFillFraction
-		b.durationMs = max(b.durationMs, originKb/(maxBatchFraction*p.originFills.capacity))
+		originKB := 1000 * allKB * p.constraints.OriginFillFraction
+		b.durationMs = max(b.durationMs, originKB/(maxBatchFraction*p.originFills.capacity))
 	}
 	if slices.ContainsFunc(requests, func(r Request) bool { return len(r.HotObjects) > 0 }) {
 		b.durationMs += p.constraints.WarmUp
