--- a/core/migration/schedule/schedule.go
+++ b/core/migration/schedule/schedule.go
@@ -19,7 +19,7 @@
 	Tenant     string
 	From, To   string   // names of cells
 	KbPerS     float64  // the tenant's demand
-	FillKb     float64  // that its new cell has to fill at first; WorkingSetSeconds times KbPerS if that is unknown
+	FillKb     float64  // that its new cell must fill at first; WorkingSetSeconds times KbPerS if that is unknown
 	HotObjects []string // to go first, hottest first
 }
 
--- a/core/originlimit/config.go
+++ b/core/originlimit/config.go
@@ -30,12 +30,13 @@
 	baselineLimitMs  = 1e6
 )
 
-// ErrInvalid is wrapped by every error of a Config or Document, before the field and what is wrong with its value.
-var ErrInvalid = errors.New("no such shield")
+// ErrInvalid is wrapped by every error of a Config or Document, after the field and before what is wrong with its
+// value.
+var ErrInvalid = errors.New("invalid origin limit")
 
 // invalid is the error for a field.
 func invalid(field, format string, args ...any) error {
-	return fmt.Errorf("%w: %s: %s", ErrInvalid, field, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%s: %w: %s", field, ErrInvalid, fmt.Sprintf(format, args...))
 }
 
 // Validate returns the first fault, as an error that names the field as in a features file and wraps ErrInvalid.
--- a/core/originlimit/config_test.go
+++ b/core/originlimit/config_test.go
@@ -20,7 +20,7 @@
 		t.Run(test.field, func(t *testing.T) {
 			c := sampleConfig()
 			test.change(&c)
-			if _, err := New(c, AIMD); !errors.Is(err, ErrInvalid) || !strings.Contains(err.Error(), test.field+": ") {
+			if _, err := New(c, AIMD); !errors.Is(err, ErrInvalid) || !strings.HasPrefix(err.Error(), test.field+": ") {
 				t.Errorf("got %v, want %s", err, test.field)
 			}
 		})
--- a/core/rollout/validate.go
+++ b/core/rollout/validate.go
@@ -25,7 +25,7 @@
 )
 
 // ErrInvalid is wrapped by every error of Validate, after the field and before what is wrong with its value.
-var ErrInvalid = errors.New("can't be used")
+var ErrInvalid = errors.New("invalid rollout")
 
 // invalid is the error for a field.
 func invalid(field, format string, args ...any) error {
--- a/core/rollout/validate_test.go
+++ b/core/rollout/validate_test.go
@@ -16,7 +16,7 @@
 		{"version 0", func(r *Rollout) { r.Version = 0 }, "version: "},
 		{"no name", func(r *Rollout) { r.Name = "" }, "name: "},
 		{"no prefix", func(r *Rollout) { r.Prefix = "" }, "prefix: "},
-		{"prefix is not hex", func(r *Rollout) { r.Prefix = "xy" }, `prefix: can't be used: "xy"`},
+		{"prefix is not hex", func(r *Rollout) { r.Prefix = "xy" }, `prefix: invalid rollout: "xy"`},
 		{"families in reverse", func(r *Rollout) { r.FamilyRange = []int{3, 1} }, "families: "},
 		{"since is NaN", func(r *Rollout) { r.Since = math.NaN() }, "since: "},
 		{"unknown word for undecided", func(r *Rollout) { r.OnUndecided = "maybe" }, "unsure: "},
@@ -26,15 +26,15 @@
 		{"ring without cells", func(r *Rollout) { r.Rings[0].Cells = nil }, "rings[0].cells: "},
 		{"ring before the one before", func(r *Rollout) { r.Rings[2].OpensAt = 5 }, "rings[2].open: "},
 		{"no time to judge", func(r *Rollout) { r.Rings[0].JudgeWithin = 0 }, "rings[0].for: "},
-		{"alpha", func(r *Rollout) { r.Alpha = 0.7 }, "alpha: can't be used: 0.7"},
-		{"unknown word for rollback", func(r *Rollout) { r.OnRollback = "so" }, `back: can't be used: "so`},
+		{"alpha", func(r *Rollout) { r.Alpha = 0.7 }, "alpha: invalid rollout: 0.7"},
+		{"unknown word for rollback", func(r *Rollout) { r.OnRollback = "so" }, `back: invalid rollout: "so`},
 		{"new objects served on rollback", func(r *Rollout) { r.OnRollback = "serve" }, "back: "},
 		{"old copies of new objects", func(r *Rollout) { r.OldCopyMaxAge = 5 }, "keep: "},
-		{"no age of old copies", func(r *Rollout) { r.ReplacesObjects = true }, "keep: can't be used: 0 ms"},
+		{"no age of old copies", func(r *Rollout) { r.ReplacesObjects = true }, "keep: invalid rollout: 0 ms"},
 		{"old copies too old", func(r *Rollout) {
 			r.ReplacesObjects = true
 			r.OldCopyMaxAge = 1e10
-		}, "keep: can't be used: 1e+10"},
+		}, "keep: invalid rollout: 1e+10"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := sampleRollout()
