--- a/core/scheduler/job.go
+++ b/core/scheduler/job.go
@@ -132,14 +132,17 @@
 // queue is a heap of the queued jobs of one rank: earliest deadline first, then first come.
 type queue []*job
 
+// Len implements heap.Interface.
 func (q queue) Len() int { return len(q) }
 
+// Less implements heap.Interface.
 func (q queue) Less(i, j int) bool {
 	a, b := q[i], q[j]
 	byDeadline := cmp.Compare(cmp.Or(a.Deadline, math.MaxInt64), cmp.Or(b.Deadline, math.MaxInt64))
 	return cmp.Or(byDeadline, cmp.Compare(a.seq, b.seq)) < 0
 }
 
+// Swap implements heap.Interface, and keeps each job's heapIndex.
 func (q queue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].heapIndex = i
