--- a/core/fleet/limit_lessee.go
+++ b/core/fleet/limit_lessee.go
@@ -62,7 +62,7 @@
 	if target == lease.NoRank || now-l.hintedAt >= hintLifetime || !l.node.IsUp(target) {
 		target = l.preferredHolder()
 	}
-	if l.keepsHolder(now, target) {
+	if l.retainsHolder(now, target) {
 		return l.holder
 	}
 	if now < l.voteExpiresAt {
@@ -77,8 +77,8 @@
 	return target
 }
 
-// keepsHolder reports whether the holder is kept where target would be chosen without one.
-func (l *limitState) keepsHolder(now int64, target int) bool {
+// retainsHolder reports whether the holder is retained where target would be chosen without one.
+func (l *limitState) retainsHolder(now int64, target int) bool {
 	if l.holder == lease.NoRank || !l.node.IsUp(l.holder) {
 		return false
 	}
--- a/core/fleet/wire_compat_test.go
+++ b/core/fleet/wire_compat_test.go
@@ -31,32 +31,55 @@
 
 func TestWireCompat(t *testing.T) {
 	const sender = 0x05060708 // incarnation of each datagram here
-	updates := []update{{rank: 0x1112, incarnation: 0x13141516, refutations: 0x1718, state: stateUnknown},
-		{rank: 1, incarnation: 2, refutations: 3, state: stateAlive}, {rank: 4, incarnation: 5, refutations: 6, state: stateSuspect},
-		{rank: 7, incarnation: 8, refutations: 9, state: stateDead}}
+	updates := []update{
+		{rank: 0x1112, incarnation: 0x13141516, refutations: 0x1718, state: stateUnknown},
+		{rank: 1, incarnation: 2, refutations: 3, state: stateAlive},
+		{rank: 4, incarnation: 5, refutations: 6, state: stateSuspect},
+		{rank: 7, incarnation: 8, refutations: 9, state: stateDead},
+	}
+	probe := func(kind messageKind) message {
+		return message{kind: kind, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829}
+	}
+	ofTree := func(kind messageKind, limit int, m lease.Message) message {
+		m.Incarnation = sender
+		return message{kind: kind, limit: limit, lease: m}
+	}
 	cases := map[string]message{
-		"ping":              {kind: pingMessage, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
+		"ping":              probe(pingMessage),
 		"ping, no holder":   {kind: pingMessage, target: 1, token: 2, holder: lease.NoRank},
 		"ping with updates": {kind: pingMessage, target: 1, token: 2, limit: 3, holder: 4, updates: updates},
-		"ack":               {kind: ackMessage, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
-		"ping request":      {kind: indirectPingMessage, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829},
-		"lease request":     {kind: leaseRequestMessage, limit: 0x31, amount: 1000.5, stamp: 0x32333435, candidateIncarnation: 0x36373839},
-		"lease grant": {kind: leaseGrantMessage, limit: 0x31, amount: 0.0009765625, term: 1_234_567_000, stamp: 0x32333435,
-			requestSequence: 0x3a3b3c3d},
+		"ack":               probe(ackMessage),
+		"ping request":      probe(indirectPingMessage),
+		"lease request": {
+			kind: leaseRequestMessage, limit: 0x31, amount: 1000.5, stamp: 0x32333435, candidateIncarnation: 0x36373839,
+		},
+		"lease grant": {
+			kind: leaseGrantMessage, limit: 0x31, amount: 0.0009765625, term: 1_234_567_000, stamp: 0x32333435,
+			requestSequence: 0x3a3b3c3d,
+		},
 		"report of a failing server": {kind: healthReportMessage, server: 0x00c41f7a, condition: Failing},
-		"report of a crowded server": {kind: healthReportMessage, server: 0x00c41f7a, condition: Overloaded, updates: updates[1:2]},
-		"tree request": {kind: treeRequestMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindRequest, Incarnation: sender,
-			Level: 0x42, Amount: 77.25, RequestNumber: 0x43444546, Weight: 0x4748}},
-		"tree grant": {kind: treeGrantMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindGrant, Incarnation: sender, Level: 0x42,
-			Amount: 77.25, Term: 2_000_000, RequestNumber: 0x43444546, KnownHolder: 0x494a}},
-		"tree grant, no holder": {kind: treeGrantMessage, limit: 1, lease: lease.Message{Kind: lease.KindGrant, Incarnation: sender,
-			Level: 2, RequestNumber: 3, KnownHolder: lease.NoRank}},
-		"tree vote": {kind: treeVoteMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindVote, Incarnation: sender,
-			Stamp: 0x4b4c4d4e, CandidateIncarnation: 0x4f505152}},
-		"tree vote ack": {kind: treeVoteAckMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindVoteAck, Incarnation: sender,
-			Stamp: 0x4b4c4d4e}},
-		"tree vote ack, elected": {kind: treeVoteAckMessage, limit: 0x41, lease: lease.Message{Kind: lease.KindVoteAck, Incarnation: sender,
-			Stamp: 0x4b4c4d4e, IsElected: true}},
+		"report of a crowded server": {
+			kind: healthReportMessage, server: 0x00c41f7a, condition: Overloaded, updates: updates[1:2],
+		},
+		"tree request": ofTree(treeRequestMessage, 0x41, lease.Message{
+			Kind: lease.KindRequest, Level: 0x42, Amount: 77.25, RequestNumber: 0x43444546, Weight: 0x4748,
+		}),
+		"tree grant": ofTree(treeGrantMessage, 0x41, lease.Message{
+			Kind: lease.KindGrant, Level: 0x42, Amount: 77.25, Term: 2_000_000, RequestNumber: 0x43444546,
+			KnownHolder: 0x494a,
+		}),
+		"tree grant, no holder": ofTree(treeGrantMessage, 1, lease.Message{
+			Kind: lease.KindGrant, Level: 2, RequestNumber: 3, KnownHolder: lease.NoRank,
+		}),
+		"tree vote": ofTree(treeVoteMessage, 0x41, lease.Message{
+			Kind: lease.KindVote, Stamp: 0x4b4c4d4e, CandidateIncarnation: 0x4f505152,
+		}),
+		"tree vote ack": ofTree(treeVoteAckMessage, 0x41, lease.Message{
+			Kind: lease.KindVoteAck, Stamp: 0x4b4c4d4e,
+		}),
+		"tree vote ack, elected": ofTree(treeVoteAckMessage, 0x41, lease.Message{
+			Kind: lease.KindVoteAck, Stamp: 0x4b4c4d4e, IsElected: true,
+		}),
 	}
 	pins := readPins(t)
 	if len(pins) != len(cases) {
