--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -30,6 +30,7 @@
 	"spantack/internal/discovery"
 	"spantack/internal/features"
 	"spantack/internal/gossip"
+	"spantack/internal/handover"
 	"spantack/internal/msgpackrpc"
 	"spantack/internal/resp"
 	"spantack/internal/router"
@@ -177,7 +178,7 @@
 	defer stopAccepting()
 
 	now := &clock.Clock{}
-	state := admin.NewStateDir(c.StateDir, log)
+	state := handover.NewStateDir(c.StateDir, log)
 	inherited := c.ListenerFD >= 0
 	memory, sockets := c.MemoryMB*(1<<20), c.MaxSockets
 	if inherited { // one process replaces another while that serves: the limits count for both
--- a/cmd/spantack/operate.go
+++ b/cmd/spantack/operate.go
@@ -9,6 +9,7 @@
 
 	"spantack/internal/admin"
 	"spantack/internal/config"
+	"spantack/internal/handover"
 	"spantack/internal/msgpackrpc"
 	"spantack/internal/resp"
 	"spantack/internal/router"
@@ -27,7 +28,7 @@
 		}
 		return l, nil
 	}
-	s, err := admin.InheritSocket(c.ListenerFD)
+	s, err := handover.InheritSocket(c.ListenerFD)
 	if err != nil {
 		return nil, fmt.Errorf("RELAY_SOCKET_FD: %w", err)
 	}
@@ -44,7 +45,7 @@
 }
 
 // newAdminServer ties the calls of the second address to the parts that carry them out; Ready is left to the caller.
-func newAdminServer(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, state *admin.StateDir, files *reloadCounters, log zerolog.Logger) *admin.Server {
+func newAdminServer(core *router.Router, server *msgpackrpc.Server, pools *resp.Pools, state *handover.StateDir, files *reloadCounters, log zerolog.Logger) *admin.Server {
 	change := func(do func(string) error) func(string) error {
 		return func(id string) error {
 			return state.ChangeExcluded(core.SetExcluded, func() error { return do(id) }, core.Excluded)
@@ -107,7 +108,7 @@
 
 // restoreLearnedState starts with what the process believed that this one replaces, where there is one. Without it a router begins with small
 // limits and no idea of who fails.
-func restoreLearnedState(core *router.Router, state *admin.StateDir, log zerolog.Logger) {
+func restoreLearnedState(core *router.Router, state *handover.StateDir, log zerolog.Logger) {
 	b, found, err := state.LoadLearnedState()
 	if err == nil && found {
 		err = core.RestoreLearnedState(b)
--- a/internal/admin/wire_compat_test.go
+++ b/internal/admin/wire_compat_test.go
@@ -48,7 +48,7 @@
 		}
 		got.WriteString(line)
 		request, starting := strings.CutSuffix(request, " #starting")
-		state.ready.Store(!starting)
+		state.isReady.Store(!starting)
 		nc := testwait.Dial(t, l.Addr().String())
 		io.WriteString(nc, request+" HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n")
 		answer, err := io.ReadAll(nc)
--- /dev/null
+++ b/internal/handover/exclusions.go
@@ -0,0 +1,133 @@
+package handover
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"spantack/internal/clock"
+)
+
+// Times in milliseconds.
+const (
+	// watchInterval is how often excludedFile is checked for changes by the other process. It must stay well under the
+	// 500 ms after which an exclusion binds.
+	watchInterval = 100
+	// lockTimeout is how long a change waits for the lock, and lockRetryInterval how long between attempts. The call
+	// that makes the change must be answered within 1 s.
+	lockTimeout       = 700
+	lockRetryInterval = 5
+)
+
+// Excluded reads the servers that were excluded by hand; none without a file.
+func (d *StateDir) Excluded() (ids []string, err error) {
+	if d == nil {
+		return nil, nil
+	}
+	if err = d.readFile(excludedFile, &ids); errors.Is(err, fs.ErrNotExist) {
+		err = nil
+	}
+	return ids, err
+}
+
+// RestoreExcluded passes the excluded servers of the file to adopt. A missing or unreadable file changes nothing:
+// it must neither undo a call nor keep the router from serving.
+func (d *StateDir) RestoreExcluded(adopt func(ids []string) error) {
+	if d == nil {
+		return
+	}
+	ids, err := d.Excluded()
+	if err == nil && ids != nil {
+		err = adopt(ids)
+	}
+	if err != nil {
+		d.log.Warn().Err(err).Msg("what is out can't be read")
+	}
+}
+
+// ChangeExcluded makes one change to the excluded servers under the lock that the processes share: it adopts what
+// the other process wrote, calls change, and writes what excluded returns then. A nil StateDir only calls change.
+// Where another process, stopped in the middle of a change, holds the lock for longer than lockTimeout, the error
+// is EWOULDBLOCK.
+func (d *StateDir) ChangeExcluded(adopt func(ids []string) error, change func() error, excluded func() []string) error {
+	if d == nil {
+		return change()
+	}
+	unlock, err := d.lockWithin(lockTimeout)
+	if err != nil {
+		return err
+	}
+	defer unlock()
+	d.RestoreExcluded(adopt)
+	if err := change(); err != nil {
+		return err
+	}
+	ids := append([]string{}, excluded()...) // never nil, which would be written as null
+	return d.writeFile(excludedFile, ids)
+}
+
+// WatchExcluded adopts what the other process writes, until ctx ends. It reads and adopts under the lock, or a
+// change made between the two would be undone. While another process holds the lock it retries at the next tick.
+func (d *StateDir) WatchExcluded(ctx context.Context, adopt func(ids []string) error) error {
+	if d == nil {
+		return nil
+	}
+	ticker := time.NewTicker(clock.Duration(watchInterval))
+	defer ticker.Stop()
+	var adopted fs.FileInfo // nil: none yet
+	for {
+		adopted = d.adoptIfChanged(adopted, adopt)
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+		}
+	}
+}
+
+// adoptIfChanged adopts the excluded servers if their file is another than the one that was adopted last, and
+// returns the one that is now.
+func (d *StateDir) adoptIfChanged(adopted fs.FileInfo, adopt func(ids []string) error) fs.FileInfo {
+	current, err := os.Stat(filepath.Join(d.dir, excludedFile))
+	if err != nil || adopted != nil && os.SameFile(adopted, current) && current.ModTime() == adopted.ModTime() {
+		return adopted
+	}
+	unlock, err := d.lock(syscall.LOCK_SH | syscall.LOCK_NB)
+	if err != nil {
+		return adopted
+	}
+	defer unlock()
+	d.RestoreExcluded(adopt)
+	return current // from before the lock: a later write is noticed at the next tick
+}
+
+// lockWithin takes the lock alone, and retries for so many milliseconds while another process holds it.
+func (d *StateDir) lockWithin(timeout float64) (unlock func(), err error) {
+	const mode = syscall.LOCK_EX | syscall.LOCK_NB
+	startedAt := time.Now()
+	unlock, err = d.lock(mode)
+	for errors.Is(err, syscall.EWOULDBLOCK) && time.Since(startedAt) < clock.Duration(timeout) {
+		time.Sleep(clock.Duration(lockRetryInterval))
+		unlock, err = d.lock(mode)
+	}
+	return unlock, err
+}
+
+// lock takes the lock on the excluded servers; mode is that of flock. With LOCK_NB the error is EWOULDBLOCK while
+// another process holds it.
+func (d *StateDir) lock(mode int) (unlock func(), err error) {
+	file, err := os.OpenFile(filepath.Join(d.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, fmt.Errorf("lock on the excluded servers: %w", err)
+	}
+	if err := syscall.Flock(int(file.Fd()), mode); err != nil {
+		file.Close()
+		return nil, fmt.Errorf("lock on the excluded servers: %s: %w", lockFile, err)
+	}
+	return func() { file.Close() }, nil // releases the lock too
+}
--- /dev/null
+++ b/internal/handover/files.go
@@ -0,0 +1,69 @@
+package handover
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+// maxFileBytes bounds what is read from a file: anything larger is none of ours.
+const maxFileBytes = 256 << 10
+
+// writeFile replaces a file atomically: no reader sees a part of it.
+func (d *StateDir) writeFile(name string, v any) error {
+	f, err := d.writeTemp(name, v)
+	if err != nil {
+		return err
+	}
+	if err := errors.Join(d.publish(f, name), f.Close()); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	return nil
+}
+
+// writeTemp writes v as JSON to a temporary file, which publish renames. The caller owns the file.
+func (d *StateDir) writeTemp(name string, v any) (*os.File, error) {
+	text, err := json.Marshal(v)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	f, err := os.CreateTemp(d.dir, name+"-*")
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	if _, err = f.Write(text); err != nil {
+		return nil, fmt.Errorf("%s: %w", name, errors.Join(err, f.Close(), os.Remove(f.Name())))
+	}
+	return f, nil
+}
+
+// publish renames a temporary file to its name, or removes it.
+func (d *StateDir) publish(f *os.File, name string) error {
+	err := os.Rename(f.Name(), filepath.Join(d.dir, name))
+	if err != nil {
+		err = errors.Join(err, os.Remove(f.Name()))
+	}
+	return err
+}
+
+// readFile reads JSON of at most maxFileBytes.
+func (d *StateDir) readFile(name string, into any) error {
+	path := filepath.Join(d.dir, name)
+	info, err := os.Stat(path)
+	if err != nil {
+		return err
+	}
+	if info.Size() > maxFileBytes {
+		return fmt.Errorf("%s: file too large: %d bytes are more than %d", name, info.Size(), maxFileBytes)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	if err := json.Unmarshal(text, into); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/handover/learned_state.go
@@ -0,0 +1,48 @@
+package handover
+
+import (
+	"context"
+	"errors"
+	"io/fs"
+	"time"
+
+	"spantack/internal/clock"
+	"spantack/routing"
+)
+
+// saveInterval is how often the learned state is written while this process serves, in milliseconds.
+const saveInterval = 500
+
+// SaveLearnedState writes the learned state every saveInterval until ctx ends, for the process that takes over. It
+// writes nothing while this process is replaced, or an older state would overwrite a newer one.
+func (d *StateDir) SaveLearnedState(ctx context.Context, learned func() routing.LearnedState) error {
+	if d == nil {
+		return nil
+	}
+	ticker := time.NewTicker(clock.Duration(saveInterval))
+	defer ticker.Stop()
+	for {
+		if !d.IsReplaced() {
+			if err := d.writeFile(learnedStateFile, learned()); err != nil {
+				d.log.Warn().Err(err).Msg("beliefs can't be left")
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+		}
+	}
+}
+
+// LoadLearnedState reads what the previous process saved; found is false where there is nothing.
+func (d *StateDir) LoadLearnedState() (state routing.LearnedState, found bool, err error) {
+	if d == nil {
+		return state, false, nil
+	}
+	err = d.readFile(learnedStateFile, &state)
+	if errors.Is(err, fs.ErrNotExist) {
+		return state, false, nil
+	}
+	return state, err == nil, err
+}
--- a/internal/admin/socket.go
+++ b/internal/handover/socket.go
@@ -1,61 +1,78 @@
-package admin
+package handover
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
+	"slices"
 	"sync/atomic"
 	"syscall"
 )
 
-// Socket is a listening socket that a supervisor holds and passes to one process after another. Unlike a listener of package net it does not
-// rely on the descriptor's non-blocking mode, which all holders share and a supervisor that starts the next process may clear at any time:
-// Accept sets the mode again before each attempt. Otherwise the process could block in accept and not end when it is told to.
+// The reasons why a descriptor can't be inherited, beside those of the system.
+var (
+	errNotListening = errors.New("not a listening socket")
+	errNotTCP       = errors.New("not a TCP socket")
+)
+
+// Socket is a listening socket that a supervisor holds and passes to one process after another. Unlike a listener
+// of package net it does not rely on the descriptor's non-blocking mode, which all holders share and a supervisor
+// that starts the next process may clear at any time: Accept sets the mode again before each attempt. Otherwise the
+// process could block in accept and not end when it is told to.
 type Socket struct {
-	file   *os.File
-	raw    syscall.RawConn
-	addr   net.Addr
-	closed atomic.Bool
+	file     *os.File // owned; Close closes it
+	raw      syscall.RawConn
+	addr     net.Addr
+	isClosed atomic.Bool
 }
 
-// InheritSocket returns the listening socket on a descriptor, which it takes over. Its error is that the descriptor is no such socket.
+// InheritSocket returns the listening socket on a descriptor, which it takes over. Its error is that the descriptor
+// is no such socket.
 func InheritSocket(fd int) (*Socket, error) {
-	on, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
-	case on == 0:
-		return nil, fmt.Errorf("descriptor %d is no listening socket", fd)
+	case listening == 0:
+		return nil, fmt.Errorf("descriptor %d: %w", fd, errNotListening)
 	}
-	name, err := syscall.Getsockname(fd)
+	addr, err := tcpAddr(fd)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
-	var addr net.TCPAddr
-	switch a := name.(type) {
-	case *syscall.SockaddrInet4:
-		addr = net.TCPAddr{IP: append(net.IP(nil), a.Addr[:]...), Port: a.Port}
-	case *syscall.SockaddrInet6:
-		addr = net.TCPAddr{IP: append(net.IP(nil), a.Addr[:]...), Port: a.Port}
-	default:
-		return nil, fmt.Errorf("descriptor %d is no TCP socket", fd)
-	}
 	syscall.CloseOnExec(fd)
 	if err := syscall.SetNonblock(fd, true); err != nil { // before NewFile, so that the file uses the runtime's poller
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
-	s := &Socket{file: os.NewFile(uintptr(fd), "clients"), addr: &addr}
+	s := &Socket{file: os.NewFile(uintptr(fd), "clients"), addr: addr}
 	if s.raw, err = s.file.SyscallConn(); err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
 	return s, nil
 }
 
+// tcpAddr returns the address of a TCP socket.
+func tcpAddr(fd int) (*net.TCPAddr, error) {
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		return nil, err
+	}
+	switch a := name.(type) {
+	case *syscall.SockaddrInet4:
+		return &net.TCPAddr{IP: slices.Clone(a.Addr[:]), Port: a.Port}, nil
+	case *syscall.SockaddrInet6:
+		return &net.TCPAddr{IP: slices.Clone(a.Addr[:]), Port: a.Port}, nil
+	default:
+		return nil, errNotTCP
+	}
+}
+
 // Accept waits for the next connection. After Close its error is net.ErrClosed.
 func (s *Socket) Accept() (net.Conn, error) {
 	accepted := -1
 	var acceptErr error
-	err := s.raw.Read(func(fd uintptr) bool {
+	err := s.raw.Read(func(fd uintptr) (isDone bool) {
 		if acceptErr = syscall.SetNonblock(int(fd), true); acceptErr != nil {
 			return true
 		}
@@ -63,7 +80,7 @@
 		return acceptErr != syscall.EAGAIN && acceptErr != syscall.EINTR // another process may have been faster
 	})
 	switch {
-	case err != nil && s.closed.Load():
+	case err != nil && s.isClosed.Load():
 		return nil, fmt.Errorf("accept: %w", net.ErrClosed)
 	case err != nil:
 		return nil, fmt.Errorf("accept: %w", err)
@@ -77,7 +94,7 @@
 
 // Close ends Accept in this process; other holders of the socket are not affected.
 func (s *Socket) Close() error {
-	s.closed.Store(true)
+	s.isClosed.Store(true)
 	return s.file.Close()
 }
 
--- a/internal/admin/socket_test.go
+++ b/internal/handover/socket_test.go
@@ -1,4 +1,4 @@
-package admin
+package handover
 
 import (
 	"errors"
@@ -9,8 +9,9 @@
 	"spantack/internal/testwait"
 )
 
-// hold opens a socket as a platform holds one, and returns descriptors for two processes.
-func hold(t *testing.T) (addr string, fds [3]int) {
+// holdSocket opens a listening socket as a supervisor holds one, and returns descriptors of it: two for processes,
+// and the supervisor's own.
+func holdSocket(t *testing.T) (addr string, fds [3]int) {
 	t.Helper()
 	l := testwait.Listen(t)
 	defer l.Close()
@@ -28,12 +29,12 @@
 	return l.Addr().String(), fds
 }
 
-// Two processes accept on one socket; that whoever holds it makes it block keeps neither from ending, and what comes after one has ended
-// goes to the other.
+// Two processes accept on one socket; that whoever holds it makes it block keeps neither from ending, and what
+// comes after one has ended goes to the other.
 func TestSocketMadeToBlock(t *testing.T) {
-	addr, fds := hold(t)
+	addr, fds := holdSocket(t)
 	accepted := make(chan net.Conn)
-	var ends [2]chan error
+	var ended [2]chan error
 	var sockets [2]*Socket
 	for i := range sockets {
 		s, err := InheritSocket(fds[i])
@@ -43,12 +44,13 @@
 		if s.Addr().String() != addr {
 			t.Errorf("at %s, not %s", s.Addr(), addr)
 		}
-		sockets[i], ends[i] = s, make(chan error, 1)
+		sockets[i] = s
+		ended[i] = make(chan error, 1)
 		go func() {
 			for {
 				c, err := s.Accept()
 				if err != nil {
-					ends[i] <- err
+					ended[i] <- err
 					return
 				}
 				accepted <- c
@@ -56,16 +58,16 @@
 		}()
 	}
 	visit := func() {
-		c := testwait.Dial(t, addr)
-		there := testwait.Receive(t, accepted, "a connection to be accepted")
-		testwait.BoundConn(t, there)
-		c.Write([]byte("x"))
+		client := testwait.Dial(t, addr)
+		server := testwait.Receive(t, accepted, "a connection to be accepted")
+		testwait.BoundConn(t, server)
+		client.Write([]byte("x"))
 		var got [1]byte
-		if _, err := there.Read(got[:]); err != nil || got[0] != 'x' {
+		if _, err := server.Read(got[:]); err != nil || got[0] != 'x' {
 			t.Errorf("%q, %v", got, err)
 		}
-		there.Close()
-		c.Close()
+		server.Close()
+		client.Close()
 	}
 	for range 50 { // each wakes both, and one comes too late
 		if err := syscall.SetNonblock(fds[2], false); err != nil {
@@ -77,21 +79,21 @@
 		t.Fatal(err)
 	}
 	sockets[0].Close()
-	if err := testwait.Receive(t, ends[0], "the end of the first process"); !errors.Is(err, net.ErrClosed) {
+	if err := testwait.Receive(t, ended[0], "the end of the first process"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the end: %v", err)
 	}
 	for range 20 {
 		visit()
 	}
 	sockets[1].Close()
-	if err := testwait.Receive(t, ends[1], "the end of the second process"); !errors.Is(err, net.ErrClosed) {
+	if err := testwait.Receive(t, ended[1], "the end of the second process"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the end: %v", err)
 	}
 }
 
-// What is no listening socket is refused.
-func TestInheritWhatIsNone(t *testing.T) {
-	addr, fds := hold(t)
+// What is no listening socket is not taken.
+func TestInheritNoListeningSocket(t *testing.T) {
+	addr, fds := holdSocket(t)
 	if _, err := InheritSocket(1 << 20); err == nil {
 		t.Error("took a descriptor that is not open")
 	}
--- a/internal/admin/stored_compat_test.go
+++ b/internal/handover/stored_compat_test.go
@@ -1,4 +1,4 @@
-package admin
+package handover
 
 import (
 	"bytes"
@@ -34,10 +34,10 @@
 	if want := []string{"s-00c41f7a", "s-00000002"}; err != nil || !slices.Equal(ids, want) {
 		t.Fatalf("excluded: %v, %v, want %v", ids, err, want)
 	}
-	beliefs, found, err := old.LoadLearnedState()
-	if err != nil || !found || len(beliefs.Servers) != 2 || beliefs.TakenAt != 1 ||
-		beliefs.Servers[1].Name == "" || beliefs.CancelBudget == 0 {
-		t.Fatalf("beliefs: %+v, %v, %v", beliefs, found, err)
+	learned, found, err := old.LoadLearnedState()
+	if err != nil || !found || len(learned.Servers) != 2 || learned.TakenAt != 1 ||
+		learned.Servers[1].Name == "" || learned.CancelBudget == 0 {
+		t.Fatalf("beliefs: %+v, %v, %v", learned, found, err)
 	}
 	if pid, err := strconv.Atoi(string(stored(t, storedDir, "spantack-serving"))); err != nil || pid <= 0 {
 		t.Fatalf("serving: %d, %v", pid, err)
@@ -55,7 +55,7 @@
 	defer d.servingLock.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // it is written once before the end is heeded
-	if err := d.SaveLearnedState(ctx, func() routing.LearnedState { return beliefs }); err != nil {
+	if err := d.SaveLearnedState(ctx, func() routing.LearnedState { return learned }); err != nil {
 		t.Fatal(err)
 	}
 	var names []string
