--- /dev/null
+++ b/cmd/spantack/admin.go
@@ -0,0 +1,51 @@
+package main
+
+import (
+	"spantack/internal/admin"
+	"spantack/internal/resp"
+	"spantack/internal/router"
+)
+
+// newAdminServer ties the calls on the management address to the parts that carry them out.
+func (p *process) newAdminServer() *admin.Server {
+	return &admin.Server{
+		IsReady: p.isReady,
+		Metrics: func() []admin.Metric { return metrics(p.router, p.pools, &p.reloads) },
+		Exclude: p.sharedChange(p.router.Exclude),
+		Include: p.sharedChange(p.router.Include),
+		Drain:   p.server.Drain,
+		Rejoin:  p.server.Rejoin,
+		Log:     p.log,
+	}
+}
+
+// sharedChange makes a change to the excluded servers together with the other process of this router.
+func (p *process) sharedChange(change func(id string) error) func(id string) error {
+	return func(id string) error {
+		return p.state.ChangeExcluded(p.router.SetExcluded, func() error { return change(id) }, p.router.Excluded)
+	}
+}
+
+// metrics are what the management address tells, by the names of the operators' page. Counters start at 0 with the
+// process.
+func metrics(r *router.Router, pools *resp.Pools, reloads *reloadCounters) []admin.Metric {
+	var list []admin.Metric
+	counter := func(name string, value int64) { list = append(list, admin.Metric{Name: name, Value: value}) }
+	gauge := func(name string, value int64) {
+		list = append(list, admin.Metric{Name: name, Value: value, IsGauge: true})
+	}
+	for _, class := range r.CountersByClass() {
+		prefix := "results." + class.Class
+		counter(prefix+".succeeded", class.Served.Load())
+		counter(prefix+".declined", class.Rejected.Load())
+		counter(prefix+".aborted", class.Failed.Load())
+	}
+	listed, off := r.CacheCounts()
+	counter("forwards", pools.AttemptsWritten())
+	gauge("outstanding", r.OpenRequests())
+	gauge("discovered", int64(listed))
+	gauge("ejected", int64(off))
+	counter("sighup_applied", reloads.applied.Load())
+	counter("sighup_rejected", reloads.rejected.Load())
+	return list
+}
--- /dev/null
+++ b/cmd/spantack/build.go
@@ -0,0 +1,158 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"runtime"
+
+	"github.com/rs/zerolog"
+
+	"spantack/internal/admin"
+	"spantack/internal/config"
+	"spantack/internal/features"
+	"spantack/internal/handover"
+	"spantack/internal/msgpackrpc"
+	"spantack/internal/resp"
+	"spantack/internal/router"
+	"spantack/routing"
+)
+
+// build makes the parts that the configuration and the features file ask for, and opens the listeners. ctx ends
+// when the process has served its last request.
+func (p *process) build(ctx context.Context, out io.Writer) error {
+	c := p.config.Load()
+	file, inForce, err := loadFeatures(p.flags.Features, c)
+	if err != nil {
+		return err
+	}
+	p.features = file
+	runtime.GOMAXPROCS(1) // routers share one core: more threads would only take turns on it
+	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
+	p.log = zerolog.New(out).With().Timestamp().Str("router", c.Name).Logger()
+	p.state = handover.NewStateDir(c.StateDir, p.log)
+	limits := newLimits(c, p.inheritsListener)
+	if err := p.buildRouter(ctx, limits, inForce); err != nil {
+		return err
+	}
+	p.buildServer(limits)
+	return p.openListeners(ctx)
+}
+
+// buildRouter makes the connections to servers and the router that uses them.
+func (p *process) buildRouter(ctx context.Context, limits processLimits, inForce router.Features) error {
+	c := p.config.Load()
+	p.pools = resp.NewPools(ctx, resp.Options{
+		DialTimeout:  c.DialTimeout,
+		IdleTimeout:  c.IdleTimeout,
+		MaxStreams:   c.MaxStreams,
+		MaxConns:     limits.serverConns,
+		MaxSendDelay: c.MaxSendDelay,
+	}, p.clock, p.log)
+	var err error
+	p.router, err = router.New(c.Settings, c.Seed, p.clock, p.pools, p.log)
+	if err != nil {
+		return err
+	}
+	if p.flags.Features != "" {
+		p.router.PlanOnTick()
+	}
+	if err := p.router.ApplyFeatures(inForce); err != nil {
+		return fmt.Errorf("%s: %w", p.flags.Features, err)
+	}
+	return nil
+}
+
+// buildServer makes the server for clients.
+func (p *process) buildServer(limits processLimits) {
+	p.server = &msgpackrpc.Server{
+		Handle:         p.router.Serve,
+		IsReady:        p.isReady,
+		KeyRequired:    keyedClasses(p.config.Load()),
+		OnRejected:     p.router.CountRejected,
+		MaxConns:       limits.clientConns,
+		MaxQueuedBytes: int64(requestQueueShare * limits.memory),
+		Clock:          p.clock,
+		Log:            p.log,
+	}
+}
+
+// keyedClasses tells of each class whether its requests carry an idempotency key.
+func keyedClasses(c *config.Config) map[string]bool {
+	classes := map[string]bool{}
+	for _, class := range c.Settings.Classes {
+		classes[class.Name] = class.Idempotency == routing.IdempotentKey
+	}
+	return classes
+}
+
+// openListeners opens the address for clients, and the management address where there is one.
+func (p *process) openListeners(ctx context.Context) error {
+	c := p.config.Load()
+	var err error
+	if p.listener, err = listenForClients(c); err != nil {
+		return err
+	}
+	if c.AdminAddr == "" {
+		return nil
+	}
+	p.adminListener, err = admin.Listen(ctx, c.AdminAddr)
+	return err
+}
+
+// listenForClients opens the address for clients: on the descriptor that a supervisor holds, where it hands one
+// down, so that a process can take over from another with no connection refused.
+func listenForClients(c *config.Config) (net.Listener, error) {
+	if c.ListenerFD < 0 {
+		l, err := net.Listen("tcp", c.ListenAddr)
+		if err != nil {
+			return nil, fmt.Errorf("RELAY_LISTEN: %w", err)
+		}
+		return l, nil
+	}
+	s, err := handover.InheritSocket(c.ListenerFD)
+	if err != nil {
+		return nil, fmt.Errorf("RELAY_SOCKET_FD: %w", err)
+	}
+	return s, nil
+}
+
+// loadFeatures loads the features file against a configuration, and returns what it puts in force; both are zero
+// without a file.
+func loadFeatures(path string, c *config.Config) (*features.File, router.Features, error) {
+	if path == "" {
+		return nil, router.Features{}, nil
+	}
+	file, err := features.Load(path)
+	if err != nil {
+		return nil, router.Features{}, err
+	}
+	inForce, err := routerFeatures(file, c)
+	if err != nil {
+		return nil, router.Features{}, fmt.Errorf("%s: %w", path, err)
+	}
+	return file, inForce, nil
+}
+
+// routerFeatures returns what a features file puts in force, or why it does not fit the configuration.
+func routerFeatures(file *features.File, c *config.Config) (router.Features, error) {
+	if err := file.CheckSettings(&c.Settings); err != nil {
+		return router.Features{}, err
+	}
+	assignment, err := file.CellAssignment()
+	if err != nil {
+		return router.Features{}, err
+	}
+	topology, err := file.TopologyGraph()
+	if err != nil {
+		return router.Features{}, err
+	}
+	return router.Features{
+		Cells:       assignment,
+		Migrations:  file.ActiveMigration(),
+		Rollout:     file.ActiveRollout(),
+		Topology:    topology,
+		OriginLimit: file.ActiveOriginLimit(),
+	}, nil
+}
--- /dev/null
+++ b/cmd/spantack/busy_core_test.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"errors"
+	"math/rand/v2"
+	"os/exec"
+	"runtime"
+	"syscall"
+	"testing"
+	"unsafe"
+)
+
+// spinners are the programs that share a core with the router; they end by themselves after spinnersEnd, in seconds.
+const (
+	spinners    = 2
+	spinnersEnd = "4"
+)
+
+// busyCore is one core of the machine on which programs never rest.
+type busyCore struct{ mask [128]byte }
+
+// newBusyCore chooses a core that this process may use, and makes it busy until the end of the test.
+func newBusyCore(t *testing.T) *busyCore {
+	t.Helper()
+	var may [128]byte
+	if err := affinity(syscall.SYS_SCHED_GETAFFINITY, &may); err != nil {
+		t.Fatal(err)
+	}
+	var cores []int
+	for core := range 8 * len(may) {
+		if may[core/8]&(1<<(core%8)) != 0 {
+			cores = append(cores, core)
+		}
+	}
+	chosen := cores[rand.IntN(len(cores))] // another one for each play that runs beside this one
+	core := &busyCore{}
+	core.mask[chosen/8] = 1 << (chosen % 8)
+	for range spinners {
+		spinner := exec.Command("timeout", spinnersEnd, "sh", "-c", "while :; do :; done")
+		spinner.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+		if err := core.start(spinner); err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() {
+			syscall.Kill(-spinner.Process.Pid, syscall.SIGKILL)
+			spinner.Wait()
+		})
+	}
+	return core
+}
+
+// start starts a program on the core.
+func (b *busyCore) start(cmd *exec.Cmd) error {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	var before [128]byte
+	if err := affinity(syscall.SYS_SCHED_GETAFFINITY, &before); err != nil {
+		return err
+	}
+	if err := affinity(syscall.SYS_SCHED_SETAFFINITY, &b.mask); err != nil {
+		return err
+	}
+	err := cmd.Start() // it inherits the thread's core
+	return errors.Join(err, affinity(syscall.SYS_SCHED_SETAFFINITY, &before))
+}
+
+// affinity reads or sets the cores of this thread.
+func affinity(call uintptr, mask *[128]byte) error {
+	if _, _, errno := syscall.RawSyscall(call, 0, uintptr(len(mask)), uintptr(unsafe.Pointer(mask))); errno != 0 {
+		return errno
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/spantack/client_harness_test.go
@@ -0,0 +1,76 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+
+	"spantack/internal/testwait"
+)
+
+// shortText begins a MessagePack text of under 32 bytes; its length is added.
+const shortText = 0xa0
+
+// client connects, once the router is ready to take it.
+func (p *routerProcess) client() *net.TCPConn {
+	p.t.Helper()
+	var client *net.TCPConn
+	testwait.Until(p.t, "the router to take a client", func() bool {
+		nc, err := net.DialTimeout("tcp", p.listen, testwait.Limit)
+		if err != nil {
+			return false
+		}
+		testwait.BoundConn(p.t, nc)
+		client = nc.(*net.TCPConn)
+		return true
+	})
+	return client
+}
+
+// readyClient connects and has the router say that it is ready. It does so again where the router closes a connection because the test was
+// too late with its first message.
+func (p *routerProcess) readyClient() *net.TCPConn {
+	p.t.Helper()
+	var client *net.TCPConn
+	testwait.Until(p.t, "the router to say that it is ready", func() bool {
+		client = p.client()
+		return askHealth(client) == nil
+	})
+	return client
+}
+
+// askHealth asks whether the router is ready, which it must be.
+func askHealth(nc net.Conn) error {
+	io.WriteString(nc, "\x94\x00\x01\xa6health\x91\x80")
+	got := make([]byte, 7)
+	if _, err := io.ReadFull(nc, got); err != nil {
+		return err
+	}
+	if string(got) != "\x94\x01\x01\xc0\x92\xc3\x80" {
+		return fmt.Errorf("health: %q", got)
+	}
+	return nil
+}
+
+func ask(nc net.Conn, message int, ref string) { askWithin(nc, message, ref, "2000") }
+
+// askWithin asks for a page and waits for so many milliseconds.
+func askWithin(nc net.Conn, message int, ref, allow string) {
+	fmt.Fprintf(nc, "\x94\x00%c\xa4page\x92\x83\xa3ref\xb0%s\xa5allow%s%s\xa6lookup\xb0000000000000007f\xc4\x00",
+		message, ref, []byte{shortText + byte(len(allow))}, allow)
+}
+
+func askKeyed(nc net.Conn, message int, ref string) {
+	fmt.Fprintf(nc, "\x94\x00%c\xa6report\x92\x84\xa3ref\xb0%s\xa5allow\xa42000\xa6lookup\xb0000000000000007f\xa6replay\xa4k001\xc4\x00", message, ref)
+}
+
+// eachAnswered is nil where each message from 2 to last has one answer.
+func eachAnswered(answers []byte, last int) error {
+	for message := 2; message <= last; message++ {
+		if times := bytes.Count(answers, []byte{0x94, 1, byte(message)}); times != 1 {
+			return fmt.Errorf("%d answers to message %d in %q", times, message, answers)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/spantack/counters.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"spantack/core/cells"
+	"spantack/core/scheduler"
+)
+
+// reportOnSignal logs the counters at each SIGUSR1, until ctx ends.
+func (p *process) reportOnSignal(ctx context.Context) error {
+	asked := make(chan os.Signal, 1)
+	signal.Notify(asked, syscall.SIGUSR1)
+	defer signal.Stop(asked)
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-asked:
+			p.reportCounters()
+		}
+	}
+}
+
+// reportCounters logs the counters, in the background where there is one.
+func (p *process) reportCounters() {
+	if p.background == nil {
+		p.logCounters()
+		return
+	}
+	err := p.background.Submit("report", scheduler.Normal, 1, p.logCounters)
+	if err != nil && !errors.Is(err, scheduler.ErrDuplicateJob) {
+		p.log.Warn().Err(err).Msg("report put off")
+	}
+}
+
+// logCounters logs what the parts have counted since the start, and the present state of what is switched on. The
+// names of lines and fields are those of the operators' pages.
+func (p *process) logCounters() {
+	p.logRequestCounters()
+	p.logFleet()
+	if limit := p.router.OriginLimitStatus(); limit != nil {
+		p.log.Info().Float64("limit", limit.Limit).Float64("share", limit.Share).Int("out", limit.InFlight).
+			Int("given_up", limit.Abandoned).Float64("deep", limit.OriginFraction).Msg("shield")
+	}
+	p.logCells()
+}
+
+func (p *process) logRequestCounters() {
+	n := &p.router.Counters
+	evicted, rejected, clientFaults := p.server.ConnectionCounts()
+	p.log.Info().
+		Int64("taken", n.Accepted.Load()).
+		Int64("sent", n.Attempts.Load()).
+		Int64("served", n.Served.Load()).
+		Int64("refused", n.Rejected.Load()).
+		Int64("failed", n.Failed.Load()).
+		Int64("gone", n.Departed.Load()).
+		Int64("overdue", n.Overdue.Load()).
+		Int64("faults", n.Faults.Load()).
+		Int64("client_faults", clientFaults).
+		Int64("gave_way", evicted).
+		Int64("turned_away", rejected).
+		Msg("counters")
+}
+
+// logFleet logs the datagrams between routers, and the fleet's limits; nothing where there are none.
+func (p *process) logFleet() {
+	if p.gossip == nil {
+		return
+	}
+	n := p.gossip.Counts()
+	p.log.Info().Int64("told", n.Sent).Int64("heard", n.Received).Int64("dropped", n.Dropped).
+		Int64("found", n.OverloadsFound).Msg("peers")
+	if limits, living := p.gossip.LimitStatuses(); limits != nil {
+		p.log.Info().Int("living", living).Interface("limits", limits).Msg("fleet")
+	}
+}
+
+// logCells logs the cells, and the migrations and the rollout between them; nothing while cells are off.
+func (p *process) logCells() {
+	status, demand := p.router.CellStatus()
+	if status == nil {
+		return
+	}
+	line := p.log.Info().Int64("version", status.Version).Int64("admitted", status.Stats.Admitted).
+		Int64("spilled", status.Stats.FellBack)
+	for reason, count := range status.Stats.Rejected {
+		if count > 0 {
+			line = line.Int64("refused: "+cells.Reason(reason).String(), count)
+		}
+	}
+	line.Interface("cells", status.Cells).Interface("heavy", status.HeavyTenants).
+		Interface("objects", status.HeavyObjects).Msg("cells")
+	if migrations, version := p.router.MigrationStatus(); version > 0 {
+		p.log.Info().Int64("version", version).Int64("moved", status.Stats.Migrated).Int64("kept", status.Stats.Deferred).
+			Interface("moves", migrations).Msg("moves")
+	}
+	if rollout := p.router.RolloutStatus(); rollout != nil {
+		p.log.Info().Interface("stage", rollout).Msg("stage")
+	}
+	p.log.Info().Interface("demand", demand).Msg("demand")
+}
--- /dev/null
+++ b/cmd/spantack/departures_play_test.go
@@ -0,0 +1,169 @@
+package main
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	caches "spantack/standin/cache"
+)
+
+// departure is one deployment from which clients leave.
+type departure struct {
+	*deployment
+	place   waitingPlace
+	under   condition
+	gate    chan struct{} // closed when attempts may end
+	open    []func()      // lets connections come up
+	leavers []*leaver
+	stays   []*caller
+	dials   int // connections to caches that do not come up
+}
+
+// leaver is a client that leaves.
+type leaver struct {
+	*caller
+	ref  string
+	way  departureWay
+	left time.Time // when its act was done
+}
+
+const (
+	departedDeadline = 10 * time.Second // far more than a play takes: nothing ends because its time is up
+	staying          = 2                // clients that stay
+)
+
+func newDeparture(t *testing.T, place waitingPlace, under condition) *departure {
+	p := &departure{place: place, under: under, gate: make(chan struct{})}
+	plan := blueprint{caches: place.caches, sockets: place.sockets, deadline: departedDeadline}
+	if plan.caches == 0 {
+		plan.caches = 3
+	}
+	if plan.sockets == 0 {
+		plan.sockets = 256
+	}
+	plan.cache = func(_ int, opt *caches.Options) {
+		opt.Narrow = place.paused
+		if place.lateDial {
+			late := newLateListener(t)
+			opt.Listener = late
+			p.open = append(p.open, func() { late.comeUp(t) })
+		}
+	}
+	if place.held || place.unasked {
+		plan.script = p.hold
+	}
+	if under.busy {
+		core := newBusyCore(t)
+		plan.start = core.start
+	}
+	p.deployment = deploy(t, plan)
+	return p
+}
+
+// hold lets an attempt end only when the test says so: by ERR, by BUSY or by a connection that breaks.
+func (p *departure) hold(g caches.Get) caches.Fault {
+	select {
+	case <-p.gate:
+		return caches.None
+	default:
+	}
+	<-p.gate
+	return []caches.Fault{caches.Err, caches.Busy, caches.Spoil}[g.ID[len(g.ID)-1]%3]
+}
+
+// play brings all clients to the place, lets them leave, and then, later than the grace, lets what waits there go on. It tells whether attempts
+// of clients that stayed began there then.
+func (p *departure) play() (began bool) {
+	if step := p.setUp(); step != "" {
+		p.t.Logf("set up anew: %s", step)
+		p.cmd.Process.Kill()
+		return false
+	}
+	p.leave()
+	time.Sleep(departedGrace + 20*time.Millisecond)
+	if p.place.kernel {
+		within(func() bool { return p.connections(established) <= staying })
+	}
+	begin := time.Now()
+	p.release()
+	if p.under.stopped {
+		p.signal(syscall.SIGCONT)
+	}
+	began = p.goesOn(begin)
+	p.finish(p.under.ending)
+	p.judge()
+	return began
+}
+
+// leave lets all clients that leave do so. No program is started beside this meanwhile: until it runs it holds copies of this process's
+// connections, and a close, which has no effect before all copies are closed, would come late.
+func (p *departure) leave() {
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
+	for _, l := range p.leavers {
+		l.way.leave(l.caller, request(2, l.ref, departedDeadline, p.place.body))
+		l.left = time.Now()
+	}
+}
+
+// release lets what waits go on, and returns when the router can find out.
+func (p *departure) release() {
+	close(p.gate)
+	for _, cache := range p.caches {
+		cache.Resume()
+	}
+	for _, comeUp := range p.open {
+		comeUp()
+	}
+	if !p.under.stopped {
+		return
+	}
+	time.Sleep(50 * time.Millisecond) // for what the caches say; the verdict does not need it
+	if p.place.lateDial {
+		within(func() bool { // most connections come up while the router is stopped
+			all := 0
+			for _, cache := range p.caches {
+				accepted, _, _ := cache.Connections()
+				all += accepted
+			}
+			return 2*all >= p.dials
+		})
+	}
+}
+
+// goesOn waits for an attempt of a client that has stayed, and tells whether it came: the place is one from which attempts begin.
+func (p *departure) goesOn(since time.Time) bool {
+	return within(func() bool {
+		return slices.ContainsFunc(p.requests.Gets(), func(g caches.Get) bool {
+			return g.ID[0] == stayingRef(0)[0] && (g.At.After(since) || p.place.unasked)
+		})
+	})
+}
+
+func (p *departure) judge() {
+	p.t.Helper()
+	clients := map[string]*leaver{}
+	for _, l := range p.leavers {
+		clients[l.ref] = l
+	}
+	var late []string
+	for _, g := range p.requests.Gets() {
+		l := clients[g.ID]
+		if l == nil {
+			continue
+		}
+		if after := g.At.Sub(l.left); after > departedGrace {
+			late = append(late, fmt.Sprintf("%s (%s) %v after it had left by %q", g.ID, g.Server, after, l.way.name))
+		}
+	}
+	switch {
+	case len(late) > maxLate:
+		p.t.Errorf("%d attempts for clients that had gone: %s; log: %s", len(late), strings.Join(late, ", "), p.stderr)
+	case len(late) > 0:
+		p.t.Logf("%d attempts for clients that had gone, %d are let pass: %s", len(late), maxLate, strings.Join(late, ", "))
+	}
+}
--- /dev/null
+++ b/cmd/spantack/harness_test.go
@@ -0,0 +1,237 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"spantack/internal/loopback"
+	"spantack/internal/resp"
+	"spantack/internal/testwait"
+)
+
+// asProcess in the environment makes the test's own binary the router.
+const asProcess = "SPANTACK_TEST_PROCESS"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(asProcess) != "" {
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// twoCachesConfig is a deployment with a class for reads and a keyed one, both of 2 s.
+const twoCachesConfig = `{"seed":"01","limits":{"memory_mb":192,"sockets":256},"board":%q,"known":{"rev":1,"notices":[{"rev":1,
+	"pool":{"all":true,"targets":[{"uid":"s-00000001","endpoint":%q,"az":"east","model":"box","state":"Ready","capacity_hint":4},
+	{"uid":"s-00000003","endpoint":%q,"az":"east","model":"box","state":"Ready","capacity_hint":4},
+	{"uid":"s-00000002","endpoint":"127.0.0.1:1","az":"east","model":"origin","state":"Ready","capacity_hint":1}]}}]},
+	"settings":{"Classes":[{"Name":"page","Deadline":2000000,"Promise":2000000,"Gain":1,"Idempotency":"read_like","Group":"all"},
+	{"Name":"report","Deadline":2000000,"Promise":2000000,"Gain":1,"Idempotency":"idempotency_key","Group":"all","MemorySpan":2000000}],
+	"Extra":{"MasterKind":1,"ShieldKind":-1,"NotesGiven":"all"},"Kinds":["box","origin"],
+	"Permissions":{"MaxAttempts":8,"DialTimeout":500000,"MaxStreams":32},"Zone":"east","Zones":["east"]}}`
+
+// longTimeout is how long a client waits where its request's time must not be over on a slow machine, in milliseconds.
+const longTimeout = "30000"
+
+// withLongDeadlines changes a configuration so that its classes leave requests so long.
+func withLongDeadlines(text string) string {
+	return strings.ReplaceAll(text, `"Deadline":2000000`, `"Deadline":30000000`)
+}
+
+// limit is when SIGKILL may come after SIGTERM, by the protocol.
+const limit = (2000 + killGrace) * time.Millisecond
+
+// routerProcess is a running router, and the two caches behind it with a ledger of what came to them.
+type routerProcess struct {
+	t      *testing.T
+	cmd    *exec.Cmd
+	listen string
+	config string
+	text   string
+	log    *logBuffer
+
+	mu     sync.Mutex
+	ledger []string // "GET id" and "DROP id", as they came, and "END id" once the connection ended on which they came
+	hold   map[string]net.Conn
+}
+
+// logBuffer holds the log of a process, which may be read while that writes.
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (b *logBuffer) Write(line []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(line)
+}
+
+func (b *logBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
+}
+
+// launch starts a router, after changes to its command; with pipe the configuration comes through one that the test writes, and the router
+// has begun to read it.
+func launch(t *testing.T, pipe bool, changes ...func(*exec.Cmd)) (*routerProcess, *os.File) {
+	t.Helper()
+	board, one, two := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
+	p := &routerProcess{t: t, listen: loopback.FreeAddress(), config: filepath.Join(t.TempDir(), "config.json"), hold: map[string]net.Conn{},
+		log: &logBuffer{}, text: fmt.Sprintf(twoCachesConfig, board.Addr(), one.Addr(), two.Addr())}
+	for _, l := range []net.Listener{one, two} {
+		go p.cache(l)
+	}
+	var into *os.File
+	var err error
+	if pipe {
+		err = syscall.Mkfifo(p.config, 0o600)
+	} else {
+		err = os.WriteFile(p.config, []byte(p.text), 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.cmd = exec.Command(os.Args[0])
+	p.cmd.Env = append(os.Environ(), asProcess+"=1", "GORACE=atexit_sleep_ms=0", "RELAY_NAME=n1", "RELAY_LISTEN="+p.listen, "RELAY_CONFIG="+p.config)
+	p.cmd.Stderr = p.log
+	for _, change := range changes {
+		change(p.cmd)
+	}
+	if err := p.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		p.cmd.Process.Kill()
+		if t.Failed() {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			t.Logf("requests at the caches: %q; log: %s", p.ledger, p.log)
+		}
+	})
+	if pipe {
+		opened := make(chan struct{})
+		go func() {
+			defer close(opened)
+			into, err = os.OpenFile(p.config, os.O_WRONLY, 0) // opens once the router reads
+		}()
+		if testwait.Receive(t, opened, "the router to read its configuration"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return p, into
+}
+
+// cache keeps a ledger and answers nothing by itself.
+func (p *routerProcess) cache(l net.Listener) {
+	for {
+		nc, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go p.record(nc)
+	}
+}
+
+// record notes what comes on a connection to a cache until it ends.
+func (p *routerProcess) record(nc net.Conn) {
+	defer nc.Close()
+	in := bufio.NewReader(nc)
+	var ids []string
+	for {
+		parts, err := resp.ReadArray(in)
+		p.mu.Lock()
+		if err != nil {
+			for _, id := range ids {
+				p.ledger = append(p.ledger, "END "+id)
+			}
+			p.mu.Unlock()
+			return
+		}
+		verb, id := string(parts[0]), string(parts[1])
+		p.ledger = append(p.ledger, verb+" "+id)
+		p.hold[id] = nc
+		p.mu.Unlock()
+		if verb == "GET" {
+			ids = append(ids, id)
+		}
+	}
+}
+
+// await returns once the ledger holds a line.
+func (p *routerProcess) await(line string) {
+	p.t.Helper()
+	testwait.Until(p.t, line+" at a cache", func() bool { return p.count(line) > 0 })
+}
+
+// arrived returns true once the ledger holds one of some lines, and false where the process ends without.
+func (p *routerProcess) arrived(lines ...string) bool {
+	p.t.Helper()
+	here := func() bool {
+		return slices.ContainsFunc(lines, func(line string) bool { return p.count(line) > 0 })
+	}
+	testwait.Until(p.t, strings.Join(lines, " or ")+" at a cache", func() bool {
+		return here() || strings.Contains(p.log.String(), `"message":"counters"`)
+	})
+	return here()
+}
+
+func (p *routerProcess) count(line string) (n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, l := range p.ledger {
+		if l == line {
+			n++
+		}
+	}
+	return n
+}
+
+// breakOff ends the connection on which a request came to its cache, and returns once the router has closed it too.
+func (p *routerProcess) breakOff(ref string) {
+	p.t.Helper()
+	p.mu.Lock()
+	nc := p.hold[ref].(*net.TCPConn)
+	p.mu.Unlock()
+	if err := nc.CloseWrite(); err != nil && !errors.Is(err, net.ErrClosed) { // the router closes one that was silent for long
+		p.t.Fatal(err)
+	}
+	p.await("END " + ref)
+}
+
+func (p *routerProcess) signal(s syscall.Signal) {
+	p.t.Helper()
+	if err := p.cmd.Process.Signal(s); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// exit waits for the process, which has ended or is about to.
+func (p *routerProcess) exit() error {
+	p.t.Helper()
+	waited := make(chan error, 1)
+	go func() { waited <- p.cmd.Wait() }()
+	return testwait.Receive(p.t, waited, "the end of the router's process")
+}
+
+// ended waits for the process and returns how long it took by a stopwatch; it must end by itself.
+func (p *routerProcess) ended(w *testwait.Stopwatch) time.Duration {
+	p.t.Helper()
+	if err := p.exit(); err != nil {
+		p.t.Errorf("ended with %v; log: %s", err, p.log)
+	}
+	return w.Elapsed()
+}
--- /dev/null
+++ b/cmd/spantack/reload.go
@@ -0,0 +1,117 @@
+package main
+
+import (
+	"context"
+	"sync/atomic"
+
+	"spantack/internal/config"
+	"spantack/internal/features"
+	"spantack/internal/router"
+)
+
+// reloadCounters count what became of configuration files at SIGHUP.
+type reloadCounters struct{ applied, rejected atomic.Int64 }
+
+// handleReloads reloads the configuration and the features file at each SIGHUP, until ctx ends.
+func (p *process) handleReloads(ctx context.Context) error {
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-p.signals.hangUp:
+			p.reloadConfig()
+			p.reloadFeatures()
+		}
+	}
+}
+
+// reloadConfig puts the configuration file in force as it is now. Nothing of a file applies unless all of it can be
+// used. The address of the discovery service and the settings change in a running router; limits, seed and what
+// connections rest on take a restart.
+func (p *process) reloadConfig() {
+	old := p.config.Load()
+	c, err := p.loadConfig()
+	if err == nil {
+		err = c.CheckReplaces(old)
+	}
+	if err == nil {
+		err = p.router.UpdateSettings(c.Settings)
+	}
+	if err != nil {
+		p.reloads.rejected.Add(1)
+		p.log.Error().Err(err).Msg("new configuration can't be used")
+		return
+	}
+	p.server.UpdateClasses(keyedClasses(c))
+	p.pools.SetMaxSendDelay(c.MaxSendDelay)
+	p.reloads.applied.Add(1)
+	if takesRestart(old, c) {
+		p.log.Warn().Msg("new configuration differs in what takes a restart")
+	}
+	p.log.Info().Str("from", old.DiscoveryAddr).Str("board", c.DiscoveryAddr).Int("classes", len(c.Settings.Classes)).
+		Int("attempts", c.Settings.Permissions.MaxAttempts).Msg("new configuration")
+	if c.DiscoveryAddr != old.DiscoveryAddr {
+		p.watcher.SetAddress(c.DiscoveryAddr)
+	}
+	p.config.Store(withoutRestart(old, c))
+}
+
+// takesRestart reports whether two configurations differ in what a running process can't change.
+func takesRestart(old, c *config.Config) bool {
+	return c.MemoryMB != old.MemoryMB || c.MaxSockets != old.MaxSockets || c.DialTimeout != old.DialTimeout ||
+		c.IdleTimeout != old.IdleTimeout || c.MaxStreams != old.MaxStreams || c.Settings.Zone != old.Settings.Zone
+}
+
+// withoutRestart returns a new configuration with what a running process can't change as it was.
+func withoutRestart(old, c *config.Config) *config.Config {
+	inForce := *c
+	inForce.InitialEvents = nil // those of the start: the watch has brought what came since
+	inForce.MemoryMB = old.MemoryMB
+	inForce.MaxSockets = old.MaxSockets
+	inForce.DialTimeout = old.DialTimeout
+	inForce.IdleTimeout = old.IdleTimeout
+	inForce.MaxStreams = old.MaxStreams
+	return &inForce
+}
+
+// reloadFeatures puts the features file in force as it is now. A file that can't be used changes nothing.
+func (p *process) reloadFeatures() {
+	if p.flags.Features == "" {
+		return
+	}
+	file, inForce, err := loadFeatures(p.flags.Features, p.config.Load())
+	if err == nil {
+		err = file.CheckReplaces(p.clock.Now(), p.features)
+	}
+	if err != nil {
+		p.log.Error().Err(err).Msg("new features can't be used")
+		return
+	}
+	if err := p.router.ApplyFeatures(inForce); err != nil { // it was checked: this can't be
+		p.log.Error().Err(err).Msg("new features can't be used")
+	}
+	p.features = file
+	p.logFeatures(inForce)
+}
+
+// logFeatures logs the versions of what the features file has put in force.
+func (p *process) logFeatures(inForce router.Features) {
+	var cellsVersion, topologyVersion int64
+	if inForce.Cells != nil {
+		cellsVersion = inForce.Cells.Version()
+	}
+	if inForce.Topology != nil {
+		topologyVersion = inForce.Topology.Topology().Version
+	}
+	_, migrationsVersion := p.router.MigrationStatus()
+	p.log.Info().Int64("cells", cellsVersion).Int64("shape", topologyVersion).Int64("moves", migrationsVersion).
+		Str("release", rolloutName(p.features)).Msg("new features")
+}
+
+// rolloutName is the name of the rollout in a features file; empty without one.
+func rolloutName(file *features.File) string {
+	if rollout := file.ActiveRollout(); rollout != nil {
+		return rollout.Name
+	}
+	return ""
+}
--- a/cmd/spantack/main_test.go
+++ b/cmd/spantack/run_test.go
@@ -84,34 +84,3 @@
 		t.Error(err)
 	}
 }
-
-// However small the limits, and halved for two processes, there are connections to servers and for clients, and not more than descriptors.
-func TestConnections(t *testing.T) {
-	for _, c := range []struct {
-		sockets          int
-		memoryMB         float64
-		clients, servers int
-	}{{1024, 192, 708, 268}, {384, 64, 247, 89}, {192, 32, 100, 44}, {64, 32, 21, 8}, {32, 16, 10, 8}} {
-		clients, servers := divideDescriptors(c.sockets, c.memoryMB*(1<<20))
-		if clients != c.clients || servers != c.servers {
-			t.Errorf("%d descriptors, %v MB: %d for clients, %d to servers", c.sockets, c.memoryMB, clients, servers)
-		}
-	}
-}
-
-// The process is gone before SIGKILL may come, takes requests for as long as they come, and leaves what it took all its time where that can be.
-func TestTheEnd(t *testing.T) {
-	for longest := 1.0; longest < 1e6; longest *= 1.07 {
-		kill := min(longest, maxHonouredDeadline) + killGrace
-		stay, last, take := planShutdown(longest)
-		if last+take > kill-exitMargin+1e-6 || stay > last || stay < 600 || take <= 0 {
-			t.Errorf("deadline of %v ms: takes requests for %v, answers by %v, gone by %v, SIGKILL at %v", longest, stay, last, last+take, kill)
-		}
-		if gone := last + take + shutdownSlack(longest); gone > kill-exitMargin+1e-6 || shutdownSlack(longest) < -1e-6 {
-			t.Errorf("deadline of %v ms: gone by %v where the machine is slow, SIGKILL at %v", longest, gone, kill)
-		}
-		if longest >= 300 && (stay != acceptAfterSignal || take != maxAnswerReadTime || last < kill-finalAnswerLead) {
-			t.Errorf("deadline of %v ms: stays %v, answers by %v, %v to take them", longest, stay, last, take)
-		}
-	}
-}
