--- a/cmd/spantack/client_departure_test.go
+++ b/cmd/spantack/client_departure_test.go
@@ -17,10 +17,11 @@
 	"spantack/internal/testwait"
 )
 
-// A client leaves, in each way there is, while its request is at a server that then breaks off: the request is not sent on. Judged
-// from the caches' ledger: the request of another client that comes through afterwards tells that nothing is on its way before it, and
-// once the process has ended nothing can follow. Half of them leave while the process ends. The other client asks once the router has
-// noticed the break: a request that crosses it goes out on the breaking connection, and three that break off so shut their cache.
+// A client leaves, in each way there is, while its request is at a server that then breaks off: the request is not
+// sent on. Judged from the caches' request log: the request of another client that comes through afterwards tells that
+// nothing is on its way before it, and once the process has ended nothing can follow. Half of them leave while the
+// process ends. The other client asks once the router has noticed the break: a request that crosses it goes out on
+// the breaking connection, and three that break off so shut their cache.
 func TestLeftIsNotSentOn(t *testing.T) {
 	t.Parallel()
 	ways := map[string]func(*net.TCPConn){
@@ -37,11 +38,12 @@
 	}
 }
 
-// errEnded is of a process that was told to end and has ended before all clients had left: that takes some 20 ms, and 3 s are left.
+// errEnded is of a process that was told to end and has ended before all clients had left: that takes some 20 ms,
+// and 3 s are left.
 var errEnded = errors.New("the process has ended before all clients had left")
 
-// leaveInTurn plays TestLeftIsNotSentOn with one process. All deadlines are far off, so that no request's time is over on a slow machine.
-// Its error is what a machine that is too slow may be the cause of.
+// leaveInTurn plays TestLeftIsNotSentOn with one process. All deadlines are far off, so that no request's time is
+// over on a slow machine. Its error is what a machine that is too slow may be the cause of.
 func leaveInTurn(t *testing.T, ways map[string]func(*net.TCPConn), ending bool) error {
 	p, into := launch(t, true)
 	io.WriteString(into, withLongDeadlines(p.text))
@@ -68,7 +70,8 @@
 			return errEnded
 		}
 		leave(clients[name])
-		if !p.arrived("DROP "+left, "END "+left) { // without a DROP where that does not get out soon: the connection is closed instead
+		// The connection is closed instead where the DROP does not get out soon.
+		if !p.arrived("DROP "+left, "END "+left) {
 			return errEnded
 		}
 		p.breakOff(left)
@@ -97,64 +100,62 @@
 	return eachAnswered(answers, last)
 }
 
-// A client leaves while the connection to the cache that its request needs does not come up. When it does, the request is not sent on it: the
-// first that the cache hears there is another client's.
+// A client leaves while the connection to the cache that its request needs does not come up. When it does, the
+// request is not sent on it: the first that the cache hears there is another client's.
 func TestLeftBehindALateDial(t *testing.T) {
 	t.Parallel()
-	addr, open := full(t)
-	second := loopback.FreeAddress()
-	p, into := launch(t, true, func(c *exec.Cmd) { c.Env = append(c.Env, "RELAY_MGMT="+second, "TMPDIR="+t.TempDir()) })
-	at := regexp.MustCompile(`("uid":"s-0000000[13]","endpoint":")[^"]*`)
-	text := strings.Replace(at.ReplaceAllString(p.text, "${1}"+addr), `"DialTimeout":500000`, `"DialTimeout":20000000`, 1)
+	addr, open := fullListener(t)
+	adminAddr := loopback.FreeAddress()
+	p, into := launch(t, true, func(c *exec.Cmd) {
+		c.Env = append(c.Env, "RELAY_MGMT="+adminAddr, "TMPDIR="+t.TempDir())
+	})
+	cacheAddrs := regexp.MustCompile(`("uid":"s-0000000[13]","endpoint":")[^"]*`)
+	text := cacheAddrs.ReplaceAllString(p.text, "${1}"+addr)
+	text = strings.Replace(text, `"DialTimeout":500000`, `"DialTimeout":20000000`, 1)
 	io.WriteString(into, withLongDeadlines(text))
 	into.Close()
-	outstanding := func(n int) {
-		t.Helper()
-		want := fmt.Sprintf("app.outstanding:%d|g\n", n)
-		testwait.Until(t, want, func() bool {
-			r, err := staffClient.Get("http://" + second + "/api/telemetry")
-			if err != nil {
-				return false
-			}
-			defer r.Body.Close()
-			text, _ := io.ReadAll(r.Body)
-			return strings.Contains(string(text), want)
-		})
-	}
 	leaves := p.readyClient()
 	askWithin(leaves, 2, "00000000000000aa", longTimeout)
-	outstanding(1)
+	awaitOutstanding(t, adminAddr, 1)
 	leaves.Close()
-	outstanding(0)
+	awaitOutstanding(t, adminAddr, 0)
 	up := make(chan net.Conn, 32)
-	go p.cache(&told{open(), up})
-	late := testwait.Receive(t, up, "the late connection") // nobody else dials: the system has tried for the first request again
-	stays := p.readyClient()                               // not before: one that says nothing for long is closed
-	for i := range 6 {                                     // until one goes that way: the router may hear a moment later that it is up
+	go p.serveCache(&announcingListener{open(), up})
+	// Nobody else dials: the system has tried for the first request again.
+	late := testwait.Receive(t, up, "the late connection")
+	stays := p.readyClient() // not before: one that says nothing for long is closed
+	for i := range 6 {       // until one goes that way: the router may hear a moment later that it is up
 		ref := fmt.Sprintf("00000000000000b%x", i)
 		askWithin(stays, 2+i, ref, longTimeout)
 		p.await("GET " + ref)
-		p.mu.Lock()
-		used := slices.Contains(slices.Collect(maps.Values(p.hold)), late)
-		p.mu.Unlock()
-		if used {
+		if p.isUsed(late) {
 			break
 		}
 	}
+	if !p.isUsed(late) {
+		t.Error("nothing came on the late connection")
+	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if i := slices.Index(p.ledger, "GET 00000000000000aa"); i >= 0 || !slices.Contains(slices.Collect(maps.Values(p.hold)), late) {
-		t.Errorf("sent on when the connection came up (%d), or nothing came that way: %q", i, p.ledger)
+	if i := slices.Index(p.requestLog, "GET 00000000000000aa"); i >= 0 {
+		t.Errorf("sent when the connection came up (%d): %q", i, p.requestLog)
 	}
 }
 
-// told is a listener that tells of the connections that it has taken up.
-type told struct {
+// isUsed reports whether a request came on a connection to a cache.
+func (p *routerProcess) isUsed(nc net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Contains(slices.Collect(maps.Values(p.conns)), nc)
+}
+
+// announcingListener passes on the connections that it has taken up.
+type announcingListener struct {
 	net.Listener
 	up chan<- net.Conn
 }
 
-func (l *told) Accept() (net.Conn, error) {
+func (l *announcingListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err == nil {
 		l.up <- nc
--- a/cmd/spantack/client_harness_test.go
+++ b/cmd/spantack/client_harness_test.go
@@ -28,8 +28,8 @@
 	return client
 }
 
-// readyClient connects and has the router say that it is ready. It does so again where the router closes a connection because the test was
-// too late with its first message.
+// readyClient connects and has the router say that it is ready. It does so again where the router closes a
+// connection because the test was too late with its first message.
 func (p *routerProcess) readyClient() *net.TCPConn {
 	p.t.Helper()
 	var client *net.TCPConn
@@ -53,6 +53,7 @@
 	return nil
 }
 
+// ask asks for a page and waits for 2 s.
 func ask(nc net.Conn, message int, ref string) { askWithin(nc, message, ref, "2000") }
 
 // askWithin asks for a page and waits for so many milliseconds.
@@ -61,8 +62,10 @@
 		message, ref, []byte{shortText + byte(len(allow))}, allow)
 }
 
+// askKeyed asks for a report, with an idempotency key.
 func askKeyed(nc net.Conn, message int, ref string) {
-	fmt.Fprintf(nc, "\x94\x00%c\xa6report\x92\x84\xa3ref\xb0%s\xa5allow\xa42000\xa6lookup\xb0000000000000007f\xa6replay\xa4k001\xc4\x00", message, ref)
+	fmt.Fprintf(nc, "\x94\x00%c\xa6report\x92\x84\xa3ref\xb0%s\xa5allow\xa42000"+
+		"\xa6lookup\xb0000000000000007f\xa6replay\xa4k001\xc4\x00", message, ref)
 }
 
 // eachAnswered is nil where each message from 2 to last has one answer.
--- a/cmd/spantack/departures_play_test.go
+++ b/cmd/spantack/departures_play_test.go
@@ -75,8 +75,8 @@
 	return []caches.Fault{caches.Err, caches.Busy, caches.Spoil}[g.ID[len(g.ID)-1]%3]
 }
 
-// play brings all clients to the place, lets them leave, and then, later than the grace, lets what waits there go on. It tells whether attempts
-// of clients that stayed began there then.
+// play brings all clients to the place, lets them leave, and then, later than the grace, lets what waits there go
+// on. It tells whether attempts of clients that stayed began there then.
 func (p *departure) play() (began bool) {
 	if step := p.setUp(); step != "" {
 		p.t.Logf("set up anew: %s", step)
@@ -99,8 +99,9 @@
 	return began
 }
 
-// leave lets all clients that leave do so. No program is started beside this meanwhile: until it runs it holds copies of this process's
-// connections, and a close, which has no effect before all copies are closed, would come late.
+// leave lets all clients that leave do so. No program is started beside this meanwhile: until it runs it holds
+// copies of this process's connections, and a close, which has no effect before all copies are closed, would come
+// late.
 func (p *departure) leave() {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
@@ -135,7 +136,8 @@
 	}
 }
 
-// goesOn waits for an attempt of a client that has stayed, and tells whether it came: the place is one from which attempts begin.
+// goesOn waits for an attempt of a client that has stayed, and tells whether it came: the place is one from which
+// attempts begin.
 func (p *departure) goesOn(since time.Time) bool {
 	return within(func() bool {
 		return slices.ContainsFunc(p.requests.Gets(), func(g caches.Get) bool {
--- a/cmd/spantack/departures_setup_test.go
+++ b/cmd/spantack/departures_setup_test.go
@@ -10,7 +10,8 @@
 	"spantack/internal/testwait"
 )
 
-// setUp brings everything to the moment in which clients leave, and names the step that the machine was too slow for; empty: none.
+// setUp brings everything to the moment in which clients leave, and names the step that the machine was too slow
+// for; empty: none.
 func (p *departure) setUp() (failed string) {
 	switch {
 	case !p.connectAll():
--- a/cmd/spantack/departures_test.go
+++ b/cmd/spantack/departures_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// A client that cancels or closes its connection has gone: an attempt of its request that begins more than departedGrace later is late, and
-// maxLate of them are let pass. Everything here is judged by the caches' log of requests: by when the kernel received an attempt whole, against
-// the moment at which the client's act was done.
+// A client that cancels or closes its connection has gone: an attempt of its request that begins more than
+// departedGrace later is late, and maxLate of them are let pass. Everything here is judged by the caches' log of
+// requests: by when the kernel received an attempt whole, against the moment at which the client's act was done.
 const (
 	departedGrace = 100 * time.Millisecond
 	maxLate       = 2
@@ -20,8 +20,9 @@
 const (
 	// playsAtOnce bounds how many deployments are up at a time.
 	playsAtOnce = 4
-	// maxPlays bounds how often a place is set up anew because the machine was so slow that the requests of those who stay ended there before
-	// anything could begin: such a play shows too little. The verdict on those who left counts in each.
+	// maxPlays bounds how often a place is set up anew because the machine was so slow that the requests of those who
+	// stay ended there before anything could begin: such a play shows too little. The verdict on those who left counts
+	// in each.
 	maxPlays = 8
 	// setUpWithin bounds each step to that moment, and the wait for an attempt of a client that stayed after it.
 	setUpWithin = 5 * time.Second
@@ -73,7 +74,8 @@
 	}
 }
 
-// waitingPlace is where in the router a request waits when its client leaves. Nothing can begin there until the test lets it.
+// waitingPlace is where in the router a request waits when its client leaves. Nothing can begin there until the
+// test lets it.
 type waitingPlace struct {
 	name     string
 	each     int  // clients for each way out; 0: three
@@ -81,12 +83,12 @@
 	sockets  int  // 0: enough for all
 	body     int  // bytes in the requests of those who leave
 	unasked  bool // they ask in the moment in which they leave
-	held     bool // first attempts are with the caches, and end when the test says so, such that a further one follows
+	held     bool // first attempts are with the caches, and end when the test says so, such that a retry follows
 	lateDial bool // connections to the caches do not come up
 	paused   bool // the caches read nothing
 	blockers int  // commands longer than a connection takes, which were begun before
 	busy     bool // it is also played on a busy core
-	kernel   bool // it is the system's, which needs no router to go on: the router gets the time to take back what waits there
+	kernel   bool // it is the system's, which needs no router to go on: the router gets time to take back what is there
 }
 
 // minDescriptors leave the router so few connections to caches that attempts share them.
@@ -117,8 +119,15 @@
 	busy    bool // it shares one core with programs that never rest
 }
 
-var conditions = []condition{{name: "serving"}, {name: "stopped", stopped: true}, {name: "ending", ending: true}, {name: "busy", busy: true}}
+var conditions = []condition{
+	{name: "serving"},
+	{name: "stopped", stopped: true},
+	{name: "ending", ending: true},
+	{name: "busy", busy: true},
+}
 
+// An attempt of a client that has left is not sent, wherever in the router its request waits and whatever else
+// befalls the router.
 func TestDepartedIsNotSentOn(t *testing.T) {
 	t.Parallel()
 	plays := make(chan struct{}, playsAtOnce)
--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -9,11 +9,11 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
+	"spantack/internal/loopback"
 	"spantack/internal/testwait"
 	caches "spantack/standin/cache"
 )
@@ -21,22 +21,6 @@
 // awaitLimit ends every wait of a test that the router, a client or a stand-in should end by itself.
 const awaitLimit = 20 * time.Second
 
-// addresses counts the loopback addresses that this process has given out.
-var addresses atomic.Uint32
-
-// ownAddress is an address of loopback where nobody listens. It is of this process and this call alone: a port of 127.0.0.1 that was free a moment
-// ago may be taken by a test that runs beside this one.
-func ownAddress(t *testing.T) string {
-	t.Helper()
-	process, call := os.Getpid(), addresses.Add(1)
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+process>>8&0x7f, process&0xff, 1+call%250))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
 // blueprint describes a deployment of one router.
 type blueprint struct {
 	caches    int
@@ -70,7 +54,14 @@
 // deploy starts the caches and the router, and returns once the router takes requests.
 func deploy(t *testing.T, plan blueprint) *deployment {
 	t.Helper()
-	d := &deployment{t: t, plan: plan, listen: ownAddress(t), stderr: &bytes.Buffer{}, requests: caches.NewRequestLog(), exited: make(chan error, 1)}
+	d := &deployment{
+		t:        t,
+		plan:     plan,
+		listen:   loopback.FreeAddress(),
+		stderr:   &bytes.Buffer{},
+		requests: caches.NewRequestLog(),
+		exited:   make(chan error, 1),
+	}
 	origin, err := caches.Listen(caches.Options{ID: originID, Origin: true, RequestLog: d.requests})
 	if err != nil {
 		t.Fatal(err)
@@ -90,14 +81,13 @@
 		d.caches = append(d.caches, cache)
 	}
 	if d.plan.discovery == "" {
-		d.plan.discovery = ownAddress(t)
+		d.plan.discovery = loopback.FreeAddress()
 	}
 	config := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(config, d.configuration(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d.cmd = exec.Command(os.Args[0])
-	d.cmd.Env = append(os.Environ(), asProcess+"=1", "GORACE=atexit_sleep_ms=0", "RELAY_NAME=n1", "RELAY_LISTEN="+d.listen, "RELAY_CONFIG="+config)
+	d.cmd = routerCommand(d.listen, config)
 	d.cmd.Stderr = d.stderr
 	start := (*exec.Cmd).Start
 	if plan.start != nil {
@@ -112,8 +102,9 @@
 	return d
 }
 
-// answersReady asks for the router's state on a new connection. It is false where the router closed that one unanswered, as it does with a client that says
-// nothing for long: this process may be that client on a machine that is starved. Any other answer than that it is ready ends the test.
+// answersReady asks for the router's state on a new connection. It is false where the router closed that one
+// unanswered, as it does with a client that says nothing for long: this process may be that client on a machine
+// that is starved. Any other answer than that it is ready ends the test.
 func (d *deployment) answersReady() bool {
 	d.t.Helper()
 	c := d.connect()
@@ -132,18 +123,29 @@
 // configuration is the router's, with the origin and the caches known from the start.
 func (d *deployment) configuration() []byte {
 	type entry map[string]any
-	targets := []entry{{"uid": d.origin.Name(), "endpoint": d.origin.Addr().String(), "az": "east", "model": "origin", "state": "Ready", "capacity_hint": 4}}
+	target := func(server *caches.Server, kind string) entry {
+		return entry{
+			"uid": server.Name(), "endpoint": server.Addr().String(), "az": "east", "model": kind, "state": "Ready",
+			"capacity_hint": 4,
+		}
+	}
+	targets := []entry{target(d.origin, "origin")}
 	for _, cache := range d.caches {
-		targets = append(targets, entry{"uid": cache.Name(), "endpoint": cache.Addr().String(), "az": "east", "model": "box", "state": "Ready", "capacity_hint": 4})
+		targets = append(targets, target(cache, "box"))
 	}
 	micros := d.plan.deadline.Microseconds()
 	text, err := json.Marshal(entry{
 		"seed": "01", "limits": entry{"memory_mb": 192, "sockets": d.plan.sockets}, "board": d.plan.discovery,
 		"known": entry{"rev": 1, "notices": []entry{{"rev": 1, "pool": entry{"all": true, "targets": targets}}}},
 		"settings": entry{
-			"Classes": []entry{{"Name": "page", "Deadline": micros, "Promise": micros, "Gain": 1, "Idempotency": "read_like", "Group": "all"}},
-			"Extra":   entry{"MasterKind": 1, "ShieldKind": -1, "NotesGiven": "all"}, "Kinds": []string{"box", "origin"},
-			"Permissions": entry{"MaxAttempts": 8, "DialTimeout": 20_000_000, "MaxStreams": 32}, "Zone": "east", "Zones": []string{"east"},
+			"Classes": []entry{{
+				"Name": "page", "Deadline": micros, "Promise": micros, "Gain": 1, "Idempotency": "read_like", "Group": "all",
+			}},
+			"Extra":       entry{"MasterKind": 1, "ShieldKind": -1, "NotesGiven": "all"},
+			"Kinds":       []string{"box", "origin"},
+			"Permissions": entry{"MaxAttempts": 8, "DialTimeout": 20_000_000, "MaxStreams": 32},
+			"Zone":        "east",
+			"Zones":       []string{"east"},
 		},
 	})
 	if err != nil {
@@ -162,7 +164,8 @@
 	}
 }
 
-// finish tells the router to end, unless it was told before, and returns once the caches have read all that it sent: from then on their log is complete.
+// finish tells the router to end, unless it was told before, and returns once the caches have read all that it
+// sent: from then on their log is complete.
 func (d *deployment) finish(told bool) {
 	d.t.Helper()
 	if !told {
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// followsWithin is how long after the return of discovery the router may take until it watches it. It tries twice a second or more; idle
-	// clients that have asked once are closed for that alone only after 6 s.
+	// followsWithin is how long after the return of discovery the router may take until it watches it. It tries twice
+	// a second or more; idle clients that have asked once are closed for that alone only after 6 s.
 	followsWithin = 3 * time.Second
-	// servesWithin is how long a client may take from then on until it is served, by the cache that was listed meanwhile. From both the time is taken
-	// off for which the machine was short of CPUs.
+	// servesWithin is how long a client may take from then on until it is served, by the cache that was listed
+	// meanwhile. From both the time is taken off for which the machine was short of CPUs.
 	servesWithin = 5 * time.Second
 	// againAfter is how long an idle client that was closed waits until it comes again.
 	againAfter = 500 * time.Millisecond
@@ -43,15 +43,22 @@
 func (o *outage) newWatch() bool { return o.away == discovery.Down }
 
 var outages = []outage{
-	{name: "down", away: discovery.Down, back: discovery.Serving, lasts: time.Second, limits: []int{64, 128, 256, 512, 1024}},
+	{
+		name: "down", away: discovery.Down, back: discovery.Serving, lasts: time.Second,
+		limits: []int{64, 128, 256, 512, 1024},
+	},
 	// Long enough for the router to give up the silent connection and open others.
 	{name: "mute", away: discovery.Mute, back: discovery.Serving, lasts: 4 * time.Second, limits: []int{64, 256, 1024}},
-	{name: "down, then slow", away: discovery.Down, back: discovery.Slow, lasts: time.Second, limits: []int{64, 256, 1024}, firstFrame: discovery.FirstFrameAfter},
+	{
+		name: "down, then slow", away: discovery.Down, back: discovery.Slow, lasts: time.Second,
+		limits: []int{64, 256, 1024}, firstFrame: discovery.FirstFrameAfter,
+	},
 }
 
-// Idle clients, and such that send half a message and no more, come in greater numbers than the router may have descriptors, while discovery is
-// away. Once it is back the router watches it again, learns that its caches have been replaced, and serves from the new one; the process
-// has no more descriptors than its limit (RLIMIT_NOFILE) and does not crash.
+// Idle clients, and such that send half a message and no more, come in greater numbers than the router may have
+// descriptors, while discovery is away. Once it is back the router watches it again, learns that its caches have
+// been replaced, and serves from the new one; the process has no more descriptors than its limit (RLIMIT_NOFILE)
+// and does not crash.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	t.Parallel()
 	for _, away := range outages {
@@ -70,7 +77,9 @@
 		t.Fatal(err)
 	}
 	defer service.Close()
-	d := deploy(t, blueprint{caches: 2, sockets: limit, deadline: 2 * time.Second, discovery: service.Addr(), start: limited(limit)})
+	d := deploy(t, blueprint{
+		caches: 2, sockets: limit, deadline: 2 * time.Second, discovery: service.Addr(), start: limited(limit),
+	})
 	list := append(d.list(stateReady, stateReady), entry(d.origin, originID, stateReady, kindOrigin))
 	service.Publish(true, list...)
 	testwait.Until(t, "the router's first watch", func() bool { return service.Watches() > 0 })
@@ -91,7 +100,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(replacement.Close)
-	service.Publish(false, append(d.list(stateGone, stateGone), entry(replacement, firstCache+100, stateReady, kindCache))...)
+	replaced := append(d.list(stateGone, stateGone), entry(replacement, firstCache+100, stateReady, kindCache))
+	service.Publish(false, replaced...)
 	before := service.Watches()
 	back := testwait.StartStopwatch()
 	if err := service.SetMode(away.back); err != nil {
@@ -160,8 +170,9 @@
 	return len(entries)
 }
 
-// servedBy asks for new objects, on a new connection each time, as a client may whose connection was closed unread, until a request was served and
-// this cache has had one. It returns how long that took, less the time for which the machine was short of CPUs.
+// servedBy asks for new objects, on a new connection each time, as a client may whose connection was closed unread,
+// until a request was served and this cache has had one. It returns how long that took, less the time for which the
+// machine was short of CPUs.
 func (d *deployment) servedBy(cache *caches.Server) time.Duration {
 	d.t.Helper()
 	begin := testwait.StartStopwatch()
@@ -208,7 +219,8 @@
 	dials int
 }
 
-// beginnings are what idle clients send: nothing, half a message, or a whole one, after which they rest for as long as they may.
+// beginnings are what idle clients send: nothing, half a message, or a whole one, after which they rest for as long
+// as they may.
 var beginnings = []string{"", "\x94\x00\x02\xa4pa", wholeMessage, wholeMessage + "\x94", wholeMessage, wholeMessage}
 
 const wholeMessage = "\x94\x00\x01\xa6health\x91\x80"
--- a/cmd/spantack/harness_test.go
+++ b/cmd/spantack/harness_test.go
@@ -33,12 +33,15 @@
 }
 
 // twoCachesConfig is a deployment with a class for reads and a keyed one, both of 2 s.
-const twoCachesConfig = `{"seed":"01","limits":{"memory_mb":192,"sockets":256},"board":%q,"known":{"rev":1,"notices":[{"rev":1,
-	"pool":{"all":true,"targets":[{"uid":"s-00000001","endpoint":%q,"az":"east","model":"box","state":"Ready","capacity_hint":4},
+const twoCachesConfig = `{"seed":"01","limits":{"memory_mb":192,"sockets":256},"board":%q,
+	"known":{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":[
+	{"uid":"s-00000001","endpoint":%q,"az":"east","model":"box","state":"Ready","capacity_hint":4},
 	{"uid":"s-00000003","endpoint":%q,"az":"east","model":"box","state":"Ready","capacity_hint":4},
 	{"uid":"s-00000002","endpoint":"127.0.0.1:1","az":"east","model":"origin","state":"Ready","capacity_hint":1}]}}]},
-	"settings":{"Classes":[{"Name":"page","Deadline":2000000,"Promise":2000000,"Gain":1,"Idempotency":"read_like","Group":"all"},
-	{"Name":"report","Deadline":2000000,"Promise":2000000,"Gain":1,"Idempotency":"idempotency_key","Group":"all","MemorySpan":2000000}],
+	"settings":{"Classes":[
+	{"Name":"page","Deadline":2000000,"Promise":2000000,"Gain":1,"Idempotency":"read_like","Group":"all"},
+	{"Name":"report","Deadline":2000000,"Promise":2000000,"Gain":1,
+	"Idempotency":"idempotency_key","Group":"all","MemorySpan":2000000}],
 	"Extra":{"MasterKind":1,"ShieldKind":-1,"NotesGiven":"all"},"Kinds":["box","origin"],
 	"Permissions":{"MaxAttempts":8,"DialTimeout":500000,"MaxStreams":32},"Zone":"east","Zones":["east"]}}`
 
@@ -50,21 +53,23 @@
 	return strings.ReplaceAll(text, `"Deadline":2000000`, `"Deadline":30000000`)
 }
 
-// limit is when SIGKILL may come after SIGTERM, by the protocol.
-const limit = (2000 + killGrace) * time.Millisecond
+// killLimit is when SIGKILL may come after SIGTERM, by the protocol.
+const killLimit = (2000 + killGrace) * time.Millisecond
 
-// routerProcess is a running router, and the two caches behind it with a ledger of what came to them.
+// routerProcess is a running router, and its two edge caches with a log of what came to them.
 type routerProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
-	listen string
-	config string
-	text   string
+	listen string // address for clients
+	config string // path of the configuration
+	text   string // of the configuration
 	log    *logBuffer
 
-	mu     sync.Mutex
-	ledger []string // "GET id" and "DROP id", as they came, and "END id" once the connection ended on which they came
-	hold   map[string]net.Conn
+	mu sync.Mutex
+	// requestLog has "GET id" and "DROP id", as they came, and "END id" once the connection ended on which they came.
+	requestLog []string
+	// conns are the connections on which requests came, by the request's id.
+	conns map[string]net.Conn
 }
 
 // logBuffer holds the log of a process, which may be read while that writes.
@@ -85,28 +90,26 @@
 	return b.text.String()
 }
 
-// launch starts a router, after changes to its command; with pipe the configuration comes through one that the test writes, and the router
-// has begun to read it.
+// launch starts a router, after changes to its command; with pipe the configuration comes through one that the test
+// writes, and the router has begun to read it.
 func launch(t *testing.T, pipe bool, changes ...func(*exec.Cmd)) (*routerProcess, *os.File) {
 	t.Helper()
-	board, one, two := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
-	p := &routerProcess{t: t, listen: loopback.FreeAddress(), config: filepath.Join(t.TempDir(), "config.json"), hold: map[string]net.Conn{},
-		log: &logBuffer{}, text: fmt.Sprintf(twoCachesConfig, board.Addr(), one.Addr(), two.Addr())}
-	for _, l := range []net.Listener{one, two} {
-		go p.cache(l)
+	discovery, one, two := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
+	p := &routerProcess{
+		t:      t,
+		listen: loopback.FreeAddress(),
+		config: filepath.Join(t.TempDir(), "config.json"),
+		text:   fmt.Sprintf(twoCachesConfig, discovery.Addr(), one.Addr(), two.Addr()),
+		log:    &logBuffer{},
+		conns:  map[string]net.Conn{},
 	}
-	var into *os.File
-	var err error
-	if pipe {
-		err = syscall.Mkfifo(p.config, 0o600)
-	} else {
-		err = os.WriteFile(p.config, []byte(p.text), 0o600)
+	for _, l := range []net.Listener{one, two} {
+		go p.serveCache(l)
 	}
-	if err != nil {
+	if err := p.writeConfig(pipe); err != nil {
 		t.Fatal(err)
 	}
-	p.cmd = exec.Command(os.Args[0])
-	p.cmd.Env = append(os.Environ(), asProcess+"=1", "GORACE=atexit_sleep_ms=0", "RELAY_NAME=n1", "RELAY_LISTEN="+p.listen, "RELAY_CONFIG="+p.config)
+	p.cmd = routerCommand(p.listen, p.config)
 	p.cmd.Stderr = p.log
 	for _, change := range changes {
 		change(p.cmd)
@@ -119,24 +122,49 @@
 		if t.Failed() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			t.Logf("requests at the caches: %q; log: %s", p.ledger, p.log)
+			t.Logf("requests at the caches: %q; log: %s", p.requestLog, p.log)
 		}
 	})
+	if !pipe {
+		return p, nil
+	}
+	return p, p.openPipe()
+}
+
+// routerCommand is the test's own binary as a router.
+func routerCommand(listen, config string) *exec.Cmd {
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), asProcess+"=1", "GORACE=atexit_sleep_ms=0",
+		"RELAY_NAME=n1", "RELAY_LISTEN="+listen, "RELAY_CONFIG="+config)
+	return cmd
+}
+
+// writeConfig writes the configuration, or makes a pipe in its place.
+func (p *routerProcess) writeConfig(pipe bool) error {
 	if pipe {
-		opened := make(chan struct{})
-		go func() {
-			defer close(opened)
-			into, err = os.OpenFile(p.config, os.O_WRONLY, 0) // opens once the router reads
-		}()
-		if testwait.Receive(t, opened, "the router to read its configuration"); err != nil {
-			t.Fatal(err)
-		}
+		return syscall.Mkfifo(p.config, 0o600)
+	}
+	return os.WriteFile(p.config, []byte(p.text), 0o600)
+}
+
+// openPipe opens the pipe that stands for the configuration, which it can once the router reads.
+func (p *routerProcess) openPipe() (into *os.File) {
+	p.t.Helper()
+	var err error
+	opened := make(chan struct{})
+	go func() {
+		defer close(opened)
+		into, err = os.OpenFile(p.config, os.O_WRONLY, 0)
+	}()
+	testwait.Receive(p.t, opened, "the router to read its configuration")
+	if err != nil {
+		p.t.Fatal(err)
 	}
-	return p, into
+	return into
 }
 
-// cache keeps a ledger and answers nothing by itself.
-func (p *routerProcess) cache(l net.Listener) {
+// serveCache takes connections of an edge cache, which logs requests and answers nothing by itself.
+func (p *routerProcess) serveCache(l net.Listener) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
@@ -146,7 +174,7 @@
 	}
 }
 
-// record notes what comes on a connection to a cache until it ends.
+// record logs what comes on a connection to a cache until it ends.
 func (p *routerProcess) record(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReader(nc)
@@ -156,14 +184,14 @@
 		p.mu.Lock()
 		if err != nil {
 			for _, id := range ids {
-				p.ledger = append(p.ledger, "END "+id)
+				p.requestLog = append(p.requestLog, "END "+id)
 			}
 			p.mu.Unlock()
 			return
 		}
 		verb, id := string(parts[0]), string(parts[1])
-		p.ledger = append(p.ledger, verb+" "+id)
-		p.hold[id] = nc
+		p.requestLog = append(p.requestLog, verb+" "+id)
+		p.conns[id] = nc
 		p.mu.Unlock()
 		if verb == "GET" {
 			ids = append(ids, id)
@@ -171,13 +199,13 @@
 	}
 }
 
-// await returns once the ledger holds a line.
+// await returns once the request log has a line.
 func (p *routerProcess) await(line string) {
 	p.t.Helper()
 	testwait.Until(p.t, line+" at a cache", func() bool { return p.count(line) > 0 })
 }
 
-// arrived returns true once the ledger holds one of some lines, and false where the process ends without.
+// arrived returns true once the request log has one of some lines, and false where the process ends without.
 func (p *routerProcess) arrived(lines ...string) bool {
 	p.t.Helper()
 	here := func() bool {
@@ -192,7 +220,7 @@
 func (p *routerProcess) count(line string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.ledger {
+	for _, l := range p.requestLog {
 		if l == line {
 			n++
 		}
@@ -204,9 +232,10 @@
 func (p *routerProcess) breakOff(ref string) {
 	p.t.Helper()
 	p.mu.Lock()
-	nc := p.hold[ref].(*net.TCPConn)
+	nc := p.conns[ref].(*net.TCPConn)
 	p.mu.Unlock()
-	if err := nc.CloseWrite(); err != nil && !errors.Is(err, net.ErrClosed) { // the router closes one that was silent for long
+	err := nc.CloseWrite()
+	if err != nil && !errors.Is(err, net.ErrClosed) { // the router closes one that was silent for long
 		p.t.Fatal(err)
 	}
 	p.await("END " + ref)
--- a/cmd/spantack/late_listener_test.go
+++ b/cmd/spantack/late_listener_test.go
@@ -12,8 +12,9 @@
 	"spantack/internal/testwait"
 )
 
-// full is a listener that takes no connection up: the system drops what comes, as it does at a machine that is swamped, until open is called.
-func full(t *testing.T) (addr string, open func() net.Listener) {
+// fullListener is a listener that takes no connection up: the system drops what comes, as it does at a machine that is
+// swamped, until open is called.
+func fullListener(t *testing.T) (addr string, open func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -21,7 +22,8 @@
 	}
 	f := os.NewFile(uintptr(fd), "full")
 	defer f.Close()
-	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
+	bindErr := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+	if err := errors.Join(bindErr, syscall.Listen(fd, 0)); err != nil {
 		t.Fatal(err)
 	}
 	l, err := net.FileListener(f)
@@ -68,7 +70,7 @@
 
 func newLateListener(t *testing.T) *lateListener {
 	t.Helper()
-	addr, open := full(t)
+	addr, open := fullListener(t)
 	return &lateListener{addr: textAddr(addr), open: open, up: make(chan struct{}), closed: make(chan struct{})}
 }
 
--- a/cmd/spantack/limits_test.go
+++ b/cmd/spantack/limits_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// However small the limits, and halved for two processes, there are connections to servers and for clients, and not more than descriptors.
+// However small the limits, and halved for two processes, there are connections to servers and for clients, and not
+// more than descriptors.
 func TestDivideDescriptors(t *testing.T) {
 	for _, tc := range []struct {
 		descriptors      int
--- a/cmd/spantack/log_reader_test.go
+++ b/cmd/spantack/log_reader_test.go
@@ -11,7 +11,8 @@
 	"spantack/internal/testwait"
 )
 
-// Who reads the log has stopped, with the pipe full, or is gone: the router starts, serves, turns bad clients away, reports and ends as ever.
+// Who reads the log has stopped, with the pipe full, or is gone: the router starts, serves, turns bad clients away,
+// reports and ends as ever.
 func TestLogReaderStopsOrGoes(t *testing.T) {
 	t.Parallel()
 	for _, gone := range []bool{false, true} {
@@ -48,7 +49,7 @@
 		t.Errorf("gone %v: %v", gone, err)
 	}
 	nc.Close()
-	if took := p.ended(began); took > limit {
+	if took := p.ended(began); took > killLimit {
 		return fmt.Errorf("gone %v: ended after %v", gone, took)
 	}
 	return eachAnswered(answers, 2)
--- a/cmd/spantack/run_test.go
+++ b/cmd/spantack/run_test.go
@@ -14,18 +14,22 @@
 	"spantack/internal/testwait"
 )
 
-const document = `{"seed":"01","limits":{"memory_mb":192,"sockets":256},"board":%q,"known":{"rev":1,"notices":[{"rev":1,
-	"pool":{"all":true,"targets":[{"uid":"s-00000001","endpoint":%q,"az":"east","model":"box","state":"Ready","capacity_hint":4},
+// oneCacheConfig is a deployment of one edge cache, with the addresses of the discovery service and of the cache
+// left out.
+const oneCacheConfig = `{"seed":"01","limits":{"memory_mb":192,"sockets":256},"board":%q,
+	"known":{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":[
+	{"uid":"s-00000001","endpoint":%q,"az":"east","model":"box","state":"Ready","capacity_hint":4},
 	{"uid":"s-00000002","endpoint":"127.0.0.1:1","az":"east","model":"origin","state":"Ready","capacity_hint":1}]}}]},
-	"settings":{"Classes":[{"Name":"page","Deadline":30000000,"Promise":30000000,"Gain":1,"Idempotency":"read_like","Group":"all"}],
+	"settings":{"Classes":[
+	{"Name":"page","Deadline":30000000,"Promise":30000000,"Gain":1,"Idempotency":"read_like","Group":"all"}],
 	"Extra":{"MasterKind":1,"ShieldKind":-1,"NotesGiven":"all"},"Kinds":["box","origin"],
 	"Permissions":{"MaxAttempts":3,"DialTimeout":5000000,"MaxStreams":32},"Zone":"east","Zones":["east"]}}`
 
 // The whole program: ready after the known events, a request through a cache, and after SIGTERM the answer that was
 // still owed, before a clean end.
 func TestRun(t *testing.T) {
-	board, moved, cache := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
-	c, err := config.Parse(fmt.Appendf(nil, document, board.Addr(), cache.Addr()))
+	discovery, moved, cache := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
+	c, err := config.Parse(fmt.Appendf(nil, oneCacheConfig, discovery.Addr(), cache.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,11 +38,10 @@
 	files := make(chan string)
 	signals := catchSignals()
 	defer signals.release()
-	go func() {
-		ended <- run(c, func() (*config.Config, error) { return config.Parse([]byte(<-files)) }, flags{}, signals, io.Discard)
-	}()
+	loadConfig := func() (*config.Config, error) { return config.Parse([]byte(<-files)) }
+	go func() { ended <- run(c, loadConfig, flags{}, signals, io.Discard) }()
 	const fromFirst = "\x00\x00\x00\x00\x00\x00\x00\x01"
-	testwait.AcceptHello(t, board, fromFirst, "the watch, which begins once the router serves")
+	testwait.AcceptHello(t, discovery, fromFirst, "the watch, which begins once the router serves")
 	client := testwait.Dial(t, c.ListenAddr)
 	expect := func(from io.Reader, want string) {
 		t.Helper()
@@ -49,16 +52,17 @@
 	}
 	io.WriteString(client, "\x94\x00\x01\xa6health\x91\x80")
 	expect(client, "\x94\x01\x01\xc0\x92\xc3\x80")
-	io.WriteString(client, "\x94\x00\x02\xa4page\x92\x83\xa3ref\xb00000000000000001\xa5allow\xa530000\xa6lookup\xb0000000000000007f\xc4\x00")
+	io.WriteString(client, "\x94\x00\x02\xa4page\x92\x83\xa3ref\xb00000000000000001\xa5allow\xa530000"+
+		"\xa6lookup\xb0000000000000007f\xc4\x00")
 	server := testwait.Accept(t, cache, "the router at the cache")
 	in := bufio.NewReader(server)
 	expect(in, "*4\r\n$3\r\nGET\r\n$16\r\n0000000000000001\r\n")
-	// SIGHUP, with a request open: a file that can't be used changes nothing, a good one moves the board
+	// SIGHUP, with a request open: a file that can't be used changes nothing, a good one moves the discovery service
 	for _, address := range []string{"nowhere", moved.Addr().String()} {
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		testwait.Send(t, files, fmt.Sprintf(document, address, cache.Addr()), "a new configuration")
+		testwait.Send(t, files, fmt.Sprintf(oneCacheConfig, address, cache.Addr()), "a new configuration")
 	}
 	testwait.AcceptHello(t, moved, fromFirst, "the watch at its new address")
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
--- a/cmd/spantack/shutdown_test.go
+++ b/cmd/spantack/shutdown_test.go
@@ -11,8 +11,8 @@
 	"spantack/internal/testwait"
 )
 
-// The process is gone before SIGKILL may come, accepts requests for as long as they come, and leaves what it accepted all its time where that
-// can be.
+// The process is gone before SIGKILL may come, accepts requests for as long as they come, and leaves what it
+// accepted all its time where that can be.
 func TestPlanShutdown(t *testing.T) {
 	for deadline := 1.0; deadline < 1e6; deadline *= 1.07 {
 		kill := min(deadline, maxHonouredDeadline) + killGrace
@@ -32,8 +32,8 @@
 	}
 }
 
-// SIGTERM, twice and with SIGHUP for a file half written, while servers hang with a read and a keyed write out: each gets its one
-// answer, and the process is gone before SIGKILL may come.
+// SIGTERM, twice and with SIGHUP for a file half written, while servers hang with a read and a keyed write out:
+// each gets its one answer, and the process is gone before SIGKILL may come.
 func TestEndWithHungServers(t *testing.T) {
 	t.Parallel()
 	testwait.RetryIfStarved(t, func() error { return terminateWithHungServers(t) })
@@ -62,7 +62,7 @@
 	if !strings.Contains(p.log.String(), "new configuration can't be used") {
 		t.Errorf("a file half written was taken in; log: %s", p.log)
 	}
-	if took > limit {
+	if took > killLimit {
 		return fmt.Errorf("ended after %v", took)
 	}
 	return eachAnswered(answers, 3)
--- a/cmd/spantack/signals_test.go
+++ b/cmd/spantack/signals_test.go
@@ -9,7 +9,8 @@
 	"spantack/internal/testwait"
 )
 
-// A signal comes while the configuration is read: SIGHUP and SIGUSR1 must not end the process, SIGTERM ends it in order.
+// A signal comes while the configuration is read: SIGHUP and SIGUSR1 must not end the process, SIGTERM ends it in
+// order.
 func TestSignalBeforeReady(t *testing.T) {
 	t.Parallel()
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM} {
@@ -34,7 +35,7 @@
 			nc.Close()
 			p.signal(syscall.SIGTERM)
 		}
-		if took := p.ended(testwait.StartStopwatch()); took > limit {
+		if took := p.ended(testwait.StartStopwatch()); took > killLimit {
 			t.Errorf("%v: ended after %v", s, took)
 		}
 	}
--- a/cmd/spantack/wire_compat_test.go
+++ b/cmd/spantack/wire_compat_test.go
@@ -25,10 +25,16 @@
 	now := clock.NewFake(1_764_576_000_000)
 	pools := resp.NewPools(t.Context(), resp.Options{DialTimeout: 5000, MaxStreams: 1, MaxConns: 1}, now, zerolog.Nop())
 	core, err := router.New(routing.Settings{
-		Classes: []routing.Class{{Name: "page", Deadline: 3_000_000, LatencyObjective: 400_000, PriorityWeight: 1,
-			Idempotency: "read_like", DeduplicationScope: "all"}},
-		Hierarchy: routing.CacheHierarchy{OriginKind: 1, ParentKind: -1, CacheStatusReporting: "all"}, Kinds: []string{"box", "origin"},
-		Permissions: routing.Permissions{MaxAttempts: 3}, Zone: "east", Zones: []string{"east"}}, 1, now, pools, zerolog.Nop())
+		Classes: []routing.Class{{
+			Name: "page", Deadline: 3_000_000, LatencyObjective: 400_000, PriorityWeight: 1,
+			Idempotency: routing.IdempotentRead, DeduplicationScope: "all",
+		}},
+		Hierarchy:   routing.CacheHierarchy{OriginKind: 1, ParentKind: -1, CacheStatusReporting: "all"},
+		Kinds:       []string{"box", "origin"},
+		Permissions: routing.Permissions{MaxAttempts: 3},
+		Zone:        "east",
+		Zones:       []string{"east"},
+	}, 1, now, pools, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
