--- a/lab/experiments/fleet-learn.jsonnet
+++ b/lab/experiments/fleet-learn.jsonnet
@@ -1,5 +1,5 @@
 // Parents that are short by a fifth, and a new object that takes half of all video for ten seconds; all sites fill it from the parent that is its home. Routers that each learn by themselves how
-// overloaded that is, against routers that tell one another (core/gossip), with all datagrams and with three in ten lost.
+// overloaded that is, against routers that report it to one another (core/gossip), with all datagrams and with three in ten lost.
 local worlds = import 'worlds.libsonnet';
 local fleet = {
   caches: 4, channels: 8, objects: 40, onceShare: 0.02, keepS: 40, linkRoom: 1.6, parentRoom: 0.8, originRoom: 3, hubs: 2, warmS: 6, dayS: 24,
--- a/lab/experiments/fleet-limits.jsonnet
+++ b/lab/experiments/fleet-limits.jsonnet
@@ -1,5 +1,5 @@
 // A limit of 80 that 300 routers keep together, where few of them could use most of it at any time and others a few seconds later: split evenly, shared by
-// gossiped demand, lent by a holder in each part without a majority, and as core/fleet does it. The tier is cut in two (six in ten, four in ten) or five parts for 20 s,
+// gossiped demand, leased by a holder in each part without a majority, and as core/fleet does it. The fleet is cut in two (six in ten, four in ten) or five parts for 20 s,
 // or seven in ten routers die at once.
 local trial = { routers: 300, limit: 80, floor: 0.1, demand: 1.2, skew: 0.9, movesS: 15, loss: 0.05, warmS: 20, dayS: 90 };
 local cut = { cutS: 35, cutForS: 20 };
--- a/lab/experiments/hub-loss.jsonnet
+++ b/lab/experiments/hub-loss.jsonnet
@@ -16,7 +16,7 @@
     { name: 'worth against straight up', of: 'shielded/loss/timely', over: 'direct/loss/timely', least: 1.05 },
     { name: 'worth against a static limit', of: 'shielded/loss/timely', over: 'static/loss/timely', least: 1 },
     { name: 'worth against a plan alone', of: 'shielded/loss/timely', over: 'planned/loss/timely', least: 1 },
-    // Whoever knows all is served 1 at most, so this is within 5% of any bound.
+    // With full knowledge 1 is served at most, so this is within 5% of any bound.
     { name: 'worth itself', of: 'shielded/loss/timely', least: 0.95 },
     { name: 'seconds over the head office', of: 'shielded/loss/originOverS', most: 1 },
     { name: 'cold servers within their bound', of: 'shielded/loss/coldMost', most: 1 },
--- a/lab/experiments/moves-deploy.jsonnet
+++ b/lab/experiments/moves-deploy.jsonnet
@@ -1,5 +1,5 @@
-// Thirty tenants move between cells in every site while 91% of the caches are replaced within 22 s. Links and origin have room to
-// refill the caches of such a deploy: where they have not, the day is lost with moves or without (docs/migration.md).
+// Thirty tenants migrate between cells in every site while 91% of the caches are replaced within 22 s. Links and origin have the capacity to
+// refill the caches of such a deploy: where they have not, the day is lost with migrations or without (docs/migration.md).
 local worlds = import 'worlds.libsonnet';
 local roomy = {
   small: { linkRoom: 4, parentRoom: 4, originRoom: 6, dayS: 70 },
--- a/lab/experiments/moves-evacuate.jsonnet
+++ b/lab/experiments/moves-evacuate.jsonnet
@@ -1,5 +1,5 @@
-// A cell is emptied into two others, of four, or three of eight: all at once, one tenant after the other, all together but paced, and as
-// planned. Others bear a third or half more than on a usual day only if they have room: rates and links are set so that they have.
+// A cell is drained into two others, of four, or three of eight: all at once, one tenant after the other, all together but paced, and as
+// planned. Others bear a third or half more than on a usual day only if they have the capacity: rates and links are set so that they have.
 local worlds = import 'worlds.libsonnet';
 local trip(style) = {
   small: { style: style, evacuate: 'cell-03', into: 2, startS: 6, warmS: 0, shiftS: 10, slow: 8, settleS: 10, hot: 0 },
--- a/lab/experiments/origin-brownout.jsonnet
+++ b/lab/experiments/origin-brownout.jsonnet
@@ -1,6 +1,6 @@
-// The origin falls to 30% of its capacity for 30 s and returns: by rules alone, and with core/originlimit in admission under three algorithms. An parent asks it for a part once for all who wait;
-// when they wait no more it goes on all the same (keeps), or gives up (drops). What is kept may make a jam that outlives the brownout; asks that never come back
-// count as late in the engine, which ends it by rules alone in most worlds, and also where the origin limit does not count what was given up (forgets).
+// The origin falls to 30% of its capacity for 30 s and returns: by the engine alone, and with core/originlimit in admission under three algorithms. A parent asks it for a chunk once for all who wait;
+// when they wait no more it goes on all the same (keeps), or gives up (drops). What is kept may make a jam that outlives the brownout; fills that never come back
+// count as late in the engine, which ends it by the engine alone in most worlds, and also where the origin limit does not count what was abandoned (forgets).
 local worlds = import 'worlds.libsonnet';
 local room = { hubs: 4, parentRoom: 1.9, linkRoom: 1.9, originRoom: 1.0, dayS: 90 };
 local brownout = { kind: 'brownout', depot: 0, atS: 20, forS: 30, part: 0.3 };
--- a/lab/experiments/second-site.jsonnet
+++ b/lab/experiments/second-site.jsonnet
@@ -1,7 +1,7 @@
 // A deployment like the second one: requests go to caches alone, parents fetch for each fill apart, the origin is far, copies of
 // the catalogue are fresh for 5 s, caches report how full their site's link is. Half of all groups are purged, the origin slows to
-// a third for 10 s, or both at once: copies go void just when little can be fetched. The arm `silent` has no reports, `near` an origin as near as the
-// first deployment's: by luck what was tuned there held here too.
+// a third for 10 s, or both at once: copies expire just when little can be fetched. The arm `silent` has no reports, `near` an origin as near as the
+// first deployment's: by chance what was tuned there worked here too.
 local worlds = import 'worlds.libsonnet';
 local site = { cachesOnly: true, apart: true, linkTold: true, originWayMs: 50, freshS: 5, graceS: 30, promiseMs: 300 };
 local room = { hubs: 3, parentRoom: 1.6, linkRoom: 1.4, originRoom: 3, missShare: 0.5, dayS: 40, site: site };
--- a/lab/experiments/shapes.jsonnet
+++ b/lab/experiments/shapes.jsonnet
@@ -1,4 +1,4 @@
-// Random topologies of up to 24 areas at several levels, a third with a cycle planted, each changed six times while fills run through nodes of
+// Random topologies of up to 24 parent groups at several levels, a third with a cycle planted, each changed six times while fills run through nodes of
 // which half have not heard of the last change: every cycle is rejected and named, no valid topology is, and no fill visits a node twice.
 {
   title: 'Shapes with circles, and shapes that change under way',
@@ -6,7 +6,7 @@
     small: { shapes: 200, areas: 24, depots: 8, changes: 6, fills: 20 },
     full: { shapes: 1000, areas: 24, depots: 8, changes: 6, fills: 100 },
   },
-  arms: { plain: {}, asker: {}, path: {} },  // the guards: nothing; by who asks alone; by a path carried along
+  arms: { plain: {}, asker: {}, path: {} },  // the guards: nothing; by the requester alone; by a path carried along
   days: { changes: {} },
   claims: [
     { name: 'shapes with circles taken', of: 'path/changes/plantedTaken', most: 0 },
--- a/lab/experiments/shield-laws.jsonnet
+++ b/lab/experiments/shield-laws.jsonnet
@@ -1,5 +1,5 @@
-// Limits of routers on what is out at the origin: algorithms compared where it answers well, where 70% of it is lost for 30 s, and where half of
-// the routers die. A fill takes 200 ms at the knee. Clients make three tries of 1.5 s.
+// Limits of routers on fills in flight at the origin: algorithms compared where it answers well, where 70% of it is lost for 30 s, and where half of
+// the routers die. A fill takes 200 ms at the knee. Clients make three attempts of 1.5 s.
 local trial = { routers: 64, rateS: 500, capS: 640, knee: 128, slows: 0.5, allowS: 1.5, tries: 3, reports: 0.05, warmS: 10, dayS: 100, reserve: 0.1 };
 {
   title: 'Laws for a limit at the head office',
--- a/lab/experiments/stages.jsonnet
+++ b/lab/experiments/stages.jsonnet
@@ -20,7 +20,7 @@
           'renews-good': { worlds: { small: 10, full: 100 }, release: renewed(0) },
           'renews-harm-0.1': { worlds: { small: 6, full: 34 }, release: renewed(0.1) },
           'renews-harm-0.2': { worlds: { small: 6, full: 34 }, release: renewed(0.2) },
-          // taken back by the document ten seconds before the end
+          // rolled back by the document ten seconds before the end
           'renews-back': { worlds: { small: 6, full: 34 }, release: renewed(0, { stopAt: 40000 }) + { backS: 39 } },
         },
   claims: [
