--- a/core/hierarchy/topology.go
+++ b/core/hierarchy/topology.go
@@ -67,7 +67,7 @@
 
 // ErrLoop is wrapped by an error of Compile that is a cycle of links, and by an error of Forward for a fill that came
 // back.
-var ErrLoop = errors.New("a circle")
+var ErrLoop = errors.New("cycle")
 
 // cycleError is a cycle of links: node names, the first one again at the end.
 type cycleError struct{ nodes []string }
