--- /dev/null
+++ b/internal/resp/array.go
@@ -0,0 +1,126 @@
+package resp
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+)
+
+// Bounds of an array, in bytes unless they say otherwise. Lengths are checked before anything is allocated.
+const (
+	// MaxBodySize is the longest body that a response may have; an object has 240,000 bytes at most.
+	MaxBodySize = 256 << 10
+
+	maxArrayLength = 8       // strings in an array
+	maxStringSize  = 4 << 10 // of every string but the body
+	maxLengthLine  = 16      // of a line such as "$12\r\n"
+	bodyIndex      = 3       // place of the body in commands and responses alike
+)
+
+// Each array and each string in it begins with a line of one of these marks and a length.
+const (
+	arrayMark  = '*'
+	stringMark = '$'
+	lineEnd    = "\r\n"
+)
+
+// errMalformed is what every error wraps that means bytes which no server may send.
+var errMalformed = errors.New("malformed answer")
+
+// ReadArray reads one array of bulk strings: a command or a response. Lengths are checked before anything is allocated.
+// It returns io.EOF at an end of the stream between arrays, and io.ErrUnexpectedEOF at one within an array.
+func ReadArray(in *bufio.Reader) ([][]byte, error) {
+	length, err := readLength(in, arrayMark, maxArrayLength)
+	if err != nil {
+		return nil, err
+	}
+	parts := make([][]byte, length)
+	for i := range parts {
+		limit := maxStringSize
+		if i == bodyIndex {
+			limit = MaxBodySize
+		}
+		parts[i], err = readString(in, limit)
+		if err != nil {
+			return nil, unexpectedEOF(err)
+		}
+	}
+	return parts, nil
+}
+
+// readString reads one bulk string of at most limit bytes.
+func readString(in *bufio.Reader, limit int) ([]byte, error) {
+	size, err := readLength(in, stringMark, limit)
+	if err != nil {
+		return nil, err
+	}
+	text := make([]byte, size+len(lineEnd))
+	if _, err := io.ReadFull(in, text); err != nil {
+		return nil, err
+	}
+	if text[size] != '\r' || text[size+1] != '\n' {
+		return nil, fmt.Errorf("%w: bulk string without its end", errMalformed)
+	}
+	return text[:size:size], nil
+}
+
+// unexpectedEOF makes an end of the stream within an array differ from one between arrays.
+func unexpectedEOF(err error) error {
+	if err == io.EOF {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
+
+// readLength reads a line of a mark and a length, such as "$12\r\n".
+func readLength(in *bufio.Reader, mark byte, limit int) (int, error) {
+	var line [maxLengthLine]byte
+	for i := range line {
+		next, err := in.ReadByte()
+		if err != nil {
+			if i > 0 {
+				err = unexpectedEOF(err)
+			}
+			return 0, err
+		}
+		line[i] = next
+		if next != '\n' {
+			continue
+		}
+		if length, ok := parseLength(line[:i+1], mark); ok && length <= limit {
+			return length, nil
+		}
+		break
+	}
+	return 0, fmt.Errorf("%w: no length after %q", errMalformed, mark)
+}
+
+// parseLength parses a whole line of a mark and a length; ok is false where it is none.
+func parseLength(line []byte, mark byte) (length int, ok bool) {
+	digitsEnd := len(line) - len(lineEnd)
+	if digitsEnd < 2 || line[0] != mark || line[digitsEnd] != '\r' {
+		return 0, false
+	}
+	number, err := strconv.ParseUint(string(line[1:digitsEnd]), 10, 31)
+	return int(number), err == nil
+}
+
+// AppendArray appends an array of bulk strings to buf.
+func AppendArray(buf []byte, parts ...[]byte) []byte {
+	buf = appendLength(buf, arrayMark, len(parts))
+	for _, part := range parts {
+		buf = appendLength(buf, stringMark, len(part))
+		buf = append(buf, part...)
+		buf = append(buf, lineEnd...)
+	}
+	return buf
+}
+
+// appendLength appends the line of a mark and a length.
+func appendLength(buf []byte, mark byte, length int) []byte {
+	buf = append(buf, mark)
+	buf = strconv.AppendInt(buf, int64(length), 10)
+	return append(buf, lineEnd...)
+}
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -205,7 +205,7 @@
 }
 
 // dialled returns an attempt whose connection has come up and waits for Pools.mu. It leaves that locked: the caller unlocks it.
-func dialled(p *Pools, c *cache) (k *pendingAttempt, l *pool, one *link) {
+func dialled(p *Pools, c *cache) (k *pendingAttempt, l *serverPool, one *link) {
 	k = newCall(p, "a")
 	p.mu.Lock()
 	l = p.servers["s-1"]
--- a/internal/resp/sendqueue.go
+++ b/internal/resp/sendqueue.go
@@ -9,13 +9,14 @@
 	"spantack/internal/clock"
 )
 
-// ioctlUnsentBytes (SIOCOUTQNSD) asks for the bytes in a socket's send queue that were never sent, because the peer's window is full.
+// ioctlUnsentBytes (Linux: SIOCOUTQNSD) asks for the number of bytes in a socket's send queue that were never sent,
+// because the peer's receive window is full.
 const ioctlUnsentBytes = 0x894b
 
-// sendQueuePollInterval is how often a send queue is looked at, in milliseconds.
+// sendQueuePollInterval is the time between two looks at a send queue, in milliseconds.
 const sendQueuePollInterval = 2
 
-// unsentBytes is how many bytes wait in the send queue; 0 where the system does not tell.
+// unsentBytes is the number of bytes in the send queue that were never sent; 0 if the system does not tell.
 func unsentBytes(conn net.Conn) int64 {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -25,36 +26,30 @@
 	if err != nil {
 		return 0
 	}
-	var waiting int32
-	var failed syscall.Errno
+	var unsent int32
+	var errno syscall.Errno
 	err = raw.Control(func(fd uintptr) {
-		_, _, failed = syscall.Syscall(syscall.SYS_IOCTL, fd, ioctlUnsentBytes, uintptr(unsafe.Pointer(&waiting)))
+		_, _, errno = syscall.Syscall(syscall.SYS_IOCTL, fd, ioctlUnsentBytes, uintptr(unsafe.Pointer(&unsent)))
 	})
-	if err != nil || failed != 0 {
+	if err != nil || errno != 0 {
 		return 0
 	}
-	return int64(waiting)
+	return int64(unsent)
 }
 
-// waitUntilSent tells whether all of an attempt leaves the send queue within ms milliseconds. What waits there for a server that does not read would
-// come whole to it later, however long ago its client has left.
-func (c *conn) waitUntilSent(k *pendingAttempt, ms float64) bool {
-	p := c.pool.pools
-	for begin := time.Now(); ; time.Sleep(clock.Duration(sendQueuePollInterval)) {
-		waiting := unsentBytes(c.netConn)
-		p.mu.Lock()
-		sent := !k.fullyWritten || c.bytesWritten-waiting >= k.endOffset
-		p.mu.Unlock()
-		if sent || time.Since(begin) > clock.Duration(ms) {
-			return sent
+// waitUntilSent reports whether all of an attempt leaves the send queue within timeout milliseconds. What stays there
+// for a server that does not read would reach it later in full, however long ago its client left.
+func (c *conn) waitUntilSent(a *pendingAttempt, timeout float64) bool {
+	pools := c.pools()
+	startedAt := time.Now()
+	for {
+		unsent := unsentBytes(c.netConn)
+		pools.mu.Lock()
+		isSent := !a.fullyWritten || c.bytesWritten-unsent >= a.endOffset
+		pools.mu.Unlock()
+		if isSent || time.Since(startedAt) > clock.Duration(timeout) {
+			return isSent
 		}
+		time.Sleep(clock.Duration(sendQueuePollInterval))
 	}
 }
-
-// abort closes the connection and throws away what waits in its send queue. Pools.mu is held.
-func (c *conn) abort() {
-	if t, ok := c.netConn.(*net.TCPConn); ok && !c.closed {
-		t.SetLinger(0)
-	}
-	c.close()
-}
--- /dev/null
+++ b/internal/resp/writer.go
@@ -0,0 +1,150 @@
+package resp
+
+import (
+	"errors"
+	"syscall"
+
+	"spantack/internal/clock"
+	"spantack/internal/router"
+	"spantack/routing"
+)
+
+// errClientDeparted ends a connection on which a command was half written when its client left.
+var errClientDeparted = errors.New("the client left while its command was half written")
+
+// write writes queued commands to the socket, each within a bounded time, until the connection closes.
+func (c *conn) write() {
+	for {
+		select {
+		case <-c.done:
+			return
+		case next := <-c.queue:
+			if err := c.writeIfDue(next); err != nil {
+				c.fail(err)
+				return
+			}
+		}
+	}
+}
+
+// writeIfDue writes one command, unless it is a GET that must not go out any more.
+func (c *conn) writeIfDue(next command) error {
+	timeout := c.pools().timeouts.write
+	if next.attempt != nil {
+		if next.attempt.clientDeparted() {
+			return nil // its Cancel takes it off this connection
+		}
+		limit, isDue := c.beginWrite(next.attempt)
+		if !isDue {
+			return nil
+		}
+		timeout = limit
+	}
+	c.netConn.SetWriteDeadline(clock.Deadline(timeout))
+	err := c.writeCommand(next)
+	c.recordWrite(next, err)
+	if next.written != nil {
+		close(next.written)
+	}
+	return err
+}
+
+// beginWrite reports whether an attempt may still be written, and within how many milliseconds. One that waited too
+// long for its connection is not sent, which proves that nothing ran; one of which no byte went out in time must not
+// begin to go out later.
+func (c *conn) beginWrite(a *pendingAttempt) (timeout float64, isDue bool) {
+	pools := c.pools()
+	pools.mu.Lock()
+	defer pools.mu.Unlock()
+	id := a.attempt.ID
+	timeLeft := a.sendTimeLeft()
+	if !a.finished && timeLeft < 0 {
+		delete(c.attempts, id)
+		a.finish(router.AttemptResult{Outcome: routing.OutcomeConnectionRefused})
+		c.closeWhenIdle()
+	}
+	if a.finished {
+		a.writeBegun = false
+		return 0, false
+	}
+	a.writeBegun = true
+	delete(c.droppedAt, id) // its DROP stood in the queue before, and is written
+	return min(max(timeLeft, minWriteTimeout), pools.timeouts.write), true
+}
+
+// recordWrite records a command that is on the socket, or with an error one that is not there in full: what does not
+// reach a server in full never runs.
+func (c *conn) recordWrite(written command, err error) {
+	pools := c.pools()
+	pools.mu.Lock()
+	defer pools.mu.Unlock()
+	if err == nil {
+		c.bytesWritten += int64(len(written.encoded))
+	}
+	if a := written.attempt; a != nil {
+		c.recordAttemptWrite(a, err)
+	}
+	if a := written.releases; a != nil && c.attempts[a.attempt.ID] == a {
+		delete(c.attempts, a.attempt.ID)
+		a.finish(*a.heldResult)
+		c.closeWhenIdle()
+	}
+}
+
+// recordAttemptWrite is recordWrite for the attempt of a GET. Pools.mu is held.
+func (c *conn) recordAttemptWrite(a *pendingAttempt, err error) {
+	switch {
+	case err == nil:
+		a.fullyWritten = true
+		a.endOffset = c.bytesWritten
+		c.pools().attemptsWritten.Add(1)
+	case !a.finished:
+		delete(c.attempts, a.attempt.ID)
+		outcome := routing.OutcomeConnectionRefused
+		if errors.Is(err, errClientDeparted) { // says nothing about the server
+			outcome = routing.OutcomeSkipped
+		}
+		a.finish(router.AttemptResult{Outcome: outcome})
+	}
+}
+
+// writeCommand writes a command to the socket. Where the socket takes it in parts, it checks before each part but the
+// first whether the command's client has left: a request must not be completed on the server's side after that.
+func (c *conn) writeCommand(next command) error {
+	socket, ok := c.netConn.(syscall.Conn)
+	if !ok || next.attempt == nil {
+		_, err := c.netConn.Write(next.encoded)
+		return err
+	}
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return err
+	}
+	rest := next.encoded
+	isFirstPart := true
+	var writeErr error
+	err = raw.Write(func(fd uintptr) (done bool) {
+		for len(rest) > 0 {
+			if !isFirstPart && next.attempt.clientDeparted() {
+				writeErr = errClientDeparted
+				return true
+			}
+			isFirstPart = false
+			n, err := syscall.Write(int(fd), rest)
+			switch {
+			case err == nil:
+				rest = rest[n:]
+			case err == syscall.EAGAIN:
+				return false // called again once the socket takes more
+			case err != syscall.EINTR:
+				writeErr = err
+				return true
+			}
+		}
+		return true
+	})
+	if err != nil {
+		return err
+	}
+	return writeErr
+}
