--- a/internal/resp/attempt.go
+++ b/internal/resp/attempt.go
@@ -21,8 +21,8 @@
 	fullyWritten bool  // all of it was handed to the socket
 	endOffset    int64 // where it ends among the bytes written to its connection; valid once fullyWritten
 
-	ambiguous  bool                  // another attempt of its id ended on this connection: a response may be that one's
-	heldResult *router.AttemptResult // of an ambiguous attempt: given out once the DROP behind it is written; nil: none
+	ambiguous     bool                  // another attempt of its id ended on this connection: a response may be that one's
+	delayedResult *router.AttemptResult // of an ambiguous attempt: given out once the DROP behind it is written; nil: none
 
 	finished bool
 	result   chan router.AttemptResult // holds one, so that finish never blocks
@@ -122,10 +122,10 @@
 	return again || len(c.attempts) == 0 && canceledAt-canceled.queuedAt > maxSilence
 }
 
-// sendTimeLeft is how long the attempt may still take to go out, in milliseconds; +Inf if nothing bounds that. It
+// remainingSendTime is how long the attempt may still take to go out, in milliseconds; +Inf if nothing bounds that. It
 // enforces the rule for drains and purges that were notified since the choice of the server, and the rule for side
 // effects: a repeat must not go out once its class no longer drops repeats. Pools.mu is held.
-func (a *pendingAttempt) sendTimeLeft() float64 {
+func (a *pendingAttempt) remainingSendTime() float64 {
 	limit := math.Inf(1)
 	for _, bound := range []float64{a.pools.options.MaxSendDelay, a.attempt.SendWithin} {
 		if bound > 0 {
--- a/internal/resp/codec_test.go
+++ b/internal/resp/codec_test.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"errors"
 	"io"
+	"reflect"
 	"strings"
 	"testing"
 	"testing/iotest"
@@ -19,7 +20,7 @@
 	return rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 60), 0, maxArrayLength).Draw(t, "parts")
 }
 
-// Whatever way the network cuts a stream of answers, they come out as they went in.
+// However the network splits a stream of arrays, they come out as they went in.
 func TestCutArrays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
@@ -27,9 +28,9 @@
 		for _, parts := range want {
 			stream = AppendArray(stream, parts...)
 		}
-		in := bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(stream)), 16)
+		reader := bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(stream)), 16)
 		for _, parts := range want {
-			got, err := ReadArray(in)
+			got, err := ReadArray(reader)
 			if err != nil || !bytes.Equal(bytes.Join(got, []byte{0, 1}), bytes.Join(parts, []byte{0, 1})) {
 				t.Fatalf("got %q (%v), want %q", got, err, parts)
 			}
@@ -39,13 +40,13 @@
 			if _, err := ReadArray(short); err == io.EOF || err == io.ErrUnexpectedEOF {
 				return
 			} else if err != nil {
-				t.Fatalf("a cut is no malformed answer: %v", err)
+				t.Fatalf("a cut is no malformed array: %v", err)
 			}
 		}
 	})
 }
 
-// Garbage ends in an error or an answer, never in a panic or a large allocation.
+// Garbage ends in an error or a response, never in a panic or a large allocation.
 func TestGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		garbage := rapid.SliceOfN(rapid.SampledFrom([]byte("*$0149\r\nOKMISnlow=,-\x00")), 0, 80).Draw(t, "garbage")
@@ -63,37 +64,41 @@
 	})
 }
 
-// A length is checked before it is believed, and only the body may be long.
+// A length is checked before anything is allocated for it, and only the body may be long.
 func TestLengths(t *testing.T) {
-	for _, text := range []string{"*9\r\n", "*-1\r\n", "*1\r\n$99999999\r\n", "*1\r\n$5000\r\n", "*1\r\n$1\r\nabc",
+	for _, malformed := range []string{"*9\r\n", "*-1\r\n", "*1\r\n$99999999\r\n", "*1\r\n$5000\r\n", "*1\r\n$1\r\nabc",
 		"$1\r\na\r\n", "*1\n$1\r\na\r\n", "*00000000000000001\r\n"} {
-		if _, err := ReadArray(bufio.NewReader(strings.NewReader(text))); !errors.Is(err, errMalformed) {
-			t.Errorf("%q: %v", text, err)
+		if _, err := ReadArray(bufio.NewReader(strings.NewReader(malformed))); !errors.Is(err, errMalformed) {
+			t.Errorf("%q: %v", malformed, err)
 		}
 	}
 }
 
 func TestAnswers(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		parts []string
 		want  router.AttemptResult
 	}{
 		{[]string{"a", "OK", "sum=1f,t0=1764576000123,n=TCP_MISS_ROOT,slow=41.5", "bytes"},
-			router.AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 3, SourceWait: 41.5, Body: []byte("bytes"), CopyMadeAt: 1764576000123}},
-		{[]string{"a", "SAME", "n=TCP_HIT", ""}, router.AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 1, NotModified: true}},
-		{[]string{"a", "MISS", "n=PEER_DEAD,slow=800", ""}, router.AttemptResult{Outcome: routing.OutcomeMiss, CacheStatus: 7, SourceWait: 800}},
-		{[]string{"a", "BUSY", "n=PEER_DENY", "why"}, router.AttemptResult{Outcome: routing.OutcomeRejected, CacheStatus: 6}},
-		{[]string{"a", "ERR", "n=ROOT_FAIL", ""}, router.AttemptResult{Outcome: routing.OutcomeError, CacheStatus: 10}},
+			router.AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 3, SourceWait: 41.5,
+				Body: []byte("bytes"), CopyMadeAt: 1764576000123}},
+		{[]string{"a", "SAME", "n=TCP_HIT", ""},
+			router.AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 1, NotModified: true}},
+		{[]string{"a", "MISS", "n=PEER_DEAD,slow=800", ""},
+			router.AttemptResult{Outcome: routing.OutcomeMiss, CacheStatus: 7, SourceWait: 800}},
+		{[]string{"a", "BUSY", "n=PEER_DENY", "why"},
+			router.AttemptResult{Outcome: routing.OutcomeRejected, CacheStatus: 6}},
+		{[]string{"a", "ERR", "n=ROOT_FAIL", ""},
+			router.AttemptResult{Outcome: routing.OutcomeError, CacheStatus: 10}},
 		{[]string{"a", "VOID", "-"}, router.AttemptResult{Outcome: routing.OutcomeSkipped}},
 	} {
 		var parts [][]byte
-		for _, p := range c.parts {
-			parts = append(parts, []byte(p))
+		for _, part := range test.parts {
+			parts = append(parts, []byte(part))
 		}
-		id, end, err := parseResponse(parts)
-		if err != nil || id != "a" || end.Outcome != c.want.Outcome || end.CacheStatus != c.want.CacheStatus || end.SourceWait != c.want.SourceWait ||
-			end.NotModified != c.want.NotModified || !bytes.Equal(end.Body, c.want.Body) {
-			t.Errorf("%q: %+v, %v", c.parts, end, err)
+		id, got, err := parseResponse(parts)
+		if err != nil || id != "a" || !reflect.DeepEqual(got, test.want) {
+			t.Errorf("%q: %s %+v, %v", test.parts, id, got, err)
 		}
 	}
 	for _, fields := range []string{"n=TCP_HOT", "slow=soon", "slow=NaN", "slow=-1"} {
@@ -104,16 +109,18 @@
 }
 
 func TestGet(t *testing.T) {
-	q := &router.Request{ID: "9b1f", Class: "catalogue", Object: "7f3a", Chunk: 2, IdempotencyKey: "5c0f", ClientETag: "4be0", Body: []byte("ask")}
-	got := string(appendGet(nil, router.Attempt{Request: q, Source: "s-00c41f7a", Timeout: 1499.9, RetentionRank: 1,
+	request := &router.Request{ID: "9b1f", Class: "catalogue", Object: "7f3a", Chunk: 2, IdempotencyKey: "5c0f",
+		ClientETag: "4be0", Body: []byte("ask")}
+	got := string(appendGet(nil, router.Attempt{Request: request, Source: "s-00c41f7a", Timeout: 1499.9, RetentionRank: 1,
 		MaxAge: 0.4, FetchFlags: routing.FetchCachedOnly | routing.FetchRevalidate}))
 	want := "*4\r\n$3\r\nGET\r\n$4\r\n9b1f\r\n$116\r\nsort=catalogue,asset=7f3a,slice=2,patience=1499,op=5c0f," +
 		"next=s-00c41f7a,admit=1,agelim=1,ways=held+renew,cached=4be0\r\n$3\r\nask\r\n"
 	if got != want {
 		t.Errorf("got  %q\nwant %q", got, want)
 	}
-	// An age limit of 0 would mean the class's fresh time, so a limit under a millisecond becomes 1; none stays absent.
-	if bare := string(appendGet(nil, router.Attempt{Request: &router.Request{ID: "a"}})); strings.Contains(bare, "agelim") {
+	// An age limit of 0 would mean the class's own, so a limit under a millisecond becomes 1. None is left out.
+	bare := string(appendGet(nil, router.Attempt{Request: &router.Request{ID: "a"}}))
+	if strings.Contains(bare, "agelim") {
 		t.Errorf("%q", bare)
 	}
 }
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -39,7 +39,7 @@
 	encoded  []byte
 	attempt  *pendingAttempt // of a GET, which is written only while it is due; nil: a DROP
 	written  chan struct{}   // closed once written; nil: nobody waits
-	releases *pendingAttempt // whose heldResult is given out once this is written; nil: none
+	releases *pendingAttempt // whose delayedResult is given out once this is written; nil: none
 }
 
 // pools returns the owner of all connections.
@@ -126,7 +126,7 @@
 	if !a.writeBegun { // still in the queue: the server never ran it
 		return router.AttemptResult{Outcome: routing.OutcomeConnectionRefused}
 	}
-	return *cmp.Or(a.heldResult, &router.AttemptResult{Outcome: routing.OutcomeConnectionReset})
+	return *cmp.Or(a.delayedResult, &router.AttemptResult{Outcome: routing.OutcomeConnectionReset})
 }
 
 // abort closes the connection and discards what waits in its send queue. Pools.mu is held.
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -15,340 +15,361 @@
 	"spantack/routing"
 )
 
-// What crosses on a connection to a server. The peer holds back what it reads or says until the pool stands at the point
-// that the test is about; nothing here waits for time to pass, but where a bound on time is what is tested.
+// Race conditions on a connection to a server. The fake server holds back what it reads or writes until the pool has
+// reached the point that the test is about. No test waits for time to pass, except where a time limit is what it tests.
 
-// tooMuch is more than the sockets' buffers hold: its write is stuck until the peer reads.
-var tooMuch = []byte(strings.Repeat("x", 32<<20))
+// stuckBody is more than the sockets' buffers hold: its write is stuck until the fake server reads.
+var stuckBody = []byte(strings.Repeat("x", 32<<20))
 
-// shared are pools with one connection for all attempts.
-func shared(t *testing.T, addr string, maxWait float64) *Pools {
-	p := NewPools(t.Context(), Options{DialTimeout: 5000, IdleTimeout: 30_000, MaxStreams: 8, MaxConns: 1, MaxSendDelay: maxWait},
-		clock.NewFake(1000), zerolog.Nop())
-	p.timeouts.write = patient // a write that is stuck is still so when the test goes on
-	list(p, "s-1", addr)
-	return p
+// newSharedPools returns pools with one connection for all attempts.
+func newSharedPools(t *testing.T, addr string, maxSendDelay float64) *Pools {
+	options := Options{DialTimeout: 5000, IdleTimeout: 30_000, MaxStreams: 8, MaxConns: 1, MaxSendDelay: maxSendDelay}
+	pools := NewPools(t.Context(), options, clock.NewFake(1000), zerolog.Nop())
+	pools.timeouts.write = longerThanAnyWait // a write that is stuck is still so when the test goes on
+	applyServer(pools, "s-1", addr)
+	return pools
 }
 
-// stick puts an attempt on the connection whose write does not end, and returns once the peer has seen its first byte.
-func stick(t *testing.T, p *Pools, l *link) router.PendingAttempt {
+// sendStuck sends an attempt whose write does not end, and returns once the fake server has its first byte.
+func sendStuck(t *testing.T, pools *Pools, conn *fakeConn) router.PendingAttempt {
 	t.Helper()
-	k := p.Send(router.Attempt{Request: &router.Request{ID: "stuck", Body: tooMuch}, Server: "s-1"})
-	if _, err := l.in.Peek(1); err != nil {
+	pending := pools.Send(router.Attempt{Request: &router.Request{ID: "stuck", Body: stuckBody}, Server: "s-1"})
+	if _, err := conn.in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return pending
 }
 
-func (p *Pools) open() int {
+// openConns is the number of connections that are open or being dialed.
+func (p *Pools) openConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connCount
 }
 
-// rest reads all that still comes, and tells whether it ended in the middle of something.
-func (l *link) readRest() (n int64, err error) { return io.Copy(io.Discard, l.in) }
+// readRest discards all that still comes, and returns its length and the error that ended it.
+func (l *fakeConn) readRest() (n int64, err error) { return io.Copy(io.Discard, l.in) }
 
-// The DROP of an attempt is stuck behind another's write, and the server has answered since, so that it is no silent one:
-// the connection must be closed before Drop returns, or the next attempt is a second one at once.
+// The DROP of an attempt is stuck behind another's write, and the server has responded since, so that it is not silent:
+// the connection must be closed before Cancel returns, or two attempts of the request could be out at once.
 func TestDropBehindStuckWrite(t *testing.T) {
-	c := listen(t)
-	p := shared(t, c.addr(), 0)
-	k, one := out(p, c)
-	other := send(p, "b")
-	one.expect("GET b")
-	stuck := stick(t, p, one)
-	one.say("b", "OK", "-", "x")
-	wantCode(t, other, routing.OutcomeServed)
-	k.Cancel(true)
-	if n := p.open(); n != 0 {
+	server := listen(t)
+	pools := newSharedPools(t, server.addr(), 0)
+	pending, conn := sendFirst(pools, server)
+	other := send(pools, "b")
+	conn.expect("GET b")
+	stuck := sendStuck(t, pools, conn)
+	conn.respond("b", "OK", "-", "x")
+	wantOutcome(t, other, routing.OutcomeServed)
+	pending.Cancel(true)
+	if n := pools.openConns(); n != 0 {
 		t.Errorf("%d connections open, the attempt on it not given up", n)
 	}
-	wantCode(t, stuck, routing.OutcomeConnectionReset) // a part of it went out, and what the server made of it is not known here yet
+	wantOutcome(t, stuck, routing.OutcomeConnectionReset) // part of it went out, and may have run
 }
 
-// A client leaves while its own request is half written: it must not come whole to the server later.
+// A client leaves while its own request is half written: the server must not get all of it later.
 func TestLeftInTheMiddleOfAWrite(t *testing.T) {
-	c := listen(t)
-	p := shared(t, c.addr(), 0)
-	send(p, "a")
-	one := c.accept()
-	one.expect("GET a")
-	stick(t, p, one).Cancel(false)
-	if n, _ := one.readRest(); n >= int64(len(tooMuch)) {
-		t.Errorf("%d bytes came: the request was sent on whole", n)
+	server := listen(t)
+	pools := newSharedPools(t, server.addr(), 0)
+	send(pools, "a")
+	conn := server.accept()
+	conn.expect("GET a")
+	sendStuck(t, pools, conn).Cancel(false)
+	if n, _ := conn.readRest(); n >= int64(len(stuckBody)) {
+		t.Errorf("%d bytes came: the request was sent in full", n)
 	}
-	if n := p.open(); n != 0 {
+	if n := pools.openConns(); n != 0 {
 		t.Errorf("%d connections open", n)
 	}
 }
 
-// A client leaves while its request waits behind a stuck write: neither it nor its DROP goes out when the write goes on.
+// A client leaves while its request waits behind a stuck write: neither it nor its DROP goes out after that write.
 func TestLeftInTheQueue(t *testing.T) {
-	c := listen(t)
-	p := shared(t, c.addr(), 0)
-	send(p, "first")
-	one := c.accept()
-	one.expect("GET first")
-	stick(t, p, one)
-	send(p, "left").Cancel(false)
-	send(p, "stays")
-	discard := make([]byte, len(tooMuch))
-	for head := false; !head; { // the stuck command, whose body is too long for ReadArray
-		line, err := one.in.ReadString('\n')
+	server := listen(t)
+	pools := newSharedPools(t, server.addr(), 0)
+	send(pools, "first")
+	conn := server.accept()
+	conn.expect("GET first")
+	sendStuck(t, pools, conn)
+	send(pools, "left").Cancel(false)
+	send(pools, "stays")
+	discard := make([]byte, len(stuckBody))
+	for bodyIsNext := false; !bodyIsNext; { // the stuck command, whose body is too long for ReadArray
+		line, err := conn.in.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
-		head = strings.HasPrefix(line, "$33554432")
+		bodyIsNext = strings.HasPrefix(line, "$33554432")
 	}
-	if _, err := io.ReadFull(one.in, discard); err != nil {
+	if _, err := io.ReadFull(conn.in, discard); err != nil {
 		t.Fatal(err)
 	}
-	one.in.Discard(2)
-	one.expect("GET stays")
+	conn.in.Discard(2)
+	conn.expect("GET stays")
 }
 
-// A write that is stuck is not waited for past the time at which drains and purges bind: what was half written is no
-// request, and what waits behind it never ran.
+// A write that is stuck is not waited for beyond MaxSendDelay: what was half written is no request, and what waits
+// behind it never ran.
 func TestStuckPastTheGrace(t *testing.T) {
-	c := listen(t)
-	p := shared(t, c.addr(), 500)
-	k := send(p, "first")
-	one := c.accept()
-	one.expect("GET first")
-	stuck, behind := newCall(p, "stuck"), newCall(p, "behind")
-	stuck.attempt.Body = tooMuch
-	p.mu.Lock()
-	for _, next := range []*pendingAttempt{stuck, behind} { // at once, or the first may have ended before the second comes
-		p.servers["s-1"].conns[0].enqueue(next)
+	server := listen(t)
+	pools := newSharedPools(t, server.addr(), 500)
+	pending := send(pools, "first")
+	conn := server.accept()
+	conn.expect("GET first")
+	stuck, behind := newAttempt(pools, "stuck"), newAttempt(pools, "behind")
+	stuck.attempt.Body = stuckBody
+	pools.mu.Lock()
+	for _, next := range []*pendingAttempt{stuck, behind} { // at once, or the first may end before the second is queued
+		pools.servers["s-1"].conns[0].enqueue(next)
 	}
-	p.mu.Unlock()
-	if _, err := one.in.Peek(1); err != nil {
+	pools.mu.Unlock()
+	if _, err := conn.in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	wantCode(t, stuck, routing.OutcomeConnectionRefused)
-	wantCode(t, behind, routing.OutcomeConnectionRefused)
-	wantCode(t, k, routing.OutcomeConnectionReset) // it was with the server
+	wantOutcome(t, stuck, routing.OutcomeConnectionRefused)
+	wantOutcome(t, behind, routing.OutcomeConnectionRefused)
+	wantOutcome(t, pending, routing.OutcomeConnectionReset) // it was with the server
 }
 
 // The server closed an idle connection while an attempt was on its way to it: nothing of the attempt got through.
 func TestEarlyCloseCrossesGet(t *testing.T) {
-	c := listen(t)
-	p, _ := newPools(t, c.addr())
-	nc := testwait.Dial(t, c.addr())
-	peer := c.accept()
+	server := listen(t)
+	pools, _ := newPools(t, server.addr())
+	netConn := testwait.Dial(t, server.addr())
+	peer := server.accept()
 	peer.Conn.(*net.TCPConn).SetLinger(0)
 	peer.Close()
-	nc.Read(make([]byte, 1)) // the reset is here
-	k := newCall(p, "a")
-	o := bare(p, nc)
-	p.mu.Lock()
-	o.enqueue(k)
-	p.mu.Unlock()
-	o.write()
-	wantCode(t, k, routing.OutcomeConnectionRefused)
+	netConn.Read(make([]byte, 1)) // the reset is here
+	pending := newAttempt(pools, "a")
+	conn := newTestConn(pools, netConn)
+	pools.mu.Lock()
+	conn.enqueue(pending)
+	pools.mu.Unlock()
+	conn.write()
+	wantOutcome(t, pending, routing.OutcomeConnectionRefused)
 
-	o = bare(p, nc)
-	k = newCall(p, "b")
-	p.mu.Lock()
-	o.enqueue(k)
-	o.close() // the reader saw the close first
-	p.mu.Unlock()
-	wantCode(t, k, routing.OutcomeConnectionRefused)
+	conn = newTestConn(pools, netConn)
+	pending = newAttempt(pools, "b")
+	pools.mu.Lock()
+	conn.enqueue(pending)
+	conn.close() // the reader saw the close first
+	pools.mu.Unlock()
+	wantOutcome(t, pending, routing.OutcomeConnectionRefused)
 }
 
-// newCall is an attempt that is not sent yet.
-func newCall(p *Pools, id string) *pendingAttempt {
-	return &pendingAttempt{pools: p, attempt: router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"}, chosenAt: 1000, result: make(chan router.AttemptResult, 1)}
+// newAttempt returns an attempt that is not sent yet, chosen at the start of the fake clock.
+func newAttempt(pools *Pools, id string) *pendingAttempt {
+	return &pendingAttempt{
+		pools:    pools,
+		attempt:  router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"},
+		chosenAt: 1000,
+		result:   make(chan router.AttemptResult, 1),
+	}
 }
 
-// bare is a connection without reader and writer.
-func bare(p *Pools, nc net.Conn) *conn {
-	return &conn{pool: p.servers["s-1"], netConn: nc, queue: make(chan command, 4), attempts: map[string]*pendingAttempt{},
-		droppedAt: map[string]float64{}, unservedAt: map[string]float64{}, done: make(chan struct{})}
+// newTestConn returns a connection without reader and writer.
+func newTestConn(pools *Pools, netConn net.Conn) *conn {
+	return &conn{
+		pool:       pools.servers["s-1"],
+		netConn:    netConn,
+		queue:      make(chan command, 4),
+		done:       make(chan struct{}),
+		attempts:   map[string]*pendingAttempt{},
+		droppedAt:  map[string]float64{},
+		unservedAt: map[string]float64{},
+	}
 }
 
-// An answer comes a second time when the next attempt of its request is out on the same connection: it may end that
-// attempt only once the server was told to give it up, or a third one would go out beside it.
+// A response comes twice, the second time when the next attempt of its request is out on the same connection: it may
+// end that attempt only once the server was told to give it up, or a third one would go out beside it.
 func TestSecondAnswer(t *testing.T) {
-	c := listen(t)
-	p, _ := newPools(t, c.addr())
-	k, one := out(p, c)
-	one.say("a", "MISS", "-", "")
-	wantCode(t, k, routing.OutcomeMiss)
-	k = send(p, "a")
-	one.expect("GET a")
-	one.say("a", "MISS", "-", "")
-	wantCode(t, k, routing.OutcomeMiss)
-	next := send(p, "b") // stands for the third attempt: by now the second is given up
-	one.expect("DROP a", "GET b")
-	one.say("b", "MISS", "-", "")
-	wantCode(t, next, routing.OutcomeMiss)
+	server := listen(t)
+	pools, _ := newPools(t, server.addr())
+	pending, conn := sendFirst(pools, server)
+	conn.respond("a", "MISS", "-", "")
+	wantOutcome(t, pending, routing.OutcomeMiss)
+	pending = send(pools, "a")
+	conn.expect("GET a")
+	conn.respond("a", "MISS", "-", "")
+	wantOutcome(t, pending, routing.OutcomeMiss)
+	next := send(pools, "b") // stands for the third attempt: by now the second is given up
+	conn.expect("DROP a", "GET b")
+	conn.respond("b", "MISS", "-", "")
+	wantOutcome(t, next, routing.OutcomeMiss)
 }
 
-// The same where the first attempt was given up and its answer crossed the DROP; a good answer is its request's, whichever
-// attempt it belongs to.
+// The same where the first attempt was given up and its response crossed the DROP. A request may be served by the
+// response of any of its attempts.
 func TestLateAnswer(t *testing.T) {
-	for word, code := range map[string]routing.AttemptOutcome{"BUSY": routing.OutcomeRejected, "OK": routing.OutcomeServed} {
-		c := listen(t)
-		p, _ := newPools(t, c.addr())
-		k, one := out(p, c)
-		one.live(p)
-		k.Cancel(true)
-		k = send(p, "a")
-		one.expect("DROP a", "GET a")
-		one.say("a", word, "-", "late but whole")
-		wantCode(t, k, code)
-		send(p, "b")
-		one.expect("DROP a", "GET b")
+	for word, outcome := range map[string]routing.AttemptOutcome{
+		"BUSY": routing.OutcomeRejected,
+		"OK":   routing.OutcomeServed,
+	} {
+		server := listen(t)
+		pools, _ := newPools(t, server.addr())
+		pending, conn := sendFirst(pools, server)
+		conn.proveAlive(pools)
+		pending.Cancel(true)
+		pending = send(pools, "a")
+		conn.expect("DROP a", "GET a")
+		conn.respond("a", word, "-", "late but complete")
+		wantOutcome(t, pending, outcome)
+		send(pools, "b")
+		conn.expect("DROP a", "GET b")
 	}
 }
 
-// dialled returns an attempt whose connection has come up and waits for Pools.mu. It leaves that locked: the caller unlocks it.
-func dialled(p *Pools, c *cache) (k *pendingAttempt, l *serverPool, one *link) {
-	k = newCall(p, "a")
-	p.mu.Lock()
-	l = p.servers["s-1"]
-	l.dialing++
-	p.connCount++
-	go l.dial(k)
-	return k, l, c.accept()
+// dialLocked returns an attempt whose connection has come up and waits for Pools.mu, which it leaves locked: the caller
+// unlocks it.
+func dialLocked(pools *Pools, fake *fakeServer) (pending *pendingAttempt, server *serverPool, conn *fakeConn) {
+	pending = newAttempt(pools, "a")
+	pools.mu.Lock()
+	server = pools.servers["s-1"]
+	server.dialing++
+	pools.connCount++
+	go server.dial(pending)
+	return pending, server, fake.accept()
 }
 
-// The connection comes up when its server has left the list: the attempt is not sent, since another machine may be there.
+// The connection comes up after its server left the list: the attempt is not sent, since another machine may be there.
 func TestLeftTheListWhileDialling(t *testing.T) {
-	c := listen(t)
-	p, _ := newPools(t, c.addr())
-	k, l, one := dialled(p, c)
-	l.retire()
-	p.mu.Unlock()
-	wantCode(t, k, routing.OutcomeConnectionRefused)
-	if n, err := one.readRest(); n != 0 || err != nil {
+	server := listen(t)
+	pools, _ := newPools(t, server.addr())
+	pending, pool, conn := dialLocked(pools, server)
+	pool.retire()
+	pools.mu.Unlock()
+	wantOutcome(t, pending, routing.OutcomeConnectionRefused)
+	if n, err := conn.readRest(); n != 0 || err != nil {
 		t.Errorf("%d bytes (%v) on a connection to a server that left", n, err)
 	}
 }
 
-// The connection comes up when the client has left: its request is not sent, and the connection serves the next.
+// The connection comes up after the client left: its request is not sent, and the connection serves the next one.
 func TestLeftWhileDialling(t *testing.T) {
-	c := listen(t)
-	p := shared(t, c.addr(), 0)
-	k, l, one := dialled(p, c)
-	k.finished = true // Drop, which finds no connection yet
-	p.mu.Unlock()
+	server := listen(t)
+	pools := newSharedPools(t, server.addr(), 0)
+	pending, pool, conn := dialLocked(pools, server)
+	pending.finished = true // Cancel, which finds no connection yet
+	pools.mu.Unlock()
 	testwait.Until(t, "the connection to be up", func() bool {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		return len(l.conns) == 1
+		pools.mu.Lock()
+		defer pools.mu.Unlock()
+		return len(pool.conns) == 1
 	})
-	send(p, "next")
-	one.expect("GET next")
+	send(pools, "next")
+	conn.expect("GET next")
 }
 
-// An attempt waits for a connection that comes up when it may go out no longer: it is not sent, and its end proves that. So it is where a
-// class no longer drops repeats, though drains and purges leave more time, and where new settings let those bind sooner meanwhile.
+// An attempt waits for a connection that comes up too late: it is not sent, and its outcome proves that. The limit is
+// SendWithin where that is shorter than MaxSendDelay, and the MaxSendDelay of settings that came after the choice.
 func TestUpTooLate(t *testing.T) {
-	for name, ms := range map[string]struct{ grace, within float64 }{"repeat past its window": {300, 150}, "shorter grace": {150, 0}} {
+	for name, limits := range map[string]struct{ maxSendDelay, sendWithin float64 }{
+		"repeat past its window": {300, 150},
+		"shorter grace":          {150, 0},
+	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
-			c := listen(t)
-			p, fake := newPools(t, c.addr())
-			p.SetMaxSendDelay(ms.grace)
+			server := listen(t)
+			pools, fake := newPools(t, server.addr())
+			pools.SetMaxSendDelay(limits.maxSendDelay)
 			fake.Advance(200) // since its choice
-			k, _, one := dialled(p, c)
-			k.attempt.SendWithin = ms.within
-			p.mu.Unlock()
-			wantCode(t, k, routing.OutcomeConnectionRefused)
-			send(p, "next")
-			one.expect("GET next")
+			pending, _, conn := dialLocked(pools, server)
+			pending.attempt.SendWithin = limits.sendWithin
+			pools.mu.Unlock()
+			wantOutcome(t, pending, routing.OutcomeConnectionRefused)
+			send(pools, "next")
+			conn.expect("GET next")
 		})
 	}
 }
 
-// An attempt with effects never ran, so its request goes to the same server again, and then the first answer comes a second time. It must not
-// tell that the second attempt never ran, or a third would have the effect twice.
+// An attempt with side effects never ran, so its request goes to the same server again, and then the first response
+// comes a second time. It must not end the second attempt as one that never ran, or a third could run besides.
 func TestSecondAnswerOfAnEffect(t *testing.T) {
-	c := listen(t)
-	p, _ := newPools(t, c.addr())
+	server := listen(t)
+	pools, _ := newPools(t, server.addr())
 	again := func() router.PendingAttempt {
-		return p.Send(router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1", HasSideEffects: true})
+		return pools.Send(router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1", HasSideEffects: true})
 	}
-	k := again()
-	one := c.accept()
-	one.expect("GET a")
-	one.say("a", "BUSY", "-", "")
-	wantCode(t, k, routing.OutcomeRejected)
-	k = again()
-	two := c.accept() // on the same connection none comes
-	two.expect("GET a")
-	one.say("a", "BUSY", "-", "")
-	crossed := send(p, "b") // once it is answered, the second BUSY has been read
-	one.expect("GET b")
-	one.say("b", "MISS", "-", "")
-	wantCode(t, crossed, routing.OutcomeMiss)
-	two.say("a", "OK", "-", "done once")
-	wantCode(t, k, routing.OutcomeServed)
+	pending := again()
+	conn := server.accept()
+	conn.expect("GET a")
+	conn.respond("a", "BUSY", "-", "")
+	wantOutcome(t, pending, routing.OutcomeRejected)
+	pending = again()
+	second := server.accept() // it does not go to the same connection
+	second.expect("GET a")
+	conn.respond("a", "BUSY", "-", "")
+	crossed := send(pools, "b") // once it is answered, the second BUSY has been read
+	conn.expect("GET b")
+	conn.respond("b", "MISS", "-", "")
+	wantOutcome(t, crossed, routing.OutcomeMiss)
+	second.respond("a", "OK", "-", "done once")
+	wantOutcome(t, pending, routing.OutcomeServed)
 }
 
-// The late answer of an attempt that was given up is a good one, of a copy older than the next attempt may take: since its choice a
-// purge was told. It is not that attempt's answer, which comes after it.
+// An attempt that was given up is served late, with a copy older than the next attempt may take, since a purge was
+// notified in between. That is not the next attempt's response, which comes after it.
 func TestLateAnswerOfAnOlderCopy(t *testing.T) {
-	c := listen(t)
-	p, fake := newPools(t, c.addr())
-	k, one := out(p, c)
-	one.live(p)
-	k.Cancel(true)
+	server := listen(t)
+	pools, fake := newPools(t, server.addr())
+	pending, conn := sendFirst(pools, server)
+	conn.proveAlive(pools)
+	pending.Cancel(true)
 	fake.Advance(500)
-	k = p.Send(router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1", MaxAge: 400})
-	one.expect("DROP a", "GET a")
-	one.say("a", "OK", "t0=1000", "of before the purge")
-	one.say("a", "OK", "t0=1200", "of after it")
-	if e := wantCode(t, k, routing.OutcomeServed); string(e.Body) != "of after it" {
-		t.Errorf("answered with the copy %q", e.Body)
+	pending = pools.Send(router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1", MaxAge: 400})
+	conn.expect("DROP a", "GET a")
+	conn.respond("a", "OK", "t0=1000", "from before the purge")
+	conn.respond("a", "OK", "t0=1200", "from after it")
+	if result := wantOutcome(t, pending, routing.OutcomeServed); string(result.Body) != "from after it" {
+		t.Errorf("answered with the copy %q", result.Body)
 	}
 }
 
-// The time of an idle connection is over just as an attempt comes and ends on it: it is not closed.
+// The idle timer of a connection fires just as an attempt comes and ends on it: the connection is not closed.
 func TestIdleTimeCrossesUse(t *testing.T) {
-	c := listen(t)
-	p, fake := newPools(t, c.addr())
-	k, one := out(p, c)
-	one.say("a", "MISS", "-", "")
-	wantCode(t, k, routing.OutcomeMiss)
-	p.mu.Lock()
-	o := p.servers["s-1"].conns[0]
-	p.mu.Unlock()
-	due := fake.Now() + idleCloseShare*p.options.IdleTimeout
-	p.mu.Lock()
+	server := listen(t)
+	pools, fake := newPools(t, server.addr())
+	pending, conn := sendFirst(pools, server)
+	conn.respond("a", "MISS", "-", "")
+	wantOutcome(t, pending, routing.OutcomeMiss)
+	pools.mu.Lock()
+	idle := pools.servers["s-1"].conns[0]
+	pools.mu.Unlock()
+	due := fake.Now() + idleCloseShare*pools.options.IdleTimeout
+	pools.mu.Lock()
 	advanced := make(chan struct{})
 	go func() {
 		defer close(advanced)
-		fake.Advance(idleCloseShare * p.options.IdleTimeout)
+		fake.Advance(idleCloseShare * pools.options.IdleTimeout)
 	}()
-	testwait.Until(t, "the idle time to be over", func() bool { return fake.Now() >= due }) // the timer's function waits for the lock
-	k2 := &pendingAttempt{pools: p, attempt: router.Attempt{Request: &router.Request{ID: "b"}}, result: make(chan router.AttemptResult, 1)}
-	o.attempts["b"] = k2
-	o.idleTimer.Stop()
-	delete(o.attempts, "b")
-	o.closeWhenIdle()
-	p.mu.Unlock()
+	// From then on the timer's function waits for the lock.
+	testwait.Until(t, "the idle time to be over", func() bool { return fake.Now() >= due })
+	idle.attempts["b"] = newAttempt(pools, "b")
+	idle.idleTimer.Stop()
+	delete(idle.attempts, "b")
+	idle.closeWhenIdle()
+	pools.mu.Unlock()
 	testwait.Receive(t, advanced, "the timer of the idle time")
-	if p.open() != 1 {
+	if pools.openConns() != 1 {
 		t.Error("closed at once after use")
 	}
 }
 
-// An answer stops short that began in the same read as the one before: what waits behind it must not wait for good.
+// A response stops short that began in the same read as the one before: attempts behind it must not wait forever.
 func TestStallBehindAnAnswer(t *testing.T) {
-	c := listen(t)
-	p := shared(t, c.addr(), 0)
-	first, second := send(p, "a"), router.PendingAttempt(nil)
-	one := c.accept()
-	one.expect("GET a")
-	second = send(p, "b")
-	one.expect("GET b")
-	one.Write([]byte("*2\r\n$1\r\na\r\n$4\r\nMISS\r\n*2\r\n$1\r\nb"))
-	wantCode(t, first, routing.OutcomeMiss)
-	end := testwait.ReceiveWithin(t, 10*stallTimeout*time.Millisecond, second.Done(), "an attempt behind an answer that does not end")
-	if end.Outcome != routing.OutcomeConnectionReset {
-		t.Errorf("%v behind an answer that does not end", end.Outcome)
+	server := listen(t)
+	pools := newSharedPools(t, server.addr(), 0)
+	first := send(pools, "a")
+	conn := server.accept()
+	conn.expect("GET a")
+	second := send(pools, "b")
+	conn.expect("GET b")
+	conn.Write([]byte("*2\r\n$1\r\na\r\n$4\r\nMISS\r\n*2\r\n$1\r\nb"))
+	wantOutcome(t, first, routing.OutcomeMiss)
+	limit := 10 * stallTimeout * time.Millisecond
+	result := testwait.ReceiveWithin(t, limit, second.Done(), "an attempt behind a response that does not end")
+	if result.Outcome != routing.OutcomeConnectionReset {
+		t.Errorf("%v behind a response that does not end", result.Outcome)
 	}
 }
--- a/internal/resp/pools.go
+++ b/internal/resp/pools.go
@@ -26,7 +26,7 @@
 
 // Bounds of connections to servers; times are milliseconds.
 const (
-	idleCloseShare    = 0.8     // of IdleTimeout, after which a connection is closed here, so that closes rarely cross attempts
+	idleCloseShare    = 0.8     // of IdleTimeout: closing before the server does, so that its close crosses no attempt
 	writeTimeout      = 2000    // for one command
 	minWriteTimeout   = 20      // for an attempt that is due at the last moment
 	queueCapacity     = 64      // commands waiting to be written on one connection
@@ -148,9 +148,10 @@
 	return pending
 }
 
-// makeRoom reports whether a connection may be dialed. If isNeeded, it closes the connection that has been idle for
-// longest where all are taken: a server without any must not wait for those that others no longer use. p.mu is held.
-func (p *Pools) makeRoom(isNeeded bool) bool {
+// freeConnSlot reports whether a connection may be dialed. If isNeeded is set and all slots are taken, it closes the
+// connection that has been idle for longest: a server without any must not wait for those that others no longer use.
+// p.mu is held.
+func (p *Pools) freeConnSlot(isNeeded bool) bool {
 	if p.connCount < p.options.MaxConns {
 		return true
 	}
--- /dev/null
+++ b/internal/resp/pools_test.go
@@ -0,0 +1,360 @@
+package resp
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"spantack/internal/clock"
+	"spantack/internal/loopback"
+	"spantack/internal/router"
+	"spantack/internal/testwait"
+	"spantack/routing"
+)
+
+// fakeServer is the listener of a server that the test plays.
+type fakeServer struct {
+	t *testing.T
+	net.Listener
+}
+
+// fakeConn is the server's side of a connection.
+type fakeConn struct {
+	t *testing.T
+	net.Conn
+	in *bufio.Reader
+}
+
+func listen(t *testing.T) *fakeServer {
+	return &fakeServer{t, testwait.Listen(t)}
+}
+
+func (s *fakeServer) accept() *fakeConn {
+	s.t.Helper()
+	netConn := testwait.Accept(s.t, s.Listener, "a connection to a server")
+	return &fakeConn{s.t, netConn, bufio.NewReader(netConn)}
+}
+
+// readCommand reads the verb and id of the next command.
+func (c *fakeConn) readCommand() string {
+	parts, err := ReadArray(c.in)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return string(parts[0]) + " " + string(parts[1])
+}
+
+func (c *fakeConn) expect(want ...string) {
+	c.t.Helper()
+	for _, command := range want {
+		if got := c.readCommand(); got != command {
+			c.t.Fatalf("got %q, want %q", got, command)
+		}
+	}
+}
+
+func (c *fakeConn) respond(words ...string) {
+	var parts [][]byte
+	for _, word := range words {
+		parts = append(parts, []byte(word))
+	}
+	c.Write(AppendArray(nil, parts...))
+}
+
+// longerThanAnyWait is a time limit for writes in milliseconds, longer than any wait of a test: a test that passes has
+// not waited for it.
+var longerThanAnyWait = 10 * float64(testwait.Limit.Milliseconds())
+
+// newPools returns pools of up to two connections, with one server on the list.
+func newPools(t *testing.T, addr string) (*Pools, *clock.Clock) {
+	fake := clock.NewFake(1000)
+	options := Options{DialTimeout: 5000, IdleTimeout: 30_000, MaxStreams: 2, MaxConns: 2, MaxSendDelay: 300}
+	pools := NewPools(t.Context(), options, fake, zerolog.Nop())
+	pools.timeouts.drop = longerThanAnyWait // none is stuck
+	applyServer(pools, "s-1", addr)
+	return pools, fake
+}
+
+// applyServer puts a server on the endpoint list.
+func applyServer(pools *Pools, id, addr string) {
+	pools.Apply(router.WatchEvent{Servers: []router.Server{{ID: id, Addr: addr, Status: "healthy"}}})
+}
+
+// send sends an attempt of a request to the server of newPools.
+func send(pools *Pools, id string) router.PendingAttempt {
+	return pools.Send(router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"})
+}
+
+// sendFirst returns an attempt that has reached the fake server, and its connection, the first one to it.
+func sendFirst(pools *Pools, server *fakeServer) (router.PendingAttempt, *fakeConn) {
+	pending := send(pools, "a")
+	conn := server.accept()
+	conn.expect("GET a")
+	return pending, conn
+}
+
+// proveAlive writes a response to no attempt and returns once it is read: the server does not count as silent then.
+func (c *fakeConn) proveAlive(pools *Pools) {
+	c.respond("x", "VOID", "-", "")
+	testwait.Until(c.t, "a response to be read", func() bool {
+		pools.mu.Lock()
+		defer pools.mu.Unlock()
+		return pools.servers["s-1"].conns[0].lastResponseAt > 0
+	})
+}
+
+func (s *fakeServer) addr() string { return s.Addr().String() }
+
+func wantOutcome(t *testing.T, pending router.PendingAttempt, want routing.AttemptOutcome) router.AttemptResult {
+	t.Helper()
+	result := testwait.Receive(t, pending.Done(), fmt.Sprintf("an attempt to end %q", want))
+	if result.Outcome != want {
+		t.Errorf("ended %q, want %q", result.Outcome, want)
+	}
+	return result
+}
+
+// Responses find their attempts in any order, two connections are opened before one is shared, and none gets more than
+// MaxStreams attempts: one that finds no room was never sent.
+func TestConnectionsAreShared(t *testing.T) {
+	server := listen(t)
+	pools, _ := newPools(t, server.addr())
+	a := send(pools, "a")
+	conn := server.accept()
+	conn.expect("GET a")
+	b := send(pools, "b")
+	second := server.accept()
+	second.expect("GET b")
+	more := []router.PendingAttempt{send(pools, "c"), send(pools, "d")}
+	wantOutcome(t, send(pools, "e"), routing.OutcomeSkipped)
+	ids := []string{conn.readCommand(), second.readCommand()}
+	slices.Sort(ids)
+	if ids[0] != "GET c" || ids[1] != "GET d" {
+		t.Fatalf("shared by %q", ids)
+	}
+	second.respond("b", "OK", "n=TCP_HIT", "bytes of b")
+	conn.respond("a", "MISS", "-", "")
+	if result := wantOutcome(t, b, routing.OutcomeServed); string(result.Body) != "bytes of b" || result.CacheStatus != 1 {
+		t.Errorf("%+v", result)
+	}
+	wantOutcome(t, a, routing.OutcomeMiss)
+	conn.Close()
+	second.Close()
+	for _, pending := range more { // a broken connection proves nothing
+		wantOutcome(t, pending, routing.OutcomeConnectionReset)
+	}
+}
+
+// The next attempt of a request goes behind the DROP of the one before, on its connection: the server must never see
+// two of them at once.
+func TestDropThenGet(t *testing.T) {
+	server := listen(t)
+	pools, _ := newPools(t, server.addr())
+	pending, conn := sendFirst(pools, server)
+	conn.respond("a", "OK", "-", "x")
+	wantOutcome(t, pending, routing.OutcomeServed)
+	pending = send(pools, "a") // the last response came at the time when this was sent
+	conn.expect("GET a")
+	pending.Cancel(true)
+	again := send(pools, "a")
+	conn.expect("DROP a", "GET a")
+	conn.respond("a", "OK", "-", "x")
+	wantOutcome(t, again, routing.OutcomeServed)
+}
+
+// A machine that is cut off never reads the DROP. Both a GET on the same silent connection (fleet day, seed 11) and one
+// to another server (seed 15) counted as hedged requests: the silent connection must be closed before Cancel returns.
+func TestDropOnSilentConnection(t *testing.T) {
+	server := listen(t)
+	pools, fake := newPools(t, server.addr())
+	fake.Advance(1)
+	pending, conn := sendFirst(pools, server)
+	pending.Cancel(true)
+	if pools.mu.Lock(); pools.connCount != 0 {
+		t.Error("the connection is still open")
+	}
+	pools.mu.Unlock()
+	conn.expect("DROP a")
+	if _, err := ReadArray(conn.in); err != io.EOF {
+		t.Errorf("on the silent connection: %v", err)
+	}
+	again := send(pools, "a")
+	second := server.accept()
+	second.expect("GET a")
+	second.respond("a", "OK", "-", "x")
+	wantOutcome(t, again, routing.OutcomeServed)
+}
+
+// Idle connections to one server do not keep another server from its first.
+func TestIdleConnectionsGiveWay(t *testing.T) {
+	server, other := listen(t), listen(t)
+	pools, _ := newPools(t, server.addr())
+	applyServer(pools, "s-2", other.addr())
+	a, b := send(pools, "a"), send(pools, "b")
+	for range 2 {
+		conn := server.accept()
+		_, id, _ := strings.Cut(conn.readCommand(), " ")
+		conn.respond(id, "MISS", "-", "")
+	}
+	wantOutcome(t, a, routing.OutcomeMiss)
+	wantOutcome(t, b, routing.OutcomeMiss)
+	pools.Send(router.Attempt{Request: &router.Request{ID: "c"}, Server: "s-2"})
+	other.accept().expect("GET c")
+}
+
+// Nothing listens: the refused connection proves that nothing ran.
+func TestRefused(t *testing.T) {
+	pools, _ := newPools(t, loopback.FreeAddress())
+	wantOutcome(t, send(pools, "a"), routing.OutcomeConnectionRefused)
+}
+
+// A new machine at an old address gets a connection of its own, and a server that left the list gets nothing.
+func TestAddressReused(t *testing.T) {
+	server := listen(t)
+	pools, _ := newPools(t, server.addr())
+	pending, old := sendFirst(pools, server)
+	pools.Apply(router.WatchEvent{Servers: []router.Server{{ID: "s-1", Status: "deregistered"}}})
+	wantOutcome(t, send(pools, "b"), routing.OutcomeSkipped)
+	applyServer(pools, "s-2", server.addr())
+	fresh := pools.Send(router.Attempt{Request: &router.Request{ID: "b"}, Server: "s-2"})
+	server.accept().expect("GET b")
+	old.respond("a", "OK", "-", "late but complete")
+	wantOutcome(t, pending, routing.OutcomeServed)
+	if _, err := old.in.ReadByte(); err == nil {
+		t.Error("the old connection stays open with nothing out on it")
+	}
+	fresh.Cancel(false)
+}
+
+// A malformed response ends the connection and the attempts out on it, not the process.
+func TestMalformed(t *testing.T) {
+	server := listen(t)
+	pools, _ := newPools(t, server.addr())
+	pending, conn := sendFirst(pools, server)
+	conn.Write([]byte("HTTP/1.1 200 OK\r\n"))
+	wantOutcome(t, pending, routing.OutcomeConnectionReset)
+	if pools.mu.Lock(); pools.faultCount != 1 {
+		t.Errorf("%d faults counted", pools.faultCount)
+	}
+	pools.mu.Unlock()
+}
+
+// An idle connection is closed here before the server closes it: an attempt that crosses a close proves nothing.
+func TestIdle(t *testing.T) {
+	server := listen(t)
+	pools, fake := newPools(t, server.addr())
+	pending, conn := sendFirst(pools, server)
+	conn.respond("a", "MISS", "-", "")
+	wantOutcome(t, pending, routing.OutcomeMiss)
+	// the reader starts the idle timer under the same lock as it ends the attempt
+	pools.mu.Lock()
+	if conns := pools.servers["s-1"].conns; len(conns) != 1 || len(conns[0].attempts) != 0 || conns[0].idleTimer == nil {
+		t.Error("the response left no connection that is idle")
+	}
+	pools.mu.Unlock()
+	fake.Advance(24_000)
+	if _, err := conn.in.ReadByte(); err == nil {
+		t.Error("still open")
+	}
+}
+
+// An attempt that waited for its connection beyond MaxSendDelay is not sent, nor is one that was given up meanwhile.
+func TestWaitedTooLong(t *testing.T) {
+	pools, fake := newPools(t, "127.0.0.1:1")
+	local, remote := net.Pipe()
+	testwait.BoundConn(t, remote)
+	conn := newTestConn(pools, local)
+	attempts := map[string]*pendingAttempt{}
+	pools.mu.Lock()
+	for _, id := range []string{"late", "canceled", "good"} {
+		pending := newAttempt(pools, id)
+		pending.chosenAt = fake.Now()
+		conn.enqueue(pending)
+		attempts[id] = pending
+		fake.Advance(301)
+	}
+	attempts["good"].chosenAt = fake.Now()
+	attempts["canceled"].chosenAt = fake.Now()
+	attempts["canceled"].finished = true
+	pools.mu.Unlock()
+	go conn.write()
+	defer close(conn.done)
+	(&fakeConn{t, remote, bufio.NewReader(remote)}).expect("GET good")
+	wantOutcome(t, attempts["late"], routing.OutcomeConnectionRefused)
+}
+
+// Values that would break the list of fields never get this far, but a body may hold any bytes.
+func TestBodyUnchanged(t *testing.T) {
+	server := listen(t)
+	pools, _ := newPools(t, server.addr())
+	body := strings.Repeat("\r\n$3\x00", 9600)
+	pools.Send(router.Attempt{Request: &router.Request{ID: "a", Body: []byte(body)}, Server: "s-1"})
+	parts, err := ReadArray(server.accept().in)
+	if err != nil || string(parts[3]) != body {
+		t.Errorf("%d bytes, %v", len(parts), err)
+	}
+}
+
+// A response that comes before its attempt was written can't be the attempt's: it is ignored, as are a second response
+// and an unknown id, and the attempt's own response ends it.
+func TestResponseBeforeItsAttempt(t *testing.T) {
+	pools, _ := newPools(t, "127.0.0.1:1")
+	local, remote := net.Pipe()
+	testwait.BoundConn(t, remote)
+	conn := newTestConn(pools, local)
+	pending := newAttempt(pools, "a")
+	pools.mu.Lock()
+	conn.enqueue(pending) // queued, and no writer yet
+	pools.mu.Unlock()
+	go conn.read()
+	server := &fakeConn{t, remote, bufio.NewReader(remote)}
+	server.respond("a", "OK", "-", "ahead")
+	server.respond("b", "OK", "-", "unknown") // its first byte is read once the one before has been handled
+	go conn.write()
+	server.expect("GET a")
+	server.respond("a", "OK", "-", "true")
+	if result := wantOutcome(t, pending, routing.OutcomeServed); string(result.Body) != "true" {
+		t.Errorf("served %q", result.Body)
+	}
+	server.respond("a", "OK", "-", "second")
+	server.respond("b", "OK", "-", "unknown")
+}
+
+// A response that can't be its request's ends the connection, with all attempts out on it.
+func TestImpossibleResponse(t *testing.T) {
+	for _, words := range [][]string{{"a", "SAME", "n=TCP_HIT"}, {"a", "OK", "n=TCP_HIT"}, {"a", "GOOD", "-", "x"}} {
+		server := listen(t)
+		pools, _ := newPools(t, server.addr())
+		pending, conn := sendFirst(pools, server)
+		conn.respond(words...)
+		wantOutcome(t, pending, routing.OutcomeConnectionReset)
+		if _, err := conn.in.ReadByte(); err == nil {
+			t.Errorf("%q: the connection is still open", words)
+		}
+	}
+}
+
+// recorder is a connection that returns one byte and records the deadline set after it.
+type recorder struct {
+	net.Conn
+	deadline time.Time
+}
+
+func (r *recorder) Read([]byte) (int, error)           { return 1, nil }
+func (r *recorder) SetReadDeadline(at time.Time) error { r.deadline = at; return nil }
+
+// A response that stopped short on an open connection once held up all others on it forever: after a first byte there
+// is a deadline for the next.
+func TestStall(t *testing.T) {
+	r := &recorder{}
+	if _, err := (&stallGuard{Conn: r}).Read(nil); err != nil || r.deadline.IsZero() {
+		t.Errorf("no deadline for the next byte (%v)", err)
+	}
+}
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -59,7 +59,7 @@
 	pools.mu.Lock()
 	defer pools.mu.Unlock()
 	now := pools.clock.Now()
-	if a := c.attempts[id]; a != nil && a.writeBegun && a.heldResult == nil {
+	if a := c.attempts[id]; a != nil && a.writeBegun && a.delayedResult == nil {
 		if result.NotModified && a.attempt.ClientETag == "" { // not this request's: nothing on the stream can be trusted
 			return fmt.Errorf("%w: SAME for a client without a copy", errMalformed)
 		}
@@ -92,7 +92,7 @@
 		c.recordID(c.unservedAt, id)
 	}
 	if a.ambiguous && !isServed {
-		a.heldResult = &result
+		a.delayedResult = &result
 		c.queueDrop(id, command{releases: a})
 		return
 	}
--- a/internal/resp/serverpool.go
+++ b/internal/resp/serverpool.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// pick chooses the connection for an attempt; if that is nil, mayDial says whether to dial one. An idle connection comes
-// first, since a large body holds up all responses behind it; connections are shared only once enough are open.
+// pick chooses the connection for an attempt; if that is nil, mayDial says whether to dial one. An idle connection
+// comes first, since a large body holds up all responses behind it. Connections are shared once enough are open.
 //
 // The next attempt of a request that was given up goes to the connection with its DROP, or nowhere while that is full:
 // the DROP must be read first, or two attempts would be out at once. An attempt with side effects keeps off connections
@@ -61,7 +61,7 @@
 	if best != nil && len(best.attempts) == 0 {
 		return best, false
 	}
-	if len(p.conns)+p.dialing < maxConnsPerServer && p.pools.makeRoom(best == nil) {
+	if len(p.conns)+p.dialing < maxConnsPerServer && p.pools.freeConnSlot(best == nil) {
 		return nil, true
 	}
 	return best, false
--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -55,19 +55,19 @@
 // An attempt that is given up, as its server reads it.
 func TestDropCompat(t *testing.T) {
 	s := listen(t)
-	p, _ := newPools(t, s.addr())
-	k, one := out(p, s)
-	one.live(p)
-	go k.Cancel(true)
+	pools, _ := newPools(t, s.addr())
+	pending, conn := sendFirst(pools, s)
+	conn.proveAlive(pools)
+	go pending.Cancel(true)
 	want := readPins(t)["drop"]
 	got := make([]byte, len(want))
-	if _, err := io.ReadFull(one.in, got); err != nil || string(got) != want || want == "" {
+	if _, err := io.ReadFull(conn.in, got); err != nil || string(got) != want || want == "" {
 		t.Errorf("wrote %+q (%v)", got, err)
 	}
 	testwait.Until(t, "the attempt to be forgotten", func() bool {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		return k.(*pendingAttempt).finished
+		pools.mu.Lock()
+		defer pools.mu.Unlock()
+		return pending.(*pendingAttempt).finished
 	})
 }
 
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -57,7 +57,7 @@
 	pools.mu.Lock()
 	defer pools.mu.Unlock()
 	id := a.attempt.ID
-	timeLeft := a.sendTimeLeft()
+	timeLeft := a.remainingSendTime()
 	if !a.finished && timeLeft < 0 {
 		delete(c.attempts, id)
 		a.finish(router.AttemptResult{Outcome: routing.OutcomeConnectionRefused})
@@ -86,7 +86,7 @@
 	}
 	if a := written.releases; a != nil && c.attempts[a.attempt.ID] == a {
 		delete(c.attempts, a.attempt.ID)
-		a.finish(*a.heldResult)
+		a.finish(*a.delayedResult)
 		c.closeWhenIdle()
 	}
 }
