--- a/routing/circuit_breaker.go
+++ b/routing/circuit_breaker.go
@@ -102,6 +102,7 @@
 	e.recordAtBreaker(req, ended, srv, breakerOutcome{weight: weight})
 }
 
+// recordAtBreaker counts an outcome at the circuit breaker of a server. The cool-down is drawn anew at each.
 func (e *Engine) recordAtBreaker(req *request, ended *attempt, srv *server, outcome breakerOutcome) {
 	coolDown, failureRatio := float64(breakerCoolDown), breakerFailureRatio
 	if srv.role == roleEdgeCache {
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -149,7 +149,7 @@
 		responseTime = float64(ev.ResponseTime - ev.UpstreamWait)
 	case ev.CacheStatus == FilledFromOrigin:
 		// The wait for a distant origin is not the source's doing; but on a full link fills must become fewer.
-		source.updateMinOriginWait(e.originWait(req, ended, ev))
+		source.updateMinOriginWait(originWait(req, ended, ev))
 		if e.linkUseIndex < 0 { // nothing tells of the link: a usual wait within the objective is not late
 			usual := e.sendTime(req) + maxOriginWaitMultiple*source.minOriginWait
 			target = max(target, min(usual, e.latencyObjective(req)))
@@ -157,7 +157,7 @@
 			responseTime -= source.minOriginWait
 		}
 	}
-	isLate := !e.isOriginTimeout(req, ended, ev) &&
+	isLate := !isOriginTimeout(req, ended, ev) &&
 		isLateResponse(ended, ev, source, ended.sourceAnswersBefore, responseTime, target)
 	e.moveLimit(req, ev, source, defaultMissRatio, wasFillRejected || isLate)
 }
--- a/routing/estimates.go
+++ b/routing/estimates.go
@@ -10,7 +10,7 @@
 	minWeightDensity   = 1e-12 // for use as a divisor
 )
 
-// hasSizes reports that a request's size tells how long its response takes to send.
+// hasSize reports that a request's size tells how long its response takes to send.
 func (e *Engine) hasSize(sizeKB float64) bool {
 	return sizeKB > 0 && e.settings.Hierarchy.ResponseKBPerSecond > 0
 }
--- a/routing/origin_fills.go
+++ b/routing/origin_fills.go
@@ -1,5 +1,7 @@
 package routing
 
+import "cmp"
+
 // Constants of the limit on fills that may reach the origin. It has no server of its own: fills go to the origin or to
 // parents, which may ask it.
 const (
@@ -9,6 +11,13 @@
 	originFillsGrowthStep   = 0.5  // fills more, so that it comes back from one within a few responses
 )
 
+// boundOriginFills sets the bounds on fills that reach the origin; 0: none.
+func (e *Engine) boundOriginFills(ev *Event) {
+	e.maxPossibleOriginFills = cmp.Or(ev.MaxPossibleOriginFills, unlimitedOriginFills)
+	e.maxConfirmedOriginFills = cmp.Or(ev.MaxConfirmedOriginFills, unlimitedOriginFills)
+	e.originFills.concurrencyLimit = min(e.originFills.concurrencyLimit, e.maxPossibleOriginFills)
+}
+
 // mayFillFromOrigin admits a request's fill to the origin: within the learned limit on fills that may reach it, and
 // within the bounds that EventSubset set. Where fills known to reach it have a bound, a fill is admitted only once a
 // parent has been found to have no copy.
@@ -33,14 +42,14 @@
 }
 
 // isOriginTimeout reports that an attempt timed out while the origin was known to be asked: that is the origin's doing.
-func (e *Engine) isOriginTimeout(req *request, ended *attempt, ev *Event) bool {
+func isOriginTimeout(req *request, ended *attempt, ev *Event) bool {
 	return ended.mayReachOrigin && req.isMissConfirmed && ev.Outcome == OutcomeTimedOut
 }
 
 // originWait returns how long an attempt waited for the origin, in microseconds: all of its time if the origin never
 // came.
-func (e *Engine) originWait(req *request, ended *attempt, ev *Event) float64 {
-	if e.isOriginTimeout(req, ended, ev) {
+func originWait(req *request, ended *attempt, ev *Event) float64 {
+	if isOriginTimeout(req, ended, ev) {
 		return float64(ev.ResponseTime)
 	}
 	return float64(ev.UpstreamWait)
@@ -49,10 +58,10 @@
 // adjustOriginFillLimit moves the limit on fills that may reach the origin, after a fill that did: by how long it
 // waited.
 func (e *Engine) adjustOriginFillLimit(req *request, ended *attempt, ev *Event) {
-	if ev.CacheStatus != FilledFromOrigin && !e.isOriginTimeout(req, ended, ev) {
+	if ev.CacheStatus != FilledFromOrigin && !isOriginTimeout(req, ended, ev) {
 		return
 	}
-	wait := e.originWait(req, ended, ev)
+	wait := originWait(req, ended, ev)
 	fills := &e.originFills
 	target := lateObjectiveShareUnsized * e.latencyObjective(req)
 	if wait <= target {
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -56,7 +56,7 @@
 		return retryFailed
 	case req.isCachedCopyOnly:
 		return e.retryAfterCachedCopy(req, ended, ev)
-	case e.hasConfirmedMiss(req, ended, ev):
+	case hasConfirmedMiss(req, ended, ev):
 		req.isMissConfirmed = true
 		req.retryCache = ended.server
 		mayBeStale := valueAt(e.settings.Hierarchy.FreshnessLifetime, req.class) > 0
@@ -90,7 +90,7 @@
 
 // hasConfirmedMiss reports that a source which was asked for a cached copy only has none: the origin may now be asked
 // in the knowledge that it is.
-func (e *Engine) hasConfirmedMiss(req *request, ended *attempt, ev *Event) bool {
+func hasConfirmedMiss(req *request, ended *attempt, ev *Event) bool {
 	isCachedOnly := ended.isFill && !ended.mayReachOrigin
 	return isCachedOnly && ev.CacheStatus == SourceMissed && !req.isMissConfirmed
 }
--- a/routing/subsets.go
+++ b/routing/subsets.go
@@ -1,9 +1,6 @@
 package routing
 
-import (
-	"cmp"
-	"slices"
-)
+import "slices"
 
 // subset is a set of edge caches, or of parents, among which a server is selected.
 type subset struct {
@@ -42,13 +39,11 @@
 	return servers
 }
 
-// defineSubset defines a subset and its accounting group's share of what all groups share. Subset 0 stands for the
-// bounds on fills that reach the origin.
+// defineSubset defines a subset, or drops it, and sets its accounting group's share of what all groups share. Subset 0
+// stands for the bounds on fills that reach the origin.
 func (e *Engine) defineSubset(ev *Event) {
 	if ev.Subset == 0 {
-		e.maxPossibleOriginFills = cmp.Or(ev.MaxPossibleOriginFills, unlimitedOriginFills)
-		e.maxConfirmedOriginFills = cmp.Or(ev.MaxConfirmedOriginFills, unlimitedOriginFills)
-		e.originFills.concurrencyLimit = min(e.originFills.concurrencyLimit, e.maxPossibleOriginFills)
+		e.boundOriginFills(ev)
 		return
 	}
 	if len(ev.SubsetServers) == 0 {
