--- a/routing/circuit_breaker_test.go
+++ b/routing/circuit_breaker_test.go
@@ -63,21 +63,23 @@
 		{OutcomeSkipped, CacheStatusUnknown, ""},
 		{OutcomeCanceled, CacheStatusUnknown, ""},
 	} {
-		engine := newTestEngine(t, testSettings(), 1, 1)
-		for i := range 4 {
-			req := engine.request("small", fmt.Sprint("x", i))
-			engine.step(outcomeEvent(req, 0, tc.outcome, tc.status))
-			engine.servers["c0"].concurrencyLimit = initialLimit
-		}
-		got := ""
-		for role, name := range map[string]string{"parent": "p0", "origin": "o", "cache": "c0"} {
-			if engine.servers[name].breaker.openUntil != 0 {
-				got += role
+		t.Run(fmt.Sprint(tc.outcome, ", ", tc.status), func(t *testing.T) {
+			engine := newTestEngine(t, testSettings(), 1, 1)
+			for i := range 4 {
+				sent := engine.request("small", fmt.Sprint("x", i))
+				engine.step(outcomeEvent(sent, 0, tc.outcome, tc.status))
+				engine.servers["c0"].concurrencyLimit = initialLimit
 			}
-		}
-		if got != tc.want {
-			t.Errorf("%s with status %q charges %q, want %q", tc.outcome, tc.status, got, tc.want)
-		}
+			got := ""
+			for role, name := range map[string]string{"parent": "p0", "origin": "o", "cache": "c0"} {
+				if engine.servers[name].breaker.openUntil != 0 {
+					got += role
+				}
+			}
+			if got != tc.want {
+				t.Errorf("charges %q, want %q", got, tc.want)
+			}
+		})
 	}
 }
 
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -143,22 +143,24 @@
 		{300, 500 * ms, CacheHit, false, false},
 		{300, 1400 * ms, CacheHit, true, false},
 	} { // sending takes 2 s, the objective is 4.6 s
-		settings := testSettings()
-		settings.FleetSize = tc.routers
-		engine := newTestEngine(t, settings, 1, 1)
-		cacheServer, parentServer := engine.servers["c0"], engine.servers["p0"]
-		ev := outcomeEvent(engine.stepOne(largeRequest(5*sec)), 0, OutcomeServed, tc.status)
-		ev.ResponseTime = 2*sec + tc.extra
-		engine.now += ev.ResponseTime
-		for _, srv := range []*server{cacheServer, parentServer} {
-			srv.concurrencyLimit = 2
-			srv.limitReducedAt = 1
-		}
-		engine.step(ev)
-		if cacheServer.concurrencyLimit < 2 != tc.cache || parentServer.concurrencyLimit < 2 != tc.parent {
-			limits := []float64{cacheServer.concurrencyLimit, parentServer.concurrencyLimit}
-			t.Errorf("%+v: limits of cache and parent %v", tc, limits)
-		}
+		t.Run(fmt.Sprintf("%d routers, %s after %d ms", tc.routers, tc.status, 2000+tc.extra/ms), func(t *testing.T) {
+			settings := testSettings()
+			settings.FleetSize = tc.routers
+			engine := newTestEngine(t, settings, 1, 1)
+			cacheServer, parentServer := engine.servers["c0"], engine.servers["p0"]
+			ev := outcomeEvent(engine.stepOne(largeRequest(5*sec)), 0, OutcomeServed, tc.status)
+			ev.ResponseTime = 2*sec + tc.extra
+			engine.now += ev.ResponseTime
+			for _, srv := range []*server{cacheServer, parentServer} {
+				srv.concurrencyLimit = 2
+				srv.limitReducedAt = 1
+			}
+			engine.step(ev)
+			if cacheServer.concurrencyLimit < 2 != tc.cache || parentServer.concurrencyLimit < 2 != tc.parent {
+				limits := []float64{cacheServer.concurrencyLimit, parentServer.concurrencyLimit}
+				t.Errorf("%+v: limits of cache and parent %v", tc, limits)
+			}
+		})
 	}
 }
 
--- a/routing/handover_test.go
+++ b/routing/handover_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"reflect"
@@ -69,19 +70,25 @@
 	return request
 }
 
+// throughJSON returns a state as it is read from the file that it is written to.
+func throughJSON(t *testing.T, state LearnedState) (read LearnedState) {
+	t.Helper()
+	text, err := json.Marshal(state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(text, &read); err != nil {
+		t.Fatal(err)
+	}
+	return read
+}
+
 // What a process leaves, through JSON, is what its successor knows, and it acts by it: the cache that fails is left
 // alone, the cold one has had its part, limits are not learned anew.
 func TestLearnedStateIsHandedOver(t *testing.T) {
 	for seed := range uint64(20) {
 		old, list, now := engineWithHistory(t, seed)
-		text, err := json.Marshal(old.LearnedState(now))
-		if err != nil {
-			t.Fatal(err)
-		}
-		var left LearnedState
-		if err := json.Unmarshal(text, &left); err != nil {
-			t.Fatal(err)
-		}
+		left := throughJSON(t, old.LearnedState(now))
 		next, err := NewEngine(old.settings, 2)
 		if err != nil {
 			t.Fatal(err)
@@ -140,21 +147,21 @@
 		"Classes[1]":       func(s *LearnedState) { s.Classes[1].TailMultiple = 0 },
 		`Recent["object"]`: func(s *LearnedState) { s.RecentRequests = map[string]int{"object": -1} },
 	} {
-		text, err := json.Marshal(good)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var state LearnedState
-		if err := json.Unmarshal(text, &state); err != nil {
-			t.Fatal(err)
-		}
-		damage(&state)
-		if err := next.RestoreLearnedState(now, state); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
-		}
-		if got := next.LearnedState(now); !reflect.DeepEqual(got, fresh) {
-			t.Errorf("%s: changed something", want)
-		}
+		t.Run(want, func(t *testing.T) {
+			state := throughJSON(t, good)
+			damage(&state)
+			err := next.RestoreLearnedState(now, state)
+			if err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("error %v", err)
+			}
+			var stateError *LearnedStateError
+			if isOld := errors.Is(err, ErrLearnedStateAge); isOld == errors.As(err, &stateError) {
+				t.Errorf("%T: %v, want either an age or a *LearnedStateError", err, err)
+			}
+			if got := next.LearnedState(now); !reflect.DeepEqual(got, fresh) {
+				t.Error("changed something")
+			}
+		})
 	}
 	if err := next.RestoreLearnedState(now, good); err != nil {
 		t.Fatal(err)
--- a/routing/idempotency_test.go
+++ b/routing/idempotency_test.go
@@ -1,6 +1,9 @@
 package routing
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
 // What follows an attempt that may have run depends on the class's idempotency.
 func TestRetriesFollowIdempotency(t *testing.T) {
@@ -20,32 +23,37 @@
 		{"zoned", OutcomeError, 0, ActionSend},
 		{"big", OutcomeConnectionReset, 0, ActionSend},
 	} {
-		engine := newTestEngine(t, testSettings(), 2, 1)
-		first := engine.request(tc.class, "x")
-		engine.now += tc.after
-		if next := engine.stepOne(outcomeEvent(first, 0, tc.outcome, CacheStatusUnknown)); next.Kind != tc.want {
-			t.Errorf("%s after %s at %d: action %s, want %s", tc.class, tc.outcome, tc.after, next.Kind, tc.want)
-		}
+		t.Run(fmt.Sprintf("%s, %s after %d ms", tc.class, tc.outcome, tc.after/ms), func(t *testing.T) {
+			engine := newTestEngine(t, testSettings(), 2, 1)
+			first := engine.request(tc.class, "x")
+			engine.now += tc.after
+			next := engine.stepOne(outcomeEvent(first, 0, tc.outcome, CacheStatusUnknown))
+			if next.Kind != tc.want {
+				t.Errorf("action %s, want %s", next.Kind, tc.want)
+			}
+		})
 	}
 }
 
 // A retry of a keyed request may wait for a connection: it says until when it may be sent.
 func TestRetrySaysUntilWhenItMayBeSent(t *testing.T) {
 	for class, hasSideEffects := range map[string]bool{"keyed": true, "zoned": true, "unsafe": true, "big": false} {
-		engine := newTestEngine(t, testSettings(), 2, 1)
-		first := engine.request(class, "x")
-		left := 3 * sec // as the clients of requestEvent wait
-		if first.HasSideEffects != hasSideEffects || first.SendWithin < left-ms || first.SendWithin > left {
-			t.Errorf("%s: effects %v, may be sent within %d", class, first.HasSideEffects, first.SendWithin)
-		}
-		engine.now += sec
-		want := min(2*sec, left) - sec
-		if class == "big" {
-			want = left - sec
-		}
-		retry := engine.stepOne(outcomeEvent(first, 0, OutcomeConnectionReset, CacheStatusUnknown))
-		if retry.Kind == ActionSend && (retry.SendWithin > want || retry.SendWithin < want-400*ms) {
-			t.Errorf("%s: the retry may be sent within %d of %d", class, retry.SendWithin, want)
-		}
+		t.Run(class, func(t *testing.T) {
+			engine := newTestEngine(t, testSettings(), 2, 1)
+			first := engine.request(class, "x")
+			left := 3 * sec // as the clients of requestEvent wait
+			if first.HasSideEffects != hasSideEffects || first.SendWithin < left-ms || first.SendWithin > left {
+				t.Errorf("effects %v, may be sent within %d", first.HasSideEffects, first.SendWithin)
+			}
+			engine.now += sec
+			want := min(2*sec, left) - sec
+			if class == "big" {
+				want = left - sec
+			}
+			retry := engine.stepOne(outcomeEvent(first, 0, OutcomeConnectionReset, CacheStatusUnknown))
+			if retry.Kind == ActionSend && (retry.SendWithin > want || retry.SendWithin < want-400*ms) {
+				t.Errorf("the retry may be sent within %d of %d", retry.SendWithin, want)
+			}
+		})
 	}
 }
--- a/routing/lost_responses_test.go
+++ b/routing/lost_responses_test.go
@@ -39,32 +39,34 @@
 		budget float64
 		want   bool
 	}{{lostMinAnswers, 1, true}, {lostMinAnswers - 1, 1, false}, {lostMinAnswers, 0.5, false}} {
-		engine := newTestEngine(t, testSettings(), 1, 1)
-		engine.tailMultiple[1] = 2
-		request := requestEvent("lost", "small", "x")
-		request.SizeKB = 50
-		token := engine.requestWithTimer(request)
-		for i := range tc.others {
-			engine.step(outcomeEvent(engine.request("small", fmt.Sprint(i)), 0, OutcomeServed, CacheHit))
-		}
-		engine.cancelBudget = tc.budget
-		engine.now += int64(lostTailMultiple*2*(50+baseObjectiveShare*300))*ms + ms
-		actions := engine.step(Event{Kind: EventTimer, TimerToken: token})
-		if got := len(actions) == 1 && actions[0].Kind == ActionCancel; got != tc.want {
-			t.Errorf("%d others answered, budget %v: %+v", tc.others, tc.budget, actions)
-		}
-		if !tc.want {
-			continue
-		}
-		canceled := Event{Kind: EventOutcome, RequestID: "lost", Outcome: OutcomeCanceled, Server: "c0"}
-		canceled.ResponseTime = 400 * ms
-		retry := engine.stepOne(canceled)
-		if retry.Kind != ActionSend || retry.Server != "c0" || retry.Source != "c0" {
-			t.Errorf("after the cancellation: %+v", retry)
-		}
-		cache, parent := engine.servers["c0"], engine.servers["p0"]
-		if cache.breaker.next != tc.others || parent.breaker.next != 0 {
-			t.Error("a single lost response was charged to a server")
-		}
+		t.Run(fmt.Sprintf("%d others, budget %v", tc.others, tc.budget), func(t *testing.T) {
+			engine := newTestEngine(t, testSettings(), 1, 1)
+			engine.tailMultiple[1] = 2
+			request := requestEvent("lost", "small", "x")
+			request.SizeKB = 50
+			token := engine.requestWithTimer(request)
+			for i := range tc.others {
+				engine.step(outcomeEvent(engine.request("small", fmt.Sprint(i)), 0, OutcomeServed, CacheHit))
+			}
+			engine.cancelBudget = tc.budget
+			engine.now += int64(lostTailMultiple*2*(50+baseObjectiveShare*300))*ms + ms
+			actions := engine.step(Event{Kind: EventTimer, TimerToken: token})
+			if got := len(actions) == 1 && actions[0].Kind == ActionCancel; got != tc.want {
+				t.Errorf("%d others answered, budget %v: %+v", tc.others, tc.budget, actions)
+			}
+			if !tc.want {
+				return
+			}
+			canceled := Event{Kind: EventOutcome, RequestID: "lost", Outcome: OutcomeCanceled, Server: "c0"}
+			canceled.ResponseTime = 400 * ms
+			retry := engine.stepOne(canceled)
+			if retry.Kind != ActionSend || retry.Server != "c0" || retry.Source != "c0" {
+				t.Errorf("after the cancellation: %+v", retry)
+			}
+			cache, parent := engine.servers["c0"], engine.servers["p0"]
+			if cache.breaker.next != tc.others || parent.breaker.next != 0 {
+				t.Error("a single lost response was charged to a server")
+			}
+		})
 	}
 }
--- a/routing/overload_reports_test.go
+++ b/routing/overload_reports_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"fmt"
 	"math"
 	"testing"
 )
@@ -47,20 +48,22 @@
 		{300, OutcomeTimedOut, CacheStatusUnknown, true, false},
 		{3, OutcomeServed, FilledFromOrigin, true, true},
 	} {
-		settings := testSettings()
-		settings.FleetSize = tc.routers
-		engine := newTestEngine(t, settings, 1, 1)
-		parent := engine.servers["p0"]
-		ev := outcomeEvent(engine.stepOne(largeRequest(9*sec)), 0, tc.outcome, tc.status)
-		ev.ResponseTime = 9 * sec
-		if tc.outcome == OutcomeServed {
-			ev.UpstreamWait = 6900 * ms
-		}
-		parent.concurrencyLimit = 1.5
-		engine.step(ev)
-		if parent.concurrencyLimit < 1.5 != tc.isReduced || len(engine.reportedOverloads) > 0 != tc.isReported {
-			t.Errorf("%+v: limit %v, reported %v", tc, parent.concurrencyLimit, engine.reportedOverloads)
-		}
+		t.Run(fmt.Sprintf("%d routers, %s", tc.routers, tc.outcome), func(t *testing.T) {
+			settings := testSettings()
+			settings.FleetSize = tc.routers
+			engine := newTestEngine(t, settings, 1, 1)
+			parent := engine.servers["p0"]
+			ev := outcomeEvent(engine.stepOne(largeRequest(9*sec)), 0, tc.outcome, tc.status)
+			ev.ResponseTime = 9 * sec
+			if tc.outcome == OutcomeServed {
+				ev.UpstreamWait = 6900 * ms
+			}
+			parent.concurrencyLimit = 1.5
+			engine.step(ev)
+			if parent.concurrencyLimit < 1.5 != tc.isReduced || len(engine.reportedOverloads) > 0 != tc.isReported {
+				t.Errorf("%+v: limit %v, reported %v", tc, parent.concurrencyLimit, engine.reportedOverloads)
+			}
+		})
 	}
 }
 
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -17,11 +18,18 @@
 		"MasterKind":  func(invalid *Settings) { invalid.Hierarchy.OriginKind = 9 },
 		"MaxAttempts": func(invalid *Settings) { invalid.Permissions.MaxAttempts = 0 },
 	} {
-		invalid := testSettings()
-		damage(&invalid)
-		if _, err := NewEngine(invalid, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
-		}
+		t.Run(field, func(t *testing.T) {
+			invalid := testSettings()
+			damage(&invalid)
+			_, err := NewEngine(invalid, 1)
+			if err == nil || !strings.Contains(err.Error(), field) {
+				t.Errorf("error %v", err)
+			}
+			var settingsError *SettingsError
+			if !errors.As(err, &settingsError) || settingsError.Field == "" {
+				t.Errorf("%T: %v, want a *SettingsError with a field", err, err)
+			}
+		})
 	}
 }
 
@@ -172,16 +180,18 @@
 		"attempts":    func(s *Settings) { s.Permissions.MaxAttempts = 0 },
 		"idempotency": func(s *Settings) { s.Classes[1].Idempotency = "often" },
 	} {
-		engine := engineWithOpenRequest(t)
-		invalid := baseSettings()
-		invalid.Classes[0].Name = "other"
-		damage(&invalid)
-		if err := engine.UpdateSettings(invalid); err == nil {
-			t.Errorf("%s: taken", name)
-		}
-		if _, known := engine.classIndexes["video"]; !known || engine.settings.Permissions.MaxAttempts != 8 {
-			t.Errorf("%s: changed something", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			engine := engineWithOpenRequest(t)
+			invalid := baseSettings()
+			invalid.Classes[0].Name = "other"
+			damage(&invalid)
+			if err := engine.UpdateSettings(invalid); err == nil {
+				t.Error("taken")
+			}
+			if _, known := engine.classIndexes["video"]; !known || engine.settings.Permissions.MaxAttempts != 8 {
+				t.Error("changed something")
+			}
+		})
 	}
 }
 
