--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -128,16 +128,16 @@
 	linkKBPerS := d.spec.Budget.FillKBPerSecond // 0: no bound
 	for _, cell := range d.spec.Cells {
 		capacity := schedule.CellCapacity{
-			SendKbPerS: cell.Share * d.cmd.CapacityKBPerS,
-			UsedKbPerS: d.usedKBPerS[cell.Name],
+			SendKBPerS: cell.Share * d.cmd.CapacityKBPerS,
+			UsedKBPerS: d.usedKBPerS[cell.Name],
 		}
 		if linkKBPerS > 0 {
-			capacity.FillKbPerS = max(cell.Share*linkKBPerS-d.fillKBPerS[cell.Name], 1)
+			capacity.FillKBPerS = max(cell.Share*linkKBPerS-d.fillKBPerS[cell.Name], 1)
 		}
 		d.constraints.Cells[cell.Name] = capacity
 	}
 	if linkKBPerS > 0 {
-		d.constraints.SiteFillKbPerS = max(linkKBPerS-siteFill, 1)
+		d.constraints.SiteFillKBPerS = max(linkKBPerS-siteFill, 1)
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 func (d *cellDrain) chooseTargets() []schedule.Request {
 	arriving := map[string]float64{} // KB/s by cell
 	left := func(cell string) float64 {
-		return d.constraints.Cells[cell].SendKbPerS - d.usedKBPerS[cell] - arriving[cell]
+		return d.constraints.Cells[cell].SendKBPerS - d.usedKBPerS[cell] - arriving[cell]
 	}
 	byCapacityLeft := func(a, b string) int {
 		return cmp.Or(cmp.Compare(left(a), left(b)), strings.Compare(b, a))
--- a/cmd/spanctl/migrate.go
+++ b/cmd/spanctl/migrate.go
@@ -107,7 +107,7 @@
 
 // newRequest returns a request for the scheduler. What the new cell has to fill is estimated from the tenant's demand.
 func newRequest(tenant, from, to string, kbPerS float64) schedule.Request {
-	return schedule.Request{Tenant: tenant, From: from, To: to, KbPerS: kbPerS, FillKb: kbPerS * schedule.WorkingSetSeconds}
+	return schedule.Request{Tenant: tenant, From: from, To: to, DemandKBPerS: kbPerS, FillKB: kbPerS * schedule.WorkingSetSeconds}
 }
 
 // printCellLoads prints what each cell gains and loses by migrations, as far as the tenants' requests are known.
@@ -115,9 +115,9 @@
 	gain, fill := map[string]float64{}, map[string]float64{} // KB/s by cell
 	for _, m := range migrations {
 		request := requests[m.Tenant]
-		gain[m.To] += request.KbPerS
-		gain[m.From] -= request.KbPerS
-		fill[m.To] += 1000 * request.FillKb / (m.WarmUp + m.MinShift)
+		gain[m.To] += request.DemandKBPerS
+		gain[m.From] -= request.DemandKBPerS
+		fill[m.To] += 1000 * request.FillKB / (m.WarmUp + m.MinShift)
 	}
 	for _, cell := range spec.Cells {
 		if gain[cell.Name] != 0 || fill[cell.Name] != 0 {
--- a/core/cells/endpoints.go
+++ b/core/cells/endpoints.go
@@ -85,19 +85,19 @@
 // edgeCapacity returns the capacity of edge caches by the settings.
 func (s *shared) edgeCapacity() migration.CapacityModel {
 	return migration.CapacityModel{
-		StreamKbPerS: s.settings.Hierarchy.ResponseKBPerSecond,
-		ColdFraction: s.settings.Guarantees.InitialCapacity,
-		WarmUp:       s.settings.Guarantees.WarmUpTime,
-		LoadWindow:   s.settings.Guarantees.OverloadWindow,
+		ResponseKBPerSecond: s.settings.Hierarchy.ResponseKBPerSecond,
+		InitialCapacity:     s.settings.Guarantees.InitialCapacity,
+		WarmUp:              s.settings.Guarantees.WarmUpTime,
+		OverloadWindow:      s.settings.Guarantees.OverloadWindow,
 	}
 }
 
 // parentCapacity returns the capacity of parents by the settings.
 func (s *shared) parentCapacity() migration.CapacityModel {
 	return migration.CapacityModel{
-		StreamKbPerS: s.settings.Hierarchy.ResponseKBPerSecond,
-		ColdFraction: s.settings.Hierarchy.ParentInitialCapacity,
-		WarmUp:       s.settings.Hierarchy.ParentWarmUpTime,
-		LoadWindow:   s.settings.Guarantees.OverloadWindow,
+		ResponseKBPerSecond: s.settings.Hierarchy.ResponseKBPerSecond,
+		InitialCapacity:     s.settings.Hierarchy.ParentInitialCapacity,
+		WarmUp:              s.settings.Hierarchy.ParentWarmUpTime,
+		OverloadWindow:      s.settings.Guarantees.OverloadWindow,
 	}
 }
--- a/core/cells/migration.go
+++ b/core/cells/migration.go
@@ -224,7 +224,7 @@
 		for _, name := range c.caches {
 			cache := m.endpoints.edgeCaches[name]
 			weight := max(cache.Weight, 1)
-			capacityWhenWarm += weight * model.StreamKbPerS
+			capacityWhenWarm += weight * model.ResponseKBPerSecond
 			if cache.Status == routing.EndpointHealthy {
 				servers = append(servers, migration.Server{Weight: weight, StartedAt: cache.StartedAt})
 			}
--- a/core/migration/capacity.go
+++ b/core/migration/capacity.go
@@ -2,10 +2,10 @@
 
 // CapacityModel is what the servers of a deployment can send. Times are microseconds.
 type CapacityModel struct {
-	StreamKbPerS float64 // rate of one answer, in KB a second; a server of weight w sends w of them at once
-	ColdFraction float64 // part of its capacity that a server has at its start, 0 to 1
-	WarmUp       int64   // until it has all of it; 0: at once
-	LoadWindow   int64   // over which a server's load is summed
+	ResponseKBPerSecond float64 // rate of one answer, in KB a second; a server of weight w sends w of them at once
+	InitialCapacity     float64 // part of its capacity that a server has at its start, 0 to 1
+	WarmUp              int64   // until it has all of it; 0: at once
+	OverloadWindow      int64   // over which a server's load is summed
 }
 
 // Server is one cache or parent cache.
@@ -14,14 +14,14 @@
 	StartedAt int64 // microseconds; 0: long ago
 }
 
-// WarmFraction is the part of its capacity that a server has at a time. Its age is taken to be less by LoadWindow,
+// WarmFraction is the part of its capacity that a server has at a time. Its age is taken to be less by OverloadWindow,
 // since its load is summed over that.
 func (c *CapacityModel) WarmFraction(now, startedAt int64) float64 {
-	age := now - startedAt - c.LoadWindow
+	age := now - startedAt - c.OverloadWindow
 	if startedAt <= 0 || c.WarmUp <= 0 || age >= c.WarmUp {
 		return 1
 	}
-	return c.ColdFraction + (1-c.ColdFraction)*float64(max(age, 0))/float64(c.WarmUp)
+	return c.InitialCapacity + (1-c.InitialCapacity)*float64(max(age, 0))/float64(c.WarmUp)
 }
 
 // Capacity is what the servers can send together at a time, in KB a second, and the part of it that they would have
@@ -29,8 +29,8 @@
 func (c *CapacityModel) Capacity(now int64, servers []Server) (kbPerS, warmPart float64) {
 	warmKBPerS := 0.0
 	for _, s := range servers {
-		kbPerS += c.WarmFraction(now, s.StartedAt) * s.Weight * c.StreamKbPerS
-		warmKBPerS += s.Weight * c.StreamKbPerS
+		kbPerS += c.WarmFraction(now, s.StartedAt) * s.Weight * c.ResponseKBPerSecond
+		warmKBPerS += s.Weight * c.ResponseKBPerSecond
 	}
 	if warmKBPerS == 0 {
 		return 0, 0
--- a/core/migration/capacity_test.go
+++ b/core/migration/capacity_test.go
@@ -7,7 +7,7 @@
 
 func TestCapacityOfWarmAndColdServers(t *testing.T) {
 	const startedAt = 1_000_000
-	model := CapacityModel{StreamKbPerS: 1000, ColdFraction: 0.32, WarmUp: 11_000_000, LoadWindow: 3_000_000}
+	model := CapacityModel{ResponseKBPerSecond: 1000, InitialCapacity: 0.32, WarmUp: 11_000_000, OverloadWindow: 3_000_000}
 	for _, test := range []struct {
 		age  int64 // microseconds
 		want float64
--- a/core/migration/schedule/planner.go
+++ b/core/migration/schedule/planner.go
@@ -66,20 +66,20 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Cells)) {
 		cell := c.Cells[name]
-		if cell.FillKbPerS > 0 {
-			p.cellFills[name] = p.addLimit(cellFillsPrefix+name, cell.FillKbPerS)
+		if cell.FillKBPerS > 0 {
+			p.cellFills[name] = p.addLimit(cellFillsPrefix+name, cell.FillKBPerS)
 		}
-		load := p.addLimit(cellLoadPrefix+name, max(usableCellFraction*cell.SendKbPerS, cell.UsedKbPerS))
+		load := p.addLimit(cellLoadPrefix+name, max(usableCellFraction*cell.SendKBPerS, cell.UsedKBPerS))
 		for slot := range load.used {
-			load.used[slot] = cell.UsedKbPerS
+			load.used[slot] = cell.UsedKBPerS
 		}
 		p.cellLoads[name] = load
 	}
-	if c.SiteFillKbPerS > 0 {
-		p.siteFills = p.addLimit(siteFillsName, c.SiteFillKbPerS)
+	if c.SiteFillKBPerS > 0 {
+		p.siteFills = p.addLimit(siteFillsName, c.SiteFillKBPerS)
 	}
-	if c.OriginFillKbPerS > 0 {
-		p.originFills = p.addLimit(originFillsName, c.OriginFillKbPerS)
+	if c.OriginFillKBPerS > 0 {
+		p.originFills = p.addLimit(originFillsName, c.OriginFillKBPerS)
 	}
 	return p
 }
@@ -95,8 +95,8 @@
 	shortest, allKB := 0.0, 0.0
 	cellKB := map[string]float64{}
 	for _, r := range requests {
-		cellKB[r.To] += r.FillKb
-		allKB += r.FillKb
+		cellKB[r.To] += r.FillKB
+		allKB += r.FillKB
 		shortest = max(shortest, p.constraints.MinShift)
 	}
 	for cell, l := range p.cellFills {
@@ -128,10 +128,10 @@
 	allKB := 0.0
 	for _, r := range requests {
 		if l := p.cellFills[r.To]; l != nil {
-			b.durationMs = max(b.durationMs, 1000*r.FillKb/(maxBatchFraction*l.capacity))
+			b.durationMs = max(b.durationMs, 1000*r.FillKB/(maxBatchFraction*l.capacity))
 		}
-		allKB += r.FillKb
-		b.kbPerS += r.KbPerS
+		allKB += r.FillKB
+		b.kbPerS += r.DemandKBPerS
 	}
 	if p.siteFills != nil {
 		b.durationMs = max(b.durationMs, 1000*allKB/(maxBatchFraction*p.siteFills.capacity))
@@ -188,7 +188,7 @@
 		end := slot + b.slots()
 		allFills := 0.0
 		for _, r := range b.requests {
-			rate := 1000 * r.FillKb / b.durationMs
+			rate := 1000 * r.FillKB / b.durationMs
 			allFills += rate
 			if l := p.cellFills[r.To]; l != nil && !yield(use{l, rate, slot, end}) {
 				return
@@ -203,8 +203,8 @@
 		}
 		changes := map[string]float64{} // of each cell's load
 		for _, r := range b.requests {
-			changes[r.To] += r.KbPerS
-			changes[r.From] -= r.KbPerS
+			changes[r.To] += r.DemandKBPerS
+			changes[r.From] -= r.DemandKBPerS
 		}
 		cells := slices.AppendSeq(make([]string, 0, len(changes)), maps.Keys(changes))
 		slices.Sort(cells)
--- a/core/migration/schedule/schedule.go
+++ b/core/migration/schedule/schedule.go
@@ -16,18 +16,18 @@
 
 // Request asks for a tenant to migrate from one cell to another at a site.
 type Request struct {
-	Tenant     string
-	From, To   string   // names of cells
-	KbPerS     float64  // the tenant's demand
-	FillKb     float64  // that its new cell must fill at first; WorkingSetSeconds times KbPerS if that is unknown
-	HotObjects []string // to go first, hottest first
+	Tenant       string
+	From, To     string   // names of cells
+	DemandKBPerS float64  // the tenant's demand
+	FillKB       float64  // that its new cell must fill at first; WorkingSetSeconds times DemandKBPerS if that is unknown
+	HotObjects   []string // to go first, hottest first
 }
 
 // CellCapacity is what one cell can send and fill.
 type CellCapacity struct {
-	SendKbPerS float64 // of its caches
-	UsedKbPerS float64 // part of that in use now
-	FillKbPerS float64 // of fills beyond those of now; 0: unlimited
+	SendKBPerS float64 // of its caches
+	UsedKBPerS float64 // part of that in use now
+	FillKBPerS float64 // of fills beyond those of now; 0: unlimited
 }
 
 // Constraints are what a schedule must keep to.
@@ -40,8 +40,8 @@
 	Settle         float64 // of each migration
 	Cells          map[string]CellCapacity
 
-	SiteFillKbPerS     float64 // fills into the site, beyond those of now; 0: unlimited
-	OriginFillKbPerS   float64 // those that reach the origin; 0: unlimited
+	SiteFillKBPerS     float64 // fills into the site, beyond those of now; 0: unlimited
+	OriginFillKBPerS   float64 // those that reach the origin; 0: unlimited
 	OriginFillFraction float64 // part of fills that do, 0 to 1
 }
 
--- a/core/migration/schedule/schedule_test.go
+++ b/core/migration/schedule/schedule_test.go
@@ -19,7 +19,7 @@
 func sampleConstraints(cells map[string]CellCapacity) Constraints {
 	return Constraints{
 		Site: "d", Start: start, WarmUp: 5000, MinShift: 10_000, MaxShiftFactor: 3, Settle: 10_000, Cells: cells,
-		SiteFillKbPerS: 4000, OriginFillKbPerS: 1500, OriginFillFraction: 0.2,
+		SiteFillKBPerS: 4000, OriginFillKBPerS: 1500, OriginFillFraction: 0.2,
 	}
 }
 
@@ -62,9 +62,9 @@
 	for i := range rapid.IntRange(2, 6).Draw(t, "cells") {
 		sends := rapid.Float64Range(5000, 20_000).Draw(t, "bears")
 		cells[fmt.Sprintf("c%d", i)] = CellCapacity{
-			SendKbPerS: sends,
-			UsedKbPerS: sends * rapid.Float64Range(0.2, 1.05).Draw(t, "lives"),
-			FillKbPerS: rapid.Float64Range(200, 3000).Draw(t, "fill"),
+			SendKBPerS: sends,
+			UsedKBPerS: sends * rapid.Float64Range(0.2, 1.05).Draw(t, "lives"),
+			FillKBPerS: rapid.Float64Range(200, 3000).Draw(t, "fill"),
 		}
 	}
 	return cells
@@ -77,11 +77,11 @@
 		kbPerS := rapid.Float64Range(0, 3000).Draw(t, "kb")
 		to := (from + rapid.IntRange(1, cells-1).Draw(t, "to")) % cells
 		r := Request{
-			Tenant: fmt.Sprintf("t%d", i),
-			From:   fmt.Sprintf("c%d", from),
-			To:     fmt.Sprintf("c%d", to),
-			KbPerS: kbPerS,
-			FillKb: kbPerS * WorkingSetSeconds,
+			Tenant:       fmt.Sprintf("t%d", i),
+			From:         fmt.Sprintf("c%d", from),
+			To:           fmt.Sprintf("c%d", to),
+			DemandKBPerS: kbPerS,
+			FillKB:       kbPerS * WorkingSetSeconds,
 		}
 		if rapid.Bool().Draw(t, "hot") {
 			r.HotObjects = []string{"h"}
@@ -97,24 +97,24 @@
 	for _, m := range s.Migrations {
 		r := requestOf[m.Tenant]
 		if at >= m.Start && at < m.Start+m.WarmUp+m.MinShift {
-			rate := 1000 * r.FillKb / (m.WarmUp + m.MinShift)
+			rate := 1000 * r.FillKB / (m.WarmUp + m.MinShift)
 			fills[m.To] += rate
 			allFills += rate
 		}
 		share := m.MaxShare(at)
-		load[m.To] += share * r.KbPerS
-		load[m.From] -= share * r.KbPerS
+		load[m.To] += share * r.DemandKBPerS
+		load[m.From] -= share * r.DemandKBPerS
 	}
 	for name, cell := range c.Cells {
-		if fills[name] > cell.FillKbPerS*1.001 {
-			t.Fatalf("%v KB/s of fills into %s, %v allowed", fills[name], name, cell.FillKbPerS)
+		if fills[name] > cell.FillKBPerS*1.001 {
+			t.Fatalf("%v KB/s of fills into %s, %v allowed", fills[name], name, cell.FillKBPerS)
 		}
-		limit := max(usableCellFraction*cell.SendKbPerS, cell.UsedKbPerS)
-		if cell.UsedKbPerS+load[name] > limit*1.001 {
-			t.Fatalf("%v KB/s at %s, %v allowed", cell.UsedKbPerS+load[name], name, limit)
+		limit := max(usableCellFraction*cell.SendKBPerS, cell.UsedKBPerS)
+		if cell.UsedKBPerS+load[name] > limit*1.001 {
+			t.Fatalf("%v KB/s at %s, %v allowed", cell.UsedKBPerS+load[name], name, limit)
 		}
 	}
-	if allFills > c.SiteFillKbPerS*1.001 || allFills*c.OriginFillFraction > c.OriginFillKbPerS*1.001 {
+	if allFills > c.SiteFillKBPerS*1.001 || allFills*c.OriginFillFraction > c.OriginFillKBPerS*1.001 {
 		t.Fatalf("%v KB/s into the site", allFills)
 	}
 }
@@ -122,7 +122,7 @@
 // A cycle without capacity to spare migrates at one pace; a request for which there is no capacity at any time is
 // left out, and the reason names the limit.
 func TestPlanOfCycles(t *testing.T) {
-	full := CellCapacity{SendKbPerS: 10_000, UsedKbPerS: 9500, FillKbPerS: 2000}
+	full := CellCapacity{SendKBPerS: 10_000, UsedKBPerS: 9500, FillKBPerS: 2000}
 	constraints := sampleConstraints(map[string]CellCapacity{"a": full, "b": full, "c": full})
 	cycle := []Request{
 		{"1", "a", "b", 500, 15_000, nil},
@@ -153,7 +153,7 @@
 }
 
 func TestPlanNamesWhatIsWrong(t *testing.T) {
-	constraints := sampleConstraints(map[string]CellCapacity{"a": {SendKbPerS: 1}, "b": {SendKbPerS: 1}})
+	constraints := sampleConstraints(map[string]CellCapacity{"a": {SendKBPerS: 1}, "b": {SendKBPerS: 1}})
 	for _, test := range []struct {
 		want     string // in the error's text
 		requests []Request
@@ -178,16 +178,16 @@
 func BenchmarkPlan(b *testing.B) {
 	cells := map[string]CellCapacity{}
 	for i := range 64 {
-		cells[fmt.Sprintf("c%02d", i)] = CellCapacity{SendKbPerS: 50_000, UsedKbPerS: 25_000, FillKbPerS: 3000}
+		cells[fmt.Sprintf("c%02d", i)] = CellCapacity{SendKBPerS: 50_000, UsedKBPerS: 25_000, FillKBPerS: 3000}
 	}
 	var requests []Request
 	for i := range 1000 {
 		r := Request{
-			Tenant: fmt.Sprint(i),
-			From:   fmt.Sprintf("c%02d", i%64),
-			To:     fmt.Sprintf("c%02d", (i*7+1)%64),
-			KbPerS: float64(50 + i%300),
-			FillKb: float64(50+i%300) * WorkingSetSeconds,
+			Tenant:       fmt.Sprint(i),
+			From:         fmt.Sprintf("c%02d", i%64),
+			To:           fmt.Sprintf("c%02d", (i*7+1)%64),
+			DemandKBPerS: float64(50 + i%300),
+			FillKB:       float64(50+i%300) * WorkingSetSeconds,
 		}
 		if r.From == r.To {
 			r.To = "c63"
@@ -195,8 +195,8 @@
 		requests = append(requests, r)
 	}
 	constraints := sampleConstraints(cells)
-	constraints.SiteFillKbPerS = 40_000
-	constraints.OriginFillKbPerS = 8000
+	constraints.SiteFillKBPerS = 40_000
+	constraints.OriginFillKBPerS = 8000
 	for b.Loop() {
 		s, err := Plan(requests, constraints)
 		if err != nil || len(s.Migrations) < 900 {
--- a/core/migration/schedule/validate.go
+++ b/core/migration/schedule/validate.go
@@ -34,10 +34,10 @@
 		return invalid("greatest shift", "%v times the least is under 1", c.MaxShiftFactor)
 	case !(c.Settle >= 0):
 		return invalid("settle", "%v is under 0", c.Settle)
-	case !(c.SiteFillKbPerS >= 0):
-		return invalid("fills into the site", "%v KB/s is under 0", c.SiteFillKbPerS)
-	case !(c.OriginFillKbPerS >= 0):
-		return invalid("fills from the origin", "%v KB/s is under 0", c.OriginFillKbPerS)
+	case !(c.SiteFillKBPerS >= 0):
+		return invalid("fills into the site", "%v KB/s is under 0", c.SiteFillKBPerS)
+	case !(c.OriginFillKBPerS >= 0):
+		return invalid("fills from the origin", "%v KB/s is under 0", c.OriginFillKBPerS)
 	case !(c.OriginFillFraction >= 0 && c.OriginFillFraction <= 1):
 		return invalid("part of fills from the origin", "%v is not 0 to 1", c.OriginFillFraction)
 	}
@@ -66,10 +66,10 @@
 	switch {
 	case r.From == r.To:
 		return invalid(field, "is in cell %q already", r.To)
-	case !(r.KbPerS >= 0 && r.KbPerS < kbPerSLimit):
-		return invalid(field, "%v KB/s is not 0 to %v", r.KbPerS, kbPerSLimit)
-	case !(r.FillKb >= 0 && r.FillKb < fillKbLimit):
-		return invalid(field, "%v KB to fill is not 0 to %v", r.FillKb, fillKbLimit)
+	case !(r.DemandKBPerS >= 0 && r.DemandKBPerS < kbPerSLimit):
+		return invalid(field, "%v KB/s is not 0 to %v", r.DemandKBPerS, kbPerSLimit)
+	case !(r.FillKB >= 0 && r.FillKB < fillKbLimit):
+		return invalid(field, "%v KB to fill is not 0 to %v", r.FillKB, fillKbLimit)
 	}
 	return nil
 }
--- a/core/scheduler/budget.go
+++ b/core/scheduler/budget.go
@@ -17,7 +17,7 @@
 	elapsed := float64(now - s.now)
 	for i := range s.config.Resources {
 		r := &s.config.Resources[i]
-		s.tokens[i] = min(s.tokens[i]+s.budgetFraction*r.RatePerS/microsPerSecond*elapsed, r.burst())
+		s.tokens[i] = min(s.tokens[i]+s.budgetFraction*r.RatePerSecond/microsPerSecond*elapsed, r.burst())
 	}
 	s.now = now
 }
@@ -30,7 +30,7 @@
 		if j.Cost[i] == 0 || s.tokens[i] > 0 {
 			continue
 		}
-		rate := s.budgetFraction * s.config.Resources[i].RatePerS / microsPerSecond
+		rate := s.budgetFraction * s.config.Resources[i].RatePerSecond / microsPerSecond
 		if rate == 0 {
 			return math.MaxInt64
 		}
--- a/core/scheduler/config.go
+++ b/core/scheduler/config.go
@@ -27,13 +27,13 @@
 
 // Resource is something of which background jobs may use so much a second.
 type Resource struct {
-	Name        string
-	RatePerS    float64 // 0 or more
-	BurstWindow int64   // microseconds; what is due in this time may be used at once
+	Name          string
+	RatePerSecond float64 // 0 or more
+	BurstWindow   int64   // microseconds; what is due in this time may be used at once
 }
 
 // perMicrosecond is the rate in amounts a microsecond.
-func (r *Resource) perMicrosecond() float64 { return r.RatePerS / microsPerSecond }
+func (r *Resource) perMicrosecond() float64 { return r.RatePerSecond / microsPerSecond }
 
 // burst is the greatest amount that may be used at once.
 func (r *Resource) burst() float64 { return r.perMicrosecond() * float64(r.BurstWindow) }
@@ -51,8 +51,8 @@
 		switch {
 		case r.Name == "":
 			return invalid(field+".name", "missing")
-		case !(r.RatePerS >= 0) || math.IsInf(r.RatePerS, 1):
-			return invalid(field+".ratePerS", "%v is not a rate of 0 or more", r.RatePerS)
+		case !(r.RatePerSecond >= 0) || math.IsInf(r.RatePerSecond, 1):
+			return invalid(field+".ratePerS", "%v is not a rate of 0 or more", r.RatePerSecond)
 		case r.BurstWindow <= 0:
 			return invalid(field+".burstWindow", "%d is not above 0", r.BurstWindow)
 		}
--- a/core/scheduler/scheduler_test.go
+++ b/core/scheduler/scheduler_test.go
@@ -273,8 +273,8 @@
 	config := sampleConfig()
 	config.MaxQueued = 1 << 20
 	config.MaxRunning = 1 << 20
-	config.Resources[0].RatePerS = 1e12
-	config.Resources[1].RatePerS = 1e12
+	config.Resources[0].RatePerSecond = 1e12
+	config.Resources[1].RatePerSecond = 1e12
 	s, err := New(config, 0, 1)
 	if err != nil {
 		b.Fatal(err)
--- a/emulator/moving.go
+++ b/emulator/moving.go
@@ -225,7 +225,7 @@
 	shares := c.TenantShares()
 	add := func(t, to int) {
 		kb := shares[t] * c.RateS * meanKb() / float64(c.Depots)
-		w := schedule.Request{Tenant: spec.Tenants[t].Name, From: spec.Tenants[t].Cell, To: spec.Cells[to].Name, KbPerS: kb, FillKb: kb * schedule.WorkingSetSeconds}
+		w := schedule.Request{Tenant: spec.Tenants[t].Name, From: spec.Tenants[t].Cell, To: spec.Cells[to].Name, DemandKBPerS: kb, FillKB: kb * schedule.WorkingSetSeconds}
 		drift := int(trip.StartS / c.DriftS)
 		for rank := range trip.Hot {
 			for class := video; class <= catalogue; class++ {
@@ -331,11 +331,11 @@
 		live[c.Cells.Tenants[i].Cell] += share
 	}
 	for _, cell := range c.Cells.Cells {
-		a.Cells[cell.Name] = schedule.CellCapacity{SendKbPerS: cell.Share * float64(c.Caches*c.Channels) * paceKbS, UsedKbPerS: live[cell.Name] * sends,
-			FillKbPerS: max(budgetRoom*cell.Share*c.linkKbS()-live[cell.Name]*fills, 1)}
+		a.Cells[cell.Name] = schedule.CellCapacity{SendKBPerS: cell.Share * float64(c.Caches*c.Channels) * paceKbS, UsedKBPerS: live[cell.Name] * sends,
+			FillKBPerS: max(budgetRoom*cell.Share*c.linkKbS()-live[cell.Name]*fills, 1)}
 	}
-	a.SiteFillKbPerS = max(budgetRoom*c.linkKbS()-fills, 1)
-	a.OriginFillKbPerS = max((budgetRoom*c.originKbS()-c.fillKbS()*0.35)/float64(c.Depots), 0.02*c.originKbS()/float64(c.Depots))
+	a.SiteFillKBPerS = max(budgetRoom*c.linkKbS()-fills, 1)
+	a.OriginFillKBPerS = max((budgetRoom*c.originKbS()-c.fillKbS()*0.35)/float64(c.Depots), 0.02*c.originKbS()/float64(c.Depots))
 	return a
 }
 
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -38,7 +38,7 @@
 
 // New returns a runner without jobs; seed feeds the jitter of back-offs.
 func New(c *clock.Clock, seed uint64, log zerolog.Logger) (*Runner, error) {
-	s, err := scheduler.New(scheduler.Config{Resources: []scheduler.Resource{{Name: "core", RatePerS: coreBudgetMsPerS, BurstWindow: clock.Micros(1000)}}, MaxQueued: maxQueuedJobs, MaxRunning: 1,
+	s, err := scheduler.New(scheduler.Config{Resources: []scheduler.Resource{{Name: "core", RatePerSecond: coreBudgetMsPerS, BurstWindow: clock.Micros(1000)}}, MaxQueued: maxQueuedJobs, MaxRunning: 1,
 		AttemptTimeout: clock.Micros(jobLeaseMs), InitialBackoff: clock.Micros(backoffMs), MaxBackoff: clock.Micros(maxRetryWaitMs), AgingInterval: clock.Micros(priorityAgingMs)}, clock.Micros(c.Now()), seed)
 	if err != nil {
 		return nil, fmt.Errorf("background: %w", err)
--- a/lab/process/local_test.go
+++ b/lab/process/local_test.go
@@ -558,7 +558,7 @@
 	before := place(run(1, 200), 0, 1)
 	loop := shape(2, 0, 1)
 	loop.Links = append(loop.Links, hierarchy.Link{From: "area-0", To: "area-1", CapacityKBPerS: 1}, hierarchy.Link{From: "area-1", To: "area-0", CapacityKBPerS: 1})
-	tell(loop, "a circle: area-1 > area-0 > area-1")
+	tell(loop, "cycle: area-1 > area-0 > area-1")
 	same := place(run(2, 200), 0, 1)
 	tell(shape(3, 1, 2), `"shape":3`)
 	after := place(run(3, 200), 1, 2)
