--- a/routing/engine.go
+++ b/routing/engine.go
@@ -157,6 +157,8 @@
 			e.recordPurge(ev)
 		case EventSubset:
 			e.defineSubset(ev)
+		case EventOriginFillBounds:
+			e.boundOriginFills(ev)
 		case EventParentOverloaded:
 			e.parentOverloaded(e.servers[ev.Server])
 		}
--- a/routing/events.go
+++ b/routing/events.go
@@ -16,6 +16,7 @@
 	EventProbed                                // a health check has ended: Outcome, Server, ResponseTime, LoadReport
 	EventPurge                                 // copies are out of date: Object ("": its group), PurgeGroup, PurgeAge
 	EventSubset                                // a subset of servers: Subset and all fields marked "subset"
+	EventOriginFillBounds                      // bounds on fills: MaxPossibleOriginFills, MaxConfirmedOriginFills
 	EventParentOverloaded                      // routers of other sites find a parent overloaded: Server
 )
 
@@ -25,7 +26,7 @@
 var eventKindNames = [...]string{
 	EventEndpoints: "endpoints", EventRequest: "request", EventFirstByte: "first byte", EventOutcome: "outcome",
 	EventAborted: "aborted", EventTimer: "timer", EventProbed: "probed", EventPurge: "purge", EventSubset: "subset",
-	EventParentOverloaded: "parent overloaded",
+	EventOriginFillBounds: "origin fill bounds", EventParentOverloaded: "parent overloaded",
 }
 
 // nameOf returns the name at a place, or the number where there is none.
@@ -80,9 +81,9 @@
 	CapacityShare   float64
 	SubsetServers   []string // subset: the names of its servers; none: the subset is dropped
 
-	// With Subset 0, EventSubset bounds the fills that reach the origin. MaxPossibleOriginFills bounds those in flight
-	// that may reach it, MaxConfirmedOriginFills those that are known to: a parent is then asked for a cached copy
-	// before it may fetch one. 0: no bound but what is learned from the origin's answers. (subset)
+	// MaxPossibleOriginFills bounds the fills in flight that may reach the origin, MaxConfirmedOriginFills those that
+	// are known to: a parent is then asked for a cached copy before it may fetch one. 0: no bound but what is learned
+	// from the origin's answers. (EventOriginFillBounds)
 	MaxPossibleOriginFills  float64
 	MaxConfirmedOriginFills float64
 }
--- a/routing/origin_fills.go
+++ b/routing/origin_fills.go
@@ -19,8 +19,8 @@
 }
 
 // mayFillFromOrigin admits a request's fill to the origin: within the learned limit on fills that may reach it, and
-// within the bounds that EventSubset set. Where fills known to reach it have a bound, a fill is admitted only once a
-// parent has been found to have no copy.
+// within the bounds that EventOriginFillBounds set. Where fills known to reach it have a bound, a fill is admitted only
+// once a parent has been found to have no copy.
 func (e *Engine) mayFillFromOrigin(req *request) bool {
 	if !req.isMissConfirmed {
 		hasCapacity := e.hasCapacity(req, &e.originFills)
--- a/routing/origin_fills_test.go
+++ b/routing/origin_fills_test.go
@@ -153,11 +153,11 @@
 	}
 }
 
-// newOriginLimitEngine returns an engine with two accounting groups in which EventSubset bounds the fills that may
-// reach the origin, with no other limit in the way.
+// newOriginLimitEngine returns an engine with two accounting groups in which EventOriginFillBounds bounds the fills
+// that may reach the origin, with no other limit in the way.
 func newOriginLimitEngine(t *testing.T, bound float64) *testEngine {
 	engine := newSubsetEngine(t, 0.5, 0.5)
-	engine.step(Event{Kind: EventSubset, MaxPossibleOriginFills: bound})
+	engine.step(Event{Kind: EventOriginFillBounds, MaxPossibleOriginFills: bound})
 	for _, srv := range engine.servers {
 		srv.concurrencyLimit = 1000
 	}
@@ -181,8 +181,8 @@
 	return inFlight
 }
 
-// What is confirmed to reach the origin is counted apart, but the bound that EventSubset sets is on all fills:
-// counted beside the bound, a flood of new objects had twice as much at the origin, which slowed for every cell
+// What is confirmed to reach the origin is counted apart, but the bound that EventOriginFillBounds sets is on all
+// fills: counted beside the bound, a flood of new objects had twice as much at the origin, which slowed for every cell
 // (0.94 of others' weight for 0.98).
 func TestConfirmedFillsCountTowardsBoundOnAllFills(t *testing.T) {
 	engine := newOriginLimitEngine(t, 8)
--- a/routing/subsets.go
+++ b/routing/subsets.go
@@ -40,7 +40,7 @@
 }
 
 // defineSubset defines a subset, or drops it, and sets its accounting group's share of what all groups share. Subset 0
-// stands for the bounds on fills that reach the origin.
+// is never defined; an event with it is taken as EventOriginFillBounds.
 func (e *Engine) defineSubset(ev *Event) {
 	if ev.Subset == 0 {
 		e.boundOriginFills(ev)
