--- /dev/null
+++ b/core/cells/document_validation_test.go
@@ -0,0 +1,67 @@
+package cells
+
+import (
+	"strings"
+	"testing"
+
+	"spantack/core/migration"
+	"spantack/core/rollout"
+)
+
+func TestCheckMigrationsNamesTheField(t *testing.T) {
+	assignment := mustCompile(t, twoCells())
+	if err := assignment.CheckMigrations(migrationOfCalm()); err != nil {
+		t.Fatal(err)
+	}
+	if err := assignment.CheckMigrations(nil); err != nil {
+		t.Fatal(err)
+	}
+	for want, invalidate := range map[string]func(*migration.Migration){
+		`moves.moves[0].tenant: "x" is no tenant`: func(m *migration.Migration) { m.Tenant = "x" },
+		`moves.moves[0].from: "x" is no cell`:     func(m *migration.Migration) { m.From = "x" },
+		`moves.moves[0].from: loud is in cell one in d`: func(m *migration.Migration) {
+			m.Tenant, m.From, m.To = "loud", "two", "two"
+		},
+	} {
+		t.Run(want, func(t *testing.T) {
+			err := assignment.CheckMigrations(migrationOfCalm(invalidate))
+			if err == nil || !strings.HasPrefix(err.Error(), want) {
+				t.Errorf("got %v, want %s", err, want)
+			}
+		})
+	}
+	nested := twoCells()
+	nested.Scheme = SchemeNested
+	nested.Width = 2
+	err := mustCompile(t, nested).CheckMigrations(migrationOfCalm())
+	if err == nil || !strings.Contains(err.Error(), "schemes fixed and overflow") {
+		t.Errorf("got %v", err)
+	}
+}
+
+func TestCheckRolloutNamesTheField(t *testing.T) {
+	assignment := mustCompile(t, twoCells())
+	for _, test := range []struct {
+		name, want string // "": no error
+		change     func(*rollout.Rollout)
+	}{
+		{"valid", "", func(*rollout.Rollout) {}},
+		{"no name", "stage.name: ", func(r *rollout.Rollout) { r.Name = "" }},
+		{"unknown cell", "stage.rings[0].cells:", func(r *rollout.Rollout) { r.Rings[0].Cells = []string{"x"} }},
+		{"all cells", "stage.rings[0].cells: every cell", func(r *rollout.Rollout) {
+			r.Rings[0].Cells = []string{"one", "two"}
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			release := pricesRelease()
+			test.change(release)
+			err := assignment.CheckRollout(release)
+			if (err == nil) != (test.want == "") || err != nil && !strings.HasPrefix(err.Error(), test.want) {
+				t.Errorf("got %v, want %s", err, test.want)
+			}
+		})
+	}
+	if err := assignment.CheckRollout(nil); err != nil {
+		t.Error(err)
+	}
+}
--- a/core/cells/migration.go
+++ b/core/cells/migration.go
@@ -1,10 +1,7 @@
 package cells
 
 import (
-	"fmt"
-	"maps"
 	"math"
-	"slices"
 
 	"spantack/core/migration"
 	"spantack/routing"
@@ -42,53 +39,6 @@
 
 func (r *migrationRoute) isColdInDestination() bool { return r.isCold && r.toDestination }
 
-// CheckMigrations validates a document for an assignment: tenants and cells must exist, and a tenant's cell must be one
-// of its migration's two.
-func (a *Assignment) CheckMigrations(document *migration.Document) error {
-	if document == nil {
-		return nil
-	}
-	for i := range document.Migrations {
-		if err := a.checkMigration(fmt.Sprintf("moves.moves[%d]", i), &document.Migrations[i]); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func (a *Assignment) checkMigration(path string, m *migration.Migration) error {
-	tenant, exists := a.tenantByName[m.Tenant]
-	if !exists {
-		return fieldError(path+".tenant", "%q is no tenant", m.Tenant)
-	}
-	if _, exists := a.cellByName[m.From]; !exists {
-		return fieldError(path+".from", "%q is no cell", m.From)
-	}
-	if _, exists := a.cellByName[m.To]; !exists {
-		return fieldError(path+".to", "%q is no cell", m.To)
-	}
-	if a.spec.Scheme != SchemeFixed && a.spec.Scheme != SchemeOverflow {
-		return fieldError(path, "tenants move with schemes fixed and overflow, not %s", a.spec.Scheme)
-	}
-	for _, site := range a.sitesOf(int(tenant), m) {
-		if cell := a.spec.Cells[a.cellAt(int(tenant), site)].Name; cell != m.From && cell != m.To {
-			const text = "%s is in cell %s in depot %q, neither %s nor %s"
-			return fieldError(path+".from", text, m.Tenant, cell, site, m.From, m.To)
-		}
-	}
-	return nil
-}
-
-// sitesOf returns the sites at which a migration's tenant may have different cells; "" stands for all sites that the
-// specification does not name.
-func (a *Assignment) sitesOf(tenant int, m *migration.Migration) []string {
-	if m.Site != migration.AllSites {
-		return []string{m.Site}
-	}
-	named := slices.Sorted(maps.Keys(a.spec.Tenants[tenant].CellBySite))
-	return append([]string{""}, named...)
-}
-
 // SetMigrations puts a document in force, or with nil none. It must fit the assignment in force. A migration that goes
 // on keeps its pace. A tenant whose migration is left out is in the cell that the assignment names, one whose migration
 // is over in the cell that it led to.
--- a/core/cells/migration_test.go
+++ b/core/cells/migration_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"runtime"
 	"slices"
-	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -263,37 +262,6 @@
 	}
 }
 
-func TestCheckMigrationsNamesTheField(t *testing.T) {
-	assignment := mustCompile(t, twoCells())
-	if err := assignment.CheckMigrations(migrationOfCalm()); err != nil {
-		t.Fatal(err)
-	}
-	if err := assignment.CheckMigrations(nil); err != nil {
-		t.Fatal(err)
-	}
-	for want, invalidate := range map[string]func(*migration.Migration){
-		`moves.moves[0].tenant: "x" is no tenant`: func(m *migration.Migration) { m.Tenant = "x" },
-		`moves.moves[0].from: "x" is no cell`:     func(m *migration.Migration) { m.From = "x" },
-		`moves.moves[0].from: loud is in cell one in d`: func(m *migration.Migration) {
-			m.Tenant, m.From, m.To = "loud", "two", "two"
-		},
-	} {
-		t.Run(want, func(t *testing.T) {
-			err := assignment.CheckMigrations(migrationOfCalm(invalidate))
-			if err == nil || !strings.HasPrefix(err.Error(), want) {
-				t.Errorf("got %v, want %s", err, want)
-			}
-		})
-	}
-	nested := twoCells()
-	nested.Scheme = SchemeNested
-	nested.Width = 2
-	err := mustCompile(t, nested).CheckMigrations(migrationOfCalm())
-	if err == nil || !strings.Contains(err.Error(), "schemes fixed and overflow") {
-		t.Errorf("got %v", err)
-	}
-}
-
 // Whatever happens to cells and documents, a migrating tenant is served by one of its two cells and no third.
 func TestMigratingTenantStaysInItsTwoCells(t *testing.T) {
 	spec := twoCells()
--- a/core/cells/plan/planner.go
+++ b/core/cells/plan/planner.go
@@ -33,7 +33,7 @@
 	resources, cells := len(demand[0].Loads), len(objective.Shares)
 	totals, totalPriority := make([]float64, resources), 0.0
 	for i := range demand {
-		if err := demand[i].check(resources, cells); err != nil {
+		if err := demand[i].validate(resources, cells); err != nil {
 			return nil, err
 		}
 		floats.Add(totals, demand[i].Loads)
@@ -61,7 +61,7 @@
 	return p, nil
 }
 
-func (d *Demand) check(resources, cells int) error {
+func (d *Demand) validate(resources, cells int) error {
 	if len(d.Loads) != resources || d.CurrentCell >= cells {
 		return fmt.Errorf("demand of %s: %d loads where others have %d, or cell %d of %d",
 			d.Name, len(d.Loads), resources, d.CurrentCell, cells)
--- a/core/cells/rollout.go
+++ b/core/cells/rollout.go
@@ -15,28 +15,6 @@
 	progress *rollout.Progress // nil: there is no rollout
 }
 
-// CheckRollout validates a rollout for an assignment: its rings must name cells and leave one without the release to
-// compare with.
-func (a *Assignment) CheckRollout(r *rollout.Rollout) error {
-	if r == nil {
-		return nil
-	}
-	if err := r.Validate(); err != nil {
-		return fmt.Errorf("stage.%w", err)
-	}
-	for i, ring := range r.Rings {
-		for _, name := range ring.Cells {
-			if _, exists := a.cellByName[name]; !exists {
-				return fieldError(fmt.Sprintf("stage.rings[%d].cells", i), "%q is no cell", name)
-			}
-		}
-	}
-	if len(a.spec.Cells) < 2 || len(r.Rings[0].Cells) == len(a.spec.Cells) {
-		return fieldError("stage.rings[0].cells", "every cell: none is left to compare with")
-	}
-	return nil
-}
-
 // SetRollout starts a rollout, or with nil ends it: its objects are then like any others. It must fit the assignment in
 // force. Another version of the same rollout goes on from where this router is.
 func (a *Admission) SetRollout(now int64, r *rollout.Rollout) error {
--- a/core/cells/rollout_test.go
+++ b/core/cells/rollout_test.go
@@ -211,30 +211,3 @@
 		t.Errorf("after: %v", actions)
 	}
 }
-
-func TestCheckRolloutNamesTheField(t *testing.T) {
-	assignment := mustCompile(t, twoCells())
-	for _, test := range []struct {
-		name, want string // "": no error
-		change     func(*rollout.Rollout)
-	}{
-		{"valid", "", func(*rollout.Rollout) {}},
-		{"no name", "stage.name: ", func(r *rollout.Rollout) { r.Name = "" }},
-		{"unknown cell", "stage.rings[0].cells:", func(r *rollout.Rollout) { r.Rings[0].Cells = []string{"x"} }},
-		{"all cells", "stage.rings[0].cells: every cell", func(r *rollout.Rollout) {
-			r.Rings[0].Cells = []string{"one", "two"}
-		}},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			release := pricesRelease()
-			test.change(release)
-			err := assignment.CheckRollout(release)
-			if (err == nil) != (test.want == "") || err != nil && !strings.HasPrefix(err.Error(), test.want) {
-				t.Errorf("got %v, want %s", err, test.want)
-			}
-		})
-	}
-	if err := assignment.CheckRollout(nil); err != nil {
-		t.Error(err)
-	}
-}
--- a/core/cells/spec_validation.go
+++ b/core/cells/spec_validation.go
@@ -8,33 +8,44 @@
 	"strings"
 )
 
-// errUnreachableKey is wrapped by the error for a tenant key that can't match.
-var errUnreachableKey = errors.New("no request gets here: lines above match all of it")
+// ErrUnreachableKey is wrapped by the error for a tenant key that no request can match.
+var ErrUnreachableKey = errors.New("no request gets here: lines above match all of it")
+
+// FieldError says that a field of a document is invalid, and why.
+type FieldError struct {
+	Path string // of the field, from the document
+	Err  error
+}
+
+// Error returns path and reason.
+func (e *FieldError) Error() string { return e.Path + ": " + e.Err.Error() }
+
+// Unwrap returns the reason.
+func (e *FieldError) Unwrap() error { return e.Err }
 
-// fieldError names the field, as a path from the specification, and what is wrong with it.
 func fieldError(path, format string, args ...any) error {
-	return fmt.Errorf("%s: %w", path, fmt.Errorf(format, args...))
+	return &FieldError{Path: path, Err: fmt.Errorf(format, args...)}
 }
 
 // Check reports the first field that is invalid, by its path in the document. A specification that passes can be put in
 // force.
 func (s *Spec) Check() error {
-	if err := s.checkScalars(); err != nil {
+	if err := s.validateScalars(); err != nil {
 		return err
 	}
-	if err := s.checkCells(); err != nil {
+	if err := s.validateCells(); err != nil {
 		return err
 	}
-	if err := s.checkTenants(); err != nil {
+	if err := s.validateTenants(); err != nil {
 		return err
 	}
-	if err := s.Budget.check(); err != nil {
+	if err := s.Budget.validate(); err != nil {
 		return err
 	}
-	return s.checkKeys()
+	return s.validateKeys()
 }
 
-func (s *Spec) checkScalars() error {
+func (s *Spec) validateScalars() error {
 	hasWidth := s.Scheme == SchemeShuffle || s.Scheme == SchemeNested
 	switch {
 	case s.Version < 1:
@@ -64,7 +75,7 @@
 	return strings.Join(names, ", ")
 }
 
-func (s *Spec) checkCells() error {
+func (s *Spec) validateCells() error {
 	names := map[string]bool{}
 	shares := 0.0
 	for i, cell := range s.Cells {
@@ -96,7 +107,7 @@
 	return nil
 }
 
-func (s *Spec) checkTenants() error {
+func (s *Spec) validateTenants() error {
 	cells := map[string]bool{}
 	for _, cell := range s.Cells {
 		cells[cell.Name] = true
@@ -125,7 +136,7 @@
 	return nil
 }
 
-func (b *Budget) check() error {
+func (b *Budget) validate() error {
 	for _, field := range []struct {
 		name  string
 		value float64
@@ -146,13 +157,13 @@
 	return nil
 }
 
-func (s *Spec) checkKeys() error {
+func (s *Spec) validateKeys() error {
 	tenants := make(map[string]bool, len(s.Tenants))
 	for _, tenant := range s.Tenants {
 		tenants[tenant.Name] = true
 	}
 	for i := range s.TenantKeys {
-		if err := s.TenantKeys[i].check(fmt.Sprintf("keys[%d]", i), tenants); err != nil {
+		if err := s.TenantKeys[i].validate(fmt.Sprintf("keys[%d]", i), tenants); err != nil {
 			return err
 		}
 	}
@@ -161,10 +172,10 @@
 		path := fmt.Sprintf("keys[%d]", last)
 		return fieldError(path, "the last line names the tenant of all else, and nothing more")
 	}
-	return checkReachable(s.TenantKeys)
+	return validateReachable(s.TenantKeys)
 }
 
-func (k *TenantKey) check(path string, tenants map[string]bool) error {
+func (k *TenantKey) validate(path string, tenants map[string]bool) error {
 	if !tenants[k.Tenant] {
 		return fieldError(path+".tenant", "%q is no tenant", k.Tenant)
 	}
@@ -185,15 +196,15 @@
 // keyFields are the fields of a tenant key other than its purge groups.
 type keyFields struct{ class, prefix, declaredTenant string }
 
-// checkReachable finds a key that earlier keys leave no request: those whose other fields include its own, and whose
+// validateReachable finds a key that earlier keys leave no request: those whose other fields include its own, and whose
 // purge groups together include all of its purge groups.
-func checkReachable(keys []TenantKey) error {
+func validateReachable(keys []TenantKey) error {
 	matched := map[keyFields]groupSet{} // purge groups that earlier keys with these fields match
 	for i := range keys {
 		key := &keys[i]
 		groups := key.groups()
 		if groups.without(matched, key).isEmpty() {
-			return fmt.Errorf("keys[%d]: %w", i, errUnreachableKey)
+			return &FieldError{Path: fmt.Sprintf("keys[%d]", i), Err: ErrUnreachableKey}
 		}
 		fields := keyFields{key.Class, key.ObjectPrefix, key.DeclaredTenant}
 		matched[fields] = matched[fields].union(groups)
--- a/core/cells/spec_validation_test.go
+++ b/core/cells/spec_validation_test.go
@@ -1,6 +1,7 @@
 package cells
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -80,3 +81,13 @@
 		t.Errorf("got %v, %v", assignment, err)
 	}
 }
+
+func TestValidationErrorsHaveTypes(t *testing.T) {
+	spec := twoCells()
+	spec.TenantKeys[1] = TenantKey{PurgeGroupRange: []int{3, 4}, ObjectPrefix: "b", Tenant: "calm"}
+	_, err := Compile(spec)
+	var field *FieldError
+	if !errors.As(err, &field) || field.Path != "keys[1]" || !errors.Is(err, ErrUnreachableKey) {
+		t.Errorf("got %#v", err)
+	}
+}
--- a/core/cells/tenant_keys_test.go
+++ b/core/cells/tenant_keys_test.go
@@ -51,7 +51,7 @@
 				t.Fatalf("%d %q %q %q: key %d, want %d", group, class, object, declared, got, want)
 			}
 		}
-		if err := checkReachable(keys); err != nil {
+		if err := validateReachable(keys); err != nil {
 			return
 		}
 		for i, key := range keys {
