--- a/core/cells/count_min_sketch.go
+++ b/core/cells/count_min_sketch.go
@@ -14,13 +14,11 @@
 type CountMinSketch struct {
 	width, depth int
 	counters     []float32 // depth rows of width
-	halfLife     float64   // microseconds
-	scale        float64   // weight of what is added now: it grows, so that older counts need not be changed
-	agedAt       int64     // time of scale, microseconds; 0: nothing was counted yet
+	decay        decayScale
 }
 
-// rescaleAt is the scale at which all counters are divided by it: float32 holds 24 bits.
-const rescaleAt = 1 << 20
+// maxSketchScale is the scale at which all counters are divided by it: float32 holds 24 bits.
+const maxSketchScale = 1 << 20
 
 // NewCountMinSketch returns a sketch of depth rows with width counters each; memory is 4 bytes for each counter. The
 // half-life is in microseconds.
@@ -30,8 +28,7 @@
 		width:    width,
 		depth:    depth,
 		counters: make([]float32, width*depth),
-		halfLife: halfLife,
-		scale:    1,
+		decay:    newDecayScale(halfLife),
 	}
 }
 
@@ -47,37 +44,29 @@
 
 func (s *CountMinSketch) addHash(now int64, hash uint64, amount float64) float64 {
 	s.age(now)
-	count := s.minCounter(hash) + float32(amount*s.scale)
+	count := s.minCounter(hash) + float32(amount*s.decay.scale)
 	for row := range s.depth {
 		if counter := &s.counters[s.slot(hash, row)]; *counter < count {
 			*counter = count
 		}
 	}
-	return float64(count) / s.scale
+	return float64(count) / s.decay.scale
 }
 
 func (s *CountMinSketch) estimateHash(now int64, hash uint64) float64 {
 	s.age(now)
-	return float64(s.minCounter(hash)) / s.scale
+	return float64(s.minCounter(hash)) / s.decay.scale
 }
 
-// age brings the scale up to now.
+// age makes counts decay to now.
 func (s *CountMinSketch) age(now int64) {
-	if s.agedAt == 0 {
-		s.agedAt = now
-	}
-	if now <= s.agedAt {
-		return
-	}
-	s.scale *= math.Exp2(float64(now-s.agedAt) / s.halfLife)
-	s.agedAt = now
-	if s.scale < rescaleAt {
+	divisor := s.decay.age(now, maxSketchScale)
+	if divisor == 1 {
 		return
 	}
 	for i := range s.counters {
-		s.counters[i] = float32(float64(s.counters[i]) / s.scale)
+		s.counters[i] = float32(float64(s.counters[i]) / divisor)
 	}
-	s.scale = 1
 }
 
 // slot returns the index of a hash's counter in a row: two halves of one hash stand for any number of hash functions
--- a/core/cells/heavy_hitters.go
+++ b/core/cells/heavy_hitters.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
@@ -12,10 +11,8 @@
 type HeavyHitters struct {
 	index    map[string]*heapEntry
 	heap     []*heapEntry // smallest count first
-	halfLife float64      // microseconds
-	scale    float64      // weight of what is added now: it grows, so that older counts need not be changed
-	agedAt   int64        // time of scale, microseconds; 0: nothing was counted yet
-	capacity int          // of the heap
+	decay    decayScale
+	capacity int // of the heap
 }
 
 type heapEntry struct {
@@ -40,15 +37,14 @@
 	return &HeavyHitters{
 		index:    make(map[string]*heapEntry, size),
 		capacity: max(size, 1),
-		halfLife: halfLife,
-		scale:    1,
+		decay:    newDecayScale(halfLife),
 	}
 }
 
 // Add counts an amount under a key.
 func (h *HeavyHitters) Add(now int64, key string, amount float64) {
 	h.age(now)
-	amount *= h.scale
+	amount *= h.decay.scale
 	entry, known := h.index[key]
 	switch {
 	case known:
@@ -78,31 +74,23 @@
 	for _, entry := range entries[:min(n, len(entries))] {
 		top = append(top, HeavyHitter{
 			Key:          entry.key,
-			Count:        entry.count / h.scale,
-			MaxOvercount: entry.maxOvercount / h.scale,
+			Count:        entry.count / h.decay.scale,
+			MaxOvercount: entry.maxOvercount / h.decay.scale,
 		})
 	}
 	return top
 }
 
-// age brings the scale up to now.
+// age makes counts decay to now.
 func (h *HeavyHitters) age(now int64) {
-	if h.agedAt == 0 {
-		h.agedAt = now
-	}
-	if now <= h.agedAt {
-		return
-	}
-	h.scale *= math.Exp2(float64(now-h.agedAt) / h.halfLife)
-	h.agedAt = now
-	if h.scale <= maxHitterScale {
+	divisor := h.decay.age(now, maxHitterScale)
+	if divisor == 1 {
 		return
 	}
 	for _, entry := range h.heap {
-		entry.count /= h.scale
-		entry.maxOvercount /= h.scale
+		entry.count /= divisor
+		entry.maxOvercount /= divisor
 	}
-	h.scale = 1
 }
 
 func (h *HeavyHitters) swap(i, j int) {
