--- a/lab/experiments/hub-loss.jsonnet
+++ b/lab/experiments/hub-loss.jsonnet
@@ -1,5 +1,5 @@
-// One hub of four loses its area caches for 20 s under peak load, and they come back cold. What is left of the area caches just bears its fills,
-// and the head office just what they miss.
+// One hub of four loses its parents for 20 s under peak load, and they come back cold. What is left of the parents just bears its fills,
+// and the origin just what they miss.
 local worlds = import 'worlds.libsonnet';
 local hubs = { hubs: 4, parentRoom: 1.35, linkRoom: 1.9, originRoom: 1.0, dayS: 56 };
 local loss = { kind: 'hub', which: 0, atS: 10, forS: 20 };
@@ -16,7 +16,7 @@
     { name: 'worth against straight up', of: 'shielded/loss/timely', over: 'direct/loss/timely', least: 1.05 },
     { name: 'worth against a static limit', of: 'shielded/loss/timely', over: 'static/loss/timely', least: 1 },
     { name: 'worth against a plan alone', of: 'shielded/loss/timely', over: 'planned/loss/timely', least: 1 },
-    // Whoever knows all is served 1 at most, so this is within 5% of any bound.
+    // With full knowledge 1 is served at most, so this is within 5% of any bound.
     { name: 'worth itself', of: 'shielded/loss/timely', least: 0.95 },
     { name: 'seconds over the head office', of: 'shielded/loss/originOverS', most: 1 },
     { name: 'cold servers within their bound', of: 'shielded/loss/coldMost', most: 1 },
