--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -25,8 +25,8 @@
 	state       memberState
 }
 
-// isSameLife reports whether two updates about one router are of the same incarnation and refutation of it.
-func (u update) isSameLife(other update) bool {
+// isSameVersion reports whether two updates about one router are of the same incarnation and refutation of it.
+func (u update) isSameVersion(other update) bool {
 	return u.incarnation == other.incarnation && u.refutations == other.refutations
 }
 
@@ -103,8 +103,15 @@
 	case u.state == stateSuspect:
 		n.suspectMember(now, m, u, reporter)
 	case u.state == stateDead:
-		n.declareDead(now, m, u, reporter)
-	case u.supersedes(m.update):
+		n.deadMember(now, m, u, reporter)
+	default:
+		n.aliveMember(m, u)
+	}
+}
+
+// aliveMember takes in that a member has started anew, or has refuted what was held against it.
+func (n *Node) aliveMember(m *member, u update) {
+	if u.supersedes(m.update) {
 		m.replaceUpdate(u)
 		n.queueUpdate(m)
 	}
@@ -123,15 +130,11 @@
 
 // suspectMember takes in that a member is suspected: a suspicion begins here or, if there is one, is confirmed.
 func (n *Node) suspectMember(now int64, m *member, u update, reporter int) {
-	if m.state == stateSuspect && u.isSameLife(m.update) {
+	if m.state == stateSuspect && u.isSameVersion(m.update) {
 		n.confirmSuspicion(m, reporter)
 		return
 	}
-	if !u.supersedes(m.update) {
-		return
-	}
-	if n.contradicts(now, m, u, reporter) {
-		m.needsSuspicionNotice = true
+	if !n.acceptsAgainst(now, m, u, reporter) {
 		return
 	}
 	m.replaceUpdate(u)
@@ -139,17 +142,25 @@
 	n.queueUpdate(m)
 }
 
-// declareDead takes in that a member is declared dead.
-func (n *Node) declareDead(now int64, m *member, u update, reporter int) {
+// deadMember takes in that a member is declared dead.
+func (n *Node) deadMember(now int64, m *member, u update, reporter int) {
+	if n.acceptsAgainst(now, m, u, reporter) {
+		m.replaceUpdate(u)
+		n.queueUpdate(m)
+	}
+}
+
+// acceptsAgainst reports whether an update by which a member is suspect or dead replaces what is known of it. If this
+// router's own evidence contradicts it, the member is to be told instead.
+func (n *Node) acceptsAgainst(now int64, m *member, u update, reporter int) bool {
 	if !u.supersedes(m.update) {
-		return
+		return false
 	}
 	if n.contradicts(now, m, u, reporter) {
 		m.needsSuspicionNotice = true
-		return
+		return false
 	}
-	m.replaceUpdate(u)
-	n.queueUpdate(m)
+	return true
 }
 
 // contradicts reports whether this router has received from a member so lately that it takes no other's word, only
