--- a/internal/background/background_test.go
+++ b/internal/background/background_test.go
@@ -19,8 +19,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Jobs run one at a time, the urgent first, each once however often it is submitted; one that fails is tried three times and given up,
-// and what comes after it still runs. Time is the test's.
+// jobLog records the jobs that have run.
+type jobLog struct {
+	mu  sync.Mutex
+	ran []string
+}
+
+// job is one that records that it ran.
+func (l *jobLog) job(id string) func() {
+	return func() {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.ran = append(l.ran, id)
+	}
+}
+
+// all returns the jobs that have run, in order.
+func (l *jobLog) all() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.ran)
+}
+
+// Jobs run one at a time, the urgent first, each once however often it is submitted; one that fails is attempted
+// three times and given up, and what comes after it still runs. Time is the test's.
 func TestJobsRunInOrder(t *testing.T) {
 	c := clock.NewFake(1e12)
 	var log bytes.Buffer
@@ -28,50 +50,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var mu sync.Mutex
-	var ran []string
-	note := func(id string) func() {
-		return func() {
-			mu.Lock()
-			defer mu.Unlock()
-			ran = append(ran, id)
-		}
-	}
-	for id, p := range map[string]scheduler.Priority{"idle": scheduler.Idle, "urgent": scheduler.Urgent, "prompt": scheduler.High} {
-		if err := r.Submit(id, p, 1, note(id)); err != nil {
+	var once, repeated jobLog
+	for id, priority := range map[string]scheduler.Priority{
+		"idle": scheduler.Idle, "urgent": scheduler.Urgent, "prompt": scheduler.High,
+	} {
+		if err := r.Submit(id, priority, 1, once.job(id)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := r.Submit("idle", scheduler.Urgent, 1, note("idle")); !errors.Is(err, scheduler.ErrDuplicateJob) {
+	if err := r.Submit("idle", scheduler.Urgent, 1, once.job("idle")); !errors.Is(err, scheduler.ErrDuplicateJob) {
 		t.Errorf("twice under one id: %v", err)
 	}
-	if err := r.Submit("broken", scheduler.Idle, 1, func() { note("broken")(); panic("planned") }); err != nil {
+	broken := func() {
+		once.job("broken")()
+		panic("planned")
+	}
+	if err := r.Submit("broken", scheduler.Idle, 1, broken); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	done := make(chan error)
-	go func() { done <- r.Run(ctx) }()
-	var many int
-	r.Every(ctx, "again", 100, scheduler.Normal, func() {
-		mu.Lock()
-		defer mu.Unlock()
-		many++
-	})
-	for {
+	ended := make(chan error)
+	go func() { ended <- r.Run(ctx) }()
+	r.Every(ctx, "again", 100, scheduler.Normal, repeated.job("again"))
+	for len(repeated.all()) < 20 || len(once.all()) < 6 {
 		c.Advance(10)
-		mu.Lock()
-		over := many >= 20 && len(ran) >= 6
-		mu.Unlock()
-		if over {
-			break
-		}
 	}
 	stop()
 	c.Advance(20_000)
-	if err := testwait.Receive(t, done, "the runner to end"); err != nil {
+	if err := testwait.Receive(t, ended, "the runner to end"); err != nil {
 		t.Error(err)
 	}
-	if i, j, k := slices.Index(ran, "urgent"), slices.Index(ran, "prompt"), slices.Index(ran, "idle"); i > j || j > k || len(ran) != 6 {
+	ran := once.all()
+	urgent, prompt, idle := slices.Index(ran, "urgent"), slices.Index(ran, "prompt"), slices.Index(ran, "idle")
+	if urgent > prompt || prompt > idle || len(ran) != 6 {
 		t.Errorf("ran %v", ran)
 	}
 	if n := strings.Count(log.String(), "background job failed"); n != 3 {
