--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -1,5 +1,5 @@
-// Package asynclog writes log lines without blocking the caller. Lines are logged where locks are held and requests wait, and the reader of
-// the log may be slow, stopped or gone: it must not stop the router.
+// Package asynclog writes log lines without blocking the caller. Lines are logged where locks are held and requests
+// wait, and the reader of the log may be slow, stopped or gone: it must not stop the router.
 package asynclog
 
 import (
@@ -9,25 +9,30 @@
 	"time"
 )
 
+// Bounds of a Writer.
 const (
-	maxLines     = 256     // capacity of the queue, in lines
-	maxBytes     = 1 << 20 // and in bytes
-	closeTimeout = 100     // milliseconds that Close waits for the queue to drain
+	maxLines     = 256                    // capacity of the queue, in lines
+	maxBytes     = 1 << 20                // and in bytes
+	closeTimeout = 100 * time.Millisecond // how long Close waits for the queue to drain
 )
 
-// Writer queues lines and writes them from a goroutine of its own. Lines that find the queue full are dropped; the next line written is
-// preceded by one that counts them. It is safe for concurrent use.
+// Writer queues lines and writes them from a goroutine of its own. Lines that find the queue full are dropped; the
+// next line written is preceded by one that counts them. It is safe for concurrent use.
 type Writer struct {
 	queue        chan []byte
-	quit         chan struct{}
-	finished     chan struct{}
-	pendingBytes atomic.Int64 // in the queue
-	dropped      atomic.Int64 // lines dropped and not reported yet
+	quit         chan struct{} // closed by Close
+	finished     chan struct{} // closed when the goroutine has ended
+	pendingBytes atomic.Int64  // in the queue
+	dropped      atomic.Int64  // lines dropped and not reported yet
 }
 
 // New returns a writer to a destination that may block or fail. Close ends it.
 func New(destination io.Writer) *Writer {
-	w := &Writer{queue: make(chan []byte, maxLines), quit: make(chan struct{}), finished: make(chan struct{})}
+	w := &Writer{
+		queue:    make(chan []byte, maxLines),
+		quit:     make(chan struct{}),
+		finished: make(chan struct{}),
+	}
 	go w.forward(destination)
 	return w
 }
@@ -50,7 +55,7 @@
 // Close writes the queued lines, for closeTimeout at most. Later lines are dropped. It must be called once only.
 func (w *Writer) Close() {
 	close(w.quit)
-	timeout := time.NewTimer(closeTimeout * time.Millisecond)
+	timeout := time.NewTimer(closeTimeout)
 	defer timeout.Stop()
 	select {
 	case <-w.finished:
@@ -77,7 +82,8 @@
 	}
 }
 
-// writeLine writes a line, preceded by the count of dropped ones, if any. A write error is ignored: there is no other log to report it to.
+// writeLine writes a line, preceded by the count of dropped ones, if any. A write error is ignored: there is no
+// other log to report it to.
 func (w *Writer) writeLine(destination io.Writer, line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(destination, "{\"level\":\"warn\",\"lost\":%d,\"message\":\"log lines were not taken\"}\n", n)
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -31,8 +31,8 @@
 	return len(line), w.err
 }
 
-// A destination that blocks does not block Write; once released it gets the lines in order, and the number of those dropped. One that fails
-// is written to again.
+// A destination that blocks does not block Write; once released it gets the lines in order, and the number of those
+// dropped. One that fails is written to again.
 func TestBlockedDestination(t *testing.T) {
 	for _, err := range []error{nil, errors.New("broken pipe")} {
 		destination := &blockingWriter{entered: make(chan struct{}), release: make(chan struct{}), err: err}
@@ -75,7 +75,9 @@
 	w.Write([]byte("after the end\n"))
 	close(destination.release)
 	testwait.Receive(t, w.finished, "the writer to end")
-	if got, lost := destination.got.Len(), w.dropped.Load(); got < maxBytes || got > maxBytes+len(`{"level":"warn","lost":2,"message":"log lines were not taken"}`)+1 || lost != 0 {
+	report := "{\"level\":\"warn\",\"lost\":2,\"message\":\"log lines were not taken\"}\n"
+	got, lost := destination.got.Len(), w.dropped.Load()
+	if got < maxBytes || got > maxBytes+len(report) || lost != 0 {
 		t.Errorf("%d bytes passed on, %d lines dropped and not reported", got, lost)
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,17 +5,21 @@
 	"testing"
 )
 
+// A fake clock runs what falls due in the order of its time, also what is set on the way, and nothing that was stopped.
 func TestFake(t *testing.T) {
 	c := NewFake(1000)
 	var ran []string
-	note := func(name string) func() { return func() { ran = append(ran, name) } }
-	c.AfterFunc(30, note("late"))
-	c.AfterFunc(10, func() { ran = append(ran, "early"); c.AfterFunc(10, note("armed on the way")) })
-	c.AfterFunc(20, note("stopped")).Stop()
-	rung, _ := c.Alarm(25)
+	record := func(name string) func() { return func() { ran = append(ran, name) } }
+	c.AfterFunc(30, record("late"))
+	c.AfterFunc(10, func() {
+		record("early")()
+		c.AfterFunc(10, record("set on the way"))
+	})
+	c.AfterFunc(20, record("stopped")).Stop()
+	alarm, _ := c.Alarm(25)
 	c.Advance(29)
-	if want := []string{"early", "armed on the way"}; !slices.Equal(ran, want) || len(rung) != 1 || c.Now() != 1029 {
-		t.Errorf("ran %q, rung %d, now %v", ran, len(rung), c.Now())
+	if want := []string{"early", "set on the way"}; !slices.Equal(ran, want) || len(alarm) != 1 || c.Now() != 1029 {
+		t.Errorf("ran %q, alarm %d, now %v", ran, len(alarm), c.Now())
 	}
 	c.Advance(1)
 	if len(ran) != 3 || ran[2] != "late" {
@@ -23,7 +27,7 @@
 	}
 }
 
-// Present times must come through both conversions unharmed: a deadline a microsecond early would bring one more try.
+// Present times must come through both conversions unharmed: a deadline a microsecond early would bring one more retry.
 func TestConversion(t *testing.T) {
 	for us := int64(1_764_576_000_000_000); us < 1_764_576_000_001_000; us++ {
 		if got := Micros(Millis(us)); got != us {
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,4 +1,4 @@
-// Package testseed makes random tests give the same verdict every time.
+// Package testseed makes random tests give the same verdict every time. Only tests import it.
 package testseed
 
 import (
--- a/internal/testwait/testwait_test.go
+++ b/internal/testwait/testwait_test.go
@@ -59,61 +59,61 @@
 	AcceptHello(t, l, "hello", "the second connection")
 }
 
-// A stopwatch counts no more than the time that passes, and RetryIfStarved ends with the first play without a fault.
-func TestJudge(t *testing.T) {
+// A stopwatch counts no more than the time that passes, and RetryIfStarved ends with the first run without a fault.
+func TestRetryIfStarved(t *testing.T) {
 	w := StartStopwatch()
 	time.Sleep(time.Millisecond)
 	if took := w.Elapsed(); took > time.Since(w.startedAt) {
 		t.Errorf("%v, of %v in all", took, time.Since(w.startedAt))
 	}
-	plays := 0
-	RetryIfStarved(t, func() error { plays++; return nil })
-	if plays != 1 {
-		t.Errorf("%d plays", plays)
+	runs := 0
+	RetryIfStarved(t, func() error { runs++; return nil })
+	if runs != 1 {
+		t.Errorf("%d runs", runs)
 	}
-	f, always := &failing{}, errors.New("late")
+	f, always := &failingTB{}, errors.New("late")
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		RetryIfStarved(f, func() error { return always })
 	}()
-	Receive(t, ended, "the end of plays that all have a fault")
-	if !strings.Contains(f.said, "late") {
-		t.Errorf("said %q", f.said)
+	Receive(t, ended, "the end of runs that all have a fault")
+	if !strings.Contains(f.failure, "late") {
+		t.Errorf("said %q", f.failure)
 	}
 }
 
-// failing is a testing.TB that notes its failure and ends the goroutine, as a test's does.
-type failing struct {
+// failingTB is a testing.TB that records its failure and ends the goroutine, as a test's does.
+type failingTB struct {
 	testing.TB
-	said string
+	failure string
 }
 
-func (f *failing) Helper() {}
+func (f *failingTB) Helper() {}
 
-func (f *failing) Logf(string, ...any) {}
+func (f *failingTB) Logf(string, ...any) {}
 
-func (f *failing) Fatalf(format string, args ...any) {
-	f.said = fmt.Sprintf(format, args...)
+func (f *failingTB) Fatalf(format string, args ...any) {
+	f.failure = fmt.Sprintf(format, args...)
 	runtime.Goexit()
 }
 
 // A wait for what never comes fails the test and names it.
 func TestWaitsEnd(t *testing.T) {
 	const limit = 5 * time.Millisecond
-	for name, wait := range map[string]func(f *failing){
-		"Receive": func(f *failing) { ReceiveWithin(f, limit, make(chan int), "a value") },
-		"Until":   func(f *failing) { UntilWithin(f, limit, "a value", func() bool { return false }) },
+	for name, wait := range map[string]func(f *failingTB){
+		"Receive": func(f *failingTB) { ReceiveWithin(f, limit, make(chan int), "a value") },
+		"Until":   func(f *failingTB) { UntilWithin(f, limit, "a value", func() bool { return false }) },
 	} {
-		f := &failing{}
+		f := &failingTB{}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			wait(f)
 		}()
 		Receive(t, ended, "the end of "+name)
-		if f.said != "waited 5ms for a value" {
-			t.Errorf("%s said %q", name, f.said)
+		if f.failure != "waited 5ms for a value" {
+			t.Errorf("%s said %q", name, f.failure)
 		}
 	}
 }
