--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -17,15 +17,15 @@
 
 // Bounds of all background work of a router; times are milliseconds.
 const (
-	coreBudgetMsPerS = 20.0   // of its core, each second
-	budgetBurst      = 1000   // of this time the budget may be used at once
-	maxQueuedJobs    = 64     // jobs that wait
-	maxAttempts      = 3      // of one job
-	attemptTimeout   = 10_000 // a job that has not ended by then counts as failed
-	initialBackoff   = 500    // before the second attempt of a job
-	maxBackoff       = 30_000
-	agingInterval    = 2000 // a job that waits for so long rises by one priority
-	minWait          = 1    // between two looks at the queue while nothing can run
+	coreBudgetMsPerSecond = 20.0   // of its core, each second
+	budgetBurst           = 1000   // of this time the budget may be used at once
+	maxQueuedJobs         = 64     // jobs that wait
+	maxAttempts           = 3      // of one job
+	attemptTimeout        = 10_000 // a job that has not ended by then counts as failed
+	initialBackoff        = 500    // before the second attempt of a job
+	maxBackoff            = 30_000
+	agingInterval         = 2000 // a job that waits for so long rises by one priority
+	minWait               = 1    // between two looks at the queue while nothing can run
 )
 
 // Runner runs jobs. New makes one.
@@ -46,9 +46,9 @@
 func New(c *clock.Clock, seed uint64, log zerolog.Logger) (*Runner, error) {
 	config := scheduler.Config{
 		Resources: []scheduler.Resource{{
-			Name:        "core",
-			RatePerS:    coreBudgetMsPerS,
-			BurstWindow: clock.Micros(budgetBurst),
+			Name:          "core",
+			RatePerSecond: coreBudgetMsPerSecond,
+			BurstWindow:   clock.Micros(budgetBurst),
 		}},
 		MaxQueued:      maxQueuedJobs,
 		MaxRunning:     1,
