--- a/cmd/spantack/busy_core_test.go
+++ b/cmd/spantack/busy_core_test.go
@@ -10,10 +10,11 @@
 	"unsafe"
 )
 
-// spinners are the programs that share a core with the router; they end by themselves after spinnersEnd, in seconds.
+// spinnerCount are the programs that share a core with the router; they end by themselves after spinnerLifetime, in
+// seconds.
 const (
-	spinners    = 2
-	spinnersEnd = "4"
+	spinnerCount    = 2
+	spinnerLifetime = "4"
 )
 
 // busyCore is one core of the machine on which programs never rest.
@@ -23,7 +24,7 @@
 func newBusyCore(t *testing.T) *busyCore {
 	t.Helper()
 	var may [128]byte
-	if err := affinity(syscall.SYS_SCHED_GETAFFINITY, &may); err != nil {
+	if err := callAffinity(syscall.SYS_SCHED_GETAFFINITY, &may); err != nil {
 		t.Fatal(err)
 	}
 	var cores []int
@@ -35,8 +36,8 @@
 	chosen := cores[rand.IntN(len(cores))] // another one for each play that runs beside this one
 	core := &busyCore{}
 	core.mask[chosen/8] = 1 << (chosen % 8)
-	for range spinners {
-		spinner := exec.Command("timeout", spinnersEnd, "sh", "-c", "while :; do :; done")
+	for range spinnerCount {
+		spinner := exec.Command("timeout", spinnerLifetime, "sh", "-c", "while :; do :; done")
 		spinner.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		if err := core.start(spinner); err != nil {
 			t.Fatal(err)
@@ -54,18 +55,18 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var before [128]byte
-	if err := affinity(syscall.SYS_SCHED_GETAFFINITY, &before); err != nil {
+	if err := callAffinity(syscall.SYS_SCHED_GETAFFINITY, &before); err != nil {
 		return err
 	}
-	if err := affinity(syscall.SYS_SCHED_SETAFFINITY, &b.mask); err != nil {
+	if err := callAffinity(syscall.SYS_SCHED_SETAFFINITY, &b.mask); err != nil {
 		return err
 	}
 	err := cmd.Start() // it inherits the thread's core
-	return errors.Join(err, affinity(syscall.SYS_SCHED_SETAFFINITY, &before))
+	return errors.Join(err, callAffinity(syscall.SYS_SCHED_SETAFFINITY, &before))
 }
 
-// affinity reads or sets the cores of this thread.
-func affinity(call uintptr, mask *[128]byte) error {
+// callAffinity reads or sets the cores of this thread.
+func callAffinity(call uintptr, mask *[128]byte) error {
 	if _, _, errno := syscall.RawSyscall(call, 0, uintptr(len(mask)), uintptr(unsafe.Pointer(mask))); errno != 0 {
 		return errno
 	}
--- a/cmd/spantack/client_departure_test.go
+++ b/cmd/spantack/client_departure_test.go
@@ -48,13 +48,14 @@
 	p, into := launch(t, true)
 	io.WriteString(into, withLongDeadlines(p.text))
 	into.Close()
-	stays := p.readyClient()
-	askWithin(stays, 2, "00000000000000ff", longTimeout) // keeps the process, and its connection, until it is answered
+	stays := p.connectReady()
+	// This one keeps the process, and its connection, until it is answered.
+	askWithTimeout(stays, 2, "00000000000000ff", longTimeout)
 	p.await("GET 00000000000000ff")
 	clients := map[string]*net.TCPConn{}
 	if ending { // a process that ends takes no connections soon
 		for name := range ways {
-			clients[name] = p.readyClient()
+			clients[name] = p.connectReady()
 		}
 		p.signal(syscall.SIGTERM)
 	}
@@ -62,10 +63,10 @@
 	for name, leave := range ways {
 		n++
 		if !ending { // not before: a connection without a request is closed
-			clients[name] = p.readyClient()
+			clients[name] = p.connectReady()
 		}
 		left, other := fmt.Sprintf("00000000000000a%d", n), fmt.Sprintf("00000000000000b%d", n)
-		askWithin(clients[name], 2, left, longTimeout)
+		askWithTimeout(clients[name], 2, left, longTimeout)
 		if !p.arrived("GET " + left) {
 			return errEnded
 		}
@@ -75,7 +76,7 @@
 			return errEnded
 		}
 		p.breakOff(left)
-		askWithin(stays, 2+n, other, longTimeout)
+		askWithTimeout(stays, 2+n, other, longTimeout)
 		if !p.arrived("GET " + other) {
 			return errEnded
 		}
@@ -88,7 +89,7 @@
 		t.Error(err)
 	}
 	stays.Close()
-	p.ended(testwait.StartStopwatch())
+	p.awaitExit(testwait.StartStopwatch())
 	last := 2 + n
 	for ; n > 0; n-- {
 		for _, ref := range []string{fmt.Sprintf("00000000000000a%d", n), fmt.Sprintf("00000000000000b%d", n)} {
@@ -97,7 +98,7 @@
 			}
 		}
 	}
-	return eachAnswered(answers, last)
+	return checkEachAnswered(answers, last)
 }
 
 // A client leaves while the connection to the cache that its request needs does not come up. When it does, the
@@ -114,8 +115,8 @@
 	text = strings.Replace(text, `"DialTimeout":500000`, `"DialTimeout":20000000`, 1)
 	io.WriteString(into, withLongDeadlines(text))
 	into.Close()
-	leaves := p.readyClient()
-	askWithin(leaves, 2, "00000000000000aa", longTimeout)
+	leaves := p.connectReady()
+	askWithTimeout(leaves, 2, "00000000000000aa", longTimeout)
 	awaitOutstanding(t, adminAddr, 1)
 	leaves.Close()
 	awaitOutstanding(t, adminAddr, 0)
@@ -123,10 +124,10 @@
 	go p.serveCache(&announcingListener{open(), up})
 	// Nobody else dials: the system has tried for the first request again.
 	late := testwait.Receive(t, up, "the late connection")
-	stays := p.readyClient() // not before: one that says nothing for long is closed
-	for i := range 6 {       // until one goes that way: the router may hear a moment later that it is up
+	stays := p.connectReady() // not before: one that says nothing for long is closed
+	for i := range 6 {        // until one goes that way: the router may hear a moment later that it is up
 		ref := fmt.Sprintf("00000000000000b%x", i)
-		askWithin(stays, 2+i, ref, longTimeout)
+		askWithTimeout(stays, 2+i, ref, longTimeout)
 		p.await("GET " + ref)
 		if p.isUsed(late) {
 			break
--- a/cmd/spantack/client_harness_test.go
+++ b/cmd/spantack/client_harness_test.go
@@ -12,8 +12,8 @@
 // shortText begins a MessagePack text of under 32 bytes; its length is added.
 const shortText = 0xa0
 
-// client connects, once the router is ready to take it.
-func (p *routerProcess) client() *net.TCPConn {
+// connect connects, once the router is ready to take it.
+func (p *routerProcess) connect() *net.TCPConn {
 	p.t.Helper()
 	var client *net.TCPConn
 	testwait.Until(p.t, "the router to take a client", func() bool {
@@ -28,13 +28,13 @@
 	return client
 }
 
-// readyClient connects and has the router say that it is ready. It does so again where the router closes a
+// connectReady connects and has the router say that it is ready. It does so again where the router closes a
 // connection because the test was too late with its first message.
-func (p *routerProcess) readyClient() *net.TCPConn {
+func (p *routerProcess) connectReady() *net.TCPConn {
 	p.t.Helper()
 	var client *net.TCPConn
 	testwait.Until(p.t, "the router to say that it is ready", func() bool {
-		client = p.client()
+		client = p.connect()
 		return askHealth(client) == nil
 	})
 	return client
@@ -54,10 +54,10 @@
 }
 
 // ask asks for a page and waits for 2 s.
-func ask(nc net.Conn, message int, ref string) { askWithin(nc, message, ref, "2000") }
+func ask(nc net.Conn, message int, ref string) { askWithTimeout(nc, message, ref, "2000") }
 
-// askWithin asks for a page and waits for so many milliseconds.
-func askWithin(nc net.Conn, message int, ref, allow string) {
+// askWithTimeout asks for a page and waits for so many milliseconds.
+func askWithTimeout(nc net.Conn, message int, ref, allow string) {
 	fmt.Fprintf(nc, "\x94\x00%c\xa4page\x92\x83\xa3ref\xb0%s\xa5allow%s%s\xa6lookup\xb0000000000000007f\xc4\x00",
 		message, ref, []byte{shortText + byte(len(allow))}, allow)
 }
@@ -68,8 +68,8 @@
 		"\xa6lookup\xb0000000000000007f\xa6replay\xa4k001\xc4\x00", message, ref)
 }
 
-// eachAnswered is nil where each message from 2 to last has one answer.
-func eachAnswered(answers []byte, last int) error {
+// checkEachAnswered is nil where each message from 2 to last has one answer.
+func checkEachAnswered(answers []byte, last int) error {
 	for message := 2; message <= last; message++ {
 		if times := bytes.Count(answers, []byte{0x94, 1, byte(message)}); times != 1 {
 			return fmt.Errorf("%d answers to message %d in %q", times, message, answers)
--- a/cmd/spantack/departures_play_test.go
+++ b/cmd/spantack/departures_play_test.go
@@ -14,31 +14,31 @@
 // departure is one deployment from which clients leave.
 type departure struct {
 	*deployment
-	place   waitingPlace
-	under   condition
-	gate    chan struct{} // closed when attempts may end
-	open    []func()      // lets connections come up
-	leavers []*leaver
-	stays   []*caller
-	dials   int // connections to caches that do not come up
+	place        waitingPlace
+	condition    condition
+	mayEnd       chan struct{} // closed when attempts may end
+	bringUp      []func()      // lets connections come up
+	leavers      []*leaver
+	stayers      []*caller
+	pendingDials int // connections to caches that do not come up
 }
 
 // leaver is a client that leaves.
 type leaver struct {
 	*caller
-	ref  string
-	way  departureWay
-	left time.Time // when its act was done
+	ref    string
+	way    departureWay
+	leftAt time.Time // when its act was done
 }
 
 const (
 	departedDeadline = 10 * time.Second // far more than a play takes: nothing ends because its time is up
-	staying          = 2                // clients that stay
+	stayerCount      = 2                // clients that stay
 )
 
 func newDeparture(t *testing.T, place waitingPlace, under condition) *departure {
-	p := &departure{place: place, under: under, gate: make(chan struct{})}
-	plan := blueprint{caches: place.caches, sockets: place.sockets, deadline: departedDeadline}
+	p := &departure{place: place, condition: under, mayEnd: make(chan struct{})}
+	plan := blueprint{caches: place.caches, sockets: place.descriptors, deadline: departedDeadline}
 	if plan.caches == 0 {
 		plan.caches = 3
 	}
@@ -46,17 +46,17 @@
 		plan.sockets = 256
 	}
 	plan.cache = func(_ int, opt *caches.Options) {
-		opt.Narrow = place.paused
-		if place.lateDial {
+		opt.Narrow = place.pausesCaches
+		if place.dialsLate {
 			late := newLateListener(t)
 			opt.Listener = late
-			p.open = append(p.open, func() { late.comeUp(t) })
+			p.bringUp = append(p.bringUp, func() { late.comeUp(t) })
 		}
 	}
-	if place.held || place.unasked {
-		plan.script = p.hold
+	if place.holdsAttempts || place.asksOnLeaving {
+		plan.script = p.holdAttempt
 	}
-	if under.busy {
+	if under.isBusy {
 		core := newBusyCore(t)
 		plan.start = core.start
 	}
@@ -64,14 +64,14 @@
 	return p
 }
 
-// hold lets an attempt end only when the test says so: by ERR, by BUSY or by a connection that breaks.
-func (p *departure) hold(g caches.Get) caches.Fault {
+// holdAttempt lets an attempt end only when the test says so: by ERR, by BUSY or by a connection that breaks.
+func (p *departure) holdAttempt(g caches.Get) caches.Fault {
 	select {
-	case <-p.gate:
+	case <-p.mayEnd:
 		return caches.None
 	default:
 	}
-	<-p.gate
+	<-p.mayEnd
 	return []caches.Fault{caches.Err, caches.Busy, caches.Spoil}[g.ID[len(g.ID)-1]%3]
 }
 
@@ -85,16 +85,16 @@
 	}
 	p.leave()
 	time.Sleep(departedGrace + 20*time.Millisecond)
-	if p.place.kernel {
-		within(func() bool { return p.connections(established) <= staying })
+	if p.place.isInKernel {
+		pollUntil(func() bool { return p.cacheConnections(established) <= stayerCount })
 	}
 	begin := time.Now()
 	p.release()
-	if p.under.stopped {
+	if p.condition.isFrozen {
 		p.signal(syscall.SIGCONT)
 	}
-	began = p.goesOn(begin)
-	p.finish(p.under.ending)
+	began = p.awaitStayersAttempt(begin)
+	p.terminate(p.condition.isEnding)
 	p.judge()
 	return began
 }
@@ -106,42 +106,42 @@
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	for _, l := range p.leavers {
-		l.way.leave(l.caller, request(2, l.ref, departedDeadline, p.place.body))
-		l.left = time.Now()
+		l.way.leave(l.caller, request(2, l.ref, departedDeadline, p.place.bodySize))
+		l.leftAt = time.Now()
 	}
 }
 
 // release lets what waits go on, and returns when the router can find out.
 func (p *departure) release() {
-	close(p.gate)
+	close(p.mayEnd)
 	for _, cache := range p.caches {
 		cache.Resume()
 	}
-	for _, comeUp := range p.open {
+	for _, comeUp := range p.bringUp {
 		comeUp()
 	}
-	if !p.under.stopped {
+	if !p.condition.isFrozen {
 		return
 	}
 	time.Sleep(50 * time.Millisecond) // for what the caches say; the verdict does not need it
-	if p.place.lateDial {
-		within(func() bool { // most connections come up while the router is stopped
+	if p.place.dialsLate {
+		pollUntil(func() bool { // most connections come up while the router is stopped
 			all := 0
 			for _, cache := range p.caches {
 				accepted, _, _ := cache.Connections()
 				all += accepted
 			}
-			return 2*all >= p.dials
+			return 2*all >= p.pendingDials
 		})
 	}
 }
 
-// goesOn waits for an attempt of a client that has stayed, and tells whether it came: the place is one from which
-// attempts begin.
-func (p *departure) goesOn(since time.Time) bool {
-	return within(func() bool {
+// awaitStayersAttempt waits for an attempt of a client that has stayed, and tells whether it came: the place is one
+// from which attempts begin.
+func (p *departure) awaitStayersAttempt(since time.Time) bool {
+	return pollUntil(func() bool {
 		return slices.ContainsFunc(p.requests.Gets(), func(g caches.Get) bool {
-			return g.ID[0] == stayingRef(0)[0] && (g.At.After(since) || p.place.unasked)
+			return g.ID[0] == stayerRef(0)[0] && (g.At.After(since) || p.place.asksOnLeaving)
 		})
 	})
 }
@@ -158,7 +158,7 @@
 		if l == nil {
 			continue
 		}
-		if after := g.At.Sub(l.left); after > departedGrace {
+		if after := g.At.Sub(l.leftAt); after > departedGrace {
 			late = append(late, fmt.Sprintf("%s (%s) %v after it had left by %q", g.ID, g.Server, after, l.way.name))
 		}
 	}
--- a/cmd/spantack/departures_setup_test.go
+++ b/cmd/spantack/departures_setup_test.go
@@ -16,28 +16,28 @@
 	switch {
 	case !p.connectAll():
 		return "all clients are connected"
-	case !p.fill():
+	case !p.sendRequests():
 		return "all requests are at the place"
-	case p.under.ending && !p.end():
+	case p.condition.isEnding && !p.beginEnding():
 		return "the router says that it ends"
 	}
-	if p.under.stopped {
-		p.stop()
+	if p.condition.isFrozen {
+		p.freeze()
 	}
 	return ""
 }
 
-// end tells the router to end, and returns once it says so.
-func (p *departure) end() bool {
+// beginEnding tells the router to end, and returns once it says so.
+func (p *departure) beginEnding() bool {
 	p.signal(syscall.SIGTERM)
-	return within(func() bool {
-		p.stays[0].askHealth(1)
-		return p.stays[0].readHealth(1) == "not ready"
+	return pollUntil(func() bool {
+		p.stayers[0].askHealth(1)
+		return p.stayers[0].readHealth(1) == "not ready"
 	})
 }
 
-// within polls until reached is true, and tells whether it was in time.
-func within(reached func() bool) bool {
+// pollUntil polls until reached is true, and tells whether it was in time.
+func pollUntil(reached func() bool) bool {
 	for begin := time.Now(); time.Since(begin) < setUpWithin; time.Sleep(2 * time.Millisecond) {
 		if reached() {
 			return true
@@ -48,11 +48,11 @@
 
 // connectAll opens all connections and asks on each at once: the router closes those that say nothing for long.
 func (p *departure) connectAll() bool {
-	each := p.place.each
+	each := p.place.clientsPerWay
 	if each == 0 {
 		each = 3
 	}
-	if p.place.sockets == minDescriptors {
+	if p.place.descriptors == minDescriptors {
 		each = 2 // more clients find no place
 	}
 	for _, way := range departureWays {
@@ -62,16 +62,16 @@
 			p.leavers[len(p.leavers)-1].askHealth(1)
 		}
 	}
-	for range staying {
-		p.stays = append(p.stays, p.connect())
-		p.stays[len(p.stays)-1].askHealth(1)
+	for range stayerCount {
+		p.stayers = append(p.stayers, p.connect())
+		p.stayers[len(p.stayers)-1].askHealth(1)
 	}
 	for _, l := range p.leavers {
 		if l.readHealth(1) != "ready" {
 			return false
 		}
 	}
-	for _, c := range p.stays {
+	for _, c := range p.stayers {
 		if c.readHealth(1) != "ready" {
 			return false
 		}
@@ -79,9 +79,9 @@
 	return true
 }
 
-// fill brings the requests to the place where they wait.
-func (p *departure) fill() bool {
-	if p.place.paused {
+// sendRequests brings the requests to the place where they wait.
+func (p *departure) sendRequests() bool {
+	if p.place.pausesCaches {
 		for _, cache := range p.caches {
 			cache.Pause()
 		}
@@ -91,23 +91,23 @@
 		for number := range p.place.blockers {
 			blocker.Write(request(byte(2+number), fmt.Sprintf("b%015x", number), departedDeadline, longCommand))
 		}
-		if !p.stuck(p.place.blockers) {
+		if !p.awaitUnread(p.place.blockers) {
 			return false
 		}
 	}
 	sent := map[string]*caller{}
-	if !p.place.unasked {
+	if !p.place.asksOnLeaving {
 		for _, l := range p.leavers {
-			if !l.way.asks {
+			if !l.way.asksAtOnce {
 				sent[l.ref] = l.caller
 			}
 		}
 	}
-	for number, c := range p.stays {
-		sent[stayingRef(number)] = c
+	for number, c := range p.stayers {
+		sent[stayerRef(number)] = c
 	}
 	for ref, c := range sent {
-		c.Write(request(2, ref, departedDeadline, p.place.body))
+		c.Write(request(2, ref, departedDeadline, p.place.bodySize))
 		c.askHealth(1)
 	}
 	for _, c := range sent {
@@ -116,23 +116,23 @@
 		}
 	}
 	switch {
-	case p.place.lateDial:
-		return within(func() bool {
-			p.dials = p.connections(dialling)
-			return 2*p.dials >= len(sent)
+	case p.place.dialsLate:
+		return pollUntil(func() bool {
+			p.pendingDials = p.cacheConnections(dialling)
+			return 2*p.pendingDials >= len(sent)
 		})
-	case p.place.held:
-		return within(func() bool { return p.arrived(sent) })
-	case p.place.body > 0:
-		return p.stuck(len(sent))
+	case p.place.holdsAttempts:
+		return pollUntil(func() bool { return p.allArrived(sent) })
+	case p.place.bodySize > 0:
+		return p.awaitUnread(len(sent))
 	}
 	return true
 }
 
-func stayingRef(number int) string { return fmt.Sprintf("a%015x", number) }
+func stayerRef(number int) string { return fmt.Sprintf("a%015x", number) }
 
-// arrived tells whether an attempt of each request has come to a cache.
-func (p *departure) arrived(sent map[string]*caller) bool {
+// allArrived tells whether an attempt of each request has come to a cache.
+func (p *departure) allArrived(sent map[string]*caller) bool {
 	came := map[string]bool{}
 	for _, g := range p.requests.Gets() {
 		came[g.ID] = true
@@ -145,9 +145,9 @@
 	return true
 }
 
-// stuck waits until so many connections hold the beginning of a command.
-func (p *departure) stuck(want int) bool {
-	return within(func() bool {
+// awaitUnread waits until so many connections hold the beginning of a command.
+func (p *departure) awaitUnread(want int) bool {
+	return pollUntil(func() bool {
 		all := 0
 		for _, cache := range p.caches {
 			_, _, unread := cache.Connections()
@@ -163,8 +163,8 @@
 	dialling    = 2 // its first packet is out, and nothing was heard
 )
 
-// connections counts those to the caches that are in a state.
-func (p *departure) connections(state int) (count int) {
+// cacheConnections counts those to the caches that are in a state.
+func (p *departure) cacheConnections(state int) (count int) {
 	p.t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
@@ -176,8 +176,8 @@
 	return count
 }
 
-// stop takes the processor from the router.
-func (p *departure) stop() {
+// freeze takes the processor from the router.
+func (p *departure) freeze() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
 	testwait.Until(p.t, "the router is stopped", func() bool {
--- a/cmd/spantack/departures_test.go
+++ b/cmd/spantack/departures_test.go
@@ -31,9 +31,9 @@
 // departureWay is a way in which a client leaves.
 type departureWay struct {
 	name string
-	// asks means that the client's request goes out in the same moment.
-	asks  bool
-	leave func(c *caller, request []byte)
+	// asksAtOnce means that the client's request goes out in the same moment.
+	asksAtOnce bool
+	leave      func(c *caller, request []byte)
 }
 
 var departureWays = []departureWay{
@@ -41,15 +41,15 @@
 	{name: "close", leave: func(c *caller, _ []byte) { c.Close() }},
 	{name: "reset", leave: func(c *caller, _ []byte) { c.reset() }},
 	{name: "half-close", leave: func(c *caller, _ []byte) { c.CloseWrite() }},
-	{name: "close with its last byte", asks: true, leave: func(c *caller, request []byte) {
+	{name: "close with its last byte", asksAtOnce: true, leave: func(c *caller, request []byte) {
 		c.cork()
 		c.Write(request)
 		c.Close()
 	}},
-	{name: "cancel with its last byte", asks: true, leave: func(c *caller, request []byte) {
+	{name: "cancel with its last byte", asksAtOnce: true, leave: func(c *caller, request []byte) {
 		c.Write(append(slices.Clone(request), "\x93\x02\xa6cancel\x91\x02"...))
 	}},
-	{name: "reset after its last byte", asks: true, leave: func(c *caller, request []byte) {
+	{name: "reset after its last byte", asksAtOnce: true, leave: func(c *caller, request []byte) {
 		c.Write(request)
 		c.reset()
 	}},
@@ -77,18 +77,18 @@
 // waitingPlace is where in the router a request waits when its client leaves. Nothing can begin there until the
 // test lets it.
 type waitingPlace struct {
-	name     string
-	each     int  // clients for each way out; 0: three
-	caches   int  // 0: three
-	sockets  int  // 0: enough for all
-	body     int  // bytes in the requests of those who leave
-	unasked  bool // they ask in the moment in which they leave
-	held     bool // first attempts are with the caches, and end when the test says so, such that a retry follows
-	lateDial bool // connections to the caches do not come up
-	paused   bool // the caches read nothing
-	blockers int  // commands longer than a connection takes, which were begun before
-	busy     bool // it is also played on a busy core
-	kernel   bool // it is the system's, which needs no router to go on: the router gets time to take back what is there
+	name          string
+	clientsPerWay int  // clients for each way out; 0: three
+	caches        int  // 0: three
+	descriptors   int  // 0: enough for all
+	bodySize      int  // bytes in the requests of those who leave
+	asksOnLeaving bool // they ask in the moment in which they leave
+	holdsAttempts bool // first attempts are with the caches, and end when the test says so, such that a retry follows
+	dialsLate     bool // connections to the caches do not come up
+	pausesCaches  bool // the caches read nothing
+	blockers      int  // commands longer than a connection takes, which were begun before
+	playsBusy     bool // it is also played on a busy core
+	isInKernel    bool // it needs no router to go on: the router gets time to take back what is there
 }
 
 // minDescriptors leave the router so few connections to caches that attempts share them.
@@ -102,28 +102,28 @@
 )
 
 var waitingPlaces = []waitingPlace{
-	{name: "module", unasked: true},
-	{name: "late dial", lateDial: true, busy: true},
-	{name: "queue behind a stuck write", paused: true, blockers: 8, sockets: minDescriptors},
-	{name: "its own stuck write", paused: true, body: longCommand},
-	{name: "in the send queue", paused: true, body: shortCommand, kernel: true},
-	{name: "between attempts", held: true, busy: true},
-	{name: "late dial, hundreds", lateDial: true, each: 30, caches: 10, sockets: 2048},
+	{name: "module", asksOnLeaving: true},
+	{name: "late dial", dialsLate: true, playsBusy: true},
+	{name: "queue behind a stuck write", pausesCaches: true, blockers: 8, descriptors: minDescriptors},
+	{name: "its own stuck write", pausesCaches: true, bodySize: longCommand},
+	{name: "in the send queue", pausesCaches: true, bodySize: shortCommand, isInKernel: true},
+	{name: "between attempts", holdsAttempts: true, playsBusy: true},
+	{name: "late dial, hundreds", dialsLate: true, clientsPerWay: 30, caches: 10, descriptors: 2048},
 }
 
 // condition is what else befalls the router at that time.
 type condition struct {
-	name    string
-	stopped bool // it gets no processor time from before its client leaves until after the next attempt could begin
-	ending  bool // it was told to end
-	busy    bool // it shares one core with programs that never rest
+	name     string
+	isFrozen bool // it gets no processor time from before its client leaves until after the next attempt could begin
+	isEnding bool // it was told to end
+	isBusy   bool // it shares one core with programs that never rest
 }
 
 var conditions = []condition{
 	{name: "serving"},
-	{name: "stopped", stopped: true},
-	{name: "ending", ending: true},
-	{name: "busy", busy: true},
+	{name: "stopped", isFrozen: true},
+	{name: "ending", isEnding: true},
+	{name: "busy", isBusy: true},
 }
 
 // An attempt of a client that has left is not sent, wherever in the router its request waits and whatever else
@@ -133,7 +133,7 @@
 	plays := make(chan struct{}, playsAtOnce)
 	for _, place := range waitingPlaces {
 		for _, under := range conditions {
-			if under.busy && !place.busy || under.stopped && place.kernel {
+			if under.isBusy && !place.playsBusy || under.isFrozen && place.isInKernel {
 				continue
 			}
 			t.Run(strings.ReplaceAll(place.name+"/"+under.name, " ", "-"), func(t *testing.T) {
--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -164,9 +164,9 @@
 	}
 }
 
-// finish tells the router to end, unless it was told before, and returns once the caches have read all that it
+// terminate tells the router to end, unless it was told before, and returns once the caches have read all that it
 // sent: from then on their log is complete.
-func (d *deployment) finish(told bool) {
+func (d *deployment) terminate(told bool) {
 	d.t.Helper()
 	if !told {
 		d.signal(syscall.SIGTERM)
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -19,39 +19,42 @@
 )
 
 const (
-	// followsWithin is how long after the return of discovery the router may take until it watches it. It tries twice
+	// maxRewatchTime is how long after the return of discovery the router may take until it watches it. It tries twice
 	// a second or more; idle clients that have asked once are closed for that alone only after 6 s.
-	followsWithin = 3 * time.Second
-	// servesWithin is how long a client may take from then on until it is served, by the cache that was listed
+	maxRewatchTime = 3 * time.Second
+	// maxTimeToServe is how long a client may take from then on until it is served, by the cache that was listed
 	// meanwhile. From both the time is taken off for which the machine was short of CPUs.
-	servesWithin = 5 * time.Second
-	// againAfter is how long an idle client that was closed waits until it comes again.
-	againAfter = 500 * time.Millisecond
+	maxTimeToServe = 5 * time.Second
+	// reconnectDelay is how long an idle client that was closed waits until it comes again.
+	reconnectDelay = 500 * time.Millisecond
 )
 
 // outage is how discovery goes and comes back.
 type outage struct {
-	name       string
-	away, back discovery.Mode
-	lasts      time.Duration // while idle clients come
-	limits     []int         // of descriptors, at which it is played
-	// firstFrame is how late the first frame comes once discovery is back.
-	firstFrame time.Duration
+	name                string
+	whileAway, whenBack discovery.Mode
+	duration            time.Duration // while idle clients come
+	descriptorLimits    []int         // of descriptors, at which it is played
+	// firstFrameDelay is how late the first frame comes once discovery is back.
+	firstFrameDelay time.Duration
 }
 
 // A mute service leaves the router's connection open, so that no new watch has to follow.
-func (o *outage) newWatch() bool { return o.away == discovery.Down }
+func (o *outage) needsNewWatch() bool { return o.whileAway == discovery.Down }
 
 var outages = []outage{
 	{
-		name: "down", away: discovery.Down, back: discovery.Serving, lasts: time.Second,
-		limits: []int{64, 128, 256, 512, 1024},
+		name: "down", whileAway: discovery.Down, whenBack: discovery.Serving, duration: time.Second,
+		descriptorLimits: []int{64, 128, 256, 512, 1024},
 	},
 	// Long enough for the router to give up the silent connection and open others.
-	{name: "mute", away: discovery.Mute, back: discovery.Serving, lasts: 4 * time.Second, limits: []int{64, 256, 1024}},
 	{
-		name: "down, then slow", away: discovery.Down, back: discovery.Slow, lasts: time.Second,
-		limits: []int{64, 256, 1024}, firstFrame: discovery.FirstFrameAfter,
+		name: "mute", whileAway: discovery.Mute, whenBack: discovery.Serving, duration: 4 * time.Second,
+		descriptorLimits: []int{64, 256, 1024},
+	},
+	{
+		name: "down, then slow", whileAway: discovery.Down, whenBack: discovery.Slow, duration: time.Second,
+		descriptorLimits: []int{64, 256, 1024}, firstFrameDelay: discovery.FirstFrameAfter,
 	},
 }
 
@@ -62,7 +65,7 @@
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	t.Parallel()
 	for _, away := range outages {
-		for _, limit := range away.limits {
+		for _, limit := range away.descriptorLimits {
 			t.Run(strings.ReplaceAll(fmt.Sprintf("%s/%d", away.name, limit), " ", "-"), func(t *testing.T) {
 				t.Parallel()
 				crowdWhileDiscoveryIsAway(t, &away, limit)
@@ -78,49 +81,51 @@
 	}
 	defer service.Close()
 	d := deploy(t, blueprint{
-		caches: 2, sockets: limit, deadline: 2 * time.Second, discovery: service.Addr(), start: limited(limit),
+		caches: 2, sockets: limit, deadline: 2 * time.Second, discovery: service.Addr(), start: withDescriptorLimit(limit),
 	})
-	list := append(d.list(stateReady, stateReady), entry(d.origin, originID, stateReady, kindOrigin))
+	list := append(d.cacheEntries(stateReady, stateReady), entry(d.origin, originID, stateReady, kindOrigin))
 	service.Publish(true, list...)
 	testwait.Until(t, "the router's first watch", func() bool { return service.Watches() > 0 })
-	if err := service.SetMode(away.away); err != nil {
+	if err := service.SetMode(away.whileAway); err != nil {
 		t.Fatal(err)
 	}
 
-	crowd := gather(d.listen, limit+limit/2)
+	crowd := gatherCrowd(d.listen, limit+limit/2)
 	defer crowd.disperse()
-	testwait.Until(t, "so many idle clients as the router has descriptors", func() bool { return crowd.came() >= limit })
+	testwait.Until(t, "so many idle clients as the router has descriptors", func() bool {
+		return crowd.connectionsMade() >= limit
+	})
 	testwait.Until(t, "idle clients hold the third of the descriptors that is theirs", func() bool {
-		return descriptors(t, d.cmd.Process.Pid) >= limit/clientDescriptorDivisor
+		return countDescriptors(t, d.cmd.Process.Pid) >= limit/clientDescriptorDivisor
 	})
-	time.Sleep(away.lasts)
+	time.Sleep(away.duration)
 
 	replacement, err := caches.Listen(caches.Options{ID: firstCache + 100, RequestLog: d.requests, Source: d.source})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(replacement.Close)
-	replaced := append(d.list(stateGone, stateGone), entry(replacement, firstCache+100, stateReady, kindCache))
+	replaced := append(d.cacheEntries(stateGone, stateGone), entry(replacement, firstCache+100, stateReady, kindCache))
 	service.Publish(false, replaced...)
 	before := service.Watches()
 	back := testwait.StartStopwatch()
-	if err := service.SetMode(away.back); err != nil {
+	if err := service.SetMode(away.whenBack); err != nil {
 		t.Fatal(err)
 	}
-	if away.newWatch() {
+	if away.needsNewWatch() {
 		testwait.Until(t, "the watch after the return of discovery", func() bool { return service.Watches() > before })
-		if took := back.Elapsed(); took > followsWithin {
-			t.Errorf("watched again %v after the return of discovery, %v are allowed", took, followsWithin)
+		if took := back.Elapsed(); took > maxRewatchTime {
+			t.Errorf("watched again %v after the return of discovery, %v are allowed", took, maxRewatchTime)
 		}
 	}
-	if took, may := d.servedBy(replacement), servesWithin+away.firstFrame; took > may {
+	if took, may := d.servedBy(replacement), maxTimeToServe+away.firstFrameDelay; took > may {
 		t.Errorf("served by the cache that was listed meanwhile after %v, %v are allowed", took, may)
 	}
-	if open := descriptors(t, d.cmd.Process.Pid); open > limit {
+	if open := countDescriptors(t, d.cmd.Process.Pid); open > limit {
 		t.Errorf("%d descriptors, %d allowed", open, limit)
 	}
 	crowd.disperse()
-	d.finish(false)
+	d.terminate(false)
 	if text := d.stderr.String(); strings.Contains(text, "panic") {
 		t.Errorf("log: %s", text)
 	}
@@ -134,8 +139,8 @@
 	kindOrigin = 1
 )
 
-// list is the two caches of a deployment in these states, as the discovery service tells them.
-func (d *deployment) list(states ...byte) (entries []discovery.Server) {
+// cacheEntries is the two caches of a deployment in these states, as the discovery service tells them.
+func (d *deployment) cacheEntries(states ...byte) (entries []discovery.Server) {
 	for number, state := range states {
 		entries = append(entries, entry(d.caches[number], uint32(firstCache+number), state, kindCache))
 	}
@@ -146,8 +151,8 @@
 	return discovery.Server{ID: id, Addr: cache.Addr(), State: state, Kind: kind, Weight: 4}
 }
 
-// limited starts a program that may have so many descriptors.
-func limited(descriptors int) func(*exec.Cmd) error {
+// withDescriptorLimit starts a program that may have so many descriptors.
+func withDescriptorLimit(descriptors int) func(*exec.Cmd) error {
 	return func(cmd *exec.Cmd) error {
 		shell, err := exec.LookPath("sh")
 		if err != nil {
@@ -160,8 +165,8 @@
 	}
 }
 
-// descriptors counts those that a process has open.
-func descriptors(t *testing.T, process int) int {
+// countDescriptors counts those that a process has open.
+func countDescriptors(t *testing.T, process int) int {
 	t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", process))
 	if err != nil {
@@ -225,8 +230,8 @@
 
 const wholeMessage = "\x94\x00\x01\xa6health\x91\x80"
 
-// gather lets so many clients come, and come again once they were closed.
-func gather(addr string, clients int) *crowd {
+// gatherCrowd lets so many clients come, and come again once they were closed.
+func gatherCrowd(addr string, clients int) *crowd {
 	c := &crowd{stop: make(chan struct{})}
 	for number := range clients {
 		c.wait.Go(func() {
@@ -259,13 +264,13 @@
 	select {
 	case <-c.stop:
 		return false
-	case <-time.After(againAfter):
+	case <-time.After(reconnectDelay):
 		return true
 	}
 }
 
-// came is how many connections were made so far.
-func (c *crowd) came() int {
+// connectionsMade is how many connections were made so far.
+func (c *crowd) connectionsMade() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dials
--- a/cmd/spantack/harness_test.go
+++ b/cmd/spantack/harness_test.go
@@ -248,18 +248,18 @@
 	}
 }
 
-// exit waits for the process, which has ended or is about to.
-func (p *routerProcess) exit() error {
+// wait waits for the process, which has ended or is about to.
+func (p *routerProcess) wait() error {
 	p.t.Helper()
 	waited := make(chan error, 1)
 	go func() { waited <- p.cmd.Wait() }()
 	return testwait.Receive(p.t, waited, "the end of the router's process")
 }
 
-// ended waits for the process and returns how long it took by a stopwatch; it must end by itself.
-func (p *routerProcess) ended(w *testwait.Stopwatch) time.Duration {
+// awaitExit waits for the process and returns how long it took by a stopwatch; it must end by itself.
+func (p *routerProcess) awaitExit(w *testwait.Stopwatch) time.Duration {
 	p.t.Helper()
-	if err := p.exit(); err != nil {
+	if err := p.wait(); err != nil {
 		p.t.Errorf("ended with %v; log: %s", err, p.log)
 	}
 	return w.Elapsed()
--- a/cmd/spantack/log_reader_test.go
+++ b/cmd/spantack/log_reader_test.go
@@ -29,13 +29,13 @@
 		r.Close()
 	} else {
 		defer r.Close()
-		fill(t, int(w.Fd()))
+		fillPipe(t, int(w.Fd()))
 	}
 	p, _ := launch(t, false, func(c *exec.Cmd) { c.Stderr = w })
 	w.Close()
-	nc := p.readyClient()
+	nc := p.connectReady()
 	for range 3 {
-		bad := p.client()
+		bad := p.connect()
 		io.WriteString(bad, "\xc1")
 		io.Copy(io.Discard, bad) // until it is closed
 		p.signal(syscall.SIGUSR1)
@@ -49,14 +49,14 @@
 		t.Errorf("gone %v: %v", gone, err)
 	}
 	nc.Close()
-	if took := p.ended(began); took > killLimit {
+	if took := p.awaitExit(began); took > killLimit {
 		return fmt.Errorf("gone %v: ended after %v", gone, took)
 	}
-	return eachAnswered(answers, 2)
+	return checkEachAnswered(answers, 2)
 }
 
-// fill writes to a pipe until it takes no more, and leaves it such that a write waits.
-func fill(t *testing.T, fd int) {
+// fillPipe writes to a pipe until it takes no more, and leaves it such that a write waits.
+func fillPipe(t *testing.T, fd int) {
 	t.Helper()
 	if err := syscall.SetNonblock(fd, true); err != nil {
 		t.Fatal(err)
--- a/cmd/spantack/shutdown_test.go
+++ b/cmd/spantack/shutdown_test.go
@@ -41,7 +41,7 @@
 
 func terminateWithHungServers(t *testing.T) error {
 	p, _ := launch(t, false)
-	nc := p.readyClient()
+	nc := p.connectReady()
 	ask(nc, 2, "0000000000000002")
 	p.await("GET 0000000000000002")
 	askKeyed(nc, 3, "0000000000000003")
@@ -58,12 +58,12 @@
 		t.Error(err)
 	}
 	nc.Close()
-	took := p.ended(began)
+	took := p.awaitExit(began)
 	if !strings.Contains(p.log.String(), "new configuration can't be used") {
 		t.Errorf("a file half written was taken in; log: %s", p.log)
 	}
 	if took > killLimit {
 		return fmt.Errorf("ended after %v", took)
 	}
-	return eachAnswered(answers, 3)
+	return checkEachAnswered(answers, 3)
 }
--- a/cmd/spantack/signals_test.go
+++ b/cmd/spantack/signals_test.go
@@ -31,11 +31,11 @@
 		io.WriteString(into, p.text)
 		into.Close()
 		if s != syscall.SIGTERM {
-			nc := p.readyClient()
+			nc := p.connectReady()
 			nc.Close()
 			p.signal(syscall.SIGTERM)
 		}
-		if took := p.ended(testwait.StartStopwatch()); took > killLimit {
+		if took := p.awaitExit(testwait.StartStopwatch()); took > killLimit {
 			t.Errorf("%v: ended after %v", s, took)
 		}
 	}
--- a/cmd/spantack/take_over_test.go
+++ b/cmd/spantack/take_over_test.go
@@ -30,7 +30,7 @@
 		{"killed", func(o *takeOver) {
 			next, _ := o.start("next")
 			next.signal(syscall.SIGKILL)
-			next.exit()
+			next.wait()
 		}, false},
 		{"told to end", func(o *takeOver) {
 			next, adminAddr := o.start("next")
@@ -44,7 +44,7 @@
 			next.signal(syscall.SIGTERM)
 			io.WriteString(into, next.text)
 			into.Close()
-			next.ended(testwait.StartStopwatch())
+			next.awaitExit(testwait.StartStopwatch())
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 				tc.next(o)
 			}
 			old.signal(syscall.SIGTERM)
-			old.ended(testwait.StartStopwatch())
+			old.awaitExit(testwait.StartStopwatch())
 			if want := fmt.Sprintf(`"replaced":%v`, tc.isReplaced); !strings.Contains(old.log.String(), want) {
 				t.Errorf("the log lacks %s: %s", want, old.log)
 			}
