--- /dev/null
+++ b/internal/msgpackrpc/decode.go
@@ -0,0 +1,238 @@
+package msgpackrpc
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+)
+
+// Bounds of a message from a client. Lengths are checked before anything is allocated.
+const (
+	maxStringSize  = 48 << 10 // bytes of a string or body; a write carries 48,000 at most
+	maxMessageSize = 64 << 10 // bytes of all strings, bodies and numbers together
+	maxItems       = 64       // in an array or map
+	maxDepth       = 6        // arrays and maps within each other
+)
+
+// Formats of MessagePack: the first byte of a value. A fixed form holds a small value or length in its lower bits.
+const (
+	formatFixMap      = 0x80
+	formatFixArray    = 0x90
+	formatFixString   = 0xa0
+	formatNil         = 0xc0
+	formatFalse       = 0xc2
+	formatTrue        = 0xc3
+	formatBinary8     = 0xc4
+	formatBinary16    = 0xc5
+	formatBinary32    = 0xc6
+	formatFloat32     = 0xca
+	formatFloat64     = 0xcb
+	formatUint8       = 0xcc
+	formatUint16      = 0xcd
+	formatUint32      = 0xce
+	formatUint64      = 0xcf
+	formatInt8        = 0xd0
+	formatInt16       = 0xd1
+	formatInt32       = 0xd2
+	formatInt64       = 0xd3
+	formatString8     = 0xd9
+	formatString16    = 0xda
+	formatString32    = 0xdb
+	formatArray16     = 0xdc
+	formatArray32     = 0xdd
+	formatMap16       = 0xde
+	formatMap32       = 0xdf
+	formatNegativeFix = 0xe0
+)
+
+// errMalformed is what every error wraps that means bytes which no client may send; it ends the connection.
+var errMalformed = errors.New("malformed message")
+
+// decoder reads one message within bounds.
+type decoder struct {
+	reader    *bufio.Reader
+	remaining int // bytes that the message may still have
+	maxLength int // of a string or body, in bytes
+}
+
+// readMessage reads one MessagePack value: nil, bool, int64, uint64, float64, string, []byte, []any or map[string]any.
+// It returns io.EOF at an end of the stream between messages, and io.ErrUnexpectedEOF at one within a message.
+func readMessage(reader *bufio.Reader) (any, error) {
+	d := decoder{reader: reader, remaining: maxMessageSize, maxLength: maxStringSize}
+	return d.readValue(0)
+}
+
+// readValue reads a value that stands within depth arrays and maps.
+func (d *decoder) readValue(depth int) (any, error) {
+	if depth > maxDepth {
+		return nil, fmt.Errorf("%w: nested too deep", errMalformed)
+	}
+	format, err := d.reader.ReadByte()
+	if err != nil {
+		if err == io.EOF && depth > 0 {
+			err = io.ErrUnexpectedEOF
+		}
+		return nil, err
+	}
+	switch {
+	case format < formatFixMap:
+		return int64(format), nil
+	case format < formatFixArray:
+		return d.readMap(int(format&0x0f), depth)
+	case format < formatFixString:
+		return d.readArray(int(format&0x0f), depth)
+	case format < formatNil:
+		return d.readString(int(format & 0x1f))
+	case format >= formatNegativeFix:
+		return int64(int8(format)), nil
+	}
+	return d.readFormatted(format, depth)
+}
+
+// readFormatted reads the rest of a value whose format is none of the fixed forms. The formats of one type follow each
+// other, and each has a number of twice the size of the one before.
+func (d *decoder) readFormatted(format byte, depth int) (any, error) {
+	switch format {
+	case formatNil:
+		return nil, nil
+	case formatFalse, formatTrue:
+		return format == formatTrue, nil
+	case formatBinary8, formatBinary16, formatBinary32:
+		length, err := d.readLength(1 << (format - formatBinary8))
+		if err != nil {
+			return nil, err
+		}
+		return d.readBytes(length)
+	case formatFloat32:
+		bits, err := d.readUint(4)
+		return float64(math.Float32frombits(uint32(bits))), err
+	case formatFloat64:
+		bits, err := d.readUint(8)
+		return math.Float64frombits(bits), err
+	case formatUint8, formatUint16, formatUint32, formatUint64:
+		return d.readUint(1 << (format - formatUint8))
+	case formatInt8, formatInt16, formatInt32, formatInt64:
+		return d.readInt(1 << (format - formatInt8))
+	case formatString8, formatString16, formatString32:
+		length, err := d.readLength(1 << (format - formatString8))
+		if err != nil {
+			return nil, err
+		}
+		return d.readString(length)
+	case formatArray16, formatArray32:
+		length, err := d.readLength(2 << (format - formatArray16))
+		if err != nil {
+			return nil, err
+		}
+		return d.readArray(length, depth)
+	case formatMap16, formatMap32:
+		length, err := d.readLength(2 << (format - formatMap16))
+		if err != nil {
+			return nil, err
+		}
+		return d.readMap(length, depth)
+	}
+	return nil, fmt.Errorf("%w: type %#x", errMalformed, format)
+}
+
+// readBytes reads n bytes.
+func (d *decoder) readBytes(n int) ([]byte, error) {
+	if n > d.maxLength || n > d.remaining {
+		return nil, fmt.Errorf("%w: %d bytes are too many", errMalformed, n)
+	}
+	d.remaining -= n
+	b := make([]byte, n)
+	if _, err := io.ReadFull(d.reader, b); err != nil {
+		if err == io.EOF {
+			err = io.ErrUnexpectedEOF
+		}
+		return nil, err
+	}
+	return b, nil
+}
+
+// readUint reads a big-endian number of n bytes.
+func (d *decoder) readUint(n int) (uint64, error) {
+	b, err := d.readBytes(n)
+	if err != nil {
+		return 0, err
+	}
+	var wide [8]byte
+	copy(wide[8-n:], b)
+	return binary.BigEndian.Uint64(wide[:]), nil
+}
+
+// readInt reads a big-endian signed number of n bytes.
+func (d *decoder) readInt(n int) (int64, error) {
+	v, err := d.readUint(n)
+	shift := 64 - 8*n
+	return int64(v<<shift) >> shift, err
+}
+
+// readLength reads a length of n bytes.
+func (d *decoder) readLength(n int) (int, error) {
+	length, err := d.readUint(n)
+	if length > uint64(d.maxLength) {
+		return 0, fmt.Errorf("%w: length %d", errMalformed, length)
+	}
+	return int(length), err
+}
+
+// readString reads a string of n bytes.
+func (d *decoder) readString(n int) (any, error) {
+	b, err := d.readBytes(n)
+	return string(b), err
+}
+
+// readArray reads an array of n values that stands within depth others.
+func (d *decoder) readArray(n, depth int) (any, error) {
+	if n > maxItems {
+		return nil, fmt.Errorf("%w: array of %d", errMalformed, n)
+	}
+	list := make([]any, n)
+	for i := range list {
+		v, err := d.readValue(depth + 1)
+		if err != nil {
+			return nil, err
+		}
+		list[i] = v
+	}
+	return list, nil
+}
+
+// readMap reads a map of n pairs that stands within depth others. Its keys must be strings; the last of equal ones
+// counts.
+func (d *decoder) readMap(n, depth int) (any, error) {
+	if n > maxItems {
+		return nil, fmt.Errorf("%w: map of %d", errMalformed, n)
+	}
+	pairs := make(map[string]any, n)
+	for range n {
+		key, err := d.readValue(depth + 1)
+		if err != nil {
+			return nil, err
+		}
+		name, ok := key.(string)
+		if !ok {
+			return nil, fmt.Errorf("%w: a map key is no string", errMalformed)
+		}
+		if pairs[name], err = d.readValue(depth + 1); err != nil {
+			return nil, err
+		}
+	}
+	return pairs, nil
+}
+
+// asUint64 converts a number that readMessage returned; ok is false where it is none, or negative.
+func asUint64(v any) (n uint64, ok bool) {
+	switch n := v.(type) {
+	case uint64:
+		return n, true
+	case int64:
+		return uint64(n), n >= 0
+	}
+	return 0, false
+}
--- a/internal/msgpackrpc/departed.go
+++ b/internal/msgpackrpc/departed.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A reader that lags behind its socket is waited for: maxSocketPeeks times socketPeekInterval. It never waits for anything but its client, so that it
-// has caught up after the first pause, unless bytes come faster than it reads or the process loses the processor during each pause.
+// A reader that lags behind its socket is waited for: up to maxSocketPeeks times socketPeekInterval. A reader waits for
+// nothing but its client, so it has caught up after the first interval, unless bytes come faster than it reads or the
+// process gets no processor time during each interval.
 const (
 	maxSocketPeeks     = 50
 	socketPeekInterval = 200 * time.Microsecond
@@ -16,14 +17,21 @@
 // socketState is what waits unread on a client's socket.
 type socketState int
 
+// The states of a socket.
 const (
 	socketEmpty socketState = iota
 	socketHasData
 	socketEnded // a close, a half-close or a reset
 )
 
-// clientDeparted tells whether the client of a request has left, also where its reader has not had the processor since then: a router that is short of
-// processor time finds the answer of a server and the end of a client's stream at once, in no order. ctx is the request's.
+// String returns the name of the state.
+func (s socketState) String() string {
+	return [...]string{socketEmpty: "empty", socketHasData: "has data", socketEnded: "ended"}[s]
+}
+
+// clientDeparted reports whether the client of a request has left, also where its reader has not run since then: a
+// router that is short of processor time finds the response of a server and the end of a client's stream at once, in
+// no order. ctx is the request's. It may block for some milliseconds.
 func (c *conn) clientDeparted(ctx context.Context) bool {
 	for range maxSocketPeeks {
 		if ctx.Err() != nil {
@@ -35,12 +43,13 @@
 		case socketEnded:
 			return true
 		}
-		time.Sleep(socketPeekInterval) // a cancel, or the end, may stand behind these bytes
+		time.Sleep(socketPeekInterval) // a cancel, or the end, may come behind these bytes
 	}
 	return ctx.Err() != nil
 }
 
-// peekSocket looks at the socket without reading from it. Where it can't look it finds nothing: the reader will.
+// peekSocket examines the socket without reading from it. Where that is not possible it finds the socket empty: the
+// reader will find what there is.
 func (c *conn) peekSocket() socketState {
 	socket, ok := c.netConn.(syscall.Conn)
 	if !ok {
@@ -50,19 +59,19 @@
 	if err != nil {
 		return socketEmpty
 	}
-	found := socketEmpty
+	state := socketEmpty
 	err = raw.Control(func(fd uintptr) {
 		var first [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case n > 0:
-			found = socketHasData
+			state = socketHasData
 		case err == nil, err == syscall.ECONNRESET, err == syscall.EPIPE, err == syscall.ETIMEDOUT:
-			found = socketEnded
+			state = socketEnded
 		}
 	})
-	if err != nil { // closed on this side: the request was let go of
+	if err != nil { // closed on this side: the request was given up
 		return socketEnded
 	}
-	return found
+	return state
 }
--- /dev/null
+++ b/internal/msgpackrpc/encode.go
@@ -0,0 +1,65 @@
+package msgpackrpc
+
+import (
+	"encoding/binary"
+	"math"
+)
+
+// maxFixString is the first length of a string that has no fixed form.
+const maxFixString = 32
+
+// appendArrayHeader appends the beginning of an array of n values, 15 at most.
+func appendArrayHeader(buf []byte, n int) []byte { return append(buf, formatFixArray|byte(n)) }
+
+// appendNil appends the value nil.
+func appendNil(buf []byte) []byte { return append(buf, formatNil) }
+
+// appendBool appends a truth value.
+func appendBool(buf []byte, v bool) []byte {
+	if v {
+		return append(buf, formatTrue)
+	}
+	return append(buf, formatFalse)
+}
+
+// appendUint appends a number in its shortest form.
+func appendUint(buf []byte, v uint64) []byte {
+	switch {
+	case v < formatFixMap:
+		return append(buf, byte(v))
+	case v <= math.MaxUint8:
+		return append(buf, formatUint8, byte(v))
+	case v <= math.MaxUint16:
+		return binary.BigEndian.AppendUint16(append(buf, formatUint16), uint16(v))
+	case v <= math.MaxUint32:
+		return binary.BigEndian.AppendUint32(append(buf, formatUint32), uint32(v))
+	}
+	return binary.BigEndian.AppendUint64(append(buf, formatUint64), v)
+}
+
+// appendString appends a string of up to 65,535 bytes.
+func appendString(buf []byte, s string) []byte {
+	if len(s) < maxFixString {
+		buf = append(buf, formatFixString|byte(len(s)))
+	} else {
+		buf = binary.BigEndian.AppendUint16(append(buf, formatString16), uint16(len(s)))
+	}
+	return append(buf, s...)
+}
+
+// appendBinaryHeader appends the beginning of a body of n bytes.
+func appendBinaryHeader(buf []byte, n int) []byte {
+	if n <= math.MaxUint8 {
+		return append(buf, formatBinary8, byte(n))
+	}
+	return binary.BigEndian.AppendUint32(append(buf, formatBinary32), uint32(n))
+}
+
+// appendFields appends a map of strings to strings, 15 at most: names and values in turn.
+func appendFields(buf []byte, pairs ...string) []byte {
+	buf = append(buf, formatFixMap|byte(len(pairs)/2))
+	for _, s := range pairs {
+		buf = appendString(buf, s)
+	}
+	return buf
+}
--- /dev/null
+++ b/internal/msgpackrpc/handler.go
@@ -0,0 +1,190 @@
+package msgpackrpc
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"runtime/debug"
+	"strconv"
+	"sync"
+
+	"spantack/internal/router"
+)
+
+// openRequest is a request that has no response yet. Its address distinguishes it from a later one of the same message
+// id.
+type openRequest struct{ cancel context.CancelFunc }
+
+// encodedResponse is one response in the queue of a connection.
+type encodedResponse struct {
+	parts        net.Buffers
+	reservedSize int64 // bytes of Server.MaxQueuedBytes that are reserved until it is written
+}
+
+// handleMessage handles one message; an error ends the connection. Handlers of requests run in handlers, with contexts
+// derived from ctx.
+func (c *conn) handleMessage(ctx context.Context, m message, arrivedAt float64, handlers *sync.WaitGroup) error {
+	switch {
+	case m.kind == kindNotification && m.method == methodCancel:
+		c.cancel(m.params)
+		return nil
+	case m.kind == kindNotification:
+		return nil
+	case m.method == methodHealth:
+		buf := appendBool(appendResultHeader(nil, m.id), c.server.IsReady())
+		return c.enqueueBytes(appendFields(buf))
+	}
+	return c.handleRequest(ctx, m, arrivedAt, handlers)
+}
+
+// handleRequest starts the handler of a request, or answers one that is not accepted.
+func (c *conn) handleRequest(ctx context.Context, m message, arrivedAt float64, handlers *sync.WaitGroup) error {
+	server := c.server
+	keyRequired, isKnown := server.lookupClass(m.method)
+	if !isKnown {
+		return c.enqueueBytes(appendError(nil, m.id, errorFailed, fieldReason, "unknown method"))
+	}
+	request, err := parseRequest(m.method, m.params, keyRequired)
+	if err != nil {
+		server.recordFault(fmt.Errorf("request: %w", err))
+		return c.enqueueBytes(appendError(nil, m.id, errorFailed, fieldReason, err.Error()))
+	}
+	if server.rejectsRequests() {
+		return c.reject(m, drainRetryAfter)
+	}
+	cost := int64(requestOverhead + len(request.Body))
+	requestCtx, open, err := c.openRequest(ctx, m.id, cost)
+	if err != nil {
+		return err
+	}
+	if open == nil {
+		return c.reject(m, overloadRetryAfter)
+	}
+	request.ArrivedAt = arrivedAt
+	request.ClientDeparted = func() bool { return c.clientDeparted(requestCtx) }
+	handlers.Go(func() {
+		defer server.reserve(-cost)
+		c.serveRequest(requestCtx, m.id, open, request)
+	})
+	return nil
+}
+
+// openRequest registers a request and reserves its cost in bytes, which bounds the memory of open requests. It returns
+// nil where there is no capacity, and an error where the message id is open already.
+func (c *conn) openRequest(ctx context.Context, id uint64, cost int64) (context.Context, *openRequest, error) {
+	isReserved := c.server.reserve(cost)
+	c.mu.Lock()
+	_, isDuplicate := c.openRequests[id]
+	if isReserved && !isDuplicate && len(c.openRequests) < maxOpenRequests {
+		defer c.mu.Unlock()
+		requestCtx, cancel := context.WithCancel(ctx)
+		open := &openRequest{cancel: cancel}
+		c.openRequests[id] = open
+		return requestCtx, open, nil
+	}
+	c.mu.Unlock() // before Server.mu is locked
+	if isReserved {
+		c.server.reserve(-cost)
+	}
+	if isDuplicate {
+		return nil, nil, fmt.Errorf("%w: message id %d is open already", errMalformed, id)
+	}
+	return nil, nil, nil
+}
+
+// serveRequest runs the handler of a request and queues its response, unless the request was canceled meanwhile.
+func (c *conn) serveRequest(ctx context.Context, id uint64, open *openRequest, request router.Request) {
+	response := c.server.handle(ctx, request)
+	c.addUnsentResponses(1) // or the connection might be evicted before the response is queued
+	defer c.addUnsentResponses(-1)
+	if !c.closeRequest(id, open) || response.Outcome == router.NoResponse {
+		return
+	}
+	if err := c.respond(id, response); err != nil {
+		c.server.recordFault(err)
+		c.netConn.Close()
+	}
+}
+
+// handle calls Handle and turns a panic into a failed request.
+func (s *Server) handle(ctx context.Context, request router.Request) (response router.Response) {
+	defer func() {
+		if p := recover(); p != nil {
+			response = router.Response{Outcome: router.Failed}
+			s.Log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("request failed")
+		}
+	}()
+	return s.Handle(ctx, request)
+}
+
+// cancel ends requests that the client canceled; none of them gets a response.
+func (c *conn) cancel(ids []any) {
+	for _, v := range ids {
+		id, ok := asUint64(v)
+		if !ok {
+			c.server.recordFault(errors.New("cancel: no message id"))
+			continue
+		}
+		c.mu.Lock()
+		open := c.openRequests[id]
+		c.mu.Unlock()
+		c.closeRequest(id, open)
+	}
+}
+
+// closeRequest removes a request from the open ones. It returns true once for each: that caller may respond. A request
+// that was canceled is closed a second time, when its id may belong to another.
+func (c *conn) closeRequest(id uint64, request *openRequest) bool {
+	c.mu.Lock()
+	isOpen := request != nil && c.openRequests[id] == request
+	if isOpen {
+		delete(c.openRequests, id)
+	}
+	isLast := len(c.openRequests) == 0
+	c.mu.Unlock()
+	if isOpen {
+		request.cancel()
+	}
+	if isLast && c.server.closesConnections() {
+		c.wake()
+	}
+	return isOpen
+}
+
+// reject answers a request that is not accepted; retryAfter is how long its client should stay away, in milliseconds.
+func (c *conn) reject(m message, retryAfter string) error {
+	if c.server.OnRejected != nil {
+		c.server.OnRejected(m.method)
+	}
+	return c.enqueueBytes(appendError(nil, m.id, errorRejected, fieldRetryAfter, retryAfter))
+}
+
+// respond queues the final response to a request.
+func (c *conn) respond(id uint64, response router.Response) error {
+	switch response.Outcome {
+	case router.Served:
+		return c.respondServed(id, response)
+	case router.Rejected:
+		retryAfter := strconv.FormatFloat(response.RetryAfter, 'f', 0, 64)
+		return c.enqueueBytes(appendError(nil, id, errorRejected, fieldRetryAfter, retryAfter))
+	}
+	return c.enqueueBytes(appendError(nil, id, errorFailed))
+}
+
+// respondServed queues a response with a body, whose size is reserved until it is written: that bounds the memory that
+// clients hold which do not read.
+func (c *conn) respondServed(id uint64, response router.Response) error {
+	size := int64(len(response.Body))
+	if !c.server.reserveResponse(c, size) {
+		return c.enqueueBytes(appendError(nil, id, errorFailed, fieldReason, "too many answers wait"))
+	}
+	header := appendBinaryHeader(appendResultHeader(nil, id), len(response.Body))
+	var fields []byte
+	if response.NotModified {
+		fields = appendFields(nil, fieldNotModified, valueNotModified)
+	} else {
+		fields = appendFields(nil)
+	}
+	return c.enqueue(encodedResponse{parts: net.Buffers{header, response.Body, fields}, reservedSize: size})
+}
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -1,151 +1,162 @@
 package msgpackrpc
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 
 	"spantack/internal/router"
 )
 
-// message is a request or notification as it came.
-type message struct {
-	kind   int64
-	id     uint64
-	method string
-	params []any
-}
-
-// parseMessage checks the frame alone; what the parameters hold is checked where they are used.
-func parseMessage(v any) (m message, err error) {
-	list, _ := v.([]any)
-	if len(list) < 3 {
-		return m, fmt.Errorf("%w: no request", errMalformed)
-	}
-	kind, kindOK := list[0].(int64)
-	m.kind = kind
-	rest := list[1:]
-	switch {
-	case kindOK && kind == kindRequest && len(list) == 4:
-		id, ok := asUint64(list[1])
-		if !ok {
-			return m, fmt.Errorf("%w: message id", errMalformed)
-		}
-		m.id, rest = id, list[2:]
-	case kindOK && kind == kindNotification && len(list) == 3:
-	default:
-		return m, fmt.Errorf("%w: no request", errMalformed)
-	}
-	method, methodOK := rest[0].(string)
-	params, paramsOK := rest[1].([]any)
-	if !methodOK || !paramsOK {
-		return m, fmt.Errorf("%w: method or parameters", errMalformed)
-	}
-	m.method, m.params = method, params
-	return m, nil
-}
-
-func asUint64(v any) (uint64, bool) {
-	switch n := v.(type) {
-	case uint64:
-		return n, true
-	case int64:
-		return uint64(n), n >= 0
-	}
-	return 0, false
-}
-
+// Bounds of a request's fields.
 const (
 	maxTokenLength   = 64
-	maxClientTimeout = 3.6e6 // ms
+	idLength         = 16
+	maxClientTimeout = 3.6e6 // milliseconds
 	maxChunk         = 1 << 20
 	maxPurgeGroup    = 255
+	maxSizeKB        = 1e9
+)
+
+// Names of a request's fields on the wire.
+const (
+	fieldID             = "ref"
+	fieldObject         = "lookup"
+	fieldIdempotencyKey = "replay"
+	fieldClientETag     = "cached"
+	fieldClientTimeout  = "allow" // milliseconds
+	fieldChunk          = "block"
+	fieldPurgeGroup     = "family"
+	fieldSizeKB         = "room"
+)
+
+var (
+	errNoFields = errors.New("no fields")
+	errNoBody   = errors.New("no body")
 )
 
-// parseRequest reads [FIELDS, BODY]. An error names the field that can't be used.
-func parseRequest(class string, params []any, keyed bool) (q router.Request, err error) {
+// fieldError names a field of a request that can't be used. Clients get its text as the reason.
+type fieldError struct{ field string }
+
+// Error implements error.
+func (e *fieldError) Error() string { return "field " + e.field + " can't be used" }
+
+// parseRequest reads the parameters [FIELDS, BODY] of a request of a class. An error is a *fieldError where a field is
+// at fault: the first one, in the order in which they are read.
+func parseRequest(class string, params []any, keyRequired bool) (request router.Request, err error) {
 	if len(params) != 2 {
-		return q, fmt.Errorf("%d parameters", len(params))
+		return request, fmt.Errorf("%d parameters", len(params))
 	}
-	fields, ok := params[0].(map[string]any)
+	values, ok := params[0].(map[string]any)
 	if !ok {
-		return q, fmt.Errorf("no fields")
+		return request, errNoFields
+	}
+	body, err := parseBody(params[1])
+	if err != nil {
+		return request, err
 	}
-	switch body := params[1].(type) {
+	fields := requestFields{values: values}
+	request.Class = class
+	request.Body = body
+	request.ID = fields.hexID(fieldID, true)
+	request.Object = fields.hexID(fieldObject, false)
+	request.IdempotencyKey = fields.token(fieldIdempotencyKey, keyRequired)
+	request.ClientETag = fields.token(fieldClientETag, false)
+	request.ClientTimeout = fields.number(fieldClientTimeout, true, 1, maxClientTimeout)
+	request.Chunk = fields.integer(fieldChunk, maxChunk)
+	request.PurgeGroup = fields.integer(fieldPurgeGroup, maxPurgeGroup)
+	request.SizeKB = fields.number(fieldSizeKB, false, 0, maxSizeKB)
+	return request, fields.err
+}
+
+// parseBody accepts a body, a string, or nil for none.
+func parseBody(param any) ([]byte, error) {
+	switch body := param.(type) {
 	case []byte:
-		q.Body = body
+		return body, nil
 	case string:
-		q.Body = []byte(body)
+		return []byte(body), nil
 	case nil:
-	default:
-		return q, fmt.Errorf("no body")
+		return nil, nil
 	}
-	q.Class = class
-	fail := func(name string) {
-		if err == nil {
-			err = fmt.Errorf("field %s can't be used", name)
-		}
+	return nil, errNoBody
+}
+
+// requestFields reads the fields of a request, which are strings all. What it returns counts only while err is nil.
+type requestFields struct {
+	values map[string]any
+	err    error // the first field that can't be used
+}
+
+// fail notes that a field can't be used.
+func (f *requestFields) fail(name string) {
+	if f.err == nil {
+		f.err = &fieldError{field: name}
 	}
-	text := func(name string, needed bool) string {
-		v, present := fields[name]
-		s, ok := v.(string)
-		if present && (!ok || !isToken(s)) || needed && s == "" {
-			fail(name)
-		}
-		return s
+}
+
+// token reads a field that is passed on as it is.
+func (f *requestFields) token(name string, isRequired bool) string {
+	v, isPresent := f.values[name]
+	s, isString := v.(string)
+	switch {
+	case isPresent && (!isString || !isToken(s)):
+		f.fail(name)
+	case isRequired && s == "":
+		f.fail(name)
 	}
-	hex := func(name string, needed bool) string {
-		s := text(name, needed)
-		if s != "" && !isHexID(s) {
-			fail(name)
-		}
-		return s
+	return s
+}
+
+// hexID reads a field that is an id.
+func (f *requestFields) hexID(name string, isRequired bool) string {
+	s := f.token(name, isRequired)
+	if s != "" && !isHexID(s) {
+		f.fail(name)
 	}
-	number := func(name string, least, most float64) float64 {
-		v, present := fields[name]
-		if !present && least == 0 {
-			return 0
-		}
-		s, _ := v.(string)
-		f, bad := strconv.ParseFloat(s, 64)
-		if bad != nil || !(f >= least && f <= most) {
-			fail(name)
-		}
-		return f
+	return s
+}
+
+// number reads a number from minimum to maximum; an optional one that is absent is 0.
+func (f *requestFields) number(name string, isRequired bool, minimum, maximum float64) float64 {
+	v, isPresent := f.values[name]
+	if !isPresent && !isRequired {
+		return 0
 	}
-	whole := func(name string, most int64) int64 { // a fraction must not become another part on the way
-		v, present := fields[name]
-		if !present {
-			return 0
-		}
-		s, _ := v.(string)
-		n, bad := strconv.ParseUint(s, 10, 63)
-		if bad != nil || int64(n) > most {
-			fail(name)
-		}
-		return int64(n)
+	s, _ := v.(string)
+	n, err := strconv.ParseFloat(s, 64)
+	if err != nil || !(n >= minimum && n <= maximum) { // NaN is neither
+		f.fail(name)
+	}
+	return n
+}
+
+// integer reads an optional integer from 0 to maximum. A fraction is an error: it must not become another chunk.
+func (f *requestFields) integer(name string, maximum int64) int64 {
+	v, isPresent := f.values[name]
+	if !isPresent {
+		return 0
+	}
+	s, _ := v.(string)
+	n, err := strconv.ParseUint(s, 10, 63)
+	if err != nil || int64(n) > maximum {
+		f.fail(name)
 	}
-	q.ID = hex("ref", true)
-	q.Object = hex("lookup", false)
-	q.IdempotencyKey = text("replay", keyed)
-	q.ClientETag = text("cached", false)
-	q.ClientTimeout = number("allow", 1, maxClientTimeout)
-	q.Chunk = whole("block", maxChunk)
-	q.PurgeGroup = whole("family", maxPurgeGroup)
-	q.SizeKB = number("room", 0, 1e9)
-	return q, err
+	return int64(n)
 }
 
-// isHexID reports that s is an id as the protocol writes it. Caches answer other ids with an error, or close on them.
+// isHexID reports whether s is an id as the protocol writes it. Caches answer other ids with an error, or close the
+// connection on them.
 func isHexID(s string) bool {
 	for _, c := range []byte(s) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
 			return false
 		}
 	}
-	return len(s) == 16
+	return len(s) == idLength
 }
 
-// isToken reports that s can be passed on in a list of name=value pairs: a comma or a line end in it would forge
+// isToken reports whether s can be passed on in a list of name=value pairs: a comma or a line end in it would forge
 // other fields.
 func isToken(s string) bool {
 	for _, c := range []byte(s) {
--- a/internal/resp/response.go
+++ b/internal/resp/response.go
@@ -25,26 +25,48 @@
 // maxSourceWait bounds the wait for a source that a response may tell, in milliseconds.
 const maxSourceWait = 1e9
 
-var outcomesByWord = map[string]routing.AttemptOutcome{
-	wordServed:      routing.OutcomeServed,
-	wordNotModified: routing.OutcomeServed,
-	wordMiss:        routing.OutcomeMiss,
-	wordRejected:    routing.OutcomeRejected,
-	wordError:       routing.OutcomeError,
-	wordSkipped:     routing.OutcomeSkipped,
+// outcomeOf returns the outcome that a word stands for.
+func outcomeOf(word string) (outcome routing.AttemptOutcome, isKnown bool) {
+	switch word {
+	case wordServed, wordNotModified:
+		return routing.OutcomeServed, true
+	case wordMiss:
+		return routing.OutcomeMiss, true
+	case wordRejected:
+		return routing.OutcomeRejected, true
+	case wordError:
+		return routing.OutcomeError, true
+	case wordSkipped:
+		return routing.OutcomeSkipped, true
+	}
+	return "", false
 }
 
-var cacheStatusesByWord = map[string]routing.CacheStatus{
-	"TCP_HIT":       routing.CacheHit,
-	"TCP_MISS":      routing.FilledFromSource,
-	"TCP_MISS_ROOT": routing.FilledFromOrigin,
-	"TCP_JOIN":      routing.JoinedFill,
-	"TCP_STALE":     routing.ServedStale,
-	"PEER_DENY":     routing.SourceRejected,
-	"PEER_DEAD":     routing.SourceUnreachable,
-	"PEER_MISS":     routing.SourceMissed,
-	"FILL_FULL":     routing.FillsExhausted,
-	"ROOT_FAIL":     routing.OriginFailed,
+// cacheStatusOf returns the cache status that a word stands for.
+func cacheStatusOf(word string) (status routing.CacheStatus, isKnown bool) {
+	switch word {
+	case "TCP_HIT":
+		return routing.CacheHit, true
+	case "TCP_MISS":
+		return routing.FilledFromSource, true
+	case "TCP_MISS_ROOT":
+		return routing.FilledFromOrigin, true
+	case "TCP_JOIN":
+		return routing.JoinedFill, true
+	case "TCP_STALE":
+		return routing.ServedStale, true
+	case "PEER_DENY":
+		return routing.SourceRejected, true
+	case "PEER_DEAD":
+		return routing.SourceUnreachable, true
+	case "PEER_MISS":
+		return routing.SourceMissed, true
+	case "FILL_FULL":
+		return routing.FillsExhausted, true
+	case "ROOT_FAIL":
+		return routing.OriginFailed, true
+	}
+	return routing.CacheStatusUnknown, false
 }
 
 // parseResponse parses the array ID WORD [FIELDS [BODY]]. Unknown fields are skipped; an unknown word is an error, as
@@ -54,8 +76,8 @@
 		return "", result, fmt.Errorf("%w: %d parts", errMalformed, len(parts))
 	}
 	word := string(parts[1])
-	outcome, known := outcomesByWord[word]
-	if !known {
+	outcome, isKnown := outcomeOf(word)
+	if !isKnown {
 		return "", result, fmt.Errorf("%w: unknown word %.20q", errMalformed, word)
 	}
 	result.Outcome = outcome
@@ -80,8 +102,8 @@
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
 		case "n":
-			status, known := cacheStatusesByWord[value]
-			if !known {
+			status, isKnown := cacheStatusOf(value)
+			if !isKnown {
 				return fmt.Errorf("%w: unknown note %.20q", errMalformed, value)
 			}
 			result.CacheStatus = int(status)
