--- a/internal/msgpackrpc/codec_test.go
+++ b/internal/msgpackrpc/codec_test.go
@@ -14,9 +14,11 @@
 	"testing/iotest"
 
 	"pgregory.net/rapid"
+
+	"spantack/internal/router"
 )
 
-// encode is the test's own writer of MessagePack, for what clients send and the server never does.
+// encode encodes a value as MessagePack, also those that clients send and the server never does.
 func encode(buf []byte, v any) []byte {
 	switch v := v.(type) {
 	case nil:
@@ -50,7 +52,7 @@
 	return []any{uint64(0), rapid.Uint64().Draw(t, "id"), "segment", []any{fields, body}}
 }
 
-// Whatever way the network cuts a stream of messages, they come out as they went in.
+// However the network splits a stream of messages, they come out as they went in.
 func TestCutMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
@@ -104,7 +106,7 @@
 	})
 }
 
-// A length is checked before it is believed: four bytes must not make the router allocate gigabytes.
+// A length is checked before anything is allocated for it: four bytes must not make the router allocate gigabytes.
 func TestLengths(t *testing.T) {
 	for _, text := range []string{"\xdd\xff\xff\xff\xff", "\xdf\xff\xff\xff\xff", "\xc6\xff\xff\xff\xff",
 		"\xdb\x00\x02\x00\x00", strings.Repeat("\x91", 1000), "\xc1"} {
@@ -136,26 +138,30 @@
 		return map[string]any{"ref": "9b1f03aa5c7e2d41", "allow": "1500", "lookup": "7f3a9c21e0b4d655", "block": "3",
 			"family": "17", "room": "412.5", "cached": "4be0c1927d55a6f3", "replay": "5c0f6e1a2b3d4c59"}
 	}
-	q, err := parseRequest("segment", []any{good(), []byte("body")}, true)
-	if err != nil || q.ID != "9b1f03aa5c7e2d41" || q.ClientTimeout != 1500 || q.Object != "7f3a9c21e0b4d655" || q.Chunk != 3 ||
-		q.PurgeGroup != 17 || q.SizeKB != 412.5 || q.ClientETag != "4be0c1927d55a6f3" || q.IdempotencyKey != "5c0f6e1a2b3d4c59" ||
-		string(q.Body) != "body" || q.Class != "segment" {
-		t.Fatalf("%+v, %v", q, err)
+	want := router.Request{ID: "9b1f03aa5c7e2d41", Class: "segment", Object: "7f3a9c21e0b4d655", Chunk: 3, PurgeGroup: 17,
+		SizeKB: 412.5, IdempotencyKey: "5c0f6e1a2b3d4c59", ClientETag: "4be0c1927d55a6f3", ClientTimeout: 1500,
+		Body: []byte("body")}
+	got, err := parseRequest("segment", []any{good(), []byte("body")}, true)
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Fatalf("%+v, %v", got, err)
 	}
-	for name, value := range map[string]any{"ref": "", "allow": "soon", "lookup": "a,next=s-1", "block": "-1",
-		"family": "NaN", "room": "1e400", "cached": uint64(4), "replay": strings.Repeat("a", 65)} {
+	wantFieldError := func(name string, value any) {
+		t.Helper()
 		bad := good()
 		bad[name] = value
-		if _, err := parseRequest("segment", []any{bad, []byte(nil)}, true); err == nil || !strings.Contains(err.Error(), name) {
+		_, err := parseRequest("segment", []any{bad, []byte(nil)}, true)
+		var fieldErr *fieldError
+		if !errors.As(err, &fieldErr) || fieldErr.field != name || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s = %v: %v", name, value, err)
 		}
 	}
-	for _, pair := range [][2]string{{"block", "2.5"}, {"block", "0x10"}, {"family", "256"}, {"ref", "r2"}, {"lookup", "7f3a9c21e0b4d65g"},
-		{"allow", "-1"}, {"allow", "NaN"}, {"allow", "Inf"}, {"room", "Inf"}} { // caches close on ids that are none
-		bad := good()
-		bad[pair[0]] = pair[1]
-		if _, err := parseRequest("segment", []any{bad, []byte(nil)}, true); err == nil || !strings.Contains(err.Error(), pair[0]) {
-			t.Errorf("%s = %s: %v", pair[0], pair[1], err)
-		}
+	for name, value := range map[string]any{"ref": "", "allow": "soon", "lookup": "a,next=s-1", "block": "-1",
+		"family": "NaN", "room": "1e400", "cached": uint64(4), "replay": strings.Repeat("a", 65)} {
+		wantFieldError(name, value)
+	}
+	for _, pair := range [][2]string{{"block", "2.5"}, {"block", "0x10"}, {"family", "256"},
+		{"ref", "r2"}, {"lookup", "7f3a9c21e0b4d65g"}, // caches close the connection on ids that are none
+		{"allow", "-1"}, {"allow", "NaN"}, {"allow", "Inf"}, {"room", "Inf"}} {
+		wantFieldError(pair[0], pair[1])
 	}
 }
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -21,7 +21,7 @@
 	maxOpenRequests    = 32                  // on one connection, as the protocol allows
 	maxQueuedResponses = 4 * maxOpenRequests // waiting to be written on one connection
 	requestOverhead    = 8 << 10             // bytes that an open request takes besides its body
-	connQuotaDivisor   = 8                   // a connection may hold 1/connQuotaDivisor of MaxQueuedBytes while memory is short
+	connQuotaDivisor   = 8                   // 1/connQuotaDivisor of MaxQueuedBytes is a connection's quota while memory is short
 	readBufferSize     = 4 << 10             // bytes
 
 	firstMessageTimeout = 2_000  // for the first message: clients connect to send one at once
@@ -41,8 +41,8 @@
 	drainRetryAfter    = "1000" // of a request to a draining server
 )
 
-// Server serves clients over MessagePack-RPC. Its exported fields are set before Serve, but for the three that bound the
-// shutdown: they are read after the context of Serve has ended.
+// Server serves clients over MessagePack-RPC. Its exported fields are set before Serve, but for the three that bound
+// the shutdown: they are read after the context of Serve has ended.
 type Server struct {
 	// Handle serves one request; it runs in a goroutine of its own. Its context ends when the client no longer waits.
 	Handle func(context.Context, router.Request) router.Response
