--- /dev/null
+++ b/internal/discovery/initialevents.go
@@ -0,0 +1,138 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+
+	"spantack/internal/router"
+	"spantack/routing"
+)
+
+// initialEvents is the settings' document `known`: what the discovery service sent before the start.
+type initialEvents struct {
+	LastNumber uint64         `json:"rev"`
+	Events     []initialEvent `json:"notices"`
+}
+
+// initialEvent is an event of the endpoint list or a purge.
+type initialEvent struct {
+	Number  uint64      `json:"rev"`
+	Servers *serverList `json:"pool"`  // nil: a purge
+	Purge   *purgeEvent `json:"flush"` // nil: an event of the endpoint list
+}
+
+// serverList is a snapshot of the endpoint list, or a change of it.
+type serverList struct {
+	IsSnapshot bool           `json:"all"`
+	Servers    []listedServer `json:"targets"`
+}
+
+// listedServer is an entry of the endpoint list.
+type listedServer struct {
+	ID        string  `json:"uid"`
+	Addr      string  `json:"endpoint"`
+	Zone      string  `json:"az"`
+	Kind      string  `json:"model"`
+	Cell      int64   `json:"pod_group"`
+	State     string  `json:"state"`
+	Weight    float64 `json:"capacity_hint"`
+	StartedAt float64 `json:"boot_ms"` // Unix milliseconds
+}
+
+// purgeEvent names what is purged: an object, or a group if that is empty.
+type purgeEvent struct {
+	Object string  `json:"asset"`
+	Group  int64   `json:"collection"`
+	Before float64 `json:"ms"` // Unix milliseconds
+}
+
+// statusesByState maps the states of the document.
+var statusesByState = map[string]routing.EndpointStatus{
+	"Ready":       routing.EndpointHealthy,
+	"Terminating": routing.EndpointDraining,
+	"Gone":        routing.EndpointRemoved,
+}
+
+var (
+	errNeitherKind = errors.New("neither pool nor flush")
+	errMissing     = errors.New("missing")
+)
+
+// ParseInitialEvents reads the settings' document `known`, the events from before the start in their order. It also
+// returns the number of the last one, after which a Watcher begins. Its errors name the field by its path.
+func ParseInitialEvents(text []byte, names Names) (last uint64, events []router.WatchEvent, err error) {
+	var document initialEvents
+	if err := json.Unmarshal(text, &document); err != nil {
+		return 0, nil, err
+	}
+	last = document.LastNumber
+	for i, initial := range document.Events {
+		event, err := initial.watchEvent(names)
+		if err != nil {
+			return 0, nil, fmt.Errorf("notices[%d]%w", i, err)
+		}
+		events = append(events, event)
+		last = max(last, initial.Number)
+	}
+	return last, events, nil
+}
+
+// watchEvent checks an event against the settings' names and converts it. Errors begin with the rest of the path.
+func (e *initialEvent) watchEvent(names Names) (event router.WatchEvent, err error) {
+	switch {
+	case e.Servers != nil:
+		event, err = e.Servers.watchEvent(names)
+		if err != nil {
+			return event, fmt.Errorf(".pool%w", err)
+		}
+		return event, nil
+	case e.Purge != nil:
+		event.Purge = &router.Purge{Object: e.Purge.Object, Group: e.Purge.Group, Before: e.Purge.Before}
+		return event, nil
+	}
+	return event, fmt.Errorf(": %w", errNeitherKind)
+}
+
+// watchEvent checks the list against the settings' names and converts it.
+func (l *serverList) watchEvent(names Names) (event router.WatchEvent, err error) {
+	event.IsSnapshot = l.IsSnapshot
+	for i, listed := range l.Servers {
+		server, err := listed.server(names)
+		if err != nil {
+			return event, fmt.Errorf(".targets[%d]%w", i, err)
+		}
+		event.Servers = append(event.Servers, server)
+	}
+	return event, nil
+}
+
+// server checks an entry against the settings' names and converts it.
+func (s *listedServer) server(names Names) (server router.Server, err error) {
+	status, isKnown := statusesByState[s.State]
+	_, addrErr := netip.ParseAddrPort(s.Addr)
+	switch {
+	case s.ID == "":
+		return server, fmt.Errorf(".uid: %w", errMissing)
+	case !isKnown:
+		return server, fmt.Errorf(".state: unknown %q", s.State)
+	case addrErr != nil:
+		return server, fmt.Errorf(".endpoint: %w", addrErr)
+	case !slices.Contains(names.Zones, s.Zone):
+		return server, fmt.Errorf(".az: unknown %q", s.Zone)
+	case !slices.Contains(names.Kinds, s.Kind):
+		return server, fmt.Errorf(".model: unknown %q", s.Kind)
+	}
+	return router.Server{
+		ID:        s.ID,
+		Addr:      s.Addr,
+		Zone:      s.Zone,
+		Kind:      s.Kind,
+		Cell:      s.Cell,
+		Status:    string(status),
+		Weight:    s.Weight,
+		StartedAt: s.StartedAt,
+	}, nil
+}
--- a/internal/discovery/interleavings_test.go
+++ b/internal/discovery/interleavings_test.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"encoding/binary"
 	"net"
 	"strings"
 	"testing"
@@ -15,71 +16,90 @@
 	"spantack/internal/testwait"
 )
 
-// acceptWatch accepts a watcher's connection and reads the event number that it resumes after.
-func acceptWatch(t *testing.T, l net.Listener) net.Conn {
+// acceptWatch accepts a connection of a watcher that starts with LastApplied 41 and has applied nothing since.
+func acceptWatch(t *testing.T, listener net.Listener) net.Conn {
 	t.Helper()
-	return acceptWatchAfter(t, l, "\x00\x00\x00\x00\x00\x00\x00\x29")
+	return acceptWatchAfter(t, listener, 41)
 }
 
-// acceptWatchAfter accepts a watcher's connection, which must resume after a given event number.
-func acceptWatchAfter(t *testing.T, l net.Listener, want string) net.Conn {
+// acceptWatchAfter accepts a watcher's connection, which must resume after a given event.
+func acceptWatchAfter(t *testing.T, listener net.Listener, last uint64) net.Conn {
 	t.Helper()
-	return testwait.AcceptHello(t, l, want, "a watcher")
+	return testwait.AcceptHello(t, listener, string(binary.BigEndian.AppendUint64(nil, last)), "a watcher")
 }
 
-// A watch falls silent at each point, or sends too little too slowly, with the last router of a fleet of hundreds waiting for its slot
-// besides: an update on the next connection is in force within the 4 s after a stop at which it binds; where the next is silent too, within
-// the 7 s after which every update binds.
+// A watch falls silent at each point, or sends too little too slowly, while the router's retry has the last slot of a
+// fleet of hundreds: an update on the next connection is applied within the 4 s after the silence began, when it binds;
+// where the next connection is silent too, within the 7 s after which every update binds.
 func TestSilence(t *testing.T) {
 	event := appendFrame(nil, 42, kindUpdate, []byte(record))
-	for name, part := range map[string][]byte{"before the first frame": nil, "in a frame's head": event[:2], "in its number": event[:9],
-		"in its payload": event[:len(event)-1], "a byte at a time": event, "before the first frame, twice": nil} {
+	const (
+		slowly = "a byte at a time"
+		twice  = "before the first frame, twice"
+	)
+	for name, part := range map[string][]byte{
+		"before the first frame": nil,
+		"in a frame's head":      event[:2],
+		"in its number":          event[:9],
+		"in its payload":         event[:len(event)-1],
+		slowly:                   event,
+		twice:                    nil,
+	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			l := testwait.Listen(t)
+			listener := testwait.Listen(t)
 			applied := make(chan router.WatchEvent, 8)
-			w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), RetrySchedule: backoff.Schedule{Rank: 299, FleetSize: 300},
-				Apply: func(n router.WatchEvent) { applied <- n }}
-			w.SetAddress(l.Addr().String())
-			go w.Run(t.Context())
-			first := acceptWatch(t, l)
-			silent := testwait.StartStopwatch()
-			if name == "a byte at a time" {
-				go func() {
-					for _, b := range part {
-						if _, err := first.Write([]byte{b}); err != nil {
-							return
-						}
-						time.Sleep(800 * time.Millisecond) // always something new within the time for silence
-					}
-				}()
+			watcher := &Watcher{
+				Names:         names,
+				LastApplied:   41,
+				Apply:         func(event router.WatchEvent) { applied <- event },
+				RetrySchedule: backoff.Schedule{Rank: 299, FleetSize: 300},
+				Clock:         &clock.Clock{},
+				Log:           zerolog.Nop(),
+			}
+			watcher.SetAddress(listener.Addr().String())
+			go watcher.Run(t.Context())
+			first := acceptWatch(t, listener)
+			silence := testwait.StartStopwatch()
+			if name == slowly {
+				go writeSlowly(first, part)
 			} else {
 				first.Write(part)
 			}
 			limit := 4 * time.Second
-			if strings.HasSuffix(name, "twice") {
-				acceptWatch(t, l)
+			if name == twice {
+				acceptWatch(t, listener)
 				limit = 7 * time.Second
 			}
-			acceptWatch(t, l).Write(event)
+			acceptWatch(t, listener).Write(event)
 			testwait.Receive(t, applied, "the event to be applied")
-			if took := silent.Elapsed(); took > limit {
-				t.Errorf("in force %v after the stop", took)
+			if took := silence.Elapsed(); took > limit {
+				t.Errorf("applied %v after the silence began", took)
 			}
 		})
 	}
 }
 
-// hookWriter is a log that calls a function at its first line: the watcher is about to wait for its retry.
+// writeSlowly writes a byte at a time, each well within silenceTimeout, until all are written or the connection ends.
+func writeSlowly(conn net.Conn, text []byte) {
+	for _, b := range text {
+		if _, err := conn.Write([]byte{b}); err != nil {
+			return
+		}
+		time.Sleep(800 * time.Millisecond)
+	}
+}
+
+// hookWriter is a log that calls a function at its first line: the watcher is about to wait for its retry then.
 type hookWriter struct {
-	do   func()
-	done bool
+	hook   func()
+	called bool
 }
 
 func (h *hookWriter) Write(line []byte) (int, error) {
-	if !h.done {
-		h.done = true
-		h.do()
+	if !h.called {
+		h.called = true
+		h.hook()
 	}
 	return len(line), nil
 }
@@ -87,32 +107,43 @@
 // The address changes twice in a row just as a watcher begins to wait for a retry: it connects to the last one.
 func TestAddressChangesTwiceBeforeRetry(t *testing.T) {
 	old, skipped, last := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
-	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, RetrySchedule: backoff.Schedule{Rank: 7, FleetSize: 300},
-		Apply: func(router.WatchEvent) {}}
-	w.Log = zerolog.New(&hookWriter{do: func() {
-		w.SetAddress(skipped.Addr().String())
-		w.SetAddress(last.Addr().String())
+	watcher := &Watcher{
+		Names:         names,
+		LastApplied:   41,
+		Apply:         func(router.WatchEvent) {},
+		RetrySchedule: backoff.Schedule{Rank: 7, FleetSize: 300},
+		Clock:         &clock.Clock{},
+	}
+	watcher.Log = zerolog.New(&hookWriter{hook: func() {
+		watcher.SetAddress(skipped.Addr().String())
+		watcher.SetAddress(last.Addr().String())
 	}})
-	w.SetAddress(old.Addr().String())
-	go w.Run(t.Context())
+	watcher.SetAddress(old.Addr().String())
+	go watcher.Run(t.Context())
 	acceptWatch(t, old).Close()
-	began := testwait.StartStopwatch()
+	lost := testwait.StartStopwatch()
 	acceptWatch(t, last)
-	if took := began.Elapsed(); took > 2*time.Second {
-		t.Errorf("%v until it asked at the new address", took)
+	if took := lost.Elapsed(); took > 2*time.Second {
+		t.Errorf("%v until it connected to the new address", took)
 	}
 	skipped.SetDeadline(time.Now())
 	if _, err := skipped.Accept(); err == nil {
-		t.Error("it went to the address that was left at once")
+		t.Error("it connected to the address that was replaced at once")
 	}
 }
 
-// The address changes while a watcher still dials the old one, where nobody listens any more.
+// The address changes while a watcher still dials the old one, where nobody listens any longer.
 func TestAddressChangesWhileDialling(t *testing.T) {
 	last := testwait.Listen(t)
-	w := &Watcher{Names: names, LastApplied: 41, Clock: &clock.Clock{}, Log: zerolog.Nop(), Apply: func(router.WatchEvent) {}}
-	w.SetAddress(loopback.FreeAddress())
-	go w.Run(t.Context())
-	w.SetAddress(last.Addr().String())
+	watcher := &Watcher{
+		Names:       names,
+		LastApplied: 41,
+		Apply:       func(router.WatchEvent) {},
+		Clock:       &clock.Clock{},
+		Log:         zerolog.Nop(),
+	}
+	watcher.SetAddress(loopback.FreeAddress())
+	go watcher.Run(t.Context())
+	watcher.SetAddress(last.Addr().String())
 	acceptWatch(t, last)
 }
