--- a/core/cells/origin_limit.go
+++ b/core/cells/origin_limit.go
@@ -129,7 +129,7 @@
 func (g *originGate) send(now int64, limit float64) {
 	g.announced = limit
 	g.engine.Step(now, []routing.Event{{
-		Kind:                    routing.EventSubset,
+		Kind:                    routing.EventOriginFillBounds,
 		MaxPossibleOriginFills:  limit,
 		MaxConfirmedOriginFills: g.lease,
 	}})
--- a/routing/subsets.go
+++ b/routing/subsets.go
@@ -40,12 +40,8 @@
 }
 
 // defineSubset defines a subset, or drops it, and sets its accounting group's share of what all groups share. Subset 0
-// is never defined; an event with it is taken as EventOriginFillBounds.
+// is never defined.
 func (e *Engine) defineSubset(ev *Event) {
-	if ev.Subset == 0 {
-		e.boundOriginFills(ev)
-		return
-	}
 	if len(ev.SubsetServers) == 0 {
 		delete(e.subsets, ev.Subset)
 		return
