--- a/routing/handover.go
+++ b/routing/handover.go
@@ -1,7 +1,6 @@
 package routing
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 	"math"
@@ -201,12 +200,12 @@
 		return &LearnedStateError{"Peak, Recent or Spare"}
 	}
 	for i := range s.Servers {
-		if err := s.Servers[i].validate(now); err != nil {
-			return &LearnedStateError{fmt.Sprintf("Nodes[%d].%v", i, err)}
+		if problem := s.Servers[i].problem(now); problem != "" {
+			return &LearnedStateError{fmt.Sprintf("Nodes[%d].%s", i, problem)}
 		}
 	}
-	if err := s.OriginFills.validate(now); err != nil {
-		return &LearnedStateError{fmt.Sprintf("Behind.%v", err)}
+	if problem := s.OriginFills.problem(now); problem != "" {
+		return &LearnedStateError{"Behind." + problem}
 	}
 	for i, class := range s.Classes {
 		areMeansPlausible := arePlausible(class.MeanSendTime, class.TailMultiple)
@@ -222,31 +221,31 @@
 	return nil
 }
 
-// validate checks that the state can't eject a server for long or put an index out of range. The error starts with the
-// field's name.
-func (s *ServerState) validate(now int64) error {
+// problem returns what in the state could eject a server for long or put an index out of range, starting with the name
+// of the field in the stored file; "" if nothing could.
+func (s *ServerState) problem(now int64) string {
 	sums := []float64{s.ConcurrencyLimit, s.AnswerCount, s.RecentAnswers.Sum, s.RecentWork.Sum}
 	switch {
 	case !arePlausible(sums...) || !isShare(s.MissRatio) || !isShare(s.ColdDraw):
-		return errors.New("Limit, MissPart, Answered, Answers, Work or Luck")
+		return "Limit, MissPart, Answered, Answers, Work or Luck"
 	case s.BreakerOpenUntil > now+maxBreakerOpenAhead || s.BreakerOpenUntil < 0 || s.NextOutcome < 0:
-		return errors.New("Until or Next")
+		return "Until or Next"
 	case !arePlausible(s.OutcomeWeights[:]...) || !arePlausible(s.FailureWeights[:]...):
-		return errors.New("Weights or Failed")
+		return "Weights or Failed"
 	case len(s.ColdSends) > maxColdSends:
-		return fmt.Errorf("Spent: %d, %d at most", len(s.ColdSends), maxColdSends)
+		return fmt.Sprintf("Spent: %d, %d at most", len(s.ColdSends), maxColdSends)
 	}
 	latest := max(s.LimitReducedAt, s.ColdDrawAt, s.RecentAnswers.UpdatedAt, s.RecentWork.UpdatedAt)
 	for _, send := range s.ColdSends {
 		latest = max(latest, send.SentAt)
 		if math.IsNaN(send.Work) || math.Abs(send.Work) > maxLearnedFigure { // what never reached a server is negative
-			return fmt.Errorf("Spent: Work %v", send.Work)
+			return fmt.Sprintf("Spent: Work %v", send.Work)
 		}
 	}
 	if latest > now+maxLearnedStateAge {
-		return fmt.Errorf("a time %d us ahead", latest-now)
+		return fmt.Sprintf("a time %d us ahead", latest-now)
 	}
-	return nil
+	return ""
 }
 
 // isShare reports that a figure is from 0 to 1.
