--- a/core/fleet/health_reports.go
+++ b/core/fleet/health_reports.go
@@ -243,5 +243,5 @@
 
 // broadcastHealthReport sends a report to all members.
 func (n *Node) broadcastHealthReport(server uint32, condition Condition) {
-	n.send(Broadcast, message{kind: healthReportMessage, server: server, condition: condition})
+	n.send(Broadcast, &message{kind: healthReportMessage, server: server, condition: condition})
 }
--- a/core/fleet/lease_tree.go
+++ b/core/fleet/lease_tree.go
@@ -36,7 +36,7 @@
 	if to >= n.options.FleetSize {
 		return // a rank that may join later, and is not in the settings yet
 	}
-	n.send(to, message{kind: messageKindOf[m.Kind], limit: limit, lease: *m})
+	n.send(to, &message{kind: messageKindOf[m.Kind], limit: limit, lease: *m})
 }
 
 // handleTreeMessage takes in a message of a limit's tree. Where this router keeps its limits in no tree it is passed
--- a/core/fleet/limit_holder.go
+++ b/core/fleet/limit_holder.go
@@ -52,7 +52,7 @@
 	if stamp == 0 {
 		return // 0 is no stamp: the next request will be answered
 	}
-	l.node.send(m.rank, message{
+	l.node.send(m.rank, &message{
 		kind:            leaseGrantMessage,
 		limit:           l.index,
 		amount:          amount,
--- a/core/fleet/limit_lessee.go
+++ b/core/fleet/limit_lessee.go
@@ -99,7 +99,7 @@
 		l.voteExpiresAt = now + voteLifetime
 		l.node.Counts.VotesSent++
 	}
-	l.node.send(holder, m)
+	l.node.send(holder, &m)
 	l.requests[l.requestCount%maxPendingRequests] = request{sequence: l.node.sequence, sentAt: now}
 	l.requestCount++
 	l.unansweredRequests++
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -239,7 +239,7 @@
 }
 
 // send hands out a message of this process, with updates where there is room for them.
-func (n *Node) send(to int, m message) {
+func (n *Node) send(to int, m *message) {
 	n.sequence++
 	m.rank = n.options.Rank
 	m.site = n.options.Site
--- a/core/fleet/probing.go
+++ b/core/fleet/probing.go
@@ -125,7 +125,7 @@
 		m.limit = int(n.sequence) % len(n.limits)
 		m.holder = n.limits[m.limit].currentHolder(n.lastCalledAt)
 	}
-	n.send(to, m)
+	n.send(to, &m)
 }
 
 // handlePing answers a probe of this router.
