--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter hosts routers on the simulator's wire: one routing.Engine for each instance, nothing shared.
+// Command simadapter hosts router instances for the simulator: one routing.Engine for each instance, nothing shared. It
+// reads the simulator's wire from its input, replies on its output, and exits with 1 after an input that it can't use.
 package main
 
 import (
@@ -10,6 +11,9 @@
 	"spantack/routing"
 )
 
+// replyEnd is the last line of the reply to a batch.
+const replyEnd = "READY\n"
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
@@ -17,11 +21,11 @@
 	}
 }
 
-// run answers batches until the input ends. A reply is written whole or not at all.
+// run replies to batches until the input ends. A reply is written in full or not at all.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
-	routers := map[string]*routing.Engine{}
-	var buf []byte
+	instances := host{}
+	var reply []byte
 	for {
 		batch, err := reader.Read()
 		if err == io.EOF {
@@ -30,58 +34,65 @@
 		if err != nil {
 			return err
 		}
-		if buf, err = handleBatch(buf[:0], routers, batch); err != nil {
+		reply, err = instances.appendReply(reply[:0], batch)
+		if err != nil {
 			return err
 		}
-		if _, err := out.Write(append(buf, "READY\n"...)); err != nil {
+		reply = append(reply, replyEnd...)
+		if _, err := out.Write(reply); err != nil {
 			return err
 		}
 	}
 }
 
-// handleBatch takes the events of a batch to their instances, each instance's in one step, in the order of first events.
-func handleBatch(buf []byte, routers map[string]*routing.Engine, batch *simwire.Batch) ([]byte, error) {
+// host holds the running instances by name.
+type host map[string]*routing.Engine
+
+// appendReply gives the events of a batch to their instances, all of an instance in one step, and appends the actions.
+// Instances are stepped in the order of their first messages. A start or a stop discards the events before it.
+func (h host) appendReply(buf []byte, batch *simwire.Batch) ([]byte, error) {
 	var order []string
 	pending := map[string][]routing.Event{}
-	for _, it := range batch.Messages {
-		events, listed := pending[it.Instance]
-		if !listed {
-			order = append(order, it.Instance)
-			pending[it.Instance] = nil
+	for _, message := range batch.Messages {
+		name := message.Instance
+		events, isListed := pending[name]
+		if !isListed {
+			order = append(order, name)
+			pending[name] = nil
 		}
 		switch {
-		case it.IsStop:
-			delete(routers, it.Instance)
-			pending[it.Instance] = nil
-		case it.IsStart:
-			router, err := routing.NewEngine(*it.Settings, it.Seed)
+		case message.IsStop:
+			delete(h, name)
+			pending[name] = nil
+		case message.IsStart:
+			engine, err := routing.NewEngine(*message.Settings, message.Seed)
 			if err != nil {
-				return buf, fmt.Errorf("settings of %s: %w", it.Instance, err)
+				return buf, fmt.Errorf("settings of %s: %w", name, err)
 			}
-			routers[it.Instance] = router
-			pending[it.Instance] = nil
-		case routers[it.Instance] != nil:
-			pending[it.Instance] = append(events, it.Event)
+			h[name] = engine
+			pending[name] = nil
+		case h[name] != nil:
+			pending[name] = append(events, message.Event)
 		}
 	}
-	for _, id := range order {
-		if events := pending[id]; len(events) > 0 {
-			buf = stepEngine(buf, id, routers[id], batch.Time, events)
+	for _, name := range order {
+		if events := pending[name]; len(events) > 0 {
+			buf = appendStep(buf, name, h[name], batch.Time, events)
 		}
 	}
 	return buf, nil
 }
 
-// stepEngine runs one router; a panic in it becomes the wire's PANIC.
-func stepEngine(buf []byte, id string, router *routing.Engine, now int64, events []routing.Event) (out []byte) {
+// appendStep steps one instance and appends its actions. A panic in it is reported to the simulator in their place.
+func appendStep(buf []byte, name string, engine *routing.Engine, now int64, events []routing.Event) (out []byte) {
 	defer func() {
-		if p := recover(); p != nil {
-			out = simwire.AppendPanic(buf, id, fmt.Sprint(p))
+		if reason := recover(); reason != nil {
+			out = simwire.AppendPanic(buf, name, fmt.Sprint(reason))
 		}
 	}()
 	out = buf
-	for _, a := range router.Step(now, events) {
-		out = simwire.AppendAction(out, id, a)
+	for _, action := range engine.Step(now, events) {
+		out = simwire.AppendAction(out, name, action)
 	}
 	return out
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,16 +7,20 @@
 	"testing"
 )
 
-const boot = `{"Classes":[{"Name":"page","Deadline":3000000,"Promise":300000,"Idempotency":"read_like"}],` +
+// settings are those of an instance in zone east with one class.
+const settings = `{"Classes":[{"Name":"page","Deadline":3000000,"Promise":300000,"Idempotency":"read_like"}],` +
 	`"Extra":{"MasterKind":2,"ShieldKind":1,"FreshFor":[0]},"Kinds":["box","hub","origin"],` +
 	`"Permissions":{"MaxAttempts":3},"Zone":"east","Zones":["east","hub"]}`
 
-func birth(id string) string {
+// start is the message that starts an instance, and its endpoint list.
+func start(id string) string {
 	return fmt.Sprintf("BORN DirectorId=%s Entropy=4 BootInfo=%s\nFLEET DirectorId=%[1]s Mode=restored Rows=2\n"+
-		"ROW Node=b:1 Campus=east Shape=box Status=healthy\nROW Node=o:1 Campus=hub Shape=origin Status=healthy\n", id, boot)
+		"ROW Node=b:1 Campus=east Shape=box Status=healthy\nROW Node=o:1 Campus=hub Shape=origin Status=healthy\n",
+		id, settings)
 }
 
-func play(t *testing.T, text string) string {
+// reply returns the whole output for an input.
+func reply(t *testing.T, text string) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(strings.NewReader(text), &out); err != nil {
@@ -26,21 +30,22 @@
 }
 
 func TestRun(t *testing.T) {
-	knock := func(id string) string {
+	request := func(id string) string {
 		return fmt.Sprintf("KNOCK DirectorId=%s Call=a1 Qos=page Resource=x ExpiresIn=9000\n", id)
 	}
-	both := play(t, "ROUND Time=1000\nOVER_TO_YOU\nROUND Time=2000\n"+birth("d1")+birth("d2")+knock("d1")+knock("d2")+"OVER_TO_YOU\n")
+	both := reply(t, "ROUND Time=1000\nOVER_TO_YOU\n"+
+		"ROUND Time=2000\n"+start("d1")+start("d2")+request("d1")+request("d2")+"OVER_TO_YOU\n")
 	want := "ANSWER_FROM DirectorId=d1 Call=a1 GiveUpAfter=9000 Node=b:1 Feeder=o:1"
 	if !strings.HasPrefix(both, "READY\n") || !strings.Contains(both, want) || strings.Count(both, "READY\n") != 2 {
 		t.Errorf("reply %q", both)
 	}
-	alone := play(t, "ROUND Time=2000\n"+birth("d1")+knock("d1")+"OVER_TO_YOU\n")
+	alone := reply(t, "ROUND Time=2000\n"+start("d1")+request("d1")+"OVER_TO_YOU\n")
 	if !strings.Contains(both, strings.TrimSuffix(alone, "READY\n")) {
-		t.Errorf("an instance acts otherwise beside another:\n%s\n%s", alone, both)
+		t.Errorf("an instance acts differently beside another:\n%s\n%s", alone, both)
 	}
-	gone := play(t, "ROUND Time=2000\n"+birth("d1")+"SHUTDOWN DirectorId=d1\n"+knock("d1")+"OVER_TO_YOU\n")
-	if gone != "READY\n" {
-		t.Errorf("a stopped instance acts: %q", gone)
+	stopped := reply(t, "ROUND Time=2000\n"+start("d1")+"SHUTDOWN DirectorId=d1\n"+request("d1")+"OVER_TO_YOU\n")
+	if stopped != "READY\n" {
+		t.Errorf("a stopped instance acts: %q", stopped)
 	}
 }
 
--- /dev/null
+++ b/internal/simwire/fields.go
@@ -0,0 +1,98 @@
+package simwire
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// fields are the name=value pairs of a line, with a space between two of them.
+type fields struct {
+	text     string
+	lastName string // the value of the field of this name extends to the end of the line; empty: none does
+}
+
+// next removes the first pair and returns it.
+func (f *fields) next() (name, value string, err error) {
+	name, rest, isPair := strings.Cut(f.text, "=")
+	if !isPair || name == "" || strings.Contains(name, " ") {
+		return "", "", fmt.Errorf("not a name=value pair: %q", f.text)
+	}
+	if name == f.lastName {
+		f.text = ""
+		return name, rest, nil
+	}
+	value, f.text, _ = strings.Cut(rest, " ")
+	return name, value, nil
+}
+
+// require returns an error that names the first of the given fields which the line does not have. The line must be
+// well-formed.
+func (f fields) require(names ...string) error {
+	for _, name := range names {
+		if !f.has(name) {
+			return missingFieldError(name)
+		}
+	}
+	return nil
+}
+
+// has reports whether the line has a field.
+func (f fields) has(wanted string) bool {
+	for f.text != "" {
+		name, _, err := f.next()
+		if err != nil {
+			return false
+		}
+		if name == wanted {
+			return true
+		}
+	}
+	return false
+}
+
+// fieldError says which field has a value that can't be used.
+func fieldError(name string, err error) error { return fmt.Errorf("%s: %w", name, err) }
+
+// parseInt parses an integer into a field, which holds int64 or int.
+func parseInt[T ~int | ~int64](field *T, value string) error {
+	n, err := strconv.ParseInt(value, 10, 64)
+	*field = T(n)
+	return err
+}
+
+// parseCount parses a number of lines.
+func parseCount(value string) (int, error) {
+	n, err := strconv.Atoi(value)
+	if n < 0 {
+		return 0, errNegativeCount
+	}
+	return n, err
+}
+
+// parseFloat parses a number into a field.
+func parseFloat(field *float64, value string) (err error) {
+	*field, err = strconv.ParseFloat(value, 64)
+	return err
+}
+
+// parseBool parses 0 or 1 into a field.
+func parseBool(field *bool, value string) error {
+	if value != "0" && value != "1" {
+		return errNotBoolean
+	}
+	*field = value == "1"
+	return nil
+}
+
+// parseLoadReport parses numbers with commas between them, and appends them to a field.
+func parseLoadReport(field *[]float64, value string) error {
+	for part := range strings.SplitSeq(value, ",") {
+		n, err := strconv.ParseFloat(part, 64)
+		if err != nil {
+			return err
+		}
+		*field = append(*field, n)
+	}
+	return nil
+}
