--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// allowed says which of our own packages those of each place may import; tests are free.
+// allowed says which places of this module the packages of each place may import. Test files may import any.
 var allowed = map[string][]string{
 	"routing":        {},
 	"core":           {"routing", "core"},
@@ -28,12 +28,13 @@
 	"cmd/simadapter": {"routing", "internal"},
 }
 
-// pure places do no I/O and read no clock.
+// pure places do no I/O, read no clock and draw no random numbers of their own: the caller gives them all of that.
 var pure = []string{"routing", "core", "emulator"}
 
 var (
-	outside = []string{"net", "net/http", "os", "os/exec", "os/signal", "io/fs", "syscall", "crypto/tls", "math/rand", "crypto/rand", "embed"}
-	clocks  = regexp.MustCompile(`\btime\.(Now|Sleep|After|AfterFunc|NewTimer|NewTicker|Since|Tick)\(`)
+	impurePackages = []string{"net", "net/http", "os", "os/exec", "os/signal", "io/fs", "syscall", "crypto/tls",
+		"math/rand", "crypto/rand", "embed"}
+	clockCalls = regexp.MustCompile(`\btime\.(Now|Sleep|After|AfterFunc|NewTimer|NewTicker|Since|Tick)\(`)
 )
 
 func TestImportsPointOneWay(t *testing.T) {
@@ -42,8 +43,8 @@
 		t.Fatal(err)
 	}
 	files := 0
-	err = filepath.WalkDir(root, func(path string, e fs.DirEntry, err error) error {
-		if err != nil || e.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+	err = filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		rel, err := filepath.Rel(root, path)
@@ -55,52 +56,53 @@
 			return err
 		}
 		files++
-		for _, fault := range faults(filepath.ToSlash(rel), string(text)) {
-			t.Error(fault)
+		for _, violation := range violations(filepath.ToSlash(rel), string(text)) {
+			t.Error(violation)
 		}
 		return nil
 	})
 	if err != nil || files < 40 {
-		t.Fatalf("%d files looked at: %v", files, err)
+		t.Fatalf("%d files checked: %v", files, err)
 	}
 }
 
-// faults of one file against the rules.
-func faults(path, text string) (out []string) {
+// violations returns what a file imports or calls against the rules.
+func violations(path, text string) (found []string) {
 	place, _, _ := strings.Cut(path, "/")
 	if place == "cmd" {
 		place = strings.Join(strings.Split(path, "/")[:2], "/")
 	}
-	may, known := allowed[place]
-	if !known {
+	mayImport, isKnown := allowed[place]
+	if !isKnown {
 		return []string{path + ": in no known place"}
 	}
-	f, err := parser.ParseFile(token.NewFileSet(), path, text, parser.ImportsOnly)
+	file, err := parser.ParseFile(token.NewFileSet(), path, text, parser.ImportsOnly)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	for _, i := range f.Imports {
-		name, err := strconv.Unquote(i.Path.Value)
+	isPure := slices.Contains(pure, place)
+	for _, spec := range file.Imports {
+		name, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
 			return []string{err.Error()}
 		}
-		if own, is := strings.CutPrefix(name, "spantack/"); is {
-			top, _, _ := strings.Cut(own, "/")
-			if !slices.Contains(may, top) {
-				out = append(out, path+" imports "+name)
-			}
-		} else if slices.Contains(pure, place) && slices.Contains(outside, name) {
-			out = append(out, path+" imports "+name)
+		isForbidden := isPure && slices.Contains(impurePackages, name)
+		if ownPath, isOwn := strings.CutPrefix(name, "spantack/"); isOwn {
+			top, _, _ := strings.Cut(ownPath, "/")
+			isForbidden = !slices.Contains(mayImport, top)
+		}
+		if isForbidden {
+			found = append(found, path+" imports "+name)
 		}
 	}
-	if slices.Contains(pure, place) && clocks.MatchString(text) {
-		out = append(out, path+" reads a clock: "+clocks.FindString(text))
+	if call := clockCalls.FindString(text); isPure && call != "" {
+		found = append(found, path+" reads a clock: "+call)
 	}
-	return out
+	return found
 }
 
-// The rules find what they are there to find.
-func TestFaultsAreFound(t *testing.T) {
+// Each rule finds the violation that it is for.
+func TestViolationsAreFound(t *testing.T) {
 	for path, text := range map[string]string{
 		"core/x/x.go":          "package x\nimport \"net\"\n",
 		"core/x/y.go":          "package x\nimport \"time\"\nvar now = time.Now()\n",
@@ -110,7 +112,7 @@
 		"internal/router/x.go": "package router\nimport \"spantack/standin/cache\"\n",
 		"elsewhere/x.go":       "package elsewhere\n",
 	} {
-		if got := faults(path, text); len(got) != 1 {
+		if got := violations(path, text); len(got) != 1 {
 			t.Errorf("%s: %v", path, got)
 		}
 	}
