--- a/cmd/spanctl/migration.go
+++ b/cmd/spanctl/migration.go
@@ -36,7 +36,7 @@
 	}
 	next := *f
 	next.Migration = features.Migration{Enabled: true, Document: *document}
-	if err := assignment.CheckMigrations(document); err != nil {
+	if err := assignment.ValidateMigrations(document); err != nil {
 		return err
 	}
 	return d.save(out, f, &next, section{
--- a/cmd/spanctl/rollout.go
+++ b/cmd/spanctl/rollout.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	if err := assignment.CheckRollout(&release); err != nil {
+	if err := assignment.ValidateRollout(&release); err != nil {
 		return err
 	}
 	next := *f
--- a/core/cells/assignment.go
+++ b/core/cells/assignment.go
@@ -15,7 +15,7 @@
 
 // Compile validates and indexes a specification, which must not be changed afterwards.
 func Compile(spec *Spec) (*Assignment, error) {
-	if err := spec.Check(); err != nil {
+	if err := spec.Validate(); err != nil {
 		return nil, fmt.Errorf("cells.%w", err)
 	}
 	a := &Assignment{
--- a/core/cells/document_validation.go
+++ b/core/cells/document_validation.go
@@ -9,9 +9,9 @@
 	"spantack/core/rollout"
 )
 
-// CheckMigrations validates a document for an assignment: tenants and cells must exist, and a tenant's cell must be one
+// ValidateMigrations validates a document for an assignment: tenants and cells must exist, and a tenant's cell must be one
 // of its migration's two.
-func (a *Assignment) CheckMigrations(document *migration.Document) error {
+func (a *Assignment) ValidateMigrations(document *migration.Document) error {
 	if document == nil {
 		return nil
 	}
@@ -56,9 +56,9 @@
 	return append([]string{""}, named...)
 }
 
-// CheckRollout validates a rollout for an assignment: its rings must name cells and leave one without the release to
+// ValidateRollout validates a rollout for an assignment: its rings must name cells and leave one without the release to
 // compare with.
-func (a *Assignment) CheckRollout(r *rollout.Rollout) error {
+func (a *Assignment) ValidateRollout(r *rollout.Rollout) error {
 	if r == nil {
 		return nil
 	}
--- a/core/cells/document_validation_test.go
+++ b/core/cells/document_validation_test.go
@@ -8,12 +8,12 @@
 	"spantack/core/rollout"
 )
 
-func TestCheckMigrationsNamesTheField(t *testing.T) {
+func TestValidateMigrationsNamesTheField(t *testing.T) {
 	assignment := mustCompile(t, twoCells())
-	if err := assignment.CheckMigrations(migrationOfCalm()); err != nil {
+	if err := assignment.ValidateMigrations(migrationOfCalm()); err != nil {
 		t.Fatal(err)
 	}
-	if err := assignment.CheckMigrations(nil); err != nil {
+	if err := assignment.ValidateMigrations(nil); err != nil {
 		t.Fatal(err)
 	}
 	for want, invalidate := range map[string]func(*migration.Migration){
@@ -24,7 +24,7 @@
 		},
 	} {
 		t.Run(want, func(t *testing.T) {
-			err := assignment.CheckMigrations(migrationOfCalm(invalidate))
+			err := assignment.ValidateMigrations(migrationOfCalm(invalidate))
 			if err == nil || !strings.HasPrefix(err.Error(), want) {
 				t.Errorf("got %v, want %s", err, want)
 			}
@@ -33,13 +33,13 @@
 	nested := twoCells()
 	nested.Scheme = SchemeNested
 	nested.Width = 2
-	err := mustCompile(t, nested).CheckMigrations(migrationOfCalm())
+	err := mustCompile(t, nested).ValidateMigrations(migrationOfCalm())
 	if err == nil || !strings.Contains(err.Error(), "schemes fixed and overflow") {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestCheckRolloutNamesTheField(t *testing.T) {
+func TestValidateRolloutNamesTheField(t *testing.T) {
 	assignment := mustCompile(t, twoCells())
 	for _, test := range []struct {
 		name, want string // "": no error
@@ -55,13 +55,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			release := pricesRelease()
 			test.change(release)
-			err := assignment.CheckRollout(release)
+			err := assignment.ValidateRollout(release)
 			if (err == nil) != (test.want == "") || err != nil && !strings.HasPrefix(err.Error(), test.want) {
 				t.Errorf("got %v, want %s", err, test.want)
 			}
 		})
 	}
-	if err := assignment.CheckRollout(nil); err != nil {
+	if err := assignment.ValidateRollout(nil); err != nil {
 		t.Error(err)
 	}
 }
--- a/core/cells/rollout.go
+++ b/core/cells/rollout.go
@@ -35,10 +35,10 @@
 // RingStatus is the state of one ring of cells. Evidence is, by metric (late answers, failures, fill errors), the
 // logarithm of a likelihood ratio against the release; that of several routers may be added up.
 type RingStatus struct {
-	Cells       []string  `json:"cells"`
-	State       string    `json:"state"`
-	HarmMeasure string    `json:"by,omitempty"` // the metric that showed harm at this router
-	Evidence    []float64 `json:"evidence"`
+	Cells        []string  `json:"cells"`
+	State        string    `json:"state"`
+	HarmedMetric string    `json:"by,omitempty"` // the metric that showed harm at this router
+	Evidence     []float64 `json:"evidence"`
 }
 
 // RolloutStatus describes the rollout; nil without one.
@@ -149,7 +149,7 @@
 			Evidence: g.progress.Evidence(i),
 		}
 		if g.progress.HarmObserved(i) {
-			ring.HarmMeasure = metric.String()
+			ring.HarmedMetric = metric.String()
 		}
 		status.Rings = append(status.Rings, ring)
 	}
--- a/core/cells/rollout_test.go
+++ b/core/cells/rollout_test.go
@@ -137,7 +137,7 @@
 	_, log := runReleaseDay(t, admission, 0.5, 110)
 	ring := admission.RolloutStatus().Rings[0]
 	isLogged := strings.Contains(log, "stopped, by late answers")
-	if !isLogged || ring.State != "stopped" || ring.HarmMeasure != "late answers" {
+	if !isLogged || ring.State != "stopped" || ring.HarmedMetric != "late answers" {
 		t.Errorf("log %q, %+v", log, admission.RolloutStatus())
 	}
 }
--- a/core/cells/scope_test.go
+++ b/core/cells/scope_test.go
@@ -100,7 +100,7 @@
 // With any scheme, no request goes outside the caches that Explain names, and at least two of those are used.
 func TestRequestsStayInTheirTenantsCaches(t *testing.T) {
 	caches := cacheNames(12)
-	for _, scheme := range []string{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow} {
+	for _, scheme := range []Scheme{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow} {
 		spec := twoCells()
 		spec.Scheme = scheme
 		switch scheme {
--- a/core/cells/spec.go
+++ b/core/cells/spec.go
@@ -1,11 +1,14 @@
 package cells
 
-// The schemes by which a tenant gets its caches. docs/cells.md compares them.
+// Scheme is how a tenant gets its caches. docs/cells.md compares the schemes.
+type Scheme string
+
+// The schemes.
 const (
-	SchemeFixed    = "fixed"    // every cache in one cell; a tenant uses all of its cell
-	SchemeShuffle  = "shuffle"  // Width caches for each tenant, drawn from all of the site
-	SchemeNested   = "nested"   // Width caches for each tenant, drawn from its cell
-	SchemeOverflow = "overflow" // as SchemeFixed, and one cell takes what others have no capacity for
+	SchemeFixed    Scheme = "fixed"    // every cache in one cell; a tenant uses all of its cell
+	SchemeShuffle  Scheme = "shuffle"  // Width caches for each tenant, drawn from all of the site
+	SchemeNested   Scheme = "nested"   // Width caches for each tenant, drawn from its cell
+	SchemeOverflow Scheme = "overflow" // as SchemeFixed, and one cell takes what others have no capacity for
 )
 
 // Bounds of a specification.
@@ -22,7 +25,7 @@
 // different versions send a tenant's requests to the cells of either version, and to no other.
 type Spec struct {
 	Version      int64       `json:"version" jsonschema:"minimum=1" jsonschema_description:"number of this assignment; a later one is greater"`
-	Scheme       string      `json:"scheme" jsonschema:"enum=fixed,enum=shuffle,enum=nested,enum=overflow"`
+	Scheme       Scheme      `json:"scheme" jsonschema:"enum=fixed,enum=shuffle,enum=nested,enum=overflow"`
 	Width        int         `json:"width,omitempty" jsonschema_description:"caches of a tenant, with shuffle and nested"`
 	OverflowCell string      `json:"spare,omitempty" jsonschema_description:"with overflow: the cell that takes what others have no room for"`
 	Cells        []Cell      `json:"cells"`
--- a/core/cells/spec_validation.go
+++ b/core/cells/spec_validation.go
@@ -27,9 +27,9 @@
 	return &FieldError{Path: path, Err: fmt.Errorf(format, args...)}
 }
 
-// Check reports the first field that is invalid, by its path in the document. A specification that passes can be put in
+// Validate reports the first field that is invalid, by its path in the document. A specification that passes can be put in
 // force.
-func (s *Spec) Check() error {
+func (s *Spec) Validate() error {
 	if err := s.validateScalars(); err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 	switch {
 	case s.Version < 1:
 		return fieldError("version", "%d is under 1", s.Version)
-	case !slices.Contains([]string{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow}, s.Scheme):
+	case !slices.Contains([]Scheme{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow}, s.Scheme):
 		return fieldError("scheme", "%q is none of fixed, shuffle, nested, overflow", s.Scheme)
 	case hasWidth != (s.Width > 0) || s.Width < 0:
 		return fieldError("width", "%d: above 0 with shuffle and nested, left out otherwise", s.Width)
--- a/core/cells/spec_validation_test.go
+++ b/core/cells/spec_validation_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each invalid field is named in an error of one line.
-func TestCheckNamesTheField(t *testing.T) {
+func TestValidateNamesTheField(t *testing.T) {
 	for want, invalidate := range map[string]func(*Spec){
 		`version: 0 is under 1`:                  func(s *Spec) { s.Version = 0 },
 		`scheme: `:                               func(s *Spec) { s.Scheme = "round" },
@@ -43,13 +43,13 @@
 		t.Run(want, func(t *testing.T) {
 			spec := twoCells()
 			invalidate(spec)
-			err := spec.Check()
+			err := spec.Validate()
 			if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got %v, want %s...", err, want)
 			}
 		})
 	}
-	if err := twoCells().Check(); err != nil {
+	if err := twoCells().Validate(); err != nil {
 		t.Error(err)
 	}
 }
@@ -63,11 +63,11 @@
 		{PurgeGroupRange: []int{50, 255}, Class: "page", ObjectPrefix: "0", Tenant: "calm"},
 		{Tenant: "calm"},
 	}
-	if err := spec.Check(); err == nil || !strings.HasPrefix(err.Error(), "keys[2]: ") {
+	if err := spec.Validate(); err == nil || !strings.HasPrefix(err.Error(), "keys[2]: ") {
 		t.Errorf("got %v", err)
 	}
 	spec.TenantKeys[2].Class = ""
-	if err := spec.Check(); err != nil {
+	if err := spec.Validate(); err != nil {
 		t.Error(err)
 	}
 }
--- a/core/cells/wire_compat_test.go
+++ b/core/cells/wire_compat_test.go
@@ -122,16 +122,16 @@
 func TestLoggedStageIsReadAndWrittenAlike(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/stage.json", "", RolloutStatus{Name: "s1", Version: 2, Rings: []RingStatus{
 		{
-			Cells:       []string{"s3", "s4"},
-			State:       "s5",
-			HarmMeasure: "s6",
-			Evidence:    []float64{7.5, 8.5},
+			Cells:        []string{"s3", "s4"},
+			State:        "s5",
+			HarmedMetric: "s6",
+			Evidence:     []float64{7.5, 8.5},
 		},
 		{
-			Cells:       []string{"s9", "s10"},
-			State:       "s11",
-			HarmMeasure: "s12",
-			Evidence:    []float64{13.5, 14.5},
+			Cells:        []string{"s9", "s10"},
+			State:        "s11",
+			HarmedMetric: "s12",
+			Evidence:     []float64{13.5, 14.5},
 		},
 	}})
 }
--- a/emulator/moving.go
+++ b/emulator/moving.go
@@ -40,7 +40,7 @@
 			if err := ch.Moves.Validate(ch.AtS*1000, doc); err != nil {
 				return fmt.Errorf("changes[%d]: %w", i, err)
 			}
-			if err := last.CheckMigrations(ch.Moves); err != nil {
+			if err := last.ValidateMigrations(ch.Moves); err != nil {
 				return fmt.Errorf("changes[%d]: %w", i, err)
 			}
 			doc = ch.Moves
--- a/internal/features/cells.go
+++ b/internal/features/cells.go
@@ -38,7 +38,7 @@
 	if spec == nil {
 		return nil
 	}
-	if err := spec.Check(); err != nil {
+	if err := spec.Validate(); err != nil {
 		return fmt.Errorf("cells.%w", err)
 	}
 	return nil
--- a/internal/features/file.go
+++ b/internal/features/file.go
@@ -96,5 +96,5 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(assignment.CheckMigrations(migration), assignment.CheckRollout(rollout))
+	return errors.Join(assignment.ValidateMigrations(migration), assignment.ValidateRollout(rollout))
 }
--- a/internal/features/file_test.go
+++ b/internal/features/file_test.go
@@ -140,7 +140,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, err := Parse(text)
 		if err == nil && file.CellSpec() != nil {
-			if err := file.CellSpec().Check(); err != nil {
+			if err := file.CellSpec().Validate(); err != nil {
 				t.Error(err)
 			}
 		}
--- a/lab/play.go
+++ b/lab/play.go
@@ -45,7 +45,7 @@
 	if count == 0 {
 		return cfg, nil
 	}
-	spec.Scheme, spec.Width = cmp.Or(arm.Scheme, cells.SchemeFixed), arm.Width
+	spec.Scheme, spec.Width = cmp.Or(cells.Scheme(arm.Scheme), cells.SchemeFixed), arm.Width
 	if spec.Scheme == cells.SchemeOverflow {
 		overflow(spec)
 	}
