--- a/emulator/caches.go
+++ b/emulator/caches.go
@@ -9,25 +9,25 @@
 	"spantack/routing"
 )
 
-func (w *World) addServer(s server) int32 {
-	s.up, s.status, s.drained, s.dividedAt = true, "healthy", map[int32]int64{}, -1
-	w.servers = append(w.servers, s)
+func (w *World) addServer(server simulatedServer) int32 {
+	server.running, server.status, server.drainNoticeAt, server.cellVersion = true, "healthy", map[int32]int64{}, -1
+	w.servers = append(w.servers, server)
 	id := int32(len(w.servers) - 1)
-	w.list(id)
+	w.publishEndpoint(id)
 	return id
 }
 
 func (w *World) addCache(depot int, cameUp int64) int32 {
-	channels := float64(w.cfg.Channels)
-	w.links = append(w.links, link{cap: channels * paceKbS / 1e6, pace: paceKbS / 1e6})
+	channels := float64(w.config.StreamsPerCache)
+	w.links = append(w.links, link{capacity: channels * responseKBPerSecond / 1e6, maxRate: responseKBPerSecond / 1e6})
 	n := uint32(len(w.servers)) * 2654435761
-	id := w.addServer(server{name: fmt.Sprintf("s-%08x", n), depot: depot, cameUp: cameUp, channel: channels, most: 8 * w.cfg.Channels,
-		link: int32(len(w.links) - 1), store: newLRU(w.cfg.KeepS * channels * paceKbS)})
-	w.caches[depot] = append(w.caches[depot], id)
+	id := w.addServer(simulatedServer{name: fmt.Sprintf("s-%08x", n), site: depot, startedAt: cameUp, streams: channels, maxActive: 8 * w.config.StreamsPerCache,
+		link: int32(len(w.links) - 1), store: newLRU(w.config.CacheRetentionSeconds * channels * responseKBPerSecond)})
+	w.cachesBySite[depot] = append(w.cachesBySite[depot], id)
 	return id
 }
 
-func (w *World) serverOf(name string) int32 {
+func (w *World) newestServer(name string) int32 {
 	for i := len(w.servers) - 1; i >= 0; i-- {
 		if w.servers[i].name == name {
 			return int32(i)
@@ -36,134 +36,134 @@
 	return -1
 }
 
-// byName finds a server; the newest of a name.
-func (w *World) byName(name string) int32 {
-	if id, known := w.res.names[name]; known {
+// serverNamed finds a server; the newest of a name.
+func (w *World) serverNamed(name string) int32 {
+	if id, known := w.result.serversByName[name]; known {
 		return id
 	}
-	id := w.serverOf(name)
-	w.res.names[name] = id
+	id := w.newestServer(name)
+	w.result.serversByName[name] = id
 	return id
 }
 
-func (w *World) partKey(id int32) uint64 {
-	wi := &w.wishes[w.requests[w.tries[id].request].wish]
-	return wi.key ^ uint64(wi.part)<<36
+func (w *World) chunkKey(id int32) uint64 {
+	operation := &w.operations[w.requests[w.attempts[id].request].operation]
+	return operation.key ^ uint64(operation.chunk)<<36
 }
 
-func (w *World) store(s *server, id int32) {
-	if s.store != nil && w.wishes[w.requests[w.tries[id].request].wish].class != report {
-		s.store.put(w.partKey(id), w.kbOf(id), w.tries[id].made)
+func (w *World) storeFill(server *simulatedServer, id int32) {
+	if server.store != nil && w.operations[w.requests[w.attempts[id].request].operation].class != classReport {
+		server.store.put(w.chunkKey(id), w.sizeKB(id), w.attempts[id].producedAt)
 	}
 }
 
-// oldest is when a copy must have been made to do for an attempt.
-func (w *World) oldest(t *try, server int32) int64 {
+// minProducedAt is when a copy must have been made to do for an attempt.
+func (w *World) minProducedAt(attempt *serverAttempt, server int32) int64 {
 	least := int64(math.MinInt64)
-	if len(w.flushes) > 0 {
-		least = w.purgedBefore(server, groupOf(&w.wishes[w.requests[t.request].wish]))
+	if len(w.purges) > 0 {
+		least = w.purgedBefore(server, purgeGroup(&w.operations[w.requests[attempt.request].operation]))
 	}
-	if t.maxAge > 0 {
-		least = max(least, w.now-t.maxAge)
+	if attempt.maxAge > 0 {
+		least = max(least, w.now-attempt.maxAge)
 	}
 	return least
 }
 
-// coldBears books work at a server that started lately, and pushes it over if it is too much.
-func (w *World) coldBears(id int32, kb float64, router int32) bool {
-	s := &w.servers[id]
-	from, span, mult := cacheColdFrom, int64(cacheColdFor), cacheFall
-	if s.kind == parentServer {
-		from, span, mult = parentColdFrom, int64(parentColdFor), parentFall
-	}
-	age := w.now - s.cameUp
-	if s.cameUp == 0 || s.kind == originServer || age > span {
+// acceptsWarmUpLoad books work at a server that started lately, and pushes it over if it is too much.
+func (w *World) acceptsWarmUpLoad(id int32, kb float64, router int32) bool {
+	server := &w.servers[id]
+	from, span, mult := cacheInitialCapacity, int64(cacheWarmUpTime), cacheOverloadMultiple
+	if server.kind == parentServer {
+		from, span, mult = parentInitialCapacity, int64(parentWarmUpTime), parentOverloadMultiple
+	}
+	age := w.now - server.startedAt
+	if server.startedAt == 0 || server.kind == originServer || age > span {
 		return true
 	}
-	for len(s.sent) > 0 && s.sent[0].at < w.now-fallSpan {
-		s.sum -= s.sent[0].kb
-		s.sent = s.sent[1:]
+	for len(server.recentWork) > 0 && server.recentWork[0].receivedAt < w.now-overloadWindow {
+		server.recentKB -= server.recentWork[0].sizeKB
+		server.recentWork = server.recentWork[1:]
 	}
-	s.sent = append(s.sent, work{w.now, kb, router})
-	s.sum += kb
+	server.recentWork = append(server.recentWork, receivedWork{w.now, kb, router})
+	server.recentKB += kb
 	frac := from + (1-from)*float64(age)/float64(span)
-	most := mult * frac * s.channel * paceKbS * float64(fallSpan) / 1e6
-	w.coldUse(s, router, most)
-	if s.sum <= most {
+	most := mult * frac * server.streams * responseKBPerSecond * float64(overloadWindow) / 1e6
+	w.recordWarmUpLoad(server, router, most)
+	if server.recentKB <= most {
 		return true
 	}
-	w.res.broken("cold server pushed over")
-	w.kill(id)
-	w.push(event{at: w.now + backAfter, kind: evBack, id: id})
+	w.result.violation("cold server pushed over")
+	w.killServer(id)
+	w.push(event{time: w.now + overloadRestartDelay, kind: eventServerRestart, target: id})
 	return false
 }
 
-// atServer is an attempt's arrival.
-func (w *World) atServer(id int32) {
-	t := &w.tries[id]
-	s := &w.servers[t.node]
-	rq := &w.requests[t.request]
-	if !s.up {
-		w.end(id, routing.OutcomeConnectionRefused, 0)
+// arriveAtServer is an attempt's arrival.
+func (w *World) arriveAtServer(id int32) {
+	attempt := &w.attempts[id]
+	server := &w.servers[attempt.server]
+	request := &w.requests[attempt.request]
+	if !server.running {
+		w.endAttempt(id, routing.OutcomeConnectionRefused, 0)
 		return
 	}
-	if rq.atServer++; rq.atServer > 1 {
-		w.res.broken("two attempts of a request at servers")
+	if request.attemptsAtServers++; request.attemptsAtServers > 1 {
+		w.result.violation("two attempts of a request at servers")
 	}
-	t.arrived = true
-	wi := &w.wishes[rq.wish]
-	if wi.release && !w.cfg.Release.Renews && s.kind == cacheServer && w.harmed(wi) {
-		w.end(id, routing.OutcomeError, 0)
+	attempt.atServer = true
+	operation := &w.operations[request.operation]
+	if operation.release && !w.config.Release.ReplacesObjects && server.kind == cacheServer && w.isHarmful(operation) {
+		w.endAttempt(id, routing.OutcomeError, 0)
 		return
 	}
-	if bad := w.poisoned(wi); bad == "err" || bad == "spoilt" {
-		if s.kind == cacheServer {
+	if bad := w.poisonKind(operation); bad == "err" || bad == "spoilt" {
+		if server.kind == cacheServer {
 			if bad == "err" {
-				w.end(id, routing.OutcomeError, 0)
+				w.endAttempt(id, routing.OutcomeError, 0)
 			} else {
-				w.end(id, routing.OutcomeConnectionReset, 0)
+				w.endAttempt(id, routing.OutcomeConnectionReset, 0)
 			}
 			return
 		}
-	} else if bad == "root" && s.kind == originServer {
-		w.end(id, routing.OutcomeError, 10)
+	} else if bad == "root" && server.kind == originServer {
+		w.endAttempt(id, routing.OutcomeError, 10)
 		return
 	}
-	if s.active >= s.most {
-		w.end(id, routing.OutcomeRejected, 0)
+	if server.active >= server.maxActive {
+		w.endAttempt(id, routing.OutcomeRejected, 0)
 		return
 	}
-	if !w.coldBears(t.node, wi.kb, rq.router) {
+	if !w.acceptsWarmUpLoad(attempt.server, operation.sizeKB, request.router) {
 		return
 	}
-	s.active++
-	t.active = true
-	if s.kind == originServer {
-		t.made = w.now
-		w.res.asked(w, wi.kb)
-		w.flow(id, t.node)
+	server.active++
+	attempt.countedActive = true
+	if server.kind == originServer {
+		attempt.producedAt = w.now
+		w.result.originFill(w, operation.sizeKB)
+		w.sendFrom(id, attempt.server)
 		return
 	}
-	made, held := s.store.get(w.partKey(id), w.oldest(t, t.node))
-	held = held && wi.class != report // those run at the head office, whichever way they take
-	w.res.looked(w, s, wi, held)
+	made, held := server.store.get(w.chunkKey(id), w.minProducedAt(attempt, attempt.server))
+	held = held && operation.class != classReport // those run at the head office, whichever way they take
+	w.result.cacheLookup(w, server, operation, held)
 	switch {
-	case held && s.kind == cacheServer:
-		t.made, t.note = made, 1
-		w.move(id, s.link, wi.kb, toRouter)
+	case held && server.kind == cacheServer:
+		attempt.producedAt, attempt.cacheStatus = made, 1
+		w.startTransfer(id, server.link, operation.sizeKB, segmentToRouter)
 	case held:
-		t.made, t.note = made, 1
-		w.flow(id, t.node)
-	case t.source < 0:
-		w.end(id, routing.OutcomeMiss, 0)
-	case s.kind == parentServer:
-		t.note = 3
-		w.join(t.node, id)
-	case s.fills >= 5*int(s.channel):
-		w.end(id, routing.OutcomeRejected, 9)
+		attempt.producedAt, attempt.cacheStatus = made, 1
+		w.sendFrom(id, attempt.server)
+	case attempt.source < 0:
+		w.endAttempt(id, routing.OutcomeMiss, 0)
+	case server.kind == parentServer:
+		attempt.cacheStatus = 3
+		w.joinFetch(attempt.server, id)
+	case server.fills >= 5*int(server.streams):
+		w.endAttempt(id, routing.OutcomeRejected, 9)
 	default:
-		s.fills++
-		t.filling, t.asked = true, w.now
-		w.push(event{at: w.now + w.way(t.depot, &w.servers[t.source]), kind: evSource, id: id, gen: t.gen})
+		server.fills++
+		attempt.countedFilling, attempt.fillStartedAt = true, w.now
+		w.push(event{time: w.now + w.networkDelay(attempt.site, &w.servers[attempt.source]), kind: eventAtSource, target: id, generation: attempt.generation})
 	}
 }
--- a/emulator/clients.go
+++ b/emulator/clients.go
@@ -12,254 +12,254 @@
 	"spantack/routing"
 )
 
-// gap is the time to the next arrival in a depot.
-func (w *World) gap(depot int) int64 {
-	perS := w.cfg.RateS * w.classCDF[classes-1] / float64(w.cfg.Depots)
-	return int64(w.arrivals[depot].ExpFloat64() / perS * float64(sec))
+// arrivalGap is the time to the next arrival in a depot.
+func (w *World) arrivalGap(depot int) int64 {
+	perS := w.config.RequestsPerSecond * w.classCDF[classCount-1] / float64(w.config.Sites)
+	return int64(w.arrivalRandom[depot].ExpFloat64() / perS * float64(second))
 }
 
-func (w *World) arrive(depot int) {
-	rng := w.arrivals[depot]
-	tenant := w.tenant(rng)
-	u := rng.Float64() * w.classCDF[classes-1]
+func (w *World) clientArrives(depot int) {
+	rng := w.arrivalRandom[depot]
+	tenant := w.drawTenant(rng)
+	u := rng.Float64() * w.classCDF[classCount-1]
 	class := 0
 	for u > w.classCDF[class] {
 		class++
 	}
-	key, object := w.object(rng, tenant, class)
-	parts := classOf[class].partsLeast + rng.IntN(classOf[class].partsMost-classOf[class].partsLeast+1)
-	if class == video {
-		if k, o, is := w.hot(rng); is {
-			key, object, parts = k, o, hotParts
+	key, object := w.drawObject(rng, tenant, class)
+	parts := classModels[class].minChunks + rng.IntN(classModels[class].maxChunks-classModels[class].minChunks+1)
+	if class == classVideo {
+		if k, o, is := w.drawHotObject(rng); is {
+			key, object, parts = k, o, hotObjectChunks
 		}
 	}
 	if parts == 1 {
-		w.want(depot, tenant, class, key, object, 0, 0)
+		w.startOperation(depot, tenant, class, key, object, 0, 0)
 		return
 	}
-	w.sessions = append(w.sessions, session{int32(depot), int32(tenant), key, object, 0, int32(parts)})
-	w.nextPart(int32(len(w.sessions) - 1))
+	w.sessions = append(w.sessions, videoSession{int32(depot), int32(tenant), key, object, 0, int32(parts)})
+	w.requestNextChunk(int32(len(w.sessions) - 1))
 }
 
-// tenant draws who asks.
-func (w *World) tenant(rng *rand.Rand) int {
+// drawTenant draws who asks.
+func (w *World) drawTenant(rng *rand.Rand) int {
 	at, _ := slices.BinarySearch(w.tenantCDF, rng.Float64())
-	return min(at, w.cfg.Tenants-1)
+	return min(at, w.config.Tenants-1)
 }
 
-// underWay starts a depot with as many sessions in the midst of their parts as an endless day has.
-func (w *World) underWay(depot int) {
-	rng := w.arrivals[depot]
-	c := &classOf[video]
-	perS := w.cfg.RateS * c.share / (float64(c.partsLeast+c.partsMost) / 2) / float64(w.cfg.Depots)
-	for range int(perS * float64(partGap) / float64(sec) * float64(c.partsLeast+c.partsMost) / 2) {
-		tenant := w.tenant(rng)
-		key, object := w.object(rng, tenant, video)
-		parts := c.partsLeast + rng.IntN(c.partsMost-c.partsLeast+1)
-		w.sessions = append(w.sessions, session{int32(depot), int32(tenant), key, object, int32(rng.IntN(parts)), int32(parts)})
-		w.push(event{at: int64(rng.Float64() * float64(partGap)), kind: evPart, id: int32(len(w.sessions) - 1)})
+// startRunningSessions starts a depot with as many sessions in the midst of their parts as an endless day has.
+func (w *World) startRunningSessions(depot int) {
+	rng := w.arrivalRandom[depot]
+	c := &classModels[classVideo]
+	perS := w.config.RequestsPerSecond * c.share / (float64(c.minChunks+c.maxChunks) / 2) / float64(w.config.Sites)
+	for range int(perS * float64(chunkInterval) / float64(second) * float64(c.minChunks+c.maxChunks) / 2) {
+		tenant := w.drawTenant(rng)
+		key, object := w.drawObject(rng, tenant, classVideo)
+		parts := c.minChunks + rng.IntN(c.maxChunks-c.minChunks+1)
+		w.sessions = append(w.sessions, videoSession{int32(depot), int32(tenant), key, object, int32(rng.IntN(parts)), int32(parts)})
+		w.push(event{time: int64(rng.Float64() * float64(chunkInterval)), kind: eventNextChunk, target: int32(len(w.sessions) - 1)})
 	}
 }
 
-func (w *World) nextPart(id int32) {
+func (w *World) requestNextChunk(id int32) {
 	s := &w.sessions[id]
-	if w.now >= w.stop || s.next >= s.parts {
+	if w.now >= w.stopAt || s.nextChunk >= s.chunks {
 		return
 	}
-	part := s.next
-	s.next++
-	w.push(event{at: w.now + partGap, kind: evPart, id: id})
-	w.want(int(s.depot), int(s.tenant), video, s.key, s.object, part, 0)
+	part := s.nextChunk
+	s.nextChunk++
+	w.push(event{time: w.now + chunkInterval, kind: eventNextChunk, target: id})
+	w.startOperation(int(s.site), int(s.tenant), classVideo, s.key, s.object, part, 0)
 }
 
-// object draws what is asked for: by popularity, which drifts, or what nobody asks for again.
-func (w *World) object(rng *rand.Rand, tenant, class int) (uint64, string) {
-	if rng.Float64() < w.cfg.OnceShare {
-		return w.unique(tenant, class)
+// drawObject draws what is asked for: by popularity, which drifts, or what nobody asks for again.
+func (w *World) drawObject(rng *rand.Rand, tenant, class int) (uint64, string) {
+	if rng.Float64() < w.config.OneTimeFraction {
+		return w.oneTimeObject(tenant, class)
 	}
 	rank, _ := slices.BinarySearch(w.objectCDF, rng.Float64())
-	drift := int(float64(w.now) / (w.cfg.DriftS * float64(sec)))
+	drift := int(float64(w.now) / (w.config.PopularityDriftSeconds * float64(second)))
 	id := uint64(rank + drift)
 	key := uint64(tenant)<<48 | uint64(class)<<44 | id
-	object, known := w.objects[key]
+	object, known := w.objectNames[key]
 	if !known {
 		object = objectName(tenant, key)
-		w.objects[key] = object
+		w.objectNames[key] = object
 	}
 	return key, object
 }
 
-func (w *World) unique(tenant, class int) (uint64, string) {
-	w.once++
-	key := uint64(tenant)<<48 | uint64(class)<<44 | 1<<43 | w.once
+func (w *World) oneTimeObject(tenant, class int) (uint64, string) {
+	w.oneTimeObjects++
+	key := uint64(tenant)<<48 | uint64(class)<<44 | 1<<43 | w.oneTimeObjects
 	return key, objectName(tenant, key)
 }
 
 func objectName(tenant int, key uint64) string {
-	return fmt.Sprintf("%04x%012x", tenant, mix(key)&(1<<48-1))
+	return fmt.Sprintf("%04x%012x", tenant, hashMix(key)&(1<<48-1))
 }
 
-// mix is the finish of splitmix64: what it makes of a number tells nothing of the number's neighbours.
-func mix(x uint64) uint64 {
+// hashMix is the finish of splitmix64: what it makes of a number tells nothing of the number's neighbours.
+func hashMix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// sizeOf gives each part its size, the same whenever it is asked for.
-func sizeOf(key uint64, part int32, class int) float64 {
-	h := mix(key*31 + uint64(part))
+// chunkSizeKB gives each part its size, the same whenever it is asked for.
+func chunkSizeKB(key uint64, part int32, class int) float64 {
+	h := hashMix(key*31 + uint64(part))
 	a, b := (float64(h>>40)+0.5)/(1<<24), float64(h&(1<<24-1))/(1<<24)
 	z := math.Sqrt(-2*math.Log(a)) * math.Cos(2*math.Pi*b)
-	c := &classOf[class]
-	return c.kb * math.Exp(c.sigma*z-c.sigma*c.sigma/2)
+	c := &classModels[class]
+	return c.meanKB * math.Exp(c.sigma*z-c.sigma*c.sigma/2)
 }
 
-// floodOne lets the flooding tenant ask once more than it would, in every depot alike.
-func (w *World) floodOne() {
-	f := w.cfg.Flood
-	from, until := int64(f.FromS*float64(sec)), int64((f.FromS+f.ForS)*float64(sec))
-	if w.now >= min(until, w.stop) {
+// floodRequest lets the flooding tenant ask once more than it would, in every depot alike.
+func (w *World) floodRequest() {
+	f := w.config.Flood
+	from, until := int64(f.StartSeconds*float64(second)), int64((f.StartSeconds+f.DurationSeconds)*float64(second))
+	if w.now >= min(until, w.stopAt) {
 		return
 	}
-	share := w.cfg.TenantShares()[f.Tenant]
-	perS := w.cfg.RateS * share * (f.Times - 1)
-	w.push(event{at: max(w.now, from) + int64(w.flood.ExpFloat64()/perS*float64(sec)), kind: evFlood})
-	depot := w.flood.IntN(w.cfg.Depots)
+	share := w.config.TenantShares()[f.Tenant]
+	perS := w.config.RequestsPerSecond * share * (f.Factor - 1)
+	w.push(event{time: max(w.now, from) + int64(w.floodRandom.ExpFloat64()/perS*float64(second)), kind: eventFloodRequest})
+	depot := w.floodRandom.IntN(w.config.Sites)
 	switch f.Kind {
 	case "unique":
-		key, object := w.unique(f.Tenant, catalogue)
-		w.want(depot, f.Tenant, catalogue, key, object, 0, 0)
+		key, object := w.oneTimeObject(f.Tenant, classCatalogue)
+		w.startOperation(depot, f.Tenant, classCatalogue, key, object, 0, 0)
 	case "huge":
-		key, object := w.object(w.flood, f.Tenant, video)
-		w.want(depot, f.Tenant, video, key, object, int32(w.flood.IntN(15)), f.HugeKb)
+		key, object := w.drawObject(w.floodRandom, f.Tenant, classVideo)
+		w.startOperation(depot, f.Tenant, classVideo, key, object, int32(w.floodRandom.IntN(15)), f.HugeKB)
 	default:
-		key, object := w.object(w.flood, f.Tenant, catalogue)
-		w.want(depot, f.Tenant, catalogue, key, object, 0, 0)
+		key, object := w.drawObject(w.floodRandom, f.Tenant, classCatalogue)
+		w.startOperation(depot, f.Tenant, classCatalogue, key, object, 0, 0)
 	}
 }
 
-// want is a client's wish, counted from here on.
-func (w *World) want(depot, tenant, class int, key uint64, object string, part int32, kb float64) {
+// startOperation is a client's wish, counted from here on.
+func (w *World) startOperation(depot, tenant, class int, key uint64, object string, part int32, kb float64) {
 	if kb == 0 {
-		kb = sizeOf(key, part, class)
+		kb = chunkSizeKB(key, part, class)
 	}
-	id := take(&w.wishes, &w.freeWish)
-	w.wishes[id] = wish{class: int32(class), tenant: int32(tenant), depot: int32(depot), key: key, object: object, part: part, kb: kb,
-		first: w.now, counted: w.now >= int64(w.cfg.WarmS*float64(sec))}
-	if r := w.cfg.Release; r != nil && class == catalogue && (r.Renews || w.now >= int64(r.FromS*float64(sec))) {
-		if h := mix(key ^ 0x4e1ea5e); float64(h>>11)/(1<<53) < r.Part { // the same objects always
-			wi := &w.wishes[id]
-			if wi.release = true; !r.Renews {
-				wi.key = key | 1<<42
-				wi.object = objectName(tenant, wi.key)
+	id := allocate(&w.operations, &w.freeOperations)
+	w.operations[id] = clientOperation{class: int32(class), tenant: int32(tenant), site: int32(depot), key: key, object: object, chunk: part, sizeKB: kb,
+		startedAt: w.now, counted: w.now >= int64(w.config.WarmUpSeconds*float64(second))}
+	if r := w.config.Release; r != nil && class == classCatalogue && (r.ReplacesObjects || w.now >= int64(r.StartSeconds*float64(second))) {
+		if h := hashMix(key ^ 0x4e1ea5e); float64(h>>11)/(1<<53) < r.CatalogueFraction { // the same objects always
+			operation := &w.operations[id]
+			if operation.release = true; !r.ReplacesObjects {
+				operation.key = key | 1<<42
+				operation.object = objectName(tenant, operation.key)
 			}
 		}
 	}
-	w.res.offered(&w.wishes[id])
-	w.ask(id)
+	w.result.operationStarted(&w.operations[id])
+	w.sendRequest(id)
 }
 
-// ask sends a wish to a router that the front takes for alive.
-func (w *World) ask(id int32) {
-	wi := &w.wishes[id]
-	wi.tries++
-	w.res.Requests++
-	base := wi.depot * int32(w.cfg.Routers)
-	at := base + int32(mix(wi.key+uint64(w.now)+uint64(wi.part)<<32)%uint64(w.cfg.Routers))
-	for i := range int32(w.cfg.Routers) {
-		if r := base + (at-base+i)%int32(w.cfg.Routers); w.routers[r].seen {
+// sendRequest sends a wish to a router that the front takes for alive.
+func (w *World) sendRequest(id int32) {
+	operation := &w.operations[id]
+	operation.requests++
+	w.result.Requests++
+	base := operation.site * int32(w.config.RoutersPerSite)
+	at := base + int32(hashMix(operation.key+uint64(w.now)+uint64(operation.chunk)<<32)%uint64(w.config.RoutersPerSite))
+	for i := range int32(w.config.RoutersPerSite) {
+		if r := base + (at-base+i)%int32(w.config.RoutersPerSite); w.routers[r].inFrontend {
 			at = r
 			break
 		}
 	}
-	q := take(&w.requests, &w.freeReq)
-	rq := &w.requests[q]
-	*rq = request{gen: rq.gen + 1, wish: id, router: at, try: -1, number: -1}
-	rq.call = strconv.FormatUint(uint64(rq.gen)<<32|uint64(uint32(q)), 16)
-	allow := int64(classOf[wi.class].allow) * ms
-	w.push(event{at: w.now + clientWay, kind: evRouter, id: q, gen: rq.gen})
-	w.push(event{at: w.now + allow, kind: evGiveUp, id: q, gen: rq.gen})
+	requestID := allocate(&w.requests, &w.freeRequests)
+	request := &w.requests[requestID]
+	*request = clientRequest{generation: request.generation + 1, operation: id, router: at, attempt: -1, attemptNumber: -1}
+	request.callID = strconv.FormatUint(uint64(request.generation)<<32|uint64(uint32(requestID)), 16)
+	allow := int64(classModels[operation.class].deadlineMs) * millisecond
+	w.push(event{time: w.now + clientDelay, kind: eventAtRouter, target: requestID, generation: request.generation})
+	w.push(event{time: w.now + allow, kind: eventClientGivesUp, target: requestID, generation: request.generation})
 }
 
-// groupOf is the family of what a wish is for.
-func groupOf(wi *wish) int64 {
-	if wi.release {
+// purgeGroup is the family of what a wish is for.
+func purgeGroup(operation *clientOperation) int64 {
+	if operation.release {
 		return releaseFamily
 	}
-	return int64(wi.tenant % releaseFamily)
+	return int64(operation.tenant % releaseFamily)
 }
 
-// answer reaches the client.
-func (w *World) answer(q int32) {
-	rq := w.requests[q]
-	w.freeRequest(q)
-	wi := &w.wishes[rq.wish]
+// answerClient reaches the client.
+func (w *World) answerClient(requestID int32) {
+	request := w.requests[requestID]
+	w.freeRequest(requestID)
+	operation := &w.operations[request.operation]
 	switch {
-	case rq.served:
-		w.res.served(w, wi)
-		w.freeWish = append(w.freeWish, rq.wish)
-	case rq.cooldown > 0:
-		w.res.refused(wi)
-		w.again(rq.wish, rq.cooldown)
+	case request.served:
+		w.result.operationServed(w, operation)
+		w.freeOperations = append(w.freeOperations, request.operation)
+	case request.retryAfter > 0:
+		w.result.requestRejected(operation)
+		w.retryOperation(request.operation, request.retryAfter)
 	default:
-		w.res.failed(wi)
-		w.again(rq.wish, 0)
+		w.result.requestFailed(operation)
+		w.retryOperation(request.operation, 0)
 	}
 }
 
-func (w *World) freeRequest(q int32) {
-	w.requests[q].gen++
-	w.requests[q].closed = true
-	w.freeReq = append(w.freeReq, q)
+func (w *World) freeRequest(requestID int32) {
+	w.requests[requestID].generation++
+	w.requests[requestID].closed = true
+	w.freeRequests = append(w.freeRequests, requestID)
 }
 
-// again is a client's further try: most make one or two, and most heed the time to stay away.
-func (w *World) again(id int32, cooldown int64) {
-	wi := &w.wishes[id]
-	h := mix(wi.key ^ uint64(wi.first) ^ uint64(wi.tries)<<50)
-	if wi.tries >= 3 || h%100 < 25 || w.now >= w.stop+2*sec {
-		w.res.lost(wi)
-		w.freeWish = append(w.freeWish, id)
+// retryOperation is a client's further try: most make one or two, and most heed the time to stay away.
+func (w *World) retryOperation(id int32, cooldown int64) {
+	operation := &w.operations[id]
+	h := hashMix(operation.key ^ uint64(operation.startedAt) ^ uint64(operation.requests)<<50)
+	if operation.requests >= 3 || h%100 < 25 || w.now >= w.stopAt+2*second {
+		w.result.operationUnserved(operation)
+		w.freeOperations = append(w.freeOperations, id)
 		return
 	}
-	wait := 50*ms + int64(h>>8%350)*ms
+	wait := 50*millisecond + int64(h>>8%350)*millisecond
 	if h>>20%100 < 55 {
 		wait = max(wait, cooldown)
 	}
-	w.push(event{at: w.now + wait, kind: evAgain, id: id})
+	w.push(event{time: w.now + wait, kind: eventClientRetry, target: id})
 }
 
-// giveUp is a client that waits no more.
-func (w *World) giveUp(q int32) {
-	rq := w.requests[q]
-	if r := &w.routers[rq.router]; !rq.answered && r.up && r.gen == rq.rgen {
-		w.res.Overdue++
-		if rq.try >= 0 {
-			w.freeTries(rq.try)
-			w.requests[q].try = -1
+// clientGivesUp is a client that waits no more.
+func (w *World) clientGivesUp(requestID int32) {
+	request := w.requests[requestID]
+	if router := &w.routers[request.router]; !request.answered && router.running && router.generation == request.routerGeneration {
+		w.result.Unanswered++
+		if request.attempt >= 0 {
+			w.freeAttempt(request.attempt)
+			w.requests[requestID].attempt = -1
 		}
-		w.requests[q].answered = true // none is owed any more
-		w.step(rq.router, routing.Event{Kind: routing.EventAborted, RequestID: rq.call})
+		w.requests[requestID].answered = true // none is owed any more
+		w.stepRouter(request.router, routing.Event{Kind: routing.EventAborted, RequestID: request.callID})
 	}
-	w.freeRequest(q)
-	wi := &w.wishes[rq.wish]
-	w.res.lost(wi)
-	w.freeWish = append(w.freeWish, rq.wish)
+	w.freeRequest(requestID)
+	operation := &w.operations[request.operation]
+	w.result.operationUnserved(operation)
+	w.freeOperations = append(w.freeOperations, request.operation)
 }
 
-// lost is a request whose router has died: its client sees the connection break and asks once more.
-func (w *World) lost(q int32) {
-	rq := w.requests[q]
-	w.freeRequest(q)
-	w.res.Lost++
-	w.again(rq.wish, 0)
+// requestLost is a request whose router has died: its client sees the connection break and asks once more.
+func (w *World) requestLost(requestID int32) {
+	request := w.requests[requestID]
+	w.freeRequest(requestID)
+	w.result.LostWithRouter++
+	w.retryOperation(request.operation, 0)
 }
 
-func (w *World) poisoned(wi *wish) string {
-	p := w.cfg.Poison
-	if p == nil || wi.tenant != int32(p.Tenant) || w.now < int64(p.FromS*float64(sec)) || w.now >= int64((p.FromS+p.ForS)*float64(sec)) {
+func (w *World) poisonKind(operation *clientOperation) string {
+	p := w.config.Poison
+	if p == nil || operation.tenant != int32(p.Tenant) || w.now < int64(p.StartSeconds*float64(second)) || w.now >= int64((p.StartSeconds+p.DurationSeconds)*float64(second)) {
 		return ""
 	}
 	return p.Kind
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -17,17 +17,17 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// trouble is a day on which much goes wrong.
-func trouble(seed uint64) Config {
-	cfg := small(seed)
-	confine(&cfg, 3)
-	cfg.Flood = &Flood{Tenant: 0, Times: 8, Kind: "unique", FromS: 5, ForS: 4}
+// faultyDay is a day on which much goes wrong.
+func faultyDay(seed uint64) Config {
+	cfg := smallConfig(seed)
+	addCells(&cfg, 3)
+	cfg.Flood = &Flood{Tenant: 0, Factor: 8, Kind: "unique", StartSeconds: 5, DurationSeconds: 4}
 	cfg.Faults = []Fault{
-		{Kind: "router", Depot: 0, Which: 1, AtS: 5, ForS: 3},
-		{Kind: "cache", Depot: 1, Which: 2, AtS: 6, ForS: 2},
-		{Kind: "parent", Which: 1, AtS: 7, ForS: 2},
-		{Kind: "deploy", Depot: 1, AtS: 6, ForS: 5, Part: 0.5},
-		{Kind: "depot", Depot: 0, AtS: 9, ForS: 1},
+		{Kind: "router", Site: 0, Index: 1, AtSeconds: 5, DurationSeconds: 3},
+		{Kind: "cache", Site: 1, Index: 2, AtSeconds: 6, DurationSeconds: 2},
+		{Kind: "parent", Index: 1, AtSeconds: 7, DurationSeconds: 2},
+		{Kind: "deploy", Site: 1, AtSeconds: 6, DurationSeconds: 5, Fraction: 0.5},
+		{Kind: "depot", Site: 0, AtSeconds: 9, DurationSeconds: 1},
 	}
 	return cfg
 }
@@ -38,7 +38,7 @@
 	var wg sync.WaitGroup
 	for i := range results {
 		wg.Go(func() {
-			w, err := New(trouble(3))
+			w, err := New(faultyDay(3))
 			if err != nil {
 				t.Error(err)
 				return
@@ -64,62 +64,62 @@
 }
 
 // Days of trouble break no rule, and what was asked is accounted for.
-func TestTroubleBreaksNoRule(t *testing.T) {
+func TestFaultsCauseNoViolation(t *testing.T) {
 	for seed := range uint64(5) {
-		r := play(t, trouble(seed))
-		if r.BrokenRules() != 0 {
-			t.Errorf("seed %d: %v", seed, r.Broken)
+		r := runWorld(t, faultyDay(seed))
+		if r.ViolationCount() != 0 {
+			t.Errorf("seed %d: %v", seed, r.Violations)
 		}
-		if r.Lost == 0 {
+		if r.LostWithRouter == 0 {
 			t.Errorf("seed %d: no request was at the router that died", seed)
 		}
-		all := r.Others().Plus(r.Cell())
-		if ended := all.Served + all.Lost; ended != all.Asked {
-			t.Errorf("seed %d: %d wishes, %d ended", seed, all.Asked, ended)
+		all := r.OtherCells().Plus(r.NoisyCell())
+		if ended := all.Served + all.Unserved; ended != all.Operations {
+			t.Errorf("seed %d: %d wishes, %d ended", seed, all.Operations, ended)
 		}
-		if all.Share() < 0.5 {
-			t.Errorf("seed %d: %.3f timely", seed, all.Share())
+		if all.TimelyRatio() < 0.5 {
+			t.Errorf("seed %d: %.3f timely", seed, all.TimelyRatio())
 		}
 	}
 }
 
 // The world's own checks find what they are there to find.
-func TestBrokenRulesAreSeen(t *testing.T) {
-	w, err := New(small(1))
+func TestViolationsAreCounted(t *testing.T) {
+	w, err := New(smallConfig(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	id := w.addCache(0, 1)
-	w.now = sec
-	for i := 0; i < 10_000 && w.coldBears(id, 370, 0); i++ {
+	w.now = second
+	for i := 0; i < 10_000 && w.acceptsWarmUpLoad(id, 370, 0); i++ {
 	}
-	if w.res.Broken["cold server pushed over"] != 1 || w.servers[id].up {
-		t.Errorf("a cold cache with ten thousand parts: %v", w.res.Broken)
+	if w.result.Violations["cold server pushed over"] != 1 || w.servers[id].running {
+		t.Errorf("a cold cache with ten thousand parts: %v", w.result.Violations)
 	}
-	q := take(&w.requests, &w.freeReq)
-	w.requests[q] = request{gen: 1, try: -1, number: -1, wish: take(&w.wishes, &w.freeWish)}
-	w.servers[w.caches[0][0]].drained[0] = w.now - drainBinds - 1
-	w.send(q, actionTo(w.servers[w.caches[0][0]].name))
-	w.send(q, actionTo(w.servers[w.caches[0][1]].name))
-	w.final(q, actionTo(""))
-	w.final(q, actionTo(""))
+	q := allocate(&w.requests, &w.freeRequests)
+	w.requests[q] = clientRequest{generation: 1, attempt: -1, attemptNumber: -1, operation: allocate(&w.operations, &w.freeOperations)}
+	w.servers[w.cachesBySite[0][0]].drainNoticeAt[0] = w.now - drainGracePeriod - 1
+	w.sendAttempt(q, sendTo(w.servers[w.cachesBySite[0][0]].name))
+	w.sendAttempt(q, sendTo(w.servers[w.cachesBySite[0][1]].name))
+	w.answerRequest(q, sendTo(""))
+	w.answerRequest(q, sendTo(""))
 	for _, rule := range []string{"sent to a drained server", "two attempts of a request out", "answered with an attempt out", "two answers to a request"} {
-		if w.res.Broken[rule] != 1 {
-			t.Errorf("%s: counted %d times", rule, w.res.Broken[rule])
+		if w.result.Violations[rule] != 1 {
+			t.Errorf("%s: counted %d times", rule, w.result.Violations[rule])
 		}
 	}
 }
 
-func TestCheckNamesTheFieldOfTheWorld(t *testing.T) {
+func TestValidateNamesTheField(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
-		"depots: 0 is not 1 to 256":     func(c *Config) { c.Depots = 0 },
-		"rateS: NaN":                    func(c *Config) { c.RateS = math.NaN() },
+		"depots: 0 is not 1 to 256":     func(c *Config) { c.Sites = 0 },
+		"rateS: NaN":                    func(c *Config) { c.RequestsPerSecond = math.NaN() },
 		"flood.tenant: 99 is no tenant": func(c *Config) { c.Flood = &Flood{Tenant: 99} },
-		"faults[0]: ":                   func(c *Config) { c.Faults = []Fault{{Depot: 7}} },
+		"faults[0]: ":                   func(c *Config) { c.Faults = []Fault{{Site: 7}} },
 	} {
-		cfg := small(1)
+		cfg := smallConfig(1)
 		spoil(&cfg)
-		if err := cfg.Check(); err == nil || len(err.Error()) < len(want) || err.Error()[:len(want)] != want {
+		if err := cfg.Validate(); err == nil || len(err.Error()) < len(want) || err.Error()[:len(want)] != want {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
@@ -130,7 +130,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "transfers")
 		rng := rand.New(rand.NewPCG(uint64(n), rapid.Uint64().Draw(t, "seed")))
-		l := link{cap: 4000 / 1e6, pace: 1000 / 1e6}
+		l := link{capacity: 4000 / 1e6, maxRate: 1000 / 1e6}
 		type plain struct {
 			at   int64
 			left float64
@@ -138,12 +138,12 @@
 		}
 		var want []plain
 		for range n {
-			want = append(want, plain{at: int64(rng.IntN(400)) * ms, left: 20 + 400*rng.Float64()})
+			want = append(want, plain{at: int64(rng.IntN(400)) * millisecond, left: 20 + 400*rng.Float64()})
 		}
 		ends := make([]int64, n)
 		started := make([]bool, n)
-		const dt = 50 * us
-		for now := int64(0); now < 5*sec; now += dt {
+		const dt = 50 * microsecond
+		for now := int64(0); now < 5*second; now += dt {
 			out := 0
 			for i := range want {
 				if want[i].at <= now && want[i].end == 0 {
@@ -156,7 +156,7 @@
 			}
 			speed := 0.0
 			if out > 0 {
-				speed = min(l.pace, l.cap/float64(out))
+				speed = min(l.maxRate, l.capacity/float64(out))
 			}
 			for i := range want {
 				if want[i].at <= now && want[i].end == 0 {
@@ -165,16 +165,16 @@
 					}
 				}
 			}
-			for len(l.heap) > 0 && l.next() <= now+dt {
-				at := max(l.next(), now)
+			for len(l.transfers) > 0 && l.nextEnd() <= now+dt {
+				at := max(l.nextEnd(), now)
 				l.advance(at)
 				tr := l.popTransfer()
-				l.n--
+				l.active--
 				ends[tr.owner] = at
 			}
 		}
 		for i := range want {
-			if d := ends[i] - want[i].end; d > 20*ms || d < -20*ms {
+			if d := ends[i] - want[i].end; d > 20*millisecond || d < -20*millisecond {
 				t.Fatalf("transfer %d ends at %d us, in small steps at %d", i, ends[i], want[i].end)
 			}
 		}
@@ -184,11 +184,11 @@
 // The queue gives events by time, and those of one time in the order in which they came.
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var q queue
-		last := event{at: -1}
+		var q eventQueue
+		last := event{time: -1}
 		for _, at := range rapid.SliceOf(rapid.Int64Range(-1, 50)).Draw(t, "times") {
 			if at >= 0 {
-				q.push(event{at: at + max(last.at, 0)})
+				q.push(event{time: at + max(last.time, 0)})
 			} else if len(q.heap) > 0 {
 				e := q.pop()
 				if e.before(&last) {
@@ -220,11 +220,11 @@
 		t.Error("a copy that is too old")
 	}
 	c.put(11, 1000, 0)
-	if _, held := c.get(11, 0); held || c.held > c.room {
-		t.Errorf("%v KB in a room of %v", c.held, c.room)
+	if _, held := c.get(11, 0); held || c.usedKB > c.capacityKB {
+		t.Errorf("%v KB in a room of %v", c.usedKB, c.capacityKB)
 	}
 }
 
-func actionTo(server string) routing.Action {
-	return routing.Action{Kind: routing.ActionSend, Server: server, Timeout: sec}
+func sendTo(server string) routing.Action {
+	return routing.Action{Kind: routing.ActionSend, Server: server, Timeout: second}
 }
--- a/emulator/hubs.go
+++ b/emulator/hubs.go
@@ -8,22 +8,22 @@
 
 // Styles of a shape.
 const (
-	Planned = "planned" // all ways, each with what it bears
-	Near    = "nearest" // all hubs, each taken to bear anything: fills go to the nearest that is there
-	Direct  = "direct"  // the near hub, and without it the head office, taken to bear anything
+	TopologyPlanned = "planned" // all ways, each with what it bears
+	TopologyNearest = "nearest" // all hubs, each taken to bear anything: fills go to the nearest that is there
+	TopologyDirect  = "direct"  // the near hub, and without it the head office, taken to bear anything
 )
 
-// anything is more than any tier bears, KB a second.
-const anything = 1e9
+// unboundedKBPerSecond is more than any tier bears, KB a second.
+const unboundedKBPerSecond = 1e9
 
-// Hierarchy is the shape of a world with hubs, as a document would have it.
-func (c *Config) Hierarchy(style string) (*hierarchy.Topology, error) {
+// BuildTopology is the shape of a world with hubs, as a document would have it.
+func (c *Config) BuildTopology(style string) (*hierarchy.Topology, error) {
 	if c.Hubs < 1 {
 		return nil, fmt.Errorf("shape: hubs: %d is under 1", c.Hubs)
 	}
-	s := &hierarchy.Topology{Version: 1, Origin: hierarchy.Origin{Name: "head", CapacityKBPerS: c.originKbS()}}
-	if style != Planned {
-		s.Origin.CapacityKBPerS = anything
+	s := &hierarchy.Topology{Version: 1, Origin: hierarchy.Origin{Name: "head", CapacityKBPerS: c.originKBPerSecond()}}
+	if style != TopologyPlanned {
+		s.Origin.CapacityKBPerS = unboundedKBPerSecond
 	}
 	for h := range c.Hubs {
 		a := hierarchy.ParentGroup{Name: hubName(h), MissRatio: 0.35}
@@ -31,38 +31,38 @@
 			a.ServerPrefixes = append(a.ServerPrefixes, parentName(i))
 		}
 		s.ParentGroups = append(s.ParentGroups, a)
-		s.Links = append(s.Links, hierarchy.Link{From: a.Name, To: "head", CapacityKBPerS: anything, RTTMillis: ms2(c.originWay())})
+		s.Links = append(s.Links, hierarchy.Link{From: a.Name, To: "head", CapacityKBPerS: unboundedKBPerSecond, RTTMillis: roundTripMillis(c.originDelay())})
 	}
-	for d := range c.Depots {
-		depot := hierarchy.Site{Name: zoneName(d), PeakFillKBPerS: c.fillKbS() / float64(c.Depots)}
-		if style != Planned {
+	for d := range c.Sites {
+		depot := hierarchy.Site{Name: zoneName(d), PeakFillKBPerS: c.fillKBPerSecond() / float64(c.Sites)}
+		if style != TopologyPlanned {
 			depot.PeakFillKBPerS = 1 // what there is always fits
 		}
 		s.Sites = append(s.Sites, depot)
 		for h := range c.Hubs {
-			way := hierarchy.Link{From: depot.Name, To: hubName(h), CapacityKBPerS: c.linkKbS(), RTTMillis: ms2(hubWay)}
+			way := hierarchy.Link{From: depot.Name, To: hubName(h), CapacityKBPerS: c.siteLinkKBPerSecond(), RTTMillis: roundTripMillis(hubDelay)}
 			if h != d%c.Hubs {
-				if style == Direct {
+				if style == TopologyDirect {
 					continue
 				}
-				if way.RTTMillis = ms2(hubWay + farWay); style == Near { // and so far that no object has its place there
+				if way.RTTMillis = roundTripMillis(hubDelay + remoteHubExtraDelay); style == TopologyNearest { // and so far that no object has its place there
 					way.RTTMillis = hierarchy.RejectionCostMillis / 2
 				}
-				if c.FarRoom > 0 && style == Planned {
-					way.CapacityKBPerS = min(way.CapacityKBPerS, c.farKbS())
+				if c.RemoteHubCapacityFactor > 0 && style == TopologyPlanned {
+					way.CapacityKBPerS = min(way.CapacityKBPerS, c.remoteHubKBPerSecond())
 				}
 			}
 			s.Links = append(s.Links, way)
 		}
-		if style != Near {
-			s.Links = append(s.Links, hierarchy.Link{From: depot.Name, To: "head", CapacityKBPerS: c.linkKbS(), RTTMillis: ms2(hubWay + c.originWay() + originAsk)})
+		if style != TopologyNearest {
+			s.Links = append(s.Links, hierarchy.Link{From: depot.Name, To: "head", CapacityKBPerS: c.siteLinkKBPerSecond(), RTTMillis: roundTripMillis(hubDelay + c.originDelay() + originServiceTime)})
 		}
 	}
 	return s, nil
 }
 
-// ms2 is the way there and back, in ms.
-func ms2(us int64) float64 { return 2 * float64(us) / float64(ms) }
+// roundTripMillis is the way there and back, in ms.
+func roundTripMillis(us int64) float64 { return 2 * float64(us) / float64(millisecond) }
 
 func hubName(hub int) string { return fmt.Sprintf("hub-%d", hub) }
 
--- a/emulator/links.go
+++ b/emulator/links.go
@@ -6,143 +6,145 @@
 	"spantack/routing"
 )
 
-// way is the time from a router or a cache of a depot to a server.
-func (w *World) way(depot int32, s *server) int64 {
+// networkDelay is the time from a router or a cache of a depot to a server.
+func (w *World) networkDelay(depot int32, server *simulatedServer) int64 {
 	switch {
-	case s.kind == cacheServer:
-		return cacheWay
-	case s.kind == originServer:
-		return hubWay + w.cfg.originWay()
-	case w.cfg.Hubs > 0 && s.hub != int(depot)%w.cfg.Hubs:
-		return hubWay + farWay
+	case server.kind == cacheServer:
+		return cacheDelay
+	case server.kind == originServer:
+		return hubDelay + w.config.originDelay()
+	case w.config.Hubs > 0 && server.hub != int(depot)%w.config.Hubs:
+		return hubDelay + remoteHubExtraDelay
 	}
-	return hubWay
+	return hubDelay
 }
 
-// stopMoving takes an attempt's data off all links.
-func (w *World) stopMoving(t *try) {
-	t.moving = 0
-	for i, over := range t.links {
+// removeTransfers takes an attempt's data off all links.
+func (w *World) removeTransfers(attempt *serverAttempt) {
+	attempt.activeTransfers = 0
+	for i, over := range attempt.links {
 		if over >= 0 {
-			t.links[i] = -1
-			w.leave(over)
+			attempt.links[i] = -1
+			w.removeTransfer(over)
 		}
 	}
 }
 
-// leave takes a transfer off a link before its end.
-func (w *World) leave(id int32) {
+// removeTransfer takes a transfer off a link before its end.
+func (w *World) removeTransfer(id int32) {
 	l := &w.links[id]
 	l.advance(w.now)
-	l.n--
-	w.arm(id)
+	l.active--
+	w.scheduleLink(id)
 }
 
-// arm makes sure of an event by the time that a link's next transfer ends.
-func (w *World) arm(id int32) {
+// scheduleLink makes sure of an event by the time that a link's next transfer ends.
+func (w *World) scheduleLink(id int32) {
 	l := &w.links[id]
-	for len(l.heap) > 0 && !w.waits(&l.heap[0]) {
+	for len(l.transfers) > 0 && !w.isWanted(&l.transfers[0]) {
 		l.popTransfer()
 	}
-	if next := l.next(); next != 0 && (l.due == 0 || next < l.due) {
-		l.due = next
-		w.push(event{at: next, kind: evLink, id: id})
+	if next := l.nextEnd(); next != 0 && (l.dueAt == 0 || next < l.dueAt) {
+		l.dueAt = next
+		w.push(event{time: next, kind: eventLinkDue, target: id})
 	}
 }
 
-// waits reports that a transfer's owner is still there.
-func (w *World) waits(t *transfer) bool {
-	if t.stage == toParent {
-		return w.fetches[t.owner].gen == t.gen
+// isWanted reports that a transfer's owner is still there.
+func (w *World) isWanted(t *transfer) bool {
+	if t.segment == segmentToParent {
+		return w.fetches[t.owner].generation == t.generation
 	}
-	tr := &w.tries[t.owner]
-	return tr.gen == t.gen && tr.links[t.stage] >= 0
+	tr := &w.attempts[t.owner]
+	return tr.generation == t.generation && tr.links[t.segment] >= 0
 }
 
-func (w *World) move(id, over int32, kb float64, st stage) {
-	t := &w.tries[id]
-	t.links[st] = over
-	t.moving++
-	w.links[over].add(w.now, kb, transfer{owner: id, gen: t.gen, stage: st})
-	w.arm(over)
+func (w *World) startTransfer(id, over int32, kb float64, st segment) {
+	attempt := &w.attempts[id]
+	attempt.links[st] = over
+	attempt.activeTransfers++
+	w.links[over].add(w.now, kb, transfer{owner: id, generation: attempt.generation, segment: st})
+	w.scheduleLink(over)
 }
 
-func (w *World) linkDue(id int32) {
+func (w *World) advanceLink(id int32) {
 	l := &w.links[id]
-	if w.now < l.due {
+	if w.now < l.dueAt {
 		return
 	}
-	l.due = 0
+	l.dueAt = 0
 	l.advance(w.now)
-	for len(l.heap) > 0 {
-		if !w.waits(&l.heap[0]) {
+	for len(l.transfers) > 0 {
+		if !w.isWanted(&l.transfers[0]) {
 			l.popTransfer()
 			continue
 		}
-		if l.heap[0].end > l.had+1e-9 {
+		if l.transfers[0].endKB > l.progressKB+1e-9 {
 			break
 		}
 		t := l.popTransfer()
-		l.n--
-		w.moved(t, id)
+		l.active--
+		w.transferEnded(t, id)
 	}
-	w.arm(id)
+	w.scheduleLink(id)
 }
 
-func (w *World) kbOf(id int32) float64 { return w.wishes[w.requests[w.tries[id].request].wish].kb }
+func (w *World) sizeKB(id int32) float64 {
+	return w.operations[w.requests[w.attempts[id].request].operation].sizeKB
+}
 
-// moved is a transfer that has ended.
-func (w *World) moved(tr transfer, over int32) {
-	if tr.stage == toParent {
-		w.fetched(tr.owner)
+// transferEnded is a transfer that has ended.
+func (w *World) transferEnded(tr transfer, over int32) {
+	if tr.segment == segmentToParent {
+		w.fetchCompleted(tr.owner)
 		return
 	}
 	id := tr.owner
-	t := &w.tries[id]
-	t.links[tr.stage] = -1
-	t.moving--
-	s := &w.servers[t.node]
+	attempt := &w.attempts[id]
+	attempt.links[tr.segment] = -1
+	attempt.activeTransfers--
+	server := &w.servers[attempt.server]
 	switch {
-	case tr.stage == fromAbove && t.srcActive:
-		t.srcActive = false
-		w.servers[t.source].active--
-		w.res.filled(w, t, w.kbOf(id))
-	case tr.stage == intoDepot && t.filling:
-		t.filling = false
-		s.fills--
-		w.store(s, id)
+	case tr.segment == segmentFromUpstream && attempt.countedAtSource:
+		attempt.countedAtSource = false
+		w.servers[attempt.source].active--
+		w.result.fillCompleted(w, attempt, w.sizeKB(id))
+	case tr.segment == segmentIntoSite && attempt.countedFilling:
+		attempt.countedFilling = false
+		server.fills--
+		w.storeFill(server, id)
 	}
-	w.whole(id)
+	w.completeIfDelivered(id)
 }
 
-// whole ends an attempt whose data has come by all its links.
-func (w *World) whole(id int32) {
-	t := &w.tries[id]
-	if t.moving > 0 || t.fetch >= 0 {
+// completeIfDelivered ends an attempt whose data has come by all its links.
+func (w *World) completeIfDelivered(id int32) {
+	attempt := &w.attempts[id]
+	if attempt.activeTransfers > 0 || attempt.fetch >= 0 {
 		return
 	}
-	if t.asked > 0 { // what the answer took beyond its sending
-		t.waited = max(w.now-t.asked-int64(w.kbOf(id)/paceKbS*float64(sec)), 0)
+	if attempt.fillStartedAt > 0 { // what the answer took beyond its sending
+		attempt.upstreamWait = max(w.now-attempt.fillStartedAt-int64(w.sizeKB(id)/responseKBPerSecond*float64(second)), 0)
 	}
-	if wi := &w.wishes[w.requests[t.request].wish]; wi.release && w.renewed(t.made) && w.harmed(wi) {
-		w.end(id, routing.OutcomeError, 0)
+	if operation := &w.operations[w.requests[attempt.request].operation]; operation.release && w.isNewVersion(attempt.producedAt) && w.isHarmful(operation) {
+		w.endAttempt(id, routing.OutcomeError, 0)
 		return
 	}
-	w.end(id, routing.OutcomeServed, t.note)
+	w.endAttempt(id, routing.OutcomeServed, attempt.cacheStatus)
 }
 
-// flow sets an attempt's data on its way from a source to the router, over all that lies between.
-func (w *World) flow(id, from int32) {
-	t := &w.tries[id]
-	kb, s := w.kbOf(id), &w.servers[t.node]
-	w.move(id, w.servers[from].link, kb, fromAbove)
-	depot := w.routers[w.requests[t.request].router].depot
-	w.gaugeFill(t, depot, kb)
-	w.move(id, w.depotCap[depot], kb, intoDepot)
-	if src := &w.servers[from]; src.kind == parentServer && w.farCap != nil && src.hub != depot%w.cfg.Hubs {
-		w.move(id, w.farCap[depot*w.cfg.Hubs+src.hub], kb, fromFar)
+// sendFrom sets an attempt's data on its way from a source to the router, over all that lies between.
+func (w *World) sendFrom(id, from int32) {
+	attempt := &w.attempts[id]
+	kb, server := w.sizeKB(id), &w.servers[attempt.server]
+	w.startTransfer(id, w.servers[from].link, kb, segmentFromUpstream)
+	depot := w.routers[w.requests[attempt.request].router].site
+	w.recordCellFill(attempt, depot, kb)
+	w.startTransfer(id, w.siteLinks[depot], kb, segmentIntoSite)
+	if src := &w.servers[from]; src.kind == parentServer && w.remoteHubLinks != nil && src.hub != depot%w.config.Hubs {
+		w.startTransfer(id, w.remoteHubLinks[depot*w.config.Hubs+src.hub], kb, segmentFromRemoteHub)
 	}
-	if s.kind == cacheServer {
-		w.move(id, s.link, kb, toRouter)
+	if server.kind == cacheServer {
+		w.startTransfer(id, server.link, kb, segmentToRouter)
 	}
 }
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -4,22 +4,22 @@
 
 // Tally counts wishes of one kind; worth in units of the classes' gains.
 type Tally struct {
-	Asked   int64   `json:"asked"`
-	Offered float64 `json:"offered"`
-	Timely  float64 `json:"timely"` // worth that came within its aim, counted from the first try
-	Earned  float64 `json:"earned"` // with what late answers are still worth
-	Served  int64   `json:"served"`
-	Refused int64   `json:"refused"` // answers of routers, of all tries
-	Failed  int64   `json:"failed"`
-	Lost    int64   `json:"lost"` // wishes never served
+	Operations    int64   `json:"asked"`
+	OfferedWeight float64 `json:"offered"`
+	TimelyWeight  float64 `json:"timely"` // worth that came within its aim, counted from the first try
+	EarnedWeight  float64 `json:"earned"` // with what late answers are still worth
+	Served        int64   `json:"served"`
+	Rejected      int64   `json:"refused"` // answers of routers, of all tries
+	Failed        int64   `json:"failed"`
+	Unserved      int64   `json:"lost"` // wishes never served
 }
 
-// Share is the timely part of what was offered.
-func (t Tally) Share() float64 {
-	if t.Offered == 0 {
+// TimelyRatio is the timely part of what was offered.
+func (t Tally) TimelyRatio() float64 {
+	if t.OfferedWeight == 0 {
 		return 0
 	}
-	return t.Timely / t.Offered
+	return t.TimelyWeight / t.OfferedWeight
 }
 
 // Plus is the sum of two.
@@ -29,304 +29,304 @@
 }
 
 func (t *Tally) add(o Tally) {
-	t.Asked += o.Asked
-	t.Offered += o.Offered
-	t.Timely += o.Timely
-	t.Earned += o.Earned
+	t.Operations += o.Operations
+	t.OfferedWeight += o.OfferedWeight
+	t.TimelyWeight += o.TimelyWeight
+	t.EarnedWeight += o.EarnedWeight
 	t.Served += o.Served
-	t.Refused += o.Refused
+	t.Rejected += o.Rejected
 	t.Failed += o.Failed
-	t.Lost += o.Lost
+	t.Unserved += o.Unserved
 }
 
 // Second is one second of the day, of the tenants in other cells than the troublesome one, and of that tenant's cell.
 type Second struct {
-	Others, Cell Tally
+	OtherCells, NoisyCell Tally
 }
 
 // Result is what a day came to.
 type Result struct {
-	Groups   []Tally          `json:"groups"` // by cell, without the tenant that floods or is poisoned
-	Guilty   Tally            `json:"guilty"` // that tenant
-	Class    [classes]Tally   `json:"class"`
-	Seconds  []Second         `json:"-"`
-	Broken   map[string]int64 `json:"broken"`
-	Events   int64            `json:"events"`
-	Attempts int64            `json:"attempts"`
-	Requests int64            `json:"requests"` // all tries of clients
-	Overdue  int64            `json:"overdue"`  // clients that left unanswered
-	Lost     int64            `json:"lost"`     // requests at routers that died
-	Hits     int64            `json:"hits"`
-	Looks    int64            `json:"looks"`
-	FillKb   float64          `json:"fillKb"`
-	OriginKb float64          `json:"originKb"`
-	P50Ms    [classes]float64 `json:"p50Ms"`
-	P99Ms    [classes]float64 `json:"p99Ms"`
-	Gate     cells.Stats      `json:"gate"`
-	Movers   Tally            `json:"movers"`  // tenants counted apart
-	Stayers  Tally            `json:"stayers"` // and all others
-	// ColdMost is the greatest part of its bound that a server which started lately was sent, ColdShare the greatest part of one router's
+	ByCell         []Tally             `json:"groups"` // by cell, without the tenant that floods or is poisoned
+	NoisyTenant    Tally               `json:"guilty"` // that tenant
+	ByClass        [classCount]Tally   `json:"class"`
+	Seconds        []Second            `json:"-"`
+	Violations     map[string]int64    `json:"broken"`
+	Events         int64               `json:"events"`
+	Attempts       int64               `json:"attempts"`
+	Requests       int64               `json:"requests"` // all tries of clients
+	Unanswered     int64               `json:"overdue"`  // clients that left unanswered
+	LostWithRouter int64               `json:"lost"`     // requests at routers that died
+	Hits           int64               `json:"hits"`
+	Lookups        int64               `json:"looks"`
+	FillKB         float64             `json:"fillKb"`
+	OriginKB       float64             `json:"originKb"`
+	P50Millis      [classCount]float64 `json:"p50Ms"`
+	P99Millis      [classCount]float64 `json:"p99Ms"`
+	Admission      cells.Stats         `json:"gate"`
+	Migrated       Tally               `json:"movers"`  // tenants counted apart
+	NotMigrated    Tally               `json:"stayers"` // and all others
+	// MaxWarmUpLoad is the greatest part of its bound that a server which started lately was sent, MaxWarmUpLoadPerRouter the greatest part of one router's
 	// share of that, its largest request not counted.
-	ColdMost  float64 `json:"coldMost"`
-	ColdShare float64 `json:"coldShare"`
-	// CellFill is the greatest part of a cell's share of the depot's link that its caches filled over three seconds.
-	CellFill float64 `json:"cellFill"`
-	// CellBusy is the greatest part of what a cell's caches bear that was open at them, over three seconds.
-	CellBusy float64 `json:"cellBusy"`
-	// Spread is the greatest difference between two routers of a depot in their shares of one move.
-	Spread float64 `json:"spread"`
-	// DoneS is when the last router sent all of its movers' objects to their new cells.
-	DoneS float64 `json:"doneS"`
-	// Stopped is at how many routers a release was stopped, StoppedS when at the first; Passed at how many its last ring passed.
-	Stopped  int     `json:"stopped"`
-	StoppedS float64 `json:"stoppedS"`
-	Passed   int     `json:"passed"`
+	MaxWarmUpLoad          float64 `json:"coldMost"`
+	MaxWarmUpLoadPerRouter float64 `json:"coldShare"`
+	// MaxCellFill is the greatest part of a cell's share of the depot's link that its caches filled over three seconds.
+	MaxCellFill float64 `json:"cellFill"`
+	// MaxCellUtilization is the greatest part of what a cell's caches bear that was open at them, over three seconds.
+	MaxCellUtilization float64 `json:"cellBusy"`
+	// MaxMigrationSpread is the greatest difference between two routers of a depot in their shares of one move.
+	MaxMigrationSpread float64 `json:"spread"`
+	// MigratedAtSeconds is when the last router sent all of its movers' objects to their new cells.
+	MigratedAtSeconds float64 `json:"doneS"`
+	// RoutersStopped is at how many routers a release was stopped, StoppedAtSeconds when at the first; Passed at how many its last ring passed.
+	RoutersStopped   int     `json:"stopped"`
+	StoppedAtSeconds float64 `json:"stoppedS"`
+	RoutersPassed    int     `json:"passed"`
 	// Of a release that renews objects, answers with them: Renewed in cells that have it, Held in others while it is on its way, of which
 	// Early with the new version, and Restored once it was taken back.
-	Renewed  int64 `json:"renewed"`
-	Held     int64 `json:"held"`
-	Early    int64 `json:"early"`
-	Restored int64 `json:"restored"`
-	// OriginMost is the greatest part of what the head office sends in a second that was asked of it in one; OriginOverS in how many seconds
+	ReleaseAnswers    int64 `json:"renewed"`
+	PendingAnswers    int64 `json:"held"`
+	EarlyAnswers      int64 `json:"early"`
+	RolledBackAnswers int64 `json:"restored"`
+	// MaxOriginLoad is the greatest part of what the head office sends in a second that was asked of it in one; OriginOverloadSeconds in how many seconds
 	// that was more than all.
-	OriginMost  float64 `json:"originMost"`
-	OriginOverS float64 `json:"originOverS"`
-	// Words counts datagrams that routers told one another, WordBytes the bytes of them that came to one.
-	Words     int64 `json:"words"`
-	WordBytes int64 `json:"wordBytes"`
-	// Largest and Next are the answered shares of the largest wishes of each class, and of the next fifth, over that of the whole class.
-	Largest [classes]float64 `json:"largest"`
-	Next    [classes]float64 `json:"next"`
-	// Unended counts wishes that were neither served nor lost by the end.
-	Unended int64 `json:"unended"`
-	// Touched is the share of other tenants' worth served in depots on caches that the guilty tenant also used.
-	Touched float64 `json:"touched"`
+	MaxOriginLoad         float64 `json:"originMost"`
+	OriginOverloadSeconds float64 `json:"originOverS"`
+	// Datagrams counts datagrams that routers told one another, DatagramBytes the bytes of them that came to one.
+	Datagrams     int64 `json:"words"`
+	DatagramBytes int64 `json:"wordBytes"`
+	// LargestServedRatio and Next are the answered shares of the largest wishes of each class, and of the next fifth, over that of the whole class.
+	LargestServedRatio     [classCount]float64 `json:"largest"`
+	NextLargestServedRatio [classCount]float64 `json:"next"`
+	// Unfinished counts wishes that were neither served nor lost by the end.
+	Unfinished int64 `json:"unended"`
+	// SharedCacheFraction is the share of other tenants' worth served in depots on caches that the guilty tenant also used.
+	SharedCacheFraction float64 `json:"touched"`
 
-	sizes     [classes][]sized
-	originAt  int64
-	originNow float64
-	originKbS float64
+	endedBySize       [classCount][]endedOperation
+	originSecond      int64
+	originSecondKB    float64
+	originKBPerSecond float64
 
-	group   []int
-	guilty  int
-	own     int // its cell
-	warm    int64
-	movers  map[int32]bool
-	names   map[string]int32
-	used    map[int32]bool    // caches that the guilty tenant was sent to
-	worthAt map[int32]float64 // worth of the others that each cache served
+	cellByTenant      []int
+	noisyTenant       int
+	noisyCell         int // its cell
+	countFrom         int64
+	migratedTenants   map[int32]bool
+	serversByName     map[string]int32
+	noisyTenantCaches map[int32]bool    // caches that the guilty tenant was sent to
+	weightByCache     map[int32]float64 // worth of the others that each cache served
 }
 
 func newResult(cfg *Config) Result {
-	r := Result{Broken: map[string]int64{}, group: cfg.Group, guilty: -1, own: -1, warm: int64(cfg.WarmS * float64(sec)), names: map[string]int32{},
-		used: map[int32]bool{}, worthAt: map[int32]float64{}, Seconds: make([]Second, int(cfg.DayS)+1)}
-	r.originKbS = cfg.originKbS()
-	r.movers = map[int32]bool{}
-	for _, t := range cfg.Movers {
-		r.movers[int32(t)] = true
+	r := Result{Violations: map[string]int64{}, cellByTenant: cfg.CellByTenant, noisyTenant: -1, noisyCell: -1, countFrom: int64(cfg.WarmUpSeconds * float64(second)), serversByName: map[string]int32{},
+		noisyTenantCaches: map[int32]bool{}, weightByCache: map[int32]float64{}, Seconds: make([]Second, int(cfg.DurationSeconds)+1)}
+	r.originKBPerSecond = cfg.originKBPerSecond()
+	r.migratedTenants = map[int32]bool{}
+	for _, t := range cfg.MigratedTenants {
+		r.migratedTenants[int32(t)] = true
 	}
 	most := 0
-	for _, g := range cfg.Group {
+	for _, g := range cfg.CellByTenant {
 		most = max(most, g)
 	}
-	r.Groups = make([]Tally, most+1)
+	r.ByCell = make([]Tally, most+1)
 	switch {
 	case cfg.Flood != nil:
-		r.guilty = cfg.Flood.Tenant
+		r.noisyTenant = cfg.Flood.Tenant
 	case cfg.Poison != nil:
-		r.guilty = cfg.Poison.Tenant
+		r.noisyTenant = cfg.Poison.Tenant
 	}
-	if r.guilty >= 0 {
-		r.own = r.groupOf(int32(r.guilty))
+	if r.noisyTenant >= 0 {
+		r.noisyCell = r.cellOf(int32(r.noisyTenant))
 	}
 	return r
 }
 
-// Watch counts a tenant apart on a day without trouble, so that the day compares with one on which it makes some.
-func (w *World) Watch(tenant int) {
-	w.res.guilty, w.res.own = tenant, w.res.groupOf(int32(tenant))
+// WatchTenant counts a tenant apart on a day without trouble, so that the day compares with one on which it makes some.
+func (w *World) WatchTenant(tenant int) {
+	w.result.noisyTenant, w.result.noisyCell = tenant, w.result.cellOf(int32(tenant))
 }
 
-func (r *Result) groupOf(tenant int32) int {
-	if r.group == nil {
+func (r *Result) cellOf(tenant int32) int {
+	if r.cellByTenant == nil {
 		return 0
 	}
-	return r.group[tenant]
+	return r.cellByTenant[tenant]
 }
 
-func (r *Result) broken(rule string) { r.Broken[rule]++ }
+func (r *Result) violation(rule string) { r.Violations[rule]++ }
 
-// book adds to each tally that a wish counts in.
-func (r *Result) book(w *wish, add Tally) {
-	if !w.counted {
+// count adds to each tally that a wish counts in.
+func (r *Result) count(operation *clientOperation, add Tally) {
+	if !operation.counted {
 		return
 	}
-	group := r.groupOf(w.tenant)
-	second := &r.Seconds[min(int((w.first-r.warm)/sec), len(r.Seconds)-1)]
-	if int(w.tenant) == r.guilty {
-		r.Guilty.add(add)
+	group := r.cellOf(operation.tenant)
+	second := &r.Seconds[min(int((operation.startedAt-r.countFrom)/second), len(r.Seconds)-1)]
+	if int(operation.tenant) == r.noisyTenant {
+		r.NoisyTenant.add(add)
 		return
 	}
-	if r.movers[w.tenant] {
-		r.Movers.add(add)
+	if r.migratedTenants[operation.tenant] {
+		r.Migrated.add(add)
 	} else {
-		r.Stayers.add(add)
+		r.NotMigrated.add(add)
 	}
-	r.Class[w.class].add(add)
-	r.Groups[group].add(add)
-	if group == r.own {
-		second.Cell.add(add)
+	r.ByClass[operation.class].add(add)
+	r.ByCell[group].add(add)
+	if group == r.noisyCell {
+		second.NoisyCell.add(add)
 	} else {
-		second.Others.add(add)
+		second.OtherCells.add(add)
 	}
 }
 
-func (r *Result) offered(w *wish) {
-	r.book(w, Tally{Asked: 1, Offered: classOf[w.class].gain})
+func (r *Result) operationStarted(operation *clientOperation) {
+	r.count(operation, Tally{Operations: 1, OfferedWeight: classModels[operation.class].weight})
 }
-func (r *Result) refused(w *wish) { r.book(w, Tally{Refused: 1}) }
-func (r *Result) failed(w *wish)  { r.book(w, Tally{Failed: 1}) }
-func (r *Result) lost(w *wish) {
-	r.book(w, Tally{Lost: 1})
-	r.ended(w, false)
+func (r *Result) requestRejected(operation *clientOperation) { r.count(operation, Tally{Rejected: 1}) }
+func (r *Result) requestFailed(operation *clientOperation)   { r.count(operation, Tally{Failed: 1}) }
+func (r *Result) operationUnserved(operation *clientOperation) {
+	r.count(operation, Tally{Unserved: 1})
+	r.recordSize(operation, false)
 }
 
-func (r *Result) served(w *World, wi *wish) {
-	c := &classOf[wi.class]
-	took := w.now - wi.first
-	add := Tally{Served: 1, Earned: c.gain * c.late}
-	if float64(took) <= w.cfg.promise(int(wi.class))*float64(ms)+c.stretch*wi.kb/paceKbS*float64(sec) {
-		add.Timely, add.Earned = c.gain, c.gain
+func (r *Result) operationServed(w *World, operation *clientOperation) {
+	c := &classModels[operation.class]
+	took := w.now - operation.startedAt
+	add := Tally{Served: 1, EarnedWeight: c.weight * c.lateWeightFactor}
+	if float64(took) <= w.config.latencyObjectiveMs(int(operation.class))*float64(millisecond)+c.objectiveSizeFactor*operation.sizeKB/responseKBPerSecond*float64(second) {
+		add.TimelyWeight, add.EarnedWeight = c.weight, c.weight
 	}
-	r.book(wi, add)
-	r.ended(wi, true)
-	if wi.counted && (int(wi.tenant) != r.guilty || w.cfg.Tenants == 1) {
-		_ = w.latency[wi.class].RecordValue(min(took, 9_999_999))
+	r.count(operation, add)
+	r.recordSize(operation, true)
+	if operation.counted && (int(operation.tenant) != r.noisyTenant || w.config.Tenants == 1) {
+		_ = w.latency[operation.class].RecordValue(min(took, 9_999_999))
 	}
 }
 
-// looked counts a look-up at a depot cache.
-func (r *Result) looked(w *World, s *server, wi *wish, held bool) {
-	if !wi.counted || s.kind != cacheServer {
+// cacheLookup counts a look-up at a depot cache.
+func (r *Result) cacheLookup(w *World, server *simulatedServer, operation *clientOperation, held bool) {
+	if !operation.counted || server.kind != cacheServer {
 		return
 	}
-	id := w.byName(s.name)
-	if int(wi.tenant) == r.guilty {
-		r.used[id] = true
+	id := w.serverNamed(server.name)
+	if int(operation.tenant) == r.noisyTenant {
+		r.noisyTenantCaches[id] = true
 		return
 	}
-	r.worthAt[id] += classOf[wi.class].gain
-	r.Looks++
+	r.weightByCache[id] += classModels[operation.class].weight
+	r.Lookups++
 	if held {
 		r.Hits++
 	}
 }
 
-func (r *Result) filled(w *World, t *try, kb float64) {
-	if w.wishes[w.requests[t.request].wish].counted {
-		r.FillKb += kb
+func (r *Result) fillCompleted(w *World, attempt *serverAttempt, kb float64) {
+	if w.operations[w.requests[attempt.request].operation].counted {
+		r.FillKB += kb
 	}
 }
 
-func (r *Result) asked(w *World, kb float64) {
-	if w.now >= r.warm && w.now < w.stop {
-		r.OriginKb += kb
+func (r *Result) originFill(w *World, kb float64) {
+	if w.now >= r.countFrom && w.now < w.stopAt {
+		r.OriginKB += kb
 	}
-	at := w.now / sec
-	if at != r.originAt {
-		r.originSecond()
-		r.originAt = at
+	at := w.now / second
+	if at != r.originSecond {
+		r.endOriginSecond()
+		r.originSecond = at
 	}
-	r.originNow += kb
+	r.originSecondKB += kb
 }
 
-// originSecond ends a second of the head office's load.
-func (r *Result) originSecond() {
-	if r.originAt >= r.warm/sec {
-		part := r.originNow / r.originKbS
-		r.OriginMost = max(r.OriginMost, part)
+// endOriginSecond ends a second of the head office's load.
+func (r *Result) endOriginSecond() {
+	if r.originSecond >= r.countFrom/second {
+		part := r.originSecondKB / r.originKBPerSecond
+		r.MaxOriginLoad = max(r.MaxOriginLoad, part)
 		if part > 1 {
-			r.OriginOverS++
+			r.OriginOverloadSeconds++
 		}
 	}
-	r.originNow = 0
+	r.originSecondKB = 0
 }
 
-func (w *World) finish() {
-	r := &w.res
-	r.originSecond()
-	for i := range r.sizes {
-		r.Largest[i], r.Next[i] = bySize(r.sizes[i])
+func (w *World) finishResult() {
+	r := &w.result
+	r.endOriginSecond()
+	for i := range r.endedBySize {
+		r.LargestServedRatio[i], r.NextLargestServedRatio[i] = servedRatiosBySize(r.endedBySize[i])
 	}
 	for i := range w.latency {
-		r.P50Ms[i] = float64(w.latency[i].ValueAtQuantile(50)) / 1000
-		r.P99Ms[i] = float64(w.latency[i].ValueAtQuantile(99)) / 1000
+		r.P50Millis[i] = float64(w.latency[i].ValueAtQuantile(50)) / 1000
+		r.P99Millis[i] = float64(w.latency[i].ValueAtQuantile(99)) / 1000
 	}
 	for i := range w.routers {
 		s := &w.routers[i].module.Stats
-		r.Gate.Admitted += s.Admitted
-		r.Gate.FellBack += s.FellBack
-		r.Gate.Migrated += s.Migrated
-		r.Gate.Deferred += s.Deferred
+		r.Admission.Admitted += s.Admitted
+		r.Admission.FellBack += s.FellBack
+		r.Admission.Migrated += s.Migrated
+		r.Admission.Deferred += s.Deferred
 		for j := range s.Rejected {
-			r.Gate.Rejected[j] += s.Rejected[j]
+			r.Admission.Rejected[j] += s.Rejected[j]
 		}
 	}
-	w.judge()
-	sum := r.Movers.Plus(r.Stayers)
-	r.Unended = sum.Asked - sum.Served - sum.Lost
+	w.countRolloutVerdicts()
+	sum := r.Migrated.Plus(r.NotMigrated)
+	r.Unfinished = sum.Operations - sum.Served - sum.Unserved
 	all, touched := 0.0, 0.0
 	for id := range w.servers { // in the order of the servers: sums must come out the same
-		all += r.worthAt[int32(id)]
-		if r.used[int32(id)] {
-			touched += r.worthAt[int32(id)]
+		all += r.weightByCache[int32(id)]
+		if r.noisyTenantCaches[int32(id)] {
+			touched += r.weightByCache[int32(id)]
 		}
 	}
 	if all > 0 {
-		r.Touched = touched / all
+		r.SharedCacheFraction = touched / all
 	}
 }
 
-// Others sums up all cells but the troublesome tenant's own.
-func (r *Result) Others() (sum Tally) {
-	for i, g := range r.Groups {
-		if i != r.own {
+// OtherCells sums up all cells but the troublesome tenant's own.
+func (r *Result) OtherCells() (sum Tally) {
+	for i, g := range r.ByCell {
+		if i != r.noisyCell {
 			sum.add(g)
 		}
 	}
 	return sum
 }
 
-// End is the timely worth in the last seconds of a day.
-func (r *Result) End(seconds int) float64 {
+// TimelyRatioAtEnd is the timely worth in the last seconds of a day.
+func (r *Result) TimelyRatioAtEnd(seconds int) float64 {
 	var sum Tally
 	for _, s := range r.Seconds[max(len(r.Seconds)-seconds, 0):] {
-		sum.add(s.Others)
-		sum.add(s.Cell)
+		sum.add(s.OtherCells)
+		sum.add(s.NoisyCell)
 	}
-	return sum.Share()
+	return sum.TimelyRatio()
 }
 
-// Cell sums up the others in the troublesome tenant's cell.
-func (r *Result) Cell() Tally {
-	if r.own < 0 {
+// NoisyCell sums up the others in the troublesome tenant's cell.
+func (r *Result) NoisyCell() Tally {
+	if r.noisyCell < 0 {
 		return Tally{}
 	}
-	return r.Groups[r.own]
+	return r.ByCell[r.noisyCell]
 }
 
-// BrokenRules counts all broken rules.
-func (r *Result) BrokenRules() (n int64) {
-	for _, rule := range sortedNames(r.Broken) {
-		n += r.Broken[rule]
+// ViolationCount counts all broken rules.
+func (r *Result) ViolationCount() (n int64) {
+	for _, rule := range sortedNames(r.Violations) {
+		n += r.Violations[rule]
 	}
 	return n
 }
 
-// HitShare is the part of look-ups at depot caches that found a copy.
-func (r *Result) HitShare() float64 {
-	if r.Looks == 0 {
+// HitRatio is the part of look-ups at depot caches that found a copy.
+func (r *Result) HitRatio() float64 {
+	if r.Lookups == 0 {
 		return 0
 	}
-	return float64(r.Hits) / float64(r.Looks)
+	return float64(r.Hits) / float64(r.Lookups)
 }
--- a/emulator/routers.go
+++ b/emulator/routers.go
@@ -9,291 +9,291 @@
 	"spantack/routing"
 )
 
-// list puts a server's state into the list of servers; each router hears of it later, in order.
-func (w *World) list(id int32) {
-	s := &w.servers[id]
-	row := routing.Endpoint{Server: s.name, Zone: "hub", Kind: "area", Status: routing.EndpointStatus(s.status), Weight: s.channel, StartedAt: s.cameUp}
-	switch s.kind {
+// publishEndpoint puts a server's state into the list of servers; each router hears of it later, in order.
+func (w *World) publishEndpoint(id int32) {
+	server := &w.servers[id]
+	row := routing.Endpoint{Server: server.name, Zone: "hub", Kind: "area", Status: routing.EndpointStatus(server.status), Weight: server.streams, StartedAt: server.startedAt}
+	switch server.kind {
 	case cacheServer:
-		row.Zone, row.Kind = zoneName(s.depot), "small-box"
+		row.Zone, row.Kind = zoneName(server.site), "small-box"
 	case originServer:
 		row.Kind = "head-office"
 	}
-	w.changes, w.changed = append(w.changes, row), append(w.changed, id)
+	w.endpointChanges, w.changedServers = append(w.endpointChanges, row), append(w.changedServers, id)
 	for r := range w.routers {
-		if rt := &w.routers[r]; rt.up {
-			rt.told = max(rt.told, w.now+int64(w.misc.Float64()*float64(listTells)))
-			w.push(event{at: rt.told, kind: evList, id: int32(r), gen: rt.gen, x: int64(len(w.changes))})
+		if router := &w.routers[r]; router.running {
+			router.endpointUpdateAt = max(router.endpointUpdateAt, w.now+int64(w.miscRandom.Float64()*float64(maxEndpointUpdateDelay)))
+			w.push(event{time: router.endpointUpdateAt, kind: eventEndpointUpdate, target: int32(r), generation: router.generation, value: int64(len(w.endpointChanges))})
 		}
 	}
 }
 
-// boot starts a router that knows nothing but the list.
-func (w *World) boot(id int32) error {
-	r := &w.routers[id]
-	module, err := cells.NewAdmission(w.cfg.settings(r.depot), int64(r.seeds.Uint64()>>1))
+// startRouter starts a router that knows nothing but the list.
+func (w *World) startRouter(id int32) error {
+	router := &w.routers[id]
+	module, err := cells.NewAdmission(w.config.routerSettings(router.site), int64(router.random.Uint64()>>1))
 	if err != nil {
 		return err
 	}
-	if err := w.joins(id); err != nil {
+	if err := w.joinGossip(id); err != nil {
 		return err
 	}
-	module.DocumentClockOffset = r.ahead
-	if w.cfg.Shield != nil {
-		if err := module.SetOriginLimit(w.now, w.cfg.Shield); err != nil { // it was checked with the world
+	module.DocumentClockOffset = router.clockOffset
+	if w.config.OriginLimit != nil {
+		if err := module.SetOriginLimit(w.now, w.config.OriginLimit); err != nil { // it was checked with the world
 			panic(err)
 		}
 	}
-	if w.shape != nil {
-		module.SetTopology(w.now, w.shape)
+	if w.topology != nil {
+		module.SetTopology(w.now, w.topology)
 	}
-	if w.assigned != nil {
-		module.SetAssignment(w.now, w.assigned)
+	if w.assignment != nil {
+		module.SetAssignment(w.now, w.assignment)
 	}
-	r.module, r.up, r.heard, r.told, r.free, r.buckets, r.opened = module, true, 0, w.now, w.now, map[int32]*bucket{}, nil
-	r.heeds = nil
-	w.hear(id, len(w.changes), true)
-	for i := range w.flushes { // one that starts is told of those that may still matter
-		if w.now-w.flushes[i].at < purgeTakes {
-			w.purgeHeard(id, i)
+	router.module, router.running, router.endpointVersion, router.endpointUpdateAt, router.freeAt, router.buckets, router.releaseOpenedAt = module, true, 0, w.now, w.now, map[int32]*tokenBucket{}, nil
+	router.purgeDeadlines = nil
+	w.updateEndpoints(id, len(w.endpointChanges), true)
+	for i := range w.purges { // one that starts is told of those that may still matter
+		if w.now-w.purges[i].startedAt < purgePropagationTime {
+			w.notifyPurge(id, i)
 		}
 	}
-	w.restart(r)
-	if rel := w.cfg.Release; rel != nil && rel.Stage != nil {
-		return r.module.SetRollout(w.now, rel.Stage)
+	w.applyPastChanges(router)
+	if rel := w.config.Release; rel != nil && rel.Rollout != nil {
+		return router.module.SetRollout(w.now, rel.Rollout)
 	}
 	return nil
 }
 
-// hear takes the changes of the list up to one to a router.
-func (w *World) hear(id int32, upTo int, whole bool) {
-	r := &w.routers[id]
-	if r.heard >= upTo {
+// updateEndpoints takes the changes of the list up to one to a router.
+func (w *World) updateEndpoints(id int32, upTo int, whole bool) {
+	router := &w.routers[id]
+	if router.endpointVersion >= upTo {
 		return
 	}
 	ev := routing.Event{Kind: routing.EventEndpoints, UpdateMode: "update"}
 	if whole {
 		ev.UpdateMode = "replace"
 	}
-	for i := r.heard; i < upTo; i++ {
-		row, s := w.changes[i], &w.servers[w.changed[i]]
-		if s.kind == cacheServer && s.depot != r.depot {
+	for i := router.endpointVersion; i < upTo; i++ {
+		row, server := w.endpointChanges[i], &w.servers[w.changedServers[i]]
+		if server.kind == cacheServer && server.site != router.site {
 			continue // depots are told of their own caches
 		}
 		ev.Endpoints = append(ev.Endpoints, row)
-		if _, before := s.drained[id]; row.Status != "healthy" && !before {
-			s.drained[id] = w.now
+		if _, before := server.drainNoticeAt[id]; row.Status != "healthy" && !before {
+			server.drainNoticeAt[id] = w.now
 		}
 	}
-	r.heard = upTo
+	router.endpointVersion = upTo
 	if len(ev.Endpoints) > 0 {
-		w.step(id, ev)
+		w.stepRouter(id, ev)
 	}
 }
 
-func (w *World) requestOf(call string) int32 {
+func (w *World) requestByCallID(call string) int32 {
 	n, err := strconv.ParseUint(call, 16, 64)
-	if err != nil || int(uint32(n)) >= len(w.requests) || w.requests[uint32(n)].gen != uint32(n>>32) {
+	if err != nil || int(uint32(n)) >= len(w.requests) || w.requests[uint32(n)].generation != uint32(n>>32) {
 		return -1
 	}
 	return int32(uint32(n))
 }
 
-// atRouter is a request's arrival; it waits until the router's core is free.
-func (w *World) atRouter(e *event) {
-	rq := &w.requests[e.id]
-	if rq.gen != e.gen || rq.closed {
+// arriveAtRouter is a request's arrival; it waits until the router's core is free.
+func (w *World) arriveAtRouter(e *event) {
+	request := &w.requests[e.target]
+	if request.generation != e.generation || request.closed {
 		return
 	}
-	r := &w.routers[rq.router]
-	if !r.up || e.x == 1 && r.gen != rq.rgen {
-		w.lost(e.id)
+	router := &w.routers[request.router]
+	if !router.running || e.value == 1 && router.generation != request.routerGeneration {
+		w.requestLost(e.target)
 		return
 	}
-	if e.x == 0 {
-		begin := max(w.now, r.free)
-		r.free, rq.rgen = begin+int64(w.cfg.RouterUs), r.gen
+	if e.value == 0 {
+		begin := max(w.now, router.freeAt)
+		router.freeAt, request.routerGeneration = begin+int64(w.config.RouterCPUMicros), router.generation
 		if begin > w.now {
-			w.push(event{at: begin, kind: evRouter, id: e.id, gen: e.gen, x: 1})
+			w.push(event{time: begin, kind: eventAtRouter, target: e.target, generation: e.generation, value: 1})
 			return
 		}
 	}
-	wi := &w.wishes[rq.wish]
-	allow := classOf[wi.class].allow
-	rq.end = w.now - clientWay + int64(allow-min(max(0.1*allow, 5), 25))*ms
-	if w.limits != nil && !w.limit(r, wi) {
-		r.free -= int64(w.cfg.RouterUs * 0.75)
-		w.final(e.id, routing.Action{Kind: routing.ActionReject, RetryAfter: sec / 2})
+	operation := &w.operations[request.operation]
+	allow := classModels[operation.class].deadlineMs
+	request.deadline = w.now - clientDelay + int64(allow-min(max(0.1*allow, 5), 25))*millisecond
+	if w.rateLimits != nil && !w.withinRateLimit(router, operation) {
+		router.freeAt -= int64(w.config.RouterCPUMicros * 0.75)
+		w.answerRequest(e.target, routing.Action{Kind: routing.ActionReject, RetryAfter: second / 2})
 		return
 	}
-	before := r.module.Stats.Admitted
-	w.step(rq.router, routing.Event{Kind: routing.EventRequest, RequestID: rq.call, Class: classOf[wi.class].name, Object: wi.object, Chunk: int64(wi.part),
-		PurgeGroup: groupOf(wi), SizeKB: wi.kb, Timeout: rq.end - w.now})
-	if w.cfg.Cells != nil && r.module.Stats.Admitted == before {
-		r.free -= int64(w.cfg.RouterUs * 0.75)
+	before := router.module.Stats.Admitted
+	w.stepRouter(request.router, routing.Event{Kind: routing.EventRequest, RequestID: request.callID, Class: classModels[operation.class].name, Object: operation.object, Chunk: int64(operation.chunk),
+		PurgeGroup: purgeGroup(operation), SizeKB: operation.sizeKB, Timeout: request.deadline - w.now})
+	if w.config.Cells != nil && router.module.Stats.Admitted == before {
+		router.freeAt -= int64(w.config.RouterCPUMicros * 0.75)
 	}
 }
 
-// limit is the plain way: a bucket for each tenant at each router, as deep as two seconds.
-func (w *World) limit(r *emRouter, wi *wish) bool {
-	rate := w.limits[wi.tenant]
-	most := max(rate*float64(2*sec), 3)
-	b := r.buckets[wi.tenant]
+// withinRateLimit is the plain way: a bucket for each tenant at each router, as deep as two seconds.
+func (w *World) withinRateLimit(router *simulatedRouter, operation *clientOperation) bool {
+	rate := w.rateLimits[operation.tenant]
+	most := max(rate*float64(2*second), 3)
+	b := router.buckets[operation.tenant]
 	if b == nil {
-		b = &bucket{most, w.now}
-		r.buckets[wi.tenant] = b
+		b = &tokenBucket{most, w.now}
+		router.buckets[operation.tenant] = b
 	}
-	b.level = min(b.level+rate*float64(w.now-b.at), most)
-	b.at = w.now
-	if b.level < 1 {
+	b.tokens = min(b.tokens+rate*float64(w.now-b.updatedAt), most)
+	b.updatedAt = w.now
+	if b.tokens < 1 {
 		return false
 	}
-	b.level--
+	b.tokens--
 	return true
 }
 
-// step takes an event to a router's module and does what it says.
-func (w *World) step(id int32, ev routing.Event) {
+// stepRouter takes an event to a router's module and does what it says.
+func (w *World) stepRouter(id int32, ev routing.Event) {
 	for _, a := range w.routers[id].module.Step(w.now, []routing.Event{ev}) {
 		switch a.Kind {
 		case routing.ActionSetTimer:
-			w.push(event{at: w.now + a.Delay, kind: evTimer, id: id, gen: w.routers[id].gen, x: a.TimerToken})
+			w.push(event{time: w.now + a.Delay, kind: eventRouterTimer, target: id, generation: w.routers[id].generation, value: a.TimerToken})
 		case routing.ActionSend:
-			if q := w.requestOf(a.RequestID); q >= 0 && !w.requests[q].answered {
-				w.send(q, a)
+			if requestID := w.requestByCallID(a.RequestID); requestID >= 0 && !w.requests[requestID].answered {
+				w.sendAttempt(requestID, a)
 			}
 		case routing.ActionCancel:
-			if q := w.requestOf(a.RequestID); q >= 0 && w.requests[q].try >= 0 && w.requests[q].number == int32(a.Attempt) {
-				w.drop(w.requests[q].try, routing.OutcomeCanceled)
+			if requestID := w.requestByCallID(a.RequestID); requestID >= 0 && w.requests[requestID].attempt >= 0 && w.requests[requestID].attemptNumber == int32(a.Attempt) {
+				w.dropAttempt(w.requests[requestID].attempt, routing.OutcomeCanceled)
 			}
 		case routing.ActionReject, routing.ActionFail:
-			if q := w.requestOf(a.RequestID); q >= 0 {
-				w.final(q, a)
+			if requestID := w.requestByCallID(a.RequestID); requestID >= 0 {
+				w.answerRequest(requestID, a)
 			}
 		case routing.ActionReportOverload:
-			w.tells(id, a.Server)
+			w.gossipOverload(id, a.Server)
 		case routing.ActionLog:
-			w.staged(id)
+			w.recordRolloutState(id)
 		}
 	}
 }
 
-// send puts an attempt on its way.
-func (w *World) send(q int32, a routing.Action) {
-	rq := &w.requests[q]
-	if rq.try >= 0 {
-		w.res.broken("two attempts of a request out")
+// sendAttempt puts an attempt on its way.
+func (w *World) sendAttempt(requestID int32, a routing.Action) {
+	request := &w.requests[requestID]
+	if request.attempt >= 0 {
+		w.result.violation("two attempts of a request out")
 		return
 	}
-	node, source := w.byName(a.Server), int32(-1)
+	node, source := w.serverNamed(a.Server), int32(-1)
 	if a.Source != "" && a.Source != a.Server {
-		source = w.byName(a.Source)
-	}
-	id := take(&w.tries, &w.freeTry)
-	t := &w.tries[id]
-	*t = try{gen: t.gen + 1, request: q, rgen: rq.gen, depot: int32(w.routers[rq.router].depot), node: node, source: source, heldOnly: a.FetchFlags&routing.FetchCachedOnly != 0, maxAge: a.MaxAge,
-		sent: w.now, links: [lastStage + 1]int32{-1, -1, -1, -1}, fetch: -1}
-	rq.try = id
-	rq.number++
-	w.res.Attempts++
-	if told, drained := w.servers[node].drained[rq.router]; drained && w.now > told+drainBinds {
-		w.res.broken("sent to a drained server")
-	}
-	w.push(event{at: w.now + w.way(t.depot, &w.servers[node]), kind: evServer, id: id, gen: t.gen})
-	w.push(event{at: w.now + min(a.Timeout, max(rq.end-w.now, 1)), kind: evTimeout, id: id, gen: t.gen})
+		source = w.serverNamed(a.Source)
+	}
+	id := allocate(&w.attempts, &w.freeAttempts)
+	attempt := &w.attempts[id]
+	*attempt = serverAttempt{generation: attempt.generation + 1, request: requestID, requestGeneration: request.generation, site: int32(w.routers[request.router].site), server: node, source: source, cachedOnly: a.FetchFlags&routing.FetchCachedOnly != 0, maxAge: a.MaxAge,
+		sentAt: w.now, links: [lastAttemptSegment + 1]int32{-1, -1, -1, -1}, fetch: -1}
+	request.attempt = id
+	request.attemptNumber++
+	w.result.Attempts++
+	if told, drained := w.servers[node].drainNoticeAt[request.router]; drained && w.now > told+drainGracePeriod {
+		w.result.violation("sent to a drained server")
+	}
+	w.push(event{time: w.now + w.networkDelay(attempt.site, &w.servers[node]), kind: eventAtServer, target: id, generation: attempt.generation})
+	w.push(event{time: w.now + min(a.Timeout, max(request.deadline-w.now, 1)), kind: eventAttemptTimeout, target: id, generation: attempt.generation})
 }
 
-// end is how an attempt ends at its server; the router hears of it after the way back.
-func (w *World) end(id int32, code routing.AttemptOutcome, note int64) {
-	t := &w.tries[id]
-	t.code, t.note = code, note
-	w.release(id)
-	w.push(event{at: w.now + w.way(t.depot, &w.servers[t.node]), kind: evOutcome, id: id, gen: t.gen})
+// endAttempt is how an attempt ends at its server; the router hears of it after the way back.
+func (w *World) endAttempt(id int32, code routing.AttemptOutcome, note int64) {
+	attempt := &w.attempts[id]
+	attempt.outcome, attempt.cacheStatus = code, note
+	w.releaseAttempt(id)
+	w.push(event{time: w.now + w.networkDelay(attempt.site, &w.servers[attempt.server]), kind: eventAttemptOutcome, target: id, generation: attempt.generation})
 }
 
-// release gives back all that an attempt holds in the world.
-func (w *World) release(id int32) {
-	t := &w.tries[id]
-	if t.arrived {
-		t.arrived = false
-		if rq := &w.requests[t.request]; rq.gen == t.rgen {
-			rq.atServer--
+// releaseAttempt gives back all that an attempt holds in the world.
+func (w *World) releaseAttempt(id int32) {
+	attempt := &w.attempts[id]
+	if attempt.atServer {
+		attempt.atServer = false
+		if request := &w.requests[attempt.request]; request.generation == attempt.requestGeneration {
+			request.attemptsAtServers--
 		}
 	}
-	if t.active {
-		t.active = false
-		w.servers[t.node].active--
+	if attempt.countedActive {
+		attempt.countedActive = false
+		w.servers[attempt.server].active--
 	}
-	if t.filling {
-		t.filling = false
-		w.servers[t.node].fills--
+	if attempt.countedFilling {
+		attempt.countedFilling = false
+		w.servers[attempt.server].fills--
 	}
-	if t.srcActive {
-		t.srcActive = false
-		w.servers[t.source].active--
+	if attempt.countedAtSource {
+		attempt.countedAtSource = false
+		w.servers[attempt.source].active--
 	}
-	w.stopMoving(t)
-	f := t.fetch
-	t.fetch = -1
-	if f >= 0 && w.cfg.DropFetches {
-		w.orphan(f)
+	w.removeTransfers(attempt)
+	f := attempt.fetch
+	attempt.fetch = -1
+	if f >= 0 && w.config.CancelsAbandonedFetches {
+		w.cancelIfAbandoned(f)
 	}
 }
 
-// outcome is an attempt's end at the router.
-func (w *World) outcome(id int32) {
-	t := w.tries[id]
-	w.freeTries(id)
-	rq := &w.requests[t.request]
-	if rq.gen != t.rgen || rq.try != id {
+// attemptOutcome is an attempt's end at the router.
+func (w *World) attemptOutcome(id int32) {
+	attempt := w.attempts[id]
+	w.freeAttempt(id)
+	request := &w.requests[attempt.request]
+	if request.generation != attempt.requestGeneration || request.attempt != id {
 		return
 	}
-	rq.try = -1
-	if t.code == routing.OutcomeServed {
-		rq.served = true
-		w.answered(&t)
-		w.heeded(&t)
-		w.final(t.request, routing.Action{Kind: routing.ActionSend})
+	request.attempt = -1
+	if attempt.outcome == routing.OutcomeServed {
+		request.served = true
+		w.checkRelease(&attempt)
+		w.checkPurges(&attempt)
+		w.answerRequest(attempt.request, routing.Action{Kind: routing.ActionSend})
 	}
-	w.step(rq.router, routing.Event{Kind: routing.EventOutcome, RequestID: rq.call, Attempt: int(rq.number), Server: w.servers[t.node].name, Outcome: t.code,
-		CacheStatus: routing.CacheStatus(t.note), ResponseTime: w.now - t.sent, UpstreamWait: t.waited, IsFinal: t.code == routing.OutcomeServed, LoadReport: w.linkUse(int(t.depot))})
+	w.stepRouter(request.router, routing.Event{Kind: routing.EventOutcome, RequestID: request.callID, Attempt: int(request.attemptNumber), Server: w.servers[attempt.server].name, Outcome: attempt.outcome,
+		CacheStatus: routing.CacheStatus(attempt.cacheStatus), ResponseTime: w.now - attempt.sentAt, UpstreamWait: attempt.upstreamWait, IsFinal: attempt.outcome == routing.OutcomeServed, LoadReport: w.linkLoadReport(int(attempt.site))})
 }
 
-func (w *World) freeTries(id int32) {
-	w.release(id)
-	w.tries[id].gen++
-	w.freeTry = append(w.freeTry, id)
+func (w *World) freeAttempt(id int32) {
+	w.releaseAttempt(id)
+	w.attempts[id].generation++
+	w.freeAttempts = append(w.freeAttempts, id)
 }
 
-// drop gives an attempt up, and tells the module.
-func (w *World) drop(id int32, code routing.AttemptOutcome) {
-	t := w.tries[id]
-	w.freeTries(id)
-	rq := &w.requests[t.request]
-	if rq.gen != t.rgen || rq.try != id {
+// dropAttempt gives an attempt up, and tells the module.
+func (w *World) dropAttempt(id int32, code routing.AttemptOutcome) {
+	attempt := w.attempts[id]
+	w.freeAttempt(id)
+	request := &w.requests[attempt.request]
+	if request.generation != attempt.requestGeneration || request.attempt != id {
 		return
 	}
-	rq.try = -1
-	w.step(rq.router, routing.Event{Kind: routing.EventOutcome, RequestID: rq.call, Attempt: int(rq.number), Server: w.servers[t.node].name, Outcome: code,
-		ResponseTime: w.now - t.sent})
+	request.attempt = -1
+	w.stepRouter(request.router, routing.Event{Kind: routing.EventOutcome, RequestID: request.callID, Attempt: int(request.attemptNumber), Server: w.servers[attempt.server].name, Outcome: code,
+		ResponseTime: w.now - attempt.sentAt})
 }
 
-// final is the one answer to a request.
-func (w *World) final(q int32, a routing.Action) {
-	rq := &w.requests[q]
-	if rq.answered {
-		w.res.broken("two answers to a request")
+// answerRequest is the one answer to a request.
+func (w *World) answerRequest(requestID int32, a routing.Action) {
+	request := &w.requests[requestID]
+	if request.answered {
+		w.result.violation("two answers to a request")
 		return
 	}
-	if rq.try >= 0 {
-		w.res.broken("answered with an attempt out")
+	if request.attempt >= 0 {
+		w.result.violation("answered with an attempt out")
 	}
-	rq.answered = true
-	rq.cooldown = 0
+	request.answered = true
+	request.retryAfter = 0
 	if a.Kind == routing.ActionReject {
-		rq.cooldown = max(a.RetryAfter, 1)
+		request.retryAfter = max(a.RetryAfter, 1)
 	}
-	if !rq.closed {
-		w.push(event{at: w.now + clientWay, kind: evAnswer, id: q, gen: rq.gen})
+	if !request.closed {
+		w.push(event{time: w.now + clientDelay, kind: eventAnswer, target: requestID, generation: request.generation})
 	}
 }
--- a/emulator/sizes_test.go
+++ b/emulator/sizes_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Who is turned away is told by size: nobody, the largest, the next, and so few that a quarter is the largest part.
-func TestShareBySize(t *testing.T) {
+func TestServedRatiosBySize(t *testing.T) {
 	for name, c := range map[string]struct {
 		wishes        int
 		lostFrom      int // of the wishes by size, the largest first
@@ -16,12 +16,12 @@
 		"the largest of few": {100, 0, 5, 0.8 / 0.95, 1 / 0.95},
 		"all":                {100, 0, 100, 1, 1},
 	} {
-		var list []sized
+		var list []endedOperation
 		for i := range c.wishes {
 			at := (i*7 + 3) % c.wishes // in no order
-			list = append(list, sized{float64(c.wishes - at), at < c.lostFrom || at >= c.lostTo})
+			list = append(list, endedOperation{float64(c.wishes - at), at < c.lostFrom || at >= c.lostTo})
 		}
-		if largest, next := bySize(list); !near(largest, c.largest) || !near(next, c.next) {
+		if largest, next := servedRatiosBySize(list); !near(largest, c.largest) || !near(next, c.next) {
 			t.Errorf("%s: %.3f and %.3f, want %.3f and %.3f", name, largest, next, c.largest, c.next)
 		}
 	}
--- a/emulator/sources.go
+++ b/emulator/sources.go
@@ -6,146 +6,146 @@
 	"spantack/routing"
 )
 
-// orphan ends a fetch that nobody waits for any more.
-func (w *World) orphan(f int32) {
-	fe := &w.fetches[f]
-	for _, r := range fe.waiters {
-		if t := &w.tries[r.id]; t.gen == r.gen && t.fetch == f {
+// cancelIfAbandoned ends a fetch that nobody waits for any more.
+func (w *World) cancelIfAbandoned(fetchID int32) {
+	fetch := &w.fetches[fetchID]
+	for _, r := range fetch.waiters {
+		if attempt := &w.attempts[r.id]; attempt.generation == r.generation && attempt.fetch == fetchID {
 			return
 		}
 	}
-	if fe.flows {
-		w.leave(w.servers[w.origin].link)
+	if fetch.started {
+		w.removeTransfer(w.servers[w.origin].link)
 	}
-	w.fetchDone(f, func(int32) {})
+	w.finishFetch(fetchID, func(int32) {})
 }
 
-// atSource is a fill's arrival at its source.
-func (w *World) atSource(id int32) {
-	t := &w.tries[id]
-	s := &w.servers[t.source]
-	wi := &w.wishes[w.requests[t.request].wish]
+// arriveAtSource is a fill's arrival at its source.
+func (w *World) arriveAtSource(id int32) {
+	attempt := &w.attempts[id]
+	server := &w.servers[attempt.source]
+	operation := &w.operations[w.requests[attempt.request].operation]
 	say := func(note int64) {
-		w.push(event{at: w.now + w.way(t.depot, s), kind: evFillEnd, id: id, gen: t.gen, x: note})
+		w.push(event{time: w.now + w.networkDelay(attempt.site, server), kind: eventFillFailed, target: id, generation: attempt.generation, value: note})
 	}
 	switch {
-	case !s.up:
+	case !server.running:
 		say(7)
 		return
-	case s.active >= s.most:
+	case server.active >= server.maxActive:
 		say(6)
 		return
 	}
-	if !w.coldBears(t.source, wi.kb, w.requests[t.request].router) {
-		if w.tries[id].gen == t.gen {
+	if !w.acceptsWarmUpLoad(attempt.source, operation.sizeKB, w.requests[attempt.request].router) {
+		if w.attempts[id].generation == attempt.generation {
 			say(7)
 		}
 		return
 	}
-	if s.kind == originServer {
-		if w.poisoned(wi) == "root" {
+	if server.kind == originServer {
+		if w.poisonKind(operation) == "root" {
 			say(10)
 			return
 		}
-		s.active++
-		t.srcActive, t.note, t.made = true, 3, w.now
-		w.res.asked(w, wi.kb)
-		w.flow(id, t.source)
+		server.active++
+		attempt.countedAtSource, attempt.cacheStatus, attempt.producedAt = true, 3, w.now
+		w.result.originFill(w, operation.sizeKB)
+		w.sendFrom(id, attempt.source)
 		return
 	}
-	made, held := s.store.get(w.partKey(id), w.oldest(t, t.source))
-	if !held && t.heldOnly {
+	made, held := server.store.get(w.chunkKey(id), w.minProducedAt(attempt, attempt.source))
+	if !held && attempt.cachedOnly {
 		say(8)
 		return
 	}
-	s.active++
-	t.srcActive = true
+	server.active++
+	attempt.countedAtSource = true
 	if held {
-		t.note, t.made = 2, made
-		w.flow(id, t.source)
+		attempt.cacheStatus, attempt.producedAt = 2, made
+		w.sendFrom(id, attempt.source)
 		return
 	}
-	t.note = 3
-	w.join(t.source, id)
+	attempt.cacheStatus = 3
+	w.joinFetch(attempt.source, id)
 }
 
-// join waits at an area cache for a part from the head office; the first to want it sets it on its way.
-func (w *World) join(parent, id int32) {
-	t := &w.tries[id]
-	s := &w.servers[parent]
-	key := w.partKey(id)
-	f, under := s.fetches[key]
-	if !under || w.cfg.site().Apart || w.fetches[f].flows && w.fetches[f].made < w.oldest(t, parent) { // also where what is on its way is older than will do
-		f = take(&w.fetches, &w.freeF)
-		fe := &w.fetches[f]
-		*fe = fetch{gen: fe.gen + 1, parent: parent, key: key, kb: w.kbOf(id), tenant: w.wishes[w.requests[t.request].wish].tenant, waiters: fe.waiters[:0]}
-		s.fetches[key] = f
-		w.push(event{at: w.now + w.cfg.originWay() + originAsk, kind: evOrigin, id: f, gen: fe.gen})
-	}
-	t.fetch = f
-	w.fetches[f].waiters = append(w.fetches[f].waiters, ref{id, t.gen})
-	if w.fetches[f].flows {
-		t.made = w.fetches[f].made
-		w.flow(id, parent)
+// joinFetch waits at an area cache for a part from the head office; the first to want it sets it on its way.
+func (w *World) joinFetch(parent, id int32) {
+	attempt := &w.attempts[id]
+	server := &w.servers[parent]
+	key := w.chunkKey(id)
+	fetchID, known := server.fetches[key]
+	if !known || w.config.deployment().FetchesSeparately || w.fetches[fetchID].started && w.fetches[fetchID].producedAt < w.minProducedAt(attempt, parent) { // also where what is on its way is older than will do
+		fetchID = allocate(&w.fetches, &w.freeFetches)
+		fetch := &w.fetches[fetchID]
+		*fetch = parentFetch{generation: fetch.generation + 1, parent: parent, key: key, sizeKB: w.sizeKB(id), tenant: w.operations[w.requests[attempt.request].operation].tenant, waiters: fetch.waiters[:0]}
+		server.fetches[key] = fetchID
+		w.push(event{time: w.now + w.config.originDelay() + originServiceTime, kind: eventFetchAtOrigin, target: fetchID, generation: fetch.generation})
+	}
+	attempt.fetch = fetchID
+	w.fetches[fetchID].waiters = append(w.fetches[fetchID].waiters, attemptRef{id, attempt.generation})
+	if w.fetches[fetchID].started {
+		attempt.producedAt = w.fetches[fetchID].producedAt
+		w.sendFrom(id, parent)
 	}
 }
 
-func (w *World) fetchAtOrigin(f int32) {
-	fe := &w.fetches[f]
-	if w.poisoned(&wish{tenant: fe.tenant}) == "root" {
-		w.fetchDone(f, func(id int32) { w.fillFailed(id, 10) })
+func (w *World) startFetchAtOrigin(fetchID int32) {
+	fetch := &w.fetches[fetchID]
+	if w.poisonKind(&clientOperation{tenant: fetch.tenant}) == "root" {
+		w.finishFetch(fetchID, func(id int32) { w.fillFailed(id, 10) })
 		return
 	}
-	w.res.asked(w, fe.kb)
+	w.result.originFill(w, fetch.sizeKB)
 	o := &w.servers[w.origin]
-	w.links[o.link].add(w.now, fe.kb, transfer{owner: f, gen: fe.gen, stage: toParent})
-	w.arm(o.link)
-	fe.flows, fe.made = true, w.now
-	for _, r := range fe.waiters {
-		if t := &w.tries[r.id]; t.gen == r.gen && t.fetch == f {
-			t.made = w.now
-			w.flow(r.id, fe.parent)
+	w.links[o.link].add(w.now, fetch.sizeKB, transfer{owner: fetchID, generation: fetch.generation, segment: segmentToParent})
+	w.scheduleLink(o.link)
+	fetch.started, fetch.producedAt = true, w.now
+	for _, r := range fetch.waiters {
+		if attempt := &w.attempts[r.id]; attempt.generation == r.generation && attempt.fetch == fetchID {
+			attempt.producedAt = w.now
+			w.sendFrom(r.id, fetch.parent)
 		}
 	}
 }
 
-// fetchDone takes a fetch off the books and tells those who wait for it.
-func (w *World) fetchDone(f int32, tell func(id int32)) {
-	fe := &w.fetches[f]
-	fe.gen++
-	if fetches := w.servers[fe.parent].fetches; fetches[fe.key] == f { // and not a later one
-		delete(fetches, fe.key)
-	}
-	waiters := fe.waiters
-	fe.waiters = nil
+// finishFetch takes a fetch off the books and tells those who wait for it.
+func (w *World) finishFetch(fetchID int32, tell func(id int32)) {
+	fetch := &w.fetches[fetchID]
+	fetch.generation++
+	if fetches := w.servers[fetch.parent].fetches; fetches[fetch.key] == fetchID { // and not a later one
+		delete(fetches, fetch.key)
+	}
+	waiters := fetch.waiters
+	fetch.waiters = nil
 	for _, r := range waiters {
-		if t := &w.tries[r.id]; t.gen == r.gen && t.fetch == f {
-			t.fetch = -1
+		if attempt := &w.attempts[r.id]; attempt.generation == r.generation && attempt.fetch == fetchID {
+			attempt.fetch = -1
 			tell(r.id)
 		}
 	}
-	w.freeF = append(w.freeF, f)
+	w.freeFetches = append(w.freeFetches, fetchID)
 }
 
-func (w *World) fetched(f int32) {
-	fe := &w.fetches[f]
-	s := &w.servers[fe.parent]
-	if s.up {
-		s.store.put(fe.key, fe.kb, fe.made)
+func (w *World) fetchCompleted(fetchID int32) {
+	fetch := &w.fetches[fetchID]
+	server := &w.servers[fetch.parent]
+	if server.running {
+		server.store.put(fetch.key, fetch.sizeKB, fetch.producedAt)
 	}
-	w.fetchDone(f, w.whole)
+	w.finishFetch(fetchID, w.completeIfDelivered)
 }
 
 // fillFailed ends an attempt whose source gave nothing.
 func (w *World) fillFailed(id int32, note int64) {
-	t := &w.tries[id]
-	t.waited = w.now - t.asked
+	attempt := &w.attempts[id]
+	attempt.upstreamWait = w.now - attempt.fillStartedAt
 	switch note {
 	case 6:
-		w.end(id, routing.OutcomeRejected, note)
+		w.endAttempt(id, routing.OutcomeRejected, note)
 	case 8:
-		w.end(id, routing.OutcomeMiss, note)
+		w.endAttempt(id, routing.OutcomeMiss, note)
 	default:
-		w.end(id, routing.OutcomeError, note)
+		w.endAttempt(id, routing.OutcomeError, note)
 	}
 }
--- a/emulator/spec.go
+++ b/emulator/spec.go
@@ -7,12 +7,12 @@
 	"spantack/core/cells/plan"
 )
 
-// budgetRoom is the part of a thing's capacity that is shared out: what is over it takes up bursts.
-const budgetRoom = 0.8
+// budgetFraction is the part of a thing's capacity that is shared out: what is over it takes up bursts.
+const budgetFraction = 0.8
 
-// Spec is an assignment of a world's tenants to n cells of equal shares, planned from their parts of the load, with the
+// PlanCells is an assignment of a world's tenants to n cells of equal shares, planned from their parts of the load, with the
 // budgets that the world's links bear; and the cell of each tenant.
-func Spec(cfg *Config, n int) (*cells.Spec, []int) {
+func PlanCells(cfg *Config, n int) (*cells.Spec, []int) {
 	shares := make([]float64, n)
 	spec := &cells.Spec{Version: 1, Scheme: cells.SchemeFixed}
 	for i := range n {
@@ -33,14 +33,14 @@
 	}
 	spec.TenantKeys = append(spec.TenantKeys, cells.TenantKey{Tenant: demand[len(demand)-1].Name})
 	spec.Budget = cells.Budget{
-		RequestsPerSecond:    budgetRoom * 1e6 / max(cfg.RouterUs, 1) * float64(cfg.Routers),
-		FillKBPerSecond:      budgetRoom * cfg.linkKbS(),
-		ParentKBPerSecond:    budgetRoom * cfg.parentChannels() * float64(cfg.Parents) * paceKbS,
-		OriginKBPerSecond:    budgetRoom * cfg.originKbS(),
+		RequestsPerSecond:    budgetFraction * 1e6 / max(cfg.RouterCPUMicros, 1) * float64(cfg.RoutersPerSite),
+		FillKBPerSecond:      budgetFraction * cfg.siteLinkKBPerSecond(),
+		ParentKBPerSecond:    budgetFraction * cfg.streamsPerParent() * float64(cfg.Parents) * responseKBPerSecond,
+		OriginKBPerSecond:    budgetFraction * cfg.originKBPerSecond(),
 		MaxOriginFills:       int(10 * cfg.originKnee()),
 		MaxOpenRequests:      2000,
 		ReclaimMillis:        1000,
-		UncacheablePerSecond: 4 * cfg.RateS / float64(cfg.Depots) * classOf[report].share,
+		UncacheablePerSecond: 4 * cfg.RequestsPerSecond / float64(cfg.Sites) * classModels[classReport].share,
 	}
 	return spec, proposed.CellByTenant
 }
--- a/emulator/shapes.go
+++ b/emulator/topology.go
@@ -9,23 +9,23 @@
 	"spantack/core/hierarchy"
 )
 
-// Shapes describes a trial of shapes: random ones, a third with a circle planted, each then changed some times while fills run through nodes
+// TopologyTrial describes a trial of shapes: random ones, a third with a circle planted, each then changed some times while fills run through nodes
 // of which a part has not heard of the last changes yet.
-type Shapes struct {
-	Shapes  int `json:"shapes"`
-	Areas   int `json:"areas"`  // at most
-	Depots  int `json:"depots"` // at most
-	Changes int `json:"changes"`
-	Fills   int `json:"fills"` // after each change
+type TopologyTrial struct {
+	Topologies      int `json:"shapes"`
+	MaxParentGroups int `json:"areas"`  // at most
+	MaxSites        int `json:"depots"` // at most
+	Changes         int `json:"changes"`
+	FillsPerChange  int `json:"fills"` // after each change
 }
 
-// Check reports the first field that can't be used.
-func (s *Shapes) Check() error {
+// Validate reports the first field that can't be used.
+func (s *TopologyTrial) Validate() error {
 	for _, f := range []struct {
 		name  string
 		value int
 		most  int
-	}{{"shapes", s.Shapes, 1e5}, {"areas", s.Areas, 1000}, {"depots", s.Depots, 1000}, {"changes", s.Changes, 1000}, {"fills", s.Fills, 1e5}} {
+	}{{"shapes", s.Topologies, 1e5}, {"areas", s.MaxParentGroups, 1000}, {"depots", s.MaxSites, 1000}, {"changes", s.Changes, 1000}, {"fills", s.FillsPerChange, 1e5}} {
 		if f.value < 1 || f.value > f.most {
 			return fmt.Errorf("shapes.%s: %d is not 1 to %d", f.name, f.value, f.most)
 		}
@@ -33,93 +33,93 @@
 	return nil
 }
 
-// ShapesResult is what a trial counted.
-type ShapesResult struct {
-	Valid, ValidRefused   int64
-	Planted, PlantedTaken int64
-	Misnamed              int64 // circles named that are none of the shape's
-	Fills                 int64
-	Ways                  map[string]*FillsResult
+// TopologyTrialResult is what a trial counted.
+type TopologyTrialResult struct {
+	Valid, ValidRejected    int64
+	WithLoop, LoopsAccepted int64
+	LoopsMisreported        int64 // circles named that are none of the shape's
+	Fills                   int64
+	ByGuard                 map[string]*FillOutcomes
 }
 
-// FillsResult is what became of the fills under one guard.
-type FillsResult struct {
+// FillOutcomes is what became of the fills under one guard.
+type FillOutcomes struct {
 	Served, Stuck int64 // at the head office; or without a way on, round and round among them
-	Twice         int64 // that visited a node twice
+	Revisits      int64 // that visited a node twice
 	Hops          int64
 }
 
-// guards are the ways compared: nothing; by who asks alone; by a path carried along.
-var guards = []string{"plain", "asker", "path"}
+// loopGuards are the ways compared: nothing; by who asks alone; by a path carried along.
+var loopGuards = []string{"plain", "asker", "path"}
 
-// mostVisits ends a fill that goes round and round.
-const mostVisits = 64
+// maxVisits ends a fill that goes round and round.
+const maxVisits = 64
 
 // Run plays the trial.
-func (s *Shapes) Run(seed uint64) (*ShapesResult, error) {
-	if err := s.Check(); err != nil {
+func (s *TopologyTrial) Run(seed uint64) (*TopologyTrialResult, error) {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	res := &ShapesResult{Ways: map[string]*FillsResult{}}
-	for _, g := range guards {
-		res.Ways[g] = &FillsResult{}
+	res := &TopologyTrialResult{ByGuard: map[string]*FillOutcomes{}}
+	for _, g := range loopGuards {
+		res.ByGuard[g] = &FillOutcomes{}
 	}
-	for n := range s.Shapes {
-		s.one(rand.New(rand.NewPCG(seed, uint64(n))), n%3 == 0, res)
+	for n := range s.Topologies {
+		s.runTopology(rand.New(rand.NewPCG(seed, uint64(n))), n%3 == 0, res)
 	}
 	return res, nil
 }
 
-func (s *Shapes) one(rng *rand.Rand, planted bool, res *ShapesResult) {
-	areas, depots := 2+rng.IntN(max(s.Areas-1, 1)), 1+rng.IntN(s.Depots)
-	shape := randomShape(rng, areas, depots)
+func (s *TopologyTrial) runTopology(rng *rand.Rand, planted bool, res *TopologyTrialResult) {
+	areas, depots := 2+rng.IntN(max(s.MaxParentGroups-1, 1)), 1+rng.IntN(s.MaxSites)
+	shape := randomTopology(rng, areas, depots)
 	if planted {
-		res.Planted++
-		bad := plant(rng, shape)
+		res.WithLoop++
+		bad := plantLoop(rng, shape)
 		switch _, err := hierarchy.Compile(bad); {
 		case err == nil:
-			res.PlantedTaken++
-		case !errors.Is(err, hierarchy.ErrLoop) || !closes(bad, err):
-			res.Misnamed++
+			res.LoopsAccepted++
+		case !errors.Is(err, hierarchy.ErrLoop) || !hasReportedLoop(bad, err):
+			res.LoopsMisreported++
 		}
 	}
 	told := map[string]*hierarchy.Graph{}
 	for version := 1; version <= s.Changes+1; version++ {
 		if version > 1 {
-			shape = changed(rng, shape, areas)
+			shape = changeTopology(rng, shape, areas)
 		}
 		shape.Version = int64(version)
 		res.Valid++
 		g, err := hierarchy.Compile(shape)
 		if err != nil {
-			res.ValidRefused++
+			res.ValidRejected++
 			return
 		}
-		for _, name := range nodesOf(shape) { // half hear of it now, the rest of a later one
+		for _, name := range nodeNames(shape) { // half hear of it now, the rest of a later one
 			if told[name] == nil || rng.IntN(2) == 0 {
 				told[name] = g
 			}
 		}
-		for range s.Fills {
+		for range s.FillsPerChange {
 			depot := fmt.Sprint("d", rng.IntN(depots))
 			draws := rng.Uint64()
 			res.Fills++
-			for _, guard := range guards {
-				fill(told, depot, guard, rand.New(rand.NewPCG(draws, 1)), res.Ways[guard])
+			for _, guard := range loopGuards {
+				followFill(told, depot, guard, rand.New(rand.NewPCG(draws, 1)), res.ByGuard[guard])
 			}
 		}
 	}
 }
 
-// fill follows one fill through nodes that have shapes of their own. A node that has no way on says so, and where a path is carried the one
+// followFill follows one fill through nodes that have shapes of their own. A node that has no way on says so, and where a path is carried the one
 // before it asks the next.
-func fill(told map[string]*hierarchy.Graph, depot, guard string, rng *rand.Rand, res *FillsResult) {
+func followFill(told map[string]*hierarchy.Graph, depot, guard string, rng *rand.Rand, res *FillOutcomes) {
 	visited := map[string]bool{depot: true}
 	twice := false
 	var tried []string
 	var pass func(at string, to []string, hop hierarchy.FillPath) bool
 	pass = func(at string, to []string, hop hierarchy.FillPath) bool {
-		for len(to) > 0 && len(hop.Visited) < mostVisits {
+		for len(to) > 0 && len(hop.Visited) < maxVisits {
 			i := rng.IntN(len(to))
 			next := to[i]
 			to = slices.Delete(slices.Clone(to), i, i+1)
@@ -160,11 +160,11 @@
 		res.Stuck++
 	}
 	if twice {
-		res.Twice++
+		res.Revisits++
 	}
 }
 
-func nodesOf(s *hierarchy.Topology) (all []string) {
+func nodeNames(s *hierarchy.Topology) (all []string) {
 	for _, d := range s.Sites {
 		all = append(all, d.Name)
 	}
@@ -174,8 +174,8 @@
 	return all
 }
 
-// randomShape draws an order of areas, and ways that all lead down it.
-func randomShape(rng *rand.Rand, areas, depots int) *hierarchy.Topology {
+// randomTopology draws an order of areas, and ways that all lead down it.
+func randomTopology(rng *rand.Rand, areas, depots int) *hierarchy.Topology {
 	s := &hierarchy.Topology{Origin: hierarchy.Origin{Name: "head", CapacityKBPerS: 1e4}}
 	for i := range areas {
 		name := fmt.Sprint("a", i)
@@ -184,11 +184,11 @@
 	for i := range depots {
 		s.Sites = append(s.Sites, hierarchy.Site{Name: fmt.Sprint("d", i), PeakFillKBPerS: 100})
 	}
-	s.Links = randomWays(rng, areas, depots)
+	s.Links = randomLinks(rng, areas, depots)
 	return s
 }
 
-func randomWays(rng *rand.Rand, areas, depots int) (ways []hierarchy.Link) {
+func randomLinks(rng *rand.Rand, areas, depots int) (ways []hierarchy.Link) {
 	order := rng.Perm(areas)
 	for i, a := range order {
 		name := fmt.Sprint("a", a)
@@ -207,13 +207,13 @@
 	return ways
 }
 
-// changed is a shape with some change: ways drawn anew, all ways of one area turned to the head office, or one taken away that nobody needs.
-func changed(rng *rand.Rand, s *hierarchy.Topology, areas int) *hierarchy.Topology {
+// changeTopology is a shape with some change: ways drawn anew, all ways of one area turned to the head office, or one taken away that nobody needs.
+func changeTopology(rng *rand.Rand, s *hierarchy.Topology, areas int) *hierarchy.Topology {
 	next := *s
 	next.Links = slices.Clone(s.Links)
 	switch rng.IntN(3) {
 	case 0:
-		next.Links = randomWays(rng, areas, len(s.Sites))
+		next.Links = randomLinks(rng, areas, len(s.Sites))
 	case 1:
 		name := fmt.Sprint("a", rng.IntN(areas))
 		next.Links = slices.DeleteFunc(next.Links, func(w hierarchy.Link) bool { return w.From == name })
@@ -233,8 +233,8 @@
 	return &next
 }
 
-// plant puts a way in that closes a circle: from a node that some area leads to, back to that one.
-func plant(rng *rand.Rand, s *hierarchy.Topology) *hierarchy.Topology {
+// plantLoop puts a way in that closes a circle: from a node that some area leads to, back to that one.
+func plantLoop(rng *rand.Rand, s *hierarchy.Topology) *hierarchy.Topology {
 	next := *s
 	next.Version, next.Links = 1, slices.Clone(s.Links)
 	start := fmt.Sprint("a", rng.IntN(len(s.ParentGroups)))
@@ -256,8 +256,8 @@
 	return &next
 }
 
-// closes reports that the circle which an error names is one of the shape's.
-func closes(s *hierarchy.Topology, err error) bool {
+// hasReportedLoop reports that the circle which an error names is one of the shape's.
+func hasReportedLoop(s *hierarchy.Topology, err error) bool {
 	nodes := hierarchy.Cycle(err)
 	if len(nodes) < 2 || nodes[0] != nodes[len(nodes)-1] {
 		return false
--- a/emulator/world_test.go
+++ b/emulator/world_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// small is a world of two depots that plays a day in a second or two.
-func small(seed uint64) Config {
-	return Config{Seed: seed, Depots: 2, Routers: 2, Caches: 12, Parents: 2, Tenants: 40, Objects: 10, Channels: 6, RateS: 300, TenantSkew: 0.8,
-		ObjectSkew: 1.1, OnceShare: 0.06, DriftS: 4, KeepS: 40, LinkRoom: 1.35, ParentRoom: 1.35, OriginRoom: 2, MissShare: 0.35, RouterUs: 150,
-		WarmS: 4, DayS: 8}
+// smallConfig is a world of two depots that plays a day in a second or two.
+func smallConfig(seed uint64) Config {
+	return Config{Seed: seed, Sites: 2, RoutersPerSite: 2, CachesPerSite: 12, Parents: 2, Tenants: 40, Objects: 10, StreamsPerCache: 6, RequestsPerSecond: 300, TenantSkew: 0.8,
+		ObjectSkew: 1.1, OneTimeFraction: 0.06, PopularityDriftSeconds: 4, CacheRetentionSeconds: 40, SiteLinkCapacityFactor: 1.35, ParentCapacityFactor: 1.35, OriginCapacityFactor: 2, MissRatio: 0.35, RouterCPUMicros: 150,
+		WarmUpSeconds: 4, DurationSeconds: 8}
 }
 
-// confine puts the tenants of a world into cells, as the planner does by their shares.
-func confine(cfg *Config, n int) {
-	spec, group := Spec(cfg, n)
-	cfg.Cells, cfg.Group = spec, group
+// addCells puts the tenants of a world into cells, as the planner does by their shares.
+func addCells(cfg *Config, n int) {
+	spec, group := PlanCells(cfg, n)
+	cfg.Cells, cfg.CellByTenant = spec, group
 }
 
-func play(t testing.TB, cfg Config) Result {
+func runWorld(t testing.TB, cfg Config) Result {
 	t.Helper()
 	w, err := New(cfg)
 	if err != nil {
@@ -29,19 +29,19 @@
 }
 
 func TestCalmDay(t *testing.T) {
-	cfg := small(1)
+	cfg := smallConfig(1)
 	began := time.Now()
-	r := play(t, cfg)
-	if r.BrokenRules() != 0 {
-		t.Errorf("broken rules: %v", r.Broken)
+	r := runWorld(t, cfg)
+	if r.ViolationCount() != 0 {
+		t.Errorf("broken rules: %v", r.Violations)
 	}
 	sum := Tally{}
-	for _, g := range r.Groups {
+	for _, g := range r.ByCell {
 		sum.add(g)
 	}
 	out, _ := json.Marshal(r)
 	t.Logf("%v for %d events: %s", time.Since(began), r.Events, out)
-	if sum.Share() < 0.9 || sum.Asked < 2000 {
-		t.Errorf("timely share %.3f of %d wishes", sum.Share(), sum.Asked)
+	if sum.TimelyRatio() < 0.9 || sum.Operations < 2000 {
+		t.Errorf("timely share %.3f of %d wishes", sum.TimelyRatio(), sum.Operations)
 	}
 }
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -18,30 +18,30 @@
 const wordPrice = 0.0075
 
 func (r *Run) take(cfg *emulator.Config, res *emulator.Result) {
-	all := res.Others()
-	all = all.Plus(res.Cell())
-	r.Broken = res.Broken
-	r.Figures = map[string]float64{"others": res.Others().Share(), "cell": res.Cell().Share(), "guilty": res.Guilty.Share(),
-		"timely": all.Share(), "hits": res.HitShare(), "touched": res.Touched, "originMb": res.OriginKb / 1000, "fillMb": res.FillKb / 1000,
-		"refused": float64(all.Refused) / max(float64(all.Asked), 1), "failed": float64(all.Failed) / max(float64(all.Asked), 1),
-		"asked": float64(all.Asked), "attempts": float64(res.Attempts), "attemptsEach": float64(res.Attempts) / max(float64(res.Requests), 1), "events": float64(res.Events), "broken": float64(res.BrokenRules()),
-		"p50VideoMs": res.P50Ms[0], "p99VideoMs": res.P99Ms[0], "p50CatalogueMs": res.P50Ms[1], "p99CatalogueMs": res.P99Ms[1],
-		"p99ReportMs": res.P99Ms[2], "largest": slices.Min(res.Largest[:]), "next": slices.Min(res.Next[:])}
+	all := res.OtherCells()
+	all = all.Plus(res.NoisyCell())
+	r.Broken = res.Violations
+	r.Figures = map[string]float64{"others": res.OtherCells().TimelyRatio(), "cell": res.NoisyCell().TimelyRatio(), "guilty": res.NoisyTenant.TimelyRatio(),
+		"timely": all.TimelyRatio(), "hits": res.HitRatio(), "touched": res.SharedCacheFraction, "originMb": res.OriginKB / 1000, "fillMb": res.FillKB / 1000,
+		"refused": float64(all.Rejected) / max(float64(all.Operations), 1), "failed": float64(all.Failed) / max(float64(all.Operations), 1),
+		"asked": float64(all.Operations), "attempts": float64(res.Attempts), "attemptsEach": float64(res.Attempts) / max(float64(res.Requests), 1), "events": float64(res.Events), "broken": float64(res.ViolationCount()),
+		"p50VideoMs": res.P50Millis[0], "p99VideoMs": res.P99Millis[0], "p50CatalogueMs": res.P50Millis[1], "p99CatalogueMs": res.P99Millis[1],
+		"p99ReportMs": res.P99Millis[2], "largest": slices.Min(res.LargestServedRatio[:]), "next": slices.Min(res.NextLargestServedRatio[:])}
 	if cfg.Hubs > 0 {
-		r.Figures["originMost"], r.Figures["originOverS"], r.Figures["coldMost"] = res.OriginMost, res.OriginOverS, res.ColdMost
-		r.Figures["coldShare"], r.Figures["unanswered"], r.Figures["unended"] = res.ColdShare, float64(res.Overdue), float64(res.Unended)
-		r.Figures["end"] = res.End(endSpan)
+		r.Figures["originMost"], r.Figures["originOverS"], r.Figures["coldMost"] = res.MaxOriginLoad, res.OriginOverloadSeconds, res.MaxWarmUpLoad
+		r.Figures["coldShare"], r.Figures["unanswered"], r.Figures["unended"] = res.MaxWarmUpLoadPerRouter, float64(res.Unanswered), float64(res.Unfinished)
+		r.Figures["end"] = res.TimelyRatioAtEnd(endSpan)
 	}
-	r.Figures["words"] = float64(res.Words)
-	r.Figures["wordPrice"] = wordPrice * float64(res.WordBytes) / 256 / max(float64(res.Requests), 1)
-	if len(cfg.Movers) > 0 {
-		for name, v := range map[string]float64{"movers": res.Movers.Share(), "stayers": res.Stayers.Share(), "coldMost": res.ColdMost,
-			"coldShare": res.ColdShare, "cellFill": res.CellFill, "cellBusy": res.CellBusy, "spread": res.Spread, "doneS": res.DoneS, "moved": float64(res.Gate.Migrated), "kept": float64(res.Gate.Deferred),
-			"unanswered": float64(res.Overdue), "unended": float64(res.Unended), "endS": cfg.EndS, "moversRefused": float64(res.Movers.Refused) / max(float64(res.Movers.Asked), 1)} {
+	r.Figures["words"] = float64(res.Datagrams)
+	r.Figures["wordPrice"] = wordPrice * float64(res.DatagramBytes) / 256 / max(float64(res.Requests), 1)
+	if len(cfg.MigratedTenants) > 0 {
+		for name, v := range map[string]float64{"movers": res.Migrated.TimelyRatio(), "stayers": res.NotMigrated.TimelyRatio(), "coldMost": res.MaxWarmUpLoad,
+			"coldShare": res.MaxWarmUpLoadPerRouter, "cellFill": res.MaxCellFill, "cellBusy": res.MaxCellUtilization, "spread": res.MaxMigrationSpread, "doneS": res.MigratedAtSeconds, "moved": float64(res.Admission.Migrated), "kept": float64(res.Admission.Deferred),
+			"unanswered": float64(res.Unanswered), "unended": float64(res.Unfinished), "endS": cfg.MigrationEndSeconds, "moversRefused": float64(res.Migrated.Rejected) / max(float64(res.Migrated.Operations), 1)} {
 			r.Figures[name] = v
 		}
 	}
-	for why, n := range res.Gate.Rejected {
+	for why, n := range res.Admission.Rejected {
 		if n > 0 {
 			r.Figures["gate "+cells.Reason(why).String()] = float64(n)
 		}
@@ -50,8 +50,8 @@
 		r.Figures[name] = round(v)
 	}
 	for _, s := range res.Seconds {
-		if s.Others.Offered > 0 {
-			r.Seconds = append(r.Seconds, round(s.Others.Share()))
+		if s.OtherCells.OfferedWeight > 0 {
+			r.Seconds = append(r.Seconds, round(s.OtherCells.TimelyRatio()))
 		}
 	}
 }
@@ -61,18 +61,18 @@
 	stopped, passed, broken, sum := 0.0, 0.0, 0.0, 0.0
 	var renewed, held, early, restored int64
 	for i := range all {
-		if all[i].Stopped > 0 {
+		if all[i].RoutersStopped > 0 {
 			stopped++
-			sum += all[i].StoppedS - cfg.Release.Stage.Rings[0].OpensAt/1000
+			sum += all[i].StoppedAtSeconds - cfg.Release.Rollout.Rings[0].OpensAt/1000
 		}
-		if all[i].Stopped == 0 && all[i].Passed > 0 {
+		if all[i].RoutersStopped == 0 && all[i].RoutersPassed > 0 {
 			passed++
 		}
-		broken += float64(all[i].BrokenRules())
-		renewed, held = renewed+all[i].Renewed, held+all[i].Held
-		early, restored = early+all[i].Early, restored+all[i].Restored
+		broken += float64(all[i].ViolationCount())
+		renewed, held = renewed+all[i].ReleaseAnswers, held+all[i].PendingAnswers
+		early, restored = early+all[i].EarlyAnswers, restored+all[i].RolledBackAnswers
 	}
-	if cfg.Release.Renews { // answers with its objects, and in cells that have not got it the part that was new
+	if cfg.Release.ReplacesObjects { // answers with its objects, and in cells that have not got it the part that was new
 		r.Figures["renewed"], r.Figures["restored"] = float64(renewed), float64(restored)
 		r.Figures["early"] = round(float64(early) / float64(max(held, 1)))
 	}
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -13,18 +13,18 @@
 
 // Experiment is what a file under experiments says.
 type Experiment struct {
-	Name   string                     `json:"-"`
-	Title  string                     `json:"title"`
-	Sizes  map[string]emulator.Config `json:"sizes"`
-	Shapes map[string]emulator.Shapes `json:"shapes,omitempty"` // by size: a trial of shapes in place of a world
-	Shield map[string]emulator.Shield `json:"shield,omitempty"` // by size: a trial of limits at the head office
-	Tier   map[string]emulator.Tier   `json:"tier,omitempty"`   // by size: a trial of a limit that a tier keeps together
-	Watch  int                        `json:"watch"`            // the tenant that makes trouble on the other days
-	Arms   map[string]Arm             `json:"arms"`
-	Days   map[string]Day             `json:"days"`
-	Claims []Claim                    `json:"claims"`
-	Table  []string                   `json:"table,omitempty"` // figures in the table; left out: those of most experiments
-	Chart  Chart                      `json:"chart"`
+	Name   string                               `json:"-"`
+	Title  string                               `json:"title"`
+	Sizes  map[string]emulator.Config           `json:"sizes"`
+	Shapes map[string]emulator.TopologyTrial    `json:"shapes,omitempty"` // by size: a trial of shapes in place of a world
+	Shield map[string]emulator.OriginLimitTrial `json:"shield,omitempty"` // by size: a trial of limits at the head office
+	Tier   map[string]emulator.FleetLimitTrial  `json:"tier,omitempty"`   // by size: a trial of a limit that a tier keeps together
+	Watch  int                                  `json:"watch"`            // the tenant that makes trouble on the other days
+	Arms   map[string]Arm                       `json:"arms"`
+	Days   map[string]Day                       `json:"days"`
+	Claims []Claim                              `json:"claims"`
+	Table  []string                             `json:"table,omitempty"` // figures in the table; left out: those of most experiments
+	Chart  Chart                                `json:"chart"`
 }
 
 // Arm is a way to be compared.
@@ -34,16 +34,16 @@
 	Width  int     `json:"width,omitempty"`
 	Limit  float64 `json:"limit,omitempty"`
 	// DropFetches lets area caches end what nobody waits for any more.
-	DropFetches bool                      `json:"dropFetches,omitempty"`
-	Law         string                    `json:"law,omitempty"`    // of a trial of limits
-	Way         string                    `json:"way,omitempty"`    // of a trial of a tier's limit
-	Burst       float64                   `json:"burst,omitempty"`  // of its limits
-	Shield      string                    `json:"shield,omitempty"` // law of the head office's shield; none: rules alone
-	Forget      bool                      `json:"forget,omitempty"` // the shield does not count fetches that were given up
-	Shape       string                    `json:"shape,omitempty"`  // style of the hierarchy's shape; none: all area caches alike
-	Trip        map[string]*emulator.Trip `json:"trip,omitempty"`   // by size
-	Talk        *emulator.Talk            `json:"talk,omitempty"`   // routers tell one another of crowded area caches
-	Site        *emulator.Site            `json:"site,omitempty"`   // in place of the world's own
+	DropFetches bool                                `json:"dropFetches,omitempty"`
+	Law         string                              `json:"law,omitempty"`    // of a trial of limits
+	Way         string                              `json:"way,omitempty"`    // of a trial of a tier's limit
+	Burst       float64                             `json:"burst,omitempty"`  // of its limits
+	Shield      string                              `json:"shield,omitempty"` // law of the head office's shield; none: rules alone
+	Forget      bool                                `json:"forget,omitempty"` // the shield does not count fetches that were given up
+	Shape       string                              `json:"shape,omitempty"`  // style of the hierarchy's shape; none: all area caches alike
+	Trip        map[string]*emulator.MigrationTrial `json:"trip,omitempty"`   // by size
+	Talk        *emulator.Gossip                    `json:"talk,omitempty"`   // routers tell one another of crowded area caches
+	Site        *emulator.Deployment                `json:"site,omitempty"`   // in place of the world's own
 }
 
 // Count is a number, or one for each size.
@@ -84,9 +84,9 @@
 	Loss    float64 `json:"loss,omitempty"` // of datagrams, more than the world's
 	DeadAtS float64 `json:"deadAtS,omitempty"`
 	// Release is a new version; Worlds plays the day so often, each time with a seed of its own, and takes means.
-	Release *emulator.Release `json:"release,omitempty"`
-	Worlds  Count             `json:"worlds,omitempty"`
-	Hot     *emulator.Hot     `json:"hot,omitempty"` // a new object that all want
+	Release *emulator.Release   `json:"release,omitempty"`
+	Worlds  Count               `json:"worlds,omitempty"`
+	Hot     *emulator.HotObject `json:"hot,omitempty"` // a new object that all want
 }
 
 // Claim bounds a figure, "ARM/DAY/FIGURE", or its quotient by another. "all/broken" sums up the broken rules of all runs.
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -45,7 +45,7 @@
 			for arm := range e.Arms {
 				cfg, err := e.configure(size, 1, e.Arms[arm], Day{})
 				if err == nil {
-					err = cfg.Check()
+					err = cfg.Validate()
 				}
 				if err != nil {
 					t.Errorf("%s, %s, %s: %v", name, size, arm, err)
--- a/lab/play.go
+++ b/lab/play.go
@@ -17,17 +17,17 @@
 	if !known {
 		return cfg, fmt.Errorf("size %q: there is none", size)
 	}
-	cfg.Seed, cfg.Flood, cfg.Poison, cfg.Faults, cfg.Limit = seed, day.Flood, day.Poison, day.Faults, arm.Limit
-	cfg.SkewMs, cfg.DropFetches, cfg.Talk, cfg.Hot = day.SkewMs, arm.DropFetches, arm.Talk, day.Hot
+	cfg.Seed, cfg.Flood, cfg.Poison, cfg.Faults, cfg.RateLimitFactor = seed, day.Flood, day.Poison, day.Faults, arm.Limit
+	cfg.MaxClockSkewMillis, cfg.CancelsAbandonedFetches, cfg.Gossip, cfg.HotObject = day.SkewMs, arm.DropFetches, arm.Talk, day.Hot
 	if arm.Site != nil {
-		cfg.Site = arm.Site
+		cfg.Deployment = arm.Site
 	}
 	if arm.Shield != "" {
-		cfg.Shield = cfg.ShieldBy(arm.Shield, arm.Forget)
+		cfg.OriginLimit = cfg.OriginLimitDocument(arm.Shield, arm.Forget)
 	}
 	if arm.Shape != "" {
 		var err error
-		if cfg.Shape, err = cfg.Hierarchy(arm.Shape); err != nil {
+		if cfg.Topology, err = cfg.BuildTopology(arm.Shape); err != nil {
 			return cfg, err
 		}
 	}
@@ -40,8 +40,8 @@
 	if group == 0 {
 		return cfg, nil
 	}
-	spec, groups := emulator.Spec(&cfg, group)
-	cfg.Group = groups
+	spec, groups := emulator.PlanCells(&cfg, group)
+	cfg.CellByTenant = groups
 	if count == 0 {
 		return cfg, nil
 	}
@@ -55,7 +55,7 @@
 		cfg.Release = &release
 	}
 	if trip := arm.Trip[size]; trip != nil {
-		if err := cfg.Relocate(trip); err != nil {
+		if err := cfg.PlanMigrations(trip); err != nil {
 			return cfg, fmt.Errorf("trip: %w", err)
 		}
 	}
@@ -122,7 +122,7 @@
 				return fmt.Errorf("%s/%s: %w", r.Arm, r.Day, err)
 			}
 			if cfg.Flood == nil && cfg.Poison == nil && e.Watch >= 0 {
-				w.Watch(e.Watch)
+				w.WatchTenant(e.Watch)
 			}
 			if at.nth == 0 {
 				configs[at.run] = cfg
--- a/lab/shapes.go
+++ b/lab/shapes.go
@@ -23,12 +23,12 @@
 		tick(1, 1)
 	}
 	var runs []Run
-	for _, guard := range sorted(res.Ways) {
-		w := res.Ways[guard]
+	for _, guard := range sorted(res.ByGuard) {
+		w := res.ByGuard[guard]
 		n := float64(max(res.Fills, 1))
 		runs = append(runs, Run{Arm: guard, Day: "changes", Figures: map[string]float64{
-			"valid": float64(res.Valid), "validRefused": float64(res.ValidRefused), "planted": float64(res.Planted), "plantedTaken": float64(res.PlantedTaken),
-			"misnamed": float64(res.Misnamed), "fills": float64(res.Fills), "twice": float64(w.Twice), "served": round(float64(w.Served) / n),
+			"valid": float64(res.Valid), "validRefused": float64(res.ValidRejected), "planted": float64(res.WithLoop), "plantedTaken": float64(res.LoopsAccepted),
+			"misnamed": float64(res.LoopsMisreported), "fills": float64(res.Fills), "twice": float64(w.Revisits), "served": round(float64(w.Served) / n),
 			"stuck": round(float64(w.Stuck) / n), "hops": round(float64(w.Hops) / n)}})
 	}
 	return e.outcome(size, seed, runs)
@@ -41,14 +41,14 @@
 		return nil, fmt.Errorf("size %q: there is none", size)
 	}
 	runs := e.runs()
-	results := make([]*emulator.ShieldResult, len(runs))
+	results := make([]*emulator.OriginLimitResult, len(runs))
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i := range runs {
 		group.Go(func() (err error) {
 			t, arm, day := trial, e.Arms[runs[i].Arm], e.Days[runs[i].Day]
-			t.Law, t.Burst = arm.Law, arm.Burst
-			t.LowPart, t.LowFromS, t.LowForS, t.DeadPart, t.DeadAtS = day.Low, day.LowFromS, day.LowForS, day.DeadPart, day.DeadAtS
+			t.Algorithm, t.Burst = arm.Law, arm.Burst
+			t.BrownoutCapacity, t.BrownoutStartSeconds, t.BrownoutDurationSeconds, t.FailedFraction, t.FailureSeconds = day.Low, day.LowFromS, day.LowForS, day.DeadPart, day.DeadAtS
 			results[i], err = t.Run(seed)
 			return err
 		})
@@ -57,10 +57,10 @@
 		return nil, err
 	}
 	for i, r := range results {
-		runs[i].Figures = map[string]float64{"wanted": float64(r.Wanted), "served": round(float64(r.Served) / float64(max(r.Wanted, 1))),
-			"sentEach": round(float64(r.Sent) / float64(max(r.Wanted, 1))), "turned": round(float64(r.Turned) / float64(max(r.Wanted, 1))),
-			"reports": round(float64(r.ReportsOK) / float64(max(r.Reports, 1))), "outMost": round(r.OutMost), "overS": round(r.OverS), "settleS": round(r.SettleS),
-			"backS": round(r.BackS), "before": round(r.Before), "low": round(r.Low), "end": round(r.End)}
+		runs[i].Figures = map[string]float64{"wanted": float64(r.Operations), "served": round(float64(r.Served) / float64(max(r.Operations, 1))),
+			"sentEach": round(float64(r.Sent) / float64(max(r.Operations, 1))), "turned": round(float64(r.Rejected) / float64(max(r.Operations, 1))),
+			"reports": round(float64(r.ReportsServed) / float64(max(r.Reports, 1))), "outMost": round(r.MaxInFlight), "overS": round(r.OverloadSeconds), "settleS": round(r.SettleSeconds),
+			"backS": round(r.RecoverySeconds), "before": round(r.ServedBefore), "low": round(r.ServedDuring), "end": round(r.ServedAtEnd)}
 	}
 	if tick != nil {
 		tick(len(runs), len(runs))
@@ -75,14 +75,14 @@
 		return nil, fmt.Errorf("size %q: there is none", size)
 	}
 	runs := e.runs()
-	results := make([]*emulator.TierResult, len(runs))
+	results := make([]*emulator.FleetLimitResult, len(runs))
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i := range runs {
 		group.Go(func() (err error) {
 			t, day := trial, e.Days[runs[i].Day]
-			t.Way, t.Parts, t.CutS, t.CutForS, t.DeadPart = e.Arms[runs[i].Arm].Way, day.Parts, day.CutS, day.CutForS, day.DeadPart
-			t.Loss += day.Loss
+			t.Method, t.Partitions, t.PartitionSeconds, t.PartitionDurationSeconds, t.FailedFraction = e.Arms[runs[i].Arm].Way, day.Parts, day.CutS, day.CutForS, day.DeadPart
+			t.LossRatio += day.Loss
 			results[i], err = t.Run(seed)
 			return err
 		})
@@ -91,8 +91,8 @@
 		return nil, err
 	}
 	for i, r := range results {
-		runs[i].Figures = map[string]float64{"over": round(r.Over), "overS": round(r.OverS), "use": round(r.Use), "cutUse": round(r.CutUse), "bytes": round(r.Bytes),
-			"regainS": round(r.Regains)}
+		runs[i].Figures = map[string]float64{"over": round(r.MaxGranted), "overS": round(r.OverLimitSeconds), "use": round(r.Utilization), "cutUse": round(r.PartitionUtilization), "bytes": round(r.BytesPerSecond),
+			"regainS": round(r.RecoverySeconds)}
 	}
 	if tick != nil {
 		tick(len(runs), len(runs))
