--- a/cmd/spanlab/scale.go
+++ b/cmd/spanlab/scale.go
@@ -31,16 +31,16 @@
 )
 
 func (c *scaleRunCmd) Run() error {
-	test, err := scale.Find(c.Name)
+	test, err := scale.FindTest(c.Name)
 	if err != nil {
 		return err
 	}
 	sizes := c.Routers
 	if len(sizes) == 0 {
-		sizes = scale.Sizes
+		sizes = scale.DefaultSizes
 	}
 	for _, routers := range sizes {
-		if err := (scale.Options{Routers: routers, Seed: c.Seed}).Check(); err != nil {
+		if err := (scale.Options{Routers: routers, Seed: c.Seed}).Validate(); err != nil {
 			return err
 		}
 	}
@@ -51,14 +51,14 @@
 		return err
 	}
 	if c.Out != "" {
-		if err := scale.Write(c.Out, results); err != nil {
+		if err := scale.WriteResults(c.Out, results); err != nil {
 			return err
 		}
 	}
 	short := false
 	for _, r := range results {
 		fmt.Println(r.Line())
-		short = short || !r.Kept()
+		short = short || !r.WithinBudget()
 	}
 	if short {
 		return errShort
@@ -87,7 +87,7 @@
 }
 
 func (c *scalePageCmd) Run() error {
-	set, err := scale.ReadSet(c.Results)
+	set, err := scale.ReadResultSet(c.Results)
 	if err != nil {
 		return fmt.Errorf("--results: %w", err)
 	}
--- a/cmd/spantack/departures_play_test.go
+++ b/cmd/spantack/departures_play_test.go
@@ -46,7 +46,7 @@
 		plan.sockets = 256
 	}
 	plan.cache = func(_ int, opt *caches.Options) {
-		opt.Narrow = place.pausesCaches
+		opt.UsesSmallBuffers = place.pausesCaches
 		if place.dialsLate {
 			late := newLateListener(t)
 			opt.Listener = late
@@ -65,14 +65,14 @@
 }
 
 // holdAttempt lets an attempt end only when the test says so: by ERR, by BUSY or by a connection that breaks.
-func (p *departure) holdAttempt(g caches.Get) caches.Fault {
+func (p *departure) holdAttempt(g caches.Request) caches.Fault {
 	select {
 	case <-p.mayEnd:
-		return caches.None
+		return caches.FaultNone
 	default:
 	}
 	<-p.mayEnd
-	return []caches.Fault{caches.Err, caches.Busy, caches.Spoil}[g.ID[len(g.ID)-1]%3]
+	return []caches.Fault{caches.FaultError, caches.FaultBusy, caches.FaultMalformed}[g.ID[len(g.ID)-1]%3]
 }
 
 // play brings all clients to the place, lets them leave, and then, later than the grace, lets what waits there go
@@ -140,8 +140,8 @@
 // from which attempts begin.
 func (p *departure) awaitStayersAttempt(since time.Time) bool {
 	return pollUntil(func() bool {
-		return slices.ContainsFunc(p.requests.Gets(), func(g caches.Get) bool {
-			return g.ID[0] == stayerRef(0)[0] && (g.At.After(since) || p.place.asksOnLeaving)
+		return slices.ContainsFunc(p.requests.Requests(), func(g caches.Request) bool {
+			return g.ID[0] == stayerRef(0)[0] && (g.ArrivedAt.After(since) || p.place.asksOnLeaving)
 		})
 	})
 }
@@ -153,12 +153,12 @@
 		clients[l.ref] = l
 	}
 	var late []string
-	for _, g := range p.requests.Gets() {
+	for _, g := range p.requests.Requests() {
 		l := clients[g.ID]
 		if l == nil {
 			continue
 		}
-		if after := g.At.Sub(l.leftAt); after > departedGrace {
+		if after := g.ArrivedAt.Sub(l.leftAt); after > departedGrace {
 			late = append(late, fmt.Sprintf("%s (%s) %v after it had left by %q", g.ID, g.Server, after, l.way.name))
 		}
 	}
--- a/cmd/spantack/departures_setup_test.go
+++ b/cmd/spantack/departures_setup_test.go
@@ -134,7 +134,7 @@
 // allArrived tells whether an attempt of each request has come to a cache.
 func (p *departure) allArrived(sent map[string]*caller) bool {
 	came := map[string]bool{}
-	for _, g := range p.requests.Gets() {
+	for _, g := range p.requests.Requests() {
 		came[g.ID] = true
 	}
 	for ref := range sent {
--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -28,7 +28,7 @@
 	deadline  time.Duration // of both classes
 	discovery string        // its address; empty: nobody listens there
 	cache     func(number int, opt *caches.Options)
-	script    func(caches.Get) caches.Fault
+	script    func(caches.Request) caches.Fault
 	start     func(*exec.Cmd) error // starts the router; nil: as usual
 }
 
@@ -62,14 +62,14 @@
 		requests: caches.NewRequestLog(),
 		exited:   make(chan error, 1),
 	}
-	origin, err := caches.Listen(caches.Options{ID: originID, Origin: true, RequestLog: d.requests})
+	origin, err := caches.Listen(caches.Options{ID: originID, IsOrigin: true, RequestLog: d.requests})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(origin.Close)
 	d.origin = origin
 	for number := range plan.caches {
-		opt := caches.Options{ID: uint32(firstCache + number), RequestLog: d.requests, Script: plan.script, Source: d.source}
+		opt := caches.Options{ID: uint32(firstCache + number), RequestLog: d.requests, InjectFault: plan.script, FindServer: d.source}
 		if plan.cache != nil {
 			plan.cache(number, &opt)
 		}
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -54,7 +54,7 @@
 	},
 	{
 		name: "down, then slow", whileAway: discovery.Down, whenBack: discovery.Slow, duration: time.Second,
-		descriptorLimits: []int{64, 256, 1024}, firstFrameDelay: discovery.FirstFrameAfter,
+		descriptorLimits: []int{64, 256, 1024}, firstFrameDelay: discovery.SlowFirstFrameDelay,
 	},
 }
 
@@ -100,7 +100,7 @@
 	})
 	time.Sleep(away.duration)
 
-	replacement, err := caches.Listen(caches.Options{ID: firstCache + 100, RequestLog: d.requests, Source: d.source})
+	replacement, err := caches.Listen(caches.Options{ID: firstCache + 100, RequestLog: d.requests, FindServer: d.source})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,15 +140,15 @@
 )
 
 // cacheEntries is the two caches of a deployment in these states, as the discovery service tells them.
-func (d *deployment) cacheEntries(states ...byte) (entries []discovery.Server) {
+func (d *deployment) cacheEntries(states ...byte) (entries []discovery.Endpoint) {
 	for number, state := range states {
 		entries = append(entries, entry(d.caches[number], uint32(firstCache+number), state, kindCache))
 	}
 	return entries
 }
 
-func entry(cache *caches.Server, id uint32, state, kind byte) discovery.Server {
-	return discovery.Server{ID: id, Addr: cache.Addr(), State: state, Kind: kind, Weight: 4}
+func entry(cache *caches.Server, id uint32, state, kind byte) discovery.Endpoint {
+	return discovery.Endpoint{ID: id, Addr: cache.Addr(), State: state, Kind: kind, Weight: 4}
 }
 
 // withDescriptorLimit starts a program that may have so many descriptors.
@@ -185,7 +185,7 @@
 	testwait.Until(d.t, "an object that is served, by "+cache.Name(), func() bool {
 		number++
 		served = d.ask(fmt.Sprintf("%016x", number)) == nil || served
-		return served && slices.ContainsFunc(d.requests.Gets(), func(g caches.Get) bool { return g.Server == cache.Name() })
+		return served && slices.ContainsFunc(d.requests.Requests(), func(g caches.Request) bool { return g.Server == cache.Name() })
 	})
 	return begin.Elapsed()
 }
--- a/lab/process/coldservers_test.go
+++ b/lab/process/coldservers_test.go
@@ -157,8 +157,8 @@
 			}
 			sum := <-sent
 			calls := map[string][]time.Time{}
-			for _, g := range d.RequestLog.Gets() {
-				calls[g.Server] = append(calls[g.Server], g.At)
+			for _, g := range d.RequestLog.Requests() {
+				calls[g.Server] = append(calls[g.Server], g.ArrivedAt)
 			}
 			budget := newColdBudget(Settings(tc.opt.Routers), tc.load.meanKb())
 			used := 0
@@ -176,7 +176,7 @@
 			if warm <= budget.bound(0) {
 				t.Errorf("warm caches got %d calls within %v at most: the burst would not push over a cold one, which bears %d", warm, budget.span, budget.bound(0))
 			}
-			if d.Mesh != nil && d.Mesh.Counts().Passed == 0 {
+			if d.Mesh != nil && d.Mesh.Counts().Forwarded == 0 {
 				t.Error("no datagram passed between routers")
 			}
 			if sum.Wrong > 0 {
--- a/lab/process/coldstart_test.go
+++ b/lab/process/coldstart_test.go
@@ -36,12 +36,12 @@
 		time.Sleep(1200 * time.Millisecond) // a connection that held is a new start
 		before, _, _, _ := d.DiscoveryLink.Counts()
 		if round < 2 {
-			d.DiscoveryLink.Set(link.State{Cut: true})
+			d.DiscoveryLink.SetConditions(link.RelayConditions{Resets: true})
 			time.Sleep(3 * time.Second)
 		} else { // all break, and each new connection breaks at its first piece
 			for range 20 {
-				d.DiscoveryLink.Set(link.State{Cut: true})
-				d.DiscoveryLink.Set(link.State{})
+				d.DiscoveryLink.SetConditions(link.RelayConditions{Resets: true})
+				d.DiscoveryLink.SetConditions(link.RelayConditions{})
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
@@ -49,14 +49,14 @@
 		tries := after[len(before):]
 		for _, part := range []time.Duration{4, 1} {
 			span := period / part
-			if most, bound := d.DiscoveryLink.MostDials(len(before), span), 2*(routers/int(part)+1); most > bound {
+			if most, bound := d.DiscoveryLink.MaxDialsWithin(len(before), span), 2*(routers/int(part)+1); most > bound {
 				t.Errorf("round %d: %d tries within %v, %d at most", round, most, span, bound)
 			}
 		}
 		if len(tries) < 2*routers {
 			t.Errorf("round %d: %d tries of %d routers: they gave up, or nothing was cut", round, len(tries), routers)
 		}
-		d.DiscoveryLink.Set(link.State{})
+		d.DiscoveryLink.SetConditions(link.RelayConditions{})
 		back()
 	}
 }
--- a/lab/process/demo.go
+++ b/lab/process/demo.go
@@ -29,8 +29,8 @@
 	}
 	looks, hits := map[string]int{}, map[string]int{}
 	held := map[string]bool{}
-	for _, g := range d.RequestLog.Gets() {
-		key := g.Server + " " + g.Object + "/" + g.Part
+	for _, g := range d.RequestLog.Requests() {
+		key := g.Server + " " + g.Object + "/" + g.Chunk
 		if looks[g.Class]++; held[key] {
 			hits[g.Class]++
 		}
--- a/lab/process/local.go
+++ b/lab/process/local.go
@@ -34,7 +34,7 @@
 	Caches   int
 	Areas    int    // area caches; 0: one
 	Features string // text of a features file; empty: none
-	Script   func(cache.Get) cache.Fault
+	Script   func(cache.Request) cache.Fault
 	Delay    time.Duration // of a cache; above it three times as much
 	Binary   string        // the router; empty: built for the purpose
 	Flags    []string      // further ones of its command line
@@ -69,7 +69,7 @@
 	mu      sync.Mutex
 	servers map[string]*cache.Server
 	next    uint32
-	known   []discovery.Server
+	known   []discovery.Endpoint
 }
 
 // Router is one router process.
@@ -172,9 +172,9 @@
 	if kind != kindCache {
 		delay *= 3
 	}
-	opt := cache.Options{ID: d.next * 2654435761, Addr: addr, Origin: kind == kindOrigin, Delay: delay, Source: d.server, RequestLog: d.RequestLog}
+	opt := cache.Options{ID: d.next * 2654435761, Addr: addr, IsOrigin: kind == kindOrigin, Delay: delay, FindServer: d.server, RequestLog: d.RequestLog}
 	if kind == kindCache {
-		opt.Script = d.opt.Script
+		opt.InjectFault = d.opt.Script
 	}
 	s, err := cache.Listen(opt)
 	if err != nil {
@@ -187,7 +187,7 @@
 	if kind == kindCache {
 		zone = byte(1 + len(d.Caches)%max(d.opt.Depots, 1))
 	}
-	d.known = append(d.known, discovery.Server{ID: opt.ID, Addr: s.Addr(), Zone: zone, Kind: kind, Weight: 4, Started: started})
+	d.known = append(d.known, discovery.Endpoint{ID: opt.ID, Addr: s.Addr(), Zone: zone, Kind: kind, Weight: 4, StartedAtMillis: started})
 	return s, nil
 }
 
--- a/lab/process/local_test.go
+++ b/lab/process/local_test.go
@@ -150,11 +150,11 @@
 // outside its cell, every request has one right answer, and no two attempts of one were out at once.
 func TestFloodStaysInItsCell(t *testing.T) {
 	text := assignment(1, "one", "two")
-	d := start(t, Options{Routers: 3, Caches: 6, Delay: 2 * time.Millisecond, Features: text, Script: func(g cache.Get) cache.Fault {
+	d := start(t, Options{Routers: 3, Caches: 6, Delay: 2 * time.Millisecond, Features: text, Script: func(g cache.Request) cache.Fault {
 		if strings.HasPrefix(g.Object, "00") && strings.HasSuffix(g.ID, "7") {
-			return cache.Err
+			return cache.FaultError
 		}
-		return cache.None
+		return cache.FaultNone
 	}})
 	const requests = 3000
 	rep, err := run(t, d, Load{Seed: 5, Requests: requests, Every: 700 * time.Microsecond, Conns: 2, Families: 4, Objects: 200, Flood: 0, Times: 3})
@@ -181,7 +181,7 @@
 	}
 	cell := cellOf(t, d, text)
 	seen := map[string]int{}
-	for _, g := range d.RequestLog.Gets() {
+	for _, g := range d.RequestLog.Requests() {
 		want := "two"
 		if strings.HasPrefix(g.Object, "00") {
 			want = "one"
@@ -230,7 +230,7 @@
 	homes := func(from int) map[string]map[string]bool {
 		cell := cellOf(t, d, before)
 		seen := map[string]map[string]bool{"loud": {}, "rest": {}}
-		for _, g := range d.RequestLog.Gets()[from:] {
+		for _, g := range d.RequestLog.Requests()[from:] {
 			who := "rest"
 			if strings.HasPrefix(g.Object, "00") {
 				who = "loud"
@@ -253,7 +253,7 @@
 	if all := testwait.ReceiveWithin(t, loadWithin+saysWithin, ran, "the load").All(); all.Served != 600 {
 		t.Errorf("while it changed: %+v", all)
 	}
-	from := len(d.RequestLog.Gets())
+	from := len(d.RequestLog.Requests())
 	half(4)
 	if got := homes(from); !got["loud"]["two"] || got["loud"]["one"] || got["rest"]["two"] {
 		t.Errorf("after: %v", got)
@@ -334,7 +334,7 @@
 		t.Errorf("two attempts out at once: %v", o)
 	}
 	seen := map[string]int{}
-	for _, g := range d.RequestLog.Gets() {
+	for _, g := range d.RequestLog.Requests() {
 		if !strings.HasPrefix(g.Object, "00") || lists[g.Server] == nil {
 			continue
 		}
@@ -374,11 +374,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text), Script: func(g cache.Get) cache.Fault {
+	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text), Script: func(g cache.Request) cache.Fault {
 		if bad.Load() && strings.HasPrefix(g.Object, "02") {
-			return cache.Err
+			return cache.FaultError
 		}
-		return cache.None
+		return cache.FaultNone
 	}})
 	run := func(seed uint64, requests int) *Report {
 		rep, err := run(t, d, Load{Seed: seed, Requests: requests, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
@@ -446,8 +446,8 @@
 		t.Fatal(err)
 	}
 	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text)})
-	ages := func(seed uint64, check func(family string, g cache.Get, at float64)) (seen int) {
-		from := len(d.RequestLog.Gets())
+	ages := func(seed uint64, check func(family string, g cache.Request, at float64)) (seen int) {
+		from := len(d.RequestLog.Requests())
 		rep, err := run(t, d, Load{Seed: seed, Requests: 600, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
 		if err != nil {
 			t.Fatal(err)
@@ -457,9 +457,9 @@
 				t.Errorf("family %d: %+v", family, c)
 			}
 		}
-		for _, g := range d.RequestLog.Gets()[from:] {
+		for _, g := range d.RequestLog.Requests()[from:] {
 			if family := g.Object[:2]; g.Class != "stock-report" && family != "00" {
-				check(family, g, float64(g.At.UnixMilli()))
+				check(family, g, float64(g.ArrivedAt.UnixMilli()))
 				seen++
 			}
 		}
@@ -468,21 +468,21 @@
 	for _, r := range d.Routers {
 		waitLog(t, r, "release r, ring 0 ([one]): judging")
 	}
-	seen := ages(1, func(family string, g cache.Get, at float64) {
+	seen := ages(1, func(family string, g cache.Request, at float64) {
 		switch {
 		case at >= release.RollbackAt:
-		case family == "02" && (g.MaxAge < 1 || float64(g.MaxAge) > at-since):
-			t.Errorf("%s, cell one, %.0f ms since: copies of %d ms", g.Object, at-since, g.MaxAge)
-		case family == "01" && g.MaxAge != 0 && g.MaxAge != keep:
-			t.Errorf("%s, cell two: copies of %d ms", g.Object, g.MaxAge)
+		case family == "02" && (g.MaxAgeMillis < 1 || float64(g.MaxAgeMillis) > at-since):
+			t.Errorf("%s, cell one, %.0f ms since: copies of %d ms", g.Object, at-since, g.MaxAgeMillis)
+		case family == "01" && g.MaxAgeMillis != 0 && g.MaxAgeMillis != keep:
+			t.Errorf("%s, cell two: copies of %d ms", g.Object, g.MaxAgeMillis)
 		}
 	})
 	for _, r := range d.Routers {
 		waitLog(t, r, "release r, ring 0 ([one]): stopped")
 	}
-	seen += ages(2, func(family string, g cache.Get, at float64) {
-		if g.MaxAge < 1 || float64(g.MaxAge) > at-release.RollbackAt {
-			t.Errorf("%s, taken back %.0f ms before: copies of %d ms", g.Object, at-release.RollbackAt, g.MaxAge)
+	seen += ages(2, func(family string, g cache.Request, at float64) {
+		if g.MaxAgeMillis < 1 || float64(g.MaxAgeMillis) > at-release.RollbackAt {
+			t.Errorf("%s, taken back %.0f ms before: copies of %d ms", g.Object, at-release.RollbackAt, g.MaxAgeMillis)
 		}
 	})
 	if seen < 200 {
@@ -523,7 +523,7 @@
 		}
 	}
 	run := func(seed uint64, objects int) map[string]map[string]bool { // of each object, the sources that its fills named
-		from := len(d.RequestLog.Gets())
+		from := len(d.RequestLog.Requests())
 		rep, err := run(t, d, Load{Seed: seed, Requests: 1500, Every: time.Millisecond, Conns: 2, Families: 3, Objects: objects})
 		if err != nil {
 			t.Fatal(err)
@@ -532,14 +532,14 @@
 			t.Errorf("seed %d: %+v", seed, all)
 		}
 		asked := map[string]map[string]bool{}
-		for _, g := range d.RequestLog.Gets()[from:] {
-			if g.Class == "stock-report" || g.Next == "" {
+		for _, g := range d.RequestLog.Requests()[from:] {
+			if g.Class == "stock-report" || g.FillFrom == "" {
 				continue
 			}
 			if asked[g.Object] == nil {
 				asked[g.Object] = map[string]bool{}
 			}
-			asked[g.Object][g.Next] = true
+			asked[g.Object][g.FillFrom] = true
 		}
 		return asked
 	}
--- a/lab/process/mesh.go
+++ b/lab/process/mesh.go
@@ -30,7 +30,7 @@
 	for rank := range d.listens {
 		peers = append(peers, d.Mesh.Addr(rank))
 	}
-	doc["peer_listen"], doc["peers"], doc["peers_all"] = d.listens[i].String(), peers, d.Mesh.All()
+	doc["peer_listen"], doc["peers"], doc["peers_all"] = d.listens[i].String(), peers, d.Mesh.BroadcastAddr()
 	set := doc["settings"].(map[string]any)
 	set["Rank"] = i
 	set["Permissions"].(map[string]any)["MayTell"] = true
--- a/lab/process/operate_test.go
+++ b/lab/process/operate_test.go
@@ -88,16 +88,16 @@
 		t.Errorf("two attempts at once: %v", crossed)
 	}
 	between, after := 0, 0
-	for _, g := range d.RequestLog.Gets() {
+	for _, g := range d.RequestLog.Requests() {
 		i, err := strconv.ParseInt(g.ID[8:], 16, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if g.Server != out && g.Next != out {
+		if g.Server != out && g.FillFrom != out {
 			continue
 		}
 		switch {
-		case i >= from && g.At.Before(included): // one sent in time may reach a router after it, on a busy machine
+		case i >= from && g.ArrivedAt.Before(included): // one sent in time may reach a router after it, on a busy machine
 			between++
 		case i >= back:
 			after++
@@ -141,7 +141,7 @@
 			t.Errorf("%s: %d, want %d", name, got, want)
 		}
 	}
-	until(t, "forwards", func() bool { return figures(t, r)["app.forwards"] == len(d.RequestLog.Gets()) }) // may lag behind the answer
+	until(t, "forwards", func() bool { return figures(t, r)["app.forwards"] == len(d.RequestLog.Requests()) }) // may lag behind the answer
 }
 
 // A file that can't be used is turned down whole: neither its classes nor its discovery address hold. A good one holds for requests that come.
@@ -223,7 +223,7 @@
 		}
 	}
 	work(13)
-	before := len(d.RequestLog.Gets())
+	before := len(d.RequestLog.Requests())
 	c, err := msgpackrpc.Dial(r.Addr, 1000)
 	if err != nil {
 		t.Fatal(err)
@@ -237,7 +237,7 @@
 		}
 		answers <- a
 	}()
-	until(t, "a request out", func() bool { return len(d.RequestLog.Gets()) > before })
+	until(t, "a request out", func() bool { return len(d.RequestLog.Requests()) > before })
 	call(t, r, http.MethodPut, "/api/evacuate")
 	if status, _, err := r.Call(bounded(t, callWithin, "a call"), http.MethodGet, "/api/ready"); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("ready while it is emptied: %d, %v", status, err)
--- a/lab/process/readiness_test.go
+++ b/lab/process/readiness_test.go
@@ -45,7 +45,7 @@
 	var targets []any
 	for _, s := range d.known {
 		targets = append(targets, map[string]any{"uid": fmt.Sprintf("s-%08x", s.ID), "endpoint": s.Addr.String(), "az": zones[s.Zone], "model": kinds[s.Kind],
-			"pod_group": 0, "state": "Ready", "capacity_hint": s.Weight, "boot_ms": s.Started})
+			"pod_group": 0, "state": "Ready", "capacity_hint": s.Weight, "boot_ms": s.StartedAtMillis})
 	}
 	return map[string]any{"rev": 1, "notices": []any{map[string]any{"rev": 1, "pool": map[string]any{"rev": 1, "all": true, "targets": targets}}}}
 }
@@ -136,7 +136,7 @@
 		c.Close()
 	}
 	sent := map[int]bool{}
-	for _, g := range d.RequestLog.Gets() {
+	for _, g := range d.RequestLog.Requests() {
 		if i, known := asked[g.ID]; known {
 			sent[i] = true
 		}
--- a/lab/scale/leases.go
+++ b/lab/scale/leases.go
@@ -8,51 +8,51 @@
 
 // Payloads of the datagrams that carry messages of core/lease: see the head of core/fleet's datagram.go.
 const (
-	leaseRequestSize = bodyAt + 12
-	leaseGrantSize   = bodyAt + 16
-	leaseVoteSize    = bodyAt + 9
-	leaseVoteAckSize = bodyAt + 6
+	leaseRequestSize = bodyOffset + 12
+	leaseGrantSize   = bodyOffset + 16
+	leaseVoteSize    = bodyOffset + 9
+	leaseVoteAckSize = bodyOffset + 6
 )
 
 var leaseSizes = map[lease.MessageKind]int{lease.KindRequest: leaseRequestSize, lease.KindGrant: leaseGrantSize, lease.KindVote: leaseVoteSize, lease.KindVoteAck: leaseVoteAckSize}
 
 // Of the leases test.
 const (
-	siteGroup   = 16  // ranks in the smallest group, somewhat more than a site has
-	regionGroup = 512 // and in a group of those
-	electors    = 5
+	siteGroupSize   = 16  // ranks in the smallest group, somewhat more than a site has
+	regionGroupSize = 512 // and in a group of those
+	electorCount    = 5
 
-	leaseTick   = second / 20
-	leaseCold   = 20 // seconds
-	leaseDay    = 10
-	leaseLoss   = 15
-	leaseCut    = 40
-	leaseSettle = 20
-	leaseParts  = 6
+	leaseTickInterval       = second / 20
+	leaseColdStartSeconds   = 20 // seconds
+	leaseSteadyStateSeconds = 10
+	leaseLossSeconds        = 15
+	leasePartitionSeconds   = 40
+	leaseSettleSeconds      = 20
+	leasePhaseCount         = 6
 
-	backInUse = 0.8 // of what was in use before a loss
+	recoveredFraction = 0.8 // of what was in use before a loss
 )
 
 // leaseTopology is the tree of a fleet of this size.
 func leaseTopology(routers int) lease.Topology {
-	t := lease.Topology{Routers: routers, GroupSizes: []int{siteGroup}}
-	if routers > 2*regionGroup {
-		t.GroupSizes = append(t.GroupSizes, regionGroup)
+	t := lease.Topology{Routers: routers, GroupSizes: []int{siteGroupSize}}
+	if routers > 2*regionGroupSize {
+		t.GroupSizes = append(t.GroupSizes, regionGroupSize)
 	}
-	for i := range electors {
-		t.Electors = append(t.Electors, i*routers/electors)
+	for i := range electorCount {
+		t.Electors = append(t.Electors, i*routers/electorCount)
 	}
 	return t
 }
 
 // leaseRouter is one router's part in a limit that is kept by a tree, without its membership.
 type leaseRouter struct {
-	node    *lease.Node
-	region  int
-	tickAt  int64
-	up      bool
-	starts  uint32
-	traffic traffic
+	node        *lease.Node
+	region      int
+	tickOffset  int64
+	isUp        bool
+	incarnation uint32
+	traffic     traffic
 }
 
 // leaseDelivery is a message on its way.
@@ -63,15 +63,15 @@
 
 // leaseWorld plays the leases of all routers, each simulated in full. Routers know at once who is up; how they learn it is the membership test's.
 type leaseWorld struct {
-	rng      *rand.Rand
-	options  Options
-	topology lease.Topology
-	limit    lease.Limit
-	now      int64
-	routers  []*leaseRouter
-	calendar [slots][]leaseDelivery
-	cut      bool
-	fault    error
+	rng           *rand.Rand
+	options       Options
+	topology      lease.Topology
+	limit         lease.Limit
+	now           int64
+	routers       []*leaseRouter
+	calendar      [slotCount][]leaseDelivery
+	isPartitioned bool
+	err           error
 }
 
 func newLeaseWorld(o Options) *leaseWorld {
@@ -89,59 +89,59 @@
 // start gives a router an empty state.
 func (w *leaseWorld) start(rank int) {
 	r := w.routers[rank]
-	r.up = true
-	r.starts++
-	r.tickAt = w.rng.Int64N(leaseTick/slotTime) * slotTime
-	node, err := lease.New(w.now, lease.Options{Rank: rank, Incarnation: r.starts, Seed: w.options.Seed, Topology: w.topology, Limit: w.limit})
+	r.isUp = true
+	r.incarnation++
+	r.tickOffset = w.rng.Int64N(leaseTickInterval/slotDuration) * slotDuration
+	node, err := lease.New(w.now, lease.Options{Rank: rank, Incarnation: r.incarnation, Seed: w.options.Seed, Topology: w.topology, Limit: w.limit})
 	if err != nil {
-		w.fault = err
+		w.err = err
 		return
 	}
-	node.SetDemand(wanted)
+	node.SetDemand(demandPerRouter)
 	node.IsUp = func(other int) bool { return w.reaches(rank, other) }
 	node.Send = func(to int, m lease.Message) { w.send(rank, to, m) }
 	r.node = node
 }
 
 func (w *leaseWorld) reaches(from, to int) bool {
-	return w.routers[to].up && !(w.cut && w.routers[from].region != w.routers[to].region)
+	return w.routers[to].isUp && !(w.isPartitioned && w.routers[from].region != w.routers[to].region)
 }
 
 func (w *leaseWorld) send(from, to int, m lease.Message) {
 	w.routers[from].traffic.add(w.now, leaseSizes[m.Kind])
-	if !w.reaches(from, to) || w.rng.Float64() < lossPart {
+	if !w.reaches(from, to) || w.rng.Float64() < baseLossRate {
 		return
 	}
-	at := w.now + leastDelay + w.rng.Int64N(delaySpan)
-	slot := at / slotTime % slots
+	at := w.now + minDelay + w.rng.Int64N(delaySpan)
+	slot := at / slotDuration % slotCount
 	w.calendar[slot] = append(w.calendar[slot], leaseDelivery{from, to, m})
 }
 
 // run lets virtual time pass.
 func (w *leaseWorld) run(until int64) error {
-	for ; w.now < until && w.fault == nil; w.now += slotTime {
-		slot := w.now / slotTime % slots
+	for ; w.now < until && w.err == nil; w.now += slotDuration {
+		slot := w.now / slotDuration % slotCount
 		due := w.calendar[slot]
 		w.calendar[slot] = nil
 		for _, d := range due {
-			if r := w.routers[d.to]; r.up {
+			if r := w.routers[d.to]; r.isUp {
 				r.traffic.add(w.now, leaseSizes[d.message.Kind])
 				r.node.Receive(w.now, d.from, d.message)
 			}
 		}
 		for _, r := range w.routers {
-			if r.up && w.now%leaseTick == r.tickAt {
+			if r.isUp && w.now%leaseTickInterval == r.tickOffset {
 				r.node.Tick(w.now)
 			}
 		}
 	}
-	return w.fault
+	return w.err
 }
 
-// inUse is the part of the limit that routers may use at present.
-func (w *leaseWorld) inUse() (part float64) {
+// usedFraction is the part of the limit that routers may use at present.
+func (w *leaseWorld) usedFraction() (part float64) {
 	for _, r := range w.routers {
-		if r.up {
+		if r.isUp {
 			part += r.node.Quota(w.now) / w.limit.Max
 		}
 	}
@@ -152,7 +152,7 @@
 func (w *leaseWorld) fleetHolder() int {
 	top := len(w.topology.GroupSizes) + 1
 	for _, rank := range w.topology.Electors {
-		if r := w.routers[rank]; r.up {
+		if r := w.routers[rank]; r.isUp {
 			for _, level := range r.node.HeldLevels(w.now) {
 				if level == top {
 					return rank
@@ -164,17 +164,17 @@
 }
 
 // measure lets a phase pass and books what it cost. The processor time is the mean of all routers, with what the simulation takes.
-func (w *leaseWorld) measure(clock cpuClock, trouble Trouble, seconds int64) (Phase, error) {
+func (w *leaseWorld) measure(clock threadCPUClock, trouble Scenario, seconds int64) (Phase, error) {
 	for _, r := range w.routers {
 		r.traffic = traffic{}
 	}
 	began := clock.now()
 	err := w.run(w.now + seconds*second)
-	phase := Phase{Trouble: trouble, Seconds: float64(seconds), CPUPercent: percent(clock.now()-began, float64(seconds)) / float64(len(w.routers))}
+	phase := Phase{Scenario: trouble, Seconds: float64(seconds), CPUPercent: cpuPercent(clock.now()-began, float64(seconds)) / float64(len(w.routers))}
 	bytes, running := 0.0, 0.0
 	var busiest *leaseRouter
 	for _, r := range w.routers {
-		if !r.up {
+		if !r.isUp {
 			continue
 		}
 		running++
@@ -183,7 +183,7 @@
 			busiest = r
 		}
 		phase.WorstDatagramsPerSecond = max(phase.WorstDatagramsPerSecond, float64(r.traffic.datagrams)/float64(seconds))
-		phase.PeakBytes = max(phase.PeakBytes, float64(r.traffic.peak))
+		phase.PeakBytes = max(phase.PeakBytes, float64(r.traffic.peakBytes))
 	}
 	phase.MeanBytesPerSecond = bytes / running / float64(seconds)
 	phase.WorstBytesPerSecond = float64(busiest.traffic.bytes) / float64(seconds)
@@ -193,88 +193,88 @@
 
 // leaseRun plays the phases of the test.
 type leaseRun struct {
-	w      *leaseWorld
-	clock  cpuClock
+	world  *leaseWorld
+	clock  threadCPUClock
 	result *Result
 }
 
-func (r *leaseRun) book(trouble Trouble, seconds int64) error {
-	phase, err := r.w.measure(r.clock, trouble, seconds)
+func (r *leaseRun) runPhase(trouble Scenario, seconds int64) error {
+	phase, err := r.world.measure(r.clock, trouble, seconds)
 	r.result.Phases = append(r.result.Phases, phase)
-	r.w.options.Progress(len(r.result.Phases), leaseParts)
+	r.world.options.Progress(len(r.result.Phases), leasePhaseCount)
 	return err
 }
 
-// away plays the loss of routers, books how long it took until their share of the limit was in use again, and lets them come back.
-func (r *leaseRun) away(trouble Trouble, ranks []int, seconds int64) error {
-	before := r.w.inUse()
+// loseAndRestart plays the loss of routers, books how long it took until their share of the limit was in use again, and lets them come back.
+func (r *leaseRun) loseAndRestart(trouble Scenario, ranks []int, seconds int64) error {
+	before := r.world.usedFraction()
 	for _, rank := range ranks {
-		r.w.routers[rank].up = false
+		r.world.routers[rank].isUp = false
 	}
-	least := before * backInUse * float64(len(r.w.routers)-len(ranks)) / float64(len(r.w.routers))
-	lostAt := r.w.now
-	if err := r.book(trouble, seconds); err != nil {
+	least := before * recoveredFraction * float64(len(r.world.routers)-len(ranks)) / float64(len(r.world.routers))
+	lostAt := r.world.now
+	if err := r.runPhase(trouble, seconds); err != nil {
 		return err
 	}
-	for r.w.inUse() < least && r.w.now < lostAt+lease.RecoveryTime {
-		if err := r.w.run(r.w.now + second); err != nil {
+	for r.world.usedFraction() < least && r.world.now < lostAt+lease.RecoveryTime {
+		if err := r.world.run(r.world.now + second); err != nil {
 			return err
 		}
 	}
-	name := map[Trouble]string{ProcessLost: "used_without_holder", RegionLost: "used_without_region"}[trouble]
-	r.result.Figures = append(r.result.Figures, Figure{name, r.w.inUse()})
+	name := map[Scenario]string{ProcessLost: "used_without_holder", RegionLost: "used_without_region"}[trouble]
+	r.result.Metrics = append(r.result.Metrics, Metric{name, r.world.usedFraction()})
 	for _, rank := range ranks {
-		r.w.start(rank)
+		r.world.start(rank)
 	}
-	return r.w.run(r.w.now + leaseSettle*second)
+	return r.world.run(r.world.now + leaseSettleSeconds*second)
 }
 
 // runLeases plays leases alone, from a cold start on: the loss of the fleet's holder and of its region, regions that are cut off, a restart of most.
 func runLeases(o Options) (*Result, error) {
-	clock, release := lockClock()
+	clock, release := lockThreadCPUClock()
 	defer release()
-	r := &leaseRun{w: newLeaseWorld(o), clock: clock, result: &Result{Simulated: o.Routers}}
-	if err := r.book(ColdStart, leaseCold); err != nil {
+	r := &leaseRun{world: newLeaseWorld(o), clock: clock, result: &Result{SimulatedProcesses: o.Routers}}
+	if err := r.runPhase(ColdStart, leaseColdStartSeconds); err != nil {
 		return nil, err
 	}
-	if err := r.book(OrdinaryDay, leaseDay); err != nil {
+	if err := r.runPhase(SteadyState, leaseSteadyStateSeconds); err != nil {
 		return nil, err
 	}
-	r.result.Figures = append(r.result.Figures, Figure{"used", r.w.inUse()})
-	holder := max(r.w.fleetHolder(), 0)
-	if err := r.away(ProcessLost, []int{holder}, leaseLoss); err != nil {
+	r.result.Metrics = append(r.result.Metrics, Metric{"used", r.world.usedFraction()})
+	holder := max(r.world.fleetHolder(), 0)
+	if err := r.loseAndRestart(ProcessLost, []int{holder}, leaseLossSeconds); err != nil {
 		return nil, err
 	}
 	var region []int
-	for rank, other := range r.w.routers {
-		if other.region == r.w.routers[max(r.w.fleetHolder(), 0)].region {
+	for rank, other := range r.world.routers {
+		if other.region == r.world.routers[max(r.world.fleetHolder(), 0)].region {
 			region = append(region, rank)
 		}
 	}
-	if err := r.away(RegionLost, region, leaseLoss); err != nil {
+	if err := r.loseAndRestart(RegionLost, region, leaseLossSeconds); err != nil {
 		return nil, err
 	}
-	r.w.cut = true
-	if err := r.book(RegionsCut, leaseCut); err != nil {
+	r.world.isPartitioned = true
+	if err := r.runPhase(RegionsPartitioned, leasePartitionSeconds); err != nil {
 		return nil, err
 	}
-	r.result.Figures = append(r.result.Figures, Figure{"used_while_cut", r.w.inUse()})
-	r.w.cut = false
-	if err := r.w.run(r.w.now + lease.RecoveryTime); err != nil {
+	r.result.Metrics = append(r.result.Metrics, Metric{"used_while_cut", r.world.usedFraction()})
+	r.world.isPartitioned = false
+	if err := r.world.run(r.world.now + lease.RecoveryTime); err != nil {
 		return nil, err
 	}
-	r.result.Figures = append(r.result.Figures, Figure{"used_after_cut", r.w.inUse()})
-	for rank := range r.w.routers {
+	r.result.Metrics = append(r.result.Metrics, Metric{"used_after_cut", r.world.usedFraction()})
+	for rank := range r.world.routers {
 		if rank%10 < 7 {
-			r.w.start(rank)
+			r.world.start(rank)
 		}
 	}
-	if err := r.book(Restarted, leaseLoss); err != nil {
+	if err := r.runPhase(MassRestart, leaseLossSeconds); err != nil {
 		return nil, err
 	}
-	if err := r.w.run(r.w.now + lease.RecoveryTime - leaseLoss*second); err != nil {
+	if err := r.world.run(r.world.now + lease.RecoveryTime - leaseLossSeconds*second); err != nil {
 		return nil, err
 	}
-	r.result.Figures = append(r.result.Figures, Figure{"used_after_restarts", r.w.inUse()})
+	r.result.Metrics = append(r.result.Metrics, Metric{"used_after_restarts", r.world.usedFraction()})
 	return r.result, nil
 }
--- a/lab/scale/page.go
+++ b/lab/scale/page.go
@@ -14,14 +14,14 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Set holds the results of all tests, each by size.
-type Set map[string][]*Result
+// ResultSet holds the results of all tests, each by size.
+type ResultSet map[string][]*Result
 
-// ReadSet reads the results of all tests from the folders of a directory.
-func ReadSet(dir string) (Set, error) {
-	set := Set{}
+// ReadResultSet reads the results of all tests from the folders of a directory.
+func ReadResultSet(dir string) (ResultSet, error) {
+	set := ResultSet{}
 	for _, test := range Tests() {
-		results, err := Read(filepath.Join(dir, test.Name))
+		results, err := ReadResults(filepath.Join(dir, test.Name))
 		if err != nil {
 			return nil, err
 		}
@@ -30,8 +30,8 @@
 	return set, nil
 }
 
-// costs are the figures of a phase that can be named.
-var costs = map[string]func(Phase) float64{
+// costByName are the figures of a phase that can be named.
+var costByName = map[string]func(Phase) float64{
 	"bytes":         func(p Phase) float64 { return p.WorstBytesPerSecond },
 	"mean_bytes":    func(p Phase) float64 { return p.MeanBytesPerSecond },
 	"peak_bytes":    func(p Phase) float64 { return p.PeakBytes },
@@ -49,9 +49,9 @@
 		kilobytes, err := r.cost(trouble, "memory")
 		return kilobytes * 1024 / float64(r.Routers), err
 	}
-	cost, known := costs[name]
+	cost, known := costByName[name]
 	if !known {
-		for _, f := range r.Figures {
+		for _, f := range r.Metrics {
 			if f.Name == name && trouble == "" {
 				return f.Value, nil
 			}
@@ -60,7 +60,7 @@
 	}
 	most := math.Inf(-1)
 	for _, p := range r.Phases {
-		if trouble == "" || string(p.Trouble) == trouble {
+		if trouble == "" || string(p.Scenario) == trouble {
 			most = max(most, cost(p))
 		}
 	}
@@ -70,41 +70,41 @@
 	return most, nil
 }
 
-// Fit is a power law through a cost at several sizes: cost = Factor * routers^Exponent.
-type Fit struct {
+// PowerLaw is a power law through a cost at several sizes: cost = Factor * routers^Exponent.
+type PowerLaw struct {
 	Exponent, Factor float64
-	Error            float64 // greatest part by which a measured cost is off it
+	MaxRelativeError float64 // greatest part by which a measured cost is off it
 }
 
 // fit lays a line through the logarithms by least squares.
-func (s Set) fit(test, trouble, name string) (Fit, error) {
+func (s ResultSet) fit(test, trouble, name string) (PowerLaw, error) {
 	var sizes, values []float64
 	for _, r := range s[test] {
 		value, err := r.cost(trouble, name)
 		if err != nil {
-			return Fit{}, err
+			return PowerLaw{}, err
 		}
 		if value <= 0 {
-			return Fit{}, fmt.Errorf("%s, %s: %v at %d routers has no logarithm", test, name, value, r.Routers)
+			return PowerLaw{}, fmt.Errorf("%s, %s: %v at %d routers has no logarithm", test, name, value, r.Routers)
 		}
 		sizes, values = append(sizes, math.Log(float64(r.Routers))), append(values, math.Log(value))
 	}
 	if len(sizes) < 2 {
-		return Fit{}, fmt.Errorf("%s: %d sizes", test, len(sizes))
+		return PowerLaw{}, fmt.Errorf("%s: %d sizes", test, len(sizes))
 	}
 	offset, exponent := stat.LinearRegression(sizes, values, nil, false)
-	f := Fit{Exponent: exponent, Factor: math.Exp(offset)}
+	f := PowerLaw{Exponent: exponent, Factor: math.Exp(offset)}
 	for i := range sizes {
-		f.Error = max(f.Error, math.Abs(math.Exp(values[i]-offset-exponent*sizes[i])-1))
+		f.MaxRelativeError = max(f.MaxRelativeError, math.Abs(math.Exp(values[i]-offset-exponent*sizes[i])-1))
 	}
 	return f, nil
 }
 
-// Figure is the one that a path names: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME, with "slope" or "error" for SIZE the exponent of its fit over all
+// Value is the one that a path names: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME, with "slope" or "error" for SIZE the exponent of its fit over all
 // sizes, or the greatest error of that in percent. Several with " + " between them are added up.
-func (s Set) Figure(path string) (sum float64, err error) {
+func (s ResultSet) Value(path string) (sum float64, err error) {
 	for term := range strings.SplitSeq(path, " + ") {
-		value, err := s.one(term)
+		value, err := s.lookup(term)
 		if err != nil {
 			return 0, err
 		}
@@ -113,7 +113,7 @@
 	return sum, nil
 }
 
-func (s Set) one(path string) (float64, error) {
+func (s ResultSet) lookup(path string) (float64, error) {
 	parts := strings.Split(path, "/")
 	if len(parts) == 3 {
 		parts = []string{parts[0], parts[1], "", parts[2]}
@@ -125,7 +125,7 @@
 	if size == "slope" || size == "error" {
 		f, err := s.fit(test, trouble, name)
 		if size == "error" {
-			return f.Error * 100, err
+			return f.MaxRelativeError * 100, err
 		}
 		return f.Exponent, err
 	}
@@ -137,8 +137,8 @@
 	return 0, fmt.Errorf("figure %q: not measured", path)
 }
 
-// write is how a figure stands on the page: three digits, or all before the point, in groups of three.
-func write(value float64) string {
+// formatFigure is how a figure stands on the page: three digits, or all before the point, in groups of three.
+func formatFigure(value float64) string {
 	if math.Abs(value) >= 100 {
 		return message.NewPrinter(language.English).Sprintf("%.0f", value)
 	}
@@ -153,9 +153,9 @@
 	tableBlock   = regexp.MustCompile(`(?s)(<!-- table ([a-z]+) -->\n).*?(<!-- end -->)`)
 )
 
-// UpdatePage returns the page with each figure as the results have it: a number followed by <!--PATH--> as Figure names it, and what stands
+// UpdatePage returns the page with each figure as the results have it: a number followed by <!--PATH--> as Metric names it, and what stands
 // between <!-- table TEST --> and <!-- end -->.
-func (s Set) UpdatePage(page []byte) ([]byte, error) {
+func (s ResultSet) UpdatePage(page []byte) ([]byte, error) {
 	var fault error
 	page = tableBlock.ReplaceAllFunc(page, func(block []byte) []byte {
 		parts := tableBlock.FindSubmatch(block)
@@ -168,18 +168,18 @@
 	})
 	page = inlineFigure.ReplaceAllFunc(page, func(text []byte) []byte {
 		path := string(inlineFigure.FindSubmatch(text)[1])
-		value, err := s.Figure(path)
+		value, err := s.Value(path)
 		if err != nil {
 			fault = err
 			return text
 		}
-		return []byte(write(value) + "<!--" + path + "-->")
+		return []byte(formatFigure(value) + "<!--" + path + "-->")
 	})
 	return page, fault
 }
 
 // table shows a test's worst process by phase and size, with the fit over all sizes.
-func (s Set) table(test string) ([]byte, error) {
+func (s ResultSet) table(test string) ([]byte, error) {
 	results := s[test]
 	if len(results) == 0 {
 		return nil, fmt.Errorf("table %q: no such results", test)
@@ -191,17 +191,17 @@
 	}
 	b.WriteString(" exponent | off the fit by |\n|---|" + strings.Repeat("---|", len(results)+2) + "\n| processes simulated |")
 	for _, r := range results {
-		fmt.Fprintf(&b, " %d |", r.Simulated)
+		fmt.Fprintf(&b, " %d |", r.SimulatedProcesses)
 	}
 	b.WriteString(" | |\n")
 	for _, row := range []struct{ name, title string }{{"bytes", "bytes/s"}, {"datagrams", "messages/s"}, {"cpu", "% of a core"}, {"memory", "state, KB"}} {
 		for _, phase := range results[0].Phases {
-			if err := s.row(&b, test, string(phase.Trouble), row.name, row.title); err != nil {
+			if err := s.row(&b, test, string(phase.Scenario), row.name, row.title); err != nil {
 				return nil, err
 			}
 		}
 	}
-	for _, f := range results[0].Figures {
+	for _, f := range results[0].Metrics {
 		if err := s.row(&b, test, "", f.Name, strings.ReplaceAll(f.Name, "_", " ")); err != nil {
 			return nil, err
 		}
@@ -210,7 +210,7 @@
 }
 
 // row is one figure at all sizes; one that is 0 throughout is left out, and one that is 0 somewhere has no fit.
-func (s Set) row(b *bytes.Buffer, test, trouble, name, title string) error {
+func (s ResultSet) row(b *bytes.Buffer, test, trouble, name, title string) error {
 	var values []string
 	zeros := 0
 	for _, r := range s[test] {
@@ -218,7 +218,7 @@
 		if err != nil {
 			return nil // a figure that not all sizes have
 		}
-		text := write(value)
+		text := formatFigure(value)
 		if text == "0" {
 			zeros++
 		}
@@ -236,7 +236,7 @@
 		if err != nil {
 			return err
 		}
-		fit = fmt.Sprintf(" %.2f | %.0f%% |", f.Exponent, f.Error*100)
+		fit = fmt.Sprintf(" %.2f | %.0f%% |", f.Exponent, f.MaxRelativeError*100)
 	}
 	fmt.Fprintf(b, "| %s | %s |%s\n", title, strings.Join(values, " | "), fit)
 	return nil
--- a/lab/scale/page_test.go
+++ b/lab/scale/page_test.go
@@ -9,16 +9,16 @@
 
 // The page says what the files of results say: every figure and table on it, of every test at every size.
 func TestCapacityPage(t *testing.T) {
-	set, err := ReadSet("../../docs/results/scale")
+	set, err := ReadResultSet("../../docs/results/scale")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for test, results := range set {
-		if len(results) != len(Sizes) {
+		if len(results) != len(DefaultSizes) {
 			t.Fatalf("%s: results of %d sizes", test, len(results))
 		}
 		for i, r := range results {
-			if r.Test != test || r.Routers != Sizes[i] || r.Simulated < 1 || len(r.Phases) < 3 {
+			if r.Test != test || r.Routers != DefaultSizes[i] || r.SimulatedProcesses < 1 || len(r.Phases) < 3 {
 				t.Errorf("%s: %+v", test, r)
 			}
 		}
@@ -47,10 +47,10 @@
 
 // A figure that differs is put right, one that the results lack is an error that names it, and a fit is that of the law behind the figures.
 func TestUpdatePage(t *testing.T) {
-	set := Set{}
+	set := ResultSet{}
 	for _, routers := range []int{100, 1_000, 10_000} {
-		set["limits"] = append(set["limits"], &Result{Test: "limits", Routers: routers, Simulated: 1, Figures: []Figure{{"used", 0.5}},
-			Phases: []Phase{{Trouble: OrdinaryDay, WorstBytesPerSecond: 3 * float64(routers*routers), MemoryKB: 7}}})
+		set["limits"] = append(set["limits"], &Result{Test: "limits", Routers: routers, SimulatedProcesses: 1, Metrics: []Metric{{"used", 0.5}},
+			Phases: []Phase{{Scenario: SteadyState, WorstBytesPerSecond: 3 * float64(routers*routers), MemoryKB: 7}}})
 	}
 	page := "At 100 it has 1<!--limits/100/bytes-->, as a power 9<!--limits/slope/bytes-->, used 1<!--limits/1000/used-->, both 2<!--limits/100/memory + limits/1000/memory-->.\n<!-- table limits -->\nold\n<!-- end -->\n"
 	got, err := set.UpdatePage([]byte(page))
@@ -71,7 +71,7 @@
 		}
 	}
 	set["limits"][1].Phases[0].WorstBytesPerSecond *= 2
-	if f, err := set.fit("limits", "", "bytes"); err != nil || math.Abs(f.Error-0.587) > 0.01 {
+	if f, err := set.fit("limits", "", "bytes"); err != nil || math.Abs(f.MaxRelativeError-0.587) > 0.01 {
 		t.Errorf("a size that is off by two: %+v, %v", f, err)
 	}
 }
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -12,11 +12,11 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// ResultsFile is the name of the file of results that Write puts into its folder.
+// ResultsFile is the name of the file of results that WriteResults puts into its folder.
 const ResultsFile = "results.json"
 
-// Write puts the results of one test at several sizes into a folder, with charts of cost over size. The folder is made if need be.
-func Write(dir string, results []*Result) error {
+// WriteResults puts the results of one test at several sizes into a folder, with charts of cost over size. The folder is made if need be.
+func WriteResults(dir string, results []*Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("--out: %w", err)
 	}
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Read returns the results that Write put into a folder.
-func Read(dir string) ([]*Result, error) {
+// ReadResults returns the results that WriteResults put into a folder.
+func ReadResults(dir string) ([]*Result, error) {
 	text, err := os.ReadFile(filepath.Join(dir, ResultsFile))
 	if err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 			}
 		}
 		if len(points) > 0 {
-			lines = append(lines, string(phase.Trouble), points)
+			lines = append(lines, string(phase.Scenario), points)
 		}
 	}
 	if len(lines) == 0 {
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -20,19 +20,19 @@
 	fleetRegions = 29
 	fleetZones   = 92
 
-	purgesPerSecond   = 240
-	changesPerSecond  = 18_000.0 / (24 * 60 * 60)
-	requestsPerSecond = 7_900_000.0 / FleetRouters // of one router at the peak
-	controlMachines   = 49
+	purgesPerSecond          = 240
+	endpointChangesPerSecond = 18_000.0 / (24 * 60 * 60)
+	requestsPerSecond        = 7_900_000.0 / FleetRouters // of one router at the peak
+	controlPlaneMachines     = 49
 )
 
-// Sizes are the numbers of routers that a test is run at when none is named.
-var Sizes = []int{300, 1_000, 3_000, FleetRouters}
+// DefaultSizes are the numbers of routers that a test is run at when none is named.
+var DefaultSizes = []int{300, 1_000, 3_000, FleetRouters}
 
 // Bounds of Options.Routers.
 const (
-	leastRouters = 100
-	mostRouters  = 16_000
+	minRouters = 100
+	maxRouters = 16_000
 )
 
 // Budget is what one request router may spend for control.
@@ -45,42 +45,42 @@
 // RouterBudget is the operators' bound: 12 KB a second, 4.4% of a core, 128 MB.
 var RouterBudget = Budget{BytesPerSecond: 12_000, CPUPercent: 4.4, MemoryKB: 128 * 1024}
 
-// Trouble names what a phase of a test plays.
-type Trouble string
+// Scenario names what a phase of a test plays.
+type Scenario string
 
 // The troubles, in the order in which they are played.
 const (
-	ColdStart      Trouble = "cold start"
-	OrdinaryDay    Trouble = "ordinary day"
-	ServerFailing  Trouble = "server failing"
-	ThreeInTenLost Trouble = "server failing and three datagrams in ten lost"
-	ProcessLost    Trouble = "process lost"
-	RackLost       Trouble = "rack lost"
-	ZoneLost       Trouble = "zone lost"
-	RegionLost     Trouble = "region lost"
-	RegionsCut     Trouble = "regions cut off"
-	Restarted      Trouble = "seven in ten restarted"
+	ColdStart          Scenario = "cold start"
+	SteadyState        Scenario = "ordinary day"
+	ServerFailing      Scenario = "server failing"
+	PacketLoss         Scenario = "server failing and three datagrams in ten lost"
+	ProcessLost        Scenario = "process lost"
+	RackLost           Scenario = "rack lost"
+	ZoneLost           Scenario = "zone lost"
+	RegionLost         Scenario = "region lost"
+	RegionsPartitioned Scenario = "regions cut off"
+	MassRestart        Scenario = "seven in ten restarted"
 )
 
 // Options of a run.
 type Options struct {
-	Routers int
-	Seed    uint64
-	Brief   bool // phases last a sixth or less, for tests
-	// Simulated is how many processes are simulated in full at most; 0: as many as the test bears.
-	Simulated int
-	Progress  func(done, all int) // of phases; may be nil
+	Routers     int
+	Seed        uint64
+	ShortPhases bool // phases last a sixth or less, for tests
+	// MaxSimulated is how many processes are simulated in full at most; 0: as many as the test bears.
+	MaxSimulated int
+	Progress     func(done, all int) // of phases; may be nil
 }
 
-// Check reports the option that can't be used.
-func (o Options) Check() error {
+// Validate reports the option that can't be used.
+func (o Options) Validate() error {
 	switch {
-	case o.Routers < leastRouters || o.Routers > mostRouters:
-		return fmt.Errorf("--routers %d: %d to %d", o.Routers, leastRouters, mostRouters)
+	case o.Routers < minRouters || o.Routers > maxRouters:
+		return fmt.Errorf("--routers %d: %d to %d", o.Routers, minRouters, maxRouters)
 	case o.Seed > 1<<63:
 		return fmt.Errorf("--seed %d: 0 to 2^63", o.Seed)
-	case o.Simulated < 0:
-		return fmt.Errorf("Simulated: %d", o.Simulated)
+	case o.MaxSimulated < 0:
+		return fmt.Errorf("Simulated: %d", o.MaxSimulated)
 	}
 	return nil
 }
@@ -91,37 +91,37 @@
 // Phase is what one phase of a test measured. Bytes are payloads of datagrams and frames, in and out; those of a process are means over
 // the phase, and the worst process is the one with the most.
 type Phase struct {
-	Trouble                 Trouble `json:"Trouble"`
-	Seconds                 float64 `json:"Seconds"`
-	MeanBytesPerSecond      float64 `json:"MeanBytesPerSecond"`
-	WorstBytesPerSecond     float64 `json:"WorstBytesPerSecond"`
-	PeakBytes               float64 `json:"PeakBytes"` // the most of any process in one second
-	WorstDatagramsPerSecond float64 `json:"WorstDatagramsPerSecond"`
-	CPUPercent              float64 `json:"CPUPercent"` // of one core, for the process with the most bytes; the one figure that a seed does not fix
-	MemoryKB                float64 `json:"MemoryKB"`   // state of that process, in the part under test
+	Scenario                Scenario `json:"Trouble"`
+	Seconds                 float64  `json:"Seconds"`
+	MeanBytesPerSecond      float64  `json:"MeanBytesPerSecond"`
+	WorstBytesPerSecond     float64  `json:"WorstBytesPerSecond"`
+	PeakBytes               float64  `json:"PeakBytes"` // the most of any process in one second
+	WorstDatagramsPerSecond float64  `json:"WorstDatagramsPerSecond"`
+	CPUPercent              float64  `json:"CPUPercent"` // of one core, for the process with the most bytes; the one figure that a seed does not fix
+	MemoryKB                float64  `json:"MemoryKB"`   // state of that process, in the part under test
 }
 
-// Figure is a further result of a test.
-type Figure struct {
+// Metric is a further result of a test.
+type Metric struct {
 	Name  string  `json:"Name"`
 	Value float64 `json:"Value"`
 }
 
 // Result is what one run of a test measured at one size.
 type Result struct {
-	Test      string   `json:"Test"`
-	Routers   int      `json:"Routers"`
-	Seed      uint64   `json:"Seed"`
-	Simulated int      `json:"Simulated"` // processes simulated in full; where fewer than routers, each plays several
-	Phases    []Phase  `json:"Phases"`
-	Figures   []Figure `json:"Figures"`
+	Test               string   `json:"Test"`
+	Routers            int      `json:"Routers"`
+	Seed               uint64   `json:"Seed"`
+	SimulatedProcesses int      `json:"Simulated"` // processes simulated in full; where fewer than routers, each plays several
+	Phases             []Phase  `json:"Phases"`
+	Metrics            []Metric `json:"Figures"`
 }
 
 // Worst is the greatest of each figure over all phases.
 func (r *Result) Worst() (worst Phase) {
 	for _, p := range r.Phases {
 		if p.WorstBytesPerSecond >= worst.WorstBytesPerSecond {
-			worst.Trouble, worst.WorstBytesPerSecond = p.Trouble, p.WorstBytesPerSecond
+			worst.Scenario, worst.WorstBytesPerSecond = p.Scenario, p.WorstBytesPerSecond
 		}
 		worst.PeakBytes = max(worst.PeakBytes, p.PeakBytes)
 		worst.WorstDatagramsPerSecond = max(worst.WorstDatagramsPerSecond, p.WorstDatagramsPerSecond)
@@ -134,15 +134,15 @@
 // MeanBytesPerSecond is the mean over processes on the ordinary day.
 func (r *Result) MeanBytesPerSecond() float64 {
 	for _, p := range r.Phases {
-		if p.Trouble == OrdinaryDay {
+		if p.Scenario == SteadyState {
 			return p.MeanBytesPerSecond
 		}
 	}
 	return 0
 }
 
-// Kept reports whether the worst process stayed within the budget in every phase.
-func (r *Result) Kept() bool {
+// WithinBudget reports whether the worst process stayed within the budget in every phase.
+func (r *Result) WithinBudget() bool {
 	w := r.Worst()
 	return w.WorstBytesPerSecond <= RouterBudget.BytesPerSecond && w.CPUPercent <= RouterBudget.CPUPercent && w.MemoryKB <= RouterBudget.MemoryKB
 }
@@ -150,14 +150,14 @@
 // Line is the run in one line.
 func (r *Result) Line() string {
 	verdict := "short"
-	if r.Kept() {
+	if r.WithinBudget() {
 		verdict = "kept"
 	}
 	w := r.Worst()
 	line := fmt.Sprintf("RESULT scale %s routers=%d seed=%d verdict=%s mean_bytes_per_s=%.0f worst_bytes_per_s=%.0f worst_datagrams_per_s=%.1f cpu_percent=%.3f memory_kb=%.0f simulated=%d peak_bytes=%.0f worst_phase=%s",
-		r.Test, r.Routers, r.Seed, verdict, r.MeanBytesPerSecond(), w.WorstBytesPerSecond, w.WorstDatagramsPerSecond, w.CPUPercent, w.MemoryKB, r.Simulated,
-		w.PeakBytes, strings.ReplaceAll(string(w.Trouble), " ", "_"))
-	for _, f := range r.Figures {
+		r.Test, r.Routers, r.Seed, verdict, r.MeanBytesPerSecond(), w.WorstBytesPerSecond, w.WorstDatagramsPerSecond, w.CPUPercent, w.MemoryKB, r.SimulatedProcesses,
+		w.PeakBytes, strings.ReplaceAll(string(w.Scenario), " ", "_"))
+	for _, f := range r.Metrics {
 		line += fmt.Sprintf(" %s=%.4g", f.Name, f.Value)
 	}
 	return line
@@ -182,8 +182,8 @@
 	}
 }
 
-// Find returns the test of that name.
-func Find(name string) (Test, error) {
+// FindTest returns the test of that name.
+func FindTest(name string) (Test, error) {
 	all := Tests()
 	if at := slices.IndexFunc(all, func(t Test) bool { return t.Name == name }); at >= 0 {
 		return all[at], nil
@@ -195,12 +195,12 @@
 	return Test{}, fmt.Errorf("NAME %q: no such test; there are %s", name, strings.Join(names, ", "))
 }
 
-var errOptions = errors.New("bad options")
+var errInvalidOptions = errors.New("bad options")
 
 // Run runs the test at one size.
 func (t Test) Run(o Options) (*Result, error) {
-	if err := o.Check(); err != nil {
-		return nil, fmt.Errorf("%w: %w", errOptions, err)
+	if err := o.Validate(); err != nil {
+		return nil, fmt.Errorf("%w: %w", errInvalidOptions, err)
 	}
 	if o.Progress == nil {
 		o.Progress = func(int, int) {}
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -27,11 +27,11 @@
 // run plays a test in its short form.
 func run(t *testing.T, name string, o Options) *Result {
 	t.Helper()
-	test, err := Find(name)
+	test, err := FindTest(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Brief = true
+	o.ShortPhases = true
 	r, err := test.Run(o)
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 func TestShortForms(t *testing.T) {
 	for _, test := range Tests() {
 		for _, routers := range []int{300, 1_000} {
-			r := run(t, test.Name, Options{Routers: routers, Seed: 5, Simulated: fewProcesses})
+			r := run(t, test.Name, Options{Routers: routers, Seed: 5, MaxSimulated: fewProcesses})
 			w := r.Worst()
 			if len(r.Phases) < 3 || w.MemoryKB <= 0 && test.Name != "discovery" || w.WorstBytesPerSecond <= 0 && test.Name != "decisions" || w.WorstBytesPerSecond < r.MeanBytesPerSecond() {
 				t.Errorf("%s at %d: %+v", test.Name, routers, r)
@@ -71,12 +71,12 @@
 
 // Where all routers want of one limit, its holder hears of them all: more than ten times what another does, and in proportion to the size.
 func TestHolderOfALimitBearsAll(t *testing.T) {
-	small, large := run(t, "limits", Options{Routers: 300, Seed: 3, Simulated: fewest}), run(t, "limits", Options{Routers: 1_000, Seed: 3, Simulated: fewest})
+	small, large := run(t, "limits", Options{Routers: 300, Seed: 3, MaxSimulated: fewest}), run(t, "limits", Options{Routers: 1_000, Seed: 3, MaxSimulated: fewest})
 	a, b := small.Worst().WorstBytesPerSecond, large.Worst().WorstBytesPerSecond
 	if a < 10*small.MeanBytesPerSecond() || b/a < 2.5 || b/a > 4.5 {
 		t.Errorf("the holder has %.0f bytes a second of 300 routers, %.0f of 1,000", a, b)
 	}
-	if small.Kept() || large.Kept() {
+	if small.WithinBudget() || large.WithinBudget() {
 		t.Error("within the budget of a router")
 	}
 }
@@ -86,11 +86,11 @@
 func TestReportsDoNotGrowWithTheFleet(t *testing.T) {
 	small, middle, large := run(t, "verdicts", Options{Routers: 300, Seed: 5}), run(t, "verdicts", Options{Routers: 1_000, Seed: 5}),
 		run(t, "verdicts", Options{Routers: 3_000, Seed: 5})
-	if small.Simulated != 300 || large.Simulated != 3_000 {
-		t.Fatalf("%d and %d routers simulated", small.Simulated, large.Simulated)
+	if small.SimulatedProcesses != 300 || large.SimulatedProcesses != 3_000 {
+		t.Fatalf("%d and %d routers simulated", small.SimulatedProcesses, large.SimulatedProcesses)
 	}
 	// A region of 300 routers is one site or less, which no report of another site can hold back or complete.
-	for trouble, less := range map[Trouble]*Result{ServerFailing: small, ThreeInTenLost: small, Restarted: small, RegionsCut: middle} {
+	for trouble, less := range map[Scenario]*Result{ServerFailing: small, PacketLoss: small, MassRestart: small, RegionsPartitioned: middle} {
 		a, errLess := less.cost(string(trouble), "datagrams")
 		b, errMore := large.cost(string(trouble), "datagrams")
 		if errLess != nil || errMore != nil || a <= 0 || b > 1.5*a {
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	if !large.Kept() {
+	if !large.WithinBudget() {
 		t.Error("over the budget of a router: " + large.Line())
 	}
 }
@@ -114,7 +114,7 @@
 func TestLeasesOfATreeFitTheBudget(t *testing.T) {
 	for _, routers := range []int{200, 1_200} {
 		r := run(t, "leases", Options{Routers: routers, Seed: 6})
-		if !r.Kept() || r.Simulated != routers {
+		if !r.WithinBudget() || r.SimulatedProcesses != routers {
 			t.Errorf("over the budget of a router, or not all simulated: %s", r.Line())
 		}
 		for name, least := range map[string]float64{"used": 0.95, "used_without_holder": 0.75, "used_without_region": 0.75, "used_after_cut": 0.95, "used_after_restarts": 0.95} {
@@ -128,7 +128,7 @@
 // Datagrams of leases have the sizes that the leases test counts, by the real codec.
 func TestLeaseSizes(t *testing.T) {
 	topology := lease.Topology{Routers: 4, GroupSizes: []int{2}, Electors: []int{0, 1, 3}}
-	const firstTreeOperation = opReport + 1
+	const firstTreeOperation = opHealthReport + 1
 	var nodes []*fleet.Node
 	seen := map[int]bool{}
 	now := second
@@ -168,7 +168,7 @@
 // Everything but processor time is the same for a seed, and another seed gives other figures.
 func TestSameSeedSameResult(t *testing.T) {
 	text := func(name string, seed uint64) string {
-		r := run(t, name, Options{Routers: 160, Seed: seed, Simulated: fewest})
+		r := run(t, name, Options{Routers: 160, Seed: seed, MaxSimulated: fewest})
 		for i := range r.Phases {
 			r.Phases[i].CPUPercent = 0
 		}
@@ -192,10 +192,10 @@
 // some way ahead, as what is new gets round fewer processes sooner.
 func TestSampleAgreesWithAll(t *testing.T) {
 	for name, within := range map[string]float64{"membership": 0.2, "limits": 0.2} {
-		all := run(t, name, Options{Routers: 160, Seed: 4, Simulated: 160})
-		sample := run(t, name, Options{Routers: 160, Seed: 4, Simulated: 40})
-		if all.Simulated != 160 || sample.Simulated != 40 {
-			t.Fatalf("%s: %d and %d processes simulated", name, all.Simulated, sample.Simulated)
+		all := run(t, name, Options{Routers: 160, Seed: 4, MaxSimulated: 160})
+		sample := run(t, name, Options{Routers: 160, Seed: 4, MaxSimulated: 40})
+		if all.SimulatedProcesses != 160 || sample.SimulatedProcesses != 40 {
+			t.Fatalf("%s: %d and %d processes simulated", name, all.SimulatedProcesses, sample.SimulatedProcesses)
 		}
 		if a, b := meanBytes(all), meanBytes(sample); math.Abs(b/a-1) > within {
 			t.Errorf("%s: %.0f bytes a second over all phases, of a sample %.0f", name, a, b)
@@ -218,16 +218,16 @@
 }
 
 func TestBadInput(t *testing.T) {
-	if _, err := Find("conditions"); err == nil || !strings.Contains(err.Error(), `NAME "conditions"`) || !strings.Contains(err.Error(), "membership") {
+	if _, err := FindTest("conditions"); err == nil || !strings.Contains(err.Error(), `NAME "conditions"`) || !strings.Contains(err.Error(), "membership") {
 		t.Errorf("no such test: %v", err)
 	}
-	test, err := Find("discovery")
+	test, err := FindTest("discovery")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for want, o := range map[string]Options{"--routers -1": {Routers: -1}, "--routers 99": {Routers: 99}, "--routers 16001": {Routers: 16_001},
-		"--seed": {Routers: 300, Seed: math.MaxUint64}, "Simulated": {Routers: 300, Simulated: -1}} {
-		if _, err := test.Run(o); !errors.Is(err, errOptions) || !strings.Contains(err.Error(), want) {
+		"--seed": {Routers: 300, Seed: math.MaxUint64}, "Simulated": {Routers: 300, MaxSimulated: -1}} {
+		if _, err := test.Run(o); !errors.Is(err, errInvalidOptions) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v", o, err)
 		}
 	}
@@ -237,10 +237,10 @@
 func TestWrite(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
 	results := []*Result{run(t, "purges", Options{Routers: 300, Seed: 1}), run(t, "purges", Options{Routers: 1_000, Seed: 1})}
-	if err := Write(dir, results); err != nil {
+	if err := WriteResults(dir, results); err != nil {
 		t.Fatal(err)
 	}
-	back, err := Read(dir)
+	back, err := ReadResults(dir)
 	if err != nil || len(back) != 2 || back[1].Line() != results[1].Line() {
 		t.Fatalf("%+v, %v", back, err)
 	}
@@ -249,7 +249,7 @@
 			t.Errorf("%s: %v", file, err)
 		}
 	}
-	if err := Write(filepath.Join(dir, ResultsFile), results); err == nil || !strings.Contains(err.Error(), "--out") {
+	if err := WriteResults(filepath.Join(dir, ResultsFile), results); err == nil || !strings.Contains(err.Error(), "--out") {
 		t.Errorf("a folder where a file is: %v", err)
 	}
 }
@@ -279,7 +279,7 @@
 			b := append([]byte(nil), datagram...)
 			op := operationOf(b)
 			size, known := bodySizes[op]
-			if !known || (len(b)-bodyAt-size)%updateSize != 0 {
+			if !known || (len(b)-bodyOffset-size)%updateSize != 0 {
 				t.Fatalf("operation %d with %d bytes", op, len(b))
 			}
 			seen[op] = true
@@ -289,10 +289,10 @@
 			if op == opPing && targetOf(b) != to {
 				t.Errorf("a ping to %d asks for %d", to, targetOf(b))
 			}
-			eachUpdate(b, func(u update) {
+			eachUpdate(b, func(u membershipUpdate) {
 				updates++
-				if u.rank() >= 4 || u.suspects() || u.refuted() != 0 {
-					t.Errorf("an update of rank %d, suspected %v, refuted %d", u.rank(), u.suspects(), u.refuted())
+				if u.rank() >= 4 || u.isSuspicion() || u.refuted() != 0 {
+					t.Errorf("an update of rank %d, suspected %v, refuted %d", u.rank(), u.isSuspicion(), u.refuted())
 				}
 			})
 			same := append([]byte(nil), b...)
@@ -321,7 +321,7 @@
 			}
 		}
 	}
-	for _, op := range []operation{opPing, opAck, opAsk, opLend, opReport} {
+	for _, op := range []operation{opPing, opAck, opLeaseRequest, opLeaseGrant, opHealthReport} {
 		if !seen[op] {
 			t.Errorf("operation %d was not seen", op)
 		}
@@ -338,9 +338,9 @@
 		t.Fatal(err)
 	}
 	defer service.Close()
-	server := discovery.Server{ID: 1, Addr: netip.MustParseAddrPort("127.0.0.1:5050"), Weight: 1}
+	server := discovery.Endpoint{ID: 1, Addr: netip.MustParseAddrPort("127.0.0.1:5050"), Weight: 1}
 	service.Publish(true, server, server, server)
-	service.Purge(7, 1000)
+	service.PublishPurge(7, 1000)
 	c, err := net.Dial("tcp", service.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -349,15 +349,15 @@
 	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Write(make([]byte, requestSize)); err != nil {
+	if _, err := c.Write(make([]byte, watchRequestSize)); err != nil {
 		t.Fatal(err)
 	}
-	frames := make([]byte, frameSize+3*recordSize+frameSize+purgeSize+frameSize)
+	frames := make([]byte, frameHeaderSize+3*endpointSize+frameHeaderSize+purgeSize+frameHeaderSize)
 	if _, err := io.ReadFull(c, frames); err != nil {
 		t.Fatal(err)
 	}
-	for at, length := range map[int]byte{0: frameSize - 4 + 3*recordSize, frameSize + 3*recordSize: frameSize - 4 + purgeSize,
-		2*frameSize + 3*recordSize + purgeSize: frameSize - 4} {
+	for at, length := range map[int]byte{0: frameHeaderSize - 4 + 3*endpointSize, frameHeaderSize + 3*endpointSize: frameHeaderSize - 4 + purgeSize,
+		2*frameHeaderSize + 3*endpointSize + purgeSize: frameHeaderSize - 4} {
 		if frames[at+3] != length {
 			t.Errorf("a frame at %d of length %d, want %d", at, frames[at+3], length)
 		}
--- a/lab/scale/wire.go
+++ b/lab/scale/wire.go
@@ -4,15 +4,15 @@
 
 // Places in a datagram of core/fleet: see the head of its datagram.go. TestDatagramPlaces holds them against the real codec.
 const (
-	rankAt       = 2
-	depotAt      = 4
-	opAt         = 14
-	bodyAt       = 15
-	targetAt     = 15
-	updateSize   = 9 // a membership update: rank, incarnation, refuted, state
-	refutedAt    = 6
-	stateAt      = 8
-	suspectState = 2
+	rankOffset      = 2
+	siteOffset      = 4
+	operationOffset = 14
+	bodyOffset      = 15
+	targetOffset    = 15
+	updateSize      = 9 // a membership update: rank, incarnation, refuted, state
+	refutedOffset   = 6
+	stateOffset     = 8
+	suspectState    = 2
 )
 
 // operation is the kind of a datagram of core/fleet.
@@ -22,40 +22,42 @@
 const (
 	opPing operation = iota + 1
 	opAck
-	opRelay
-	opAsk
-	opLend
-	opReport
+	opIndirectPing
+	opLeaseRequest
+	opLeaseGrant
+	opHealthReport
 )
 
-var bodySizes = map[operation]int{opPing: 9, opAck: 9, opRelay: 9, opAsk: 13, opLend: 17, opReport: 5}
+var bodySizes = map[operation]int{opPing: 9, opAck: 9, opIndirectPing: 9, opLeaseRequest: 13, opLeaseGrant: 17, opHealthReport: 5}
 
-func operationOf(datagram []byte) operation { return operation(datagram[opAt]) }
+func operationOf(datagram []byte) operation { return operation(datagram[operationOffset]) }
 
 func setRank(datagram []byte, rank, depot int) {
-	binary.BigEndian.PutUint16(datagram[rankAt:], uint16(rank))
-	binary.BigEndian.PutUint16(datagram[depotAt:], uint16(depot))
+	binary.BigEndian.PutUint16(datagram[rankOffset:], uint16(rank))
+	binary.BigEndian.PutUint16(datagram[siteOffset:], uint16(depot))
 }
 
-func targetOf(datagram []byte) int { return int(binary.BigEndian.Uint16(datagram[targetAt:])) }
+func targetOf(datagram []byte) int { return int(binary.BigEndian.Uint16(datagram[targetOffset:])) }
 
 func setTarget(datagram []byte, rank int) {
-	binary.BigEndian.PutUint16(datagram[targetAt:], uint16(rank))
+	binary.BigEndian.PutUint16(datagram[targetOffset:], uint16(rank))
 }
 
-// update is a membership update inside a datagram.
-type update []byte
+// membershipUpdate is a membership update inside a datagram.
+type membershipUpdate []byte
 
-func (u update) rank() int        { return int(binary.BigEndian.Uint16(u)) }
-func (u update) setRank(rank int) { binary.BigEndian.PutUint16(u, uint16(rank)) }
-func (u update) refuted() uint16  { return binary.BigEndian.Uint16(u[refutedAt:]) }
-func (u update) suspects() bool   { return u[stateAt] >= suspectState }
+func (u membershipUpdate) rank() int         { return int(binary.BigEndian.Uint16(u)) }
+func (u membershipUpdate) setRank(rank int)  { binary.BigEndian.PutUint16(u, uint16(rank)) }
+func (u membershipUpdate) refuted() uint16   { return binary.BigEndian.Uint16(u[refutedOffset:]) }
+func (u membershipUpdate) isSuspicion() bool { return u[stateOffset] >= suspectState }
 
-func (u update) setRefuted(refuted uint16) { binary.BigEndian.PutUint16(u[refutedAt:], refuted) }
+func (u membershipUpdate) setRefuted(refuted uint16) {
+	binary.BigEndian.PutUint16(u[refutedOffset:], refuted)
+}
 
 // eachUpdate calls visit for each membership update of a datagram.
-func eachUpdate(datagram []byte, visit func(update)) {
-	for rest := datagram[bodyAt+bodySizes[operationOf(datagram)]:]; len(rest) >= updateSize; rest = rest[updateSize:] {
-		visit(update(rest[:updateSize]))
+func eachUpdate(datagram []byte, visit func(membershipUpdate)) {
+	for rest := datagram[bodyOffset+bodySizes[operationOf(datagram)]:]; len(rest) >= updateSize; rest = rest[updateSize:] {
+		visit(membershipUpdate(rest[:updateSize]))
 	}
 }
--- a/lab/scale/wire_compat_test.go
+++ b/lab/scale/wire_compat_test.go
@@ -10,13 +10,13 @@
 func TestStoredResultsAreReadAndWrittenAlike(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/results.json", " ", []*Result{
 		{
-			Test:      "s1",
-			Routers:   2,
-			Seed:      3,
-			Simulated: 4,
+			Test:               "s1",
+			Routers:            2,
+			Seed:               3,
+			SimulatedProcesses: 4,
 			Phases: []Phase{
 				{
-					Trouble:                 "s5",
+					Scenario:                "s5",
 					Seconds:                 6.5,
 					MeanBytesPerSecond:      7.5,
 					WorstBytesPerSecond:     8.5,
@@ -26,7 +26,7 @@
 					MemoryKB:                12.5,
 				},
 				{
-					Trouble:                 "s13",
+					Scenario:                "s13",
 					Seconds:                 14.5,
 					MeanBytesPerSecond:      15.5,
 					WorstBytesPerSecond:     16.5,
@@ -36,19 +36,19 @@
 					MemoryKB:                20.5,
 				},
 			},
-			Figures: []Figure{
+			Metrics: []Metric{
 				{Name: "s21", Value: 22.5},
 				{Name: "s23", Value: 24.5},
 			},
 		},
 		{
-			Test:      "s25",
-			Routers:   26,
-			Seed:      27,
-			Simulated: 28,
+			Test:               "s25",
+			Routers:            26,
+			Seed:               27,
+			SimulatedProcesses: 28,
 			Phases: []Phase{
 				{
-					Trouble:                 "s29",
+					Scenario:                "s29",
 					Seconds:                 30.5,
 					MeanBytesPerSecond:      31.5,
 					WorstBytesPerSecond:     32.5,
@@ -58,7 +58,7 @@
 					MemoryKB:                36.5,
 				},
 				{
-					Trouble:                 "s37",
+					Scenario:                "s37",
 					Seconds:                 38.5,
 					MeanBytesPerSecond:      39.5,
 					WorstBytesPerSecond:     40.5,
@@ -68,7 +68,7 @@
 					MemoryKB:                44.5,
 				},
 			},
-			Figures: []Figure{
+			Metrics: []Metric{
 				{Name: "s45", Value: 46.5},
 				{Name: "s47", Value: 48.5},
 			},
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -11,13 +11,13 @@
 
 // The network between processes.
 const (
-	leastDelay = 1_400  // us
-	delaySpan  = 21_600 // us, at random
-	lossPart   = 0.001
-	slotTime   = 1_000 // us: events are kept by the millisecond
-	slots      = 64    // more than the longest delay or wait
-	startsIn   = second / 2
-	sampleCPU  = 4 // one call in so many is timed
+	minDelay          = 1_400  // us
+	delaySpan         = 21_600 // us, at random
+	baseLossRate      = 0.001
+	slotDuration      = 1_000 // us: events are kept by the millisecond
+	slotCount         = 64    // more than the longest delay or wait
+	startSpread       = second / 2
+	cpuSampleInterval = 4 // one call in so many is timed
 )
 
 // world is a fleet of core/fleet nodes in virtual time.
@@ -29,52 +29,52 @@
 // how many are sent before they suppress the others does not depend on how many of those routers take part (core/fleet). Ranks of one process share
 // incarnation and fate, but for single ranks that are lost.
 type world struct {
-	rng       *rand.Rand
-	clock     cpuClock
-	now       int64
-	routers   int
-	depots    int
-	limits    []fleet.Limit
-	seed      uint64
-	processes []*process
-	lost      []bool // by rank
-	cut       bool   // regions do not hear one another
-	loss      float64
-	calendar  [slots][]event
-	fault     error
-	calls     int
+	rng           *rand.Rand
+	clock         threadCPUClock
+	now           int64
+	routers       int
+	sites         int
+	limits        []fleet.Limit
+	seed          uint64
+	processes     []*process
+	lost          []bool // by rank
+	isPartitioned bool   // regions do not hear one another
+	lossRate      float64
+	calendar      [slotCount][]event
+	err           error
+	calls         int
 }
 
 // process is one that is simulated in full.
 type process struct {
-	place       int
-	primary     int // the rank that its node has
-	node        *fleet.Node
-	starts      uint32
-	speaksAs    int // while it answers; -1: it begins by itself
-	suspected   []int
-	refuted     uint16
-	region      int
-	zone        int
-	traffic     traffic
-	cpu         time.Duration
-	nextSuspect int
+	index          int
+	primary        int // the rank that its node has
+	node           *fleet.Node
+	incarnation    uint32
+	replyingAs     int // while it answers; -1: it begins by itself
+	suspectedRanks []int
+	refuted        uint16
+	region         int
+	zone           int
+	traffic        traffic
+	cpu            time.Duration
+	nextSuspect    int
 }
 
 // event is a datagram on its way, or with none a tick.
 type event struct {
 	at          int64
 	from, to    int // ranks
-	bytes       []byte
-	starts      uint32
-	onBehalfAll bool // one for each rank that the sender's process plays
+	datagram    []byte
+	incarnation uint32
+	forAllRanks bool // one for each rank that the sender's process plays
 }
 
-func newWorld(o Options, clock cpuClock, processes int, limits ...fleet.Limit) (*world, error) {
-	w := &world{rng: rand.New(rand.NewPCG(o.Seed, 7)), clock: clock, now: second, routers: o.Routers, depots: o.scaled(fleetSites), limits: limits,
-		seed: o.Seed, lost: make([]bool, o.Routers), loss: lossPart}
+func newWorld(o Options, clock threadCPUClock, processes int, limits ...fleet.Limit) (*world, error) {
+	w := &world{rng: rand.New(rand.NewPCG(o.Seed, 7)), clock: clock, now: second, routers: o.Routers, sites: o.scaled(fleetSites), limits: limits,
+		seed: o.Seed, lost: make([]bool, o.Routers), lossRate: baseLossRate}
 	for i := range processes {
-		p := &process{place: i, primary: i, region: i * fleetRegions / processes, zone: i * fleetZones / processes, speaksAs: -1}
+		p := &process{index: i, primary: i, region: i * fleetRegions / processes, zone: i * fleetZones / processes, replyingAs: -1}
 		w.processes = append(w.processes, p)
 		if err := w.start(p); err != nil {
 			return nil, err
@@ -84,43 +84,43 @@
 }
 
 func (w *world) processOf(rank int) *process { return w.processes[rank%len(w.processes)] }
-func (w *world) folded() bool                { return len(w.processes) < w.routers }
-func (w *world) depotOf(rank int) int        { return rank * w.depots / w.routers }
+func (w *world) isSampled() bool             { return len(w.processes) < w.routers }
+func (w *world) siteOf(rank int) int         { return rank * w.sites / w.routers }
 
 // start gives a process a node that knows nothing.
 func (w *world) start(p *process) error {
-	p.starts++
-	node, err := fleet.New(w.now, fleet.Options{Rank: p.primary, FleetSize: w.routers, Site: w.depotOf(p.primary), Sites: w.depots, Incarnation: p.starts,
+	p.incarnation++
+	node, err := fleet.New(w.now, fleet.Options{Rank: p.primary, FleetSize: w.routers, Site: w.siteOf(p.primary), Sites: w.sites, Incarnation: p.incarnation,
 		Seed: w.seed, Limits: w.limits})
 	if err != nil {
 		return err
 	}
 	node.Send = func(to int, datagram []byte) { w.send(p, to, datagram) }
 	for limit := range w.limits {
-		node.SetDemand(limit, wanted)
+		node.SetDemand(limit, demandPerRouter)
 	}
 	p.node = node
-	w.schedule(event{at: w.now + w.rng.Int64N(slots/2*slotTime), from: p.primary, to: p.primary, starts: p.starts})
+	w.schedule(event{at: w.now + w.rng.Int64N(slotCount/2*slotDuration), from: p.primary, to: p.primary, incarnation: p.incarnation})
 	return nil
 }
 
-// wanted of a limit by each router: more than there is.
-const wanted = 1e5
+// demandPerRouter of a limit by each router: more than there is.
+const demandPerRouter = 1e5
 
 func (w *world) schedule(e event) {
-	e.at = min(e.at, w.now+(slots-1)*slotTime)
-	slot := e.at / slotTime % slots
+	e.at = min(e.at, w.now+(slotCount-1)*slotDuration)
+	slot := e.at / slotDuration % slotCount
 	w.calendar[slot] = append(w.calendar[slot], e)
 }
 
-// rankToSpeakAs draws one of a process's ranks that is not lost; towards a rank of its own it is not the primary, whose words a node passes over.
-func (w *world) rankToSpeakAs(p *process, to int) int {
-	if !w.folded() {
+// pickSenderRank draws one of a process's ranks that is not lost; towards a rank of its own it is not the primary, whose words a node passes over.
+func (w *world) pickSenderRank(p *process, to int) int {
+	if !w.isSampled() {
 		return p.primary
 	}
-	ranks := (w.routers - p.place + len(w.processes) - 1) / len(w.processes)
+	ranks := (w.routers - p.index + len(w.processes) - 1) / len(w.processes)
 	for {
-		rank := p.place + w.rng.IntN(ranks)*len(w.processes)
+		rank := p.index + w.rng.IntN(ranks)*len(w.processes)
 		own := to >= 0 && w.processOf(to) == p && (rank == p.primary || rank == to)
 		if !w.lost[rank] && !own {
 			return rank
@@ -132,12 +132,12 @@
 func (w *world) send(p *process, to int, datagram []byte) {
 	p.traffic.add(w.now, len(datagram))
 	op := operationOf(datagram)
-	speaker := p.speaksAs
-	if speaker < 0 || op == opAsk {
-		speaker = w.rankToSpeakAs(p, to)
+	speaker := p.replyingAs
+	if speaker < 0 || op == opLeaseRequest {
+		speaker = w.pickSenderRank(p, to)
 	}
-	if w.folded() {
-		w.disguise(p, speaker, datagram)
+	if w.isSampled() {
+		w.rewriteSender(p, speaker, datagram)
 	}
 	if to == fleet.Broadcast {
 		for _, other := range w.processes {
@@ -147,50 +147,50 @@
 		}
 		return
 	}
-	if op == opLend && w.folded() && to != w.processOf(to).primary {
+	if op == opLeaseGrant && w.isSampled() && to != w.processOf(to).primary {
 		return // of all ranks of a process only the primary's lease is kept by its node
 	}
-	w.deliver(p, speaker, to, datagram, op == opAsk)
+	w.deliver(p, speaker, to, datagram, op == opLeaseRequest)
 }
 
 func (w *world) deliver(p *process, speaker, to int, datagram []byte, onBehalfAll bool) {
-	if w.lost[to] || w.lost[speaker] || w.cut && p.region != w.processOf(to).region || w.rng.Float64() < w.loss {
+	if w.lost[to] || w.lost[speaker] || w.isPartitioned && p.region != w.processOf(to).region || w.rng.Float64() < w.lossRate {
 		return
 	}
-	w.schedule(event{w.now + leastDelay + w.rng.Int64N(delaySpan), speaker, to, append([]byte(nil), datagram...), 0, onBehalfAll && w.folded()})
+	w.schedule(event{w.now + minDelay + w.rng.Int64N(delaySpan), speaker, to, append([]byte(nil), datagram...), 0, onBehalfAll && w.isSampled()})
 }
 
-// disguise makes a datagram of p's node one of another rank that p plays.
-func (w *world) disguise(p *process, rank int, datagram []byte) {
-	setRank(datagram, rank, w.depotOf(rank))
+// rewriteSender makes a datagram of p's node one of another rank that p plays.
+func (w *world) rewriteSender(p *process, rank int, datagram []byte) {
+	setRank(datagram, rank, w.siteOf(rank))
 	if operationOf(datagram) == opAck && targetOf(datagram) == p.primary {
 		setTarget(datagram, rank)
 	}
-	eachUpdate(datagram, func(u update) {
+	eachUpdate(datagram, func(u membershipUpdate) {
 		if u.rank() != p.primary {
 			return
 		}
 		p.refuted = u.refuted()
-		if len(p.suspected) > 0 {
-			u.setRank(p.suspected[p.nextSuspect%len(p.suspected)])
+		if len(p.suspectedRanks) > 0 {
+			u.setRank(p.suspectedRanks[p.nextSuspect%len(p.suspectedRanks)])
 			p.nextSuspect++
 		}
 	})
 }
 
-// mostSuspected is how many of its ranks a process refutes in turn.
-const mostSuspected = 8
+// maxSuspectedRanks is how many of its ranks a process refutes in turn.
+const maxSuspectedRanks = 8
 
-// address makes updates about any rank that p plays ones about its node.
-func (w *world) address(p *process, datagram []byte) {
-	eachUpdate(datagram, func(u update) {
+// rewriteTarget makes updates about any rank that p plays ones about its node.
+func (w *world) rewriteTarget(p *process, datagram []byte) {
+	eachUpdate(datagram, func(u membershipUpdate) {
 		rank := u.rank()
 		if rank >= w.routers || w.processOf(rank) != p || w.lost[rank] {
 			return
 		}
-		if u.suspects() {
-			if p.suspected = append(p.suspected, rank); len(p.suspected) > mostSuspected {
-				p.suspected = p.suspected[1:]
+		if u.isSuspicion() {
+			if p.suspectedRanks = append(p.suspectedRanks, rank); len(p.suspectedRanks) > maxSuspectedRanks {
+				p.suspectedRanks = p.suspectedRanks[1:]
 			}
 			u.setRefuted(max(u.refuted(), p.refuted))
 		}
@@ -200,69 +200,69 @@
 
 // run lets virtual time pass.
 func (w *world) run(until int64) error {
-	for ; w.now < until && w.fault == nil; w.now += slotTime {
-		slot := w.now / slotTime % slots
+	for ; w.now < until && w.err == nil; w.now += slotDuration {
+		slot := w.now / slotDuration % slotCount
 		due := w.calendar[slot]
 		w.calendar[slot] = nil
 		for _, e := range due {
 			if p := w.processOf(e.to); !w.lost[e.to] {
-				w.play(p, e)
+				w.dispatch(p, e)
 			}
 		}
 	}
-	return w.fault
+	return w.err
 }
 
-// play hands an event to a process, and times it now and then.
-func (w *world) play(p *process, e event) {
-	if w.calls++; w.calls%sampleCPU != 0 {
+// dispatch hands an event to a process, and times it now and then.
+func (w *world) dispatch(p *process, e event) {
+	if w.calls++; w.calls%cpuSampleInterval != 0 {
 		w.handle(p, e)
 		return
 	}
 	began := w.clock.now()
 	w.handle(p, e)
-	p.cpu += sampleCPU * (w.clock.now() - began)
+	p.cpu += cpuSampleInterval * (w.clock.now() - began)
 }
 
 func (w *world) handle(p *process, e event) {
-	if e.bytes == nil {
+	if e.datagram == nil {
 		w.tick(p, e)
 		return
 	}
-	p.speaksAs = e.to
-	defer func() { p.speaksAs = -1 }()
-	if w.folded() {
-		w.address(p, e.bytes)
+	p.replyingAs = e.to
+	defer func() { p.replyingAs = -1 }()
+	if w.isSampled() {
+		w.rewriteTarget(p, e.datagram)
 	}
-	if !e.onBehalfAll {
-		w.hear(p, e.from, e.bytes)
+	if !e.forAllRanks {
+		w.receive(p, e.from, e.datagram)
 		return
 	}
 	for rank := e.from % len(w.processes); rank < w.routers; rank += len(w.processes) {
 		if !w.lost[rank] {
-			setRank(e.bytes, rank, w.depotOf(rank))
-			w.hear(p, rank, e.bytes)
+			setRank(e.datagram, rank, w.siteOf(rank))
+			w.receive(p, rank, e.datagram)
 		}
 	}
 }
 
-func (w *world) hear(p *process, from int, datagram []byte) {
+func (w *world) receive(p *process, from int, datagram []byte) {
 	p.traffic.add(w.now, len(datagram))
 	if err := p.node.Receive(w.now, from, datagram); err != nil && !errors.Is(err, fleet.ErrStale) {
-		w.fault = fmt.Errorf("rank %d hears %d: %w", p.primary, from, err)
+		w.err = fmt.Errorf("rank %d hears %d: %w", p.primary, from, err)
 	}
 }
 
 func (w *world) tick(p *process, e event) {
-	if e.starts != p.starts {
+	if e.incarnation != p.incarnation {
 		return // of a node that is no more
 	}
 	next := p.node.Tick(w.now)
-	w.schedule(event{at: max(next, w.now+slotTime), from: p.primary, to: p.primary, starts: p.starts})
+	w.schedule(event{at: max(next, w.now+slotDuration), from: p.primary, to: p.primary, incarnation: p.incarnation})
 }
 
-// lose ends routers; those whose primary rank is among them stop wholly.
-func (w *world) lose(ranks []int) {
+// stop ends routers; those whose primary rank is among them stop wholly.
+func (w *world) stop(ranks []int) {
 	for _, rank := range ranks {
 		w.lost[rank] = true
 	}
--- a/lab/scenario/play.go
+++ b/lab/scenario/play.go
@@ -91,7 +91,7 @@
 	p.res.Served, p.res.Refused, p.res.Failed, p.res.Lost, p.res.Wrong = all.Served, all.Refused, all.Failed, all.Lost, all.Wrong
 	p.res.Overlaps = len(p.d.RequestLog.Overlaps())
 	if p.d.Mesh != nil {
-		p.res.Longest = p.d.Mesh.Counts().Longest
+		p.res.Longest = p.d.Mesh.Counts().MaxBytes
 	}
 	return nil
 }
@@ -120,16 +120,16 @@
 // set puts network conditions in force.
 func (p *play) set(w *Conditions) error {
 	ms := func(f float64) time.Duration { return time.Duration(f * float64(time.Millisecond)) }
-	l := link.Conditions{Loss: w.Loss, Double: w.Double, Delay: ms(w.DelayMs), Jitter: ms(w.JitterMs)}
+	l := link.Conditions{LossRate: w.Loss, DuplicateRate: w.Double, Delay: ms(w.DelayMs), Jitter: ms(w.JitterMs)}
 	if w.Blocks > 1 {
 		for rank := range p.opt.Routers {
-			l.Groups = append(l.Groups, rank*w.Blocks/p.opt.Routers)
+			l.PartitionByRank = append(l.PartitionByRank, rank*w.Blocks/p.opt.Routers)
 		}
 	}
 	if w.Parts > 1 || w.Alone != "" {
-		l.Groups = make([]int, p.opt.Routers)
-		for i := range l.Groups {
-			l.Groups[i] = i % max(w.Parts, 1)
+		l.PartitionByRank = make([]int, p.opt.Routers)
+		for i := range l.PartitionByRank {
+			l.PartitionByRank[i] = i % max(w.Parts, 1)
 		}
 	}
 	if w.Alone != "" {
@@ -137,9 +137,9 @@
 		if err != nil {
 			return err
 		}
-		l.Groups[holder] = -1
+		l.PartitionByRank[holder] = -1
 	}
-	return p.d.Mesh.Set(l)
+	return p.d.Mesh.SetConditions(l)
 }
 
 // step begins what a step is about and watches the request log until its end.
@@ -167,7 +167,7 @@
 	if s.Lose {
 		p.d.Cut(0)
 	}
-	_, before := p.d.RequestLog.Asks()
+	_, before := p.d.RequestLog.OriginFills()
 	begin, broke, flips := time.Now(), time.Now(), 0
 	regained := false
 	for time.Since(begin).Seconds() < s.ForS && !regained {
@@ -185,7 +185,7 @@
 				regained, k.TookS = true, time.Since(begin).Seconds()
 			}
 		}
-		out, _ := p.d.RequestLog.Asks()
+		out, _ := p.d.RequestLog.OriginFills()
 		bound := p.res.Limit + s.Slack
 		if s.Floors && time.Since(begin).Seconds() > s.SettleS {
 			bound = p.res.Floors
@@ -210,10 +210,10 @@
 			}
 		}
 	}
-	_, after := p.d.RequestLog.Asks()
+	_, after := p.d.RequestLog.OriginFills()
 	namedAt := p.fillsNaming(s, lost, begin)
 	k.Named = len(namedAt)
-	k.Tries, k.TriesMay = p.d.DiscoveryLink.MostDials(len(dialled), triesIn), p.triesMay()
+	k.Tries, k.TriesMay = p.d.DiscoveryLink.MaxDialsWithin(len(dialled), triesIn), p.triesMay()
 	switch k.Fills = after - before; {
 	case k.Fault != "":
 	case s.Named != nil && k.Named > *s.Named:
@@ -241,8 +241,8 @@
 	if s.Named == nil {
 		return nil
 	}
-	for _, get := range p.d.RequestLog.Gets() {
-		if after := get.At.Sub(begin).Seconds(); get.Next == areaCache && after > s.SettleS {
+	for _, get := range p.d.RequestLog.Requests() {
+		if after := get.ArrivedAt.Sub(begin).Seconds(); get.FillFrom == areaCache && after > s.SettleS {
 			times = append(times, fmt.Sprintf("%.2f s", after))
 		}
 	}
@@ -259,11 +259,11 @@
 func (p *play) board(how string) {
 	switch how {
 	case "cut":
-		p.d.DiscoveryLink.Set(link.State{Cut: true})
+		p.d.DiscoveryLink.SetConditions(link.RelayConditions{Resets: true})
 	case "silent":
-		p.d.DiscoveryLink.Set(link.State{Silent: true})
+		p.d.DiscoveryLink.SetConditions(link.RelayConditions{Blackholes: true})
 	case "open", "breaks":
-		p.d.DiscoveryLink.Set(link.State{})
+		p.d.DiscoveryLink.SetConditions(link.RelayConditions{})
 	}
 }
 
--- a/standin/cache/arrival.go
+++ b/standin/cache/arrival.go
@@ -11,11 +11,11 @@
 	"unsafe"
 )
 
-// smallWindow and smallSegment keep what a connection takes unread, on both sides together, under 32 KB: a longer command blocks in the middle
+// smallReceiveBuffer and smallSegment keep what a connection takes unread, on both sides together, under 32 KB: a longer command blocks in the middle
 // of its write until the server reads.
 const (
-	smallWindow  = 1 << 10
-	smallSegment = 536
+	smallReceiveBuffer = 1 << 10
+	smallSegment       = 536
 )
 
 // listen opens the listener of a server; narrow gives its connections the smallest buffers.
@@ -25,7 +25,7 @@
 		config.Control = func(_, _ string, raw syscall.RawConn) error {
 			var failed error
 			err := raw.Control(func(fd uintptr) {
-				failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallWindow)
+				failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallReceiveBuffer)
 				if failed == nil {
 					failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, smallSegment)
 				}
@@ -76,18 +76,18 @@
 	}
 }
 
-// arrivals reads a connection and notes when the kernel received the bytes, so that a busy machine, on which this process reads late, makes no
+// arrivalReader reads a connection and notes when the kernel received the bytes, so that a busy machine, on which this process reads late, makes no
 // request look late. A read that spans several segments counts with the last.
-type arrivals struct {
-	raw  syscall.RawConn
-	gate *gate
-	done <-chan struct{}
-	at   time.Time // of the last read
-	oob  [128]byte
+type arrivalReader struct {
+	rawConn       syscall.RawConn
+	readGate      *gate
+	done          <-chan struct{}
+	lastArrival   time.Time // of the last read
+	controlBuffer [128]byte
 }
 
-// newArrivals asks the kernel for the times of arrival. Where it has none, At is the time of the read.
-func newArrivals(conn *net.TCPConn, g *gate, done <-chan struct{}) (*arrivals, error) {
+// newArrivalReader asks the kernel for the times of arrival. Where it has none, At is the time of the read.
+func newArrivalReader(conn *net.TCPConn, g *gate, done <-chan struct{}) (*arrivalReader, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
@@ -99,16 +99,16 @@
 	if err == nil {
 		err = failed
 	}
-	return &arrivals{raw: raw, gate: g, done: done}, err
+	return &arrivalReader{rawConn: raw, readGate: g, done: done}, err
 }
 
 // Read implements io.Reader.
-func (a *arrivals) Read(b []byte) (n int, err error) {
-	a.gate.wait(a.done)
+func (a *arrivalReader) Read(b []byte) (n int, err error) {
+	a.readGate.wait(a.done)
 	var control int
 	var failed error
-	err = a.raw.Read(func(fd uintptr) bool {
-		n, control, _, _, failed = syscall.Recvmsg(int(fd), b, a.oob[:], 0)
+	err = a.rawConn.Read(func(fd uintptr) bool {
+		n, control, _, _, failed = syscall.Recvmsg(int(fd), b, a.controlBuffer[:], 0)
 		return failed != syscall.EAGAIN && failed != syscall.EINTR
 	})
 	switch {
@@ -119,12 +119,12 @@
 	case n == 0:
 		return 0, io.EOF
 	}
-	a.at = arrivedAt(a.oob[:control])
+	a.lastArrival = kernelArrivalTime(a.controlBuffer[:control])
 	return n, nil
 }
 
-// arrivedAt finds the kernel's time in control messages.
-func arrivedAt(oob []byte) time.Time {
+// kernelArrivalTime finds the kernel's time in control messages.
+func kernelArrivalTime(oob []byte) time.Time {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err == nil {
 		for _, m := range messages {
@@ -136,10 +136,10 @@
 	return time.Now()
 }
 
-// unread tells whether bytes wait that were not read yet.
-func (a *arrivals) unread() bool {
+// hasUnread tells whether bytes wait that were not read yet.
+func (a *arrivalReader) hasUnread() bool {
 	var n int32
-	err := a.raw.Control(func(fd uintptr) {
+	err := a.rawConn.Control(func(fd uintptr) {
 		syscall.Syscall(syscall.SYS_IOCTL, fd, syscall.TIOCINQ, uintptr(unsafe.Pointer(&n)))
 	})
 	return err == nil && n > 0
--- a/standin/cache/requestlog_test.go
+++ b/standin/cache/requestlog_test.go
@@ -13,24 +13,24 @@
 // getOf asks a server for an object and returns once the request log holds the attempt.
 func getOf(t *testing.T, s *Server, id string) net.Conn {
 	t.Helper()
-	before := len(s.opt.RequestLog.Gets())
+	before := len(s.options.RequestLog.Requests())
 	nc := testwait.Dial(t, s.Addr().String())
 	if _, err := io.WriteString(nc, "*4\r\n$3\r\nGET\r\n$1\r\n"+id+"\r\n$7\r\nasset=o\r\n$0\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	testwait.Until(t, "the attempt to come", func() bool { return len(s.opt.RequestLog.Gets()) > before })
+	testwait.Until(t, "the attempt to come", func() bool { return len(s.options.RequestLog.Requests()) > before })
 	return nc
 }
 
 // A connection that closes gives up what is open on it: a further attempt of that request is no second one at once. One that goes out
 // while the first is open is.
 func TestClosedConnectionEndsItsAttempts(t *testing.T) {
-	s, err := Listen(Options{ID: 1, Origin: true, Delay: time.Hour, RequestLog: NewRequestLog()})
+	s, err := Listen(Options{ID: 1, IsOrigin: true, Delay: time.Hour, RequestLog: NewRequestLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	log := s.opt.RequestLog
+	log := s.options.RequestLog
 	getOf(t, s, "a").Close()
 	awaitOut(t, log, "a", 0)
 	getOf(t, s, "a")
@@ -51,7 +51,7 @@
 		defer log.mu.Unlock()
 		out := 0
 		for _, a := range log.attempts[id] {
-			if a.ended.IsZero() {
+			if a.endedAt.IsZero() {
 				out++
 			}
 		}
@@ -88,7 +88,7 @@
 					write(t, first, drop)
 				}
 				log.mu.Unlock()
-				testwait.Until(t, "the second attempt", func() bool { return len(log.Gets()) == 2 })
+				testwait.Until(t, "the second attempt", func() bool { return len(log.Requests()) == 2 })
 				awaitOut(t, log, "a", 1)
 				if o := log.Overlaps(); (len(o) == 0) != dropFirst {
 					t.Fatalf("overlaps: %v", o)
@@ -103,7 +103,7 @@
 // hangingServer starts a server that answers nothing.
 func hangingServer(t *testing.T, id uint32, log *RequestLog) *Server {
 	t.Helper()
-	s, err := Listen(Options{ID: id, Origin: true, Delay: time.Hour, RequestLog: log})
+	s, err := Listen(Options{ID: id, IsOrigin: true, Delay: time.Hour, RequestLog: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 	} {
 		var attempts []*attempt
 		for _, span := range test.spans {
-			attempts = append(attempts, &attempt{begun: at(span[0]), ended: at(span[1])})
+			attempts = append(attempts, &attempt{startedAt: at(span[0]), endedAt: at(span[1])})
 		}
 		if got := overlapsOf("a", attempts); len(got) != test.want {
 			t.Errorf("%s: %q, want %d", test.name, got, test.want)
@@ -145,14 +145,14 @@
 func TestTheEarliestEndCounts(t *testing.T) {
 	log := NewRequestLog()
 	begun := time.Unix(100, 0)
-	a := log.begin(Get{ID: "a", At: begun}, "")
-	log.end(a, begun.Add(5*time.Millisecond), answered)
-	log.end(a, begun.Add(2*time.Millisecond), dropped)
-	log.end(a, begun.Add(9*time.Millisecond), dropped)
-	if want := begun.Add(2 * time.Millisecond); !a.ended.Equal(want) || a.ending != dropped {
-		t.Errorf("ended at %v by %s, want %v by DROP", a.ended, a.ending, want)
+	a := log.begin(Request{ID: "a", ArrivedAt: begun}, "")
+	log.end(a, begun.Add(5*time.Millisecond), endAnswered)
+	log.end(a, begun.Add(2*time.Millisecond), endCancelled)
+	log.end(a, begun.Add(9*time.Millisecond), endCancelled)
+	if want := begun.Add(2 * time.Millisecond); !a.endedAt.Equal(want) || a.endReason != endCancelled {
+		t.Errorf("ended at %v by %s, want %v by DROP", a.endedAt, a.endReason, want)
 	}
-	log.begin(Get{ID: "a", At: begun.Add(3 * time.Millisecond)}, "")
+	log.begin(Request{ID: "a", ArrivedAt: begun.Add(3 * time.Millisecond)}, "")
 	if o := log.Overlaps(); len(o) > 0 {
 		t.Errorf("overlaps: %v", o)
 	}
--- a/standin/cache/tier.go
+++ b/standin/cache/tier.go
@@ -21,62 +21,62 @@
 
 // The faults.
 const (
-	None   Fault = iota
-	Err          // answers ERR
-	Spoil        // answers what can't be read, and closes
-	Silent       // never answers
-	Busy         // answers BUSY
+	FaultNone      Fault = iota
+	FaultError           // answers ERR
+	FaultMalformed       // answers what can't be read, and closes
+	FaultNoReply         // never answers
+	FaultBusy            // answers BUSY
 )
 
-// Get is one attempt as it arrived.
-type Get struct {
-	Server string
-	ID     string
-	Class  string
-	Object string
-	Part   string
-	Next   string    // where a miss is filled from
-	Held   bool      // the source gives only what it holds
-	MaxAge int64     // ms, the oldest copy that will do; 0: any
-	At     time.Time // when the kernel received it whole
+// Request is one attempt as it arrived.
+type Request struct {
+	Server       string
+	ID           string
+	Class        string
+	Object       string
+	Chunk        string
+	FillFrom     string    // where a miss is filled from
+	CachedOnly   bool      // the source gives only what it holds
+	MaxAgeMillis int64     // ms, the oldest copy that will do; 0: any
+	ArrivedAt    time.Time // when the kernel received it whole
 }
 
 // Options describe a server.
 type Options struct {
-	ID         uint32 // in the list of servers
-	Addr       string // where it listens; empty: any free port of loopback
-	Origin     bool   // holds everything
-	Delay      time.Duration
-	Source     func(id string) *Server // finds the servers that fills come from
-	Script     func(Get) Fault         // nil: no faults
-	RequestLog *RequestLog
-	// Narrow gives connections the smallest buffers: a command of 32 KB or more blocks its sender until the server reads.
-	Narrow bool
+	ID          uint32 // in the list of servers
+	Addr        string // where it listens; empty: any free port of loopback
+	IsOrigin    bool   // holds everything
+	Delay       time.Duration
+	FindServer  func(id string) *Server // finds the servers that fills come from
+	InjectFault func(Request) Fault     // nil: no faults
+	RequestLog  *RequestLog
+	// UsesSmallBuffers gives connections the smallest buffers: a command of 32 KB or more blocks its sender until the server reads.
+	UsesSmallBuffers bool
 	// Listener is where the server takes connections; nil: it opens one at Addr.
 	Listener net.Listener
 }
 
 // Server is one server of the tier.
 type Server struct {
-	opt Options
-	l   net.Listener
+	options  Options
+	listener net.Listener
 
-	reading gate // closed while the server reads nothing
+	readGate gate // closed while the server reads nothing
 
-	mu       sync.Mutex
-	held     map[string]time.Time // by object and part: when the head office gave it out
-	conns    map[net.Conn]*arrivals
-	accepted int
-	wg       sync.WaitGroup
-	gone     bool
-	done     chan struct{} // closed by Close
+	mu         sync.Mutex
+	createdAt  map[string]time.Time // by object and part: when the head office gave it out
+	conns      map[net.Conn]*arrivalReader
+	accepted   int
+	goroutines sync.WaitGroup
+	isClosed   bool
+	done       chan struct{} // closed by Close
 }
 
-// mostAtOnce bounds what one connection has open; more are answered BUSY.
-const mostAtOnce = 64
+// maxOpenRequests bounds what one connection has open; more are answered BUSY.
+const maxOpenRequests = 64
 
-// mostDone bounds the answered attempts of one connection whose DROP may still come.
-const mostDone = 4096
+// maxAnsweredAttempts bounds the answered attempts of one connection whose DROP may still come.
+const maxAnsweredAttempts = 4096
 
 // Listen starts a server on loopback.
 func Listen(opt Options) (*Server, error) {
@@ -85,57 +85,57 @@
 	}
 	l, err := opt.Listener, error(nil)
 	if l == nil {
-		l, err = listen(opt.Addr, opt.Narrow)
+		l, err = listen(opt.Addr, opt.UsesSmallBuffers)
 	}
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{opt: opt, l: l, held: map[string]time.Time{}, conns: map[net.Conn]*arrivals{}, done: make(chan struct{})}
-	s.wg.Go(s.accept)
+	s := &Server{options: opt, listener: l, createdAt: map[string]time.Time{}, conns: map[net.Conn]*arrivalReader{}, done: make(chan struct{})}
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
 // Name is the server's id as requests give it.
-func (s *Server) Name() string { return fmt.Sprintf("s-%08x", s.opt.ID) }
+func (s *Server) Name() string { return fmt.Sprintf("s-%08x", s.options.ID) }
 
 // Addr is where it listens.
-func (s *Server) Addr() netip.AddrPort { return netip.MustParseAddrPort(s.l.Addr().String()) }
+func (s *Server) Addr() netip.AddrPort { return netip.MustParseAddrPort(s.listener.Addr().String()) }
 
 // Close ends the server as a killed process ends: its connections break.
 func (s *Server) Close() {
-	s.l.Close()
+	s.listener.Close()
 	s.mu.Lock()
-	if !s.gone {
-		s.gone = true
+	if !s.isClosed {
+		s.isClosed = true
 		close(s.done)
 	}
 	for c := range s.conns {
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.wg.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *Server) accept() {
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		in, err := newArrivals(c.(*net.TCPConn), &s.reading, s.done)
+		in, err := newArrivalReader(c.(*net.TCPConn), &s.readGate, s.done)
 		if err != nil {
 			c.Close()
 			continue
 		}
 		s.mu.Lock()
 		s.accepted++
-		if s.gone {
+		if s.isClosed {
 			c.Close()
 		} else {
 			s.conns[c] = in
 		}
 		s.mu.Unlock()
-		s.wg.Go(func() {
+		s.goroutines.Go(func() {
 			s.serve(c, in)
 			s.mu.Lock()
 			delete(s.conns, c)
@@ -146,17 +146,17 @@
 
 // Pause makes the server read nothing from its connections until Resume, as a process that hangs; a read that waits already still gets what
 // comes first.
-func (s *Server) Pause() { s.reading.close() }
+func (s *Server) Pause() { s.readGate.close() }
 
 // Resume ends a Pause.
-func (s *Server) Resume() { s.reading.open() }
+func (s *Server) Resume() { s.readGate.open() }
 
 // Connections tells how many connections were accepted so far, how many of them are open, and how many of those hold bytes that were not read.
 func (s *Server) Connections() (accepted, open, unread int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, in := range s.conns {
-		if in.unread() {
+		if in.hasUnread() {
 			unread++
 		}
 	}
@@ -175,7 +175,7 @@
 	return body
 }
 
-func (s *Server) serve(c net.Conn, arrived *arrivals) {
+func (s *Server) serve(c net.Conn, arrived *arrivalReader) {
 	defer c.Close()
 	var (
 		write sync.Mutex
@@ -195,8 +195,8 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, open := range drops {
-			close(open.dropped)
-			s.opt.RequestLog.end(open.attempt, time.Now(), closed)
+			close(open.cancelled)
+			s.options.RequestLog.end(open.attempt, time.Now(), endConnClosed)
 		}
 		drops = nil
 	}()
@@ -211,20 +211,20 @@
 		case len(parts) == 2 && string(parts[0]) == "DROP":
 			mu.Lock()
 			if open, found := drops[string(parts[1])]; found {
-				close(open.dropped)
+				close(open.cancelled)
 				delete(drops, string(parts[1]))
-				s.opt.RequestLog.end(open.attempt, arrived.at, dropped)
+				s.options.RequestLog.end(open.attempt, arrived.lastArrival, endCancelled)
 			} else if answered := done[string(parts[1])]; answered != nil { // it may have come before the answer went out, and be read after that
-				s.opt.RequestLog.end(answered, arrived.at, dropped)
+				s.options.RequestLog.end(answered, arrived.lastArrival, endCancelled)
 			}
 			mu.Unlock()
 		case len(parts) == 4 && string(parts[0]) == "GET":
-			g := parse(s.Name(), parts, arrived.at)
+			g := parseRequest(s.Name(), parts, arrived.lastArrival)
 			d := make(chan struct{})
 			mu.Lock()
-			full := len(drops) >= mostAtOnce
+			full := len(drops) >= maxOpenRequests
 			if !full {
-				drops[g.ID] = openAttempt{s.opt.RequestLog.begin(g, c.RemoteAddr().String()), d}
+				drops[g.ID] = openAttempt{s.options.RequestLog.begin(g, c.RemoteAddr().String()), d}
 			}
 			mu.Unlock()
 			if full {
@@ -237,16 +237,16 @@
 				open, still := drops[g.ID]
 				if still {
 					delete(drops, g.ID)
-					if len(done) >= mostDone {
+					if len(done) >= maxAnsweredAttempts {
 						clear(done)
 					}
 					done[g.ID] = open.attempt
-					s.opt.RequestLog.end(open.attempt, time.Now(), answered)
+					s.options.RequestLog.end(open.attempt, time.Now(), endAnswered)
 				}
 				mu.Unlock()
 				switch {
-				case !still || fault == Silent:
-				case fault == Spoil:
+				case !still || fault == FaultNoReply:
+				case fault == FaultMalformed:
 					write.Lock()
 					_, _ = c.Write([]byte("spoilt\r\n"))
 					write.Unlock()
@@ -263,13 +263,13 @@
 
 // openAttempt is an attempt that a connection has open.
 type openAttempt struct {
-	attempt *attempt
-	dropped chan struct{} // closed when the attempt is given up
+	attempt   *attempt
+	cancelled chan struct{} // closed when the attempt is given up
 }
 
-// parse reads GET ID FIELDS BODY.
-func parse(server string, parts [][]byte, at time.Time) Get {
-	g := Get{Server: server, ID: string(parts[1]), At: at}
+// parseRequest reads GET ID FIELDS BODY.
+func parseRequest(server string, parts [][]byte, at time.Time) Request {
+	g := Request{Server: server, ID: string(parts[1]), ArrivedAt: at}
 	for pair := range strings.SplitSeq(string(parts[2]), ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
@@ -278,40 +278,40 @@
 		case "asset":
 			g.Object = value
 		case "slice":
-			g.Part = value
+			g.Chunk = value
 		case "next":
-			g.Next = value
+			g.FillFrom = value
 		case "ways":
-			g.Held = strings.Contains(value, "held")
+			g.CachedOnly = strings.Contains(value, "held")
 		case "agelim":
-			g.MaxAge, _ = strconv.ParseInt(value, 10, 64)
+			g.MaxAgeMillis, _ = strconv.ParseInt(value, 10, 64)
 		}
 	}
 	return g
 }
 
 // answer works a request out; it waits no longer than until the request is dropped.
-func (s *Server) answer(g Get, dropped <-chan struct{}) ([][]byte, Fault) {
-	fault := None
-	if s.opt.Script != nil {
-		fault = s.opt.Script(g)
+func (s *Server) answer(g Request, dropped <-chan struct{}) ([][]byte, Fault) {
+	fault := FaultNone
+	if s.options.InjectFault != nil {
+		fault = s.options.InjectFault(g)
 	}
-	wait := s.opt.Delay
-	if fault == Silent {
+	wait := s.options.Delay
+	if fault == FaultNoReply {
 		wait = time.Hour
 	}
 	asked := time.Now()
 	var made time.Time
 	note, held, dead := "TCP_HIT", false, false
-	if made, held = s.holds(g); !held && fault == None && g.Next != "" && s.opt.Source != nil {
-		src := s.opt.Source(g.Next)
+	if made, held = s.lookup(g); !held && fault == FaultNone && g.FillFrom != "" && s.options.FindServer != nil {
+		src := s.options.FindServer(g.FillFrom)
 		if dead = src == nil; !dead {
-			wait += src.opt.Delay
+			wait += src.options.Delay
 			var deep bool
 			made, held, deep = src.fill(g)
 			if note = "TCP_MISS"; deep {
 				note = "TCP_MISS_ROOT"
-				defer s.opt.RequestLog.ask()()
+				defer s.options.RequestLog.beginOriginFill()()
 			}
 		}
 	}
@@ -320,55 +320,55 @@
 	select {
 	case <-timer.C:
 	case <-dropped:
-		return nil, Silent
+		return nil, FaultNoReply
 	}
 	id := []byte(g.ID)
 	switch {
-	case fault == Err:
-		return [][]byte{id, []byte("ERR"), []byte("-")}, None
-	case fault == Busy:
-		return [][]byte{id, []byte("BUSY"), []byte("-")}, None
-	case fault != None:
+	case fault == FaultError:
+		return [][]byte{id, []byte("ERR"), []byte("-")}, FaultNone
+	case fault == FaultBusy:
+		return [][]byte{id, []byte("BUSY"), []byte("-")}, FaultNone
+	case fault != FaultNone:
 		return nil, fault
 	case dead: // its source is not there
-		return [][]byte{id, []byte("ERR"), []byte("n=PEER_DEAD")}, None
+		return [][]byte{id, []byte("ERR"), []byte("n=PEER_DEAD")}, FaultNone
 	case !held && note != "TCP_HIT": // its source was asked, and has none
-		return [][]byte{id, []byte("MISS"), []byte("n=PEER_MISS")}, None
+		return [][]byte{id, []byte("MISS"), []byte("n=PEER_MISS")}, FaultNone
 	case !held:
-		return [][]byte{id, []byte("MISS"), []byte("-")}, None
+		return [][]byte{id, []byte("MISS"), []byte("-")}, FaultNone
 	}
-	s.keep(g, made)
+	s.store(g, made)
 	fields := "n=" + note + ",t0=" + strconv.FormatInt(made.UnixMilli(), 10)
 	if note != "TCP_HIT" {
 		fields += ",slow=" + strconv.FormatInt(time.Since(asked).Milliseconds(), 10)
 	}
-	return [][]byte{id, []byte("OK"), []byte(fields), Body(g.Object, g.Part)}, None
+	return [][]byte{id, []byte("OK"), []byte(fields), Body(g.Object, g.Chunk)}, FaultNone
 }
 
-func (s *Server) holds(g Get) (time.Time, bool) {
-	if s.opt.Origin {
+func (s *Server) lookup(g Request) (time.Time, bool) {
+	if s.options.IsOrigin {
 		return time.Now(), true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	made, held := s.held[g.Object+"/"+g.Part]
+	made, held := s.createdAt[g.Object+"/"+g.Chunk]
 	return made, held
 }
 
-func (s *Server) keep(g Get, made time.Time) {
-	if s.opt.Origin {
+func (s *Server) store(g Request, made time.Time) {
+	if s.options.IsOrigin {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held[g.Object+"/"+g.Part] = made
+	s.createdAt[g.Object+"/"+g.Chunk] = made
 }
 
 // fill gives a copy to a server of the tier below; an area cache without one takes it from the head office.
-func (s *Server) fill(g Get) (made time.Time, held, deep bool) {
-	if made, held := s.holds(g); held || g.Held {
-		return made, held, s.opt.Origin
+func (s *Server) fill(g Request) (made time.Time, held, deep bool) {
+	if made, held := s.lookup(g); held || g.CachedOnly {
+		return made, held, s.options.IsOrigin
 	}
-	s.keep(g, time.Now())
+	s.store(g, time.Now())
 	return time.Now(), true, true
 }
--- a/standin/discovery/mode.go
+++ b/standin/discovery/mode.go
@@ -20,8 +20,8 @@
 // String names the mode.
 func (m Mode) String() string { return [...]string{"serving", "slow", "mute", "down"}[m] }
 
-// FirstFrameAfter is how late the first frame of a connection is while a service is slow. The next comes when one would have come anyway.
-const FirstFrameAfter = 1500 * time.Millisecond
+// SlowFirstFrameDelay is how late the first frame of a connection is while a service is slow. The next comes when one would have come anyway.
+const SlowFirstFrameDelay = 1500 * time.Millisecond
 
 // SetMode changes how the service treats connections: Mute those that there are too, Slow new ones alone; Down ends all.
 func (s *Service) SetMode(mode Mode) error {
@@ -45,12 +45,12 @@
 	return nil
 }
 
-// awaitFirstFrame waits until a connection in the present mode gets its first frame; false: the service has ended.
-func (s *Service) awaitFirstFrame() bool {
-	if s.present() != Slow {
+// delayFirstFrame waits until a connection in the present mode gets its first frame; false: the service has ended.
+func (s *Service) delayFirstFrame() bool {
+	if s.currentMode() != Slow {
 		return true
 	}
-	timer := time.NewTimer(FirstFrameAfter)
+	timer := time.NewTimer(SlowFirstFrameDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s *Service) present() Mode {
+func (s *Service) currentMode() Mode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.mode
--- a/standin/discovery/mode_test.go
+++ b/standin/discovery/mode_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("serving: %v", err)
 	}
 	set(Slow)
-	if took, err := first(connect(t, b), within); err != nil || took < FirstFrameAfter*9/10 {
+	if took, err := first(connect(t, b), within); err != nil || took < SlowFirstFrameDelay*9/10 {
 		t.Errorf("slow: the first frame after %v, %v", took, err)
 	}
 	set(Mute)
--- a/standin/discovery/server.go
+++ b/standin/discovery/server.go
@@ -20,15 +20,15 @@
 	kindPurgeObject = 3
 )
 
-// Server is one entry of the list.
-type Server struct {
-	ID      uint32
-	Addr    netip.AddrPort
-	State   byte // 0 ready, 1 draining, 2 gone
-	Zone    byte
-	Kind    byte
-	Weight  float64
-	Started int64 // Unix milliseconds; 0: long ago
+// Endpoint is one entry of the list.
+type Endpoint struct {
+	ID              uint32
+	Addr            netip.AddrPort
+	State           byte // 0 ready, 1 draining, 2 gone
+	Zone            byte
+	Kind            byte
+	Weight          float64
+	StartedAtMillis int64 // Unix milliseconds; 0: long ago
 }
 
 // Service holds events and sends them to whoever connects.
@@ -78,7 +78,7 @@
 }
 
 // Publish adds an event: a snapshot of the list of servers, or an update of some of them.
-func (s *Service) Publish(snapshot bool, servers ...Server) {
+func (s *Service) Publish(snapshot bool, servers ...Endpoint) {
 	kind := byte(kindUpdate)
 	if snapshot {
 		kind = kindSnapshot
@@ -90,13 +90,13 @@
 		body = binary.BigEndian.AppendUint16(append(body, ip[:]...), server.Addr.Port())
 		body = append(body, server.State, server.Zone, server.Kind, 0, 0)
 		body = binary.BigEndian.AppendUint32(body, uint32(server.Weight*1000))
-		body = binary.BigEndian.AppendUint64(body, uint64(server.Started))
+		body = binary.BigEndian.AppendUint64(body, uint64(server.StartedAtMillis))
 	}
 	s.add(kind, body)
 }
 
-// Purge adds an event that purges an object's copies made before ms (Unix milliseconds).
-func (s *Service) Purge(object uint64, ms int64) {
+// PublishPurge adds an event that purges an object's copies made before ms (Unix milliseconds).
+func (s *Service) PublishPurge(object uint64, ms int64) {
 	s.add(kindPurgeObject, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, object), uint64(ms)))
 }
 
@@ -153,7 +153,7 @@
 	s.mu.Lock()
 	s.watches++
 	s.mu.Unlock()
-	if !s.awaitFirstFrame() {
+	if !s.delayFirstFrame() {
 		return
 	}
 	next := int(binary.BigEndian.Uint64(last[:]))
@@ -174,7 +174,7 @@
 		select {
 		case <-changed:
 		case <-tick.C:
-			if s.present() == Mute {
+			if s.currentMode() == Mute {
 				continue
 			}
 			if _, err := c.Write(frame(uint64(next), kindHeartbeat, nil)); err != nil {
--- a/standin/link/link_test.go
+++ b/standin/link/link_test.go
@@ -20,7 +20,7 @@
 	var conns []*net.UDPConn
 	var listens []netip.AddrPort
 	for range 3 {
-		c, err := open()
+		c, err := listenUDP()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,12 +50,12 @@
 	}
 	say(0, m.Addr(1), "one")
 	hears(1, m.Addr(0), "one") // by the address under which it knows the sender
-	say(2, m.All(), "all")
+	say(2, m.BroadcastAddr(), "all")
 	hears(0, m.Addr(2), "all")
 	hears(1, m.Addr(2), "all")
 	// What is cut off does not come, and what is sent afterwards does: the first to arrive is the second that was sent.
-	for _, w := range []Conditions{{Groups: []int{0, 1, 0}}, {OneWay: map[[2]int]bool{{0, 1}: true}}, {Loss: 1}} {
-		if err := m.Set(w); err != nil {
+	for _, w := range []Conditions{{PartitionByRank: []int{0, 1, 0}}, {BlockedPaths: map[[2]int]bool{{0, 1}: true}}, {LossRate: 1}} {
+		if err := m.SetConditions(w); err != nil {
 			t.Fatal(err)
 		}
 		before := m.Counts()
@@ -63,17 +63,17 @@
 		for begin := time.Now(); m.Counts() == before && time.Since(begin) < within; {
 			time.Sleep(time.Millisecond)
 		}
-		if now := m.Counts(); now.Passed != before.Passed || now.Cut+now.Lost != before.Cut+before.Lost+1 {
+		if now := m.Counts(); now.Forwarded != before.Forwarded || now.Blocked+now.Lost != before.Blocked+before.Lost+1 {
 			t.Errorf("%+v: %+v, before %+v", w, now, before)
 		}
 	}
-	if err := m.Set(Conditions{OneWay: map[[2]int]bool{{0, 1}: true}, Double: 1, Delay: time.Millisecond}); err != nil {
+	if err := m.SetConditions(Conditions{BlockedPaths: map[[2]int]bool{{0, 1}: true}, DuplicateRate: 1, Delay: time.Millisecond}); err != nil {
 		t.Fatal(err)
 	}
 	say(1, m.Addr(0), "back")
 	hears(0, m.Addr(1), "back")
 	hears(0, m.Addr(1), "back")
-	if m.Set(Conditions{Groups: []int{1}}) == nil || m.Set(Conditions{Loss: 2}) == nil {
+	if m.SetConditions(Conditions{PartitionByRank: []int{1}}) == nil || m.SetConditions(Conditions{LossRate: 2}) == nil {
 		t.Error("conditions that can't be are taken")
 	}
 }
@@ -119,16 +119,16 @@
 	if err := echo(c, within); err != nil {
 		t.Fatal(err)
 	}
-	r.Set(State{Silent: true})
+	r.SetConditions(RelayConditions{Blackholes: true})
 	if err := echo(c, 100*time.Millisecond); err == nil {
 		t.Error("a silent machine answers")
 	}
-	r.Set(State{Cut: true})
+	r.SetConditions(RelayConditions{Resets: true})
 	c.SetReadDeadline(time.Now().Add(within))
 	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("%v on a connection that was cut, want a reset", err)
 	}
-	r.Set(State{Delay: time.Millisecond, KbPerS: 1000})
+	r.SetConditions(RelayConditions{Delay: time.Millisecond, KBPerSecond: 1000})
 	d := dial()
 	defer d.Close()
 	if err := echo(d, within); err != nil {
--- a/standin/link/relay.go
+++ b/standin/link/relay.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// State is what a Relay does with connections.
-type State struct {
-	Cut    bool          // refuses new ones, and resets those that there are
-	Silent bool          // takes bytes and gives none: a machine that vanished
-	Delay  time.Duration // of each piece, either way
-	KbPerS float64       // either way, of each connection; 0: as it comes
+// RelayConditions is what a Relay does with connections.
+type RelayConditions struct {
+	Resets      bool          // refuses new ones, and resets those that there are
+	Blackholes  bool          // takes bytes and gives none: a machine that vanished
+	Delay       time.Duration // of each piece, either way
+	KBPerSecond float64       // either way, of each connection; 0: as it comes
 }
 
 // Relay stands between clients and one server, connection by connection.
 type Relay struct {
-	l      net.Listener
-	target string
+	listener net.Listener
+	target   string
 
-	mu    sync.Mutex
-	state State
-	conns map[net.Conn]bool
-	dials []time.Time // of each connection asked for
-	bytes [2]int64    // to the server, and back
-	wg    sync.WaitGroup
+	mu               sync.Mutex
+	conditions       RelayConditions
+	conns            map[net.Conn]bool
+	dials            []time.Time // of each connection asked for
+	bytesByDirection [2]int64    // to the server, and back
+	goroutines       sync.WaitGroup
 }
 
 // NewRelay opens a relay to a server.
@@ -33,20 +33,20 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{l: l, target: target, conns: map[net.Conn]bool{}}
-	r.wg.Go(r.accept)
+	r := &Relay{listener: l, target: target, conns: map[net.Conn]bool{}}
+	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
 // Addr is where clients connect.
-func (r *Relay) Addr() string { return r.l.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Set changes what befalls connections, those that there are too.
-func (r *Relay) Set(s State) {
+// SetConditions changes what befalls connections, those that there are too.
+func (r *Relay) SetConditions(s RelayConditions) {
 	r.mu.Lock()
-	r.state = s
+	r.conditions = s
 	var cut []net.Conn
-	if s.Cut {
+	if s.Resets {
 		for c := range r.conns {
 			cut = append(cut, c)
 		}
@@ -61,11 +61,11 @@
 func (r *Relay) Counts() (dials []time.Time, open int, to, back int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]time.Time(nil), r.dials...), len(r.conns) / 2, r.bytes[0], r.bytes[1]
+	return append([]time.Time(nil), r.dials...), len(r.conns) / 2, r.bytesByDirection[0], r.bytesByDirection[1]
 }
 
-// MostDials is the greatest number of connections asked for within any d, of those after the first so many.
-func (r *Relay) MostDials(after int, d time.Duration) (most int) {
+// MaxDialsWithin is the greatest number of connections asked for within any d, of those after the first so many.
+func (r *Relay) MaxDialsWithin(after int, d time.Duration) (most int) {
 	dials, _, _, _ := r.Counts()
 	dials = dials[after:]
 	for i, j := 0, 0; i < len(dials); i++ {
@@ -79,9 +79,9 @@
 
 // Close ends the relay and its connections.
 func (r *Relay) Close() {
-	r.l.Close()
-	r.Set(State{Cut: true})
-	r.wg.Wait()
+	r.listener.Close()
+	r.SetConditions(RelayConditions{Resets: true})
+	r.goroutines.Wait()
 }
 
 // reset closes a connection so that its peer sees a reset.
@@ -92,21 +92,21 @@
 	c.Close()
 }
 
-func (r *Relay) now() State {
+func (r *Relay) currentConditions() RelayConditions {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state
+	return r.conditions
 }
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.l.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
 		r.dials = append(r.dials, time.Now())
-		cut := r.state.Cut
+		cut := r.conditions.Resets
 		r.mu.Unlock()
 		if cut {
 			reset(c)
@@ -119,14 +119,14 @@
 		}
 		r.mu.Lock()
 		r.conns[c], r.conns[s] = true, true
-		cut = r.state.Cut // set meanwhile
+		cut = r.conditions.Resets // set meanwhile
 		r.mu.Unlock()
 		if cut {
 			reset(c)
 			reset(s)
 		}
-		r.wg.Go(func() { r.pump(c, s, 0) })
-		r.wg.Go(func() { r.pump(s, c, 1) })
+		r.goroutines.Go(func() { r.pump(c, s, 0) })
+		r.goroutines.Go(func() { r.pump(s, c, 1) })
 	}
 }
 
@@ -134,7 +134,7 @@
 func (r *Relay) pump(from, to net.Conn, way int) {
 	defer func() {
 		end := net.Conn.Close
-		if r.now().Cut {
+		if r.currentConditions().Resets {
 			end = func(c net.Conn) error { reset(c); return nil }
 		}
 		_ = end(from)
@@ -150,20 +150,20 @@
 		if err != nil {
 			return
 		}
-		s := r.now()
-		if s.Silent {
+		s := r.currentConditions()
+		if s.Blackholes {
 			continue
 		}
 		wait := s.Delay
-		if s.KbPerS > 0 {
-			wait += time.Duration(float64(n) / 1000 / s.KbPerS * float64(time.Second))
+		if s.KBPerSecond > 0 {
+			wait += time.Duration(float64(n) / 1000 / s.KBPerSecond * float64(time.Second))
 		}
 		time.Sleep(wait)
 		if _, err := to.Write(buf[:n]); err != nil {
 			return
 		}
 		r.mu.Lock()
-		r.bytes[way] += int64(n)
+		r.bytesByDirection[way] += int64(n)
 		r.mu.Unlock()
 	}
 }
