--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -32,7 +32,7 @@
 	start     func(*exec.Cmd) error // starts the router; nil: as usual
 }
 
-// deployment is a router process among stand-ins, with the log of the requests that reached the depot caches.
+// deployment is a router process among stand-ins, with the log of the requests that reached the edge caches.
 type deployment struct {
 	t        *testing.T
 	plan     blueprint
