--- a/internal/msgpackrpc/departed.go
+++ b/internal/msgpackrpc/departed.go
@@ -24,11 +24,6 @@
 	socketEnded // a close, a half-close or a reset
 )
 
-// String returns the name of the state.
-func (s socketState) String() string {
-	return [...]string{socketEmpty: "empty", socketHasData: "has data", socketEnded: "ended"}[s]
-}
-
 // clientDeparted reports whether the client of a request has left, also where its reader has not run since then: a
 // router that is short of processor time finds the response of a server and the end of a client's stream at once, in
 // no order. ctx is the request's. It may block for some milliseconds.
--- a/internal/msgpackrpc/drain.go
+++ b/internal/msgpackrpc/drain.go
@@ -12,18 +12,7 @@
 // Drain drains the server until Rejoin: each connection is closed once no request is open on it, and requests that come
 // more than rejectAfter later are rejected. New connections are accepted, since the load balancer learns of it late,
 // and closed likewise.
-func (s *Server) Drain() {
-	s.mu.Lock()
-	if !s.draining {
-		s.draining = true
-		s.drainingSince = s.Clock.Now()
-	}
-	open := s.connections()
-	s.mu.Unlock()
-	for _, c := range open {
-		c.wake()
-	}
-}
+func (s *Server) Drain() { s.startDraining(false) }
 
 // Rejoin ends draining, unless the server is shutting down.
 func (s *Server) Rejoin() {
@@ -39,17 +28,26 @@
 	return s.draining && !s.shuttingDown
 }
 
-// shutdown drains the server for good, and returns once all connections are closed.
-func (s *Server) shutdown(serving *sync.WaitGroup) {
+// startDraining begins to drain the server, for good if it is for the shutdown, and returns the connections that are
+// open. The time of draining begins anew with the shutdown.
+func (s *Server) startDraining(isShutdown bool) []*conn {
 	s.mu.Lock()
+	if !s.draining || isShutdown {
+		s.drainingSince = s.Clock.Now()
+	}
 	s.draining = true
-	s.shuttingDown = true
-	s.drainingSince = s.Clock.Now()
+	s.shuttingDown = s.shuttingDown || isShutdown
 	open := s.connections()
 	s.mu.Unlock()
 	for _, c := range open {
 		c.wake()
 	}
+	return open
+}
+
+// shutdown drains the server for good, and returns once all connections are closed.
+func (s *Server) shutdown(serving *sync.WaitGroup) {
+	open := s.startDraining(true)
 	timeout := time.AfterFunc(clock.Duration(s.ShutdownTimeout), func() { s.closeRemaining(open) })
 	defer timeout.Stop()
 	serving.Wait()
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -78,6 +78,8 @@
 		m.id = id
 		rest = list[2:]
 	case isKind && m.kind == kindNotification && len(list) == notificationLength:
+	case isKind:
+		return m, fmt.Errorf("%w: %v of %d values", errMalformed, m.kind, len(list))
 	default:
 		return m, fmt.Errorf("%w: no request", errMalformed)
 	}
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -48,7 +48,7 @@
 }
 
 // readRest discards all that still comes, and returns its length and the error that ended it.
-func (l *fakeConn) readRest() (n int64, err error) { return io.Copy(io.Discard, l.in) }
+func (c *fakeConn) readRest() (n int64, err error) { return io.Copy(io.Discard, c.in) }
 
 // The DROP of an attempt is stuck behind another's write, and the server has responded since, so that it is not silent:
 // the connection must be closed before Cancel returns, or two attempts of the request could be out at once.
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -12,6 +12,20 @@
 	lastName string // the value of the field of this name extends to the end of the line; empty: none does
 }
 
+// forEach calls set for each pair, in order, until an error, which then names the field.
+func (f fields) forEach(set func(name, value string) error) error {
+	for f.text != "" {
+		name, value, err := f.next()
+		if err != nil {
+			return err
+		}
+		if err := set(name, value); err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+	}
+	return nil
+}
+
 // next removes the first pair and returns it.
 func (f *fields) next() (name, value string, err error) {
 	name, rest, isPair := strings.Cut(f.text, "=")
@@ -51,9 +65,6 @@
 	return false
 }
 
-// fieldError says which field has a value that can't be used.
-func fieldError(name string, err error) error { return fmt.Errorf("%s: %w", name, err) }
-
 // parseInt parses an integer into a field, which holds int64 or int.
 func parseInt[T ~int | ~int64](field *T, value string) error {
 	n, err := strconv.ParseInt(value, 10, 64)
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -173,16 +173,14 @@
 func parseBatch(text string) (*Batch, error) {
 	line := fields{text: text}
 	batch := &Batch{}
-	for rest := line; rest.text != ""; {
-		name, value, err := rest.next()
-		if err != nil {
-			return nil, err
-		}
+	err := line.forEach(func(name, value string) error {
 		if name == fieldTime {
-			if err := parseInt(&batch.Time, value); err != nil {
-				return nil, fieldError(name, err)
-			}
+			return parseInt(&batch.Time, value)
 		}
+		return nil
+	})
+	if err != nil {
+		return nil, err
 	}
 	return batch, line.require(fieldTime)
 }
@@ -254,11 +252,7 @@
 	if !message.IsStart && !message.IsStop && verb != verbMail && message.Event.Kind == 0 {
 		return message, 0, fmt.Errorf("unknown message %q", verb)
 	}
-	for rest := line; rest.text != ""; {
-		name, value, err := rest.next()
-		if err != nil {
-			return message, 0, err
-		}
+	err = line.forEach(func(name, value string) (err error) {
 		switch name {
 		case fieldInstance:
 			message.Instance = value
@@ -271,9 +265,10 @@
 		default:
 			err = setEventField(&message.Event, name, value)
 		}
-		if err != nil {
-			return message, 0, fieldError(name, err)
-		}
+		return err
+	})
+	if err != nil {
+		return message, 0, err
 	}
 	return message, endpointCount, line.require(requiredFields[verb]...)
 }
@@ -342,14 +337,9 @@
 
 // parseEndpoint parses an entry of the endpoint list.
 func parseEndpoint(line fields) (endpoint routing.Endpoint, err error) {
-	for rest := line; rest.text != ""; {
-		name, value, err := rest.next()
-		if err != nil {
-			return endpoint, err
-		}
-		if err := setEndpointField(&endpoint, name, value); err != nil {
-			return endpoint, fieldError(name, err)
-		}
+	err = line.forEach(func(name, value string) error { return setEndpointField(&endpoint, name, value) })
+	if err != nil {
+		return endpoint, err
 	}
 	if endpoint.Server == "" {
 		return endpoint, missingFieldError(fieldServer)
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -32,8 +32,8 @@
 	want := []routing.Event{
 		{Kind: routing.EventEndpoints, UpdateMode: "restored", Endpoints: []routing.Endpoint{
 			{Server: "1.2.3.4:5", Zone: "z", Kind: "box", Cell: 2, Status: "healthy", Weight: 1.5, StartedAt: 9}}},
-		{Kind: routing.EventRequest, RequestID: "ab", Class: "c", Object: "x", Timeout: 7, SizeKB: 6.5, PurgeGroup: 3, Chunk: 2,
-			IsClientRetry: true},
+		{Kind: routing.EventRequest, RequestID: "ab", Class: "c", Object: "x", Timeout: 7, SizeKB: 6.5, PurgeGroup: 3,
+			Chunk: 2, IsClientRetry: true},
 		{Kind: routing.EventOutcome, RequestID: "ab", Attempt: 1, Server: "n", Outcome: routing.OutcomeMiss, ResponseTime: 8,
 			IsFinal: true, CacheStatus: 4, UpstreamWait: 2, LoadReport: []float64{1, 0.5}},
 		{Kind: routing.EventPurge, PurgeGroup: 11, PurgeAge: 85},
