--- a/core/fleet/wire_compat_test.go
+++ b/core/fleet/wire_compat_test.go
@@ -2,32 +2,16 @@
 
 import (
 	"bytes"
-	"encoding/hex"
-	"os"
 	"reflect"
-	"strings"
 	"testing"
 
 	"spantack/core/lease"
+	"spantack/internal/testfixture"
 )
 
-// readPins reads testdata/wire_compat.txt: lines "name: hex", the bytes that the program wrote at commit e67ffc3.
-// Routers of that version read them, so no line is ever changed to suit a program.
-func readPins(t *testing.T) map[string][]byte {
-	t.Helper()
-	text, err := os.ReadFile("testdata/wire_compat.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	pins := map[string][]byte{}
-	for line := range strings.Lines(string(text)) {
-		name, digits, _ := strings.Cut(strings.TrimSpace(line), ": ")
-		if pins[name], err = hex.DecodeString(digits); err != nil || len(digits) == 0 {
-			t.Fatalf("line %q: %v", line, err)
-		}
-	}
-	return pins
-}
+// wireFixture holds recorded messages, a line each: the bytes that the program wrote at commit e67ffc3. Routers of
+// that version read them, so no line is ever changed to suit a program.
+const wireFixture = "testdata/wire_compat.txt"
 
 func TestWireCompat(t *testing.T) {
 	const sender = 0x05060708 // incarnation of each datagram here
@@ -81,20 +65,20 @@
 			Kind: lease.KindVoteAck, Stamp: 0x4b4c4d4e, IsElected: true,
 		}),
 	}
-	pins := readPins(t)
-	if len(pins) != len(cases) {
-		t.Errorf("%d fixtures, %d cases", len(pins), len(cases))
+	recorded := testfixture.HexLines(t, wireFixture)
+	if len(recorded) != len(cases) {
+		t.Errorf("%d fixtures, %d cases", len(recorded), len(cases))
 	}
 	kinds := map[messageKind]bool{}
 	for name, want := range cases {
 		kinds[want.kind] = true
 		t.Run(name, func(t *testing.T) {
 			want.rank, want.site, want.incarnation, want.sequence = 0x0102, 0x0304, sender, 0x090a0b0c
-			if got := want.append(nil); !bytes.Equal(got, pins[name]) {
-				t.Errorf("wrote %x, fixture %x", got, pins[name])
+			if got := want.append(nil); !bytes.Equal(got, recorded[name]) {
+				t.Errorf("wrote %x, fixture %x", got, recorded[name])
 			}
 			var got message
-			if err := got.parse(pins[name]); err != nil || !reflect.DeepEqual(got, want) {
+			if err := got.parse(recorded[name]); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("read %+v (%v), want %+v", got, err, want)
 			}
 		})
--- a/core/gossip/wire_compat_test.go
+++ b/core/gossip/wire_compat_test.go
@@ -2,33 +2,18 @@
 
 import (
 	"bytes"
-	"encoding/hex"
-	"os"
 	"reflect"
-	"strings"
 	"testing"
+
+	"spantack/internal/testfixture"
 )
 
-// readPins reads testdata/wire_compat.txt: lines "name: hex", the bytes that the program wrote at commit e67ffc3.
-// Routers of that version read them, so no line is ever changed to suit a program.
-func readPins(t *testing.T) map[string][]byte {
-	t.Helper()
-	text, err := os.ReadFile("testdata/wire_compat.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	pins := map[string][]byte{}
-	for line := range strings.Lines(string(text)) {
-		name, digits, _ := strings.Cut(strings.TrimSpace(line), ": ")
-		if pins[name], err = hex.DecodeString(digits); err != nil || len(digits) == 0 {
-			t.Fatalf("line %q: %v", line, err)
-		}
-	}
-	return pins
-}
+// wireFixture holds recorded messages, a line each: the bytes that the program wrote at commit e67ffc3. Routers of
+// that version read them, so no line is ever changed to suit a program.
+const wireFixture = "testdata/wire_compat.txt"
 
 func TestWireCompat(t *testing.T) {
-	pins := readPins(t)
+	recorded := testfixture.HexLines(t, wireFixture)
 	most := make([]uint32, MaxServersPerDatagram)
 	for i := range most {
 		most[i] = 0x0a0b0000 + uint32(i)
@@ -38,16 +23,16 @@
 			Overloaded: []uint32{0x00c41f7a}},
 		"most servers": {Rank: 65534, Site: 7, Incarnation: 1<<32 - 1, Sequence: 1, Overloaded: most},
 	}
-	if len(pins) != len(cases) {
-		t.Errorf("%d fixtures, %d cases", len(pins), len(cases))
+	if len(recorded) != len(cases) {
+		t.Errorf("%d fixtures, %d cases", len(recorded), len(cases))
 	}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got := want.Append(nil); !bytes.Equal(got, pins[name]) {
-				t.Errorf("wrote %x, fixture %x", got, pins[name])
+			if got := want.Append(nil); !bytes.Equal(got, recorded[name]) {
+				t.Errorf("wrote %x, fixture %x", got, recorded[name])
 			}
 			var got Message
-			if err := got.Parse(pins[name]); err != nil || !reflect.DeepEqual(got, want) {
+			if err := got.Parse(recorded[name]); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("read %+v (%v), want %+v", got, err, want)
 			}
 		})
