--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -21,7 +21,7 @@
 	maxOpenRequests    = 32                  // on one connection, as the protocol allows
 	maxQueuedResponses = 4 * maxOpenRequests // waiting to be written on one connection
 	requestOverhead    = 8 << 10             // bytes that an open request takes besides its body
-	connQuotaDivisor   = 8                   // MaxQueuedBytes divided by this is a connection's quota while memory is short
+	connQuotaDivisor   = 8                   // divisor of MaxQueuedBytes for the quota of a connection
 	readBufferSize     = 4 << 10             // bytes
 
 	firstMessageTimeout = 2_000  // for the first message: clients connect to send one at once
