--- a/internal/discovery/wire_compat_test.go
+++ b/internal/discovery/wire_compat_test.go
@@ -2,37 +2,22 @@
 
 import (
 	"bytes"
-	"encoding/hex"
 	"io"
 	"os"
 	"reflect"
-	"strings"
 	"testing"
 
 	"github.com/rs/zerolog"
 
 	"spantack/internal/clock"
 	"spantack/internal/router"
+	"spantack/internal/testfixture"
 	"spantack/internal/testwait"
 )
 
-// readPins reads testdata/wire_compat.txt: lines "name: hex", frames of the discovery service's protocol as the program
-// of commit e67ffc3 reads them, and what it sends. No line is ever changed to suit a program.
-func readPins(t *testing.T) map[string][]byte {
-	t.Helper()
-	text, err := os.ReadFile("testdata/wire_compat.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	pins := map[string][]byte{}
-	for line := range strings.Lines(string(text)) {
-		name, digits, _ := strings.Cut(strings.TrimSpace(line), ": ")
-		if pins[name], err = hex.DecodeString(digits); err != nil || len(digits) == 0 {
-			t.Fatalf("line %q: %v", line, err)
-		}
-	}
-	return pins
-}
+// wireFixture holds recorded messages, a line each: frames of the discovery service's protocol as the program of
+// commit e67ffc3 reads them, and what it sends. No line is ever changed to suit a program.
+const wireFixture = "testdata/wire_compat.txt"
 
 const watchPin = "watch after event 0102030405060708"
 
@@ -54,13 +39,13 @@
 		"purge of a group": {number: 6, kind: 4,
 			event: router.WatchEvent{Purge: &router.Purge{Group: 0x0111, Before: 1764576000480}}},
 	}
-	pins := readPins(t)
-	if len(pins) != len(cases)+1 { // watchPin
-		t.Errorf("%d fixtures, %d cases", len(pins), len(cases)+1)
+	recorded := testfixture.HexLines(t, wireFixture)
+	if len(recorded) != len(cases)+1 { // watchPin
+		t.Errorf("%d fixtures, %d cases", len(recorded), len(cases)+1)
 	}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
-			got, err := readFrame(bytes.NewReader(pins[name]), names)
+			got, err := readFrame(bytes.NewReader(recorded[name]), names)
 			if err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("read %+v (%v), want %+v", got, err, want)
 			}
@@ -70,7 +55,7 @@
 
 // What the router sends: the number of the last event applied.
 func TestWatchCompat(t *testing.T) {
-	want := readPins(t)[watchPin]
+	want := testfixture.HexLines(t, wireFixture)[watchPin]
 	l := testwait.Listen(t)
 	w := &Watcher{Names: names, LastApplied: 0x0102030405060708, Clock: clock.NewFake(0), Log: zerolog.Nop(),
 		Apply: func(router.WatchEvent) {}}
--- a/internal/msgpackrpc/wire_compat_test.go
+++ b/internal/msgpackrpc/wire_compat_test.go
@@ -6,9 +6,7 @@
 	"context"
 	"errors"
 	"net"
-	"os"
 	"reflect"
-	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -17,29 +15,16 @@
 
 	"spantack/internal/clock"
 	"spantack/internal/router"
+	"spantack/internal/testfixture"
 )
 
-// readPins reads testdata/wire_compat.txt: lines `name: "bytes"`, quoted as in Go, as the program of commit
-// e67ffc3 wrote or read them. Clients rely on them, so no line is ever changed to suit a program.
-func readPins(t *testing.T) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile("testdata/wire_compat.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	pins := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, quoted, _ := strings.Cut(strings.TrimSpace(line), ": ")
-		if pins[name], err = strconv.Unquote(quoted); err != nil {
-			t.Fatalf("line %q: %v", line, err)
-		}
-	}
-	return pins
-}
+// wireFixture holds recorded messages, a line each: as the program of commit e67ffc3 wrote or read them. Clients rely
+// on them, so no line is ever changed to suit a program.
+const wireFixture = "testdata/wire_compat.txt"
 
 func wantBytes(t *testing.T, name, got string) {
 	t.Helper()
-	if want := readPins(t)[name]; got != want || want == "" {
+	if want := testfixture.QuotedLines(t, wireFixture)[name]; got != want || want == "" {
 		t.Errorf("%s: wrote %+q", name, got)
 	}
 }
@@ -93,7 +78,7 @@
 
 // Each form of request that clients send is read to the values it had.
 func TestRequestsCompat(t *testing.T) {
-	pins := readPins(t)
+	recorded := testfixture.QuotedLines(t, wireFixture)
 	all := every()
 	bare := router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1}
 	text := router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1, Body: []byte("text")}
@@ -105,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newServerConn(router.Response{Outcome: router.Failed})
-			c.handle(t, pins[name])
+			c.handle(t, recorded[name])
 			got := <-c.asked
 			got.ClientDeparted = nil
 			if len(want.Body) == 0 {
@@ -123,7 +108,7 @@
 	c := newServerConn(router.Response{})
 	told := false
 	c.openRequests[1] = &openRequest{cancel: func() { told = true }}
-	if got := c.handle(t, readPins(t)["cancel of message 1"]); got != "" || !told || len(c.openRequests) != 0 {
+	if got := c.handle(t, testfixture.QuotedLines(t, wireFixture)["cancel of message 1"]); got != "" || !told || len(c.openRequests) != 0 {
 		t.Errorf("answer %+q, told %v, open %v", got, told, c.openRequests)
 	}
 }
@@ -139,12 +124,12 @@
 		"failed":                     {Outcome: router.Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wantBytes(t, name, newServerConn(a).handle(t, readPins(t)["request with all fields"]))
+			wantBytes(t, name, newServerConn(a).handle(t, testfixture.QuotedLines(t, wireFixture)["request with all fields"]))
 		})
 	}
 	t.Run("none", func(t *testing.T) {
 		c := newServerConn(router.Response{Outcome: router.NoResponse})
-		if got := c.handle(t, readPins(t)["request with all fields"]); got != "" {
+		if got := c.handle(t, testfixture.QuotedLines(t, wireFixture)["request with all fields"]); got != "" {
 			t.Errorf("a client that has left was written %+q", got)
 		}
 	})
@@ -176,7 +161,7 @@
 			} else { // room for the request, and none for its answer
 				sc.server.MaxQueuedBytes = requestOverhead + int64(len(every().Body)) + 99
 			}
-			wantBytes(t, name, sc.handle(t, readPins(t)[c.message]))
+			wantBytes(t, name, sc.handle(t, testfixture.QuotedLines(t, wireFixture)[c.message]))
 		})
 	}
 }
@@ -207,7 +192,7 @@
 			if !errors.Is(err, context.Canceled) {
 				t.Fatal(err)
 			}
-			request, found := strings.CutSuffix(w.text.String(), readPins(t)["cancel of message 1"])
+			request, found := strings.CutSuffix(w.text.String(), testfixture.QuotedLines(t, wireFixture)["cancel of message 1"])
 			if !found {
 				t.Errorf("no cancel behind the request: %+q", w.text.String())
 			}
@@ -233,7 +218,7 @@
 		"health, not ready":          {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v, err := readMessage(bufio.NewReader(strings.NewReader(readPins(t)[name])))
+			v, err := readMessage(bufio.NewReader(strings.NewReader(testfixture.QuotedLines(t, wireFixture)[name])))
 			done := make(chan result, 1)
 			c := &Client{openCalls: map[uint64]chan result{1: done}}
 			if err == nil {
--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -3,34 +3,19 @@
 import (
 	"bufio"
 	"io"
-	"os"
 	"reflect"
-	"strconv"
 	"strings"
 	"testing"
 
 	"spantack/internal/router"
+	"spantack/internal/testfixture"
 	"spantack/internal/testwait"
 	"spantack/routing"
 )
 
-// readPins reads testdata/wire_compat.txt: lines `name: "bytes"`, quoted as in Go, as the program of commit e67ffc3
-// wrote or read them. Caches rely on them, so no line is ever changed to suit a program.
-func readPins(t *testing.T) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile("testdata/wire_compat.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	pins := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, quoted, _ := strings.Cut(strings.TrimSpace(line), ": ")
-		if pins[name], err = strconv.Unquote(quoted); err != nil {
-			t.Fatalf("line %q: %v", line, err)
-		}
-	}
-	return pins
-}
+// wireFixture holds recorded messages, a line each: as the program of commit e67ffc3 wrote or read them. Caches rely
+// on them, so no line is ever changed to suit a program.
+const wireFixture = "testdata/wire_compat.txt"
 
 func TestCommandsCompat(t *testing.T) {
 	request := &router.Request{ID: "9b1f00000000c0de", Class: "report", Object: "7f3a9c21e0b4d655", Chunk: 3, PurgeGroup: 17,
@@ -46,7 +31,7 @@
 		"get, renews":         {Request: plain, FetchFlags: routing.FetchRevalidate},
 		"get, shortest times": {Request: plain, Timeout: 0.2, MaxAge: 0.2},
 	} {
-		if got := string(appendGet(nil, a)); got != readPins(t)[name] {
+		if got := string(appendGet(nil, a)); got != testfixture.QuotedLines(t, wireFixture)[name] {
 			t.Errorf("%s: wrote %+q", name, got)
 		}
 	}
@@ -59,7 +44,7 @@
 	pending, conn := sendFirst(pools, s)
 	conn.proveAlive(pools)
 	go pending.Cancel(true)
-	want := readPins(t)["drop"]
+	want := testfixture.QuotedLines(t, wireFixture)["drop"]
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(conn.in, got); err != nil || string(got) != want || want == "" {
 		t.Errorf("wrote %+q (%v)", got, err)
@@ -94,8 +79,8 @@
 		"answer ERR, FILL_FULL":    {Outcome: "err", CacheStatus: 9},
 		"answer ERR, ROOT_FAIL":    {Outcome: "err", CacheStatus: 10},
 	}
-	pins, answers := readPins(t), 0
-	for name := range pins {
+	recorded, answers := testfixture.QuotedLines(t, wireFixture), 0
+	for name := range recorded {
 		if strings.HasPrefix(name, "answer ") {
 			answers++
 		}
@@ -105,11 +90,11 @@
 	}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
-			parts, err := ReadArray(bufio.NewReader(strings.NewReader(pins[name])))
+			parts, err := ReadArray(bufio.NewReader(strings.NewReader(recorded[name])))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if again := string(AppendArray(nil, parts...)); again != pins[name] {
+			if again := string(AppendArray(nil, parts...)); again != recorded[name] {
 				t.Errorf("wrote %+q", again)
 			}
 			id, got, err := parseResponse(parts)
