--- a/core/fleet/lease_tree_test.go
+++ b/core/fleet/lease_tree_test.go
@@ -131,10 +131,10 @@
 
 func TestInvalidTree(t *testing.T) {
 	for want, options := range map[string]Options{
-		"LeaseTree.electors: 2, an odd number up to 15 is wanted": {
+		"lease tree: electors: 2, an odd number up to 15 is wanted": {
 			LeaseTree: &lease.Topology{Routers: 24, Electors: []int{0, 1}},
 		},
-		"LeaseTree.routers: 4, and this router has rank 5": {
+		"lease tree: routers: 4, and this router has rank 5": {
 			Rank: 5, LeaseTree: &lease.Topology{Routers: 4, Electors: []int{0}},
 		},
 	} {
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -119,21 +119,21 @@
 		return err
 	}
 	if len(o.Limits) > maxLimits {
-		return fmt.Errorf("Limits: %d, %d at most", len(o.Limits), maxLimits)
+		return fmt.Errorf("limits: %d, %d at most", len(o.Limits), maxLimits)
 	}
 	for i, limit := range o.Limits {
 		if err := limit.Validate(); err != nil {
-			return fmt.Errorf("Limits[%d].%w", i, err)
+			return fmt.Errorf("limits[%d].%w", i, err)
 		}
 	}
 	if o.LeaseTree == nil {
 		return nil
 	}
 	if err := o.LeaseTree.Validate(); err != nil {
-		return fmt.Errorf("LeaseTree.%w", err)
+		return fmt.Errorf("lease tree: %w", err)
 	}
 	if o.LeaseTree.Routers <= o.Rank {
-		return fmt.Errorf("LeaseTree.routers: %d, and this router has rank %d", o.LeaseTree.Routers, o.Rank)
+		return fmt.Errorf("lease tree: routers: %d, and this router has rank %d", o.LeaseTree.Routers, o.Rank)
 	}
 	return nil
 }
--- a/core/fleet/node_test.go
+++ b/core/fleet/node_test.go
@@ -11,19 +11,19 @@
 func TestInvalidOptions(t *testing.T) {
 	valid := Options{Rank: 1, FleetSize: 3, Sites: 2, Limits: []Limit{{Name: "a", Max: 1}}}
 	for want, change := range map[string]func(*Options){
-		"FleetSize: 0 is not 1 to 65536": func(o *Options) { o.FleetSize = 0 },
-		"Rank: 3 of 3":                   func(o *Options) { o.Rank = 3 },
-		"Sites: 0 is not 1 to 65536":     func(o *Options) { o.Sites = 0 },
-		"Site: 2 of 2":                   func(o *Options) { o.Site = 2 },
-		"Limits: 9, 8 at most":           func(o *Options) { o.Limits = make([]Limit, 9) },
-		"Limits[0].name: missing":        func(o *Options) { o.Limits = []Limit{{Max: 1}} },
-		"Limits[0].a: NaN is not above 0 to 1000000": func(o *Options) {
+		"fleet size: 0 is not 1 to 65536": func(o *Options) { o.FleetSize = 0 },
+		"rank: 3 of 3":                    func(o *Options) { o.Rank = 3 },
+		"sites: 0 is not 1 to 65536":      func(o *Options) { o.Sites = 0 },
+		"site: 2 of 2":                    func(o *Options) { o.Site = 2 },
+		"limits: 9, 8 at most":            func(o *Options) { o.Limits = make([]Limit, 9) },
+		"limits[0].name: missing":         func(o *Options) { o.Limits = []Limit{{Max: 1}} },
+		"limits[0].a: NaN is not above 0 to 1000000": func(o *Options) {
 			o.Limits = []Limit{{Name: "a", Max: math.NaN()}}
 		},
-		"Limits[0].floor: 2 is not 0 to 1": func(o *Options) {
+		"limits[0].floor: 2 is not 0 to 1": func(o *Options) {
 			o.Limits = []Limit{{Name: "a", Max: 1, FloorFraction: 2}}
 		},
-		"Limits[0].expiryMargin: 1500000 us is not 0 to less than 1500000": func(o *Options) {
+		"limits[0].expiryMargin: 1500000 us is not 0 to less than 1500000": func(o *Options) {
 			o.Limits = []Limit{{Name: "a", Max: 1, ExpiryMargin: leaseLifetime}}
 		},
 	} {
--- a/core/gossip/node.go
+++ b/core/gossip/node.go
@@ -62,13 +62,13 @@
 func ValidatePlacement(rank, fleetSize, site, sites int) error {
 	switch {
 	case fleetSize < 1 || fleetSize > maxFleetSize:
-		return fmt.Errorf("FleetSize: %d is not 1 to %d", fleetSize, maxFleetSize)
+		return fmt.Errorf("fleet size: %d is not 1 to %d", fleetSize, maxFleetSize)
 	case rank < 0 || rank >= fleetSize:
-		return fmt.Errorf("Rank: %d of %d", rank, fleetSize)
+		return fmt.Errorf("rank: %d of %d", rank, fleetSize)
 	case sites < 1 || sites > maxSites:
-		return fmt.Errorf("Sites: %d is not 1 to %d", sites, maxSites)
+		return fmt.Errorf("sites: %d is not 1 to %d", sites, maxSites)
 	case site < 0 || site >= sites:
-		return fmt.Errorf("Site: %d of %d", site, sites)
+		return fmt.Errorf("site: %d of %d", site, sites)
 	}
 	return nil
 }
--- a/core/gossip/node_test.go
+++ b/core/gossip/node_test.go
@@ -186,10 +186,10 @@
 
 func TestInvalidOptions(t *testing.T) {
 	for want, options := range map[string]Options{
-		"FleetSize: 65537 is not 1 to 65536": {FleetSize: 65537, Sites: 1},
-		"Rank: -1 of 4":                      {Rank: -1, FleetSize: 4, Sites: 1},
-		"Sites: 0 is not 1 to 65536":         {FleetSize: 4},
-		"Site: 3 of 3":                       {FleetSize: 4, Site: 3, Sites: 3},
+		"fleet size: 65537 is not 1 to 65536": {FleetSize: 65537, Sites: 1},
+		"rank: -1 of 4":                       {Rank: -1, FleetSize: 4, Sites: 1},
+		"sites: 0 is not 1 to 65536":          {FleetSize: 4},
+		"site: 3 of 3":                        {FleetSize: 4, Site: 3, Sites: 3},
 	} {
 		t.Run(want, func(t *testing.T) {
 			_, err := New(options)
--- a/core/lease/node.go
+++ b/core/lease/node.go
@@ -101,7 +101,7 @@
 		return err
 	}
 	if o.Rank < 0 || o.Rank >= o.Topology.Routers {
-		return fmt.Errorf("Rank: %d of %d", o.Rank, o.Topology.Routers)
+		return fmt.Errorf("rank: %d of %d", o.Rank, o.Topology.Routers)
 	}
 	return nil
 }
--- a/core/lease/node_test.go
+++ b/core/lease/node_test.go
@@ -15,7 +15,7 @@
 	}
 	for want, change := range map[string]func(*Options){
 		"routers: 0":            func(o *Options) { o.Topology.Routers = 0 },
-		"Rank: 8 of 8":          func(o *Options) { o.Rank = 8 },
+		"rank: 8 of 8":          func(o *Options) { o.Rank = 8 },
 		"groups: 4 levels":      func(o *Options) { o.Topology.GroupSizes = []int{2, 4, 8, 16} },
 		"groups[1]: 3 is not":   func(o *Options) { o.Topology.GroupSizes = []int{2, 3} },
 		"groups[0]: 1 is not":   func(o *Options) { o.Topology.GroupSizes = []int{1} },
