--- a/standin/discovery/mode.go
+++ b/standin/discovery/mode.go
@@ -20,32 +20,35 @@
 // String names the mode.
 func (m Mode) String() string { return [...]string{"serving", "slow", "mute", "down"}[m] }
 
-// SlowFirstFrameDelay is how late the first frame of a connection is while a service is slow. The next comes when one would have come anyway.
+// SlowFirstFrameDelay is how late the first frame of a connection is while a service is slow. The next comes when one
+// would have come anyway.
 const SlowFirstFrameDelay = 1500 * time.Millisecond
 
-// SetMode changes how the service treats connections: Mute those that there are too, Slow new ones alone; Down ends all.
+// SetMode changes how the service treats connections. Mute applies to open ones too, Slow to new ones alone; Down
+// closes all. It fails if the service can't listen again, and then stays down.
 func (s *Service) SetMode(mode Mode) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.mode == Down && mode != Down {
-		l, err := net.Listen("tcp", s.addr)
+		listener, err := net.Listen("tcp", s.addr)
 		if err != nil {
 			return fmt.Errorf("mode %v: %w", mode, err)
 		}
-		s.listener = l
-		s.goroutines.Go(func() { s.accept(l) })
+		s.listener = listener
+		s.goroutines.Go(func() { s.accept(listener) })
 	}
 	if s.mode != Down && mode == Down {
 		s.listener.Close()
-		for c := range s.conns {
-			c.Close()
+		for conn := range s.conns {
+			conn.Close()
 		}
 	}
 	s.mode = mode
 	return nil
 }
 
-// delayFirstFrame waits until a connection in the present mode gets its first frame; false: the service has ended.
+// delayFirstFrame waits until a connection that was made in the current mode gets its first frame. It returns false if
+// the service ends meanwhile.
 func (s *Service) delayFirstFrame() bool {
 	if s.currentMode() != Slow {
 		return true
--- a/standin/discovery/mode_test.go
+++ b/standin/discovery/mode_test.go
@@ -9,78 +9,86 @@
 	"time"
 
 	"go.uber.org/goleak"
+
+	"spantack/internal/testwait"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// within ends a wait for what never comes.
-const within = 10 * time.Second
+// silentWait is how long a connection must get nothing to count as mute: longer than heartbeatInterval.
+const silentWait = 1200 * time.Millisecond
 
-// connect opens a connection and asks for all events.
-func connect(t *testing.T, b *Service) net.Conn {
+// start starts a service that ends with the test.
+func start(t *testing.T) *Service {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", b.Addr(), within)
+	s, err := Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	if _, err := c.Write(make([]byte, 8)); err != nil {
+	t.Cleanup(s.Close)
+	return s
+}
+
+// connect opens a connection and asks for all events.
+func connect(t *testing.T, s *Service) net.Conn {
+	t.Helper()
+	conn := testwait.Dial(t, s.Addr())
+	if _, err := conn.Write(make([]byte, lastEventSize)); err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return conn
 }
 
-// first waits a while for a connection's first byte and returns how long that took.
-func first(c net.Conn, wait time.Duration) (time.Duration, error) {
-	begin := time.Now()
-	c.SetReadDeadline(begin.Add(wait))
-	_, err := io.ReadFull(c, make([]byte, 1))
-	return time.Since(begin), err
+// firstByte waits for a connection's first byte and returns how long that took.
+func firstByte(conn net.Conn, limit time.Duration) (time.Duration, error) {
+	startedAt := time.Now()
+	conn.SetReadDeadline(startedAt.Add(limit))
+	_, err := io.ReadFull(conn, make([]byte, 1))
+	return time.Since(startedAt), err
 }
 
+// One service goes through its modes, with connections that stay open over several.
 func TestModes(t *testing.T) {
-	b, err := Listen()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer b.Close()
-	b.Publish(true)
-	set := func(mode Mode) {
+	s := start(t)
+	s.Publish(true)
+	setMode := func(mode Mode) {
 		t.Helper()
-		if err := b.SetMode(mode); err != nil {
+		if err := s.SetMode(mode); err != nil {
 			t.Fatal(err)
 		}
 	}
-	open := connect(t, b)
-	if _, err := first(open, within); err != nil {
+	open := connect(t, s)
+	if _, err := firstByte(open, testwait.Limit); err != nil {
 		t.Errorf("serving: %v", err)
 	}
-	set(Slow)
-	if took, err := first(connect(t, b), within); err != nil || took < SlowFirstFrameDelay*9/10 {
+	setMode(Slow)
+	took, err := firstByte(connect(t, s), testwait.Limit)
+	if err != nil || took < SlowFirstFrameDelay*9/10 {
 		t.Errorf("slow: the first frame after %v, %v", took, err)
 	}
-	set(Mute)
-	muted := connect(t, b)
-	if _, err := first(muted, 1200*time.Millisecond); !isTimeout(err) { // an empty frame would have come
+	setMode(Mute)
+	muted := connect(t, s)
+	if _, err := firstByte(muted, silentWait); !isTimeout(err) { // a heartbeat would have come
 		t.Errorf("mute: %v", err)
 	}
-	set(Serving)
-	if _, err := first(muted, within); err != nil {
+	setMode(Serving)
+	if _, err := firstByte(muted, testwait.Limit); err != nil {
 		t.Errorf("no longer mute: %v", err)
 	}
-	set(Down)
-	open.SetReadDeadline(time.Now().Add(within))
+	setMode(Down)
+	open.SetReadDeadline(time.Now().Add(testwait.Limit))
 	if _, err := io.Copy(io.Discard, open); isTimeout(err) {
 		t.Error("down: an open connection is left open")
 	}
-	if c, err := net.DialTimeout("tcp", b.Addr(), within); !errors.Is(err, syscall.ECONNREFUSED) {
+	conn, err := net.DialTimeout("tcp", s.Addr(), testwait.Limit)
+	if !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("down: %v", err)
 		if err == nil {
-			c.Close()
+			conn.Close()
 		}
 	}
-	set(Serving)
-	if _, err := first(connect(t, b), within); err != nil {
+	setMode(Serving)
+	if _, err := firstByte(connect(t, s), testwait.Limit); err != nil {
 		t.Errorf("back: %v", err)
 	}
 }
--- /dev/null
+++ b/standin/discovery/service.go
@@ -0,0 +1,192 @@
+// Package discovery is a scripted discovery service for tests and experiments: numbered watch events over TCP, as the
+// protocol of the real service describes them, and the ways in which that service fails.
+package discovery
+
+import (
+	"encoding/binary"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"spantack/internal/loopback"
+)
+
+// heartbeatInterval is the time between the heartbeats of a connection.
+const heartbeatInterval = time.Second
+
+// Service holds events and sends them to all who connect. It is safe for concurrent use.
+type Service struct {
+	addr       string
+	goroutines sync.WaitGroup
+	done       chan struct{} // closed by Close
+
+	mu       sync.Mutex   // guards the fields below
+	listener net.Listener // closed while the service is down
+	mode     Mode
+	conns    map[net.Conn]bool // the open ones
+	watches  int               // connections that have asked for events so far
+	frames   [][]byte          // that of event n at n-1
+	changed  chan struct{}     // closed, and replaced, when an event is added
+}
+
+// Listen starts a discovery service on loopback, at a host part of its own: a port of 127.0.0.1 might be taken by
+// another connection while the service is down. The caller ends it with Close.
+func Listen() (*Service, error) {
+	listener, err := net.Listen("tcp", loopback.FreeAddress())
+	if err != nil {
+		return nil, err
+	}
+	s := &Service{
+		addr:     listener.Addr().String(),
+		listener: listener,
+		conns:    map[net.Conn]bool{},
+		changed:  make(chan struct{}),
+		done:     make(chan struct{}),
+	}
+	s.goroutines.Go(func() { s.accept(listener) })
+	return s, nil
+}
+
+// Addr returns the address that routers connect to, the same for the service's life.
+func (s *Service) Addr() string { return s.addr }
+
+// Close ends the service and its connections, and returns once all its goroutines have ended. It is called once.
+func (s *Service) Close() {
+	close(s.done)
+	s.mu.Lock()
+	s.listener.Close()
+	s.mu.Unlock()
+	s.goroutines.Wait()
+}
+
+// Watches returns how many connections have asked for events so far.
+func (s *Service) Watches() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.watches
+}
+
+// Publish adds an event: a snapshot of the endpoint list, which replaces it, or an update of some of its entries.
+func (s *Service) Publish(isSnapshot bool, endpoints ...Endpoint) {
+	kind := kindUpdate
+	if isSnapshot {
+		kind = kindSnapshot
+	}
+	var payload []byte
+	for _, endpoint := range endpoints {
+		payload = appendEndpoint(payload, endpoint)
+	}
+	s.add(kind, payload)
+}
+
+// PublishPurge adds an event that purges the copies of an object that were made before a Unix time in milliseconds.
+func (s *Service) PublishPurge(object uint64, beforeMillis int64) {
+	payload := binary.BigEndian.AppendUint64(nil, object)
+	s.add(kindPurgeObject, binary.BigEndian.AppendUint64(payload, uint64(beforeMillis)))
+}
+
+// add appends an event and wakes up all connections.
+func (s *Service) add(kind frameKind, payload []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.frames = append(s.frames, encodeFrame(uint64(len(s.frames)+1), kind, payload))
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// accept serves each connection in a goroutine of its own until the listener is closed.
+func (s *Service) accept(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		s.register(conn)
+		s.goroutines.Go(func() {
+			s.serve(conn)
+			s.unregister(conn)
+		})
+	}
+}
+
+// register notes a connection, and closes it if the service was taken down meanwhile.
+func (s *Service) register(conn net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conns[conn] = true
+	if s.mode == Down {
+		conn.Close()
+	}
+}
+
+func (s *Service) unregister(conn net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, conn)
+}
+
+// serve reads the number of the last event that a router has, and sends what comes after that.
+func (s *Service) serve(conn net.Conn) {
+	defer conn.Close()
+	served := make(chan struct{})
+	defer close(served)
+	s.goroutines.Go(func() { // ends a read or write that is blocked when the service ends
+		select {
+		case <-s.done:
+			conn.Close()
+		case <-served:
+		}
+	})
+	var lastEvent [lastEventSize]byte
+	if _, err := io.ReadFull(conn, lastEvent[:]); err != nil {
+		return
+	}
+	s.mu.Lock()
+	s.watches++
+	s.mu.Unlock()
+	if s.delayFirstFrame() {
+		s.watch(conn, int(binary.BigEndian.Uint64(lastEvent[:])))
+	}
+}
+
+// watch sends all events after the one with number sent, as they come, and heartbeats. It returns when the service or
+// the connection ends.
+func (s *Service) watch(conn net.Conn, sent int) {
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
+	for {
+		events, last, changed := s.eventsAfter(sent)
+		if _, err := conn.Write(events); err != nil {
+			return
+		}
+		sent = last
+		select {
+		case <-changed:
+		case <-heartbeat.C:
+			if s.currentMode() == Mute {
+				continue
+			}
+			if _, err := conn.Write(encodeFrame(uint64(sent), kindHeartbeat, nil)); err != nil {
+				return
+			}
+		case <-s.done:
+			return
+		}
+	}
+}
+
+// eventsAfter returns the frames to send to a connection that has all events up to the one with number sent, the number
+// of the last of them, and a channel that is closed when there are more. While the service is mute there are none to
+// send.
+func (s *Service) eventsAfter(sent int) (events []byte, last int, changed <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	last = sent
+	if s.mode != Mute {
+		for ; last < len(s.frames); last++ {
+			events = append(events, s.frames[last]...)
+		}
+	}
+	return events, last, s.changed
+}
