--- /dev/null
+++ b/emulator/attempts.go
@@ -0,0 +1,289 @@
+package emulator
+
+import "spantack/routing"
+
+// serverAttempt is one attempt of a router at a server. Its place is freed when the router has its outcome or drops
+// it.
+type serverAttempt struct {
+	generation        uint32
+	request           int32
+	requestGeneration uint32
+	server            int32
+	source            int32 // of the fill, if the server has no copy; -1: none
+	site              int32 // of the router
+	cachedOnly        bool  // the source may not fetch
+	maxAge            int64 // of a copy; 0: any
+	sentAt            int64
+	fillStartedAt     int64 // when the server sent to the source; 0: it has not
+
+	outcome      routing.AttemptOutcome
+	cacheStatus  routing.CacheStatus
+	upstreamWait int64 // what the answer took beyond its sending
+	producedAt   int64 // when the origin sent the copy
+
+	links           [attemptSegments]int32 // on which its data is; -1: none
+	activeTransfers int                    // on links
+	fetch           int32                  // of the parent, that it waits for; -1: none
+
+	atServer        bool // it arrived there and has not ended
+	countedActive   bool // among the server's active ones
+	countedFilling  bool // among the server's fills
+	countedAtSource bool // among the source's active ones
+}
+
+// noLinks is serverAttempt.links of an attempt whose data is on no link.
+var noLinks = [attemptSegments]int32{-1, -1, -1, -1}
+
+// operationOf returns the operation that an attempt is for.
+func (w *World) operationOf(attempt *serverAttempt) *clientOperation {
+	return &w.operations[w.requests[attempt.request].operation]
+}
+
+// sendAttempt sends an attempt to a server.
+func (w *World) sendAttempt(requestID int32, action routing.Action) {
+	request := &w.requests[requestID]
+	if request.attempt >= 0 {
+		w.result.violation(violationTwoAttemptsOut)
+		return
+	}
+	server := w.serverNamed(action.Server)
+	source := int32(-1)
+	if action.Source != "" && action.Source != action.Server {
+		source = w.serverNamed(action.Source)
+	}
+	id := allocate(&w.attempts, &w.freeAttempts)
+	attempt := &w.attempts[id]
+	*attempt = serverAttempt{
+		generation:        attempt.generation + 1,
+		request:           requestID,
+		requestGeneration: request.generation,
+		server:            server,
+		source:            source,
+		site:              int32(w.routers[request.router].site),
+		cachedOnly:        action.FetchFlags&routing.FetchCachedOnly != 0,
+		maxAge:            action.MaxAge,
+		sentAt:            w.now,
+		links:             noLinks,
+		fetch:             -1,
+	}
+	request.attempt = id
+	request.attemptNumber++
+	w.result.Attempts++
+	noticeAt, isDrained := w.servers[server].drainNoticeAt[request.router]
+	if isDrained && w.now > noticeAt+drainGracePeriod {
+		w.result.violation(violationDrainedServer)
+	}
+	w.pushForAttempt(id, eventAtServer, w.networkDelay(attempt.site, &w.servers[server]))
+	w.pushForAttempt(id, eventAttemptTimeout, min(action.Timeout, max(request.deadline-w.now, 1)))
+}
+
+// pushForAttempt pushes an event that an attempt is the target of.
+func (w *World) pushForAttempt(id int32, kind eventKind, delay int64) {
+	w.push(event{time: w.now + delay, kind: kind, target: id, generation: w.attempts[id].generation})
+}
+
+// arriveAtServer lets an attempt arrive at its server, which answers, fills, rejects or fails.
+func (w *World) arriveAtServer(id int32) {
+	attempt := &w.attempts[id]
+	server := &w.servers[attempt.server]
+	request := &w.requests[attempt.request]
+	if !server.running {
+		w.endAttempt(id, routing.OutcomeConnectionRefused, routing.CacheStatusUnknown)
+		return
+	}
+	request.attemptsAtServers++
+	if request.attemptsAtServers > 1 {
+		w.result.violation(violationTwoAttemptsAtServers)
+	}
+	attempt.atServer = true
+	operation := &w.operations[request.operation]
+	if outcome, status, fails := w.serverFailure(server, operation); fails {
+		w.endAttempt(id, outcome, status)
+		return
+	}
+	if server.active >= server.maxActive {
+		w.endAttempt(id, routing.OutcomeRejected, routing.CacheStatusUnknown)
+		return
+	}
+	if !w.acceptsWarmUpLoad(attempt.server, operation.sizeKB, request.router) {
+		return
+	}
+	server.active++
+	attempt.countedActive = true
+	if server.kind == originServer {
+		w.answerFromOrigin(id, attempt.server)
+		return
+	}
+	w.answerFromCache(id, server, operation)
+}
+
+// serverFailure tells how a server fails an operation by itself, if it does: a release's harmful object, or a poisoned
+// tenant.
+func (w *World) serverFailure(
+	server *simulatedServer, operation *clientOperation,
+) (outcome routing.AttemptOutcome, status routing.CacheStatus, fails bool) {
+	isCache := server.kind == cacheServer
+	if operation.release && !w.config.Release.ReplacesObjects && isCache && w.isHarmful(operation) {
+		return routing.OutcomeError, routing.CacheStatusUnknown, true
+	}
+	poison := w.poisonKind(operation.tenant)
+	switch {
+	case poison == PoisonError && isCache:
+		return routing.OutcomeError, routing.CacheStatusUnknown, true
+	case poison == PoisonGarbled && isCache:
+		return routing.OutcomeConnectionReset, routing.CacheStatusUnknown, true
+	case poison == PoisonOrigin && server.kind == originServer:
+		return routing.OutcomeError, routing.OriginFailed, true
+	}
+	return "", routing.CacheStatusUnknown, false
+}
+
+// answerFromOrigin lets the origin, a server or a source, send what an attempt is for.
+func (w *World) answerFromOrigin(id, origin int32) {
+	w.attempts[id].producedAt = w.now
+	w.result.originFill(w, w.sizeKB(id))
+	w.sendFrom(id, origin)
+}
+
+// answerFromCache lets an edge cache or a parent look up what an attempt is for, and answer or fill.
+func (w *World) answerFromCache(id int32, server *simulatedServer, operation *clientOperation) {
+	attempt := &w.attempts[id]
+	producedAt, isHit := server.store.get(w.chunkKey(id), w.minProducedAt(attempt, attempt.server))
+	isHit = isHit && operation.class != classReport // reports run at the origin, whichever way they take
+	w.result.cacheLookup(server, attempt.server, operation, isHit)
+	switch {
+	case isHit && server.kind == cacheServer:
+		attempt.producedAt = producedAt
+		attempt.cacheStatus = routing.CacheHit
+		w.startTransfer(id, server.link, operation.sizeKB, segmentToRouter)
+	case isHit:
+		attempt.producedAt = producedAt
+		attempt.cacheStatus = routing.CacheHit
+		w.sendFrom(id, attempt.server)
+	case attempt.source < 0:
+		w.endAttempt(id, routing.OutcomeMiss, routing.CacheStatusUnknown)
+	case server.kind == parentServer:
+		attempt.cacheStatus = routing.FilledFromOrigin
+		w.joinFetch(attempt.server, id)
+	case server.fills >= fillsPerStream*int(server.streams):
+		w.endAttempt(id, routing.OutcomeRejected, routing.FillsExhausted)
+	default:
+		server.fills++
+		attempt.countedFilling = true
+		attempt.fillStartedAt = w.now
+		w.pushForAttempt(id, eventAtSource, w.networkDelay(attempt.site, &w.servers[attempt.source]))
+	}
+}
+
+// endAttempt ends an attempt at its server. The router has the outcome after the way back.
+func (w *World) endAttempt(id int32, outcome routing.AttemptOutcome, status routing.CacheStatus) {
+	attempt := &w.attempts[id]
+	attempt.outcome = outcome
+	attempt.cacheStatus = status
+	w.releaseAttempt(id)
+	w.pushForAttempt(id, eventAttemptOutcome, w.networkDelay(attempt.site, &w.servers[attempt.server]))
+}
+
+// releaseAttempt gives back all that an attempt takes at servers and on links.
+func (w *World) releaseAttempt(id int32) {
+	attempt := &w.attempts[id]
+	if attempt.atServer {
+		attempt.atServer = false
+		if request := &w.requests[attempt.request]; request.generation == attempt.requestGeneration {
+			request.attemptsAtServers--
+		}
+	}
+	if attempt.countedActive {
+		attempt.countedActive = false
+		w.servers[attempt.server].active--
+	}
+	if attempt.countedFilling {
+		attempt.countedFilling = false
+		w.servers[attempt.server].fills--
+	}
+	if attempt.countedAtSource {
+		attempt.countedAtSource = false
+		w.servers[attempt.source].active--
+	}
+	w.removeTransfers(attempt)
+	fetchID := attempt.fetch
+	attempt.fetch = -1
+	if fetchID >= 0 && w.config.CancelsAbandonedFetches {
+		w.cancelIfAbandoned(fetchID)
+	}
+}
+
+// freeAttempt releases an attempt and its place.
+func (w *World) freeAttempt(id int32) {
+	w.releaseAttempt(id)
+	w.attempts[id].generation++
+	w.freeAttempts = append(w.freeAttempts, id)
+}
+
+// attemptOutcome lets an outcome reach the router, and with it the response, if there is one.
+func (w *World) attemptOutcome(id int32) {
+	attempt := w.attempts[id]
+	w.freeAttempt(id)
+	if !w.detachAttempt(id, &attempt) {
+		return
+	}
+	request := &w.requests[attempt.request]
+	if attempt.outcome == routing.OutcomeServed {
+		request.served = true
+		w.checkRelease(&attempt)
+		w.checkPurges(&attempt)
+		w.answerRequest(attempt.request, routing.Action{Kind: routing.ActionSend})
+	}
+	w.stepRouter(request.router, routing.Event{
+		Kind:         routing.EventOutcome,
+		RequestID:    request.callID,
+		Attempt:      int(request.attemptNumber),
+		Server:       w.servers[attempt.server].name,
+		Outcome:      attempt.outcome,
+		CacheStatus:  attempt.cacheStatus,
+		ResponseTime: w.now - attempt.sentAt,
+		UpstreamWait: attempt.upstreamWait,
+		IsFinal:      attempt.outcome == routing.OutcomeServed,
+		LoadReport:   w.linkLoadReport(int(attempt.site)),
+	})
+}
+
+// dropAttempt gives an attempt up at the router, which did not wait for its outcome.
+func (w *World) dropAttempt(id int32, outcome routing.AttemptOutcome) {
+	attempt := w.attempts[id]
+	w.freeAttempt(id)
+	if !w.detachAttempt(id, &attempt) {
+		return
+	}
+	request := &w.requests[attempt.request]
+	w.stepRouter(request.router, routing.Event{
+		Kind:         routing.EventOutcome,
+		RequestID:    request.callID,
+		Attempt:      int(request.attemptNumber),
+		Server:       w.servers[attempt.server].name,
+		Outcome:      outcome,
+		ResponseTime: w.now - attempt.sentAt,
+	})
+}
+
+// cancelAttempt drops the attempt that an action names, if it is still out.
+func (w *World) cancelAttempt(action routing.Action) {
+	requestID := w.requestByCallID(action.RequestID)
+	if requestID < 0 {
+		return
+	}
+	request := &w.requests[requestID]
+	if request.attempt >= 0 && request.attemptNumber == int32(action.Attempt) {
+		w.dropAttempt(request.attempt, routing.OutcomeCanceled)
+	}
+}
+
+// detachAttempt takes an attempt off its request; false: the request is over, or has another attempt.
+func (w *World) detachAttempt(id int32, attempt *serverAttempt) bool {
+	request := &w.requests[attempt.request]
+	if request.generation != attempt.requestGeneration || request.attempt != id {
+		return false
+	}
+	request.attempt = -1
+	return true
+}
--- /dev/null
+++ b/emulator/cell_gauges.go
@@ -0,0 +1,160 @@
+package emulator
+
+import (
+	"math"
+	"slices"
+
+	"spantack/routing"
+)
+
+// cellGauge measures one cell of one site over gaugeWindow: its fills, and how busy its caches are.
+type cellGauge struct {
+	fills       []receivedWork
+	fillKB      float64 // sum of fills
+	utilization [gaugeWindow / sampleInterval]float64
+	nextSample  int // in utilization
+}
+
+const (
+	gaugeWindow    = 3 * second
+	sampleInterval = 100 * millisecond
+)
+
+// recordCellFill counts a fill of an edge cache, and measures what part of its cell's share of the site's link the
+// cell's fills take.
+func (w *World) recordCellFill(attempt *serverAttempt, site int, sizeKB float64) {
+	server := &w.servers[attempt.server]
+	if server.kind != cacheServer || w.cellGauges == nil || server.status == routing.EndpointRemoved {
+		return
+	}
+	cell := w.cellOfCache(attempt.server)
+	if cell < 0 {
+		return
+	}
+	gauge := w.cellGauge(site, cell)
+	for len(gauge.fills) > 0 && gauge.fills[0].receivedAt < w.now-gaugeWindow {
+		gauge.fillKB -= gauge.fills[0].sizeKB
+		gauge.fills = gauge.fills[1:]
+	}
+	gauge.fills = append(gauge.fills, receivedWork{receivedAt: w.now, sizeKB: sizeKB})
+	gauge.fillKB += sizeKB
+	if w.now >= w.result.countFrom {
+		share := w.config.Cells.Cells[cell].Share
+		maxKB := share * w.config.siteLinkKBPerSecond() * float64(gaugeWindow) / float64(second)
+		w.result.MaxCellFill = max(w.result.MaxCellFill, gauge.fillKB/maxKB)
+	}
+}
+
+func (w *World) cellGauge(site, cell int) *cellGauge {
+	return &w.cellGauges[site*len(w.config.Cells.Cells)+cell]
+}
+
+// cellOfCache returns the cell that an edge cache belongs to by the endpoint list as it is, or -1. Routers may see it
+// a little later.
+func (w *World) cellOfCache(id int32) int {
+	server := &w.servers[id]
+	if version := len(w.endpointChanges); server.cellVersion != version {
+		w.assignCells(server.site, version)
+		if server.cellVersion != version { // it has left the site
+			server.cell = -1
+			server.cellVersion = version
+		}
+	}
+	return int(server.cell)
+}
+
+// assignCells divides a site's edge caches among the cells, as routers do.
+func (w *World) assignCells(site, version int) {
+	var names []string
+	byName := map[string]*simulatedServer{}
+	for _, id := range w.cachesBySite[site] {
+		cache := &w.servers[id]
+		cache.cell = -1
+		cache.cellVersion = version
+		names = append(names, cache.name)
+		byName[cache.name] = cache
+	}
+	slices.Sort(names)
+	for cell, members := range w.config.Cells.CachesByCell(names) {
+		for _, name := range members {
+			byName[name].cell = int32(cell)
+		}
+	}
+}
+
+// sampleCells measures how busy each cell is: the answers open at its caches, those that wait for a fill too, over
+// what the caches can send at once at their age.
+func (w *World) sampleCells() {
+	if w.cellGauges == nil {
+		return
+	}
+	count := len(w.config.Cells.Cells)
+	open := make([]float64, count)
+	streams := make([]float64, count)
+	for site := range w.config.Sites {
+		clear(open)
+		clear(streams)
+		for _, id := range w.cachesBySite[site] {
+			server, cell := &w.servers[id], w.cellOfCache(id)
+			if cell < 0 || !server.running {
+				continue
+			}
+			open[cell] += float64(server.active)
+			streams[cell] += w.cacheCapacity(server) * server.streams
+		}
+		for cell := range count {
+			w.cellGauge(site, cell).addSample(open[cell] / max(streams[cell], 1))
+			if w.now >= w.result.countFrom+gaugeWindow {
+				w.result.MaxCellUtilization = max(w.result.MaxCellUtilization, w.cellGauge(site, cell).meanUtilization())
+			}
+		}
+	}
+}
+
+// cacheCapacity returns the part of its capacity that an edge cache has at its age.
+func (w *World) cacheCapacity(server *simulatedServer) float64 {
+	age := w.now - server.startedAt
+	if server.startedAt == 0 || age >= int64(cacheWarmUpTime) {
+		return 1
+	}
+	return cacheInitialCapacity + (1-cacheInitialCapacity)*float64(age)/float64(cacheWarmUpTime)
+}
+
+func (g *cellGauge) addSample(utilization float64) {
+	g.utilization[g.nextSample] = utilization
+	g.nextSample = (g.nextSample + 1) % len(g.utilization)
+}
+
+func (g *cellGauge) meanUtilization() float64 {
+	sum := 0.0
+	for _, u := range g.utilization {
+		sum += u
+	}
+	return sum / float64(len(g.utilization))
+}
+
+// recordMigrationSpread measures how far apart the routers of each site are with each migration.
+func (w *World) recordMigrationSpread() {
+	type progress struct{ min, max float64 }
+	for site := range w.config.Sites {
+		byTenant := map[string]progress{}
+		for i := range w.config.RoutersPerSite {
+			router := &w.routers[site*w.config.RoutersPerSite+i]
+			if !router.running {
+				continue
+			}
+			for _, path := range router.module.Migrations(w.now) {
+				if path.Share < 1 {
+					w.result.MigratedAtSeconds = toSeconds(w.now)
+				}
+				p, isKnown := byTenant[path.Tenant]
+				if !isKnown {
+					p = progress{math.Inf(1), 0}
+				}
+				p = progress{min(p.min, path.Share), max(p.max, path.Share)}
+				byTenant[path.Tenant] = p
+				w.result.MaxMigrationSpread = max(w.result.MaxMigrationSpread, p.max-p.min)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/emulator/cell_plan.go
@@ -0,0 +1,58 @@
+package emulator
+
+import (
+	"fmt"
+
+	"spantack/core/cells"
+	"spantack/core/cells/plan"
+)
+
+// budgetFraction is the part of a capacity that budgets give out. The rest takes up bursts.
+const budgetFraction = 0.8
+
+// PlanCells returns an assignment of a world's tenants to count cells of equal shares, planned by the tenants' shares
+// of the load, with budgets by the world's capacities; and the number of each tenant's cell.
+func PlanCells(cfg *Config, count int) (*cells.Spec, []int) {
+	spec := &cells.Spec{Version: 1, Scheme: cells.SchemeFixed, Budget: cfg.cellBudget()}
+	shares := make([]float64, count)
+	for i := range shares {
+		shares[i] = 1 / float64(count)
+		spec.Cells = append(spec.Cells, cells.Cell{Name: fmt.Sprintf("cell-%02d", i), Share: shares[i]})
+	}
+	var demand []plan.Demand
+	for tenant, share := range cfg.TenantShares() {
+		demand = append(demand, plan.Demand{
+			Name:           fmt.Sprintf("tenant-%05d", tenant),
+			Loads:          plan.Loads{share},
+			PriorityWeight: share,
+			CurrentCell:    -1,
+		})
+	}
+	proposal, err := plan.Propose(demand, plan.Objective{Shares: shares, MaxMigrations: -1, Seed: cfg.Seed})
+	if err != nil {
+		panic(err) // without a bound on the objective there is always a plan
+	}
+	for tenant, d := range demand {
+		cell := spec.Cells[proposal.CellByTenant[tenant]].Name
+		spec.Tenants = append(spec.Tenants, cells.Tenant{Name: d.Name, Cell: cell})
+		key := cells.TenantKey{ObjectPrefix: TenantPrefix(tenant), Tenant: d.Name}
+		spec.TenantKeys = append(spec.TenantKeys, key)
+	}
+	fallback := cells.TenantKey{Tenant: demand[len(demand)-1].Name}
+	spec.TenantKeys = append(spec.TenantKeys, fallback)
+	return spec, proposal.CellByTenant
+}
+
+// cellBudget returns the budget of a site's cells together.
+func (c *Config) cellBudget() cells.Budget {
+	return cells.Budget{
+		RequestsPerSecond:    budgetFraction * 1e6 / max(c.RouterCPUMicros, 1) * float64(c.RoutersPerSite),
+		FillKBPerSecond:      budgetFraction * c.siteLinkKBPerSecond(),
+		ParentKBPerSecond:    budgetFraction * c.streamsPerParent() * float64(c.Parents) * responseKBPerSecond,
+		OriginKBPerSecond:    budgetFraction * c.originKBPerSecond(),
+		MaxOriginFills:       int(10 * c.originKnee()),
+		MaxOpenRequests:      2000,
+		ReclaimMillis:        1000,
+		UncacheablePerSecond: 4 * c.RequestsPerSecond / float64(c.Sites) * classModels[classReport].share,
+	}
+}
--- a/emulator/site_test.go
+++ b/emulator/deployment_test.go
@@ -10,8 +10,8 @@
 	return cfg
 }
 
-// Half of all groups are purged while a router is away and the head office slow: nobody is served from an old copy, by the router that comes
-// back neither. A router that does not hear of the purge shows that the check can fail.
+// Half of all groups are purged while a router is away and the head office slow: nobody is served from an old copy,
+// by the router that comes back neither. A router that does not hear of the purge shows that the check can fail.
 func TestPurgedCopiesAreNotServed(t *testing.T) {
 	for seed := range uint64(3) {
 		w, err := New(secondDeployment(seed))
@@ -33,8 +33,8 @@
 	}
 }
 
-// Where requests may go to caches alone, reports run at the head office by way of a cache and leave nothing there; and nothing goes
-// straight. On a calm day all is served in time though the head office is far.
+// Where requests may go to caches alone, reports run at the head office by way of a cache and leave nothing there;
+// and nothing goes straight. On a calm day all is served in time though the head office is far.
 func TestCachesOnly(t *testing.T) {
 	cfg := secondDeployment(2)
 	cfg.Faults = nil
--- /dev/null
+++ b/emulator/documents.go
@@ -0,0 +1,84 @@
+package emulator
+
+import (
+	"fmt"
+
+	"spantack/core/cells"
+	"spantack/core/migration"
+)
+
+// compileChanges checks and compiles the changes of the day.
+func (w *World) compileChanges() error {
+	inForce := w.assignment
+	var lastDocument *migration.Document
+	for i, change := range w.config.Changes {
+		var assignment *cells.Assignment
+		if change.Cells != nil {
+			var err error
+			if assignment, err = cells.Compile(change.Cells); err != nil {
+				return fmt.Errorf("changes[%d]: %w", i, err)
+			}
+			inForce = assignment
+		}
+		if doc := change.Migrations; doc != nil {
+			if err := doc.Validate(change.AtSeconds*1000, lastDocument); err != nil {
+				return fmt.Errorf("changes[%d]: %w", i, err)
+			}
+			if err := inForce.CheckMigrations(doc); err != nil {
+				return fmt.Errorf("changes[%d]: %w", i, err)
+			}
+			lastDocument = doc
+		}
+		w.assignmentByChange = append(w.assignmentByChange, assignment)
+	}
+	return nil
+}
+
+// scheduleChanges lets each router apply each change within maxReloadDelay of its time.
+func (w *World) scheduleChanges() {
+	for i, change := range w.config.Changes {
+		for r := range w.routers {
+			w.pushChange(int32(r), i, fromSeconds(change.AtSeconds)+drawDelay(w.miscRandom, maxReloadDelay))
+		}
+	}
+}
+
+func (w *World) pushChange(router int32, change int, at int64) {
+	w.push(event{
+		time:       at,
+		kind:       eventConfigChange,
+		target:     router,
+		generation: w.routers[router].generation,
+		value:      int64(change),
+	})
+}
+
+// applyChange applies a change at a router, unless it has applied a later one.
+func (w *World) applyChange(router *simulatedRouter, change int) {
+	if change < router.appliedChanges {
+		return
+	}
+	router.appliedChanges = change + 1
+	if assignment := w.assignmentByChange[change]; assignment != nil {
+		router.module.SetAssignment(w.now, assignment)
+	}
+	if doc := w.config.Changes[change].Migrations; doc != nil {
+		router.module.SetMigrations(w.now, doc)
+	}
+}
+
+// applyPastChanges gives a router that has just started the changes that are out. It reads the documents, and knows
+// nothing of how far it was with them. Later changes are scheduled for its new generation.
+func (w *World) applyPastChanges(id int32) {
+	router := &w.routers[id]
+	router.appliedChanges = 0
+	for i, change := range w.config.Changes {
+		at := fromSeconds(change.AtSeconds)
+		switch {
+		case at <= w.now:
+			w.applyChange(router, i)
+		case w.now > 0:
+			w.pushChange(id, i, at+drawDelay(router.random, maxReloadDelay))
+		}
+	}
+}
--- a/emulator/faults.go
+++ b/emulator/faults.go
@@ -1,7 +1,5 @@
 package emulator
 
-// Faults on the script.
-
 import (
 	"math"
 	"slices"
@@ -9,134 +7,150 @@
 	"spantack/routing"
 )
 
-// killServer ends a server's process: what is out at it breaks.
-func (w *World) killServer(id int32) {
-	server := &w.servers[id]
-	server.running = false
-	for i := range w.attempts {
-		attempt := &w.attempts[i]
-		request := &w.requests[attempt.request]
-		if request.generation != attempt.requestGeneration || request.attempt != int32(i) {
-			continue
-		}
-		if attempt.server == id && (attempt.atServer || attempt.countedActive) {
-			w.endAttempt(int32(i), routing.OutcomeConnectionReset, 0)
-		} else if attempt.source == id && attempt.countedAtSource {
-			attempt.countedAtSource = false
-			server.active--
-			w.removeTransfers(attempt)
-			attempt.fetch = -1
-			w.push(event{time: w.now + w.networkDelay(attempt.site, server), kind: eventFillFailed, target: int32(i), generation: attempt.generation, value: 7})
-		}
-	}
-	if server.store != nil {
-		server.store = newLRU(server.store.capacityKB)
-	}
-}
+// Values of an eventFault. A deploy counts two steps for each cache: it is drained, then replaced.
+const (
+	faultBegins = 0
+	faultEnds   = 1
+)
 
+// Times of faults.
+const (
+	frontendStartDelay = second // until clients are sent to a router that has started
+	deployDrainTime    = second // between the drain notice of a cache and its end
+)
+
+// applyFault lets a step of a fault happen, and schedules the next one.
 func (w *World) applyFault(e *event) {
 	fault := w.config.Faults[e.target]
-	away := int64(fault.DurationSeconds * float64(second))
 	switch fault.Kind {
-	case "router":
-		id := int32(fault.Site*w.config.RoutersPerSite + fault.Index%w.config.RoutersPerSite)
-		router := &w.routers[id]
-		if e.value == 1 {
-			if err := w.startRouter(id); err != nil {
-				w.result.violation("router does not start: " + err.Error())
-			}
-			w.push(event{time: w.now + second, kind: eventFrontendUpdate, target: id, value: 1})
-			return
-		}
-		router.running = false
-		router.generation++
-		for requestID := range w.requests {
-			request := &w.requests[requestID]
-			if request.router == id && !request.closed && request.routerGeneration == router.generation-1 && request.callID != "" && !request.answered && w.now > 0 {
-				if request.attempt >= 0 {
-					w.freeAttempt(request.attempt)
-					request.attempt = -1
-				}
-				w.requestLost(int32(requestID))
-			}
-		}
-		w.push(event{time: w.now + frontendDetectionDelay, kind: eventFrontendUpdate, target: id, value: 0})
-		w.push(event{time: w.now + max(away, frontendDetectionDelay+1), kind: eventFault, target: e.target, value: 1})
-	case "cache", "parent", "depot", "hub":
+	case FaultRouter:
+		w.routerFault(fault, e)
+	case FaultCache, FaultParent, FaultSite, FaultHub:
 		for _, id := range w.faultTargets(fault) {
 			w.killServer(id)
-			w.push(event{time: w.now + away, kind: eventServerRestart, target: id})
+			w.push(event{time: w.now + fault.duration(), kind: eventServerRestart, target: id})
 		}
-	case "deploy":
+	case FaultDeploy:
 		w.rollingDeploy(fault, e)
-	case "purge":
+	case FaultPurge:
 		w.startPurge(fault)
-	case "brownout":
-		o := &w.links[w.servers[w.origin].link]
-		o.advance(w.now)
-		if e.value == 1 {
-			o.capacity /= fault.Fraction
-		} else {
-			o.capacity *= fault.Fraction
-			w.push(event{time: w.now + away, kind: eventFault, target: e.target, value: 1})
-		}
-		w.links[w.servers[w.origin].link].dueAt = 0 // what was to come comes at another time
-		w.scheduleLink(w.servers[w.origin].link)
+	case FaultBrownout:
+		w.brownout(fault, e)
+	}
+}
+
+func (f *Fault) duration() int64 { return fromSeconds(f.DurationSeconds) }
+
+// pushFaultStep schedules a later step of the fault that an event is one of.
+func (w *World) pushFaultStep(e *event, delay, step int64) {
+	w.push(event{time: w.now + delay, kind: eventFault, target: e.target, value: step})
+}
+
+// routerFault lets a router die, and start again.
+func (w *World) routerFault(fault Fault, e *event) {
+	id := int32(fault.Site*w.config.RoutersPerSite + fault.Index%w.config.RoutersPerSite)
+	if e.value == faultBegins {
+		w.killRouter(id)
+		w.pushFaultStep(e, max(fault.duration(), frontendDetectionDelay+1), faultEnds)
+		return
+	}
+	if err := w.startRouter(id); err != nil {
+		w.result.violation(violationRouterStart + err.Error())
 	}
+	w.push(event{time: w.now + frontendStartDelay, kind: eventFrontendUpdate, target: id, value: 1})
 }
 
-// faultTargets are the servers that a fault hits.
+// brownout takes capacity from the origin, and gives it back.
+func (w *World) brownout(fault Fault, e *event) {
+	id := w.servers[w.origin].link
+	l := &w.links[id]
+	l.advance(w.now)
+	if e.value == faultBegins {
+		l.capacity *= fault.Fraction
+		w.pushFaultStep(e, fault.duration(), faultEnds)
+	} else {
+		l.capacity /= fault.Fraction
+	}
+	l.dueAt = 0 // transfers end at other times than scheduled
+	w.scheduleLink(id)
+}
+
+// faultTargets returns the servers that a fault hits.
 func (w *World) faultTargets(fault Fault) []int32 {
 	switch fault.Kind {
-	case "parent":
-		return []int32{int32(1 + fault.Index%w.config.Parents)}
-	case "hub":
-		var ids []int32
-		for id := range w.servers {
-			if server := &w.servers[id]; server.kind == parentServer && server.hub == fault.Index%max(w.config.Hubs, 1) {
-				ids = append(ids, int32(id))
-			}
-		}
-		return ids
-	case "depot":
+	case FaultParent:
+		return []int32{w.origin + 1 + int32(fault.Index%w.config.Parents)}
+	case FaultHub:
+		return w.parentsAt(fault.Index % max(w.config.Hubs, 1))
+	case FaultSite:
 		return slices.Clone(w.cachesBySite[fault.Site])
+	default:
+		caches := w.cachesBySite[fault.Site]
+		return []int32{caches[fault.Index%len(caches)]}
+	}
+}
+
+func (w *World) parentsAt(hub int) (ids []int32) {
+	for id := range w.servers {
+		server := &w.servers[id]
+		if server.kind == parentServer && server.hub == hub {
+			ids = append(ids, int32(id))
+		}
 	}
-	return []int32{w.cachesBySite[fault.Site][fault.Index%len(w.cachesBySite[fault.Site])]}
+	return ids
 }
 
-// rollingDeploy replaces caches one after the other: each drains for a second, goes, and a cold one comes in its place.
+// rollingDeploy replaces edge caches one after the other: each is drained for a while, goes, and a cold one comes in
+// its place.
 func (w *World) rollingDeploy(fault Fault, e *event) {
 	count := int64(math.Round(fault.Fraction * float64(w.config.CachesPerSite)))
-	stepUs := int64(fault.DurationSeconds*float64(second)) / max(count, 1)
-	i, ending := e.value/2, e.value%2 == 1
-	if i >= count {
+	interval := fault.duration() / max(count, 1)
+	index, isReplacement := e.value/2, e.value%2 == 1
+	if index >= count {
 		return
 	}
-	id := w.cachesBySite[fault.Site][0] // replaced ones join the end: the oldest goes next
-	if !ending {
-		for _, c := range w.cachesBySite[fault.Site] {
-			if w.servers[c].status == "healthy" {
-				id = c
-				break
-			}
-		}
-		w.servers[id].status = "cordoned"
-		w.publishEndpoint(id)
-		w.push(event{time: w.now + second, kind: eventFault, target: e.target, value: e.value + 1})
-		if i+1 < count {
-			w.push(event{time: w.now + max(stepUs, 1), kind: eventFault, target: e.target, value: e.value + 2})
-		}
+	if isReplacement {
+		w.replaceCache(fault.Site)
 		return
 	}
-	for _, c := range w.cachesBySite[fault.Site] {
-		if w.servers[c].status == "cordoned" {
-			id = c
-			break
+	id := w.firstCache(fault.Site, routing.EndpointHealthy)
+	w.servers[id].status = routing.EndpointDraining
+	w.publishEndpoint(id)
+	w.pushFaultStep(e, deployDrainTime, e.value+1)
+	if index+1 < count {
+		w.pushFaultStep(e, max(interval, 1), e.value+2)
+	}
+}
+
+// firstCache returns a site's first cache of a status, or else its first cache. Caches that replace others come last,
+// so that the oldest is drained next.
+func (w *World) firstCache(site int, status routing.EndpointStatus) int32 {
+	for _, id := range w.cachesBySite[site] {
+		if w.servers[id].status == status {
+			return id
 		}
 	}
+	return w.cachesBySite[site][0]
+}
+
+// replaceCache ends the site's draining cache and starts a cold one.
+func (w *World) replaceCache(site int) {
+	id := w.firstCache(site, routing.EndpointDraining)
 	w.killServer(id)
-	w.servers[id].status = "deregistered"
+	w.servers[id].status = routing.EndpointRemoved
 	w.publishEndpoint(id)
-	w.cachesBySite[fault.Site] = slices.DeleteFunc(w.cachesBySite[fault.Site], func(c int32) bool { return c == id })
-	w.addCache(fault.Site, w.now)
+	w.cachesBySite[site] = slices.DeleteFunc(w.cachesBySite[site], func(c int32) bool { return c == id })
+	w.addCache(site, w.now)
+}
+
+// poisonKind tells how answers to a tenant fail now.
+func (w *World) poisonKind(tenant int32) PoisonKind {
+	p := w.config.Poison
+	if p == nil || tenant != int32(p.Tenant) {
+		return poisonNone
+	}
+	if w.now < fromSeconds(p.StartSeconds) || w.now >= fromSeconds(p.StartSeconds+p.DurationSeconds) {
+		return poisonNone
+	}
+	return p.Kind
 }
--- a/emulator/fleetlimits.go
+++ b/emulator/fleetlimits.go
@@ -9,9 +9,10 @@
 	"spantack/core/fleet"
 )
 
-// FleetLimitTrial is a trial of a limit that a tier of routers keeps together: what each of them could use moves about between them, while the network
-// between them loses datagrams, falls into parts, and routers die. It stands apart from World: here the way of sharing decides alone, so that ways
-// can be compared, and over a number that is borne by one place nothing is learnt from answers.
+// FleetLimitTrial is a trial of a limit that a tier of routers keeps together: what each of them could use moves
+// about between them, while the network between them loses datagrams, falls into parts, and routers die. It stands
+// apart from World: here the way of sharing decides alone, so that ways can be compared, and over a number that is
+// borne by one place nothing is learnt from answers.
 type FleetLimitTrial struct {
 	Routers            int     `json:"routers"`
 	Limit              float64 `json:"limit"`
@@ -297,8 +298,9 @@
 	}
 }
 
-// gossipQuotas is distributed rate limiting: each router tells some others its own demand and what it has heard of late, and takes its part
-// of all that it knows of (B. Raghavan and others, "Cloud control with distributed rate limiting", 2007).
+// gossipQuotas is distributed rate limiting: each router tells some others its own demand and what it has heard of
+// late, and takes its part of all that it knows of (B. Raghavan and others, "Cloud control with distributed rate
+// limiting", 2007).
 func (w *fleetLimitWorld) gossipQuotas() {
 	for i := range w.quotas {
 		if !w.alive[i] {
@@ -331,7 +333,8 @@
 	}
 }
 
-// leaseQuotas is a keeper in each part that lends all of the limit there, by demand, at once: the best that leases without a majority could do.
+// leaseQuotas is a keeper in each part that lends all of the limit there, by demand, at once: the best that leases
+// without a majority could do.
 func (w *fleetLimitWorld) leaseQuotas() {
 	if w.now%leaseInterval != 0 {
 		return
--- a/emulator/fleetlimits_test.go
+++ b/emulator/fleetlimits_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A tier in fifths with seven in ten dead: core/fleet stays within the limit and is used again after the heal; ways without a majority pass it. The same
-// seed gives the same result.
+// A tier in fifths with seven in ten dead: core/fleet stays within the limit and is used again after the heal; ways
+// without a majority pass it. The same seed gives the same result.
 func TestFleetKeepsItsLimit(t *testing.T) {
 	day := FleetLimitTrial{Routers: 20, Limit: 40, FloorFraction: 0.2, Demand: 1.5, DemandSkew: 0.8, DemandShiftSeconds: 10, LossRatio: 0.1, WarmUpSeconds: 15, DurationSeconds: 60, Partitions: 5, PartitionSeconds: 20, PartitionDurationSeconds: 15}
 	for way, over := range map[string]bool{"even": false, "gossip": true, "keeper": true, "fleet": false} {
--- a/emulator/gossip.go
+++ b/emulator/gossip.go
@@ -9,147 +9,165 @@
 	"spantack/routing"
 )
 
-// What routers of a tier tell one another of crowded area caches (core/peers): datagrams that are late, lost and counted.
-
-// Gossip puts datagrams between routers into a world.
+// Gossip lets routers tell one another of overloaded parents (core/gossip), in datagrams that are late or lost.
 type Gossip struct {
-	LossRatio float64 `json:"loss"` // part of the datagrams that never come, 0 to 1
+	LossRatio float64 `json:"loss"` // of datagrams, 0 to 1
 }
 
-// HotObject is a new object that takes a part of all video sessions for a while. Nobody has it when it comes.
+// HotObject is a new object that a fraction of all video sessions is for during some time. No cache has it before.
 type HotObject struct {
 	StartSeconds    float64 `json:"atS"`
 	DurationSeconds float64 `json:"forS"`
-	SessionFraction float64 `json:"part"` // of the sessions that begin meanwhile, 0 to 1
+	SessionFraction float64 `json:"part"` // of sessions that begin meanwhile, 0 to 1
 }
 
+// Delay of a datagram, as between routers of the platform.
 const (
-	// A datagram's way takes from minDatagramDelay to maxDatagramDelay, as between the platform's routers.
 	minDatagramDelay = 1400 * microsecond
 	maxDatagramDelay = 23 * millisecond
-	// hotObjectKey is no key that an object of a tenant has; hotObjectChunks are the parts of the hot object.
-	hotObjectKey    = uint64(0xffff)<<48 | 0x407
+)
+
+// The hot object.
+const (
+	hotObjectKey    = uint64(0xffff)<<48 | 0x407 // no tenant's object has this key
 	hotObjectChunks = 15
 )
 
-// gossipState is the datagrams of a world.
+// gossipState is the gossip of a world.
 type gossipState struct {
-	nodes         []*gossip.Node // by router; a new one at each start
+	nodes         []*gossip.Node // by router, a new one at each start; nil: the router has not started yet
 	random        *rand.Rand
 	datagrams     []datagram
 	freeDatagrams []int32
 }
 
-// datagram is a datagram on its way, once for each router that it will reach.
+// datagram is on its way to one or more routers.
 type datagram struct {
 	from              int32
-	pendingDeliveries int32 // routers that it has not reached yet
+	pendingDeliveries int32
 	payload           []byte
 }
 
 func (c *Config) validateGossip() error {
-	if t := c.Gossip; t != nil && !(t.LossRatio >= 0 && t.LossRatio <= 1) {
-		return fmt.Errorf("talk.loss: %v is not 0 to 1", t.LossRatio)
+	if g := c.Gossip; g != nil && !isFraction(g.LossRatio) {
+		return fmt.Errorf("talk.loss: %v is not 0 to 1", g.LossRatio)
 	}
-	if h := c.HotObject; h != nil && (!(h.SessionFraction >= 0 && h.SessionFraction <= 1) || !(h.StartSeconds >= 0) || !(h.DurationSeconds >= 0)) {
+	h := c.HotObject
+	if h != nil && (!isFraction(h.SessionFraction) || !(h.StartSeconds >= 0) || !(h.DurationSeconds >= 0)) {
 		return fmt.Errorf("hot: a time, how long, and a part of 0 to 1: %+v", *h)
 	}
 	return nil
 }
 
-// joinGossip gives a router that starts its part in the talk.
+// joinGossip gives a router that starts a gossip node, if the world has gossip.
 func (w *World) joinGossip(id int32) error {
 	if w.config.Gossip == nil {
 		return nil
 	}
 	if w.gossip.random == nil {
-		w.gossip.random = rand.New(rand.NewPCG(w.config.Seed, 0x7a1c))
-	}
-	tier, err := gossip.New(gossip.Options{Rank: int(id), FleetSize: w.config.Sites * w.config.RoutersPerSite, Site: w.routers[id].site + 1, Sites: w.config.Sites + 1,
-		Incarnation: uint32(w.now/second) + 1})
+		w.gossip.random = w.config.newRandom(gossipStream)
+		w.gossip.nodes = make([]*gossip.Node, w.config.routerCount())
+	}
+	node, err := gossip.New(gossip.Options{
+		Rank:        int(id),
+		FleetSize:   w.config.routerCount(),
+		Site:        w.routers[id].site + 1, // zone 0 is that of the hubs
+		Sites:       w.config.Sites + 1,
+		Incarnation: uint32(w.now/second) + 1,
+	})
 	if err != nil {
 		return fmt.Errorf("talk: %w", err)
 	}
-	for len(w.gossip.nodes) <= int(id) {
-		w.gossip.nodes = append(w.gossip.nodes, nil)
-	}
-	w.gossip.nodes[id] = tier
+	w.gossip.nodes[id] = node
 	return nil
 }
 
-// gossipOverload sends what a router's module found crowded to all others, if its tier says that it is worth that.
-func (w *World) gossipOverload(id int32, server string) {
+// gossipServerFormat is the name of a server in datagrams.
+const gossipServerFormat = "s-%08x"
+
+// gossipOverload sends to all other routers that one found a server overloaded, if its node finds that worth a
+// datagram.
+func (w *World) gossipOverload(id int32, serverName string) {
 	if w.config.Gossip == nil {
 		return
 	}
-	s := w.newestServer(server)
-	if s < 0 {
+	server := w.findServer(serverName)
+	if server < 0 {
 		return
 	}
-	text := w.gossip.nodes[id].ReportOverload(w.now, fmt.Sprintf("s-%08x", s))
-	if text == nil {
+	payload := w.gossip.nodes[id].ReportOverload(w.now, fmt.Sprintf(gossipServerFormat, server))
+	if payload == nil {
 		return
 	}
-	var at int32
-	if n := len(w.gossip.freeDatagrams); n > 0 {
-		at, w.gossip.freeDatagrams = w.gossip.freeDatagrams[n-1], w.gossip.freeDatagrams[:n-1]
-	} else {
-		w.gossip.datagrams = append(w.gossip.datagrams, datagram{})
-		at = int32(len(w.gossip.datagrams) - 1)
+	datagramID := allocate(&w.gossip.datagrams, &w.gossip.freeDatagrams)
+	deliveries := w.scheduleDeliveries(datagramID, id)
+	w.result.Datagrams++
+	w.result.DatagramBytes += int64(deliveries) * int64(len(payload))
+	w.gossip.datagrams[datagramID] = datagram{from: id, pendingDeliveries: deliveries, payload: payload}
+	if deliveries == 0 {
+		w.gossip.freeDatagrams = append(w.gossip.freeDatagrams, datagramID)
 	}
-	reached := int32(0)
+}
+
+// scheduleDeliveries draws whom a datagram reaches, and when, and returns how many.
+func (w *World) scheduleDeliveries(datagramID, from int32) (deliveries int32) {
+	rng := w.gossip.random
 	for to := range w.routers {
-		if int32(to) == id || w.gossip.random.Float64() < w.config.Gossip.LossRatio {
+		if int32(to) == from || rng.Float64() < w.config.Gossip.LossRatio {
 			continue
 		}
-		reached++
-		way := minDatagramDelay + w.gossip.random.Int64N(maxDatagramDelay-minDatagramDelay)
-		w.push(event{time: w.now + way, kind: eventGossip, target: int32(to), value: int64(at)})
-	}
-	w.result.Datagrams++
-	w.result.DatagramBytes += int64(reached) * int64(len(text))
-	w.gossip.datagrams[at] = datagram{from: id, pendingDeliveries: reached, payload: text}
-	if reached == 0 {
-		w.gossip.freeDatagrams = append(w.gossip.freeDatagrams, at)
+		deliveries++
+		delay := minDatagramDelay + rng.Int64N(maxDatagramDelay-minDatagramDelay)
+		w.push(event{time: w.now + delay, kind: eventGossip, target: int32(to), value: int64(datagramID)})
 	}
+	return deliveries
 }
 
-// receiveGossip takes a datagram to a router, if that is up, and what follows to its module.
+// receiveGossip delivers a datagram to a router that is running, and tells its module what follows.
 func (w *World) receiveGossip(e *event) {
-	at := int32(e.value)
-	d := &w.gossip.datagrams[at]
-	from, text := d.from, d.payload
-	if d.pendingDeliveries--; d.pendingDeliveries == 0 {
-		d.payload = nil
-		w.gossip.freeDatagrams = append(w.gossip.freeDatagrams, at)
-	}
+	from, payload := w.takeDatagram(int32(e.value))
 	if !w.routers[e.target].running {
 		return
 	}
-	var found []string
-	err := w.gossip.nodes[e.target].Receive(w.now, int(from), text, func(server string) { found = append(found, server) })
-	if err != nil && !errors.Is(err, gossip.ErrStale) { // old: of a router that has started anew meanwhile
-		w.result.violation("datagram that its own kind can't use")
+	var overloaded []string
+	report := func(server string) { overloaded = append(overloaded, server) }
+	err := w.gossip.nodes[e.target].Receive(w.now, int(from), payload, report)
+	if err != nil && !errors.Is(err, gossip.ErrStale) { // a stale one comes from a router that has started anew since
+		w.result.violation(violationGossipPayload)
 	}
-	for _, name := range found {
-		var s int32
-		if _, err := fmt.Sscanf(name, "s-%08x", &s); err != nil || int(s) >= len(w.servers) {
-			w.result.violation("datagram on no server")
+	for _, name := range overloaded {
+		var server int32
+		if _, err := fmt.Sscanf(name, gossipServerFormat, &server); err != nil || int(server) >= len(w.servers) {
+			w.result.violation(violationGossipServer)
 			continue
 		}
-		w.stepRouter(e.target, routing.Event{Kind: routing.EventParentOverloaded, Server: w.servers[s].name})
+		w.stepRouter(e.target, routing.Event{
+			Kind: routing.EventParentOverloaded, Server: w.servers[server].name,
+		})
+	}
+}
+
+// takeDatagram returns a datagram for one delivery, and frees its place with the last.
+func (w *World) takeDatagram(id int32) (from int32, payload []byte) {
+	d := &w.gossip.datagrams[id]
+	from, payload = d.from, d.payload
+	d.pendingDeliveries--
+	if d.pendingDeliveries == 0 {
+		d.payload = nil
+		w.gossip.freeDatagrams = append(w.gossip.freeDatagrams, id)
 	}
+	return from, payload
 }
 
-// drawHotObject tells whether a session that begins now is for the hot object, and which that is.
-func (w *World) drawHotObject(rng *rand.Rand) (key uint64, object string, is bool) {
-	h := w.config.HotObject
-	if h == nil {
-		return 0, "", false
+// drawHotObject tells whether a video session that begins now is for the hot object.
+func (w *World) drawHotObject(rng *rand.Rand) bool {
+	hot := w.config.HotObject
+	if hot == nil {
+		return false
 	}
-	since := float64(w.now)/float64(second) - h.StartSeconds
-	if since < 0 || since >= h.DurationSeconds || rng.Float64() >= h.SessionFraction {
-		return 0, "", false
+	since := toSeconds(w.now) - hot.StartSeconds
+	if since < 0 || since >= hot.DurationSeconds {
+		return false
 	}
-	return hotObjectKey, objectName(0, hotObjectKey), true
+	return rng.Float64() < hot.SessionFraction
 }
--- a/emulator/gossip_test.go
+++ b/emulator/gossip_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A new object that all want is served better where routers tell one another of its crowded home, also when one of them starts anew
-// meanwhile and most datagrams are lost; without the talk not one is sent, and the same day comes out the same.
+// A new object that all want is served better where routers tell one another of its crowded home, also when one of
+// them starts anew meanwhile and most datagrams are lost; without the talk not one is sent, and the same day comes
+// out the same.
 func TestHotObjectAndGossip(t *testing.T) {
 	day := func(talk *Gossip) Result {
 		cfg := smallConfig(3)
--- a/emulator/migration_test.go
+++ b/emulator/migration_test.go
@@ -8,7 +8,8 @@
 	"spantack/core/migration"
 )
 
-// migrationDay is a small world in which twelve tenants move from second 6 on, with clocks of routers a second apart either way.
+// migrationDay is a small world in which twelve tenants move from second 6 on, with clocks of routers a second apart
+// either way.
 func migrationDay(seed uint64, trip MigrationTrial, faults ...Fault) Config {
 	cfg := smallConfig(seed)
 	cfg.SiteLinkCapacityFactor, cfg.ParentCapacityFactor, cfg.OriginCapacityFactor, cfg.DurationSeconds = 3, 3, 5, 44
@@ -25,8 +26,8 @@
 	return cfg
 }
 
-// runMigrations plays a day and holds its end against what holds for every move: no rule broken, no wish without an end, and each tenant in one cell,
-// the same at all routers, which is the new one unless the moves were taken back.
+// runMigrations plays a day and holds its end against what holds for every move: no rule broken, no wish without an
+// end, and each tenant in one cell, the same at all routers, which is the new one unless the moves were taken back.
 func runMigrations(t *testing.T, name string, cfg Config, back bool) Result {
 	t.Helper()
 	w, err := New(cfg)
@@ -113,7 +114,7 @@
 
 // The tenant that moves floods: tenants that stay lose no more than they do by the same flood without a move.
 func TestMigratedTenantFloods(t *testing.T) {
-	share := func(style string) float64 {
+	share := func(style MigrationStyle) float64 {
 		cfg := migrationDay(4, MigrationTrial{Style: style})
 		cfg.Flood = &Flood{Tenant: cfg.MigratedTenants[0], Factor: 10, Kind: "unique", StartSeconds: 8, DurationSeconds: 10}
 		r := runWorld(t, cfg)
@@ -127,8 +128,8 @@
 	}
 }
 
-// Two documents in a race: some routers have the one that goes on, some the one that is taken back, until a third version ends it. A tenant
-// is served by its two cells throughout, and ends in one.
+// Two documents in a race: some routers have the one that goes on, some the one that is taken back, until a third
+// version ends it. A tenant is served by its two cells throughout, and ends in one.
 func TestCrossingMigrationDocuments(t *testing.T) {
 	cfg := migrationDay(5, MigrationTrial{})
 	first := cfg.Changes[0].Migrations
--- a/emulator/originlimit.go
+++ b/emulator/originlimit.go
@@ -10,8 +10,9 @@
 	"spantack/core/originlimit"
 )
 
-// OriginLimitTrial describes a trial of limits at the head office: routers with clients behind them, and a head office that slows down when more
-// than Knee fills are out at once. It stands apart from World: here the limit decides alone, so that laws can be compared.
+// OriginLimitTrial describes a trial of limits at the head office: routers with clients behind them, and a head
+// office that slows down when more than Knee fills are out at once. It stands apart from World: here the limit
+// decides alone, so that laws can be compared.
 type OriginLimitTrial struct {
 	Routers              int     `json:"routers"`
 	FillsPerSecond       float64 `json:"rateS"`  // fills wanted a second, by all
@@ -259,14 +260,16 @@
 	}
 }
 
-// retry is a client's next try, if it makes one: at once for one that failed, and after a while for one that was turned away.
+// retry is a client's next try, if it makes one: at once for one that failed, and after a while for one that was
+// turned away.
 func (w *originLimitWorld) retry(id int) {
 	if w.operations[id].attempts < w.MaxAttempts {
 		w.events.push(event{time: w.now + 100*millisecond + int64(w.random.Float64()*float64(300*millisecond)), target: int32(id)})
 	}
 }
 
-// endFill is that of a fill: in time, or dropped when its client waits no more, who then tries again. What the head office has done for it is lost.
+// endFill is that of a fill: in time, or dropped when its client waits no more, who then tries again. What the head
+// office has done for it is lost.
 func (w *originLimitWorld) endFill(fill *originFill, late bool) {
 	operation := &w.operations[fill.operation]
 	took := w.now - fill.sentAt
--- a/emulator/originlimit_test.go
+++ b/emulator/originlimit_test.go
@@ -7,8 +7,8 @@
 		BrownoutCapacity: 0.3, BrownoutStartSeconds: 18, BrownoutDurationSeconds: 20}
 }
 
-// A head office that loses 70% for 20 s: plain retries never get out of the jam again, each law does within three seconds and keeps what is
-// out under the burst; the law that follows no times serves less on a good day.
+// A head office that loses 70% for 20 s: plain retries never get out of the jam again, each law does within three
+// seconds and keeps what is out under the burst; the law that follows no times serves less on a good day.
 func TestOriginLimitBrownout(t *testing.T) {
 	res := map[string]*OriginLimitResult{}
 	for _, law := range []string{"none", "fixed", "aimd", "gradient", "delay"} {
@@ -57,8 +57,8 @@
 	}
 }
 
-// A brownout of the head office in a whole world: where area caches drop what nobody waits for, none of their fetches is without somebody who
-// waits, and the head office's books come out even; where they keep it, most are.
+// A brownout of the head office in a whole world: where area caches drop what nobody waits for, none of their fetches
+// is without somebody who waits, and the head office's books come out even; where they keep it, most are.
 func TestAbandonedFetches(t *testing.T) {
 	for _, drops := range []bool{true, false} {
 		cfg := smallConfig(3)
--- a/emulator/prefill.go
+++ b/emulator/prefill.go
@@ -6,136 +6,187 @@
 	"strconv"
 )
 
-// prefill puts into each store what a long day before would have left there: parts by how often they are asked for, each
-// at the server that a pick by hash alone gives it, until the stores are full. Without it a day would have to be as
+// prefill puts into each store what a long day before would have left there: chunks by how often they are requested,
+// each at the server that hashing alone gives it, until the stores are full. Without it a day would have to be as
 // long as the stores are large before anything could be measured.
 func (w *World) prefill() {
-	type popular struct {
-		tenant, class, rank int32
-		rate                float64 // requests for each of its parts
-	}
-	var all []popular
-	for t, share := range w.config.TenantShares() {
-		before := 0.0
-		for rank, cum := range w.objectCDF {
-			p := cum - before
-			before = cum
-			for class := classVideo; class <= classCatalogue; class++ {
-				c := &classModels[class]
-				all = append(all, popular{int32(t), int32(class), int32(rank), share * p * c.share * 2 / float64(c.minChunks+c.maxChunks)})
-			}
-		}
-	}
-	slices.SortStableFunc(all, func(a, b popular) int { return cmp.Compare(b.rate, a.rate) })
-	room := 0.0
+	p := prefiller{world: w, cachesBySite: make([][]int32, w.config.Sites)}
+	siteCapacityKB := 0.0 // of the edge caches of a site, the same for all
 	for _, id := range w.cachesBySite[0] {
-		room += w.servers[id].store.capacityKB
+		siteCapacityKB += w.servers[id].store.capacityKB
 	}
-	left := make([]float64, w.config.Sites)
-	for d := range left {
-		left[d] = room
+	for range w.config.Sites {
+		p.siteRemainingKB = append(p.siteRemainingKB, siteCapacityKB)
 	}
-	above := 0.0
 	for i := range w.config.Parents {
-		above += w.servers[1+i].store.capacityKB
-	}
-	parents := make([]int32, w.config.Parents)
-	for i := range parents {
-		parents[i] = int32(1 + i)
+		id := w.origin + 1 + int32(i)
+		p.parents = append(p.parents, id)
+		p.parentsRemainingKB += w.servers[id].store.capacityKB
 	}
-	type place struct {
-		id   int32
-		key  uint64
-		kb   float64
-		made int64
-	}
-	var puts []place
-	homes := make([][]int32, w.config.Sites)
-	for _, p := range all {
-		if left[0] <= 0 && above <= 0 {
+	for _, object := range w.popularObjects() {
+		if p.siteRemainingKB[0] <= 0 && p.parentsRemainingKB <= 0 {
 			break
 		}
-		key := uint64(p.tenant)<<48 | uint64(p.class)<<44 | uint64(p.rank)
-		object := objectName(int(p.tenant), key)
-		objectState := hashPrefix(object)
-		for d := range homes {
-			homes[d] = homes[d][:0]
-			for _, c := range w.routers[d*w.config.RoutersPerSite].module.CachesOf(int(p.tenant)) {
-				homes[d] = append(homes[d], w.serverNamed(c))
-			}
-			if len(homes[d]) == 0 {
-				homes[d] = slices.Clone(w.cachesBySite[d])
+		p.addObject(object)
+	}
+	for _, c := range slices.Backward(p.chunks) { // the most popular ones are used last
+		w.servers[c.server].store.put(c.key, c.sizeKB, c.producedAt)
+	}
+}
+
+// popularObject is an object that is requested often enough to be stored.
+type popularObject struct {
+	tenant, class, rank int32
+	rate                float64 // requests for each of its chunks, of all requests
+}
+
+// popularObjects returns all objects but those that are requested only once, the most requested first.
+func (w *World) popularObjects() []popularObject {
+	var all []popularObject
+	for tenant, share := range w.config.TenantShares() {
+		before := 0.0
+		for rank, cumulative := range w.objectCDF {
+			popularity := cumulative - before
+			before = cumulative
+			for class := classVideo; class <= classCatalogue; class++ {
+				model := &classModels[class]
+				all = append(all, popularObject{
+					tenant: int32(tenant),
+					class:  int32(class),
+					rank:   int32(rank),
+					rate:   share * popularity * model.share / model.meanChunks(),
+				})
 			}
 		}
-		made := int64(0)
-		if p.class == classCatalogue {
-			made = -int64(hashMix(key) % uint64(w.config.freshnessLifetime()*8/10))
+	}
+	slices.SortStableFunc(all, func(a, b popularObject) int { return cmp.Compare(b.rate, a.rate) })
+	return all
+}
+
+// prefiller places chunks until the stores are full. Stores of parents get those for which the sites have no capacity
+// left, as parents are asked only for what edge caches miss.
+type prefiller struct {
+	world              *World
+	siteRemainingKB    []float64 // by site
+	parentsRemainingKB float64
+	parents            []int32
+	cachesBySite       [][]int32 // that the tenant of the present object may use
+	chunks             []prefilledChunk
+}
+
+type prefilledChunk struct {
+	server     int32
+	key        uint64
+	sizeKB     float64
+	producedAt int64
+}
+
+// addObject places all chunks of an object.
+func (p *prefiller) addObject(popular popularObject) {
+	w := p.world
+	tenant, class := int(popular.tenant), int(popular.class)
+	key := objectKey(tenant, class, uint64(popular.rank))
+	object := objectName(tenant, key)
+	p.findCaches(tenant)
+	producedAt := int64(0)
+	if class == classCatalogue { // at most eight tenths of its lifetime ago
+		producedAt = -int64(hashMix(key) % uint64(w.config.freshnessLifetime()*8/10))
+	}
+	var parents []int32 // the same for all chunks
+	for chunk := range int32(classModels[class].maxChunks) {
+		placed := prefilledChunk{
+			key:        chunkKey(key, chunk),
+			sizeKB:     chunkSizeKB(key, chunk, class),
+			producedAt: producedAt,
 		}
-		var asked []int32 // area caches, for all parts alike
-		for part := range int32(classModels[p.class].maxChunks) {
-			kb := chunkSizeKB(key, part, int(p.class))
-			at := key ^ uint64(part)<<36
-			if above > 0 && left[0] <= 0 { // they are asked only for what depots miss
-				if asked == nil {
-					asked = w.parentsForObject(object, objectState, parents)
-				}
-				for _, id := range asked {
-					puts = append(puts, place{id, at, kb, made})
-					above -= kb
-				}
+		if p.parentsRemainingKB > 0 && p.siteRemainingKB[0] <= 0 {
+			if parents == nil {
+				parents = p.parentsForObject(object)
 			}
-			state := hashPrefix(object + "/" + strconv.Itoa(int(part)))
-			for d := range left {
-				if left[d] > 0 {
-					puts = append(puts, place{w.rendezvousFirst(homes[d], state), at, kb, made})
-					left[d] -= kb
-				}
+			for _, id := range parents {
+				p.place(id, placed)
+				p.parentsRemainingKB -= placed.sizeKB
+			}
+		}
+		prefix := hashPrefix(object + "/" + strconv.Itoa(int(chunk)))
+		for site := range p.siteRemainingKB {
+			if p.siteRemainingKB[site] > 0 {
+				p.place(w.rendezvousFirst(p.cachesBySite[site], prefix), placed)
+				p.siteRemainingKB[site] -= placed.sizeKB
 			}
 		}
 	}
-	for _, p := range slices.Backward(puts) { // the most popular are used last
-		w.servers[p.id].store.put(p.key, p.kb, p.made)
+}
+
+func (p *prefiller) place(server int32, chunk prefilledChunk) {
+	chunk.server = server
+	p.chunks = append(p.chunks, chunk)
+}
+
+// findCaches sets the edge caches that a tenant may use: those of its cells, or all.
+func (p *prefiller) findCaches(tenant int) {
+	w := p.world
+	for site := range p.cachesBySite {
+		caches := p.cachesBySite[site][:0]
+		for _, name := range w.routers[site*w.config.RoutersPerSite].module.CachesOf(tenant) {
+			caches = append(caches, w.serverNamed(name))
+		}
+		if len(caches) == 0 {
+			caches = append(caches, w.cachesBySite[site]...)
+		}
+		p.cachesBySite[site] = caches
 	}
 }
 
-// parentsForObject are the area caches that depots ask for an object, each once.
-func (w *World) parentsForObject(object string, state uint64, parents []int32) (ids []int32) {
+// parentsForObject returns the parents that sites ask for an object, each once.
+func (p *prefiller) parentsForObject(object string) (ids []int32) {
+	w := p.world
+	prefix := hashPrefix(object)
 	if w.topology == nil {
-		return []int32{w.rendezvousFirst(parents, state)}
+		return []int32{w.rendezvousFirst(p.parents, prefix)}
 	}
-	for d := range w.config.Sites {
-		var area []int32
-		for _, name := range w.routers[d*w.config.RoutersPerSite].module.ParentsOf(object) {
-			area = append(area, w.serverNamed(name))
+	for site := range w.config.Sites {
+		var group []int32
+		for _, name := range w.routers[site*w.config.RoutersPerSite].module.ParentsOf(object) {
+			group = append(group, w.serverNamed(name))
 		}
-		if id := w.rendezvousFirst(area, state); !slices.Contains(ids, id) {
+		if id := w.rendezvousFirst(group, prefix); !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// hashPrefix is FNV-1a over a key and the byte that ends it: what all servers' hashes of the key begin with.
+// The FNV-1a hash.
+const (
+	fnvOffset = uint64(14695981039346656037)
+	fnvPrime  = 1099511628211
+)
+
+// hashPrefix returns FNV-1a of a key and the zero byte that ends it: what the hashes of the key for all servers begin
+// with.
 func hashPrefix(key string) uint64 {
-	h := uint64(14695981039346656037)
+	hash := fnvOffset
 	for i := range len(key) {
-		h = (h ^ uint64(key[i])) * 1099511628211
+		hash = (hash ^ uint64(key[i])) * fnvPrime
 	}
-	return h * 1099511628211
+	return hash * fnvPrime
 }
 
-// rendezvousFirst is the server that a hash of key and name puts first, weights alike.
-func (w *World) rendezvousFirst(ids []int32, state uint64) int32 {
-	best, top := ids[0], uint64(0)
+// rendezvousFirst returns the server that rendezvous hashing with equal weights puts first, as package routing does
+// it.
+func (w *World) rendezvousFirst(ids []int32, prefix uint64) int32 {
+	best, highest := ids[0], uint64(0)
 	for _, id := range ids {
-		x, name := state, w.servers[id].name
+		hash, name := prefix, w.servers[id].name
 		for i := range len(name) {
-			x = (x ^ uint64(name[i])) * 1099511628211
+			hash = (hash ^ uint64(name[i])) * fnvPrime
 		}
-		x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-		x = (x ^ x>>27) * 0x94d049bb133111eb
-		if x = (x ^ x>>31) >> 11; x > top {
-			best, top = id, x
+		hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
+		hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+		hash = (hash ^ hash>>31) >> 11
+		if hash > highest {
+			best, highest = id, hash
 		}
 	}
 	return best
--- a/emulator/rollout.go
+++ b/emulator/rollout.go
@@ -4,92 +4,114 @@
 	"slices"
 
 	"spantack/core/cells"
+	"spantack/core/rollout"
 )
 
 // isHarmful reports that an object of the release is a bad one.
 func (w *World) isHarmful(operation *clientOperation) bool {
-	return float64(hashMix(operation.key^hashMix(w.config.Seed))>>11)/(1<<53) < w.config.Release.HarmfulFraction
+	return hashFraction(operation.key^hashMix(w.config.Seed)) < w.config.Release.HarmfulFraction
 }
 
-// isNewVersion reports that a copy made at a time is of the version that a release has given to its objects.
-func (w *World) isNewVersion(made int64) bool {
+// isNewVersion reports that a copy produced at a time is of the version that a release gave to its objects.
+func (w *World) isNewVersion(producedAt int64) bool {
 	r := w.config.Release
-	return r.ReplacesObjects && made >= int64(r.StartSeconds*float64(second)) && (r.RollbackSeconds == 0 || made < int64(r.RollbackSeconds*float64(second)))
+	if !r.ReplacesObjects || producedAt < fromSeconds(r.StartSeconds) {
+		return false
+	}
+	return r.RollbackSeconds == 0 || producedAt < fromSeconds(r.RollbackSeconds)
 }
 
-// checkRelease holds an answer with a renewed object against the rules, by when it was asked for: none of the old version once its cell has the
-// release, none of the release once the document has taken it back. How much of the release gets into cells that have not got it is counted.
+// checkRelease counts an answer with a replaced object, by when it was requested. Once its cell has the release the
+// old version is a violation, and once the document has rolled the release back the new one is. Answers of the new
+// version in cells that do not have the release yet are counted as early.
 func (w *World) checkRelease(attempt *serverAttempt) {
 	request := &w.requests[attempt.request]
-	operation := &w.operations[request.operation]
-	if !operation.release || !w.config.Release.ReplacesObjects {
+	release := w.config.Release
+	if !w.operations[request.operation].release || !release.ReplacesObjects {
 		return
 	}
-	router, fresh := &w.routers[request.router], w.isNewVersion(attempt.producedAt)
-	opened := router.releaseOpenedAt[w.cellOfCache(attempt.server)]
-	switch stop := int64(w.config.Release.Rollout.RollbackAt) * millisecond; {
-	case stop > 0 && attempt.sentAt+router.clockOffset >= stop:
-		if fresh {
-			w.result.violation("an answer of a release that was taken back")
+	router := &w.routers[request.router]
+	startedAt := fromSeconds(release.StartSeconds)
+	rollbackAt := int64(release.Rollout.RollbackAt) * millisecond // by the router's clock
+	openedAt := router.releaseOpenedAt[w.cellOfCache(attempt.server)]
+	isNew := w.isNewVersion(attempt.producedAt)
+	switch {
+	case rollbackAt > 0 && attempt.sentAt+router.clockOffset >= rollbackAt:
+		if isNew {
+			w.result.violation(violationRolledBackVersion)
 		}
 		w.result.RolledBackAnswers++
-	case opened > 0 && attempt.sentAt >= opened:
-		if attempt.producedAt < int64(w.config.Release.StartSeconds*float64(second)) {
-			w.result.violation("an answer of the old version where its cell has the release")
+	case openedAt > 0 && attempt.sentAt >= openedAt:
+		if attempt.producedAt < startedAt {
+			w.result.violation(violationOldVersion)
 		}
 		w.result.ReleaseAnswers++
-	case attempt.sentAt >= int64(w.config.Release.StartSeconds*float64(second)):
-		if w.result.PendingAnswers++; fresh {
+	case attempt.sentAt >= startedAt:
+		w.result.PendingAnswers++
+		if isNew {
 			w.result.EarlyAnswers++
 		}
 	}
 }
 
-// recordRolloutState notes when a router stops a release; it is called when a router's log says something.
+// isInState reports that a ring is in a state.
+func isInState(ring cells.RingStatus, state rollout.RingState) bool {
+	return ring.State == state.String()
+}
+
+// recordRolloutState notes which cells a router has opened for the release, and whether it has stopped it. It is
+// called whenever the router's module logs something.
 func (w *World) recordRolloutState(id int32) {
-	now := w.routers[id].module.RolloutStatus()
-	if now == nil {
+	status := w.routers[id].module.RolloutStatus()
+	if status == nil {
 		return
 	}
-	stopped := false
 	router := &w.routers[id]
-	for _, ring := range now.Rings {
-		stopped = stopped || ring.State == "stopped"
-		for _, cell := range ring.Cells {
-			switch i := slices.IndexFunc(w.config.Cells.Cells, func(c cells.Cell) bool { return c.Name == cell }); {
-			case ring.State == "shut" || ring.State == "stopped":
-				delete(router.releaseOpenedAt, i)
-			case router.releaseOpenedAt == nil:
-				router.releaseOpenedAt = map[int]int64{i: w.now}
-			case router.releaseOpenedAt[i] == 0:
-				router.releaseOpenedAt[i] = w.now
-			}
+	for _, ring := range status.Rings {
+		isStopped := isInState(ring, rollout.RingStopped)
+		isClosed := isStopped || isInState(ring, rollout.RingClosed)
+		for _, name := range ring.Cells {
+			cell := slices.IndexFunc(w.config.Cells.Cells, func(c cells.Cell) bool { return c.Name == name })
+			router.recordRelease(cell, isClosed, w.now)
+		}
+		if isStopped && w.result.StoppedAtSeconds == 0 {
+			w.result.StoppedAtSeconds = toSeconds(w.now)
 		}
 	}
-	if !stopped {
+}
+
+// recordRelease notes when a router opened a cell for the release.
+func (r *simulatedRouter) recordRelease(cell int, isClosed bool, now int64) {
+	if isClosed {
+		delete(r.releaseOpenedAt, cell)
 		return
 	}
-	if w.result.StoppedAtSeconds == 0 {
-		w.result.StoppedAtSeconds = float64(w.now) / float64(second)
+	if r.releaseOpenedAt == nil {
+		r.releaseOpenedAt = map[int]int64{}
+	}
+	if r.releaseOpenedAt[cell] == 0 {
+		r.releaseOpenedAt[cell] = now
 	}
 }
 
-// countRolloutVerdicts counts at the end at how many routers a release was stopped, and at how many it passed everywhere.
+// countRolloutVerdicts counts at the end at how many routers the release was stopped, and at how many it passed in all
+// rings.
 func (w *World) countRolloutVerdicts() {
 	for i := range w.routers {
-		now := w.routers[i].module.RolloutStatus()
-		if now == nil {
+		status := w.routers[i].module.RolloutStatus()
+		if status == nil {
 			continue
 		}
-		stopped, passed := false, true
-		for _, ring := range now.Rings {
-			stopped = stopped || ring.State == "stopped"
-			passed = passed && ring.State == "passed"
-		}
-		if stopped {
+		isStopped := slices.ContainsFunc(status.Rings, func(r cells.RingStatus) bool {
+			return isInState(r, rollout.RingStopped)
+		})
+		hasOther := slices.ContainsFunc(status.Rings, func(r cells.RingStatus) bool {
+			return !isInState(r, rollout.RingPassed)
+		})
+		if isStopped {
 			w.result.RoutersStopped++
 		}
-		if passed {
+		if !hasOther {
 			w.result.RoutersPassed++
 		}
 	}
--- a/emulator/rollout_test.go
+++ b/emulator/rollout_test.go
@@ -6,9 +6,9 @@
 	"spantack/core/rollout"
 )
 
-// Prices renewed under their names, while routers die and come back, clocks differ and caches are replaced: a cell that has the release never
-// answers with an old copy, one that has not mostly does, and once it is taken back none answers with the release. At a router that has
-// found harm itself the same holds from the document's time on.
+// Prices renewed under their names, while routers die and come back, clocks differ and caches are replaced: a cell
+// that has the release never answers with an old copy, one that has not mostly does, and once it is taken back none
+// answers with the release. At a router that has found harm itself the same holds from the document's time on.
 func TestReleaseDuringFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		harm float64
--- a/emulator/topology.go
+++ b/emulator/topology.go
@@ -9,8 +9,8 @@
 	"spantack/core/hierarchy"
 )
 
-// TopologyTrial describes a trial of shapes: random ones, a third with a circle planted, each then changed some times while fills run through nodes
-// of which a part has not heard of the last changes yet.
+// TopologyTrial describes a trial of shapes: random ones, a third with a circle planted, each then changed some times
+// while fills run through nodes of which a part has not heard of the last changes yet.
 type TopologyTrial struct {
 	Topologies      int `json:"shapes"`
 	MaxParentGroups int `json:"areas"`  // at most
@@ -111,8 +111,8 @@
 	}
 }
 
-// followFill follows one fill through nodes that have shapes of their own. A node that has no way on says so, and where a path is carried the one
-// before it asks the next.
+// followFill follows one fill through nodes that have shapes of their own. A node that has no way on says so, and
+// where a path is carried the one before it asks the next.
 func followFill(told map[string]*hierarchy.Graph, depot, guard string, rng *rand.Rand, res *FillOutcomes) {
 	visited := map[string]bool{depot: true}
 	twice := false
@@ -207,7 +207,8 @@
 	return ways
 }
 
-// changeTopology is a shape with some change: ways drawn anew, all ways of one area turned to the head office, or one taken away that nobody needs.
+// changeTopology is a shape with some change: ways drawn anew, all ways of one area turned to the head office, or one
+// taken away that nobody needs.
 func changeTopology(rng *rand.Rand, s *hierarchy.Topology, areas int) *hierarchy.Topology {
 	next := *s
 	next.Links = slices.Clone(s.Links)
--- a/emulator/topology_test.go
+++ b/emulator/topology_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Each planted circle is refused and named, no valid shape is, and a fill that carries its path visits no node twice; without a guard many do.
+// Each planted circle is refused and named, no valid shape is, and a fill that carries its path visits no node twice;
+// without a guard many do.
 func TestTopologyTrial(t *testing.T) {
 	trial := TopologyTrial{Topologies: 150, MaxParentGroups: 16, MaxSites: 4, Changes: 5, FillsPerChange: 10}
 	res, err := trial.Run(21)
--- /dev/null
+++ b/emulator/validate.go
@@ -0,0 +1,149 @@
+package emulator
+
+import (
+	"errors"
+	"fmt"
+)
+
+// bounds are the values that a field may have, both ends included.
+type bounds struct {
+	field    string // as in experiments
+	value    float64
+	min, max float64
+}
+
+// check returns an error that names the field unless the value is within the bounds. NaN never is.
+func (b bounds) check(path string) error {
+	if b.value >= b.min && b.value <= b.max {
+		return nil
+	}
+	return fmt.Errorf("%s%s: %v is not %v to %v", path, b.field, b.value, b.min, b.max)
+}
+
+// checkBounds returns the error of the first field that is out of its bounds; path goes before the field's name.
+func checkBounds(path string, all []bounds) error {
+	for _, b := range all {
+		if err := b.check(path); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Validate returns an error that names the first field which can't be used, as experiments spell it.
+func (c *Config) Validate() error {
+	for _, check := range []func() error{
+		c.validateNumbers,
+		c.validateTenants,
+		c.validateRelease,
+		c.validateFractionsOfFaults,
+		c.validateRolloutOfRelease,
+		c.validateChanges,
+		c.Deployment.validate,
+		c.validateGossip,
+		c.validatePlacesOfFaults,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *Config) validateNumbers() error {
+	return checkBounds("", []bounds{
+		{"depots", float64(c.Sites), 1, 256},
+		{"routers", float64(c.RoutersPerSite), 1, 64},
+		{"caches", float64(c.CachesPerSite), 1, 1024},
+		{"parents", float64(c.Parents), 1, 256},
+		{"hubs", float64(c.Hubs), 0, float64(c.Parents)},
+		{"tenants", float64(c.Tenants), 1, 65536},
+		{"objects", float64(c.Objects), 1, 1e6},
+		{"channels", float64(c.StreamsPerCache), 1, 1000},
+		{"rateS", c.RequestsPerSecond, 1, 1e6},
+		{"tenantSkew", c.TenantSkew, 0, 3},
+		{"objectSkew", c.ObjectSkew, 0, 3},
+		{"onceShare", c.OneTimeFraction, 0, 1},
+		{"driftS", c.PopularityDriftSeconds, 0.001, 1e9},
+		{"keepS", c.CacheRetentionSeconds, 0.01, 1e4},
+		{"linkRoom", c.SiteLinkCapacityFactor, 0.1, 100},
+		{"parentRoom", c.ParentCapacityFactor, 0.1, 100},
+		{"farRoom", c.RemoteHubCapacityFactor, 0, 100},
+		{"originRoom", c.OriginCapacityFactor, 0.1, 100},
+		{"missShare", c.MissRatio, 0.001, 1},
+		{"routerUs", c.RouterCPUMicros, 0, 1e5},
+		{"warmS", c.WarmUpSeconds, 0, 3600},
+		{"dayS", c.DurationSeconds, 0.1, 3600},
+		{"skewMs", c.MaxClockSkewMillis, 0, 10_000},
+	})
+}
+
+func (c *Config) isTenant(tenant int) bool { return tenant >= 0 && tenant < c.Tenants }
+
+func (c *Config) validateTenants() error {
+	if c.Flood != nil && !c.isTenant(c.Flood.Tenant) {
+		return fmt.Errorf("flood.tenant: %d is no tenant", c.Flood.Tenant)
+	}
+	if c.Poison != nil && !c.isTenant(c.Poison.Tenant) {
+		return fmt.Errorf("poison.tenant: %d is no tenant", c.Poison.Tenant)
+	}
+	if c.CellByTenant != nil && len(c.CellByTenant) != c.Tenants {
+		return errors.New("group: one for each tenant")
+	}
+	for _, tenant := range c.MigratedTenants {
+		if !c.isTenant(tenant) {
+			return fmt.Errorf("movers: %d is no tenant", tenant)
+		}
+	}
+	return nil
+}
+
+func isFraction(x float64) bool { return x >= 0 && x <= 1 }
+
+func (c *Config) validateRelease() error {
+	r := c.Release
+	if r == nil {
+		return nil
+	}
+	if !(r.StartSeconds >= 0) || !isFraction(r.CatalogueFraction) || !isFraction(r.HarmfulFraction) || c.Cells == nil {
+		return errors.New("release: a time, parts of 0 to 1, and cells")
+	}
+	return nil
+}
+
+func (c *Config) validateRolloutOfRelease() error {
+	r := c.Release
+	if r != nil && r.Rollout != nil && r.Rollout.ReplacesObjects != r.ReplacesObjects {
+		return errors.New("release.renews: its stage says otherwise")
+	}
+	return nil
+}
+
+func (c *Config) validateFractionsOfFaults() error {
+	for i, f := range c.Faults {
+		needsFraction := f.Kind == FaultBrownout || f.Kind == FaultPurge
+		if needsFraction && !(f.Fraction > 0 && f.Fraction <= 1) {
+			return fmt.Errorf("faults[%d].part: %v is not above 0 to 1", i, f.Fraction)
+		}
+	}
+	return nil
+}
+
+func (c *Config) validatePlacesOfFaults() error {
+	for i, f := range c.Faults {
+		if f.Site < -1 || f.Site >= c.Sites || f.Index < 0 {
+			return fmt.Errorf("faults[%d]: there is no such machine", i)
+		}
+	}
+	return nil
+}
+
+func (c *Config) validateChanges() error {
+	for i, change := range c.Changes {
+		isBeforeLast := i > 0 && change.AtSeconds < c.Changes[i-1].AtSeconds
+		if !(change.AtSeconds >= 0) || isBeforeLast || c.Cells == nil {
+			return fmt.Errorf("changes[%d]: needs cells, and a time not before the last", i)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/emulator/violations.go
@@ -0,0 +1,20 @@
+package emulator
+
+// Names of violations as results count them. Scripts and claims read them.
+const (
+	violationColdServer            = "cold server pushed over"
+	violationDrainedServer         = "sent to a drained server"
+	violationTwoAttemptsOut        = "two attempts of a request out"
+	violationTwoAttemptsAtServers  = "two attempts of a request at servers"
+	violationTwoAnswers            = "two answers to a request"
+	violationAnsweredDuringAttempt = "answered with an attempt out"
+	violationPurgedCopy            = "an answer from a purged copy"
+	violationOldVersion            = "an answer of the old version where its cell has the release"
+	violationRolledBackVersion     = "an answer of a release that was taken back"
+	violationGossipPayload         = "datagram that its own kind can't use"
+	violationGossipServer          = "datagram on no server"
+	violationRouterStart           = "router does not start: " // and the error
+)
+
+// violation counts one.
+func (r *Result) violation(name string) { r.Violations[name]++ }
--- /dev/null
+++ b/emulator/warm_up.go
@@ -0,0 +1,54 @@
+package emulator
+
+// acceptsWarmUpLoad counts an answer that a server was asked for while it warms up. If that is more than it can take
+// the server crashes, and the result is false; the attempts at it have ended then.
+func (w *World) acceptsWarmUpLoad(id int32, sizeKB float64, router int32) bool {
+	server := &w.servers[id]
+	initial, duration, multiple := cacheInitialCapacity, int64(cacheWarmUpTime), cacheOverloadMultiple
+	if server.kind == parentServer {
+		initial, duration, multiple = parentInitialCapacity, int64(parentWarmUpTime), parentOverloadMultiple
+	}
+	age := w.now - server.startedAt
+	if server.startedAt == 0 || server.kind == originServer || age > duration {
+		return true
+	}
+	server.addRecentWork(receivedWork{w.now, sizeKB, router})
+	capacity := initial + (1-initial)*float64(age)/float64(duration)
+	maxKB := multiple * capacity * server.streams * responseKBPerSecond * float64(overloadWindow) / 1e6
+	w.recordWarmUpLoad(server, router, maxKB)
+	if server.recentKB <= maxKB {
+		return true
+	}
+	w.result.violation(violationColdServer)
+	w.killServer(id)
+	w.push(event{time: w.now + overloadRestartDelay, kind: eventServerRestart, target: id})
+	return false
+}
+
+// addRecentWork adds to the work of the last overloadWindow.
+func (s *simulatedServer) addRecentWork(work receivedWork) {
+	for len(s.recentWork) > 0 && s.recentWork[0].receivedAt < work.receivedAt-overloadWindow {
+		s.recentKB -= s.recentWork[0].sizeKB
+		s.recentWork = s.recentWork[1:]
+	}
+	s.recentWork = append(s.recentWork, work)
+	s.recentKB += work.sizeKB
+}
+
+// recordWarmUpLoad measures what part of its bound a server was sent while it warms up, by all routers and by one. A
+// router's share of the bound is an equal one, and its largest request does not count.
+func (w *World) recordWarmUpLoad(server *simulatedServer, router int32, maxKB float64) {
+	w.result.MaxWarmUpLoad = max(w.result.MaxWarmUpLoad, server.recentKB/maxKB)
+	routers := float64(w.config.RoutersPerSite)
+	if server.kind == parentServer {
+		routers *= float64(w.config.Sites)
+	}
+	sum, largest := 0.0, 0.0
+	for _, work := range server.recentWork {
+		if work.router == router {
+			sum += work.sizeKB
+			largest = max(largest, work.sizeKB)
+		}
+	}
+	w.result.MaxWarmUpLoadPerRouter = max(w.result.MaxWarmUpLoadPerRouter, (sum-largest)/(maxKB/routers))
+}
