--- a/core/cells/origin_limit.go
+++ b/core/cells/origin_limit.go
@@ -44,9 +44,9 @@
 	return a.origin.setDocument(now, document)
 }
 
-// SetOriginFillLease limits the fills that are known to reach the origin, as their source was found not to have the
+// SetOriginFillQuota limits the fills that are known to reach the origin, as their source was found not to have the
 // object, to this router's lease of the fleet's limit (core/fleet). 0: there is no such limit.
-func (a *Admission) SetOriginFillLease(now int64, maxFills float64) {
+func (a *Admission) SetOriginFillQuota(now int64, maxFills float64) {
 	if maxFills != a.origin.lease {
 		a.origin.lease = maxFills
 		a.origin.announce(now)
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -148,7 +148,7 @@
 	return router.Server{
 		ID:        fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(record)),
 		Addr:      netip.AddrPortFrom(ip, binary.BigEndian.Uint16(record[8:])).String(),
-		Status:    string(statusesByNumber[state]),
+		Status:    statusesByNumber[state],
 		Zone:      names.Zones[zone],
 		Kind:      names.Kinds[kind],
 		Cell:      int64(binary.BigEndian.Uint16(record[13:])),
--- a/internal/discovery/initialevents.go
+++ b/internal/discovery/initialevents.go
@@ -131,7 +131,7 @@
 		Zone:      s.Zone,
 		Kind:      s.Kind,
 		Cell:      s.Cell,
-		Status:    string(status),
+		Status:    status,
 		Weight:    s.Weight,
 		StartedAt: s.StartedAt,
 	}, nil
--- a/internal/resp/pools.go
+++ b/internal/resp/pools.go
@@ -91,7 +91,7 @@
 	defer p.mu.Unlock()
 	listed := map[string]bool{}
 	for _, server := range event.Servers {
-		isListed := server.Status != string(routing.EndpointRemoved)
+		isListed := server.Status != routing.EndpointRemoved
 		listed[server.ID] = isListed
 		known := p.servers[server.ID]
 		if known != nil && isListed && known.addr == server.Addr {
--- a/internal/resp/response.go
+++ b/internal/resp/response.go
@@ -106,7 +106,7 @@
 			if !isKnown {
 				return fmt.Errorf("%w: unknown note %.20q", errMalformed, value)
 			}
-			result.CacheStatus = int(status)
+			result.CacheStatus = status
 		case "l":
 			result.LoadReport = value // checked by the router, which knows the fields that the settings name
 		case "t0":
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -18,8 +18,8 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Outcome     routing.AttemptOutcome
-	CacheStatus int     // a routing.CacheStatus: how the server came by the copy, or why it has none
-	SourceWait  float64 // milliseconds that the server waited for Source
+	CacheStatus routing.CacheStatus // how the server came by the copy, or why it has none
+	SourceWait  float64             // milliseconds that the server waited for Source
 	Body        []byte
 	NotModified bool    // the client's own copy is current: no body
 	LoadReport  string  // the server's load report as it came, "NAME:VALUE;NAME:VALUE"; empty: none
--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -13,7 +13,7 @@
 const breakerOutcomes = 8
 
 // hit is the result of an attempt that its cache served from its store.
-var hit = AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: int(routing.CacheHit)}
+var hit = AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: routing.CacheHit}
 
 // newRouterOfTwoCaches returns a router with two edge caches, and breakerOutcomes objects that go to a given one of
 // them.
--- a/internal/router/exclusions_test.go
+++ b/internal/router/exclusions_test.go
@@ -10,7 +10,7 @@
 
 // listed is an update in which the edge cache has a status.
 func listed(status routing.EndpointStatus) WatchEvent {
-	return WatchEvent{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: string(status), Weight: 4}}}
+	return WatchEvent{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: status, Weight: 4}}}
 }
 
 // An edge cache that staff excluded gets nothing, whatever the list says of it meanwhile, until it is included.
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -18,7 +18,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.admission.SetOriginFillLease(r.advanceLocked(), max(quota, minOriginFillQuota))
+	r.admission.SetOriginFillQuota(r.advanceLocked(), max(quota, minOriginFillQuota))
 }
 
 // OriginFills returns how many fills that ask the origin are in flight here, and how many requests were rejected
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -265,7 +265,7 @@
 		Attempt:      s.attempt,
 		Server:       ended.server,
 		Outcome:      result.Outcome,
-		CacheStatus:  routing.CacheStatus(result.CacheStatus),
+		CacheStatus:  result.CacheStatus,
 		ResponseTime: clock.Micros(s.router.clock.Now() - ended.sentAt),
 		UpstreamWait: clock.Micros(result.SourceWait),
 		IsFinal:      result.Outcome == routing.OutcomeServed,
--- a/internal/router/serve_test.go
+++ b/internal/router/serve_test.go
@@ -29,7 +29,7 @@
 	r := newTestRouter(t, "box", "parent", "origin")
 	r.startRequest("r1")
 	failedFill := AttemptResult{
-		Outcome: routing.OutcomeError, CacheStatus: int(routing.SourceUnreachable), SourceWait: 300,
+		Outcome: routing.OutcomeError, CacheStatus: routing.SourceUnreachable, SourceWait: 300,
 	}
 	r.nextAttempt().result <- failedFill
 	stale := r.nextAttempt()
@@ -38,7 +38,7 @@
 	}
 	stale.result <- AttemptResult{Outcome: routing.OutcomeMiss}
 	origin := r.nextAttempt()
-	origin.result <- AttemptResult{Outcome: routing.OutcomeRejected, CacheStatus: int(routing.SourceRejected)}
+	origin.result <- AttemptResult{Outcome: routing.OutcomeRejected, CacheStatus: routing.SourceRejected}
 	r.nextAttempt().result <- AttemptResult{Outcome: routing.OutcomeMiss}
 	if got := r.nextResponse(); got.Outcome != Rejected || got.RetryAfter <= 0 || got.RetryAfter > 1000 {
 		t.Errorf("response %+v", got)
--- a/internal/router/watch_event.go
+++ b/internal/router/watch_event.go
@@ -12,7 +12,7 @@
 	Zone      string
 	Kind      string // one of the settings' kinds
 	Cell      int64
-	Status    string // in the module's words
+	Status    routing.EndpointStatus
 	Weight    float64
 	StartedAt float64 // Unix milliseconds; 0: long ago
 }
@@ -63,7 +63,7 @@
 		Zone:      s.Zone,
 		Kind:      s.Kind,
 		Cell:      s.Cell,
-		Status:    routing.EndpointStatus(s.Status),
+		Status:    s.Status,
 		Weight:    s.Weight,
 		StartedAt: clock.Micros(s.StartedAt),
 	}
