--- a/cmd/spanctl/wire_compat_test.go
+++ b/cmd/spanctl/wire_compat_test.go
@@ -2,52 +2,16 @@
 
 import (
 	"bytes"
-	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
 
-	"github.com/alecthomas/kong"
+	"spantack/internal/testfixture"
 )
 
-// oldPath is the path to a command by the names that it had in the release that wrote the fixture: those with a new
-// name have the old one as alias.
-func oldPath(node *kong.Node) string {
-	name := node.Name
-	if len(node.Aliases) > 0 {
-		name = node.Aliases[0]
-	}
-	if node.Parent == nil {
-		return name
-	}
-	return oldPath(node.Parent) + " " + name
-}
-
 // Scripts of operators use the names of commands, arguments and flags.
 func TestStoredCommandLinesAreTakenAlike(t *testing.T) {
-	want, err := os.ReadFile("testdata/commandlines.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var c cli
-	parser, err := kong.New(&c, kong.Name("spanctl"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got bytes.Buffer
-	for _, node := range append(parser.Model.Leaves(false), parser.Model.Node) {
-		fmt.Fprint(&got, oldPath(node))
-		for _, arg := range node.Positional {
-			fmt.Fprintf(&got, " <%s>", arg.Name)
-		}
-		for _, flag := range node.Flags {
-			fmt.Fprintf(&got, " --%s", flag.Name)
-		}
-		got.WriteByte('\n')
-	}
-	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("command lines:\n%s\nwant:\n%s", got.Bytes(), want)
-	}
+	testfixture.CommandLines(t, "testdata/commandlines.txt", "spanctl", new(cli))
 }
 
 // The files that commands on moves and releases write are those that the release before wrote for the same command
