--- a/standin/link/mesh.go
+++ b/standin/link/mesh.go
@@ -1,5 +1,3 @@
-// Package link stands between processes: relays on loopback for datagrams and connections that delay, lose, double, cut and count what
-// passes. Which fault is in force is the caller's; what chance decides comes from a seed.
 package link
 
 import (
@@ -8,109 +6,156 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
+	"slices"
 	"sync"
 	"time"
 )
 
-// Conditions are what befalls datagrams between routers. The zero value loses and delays nothing.
+// Conditions are what happens to datagrams between routers. The zero value loses and delays nothing.
 type Conditions struct {
-	LossRate, DuplicateRate float64 // parts of all
-	Delay                   time.Duration
-	Jitter                  time.Duration   // more, at random: what it makes overtake arrives in another order
-	PartitionByRank         []int           // by rank: datagrams pass within a group alone; nil: all are one
-	BlockedPaths            map[[2]int]bool // from and to: nothing passes that way
+	LossRate        float64 // fraction of the datagrams, 0 to 1
+	DuplicateRate   float64 // fraction of those that are not lost, 0 to 1
+	Delay           time.Duration
+	Jitter          time.Duration // bound of a random delay on top, by which datagrams may overtake one another
+	PartitionByRank []int         // by rank: datagrams pass within a partition alone; nil: all are in one
+	BlockedPaths    map[Path]bool // nothing passes that way
 }
 
-// Counts are of datagrams since the start.
-type Counts struct{ Forwarded, Lost, Blocked, MaxBytes int }
+// Path is one direction between two routers: the rank of the sender, then that of the receiver.
+type Path = [2]int
 
-// Mesh relays datagrams between the routers of a tier. Each rank has one address of the mesh, by which all others know it: what is sent
-// there goes on to that router, from the address of whoever sent it, as the platform does it.
+// blocks returns whether nothing passes along a path.
+func (c *Conditions) blocks(path Path) bool {
+	if c.BlockedPaths[path] {
+		return true
+	}
+	return len(c.PartitionByRank) > 0 && c.PartitionByRank[path[0]] != c.PartitionByRank[path[1]]
+}
+
+// Counts are of datagrams since the start, each counted once for every router that it was sent to.
+type Counts struct {
+	Forwarded int
+	Lost      int
+	Blocked   int
+	MaxBytes  int // payload of the longest datagram
+}
+
+// Mesh relays datagrams between the routers of a fleet. Each rank has one address of the mesh, by which all others know
+// it: what is sent there is forwarded to that router, from the address of the sender's rank. It is safe for concurrent
+// use.
 type Mesh struct {
-	sockets   []*net.UDPConn // by rank
-	broadcast *net.UDPConn
-
-	mu          sync.Mutex
-	rng         *rand.Rand
-	conditions  Conditions
-	listenAddrs []netip.AddrPort // where each router takes datagrams in
-	rankByAddr  map[netip.AddrPort]int
-	counts      Counts
-	isClosed    bool
-	goroutines  sync.WaitGroup
+	sockets     []*net.UDPConn // by rank
+	broadcast   *net.UDPConn
+	listenAddrs []netip.AddrPort       // by rank: where each router receives datagrams, and sends them from
+	rankByAddr  map[netip.AddrPort]int // the reverse
+	goroutines  sync.WaitGroup         // the relays, and datagrams that are delayed
+
+	mu         sync.Mutex // guards the fields below
+	rng        *rand.Rand
+	conditions Conditions
+	counts     Counts
+	isClosed   bool
 }
 
-// readBufferSize is more than any router may send: a longer one shows.
-const readBufferSize = 1500
+const (
+	// readBufferSize is more than the payload that any router may send: a longer one shows in Counts.MaxBytes.
+	readBufferSize = 1500
 
-// NewMesh opens a mesh for so many routers. Listens are the addresses on which they take datagrams in, and from which they send.
-func NewMesh(seed uint64, listens []netip.AddrPort) (m *Mesh, err error) {
-	m = &Mesh{rng: rand.New(rand.NewPCG(seed, 0x11e5)), listenAddrs: listens, rankByAddr: map[netip.AddrPort]int{}}
-	defer func() {
-		if err != nil {
-			m.Close()
-		}
-	}()
-	for rank, at := range listens {
-		m.rankByAddr[at] = rank
-		door, err := listenUDP()
-		if err != nil {
-			return m, err
-		}
-		m.sockets = append(m.sockets, door)
+	// rngStream tells the mesh's random numbers from others of the same seed.
+	rngStream = 0x11e5
+)
+
+// NewMesh opens a mesh for the routers that receive datagrams on the given addresses, in the order of their ranks. The
+// caller ends it with Close.
+func NewMesh(seed uint64, listenAddrs []netip.AddrPort) (*Mesh, error) {
+	m := &Mesh{
+		rng:         rand.New(rand.NewPCG(seed, rngStream)),
+		listenAddrs: listenAddrs,
+		rankByAddr:  map[netip.AddrPort]int{},
 	}
-	if m.broadcast, err = listenUDP(); err != nil {
-		return m, err
+	if err := m.openSockets(); err != nil {
+		m.Close()
+		return nil, err
 	}
-	for rank, door := range m.sockets {
-		m.goroutines.Go(func() { m.relay(door, []int{rank}) })
+	var everyRank []int
+	for rank, addr := range listenAddrs {
+		m.rankByAddr[addr] = rank
+		everyRank = append(everyRank, rank)
 	}
-	everybody := make([]int, len(listens))
-	for rank := range everybody {
-		everybody[rank] = rank
+	for rank, socket := range m.sockets {
+		m.goroutines.Go(func() { m.relay(socket, []int{rank}) })
 	}
-	m.goroutines.Go(func() { m.relay(m.broadcast, everybody) })
+	m.goroutines.Go(func() { m.relay(m.broadcast, everyRank) })
 	return m, nil
 }
 
+// openSockets opens those of all ranks and the broadcast address, up to the first that fails.
+func (m *Mesh) openSockets() (err error) {
+	for range m.listenAddrs {
+		socket, err := listenUDP()
+		if err != nil {
+			return err
+		}
+		m.sockets = append(m.sockets, socket)
+	}
+	m.broadcast, err = listenUDP()
+	return err
+}
+
 func listenUDP() (*net.UDPConn, error) {
 	return net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 }
 
-// Addr is the address by which others reach a router.
+// Addr returns the address by which others reach a router.
 func (m *Mesh) Addr(rank int) string { return m.sockets[rank].LocalAddr().String() }
 
-// BroadcastAddr is the address that reaches all routers.
+// BroadcastAddr returns the address that reaches all routers but the sender.
 func (m *Mesh) BroadcastAddr() string { return m.broadcast.LocalAddr().String() }
 
-// SetConditions changes the conditions, for what is sent from now on.
-func (m *Mesh) SetConditions(w Conditions) error {
-	if len(w.PartitionByRank) != 0 && len(w.PartitionByRank) != len(m.listenAddrs) {
-		return fmt.Errorf("Groups: %d for %d routers", len(w.PartitionByRank), len(m.listenAddrs))
-	}
-	if !(w.LossRate >= 0 && w.LossRate <= 1) || !(w.DuplicateRate >= 0 && w.DuplicateRate <= 1) || w.Delay < 0 || w.Jitter < 0 {
-		return errors.New("Loss and Double: 0 to 1; Delay and Jitter: 0 or more")
+// SetConditions changes the conditions for what is sent from now on. It refuses those that can't be, and then changes
+// nothing.
+func (m *Mesh) SetConditions(conditions Conditions) error {
+	if err := conditions.validate(len(m.listenAddrs)); err != nil {
+		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.conditions = w
+	m.conditions = conditions
 	return nil
 }
 
-// Counts tell what passed, and what did not.
+// validate returns an error that names the field that can't be.
+func (c *Conditions) validate(routers int) error {
+	isRate := func(rate float64) bool { return rate >= 0 && rate <= 1 } // false for NaN
+	switch {
+	case !isRate(c.LossRate):
+		return fmt.Errorf("condition LossRate %v: must be from 0 to 1", c.LossRate)
+	case !isRate(c.DuplicateRate):
+		return fmt.Errorf("condition DuplicateRate %v: must be from 0 to 1", c.DuplicateRate)
+	case c.Delay < 0:
+		return fmt.Errorf("condition Delay %v: must not be negative", c.Delay)
+	case c.Jitter < 0:
+		return fmt.Errorf("condition Jitter %v: must not be negative", c.Jitter)
+	case len(c.PartitionByRank) != 0 && len(c.PartitionByRank) != routers:
+		return fmt.Errorf("condition PartitionByRank: %d entries for %d routers", len(c.PartitionByRank), routers)
+	}
+	return nil
+}
+
+// Counts returns what passed so far, and what did not.
 func (m *Mesh) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.counts
 }
 
-// Close ends the mesh.
+// Close ends the mesh, drops what is delayed, and returns once all goroutines have ended.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.isClosed = true
 	m.mu.Unlock()
-	for _, door := range m.sockets {
-		door.Close()
+	for _, socket := range m.sockets {
+		socket.Close()
 	}
 	if m.broadcast != nil {
 		m.broadcast.Close()
@@ -118,60 +163,66 @@
 	m.goroutines.Wait()
 }
 
-func (m *Mesh) relay(door *net.UDPConn, to []int) {
-	buf := make([]byte, readBufferSize)
+// relay forwards what comes to a socket to routers, until the socket is closed.
+func (m *Mesh) relay(socket *net.UDPConn, receivers []int) {
+	buffer := make([]byte, readBufferSize)
 	for {
-		n, at, err := door.ReadFromUDPAddrPort(buf)
+		size, addr, err := socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as word that a router is down
+		if err != nil { // such as an ICMP message that a router is down
 			continue
 		}
-		at = netip.AddrPortFrom(at.Addr().Unmap(), at.Port())
-		for _, rank := range to {
-			m.forward(at, rank, buf[:n])
+		sender := netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
+		for _, receiver := range receivers {
+			m.forward(sender, receiver, buffer[:size])
 		}
 	}
 }
 
-// forward sends a datagram on, or does not.
-func (m *Mesh) forward(at netip.AddrPort, to int, b []byte) {
+// forward sends a datagram to a router as the conditions have it. What a router sends to itself does not pass, except
+// in a mesh of one.
+func (m *Mesh) forward(sender netip.AddrPort, receiver int, datagram []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	from, known := m.rankByAddr[at]
-	m.counts.MaxBytes = max(m.counts.MaxBytes, len(b))
-	w := &m.conditions
+	m.counts.MaxBytes = max(m.counts.MaxBytes, len(datagram))
+	rank, isKnown := m.rankByAddr[sender]
+	path := Path{rank, receiver}
 	switch {
-	case !known || from == to && len(m.listenAddrs) > 1:
+	case !isKnown || rank == receiver && len(m.listenAddrs) > 1:
 		return
-	case len(w.PartitionByRank) > 0 && w.PartitionByRank[from] != w.PartitionByRank[to] || w.BlockedPaths[[2]int{from, to}]:
+	case m.conditions.blocks(path):
 		m.counts.Blocked++
 		return
-	case m.rng.Float64() < w.LossRate:
+	case m.rng.Float64() < m.conditions.LossRate:
 		m.counts.Lost++
 		return
 	}
 	m.counts.Forwarded++
-	times := 1
-	if m.rng.Float64() < w.DuplicateRate {
-		times = 2
+	copies := 1
+	if m.rng.Float64() < m.conditions.DuplicateRate {
+		copies = 2
 	}
-	for range times {
-		wait := w.Delay
-		if w.Jitter > 0 {
-			wait += time.Duration(m.rng.Int64N(int64(w.Jitter)))
+	for range copies {
+		delay := m.conditions.Delay
+		if m.conditions.Jitter > 0 {
+			delay += time.Duration(m.rng.Int64N(int64(m.conditions.Jitter)))
 		}
-		b := append([]byte(nil), b...)
-		m.goroutines.Add(1)
-		time.AfterFunc(wait, func() {
-			defer m.goroutines.Done()
-			m.mu.Lock()
-			over := m.isClosed
-			m.mu.Unlock()
-			if !over {
-				_, _ = m.sockets[from].WriteToUDPAddrPort(b, m.listenAddrs[to]) // lost, if nobody is there
-			}
-		})
+		m.sendAfter(delay, path, slices.Clone(datagram))
 	}
 }
+
+// sendAfter sends a datagram unless the mesh is closed meanwhile.
+func (m *Mesh) sendAfter(delay time.Duration, path Path, datagram []byte) {
+	m.goroutines.Add(1)
+	time.AfterFunc(delay, func() {
+		defer m.goroutines.Done()
+		m.mu.Lock()
+		isClosed := m.isClosed
+		m.mu.Unlock()
+		if !isClosed {
+			_, _ = m.sockets[path[0]].WriteToUDPAddrPort(datagram, m.listenAddrs[path[1]]) // lost where nobody listens
+		}
+	})
+}
--- /dev/null
+++ b/standin/link/mesh_test.go
@@ -0,0 +1,122 @@
+package link
+
+import (
+	"math"
+	"net"
+	"net/netip"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"spantack/internal/testwait"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// meshRouters are the sockets of routers, by rank, with a mesh between them.
+type meshRouters struct {
+	mesh    *Mesh
+	sockets []*net.UDPConn
+}
+
+func startMesh(t *testing.T, routers int) *meshRouters {
+	t.Helper()
+	m := &meshRouters{}
+	var addrs []netip.AddrPort
+	for range routers {
+		socket, err := listenUDP()
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { socket.Close() })
+		m.sockets = append(m.sockets, socket)
+		addrs = append(addrs, socket.LocalAddr().(*net.UDPAddr).AddrPort())
+	}
+	mesh, err := NewMesh(1, addrs)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(mesh.Close)
+	m.mesh = mesh
+	return m
+}
+
+// send has a router send a datagram to an address of the mesh.
+func (m *meshRouters) send(t *testing.T, rank int, addr, text string) {
+	t.Helper()
+	if _, err := m.sockets[rank].WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(addr)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// expect reads the next datagram of a router, which must come from an address of the mesh.
+func (m *meshRouters) expect(t *testing.T, rank int, fromAddr, text string) {
+	t.Helper()
+	buffer := make([]byte, 100)
+	m.sockets[rank].SetReadDeadline(time.Now().Add(testwait.Limit))
+	size, addr, err := m.sockets[rank].ReadFromUDPAddrPort(buffer)
+	if err != nil || string(buffer[:size]) != text || addr.String() != fromAddr {
+		t.Fatalf("router %d received %q from %v (%v), want %q from %s", rank, buffer[:size], addr, err, text, fromAddr)
+	}
+}
+
+func (m *meshRouters) setConditions(t *testing.T, conditions Conditions) {
+	t.Helper()
+	if err := m.mesh.SetConditions(conditions); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// What is lost or blocked does not come, and what is sent afterwards does: the first to arrive is the second that was
+// sent. A router knows the others by their addresses of the mesh.
+func TestMesh(t *testing.T) {
+	m := startMesh(t, 3)
+	m.send(t, 0, m.mesh.Addr(1), "one")
+	m.expect(t, 1, m.mesh.Addr(0), "one")
+	m.send(t, 2, m.mesh.BroadcastAddr(), "all")
+	m.expect(t, 0, m.mesh.Addr(2), "all")
+	m.expect(t, 1, m.mesh.Addr(2), "all")
+	for _, conditions := range []Conditions{
+		{PartitionByRank: []int{0, 1, 0}},
+		{BlockedPaths: map[Path]bool{{0, 1}: true}},
+		{LossRate: 1},
+	} {
+		m.setConditions(t, conditions)
+		before := m.mesh.Counts()
+		m.send(t, 0, m.mesh.Addr(1), "lost")
+		testwait.Until(t, "the datagram to be counted", func() bool { return m.mesh.Counts() != before })
+		now := m.mesh.Counts()
+		if now.Forwarded != before.Forwarded || now.Blocked+now.Lost != before.Blocked+before.Lost+1 {
+			t.Errorf("%+v: %+v, before %+v", conditions, now, before)
+		}
+	}
+	m.setConditions(t, Conditions{
+		BlockedPaths:  map[Path]bool{{0, 1}: true},
+		DuplicateRate: 1,
+		Delay:         time.Millisecond,
+	})
+	m.send(t, 1, m.mesh.Addr(0), "back")
+	m.expect(t, 0, m.mesh.Addr(1), "back")
+	m.expect(t, 0, m.mesh.Addr(1), "back")
+}
+
+// Conditions that can't be are refused by the name of the field, and change nothing.
+func TestMeshRefusesConditions(t *testing.T) {
+	m := startMesh(t, 2)
+	for want, conditions := range map[string]Conditions{
+		"condition LossRate 2: must be from 0 to 1":          {LossRate: 2},
+		"condition LossRate NaN: must be from 0 to 1":        {LossRate: math.NaN()},
+		"condition DuplicateRate -1: must be from 0 to 1":    {DuplicateRate: -1},
+		"condition Delay -1ns: must not be negative":         {Delay: -1},
+		"condition Jitter -1ns: must not be negative":        {Jitter: -1},
+		"condition PartitionByRank: 1 entries for 2 routers": {PartitionByRank: []int{1}},
+		"condition PartitionByRank: 3 entries for 2 routers": {PartitionByRank: []int{1, 1, 1}},
+	} {
+		if err := m.mesh.SetConditions(conditions); err == nil || err.Error() != want {
+			t.Errorf("%v, want %s", err, want)
+		}
+	}
+	m.send(t, 0, m.mesh.Addr(1), "still")
+	m.expect(t, 1, m.mesh.Addr(0), "still")
+}
--- a/standin/link/relay.go
+++ b/standin/link/relay.go
@@ -2,82 +2,104 @@
 
 import (
 	"net"
+	"slices"
 	"sync"
 	"time"
 )
 
-// RelayConditions is what a Relay does with connections.
+// RelayConditions are what happens to the connections of a Relay. The zero value passes everything on at once.
 type RelayConditions struct {
-	Resets      bool          // refuses new ones, and resets those that there are
-	Blackholes  bool          // takes bytes and gives none: a machine that vanished
-	Delay       time.Duration // of each piece, either way
-	KBPerSecond float64       // either way, of each connection; 0: as it comes
+	Resets      bool          // resets open connections, and new ones as they come
+	Blackholes  bool          // reads bytes and passes none on, as if the other machine had vanished
+	Delay       time.Duration // of each piece, in both directions
+	KBPerSecond float64       // of each connection, in both directions; 0: no limit
 }
 
-// Relay stands between clients and one server, connection by connection.
+// pieceDelay returns how long a piece of so many bytes is held back.
+func (c RelayConditions) pieceDelay(size int) time.Duration {
+	delay := c.Delay
+	if c.KBPerSecond > 0 {
+		delay += time.Duration(float64(size) / 1000 / c.KBPerSecond * float64(time.Second))
+	}
+	return delay
+}
+
+// direction is one in which a connection carries bytes.
+type direction int
+
+const (
+	toServer direction = iota
+	toClient
+	directions // how many there are
+)
+
+// pieceSize is the greatest number of bytes that a relay reads at once.
+const pieceSize = 16 << 10
+
+// Relay stands between clients and one server: each connection from a client has one to the server. It is safe for
+// concurrent use.
 type Relay struct {
-	listener net.Listener
-	target   string
+	listener   net.Listener
+	target     string // the server's address
+	goroutines sync.WaitGroup
 
-	mu               sync.Mutex
+	mu               sync.Mutex // guards the fields below
 	conditions       RelayConditions
-	conns            map[net.Conn]bool
-	dials            []time.Time // of each connection asked for
-	bytesByDirection [2]int64    // to the server, and back
-	goroutines       sync.WaitGroup
+	conns            map[net.Conn]bool // the open ones, of both sides
+	dials            []time.Time       // when each connection from a client was accepted
+	bytesByDirection [directions]int64
 }
 
-// NewRelay opens a relay to a server.
+// NewRelay opens a relay to the server at an address. The caller ends it with Close.
 func NewRelay(target string) (*Relay, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, target: target, conns: map[net.Conn]bool{}}
+	r := &Relay{listener: listener, target: target, conns: map[net.Conn]bool{}}
 	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
-// Addr is where clients connect.
+// Addr returns the address that clients connect to.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetConditions changes what befalls connections, those that there are too.
-func (r *Relay) SetConditions(s RelayConditions) {
+// SetConditions changes what happens to connections, the open ones too.
+func (r *Relay) SetConditions(conditions RelayConditions) {
 	r.mu.Lock()
-	r.conditions = s
-	var cut []net.Conn
-	if s.Resets {
-		for c := range r.conns {
-			cut = append(cut, c)
+	defer r.mu.Unlock()
+	r.conditions = conditions
+	if conditions.Resets {
+		for conn := range r.conns {
+			reset(conn)
 		}
 	}
-	r.mu.Unlock()
-	for _, c := range cut {
-		reset(c)
-	}
 }
 
-// Counts are the times at which connections were asked for so far, how many there are, and the bytes that went to the server and came back.
-func (r *Relay) Counts() (dials []time.Time, open int, to, back int64) {
+// Counts returns the times at which clients connected so far, how many of the connections are open, and the bytes that
+// went to the server and to clients.
+func (r *Relay) Counts() (dials []time.Time, open int, bytesToServer, bytesToClient int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]time.Time(nil), r.dials...), len(r.conns) / 2, r.bytesByDirection[0], r.bytesByDirection[1]
+	return slices.Clone(r.dials), len(r.conns) / 2, r.bytesByDirection[toServer], r.bytesByDirection[toClient]
 }
 
-// MaxDialsWithin is the greatest number of connections asked for within any d, of those after the first so many.
-func (r *Relay) MaxDialsWithin(after int, d time.Duration) (most int) {
+// MaxDialsWithin returns the greatest number of connections that clients made within any span of time, leaving out the
+// first ones.
+func (r *Relay) MaxDialsWithin(skipped int, span time.Duration) (maxDials int) {
 	dials, _, _, _ := r.Counts()
-	dials = dials[after:]
-	for i, j := 0, 0; i < len(dials); i++ {
-		for dials[i].Sub(dials[j]) >= d {
-			j++
+	dials = dials[skipped:]
+	first := 0
+	for last := range dials {
+		for dials[last].Sub(dials[first]) >= span {
+			first++
 		}
-		most = max(most, i-j+1)
+		maxDials = max(maxDials, last-first+1)
 	}
-	return most
+	return maxDials
 }
 
-// Close ends the relay and its connections.
+// Close ends the relay and resets its connections. It returns once all goroutines have ended.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.SetConditions(RelayConditions{Resets: true})
@@ -85,11 +107,11 @@
 }
 
 // reset closes a connection so that its peer sees a reset.
-func reset(c net.Conn) {
-	if t, is := c.(*net.TCPConn); is {
-		_ = t.SetLinger(0)
+func reset(conn net.Conn) {
+	if tcpConn, isTCP := conn.(*net.TCPConn); isTCP {
+		_ = tcpConn.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
 func (r *Relay) currentConditions() RelayConditions {
@@ -98,72 +120,77 @@
 	return r.conditions
 }
 
+// accept relays each connection in goroutines of its own until the listener is closed.
 func (r *Relay) accept() {
 	for {
-		c, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
 		r.dials = append(r.dials, time.Now())
-		cut := r.conditions.Resets
+		resets := r.conditions.Resets
 		r.mu.Unlock()
-		if cut {
-			reset(c)
+		if resets {
+			reset(client)
 			continue
 		}
-		s, err := net.Dial("tcp", r.target)
+		server, err := net.Dial("tcp", r.target)
 		if err != nil {
-			reset(c)
+			reset(client)
 			continue
 		}
-		r.mu.Lock()
-		r.conns[c], r.conns[s] = true, true
-		cut = r.conditions.Resets // set meanwhile
-		r.mu.Unlock()
-		if cut {
-			reset(c)
-			reset(s)
-		}
-		r.goroutines.Go(func() { r.pump(c, s, 0) })
-		r.goroutines.Go(func() { r.pump(s, c, 1) })
+		r.register(client, server)
+		r.goroutines.Go(func() { r.copy(server, client, toServer) })
+		r.goroutines.Go(func() { r.copy(client, server, toClient) })
 	}
 }
 
-// pump carries bytes one way until either end closes.
-func (r *Relay) pump(from, to net.Conn, way int) {
-	defer func() {
-		end := net.Conn.Close
-		if r.currentConditions().Resets {
-			end = func(c net.Conn) error { reset(c); return nil }
-		}
-		_ = end(from)
-		_ = end(to)
-		r.mu.Lock()
-		delete(r.conns, from)
-		delete(r.conns, to)
-		r.mu.Unlock()
-	}()
-	buf := make([]byte, 16<<10)
+// register notes a pair of connections, and resets it if the conditions have changed meanwhile.
+func (r *Relay) register(client, server net.Conn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.conns[client] = true
+	r.conns[server] = true
+	if r.conditions.Resets {
+		reset(client)
+		reset(server)
+	}
+}
+
+// unregister closes a pair of connections, by a reset where the conditions say so. Both of its copies call it.
+func (r *Relay) unregister(one, other net.Conn) {
+	closeConn := func(conn net.Conn) { conn.Close() }
+	if r.currentConditions().Resets {
+		closeConn = reset
+	}
+	closeConn(one)
+	closeConn(other)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.conns, one)
+	delete(r.conns, other)
+}
+
+// copy carries bytes in one direction until either end closes.
+func (r *Relay) copy(to, from net.Conn, direction direction) {
+	defer r.unregister(from, to)
+	piece := make([]byte, pieceSize)
 	for {
-		n, err := from.Read(buf)
+		size, err := from.Read(piece)
 		if err != nil {
 			return
 		}
-		s := r.currentConditions()
-		if s.Blackholes {
+		conditions := r.currentConditions()
+		if conditions.Blackholes {
 			continue
 		}
-		wait := s.Delay
-		if s.KBPerSecond > 0 {
-			wait += time.Duration(float64(n) / 1000 / s.KBPerSecond * float64(time.Second))
-		}
-		time.Sleep(wait)
-		if _, err := to.Write(buf[:n]); err != nil {
+		time.Sleep(conditions.pieceDelay(size))
+		if _, err := to.Write(piece[:size]); err != nil {
 			return
 		}
 		r.mu.Lock()
-		r.bytesByDirection[way] += int64(n)
+		r.bytesByDirection[direction] += int64(size)
 		r.mu.Unlock()
 	}
 }
--- /dev/null
+++ b/standin/link/relay_test.go
@@ -0,0 +1,96 @@
+package link
+
+import (
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"spantack/internal/testwait"
+)
+
+// startEchoRelay starts a relay to a server that sends back what it gets.
+func startEchoRelay(t *testing.T) *Relay {
+	t.Helper()
+	listener := testwait.Listen(t)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer conn.Close()
+				_, _ = io.Copy(conn, conn)
+			}()
+		}
+	}()
+	relay, err := NewRelay(listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(relay.Close)
+	return relay
+}
+
+// echo sends five bytes and waits for as many.
+func echo(conn net.Conn, limit time.Duration) error {
+	if _, err := conn.Write([]byte("hello")); err != nil {
+		return err
+	}
+	conn.SetReadDeadline(time.Now().Add(limit))
+	_, err := io.ReadFull(conn, make([]byte, 5))
+	return err
+}
+
+// A relay passes bytes on, swallows them, resets connections and counts.
+func TestRelay(t *testing.T) {
+	relay := startEchoRelay(t)
+	first := testwait.Dial(t, relay.Addr())
+	if err := echo(first, testwait.Limit); err != nil {
+		t.Fatal(err)
+	}
+	relay.SetConditions(RelayConditions{Blackholes: true})
+	if err := echo(first, 100*time.Millisecond); err == nil {
+		t.Error("a relay that swallows bytes passes them on")
+	}
+	relay.SetConditions(RelayConditions{Resets: true})
+	first.SetReadDeadline(time.Now().Add(testwait.Limit))
+	if _, err := first.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
+		t.Errorf("%v on a connection that was cut, want a reset", err)
+	}
+	relay.SetConditions(RelayConditions{Delay: time.Millisecond, KBPerSecond: 1000})
+	if err := echo(testwait.Dial(t, relay.Addr()), testwait.Limit); err != nil {
+		t.Error(err)
+	}
+	testwait.Until(t, "the counts", func() bool { // the relay counts a moment after it has passed bytes on
+		dials, open, toServer, toClient := relay.Counts()
+		return len(dials) == 2 && open == 1 && toServer == 10 && toClient == 10
+	})
+}
+
+// The greatest number within a span counts a connection at the span's end no more.
+func TestMaxDialsWithin(t *testing.T) {
+	start := time.Unix(100, 0)
+	relay := &Relay{}
+	for _, ms := range []int{0, 1, 2, 10, 11, 12, 13, 20} {
+		relay.dials = append(relay.dials, start.Add(time.Duration(ms)*time.Millisecond))
+	}
+	for _, test := range []struct {
+		skipped int
+		span    time.Duration
+		want    int
+	}{
+		{0, time.Millisecond, 1},
+		{0, 3 * time.Millisecond, 3},
+		{0, 10 * time.Millisecond, 4},
+		{0, 11 * time.Millisecond, 5},
+		{4, 4 * time.Millisecond, 3},
+		{8, time.Second, 0},
+	} {
+		if got := relay.MaxDialsWithin(test.skipped, test.span); got != test.want {
+			t.Errorf("%d within %v, leaving out %d; want %d", got, test.span, test.skipped, test.want)
+		}
+	}
+}
