--- /dev/null
+++ b/emulator/fleetlimits_methods.go
@@ -0,0 +1,202 @@
+package emulator
+
+import (
+	"bytes"
+	"container/heap"
+)
+
+// Datagrams in the trial take from minTrialDelay up to maxTrialDelay more.
+const (
+	minTrialDelay = millisecond
+	maxTrialDelay = 22 * millisecond
+)
+
+// Parameters of the methods that are compared with core/fleet.
+const (
+	gossipInterval = 200 * millisecond
+	gossipFanout   = 3          // routers that one tells in each interval
+	gossipLifetime = 2 * second // after which a demand that was heard of does not count
+	gossipBytes    = 40         // of a datagram
+
+	leaseInterval = 500 * millisecond
+	leaseBytes    = 60 // of a request for a lease, and of its grant
+
+	minTotalDemand = 1e-9 // keeps quotas finite where nobody has any
+)
+
+// updateQuotas lets time pass up to now, and sets what each router may use.
+func (w *fleetLimitWorld) updateQuotas() {
+	switch w.Method {
+	case MethodEven:
+		for i := range w.quotas {
+			w.quotas[i] = w.Limit / float64(w.Routers)
+		}
+	case MethodGossip:
+		w.gossipQuotas()
+	case MethodLease:
+		w.leaseQuotas()
+	case MethodFleet:
+		w.fleetQuotas()
+	}
+}
+
+// nodeTime is the time of a fleet node's clock, which does not begin at 0.
+func (w *fleetLimitWorld) nodeTime(now int64) int64 { return now + second }
+
+// fleetQuotas lets core/fleet share the limit. Nodes tick twice a tick of the trial.
+func (w *fleetLimitWorld) fleetQuotas() {
+	for i, node := range w.nodes {
+		if node != nil {
+			node.SetDemand(0, w.demand(i))
+		}
+	}
+	const half = trialTick / 2
+	until := w.now
+	for _, now := range []int64{until - half, until} {
+		w.now = now
+		w.deliver()
+		for _, node := range w.nodes {
+			if node != nil {
+				node.Tick(w.nodeTime(now))
+			}
+		}
+	}
+	for i, node := range w.nodes {
+		if node != nil {
+			w.quotas[i] = node.Quota(w.nodeTime(until), 0)
+		}
+	}
+}
+
+// send sends a datagram, unless the network loses it or it is for another partition.
+func (w *fleetLimitWorld) send(from, to int, payload []byte) {
+	w.bytesSent += float64(len(payload))
+	if w.random.Float64() < w.LossRatio || w.partition[from] != w.partition[to] {
+		return
+	}
+	w.sequence++
+	heap.Push(&w.inFlight, fleetDatagram{
+		deliverAt: w.now + minTrialDelay + w.random.Int64N(maxTrialDelay),
+		sequence:  w.sequence,
+		sender:    from,
+		receiver:  to,
+		payload:   bytes.Clone(payload),
+	})
+}
+
+// deliver hands over the datagrams that have arrived by now.
+func (w *fleetLimitWorld) deliver() {
+	for len(w.inFlight) > 0 && w.inFlight[0].deliverAt <= w.now {
+		d := heap.Pop(&w.inFlight).(fleetDatagram)
+		if node := w.nodes[d.receiver]; node != nil {
+			_ = node.Receive(w.nodeTime(d.deliverAt), d.sender, d.payload) // refuses one that another overtook
+		}
+	}
+}
+
+// layOutGossip prepares MethodGossip.
+func (w *fleetLimitWorld) layOutGossip() {
+	w.knownDemand = make([][]float64, w.Routers)
+	w.knownAt = make([][]int64, w.Routers)
+	for i := range w.knownDemand {
+		w.knownDemand[i] = make([]float64, w.Routers)
+		w.knownAt[i] = make([]int64, w.Routers)
+	}
+}
+
+// gossipQuotas is distributed rate limiting: each router tells some others its own demand and what it has heard of,
+// and takes its part of all demand that it knows of (B. Raghavan and others, "Cloud control with distributed rate
+// limiting", 2007).
+func (w *fleetLimitWorld) gossipQuotas() {
+	for i := range w.quotas {
+		if !w.alive[i] {
+			clear(w.knownDemand[i])
+			clear(w.knownAt[i])
+			continue
+		}
+		w.knownDemand[i][i] = w.demand(i)
+		w.knownAt[i][i] = w.now
+		if w.now%gossipInterval == 0 {
+			for range gossipFanout {
+				w.gossipDemand(i, w.random.IntN(w.Routers))
+			}
+		}
+		w.quotas[i] = w.Limit * w.demand(i) / max(w.totalKnownDemand(i), minTotalDemand)
+	}
+}
+
+// gossipDemand tells a router what another knows, unless the datagram does not arrive.
+func (w *fleetLimitWorld) gossipDemand(from, to int) {
+	w.bytesSent += gossipBytes
+	if to == from || !w.alive[to] || w.partition[to] != w.partition[from] || w.random.Float64() < w.LossRatio {
+		return
+	}
+	for i, at := range w.knownAt[from] {
+		if at > w.knownAt[to][i] {
+			w.knownAt[to][i] = at
+			w.knownDemand[to][i] = w.knownDemand[from][i]
+		}
+	}
+}
+
+// totalKnownDemand returns the demand of all routers that one knows of.
+func (w *fleetLimitWorld) totalKnownDemand(router int) (sum float64) {
+	for i, at := range w.knownAt[router] {
+		if at > 0 && w.now-at < gossipLifetime {
+			sum += w.knownDemand[router][i]
+		}
+	}
+	return sum
+}
+
+// leaseQuotas is a lease holder in each partition that grants all of the limit there, by demand and at once: the best
+// that leases without a majority could do.
+func (w *fleetLimitWorld) leaseQuotas() {
+	if w.now%leaseInterval != 0 {
+		return
+	}
+	demandByPartition := map[int]float64{}
+	for i := range w.quotas {
+		if w.alive[i] {
+			demandByPartition[w.partition[i]] += w.demand(i)
+		}
+		w.bytesSent += 2 * leaseBytes
+	}
+	for i := range w.quotas {
+		w.quotas[i] = w.Limit * w.demand(i) / max(demandByPartition[w.partition[i]], minTotalDemand)
+	}
+}
+
+// fleetDatagram is a datagram under way.
+type fleetDatagram struct {
+	deliverAt int64
+	sequence  int // of two due at one time, the one sent first comes first
+	sender    int
+	receiver  int
+	payload   []byte
+}
+
+// datagramHeap orders datagrams by when they arrive.
+type datagramHeap []fleetDatagram
+
+// Len implements heap.Interface.
+func (h datagramHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
+func (h datagramHeap) Less(i, j int) bool {
+	return h[i].deliverAt < h[j].deliverAt || h[i].deliverAt == h[j].deliverAt && h[i].sequence < h[j].sequence
+}
+
+// Swap implements heap.Interface.
+func (h datagramHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push implements heap.Interface.
+func (h *datagramHeap) Push(x any) { *h = append(*h, x.(fleetDatagram)) }
+
+// Pop implements heap.Interface.
+func (h *datagramHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
