--- a/lab/process/load.go
+++ b/lab/process/load.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -11,6 +12,7 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+	"golang.org/x/sync/errgroup"
 
 	"spantack/internal/msgpackrpc"
 	"spantack/internal/router"
@@ -26,8 +28,10 @@
 	Requests int
 	Every    time.Duration
 	Conns    int // to each router
-	Families int // tenants, told apart by the family of their objects
-	Objects  int // of each family
+	// MaxInFlight bounds the requests without a response; the next one waits for one. 0: there is no bound.
+	MaxInFlight int
+	Families    int // tenants, told apart by the family of their objects
+	Objects     int // of each family
 	// Flood lets one family ask Times as much as the others together.
 	Flood int
 	Times float64
@@ -94,16 +98,16 @@
 	rng := rand.New(rand.NewPCG(load.Seed, 0x10ad))
 	var (
 		mu   sync.Mutex
-		open sync.WaitGroup
+		open errgroup.Group // its functions return no error
 		done int
 	)
+	open.SetLimit(cmp.Or(load.MaxInFlight, -1))
 	tick := time.NewTicker(max(load.Every, time.Microsecond))
 	defer tick.Stop()
 	for i := range load.Requests {
 		select {
 		case <-ctx.Done():
-			open.Wait()
-			return rep, ctx.Err()
+			return rep, errors.Join(open.Wait(), ctx.Err())
 		case <-tick.C:
 		}
 		family := rng.IntN(load.Families)
@@ -128,7 +132,7 @@
 		if load.Sent != nil {
 			load.Sent(i)
 		}
-		open.Go(func() {
+		open.Go(func() error {
 			begin := time.Now()
 			a, again, err := to.do(ctx, q)
 			took := time.Since(begin)
@@ -142,10 +146,10 @@
 				c.book(&q, a, err, took)
 				c.Again += again
 			}
+			return nil
 		})
 	}
-	open.Wait()
-	return rep, nil
+	return rep, open.Wait()
 }
 
 func (c *Count) book(q *router.Request, a router.Response, err error, took time.Duration) {
