--- a/cmd/spanlab/live.go
+++ b/cmd/spanlab/live.go
@@ -11,9 +11,9 @@
 	"spantack/lab/scenario"
 )
 
-type liveListCmd struct{}
+type scenarioListCmd struct{}
 
-func (liveListCmd) Run() error {
+func (scenarioListCmd) Run() error {
 	for _, name := range scenario.Names() {
 		s, err := scenario.Load(name)
 		if err != nil {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-type liveRunCmd struct {
+type scenarioRunCmd struct {
 	Name    string `name:"name" arg:"" help:"The scenario."`
 	Routers int    `name:"routers" default:"16" help:"How many router processes, 3 to 300."`
 	Seed    uint64 `name:"seed" default:"1" help:"Of the load and the network's chance, 0 to 2^63."`
@@ -32,10 +32,10 @@
 	Out     string `name:"out" help:"Folder for result.json, table.md and a chart."`
 }
 
-// liveWithin bounds a play.
-const liveWithin = 15 * time.Minute
+// scenarioTimeout bounds a play.
+const scenarioTimeout = 15 * time.Minute
 
-func (c *liveRunCmd) Run() error {
+func (c *scenarioRunCmd) Run() error {
 	if c.Routers < 3 || c.Routers > 300 {
 		return fmt.Errorf("--routers %d: 3 to 300", c.Routers)
 	}
@@ -45,11 +45,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	ctx, cancel := context.WithTimeout(ctx, liveWithin)
+	ctx, cancel := context.WithTimeout(ctx, scenarioTimeout)
 	defer cancel()
 	bar := newProgress(len(s.Steps))
 	defer bar.finish()
-	r, err := s.Play(ctx, scenario.Options{Routers: c.Routers, Seed: c.Seed, Binary: c.Binary, Tell: func(_ string, done, all int) { bar.show(done, all) }})
+	r, err := s.Run(ctx, scenario.Options{Routers: c.Routers, Seed: c.Seed, RouterBinary: c.Binary, OnStep: func(_ string, done, all int) { bar.show(done, all) }})
 	if err != nil {
 		return err
 	}
@@ -58,12 +58,12 @@
 			return err
 		}
 	}
-	for _, fault := range r.Faults() {
+	for _, fault := range r.Failures() {
 		fmt.Println(fault)
 	}
-	fmt.Println(r.Line())
-	if len(r.Faults()) > 0 {
-		return errShort
+	fmt.Println(r.Summary())
+	if len(r.Failures()) > 0 {
+		return errClaimShort
 	}
 	return nil
 }
--- a/cmd/spanlab/main.go
+++ b/cmd/spanlab/main.go
@@ -22,11 +22,11 @@
 
 // Exit codes.
 const (
-	exitBad   = 2
-	exitShort = 3
+	exitInvalid = 2
+	exitShort   = 3
 )
 
-var errShort = errors.New("a claim falls short")
+var errClaimShort = errors.New("a claim falls short")
 
 type cli struct {
 	List    listCmd    `name:"list" cmd:"" help:"Lists the experiments."`
@@ -34,8 +34,8 @@
 	Demo    demoCmd    `name:"demo" cmd:"" help:"Brings a small deployment up on loopback, with one real router and a small load."`
 	Compare compareCmd `name:"compare" cmd:"" help:"Sets two results side by side."`
 	Live    struct {
-		List liveListCmd `name:"list" cmd:"" help:"Lists the scenarios."`
-		Run  liveRunCmd  `name:"run" cmd:"" help:"Plays one; exits with 3 when a bound does not hold."`
+		List scenarioListCmd `name:"list" cmd:"" help:"Lists the scenarios."`
+		Run  scenarioRunCmd  `name:"run" cmd:"" help:"Plays one; exits with 3 when a bound does not hold."`
 	} `name:"live" cmd:"" help:"Scripted faults between real router processes on loopback."`
 	Scale struct {
 		List scaleListCmd `name:"list" cmd:"" help:"Lists the scale tests."`
@@ -80,14 +80,14 @@
 	defer bar.finish()
 	short := false
 	for i := range c.Seeds {
-		o, err := e.Play(c.Size, c.Seed+i, func(done, _ int) {
+		o, err := e.Run(c.Size, c.Seed+i, func(done, _ int) {
 			bar.show(int(i)*runs+done, runs*int(c.Seeds))
 		})
 		if err != nil {
 			return err
 		}
 		outcomes = append(outcomes, o)
-		short = short || o.Kept() < len(o.Claims)
+		short = short || o.PassedCount() < len(o.Claims)
 	}
 	if c.Out != "" {
 		if err := e.Write(c.Out, outcomes); err != nil {
@@ -95,23 +95,23 @@
 		}
 	}
 	for _, o := range outcomes {
-		fmt.Println(o.Line())
+		fmt.Println(o.Summary())
 	}
 	if short {
-		return errShort
+		return errClaimShort
 	}
 	return nil
 }
 
 type demoCmd struct{}
 
-// demoWithin bounds the demonstration.
-const demoWithin = time.Minute
+// demoTimeout bounds the demonstration.
+const demoTimeout = time.Minute
 
 func (demoCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	ctx, cancel := context.WithTimeout(ctx, demoWithin)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	bar := newProgress(-1)
 	defer bar.finish()
@@ -145,13 +145,13 @@
 }
 
 type compareCmd struct {
-	A string `name:"a" arg:"" type:"existingfile" help:"result.json"`
-	B string `name:"b" arg:"" type:"existingfile" help:"result.json"`
+	ResultA string `name:"a" arg:"" type:"existingfile" help:"result.json"`
+	ResultB string `name:"b" arg:"" type:"existingfile" help:"result.json"`
 }
 
 func (c *compareCmd) Run() error {
 	var both [2][]*lab.Outcome
-	for i, file := range []string{c.A, c.B} {
+	for i, file := range []string{c.ResultA, c.ResultB} {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			return err
@@ -173,13 +173,13 @@
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "spanlab:", err)
-		os.Exit(exitBad)
+		os.Exit(exitInvalid)
 	}
 	switch err := ctx.Run(); {
-	case errors.Is(err, errShort):
+	case errors.Is(err, errClaimShort):
 		os.Exit(exitShort)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "spanlab:", err)
-		os.Exit(exitBad)
+		os.Exit(exitInvalid)
 	}
 }
--- a/cmd/spanlab/scale.go
+++ b/cmd/spanlab/scale.go
@@ -61,7 +61,7 @@
 		short = short || !r.WithinBudget()
 	}
 	if short {
-		return errShort
+		return errClaimShort
 	}
 	return nil
 }
--- a/lab/claims_test.go
+++ b/lab/claims_test.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	firstSeed  = 60413
-	seedCount  = 2
-	fallMargin = 0.02 // share of its listed figure by which a claim known to be short may fall further
-	playBound  = 4 * time.Minute
-	shortCode  = 3 // exit code of spanlab where a claim falls short
+	firstSeed         = 60413
+	seedCount         = 2
+	shortfallMargin   = 0.02 // share of its listed figure by which a claim known to be short may fall further
+	experimentTimeout = 4 * time.Minute
+	exitShort         = 3 // exit code of spanlab where a claim falls short
 )
 
 // shortClaim is a claim that is known to fall short on a seed, with the figure it had when it was listed.
@@ -48,11 +48,11 @@
 			short, isListed := known[verdict.Name]
 			delete(known, verdict.Name)
 			switch {
-			case verdict.Kept && isListed:
+			case verdict.Passed && isListed:
 				fault(o, verdict.Name, "kept with %v, but listed as short", verdict.Value)
-			case !verdict.Kept && !isListed:
+			case !verdict.Passed && !isListed:
 				fault(o, verdict.Name, "short with %v, and not listed", verdict.Value)
-			case !verdict.Kept && fellFurther(&verdict, short.Value):
+			case !verdict.Passed && hasFallenFurther(&verdict, short.Value):
 				fault(o, verdict.Name, "%v, listed as short with %v", verdict.Value, short.Value)
 			}
 		}
@@ -63,12 +63,12 @@
 	return faults
 }
 
-// fellFurther tells whether a claim misses its bound by more than when it was listed.
-func fellFurther(verdict *Verdict, listed float64) bool {
-	if verdict.Least != nil && verdict.Value < *verdict.Least {
-		return verdict.Value < listed*(1-fallMargin)
+// hasFallenFurther tells whether a claim misses its bound by more than when it was listed.
+func hasFallenFurther(verdict *Verdict, listed float64) bool {
+	if verdict.Min != nil && verdict.Value < *verdict.Min {
+		return verdict.Value < listed*(1-shortfallMargin)
 	}
-	return verdict.Value > listed*(1+fallMargin)
+	return verdict.Value > listed*(1+shortfallMargin)
 }
 
 // readShortClaims reads the list, and checks that each entry names an experiment and a seed that are played, once.
@@ -108,15 +108,15 @@
 	return binary
 }
 
-// playSeeds plays an experiment at size small on all seeds of the test.
-func playSeeds(ctx context.Context, t *testing.T, binary, name string) (outcomes []*Outcome) {
+// runSeeds plays an experiment at size small on all seeds of the test.
+func runSeeds(ctx context.Context, t *testing.T, binary, name string) (outcomes []*Outcome) {
 	t.Helper()
 	dir := t.TempDir()
 	cmd := exec.CommandContext(ctx, binary, "run", name, "--size", "small", "--out", dir,
 		"--seed", strconv.Itoa(firstSeed), "--seeds", strconv.Itoa(seedCount))
 	out, err := cmd.CombinedOutput()
 	var exit *exec.ExitError
-	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == shortCode) {
+	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == exitShort) {
 		t.Fatalf("spanlab run %s: %v\n%s", name, err, out)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "result.json"))
@@ -131,14 +131,14 @@
 
 // Every experiment keeps its claims at size small on both seeds, save for those listed as short, which fall no further. The list is
 // kept true: a listed claim that is kept again fails the test as well.
-func TestEveryExperimentKeepsItsClaims(t *testing.T) {
+func TestEveryExperimentPassesItsClaims(t *testing.T) {
 	listed := readShortClaims(t)
 	binary := buildSpanlab(t)
-	ctx, cancel := context.WithTimeout(t.Context(), playBound)
+	ctx, cancel := context.WithTimeout(t.Context(), experimentTimeout)
 	defer cancel()
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
-			outcomes := playSeeds(ctx, t, binary, name)
+			outcomes := runSeeds(ctx, t, binary, name)
 			if len(outcomes) != seedCount {
 				t.Fatalf("%d outcomes of %d seeds", len(outcomes), seedCount)
 			}
@@ -152,11 +152,11 @@
 func TestCheckClaims(t *testing.T) {
 	bound := 0.9
 	outcome := func(value float64, kept, most bool) []*Outcome {
-		claim := Claim{Name: "worth", Least: &bound}
+		claim := Claim{Name: "worth", Min: &bound}
 		if most {
-			claim = Claim{Name: "worth", Most: &bound}
+			claim = Claim{Name: "worth", Max: &bound}
 		}
-		return []*Outcome{{Experiment: "flood", Seed: 7, Claims: []Verdict{{Claim: claim, Value: value, Kept: kept}}}}
+		return []*Outcome{{Experiment: "flood", Seed: 7, Claims: []Verdict{{Claim: claim, Value: value, Passed: kept}}}}
 	}
 	listed := func(claim string, seed uint64, value float64) []shortClaim {
 		return []shortClaim{{Experiment: "flood", Seed: seed, Claim: claim, Value: value, Cause: "known"}}
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -8,16 +8,16 @@
 	"spantack/emulator"
 )
 
-// round keeps figures short and free of the last bits.
-func round(x float64) float64 { return math.Round(x*1e5) / 1e5 }
+// roundFigure keeps figures short and free of the last bits.
+func roundFigure(x float64) float64 { return math.Round(x*1e5) / 1e5 }
 
-// endSpan is how many of a day's last seconds count for how it ends.
-const endSpan = 15
+// endSpanSeconds is how many of a day's last seconds count for how it ends.
+const endSpanSeconds = 15
 
-// wordPrice is the platform's for 256 bytes of datagrams a request, in parts of the result.
-const wordPrice = 0.0075
+// datagramPrice is the platform's for 256 bytes of datagrams a request, in parts of the result.
+const datagramPrice = 0.0075
 
-func (r *Run) take(cfg *emulator.Config, res *emulator.Result) {
+func (r *Run) addWorldFigures(cfg *emulator.Config, res *emulator.Result) {
 	all := res.OtherCells()
 	all = all.Plus(res.NoisyCell())
 	r.Broken = res.Violations
@@ -30,10 +30,10 @@
 	if cfg.Hubs > 0 {
 		r.Figures["originMost"], r.Figures["originOverS"], r.Figures["coldMost"] = res.MaxOriginLoad, res.OriginOverloadSeconds, res.MaxWarmUpLoad
 		r.Figures["coldShare"], r.Figures["unanswered"], r.Figures["unended"] = res.MaxWarmUpLoadPerRouter, float64(res.Unanswered), float64(res.Unfinished)
-		r.Figures["end"] = res.TimelyRatioAtEnd(endSpan)
+		r.Figures["end"] = res.TimelyRatioAtEnd(endSpanSeconds)
 	}
 	r.Figures["words"] = float64(res.Datagrams)
-	r.Figures["wordPrice"] = wordPrice * float64(res.DatagramBytes) / 256 / max(float64(res.Requests), 1)
+	r.Figures["wordPrice"] = datagramPrice * float64(res.DatagramBytes) / 256 / max(float64(res.Requests), 1)
 	if len(cfg.MigratedTenants) > 0 {
 		for name, v := range map[string]float64{"movers": res.Migrated.TimelyRatio(), "stayers": res.NotMigrated.TimelyRatio(), "coldMost": res.MaxWarmUpLoad,
 			"coldShare": res.MaxWarmUpLoadPerRouter, "cellFill": res.MaxCellFill, "cellBusy": res.MaxCellUtilization, "spread": res.MaxMigrationSpread, "doneS": res.MigratedAtSeconds, "moved": float64(res.Admission.Migrated), "kept": float64(res.Admission.Deferred),
@@ -47,17 +47,17 @@
 		}
 	}
 	for name, v := range r.Figures {
-		r.Figures[name] = round(v)
+		r.Figures[name] = roundFigure(v)
 	}
 	for _, s := range res.Seconds {
 		if s.OtherCells.OfferedWeight > 0 {
-			r.Seconds = append(r.Seconds, round(s.OtherCells.TimelyRatio()))
+			r.Seconds = append(r.Seconds, roundFigure(s.OtherCells.TimelyRatio()))
 		}
 	}
 }
 
-// releases sums up the worlds of a day with a release.
-func (r *Run) releases(cfg *emulator.Config, all []emulator.Result) {
+// addReleaseFigures sums up the worlds of a day with a release.
+func (r *Run) addReleaseFigures(cfg *emulator.Config, all []emulator.Result) {
 	stopped, passed, broken, sum := 0.0, 0.0, 0.0, 0.0
 	var renewed, held, early, restored int64
 	for i := range all {
@@ -74,10 +74,10 @@
 	}
 	if cfg.Release.ReplacesObjects { // answers with its objects, and in cells that have not got it the part that was new
 		r.Figures["renewed"], r.Figures["restored"] = float64(renewed), float64(restored)
-		r.Figures["early"] = round(float64(early) / float64(max(held, 1)))
+		r.Figures["early"] = roundFigure(float64(early) / float64(max(held, 1)))
 	}
 	n := float64(len(all))
-	r.Figures["worlds"], r.Figures["stopped"], r.Figures["passed"], r.Figures["broken"] = n, round(stopped/n), round(passed/n), broken
-	r.Figures["unsure"] = round((n - stopped - passed) / n)
-	r.Figures["foundS"] = round(sum / max(stopped, 1))
+	r.Figures["worlds"], r.Figures["stopped"], r.Figures["passed"], r.Figures["broken"] = n, roundFigure(stopped/n), roundFigure(passed/n), broken
+	r.Figures["unsure"] = roundFigure((n - stopped - passed) / n)
+	r.Figures["foundS"] = roundFigure(sum / max(stopped, 1))
 }
--- a/lab/judge.go
+++ b/lab/judge.go
@@ -9,14 +9,14 @@
 // Verdict is what became of a claim.
 type Verdict struct {
 	Claim
-	Value float64 `json:"value"`
-	Kept  bool    `json:"kept"`
+	Value  float64 `json:"value"`
+	Passed bool    `json:"kept"`
 }
 
-// Kept counts the claims that hold.
-func (o *Outcome) Kept() (n int) {
+// PassedCount counts the claims that hold.
+func (o *Outcome) PassedCount() (n int) {
 	for _, c := range o.Claims {
-		if c.Kept {
+		if c.Passed {
 			n++
 		}
 	}
@@ -43,26 +43,26 @@
 	return 0, fmt.Errorf("claim on %q: there is no such figure", at)
 }
 
-func (o *Outcome) judge(c Claim) (Verdict, error) {
+func (o *Outcome) evaluate(c Claim) (Verdict, error) {
 	v := Verdict{Claim: c}
-	if c.Least == nil && c.Most == nil {
+	if c.Min == nil && c.Max == nil {
 		return v, errors.New("claim " + c.Name + ": neither least nor most")
 	}
-	value, err := o.Figure(c.Of)
+	value, err := o.Figure(c.Figure)
 	if err != nil {
 		return v, err
 	}
-	if c.Over != "" {
-		base, err := o.Figure(c.Over)
+	if c.Divisor != "" {
+		base, err := o.Figure(c.Divisor)
 		if err != nil {
 			return v, err
 		}
 		if base == 0 {
-			return v, fmt.Errorf("claim %s: %s is 0", c.Name, c.Over)
+			return v, fmt.Errorf("claim %s: %s is 0", c.Name, c.Divisor)
 		}
-		value = round(value / base)
+		value = roundFigure(value / base)
 	}
 	v.Value = value
-	v.Kept = (c.Least == nil || value >= *c.Least) && (c.Most == nil || value <= *c.Most)
+	v.Passed = (c.Min == nil || value >= *c.Min) && (c.Max == nil || value <= *c.Max)
 	return v, nil
 }
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// tiny makes an experiment end in a second.
-var tiny = []string{"sizes.small.dayS=4", "sizes.small.warmS=2", "sizes.small.rateS=200", "sizes.small.tenants=40",
+// smallFlood makes an experiment end in a second.
+var smallFlood = []string{"sizes.small.dayS=4", "sizes.small.warmS=2", "sizes.small.rateS=200", "sizes.small.tenants=40",
 	`days.unique.flood={"tenant":0,"times":10,"kind":"unique","fromS":3,"forS":2}`}
 
-func tinyFlood(t *testing.T, more ...string) *Experiment {
+func loadSmallFlood(t *testing.T, more ...string) *Experiment {
 	t.Helper()
-	e, err := Load("cells-flood", append(append([]string{}, tiny...), more...)...)
+	e, err := Load("cells-flood", append(append([]string{}, smallFlood...), more...)...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 			t.Error(err)
 			continue
 		}
-		if e.Title == "" || len(e.Claims) == 0 || len(e.Sizes)+len(e.Shapes)+len(e.Shield)+len(e.Tier) != 2 {
+		if e.Title == "" || len(e.Claims) == 0 || len(e.Sizes)+len(e.TopologyTrials)+len(e.OriginLimitTrials)+len(e.FleetLimitTrials) != 2 {
 			t.Errorf("%s: title %q, %d claims, %d sizes", name, e.Title, len(e.Claims), len(e.Sizes))
 		}
 		for _, arm := range e.Chart.Arms {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestChangesAndFaults(t *testing.T) {
+func TestLoadAndRunErrors(t *testing.T) {
 	for want, change := range map[string]string{
 		"not of the form":         "sizes",
 		"there is no":             "days.nothing.flood=1",
@@ -70,29 +70,29 @@
 	if _, err := Load("nothing"); err == nil {
 		t.Error("an experiment that there is not")
 	}
-	if _, err := tinyFlood(t).Play("huge", 1, nil); err == nil {
+	if _, err := loadSmallFlood(t).Run("huge", 1, nil); err == nil {
 		t.Error("a size that there is not")
 	}
-	bad := tinyFlood(t, "sizes.small.depots=0")
-	if _, err := bad.Play("small", 1, nil); err == nil || !strings.Contains(err.Error(), "depots: 0") {
+	bad := loadSmallFlood(t, "sizes.small.depots=0")
+	if _, err := bad.Run("small", 1, nil); err == nil || !strings.Contains(err.Error(), "depots: 0") {
 		t.Errorf("got %v", err)
 	}
 }
 
 // The same seed and size give the same files to the byte; a claim that can't hold falls short.
-func TestPlayWritesTheSameTwice(t *testing.T) {
+func TestRunIsReproducible(t *testing.T) {
 	var texts [2][]byte
 	for i := range texts {
-		e := tinyFlood(t, `claims=[{"name":"sure","of":"none/calm/others","least":0.5},{"name":"never","of":"none/calm/others","over":"cells/calm/others","least":5}]`)
+		e := loadSmallFlood(t, `claims=[{"name":"sure","of":"none/calm/others","least":0.5},{"name":"never","of":"none/calm/others","over":"cells/calm/others","least":5}]`)
 		ticks := make(chan int, 64)
-		o, err := e.Play("small", 7, func(done, all int) { ticks <- all })
+		o, err := e.Run("small", 7, func(done, all int) { ticks <- all })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if o.Kept() != 1 || !o.Claims[0].Kept || o.Claims[1].Kept {
+		if o.PassedCount() != 1 || !o.Claims[0].Passed || o.Claims[1].Passed {
 			t.Errorf("claims: %+v", o.Claims)
 		}
-		if line := o.Line(); !strings.HasPrefix(line, "RESULT cells-flood seed=7 size=small verdict=short claims=1/2 sure=") {
+		if line := o.Summary(); !strings.HasPrefix(line, "RESULT cells-flood seed=7 size=small verdict=short claims=1/2 sure=") {
 			t.Error(line)
 		}
 		dir := filepath.Join(t.TempDir(), "out")
@@ -113,11 +113,11 @@
 }
 
 func TestCompare(t *testing.T) {
-	e := tinyFlood(t, `arms={"none":{},"cells":{"cells":4}}`, `days={"calm":{}}`, `claims=[]`)
+	e := loadSmallFlood(t, `arms={"none":{},"cells":{"cells":4}}`, `days={"calm":{}}`, `claims=[]`)
 	var both [2][]*Outcome
 	for i := range both {
 		for seed := range uint64(2) {
-			o, err := e.Play("small", seed+uint64(2*i), nil)
+			o, err := e.Run("small", seed+uint64(2*i), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -147,11 +147,11 @@
 
 // Welch's interval of a known sample.
 func TestIntervals(t *testing.T) {
-	d := difference([]float64{1, 2, 3, 4}, []float64{3, 4, 5, 6})
-	if d.Mean != 2 || d.Half < 2.2 || d.Half > 2.25 { // t(0.975, 6) = 2.447 times sqrt(5/6)
+	d := differenceOfMeans([]float64{1, 2, 3, 4}, []float64{3, 4, 5, 6})
+	if d.Mean != 2 || d.HalfWidth < 2.2 || d.HalfWidth > 2.25 { // t(0.975, 6) = 2.447 times sqrt(5/6)
 		t.Errorf("%+v", d)
 	}
-	if i := interval([]float64{1, 2, 3}); i.Mean != 2 || i.Half < 2.48 || i.Half > 2.49 { // 4.303/sqrt(3)
+	if i := meanInterval([]float64{1, 2, 3}); i.Mean != 2 || i.HalfWidth < 2.48 || i.HalfWidth > 2.49 { // 4.303/sqrt(3)
 		t.Errorf("%+v", i)
 	}
 }
--- a/lab/load.go
+++ b/lab/load.go
@@ -14,12 +14,12 @@
 )
 
 //go:embed experiments
-var files embed.FS
+var experimentFiles embed.FS
 
 // Names lists the experiments.
 func Names() []string {
 	var names []string
-	entries, err := fs.ReadDir(files, "experiments")
+	entries, err := fs.ReadDir(experimentFiles, "experiments")
 	if err != nil {
 		return nil
 	}
@@ -31,21 +31,21 @@
 	return names
 }
 
-// importer reads from the embedded folder and nowhere else.
-type importer struct{ known map[string]jsonnet.Contents }
+// embeddedImporter reads from the embedded folder and nowhere else.
+type embeddedImporter struct{ contents map[string]jsonnet.Contents }
 
 // Import is for jsonnet.Importer.
-func (i *importer) Import(_, name string) (jsonnet.Contents, string, error) {
+func (i *embeddedImporter) Import(_, name string) (jsonnet.Contents, string, error) {
 	at := path.Join("experiments", path.Clean("/" + name)[1:])
-	if c, known := i.known[at]; known {
+	if c, known := i.contents[at]; known {
 		return c, at, nil
 	}
-	text, err := files.ReadFile(at)
+	text, err := experimentFiles.ReadFile(at)
 	if err != nil {
 		return jsonnet.Contents{}, "", err
 	}
 	c := jsonnet.MakeContents(string(text))
-	i.known[at] = c
+	i.contents[at] = c
 	return c, at, nil
 }
 
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("experiment %q: there is none; see spanlab list", name)
 	}
 	vm := jsonnet.MakeVM()
-	vm.Importer(&importer{map[string]jsonnet.Contents{}})
+	vm.Importer(&embeddedImporter{map[string]jsonnet.Contents{}})
 	text, err := vm.EvaluateFile(name + ".jsonnet")
 	if err != nil {
 		return nil, fmt.Errorf("experiment %q: %w", name, err)
@@ -65,7 +65,7 @@
 		return nil, fmt.Errorf("experiment %q: %w", name, err)
 	}
 	for _, c := range changes {
-		if err := change(doc, c); err != nil {
+		if err := applyChange(doc, c); err != nil {
 			return nil, err
 		}
 	}
@@ -83,8 +83,8 @@
 	return e, nil
 }
 
-// change sets what a path leads to.
-func change(doc any, text string) error {
+// applyChange sets what a path leads to.
+func applyChange(doc any, text string) error {
 	at, value, ok := strings.Cut(text, "=")
 	if !ok || at == "" {
 		return fmt.Errorf("--set %q: not of the form path=value", text)
--- a/lab/play.go
+++ b/lab/play.go
@@ -17,25 +17,25 @@
 	if !known {
 		return cfg, fmt.Errorf("size %q: there is none", size)
 	}
-	cfg.Seed, cfg.Flood, cfg.Poison, cfg.Faults, cfg.RateLimitFactor = seed, day.Flood, day.Poison, day.Faults, arm.Limit
-	cfg.MaxClockSkewMillis, cfg.CancelsAbandonedFetches, cfg.Gossip, cfg.HotObject = day.SkewMs, arm.DropFetches, arm.Talk, day.Hot
-	if arm.Site != nil {
-		cfg.Deployment = arm.Site
+	cfg.Seed, cfg.Flood, cfg.Poison, cfg.Faults, cfg.RateLimitFactor = seed, day.Flood, day.Poison, day.Faults, arm.RateLimitFactor
+	cfg.MaxClockSkewMillis, cfg.CancelsAbandonedFetches, cfg.Gossip, cfg.HotObject = day.MaxClockSkewMillis, arm.CancelsAbandonedFetches, arm.Gossip, day.HotObject
+	if arm.Deployment != nil {
+		cfg.Deployment = arm.Deployment
 	}
-	if arm.Shield != "" {
-		cfg.OriginLimit = cfg.OriginLimitDocument(arm.Shield, arm.Forget)
+	if arm.OriginLimit != "" {
+		cfg.OriginLimit = cfg.OriginLimitDocument(arm.OriginLimit, arm.ForgetsAbandonedFills)
 	}
-	if arm.Shape != "" {
+	if arm.TopologyStyle != "" {
 		var err error
-		if cfg.Topology, err = cfg.BuildTopology(arm.Shape); err != nil {
+		if cfg.Topology, err = cfg.BuildTopology(arm.TopologyStyle); err != nil {
 			return cfg, err
 		}
 	}
 	// Tenants are counted by the cells that they would have, also where none are in force.
-	count := arm.Cells.of(size)
+	count := arm.Cells.forSize(size)
 	group := count
-	for _, other := range sorted(e.Arms) {
-		group = cmp.Or(group, e.Arms[other].Cells.of(size))
+	for _, other := range sortedKeys(e.Arms) {
+		group = cmp.Or(group, e.Arms[other].Cells.forSize(size))
 	}
 	if group == 0 {
 		return cfg, nil
@@ -45,16 +45,16 @@
 	if count == 0 {
 		return cfg, nil
 	}
-	spec.Scheme, spec.Width = cmp.Or(cells.Scheme(arm.Scheme), cells.SchemeFixed), arm.Width
+	spec.Scheme, spec.Width = cmp.Or(cells.Scheme(arm.Scheme), cells.SchemeFixed), arm.ShardWidth
 	if spec.Scheme == cells.SchemeOverflow {
-		overflow(spec)
+		addOverflowCell(spec)
 	}
 	cfg.Cells = spec
 	if day.Release != nil {
 		release := *day.Release
 		cfg.Release = &release
 	}
-	if trip := arm.Trip[size]; trip != nil {
+	if trip := arm.Migrations[size]; trip != nil {
 		if err := cfg.PlanMigrations(trip); err != nil {
 			return cfg, fmt.Errorf("trip: %w", err)
 		}
@@ -62,8 +62,8 @@
 	return cfg, nil
 }
 
-// overflow sets an eighth of all caches apart for what cells have no room for.
-func overflow(spec *cells.Spec) {
+// addOverflowCell sets an eighth of all caches apart for what cells have no room for.
+func addOverflowCell(spec *cells.Spec) {
 	for i := range spec.Cells {
 		spec.Cells[i].Share *= 7.0 / 8
 	}
@@ -71,23 +71,23 @@
 	spec.OverflowCell = "spare"
 }
 
-// Play runs all arms on all days, some at once; tick is called after each.
-func (e *Experiment) Play(size string, seed uint64, tick func(done, all int)) (*Outcome, error) {
-	if e.Shapes != nil {
-		return e.shapes(size, seed, tick)
+// Run runs all arms on all days, some at once; tick is called after each.
+func (e *Experiment) Run(size string, seed uint64, tick func(done, all int)) (*Outcome, error) {
+	if e.TopologyTrials != nil {
+		return e.runTopologyTrial(size, seed, tick)
 	}
-	if e.Shield != nil {
-		return e.shields(size, seed, tick)
+	if e.OriginLimitTrials != nil {
+		return e.runOriginLimitTrial(size, seed, tick)
 	}
-	if e.Tier != nil {
-		return e.tiers(size, seed, tick)
+	if e.FleetLimitTrials != nil {
+		return e.runFleetLimitTrial(size, seed, tick)
 	}
-	runs := e.runs()
+	runs := e.newRuns()
 	type world struct{ run, nth int }
 	var all []world
 	results := make([][]emulator.Result, len(runs))
 	for i := range runs {
-		n := max(e.Days[runs[i].Day].Worlds.of(size), 1)
+		n := max(e.Days[runs[i].Day].Worlds.forSize(size), 1)
 		results[i] = make([]emulator.Result, n)
 		for nth := range n {
 			all = append(all, world{i, nth})
@@ -121,8 +121,8 @@
 			if err != nil {
 				return fmt.Errorf("%s/%s: %w", r.Arm, r.Day, err)
 			}
-			if cfg.Flood == nil && cfg.Poison == nil && e.Watch >= 0 {
-				w.WatchTenant(e.Watch)
+			if cfg.Flood == nil && cfg.Poison == nil && e.WatchedTenant >= 0 {
+				w.WatchTenant(e.WatchedTenant)
 			}
 			if at.nth == 0 {
 				configs[at.run] = cfg
@@ -135,29 +135,29 @@
 		return nil, err
 	}
 	for i := range runs {
-		runs[i].take(&configs[i], &results[i][0])
+		runs[i].addWorldFigures(&configs[i], &results[i][0])
 		if len(results[i]) > 1 {
-			runs[i].releases(&configs[i], results[i])
+			runs[i].addReleaseFigures(&configs[i], results[i])
 		}
 	}
-	return e.outcome(size, seed, runs)
+	return e.newOutcome(size, seed, runs)
 }
 
-// runs is each arm on each day, with nothing in it yet.
-func (e *Experiment) runs() (runs []Run) {
-	for _, arm := range sorted(e.Arms) {
-		for _, day := range sorted(e.Days) {
+// newRuns is each arm on each day, with nothing in it yet.
+func (e *Experiment) newRuns() (runs []Run) {
+	for _, arm := range sortedKeys(e.Arms) {
+		for _, day := range sortedKeys(e.Days) {
 			runs = append(runs, Run{Arm: arm, Day: day})
 		}
 	}
 	return runs
 }
 
-// outcome holds runs against the claims.
-func (e *Experiment) outcome(size string, seed uint64, runs []Run) (*Outcome, error) {
+// newOutcome holds runs against the claims.
+func (e *Experiment) newOutcome(size string, seed uint64, runs []Run) (*Outcome, error) {
 	o := &Outcome{Experiment: e.Name, Size: size, Seed: seed, Runs: runs}
 	for _, c := range e.Claims {
-		v, err := o.judge(c)
+		v, err := o.evaluate(c)
 		if err != nil {
 			return nil, err
 		}
--- a/lab/process/coldservers_test.go
+++ b/lab/process/coldservers_test.go
@@ -14,9 +14,9 @@
 
 // coldBudget is what the settings allow a cache that started a while ago, in requests of mean work.
 type coldBudget struct {
-	from, multiple float64       // capacity at the start, as a part of the whole; and how many times its capacity it bears
-	warmsIn, span  time.Duration // until it is warm; and for how long it bears that multiple
-	perSpan        float64       // requests that a warm cache works off in a span
+	initialShare, overloadMultiple float64       // capacity at the start, as a part of the whole; and how many times its capacity it bears
+	slowStart, overloadWindow      time.Duration // until it is warm; and for how long it bears that multiple
+	requestsPerWindow              float64       // requests that a warm cache works off in a span
 }
 
 // cacheWeight is the weight under which add lists a server: transfers at once.
@@ -27,20 +27,20 @@
 	guarantees, extra := settings["Guarantees"].(map[string]any), settings["Extra"].(map[string]any)
 	micros := func(name string) time.Duration { return time.Duration(guarantees[name].(int)) * time.Microsecond }
 	work := meanKb / float64(extra["PaceKbPerS"].(int)) // seconds
-	return coldBudget{from: guarantees["ColdFrom"].(float64), multiple: float64(guarantees["TipMultiple"].(int)), warmsIn: micros("Cold"), span: micros("Fall"),
-		perSpan: cacheWeight * micros("Fall").Seconds() / work}
+	return coldBudget{initialShare: guarantees["ColdFrom"].(float64), overloadMultiple: float64(guarantees["TipMultiple"].(int)), slowStart: micros("Cold"), overloadWindow: micros("Fall"),
+		requestsPerWindow: cacheWeight * micros("Fall").Seconds() / work}
 }
 
-// bound is the most that a cache may get within a span that begins at an age: the budget of the span's beginning, which is the least in it, and
+// maxRequests is the most that a cache may get within a span that begins at an age: the budget of the span's beginning, which is the least in it, and
 // what chance may add.
-func (b coldBudget) bound(age time.Duration) int {
-	part := min(b.from+(1-b.from)*max(age.Seconds(), 0)/b.warmsIn.Seconds(), 1)
-	calls := b.multiple * part * b.perSpan
+func (b coldBudget) maxRequests(age time.Duration) int {
+	part := min(b.initialShare+(1-b.initialShare)*max(age.Seconds(), 0)/b.slowStart.Seconds(), 1)
+	calls := b.overloadMultiple * part * b.requestsPerWindow
 	return int(calls + 2*math.Sqrt(calls) + 2)
 }
 
-// spanCounts is, for each of some times in order, how many there are within the span that begins with it.
-func spanCounts(times []time.Time, span time.Duration) []int {
+// windowCounts is, for each of some times in order, how many there are within the span that begins with it.
+func windowCounts(times []time.Time, span time.Duration) []int {
 	counts, last := make([]int, len(times)), 0
 	for first, begin := range times {
 		for last < len(times) && times[last].Sub(begin) <= span {
@@ -54,22 +54,22 @@
 // burst is a load of one class, more than cold caches bear. The sizes of its objects are spread evenly.
 type burst struct {
 	requests, objects int
-	every             time.Duration
-	leastKb, mostKb   int
+	interval          time.Duration
+	minKB, maxKB      int
 }
 
-func (b burst) meanKb() float64 { return float64(b.leastKb+b.mostKb) / 2 }
+func (b burst) meanKB() float64 { return float64(b.minKB+b.maxKB) / 2 }
 
-// clientsOf are the clients of a burst: two connections to each router, opened anew where one was closed.
-func clientsOf(d *Deployment) (clients []*line) {
+// burstClients are the clients of a burst: two connections to each router, opened anew where one was closed.
+func burstClients(d *Deployment) (clients []*loadClient) {
 	for _, r := range d.Routers {
-		clients = append(clients, &line{addr: r.Addr, redial: true}, &line{addr: r.Addr, redial: true})
+		clients = append(clients, &loadClient{addr: r.Addr, reconnects: true}, &loadClient{addr: r.Addr, reconnects: true})
 	}
 	return clients
 }
 
 // send plays a burst and returns what became of its requests.
-func (b burst) send(t *testing.T, lines []*line) (sum Count) {
+func (b burst) send(t *testing.T, lines []*loadClient) (sum Tally) {
 	t.Helper()
 	defer func() {
 		for _, l := range lines {
@@ -81,39 +81,39 @@
 		mu   sync.Mutex
 		open sync.WaitGroup
 	)
-	tick := time.NewTicker(b.every)
+	tick := time.NewTicker(b.interval)
 	defer tick.Stop()
 	for i := range b.requests {
 		<-tick.C
 		object := rng.IntN(b.objects)
-		q := router.Request{ID: fmt.Sprintf("c01d%012x", i), Class: Classes[1], Object: Object(0, object), ClientTimeout: 3000,
-			SizeKB: float64(b.leastKb + object*37%(b.mostKb-b.leastKb+1))}
+		q := router.Request{ID: fmt.Sprintf("c01d%012x", i), Class: Classes[1], Object: ObjectName(0, object), ClientTimeout: 3000,
+			SizeKB: float64(b.minKB + object*37%(b.maxKB-b.minKB+1))}
 		to := lines[rng.IntN(len(lines))]
 		open.Go(func() {
-			a, _, err := to.do(t.Context(), q)
+			a, _, err := to.send(t.Context(), q)
 			mu.Lock()
 			defer mu.Unlock()
-			sum.book(&q, a, err, 0)
+			sum.record(&q, a, err, 0)
 		})
 	}
 	open.Wait()
 	return sum
 }
 
-// checkColdCalls judges the calls at a cold cache, in order: those within any span, against the budget of the span's beginning.
-func checkColdCalls(t *testing.T, name string, calls []time.Time, started time.Time, budget coldBudget) {
+// checkColdBudget judges the calls at a cold cache, in order: those within any span, against the budget of the span's beginning.
+func checkColdBudget(t *testing.T, name string, calls []time.Time, started time.Time, budget coldBudget) {
 	t.Helper()
 	worst := 0.0
-	for first, got := range spanCounts(calls, budget.span) {
+	for first, got := range windowCounts(calls, budget.overloadWindow) {
 		age := calls[first].Sub(started)
-		bound := budget.bound(age)
+		bound := budget.maxRequests(age)
 		worst = max(worst, float64(got)/float64(bound))
 		if got > bound {
-			t.Errorf("%s: %d calls within %v from %v after its start, %d may be", name, got, budget.span, age, bound)
+			t.Errorf("%s: %d calls within %v from %v after its start, %d may be", name, got, budget.overloadWindow, age, bound)
 			break
 		}
 	}
-	t.Logf("%s: %d calls, at most %.2f of the bound, which begins at %d", name, len(calls), worst, budget.bound(0))
+	t.Logf("%s: %d calls, at most %.2f of the bound, which begins at %d", name, len(calls), worst, budget.maxRequests(0))
 }
 
 // Two of eight caches come back cold under a burst that gives each cache more than a cold one bears. All that reaches them from all processes
@@ -122,8 +122,8 @@
 func TestColdCachesKeepTheirBudgetUnderAllProcesses(t *testing.T) {
 	const caches, cold = 8, 2
 	fleet := `{"fleet": {"enabled": true, "asks": 1500, "floor": 0.5, "verdicts": true}}`
-	twofold := burst{requests: 1400, objects: 600, every: 3 * time.Millisecond, leastKb: 100, mostKb: 700}
-	sixfold := burst{requests: 1400, objects: 600, every: 3 * time.Millisecond, leastKb: 60, mostKb: 2340}
+	twofold := burst{requests: 1400, objects: 600, interval: 3 * time.Millisecond, minKB: 100, maxKB: 700}
+	sixfold := burst{requests: 1400, objects: 600, interval: 3 * time.Millisecond, minKB: 60, maxKB: 2340}
 	for _, tc := range []struct {
 		name string
 		opt  Options
@@ -134,55 +134,55 @@
 		{"twenty processes", Options{Routers: 20}, twofold, 0},
 		{"thirty processes", Options{Routers: 30}, sixfold, 0},
 		{"thirty processes, seven in ten start anew", Options{Routers: 30}, sixfold, 0.7},
-		{"thirty processes with datagrams", Options{Routers: 30, Peers: true, Features: fleet, Flags: []string{"--peers"}}, sixfold, 0},
+		{"thirty processes with datagrams", Options{Routers: 30, HasGossip: true, Features: fleet, ExtraFlags: []string{"--peers"}}, sixfold, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tc.opt.Caches, tc.opt.Delay = caches, time.Millisecond
-			d := start(t, tc.opt)
-			sent := make(chan Count, 1)
-			clients := clientsOf(d)
+			tc.opt.EdgeCaches, tc.opt.ResponseDelay = caches, time.Millisecond
+			d := startDeployment(t, tc.opt)
+			sent := make(chan Tally, 1)
+			clients := burstClients(d)
 			go func() { sent <- tc.load.send(t, clients) }()
 			time.Sleep(300 * time.Millisecond) // the burst is there before
 			started := map[string]time.Time{}
 			for i := range cold {
 				before := time.Now()
-				if err := d.Replace(i, 10*time.Millisecond, i == 0); err != nil {
+				if err := d.ReplaceCache(i, 10*time.Millisecond, i == 0); err != nil {
 					t.Fatal(err)
 				}
-				started[d.Caches[i].Name()] = before
+				started[d.EdgeCaches[i].Name()] = before
 			}
 			if tc.restarted > 0 {
 				time.Sleep(time.Second)
-				restart(t, d, int(tc.restarted*float64(tc.opt.Routers)))
+				restartRouters(t, d, int(tc.restarted*float64(tc.opt.Routers)))
 			}
 			sum := <-sent
 			calls := map[string][]time.Time{}
 			for _, g := range d.RequestLog.Requests() {
 				calls[g.Server] = append(calls[g.Server], g.ArrivedAt)
 			}
-			budget := newColdBudget(Settings(tc.opt.Routers), tc.load.meanKb())
+			budget := newColdBudget(Settings(tc.opt.Routers), tc.load.meanKB())
 			used := 0
 			for name, begun := range started {
 				used += len(calls[name])
-				checkColdCalls(t, name, calls[name], begun, budget)
+				checkColdBudget(t, name, calls[name], begun, budget)
 			}
 			if used == 0 {
 				t.Error("cold caches got nothing: their budget is not used")
 			}
 			warm := 0
-			for _, c := range d.Caches[cold:] {
-				warm = max(warm, slices.Max(append(spanCounts(calls[c.Name()], budget.span), 0)))
+			for _, c := range d.EdgeCaches[cold:] {
+				warm = max(warm, slices.Max(append(windowCounts(calls[c.Name()], budget.overloadWindow), 0)))
 			}
-			if warm <= budget.bound(0) {
-				t.Errorf("warm caches got %d calls within %v at most: the burst would not push over a cold one, which bears %d", warm, budget.span, budget.bound(0))
+			if warm <= budget.maxRequests(0) {
+				t.Errorf("warm caches got %d calls within %v at most: the burst would not push over a cold one, which bears %d", warm, budget.overloadWindow, budget.maxRequests(0))
 			}
 			if d.Mesh != nil && d.Mesh.Counts().Forwarded == 0 {
 				t.Error("no datagram passed between routers")
 			}
-			if sum.Wrong > 0 {
-				t.Errorf("%d wrong answers", sum.Wrong)
+			if sum.WrongBody > 0 {
+				t.Errorf("%d wrong answers", sum.WrongBody)
 			}
-			t.Logf("warm caches: %d within %v at most; answers %+v", warm, budget.span, sum)
+			t.Logf("warm caches: %d within %v at most; answers %+v", warm, budget.overloadWindow, sum)
 		})
 	}
 }
--- a/lab/process/demo.go
+++ b/lab/process/demo.go
@@ -12,7 +12,7 @@
 func Demo(ctx context.Context, out io.Writer, progress func(done, all int)) (err error) {
 	const requests = 1500
 	fmt.Fprintln(out, "building the router and starting 4 depot caches, an area cache, the head office, a discovery service")
-	d, err := Start(ctx, Options{Routers: 1, Caches: 4, Delay: 3 * time.Millisecond})
+	d, err := Start(ctx, Options{Routers: 1, EdgeCaches: 4, ResponseDelay: 3 * time.Millisecond})
 	if err != nil {
 		return err
 	}
@@ -22,8 +22,8 @@
 		}
 	}()
 	fmt.Fprintf(out, "router ready at %s; %d requests in %d s\n", d.Routers[0].Addr, requests, requests/150)
-	rep, err := d.Run(ctx, Load{Seed: 1, Requests: requests, Every: time.Second / 150, Conns: 3, Families: 8, Objects: 40,
-		Tick: func(done int) { progress(done, requests) }})
+	rep, err := d.RunLoad(ctx, Load{Seed: 1, Requests: requests, Interval: time.Second / 150, ConnsPerRouter: 3, Families: 8, ObjectsPerFamily: 40,
+		OnResponse: func(done int) { progress(done, requests) }})
 	if err != nil {
 		return err
 	}
@@ -38,13 +38,13 @@
 	}
 	fmt.Fprintf(out, "\n%-14s %7s %8s %7s %6s %9s %9s\n", "class", "served", "refused", "failed", "hits", "p50 ms", "p99 ms")
 	for _, class := range Classes {
-		c := rep.Class[class]
+		c := rep.ByClass[class]
 		share := "-"
 		if class != Classes[2] {
 			share = fmt.Sprintf("%.0f%%", 100*float64(hits[class])/float64(max(looks[class], 1)))
 		}
-		fmt.Fprintf(out, "%-14s %7d %8d %7d %6s %9.1f %9.1f\n", class, c.Served, c.Refused, c.Failed+c.Wrong+c.Lost, share,
-			float64(c.Took.ValueAtQuantile(50))/1000, float64(c.Took.ValueAtQuantile(99))/1000)
+		fmt.Fprintf(out, "%-14s %7d %8d %7d %6s %9.1f %9.1f\n", class, c.Served, c.Rejected, c.Failed+c.WrongBody+c.Lost, share,
+			float64(c.Latency.ValueAtQuantile(50))/1000, float64(c.Latency.ValueAtQuantile(99))/1000)
 	}
 	return nil
 }
--- a/lab/process/local_test.go
+++ b/lab/process/local_test.go
@@ -23,12 +23,12 @@
 	"spantack/standin/cache"
 )
 
-var binary string
+var routerBinary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "spantack-test-")
 	if err == nil {
-		binary, err = Build(dir)
+		routerBinary, err = Build(dir)
 	}
 	if err != nil {
 		println(err.Error())
@@ -39,8 +39,8 @@
 	os.Exit(code)
 }
 
-// assignment puts four families into two cells; a version in the other order exchanges them.
-func assignment(version int64, first, second string) string {
+// cellsFeatures puts four families into two cells; a version in the other order exchanges them.
+func cellsFeatures(version int64, first, second string) string {
 	spec := cells.Spec{Version: version, Scheme: cells.SchemeFixed,
 		Cells:      []cells.Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
 		Tenants:    []cells.Tenant{{Name: "loud", Cell: first}, {Name: "rest", Cell: second}},
@@ -57,10 +57,10 @@
 	return string(text)
 }
 
-func start(t *testing.T, opt Options) *Deployment {
+func startDeployment(t *testing.T, opt Options) *Deployment {
 	t.Helper()
-	opt.Binary = binary
-	d, err := Start(bounded(t, saysWithin, "the deployment to start"), opt)
+	opt.RouterBinary = routerBinary
+	d, err := Start(contextWithLimit(t, routerTimeout, "the deployment to start"), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,14 +73,14 @@
 	return d
 }
 
-func cellOf(t *testing.T, d *Deployment, text string) map[string]string {
+func cellByCache(t *testing.T, d *Deployment, text string) map[string]string {
 	t.Helper()
 	f, err := features.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var names []string
-	for _, c := range d.Caches {
+	for _, c := range d.EdgeCaches {
 		names = append(names, c.Name())
 	}
 	cell := map[string]string{}
@@ -93,39 +93,39 @@
 }
 
 const (
-	// saysWithin bounds the waits for what routers do.
-	saysWithin = time.Minute
-	// loadWithin bounds a load with all its answers, which takes half a minute at most on a machine that is free.
-	loadWithin = 4 * time.Minute
-	// callWithin bounds a call to a router, which has limits of its own.
-	callWithin = testwait.Limit
+	// routerTimeout bounds the waits for what routers do.
+	routerTimeout = time.Minute
+	// loadTimeout bounds a load with all its answers, which takes half a minute at most on a machine that is free.
+	loadTimeout = 4 * time.Minute
+	// callTimeout bounds a call to a router, which has limits of its own.
+	callTimeout = testwait.Limit
 )
 
-// bounded is a context for a wait of the test; its end names what was awaited.
-func bounded(t *testing.T, limit time.Duration, what string) context.Context {
+// contextWithLimit is a context for a wait of the test; its end names what was awaited.
+func contextWithLimit(t *testing.T, limit time.Duration, what string) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeoutCause(t.Context(), limit, fmt.Errorf("waited %v for %s", limit, what))
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// run sends a load and waits for all answers.
-func run(t *testing.T, d *Deployment, load Load) (*Report, error) {
+// runLoad sends a load and waits for all answers.
+func runLoad(t *testing.T, d *Deployment, load Load) (*LoadResult, error) {
 	t.Helper()
-	ctx := bounded(t, loadWithin, fmt.Sprintf("the answers to %d requests of seed %d", load.Requests, load.Seed))
-	rep, err := d.Run(ctx, load)
+	ctx := contextWithLimit(t, loadTimeout, fmt.Sprintf("the answers to %d requests of seed %d", load.Requests, load.Seed))
+	rep, err := d.RunLoad(ctx, load)
 	if late := context.Cause(ctx); late != nil { // requests that were out count as lost
 		err = late
 	}
 	return rep, err
 }
 
-// running is run beside the test.
-func running(t *testing.T, d *Deployment, load Load) <-chan *Report {
+// startLoad is run beside the test.
+func startLoad(t *testing.T, d *Deployment, load Load) <-chan *LoadResult {
 	t.Helper()
-	ended := make(chan *Report, 1)
+	ended := make(chan *LoadResult, 1)
 	go func() {
-		rep, err := run(t, d, load)
+		rep, err := runLoad(t, d, load)
 		if err != nil {
 			t.Error(err)
 		}
@@ -134,11 +134,11 @@
 	return ended
 }
 
-// waitLog returns once a router's log holds some words.
-func waitLog(t *testing.T, r *Router, words string) {
+// waitForLog returns once a router's log holds some words.
+func waitForLog(t *testing.T, r *Router, words string) {
 	t.Helper()
-	testwait.UntilWithin(t, saysWithin, fmt.Sprintf("the log of %s to say %q", r.Addr, words), func() bool {
-		log, err := os.ReadFile(r.Log)
+	testwait.UntilWithin(t, routerTimeout, fmt.Sprintf("the log of %s to say %q", r.Addr, words), func() bool {
+		log, err := os.ReadFile(r.LogPath)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -148,27 +148,27 @@
 
 // Three routers, a flood by one tenant whose caches also fail now and then: no request of any tenant reaches a cache
 // outside its cell, every request has one right answer, and no two attempts of one were out at once.
-func TestFloodStaysInItsCell(t *testing.T) {
-	text := assignment(1, "one", "two")
-	d := start(t, Options{Routers: 3, Caches: 6, Delay: 2 * time.Millisecond, Features: text, Script: func(g cache.Request) cache.Fault {
+func TestFloodIsConfinedToItsCell(t *testing.T) {
+	text := cellsFeatures(1, "one", "two")
+	d := startDeployment(t, Options{Routers: 3, EdgeCaches: 6, ResponseDelay: 2 * time.Millisecond, Features: text, FaultScript: func(g cache.Request) cache.Fault {
 		if strings.HasPrefix(g.Object, "00") && strings.HasSuffix(g.ID, "7") {
 			return cache.FaultError
 		}
 		return cache.FaultNone
 	}})
 	const requests = 3000
-	rep, err := run(t, d, Load{Seed: 5, Requests: requests, Every: 700 * time.Microsecond, Conns: 2, Families: 4, Objects: 200, Flood: 0, Times: 3})
+	rep, err := runLoad(t, d, Load{Seed: 5, Requests: requests, Interval: 700 * time.Microsecond, ConnsPerRouter: 2, Families: 4, ObjectsPerFamily: 200, FloodFamily: 0, FloodFactor: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := rep.All()
-	if n := all.Served + all.Refused + all.Failed; n != requests || all.Wrong+all.Lost > 0 {
+	all := rep.Total()
+	if n := all.Served + all.Rejected + all.Failed; n != requests || all.WrongBody+all.Lost > 0 {
 		t.Errorf("answers: %+v, want %d in all, none wrong or lost", all, requests)
 	}
 	if all.Served < requests/2 {
 		t.Errorf("only %d served", all.Served)
 	}
-	for family, c := range rep.Family[1:] {
+	for family, c := range rep.ByFamily[1:] {
 		if c.Failed > 0 {
 			t.Errorf("family %d: %d failed", family+1, c.Failed)
 		}
@@ -177,9 +177,9 @@
 		if err := r.Signal(syscall.SIGUSR1); err != nil {
 			t.Fatal(err)
 		}
-		waitLog(t, r, `"name":"loud"`)
+		waitForLog(t, r, `"name":"loud"`)
 	}
-	cell := cellOf(t, d, text)
+	cell := cellByCache(t, d, text)
 	seen := map[string]int{}
 	for _, g := range d.RequestLog.Requests() {
 		want := "two"
@@ -202,9 +202,9 @@
 
 // SIGHUP under load: a file that can't be used changes nothing, a good one moves the tenants to each other's cells, and
 // no request is lost on the way.
-func TestAssignmentChangesInService(t *testing.T) {
-	before, after := assignment(1, "one", "two"), assignment(2, "two", "one")
-	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: before})
+func TestCellsChangeInService(t *testing.T) {
+	before, after := cellsFeatures(1, "one", "two"), cellsFeatures(2, "two", "one")
+	d := startDeployment(t, Options{Routers: 2, EdgeCaches: 4, ResponseDelay: time.Millisecond, Features: before})
 	hangUp := func(text, says string) {
 		if err := d.WriteFeatures(text); err != nil {
 			t.Fatal(err)
@@ -215,20 +215,20 @@
 			}
 		}
 		for _, r := range d.Routers { // the log tells when it is done; the test's own limit ends a wait for nothing
-			waitLog(t, r, says)
+			waitForLog(t, r, says)
 		}
 	}
 	half := func(seed uint64) {
-		rep, err := run(t, d, Load{Seed: seed, Requests: 300, Every: time.Millisecond, Conns: 2, Families: 4, Objects: 50})
+		rep, err := runLoad(t, d, Load{Seed: seed, Requests: 300, Interval: time.Millisecond, ConnsPerRouter: 2, Families: 4, ObjectsPerFamily: 50})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if all := rep.All(); all.Served != 300 {
+		if all := rep.Total(); all.Served != 300 {
 			t.Errorf("answers: %+v", all)
 		}
 	}
 	homes := func(from int) map[string]map[string]bool {
-		cell := cellOf(t, d, before)
+		cell := cellByCache(t, d, before)
 		seen := map[string]map[string]bool{"loud": {}, "rest": {}}
 		for _, g := range d.RequestLog.Requests()[from:] {
 			who := "rest"
@@ -248,9 +248,9 @@
 		t.Errorf("before: %v", got)
 	}
 
-	ran := running(t, d, Load{Seed: 3, Requests: 600, Every: time.Millisecond, Conns: 2, Families: 4, Objects: 50})
+	ran := startLoad(t, d, Load{Seed: 3, Requests: 600, Interval: time.Millisecond, ConnsPerRouter: 2, Families: 4, ObjectsPerFamily: 50})
 	hangUp(after, `"cells":2`)
-	if all := testwait.ReceiveWithin(t, loadWithin+saysWithin, ran, "the load").All(); all.Served != 600 {
+	if all := testwait.ReceiveWithin(t, loadTimeout+routerTimeout, ran, "the load").Total(); all.Served != 600 {
 		t.Errorf("while it changed: %+v", all)
 	}
 	from := len(d.RequestLog.Requests())
@@ -262,7 +262,7 @@
 
 // Three routers, a tenant moved in service by SIGHUP while half of the caches are replaced, one at the address of the machine that has gone:
 // 20,000 requests, each with one right answer, and none at a cache that is in neither of its tenant's cells.
-func TestTenantMovesInService(t *testing.T) {
+func TestMigrationInService(t *testing.T) {
 	const requests = 20_000
 	spec := cells.Spec{Version: 1, Scheme: cells.SchemeFixed,
 		Cells:      []cells.Cell{{Name: "one", Share: 0.34}, {Name: "two", Share: 0.33}, {Name: "three", Share: 0.33}},
@@ -282,7 +282,7 @@
 		}
 		return string(text)
 	}
-	d := start(t, Options{Routers: 3, Caches: 9, Delay: time.Millisecond, Features: file(nil)})
+	d := startDeployment(t, Options{Routers: 3, EdgeCaches: 9, ResponseDelay: time.Millisecond, Features: file(nil)})
 	tell := func(doc *migration.Document, says string) {
 		if err := d.WriteFeatures(file(doc)); err != nil {
 			t.Fatal(err)
@@ -293,13 +293,13 @@
 			}
 		}
 		for _, r := range d.Routers {
-			waitLog(t, r, says)
+			waitForLog(t, r, says)
 		}
 	}
 	lists := map[string][]string{} // cells of every cache, under each list that there was
 	note := func() {
 		var names []string
-		for _, c := range d.Caches {
+		for _, c := range d.EdgeCaches {
 			names = append(names, c.Name())
 		}
 		for i, in := range spec.CachesByCell(names) {
@@ -309,12 +309,12 @@
 		}
 	}
 	note()
-	ran := running(t, d, Load{Seed: 9, Requests: requests, Every: 1200 * time.Microsecond, Conns: 2, Families: 3, Objects: 300})
+	ran := startLoad(t, d, Load{Seed: 9, Requests: requests, Interval: 1200 * time.Microsecond, ConnsPerRouter: 2, Families: 3, ObjectsPerFamily: 300})
 	now := float64(time.Now().UnixMilli())
 	move := migration.Migration{Tenant: "mover", Site: migration.AllSites, From: "one", To: "two", Start: now + 1000, MinShift: migration.ShortestShiftMs, MaxShift: 15_000, Settle: 2000}
 	tell(&migration.Document{Version: 1, Migrations: []migration.Migration{move}}, `"moves":1`)
 	for i := range 4 {
-		if err := d.Replace(2*i, 700*time.Millisecond, i%2 == 0); err != nil {
+		if err := d.ReplaceCache(2*i, 700*time.Millisecond, i%2 == 0); err != nil {
 			t.Fatal(err)
 		}
 		note()
@@ -322,9 +322,9 @@
 	lost := move
 	lost.To = "three"
 	tell(&migration.Document{Version: 2, Migrations: []migration.Migration{lost}}, "new features can't be used") // a move under way can't be led elsewhere
-	rep := testwait.ReceiveWithin(t, loadWithin+saysWithin, ran, "the load")
-	all := rep.All()
-	if n := all.Served + all.Refused + all.Failed; n != requests || all.Wrong+all.Lost > 0 {
+	rep := testwait.ReceiveWithin(t, loadTimeout+routerTimeout, ran, "the load")
+	all := rep.Total()
+	if n := all.Served + all.Rejected + all.Failed; n != requests || all.WrongBody+all.Lost > 0 {
 		t.Errorf("answers: %+v, want %d in all, none wrong or lost", all, requests)
 	}
 	if all.Served < requests*99/100 {
@@ -353,7 +353,7 @@
 		if err := r.Signal(syscall.SIGUSR1); err != nil {
 			t.Fatal(err)
 		}
-		waitLog(t, r, `"message":"moves"`)
+		waitForLog(t, r, `"message":"moves"`)
 	}
 }
 
@@ -374,39 +374,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text), Script: func(g cache.Request) cache.Fault {
+	d := startDeployment(t, Options{Routers: 2, EdgeCaches: 4, ResponseDelay: time.Millisecond, Features: string(text), FaultScript: func(g cache.Request) cache.Fault {
 		if bad.Load() && strings.HasPrefix(g.Object, "02") {
 			return cache.FaultError
 		}
 		return cache.FaultNone
 	}})
-	run := func(seed uint64, requests int) *Report {
-		rep, err := run(t, d, Load{Seed: seed, Requests: requests, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
+	run := func(seed uint64, requests int) *LoadResult {
+		rep, err := runLoad(t, d, Load{Seed: seed, Requests: requests, Interval: 2 * time.Millisecond, ConnsPerRouter: 2, Families: 3, ObjectsPerFamily: 50})
 		if err != nil {
 			t.Fatal(err)
 		}
-		for family, c := range rep.Family {
-			if c.Wrong+c.Lost > 0 || family < 2 && c.Served < (c.Served+c.Refused+c.Failed)*99/100 {
+		for family, c := range rep.ByFamily {
+			if c.WrongBody+c.Lost > 0 || family < 2 && c.Served < (c.Served+c.Rejected+c.Failed)*99/100 {
 				t.Errorf("family %d: %+v", family, c)
 			}
 		}
 		return rep
 	}
 	before := run(1, 1500)
-	reports := before.Class["stock-report"]
-	if c := before.Family[2]; float64(time.Now().UnixMilli()) < opens && (c.Served > 0 || c.Refused == 0) {
+	reports := before.ByClass["stock-report"]
+	if c := before.ByFamily[2]; float64(time.Now().UnixMilli()) < opens && (c.Served > 0 || c.Rejected == 0) {
 		t.Errorf("before the ring opens: %+v, reports %+v", c, reports)
 	}
 	for _, r := range d.Routers {
-		waitLog(t, r, "release r, ring 0 ([one]): judging")
+		waitForLog(t, r, "release r, ring 0 ([one]): judging")
 	}
-	if c := run(2, 600).Family[2]; c.Served == 0 || c.Refused+c.Failed > 0 {
+	if c := run(2, 600).ByFamily[2]; c.Served == 0 || c.Rejected+c.Failed > 0 {
 		t.Errorf("where it is open: %+v", c)
 	}
 	bad.Store(true)
 	stopped := func() bool {
 		for _, r := range d.Routers {
-			log, err := os.ReadFile(r.Log)
+			log, err := os.ReadFile(r.LogPath)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -422,14 +422,14 @@
 		}
 		run(10+i, 500)
 	}
-	if c := run(50, 500).Family[2]; c.Served > 0 || c.Failed > 0 {
+	if c := run(50, 500).ByFamily[2]; c.Served > 0 || c.Failed > 0 {
 		t.Errorf("after it was stopped: %+v", c)
 	}
 }
 
 // Two routers and prices renewed under their names, from the ring's time to the document's way back: every attempt for them at every server
 // carries the age that its cell's ring allows at that moment, and nothing is refused.
-func TestRenewalInService(t *testing.T) {
+func TestObjectReplacementInService(t *testing.T) {
 	spec := cells.Spec{Version: 1, Scheme: cells.SchemeFixed,
 		Cells:      []cells.Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
 		Tenants:    []cells.Tenant{{Name: "first", Cell: "one"}, {Name: "rest", Cell: "two"}},
@@ -445,15 +445,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := start(t, Options{Routers: 2, Caches: 4, Delay: time.Millisecond, Features: string(text)})
+	d := startDeployment(t, Options{Routers: 2, EdgeCaches: 4, ResponseDelay: time.Millisecond, Features: string(text)})
 	ages := func(seed uint64, check func(family string, g cache.Request, at float64)) (seen int) {
 		from := len(d.RequestLog.Requests())
-		rep, err := run(t, d, Load{Seed: seed, Requests: 600, Every: 2 * time.Millisecond, Conns: 2, Families: 3, Objects: 50})
+		rep, err := runLoad(t, d, Load{Seed: seed, Requests: 600, Interval: 2 * time.Millisecond, ConnsPerRouter: 2, Families: 3, ObjectsPerFamily: 50})
 		if err != nil {
 			t.Fatal(err)
 		}
-		for family, c := range rep.Family {
-			if c.Wrong+c.Lost+c.Refused+c.Failed > 0 {
+		for family, c := range rep.ByFamily {
+			if c.WrongBody+c.Lost+c.Rejected+c.Failed > 0 {
 				t.Errorf("family %d: %+v", family, c)
 			}
 		}
@@ -466,7 +466,7 @@
 		return seen
 	}
 	for _, r := range d.Routers {
-		waitLog(t, r, "release r, ring 0 ([one]): judging")
+		waitForLog(t, r, "release r, ring 0 ([one]): judging")
 	}
 	seen := ages(1, func(family string, g cache.Request, at float64) {
 		switch {
@@ -478,7 +478,7 @@
 		}
 	})
 	for _, r := range d.Routers {
-		waitLog(t, r, "release r, ring 0 ([one]): stopped")
+		waitForLog(t, r, "release r, ring 0 ([one]): stopped")
 	}
 	seen += ages(2, func(family string, g cache.Request, at float64) {
 		if g.MaxAgeMillis < 1 || float64(g.MaxAgeMillis) > at-release.RollbackAt {
@@ -493,7 +493,7 @@
 // Two routers, three area caches, and a shape that changes by SIGHUP: an object's fills are asked of one area at both routers, a planted
 // circle is refused and changes nothing, a later shape moves what it must, and when an area's cache is cut off, unlisted, fills go
 // elsewhere. Every request has one right answer.
-func TestShapeInService(t *testing.T) {
+func TestTopologyChangesInService(t *testing.T) {
 	// fillsOfOneParent is how many fills two routers have in flight at most. A router starts with a concurrency limit of 10 at each parent and
 	// keeps half of it for the classes with the most weight; a fill that is past it goes to another parent, as it should. Where processes
 	// wait for a CPU, requests sent by the clock pile up past 10.
@@ -502,7 +502,7 @@
 		s := &hierarchy.Topology{Version: version, Origin: hierarchy.Origin{Name: "head", CapacityKBPerS: 1e6}, Sites: []hierarchy.Site{{Name: "depot-00", PeakFillKBPerS: 1000}}}
 		for _, a := range areas {
 			name := fmt.Sprint("area-", a)
-			s.ParentGroups = append(s.ParentGroups, hierarchy.ParentGroup{Name: name, ServerPrefixes: []string{AreaName(a)}})
+			s.ParentGroups = append(s.ParentGroups, hierarchy.ParentGroup{Name: name, ServerPrefixes: []string{ParentName(a)}})
 			s.Links = append(s.Links, hierarchy.Link{From: "depot-00", To: name, CapacityKBPerS: 1e6, RTTMillis: 5}, hierarchy.Link{From: name, To: "head", CapacityKBPerS: 1e6, RTTMillis: 5})
 		}
 		return s
@@ -514,7 +514,7 @@
 		}
 		return string(text)
 	}
-	d := start(t, Options{Routers: 2, Caches: 4, Areas: 3, Delay: time.Millisecond, Features: file(shape(1, 0, 1))})
+	d := startDeployment(t, Options{Routers: 2, EdgeCaches: 4, Parents: 3, ResponseDelay: time.Millisecond, Features: file(shape(1, 0, 1))})
 	tell := func(s *hierarchy.Topology, says string) {
 		if err := d.WriteFeatures(file(s)); err != nil {
 			t.Fatal(err)
@@ -523,17 +523,17 @@
 			if err := r.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
-			waitLog(t, r, says)
+			waitForLog(t, r, says)
 		}
 	}
 	run := func(seed uint64, objects int) map[string]map[string]bool { // of each object, the sources that its fills named
 		from := len(d.RequestLog.Requests())
-		rep, err := run(t, d, Load{Seed: seed, Requests: 1500, Every: time.Millisecond, Conns: 2, MaxInFlight: fillsOfOneParent,
-			Families: 3, Objects: objects})
+		rep, err := runLoad(t, d, Load{Seed: seed, Requests: 1500, Interval: time.Millisecond, ConnsPerRouter: 2, MaxInFlight: fillsOfOneParent,
+			Families: 3, ObjectsPerFamily: objects})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if all := rep.All(); all.Wrong+all.Lost > 0 || all.Served < 1485 {
+		if all := rep.Total(); all.WrongBody+all.Lost > 0 || all.Served < 1485 {
 			t.Errorf("seed %d: %+v", seed, all)
 		}
 		asked := map[string]map[string]bool{}
@@ -552,7 +552,7 @@
 		at := map[string]string{}
 		for object, sources := range asked {
 			for source := range sources {
-				if len(sources) != 1 || !slices.ContainsFunc(areas, func(a int) bool { return AreaName(a) == source }) {
+				if len(sources) != 1 || !slices.ContainsFunc(areas, func(a int) bool { return ParentName(a) == source }) {
 					t.Errorf("fills of %s are asked of %v", object, sources)
 				}
 				at[object] = source
@@ -572,7 +572,7 @@
 		if now, known := same[object]; known && now != at {
 			t.Errorf("%s went from %s to %s by a shape that was refused", object, at, now)
 		}
-		if now, known := after[object]; known && at == AreaName(1) {
+		if now, known := after[object]; known && at == ParentName(1) {
 			if all++; now != at {
 				moved++
 			}
@@ -581,12 +581,12 @@
 	if all < 50 || len(same) < 100 || moved > all*45/100 { // a third goes to the new area, as the hash has it
 		t.Errorf("%d and %d objects seen; of those whose area stayed %d of %d went elsewhere", all, len(same), moved, all)
 	}
-	d.Cut(2)
+	d.KillParent(2)
 	run(4, 400) // finds out
 	left := run(5, 800)
 	astray := 0
 	for _, sources := range left {
-		if sources[AreaName(2)] {
+		if sources[ParentName(2)] {
 			astray++
 		}
 	}
--- a/lab/process/mesh.go
+++ b/lab/process/mesh.go
@@ -12,25 +12,25 @@
 
 // openMesh finds an address for each router's datagrams and puts a mesh between them.
 func (d *Deployment) openMesh() (err error) {
-	for range d.opt.Routers {
+	for range d.options.Routers {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			return err
 		}
-		d.listens = append(d.listens, c.LocalAddr().(*net.UDPAddr).AddrPort())
+		d.gossipAddrs = append(d.gossipAddrs, c.LocalAddr().(*net.UDPAddr).AddrPort())
 		defer c.Close() // all are held until each has one of its own
 	}
-	d.Mesh, err = link.NewMesh(d.opt.Seed, append([]netip.AddrPort(nil), d.listens...))
+	d.Mesh, err = link.NewMesh(d.options.GossipSeed, append([]netip.AddrPort(nil), d.gossipAddrs...))
 	return err
 }
 
-// speak lets a router's configuration say how to reach the others.
-func (d *Deployment) speak(i int, doc map[string]any) {
+// configureGossip lets a router's configuration say how to reach the others.
+func (d *Deployment) configureGossip(i int, doc map[string]any) {
 	var peers []string
-	for rank := range d.listens {
+	for rank := range d.gossipAddrs {
 		peers = append(peers, d.Mesh.Addr(rank))
 	}
-	doc["peer_listen"], doc["peers"], doc["peers_all"] = d.listens[i].String(), peers, d.Mesh.BroadcastAddr()
+	doc["peer_listen"], doc["peers"], doc["peers_all"] = d.gossipAddrs[i].String(), peers, d.Mesh.BroadcastAddr()
 	set := doc["settings"].(map[string]any)
 	set["Rank"] = i
 	set["Permissions"].(map[string]any)["MayTell"] = true
@@ -47,10 +47,10 @@
 
 // Restart starts a router that was killed, under its name and addresses, with nothing but its configuration.
 func (d *Deployment) Restart(ctx context.Context, i int) error {
-	r, err := d.start(i, d.Routers[i])
+	r, err := d.startRouter(i, d.Routers[i])
 	if err != nil {
 		return err
 	}
 	d.Routers[i] = r
-	return r.await(ctx)
+	return r.waitUntilReady(ctx)
 }
--- a/lab/process/operate_test.go
+++ b/lab/process/operate_test.go
@@ -16,21 +16,21 @@
 	"spantack/internal/testwait"
 )
 
-// call makes a call that is owed a yes.
-func call(t *testing.T, r *Router, method, path string) string {
+// mustCall makes a call that is owed a yes.
+func mustCall(t *testing.T, r *Router, method, path string) string {
 	t.Helper()
-	status, body, err := r.Call(bounded(t, callWithin, "a call"), method, path)
+	status, body, err := r.Call(contextWithLimit(t, callTimeout, "a call"), method, path)
 	if err != nil || status != http.StatusOK {
 		t.Fatalf("%s %s: %d %q, %v", method, path, status, body, err)
 	}
 	return body
 }
 
-// figures reads the lines of the second address.
-func figures(t *testing.T, r *Router) map[string]int {
+// readMetrics reads the lines of the second address.
+func readMetrics(t *testing.T, r *Router) map[string]int {
 	t.Helper()
 	list := map[string]int{}
-	for line := range strings.Lines(call(t, r, http.MethodGet, "/api/telemetry")) {
+	for line := range strings.Lines(mustCall(t, r, http.MethodGet, "/api/telemetry")) {
 		name, rest, found := strings.Cut(strings.TrimSuffix(line, "\n"), ":")
 		value, kind, typed := strings.Cut(rest, "|")
 		n, err := strconv.Atoi(value)
@@ -45,19 +45,19 @@
 // A router is replaced three times under load, with one cache taken out before the first and put back after the second: every request has
 // one right answer, none meets a closed door, no two attempts are out at once, and of requests sent between the yes and the call
 // back none reaches that cache, in whichever process.
-func TestReplacedWhileItServes(t *testing.T) {
+func TestRouterReplacedWhileServing(t *testing.T) {
 	const requests = 6000
-	d := start(t, Options{Routers: 1, Caches: 4, Delay: time.Millisecond, Managed: true})
+	d := startDeployment(t, Options{Routers: 1, EdgeCaches: 4, ResponseDelay: time.Millisecond, HasAdminAPI: true})
 	var sent atomic.Int64
 	at := func(n int64) {
 		t.Helper()
-		testwait.UntilWithin(t, saysWithin, fmt.Sprintf("%d requests to be sent", n), func() bool { return sent.Load() >= n })
+		testwait.UntilWithin(t, routerTimeout, fmt.Sprintf("%d requests to be sent", n), func() bool { return sent.Load() >= n })
 	}
-	out := d.Caches[1].Name()
-	ended := running(t, d, Load{Seed: 11, Requests: requests, Every: 500 * time.Microsecond, Conns: 6, Families: 4, Objects: 200, Redial: true,
-		Sent: func(i int) { sent.Store(int64(i)) }})
+	out := d.EdgeCaches[1].Name()
+	ended := startLoad(t, d, Load{Seed: 11, Requests: requests, Interval: 500 * time.Microsecond, ConnsPerRouter: 6, Families: 4, ObjectsPerFamily: 200, Reconnects: true,
+		OnSend: func(i int) { sent.Store(int64(i)) }})
 	at(300)
-	call(t, d.Routers[0], http.MethodPut, "/api/exclude/"+out)
+	mustCall(t, d.Routers[0], http.MethodPut, "/api/exclude/"+out)
 	from := sent.Load() + 1
 	at(from + 200)
 	replace := func() {
@@ -65,20 +65,20 @@
 		defer func() {
 			t.Logf("replaced from %v to %v", begin.Format("15:04:05.000000"), time.Now().Format("15:04:05.000000"))
 		}()
-		if err := d.ReplaceRouter(bounded(t, saysWithin, "the router to be replaced"), 0); err != nil {
+		if err := d.ReplaceRouter(contextWithLimit(t, routerTimeout, "the router to be replaced"), 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 	replace()
-	call(t, d.Routers[0], http.MethodPut, "/api/exclude/"+out) // twice
+	mustCall(t, d.Routers[0], http.MethodPut, "/api/exclude/"+out) // twice
 	replace()
 	to, included := sent.Load(), time.Now()
-	call(t, d.Routers[0], http.MethodPut, "/api/include/"+out)
+	mustCall(t, d.Routers[0], http.MethodPut, "/api/include/"+out)
 	back := sent.Load() + 1
 	replace()
-	rep := testwait.ReceiveWithin(t, loadWithin+saysWithin, ended, "the load")
-	all := rep.All()
-	if all.Served+all.Refused+all.Failed != requests || all.Wrong+all.Lost > 0 {
+	rep := testwait.ReceiveWithin(t, loadTimeout+routerTimeout, ended, "the load")
+	all := rep.Total()
+	if all.Served+all.Rejected+all.Failed != requests || all.WrongBody+all.Lost > 0 {
 		t.Errorf("answers %+v, want %d, none wrong or lost", all, requests)
 	}
 	if all.Served < requests*9/10 {
@@ -109,28 +109,28 @@
 	if after == 0 {
 		t.Errorf("%s got nothing after the call back", out)
 	}
-	waitLog(t, d.Routers[0], "taking over")
-	t.Logf("%d sent again, %d of %d requests while one was out", all.Again, to-from, requests)
+	waitForLog(t, d.Routers[0], "taking over")
+	t.Logf("%d sent again, %d of %d requests while one was out", all.Resent, to-from, requests)
 }
 
 // The figures are what clients and servers saw; an id that nobody knows is owed a no.
-func TestFiguresAreTrue(t *testing.T) {
+func TestMetricsMatchClients(t *testing.T) {
 	const requests = 1500
-	d := start(t, Options{Routers: 1, Caches: 3, Delay: time.Millisecond, Managed: true})
+	d := startDeployment(t, Options{Routers: 1, EdgeCaches: 3, ResponseDelay: time.Millisecond, HasAdminAPI: true})
 	r := d.Routers[0]
-	if status, _, err := r.Call(bounded(t, callWithin, "a call"), http.MethodPut, "/api/exclude/s-00000000"); err != nil || status != http.StatusNotFound {
+	if status, _, err := r.Call(contextWithLimit(t, callTimeout, "a call"), http.MethodPut, "/api/exclude/s-00000000"); err != nil || status != http.StatusNotFound {
 		t.Errorf("an unknown id: %d, %v", status, err)
 	}
-	until(t, "list", func() bool { return figures(t, r)["app.discovered"] == 3 }) // it comes from the discovery service alone, after the router is ready
-	call(t, r, http.MethodPut, "/api/exclude/"+d.Caches[0].Name())
-	rep, err := run(t, d, Load{Seed: 12, Requests: requests, Every: 500 * time.Microsecond, Conns: 2, Families: 2, Objects: 100})
+	waitUntil(t, "list", func() bool { return readMetrics(t, r)["app.discovered"] == 3 }) // it comes from the discovery service alone, after the router is ready
+	mustCall(t, r, http.MethodPut, "/api/exclude/"+d.EdgeCaches[0].Name())
+	rep, err := runLoad(t, d, Load{Seed: 12, Requests: requests, Interval: 500 * time.Microsecond, ConnsPerRouter: 2, Families: 2, ObjectsPerFamily: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := figures(t, r)
+	f := readMetrics(t, r)
 	for _, class := range Classes {
-		c := rep.Class[class]
-		for name, want := range map[string]int{"succeeded": c.Served, "declined": c.Refused, "aborted": c.Failed} {
+		c := rep.ByClass[class]
+		for name, want := range map[string]int{"succeeded": c.Served, "declined": c.Rejected, "aborted": c.Failed} {
 			if got := f["app.results."+class+"."+name]; got != want {
 				t.Errorf("%s %s: %d told, clients had %d", class, name, got, want)
 			}
@@ -141,12 +141,12 @@
 			t.Errorf("%s: %d, want %d", name, got, want)
 		}
 	}
-	until(t, "forwards", func() bool { return figures(t, r)["app.forwards"] == len(d.RequestLog.Requests()) }) // may lag behind the answer
+	waitUntil(t, "forwards", func() bool { return readMetrics(t, r)["app.forwards"] == len(d.RequestLog.Requests()) }) // may lag behind the answer
 }
 
 // A file that can't be used is turned down whole: neither its classes nor its discovery address hold. A good one holds for requests that come.
-func TestNewSettings(t *testing.T) {
-	d := start(t, Options{Routers: 1, Caches: 2, Managed: true})
+func TestSettingsReload(t *testing.T) {
+	d := startDeployment(t, Options{Routers: 1, EdgeCaches: 2, HasAdminAPI: true})
 	r := d.Routers[0]
 	settings := func(doc map[string]any) map[string]any { return doc["settings"].(map[string]any) }
 	price := map[string]any{"Name": "price", "Promise": 400_000, "Deadline": 3_000_000, "Gain": 1, "LateWorth": 0, "Group": "all", "Idempotency": "read_like",
@@ -157,7 +157,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		return c.Do(bounded(t, callWithin, "an answer"), router.Request{ID: fmt.Sprintf("%016x", n), Class: class, Object: Object(0, n), SizeKB: 20, ClientTimeout: 3000})
+		return c.Do(contextWithLimit(t, callTimeout, "an answer"), router.Request{ID: fmt.Sprintf("%016x", n), Class: class, Object: ObjectName(0, n), SizeKB: 20, ClientTimeout: 3000})
 	}
 	rejected := 0
 	for name, change := range map[string]func(doc map[string]any){
@@ -177,7 +177,7 @@
 			t.Fatal(err)
 		}
 		rejected++
-		until(t, name, func() bool { return figures(t, r)["app.sighup_rejected"] == rejected })
+		waitUntil(t, name, func() bool { return readMetrics(t, r)["app.sighup_rejected"] == rejected })
 	}
 	if a, err := ask("catalogue", 1); err != nil || a.Outcome != router.Served {
 		t.Errorf("after files that were turned down: %+v, %v", a, err)
@@ -191,34 +191,34 @@
 	if err := r.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a good file", func() bool { return figures(t, r)["app.sighup_applied"] == 1 })
+	waitUntil(t, "a good file", func() bool { return readMetrics(t, r)["app.sighup_applied"] == 1 })
 	if a, err := ask("price", 2); err != nil || a.Outcome != router.Served {
 		t.Errorf("a new class: %+v, %v", a, err)
 	}
 	if a, err := ask("catalogue", 3); err != nil || a.Outcome != router.Failed {
 		t.Errorf("a class that was dropped: %+v, %v", a, err)
 	}
-	if f := figures(t, r); f["app.sighup_rejected"] != rejected || f["app.results.price.succeeded"] != 1 || f["app.results.catalogue.succeeded"] != 1 {
+	if f := readMetrics(t, r); f["app.sighup_rejected"] != rejected || f["app.results.price.succeeded"] != 1 || f["app.results.catalogue.succeeded"] != 1 {
 		t.Errorf("figures %v", f)
 	}
 }
 
-// until waits for what follows from a signal.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil waits for what follows from a signal.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	testwait.UntilWithin(t, saysWithin, what, holds)
+	testwait.UntilWithin(t, routerTimeout, what, holds)
 }
 
 // An emptied router says no at both addresses, answers what it had, closes its clients' connections and runs on; then it works again.
-func TestEmptied(t *testing.T) {
-	d := start(t, Options{Routers: 1, Caches: 2, Delay: 100 * time.Millisecond, Managed: true})
+func TestDrainAndRejoin(t *testing.T) {
+	d := startDeployment(t, Options{Routers: 1, EdgeCaches: 2, ResponseDelay: 100 * time.Millisecond, HasAdminAPI: true})
 	r := d.Routers[0]
 	work := func(seed uint64) {
-		rep, err := run(t, d, Load{Seed: seed, Requests: 50, Every: time.Millisecond, Conns: 1, Families: 1, Objects: 5})
+		rep, err := runLoad(t, d, Load{Seed: seed, Requests: 50, Interval: time.Millisecond, ConnsPerRouter: 1, Families: 1, ObjectsPerFamily: 5})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if all := rep.All(); all.Served+all.Refused+all.Failed != 50 || all.Served == 0 {
+		if all := rep.Total(); all.Served+all.Rejected+all.Failed != 50 || all.Served == 0 {
 			t.Errorf("at work: %+v", all)
 		}
 	}
@@ -231,22 +231,22 @@
 	defer c.Close()
 	answers := make(chan router.Response, 1)
 	go func() {
-		a, err := c.Do(bounded(t, callWithin, "an answer"), router.Request{ID: "0000000000000001", Class: Classes[0], Object: Object(0, 1), SizeKB: 20, ClientTimeout: 3000})
+		a, err := c.Do(contextWithLimit(t, callTimeout, "an answer"), router.Request{ID: "0000000000000001", Class: Classes[0], Object: ObjectName(0, 1), SizeKB: 20, ClientTimeout: 3000})
 		if err != nil {
 			t.Error(err)
 		}
 		answers <- a
 	}()
-	until(t, "a request out", func() bool { return len(d.RequestLog.Requests()) > before })
-	call(t, r, http.MethodPut, "/api/evacuate")
-	if status, _, err := r.Call(bounded(t, callWithin, "a call"), http.MethodGet, "/api/ready"); err != nil || status != http.StatusServiceUnavailable {
+	waitUntil(t, "a request out", func() bool { return len(d.RequestLog.Requests()) > before })
+	mustCall(t, r, http.MethodPut, "/api/evacuate")
+	if status, _, err := r.Call(contextWithLimit(t, callTimeout, "a call"), http.MethodGet, "/api/ready"); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("ready while it is emptied: %d, %v", status, err)
 	}
 	if a := testwait.Receive(t, answers, "the answer to the open request"); a.Outcome != router.Served {
 		t.Errorf("what was open got %+v", a)
 	}
-	until(t, "the connection closed", func() bool {
-		_, err := c.Ready(bounded(t, callWithin, "health"))
+	waitUntil(t, "the connection closed", func() bool {
+		_, err := c.Ready(contextWithLimit(t, callTimeout, "health"))
 		return errors.Is(err, msgpackrpc.ErrClosed)
 	})
 	front, err := msgpackrpc.Dial(r.Addr, 1000)
@@ -254,13 +254,13 @@
 		t.Fatal(err)
 	}
 	defer front.Close()
-	if ready, err := front.Ready(bounded(t, callWithin, "health")); err != nil || ready {
+	if ready, err := front.Ready(contextWithLimit(t, callTimeout, "health")); err != nil || ready {
 		t.Errorf("to the front: %v, %v", ready, err)
 	}
-	call(t, r, http.MethodPut, "/api/rejoin")
-	call(t, r, http.MethodGet, "/api/ready")
+	mustCall(t, r, http.MethodPut, "/api/rejoin")
+	mustCall(t, r, http.MethodGet, "/api/ready")
 	work(14)
-	if f := figures(t, r); f["app.outstanding"] != 0 {
+	if f := readMetrics(t, r); f["app.outstanding"] != 0 {
 		t.Errorf("figures %v", f)
 	}
 }
--- a/lab/process/readiness_test.go
+++ b/lab/process/readiness_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// nineInTenReady is how soon nine in ten restarted routers have to be ready, allReady how soon all.
-	nineInTenReady = 10 * time.Second
-	allReady       = 30 * time.Second
+	// mostReadyLimit is how soon nine in ten restarted routers have to be ready, allReadyLimit how soon all.
+	mostReadyLimit = 10 * time.Second
+	allReadyLimit  = 30 * time.Second
 )
 
-// keepBusy runs a loop on each core until the test ends, an end of their own after bound at the latest.
-func keepBusy(t *testing.T, bound time.Duration) {
+// loadAllCores runs a loop on each core until the test ends, an end of their own after bound at the latest.
+func loadAllCores(t *testing.T, bound time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	t.Cleanup(cancel)
@@ -38,20 +38,20 @@
 	}
 }
 
-// knownList is the configuration's form of the list of servers: what a router that starts is told before it hears from discovery.
-func (d *Deployment) knownList() map[string]any {
-	set := Settings(d.opt.Routers)
+// endpointsDocument is the configuration's form of the list of servers: what a router that starts is told before it hears from discovery.
+func (d *Deployment) endpointsDocument() map[string]any {
+	set := Settings(d.options.Routers)
 	zones, kinds := set["Zones"].([]string), set["Kinds"].([]string)
 	var targets []any
-	for _, s := range d.known {
+	for _, s := range d.endpoints {
 		targets = append(targets, map[string]any{"uid": fmt.Sprintf("s-%08x", s.ID), "endpoint": s.Addr.String(), "az": zones[s.Zone], "model": kinds[s.Kind],
 			"pod_group": 0, "state": "Ready", "capacity_hint": s.Weight, "boot_ms": s.StartedAtMillis})
 	}
 	return map[string]any{"rev": 1, "notices": []any{map[string]any{"rev": 1, "pool": map[string]any{"rev": 1, "all": true, "targets": targets}}}}
 }
 
-// ready waits until a router that has just been started takes its address and says over it that it is ready, as the platform's front does.
-func ready(ctx context.Context, r *Router) error {
+// waitUntilReady waits until a router that has just been started takes its address and says over it that it is ready, as the platform's front does.
+func waitUntilReady(ctx context.Context, r *Router) error {
 	for {
 		probe, cancel := context.WithTimeout(ctx, time.Second)
 		c, err := msgpackrpc.Dial(r.Addr, 1000)
@@ -67,23 +67,23 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("router at %s is not ready: %w", r.Addr, errors.Join(ctx.Err(), err))
-		case ended := <-r.done:
-			r.done <- ended
+		case ended := <-r.exited:
+			r.exited <- ended
 			return fmt.Errorf("router at %s ended: %v", r.Addr, ended)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-// restart kills the first so many routers, starts them anew at once and returns how long each took to be ready, in order.
-func restart(t *testing.T, d *Deployment, count int) []time.Duration {
+// restartRouters kills the first so many routers, starts them anew at once and returns how long each took to be ready, in order.
+func restartRouters(t *testing.T, d *Deployment, count int) []time.Duration {
 	t.Helper()
 	for _, r := range d.Routers[:count] {
 		if err := r.Kill(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), allReady)
+	ctx, cancel := context.WithTimeout(t.Context(), allReadyLimit)
 	defer cancel()
 	type outcome struct {
 		took time.Duration
@@ -92,13 +92,13 @@
 	outcomes := make(chan outcome, count)
 	for i, before := range d.Routers[:count] {
 		begin := time.Now()
-		r, err := d.start(i, before)
+		r, err := d.startRouter(i, before)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.Routers[i] = r
 		go func() {
-			err := ready(ctx, r)
+			err := waitUntilReady(ctx, r)
 			outcomes <- outcome{time.Since(begin), err}
 		}()
 	}
@@ -114,9 +114,9 @@
 	return took
 }
 
-// checkForwards asks each router for an object, again if it refuses, and finds by the caches' request log that it was sent on: a router is not
+// checkRoutersForward asks each router for an object, again if it refuses, and finds by the caches' request log that it was sent on: a router is not
 // ready that does not know where to send.
-func checkForwards(t *testing.T, d *Deployment, round int) {
+func checkRoutersForward(t *testing.T, d *Deployment, round int) {
 	t.Helper()
 	const tries = 5
 	asked := map[string]int{} // by id of request: the router
@@ -126,7 +126,7 @@
 			t.Fatalf("router %d: %v", i, err)
 		}
 		for try := range tries {
-			q := router.Request{ID: fmt.Sprintf("%04x%04x%08x", round, try, i), Class: Classes[1], Object: Object(0, i), SizeKB: 20, ClientTimeout: 3000}
+			q := router.Request{ID: fmt.Sprintf("%04x%04x%08x", round, try, i), Class: Classes[1], Object: ObjectName(0, i), SizeKB: 20, ClientTimeout: 3000}
 			asked[q.ID] = i
 			a, err := c.Do(t.Context(), q)
 			if err != nil || a.Outcome == router.Served {
@@ -153,23 +153,23 @@
 func TestNineInTenAreReadyInTime(t *testing.T) {
 	const routers = 30
 	fleet := `{"fleet": {"enabled": true, "asks": 300, "floor": 0.5, "verdicts": true}}`
-	d := start(t, Options{Routers: routers, Caches: 4, Peers: true, Features: fleet, Flags: []string{"--peers"}})
+	d := startDeployment(t, Options{Routers: routers, EdgeCaches: 4, HasGossip: true, Features: fleet, ExtraFlags: []string{"--peers"}})
 	for i := range routers {
-		if err := d.Configure(i, func(doc map[string]any) { doc["known"] = d.knownList() }); err != nil {
+		if err := d.Configure(i, func(doc map[string]any) { doc["known"] = d.endpointsDocument() }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	keepBusy(t, 2*time.Minute)
+	loadAllCores(t, 2*time.Minute)
 	for round, mode := range []discovery.Mode{discovery.Slow, discovery.Mute, discovery.Down} {
 		if err := d.Discovery.SetMode(mode); err != nil {
 			t.Fatal(err)
 		}
-		took := restart(t, d, routers)
+		took := restartRouters(t, d, routers)
 		ninth := took[(len(took)*9+9)/10-1]
 		t.Logf("discovery %v: ready after %v least, %v median, %v nine in ten, %v most", mode, took[0], took[len(took)/2], ninth, took[len(took)-1])
-		if ninth > nineInTenReady {
-			t.Errorf("discovery %v: nine in ten are ready after %v, %v is the limit", mode, ninth, nineInTenReady)
+		if ninth > mostReadyLimit {
+			t.Errorf("discovery %v: nine in ten are ready after %v, %v is the limit", mode, ninth, mostReadyLimit)
 		}
-		checkForwards(t, d, round)
+		checkRoutersForward(t, d, round)
 	}
 }
--- a/lab/report.go
+++ b/lab/report.go
@@ -33,19 +33,19 @@
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), append(text, '\n'), 0o644); err != nil {
 		return fmt.Errorf("--out: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "table.md"), e.table(outcomes), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "table.md"), e.writeTable(outcomes), 0o644); err != nil {
 		return fmt.Errorf("--out: %w", err)
 	}
-	if err := e.lines(filepath.Join(dir, "seconds.svg"), outcomes[0]); err != nil {
+	if err := e.saveSecondsChart(filepath.Join(dir, "seconds.svg"), outcomes[0]); err != nil {
 		return err
 	}
-	return e.bars(filepath.Join(dir, "arms.svg"), outcomes)
+	return e.saveArmsChart(filepath.Join(dir, "arms.svg"), outcomes)
 }
 
 // Interval is a mean with its 95% t interval.
-type Interval struct{ Mean, Half float64 }
+type Interval struct{ Mean, HalfWidth float64 }
 
-func interval(values []float64) Interval {
+func meanInterval(values []float64) Interval {
 	mean, sd := stat.MeanStdDev(values, nil)
 	if len(values) < 2 {
 		return Interval{mean, 0}
@@ -58,14 +58,14 @@
 	if math.IsNaN(i.Mean) { // a figure that this arm or day has not
 		return ""
 	}
-	if i.Half == 0 {
+	if i.HalfWidth == 0 {
 		return fmt.Sprintf("%.4g", i.Mean)
 	}
-	return fmt.Sprintf("%.4g ± %.2g", i.Mean, i.Half)
+	return fmt.Sprintf("%.4g ± %.2g", i.Mean, i.HalfWidth)
 }
 
-// over is a figure over all seeds.
-func over(outcomes []*Outcome, at string) []float64 {
+// figureOfSeeds is a figure over all seeds.
+func figureOfSeeds(outcomes []*Outcome, at string) []float64 {
 	var values []float64
 	for _, o := range outcomes {
 		if v, err := o.Figure(at); err == nil {
@@ -75,7 +75,7 @@
 	return values
 }
 
-func (e *Experiment) table(outcomes []*Outcome) []byte {
+func (e *Experiment) writeTable(outcomes []*Outcome) []byte {
 	var b bytes.Buffer
 	seeds := make([]string, len(outcomes))
 	for i, o := range outcomes {
@@ -83,30 +83,30 @@
 	}
 	fmt.Fprintf(&b, "# %s: %s\n\nSize %s, seeds %s; means with 95%% t intervals where there are several.\n\n", e.Name, e.Title, outcomes[0].Size, strings.Join(seeds, ", "))
 	figures := tableFigures
-	if len(e.Table) > 0 {
-		figures = e.Table
+	if len(e.TableFigures) > 0 {
+		figures = e.TableFigures
 	}
 	fmt.Fprintf(&b, "| arm | day | %s |\n|---|---|%s\n", strings.Join(figures, " | "), strings.Repeat("---|", len(figures)))
 	for _, r := range outcomes[0].Runs {
 		fmt.Fprintf(&b, "| %s | %s |", r.Arm, r.Day)
 		for _, f := range figures {
-			fmt.Fprintf(&b, " %s |", interval(over(outcomes, r.Arm+"/"+r.Day+"/"+f)))
+			fmt.Fprintf(&b, " %s |", meanInterval(figureOfSeeds(outcomes, r.Arm+"/"+r.Day+"/"+f)))
 		}
 		b.WriteByte('\n')
 	}
 	fmt.Fprintf(&b, "\n| claim | bound | %s |\n|---|---|%s\n", strings.Join(seeds, " | "), strings.Repeat("---|", len(seeds)))
 	for i, c := range outcomes[0].Claims {
 		bound := ""
-		if c.Least != nil {
-			bound = fmt.Sprintf(">= %v", *c.Least)
+		if c.Min != nil {
+			bound = fmt.Sprintf(">= %v", *c.Min)
 		}
-		if c.Most != nil {
-			bound += fmt.Sprintf("<= %v", *c.Most)
+		if c.Max != nil {
+			bound += fmt.Sprintf("<= %v", *c.Max)
 		}
 		fmt.Fprintf(&b, "| %s | %s |", c.Name, bound)
 		for _, o := range outcomes {
 			word := "short"
-			if o.Claims[i].Kept {
+			if o.Claims[i].Passed {
 				word = "kept"
 			}
 			fmt.Fprintf(&b, " %.4g %s |", o.Claims[i].Value, word)
@@ -116,8 +116,8 @@
 	return b.Bytes()
 }
 
-// lines draws the others' timely share by the second, an arm and day a line.
-func (e *Experiment) lines(file string, o *Outcome) error {
+// saveSecondsChart draws the others' timely share by the second, an arm and day a line.
+func (e *Experiment) saveSecondsChart(file string, o *Outcome) error {
 	p := plot.New()
 	p.Title.Text = e.Title
 	p.X.Label.Text, p.Y.Label.Text = "second of the day", "timely worth of others"
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// bars draws the chart's figure by arm, a colour a day, with its interval.
-func (e *Experiment) bars(file string, outcomes []*Outcome) error {
+// saveArmsChart draws the chart's figure by arm, a colour a day, with its interval.
+func (e *Experiment) saveArmsChart(file string, outcomes []*Outcome) error {
 	p := plot.New()
 	p.Title.Text = e.Chart.Title
 	p.Y.Label.Text = e.Chart.Figure
@@ -158,7 +158,7 @@
 	for i, day := range e.Chart.Days {
 		values := make(plotter.Values, len(e.Chart.Arms))
 		for j, arm := range e.Chart.Arms {
-			values[j] = interval(over(outcomes, arm+"/"+day+"/"+e.Chart.Figure)).Mean
+			values[j] = meanInterval(figureOfSeeds(outcomes, arm+"/"+day+"/"+e.Chart.Figure)).Mean
 			least, most = min(least, values[j]), max(most, values[j])
 		}
 		bar, err := plotter.NewBarChart(values, width)
@@ -178,14 +178,14 @@
 	return nil
 }
 
-// Line sums an outcome up.
-func (o *Outcome) Line() string {
+// Summary sums an outcome up.
+func (o *Outcome) Summary() string {
 	verdict := "kept"
-	if o.Kept() < len(o.Claims) {
+	if o.PassedCount() < len(o.Claims) {
 		verdict = "short"
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "RESULT %s seed=%d size=%s verdict=%s claims=%d/%d", o.Experiment, o.Seed, o.Size, verdict, o.Kept(), len(o.Claims))
+	fmt.Fprintf(&b, "RESULT %s seed=%d size=%s verdict=%s claims=%d/%d", o.Experiment, o.Seed, o.Size, verdict, o.PassedCount(), len(o.Claims))
 	for _, c := range o.Claims {
 		fmt.Fprintf(&b, " %s=%.4f", strings.NewReplacer(" ", "_", "=", "_").Replace(c.Name), c.Value)
 	}
@@ -201,18 +201,18 @@
 	for _, r := range a[0].Runs {
 		for _, f := range tableFigures {
 			at := r.Arm + "/" + r.Day + "/" + f
-			x, y := over(a, at), over(b, at)
+			x, y := figureOfSeeds(a, at), figureOfSeeds(b, at)
 			if len(x) == 0 || len(y) == 0 {
 				continue
 			}
-			fmt.Fprintf(out, "%-14s %-10s %-12s %18s %18s %22s\n", r.Arm, r.Day, f, interval(x), interval(y), difference(x, y))
+			fmt.Fprintf(out, "%-14s %-10s %-12s %18s %18s %22s\n", r.Arm, r.Day, f, meanInterval(x), meanInterval(y), differenceOfMeans(x, y))
 		}
 	}
 	return nil
 }
 
-// difference is Welch's interval for the difference of two means.
-func difference(x, y []float64) Interval {
+// differenceOfMeans is Welch's interval for the difference of two means.
+func differenceOfMeans(x, y []float64) Interval {
 	mx, vx := stat.MeanVariance(x, nil)
 	my, vy := stat.MeanVariance(y, nil)
 	d := Interval{Mean: my - mx}
@@ -221,6 +221,6 @@
 	}
 	sx, sy := vx/float64(len(x)), vy/float64(len(y))
 	free := (sx + sy) * (sx + sy) / (sx*sx/float64(len(x)-1) + sy*sy/float64(len(y)-1))
-	d.Half = distuv.StudentsT{Sigma: 1, Nu: free}.Quantile(0.975) * math.Sqrt(sx+sy)
+	d.HalfWidth = distuv.StudentsT{Sigma: 1, Nu: free}.Quantile(0.975) * math.Sqrt(sx+sy)
 	return d
 }
--- a/lab/scenario/live_test.go
+++ b/lab/scenario/live_test.go
@@ -21,14 +21,14 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 			defer cancel()
-			r, err := s.Play(ctx, Options{Routers: 16, Seed: 7})
+			r, err := s.Run(ctx, Options{Routers: 16, Seed: 7})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, fault := range r.Faults() {
+			for _, fault := range r.Failures() {
 				t.Error(fault)
 			}
-			t.Log(r.Line())
+			t.Log(r.Summary())
 		})
 	}
 }
--- a/lab/shapes.go
+++ b/lab/shapes.go
@@ -9,9 +9,9 @@
 	"spantack/emulator"
 )
 
-// shapes plays a trial of shapes: one run for each guard against circles.
-func (e *Experiment) shapes(size string, seed uint64, tick func(done, all int)) (*Outcome, error) {
-	trial, known := e.Shapes[size]
+// runTopologyTrial plays a trial of shapes: one run for each guard against circles.
+func (e *Experiment) runTopologyTrial(size string, seed uint64, tick func(done, all int)) (*Outcome, error) {
+	trial, known := e.TopologyTrials[size]
 	if !known {
 		return nil, fmt.Errorf("size %q: there is none", size)
 	}
@@ -23,32 +23,32 @@
 		tick(1, 1)
 	}
 	var runs []Run
-	for _, guard := range sorted(res.ByGuard) {
+	for _, guard := range sortedKeys(res.ByGuard) {
 		w := res.ByGuard[guard]
 		n := float64(max(res.Fills, 1))
 		runs = append(runs, Run{Arm: guard, Day: "changes", Figures: map[string]float64{
 			"valid": float64(res.Valid), "validRefused": float64(res.ValidRejected), "planted": float64(res.WithLoop), "plantedTaken": float64(res.LoopsAccepted),
-			"misnamed": float64(res.LoopsMisreported), "fills": float64(res.Fills), "twice": float64(w.Revisits), "served": round(float64(w.Served) / n),
-			"stuck": round(float64(w.Stuck) / n), "hops": round(float64(w.Hops) / n)}})
+			"misnamed": float64(res.LoopsMisreported), "fills": float64(res.Fills), "twice": float64(w.Revisits), "served": roundFigure(float64(w.Served) / n),
+			"stuck": roundFigure(float64(w.Stuck) / n), "hops": roundFigure(float64(w.Hops) / n)}})
 	}
-	return e.outcome(size, seed, runs)
+	return e.newOutcome(size, seed, runs)
 }
 
-// shields plays a trial of limits: each arm on each day.
-func (e *Experiment) shields(size string, seed uint64, tick func(done, all int)) (*Outcome, error) {
-	trial, known := e.Shield[size]
+// runOriginLimitTrial plays a trial of limits: each arm on each day.
+func (e *Experiment) runOriginLimitTrial(size string, seed uint64, tick func(done, all int)) (*Outcome, error) {
+	trial, known := e.OriginLimitTrials[size]
 	if !known {
 		return nil, fmt.Errorf("size %q: there is none", size)
 	}
-	runs := e.runs()
+	runs := e.newRuns()
 	results := make([]*emulator.OriginLimitResult, len(runs))
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i := range runs {
 		group.Go(func() (err error) {
 			t, arm, day := trial, e.Arms[runs[i].Arm], e.Days[runs[i].Day]
-			t.Algorithm, t.Burst = arm.Law, arm.Burst
-			t.BrownoutCapacity, t.BrownoutStartSeconds, t.BrownoutDurationSeconds, t.FailedFraction, t.FailureSeconds = day.Low, day.LowFromS, day.LowForS, day.DeadPart, day.DeadAtS
+			t.Algorithm, t.Burst = arm.Algorithm, arm.Burst
+			t.BrownoutCapacity, t.BrownoutStartSeconds, t.BrownoutDurationSeconds, t.FailedFraction, t.FailureSeconds = day.BrownoutCapacity, day.BrownoutStartSeconds, day.BrownoutDurationSeconds, day.FailedFraction, day.FailureSeconds
 			results[i], err = t.Run(seed)
 			return err
 		})
@@ -57,32 +57,32 @@
 		return nil, err
 	}
 	for i, r := range results {
-		runs[i].Figures = map[string]float64{"wanted": float64(r.Operations), "served": round(float64(r.Served) / float64(max(r.Operations, 1))),
-			"sentEach": round(float64(r.Sent) / float64(max(r.Operations, 1))), "turned": round(float64(r.Rejected) / float64(max(r.Operations, 1))),
-			"reports": round(float64(r.ReportsServed) / float64(max(r.Reports, 1))), "outMost": round(r.MaxInFlight), "overS": round(r.OverloadSeconds), "settleS": round(r.SettleSeconds),
-			"backS": round(r.RecoverySeconds), "before": round(r.ServedBefore), "low": round(r.ServedDuring), "end": round(r.ServedAtEnd)}
+		runs[i].Figures = map[string]float64{"wanted": float64(r.Operations), "served": roundFigure(float64(r.Served) / float64(max(r.Operations, 1))),
+			"sentEach": roundFigure(float64(r.Sent) / float64(max(r.Operations, 1))), "turned": roundFigure(float64(r.Rejected) / float64(max(r.Operations, 1))),
+			"reports": roundFigure(float64(r.ReportsServed) / float64(max(r.Reports, 1))), "outMost": roundFigure(r.MaxInFlight), "overS": roundFigure(r.OverloadSeconds), "settleS": roundFigure(r.SettleSeconds),
+			"backS": roundFigure(r.RecoverySeconds), "before": roundFigure(r.ServedBefore), "low": roundFigure(r.ServedDuring), "end": roundFigure(r.ServedAtEnd)}
 	}
 	if tick != nil {
 		tick(len(runs), len(runs))
 	}
-	return e.outcome(size, seed, runs)
+	return e.newOutcome(size, seed, runs)
 }
 
-// tiers plays a trial of a limit that a tier keeps together: each arm on each day.
-func (e *Experiment) tiers(size string, seed uint64, tick func(done, all int)) (*Outcome, error) {
-	trial, known := e.Tier[size]
+// runFleetLimitTrial plays a trial of a limit that a tier keeps together: each arm on each day.
+func (e *Experiment) runFleetLimitTrial(size string, seed uint64, tick func(done, all int)) (*Outcome, error) {
+	trial, known := e.FleetLimitTrials[size]
 	if !known {
 		return nil, fmt.Errorf("size %q: there is none", size)
 	}
-	runs := e.runs()
+	runs := e.newRuns()
 	results := make([]*emulator.FleetLimitResult, len(runs))
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i := range runs {
 		group.Go(func() (err error) {
 			t, day := trial, e.Days[runs[i].Day]
-			t.Method, t.Partitions, t.PartitionSeconds, t.PartitionDurationSeconds, t.FailedFraction = e.Arms[runs[i].Arm].Way, day.Parts, day.CutS, day.CutForS, day.DeadPart
-			t.LossRatio += day.Loss
+			t.Method, t.Partitions, t.PartitionSeconds, t.PartitionDurationSeconds, t.FailedFraction = e.Arms[runs[i].Arm].Method, day.Partitions, day.PartitionSeconds, day.PartitionDurationSeconds, day.FailedFraction
+			t.LossRatio += day.ExtraLossRatio
 			results[i], err = t.Run(seed)
 			return err
 		})
@@ -91,11 +91,11 @@
 		return nil, err
 	}
 	for i, r := range results {
-		runs[i].Figures = map[string]float64{"over": round(r.MaxGranted), "overS": round(r.OverLimitSeconds), "use": round(r.Utilization), "cutUse": round(r.PartitionUtilization), "bytes": round(r.BytesPerSecond),
-			"regainS": round(r.RecoverySeconds)}
+		runs[i].Figures = map[string]float64{"over": roundFigure(r.MaxGranted), "overS": roundFigure(r.OverLimitSeconds), "use": roundFigure(r.Utilization), "cutUse": roundFigure(r.PartitionUtilization), "bytes": roundFigure(r.BytesPerSecond),
+			"regainS": roundFigure(r.RecoverySeconds)}
 	}
 	if tick != nil {
 		tick(len(runs), len(runs))
 	}
-	return e.outcome(size, seed, runs)
+	return e.newOutcome(size, seed, runs)
 }
