--- a/lab/scale/wire.go
+++ b/lab/scale/datagram.go
@@ -2,17 +2,22 @@
 
 import "encoding/binary"
 
-// Places in a datagram of core/fleet: see the head of its datagram.go. TestDatagramPlaces holds them against the real codec.
+// Offsets in a datagram of core/fleet, in bytes: see the head of its datagram.go. TestDatagramPlaces compares them with
+// the real codec.
 const (
 	rankOffset      = 2
 	siteOffset      = 4
 	operationOffset = 14
 	bodyOffset      = 15
-	targetOffset    = 15
-	updateSize      = 9 // a membership update: rank, incarnation, refuted, state
-	refutedOffset   = 6
-	stateOffset     = 8
-	suspectState    = 2
+	targetOffset    = 15 // in the bodies of opPing and opAck
+)
+
+// A membership update: rank, incarnation, refuted, state.
+const (
+	updateSize    = 9 // in bytes
+	refutedOffset = 6
+	stateOffset   = 8
+	suspectState  = 2 // and what is worse
 )
 
 // operation is the kind of a datagram of core/fleet.
@@ -28,13 +33,22 @@
 	opHealthReport
 )
 
-var bodySizes = map[operation]int{opPing: 9, opAck: 9, opIndirectPing: 9, opLeaseRequest: 13, opLeaseGrant: 17, opHealthReport: 5}
+// bodySizes are the sizes in bytes of what follows the operation, before membership updates.
+var bodySizes = map[operation]int{
+	opPing:         9,
+	opAck:          9,
+	opIndirectPing: 9,
+	opLeaseRequest: 13,
+	opLeaseGrant:   17,
+	opHealthReport: 5,
+}
 
 func operationOf(datagram []byte) operation { return operation(datagram[operationOffset]) }
 
-func setRank(datagram []byte, rank, depot int) {
+// setRank makes a datagram one of another sender.
+func setRank(datagram []byte, rank, site int) {
 	binary.BigEndian.PutUint16(datagram[rankOffset:], uint16(rank))
-	binary.BigEndian.PutUint16(datagram[siteOffset:], uint16(depot))
+	binary.BigEndian.PutUint16(datagram[siteOffset:], uint16(site))
 }
 
 func targetOf(datagram []byte) int { return int(binary.BigEndian.Uint16(datagram[targetOffset:])) }
@@ -43,7 +57,7 @@
 	binary.BigEndian.PutUint16(datagram[targetOffset:], uint16(rank))
 }
 
-// membershipUpdate is a membership update inside a datagram.
+// membershipUpdate is one inside a datagram.
 type membershipUpdate []byte
 
 func (u membershipUpdate) rank() int         { return int(binary.BigEndian.Uint16(u)) }
@@ -57,7 +71,8 @@
 
 // eachUpdate calls visit for each membership update of a datagram.
 func eachUpdate(datagram []byte, visit func(membershipUpdate)) {
-	for rest := datagram[bodyOffset+bodySizes[operationOf(datagram)]:]; len(rest) >= updateSize; rest = rest[updateSize:] {
+	rest := datagram[bodyOffset+bodySizes[operationOf(datagram)]:]
+	for ; len(rest) >= updateSize; rest = rest[updateSize:] {
 		visit(membershipUpdate(rest[:updateSize]))
 	}
 }
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -7,139 +7,186 @@
 	"spantack/core/backoff"
 )
 
-// DefaultSizes of the discovery protocol in bytes (internal/discovery/frames.go). TestFrameSizes holds them against the stand-in of the service.
+// Sizes of the discovery protocol in bytes. TestFrameSizes compares them with the scripted service of
+// standin/discovery.
 const (
-	frameHeaderSize     = 13 // length, number and kind
-	endpointSize        = 27 // of one server
-	purgeSize           = 16 // object and time
-	watchRequestSize    = 8  // the number that a router asks from
-	heartbeatsPerSecond = 1  // frames that say that nothing is new
+	frameHeaderSize  = 13 // length, number and kind
+	endpointSize     = 27
+	purgeSize        = 16 // object and time
+	watchRequestSize = 8  // the number of the event that a router asks from
 )
 
+// heartbeatsPerSecond are the frames that say that nothing is new.
+const heartbeatsPerSecond = 1
+
 // Times of the discovery test.
 const (
 	discoveryOutage    = 30 * second  // how long the service, or the part of it that a router uses, is away
-	regionsOutage      = 120 * second // how long regions are cut off
-	failedDialTime     = 30_000       // us until a try at what is away fails
-	recoverySeconds    = 10           // s in which the service is back, and counted
-	steadyStateSeconds = 60           // s of the ordinary day
+	regionsOutage      = 120 * second // how long it is for regions that are cut off
+	failedDialTime     = 30_000       // microseconds until an attempt to connect to what is away fails
+	recoverySeconds    = 10           // counted after an outage
+	steadyStateSeconds = 60
 )
 
-// updateBytesPerSecond is what a router hears in bytes each second from the service: an idle frame, and one frame for each change.
+// updateBytesPerSecond returns what a router receives from the service in steady state: heartbeats, and one frame for
+// each change of an endpoint.
 func updateBytesPerSecond() float64 {
 	return heartbeatsPerSecond*frameHeaderSize + endpointChangesPerSecond*(frameHeaderSize+endpointSize)
 }
 
-// snapshotSize is the whole list of servers in one frame.
+// snapshotSize returns the size in bytes of the whole endpoint list in one frame.
 func snapshotSize(o Options) float64 {
 	return float64(frameHeaderSize + endpointSize*(o.scaled(fleetCaches)+o.scaled(fleetZones)))
 }
 
-// reconnect is a router's next try.
+// reconnect is a router's next attempt to connect.
 type reconnect struct {
 	at   int64
 	rank int
 }
 
+// reconnectQueue is a heap with the earliest attempt first.
 type reconnectQueue []reconnect
 
-func (r reconnectQueue) Len() int           { return len(r) }
-func (r reconnectQueue) Less(i, j int) bool { return r[i].at < r[j].at }
-func (r reconnectQueue) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *reconnectQueue) Push(x any)        { *r = append(*r, x.(reconnect)) }
-func (r *reconnectQueue) Pop() any {
-	last := len(*r) - 1
-	popped := (*r)[last]
-	*r = (*r)[:last]
+// Len implements heap.Interface.
+func (q reconnectQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q reconnectQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+
+// Swap implements heap.Interface.
+func (q reconnectQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *reconnectQueue) Push(item any) { *q = append(*q, item.(reconnect)) }
+
+// Pop implements heap.Interface.
+func (q *reconnectQueue) Pop() any {
+	last := len(*q) - 1
+	popped := (*q)[last]
+	*q = (*q)[:last]
 	return popped
 }
 
-// simulateReconnects plays core/coldstart for routers that lose the service at one moment: how many tries the service would get in its worst
-// second and how many the worst router makes.
-func simulateReconnects(siblings int, ranks []int, away int64) (inWorstSecond, ofWorstRouter int) {
-	const lost = second
+// simulateReconnects plays core/backoff for routers that lose the service at one moment and can't connect for the time
+// of an outage. It returns how many attempts the service would get in its worst second, and how many the worst router
+// makes.
+func simulateReconnects(fleetSize int, ranks []int, outage int64) (inWorstSecond, ofWorstRouter int) {
+	const lostAt = second
+	next := func(rank int, now int64, isRetry bool) int64 {
+		return backoff.Schedule{Rank: rank, FleetSize: fleetSize}.Next(lostAt, now, isRetry)
+	}
 	queue := make(reconnectQueue, 0, len(ranks))
 	for _, rank := range ranks {
-		queue = append(queue, reconnect{backoff.Schedule{Rank: rank, FleetSize: siblings}.Next(lost, lost, false), rank})
+		queue = append(queue, reconnect{next(rank, lostAt, false), rank})
 	}
 	heap.Init(&queue)
-	perSecond := make([]int, away/second+2)
-	made := make([]int, siblings)
-	for len(queue) > 0 && queue[0].at < lost+away {
-		try := &queue[0]
-		perSecond[(try.at-lost)/second]++
-		made[try.rank]++
-		try.at = backoff.Schedule{Rank: try.rank, FleetSize: siblings}.Next(lost, try.at+failedDialTime, true)
+	perSecond := make([]int, outage/second+2)
+	perRouter := make([]int, fleetSize)
+	for len(queue) > 0 && queue[0].at < lostAt+outage {
+		attempt := &queue[0]
+		perSecond[(attempt.at-lostAt)/second]++
+		perRouter[attempt.rank]++
+		attempt.at = next(attempt.rank, attempt.at+failedDialTime, true)
 		heap.Fix(&queue, 0)
 	}
-	return slices.Max(perSecond), slices.Max(made)
+	return slices.Max(perSecond), slices.Max(perRouter)
+}
+
+// discoveryPhase is one phase of the discovery test.
+type discoveryPhase struct {
+	scenario     Scenario
+	affected     []int // ranks that lose the service, or start
+	outage       int64 // for how long
+	needSnapshot bool  // those come back with nothing, and take the whole endpoint list
+}
+
+// discoveryPhases returns the phases for a fleet.
+func discoveryPhases(o Options) []discoveryPhase {
+	ranks := make([]int, o.Routers)
+	for rank := range ranks {
+		ranks[rank] = rank
+	}
+	first := func(fleetShare int) []int { return ranks[:o.scaled(fleetShare)] }
+	const routersPerRegion = FleetRouters / fleetRegions
+	return []discoveryPhase{
+		{ColdStart, ranks, 0, true},
+		{SteadyState, nil, 0, false},
+		{ProcessLost, first(FleetRouters / controlPlaneMachines), discoveryOutage, false},
+		{ZoneLost, first(FleetRouters / fleetZones), discoveryOutage, true},
+		{RegionLost, first(routersPerRegion), discoveryOutage, true},
+		{RegionsPartitioned, ranks[o.scaled(routersPerRegion):], regionsOutage, false},
+		{MassRestart, ranks[:o.Routers*7/10], 0, true},
+	}
 }
 
-// runDiscovery reckons a router's traffic with the service; what the service bears goes into the figures.
+// discoveryCost is what a phase of the discovery test costs.
+type discoveryCost struct {
+	phase                 Phase
+	attemptsInWorstSecond int     // to connect, as the service gets them
+	reconnectBytes        float64 // that all affected routers exchange as they come back, updates apart
+}
+
+// cost works out what the phase costs a router that is affected by it, and the mean of all.
+func (p discoveryPhase) cost(o Options, clock threadCPUClock) discoveryCost {
+	startedAt := clock.now()
+	inWorstSecond, ofWorstRouter := 0, 0
+	if p.outage > 0 {
+		inWorstSecond, ofWorstRouter = simulateReconnects(o.Routers, p.affected, p.outage)
+	}
+	used := clock.now() - startedAt
+
+	seconds := float64(p.outage/second) + recoverySeconds
+	if p.scenario == SteadyState {
+		seconds = steadyStateSeconds
+	}
+	updates := updateBytesPerSecond() * seconds
+	missed := updateBytesPerSecond() * float64(p.outage/second)
+	onReconnect := 0.0
+	if len(p.affected) > 0 {
+		onReconnect = watchRequestSize
+	}
+	if p.needSnapshot {
+		onReconnect += snapshotSize(o)
+		updates -= missed
+	}
+	ofAffected := updates + onReconnect
+	affectedFraction := float64(len(p.affected)) / float64(o.Routers)
+	ofAll := affectedFraction*ofAffected + (1-affectedFraction)*updateBytesPerSecond()*seconds
+	messages := float64(ofWorstRouter) + heartbeatsPerSecond*seconds + endpointChangesPerSecond*seconds
+	return discoveryCost{
+		phase: Phase{
+			Scenario:                p.scenario,
+			Seconds:                 seconds,
+			MeanBytesPerSecond:      ofAll / seconds,
+			WorstBytesPerSecond:     ofAffected / seconds,
+			PeakBytes:               onReconnect + missed + updateBytesPerSecond(),
+			WorstDatagramsPerSecond: messages / seconds,
+			CPUPercent:              cpuPercent(used, seconds) / float64(max(len(p.affected), 1)),
+		},
+		attemptsInWorstSecond: inWorstSecond,
+		reconnectBytes:        float64(len(p.affected)) * onReconnect,
+	}
+}
+
+// runDiscovery works out a router's traffic with the service; what the service bears goes into the metrics.
 func runDiscovery(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
 	result := &Result{SimulatedProcesses: o.Routers}
-	snapshot := snapshotSize(o)
-	all := make([]int, o.Routers)
-	for rank := range all {
-		all[rank] = rank
-	}
-	worstTries, longest := 0, 0.0
-	phases := []struct {
-		trouble Scenario
-		ranks   []int
-		away    int64
-		anew    bool // those come back with nothing, and take the whole list
-	}{
-		{ColdStart, all, 0, true},
-		{SteadyState, nil, 0, false},
-		{ProcessLost, all[:o.scaled(FleetRouters/controlPlaneMachines)], discoveryOutage, false},
-		{ZoneLost, all[:o.scaled(FleetRouters/fleetZones)], discoveryOutage, true},
-		{RegionLost, all[:o.scaled(FleetRouters/fleetRegions)], discoveryOutage, true},
-		{RegionsPartitioned, all[o.scaled(FleetRouters/fleetRegions):], regionsOutage, false},
-		{MassRestart, all[:o.Routers*7/10], 0, true},
-	}
-	for i, p := range phases {
-		began := clock.now()
-		inSecond, ofOne := 0, 0
-		if p.away > 0 {
-			inSecond, ofOne = simulateReconnects(o.Routers, p.ranks, p.away)
-		}
-		used := clock.now() - began
-		seconds := float64(p.away/second) + recoverySeconds
-		if p.trouble == SteadyState {
-			seconds = steadyStateSeconds
-		}
-		updates := updateBytesPerSecond() * seconds
-		missed := updateBytesPerSecond() * float64(p.away/second)
-		once := 0.0
-		if len(p.ranks) > 0 {
-			once = watchRequestSize
-		}
-		if p.anew {
-			once += snapshot
-			updates -= missed
-		}
-		ofRouter := updates + once
-		part := float64(len(p.ranks)) / float64(o.Routers)
-		result.Phases = append(result.Phases, Phase{
-			Scenario: p.trouble, Seconds: seconds,
-			MeanBytesPerSecond:      (part*ofRouter + (1-part)*updateBytesPerSecond()*seconds) / seconds,
-			WorstBytesPerSecond:     ofRouter / seconds,
-			PeakBytes:               once + missed + updateBytesPerSecond(),
-			WorstDatagramsPerSecond: (float64(ofOne) + heartbeatsPerSecond*seconds + endpointChangesPerSecond*seconds) / seconds,
-			CPUPercent:              cpuPercent(used, seconds) / float64(max(len(p.ranks), 1)),
-		})
-		worstTries = max(worstTries, inSecond)
-		longest = max(longest, float64(len(p.ranks))*once)
+	worstAttempts := 0
+	worstReconnectBytes := 0.0
+	phases := discoveryPhases(o)
+	for i, phase := range phases {
+		cost := phase.cost(o, clock)
+		result.Phases = append(result.Phases, cost.phase)
+		worstAttempts = max(worstAttempts, cost.attemptsInWorstSecond)
+		worstReconnectBytes = max(worstReconnectBytes, cost.reconnectBytes)
 		o.Progress(i+1, len(phases))
 	}
-	result.Metrics = []Metric{
-		{"tries_in_worst_second", float64(worstTries)},
-		{"service_updates_bytes_per_s", updateBytesPerSecond() * float64(o.Routers)},
-		{"service_start_bytes", longest},
-		{"snapshot_bytes", snapshot},
-	}
+	result.addMetric("tries_in_worst_second", float64(worstAttempts))
+	result.addMetric("service_updates_bytes_per_s", updateBytesPerSecond()*float64(o.Routers))
+	result.addMetric("service_start_bytes", worstReconnectBytes)
+	result.addMetric("snapshot_bytes", snapshotSize(o))
 	return result, nil
 }
--- /dev/null
+++ b/lab/scale/fleetrun.go
@@ -0,0 +1,289 @@
+package scale
+
+import (
+	"slices"
+
+	"spantack/core/fleet"
+)
+
+// minRanksPerProcess is how many ranks or more each process plays where not all routers are simulated.
+const minRanksPerProcess = 4
+
+// sampleSize is how many processes are simulated at most in fleets up to a size.
+type sampleSize struct{ maxRouters, processes int }
+
+// sampleSizes fall with the size of the fleet, as each process costs more.
+var sampleSizes = []sampleSize{{300, 300}, {3_000, 250}, {maxRouters, 4 * fleetRegions}}
+
+// processCount returns how many processes stand for all routers.
+func processCount(o Options) int {
+	limit := o.MaxSimulated
+	if limit == 0 {
+		index := slices.IndexFunc(sampleSizes, func(s sampleSize) bool { return o.Routers <= s.maxRouters })
+		limit = sampleSizes[index].processes
+	}
+	if o.Routers <= limit {
+		return o.Routers
+	}
+	return min(limit, o.Routers/minRanksPerProcess)
+}
+
+// phaseSeconds are the lengths of phases in seconds of virtual time.
+type phaseSeconds struct {
+	coldStart   int64
+	steadyState int64
+	fault       int64
+	partition   int64
+	settle      int64 // after a fault, not measured
+}
+
+var (
+	membershipPhases = phaseSeconds{coldStart: 10, steadyState: 15, fault: 15, partition: 60, settle: 8}
+	limitPhases      = phaseSeconds{coldStart: 6, steadyState: 3, fault: 4, partition: 60, settle: 2}
+)
+
+// With Options.ShortPhases a phase lasts a sixth, within these bounds in seconds.
+const (
+	shortPhaseDivisor = 6
+	minShortSeconds   = 2
+	maxShortSeconds   = 4
+)
+
+// shortened returns the lengths that the options ask for.
+func (s phaseSeconds) shortened(o Options) phaseSeconds {
+	if !o.ShortPhases {
+		return s
+	}
+	short := func(seconds int64) int64 {
+		return min(max(seconds/shortPhaseDivisor, minShortSeconds), maxShortSeconds)
+	}
+	return phaseSeconds{
+		coldStart:   short(s.coldStart),
+		steadyState: short(s.steadyState),
+		fault:       short(s.fault),
+		partition:   short(s.partition),
+		settle:      short(s.settle),
+	}
+}
+
+// fleetRun plays the phases of the membership or the limits test in one world.
+type fleetRun struct {
+	world      *world
+	seconds    phaseSeconds
+	result     *Result
+	options    Options
+	phaseCount int // of the phases that are measured
+}
+
+func newFleetRun(o Options, seconds phaseSeconds, clock threadCPUClock, limits ...fleet.Limit) (*fleetRun, error) {
+	processes := processCount(o)
+	w, err := newWorld(o, clock, processes, limits...)
+	if err != nil {
+		return nil, err
+	}
+	return &fleetRun{
+		world:   w,
+		seconds: seconds.shortened(o),
+		result:  &Result{SimulatedProcesses: processes},
+		options: o,
+	}, nil
+}
+
+// run plays a cold start, steady state, faults that take routers away, a partition of regions, and a restart of most.
+// lostAlone returns the router that ProcessLost stops.
+func (f *fleetRun) run(lostAlone func() int, faults ...Scenario) error {
+	f.phaseCount = len(faults) + 4
+	if err := f.measure(ColdStart, f.seconds.coldStart); err != nil {
+		return err
+	}
+	if err := f.measure(SteadyState, f.seconds.steadyState); err != nil {
+		return err
+	}
+	for _, scenario := range faults {
+		if err := f.loseAndRestart(scenario, lostAlone()); err != nil {
+			return err
+		}
+	}
+	if err := f.partitionRegions(); err != nil {
+		return err
+	}
+	return f.massRestart()
+}
+
+// measure lets a phase pass and adds what it cost to the result.
+func (f *fleetRun) measure(scenario Scenario, seconds int64) error {
+	f.resetMeters()
+	if err := f.pass(seconds); err != nil {
+		return err
+	}
+	f.addPhase(scenario, seconds)
+	return nil
+}
+
+func (f *fleetRun) resetMeters() {
+	for _, p := range f.world.processes {
+		p.traffic = traffic{}
+		p.cpu = 0
+	}
+}
+
+// pass lets seconds of virtual time pass.
+func (f *fleetRun) pass(seconds int64) error { return f.world.run(f.world.now + seconds*second) }
+
+func (f *fleetRun) addPhase(scenario Scenario, seconds int64) {
+	f.result.Phases = append(f.result.Phases, f.world.phase(scenario, seconds))
+	f.options.Progress(len(f.result.Phases), f.phaseCount)
+}
+
+// phase sums up what processes that run counted.
+func (w *world) phase(scenario Scenario, seconds int64) Phase {
+	running := w.running()
+	var traffics []*traffic
+	meanCPU := 0.0
+	total := 0.0
+	for _, p := range running {
+		traffics = append(traffics, &p.traffic)
+		total += float64(p.traffic.bytes)
+		meanCPU += cpuPercent(p.cpu, float64(seconds))
+	}
+	meanCPU /= float64(len(running))
+	phase, index := newPhase(scenario, seconds, traffics)
+	busiest := running[index]
+	// Of all routers one is the busiest; the others are as those that were simulated are on average. Where routers ask
+	// several for a lease, as when most have just started, a sample gives these too much weight.
+	busiestBytes := float64(busiest.traffic.bytes)
+	routers := float64(w.routers)
+	othersMean := (total - busiestBytes) / float64(len(running)-1)
+	phase.MeanBytesPerSecond = (busiestBytes/routers + othersMean*(routers-1)/routers) / float64(seconds)
+	phase.CPUPercent = max(cpuPercent(busiest.cpu, float64(seconds)), meanCPU)
+	phase.MemoryKB = memoryKB(busiest.node)
+	return phase
+}
+
+// affectedRanks returns the routers that a scenario stops; lostAlone is that of ProcessLost.
+func (f *fleetRun) affectedRanks(scenario Scenario, lostAlone int) []int {
+	w := f.world
+	last := w.processes[len(w.processes)-1]
+	switch scenario {
+	case ProcessLost:
+		return []int{lostAlone}
+	case RackLost: // as many as a site has: the last ranks
+		routersPerSite := w.routers / w.sites
+		return w.ranksOf(func(rank int, _ *process) bool { return rank >= w.routers-routersPerSite })
+	case ZoneLost:
+		return w.ranksOf(func(_ int, p *process) bool { return p.zone == last.zone })
+	case RegionLost:
+		return w.ranksOf(func(_ int, p *process) bool { return p.region == last.region })
+	case MassRestart:
+		return w.ranksOf(func(_ int, p *process) bool { return restartsInMassRestart(p.index) })
+	}
+	return nil
+}
+
+// loseAndRestart plays a fault that takes routers away, and starts them again. For ProcessLost it adds a metric: how
+// many know of the loss or, with limits, how long it took until most had a lease holder again. Those that know are
+// seldom all: updates about a cold start are passed on for minutes, and this one waits among them.
+func (f *fleetRun) loseAndRestart(scenario Scenario, lostAlone int) error {
+	ranks := f.affectedRanks(scenario, lostAlone)
+	f.world.stop(ranks)
+	if err := f.measure(scenario, f.seconds.fault); err != nil {
+		return err
+	}
+	if scenario == ProcessLost {
+		if len(f.world.limits) == 0 {
+			f.result.addMetric("known_dead", f.world.failureAwareFraction(lostAlone))
+		} else if err := f.awaitNewLeaseHolder(); err != nil {
+			return err
+		}
+	}
+	if err := f.world.restart(ranks); err != nil {
+		return err
+	}
+	return f.pass(f.seconds.settle)
+}
+
+// maxLeaseRecoverySeconds bounds the wait for a new holder.
+const maxLeaseRecoverySeconds = 30
+
+// awaitNewLeaseHolder waits until more than half have a holder again after the last one was lost, and adds the time
+// since the loss to the result.
+func (f *fleetRun) awaitNewLeaseHolder() error {
+	const step = second / 2
+	took := f.seconds.fault * second
+	for f.world.leasedFraction() <= 0.5 && took < maxLeaseRecoverySeconds*second {
+		if err := f.world.run(f.world.now + step); err != nil {
+			return err
+		}
+		took += step
+	}
+	f.result.addMetric("lease_back_s", float64(took)/float64(second))
+	return nil
+}
+
+// partitionRegions cuts regions off from one another, and heals that. The time after that counts too.
+func (f *fleetRun) partitionRegions() error {
+	f.resetMeters()
+	f.world.isPartitioned = true
+	if err := f.pass(f.seconds.partition); err != nil {
+		return err
+	}
+	f.world.isPartitioned = false
+	if err := f.pass(f.seconds.settle); err != nil {
+		return err
+	}
+	f.addPhase(RegionsPartitioned, f.seconds.partition+f.seconds.settle)
+	return nil
+}
+
+// massRestart stops most routers at one moment and starts them a second later.
+func (f *fleetRun) massRestart() error {
+	ranks := f.affectedRanks(MassRestart, 0)
+	f.world.stop(ranks)
+	if err := f.pass(1); err != nil {
+		return err
+	}
+	if err := f.world.restart(ranks); err != nil {
+		return err
+	}
+	return f.measure(MassRestart, f.seconds.fault)
+}
+
+// runMembership plays membership without limits.
+func runMembership(o Options) (*Result, error) {
+	clock, release := lockThreadCPUClock()
+	defer release()
+	f, err := newFleetRun(o, membershipPhases, clock)
+	if err != nil {
+		return nil, err
+	}
+	lastRank := func() int { return o.Routers - 1 }
+	if err := f.run(lastRank, ProcessLost, RackLost, ZoneLost, RegionLost); err != nil {
+		return nil, err
+	}
+	return f.result, nil
+}
+
+// Of the limit that all routers want more of than there is.
+const (
+	limitPerRouter     = 4
+	limitFloorFraction = 0.25
+)
+
+// runLimits plays one limit that is leased by a single holder.
+func runLimits(o Options) (*Result, error) {
+	clock, release := lockThreadCPUClock()
+	defer release()
+	limit := fleet.Limit{Name: "fills", Max: float64(limitPerRouter * o.Routers), FloorFraction: limitFloorFraction}
+	f, err := newFleetRun(o, limitPhases, clock, limit)
+	if err != nil {
+		return nil, err
+	}
+	holder := func() int { return f.world.majorityLeaseHolder(o.Routers - 1) }
+	if err := f.run(holder, RackLost, ZoneLost, RegionLost, ProcessLost); err != nil {
+		return nil, err
+	}
+	if !f.world.isSampled() {
+		f.result.addMetric("used_at_end", f.world.totalQuota()/limit.Max)
+	}
+	return f.result, nil
+}
--- /dev/null
+++ b/lab/scale/purges.go
@@ -0,0 +1,103 @@
+package scale
+
+import "spantack/routing"
+
+// Phases of the purges test, in seconds.
+const (
+	purgeSteadyStateSeconds = 30
+	purgePartitionSeconds   = 120
+	purgeCatchUpSeconds     = 10 // after the partition, measured with it
+	purgeRestartSeconds     = 20
+	purgePhaseCount         = 3
+)
+
+// objectCount is how many objects there are; purges and requests go through them in turn.
+const objectCount = 1 << 16
+
+// purgeInterval is the time from one purge to the next, in microseconds.
+const purgeInterval = second / purgesPerSecond
+
+// purgeRun is one router that receives all purges.
+type purgeRun struct {
+	options Options
+	clock   threadCPUClock
+	engine  *routing.Engine
+	now     int64
+	purges  int // so far
+	result  *Result
+}
+
+// receive has the router receive purges at an interval, each for copies that have reached an age, and returns the
+// processor time in seconds.
+func (r *purgeRun) receive(count int, interval, age int64) float64 {
+	startedAt := r.clock.now()
+	for range count {
+		r.now += interval
+		r.purges++
+		object := objectName(r.purges % objectCount)
+		r.engine.Step(r.now, []routing.Event{{Kind: routing.EventPurge, Object: object, PurgeAge: age}})
+	}
+	return (r.clock.now() - startedAt).Seconds()
+}
+
+// addPhase adds to the result what a phase cost in which so many purges came, the most of them in one second.
+func (r *purgeRun) addPhase(scenario Scenario, seconds, purges, maxPerSecond int, usedSeconds float64) {
+	duration := float64(seconds)
+	bytes := float64(purges)*(frameHeaderSize+purgeSize) + updateBytesPerSecond()*duration
+	r.result.Phases = append(r.result.Phases, Phase{
+		Scenario:                scenario,
+		Seconds:                 duration,
+		MeanBytesPerSecond:      bytes / duration,
+		WorstBytesPerSecond:     bytes / duration,
+		PeakBytes:               float64(maxPerSecond)*(frameHeaderSize+purgeSize) + updateBytesPerSecond(),
+		WorstDatagramsPerSecond: float64(purges)/duration + heartbeatsPerSecond + endpointChangesPerSecond,
+		CPUPercent:              usedSeconds / duration * 100,
+		MemoryKB:                memoryKB(r.engine),
+	})
+	r.options.Progress(len(r.result.Phases), purgePhaseCount)
+}
+
+// runEvenly plays a phase in which purges come one by one.
+func (r *purgeRun) runEvenly(scenario Scenario, seconds int) {
+	count := seconds * purgesPerSecond
+	used := r.receive(count, purgeInterval, 0)
+	r.addPhase(scenario, seconds, count, purgesPerSecond, used)
+}
+
+// runPartition plays a phase in which the router is cut off from the service. When it is back it receives what it
+// missed in one piece.
+func (r *purgeRun) runPartition(seconds int) {
+	r.now += int64(seconds) * second
+	used := r.receive(seconds*purgesPerSecond, 0, int64(seconds)*second/2)
+	used += r.receive(purgeCatchUpSeconds*purgesPerSecond, purgeInterval, 0)
+	total := seconds + purgeCatchUpSeconds
+	r.addPhase(RegionsPartitioned, total, total*purgesPerSecond, (seconds+1)*purgesPerSecond, used)
+}
+
+// runPurges has one router receive all purges. What one router receives does not depend on how many there are; what the
+// service sends does.
+func runPurges(o Options) (*Result, error) {
+	clock, release := lockThreadCPUClock()
+	defer release()
+	divisor := 1
+	if o.ShortPhases {
+		divisor = shortPhaseDivisor
+	}
+	r := &purgeRun{options: o, clock: clock, now: second, result: &Result{SimulatedProcesses: 1}}
+	var err error
+	if r.engine, err = newEngine(o); err != nil {
+		return nil, err
+	}
+	r.runEvenly(SteadyState, purgeSteadyStateSeconds/divisor)
+	r.runPartition(purgePartitionSeconds / divisor)
+
+	// A router that starts anew asks from the event that its configuration names: it receives no old purges.
+	if r.engine, err = newEngine(o); err != nil {
+		return nil, err
+	}
+	r.runEvenly(MassRestart, max(purgeRestartSeconds/divisor, minShortSeconds))
+
+	r.result.addMetric("purges_per_s", purgesPerSecond)
+	r.result.addMetric("service_bytes_per_s", float64(o.Routers)*purgesPerSecond*(frameHeaderSize+purgeSize))
+	return r.result, nil
+}
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -4,30 +4,38 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"spantack/core/fleet"
 )
 
-// The network between processes.
 const (
-	minDelay          = 1_400  // us
-	delaySpan         = 21_600 // us, at random
-	baseLossRate      = 0.001
-	slotDuration      = 1_000 // us: events are kept by the millisecond
-	slotCount         = 64    // more than the longest delay or wait
-	startSpread       = second / 2
-	cpuSampleInterval = 4 // one call in so many is timed
+	// cpuSampleInterval is how many calls there are to one that is timed.
+	cpuSampleInterval = 4
+
+	// maxFirstTickDelay bounds the random time from the start of a node to its first tick, in microseconds.
+	maxFirstTickDelay = slotCount / 2 * slotDuration
+
+	// demandPerRouter is what each router wants of a limit: more than there is.
+	demandPerRouter = 1e5
+
+	// maxSuspectedRanks bounds how many of its ranks a process refutes in turn.
+	maxSuspectedRanks = 8
+
+	// worldStream tells a world's random numbers from others of the same seed.
+	worldStream = 7
 )
 
 // world is a fleet of core/fleet nodes in virtual time.
 //
-// Where it simulates fewer processes than there are routers, process i plays all ranks r with r mod processes = i: it believes in all routers,
-// is spoken to under each of its ranks and answers under that one, and begins conversations under one drawn at random. So each process sends and
-// hears as much as one router does. What goes to one router from all, a request for a lease, is delivered once for each rank that its sender plays, so that
-// the receiver hears as much as it would from all. A report to everybody is delivered once: the waits before reports are drawn by the number of routers, and
-// how many are sent before they suppress the others does not depend on how many of those routers take part (core/fleet). Ranks of one process share
-// incarnation and fate, but for single ranks that are lost.
+// Where it simulates fewer processes than there are routers, process i plays all ranks r with r mod processes = i: it
+// believes in all routers, is spoken to under each of its ranks and replies under that one, and begins conversations
+// under one drawn at random. So each process sends and receives as much as one router does. What goes to one router
+// from all, a request for a lease, is delivered once for each rank that its sender plays, so that the receiver gets as
+// much as it would from all. A report to everybody is delivered once: the waits before reports are drawn by the number
+// of routers, and how many are sent before they suppress the others does not depend on how many of those routers take
+// part (core/fleet). Ranks of one process share incarnation and fate, but for single ranks that are lost.
 type world struct {
 	rng           *rand.Rand
 	clock         threadCPUClock
@@ -38,43 +46,60 @@
 	seed          uint64
 	processes     []*process
 	lost          []bool // by rank
-	isPartitioned bool   // regions do not hear one another
+	isPartitioned bool   // datagrams pass within regions alone
 	lossRate      float64
-	calendar      [slotCount][]event
-	err           error
-	calls         int
+	calendar      calendar[event]
+	err           error // the first of a node; the world stops then
+	calls         int   // of nodes, so far
 }
 
 // process is one that is simulated in full.
 type process struct {
-	index          int
-	primary        int // the rank that its node has
-	node           *fleet.Node
-	incarnation    uint32
-	replyingAs     int // while it answers; -1: it begins by itself
-	suspectedRanks []int
-	refuted        uint16
-	region         int
-	zone           int
-	traffic        traffic
-	cpu            time.Duration
-	nextSuspect    int
+	index       int
+	primary     int // the rank that its node has
+	node        *fleet.Node
+	incarnation uint32 // of the node, which a restart replaces
+	region      int
+	zone        int
+
+	replyingAs     int    // the rank that it was spoken to under, during the call; -1: it acts by itself
+	suspectedRanks []int  // of its ranks, those that others suspected last
+	nextSuspect    int    // counts through them
+	refuted        uint16 // by its node, in the last update about it
+
+	traffic traffic
+	cpu     time.Duration
 }
 
-// event is a datagram on its way, or with none a tick.
+// event is a datagram in flight or, without one, a tick.
 type event struct {
 	at          int64
 	from, to    int // ranks
 	datagram    []byte
-	incarnation uint32
-	forAllRanks bool // one for each rank that the sender's process plays
+	incarnation uint32 // of a tick: of the process that it is for
+	forAllRanks bool   // deliver it once for each rank that the sender's process plays
 }
 
 func newWorld(o Options, clock threadCPUClock, processes int, limits ...fleet.Limit) (*world, error) {
-	w := &world{rng: rand.New(rand.NewPCG(o.Seed, 7)), clock: clock, now: second, routers: o.Routers, sites: o.scaled(fleetSites), limits: limits,
-		seed: o.Seed, lost: make([]bool, o.Routers), lossRate: baseLossRate}
+	w := &world{
+		rng:      rand.New(rand.NewPCG(o.Seed, worldStream)),
+		clock:    clock,
+		now:      second,
+		routers:  o.Routers,
+		sites:    o.scaled(fleetSites),
+		limits:   limits,
+		seed:     o.Seed,
+		lost:     make([]bool, o.Routers),
+		lossRate: baseLossRate,
+	}
 	for i := range processes {
-		p := &process{index: i, primary: i, region: i * fleetRegions / processes, zone: i * fleetZones / processes, replyingAs: -1}
+		p := &process{
+			index:      i,
+			primary:    i,
+			region:     regionOf(i, processes),
+			zone:       zoneOf(i, processes),
+			replyingAs: -1,
+		}
 		w.processes = append(w.processes, p)
 		if err := w.start(p); err != nil {
 			return nil, err
@@ -83,15 +108,31 @@
 	return w, nil
 }
 
+// processOf returns the process that plays a rank.
 func (w *world) processOf(rank int) *process { return w.processes[rank%len(w.processes)] }
-func (w *world) isSampled() bool             { return len(w.processes) < w.routers }
-func (w *world) siteOf(rank int) int         { return rank * w.sites / w.routers }
+
+// isSampled returns whether processes play several ranks each.
+func (w *world) isSampled() bool { return len(w.processes) < w.routers }
+
+func (w *world) siteOf(rank int) int { return rank * w.sites / w.routers }
+
+// running returns the processes whose node is up.
+func (w *world) running() []*process {
+	return slices.DeleteFunc(slices.Clone(w.processes), func(p *process) bool { return w.lost[p.primary] })
+}
 
 // start gives a process a node that knows nothing.
 func (w *world) start(p *process) error {
 	p.incarnation++
-	node, err := fleet.New(w.now, fleet.Options{Rank: p.primary, FleetSize: w.routers, Site: w.siteOf(p.primary), Sites: w.sites, Incarnation: p.incarnation,
-		Seed: w.seed, Limits: w.limits})
+	node, err := fleet.New(w.now, fleet.Options{
+		Rank:        p.primary,
+		FleetSize:   w.routers,
+		Site:        w.siteOf(p.primary),
+		Sites:       w.sites,
+		Incarnation: p.incarnation,
+		Seed:        w.seed,
+		Limits:      w.limits,
+	})
 	if err != nil {
 		return err
 	}
@@ -100,20 +141,22 @@
 		node.SetDemand(limit, demandPerRouter)
 	}
 	p.node = node
-	w.schedule(event{at: w.now + w.rng.Int64N(slotCount/2*slotDuration), from: p.primary, to: p.primary, incarnation: p.incarnation})
+	w.scheduleTick(p, w.now+w.rng.Int64N(maxFirstTickDelay))
 	return nil
 }
 
-// demandPerRouter of a limit by each router: more than there is.
-const demandPerRouter = 1e5
+func (w *world) scheduleTick(p *process, at int64) {
+	w.schedule(event{at: at, from: p.primary, to: p.primary, incarnation: p.incarnation})
+}
 
+// schedule adds an event, earlier than it should be where it lies beyond the calendar.
 func (w *world) schedule(e event) {
 	e.at = min(e.at, w.now+(slotCount-1)*slotDuration)
-	slot := e.at / slotDuration % slotCount
-	w.calendar[slot] = append(w.calendar[slot], e)
+	w.calendar.add(e.at, e)
 }
 
-// pickSenderRank draws one of a process's ranks that is not lost; towards a rank of its own it is not the primary, whose words a node passes over.
+// pickSenderRank draws one of a process's ranks that is not lost. Towards a rank of its own it is not the primary,
+// whose datagrams a node ignores.
 func (w *world) pickSenderRank(p *process, to int) int {
 	if !w.isSampled() {
 		return p.primary
@@ -121,28 +164,28 @@
 	ranks := (w.routers - p.index + len(w.processes) - 1) / len(w.processes)
 	for {
 		rank := p.index + w.rng.IntN(ranks)*len(w.processes)
-		own := to >= 0 && w.processOf(to) == p && (rank == p.primary || rank == to)
-		if !w.lost[rank] && !own {
+		isOwn := to >= 0 && w.processOf(to) == p && (rank == p.primary || rank == to)
+		if !w.lost[rank] && !isOwn {
 			return rank
 		}
 	}
 }
 
-// send puts a datagram of p's node on its way.
+// send delivers a datagram of p's node.
 func (w *world) send(p *process, to int, datagram []byte) {
 	p.traffic.add(w.now, len(datagram))
 	op := operationOf(datagram)
-	speaker := p.replyingAs
-	if speaker < 0 || op == opLeaseRequest {
-		speaker = w.pickSenderRank(p, to)
+	sender := p.replyingAs
+	if sender < 0 || op == opLeaseRequest {
+		sender = w.pickSenderRank(p, to)
 	}
 	if w.isSampled() {
-		w.rewriteSender(p, speaker, datagram)
+		w.rewriteSender(p, sender, datagram)
 	}
 	if to == fleet.Broadcast {
 		for _, other := range w.processes {
 			if other != p {
-				w.deliver(p, speaker, other.primary, datagram, false)
+				w.deliver(p, event{from: sender, to: other.primary, datagram: datagram})
 			}
 		}
 		return
@@ -150,14 +193,24 @@
 	if op == opLeaseGrant && w.isSampled() && to != w.processOf(to).primary {
 		return // of all ranks of a process only the primary's lease is kept by its node
 	}
-	w.deliver(p, speaker, to, datagram, op == opLeaseRequest)
+	forAllRanks := op == opLeaseRequest && w.isSampled()
+	w.deliver(p, event{from: sender, to: to, datagram: datagram, forAllRanks: forAllRanks})
 }
 
-func (w *world) deliver(p *process, speaker, to int, datagram []byte, onBehalfAll bool) {
-	if w.lost[to] || w.lost[speaker] || w.isPartitioned && p.region != w.processOf(to).region || w.rng.Float64() < w.lossRate {
+// deliver schedules the arrival of a datagram of p, or loses it.
+func (w *world) deliver(p *process, e event) {
+	if w.lost[e.to] || w.lost[e.from] {
+		return
+	}
+	if w.isPartitioned && p.region != w.processOf(e.to).region {
+		return
+	}
+	if w.rng.Float64() < w.lossRate {
 		return
 	}
-	w.schedule(event{w.now + minDelay + w.rng.Int64N(delaySpan), speaker, to, append([]byte(nil), datagram...), 0, onBehalfAll && w.isSampled()})
+	e.at = arrivalTime(w.rng, w.now)
+	e.datagram = slices.Clone(e.datagram)
+	w.schedule(e)
 }
 
 // rewriteSender makes a datagram of p's node one of another rank that p plays.
@@ -178,9 +231,6 @@
 	})
 }
 
-// maxSuspectedRanks is how many of its ranks a process refutes in turn.
-const maxSuspectedRanks = 8
-
 // rewriteTarget makes updates about any rank that p plays ones about its node.
 func (w *world) rewriteTarget(p *process, datagram []byte) {
 	eachUpdate(datagram, func(u membershipUpdate) {
@@ -189,7 +239,8 @@
 			return
 		}
 		if u.isSuspicion() {
-			if p.suspectedRanks = append(p.suspectedRanks, rank); len(p.suspectedRanks) > maxSuspectedRanks {
+			p.suspectedRanks = append(p.suspectedRanks, rank)
+			if len(p.suspectedRanks) > maxSuspectedRanks {
 				p.suspectedRanks = p.suspectedRanks[1:]
 			}
 			u.setRefuted(max(u.refuted(), p.refuted))
@@ -201,27 +252,25 @@
 // run lets virtual time pass.
 func (w *world) run(until int64) error {
 	for ; w.now < until && w.err == nil; w.now += slotDuration {
-		slot := w.now / slotDuration % slotCount
-		due := w.calendar[slot]
-		w.calendar[slot] = nil
-		for _, e := range due {
-			if p := w.processOf(e.to); !w.lost[e.to] {
-				w.dispatch(p, e)
+		for _, e := range w.calendar.take(w.now) {
+			if !w.lost[e.to] {
+				w.dispatch(w.processOf(e.to), e)
 			}
 		}
 	}
 	return w.err
 }
 
-// dispatch hands an event to a process, and times it now and then.
+// dispatch hands an event to a process, and times one call in cpuSampleInterval.
 func (w *world) dispatch(p *process, e event) {
-	if w.calls++; w.calls%cpuSampleInterval != 0 {
+	w.calls++
+	if w.calls%cpuSampleInterval != 0 {
 		w.handle(p, e)
 		return
 	}
-	began := w.clock.now()
+	startedAt := w.clock.now()
 	w.handle(p, e)
-	p.cpu += cpuSampleInterval * (w.clock.now() - began)
+	p.cpu += cpuSampleInterval * (w.clock.now() - startedAt)
 }
 
 func (w *world) handle(p *process, e event) {
@@ -248,27 +297,28 @@
 
 func (w *world) receive(p *process, from int, datagram []byte) {
 	p.traffic.add(w.now, len(datagram))
-	if err := p.node.Receive(w.now, from, datagram); err != nil && !errors.Is(err, fleet.ErrStale) {
-		w.err = fmt.Errorf("rank %d hears %d: %w", p.primary, from, err)
+	err := p.node.Receive(w.now, from, datagram)
+	if err != nil && !errors.Is(err, fleet.ErrStale) {
+		w.err = fmt.Errorf("rank %d receives from %d: %w", p.primary, from, err)
 	}
 }
 
 func (w *world) tick(p *process, e event) {
 	if e.incarnation != p.incarnation {
-		return // of a node that is no more
+		return // of a node that was replaced
 	}
 	next := p.node.Tick(w.now)
-	w.schedule(event{at: max(next, w.now+slotDuration), from: p.primary, to: p.primary, incarnation: p.incarnation})
+	w.scheduleTick(p, max(next, w.now+slotDuration))
 }
 
-// stop ends routers; those whose primary rank is among them stop wholly.
+// stop ends routers; processes whose primary rank is among them stop wholly.
 func (w *world) stop(ranks []int) {
 	for _, rank := range ranks {
 		w.lost[rank] = true
 	}
 }
 
-// restart starts routers anew that were lost; those of a process that runs go on.
+// restart starts routers anew that were stopped. Of a process that runs, a rank goes on with the others.
 func (w *world) restart(ranks []int) error {
 	for _, rank := range ranks {
 		w.lost[rank] = false
@@ -281,7 +331,7 @@
 	return nil
 }
 
-// ranksOf lists the routers that match.
+// ranksOf returns the ranks that match.
 func (w *world) ranksOf(match func(rank int, p *process) bool) (ranks []int) {
 	for rank := range w.routers {
 		if match(rank, w.processOf(rank)) {
@@ -290,3 +340,50 @@
 	}
 	return ranks
 }
+
+// leasedFraction returns the fraction of the processes that a holder has granted a lease of the first limit of late.
+func (w *world) leasedFraction() float64 {
+	return w.fractionOfRunning(func(p *process) bool { return p.node.LimitStatuses(w.now)[0].Holder >= 0 })
+}
+
+// failureAwareFraction returns the fraction of the processes that take a router for dead.
+func (w *world) failureAwareFraction(rank int) float64 {
+	return w.fractionOfRunning(func(p *process) bool { return !p.node.IsUp(rank) })
+}
+
+func (w *world) fractionOfRunning(match func(*process) bool) float64 {
+	matching := 0
+	running := w.running()
+	for _, p := range running {
+		if match(p) {
+			matching++
+		}
+	}
+	return float64(matching) / float64(len(running))
+}
+
+// majorityLeaseHolder returns the rank that most processes have for the holder of the first limit, or otherwise, where
+// no rank has more votes than that one.
+func (w *world) majorityLeaseHolder(otherwise int) int {
+	votes := make([]int, w.routers)
+	best := otherwise
+	for _, p := range w.processes {
+		rank := p.node.LimitStatuses(w.now)[0].Holder
+		if rank < 0 {
+			continue
+		}
+		votes[rank]++
+		if votes[rank] > votes[best] {
+			best = rank
+		}
+	}
+	return best
+}
+
+// totalQuota returns what all routers may use of the first limit.
+func (w *world) totalQuota() (sum float64) {
+	for _, p := range w.running() {
+		sum += p.node.Quota(w.now, 0)
+	}
+	return sum
+}
