--- a/lab/scale/capacitypage_test.go
+++ b/lab/scale/capacitypage_test.go
@@ -1,7 +1,6 @@
 package scale
 
 import (
-	"math"
 	"os"
 	"strings"
 	"testing"
@@ -17,9 +16,10 @@
 		if len(results) != len(DefaultSizes) {
 			t.Fatalf("%s: results of %d sizes", test, len(results))
 		}
-		for i, r := range results {
-			if r.Test != test || r.Routers != DefaultSizes[i] || r.SimulatedProcesses < 1 || len(r.Phases) < 3 {
-				t.Errorf("%s: %+v", test, r)
+		for i, result := range results {
+			if result.Test != test || result.Routers != DefaultSizes[i] ||
+				result.SimulatedProcesses < 1 || len(result.Phases) < 3 {
+				t.Errorf("%s: %+v", test, result)
 			}
 		}
 	}
@@ -27,37 +27,62 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := set.UpdatePage(page)
+	updated, err := set.UpdatePage(page)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(inlineFigure.FindAll(page, -1)) < 30 || len(tableBlock.FindAll(page, -1)) != len(Tests()) {
 		t.Error("the page has few figures of the results, or not a table of each test")
 	}
-	old, now := strings.Split(string(page), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(old), len(now)) {
-		if old[i] != now[i] {
-			t.Fatalf("docs/CAPACITY.md, line %d, differs from the results (spanlab scale page puts that right):\n%s\n%s", i+1, old[i], now[i])
+	got, want := strings.Split(string(page), "\n"), strings.Split(string(updated), "\n")
+	for i := range min(len(got), len(want)) {
+		if got[i] != want[i] {
+			t.Fatalf("docs/CAPACITY.md, line %d, differs from the results (spanlab scale page puts that right):\n%s\n%s",
+				i+1, got[i], want[i])
 		}
 	}
-	if len(old) != len(now) {
-		t.Errorf("docs/CAPACITY.md has %d lines, by the results %d", len(old), len(now))
+	if len(got) != len(want) {
+		t.Errorf("docs/CAPACITY.md has %d lines, by the results %d", len(got), len(want))
 	}
 }
 
-// A figure that differs is put right, one that the results lack is an error that names it, and a fit is that of the law behind the figures.
-func TestUpdatePage(t *testing.T) {
+// squareLawSet has results at three sizes, with bytes that grow with the square of the size.
+func squareLawSet() ResultSet {
 	set := ResultSet{}
 	for _, routers := range []int{100, 1_000, 10_000} {
-		set["limits"] = append(set["limits"], &Result{Test: "limits", Routers: routers, SimulatedProcesses: 1, Metrics: []Metric{{"used", 0.5}},
-			Phases: []Phase{{Scenario: SteadyState, WorstBytesPerSecond: 3 * float64(routers*routers), MemoryKB: 7}}})
+		set["limits"] = append(set["limits"], &Result{
+			Test:               "limits",
+			Routers:            routers,
+			SimulatedProcesses: 1,
+			Metrics:            []Metric{{"used", 0.5}},
+			Phases: []Phase{{
+				Scenario:            SteadyState,
+				WorstBytesPerSecond: 3 * float64(routers*routers),
+				MemoryKB:            7,
+			}},
+		})
 	}
-	page := "At 100 it has 1<!--limits/100/bytes-->, as a power 9<!--limits/slope/bytes-->, used 1<!--limits/1000/used-->, both 2<!--limits/100/memory + limits/1000/memory-->.\n<!-- table limits -->\nold\n<!-- end -->\n"
+	return set
+}
+
+// A figure that differs is put right.
+func TestUpdatePage(t *testing.T) {
+	set := squareLawSet()
+	const page = "At 100 it has 1<!--limits/100/bytes-->, as a power 9<!--limits/slope/bytes-->, " +
+		"used 1<!--limits/1000/used-->, both 2<!--limits/100/memory + limits/1000/memory-->.\n" +
+		"<!-- table limits -->\nold\n<!-- end -->\n"
 	got, err := set.UpdatePage([]byte(page))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"it has 30,000<!--", "power 2<!--", "used 0.5<!--", "both 14<!--", "| bytes/s, ordinary day | 30,000 | 3,000,000 | 300,000,000 | 2.00 | 0% |\n", "| state, KB, ordinary day | 7 | 7 | 7 | 0.00 | 0% |\n"} {
+	for _, want := range []string{
+		"it has 30,000<!--",
+		"power 2<!--",
+		"used 0.5<!--",
+		"both 14<!--",
+		"| bytes/s, ordinary day | 30,000 | 3,000,000 | 300,000,000 | 2.00 | 0% |\n",
+		"| state, KB, ordinary day | 7 | 7 | 7 | 0.00 | 0% |\n",
+	} {
 		if !strings.Contains(string(got), want) {
 			t.Errorf("%s\nlacks %s", got, want)
 		}
@@ -65,13 +90,20 @@
 	if again, err := set.UpdatePage(got); err != nil || string(again) != string(got) {
 		t.Errorf("%v: updated again it is\n%s", err, again)
 	}
-	for _, bad := range []string{"1<!--limits/5/bytes-->", "1<!--limits/100/weight-->", "1<!--limits/100/zone lost/bytes-->", "1<!--limits-->", "<!-- table x -->\n<!-- end -->"} {
-		if _, err := set.UpdatePage([]byte(bad)); err == nil {
-			t.Errorf("%s: no error", bad)
+}
+
+// A figure that the results lack is an error.
+func TestUpdatePageWithUnknownFigure(t *testing.T) {
+	set := squareLawSet()
+	for _, page := range []string{
+		"1<!--limits/5/bytes-->",
+		"1<!--limits/100/weight-->",
+		"1<!--limits/100/zone lost/bytes-->",
+		"1<!--limits-->",
+		"<!-- table x -->\n<!-- end -->",
+	} {
+		if _, err := set.UpdatePage([]byte(page)); err == nil {
+			t.Errorf("%s: no error", page)
 		}
 	}
-	set["limits"][1].Phases[0].WorstBytesPerSecond *= 2
-	if f, err := set.fit("limits", "", "bytes"); err != nil || math.Abs(f.MaxRelativeError-0.587) > 0.01 {
-		t.Errorf("a size that is off by two: %+v, %v", f, err)
-	}
 }
--- /dev/null
+++ b/lab/scale/resultset.go
@@ -0,0 +1,154 @@
+package scale
+
+import (
+	"fmt"
+	"math"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+
+	"gonum.org/v1/gonum/stat"
+)
+
+// ResultSet holds the results of tests by their names, each by size.
+type ResultSet map[string][]*Result
+
+// ReadResultSet reads the results of all tests from the folders of a directory.
+func ReadResultSet(dir string) (ResultSet, error) {
+	set := ResultSet{}
+	for _, test := range Tests() {
+		results, err := ReadResults(filepath.Join(dir, test.Name))
+		if err != nil {
+			return nil, err
+		}
+		set[test.Name] = results
+	}
+	return set, nil
+}
+
+// costByName has the figures of a phase under the names that paths have for them.
+var costByName = map[string]func(Phase) float64{
+	"bytes":         func(p Phase) float64 { return p.WorstBytesPerSecond },
+	"mean_bytes":    func(p Phase) float64 { return p.MeanBytesPerSecond },
+	"peak_bytes":    func(p Phase) float64 { return p.PeakBytes },
+	"datagrams":     func(p Phase) float64 { return p.WorstDatagramsPerSecond },
+	"cpu":           func(p Phase) float64 { return p.CPUPercent },
+	"memory":        func(p Phase) float64 { return p.MemoryKB },
+	"bytes_factor":  func(p Phase) float64 { return p.WorstBytesPerSecond / RouterBudget.BytesPerSecond },
+	"cpu_factor":    func(p Phase) float64 { return p.CPUPercent / RouterBudget.CPUPercent },
+	"memory_factor": func(p Phase) float64 { return p.MemoryKB / RouterBudget.MemoryKB },
+}
+
+// statePerRouter is the name of the bytes that a process holds for each router.
+const statePerRouter = "state_per_router"
+
+// cost returns a figure of a result: that of one scenario or, without one, the greatest of all phases. A metric has no
+// scenario.
+func (r *Result) cost(scenario Scenario, name string) (float64, error) {
+	if name == statePerRouter {
+		kilobytes, err := r.cost(scenario, "memory")
+		return kilobytes * 1024 / float64(r.Routers), err
+	}
+	costOf, isCost := costByName[name]
+	if !isCost {
+		return r.metric(scenario, name)
+	}
+	greatest := math.Inf(-1)
+	for _, phase := range r.Phases {
+		if scenario == "" || phase.Scenario == scenario {
+			greatest = max(greatest, costOf(phase))
+		}
+	}
+	if math.IsInf(greatest, -1) {
+		return 0, fmt.Errorf("%s at %d routers has no phase %q", r.Test, r.Routers, scenario)
+	}
+	return greatest, nil
+}
+
+func (r *Result) metric(scenario Scenario, name string) (float64, error) {
+	index := slices.IndexFunc(r.Metrics, func(m Metric) bool { return m.Name == name })
+	if index < 0 || scenario != "" {
+		return 0, fmt.Errorf("%s at %d routers has no figure %q", r.Test, r.Routers, name)
+	}
+	return r.Metrics[index].Value, nil
+}
+
+// PowerLaw is a fit through a cost at several sizes: cost = Factor * routers^Exponent.
+type PowerLaw struct {
+	Exponent, Factor float64
+	// MaxRelativeError is the greatest difference of a measured cost from the fit, as a fraction of the measured one.
+	MaxRelativeError float64
+}
+
+// fit lays a line through the logarithms by least squares.
+func (s ResultSet) fit(test string, scenario Scenario, name string) (PowerLaw, error) {
+	var sizes, values []float64
+	for _, result := range s[test] {
+		value, err := result.cost(scenario, name)
+		if err != nil {
+			return PowerLaw{}, err
+		}
+		if value <= 0 {
+			return PowerLaw{}, fmt.Errorf("%s, %s: %v at %d routers has no logarithm", test, name, value, result.Routers)
+		}
+		sizes = append(sizes, math.Log(float64(result.Routers)))
+		values = append(values, math.Log(value))
+	}
+	if len(sizes) < 2 {
+		return PowerLaw{}, fmt.Errorf("%s: a fit needs two sizes, got %d", test, len(sizes))
+	}
+	offset, exponent := stat.LinearRegression(sizes, values, nil, false)
+	law := PowerLaw{Exponent: exponent, Factor: math.Exp(offset)}
+	for i := range sizes {
+		relativeError := math.Abs(math.Exp(values[i]-offset-exponent*sizes[i]) - 1)
+		law.MaxRelativeError = max(law.MaxRelativeError, relativeError)
+	}
+	return law, nil
+}
+
+// Sizes of a path that stand for the fit over all sizes.
+const (
+	sizeSlope = "slope" // its exponent
+	sizeError = "error" // its greatest error, in percent
+)
+
+// Value returns the figure that a path names: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME, with "slope" or "error" for SIZE
+// the exponent of its fit over all sizes, or the greatest error of that in percent. Several paths with " + " between
+// them are added up.
+func (s ResultSet) Value(path string) (sum float64, err error) {
+	for term := range strings.SplitSeq(path, " + ") {
+		value, err := s.lookup(term)
+		if err != nil {
+			return 0, err
+		}
+		sum += value
+	}
+	return sum, nil
+}
+
+// lookup returns the figure that a single path names.
+func (s ResultSet) lookup(path string) (float64, error) {
+	parts := strings.Split(path, "/")
+	if len(parts) == 3 {
+		parts = slices.Insert(parts, 2, "")
+	}
+	if len(parts) != 4 {
+		return 0, fmt.Errorf("figure %q: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME wanted", path)
+	}
+	test, size, scenario, name := parts[0], parts[1], Scenario(parts[2]), parts[3]
+	switch size {
+	case sizeSlope:
+		law, err := s.fit(test, scenario, name)
+		return law.Exponent, err
+	case sizeError:
+		law, err := s.fit(test, scenario, name)
+		return law.MaxRelativeError * 100, err
+	}
+	for _, result := range s[test] {
+		if strconv.Itoa(result.Routers) == size {
+			return result.cost(scenario, name)
+		}
+	}
+	return 0, fmt.Errorf("figure %q: not measured", path)
+}
