--- a/internal/testfixture/testfixture.go
+++ b/internal/testfixture/testfixture.go
@@ -1,4 +1,4 @@
-// Package testfixture holds stored documents against the types that they are read into.
+// Package testfixture compares stored documents with the types that they are read into. Only tests import it.
 package testfixture
 
 import (
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// ReadAndWrite is ReadBack where the value read must also be want.
+// ReadAndWrite is ReadBack, and also fails the test unless the value read is want.
 func ReadAndWrite[T any](t testing.TB, file, indent string, want T) {
 	t.Helper()
 	if got := ReadBack[T](t, file, indent); !reflect.DeepEqual(got, want) {
@@ -17,25 +17,21 @@
 	}
 }
 
-// ReadBack decodes a file of JSON and fails the test unless the file holds no field that the type lacks, and encoding the
-// value gives the same bytes again. An indent other than the empty one is that of the encoding, which then ends in a
-// newline.
+// ReadBack decodes a file of JSON and returns the value. It fails the test unless the file holds no field that the type
+// lacks, and encoding the value gives the same bytes again. An indent other than the empty one is that of the encoding,
+// which then ends in a newline.
 func ReadBack[T any](t testing.TB, file, indent string) (got T) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&got); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&got); err != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
-	again, err := json.Marshal(got)
-	if err == nil && indent != "" {
-		again, err = json.MarshalIndent(got, "", indent)
-		again = append(again, '\n')
-	}
+	again, err := encode(got, indent)
 	if err != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
@@ -44,3 +40,12 @@
 	}
 	return got
 }
+
+// encode is the reverse of what ReadBack reads.
+func encode(value any, indent string) ([]byte, error) {
+	if indent == "" {
+		return json.Marshal(value)
+	}
+	text, err := json.MarshalIndent(value, "", indent)
+	return append(text, '\n'), err
+}
--- /dev/null
+++ b/internal/testfixture/testfixture_test.go
@@ -0,0 +1,59 @@
+package testfixture
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+type document struct {
+	Name string `json:"name"`
+	Size int    `json:"size"`
+}
+
+// recordingTB is a testing.TB that records its failures and goes on.
+type recordingTB struct {
+	testing.TB
+	failures []string
+}
+
+// Helper implements testing.TB.
+func (r *recordingTB) Helper() {}
+
+// Errorf implements testing.TB.
+func (r *recordingTB) Errorf(format string, args ...any) {
+	r.failures = append(r.failures, fmt.Sprintf(format, args...))
+}
+
+// Fatalf implements testing.TB, but for the end of the goroutine.
+func (r *recordingTB) Fatalf(format string, args ...any) { r.Errorf(format, args...) }
+
+// A document passes whose encoding is the file again, and fails by a text that says what differs.
+func TestReadAndWrite(t *testing.T) {
+	want := document{"a", 1}
+	for _, test := range []struct{ name, text, indent, failure string }{
+		{"compact", `{"name":"a","size":1}`, "", ""},
+		{"indented", "{\n \"name\": \"a\",\n \"size\": 1\n}\n", " ", ""},
+		{"no newline", "{\n \"name\": \"a\",\n \"size\": 1\n}", " ", "written as"},
+		{"another order", `{"size":1,"name":"a"}`, "", "written as"},
+		{"a field left out", `{"name":"a"}`, "", "written as"},
+		{"another value", `{"name":"a","size":2}`, "", "read as"},
+		{"a field that the type lacks", `{"name":"a","size":1,"more":1}`, "", "unknown field"},
+		{"no JSON", `{`, "", "unexpected EOF"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			file := filepath.Join(t.TempDir(), "document.json")
+			if err := os.WriteFile(file, []byte(test.text), 0o644); err != nil {
+				t.Fatal(err)
+			}
+			r := &recordingTB{}
+			ReadAndWrite(r, file, test.indent, want)
+			failures := strings.Join(r.failures, "\n")
+			if (failures == "") != (test.failure == "") || !strings.Contains(failures, test.failure) {
+				t.Errorf("failed with %q, want %q", failures, test.failure)
+			}
+		})
+	}
+}
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -1,6 +1,6 @@
 // Package testwait bounds the waits of tests. Every wait names what it waits for, so that a test that would hang
 // fails instead and says where. The bounds are far above what any wait takes on a machine that is starved of CPU:
-// they end tests that hang, and no verdict depends on the machine's speed by way of them.
+// they end tests that hang, and no verdict depends on the machine's speed by way of them. Only tests import it.
 package testwait
 
 import (
@@ -15,7 +15,7 @@
 	// ConnLimit bounds the use of a connection by a test, which reads and writes on it many times.
 	ConnLimit = time.Minute
 
-	// pollInterval is how often Until looks.
+	// pollInterval is the time between two calls of Until's condition.
 	pollInterval = 5 * time.Millisecond
 )
 
--- a/internal/testwait/testwait_test.go
+++ b/internal/testwait/testwait_test.go
@@ -61,25 +61,22 @@
 
 // A stopwatch counts no more than the time that passes, and RetryIfStarved ends with the first run without a fault.
 func TestRetryIfStarved(t *testing.T) {
-	w := StartStopwatch()
+	stopwatch := StartStopwatch()
 	time.Sleep(time.Millisecond)
-	if took := w.Elapsed(); took > time.Since(w.startedAt) {
-		t.Errorf("%v, of %v in all", took, time.Since(w.startedAt))
+	if took := stopwatch.Elapsed(); took > time.Since(stopwatch.startedAt) {
+		t.Errorf("%v, of %v in all", took, time.Since(stopwatch.startedAt))
 	}
 	runs := 0
 	RetryIfStarved(t, func() error { runs++; return nil })
 	if runs != 1 {
 		t.Errorf("%d runs", runs)
 	}
-	f, always := &failingTB{}, errors.New("late")
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		RetryIfStarved(f, func() error { return always })
-	}()
-	Receive(t, ended, "the end of runs that all have a fault")
-	if !strings.Contains(f.failure, "late") {
-		t.Errorf("said %q", f.failure)
+	errLate := errors.New("late")
+	failure := failureOf(t, func(f *failingTB) {
+		RetryIfStarved(f, func() error { return errLate })
+	})
+	if !strings.Contains(failure, "late") {
+		t.Errorf("failed with %q", failure)
 	}
 }
 
@@ -89,15 +86,31 @@
 	failure string
 }
 
+// Helper implements testing.TB.
 func (f *failingTB) Helper() {}
 
+// Logf implements testing.TB.
 func (f *failingTB) Logf(string, ...any) {}
 
+// Fatalf implements testing.TB.
 func (f *failingTB) Fatalf(format string, args ...any) {
 	f.failure = fmt.Sprintf(format, args...)
 	runtime.Goexit()
 }
 
+// failureOf returns with what text a check fails, or an empty one where it does not.
+func failureOf(t *testing.T, check func(f *failingTB)) string {
+	t.Helper()
+	f := &failingTB{}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		check(f)
+	}()
+	Receive(t, ended, "the end of the check")
+	return f.failure
+}
+
 // A wait for what never comes fails the test and names it.
 func TestWaitsEnd(t *testing.T) {
 	const limit = 5 * time.Millisecond
@@ -105,15 +118,10 @@
 		"Receive": func(f *failingTB) { ReceiveWithin(f, limit, make(chan int), "a value") },
 		"Until":   func(f *failingTB) { UntilWithin(f, limit, "a value", func() bool { return false }) },
 	} {
-		f := &failingTB{}
-		ended := make(chan struct{})
-		go func() {
-			defer close(ended)
-			wait(f)
-		}()
-		Receive(t, ended, "the end of "+name)
-		if f.failure != "waited 5ms for a value" {
-			t.Errorf("%s said %q", name, f.failure)
-		}
+		t.Run(name, func(t *testing.T) {
+			if failure := failureOf(t, wait); failure != "waited 5ms for a value" {
+				t.Errorf("failed with %q", failure)
+			}
+		})
 	}
 }
--- a/standin/cache/response.go
+++ b/standin/cache/response.go
@@ -22,11 +22,11 @@
 type cacheStatus string
 
 const (
-	cacheHit        cacheStatus = "TCP_HIT"
-	filledFromCache cacheStatus = "TCP_MISS"
-	filledByOrigin  cacheStatus = "TCP_MISS_ROOT" // by the origin, through a parent without a copy or directly
-	fillSourceGone  cacheStatus = "PEER_DEAD"
-	fillSourceMiss  cacheStatus = "PEER_MISS"
+	cacheHit          cacheStatus = "TCP_HIT"
+	filledFromCache   cacheStatus = "TCP_MISS"
+	filledByOrigin    cacheStatus = "TCP_MISS_ROOT" // by the origin, through a parent without a copy or directly
+	fillSourceMissing cacheStatus = "PEER_DEAD"
+	fillSourceMiss    cacheStatus = "PEER_MISS"
 )
 
 // noReplyWait is the time after which a request that is not to be answered is given up, if its client hasn't done so.
@@ -110,7 +110,7 @@
 	}
 	source := s.options.FindServer(request.FillFrom)
 	if source == nil {
-		return fetchResult{status: fillSourceGone}
+		return fetchResult{status: fillSourceMissing}
 	}
 	result := source.fill(request)
 	result.delay = source.options.Delay
@@ -138,8 +138,8 @@
 func (s *Server) response(request Request, result fetchResult, startedAt time.Time) [][]byte {
 	id := []byte(request.ID)
 	switch {
-	case result.status == fillSourceGone:
-		return [][]byte{id, []byte(statusError), []byte("n=" + fillSourceGone)}
+	case result.status == fillSourceMissing:
+		return [][]byte{id, []byte(statusError), []byte("n=" + fillSourceMissing)}
 	case result.status == fillSourceMiss:
 		return [][]byte{id, []byte(statusMiss), []byte("n=" + fillSourceMiss)}
 	case !result.found:
