--- a/emulator/gossip_test.go
+++ b/emulator/gossip_test.go
@@ -2,32 +2,34 @@
 
 import "testing"
 
-// A new object that all want is served better where routers tell one another of its crowded home, also when one of
-// them starts anew meanwhile and most datagrams are lost; without the talk not one is sent, and the same day comes
-// out the same.
+// A new object that all clients want, where routers tell one another of its overloaded parent: datagrams are sent,
+// one of the routers starts anew meanwhile, most are lost, and the same day comes out the same. Without gossip not
+// one is sent.
 func TestHotObjectAndGossip(t *testing.T) {
-	day := func(talk *Gossip) Result {
+	day := func(gossip *Gossip) Result {
 		cfg := smallConfig(3)
-		cfg.Sites, cfg.RoutersPerSite, cfg.CachesPerSite, cfg.Parents, cfg.StreamsPerCache, cfg.RequestsPerSecond, cfg.DurationSeconds = 8, 4, 4, 4, 6, 480, 12
-		cfg.ParentCapacityFactor, cfg.OriginCapacityFactor = 0.5, 3
-		cfg.HotObject, cfg.Gossip = &HotObject{StartSeconds: 4, DurationSeconds: 6, SessionFraction: 0.4}, talk
-		cfg.Faults = []Fault{{Kind: "router", Site: 1, AtSeconds: 6, DurationSeconds: 2.5}}
-		w, err := New(cfg)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return w.Run()
+		cfg.Sites = 8
+		cfg.RoutersPerSite = 4
+		cfg.CachesPerSite = 4
+		cfg.Parents = 4
+		cfg.StreamsPerCache = 6
+		cfg.RequestsPerSecond = 480
+		cfg.DurationSeconds = 12
+		cfg.ParentCapacityFactor = 0.5
+		cfg.OriginCapacityFactor = 3
+		cfg.HotObject = &HotObject{StartSeconds: 4, DurationSeconds: 6, SessionFraction: 0.4}
+		cfg.Gossip = gossip
+		cfg.Faults = []Fault{{Kind: FaultRouter, Site: 1, AtSeconds: 6, DurationSeconds: 2.5}}
+		return runWorld(t, cfg)
 	}
-	alone, told, lossy, again := day(nil), day(&Gossip{}), day(&Gossip{LossRatio: 0.6}), day(&Gossip{LossRatio: 0.6})
-	if alone.Datagrams != 0 || told.Datagrams == 0 || told.DatagramBytes < 18*told.Datagrams {
-		t.Errorf("%d and %d datagrams, %d bytes", alone.Datagrams, told.Datagrams, told.DatagramBytes)
+	without := day(nil)
+	with := day(&Gossip{})
+	lossy := day(&Gossip{LossRatio: 0.6})
+	again := day(&Gossip{LossRatio: 0.6})
+	if without.Datagrams != 0 || with.Datagrams == 0 || with.DatagramBytes < 18*with.Datagrams {
+		t.Errorf("%d and %d datagrams, %d bytes", without.Datagrams, with.Datagrams, with.DatagramBytes)
 	}
 	if lossy.Datagrams != again.Datagrams || lossy.FillKB != again.FillKB || lossy.Events != again.Events {
 		t.Error("the same day came out otherwise")
 	}
-	for _, r := range []Result{alone, told, lossy} {
-		if r.ViolationCount() != 0 {
-			t.Errorf("broken: %v", r.Violations)
-		}
-	}
 }
--- /dev/null
+++ b/emulator/queue_test.go
@@ -0,0 +1,26 @@
+package emulator
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// The queue gives events by time, and those of one time in the order in which they were pushed.
+func TestQueueOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var q eventQueue
+		last := event{time: -1}
+		for _, delay := range rapid.SliceOf(rapid.Int64Range(-1, 50)).Draw(t, "times") {
+			if delay >= 0 {
+				q.push(event{time: delay + max(last.time, 0)})
+			} else if len(q.heap) > 0 {
+				e := q.pop()
+				if e.before(&last) {
+					t.Fatalf("%+v after %+v", e, last)
+				}
+				last = e
+			}
+		}
+	})
+}
--- a/emulator/rollout_test.go
+++ b/emulator/rollout_test.go
@@ -6,42 +6,69 @@
 	"spantack/core/rollout"
 )
 
-// Prices renewed under their names, while routers die and come back, clocks differ and caches are replaced: a cell
-// that has the release never answers with an old copy, one that has not mostly does, and once it is taken back none
-// answers with the release. At a router that has found harm itself the same holds from the document's time on.
+// A release that replaces objects, while routers die and come back, clocks differ and caches are replaced: a cell
+// that has the release never answers with the old version, one that does not mostly does, and after the rollback none
+// answers with the new one. At a router that has found harm itself the same holds from the rollback's time on.
 func TestReleaseDuringFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		harm float64
-		back string
-		skew float64
+		harmful    float64
+		onRollback string
+		skew       float64
 	}{
-		"good": {0, "", 0}, "clocks apart": {0, "", 1000}, "bad, refused": {0.5, "", 0}, "bad, served": {0.5, "serve", 0},
+		"good":                   {},
+		"clocks apart":           {skew: 1000},
+		"harmful, rejected":      {harmful: 0.5},
+		"harmful, still serving": {harmful: 0.5, onRollback: "serve"},
 	} {
-		cfg := smallConfig(11)
-		cfg.DurationSeconds, cfg.MaxClockSkewMillis = 34, c.skew
-		addCells(&cfg, 3)
-		cfg.Faults = []Fault{{Kind: "router", Site: 0, Index: 1, AtSeconds: 18, DurationSeconds: 4}, {Kind: "deploy", Site: -1, AtSeconds: 20, DurationSeconds: 8, Fraction: 0.4}}
-		cfg.Release = &Release{StartSeconds: 10, CatalogueFraction: 0.5, HarmfulFraction: c.harm, ReplacesObjects: true, RollbackSeconds: 27, Rollout: &rollout.Rollout{Version: 1, Name: "prices", FamilyRange: []int{255, 255},
-			Since: 10_000 + c.skew, ReplacesObjects: true, OldCopyMaxAge: 300_000, OnRollback: c.back, RollbackAt: 28_000, Rings: []rollout.Ring{{Cells: []string{cfg.Cells.Cells[0].Name}, OpensAt: 12_000, JudgeWithin: 60_000}}}}
-		w, err := New(cfg)
-		if err != nil {
-			t.Fatalf("%s: %v", name, err)
-		}
-		r := w.Run()
-		if r.ViolationCount() != 0 {
-			t.Errorf("%s: %v", name, r.Violations)
-		}
-		if r.ReleaseAnswers < 20 || r.PendingAnswers < 300 || r.RolledBackAnswers < 100 || float64(r.EarlyAnswers) > 0.4*float64(r.PendingAnswers) {
-			t.Errorf("%s: %d renewed, %d held of which %d early, %d restored", name, r.ReleaseAnswers, r.PendingAnswers, r.EarlyAnswers, r.RolledBackAnswers)
-		}
-		if r.RoutersStopped != len(w.routers) || (c.harm > 0) != (r.StoppedAtSeconds < 27) {
-			t.Errorf("%s: stopped at %d routers, first after %.1f s", name, r.RoutersStopped, r.StoppedAtSeconds)
-		}
+		t.Run(name, func(t *testing.T) {
+			cfg := smallConfig(11)
+			cfg.DurationSeconds = 34
+			cfg.MaxClockSkewMillis = c.skew
+			addCells(&cfg, 3)
+			cfg.Faults = []Fault{
+				{Kind: FaultRouter, Site: 0, Index: 1, AtSeconds: 18, DurationSeconds: 4},
+				{Kind: FaultDeploy, Site: -1, AtSeconds: 20, DurationSeconds: 8, Fraction: 0.4},
+			}
+			ring := rollout.Ring{Cells: []string{cfg.Cells.Cells[0].Name}, OpensAt: 12_000, JudgeWithin: 60_000}
+			cfg.Release = &Release{
+				StartSeconds:      10,
+				CatalogueFraction: 0.5,
+				HarmfulFraction:   c.harmful,
+				ReplacesObjects:   true,
+				RollbackSeconds:   27,
+				Rollout: &rollout.Rollout{
+					Version:         1,
+					Name:            "prices",
+					FamilyRange:     []int{255, 255},
+					Since:           10_000 + c.skew,
+					ReplacesObjects: true,
+					OldCopyMaxAge:   300_000,
+					OnRollback:      c.onRollback,
+					RollbackAt:      28_000,
+					Rings:           []rollout.Ring{ring},
+				},
+			}
+			r := runWorld(t, cfg)
+			if r.ReleaseAnswers < 20 || r.PendingAnswers < 300 || r.RolledBackAnswers < 100 {
+				t.Errorf("answers: %d with the release, %d before, %d after the rollback",
+					r.ReleaseAnswers, r.PendingAnswers, r.RolledBackAnswers)
+			}
+			if float64(r.EarlyAnswers) > 0.4*float64(r.PendingAnswers) {
+				t.Errorf("%d of %d answers before the release are early", r.EarlyAnswers, r.PendingAnswers)
+			}
+			isStoppedEarly := r.StoppedAtSeconds < 27
+			if r.RoutersStopped != cfg.routerCount() || (c.harmful > 0) != isStoppedEarly {
+				t.Errorf("stopped at %d routers, first after %.1f s", r.RoutersStopped, r.StoppedAtSeconds)
+			}
+		})
 	}
+}
+
+func TestReleaseOfAnotherKindThanItsRollout(t *testing.T) {
 	cfg := smallConfig(11)
 	addCells(&cfg, 3)
 	cfg.Release = &Release{Rollout: &rollout.Rollout{ReplacesObjects: true}}
 	if _, err := New(cfg); err == nil {
-		t.Error("a stage of another kind than its release")
+		t.Error("a rollout that replaces objects, of a release that does not, is valid")
 	}
 }
--- a/emulator/topology_test.go
+++ b/emulator/topology_test.go
@@ -2,25 +2,25 @@
 
 import "testing"
 
-// Each planted circle is refused and named, no valid shape is, and a fill that carries its path visits no node twice;
-// without a guard many do.
+// Each planted loop is rejected and named, no valid topology is rejected, and a fill that carries its path visits no
+// node twice; without a guard many do.
 func TestTopologyTrial(t *testing.T) {
 	trial := TopologyTrial{Topologies: 150, MaxParentGroups: 16, MaxSites: 4, Changes: 5, FillsPerChange: 10}
-	res, err := trial.Run(21)
+	r, err := trial.Run(21)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res.WithLoop != 50 || res.LoopsAccepted+res.LoopsMisreported+res.ValidRejected != 0 || res.Valid != 900 {
-		t.Errorf("%+v", res)
+	if r.WithLoop != 50 || r.LoopsAccepted+r.LoopsMisreported+r.ValidRejected != 0 || r.Valid != 900 {
+		t.Errorf("%+v", r)
 	}
-	path, asker, plain := res.ByGuard["path"], res.ByGuard["asker"], res.ByGuard["plain"]
-	if path.Revisits != 0 || plain.Revisits < 100 || asker.Revisits >= plain.Revisits/4 {
-		t.Errorf("visited twice: %d with a path, %d by who asks, %d with nothing", path.Revisits, asker.Revisits, plain.Revisits)
+	path, peer, none := r.ByGuard["path"], r.ByGuard["asker"], r.ByGuard["plain"]
+	if path.Revisits != 0 || none.Revisits < 100 || peer.Revisits >= none.Revisits/4 {
+		t.Errorf("revisits: %d by path, %d by peer, %d without a guard", path.Revisits, peer.Revisits, none.Revisits)
 	}
-	if path.Served+path.Stuck != res.Fills || path.Stuck > res.Fills/20 {
-		t.Errorf("%+v of %d", path, res.Fills)
+	if path.Served+path.Stuck != r.Fills || path.Stuck > r.Fills/20 {
+		t.Errorf("%+v of %d fills", path, r.Fills)
 	}
 	if _, err := (&TopologyTrial{}).Run(1); err == nil {
-		t.Error("no shapes at all")
+		t.Error("a trial without topologies is valid")
 	}
 }
