--- a/emulator/clients.go
+++ b/emulator/clients.go
@@ -36,10 +36,10 @@
 	attemptNumber     int32 // of the last attempt; -1: none yet
 	attemptsAtServers int
 
-	answered   bool
-	served     bool  // the answer is a response
 	retryAfter int64 // of a rejection; 0: the answer is none
-	closed     bool  // the client waits no more
+	answered   bool
+	served     bool // the answer is a response
+	closed     bool // the client waits no more
 }
 
 // Behaviour of clients.
--- a/emulator/served_by_size.go
+++ b/emulator/served_by_size.go
@@ -31,9 +31,8 @@
 // servedRatiosBySize returns the served ratio of the largest operations, and that of the next ones, each over the
 // served ratio of all; 1 where none was served.
 func servedRatiosBySize(operations []endedOperation) (largest, next float64) {
-	bySize := slices.SortedStableFunc(slices.Values(operations), func(a, b endedOperation) int {
-		return cmp.Compare(b.sizeKB, a.sizeKB)
-	})
+	bySize := slices.Clone(operations)
+	slices.SortStableFunc(bySize, func(a, b endedOperation) int { return cmp.Compare(b.sizeKB, a.sizeKB) })
 	all := servedRatio(bySize)
 	if all == 0 {
 		return 1, 1
