--- a/emulator/fleetlimits_methods.go
+++ b/emulator/fleetlimits_methods.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// fleetDatagram is a datagram under way.
+// fleetDatagram is a datagram in flight.
 type fleetDatagram struct {
 	deliverAt int64
 	sequence  int // of two due at one time, the one sent first comes first
--- a/emulator/routers.go
+++ b/emulator/routers.go
@@ -19,7 +19,7 @@
 	random     *rand.Rand
 
 	endpointVersion  int   // changes of the endpoint list that it has
-	endpointUpdateAt int64 // when it has the last update that is under way
+	endpointUpdateAt int64 // when it has the last update that is in flight
 
 	buckets         map[int32]*tokenBucket // plain rate limits, by tenant
 	clockOffset     int64                  // of its clock for documents
--- a/emulator/servers.go
+++ b/emulator/servers.go
@@ -20,8 +20,8 @@
 
 // Bounds of what a server takes, in multiples of its streams.
 const (
-	activePerStream = 8 // answers under way
-	fillsPerStream  = 5 // fills of an edge cache under way
+	activePerStream = 8 // answers in flight
+	fillsPerStream  = 5 // fills of an edge cache in flight
 )
 
 // simulatedServer is an edge cache, a parent or the origin. It keeps its place in World.servers when it is gone.
@@ -35,13 +35,13 @@
 	status    routing.EndpointStatus
 
 	streams   float64 // responses that it sends at full rate at once
-	maxActive int     // answers under way that it takes
-	active    int     // answers under way
-	fills     int     // of an edge cache, under way
+	maxActive int     // answers in flight that it takes
+	active    int     // answers in flight
+	fills     int     // of an edge cache, in flight
 	link      int32   // over which it sends
 	store     *lru    // nil: the origin
 
-	fetches map[uint64]int32 // of a parent: fetches from the origin under way, by chunk
+	fetches map[uint64]int32 // of a parent: fetches from the origin in flight, by chunk
 
 	recentWork []receivedWork // within overloadWindow, while it warms up
 	recentKB   float64        // sum of recentWork
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -41,7 +41,7 @@
 	endpointChanges []routing.Endpoint
 	changedServers  []int32 // server of each change
 
-	// What is under way.
+	// What is in flight.
 	operations     []clientOperation
 	freeOperations []int32
 	requests       []clientRequest
