--- /dev/null
+++ b/lab/compare.go
@@ -0,0 +1,28 @@
+package lab
+
+import (
+	"fmt"
+	"io"
+)
+
+// Compare sets two results side by side: the means over their seeds, and their difference with its 95% interval. Each
+// has an outcome at least, and both are of one experiment and size.
+func Compare(out io.Writer, a, b []*Outcome) error {
+	if a[0].Experiment != b[0].Experiment || a[0].Size != b[0].Size {
+		return fmt.Errorf("%s %s and %s %s do not compare", a[0].Experiment, a[0].Size, b[0].Experiment, b[0].Size)
+	}
+	fmt.Fprintf(out, "%-14s %-10s %-12s %18s %18s %22s\n", "arm", "day", "figure", "A", "B", "B - A")
+	for _, run := range a[0].Runs {
+		for _, figure := range defaultTableFigures {
+			name := run.Arm + "/" + run.Day + "/" + figure
+			valuesA := figureOfSeeds(a, name)
+			valuesB := figureOfSeeds(b, name)
+			if len(valuesA) == 0 || len(valuesB) == 0 {
+				continue
+			}
+			fmt.Fprintf(out, "%-14s %-10s %-12s %18s %18s %22s\n", run.Arm, run.Day, figure,
+				meanInterval(valuesA), meanInterval(valuesB), differenceOfMeans(valuesA, valuesB))
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/lab/configure.go
@@ -0,0 +1,99 @@
+package lab
+
+import (
+	"cmp"
+	"fmt"
+
+	"spantack/core/cells"
+	"spantack/emulator"
+)
+
+// overflowShare is the share of all caches that is set apart for what cells have no capacity for.
+const overflowShare = 1.0 / 8
+
+// configure returns the world of an arm on a day.
+func (e *Experiment) configure(size string, seed uint64, arm Arm, day Day) (emulator.Config, error) {
+	cfg, known := e.Sizes[size]
+	if !known {
+		return cfg, unknownSize(size)
+	}
+	cfg.Seed = seed
+	addDay(&cfg, day)
+	if err := addArm(&cfg, arm); err != nil {
+		return cfg, err
+	}
+	err := e.addCells(&cfg, size, arm, day)
+	return cfg, err
+}
+
+// unknownSize is the error for a size that an experiment has not.
+func unknownSize(size string) error { return fmt.Errorf("size %q: there is none", size) }
+
+// addDay sets what goes wrong on a day, its release aside.
+func addDay(cfg *emulator.Config, day Day) {
+	cfg.Flood = day.Flood
+	cfg.Poison = day.Poison
+	cfg.Faults = day.Faults
+	cfg.MaxClockSkewMillis = day.MaxClockSkewMillis
+	cfg.HotObject = day.HotObject
+}
+
+// addArm sets an arm's mechanisms, its cells aside.
+func addArm(cfg *emulator.Config, arm Arm) (err error) {
+	cfg.RateLimitFactor = arm.RateLimitFactor
+	cfg.CancelsAbandonedFetches = arm.CancelsAbandonedFetches
+	cfg.Gossip = arm.Gossip
+	if arm.Deployment != nil {
+		cfg.Deployment = arm.Deployment
+	}
+	if arm.OriginLimit != "" {
+		cfg.OriginLimit = cfg.OriginLimitDocument(arm.OriginLimit, arm.ForgetsAbandonedFills)
+	}
+	if arm.TopologyStyle != "" {
+		cfg.Topology, err = cfg.BuildTopology(arm.TopologyStyle)
+	}
+	return err
+}
+
+// addCells sets an arm's cells, and what only worlds with cells have: the day's release and the arm's migrations.
+// Tenants are counted by the cells that they would have, also where none are in force.
+func (e *Experiment) addCells(cfg *emulator.Config, size string, arm Arm, day Day) error {
+	cellCount := arm.Cells.forSize(size)
+	planned := cellCount
+	for _, other := range sortedKeys(e.Arms) {
+		planned = cmp.Or(planned, e.Arms[other].Cells.forSize(size))
+	}
+	if planned == 0 {
+		return nil
+	}
+	spec, cellByTenant := emulator.PlanCells(cfg, planned)
+	cfg.CellByTenant = cellByTenant
+	if cellCount == 0 {
+		return nil
+	}
+	spec.Scheme = cmp.Or(cells.Scheme(arm.Scheme), cells.SchemeFixed)
+	spec.Width = arm.ShardWidth
+	if spec.Scheme == cells.SchemeOverflow {
+		addOverflowCell(spec)
+	}
+	cfg.Cells = spec
+	if day.Release != nil {
+		release := *day.Release
+		cfg.Release = &release
+	}
+	if migrations := arm.Migrations[size]; migrations != nil {
+		if err := cfg.PlanMigrations(migrations); err != nil {
+			return fmt.Errorf("trip: %w", err)
+		}
+	}
+	return nil
+}
+
+// addOverflowCell sets overflowShare of all caches apart for what cells have no capacity for.
+func addOverflowCell(spec *cells.Spec) {
+	for i := range spec.Cells {
+		spec.Cells[i].Share *= 1 - overflowShare
+	}
+	spec.Cells = append(spec.Cells, cells.Cell{Name: "spare", Share: overflowShare})
+	spec.OverflowCell = "spare"
+}
--- a/lab/lab_test.go
+++ b/lab/experiment_test.go
@@ -136,7 +136,7 @@
 	if err := Compare(&out, both[0], both[1]); err != nil {
 		t.Fatal(err)
 	}
-	if lines := strings.Count(out.String(), "\n"); lines != 1+2*len(tableFigures) {
+	if lines := strings.Count(out.String(), "\n"); lines != 1+2*len(defaultTableFigures) {
 		t.Errorf("%d lines:\n%s", lines, out.String())
 	}
 	both[1][0].Size = "full"
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -1,6 +1,7 @@
 package lab
 
 import (
+	"maps"
 	"math"
 	"slices"
 
@@ -8,76 +9,152 @@
 	"spantack/emulator"
 )
 
+const (
+	// endSeconds is how many of a day's last seconds count for how it ends.
+	endSeconds = 15
+	// datagramPrice is what the platform takes off the result for datagramPriceBytes of datagrams a request, as a
+	// fraction of it.
+	datagramPrice      = 0.0075
+	datagramPriceBytes = 256
+)
+
 // roundFigure keeps figures short and free of the last bits.
 func roundFigure(x float64) float64 { return math.Round(x*1e5) / 1e5 }
 
-// endSpanSeconds is how many of a day's last seconds count for how it ends.
-const endSpanSeconds = 15
-
-// datagramPrice is the platform's for 256 bytes of datagrams a request, in parts of the result.
-const datagramPrice = 0.0075
+// ratio returns a part of a whole; of nothing it is 0.
+func ratio(part, whole int64) float64 { return float64(part) / max(float64(whole), 1) }
 
-func (r *Run) addWorldFigures(cfg *emulator.Config, res *emulator.Result) {
-	all := res.OtherCells()
-	all = all.Plus(res.NoisyCell())
-	r.Broken = res.Violations
-	r.Figures = map[string]float64{"others": res.OtherCells().TimelyRatio(), "cell": res.NoisyCell().TimelyRatio(), "guilty": res.NoisyTenant.TimelyRatio(),
-		"timely": all.TimelyRatio(), "hits": res.HitRatio(), "touched": res.SharedCacheFraction, "originMb": res.OriginKB / 1000, "fillMb": res.FillKB / 1000,
-		"refused": float64(all.Rejected) / max(float64(all.Operations), 1), "failed": float64(all.Failed) / max(float64(all.Operations), 1),
-		"asked": float64(all.Operations), "attempts": float64(res.Attempts), "attemptsEach": float64(res.Attempts) / max(float64(res.Requests), 1), "events": float64(res.Events), "broken": float64(res.ViolationCount()),
-		"p50VideoMs": res.P50Millis[0], "p99VideoMs": res.P99Millis[0], "p50CatalogueMs": res.P50Millis[1], "p99CatalogueMs": res.P99Millis[1],
-		"p99ReportMs": res.P99Millis[2], "largest": slices.Min(res.LargestServedRatio[:]), "next": slices.Min(res.NextLargestServedRatio[:])}
+// addWorldFigures takes the figures of a run from its world.
+func (r *Run) addWorldFigures(cfg *emulator.Config, result *emulator.Result) {
+	r.Broken = result.Violations
+	r.Figures = requestFigures(result)
+	maps.Copy(r.Figures, latencyFigures(result))
 	if cfg.Hubs > 0 {
-		r.Figures["originMost"], r.Figures["originOverS"], r.Figures["coldMost"] = res.MaxOriginLoad, res.OriginOverloadSeconds, res.MaxWarmUpLoad
-		r.Figures["coldShare"], r.Figures["unanswered"], r.Figures["unended"] = res.MaxWarmUpLoadPerRouter, float64(res.Unanswered), float64(res.Unfinished)
-		r.Figures["end"] = res.TimelyRatioAtEnd(endSpanSeconds)
+		maps.Copy(r.Figures, originFigures(result))
 	}
-	r.Figures["words"] = float64(res.Datagrams)
-	r.Figures["wordPrice"] = datagramPrice * float64(res.DatagramBytes) / 256 / max(float64(res.Requests), 1)
 	if len(cfg.MigratedTenants) > 0 {
-		for name, v := range map[string]float64{"movers": res.Migrated.TimelyRatio(), "stayers": res.NotMigrated.TimelyRatio(), "coldMost": res.MaxWarmUpLoad,
-			"coldShare": res.MaxWarmUpLoadPerRouter, "cellFill": res.MaxCellFill, "cellBusy": res.MaxCellUtilization, "spread": res.MaxMigrationSpread, "doneS": res.MigratedAtSeconds, "moved": float64(res.Admission.Migrated), "kept": float64(res.Admission.Deferred),
-			"unanswered": float64(res.Unanswered), "unended": float64(res.Unfinished), "endS": cfg.MigrationEndSeconds, "moversRefused": float64(res.Migrated.Rejected) / max(float64(res.Migrated.Operations), 1)} {
-			r.Figures[name] = v
-		}
+		maps.Copy(r.Figures, migrationFigures(cfg, result))
 	}
-	for why, n := range res.Admission.Rejected {
-		if n > 0 {
-			r.Figures["gate "+cells.Reason(why).String()] = float64(n)
+	for reason, count := range result.Admission.Rejected {
+		if count > 0 {
+			r.Figures["gate "+cells.Reason(reason).String()] = float64(count)
 		}
 	}
-	for name, v := range r.Figures {
-		r.Figures[name] = roundFigure(v)
+	for name, value := range r.Figures {
+		r.Figures[name] = roundFigure(value)
 	}
-	for _, s := range res.Seconds {
-		if s.OtherCells.OfferedWeight > 0 {
-			r.Seconds = append(r.Seconds, roundFigure(s.OtherCells.TimelyRatio()))
+	for _, second := range result.Seconds {
+		if second.OtherCells.OfferedWeight > 0 {
+			r.Seconds = append(r.Seconds, roundFigure(second.OtherCells.TimelyRatio()))
 		}
 	}
 }
 
-// addReleaseFigures sums up the worlds of a day with a release.
-func (r *Run) addReleaseFigures(cfg *emulator.Config, all []emulator.Result) {
-	stopped, passed, broken, sum := 0.0, 0.0, 0.0, 0.0
-	var renewed, held, early, restored int64
-	for i := range all {
-		if all[i].RoutersStopped > 0 {
+// requestFigures tell what became of requests, and what they cost.
+func requestFigures(result *emulator.Result) map[string]float64 {
+	others := result.OtherCells()
+	noisy := result.NoisyCell()
+	all := others.Plus(noisy)
+	return map[string]float64{
+		"others":         others.TimelyRatio(),
+		"cell":           noisy.TimelyRatio(),
+		"guilty":         result.NoisyTenant.TimelyRatio(),
+		"timely":         all.TimelyRatio(),
+		"asked":          float64(all.Operations),
+		"refused":        ratio(all.Rejected, all.Operations),
+		"failed":         ratio(all.Failed, all.Operations),
+		"attempts":       float64(result.Attempts),
+		"attemptsEach":   ratio(result.Attempts, result.Requests),
+		"hits":           result.HitRatio(),
+		"originMb":       result.OriginKB / 1000,
+		"fillMb":         result.FillKB / 1000,
+		"touched":        result.SharedCacheFraction,
+		"largest":        slices.Min(result.LargestServedRatio[:]),
+		"next":           slices.Min(result.NextLargestServedRatio[:]),
+		"words":          float64(result.Datagrams),
+		"wordPrice":      datagramPrice * float64(result.DatagramBytes) / datagramPriceBytes / max(float64(result.Requests), 1),
+		"events":         float64(result.Events),
+		violationsFigure: float64(result.ViolationCount()),
+	}
+}
+
+// latencyFigures are quantiles of latencies. Classes stand in the emulator's order: video, catalogue, reports.
+func latencyFigures(result *emulator.Result) map[string]float64 {
+	return map[string]float64{
+		"p50VideoMs":     result.P50Millis[0],
+		"p99VideoMs":     result.P99Millis[0],
+		"p50CatalogueMs": result.P50Millis[1],
+		"p99CatalogueMs": result.P99Millis[1],
+		"p99ReportMs":    result.P99Millis[2],
+	}
+}
+
+// originFigures are those of worlds with hubs: of the load of the origin and of caches that warm up, and how the day
+// ends.
+func originFigures(result *emulator.Result) map[string]float64 {
+	return map[string]float64{
+		"originMost":  result.MaxOriginLoad,
+		"originOverS": result.OriginOverloadSeconds,
+		"coldMost":    result.MaxWarmUpLoad,
+		"coldShare":   result.MaxWarmUpLoadPerRouter,
+		"unanswered":  float64(result.Unanswered),
+		"unended":     float64(result.Unfinished),
+		"end":         result.TimelyRatioAtEnd(endSeconds),
+	}
+}
+
+// migrationFigures are those of days on which tenants are migrated.
+func migrationFigures(cfg *emulator.Config, result *emulator.Result) map[string]float64 {
+	return map[string]float64{
+		"movers":        result.Migrated.TimelyRatio(),
+		"stayers":       result.NotMigrated.TimelyRatio(),
+		"moversRefused": ratio(result.Migrated.Rejected, result.Migrated.Operations),
+		"coldMost":      result.MaxWarmUpLoad,
+		"coldShare":     result.MaxWarmUpLoadPerRouter,
+		"cellFill":      result.MaxCellFill,
+		"cellBusy":      result.MaxCellUtilization,
+		"spread":        result.MaxMigrationSpread,
+		"doneS":         result.MigratedAtSeconds,
+		"endS":          cfg.MigrationEndSeconds,
+		"moved":         float64(result.Admission.Migrated),
+		"kept":          float64(result.Admission.Deferred),
+		"unanswered":    float64(result.Unanswered),
+		"unended":       float64(result.Unfinished),
+	}
+}
+
+// addReleaseFigures adds the figures of a day with a release that was emulated in several worlds.
+func (r *Run) addReleaseFigures(cfg *emulator.Config, worlds []emulator.Result) {
+	opensAtSeconds := cfg.Release.Rollout.Rings[0].OpensAt / 1000
+	stopped, passed := 0.0, 0.0 // worlds
+	violations := 0.0
+	stopSeconds := 0.0 // until routers stopped the release, summed over the worlds in which any did
+	var answers, pending, early, rolledBack int64
+	for i := range worlds {
+		world := &worlds[i]
+		switch {
+		case world.RoutersStopped > 0:
 			stopped++
-			sum += all[i].StoppedAtSeconds - cfg.Release.Rollout.Rings[0].OpensAt/1000
-		}
-		if all[i].RoutersStopped == 0 && all[i].RoutersPassed > 0 {
+			stopSeconds += world.StoppedAtSeconds - opensAtSeconds
+		case world.RoutersPassed > 0:
 			passed++
 		}
-		broken += float64(all[i].ViolationCount())
-		renewed, held = renewed+all[i].ReleaseAnswers, held+all[i].PendingAnswers
-		early, restored = early+all[i].EarlyAnswers, restored+all[i].RolledBackAnswers
+		violations += float64(world.ViolationCount())
+		answers += world.ReleaseAnswers
+		pending += world.PendingAnswers
+		early += world.EarlyAnswers
+		rolledBack += world.RolledBackAnswers
 	}
-	if cfg.Release.ReplacesObjects { // answers with its objects, and in cells that have not got it the part that was new
-		r.Figures["renewed"], r.Figures["restored"] = float64(renewed), float64(restored)
-		r.Figures["early"] = roundFigure(float64(early) / float64(max(held, 1)))
+	if cfg.Release.ReplacesObjects {
+		r.Figures["renewed"] = float64(answers)
+		r.Figures["restored"] = float64(rolledBack)
+		r.Figures["early"] = roundFigure(ratio(early, pending)) // of answers in cells without the release
 	}
-	n := float64(len(all))
-	r.Figures["worlds"], r.Figures["stopped"], r.Figures["passed"], r.Figures["broken"] = n, roundFigure(stopped/n), roundFigure(passed/n), broken
-	r.Figures["unsure"] = roundFigure((n - stopped - passed) / n)
-	r.Figures["foundS"] = roundFigure(sum / max(stopped, 1))
+	count := float64(len(worlds))
+	r.Figures["worlds"] = count
+	r.Figures["stopped"] = roundFigure(stopped / count)
+	r.Figures["passed"] = roundFigure(passed / count)
+	r.Figures["unsure"] = roundFigure((count - stopped - passed) / count)
+	r.Figures["foundS"] = roundFigure(stopSeconds / max(stopped, 1))
+	r.Figures[violationsFigure] = violations
 }
--- /dev/null
+++ b/lab/outcome.go
@@ -0,0 +1,93 @@
+package lab
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Run is one arm on one day, with the figures that it came to.
+type Run struct {
+	Arm     string             `json:"arm"`
+	Day     string             `json:"day"`
+	Figures map[string]float64 `json:"figures"`
+	Seconds []float64          `json:"seconds"`          // share of the others' weight in time, by second
+	Broken  map[string]int64   `json:"broken,omitempty"` // violations of the platform's rules, by rule
+}
+
+// Outcome is what an experiment came to on one seed.
+type Outcome struct {
+	Experiment string    `json:"experiment"`
+	Size       string    `json:"size"`
+	Seed       uint64    `json:"seed"`
+	Runs       []Run     `json:"runs"`
+	Claims     []Verdict `json:"claims"`
+}
+
+const (
+	// violationsFigure is the figure of a run that counts its violations.
+	violationsFigure = "broken"
+	// allViolations names the sum of all runs' violations.
+	allViolations = "all/broken"
+)
+
+// newOutcome holds runs against the claims.
+func (e *Experiment) newOutcome(size string, seed uint64, runs []Run) (*Outcome, error) {
+	outcome := &Outcome{Experiment: e.Name, Size: size, Seed: seed, Runs: runs}
+	for _, claim := range e.Claims {
+		verdict, err := outcome.evaluate(claim)
+		if err != nil {
+			return nil, err
+		}
+		outcome.Claims = append(outcome.Claims, verdict)
+	}
+	return outcome, nil
+}
+
+// Figure returns the figure with a name: "ARM/DAY/FIGURE", or allViolations.
+func (o *Outcome) Figure(name string) (float64, error) {
+	if name == allViolations {
+		sum := 0.0
+		for _, run := range o.Runs {
+			sum += run.Figures[violationsFigure]
+		}
+		return sum, nil
+	}
+	parts := strings.Split(name, "/")
+	if len(parts) == 3 {
+		for _, run := range o.Runs {
+			if value, known := run.Figures[parts[2]]; known && run.Arm == parts[0] && run.Day == parts[1] {
+				return value, nil
+			}
+		}
+	}
+	return 0, fmt.Errorf("claim on %q: there is no such figure", name)
+}
+
+// PassedCount counts the claims that hold.
+func (o *Outcome) PassedCount() (count int) {
+	for _, verdict := range o.Claims {
+		if verdict.Passed {
+			count++
+		}
+	}
+	return count
+}
+
+// Passed reports that all claims hold.
+func (o *Outcome) Passed() bool { return o.PassedCount() == len(o.Claims) }
+
+// Summary returns the RESULT line, which scripts read.
+func (o *Outcome) Summary() string {
+	verdict := "kept"
+	if !o.Passed() {
+		verdict = "short"
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "RESULT %s seed=%d size=%s verdict=%s claims=%d/%d",
+		o.Experiment, o.Seed, o.Size, verdict, o.PassedCount(), len(o.Claims))
+	asKey := strings.NewReplacer(" ", "_", "=", "_")
+	for _, claim := range o.Claims {
+		fmt.Fprintf(&b, " %s=%.4f", asKey.Replace(claim.Name), claim.Value)
+	}
+	return b.String()
+}
--- /dev/null
+++ b/lab/run.go
@@ -0,0 +1,141 @@
+package lab
+
+import (
+	"fmt"
+	"maps"
+	"runtime"
+	"slices"
+
+	"golang.org/x/sync/errgroup"
+
+	"spantack/emulator"
+)
+
+// worldSeedFactor times an experiment's seed is the seed of a day's first world, where the day has several.
+const worldSeedFactor = 1_000_003
+
+// Run runs all arms on all days, some at once. progress, if not nil, is called after each, from one goroutine.
+func (e *Experiment) Run(size string, seed uint64, progress func(done, all int)) (*Outcome, error) {
+	switch {
+	case e.TopologyTrials != nil:
+		return e.runTopologyTrial(size, seed, progress)
+	case e.OriginLimitTrials != nil:
+		return e.runOriginLimitTrial(size, seed, progress)
+	case e.FleetLimitTrials != nil:
+		return e.runFleetLimitTrial(size, seed, progress)
+	}
+	runs := e.newRuns()
+	worlds := newWorldSet(e, size, seed, runs)
+	if err := worlds.runAll(progress); err != nil {
+		return nil, err
+	}
+	for i := range runs {
+		results := worlds.results[i]
+		runs[i].addWorldFigures(&worlds.configs[i], &results[0])
+		if len(results) > 1 {
+			runs[i].addReleaseFigures(&worlds.configs[i], results)
+		}
+	}
+	return e.newOutcome(size, seed, runs)
+}
+
+// newRuns lists each arm on each day, without figures.
+func (e *Experiment) newRuns() (runs []Run) {
+	for _, arm := range sortedKeys(e.Arms) {
+		for _, day := range sortedKeys(e.Days) {
+			runs = append(runs, Run{Arm: arm, Day: day})
+		}
+	}
+	return runs
+}
+
+// sortedKeys returns the keys of a map in order.
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+
+// worldSet is the emulated worlds of all runs: one each, or several for days that say so.
+type worldSet struct {
+	experiment *Experiment
+	size       string
+	seed       uint64
+	runs       []Run
+
+	configs []emulator.Config   // by run: of its first world
+	results [][]emulator.Result // by run, then by world
+}
+
+// newWorldSet lays out the worlds of some runs.
+func newWorldSet(e *Experiment, size string, seed uint64, runs []Run) *worldSet {
+	set := &worldSet{
+		experiment: e,
+		size:       size,
+		seed:       seed,
+		runs:       runs,
+		configs:    make([]emulator.Config, len(runs)),
+		results:    make([][]emulator.Result, len(runs)),
+	}
+	for i, run := range runs {
+		set.results[i] = make([]emulator.Result, max(e.Days[run.Day].Worlds.forSize(size), 1))
+	}
+	return set
+}
+
+// runAll runs all worlds, as many at once as there are CPUs.
+func (set *worldSet) runAll(progress func(done, all int)) error {
+	all := 0
+	for _, results := range set.results {
+		all += len(results)
+	}
+	ended := make(chan struct{}, all)
+	go reportProgress(ended, all, progress)
+	var group errgroup.Group
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for run, results := range set.results {
+		for world := range results {
+			group.Go(func() error {
+				defer func() { ended <- struct{}{} }()
+				return set.runWorld(run, world)
+			})
+		}
+	}
+	return group.Wait()
+}
+
+// reportProgress calls progress for each of so many worlds that has ended.
+func reportProgress(ended <-chan struct{}, all int, progress func(done, all int)) {
+	for i := range all {
+		<-ended
+		if progress != nil {
+			progress(i+1, all)
+		}
+	}
+}
+
+// runWorld runs one world of a run.
+func (set *worldSet) runWorld(run, world int) error {
+	e := set.experiment
+	arm, day := set.runs[run].Arm, set.runs[run].Day
+	cfg, err := e.configure(set.size, set.worldSeed(run, world), e.Arms[arm], e.Days[day])
+	if err != nil {
+		return err
+	}
+	w, err := emulator.New(cfg)
+	if err != nil {
+		return fmt.Errorf("%s/%s: %w", arm, day, err)
+	}
+	if cfg.Flood == nil && cfg.Poison == nil && e.WatchedTenant >= 0 {
+		w.WatchTenant(e.WatchedTenant)
+	}
+	if world == 0 {
+		set.configs[run] = cfg
+	}
+	set.results[run][world] = w.Run()
+	return nil
+}
+
+// worldSeed is the seed of a world. Worlds of one number have the same one on days that differ in their release alone.
+func (set *worldSet) worldSeed(run, world int) uint64 {
+	if len(set.results[run]) == 1 {
+		return set.seed
+	}
+	return set.seed*worldSeedFactor + uint64(world)
+}
--- /dev/null
+++ b/lab/statistics.go
@@ -0,0 +1,64 @@
+package lab
+
+import (
+	"fmt"
+	"math"
+
+	"gonum.org/v1/gonum/stat"
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+// upperQuantile bounds the upper tail of a two-sided interval of 95%.
+const upperQuantile = 0.975
+
+// Interval is a mean with its 95% interval: from Mean-HalfWidth to Mean+HalfWidth. HalfWidth is 0 where one value alone
+// tells of no spread.
+type Interval struct{ Mean, HalfWidth float64 }
+
+// meanInterval returns the mean of values with its t interval.
+func meanInterval(values []float64) Interval {
+	mean, deviation := stat.MeanStdDev(values, nil)
+	if len(values) < 2 {
+		return Interval{mean, 0}
+	}
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(upperQuantile)
+	return Interval{mean, t * deviation / math.Sqrt(float64(len(values)))}
+}
+
+// differenceOfMeans returns Welch's interval for the mean of b less that of a.
+func differenceOfMeans(a, b []float64) Interval {
+	meanA, varianceA := stat.MeanVariance(a, nil)
+	meanB, varianceB := stat.MeanVariance(b, nil)
+	difference := Interval{Mean: meanB - meanA}
+	if len(a) < 2 || len(b) < 2 || varianceA+varianceB == 0 {
+		return difference
+	}
+	errorA := varianceA / float64(len(a)) // squared standard errors
+	errorB := varianceB / float64(len(b))
+	sum := errorA + errorB
+	freedom := sum * sum / (errorA*errorA/float64(len(a)-1) + errorB*errorB/float64(len(b)-1))
+	t := distuv.StudentsT{Sigma: 1, Nu: freedom}.Quantile(upperQuantile)
+	difference.HalfWidth = t * math.Sqrt(sum)
+	return difference
+}
+
+// String is empty for a figure that an arm or day has not.
+func (i Interval) String() string {
+	if math.IsNaN(i.Mean) {
+		return ""
+	}
+	if i.HalfWidth == 0 {
+		return fmt.Sprintf("%.4g", i.Mean)
+	}
+	return fmt.Sprintf("%.4g ± %.2g", i.Mean, i.HalfWidth)
+}
+
+// figureOfSeeds returns a figure of each outcome that has it.
+func figureOfSeeds(outcomes []*Outcome, name string) (values []float64) {
+	for _, outcome := range outcomes {
+		if value, err := outcome.Figure(name); err == nil {
+			values = append(values, value)
+		}
+	}
+	return values
+}
