--- a/lab/figures.go
+++ b/lab/figures.go
@@ -55,6 +55,7 @@
 	others := result.OtherCells()
 	noisy := result.NoisyCell()
 	all := others.Plus(noisy)
+	price := datagramPrice * float64(result.DatagramBytes) / datagramPriceBytes / max(float64(result.Requests), 1)
 	return map[string]float64{
 		"others":         others.TimelyRatio(),
 		"cell":           noisy.TimelyRatio(),
@@ -72,7 +73,7 @@
 		"largest":        slices.Min(result.LargestServedRatio[:]),
 		"next":           slices.Min(result.NextLargestServedRatio[:]),
 		"words":          float64(result.Datagrams),
-		"wordPrice":      datagramPrice * float64(result.DatagramBytes) / datagramPriceBytes / max(float64(result.Requests), 1),
+		"wordPrice":      price,
 		"events":         float64(result.Events),
 		violationsFigure: float64(result.ViolationCount()),
 	}
--- /dev/null
+++ b/lab/statistics_test.go
@@ -0,0 +1,17 @@
+package lab
+
+import "testing"
+
+// Intervals of known samples: Welch's of two, and that of a mean.
+func TestIntervals(t *testing.T) {
+	// t(0.975, 6) = 2.447 times sqrt(5/6)
+	difference := differenceOfMeans([]float64{1, 2, 3, 4}, []float64{3, 4, 5, 6})
+	if difference.Mean != 2 || difference.HalfWidth < 2.2 || difference.HalfWidth > 2.25 {
+		t.Errorf("%+v", difference)
+	}
+	// 4.303/sqrt(3)
+	mean := meanInterval([]float64{1, 2, 3})
+	if mean.Mean != 2 || mean.HalfWidth < 2.48 || mean.HalfWidth > 2.49 {
+		t.Errorf("%+v", mean)
+	}
+}
