--- /dev/null
+++ b/lab/scale/resultsfile.go
@@ -0,0 +1,45 @@
+package scale
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+// ResultsFile is the name of the file that WriteResults puts into its folder.
+const ResultsFile = "results.json"
+
+// WriteResults puts the results of one test at several sizes, one at least, into a folder, with charts of cost over
+// size. It makes the folder if need be.
+func WriteResults(dir string, results []*Result) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return fmt.Errorf("--out: %w", err)
+	}
+	text, err := json.MarshalIndent(results, "", " ")
+	if err != nil {
+		return fmt.Errorf("results: %w", err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, ResultsFile), append(text, '\n'), 0o644); err != nil {
+		return fmt.Errorf("--out: %w", err)
+	}
+	for _, c := range charts {
+		if err := c.draw(dir, results); err != nil {
+			return fmt.Errorf("chart %s: %w", c.file, err)
+		}
+	}
+	return nil
+}
+
+// ReadResults returns the results that WriteResults put into a folder.
+func ReadResults(dir string) ([]*Result, error) {
+	text, err := os.ReadFile(filepath.Join(dir, ResultsFile))
+	if err != nil {
+		return nil, err
+	}
+	var results []*Result
+	if err := json.Unmarshal(text, &results); err != nil {
+		return nil, fmt.Errorf("%s: %w", dir, err)
+	}
+	return results, nil
+}
