--- /dev/null
+++ b/lab/experiment_test.go
@@ -0,0 +1,89 @@
+package lab
+
+import (
+	"strings"
+	"testing"
+)
+
+// smallWorld makes an experiment end in a second.
+var smallWorld = []string{
+	"sizes.small.dayS=4",
+	"sizes.small.warmS=2",
+	"sizes.small.rateS=200",
+	"sizes.small.tenants=40",
+	`days.unique.flood={"tenant":0,"times":10,"kind":"unique","fromS":3,"forS":2}`,
+}
+
+// loadSmallFlood is the experiment cells-flood with a small world, and with further changes.
+func loadSmallFlood(t *testing.T, changes ...string) *Experiment {
+	t.Helper()
+	e, err := Load("cells-flood", append(append([]string{}, smallWorld...), changes...)...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return e
+}
+
+func TestAllExperimentsLoad(t *testing.T) {
+	names := Names()
+	if len(names) < 3 {
+		t.Fatalf("experiments: %v", names)
+	}
+	for _, name := range names {
+		e, err := Load(name)
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		sizes := len(e.Sizes) + len(e.TopologyTrials) + len(e.OriginLimitTrials) + len(e.FleetLimitTrials)
+		if e.Title == "" || len(e.Claims) == 0 || sizes != 2 {
+			t.Errorf("%s: title %q, %d claims, %d sizes", name, e.Title, len(e.Claims), sizes)
+		}
+		for _, arm := range e.Chart.Arms {
+			if _, known := e.Arms[arm]; !known {
+				t.Errorf("%s: the chart shows arm %s, which there is not", name, arm)
+			}
+		}
+		checkWorlds(t, e)
+	}
+}
+
+// checkWorlds checks that the world of each size and arm is valid.
+func checkWorlds(t *testing.T, e *Experiment) {
+	t.Helper()
+	for size := range e.Sizes {
+		for arm := range e.Arms {
+			cfg, err := e.configure(size, 1, e.Arms[arm], Day{})
+			if err == nil {
+				err = cfg.Validate()
+			}
+			if err != nil {
+				t.Errorf("%s, %s, %s: %v", e.Name, size, arm, err)
+			}
+		}
+	}
+}
+
+func TestLoadAndRunErrors(t *testing.T) {
+	for want, change := range map[string]string{
+		"not of the form":         "sizes",
+		"there is no":             "days.nothing.flood=1",
+		"holds no fields":         "title.x=1",
+		"unknown field":           "sizes.small.depot=3",
+		"a number, or one for ea": `arms.cells.cells="four"`,
+	} {
+		if _, err := Load("cells-flood", change); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: got %v", change, err)
+		}
+	}
+	if _, err := Load("nothing"); err == nil {
+		t.Error("an experiment that there is not")
+	}
+	if _, err := loadSmallFlood(t).Run("huge", 1, nil); err == nil {
+		t.Error("a size that there is not")
+	}
+	bad := loadSmallFlood(t, "sizes.small.depots=0")
+	if _, err := bad.Run("small", 1, nil); err == nil || !strings.Contains(err.Error(), "depots: 0") {
+		t.Errorf("got %v", err)
+	}
+}
