--- a/standin/discovery/mode_test.go
+++ b/standin/discovery/mode_test.go
@@ -15,6 +15,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// within bounds each wait for what the service does.
+const within = 10 * time.Second
+
 // silentWait is how long a connection must get nothing to count as mute: longer than heartbeatInterval.
 const silentWait = 1200 * time.Millisecond
 
@@ -32,7 +35,11 @@
 // connect opens a connection and asks for all events.
 func connect(t *testing.T, s *Service) net.Conn {
 	t.Helper()
-	conn := testwait.Dial(t, s.Addr())
+	conn, err := net.DialTimeout("tcp", s.Addr(), within)
+	if err != nil {
+		t.Fatal(err)
+	}
+	testwait.BoundConn(t, conn)
 	if _, err := conn.Write(make([]byte, lastEventSize)); err != nil {
 		t.Fatal(err)
 	}
@@ -58,11 +65,11 @@
 		}
 	}
 	open := connect(t, s)
-	if _, err := firstByte(open, testwait.Limit); err != nil {
+	if _, err := firstByte(open, within); err != nil {
 		t.Errorf("serving: %v", err)
 	}
 	setMode(Slow)
-	took, err := firstByte(connect(t, s), testwait.Limit)
+	took, err := firstByte(connect(t, s), within)
 	if err != nil || took < SlowFirstFrameDelay*9/10 {
 		t.Errorf("slow: the first frame after %v, %v", took, err)
 	}
@@ -72,15 +79,15 @@
 		t.Errorf("mute: %v", err)
 	}
 	setMode(Serving)
-	if _, err := firstByte(muted, testwait.Limit); err != nil {
+	if _, err := firstByte(muted, within); err != nil {
 		t.Errorf("no longer mute: %v", err)
 	}
 	setMode(Down)
-	open.SetReadDeadline(time.Now().Add(testwait.Limit))
+	open.SetReadDeadline(time.Now().Add(within))
 	if _, err := io.Copy(io.Discard, open); isTimeout(err) {
 		t.Error("down: an open connection is left open")
 	}
-	conn, err := net.DialTimeout("tcp", s.Addr(), testwait.Limit)
+	conn, err := net.DialTimeout("tcp", s.Addr(), within)
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("down: %v", err)
 		if err == nil {
@@ -88,7 +95,7 @@
 		}
 	}
 	setMode(Serving)
-	if _, err := firstByte(connect(t, s), testwait.Limit); err != nil {
+	if _, err := firstByte(connect(t, s), within); err != nil {
 		t.Errorf("back: %v", err)
 	}
 }
--- a/standin/link/mesh_test.go
+++ b/standin/link/mesh_test.go
@@ -14,6 +14,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// within bounds each wait for what a mesh or relay does.
+const within = 10 * time.Second
+
 // meshRouters are the sockets of routers, by rank, with a mesh between them.
 type meshRouters struct {
 	mesh    *Mesh
@@ -54,7 +57,7 @@
 func (m *meshRouters) expect(t *testing.T, rank int, fromAddr, text string) {
 	t.Helper()
 	buffer := make([]byte, 100)
-	m.sockets[rank].SetReadDeadline(time.Now().Add(testwait.Limit))
+	m.sockets[rank].SetReadDeadline(time.Now().Add(within))
 	size, addr, err := m.sockets[rank].ReadFromUDPAddrPort(buffer)
 	if err != nil || string(buffer[:size]) != text || addr.String() != fromAddr {
 		t.Fatalf("router %d received %q from %v (%v), want %q from %s", rank, buffer[:size], addr, err, text, fromAddr)
@@ -85,7 +88,7 @@
 		m.setConditions(t, conditions)
 		before := m.mesh.Counts()
 		m.send(t, 0, m.mesh.Addr(1), "lost")
-		testwait.Until(t, "the datagram to be counted", func() bool { return m.mesh.Counts() != before })
+		testwait.UntilWithin(t, within, "the datagram to be counted", func() bool { return m.mesh.Counts() != before })
 		now := m.mesh.Counts()
 		if now.Forwarded != before.Forwarded || now.Blocked+now.Lost != before.Blocked+before.Lost+1 {
 			t.Errorf("%+v: %+v, before %+v", conditions, now, before)
--- a/standin/link/relay_test.go
+++ b/standin/link/relay_test.go
@@ -48,7 +48,7 @@
 func TestRelay(t *testing.T) {
 	relay := startEchoRelay(t)
 	first := testwait.Dial(t, relay.Addr())
-	if err := echo(first, testwait.Limit); err != nil {
+	if err := echo(first, within); err != nil {
 		t.Fatal(err)
 	}
 	relay.SetConditions(RelayConditions{Blackholes: true})
@@ -56,15 +56,15 @@
 		t.Error("a relay that swallows bytes passes them on")
 	}
 	relay.SetConditions(RelayConditions{Resets: true})
-	first.SetReadDeadline(time.Now().Add(testwait.Limit))
+	first.SetReadDeadline(time.Now().Add(within))
 	if _, err := first.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("%v on a connection that was cut, want a reset", err)
 	}
 	relay.SetConditions(RelayConditions{Delay: time.Millisecond, KBPerSecond: 1000})
-	if err := echo(testwait.Dial(t, relay.Addr()), testwait.Limit); err != nil {
+	if err := echo(testwait.Dial(t, relay.Addr()), within); err != nil {
 		t.Error(err)
 	}
-	testwait.Until(t, "the counts", func() bool { // the relay counts a moment after it has passed bytes on
+	testwait.UntilWithin(t, within, "the counts", func() bool { // the relay counts a moment after it has passed bytes on
 		dials, open, toServer, toClient := relay.Counts()
 		return len(dials) == 2 && open == 1 && toServer == 10 && toClient == 10
 	})
