--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -44,7 +44,7 @@
 
 // hasCapacityWithin is hasCapacity with another limit.
 func (e *Engine) hasCapacityWithin(req *request, srv *server, concurrencyLimit float64) bool {
-	limit := concurrencyLimit * e.usableLimitShare(req, e.maxWeightDensity())
+	limit := concurrencyLimit * e.usableLimitShare(req, e.maxWeightDensityAt(srv))
 	draw := e.rng.Float64()
 	if req.accountingGroup != 0 && srv.isSharedByGroups() {
 		return e.hasGroupCapacity(req.accountingGroup, srv, limit, draw)
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -300,6 +300,28 @@
 	}
 }
 
+// An edge cache of another zone gets no uncacheable requests, so their weight reserves nothing of its limit. In the own
+// zone the heaviest class, which is uncacheable here, leaves a lighter one less than the full limit.
+func TestWeightOfUncacheableClassReservesNothingAtRemoteCaches(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].PriorityWeight = 1000
+	settings.Hierarchy.Uncacheable = []bool{true}
+	engine := newTestEngine(t, settings, 1, 1)
+	srv := engine.servers["c0"]
+	srv.concurrencyLimit = 100
+	capacity := func(role serverRole) (admitted int) {
+		srv.role = role
+		req := &request{class: 3} // of the cacheable classes none has a greater weight density
+		for srv.inFlight = 0; srv.inFlight < 200 && engine.hasCapacity(req, srv); srv.inFlight++ {
+			admitted++
+		}
+		return admitted
+	}
+	if own, remote := capacity(roleEdgeCache), capacity(roleRemoteCache); own > 55 || remote < 99 {
+		t.Errorf("capacity for %d in the own zone and %d in another, want about 50 and 100", own, remote)
+	}
+}
+
 // Of a parent's and the origin's limit each request has one draw: hundreds of routers, each with capacity for less
 // than one request, keep to the sum of their limits by it. One that found no capacity, and then missed a cached
 // copy, had a second draw: three fills where two may be (calm+mass 0.83 -> 0.82).
--- a/routing/estimates.go
+++ b/routing/estimates.go
@@ -79,6 +79,15 @@
 	return greatest
 }
 
+// maxWeightDensityAt returns the greatest weight density that counts at a server: at edge caches of other zones, which
+// get no uncacheable requests, that of the cacheable classes.
+func (e *Engine) maxWeightDensityAt(srv *server) float64 {
+	if srv.role == roleRemoteCache {
+		return e.maxCacheableWeightDensity()
+	}
+	return e.maxWeightDensity()
+}
+
 // maxCacheableWeightDensity returns the greatest one of the classes that leave copies.
 func (e *Engine) maxCacheableWeightDensity() float64 {
 	greatest := minWeightDensity
--- a/routing/subsets.go
+++ b/routing/subsets.go
@@ -39,9 +39,12 @@
 	return servers
 }
 
-// defineSubset defines a subset, or drops it, and sets its accounting group's share of what all groups share. Subset 0
-// is never defined.
+// defineSubset defines a subset, or drops it, and sets its accounting group's share of what all groups share. Subset 0,
+// all edge caches of the zone, can be neither.
 func (e *Engine) defineSubset(ev *Event) {
+	if ev.Subset == 0 {
+		return
+	}
 	if len(ev.SubsetServers) == 0 {
 		delete(e.subsets, ev.Subset)
 		return
--- a/routing/subsets_test.go
+++ b/routing/subsets_test.go
@@ -51,6 +51,16 @@
 	}
 }
 
+// Subset 0 stands for all edge caches of the zone, whatever an event says of it.
+func TestSubsetOfAllCachesIsNotRedefined(t *testing.T) {
+	engine := newTestEngine(t, testSettings(), 2, 1)
+	engine.step(Event{Kind: EventSubset, Subset: 0, SubsetServers: []string{"c9"}})
+	engine.step(Event{Kind: EventSubset, Subset: 0})
+	if action := engine.request("small", "x"); action.Kind != ActionSend || !strings.HasPrefix(action.Server, "c") {
+		t.Errorf("got %+v", action)
+	}
+}
+
 // All caches of a subset are ejected: its requests are rejected, and go neither to other caches nor directly to
 // parents.
 func TestEjectedSubsetIsRejected(t *testing.T) {
