--- a/standin/cache/server.go
+++ b/standin/cache/server.go
@@ -28,7 +28,7 @@
 	// Delay is the time from the arrival of a request to its response, without that of a fill.
 	Delay time.Duration
 	// FindServer returns the server with a name, which a request has a miss filled from, or nil where there is none.
-	// A nil function means that misses are not filled.
+	// A nil function means that misses are not filled. It is called from several goroutines at once.
 	FindServer func(name string) *Server
 	// InjectFault chooses what the server does to a request instead of serving it. A nil function injects no faults.
 	// It is called from several goroutines at once.
--- a/standin/cache/server_test.go
+++ b/standin/cache/server_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net"
 	"strings"
+	"sync"
 	"testing"
 
 	"spantack/internal/resp"
@@ -29,8 +30,12 @@
 // A response says where its copy came from, or why there is none; a copy that was filled is a hit the next time.
 func TestResponses(t *testing.T) {
 	log := NewRequestLog()
-	servers := map[string]*Server{}
-	find := func(name string) *Server { return servers[name] }
+	var servers sync.Map // by name, as requests come in goroutines of the servers
+	find := func(name string) *Server {
+		server, _ := servers.Load(name)
+		found, _ := server.(*Server)
+		return found
+	}
 	for id, fault := range map[uint32]Fault{1: FaultNone, 2: FaultNone, 3: FaultNone, 4: FaultError, 5: FaultBusy} {
 		s, err := Listen(Options{
 			ID:          id,
@@ -43,7 +48,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		servers[s.Name()] = s
+		servers.Store(s.Name(), s)
 	}
 	const origin, edge, parent, failing, busy = "s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"
 	for _, step := range []struct {
@@ -61,7 +66,7 @@
 		{"failing", failing, "asset=o", "ERR", "-"},
 		{"busy", busy, "asset=o", "BUSY", "-"},
 	} {
-		response := exchange(t, testwait.Dial(t, servers[step.server].Addr().String()), step.fields)
+		response := exchange(t, testwait.Dial(t, find(step.server).Addr().String()), step.fields)
 		if response[0] != "a" || response[1] != step.status || !strings.HasPrefix(response[2], step.responseHas) {
 			t.Errorf("%s: %q, want %s %s", step.name, response, step.status, step.responseHas)
 		}
