--- /dev/null
+++ b/cmd/spanlab/experiment.go
@@ -0,0 +1,117 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"os"
+
+	"spantack/lab"
+)
+
+// listCmd lists the experiments.
+type listCmd struct{}
+
+// Run prints a line for each experiment.
+func (listCmd) Run() error {
+	for _, name := range lab.Names() {
+		e, err := lab.Load(name)
+		if err != nil {
+			return err
+		}
+		fmt.Printf("%-14s %s\n", name, e.Title)
+	}
+	return nil
+}
+
+// maxSeeds bounds the seeds of one command.
+const maxSeeds = 1000
+
+// runCmd runs an experiment.
+type runCmd struct {
+	Name  string   `name:"name" arg:"" help:"The experiment."`
+	Seed  uint64   `name:"seed" default:"1" help:"First seed, 0 to 2^63."`
+	Seeds uint64   `name:"seeds" default:"1" help:"How many seeds, one after the other."`
+	Size  string   `name:"size" default:"small" enum:"small,full" help:"small or full."`
+	Out   string   `name:"out" help:"Folder for result.json, table.md and charts."`
+	Set   []string `name:"set" help:"path=value, changes the experiment." sep:"none"`
+}
+
+// Run runs the experiment on each seed, writes the outcomes where a folder is named, and prints their RESULT lines.
+func (c *runCmd) Run() error {
+	if c.Seeds == 0 || c.Seed > math.MaxInt64 || c.Seeds > maxSeeds {
+		return fmt.Errorf("--seed %d --seeds %d: seeds are 0 to 2^63, 1 to %d of them", c.Seed, c.Seeds, maxSeeds)
+	}
+	e, err := lab.Load(c.Name, c.Set...)
+	if err != nil {
+		return err
+	}
+	outcomes, err := c.runSeeds(e)
+	if err != nil {
+		return err
+	}
+	if c.Out != "" {
+		if err := e.Write(c.Out, outcomes); err != nil {
+			return err
+		}
+	}
+	isShort := false
+	for _, outcome := range outcomes {
+		fmt.Println(outcome.Summary())
+		isShort = isShort || !outcome.Passed()
+	}
+	if isShort {
+		return errClaimShort
+	}
+	return nil
+}
+
+// runSeeds runs the experiment on one seed after the other, with a progress bar.
+func (c *runCmd) runSeeds(e *lab.Experiment) (outcomes []*lab.Outcome, err error) {
+	runs := len(e.Arms) * len(e.Days)
+	all := runs * int(c.Seeds)
+	bar := newProgress(all)
+	defer bar.finish()
+	for i := range c.Seeds {
+		outcome, err := e.Run(c.Size, c.Seed+i, func(done, _ int) { bar.show(int(i)*runs+done, all) })
+		if err != nil {
+			return nil, err
+		}
+		outcomes = append(outcomes, outcome)
+	}
+	return outcomes, nil
+}
+
+// compareCmd compares two results.
+type compareCmd struct {
+	ResultA string `name:"a" arg:"" type:"existingfile" help:"result.json"`
+	ResultB string `name:"b" arg:"" type:"existingfile" help:"result.json"`
+}
+
+// Run prints a table of both.
+func (c *compareCmd) Run() error {
+	a, err := readResult(c.ResultA)
+	if err != nil {
+		return err
+	}
+	b, err := readResult(c.ResultB)
+	if err != nil {
+		return err
+	}
+	return lab.Compare(os.Stdout, a, b)
+}
+
+// readResult reads a file result.json, which has an outcome at least.
+func readResult(file string) (outcomes []*lab.Outcome, err error) {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	if err := json.Unmarshal(text, &outcomes); err != nil {
+		return nil, fmt.Errorf("%s: no result of spanlab run: %w", file, err)
+	}
+	if len(outcomes) == 0 {
+		return nil, fmt.Errorf("%s: no result of spanlab run: there is no outcome in it", file)
+	}
+	return outcomes, nil
+}
