--- a/lab/scenario/cold-start.jsonnet
+++ b/lab/scenario/cold-start.jsonnet
@@ -1,5 +1,6 @@
-// The list service goes away under all routers at once, and comes back; breaks off each connection; falls silent with connections open; and is away while seven in
-// ten routers die and come back. Judged by the ledger of the relay before it: how many try within any 100 ms, and that all are back.
+// All routers lose the discovery service at once, and it comes back; it resets each connection; it falls silent with
+// connections open; and it is away while seven in ten routers are killed and restarted. Judged by the relay before it:
+// how many dial within any 100 ms, and that all are connected again.
 {
   title: 'Routers that lose the list service together',
   asks: 0,
