--- a/lab/claims_test.go
+++ b/lab/claims_test.go
@@ -84,7 +84,7 @@
 	return verdict.Value > listed*(1+shortfallMargin)
 }
 
-// readShortClaims reads the list, and checks that each entry names an experiment and a seed that are played, once.
+// readShortClaims reads the list, and checks that each entry names an experiment and a seed that are run, once.
 func readShortClaims(t *testing.T) (listed []shortClaim) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "short_claims.json"))
@@ -103,7 +103,7 @@
 			t.Errorf("short_claims.json: %s: %v", key, err)
 		}
 		if short.Seed < firstSeed || short.Seed >= firstSeed+seedCount || short.Cause == "" || seen[key] {
-			t.Errorf("short_claims.json: %s: a seed that is not played, no cause, or listed twice", key)
+			t.Errorf("short_claims.json: %s: a seed that is not run, no cause, or listed twice", key)
 		}
 		seen[key] = true
 	}
--- a/lab/process/coldcaches_test.go
+++ b/lab/process/coldcaches_test.go
@@ -73,7 +73,7 @@
 	return clients
 }
 
-// send plays a burst and returns what became of its requests.
+// send sends a burst and returns what became of its requests.
 func (b burst) send(t *testing.T, clients []*loadClient) (sum Tally) {
 	t.Helper()
 	defer func() {
--- a/lab/process/deployment.go
+++ b/lab/process/deployment.go
@@ -52,16 +52,16 @@
 	Discovery      *discovery.Service
 	EdgeCaches     []*cache.Server
 	Parents        []*cache.Server
-	Routers        []*Router        // by rank
-	Mesh           *link.Mesh       // nil without Options.HasGossip
-	DiscoveryRelay *link.Relay      // nil without Options.HasDiscoveryRelay
-	gossipAddrs    []netip.AddrPort // by rank; without Options.HasGossip there are none
+	Routers        []*Router   // by rank
+	Mesh           *link.Mesh  // nil without Options.HasGossip
+	DiscoveryRelay *link.Relay // nil without Options.HasDiscoveryRelay
 
 	options      Options
 	dir          string // of all that the deployment writes
 	routerBinary string
 	serverCount  uint32               // servers started so far
 	endpoints    []discovery.Endpoint // the list, as it was last published
+	gossipAddrs  []netip.AddrPort     // by rank; none without Options.HasGossip
 
 	mu            sync.Mutex
 	serversByName map[string]*cache.Server // those that run; guarded by mu
--- a/lab/scenario/step.go
+++ b/lab/scenario/step.go
@@ -25,14 +25,14 @@
 
 // stepRun is a step that is under way.
 type stepRun struct {
-	*player
+	player    *player
 	step      *Step
 	result    StepResult
 	startedAt time.Time
 
-	dialsBefore int // of the discovery service
-	fillsBefore int // that reached the origin
-	parent      string
+	dialsBefore int       // of the discovery service
+	fillsBefore int       // that reached the origin
+	parent      string    // name of the one that a step may kill
 	resetAt     time.Time // when the discovery service last reset all connections
 	flips       int       // of partitions, so far
 	hasEnded    bool      // what the step waits for has come
@@ -88,12 +88,12 @@
 func (run *stepRun) sample() error {
 	if run.step.Discovery == discoveryResets && time.Since(run.resetAt) >= resetInterval {
 		run.resetAt = time.Now()
-		run.resetDiscovery()
+		run.player.resetDiscovery()
 	}
 	if run.step.MustReconnect && run.areAllConnected() {
 		run.end()
 	}
-	inFlight, _ := run.deployment.RequestLog.OriginFills()
+	inFlight, _ := run.player.deployment.RequestLog.OriginFills()
 	run.checkInFlight(inFlight)
 	floors := run.player.result.FloorSum
 	if run.step.MustExceedFloors && inFlight > floors+floors/floorsMargin {
@@ -113,8 +113,8 @@
 
 // areAllConnected reports that all routers that live are connected to the discovery service.
 func (run *stepRun) areAllConnected() bool {
-	_, open, _, _ := run.deployment.DiscoveryRelay.Counts()
-	return open >= run.options.Routers-len(run.killed)
+	_, open, _, _ := run.player.deployment.DiscoveryRelay.Counts()
+	return open >= run.player.options.Routers-len(run.player.killed)
 }
 
 // checkInFlight holds the greatest number of fills in flight since the last sample against its bound.
@@ -129,7 +129,7 @@
 	at := time.Since(run.player.startedAt).Seconds()
 	total.inFlightCurve = append(total.inFlightCurve, plotter.XY{X: at, Y: float64(inFlight)})
 	total.boundCurve = append(total.boundCurve, plotter.XY{X: at, Y: float64(bound)})
-	if run.OriginFillsPerRouter > 0 && inFlight > bound && run.result.Fault == "" {
+	if run.player.OriginFillsPerRouter > 0 && inFlight > bound && run.result.Fault == "" {
 		run.result.Fault = fmt.Sprintf("%d out at the head office %.2f s into it, %d may be", inFlight, run.elapsed(), bound)
 	}
 }
@@ -148,16 +148,16 @@
 	if run.flips%2 == 1 {
 		next.InterleavedPartitions = 0
 	}
-	return run.setConditions(&next)
+	return run.player.setConditions(&next)
 }
 
 // judge counts what the step came to, and finds the first thing that fell short.
 func (run *stepRun) judge() {
-	_, fills := run.deployment.RequestLog.OriginFills()
+	_, fills := run.player.deployment.RequestLog.OriginFills()
 	failedParentFills := run.failedParentFills()
 	run.result.Fills = fills - run.fillsBefore
 	run.result.FailedParentFills = len(failedParentFills)
-	run.result.MaxDials = run.deployment.DiscoveryRelay.MaxDialsWithin(run.dialsBefore, dialWindow)
+	run.result.MaxDials = run.player.deployment.DiscoveryRelay.MaxDialsWithin(run.dialsBefore, dialWindow)
 	run.result.DialBound = run.dialBound()
 	if run.result.Fault == "" {
 		run.result.Fault = run.shortfall(failedParentFills)
@@ -190,7 +190,7 @@
 	if run.step.MaxFailedParentFills == nil {
 		return nil
 	}
-	for _, request := range run.deployment.RequestLog.Requests() {
+	for _, request := range run.player.deployment.RequestLog.Requests() {
 		after := request.ArrivedAt.Sub(run.startedAt).Seconds()
 		if request.FillFrom == run.parent && after > run.step.SettleSeconds {
 			times = append(times, fmt.Sprintf("%.2f s", after))
@@ -201,7 +201,7 @@
 
 // dialBound is the bound of core/backoff on dials within dialWindow, for processes that run late.
 func (run *stepRun) dialBound() int {
-	routers := run.options.Routers
+	routers := run.player.options.Routers
 	period := int(backoff.Schedule{FleetSize: routers}.Period()) // us
 	return lateProcessFactor * (routers*int(dialWindow.Microseconds())/period + 1)
 }
--- a/lab/scenario/wire_compat_test.go
+++ b/lab/scenario/wire_compat_test.go
@@ -6,7 +6,7 @@
 	"spantack/internal/testfixture"
 )
 
-// The file result.json of spanlab live run.
+// The file result.json of spanlab scenario run.
 func TestStoredResultIsReadAndWrittenAlike(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/result.json", " ", Result{
 		Scenario: "s1",
