--- a/deploy/features.jsonnet
+++ b/deploy/features.jsonnet
@@ -111,7 +111,7 @@
     verdicts: false,  // keep off parents that two sites find failing
     // For a fleet of many hundreds: groups of routers lease the limit from one another, so that none receives requests from all. Left out: one router holds it for all.
     tree: {
-      routers: 12000,  // ranks that there may be; each costs its floor, there or not
+      routers: 12000,  // for now the number of peers: docs/fleet.md; each costs its floor, there or not
       groups: [16, 512],  // ranks in a group, smallest first: as many as a site has, and a region
       electors: [0, 2200, 4400, 6600, 8800],  // ranks of which more than half elect the holder of the fleet; three or five, in different regions
     },
