--- a/internal/handover/exclusions.go
+++ b/internal/handover/exclusions.go
@@ -123,11 +123,11 @@
 func (d *StateDir) lock(mode int) (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(d.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("lock on the excluded servers: %w", err)
+		return nil, fmt.Errorf("lock of what is out: %w", err)
 	}
 	if err := syscall.Flock(int(file.Fd()), mode); err != nil {
 		file.Close()
-		return nil, fmt.Errorf("lock on the excluded servers: %s: %w", lockFile, err)
+		return nil, fmt.Errorf("lock of what is out: %w", err)
 	}
 	return func() { file.Close() }, nil // releases the lock too
 }
--- a/standin/link/relay.go
+++ b/standin/link/relay.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"maps"
 	"net"
 	"slices"
 	"sync"
@@ -67,12 +68,14 @@
 // SetConditions changes what happens to connections, the open ones too.
 func (r *Relay) SetConditions(conditions RelayConditions) {
 	r.mu.Lock()
-	defer r.mu.Unlock()
 	r.conditions = conditions
+	var toReset []net.Conn
 	if conditions.Resets {
-		for conn := range r.conns {
-			reset(conn)
-		}
+		toReset = slices.Collect(maps.Keys(r.conns))
+	}
+	r.mu.Unlock()
+	for _, conn := range toReset {
+		reset(conn)
 	}
 }
 
@@ -149,10 +152,11 @@
 // register notes a pair of connections, and resets it if the conditions have changed meanwhile.
 func (r *Relay) register(client, server net.Conn) {
 	r.mu.Lock()
-	defer r.mu.Unlock()
 	r.conns[client] = true
 	r.conns[server] = true
-	if r.conditions.Resets {
+	resets := r.conditions.Resets
+	r.mu.Unlock()
+	if resets {
 		reset(client)
 		reset(server)
 	}
