--- a/standin/cache/conn.go
+++ b/standin/cache/conn.go
@@ -38,7 +38,7 @@
 	writeMu sync.Mutex // held for the length of a write
 
 	mu       sync.Mutex             // guards the fields below
-	open     map[string]openAttempt // by id; nil once the connection is abandoned
+	open     map[string]openAttempt // by id, which open requests of a connection never share; nil once abandoned
 	answered map[string]*attempt    // by id, those whose DROP may still come
 }
 
--- a/standin/cache/server_test.go
+++ b/standin/cache/server_test.go
@@ -98,3 +98,27 @@
 		t.Errorf("%q to a PING: %v", parts, err)
 	}
 }
+
+// While a server is paused it reads nothing but what its read that waits already gets; what comes after that stays
+// unread until it resumes.
+func TestPause(t *testing.T) {
+	log := NewRequestLog()
+	s := startHangingServer(t, 1, log)
+	conn := startRequest(t, s)
+	s.Pause()
+	write(t, conn, strings.Replace(getCommand, "\na\r", "\nb\r", 1))
+	testwait.Until(t, "the read that waits already", func() bool { return len(log.Requests()) == 2 })
+	write(t, conn, strings.Replace(getCommand, "\na\r", "\nc\r", 1))
+	testwait.Until(t, "unread bytes", func() bool {
+		accepted, open, unread := s.Connections()
+		return accepted == 1 && open == 1 && unread == 1
+	})
+	if requests := len(log.Requests()); requests != 2 {
+		t.Errorf("%d requests read while paused, want 2", requests)
+	}
+	s.Resume()
+	testwait.Until(t, "the request that was unread", func() bool { return len(log.Requests()) == 3 })
+	if _, _, unread := s.Connections(); unread != 0 {
+		t.Errorf("%d connections with unread bytes after the server resumed", unread)
+	}
+}
