--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -69,7 +69,8 @@
 	t.Cleanup(origin.Close)
 	d.origin = origin
 	for number := range plan.caches {
-		opt := caches.Options{ID: uint32(firstCache + number), RequestLog: d.requests, InjectFault: plan.script, FindServer: d.source}
+		opt := caches.Options{ID: uint32(firstCache + number), RequestLog: d.requests, InjectFault: plan.script,
+			FindServer: d.source}
 		if plan.cache != nil {
 			plan.cache(number, &opt)
 		}
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -185,7 +185,8 @@
 	testwait.Until(d.t, "an object that is served, by "+cache.Name(), func() bool {
 		number++
 		served = d.ask(fmt.Sprintf("%016x", number)) == nil || served
-		return served && slices.ContainsFunc(d.requests.Requests(), func(g caches.Request) bool { return g.Server == cache.Name() })
+		isFromCache := func(request caches.Request) bool { return request.Server == cache.Name() }
+		return served && slices.ContainsFunc(d.requests.Requests(), isFromCache)
 	})
 	return begin.Elapsed()
 }
--- a/core/cells/document_validation.go
+++ b/core/cells/document_validation.go
@@ -9,8 +9,8 @@
 	"spantack/core/rollout"
 )
 
-// ValidateMigrations validates a document for an assignment: tenants and cells must exist, and a tenant's cell must be one
-// of its migration's two.
+// ValidateMigrations validates a document for an assignment: tenants and cells must exist, and a tenant's cell must be
+// one of its migration's two.
 func (a *Assignment) ValidateMigrations(document *migration.Document) error {
 	if document == nil {
 		return nil
--- a/core/cells/spec_validation.go
+++ b/core/cells/spec_validation.go
@@ -27,8 +27,8 @@
 	return &FieldError{Path: path, Err: fmt.Errorf(format, args...)}
 }
 
-// Validate reports the first field that is invalid, by its path in the document. A specification that passes can be put in
-// force.
+// Validate reports the first field that is invalid, by its path in the document. A specification that passes can be put
+// in force.
 func (s *Spec) Validate() error {
 	if err := s.validateScalars(); err != nil {
 		return err
--- a/internal/msgpackrpc/wire_compat_test.go
+++ b/internal/msgpackrpc/wire_compat_test.go
@@ -49,7 +49,8 @@
 			asked <- q
 			return end
 		}}
-	return serverConn{&conn{server: s, openRequests: map[uint64]*openRequest{}, queue: make(chan encodedResponse, 4)}, asked}
+	return serverConn{&conn{server: s, openRequests: map[uint64]*openRequest{}, queue: make(chan encodedResponse, 4)},
+		asked}
 }
 
 // handle hands the bytes of one message to the server and returns those of its answer, if there is one.
@@ -108,7 +109,8 @@
 	c := newServerConn(router.Response{})
 	told := false
 	c.openRequests[1] = &openRequest{cancel: func() { told = true }}
-	if got := c.handle(t, testfixture.QuotedLines(t, wireFixture)["cancel of message 1"]); got != "" || !told || len(c.openRequests) != 0 {
+	got := c.handle(t, testfixture.QuotedLines(t, wireFixture)["cancel of message 1"])
+	if got != "" || !told || len(c.openRequests) != 0 {
 		t.Errorf("answer %+q, told %v, open %v", got, told, c.openRequests)
 	}
 }
@@ -142,9 +144,12 @@
 		message string
 		set     func(*Server)
 	}{
-		"health, ready":                           {"health request", func(*Server) {}},
-		"health, not ready":                       {"health request", unready},
-		"unknown method":                          {"request with all fields", func(s *Server) { delete(s.KeyRequired, "report") }},
+		"health, ready":     {"health request", func(*Server) {}},
+		"health, not ready": {"health request", unready},
+		"unknown method": {"request with all fields", func(s *Server) {
+			delete(s.KeyRequired,
+				"report")
+		}},
 		"field that can't be used":                {"request without its ref", func(*Server) {}},
 		"full":                                    {"request with all fields", func(s *Server) { s.MaxQueuedBytes = 1 }},
 		"drained":                                 {"request with all fields", func(s *Server) { s.draining = true }},
--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -18,7 +18,8 @@
 const wireFixture = "testdata/wire_compat.txt"
 
 func TestCommandsCompat(t *testing.T) {
-	request := &router.Request{ID: "9b1f00000000c0de", Class: "report", Object: "7f3a9c21e0b4d655", Chunk: 3, PurgeGroup: 17,
+	request := &router.Request{ID: "9b1f00000000c0de", Class: "report", Object: "7f3a9c21e0b4d655", Chunk: 3,
+		PurgeGroup:     17,
 		IdempotencyKey: "key-1", ClientETag: "tag.2", Body: []byte("\x00body\xff")}
 	plain := &router.Request{ID: "a", Class: "page"}
 	for name, a := range map[string]router.Attempt{
@@ -60,7 +61,8 @@
 
 	cases := map[string]router.AttemptResult{
 		"answer OK": {Outcome: "done", Body: []byte("\x00body\xff")},
-		"answer OK with all fields": {Outcome: "done", CacheStatus: 2, SourceWait: 3.5, Body: []byte("x"), LoadReport: "busy:0.5;queue:3",
+		"answer OK with all fields": {Outcome: "done", CacheStatus: 2, SourceWait: 3.5, Body: []byte("x"),
+			LoadReport: "busy:0.5;queue:3",
 			CopyMadeAt: 1764576000123},
 		"answer SAME":              {Outcome: "done", NotModified: true},
 		"answer MISS":              {Outcome: "enoent"},
--- a/internal/testfixture/commandlines.go
+++ b/internal/testfixture/commandlines.go
@@ -9,8 +9,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// CommandLines fails the test unless a program takes the commands, arguments and flags that a file lists, a line for each
-// command. Commands that have a new name are compared by their first alias, the name that the file has.
+// CommandLines fails the test unless a program takes the commands, arguments and flags that a file lists, a line for
+// each command. Commands that have a new name are compared by their first alias, the name that the file has.
 func CommandLines(t testing.TB, file, program string, commands any) {
 	t.Helper()
 	want, err := os.ReadFile(file)
