--- a/core/backoff/schedule.go
+++ b/core/backoff/schedule.go
@@ -1,38 +1,41 @@
-// Package backoff decides when each of hundreds of routers that start, or lose a service, at the same moment tries to
-// reach it, so that they come one after the other. It does no I/O and reads no clock: times are microseconds.
+// Package backoff schedules the connection attempts of a router fleet. When hundreds of routers start, or lose a
+// service, at the same time, their attempts are spread over time instead of arriving in bursts. The package does no I/O
+// and reads no clock. Times are in microseconds.
 package backoff
 
-// Schedule spaces the attempts of a fleet at a service that all its routers use, such as discovery, over a period,
-// each router in a slot of its own: slotted access (L. Roberts, "ALOHA packet system with and without slots and
-// capture", ACM SIGCOMM Computer Communication Review 5(2), 1975) with the slots handed out by rank.
+// Schedule spreads the attempts of a fleet to reach a shared service, such as discovery, over a period. Each router has
+// its own slot in the period. This is slotted access (L. Roberts, "ALOHA packet system with and without slots and
+// capture", ACM SIGCOMM Computer Communication Review 5(2), 1975) with slots assigned by rank.
 //
-// Bound: of routers that lost the service at the same moment, at most FleetSize x d / Period + 1 make an attempt
-// within any time d, for as long as it is away; of others, as many on average. A router makes an attempt within one
-// Period of the loss, and again one Period after each that failed, so that an event is late by no more than a
-// Period and what an attempt takes. (Without slots 300 routers made 1,200 attempts a second in four bursts.)
+// Bound: if all routers lost the service at the same time, they make at most FleetSize x d / Period + 1 attempts within
+// any time d while the service is unavailable. If they lost it at different times, this holds on average. A router makes
+// its first attempt within one Period of the loss, and the next one Period after each failed attempt. An event is
+// therefore delayed by at most one Period plus the duration of an attempt. Without slots, 300 routers made 1,200
+// attempts per second in four bursts.
 type Schedule struct {
 	Rank      int // of this router, from 0
-	FleetSize int // 0: this router is alone
+	FleetSize int // number of routers; 0: only this router
 }
 
-// attemptsPerSecond of a whole fleet are made, where that keeps within the longest period.
+// attemptsPerSecond is the target rate of attempts of the whole fleet. The actual rate is lower in small fleets, because
+// of minPeriod, and higher in large ones, because of maxPeriod.
 const attemptsPerSecond = 200
 
 // Times in microseconds.
 const (
 	second      = 1_000_000
-	minPeriod   = 200_000 // of small fleets: each router makes five attempts a second at most
-	maxPeriod   = 500_000 // events that take effect at once must not come later
-	minRetryGap = 20_000  // between an attempt that failed and the next: a slot that begins sooner is left out
+	minPeriod   = 200_000 // limits each router of a small fleet to five attempts per second
+	maxPeriod   = 500_000 // limits the delay of events that must take effect immediately
+	minRetryGap = 20_000  // between a failed attempt and the next one; a slot that starts earlier is skipped
 )
 
-// Period is the time (us) in which each router makes one attempt.
+// Period returns the time in microseconds in which each router makes one attempt.
 func (s Schedule) Period() int64 {
 	period := int64(s.FleetSize) * second / attemptsPerSecond
 	return min(max(period, minPeriod), maxPeriod)
 }
 
-// slot is where in a period this router makes its attempt.
+// slot returns the start of this router's slot, in microseconds from the start of the period.
 func (s Schedule) slot() int64 {
 	if s.FleetSize <= 0 || s.Rank < 0 {
 		return 0
@@ -40,8 +43,8 @@
 	return s.Period() * int64(s.Rank%s.FleetSize) / int64(s.FleetSize)
 }
 
-// Next is the time of the next attempt, at now or later, where the service was lost at lostAt. hasFailed tells that
-// an attempt has failed since.
+// Next returns the time of the next attempt, not before now, for a service that was lost at lostAt. hasFailed is true if
+// an attempt has failed since then.
 func (s Schedule) Next(lostAt, now int64, hasFailed bool) int64 {
 	earliest := now
 	if hasFailed {
--- a/core/backoff/schedule_test.go
+++ b/core/backoff/schedule_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// The bound of Schedule, for fleets of any size that lose the service at one moment and whose attempts fail after
-// times of their own, and the bound on each router's delay. With slots taken out (all at the start of the period)
-// the first fails at once.
-func TestScheduleKeepsItsBound(t *testing.T) {
+// Guards against attempts that exceed the documented rate, and against a router that waits longer than a period. Fleets
+// of random size lose the service at the same time, and each attempt fails after a random duration. Without slots (all
+// routers at the start of the period) the rate check fails immediately.
+func TestScheduleExceedsNoRateOrDelayBound(t *testing.T) {
 	const longestAttempt = 30_000
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -23,17 +23,17 @@
 			now, last, hasFailed := lostAt, lostAt, false
 			for now < lostAt+3*second {
 				next := schedule.Next(lostAt, now, hasFailed)
-				takes := rng.Int64N(longestAttempt)
+				duration := rng.Int64N(longestAttempt)
 				latest := last + period + minRetryGap + longestAttempt
 				if hasFailed {
 					latest += period
 				}
 				if next < now || next > latest {
-					t.Fatalf("%d of %d: an attempt at %d, the one before at %d, period %d",
+					t.Fatalf("rank %d of %d: attempt at %d us, previous one at %d us, period %d us",
 						rank, fleetSize, next-lostAt, last-lostAt, period)
 				}
 				attempts = append(attempts, next)
-				now, last, hasFailed = next+takes, next, true
+				now, last, hasFailed = next+duration, next, true
 			}
 		}
 		slices.Sort(attempts)
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkRate checks that no more attempts than the bound lie within any time d.
+// checkRate fails the test if more attempts than bound are made within any time d, in microseconds.
 func checkRate(t *testing.T, attempts []int64, d, bound int64) {
 	t.Helper()
 	first := 0
@@ -52,22 +52,22 @@
 			first++
 		}
 		if count := int64(last - first + 1); count > bound {
-			t.Fatalf("%d attempts in %d us, %d is the bound", count, d, bound)
+			t.Fatalf("%d attempts in %d us, want at most %d", count, d, bound)
 		}
 	}
 }
 
-func TestPeriod(t *testing.T) {
+func TestPeriodIsWithinBounds(t *testing.T) {
 	for fleetSize, want := range map[int]int64{0: 200_000, 4: 200_000, 60: 300_000, 100: 500_000, 300: 500_000} {
 		t.Run(fmt.Sprintf("%d routers", fleetSize), func(t *testing.T) {
 			if got := (Schedule{0, fleetSize}).Period(); got != want {
-				t.Errorf("a period of %d us, want %d", got, want)
+				t.Errorf("period is %d us, want %d us", got, want)
 			}
 		})
 	}
 }
 
-// BenchmarkNext is the time of one call; attempts/s is what a service that is away gets of so many routers.
+// BenchmarkNext measures one call. attempts/s is the rate of attempts to reach an unavailable service.
 func BenchmarkNext(b *testing.B) {
 	for _, routers := range []int{300, 1_000, 3_000, 11_000} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
--- a/core/endpoints/ejections.go
+++ b/core/endpoints/ejections.go
@@ -6,8 +6,8 @@
 	"spantack/routing"
 )
 
-// SetEjected replaces the servers that verdicts of the fleet have ejected, and returns the effective endpoints that
-// change. Servers that are not listed are ejected once they are.
+// SetEjected replaces the set of servers that the fleet's verdicts have ejected, and returns the effective endpoints that
+// change, ordered by server. A server that is not listed is ejected as soon as it is listed.
 func (l *List) SetEjected(ids []string) []routing.Endpoint {
 	ejected := setOf(ids)
 	if maps.Equal(ejected, l.ejected) {
@@ -15,7 +15,7 @@
 	}
 	before := l.ejected
 	l.ejected = ejected
-	return l.effectiveWhere(func(endpoint routing.Endpoint) bool {
+	return l.effectiveMatching(func(endpoint routing.Endpoint) bool {
 		server := endpoint.Server
 		hasChanged := before[server] != ejected[server]
 		return hasChanged && !l.excluded[server] && endpoint.Status == routing.EndpointHealthy
--- a/core/endpoints/exclusions.go
+++ b/core/endpoints/exclusions.go
@@ -10,14 +10,13 @@
 )
 
 const (
-	// MaxExclusions bounds how many servers may be excluded at a time: IDs of machines that are gone for good would pile
-	// up otherwise.
+	// MaxExclusions is the maximum number of excluded servers. Without it, IDs of removed machines would accumulate.
 	MaxExclusions = 1024
-	// maxIDLength, in bytes, bounds the IDs that ReplaceExclusions takes.
+	// maxIDLength is the maximum length in bytes of a server ID passed to ReplaceExclusions.
 	maxIDLength = 64
 )
 
-// The errors of calls about exclusions. The texts of the first two are answers of management calls.
+// Errors of the methods that change exclusions. Management calls return the texts of the first two to operators.
 var (
 	ErrUnknownServer     = errors.New("no such server is listed")
 	ErrTooManyExclusions = fmt.Errorf("%d servers are out already", MaxExclusions)
@@ -25,8 +24,8 @@
 	ErrInvalidID = errors.New("invalid server ID")
 )
 
-// Exclude excludes a listed server and returns its effective endpoint; nothing if it is excluded already. The error is
-// ErrUnknownServer or ErrTooManyExclusions.
+// Exclude excludes a listed server and returns its effective endpoint, or nil if it is already excluded. It returns
+// ErrUnknownServer for a server that is not listed, and ErrTooManyExclusions if MaxExclusions servers are excluded.
 func (l *List) Exclude(id string) ([]routing.Endpoint, error) {
 	endpoint, isListed := l.announced[id]
 	switch {
@@ -41,8 +40,8 @@
 	return []routing.Endpoint{l.effective(endpoint)}, nil
 }
 
-// Reinstate ends the exclusion of a server, however often it was excluded, and returns its effective endpoint if it is
-// listed. The error is ErrUnknownServer for one that is neither listed nor excluded.
+// Reinstate ends the exclusion of a server, regardless of how often it was excluded, and returns its effective endpoint
+// if it is listed and was excluded. It returns ErrUnknownServer for a server that is neither listed nor excluded.
 func (l *List) Reinstate(id string) ([]routing.Endpoint, error) {
 	endpoint, isListed := l.announced[id]
 	wasExcluded := l.excluded[id]
@@ -56,11 +55,12 @@
 	return []routing.Endpoint{l.effective(endpoint)}, nil
 }
 
-// Exclusions are the IDs of the excluded servers, in order.
+// Exclusions returns the IDs of the excluded servers, sorted.
 func (l *List) Exclusions() []string { return sortedKeys(l.excluded) }
 
-// ReplaceExclusions excludes these servers and no others, and returns the effective endpoints that change. A set that
-// Exclusions could not have returned changes nothing; the error wraps ErrTooManyExclusions or ErrInvalidID.
+// ReplaceExclusions replaces the set of excluded servers and returns the effective endpoints that change, ordered by
+// server. More than MaxExclusions IDs, or an empty or too long ID, change nothing. The error then wraps
+// ErrTooManyExclusions or ErrInvalidID.
 func (l *List) ReplaceExclusions(ids []string) ([]routing.Endpoint, error) {
 	if len(ids) > MaxExclusions {
 		return nil, fmt.Errorf("%d ids: %w", len(ids), ErrTooManyExclusions)
@@ -72,7 +72,7 @@
 	}
 	before := l.excluded
 	l.excluded = setOf(ids)
-	return l.effectiveWhere(func(endpoint routing.Endpoint) bool {
+	return l.effectiveMatching(func(endpoint routing.Endpoint) bool {
 		return before[endpoint.Server] != l.excluded[endpoint.Server]
 	}), nil
 }
--- a/core/endpoints/exclusions_test.go
+++ b/core/endpoints/exclusions_test.go
@@ -8,14 +8,14 @@
 	"spantack/routing"
 )
 
-// An excluded server stays out through a drain, a restart and a complete new list; one reinstatement undoes two
-// exclusions.
-func TestExclusionHoldsWhateverIsAnnounced(t *testing.T) {
+// Guards against an exclusion that ends when the server drains, is removed, restarts or is in a new complete list, and
+// against a second exclusion that needs a second reinstatement.
+func TestExclusionSurvivesAnnouncements(t *testing.T) {
 	l := New()
 	l.Update(true, []routing.Endpoint{endpoint("a", routing.EndpointHealthy), endpoint("b", routing.EndpointHealthy)})
 	for i, want := range []string{"a=cordoned ", ""} {
 		if changed, err := l.Exclude("a"); err != nil || statuses(changed) != want {
-			t.Errorf("call %d: %v, %v", i, changed, err)
+			t.Errorf("exclusion %d: %v, %v", i, changed, err)
 		}
 	}
 	restarted := endpoint("a", routing.EndpointHealthy)
@@ -37,14 +37,14 @@
 	}
 	changed, err := l.Reinstate("a")
 	if err != nil || statuses(changed) != "a=healthy " || changed[0].StartedAt != 7 {
-		t.Errorf("reinstated: %+v, %v", changed, err)
+		t.Errorf("after the reinstatement: %+v, %v", changed, err)
 	}
 	if changed, err := l.Reinstate("a"); err != nil || changed != nil {
-		t.Errorf("reinstated twice: %v, %v", changed, err)
+		t.Errorf("after a second reinstatement: %v, %v", changed, err)
 	}
 }
 
-func TestExclusionsOfUnlistedServers(t *testing.T) {
+func TestUnlistedServerIsNeitherExcludedNorCounted(t *testing.T) {
 	l := New()
 	l.Update(true, []routing.Endpoint{endpoint("a", routing.EndpointHealthy)})
 	if _, err := l.Exclude("x"); !errors.Is(err, ErrUnknownServer) {
@@ -60,11 +60,11 @@
 		t.Errorf("%d listed, %d unavailable", listed, unavailable)
 	}
 	if changed, err := l.Reinstate("a"); err != nil || changed != nil {
-		t.Errorf("reinstated when it has left the list: %v, %v", changed, err)
+		t.Errorf("reinstatement of a server that is no longer listed: %v, %v", changed, err)
 	}
 }
 
-func TestReplaceExclusionsRejectsWhatCantBe(t *testing.T) {
+func TestReplaceExclusionsRejectsInvalidSets(t *testing.T) {
 	l := New()
 	l.Update(true, []routing.Endpoint{endpoint("a", routing.EndpointHealthy)})
 	l.Exclude("a")
@@ -82,6 +82,6 @@
 		}
 	}
 	if got := l.Exclusions(); !slices.Equal(got, []string{"a"}) {
-		t.Errorf("exclusions %v after sets that were rejected", got)
+		t.Errorf("exclusions are %v after rejected sets, want [a]", got)
 	}
 }
--- a/core/endpoints/list.go
+++ b/core/endpoints/list.go
@@ -1,10 +1,10 @@
-// Package endpoints keeps a router's endpoint list as discovery announces it, and apart from it the servers that
-// operators have excluded and those that the fleet's verdicts have ejected.
+// Package endpoints maintains a router's endpoint list as announced by discovery. It tracks separately the servers that
+// operators have excluded and the servers that the fleet's verdicts have ejected.
 //
-// A server that is excluded or ejected reaches package routing as draining: nothing new goes to it, as a request or
-// as the source of a fill, whatever discovery announces meanwhile, until it is reinstated. Exclusions are handed on
-// to the process that replaces this one (Exclusions, ReplaceExclusions); ejections are not, as each process finds its
-// own.
+// Package routing receives a healthy server that is excluded or ejected as draining. Such a server gets no new requests
+// and is no source of new fills until it is reinstated, whatever discovery announces in the meantime. Exclusions are
+// handed to the process that replaces this one (Exclusions, ReplaceExclusions). Ejections are not: each process
+// determines its own.
 package endpoints
 
 import (
@@ -13,15 +13,15 @@
 	"spantack/routing"
 )
 
-// List is one router's endpoint list. Its methods return what package routing has to be told. It is not safe for
-// concurrent use.
+// List is one router's endpoint list. Its methods that change it return the endpoint updates for package routing. It is
+// not safe for concurrent use.
 type List struct {
-	announced map[string]routing.Endpoint // by server, as last announced; without those that were removed
-	excluded  map[string]bool             // by operators
-	ejected   map[string]bool             // by verdicts of the fleet, listed or not
+	announced map[string]routing.Endpoint // by server, as last announced, without removed servers
+	excluded  map[string]bool             // by server: excluded by operators
+	ejected   map[string]bool             // by server: ejected by verdicts of the fleet, listed or not
 }
 
-// New returns an empty list without exclusions.
+// New returns a list without endpoints, exclusions and ejections.
 func New() *List {
 	return &List{
 		announced: map[string]routing.Endpoint{},
@@ -30,7 +30,8 @@
 	}
 }
 
-// Update takes in a change of the list, or with isSnapshot the complete list, and returns the effective endpoints.
+// Update applies announced endpoints to the list and returns their effective endpoints, in the same order. With
+// isSnapshot they are the complete list.
 func (l *List) Update(isSnapshot bool, announced []routing.Endpoint) []routing.Endpoint {
 	if isSnapshot {
 		clear(l.announced)
@@ -47,17 +48,18 @@
 	return effective
 }
 
-// effective is an announced endpoint as package routing is told of it: draining if it is excluded or ejected.
+// effective returns an announced endpoint as package routing receives it: draining if it is healthy, and excluded or
+// ejected.
 func (l *List) effective(endpoint routing.Endpoint) routing.Endpoint {
-	isOut := l.excluded[endpoint.Server] || l.ejected[endpoint.Server]
-	if isOut && endpoint.Status == routing.EndpointHealthy {
+	isWithheld := l.excluded[endpoint.Server] || l.ejected[endpoint.Server]
+	if isWithheld && endpoint.Status == routing.EndpointHealthy {
 		endpoint.Status = routing.EndpointDraining
 	}
 	return endpoint
 }
 
-// effectiveWhere returns the effective endpoints of the announced ones that match, in the order of their servers.
-func (l *List) effectiveWhere(matches func(routing.Endpoint) bool) []routing.Endpoint {
+// effectiveMatching returns the effective endpoints of the announced endpoints that match, ordered by server.
+func (l *List) effectiveMatching(matches func(routing.Endpoint) bool) []routing.Endpoint {
 	var effective []routing.Endpoint
 	for _, server := range sortedKeys(l.announced) {
 		if endpoint := l.announced[server]; matches(endpoint) {
@@ -67,14 +69,14 @@
 	return effective
 }
 
-// Count returns how many announced endpoints match, and how many of these are excluded or among avoided.
-func (l *List) Count(matches func(routing.Endpoint) bool, avoided []string) (listed, unavailable int) {
+// Count returns the number of announced endpoints that match, and how many of these are excluded or listed in ejected.
+func (l *List) Count(matches func(routing.Endpoint) bool, ejected []string) (listed, unavailable int) {
 	for server, endpoint := range l.announced {
 		if !matches(endpoint) {
 			continue
 		}
 		listed++
-		if l.excluded[server] || slices.Contains(avoided, server) {
+		if l.excluded[server] || slices.Contains(ejected, server) {
 			unavailable++
 		}
 	}
