--- a/core/gossip/bench_test.go
+++ b/core/gossip/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// setSequence gives a datagram another sequence number.
+// setSequence overwrites the sequence number of a datagram.
 func setSequence(datagram []byte, sequence uint32) {
 	binary.BigEndian.PutUint32(datagram[10:], sequence)
 }
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkReceiveFromMany is one datagram received in a fleet of so many routers, each of which sends in turn.
+// BenchmarkReceiveFromMany measures the receipt of one datagram for several fleet sizes. Senders take turns.
 func BenchmarkReceiveFromMany(b *testing.B) {
 	for _, routers := range []int{300, 1_000, 3_000, 11_000} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
--- a/core/gossip/datagram.go
+++ b/core/gossip/datagram.go
@@ -6,35 +6,36 @@
 	"fmt"
 )
 
-// A datagram, numbers big-endian:
+// Layout of a datagram, with the size of each field in bytes. Integers are big-endian:
 //
 //	version:1 kind:1 rank:2 site:2 incarnation:4 sequence:4 server:4 ...
 //
-// From one to MaxServersPerDatagram servers follow the header, each as the number that its id stands for.
+// The header is followed by 1 to MaxServersPerDatagram servers, each encoded as the number in its ID.
 const (
-	// MaxDatagramSize is the platform's bound in bytes. No longer datagram is ever built.
+	// MaxDatagramSize is the maximum size of a datagram in bytes, which the platform sets.
 	MaxDatagramSize = 256
-	// MaxServersPerDatagram is how many servers one datagram names at most.
+	// MaxServersPerDatagram is the maximum number of servers in a datagram.
 	MaxServersPerDatagram = (MaxDatagramSize - headerSize) / serverSize
 
 	datagramVersion = 1
-	kindOverload    = 1 // core/fleet has other kinds
+	kindOverload    = 1 // core/fleet uses other kinds
 	headerSize      = 14
 	serverSize      = 4
 )
 
-// ErrMalformed is wrapped where the bytes are no datagram of this package.
+// ErrMalformed is wrapped by errors for bytes that are not a valid datagram of this package.
 var ErrMalformed = errors.New("malformed datagram")
 
-// Message is a datagram that was parsed or is to be sent.
+// Message is the content of a datagram: a report of overloaded servers.
 type Message struct {
 	Rank, Site  int // of the sender
 	Incarnation uint32
-	Sequence    uint32   // numbers the datagrams of an incarnation
-	Overloaded  []uint32 // numbers of servers
+	Sequence    uint32   // increases by one for each datagram of an incarnation
+	Overloaded  []uint32 // servers, by the number in their ID
 }
 
-// Append writes m behind buffer. It names the first MaxServersPerDatagram servers at most.
+// Append appends the encoded datagram to buffer and returns the extended buffer. Servers beyond the first
+// MaxServersPerDatagram are left out.
 func (m *Message) Append(buffer []byte) []byte {
 	order := binary.BigEndian
 	buffer = append(buffer, datagramVersion, kindOverload)
@@ -48,7 +49,7 @@
 	return buffer
 }
 
-// Parse reads a datagram into m, whose room for servers is used again. Its error wraps ErrMalformed.
+// Parse decodes a datagram into m and reuses the memory of m.Overloaded. Its error wraps ErrMalformed.
 func (m *Message) Parse(datagram []byte) error {
 	size := len(datagram)
 	switch {
--- a/core/gossip/datagram_test.go
+++ b/core/gossip/datagram_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is written can be read, and no datagram is longer than the platform allows.
-func TestDatagramsFit(t *testing.T) {
+// Guards against datagrams that cannot be parsed, that lose content, or that exceed the platform's maximum size.
+func TestDatagramRoundTripWithinMaxSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Message{
 			Rank:        rapid.IntRange(0, 65535).Draw(t, "rank"),
@@ -26,7 +26,7 @@
 		isSame := parsed.Rank == m.Rank && parsed.Site == m.Site && parsed.Incarnation == m.Incarnation &&
 			parsed.Sequence == m.Sequence && slices.Equal(parsed.Overloaded, m.Overloaded)
 		if !isSame {
-			t.Fatalf("%+v was read as %+v", m, parsed)
+			t.Fatalf("%+v was parsed as %+v", m, parsed)
 		}
 	})
 }
@@ -39,13 +39,13 @@
 		if m.Parse(datagram) != nil {
 			return
 		}
-		if written := m.Append(nil); !slices.Equal(written, datagram) {
-			t.Errorf("%x was written as %x", datagram, written)
+		if encoded := m.Append(nil); !slices.Equal(encoded, datagram) {
+			t.Errorf("%x was encoded as %x", datagram, encoded)
 		}
 	})
 }
 
-func TestServerIDs(t *testing.T) {
+func TestParseServerIDRejectsOtherForms(t *testing.T) {
 	for id, want := range map[string]uint32{"s-0000002a": 0x2a, "s-00c41f7a": 0xc41f7a, "s-ffffffff": 0xffffffff} {
 		if server, ok := ParseServerID(id); !ok || server != want || formatServerID(server) != id {
 			t.Errorf("%s: %#x, %v", id, server, ok)
@@ -53,13 +53,13 @@
 	}
 	for _, id := range []string{"", "s-", "s-2a", "s-0000002g", "s-00000002a", "p-0000002a", "0000002a"} {
 		if server, ok := ParseServerID(id); ok {
-			t.Errorf("%q is taken for %#x", id, server)
+			t.Errorf("invalid ID %q was parsed as %#x", id, server)
 		}
 	}
 }
 
-// Datagrams that overtake one another are each accepted once, in any order within the window.
-func TestReorderedDatagrams(t *testing.T) {
+// Guards against reordered datagrams that are rejected within the window, or accepted twice.
+func TestReorderedDatagramsAreAcceptedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var window ReplayWindow
 		accepted := map[uint32]bool{}
@@ -67,7 +67,7 @@
 		for _, sequence := range rapid.SliceOfN(rapid.Uint32Range(1, 200), 1, 300).Draw(t, "sequences") {
 			want := !accepted[sequence] && (sequence > greatest || greatest-sequence < 64)
 			if got := window.Accept(1, sequence); got != want {
-				t.Fatalf("%d after %d: accepted %v", sequence, greatest, got)
+				t.Fatalf("sequence %d after greatest %d: accepted %v", sequence, greatest, got)
 			}
 			if want {
 				accepted[sequence] = true
--- a/core/gossip/fleet_test.go
+++ b/core/gossip/fleet_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// world is a fleet of 300 routers of 50 sites in virtual time, some of which find one server overloaded. Three
-// datagrams of ten are lost, and the others take 1 to 23 ms.
-type world struct {
-	rng      *rand.Rand
-	isCut    bool // in two halves
-	nodes    []*Node
-	foundAt  []int64 // by rank: when it was told that the server is overloaded; 0: it was not
-	inFlight []delivery
-	sent     int // datagrams
+// simulatedFleet is a fleet of 300 routers at 50 sites in virtual time. Some of the routers find one server overloaded.
+// 30% of all datagrams are lost. The others arrive after 1 to 23 ms.
+type simulatedFleet struct {
+	rng           *rand.Rand
+	isPartitioned bool // into two halves that exchange no datagrams
+	nodes         []*Node
+	notifiedAt    []int64 // by rank: time in us when the router learned from others of the overload; 0: not yet
+	inFlight      []delivery
+	sent          int // datagrams
 }
 
 type delivery struct {
@@ -23,75 +23,77 @@
 	datagram []byte
 }
 
-func newWorld(t *testing.T, seed uint64, isCut bool) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), isCut: isCut, foundAt: make([]int64, 300)}
-	for rank := range w.foundAt {
-		w.nodes = append(w.nodes, newTestNode(t, rank, rank/6))
+func newSimulatedFleet(t *testing.T, seed uint64, isPartitioned bool) *simulatedFleet {
+	f := &simulatedFleet{rng: rand.New(rand.NewPCG(seed, 1)), isPartitioned: isPartitioned, notifiedAt: make([]int64, 300)}
+	for rank := range f.notifiedAt {
+		f.nodes = append(f.nodes, newTestNode(t, rank, rank/6))
 	}
-	return w
+	return f
 }
 
-// deliver delivers what is due.
-func (w *world) deliver(t *testing.T, now int64) {
-	var later []delivery
-	for _, d := range w.inFlight {
+// deliver delivers the datagrams that have arrived by now.
+func (f *simulatedFleet) deliver(t *testing.T, now int64) {
+	var remaining []delivery
+	for _, d := range f.inFlight {
 		if d.at > now {
-			later = append(later, d)
+			remaining = append(remaining, d)
 			continue
 		}
-		err := w.nodes[d.to].Receive(now, d.from, d.datagram, func(string) {
-			if w.foundAt[d.to] == 0 {
-				w.foundAt[d.to] = now
+		err := f.nodes[d.to].Receive(now, d.from, d.datagram, func(string) {
+			if f.notifiedAt[d.to] == 0 {
+				f.notifiedAt[d.to] = now
 			}
 		})
 		if err != nil && !errors.Is(err, ErrStale) {
 			t.Fatal(err)
 		}
 	}
-	w.inFlight = later
+	f.inFlight = remaining
 }
 
-// reportOverload has a router find the server overloaded, and sends what that calls for.
-func (w *world) reportOverload(now int64, from int) {
-	datagram := w.nodes[from].ReportOverload(now, testServer)
+// reportOverload reports the server as overloaded at the router from, and sends the datagram that it returns, if any.
+func (f *simulatedFleet) reportOverload(now int64, from int) {
+	datagram := f.nodes[from].ReportOverload(now, testServer)
 	if datagram == nil {
 		return
 	}
-	w.sent++
-	for to := range w.nodes {
-		if to == from || w.rng.IntN(10) < 3 {
+	f.sent++
+	for to := range f.nodes {
+		if to == from || f.rng.IntN(10) < 3 {
 			continue
 		}
-		if w.isCut && (to < 150) != (from < 150) {
+		if f.isPartitioned && (to < 150) != (from < 150) {
 			continue
 		}
-		w.inFlight = append(w.inFlight, delivery{now + 1400 + w.rng.Int64N(21_600), to, from, datagram})
+		f.inFlight = append(f.inFlight, delivery{now + 1400 + f.rng.Int64N(21_600), to, from, datagram})
 	}
 }
 
-// In a fleet of 300 routers of which one in twenty finds a server overloaded by itself in a second, 99 of 100 are
-// told within half a second, for 60 datagrams at most; cut in two halves, each half does by itself.
-func TestFleetLearnsTogether(t *testing.T) {
-	for _, isCut := range []bool{false, true} {
+// Guards against overload reports that reach too few routers or cost too many datagrams. In half a second about 100
+// overloads are found, each by a random router of 300. Within this time 99% of the routers must be notified, with at
+// most 60 datagrams. This must also hold while the fleet is partitioned into two halves.
+func TestOverloadReachesFleetWithinDatagramBudget(t *testing.T) {
+	for _, isPartitioned := range []bool{false, true} {
 		for seed := range uint64(5) {
-			w := newWorld(t, seed, isCut)
-			const begin = int64(10 * second)
-			for now := begin; now < begin+500*millisecond; now += millisecond {
-				w.deliver(t, now)
-				for range 2 { // two a millisecond may find it, as when a parent cache is overloaded
-					if w.rng.IntN(10) == 0 {
-						w.reportOverload(now, w.rng.IntN(300))
+			f := newSimulatedFleet(t, seed, isPartitioned)
+			const start = int64(10 * second)
+			for now := start; now < start+500*millisecond; now += millisecond {
+				f.deliver(t, now)
+				for range 2 { // up to two reports per ms, as when a parent cache is overloaded
+					if f.rng.IntN(10) == 0 {
+						f.reportOverload(now, f.rng.IntN(300))
 					}
 				}
 			}
 			missed := 0
-			for _, at := range w.foundAt {
+			for _, at := range f.notifiedAt {
 				if at == 0 {
 					missed++
 				}
 			}
-			if missed > 3 || w.sent > 60 || w.sent < 3 {
-				t.Errorf("cut %v, seed %d: %d of 300 were not told, %d datagrams", isCut, seed, missed, w.sent)
+			if missed > 3 || f.sent > 60 || f.sent < 3 {
+				t.Errorf("partitioned %v, seed %d: %d of 300 not notified, %d datagrams",
+					isPartitioned, seed, missed, f.sent)
 			}
 		}
 	}
--- a/core/gossip/node.go
+++ b/core/gossip/node.go
@@ -1,11 +1,13 @@
-// Package gossip decides what a router tells the others of its fleet of servers that all of them share, and what it
-// concludes from what they tell. A server is taken for overloaded when routers of two sites have reported it within a
-// second. It does no I/O and reads no clock: times are microseconds, and never run backwards.
+// Package gossip exchanges reports of overloaded servers between the routers of a fleet. A server is considered
+// overloaded when routers of two sites have reported it within a second. The package does no I/O and reads no clock.
+// Times are in microseconds and never decrease.
 //
-// Bounds, whatever is received: a datagram has MaxDatagramSize bytes at most; no more than sendBurst of them are
-// sent at once, and one each sendInterval on average; memory is kept for maxTrackedServers servers and one entry
-// for each router of the fleet; and what was reported longer than reportLifetime ago counts no more, so that a
-// router whose peers are silent or cut off is left with its own knowledge.
+// Bounds that hold for any input:
+//   - A datagram has at most MaxDatagramSize bytes.
+//   - A router sends at most sendBurst datagrams at once, and on average one per sendInterval.
+//   - A router stores reports of at most maxTrackedServers servers, and one entry for each router of the fleet.
+//   - Reports expire after reportLifetime. A router that receives nothing from its peers relies on its own
+//     observations.
 package gossip
 
 import (
@@ -15,50 +17,52 @@
 )
 
 const (
-	// quorum is how many sites must find a server overloaded: where one site's own link is full, all its sources look
-	// overloaded. Two are the fewest that tell that apart, and each further one costs time in which the load grows.
+	// quorum is the number of sites that must report a server before it counts as overloaded. If the link of one site
+	// is full, all its sources look overloaded there. Two sites are the minimum that excludes this cause. Each further
+	// one would add a delay during which the load grows.
 	quorum = 2
-	// minFleetSize is how many routers there are where gossip is of use: of fewer, each sends a server enough
-	// requests to learn by itself.
+	// minFleetSize is the smallest fleet that uses gossip. In a smaller one, each router sends a server enough requests
+	// to detect overload by itself.
 	minFleetSize = 16
-	// maxTrackedServers is how many servers reports are kept of.
+	// maxTrackedServers is the maximum number of servers whose reports are stored.
 	maxTrackedServers = 512
-	// maxFleetSize and maxSites: ranks and sites go over the wire in 16 bits.
+	// maxFleetSize and maxSites follow from the 16 bits that a datagram has for a rank and for a site.
 	maxFleetSize = 1 << 16
 	maxSites     = 1 << 16
 )
 
 // Times in microseconds.
 const (
-	reportLifetime = 1_000_000 // how long a report counts
-	repeatInterval = 250_000   // how soon a router reports a server again, or after quorum others have
+	reportLifetime = 1_000_000 // after which a report expires
+	repeatInterval = 250_000   // minimum time before a router reports a server again, or reports it after a quorum
 	sendInterval   = 100_000   // between datagrams of a router, on average
 	sendBurst      = 8         // datagrams that a router may send at once
 )
 
-// The reasons why a datagram is dropped, beside ErrMalformed.
+// Errors for dropped datagrams, in addition to ErrMalformed.
 var (
-	// ErrUnknownSender is wrapped where the sender is no router of the settings, or names another rank than its
+	// ErrUnknownSender is wrapped by errors for a sender that is not in the settings, or whose rank does not match its
 	// address.
 	ErrUnknownSender = errors.New("not a router of this fleet")
-	// ErrStale is wrapped where the datagram was received before, or is older than what was received before.
+	// ErrStale is wrapped by errors for a datagram that was already received, is of an earlier incarnation, or is older
+	// than the replay window.
 	ErrStale = errors.New("old or repeated datagram")
 )
 
 // ErrInvalidOptions is wrapped by the errors of New, which name the option.
 var ErrInvalidOptions = errors.New("invalid options")
 
-// Options of a Node.
+// Options configures a Node.
 type Options struct {
 	Rank        int    // of this router, from 0
-	FleetSize   int    // routers in the settings
+	FleetSize   int    // number of routers in the settings
 	Site        int    // of this router, from 0
-	Sites       int    // sites in the settings
-	Incarnation uint32 // greater at each start of this router, such as the start's Unix time in seconds
+	Sites       int    // number of sites in the settings
+	Incarnation uint32 // increases with each start of this router, for example its start time as Unix seconds
 }
 
-// ValidatePlacement returns an error that names the option that is out of its range, nil if none is: a router's
-// rank in the fleet, its site among all sites, or the number of either.
+// ValidatePlacement checks that a router's rank is below fleetSize, that its site is below sites, and that both numbers
+// are within 1 to 65536. The error names the first value that is out of range.
 func ValidatePlacement(rank, fleetSize, site, sites int) error {
 	switch {
 	case fleetSize < 1 || fleetSize > maxFleetSize:
@@ -73,20 +77,20 @@
 	return nil
 }
 
-// Counts of a Node since its start.
+// Counts holds the counters of a Node since its start.
 type Counts struct {
 	Sent, Received, Dropped int64 // datagrams
-	OverloadsFound          int64 // servers found overloaded by what others report, each time
+	OverloadsFound          int64 // how often received reports made a server count as overloaded
 }
 
-// serverReports is what was reported of one server.
+// serverReports holds the overload reports about one server. Times are in microseconds.
 type serverReports struct {
-	reportedAt   map[int]int64 // when a site last found it overloaded
-	sentAt       int64         // when this router last reported it
-	overloadedAt int64         // when quorum last found it overloaded
+	reportedAt   map[int]int64 // by site: time of its latest report
+	sentAt       int64         // time when this router last sent a report
+	overloadedAt int64         // time when received reports last reached the quorum
 }
 
-// Node is one router's part in the gossip. It is not safe for concurrent use.
+// Node is the gossip state of one router. It is not safe for concurrent use.
 type Node struct {
 	Counts Counts
 
@@ -95,10 +99,10 @@
 	rateLimit     TokenBucket
 	replayWindows map[int]ReplayWindow // by rank
 	servers       map[uint32]*serverReports
-	received      Message // used again by each Receive
+	received      Message // reused by each Receive
 }
 
-// New returns a node that has sent and received nothing. Its error wraps ErrInvalidOptions and names the option.
+// New returns a node without reports. Its error wraps ErrInvalidOptions and names the option.
 func New(options Options) (*Node, error) {
 	if err := ValidatePlacement(options.Rank, options.FleetSize, options.Site, options.Sites); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidOptions, err)
@@ -111,13 +115,15 @@
 	}, nil
 }
 
-// IsEnabled reports whether the fleet is large enough, and has enough sites, for reports to be of use.
+// IsEnabled reports whether this router sends reports: the fleet must have at least minFleetSize routers, and more than
+// quorum sites.
 func (n *Node) IsEnabled() bool {
 	return n.options.FleetSize >= minFleetSize && n.options.Sites > quorum
 }
 
-// ReportOverload notes that this router itself found a server overloaded, and returns the datagram for all others;
-// nil if there is nothing to send: it was reported lately, by this router or enough others, or too much was sent.
+// ReportOverload records that this router found a server overloaded, and returns the datagram to send to all other
+// routers. It returns nil if there is nothing to send: the node is not enabled, the ID is invalid, too many servers are
+// tracked, this router sent a report or the quorum was reached within repeatInterval, or the rate limit is exceeded.
 func (n *Node) ReportOverload(now int64, serverID string) []byte {
 	server, ok := ParseServerID(serverID)
 	if !ok || !n.IsEnabled() {
@@ -151,9 +157,10 @@
 	return m.Append(make([]byte, 0, headerSize+serverSize))
 }
 
-// Receive takes in a datagram of the router with that rank, as its address tells, and calls onOverloaded for each
-// server that is now found overloaded. Its error wraps ErrMalformed, ErrUnknownSender or ErrStale; nothing was
-// taken in then. This router's own datagrams, which come back where an address reaches all, are passed over.
+// Receive processes a datagram, and calls onOverloaded for each server for which it completes the quorum. rank is the
+// sender's rank according to its address. The error wraps ErrMalformed, ErrUnknownSender or ErrStale; the datagram then
+// has no effect except on Counts.Dropped. This router's own datagrams, which arrive if it sends to a broadcast address,
+// are ignored.
 func (n *Node) Receive(now int64, rank int, datagram []byte, onOverloaded func(serverID string)) error {
 	if rank == n.options.Rank {
 		return nil
@@ -176,7 +183,7 @@
 	}
 	window := n.replayWindows[rank]
 	if !window.Accept(m.Incarnation, m.Sequence) {
-		return fmt.Errorf("%w: rank %d, %d of %d", ErrStale, rank, m.Sequence, m.Incarnation)
+		return fmt.Errorf("%w: rank %d, sequence %d of incarnation %d", ErrStale, rank, m.Sequence, m.Incarnation)
 	}
 	n.replayWindows[rank] = window
 	for _, server := range m.Overloaded {
@@ -194,7 +201,7 @@
 	return nil
 }
 
-// countSites counts the sites that have found the server overloaded of late, since quorum last has.
+// countSites returns the number of sites with an unexpired report since the quorum was last reached.
 func (r *serverReports) countSites(now int64) (sites int) {
 	for _, at := range r.reportedAt {
 		if at > r.overloadedAt && now-at <= reportLifetime {
@@ -204,10 +211,11 @@
 	return sites
 }
 
-// reportsOf returns what was reported of a server; nil if too many others are tracked.
+// reportsOf returns the reports about a server, and starts to track it if necessary. It returns nil if
+// maxTrackedServers others have unexpired reports.
 func (n *Node) reportsOf(now int64, server uint32) *serverReports {
-	if known := n.servers[server]; known != nil {
-		return known
+	if tracked := n.servers[server]; tracked != nil {
+		return tracked
 	}
 	if len(n.servers) >= maxTrackedServers {
 		n.expireReports(now)
@@ -224,7 +232,7 @@
 	return added
 }
 
-// expireReports removes the reports that no longer count, and the servers that have no others.
+// expireReports removes expired reports, and the servers without any other report.
 func (n *Node) expireReports(now int64) {
 	maps.DeleteFunc(n.servers, func(_ uint32, reports *serverReports) bool {
 		maps.DeleteFunc(reports.reportedAt, func(_ int, at int64) bool { return now-at > reportLifetime })
--- a/core/gossip/node_test.go
+++ b/core/gossip/node_test.go
@@ -23,7 +23,7 @@
 	return n
 }
 
-// overloadReport is a datagram of a router about one server.
+// overloadReport returns a datagram in which a router reports one server.
 func overloadReport(rank, site int, incarnation, sequence uint32, serverID string) []byte {
 	server, _ := ParseServerID(serverID)
 	m := Message{Rank: rank, Site: site, Incarnation: incarnation, Sequence: sequence, Overloaded: []uint32{server}}
@@ -32,18 +32,18 @@
 
 func ignore(string) {}
 
-func TestTwoSitesMustAgree(t *testing.T) {
+func TestOverloadNeedsReportsOfTwoSites(t *testing.T) {
 	type report struct {
 		at         int64
 		rank, site int
-		isFound    bool // overloaded, upon this report
+		isFound    bool // whether this report makes the server count as overloaded
 	}
 	for name, reports := range map[string][]report{
-		"one site":                  {{0, 1, 1, false}},
-		"two sites":                 {{0, 1, 1, false}, {1, 2, 2, true}},
-		"three routers of one":      {{0, 1, 1, false}, {1, 2, 1, false}, {2, 3, 1, false}},
-		"one too long ago":          {{0, 1, 1, false}, {1001 * millisecond, 2, 2, false}, {1002 * millisecond, 3, 3, true}},
-		"once more takes two again": {{0, 1, 1, false}, {1, 2, 2, true}, {2, 3, 3, false}, {3, 4, 4, true}},
+		"one site":                   {{0, 1, 1, false}},
+		"two sites":                  {{0, 1, 1, false}, {1, 2, 2, true}},
+		"three routers of one site":  {{0, 1, 1, false}, {1, 2, 1, false}, {2, 3, 1, false}},
+		"first report expired":       {{0, 1, 1, false}, {1001 * millisecond, 2, 2, false}, {1002 * millisecond, 3, 3, true}},
+		"found again after two more": {{0, 1, 1, false}, {1, 2, 2, true}, {2, 3, 3, false}, {3, 4, 4, true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newTestNode(t, 0, 0)
@@ -53,36 +53,36 @@
 				err := n.Receive(r.at+second, r.rank, datagram, func(serverID string) {
 					found++
 					if serverID != testServer {
-						t.Errorf("found %s", serverID)
+						t.Errorf("found %s overloaded", serverID)
 					}
 				})
 				if err != nil {
 					t.Fatal(err)
 				}
 				if (found == 1) != r.isFound {
-					t.Errorf("report %d: found %d times", i, found)
+					t.Errorf("report %d: found overloaded %d times", i, found)
 				}
 			}
 		})
 	}
 }
 
-// What this router found itself counts as the report of its site.
-func TestOwnReportCounts(t *testing.T) {
+// Guards against a quorum that ignores the overload found by this router, which counts as a report of its site.
+func TestOwnReportCountsTowardsQuorum(t *testing.T) {
 	n, found := newTestNode(t, 0, 0), 0
 	if n.ReportOverload(second, testServer) == nil {
-		t.Fatal("nothing sent")
+		t.Fatal("no datagram for the own report")
 	}
 	err := n.Receive(second+1, 1, overloadReport(1, 1, 1, 1, testServer), func(string) { found++ })
 	if err != nil {
 		t.Fatal(err)
 	}
 	if found != 1 {
-		t.Errorf("found %d times", found)
+		t.Errorf("found overloaded %d times, want once", found)
 	}
 }
 
-func TestWhatIsSent(t *testing.T) {
+func TestReportIsNotRepeatedTooSoon(t *testing.T) {
 	n := newTestNode(t, 3, 4)
 	datagram := n.ReportOverload(second, testServer)
 	var m Message
@@ -94,23 +94,24 @@
 		t.Fatalf("%+v of %x", m, datagram)
 	}
 	if n.ReportOverload(second+100*millisecond, testServer) != nil {
-		t.Error("sent twice at once")
+		t.Error("sent again after 100 ms")
 	}
 	if n.ReportOverload(second+300*millisecond, testServer) == nil {
-		t.Error("not sent again")
+		t.Error("not sent again after 300 ms")
 	}
-	for rank := 10; rank < 13; rank++ { // all others know it already
+	for rank := 10; rank < 13; rank++ { // enough sites have reported it
 		if err := n.Receive(3*second, rank, overloadReport(rank, rank, 1, 1, testServer), ignore); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if n.ReportOverload(3*second+1, testServer) != nil {
-		t.Error("sent what enough sites have reported")
+		t.Error("sent although enough sites have reported the server")
 	}
 }
 
-// In a small fleet nothing is sent: two of few sites would have to agree, or each router learns fast enough.
-func TestSmallFleetIsSilent(t *testing.T) {
+// Guards against reports in a fleet that is too small for them. With two sites both would have to report a server. With
+// few routers, each router detects overload fast enough by itself.
+func TestSmallFleetSendsNoReports(t *testing.T) {
 	for _, options := range []Options{{FleetSize: 100, Sites: 2}, {FleetSize: 15, Sites: 15}} {
 		n, err := New(options)
 		if err != nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-func TestRateLimit(t *testing.T) {
+func TestReportsAreRateLimited(t *testing.T) {
 	n, sent := newTestNode(t, 0, 0), 0
 	for i := range 100_000 { // ten seconds in which all servers are overloaded
 		if n.ReportOverload(second+int64(i)*100, fmt.Sprintf("s-%08x", i%400)) != nil {
@@ -130,11 +131,11 @@
 		}
 	}
 	if limit := sendBurst + 10*second/sendInterval; sent > limit || sent < limit/2 {
-		t.Errorf("%d datagrams in 10 s, %d at most", sent, limit)
+		t.Errorf("%d datagrams in 10 s, want at most %d and at least half of that", sent, limit)
 	}
 }
 
-func TestDropped(t *testing.T) {
+func TestInvalidDatagramsAreDropped(t *testing.T) {
 	good := overloadReport(5, 5, 3, 100, testServer)
 	long := append(slices.Clone(good), make([]byte, MaxDatagramSize)...)
 	withByte := func(at int, value byte) []byte {
@@ -151,40 +152,40 @@
 		datagram []byte
 		want     error
 	}{
-		"again":              {5, good, ErrStale},
-		"64 behind":          {5, overloadReport(5, 5, 3, 100-64, testServer), ErrStale},
-		"before its restart": {5, overloadReport(5, 5, 2, 101, testServer), ErrStale},
-		"another's address":  {6, overloadReport(5, 5, 3, 101, testServer), ErrUnknownSender},
-		"unknown address":    {-1, overloadReport(5, 5, 3, 101, testServer), ErrUnknownSender},
-		"no such rank":       {300, overloadReport(300, 5, 3, 101, testServer), ErrUnknownSender},
-		"no such site":       {5, overloadReport(5, 50, 3, 101, testServer), ErrUnknownSender},
-		"empty":              {5, nil, ErrMalformed},
-		"no server":          {5, good[:headerSize], ErrMalformed},
-		"truncated":          {5, good[:headerSize+3], ErrMalformed},
-		"too long":           {5, long, ErrMalformed},
-		"version":            {5, withByte(0, 2), ErrMalformed},
-		"kind":               {5, withByte(1, 9), ErrMalformed},
+		"repeated":                {5, good, ErrStale},
+		"64 sequence numbers old": {5, overloadReport(5, 5, 3, 100-64, testServer), ErrStale},
+		"earlier incarnation":     {5, overloadReport(5, 5, 2, 101, testServer), ErrStale},
+		"address of another rank": {6, overloadReport(5, 5, 3, 101, testServer), ErrUnknownSender},
+		"unknown address":         {-1, overloadReport(5, 5, 3, 101, testServer), ErrUnknownSender},
+		"unknown rank":            {300, overloadReport(300, 5, 3, 101, testServer), ErrUnknownSender},
+		"unknown site":            {5, overloadReport(5, 50, 3, 101, testServer), ErrUnknownSender},
+		"empty":                   {5, nil, ErrMalformed},
+		"without servers":         {5, good[:headerSize], ErrMalformed},
+		"truncated":               {5, good[:headerSize+3], ErrMalformed},
+		"too long":                {5, long, ErrMalformed},
+		"unknown version":         {5, withByte(0, 2), ErrMalformed},
+		"unknown kind":            {5, withByte(1, 9), ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := n.Counts
 			if err := n.Receive(second, test.rank, test.datagram, ignore); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("got %v, want %v", err, test.want)
 			}
 			if n.Counts.Dropped != before.Dropped+1 || n.Counts.Received != before.Received {
-				t.Errorf("counts %+v, before %+v", n.Counts, before)
+				t.Errorf("counts are %+v, were %+v before", n.Counts, before)
 			}
 		})
 	}
 	if err := n.Receive(second, 5, overloadReport(5, 5, 4, 1, testServer), ignore); err != nil {
-		t.Errorf("after its restart: %v", err)
+		t.Errorf("next incarnation: %v", err)
 	}
 	before := n.Counts
 	if err := n.Receive(second, 0, overloadReport(0, 0, 3, 101, testServer), ignore); err != nil || n.Counts != before {
-		t.Errorf("its own datagram: %v, counts %+v, before %+v", err, n.Counts, before)
+		t.Errorf("own datagram: %v, counts are %+v, were %+v before", err, n.Counts, before)
 	}
 }
 
-func TestInvalidOptions(t *testing.T) {
+func TestInvalidOptionIsNamed(t *testing.T) {
 	for want, options := range map[string]Options{
 		"fleet size: 65537 is not 1 to 65536": {FleetSize: 65537, Sites: 1},
 		"rank: -1 of 4":                       {Rank: -1, FleetSize: 4, Sites: 1},
@@ -194,14 +195,14 @@
 		t.Run(want, func(t *testing.T) {
 			_, err := New(options)
 			if !errors.Is(err, ErrInvalidOptions) || err.Error() != "invalid options: "+want {
-				t.Errorf("%v, want %s", err, want)
+				t.Errorf("got %v, want %s", err, want)
 			}
 		})
 	}
 }
 
-// Nobody can make a router remember more than its bounds.
-func TestMemoryIsBounded(t *testing.T) {
+// Guards against memory that grows without bound with the number of servers and routers named in datagrams.
+func TestTrackedServersAndRoutersAreBounded(t *testing.T) {
 	n := newTestNode(t, 0, 0)
 	for i := range 20_000 {
 		rank := 1 + i%299
@@ -210,7 +211,7 @@
 			t.Fatal(err)
 		}
 		if len(n.servers) > maxTrackedServers || len(n.replayWindows) > 300 {
-			t.Fatalf("%d servers, %d routers", len(n.servers), len(n.replayWindows))
+			t.Fatalf("%d servers and %d routers tracked", len(n.servers), len(n.replayWindows))
 		}
 	}
 }
--- a/core/gossip/replay_window.go
+++ b/core/gossip/replay_window.go
@@ -1,17 +1,18 @@
 package gossip
 
-// windowSize is how many sequence numbers up to the greatest one a ReplayWindow keeps account of.
+// windowSize is the number of sequence numbers, up to the greatest one received, that a ReplayWindow tracks.
 const windowSize = 64
 
-// ReplayWindow tells new datagrams of a router from old and repeated ones. Datagrams may overtake one another; one
-// that was received is not accepted again.
+// ReplayWindow rejects repeated and old datagrams of one router, and accepts datagrams that arrive out of order within
+// the window.
 type ReplayWindow struct {
 	incarnation uint32 // the greatest received
 	sequence    uint32 // the greatest received of that incarnation
 	received    uint64 // bit i is set if sequence-i was received
 }
 
-// Accept reports whether a datagram is new, and books it if it is.
+// Accept reports whether a datagram is new, and records it as received. A datagram is rejected if it was accepted
+// before, is of an earlier incarnation, or is windowSize or more sequence numbers behind the greatest one.
 func (w *ReplayWindow) Accept(incarnation, sequence uint32) bool {
 	switch age := w.sequence - sequence; {
 	case incarnation > w.incarnation:
--- a/core/gossip/server_id.go
+++ b/core/gossip/server_id.go
@@ -12,8 +12,8 @@
 	serverIDFormat = serverIDPrefix + "%08x"
 )
 
-// ParseServerID returns the number that a server's id such as "s-00c41f7a" stands for; false for an id of another
-// form.
+// ParseServerID returns the number in a server ID such as "s-00c41f7a". ok is false if the ID is not "s-" followed by
+// eight hexadecimal digits.
 func ParseServerID(id string) (number uint32, ok bool) {
 	digits, ok := strings.CutPrefix(id, serverIDPrefix)
 	if !ok || len(digits) != serverIDDigits {
@@ -23,5 +23,5 @@
 	return uint32(parsed), err == nil
 }
 
-// formatServerID returns the id that stands for a number.
+// formatServerID returns the server ID for a number. It is the inverse of ParseServerID.
 func formatServerID(number uint32) string { return fmt.Sprintf(serverIDFormat, number) }
--- a/core/gossip/token_bucket.go
+++ b/core/gossip/token_bucket.go
@@ -1,20 +1,19 @@
 package gossip
 
-// TokenBucket bounds the rate of what is sent. It starts full.
+// TokenBucket is a rate limiter. It starts full.
 type TokenBucket struct {
-	interval   float64 // us, in which one token is added
-	burst      float64 // tokens that it holds at most
+	interval   float64 // us per added token
+	burst      float64 // maximum number of tokens
 	tokens     float64
-	refilledAt int64
+	refilledAt int64 // us
 }
 
-// NewTokenBucket returns a bucket that holds as many tokens as may be taken at once, and gains one each interval
-// (us).
+// NewTokenBucket returns a full bucket of burst tokens that gains one token per interval, in microseconds.
 func NewTokenBucket(interval int64, burst int) TokenBucket {
 	return TokenBucket{interval: float64(interval), burst: float64(burst), tokens: float64(burst)}
 }
 
-// Take takes a token, and reports whether there was one.
+// Take removes a token and returns true, or returns false if there is none. now is in microseconds.
 func (b *TokenBucket) Take(now int64) bool {
 	b.tokens = min(b.tokens+float64(now-b.refilledAt)/b.interval, b.burst)
 	b.refilledAt = now
