--- a/core/originlimit/algorithm.go
+++ b/core/originlimit/algorithm.go
@@ -2,29 +2,29 @@
 
 import "math"
 
-// ControlAlgorithm is how a limit follows the latencies of fills.
+// ControlAlgorithm selects how a limit is adjusted to the latencies and failures of fills.
 type ControlAlgorithm int
 
 // The control algorithms.
 const (
-	// Fixed keeps to the router's share, always.
+	// Fixed always sets the limit to the router's share.
 	Fixed ControlAlgorithm = iota
-	// AIMD goes up by one in each round of fills that went well, and down by a part when one was slow or failed (Chiu and
-	// Jain, 1989).
+	// AIMD (additive increase, multiplicative decrease) adds one to the limit after a good round of fills, and multiplies
+	// it by decreaseFactor after a round that was slow or had a failure (Chiu and Jain, 1989).
 	AIMD
-	// Gradient multiplies by the quotient of baseline and present latency, and leaves the square root of the limit for a
-	// queue.
+	// Gradient multiplies the limit by the ratio of the baseline to the current latency, and adds the square root of the
+	// limit to allow for a queue.
 	Gradient
-	// Delay goes towards a set latency, in proportion to how far that is off and to how it changes.
+	// Delay is a proportional-derivative controller of the latency. Its set point is slowRatio times the baseline.
 	Delay
 )
 
 var algorithmNames = []string{"fixed", "aimd", "gradient", "delay"}
 
-// String returns the name that a features file uses.
+// String returns the algorithm's name in a features file.
 func (a ControlAlgorithm) String() string { return algorithmNames[a] }
 
-// ParseControlAlgorithm returns the algorithm of a name, or an error that wraps ErrInvalid.
+// ParseControlAlgorithm returns the algorithm with a name, or an error that wraps ErrInvalid.
 func ParseControlAlgorithm(name string) (ControlAlgorithm, error) {
 	for i, n := range algorithmNames {
 		if n == name {
@@ -34,36 +34,39 @@
 	return 0, invalid("law", "%q is none of %v", name, algorithmNames)
 }
 
-// Constants of the algorithms. Latencies are in multiples of Config.BaselineMs.
+// Constants of the algorithms.
 const (
-	slowRatio = 1.6 // latency, over the baseline, from which a round is slow
+	slowRatio = 1.6 // ratio of latency to baseline above which a round is slow
 
-	// AIMD, and what is borrowed: the part of the limit that is left after a decrease.
+	// decreaseFactor multiplies the limit after a slow or failed round under AIMD, and a limit above the share after a
+	// slow round under any algorithm but Fixed.
 	decreaseFactor = 0.7
 
 	// Gradient.
-	queueTolerance    = 1.3 // latency, over the baseline, that is not a queue yet
-	minGradient       = 0.5 // least quotient in one round
-	gradientSmoothing = 0.2 // part of a change that is made
+	queueTolerance    = 1.3 // ratio of latency to baseline up to which no queue is assumed
+	minGradient       = 0.5 // minimum factor in one round
+	gradientSmoothing = 0.2 // fraction of the computed change that is applied
 
 	// Delay.
-	delayGain    = 0.25 // part of the limit for each multiple of the baseline that the latency is off
-	delaySlope   = 0.5  // the same for its change since the round before
-	maxDelayStep = 0.3  // greatest part of the limit in one round
+	proportionalGain = 0.25 // relative change of the limit if the latency is one baseline off the set point
+	derivativeGain   = 0.5  // relative change of the limit if the latency has changed by one baseline in a round
+	maxDelayStep     = 0.3  // maximum relative change of the limit in one round
 )
 
-// round is what fills that completed since the last update say.
+// round summarizes the fills that completed since the last update. Latencies are in multiples of Config.BaselineMs.
 type round struct {
-	mean        float64 // latency
-	baseline    float64 // latency at which the origin is not overloaded
-	anyFailed   bool
-	isLimitUsed bool // half the limit or more was in flight; a limit that is not used says nothing of a greater one
+	mean      float64 // mean latency
+	baseline  float64 // latency at which the origin is not overloaded
+	anyFailed bool
+	// isLimitUsed is true if at least half the limit was in flight. Otherwise the limit does not increase, because the
+	// round does not show whether the origin can serve a greater one.
+	isLimitUsed bool
 }
 
-// latencyRatio is the latency over the baseline.
+// latencyRatio returns the ratio of the mean latency to the baseline.
 func (r *round) latencyRatio() float64 { return r.mean / r.baseline }
 
-// nextAIMD is the limit that AIMD sets after a round.
+// nextAIMD returns the limit that AIMD sets after a round.
 func nextAIMD(current float64, r *round) float64 {
 	switch {
 	case r.anyFailed || r.latencyRatio() > slowRatio:
@@ -74,7 +77,7 @@
 	return current
 }
 
-// nextGradient is the limit that Gradient sets after a round.
+// nextGradient returns the limit that Gradient sets after a round.
 func nextGradient(current float64, r *round) float64 {
 	gradient := min(max(queueTolerance/r.latencyRatio(), minGradient), 1)
 	target := current*gradient + math.Sqrt(current)
@@ -84,10 +87,10 @@
 	return current
 }
 
-// nextDelay is the limit that Delay sets after a round.
+// nextDelay returns the limit that Delay sets after a round. previousMean is the mean latency of the previous round.
 func nextDelay(current, previousMean float64, r *round) float64 {
-	proportional := (slowRatio - r.latencyRatio()) * delayGain
-	derivative := (previousMean - r.mean) / r.baseline * delaySlope
+	proportional := (slowRatio - r.latencyRatio()) * proportionalGain
+	derivative := (previousMean - r.mean) / r.baseline * derivativeGain
 	step := min(max(proportional+derivative, -maxDelayStep), maxDelayStep)
 	if step < 0 || r.isLimitUsed {
 		return current + step*max(current, 1)
--- a/core/originlimit/config.go
+++ b/core/originlimit/config.go
@@ -1,11 +1,11 @@
-// Package originlimit bounds how many fills a router may have in flight at the origin, without messages between
-// routers and without a request that nobody asked for.
+// Package originlimit limits the number of requests that a router may have in flight at the origin. Routers exchange no
+// messages for this and send no probe requests.
 //
-// Guarantee: over all routers together never more than Burst times MaxInFlight are in flight, and a reserve of that
-// is open to uncacheable requests alone. Within it a control algorithm moves each router's limit by how long its own
-// fills take and how many fail.
+// Guarantee: all routers together never have more than Burst times MaxInFlight requests in flight at the origin. The
+// fraction Reserve of each router's limit is available only to uncacheable requests. Within these bounds a control
+// algorithm adjusts each router's limit to the latencies and failures of the router's own fills.
 //
-// The package does no I/O and reads no clock: times come in, in milliseconds.
+// The package does no I/O and reads no clock. Times are in milliseconds.
 package originlimit
 
 import (
@@ -13,16 +13,23 @@
 	"fmt"
 )
 
-// Config is what all routers have in common.
+// Config is the configuration that all routers share.
 type Config struct {
-	MaxInFlight float64 // fills in flight at the origin, of all routers, at which it answers in BaselineMs: 1 or more
-	Routers     int     // that share it, up or not: 1 or more
-	Reserve     float64 // part of every router's limit that fills leave to uncacheable requests: 0 or more, under 1
-	Burst       float64 // shares that a router may use while the origin answers well, as others may be down: 1 to 100
-	BaselineMs  float64 // latency of a fill when the origin is not overloaded
+	// MaxInFlight is the number of fills in flight, of all routers together, at which the origin responds within
+	// BaselineMs: 1 or more, under 1e9.
+	MaxInFlight float64
+	// Routers is the number of routers that share MaxInFlight, running or not: 1 to 1,000,000.
+	Routers int
+	// Reserve is the fraction of each router's limit that only uncacheable requests may use: 0 or more, under 1.
+	Reserve float64
+	// Burst is the maximum limit of a router, in multiples of its share: 1 to 100. A router may exceed its share while
+	// fills are not slow, since other routers may be down.
+	Burst float64
+	// BaselineMs is the latency of a fill when the origin is not overloaded: above 0, under 1e6.
+	BaselineMs float64
 }
 
-// Bounds of a Config, each under its limit or up to its maximum.
+// Bounds of a Config. Values must be below a limit, and at most a maximum.
 const (
 	maxInFlightLimit = 1e9
 	maxRouters       = 1_000_000
@@ -30,16 +37,15 @@
 	baselineLimitMs  = 1e6
 )
 
-// ErrInvalid is wrapped by every error of a Config or Document, after the field and before what is wrong with its
-// value.
+// ErrInvalid is wrapped by every error about a Config or Document. Its text follows the name of the field.
 var ErrInvalid = errors.New("invalid origin limit")
 
-// invalid is the error for a field.
+// invalid returns an error that names the field and wraps ErrInvalid.
 func invalid(field, format string, args ...any) error {
 	return fmt.Errorf("%s: %w: %s", field, ErrInvalid, fmt.Sprintf(format, args...))
 }
 
-// Validate returns the first fault, as an error that names the field as in a features file and wraps ErrInvalid.
+// Validate returns an error for the first invalid field. It wraps ErrInvalid and names the field as in a features file.
 func (c *Config) Validate() error {
 	switch {
 	case !(c.MaxInFlight >= 1 && c.MaxInFlight < maxInFlightLimit):
--- a/core/originlimit/config_test.go
+++ b/core/originlimit/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestConfigErrorNamesInvalidField(t *testing.T) {
 	for _, test := range []struct {
 		field  string
 		change func(*Config)
@@ -21,13 +21,13 @@
 			c := sampleConfig()
 			test.change(&c)
 			if _, err := New(c, AIMD); !errors.Is(err, ErrInvalid) || !strings.HasPrefix(err.Error(), test.field+": ") {
-				t.Errorf("got %v, want %s", err, test.field)
+				t.Errorf("got %v, want an error about %s", err, test.field)
 			}
 		})
 	}
 }
 
-func TestControlAlgorithmNames(t *testing.T) {
+func TestUnknownControlAlgorithmIsRejected(t *testing.T) {
 	for _, algorithm := range []ControlAlgorithm{Fixed, AIMD, Gradient, Delay} {
 		if got, err := ParseControlAlgorithm(algorithm.String()); err != nil || got != algorithm {
 			t.Errorf("%s: %s, %v", algorithm, got, err)
--- a/core/originlimit/document.go
+++ b/core/originlimit/document.go
@@ -1,23 +1,24 @@
 package originlimit
 
-// Document is what a features file says of the limit at the origin. Figures are of all routers together.
+// Document is the section of a features file that configures the origin limit. MaxInFlight counts the fills of all
+// routers together.
 type Document struct {
 	// Algorithm is the name of a ControlAlgorithm.
-	Algorithm string `json:"law,omitempty" jsonschema:"enum=fixed,enum=aimd,enum=gradient,enum=delay" jsonschema_description:"how a router's limit follows its fills' times"`
-	// MaxInFlight, Reserve, Burst and BaselineMs are those of Config.
-	MaxInFlight float64 `json:"most,omitempty" jsonschema_description:"fills at the head office at once, of all routers, that it answers in its usual time"`
-	Reserve     float64 `json:"reserve,omitempty" jsonschema_description:"part of that which fills leave to uncacheable requests, 0 to 1"`
-	Burst       float64 `json:"burst,omitempty" jsonschema_description:"shares that a router may borrow while fills take no longer than usual, 1 to 100"`
-	BaselineMs  float64 `json:"usualMs,omitempty" jsonschema_description:"time to the first byte of a fill by way of the head office when it is not crowded, ms"`
-	// AbandonedFetchMs is how long a parent cache may go on with a fetch that nobody waits for.
-	AbandonedFetchMs float64 `json:"lingerMs,omitempty" jsonschema_description:"how long an area cache may go on with a fetch that nobody waits for, ms"`
+	Algorithm string `json:"law,omitempty" jsonschema:"enum=fixed,enum=aimd,enum=gradient,enum=delay" jsonschema_description:"control algorithm that adjusts a router's limit to the latencies of its fills"`
+	// MaxInFlight, Reserve, Burst and BaselineMs have the same meaning as in Config.
+	MaxInFlight float64 `json:"most,omitempty" jsonschema_description:"fills in flight at the head office, of all routers together, at which it responds within usualMs"`
+	Reserve     float64 `json:"reserve,omitempty" jsonschema_description:"fraction of each router's limit that only uncacheable requests may use: 0 or more, under 1"`
+	Burst       float64 `json:"burst,omitempty" jsonschema_description:"maximum limit of a router while fills are not slow, in multiples of its share: 1 to 100"`
+	BaselineMs  float64 `json:"usualMs,omitempty" jsonschema_description:"time to first byte of a fill from the head office when it is not overloaded, ms"`
+	// AbandonedFetchMs is how long a parent cache may continue a fetch that no request waits for: 0 to 600,000 ms.
+	AbandonedFetchMs float64 `json:"lingerMs,omitempty" jsonschema_description:"how long an area cache may continue a fetch that no request waits for, ms"`
 }
 
-// maxAbandonedFetchMs bounds Document.AbandonedFetchMs: ten minutes.
+// maxAbandonedFetchMs is the maximum of Document.AbandonedFetchMs: ten minutes.
 const maxAbandonedFetchMs = 600_000
 
-// Config returns the configuration for so many routers, and the algorithm. An error names the field at fault and wraps
-// ErrInvalid.
+// Config returns the algorithm, and the configuration for a number of routers. An error names the invalid field and
+// wraps ErrInvalid.
 func (d *Document) Config(routers int) (Config, ControlAlgorithm, error) {
 	algorithm, err := ParseControlAlgorithm(d.Algorithm)
 	if err != nil {
--- a/core/originlimit/limit.go
+++ b/core/originlimit/limit.go
@@ -3,45 +3,48 @@
 import "math"
 
 const (
-	// baselineWindow, in ms: the baseline is the least mean of a round in the last one to two of these windows, so that an
-	// origin that has become slower by itself, and not by its load, is not starved.
-	baselineWindow = 4000
-	// maxBaseline bounds the baseline, in multiples of BaselineMs, so that it does not follow a queue.
+	// baselineWindowMs is the length of a window for the baseline, which is the lowest mean latency of a round in the
+	// current and the previous window. Older rounds are dropped so that the limit does not stay low if the origin has
+	// become slower for a reason other than its load.
+	baselineWindowMs = 4000
+	// maxBaseline is the maximum baseline, in multiples of BaselineMs. It keeps the latency of a queue from becoming the
+	// baseline.
 	maxBaseline = 6.0
-	// failurePenalty: a failed fill counts as one of this latency, in multiples of BaselineMs, or of its own if greater.
+	// failurePenalty is the minimum latency that a failed fill is counted with, in multiples of BaselineMs.
 	failurePenalty = 4.0
-	// minimumPart and minimumInFlight: a limit does not fall below this part of the router's share, nor below this figure.
-	minimumPart     = 0.05
-	minimumInFlight = 0.25
+	// minShareFraction and minLimit are the lower bounds of a limit: a fraction of the router's share, and requests in
+	// flight. The greater of the two applies, but never more than the share.
+	minShareFraction = 0.05
+	minLimit         = 0.25
 )
 
-// Limit is one router's limit on requests in flight at the origin. New makes one; the zero value is not usable. It is
-// not safe for concurrent use.
+// Limit is one router's limit on requests in flight at the origin. Use New to create it: the zero value is not usable.
+// It is not safe for concurrent use.
 type Limit struct {
 	config    Config
 	algorithm ControlAlgorithm
-	share     float64 // of MaxInFlight, if all routers have the same
-	current   float64 // a fraction too: Allows rounds it
+	share     float64 // an equal part of MaxInFlight for each router
+	current   float64 // not always a whole number: Allows rounds it at random
 	inFlight  int
 
-	// Of the present round: fills that completed since the last update. Latencies are in multiples of BaselineMs.
+	// The current round: fills that completed since the last update. Latencies are in multiples of BaselineMs.
 	completed  int
 	latencySum float64
 	anyFailed  bool
 
-	previousMean   float64    // of the round before
+	previousMean   float64    // mean latency of the previous round
 	updatedAt      float64    // ms
-	windowMinimums [2]float64 // least mean of a round in the present baselineWindow, and in the one before
+	windowMinimums [2]float64 // lowest mean latency of a round in the current window and in the previous one
 	windowStart    float64    // ms
 }
 
-// New returns a limit at the router's share, or an error that wraps ErrInvalid.
+// New returns a limit that starts at the router's share, or an error that wraps ErrInvalid.
 func New(config Config, algorithm ControlAlgorithm) (*Limit, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	if algorithm < Fixed || algorithm > Delay {
-		return nil, invalid("law", "%d is no algorithm", int(algorithm))
+		return nil, invalid("law", "unknown algorithm %d", int(algorithm))
 	}
 	share := config.MaxInFlight / float64(config.Routers)
 	return &Limit{
@@ -54,36 +57,36 @@
 	}, nil
 }
 
-// Current is the limit at present. It is a fraction where a router's share is under one.
+// Current returns the current limit. It is not always a whole number, and is below 1 if the router's share is.
 func (l *Limit) Current() float64 { return l.current }
 
-// InFlight is how many are in flight.
+// InFlight returns the number of requests in flight at the origin.
 func (l *Limit) InFlight() int { return l.inFlight }
 
-// SetInFlight sets how many are in flight, for callers that estimate it themselves instead of calling Acquire.
+// SetInFlight sets the number of requests in flight, for callers that estimate it instead of calling Acquire.
 func (l *Limit) SetInFlight(inFlight int) { l.inFlight = inFlight }
 
-// Allows reports whether one more may go to the origin: a fill up to the limit less the reserve, an uncacheable
-// request (reserved) up to all of it. chance, 0 to 1, is drawn by the caller: of a limit of 2.3 a third place is open
-// in 0.3 of all cases, so that small shares come out right over all routers.
-func (l *Limit) Allows(reserved bool, chance float64) bool {
+// Allows reports whether one more request may be sent to the origin. A fill may use the limit minus the reserve, an
+// uncacheable request (reserved) all of it. random is a random number from 0 to 1. It rounds the limit: with a limit of
+// 2.3, a third request is allowed in 30% of all calls. Over all routers, this makes small shares exact on average.
+func (l *Limit) Allows(reserved bool, random float64) bool {
 	limit := l.current
 	if !reserved {
 		limit *= 1 - l.config.Reserve
 	}
-	places := math.Floor(limit)
-	if chance < limit-places {
-		places++
+	slots := math.Floor(limit)
+	if random < limit-slots {
+		slots++
 	}
-	return float64(l.inFlight) < places
+	return float64(l.inFlight) < slots
 }
 
-// Acquire records one that goes to the origin. It is followed by Complete or Ignore.
+// Acquire records that a request is sent to the origin. Complete or Ignore must follow.
 func (l *Limit) Acquire() { l.inFlight++ }
 
-// Complete records the end of one: its latency in ms, without the time that sending its bytes takes, and whether it
-// failed. One that was cancelled because nobody waits any more has failed if its time was over; else it is for
-// Ignore.
+// Complete records the end of a request: its latency in ms, without the transfer time of its bytes, and whether it
+// failed. A fill that was cancelled because no request waits for it counts as failed if it exceeded its time limit. If
+// it did not, call Ignore instead.
 func (l *Limit) Complete(now, latencyMs float64, failed bool) {
 	l.Ignore()
 	latency := max(latencyMs, 0) / l.config.BaselineMs
@@ -98,17 +101,17 @@
 	}
 }
 
-// Ignore records the end of one that says nothing of the origin.
+// Ignore records the end of a request whose outcome does not depend on the state of the origin.
 func (l *Limit) Ignore() { l.inFlight = max(l.inFlight-1, 0) }
 
-// isRoundOver reports whether as many fills have completed as the limit allows at once, or a slow one's time has
-// passed.
+// isRoundOver reports whether as many fills have completed as the limit allows in flight, or whether the round has
+// lasted as long as a slow fill takes.
 func (l *Limit) isRoundOver(now float64) bool {
-	longest := slowRatio * l.config.BaselineMs * max(l.previousMean, 1)
-	return float64(l.completed) >= max(l.current, 1) || now-l.updatedAt >= longest
+	maxDuration := slowRatio * l.config.BaselineMs * max(l.previousMean, 1)
+	return float64(l.completed) >= max(l.current, 1) || now-l.updatedAt >= maxDuration
 }
 
-// update sets the limit after a round, and begins the next one.
+// update adjusts the limit at the end of a round, and starts the next one.
 func (l *Limit) update(now float64) {
 	mean := l.latencySum / float64(l.completed)
 	r := round{
@@ -118,9 +121,9 @@
 		isLimitUsed: float64(l.inFlight+l.completed) >= l.current/2,
 	}
 	isSlow := mean > slowRatio
-	isBorrowing := l.algorithm != Fixed && l.current > l.share // what is past its share is others'
+	isBorrowing := l.algorithm != Fixed && l.current > l.share // the excess belongs to other routers
 	switch {
-	case isBorrowing && isSlow: // returned as soon as fills take longer than usual, for whatever reason
+	case isBorrowing && isSlow: // give back the excess as soon as fills are slow, whatever the reason
 		l.current = max(l.share, l.current*decreaseFactor)
 	case l.algorithm == AIMD:
 		l.current = nextAIMD(l.current, &r)
@@ -130,7 +133,7 @@
 		l.current = nextDelay(l.current, l.previousMean, &r)
 	}
 	maximum := l.config.Burst * l.share
-	if l.algorithm != Fixed && isSlow && !isBorrowing { // nothing is borrowed now
+	if l.algorithm != Fixed && isSlow && !isBorrowing { // do not exceed the share while fills are slow
 		maximum = l.share
 	}
 	l.current = min(max(l.current, l.minimum()), maximum)
@@ -141,9 +144,9 @@
 	l.anyFailed = false
 }
 
-// updateBaseline takes the mean latency of a round into the windows, and returns the baseline.
+// updateBaseline adds the mean latency of a round to the windows, and returns the baseline.
 func (l *Limit) updateBaseline(now, mean float64) float64 {
-	if now-l.windowStart >= baselineWindow {
+	if now-l.windowStart >= baselineWindowMs {
 		l.windowMinimums[1] = l.windowMinimums[0]
 		l.windowMinimums[0] = mean
 		l.windowStart = now
@@ -152,8 +155,8 @@
 	return min(max(min(l.windowMinimums[0], l.windowMinimums[1]), 1), maxBaseline)
 }
 
-// minimum is what no limit falls below: else a router would hear nothing from the origin any more, and could not tell
-// that it has recovered.
+// minimum returns the lower bound of the limit. Without it a router might send no more requests to the origin, and
+// could not detect that the origin has recovered.
 func (l *Limit) minimum() float64 {
-	return min(l.share, max(minimumPart*l.share, minimumInFlight))
+	return min(l.share, max(minShareFraction*l.share, minLimit))
 }
--- a/core/originlimit/limit_test.go
+++ b/core/originlimit/limit_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// sampleConfig gives each router a share of 2.
+// sampleConfig returns a configuration in which each router has a share of 2.
 func sampleConfig() Config {
 	return Config{MaxInFlight: 128, Routers: 64, Reserve: 0.25, Burst: 3, BaselineMs: 200}
 }
@@ -25,11 +25,11 @@
 	return l
 }
 
-// Whatever fills say, the limit stays between its minimum and Burst shares, no more is in flight than it allows, and
-// fills leave the reserve free.
-func TestLimitStaysInItsBounds(t *testing.T) {
+// Guards against a limit below its minimum or above Burst shares, against more requests in flight than the limit
+// allows, and against fills that use the reserve. Fills complete with random latencies and failures.
+func TestLimitStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, err := New(sampleConfig(), ControlAlgorithm(rapid.IntRange(0, int(Delay)).Draw(t, "law")))
+		l, err := New(sampleConfig(), ControlAlgorithm(rapid.IntRange(0, int(Delay)).Draw(t, "algorithm")))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,7 +46,7 @@
 					limit *= 0.75
 				}
 				if float64(inFlight) >= limit+1 {
-					t.Fatalf("%d in flight of %v, reserved %v", inFlight, limit, reserved)
+					t.Fatalf("allowed with %d in flight, limit %v, reserved %v", inFlight, limit, reserved)
 				}
 				l.Acquire()
 			case inFlight > 0 && rng.IntN(10) == 0:
@@ -58,14 +58,14 @@
 				t.Fatalf("limit %v, %d in flight", l.Current(), l.InFlight())
 			}
 			if l.algorithm == Fixed && l.Current() != 2 {
-				t.Fatalf("fixed at %v", l.Current())
+				t.Fatalf("fixed limit is %v, want 2", l.Current())
 			}
 		}
 	})
 }
 
-// playRounds completes so many rounds of fills, each of the same latency, and returns the limit after them.
-func playRounds(l *Limit, now *float64, rounds int, latencyMs float64, failed bool) float64 {
+// completeRounds completes rounds of fills, all with the same latency and outcome, and returns the limit after them.
+func completeRounds(l *Limit, now *float64, rounds int, latencyMs float64, failed bool) float64 {
 	for range rounds {
 		n := int(l.Current()) + 1
 		for range n {
@@ -79,32 +79,33 @@
 	return l.Current()
 }
 
-// A router that is alone with an origin that answers well borrows up to Burst shares; when the origin slows, what is
-// borrowed is returned within ten rounds; an origin that has become slow by itself is still asked for the share once
-// that is known; and after failures the limit recovers.
-func TestLimitFollowsTheOrigin(t *testing.T) {
+// Guards against a limit that does not adapt to the origin. While fills are fast, it must rise to Burst shares. When
+// they become slow, it must be back at the share within ten rounds. If they stay slow, it must remain near the share.
+// While fills fail, it must not exceed the share, and after the failures it must recover.
+func TestLimitAdaptsToOriginLatency(t *testing.T) {
 	for _, algorithm := range []ControlAlgorithm{AIMD, Gradient, Delay} {
 		l, now := newLimit(t, algorithm), 0.0
-		if got := playRounds(l, &now, 60, 200, false); got != 6 {
-			t.Errorf("%s: %v where all is well", algorithm, got)
+		if got := completeRounds(l, &now, 60, 200, false); got != 6 {
+			t.Errorf("%s: limit %v after fast rounds, want 6", algorithm, got)
 		}
-		if got := playRounds(l, &now, 10, 700, false); got > 2 {
-			t.Errorf("%s: %v after ten slow rounds", algorithm, got)
+		if got := completeRounds(l, &now, 10, 700, false); got > 2 {
+			t.Errorf("%s: limit %v after ten slow rounds, want at most 2", algorithm, got)
 		}
-		if got := playRounds(l, &now, 60, 700, false); got < 1.5 || got > 2 {
-			t.Errorf("%s: %v when it is slow for good", algorithm, got)
+		if got := completeRounds(l, &now, 60, 700, false); got < 1.5 || got > 2 {
+			t.Errorf("%s: limit %v while fills stay slow, want 1.5 to 2", algorithm, got)
 		}
-		if got := playRounds(l, &now, 30, 1500, true); got > 2 {
-			t.Errorf("%s: %v when fills fail", algorithm, got)
+		if got := completeRounds(l, &now, 30, 1500, true); got > 2 {
+			t.Errorf("%s: limit %v while fills fail, want at most 2", algorithm, got)
 		}
-		if got := playRounds(l, &now, 60, 200, false); got != 6 {
-			t.Errorf("%s: %v when it is well again", algorithm, got)
+		if got := completeRounds(l, &now, 60, 200, false); got != 6 {
+			t.Errorf("%s: limit %v after recovery, want 6", algorithm, got)
 		}
 	}
 }
 
-// A share under one comes out right over many routers: a place is open in that part of all cases.
-func TestSharesUnderOne(t *testing.T) {
+// Guards against shares below one that are rounded to 0 or 1: with a share of 0.25 a request must be allowed in a
+// quarter of all calls.
+func TestFractionalShareIsExactOnAverage(t *testing.T) {
 	config := sampleConfig()
 	config.MaxInFlight = 16
 	config.Reserve = 0
@@ -113,18 +114,18 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	open := 0
+	allowed := 0
 	for range 10_000 {
 		if l.Allows(false, rng.Float64()) {
-			open++
+			allowed++
 		}
 	}
-	if open < 2300 || open > 2700 {
-		t.Errorf("open in %d of 10,000 cases, a quarter wanted", open)
+	if allowed < 2300 || allowed > 2700 {
+		t.Errorf("allowed in %d of 10,000 calls, want a quarter", allowed)
 	}
 	l.Acquire()
 	if l.Allows(true, 0) {
-		t.Error("open with one in flight")
+		t.Error("allowed with one request in flight")
 	}
 }
 
--- a/core/originlimit/wire_compat_test.go
+++ b/core/originlimit/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The section shield of a features file.
-func TestStoredDocumentIsReadAndWrittenAlike(t *testing.T) {
+// Guards against a change of the format of the section shield of a features file.
+func TestStoredDocumentFormatIsUnchanged(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/document.json", " ", Document{
 		Algorithm:        "gradient",
 		MaxInFlight:      41,
