--- a/core/hierarchy/allocation.go
+++ b/core/hierarchy/allocation.go
@@ -1,18 +1,18 @@
 package hierarchy
 
-// Allocation is a division of the sites' fills, in KB/s. For each site, ToGroup, Direct and Rejected sum up to its
-// demand.
+// Allocation assigns the sites' fills to targets. Rates are in KB/s. For each site, ToGroup, Direct and Rejected add up
+// to its demand.
 type Allocation struct {
 	ToGroup     [][]float64 // by site and group
-	ToHomeGroup [][]float64 // by site and group: the part of ToGroup for objects whose home the group is
-	Direct      []float64   // by site: to the origin, past the groups
-	Rejected    []float64   // by site: what has no capacity anywhere
-	OriginLoad  float64     // what the origin serves, direct and for the groups' misses
-	OriginPrice float64     // cost in ms that one more KB of origin capacity would save; 0 if it does not bind
-	Cost        float64     // sum of KB/s times round trip in ms, rejections included
+	ToHomeGroup [][]float64 // by site and group: part of ToGroup for objects with the group as their home
+	Direct      []float64   // by site: sent to the origin directly
+	Rejected    []float64   // by site: fills for which there is no capacity
+	OriginLoad  float64     // rate that the origin serves, for direct fills and for misses of groups
+	OriginPrice float64     // cost in ms that one more KB of origin capacity would save; 0 if there is capacity left
+	Cost        float64     // sum of KB/s times round-trip time in ms, including rejections
 }
 
-// newAllocation returns an allocation of nothing.
+// newAllocation returns an allocation in which all rates are 0.
 func newAllocation(sites, groups int) *Allocation {
 	a := &Allocation{
 		ToGroup:     make([][]float64, sites),
@@ -35,7 +35,7 @@
 	return a
 }
 
-// evaluate sets an allocation's origin load and cost.
+// evaluate computes the OriginLoad and Cost of an allocation.
 func (p *Problem) evaluate(a *Allocation) {
 	a.OriginLoad = 0
 	a.Cost = 0
@@ -51,7 +51,7 @@
 	}
 }
 
-// scaleGroup keeps a fraction of what is sent to a group and rejects the rest.
+// scaleGroup multiplies the rates sent to a group by a fraction, and rejects the rest.
 func (a *Allocation) scaleGroup(group int, fraction float64) {
 	for site := range a.ToGroup {
 		a.Rejected[site] += a.ToGroup[site][group] * (1 - fraction)
@@ -60,7 +60,7 @@
 	}
 }
 
-// interpolate returns a fraction of a and the rest of b.
+// interpolate returns the mixture fraction*a + (1-fraction)*b. Both allocations are for the same problem.
 func interpolate(a, b *Allocation, fraction float64) *Allocation {
 	between := func(x, y float64) float64 { return fraction*x + (1-fraction)*y }
 	mixed := newAllocation(len(a.ToGroup), len(a.ToGroup[0]))
--- a/core/hierarchy/changes.go
+++ b/core/hierarchy/changes.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// Changes lists what a new topology changes, a line for each node and link that is new, different or gone.
+// Changes describes the difference between two topologies: one line for each node and link that was added, changed or
+// removed.
 func Changes(old, next *Topology) []string {
 	var lines []string
 	if old.Origin != next.Origin {
@@ -30,27 +31,27 @@
 	return fmt.Sprintf("way %s > %s, %.0f KB/s, %.1f ms", l.From, l.To, l.CapacityKBPerS, l.RTTMillis)
 }
 
-// compareItems lists the items that are new, different or gone, matched by key.
+// compareItems returns one line for each item that was added, changed or removed. Items are matched by key.
 func compareItems[T any](old, next []T, key, describe func(T) string) []string {
 	var lines []string
-	before := map[string]string{}
+	oldTexts := map[string]string{}
 	for _, item := range old {
-		before[key(item)] = describe(item)
+		oldTexts[key(item)] = describe(item)
 	}
-	remains := map[string]bool{}
+	isInNext := map[string]bool{}
 	for _, item := range next {
-		remains[key(item)] = true
-		was, known := before[key(item)]
-		is := describe(item)
+		isInNext[key(item)] = true
+		oldText, isInOld := oldTexts[key(item)]
+		newText := describe(item)
 		switch {
-		case !known:
-			lines = append(lines, "new: "+is)
-		case was != is:
-			lines = append(lines, was+": now "+is)
+		case !isInOld:
+			lines = append(lines, "new: "+newText)
+		case oldText != newText:
+			lines = append(lines, oldText+": now "+newText)
 		}
 	}
 	for _, item := range old {
-		if !remains[key(item)] {
+		if !isInNext[key(item)] {
 			lines = append(lines, "gone: "+describe(item))
 		}
 	}
--- a/core/hierarchy/compile.go
+++ b/core/hierarchy/compile.go
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Compile checks a topology and returns its graph, or an error that names the first field at fault and wraps
-// ErrTopology. Names must be unique, links must not form a cycle, and every site must have a route to the origin. The
-// graph keeps the topology: it must not change any more.
+// Compile validates a topology and returns its graph. Names must be unique, links must not form a cycle, and every site
+// must have a route to the origin. Otherwise the error names the first invalid field and wraps ErrTopology. The graph
+// refers to the topology, which must not be changed afterwards.
 func Compile(t *Topology) (*Graph, error) {
 	g := &Graph{
 		topology:  t,
@@ -30,7 +30,7 @@
 	return g, nil
 }
 
-// nodeCount is the number of nodes: sites, parent groups and the origin.
+// nodeCount returns the number of nodes: sites, parent groups and the origin.
 func (t *Topology) nodeCount() int { return len(t.Sites) + len(t.ParentGroups) + 1 }
 
 func (t *Topology) checkSize() error {
@@ -43,16 +43,16 @@
 	return nil
 }
 
-// isAmount reports whether a rate or time is a finite number of 0 or more.
-func isAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
+// isFiniteNonNegative reports whether a rate or time is a finite number of 0 or more.
+func isFiniteNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
 
-// addNode gives the next number to a named node.
+// addNode assigns the next node number to a name. It returns an error for field if the name is empty or not unique.
 func (g *Graph) addNode(field, name string) error {
 	if name == "" {
 		return invalid(field, "missing")
 	}
 	if _, exists := g.nodeIndex[name]; exists {
-		return invalid(field, "%q is the name of another node already", name)
+		return invalid(field, "%q is already the name of another node", name)
 	}
 	g.nodeIndex[name] = len(g.nodeIndex)
 	return nil
@@ -64,7 +64,7 @@
 		if err := g.addNode(field+".name", site.Name); err != nil {
 			return err
 		}
-		if !isAmount(site.PeakFillKBPerS) {
+		if !isFiniteNonNegative(site.PeakFillKBPerS) {
 			return invalid(field+".kbPerS", "%v, must be 0 or more", site.PeakFillKBPerS)
 		}
 	}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// checkServerPrefixes ensures that no server name can match two groups.
+// checkServerPrefixes returns an error if a server name could match two groups.
 func (t *Topology) checkServerPrefixes() error {
 	for i, group := range t.ParentGroups {
 		for k, earlier := range t.ParentGroups[:i] {
@@ -110,13 +110,13 @@
 	if err := g.addNode("head.name", origin.Name); err != nil {
 		return err
 	}
-	if !isAmount(origin.CapacityKBPerS) {
+	if !isFiniteNonNegative(origin.CapacityKBPerS) {
 		return invalid("head.kbPerS", "%v, must be 0 or more", origin.CapacityKBPerS)
 	}
 	return nil
 }
 
-// addLinks adds the links to the order of nodes, which finds cycles.
+// addLinks validates the links and adds them to the topological order, which detects cycles.
 func (g *Graph) addLinks() error {
 	g.order.Grow(len(g.nodeIndex))
 	for i := range g.topology.Links {
@@ -132,18 +132,18 @@
 	field := fmt.Sprintf("ways[%d]", i)
 	from, known := g.nodeIndex[link.From]
 	if !known || from == g.originNode() {
-		return invalid(field+".from", "%q is no depot or area", link.From)
+		return invalid(field+".from", "%q is not a depot or an area", link.From)
 	}
 	to, known := g.nodeIndex[link.To]
 	if !known || to < len(g.topology.Sites) {
-		return invalid(field+".to", "%q is no area or head office", link.To)
+		return invalid(field+".to", "%q is not an area or the head office", link.To)
 	}
-	if !isAmount(link.CapacityKBPerS) || !isAmount(link.RTTMillis) {
+	if !isFiniteNonNegative(link.CapacityKBPerS) || !isFiniteNonNegative(link.RTTMillis) {
 		return invalid(field, "%v KB/s, %v ms, both must be 0 or more", link.CapacityKBPerS, link.RTTMillis)
 	}
 	ends := [2]int{from, to}
 	if first, exists := g.linkIndex[ends]; exists {
-		return invalid(field, "%s > %s is ways[%d] already", link.From, link.To, first)
+		return invalid(field, "%s > %s is already ways[%d]", link.From, link.To, first)
 	}
 	g.linkIndex[ends] = i
 	if cycle := g.order.AddEdge(from, to); cycle != nil {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// computeLevels computes each node's level and the shortest round trip to the origin, from the origin down. It
+// computeLevels computes the level of each node and its shortest round trip to the origin, starting at the origin. It
 // returns an error if a site has no route to the origin.
 func (g *Graph) computeLevels() error {
 	g.levels = make([]int, g.order.Len())
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// computeSalts hashes the names of the groups and the origin, for Route.Pick.
+// computeSalts computes the hashes of the names of the groups and the origin, which Route.Pick uses.
 func (g *Graph) computeSalts() {
 	for _, group := range g.topology.ParentGroups {
 		g.salts = append(g.salts, xxhash.Sum64String(group.Name))
--- a/core/hierarchy/fill_plan.go
+++ b/core/hierarchy/fill_plan.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// RejectionCostMillis is the cost of a rejected KB in a plan, as a round trip.
+// RejectionCostMillis is the cost of a rejected KB in a plan, expressed as a round-trip time in ms.
 const RejectionCostMillis = 10_000
 
-// originCostMillis is the cost of a KB from the origin in addition to its round trip. It applies also while the
-// origin has capacity: otherwise fills would leave their home group for the sake of a shorter link, and groups cache
-// the same objects.
+// originCostMillis is the cost of a KB from the origin in addition to its round trip. It applies even while the origin
+// has free capacity. Otherwise a plan would fill objects from a group with a shorter link instead of their home, and
+// several groups would cache the same objects.
 const originCostMillis = 150.0
 
 const (
@@ -18,44 +18,48 @@
 	offHomeMissRatio = 1.0 // miss ratio for objects whose home is another group
 )
 
-// maxPlanRounds bounds how often a plan is computed again because groups would overload their parents.
+// maxPlanRounds is the maximum number of times that a plan is recomputed because groups would overload their parents.
 const maxPlanRounds = 8
 
-// GroupStatus is the present state of a parent group, from the endpoint list.
+// GroupStatus is the current state of a parent group, as derived from the endpoint list.
 type GroupStatus struct {
-	CapacityKBPerS float64 // what its caches can serve now; 0: none are up
-	WarmFraction   float64 // part of what they would serve when warm, 0 to 1
+	CapacityKBPerS float64 // rate that its caches can serve at present; 0: none is available
+	WarmFraction   float64 // hit ratio of its caches relative to that of a warm group, 0 to 1
 }
 
-// effectiveMissRatio is the part of a group's requests that it forwards to its parents, as warm as its caches are.
+// effectiveMissRatio returns the fraction of a group's requests that it forwards to its parents, interpolated between
+// that of a cold and that of a warm group.
 func (g *ParentGroup) effectiveMissRatio(status GroupStatus) float64 {
 	return status.WarmFraction*g.missRatio() + (1-status.WarmFraction)*coldMissRatio
 }
 
-// FillPlan divides the fills of all sites. Every router computes the same one from the same topology and endpoint list.
+// FillPlan is a division of the fills of all sites. Routers with the same topology and endpoint list compute the same
+// plan.
 type FillPlan struct {
 	Graph      *Graph
 	Allocation *Allocation
-	// Problem is what Allocation solves. A group's capacity is lowered there if its parents would be overloaded.
+	// Problem is the problem that Allocation solves. The capacity of a group in it is reduced if the group's parents
+	// would be overloaded otherwise.
 	Problem *Problem
-	// ChildDemandKBPerS is what each parent group gets from other groups, by its place in the topology.
+	// ChildDemandKBPerS is the rate of requests that each parent group gets from other groups, by its index in the
+	// topology.
 	ChildDemandKBPerS []float64
 }
 
-// PlanFills divides the sites' peak fills among the parent groups as they are now; a group without a status has no
-// capacity. The plan decides only where sites send their fills. Each group then spreads its misses evenly over its
-// parents, and so the plan sends a group less if one of its parents, or a link to one, would get more than its
-// capacity.
+// PlanFills divides the sites' peak fills among parent groups and the origin. statuses holds the current state of each
+// parent group by name. A group without a status has no capacity. The plan decides only where sites send their fills.
+// Each group distributes its misses evenly over its parents. Therefore the plan sends less to a group if one of its
+// parents, or the link to one, would exceed its capacity.
 //
-// An error wraps ErrProblem and names the group whose status is invalid.
-func (g *Graph) PlanFills(now map[string]GroupStatus) (*FillPlan, error) {
-	return g.planFills(now, maxPlanRounds)
+// The error wraps ErrProblem. It names the group if its status is invalid.
+func (g *Graph) PlanFills(statuses map[string]GroupStatus) (*FillPlan, error) {
+	return g.planFills(statuses, maxPlanRounds)
 }
 
-// planFills computes the plan in at most so many further rounds. What is over a capacity after the last one is
-// rejected.
-func (g *Graph) planFills(now map[string]GroupStatus, maxRounds int) (*FillPlan, error) {
-	p, err := newFillPlanner(g, now)
+// planFills computes a plan and recomputes it at most maxRounds times. If a capacity is still exceeded after the last
+// round, the excess is rejected.
+func (g *Graph) planFills(statuses map[string]GroupStatus, maxRounds int) (*FillPlan, error) {
+	p, err := newFillPlanner(g, statuses)
 	if err != nil {
 		return nil, err
 	}
@@ -77,27 +81,28 @@
 	}
 }
 
-// fillPlanner holds what the rounds of a plan have in common. Groups and targets are numbered by their place in the
-// topology; the origin is the target behind the last group.
+// fillPlanner holds the state that the rounds of a plan share. Groups and targets are numbered by their index in the
+// topology. The origin is the target after the last group.
 type fillPlanner struct {
 	graph    *Graph
 	problem  *Problem
-	capacity []float64 // by group: its capacity; the problem's is lowered from round to round
+	capacity []float64 // by group: actual capacity; the capacity in problem is reduced from round to round
 
-	parents       [][]int     // by group: targets that it forwards misses to
-	missPerParent []float64   // by group: part of its requests that each of its parents gets
-	usage         [][]float64 // by group and target: part of the group's requests that reach the target, over any path
+	parents       [][]int   // by group: targets that it forwards misses to
+	missPerParent []float64 // by group: fraction of its requests that it forwards to each of its parents
+	// forwardFraction is, by group and target, the fraction of the group's requests that reach the target over any path.
+	forwardFraction [][]float64
 }
 
-// groupLoad is what an allocation sends to the groups, by group.
+// groupLoad is the load that an allocation puts on the groups, by group.
 type groupLoad struct {
 	sent []float64 // KB/s from sites
-	// missWeight is the miss ratio of what is sent, as a multiple of the group's own: requests for objects of other
-	// homes miss more often.
+	// missWeight is the miss ratio of this load, as a multiple of the group's own miss ratio. Requests for objects with
+	// another home miss more often.
 	missWeight []float64
 }
 
-func newFillPlanner(g *Graph, now map[string]GroupStatus) (*fillPlanner, error) {
+func newFillPlanner(g *Graph, statuses map[string]GroupStatus) (*fillPlanner, error) {
 	p := &fillPlanner{
 		graph: g,
 		problem: &Problem{
@@ -105,10 +110,10 @@
 			RejectionCost:  RejectionCostMillis,
 		},
 	}
-	if err := p.addCapacities(now); err != nil {
+	if err := p.addCapacities(statuses); err != nil {
 		return nil, err
 	}
-	p.computeUsage(now)
+	p.computeForwardFractions(statuses)
 	p.addSites()
 	p.problem.assignHomeFractions(g)
 	p.capacity = slices.Clone(p.problem.Capacity)
@@ -120,11 +125,11 @@
 // node returns the graph's number of a target.
 func (p *fillPlanner) node(target int) int { return len(p.graph.topology.Sites) + target }
 
-// addCapacities checks the groups' statuses and adds their capacities to the problem.
-func (p *fillPlanner) addCapacities(now map[string]GroupStatus) error {
+// addCapacities validates the groups' statuses and adds their capacities to the problem.
+func (p *fillPlanner) addCapacities(statuses map[string]GroupStatus) error {
 	for _, group := range p.graph.topology.ParentGroups {
-		status := now[group.Name]
-		if !isAmount(status.CapacityKBPerS) || !(status.WarmFraction >= 0 && status.WarmFraction <= 1) {
+		status := statuses[group.Name]
+		if !isFiniteNonNegative(status.CapacityKBPerS) || !(status.WarmFraction >= 0 && status.WarmFraction <= 1) {
 			return fmt.Errorf("%w: area %s: %v KB/s, must be 0 or more; warm fraction %v, must be 0 to 1",
 				ErrProblem, group.Name, status.CapacityKBPerS, status.WarmFraction)
 		}
@@ -142,29 +147,30 @@
 	return group >= 0 && p.graph.levels[node] != noRoute && p.problem.Capacity[group] > 0
 }
 
-// computeUsage computes, from the origin down, which part of each group's requests reaches each target. A group that
-// has no parent to forward to loses its capacity.
-func (p *fillPlanner) computeUsage(now map[string]GroupStatus) {
+// computeForwardFractions computes forwardFraction, starting at the origin. It sets the capacity of a group without a
+// usable parent to 0.
+func (p *fillPlanner) computeForwardFractions(statuses map[string]GroupStatus) {
 	groups := p.groups()
 	p.parents = make([][]int, groups)
 	p.missPerParent = make([]float64, groups)
-	p.usage = make([][]float64, groups+1)
+	p.forwardFraction = make([][]float64, groups+1)
 	for _, node := range p.graph.parentsFirst() {
 		group := node - len(p.graph.topology.Sites)
 		if group < 0 {
 			continue
 		}
-		p.usage[group] = make([]float64, groups+1)
+		p.forwardFraction[group] = make([]float64, groups+1)
 		if group < groups && p.canForward(node) {
-			p.computeGroupUsage(group, now)
+			p.computeGroupForwardFractions(group, statuses)
 		}
 	}
 	for group := range p.problem.Capacity {
-		p.problem.OriginFraction = append(p.problem.OriginFraction, min(p.usage[group][groups], 1))
+		p.problem.OriginFraction = append(p.problem.OriginFraction, min(p.forwardFraction[group][groups], 1))
 	}
 }
 
-func (p *fillPlanner) computeGroupUsage(group int, now map[string]GroupStatus) {
+// computeGroupForwardFractions computes the part of computeForwardFractions for one group whose parents are done.
+func (p *fillPlanner) computeGroupForwardFractions(group int, statuses map[string]GroupStatus) {
 	var parents []int
 	for _, parent := range p.graph.order.Successors(p.node(group)) {
 		if p.canForward(int(parent)) {
@@ -177,12 +183,12 @@
 	}
 	slices.Sort(parents)
 	document := &p.graph.topology.ParentGroups[group]
-	share := document.effectiveMissRatio(now[document.Name]) / float64(len(parents))
-	usage := p.usage[group]
+	share := document.effectiveMissRatio(statuses[document.Name]) / float64(len(parents))
+	fractions := p.forwardFraction[group]
 	for _, parent := range parents {
-		usage[parent] += share
-		for target, part := range p.usage[parent] {
-			usage[target] += share * part
+		fractions[parent] += share
+		for target, fraction := range p.forwardFraction[parent] {
+			fractions[target] += share * fraction
 		}
 	}
 	p.parents[group] = parents
@@ -221,8 +227,9 @@
 	problem.DirectRTT = append(problem.DirectRTT, directRTT)
 }
 
-// assignHomeFractions makes each group that sites fill from the home of a part of all objects, in proportion to its
-// capacity. This is the result of weighted rendezvous hashing over these groups.
+// assignHomeFractions sets the fraction of all objects that have each group as their home. It is proportional to the
+// group's capacity, and 0 if no site has a link to the group. Weighted rendezvous hashing of the objects over these
+// groups gives the same fractions.
 func (p *Problem) assignHomeFractions(g *Graph) {
 	p.OffHomeOriginFraction = offHomeMissRatio
 	p.HomeFraction = make([]float64, len(p.Capacity))
@@ -245,7 +252,7 @@
 	}
 }
 
-// groupLoad sums up what an allocation sends to each group.
+// groupLoad returns the load that an allocation puts on each group.
 func (p *fillPlanner) groupLoad(a *Allocation) groupLoad {
 	load := groupLoad{sent: make([]float64, p.groups()), missWeight: make([]float64, p.groups())}
 	for site := range a.ToGroup {
@@ -266,44 +273,44 @@
 	return load
 }
 
-// childDemand returns what each group gets from other groups if they serve so much.
+// childDemand returns, by group, the KB/s that other groups request from it if each group serves the rate in served.
 func (p *fillPlanner) childDemand(load groupLoad, served []float64) []float64 {
 	demand := make([]float64, p.groups())
 	for child := range served {
 		for group := range demand {
-			demand[group] += served[child] * load.missWeight[child] * p.usage[child][group]
+			demand[group] += served[child] * load.missWeight[child] * p.forwardFraction[child][group]
 		}
 	}
 	return demand
 }
 
-// overloadScales returns, by group, the fraction of its load that its parents and its links to them have capacity
-// for; nil if that is all of it for every group.
+// overloadScales returns, by group, the fraction of its load for which its parents and its links to them have
+// capacity. It returns nil if this fraction is 1 for every group.
 func (p *fillPlanner) overloadScales(load groupLoad, childDemand []float64) []float64 {
 	scales := make([]float64, p.groups())
-	overloaded := false
+	isOverloaded := false
 	for group := range scales {
 		scales[group] = min(p.parentScale(group, load, childDemand), p.linkScale(group, load))
-		overloaded = overloaded || scales[group] != 1
+		isOverloaded = isOverloaded || scales[group] != 1
 	}
-	if !overloaded {
+	if !isOverloaded {
 		return nil
 	}
 	return scales
 }
 
-// parentScale returns the fraction of a group's load that the groups above it have capacity for.
+// parentScale returns the fraction of a group's load for which all groups that its misses reach have capacity.
 func (p *fillPlanner) parentScale(group int, load groupLoad, childDemand []float64) float64 {
 	scale := 1.0
 	for parent, demand := range childDemand {
-		if p.usage[group][parent] > 0 && demand+load.sent[parent] > p.capacity[parent]+unitKBPerS {
+		if p.forwardFraction[group][parent] > 0 && demand+load.sent[parent] > p.capacity[parent]+unitKBPerS {
 			scale = min(scale, max(p.capacity[parent]-load.sent[parent], 0)/demand)
 		}
 	}
 	return scale
 }
 
-// linkScale returns the fraction of a group's load whose misses its links to its parents have capacity for.
+// linkScale returns the fraction of a group's load for whose misses the links to its parents have capacity.
 func (p *fillPlanner) linkScale(group int, load groupLoad) float64 {
 	scale := 1.0
 	misses := load.sent[group] * min(load.missWeight[group]*p.missPerParent[group], 1)
@@ -315,7 +322,7 @@
 	return scale
 }
 
-// lowerCapacity limits the groups whose scale is below 1 to what their parents have capacity for.
+// lowerCapacity reduces the capacity of the groups whose scale is below 1 to the load that their parents can serve.
 func (p *fillPlanner) lowerCapacity(load groupLoad, scales []float64) {
 	for group, scale := range scales {
 		if scale != 1 {
@@ -328,7 +335,7 @@
 	return &FillPlan{Graph: p.graph, Allocation: a, Problem: p.problem, ChildDemandKBPerS: childDemand}
 }
 
-// scaledPlan returns a plan that rejects what the groups' parents have no capacity for.
+// scaledPlan returns a plan in which the load that exceeds the capacity of the groups' parents is rejected.
 func (p *fillPlanner) scaledPlan(a *Allocation, load groupLoad, scales []float64) *FillPlan {
 	for group, scale := range scales {
 		if scale != 1 {
--- a/core/hierarchy/flow_network.go
+++ b/core/hierarchy/flow_network.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// flowNetwork finds the flow of least cost from sites to parent groups, past them to the origin, or nowhere, within
-// the capacities of arcs and groups. It is a transportation problem, solved by successive shortest paths with
-// potentials (Ahuja, Magnanti and Orlin, "Network Flows", 9.7). Amounts are whole units, so that the search ends and
-// gives the same result on every machine.
+// flowNetwork computes a minimum-cost flow from sites to parent groups, directly to the origin, or to rejection, within
+// the capacities of arcs and groups. This is a transportation problem, solved by successive shortest paths with
+// potentials (Ahuja, Magnanti and Orlin, "Network Flows", 9.7). Amounts are integers, so that the algorithm terminates
+// and gives the same result on every machine.
 //
-// Nodes of the search are numbered: sites, then groups. A path runs from a site over arcs to groups, and from a group
-// back to a site whose flow there gives way to the new flow.
+// Nodes of the search are numbered: sites, then groups. A path leads from a site over an arc to a group, and from a
+// group back over an arc to a site whose flow on that arc is reduced in favor of the new flow.
 type flowNetwork struct {
 	demand        []int64   // by site
 	capacity      []int64   // by group
 	arcs          [][]arc   // by site, to groups
 	direct        []arc     // by site, to the origin; capacity 0 if there is none
-	groupCost     []float64 // by group: cost of a unit there, in addition to its arc's
-	rejectionCost float64   // cost of a unit that goes nowhere
+	groupCost     []float64 // by group: cost per unit, in addition to that of the arc
+	rejectionCost float64   // cost per rejected unit
 
-	sent          []int64    // by group: flow there
+	sent          []int64    // by group: total flow to it
 	arcsIntoGroup [][]arcRef // by group
 
 	// State of the search, by node.
 	potential     []float64
 	dist          []float64
-	viaArc        []int32 // arc by which the node was reached: its place among the site's arcs
+	viaArc        []int32 // arc over which the node was reached: its index among the site's arcs
 	previous      []int32 // node from which it was reached
 	settled       []bool
-	sinkPotential float64 // potential of the end that all paths have in common
+	sinkPotential float64 // potential of the common sink of all paths
 	heap          []heapItem
 }
 
@@ -37,17 +37,17 @@
 type arc struct {
 	group          int32 // unused for arcs to the origin
 	capacity, flow int64
-	cost           float64 // of a unit
+	cost           float64 // per unit
 	offHome        bool    // for objects whose home is another group
 }
 
-// hasCapacity reports whether the arc can take more flow.
+// hasCapacity reports whether the arc has residual capacity.
 func (a *arc) hasCapacity() bool { return a.flow < a.capacity }
 
-// arcRef names an arc by its site and its place among the site's arcs.
+// arcRef identifies an arc by its site and its index among the site's arcs.
 type arcRef struct{ site, arc int32 }
 
-// clone returns the same problem without flow. Demand and capacity, which solve only reads, are shared.
+// clone returns a copy without search state. Demand and capacity are shared, because solve does not change them.
 func (f *flowNetwork) clone() *flowNetwork {
 	c := &flowNetwork{
 		demand:        f.demand,
@@ -63,28 +63,28 @@
 	return c
 }
 
-// solve sends all demand and returns what goes directly to the origin and what goes nowhere, by site; what goes to
-// groups is the flow of the arcs. It must be called once.
+// solve assigns all demand. It returns, by site, the units sent directly to the origin and the units rejected. The
+// units sent to groups are the flow of the arcs. It must be called only once.
 func (f *flowNetwork) solve() (direct, rejected []int64) {
 	f.prepare()
 	direct = make([]int64, len(f.demand))
 	rejected = make([]int64, len(f.demand))
-	for site, left := range f.demand {
-		for left > 0 {
-			end, past := f.search(site)
-			amount := min(left, f.endCapacity(end, past, left))
+	for site, remaining := range f.demand {
+		for remaining > 0 {
+			end, bypassesGroups := f.search(site)
+			amount := min(remaining, f.endCapacity(end, bypassesGroups, remaining))
 			amount = f.pathCapacity(site, end, amount)
 			f.addFlow(site, end, amount)
 			switch {
-			case !past:
+			case !bypassesGroups:
 				f.sent[end-len(f.demand)] += amount
-			case f.takesDirect(end):
+			case f.usesDirectLink(end):
 				f.direct[end].flow += amount
 				direct[end] += amount
 			default:
 				rejected[end] += amount
 			}
-			left -= amount
+			remaining -= amount
 		}
 	}
 	return direct, rejected
@@ -109,16 +109,18 @@
 	}
 }
 
-// takesDirect reports whether a path past the groups that ends at a site goes on to the origin, and not nowhere.
-func (f *flowNetwork) takesDirect(site int) bool {
+// usesDirectLink reports whether a path that ends at a site continues over its direct link to the origin. Otherwise the
+// path is a rejection.
+func (f *flowNetwork) usesDirectLink(site int) bool {
 	direct := &f.direct[site]
 	return direct.hasCapacity() && direct.cost <= f.rejectionCost
 }
 
-// endCapacity returns how much of an amount the end of a path can take.
-func (f *flowNetwork) endCapacity(end int, past bool, amount int64) int64 {
-	if past {
-		if f.takesDirect(end) {
+// endCapacity returns the capacity of the last step of a path: that of a group, or of the direct link of a site. It
+// returns amount if the path is a rejection.
+func (f *flowNetwork) endCapacity(end int, bypassesGroups bool, amount int64) int64 {
+	if bypassesGroups {
+		if f.usesDirectLink(end) {
 			return f.direct[end].capacity - f.direct[end].flow
 		}
 		return amount
@@ -127,20 +129,20 @@
 	return f.capacity[group] - f.sent[group]
 }
 
-// pathCapacity returns how much of an amount the path that search has found from start to end can take.
+// pathCapacity returns the part of amount for which the path found by search, from start to end, has residual capacity.
 func (f *flowNetwork) pathCapacity(start, end int, amount int64) int64 {
 	for node := int32(end); node != int32(start); node = f.previous[node] {
 		if f.isGroup(node) {
 			arc := &f.arcs[f.previous[node]][f.viaArc[node]]
 			amount = min(amount, arc.capacity-arc.flow)
-		} else { // the group gives back what this site sends it
+		} else { // the flow from this site to the group is reduced
 			amount = min(amount, f.arcs[node][f.viaArc[node]].flow)
 		}
 	}
 	return amount
 }
 
-// addFlow sends an amount over the path that search has found from start to end.
+// addFlow adds an amount of flow to the path found by search, from start to end.
 func (f *flowNetwork) addFlow(start, end int, amount int64) {
 	for node := int32(end); node != int32(start); node = f.previous[node] {
 		if f.isGroup(node) {
@@ -153,10 +155,10 @@
 
 func (f *flowNetwork) isGroup(node int32) bool { return int(node) >= len(f.demand) }
 
-// search finds the cheapest path for one more unit of a site (Dijkstra's algorithm). The path ends at a group with
-// capacity, or at a site from where it goes past the groups, to the origin or nowhere. Costs are reduced by the
-// potentials of their ends, which keeps them from being negative.
-func (f *flowNetwork) search(start int) (end int, past bool) {
+// search finds the cheapest path for one more unit of a site, with Dijkstra's algorithm. The path ends at a group with
+// residual capacity, or bypasses the groups: then it ends at a site, and its unit is sent to the origin directly or
+// rejected. Arc costs are reduced by the potentials of their ends, so that they are not negative.
+func (f *flowNetwork) search(start int) (end int, bypassesGroups bool) {
 	sites := len(f.demand)
 	for node := range f.dist {
 		f.dist[node] = math.Inf(1)
@@ -174,7 +176,7 @@
 		f.settled[node] = true
 		cost := f.endCost(node)
 		if dist := item.dist + max(f.potential[node]+cost-f.sinkPotential, 0); dist < best {
-			best, end, past = dist, node, node < sites
+			best, end, bypassesGroups = dist, node, node < sites
 		}
 		if node < sites {
 			f.relaxFromSite(node, item.dist)
@@ -186,10 +188,11 @@
 		f.potential[node] += min(f.dist[node], best)
 	}
 	f.sinkPotential += best
-	return end, past
+	return end, bypassesGroups
 }
 
-// endCost returns the cost of a unit whose path ends at a node; infinite for a group without capacity.
+// endCost returns the cost of ending the path of a unit at a node. It is infinite for a group without residual
+// capacity.
 func (f *flowNetwork) endCost(node int) float64 {
 	sites := len(f.demand)
 	if node < sites {
@@ -205,7 +208,7 @@
 	return math.Inf(1)
 }
 
-// relaxFromSite updates the distances of the groups that a site has arcs with capacity to.
+// relaxFromSite updates the distances of the groups to which a site has arcs with residual capacity.
 func (f *flowNetwork) relaxFromSite(site int, dist float64) {
 	sites := len(f.demand)
 	for i := range f.arcs[site] {
@@ -218,7 +221,7 @@
 	}
 }
 
-// relaxFromGroup updates the distances of the sites that send flow to a group: it can give way to other flow.
+// relaxFromGroup updates the distances of the sites that send flow to a group, since this flow can be rerouted.
 func (f *flowNetwork) relaxFromGroup(node int, dist float64) {
 	for _, ref := range f.arcsIntoGroup[node-len(f.demand)] {
 		arc := &f.arcs[ref.site][ref.arc]
@@ -229,7 +232,7 @@
 	}
 }
 
-// relax notes a path to a node if it is the shortest so far.
+// relax records a path to a node if it is the shortest so far.
 func (f *flowNetwork) relax(node int, dist float64, viaArc, previous int32) {
 	if dist < f.dist[node] {
 		f.dist[node] = dist
@@ -239,8 +242,8 @@
 	}
 }
 
-// heapItem is a node to be visited, in a binary heap by distance. Results depend on the order in which nodes of equal
-// distance leave the heap, so push and pop must keep it.
+// heapItem is a node to visit, in a binary heap ordered by distance. The result depends on the order in which nodes of
+// equal distance are popped, so changes of push and pop must preserve this order.
 type heapItem struct {
 	dist float64
 	node int32
--- a/core/hierarchy/forwarding.go
+++ b/core/hierarchy/forwarding.go
@@ -7,29 +7,30 @@
 	"strings"
 )
 
-// FillPath is what a fill carries from node to node, where the protocol has a field for it.
+// FillPath is sent with a fill from node to node, if the protocol has a field for it.
 type FillPath struct {
-	Visited []string // nodes that it has passed, the site first
-	NoRoute []string // nodes that returned it with ErrNoRoute
+	Visited []string // nodes that the fill has passed, starting with the site
+	NoRoute []string // nodes that rejected the fill with ErrNoRoute
 }
 
-// MaxHops bounds the nodes of a FillPath, visited and without a route together. Real hierarchies are far less deep.
+// MaxHops is the maximum number of nodes in Visited and NoRoute of a FillPath together. Actual hierarchies have far
+// fewer levels.
 const MaxHops = 16
 
-// ErrNoRoute is wrapped by an error of Forward and ForwardByPeer if a node has no parent left to forward a fill to.
+// ErrNoRoute is wrapped by errors of Forward and ForwardByPeer if a node has no parent to which it may forward a fill.
 var ErrNoRoute = errors.New("no route to the origin")
 
-// StartFill returns the path that a site's fill begins with.
+// StartFill returns the initial path of a site's fill.
 func (g *Graph) StartFill(site string) FillPath { return FillPath{Visited: []string{site}} }
 
-// Forward returns the parents to which a node may forward a fill that came with a path, and the path to send along.
-// Since nodes may have different topologies, a node can get a fill from one of its own parents: only nodes that the
-// fill has not passed are returned.
+// Forward returns the parents to which a node may forward a fill with the given path, and the path to send with it.
+// Nodes may have different topologies, so a node can receive a fill from one of its own parents. Therefore only
+// parents that the fill has not passed, and that are not in NoRoute, are returned.
 //
-// The error wraps ErrLoop if the fill has passed this node before, and ErrNoRoute if no parent is left or the path is
-// MaxHops long. A node that gets ErrNoRoute from a parent adds it, and all nodes that it had tried, to NoRoute and
-// goes on with the next parent. Levels are not compared: the path prevents loops by itself, and they would stop fills
-// that can still arrive.
+// The error wraps ErrLoop if the fill has passed this node before. It wraps ErrNoRoute if no parent remains or the
+// path has MaxHops nodes. A node that gets ErrNoRoute from a parent adds this parent, and all nodes that the parent
+// has tried, to NoRoute, and tries the next parent. Levels are not compared: the path alone prevents loops, and a
+// comparison would reject fills that can still reach the origin.
 func (g *Graph) Forward(node string, path FillPath) (parents []string, next FillPath, err error) {
 	if slices.Contains(path.Visited, node) {
 		return nil, FillPath{}, fmt.Errorf("%w: %s > %s", ErrLoop, strings.Join(path.Visited, " > "), node)
@@ -44,26 +45,26 @@
 		}
 	}
 	if len(parents) == 0 {
-		return nil, next, fmt.Errorf("%s, by %s: %w", node, strings.Join(path.Visited, " > "), ErrNoRoute)
+		return nil, next, fmt.Errorf("%s, via %s: %w", node, strings.Join(path.Visited, " > "), ErrNoRoute)
 	}
 	return parents, next, nil
 }
 
-// ForwardByPeer returns the parents to which a node may forward a fill that carries no path, judging by the node that
-// sent it. If that peer's level is not above this node's, the two have different topologies, and only the origin is
-// returned, or an error that wraps ErrNoRoute.
+// ForwardByPeer returns the parents to which a node may forward a fill without a path, based on the peer that sent it.
+// If the peer's level is not greater than the node's, the two have different topologies. Then only the origin is
+// returned, or an error that wraps ErrNoRoute if the origin is not a parent of the node.
 //
-// This prevents every loop in which the node that the fill returns to still has the topology by which it first
-// forwarded the fill. A LoopDetector finds the others once they occur.
+// This prevents every loop in which the node that the fill returns to still has the topology with which it first
+// forwarded the fill. A LoopDetector detects other loops when they occur.
 func (g *Graph) ForwardByPeer(node, peer string) (parents []string, err error) {
-	peerIsBelow := g.Level(peer) > g.Level(node)
+	isPeerBelow := g.Level(peer) > g.Level(node)
 	for _, parent := range g.Parents(node) {
-		if peerIsBelow || parent == g.topology.Origin.Name {
+		if isPeerBelow || parent == g.topology.Origin.Name {
 			parents = append(parents, parent)
 		}
 	}
 	if len(parents) == 0 {
-		return nil, fmt.Errorf("%s, asked by %s: %w", node, peer, ErrNoRoute)
+		return nil, fmt.Errorf("%s, requested by %s: %w", node, peer, ErrNoRoute)
 	}
 	return parents, nil
 }
--- a/core/hierarchy/graph.go
+++ b/core/hierarchy/graph.go
@@ -5,27 +5,29 @@
 	"strings"
 )
 
-// noRoute is the level of a node that has no route to the origin.
+// noRoute is the level of a node without a route to the origin.
 const noRoute = -1
 
-// Graph is a compiled topology. Nodes are numbered: sites, then parent groups, then the origin, each in the document's
-// order. It does not change, and is safe for concurrent use.
+// Graph is a compiled topology. It is immutable and safe for concurrent use. Nodes are numbered: sites, then parent
+// groups, then the origin, each in the document's order.
 type Graph struct {
 	topology  *Topology
 	nodeIndex map[string]int // node number by name
 	order     TopologicalOrder
-	// levels has each node's level or noRoute. The origin's is 0, any other's one more than the greatest of its parents.
+	// levels holds each node's level, or noRoute. The level of the origin is 0. The level of any other node is one more
+	// than the highest level of its parents.
 	levels    []int
-	originRTT []float64      // by node: shortest round trip to the origin in ms, at most RejectionCostMillis
-	linkIndex map[[2]int]int // place among the topology's links by the nodes from and to
-	salts     []uint64       // hashes of the names of the groups, then of the origin
+	originRTT []float64      // by node: shortest round trip to the origin, ms, at most RejectionCostMillis
+	linkIndex map[[2]int]int // index of a link in the topology, by its two nodes
+	salts     []uint64       // hashes of the names of the groups, followed by that of the origin
 }
 
 // Topology returns the document that the graph was compiled from. It must not be changed.
 func (g *Graph) Topology() *Topology { return g.topology }
 
-// Level returns the level of a node by its name: 0 for the origin, and for any other node more than for each of its
-// parents. It is -1 for an unknown node and for one without a route to the origin.
+// Level returns the level of the node with a name. The level of the origin is 0. The level of any other node is one
+// more than the highest level of its parents. Level returns -1 for an unknown node and for one without a route to the
+// origin.
 func (g *Graph) Level(name string) int {
 	if node, known := g.nodeIndex[name]; known {
 		return g.levels[node]
@@ -51,7 +53,7 @@
 	return names
 }
 
-// ParentGroupOf returns the name of the group that a server belongs to by its name; "" for none.
+// ParentGroupOf returns the name of the parent group whose prefixes match a server's name, or "" if no group matches.
 func (g *Graph) ParentGroupOf(server string) string {
 	isPrefix := func(prefix string) bool { return strings.HasPrefix(server, prefix) }
 	for _, group := range g.topology.ParentGroups {
@@ -62,14 +64,14 @@
 	return ""
 }
 
-// TargetName returns the name of a target of a Route: the parent groups by their place in the document, then the
-// origin.
+// TargetName returns the name of a target of a Route. Targets are the parent groups by their index in the document,
+// followed by the origin.
 func (g *Graph) TargetName(target int) string { return g.nodeName(len(g.topology.Sites) + target) }
 
 // link returns the link between two nodes, which must exist.
 func (g *Graph) link(from, to int) *Link { return &g.topology.Links[g.linkIndex[[2]int{from, to}]] }
 
-// originNode is the number of the origin, the last node.
+// originNode returns the number of the origin, which is the last node.
 func (g *Graph) originNode() int { return g.topology.nodeCount() - 1 }
 
 func (g *Graph) nodeName(node int) string {
@@ -91,7 +93,7 @@
 	return names
 }
 
-// parentsFirst returns all nodes, each after its parents.
+// parentsFirst returns the numbers of all nodes, each after its parents.
 func (g *Graph) parentsFirst() []int {
 	nodes := make([]int, g.order.Len())
 	for i := range nodes {
--- a/core/hierarchy/loop_detector.go
+++ b/core/hierarchy/loop_detector.go
@@ -1,20 +1,20 @@
 package hierarchy
 
-// LoopDetector finds fills that return to a node where they can carry no path. It records the fills that the node has
-// sent to its parents; a request by one of these parents for the same object is a loop. Times are milliseconds of any
-// clock. It is not safe for concurrent use.
+// LoopDetector detects fills that return to a node, for protocols that cannot send a path with the fill. It records the
+// fills that the node has sent to its parents. A request from such a parent for the same object is a loop. Times are in
+// milliseconds of any clock. It is not safe for concurrent use.
 type LoopDetector struct {
-	RetentionMillis float64 // after this time a fill that has not ended is forgotten
-	MaxOutstanding  int     // fills that are recorded at once; further ones are only counted as Untracked
+	RetentionMillis float64 // after this time a fill that has not ended is removed
+	MaxOutstanding  int     // maximum number of recorded fills; further ones are only counted as Untracked
 
-	outstanding map[outstandingFill]float64 // time at which each was sent
-	lastExpiry  float64
+	outstanding map[outstandingFill]float64 // time at which each fill was sent
+	lastExpiry  float64                     // time at which expired fills were last removed
 
-	LoopsDetected int64 // fills that came back
+	LoopsDetected int64 // fills that returned to the node
 	Untracked     int64 // fills sent while MaxOutstanding were recorded
 }
 
-// outstandingFill is a fill by the parent that it was sent to and the object's key.
+// outstandingFill identifies a fill by the parent that it was sent to and the object's key.
 type outstandingFill struct{ parent, key string }
 
 // FillSent records that the node requests an object from a parent.
@@ -35,25 +35,26 @@
 	delete(d.outstanding, outstandingFill{parent, key})
 }
 
-// Detect reports whether a request by a peer is a fill that came back: this node awaits the same object from that peer.
+// Detect reports whether a request from a peer is a loop, and counts it. It is a loop if this node has an outstanding
+// fill of the same object from that peer.
 func (d *LoopDetector) Detect(now float64, peer, key string) bool {
 	d.expire(now)
-	sent, awaited := d.outstanding[outstandingFill{peer, key}]
-	if awaited && now-sent < d.RetentionMillis {
+	sentAt, isOutstanding := d.outstanding[outstandingFill{peer, key}]
+	if isOutstanding && now-sentAt < d.RetentionMillis {
 		d.LoopsDetected++
 		return true
 	}
 	return false
 }
 
-// expire forgets fills older than RetentionMillis. It looks at them once in that time.
+// expire removes fills older than RetentionMillis. It checks them at most once per RetentionMillis.
 func (d *LoopDetector) expire(now float64) {
 	if now-d.lastExpiry < d.RetentionMillis {
 		return
 	}
 	d.lastExpiry = now
-	for fill, sent := range d.outstanding {
-		if now-sent >= d.RetentionMillis {
+	for fill, sentAt := range d.outstanding {
+		if now-sentAt >= d.RetentionMillis {
 			delete(d.outstanding, fill)
 		}
 	}
--- a/core/hierarchy/loop_header.go
+++ b/core/hierarchy/loop_header.go
@@ -16,10 +16,10 @@
 // ErrLoopHeader is wrapped by every error of ParseLoop.
 var ErrLoopHeader = errors.New("CDN-Loop")
 
-// ParseLoop parses the values of CDN-Loop headers (RFC 8586): lists of ids, each a host with an optional port or a
-// pseudonym. Parameters are checked and left out. A value that violates the grammar, or one of the bounds of 4096
-// bytes in all and 255 an id, is an error that wraps ErrLoopHeader. A request with such a header must be treated as
-// one that loops.
+// ParseLoop parses the values of CDN-Loop headers (RFC 8586). They are lists of ids, each a host with an optional port
+// or a pseudonym. Parameters are validated but not returned. The error wraps ErrLoopHeader if a value violates the
+// grammar, if all values together exceed 4096 bytes, or if an id exceeds 255 bytes. A request with such a header must
+// be treated as a loop.
 func ParseLoop(values []string) (ids []string, err error) {
 	size := 0
 	for _, value := range values {
@@ -41,8 +41,8 @@
 	return ids, nil
 }
 
-// ContainsNode reports whether a node's id is among the ids of a CDN-Loop header. Like hosts, ids are compared
-// without case.
+// ContainsNode reports whether a node's id is among the ids of a CDN-Loop header. Like host names, ids are compared
+// case-insensitively.
 func ContainsNode(ids []string, node string) bool {
 	return slices.ContainsFunc(ids, func(id string) bool { return strings.EqualFold(id, node) })
 }
@@ -57,7 +57,7 @@
 	id = s[:end]
 	s = trimSpace(s[end:])
 	if len(id) > maxLoopIDBytes {
-		return "", "", fmt.Errorf("%w: an id of %d bytes, at most %d are allowed", ErrLoopHeader, len(id), maxLoopIDBytes)
+		return "", "", fmt.Errorf("%w: id has %d bytes, at most %d are allowed", ErrLoopHeader, len(id), maxLoopIDBytes)
 	}
 	for strings.HasPrefix(s, ";") {
 		s, err = skipParameter(id, trimSpace(s[1:]))
@@ -74,7 +74,7 @@
 	return "", "", fmt.Errorf("%w: unexpected %q after %q", ErrLoopHeader, s[0], id)
 }
 
-// skipParameter returns what follows the parameter of an id at the start of s.
+// skipParameter returns the rest of s after the parameter at its start. id is the id that the parameter belongs to.
 func skipParameter(id, s string) (rest string, err error) {
 	if id == "" {
 		return "", fmt.Errorf("%w: parameters without an id", ErrLoopHeader)
@@ -98,19 +98,19 @@
 	return trimSpace(s[value:]), nil
 }
 
-// trimSpace removes optional whitespace at the start.
+// trimSpace removes leading spaces and tabs.
 func trimSpace(s string) string { return strings.TrimLeft(s, " \t") }
 
 func isAlphanumeric(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
 }
 
-// isLoopIDByte reports whether a host, a port, an address in brackets or a pseudonym may contain a byte.
+// isLoopIDByte reports whether a byte is allowed in a host, a port, an address in brackets or a pseudonym.
 func isLoopIDByte(c byte) bool {
 	return isAlphanumeric(c) || strings.IndexByte("-._~%!$&'()*+:[]", c) >= 0
 }
 
-// isTokenByte reports whether a token may contain a byte (RFC 9110, 5.6.2).
+// isTokenByte reports whether a byte is allowed in a token (RFC 9110, 5.6.2).
 func isTokenByte(c byte) bool {
 	return isAlphanumeric(c) || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0
 }
@@ -124,7 +124,8 @@
 	return n
 }
 
-// quotedLength returns the length of the quoted string at the start of s, quotes included; 0 if it does not end.
+// quotedLength returns the length of the quoted string at the start of s, including the quotes. It returns 0 if the
+// string has no closing quote or contains a control character.
 func quotedLength(s string) int {
 	for i := 1; i < len(s); i++ {
 		switch c := s[i]; {
--- a/core/hierarchy/optimal.go
+++ b/core/hierarchy/optimal.go
@@ -2,18 +2,21 @@
 
 import "math"
 
-// unitKBPerS is the smallest rate that an allocation is computed in: capacities are rounded down to it, demand up.
+// unitKBPerS is the rate unit of allocations. Capacities are rounded down to whole units, demand is rounded up.
 const unitKBPerS = 1.0 / 16
 
-// maxPriceRounds bounds the search for the origin's price, which ends by itself after about ten rounds.
+// maxPriceRounds is the maximum number of rounds of the search for the origin's price, which usually ends after about
+// ten.
 const maxPriceRounds = 60
 
-// Optimal returns the allocation of least cost: the optimum of the linear programme, but for rounding to units.
+// Optimal returns the allocation with the minimum cost: the optimum of the linear program, except for rounding to
+// units. The error is that of Check.
 //
-// Without the origin's capacity the problem is a flow of least cost, which flowNetwork solves exactly. The capacity
-// gets a price per KB, which is added to the costs (Lagrangian relaxation, exact for linear programmes). Two
-// allocations are kept, one above the capacity and one within; the next price is the one at which both cost the same.
-// If no allocation is cheaper at that price, the optimum is the mixture of the two that just meets the capacity.
+// Without the limit on the origin's capacity, the problem is a minimum-cost flow, which flowNetwork solves exactly.
+// The limit is replaced by a price per KB from the origin, which is added to the costs (Lagrangian relaxation, exact
+// for linear programs). The search maintains two allocations, one above the limit and one within it. The next price is
+// that at which both have the same cost. If no allocation is cheaper at this price, the optimum is the mixture of the
+// two that exactly uses the origin's capacity.
 func (p *Problem) Optimal() (*Allocation, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -28,7 +31,7 @@
 	for range maxPriceRounds {
 		price = (within.Cost - above.Cost) / (above.OriginLoad - within.OriginLoad)
 		next := p.atPrice(network, price)
-		if notCheaper(next.Cost+price*next.OriginLoad, above.Cost+price*above.OriginLoad) {
+		if costsAtLeast(next.Cost+price*next.OriginLoad, above.Cost+price*above.OriginLoad) {
 			break
 		}
 		if next.OriginLoad <= p.OriginCapacity {
@@ -43,8 +46,8 @@
 	return best, nil
 }
 
-// notCheaper reports whether a cost is not below another one, but for rounding.
-func notCheaper(cost, other float64) bool { return cost >= other*(1-1e-9)-1e-6 }
+// costsAtLeast reports whether cost is equal to other or greater, with a tolerance for rounding errors.
+func costsAtLeast(cost, other float64) bool { return cost >= other*(1-1e-9)-1e-6 }
 
 // unitsDown converts a capacity in KB/s to units.
 func unitsDown(kbPerS float64) int64 { return int64(kbPerS / unitKBPerS) }
@@ -52,7 +55,7 @@
 // unitsUp converts a demand in KB/s to units.
 func unitsUp(kbPerS float64) int64 { return int64(math.Ceil(kbPerS / unitKBPerS)) }
 
-// flowNetwork returns the problem in units, at a price of 0.
+// flowNetwork returns the problem as a flow network in units, with an origin price of 0.
 func (p *Problem) flowNetwork() *flowNetwork {
 	f := &flowNetwork{
 		rejectionCost: p.RejectionCost,
@@ -73,8 +76,8 @@
 	return f
 }
 
-// appendArcs appends the arcs for a site's link to a group: one for objects whose home the group is, and one for the
-// others with the capacity that is left.
+// appendArcs appends the arcs for the link of a site to a group: one for objects with the group as their home, and one
+// for other objects with the remaining capacity.
 func (p *Problem) appendArcs(arcs []arc, site, group int) []arc {
 	capacity := unitsDown(p.LinkCapacity[site][group])
 	home := capacity
@@ -93,7 +96,8 @@
 	return arcs
 }
 
-// atPrice returns the allocation of least cost at a price of a KB from the origin.
+// atPrice returns the allocation with the minimum cost if each KB from the origin costs price in addition. Its Cost
+// does not include the price.
 func (p *Problem) atPrice(base *flowNetwork, price float64) *Allocation {
 	f := base.clone()
 	p.addPrice(f, price)
@@ -116,7 +120,7 @@
 	return a
 }
 
-// addPrice adds the price of what each arc and group sends to the origin to its cost.
+// addPrice adds, to the cost of each arc and group, the price of the origin load that a unit causes there.
 func (p *Problem) addPrice(f *flowNetwork, price float64) {
 	for group := range f.groupCost {
 		f.groupCost[group] = price * p.OriginFraction[group]
--- a/core/hierarchy/problem.go
+++ b/core/hierarchy/problem.go
@@ -6,29 +6,30 @@
 	"slices"
 )
 
-// Problem is the question how sites divide their fills among parent groups and the origin. Slices are indexed by site
-// or by group. Rates are KB/s, at most 1e12; times are ms, at most RejectionCost; fractions are 0 to 1.
+// Problem is the input of an allocation, which divides the fills of all sites among parent groups and the origin.
+// Slices are indexed by site or by group. Rates are in KB/s, at most 1e12. Times are in ms, at most RejectionCost.
+// Fractions are from 0 to 1.
 type Problem struct {
-	Demand         []float64   // by site: its fills
-	Capacity       []float64   // by group: what its caches can serve now
-	OriginFraction []float64   // by group: the part of its requests that the origin must serve
+	Demand         []float64   // by site: rate of its fills
+	Capacity       []float64   // by group: rate that its caches can serve at present
+	OriginFraction []float64   // by group: fraction of its requests that the origin must serve
 	LinkCapacity   [][]float64 // by site and group: capacity of the link; 0 if there is none
-	LinkRTT        [][]float64 // by site and group: round trip over the link
+	LinkRTT        [][]float64 // by site and group: round-trip time of the link
 	DirectCapacity []float64   // by site: capacity of its link to the origin; 0 if there is none
-	DirectRTT      []float64   // by site: round trip over that link
-	OriginCapacity float64     // what the origin can serve
+	DirectRTT      []float64   // by site: round-trip time of that link
+	OriginCapacity float64     // rate that the origin can serve
 
-	// HomeFraction is, by group, the part of all objects whose home the group is. The home follows from the object's
-	// hash and is the same for all sites, so that the group caches an object once for all sites that request it there.
-	// nil: objects have no home.
+	// HomeFraction is, by group, the fraction of all objects that have the group as their home. The home follows from
+	// the object's hash and is the same for all sites, so that the group caches an object once for all sites that
+	// request it there. nil: objects have no home.
 	HomeFraction []float64
-	// OffHomeOriginFraction is the part of requests at another group than the home that the origin must serve, if that
-	// is more than the group's OriginFraction.
+	// OffHomeOriginFraction is the fraction of requests at a group other than the object's home that the origin must
+	// serve. The group's OriginFraction applies if it is greater.
 	OffHomeOriginFraction float64
-	// OriginRTT is, by group, the added round trip of a miss; nil stands for 0.
+	// OriginRTT is, by group, the additional round-trip time of a miss. nil means 0 for all groups.
 	OriginRTT []float64
-	// RejectionCost is the cost of a rejected KB, as a round trip in ms. It is above every real one, or nothing would be
-	// served.
+	// RejectionCost is the cost of a rejected KB, expressed as a round-trip time in ms. It must exceed every actual
+	// round-trip time. Otherwise the cheapest allocation would reject everything.
 	RejectionCost float64
 }
 
@@ -41,7 +42,8 @@
 	maxRejectionCost = 1e9  // ms
 )
 
-// Check reports the first field whose length or values are not allowed. The error wraps ErrProblem.
+// Check returns an error for the first field whose length or values are not allowed. The error names the field and
+// wraps ErrProblem.
 func (p *Problem) Check() error {
 	if err := p.checkLengths(); err != nil {
 		return err
@@ -77,7 +79,7 @@
 	return nil
 }
 
-// checkLengths ensures that all slices have one value for each site or group.
+// checkLengths returns an error if a slice does not have one value for each site or group.
 func (p *Problem) checkLengths() error {
 	sites, groups := len(p.Demand), len(p.Capacity)
 	for _, field := range []struct {
@@ -109,7 +111,7 @@
 	return nil
 }
 
-// indexOutside returns the index of the first value that is not 0 to limit; -1 if there is none.
+// indexOutside returns the index of the first value that is not within 0 to limit, or -1 if there is none.
 func indexOutside(limit float64, values []float64) int {
 	return slices.IndexFunc(values, func(v float64) bool { return !(v >= 0 && v <= limit) })
 }
@@ -118,7 +120,7 @@
 	return fmt.Errorf("%w: %s[%d]: %v, must be 0 to %v", ErrProblem, field, i, value, limit)
 }
 
-// originRTT returns the added round trip of a miss at a group.
+// originRTT returns the additional round-trip time in ms of a miss at a group.
 func (p *Problem) originRTT(group int) float64 {
 	if p.OriginRTT == nil {
 		return 0
@@ -126,7 +128,8 @@
 	return p.OriginRTT[group]
 }
 
-// offHomeOriginFraction returns the part of requests at a group for objects of other homes that the origin must serve.
+// offHomeOriginFraction returns the fraction of a group's requests for objects with another home that the origin must
+// serve.
 func (p *Problem) offHomeOriginFraction(group int) float64 {
 	return max(p.OriginFraction[group], p.OffHomeOriginFraction)
 }
--- a/core/hierarchy/route.go
+++ b/core/hierarchy/route.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Route says where one site's fills go: to targets, which are the parent groups by their place in the topology and
-// behind the last one the origin. All sites share the objects' homes; an object whose fraction there does not suffice
-// goes elsewhere.
+// Route assigns the fills of one site to targets. Targets are the parent groups by their index in the topology,
+// followed by the origin. Each object has a home group, which is the same for all sites. The site fills a fraction of
+// each home's objects there, and distributes the other objects over all targets.
 type Route struct {
-	// Salts distinguish the targets in hashing. They depend on the targets' names alone, so that adding or removing one
-	// moves no objects between others.
+	// Salts are, by target, inputs of the hash. They depend only on the targets' names, so that adding or removing a
+	// target does not move objects between other targets.
 	Salts            []uint64
-	HomeFraction     []float64 // by group: part of all objects whose home it is, the same for all sites
-	StayFraction     []float64 // by group: part of the objects of that home that this site fills there
-	OffHomeFraction  []float64 // by target: part of the remaining objects; what the sum lacks of 1 is rejected
-	RejectedFraction float64   // part of the site's fills that no target has capacity for
+	HomeFraction     []float64 // by group: fraction of all objects with this home, the same for all sites
+	StayFraction     []float64 // by group: fraction of the objects with this home that the site fills there
+	OffHomeFraction  []float64 // by target: fraction of the remaining objects; if the sum is below 1, the rest is rejected
+	RejectedFraction float64   // fraction of the site's fills that no target has capacity for
 }
 
-// Route returns the plan's route of a site. For an unknown site all is rejected.
+// Route returns the route of the site with a name. The route of an unknown site rejects all fills.
 func (s *FillPlan) Route(name string) Route {
 	site, known := s.Graph.nodeIndex[name]
 	if !known || site >= len(s.Graph.topology.Sites) {
@@ -53,7 +53,7 @@
 	return r
 }
 
-// Fractions returns the part of the site's objects that goes to each target, at home or not.
+// Fractions returns, by target, the fraction of the site's objects that are filled there, as their home or not.
 func (r *Route) Fractions() []float64 {
 	fractions := slices.Clone(r.OffHomeFraction)
 	offHome := 1.0
@@ -69,19 +69,19 @@
 	return fractions
 }
 
-// Seeds of the hashes that decide, independently of each other, whether an object stays at its home, whether it is
-// rejected, and where it goes otherwise.
+// Seeds of independent hashes: whether an object is filled at its home, whether it is rejected, and which other target
+// it is filled from.
 const (
 	staySeed    = 0x5851f42d4c957f2d
 	rejectSeed  = 0x14057b7ef767814f
 	offHomeSeed = 0x2545f4914f6cdd1d
 )
 
-// noTarget is returned where there is no target with capacity.
+// noTarget is returned instead of a target if the fill of an object is rejected.
 const noTarget = -1
 
-// Pick returns the target for the fill of an object by the hash of its name, or -1 if it is rejected. The same object
-// gets the same target as long as the plan stays.
+// Pick returns the target for the fill of an object by the hash of its name, or -1 if it is rejected. An object always
+// gets the same target from the same route.
 func (r *Route) Pick(hash uint64) int {
 	home := weightedRendezvous(hash, r.HomeFraction, r.Salts)
 	if home != noTarget && hashFraction(hash, staySeed) < r.StayFraction[home] {
@@ -97,7 +97,7 @@
 	return weightedRendezvous(hash^offHomeSeed, r.OffHomeFraction, r.Salts)
 }
 
-// hashFraction returns a number between 0 and 1 that follows from a hash and a salt (the finalizer of SplitMix64).
+// hashFraction maps a hash and a salt to a number between 0 and 1, with the finalizer of SplitMix64.
 func hashFraction(hash, salt uint64) float64 {
 	h := hash ^ salt
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
@@ -106,8 +106,8 @@
 }
 
 // weightedRendezvous returns the target for an object by its hash, or noTarget if no target has a fraction above 0.
-// Each gets its fraction of all objects, and when fractions change, no more objects change their target than must
-// (weighted rendezvous hashing: Schindelhauer and Schomaker, 2005).
+// Each target gets its fraction of all objects. When fractions change, the minimum number of objects change their
+// target (weighted rendezvous hashing: Schindelhauer and Schomaker, 2005).
 func weightedRendezvous(hash uint64, fractions []float64, salts []uint64) int {
 	best, target := math.Inf(1), noTarget
 	for i, fraction := range fractions {
--- a/core/hierarchy/topological_order.go
+++ b/core/hierarchy/topological_order.go
@@ -5,30 +5,31 @@
 	"slices"
 )
 
-// TopologicalOrder keeps the nodes of a directed graph in an order in which every edge leads from an earlier node to
-// a later one, while edges are added and removed. An edge that would close a cycle is rejected, and the cycle
-// reported. Adding an edge costs time in proportion to the nodes that lie between its ends in the order and are
-// connected with them, not to the size of the graph (Pearce and Kelly, "A dynamic topological sort algorithm for
-// directed acyclic graphs", 2006).
+// TopologicalOrder maintains a topological order of a directed graph while edges are added and removed: every edge
+// leads from an earlier node to a later one. An edge that would close a cycle is rejected, and the cycle is returned.
+// The time to add an edge depends on the number of nodes that lie between its ends in the order and are connected to
+// them, not on the size of the graph (Pearce and Kelly, "A dynamic topological sort algorithm for directed acyclic
+// graphs", 2006).
 //
 // The zero value is an empty graph. It is not safe for concurrent use.
 type TopologicalOrder struct {
 	position     []int32   // by node: its position in the order; positions are distinct
-	successors   [][]int32 // by node: where its edges lead to
-	predecessors [][]int32 // by node: where the edges to it come from
+	successors   [][]int32 // by node: nodes that its outgoing edges lead to
+	predecessors [][]int32 // by node: nodes that its incoming edges come from
 
-	// State of the searches of AddEdge, kept to save allocations.
+	// State of the searches of AddEdge, reused to save allocations.
 	discoveredBy    []int32 // by node: the node from which the search reached it, or notReached
 	reachedForward  []int32 // nodes that the search along the edges has reached
 	reachedBackward []int32 // nodes that the search against the edges has reached
 	stack           []int32 // nodes reached whose edges are still to be followed
-	freePositions   []int32 // positions that reorder gives out anew
+	freePositions   []int32 // positions that reorder reassigns
 }
 
 // notReached marks a node that the search has not reached.
 const notReached = -1
 
-// Grow makes sure that there are at least so many nodes, numbered from 0. New ones have no edges and come last.
+// Grow adds nodes until the graph has at least the given number, numbered from 0. New nodes have no edges and come last
+// in the order.
 func (o *TopologicalOrder) Grow(nodes int) {
 	for node := len(o.position); node < nodes; node++ {
 		o.position = append(o.position, int32(node))
@@ -44,17 +45,17 @@
 // Before reports whether node a comes before node b.
 func (o *TopologicalOrder) Before(a, b int) bool { return o.position[a] < o.position[b] }
 
-// Successors returns the nodes that edges lead to from a node. The slice must not be changed, and is valid until the
-// next change of the graph.
+// Successors returns the nodes that the outgoing edges of a node lead to. The slice must not be changed, and is valid
+// until the next change of the graph.
 func (o *TopologicalOrder) Successors(node int) []int32 { return o.successors[node] }
 
-// HasEdge reports whether there is an edge between two nodes.
+// HasEdge reports whether there is an edge from one node to another.
 func (o *TopologicalOrder) HasEdge(from, to int) bool {
 	return slices.Contains(o.successors[from], int32(to))
 }
 
-// AddEdge adds an edge and returns nil. If the edge would close a cycle, nothing changes, and the nodes of the cycle
-// are returned, from first and again last. Adding an edge that exists does nothing.
+// AddEdge adds an edge and returns nil. If the edge would close a cycle, the graph does not change, and AddEdge returns
+// the nodes of the cycle, starting and ending with from. Adding an existing edge has no effect.
 func (o *TopologicalOrder) AddEdge(from, to int) (cycle []int) {
 	if from == to {
 		return []int{from, to}
@@ -63,7 +64,7 @@
 		return nil
 	}
 	low, high := o.position[to], o.position[from]
-	if low < high { // the edge contradicts the order
+	if low < high { // the edge violates the current order
 		if !o.searchForward(int32(to), int32(from), high) {
 			return o.cyclePath(from, to)
 		}
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// RemoveEdge removes an edge, and reports whether it existed. The order stays as it is.
+// RemoveEdge removes an edge and reports whether it existed. The order does not change.
 func (o *TopologicalOrder) RemoveEdge(from, to int) bool {
 	if !removeNode(&o.successors[from], int32(to)) {
 		return false
@@ -84,7 +85,7 @@
 	return true
 }
 
-// removeNode removes a node from a list, whose order it does not keep, and reports whether it was there.
+// removeNode removes a node from a list and reports whether the list contained it. The order of the list may change.
 func removeNode(list *[]int32, node int32) bool {
 	i := slices.Index(*list, node)
 	if i < 0 {
@@ -96,8 +97,8 @@
 	return true
 }
 
-// searchForward finds the nodes that can be reached from start, up to a position. It returns false as soon as goal is
-// one of them, and leaves the search's state for cyclePath then.
+// searchForward finds the nodes at positions up to maxPosition that are reachable from start. If it reaches goal, it
+// returns false immediately, and keeps the search state for cyclePath.
 func (o *TopologicalOrder) searchForward(start, goal, maxPosition int32) bool {
 	o.reachedForward = o.reachedForward[:0]
 	o.stack = append(o.stack[:0], start)
@@ -120,7 +121,7 @@
 	return true
 }
 
-// searchBackward finds the nodes from which start can be reached, down to a position.
+// searchBackward finds the nodes at positions from minPosition on from which start is reachable.
 func (o *TopologicalOrder) searchBackward(start, minPosition int32) {
 	o.reachedBackward = o.reachedBackward[:0]
 	o.stack = append(o.stack[:0], start)
@@ -151,7 +152,8 @@
 	}
 }
 
-// cyclePath returns the cycle that a search forward has found, which began at to and met from, and resets the search.
+// cyclePath returns the cycle found by a forward search that started at to and reached from. It resets the search
+// state.
 func (o *TopologicalOrder) cyclePath(from, to int) []int {
 	var path []int
 	for node := int32(from); ; node = o.discoveredBy[node] {
@@ -168,8 +170,8 @@
 	return path
 }
 
-// reorder gives the positions of all reached nodes out anew: the lowest to those reached backward, the rest to those
-// reached forward, and on each side in the order that they had.
+// reorder reassigns the positions of all reached nodes. The nodes reached backward get the lowest positions, and the
+// nodes reached forward get the others. Both sets keep their internal order.
 func (o *TopologicalOrder) reorder() {
 	byPosition := func(a, b int32) int { return cmp.Compare(o.position[a], o.position[b]) }
 	slices.SortFunc(o.reachedBackward, byPosition)
--- a/core/hierarchy/topology.go
+++ b/core/hierarchy/topology.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Topology says which node may fill from which. It is a document: all routers that have the same one make the same
-// graph.
+// Topology is the document that lists the nodes and which node may fill from which. Routers with the same document
+// compile the same graph.
 type Topology struct {
 	Version      int64         `json:"version" jsonschema:"minimum=0" jsonschema_description:"number of this document; a later one is greater"`
 	Origin       Origin        `json:"head"`
@@ -16,33 +16,34 @@
 	Links        []Link        `json:"ways,omitempty"`
 }
 
-// Origin is the root of the hierarchy: it has all objects, and every route ends there.
+// Origin is the root of the hierarchy. It has all objects, and every route ends there.
 type Origin struct {
 	Name           string  `json:"name"`
-	CapacityKBPerS float64 `json:"kbPerS" jsonschema_description:"what all fills together may ask of it"`
+	CapacityKBPerS float64 `json:"kbPerS" jsonschema_description:"maximum total rate of all fills from the head office"`
 }
 
-// ParentGroup is a set of parent caches at one place. Objects are spread over its caches by hash.
+// ParentGroup is a set of parent caches at one location. Objects are distributed over its caches by hash.
 type ParentGroup struct {
 	Name string `json:"name"`
-	// ServerPrefixes are the prefixes of the names of its caches. A listed cache that matches no group gets no fills.
-	ServerPrefixes []string `json:"servers" jsonschema_description:"how the names of its servers begin"`
-	// MissRatio is the fraction of requests that a warm group forwards to its own parents; 0 stands for 0.35.
-	MissRatio float64 `json:"miss,omitempty" jsonschema_description:"part of what it is asked for that it asks for in turn, 0 to 1; 0.35 if left out"`
+	// ServerPrefixes are the name prefixes of the caches in the group. A listed cache that matches no group gets no
+	// fills.
+	ServerPrefixes []string `json:"servers" jsonschema_description:"name prefixes of the servers in the area"`
+	// MissRatio is the fraction of requests that a warm group forwards to its own parents. 0 means the default, 0.35.
+	MissRatio float64 `json:"miss,omitempty" jsonschema_description:"fraction of the area's requests that it forwards to its own parents, 0 to 1; 0.35 if left out"`
 }
 
-// Site is a place with edge caches and routers, where fills begin.
+// Site is a location with edge caches and routers. Fills start there.
 type Site struct {
 	Name           string  `json:"name"`
-	PeakFillKBPerS float64 `json:"kbPerS" jsonschema_description:"what it fills at its peak"`
+	PeakFillKBPerS float64 `json:"kbPerS" jsonschema_description:"peak rate of the depot's fills"`
 }
 
 // Link permits node From to fill from node To.
 type Link struct {
 	From           string  `json:"from"`
 	To             string  `json:"to"`
-	CapacityKBPerS float64 `json:"kbPerS" jsonschema_description:"what fits on it"`
-	RTTMillis      float64 `json:"ms,omitempty" jsonschema_description:"its length there and back: of two ways with room the shorter is taken"`
+	CapacityKBPerS float64 `json:"kbPerS" jsonschema_description:"capacity of the way"`
+	RTTMillis      float64 `json:"ms,omitempty" jsonschema_description:"round-trip time of the way; of two ways with free capacity the shorter one is used"`
 }
 
 // Bounds of a topology.
@@ -51,10 +52,10 @@
 	MaxLinks = 200_000
 )
 
-// defaultMissRatio is the miss ratio of a warm group whose document gives none.
+// defaultMissRatio is the miss ratio of a warm group that has none in the document.
 const defaultMissRatio = 0.35
 
-// missRatio is the miss ratio of the group while it is warm.
+// missRatio returns the miss ratio of the group while it is warm.
 func (g *ParentGroup) missRatio() float64 {
 	if g.MissRatio == 0 {
 		return defaultMissRatio
@@ -65,21 +66,21 @@
 // ErrTopology is wrapped by every error of Compile.
 var ErrTopology = errors.New("invalid topology")
 
-// ErrLoop is wrapped by an error of Compile that is a cycle of links, and by an error of Forward for a fill that came
-// back.
+// ErrLoop is wrapped by an error of Compile about a cycle of links, and by an error of Forward about a fill that
+// returned to a node.
 var ErrLoop = errors.New("cycle")
 
-// cycleError is a cycle of links: node names, the first one again at the end.
+// cycleError reports a cycle of links by its node names. The first name is repeated at the end.
 type cycleError struct{ nodes []string }
 
-// Error names the nodes of the cycle.
+// Error returns a text that names the nodes of the cycle.
 func (e *cycleError) Error() string { return ErrLoop.Error() + ": " + strings.Join(e.nodes, " > ") }
 
 // Is makes the error match ErrLoop.
 func (e *cycleError) Is(target error) bool { return target == ErrLoop }
 
-// Cycle returns the nodes of the cycle that an error of Compile reports, the first one again at the end; nil for any
-// other error.
+// Cycle returns the node names of the cycle that an error of Compile reports. The first name is repeated at the end. It
+// returns nil for any other error.
 func Cycle(err error) []string {
 	var cycle *cycleError
 	if errors.As(err, &cycle) {
@@ -88,7 +89,8 @@
 	return nil
 }
 
-// invalid is an error of Compile: the path of the field in the document, what is wrong with its value, what is allowed.
+// invalid returns an error of Compile: the path of the field in the document, the invalid value, and the allowed
+// values.
 func invalid(field, format string, args ...any) error {
 	return fmt.Errorf("%s: %w: %s", field, ErrTopology, fmt.Sprintf(format, args...))
 }
