--- a/core/backoff/schedule.go
+++ b/core/backoff/schedule.go
@@ -7,18 +7,18 @@
 // its own slot in the period. This is slotted access (L. Roberts, "ALOHA packet system with and without slots and
 // capture", ACM SIGCOMM Computer Communication Review 5(2), 1975) with slots assigned by rank.
 //
-// Bound: if all routers lost the service at the same time, they make at most FleetSize x d / Period + 1 attempts within
-// any time d while the service is unavailable. If they lost it at different times, this holds on average. A router makes
-// its first attempt within one Period of the loss, and the next one Period after each failed attempt. An event is
-// therefore delayed by at most one Period plus the duration of an attempt. Without slots, 300 routers made 1,200
-// attempts per second in four bursts.
+// Bound: if all routers lost the service at the same time, they make at most FleetSize x d / Period + 1 attempts
+// within any time d while the service is unavailable. If they lost it at different times, this holds on average. A
+// router makes its first attempt within one Period of the loss, and the next one Period after each failed attempt. An
+// event is therefore delayed by at most one Period plus the duration of an attempt. Without slots, 300 routers made
+// 1,200 attempts per second in four bursts.
 type Schedule struct {
 	Rank      int // of this router, from 0
 	FleetSize int // number of routers; 0: only this router
 }
 
-// attemptsPerSecond is the target rate of attempts of the whole fleet. The actual rate is lower in small fleets, because
-// of minPeriod, and higher in large ones, because of maxPeriod.
+// attemptsPerSecond is the target rate of attempts of the whole fleet. The actual rate is lower in small fleets,
+// because of minPeriod, and higher in large ones, because of maxPeriod.
 const attemptsPerSecond = 200
 
 // Times in microseconds.
@@ -43,8 +43,8 @@
 	return s.Period() * int64(s.Rank%s.FleetSize) / int64(s.FleetSize)
 }
 
-// Next returns the time of the next attempt, not before now, for a service that was lost at lostAt. hasFailed is true if
-// an attempt has failed since then.
+// Next returns the time of the next attempt, not before now, for a service that was lost at lostAt. hasFailed is true
+// if an attempt has failed since then.
 func (s Schedule) Next(lostAt, now int64, hasFailed bool) int64 {
 	earliest := now
 	if hasFailed {
--- a/core/endpoints/ejections.go
+++ b/core/endpoints/ejections.go
@@ -6,8 +6,8 @@
 	"spantack/routing"
 )
 
-// SetEjected replaces the set of servers that the fleet's verdicts have ejected, and returns the effective endpoints that
-// change, ordered by server. A server that is not listed is ejected as soon as it is listed.
+// SetEjected replaces the set of servers that the fleet's verdicts have ejected, and returns the effective endpoints
+// that change, ordered by server. A server that is not listed is ejected as soon as it is listed.
 func (l *List) SetEjected(ids []string) []routing.Endpoint {
 	ejected := setOf(ids)
 	if maps.Equal(ejected, l.ejected) {
--- a/core/endpoints/list.go
+++ b/core/endpoints/list.go
@@ -1,10 +1,10 @@
 // Package endpoints maintains a router's endpoint list as announced by discovery. It tracks separately the servers that
 // operators have excluded and the servers that the fleet's verdicts have ejected.
 //
-// Package routing receives a healthy server that is excluded or ejected as draining. Such a server gets no new requests
-// and is no source of new fills until it is reinstated, whatever discovery announces in the meantime. Exclusions are
-// handed to the process that replaces this one (Exclusions, ReplaceExclusions). Ejections are not: each process
-// determines its own.
+// Package routing receives a healthy server that is excluded or ejected as draining. Such a server gets no new
+// requests and is not used as a source of new fills until it is reinstated, whatever discovery announces in the
+// meantime. Exclusions are handed to the process that replaces this one (Exclusions, ReplaceExclusions). Ejections are
+// not: each process determines its own.
 package endpoints
 
 import (
--- a/core/gossip/datagram_test.go
+++ b/core/gossip/datagram_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestParseServerIDRejectsOtherForms(t *testing.T) {
+func TestOnlyValidServerIDsAreParsed(t *testing.T) {
 	for id, want := range map[string]uint32{"s-0000002a": 0x2a, "s-00c41f7a": 0xc41f7a, "s-ffffffff": 0xffffffff} {
 		if server, ok := ParseServerID(id); !ok || server != want || formatServerID(server) != id {
 			t.Errorf("%s: %#x, %v", id, server, ok)
--- a/core/hierarchy/baselines_test.go
+++ b/core/hierarchy/baselines_test.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Simple policies that the tests compare Optimal with.
+// Simple allocation policies with which the tests compare Optimal.
 
-// allGroups lets baseline take every group that a site has a link to.
+// allGroups makes baseline use every group to which a site has a link.
 func allGroups(int) []int { return nil }
 
-// Hashed spreads each site's fills evenly over all groups that it has a link to. What a group or link has no capacity
-// for is rejected, and what is too much for the origin is rejected evenly.
+// Hashed distributes each site's fills evenly over all groups to which it has a link. Fills that exceed the capacity
+// of a group or link are rejected. If the origin is overloaded, the load of all groups is reduced by the same factor.
 func (p *Problem) Hashed() *Allocation { return p.baseline(allGroups, 0) }
 
-// Nearest fills each site from the nearest group, and rejects what that has no capacity for.
+// Nearest fills each site from the nearest group, and rejects fills that exceed the capacity of this group or its link.
 func (p *Problem) Nearest() *Allocation {
 	return p.baseline(func(site int) []int {
 		best := -1
@@ -27,14 +27,15 @@
 	}, 0)
 }
 
-// Bounded is consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018): no group gets more
-// than so many times the mean load, weighted by capacity, and the rest goes to the next groups as far as these and
-// the links have capacity.
+// Bounded is consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018). No group gets more than
+// maxLoadFactor times the mean load, weighted by capacity. The excess goes to the next groups, within their capacity
+// and that of the links.
 func (p *Problem) Bounded(maxLoadFactor float64) *Allocation {
 	return p.baseline(allGroups, maxLoadFactor)
 }
 
-// baseline plays a simple policy. groupsOf names the groups of a site, nil for all; maxLoadFactor 0 means unbounded.
+// baseline returns the allocation of a simple policy. groupsOf returns the groups of a site, or nil for all groups.
+// maxLoadFactor 0 means no bound on the load.
 func (p *Problem) baseline(groupsOf func(site int) []int, maxLoadFactor float64) *Allocation {
 	plan := p.rejectAll()
 	sent := make([]float64, len(p.Capacity))
@@ -43,7 +44,7 @@
 	if maxLoadFactor > 0 {
 		rounds = len(p.Capacity)
 	}
-	for range rounds { // what is left over goes on to groups that have capacity
+	for range rounds { // the excess of one round goes to groups with free capacity in the next
 		for site := range p.Demand {
 			groups := groupsOf(site)
 			if groups == nil {
@@ -54,10 +55,10 @@
 					}
 				}
 			}
-			each := plan.Rejected[site] / float64(max(len(groups), 1))
+			amountPerGroup := plan.Rejected[site] / float64(max(len(groups), 1))
 			for _, group := range groups {
-				onLink := p.LinkCapacity[site][group] - plan.ToGroup[site][group]
-				amount := max(min(each, onLink, limits[group]-sent[group]), 0)
+				linkCapacity := p.LinkCapacity[site][group] - plan.ToGroup[site][group]
+				amount := max(min(amountPerGroup, linkCapacity, limits[group]-sent[group]), 0)
 				plan.ToGroup[site][group] += amount
 				sent[group] += amount
 				plan.Rejected[site] -= amount
@@ -83,7 +84,8 @@
 	return plan
 }
 
-// boundedCapacity returns the groups' capacities, limited to so many times their part of the demand; 0 means unlimited.
+// boundedCapacity returns the groups' capacities, limited to maxLoadFactor times their part of the demand. The part is
+// proportional to the capacity. maxLoadFactor 0 means no limit.
 func (p *Problem) boundedCapacity(maxLoadFactor float64) []float64 {
 	limits := slices.Clone(p.Capacity)
 	demand, capacity := 0.0, 0.0
--- a/core/hierarchy/changes_test.go
+++ b/core/hierarchy/changes_test.go
@@ -6,12 +6,12 @@
 )
 
 func TestChangesListsEachDifference(t *testing.T) {
-	next := valley()
+	next := sampleTopology()
 	next.Origin.CapacityKBPerS = 4000
 	next.Sites[0].PeakFillKBPerS = 1000
 	next.ParentGroups = next.ParentGroups[:2]
 	next.Links = append(next.Links[:9], Link{"north", "head", 100, 40})
-	got := Changes(valley(), next)
+	got := Changes(sampleTopology(), next)
 	for _, want := range []string{
 		"head office head, 5000 KB/s: now head, 4000 KB/s",
 		"depot d1, 900 KB/s: now depot d1, 1000 KB/s",
@@ -23,7 +23,7 @@
 			t.Errorf("%q is not among %q", want, got)
 		}
 	}
-	if len(got) != 5 || len(Changes(valley(), valley())) != 0 {
+	if len(got) != 5 || len(Changes(sampleTopology(), sampleTopology())) != 0 {
 		t.Errorf("%q", got)
 	}
 }
--- a/core/hierarchy/example_test.go
+++ b/core/hierarchy/example_test.go
@@ -6,7 +6,8 @@
 	"spantack/core/hierarchy"
 )
 
-// A site fills from two groups of parent caches. One is lost, and the other one takes over as far as its link permits.
+// A site fills from two groups of parent caches. When one group is lost, the other one serves as many fills as its link
+// has capacity for.
 func Example() {
 	graph, err := hierarchy.Compile(&hierarchy.Topology{
 		Version: 1,
--- a/core/hierarchy/fill_plan.go
+++ b/core/hierarchy/fill_plan.go
@@ -27,8 +27,8 @@
 	WarmFraction   float64 // hit ratio of its caches relative to that of a warm group, 0 to 1
 }
 
-// effectiveMissRatio returns the fraction of a group's requests that it forwards to its parents, interpolated between
-// that of a cold and that of a warm group.
+// effectiveMissRatio returns the fraction of a group's requests that it forwards to its parents. It is interpolated
+// between the miss ratios of a cold and a warm group.
 func (g *ParentGroup) effectiveMissRatio(status GroupStatus) float64 {
 	return status.WarmFraction*g.missRatio() + (1-status.WarmFraction)*coldMissRatio
 }
@@ -147,8 +147,8 @@
 	return group >= 0 && p.graph.levels[node] != noRoute && p.problem.Capacity[group] > 0
 }
 
-// computeForwardFractions computes forwardFraction, starting at the origin. It sets the capacity of a group without a
-// usable parent to 0.
+// computeForwardFractions computes forwardFraction and the problem's OriginFraction, starting at the origin. It sets
+// the capacity of a group without a usable parent to 0.
 func (p *fillPlanner) computeForwardFractions(statuses map[string]GroupStatus) {
 	groups := p.groups()
 	p.parents = make([][]int, groups)
@@ -169,7 +169,8 @@
 	}
 }
 
-// computeGroupForwardFractions computes the part of computeForwardFractions for one group whose parents are done.
+// computeGroupForwardFractions computes the parents, missPerParent and forwardFraction of one group, or sets its
+// capacity to 0 if it has no usable parent. The forwardFraction of its parents must be computed before.
 func (p *fillPlanner) computeGroupForwardFractions(group int, statuses map[string]GroupStatus) {
 	var parents []int
 	for _, parent := range p.graph.order.Successors(p.node(group)) {
--- a/core/hierarchy/flow_network.go
+++ b/core/hierarchy/flow_network.go
@@ -17,7 +17,7 @@
 	capacity      []int64   // by group
 	arcs          [][]arc   // by site, to groups
 	direct        []arc     // by site, to the origin; capacity 0 if there is none
-	groupCost     []float64 // by group: cost per unit, in addition to that of the arc
+	groupCost     []float64 // by group: cost per unit, in addition to the cost of the arc
 	rejectionCost float64   // cost per rejected unit
 
 	sent          []int64    // by group: total flow to it
@@ -116,7 +116,7 @@
 	return direct.hasCapacity() && direct.cost <= f.rejectionCost
 }
 
-// endCapacity returns the capacity of the last step of a path: that of a group, or of the direct link of a site. It
+// endCapacity returns the residual capacity at the end of a path: of the group, or of the direct link of the site. It
 // returns amount if the path is a rejection.
 func (f *flowNetwork) endCapacity(end int, bypassesGroups bool, amount int64) int64 {
 	if bypassesGroups {
--- a/core/hierarchy/forwarding_test.go
+++ b/core/hierarchy/forwarding_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// swapNames exchanges two groups in all links of a topology.
+// swapNames exchanges the names of two groups in all links of a topology.
 func swapNames(topology *Topology, a, b string) {
 	for i := range topology.Links {
 		for _, end := range []*string{&topology.Links[i].From, &topology.Links[i].To} {
@@ -25,9 +25,9 @@
 	}
 }
 
-// Where every node has a topology of its own, each valid, a fill forwarded by Forward never visits a node twice and
-// ends.
-func TestNoNodeIsVisitedTwice(t *testing.T) {
+// Guards against a fill that loops because nodes have different topologies, each of them valid. A fill forwarded by
+// Forward must visit no node twice, and must end.
+func TestForwardVisitsNoNodeTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		groups, sites := 2+rng.IntN(6), 1+rng.IntN(3)
@@ -56,7 +56,7 @@
 				return
 			}
 			if visited[node] {
-				t.Fatalf("%s twice: %v", node, path.Visited)
+				t.Fatalf("%s is visited twice: %v", node, path.Visited)
 			}
 			visited[node] = true
 			var err error
@@ -71,32 +71,32 @@
 	})
 }
 
-// Two groups have topologies in which each has the other as its parent: the second one forwards the fill to the
-// origin, or reports that it has no route.
-func TestLoopAcrossTwoTopologies(t *testing.T) {
-	one, two := valley(), valley()
+// Guards against a loop between two groups with different topologies, in which each has the other as its parent. The
+// second group must forward the fill to the origin, or report that it has no route.
+func TestForwardPreventsLoopAcrossTwoTopologies(t *testing.T) {
+	one, two := sampleTopology(), sampleTopology()
 	one.Links[6] = Link{"north", "south", 3000, 5} // and south fills from great and the origin
 	two.Links[7] = Link{"south", "north", 3000, 5}
-	a, b := compiled(t, one), compiled(t, two)
+	a, b := mustCompile(t, one), mustCompile(t, two)
 	parents, path, err := a.Forward("north", a.StartFill("d1"))
 	if err != nil || !slices.Contains(parents, "south") {
 		t.Fatal(parents, err)
 	}
 	parents, path, err = b.Forward("south", path)
 	if err != nil || strings.Join(parents, " ") != "head" {
-		t.Errorf("south forwards to %v, %v", parents, err)
+		t.Errorf("south forwards to %v, %v, want the origin", parents, err)
 	}
 	if _, _, err := a.Forward("north", path); !errors.Is(err, ErrLoop) {
-		t.Errorf("north a second time: %v", err)
+		t.Errorf("second visit of north: %v", err)
 	}
-	again := a.StartFill("d1")
-	again.NoRoute = []string{"south"}
-	if parents, _, err := a.Forward("north", again); err == nil {
-		t.Errorf("north forwards to %v, where south has no route", parents)
+	retry := a.StartFill("d1")
+	retry.NoRoute = []string{"south"}
+	if parents, _, err := a.Forward("north", retry); err == nil {
+		t.Errorf("north forwards to %v although south has no route", parents)
 	}
 	two.Links = slices.Delete(two.Links, 9, 10) // south has no parent but north
 	_, path, _ = a.Forward("north", a.StartFill("d1"))
-	if _, _, err := compiled(t, two).Forward("south", path); !errors.Is(err, ErrNoRoute) {
+	if _, _, err := mustCompile(t, two).Forward("south", path); !errors.Is(err, ErrNoRoute) {
 		t.Errorf("south without another parent: %v", err)
 	}
 	long := FillPath{Visited: make([]string, MaxHops)}
--- a/core/hierarchy/graph.go
+++ b/core/hierarchy/graph.go
@@ -19,7 +19,7 @@
 	levels    []int
 	originRTT []float64      // by node: shortest round trip to the origin, ms, at most RejectionCostMillis
 	linkIndex map[[2]int]int // index of a link in the topology, by its two nodes
-	salts     []uint64       // hashes of the names of the groups, followed by that of the origin
+	salts     []uint64       // hashes of the names of the groups, then of the origin
 }
 
 // Topology returns the document that the graph was compiled from. It must not be changed.
--- a/core/hierarchy/loop_header_test.go
+++ b/core/hierarchy/loop_header_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLoopHeader(t *testing.T) {
+func TestParseLoopAcceptsOnlyValidHeaders(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		values  []string
@@ -15,19 +15,19 @@
 		invalid bool
 	}{
 		{"none", nil, "", false},
-		{"two headers, of RFC 8586",
+		{"two headers from RFC 8586",
 			[]string{"foo123.foocdn.example, barcdn.example; trace=\"abcdef\"", "AnotherCDN; abc=123; def=\"456\""},
 			"foo123.foocdn.example barcdn.example AnotherCDN", false},
-		{"empty elements, ports, a quoted comma",
+		{"empty elements, ports and quoted comma",
 			[]string{" , a:8080 ,, [::1]:80\t;x=\"a,b\\\"c\" "}, "a:8080 [::1]:80", false},
 		{"empty parameter", []string{"a; ;x=1"}, "a", false},
 		{"parameter without a value", []string{"a;x"}, "", true},
-		{"quote that does not end", []string{"a;x=\"b"}, "", true},
+		{"unterminated quote", []string{"a;x=\"b"}, "", true},
 		{"control character", []string{"a;x=\"b\x01\""}, "", true},
-		{"no comma", []string{"a b"}, "", true},
+		{"missing comma", []string{"a b"}, "", true},
 		{"parameter without an id", []string{";x=1"}, "", true},
-		{"long id", []string{strings.Repeat("a", maxLoopIDBytes+1)}, "", true},
-		{"long in all",
+		{"id too long", []string{strings.Repeat("a", maxLoopIDBytes+1)}, "", true},
+		{"values too long together",
 			[]string{strings.Repeat("a,", maxLoopHeaderBytes/4), strings.Repeat("b,", maxLoopHeaderBytes/4+1)}, "", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -43,11 +43,12 @@
 		})
 	}
 	if !ContainsNode([]string{"a", "SPAN.example"}, "span.EXAMPLE") || ContainsNode([]string{"a"}, "b") {
-		t.Error("ids compared")
+		t.Error("ids must be compared case-insensitively")
 	}
 }
 
-// Any value is parsed or rejected, and what was parsed is parsed the same when written again.
+// Guards against a crash on arbitrary values, and against ids that are parsed differently after they are formatted
+// again.
 func FuzzLoopHeader(f *testing.F) {
 	f.Add("foo123.foocdn.example, barcdn.example; trace=\"abcdef\"")
 	f.Add("a;x=\"\\\"\",b")
@@ -56,9 +57,9 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseLoop([]string{strings.Join(ids, ", ")})
-		if len(value) < maxLoopHeaderBytes/2 && (err != nil || !slices.Equal(ids, again)) {
-			t.Errorf("%q: %q, then %q, %v", value, ids, again, err)
+		reparsed, err := ParseLoop([]string{strings.Join(ids, ", ")})
+		if len(value) < maxLoopHeaderBytes/2 && (err != nil || !slices.Equal(ids, reparsed)) {
+			t.Errorf("%q: parsed as %q, then as %q, %v", value, ids, reparsed, err)
 		}
 	})
 }
--- a/core/hierarchy/optimal.go
+++ b/core/hierarchy/optimal.go
@@ -10,13 +10,13 @@
 const maxPriceRounds = 60
 
 // Optimal returns the allocation with the minimum cost: the optimum of the linear program, except for rounding to
-// units. The error is that of Check.
+// units. The error comes from Check.
 //
 // Without the limit on the origin's capacity, the problem is a minimum-cost flow, which flowNetwork solves exactly.
 // The limit is replaced by a price per KB from the origin, which is added to the costs (Lagrangian relaxation, exact
 // for linear programs). The search maintains two allocations, one above the limit and one within it. The next price is
-// that at which both have the same cost. If no allocation is cheaper at this price, the optimum is the mixture of the
-// two that exactly uses the origin's capacity.
+// the price at which both have the same cost. If no allocation is cheaper at this price, the optimum is the mixture of
+// the two that exactly uses the origin's capacity.
 func (p *Problem) Optimal() (*Allocation, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -96,8 +96,8 @@
 	return arcs
 }
 
-// atPrice returns the allocation with the minimum cost if each KB from the origin costs price in addition. Its Cost
-// does not include the price.
+// atPrice returns the allocation with the minimum cost if price is added to the cost of each KB from the origin. The
+// Cost of the returned allocation does not include the price.
 func (p *Problem) atPrice(base *flowNetwork, price float64) *Allocation {
 	f := base.clone()
 	p.addPrice(f, price)
--- a/core/hierarchy/optimal_test.go
+++ b/core/hierarchy/optimal_test.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// randomProblem is one in which something is scarce: groups, links or the origin.
+// randomProblem returns a problem with limited capacity of groups, links or the origin.
 func randomProblem(rng *rand.Rand, sites, groups int) *Problem {
 	p := &Problem{RejectionCost: 1000, OriginCapacity: 1e9}
 	total := 0.0
@@ -54,19 +54,19 @@
 	return p
 }
 
-// Ends of a variable that is no flow to a group.
+// Values of variable.group for a flow that does not go to a group.
 const (
 	toOrigin = -1
 	rejected = -2
 )
 
-// variable is a flow of the linear programme.
+// variable is a flow in the linear program.
 type variable struct {
-	site, group int // or toOrigin or rejected in place of the group
-	offHome     bool
+	site, group int  // group may also be toOrigin or rejected
+	offHome     bool // for objects with another home than group
 }
 
-// variables returns the flows of a problem and what a unit of each costs.
+// variables returns the flows of a problem and the cost per unit of each.
 func variables(p *Problem) (vars []variable, cost []float64) {
 	add := func(v variable, c float64) {
 		vars = append(vars, v)
@@ -89,7 +89,7 @@
 	return vars, cost
 }
 
-// originLoadOf is the load on the origin of a unit of a flow.
+// originLoadOf returns the load on the origin per unit of a flow.
 func originLoadOf(p *Problem, v variable) float64 {
 	switch {
 	case v.offHome:
@@ -102,7 +102,7 @@
 	return 0
 }
 
-// inequalities returns the upper bounds of a problem: the factors of the variables, a row each, and the bounds.
+// inequalities returns the upper bounds of a problem: for each bound a row with the factors of the variables.
 func inequalities(p *Problem, vars []variable) (rows [][]float64, bounds []float64) {
 	add := func(bound float64, factor func(v variable) float64) {
 		row := make([]float64, len(vars))
@@ -132,18 +132,18 @@
 	return rows, bounds
 }
 
-func indicator(is bool) float64 {
-	if is {
+func indicator(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-// linearOptimum is the cost of the optimum, by gonum's simplex algorithm.
+// linearOptimum returns the minimum cost, computed with gonum's simplex algorithm.
 func linearOptimum(t testing.TB, p *Problem) float64 {
 	vars, cost := variables(p)
 	rows, bounds := inequalities(p, vars)
-	// Standard form: a slack variable for each bound, then an equation for each site's demand.
+	// Standard form: one slack variable for each bound, and one equation for each site's demand.
 	n, m := len(vars), len(rows)
 	all := mat.NewDense(m+len(p.Demand), n+m, nil)
 	for r := range rows {
@@ -166,7 +166,7 @@
 	return optimum
 }
 
-// checkAllocation reports the first bound of the problem that an allocation breaks.
+// checkAllocation returns an error for the first bound of the problem that an allocation violates.
 func checkAllocation(p *Problem, a *Allocation) error {
 	const tolerance = 1e-6
 	sent, originLoad := make([]float64, len(p.Capacity)), 0.0
@@ -174,46 +174,48 @@
 		sum := a.Direct[site] + a.Rejected[site]
 		originLoad += a.Direct[site]
 		if a.Direct[site] > p.DirectCapacity[site]+tolerance || a.Rejected[site] < -tolerance {
-			return fmt.Errorf("site %d: %v direct, %v rejected", site, a.Direct[site], a.Rejected[site])
+			return fmt.Errorf("site %d: %v KB/s direct, %v KB/s rejected", site, a.Direct[site], a.Rejected[site])
 		}
 		for group, amount := range a.ToGroup[site] {
 			if amount < -tolerance || amount > p.LinkCapacity[site][group]+tolerance {
-				return fmt.Errorf("site %d, group %d: %v of %v", site, group, amount, p.LinkCapacity[site][group])
+				return fmt.Errorf("site %d, group %d: %v KB/s, link capacity %v KB/s",
+					site, group, amount, p.LinkCapacity[site][group])
 			}
 			sum += amount
 			sent[group] += amount
 			home := a.ToHomeGroup[site][group]
 			aboveHome := p.HomeFraction != nil && home > p.Demand[site]*p.HomeFraction[group]+unitKBPerS+tolerance
 			if home > amount+tolerance || aboveHome {
-				return fmt.Errorf("site %d, group %d: %v of %v at home, of a demand of %v",
+				return fmt.Errorf("site %d, group %d: %v of %v KB/s for home objects, demand %v KB/s",
 					site, group, home, amount, p.Demand[site])
 			}
 			originLoad += home*p.OriginFraction[group] + (amount-home)*p.offHomeOriginFraction(group)
 		}
 		if math.Abs(sum-p.Demand[site]) > unitKBPerS+tolerance {
-			return fmt.Errorf("site %d: %v of %v", site, sum, p.Demand[site])
+			return fmt.Errorf("site %d: %v KB/s allocated, demand %v KB/s", site, sum, p.Demand[site])
 		}
 	}
 	for group := range sent {
 		if sent[group] > p.Capacity[group]+tolerance {
-			return fmt.Errorf("group %d: %v of %v", group, sent[group], p.Capacity[group])
+			return fmt.Errorf("group %d: %v KB/s, capacity %v KB/s", group, sent[group], p.Capacity[group])
 		}
 	}
 	if originLoad > p.OriginCapacity+tolerance || math.Abs(originLoad-a.OriginLoad) > tolerance*(1+originLoad) {
-		return fmt.Errorf("origin: %v of %v, stated as %v", originLoad, p.OriginCapacity, a.OriginLoad)
+		return fmt.Errorf("origin: load %v KB/s, capacity %v KB/s, OriginLoad %v KB/s",
+			originLoad, p.OriginCapacity, a.OriginLoad)
 	}
 	return nil
 }
 
-// baselines are the allocations of the simple policies.
+// baselines returns the allocations of the simple policies by name.
 func baselines(p *Problem) map[string]*Allocation {
 	return map[string]*Allocation{"hashed": p.Hashed(), "nearest": p.Nearest(), "bounded": p.Bounded(1.25)}
 }
 
-// The allocation keeps every bound, costs what the linear programme's optimum costs but for rounding, and no simple
-// policy costs less.
-func TestOptimalIsTheLinearOptimum(t *testing.T) {
-	priced := 0
+// Guards against an allocation that violates a bound, that costs more or less than the optimum of the linear program
+// except for rounding, or that costs more than that of a simple policy.
+func TestOptimalMatchesLinearProgram(t *testing.T) {
+	bindingCount := 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		p := randomProblem(rng, 2+rng.IntN(5), 1+rng.IntN(4))
@@ -227,26 +229,27 @@
 		want := linearOptimum(t, p)
 		rounding := unitKBPerS * p.RejectionCost * float64(len(p.Demand)*(len(p.Capacity)+2)+len(p.Capacity))
 		if best.Cost < want-rounding || best.Cost > want+rounding {
-			t.Errorf("seed %d: costs %v, the optimum %v", seed, best.Cost, want)
+			t.Errorf("seed %d: cost %v, optimum %v", seed, best.Cost, want)
 		}
 		if best.OriginPrice > 0 {
-			priced++
+			bindingCount++
 		}
 		for name, other := range baselines(p) {
 			if err := checkAllocation(p, other); err != nil {
 				t.Errorf("seed %d, %s: %v", seed, name, err)
 			}
 			if other.Cost < best.Cost-rounding {
-				t.Errorf("seed %d: %s costs %v, the optimal one %v", seed, name, other.Cost, best.Cost)
+				t.Errorf("seed %d: policy %s has cost %v, less than %v of Optimal", seed, name, other.Cost, best.Cost)
 			}
 		}
 	}
-	if priced < 15 {
-		t.Errorf("the origin's capacity was binding in %d problems only", priced)
+	if bindingCount < 15 {
+		t.Errorf("the origin's capacity is binding in only %d problems, want at least 15", bindingCount)
 	}
 }
 
-// largeProblem has 200 sites and 40 groups: eight groups lost, four cold, and the origin scarce.
+// largeProblem returns a problem with 200 sites and 40 groups. Eight groups are lost, four are cold, and the capacity
+// of the origin is limited.
 func largeProblem(seed uint64) *Problem {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	const sites, groups = 200, 40
--- a/core/hierarchy/problem_test.go
+++ b/core/hierarchy/problem_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-func TestProblemErrorNamesTheField(t *testing.T) {
+func TestProblemErrorNamesInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Problem)
 		want   string
 	}{
 		{"missing values", func(p *Problem) { p.OriginFraction = nil }, "OriginFraction: 0 values, must be 2"},
-		{"no number", func(p *Problem) { p.Demand[1] = math.NaN() }, "Demand[1]: "},
+		{"not a number", func(p *Problem) { p.Demand[1] = math.NaN() }, "Demand[1]: "},
 		{"negative", func(p *Problem) { p.Capacity[0] = -1 }, "Capacity[0]: "},
 		{"fraction over 1", func(p *Problem) { p.OriginFraction[0] = 1.5 }, "OriginFraction[0]: "},
 		{"site without links", func(p *Problem) { p.LinkCapacity[1] = nil }, "LinkCapacity[1] and LinkRTT[1]: "},
--- a/core/hierarchy/route_test.go
+++ b/core/hierarchy/route_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// A route sends each object to one target, in the fractions that the plan says.
-func TestRoutePicks(t *testing.T) {
+// Guards against objects that change their target between calls, and against targets that get another fraction of the
+// objects than the route states.
+func TestRoutePicksTargetsByFraction(t *testing.T) {
 	r := Route{
 		Salts:            []uint64{1, 2, 3},
 		HomeFraction:     []float64{0.6, 0.4},
@@ -23,22 +24,23 @@
 		hash := rng.Uint64()
 		target := r.Pick(hash)
 		if target != r.Pick(hash) {
-			t.Fatal("one object, two targets")
+			t.Fatal("the same object got two targets")
 		}
 		got[target] += 1.0 / n
 	}
 	for target, fraction := range want {
 		if math.Abs(got[target]-fraction) > 0.01 {
-			t.Errorf("target %d: got %v, want %v", target, got[target], fraction)
+			t.Errorf("target %d: got fraction %v, want %v", target, got[target], fraction)
 		}
 		if target >= 0 && math.Abs(r.Fractions()[target]-fraction) > 1e-9 {
-			t.Errorf("target %d: fractions %v, want %v", target, r.Fractions(), fraction)
+			t.Errorf("target %d: Fractions returns %v, want %v", target, r.Fractions(), fraction)
 		}
 	}
 }
 
-// Each target gets its fraction of all objects, and when one loses a part of it, no other object changes its target.
-func TestWeightedRendezvous(t *testing.T) {
+// Guards against targets that do not get their fraction of all objects, and against objects of other targets that move
+// when the fraction of one target decreases.
+func TestWeightedRendezvousMovesOnlyAffectedObjects(t *testing.T) {
 	salts := []uint64{11, 22, 33, 44}
 	before, after := []float64{0.5, 0, 0.3, 0.2}, []float64{0.5, 0, 0.15, 0.2}
 	const n = 40_000
@@ -49,16 +51,16 @@
 		a, b := weightedRendezvous(hash, before, salts), weightedRendezvous(hash, after, salts)
 		got[a]++
 		if a != b && a != 2 {
-			t.Fatalf("from %d to %d", a, b)
+			t.Fatalf("an object moved from target %d to %d", a, b)
 		}
 	}
 	for i, fraction := range before {
 		if math.Abs(float64(got[i])/n-fraction) > 0.01 {
-			t.Errorf("target %d: %d of %d, its fraction is %v", i, got[i], n, fraction)
+			t.Errorf("target %d: %d of %d objects, want fraction %v", i, got[i], n, fraction)
 		}
 	}
 	if weightedRendezvous(1, nil, nil) != noTarget || weightedRendezvous(1, []float64{0, 0}, salts) != noTarget {
-		t.Error("a target without any fraction")
+		t.Error("a target was returned although no fraction is above 0")
 	}
 }
 
--- a/core/hierarchy/topological_order_test.go
+++ b/core/hierarchy/topological_order_test.go
@@ -12,17 +12,17 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// plainGraph finds cycles the simple way: with a search of the whole graph for each new edge.
-type plainGraph struct {
+// fullSearchGraph detects cycles with a search of the whole graph for each new edge.
+type fullSearchGraph struct {
 	successors [][]int32
 	reached    []bool
 }
 
-func newPlainGraph(nodes int) *plainGraph {
-	return &plainGraph{make([][]int32, nodes), make([]bool, nodes)}
+func newFullSearchGraph(nodes int) *fullSearchGraph {
+	return &fullSearchGraph{make([][]int32, nodes), make([]bool, nodes)}
 }
 
-func (g *plainGraph) reaches(from, to int) bool {
+func (g *fullSearchGraph) reaches(from, to int) bool {
 	clear(g.reached)
 	stack := []int32{int32(from)}
 	g.reached[from] = true
@@ -42,10 +42,10 @@
 	return false
 }
 
-// checkCycle reports whether nodes are a cycle that an edge from a to b would close.
+// checkCycle fails the test if cycle is not a cycle that an edge from a to b would close.
 func checkCycle(t *rapid.T, o *TopologicalOrder, a, b int, cycle []int) {
 	if len(cycle) < 2 || cycle[0] != a || cycle[1] != b || cycle[len(cycle)-1] != a {
-		t.Fatalf("cycle %v of %d > %d", cycle, a, b)
+		t.Fatalf("cycle %v for edge %d > %d", cycle, a, b)
 	}
 	for i := 1; i+1 < len(cycle); i++ {
 		if !o.HasEdge(cycle[i], cycle[i+1]) {
@@ -54,19 +54,19 @@
 	}
 }
 
-// Whatever edges are added and removed: one is rejected if and only if it closes a cycle, the cycle returned is one,
-// and every edge leads to a later node.
-func TestTopologicalOrderAgreesWithTheFullSearch(t *testing.T) {
+// Guards against cycles that are accepted, valid edges that are rejected, and an order that violates an edge. Edges are
+// added and removed at random, and the results are compared with a search of the whole graph.
+func TestTopologicalOrderMatchesFullSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 24).Draw(t, "nodes")
-		g := newPlainGraph(n)
+		g := newFullSearchGraph(n)
 		var o TopologicalOrder
 		o.Grow(n)
 		for range rapid.IntRange(1, 150).Draw(t, "changes") {
 			a, b := rapid.IntRange(0, n-1).Draw(t, "a"), rapid.IntRange(0, n-1).Draw(t, "b")
-			if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "operation") == 0 {
 				if o.RemoveEdge(a, b) != removeNode(&g.successors[a], int32(b)) {
-					t.Fatalf("remove %d > %d", a, b)
+					t.Fatalf("remove %d > %d: results differ", a, b)
 				}
 				continue
 			}
@@ -89,14 +89,14 @@
 				}
 			}
 			if slices.ContainsFunc(o.discoveredBy, func(by int32) bool { return by != notReached }) {
-				t.Fatal("the state of a search was not reset")
+				t.Fatal("the search state was not reset")
 			}
 		}
 	})
 }
 
-// randomEdges are edges of a hierarchy of five levels. One in fifty or so has a random direction, and half of these
-// close cycles.
+// randomEdges returns edges of a hierarchy with five levels. About 2% of them have a random direction, and about half
+// of these close a cycle.
 func randomEdges(nodes, n int) [][2]int {
 	rng := rand.New(rand.NewPCG(7, 7))
 	level := make([]int, nodes)
@@ -116,7 +116,7 @@
 const (
 	benchNodes = 10_000
 	benchEdges = 100_000
-	benchKept  = 30_000 // from this one on, each edge added removes the oldest
+	benchKept  = 30_000 // maximum number of edges: after it, each new edge replaces the oldest
 )
 
 func BenchmarkTopologicalOrder(b *testing.B) {
@@ -141,11 +141,11 @@
 		b.ReportMetric(float64(rejected), "rejected")
 	})
 	b.Run("full-search", func(b *testing.B) {
-		const searches = 3000 // the edges before them are added without a search
+		const searches = 3000 // earlier edges are added without a search
 		searched := 0
 		for b.Loop() {
 			b.StopTimer()
-			g := newPlainGraph(benchNodes)
+			g := newFullSearchGraph(benchNodes)
 			var o TopologicalOrder
 			o.Grow(benchNodes)
 			for _, edge := range edges[:benchKept] {
--- a/core/hierarchy/topology_test.go
+++ b/core/hierarchy/topology_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// valley is a topology of three sites, two groups that fill from a third one, and the origin.
-func valley() *Topology {
+// sampleTopology returns a topology with three sites, two groups that fill from a third group, and the origin.
+func sampleTopology() *Topology {
 	return &Topology{
 		Version: 1,
 		Origin:  Origin{"head", 5000},
@@ -30,7 +30,7 @@
 	}
 }
 
-func compiled(t testing.TB, topology *Topology) *Graph {
+func mustCompile(t testing.TB, topology *Topology) *Graph {
 	t.Helper()
 	g, err := Compile(topology)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return g
 }
 
-// randomTopology has groups at several levels, each with links to some of smaller levels or the origin.
+// randomTopology returns a topology with groups at several levels. Each group has a link to an earlier group or to the
+// origin.
 func randomTopology(rng *rand.Rand, groups, sites int) *Topology {
 	topology := &Topology{Version: 1, Origin: Origin{"head", 1e4}}
 	for i := range groups {
@@ -61,18 +62,18 @@
 	return topology
 }
 
-// Two groups each named as the other's parent, a longer cycle, and every other fault: the topology is rejected as a
-// whole, and the error begins with the field.
-func TestCompileNamesTheField(t *testing.T) {
+// Guards against invalid topologies that are accepted, including those with cycles, and against errors that do not name
+// the invalid field.
+func TestCompileErrorNamesInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Topology)
-		want   string // how the error begins
+		want   string // prefix of the error
 		cycle  bool
 	}{
 		{"no version", func(s *Topology) { s.Version = 0 }, "version: ", false},
 		{"site named twice", func(s *Topology) { s.Sites[1].Name = "d1" }, "depots[1].name: ", false},
-		{"negative fill", func(s *Topology) { s.Sites[0].PeakFillKBPerS = -1 }, "depots[0].kbPerS: ", false},
+		{"negative fill rate", func(s *Topology) { s.Sites[0].PeakFillKBPerS = -1 }, "depots[0].kbPerS: ", false},
 		{"group named as a site", func(s *Topology) { s.ParentGroups[0].Name = "d1" }, "areas[0].name: ", false},
 		{"no prefix", func(s *Topology) { s.ParentGroups[0].ServerPrefixes = nil }, "areas[0].servers: ", false},
 		{"overlapping prefix", func(s *Topology) { s.ParentGroups[2].ServerPrefixes = []string{"n-4"} },
@@ -84,17 +85,17 @@
 		{"negative round trip", func(s *Topology) { s.Links[2].RTTMillis = -3 }, "ways[2]: ", false},
 		{"link given twice", func(s *Topology) { s.Links[3] = s.Links[2] }, "ways[3]: ", false},
 		{"site without a route", func(s *Topology) { s.Links = slices.Delete(s.Links, 4, 6) }, "depots[2]: ", false},
-		{"each the other's parent", func(s *Topology) {
+		{"two groups as parents of each other", func(s *Topology) {
 			s.Links = append(s.Links, Link{"south", "north", 100, 1})
 			s.Links[6] = Link{"north", "south", 100, 1}
 		}, "ways[10]: invalid topology: cycle: south > north > south", true},
 		{"cycle of two levels", func(s *Topology) { s.Links = append(s.Links, Link{"great", "south", 100, 1}) },
 			"ways[10]: invalid topology: cycle: great > south > great", true},
-		{"own parent", func(s *Topology) { s.Links = append(s.Links, Link{"north", "north", 100, 1}) },
+		{"group as its own parent", func(s *Topology) { s.Links = append(s.Links, Link{"north", "north", 100, 1}) },
 			"ways[10]: invalid topology: cycle: north > north", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			topology := valley()
+			topology := sampleTopology()
 			c.change(topology)
 			_, err := Compile(topology)
 			if !errors.Is(err, ErrTopology) || !strings.HasPrefix(err.Error(), c.want) {
--- a/core/hierarchy/wire_compat_test.go
+++ b/core/hierarchy/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The section shape of a features file.
-func TestStoredShapeIsReadAndWrittenAlike(t *testing.T) {
+// Guards against a change of the format of the section shape of a features file.
+func TestStoredTopologyFormatIsUnchanged(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/shape.json", " ", Topology{
 		Version: 10,
 		Origin:  Origin{Name: "head-office", CapacityKBPerS: 60001},
--- a/core/originlimit/config_test.go
+++ b/core/originlimit/config_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestUnknownControlAlgorithmIsRejected(t *testing.T) {
+func TestOnlyKnownControlAlgorithmsAreAccepted(t *testing.T) {
 	for _, algorithm := range []ControlAlgorithm{Fixed, AIMD, Gradient, Delay} {
 		if got, err := ParseControlAlgorithm(algorithm.String()); err != nil || got != algorithm {
 			t.Errorf("%s: %s, %v", algorithm, got, err)
