--- a/core/backoff/schedule.go
+++ b/core/backoff/schedule.go
@@ -1,17 +1,20 @@
 // Package backoff schedules the connection attempts of a router fleet. When hundreds of routers start, or lose a
-// service, at the same time, their attempts are spread over time instead of arriving in bursts. The package does no I/O
-// and reads no clock. Times are in microseconds.
+// service, at the same time, their attempts are spread over time instead of arriving in bursts. The delay between
+// attempts does not grow with the number of failures. The package does no I/O and reads no clock. Times are in
+// microseconds.
 package backoff
 
-// Schedule spreads the attempts of a fleet to reach a shared service, such as discovery, over a period. Each router has
-// its own slot in the period. This is slotted access (L. Roberts, "ALOHA packet system with and without slots and
-// capture", ACM SIGCOMM Computer Communication Review 5(2), 1975) with slots assigned by rank.
+// Schedule spreads the attempts of a fleet to reach a shared service, such as the discovery service, over a period.
+// Each router has its own slot in the period. This is slotted access (L. Roberts, "ALOHA packet system with and without
+// slots and capture", ACM SIGCOMM Computer Communication Review 5(2), 1975) with slots assigned by rank.
 //
 // Bound: if all routers lost the service at the same time, they make at most FleetSize x d / Period + 1 attempts
-// within any time d while the service is unavailable. If they lost it at different times, this holds on average. A
-// router makes its first attempt within one Period of the loss, and the next one Period after each failed attempt. An
-// event is therefore delayed by at most one Period plus the duration of an attempt. Without slots, 300 routers made
-// 1,200 attempts per second in four bursts.
+// within any time d while the service is unavailable. If they lost it at different times, this holds on average.
+// Without slots, 300 routers would make 1,200 attempts per second, in four bursts.
+//
+// A router makes its first attempt within one Period of the loss. After a failed attempt, it makes the next one in its
+// first slot that starts at least minRetryGap after the failure, usually one Period after the failed one. An event
+// that the service sends is therefore delayed by at most one Period plus the duration of an attempt.
 type Schedule struct {
 	Rank      int // of this router, from 0
 	FleetSize int // number of routers; 0: only this router
@@ -25,7 +28,7 @@
 const (
 	second      = 1_000_000
 	minPeriod   = 200_000 // limits each router of a small fleet to five attempts per second
-	maxPeriod   = 500_000 // limits the delay of events that must take effect immediately
+	maxPeriod   = 500_000 // limits the time until a router reconnects
 	minRetryGap = 20_000  // between a failed attempt and the next one; a slot that starts earlier is skipped
 )
 
--- a/core/backoff/schedule_test.go
+++ b/core/backoff/schedule_test.go
@@ -8,8 +8,8 @@
 )
 
 // Guards against attempts that exceed the documented rate, and against a router that waits longer than a period. Fleets
-// of random size lose the service at the same time, and each attempt fails after a random duration. Without slots (all
-// routers at the start of the period) the rate check fails immediately.
+// of random size lose the service at the same time, and each attempt fails after a random duration. Routers that all
+// make their attempts at the start of the period exceed the rate.
 func TestScheduleExceedsNoRateOrDelayBound(t *testing.T) {
 	const longestAttempt = 30_000
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/core/endpoints/ejections_test.go
+++ b/core/endpoints/ejections_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("after the ejection: %s", got)
 	}
 	if changed := l.SetEjected([]string{"x", "a", "c"}); changed != nil {
-		t.Errorf("the same ejections again change %+v", changed)
+		t.Errorf("repeated ejections changed %+v, want no change", changed)
 	}
 	if changed, err := l.Exclude("a"); err != nil || statuses(changed) != "a=cordoned " {
 		t.Errorf("exclusion of an ejected server: %+v, %v", changed, err)
--- a/core/endpoints/exclusions.go
+++ b/core/endpoints/exclusions.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// MaxExclusions is the maximum number of excluded servers. Without it, IDs of removed machines would accumulate.
+	// MaxExclusions is the maximum number of excluded servers. Without it, IDs of removed servers could accumulate
+	// without bound.
 	MaxExclusions = 1024
 	// maxIDLength is the maximum length in bytes of a server ID passed to ReplaceExclusions.
 	maxIDLength = 64
@@ -19,7 +20,7 @@
 // Errors of the methods that change exclusions. Management calls return the texts of the first two to operators.
 var (
 	ErrUnknownServer     = errors.New("no such server is listed")
-	ErrTooManyExclusions = fmt.Errorf("%d servers are out already", MaxExclusions)
+	ErrTooManyExclusions = fmt.Errorf("%d servers are already excluded", MaxExclusions)
 	// ErrInvalidID is wrapped by the error for a server ID that is empty or too long.
 	ErrInvalidID = errors.New("invalid server ID")
 )
@@ -59,8 +60,8 @@
 func (l *List) Exclusions() []string { return sortedKeys(l.excluded) }
 
 // ReplaceExclusions replaces the set of excluded servers and returns the effective endpoints that change, ordered by
-// server. More than MaxExclusions IDs, or an empty or too long ID, change nothing. The error then wraps
-// ErrTooManyExclusions or ErrInvalidID.
+// server. If there are more than MaxExclusions IDs, or an ID is empty or too long, the set does not change and the
+// error wraps ErrTooManyExclusions or ErrInvalidID.
 func (l *List) ReplaceExclusions(ids []string) ([]routing.Endpoint, error) {
 	if len(ids) > MaxExclusions {
 		return nil, fmt.Errorf("%d ids: %w", len(ids), ErrTooManyExclusions)
--- a/core/endpoints/list.go
+++ b/core/endpoints/list.go
@@ -1,10 +1,10 @@
-// Package endpoints maintains a router's endpoint list as announced by discovery. It tracks separately the servers that
-// operators have excluded and the servers that the fleet's verdicts have ejected.
+// Package endpoints maintains a router's endpoint list as announced by the discovery service. It tracks separately the
+// servers that operators have excluded and the servers that the fleet's verdicts have ejected.
 //
-// Package routing receives a healthy server that is excluded or ejected as draining. Such a server gets no new
-// requests and is not used as a source of new fills until it is reinstated, whatever discovery announces in the
-// meantime. Exclusions are handed to the process that replaces this one (Exclusions, ReplaceExclusions). Ejections are
-// not: each process determines its own.
+// If a healthy server is excluded or ejected, package routing receives it with the status draining. Such a server gets
+// no new requests and is not used as a source of new fills until it is reinstated, whatever the discovery service
+// announces in the meantime. Exclusions are handed to the process that replaces this one (Exclusions,
+// ReplaceExclusions). Ejections are not: each process determines its own.
 package endpoints
 
 import (
@@ -69,7 +69,8 @@
 	return effective
 }
 
-// Count returns the number of announced endpoints that match, and how many of these are excluded or listed in ejected.
+// Count returns the number of announced endpoints that match, and how many of these are excluded or contained in
+// ejected. The caller passes the servers that its own circuit breakers eject. Ejections set by SetEjected do not count.
 func (l *List) Count(matches func(routing.Endpoint) bool, ejected []string) (listed, unavailable int) {
 	for server, endpoint := range l.announced {
 		if !matches(endpoint) {
--- a/core/gossip/datagram.go
+++ b/core/gossip/datagram.go
@@ -12,7 +12,7 @@
 //
 // The header is followed by 1 to MaxServersPerDatagram servers, each encoded as the number in its ID.
 const (
-	// MaxDatagramSize is the maximum size of a datagram in bytes, set by the platform. Longer datagrams are neither
+	// MaxDatagramSize is the platform's size limit in bytes for a datagram between routers. Longer datagrams are neither
 	// built nor accepted.
 	MaxDatagramSize = 256
 	// MaxServersPerDatagram is the maximum number of servers in a datagram.
--- a/core/gossip/fleet_test.go
+++ b/core/gossip/fleet_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// Guards against overload reports that reach too few routers or cost too many datagrams. In half a second about 100
-// overloads are found, each by a random router of 300. Within this time 99% of the routers must be notified, with at
-// most 60 datagrams. This must also hold while the fleet is partitioned into two halves.
+// Guards against overload reports that reach too few routers or cost too many datagrams. About 100 times in half a
+// second, a random one of 300 routers finds the server overloaded. Within this time 99% of the routers must be
+// notified, with at most 60 datagrams. This must also hold while the fleet is partitioned into two halves.
 func TestOverloadReachesFleetWithinDatagramBudget(t *testing.T) {
 	for _, isPartitioned := range []bool{false, true} {
 		for seed := range uint64(5) {
--- a/core/gossip/node.go
+++ b/core/gossip/node.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// quorum is the number of sites that must report a server before it counts as overloaded. If the link of one site
-	// is full, all its sources look overloaded there. Two sites are the minimum that excludes this cause. Each further
-	// one would add a delay during which the load grows.
+	// quorum is the number of sites that must report a server before it counts as overloaded. If a site's link is
+	// saturated, all servers that the site fills from look overloaded there. The report of a second site excludes this
+	// cause. A greater quorum would be reached later, while the load grows.
 	quorum = 2
 	// minFleetSize is the smallest fleet that uses gossip. In a smaller one, each router sends a server enough requests
 	// to detect overload by itself.
@@ -34,15 +34,17 @@
 // Times in microseconds.
 const (
 	reportLifetime = 1_000_000 // after which a report expires
-	repeatInterval = 250_000   // minimum time before a router reports a server again, or reports it after a quorum
-	sendInterval   = 100_000   // between datagrams of a router, on average
-	sendBurst      = 8         // datagrams that a router may send at once
+	// repeatInterval is the minimum time between two reports that a router sends of the same server. It is also the
+	// minimum time between a quorum for a server and the router's next report of it.
+	repeatInterval = 250_000
+	sendInterval   = 100_000 // between datagrams of a router, on average
+	sendBurst      = 8       // datagrams that a router may send at once
 )
 
 // Errors for dropped datagrams, in addition to ErrMalformed.
 var (
-	// ErrUnknownSender is wrapped by errors for a sender that is not in the settings, or whose rank does not match its
-	// address.
+	// ErrUnknownSender is wrapped by errors for a sender whose rank or site is outside the configured fleet, or whose
+	// rank does not match its address.
 	ErrUnknownSender = errors.New("not a router of this fleet")
 	// ErrStale is wrapped by errors for a datagram that was already received, is of an earlier incarnation, or is older
 	// than the replay window.
@@ -55,14 +57,14 @@
 // Options configures a Node.
 type Options struct {
 	Rank        int    // of this router, from 0
-	FleetSize   int    // number of routers in the settings
+	FleetSize   int    // number of routers in the configured fleet
 	Site        int    // of this router, from 0
-	Sites       int    // number of sites in the settings
+	Sites       int    // number of sites in the configured fleet
 	Incarnation uint32 // increases with each start of this router, for example its start time as Unix seconds
 }
 
-// ValidatePlacement checks that a router's rank is below fleetSize, that its site is below sites, and that both numbers
-// are within 1 to 65536. The error names the first value that is out of range.
+// ValidatePlacement checks that fleetSize and sites are 1 to 65536, that a router's rank is 0 or more and below
+// fleetSize, and that its site is 0 or more and below sites. The error names the first value that is out of range.
 func ValidatePlacement(rank, fleetSize, site, sites int) error {
 	switch {
 	case fleetSize < 1 || fleetSize > maxFleetSize:
@@ -123,7 +125,8 @@
 
 // ReportOverload records that this router found a server overloaded, and returns the datagram to send to all other
 // routers. It returns nil if there is nothing to send: the node is not enabled, the ID is invalid, too many servers are
-// tracked, this router sent a report or the quorum was reached within repeatInterval, or the rate limit is exceeded.
+// tracked, the rate limit is exceeded, or within the last repeatInterval this router sent a report of the server or the
+// quorum was reached.
 func (n *Node) ReportOverload(now int64, serverID string) []byte {
 	server, ok := ParseServerID(serverID)
 	if !ok || !n.IsEnabled() {
--- a/core/gossip/wire_compat_test.go
+++ b/core/gossip/wire_compat_test.go
@@ -8,8 +8,8 @@
 	"spantack/internal/testfixture"
 )
 
-// wireFixture holds recorded messages, one per line, as encoded at commit e67ffc3. Routers of that version must be able
-// to parse the datagrams of later versions, so these lines must not be changed to match the code.
+// wireFixture holds recorded messages, one per line, as encoded by an earlier version (commit e67ffc3). Routers of that
+// version must be able to parse the datagrams of later versions, so these lines must not be changed to match the code.
 const wireFixture = "testdata/wire_compat.txt"
 
 func TestDatagramEncodingIsUnchanged(t *testing.T) {
--- a/core/hierarchy/allocation.go
+++ b/core/hierarchy/allocation.go
@@ -1,7 +1,7 @@
 package hierarchy
 
 // Allocation assigns the sites' fills to targets. Rates are in KB/s. For each site, ToGroup, Direct and Rejected add up
-// to its demand.
+// to its demand, except for rounding by at most unitKBPerS.
 type Allocation struct {
 	ToGroup     [][]float64 // by site and group
 	ToHomeGroup [][]float64 // by site and group: part of ToGroup for objects with the group as their home
@@ -60,7 +60,7 @@
 	}
 }
 
-// interpolate returns the mixture fraction*a + (1-fraction)*b. Both allocations are for the same problem.
+// interpolate returns the weighted average fraction*a + (1-fraction)*b. Both allocations are for the same problem.
 func interpolate(a, b *Allocation, fraction float64) *Allocation {
 	between := func(x, y float64) float64 { return fraction*x + (1-fraction)*y }
 	mixed := newAllocation(len(a.ToGroup), len(a.ToGroup[0]))
--- a/core/hierarchy/baselines_test.go
+++ b/core/hierarchy/baselines_test.go
@@ -37,7 +37,7 @@
 // baseline returns the allocation of a simple policy. groupsOf returns the groups of a site, or nil for all groups.
 // maxLoadFactor 0 means no bound on the load.
 func (p *Problem) baseline(groupsOf func(site int) []int, maxLoadFactor float64) *Allocation {
-	plan := p.rejectAll()
+	allocation := p.rejectAll()
 	sent := make([]float64, len(p.Capacity))
 	limits := p.boundedCapacity(maxLoadFactor)
 	rounds := 1
@@ -49,39 +49,39 @@
 			groups := groupsOf(site)
 			if groups == nil {
 				for group, capacity := range p.LinkCapacity[site] {
-					hasCapacity := limits[group]-sent[group] > unitKBPerS && capacity-plan.ToGroup[site][group] > unitKBPerS
+					hasCapacity := limits[group]-sent[group] > unitKBPerS && capacity-allocation.ToGroup[site][group] > unitKBPerS
 					if capacity > 0 && (maxLoadFactor == 0 || hasCapacity) {
 						groups = append(groups, group)
 					}
 				}
 			}
-			amountPerGroup := plan.Rejected[site] / float64(max(len(groups), 1))
+			amountPerGroup := allocation.Rejected[site] / float64(max(len(groups), 1))
 			for _, group := range groups {
-				linkCapacity := p.LinkCapacity[site][group] - plan.ToGroup[site][group]
+				linkCapacity := p.LinkCapacity[site][group] - allocation.ToGroup[site][group]
 				amount := max(min(amountPerGroup, linkCapacity, limits[group]-sent[group]), 0)
-				plan.ToGroup[site][group] += amount
+				allocation.ToGroup[site][group] += amount
 				sent[group] += amount
-				plan.Rejected[site] -= amount
+				allocation.Rejected[site] -= amount
 			}
 		}
 	}
-	for site := range plan.ToGroup {
-		for group, amount := range plan.ToGroup[site] {
-			plan.ToHomeGroup[site][group] = amount
+	for site := range allocation.ToGroup {
+		for group, amount := range allocation.ToGroup[site] {
+			allocation.ToHomeGroup[site][group] = amount
 			if p.HomeFraction != nil {
-				plan.ToHomeGroup[site][group] = min(amount, p.Demand[site]*p.HomeFraction[group])
+				allocation.ToHomeGroup[site][group] = min(amount, p.Demand[site]*p.HomeFraction[group])
 			}
 		}
 	}
-	p.evaluate(plan)
-	if plan.OriginLoad > p.OriginCapacity {
-		fraction := p.OriginCapacity / plan.OriginLoad
+	p.evaluate(allocation)
+	if allocation.OriginLoad > p.OriginCapacity {
+		fraction := p.OriginCapacity / allocation.OriginLoad
 		for group := range p.Capacity {
-			plan.scaleGroup(group, fraction)
+			allocation.scaleGroup(group, fraction)
 		}
-		p.evaluate(plan)
+		p.evaluate(allocation)
 	}
-	return plan
+	return allocation
 }
 
 // boundedCapacity returns the groups' capacities, limited to maxLoadFactor times their part of the demand. The part is
--- a/core/hierarchy/changes.go
+++ b/core/hierarchy/changes.go
@@ -23,7 +23,7 @@
 
 func (g ParentGroup) key() string { return g.Name }
 func (g ParentGroup) describe() string {
-	return fmt.Sprintf("area %s, servers %s, miss %.2f", g.Name, strings.Join(g.ServerPrefixes, " "), g.missRatio())
+	return fmt.Sprintf("area %s, servers %s, miss ratio %.2f", g.Name, strings.Join(g.ServerPrefixes, " "), g.missRatio())
 }
 
 func (l Link) key() string { return l.From + " > " + l.To }
@@ -45,14 +45,14 @@
 		newText := describe(item)
 		switch {
 		case !isInOld:
-			lines = append(lines, "new: "+newText)
+			lines = append(lines, "added: "+newText)
 		case oldText != newText:
 			lines = append(lines, oldText+": now "+newText)
 		}
 	}
 	for _, item := range old {
 		if !isInNext[key(item)] {
-			lines = append(lines, "gone: "+describe(item))
+			lines = append(lines, "removed: "+describe(item))
 		}
 	}
 	return lines
--- a/core/hierarchy/changes_test.go
+++ b/core/hierarchy/changes_test.go
@@ -15,15 +15,15 @@
 	for _, want := range []string{
 		"head office head, 5000 KB/s: now head, 4000 KB/s",
 		"depot d1, 900 KB/s: now depot d1, 1000 KB/s",
-		"gone: area great, servers g-, miss 0.50",
-		"new: way north > head, 100 KB/s, 40.0 ms",
-		"gone: way south > head, 200 KB/s, 40.0 ms",
+		"removed: area great, servers g-, miss ratio 0.50",
+		"added: way north > head, 100 KB/s, 40.0 ms",
+		"removed: way south > head, 200 KB/s, 40.0 ms",
 	} {
 		if !slices.Contains(got, want) {
 			t.Errorf("%q is not among %q", want, got)
 		}
 	}
 	if len(got) != 5 || len(Changes(sampleTopology(), sampleTopology())) != 0 {
-		t.Errorf("%q", got)
+		t.Errorf("got changes %q, want 5 of them, and none between equal topologies", got)
 	}
 }
--- a/core/hierarchy/compile.go
+++ b/core/hierarchy/compile.go
@@ -38,7 +38,8 @@
 		return invalid("version", "%d, must be 1 or more", t.Version)
 	}
 	if nodes := t.nodeCount(); nodes > MaxNodes || len(t.Links) > MaxLinks {
-		return invalid("ways", "%d nodes and %d ways, at most %d and %d are allowed", nodes, len(t.Links), MaxNodes, MaxLinks)
+		return invalid("depots, areas or ways", "%d nodes and %d ways, at most %d and %d are allowed",
+			nodes, len(t.Links), MaxNodes, MaxLinks)
 	}
 	return nil
 }
@@ -65,7 +66,7 @@
 			return err
 		}
 		if !isFiniteNonNegative(site.PeakFillKBPerS) {
-			return invalid(field+".kbPerS", "%v, must be 0 or more", site.PeakFillKBPerS)
+			return invalid(field+".kbPerS", "%v, must be a finite number of 0 or more", site.PeakFillKBPerS)
 		}
 	}
 	return nil
@@ -78,7 +79,7 @@
 			return err
 		}
 		if len(group.ServerPrefixes) == 0 || slices.Contains(group.ServerPrefixes, "") {
-			return invalid(field+".servers", "%q, must have at least one prefix, and none empty", group.ServerPrefixes)
+			return invalid(field+".servers", "%q, must contain at least one prefix and no empty one", group.ServerPrefixes)
 		}
 		if !(group.MissRatio >= 0 && group.MissRatio <= 1) {
 			return invalid(field+".miss", "%v, must be 0 to 1", group.MissRatio)
@@ -111,7 +112,7 @@
 		return err
 	}
 	if !isFiniteNonNegative(origin.CapacityKBPerS) {
-		return invalid("head.kbPerS", "%v, must be 0 or more", origin.CapacityKBPerS)
+		return invalid("head.kbPerS", "%v, must be a finite number of 0 or more", origin.CapacityKBPerS)
 	}
 	return nil
 }
@@ -132,14 +133,14 @@
 	field := fmt.Sprintf("ways[%d]", i)
 	from, known := g.nodeIndex[link.From]
 	if !known || from == g.originNode() {
-		return invalid(field+".from", "%q is not a depot or an area", link.From)
+		return invalid(field+".from", "%q is not a name in depots or areas", link.From)
 	}
 	to, known := g.nodeIndex[link.To]
 	if !known || to < len(g.topology.Sites) {
-		return invalid(field+".to", "%q is not an area or the head office", link.To)
+		return invalid(field+".to", "%q is not a name in areas or head", link.To)
 	}
 	if !isFiniteNonNegative(link.CapacityKBPerS) || !isFiniteNonNegative(link.RTTMillis) {
-		return invalid(field, "%v KB/s, %v ms, both must be 0 or more", link.CapacityKBPerS, link.RTTMillis)
+		return invalid(field, "%v KB/s, %v ms, both must be finite numbers of 0 or more", link.CapacityKBPerS, link.RTTMillis)
 	}
 	ends := [2]int{from, to}
 	if first, exists := g.linkIndex[ends]; exists {
@@ -173,7 +174,7 @@
 	}
 	for i, site := range g.topology.Sites {
 		if g.levels[i] == noRoute {
-			return invalid(fmt.Sprintf("depots[%d]", i), "%s has no route to the head office", site.Name)
+			return invalid(fmt.Sprintf("depots[%d]", i), "%s has no route to the origin", site.Name)
 		}
 	}
 	return nil
--- a/core/hierarchy/doc.go
+++ b/core/hierarchy/doc.go
@@ -4,9 +4,9 @@
 //
 //   - [Compile] validates a topology and returns a [Graph]. A topology with a cycle of links is rejected as a whole,
 //     and the error names the nodes of the cycle.
-//   - [Graph.PlanFills] divides the sites' fills among parent groups and the origin. A plan never exceeds the stated
-//     capacity of a group, a link or the origin. Fills that exceed all capacities are counted as rejected.
-//     [FillPlan.Route] returns the part of the plan for one site.
+//   - [Graph.PlanFills] divides the sites' fills among parent groups and the origin. A plan never exceeds the
+//     capacity of a group, a link or the origin. Fills for which no capacity remains are rejected. [FillPlan.Route]
+//     returns the part of the plan for one site.
 //   - [Graph.Forward], [Graph.ForwardByPeer], [ParseLoop] and [LoopDetector] prevent or detect fills that loop while
 //     nodes have different topologies. A fill forwarded by Forward visits no node twice, whatever topologies the nodes
 //     have.
--- a/core/hierarchy/fill_plan.go
+++ b/core/hierarchy/fill_plan.go
@@ -9,8 +9,8 @@
 const RejectionCostMillis = 10_000
 
 // originCostMillis is the cost of a KB from the origin in addition to its round trip. It applies even while the origin
-// has free capacity. Otherwise a plan would fill objects from a group with a shorter link instead of their home, and
-// several groups would cache the same objects.
+// has free capacity. Without it a miss would be cheap, and a plan would prefer a group with a shorter link to the
+// object's home. Several groups would then cache the same objects.
 const originCostMillis = 150.0
 
 const (
@@ -18,12 +18,13 @@
 	offHomeMissRatio = 1.0 // miss ratio for objects whose home is another group
 )
 
-// maxPlanRounds is the maximum number of times that a plan is recomputed because groups would overload their parents.
+// maxPlanRounds is the maximum number of times that a plan is recomputed because groups would overload their parents or
+// the links to them.
 const maxPlanRounds = 8
 
 // GroupStatus is the current state of a parent group, as derived from the endpoint list.
 type GroupStatus struct {
-	CapacityKBPerS float64 // rate that its caches can serve at present; 0: none is available
+	CapacityKBPerS float64 // rate that its caches can serve at present; 0 if no cache is available
 	WarmFraction   float64 // hit ratio of its caches relative to that of a warm group, 0 to 1
 }
 
@@ -33,13 +34,13 @@
 	return status.WarmFraction*g.missRatio() + (1-status.WarmFraction)*coldMissRatio
 }
 
-// FillPlan is a division of the fills of all sites. Routers with the same topology and endpoint list compute the same
-// plan.
+// FillPlan assigns the fills of all sites to parent groups and the origin. Routers with the same topology and endpoint
+// list compute the same plan.
 type FillPlan struct {
 	Graph      *Graph
 	Allocation *Allocation
-	// Problem is the problem that Allocation solves. The capacity of a group in it is reduced if the group's parents
-	// would be overloaded otherwise.
+	// Problem is the problem that Allocation solves. The capacity of a group in it is reduced if the group's parents, or
+	// the links to them, would be overloaded otherwise.
 	Problem *Problem
 	// ChildDemandKBPerS is the rate of requests that each parent group gets from other groups, by its index in the
 	// topology.
@@ -97,8 +98,8 @@
 // groupLoad is the load that an allocation puts on the groups, by group.
 type groupLoad struct {
 	sent []float64 // KB/s from sites
-	// missWeight is the miss ratio of this load, as a multiple of the group's own miss ratio. Requests for objects with
-	// another home miss more often.
+	// missWeight is the origin load per KB of this load, divided by the origin load per KB for objects whose home is the
+	// group. It is above 1 if the group gets requests for objects with another home, since these miss more often.
 	missWeight []float64
 }
 
@@ -115,7 +116,7 @@
 	}
 	p.computeForwardFractions(statuses)
 	p.addSites()
-	p.problem.assignHomeFractions(g)
+	p.problem.setHomeFields(g)
 	p.capacity = slices.Clone(p.problem.Capacity)
 	return p, nil
 }
@@ -130,7 +131,7 @@
 	for _, group := range p.graph.topology.ParentGroups {
 		status := statuses[group.Name]
 		if !isFiniteNonNegative(status.CapacityKBPerS) || !(status.WarmFraction >= 0 && status.WarmFraction <= 1) {
-			return fmt.Errorf("%w: area %s: %v KB/s, must be 0 or more; warm fraction %v, must be 0 to 1",
+			return fmt.Errorf("%w: area %s: %v KB/s, must be a finite number of 0 or more; warm fraction %v, must be 0 to 1",
 				ErrProblem, group.Name, status.CapacityKBPerS, status.WarmFraction)
 		}
 		p.problem.Capacity = append(p.problem.Capacity, status.CapacityKBPerS)
@@ -138,8 +139,9 @@
 	return nil
 }
 
-// canForward reports whether a node is the origin or a group that can serve fills and has a route to the origin.
-func (p *fillPlanner) canForward(node int) bool {
+// isUsableParent reports whether fills can be sent to a node: to the origin, or to a group that has capacity and a
+// route to the origin.
+func (p *fillPlanner) isUsableParent(node int) bool {
 	if node == p.graph.originNode() {
 		return true
 	}
@@ -160,7 +162,7 @@
 			continue
 		}
 		p.forwardFraction[group] = make([]float64, groups+1)
-		if group < groups && p.canForward(node) {
+		if group < groups && p.isUsableParent(node) {
 			p.computeGroupForwardFractions(group, statuses)
 		}
 	}
@@ -174,7 +176,7 @@
 func (p *fillPlanner) computeGroupForwardFractions(group int, statuses map[string]GroupStatus) {
 	var parents []int
 	for _, parent := range p.graph.order.Successors(p.node(group)) {
-		if p.canForward(int(parent)) {
+		if p.isUsableParent(int(parent)) {
 			parents = append(parents, int(parent)-len(p.graph.topology.Sites))
 		}
 	}
@@ -183,8 +185,8 @@
 		return
 	}
 	slices.Sort(parents)
-	document := &p.graph.topology.ParentGroups[group]
-	share := document.effectiveMissRatio(statuses[document.Name]) / float64(len(parents))
+	parentGroup := &p.graph.topology.ParentGroups[group]
+	share := parentGroup.effectiveMissRatio(statuses[parentGroup.Name]) / float64(len(parents))
 	fractions := p.forwardFraction[group]
 	for _, parent := range parents {
 		fractions[parent] += share
@@ -214,7 +216,7 @@
 		case node == p.graph.originNode():
 			directCapacity = link.CapacityKBPerS
 			directRTT = min(link.RTTMillis+originCostMillis, RejectionCostMillis)
-		case p.canForward(node):
+		case p.isUsableParent(node):
 			group := node - len(p.graph.topology.Sites)
 			capacity[group] = link.CapacityKBPerS
 			rtt[group] = min(link.RTTMillis, RejectionCostMillis)
@@ -228,10 +230,10 @@
 	problem.DirectRTT = append(problem.DirectRTT, directRTT)
 }
 
-// assignHomeFractions sets the fraction of all objects that have each group as their home. It is proportional to the
-// group's capacity, and 0 if no site has a link to the group. Weighted rendezvous hashing of the objects over these
-// groups gives the same fractions.
-func (p *Problem) assignHomeFractions(g *Graph) {
+// setHomeFields sets the fields of the problem that concern homes: HomeFraction, OffHomeOriginFraction and OriginRTT. A
+// group's HomeFraction is proportional to its capacity, and 0 if no site has a link to the group. Route.Pick uses these
+// fractions as weights of the rendezvous hashing, so that each group is the home of this fraction of all objects.
+func (p *Problem) setHomeFields(g *Graph) {
 	p.OffHomeOriginFraction = offHomeMissRatio
 	p.HomeFraction = make([]float64, len(p.Capacity))
 	p.OriginRTT = make([]float64, len(p.Capacity))
@@ -311,7 +313,7 @@
 	return scale
 }
 
-// linkScale returns the fraction of a group's load for whose misses the links to its parents have capacity.
+// linkScale returns the fraction of a group's load at which no link to a parent exceeds its capacity.
 func (p *fillPlanner) linkScale(group int, load groupLoad) float64 {
 	scale := 1.0
 	misses := load.sent[group] * min(load.missWeight[group]*p.missPerParent[group], 1)
--- a/core/hierarchy/fill_plan_test.go
+++ b/core/hierarchy/fill_plan_test.go
@@ -48,9 +48,9 @@
 
 // Guards against plans that route fills wrongly while a group fails and returns. With all groups available, every site
 // must fill objects from their homes. If a group is lost, its sites must use the other one within the capacity of the
-// links, and then the origin directly. A group that returns cold must get at most its capacity, and not less as it
-// warms.
-func TestFillPlanWhileGroupFailsAndWarmsUp(t *testing.T) {
+// links, and then the origin directly. A group that returns cold must get at most its capacity, and its load must not
+// decrease while it warms.
+func TestFillPlanAdaptsToAvailableCapacity(t *testing.T) {
 	topology := sampleTopology()
 	topology.Links = append(topology.Links, Link{"d3", "north", 300, 30})
 	topology.Links[9].CapacityKBPerS = 800
--- a/core/hierarchy/flow_network.go
+++ b/core/hierarchy/flow_network.go
@@ -7,11 +7,12 @@
 
 // flowNetwork computes a minimum-cost flow from sites to parent groups, directly to the origin, or to rejection, within
 // the capacities of arcs and groups. This is a transportation problem, solved by successive shortest paths with
-// potentials (Ahuja, Magnanti and Orlin, "Network Flows", 9.7). Amounts are integers, so that the algorithm terminates
-// and gives the same result on every machine.
+// potentials (Ahuja, Magnanti and Orlin, "Network Flows", section 9.7). Amounts are integers, so that the algorithm
+// terminates and gives the same result on every machine.
 //
-// Nodes of the search are numbered: sites, then groups. A path leads from a site over an arc to a group, and from a
-// group back over an arc to a site whose flow on that arc is reduced in favor of the new flow.
+// Nodes of the search are numbered: sites, then groups. The search runs in the residual network. A path goes forward,
+// from a site to a group, over arcs with residual capacity. It goes backward, from a group to a site, over arcs with
+// flow, and reduces that flow.
 type flowNetwork struct {
 	demand        []int64   // by site
 	capacity      []int64   // by group
@@ -71,12 +72,12 @@
 	rejected = make([]int64, len(f.demand))
 	for site, remaining := range f.demand {
 		for remaining > 0 {
-			end, bypassesGroups := f.search(site)
-			amount := min(remaining, f.endCapacity(end, bypassesGroups, remaining))
+			end, endsAtSite := f.search(site)
+			amount := min(remaining, f.endCapacity(end, endsAtSite, remaining))
 			amount = f.pathCapacity(site, end, amount)
 			f.addFlow(site, end, amount)
 			switch {
-			case !bypassesGroups:
+			case !endsAtSite:
 				f.sent[end-len(f.demand)] += amount
 			case f.usesDirectLink(end):
 				f.direct[end].flow += amount
@@ -109,17 +110,17 @@
 	}
 }
 
-// usesDirectLink reports whether a path that ends at a site continues over its direct link to the origin. Otherwise the
-// path is a rejection.
+// usesDirectLink reports whether the unit of a path that ends at a site is sent over the site's direct link to the
+// origin. Otherwise the unit is rejected.
 func (f *flowNetwork) usesDirectLink(site int) bool {
 	direct := &f.direct[site]
 	return direct.hasCapacity() && direct.cost <= f.rejectionCost
 }
 
-// endCapacity returns the residual capacity at the end of a path: of the group, or of the direct link of the site. It
-// returns amount if the path is a rejection.
-func (f *flowNetwork) endCapacity(end int, bypassesGroups bool, amount int64) int64 {
-	if bypassesGroups {
+// endCapacity returns the residual capacity at the end of a path: of the group, or of the site's direct link. It
+// returns amount if the units of the path are rejected.
+func (f *flowNetwork) endCapacity(end int, endsAtSite bool, amount int64) int64 {
+	if endsAtSite {
 		if f.usesDirectLink(end) {
 			return f.direct[end].capacity - f.direct[end].flow
 		}
@@ -129,7 +130,8 @@
 	return f.capacity[group] - f.sent[group]
 }
 
-// pathCapacity returns the part of amount for which the path found by search, from start to end, has residual capacity.
+// pathCapacity returns how much of amount the path found by search can carry from start to end. It does not consider
+// the capacity that endCapacity returns.
 func (f *flowNetwork) pathCapacity(start, end int, amount int64) int64 {
 	for node := int32(end); node != int32(start); node = f.previous[node] {
 		if f.isGroup(node) {
@@ -156,9 +158,9 @@
 func (f *flowNetwork) isGroup(node int32) bool { return int(node) >= len(f.demand) }
 
 // search finds the cheapest path for one more unit of a site, with Dijkstra's algorithm. The path ends at a group with
-// residual capacity, or bypasses the groups: then it ends at a site, and its unit is sent to the origin directly or
-// rejected. Arc costs are reduced by the potentials of their ends, so that they are not negative.
-func (f *flowNetwork) search(start int) (end int, bypassesGroups bool) {
+// residual capacity, or at a site whose unit is then sent directly to the origin or rejected. The search uses reduced
+// costs, which are not negative: the cost plus the potential of the start minus the potential of the end of an arc.
+func (f *flowNetwork) search(start int) (end int, endsAtSite bool) {
 	sites := len(f.demand)
 	for node := range f.dist {
 		f.dist[node] = math.Inf(1)
@@ -176,7 +178,7 @@
 		f.settled[node] = true
 		cost := f.endCost(node)
 		if dist := item.dist + max(f.potential[node]+cost-f.sinkPotential, 0); dist < best {
-			best, end, bypassesGroups = dist, node, node < sites
+			best, end, endsAtSite = dist, node, node < sites
 		}
 		if node < sites {
 			f.relaxFromSite(node, item.dist)
@@ -188,7 +190,7 @@
 		f.potential[node] += min(f.dist[node], best)
 	}
 	f.sinkPotential += best
-	return end, bypassesGroups
+	return end, endsAtSite
 }
 
 // endCost returns the cost of ending the path of a unit at a node. It is infinite for a group without residual
--- a/core/hierarchy/forwarding.go
+++ b/core/hierarchy/forwarding.go
@@ -10,7 +10,7 @@
 // FillPath is sent with a fill from node to node, if the protocol has a field for it.
 type FillPath struct {
 	Visited []string // nodes that the fill has passed, starting with the site
-	NoRoute []string // nodes that rejected the fill with ErrNoRoute
+	NoRoute []string // nodes that rejected the fill with ErrNoRoute, and the nodes that these have tried
 }
 
 // MaxHops is the maximum number of nodes in Visited and NoRoute of a FillPath together. Actual hierarchies have far
@@ -29,11 +29,11 @@
 //
 // The error wraps ErrLoop if the fill has passed this node before. It wraps ErrNoRoute if no parent remains or the
 // path has MaxHops nodes. A node that gets ErrNoRoute from a parent adds this parent, and all nodes that the parent
-// has tried, to NoRoute, and tries the next parent. Levels are not compared: the path alone prevents loops, and a
-// comparison would reject fills that can still reach the origin.
+// has tried, to NoRoute, and tries the next parent. Unlike ForwardByPeer, Forward does not compare levels: the path
+// alone prevents loops, and a comparison would reject fills that can still reach the origin.
 func (g *Graph) Forward(node string, path FillPath) (parents []string, next FillPath, err error) {
 	if slices.Contains(path.Visited, node) {
-		return nil, FillPath{}, fmt.Errorf("%w: %s > %s", ErrLoop, strings.Join(path.Visited, " > "), node)
+		return nil, FillPath{}, fmt.Errorf("fill in a %w: %s > %s", ErrLoop, strings.Join(path.Visited, " > "), node)
 	}
 	if hops := len(path.Visited) + len(path.NoRoute); hops >= MaxHops {
 		return nil, FillPath{}, fmt.Errorf("%s: %d nodes tried, at most %d: %w", node, hops, MaxHops, ErrNoRoute)
@@ -54,8 +54,8 @@
 // If the peer's level is not greater than the node's, the two have different topologies. Then only the origin is
 // returned, or an error that wraps ErrNoRoute if the origin is not a parent of the node.
 //
-// This prevents every loop in which the node that the fill returns to still has the topology with which it first
-// forwarded the fill. A LoopDetector detects other loops when they occur.
+// This prevents every loop, unless the node to which the fill would return has changed its topology since it first
+// forwarded the fill. A LoopDetector detects the remaining loops when they occur.
 func (g *Graph) ForwardByPeer(node, peer string) (parents []string, err error) {
 	isPeerBelow := g.Level(peer) > g.Level(node)
 	for _, parent := range g.Parents(node) {
--- a/core/hierarchy/graph.go
+++ b/core/hierarchy/graph.go
@@ -25,9 +25,9 @@
 // Topology returns the document that the graph was compiled from. It must not be changed.
 func (g *Graph) Topology() *Topology { return g.topology }
 
-// Level returns the level of the node with a name. The level of the origin is 0. The level of any other node is one
-// more than the highest level of its parents. Level returns -1 for an unknown node and for one without a route to the
-// origin.
+// Level returns the level of the node with the given name. The level of the origin is 0. The level of any other node is
+// one more than the highest level of its parents. Level returns -1 for an unknown node and for one without a route to
+// the origin.
 func (g *Graph) Level(name string) int {
 	if node, known := g.nodeIndex[name]; known {
 		return g.levels[node]
@@ -68,7 +68,7 @@
 // followed by the origin.
 func (g *Graph) TargetName(target int) string { return g.nodeName(len(g.topology.Sites) + target) }
 
-// link returns the link between two nodes, which must exist.
+// link returns the link over which node from may fill from node to. The link must exist.
 func (g *Graph) link(from, to int) *Link { return &g.topology.Links[g.linkIndex[[2]int{from, to}]] }
 
 // originNode returns the number of the origin, which is the last node.
--- a/core/hierarchy/graph_test.go
+++ b/core/hierarchy/graph_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-func TestGraphLevelsParentsAndServerGroups(t *testing.T) {
+// Guards against a graph that returns a wrong level, wrong parents or the wrong group of a server.
+func TestGraphReturnsLevelsParentsAndGroupOfServer(t *testing.T) {
 	g := mustCompile(t, sampleTopology())
 	for name, want := range map[string]int{"head": 0, "great": 1, "north": 2, "south": 2, "d1": 3, "d3": 3, "nobody": -1} {
 		if got := g.Level(name); got != want {
@@ -14,11 +15,11 @@
 		}
 	}
 	if got := strings.Join(g.Parents("south"), " "); got != "great head" {
-		t.Errorf("parents of south are %s", got)
+		t.Errorf("parents of south are %s, want great head", got)
 	}
 	for server, want := range map[string]string{"t-17": "south", "g-1": "great", "x-1": ""} {
 		if got := g.ParentGroupOf(server); got != want {
-			t.Errorf("group of %s is %q", server, got)
+			t.Errorf("server %s is assigned to the wrong group %q", server, got)
 		}
 	}
 }
--- a/core/hierarchy/loop_detector.go
+++ b/core/hierarchy/loop_detector.go
@@ -1,8 +1,8 @@
 package hierarchy
 
 // LoopDetector detects fills that return to a node, for protocols that cannot send a path with the fill. It records the
-// fills that the node has sent to its parents. A request from such a parent for the same object is a loop. Times are in
-// milliseconds of any clock. It is not safe for concurrent use.
+// fills that the node has sent to its parents. If a parent requests an object that this node is filling from that
+// parent, the fill has looped. Times are in milliseconds of any clock. It is not safe for concurrent use.
 type LoopDetector struct {
 	RetentionMillis float64 // after this time a fill that has not ended is removed
 	MaxOutstanding  int     // maximum number of recorded fills; further ones are only counted as Untracked
--- a/core/hierarchy/loop_detector_test.go
+++ b/core/hierarchy/loop_detector_test.go
@@ -21,7 +21,7 @@
 		d.FillSent(6000, "south", fmt.Sprint(i))
 	}
 	if d.Untracked != 2 || !d.Detect(6500, "south", "2") || d.Detect(6500, "south", "4") {
-		t.Errorf("%d fills untracked", d.Untracked)
+		t.Errorf("%d fills untracked, want 2; must detect the recorded fill 2, not the untracked fill 4", d.Untracked)
 	}
 	if d.Detect(7000, "south", "1") || len(d.outstanding) != 0 {
 		t.Errorf("%d fills outstanding after expiry", len(d.outstanding))
--- a/core/hierarchy/loop_header.go
+++ b/core/hierarchy/loop_header.go
@@ -49,18 +49,18 @@
 
 // parseLoopItem parses one element, an id with its parameters, and returns what follows the comma after it.
 func parseLoopItem(s string) (id, rest string, err error) {
-	s = trimSpace(s)
+	s = trimLeadingSpace(s)
 	end := 0
 	for end < len(s) && isLoopIDByte(s[end]) {
 		end++
 	}
 	id = s[:end]
-	s = trimSpace(s[end:])
+	s = trimLeadingSpace(s[end:])
 	if len(id) > maxLoopIDBytes {
 		return "", "", fmt.Errorf("%w: id has %d bytes, at most %d are allowed", ErrLoopHeader, len(id), maxLoopIDBytes)
 	}
 	for strings.HasPrefix(s, ";") {
-		s, err = skipParameter(id, trimSpace(s[1:]))
+		s, err = skipParameter(id, trimLeadingSpace(s[1:]))
 		if err != nil {
 			return "", "", err
 		}
@@ -95,11 +95,11 @@
 	if value == 0 {
 		return "", fmt.Errorf("%w: a parameter of %s has an invalid value", ErrLoopHeader, id)
 	}
-	return trimSpace(s[value:]), nil
+	return trimLeadingSpace(s[value:]), nil
 }
 
-// trimSpace removes leading spaces and tabs.
-func trimSpace(s string) string { return strings.TrimLeft(s, " \t") }
+// trimLeadingSpace removes leading spaces and tabs.
+func trimLeadingSpace(s string) string { return strings.TrimLeft(s, " \t") }
 
 func isAlphanumeric(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
--- a/core/hierarchy/optimal.go
+++ b/core/hierarchy/optimal.go
@@ -5,7 +5,7 @@
 // unitKBPerS is the rate unit of allocations. Capacities are rounded down to whole units, demand is rounded up.
 const unitKBPerS = 1.0 / 16
 
-// maxPriceRounds is the maximum number of rounds of the search for the origin's price, which usually ends after about
+// maxPriceRounds is the maximum number of rounds of the search for the origin's price. The search usually needs about
 // ten.
 const maxPriceRounds = 60
 
@@ -15,8 +15,8 @@
 // Without the limit on the origin's capacity, the problem is a minimum-cost flow, which flowNetwork solves exactly.
 // The limit is replaced by a price per KB from the origin, which is added to the costs (Lagrangian relaxation, exact
 // for linear programs). The search maintains two allocations, one above the limit and one within it. The next price is
-// the price at which both have the same cost. If no allocation is cheaper at this price, the optimum is the mixture of
-// the two that exactly uses the origin's capacity.
+// the price at which both have the same cost. If no allocation is cheaper at this price, the optimum is the weighted
+// average of the two that exactly uses the origin's capacity.
 func (p *Problem) Optimal() (*Allocation, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -76,8 +76,9 @@
 	return f
 }
 
-// appendArcs appends the arcs for the link of a site to a group: one for objects with the group as their home, and one
-// for other objects with the remaining capacity.
+// appendArcs appends the arcs for the link of a site to a group. The first arc is for objects whose home is the group.
+// The second arc is for all other objects and has the remaining capacity of the link. An arc without capacity is left
+// out.
 func (p *Problem) appendArcs(arcs []arc, site, group int) []arc {
 	capacity := unitsDown(p.LinkCapacity[site][group])
 	home := capacity
@@ -120,7 +121,9 @@
 	return a
 }
 
-// addPrice adds, to the cost of each arc and group, the price of the origin load that a unit causes there.
+// addPrice adds the price of the origin load per unit to the costs. A group's cost increases by the price of the origin
+// load of an object at its home. The cost of an off-home arc increases by the price of the additional origin load. The
+// cost of a direct link increases by the full price.
 func (p *Problem) addPrice(f *flowNetwork, price float64) {
 	for group := range f.groupCost {
 		f.groupCost[group] = price * p.OriginFraction[group]
--- a/core/hierarchy/optimal_test.go
+++ b/core/hierarchy/optimal_test.go
@@ -293,7 +293,7 @@
 	for _, amount := range best.Rejected {
 		total += amount
 	}
-	b.ReportMetric(total/(200*1250), "refused")
+	b.ReportMetric(total/(200*1250), "rejected")
 	for name, other := range baselines(p) {
 		b.ReportMetric(other.Cost/best.Cost, name+"-cost")
 	}
--- a/core/hierarchy/problem.go
+++ b/core/hierarchy/problem.go
@@ -28,8 +28,9 @@
 	OffHomeOriginFraction float64
 	// OriginRTT is, by group, the additional round-trip time of a miss. nil means 0 for all groups.
 	OriginRTT []float64
-	// RejectionCost is the cost of a rejected KB, expressed as a round-trip time in ms. It must exceed every actual
-	// round-trip time. Otherwise the cheapest allocation would reject everything.
+	// RejectionCost is the cost of a rejected KB, expressed as a round-trip time in ms. It must be greater than every
+	// actual round-trip time, but Check also accepts an equal one. If it were lower than all of them, the cheapest
+	// allocation would reject everything.
 	RejectionCost float64
 }
 
@@ -98,7 +99,7 @@
 	}
 	for site := range p.Demand {
 		if len(p.LinkCapacity[site]) != groups || len(p.LinkRTT[site]) != groups {
-			return fmt.Errorf("%w: LinkCapacity[%d] and LinkRTT[%d]: %d and %d values, must be %d",
+			return fmt.Errorf("%w: LinkCapacity[%d] and LinkRTT[%d]: %d and %d values, each must have %d",
 				ErrProblem, site, site, len(p.LinkCapacity[site]), len(p.LinkRTT[site]), groups)
 		}
 	}
--- a/core/hierarchy/route.go
+++ b/core/hierarchy/route.go
@@ -18,7 +18,7 @@
 	RejectedFraction float64   // fraction of the site's fills that no target has capacity for
 }
 
-// Route returns the route of the site with a name. The route of an unknown site rejects all fills.
+// Route returns the route of the site with the given name. The route of an unknown site rejects all fills.
 func (s *FillPlan) Route(name string) Route {
 	site, known := s.Graph.nodeIndex[name]
 	if !known || site >= len(s.Graph.topology.Sites) {
@@ -72,7 +72,7 @@
 // Seeds of independent hashes: whether an object is filled at its home, whether it is rejected, and which other target
 // it is filled from.
 const (
-	staySeed    = 0x5851f42d4c957f2d
+	homeSeed    = 0x5851f42d4c957f2d
 	rejectSeed  = 0x14057b7ef767814f
 	offHomeSeed = 0x2545f4914f6cdd1d
 )
@@ -84,7 +84,7 @@
 // gets the same target from the same route.
 func (r *Route) Pick(hash uint64) int {
 	home := weightedRendezvous(hash, r.HomeFraction, r.Salts)
-	if home != noTarget && hashFraction(hash, staySeed) < r.StayFraction[home] {
+	if home != noTarget && hashFraction(hash, homeSeed) < r.StayFraction[home] {
 		return home
 	}
 	accepted := 0.0
@@ -106,8 +106,9 @@
 }
 
 // weightedRendezvous returns the target for an object by its hash, or noTarget if no target has a fraction above 0.
-// Each target gets its fraction of all objects. When fractions change, the minimum number of objects change their
-// target (weighted rendezvous hashing: Schindelhauer and Schomaker, 2005).
+// Each target gets its fraction of all objects. When fractions change, as few objects as possible change their target.
+// If one fraction changes relative to the others, objects move only to or from its target (weighted rendezvous hashing:
+// Schindelhauer and Schomaker, 2005).
 func weightedRendezvous(hash uint64, fractions []float64, salts []uint64) int {
 	best, target := math.Inf(1), noTarget
 	for i, fraction := range fractions {
--- a/core/hierarchy/topology.go
+++ b/core/hierarchy/topology.go
@@ -25,8 +25,8 @@
 // ParentGroup is a set of parent caches at one location. Objects are distributed over its caches by hash.
 type ParentGroup struct {
 	Name string `json:"name"`
-	// ServerPrefixes are the name prefixes of the caches in the group. A listed cache that matches no group gets no
-	// fills.
+	// ServerPrefixes are the name prefixes of the caches in the group. A cache on the endpoint list gets no fills if its
+	// name starts with no prefix of any group.
 	ServerPrefixes []string `json:"servers" jsonschema_description:"name prefixes of the servers in the area"`
 	// MissRatio is the fraction of requests that a warm group forwards to its own parents. 0 means the default, 0.35.
 	MissRatio float64 `json:"miss,omitempty" jsonschema_description:"fraction of the area's requests that it forwards to its own parents, 0 to 1; 0.35 if left out"`
@@ -66,8 +66,8 @@
 // ErrTopology is wrapped by every error of Compile.
 var ErrTopology = errors.New("invalid topology")
 
-// ErrLoop is wrapped by an error of Compile about a cycle of links, and by an error of Forward about a fill that
-// returned to a node.
+// ErrLoop is wrapped by an error of Compile if links form a cycle, and by an error of Forward if a fill has returned to
+// a node and its path is therefore a cycle.
 var ErrLoop = errors.New("cycle")
 
 // cycleError reports a cycle of links by its node names. The first name is repeated at the end.
--- a/core/hierarchy/wire_compat_test.go
+++ b/core/hierarchy/wire_compat_test.go
@@ -6,7 +6,7 @@
 	"spantack/internal/testfixture"
 )
 
-// Guards against a change of the format of the section shape of a features file.
+// Guards against a change of the format of the section "shape" of a features file.
 func TestStoredTopologyFormatIsUnchanged(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/shape.json", " ", Topology{
 		Version: 10,
--- a/core/originlimit/algorithm.go
+++ b/core/originlimit/algorithm.go
@@ -9,8 +9,8 @@
 const (
 	// Fixed always sets the limit to the router's share.
 	Fixed ControlAlgorithm = iota
-	// AIMD (additive increase, multiplicative decrease) adds one to the limit after a good round of fills, and multiplies
-	// it by decreaseFactor after a round that was slow or had a failure (Chiu and Jain, 1989).
+	// AIMD (additive increase, multiplicative decrease) multiplies the limit by decreaseFactor after a round of fills that
+	// was slow or had a failure, and adds one after any other round that used the limit (Chiu and Jain, 1989).
 	AIMD
 	// Gradient multiplies the limit by the ratio of the baseline to the current latency, and adds the square root of the
 	// limit to allow for a queue.
@@ -24,7 +24,7 @@
 // String returns the algorithm's name in a features file.
 func (a ControlAlgorithm) String() string { return algorithmNames[a] }
 
-// ParseControlAlgorithm returns the algorithm with a name, or an error that wraps ErrInvalid.
+// ParseControlAlgorithm returns the algorithm with the given name, or an error that wraps ErrInvalid.
 func ParseControlAlgorithm(name string) (ControlAlgorithm, error) {
 	for i, n := range algorithmNames {
 		if n == name {
@@ -36,7 +36,9 @@
 
 // Constants of the algorithms.
 const (
-	slowRatio = 1.6 // ratio of latency to baseline above which a round is slow
+	// slowRatio is the ratio of a round's mean latency to the baseline above which the round is slow. AIMD and Delay
+	// compare with the measured baseline (round.baseline). Limit itself compares with Config.BaselineMs.
+	slowRatio = 1.6
 
 	// decreaseFactor multiplies the limit after a slow or failed round under AIMD, and a limit above the share after a
 	// slow round under any algorithm but Fixed.
@@ -48,7 +50,7 @@
 	gradientSmoothing = 0.2 // fraction of the computed change that is applied
 
 	// Delay.
-	proportionalGain = 0.25 // relative change of the limit if the latency is one baseline off the set point
+	proportionalGain = 0.25 // relative change of the limit if the latency differs from the set point by one baseline
 	derivativeGain   = 0.5  // relative change of the limit if the latency has changed by one baseline in a round
 	maxDelayStep     = 0.3  // maximum relative change of the limit in one round
 )
@@ -56,10 +58,11 @@
 // round summarizes the fills that completed since the last update. Latencies are in multiples of Config.BaselineMs.
 type round struct {
 	mean      float64 // mean latency
-	baseline  float64 // latency at which the origin is not overloaded
+	baseline  float64 // estimated latency without overload: the lowest recent mean latency, see updateBaseline
 	anyFailed bool
-	// isLimitUsed is true if at least half the limit was in flight. Otherwise the limit does not increase, because the
-	// round does not show whether the origin can serve a greater one.
+	// isLimitUsed is true if the fills completed in the round and the requests in flight at its end are together at least
+	// half the limit. Otherwise the limit does not increase, because the round does not show whether the origin can serve
+	// a greater one.
 	isLimitUsed bool
 }
 
--- a/core/originlimit/config.go
+++ b/core/originlimit/config.go
@@ -1,9 +1,11 @@
 // Package originlimit limits the number of requests that a router may have in flight at the origin. Routers exchange no
 // messages for this and send no probe requests.
 //
-// Guarantee: all routers together never have more than Burst times MaxInFlight requests in flight at the origin. The
-// fraction Reserve of each router's limit is available only to uncacheable requests. Within these bounds a control
-// algorithm adjusts each router's limit to the latencies and failures of the router's own fills.
+// Guarantee: all routers together never have more than Burst times MaxInFlight requests in flight at the origin. For
+// this, the limit of each router never exceeds Burst times its share. A limit that is not a whole number is rounded up
+// or down at random, see Limit.Allows. The fraction Reserve of each router's limit is available only to uncacheable
+// requests. Within these bounds a control algorithm adjusts each router's limit to the latencies and failures of the
+// router's own fills.
 //
 // The package does no I/O and reads no clock. Times are in milliseconds.
 package originlimit
@@ -15,7 +17,7 @@
 
 // Config is the configuration that all routers share.
 type Config struct {
-	// MaxInFlight is the number of fills in flight, of all routers together, at which the origin responds within
+	// MaxInFlight is the maximum number of fills in flight, of all routers together, at which the origin responds within
 	// BaselineMs: 1 or more, under 1e9.
 	MaxInFlight float64
 	// Routers is the number of routers that share MaxInFlight, running or not: 1 to 1,000,000.
@@ -29,12 +31,13 @@
 	BaselineMs float64
 }
 
-// Bounds of a Config. Values must be below a limit, and at most a maximum.
+// Upper bounds of a Config. Values must be below inFlightLimit and baselineLimitMs. They may equal maxRouters and
+// maxBurst.
 const (
-	maxInFlightLimit = 1e9
-	maxRouters       = 1_000_000
-	maxBurst         = 100
-	baselineLimitMs  = 1e6
+	inFlightLimit   = 1e9
+	maxRouters      = 1_000_000
+	maxBurst        = 100
+	baselineLimitMs = 1e6
 )
 
 // ErrInvalid is wrapped by every error about a Config or Document. Its text follows the name of the field.
@@ -48,8 +51,8 @@
 // Validate returns an error for the first invalid field. It wraps ErrInvalid and names the field as in a features file.
 func (c *Config) Validate() error {
 	switch {
-	case !(c.MaxInFlight >= 1 && c.MaxInFlight < maxInFlightLimit):
-		return invalid("most", "%v is not 1 to %v", c.MaxInFlight, maxInFlightLimit)
+	case !(c.MaxInFlight >= 1 && c.MaxInFlight < inFlightLimit):
+		return invalid("most", "%v is not 1 to %v", c.MaxInFlight, inFlightLimit)
 	case c.Routers < 1 || c.Routers > maxRouters:
 		return invalid("routers", "%d is not 1 to %d", c.Routers, maxRouters)
 	case !(c.Reserve >= 0 && c.Reserve < 1):
--- a/core/originlimit/limit.go
+++ b/core/originlimit/limit.go
@@ -3,17 +3,17 @@
 import "math"
 
 const (
-	// baselineWindowMs is the length of a window for the baseline, which is the lowest mean latency of a round in the
-	// current and the previous window. Older rounds are dropped so that the limit does not stay low if the origin has
-	// become slower for a reason other than its load.
+	// The baseline is the lowest mean latency of a round in the current and the previous window. A window lasts
+	// baselineWindowMs. Older rounds are dropped so that the limit does not stay low if the origin has become slower for
+	// a reason other than its load.
 	baselineWindowMs = 4000
 	// maxBaseline is the maximum baseline, in multiples of BaselineMs. It keeps the latency of a queue from becoming the
 	// baseline.
 	maxBaseline = 6.0
 	// failurePenalty is the minimum latency that a failed fill is counted with, in multiples of BaselineMs.
 	failurePenalty = 4.0
-	// minShareFraction and minLimit are the lower bounds of a limit: a fraction of the router's share, and requests in
-	// flight. The greater of the two applies, but never more than the share.
+	// A limit is at least minShareFraction times the router's share, and at least minLimit requests in flight. The lower
+	// bound is never above the share.
 	minShareFraction = 0.05
 	minLimit         = 0.25
 )
@@ -66,12 +66,13 @@
 // SetInFlight sets the number of requests in flight, for callers that estimate it instead of calling Acquire.
 func (l *Limit) SetInFlight(inFlight int) { l.inFlight = inFlight }
 
-// Allows reports whether one more request may be sent to the origin. A fill may use the limit minus the reserve, an
-// uncacheable request (reserved) all of it. random is a random number from 0 to 1. It rounds the limit: with a limit of
-// 2.3, a third request is allowed in 30% of all calls. Over all routers, this makes small shares exact on average.
-func (l *Limit) Allows(reserved bool, random float64) bool {
+// Allows reports whether one more request may be sent to the origin. A fill may use the limit minus the reserve. An
+// uncacheable request may use the whole limit; mayUseReserve is true for it. random is a random number from 0 to 1, by
+// which the limit is rounded up or down: with a limit of 2.3, a third request is allowed in 30% of all calls. Over all
+// routers, this makes small shares exact on average.
+func (l *Limit) Allows(mayUseReserve bool, random float64) bool {
 	limit := l.current
-	if !reserved {
+	if !mayUseReserve {
 		limit *= 1 - l.config.Reserve
 	}
 	slots := math.Floor(limit)
@@ -85,8 +86,8 @@
 func (l *Limit) Acquire() { l.inFlight++ }
 
 // Complete records the end of a request: its latency in ms, without the transfer time of its bytes, and whether it
-// failed. A fill that was cancelled because no request waits for it counts as failed if it exceeded its time limit. If
-// it did not, call Ignore instead.
+// failed. A fill that was cancelled because no request waits for it counts as failed if the time limit of the attempt
+// was exceeded. Otherwise call Ignore instead.
 func (l *Limit) Complete(now, latencyMs float64, failed bool) {
 	l.Ignore()
 	latency := max(latencyMs, 0) / l.config.BaselineMs
@@ -121,9 +122,9 @@
 		isLimitUsed: float64(l.inFlight+l.completed) >= l.current/2,
 	}
 	isSlow := mean > slowRatio
-	isBorrowing := l.algorithm != Fixed && l.current > l.share // the excess belongs to other routers
+	isAboveShare := l.algorithm != Fixed && l.current > l.share // the excess belongs to other routers
 	switch {
-	case isBorrowing && isSlow: // give back the excess as soon as fills are slow, whatever the reason
+	case isAboveShare && isSlow: // reduce the limit towards the share as soon as fills are slow, whatever the cause
 		l.current = max(l.share, l.current*decreaseFactor)
 	case l.algorithm == AIMD:
 		l.current = nextAIMD(l.current, &r)
@@ -133,7 +134,7 @@
 		l.current = nextDelay(l.current, l.previousMean, &r)
 	}
 	maximum := l.config.Burst * l.share
-	if l.algorithm != Fixed && isSlow && !isBorrowing { // do not exceed the share while fills are slow
+	if l.algorithm != Fixed && isSlow && !isAboveShare { // do not exceed the share while fills are slow
 		maximum = l.share
 	}
 	l.current = min(max(l.current, l.minimum()), maximum)
@@ -155,7 +156,7 @@
 	return min(max(min(l.windowMinimums[0], l.windowMinimums[1]), 1), maxBaseline)
 }
 
-// minimum returns the lower bound of the limit. Without it a router might send no more requests to the origin, and
+// minimum returns the lower bound of the limit. Without it a router might stop sending requests to the origin, and
 // could not detect that the origin has recovered.
 func (l *Limit) minimum() float64 {
 	return min(l.share, max(minShareFraction*l.share, minLimit))
--- a/core/originlimit/limit_test.go
+++ b/core/originlimit/limit_test.go
@@ -25,8 +25,8 @@
 	return l
 }
 
-// Guards against a limit below its minimum or above Burst shares, against more requests in flight than the limit
-// allows, and against fills that use the reserve. Fills complete with random latencies and failures.
+// Guards against a limit below its minimum or above Burst times the share, against more requests in flight than the
+// limit allows, and against fills that use the reserve. Fills complete with random latencies and failures.
 func TestLimitStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := New(sampleConfig(), ControlAlgorithm(rapid.IntRange(0, int(Delay)).Draw(t, "algorithm")))
@@ -37,16 +37,16 @@
 		now := 0.0
 		for range 400 {
 			now += rng.Float64() * 100
-			reserved := rng.IntN(4) == 0
+			mayUseReserve := rng.IntN(4) == 0
 			inFlight := l.InFlight()
 			switch {
-			case rng.IntN(2) == 0 && l.Allows(reserved, rng.Float64()):
+			case rng.IntN(2) == 0 && l.Allows(mayUseReserve, rng.Float64()):
 				limit := l.Current()
-				if !reserved {
+				if !mayUseReserve {
 					limit *= 0.75
 				}
 				if float64(inFlight) >= limit+1 {
-					t.Fatalf("allowed with %d in flight, limit %v, reserved %v", inFlight, limit, reserved)
+					t.Fatalf("allowed with %d in flight, limit %v, may use reserve: %v", inFlight, limit, mayUseReserve)
 				}
 				l.Acquire()
 			case inFlight > 0 && rng.IntN(10) == 0:
@@ -79,9 +79,9 @@
 	return l.Current()
 }
 
-// Guards against a limit that does not adapt to the origin. While fills are fast, it must rise to Burst shares. When
-// they become slow, it must be back at the share within ten rounds. If they stay slow, it must remain near the share.
-// While fills fail, it must not exceed the share, and after the failures it must recover.
+// Guards against a limit that does not adapt to the origin. While fills are fast, it must rise to Burst times the
+// share. When they become slow, it must be back at the share within ten rounds. If they stay slow, it must remain near
+// the share. While fills fail, it must not exceed the share, and after the failures it must recover.
 func TestLimitAdaptsToOriginLatency(t *testing.T) {
 	for _, algorithm := range []ControlAlgorithm{AIMD, Gradient, Delay} {
 		l, now := newLimit(t, algorithm), 0.0
--- a/core/originlimit/wire_compat_test.go
+++ b/core/originlimit/wire_compat_test.go
@@ -6,7 +6,7 @@
 	"spantack/internal/testfixture"
 )
 
-// Guards against a change of the format of the section shield of a features file.
+// Guards against a change of the format of the section "shield" of a features file.
 func TestStoredDocumentFormatIsUnchanged(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/document.json", " ", Document{
 		Algorithm:        "gradient",
