--- a/core/hierarchy/forwarding.go
+++ b/core/hierarchy/forwarding.go
@@ -27,13 +27,13 @@
 // Nodes may have different topologies, so a node can receive a fill from one of its own parents. Therefore only
 // parents that the fill has not passed, and that are not in NoRoute, are returned.
 //
-// The error wraps ErrLoop if the fill has passed this node before. It wraps ErrNoRoute if no parent remains or the
+// The error wraps ErrCycle if the fill has passed this node before. It wraps ErrNoRoute if no parent remains or the
 // path has MaxHops nodes. A node that gets ErrNoRoute from a parent adds this parent, and all nodes that the parent
 // has tried, to NoRoute, and tries the next parent. Unlike ForwardByPeer, Forward does not compare levels: the path
 // alone prevents loops, and a comparison would reject fills that can still reach the origin.
 func (g *Graph) Forward(node string, path FillPath) (parents []string, next FillPath, err error) {
 	if slices.Contains(path.Visited, node) {
-		return nil, FillPath{}, fmt.Errorf("fill in a %w: %s > %s", ErrLoop, strings.Join(path.Visited, " > "), node)
+		return nil, FillPath{}, fmt.Errorf("fill in a %w: %s > %s", ErrCycle, strings.Join(path.Visited, " > "), node)
 	}
 	if hops := len(path.Visited) + len(path.NoRoute); hops >= MaxHops {
 		return nil, FillPath{}, fmt.Errorf("%s: %d nodes tried, at most %d: %w", node, hops, MaxHops, ErrNoRoute)
--- a/core/hierarchy/forwarding_test.go
+++ b/core/hierarchy/forwarding_test.go
@@ -86,7 +86,7 @@
 	if err != nil || strings.Join(parents, " ") != "head" {
 		t.Errorf("south forwards to %v, %v, want the origin", parents, err)
 	}
-	if _, _, err := a.Forward("north", path); !errors.Is(err, ErrLoop) {
+	if _, _, err := a.Forward("north", path); !errors.Is(err, ErrCycle) {
 		t.Errorf("second visit of north: %v", err)
 	}
 	retry := a.StartFill("d1")
--- a/core/hierarchy/topology.go
+++ b/core/hierarchy/topology.go
@@ -66,18 +66,18 @@
 // ErrTopology is wrapped by every error of Compile.
 var ErrTopology = errors.New("invalid topology")
 
-// ErrLoop is wrapped by an error of Compile if links form a cycle, and by an error of Forward if a fill has returned to
-// a node and its path is therefore a cycle.
-var ErrLoop = errors.New("cycle")
+// ErrCycle is wrapped by an error of Compile if links form a cycle, and by an error of Forward if a fill has returned
+// to a node and its path is therefore a cycle.
+var ErrCycle = errors.New("cycle")
 
 // cycleError reports a cycle of links by its node names. The first name is repeated at the end.
 type cycleError struct{ nodes []string }
 
 // Error returns a text that names the nodes of the cycle.
-func (e *cycleError) Error() string { return ErrLoop.Error() + ": " + strings.Join(e.nodes, " > ") }
+func (e *cycleError) Error() string { return ErrCycle.Error() + ": " + strings.Join(e.nodes, " > ") }
 
-// Is makes the error match ErrLoop.
-func (e *cycleError) Is(target error) bool { return target == ErrLoop }
+// Is makes the error match ErrCycle.
+func (e *cycleError) Is(target error) bool { return target == ErrCycle }
 
 // Cycle returns the node names of the cycle that an error of Compile reports. The first name is repeated at the end. It
 // returns nil for any other error.
--- a/core/hierarchy/topology_test.go
+++ b/core/hierarchy/topology_test.go
@@ -101,8 +101,8 @@
 			if !errors.Is(err, ErrTopology) || !strings.HasPrefix(err.Error(), c.want) {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
-			if c.cycle != errors.Is(err, ErrLoop) {
-				t.Errorf("%v: is ErrLoop: %v", err, !c.cycle)
+			if c.cycle != errors.Is(err, ErrCycle) {
+				t.Errorf("%v: is ErrCycle: %v", err, !c.cycle)
 			}
 		})
 	}
--- a/emulator/topology.go
+++ b/emulator/topology.go
@@ -123,7 +123,7 @@
 	switch {
 	case err == nil:
 		r.LoopsAccepted++
-	case !errors.Is(err, hierarchy.ErrLoop) || !hasReportedLoop(topology, err):
+	case !errors.Is(err, hierarchy.ErrCycle) || !hasReportedLoop(topology, err):
 		r.LoopsMisreported++
 	}
 }
