--- a/core/hierarchy/fill_plan_test.go
+++ b/core/hierarchy/fill_plan_test.go
@@ -58,7 +58,7 @@
 	statuses := allWarm(g.topology, 3000)
 	allUp := checkedPlan(t, g, statuses)
 	r := allUp.Route("d1")
-	if r.HomeFraction[0] != 0.5 || r.StayFraction[0] < 0.999 || r.StayFraction[1] < 0.999 || r.RejectedFraction != 0 {
+	if r.HomeFraction[0] != 0.5 || r.AtHomeFraction[0] < 0.999 || r.AtHomeFraction[1] < 0.999 || r.RejectedFraction != 0 {
 		t.Errorf("route of d1 with all groups: %+v", r)
 	}
 
@@ -69,7 +69,7 @@
 		t.Errorf("route of d2 without south: %+v", r)
 	}
 	r = lost.Route("d3")
-	if !almostEqual(r.StayFraction[0], 3.0/7) || !almostEqual(r.OffHomeFraction[3], 3.0/4) ||
+	if !almostEqual(r.AtHomeFraction[0], 3.0/7) || !almostEqual(r.OffHomeFraction[3], 3.0/4) ||
 		!almostEqual(r.RejectedFraction, 1.0/7) {
 		t.Errorf("route of d3 without south: %+v", r)
 	}
--- a/core/hierarchy/route.go
+++ b/core/hierarchy/route.go
@@ -13,7 +13,7 @@
 	// target does not move objects between other targets.
 	Salts            []uint64
 	HomeFraction     []float64 // by group: fraction of all objects with this home, the same for all sites
-	StayFraction     []float64 // by group: fraction of the objects with this home that the site fills there
+	AtHomeFraction   []float64 // by group: fraction of the objects with this home that the site fills there
 	OffHomeFraction  []float64 // by target: fraction of the remaining objects; if the sum is below 1, the rest is rejected
 	RejectedFraction float64   // fraction of the site's fills that no target has capacity for
 }
@@ -28,7 +28,7 @@
 	r := Route{
 		Salts:           s.Graph.salts,
 		HomeFraction:    slices.Clone(s.Problem.HomeFraction),
-		StayFraction:    make([]float64, groups),
+		AtHomeFraction:  make([]float64, groups),
 		OffHomeFraction: make([]float64, groups+1),
 	}
 	demand := s.Problem.Demand[site]
@@ -36,7 +36,7 @@
 	for group, fraction := range r.HomeFraction {
 		sent, sentHome := s.Allocation.ToGroup[site][group], s.Allocation.ToHomeGroup[site][group]
 		if homeDemand := demand * fraction; homeDemand > 0 {
-			r.StayFraction[group] = min(sentHome/homeDemand, 1)
+			r.AtHomeFraction[group] = min(sentHome/homeDemand, 1)
 		}
 		r.OffHomeFraction[group] = max(sent-sentHome, 0)
 		offHome += r.OffHomeFraction[group]
@@ -58,12 +58,12 @@
 	fractions := slices.Clone(r.OffHomeFraction)
 	offHome := 1.0
 	for group, home := range r.HomeFraction {
-		offHome -= home * r.StayFraction[group]
+		offHome -= home * r.AtHomeFraction[group]
 	}
 	for target := range fractions {
 		fractions[target] *= offHome
 		if target < len(r.HomeFraction) {
-			fractions[target] += r.HomeFraction[target] * r.StayFraction[target]
+			fractions[target] += r.HomeFraction[target] * r.AtHomeFraction[target]
 		}
 	}
 	return fractions
@@ -84,7 +84,7 @@
 // gets the same target from the same route.
 func (r *Route) Pick(hash uint64) int {
 	home := weightedRendezvous(hash, r.HomeFraction, r.Salts)
-	if home != noTarget && hashFraction(hash, homeSeed) < r.StayFraction[home] {
+	if home != noTarget && hashFraction(hash, homeSeed) < r.AtHomeFraction[home] {
 		return home
 	}
 	accepted := 0.0
--- a/core/hierarchy/route_test.go
+++ b/core/hierarchy/route_test.go
@@ -12,7 +12,7 @@
 	r := Route{
 		Salts:            []uint64{1, 2, 3},
 		HomeFraction:     []float64{0.6, 0.4},
-		StayFraction:     []float64{1, 0.5},
+		AtHomeFraction:   []float64{1, 0.5},
 		OffHomeFraction:  []float64{0.25, 0, 0.5},
 		RejectedFraction: 0.05,
 	}
