--- a/core/endpoints/exclusions.go
+++ b/core/endpoints/exclusions.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// MaxExclusions bounds how many servers may be excluded at a time: IDs of machines that are gone for good would pile
-	// up otherwise.
+	// MaxExclusions is the maximum number of excluded servers. Without it, IDs of removed servers could accumulate
+	// without bound.
 	MaxExclusions = 1024
-	// maxIDLength, in bytes, bounds the IDs that ReplaceExclusions takes.
+	// maxIDLength is the maximum length in bytes of a server ID passed to ReplaceExclusions.
 	maxIDLength = 64
 )
 
-// The errors of calls about exclusions. The texts of the first two are answers of management calls.
+// Errors of the methods that change exclusions. Management calls return the texts of the first two to operators.
 var (
 	ErrUnknownServer     = errors.New("no such server is listed")
-	ErrTooManyExclusions = fmt.Errorf("%d servers are out already", MaxExclusions)
+	ErrTooManyExclusions = fmt.Errorf("%d servers are already excluded", MaxExclusions)
 	// ErrInvalidID is wrapped by the error for a server ID that is empty or too long.
 	ErrInvalidID = errors.New("invalid server ID")
 )
 
-// Exclude excludes a listed server and returns its effective endpoint; nothing if it is excluded already. The error is
-// ErrUnknownServer or ErrTooManyExclusions.
+// Exclude excludes a listed server and returns its effective endpoint, or nil if it is already excluded. It returns
+// ErrUnknownServer for a server that is not listed, and ErrTooManyExclusions if MaxExclusions servers are excluded.
 func (l *List) Exclude(id string) ([]routing.Endpoint, error) {
 	endpoint, isListed := l.announced[id]
 	switch {
@@ -41,8 +41,8 @@
 	return []routing.Endpoint{l.effective(endpoint)}, nil
 }
 
-// Reinstate ends the exclusion of a server, however often it was excluded, and returns its effective endpoint if it is
-// listed. The error is ErrUnknownServer for one that is neither listed nor excluded.
+// Reinstate ends the exclusion of a server, regardless of how often it was excluded, and returns its effective endpoint
+// if it is listed and was excluded. It returns ErrUnknownServer for a server that is neither listed nor excluded.
 func (l *List) Reinstate(id string) ([]routing.Endpoint, error) {
 	endpoint, isListed := l.announced[id]
 	wasExcluded := l.excluded[id]
@@ -56,11 +56,12 @@
 	return []routing.Endpoint{l.effective(endpoint)}, nil
 }
 
-// Exclusions are the IDs of the excluded servers, in order.
+// Exclusions returns the IDs of the excluded servers, sorted.
 func (l *List) Exclusions() []string { return sortedKeys(l.excluded) }
 
-// ReplaceExclusions excludes these servers and no others, and returns the effective endpoints that change. A set that
-// Exclusions could not have returned changes nothing; the error wraps ErrTooManyExclusions or ErrInvalidID.
+// ReplaceExclusions replaces the set of excluded servers and returns the effective endpoints that change, ordered by
+// server. If there are more than MaxExclusions IDs, or an ID is empty or too long, the set does not change and the
+// error wraps ErrTooManyExclusions or ErrInvalidID.
 func (l *List) ReplaceExclusions(ids []string) ([]routing.Endpoint, error) {
 	if len(ids) > MaxExclusions {
 		return nil, fmt.Errorf("%d ids: %w", len(ids), ErrTooManyExclusions)
@@ -72,7 +73,7 @@
 	}
 	before := l.excluded
 	l.excluded = setOf(ids)
-	return l.effectiveWhere(func(endpoint routing.Endpoint) bool {
+	return l.effectiveMatching(func(endpoint routing.Endpoint) bool {
 		return before[endpoint.Server] != l.excluded[endpoint.Server]
 	}), nil
 }
