--- a/core/migration/capacity_limiter.go
+++ b/core/migration/capacity_limiter.go
@@ -4,67 +4,69 @@
 
 // Constants of the CapacityLimiter.
 const (
-	// usableFraction of a cell's capacity may be used by its residents and those that migrate into it together.
+	// usableFraction of a cell's capacity may be used by its resident and its migrating tenants together.
 	usableFraction = 0.85
-	// residentWindow, in microseconds, is the time constant with which the residents' load decays.
+	// residentWindow is the time constant with which the load of resident tenants decays, in microseconds.
 	residentWindow = 2e6
-	// burstSeconds of the rate may be used at once.
+	// burstSeconds is the burst of the token buckets, in seconds of their rate.
 	burstSeconds = 0.5
-	// A fill's cost, in sends of the same size: at first, at most, and how much of an observation is taken over.
+	// The cost of a fill, in sends of the same size: the initial value, the upper bound, and the weight of a new
+	// observation in the moving average.
 	initialFillCost = 1.0
 	maxFillCost     = 4.0
 	fillCostGain    = 0.02
 )
 
-// microsPerSecond turns microseconds into seconds.
+// microsPerSecond converts microseconds to seconds.
 const microsPerSecond = 1e6
 
-// CapacityLimiter is a token bucket for requests of tenants that migrate into a cell, at one router: it admits what the
-// cell's caches, and the links and fleets that its fills pass, have capacity for at the moment, less what the cell's
-// residents use.
+// CapacityLimiter limits, at one router, the requests of tenants that migrate into a cell. It has a token bucket for
+// sends and one for fills. Their rates are the usable capacity of the cell's caches, and of the links and parent caches
+// that its fills pass, minus the load of the cell's resident tenants.
 //
-// Guarantee: over any span t what is admitted is at most usableFraction times the capacity, less the residents' load,
-// times (t + half a second), and one request. As each router keeps to its part, all routers together keep to the sum.
+// Guarantee: in any span t it admits at most (usableFraction * capacity - resident load) * (t + burstSeconds), plus one
+// request. Each router is given its part of the capacity, so all routers together stay within the sum.
 //
-// It is not safe for concurrent use. Times are microseconds.
+// It is not safe for concurrent use. Times are in microseconds.
 type CapacityLimiter struct {
-	FillCost float64 // of a fill, in sends of the same size, as observed
+	FillCost float64 // observed cost of a fill, in sends of the same size
 
-	sendKBPerS float64 // capacity of this router's part of the caches
-	fillKBPerS float64 // capacity for fills; math.Inf(1): unlimited
-	sendTokens float64 // KB; negative while the last request is paid back
+	sendKBPerS float64 // this router's part of the capacity of the caches
+	fillKBPerS float64 // this router's part of the capacity for fills; math.Inf(1): unlimited
+	sendTokens float64 // KB; negative after a request that cost more than was left
 	fillTokens float64 // KB
 	refilledAt int64
 
-	residentSends decayingRate // KB, fills at their cost included
+	residentSends decayingRate // KB, including fills at FillCost
 	residentFills decayingRate // KB
 }
 
 // NewCapacityLimiter returns a limiter that admits nothing until SetCapacity is called.
 func NewCapacityLimiter() CapacityLimiter { return CapacityLimiter{FillCost: initialFillCost} }
 
-// SetCapacity sets the capacity of this router's part of the cell from now on, in KB a second: of its caches for
-// sends, and for fills into it; math.Inf(1) stands for no limit on fills.
+// SetCapacity sets this router's part of the cell's capacity from now on, in KB/s: of its caches for sends, and for
+// fills. A fillKBPerS of math.Inf(1) means that fills are not limited.
 func (l *CapacityLimiter) SetCapacity(now int64, sendKBPerS, fillKBPerS float64) {
 	l.refill(now)
 	l.sendKBPerS = sendKBPerS
 	l.fillKBPerS = fillKBPerS
 }
 
-// RecordResident records an admitted request of a tenant that lives in the cell.
+// RecordResident records an admitted request of a resident tenant of the cell.
 func (l *CapacityLimiter) RecordResident(now int64, sendKB, fillKB float64) {
 	l.residentSends.add(now, sendKB+l.FillCost*fillKB)
 	l.residentFills.add(now, fillKB)
 }
 
-// ObserveFillCost takes the cost of one fill into FillCost: the time waited for it, in sends of the same size.
+// ObserveFillCost adds the cost of one fill to the moving average FillCost. The cost is the time that the fill took,
+// in sends of the same size. Values above maxFillCost count as maxFillCost, negative ones are ignored.
 func (l *CapacityLimiter) ObserveFillCost(cost float64) {
 	if cost >= 0 {
 		l.FillCost += fillCostGain * (min(cost, maxFillCost) - l.FillCost)
 	}
 }
 
-// Available is the rate that is left for migrating tenants, of sends and of fills, in KB a second.
+// Available returns the rates of sends and of fills that are left for migrating tenants, in KB/s.
 func (l *CapacityLimiter) Available(now int64) (sendKBPerS, fillKBPerS float64) {
 	sendKBPerS = max(usableFraction*l.sendKBPerS-l.residentSends.perSecond(now), 0)
 	if math.IsInf(l.fillKBPerS, 1) {
@@ -73,7 +75,7 @@
 	return sendKBPerS, max(usableFraction*l.fillKBPerS-l.residentFills.perSecond(now), 0)
 }
 
-// refill adds what has become available since the last call.
+// refill adds the tokens that have accrued since the last call. The first call fills both buckets.
 func (l *CapacityLimiter) refill(now int64) {
 	elapsed := float64(max(now-l.refilledAt, 0)) / microsPerSecond
 	if l.refilledAt == 0 {
@@ -89,8 +91,8 @@
 	l.fillTokens = min(min(l.fillTokens, fills*burstSeconds)+fills*elapsed, fills*burstSeconds)
 }
 
-// TryAcquire admits a request if any capacity is left, and books it. What it takes beyond that is paid back before
-// the next one is admitted. fillKB is 0 for a request that finds its object cached.
+// TryAcquire reports whether a request is admitted, and charges it. A request is admitted while tokens are above 0. It
+// may overdraw them; the next request is admitted once they are above 0 again. fillKB is 0 on a cache hit.
 func (l *CapacityLimiter) TryAcquire(now int64, sendKB, fillKB float64) bool {
 	l.refill(now)
 	if l.sendTokens <= 0 || fillKB > 0 && l.fillTokens <= 0 {
@@ -101,7 +103,7 @@
 	return true
 }
 
-// decayingRate sums amounts, each of which decays over residentWindow.
+// decayingRate is a sum of amounts that decay exponentially with the time constant residentWindow.
 type decayingRate struct {
 	sum       float64
 	updatedAt int64 // microseconds
@@ -116,7 +118,7 @@
 	return r.sum * math.Exp(-float64(max(now-r.updatedAt, 0))/residentWindow)
 }
 
-// perSecond is the rate of the amounts.
+// perSecond returns the rate of the amounts, in units per second.
 func (r *decayingRate) perSecond(now int64) float64 {
 	return r.decayed(now) / (residentWindow / microsPerSecond)
 }
--- a/core/migration/capacity_limiter_test.go
+++ b/core/migration/capacity_limiter_test.go
@@ -8,25 +8,25 @@
 	"pgregory.net/rapid"
 )
 
-// admitted is a request that the limiter admitted.
-type admitted struct {
+// admittedRequest is a request that the limiter admitted.
+type admittedRequest struct {
 	at         int64
 	kb, fillKB float64
 }
 
-// Over any second and a half, migrating tenants get no more than the capacity that residents leave, half a second's
-// worth and one request. A planted fault, tokens that are not capped, lets 40 s of saved-up capacity through and is
-// found.
-func TestCapacityLimiterBounds(t *testing.T) {
+// Guards against admitting more than the guarantee allows: in any 1.5 s, the capacity that resident tenants leave, plus
+// the burst of half a second and one request. If tokens were not capped, up to 40 s of unused capacity would be
+// admitted at once.
+func TestCapacityLimiterAdmitsWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largestKB = 400.0
-		sends := rapid.Float64Range(1000, 50_000).Draw(t, "bears")
-		fills := rapid.Float64Range(500, 20_000).Draw(t, "fills")
-		resident := rapid.Float64Range(0, 1).Draw(t, "lives") // load, in parts of the capacity
+		sends := rapid.Float64Range(1000, 50_000).Draw(t, "sendKBPerS")
+		fills := rapid.Float64Range(500, 20_000).Draw(t, "fillKBPerS")
+		resident := rapid.Float64Range(0, 1).Draw(t, "resident") // load, as a fraction of the capacity
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
 		l := NewCapacityLimiter()
-		var all []admitted
-		quietUntil := rapid.Int64Range(0, 40_000_000).Draw(t, "quiet")
+		var all []admittedRequest
+		idleUntil := rapid.Int64Range(0, 40_000_000).Draw(t, "idleUntil")
 		now := int64(1_000_000)
 		l.SetCapacity(now, sends, fills)
 		for ; now < 60_000_000; now += 5000 {
@@ -34,7 +34,7 @@
 				l.SetCapacity(now, sends, fills)
 			}
 			l.RecordResident(now, resident*sends*0.005, resident*fills*0.005*0.3)
-			if now < quietUntil {
+			if now < idleUntil {
 				continue
 			}
 			for range 4 {
@@ -43,21 +43,21 @@
 					fillKB = kb
 				}
 				if l.TryAcquire(now, kb, fillKB) {
-					all = append(all, admitted{now, kb + l.FillCost*fillKB, fillKB})
+					all = append(all, admittedRequest{now, kb + l.FillCost*fillKB, fillKB})
 				}
 			}
 		}
 		available, availableFills := l.Available(now)
-		// Residents were observed by the time of the window.
+		// By the end of the run the load of resident tenants is fully observed.
 		maxAvailable := max(usableFraction*sends-resident*sends*0.5, 0) + 1
 		if available > maxAvailable+0.6*sends*resident+1 || availableFills > usableFraction*fills+1e-6 {
-			t.Fatalf("%v and %v left", available, availableFills)
+			t.Fatalf("%v KB/s of sends and %v KB/s of fills available", available, availableFills)
 		}
 		const span = 1_500_000
 		worst, worstFills := worstWindow(all, span)
 		seconds := span/1e6 + burstSeconds
 		if limit := available*1.02*seconds + 2*largestKB*(1+l.FillCost); worst > limit {
-			t.Fatalf("%v KB in a window, %v allowed (%v a second left)", worst, limit, available)
+			t.Fatalf("%v KB in a window, %v allowed (%v KB/s available)", worst, limit, available)
 		}
 		if limit := availableFills*1.02*seconds + 2*largestKB; worstFills > limit {
 			t.Fatalf("%v KB of fills in a window, %v allowed", worstFills, limit)
@@ -65,8 +65,9 @@
 	})
 }
 
-// worstWindow is the most that was admitted within any span once the residents' load has been observed.
-func worstWindow(all []admitted, span int64) (worst, worstFills float64) {
+// worstWindow returns the maximum KB of cost and of fills that were admitted in any window of length span. Windows that
+// end before the load of resident tenants is fully observed do not count.
+func worstWindow(all []admittedRequest, span int64) (worst, worstFills float64) {
 	const observedBy = 8_000_000
 	first, kb, fillKB := 0, 0.0, 0.0
 	for _, x := range all {
@@ -85,23 +86,23 @@
 	return worst, worstFills
 }
 
-func TestCapacityLimiterWithoutCapacity(t *testing.T) {
+func TestCapacityLimiterRejectsWithoutCapacity(t *testing.T) {
 	l := NewCapacityLimiter()
 	if l.TryAcquire(1_000_000, 1, 0) {
-		t.Error("admitted to a cell of unknown capacity")
+		t.Error("admitted before the capacity was set")
 	}
 	l.SetCapacity(2_000_000, 1000, math.Inf(1))
 	if !l.TryAcquire(3_000_000, 100, 100) {
-		t.Error("rejected with half a second's worth left")
+		t.Error("rejected with a full burst left")
 	}
 	l.SetCapacity(4_000_000, 0, 0)
 	if l.TryAcquire(4_100_000, 1, 1) || l.TryAcquire(9_000_000, 1, 0) {
-		t.Error("admitted to a cell that lost all its caches")
+		t.Error("admitted to a cell whose capacity fell to 0")
 	}
 	l.ObserveFillCost(100)
 	l.ObserveFillCost(-1)
 	if l.FillCost <= initialFillCost || l.FillCost > maxFillCost {
-		t.Errorf("cost of a fill %v", l.FillCost)
+		t.Errorf("FillCost is %v", l.FillCost)
 	}
 }
 
--- a/core/migration/capacity_test.go
+++ b/core/migration/capacity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCapacityOfWarmAndColdServers(t *testing.T) {
+func TestCapacityGrowsDuringWarmUp(t *testing.T) {
 	const startedAt = 1_000_000
 	model := CapacityModel{ResponseKBPerSecond: 1000, InitialCapacity: 0.32, WarmUp: 11_000_000, OverloadWindow: 3_000_000}
 	for _, test := range []struct {
@@ -19,14 +19,14 @@
 		{30_000_000, 1},
 	} {
 		if got := model.WarmFraction(startedAt+test.age, startedAt); math.Abs(got-test.want) > 1e-9 {
-			t.Errorf("%d us after its start: %v, want %v", test.age, got, test.want)
+			t.Errorf("WarmFraction %d us after the start: %v, want %v", test.age, got, test.want)
 		}
 	}
 	servers := []Server{{Weight: 4}, {Weight: 4, StartedAt: startedAt}}
-	if kb, part := model.Capacity(startedAt, servers); math.Abs(kb-5280) > 1e-6 || math.Abs(part-0.66) > 1e-9 {
-		t.Errorf("one warm, one cold: %v KB/s, %v of both", kb, part)
+	if kb, warm := model.Capacity(startedAt, servers); math.Abs(kb-5280) > 1e-6 || math.Abs(warm-0.66) > 1e-9 {
+		t.Errorf("one warm and one cold server: %v KB/s, %v of the warm capacity", kb, warm)
 	}
-	if kb, part := model.Capacity(startedAt, nil); kb != 0 || part != 0 {
-		t.Errorf("no server: %v KB/s, %v", kb, part)
+	if kb, warm := model.Capacity(startedAt, nil); kb != 0 || warm != 0 {
+		t.Errorf("no server: %v KB/s, %v of the warm capacity", kb, warm)
 	}
 }
--- a/core/migration/document.go
+++ b/core/migration/document.go
@@ -1,60 +1,60 @@
 // Package migration moves tenants from one cell to another while they are served.
 //
-// How far a migration may be at a moment follows from its document and the clock alone, so routers that exchange
-// nothing stay together: the share of a tenant's objects that a router sends to the new cell lies between MinShare
-// and MaxShare. Where between the two it is follows from what the router observes of both cells (Pacer) and from the
-// spare capacity of the new cell (CapacityLimiter).
+// The share of a tenant's objects that a router sends to the new cell lies between MinShare and MaxShare. Both depend
+// only on the migration document and the clock, so routers stay close to each other without exchanging state. The
+// exact share depends on what the router observes of both cells (Pacer) and on the spare capacity of the new cell
+// (CapacityLimiter).
 //
-// Guarantee: two routers that hold the same document and whose clocks differ by d differ in a tenant's share by at
-// most MaxShare-MinShare plus d times the greatest slope of either, and not at all once Settling has begun for both.
-// With MaxShift equal to MinShift that is d/MinShift alone. Between two versions of a document a router goes from its
-// share to where the later version allows it at no more than MaxRiseRate and MaxFallRate.
+// Guarantee: for two routers with the same document and with clocks that differ by d, a tenant's share differs by at
+// most MaxShare-MinShare plus d times the steeper slope of the two, and not at all once Settling has begun for both.
+// If MaxShift equals MinShift, the difference is at most d/MinShift. When a new version of the document arrives, a
+// router's share moves into its bounds at no more than MaxRiseRate and MaxFallRate.
 //
-// The package does no I/O and reads no clock. Times are Unix milliseconds and spans milliseconds, but for capacity.go
-// and capacity_limiter.go, which count microseconds like package routing.
+// The package does no I/O and does not read the clock. Times are Unix milliseconds and durations are milliseconds,
+// except in capacity.go and capacity_limiter.go, which use microseconds as package routing does.
 package migration
 
-// Document holds all migrations. A later version replaces an earlier one whole.
+// Document lists all migrations. A later version replaces the earlier one completely.
 type Document struct {
-	Version    int64       `json:"version" jsonschema:"minimum=0" jsonschema_description:"number of this document; a later one is greater"`
+	Version    int64       `json:"version" jsonschema:"minimum=0" jsonschema_description:"version of this document; must be greater than that of the document that it replaces"`
 	Migrations []Migration `json:"moves"`
 }
 
-// Migration takes one tenant from one cell to another, at one site or at all. Its objects are ordered by Position; the
-// share of them that belongs to the new cell rises from 0 to 1.
+// Migration moves one tenant from one cell to another, at one site or at all sites. The tenant's objects move in the
+// order of Position, while the share that belongs to the new cell rises from 0 to 1.
 //
-// Times are Unix milliseconds, spans milliseconds.
+// Times are Unix milliseconds, durations are milliseconds.
 type Migration struct {
 	Tenant string `json:"tenant"`
-	// Site is where the tenant moves; AllSites for everywhere.
-	Site string `json:"depot" jsonschema_description:"the depot; * for all"`
-	// From and To are names of cells.
+	// Site is the site at which the tenant moves, or AllSites.
+	Site string `json:"depot" jsonschema_description:"name of the site; * for all sites"`
+	// From and To are the names of the cells.
 	From  string  `json:"from"`
 	To    string  `json:"to"`
 	Start float64 `json:"start" jsonschema_description:"Unix milliseconds"`
-	// WarmUp is the span after Start in which HotObjects alone go to the new cell, one after the other.
-	WarmUp float64 `json:"warm,omitempty" jsonschema_description:"ms in which the hottest objects alone go to the new cell, one after the other"`
-	// MinShift and MaxShift are the spans after WarmUp in which the other objects follow, at the soonest and at the
-	// latest. MaxShift 0 stands for MinShift: a fixed ramp.
-	MinShift float64 `json:"shift" jsonschema_description:"ms in which the others follow, at the soonest"`
-	MaxShift float64 `json:"slow,omitempty" jsonschema_description:"the same at the latest; left out: as shift, a fixed ramp"`
-	// Settle is the span after that in which the old cell still takes requests for which the new one lacks capacity.
-	Settle float64 `json:"settle,omitempty" jsonschema_description:"ms after all have gone in which the old cell still takes what the new one can't bear"`
-	// HotObjects go first, hottest first; names in hex.
-	HotObjects []string `json:"hot,omitempty" jsonschema_description:"objects that go first, in hex, hottest first"`
-	// PausedAt keeps the share from then on at what it was; 0: not paused.
-	PausedAt float64 `json:"heldAt,omitempty" jsonschema_description:"the share stays what it was then; 0: not held"`
-	// RollbackAt lets the share fall from then on, as fast as it may rise; 0: not rolled back.
-	RollbackAt float64 `json:"backAt,omitempty" jsonschema_description:"from then on the share falls as fast as it may rise; 0: not taken back"`
-	// Unbounded switches CapacityLimiter and Pacer off: the share follows MaxShare whatever the cells answer. It is for
-	// emergencies, and for experiments to compare with.
-	Unbounded bool `json:"unbounded,omitempty" jsonschema_description:"no bound on what the new cell is sent, and no look at how it does"`
+	// WarmUp is the time after Start in which only HotObjects move to the new cell, one after the other.
+	WarmUp float64 `json:"warm,omitempty" jsonschema_description:"ms after start in which only the hot objects move to the new cell, one after the other"`
+	// MinShift and MaxShift are the shortest and the longest time after WarmUp in which the other objects move. A
+	// MaxShift of 0 means MinShift: a fixed ramp.
+	MinShift float64 `json:"shift" jsonschema_description:"ms after the warm-up in which the other objects move, at least"`
+	MaxShift float64 `json:"slow,omitempty" jsonschema_description:"ms after the warm-up in which the other objects move, at most; same as shift if left out, which is a fixed ramp"`
+	// Settle is the time after that in which the old cell still serves requests that the new cell lacks capacity for.
+	Settle float64 `json:"settle,omitempty" jsonschema_description:"ms after all objects have moved in which the old cell still serves requests that the new cell lacks capacity for"`
+	// HotObjects are the objects that move first, hottest first, by their hex names.
+	HotObjects []string `json:"hot,omitempty" jsonschema_description:"objects that move first, hottest first, by their hex names"`
+	// PausedAt is the time from which on the share stays constant; 0: not paused.
+	PausedAt float64 `json:"heldAt,omitempty" jsonschema_description:"Unix milliseconds from which on the share stays constant; 0: not paused"`
+	// RollbackAt is the time from which on the share falls, as fast as it may rise; 0: not rolled back.
+	RollbackAt float64 `json:"backAt,omitempty" jsonschema_description:"Unix milliseconds from which on the share falls, as fast as it may rise; 0: not rolled back"`
+	// Unbounded disables CapacityLimiter and Pacer: the share follows MaxShare regardless of load and late answers. It
+	// is meant for emergencies and as the baseline of experiments.
+	Unbounded bool `json:"unbounded,omitempty" jsonschema_description:"move at the maximum speed, without regard to the capacity of the new cell and to late answers"`
 }
 
-// AllSites is the Site of a migration that is made at every site.
+// AllSites is the Site of a migration that applies to every site.
 const AllSites = "*"
 
-// isSameAs reports whether both take the same tenant between the same cells at the same site, whatever their times.
+// isSameAs reports whether both migrations have the same tenant, site and cells. Times are not compared.
 func (m *Migration) isSameAs(other *Migration) bool {
 	return m.Tenant == other.Tenant && m.Site == other.Site && m.From == other.From && m.To == other.To
 }
--- a/core/migration/migration_test.go
+++ b/core/migration/migration_test.go
@@ -10,7 +10,7 @@
 
 const start = 1_764_576_000_000.0
 
-// sampleMigration warms up for 20 s, shifts within 60 s and settles for 30 s.
+// sampleMigration returns a migration with a warm-up of 20 s, a fixed ramp of 60 s and a settle time of 30 s.
 func sampleMigration() Migration {
 	return Migration{
 		Tenant: "t", Site: "d", From: "a", To: "b",
--- a/core/migration/pacer.go
+++ b/core/migration/pacer.go
@@ -2,44 +2,46 @@
 
 import "math"
 
-// Constants of the Pacer. Times are milliseconds.
+// Constants of the Pacer. Times are in milliseconds.
 const (
-	// stepInterval is the least time between two decisions.
+	// stepInterval is the minimum time between two decisions.
 	stepInterval = 250.0
-	// idleAfter is the time without a step after which a router continues from the document's bounds.
+	// idleAfter is the time without a step after which the share is first clamped to MinShare and MaxShare.
 	idleAfter = 2000.0
-	// observationWindow is the time constant with which observations decay.
+	// observationWindow is the time constant of the decay of observations.
 	observationWindow = 3000.0
-	// minObservations is how many observations a ratio needs to count as evidence.
+	// minObservations is the number of observations below which a ratio is not used.
 	minObservations = 20.0
-	// lateRatioTolerance is how much greater the target's ratio of late answers may be than the source's, beside
-	// lateStandardErrors standard errors of the difference.
+	// The target counts as degraded if its ratio of late answers exceeds the source's by more than lateRatioTolerance
+	// plus lateStandardErrors standard errors of the difference.
 	lateRatioTolerance = 0.03
 	lateStandardErrors = 2.0
-	// maxRejectedRatio is the ratio of requests due at the target that it lacks capacity for, past which the share stays.
+	// maxRejectedRatio is the ratio of requests for the target rejected for lack of capacity above which the share does
+	// not rise.
 	maxRejectedRatio = 0.25
-	// minWarmCapacity is the part of its warm capacity that either cell must have at present for the share to rise.
+	// minWarmCapacity is the minimum fraction of its warm capacity that each cell must have for the share to rise.
 	minWarmCapacity = 0.8
-	// rateIncrement is the part of MaxRiseRate that the rate gains at each step without a finding.
+	// rateIncrement is how much the rate rises at each step with a healthy target and enough capacity, as a fraction of
+	// MaxRiseRate.
 	rateIncrement = 0.25
-	// maxRateFactor times 1/MinShift is MaxRiseRate: a router that had to wait may catch up.
+	// MaxRiseRate is maxRateFactor / MinShift. It is above 1 / MinShift so that a delayed router can catch up.
 	maxRateFactor = 2.0
 )
 
-// MaxFallRate is the greatest rate, per ms, at which a share falls.
+// MaxFallRate is the maximum rate at which a share falls, per ms.
 const MaxFallRate = 1.0 / ShortestShiftMs
 
-// MaxRiseRate is the greatest rate, per ms, at which the share of the migration rises.
+// MaxRiseRate returns the maximum rate at which the share of the migration rises, per ms.
 func (m *Migration) MaxRiseRate() float64 { return maxRateFactor / m.MinShift }
 
-// Pacer controls the share of one migration at one router, between the document's MinShare and MaxShare. The share
-// rises while the target cell answers as well as the source, stays while the target lacks capacity or either cell is
-// being replaced, and falls while the target answers late more often.
+// Pacer controls the share of one migration at one router, between MinShare and MaxShare. The share rises while the
+// target cell answers as well as the source cell. It stays constant while the target lacks capacity or the servers of
+// either cell are being replaced. It falls while the target's answers are late more often than the source's.
 //
-// Its rate is bounded by MaxRiseRate and MaxFallRate, it decides every 250 ms on observations that decay over 3 s,
-// and it reverses at the first step that finds the target degraded. So it overshoots the share from which the target
-// is degraded by at most MaxRiseRate times (250 ms + the time in which 20 late answers come + the decay), and
-// oscillates by no more.
+// MaxRiseRate and MaxFallRate bound the rate of change. The pacer decides every 250 ms on observations that decay over
+// 3 s, and the share begins to fall at the first step that finds the target degraded. So the share overshoots the
+// value at which the target becomes degraded by at most MaxRiseRate * (250 ms + the time in which 20 late answers
+// arrive + the decay), and does not oscillate by more than that.
 //
 // The zero value is ready for use. It is not safe for concurrent use.
 type Pacer struct {
@@ -48,16 +50,16 @@
 	steppedAt float64
 	started   bool
 
-	// target and source count answers of the cell that objects go to and of the one that they come from; adverse are
-	// those that were late or missing.
+	// target and source count the answers of the cell that objects move to, and of the cell that they move from. Late
+	// and missing answers are adverse.
 	target, source decayingRatio
-	// admissions count requests that should go to the target; adverse are those for which it lacked capacity.
+	// admissions counts the requests for the target. Those that it lacked capacity for are adverse.
 	admissions decayingRatio
-	// capacityReady: both cells have minWarmCapacity.
+	// capacityReady reports whether both cells have at least minWarmCapacity.
 	capacityReady bool
 }
 
-// ObserveAnswer records an answer, of the target or else of the source, and whether it was late or missing.
+// ObserveAnswer records an answer of the target cell, or of the source cell. late is also true for a missing answer.
 func (p *Pacer) ObserveAnswer(now float64, fromTarget, late bool) {
 	ratio := &p.source
 	if fromTarget {
@@ -66,20 +68,18 @@
 	ratio.add(now, late)
 }
 
-// ObserveAdmission records a request that should go to the target, and whether there was capacity for it.
+// ObserveAdmission records a request for the target cell, and whether the capacity limiter admitted it.
 func (p *Pacer) ObserveAdmission(now float64, admitted bool) { p.admissions.add(now, !admitted) }
 
-// SetWarmCapacity sets the part of its warm capacity that a cell of the migration has at present, the lesser of both.
-// During a deploy, or while caches are lost, the share stays as far as the document allows, and rises by itself
-// afterwards.
-func (p *Pacer) SetWarmCapacity(part float64) { p.capacityReady = part >= minWarmCapacity }
+// SetWarmCapacity sets the fraction of its warm capacity that a cell has at present, 0 to 1: the minimum of both cells.
+// During a deployment or a loss of caches the share does not rise, unless MinShare does. It rises again afterwards.
+func (p *Pacer) SetWarmCapacity(fraction float64) { p.capacityReady = fraction >= minWarmCapacity }
 
-// Share is the part of the tenant's objects, in the order of Position, that this router sends to the new cell at
-// present.
+// Share returns the share of the tenant's objects, in the order of Position, that this router sends to the new cell.
 func (p *Pacer) Share() float64 { return p.share }
 
-// Step advances to now and returns the share. A migration that is rolled back falls as its document says: ObserveAnswer
-// then has the old cell as the target, which does not hold it up, since the way back must stay open.
+// Step advances the pacer to now, in Unix ms, and returns the share. During a rollback the share follows MaxShare.
+// Observations do not slow it down, because a rollback must always be possible; the old cell is the target then.
 func (p *Pacer) Step(now float64, m *Migration) float64 {
 	if !p.started {
 		p.started = true
@@ -94,7 +94,7 @@
 	p.steppedAt = now
 	low := m.MinShare(now)
 	high := m.MaxShare(now)
-	if elapsed > idleAfter { // at least where a router that starts now is
+	if elapsed > idleAfter { // continue like a router that starts now
 		p.share = min(max(p.share, low), high)
 		elapsed = stepInterval
 	}
@@ -109,7 +109,7 @@
 	return p.share
 }
 
-// nextRate is the rate from now on, by what has been observed.
+// nextRate returns the rate of change of the share, per ms, that follows from the observations.
 func (p *Pacer) nextRate(now, maxRise float64) float64 {
 	switch {
 	case p.targetDegraded(now):
@@ -120,12 +120,12 @@
 	return min(max(p.rate, 0)+rateIncrement*maxRise, maxRise)
 }
 
-// stepTowards goes from one share towards another, by maxRise or maxFall at most.
+// stepTowards returns the share after a step from one share towards another, by at most maxRise or maxFall.
 func stepTowards(from, to, maxRise, maxFall float64) float64 {
 	return min(max(to, from-maxFall), from+maxRise)
 }
 
-// targetDegraded reports whether the target answers late more often than the source, beyond chance.
+// targetDegraded reports whether the target's answers are late significantly more often than the source's.
 func (p *Pacer) targetDegraded(now float64) bool {
 	p.target.decay(now)
 	p.source.decay(now)
@@ -141,13 +141,13 @@
 	return target > source+lateRatioTolerance+lateStandardErrors*math.Sqrt(variance)
 }
 
-// targetFull reports whether the target lacks capacity for too many of the requests that are due there.
+// targetFull reports whether the target lacked capacity for more than maxRejectedRatio of its requests.
 func (p *Pacer) targetFull(now float64) bool {
 	p.admissions.decay(now)
 	return p.admissions.total >= minObservations && p.admissions.ratio() > maxRejectedRatio
 }
 
-// decayingRatio is the ratio of adverse observations to all, each of which decays over observationWindow.
+// decayingRatio is the ratio of adverse to all observations. They decay with the time constant observationWindow.
 type decayingRatio struct {
 	total, adverse float64
 	updatedAt      float64 // ms
@@ -171,5 +171,5 @@
 	r.updatedAt = now
 }
 
-// ratio is 0 without observations, and small while they amount to less than one.
+// ratio returns the ratio of adverse observations. A total below 1 counts as 1, so that the ratio is 0 without any.
 func (r *decayingRatio) ratio() float64 { return r.adverse / max(r.total, 1) }
--- a/core/migration/pacer_test.go
+++ b/core/migration/pacer_test.go
@@ -8,15 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// simulatedCell answers in time while it gets up to a share of a tenant's objects, and late past that.
+// simulatedCell answers on time up to a share of a tenant's objects. Above it, more and more answers are late.
 type simulatedCell struct{ supportedShare float64 }
 
 func (c simulatedCell) late(share float64, rng *rand.Rand) bool {
 	return rng.Float64() < 0.02+min(4*max(share-c.supportedShare, 0), 0.9)
 }
 
-// drive takes a pacer through a migration in virtual time, at requestsPerS; observe gets the share after each request.
-func drive(m *Migration, p *Pacer, requestsPerS float64, rng *rand.Rand,
+// runMigration runs a pacer through a whole migration in virtual time. It calls observe with the share after each
+// request.
+func runMigration(m *Migration, p *Pacer, requestsPerS float64, rng *rand.Rand,
 	target func(now float64) simulatedCell, observe func(now, share float64)) {
 	for now := m.Start - 1000; now < m.Start+m.WarmUp+m.longestShift()+m.Settle; now += 1000 / requestsPerS {
 		p.SetWarmCapacity(1)
@@ -31,49 +32,49 @@
 	}
 }
 
-// Whatever the target supports, the share stays between the document's bounds, changes no faster than it may, and
-// settles at what is supported without passing it by more than the stated overshoot.
-func TestPacerSettlesWithinTheOvershoot(t *testing.T) {
+// Guards against a share outside MinShare and MaxShare, a share that changes faster than its maximum rates, and a share
+// that exceeds what the target supports by more than the documented overshoot.
+func TestPacerStaysWithinBoundsAndOvershoot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Migration{
 			Start:    1e6,
-			MinShift: rapid.Float64Range(ShortestShiftMs, 60_000).Draw(t, "shift"),
+			MinShift: rapid.Float64Range(ShortestShiftMs, 60_000).Draw(t, "minShift"),
 			MaxShift: 400_000,
 		}
-		supported := rapid.Float64Range(0.15, 1.2).Draw(t, "bears")
-		requestsPerS := rapid.Float64Range(30, 300).Draw(t, "perS")
+		supported := rapid.Float64Range(0.15, 1.2).Draw(t, "supported")
+		requestsPerS := rapid.Float64Range(30, 300).Draw(t, "requestsPerS")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var p Pacer
 		last, lastAt, greatest := 0.0, 0.0, 0.0
 		target := func(float64) simulatedCell { return simulatedCell{supported} }
-		drive(&m, &p, requestsPerS, rng, target, func(now, share float64) {
+		runMigration(&m, &p, requestsPerS, rng, target, func(now, share float64) {
 			if share < m.MinShare(now)-m.MaxRiseRate()*2*stepInterval || share > m.MaxShare(now)+1e-9 {
-				t.Fatalf("%v at %v, allowed %v to %v", share, now, m.MinShare(now), m.MaxShare(now))
+				t.Fatalf("share %v at %v ms, allowed %v to %v", share, now, m.MinShare(now), m.MaxShare(now))
 			}
 			if now > m.Start && now < m.Start+m.longestShift() {
 				maxRise := m.MaxRiseRate()*(now-lastAt) + m.MaxRiseRate()*4*stepInterval
 				if d := share - last; d > maxRise || d < -MaxFallRate*4*stepInterval {
-					t.Fatalf("from %v to %v within %v ms", last, share, now-lastAt)
+					t.Fatalf("share changed from %v to %v within %v ms", last, share, now-lastAt)
 				}
 			}
 			last, lastAt = share, now
-			if m.MinShare(now) < supported { // past that the document itself asks for more than is supported
+			if m.MinShare(now) < supported { // else the document requires more than that
 				greatest = max(greatest, share)
 			}
 		})
-		lateAnswers := 1000 * minObservations / (requestsPerS * max(supported, 0.1)) // ms until so many have come
-		overshoot := m.MaxRiseRate() * (stepInterval + lateAnswers + 2*observationWindow)
+		detectionTime := 1000 * minObservations / (requestsPerS * max(supported, 0.1)) // ms until minObservations answers
+		overshoot := m.MaxRiseRate() * (stepInterval + detectionTime + 2*observationWindow)
 		if greatest > min(supported+overshoot+0.1, 1.0001) {
-			t.Fatalf("went to %v where %v is supported and %v is the overshoot", greatest, supported, overshoot)
+			t.Fatalf("share rose to %v, with %v supported and an overshoot of %v", greatest, supported, overshoot)
 		}
 		if supported >= 1 && p.Share() < 1 {
-			t.Fatalf("all is supported, and it ends at %v", p.Share())
+			t.Fatalf("the target supports all objects, but the final share is %v", p.Share())
 		}
 	})
 }
 
-// A target that is degraded for a while turns the share back, and it rises again once that is over.
-func TestPacerRecoversAfterADegradedTarget(t *testing.T) {
+// Guards against a share that stays up while the target answers late, or does not rise again once it has recovered.
+func TestPacerFallsAndRecoversWithTarget(t *testing.T) {
 	const (
 		degradedFrom  = 1e6 + 20_000
 		degradedUntil = 1e6 + 45_000
@@ -81,27 +82,27 @@
 	m := Migration{Start: 1e6, MinShift: 40_000, MaxShift: 400_000}
 	var p Pacer
 	rng := rand.New(rand.NewPCG(4, 4))
-	before, least := 0.0, 1.0
+	before, lowest := 0.0, 1.0
 	target := func(now float64) simulatedCell {
 		if now > degradedFrom && now < degradedUntil {
 			return simulatedCell{-1}
 		}
 		return simulatedCell{2}
 	}
-	drive(&m, &p, 200, rng, target, func(now, share float64) {
+	runMigration(&m, &p, 200, rng, target, func(now, share float64) {
 		switch {
 		case now < degradedFrom:
 			before = share
 		case now < degradedUntil:
-			least = min(least, share)
+			lowest = min(lowest, share)
 		}
 	})
-	if before < 0.3 || least > before/2 || p.Share() != 1 {
-		t.Errorf("at %v before the fault, down to %v, %v at the end", before, least, p.Share())
+	if before < 0.3 || lowest > before/2 || p.Share() != 1 {
+		t.Errorf("share %v before the fault, minimum %v during it, %v at the end", before, lowest, p.Share())
 	}
 }
 
-// Without capacity the share stays; with capacity again it rises.
+// Guards against a share that rises while the target lacks capacity, or does not rise once capacity is back.
 func TestPacerWaitsForCapacity(t *testing.T) {
 	m := Migration{Start: 1e6, MinShift: 20_000, MaxShift: 1e6}
 	var p Pacer
@@ -117,16 +118,17 @@
 			before = p.Share()
 		}
 		if now > m.Start+13_000 && now < m.Start+50_000 && p.Share() > max(before, m.MinShare(now))+1e-9 {
-			t.Fatalf("%v after %v though there is no capacity", p.Share(), before)
+			t.Fatalf("share %v after %v, without capacity", p.Share(), before)
 		}
 	}
 	if p.Share() < 0.99 {
-		t.Errorf("ends at %v", p.Share())
+		t.Errorf("final share %v", p.Share())
 	}
 }
 
-// While either cell is being replaced the share stays, but for what the document asks; afterwards it rises by itself.
-func TestPacerWaitsForADeploy(t *testing.T) {
+// Guards against a share that rises above MinShare while the servers of a cell are being replaced, or does not rise
+// again afterwards.
+func TestPacerWaitsForDeployment(t *testing.T) {
 	m := Migration{Start: 1e6, MinShift: 20_000, MaxShift: 1e6}
 	var p Pacer
 	before := 0.0
@@ -141,39 +143,39 @@
 		if !deploying {
 			before = share
 		} else if share > max(before, m.MinShare(now))+m.MaxRiseRate()*2*stepInterval {
-			t.Fatalf("%v after %v in the deploy", share, before)
+			t.Fatalf("share %v after %v during the deployment", share, before)
 		}
 	}
 	if p.Share() < 0.99 {
-		t.Errorf("ends at %v", p.Share())
+		t.Errorf("final share %v", p.Share())
 	}
 }
 
-// A router that was idle for long is where one is that starts then.
-func TestPacerAfterALongIdleTime(t *testing.T) {
+// Guards against an outdated share after a time without steps: it must be that of a router that has just started.
+func TestPacerCatchesUpAfterIdleTime(t *testing.T) {
 	m := Migration{Start: 1e6, MinShift: 20_000, MaxShift: 60_000}
 	var p Pacer
 	p.Step(m.Start, &m)
 	if share := p.Step(m.Start+30_000, &m); math.Abs(share-0.5) > 0.05 {
-		t.Errorf("after 30 of 60 s: %v", share)
+		t.Errorf("share after 30 of 60 s: %v", share)
 	}
 	if share := p.Step(m.Start+80_000, &m); share != 1 {
-		t.Errorf("after the end: %v", share)
+		t.Errorf("share after the end: %v", share)
 	}
 }
 
-// Versions of a document that race: a router goes from one to the other by bounded steps, wherever it stands.
+// Guards against jumps of the share when a router switches between versions of a document: each step is bounded.
 func TestPacerNeverJumpsBetweenVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := []Migration{}
 		for range 3 {
 			m := Migration{
 				Start:    1e6 + rapid.Float64Range(-50_000, 50_000).Draw(t, "start"),
-				MinShift: rapid.Float64Range(ShortestShiftMs, 100_000).Draw(t, "shift"),
+				MinShift: rapid.Float64Range(ShortestShiftMs, 100_000).Draw(t, "minShift"),
 			}
-			m.MaxShift = m.MinShift * rapid.Float64Range(1, 3).Draw(t, "slow")
-			if rapid.Bool().Draw(t, "back") {
-				m.RollbackAt = m.Start + rapid.Float64Range(0, 60_000).Draw(t, "backAt")
+			m.MaxShift = m.MinShift * rapid.Float64Range(1, 3).Draw(t, "maxShiftFactor")
+			if rapid.Bool().Draw(t, "rolledBack") {
+				m.RollbackAt = m.Start + rapid.Float64Range(0, 60_000).Draw(t, "rollbackAfter")
 			}
 			m.Unbounded = rapid.Bool().Draw(t, "unbounded")
 			versions = append(versions, m)
@@ -184,7 +186,7 @@
 			m := &versions[rapid.IntRange(0, 2).Draw(t, "version")]
 			share := p.Step(now, m)
 			if math.Abs(share-last) > 4*stepInterval*max(m.MaxRiseRate(), MaxFallRate)+1e-9 {
-				t.Fatalf("from %v to %v", last, share)
+				t.Fatalf("share changed from %v to %v in one step", last, share)
 			}
 			last = share
 		}
--- a/core/migration/phase.go
+++ b/core/migration/phase.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// Phase is where a migration stands.
+// Phase is the phase of a migration at a point in time.
 type Phase int
 
 // The phases, in the order in which a migration passes them unless it is paused or rolled back.
 const (
-	Planned  Phase = iota // Start is still to come
-	Warming               // the hot objects move
-	Shifting              // the other objects move
-	Settling              // all objects have moved; the old cell still takes what the new one lacks capacity for
+	Planned  Phase = iota // before Start
+	Warming               // hot objects are moving
+	Shifting              // the other objects are moving
+	Settling              // all objects have moved; the old cell serves what the new one lacks capacity for
 	Done
-	Paused      // the share stays what it was
-	RollingBack // objects move back to the old cell
-	RolledBack  // the tenant is in its old cell
+	Paused      // the share stays constant
+	RollingBack // objects are moving back to the old cell
+	RolledBack  // all objects are back in the old cell
 )
 
 var phaseNames = []string{"planned", "warming", "shifting", "settling", "done", "held", "going back", "rolled back"}
 
-// String returns the word for the phase that status output uses.
+// String returns the name of the phase as it appears in logs and status output.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Phase returns where the migration stands at a time.
+// Phase returns the phase of the migration at now.
 func (m *Migration) Phase(now float64) Phase {
 	if m.RollbackStarted(now) {
 		if m.MaxShare(now) == 0 {
@@ -30,43 +30,43 @@
 		}
 		return RollingBack
 	}
-	shifted := m.shiftedBy()
+	shiftEnd := m.latestShiftEnd()
 	switch {
-	case m.PausedAt > 0 && now >= m.PausedAt && m.PausedAt < shifted:
+	case m.PausedAt > 0 && now >= m.PausedAt && m.PausedAt < shiftEnd:
 		return Paused
 	case now < m.Start:
 		return Planned
 	case now < m.Start+m.WarmUp:
 		return Warming
-	case now < shifted:
+	case now < shiftEnd:
 		return Shifting
-	case now < shifted+m.Settle:
+	case now < shiftEnd+m.Settle:
 		return Settling
 	}
 	return Done
 }
 
-// shiftedBy is when all objects have moved, at the latest, if the migration is neither paused nor rolled back.
-func (m *Migration) shiftedBy() float64 { return m.Start + m.WarmUp + m.longestShift() }
+// latestShiftEnd returns the latest time by which all objects have moved, disregarding PausedAt and RollbackAt.
+func (m *Migration) latestShiftEnd() float64 { return m.Start + m.WarmUp + m.longestShift() }
 
-// InProgress reports whether objects are moving, or the other cell still takes what the target lacks capacity for.
+// InProgress reports whether the migration has started and not ended, so that either cell may get requests.
 func (m *Migration) InProgress(now float64) bool { return now >= m.Start && now < m.EndsAt() }
 
-// RollbackStarted reports whether the migration has been rolled back by now. From then on objects move to its old cell.
+// RollbackStarted reports whether RollbackAt has passed. From then on objects move back to the old cell.
 func (m *Migration) RollbackStarted(now float64) bool { return m.RollbackAt > 0 && now >= m.RollbackAt }
 
-// EndsAt is when the migration is done or rolled back, and settled; math.Inf(1) while it is paused.
+// EndsAt returns when the migration is done or rolled back, including its Settle time; math.Inf(1) if it is paused.
 func (m *Migration) EndsAt() float64 {
 	switch {
 	case m.RollbackAt > 0:
 		return m.RollbackAt + m.MaxShare(m.RollbackAt)*m.MinShift + m.Settle
-	case m.PausedAt > 0 && m.PausedAt < m.shiftedBy():
+	case m.PausedAt > 0 && m.PausedAt < m.latestShiftEnd():
 		return math.Inf(1)
 	}
-	return m.shiftedBy() + m.Settle
+	return m.latestShiftEnd() + m.Settle
 }
 
-// Resumed is a paused migration as it goes on from now: what was still to come is later by the length of the pause.
+// Resumed returns the migration without its pause. The part after the pause is delayed by the length of the pause.
 func (m Migration) Resumed(now float64) Migration {
 	if m.PausedAt > 0 && now > m.PausedAt {
 		m.Start += now - m.PausedAt
--- a/core/migration/phase_test.go
+++ b/core/migration/phase_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestPhases(t *testing.T) {
+func TestPhaseByTime(t *testing.T) {
 	m := sampleMigration()
 	for _, test := range []struct {
 		after float64 // ms after start
@@ -20,27 +20,27 @@
 		{110_000, Done},
 	} {
 		if got := m.Phase(start + test.after); got != test.want {
-			t.Errorf("%v ms: %s, want %s", test.after, got, test.want)
+			t.Errorf("phase %v ms after start: %s, want %s", test.after, got, test.want)
 		}
 	}
 	m.PausedAt = start + 50_000
 	if got := m.Phase(start + 500_000); got != Paused {
-		t.Errorf("paused: %s", got)
+		t.Errorf("phase while paused: %s", got)
 	}
 	if got, want := m.MaxShare(start+500_000), m.MaxShare(start+50_000); got != want || !math.IsInf(m.EndsAt(), 1) {
-		t.Errorf("paused: share %v, want %v, until %v", got, want, m.EndsAt())
+		t.Errorf("while paused: share %v, want %v, end %v", got, want, m.EndsAt())
 	}
 	m.RollbackAt = start + 600_000
 	if got := m.Phase(start + 600_001); got != RollingBack {
-		t.Errorf("rolled back just now: %s", got)
+		t.Errorf("phase after the start of the rollback: %s", got)
 	}
 	ended := m.EndsAt() + 1
 	if got := m.Phase(ended); got != RolledBack || m.MaxShare(ended) != 0 {
-		t.Errorf("after the rollback: %s at share %v", got, m.MaxShare(ended))
+		t.Errorf("after the rollback: phase %s at share %v", got, m.MaxShare(ended))
 	}
 }
 
-// A paused migration goes on from where it stood, however long it was paused.
+// Guards against a jump of the share on resuming: a migration continues from its share at the pause, however long.
 func TestResumedContinuesFromThePausedShare(t *testing.T) {
 	m := sampleMigration()
 	m.PausedAt = start + 40_000
@@ -50,7 +50,7 @@
 			t.Errorf("paused at share %v, resumed at %v", m.MaxShare(at), resumed.MaxShare(at))
 		}
 		if resumed.MaxShare(at+10_000) <= m.MaxShare(at) {
-			t.Errorf("resumed, and still at share %v", resumed.MaxShare(at+10_000))
+			t.Errorf("share did not rise after resuming: %v", resumed.MaxShare(at+10_000))
 		}
 	}
 }
--- a/core/migration/share.go
+++ b/core/migration/share.go
@@ -6,19 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hotShare is the share that HotObjects take up together, one after the other, whatever their number.
+// hotShare is the share that all HotObjects of a migration have together, regardless of their number.
 const hotShare = 0.1
 
-// MaxShare is the greatest share of the tenant's objects, in the order of Position, that may belong to the new cell.
+// MaxShare returns the maximum share of the tenant's objects, in the order of Position, in the new cell at now.
 func (m *Migration) MaxShare(now float64) float64 { return m.scheduledShare(now, m.MinShift) }
 
-// MinShare is the least share that does. A router that starts in the midst of a migration begins there.
+// MinShare returns the minimum of that share. A router that starts during a migration starts with MinShare.
 func (m *Migration) MinShare(now float64) float64 { return m.scheduledShare(now, m.longestShift()) }
 
-// longestShift is the span in which the objects that are not hot follow at the latest.
+// longestShift returns the longest time in which the objects that are not hot move, in ms.
 func (m *Migration) longestShift() float64 { return max(m.MaxShift, m.MinShift) }
 
-// scheduledShare is the share at a time if the objects that are not hot follow within shift.
+// scheduledShare returns the share at now if the objects that are not hot move within shift, in ms.
 func (m *Migration) scheduledShare(now, shift float64) float64 {
 	advancedTo := now
 	if m.PausedAt > 0 {
@@ -34,7 +34,7 @@
 	return max(share, 0)
 }
 
-// forwardShare is the share of a migration that is neither paused nor rolled back.
+// forwardShare returns the share at now, disregarding PausedAt and RollbackAt.
 func (m *Migration) forwardShare(now, shift float64) float64 {
 	elapsed := now - m.Start
 	switch {
@@ -46,7 +46,7 @@
 	return min(m.hotObjectsShare()+(1-m.hotObjectsShare())*(elapsed-m.WarmUp)/shift, 1)
 }
 
-// hotObjectsShare is the share that this migration's hot objects take up; 0 without any.
+// hotObjectsShare returns the share of this migration's hot objects, 0 if it has none.
 func (m *Migration) hotObjectsShare() float64 {
 	if len(m.HotObjects) == 0 {
 		return 0
@@ -54,9 +54,9 @@
 	return hotShare
 }
 
-// Position is an object's place in the order in which objects move, from 0 to 1: first the hot ones as the document
-// lists them, then the others by a hash that all routers share. The object belongs to the new cell while its position
-// is below the share. All parts of a video have one position.
+// Position returns the position of an object in the order in which objects move, from 0 to 1: first the hot objects in
+// the order of the document, then the others by a hash that is the same on all routers. An object belongs to the new
+// cell if its position is below the share. All chunks of a video have the same position.
 func (m *Migration) Position(object string) float64 {
 	if i := slices.Index(m.HotObjects, object); i >= 0 {
 		return hotShare * (float64(i) + 0.5) / float64(len(m.HotObjects))
--- a/core/migration/share_test.go
+++ b/core/migration/share_test.go
@@ -8,65 +8,66 @@
 	"pgregory.net/rapid"
 )
 
-// The share never falls while a migration goes on, never rises once it is rolled back, and never jumps: two routers
-// whose clocks are apart differ by no more than that part of the shift.
+// Guards against a share that falls before a rollback, rises during one, or jumps. Two routers whose clocks differ may
+// differ in the share only by the clock difference times the steepestSlope slope.
 func TestShareIsMonotonicAndContinuous(t *testing.T) {
 	const interval = 777.0 // ms
 	rapid.Check(t, func(t *rapid.T) {
 		m := sampleMigration()
-		m.WarmUp = rapid.Float64Range(1000, 60_000).Draw(t, "warm")
-		m.MinShift = rapid.Float64Range(ShortestShiftMs, 300_000).Draw(t, "shift")
-		if rapid.Bool().Draw(t, "held") {
-			m.PausedAt = start + rapid.Float64Range(0, 300_000).Draw(t, "heldAt")
+		m.WarmUp = rapid.Float64Range(1000, 60_000).Draw(t, "warmUp")
+		m.MinShift = rapid.Float64Range(ShortestShiftMs, 300_000).Draw(t, "minShift")
+		if rapid.Bool().Draw(t, "paused") {
+			m.PausedAt = start + rapid.Float64Range(0, 300_000).Draw(t, "pausedAfter")
 		}
-		if rapid.Bool().Draw(t, "back") {
-			m.RollbackAt = start + rapid.Float64Range(0, 300_000).Draw(t, "backAt")
+		if rapid.Bool().Draw(t, "rolledBack") {
+			m.RollbackAt = start + rapid.Float64Range(0, 300_000).Draw(t, "rollbackAfter")
 		}
-		skew := rapid.Float64Range(0, 2000).Draw(t, "apart")
-		steepest := max(1/m.MinShift, hotShare/m.WarmUp)
-		m.MaxShift = m.MinShift * rapid.Float64Range(1, 4).Draw(t, "slow")
+		skew := rapid.Float64Range(0, 2000).Draw(t, "skew")
+		steepestSlope := max(1/m.MinShift, hotShare/m.WarmUp)
+		m.MaxShift = m.MinShift * rapid.Float64Range(1, 4).Draw(t, "maxShiftFactor")
 		last := 0.0
 		for at := start - 5000; at < start+800_000; at += interval {
 			share := m.MaxShare(at)
-			if low := m.MinShare(at); low < 0 || low > share || share > 1 {
-				t.Fatalf("share %v over a minimum of %v", share, low)
+			if minShare := m.MinShare(at); minShare < 0 || minShare > share || share > 1 {
+				t.Fatalf("MaxShare %v with MinShare %v", share, minShare)
 			}
 			if at > m.EndsAt() && m.MinShare(at) != share {
-				t.Fatalf("over, and still %v to %v", m.MinShare(at), share)
+				t.Fatalf("after the end, MinShare %v and MaxShare %v", m.MinShare(at), share)
 			}
 			falling := m.RollbackAt > 0 && at > m.RollbackAt
-			reversed := falling && at-interval <= m.RollbackAt // since the last look
+			reversed := falling && at-interval <= m.RollbackAt // since the last iteration
 			if !reversed && (falling && share > last+1e-9 || !falling && share < last-1e-9) {
-				t.Fatalf("share %v after %v at %v", share, last, at)
+				t.Fatalf("share %v after %v at %v ms", share, last, at)
 			}
-			if d := math.Abs(m.MaxShare(at+skew) - share); d > skew*steepest+1e-6 {
-				t.Fatalf("clocks %v ms apart differ by %v", skew, d)
+			if d := math.Abs(m.MaxShare(at+skew) - share); d > skew*steepestSlope+1e-6 {
+				t.Fatalf("clocks %v ms apart, shares differ by %v", skew, d)
 			}
 			last = share
 		}
 	})
 }
 
-// Objects move in one order, the hot ones first as listed, and each moves once.
+// Guards against hot objects that do not move first in the order of the document, and against objects that move during
+// the warm-up without being hot, never move, or do not move evenly over the shift.
 func TestObjectsMoveInOrderOfPosition(t *testing.T) {
 	m := sampleMigration()
 	if m.Position("h0") >= m.Position("h1") || m.Position("h2") >= hotShare {
-		t.Errorf("hot objects at %v, %v, %v", m.Position("h0"), m.Position("h1"), m.Position("h2"))
+		t.Errorf("positions of hot objects: %v, %v, %v", m.Position("h0"), m.Position("h1"), m.Position("h2"))
 	}
-	halfTime := start + m.WarmUp + m.MinShift/2
+	halfway := start + m.WarmUp + m.MinShift/2
 	moved := 0
 	for i := range 10_000 {
 		object := fmt.Sprintf("%016x", i)
 		position := m.Position(object)
 		if position < m.MaxShare(start+m.WarmUp) || position >= m.MaxShare(start+m.WarmUp+m.MinShift) {
-			t.Fatalf("%s at %v moves during the warm-up or never", object, position)
+			t.Fatalf("object %s at position %v moves during the warm-up or never", object, position)
 		}
-		if position < m.MaxShare(halfTime) {
+		if position < m.MaxShare(halfway) {
 			moved++
 		}
 	}
 	if moved < 4800 || moved > 5200 {
-		t.Errorf("%d of 10,000 objects have moved at half time", moved)
+		t.Errorf("%d of 10,000 objects have moved halfway through the shift", moved)
 	}
 }
 
--- a/core/migration/validate_test.go
+++ b/core/migration/validate_test.go
@@ -8,16 +8,16 @@
 )
 
 func TestValidateNamesFieldAndCause(t *testing.T) {
-	inForce := &Document{Version: 3, Migrations: []Migration{sampleMigration()}}
+	current := &Document{Version: 3, Migrations: []Migration{sampleMigration()}}
 	for _, test := range []struct {
 		name   string
 		change func(*Document)
-		now    float64 // after start; 0: 1000
-		want   string  // how the error's text begins
+		now    float64 // ms after start; 0: 1000
+		want   string  // prefix of the error text
 		cause  error
 	}{
 		{
-			name:   "version in force already",
+			name:   "version already current",
 			change: func(d *Document) { d.Version = 3 },
 			want:   "version: ", cause: ErrStaleVersion,
 		}, {
@@ -25,7 +25,7 @@
 			change: func(d *Document) { d.Migrations[0].Site = "" },
 			want:   "moves[0].tenant: ", cause: ErrInvalid,
 		}, {
-			name:   "to the cell it comes from",
+			name:   "source and target cell are the same",
 			change: func(d *Document) { d.Migrations[0].To = "a" },
 			want:   "moves[0].to: ", cause: ErrInvalid,
 		}, {
@@ -37,24 +37,24 @@
 			change: func(d *Document) { d.Migrations[0].WarmUp = -1 },
 			want:   "moves[0].warm: ", cause: ErrInvalid,
 		}, {
-			name:   "shift too short",
+			name:   "minimum shift too short",
 			change: func(d *Document) { d.Migrations[0].MinShift = 9999 },
 			want:   "moves[0].shift: ", cause: ErrInvalid,
 		}, {
-			name:   "longest shift under the shortest",
+			name:   "maximum shift below the minimum",
 			change: func(d *Document) { d.Migrations[0].MaxShift = 100 },
 			want:   "moves[0].slow: ", cause: ErrInvalid,
 		}, {
-			name: "one tenant twice",
+			name: "overlapping migrations of a tenant",
 			change: func(d *Document) {
 				d.Migrations = append(d.Migrations, sampleMigration())
 				d.Migrations[1].Site = AllSites
 			},
 			want: "moves[1].tenant: invalid migration: t moves twice", cause: ErrInvalid,
 		}, {
-			name:   "left out under way",
+			name:   "migration in progress left out",
 			change: func(d *Document) { d.Migrations = nil },
-			want:   "moves: invalid migration: under way: that of t in d is warming", cause: ErrOngoing,
+			want:   "moves: invalid migration: in progress: migration of t in d is warming", cause: ErrOngoing,
 		}, {
 			name:   "hot objects without a warm-up",
 			change: func(d *Document) { d.Migrations[0].WarmUp = 0 },
@@ -64,10 +64,11 @@
 			change: func(d *Document) { d.Migrations[0].RollbackAt = start - 1 },
 			want:   "moves[0].backAt: ", cause: ErrInvalid,
 		}, {
-			name:   "over and never begun",
+			name:   "new migration that would be done",
 			change: func(d *Document) { d.Migrations[0].Tenant = "late" },
 			now:    1e6,
-			want:   "moves[0].start: invalid migration: never begun: would be done already", cause: ErrNeverBegun,
+			want:   "moves[0].start: invalid migration: starts in the past: would already be done",
+			cause:  ErrNeverBegun,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -77,7 +78,7 @@
 			if test.now != 0 {
 				now = start + test.now
 			}
-			err := d.Validate(now, inForce)
+			err := d.Validate(now, current)
 			if err == nil || !strings.HasPrefix(err.Error(), test.want) {
 				t.Errorf("got %v, want %s", err, test.want)
 			}
@@ -86,8 +87,8 @@
 			}
 		})
 	}
-	begun := &Document{Version: 4, Migrations: []Migration{sampleMigration()}}
-	if err := begun.Validate(start+1e6, inForce); err != nil {
-		t.Errorf("a migration begun by the document in force: %v", err)
+	started := &Document{Version: 4, Migrations: []Migration{sampleMigration()}}
+	if err := started.Validate(start+1e6, current); err != nil {
+		t.Errorf("migration that the current document has started: %v", err)
 	}
 }
--- a/core/migration/wire_compat_test.go
+++ b/core/migration/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The section moves of a features file, which spanctl cells move writes.
-func TestStoredDocumentIsReadAndWrittenAlike(t *testing.T) {
+// Guards against changes to the JSON of the "moves" section of a features file, which `spanctl cells move` writes.
+func TestDocumentRoundTripIsUnchanged(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/document.json", " ", Document{Version: 8, Migrations: []Migration{
 		{
 			Tenant:     "vending",
