--- a/core/migration/schedule/cycles.go
+++ b/core/migration/schedule/cycles.go
@@ -11,13 +11,13 @@
 	"spantack/core/migration"
 )
 
-// cellPair is a way from cell to cell.
+// cellPair is the source and the target cell of a migration.
 type cellPair struct{ from, to string }
 
-// cellGraph has a node for each cell and an edge for each pair of two cells.
+// cellGraph is a directed graph of cells, with an edge from the source to the target cell of each migration.
 type cellGraph struct {
 	*simple.DirectedGraph
-	names []string // by node id, in order
+	names []string // of cells, by node ID; sorted
 }
 
 func newCellGraph(pairs []cellPair) cellGraph {
@@ -39,7 +39,7 @@
 	return g
 }
 
-// namesOf are the cells of nodes.
+// namesOf returns the names of the cells that nodes stand for.
 func (g cellGraph) namesOf(nodes []graph.Node) []string {
 	var names []string
 	for _, n := range nodes {
@@ -48,7 +48,8 @@
 	return names
 }
 
-// joinCycles joins batches of one request whose cells lie on a cycle into one batch, and leaves the others.
+// joinCycles joins batches whose cells depend on each other in a cycle into one batch and returns the others unchanged.
+// Each of the batches must have a single request.
 func (p *planner) joinCycles(batches []batch) []batch {
 	var pairs []cellPair
 	for _, b := range batches {
@@ -77,8 +78,8 @@
 	return result
 }
 
-// Cycles lists the cells whose migrations wait for each other's capacity: A to B, B to C, C to A. Each cycle begins
-// with its first cell by name.
+// Cycles returns the cycles of cells whose migrations wait for each other's capacity, such as A to B, B to C, C to A.
+// Each cycle begins with its alphabetically first cell, and cycles are sorted.
 func Cycles(d *migration.Document) [][]string {
 	var pairs []cellPair
 	for i := range d.Migrations {
@@ -87,7 +88,7 @@
 	g := newCellGraph(pairs)
 	var cycles [][]string
 	for _, nodes := range topo.DirectedCyclesIn(g) {
-		cells := g.namesOf(nodes[:len(nodes)-1]) // it ends where it begins
+		cells := g.namesOf(nodes[:len(nodes)-1]) // the last node repeats the first
 		first := slices.Index(cells, slices.Min(cells))
 		cycles = append(cycles, slices.Concat(cells[first:], cells[:first]))
 	}
--- a/core/migration/schedule/planner.go
+++ b/core/migration/schedule/planner.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// slotMs is the length of a slot of the time table.
+	// slotMs is the length of a time slot, in ms.
 	slotMs = 1000.0
-	// maxSlots is the length of the time table: four hours.
+	// maxSlots is the planning horizon in slots: four hours.
 	maxSlots = 4 * 3600
-	// maxBatchFraction is the part of a limit that one batch takes at most: several are under way at once, and a small one
-	// does not wait for a large one.
+	// maxBatchFraction is the maximum fraction of a limit that one batch uses. It lets several batches run at the same
+	// time, so that small batches do not wait for large ones.
 	maxBatchFraction = 0.5
-	// usableCellFraction of a cell's capacity may be in use once all that migrate there have arrived.
+	// usableCellFraction of a cell's capacity may be in use after all migrations into it.
 	usableCellFraction = 0.95
-	// capacityTolerance absorbs rounding of sums.
+	// capacityTolerance is a factor on capacities that absorbs rounding errors of sums.
 	capacityTolerance = 1 + 1e-9
 )
 
-// Names of limits, as Schedule.PeakUse and Schedule.Unscheduled give them to operators.
+// Names of limits as operators see them in Schedule.PeakUse and Schedule.Unscheduled.
 const (
 	cellFillsPrefix = "fills into "
 	cellLoadPrefix  = "load of "
@@ -33,25 +33,25 @@
 	originFillsName = "head office"
 )
 
-// limit is one capacity that migrations share, and what is reserved of it by slot.
+// limit is a capacity that migrations share, with the rate reserved in each slot.
 type limit struct {
 	name     string
-	capacity float64 // KB a second
-	used     []float64
+	capacity float64   // KB/s
+	used     []float64 // KB/s, by slot
 }
 
-// hasCapacity reports whether rate is left in a slot.
+// hasCapacity reports whether a further rate, in KB/s, fits into a slot.
 func (l *limit) hasCapacity(slot int, rate float64) bool {
 	return l.used[slot]+rate <= l.capacity*capacityTolerance
 }
 
-// planner reserves time and capacity for batches. A limit that is nil, or has no entry, is unlimited.
+// planner reserves slots and capacity for batches. A limit that is nil or missing in its map does not apply.
 type planner struct {
 	constraints *Constraints
 	schedule    *Schedule
-	limits      []*limit          // all of the following
+	limits      []*limit          // all limits of the fields below
 	cellFills   map[string]*limit // by cell
-	cellLoads   map[string]*limit // sends of a cell's caches
+	cellLoads   map[string]*limit // by cell; KB/s that its caches send
 	siteFills   *limit
 	originFills *limit
 }
@@ -90,7 +90,7 @@
 	return l
 }
 
-// lowerBound is when the requests can have migrated at the earliest, by volume: no limit fills faster than its rate.
+// lowerBound returns the earliest possible end of all migrations, in Unix ms: fills cannot be faster than the limits.
 func (p *planner) lowerBound(requests []Request) float64 {
 	shortest, allKB := 0.0, 0.0
 	cellKB := map[string]float64{}
@@ -111,18 +111,18 @@
 	return p.constraints.Start + shortest
 }
 
-// batch is one migration, or several that go at the same pace since each needs the capacity that another leaves.
+// batch is one request, or several with the same start and duration because each needs the capacity that another frees.
 type batch struct {
 	requests   []Request
-	durationMs float64 // warm-up and shift
-	kbPerS     float64
+	durationMs float64 // of warm-up and shift together
+	kbPerS     float64 // sum of DemandKBPerS
 }
 
-// slots is how many slots the batch takes.
+// slots returns the length of the batch in slots, rounded up.
 func (b *batch) slots() int { return int(math.Ceil(b.durationMs / slotMs)) }
 
-// newBatch finds how long the requests take together: the least shift, or longer, so that no limit gives more than
-// maxBatchFraction.
+// newBatch returns a batch of requests. Its duration is MinShift, or longer so that it uses at most maxBatchFraction of
+// each limit of fills, plus WarmUp if any request has hot objects.
 func (p *planner) newBatch(requests []Request) batch {
 	b := batch{requests: requests, durationMs: p.constraints.MinShift}
 	allKB := 0.0
@@ -146,7 +146,7 @@
 	return b
 }
 
-// placeBatches schedules batches, the shortest first, and returns those for which there is no capacity.
+// placeBatches schedules batches, shortest first, and returns those that do not fit within the limits.
 func (p *planner) placeBatches(batches []batch) []batch {
 	slices.SortStableFunc(batches, func(a, b batch) int {
 		return cmp.Or(
@@ -155,7 +155,7 @@
 			cmp.Compare(a.requests[0].Tenant, b.requests[0].Tenant),
 		)
 	})
-	// A batch that found no capacity because others had not left yet is tried again while batches are still placed.
+	// Placing a batch frees capacity in the cells that it leaves, so those that did not fit are tried again.
 	for placed := true; placed && len(batches) > 0; {
 		placed = false
 		var unplaced []batch
@@ -174,34 +174,34 @@
 	return batches
 }
 
-// use is what a batch takes of a limit, from a slot until before another. The rate is negative for load that leaves a
-// cell.
-type use struct {
+// limitUse is the rate that a batch uses of a limit during the slots from <= slot < until. The rate is negative for
+// load that a cell loses.
+type limitUse struct {
 	limit       *limit
-	rate        float64 // KB a second
-	from, until int     // until is maxSlots for what does not end
+	rate        float64 // KB/s
+	from, until int     // slots; until is maxSlots for a lasting change
 }
 
-// uses yields what a batch takes of each limit if it begins in a slot.
-func (p *planner) uses(b batch, slot int) iter.Seq[use] {
-	return func(yield func(use) bool) {
+// uses yields how much a batch uses of each limit if it begins in slot.
+func (p *planner) uses(b batch, slot int) iter.Seq[limitUse] {
+	return func(yield func(limitUse) bool) {
 		end := slot + b.slots()
 		allFills := 0.0
 		for _, r := range b.requests {
 			rate := 1000 * r.FillKB / b.durationMs
 			allFills += rate
-			if l := p.cellFills[r.To]; l != nil && !yield(use{l, rate, slot, end}) {
+			if l := p.cellFills[r.To]; l != nil && !yield(limitUse{l, rate, slot, end}) {
 				return
 			}
 		}
-		if p.siteFills != nil && !yield(use{p.siteFills, allFills, slot, end}) {
+		if p.siteFills != nil && !yield(limitUse{p.siteFills, allFills, slot, end}) {
 			return
 		}
 		originFills := allFills * p.constraints.OriginFillFraction
-		if p.originFills != nil && !yield(use{p.originFills, originFills, slot, end}) {
+		if p.originFills != nil && !yield(limitUse{p.originFills, originFills, slot, end}) {
 			return
 		}
-		changes := map[string]float64{} // of each cell's load
+		changes := map[string]float64{} // of the load by cell, KB/s
 		for _, r := range b.requests {
 			changes[r.To] += r.DemandKBPerS
 			changes[r.From] -= r.DemandKBPerS
@@ -209,18 +209,18 @@
 		cells := slices.AppendSeq(make([]string, 0, len(changes)), maps.Keys(changes))
 		slices.Sort(cells)
 		for _, cell := range cells {
-			from := slot // of what a cell gains, since a migration may go faster than planned
+			from := slot // for load that a cell gains, since a migration may be faster than planned
 			if changes[cell] < 0 {
 				from = end
 			}
-			if changes[cell] != 0 && !yield(use{p.cellLoads[cell], changes[cell], from, maxSlots}) {
+			if changes[cell] != 0 && !yield(limitUse{p.cellLoads[cell], changes[cell], from, maxSlots}) {
 				return
 			}
 		}
 	}
 }
 
-// firstFit is the first slot in which a batch can begin within all limits.
+// firstFit returns the first slot in which a batch can begin without exceeding a limit, and whether there is one.
 func (p *planner) firstFit(b batch) (slot int, found bool) {
 	slots := b.slots()
 	for slot+slots < maxSlots {
@@ -233,8 +233,8 @@
 	return 0, false
 }
 
-// nextStart is the slot itself if a batch can begin in it. Else it is the slot after the last one without capacity,
-// by the first limit that would be exceeded; maxSlots if that never has capacity again.
+// nextStart returns slot if a batch can begin in it. Otherwise it returns the slot after the last slot in which the
+// first exceeded limit has too little capacity; maxSlots if that is the last slot of the horizon.
 func (p *planner) nextStart(b batch, slot int) int {
 	for u := range p.uses(b, slot) {
 		if u.rate <= 0 {
@@ -249,7 +249,7 @@
 	return slot
 }
 
-// reserve books a batch that begins in a slot.
+// reserve reserves the capacity for a batch that begins in slot.
 func (p *planner) reserve(b batch, slot int) {
 	for u := range p.uses(b, slot) {
 		for i := u.from; i < min(u.until, maxSlots); i++ {
@@ -258,7 +258,7 @@
 	}
 }
 
-// addMigrations writes the migrations of a batch that begins in a slot into the schedule.
+// addMigrations adds the migrations of a batch that begins in slot to the schedule.
 func (p *planner) addMigrations(b batch, slot int) {
 	c := p.constraints
 	for _, r := range b.requests {
@@ -282,16 +282,16 @@
 	}
 }
 
-// unscheduledReason says what keeps a batch from ever finding capacity.
+// unscheduledReason returns the reason for operators why a batch does not fit into the schedule at any time.
 func (p *planner) unscheduledReason(b batch) string {
-	reason := "no time within four hours"
+	reason := "no free time within four hours"
 	for u := range p.uses(b, 0) {
 		last := u.limit.used[maxSlots-1]
 		switch {
 		case u.rate > u.limit.capacity:
-			reason = fmt.Sprintf("%s: %.0f KB/s needed, %.0f in all", u.limit.name, u.rate, u.limit.capacity)
+			reason = fmt.Sprintf("%s: %.0f KB/s needed, total capacity is %.0f", u.limit.name, u.rate, u.limit.capacity)
 		case u.until == maxSlots && u.rate > 0 && last+u.rate > u.limit.capacity:
-			reason = fmt.Sprintf("%s: %.0f KB/s needed, %.0f left once all others have moved",
+			reason = fmt.Sprintf("%s: %.0f KB/s needed, %.0f left after all other migrations",
 				u.limit.name, u.rate, u.limit.capacity-last)
 		}
 	}
--- a/core/migration/schedule/schedule.go
+++ b/core/migration/schedule/schedule.go
@@ -1,7 +1,8 @@
-// Package schedule plans when each of many tenants migrates: as many at once as the limits of cells, link and origin
-// allow. Operators' tools use it; the router does not need it.
+// Package schedule plans the migrations of many tenants: as many at the same time as the limits of cells, site and
+// origin allow. It is used by the tools of operators, not by the router.
 //
-// Rates are KB a second, of all of a site's routers together. Times are Unix milliseconds and spans milliseconds.
+// Rates are in KB/s and apply to all routers of a site together. Times are Unix milliseconds, durations are
+// milliseconds.
 package schedule
 
 import (
@@ -11,52 +12,52 @@
 	"spantack/core/migration"
 )
 
-// WorkingSetSeconds is the time in which a tenant requests most of what it requests at all.
+// WorkingSetSeconds is the time in which a tenant requests most of its objects at least once.
 const WorkingSetSeconds = 20.0
 
-// Request asks for a tenant to migrate from one cell to another at a site.
+// Request is a request to migrate a tenant from one cell to another at a site.
 type Request struct {
 	Tenant       string
 	From, To     string   // names of cells
-	DemandKBPerS float64  // the tenant's demand
-	FillKB       float64  // that its new cell must fill at first; WorkingSetSeconds times DemandKBPerS if that is unknown
-	HotObjects   []string // to go first, hottest first
+	DemandKBPerS float64  // KB/s that the tenant's clients request
+	FillKB       float64  // KB that the new cell must fill; if unknown, WorkingSetSeconds * DemandKBPerS
+	HotObjects   []string // objects to move first, hottest first
 }
 
-// CellCapacity is what one cell can send and fill.
+// CellCapacity is the capacity of a cell for sends and fills.
 type CellCapacity struct {
-	SendKBPerS float64 // of its caches
-	UsedKBPerS float64 // part of that in use now
-	FillKBPerS float64 // of fills beyond those of now; 0: unlimited
+	SendKBPerS float64 // capacity of its caches
+	UsedKBPerS float64 // part of SendKBPerS in use now
+	FillKBPerS float64 // capacity for fills in addition to those of now; 0: unlimited
 }
 
-// Constraints are what a schedule must keep to.
+// Constraints are the limits and the migration settings of a schedule.
 type Constraints struct {
 	Site           string
-	Start          float64 // of the first migration at the earliest
-	WarmUp         float64 // of a migration that names hot objects
+	Start          float64 // earliest start of a migration
+	WarmUp         float64 // of each migration with hot objects
 	MinShift       float64 // of each migration
-	MaxShiftFactor float64 // MaxShift of each migration, in multiples of its MinShift: 1 or more
+	MaxShiftFactor float64 // ratio of MaxShift to MinShift of each migration: 1 or more
 	Settle         float64 // of each migration
 	Cells          map[string]CellCapacity
 
-	SiteFillKBPerS     float64 // fills into the site, beyond those of now; 0: unlimited
-	OriginFillKBPerS   float64 // those that reach the origin; 0: unlimited
-	OriginFillFraction float64 // part of fills that do, 0 to 1
+	SiteFillKBPerS     float64 // capacity for fills into the site in addition to those of now; 0: unlimited
+	OriginFillKBPerS   float64 // capacity for fills from the origin in addition to those of now; 0: unlimited
+	OriginFillFraction float64 // fraction of fills that the origin serves, 0 to 1
 }
 
-// Schedule is when each tenant migrates.
+// Schedule is the result of Plan.
 type Schedule struct {
-	Migrations  []migration.Migration // by start, then tenant
-	End         float64               // when the last one has shifted
-	LowerBound  float64               // no schedule within the limits ends sooner
-	PeakUse     map[string]float64    // greatest part of each limit in use, by its name
-	Unscheduled map[string]string     // by tenant, why there is no capacity for it at any time
+	Migrations  []migration.Migration // sorted by start, then by tenant
+	End         float64               // earliest time at which the last migration has shifted all objects
+	LowerBound  float64               // no schedule within the limits ends earlier
+	PeakUse     map[string]float64    // maximum fraction in use of each limit, by name of the limit
+	Unscheduled map[string]string     // reason why a tenant could not be scheduled, by tenant
 }
 
-// Plan schedules the requests: the shortest migrations first, as many at once as the limits allow together. Tenants
-// that wait for each other's capacity in a cycle migrate at one pace, so that what enters and leaves a cell keeps
-// level. An error wraps ErrInvalid.
+// Plan schedules the requests, shortest migrations first, as many at the same time as the limits allow. Tenants that
+// wait for each other's capacity in a cycle migrate with the same start and duration, so that the load of each cell
+// stays the same. Errors wrap ErrInvalid.
 func Plan(requests []Request, constraints Constraints) (*Schedule, error) {
 	if err := constraints.validate(requests); err != nil {
 		return nil, err
@@ -68,7 +69,7 @@
 		batches = append(batches, p.newBatch([]Request{r}))
 	}
 	unplaced := p.placeBatches(batches)
-	if len(unplaced) > 0 { // there may be capacity if those that enter and those that leave go together
+	if len(unplaced) > 0 { // requests that form a cycle may fit if they migrate together
 		unplaced = p.placeBatches(p.joinCycles(unplaced))
 	}
 	for _, b := range unplaced {
--- a/core/migration/schedule/schedule_test.go
+++ b/core/migration/schedule/schedule_test.go
@@ -23,10 +23,9 @@
 	}
 }
 
-// In any plan each tenant migrates once or is left out with a reason, no limit is exceeded at any time by what the
-// migrations say of themselves, and no plan beats the lower bound. With the search for capacity planted to return the
-// first slot always, this fails at once.
-func TestPlanKeepsAllLimits(t *testing.T) {
+// Guards against plans that lose a tenant, exceed a limit at some time, or end before the lower bound. It would fail if
+// firstFit always returned the first slot.
+func TestPlanStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells := drawCells(t)
 		requests := drawRequests(t, len(cells))
@@ -36,10 +35,10 @@
 			t.Fatal(err)
 		}
 		if len(s.Migrations)+len(s.Unscheduled) != len(requests) {
-			t.Fatalf("%d migrations and %d left out of %d", len(s.Migrations), len(s.Unscheduled), len(requests))
+			t.Fatalf("%d migrations and %d unscheduled tenants for %d requests", len(s.Migrations), len(s.Unscheduled), len(requests))
 		}
 		if len(s.Migrations) == len(requests) && s.End < s.LowerBound-1 {
-			t.Fatalf("ends at %v, before the bound %v", s.End, s.LowerBound)
+			t.Fatalf("plan ends at %v, before the lower bound %v", s.End, s.LowerBound)
 		}
 		if len(s.Migrations) > 0 {
 			document := migration.Document{Version: 1, Migrations: s.Migrations}
@@ -60,11 +59,11 @@
 func drawCells(t *rapid.T) map[string]CellCapacity {
 	cells := map[string]CellCapacity{}
 	for i := range rapid.IntRange(2, 6).Draw(t, "cells") {
-		sends := rapid.Float64Range(5000, 20_000).Draw(t, "bears")
+		sends := rapid.Float64Range(5000, 20_000).Draw(t, "sendKBPerS")
 		cells[fmt.Sprintf("c%d", i)] = CellCapacity{
 			SendKBPerS: sends,
-			UsedKBPerS: sends * rapid.Float64Range(0.2, 1.05).Draw(t, "lives"),
-			FillKBPerS: rapid.Float64Range(200, 3000).Draw(t, "fill"),
+			UsedKBPerS: sends * rapid.Float64Range(0.2, 1.05).Draw(t, "used"),
+			FillKBPerS: rapid.Float64Range(200, 3000).Draw(t, "fillKBPerS"),
 		}
 	}
 	return cells
@@ -72,9 +71,9 @@
 
 func drawRequests(t *rapid.T, cells int) []Request {
 	var requests []Request
-	for i := range rapid.IntRange(1, 30).Draw(t, "wishes") {
+	for i := range rapid.IntRange(1, 30).Draw(t, "requests") {
 		from := rapid.IntRange(0, cells-1).Draw(t, "from")
-		kbPerS := rapid.Float64Range(0, 3000).Draw(t, "kb")
+		kbPerS := rapid.Float64Range(0, 3000).Draw(t, "kbPerS")
 		to := (from + rapid.IntRange(1, cells-1).Draw(t, "to")) % cells
 		r := Request{
 			Tenant:       fmt.Sprintf("t%d", i),
@@ -91,7 +90,7 @@
 	return requests
 }
 
-// checkLimits sums what all migrations take at a time and holds it against each limit.
+// checkLimits fails the test if the migrations together exceed a limit at a time.
 func checkLimits(t *rapid.T, s *Schedule, c *Constraints, requestOf map[string]Request, at float64) {
 	fills, load, allFills := map[string]float64{}, map[string]float64{}, 0.0
 	for _, m := range s.Migrations {
@@ -111,17 +110,17 @@
 		}
 		limit := max(usableCellFraction*cell.SendKBPerS, cell.UsedKBPerS)
 		if cell.UsedKBPerS+load[name] > limit*1.001 {
-			t.Fatalf("%v KB/s at %s, %v allowed", cell.UsedKBPerS+load[name], name, limit)
+			t.Fatalf("%v KB/s of load at %s, %v allowed", cell.UsedKBPerS+load[name], name, limit)
 		}
 	}
 	if allFills > c.SiteFillKBPerS*1.001 || allFills*c.OriginFillFraction > c.OriginFillKBPerS*1.001 {
-		t.Fatalf("%v KB/s into the site", allFills)
+		t.Fatalf("%v KB/s of fills into the site, more than allowed", allFills)
 	}
 }
 
-// A cycle without capacity to spare migrates at one pace; a request for which there is no capacity at any time is
-// left out, and the reason names the limit.
-func TestPlanOfCycles(t *testing.T) {
+// Guards against cycles of full cells that are not scheduled, or not as one batch, and against a request without
+// capacity that is scheduled, or whose reason does not name the limit.
+func TestPlanSchedulesCyclesTogether(t *testing.T) {
 	full := CellCapacity{SendKBPerS: 10_000, UsedKBPerS: 9500, FillKBPerS: 2000}
 	constraints := sampleConstraints(map[string]CellCapacity{"a": full, "b": full, "c": full})
 	cycle := []Request{
@@ -135,7 +134,7 @@
 	}
 	for _, m := range s.Migrations[1:] {
 		if m.Start != s.Migrations[0].Start || m.MinShift != s.Migrations[0].MinShift {
-			t.Errorf("not at one pace: %+v", s.Migrations)
+			t.Errorf("different starts or durations: %+v", s.Migrations)
 		}
 	}
 	if got := fmt.Sprint(Cycles(&migration.Document{Migrations: s.Migrations})); got != "[[a b c]]" {
@@ -152,15 +151,15 @@
 	}
 }
 
-func TestPlanNamesWhatIsWrong(t *testing.T) {
+func TestPlanNamesInvalidField(t *testing.T) {
 	constraints := sampleConstraints(map[string]CellCapacity{"a": {SendKBPerS: 1}, "b": {SendKBPerS: 1}})
 	for _, test := range []struct {
-		want     string // in the error's text
+		want     string // in the error text
 		requests []Request
 	}{
-		{`tenant t: no cell "x"`, []Request{{"t", "a", "x", 1, 1, nil}}},
-		{"tenant t: requested twice", []Request{{"t", "a", "b", 1, 1, nil}, {"t", "a", "b", 1, 1, nil}}},
-		{`tenant t: is in cell "a"`, []Request{{"t", "a", "a", 1, 1, nil}}},
+		{`tenant t: unknown cell "x"`, []Request{{"t", "a", "x", 1, 1, nil}}},
+		{"tenant t: has two requests", []Request{{"t", "a", "b", 1, 1, nil}, {"t", "a", "b", 1, 1, nil}}},
+		{`tenant t: is already in cell "a"`, []Request{{"t", "a", "a", 1, 1, nil}}},
 		{"tenant t: -1 KB to fill", []Request{{"t", "a", "b", 1, -1, nil}}},
 	} {
 		t.Run(test.want, func(t *testing.T) {
--- a/core/migration/schedule/validate.go
+++ b/core/migration/schedule/validate.go
@@ -7,39 +7,39 @@
 	"spantack/core/migration"
 )
 
-// Bounds of a Request.
+// Exclusive upper bounds of a Request's fields.
 const (
 	kbPerSLimit = 1e12
 	fillKbLimit = 1e15
 )
 
-// ErrInvalid is wrapped by every error of Plan: the constraints, or one of the requests, can't be planned for.
+// ErrInvalid is wrapped by every error of Plan. It means that the constraints or one of the requests are invalid.
 var ErrInvalid = errors.New("invalid migration request")
 
-// invalid is the error for a field.
+// invalid returns an error for a field.
 func invalid(field, format string, args ...any) error {
 	return fmt.Errorf("%w: %s: %s", ErrInvalid, field, fmt.Sprintf(format, args...))
 }
 
-// validate returns the first fault of the constraints, or of the requests under them.
+// validate returns an error for the first invalid field of the constraints or the requests, or nil.
 func (c *Constraints) validate(requests []Request) error {
 	switch {
 	case !(c.Start > 0):
-		return invalid("start", "%v is not above 0", c.Start)
+		return invalid("start", "%v is not greater than 0", c.Start)
 	case !(c.WarmUp >= 0):
-		return invalid("warm-up", "%v is under 0", c.WarmUp)
+		return invalid("warm-up", "%v ms is not at least 0", c.WarmUp)
 	case !(c.MinShift >= migration.ShortestShiftMs):
-		return invalid("shift", "%v is under %d ms", c.MinShift, migration.ShortestShiftMs)
+		return invalid("shift", "%v ms is not at least %d ms", c.MinShift, migration.ShortestShiftMs)
 	case !(c.MaxShiftFactor >= 1):
-		return invalid("greatest shift", "%v times the least is under 1", c.MaxShiftFactor)
+		return invalid("maximum shift", "%v times the minimum shift: the factor must be at least 1", c.MaxShiftFactor)
 	case !(c.Settle >= 0):
-		return invalid("settle", "%v is under 0", c.Settle)
+		return invalid("settle", "%v ms is not at least 0", c.Settle)
 	case !(c.SiteFillKBPerS >= 0):
-		return invalid("fills into the site", "%v KB/s is under 0", c.SiteFillKBPerS)
+		return invalid("fills into the site", "%v KB/s is not at least 0", c.SiteFillKBPerS)
 	case !(c.OriginFillKBPerS >= 0):
-		return invalid("fills from the origin", "%v KB/s is under 0", c.OriginFillKBPerS)
+		return invalid("fills from the origin", "%v KB/s is not at least 0", c.OriginFillKBPerS)
 	case !(c.OriginFillFraction >= 0 && c.OriginFillFraction <= 1):
-		return invalid("part of fills from the origin", "%v is not 0 to 1", c.OriginFillFraction)
+		return invalid("fraction of fills from the origin", "%v is not between 0 and 1", c.OriginFillFraction)
 	}
 	seen := map[string]bool{}
 	for i := range requests {
@@ -48,28 +48,28 @@
 			return err
 		}
 		if seen[r.Tenant] {
-			return invalid("tenant "+r.Tenant, "requested twice")
+			return invalid("tenant "+r.Tenant, "has two requests")
 		}
 		seen[r.Tenant] = true
 	}
 	return nil
 }
 
-// validateRequest returns the first fault of a request by itself.
+// validateRequest returns an error for the first invalid field of a request, or nil.
 func (c *Constraints) validateRequest(r *Request) error {
 	field := "tenant " + r.Tenant
 	for _, cell := range []string{r.From, r.To} {
 		if _, known := c.Cells[cell]; !known {
-			return invalid(field, "no cell %q", cell)
+			return invalid(field, "unknown cell %q", cell)
 		}
 	}
 	switch {
 	case r.From == r.To:
-		return invalid(field, "is in cell %q already", r.To)
+		return invalid(field, "is already in cell %q", r.To)
 	case !(r.DemandKBPerS >= 0 && r.DemandKBPerS < kbPerSLimit):
-		return invalid(field, "%v KB/s is not 0 to %v", r.DemandKBPerS, kbPerSLimit)
+		return invalid(field, "demand of %v KB/s is not from 0 to below %v", r.DemandKBPerS, kbPerSLimit)
 	case !(r.FillKB >= 0 && r.FillKB < fillKbLimit):
-		return invalid(field, "%v KB to fill is not 0 to %v", r.FillKB, fillKbLimit)
+		return invalid(field, "%v KB to fill is not from 0 to below %v", r.FillKB, fillKbLimit)
 	}
 	return nil
 }
