--- a/core/migration/schedule/schedule_test.go
+++ b/core/migration/schedule/schedule_test.go
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 		if len(s.Migrations)+len(s.Unscheduled) != len(requests) {
-			t.Fatalf("%d migrations and %d unscheduled tenants for %d requests", len(s.Migrations), len(s.Unscheduled), len(requests))
+			t.Fatalf("%d migrations and %d unscheduled tenants of %d", len(s.Migrations), len(s.Unscheduled), len(requests))
 		}
 		if len(s.Migrations) == len(requests) && s.End < s.LowerBound-1 {
 			t.Fatalf("plan ends at %v, before the lower bound %v", s.End, s.LowerBound)
--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -2,40 +2,41 @@
 
 import "math"
 
-// oddsFactors are the degrees of harm that are tested against, with equal weight: harm as factors on the odds of a bad
-// event. Small harm takes long to find, great harm must not.
-var oddsFactors = [...]float64{1.25, 1.5, 2, 3, 5, 10}
+// oddsRatios are the alternative hypotheses of the test, with equal weight. Each is a degradation as an odds ratio of a
+// bad event. There are several because a test for a small degradation would find a large one too late.
+var oddsRatios = [...]float64{1.25, 1.5, 2, 3, 5, 10}
 
 const (
-	// priorEvents stand on each side for what is unknown of the odds: few bad events before must not fix a ratio of 0.
+	// priorEvents are the pseudo-counts of bad events added to the ring and to the control in estimates of odds. They
+	// keep the odds ratio from being 0 when there were few bad events.
 	priorEvents = 2.0
-	// maxUncertainty bounds what the baseline's uncertainty adds to the margin: a ring of which nothing was seen before
-	// is tested all the same.
+	// maxUncertainty is the maximum factor that the uncertainty of the baseline adds to the margin. It keeps the test
+	// effective for a ring without any baseline events.
 	maxUncertainty = 3.0
-	// minBaselineSamples is how many samples are needed to estimate the dispersion.
+	// minBaselineSamples is the number of samples needed to estimate the dispersion.
 	minBaselineSamples = 5
 	// smallestProbability keeps logarithms finite.
 	smallestProbability = 1e-9
 )
 
-// evidence is the sequential probability ratio test of one metric (Wald 1945). A bad event, of ring and control
-// together, is the ring's with a probability that follows from odds: those by the numbers of events on both sides,
-// times the ratio before the ring opened, times the margin; under harm times a factor besides. The log likelihood
-// ratio of each factor is summed over samples. The mean of their likelihood ratios is a test that may be read at any
-// time.
+// evidence is the sequential probability ratio test of one metric (Wald 1945). It tests with which probability a bad
+// event of ring and control together is an event of the ring. Under the null hypothesis the odds of that are the ratio
+// of the events of ring and control, times the baseline odds ratio, times the margin. Under each alternative they are
+// also multiplied by one of oddsRatios. The log likelihood ratio of each alternative is summed over samples. The test
+// statistic is the mean of the likelihood ratios. It may be compared with its threshold at any time.
 type evidence struct {
-	// Before the ring opened.
+	// Baseline, from before the ring opened.
 	ring, control     Counts
 	squaredDeviations float64 // sum of squared standardized differences, over samples
 	baselineSamples   float64
-	dispersion        float64 // variance of bad events, over that of independent ones: 1 or more
+	dispersion        float64 // variance of bad events relative to that of independent events: 1 or more
 
-	// Since then.
-	logRatios       [len(oddsFactors)]float64 // by factor
-	minHarmLogRatio float64                   // of harm of MinHarm, against none
+	// Since the ring opened.
+	logRatios              [len(oddsRatios)]float64 // log likelihood ratios, by alternative
+	minDegradationLogRatio float64                  // log likelihood ratio of a degradation of MinHarm to none
 }
 
-// addBaseline takes in the counts of a sample from before the ring opened.
+// addBaseline adds the counts of a sample from before the ring opened.
 func (e *evidence) addBaseline(ring, control Counts) {
 	e.ring.add(ring)
 	e.control.add(control)
@@ -49,14 +50,15 @@
 	e.baselineSamples++
 }
 
-// freezeBaseline sets the dispersion from the samples before the ring opened.
+// freezeBaseline estimates the dispersion from the baseline samples, if there are at least minBaselineSamples.
 func (e *evidence) freezeBaseline() {
 	if e.baselineSamples >= minBaselineSamples {
 		e.dispersion = max(e.squaredDeviations/e.baselineSamples, 1)
 	}
 }
 
-// baselineOddsRatio is the ratio of the odds of a bad event before, ring to control.
+// baselineOddsRatio returns the odds of a bad event in the ring, relative to the control, before the ring opened. It is
+// 1 if either had no events.
 func (e *evidence) baselineOddsRatio() float64 {
 	ring, control := e.ring, e.control
 	if ring.Total == 0 || control.Total == 0 {
@@ -68,57 +70,59 @@
 	return ringOdds / controlOdds
 }
 
-// baselineUncertainty is the factor by which that ratio may be off: two standard errors, within maxUncertainty.
+// baselineUncertainty returns the factor by which baselineOddsRatio may be wrong: two standard errors, at most
+// maxUncertainty.
 func (e *evidence) baselineUncertainty() float64 {
 	variance := e.dispersion * (1/(e.ring.Bad+priorEvents) + 1/(e.control.Bad+priorEvents))
 	return min(math.Exp(2*math.Sqrt(variance)), maxUncertainty)
 }
 
-// add takes in the counts of a sample from after the ring opened.
+// add adds the counts of a sample from after the ring opened. A sample without bad events or with invalid counts is
+// ignored.
 func (e *evidence) add(ring, control Counts, p *TestParameters) {
 	empty := !(ring.Total > 0 && control.Total > 0 && ring.Bad+control.Bad > 0)
 	if empty || ring.Bad > ring.Total || control.Bad > control.Total {
 		return
 	}
 	uncertainty := e.baselineUncertainty()
-	harmlessOdds := e.baselineOddsRatio() * p.Margin * uncertainty
-	harmless := expectedRingShare(ring.Total, control.Total, harmlessOdds)
-	for i, factor := range oddsFactors {
-		harmful := expectedRingShare(ring.Total, control.Total, harmlessOdds*factor)
-		e.logRatios[i] += logLikelihoodRatio(ring.Bad, control.Bad, harmless, harmful) / e.dispersion
+	nullOddsRatio := e.baselineOddsRatio() * p.Margin * uncertainty
+	null := expectedRingShare(ring.Total, control.Total, nullOddsRatio)
+	for i, oddsRatio := range oddsRatios {
+		alternative := expectedRingShare(ring.Total, control.Total, nullOddsRatio*oddsRatio)
+		e.logRatios[i] += logLikelihoodRatio(ring.Bad, control.Bad, null, alternative) / e.dispersion
 	}
-	// What is called healthy must be so also if the ring was better before than it looked, by one standard error.
-	lowOdds := e.baselineOddsRatio() / math.Sqrt(uncertainty)
-	noHarm := expectedRingShare(ring.Total, control.Total, lowOdds)
-	minHarm := expectedRingShare(ring.Total, control.Total, lowOdds*p.MinHarm)
-	e.minHarmLogRatio += logLikelihoodRatio(ring.Bad, control.Bad, noHarm, minHarm) / e.dispersion
+	// For the verdict Healthy the baseline odds ratio is assumed to be one standard error below its estimate.
+	lowOddsRatio := e.baselineOddsRatio() / math.Sqrt(uncertainty)
+	noDegradation := expectedRingShare(ring.Total, control.Total, lowOddsRatio)
+	minDegradation := expectedRingShare(ring.Total, control.Total, lowOddsRatio*p.MinHarm)
+	e.minDegradationLogRatio += logLikelihoodRatio(ring.Bad, control.Bad, noDegradation, minDegradation) / e.dispersion
 }
 
-// mixtureLogRatio is the log of the mean likelihood ratio over all factors.
+// mixtureLogRatio returns the logarithm of the mean likelihood ratio of all alternatives.
 func (e *evidence) mixtureLogRatio() float64 {
-	greatest := math.Inf(-1)
+	maxLogRatio := math.Inf(-1)
 	for _, l := range e.logRatios {
-		greatest = max(greatest, l)
+		maxLogRatio = max(maxLogRatio, l)
 	}
 	sum := 0.0
 	for _, l := range e.logRatios {
-		sum += math.Exp(l - greatest)
+		sum += math.Exp(l - maxLogRatio)
 	}
-	return greatest + math.Log(sum/float64(len(e.logRatios)))
+	return maxLogRatio + math.Log(sum/float64(len(e.logRatios)))
 }
 
-// expectedRingShare is the expected part of bad events that are the ring's, by the events on both sides and a factor on
-// the ring's odds.
-func expectedRingShare(ring, control, oddsFactor float64) float64 {
-	return clampProbability(oddsFactor * ring / (oddsFactor*ring + control))
+// expectedRingShare returns the expected fraction of bad events that are events of the ring, given the numbers of
+// events of ring and control and the odds ratio of a bad event in the ring.
+func expectedRingShare(ring, control, oddsRatio float64) float64 {
+	return clampProbability(oddsRatio * ring / (oddsRatio*ring + control))
 }
 
 func clampProbability(q float64) float64 {
 	return min(max(q, smallestProbability), 1-smallestProbability)
 }
 
-// logLikelihoodRatio is the log of how much more likely so many bad events in ring and control are if one is the ring's
-// with probability alternative than with probability null.
+// logLikelihoodRatio returns the log likelihood ratio of two hypotheses, given the numbers of bad events in ring and
+// control. null and alternative are the probabilities that a bad event is an event of the ring.
 func logLikelihoodRatio(ring, control, null, alternative float64) float64 {
 	return ring*math.Log(alternative/null) + control*math.Log((1-alternative)/(1-null))
 }
--- a/core/rollout/gate.go
+++ b/core/rollout/gate.go
@@ -1,15 +1,16 @@
 package rollout
 
-// GateDecision is how a cell answers requests for the release's objects.
+// GateDecision determines how a cell answers requests for objects of the release.
 type GateDecision struct {
-	Rejected  bool    // not at all
-	MadeSince float64 // only with copies made since this Unix ms; 0: any
-	MaxAge    float64 // copies may be so many ms old, where that is more than their class allows; 0: no more
+	Rejected  bool    // reject the requests
+	MadeSince float64 // only serve cached copies made at or after this time, in Unix ms; 0: any
+	MaxAge    float64 // maximum age of cached copies in ms, if above that of their class; 0: not extended
 }
 
-// Gate decides how a cell answers requests for the release's objects now. A cell without the release keeps to copies
-// of the old version for as long as the document allows; where it has none it gets the new one. Once the document has
-// rolled the release back every cell revalidates, as it is unknown which of its copies were made in between.
+// Gate returns how a cell currently answers requests for objects of the release. A cell without the release rejects
+// requests for new objects. If the release replaces objects, such a cell serves cached copies of the old version up to
+// OldCopyMaxAge, and the new version if it has no copy. After a rollback by the document every cell revalidates its
+// copies, as it is unknown which of them were made during the rollout.
 func (p *Progress) Gate(cell string) GateDecision {
 	r := p.rollout
 	switch {
@@ -25,7 +26,7 @@
 	return GateDecision{MaxAge: r.OldCopyMaxAge}
 }
 
-// HasRelease reports whether a cell has the release.
+// HasRelease reports whether a cell is in an open ring.
 func (p *Progress) HasRelease(cell string) bool {
 	i, inRing := p.ringOf[cell]
 	if !inRing {
@@ -38,14 +39,14 @@
 	return false
 }
 
-// hadRelease reports whether the release was stopped in a cell that had it.
+// hadRelease reports whether a cell is in a ring that was open before it was stopped.
 func (p *Progress) hadRelease(cell string) bool {
 	i, inRing := p.ringOf[cell]
 	return inRing && p.rings[i].state == RingStopped && p.rings[i].openedAt > 0
 }
 
-// CountsReleaseOnly reports whether Failures and FillErrors of a cell are to be counted for the release's objects
-// alone.
+// CountsReleaseOnly reports whether Failures and FillErrors of a cell are to be counted only for objects of the
+// release.
 func (p *Progress) CountsReleaseOnly(cell string) bool {
 	_, inRing := p.ringOf[cell]
 	return p.HasRelease(cell) || inRing && p.rollout.ReplacesObjects
--- a/core/rollout/metrics.go
+++ b/core/rollout/metrics.go
@@ -1,11 +1,11 @@
 package rollout
 
-// Metric is one kind of bad event.
+// Metric is a kind of bad event that rings are tested for.
 type Metric int
 
 // The metrics.
 const (
-	LateAnswers Metric = iota // answers past their latency objective
+	LateAnswers Metric = iota // answers that missed their latency objective
 	Failures                  // requests that failed
 	FillErrors                // fills that failed
 	metricCount
@@ -13,13 +13,13 @@
 
 var metricNames = [metricCount]string{"late answers", "failures", "fill errors"}
 
-// String returns the name that log and status output use.
+// String returns the name of the metric as it appears in logs and status output.
 func (m Metric) String() string { return metricNames[m] }
 
-// MetricNames returns the names of all metrics, in their order.
+// MetricNames returns the names of all metrics, by Metric.
 func MetricNames() []string { return metricNames[:] }
 
-// Counts are the events of one side in one sample: of Total, so many were bad.
+// Counts are the numbers of all events and of bad events, of a ring or its control.
 type Counts struct{ Total, Bad float64 }
 
 func (c *Counts) add(other Counts) {
@@ -32,7 +32,7 @@
 	c.Bad -= other.Bad
 }
 
-// metricCounts are counts by metric.
+// metricCounts are the counts of each metric.
 type metricCounts [metricCount]Counts
 
 func (c *metricCounts) add(other *metricCounts) {
@@ -47,5 +47,5 @@
 	}
 }
 
-// Sample is what a ring and its control did between two tests, by metric.
+// Sample has the counts of a ring and of its control since the previous sample, by metric.
 type Sample struct{ Ring, Control [metricCount]Counts }
--- a/core/rollout/progress.go
+++ b/core/rollout/progress.go
@@ -5,50 +5,51 @@
 	"slices"
 )
 
-// RingState is where a ring stands.
+// RingState is the state of a ring.
 type RingState int
 
 // The states of a ring.
 const (
-	RingClosed    RingState = iota // not open yet
-	RingJudging                    // open, and tested
-	RingPassed                     // open, and healthy
-	RingUndecided                  // open; its time is over without a verdict
-	RingStopped                    // rolled back: harm was found, here or in another ring, or the document says so
+	RingClosed    RingState = iota // not yet open
+	RingJudging                    // open, without a verdict so far
+	RingPassed                     // open, found healthy
+	RingUndecided                  // open, without a verdict within JudgeWithin
+	RingStopped                    // closed by a degradation in any ring, or by a rollback in the document
 )
 
 var ringStateNames = []string{"shut", "judging", "passed", "can't tell", "stopped"}
 
-// String returns the word for the state that log and status output use.
+// String returns the name of the state as it appears in logs and status output.
 func (s RingState) String() string { return ringStateNames[s] }
 
-// sampleInterval is how often what was counted is tested, in ms.
+// sampleInterval is the minimum time between two samples, in ms.
 const sampleInterval = 1000.0
 
-// Progress is how far one router is with a rollout. Every router tests by what it sees itself. Harm that one sees
-// stops the release there at once, and elsewhere when the document says so or the others see it too.
+// Progress is the state of a rollout at one router. Each router tests rings on its own observations. A router that
+// finds a degradation stops the release immediately. Other routers stop it when they find a degradation themselves, or
+// when the document rolls the release back.
 //
 // It is not safe for concurrent use.
 type Progress struct {
 	rollout    *Rollout
 	rings      []ringProgress
 	ringOf     map[string]int           // by cell
-	counts     map[string]*metricCounts // of each cell, since sampledAt
-	sampledAt  float64
-	rolledBack bool // the document's RollbackAt has come
+	counts     map[string]*metricCounts // by cell, since sampledAt
+	sampledAt  float64                  // Unix ms
+	rolledBack bool                     // the document's RollbackAt has passed
 }
 
-// ringProgress is one ring as this router has it.
+// ringProgress is the state of a ring at this router.
 type ringProgress struct {
-	state        RingState
-	openedAt     float64 // 0: never
-	test         *SequentialTest
-	harmed       bool // harm was found in this ring, by this router
-	harmedMetric Metric
+	state          RingState
+	openedAt       float64 // Unix ms; 0: never
+	test           *SequentialTest
+	degraded       bool   // this router found a degradation in this ring
+	degradedMetric Metric // if degraded
 }
 
-// NewProgress begins a rollout at a time, with every ring closed, or returns the error of r.Validate. A router that
-// starts in the midst opens rings one after the other like others did: their verdicts it does not know.
+// NewProgress starts a rollout at now with all rings closed. It returns the error of r.Validate, if any. A router that
+// starts during a rollout also opens one ring after the other, because it does not know the verdicts of other routers.
 func NewProgress(r *Rollout, now float64) (*Progress, error) {
 	if err := r.Validate(); err != nil {
 		return nil, err
@@ -67,8 +68,8 @@
 	return p, nil
 }
 
-// Continue goes on with another version of the document. It reports whether that is the same rollout, of the same
-// name and kind and with the same cells in its rings, and has no effect if it is not.
+// Continue replaces the document by another version of the same rollout and keeps the state of the rings. It returns
+// false without any effect if next is a different rollout: if the name, ReplacesObjects or the cells of a ring differ.
 func (p *Progress) Continue(next *Rollout) bool {
 	sameCells := func(a, b Ring) bool { return slices.Equal(a.Cells, b.Cells) }
 	if next.Name != p.rollout.Name || next.ReplacesObjects != p.rollout.ReplacesObjects ||
@@ -79,11 +80,11 @@
 	return true
 }
 
-// Rollout is the document in force.
+// Rollout returns the current document.
 func (p *Progress) Rollout() *Rollout { return p.rollout }
 
-// Count records events of a cell, of which so many were bad. A release that harms what else its cell serves is found
-// too if they are counted over all requests.
+// Count adds events of a cell to a metric: total, of which bad were bad. If a caller counts events of all requests, the
+// test also finds a release that degrades requests for other objects.
 func (p *Progress) Count(cell string, m Metric, total, bad float64) {
 	counts := p.counts[cell]
 	if counts == nil {
@@ -93,15 +94,16 @@
 	counts[m].add(Counts{Total: total, Bad: bad})
 }
 
-// State returns where a ring stands, and for RingStopped the metric, if harm was found in it by this router.
+// State returns the state of a ring. If the state is RingStopped and this router found a degradation in this ring, it
+// also returns the degraded metric.
 func (p *Progress) State(ring int) (RingState, Metric) {
-	return p.rings[ring].state, p.rings[ring].harmedMetric
+	return p.rings[ring].state, p.rings[ring].degradedMetric
 }
 
-// HarmObserved reports whether harm was found in a ring by this router.
-func (p *Progress) HarmObserved(ring int) bool { return p.rings[ring].harmed }
+// HarmObserved reports whether this router found a degradation in a ring.
+func (p *Progress) HarmObserved(ring int) bool { return p.rings[ring].degraded }
 
-// Evidence is the log likelihood ratio for harm in a ring, by metric.
+// Evidence returns the log likelihood ratios of a degradation in a ring to none, by metric.
 func (p *Progress) Evidence(ring int) []float64 {
 	var all []float64
 	for m := range metricCount {
@@ -110,8 +112,8 @@
 	return all
 }
 
-// Step advances to now: it tests what was counted, closes what harms and opens the rings whose turn it is. It returns
-// the rings whose state changed; one that changed twice twice.
+// Step advances to now, in Unix ms. It tests the counts, stops all rings if one of them is degraded, and opens rings
+// that may open. It returns the rings whose state changed. A ring is listed once for each change.
 func (p *Progress) Step(now float64) (changed []int) {
 	if p.rollout.RollbackAt > 0 && now >= p.rollout.RollbackAt {
 		p.rolledBack = true
@@ -131,22 +133,22 @@
 		case RingJudging, RingUndecided:
 			verdict, metric := p.rings[i].test.Verdict()
 			if verdict == Harmful {
-				p.rings[i].harmed = true
-				p.rings[i].harmedMetric = metric
-				return p.stopAll(changed) // what is harmful in one ring neither stays in others nor goes on
+				p.rings[i].degraded = true
+				p.rings[i].degradedMetric = metric
+				return p.stopAll(changed) // a degradation in one ring closes all of them
 			}
-			changed = p.setState(i, p.judgedState(i, verdict, now), changed)
+			changed = p.setState(i, p.stateAfterVerdict(i, verdict, now), changed)
 		}
 	}
 	return changed
 }
 
-// mayOpen reports whether a closed ring opens now: its time has come, and the ring before it lets the release go on.
+// mayOpen reports whether a closed ring may open: OpensAt has passed, and the previous ring allows it.
 func (p *Progress) mayOpen(ring int, now float64) bool {
 	return now >= p.rollout.Rings[ring].OpensAt && (ring == 0 || p.allowsNext(ring-1))
 }
 
-// allowsNext reports whether the ring after one may open.
+// allowsNext reports whether the state of a ring allows the next ring to open.
 func (p *Progress) allowsNext(ring int) bool {
 	switch p.rings[ring].state {
 	case RingPassed:
@@ -157,8 +159,8 @@
 	return false
 }
 
-// judgedState is the state of an open ring by a verdict that is not Harmful.
-func (p *Progress) judgedState(ring int, verdict Verdict, now float64) RingState {
+// stateAfterVerdict returns the state of an open ring after a verdict other than Harmful.
+func (p *Progress) stateAfterVerdict(ring int, verdict Verdict, now float64) RingState {
 	switch {
 	case verdict == Healthy:
 		return RingPassed
@@ -168,7 +170,7 @@
 	return p.rings[ring].state
 }
 
-// stopAll stops every ring and appends those whose state changed.
+// stopAll stops all rings and returns changed with the rings appended whose state changed.
 func (p *Progress) stopAll(changed []int) []int {
 	for i := range p.rings {
 		changed = p.setState(i, RingStopped, changed)
@@ -176,7 +178,7 @@
 	return changed
 }
 
-// setState sets a ring's state and appends the ring if it changed.
+// setState sets the state of a ring and returns changed with the ring appended if its state changed.
 func (p *Progress) setState(ring int, state RingState, changed []int) []int {
 	if p.rings[ring].state == state {
 		return changed
@@ -185,7 +187,8 @@
 	return append(changed, ring)
 }
 
-// takeSample hands what was counted to the tests: each ring against all cells without the release.
+// takeSample adds a sample to the test of each ring and resets the counts. The control of a ring is all cells without
+// the release.
 func (p *Progress) takeSample() {
 	control := p.controlCounts()
 	for i := range p.rings {
@@ -201,8 +204,8 @@
 	clear(p.counts)
 }
 
-// controlCounts sums the counts of all cells without the release, in the order of their names, so that the sum comes
-// out the same each time.
+// controlCounts returns the sums of the counts of all cells without the release. It sorts the cells by name, so that
+// floating-point sums are reproducible.
 func (p *Progress) controlCounts() metricCounts {
 	var control metricCounts
 	for _, cell := range slices.Sorted(maps.Keys(p.counts)) {
@@ -213,7 +216,8 @@
 	return control
 }
 
-// sampleOf is a ring's counts against the control's. The cells of a ring that is closed are not their own control.
+// sampleOf returns the sample of a ring. The cells of a closed ring are subtracted from the control, so that they are
+// not their own control.
 func (p *Progress) sampleOf(ring int, control metricCounts) Sample {
 	var counts metricCounts
 	for _, cell := range p.rollout.Rings[ring].Cells {
--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -1,12 +1,12 @@
-// Package rollout lets a release or a price file into cells ring by ring, and tests each ring against the cells that
-// are still on the old version. A harmful release is stopped.
+// Package rollout introduces a release or a price file into cells ring by ring. It compares each ring with the cells
+// that still have the old version, and stops a release that degrades a ring.
 //
-// Guarantee: as long as bad events of ring and control occur independently but for bursts as in the time before, a
-// release that does no harm is stopped with a probability of Alpha at most, however long and however often it is
-// tested (Ville's inequality), over all metrics together.
+// Guarantee: the probability that a release without degradation is stopped is at most Alpha over all metrics together,
+// regardless of how long and how often it is tested (Ville's inequality). This assumes that bad events of ring and
+// control are independent, except for bursts like those before the ring opened.
 //
-// The package does no I/O and reads no clock: counts and times come in. Times are Unix milliseconds, spans
-// milliseconds.
+// The package does no I/O and does not read the clock: callers pass counts and times. Times are Unix milliseconds,
+// durations are milliseconds.
 package rollout
 
 import (
@@ -14,50 +14,50 @@
 	"strings"
 )
 
-// Rollout is one release on its way through the cells: either objects that are new with it, which cells without the
-// release reject, or with ReplacesObjects a new version of objects that the origin has had since Since under their old
-// names.
+// Rollout is the document that describes the rollout of a release. The release either adds new objects, which cells
+// without the release reject, or has ReplacesObjects set: it is a new version of existing objects under the same names,
+// which the origin serves from Since on.
 type Rollout struct {
-	Version int64  `json:"version" jsonschema:"minimum=0" jsonschema_description:"number of this document; a later one is greater"`
+	Version int64  `json:"version" jsonschema:"minimum=0" jsonschema_description:"version of this document; must be greater than that of the document that it replaces"`
 	Name    string `json:"name"`
-	// Prefix and FamilyRange tell which objects belong to the release: those whose hex name begins so, those of the first
-	// to the last of these families; both where both are given. One of them is needed.
-	Prefix      string `json:"prefix,omitempty" jsonschema_description:"how its objects begin, in hex"`
-	FamilyRange []int  `json:"families,omitempty" jsonschema_description:"first and last group of its objects"`
-	// Since is when the release is at the origin; no ring opens before.
-	Since float64 `json:"since" jsonschema_description:"Unix milliseconds; no ring opens before"`
-	// ReplacesObjects: the objects had an older version, which the origin served until Since.
-	ReplacesObjects bool `json:"renews,omitempty" jsonschema_description:"its objects had an older version, which the head office gave out until since"`
-	// OldCopyMaxAge is how old copies of the older version may be where the release is not, in ms. It is above 0 with
-	// ReplacesObjects and 0 without.
-	OldCopyMaxAge float64 `json:"keep,omitempty" jsonschema_description:"ms: how old copies may be where a ring is shut; with renews only, and then needed"`
+	// Prefix and FamilyRange select the objects of the release: by a prefix of their hex names, and by the first and
+	// last family. If both are set, objects must match both. At least one must be set.
+	Prefix      string `json:"prefix,omitempty" jsonschema_description:"prefix of the hex names of its objects"`
+	FamilyRange []int  `json:"families,omitempty" jsonschema_description:"first and last family of its objects"`
+	// Since is the time from which on the origin has the release. No ring may open earlier.
+	Since float64 `json:"since" jsonschema_description:"Unix milliseconds from which on the origin has the release; no ring may open earlier"`
+	// ReplacesObjects means that the objects had an older version, which the origin served until Since.
+	ReplacesObjects bool `json:"renews,omitempty" jsonschema_description:"its objects had an older version, which the origin served until since"`
+	// OldCopyMaxAge is the maximum age, in ms, of cached copies of the older version in cells without the release. It
+	// must be above 0 with ReplacesObjects, and 0 without.
+	OldCopyMaxAge float64 `json:"keep,omitempty" jsonschema_description:"maximum age in ms of cached copies of the older version in closed rings; required with renews, not allowed without"`
 	Rings         []Ring  `json:"rings"`
-	// OnRollback is what a ring that was stopped here does with replaced objects, until RollbackAt tells when the origin
-	// has the old version again: RejectOnRollback, which is the default, or ServeOnRollback.
-	OnRollback string `json:"back,omitempty" jsonschema:"enum=refuse,enum=serve" jsonschema_description:"renewed objects of a ring taken back: refuse (if left out) or serve whatever is there"`
-	// OnUndecided is what follows a ring that had its time without a verdict: WaitWhenUndecided, which is the default, or
-	// ProceedWhenUndecided.
-	OnUndecided string `json:"unsure,omitempty" jsonschema:"enum=wait,enum=go" jsonschema_description:"a ring that can't be judged in its time: wait (if left out) or go"`
-	// RollbackAt stops all rings from then on; 0: not rolled back. With ReplacesObjects the origin has the old version
-	// again by then.
-	RollbackAt float64 `json:"stopAt,omitempty" jsonschema_description:"from then on all rings are taken back; with renews the head office has the old version again by then"`
-	// Alpha, Beta, MinHarm and Margin are those of TestParameters; 0 stands for the default.
-	Alpha   float64 `json:"alpha,omitempty" jsonschema_description:"probability at most that a ring without harm is stopped; 0.01 if left out"`
-	Beta    float64 `json:"beta,omitempty" jsonschema_description:"the same that harm is called sound; 0.05 if left out"`
-	MinHarm float64 `json:"least,omitempty" jsonschema_description:"smallest harm that matters, as a factor on the odds of a bad event; 2 if left out"`
-	Margin  float64 `json:"margin,omitempty" jsonschema_description:"factor that is no harm; 1.1 if left out"`
+	// OnRollback is how cells of a ring that this router has stopped answer requests for replaced objects until
+	// RollbackAt, when the origin has the old version again: RejectOnRollback, the default, or ServeOnRollback.
+	OnRollback string `json:"back,omitempty" jsonschema:"enum=refuse,enum=serve" jsonschema_description:"requests for replaced objects in a ring that a router has stopped: refuse (if left out) or serve any version"`
+	// OnUndecided is how the rollout continues after a ring without a verdict within JudgeWithin: WaitWhenUndecided,
+	// the default, or ProceedWhenUndecided.
+	OnUndecided string `json:"unsure,omitempty" jsonschema:"enum=wait,enum=go" jsonschema_description:"after a ring without a verdict in its time: wait for one (if left out) or go on with the next ring"`
+	// RollbackAt is the time from which on all rings are stopped; 0: not rolled back. With ReplacesObjects the origin
+	// must have the old version again by then.
+	RollbackAt float64 `json:"stopAt,omitempty" jsonschema_description:"Unix milliseconds from which on all rings are stopped; with renews the origin must have the old version again by then"`
+	// Alpha, Beta, MinHarm and Margin are the fields of TestParameters; 0 means the default.
+	Alpha   float64 `json:"alpha,omitempty" jsonschema_description:"maximum probability that a release without degradation is stopped; 0.01 if left out"`
+	Beta    float64 `json:"beta,omitempty" jsonschema_description:"maximum probability that a release with a degradation of at least the value of least is judged healthy; 0.05 if left out"`
+	MinHarm float64 `json:"least,omitempty" jsonschema_description:"smallest degradation that must be found, as an odds ratio of bad events; 2 if left out"`
+	Margin  float64 `json:"margin,omitempty" jsonschema_description:"odds ratio of bad events that is tolerated; 1.1 if left out"`
 }
 
-// Ring is a set of cells that get the release at once.
+// Ring is a set of cells that get the release at the same time.
 type Ring struct {
 	Cells []string `json:"cells"`
-	// OpensAt is the earliest time; a ring also waits for the verdict on the one before it.
-	OpensAt float64 `json:"open" jsonschema_description:"Unix milliseconds, at the soonest"`
-	// JudgeWithin is the span after which a ring without a verdict is RingUndecided.
-	JudgeWithin float64 `json:"for" jsonschema_description:"ms in which it must be judged; the next ring opens no sooner than a verdict"`
+	// OpensAt is the earliest time at which the ring opens. It also waits for the verdict on the previous ring.
+	OpensAt float64 `json:"open" jsonschema_description:"Unix milliseconds at which the ring opens, at the earliest"`
+	// JudgeWithin is the time after which an open ring without a verdict becomes RingUndecided.
+	JudgeWithin float64 `json:"for" jsonschema_description:"ms within which a verdict is expected; the next ring waits for the verdict, but see unsure"`
 }
 
-// Values of Rollout.OnRollback and Rollout.OnUndecided; an empty string stands for the first of each.
+// Values of Rollout.OnRollback and Rollout.OnUndecided. An empty string means RejectOnRollback and WaitWhenUndecided.
 const (
 	RejectOnRollback     = "refuse"
 	ServeOnRollback      = "serve"
@@ -65,7 +65,7 @@
 	ProceedWhenUndecided = "go"
 )
 
-// The test parameters of a rollout that leaves them out.
+// Default test parameters.
 const (
 	defaultAlpha   = 0.01
 	defaultBeta    = 0.05
@@ -73,7 +73,7 @@
 	defaultMargin  = 1.1
 )
 
-// TestParameters are those that the rings are tested with.
+// TestParameters returns the test parameters of the rings, with defaults for those that are 0.
 func (r *Rollout) TestParameters() TestParameters {
 	return TestParameters{
 		Alpha:   cmp.Or(r.Alpha, defaultAlpha),
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -8,7 +8,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// sampleRollout has three rings, of one, two and four cells; cell h is in none.
+// sampleRollout returns a rollout with three rings, of one, two and four cells. Cell h is in none of them.
 func sampleRollout() Rollout {
 	return Rollout{Version: 1, Name: "prices", Prefix: "00ff", Since: 1000, Rings: []Ring{
 		{Cells: []string{"a"}, OpensAt: 60_000, JudgeWithin: 120_000},
@@ -30,7 +30,7 @@
 		{3, "00fe", false},
 	} {
 		if got := r.Contains(test.family, test.object); got != test.want {
-			t.Errorf("family %d, object %s: %v", test.family, test.object, got)
+			t.Errorf("family %d, object %s: Contains is %v", test.family, test.object, got)
 		}
 	}
 }
--- a/core/rollout/sequential.go
+++ b/core/rollout/sequential.go
@@ -2,72 +2,73 @@
 
 import "math"
 
-// TestParameters say how a ring is tested.
+// TestParameters are the error probabilities and effect sizes of the test of a ring.
 type TestParameters struct {
-	Alpha   float64 // greatest probability that a release without harm is stopped: above 0, under 0.5
-	Beta    float64 // greatest probability that harm of MinHarm or more is called Healthy: above 0, under 0.5
-	MinHarm float64 // smallest harm that matters, as a factor on the odds of a bad event: above Margin, at most 100
-	Margin  float64 // factor on those odds that is no harm, as rings differ a little by themselves: 1 or more
+	Alpha   float64 // maximum probability that a release without degradation is stopped: above 0, below 0.5
+	Beta    float64 // maximum probability that a degradation of MinHarm or more is found Healthy: above 0, below 0.5
+	MinHarm float64 // smallest degradation to be found, as an odds ratio of a bad event: above Margin, at most 100
+	Margin  float64 // odds ratio that is tolerated, because cells differ slightly anyway: 1 or more
 }
 
-// Validate returns the first parameter that is out of bounds, as an error that wraps ErrInvalid.
+// Validate returns an error for the first parameter that is out of bounds, or nil. The error wraps ErrInvalid.
 func (p *TestParameters) Validate() error {
 	switch {
 	case !(p.Alpha > 0 && p.Alpha < 0.5):
-		return invalid("alpha", "%v is not above 0 and under 0.5", p.Alpha)
+		return invalid("alpha", "%v is not above 0 and below 0.5", p.Alpha)
 	case !(p.Beta > 0 && p.Beta < 0.5):
-		return invalid("beta", "%v is not above 0 and under 0.5", p.Beta)
+		return invalid("beta", "%v is not above 0 and below 0.5", p.Beta)
 	case !(p.Margin >= 1):
-		return invalid("margin", "%v is not 1 or more", p.Margin)
-	case !(p.MinHarm > p.Margin && p.MinHarm <= maxHarm):
-		return invalid("least", "%v is not above margin (%v) and at most %d", p.MinHarm, p.Margin, maxHarm)
+		return invalid("margin", "%v is not at least 1", p.Margin)
+	case !(p.MinHarm > p.Margin && p.MinHarm <= maxMinHarm):
+		return invalid("least", "%v is not above margin (%v) and at most %d", p.MinHarm, p.Margin, maxMinHarm)
 	}
 	return nil
 }
 
-// ExpectedEvents is the number of bad events, of ring and control together, after which harm of a factor is found on
-// average. ringPart is the part of all events that are the ring's, dispersion 1 or more for bad events that come in
-// bursts. It is what the test statistic must reach, divided by what one event adds to it; math.Inf(1) for harm that
-// is not found.
-func (p *TestParameters) ExpectedEvents(factor, ringPart, dispersion float64) float64 {
-	harmless := expectedRingShare(ringPart, 1-ringPart, p.Margin)
-	actual := expectedRingShare(ringPart, 1-ringPart, factor)
+// ExpectedEvents returns the average number of bad events, of ring and control together, until a degradation is found;
+// math.Inf(1) if it is too small to be found. oddsRatio is the degradation, ringFraction the fraction of all events
+// that are events of the ring, and dispersion is above 1 if bad events occur in bursts. The result is the threshold of
+// the test statistic divided by its expected increase for each event.
+func (p *TestParameters) ExpectedEvents(oddsRatio, ringFraction, dispersion float64) float64 {
+	null := expectedRingShare(ringFraction, 1-ringFraction, p.Margin)
+	actual := expectedRingShare(ringFraction, 1-ringFraction, oddsRatio)
 	perEvent := 0.0
-	for _, f := range oddsFactors {
-		harmful := expectedRingShare(ringPart, 1-ringPart, p.Margin*f)
-		perEvent = max(perEvent, logLikelihoodRatio(actual, 1-actual, harmless, harmful))
+	for _, r := range oddsRatios {
+		alternative := expectedRingShare(ringFraction, 1-ringFraction, p.Margin*r)
+		perEvent = max(perEvent, logLikelihoodRatio(actual, 1-actual, null, alternative))
 	}
 	if perEvent <= 0 {
 		return math.Inf(1)
 	}
-	threshold := math.Log(float64(metricCount) * float64(len(oddsFactors)) / p.Alpha)
+	threshold := math.Log(float64(metricCount) * float64(len(oddsRatios)) / p.Alpha)
 	return threshold * max(dispersion, 1) / perEvent
 }
 
-// Verdict is what the evidence amounts to so far.
+// Verdict is the result of a SequentialTest so far.
 type Verdict int
 
 // The verdicts.
 const (
-	Undecided Verdict = iota // neither is shown yet
-	Harmful                  // some metric is worse in the ring
-	Healthy                  // harm of MinHarm or more is ruled out in every metric
+	Undecided Verdict = iota // not enough evidence for either of the following
+	Harmful                  // a degradation of some metric in the ring was found
+	Healthy                  // a degradation of MinHarm or more is ruled out in every metric
 )
 
 var verdictNames = []string{"open", "harm", "sound"}
 
-// String returns the word for the verdict that tests and logs use.
+// String returns the name of the verdict as it appears in tests and logs.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// SequentialTest tests a ring against its control, sample by sample: a sequential probability ratio test of each metric
-// (evidence), whose verdict holds whenever it is read. NewSequentialTest makes one; the zero value is not usable.
+// SequentialTest compares a ring with its control, sample by sample. It makes a sequential probability ratio test of
+// each metric, see evidence. Its error probabilities hold regardless of when and how often the verdict is read. Use
+// NewSequentialTest to create one.
 type SequentialTest struct {
 	parameters TestParameters
 	metrics    [metricCount]evidence
-	started    bool // the baseline is frozen
+	started    bool // Add was called; the baseline does not change any more
 }
 
-// NewSequentialTest returns a test without a sample, or the error of p.Validate.
+// NewSequentialTest returns a test without samples, or the error of p.Validate.
 func NewSequentialTest(p TestParameters) (*SequentialTest, error) {
 	if err := p.Validate(); err != nil {
 		return nil, err
@@ -79,8 +80,8 @@
 	return t, nil
 }
 
-// AddBaseline takes in a sample from before the ring was opened: how ring and control differ by themselves, and how
-// much bad events come in bursts. It has no effect once Add has been called.
+// AddBaseline adds a sample from before the ring opened. The baseline is used to estimate how ring and control differ
+// without the release, and how much bad events occur in bursts. AddBaseline has no effect after the first Add.
 func (t *SequentialTest) AddBaseline(s Sample) {
 	if t.started {
 		return
@@ -90,8 +91,7 @@
 	}
 }
 
-// Add takes in a sample from after the ring was opened. Counts that can't be, more bad events than events, are left
-// out.
+// Add adds a sample from after the ring opened. Counts with more bad events than events are ignored.
 func (t *SequentialTest) Add(s Sample) {
 	if !t.started {
 		t.started = true
@@ -104,7 +104,8 @@
 	}
 }
 
-// Verdict returns what the evidence amounts to, and for Harmful in which metric. Each metric has its part of Alpha.
+// Verdict returns the verdict of the samples so far, and for Harmful also the degraded metric. Alpha is divided equally
+// between the metrics.
 func (t *SequentialTest) Verdict() (Verdict, Metric) {
 	healthy := t.started
 	for i := range t.metrics {
@@ -112,7 +113,7 @@
 		if e.mixtureLogRatio() >= math.Log(float64(metricCount)/t.parameters.Alpha) {
 			return Harmful, Metric(i)
 		}
-		healthy = healthy && e.minHarmLogRatio <= math.Log(t.parameters.Beta)
+		healthy = healthy && e.minDegradationLogRatio <= math.Log(t.parameters.Beta)
 	}
 	if healthy {
 		return Healthy, 0
@@ -120,6 +121,6 @@
 	return Undecided, 0
 }
 
-// Evidence is the log likelihood ratio for harm in a metric. Those of routers that saw different requests may be
-// summed, and the sum held against the same bound.
+// Evidence returns the log likelihood ratio of a degradation of a metric to none. The values of routers with different
+// requests may be summed, and the sum may be compared with the threshold of a single router.
 func (t *SequentialTest) Evidence(m Metric) float64 { return t.metrics[m].mixtureLogRatio() }
--- a/core/rollout/sequential_test.go
+++ b/core/rollout/sequential_test.go
@@ -10,39 +10,39 @@
 
 var parameters = TestParameters{Alpha: 0.05, Beta: 0.05, MinHarm: 2, Margin: 1.1}
 
-// simulatedRelease is a release in a ring that has a tenth of all events. Bad events come at 1%, twice that in the
-// ring by itself.
+// simulatedRelease is a release in a ring that has a tenth of all events. Without the release, 1% of the control's
+// events are bad, and 2% of the ring's.
 type simulatedRelease struct {
-	harm            float64 // factor on the ring's failures once it is open
-	burst           int     // how many bad events come at once
+	degradation     float64 // factor on the failures of the ring after it opened
+	burst           int     // number of bad events that occur together
 	eventsPerSample float64
-	maxSamples      int // after the ring has opened
+	maxSamples      int // after the ring opened
 }
 
-// judge tests the release until a verdict or its last sample, and returns at which sample that was.
-func (r simulatedRelease) judge(seed uint64) (verdict Verdict, sample int) {
+// run tests the release until a verdict or until maxSamples. It returns the verdict and the number of the last sample.
+func (r simulatedRelease) run(seed uint64) (verdict Verdict, sample int) {
 	src := rand.NewPCG(seed, 0x57a9e)
 	test, err := NewSequentialTest(parameters)
 	if err != nil {
 		panic(err)
 	}
-	draw := func(total, badPart float64) Counts {
-		bursts := distuv.Poisson{Lambda: total * badPart / float64(r.burst), Src: src}.Rand()
+	draw := func(total, badFraction float64) Counts {
+		bursts := distuv.Poisson{Lambda: total * badFraction / float64(r.burst), Src: src}.Rand()
 		return Counts{Total: total, Bad: min(bursts*float64(r.burst), total)}
 	}
-	next := func(harm float64) (s Sample) {
+	next := func(degradation float64) (s Sample) {
 		for m := range metricCount {
 			s.Ring[m] = draw(r.eventsPerSample/10, 0.02)
 			s.Control[m] = draw(r.eventsPerSample*9/10, 0.01)
 		}
-		s.Ring[Failures] = draw(r.eventsPerSample/10, 0.02*harm)
+		s.Ring[Failures] = draw(r.eventsPerSample/10, 0.02*degradation)
 		return s
 	}
 	for range 60 {
 		test.AddBaseline(next(1))
 	}
 	for sample = range r.maxSamples {
-		test.Add(next(r.harm))
+		test.Add(next(r.degradation))
 		if verdict, _ = test.Verdict(); verdict != Undecided {
 			return verdict, sample
 		}
@@ -50,75 +50,78 @@
 	return Undecided, r.maxSamples
 }
 
-// Of 400 releases without harm, tested 300 times each, no more are stopped than the stated rate allows, with bad
-// events one by one and in bursts of five. Without the estimate of dispersion 189 of 400 were stopped in the second
-// case.
-func TestFalseAlarmsAreAsStated(t *testing.T) {
+// Guards against more false alarms than Alpha allows, for 400 releases without degradation and 300 tests each, with
+// independent bad events and with bursts of five. Without the estimate of the dispersion, 189 of 400 releases with
+// bursts would be stopped.
+func TestFalseAlarmRateIsWithinAlpha(t *testing.T) {
 	for _, burst := range []int{1, 5} {
 		stopped := 0
-		release := simulatedRelease{harm: 1, burst: burst, eventsPerSample: 2000, maxSamples: 300}
+		release := simulatedRelease{degradation: 1, burst: burst, eventsPerSample: 2000, maxSamples: 300}
 		for seed := range uint64(400) {
-			if verdict, _ := release.judge(seed); verdict == Harmful {
+			if verdict, _ := release.run(seed); verdict == Harmful {
 				stopped++
 			}
 		}
-		stated := distuv.Binomial{N: 400, P: parameters.Alpha}
-		if float64(stopped) > stated.N*stated.P+3*stated.StdDev() {
-			t.Errorf("bursts of %d: %d of 400 healthy releases stopped, %.0f stated", burst, stopped, stated.N*stated.P)
+		expected := distuv.Binomial{N: 400, P: parameters.Alpha}
+		if float64(stopped) > expected.N*expected.P+3*expected.StdDev() {
+			t.Errorf("bursts of %d: %d of 400 healthy releases stopped, %.0f expected", burst, stopped, expected.N*expected.P)
 		}
 	}
 }
 
-// Harm is found, the greater the sooner, within a few times the stated number of events.
-func TestHarmIsFound(t *testing.T) {
+// Guards against a degradation that is missed, or found later than a few times ExpectedEvents, and against a large
+// degradation that is found later than a small one.
+func TestDegradationIsFoundInTime(t *testing.T) {
 	previous := math.Inf(1)
-	for _, harm := range []float64{2, 4, 8} {
+	for _, degradation := range []float64{2, 4, 8} {
 		found, sum := 0, 0.0
-		release := simulatedRelease{harm: harm, burst: 1, eventsPerSample: 2000, maxSamples: 300}
+		release := simulatedRelease{degradation: degradation, burst: 1, eventsPerSample: 2000, maxSamples: 300}
 		for seed := range uint64(100) {
-			if verdict, sample := release.judge(1000 + seed); verdict == Harmful {
+			if verdict, sample := release.run(1000 + seed); verdict == Harmful {
 				found++
 				sum += float64(sample + 1)
 			}
 		}
 		mean := sum / float64(found)
-		badPerSample := 2000 * (0.1*0.02*harm + 0.9*0.01)
-		stated := parameters.ExpectedEvents(harm, 0.1, 1) / badPerSample
-		if found < 95 || mean > 3*stated+2 || mean >= previous {
-			t.Errorf("harm of %v: found in %d of 100, after %.1f samples on average, %.1f stated", harm, found, mean, stated)
+		badPerSample := 2000 * (0.1*0.02*degradation + 0.9*0.01)
+		expected := parameters.ExpectedEvents(degradation, 0.1, 1) / badPerSample
+		if found < 95 || mean > 3*expected+2 || mean >= previous {
+			t.Errorf("degradation %v: found in %d of 100, after %.1f samples on average, %.1f expected",
+				degradation, found, mean, expected)
 		}
 		previous = mean
 	}
 }
 
-// Healthy releases are called so, harm that matters hardly ever; with few events nothing is called anything.
-func TestHealthyAndUndecided(t *testing.T) {
+// Guards against healthy releases without a verdict, degradations above MinHarm that are judged healthy more often than
+// Beta allows, and verdicts on too few events or on invalid counts.
+func TestHealthyAndUndecidedVerdicts(t *testing.T) {
 	verdicts := map[Verdict]int{}
-	wrong := 0
-	healthy := simulatedRelease{harm: 1, burst: 1, eventsPerSample: 4000, maxSamples: 400}
-	harmful := simulatedRelease{harm: parameters.MinHarm * 1.5, burst: 1, eventsPerSample: 4000, maxSamples: 400}
-	fewEvents := simulatedRelease{harm: 1, burst: 1, eventsPerSample: 2, maxSamples: 100}
+	missed := 0
+	healthy := simulatedRelease{degradation: 1, burst: 1, eventsPerSample: 4000, maxSamples: 400}
+	degraded := simulatedRelease{degradation: parameters.MinHarm * 1.5, burst: 1, eventsPerSample: 4000, maxSamples: 400}
+	fewEvents := simulatedRelease{degradation: 1, burst: 1, eventsPerSample: 2, maxSamples: 100}
 	for seed := range uint64(100) {
-		verdict, _ := healthy.judge(2000 + seed)
+		verdict, _ := healthy.run(2000 + seed)
 		verdicts[verdict]++
-		if verdict, _ := harmful.judge(3000 + seed); verdict == Healthy {
-			wrong++
+		if verdict, _ := degraded.run(3000 + seed); verdict == Healthy {
+			missed++
 		}
-		if verdict, _ := fewEvents.judge(4000 + seed); verdict == Harmful {
-			t.Error("harm seen in two events a sample")
+		if verdict, _ := fewEvents.run(4000 + seed); verdict == Harmful {
+			t.Error("degradation found with two events in a sample")
 		}
 	}
-	if verdicts[Healthy] < 80 || wrong > 10 {
-		t.Errorf("without harm %v; with harm that matters called healthy %d times of 100", verdicts, wrong)
+	if verdicts[Healthy] < 80 || missed > 10 {
+		t.Errorf("verdicts without degradation: %v; %d of 100 degraded releases judged healthy", verdicts, missed)
 	}
 	test, _ := NewSequentialTest(parameters)
 	if verdict, _ := test.Verdict(); verdict != Undecided {
-		t.Errorf("nothing seen, and %s", verdict)
+		t.Errorf("verdict %s without samples", verdict)
 	}
 	test.Add(Sample{})
 	test.Add(Sample{Ring: [metricCount]Counts{{Total: 0, Bad: 5}, {Total: 1, Bad: 5}, {}}})
 	if verdict, _ := test.Verdict(); verdict != Undecided || math.IsNaN(test.Evidence(LateAnswers)) {
-		t.Errorf("counts that can't be: %s", verdict)
+		t.Errorf("verdict %s on invalid counts", verdict)
 	}
 }
 
--- a/core/rollout/validate.go
+++ b/core/rollout/validate.go
@@ -9,37 +9,37 @@
 
 // Bounds of a rollout.
 const (
-	// MaxRings is how many rings a rollout may have.
+	// MaxRings is the maximum number of rings of a rollout.
 	MaxRings = 16
-	// maxPrefix is how many hex digits of an object's name a prefix may give.
+	// maxPrefix is the maximum length of Prefix, in hex digits.
 	maxPrefix = 16
-	// maxFamily is the greatest family of objects.
+	// maxFamily is the highest family number.
 	maxFamily = 255
-	// minJudgeWithin and judgeWithinLimit bound Ring.JudgeWithin, in ms.
+	// minJudgeWithin is the lower, judgeWithinLimit the exclusive upper bound of Ring.JudgeWithin, in ms.
 	minJudgeWithin   = 1000
 	judgeWithinLimit = 1e10
-	// maxOldCopyAge is a week, in ms.
+	// maxOldCopyAge is the upper bound of OldCopyMaxAge in ms: a week.
 	maxOldCopyAge = 7 * 24 * 3600 * 1000
-	// maxHarm bounds TestParameters.MinHarm.
-	maxHarm = 100
+	// maxMinHarm is the upper bound of TestParameters.MinHarm.
+	maxMinHarm = 100
 )
 
-// ErrInvalid is wrapped by every error of Validate, after the field and before what is wrong with its value.
+// ErrInvalid is wrapped by every error of Validate. The text is the field, then ErrInvalid, then the details.
 var ErrInvalid = errors.New("invalid rollout")
 
-// invalid is the error for a field.
+// invalid returns an error for a field.
 func invalid(field, format string, args ...any) error {
 	return fmt.Errorf("%s: %w: %s", field, ErrInvalid, fmt.Sprintf(format, args...))
 }
 
-// Validate returns the first fault, as an error that names the field and wraps ErrInvalid. No cell is in two rings, and
-// rings open one after the other.
+// Validate returns an error for the first invalid field, or nil. The error names the field and wraps ErrInvalid. A cell
+// must not be in two rings, and rings must be in the order of OpensAt.
 func (r *Rollout) Validate() error {
 	switch {
 	case r.Version < 1:
-		return invalid("version", "%d is under 1", r.Version)
+		return invalid("version", "%d is less than 1", r.Version)
 	case r.Name == "":
-		return invalid("name", "missing")
+		return invalid("name", "must not be empty")
 	case !isTime(r.Since) || r.Since == 0:
 		return invalid("since", "%v is not a time in Unix ms", r.Since)
 	case r.OnUndecided != "" && r.OnUndecided != WaitWhenUndecided && r.OnUndecided != ProceedWhenUndecided:
@@ -60,67 +60,67 @@
 	return r.validateRings()
 }
 
-// validateObjects checks which objects belong to the release.
+// validateObjects checks Prefix and FamilyRange.
 func (r *Rollout) validateObjects() error {
 	families := r.FamilyRange
 	switch {
 	case r.Prefix == "" && families == nil:
-		return invalid("prefix", "neither prefix nor families: a release is not everything")
+		return invalid("prefix", "neither prefix nor families is set: a release must not contain all objects")
 	case len(r.Prefix) > maxPrefix || strings.Trim(r.Prefix, "0123456789abcdef") != "":
-		return invalid("prefix", "%q is not up to %d hex digits", r.Prefix, maxPrefix)
+		return invalid("prefix", "%q is not a string of up to %d hex digits", r.Prefix, maxPrefix)
 	case families == nil:
 		return nil
 	case len(families) != 2 || families[0] < 0 || families[1] > maxFamily || families[0] > families[1]:
-		return invalid("families", "%v is not first and last, 0 to %d", families, maxFamily)
+		return invalid("families", "%v is not a first and a last family from 0 to %d", families, maxFamily)
 	}
 	return nil
 }
 
-// validateReplacement checks what is given for a release that replaces objects, and only then.
+// validateReplacement checks the fields that apply only to a release that replaces objects.
 func (r *Rollout) validateReplacement() error {
 	switch {
 	case r.OnRollback != "" && r.OnRollback != RejectOnRollback && r.OnRollback != ServeOnRollback:
 		return invalid("back", "%q is neither %s nor %s", r.OnRollback, RejectOnRollback, ServeOnRollback)
 	case r.OnRollback != "" && !r.ReplacesObjects:
-		return invalid("back", "%q without renews: objects that are new are refused", r.OnRollback)
+		return invalid("back", "%q without renews: requests for new objects are always refused", r.OnRollback)
 	case !(r.OldCopyMaxAge >= 0 && r.OldCopyMaxAge <= maxOldCopyAge):
-		return invalid("keep", "%v ms is not 0 to a week", r.OldCopyMaxAge)
+		return invalid("keep", "%v ms is not between 0 and a week", r.OldCopyMaxAge)
 	case r.ReplacesObjects && r.OldCopyMaxAge == 0:
-		return invalid("keep", "0 ms with renews: above 0 is needed")
+		return invalid("keep", "0 ms with renews: must be above 0")
 	case !r.ReplacesObjects && r.OldCopyMaxAge > 0:
-		return invalid("keep", "%v ms without renews: there are no old copies", r.OldCopyMaxAge)
+		return invalid("keep", "%v ms without renews: new objects have no old copies", r.OldCopyMaxAge)
 	}
 	return nil
 }
 
-// validateRings checks that no cell is in two rings and that rings open in their order.
+// validateRings checks the rings, that no cell is in two of them, and that they are in the order of OpensAt.
 func (r *Rollout) validateRings() error {
 	if len(r.Rings) == 0 || len(r.Rings) > MaxRings {
-		return invalid("rings", "%d of them, 1 to %d allowed", len(r.Rings), MaxRings)
+		return invalid("rings", "%d rings, 1 to %d allowed", len(r.Rings), MaxRings)
 	}
 	seen := map[string]bool{}
 	previous := r.Since
 	for i, ring := range r.Rings {
 		field := fmt.Sprintf("rings[%d]", i)
 		if len(ring.Cells) == 0 {
-			return invalid(field+".cells", "none")
+			return invalid(field+".cells", "must not be empty")
 		}
 		for _, cell := range ring.Cells {
 			if cell == "" || seen[cell] {
-				return invalid(field+".cells", "%q is in a ring already, or no name", cell)
+				return invalid(field+".cells", "%q is empty or already in a ring", cell)
 			}
 			seen[cell] = true
 		}
 		if !isTime(ring.OpensAt) || ring.OpensAt < previous {
-			return invalid(field+".open", "%v is not a time from since or the ring before (%v) on", ring.OpensAt, previous)
+			return invalid(field+".open", "%v is not a time at or after since or the ring before (%v)", ring.OpensAt, previous)
 		}
 		if !(ring.JudgeWithin >= minJudgeWithin && ring.JudgeWithin < judgeWithinLimit) {
-			return invalid(field+".for", "%v ms is not %d to %v", ring.JudgeWithin, minJudgeWithin, judgeWithinLimit)
+			return invalid(field+".for", "%v ms is not from %d to below %v", ring.JudgeWithin, minJudgeWithin, judgeWithinLimit)
 		}
 		previous = ring.OpensAt
 	}
 	return nil
 }
 
-// isTime reports whether ms is a finite Unix time, or 0. NaN is none.
+// isTime reports whether ms is a finite Unix time or 0. NaN is invalid.
 func isTime(ms float64) bool { return ms >= 0 && !math.IsInf(ms, 1) }
--- a/core/rollout/validate_test.go
+++ b/core/rollout/validate_test.go
@@ -7,31 +7,31 @@
 	"testing"
 )
 
-func TestValidateNamesTheField(t *testing.T) {
+func TestValidateNamesInvalidField(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*Rollout)
-		want   string // how the error's text begins
+		want   string // prefix of the error text
 	}{
 		{"version 0", func(r *Rollout) { r.Version = 0 }, "version: "},
 		{"no name", func(r *Rollout) { r.Name = "" }, "name: "},
 		{"no prefix", func(r *Rollout) { r.Prefix = "" }, "prefix: "},
 		{"prefix is not hex", func(r *Rollout) { r.Prefix = "xy" }, `prefix: invalid rollout: "xy"`},
-		{"families in reverse", func(r *Rollout) { r.FamilyRange = []int{3, 1} }, "families: "},
+		{"families in reverse order", func(r *Rollout) { r.FamilyRange = []int{3, 1} }, "families: "},
 		{"since is NaN", func(r *Rollout) { r.Since = math.NaN() }, "since: "},
-		{"unknown word for undecided", func(r *Rollout) { r.OnUndecided = "maybe" }, "unsure: "},
+		{"unknown value of OnUndecided", func(r *Rollout) { r.OnUndecided = "maybe" }, "unsure: "},
 		{"negative rollback time", func(r *Rollout) { r.RollbackAt = -1 }, "stopAt: "},
 		{"no rings", func(r *Rollout) { r.Rings = nil }, "rings: "},
 		{"cell in two rings", func(r *Rollout) { r.Rings[1].Cells = []string{"a"} }, "rings[1].cells: "},
 		{"ring without cells", func(r *Rollout) { r.Rings[0].Cells = nil }, "rings[0].cells: "},
-		{"ring before the one before", func(r *Rollout) { r.Rings[2].OpensAt = 5 }, "rings[2].open: "},
-		{"no time to judge", func(r *Rollout) { r.Rings[0].JudgeWithin = 0 }, "rings[0].for: "},
-		{"alpha", func(r *Rollout) { r.Alpha = 0.7 }, "alpha: invalid rollout: 0.7"},
-		{"unknown word for rollback", func(r *Rollout) { r.OnRollback = "so" }, `back: invalid rollout: "so`},
+		{"ring opens before the previous one", func(r *Rollout) { r.Rings[2].OpensAt = 5 }, "rings[2].open: "},
+		{"no time for a verdict", func(r *Rollout) { r.Rings[0].JudgeWithin = 0 }, "rings[0].for: "},
+		{"alpha too large", func(r *Rollout) { r.Alpha = 0.7 }, "alpha: invalid rollout: 0.7"},
+		{"unknown value of OnRollback", func(r *Rollout) { r.OnRollback = "so" }, `back: invalid rollout: "so`},
 		{"new objects served on rollback", func(r *Rollout) { r.OnRollback = "serve" }, "back: "},
 		{"old copies of new objects", func(r *Rollout) { r.OldCopyMaxAge = 5 }, "keep: "},
-		{"no age of old copies", func(r *Rollout) { r.ReplacesObjects = true }, "keep: invalid rollout: 0 ms"},
-		{"old copies too old", func(r *Rollout) {
+		{"no maximum age of old copies", func(r *Rollout) { r.ReplacesObjects = true }, "keep: invalid rollout: 0 ms"},
+		{"maximum age of old copies too large", func(r *Rollout) {
 			r.ReplacesObjects = true
 			r.OldCopyMaxAge = 1e10
 		}, "keep: invalid rollout: 1e+10"},
@@ -46,11 +46,11 @@
 	}
 	r := sampleRollout()
 	if err := r.Validate(); err != nil {
-		t.Errorf("the unchanged one: %v", err)
+		t.Errorf("valid rollout: %v", err)
 	}
 }
 
-func TestTestParametersNameWhatIsWrong(t *testing.T) {
+func TestNewSequentialTestNamesInvalidParameter(t *testing.T) {
 	for _, test := range []struct {
 		field      string
 		parameters TestParameters
@@ -66,6 +66,6 @@
 		}
 	}
 	if got := parameters.ExpectedEvents(1, 0.1, 1); !math.IsInf(got, 1) {
-		t.Errorf("no harm is found after %v events", got)
+		t.Errorf("ExpectedEvents without degradation is %v, want infinity", got)
 	}
 }
--- a/core/rollout/wire_compat_test.go
+++ b/core/rollout/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The section stage of a features file, which spanctl stage start writes.
-func TestStoredStageIsReadAndWrittenAlike(t *testing.T) {
+// Guards against changes to the JSON of the "stage" section of a features file, which `spanctl stage start` writes.
+func TestDocumentRoundTripIsUnchanged(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/stage.json", " ", Rollout{
 		Version:         9,
 		Name:            "prices",
