--- a/core/scheduler/budget.go
+++ b/core/scheduler/budget.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// SetBudgetFraction sets the part of their rates that resources give to background jobs from now on, 0 to 1: less while
-// foreground work is late.
+// SetBudgetFraction sets the fraction of each resource's rate that background jobs may use from now on. It is clamped
+// to the range 0 to 1. Callers reduce it while foreground work is late.
 func (s *Scheduler) SetBudgetFraction(now int64, fraction float64) {
 	s.refill(now)
 	s.budgetFraction = min(max(fraction, 0), 1)
 }
 
-// refill advances to now and adds to the resources' tokens what has become due since.
+// refill advances to now and adds the tokens that have accrued since the last call, up to the burst of each resource.
 func (s *Scheduler) refill(now int64) {
 	if now <= s.now {
 		return
@@ -22,10 +22,10 @@
 	s.now = now
 }
 
-// affordableAt is when every resource that a job uses has something left; math.MaxInt64 if that is never at present
-// rates.
-func (s *Scheduler) affordableAt(j *job) int64 {
-	when := s.now
+// tokensAvailableAt returns the earliest time at which every resource that a job uses has tokens above 0;
+// math.MaxInt64 if the current rates never allow that.
+func (s *Scheduler) tokensAvailableAt(j *job) int64 {
+	earliest := s.now
 	for i := range s.config.Resources {
 		if j.Cost[i] == 0 || s.tokens[i] > 0 {
 			continue
@@ -34,12 +34,12 @@
 		if rate == 0 {
 			return math.MaxInt64
 		}
-		when = max(when, s.now+int64(-s.tokens[i]/rate)+1)
+		earliest = max(earliest, s.now+int64(-s.tokens[i]/rate)+1)
 	}
-	return when
+	return earliest
 }
 
-// charge takes the cost of a job's next attempt from the tokens.
+// charge subtracts the cost of a job's next attempt from the tokens.
 func (s *Scheduler) charge(j *job) {
 	copy(j.charged, j.Cost)
 	for i, cost := range j.Cost {
@@ -47,8 +47,9 @@
 	}
 }
 
-// settle replaces what an attempt was charged by what it used, for the resources of which that is known.
-func (s *Scheduler) settle(j *job, used []float64) {
+// chargeActualUse replaces the estimated cost of an attempt by its actual use. It leaves resources unchanged for which
+// used has no finite value of 0 or more.
+func (s *Scheduler) chargeActualUse(j *job, used []float64) {
 	for i := range s.tokens {
 		if i < len(used) && used[i] >= 0 && !math.IsInf(used[i], 1) {
 			s.tokens[i] = min(s.tokens[i]+j.charged[i]-used[i], s.config.Resources[i].burst())
--- a/core/scheduler/budget_test.go
+++ b/core/scheduler/budget_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A budget gives its rate, whatever waits: over any span no more than that, its burst and one attempt.
-func TestBudgetsBind(t *testing.T) {
+// Guards against jobs that together use more of a resource than its rate, its burst and one attempt allow, and against
+// a budget that is not used up although jobs are queued.
+func TestBudgetIsUsedButNotExceeded(t *testing.T) {
 	const (
 		ratePerS = 1000.0
 		burst    = 500.0
@@ -28,42 +29,43 @@
 			s.Finish(now, attempt.ID, attempt.Number, Done, []float64{cost, 5})
 		}
 		if limit := ratePerS*float64(now-sec)/1e6 + burst + cost; used > limit {
-			t.Fatalf("%v used after %d us, %v at most", used, now-sec, limit)
+			t.Fatalf("%v used after %d us, at most %v allowed", used, now-sec, limit)
 		}
 		if r.NextStep <= now {
-			t.Fatalf("next step is %d at %d", r.NextStep, now)
+			t.Fatalf("NextStep is %d at %d", r.NextStep, now)
 		}
 		now = min(r.NextStep, now+100*ms)
 	}
 	if used < 9900 {
-		t.Errorf("%v used in 10 s, 10,500 are there", used)
+		t.Errorf("%v used in 10 s, 10,500 available", used)
 	}
 }
 
-// Foreground work that is late takes the budgets away, and gives them back.
-func TestBudgetFractionHoldsBackgroundWorkBack(t *testing.T) {
+// Guards against attempts that start without a budget while foreground work is late, and against a budget that is not
+// restored afterwards.
+func TestBudgetFractionLimitsAttempts(t *testing.T) {
 	s := newScheduler(t, sampleConfig())
 	s.SetBudgetFraction(sec, 0)
 	for i := range 60 {
 		submit(t, s, sec, fmt.Sprint("j", i), Normal, 0, 100, 0)
 	}
-	begun := 0
+	started := 0
 	run := func(from, to int64) {
 		for now := from; now < to; now += 10 * ms {
 			for _, attempt := range s.Step(now).Start {
-				begun++
+				started++
 				s.Finish(now, attempt.ID, attempt.Number, Done, []float64{100, 0})
 			}
 		}
 	}
 	run(sec, 4*sec)
-	if begun > 5 {
-		t.Errorf("%d begun without a budget: what was saved up is 5", begun)
+	if started > 5 {
+		t.Errorf("%d attempts started without a budget, the burst allows 5", started)
 	}
 	s.SetBudgetFraction(4*sec, 0.5)
-	before := begun
+	before := started
 	run(4*sec, 8*sec)
-	if got := begun - before; got < 18 || got > 21 {
-		t.Errorf("%d begun in 4 s of half the budget, 20 are due", got)
+	if got := started - before; got < 18 || got > 21 {
+		t.Errorf("%d attempts started in 4 s with half the budget, want about 20", got)
 	}
 }
--- a/core/scheduler/job.go
+++ b/core/scheduler/job.go
@@ -7,129 +7,129 @@
 	"math"
 )
 
-// Priority ranks background jobs; a greater one goes first.
+// Priority is the priority of a background job. Jobs with a higher one start first.
 type Priority int
 
-// The priorities.
+// Priorities of jobs, lowest first.
 const (
-	Idle   Priority = iota // compaction, clean-up: whenever nothing else waits
-	Normal                 // warming, rebalancing
-	High                   // catching up, what an operator waits for
+	Idle   Priority = iota // only if no other job is queued: compaction, clean-up
+	Normal                 // warm-up, rebalancing
+	High                   // catching up, jobs that an operator waits for
 	Urgent                 // purges
 	priorityCount
 )
 
-// Job is a piece of background work, done in one or more attempts.
+// Job is a background job. It takes one or more attempts.
 type Job struct {
 	ID          string
 	Priority    Priority
-	Deadline    int64     // microseconds; a job that can't begin by then is abandoned; 0: none
-	Cost        []float64 // of an attempt, by resource, as far as it is known
-	MaxAttempts int       // 0: any number
+	Deadline    int64     // microseconds; a job still queued at that time is abandoned; 0: none
+	Cost        []float64 // estimated cost of an attempt, by resource
+	MaxAttempts int       // 0: unlimited
 }
 
-// The errors of Submit.
+// Errors of Submit.
 var (
-	ErrQueueFull    = errors.New("queue is full of jobs of the same or a higher priority")
-	ErrDuplicateJob = errors.New("a job of this ID is queued or runs already")
-	// ErrInvalidJob is wrapped by errors that name the field of the job.
+	ErrQueueFull    = errors.New("queue is full and has no job with a lower priority")
+	ErrDuplicateJob = errors.New("a job with this ID already exists")
+	// ErrInvalidJob is wrapped by errors for an invalid field of the job. Their text names the field.
 	ErrInvalidJob = errors.New("invalid job")
 )
 
-// validate returns the first fault of a job under a configuration of so many resources.
+// validate returns an error for the first invalid field of the job, or nil. resources is the number of resources.
 func (j *Job) validate(resources int) error {
 	switch {
 	case j.ID == "":
-		return fmt.Errorf("%w: no ID", ErrInvalidJob)
+		return fmt.Errorf("%w: ID is empty", ErrInvalidJob)
 	case j.Priority < 0 || j.Priority >= priorityCount:
-		return fmt.Errorf("%w: %s: priority %d", ErrInvalidJob, j.ID, j.Priority)
+		return fmt.Errorf("%w: %s: unknown priority %d", ErrInvalidJob, j.ID, j.Priority)
 	case len(j.Cost) != resources:
 		return fmt.Errorf("%w: %s: %d costs for %d resources", ErrInvalidJob, j.ID, len(j.Cost), resources)
 	case j.MaxAttempts < 0:
-		return fmt.Errorf("%w: %s: %d attempts at most", ErrInvalidJob, j.ID, j.MaxAttempts)
+		return fmt.Errorf("%w: %s: maximum of %d attempts is less than 0", ErrInvalidJob, j.ID, j.MaxAttempts)
 	}
 	for _, cost := range j.Cost {
 		if !(cost >= 0) || math.IsInf(cost, 1) {
-			return fmt.Errorf("%w: %s: cost %v", ErrInvalidJob, j.ID, cost)
+			return fmt.Errorf("%w: %s: cost %v is not a finite number of 0 or more", ErrInvalidJob, j.ID, cost)
 		}
 	}
 	return nil
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome int
 
-// The outcomes.
+// Outcomes of an attempt.
 const (
-	Done    Outcome = iota // the job is over
-	Requeue                // the job has more to do and goes on at once, as its budget allows
-	Failed                 // another attempt after a backoff, if any are left
+	Done    Outcome = iota // the job is done
+	Requeue                // the job has more to do and is queued again without a backoff
+	Failed                 // the job is retried after a backoff, if it has attempts left
 )
 
-// Attempt is one to be begun now.
+// Attempt is an attempt that the caller is to start now.
 type Attempt struct {
 	ID       string // of the job
 	Number   int    // from 1
-	Deadline int64  // by which it must end
+	Deadline int64  // microseconds; the attempt has failed if it has not ended by then
 }
 
-// AbandonReason is why a job ended without being done.
+// AbandonReason is the reason why a job was abandoned.
 type AbandonReason int
 
-// The reasons.
+// Reasons for abandoning a job.
 const (
-	DeadlinePassed    AbandonReason = iota // it did not begin in time
-	AttemptsExhausted                      // its last attempt failed
-	Evicted                                // the queue was full, and a job of a higher priority came
+	DeadlinePassed    AbandonReason = iota // the job was still queued at its deadline
+	AttemptsExhausted                      // the last attempt failed
+	Evicted                                // the queue was full and a job of a higher priority was submitted
 )
 
 var abandonReasonNames = []string{"deadline", "attempts", "evicted"}
 
-// String returns a word for the reason.
+// String returns the name of the reason.
 func (r AbandonReason) String() string { return abandonReasonNames[r] }
 
-// Abandoned is a job that ended without being done.
+// Abandoned is a job that was removed without being done.
 type Abandoned struct {
 	ID     string
 	Reason AbandonReason
 }
 
-// Ready is what is to be done after a step.
+// Ready is the result of a step.
 type Ready struct {
-	Start     []Attempt
-	Abandoned []Abandoned
-	NextStep  int64 // call Step at that time at the latest; math.MaxInt64: no need
+	Start     []Attempt   // attempts to start now, in this order
+	Abandoned []Abandoned // jobs abandoned in this step
+	NextStep  int64       // latest time of the next call of Step; math.MaxInt64: none needed
 }
 
-// jobState is where a job stands.
+// jobState is the state of a job.
 type jobState int8
 
 const (
 	stateQueued     jobState = iota // in the queue of its rank
-	stateBackingOff                 // until its timer fires
-	stateRunning                    // an attempt runs
+	stateBackingOff                 // waits for its timer before the next attempt
+	stateRunning                    // an attempt is running
 )
 
-// job is a Job and what the scheduler knows of it.
+// job is a Job with its state in the scheduler.
 type job struct {
 	Job
 	state     jobState
-	rank      Priority // its priority, and what waiting has added
-	queuedAt  int64    // when it was queued at that rank
-	seq       uint64   // order in which jobs were queued
-	heapIndex int      // in the queue of its rank
-	attempt   int      // number of the last one, from 1
-	timer     Handle   // its one timer, by state: aging or deadline, backoff, attempt timeout
-	timerKey  uint64   // that the timer carries
-	charged   []float64
+	rank      Priority  // effective priority: the job's priority, raised by aging
+	queuedAt  int64     // when it was queued with that rank
+	seq       uint64    // sequence number, in the order of queueing
+	heapIndex int       // index in the queue of its rank
+	attempt   int       // number of the last attempt, from 1
+	timer     Handle    // the job's only timer: aging or deadline, backoff, or attempt timeout, by state
+	timerKey  uint64    // payload of the timer
+	charged   []float64 // cost charged for the last attempt, by resource
 }
 
-// evictedBefore reports whether j is evicted rather than other: the lower priority, then the one queued last.
+// evictedBefore reports whether j is evicted before other: lower priority first, then the job that was queued last.
 func (j *job) evictedBefore(other *job) bool {
 	return j.Priority < other.Priority || j.Priority == other.Priority && j.seq > other.seq
 }
 
-// queue is a heap of the queued jobs of one rank: earliest deadline first, then first come.
+// queue is a heap of the queued jobs of one rank: earliest deadline first, then in the order of queueing.
 type queue []*job
 
 // Len implements heap.Interface.
@@ -142,7 +142,7 @@
 	return cmp.Or(byDeadline, cmp.Compare(a.seq, b.seq)) < 0
 }
 
-// Swap implements heap.Interface, and keeps each job's heapIndex.
+// Swap implements heap.Interface. It updates heapIndex of both jobs.
 func (q queue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].heapIndex = i
--- a/core/scheduler/scheduler.go
+++ b/core/scheduler/scheduler.go
@@ -1,8 +1,8 @@
-// Package scheduler is for work that can wait: a scheduler of background jobs with priorities, deadlines and budgets,
-// and a timer wheel for very many timers.
+// Package scheduler has a scheduler for background jobs with priorities, deadlines and budgets, and a timer wheel for
+// very large numbers of timers.
 //
-// It does no I/O and reads no clock. Times are microseconds of the caller's choosing, random numbers come from a seed.
-// Nothing in it is safe for concurrent use.
+// It does no I/O and does not read the clock. Callers pass times, in microseconds since any fixed time. Random numbers
+// come from a seed. Nothing in the package is safe for concurrent use.
 package scheduler
 
 import (
@@ -12,14 +12,14 @@
 	"math/rand/v2"
 )
 
-// rngStream keeps the scheduler's random numbers apart from others of the same seed.
+// rngStream makes the scheduler's random numbers differ from those of other generators with the same seed.
 const rngStream = 0x5c4ed
 
-// Scheduler decides which background job begins when. Jobs of a higher rank go first, within a rank those of the
-// earliest deadline. An attempt begins when every resource that it uses has something left, and what it uses beyond
-// that is paid back before the next one begins.
+// Scheduler decides which background job starts when. Jobs with a higher rank start first, and within a rank those with
+// an earlier deadline. An attempt starts when the tokens of every resource that it uses are above 0. It may overdraw
+// them; the next attempt starts once they are above 0 again.
 //
-// Guarantee: over any span a resource gives no more than its rate times the span, its burst and one attempt.
+// Guarantee: in any span, jobs use at most rate * span of a resource, plus its burst and one attempt.
 type Scheduler struct {
 	config Config
 	rng    *rand.Rand
@@ -30,16 +30,16 @@
 	lastTimerKey uint64
 	lastSeq      uint64
 	queues       [priorityCount]queue // by rank
-	queued       int                  // jobs in queues
-	running      int                  // attempts that run
+	queued       int                  // number of jobs in queues
+	running      int                  // number of running attempts
 	wheel        *Wheel
 
-	tokens         []float64 // by resource; negative while paid back
+	tokens         []float64 // by resource; negative if overdrawn
 	budgetFraction float64   // of the resources' rates, 0 to 1
 }
 
-// New returns a scheduler without jobs that stands at now, or the error of config.Validate. seed feeds the jitter of
-// backoffs.
+// New returns a scheduler without jobs whose current time is now, or the error of config.Validate. seed determines the
+// jitter of backoffs.
 func New(config Config, now int64, seed uint64) (*Scheduler, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -60,8 +60,8 @@
 	return s, nil
 }
 
-// Submit queues a job. A full queue makes room only by abandoning a job of a lower priority, which is returned. The
-// error is ErrQueueFull or ErrDuplicateJob, or wraps ErrInvalidJob.
+// Submit queues a job. If the queue is full, it evicts a job with a lower priority and returns it. The error is
+// ErrQueueFull or ErrDuplicateJob, or wraps ErrInvalidJob.
 func (s *Scheduler) Submit(now int64, submitted Job) ([]Abandoned, error) {
 	s.refill(now)
 	if err := submitted.validate(len(s.config.Resources)); err != nil {
@@ -87,7 +87,7 @@
 	return abandoned, nil
 }
 
-// Cancel takes a job back and reports whether it was there. An attempt that runs is no longer waited for.
+// Cancel removes a job and reports whether it existed. The result of a running attempt is then ignored.
 func (s *Scheduler) Cancel(now int64, id string) bool {
 	s.refill(now)
 	j := s.jobs[id]
@@ -97,21 +97,21 @@
 	return j != nil
 }
 
-// Finish records how an attempt ended and what it used, by resource. One that does not run, or another attempt than
-// the one that does, is ignored: it timed out before. It returns the job if that was its last attempt.
+// Finish records the outcome of an attempt and how much of each resource it used. It ignores an attempt that is not the
+// running attempt of the job, because that has timed out before. It returns the job if it is abandoned.
 func (s *Scheduler) Finish(now int64, id string, attempt int, outcome Outcome, used []float64) []Abandoned {
 	s.refill(now)
 	j := s.jobs[id]
 	if j == nil || j.state != stateRunning || j.attempt != attempt {
 		return nil
 	}
-	s.settle(j, used)
+	s.chargeActualUse(j, used)
 	switch outcome {
 	case Done:
 		s.remove(j)
 	case Requeue:
 		s.endAttempt(j)
-		j.attempt-- // it went well, and does not count
+		j.attempt-- // only failed attempts count
 		s.enqueue(j, j.Priority)
 	default:
 		return s.retryOrAbandon(j)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// Step advances to now and begins what may begin.
+// Step advances to now, handles timers and starts attempts within the budget.
 func (s *Scheduler) Step(now int64) Ready {
 	s.refill(now)
 	var ready Ready
@@ -132,9 +132,9 @@
 	for rank := priorityCount - 1; rank >= 0; rank-- {
 		for len(s.queues[rank]) > 0 && s.running < s.config.MaxRunning {
 			j := s.queues[rank][0]
-			if when := s.affordableAt(j); when > s.now {
-				// The first in the order is not overtaken, or jobs of great cost would never begin.
-				ready.NextStep = min(ready.NextStep, when)
+			if earliest := s.tokensAvailableAt(j); earliest > s.now {
+				// Later jobs must not overtake the first one, or expensive jobs would never start.
+				ready.NextStep = min(ready.NextStep, earliest)
 				return ready
 			}
 			s.start(j)
@@ -144,7 +144,7 @@
 	return ready
 }
 
-// timerFired handles a job's one timer: an attempt has timed out, a backoff is over, or a queued job is past its
+// timerFired handles the timer of a job: the attempt has timed out, the backoff is over, or a queued job has passed its
 // deadline or rises by one rank. It returns the job if it is abandoned.
 func (s *Scheduler) timerFired(j *job) []Abandoned {
 	switch j.state {
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// start begins an attempt of a queued job and charges its cost.
+// start starts an attempt of a queued job and charges its cost.
 func (s *Scheduler) start(j *job) {
 	s.dequeue(j)
 	s.wheel.Cancel(j.timer)
@@ -175,17 +175,17 @@
 	j.timer = s.wheel.Add(s.now+s.config.AttemptTimeout, j.timerKey)
 }
 
-// endAttempt takes a running attempt off the books.
+// endAttempt cancels the timer of a running attempt and no longer counts it as running.
 func (s *Scheduler) endAttempt(j *job) {
 	s.wheel.Cancel(j.timer)
 	s.running--
 }
 
-// retryOrAbandon ends a failed attempt. The job backs off, or is returned after its last attempt.
+// retryOrAbandon ends a failed attempt. The job backs off. After its last attempt it is removed and returned.
 func (s *Scheduler) retryOrAbandon(j *job) []Abandoned {
 	s.endAttempt(j)
 	if j.MaxAttempts > 0 && j.attempt >= j.MaxAttempts {
-		s.remove(j) // FIXME: ends the attempt a second time, so that running falls by two
+		s.remove(j) // FIXME: remove calls endAttempt again, so running is decremented twice
 		return []Abandoned{{j.ID, AttemptsExhausted}}
 	}
 	exponential := float64(s.config.InitialBackoff) * math.Exp2(float64(j.attempt-1))
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// remove forgets a job in whatever state it is.
+// remove removes a job in any state.
 func (s *Scheduler) remove(j *job) {
 	switch j.state {
 	case stateQueued:
@@ -211,7 +211,7 @@
 	delete(s.byTimerKey, j.timerKey)
 }
 
-// enqueue puts a job into the queue of a rank, last of those with its deadline.
+// enqueue adds a job to the queue of a rank, after the jobs with the same deadline.
 func (s *Scheduler) enqueue(j *job, rank Priority) {
 	s.lastSeq++
 	j.state = stateQueued
@@ -223,13 +223,13 @@
 	s.setQueueTimer(j)
 }
 
-// dequeue takes a job out of the queue of its rank.
+// dequeue removes a job from the queue of its rank.
 func (s *Scheduler) dequeue(j *job) {
 	heap.Remove(&s.queues[j.rank], j.heapIndex)
 	s.queued--
 }
 
-// setQueueTimer sets the timer of a queued job: for its next rank, or its deadline if that is sooner.
+// setQueueTimer sets the timer of a queued job to its next rise in rank or to its deadline, whichever is earlier.
 func (s *Scheduler) setQueueTimer(j *job) {
 	due := int64(math.MaxInt64)
 	if j.rank < priorityCount-1 {
@@ -244,7 +244,8 @@
 	}
 }
 
-// evictionCandidate is the last job in the queues of the lowest priority, among those under one; nil if there is none.
+// evictionCandidate returns the queued job with the lowest priority below under, and of these the one queued last. It
+// returns nil if there is none.
 func (s *Scheduler) evictionCandidate(under Priority) *job {
 	var victim *job
 	for rank := range s.queues {
--- a/core/scheduler/scheduler_test.go
+++ b/core/scheduler/scheduler_test.go
@@ -19,7 +19,7 @@
 	sec = 1000 * ms
 )
 
-// counts is how many jobs are queued, back off and run.
+// counts returns the numbers of jobs that are queued, back off and run.
 func (s *Scheduler) counts() (queued, backingOff, running int) {
 	return s.queued, len(s.jobs) - s.queued - s.running, s.running
 }
@@ -72,20 +72,20 @@
 	}
 }
 
-// What waits long rises: an idle job begins though others of a high priority never end.
-func TestNothingStarves(t *testing.T) {
+// Guards against starvation: a job with the lowest priority must start although jobs with a high priority keep coming.
+func TestLowPriorityJobDoesNotStarve(t *testing.T) {
 	config := sampleConfig()
 	config.MaxRunning = 1
 	s := newScheduler(t, config)
 	submit(t, s, sec, "idle", Idle, 0, 0, 0)
 	now := sec
 	for i := 0; now < 60*sec; i++ {
-		// One comes while one is done: there is always another.
+		// There is always a queued job with a high priority.
 		submit(t, s, now, fmt.Sprint("p", i), High, 0, 0, 0)
 		for _, attempt := range s.Step(now).Start {
 			if attempt.ID == "idle" {
 				if now > sec+4*config.AgingInterval {
-					t.Errorf("begun after %d us", now-sec)
+					t.Errorf("idle job started after %d us", now-sec)
 				}
 				return
 			}
@@ -93,11 +93,12 @@
 		}
 		now += 100 * ms
 	}
-	t.Error("never begun")
+	t.Error("idle job never started")
 }
 
-// Failed attempts are retried later and later, lost ones when they time out, and no more often than they may.
-func TestRetriesAndTimeouts(t *testing.T) {
+// Guards against backoffs that are not exponential, lost attempts that are not retried after the timeout, and more
+// attempts than MaxAttempts.
+func TestRetriesBackOffAndStopAtMaxAttempts(t *testing.T) {
 	s := newScheduler(t, sampleConfig())
 	if _, err := s.Submit(sec, Job{ID: "j", Priority: Normal, Cost: []float64{1, 1}, MaxAttempts: 4}); err != nil {
 		t.Fatal(err)
@@ -107,16 +108,16 @@
 		for _, attempt := range s.Step(now).Start {
 			started = append(started, now)
 			if attempt.Number == 3 {
-				continue // lost: it never ends
+				continue // lost, without a call of Finish
 			}
 			abandoned := s.Finish(now, attempt.ID, attempt.Number, Failed, nil)
 			if len(abandoned) > 0 && (abandoned[0].Reason != AttemptsExhausted || attempt.Number != 4) {
-				t.Errorf("%+v at attempt %d", abandoned, attempt.Number)
+				t.Errorf("abandoned %+v after attempt %d", abandoned, attempt.Number)
 			}
 		}
 	}
 	if len(started) != 4 {
-		t.Fatalf("%d attempts", len(started))
+		t.Fatalf("%d attempts, want 4", len(started))
 	}
 	for i, bounds := range [][2]int64{
 		{50 * ms, 102 * ms},
@@ -124,15 +125,15 @@
 		{2*sec + 200*ms, 2*sec + 402*ms},
 	} {
 		if gap := started[i+1] - started[i]; gap < bounds[0] || gap > bounds[1] {
-			t.Errorf("gap %d: %d us", i, gap)
+			t.Errorf("gap %d between attempts is %d us", i, gap)
 		}
 	}
 	if queued, backingOff, running := s.counts(); queued+backingOff+running != 0 || s.wheel.count != 0 {
-		t.Errorf("%d %d %d jobs and %d timers left", queued, backingOff, running, s.wheel.count)
+		t.Errorf("%d queued, %d backing off, %d running jobs and %d timers left", queued, backingOff, running, s.wheel.count)
 	}
 }
 
-func TestDeadlinesAndEviction(t *testing.T) {
+func TestJobsPastDeadlineAndEvictedJobsAreAbandoned(t *testing.T) {
 	config := sampleConfig()
 	config.MaxQueued = 3
 	config.MaxRunning = 1
@@ -159,11 +160,11 @@
 		t.Errorf("got %+v", r)
 	}
 	if s.Finish(3*sec, "running", 7, Done, nil); s.jobs["running"] == nil {
-		t.Error("the end of another attempt is taken for this one's")
+		t.Error("Finish of another attempt ended the running one")
 	}
 }
 
-// randomHistory is a scheduler under random calls, and what its caller knows of its jobs.
+// randomHistory makes random calls of a scheduler and records the resulting states of its jobs.
 type randomHistory struct {
 	t         *testing.T
 	seed      uint64
@@ -171,16 +172,16 @@
 	scheduler *Scheduler
 	now       int64
 	submitted int
-	running   map[string]int  // attempt by job
-	over      map[string]bool // jobs that were cancelled or abandoned
+	running   map[string]int  // number of the attempt, by job
+	ended     map[string]bool // jobs that were cancelled or abandoned
 }
 
-func (h *randomHistory) abandon(list []Abandoned) {
-	for _, a := range list {
-		if h.over[a.ID] {
-			h.t.Fatalf("seed %d: %s is over twice", h.seed, a.ID)
+func (h *randomHistory) recordAbandoned(abandoned []Abandoned) {
+	for _, a := range abandoned {
+		if h.ended[a.ID] {
+			h.t.Fatalf("seed %d: job %s ended twice", h.seed, a.ID)
 		}
-		h.over[a.ID] = true
+		h.ended[a.ID] = true
 		delete(h.running, a.ID)
 	}
 }
@@ -200,13 +201,13 @@
 	if err != nil && !errors.Is(err, ErrQueueFull) {
 		h.t.Fatal(err)
 	}
-	h.abandon(abandoned)
+	h.recordAbandoned(abandoned)
 }
 
 func (h *randomHistory) cancel() {
 	id := fmt.Sprint(h.rng.IntN(h.submitted + 1))
 	if h.scheduler.Cancel(h.now, id) {
-		h.over[id] = true
+		h.ended[id] = true
 		delete(h.running, id)
 	}
 }
@@ -220,30 +221,30 @@
 		outcome := Outcome(h.rng.IntN(3))
 		abandoned := h.scheduler.Finish(h.now, id, attempt, outcome, []float64{h.rng.Float64() * 60, 3})
 		delete(h.running, id)
-		h.abandon(abandoned)
+		h.recordAbandoned(abandoned)
 	}
 }
 
 func (h *randomHistory) step() {
 	ready := h.scheduler.Step(h.now)
-	h.abandon(ready.Abandoned)
+	h.recordAbandoned(ready.Abandoned)
 	for _, attempt := range ready.Start {
-		if h.over[attempt.ID] {
-			h.t.Fatalf("seed %d: %s begins after it was over", h.seed, attempt.ID)
+		if h.ended[attempt.ID] {
+			h.t.Fatalf("seed %d: job %s starts after it ended", h.seed, attempt.ID)
 		}
 		h.running[attempt.ID] = attempt.Number
 	}
 	queued, backingOff, running := h.scheduler.counts()
 	timers, jobs := h.scheduler.wheel.count, len(h.scheduler.jobs)
 	if queued < 0 || backingOff < 0 || running > 8 || queued > 100 || timers > jobs {
-		h.t.Fatalf("seed %d: %d queued, %d back off, %d run, %d timers for %d jobs",
+		h.t.Fatalf("seed %d: %d queued, %d backing off, %d running, %d timers for %d jobs",
 			h.seed, queued, backingOff, running, timers, jobs)
 	}
 }
 
-// Random histories: every job is begun, ended, abandoned or still there; no two attempts of one run; timers do not
-// pile up.
-func TestRandomHistories(t *testing.T) {
+// Guards against jobs that end twice or start after they ended, against counts outside their bounds, and against timers
+// that are never freed, under random calls.
+func TestRandomCallsKeepInvariants(t *testing.T) {
 	for seed := range uint64(40) {
 		h := randomHistory{
 			t:         t,
@@ -252,7 +253,7 @@
 			scheduler: newScheduler(t, sampleConfig()),
 			now:       sec,
 			running:   map[string]int{},
-			over:      map[string]bool{},
+			ended:     map[string]bool{},
 		}
 		for range 3000 {
 			h.now += int64(h.rng.IntN(30_000))
@@ -280,7 +281,7 @@
 		b.Fatal(err)
 	}
 	s.SetBudgetFraction(0, 0)
-	s.tokens[0] = -1 // nothing begins yet
+	s.tokens[0] = -1 // no attempt starts yet
 	cost := []float64{1, 1}
 	for i := range 100_000 {
 		if _, err := s.Submit(0, Job{ID: fmt.Sprint("w", i), Priority: Idle, Cost: cost}); err != nil {
--- a/core/scheduler/wheel.go
+++ b/core/scheduler/wheel.go
@@ -14,55 +14,55 @@
 	slotMask   = slotCount - 1
 )
 
-// Wheel is a hierarchical timer wheel: it holds timers in slots by their distance (Varghese and Lauck 1987, scheme
-// 7). Adding and cancelling one cost the same however many there are, and a span without timers is passed over by
-// looking at a few words.
+// Wheel is a hierarchical timer wheel (Varghese and Lauck 1987, scheme 7). Its slots hold timers by the remaining time.
+// Adding and cancelling a timer takes constant time. Time without timers is skipped by means of a bit mask for each
+// level.
 //
-// Timers fire in the order of their due times, those of one time in the order in which they were added, and never
-// early: a due time in the past fires at the next Advance.
+// Timers fire in the order of their due times, and timers with the same due time in the order in which they were added.
+// A timer never fires early. A timer whose due time is in the past fires at the next Advance in which a tick passes.
 //
-// A slot of level n is slotCount^n ticks long. A timer is in the lowest level in which its due time and the present one
-// differ, and cascades to lower levels as it comes near.
+// A slot of level n is slotCount^n ticks long. The level of a timer is the most significant digit in which its due tick
+// and the current tick differ, as numbers in base slotCount. It cascades to lower levels as the due time approaches.
 type Wheel struct {
-	tick        int64 // microseconds of a slot of level 0
-	currentTick int64 // ticks that have passed
+	tick        int64 // length of a slot of level 0, microseconds
+	currentTick int64 // current time in ticks
 	lastSeq     uint64
-	count       int
+	count       int // of timers
 
-	timers   []timer // by index; that of 0 is not used
-	freeList int32   // first unused timer, linked by next; 0: none
+	timers   []timer // by index; index 0 is not used
+	freeList int32   // index of the first free timer, linked by next; 0: none
 
-	slots    [levelCount][slotCount]int32 // first timer of each slot's list; 0: none
-	occupied [levelCount]uint64           // a bit for each slot that has a timer
-	firing   []int32                      // buffer of fireSlot
+	slots    [levelCount][slotCount]int32 // index of the first timer of each slot's list; 0: none
+	occupied [levelCount]uint64           // by level, a bit for each slot with a timer
+	firing   []int32                      // buffer of fireSlot, reused
 }
 
 type timer struct {
-	due        int64
-	seq        uint64
+	due        int64  // microseconds
+	seq        uint64 // in the order of adding
 	payload    uint64
-	generation uint32
-	next, prev int32 // in the slot's list; 0: none
-	level      int8  // notInSlot: fires right now, or is unused
+	generation uint32 // incremented when the timer is freed
+	next, prev int32  // indexes in the slot's list; 0: none
+	level      int8   // notInSlot: about to fire, or free
 	slot       uint8
 }
 
-// notInSlot is the level of a timer that is in no slot.
+// notInSlot is the level of a timer that is not in a slot.
 const notInSlot = -1
 
-// Handle names a timer; the zero value names none.
+// Handle identifies a timer. The zero value identifies none.
 type Handle struct {
 	index      int32
 	generation uint32
 }
 
-// NewWheel returns a wheel that stands at now, with slots of tick microseconds.
+// NewWheel returns a wheel whose current time is now, with slots of tick microseconds. A tick below 1 means 1.
 func NewWheel(now, tick int64) *Wheel {
 	tick = max(tick, 1)
 	return &Wheel{tick: tick, currentTick: now / tick, timers: make([]timer, 1)}
 }
 
-// Add sets a timer.
+// Add adds a timer that fires at due, in microseconds, with payload. It returns a handle for Cancel.
 func (w *Wheel) Add(due int64, payload uint64) Handle {
 	i := w.freeList
 	if i != 0 {
@@ -81,7 +81,7 @@
 	return Handle{i, t.generation}
 }
 
-// Cancel takes a timer back. It reports false if the timer has fired or was cancelled before.
+// Cancel cancels a timer. It returns false if the timer has fired, is about to fire, or was cancelled before.
 func (w *Wheel) Cancel(h Handle) bool {
 	if h.index <= 0 || int(h.index) >= len(w.timers) {
 		return false
@@ -95,7 +95,7 @@
 	return true
 }
 
-// release puts a timer on the free list; its handles name it no more.
+// release adds a timer to the free list and invalidates its handles.
 func (w *Wheel) release(i int32) {
 	t := &w.timers[i]
 	t.generation++
@@ -105,11 +105,11 @@
 	w.count--
 }
 
-// place puts a timer into the slot of the lowest level that reaches its due time. It fires at tick earliest at the
-// soonest.
+// place puts a timer into the slot for its due time, or for the tick earliest if that is later. It uses the lowest
+// possible level.
 func (w *Wheel) place(i int32, earliest int64) {
 	t := &w.timers[i]
-	// The slot that holds the due time fires once that time has passed: a tick later for what is not on a tick's edge.
+	// Round up to the next tick, so that the timer does not fire early.
 	at := max((t.due+w.tick-1)/w.tick, earliest)
 	level := 0
 	if distance := uint64(at ^ w.currentTick); distance >= slotCount {
@@ -117,7 +117,7 @@
 	}
 	slot := slotOf(at, level)
 	if level == levelCount-1 && at>>(levelCount*slotBits) != w.currentTick>>(levelCount*slotBits) {
-		// Past the reach of the last level: in its farthest slot, to be placed anew on the way.
+		// Beyond the range of the last level: use its farthest slot, from where the timer is placed again.
 		slot = uint8((w.currentTick>>(level*slotBits) + slotMask) & slotMask)
 	}
 	t.level = int8(level)
@@ -132,12 +132,12 @@
 	w.occupied[level] |= 1 << slot
 }
 
-// slotOf is the slot of a level that a tick falls into.
+// slotOf returns the slot of a level that contains a tick.
 func slotOf(tick int64, level int) uint8 {
 	return uint8(tick >> (level * slotBits) & slotMask)
 }
 
-// unlink takes a timer out of its slot's list.
+// unlink removes a timer from its slot's list.
 func (w *Wheel) unlink(i int32) {
 	t := &w.timers[i]
 	if t.next != 0 {
@@ -153,7 +153,7 @@
 	}
 }
 
-// takeSlot empties a slot and returns the first timer of its list.
+// takeSlot empties a slot and returns the index of the first timer of its list.
 func (w *Wheel) takeSlot(level int, slot uint8) int32 {
 	first := w.slots[level][slot]
 	w.slots[level][slot] = 0
@@ -161,8 +161,8 @@
 	return first
 }
 
-// nextTick is the next tick at which a slot of level 0 fires or one of a higher level cascades; math.MaxInt64 without
-// timers.
+// nextTick returns the next tick at which a slot of level 0 fires or a slot of a higher level cascades; math.MaxInt64
+// if there are no timers.
 func (w *Wheel) nextTick() int64 {
 	next := int64(math.MaxInt64)
 	for level := range levelCount {
@@ -177,8 +177,8 @@
 	return next
 }
 
-// Next is a time before which no timer fires; math.MaxInt64 without timers. A caller that sleeps until then may find
-// that nothing fires yet, as timers only cascade.
+// Next returns a time before which no timer fires, in microseconds; math.MaxInt64 if there are no timers. Possibly
+// none fires at that time either, because timers only cascade.
 func (w *Wheel) Next() int64 {
 	if tick := w.nextTick(); tick != math.MaxInt64 {
 		return tick * w.tick
@@ -186,8 +186,8 @@
 	return math.MaxInt64
 }
 
-// Advance moves the wheel to now and fires what has fallen due. Timers that fire adds may fire in the same call, if
-// they are due.
+// Advance sets the current time to now and calls fire for each timer that is due. fire may add timers. If they are due
+// by now, they may fire in the same call.
 func (w *Wheel) Advance(now int64, fire func(payload uint64, due int64)) {
 	target := now / w.tick
 	for {
@@ -196,9 +196,9 @@
 			break
 		}
 		w.currentTick = tick
-		// Higher levels first: what they hold for this tick may belong into the slot that fires.
+		// Higher levels first, because their timers may cascade into the slot that fires.
 		for level := levelCount - 1; level > 0; level-- {
-			if slotBegins := tick&(1<<(level*slotBits)-1) == 0; slotBegins {
+			if atSlotStart := tick&(1<<(level*slotBits)-1) == 0; atSlotStart {
 				w.cascade(level, slotOf(tick, level))
 			}
 		}
@@ -207,17 +207,17 @@
 	w.currentTick = max(w.currentTick, target)
 }
 
-// cascade places the timers of a slot anew, into lower levels.
+// cascade moves the timers of a slot to lower levels.
 func (w *Wheel) cascade(level int, slot uint8) {
 	i := w.takeSlot(level, slot)
 	for i != 0 {
 		next := w.timers[i].next
-		w.place(i, w.currentTick) // what is due right now fires next
+		w.place(i, w.currentTick) // timers due now go into the slot that fires next
 		i = next
 	}
 }
 
-// fireSlot fires the timers of a slot of level 0.
+// fireSlot fires the timers of a slot of level 0, in the order of due time and seq.
 func (w *Wheel) fireSlot(slot uint8, fire func(payload uint64, due int64)) {
 	firing := w.firing[:0]
 	for i := w.takeSlot(0, slot); i != 0; i = w.timers[i].next {
@@ -226,9 +226,9 @@
 	slices.SortFunc(firing, func(a, b int32) int {
 		return cmp.Or(cmp.Compare(w.timers[a].due, w.timers[b].due), cmp.Compare(w.timers[a].seq, w.timers[b].seq))
 	})
-	w.firing = nil // fire may come back to Advance
+	w.firing = nil // fire may call Advance
 	for _, i := range firing {
-		w.timers[i].level = notInSlot // can't be cancelled any more
+		w.timers[i].level = notInSlot // can no longer be cancelled
 	}
 	for _, i := range firing {
 		t := w.timers[i]
--- a/core/scheduler/wheel_test.go
+++ b/core/scheduler/wheel_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// timerHeap is a heap of timers: what the wheel must agree with, and is measured against.
+// timerHeap is a heap of timers. It is the reference for tests of the wheel and the baseline of its benchmark.
 type timerHeap struct {
 	entries []*heapEntry
 	lastSeq uint64
@@ -67,7 +67,7 @@
 	return true
 }
 
-// advance calls fire for each timer that is due.
+// advance calls fire for each timer that is due at now.
 func (h *timerHeap) advance(now int64, fire func(payload uint64, due int64)) {
 	for h.Len() > 0 && h.entries[0].due <= now {
 		e := heap.Pop(h).(*heapEntry)
@@ -75,8 +75,9 @@
 	}
 }
 
-// A wheel does what a heap does, for timers near and years away, cancelled and set while others fire.
-func TestWheelAgreesWithAHeap(t *testing.T) {
+// Guards against timers that fire in the wrong order or not at all, and against a wrong result of Cancel, for due times
+// from now to years ahead. The reference is a heap.
+func TestWheelAgreesWithHeap(t *testing.T) {
 	type pair struct {
 		handle Handle
 		entry  *heapEntry
@@ -88,21 +89,21 @@
 		var pairs []pair
 		var fired, want []string
 		for i := range rapid.IntRange(1, 120).Draw(t, "steps") {
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0, 1:
-				due := now + rapid.Int64Range(-5, rapid.SampledFrom(distances).Draw(t, "far")).Draw(t, "in")
+				due := now + rapid.Int64Range(-5, rapid.SampledFrom(distances).Draw(t, "maxDelay")).Draw(t, "delay")
 				pairs = append(pairs, pair{w.Add(due, uint64(i)), h.add(due, uint64(i))})
 			case 2:
 				if len(pairs) > 0 {
-					x := pairs[rapid.IntRange(0, len(pairs)-1).Draw(t, "which")]
+					x := pairs[rapid.IntRange(0, len(pairs)-1).Draw(t, "index")]
 					if got, want := w.Cancel(x.handle), h.cancel(x.entry); got != want {
-						t.Fatalf("the wheel cancels %v, the heap %v", got, want)
+						t.Fatalf("Cancel of the wheel returns %v, of the heap %v", got, want)
 					}
 				}
 			default:
-				now += rapid.Int64Range(1, rapid.SampledFrom(distances).Draw(t, "by")).Draw(t, "on")
+				now += rapid.Int64Range(1, rapid.SampledFrom(distances).Draw(t, "maxAdvance")).Draw(t, "advance")
 				if next := w.Next(); h.Len() > 0 && next > max(h.entries[0].due, w.currentTick+1) {
-					t.Fatalf("Next %d, a timer is due at %d", next, h.entries[0].due)
+					t.Fatalf("Next is %d, but a timer is due at %d", next, h.entries[0].due)
 				}
 				w.Advance(now, func(payload uint64, due int64) { fired = append(fired, fmt.Sprint(payload, "@", due)) })
 				h.advance(now, func(payload uint64, due int64) { want = append(want, fmt.Sprint(payload, "@", due)) })
@@ -117,8 +118,8 @@
 	})
 }
 
-// With slots of a millisecond nothing fires early, and nothing later than a slot.
-func TestWheelIsNeverEarly(t *testing.T) {
+// Guards against timers that fire early, or late by more than a slot of 1 ms plus 0.7 ms between calls of Advance.
+func TestWheelFiresWithinSlotAfterDueTime(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	w := NewWheel(0, 1000)
 	now := int64(0)
@@ -127,18 +128,19 @@
 		now += int64(rng.IntN(700))
 		w.Advance(now, func(_ uint64, due int64) {
 			if due > now || now-due > 1000+700 {
-				t.Fatalf("due %d fires at %d", due, now)
+				t.Fatalf("timer due at %d fires at %d", due, now)
 			}
 		})
 	}
 	w.Advance(now+5_000_000+1000, func(uint64, int64) {})
 	if w.count != 0 || w.Next() != math.MaxInt64 {
-		t.Errorf("%d left", w.count)
+		t.Errorf("%d timers left", w.count)
 	}
 }
 
-// What fires may set timers that are due at once, and cancel others that are due too.
-func TestTimersSetWhileFiring(t *testing.T) {
+// Guards against fire callbacks that cannot add a timer that is due immediately, or cannot cancel another timer that is
+// due by now but in a later slot.
+func TestFireCallbackAddsAndCancelsTimers(t *testing.T) {
 	w := NewWheel(0, 1)
 	var order []uint64
 	w.Add(10, 1)
@@ -148,16 +150,17 @@
 		if payload == 1 {
 			w.Add(15, 3)
 			if !w.Cancel(second) {
-				t.Error("a timer that has not fired can't be cancelled")
+				t.Error("Cancel fails for a timer that has not fired")
 			}
 		}
 	})
 	if fmt.Sprint(order) != "[1 3]" || w.count != 0 {
-		t.Errorf("fired %v, %d left", order, w.count)
+		t.Errorf("fired %v, %d timers left", order, w.count)
 	}
 }
 
-// BenchmarkTimers keeps a number of timers waiting, sets and cancels one as most timers of requests are, and moves on.
+// BenchmarkTimers measures adding and cancelling one timer, as for most requests, adding another one and advancing,
+// with n pending timers.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1000, 1_000_000, 10_000_000} {
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) {
