--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -33,7 +33,7 @@
 
 	// Since the ring opened.
 	logRatios              [len(oddsRatios)]float64 // log likelihood ratios, by alternative
-	minDegradationLogRatio float64                  // log likelihood ratio of a degradation of MinHarm to none
+	minDegradationLogRatio float64                  // log likelihood ratio of a degradation of MinDegradation to none
 }
 
 // addBaseline adds the counts of a sample from before the ring opened.
@@ -94,7 +94,7 @@
 	// For the verdict Healthy the baseline odds ratio is assumed to be one standard error below its estimate.
 	lowOddsRatio := e.baselineOddsRatio() / math.Sqrt(uncertainty)
 	noDegradation := expectedRingShare(ring.Total, control.Total, lowOddsRatio)
-	minDegradation := expectedRingShare(ring.Total, control.Total, lowOddsRatio*p.MinHarm)
+	minDegradation := expectedRingShare(ring.Total, control.Total, lowOddsRatio*p.MinDegradation)
 	e.minDegradationLogRatio += logLikelihoodRatio(ring.Bad, control.Bad, noDegradation, minDegradation) / e.dispersion
 }
 
--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -41,11 +41,11 @@
 	// RollbackAt is the time from which on all rings are stopped; 0: not rolled back. With ReplacesObjects the origin
 	// must have the old version again by then.
 	RollbackAt float64 `json:"stopAt,omitempty" jsonschema_description:"Unix milliseconds from which on all rings are stopped; with renews the origin must have the old version again by then"`
-	// Alpha, Beta, MinHarm and Margin are the fields of TestParameters; 0 means the default.
-	Alpha   float64 `json:"alpha,omitempty" jsonschema_description:"maximum probability that a release without degradation is stopped; 0.01 if left out"`
-	Beta    float64 `json:"beta,omitempty" jsonschema_description:"maximum probability that a release with a degradation of at least the value of least is judged healthy; 0.05 if left out"`
-	MinHarm float64 `json:"least,omitempty" jsonschema_description:"smallest degradation that must be found, as an odds ratio of bad events; 2 if left out"`
-	Margin  float64 `json:"margin,omitempty" jsonschema_description:"odds ratio of bad events that is tolerated; 1.1 if left out"`
+	// Alpha, Beta, MinDegradation and Margin are the fields of TestParameters; 0 means the default.
+	Alpha          float64 `json:"alpha,omitempty" jsonschema_description:"maximum probability that a release without degradation is stopped; 0.01 if left out"`
+	Beta           float64 `json:"beta,omitempty" jsonschema_description:"maximum probability that a release with a degradation of at least the value of least is judged healthy; 0.05 if left out"`
+	MinDegradation float64 `json:"least,omitempty" jsonschema_description:"smallest degradation that must be found, as an odds ratio of bad events; 2 if left out"`
+	Margin         float64 `json:"margin,omitempty" jsonschema_description:"odds ratio of bad events that is tolerated; 1.1 if left out"`
 }
 
 // Ring is a set of cells that get the release at the same time.
@@ -67,19 +67,19 @@
 
 // Default test parameters.
 const (
-	defaultAlpha   = 0.01
-	defaultBeta    = 0.05
-	defaultMinHarm = 2.0
-	defaultMargin  = 1.1
+	defaultAlpha          = 0.01
+	defaultBeta           = 0.05
+	defaultMinDegradation = 2.0
+	defaultMargin         = 1.1
 )
 
 // TestParameters returns the test parameters of the rings, with defaults for those that are 0.
 func (r *Rollout) TestParameters() TestParameters {
 	return TestParameters{
-		Alpha:   cmp.Or(r.Alpha, defaultAlpha),
-		Beta:    cmp.Or(r.Beta, defaultBeta),
-		MinHarm: cmp.Or(r.MinHarm, defaultMinHarm),
-		Margin:  cmp.Or(r.Margin, defaultMargin),
+		Alpha:          cmp.Or(r.Alpha, defaultAlpha),
+		Beta:           cmp.Or(r.Beta, defaultBeta),
+		MinDegradation: cmp.Or(r.MinDegradation, defaultMinDegradation),
+		Margin:         cmp.Or(r.Margin, defaultMargin),
 	}
 }
 
--- a/core/rollout/sequential.go
+++ b/core/rollout/sequential.go
@@ -4,10 +4,10 @@
 
 // TestParameters are the error probabilities and effect sizes of the test of a ring.
 type TestParameters struct {
-	Alpha   float64 // maximum probability that a release without degradation is stopped: above 0, below 0.5
-	Beta    float64 // maximum probability that a degradation of MinHarm or more is found Healthy: above 0, below 0.5
-	MinHarm float64 // smallest degradation to be found, as an odds ratio of a bad event: above Margin, at most 100
-	Margin  float64 // odds ratio that is tolerated, because cells differ slightly anyway: 1 or more
+	Alpha          float64 // maximum probability that a release without degradation is stopped: above 0, below 0.5
+	Beta           float64 // maximum probability of Healthy for MinDegradation or more: above 0, below 0.5
+	MinDegradation float64 // smallest degradation to be found, an odds ratio of a bad event: above Margin, at most 100
+	Margin         float64 // odds ratio that is tolerated, because cells differ slightly anyway: 1 or more
 }
 
 // Validate returns an error for the first parameter that is out of bounds, or nil. The error wraps ErrInvalid.
@@ -19,8 +19,8 @@
 		return invalid("beta", "%v is not above 0 and below 0.5", p.Beta)
 	case !(p.Margin >= 1):
 		return invalid("margin", "%v is not at least 1", p.Margin)
-	case !(p.MinHarm > p.Margin && p.MinHarm <= maxMinHarm):
-		return invalid("least", "%v is not above margin (%v) and at most %d", p.MinHarm, p.Margin, maxMinHarm)
+	case !(p.MinDegradation > p.Margin && p.MinDegradation <= maxMinDegradation):
+		return invalid("least", "%v is not above margin (%v) and at most %d", p.MinDegradation, p.Margin, maxMinDegradation)
 	}
 	return nil
 }
@@ -51,7 +51,7 @@
 const (
 	Undecided Verdict = iota // not enough evidence for either of the following
 	Harmful                  // a degradation of some metric in the ring was found
-	Healthy                  // a degradation of MinHarm or more is ruled out in every metric
+	Healthy                  // a degradation of MinDegradation or more is ruled out in every metric
 )
 
 var verdictNames = []string{"open", "harm", "sound"}
--- a/core/rollout/sequential_test.go
+++ b/core/rollout/sequential_test.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-var parameters = TestParameters{Alpha: 0.05, Beta: 0.05, MinHarm: 2, Margin: 1.1}
+var parameters = TestParameters{Alpha: 0.05, Beta: 0.05, MinDegradation: 2, Margin: 1.1}
 
 // simulatedRelease is a release in a ring that has a tenth of all events. Without the release, 1% of the control's
 // events are bad, and 2% of the ring's.
@@ -93,13 +93,18 @@
 	}
 }
 
-// Guards against healthy releases without a verdict, degradations above MinHarm that are judged healthy more often than
-// Beta allows, and verdicts on too few events or on invalid counts.
+// Guards against healthy releases without a verdict, degradations above MinDegradation that are judged healthy more
+// often than Beta allows, and verdicts on too few events or on invalid counts.
 func TestHealthyAndUndecidedVerdicts(t *testing.T) {
 	verdicts := map[Verdict]int{}
 	missed := 0
 	healthy := simulatedRelease{degradation: 1, burst: 1, eventsPerSample: 4000, maxSamples: 400}
-	degraded := simulatedRelease{degradation: parameters.MinHarm * 1.5, burst: 1, eventsPerSample: 4000, maxSamples: 400}
+	degraded := simulatedRelease{
+		degradation:     parameters.MinDegradation * 1.5,
+		burst:           1,
+		eventsPerSample: 4000,
+		maxSamples:      400,
+	}
 	fewEvents := simulatedRelease{degradation: 1, burst: 1, eventsPerSample: 2, maxSamples: 100}
 	for seed := range uint64(100) {
 		verdict, _ := healthy.run(2000 + seed)
--- a/core/rollout/validate.go
+++ b/core/rollout/validate.go
@@ -20,8 +20,8 @@
 	judgeWithinLimit = 1e10
 	// maxOldCopyAge is the upper bound of OldCopyMaxAge in ms: a week.
 	maxOldCopyAge = 7 * 24 * 3600 * 1000
-	// maxMinHarm is the upper bound of TestParameters.MinHarm.
-	maxMinHarm = 100
+	// maxMinDegradation is the upper bound of TestParameters.MinDegradation.
+	maxMinDegradation = 100
 )
 
 // ErrInvalid is wrapped by every error of Validate. The text is the field, then ErrInvalid, then the details.
--- a/core/rollout/validate_test.go
+++ b/core/rollout/validate_test.go
@@ -56,9 +56,9 @@
 		parameters TestParameters
 	}{
 		{"alpha", TestParameters{}},
-		{"alpha", TestParameters{Alpha: 0.6, Beta: 0.1, MinHarm: 2, Margin: 1}},
-		{"beta", TestParameters{Alpha: 0.1, Beta: math.NaN(), MinHarm: 2, Margin: 1}},
-		{"least", TestParameters{Alpha: 0.1, Beta: 0.1, MinHarm: 1, Margin: 1}},
+		{"alpha", TestParameters{Alpha: 0.6, Beta: 0.1, MinDegradation: 2, Margin: 1}},
+		{"beta", TestParameters{Alpha: 0.1, Beta: math.NaN(), MinDegradation: 2, Margin: 1}},
+		{"least", TestParameters{Alpha: 0.1, Beta: 0.1, MinDegradation: 1, Margin: 1}},
 	} {
 		_, err := NewSequentialTest(test.parameters)
 		if !errors.Is(err, ErrInvalid) || !strings.HasPrefix(err.Error(), test.field+": ") {
