--- a/core/rollout/progress.go
+++ b/core/rollout/progress.go
@@ -132,7 +132,7 @@
 			}
 		case RingJudging, RingUndecided:
 			verdict, metric := p.rings[i].test.Verdict()
-			if verdict == Harmful {
+			if verdict == Degraded {
 				p.rings[i].degraded = true
 				p.rings[i].degradedMetric = metric
 				return p.stopAll(changed) // a degradation in one ring closes all of them
@@ -159,7 +159,7 @@
 	return false
 }
 
-// stateAfterVerdict returns the state of an open ring after a verdict other than Harmful.
+// stateAfterVerdict returns the state of an open ring after a verdict other than Degraded.
 func (p *Progress) stateAfterVerdict(ring int, verdict Verdict, now float64) RingState {
 	switch {
 	case verdict == Healthy:
--- a/core/rollout/sequential.go
+++ b/core/rollout/sequential.go
@@ -50,7 +50,7 @@
 // The verdicts.
 const (
 	Undecided Verdict = iota // not enough evidence for either of the following
-	Harmful                  // a degradation of some metric in the ring was found
+	Degraded                 // a degradation of some metric in the ring was found
 	Healthy                  // a degradation of MinDegradation or more is ruled out in every metric
 )
 
@@ -104,14 +104,14 @@
 	}
 }
 
-// Verdict returns the verdict of the samples so far, and for Harmful also the degraded metric. Alpha is divided equally
+// Verdict returns the verdict of the samples so far, and for Degraded also the degraded metric. Alpha is divided equally
 // between the metrics.
 func (t *SequentialTest) Verdict() (Verdict, Metric) {
 	healthy := t.started
 	for i := range t.metrics {
 		e := &t.metrics[i]
 		if e.mixtureLogRatio() >= math.Log(float64(metricCount)/t.parameters.Alpha) {
-			return Harmful, Metric(i)
+			return Degraded, Metric(i)
 		}
 		healthy = healthy && e.minDegradationLogRatio <= math.Log(t.parameters.Beta)
 	}
--- a/core/rollout/sequential_test.go
+++ b/core/rollout/sequential_test.go
@@ -58,7 +58,7 @@
 		stopped := 0
 		release := simulatedRelease{degradation: 1, burst: burst, eventsPerSample: 2000, maxSamples: 300}
 		for seed := range uint64(400) {
-			if verdict, _ := release.run(seed); verdict == Harmful {
+			if verdict, _ := release.run(seed); verdict == Degraded {
 				stopped++
 			}
 		}
@@ -77,7 +77,7 @@
 		found, sum := 0, 0.0
 		release := simulatedRelease{degradation: degradation, burst: 1, eventsPerSample: 2000, maxSamples: 300}
 		for seed := range uint64(100) {
-			if verdict, sample := release.run(1000 + seed); verdict == Harmful {
+			if verdict, sample := release.run(1000 + seed); verdict == Degraded {
 				found++
 				sum += float64(sample + 1)
 			}
@@ -112,7 +112,7 @@
 		if verdict, _ := degraded.run(3000 + seed); verdict == Healthy {
 			missed++
 		}
-		if verdict, _ := fewEvents.run(4000 + seed); verdict == Harmful {
+		if verdict, _ := fewEvents.run(4000 + seed); verdict == Degraded {
 			t.Error("degradation found with two events in a sample")
 		}
 	}
