--- a/core/cells/rollout.go
+++ b/core/cells/rollout.go
@@ -69,7 +69,7 @@
 	for _, ring := range g.progress.Step(g.documentMillis(now)) {
 		state, metric := g.progress.State(ring)
 		text := fmt.Sprintf("release %s, ring %d (%v): %s", r.Name, ring, r.Rings[ring].Cells, state)
-		if g.progress.HarmObserved(ring) {
+		if g.progress.DegradationFound(ring) {
 			text += ", by " + metric.String()
 		}
 		g.log(text)
@@ -148,7 +148,7 @@
 			State:    state.String(),
 			Evidence: g.progress.Evidence(i),
 		}
-		if g.progress.HarmObserved(i) {
+		if g.progress.DegradationFound(i) {
 			ring.HarmedMetric = metric.String()
 		}
 		status.Rings = append(status.Rings, ring)
--- a/core/rollout/progress.go
+++ b/core/rollout/progress.go
@@ -100,8 +100,8 @@
 	return p.rings[ring].state, p.rings[ring].degradedMetric
 }
 
-// HarmObserved reports whether this router found a degradation in a ring.
-func (p *Progress) HarmObserved(ring int) bool { return p.rings[ring].degraded }
+// DegradationFound reports whether this router found a degradation in a ring.
+func (p *Progress) DegradationFound(ring int) bool { return p.rings[ring].degraded }
 
 // Evidence returns the log likelihood ratios of a degradation in a ring to none, by metric.
 func (p *Progress) Evidence(ring int) []float64 {
