--- a/core/migration/validate.go
+++ b/core/migration/validate.go
@@ -26,9 +26,9 @@
 	ErrInvalid = errors.New("invalid migration")
 	// ErrStaleVersion means that the document's version is below 1 or not greater than that of the current document.
 	ErrStaleVersion = fmt.Errorf("%w: stale version", ErrInvalid)
-	// ErrNeverBegun means that the migration starts in the past and is not in the current document. Objects of the
+	// ErrStartsInPast means that the migration starts in the past and is not in the current document. Objects of the
 	// tenant would jump to the new cell.
-	ErrNeverBegun = fmt.Errorf("%w: starts in the past", ErrInvalid)
+	ErrStartsInPast = fmt.Errorf("%w: starts in the past", ErrInvalid)
 	// ErrOngoing means that the document lacks a migration that is in progress, or changes its site or cells.
 	ErrOngoing = fmt.Errorf("%w: in progress", ErrInvalid)
 )
@@ -55,7 +55,7 @@
 		}
 		seen.add(m)
 		if m.wouldJump(now) && !current.hasStarted(m) {
-			return fmt.Errorf("moves[%d].start: %w: would already be %s", i, ErrNeverBegun, m.Phase(now))
+			return fmt.Errorf("moves[%d].start: %w: would already be %s", i, ErrStartsInPast, m.Phase(now))
 		}
 	}
 	return d.validateOngoing(now, current)
--- a/core/migration/validate_test.go
+++ b/core/migration/validate_test.go
@@ -68,7 +68,7 @@
 			change: func(d *Document) { d.Migrations[0].Tenant = "late" },
 			now:    1e6,
 			want:   "moves[0].start: invalid migration: starts in the past: would already be done",
-			cause:  ErrNeverBegun,
+			cause:  ErrStartsInPast,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
