--- a/core/migration/pacer.go
+++ b/core/migration/pacer.go
@@ -16,8 +16,8 @@
 	// plus lateStandardErrors standard errors of the difference.
 	lateRatioTolerance = 0.03
 	lateStandardErrors = 2.0
-	// maxRejectedRatio is the ratio of requests for the target rejected for lack of capacity above which the share does
-	// not rise.
+	// The share does not rise if more than maxRejectedRatio of the requests for the target are rejected for lack of
+	// capacity.
 	maxRejectedRatio = 0.25
 	// minWarmCapacity is the minimum fraction of its warm capacity that each cell must have for the share to rise.
 	minWarmCapacity = 0.8
@@ -78,8 +78,9 @@
 // Share returns the share of the tenant's objects, in the order of Position, that this router sends to the new cell.
 func (p *Pacer) Share() float64 { return p.share }
 
-// Step advances the pacer to now, in Unix ms, and returns the share. During a rollback the share follows MaxShare.
-// Observations do not slow it down, because a rollback must always be possible; the old cell is the target then.
+// Step advances the pacer to now, in Unix ms, and returns the share. With Unbounded and during a rollback the share
+// follows MaxShare regardless of observations. A rollback must always be possible, although the old cell is the target
+// of ObserveAnswer then and may be degraded.
 func (p *Pacer) Step(now float64, m *Migration) float64 {
 	if !p.started {
 		p.started = true
--- a/core/migration/share.go
+++ b/core/migration/share.go
@@ -9,10 +9,12 @@
 // hotShare is the share that all HotObjects of a migration have together, regardless of their number.
 const hotShare = 0.1
 
-// MaxShare returns the maximum share of the tenant's objects, in the order of Position, in the new cell at now.
+// MaxShare returns the maximum share of the tenant's objects, in the order of Position, that may be in the new cell at
+// now.
 func (m *Migration) MaxShare(now float64) float64 { return m.scheduledShare(now, m.MinShift) }
 
-// MinShare returns the minimum of that share. A router that starts during a migration starts with MinShare.
+// MinShare returns the minimum share that must be in the new cell at now. A router that starts during a migration
+// starts with MinShare.
 func (m *Migration) MinShare(now float64) float64 { return m.scheduledShare(now, m.longestShift()) }
 
 // longestShift returns the longest time in which the objects that are not hot move, in ms.
--- a/core/migration/share_test.go
+++ b/core/migration/share_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a share that falls before a rollback, rises during one, or jumps. Two routers whose clocks differ may
-// differ in the share only by the clock difference times the steepestSlope slope.
+// differ in the share only by the clock difference times the steepest slope.
 func TestShareIsMonotonicAndContinuous(t *testing.T) {
 	const interval = 777.0 // ms
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/migration/validate.go
+++ b/core/migration/validate.go
@@ -26,8 +26,8 @@
 	ErrInvalid = errors.New("invalid migration")
 	// ErrStaleVersion means that the document's version is below 1 or not greater than that of the current document.
 	ErrStaleVersion = fmt.Errorf("%w: stale version", ErrInvalid)
-	// ErrStartsInPast means that the migration starts in the past and is not in the current document. Objects of the
-	// tenant would jump to the new cell.
+	// ErrStartsInPast means that the warm-up of the migration ends in the past and that the current document does not
+	// have the migration. Objects of the tenant would jump to the new cell.
 	ErrStartsInPast = fmt.Errorf("%w: starts in the past", ErrInvalid)
 	// ErrOngoing means that the document lacks a migration that is in progress, or changes its site or cells.
 	ErrOngoing = fmt.Errorf("%w: in progress", ErrInvalid)
--- a/core/rollout/sequential.go
+++ b/core/rollout/sequential.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Verdict returns the verdict of the samples so far, and for Degraded also the degraded metric. Alpha is divided equally
-// between the metrics.
+// Verdict returns the verdict of the samples so far, and for Degraded also the degraded metric. Alpha is divided
+// equally between the metrics.
 func (t *SequentialTest) Verdict() (Verdict, Metric) {
 	healthy := t.started
 	for i := range t.metrics {
