--- a/core/migration/capacity.go
+++ b/core/migration/capacity.go
@@ -1,11 +1,11 @@
 package migration
 
-// CapacityModel computes how much the servers of a deployment can send. Times are in microseconds.
+// CapacityModel computes how much the servers of a cell, or the parent caches, can send. Times are in microseconds.
 type CapacityModel struct {
 	ResponseKBPerSecond float64 // KB/s of one response; a server of weight w sends w responses at once
 	InitialCapacity     float64 // fraction of its capacity that a server has when it starts, 0 to 1
 	WarmUp              int64   // time until a server has its full capacity; 0: from the start
-	OverloadWindow      int64   // time over which a server's load is summed
+	OverloadWindow      int64   // time over which a server's load is summed; the warm-up begins after it
 }
 
 // Server is an edge cache or a parent cache.
--- a/core/migration/capacity_limiter.go
+++ b/core/migration/capacity_limiter.go
@@ -2,34 +2,35 @@
 
 import "math"
 
-// Constants of the CapacityLimiter.
 const (
-	// usableFraction of a cell's capacity may be used by its resident and its migrating tenants together.
+	// usableFraction of a cell's capacity may be used by its resident and its migrating tenants together. Resident
+	// tenants are the tenants of the cell that are not migrating into it.
 	usableFraction = 0.85
-	// residentWindow is the time constant with which the load of resident tenants decays, in microseconds.
+	// residentWindow is the time constant of the moving average of the resident tenants' load, in microseconds.
 	residentWindow = 2e6
 	// burstSeconds is the burst of the token buckets, in seconds of their rate.
 	burstSeconds = 0.5
-	// The cost of a fill, in sends of the same size: the initial value, the upper bound, and the weight of a new
-	// observation in the moving average.
+	// The cost of a fill, relative to a send of the same size: the initial value, the upper bound, and the weight of a
+	// new observation in the moving average.
 	initialFillCost = 1.0
 	maxFillCost     = 4.0
 	fillCostGain    = 0.02
 )
 
-// microsPerSecond converts microseconds to seconds.
 const microsPerSecond = 1e6
 
 // CapacityLimiter limits, at one router, the requests of tenants that migrate into a cell. It has a token bucket for
 // sends and one for fills. Their rates are the usable capacity of the cell's caches, and of the links and parent caches
 // that its fills pass, minus the load of the cell's resident tenants.
 //
-// Guarantee: in any span t it admits at most (usableFraction * capacity - resident load) * (t + burstSeconds), plus one
-// request. Each router is given its part of the capacity, so all routers together stay within the sum.
+// Guarantee: in any t seconds it admits at most (usableFraction * capacity - resident load) * (t + burstSeconds), plus
+// one request. The resident load is the observed moving average; the bound assumes that it and the capacity are
+// constant during the t seconds. Each router is given its part of the capacity, so that all routers together stay
+// within the cell's capacity.
 //
 // It is not safe for concurrent use. Times are in microseconds.
 type CapacityLimiter struct {
-	FillCost float64 // observed cost of a fill, in sends of the same size
+	FillCost float64 // observed cost of a fill, relative to a send of the same size
 
 	sendKBPerS float64 // this router's part of the capacity of the caches
 	fillKBPerS float64 // this router's part of the capacity for fills; math.Inf(1): unlimited
@@ -59,7 +60,8 @@
 }
 
 // ObserveFillCost adds the cost of one fill to the moving average FillCost. The cost is the time that the fill took,
-// in sends of the same size. Values above maxFillCost count as maxFillCost, negative ones are ignored.
+// divided by the time of a send of the same size. Values above maxFillCost count as maxFillCost, negative ones are
+// ignored.
 func (l *CapacityLimiter) ObserveFillCost(cost float64) {
 	if cost >= 0 {
 		l.FillCost += fillCostGain * (min(cost, maxFillCost) - l.FillCost)
@@ -75,7 +77,8 @@
 	return sendKBPerS, max(usableFraction*l.fillKBPerS-l.residentFills.perSecond(now), 0)
 }
 
-// refill adds the tokens that have accrued since the last call. The first call fills both buckets.
+// refill adds the tokens that have accrued since the last call. The first call adds nothing, because no capacity is set
+// yet.
 func (l *CapacityLimiter) refill(now int64) {
 	elapsed := float64(max(now-l.refilledAt, 0)) / microsPerSecond
 	if l.refilledAt == 0 {
@@ -91,8 +94,8 @@
 	l.fillTokens = min(min(l.fillTokens, fills*burstSeconds)+fills*elapsed, fills*burstSeconds)
 }
 
-// TryAcquire reports whether a request is admitted, and charges it. A request is admitted while tokens are above 0. It
-// may overdraw them; the next request is admitted once they are above 0 again. fillKB is 0 on a cache hit.
+// TryAcquire reports whether a request is admitted, and if so charges it. A request is admitted while tokens are above
+// 0. It may overdraw them; the next request is admitted once they are above 0 again. fillKB is 0 on a cache hit.
 func (l *CapacityLimiter) TryAcquire(now int64, sendKB, fillKB float64) bool {
 	l.refill(now)
 	if l.sendTokens <= 0 || fillKB > 0 && l.fillTokens <= 0 {
@@ -103,7 +106,8 @@
 	return true
 }
 
-// decayingRate is a sum of amounts that decay exponentially with the time constant residentWindow.
+// decayingRate is a moving average of a rate, with the time constant residentWindow. It is computed from a sum of
+// amounts that decays exponentially.
 type decayingRate struct {
 	sum       float64
 	updatedAt int64 // microseconds
--- a/core/migration/capacity_limiter_test.go
+++ b/core/migration/capacity_limiter_test.go
@@ -48,26 +48,30 @@
 			}
 		}
 		available, availableFills := l.Available(now)
-		// By the end of the run the load of resident tenants is fully observed.
+		// By the end of the run the load of resident tenants is fully observed. Fills must be within usableFraction of
+		// the capacity. The bound on sends is looser than that: it adds back 0.6 of the resident load after it has
+		// subtracted 0.5 of it.
 		maxAvailable := max(usableFraction*sends-resident*sends*0.5, 0) + 1
 		if available > maxAvailable+0.6*sends*resident+1 || availableFills > usableFraction*fills+1e-6 {
 			t.Fatalf("%v KB/s of sends and %v KB/s of fills available", available, availableFills)
 		}
 		const span = 1_500_000
-		worst, worstFills := worstWindow(all, span)
+		greatest, greatestFills := greatestWindow(all, span)
+		// The limits are above the guarantee by 2% and one more request, because the observed load of resident tenants
+		// still rises in the first windows, so that more was available then than at the end.
 		seconds := span/1e6 + burstSeconds
-		if limit := available*1.02*seconds + 2*largestKB*(1+l.FillCost); worst > limit {
-			t.Fatalf("%v KB in a window, %v allowed (%v KB/s available)", worst, limit, available)
+		if limit := available*1.02*seconds + 2*largestKB*(1+l.FillCost); greatest > limit {
+			t.Fatalf("%v KB in a window, %v allowed (%v KB/s available)", greatest, limit, available)
 		}
-		if limit := availableFills*1.02*seconds + 2*largestKB; worstFills > limit {
-			t.Fatalf("%v KB of fills in a window, %v allowed", worstFills, limit)
+		if limit := availableFills*1.02*seconds + 2*largestKB; greatestFills > limit {
+			t.Fatalf("%v KB of fills in a window, %v allowed", greatestFills, limit)
 		}
 	})
 }
 
-// worstWindow returns the maximum KB of cost and of fills that were admitted in any window of length span. Windows that
-// end before the load of resident tenants is fully observed do not count.
-func worstWindow(all []admittedRequest, span int64) (worst, worstFills float64) {
+// greatestWindow returns the maximum KB of cost and of fills that were admitted in any window of length span. Windows
+// that end before the load of resident tenants is fully observed do not count.
+func greatestWindow(all []admittedRequest, span int64) (greatest, greatestFills float64) {
 	const observedBy = 8_000_000
 	first, kb, fillKB := 0, 0.0, 0.0
 	for _, x := range all {
@@ -79,11 +83,11 @@
 			first++
 		}
 		if x.at > observedBy {
-			worst = max(worst, kb)
-			worstFills = max(worstFills, fillKB)
+			greatest = max(greatest, kb)
+			greatestFills = max(greatestFills, fillKB)
 		}
 	}
-	return worst, worstFills
+	return greatest, greatestFills
 }
 
 func TestCapacityLimiterRejectsWithoutCapacity(t *testing.T) {
@@ -102,7 +106,7 @@
 	l.ObserveFillCost(100)
 	l.ObserveFillCost(-1)
 	if l.FillCost <= initialFillCost || l.FillCost > maxFillCost {
-		t.Errorf("FillCost is %v", l.FillCost)
+		t.Errorf("FillCost is %v, want above initialFillCost and at most maxFillCost", l.FillCost)
 	}
 }
 
--- a/core/migration/capacity_test.go
+++ b/core/migration/capacity_test.go
@@ -24,7 +24,7 @@
 	}
 	servers := []Server{{Weight: 4}, {Weight: 4, StartedAt: startedAt}}
 	if kb, warm := model.Capacity(startedAt, servers); math.Abs(kb-5280) > 1e-6 || math.Abs(warm-0.66) > 1e-9 {
-		t.Errorf("one warm and one cold server: %v KB/s, %v of the warm capacity", kb, warm)
+		t.Errorf("one warm and one cold server: %v KB/s, %v of the warm capacity, want 5280 KB/s and 0.66", kb, warm)
 	}
 	if kb, warm := model.Capacity(startedAt, nil); kb != 0 || warm != 0 {
 		t.Errorf("no server: %v KB/s, %v of the warm capacity", kb, warm)
--- a/core/migration/document.go
+++ b/core/migration/document.go
@@ -1,14 +1,20 @@
 // Package migration moves tenants from one cell to another while they are served.
 //
 // The share of a tenant's objects that a router sends to the new cell lies between MinShare and MaxShare. Both depend
-// only on the migration document and the clock, so routers stay close to each other without exchanging state. The
-// exact share depends on what the router observes of both cells (Pacer) and on the spare capacity of the new cell
-// (CapacityLimiter).
+// only on the migration document and the clock, so the shares of different routers differ little although routers
+// exchange no state. The exact share depends on what the router observes of both cells (Pacer) and on the spare
+// capacity of the new cell (CapacityLimiter).
 //
 // Guarantee: for two routers with the same document and with clocks that differ by d, a tenant's share differs by at
-// most MaxShare-MinShare plus d times the steeper slope of the two, and not at all once Settling has begun for both.
-// If MaxShift equals MinShift, the difference is at most d/MinShift. When a new version of the document arrives, a
-// router's share moves into its bounds at no more than MaxRiseRate and MaxFallRate.
+// most MaxShare-MinShare plus d times the slope of MinShare or MaxShare, whichever is steeper. It does not differ at
+// all once Settling has begun for both. If MaxShift equals MinShift, the difference is at most d/MinShift, or with hot
+// objects d times the greater of 1/MinShift and hotPositionRange/WarmUp.
+//
+// The guarantee is for the shares after a step of both pacers, and only while both shares are within MinShare and
+// MaxShare. A share is outside of them after a new version of the document, and while MinShare rises faster than
+// MaxRiseRate, as it does in a short warm-up. It then moves into its bounds at no more than MaxRiseRate and
+// MaxFallRate, with two exceptions: with Unbounded and in a rollback it falls at up to the greater of both rates, and
+// after a time without steps (idleAfter) it is clamped to its bounds at once.
 //
 // The package does no I/O and does not read the clock. Times are Unix milliseconds and durations are milliseconds,
 // except in capacity.go and capacity_limiter.go, which use microseconds as package routing does.
@@ -38,16 +44,18 @@
 	// MaxShift of 0 means MinShift: a fixed ramp.
 	MinShift float64 `json:"shift" jsonschema_description:"ms after the warm-up in which the other objects move, at least"`
 	MaxShift float64 `json:"slow,omitempty" jsonschema_description:"ms after the warm-up in which the other objects move, at most; same as shift if left out, which is a fixed ramp"`
-	// Settle is the time after that in which the old cell still serves requests that the new cell lacks capacity for.
+	// Settle is the time after MaxShift in which the old cell still serves requests that the new cell lacks capacity
+	// for.
 	Settle float64 `json:"settle,omitempty" jsonschema_description:"ms after all objects have moved in which the old cell still serves requests that the new cell lacks capacity for"`
 	// HotObjects are the objects that move first, hottest first, by their hex names.
 	HotObjects []string `json:"hot,omitempty" jsonschema_description:"objects that move first, hottest first, by their hex names"`
-	// PausedAt is the time from which on the share stays constant; 0: not paused.
-	PausedAt float64 `json:"heldAt,omitempty" jsonschema_description:"Unix milliseconds from which on the share stays constant; 0: not paused"`
-	// RollbackAt is the time from which on the share falls, as fast as it may rise; 0: not rolled back.
-	RollbackAt float64 `json:"backAt,omitempty" jsonschema_description:"Unix milliseconds from which on the share falls, as fast as it may rise; 0: not rolled back"`
-	// Unbounded disables CapacityLimiter and Pacer: the share follows MaxShare regardless of load and late answers. It
-	// is meant for emergencies and as the baseline of experiments.
+	// PausedAt is the time at which MinShare and MaxShare stop changing; 0: not paused. A router's share can still move
+	// between them, if MaxShift is above MinShift.
+	PausedAt float64 `json:"heldAt,omitempty" jsonschema_description:"Unix milliseconds at which the minimum and the maximum share stop changing; 0: not paused"`
+	// RollbackAt is the time from which on MinShare and MaxShare fall by 1/MinShift per ms; 0: not rolled back.
+	RollbackAt float64 `json:"backAt,omitempty" jsonschema_description:"Unix milliseconds from which on all objects move back, within the time of shift; 0: not rolled back"`
+	// Unbounded means that load and late answers are ignored: CapacityLimiter is not applied, and the share follows
+	// MaxShare, which remains its bound. It is meant for emergencies and as the baseline of experiments.
 	Unbounded bool `json:"unbounded,omitempty" jsonschema_description:"move at the maximum speed, without regard to the capacity of the new cell and to late answers"`
 }
 
--- a/core/migration/pacer.go
+++ b/core/migration/pacer.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// Constants of the Pacer. Times are in milliseconds.
+// Times are in milliseconds.
 const (
-	// stepInterval is the minimum time between two decisions.
+	// stepInterval is the minimum time between two steps.
 	stepInterval = 250.0
-	// idleAfter is the time without a step after which the share is first clamped to MinShare and MaxShare.
+	// idleAfter is the time without a step after which the next step begins by clamping the share to MinShare and
+	// MaxShare at once.
 	idleAfter = 2000.0
 	// observationWindow is the time constant of the decay of observations.
 	observationWindow = 3000.0
@@ -19,7 +20,8 @@
 	// The share does not rise if more than maxRejectedRatio of the requests for the target are rejected for lack of
 	// capacity.
 	maxRejectedRatio = 0.25
-	// minWarmCapacity is the minimum fraction of its warm capacity that each cell must have for the share to rise.
+	// minWarmCapacity is the minimum fraction of its full capacity that each cell must have for the share to rise. A
+	// cell has its full capacity when all its servers are healthy and warmed up.
 	minWarmCapacity = 0.8
 	// rateIncrement is how much the rate rises at each step with a healthy target and enough capacity, as a fraction of
 	// MaxRiseRate.
@@ -28,20 +30,26 @@
 	maxRateFactor = 2.0
 )
 
-// MaxFallRate is the maximum rate at which a share falls, per ms.
+// MaxFallRate is the maximum rate at which a share falls, per ms. With Unbounded and in a rollback the maximum is
+// MaxRiseRate, if that is higher.
 const MaxFallRate = 1.0 / ShortestShiftMs
 
 // MaxRiseRate returns the maximum rate at which the share of the migration rises, per ms.
 func (m *Migration) MaxRiseRate() float64 { return maxRateFactor / m.MinShift }
 
-// Pacer controls the share of one migration at one router, between MinShare and MaxShare. The share rises while the
-// target cell answers as well as the source cell. It stays constant while the target lacks capacity or the servers of
-// either cell are being replaced. It falls while the target's answers are late more often than the source's.
+// Pacer controls the share of one migration at one router, between MinShare and MaxShare. The target is the cell that
+// objects move to, and the source the cell that they move from: To and From, or in a rollback From and To.
 //
-// MaxRiseRate and MaxFallRate bound the rate of change. The pacer decides every 250 ms on observations that decay over
-// 3 s, and the share begins to fall at the first step that finds the target degraded. So the share overshoots the
-// value at which the target becomes degraded by at most MaxRiseRate * (250 ms + the time in which 20 late answers
-// arrive + the decay), and does not oscillate by more than that.
+// The share rises while answers of the target are not late significantly more often than answers of the source, and
+// falls while they are. It does not rise while the target lacks capacity or the servers of either cell are being
+// replaced. It always rises as far as MinShare requires. With Unbounded and in a rollback it follows MaxShare.
+//
+// MaxRiseRate and MaxFallRate bound the rate of change, except after idleAfter without a step. The pacer steps at most
+// every 250 ms, on observations that decay over 3 s, and the share begins to fall at the first step that finds the
+// target degraded. So, unless MinShare requires more, the share exceeds the value at which the target becomes degraded
+// by at most MaxRiseRate * (250 ms + the time in which 20 answers of the target arrive + the decay of observations,
+// twice 3 s), and does not oscillate by more than that. This assumes that the target is sent enough requests: with less
+// than 20 answers in 3 s, observations decay before there are 20 of them.
 //
 // The zero value is ready for use. It is not safe for concurrent use.
 type Pacer struct {
@@ -50,10 +58,9 @@
 	steppedAt float64
 	started   bool
 
-	// target and source count the answers of the cell that objects move to, and of the cell that they move from. Late
-	// and missing answers are adverse.
+	// target and source count the answers of both cells. Late and missing answers are bad.
 	target, source decayingRatio
-	// admissions counts the requests for the target. Those that it lacked capacity for are adverse.
+	// admissions counts the requests for the target. A request is bad if the target lacked capacity for it.
 	admissions decayingRatio
 	// capacityReady reports whether both cells have at least minWarmCapacity.
 	capacityReady bool
@@ -71,16 +78,17 @@
 // ObserveAdmission records a request for the target cell, and whether the capacity limiter admitted it.
 func (p *Pacer) ObserveAdmission(now float64, admitted bool) { p.admissions.add(now, !admitted) }
 
-// SetWarmCapacity sets the fraction of its warm capacity that a cell has at present, 0 to 1: the minimum of both cells.
-// During a deployment or a loss of caches the share does not rise, unless MinShare does. It rises again afterwards.
+// SetWarmCapacity sets the current capacity of a cell as a fraction of its full capacity, 0 to 1: the smaller fraction
+// of both cells. Below minWarmCapacity, as during a deployment or a loss of caches, the share rises only as far as
+// MinShare requires, until the capacity is back.
 func (p *Pacer) SetWarmCapacity(fraction float64) { p.capacityReady = fraction >= minWarmCapacity }
 
 // Share returns the share of the tenant's objects, in the order of Position, that this router sends to the new cell.
 func (p *Pacer) Share() float64 { return p.share }
 
 // Step advances the pacer to now, in Unix ms, and returns the share. With Unbounded and during a rollback the share
-// follows MaxShare regardless of observations. A rollback must always be possible, although the old cell is the target
-// of ObserveAnswer then and may be degraded.
+// follows MaxShare regardless of observations. A share below MaxShare rises to it first, also in a rollback. A rollback
+// must not be delayed by observations, not even if the cell that objects move back to is degraded.
 func (p *Pacer) Step(now float64, m *Migration) float64 {
 	if !p.started {
 		p.started = true
@@ -95,7 +103,7 @@
 	p.steppedAt = now
 	low := m.MinShare(now)
 	high := m.MaxShare(now)
-	if elapsed > idleAfter { // continue like a router that starts now
+	if elapsed > idleAfter { // the share may have left its bounds meanwhile
 		p.share = min(max(p.share, low), high)
 		elapsed = stepInterval
 	}
@@ -115,7 +123,7 @@
 	switch {
 	case p.targetDegraded(now):
 		return -maxRise / 2
-	case !p.capacityReady || p.targetFull(now):
+	case !p.capacityReady || p.targetLacksCapacity(now):
 		return min(p.rate, 0)
 	}
 	return min(max(p.rate, 0)+rateIncrement*maxRise, maxRise)
@@ -142,23 +150,23 @@
 	return target > source+lateRatioTolerance+lateStandardErrors*math.Sqrt(variance)
 }
 
-// targetFull reports whether the target lacked capacity for more than maxRejectedRatio of its requests.
-func (p *Pacer) targetFull(now float64) bool {
+// targetLacksCapacity reports whether more than maxRejectedRatio of the requests for the target were rejected.
+func (p *Pacer) targetLacksCapacity(now float64) bool {
 	p.admissions.decay(now)
 	return p.admissions.total >= minObservations && p.admissions.ratio() > maxRejectedRatio
 }
 
-// decayingRatio is the ratio of adverse to all observations. They decay with the time constant observationWindow.
+// decayingRatio is the ratio of bad to all observations. They decay with the time constant observationWindow.
 type decayingRatio struct {
-	total, adverse float64
-	updatedAt      float64 // ms
+	total, bad float64
+	updatedAt  float64 // ms
 }
 
-func (r *decayingRatio) add(now float64, adverse bool) {
+func (r *decayingRatio) add(now float64, bad bool) {
 	r.decay(now)
 	r.total++
-	if adverse {
-		r.adverse++
+	if bad {
+		r.bad++
 	}
 }
 
@@ -168,9 +176,10 @@
 	}
 	kept := math.Exp((r.updatedAt - now) / observationWindow)
 	r.total *= kept
-	r.adverse *= kept
+	r.bad *= kept
 	r.updatedAt = now
 }
 
-// ratio returns the ratio of adverse observations. A total below 1 counts as 1, so that the ratio is 0 without any.
-func (r *decayingRatio) ratio() float64 { return r.adverse / max(r.total, 1) }
+// ratio returns the ratio of bad observations. A total below 1 counts as 1, so that the ratio is 0 if there are no
+// observations.
+func (r *decayingRatio) ratio() float64 { return r.bad / max(r.total, 1) }
--- a/core/migration/pacer_test.go
+++ b/core/migration/pacer_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// simulatedCell answers on time up to a share of a tenant's objects. Above it, more and more answers are late.
+// simulatedCell answers 2% of requests late up to a share of a tenant's objects. Above it, the rate of late answers
+// rises.
 type simulatedCell struct{ supportedShare float64 }
 
 func (c simulatedCell) late(share float64, rng *rand.Rand) bool {
@@ -85,9 +86,9 @@
 	before, lowest := 0.0, 1.0
 	target := func(now float64) simulatedCell {
 		if now > degradedFrom && now < degradedUntil {
-			return simulatedCell{-1}
+			return simulatedCell{-1} // always late
 		}
-		return simulatedCell{2}
+		return simulatedCell{2} // supports all objects
 	}
 	runMigration(&m, &p, 200, rng, target, func(now, share float64) {
 		switch {
@@ -118,11 +119,11 @@
 			before = p.Share()
 		}
 		if now > m.Start+13_000 && now < m.Start+50_000 && p.Share() > max(before, m.MinShare(now))+1e-9 {
-			t.Fatalf("share %v after %v, without capacity", p.Share(), before)
+			t.Fatalf("share is %v without capacity, up from %v", p.Share(), before)
 		}
 	}
 	if p.Share() < 0.99 {
-		t.Errorf("final share %v", p.Share())
+		t.Errorf("final share %v, want at least 0.99", p.Share())
 	}
 }
 
@@ -143,24 +144,24 @@
 		if !deploying {
 			before = share
 		} else if share > max(before, m.MinShare(now))+m.MaxRiseRate()*2*stepInterval {
-			t.Fatalf("share %v after %v during the deployment", share, before)
+			t.Fatalf("share is %v during the deployment, up from %v", share, before)
 		}
 	}
 	if p.Share() < 0.99 {
-		t.Errorf("final share %v", p.Share())
+		t.Errorf("final share %v, want at least 0.99", p.Share())
 	}
 }
 
-// Guards against an outdated share after a time without steps: it must be that of a router that has just started.
+// Guards against an outdated share after a time without steps: it must be within MinShare and MaxShare at once.
 func TestPacerCatchesUpAfterIdleTime(t *testing.T) {
 	m := Migration{Start: 1e6, MinShift: 20_000, MaxShift: 60_000}
 	var p Pacer
 	p.Step(m.Start, &m)
 	if share := p.Step(m.Start+30_000, &m); math.Abs(share-0.5) > 0.05 {
-		t.Errorf("share after 30 of 60 s: %v", share)
+		t.Errorf("share after 30 of 60 s: %v, want about 0.5", share)
 	}
 	if share := p.Step(m.Start+80_000, &m); share != 1 {
-		t.Errorf("share after the end: %v", share)
+		t.Errorf("share after the end: %v, want 1", share)
 	}
 }
 
--- a/core/migration/phase.go
+++ b/core/migration/phase.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Phase is the phase of a migration at a point in time.
+// Phase is a stage of a migration, for example the warm-up or the rollback.
 type Phase int
 
 // The phases, in the order in which a migration passes them unless it is paused or rolled back.
@@ -12,7 +12,7 @@
 	Shifting              // the other objects are moving
 	Settling              // all objects have moved; the old cell serves what the new one lacks capacity for
 	Done
-	Paused      // the share stays constant
+	Paused      // MinShare and MaxShare stay constant
 	RollingBack // objects are moving back to the old cell
 	RolledBack  // all objects are back in the old cell
 )
@@ -49,7 +49,8 @@
 // latestShiftEnd returns the latest time by which all objects have moved, disregarding PausedAt and RollbackAt.
 func (m *Migration) latestShiftEnd() float64 { return m.Start + m.WarmUp + m.longestShift() }
 
-// InProgress reports whether the migration has started and not ended, so that either cell may get requests.
+// InProgress reports whether the migration has started and has not yet ended, so that either cell may get requests. The
+// Settle time is part of it, also after a rollback, when the phase is already RolledBack.
 func (m *Migration) InProgress(now float64) bool { return now >= m.Start && now < m.EndsAt() }
 
 // RollbackStarted reports whether RollbackAt has passed. From then on objects move back to the old cell.
--- a/core/migration/schedule/cycles.go
+++ b/core/migration/schedule/cycles.go
@@ -48,8 +48,8 @@
 	return names
 }
 
-// joinCycles joins batches whose cells depend on each other in a cycle into one batch and returns the others unchanged.
-// Each of the batches must have a single request.
+// joinCycles joins the batches between cells that are connected by cycles: one batch for each strongly connected
+// component. It returns the other batches unchanged. Each of the given batches must have a single request.
 func (p *planner) joinCycles(batches []batch) []batch {
 	var pairs []cellPair
 	for _, b := range batches {
@@ -78,8 +78,9 @@
 	return result
 }
 
-// Cycles returns the cycles of cells whose migrations wait for each other's capacity, such as A to B, B to C, C to A.
-// Each cycle begins with its alphabetically first cell, and cycles are sorted.
+// Cycles returns the cycles in the graph of the document's migrations, such as A to B, B to C, C to A. Their migrations
+// may have to wait for each other's capacity. Each cycle begins with its alphabetically first cell, and cycles are
+// sorted.
 func Cycles(d *migration.Document) [][]string {
 	var pairs []cellPair
 	for i := range d.Migrations {
--- a/core/migration/schedule/planner.go
+++ b/core/migration/schedule/planner.go
@@ -29,7 +29,7 @@
 const (
 	cellFillsPrefix = "fills into "
 	cellLoadPrefix  = "load of "
-	siteFillsName   = "fills into the depot"
+	siteFillsName   = "fills into the site"
 	originFillsName = "head office"
 )
 
@@ -90,7 +90,8 @@
 	return l
 }
 
-// lowerBound returns the earliest possible end of all migrations, in Unix ms: fills cannot be faster than the limits.
+// lowerBound returns the earliest possible end of all migrations, in Unix ms: Start plus the time that all fills need
+// at the rates of the limits, which is at least MinShift if there are requests.
 func (p *planner) lowerBound(requests []Request) float64 {
 	shortest, allKB := 0.0, 0.0
 	cellKB := map[string]float64{}
@@ -113,16 +114,16 @@
 
 // batch is one request, or several with the same start and duration because each needs the capacity that another frees.
 type batch struct {
-	requests   []Request
-	durationMs float64 // of warm-up and shift together
-	kbPerS     float64 // sum of DemandKBPerS
+	requests     []Request
+	durationMs   float64 // of warm-up and shift together
+	demandKBPerS float64 // sum of DemandKBPerS
 }
 
 // slots returns the length of the batch in slots, rounded up.
 func (b *batch) slots() int { return int(math.Ceil(b.durationMs / slotMs)) }
 
-// newBatch returns a batch of requests. Its duration is MinShift, or longer so that it uses at most maxBatchFraction of
-// each limit of fills, plus WarmUp if any request has hot objects.
+// newBatch returns a batch of requests. Its duration is at least MinShift, and so long that its fills use at most
+// maxBatchFraction of each fill limit. WarmUp is added if any request has hot objects.
 func (p *planner) newBatch(requests []Request) batch {
 	b := batch{requests: requests, durationMs: p.constraints.MinShift}
 	allKB := 0.0
@@ -131,14 +132,14 @@
 			b.durationMs = max(b.durationMs, 1000*r.FillKB/(maxBatchFraction*l.capacity))
 		}
 		allKB += r.FillKB
-		b.kbPerS += r.DemandKBPerS
+		b.demandKBPerS += r.DemandKBPerS
 	}
 	if p.siteFills != nil {
 		b.durationMs = max(b.durationMs, 1000*allKB/(maxBatchFraction*p.siteFills.capacity))
 	}
 	if p.originFills != nil {
-		originKB := 1000 * allKB * p.constraints.OriginFillFraction
-		b.durationMs = max(b.durationMs, originKB/(maxBatchFraction*p.originFills.capacity))
+		originKBTimes1000 := 1000 * allKB * p.constraints.OriginFillFraction
+		b.durationMs = max(b.durationMs, originKBTimes1000/(maxBatchFraction*p.originFills.capacity))
 	}
 	if slices.ContainsFunc(requests, func(r Request) bool { return len(r.HotObjects) > 0 }) {
 		b.durationMs += p.constraints.WarmUp
@@ -151,7 +152,7 @@
 	slices.SortStableFunc(batches, func(a, b batch) int {
 		return cmp.Or(
 			cmp.Compare(a.durationMs, b.durationMs),
-			cmp.Compare(a.kbPerS, b.kbPerS),
+			cmp.Compare(a.demandKBPerS, b.demandKBPerS),
 			cmp.Compare(a.requests[0].Tenant, b.requests[0].Tenant),
 		)
 	})
@@ -209,7 +210,9 @@
 		cells := slices.AppendSeq(make([]string, 0, len(changes)), maps.Keys(changes))
 		slices.Sort(cells)
 		for _, cell := range cells {
-			from := slot // for load that a cell gains, since a migration may be faster than planned
+			// Gained load counts from the first slot, because a migration may be faster than planned. Lost load is free
+			// only after the last slot.
+			from := slot
 			if changes[cell] < 0 {
 				from = end
 			}
@@ -282,9 +285,9 @@
 	}
 }
 
-// unscheduledReason returns the reason for operators why a batch does not fit into the schedule at any time.
+// unscheduledReason returns a text for operators with the reason why a batch cannot be scheduled.
 func (p *planner) unscheduledReason(b batch) string {
-	reason := "no free time within four hours"
+	reason := "no time within the next four hours at which all limits have enough capacity"
 	for u := range p.uses(b, 0) {
 		last := u.limit.used[maxSlots-1]
 		switch {
--- a/core/migration/schedule/schedule.go
+++ b/core/migration/schedule/schedule.go
@@ -20,7 +20,7 @@
 	Tenant       string
 	From, To     string   // names of cells
 	DemandKBPerS float64  // KB/s that the tenant's clients request
-	FillKB       float64  // KB that the new cell must fill; if unknown, WorkingSetSeconds * DemandKBPerS
+	FillKB       float64  // KB that the new cell must fill; callers may estimate WorkingSetSeconds * DemandKBPerS
 	HotObjects   []string // objects to move first, hottest first
 }
 
@@ -28,7 +28,7 @@
 type CellCapacity struct {
 	SendKBPerS float64 // capacity of its caches
 	UsedKBPerS float64 // part of SendKBPerS in use now
-	FillKBPerS float64 // capacity for fills in addition to those of now; 0: unlimited
+	FillKBPerS float64 // spare capacity for fills, beyond the fills that run now; 0: unlimited
 }
 
 // Constraints are the limits and the migration settings of a schedule.
@@ -41,12 +41,12 @@
 	Settle         float64 // of each migration
 	Cells          map[string]CellCapacity
 
-	SiteFillKBPerS     float64 // capacity for fills into the site in addition to those of now; 0: unlimited
-	OriginFillKBPerS   float64 // capacity for fills from the origin in addition to those of now; 0: unlimited
+	SiteFillKBPerS     float64 // spare capacity for fills into the site, beyond the fills that run now; 0: unlimited
+	OriginFillKBPerS   float64 // spare capacity for fills from the origin, beyond the fills that run now; 0: unlimited
 	OriginFillFraction float64 // fraction of fills that the origin serves, 0 to 1
 }
 
-// Schedule is the result of Plan.
+// Schedule has the planned migrations and how much of the limits they use.
 type Schedule struct {
 	Migrations  []migration.Migration // sorted by start, then by tenant
 	End         float64               // earliest time at which the last migration has shifted all objects
@@ -56,8 +56,8 @@
 }
 
 // Plan schedules the requests, shortest migrations first, as many at the same time as the limits allow. Tenants that
-// wait for each other's capacity in a cycle migrate with the same start and duration, so that the load of each cell
-// stays the same. Errors wrap ErrInvalid.
+// wait for each other's capacity in a cycle migrate with the same start and duration, so that each cell loses load
+// while it gains load. Errors wrap ErrInvalid.
 func Plan(requests []Request, constraints Constraints) (*Schedule, error) {
 	if err := constraints.validate(requests); err != nil {
 		return nil, err
--- a/core/migration/schedule/schedule_test.go
+++ b/core/migration/schedule/schedule_test.go
@@ -114,7 +114,7 @@
 		}
 	}
 	if allFills > c.SiteFillKBPerS*1.001 || allFills*c.OriginFillFraction > c.OriginFillKBPerS*1.001 {
-		t.Fatalf("%v KB/s of fills into the site, more than allowed", allFills)
+		t.Fatalf("%v KB/s of fills into the site, more than the limit of the site or of the origin allows", allFills)
 	}
 }
 
@@ -130,7 +130,7 @@
 	}
 	s, err := Plan(cycle, constraints)
 	if err != nil || len(s.Migrations) != 3 {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("cycle is not scheduled: %v, %+v", err, s)
 	}
 	for _, m := range s.Migrations[1:] {
 		if m.Start != s.Migrations[0].Start || m.MinShift != s.Migrations[0].MinShift {
@@ -142,12 +142,13 @@
 	}
 	tooLarge := Request{"4", "a", "b", 3000, 90_000, nil}
 	s, err = Plan(append(cycle, tooLarge), constraints)
+	// Not all four requests fit, because one is too large.
 	if err != nil || len(s.Migrations) != 3 && len(s.Unscheduled) == 0 {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("cycle and a request that is too large: %v, %+v", err, s)
 	}
 	s, err = Plan([]Request{tooLarge}, constraints)
 	if err != nil || !strings.Contains(s.Unscheduled["4"], "load of b") {
-		t.Errorf("%v, %+v", err, s)
+		t.Errorf("request that is too large is scheduled, or the reason is wrong: %v, %+v", err, s)
 	}
 }
 
--- a/core/migration/share.go
+++ b/core/migration/share.go
@@ -6,8 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hotShare is the share that all HotObjects of a migration have together, regardless of their number.
-const hotShare = 0.1
+// hotPositionRange is the share of all HotObjects of a migration together, regardless of their number. Their positions
+// are from 0 to hotPositionRange.
+const hotPositionRange = 0.1
 
 // MaxShare returns the maximum share of the tenant's objects, in the order of Position, that may be in the new cell at
 // now.
@@ -22,14 +23,14 @@
 
 // scheduledShare returns the share at now if the objects that are not hot move within shift, in ms.
 func (m *Migration) scheduledShare(now, shift float64) float64 {
-	advancedTo := now
+	forwardUntil := now
 	if m.PausedAt > 0 {
-		advancedTo = min(advancedTo, m.PausedAt)
+		forwardUntil = min(forwardUntil, m.PausedAt)
 	}
 	if m.RollbackAt > 0 {
-		advancedTo = min(advancedTo, m.RollbackAt)
+		forwardUntil = min(forwardUntil, m.RollbackAt)
 	}
-	share := m.forwardShare(advancedTo, shift)
+	share := m.forwardShare(forwardUntil, shift)
 	if m.RollbackAt > 0 && now > m.RollbackAt {
 		share -= (now - m.RollbackAt) / m.MinShift
 	}
@@ -53,15 +54,15 @@
 	if len(m.HotObjects) == 0 {
 		return 0
 	}
-	return hotShare
+	return hotPositionRange
 }
 
 // Position returns the position of an object in the order in which objects move, from 0 to 1: first the hot objects in
 // the order of the document, then the others by a hash that is the same on all routers. An object belongs to the new
-// cell if its position is below the share. All chunks of a video have the same position.
+// cell if its position is below the share. All chunks of an object have the same position.
 func (m *Migration) Position(object string) float64 {
 	if i := slices.Index(m.HotObjects, object); i >= 0 {
-		return hotShare * (float64(i) + 0.5) / float64(len(m.HotObjects))
+		return hotPositionRange * (float64(i) + 0.5) / float64(len(m.HotObjects))
 	}
 	uniform := (float64(xxhash.Sum64String(m.Tenant+"\x00"+object)>>11) + 0.5) / (1 << 53)
 	return m.hotObjectsShare() + (1-m.hotObjectsShare())*uniform
--- a/core/migration/share_test.go
+++ b/core/migration/share_test.go
@@ -23,7 +23,7 @@
 			m.RollbackAt = start + rapid.Float64Range(0, 300_000).Draw(t, "rollbackAfter")
 		}
 		skew := rapid.Float64Range(0, 2000).Draw(t, "skew")
-		steepestSlope := max(1/m.MinShift, hotShare/m.WarmUp)
+		steepestSlope := max(1/m.MinShift, hotPositionRange/m.WarmUp)
 		m.MaxShift = m.MinShift * rapid.Float64Range(1, 4).Draw(t, "maxShiftFactor")
 		last := 0.0
 		for at := start - 5000; at < start+800_000; at += interval {
@@ -51,7 +51,7 @@
 // the warm-up without being hot, never move, or do not move evenly over the shift.
 func TestObjectsMoveInOrderOfPosition(t *testing.T) {
 	m := sampleMigration()
-	if m.Position("h0") >= m.Position("h1") || m.Position("h2") >= hotShare {
+	if m.Position("h0") >= m.Position("h1") || m.Position("h2") >= hotPositionRange {
 		t.Errorf("positions of hot objects: %v, %v, %v", m.Position("h0"), m.Position("h1"), m.Position("h2"))
 	}
 	halfway := start + m.WarmUp + m.MinShift/2
--- a/core/migration/validate.go
+++ b/core/migration/validate.go
@@ -16,8 +16,8 @@
 	// ShortestShiftMs is the lower bound of MinShift, in ms. It limits how much of a tenant moves at once when a clock
 	// steps or when the clocks of routers differ by a second or two.
 	ShortestShiftMs = 10_000
-	// spanLimitMs is the exclusive upper bound of all durations, in ms: about 11 days.
-	spanLimitMs = 1e9
+	// durationLimitMs is the exclusive upper bound of all durations, in ms: about 11 days.
+	durationLimitMs = 1e9
 )
 
 // Errors of Validate. All of them wrap ErrInvalid.
@@ -28,9 +28,9 @@
 	ErrStaleVersion = fmt.Errorf("%w: stale version", ErrInvalid)
 	// ErrStartsInPast means that the warm-up of the migration ends in the past and that the current document does not
 	// have the migration. Objects of the tenant would jump to the new cell.
-	ErrStartsInPast = fmt.Errorf("%w: starts in the past", ErrInvalid)
+	ErrStartsInPast = fmt.Errorf("%w: warm-up ends in the past", ErrInvalid)
 	// ErrOngoing means that the document lacks a migration that is in progress, or changes its site or cells.
-	ErrOngoing = fmt.Errorf("%w: in progress", ErrInvalid)
+	ErrOngoing = fmt.Errorf("%w: lacks or changes a migration in progress", ErrInvalid)
 )
 
 // Validate returns an error for the first invalid field of the document, or nil. The error names the field and wraps
@@ -55,10 +55,10 @@
 		}
 		seen.add(m)
 		if m.wouldJump(now) && !current.hasStarted(m) {
-			return fmt.Errorf("moves[%d].start: %w: would already be %s", i, ErrStartsInPast, m.Phase(now))
+			return fmt.Errorf("moves[%d].start: %w: phase would already be %s", i, ErrStartsInPast, m.Phase(now))
 		}
 	}
-	return d.validateOngoing(now, current)
+	return d.validateInProgress(now, current)
 }
 
 // tenantSites maps each tenant to the sites at which it migrates, for the migrations validated so far.
@@ -85,21 +85,22 @@
 	case m.Tenant == "" || m.Site == "":
 		return invalid("tenant", "tenant %q and depot %q: neither may be empty", m.Tenant, m.Site)
 	case seen.overlaps(m):
-		return invalid("tenant", "%s moves twice in %s", m.Tenant, m.Site)
+		return invalid("tenant", "%s moves twice: another of its migrations overlaps at site %q", m.Tenant, m.Site)
 	case m.From == "" || m.To == "" || m.From == m.To:
 		return invalid("to", "from %q to %q: must be two different cells", m.From, m.To)
 	case !(m.Start > 0) || math.IsInf(m.Start, 1):
 		return invalid("start", "%v is not a time in Unix ms", m.Start)
-	case !isSpan(m.WarmUp) || !isSpan(m.Settle):
-		return invalid("warm", "%v and settle %v: must be from 0 to below %v ms", m.WarmUp, m.Settle, spanLimitMs)
-	case !isSpan(m.MinShift) || m.MinShift < ShortestShiftMs:
-		return invalid("shift", "%v: must be from %d to below %v ms", m.MinShift, ShortestShiftMs, spanLimitMs)
-	case m.MaxShift != 0 && (!isSpan(m.MaxShift) || m.MaxShift < m.MinShift):
-		return invalid("slow", "%v: must be left out or from shift (%v) to below %v ms", m.MaxShift, m.MinShift, spanLimitMs)
+	case !isDuration(m.WarmUp) || !isDuration(m.Settle):
+		return invalid("warm", "warm %v, settle %v: must be from 0 to below %v ms", m.WarmUp, m.Settle, durationLimitMs)
+	case !isDuration(m.MinShift) || m.MinShift < ShortestShiftMs:
+		return invalid("shift", "%v: must be from %d to below %v ms", m.MinShift, ShortestShiftMs, durationLimitMs)
+	case m.MaxShift != 0 && (!isDuration(m.MaxShift) || m.MaxShift < m.MinShift):
+		return invalid("slow", "%v: must be left out or from shift (%v) to below %v ms",
+			m.MaxShift, m.MinShift, durationLimitMs)
 	case len(m.HotObjects) > MaxHotObjects:
 		return invalid("hot", "%d objects, at most %d allowed", len(m.HotObjects), MaxHotObjects)
 	case len(m.HotObjects) > 0 && m.WarmUp == 0:
-		return invalid("hot", "%d objects and warm 0: hot objects need a warm-up", len(m.HotObjects))
+		return invalid("hot", "%d hot objects, but warm is 0; set a warm-up", len(m.HotObjects))
 	case !(m.PausedAt >= 0):
 		return invalid("heldAt", "%v is not a time in Unix ms", m.PausedAt)
 	case !(m.RollbackAt >= 0):
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// isSpan reports whether ms is a valid duration: at least 0 and below spanLimitMs. NaN is invalid.
-func isSpan(ms float64) bool { return ms >= 0 && ms < spanLimitMs }
+// isDuration reports whether ms is a valid duration: at least 0 and below durationLimitMs. NaN is invalid.
+func isDuration(ms float64) bool { return ms >= 0 && ms < durationLimitMs }
 
 // wouldJump reports whether objects that are not hot would jump to the new cell if the migration started with this
 // document. That cannot happen if it is paused or rolled back.
@@ -126,22 +127,22 @@
 	})
 }
 
-// validateOngoing returns an error for the first migration in progress that the document lacks, or of which it changes
-// the site or the cells, because the tenant's objects would jump. Such a migration must be paused, rolled back or
-// completed.
-func (d *Document) validateOngoing(now float64, current *Document) error {
+// validateInProgress returns an error for the first migration in progress that the document lacks, or of which it
+// changes the site or the cells, because the tenant's objects would jump. Such a migration must stay in the document
+// until it is done or rolled back. PausedAt and RollbackAt stop it.
+func (d *Document) validateInProgress(now float64, current *Document) error {
 	if current == nil {
 		return nil
 	}
 	for i := range current.Migrations {
-		ongoing := &current.Migrations[i]
-		phase := ongoing.Phase(now)
+		inProgress := &current.Migrations[i]
+		phase := inProgress.Phase(now)
 		if phase == Planned || phase == Done || phase == RolledBack {
 			continue
 		}
-		if !slices.ContainsFunc(d.Migrations, func(m Migration) bool { return m.isSameAs(ongoing) }) {
-			return fmt.Errorf("moves: %w: migration of %s in %s is %s, but missing or changed; pause it or roll it back",
-				ErrOngoing, ongoing.Tenant, ongoing.Site, phase)
+		if !slices.ContainsFunc(d.Migrations, func(m Migration) bool { return m.isSameAs(inProgress) }) {
+			return fmt.Errorf("moves: %w: tenant %s at site %s is %s; keep it until it ends, or set heldAt or backAt",
+				ErrOngoing, inProgress.Tenant, inProgress.Site, phase)
 		}
 	}
 	return nil
--- a/core/migration/validate_test.go
+++ b/core/migration/validate_test.go
@@ -17,7 +17,7 @@
 		cause  error
 	}{
 		{
-			name:   "version already current",
+			name:   "version equal to the current version",
 			change: func(d *Document) { d.Version = 3 },
 			want:   "version: ", cause: ErrStaleVersion,
 		}, {
@@ -54,7 +54,8 @@
 		}, {
 			name:   "migration in progress left out",
 			change: func(d *Document) { d.Migrations = nil },
-			want:   "moves: invalid migration: in progress: migration of t in d is warming", cause: ErrOngoing,
+			want:   "moves: invalid migration: lacks or changes a migration in progress: tenant t at site d is warming",
+			cause:  ErrOngoing,
 		}, {
 			name:   "hot objects without a warm-up",
 			change: func(d *Document) { d.Migrations[0].WarmUp = 0 },
@@ -67,7 +68,7 @@
 			name:   "new migration that would be done",
 			change: func(d *Document) { d.Migrations[0].Tenant = "late" },
 			now:    1e6,
-			want:   "moves[0].start: invalid migration: starts in the past: would already be done",
+			want:   "moves[0].start: invalid migration: warm-up ends in the past: phase would already be done",
 			cause:  ErrStartsInPast,
 		},
 	} {
@@ -89,6 +90,6 @@
 	}
 	started := &Document{Version: 4, Migrations: []Migration{sampleMigration()}}
 	if err := started.Validate(start+1e6, current); err != nil {
-		t.Errorf("migration that the current document has started: %v", err)
+		t.Errorf("migration that the current document already has was rejected: %v", err)
 	}
 }
--- a/core/migration/wire_compat_test.go
+++ b/core/migration/wire_compat_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against changes to the JSON of the "moves" section of a features file, which `spanctl cells move` writes.
-func TestDocumentRoundTripIsUnchanged(t *testing.T) {
+func TestDocumentJSONIsUnchanged(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/document.json", " ", Document{Version: 8, Migrations: []Migration{
 		{
 			Tenant:     "vending",
--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -10,8 +10,8 @@
 	// priorEvents are the pseudo-counts of bad events added to the ring and to the control in estimates of odds. They
 	// keep the odds ratio from being 0 when there were few bad events.
 	priorEvents = 2.0
-	// maxUncertainty is the maximum factor that the uncertainty of the baseline adds to the margin. It keeps the test
-	// effective for a ring without any baseline events.
+	// maxUncertainty is the maximum factor by which the uncertainty of the baseline multiplies the margin. It keeps the
+	// test effective for a ring without any baseline events.
 	maxUncertainty = 3.0
 	// minBaselineSamples is the number of samples needed to estimate the dispersion.
 	minBaselineSamples = 5
@@ -19,11 +19,12 @@
 	smallestProbability = 1e-9
 )
 
-// evidence is the sequential probability ratio test of one metric (Wald 1945). It tests with which probability a bad
-// event of ring and control together is an event of the ring. Under the null hypothesis the odds of that are the ratio
-// of the events of ring and control, times the baseline odds ratio, times the margin. Under each alternative they are
-// also multiplied by one of oddsRatios. The log likelihood ratio of each alternative is summed over samples. The test
-// statistic is the mean of the likelihood ratios. It may be compared with its threshold at any time.
+// evidence is the sequential probability ratio test of one metric (Wald 1945). It tests the probability that a bad
+// event, of ring or control, occurred in the ring. Under the null hypothesis the odds that it occurred in the ring are
+// the number of events of the ring divided by that of the control, times the baseline odds ratio, times
+// baselineUncertainty, times the margin. Under each alternative they are also multiplied by one of oddsRatios. The log
+// likelihood ratio of each alternative is summed over samples. The test statistic is the mean of the likelihood ratios.
+// It may be compared with its threshold at any time.
 type evidence struct {
 	// Baseline, from before the ring opened.
 	ring, control     Counts
@@ -33,7 +34,7 @@
 
 	// Since the ring opened.
 	logRatios              [len(oddsRatios)]float64 // log likelihood ratios, by alternative
-	minDegradationLogRatio float64                  // log likelihood ratio of a degradation of MinDegradation to none
+	minDegradationLogRatio float64                  // of "degraded by MinDegradation" to "not degraded"
 }
 
 // addBaseline adds the counts of a sample from before the ring opened.
@@ -50,8 +51,8 @@
 	e.baselineSamples++
 }
 
-// freezeBaseline estimates the dispersion from the baseline samples, if there are at least minBaselineSamples.
-func (e *evidence) freezeBaseline() {
+// estimateDispersion estimates the dispersion from the baseline samples if there are at least minBaselineSamples.
+func (e *evidence) estimateDispersion() {
 	if e.baselineSamples >= minBaselineSamples {
 		e.dispersion = max(e.squaredDeviations/e.baselineSamples, 1)
 	}
@@ -70,8 +71,8 @@
 	return ringOdds / controlOdds
 }
 
-// baselineUncertainty returns the factor by which baselineOddsRatio may be wrong: two standard errors, at most
-// maxUncertainty.
+// baselineUncertainty returns the factor by which baselineOddsRatio may be wrong: two standard errors of its logarithm,
+// at most maxUncertainty.
 func (e *evidence) baselineUncertainty() float64 {
 	variance := e.dispersion * (1/(e.ring.Bad+priorEvents) + 1/(e.control.Bad+priorEvents))
 	return min(math.Exp(2*math.Sqrt(variance)), maxUncertainty)
--- a/core/rollout/metrics.go
+++ b/core/rollout/metrics.go
@@ -3,7 +3,7 @@
 // Metric is a kind of bad event that rings are tested for.
 type Metric int
 
-// The metrics.
+// A degradation of any of these metrics stops the release.
 const (
 	LateAnswers Metric = iota // answers that missed their latency objective
 	Failures                  // requests that failed
--- a/core/rollout/progress.go
+++ b/core/rollout/progress.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// RingState is the state of a ring.
+// RingState is the state of a ring at one router.
 type RingState int
 
-// The states of a ring.
+// A ring goes from RingClosed to RingJudging, and then to RingPassed or RingUndecided. A ring that is RingUndecided can
+// still become RingPassed, and any ring can become RingStopped.
 const (
 	RingClosed    RingState = iota // not yet open
 	RingJudging                    // open, without a verdict so far
@@ -68,8 +69,9 @@
 	return p, nil
 }
 
-// Continue replaces the document by another version of the same rollout and keeps the state of the rings. It returns
-// false without any effect if next is a different rollout: if the name, ReplacesObjects or the cells of a ring differ.
+// Continue replaces the document by another version of the same rollout and keeps the state of the rings. It changes
+// nothing and returns false if the name, ReplacesObjects, the number of rings or the cells of a ring differ. The tests
+// of the rings keep the Alpha, Beta, MinDegradation and Margin of the document that NewProgress got.
 func (p *Progress) Continue(next *Rollout) bool {
 	sameCells := func(a, b Ring) bool { return slices.Equal(a.Cells, b.Cells) }
 	if next.Name != p.rollout.Name || next.ReplacesObjects != p.rollout.ReplacesObjects ||
@@ -83,8 +85,8 @@
 // Rollout returns the current document.
 func (p *Progress) Rollout() *Rollout { return p.rollout }
 
-// Count adds events of a cell to a metric: total, of which bad were bad. If a caller counts events of all requests, the
-// test also finds a release that degrades requests for other objects.
+// Count adds events of a cell to a metric: total is the number of events, bad the number of bad ones among them. If a
+// caller counts events of all requests, the test also finds a release that degrades requests for other objects.
 func (p *Progress) Count(cell string, m Metric, total, bad float64) {
 	counts := p.counts[cell]
 	if counts == nil {
@@ -94,8 +96,8 @@
 	counts[m].add(Counts{Total: total, Bad: bad})
 }
 
-// State returns the state of a ring. If the state is RingStopped and this router found a degradation in this ring, it
-// also returns the degraded metric.
+// State returns the state of a ring and the metric in which this router found a degradation in the ring. The metric is
+// valid only if DegradationFound returns true for the ring; otherwise it is LateAnswers, the zero value.
 func (p *Progress) State(ring int) (RingState, Metric) {
 	return p.rings[ring].state, p.rings[ring].degradedMetric
 }
@@ -103,7 +105,7 @@
 // DegradationFound reports whether this router found a degradation in a ring.
 func (p *Progress) DegradationFound(ring int) bool { return p.rings[ring].degraded }
 
-// Evidence returns the log likelihood ratios of a degradation in a ring to none, by metric.
+// Evidence returns the test statistics of a ring, by metric; see SequentialTest.Evidence.
 func (p *Progress) Evidence(ring int) []float64 {
 	var all []float64
 	for m := range metricCount {
@@ -135,7 +137,7 @@
 			if verdict == Degraded {
 				p.rings[i].degraded = true
 				p.rings[i].degradedMetric = metric
-				return p.stopAll(changed) // a degradation in one ring closes all of them
+				return p.stopAll(changed)
 			}
 			changed = p.setState(i, p.stateAfterVerdict(i, verdict, now), changed)
 		}
@@ -170,7 +172,7 @@
 	return p.rings[ring].state
 }
 
-// stopAll stops all rings and returns changed with the rings appended whose state changed.
+// stopAll stops all rings. It appends the rings whose state changed to changed and returns it.
 func (p *Progress) stopAll(changed []int) []int {
 	for i := range p.rings {
 		changed = p.setState(i, RingStopped, changed)
@@ -178,7 +180,7 @@
 	return changed
 }
 
-// setState sets the state of a ring and returns changed with the ring appended if its state changed.
+// setState sets the state of a ring. If the state changed, it appends the ring to changed. It returns changed.
 func (p *Progress) setState(ring int, state RingState, changed []int) []int {
 	if p.rings[ring].state == state {
 		return changed
--- a/core/rollout/progress_test.go
+++ b/core/rollout/progress_test.go
@@ -16,8 +16,8 @@
 	return func(*Progress, string) float64 { return rate }
 }
 
-// runRollout runs a rollout in steps of a second until a time in ms, with requestsPerS in each cell. It also returns
-// the states of all rings after each change.
+// runRollout runs a rollout in steps of 1 s up to the time until, in ms, with requestsPerS requests to each cell. It
+// also returns the states of all rings after each change.
 func runRollout(t testing.TB, r Rollout, seed uint64, requestsPerS float64, rate failureRate, until float64) (
 	*Progress, [][]RingState) {
 	t.Helper()
@@ -58,12 +58,12 @@
 	p, history := runRollout(t, sampleRollout(), 1, 300, constantRate(0.01), 600_000)
 	for i := range 3 {
 		if state, _ := p.State(i); state != RingPassed {
-			t.Errorf("ring %d: %s", i, state)
+			t.Errorf("ring %d is %s, want passed", i, state)
 		}
 	}
 	for _, states := range history {
 		if states[1] != RingClosed && states[0] != RingPassed || states[2] != RingClosed && states[1] != RingPassed {
-			t.Errorf("states %v", states)
+			t.Errorf("a ring opened before the previous one passed: %v", states)
 		}
 	}
 }
@@ -103,7 +103,8 @@
 	return 0.01
 }
 
-// Guards against a verdict for a ring with hardly any traffic, and against a next ring that ignores OnUndecided.
+// Guards against a verdict for a ring with hardly any traffic, and against a next ring that opens or stays closed
+// against OnUndecided.
 func TestRingWithoutTrafficIsUndecided(t *testing.T) {
 	for _, onUndecided := range []string{"", ProceedWhenUndecided} {
 		r := sampleRollout()
@@ -124,7 +125,7 @@
 	p, _ := runRollout(t, r, 5, 300, constantRate(0.01), 250_000)
 	for i := range r.Rings {
 		if state, _ := p.State(i); state != RingStopped {
-			t.Errorf("ring %d: %s", i, state)
+			t.Errorf("ring %d is %s, want stopped", i, state)
 		}
 	}
 }
--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -1,9 +1,11 @@
-// Package rollout introduces a release or a price file into cells ring by ring. It compares each ring with the cells
-// that still have the old version, and stops a release that degrades a ring.
+// Package rollout introduces a release, which is a set of new or changed objects, into cells ring by ring. It compares
+// each ring with the cells that still have the old version, and stops a release that degrades a ring.
 //
 // Guarantee: the probability that a release without degradation is stopped is at most Alpha over all metrics together,
-// regardless of how long and how often it is tested (Ville's inequality). This assumes that bad events of ring and
-// control are independent, except for bursts like those before the ring opened.
+// regardless of how long and how often it is tested (Ville's inequality). The bound is for the test of one ring at one
+// router. It assumes that bad events of ring and control are independent, apart from bursts no larger than the bursts
+// before the ring opened, and that the difference between ring and control before the ring opened is known to within
+// two standard errors, at most a factor of maxUncertainty.
 //
 // The package does no I/O and does not read the clock: callers pass counts and times. Times are Unix milliseconds,
 // durations are milliseconds.
@@ -21,9 +23,10 @@
 	Version int64  `json:"version" jsonschema:"minimum=0" jsonschema_description:"version of this document; must be greater than that of the document that it replaces"`
 	Name    string `json:"name"`
 	// Prefix and FamilyRange select the objects of the release: by a prefix of their hex names, and by the first and
-	// last family. If both are set, objects must match both. At least one must be set.
+	// last family. The family of an object is its purge group, 0 to 255. If both are set, objects must match both. At
+	// least one must be set.
 	Prefix      string `json:"prefix,omitempty" jsonschema_description:"prefix of the hex names of its objects"`
-	FamilyRange []int  `json:"families,omitempty" jsonschema_description:"first and last family of its objects"`
+	FamilyRange []int  `json:"families,omitempty" jsonschema_description:"first and last purge group of its objects"`
 	// Since is the time from which on the origin has the release. No ring may open earlier.
 	Since float64 `json:"since" jsonschema_description:"Unix milliseconds from which on the origin has the release; no ring may open earlier"`
 	// ReplacesObjects means that the objects had an older version, which the origin served until Since.
@@ -32,8 +35,9 @@
 	// must be above 0 with ReplacesObjects, and 0 without.
 	OldCopyMaxAge float64 `json:"keep,omitempty" jsonschema_description:"maximum age in ms of cached copies of the older version in closed rings; required with renews, not allowed without"`
 	Rings         []Ring  `json:"rings"`
-	// OnRollback is how cells of a ring that this router has stopped answer requests for replaced objects until
-	// RollbackAt, when the origin has the old version again: RejectOnRollback, the default, or ServeOnRollback.
+	// OnRollback determines what a cell does with requests for replaced objects after this router has stopped its ring
+	// and before RollbackAt, when the origin has the old version again: RejectOnRollback, the default, or
+	// ServeOnRollback.
 	OnRollback string `json:"back,omitempty" jsonschema:"enum=refuse,enum=serve" jsonschema_description:"requests for replaced objects in a ring that a router has stopped: refuse (if left out) or serve any version"`
 	// OnUndecided is how the rollout continues after a ring without a verdict within JudgeWithin: WaitWhenUndecided,
 	// the default, or ProceedWhenUndecided.
@@ -51,7 +55,8 @@
 // Ring is a set of cells that get the release at the same time.
 type Ring struct {
 	Cells []string `json:"cells"`
-	// OpensAt is the earliest time at which the ring opens. It also waits for the verdict on the previous ring.
+	// OpensAt is the earliest time at which the ring opens. The ring opens only once the previous ring has passed, but
+	// see OnUndecided.
 	OpensAt float64 `json:"open" jsonschema_description:"Unix milliseconds at which the ring opens, at the earliest"`
 	// JudgeWithin is the time after which an open ring without a verdict becomes RingUndecided.
 	JudgeWithin float64 `json:"for" jsonschema_description:"ms within which a verdict is expected; the next ring waits for the verdict, but see unsure"`
--- a/core/rollout/sequential.go
+++ b/core/rollout/sequential.go
@@ -5,7 +5,7 @@
 // TestParameters are the error probabilities and effect sizes of the test of a ring.
 type TestParameters struct {
 	Alpha          float64 // maximum probability that a release without degradation is stopped: above 0, below 0.5
-	Beta           float64 // maximum probability of Healthy for MinDegradation or more: above 0, below 0.5
+	Beta           float64 // maximum probability that MinDegradation or more is judged Healthy: above 0, below 0.5
 	MinDegradation float64 // smallest degradation to be found, an odds ratio of a bad event: above Margin, at most 100
 	Margin         float64 // odds ratio that is tolerated, because cells differ slightly anyway: 1 or more
 }
@@ -47,7 +47,7 @@
 // Verdict is the result of a SequentialTest so far.
 type Verdict int
 
-// The verdicts.
+// A verdict is based on the samples so far. Any of these verdicts may change with further samples.
 const (
 	Undecided Verdict = iota // not enough evidence for either of the following
 	Degraded                 // a degradation of some metric in the ring was found
@@ -96,7 +96,7 @@
 	if !t.started {
 		t.started = true
 		for i := range t.metrics {
-			t.metrics[i].freezeBaseline()
+			t.metrics[i].estimateDispersion()
 		}
 	}
 	for i := range t.metrics {
@@ -121,6 +121,7 @@
 	return Undecided, 0
 }
 
-// Evidence returns the log likelihood ratio of a degradation of a metric to none. The values of routers with different
-// requests may be summed, and the sum may be compared with the threshold of a single router.
+// Evidence returns the test statistic of a metric: the logarithm of the mean likelihood ratio of the alternatives to
+// the null hypothesis. A degradation is found when it is at least log(metricCount / Alpha). The values of routers that
+// count disjoint sets of requests may be summed, and the sum may be compared with the same threshold.
 func (t *SequentialTest) Evidence(m Metric) float64 { return t.metrics[m].mixtureLogRatio() }
--- a/core/rollout/sequential_test.go
+++ b/core/rollout/sequential_test.go
@@ -51,8 +51,8 @@
 }
 
 // Guards against more false alarms than Alpha allows, for 400 releases without degradation and 300 tests each, with
-// independent bad events and with bursts of five. Without the estimate of the dispersion, 189 of 400 releases with
-// bursts would be stopped.
+// independent bad events and with bursts of five. Without the estimate of the dispersion, far more than Alpha of the
+// releases with bursts would be stopped: almost half of them.
 func TestFalseAlarmRateIsWithinAlpha(t *testing.T) {
 	for _, burst := range []int{1, 5} {
 		stopped := 0
@@ -69,8 +69,8 @@
 	}
 }
 
-// Guards against a degradation that is missed, or found later than a few times ExpectedEvents, and against a large
-// degradation that is found later than a small one.
+// Guards against a degradation that is missed, or found later on average than after 3 times ExpectedEvents plus two
+// samples, and against a large degradation that is found later than a small one.
 func TestDegradationIsFoundInTime(t *testing.T) {
 	previous := math.Inf(1)
 	for _, degradation := range []float64{2, 4, 8} {
@@ -95,7 +95,7 @@
 
 // Guards against healthy releases without a verdict, degradations above MinDegradation that are judged healthy more
 // often than Beta allows, and verdicts on too few events or on invalid counts.
-func TestHealthyAndUndecidedVerdicts(t *testing.T) {
+func TestVerdictIsHealthyOnlyWithoutDegradation(t *testing.T) {
 	verdicts := map[Verdict]int{}
 	missed := 0
 	healthy := simulatedRelease{degradation: 1, burst: 1, eventsPerSample: 4000, maxSamples: 400}
@@ -113,7 +113,7 @@
 			missed++
 		}
 		if verdict, _ := fewEvents.run(4000 + seed); verdict == Degraded {
-			t.Error("degradation found with two events in a sample")
+			t.Error("degradation found with two events in each sample")
 		}
 	}
 	if verdicts[Healthy] < 80 || missed > 10 {
--- a/core/rollout/validate.go
+++ b/core/rollout/validate.go
@@ -13,7 +13,7 @@
 	MaxRings = 16
 	// maxPrefix is the maximum length of Prefix, in hex digits.
 	maxPrefix = 16
-	// maxFamily is the highest family number.
+	// maxFamily is the upper bound of FamilyRange. Families are numbered from 0.
 	maxFamily = 255
 	// minJudgeWithin is the lower, judgeWithinLimit the exclusive upper bound of Ring.JudgeWithin, in ms.
 	minJudgeWithin   = 1000
@@ -27,7 +27,7 @@
 // ErrInvalid is wrapped by every error of Validate. The text is the field, then ErrInvalid, then the details.
 var ErrInvalid = errors.New("invalid rollout")
 
-// invalid returns an error for a field.
+// invalid returns an error that names a field and wraps ErrInvalid.
 func invalid(field, format string, args ...any) error {
 	return fmt.Errorf("%s: %w: %s", field, ErrInvalid, fmt.Sprintf(format, args...))
 }
@@ -71,7 +71,8 @@
 	case families == nil:
 		return nil
 	case len(families) != 2 || families[0] < 0 || families[1] > maxFamily || families[0] > families[1]:
-		return invalid("families", "%v is not a first and a last family from 0 to %d", families, maxFamily)
+		return invalid("families", "%v: must be two family numbers from 0 to %d in ascending order",
+			families, maxFamily)
 	}
 	return nil
 }
@@ -82,7 +83,7 @@
 	case r.OnRollback != "" && r.OnRollback != RejectOnRollback && r.OnRollback != ServeOnRollback:
 		return invalid("back", "%q is neither %s nor %s", r.OnRollback, RejectOnRollback, ServeOnRollback)
 	case r.OnRollback != "" && !r.ReplacesObjects:
-		return invalid("back", "%q without renews: requests for new objects are always refused", r.OnRollback)
+		return invalid("back", "%q without renews: requests for new objects are always rejected", r.OnRollback)
 	case !(r.OldCopyMaxAge >= 0 && r.OldCopyMaxAge <= maxOldCopyAge):
 		return invalid("keep", "%v ms is not between 0 and a week", r.OldCopyMaxAge)
 	case r.ReplacesObjects && r.OldCopyMaxAge == 0:
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// validateRings checks the rings, that no cell is in two of them, and that they are in the order of OpensAt.
+// validateRings checks each ring, and that no cell is in two rings and that rings are in the order of OpensAt.
 func (r *Rollout) validateRings() error {
 	if len(r.Rings) == 0 || len(r.Rings) > MaxRings {
 		return invalid("rings", "%d rings, 1 to %d allowed", len(r.Rings), MaxRings)
@@ -112,7 +113,8 @@
 			seen[cell] = true
 		}
 		if !isTime(ring.OpensAt) || ring.OpensAt < previous {
-			return invalid(field+".open", "%v is not a time at or after since or the ring before (%v)", ring.OpensAt, previous)
+			return invalid(field+".open", "%v: must be %v (since or the previous ring) or later",
+				ring.OpensAt, previous)
 		}
 		if !(ring.JudgeWithin >= minJudgeWithin && ring.JudgeWithin < judgeWithinLimit) {
 			return invalid(field+".for", "%v ms is not from %d to below %v", ring.JudgeWithin, minJudgeWithin, judgeWithinLimit)
--- a/core/rollout/validate_test.go
+++ b/core/rollout/validate_test.go
@@ -25,7 +25,7 @@
 		{"cell in two rings", func(r *Rollout) { r.Rings[1].Cells = []string{"a"} }, "rings[1].cells: "},
 		{"ring without cells", func(r *Rollout) { r.Rings[0].Cells = nil }, "rings[0].cells: "},
 		{"ring opens before the previous one", func(r *Rollout) { r.Rings[2].OpensAt = 5 }, "rings[2].open: "},
-		{"no time for a verdict", func(r *Rollout) { r.Rings[0].JudgeWithin = 0 }, "rings[0].for: "},
+		{"JudgeWithin is 0", func(r *Rollout) { r.Rings[0].JudgeWithin = 0 }, "rings[0].for: "},
 		{"alpha too large", func(r *Rollout) { r.Alpha = 0.7 }, "alpha: invalid rollout: 0.7"},
 		{"unknown value of OnRollback", func(r *Rollout) { r.OnRollback = "so" }, `back: invalid rollout: "so`},
 		{"new objects served on rollback", func(r *Rollout) { r.OnRollback = "serve" }, "back: "},
--- a/core/rollout/wire_compat_test.go
+++ b/core/rollout/wire_compat_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against changes to the JSON of the "stage" section of a features file, which `spanctl stage start` writes.
-func TestDocumentRoundTripIsUnchanged(t *testing.T) {
+func TestDocumentJSONIsUnchanged(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/stage.json", " ", Rollout{
 		Version:         9,
 		Name:            "prices",
--- a/core/scheduler/budget.go
+++ b/core/scheduler/budget.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// chargeActualUse replaces the estimated cost of an attempt by its actual use. It leaves resources unchanged for which
-// used has no finite value of 0 or more.
+// chargeActualUse replaces the estimated cost of an attempt by its actual use. It skips resources whose value in used
+// is missing, negative or not finite.
 func (s *Scheduler) chargeActualUse(j *job, used []float64) {
 	for i := range s.tokens {
 		if i < len(used) && used[i] >= 0 && !math.IsInf(used[i], 1) {
--- a/core/scheduler/budget_test.go
+++ b/core/scheduler/budget_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against jobs that together use more of a resource than its rate, its burst and one attempt allow, and against
-// a budget that is not used up although jobs are queued.
+// Guards against jobs that together use more of a resource than its rate, its burst and the cost of one attempt allow,
+// and against a budget that is not used up although jobs are queued.
 func TestBudgetIsUsedButNotExceeded(t *testing.T) {
 	const (
 		ratePerS = 1000.0
@@ -32,7 +32,7 @@
 			t.Fatalf("%v used after %d us, at most %v allowed", used, now-sec, limit)
 		}
 		if r.NextStep <= now {
-			t.Fatalf("NextStep is %d at %d", r.NextStep, now)
+			t.Fatalf("NextStep is %d, want after %d", r.NextStep, now)
 		}
 		now = min(r.NextStep, now+100*ms)
 	}
--- a/core/scheduler/config.go
+++ b/core/scheduler/config.go
@@ -20,8 +20,7 @@
 
 const (
 	// defaultTick is a millisecond, in microseconds.
-	defaultTick = 1000
-	// microsPerSecond converts rates per second to rates per microsecond.
+	defaultTick     = 1000
 	microsPerSecond = 1e6
 )
 
@@ -29,7 +28,7 @@
 type Resource struct {
 	Name          string
 	RatePerSecond float64 // 0 or more
-	BurstWindow   int64   // burst in microseconds of the rate: above 0
+	BurstWindow   int64   // microseconds in which the rate yields the burst: above 0
 }
 
 // perMicrosecond returns the rate per microsecond.
@@ -52,9 +51,9 @@
 		case r.Name == "":
 			return invalid(field+".name", "must not be empty")
 		case !(r.RatePerSecond >= 0) || math.IsInf(r.RatePerSecond, 1):
-			return invalid(field+".ratePerS", "%v is not a finite rate of 0 or more", r.RatePerSecond)
+			return invalid(field+".ratePerSecond", "%v is not a finite rate of 0 or more", r.RatePerSecond)
 		case r.BurstWindow <= 0:
-			return invalid(field+".burstWindow", "%d is not above 0", r.BurstWindow)
+			return invalid(field+".burstWindow", "%d: must be above 0", r.BurstWindow)
 		}
 	}
 	switch {
@@ -63,13 +62,13 @@
 	case c.MaxRunning < 1:
 		return invalid("maxRunning", "%d is less than 1", c.MaxRunning)
 	case c.AttemptTimeout <= 0:
-		return invalid("attemptTimeout", "%d is not above 0", c.AttemptTimeout)
+		return invalid("attemptTimeout", "%d: must be above 0", c.AttemptTimeout)
 	case c.InitialBackoff <= 0:
-		return invalid("initialBackoff", "%d is not above 0", c.InitialBackoff)
+		return invalid("initialBackoff", "%d: must be above 0", c.InitialBackoff)
 	case c.MaxBackoff < c.InitialBackoff:
 		return invalid("maxBackoff", "%d is less than initialBackoff (%d)", c.MaxBackoff, c.InitialBackoff)
 	case c.AgingInterval <= 0:
-		return invalid("agingInterval", "%d is not above 0", c.AgingInterval)
+		return invalid("agingInterval", "%d: must be above 0", c.AgingInterval)
 	case c.Tick < 0:
 		return invalid("tick", "%d is less than 0", c.Tick)
 	}
--- a/core/scheduler/job.go
+++ b/core/scheduler/job.go
@@ -7,14 +7,14 @@
 	"math"
 )
 
-// Priority is the priority of a background job. Jobs with a higher one start first.
+// Priority is the priority of a background job. Jobs of higher priority start first, but see Config.AgingInterval.
 type Priority int
 
 // Priorities of jobs, lowest first.
 const (
-	Idle   Priority = iota // only if no other job is queued: compaction, clean-up
+	Idle   Priority = iota // starts after all others, until aging raises its rank: compaction, clean-up
 	Normal                 // warm-up, rebalancing
-	High                   // catching up, jobs that an operator waits for
+	High                   // overdue work, jobs that an operator waits for
 	Urgent                 // purges
 	priorityCount
 )
@@ -69,7 +69,7 @@
 // Attempt is an attempt that the caller is to start now.
 type Attempt struct {
 	ID       string // of the job
-	Number   int    // from 1
+	Number   int    // from 1; an attempt that ended with Requeue does not count, its number is used again
 	Deadline int64  // microseconds; the attempt has failed if it has not ended by then
 }
 
@@ -83,9 +83,9 @@
 	Evicted                                // the queue was full and a job of a higher priority was submitted
 )
 
-var abandonReasonNames = []string{"deadline", "attempts", "evicted"}
+var abandonReasonNames = []string{"deadline passed", "attempts exhausted", "evicted"}
 
-// String returns the name of the reason.
+// String returns the reason as a text for logs and test output.
 func (r AbandonReason) String() string { return abandonReasonNames[r] }
 
 // Abandoned is a job that was removed without being done.
@@ -94,11 +94,11 @@
 	Reason AbandonReason
 }
 
-// Ready is the result of a step.
+// Ready has the attempts that are ready to start after a step, and the jobs that it abandoned.
 type Ready struct {
 	Start     []Attempt   // attempts to start now, in this order
 	Abandoned []Abandoned // jobs abandoned in this step
-	NextStep  int64       // latest time of the next call of Step; math.MaxInt64: none needed
+	NextStep  int64       // call Step again at this time or earlier; math.MaxInt64: no need
 }
 
 // jobState is the state of a job.
@@ -124,7 +124,8 @@
 	charged   []float64 // cost charged for the last attempt, by resource
 }
 
-// evictedBefore reports whether j is evicted before other: lower priority first, then the job that was queued last.
+// evictedBefore reports whether j is evicted before other: lower priority first, then the job that entered its present
+// queue last.
 func (j *job) evictedBefore(other *job) bool {
 	return j.Priority < other.Priority || j.Priority == other.Priority && j.seq > other.seq
 }
--- a/core/scheduler/scheduler.go
+++ b/core/scheduler/scheduler.go
@@ -19,7 +19,9 @@
 // an earlier deadline. An attempt starts when the tokens of every resource that it uses are above 0. It may overdraw
 // them; the next attempt starts once they are above 0 again.
 //
-// Guarantee: in any span, jobs use at most rate * span of a resource, plus its burst and one attempt.
+// Guarantee: in any t seconds, jobs use at most rate * t of a resource, plus its burst and the cost of one attempt.
+// This holds for estimated costs. If an attempt uses more than its estimate, the difference is charged only when the
+// attempt finishes; until then other attempts start as if it had not been used.
 type Scheduler struct {
 	config Config
 	rng    *rand.Rand
@@ -98,7 +100,7 @@
 }
 
 // Finish records the outcome of an attempt and how much of each resource it used. It ignores an attempt that is not the
-// running attempt of the job, because that has timed out before. It returns the job if it is abandoned.
+// running one of the job, for example because it has timed out. It returns the job if it is abandoned.
 func (s *Scheduler) Finish(now int64, id string, attempt int, outcome Outcome, used []float64) []Abandoned {
 	s.refill(now)
 	j := s.jobs[id]
@@ -111,7 +113,7 @@
 		s.remove(j)
 	case Requeue:
 		s.endAttempt(j)
-		j.attempt-- // only failed attempts count
+		j.attempt-- // attempts that end with Requeue do not count
 		s.enqueue(j, j.Priority)
 	default:
 		return s.retryOrAbandon(j)
@@ -185,7 +187,9 @@
 func (s *Scheduler) retryOrAbandon(j *job) []Abandoned {
 	s.endAttempt(j)
 	if j.MaxAttempts > 0 && j.attempt >= j.MaxAttempts {
-		s.remove(j) // FIXME: remove calls endAttempt again, so running is decremented twice
+		// FIXME: remove calls endAttempt again, so running is decremented twice. It falls below the true number, and
+		// MaxRunning can be exceeded.
+		s.remove(j)
 		return []Abandoned{{j.ID, AttemptsExhausted}}
 	}
 	exponential := float64(s.config.InitialBackoff) * math.Exp2(float64(j.attempt-1))
@@ -244,13 +248,13 @@
 	}
 }
 
-// evictionCandidate returns the queued job with the lowest priority below under, and of these the one queued last. It
-// returns nil if there is none.
-func (s *Scheduler) evictionCandidate(under Priority) *job {
+// evictionCandidate returns the job that is evicted first of the queued jobs with a lower priority than the given one,
+// or nil if there is none.
+func (s *Scheduler) evictionCandidate(priority Priority) *job {
 	var victim *job
 	for rank := range s.queues {
 		for _, j := range s.queues[rank] {
-			if j.Priority < under && (victim == nil || j.evictedBefore(victim)) {
+			if j.Priority < priority && (victim == nil || j.evictedBefore(victim)) {
 				victim = j
 			}
 		}
--- a/core/scheduler/scheduler_test.go
+++ b/core/scheduler/scheduler_test.go
@@ -19,7 +19,7 @@
 	sec = 1000 * ms
 )
 
-// counts returns the numbers of jobs that are queued, back off and run.
+// counts returns the number of queued jobs, of jobs that back off, and of running attempts.
 func (s *Scheduler) counts() (queued, backingOff, running int) {
 	return s.queued, len(s.jobs) - s.queued - s.running, s.running
 }
@@ -72,7 +72,8 @@
 	}
 }
 
-// Guards against starvation: a job with the lowest priority must start although jobs with a high priority keep coming.
+// Guards against starvation: a job with the lowest priority must start within four AgingIntervals, although jobs with a
+// high priority keep coming.
 func TestLowPriorityJobDoesNotStarve(t *testing.T) {
 	config := sampleConfig()
 	config.MaxRunning = 1
@@ -145,19 +146,19 @@
 	submit(t, s, sec, "normal", Normal, 0, 1, 0)
 	high := Job{ID: "high", Priority: High, Cost: []float64{1, 0}}
 	if _, err := s.Submit(sec, Job{ID: "another", Priority: Idle, Cost: []float64{1, 0}}); !errors.Is(err, ErrQueueFull) {
-		t.Errorf("got %v", err)
+		t.Errorf("idle job submitted to a full queue: got %v, want ErrQueueFull", err)
 	}
 	if abandoned, err := s.Submit(sec, high); err != nil || !slices.Equal(abandoned, []Abandoned{{"idle", Evicted}}) {
-		t.Errorf("got %v, %v", abandoned, err)
+		t.Errorf("high job submitted to a full queue: got %v, %v, want the idle job evicted", abandoned, err)
 	}
 	if _, err := s.Submit(sec, high); !errors.Is(err, ErrDuplicateJob) {
-		t.Errorf("got %v", err)
+		t.Errorf("job submitted twice: got %v, want ErrDuplicateJob", err)
 	}
 	if _, err := s.Submit(sec, Job{ID: "x", Priority: High, Cost: []float64{1}}); !errors.Is(err, ErrInvalidJob) {
-		t.Errorf("got %v", err)
+		t.Errorf("job with one cost for two resources: got %v, want ErrInvalidJob", err)
 	}
 	if r := s.Step(2*sec + 10*ms); !slices.Equal(r.Abandoned, []Abandoned{{"due", DeadlinePassed}}) {
-		t.Errorf("got %+v", r)
+		t.Errorf("step after the deadline: got %+v, want job due abandoned", r)
 	}
 	if s.Finish(3*sec, "running", 7, Done, nil); s.jobs["running"] == nil {
 		t.Error("Finish of another attempt ended the running one")
--- a/core/scheduler/wheel.go
+++ b/core/scheduler/wheel.go
@@ -14,15 +14,17 @@
 	slotMask   = slotCount - 1
 )
 
-// Wheel is a hierarchical timer wheel (Varghese and Lauck 1987, scheme 7). Its slots hold timers by the remaining time.
-// Adding and cancelling a timer takes constant time. Time without timers is skipped by means of a bit mask for each
-// level.
+// Wheel is a hierarchical timer wheel (Varghese and Lauck 1987, scheme 7). Each slot holds the timers that are due in
+// one range of ticks. Adding and cancelling a timer takes constant time. A bit mask per level lets Advance skip empty
+// slots.
 //
 // Timers fire in the order of their due times, and timers with the same due time in the order in which they were added.
-// A timer never fires early. A timer whose due time is in the past fires at the next Advance in which a tick passes.
+// A timer never fires early. A timer whose due time is in the past fires at the next Advance that moves the current
+// time to a later tick.
 //
-// A slot of level n is slotCount^n ticks long. The level of a timer is the most significant digit in which its due tick
-// and the current tick differ, as numbers in base slotCount. It cascades to lower levels as the due time approaches.
+// A slot of level n is slotCount^n ticks long. The level of a timer is the position of the most significant digit (base
+// slotCount) in which its due tick and the current tick differ, but at most the last level. As the due time approaches,
+// the timer cascades: it moves to lower levels.
 type Wheel struct {
 	tick        int64 // length of a slot of level 0, microseconds
 	currentTick int64 // current time in ticks
@@ -105,8 +107,8 @@
 	w.count--
 }
 
-// place puts a timer into the slot for its due time, or for the tick earliest if that is later. It uses the lowest
-// possible level.
+// place puts a timer into the slot for its due time, but not before the tick earliest. It uses the lowest possible
+// level.
 func (w *Wheel) place(i int32, earliest int64) {
 	t := &w.timers[i]
 	// Round up to the next tick, so that the timer does not fire early.
@@ -117,7 +119,7 @@
 	}
 	slot := slotOf(at, level)
 	if level == levelCount-1 && at>>(levelCount*slotBits) != w.currentTick>>(levelCount*slotBits) {
-		// Beyond the range of the last level: use its farthest slot, from where the timer is placed again.
+		// Beyond the range of the last level: use its farthest slot. The timer is placed again when that slot cascades.
 		slot = uint8((w.currentTick>>(level*slotBits) + slotMask) & slotMask)
 	}
 	t.level = int8(level)
@@ -177,8 +179,8 @@
 	return next
 }
 
-// Next returns a time before which no timer fires, in microseconds; math.MaxInt64 if there are no timers. Possibly
-// none fires at that time either, because timers only cascade.
+// Next returns a time before which no timer fires, in microseconds; math.MaxInt64 if there are no timers. At that time
+// a slot may only cascade, without a timer that fires.
 func (w *Wheel) Next() int64 {
 	if tick := w.nextTick(); tick != math.MaxInt64 {
 		return tick * w.tick
@@ -186,8 +188,8 @@
 	return math.MaxInt64
 }
 
-// Advance sets the current time to now and calls fire for each timer that is due. fire may add timers. If they are due
-// by now, they may fire in the same call.
+// Advance sets the current time to now and calls fire for each timer that is due. fire may call Add, Cancel and
+// Advance. Timers that it adds may fire in the same call, if they are due by now.
 func (w *Wheel) Advance(now int64, fire func(payload uint64, due int64)) {
 	target := now / w.tick
 	for {
--- a/core/scheduler/wheel_test.go
+++ b/core/scheduler/wheel_test.go
@@ -118,7 +118,8 @@
 	})
 }
 
-// Guards against timers that fire early, or late by more than a slot of 1 ms plus 0.7 ms between calls of Advance.
+// Guards against timers that fire early, or later than 1.7 ms after their due time: a slot of 1 ms plus up to 0.7 ms
+// between calls of Advance.
 func TestWheelFiresWithinSlotAfterDueTime(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	w := NewWheel(0, 1000)
@@ -159,8 +160,8 @@
 	}
 }
 
-// BenchmarkTimers measures adding and cancelling one timer, as for most requests, adding another one and advancing,
-// with n pending timers.
+// BenchmarkTimers measures iterations with n pending timers. Each iteration adds and cancels one timer, as most
+// requests do, adds another one and advances the time.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1000, 1_000_000, 10_000_000} {
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) {
