--- a/core/migration/validate.go
+++ b/core/migration/validate.go
@@ -26,9 +26,9 @@
 	ErrInvalid = errors.New("invalid migration")
 	// ErrStaleVersion means that the document's version is below 1 or not greater than that of the current document.
 	ErrStaleVersion = fmt.Errorf("%w: stale version", ErrInvalid)
-	// ErrStartsInPast means that the warm-up of the migration ends in the past and that the current document does not
+	// ErrWarmUpEnded means that the warm-up of the migration ends in the past and that the current document does not
 	// have the migration. Objects of the tenant would jump to the new cell.
-	ErrStartsInPast = fmt.Errorf("%w: warm-up ends in the past", ErrInvalid)
+	ErrWarmUpEnded = fmt.Errorf("%w: warm-up ends in the past", ErrInvalid)
 	// ErrOngoing means that the document lacks a migration that is in progress, or changes its site or cells.
 	ErrOngoing = fmt.Errorf("%w: lacks or changes a migration in progress", ErrInvalid)
 )
@@ -55,7 +55,7 @@
 		}
 		seen.add(m)
 		if m.wouldJump(now) && !current.hasStarted(m) {
-			return fmt.Errorf("moves[%d].start: %w: phase would already be %s", i, ErrStartsInPast, m.Phase(now))
+			return fmt.Errorf("moves[%d].start: %w: phase would already be %s", i, ErrWarmUpEnded, m.Phase(now))
 		}
 	}
 	return d.validateInProgress(now, current)
--- a/core/migration/validate_test.go
+++ b/core/migration/validate_test.go
@@ -69,7 +69,7 @@
 			change: func(d *Document) { d.Migrations[0].Tenant = "late" },
 			now:    1e6,
 			want:   "moves[0].start: invalid migration: warm-up ends in the past: phase would already be done",
-			cause:  ErrStartsInPast,
+			cause:  ErrWarmUpEnded,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
