--- a/core/migration/validate.go
+++ b/core/migration/validate.go
@@ -29,8 +29,8 @@
 	// ErrWarmUpEnded means that the warm-up of the migration ends in the past and that the current document does not
 	// have the migration. Objects of the tenant would jump to the new cell.
 	ErrWarmUpEnded = fmt.Errorf("%w: warm-up ends in the past", ErrInvalid)
-	// ErrOngoing means that the document lacks a migration that is in progress, or changes its site or cells.
-	ErrOngoing = fmt.Errorf("%w: lacks or changes a migration in progress", ErrInvalid)
+	// ErrInProgress means that the document lacks a migration that is in progress, or changes its site or cells.
+	ErrInProgress = fmt.Errorf("%w: lacks or changes a migration in progress", ErrInvalid)
 )
 
 // Validate returns an error for the first invalid field of the document, or nil. The error names the field and wraps
@@ -142,7 +142,7 @@
 		}
 		if !slices.ContainsFunc(d.Migrations, func(m Migration) bool { return m.isSameAs(inProgress) }) {
 			return fmt.Errorf("moves: %w: tenant %s at site %s is %s; keep it until it ends, or set heldAt or backAt",
-				ErrOngoing, inProgress.Tenant, inProgress.Site, phase)
+				ErrInProgress, inProgress.Tenant, inProgress.Site, phase)
 		}
 	}
 	return nil
--- a/core/migration/validate_test.go
+++ b/core/migration/validate_test.go
@@ -55,7 +55,7 @@
 			name:   "migration in progress left out",
 			change: func(d *Document) { d.Migrations = nil },
 			want:   "moves: invalid migration: lacks or changes a migration in progress: tenant t at site d is warming",
-			cause:  ErrOngoing,
+			cause:  ErrInProgress,
 		}, {
 			name:   "hot objects without a warm-up",
 			change: func(d *Document) { d.Migrations[0].WarmUp = 0 },
