--- a/cmd/spanctl/rollout.go
+++ b/cmd/spanctl/rollout.go
@@ -108,7 +108,7 @@
 		Since:           now,
 		ReplacesObjects: c.Replaces,
 		OldCopyMaxAge:   millis(c.MaxStale),
-		OnRollback:      c.AfterRollback,
+		OnStop:          c.AfterRollback,
 	}
 	if c.Replaces {
 		release.Since = now + millis(c.StartDelay) // copies made before are of the old version
--- a/core/rollout/gate_test.go
+++ b/core/rollout/gate_test.go
@@ -6,8 +6,8 @@
 )
 
 // Guards against cells that serve the wrong version of replaced objects. Closed rings serve old copies, open rings new
-// copies. A ring stopped by a degradation rejects requests or serves old copies, depending on OnRollback. After a
-// rollback by the document all cells only serve copies made since RollbackAt.
+// copies. A ring stopped by a degradation rejects requests or serves old copies, depending on OnStop. After a rollback
+// by the document all cells only serve copies made since RollbackAt.
 func TestGateServesRightVersionOfReplacedObjects(t *testing.T) {
 	const (
 		maxAge     = 5000.0
@@ -21,7 +21,7 @@
 		r := sampleRollout()
 		r.ReplacesObjects = true
 		r.OldCopyMaxAge = maxAge
-		r.OnRollback = onRollback
+		r.OnStop = onRollback
 		for _, test := range []struct {
 			name       string
 			until      float64
--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -35,10 +35,9 @@
 	// must be above 0 with ReplacesObjects, and 0 without.
 	OldCopyMaxAge float64 `json:"keep,omitempty" jsonschema_description:"maximum age in ms of cached copies of the older version in closed rings; required with renews, not allowed without"`
 	Rings         []Ring  `json:"rings"`
-	// OnRollback determines what a cell does with requests for replaced objects after this router has stopped its ring
-	// and before RollbackAt, when the origin has the old version again: RejectOnRollback, the default, or
-	// ServeOnRollback.
-	OnRollback string `json:"back,omitempty" jsonschema:"enum=refuse,enum=serve" jsonschema_description:"requests for replaced objects in a ring that a router has stopped: refuse (if left out) or serve any version"`
+	// OnStop determines what a cell does with requests for replaced objects after this router has stopped its ring and
+	// before RollbackAt, when the origin has the old version again: RejectOnRollback, the default, or ServeOnRollback.
+	OnStop string `json:"back,omitempty" jsonschema:"enum=refuse,enum=serve" jsonschema_description:"requests for replaced objects in a ring that a router has stopped: refuse (if left out) or serve any version"`
 	// OnUndecided is how the rollout continues after a ring without a verdict within JudgeWithin: WaitWhenUndecided,
 	// the default, or ProceedWhenUndecided.
 	OnUndecided string `json:"unsure,omitempty" jsonschema:"enum=wait,enum=go" jsonschema_description:"after a ring without a verdict in its time: wait for one (if left out) or go on with the next ring"`
@@ -62,7 +61,7 @@
 	JudgeWithin float64 `json:"for" jsonschema_description:"ms within which a verdict is expected; the next ring waits for the verdict, but see unsure"`
 }
 
-// Values of Rollout.OnRollback and Rollout.OnUndecided. An empty string means RejectOnRollback and WaitWhenUndecided.
+// Values of Rollout.OnStop and Rollout.OnUndecided. An empty string means RejectOnRollback and WaitWhenUndecided.
 const (
 	RejectOnRollback     = "refuse"
 	ServeOnRollback      = "serve"
--- a/core/rollout/validate.go
+++ b/core/rollout/validate.go
@@ -80,10 +80,10 @@
 // validateReplacement checks the fields that apply only to a release that replaces objects.
 func (r *Rollout) validateReplacement() error {
 	switch {
-	case r.OnRollback != "" && r.OnRollback != RejectOnRollback && r.OnRollback != ServeOnRollback:
-		return invalid("back", "%q is neither %s nor %s", r.OnRollback, RejectOnRollback, ServeOnRollback)
-	case r.OnRollback != "" && !r.ReplacesObjects:
-		return invalid("back", "%q without renews: requests for new objects are always rejected", r.OnRollback)
+	case r.OnStop != "" && r.OnStop != RejectOnRollback && r.OnStop != ServeOnRollback:
+		return invalid("back", "%q is neither %s nor %s", r.OnStop, RejectOnRollback, ServeOnRollback)
+	case r.OnStop != "" && !r.ReplacesObjects:
+		return invalid("back", "%q without renews: requests for new objects are always rejected", r.OnStop)
 	case !(r.OldCopyMaxAge >= 0 && r.OldCopyMaxAge <= maxOldCopyAge):
 		return invalid("keep", "%v ms is not between 0 and a week", r.OldCopyMaxAge)
 	case r.ReplacesObjects && r.OldCopyMaxAge == 0:
--- a/core/rollout/wire_compat_test.go
+++ b/core/rollout/wire_compat_test.go
@@ -20,7 +20,7 @@
 			{Cells: []string{"north"}, OpensAt: 1764576060009, JudgeWithin: 600010},
 			{Cells: []string{"south", "spare"}, OpensAt: 1764577060011, JudgeWithin: 600012},
 		},
-		OnRollback:     "serve",
+		OnStop:         "serve",
 		OnUndecided:    "go",
 		RollbackAt:     1764579000013,
 		Alpha:          0.02,
--- a/emulator/rollout_test.go
+++ b/emulator/rollout_test.go
@@ -43,7 +43,7 @@
 					Since:           10_000 + c.skew,
 					ReplacesObjects: true,
 					OldCopyMaxAge:   300_000,
-					OnRollback:      c.onRollback,
+					OnStop:          c.onRollback,
 					RollbackAt:      28_000,
 					Rings:           []rollout.Ring{ring},
 				},
