--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -36,7 +36,7 @@
 	OldCopyMaxAge float64 `json:"keep,omitempty" jsonschema_description:"maximum age in ms of cached copies of the older version in closed rings; required with renews, not allowed without"`
 	Rings         []Ring  `json:"rings"`
 	// OnStop determines what a cell does with requests for replaced objects after this router has stopped its ring and
-	// before RollbackAt, when the origin has the old version again: RejectOnRollback, the default, or ServeOnRollback.
+	// before RollbackAt, when the origin has the old version again: RejectWhenStopped, the default, or ServeOnRollback.
 	OnStop string `json:"back,omitempty" jsonschema:"enum=refuse,enum=serve" jsonschema_description:"requests for replaced objects in a ring that a router has stopped: refuse (if left out) or serve any version"`
 	// OnUndecided is how the rollout continues after a ring without a verdict within JudgeWithin: WaitWhenUndecided,
 	// the default, or ProceedWhenUndecided.
@@ -61,9 +61,9 @@
 	JudgeWithin float64 `json:"for" jsonschema_description:"ms within which a verdict is expected; the next ring waits for the verdict, but see unsure"`
 }
 
-// Values of Rollout.OnStop and Rollout.OnUndecided. An empty string means RejectOnRollback and WaitWhenUndecided.
+// Values of Rollout.OnStop and Rollout.OnUndecided. An empty string means RejectWhenStopped and WaitWhenUndecided.
 const (
-	RejectOnRollback     = "refuse"
+	RejectWhenStopped    = "refuse"
 	ServeOnRollback      = "serve"
 	WaitWhenUndecided    = "wait"
 	ProceedWhenUndecided = "go"
