--- a/core/rollout/gate.go
+++ b/core/rollout/gate.go
@@ -20,7 +20,7 @@
 		return GateDecision{MadeSince: r.RollbackAt}
 	case p.HasRelease(cell):
 		return GateDecision{MadeSince: r.Since}
-	case p.hadRelease(cell) && r.OnStop != ServeOnRollback:
+	case p.hadRelease(cell) && r.OnStop != ServeWhenStopped:
 		return GateDecision{Rejected: true}
 	}
 	return GateDecision{MaxAge: r.OldCopyMaxAge}
--- a/core/rollout/gate_test.go
+++ b/core/rollout/gate_test.go
@@ -17,7 +17,7 @@
 	newCopies := GateDecision{MadeSince: 1000}
 	rejected := GateDecision{Rejected: true}
 	restored := GateDecision{MadeSince: rollbackAt}
-	for onRollback, stopped := range map[string]GateDecision{"": rejected, ServeOnRollback: oldCopies} {
+	for onRollback, stopped := range map[string]GateDecision{"": rejected, ServeWhenStopped: oldCopies} {
 		r := sampleRollout()
 		r.ReplacesObjects = true
 		r.OldCopyMaxAge = maxAge
--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -36,7 +36,8 @@
 	OldCopyMaxAge float64 `json:"keep,omitempty" jsonschema_description:"maximum age in ms of cached copies of the older version in closed rings; required with renews, not allowed without"`
 	Rings         []Ring  `json:"rings"`
 	// OnStop determines what a cell does with requests for replaced objects after this router has stopped its ring and
-	// before RollbackAt, when the origin has the old version again: RejectWhenStopped, the default, or ServeOnRollback.
+	// before RollbackAt, when the origin has the old version again: RejectWhenStopped, the default, or
+	// ServeWhenStopped.
 	OnStop string `json:"back,omitempty" jsonschema:"enum=refuse,enum=serve" jsonschema_description:"requests for replaced objects in a ring that a router has stopped: refuse (if left out) or serve any version"`
 	// OnUndecided is how the rollout continues after a ring without a verdict within JudgeWithin: WaitWhenUndecided,
 	// the default, or ProceedWhenUndecided.
@@ -64,7 +65,7 @@
 // Values of Rollout.OnStop and Rollout.OnUndecided. An empty string means RejectWhenStopped and WaitWhenUndecided.
 const (
 	RejectWhenStopped    = "refuse"
-	ServeOnRollback      = "serve"
+	ServeWhenStopped     = "serve"
 	WaitWhenUndecided    = "wait"
 	ProceedWhenUndecided = "go"
 )
--- a/core/rollout/validate.go
+++ b/core/rollout/validate.go
@@ -80,8 +80,8 @@
 // validateReplacement checks the fields that apply only to a release that replaces objects.
 func (r *Rollout) validateReplacement() error {
 	switch {
-	case r.OnStop != "" && r.OnStop != RejectWhenStopped && r.OnStop != ServeOnRollback:
-		return invalid("back", "%q is neither %s nor %s", r.OnStop, RejectWhenStopped, ServeOnRollback)
+	case r.OnStop != "" && r.OnStop != RejectWhenStopped && r.OnStop != ServeWhenStopped:
+		return invalid("back", "%q is neither %s nor %s", r.OnStop, RejectWhenStopped, ServeWhenStopped)
 	case r.OnStop != "" && !r.ReplacesObjects:
 		return invalid("back", "%q without renews: requests for new objects are always rejected", r.OnStop)
 	case !(r.OldCopyMaxAge >= 0 && r.OldCopyMaxAge <= maxOldCopyAge):
