--- a/core/scheduler/job.go
+++ b/core/scheduler/job.go
@@ -94,8 +94,8 @@
 	Reason AbandonReason
 }
 
-// Ready has the attempts that are ready to start after a step, and the jobs that it abandoned.
-type Ready struct {
+// StepResult has the attempts that are to start after a step, and the jobs that it abandoned.
+type StepResult struct {
 	Start     []Attempt   // attempts to start now, in this order
 	Abandoned []Abandoned // jobs abandoned in this step
 	NextStep  int64       // call Step again at this time or earlier; math.MaxInt64: no need
--- a/core/scheduler/scheduler.go
+++ b/core/scheduler/scheduler.go
@@ -122,9 +122,9 @@
 }
 
 // Step advances to now, handles timers and starts attempts within the budget.
-func (s *Scheduler) Step(now int64) Ready {
+func (s *Scheduler) Step(now int64) StepResult {
 	s.refill(now)
-	var ready Ready
+	var ready StepResult
 	s.wheel.Advance(s.now, func(timerKey uint64, _ int64) {
 		if j := s.byTimerKey[timerKey]; j != nil {
 			ready.Abandoned = append(ready.Abandoned, s.timerFired(j)...)
--- a/core/scheduler/scheduler_test.go
+++ b/core/scheduler/scheduler_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func startedIDs(r Ready) string {
+func startedIDs(r StepResult) string {
 	var ids []string
 	for _, attempt := range r.Start {
 		ids = append(ids, attempt.ID)
