--- a/core/rollout/gate_test.go
+++ b/core/rollout/gate_test.go
@@ -17,11 +17,11 @@
 	newCopies := GateDecision{MadeSince: 1000}
 	rejected := GateDecision{Rejected: true}
 	restored := GateDecision{MadeSince: rollbackAt}
-	for onRollback, stopped := range map[string]GateDecision{"": rejected, ServeWhenStopped: oldCopies} {
+	for onStop, stopped := range map[string]GateDecision{"": rejected, ServeWhenStopped: oldCopies} {
 		r := sampleRollout()
 		r.ReplacesObjects = true
 		r.OldCopyMaxAge = maxAge
-		r.OnStop = onRollback
+		r.OnStop = onStop
 		for _, test := range []struct {
 			name       string
 			until      float64
@@ -37,7 +37,7 @@
 			{"rolled back by the document", 402_000, rollbackAt,
 				map[string]GateDecision{"a": restored, "b": restored, "d": restored, "h": restored}},
 		} {
-			t.Run(fmt.Sprintf("onRollback=%q/%s", onRollback, test.name), func(t *testing.T) {
+			t.Run(fmt.Sprintf("onStop=%q/%s", onStop, test.name), func(t *testing.T) {
 				r.RollbackAt = test.rollbackAt
 				p, _ := runRollout(t, r, 3, 300, failuresAfterFirstRing, test.until)
 				for cell, want := range test.want {
--- a/core/rollout/validate_test.go
+++ b/core/rollout/validate_test.go
@@ -28,7 +28,7 @@
 		{"JudgeWithin is 0", func(r *Rollout) { r.Rings[0].JudgeWithin = 0 }, "rings[0].for: "},
 		{"alpha too large", func(r *Rollout) { r.Alpha = 0.7 }, "alpha: invalid rollout: 0.7"},
 		{"unknown value of OnStop", func(r *Rollout) { r.OnStop = "so" }, `back: invalid rollout: "so`},
-		{"new objects served on rollback", func(r *Rollout) { r.OnStop = "serve" }, "back: "},
+		{"OnStop set for new objects", func(r *Rollout) { r.OnStop = "serve" }, "back: "},
 		{"old copies of new objects", func(r *Rollout) { r.OldCopyMaxAge = 5 }, "keep: "},
 		{"no maximum age of old copies", func(r *Rollout) { r.ReplacesObjects = true }, "keep: invalid rollout: 0 ms"},
 		{"maximum age of old copies too large", func(r *Rollout) {
--- a/core/scheduler/scheduler.go
+++ b/core/scheduler/scheduler.go
@@ -124,26 +124,26 @@
 // Step advances to now, handles timers and starts attempts within the budget.
 func (s *Scheduler) Step(now int64) StepResult {
 	s.refill(now)
-	var ready StepResult
+	var result StepResult
 	s.wheel.Advance(s.now, func(timerKey uint64, _ int64) {
 		if j := s.byTimerKey[timerKey]; j != nil {
-			ready.Abandoned = append(ready.Abandoned, s.timerFired(j)...)
+			result.Abandoned = append(result.Abandoned, s.timerFired(j)...)
 		}
 	})
-	ready.NextStep = s.wheel.Next()
+	result.NextStep = s.wheel.Next()
 	for rank := priorityCount - 1; rank >= 0; rank-- {
 		for len(s.queues[rank]) > 0 && s.running < s.config.MaxRunning {
 			j := s.queues[rank][0]
 			if earliest := s.tokensAvailableAt(j); earliest > s.now {
 				// Later jobs must not overtake the first one, or expensive jobs would never start.
-				ready.NextStep = min(ready.NextStep, earliest)
-				return ready
+				result.NextStep = min(result.NextStep, earliest)
+				return result
 			}
 			s.start(j)
-			ready.Start = append(ready.Start, Attempt{j.ID, j.attempt, s.now + s.config.AttemptTimeout})
+			result.Start = append(result.Start, Attempt{j.ID, j.attempt, s.now + s.config.AttemptTimeout})
 		}
 	}
-	return ready
+	return result
 }
 
 // timerFired handles the timer of a job: the attempt has timed out, the backoff is over, or a queued job has passed its
--- a/core/scheduler/scheduler_test.go
+++ b/core/scheduler/scheduler_test.go
@@ -227,9 +227,9 @@
 }
 
 func (h *randomHistory) step() {
-	ready := h.scheduler.Step(h.now)
-	h.recordAbandoned(ready.Abandoned)
-	for _, attempt := range ready.Start {
+	result := h.scheduler.Step(h.now)
+	h.recordAbandoned(result.Abandoned)
+	for _, attempt := range result.Start {
 		if h.ended[attempt.ID] {
 			h.t.Fatalf("seed %d: job %s starts after it ended", h.seed, attempt.ID)
 		}
