--- a/core/migration/pacer_test.go
+++ b/core/migration/pacer_test.go
@@ -86,9 +86,9 @@
 	before, lowest := 0.0, 1.0
 	target := func(now float64) simulatedCell {
 		if now > degradedFrom && now < degradedUntil {
-			return simulatedCell{-1} // always late
+			return simulatedCell{-1} // 92% of answers are late at any share
 		}
-		return simulatedCell{2} // supports all objects
+		return simulatedCell{2} // supports all objects: 2% of answers are late
 	}
 	runMigration(&m, &p, 200, rng, target, func(now, share float64) {
 		switch {
