--- a/core/fleet/lease_tree_test.go
+++ b/core/fleet/lease_tree_test.go
@@ -131,7 +131,7 @@
 
 func TestInvalidTree(t *testing.T) {
 	for want, options := range map[string]Options{
-		"lease tree: electors: 2, an odd number up to 15 is wanted": {
+		"lease tree: electors: 2, an odd number up to 15 is required": {
 			LeaseTree: &lease.Topology{Routers: 24, Electors: []int{0, 1}},
 		},
 		"lease tree: routers: 4, and this router has rank 5": {
--- a/core/lease/allotment.go
+++ b/core/lease/allotment.go
@@ -8,8 +8,8 @@
 	ExpiresAt int64 // us
 }
 
-// Outstanding is the greatest amount of the allotments that have not expired: the most that their owner may have in
-// use from now on.
+// Outstanding returns the largest amount among the allotments that have not expired, 0 if all have. It bounds what
+// their owner may have in use from now on.
 func Outstanding(now int64, allotments []Allotment) (amount float64) {
 	for _, a := range allotments {
 		if now < a.ExpiresAt {
@@ -19,24 +19,24 @@
 	return amount
 }
 
-// Record writes an allotment over the one that expires first. If that one has not expired yet, the two become one
-// that is no less than either, so that Outstanding never falls short of what was recorded.
+// Record replaces the allotment that expires first with added. If that allotment has not expired yet, the two are
+// merged: the result has the larger amount and the later expiry, so Outstanding is never less than what was recorded.
 func Record(now int64, allotments []Allotment, added Allotment) {
-	first := &allotments[0]
+	earliest := &allotments[0]
 	for i := range allotments {
-		if allotments[i].ExpiresAt < first.ExpiresAt {
-			first = &allotments[i]
+		if allotments[i].ExpiresAt < earliest.ExpiresAt {
+			earliest = &allotments[i]
 		}
 	}
-	if now < first.ExpiresAt {
-		added.Amount = max(added.Amount, first.Amount)
-		added.ExpiresAt = max(added.ExpiresAt, first.ExpiresAt)
+	if now < earliest.ExpiresAt {
+		added.Amount = max(added.Amount, earliest.Amount)
+		added.ExpiresAt = max(added.ExpiresAt, earliest.ExpiresAt)
 	}
-	*first = added
+	*earliest = added
 }
 
-// MajorityUntil is the time until which more than half of so many voters have voted, 0 if they have not, given when
-// each of the votes cast expires. It sorts expirations.
+// MajorityUntil returns the time (us) until which votes of more than half of the voters are valid, 0 if fewer have
+// voted. Expirations has the expiry of each vote and is sorted in place.
 func MajorityUntil(expirations []int64, voters int) int64 {
 	majority := voters/2 + 1
 	if len(expirations) < majority {
--- a/core/lease/avoid_list.go
+++ b/core/lease/avoid_list.go
@@ -2,14 +2,14 @@
 
 import "maps"
 
-// AvoidList holds the ranks that are passed over in the choice of a holder because they did not answer, each with the
-// time (us) at which it may be chosen again.
+// AvoidList maps each rank that is not eligible as a holder, because it did not answer, to the time (us) at which it
+// becomes eligible again.
 type AvoidList map[int]int64
 
 // Contains reports whether a rank is on the list.
 func (l AvoidList) Contains(rank int) bool { return l[rank] != 0 }
 
-// Expire removes the ranks whose time has come.
+// Expire removes the ranks that are eligible again.
 func (l AvoidList) Expire(now int64) {
 	maps.DeleteFunc(l, func(_ int, until int64) bool { return now >= until })
 }
--- a/core/lease/bound_test.go
+++ b/core/lease/bound_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// randomTopology draws a tree of one to three levels of groups over so many routers.
+// randomTopology returns a random tree for a number of routers, with up to three levels of groups below the fleet.
 func randomTopology(rng *rand.Rand, routers int) Topology {
 	t := Topology{Routers: routers}
 	for size := 2 + rng.IntN(3); len(t.GroupSizes) < rng.IntN(maxLevels) && size < routers; size *= 2 + rng.IntN(3) {
@@ -16,7 +16,7 @@
 	return t
 }
 
-// injectFault brings about one fault, or heals all cuts.
+// injectFault causes one random fault, or heals all partitions and one-way cuts.
 func injectFault(w *world) {
 	routers := len(w.processes)
 	rank := w.rng.IntN(routers)
@@ -48,7 +48,7 @@
 	}
 }
 
-// restartHolder restarts the holder of some group with its leases out.
+// restartHolder restarts the holder of a random group while leases that it granted are in use.
 func restartHolder(w *world) {
 	holders := w.holders(1 + w.rng.IntN(w.options.Topology.fleetLevel()))
 	if len(holders) == 0 {
@@ -59,7 +59,8 @@
 	w.start(holder)
 }
 
-// isolateFleetHolder cuts the fleet's holder off with its leases out, and restarts half of the other electors.
+// isolateFleetHolder partitions the holder of the fleet from all others while leases that it granted are in use, and
+// restarts each of the other electors with probability 1/2.
 func isolateFleetHolder(w *world) {
 	holders := w.holders(w.options.Topology.fleetLevel())
 	if len(holders) == 0 {
@@ -74,8 +75,9 @@
 	}
 }
 
-// The guarantee of the package, whatever happens: the quotas of all routers never pass the limit.
-func TestQuotasNeverPassTheLimit(t *testing.T) {
+// Guards against violations of the guarantee of the package: under random faults, the sum of the quotas of all routers
+// must never exceed the limit.
+func TestQuotasNeverExceedLimit(t *testing.T) {
 	seeds := uint64(300)
 	if testing.Short() {
 		seeds = 60
@@ -91,11 +93,11 @@
 			sum := w.quotas(nil)
 			greatest = max(greatest, sum)
 			if sum > limit.Max+1e-6 {
-				t.Fatalf("seed %d, %+v, at %.3f s: quotas of %.3f pass a limit of %v",
+				t.Fatalf("seed %d, %+v, at %.3f s: quotas of %.3f exceed the limit of %v",
 					seed, topology, float64(w.now)/1e6, sum, limit.Max)
 			}
 		}
-		w.run(w.now+12*second, check) // until there is a holder to be lost
+		w.run(w.now+12*second, check) // until a holder is elected, so that it can be lost
 		for range 14 {
 			injectFault(w)
 			w.run(w.now+w.rng.Int64N(4*second), check)
@@ -110,13 +112,14 @@
 		}
 	}
 	if greatest < 39 || granted < int64(seeds)*100 {
-		t.Errorf("at most %.1f of 40 in use, %d leases: these worlds show nothing", greatest, granted)
+		t.Errorf("at most %.1f of 40 in use, %d leases: the worlds are too idle to test the bound", greatest, granted)
 	}
 }
 
-// A lease counts from when its request was sent, however late the grant comes, and expires for the lessee before it
-// does for the holder, whose clock runs faster.
-func TestLeaseExpiresForTheLesseeFirst(t *testing.T) {
+// Guards against a lease that a lessee still uses when the holder has granted it to others. The lifetime of a lease
+// must count from when its request was sent, even if the grant is delayed, and the lease must expire at the lessee
+// before it does at a holder with a faster clock.
+func TestLeaseExpiresAtLesseeBeforeHolder(t *testing.T) {
 	const (
 		term  = second
 		delay = second / 2 // of the grant
@@ -127,7 +130,7 @@
 	number := l.recordRequest(sentAt)
 	h := newHolder()
 	key := lesseeKey{0, 1}
-	grantedAt := 900 * second // by the holder's clock, at the moment at which the request was sent
+	grantedAt := 900 * second // by the holder's clock, at the time at which the request was sent
 	amount, granted := h.grant(grantedAt, key, demand{5, 1}, []Allotment{{5, grantedAt + 10*second}}, term)
 	l.handleGrant(sentAt+delay, 3, &Message{Incarnation: 1, Amount: amount, Term: granted, RequestNumber: number})
 	if l.available(sentAt+delay) != 5 {
@@ -135,16 +138,17 @@
 	}
 	account := h.accounts[key]
 	slow, fast := 1-maxClockDrift/2, 1+maxClockDrift/2
-	for passed := delay; passed < 2*term; passed += 1000 { // of real time since the request was sent
-		atLessee := sentAt + int64(float64(passed)*slow)
-		atHolder := grantedAt + int64(float64(passed)*fast)
+	for elapsed := delay; elapsed < 2*term; elapsed += 1000 { // of real time since the request was sent
+		atLessee := sentAt + int64(float64(elapsed)*slow)
+		atHolder := grantedAt + int64(float64(elapsed)*fast)
 		if l.available(atLessee) > Outstanding(atHolder, account.leases[:]) {
-			t.Fatalf("%d us after its request a lease counts for the lessee, and no more for the holder", passed)
+			t.Fatalf("%d us after its request, a lease is valid at the lessee but has expired at the holder", elapsed)
 		}
 	}
 }
 
-// singleElector is a router that is the only elector, elected, in a fleet of eight without groups.
+// singleElector returns a node that is the only elector, and elected, in a fleet of eight routers without groups, and
+// the time (us) at the end of the election.
 func singleElector(t *testing.T) (n *Node, now int64) {
 	t.Helper()
 	n, err := New(0, Options{
@@ -164,11 +168,11 @@
 	return n, now
 }
 
-// A lessee that restarts has forgotten what it granted: what the process before it had on lease counts besides what
-// the new one gets.
-func TestRestartedLesseeCountsTwice(t *testing.T) {
+// Guards against granting the lease of a restarted lessee a second time. The lessee has no record of what it granted
+// from that lease, so the holder must count the lease of the previous incarnation besides that of the new one.
+func TestLeaseOfPreviousIncarnationStaysCounted(t *testing.T) {
 	n, now := singleElector(t)
-	granted := map[uint32]float64{} // last, by incarnation
+	granted := map[uint32]float64{} // amount of the latest grant, by incarnation
 	var requester uint32
 	n.Send = func(_ int, m Message) {
 		if m.Kind == KindGrant {
@@ -181,13 +185,13 @@
 			Kind: KindRequest, Incarnation: incarnation, Level: 1, Amount: 1e5, Weight: 1, RequestNumber: number,
 		})
 	}
-	for number := uint32(1); number < 20; number++ { // until what others had has expired
+	for number := uint32(1); number < 20; number++ { // until the leases of others have expired
 		now += renewInterval
 		n.Tick(now)
 		request(1, number)
 	}
 	request(2, 1)
 	if granted[1] < 9 || granted[1]+granted[2] > 10 {
-		t.Errorf("%v to the process before, %v to the one after it, of 10", granted[1], granted[2])
+		t.Errorf("%v granted before the restart, %v after it, of a limit of 10", granted[1], granted[2])
 	}
 }
--- a/core/lease/doc.go
+++ b/core/lease/doc.go
@@ -1,52 +1,53 @@
-// Package lease keeps one number that all routers of a fleet must not exceed together, such as requests in flight
-// to an origin, by a tree of leases. No router exchanges messages with more than its group and its children,
-// however large the fleet. It does no I/O and reads no clock: times are microseconds of the router's own clock,
-// which may stand at anything but never runs backwards. Random numbers come from a seed.
+// Package lease enforces one limit on all routers of a fleet together, such as requests in flight to an origin, with a
+// tree of leases. A router exchanges messages only with its group and its children, however large the fleet. The
+// package does no I/O and reads no clock. Times are in microseconds of the router's own clock, whose zero is arbitrary
+// and which never runs backwards. Random numbers come from a seed.
 //
 // # The tree
 //
-// A limit is split into floors, one for each router that there may be, and a pool. Routers form groups by their
-// ranks (Topology): the smallest groups are blocks of neighbouring ranks, several of these form a larger one, and
-// all of them the fleet. In each group one router, the holder, leases a part of the pool from the holder of the
-// group above it, and grants leases of that part to the members of its group, or to the holders of the groups in
-// it: these are its lessees. The holder of the fleet has the whole pool. J. Dean's and Y. Sobel's Doorman (2016)
-// has such a tree of servers; here it needs no store.
+// A limit consists of floors, one for each possible router, and a pool. Routers form groups by rank (Topology): the
+// smallest groups are blocks of consecutive ranks, several of these form a larger group, and all of them form the
+// fleet. In each group one router, the holder, leases a part of the pool from the holder of the group above it. It
+// grants leases of that part to its lessees: the members of its group, or the holders of the groups in it. The holder
+// of the fleet has the whole pool. The tree follows J. Dean, Y. Sobel, "Doorman" (2016), but needs no external store.
 //
 // # Guarantee
 //
-// For any number of partitions of the fleet, any messages lost, late, doubled or out of order, and any crashes and
-// restarts:
-//
-//   - The floors and what all routers have on lease never pass the limit: over by 0 of it for 0 ms. What was begun
-//     under a lease may outlast it, unless it takes less than Limit.ExpiryMargin.
-//   - Each router has its floor always. Routers that reach the fleet's holder through their groups' holders have
-//     the pool besides. It is in use again RecoveryTime after any holder, group or part of the fleet was lost,
-//     where more than half of the electors can reach one another. A partition without the fleet's holder uses what
-//     it had on lease until that expires, and its floors from then on.
-//   - A router that joins, leaves or restarts changes nothing for others but their quotas. Routers need not agree
-//     on who is up, nor on who holds a group.
-//
-// It assumes that the rates of two clocks differ by maxClockDrift at most, that a restarted router has a greater
-// incarnation, that Topology and Limit are the same everywhere, and that no process is paused between acquiring
-// from a limit and beginning what it acquired for: one that is begins one thing late.
-//
-// # Why it holds
-//
-// Two holders of one group do no harm, as each grants only what it has on lease itself: it grants a lease only if
-// that expires before one of its own leases does, and only if all leases that it has out then are together no more
-// than that one. So what is out below a holder never passes the greatest lease that it has at the time, and that is
-// what the holder above counts for it. A holder that restarts has forgotten what it granted, so the one above
-// counts what the process before it had apart, until that has expired.
-//
-// Only the holder of the fleet must be the only one. It grants leases while more than half of the electors have
-// voted for it, and none that expires later than those votes. A vote echoes the holder's own stamp and counts from
-// there, so it expires for the holder before it does for the voter, who gives no other vote meanwhile; two
-// majorities share a voter. A voter that starts has forgotten its votes, and gives none for the lifetime of a vote
-// (L. Lamport, "The part-time parliament", ACM Transactions on Computer Systems 16(2), 1998; C. Gray, D. Cheriton,
-// "Leases", SOSP 1989).
+// The following holds for any number of partitions of the fleet, for messages that are lost, delayed, duplicated or
+// reordered, and for any crashes and restarts:
+//
+//   - The sum of all floors and all leases in use never exceeds the limit, by any amount or for any time. Work that
+//     starts under a lease may outlast the lease, unless it takes less than Limit.ExpiryMargin.
+//   - Each router always has its floor. Routers that reach the fleet's holder through the holders of their groups also
+//     have the pool. After the loss of any holder, group or part of the fleet, the pool is in use again within
+//     RecoveryTime, provided that a majority of the electors can reach one another. A partition without the fleet's
+//     holder uses its leases until they expire, and only its floors after that.
+//   - When a router joins, leaves or restarts, only the quotas of the others change. Routers need not agree on which
+//     routers are up, or on which router holds a group.
+//
+// The guarantee assumes that the rates of two clocks differ by at most maxClockDrift, that the incarnation of a router
+// grows with each restart, that Topology and Limit are the same at all routers, and that no process is paused between
+// acquiring from a limit and starting the work that it acquired for. A process that is paused there starts one unit of
+// work late.
+//
+// # Correctness
+//
+// Two holders of one group are safe, because each grants only what it has on lease itself. A holder grants a lease
+// only if it expires before one of the holder's own leases, and only if all leases that it has granted and that have
+// not expired, this one included, add up to no more than that own lease. The leases in force below a holder therefore
+// never exceed the largest lease that the holder has at the time, and that is the amount that the holder above counts
+// for it. A holder that restarts loses the record of its grants. The holder above therefore counts the leases of the
+// previous incarnation separately until they have expired.
+//
+// Only the holder of the fleet must be unique. It grants leases while a majority of the electors have voted for it,
+// and none that expires later than those votes. A vote echoes the holder's own stamp, and its lifetime counts from that
+// stamp. It therefore expires for the holder before it does for the voter, and the voter casts no other vote before
+// that. Any two majorities have a voter in common. A voter that starts has no record of its earlier votes, so it casts
+// none for the lifetime of a vote (L. Lamport, "The part-time parliament", ACM Transactions on Computer Systems 16(2),
+// 1998; C. Gray, D. Cheriton, "Leases", SOSP 1989).
 //
 // # Files
 //
-// The node of a router is in node.go and quota.go; requests and grants in leasing.go, with the state of a lessee in
-// lessee.go and of a holder in holder.go; the election of the fleet's holder in election.go.
+// The node of a router is in node.go and quota.go. Requests and grants are in leasing.go, the state of a lessee is in
+// lessee.go and that of a holder in holder.go. The election of the fleet's holder is in election.go.
 package lease
--- a/core/lease/election_test.go
+++ b/core/lease/election_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A vote counts from the candidate's stamp that it echoes, however late it comes.
-func TestVoteCountsFromItsStamp(t *testing.T) {
+// Guards against a delayed vote that is valid for too long: its lifetime must count from the candidate's stamp that it
+// echoes, not from its arrival.
+func TestVoteLifetimeCountsFromStamp(t *testing.T) {
 	n, err := New(0, Options{
 		Incarnation: 1,
 		Topology:    Topology{Routers: 3, Electors: []int{0, 1, 2}},
@@ -20,33 +21,33 @@
 		return n.ballot.voteExpiresAt[from]
 	}
 	if expiresAt := vote(1, 1); expiresAt <= now || expiresAt > stampedAt+voteLifetime {
-		t.Errorf("a vote on a stamp of %d us counts until %d us", stampedAt, expiresAt)
+		t.Errorf("a vote with a stamp of %d us is valid until %d us", stampedAt, expiresAt)
 	}
 	if expiresAt := vote(2, 9); expiresAt != 0 {
-		t.Errorf("a vote for another start counts until %d us", expiresAt)
+		t.Errorf("a vote for another incarnation is valid until %d us", expiresAt)
 	}
 }
 
-// An elector gives no second candidate its vote before the one for the first has expired, whatever becomes of that
-// candidate.
-func TestElectorVotesForOneAtATime(t *testing.T) {
+// Guards against two elected holders: an elector must not vote for a second candidate before its vote for the first has
+// expired, even if the first does not answer.
+func TestElectorDoesNotVoteForTwoCandidates(t *testing.T) {
 	e := newElector()
 	electors := []int{0, 1, 2}
 	hash := func(rank int) uint64 { return uint64(10 - rank) }
 	now := 100 * second
 	if got := e.chooseCandidate(now, electors, hash); got != 0 {
-		t.Fatalf("candidate %d, 0 is first", got)
+		t.Fatalf("candidate %d, want 0, the first by hash", got)
 	}
 	e.candidateIncarnation = 7
 	e.voteExpiresAt = now + voteLifetime
-	e.unansweredVotes = maxUnansweredCandidate
+	e.unansweredVotes = maxUnansweredBeforeAvoid
 	for at := now; at < e.voteExpiresAt; at += voteInterval {
 		if got := e.chooseCandidate(at, electors, hash); got != 0 && got != NoRank {
-			t.Fatalf("candidate %d while the vote for 0 counts", got)
+			t.Fatalf("candidate %d while the vote for 0 is valid", got)
 		}
 	}
 	e.avoided[0] = e.voteExpiresAt + second
 	if got := e.chooseCandidate(e.voteExpiresAt, electors, hash); got != 1 {
-		t.Errorf("candidate %d once the vote has expired, 1 is next", got)
+		t.Errorf("candidate %d after the vote has expired, want 1", got)
 	}
 }
--- a/core/lease/example_test.go
+++ b/core/lease/example_test.go
@@ -6,8 +6,8 @@
 	"spantack/core/lease"
 )
 
-// Four routers keep a limit of 40 requests to an origin together. Each has a floor of 2; the rest is leased from the
-// router that they elect. Time passes in steps of 50 ms, and messages arrive at once.
+// Four routers share a limit of 40 requests to an origin. Each has a floor of 2. The rest is leased from the router
+// that the electors elect. Time advances in steps of 50 ms, and messages are delivered without delay.
 func Example() {
 	const routers = 4
 	topology := lease.Topology{Routers: routers, Electors: []int{0, 1, 2}}
--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -9,62 +9,63 @@
 
 // Times in microseconds.
 const (
-	demandLifetime    = 4_000_000 // of what a lessee has asked for
-	fairShareLifetime = 100_000   // of fair shares that were computed
+	demandLifetime    = 4_000_000 // of the demand in a request
+	fairShareLifetime = 100_000   // until fair shares are computed again
 )
 
 const (
-	// shorterLeaseFactor is how many times as much an older lease must yield for a grant out of it to be preferred to
-	// one out of the present lease, which lasts longer.
+	// shorterLeaseFactor is the ratio of amounts above which a grant from an older lease is preferred to a grant from
+	// the current lease, which lasts longer.
 	shorterLeaseFactor = 4.0 / 3
 
-	// maxAccounts bounds the processes that a holder keeps account of: several times the ranks of the largest group
-	// below the fleet's children.
+	// maxAccounts bounds the accounts of a holder, one for each process. It is several times the number of ranks in the
+	// largest group below the children of the fleet.
 	maxAccounts = 4096
 
-	// maxLeases of one lessee may be out at once: at no level does a lease last longer than seven of the intervals in
-	// which it is renewed. Beyond that Record merges two.
+	// maxLeases is the number of leases of one lessee that are recorded separately. At no level does a lease last
+	// longer than seven of its renew intervals. If there are more, Record merges two.
 	maxLeases = 8
 )
 
-// lesseeKey names a process: after a restart what the process before it had on lease may still be in use.
+// lesseeKey identifies a process. After a restart, the leases of the previous incarnation may still be in use.
 type lesseeKey struct {
 	rank        int
 	incarnation uint32
 }
 
-// demand is an amount that a lessee wants, for so many routers.
+// demand is the amount that a lessee wants and the number of routers that the amount is for.
 type demand struct {
 	amount float64
 	weight int
 }
 
-// account is what a holder knows of a lessee.
+// account is the record that a holder has of one lessee.
 type account struct {
 	demand   demand
-	demandAt int64                // when it last asked
-	leases   [maxLeases]Allotment // by the holder's clock; those that have not expired may be in use
+	demandAt int64                // time of the last request
+	leases   [maxLeases]Allotment // times by the holder's clock; a lease that has not expired may be in use
 }
 
-// isAsking reports whether the lessee has asked of late.
-func (a *account) isAsking(now int64) bool { return now-a.demandAt < demandLifetime }
+// hasRecentRequest reports whether the lessee has sent a request within demandLifetime.
+func (a *account) hasRecentRequest(now int64) bool { return now-a.demandAt < demandLifetime }
 
-// holder grants leases to the members of one group, or to the holders of the groups in it.
+// holder is the state with which a router grants leases to the members of one group, or to the holders of its
+// subgroups.
 type holder struct {
 	accounts map[lesseeKey]*account
 
-	// Fair shares, for each router below a lessee.
+	// Fair shares, as amounts for each router below a lessee.
 	sharesComputedAt int64
-	fairShare        float64 // none gets more, where there is too little for all
-	surplusShare     float64 // what each gets besides, where there is more than all want
+	fairShare        float64 // upper bound if demand exceeds capacity
+	surplusShare     float64 // added to each grant if capacity exceeds demand
 }
 
 func newHolder() *holder { return &holder{accounts: map[lesseeKey]*account{}} }
 
-// demand is what all lessees want together; its weight is 0 if none has asked of late.
+// demand returns the sum of the demands of all lessees with a recent request. Its weight is 0 if there is none.
 func (h *holder) demand(now int64) (sum demand) {
 	for _, a := range h.accounts {
-		if a.isAsking(now) {
+		if a.hasRecentRequest(now) {
 			sum.amount += a.demand.amount
 			sum.weight += a.demand.weight
 		}
@@ -72,11 +73,11 @@
 	return sum
 }
 
-// hasDemand reports whether any lessee has asked of late.
+// hasDemand reports whether any lessee has sent a request within demandLifetime.
 func (h *holder) hasDemand(now int64) bool { return h.demand(now).weight > 0 }
 
-// grant gives a lessee a lease out of one of the capacities, the first of which is the present one. The lease expires
-// before that capacity does and after lifetime at the latest. A term of 0 means that there is none to be had.
+// grant grants a lessee a lease from one of the capacities, the first of which is the current one. The lease expires
+// before that capacity and its term (us) is at most lifetime. A term of 0 means that no lease is granted.
 func (h *holder) grant(now int64, key lesseeKey, wanted demand, capacities []Allotment, lifetime int64) (
 	amount float64, term int64) {
 	lessee := h.accountOf(now, key)
@@ -92,16 +93,17 @@
 	if term == 0 {
 		return 0, 0
 	}
-	amount = math.Floor(amount/AmountUnit) * AmountUnit // as it goes over the wire
+	amount = math.Floor(amount/AmountUnit) * AmountUnit // as encoded on the wire
 	expiresAt := now + term + int64(math.Ceil(float64(term)*maxClockDrift))
 	Record(now, lessee.leases[:], Allotment{amount, expiresAt})
 	return amount, term
 }
 
-// accountOf returns a lessee's account; nil if too many others are kept.
+// accountOf returns the account of a lessee and creates it if it is missing. It returns nil if maxAccounts others
+// exist.
 func (h *holder) accountOf(now int64, key lesseeKey) *account {
-	if known := h.accounts[key]; known != nil {
-		return known
+	if existing := h.accounts[key]; existing != nil {
+		return existing
 	}
 	h.expireAccounts(now)
 	if len(h.accounts) >= maxAccounts {
@@ -112,16 +114,16 @@
 	return added
 }
 
-// expireAccounts removes the accounts of processes that ask no more and have nothing out.
+// expireAccounts removes the accounts of processes that have neither a recent request nor an unexpired lease.
 func (h *holder) expireAccounts(now int64) {
 	maps.DeleteFunc(h.accounts, func(_ lesseeKey, a *account) bool {
-		return !a.isAsking(now) && Outstanding(now, a.leases[:]) == 0
+		return !a.hasRecentRequest(now) && Outstanding(now, a.leases[:]) == 0
 	})
 }
 
-// fitGrant fits a grant of a fair amount into the best of the capacities, each of which also has to bear what
-// others have out. It prefers an earlier capacity, which lasts longer, unless a later one yields shorterLeaseFactor
-// times as much.
+// fitGrant chooses the best capacity for a grant of a fair amount and returns the amount and term (us) that fit into it
+// beside the leases of the other lessees. It prefers an earlier capacity, which lasts longer, unless a later one yields
+// more than shorterLeaseFactor times as much. The term is 0 if no capacity lasts for minLeaseTerm.
 func fitGrant(now int64, fair, others float64, capacities []Allotment, lifetime int64) (amount float64, term int64) {
 	for _, capacity := range capacities {
 		untilExpiry := int64(float64(capacity.ExpiresAt-now) / (1 + maxClockDrift))
@@ -138,7 +140,7 @@
 	return amount, term
 }
 
-// outstandingToOthers is the most that all lessees but one may have in use.
+// outstandingToOthers returns an upper bound on what all lessees except one may have in use.
 func (h *holder) outstandingToOthers(now int64, key lesseeKey) (sum float64) {
 	for other, a := range h.accounts {
 		if other != key {
@@ -148,22 +150,23 @@
 	return sum
 }
 
-// computeFairShares divides a capacity by weighted max-min fairness: each lessee gets what it wants or, where that
-// is too much, none gets more for each router below it than a share that the capacity just bears.
+// computeFairShares divides a capacity by weighted max-min fairness. If the capacity covers the total demand, each
+// lessee gets its demand and a part of the surplus. Otherwise each lessee gets at most fairShare for each router below
+// it, which is the largest share that the capacity allows.
 func (h *holder) computeFairShares(now int64, capacity float64) {
 	if h.sharesComputedAt != 0 && now-h.sharesComputedAt < fairShareLifetime {
 		return
 	}
 	h.sharesComputedAt = now
-	var asking []*account
+	var active []*account
 	for _, a := range h.accounts {
-		if a.isAsking(now) {
-			asking = append(asking, a)
+		if a.hasRecentRequest(now) {
+			active = append(active, a)
 		}
 	}
-	slices.SortFunc(asking, byDemandPerRouter)
+	slices.SortFunc(active, byDemandPerRouter)
 	wanted, weights := 0.0, 0.0
-	for _, a := range asking {
+	for _, a := range active {
 		wanted += a.demand.amount
 		weights += float64(a.demand.weight)
 	}
@@ -173,19 +176,19 @@
 		h.surplusShare = (capacity - wanted) / max(weights, 1)
 		return
 	}
-	left := capacity
-	for _, a := range asking { // the modest first: what they leave is shared by the others
-		share := left / weights
+	remaining := capacity
+	for _, a := range active { // in ascending order, so that the unused share of small demands goes to larger ones
+		share := remaining / weights
 		if a.demand.amount >= share*float64(a.demand.weight) {
 			h.fairShare = share
 			return
 		}
-		left -= a.demand.amount
+		remaining -= a.demand.amount
 		weights -= float64(a.demand.weight)
 	}
 }
 
-// byDemandPerRouter orders lessees by what they want for each router, without a division.
+// byDemandPerRouter compares lessees by their demand for each router, without a division.
 func byDemandPerRouter(a, b *account) int {
 	return cmp.Compare(a.demand.amount*float64(b.demand.weight), b.demand.amount*float64(a.demand.weight))
 }
--- a/core/lease/leasing.go
+++ b/core/lease/leasing.go
@@ -1,7 +1,7 @@
 package lease
 
-// requestLease asks the holder of the group above a lessee for what that wants. Where this router holds that group
-// itself, it grants the lease at once.
+// requestLease requests a lease for the demand of a lessee from the holder of the group above it. If this router holds
+// that group itself, it grants the lease directly.
 func (n *Node) requestLease(now int64, l *lessee) {
 	holder := n.chooseHolder(now, l)
 	if holder == NoRank {
@@ -24,17 +24,18 @@
 	l.handleGrant(now, holder, &granted)
 }
 
-// chooseHolder returns the router to ask for a lessee's leases, NoRank if none is known, and tells of a change.
+// chooseHolder returns the router from which to request the leases of a lessee, NoRank if none is known. It calls
+// OnHolderChange if the holder has changed.
 func (n *Node) chooseHolder(now int64, l *lessee) int {
 	topology, level := &n.options.Topology, l.level+1
-	before := l.holder
+	previous := l.holder
 	holder := l.chooseHolder(now, holderChoice{
 		candidates: topology.holderCandidates(level, n.options.Rank),
 		isElected:  level == topology.fleetLevel(),
 		isUp:       n.isUpOrSelf,
 		hash:       func(rank int) uint64 { return RendezvousHash(level, rank) },
 	})
-	if holder != before {
+	if holder != previous {
 		n.OnHolderChange(level, holder)
 	}
 	return holder
@@ -42,7 +43,8 @@
 
 func (n *Node) isUpOrSelf(rank int) bool { return rank == n.options.Rank || n.IsUp(rank) }
 
-// demandOf is what a lessee wants: of this router beyond its floor, or of all that ask it as the holder of a group.
+// demandOf returns the demand of a lessee: at level 0 the demand of this router beyond its floor, at other levels the
+// demand of all lessees of the group that this router holds.
 func (n *Node) demandOf(now int64, l *lessee) demand {
 	if l.level == 0 {
 		return demand{max(n.demand-n.floor(), 0), 1}
@@ -50,12 +52,12 @@
 	return n.holders[l.level].demand(now)
 }
 
-// handleRequest answers a request that came to this router as the holder of a group.
+// handleRequest answers a request that was sent to this router as the holder of a group.
 func (n *Node) handleRequest(now int64, from int, m *Message) {
 	n.send(from, n.grant(now, from, m))
 }
 
-// grant answers a request, with a term of 0 if there is no lease to be had.
+// grant returns the answer to a request. Its term is 0 if no lease is granted.
 func (n *Node) grant(now int64, from int, m *Message) Message {
 	key := lesseeKey{from, m.Incarnation}
 	wanted := demand{m.Amount, m.Weight}
@@ -75,8 +77,8 @@
 	}
 }
 
-// capacities are what this router may grant leases out of as the holder of a level's group, the present one first:
-// its own leases or, for the fleet, the pool while it is elected.
+// capacities returns what this router, as the holder of a group, may grant leases from, the current one first: its own
+// leases or, at the level of the fleet, the pool until its election expires.
 func (n *Node) capacities(now int64, level int) []Allotment {
 	if level < n.options.Topology.fleetLevel() {
 		return n.lessees[level].capacities(now)
@@ -84,8 +86,8 @@
 	return []Allotment{{n.options.Limit.pool(), n.electedUntil(now)}}
 }
 
-// knownHolder is the router that is elected as the fleet's holder, as far as this router knows as an elector;
-// NoRank for other levels.
+// knownHolder returns the router that this router, as an elector, knows to be elected as the holder of the fleet. It
+// returns NoRank if it knows of none, and at other levels.
 func (n *Node) knownHolder(now int64, level int) int {
 	if level < n.options.Topology.fleetLevel() || n.elector == nil {
 		return NoRank
--- a/core/lease/lessee.go
+++ b/core/lease/lessee.go
@@ -1,63 +1,63 @@
 package lease
 
-// Times in microseconds. Upper levels renew less often and have longer leases, so that those below fit into them.
+// Times in microseconds. Upper levels renew less often and have longer leases, so that the leases below fit into them.
 const (
-	leaseLifetime = 1_500_000 // of a router's own lease at most; each level above adds as much
-	minLeaseTerm  = 100_000   // a shorter lease is not granted
-	renewInterval = 400_000   // between two requests of a router, with up to a quarter more at random
-	hintLifetime  = 5_000_000 // of a holder that another router has named
+	leaseLifetime = 1_500_000 // maximum for the own lease of a router; each level above adds the same again
+	minLeaseTerm  = 100_000   // shorter leases are not granted
+	renewInterval = 400_000   // between two requests of a router, plus a random part of up to a quarter
+	hintLifetime  = 5_000_000 // of a hint about the holder from another router
 
-	// renewIntervalPerLevel is added to renewInterval by each level above. The more depends on a lease, the more of
-	// the requests for it may be lost before it expires.
+	// renewIntervalPerLevel is added to renewInterval for each level above 0. A lease on
+	// which more routers depend therefore tolerates more lost requests before it expires.
 	renewIntervalPerLevel = 200_000
 
-	maxUnansweredRequests = 8          // in a row, after which a holder is avoided
-	avoidDuration         = 12_000_000 // of a holder that does not answer
-	maxPendingRequests    = 8          // requests whose grants may still come
+	maxUnansweredRequests = 8          // in a row, before a holder is avoided
+	avoidDuration         = 12_000_000 // for a holder that does not answer
+	maxPendingRequests    = 8          // requests whose grants are still accepted
 )
 
-// maxClockDrift is how much the rates of two clocks differ at most.
+// maxClockDrift is the maximum difference between the rates of two clocks, as a fraction.
 const maxClockDrift = 0.02
 
-// leaseLifetimeAt is how long a lease of a lessee at this level lasts at most.
+// leaseLifetimeAt returns the maximum term (us) of a lease of a lessee at a level.
 func leaseLifetimeAt(level int) int64 { return int64(level+1) * leaseLifetime }
 
-// renewIntervalAt is the time between two requests of a lessee at this level, without the random part.
+// renewIntervalAt returns the time (us) between two requests of a lessee at a level, without the random part.
 func renewIntervalAt(level int) int64 { return renewInterval + int64(level)*renewIntervalPerLevel }
 
-// request is one that was sent.
+// request is the record of a request that was sent.
 type request struct {
-	number uint32 // 0: none
+	number uint32 // 0: no request
 	sentAt int64
 }
 
-// lessee asks the holder of the group above one level for leases.
+// lessee is the state with which a router requests leases for one level from the holder of the group above it.
 type lessee struct {
-	level int // of what is leased: 0 is the router's own use
+	level int // that uses the leases: 0 is the router's own use
 
 	// The holder.
-	holder       int // whom it asks; NoRank: none yet
-	hintedHolder int // the holder that another router has named; NoRank: none
+	holder       int // receives the requests; NoRank: none chosen yet
+	hintedHolder int // that another router named as the holder; NoRank: none
 	hintedAt     int64
 	avoided      AvoidList // holders that do not answer
 
 	// Requests.
-	requests           [maxPendingRequests]request // by number, modulo the length
+	requests           [maxPendingRequests]request // indexed by number, modulo the length
 	lastRequest        uint32                      // number of the latest
 	lastGrantedRequest uint32                      // number of the latest that was answered
 	unansweredRequests int                         // in a row
 	nextRequestAt      int64
 
-	// Leases, by the own clock.
-	lease       Allotment            // the latest
-	olderLeases [maxLeases]Allotment // those before it, some of which may not have expired
+	// Leases, with times by the clock of this router.
+	lease       Allotment            // the latest lease
+	olderLeases [maxLeases]Allotment // earlier leases, some of which may not have expired
 }
 
 func newLessee(level int) *lessee {
 	return &lessee{level: level, holder: NoRank, hintedHolder: NoRank, avoided: AvoidList{}}
 }
 
-// available is what may be in use at a time.
+// available returns the amount of the latest lease, 0 if it has expired at now.
 func (l *lessee) available(now int64) float64 {
 	if now >= l.lease.ExpiresAt {
 		return 0
@@ -65,9 +65,9 @@
 	return l.lease.Amount
 }
 
-// capacities lists the leases out of which others may be granted: the latest, then those before it that have not
-// expired and are of more. A holder whose lease shrinks can so have all leases below it shrink alike, instead of
-// the first that asks alone.
+// capacities returns the leases from which a holder may grant others: the latest, then the earlier ones that are larger
+// and have not expired. When the lease of a holder shrinks, the earlier ones let it reduce all leases below it evenly.
+// With the latest alone, the first lessee to renew would bear the whole reduction.
 func (l *lessee) capacities(now int64) []Allotment {
 	all := []Allotment{l.lease}
 	for _, older := range l.olderLeases {
@@ -78,19 +78,20 @@
 	return all
 }
 
-// holderChoice is what a lessee chooses its holder by.
+// holderChoice has the inputs from which a lessee chooses its holder.
 type holderChoice struct {
 	candidates []int
-	isElected  bool                  // the candidates elect one of them
-	isUp       func(rank int) bool   // asked only where the holder is not elected
-	hash       func(rank int) uint64 // orders the candidates, greatest first
+	isElected  bool                  // the holder is elected from the candidates
+	isUp       func(rank int) bool   // called only if the holder is not elected
+	hash       func(rank int) uint64 // the candidate with the greatest hash is preferred
 }
 
-// chooseHolder returns the router to ask, NoRank if none can be: of the candidates that are up and not avoided the
-// first by their hash, so that a group has one holder wherever its members agree on who is up.
+// chooseHolder returns the router from which to request leases, NoRank if there is none. It is the candidate with the
+// greatest hash among those that are up and not avoided. Members of a group that agree on which candidates are usable
+// therefore choose the same holder.
 //
-// An elected holder is kept while its lease lasts, and else is the one that another router has named; only whether it
-// answers counts then, not whether it is taken for up.
+// If the holder is elected, it does not matter whether a router is considered up, only whether it answers. The lessee
+// stays with its holder while its lease lasts. After that it prefers the holder that another router has named.
 func (l *lessee) chooseHolder(now int64, choice holderChoice) int {
 	l.avoided.Expire(now)
 	if l.holder != NoRank && l.unansweredRequests >= maxUnansweredRequests {
@@ -115,7 +116,7 @@
 	return chosen
 }
 
-// firstByHash returns the usable candidate with the greatest hash; NoRank if there is none.
+// firstByHash returns the usable candidate with the greatest hash, NoRank if none is usable.
 func firstByHash(candidates []int, hash func(rank int) uint64, isUsable func(rank int) bool) int {
 	first, greatest := NoRank, uint64(0)
 	for _, rank := range candidates {
@@ -126,7 +127,7 @@
 	return first
 }
 
-// recordRequest notes a request that is about to be sent, and returns its number.
+// recordRequest records a request that is about to be sent and returns its number.
 func (l *lessee) recordRequest(now int64) uint32 {
 	l.lastRequest++
 	l.requests[l.lastRequest%maxPendingRequests] = request{l.lastRequest, now}
@@ -134,8 +135,8 @@
 	return l.lastRequest
 }
 
-// handleGrant takes in the answer to a request. One that is older than the latest answer, or of a request that is not
-// known any more, is dropped.
+// handleGrant handles the answer to a request. It ignores an answer that does not come from the current holder, that is
+// older than the latest one, or whose request is no longer recorded.
 func (l *lessee) handleGrant(now int64, from int, m *Message) {
 	answered := l.requests[m.RequestNumber%maxPendingRequests]
 	isKnown := m.RequestNumber != 0 && answered.number == m.RequestNumber
@@ -146,19 +147,19 @@
 	l.lastGrantedRequest = m.RequestNumber
 	if m.Term < minLeaseTerm || m.Term > leaseLifetimeAt(l.level) || m.Amount < 0 {
 		if m.KnownHolder != NoRank && m.KnownHolder != from {
-			l.noteHolderHint(now, m.KnownHolder)
+			l.recordHolderHint(now, m.KnownHolder)
 		}
 		return
 	}
 	l.olderLeases[m.RequestNumber%maxLeases] = l.lease
-	// The lease counts from when its request was sent, which was before it was granted, and less the clocks' drift:
-	// it expires here before it does at the holder.
+	// The term counts from when the request was sent, which was before the grant, and is reduced by the clock drift.
+	// The lease therefore expires here before it does at the holder.
 	l.lease = Allotment{m.Amount, answered.sentAt + m.Term - int64(float64(m.Term)*maxClockDrift)}
 }
 
-// noteHolderHint notes the holder that another router has named. A new one is asked at once. One that was named
-// before is asked when that is due: two routers may name one another.
-func (l *lessee) noteHolderHint(now int64, rank int) {
+// recordHolderHint records the holder that another router has named. If it differs from the hint before it, the next
+// request is sent at once. Otherwise the request waits until it is due, because two routers may name each other.
+func (l *lessee) recordHolderHint(now int64, rank int) {
 	if rank != l.hintedHolder {
 		l.nextRequestAt = now
 	}
--- a/core/lease/lessee_test.go
+++ b/core/lease/lessee_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A grant that is older than the latest, or of a request that was never sent, is dropped.
-func TestOldGrantsAreDropped(t *testing.T) {
+// Guards against grants that replace a newer lease: a grant that is older than the latest one, or whose request was
+// never sent, must be ignored.
+func TestStaleGrantsAreIgnored(t *testing.T) {
 	l := newLessee(0)
 	l.holder = 3
 	first := l.recordRequest(second)
@@ -17,12 +18,13 @@
 	grant(first, 9)
 	grant(77, 9)
 	if got := l.available(2*second + 2000); got != 2 {
-		t.Errorf("%v on lease, 2 was granted last", got)
+		t.Errorf("%v on lease, want 2, the latest grant", got)
 	}
 }
 
-// Leases may be granted out of each of a holder's older leases until that one expires.
-func TestOlderLeasesKeepTheirExpiry(t *testing.T) {
+// Guards against the loss of an older, larger lease as a capacity for grants before it expires, and against its use
+// after that.
+func TestOlderLeaseIsCapacityUntilExpiry(t *testing.T) {
 	l := newLessee(1)
 	l.holder = 3
 	grant := func(at int64, amount float64) {
@@ -34,9 +36,9 @@
 	first := l.lease
 	grant(2*second, 4)
 	if got := l.capacities(2 * second); len(got) != 2 || got[0] != l.lease || got[1] != first {
-		t.Errorf("%v, want the present lease and %v", got, first)
+		t.Errorf("capacities %v, want the current lease and %v", got, first)
 	}
 	if got := l.capacities(first.ExpiresAt); len(got) != 1 {
-		t.Errorf("%v after the older one has expired", got)
+		t.Errorf("capacities %v after the older lease has expired, want one", got)
 	}
 }
--- a/core/lease/message.go
+++ b/core/lease/message.go
@@ -2,21 +2,22 @@
 
 import "fmt"
 
-// MessageKind is what a message does.
+// MessageKind is the kind of a message.
 type MessageKind byte
 
 // The kinds of messages.
 const (
-	// KindRequest asks a holder for a lease.
+	// KindRequest requests a lease from a holder.
 	KindRequest MessageKind = iota + 1
-	// KindGrant answers a KindRequest. Its Term is 0 if there is no lease to be had.
+	// KindGrant answers a KindRequest. Its Term is 0 if no lease is granted.
 	KindGrant
-	// KindVote is an elector's vote for the fleet's holder, or asks for the stamp that its vote is to echo.
+	// KindVote carries the vote of an elector for the holder of the fleet. With a Stamp of 0 it carries no vote and
+	// only requests the stamp that the next vote must echo.
 	KindVote
-	// KindVoteAck answers a KindVote with the stamp that the next vote echoes, or announces an elected holder.
+	// KindVoteAck answers a KindVote with the stamp that the next vote must echo, or announces an elected holder.
 	KindVoteAck
 
-	kindEnd // the first value that is no kind
+	kindEnd // the first value that is not a kind
 )
 
 // String returns the kind's name.
@@ -27,32 +28,32 @@
 	return [...]string{KindRequest: "request", KindGrant: "grant", KindVote: "vote", KindVoteAck: "vote ack"}[k]
 }
 
-// Message goes from one router to another. Which fields count depends on its kind.
+// Message is sent from one router to another. Its kind determines which fields are used.
 type Message struct {
 	Kind MessageKind
-	// Incarnation is that of the sender.
+	// Incarnation is the incarnation of the sender.
 	Incarnation uint32
 
-	// Level is that of the group whose holder a request is for, and a grant is from.
+	// Level is the level of the group whose holder receives a request or sends a grant.
 	Level int
-	// Amount is what a request asks for and a grant gives, of the pool.
+	// Amount is the part of the pool that is requested or granted.
 	Amount float64
-	// Weight is how many routers a request is for.
+	// Weight is the number of routers for which a lease is requested.
 	Weight int
-	// Term is how long (us) a grant lasts, counted from when its request was sent.
+	// Term is how long (us) a lease lasts, counted from when its request was sent.
 	Term int64
-	// RequestNumber numbers the requests of a sender, from 1, and is echoed by their grants.
+	// RequestNumber is the number of a request, counted from 1 by its sender. The grant echoes it.
 	RequestNumber uint32
-	// KnownHolder is, in a grant of the fleet's level, the router that is elected as far as the sender knows; else
-	// NoRank.
+	// KnownHolder is, in a grant at the level of the fleet, the router that the sender knows to be elected. It is
+	// NoRank if the sender knows of none, and at other levels.
 	KnownHolder int
 
-	// Stamp is, in a vote ack, the candidate's own time in units of TermUnit, and is echoed by the next vote for it.
-	// 0: none.
+	// Stamp is, in a vote ack, the candidate's own time in units of TermUnit. The next vote for the candidate echoes
+	// it. 0: no stamp.
 	Stamp uint32
-	// CandidateIncarnation is, in a vote, the incarnation of the candidate that sent the stamp.
+	// CandidateIncarnation is, in a vote, the incarnation of the candidate when it sent the stamp.
 	CandidateIncarnation uint32
-	// IsElected tells, in a vote ack, that its sender is elected as the fleet's holder.
+	// IsElected reports, in a vote ack, that its sender is elected as the holder of the fleet.
 	IsElected bool
 }
 
@@ -62,5 +63,5 @@
 	TermUnit   = 1000       // us, of terms and stamps
 )
 
-// NoRank stands for no router where a rank is wanted.
+// NoRank is the value of a rank that refers to no router.
 const NoRank = -1
--- a/core/lease/node.go
+++ b/core/lease/node.go
@@ -6,23 +6,22 @@
 	"math/rand/v2"
 )
 
-// RecoveryTime (us) is how long it takes until eight tenths of the pool are in use again after a holder, a group or
-// a part of the fleet was lost: until its lessees avoid it or take it for down, until the votes for it have
-// expired, and until requests have come up the tree and grants down it. It is held by a test at three levels with
-// one datagram in ten lost, where routers know who is up; where they learn that from one another, it counts from
-// when they have.
+// RecoveryTime (us) is the time after the loss of a holder, a group or a part of the fleet until 80% of the pool is in
+// use again. In this time the lessees of a lost holder avoid it or consider it down, the votes for it expire, requests
+// travel up the tree, and grants travel down. Tests check this time at three levels with 10% message loss, for routers
+// that know which routers are up. If routers learn this from one another, the time starts when they have learned it.
 const RecoveryTime = 30_000_000
 
-// tickInterval (us) is how often Tick wants to be called.
+// tickInterval (us) is the time between two calls of Tick.
 const tickInterval = 50_000
 
-// maxWeight is the most routers that a request can be for on the wire.
+// maxWeight is the maximum weight of a request: weights are 16-bit numbers on the wire.
 const maxWeight = 1<<16 - 1
 
-// ErrInvalidOptions is wrapped by the errors of New, which name the option.
+// ErrInvalidOptions is wrapped by the errors of New.
 var ErrInvalidOptions = errors.New("invalid options")
 
-// Options of a Node.
+// Options are the parameters of a Node.
 type Options struct {
 	Rank        int    // of this router, from 0
 	Incarnation uint32 // greater at each start of this router
@@ -31,38 +30,40 @@
 	Limit       Limit
 }
 
-// Counts of a Node since its start.
+// Counts are the counters of a Node since its start.
 type Counts struct {
 	Sent          int64 // messages
 	LeasesGranted int64
 	VotesSent     int64
-	Dropped       int64 // messages received that have no place in the tree
+	Dropped       int64 // received messages that are not valid for this router
 }
 
-// Node is one router's part in one limit. It is not safe for concurrent use. The functions are set before its first
-// use and are called from within its methods.
+// Node is the state of one router for one limit. It is not safe for concurrent use. The callbacks must be set before
+// the first use. The methods of the node call them.
 type Node struct {
 	Counts Counts
 
-	// Send hands a message out to a router.
+	// Send sends a message to a router.
 	Send func(to int, m Message)
-	// IsUp reports whether a router is taken for up. Wrong answers cost use of the pool, never the limit.
+	// IsUp reports whether a router is considered up. Wrong answers can leave parts of the pool unused, but the limit
+	// is never exceeded.
 	IsUp func(rank int) bool
-	// OnHolderChange is called when this router asks another holder for the leases of a level; NoRank: none is known.
+	// OnHolderChange is called when this router chooses another holder for the group of a level. Holder is NoRank if
+	// none is known.
 	OnHolderChange func(level, holder int)
 
 	options   Options
 	rng       *rand.Rand
 	startedAt int64
-	demand    float64 // what this router could use
+	demand    float64 // amount that this router could use
 	inUse     int
-	lessees   []*lessee // by level, from the router's own use to the fleet's children
-	holders   []*holder // by level, from 1 to the fleet's; [0] is nil
-	elector   *elector  // nil: this router is none
+	lessees   []*lessee // by level, from 0 to the level below the fleet
+	holders   []*holder // by level, from 1 to the level of the fleet; [0] is nil
+	elector   *elector  // nil: this router is not an elector
 	ballot    ballot
 }
 
-// New returns a node that starts now. Its error wraps ErrInvalidOptions and names the option.
+// New returns a node that starts at now (us). Its error wraps ErrInvalidOptions and names the invalid option.
 func New(now int64, options Options) (*Node, error) {
 	if err := options.validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidOptions, err)
@@ -101,12 +102,12 @@
 		return err
 	}
 	if o.Rank < 0 || o.Rank >= o.Topology.Routers {
-		return fmt.Errorf("rank: %d of %d", o.Rank, o.Topology.Routers)
+		return fmt.Errorf("rank: %d of %d routers is out of range", o.Rank, o.Topology.Routers)
 	}
 	return nil
 }
 
-// Tick sends what is due and returns the time by which it wants to be called again.
+// Tick sends the votes and requests that are due and returns the time (us) by which it must be called again.
 func (n *Node) Tick(now int64) (next int64) {
 	if n.elector != nil && now >= n.elector.nextVoteAt {
 		n.elector.nextVoteAt = now + voteInterval
@@ -126,15 +127,15 @@
 	return now + tickInterval
 }
 
-// send hands out a message of this process.
+// send sends a message with the incarnation of this process.
 func (n *Node) send(to int, m Message) {
 	m.Incarnation = n.options.Incarnation
 	n.Counts.Sent++
 	n.Send(to, m)
 }
 
-// Receive takes in a message of another router and sends what it calls for. One that has no place in the tree is
-// dropped and counted.
+// Receive handles a message from another router and sends the answer, if any. It drops and counts messages that are not
+// valid for this router.
 func (n *Node) Receive(now int64, from int, m Message) {
 	if !n.accepts(from, &m) {
 		n.Counts.Dropped++
@@ -152,8 +153,7 @@
 	}
 }
 
-// accepts reports whether a message has a place in the tree: its values are in range, and its sender may send it to
-// this router.
+// accepts reports whether a message is valid: its values are in range, and its sender may send it to this router.
 func (n *Node) accepts(from int, m *Message) bool {
 	topology := &n.options.Topology
 	if from < 0 || from >= topology.Routers || from == n.options.Rank {
--- a/core/lease/node_test.go
+++ b/core/lease/node_test.go
@@ -14,18 +14,18 @@
 		Limit:    Limit{Max: 1},
 	}
 	for want, change := range map[string]func(*Options){
-		"routers: 0":            func(o *Options) { o.Topology.Routers = 0 },
-		"rank: 8 of 8":          func(o *Options) { o.Rank = 8 },
-		"groups: 4 levels":      func(o *Options) { o.Topology.GroupSizes = []int{2, 4, 8, 16} },
-		"groups[1]: 3 is not":   func(o *Options) { o.Topology.GroupSizes = []int{2, 3} },
-		"groups[0]: 1 is not":   func(o *Options) { o.Topology.GroupSizes = []int{1} },
-		"electors: 2":           func(o *Options) { o.Topology.Electors = []int{0, 1} },
-		"electors: 0":           func(o *Options) { o.Topology.Electors = nil },
-		"electors[1]: rank 8":   func(o *Options) { o.Topology.Electors = []int{0, 8, 1} },
-		"electors[2]: rank 0 t": func(o *Options) { o.Topology.Electors = []int{0, 3, 0} },
-		"max: NaN":              func(o *Options) { o.Limit.Max = math.NaN() },
-		"floorFraction: 2":      func(o *Options) { o.Limit.FloorFraction = 2 },
-		"expiryMargin: 1500000": func(o *Options) { o.Limit.ExpiryMargin = leaseLifetime },
+		"routers: 0":                         func(o *Options) { o.Topology.Routers = 0 },
+		"rank: 8 of 8":                       func(o *Options) { o.Rank = 8 },
+		"groups: 4 levels":                   func(o *Options) { o.Topology.GroupSizes = []int{2, 4, 8, 16} },
+		"groups[1]: 3 is not":                func(o *Options) { o.Topology.GroupSizes = []int{2, 3} },
+		"groups[0]: 1 is not":                func(o *Options) { o.Topology.GroupSizes = []int{1} },
+		"electors: 2":                        func(o *Options) { o.Topology.Electors = []int{0, 1} },
+		"electors: 0":                        func(o *Options) { o.Topology.Electors = nil },
+		"electors[1]: rank 8":                func(o *Options) { o.Topology.Electors = []int{0, 8, 1} },
+		"electors[2]: rank 0 is a duplicate": func(o *Options) { o.Topology.Electors = []int{0, 3, 0} },
+		"max: NaN":                           func(o *Options) { o.Limit.Max = math.NaN() },
+		"floorFraction: 2":                   func(o *Options) { o.Limit.FloorFraction = 2 },
+		"expiryMargin: 1500000":              func(o *Options) { o.Limit.ExpiryMargin = leaseLifetime },
 	} {
 		t.Run(want, func(t *testing.T) {
 			options := valid
@@ -38,8 +38,9 @@
 	}
 }
 
-// Messages that have no place in the tree are dropped and counted, and change nothing.
-func TestMessagesOutOfPlaceAreDropped(t *testing.T) {
+// Guards against invalid messages that change the state of a node: messages with values out of range, or from a sender
+// that may not send them to this router, must be dropped and counted.
+func TestInvalidMessagesAreDropped(t *testing.T) {
 	w := newWorld(t, 8, testTopology, Limit{Max: 128})
 	w.run(w.now+RecoveryTime, nil)
 	n, now := w.processes[5].node, w.localTime(5)
@@ -70,7 +71,7 @@
 		n.Receive(now, m.from, m.Message)
 	}
 	if got, want := n.Counts.Dropped-droppedBefore, int64(len(messages)); got != want || n.Quota(now) != quotaBefore {
-		t.Errorf("%d dropped, want %d; quota %v, %v before", got, want, n.Quota(now), quotaBefore)
+		t.Errorf("%d dropped, want %d; quota %v, want %v as before", got, want, n.Quota(now), quotaBefore)
 	}
 }
 
@@ -87,11 +88,11 @@
 		acquired++
 	}
 	if acquired != 2 {
-		t.Errorf("%d acquired of a floor of two", acquired)
+		t.Errorf("%d acquired, want the floor of 2", acquired)
 	}
 	n.Release()
 	if !n.TryAcquire(0) || n.InUse() != 2 {
-		t.Errorf("%d in use", n.InUse())
+		t.Errorf("%d in use, want 2", n.InUse())
 	}
 }
 
--- a/core/lease/quota.go
+++ b/core/lease/quota.go
@@ -1,19 +1,18 @@
 package lease
 
-// floor is what this router may have in use without a lease.
+// floor returns how much this router may have in use without a lease.
 func (n *Node) floor() float64 { return n.options.Limit.floor(n.options.Topology.Routers) }
 
-// Quota is how much of the limit this router may have in use at present: its floor and what it has on lease. Many
-// routers that use quotas below one by drawing lots keep the limit on average; what they take with TryAcquire keeps
-// it always.
+// Quota returns how much of the limit this router may have in use at present: its floor plus its lease. Routers with
+// quotas below 1 that use them at random comply with the limit only on average. TryAcquire always complies with it.
 func (n *Node) Quota(now int64) float64 {
 	return n.floor() + n.lessees[0].available(now+n.options.Limit.ExpiryMargin)
 }
 
-// SetDemand sets how much of the limit this router could use at present.
+// SetDemand sets how much of the limit this router could use at present, its floor included.
 func (n *Node) SetDemand(amount float64) { n.demand = amount }
 
-// TryAcquire takes one from the limit, and reports whether there was one to be had.
+// TryAcquire acquires one unit of the limit and reports whether it did. It fails if the quota is used up.
 func (n *Node) TryAcquire(now int64) bool {
 	if float64(n.inUse+1) > n.Quota(now) {
 		return false
@@ -22,13 +21,13 @@
 	return true
 }
 
-// Release gives back one that was taken with TryAcquire.
+// Release returns one unit that was acquired with TryAcquire.
 func (n *Node) Release() { n.inUse = max(n.inUse-1, 0) }
 
-// InUse is how many were acquired and not released.
+// InUse returns the number of units that were acquired and not released.
 func (n *Node) InUse() int { return n.inUse }
 
-// Holder is the router from which this one has a lease for its own use; NoRank if it has none.
+// Holder returns the router that has granted the lease that this router uses at present, NoRank if it has no lease.
 func (n *Node) Holder(now int64) int {
 	if now >= n.lessees[0].lease.ExpiresAt {
 		return NoRank
@@ -36,8 +35,8 @@
 	return n.lessees[0].holder
 }
 
-// HeldLevels lists the levels of the groups that this router holds at present: others ask it for leases, and it has a
-// lease to grant them out of or, for the fleet, is elected.
+// HeldLevels returns the levels of the groups that this router holds at present. It holds a group if lessees request
+// leases from it and it has a lease to grant them from or, at the level of the fleet, is elected.
 func (n *Node) HeldLevels(now int64) (levels []int) {
 	for level := 1; level < len(n.holders); level++ {
 		if n.capacities(now, level)[0].ExpiresAt > now && n.holders[level].hasDemand(now) {
--- a/core/lease/rendezvous.go
+++ b/core/lease/rendezvous.go
@@ -1,8 +1,9 @@
 package lease
 
-// RendezvousHash orders the candidates for holding a resource, the same at all routers: the one with the greatest
-// hash comes first. Each resource has a number of its own. (D. Thaler, C. Ravishankar, "Using name-based mappings
-// to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998; the mixing is that of splitmix64.)
+// RendezvousHash returns the weight of a router as a candidate for holding a resource. The candidate with the greatest
+// hash comes first, and the order is the same at all routers. Resource is a number that identifies the resource.
+// (D. Thaler, C. Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking
+// 6(1), 1998. The bits are mixed as in splitmix64.)
 func RendezvousHash(resource, rank int) uint64 {
 	x := uint64(resource)<<32 | uint64(rank)
 	x += 0x9e3779b97f4a7c15
--- a/core/lease/topology.go
+++ b/core/lease/topology.go
@@ -5,25 +5,27 @@
 	"slices"
 )
 
-// Topology places routers in the tree by their ranks. It is the same at all routers.
+// Topology assigns routers to the groups of the tree by rank. It is the same at all routers.
 type Topology struct {
-	// Routers is how many there may be: ranks are below it. One that is not there costs its floor and nothing else.
-	Routers int `json:"routers" jsonschema_description:"how many routers there may be: ranks are below it; each costs its floor, there or not"`
-	// GroupSizes are the numbers of ranks in a group of each level below the fleet, smallest first, each a multiple
-	// of the one before.
-	GroupSizes []int `json:"groups" jsonschema_description:"ranks in a group of each level below the fleet, smallest first, each a multiple of the one before"`
-	// Electors are the ranks, an odd number, whose majority elects one of them as the fleet's holder.
-	Electors []int `json:"electors" jsonschema_description:"ranks, an odd number, whose majority elects the holder of the fleet"`
+	// Routers is the maximum number of routers: ranks are 0 to Routers-1. A rank without a router only leaves its
+	// floor unused.
+	Routers int `json:"routers" jsonschema_description:"maximum number of routers; ranks are below it. The floor of a rank is reserved even if no router has that rank"`
+	// GroupSizes has, for each level below the fleet, the number of ranks in a group. The smallest comes first, and
+	// each is a multiple of the one before it.
+	GroupSizes []int `json:"groups" jsonschema_description:"number of ranks in a group, one value for each level below the fleet. The smallest comes first, and each is a multiple of the one before it"`
+	// Electors are the ranks of the electors, an odd number. A majority of them elects one of them as the holder of
+	// the fleet.
+	Electors []int `json:"electors" jsonschema_description:"ranks of the electors, an odd number. A majority of them elects the holder of the fleet"`
 }
 
 const (
-	maxRouters  = 1 << 16 // ranks go over the wire in 16 bits
-	maxLevels   = 4       // of groups, that of the whole fleet among them
+	maxRouters  = 1 << 16 // ranks are 16-bit numbers on the wire
+	maxLevels   = 4       // levels of groups, including the level of the whole fleet
 	maxElectors = 15
 )
 
-// Validate returns an error that names the first field that is out of its range, nil if none is. Fields have the
-// names that they have in the features file.
+// Validate returns an error that names the first field that is out of range, nil if all are valid. Fields are named as
+// in the features file.
 func (t *Topology) Validate() error {
 	if t.Routers < 1 || t.Routers > maxRouters {
 		return fmt.Errorf("routers: %d is not 1 to %d", t.Routers, maxRouters)
@@ -36,37 +38,37 @@
 
 func (t *Topology) validateGroupSizes() error {
 	if len(t.GroupSizes) >= maxLevels {
-		return fmt.Errorf("groups: %d levels, %d at most", len(t.GroupSizes), maxLevels-1)
+		return fmt.Errorf("groups: %d levels, want at most %d", len(t.GroupSizes), maxLevels-1)
 	}
-	before := 1
+	previous := 1
 	for i, size := range t.GroupSizes {
-		if size <= before || size%before != 0 {
-			return fmt.Errorf("groups[%d]: %d is not a multiple of %d above it", i, size, before)
+		if size <= previous || size%previous != 0 {
+			return fmt.Errorf("groups[%d]: %d is not a multiple of %d or not greater than it", i, size, previous)
 		}
-		before = size
+		previous = size
 	}
 	return nil
 }
 
 func (t *Topology) validateElectors() error {
 	if count := len(t.Electors); count < 1 || count > maxElectors || count%2 == 0 {
-		return fmt.Errorf("electors: %d, an odd number up to %d is wanted", count, maxElectors)
+		return fmt.Errorf("electors: %d, an odd number up to %d is required", count, maxElectors)
 	}
 	for i, rank := range t.Electors {
 		if rank < 0 || rank >= t.Routers {
-			return fmt.Errorf("electors[%d]: rank %d of %d", i, rank, t.Routers)
+			return fmt.Errorf("electors[%d]: rank %d of %d routers is out of range", i, rank, t.Routers)
 		}
 		if slices.Contains(t.Electors[:i], rank) {
-			return fmt.Errorf("electors[%d]: rank %d twice", i, rank)
+			return fmt.Errorf("electors[%d]: rank %d is a duplicate", i, rank)
 		}
 	}
 	return nil
 }
 
-// fleetLevel is the level of the whole fleet. Level 0 is a router's own use, level 1 that of the smallest groups.
+// fleetLevel returns the level of the whole fleet. Level 0 is the own use of a router, level 1 the smallest groups.
 func (t *Topology) fleetLevel() int { return len(t.GroupSizes) + 1 }
 
-// inSameGroup reports whether two routers are in one group of a level.
+// inSameGroup reports whether two routers belong to the same group of a level.
 func (t *Topology) inSameGroup(level, a, b int) bool {
 	if level >= t.fleetLevel() {
 		return true
@@ -75,8 +77,8 @@
 	return a/size == b/size
 }
 
-// holderCandidates lists the ranks that may hold a router's group of a level: its members or, for the fleet, the
-// electors.
+// holderCandidates returns the ranks that may hold the group of a level to which a router belongs: the members of the
+// group or, at the level of the fleet, the electors.
 func (t *Topology) holderCandidates(level, rank int) []int {
 	if level >= t.fleetLevel() {
 		return t.Electors
--- a/core/lease/wire_compat_test.go
+++ b/core/lease/wire_compat_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// This package writes no bytes: core/fleet carries its messages, and its fixtures hold them. What this package adds to
-// the wire is the units of the numbers, the number of each kind and the rank that stands for nobody; routers of commit
-// e67ffc3 hold these.
+// Guards against values that routers of commit e67ffc3 do not understand. This package does not encode messages:
+// core/fleet does, and its fixtures have recorded messages. This package only defines the units of numbers, the number
+// of each kind and the rank that refers to no router.
 func TestWireCompat(t *testing.T) {
 	for name, c := range map[string]struct{ got, want any }{
 		"request":            {KindRequest, MessageKind(1)},
@@ -12,7 +12,7 @@
 		"vote":               {KindVote, MessageKind(3)},
 		"vote ack":           {KindVoteAck, MessageKind(4)},
 		"end of the kinds":   {kindEnd, MessageKind(5)},
-		"nobody":             {NoRank, -1},
+		"no rank":            {NoRank, -1},
 		"unit of amounts":    {AmountUnit, 1.0 / 1024},
 		"unit of terms (us)": {TermUnit, 1000},
 	} {
--- a/core/lease/world_test.go
+++ b/core/lease/world_test.go
@@ -8,8 +8,8 @@
 
 const second = int64(1_000_000)
 
-// world is a fleet in virtual time: a network that loses, doubles and delays messages and is cut in partitions and
-// one-way, and processes that crash, restart, pause, and whose clocks run at rates of their own.
+// world simulates a fleet in virtual time. Its network loses, duplicates and delays messages, and can have partitions
+// and one-way cuts. Its processes crash, restart and pause, and their clocks run at different rates.
 type world struct {
 	t         testing.TB
 	rng       *rand.Rand
@@ -19,11 +19,11 @@
 	events    eventQueue
 	sequence  int // of the latest event
 
-	loss        float64 // part of the messages that are lost
-	late        float64 // part of the messages that come up to 3 s late
-	partition   []int   // by rank; routers of different partitions do not receive one another's messages
-	oneWay      map[[2]int]bool
-	wrongStates float64 // part of the answers on who is up that are wrong
+	loss        float64         // fraction of messages that are lost
+	late        float64         // fraction of messages that are delayed by up to 3 s more
+	partition   []int           // by rank; no messages pass between different partitions
+	oneWay      map[[2]int]bool // pairs of sender and receiver whose messages are lost
+	wrongStates float64         // fraction of wrong answers of IsUp
 }
 
 type process struct {
@@ -36,11 +36,11 @@
 	traffic     int // messages sent and received
 }
 
-// event is a message on its way or, without one, a tick.
+// event is the delivery of a message or, if message is nil, a tick.
 type event struct {
 	at, sequence int64
 	from, to     int
-	starts       uint32 // of the process that a tick is for
+	starts       uint32 // value of process.starts for which a tick is valid
 	message      *Message
 }
 
@@ -80,13 +80,13 @@
 	return w
 }
 
-// localTime is the present time by a process's own clock.
+// localTime returns the current time by the clock of a process.
 func (w *world) localTime(rank int) int64 {
 	p := w.processes[rank]
 	return p.clockOffset + int64(float64(w.now)*p.clockRate)
 }
 
-// start starts a process anew, with no state.
+// start starts a process, or restarts one, without state from before.
 func (w *world) start(rank int) {
 	w.t.Helper()
 	p := w.processes[rank]
@@ -110,7 +110,7 @@
 	w.push(event{at: w.now, from: rank, to: rank, starts: p.starts})
 }
 
-// kill ends a process; start starts it again.
+// kill ends a process. It can be restarted with start.
 func (w *world) kill(rank int) { w.processes[rank].isRunning = false }
 
 func (w *world) push(e event) {
@@ -121,7 +121,7 @@
 
 func (w *world) send(from, to int, m Message) {
 	w.processes[from].traffic++
-	for range 1 + w.rng.IntN(10)/9 { // one in ten is doubled
+	for range 1 + w.rng.IntN(10)/9 { // one in ten is duplicated
 		if w.rng.Float64() < w.loss || w.partition[from] != w.partition[to] || w.oneWay[[2]int{from, to}] {
 			continue
 		}
@@ -133,7 +133,7 @@
 	}
 }
 
-// run lets time pass until a moment; check is called after each event.
+// run advances the time to until and calls check, unless it is nil, after each event.
 func (w *world) run(until int64, check func()) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
@@ -163,7 +163,7 @@
 	}
 }
 
-// quotas sums up what all that run may have in use, of those that match.
+// quotas returns the sum of the quotas of the running processes that match, all of them if matches is nil.
 func (w *world) quotas(matches func(rank int) bool) (sum float64) {
 	for rank, p := range w.processes {
 		if p.isRunning && w.now >= p.pausedUntil && (matches == nil || matches(rank)) {
@@ -173,7 +173,7 @@
 	return sum
 }
 
-// meanQuotas is the mean of quotas over the ten seconds that follow.
+// meanQuotas returns the mean of quotas over the next ten seconds.
 func (w *world) meanQuotas(matches func(rank int) bool) (mean float64) {
 	const samples = 40
 	for range samples {
@@ -183,7 +183,7 @@
 	return mean
 }
 
-// holders lists the ranks that hold a level's group at present.
+// holders returns the ranks that hold a group of a level at present.
 func (w *world) holders(level int) (ranks []int) {
 	for rank, p := range w.processes {
 		if !p.isRunning {
