--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -8,7 +8,7 @@
 	"spantack/core/lease"
 )
 
-// scaleSizes are the numbers of routers at which costs are stated.
+// scaleSizes are the fleet sizes, in routers, for which the benchmarks measure costs.
 var scaleSizes = []int{300, 1_000, 3_000, 11_000}
 
 func newBenchNode(b *testing.B, routers int, limits ...Limit) *Node {
@@ -55,13 +55,14 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if !n.TryAcquire(int64(i), 0) {
-			b.Fatal("none left")
+			b.Fatal("the quota is used up")
 		}
 		n.Release(0)
 	}
 }
 
-// BenchmarkTick is one call of Tick, made every 50 ms; heap-B/router is what a node holds for each other router.
+// BenchmarkTick measures one call of Tick. The metric %core is the load of one call every 50 ms, and heap-B/router is
+// the heap of a node divided by the number of routers.
 func BenchmarkTick(b *testing.B) {
 	for _, routers := range scaleSizes {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
@@ -83,8 +84,7 @@
 	}
 }
 
-// BenchmarkHandleRequest is one request that comes to the holder of a limit that all routers want, with leases out
-// to all of them.
+// BenchmarkHandleRequest measures one request to the holder of a limit when all routers have demand and a lease.
 func BenchmarkHandleRequest(b *testing.B) {
 	for _, routers := range scaleSizes {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
@@ -92,7 +92,7 @@
 			now := second + 10*second
 			n.Tick(now)
 			m := message{kind: leaseRequestMessage, amount: 1e5, candidateIncarnation: 1}
-			interval := int64(450_000 / routers) // as many come in one renewInterval
+			interval := int64(450_000 / routers) // each router sends one request in 450 ms, the mean renew interval
 			step := func(i int) {
 				now += interval
 				m.rank = 1 + i%(routers-1)
@@ -109,7 +109,7 @@
 				step(i)
 			}
 			if n.Counts.LeasesGranted == granted {
-				b.Fatal("nothing is granted")
+				b.Fatal("no lease was granted")
 			}
 			b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*float64(routers)/0.45*100, "%core")
 		})
--- a/core/fleet/datagram.go
+++ b/core/fleet/datagram.go
@@ -9,33 +9,32 @@
 	"spantack/core/lease"
 )
 
-// A datagram, numbers big-endian. Its header is that of core/gossip, so that routers which know only those
-// datagrams drop ours as of an unknown kind, and theirs are told from ours by the kind:
+// The format of a datagram, with big-endian numbers. The header starts with that of core/gossip and has another kind.
+// Routers that support only core/gossip therefore drop datagrams of this package as of an unknown kind.
 //
 //	version:1 kind:1 rank:2 site:2 incarnation:4 sequence:4 message kind:1 body updates
 //
 // The bodies, by the kind of the message:
 //
 //	ping            target:2 token:4 limit:1 holder:2      a probe, with the known holder of a limit; 65535: none
-//	ack             target:2 token:4 limit:1 holder:2      its answer
-//	indirect ping   target:2 token:4 limit:1 holder:2      asks the receiver to probe the target
-//	lease request   limit:1 amount:4 stamp:4 candidate incarnation:4      what is wanted, and a vote for the receiver
+//	ack             target:2 token:4 limit:1 holder:2      the answer to a ping
+//	indirect ping   target:2 token:4 limit:1 holder:2      a request to the receiver to probe the target
+//	lease request   limit:1 amount:4 stamp:4 candidate incarnation:4      the demand, and a vote for the receiver
 //	lease grant     limit:1 amount:4 term:4 stamp:4 request sequence:4
-//	health report   server:4 condition:1                   what the sender observes of a server
+//	health report   server:4 condition:1                   a condition that the sender observes
 //	tree request    limit:1 level:1 amount:4 number:4 weight:2            messages of core/lease
 //	tree grant      limit:1 level:1 amount:4 term:4 number:4 holder:2
 //	tree vote       limit:1 stamp:4 candidate incarnation:4
 //	tree vote ack   limit:1 stamp:4 elected:1
 //
-// Amounts are in units of lease.AmountUnit, terms and stamps in units of lease.TermUnit. An update is
+// Amounts are in units of lease.AmountUnit, terms and stamps in units of lease.TermUnit. As many updates as fit follow
+// the body. The format of an update:
 //
 //	rank:2 incarnation:4 refutations:2 state:1
-//
-// and as many follow the body as there is room for.
 const (
-	// MaxDatagramSize is the platform's bound in bytes. No longer datagram is ever built.
+	// MaxDatagramSize is the maximum size in bytes that the platform supports. No longer datagram is created.
 	MaxDatagramSize = 256
-	// DatagramKind tells a datagram of this package from one of core/gossip.
+	// DatagramKind is the kind in the header that distinguishes datagrams of this package from those of core/gossip.
 	DatagramKind = 2
 
 	datagramVersion = 1
@@ -43,10 +42,10 @@
 	updateSize      = 9  // bytes
 )
 
-// wireNoRank stands on the wire for lease.NoRank.
+// wireNoRank is the encoding of lease.NoRank on the wire.
 const wireNoRank = 1<<16 - 1
 
-// messageKind is what a message does. The values are those on the wire.
+// messageKind is the kind of a message. The values are part of the wire format.
 type messageKind byte
 
 const (
@@ -61,10 +60,10 @@
 	treeVoteMessage
 	treeVoteAckMessage
 
-	messageKindEnd // the first value that is no kind
+	messageKindEnd // the first value that is not a kind
 )
 
-// messageKinds are the names of the kinds and the sizes of their bodies.
+// messageKinds has the name and the body size of each kind.
 var messageKinds = [messageKindEnd]struct {
 	name     string
 	bodySize int // bytes
@@ -83,11 +82,11 @@
 
 func (k messageKind) isKnown() bool { return k > 0 && k < messageKindEnd }
 
-// bodySize is the size in bytes of the body of a message of a known kind.
+// bodySize returns the size in bytes of the body of a message. The kind must be known.
 func (k messageKind) bodySize() int { return messageKinds[k].bodySize }
 
-// isOfTree reports whether the message is one of core/lease.
-func (k messageKind) isOfTree() bool { return k >= treeRequestMessage && k < messageKindEnd }
+// isTreeMessage reports whether the kind is that of a message of core/lease.
+func (k messageKind) isTreeMessage() bool { return k >= treeRequestMessage && k < messageKindEnd }
 
 // String returns the kind's name.
 func (k messageKind) String() string {
@@ -97,22 +96,22 @@
 	return messageKinds[k].name
 }
 
-// The reasons why a datagram is dropped.
+// The errors with which a datagram is dropped.
 var (
-	// ErrMalformed is wrapped where the bytes are no datagram of this package.
+	// ErrMalformed is wrapped if the bytes are not a valid datagram of this package.
 	ErrMalformed = errors.New("malformed datagram")
-	// ErrUnknownSender is wrapped where the sender is no router of the settings, or names another rank than its
-	// address.
+	// ErrUnknownSender is wrapped if the rank or the site of the sender is not in the settings, or if the rank in the
+	// datagram does not match the rank of the sender's address.
 	ErrUnknownSender = errors.New("not a router of this fleet")
-	// ErrStale is wrapped where the datagram was received before, or is older than what was received before.
+	// ErrStale is wrapped if the datagram is a duplicate or is older than others that were received before.
 	ErrStale = errors.New("old or repeated datagram")
 )
 
-// message is a datagram that was parsed or is to be sent. Which fields count depends on its kind.
+// message is a decoded datagram. Its kind determines which fields are used.
 type message struct {
 	rank, site  int // of the sender
 	incarnation uint32
-	sequence    uint32 // numbers the datagrams of an incarnation
+	sequence    uint32 // number of the datagram within the incarnation
 	kind        messageKind
 
 	target int    // of a probe
@@ -121,21 +120,21 @@
 	limit  int // index of the limit that the message is about
 	holder int // of that limit, as the sender of a probe or ack knows it; lease.NoRank: none
 
-	amount               float64 // wanted, or granted
+	amount               float64 // requested or granted
 	term                 int64   // us, of a grant
-	stamp                uint32  // of the holder, in a grant; echoed by a vote
-	candidateIncarnation uint32  // of a vote: the incarnation that sent the stamp
-	requestSequence      uint32  // of a grant: the sequence of its request
+	stamp                uint32  // of the holder, in a grant; the next vote echoes it
+	candidateIncarnation uint32  // in a vote: the incarnation that sent the stamp
+	requestSequence      uint32  // in a grant: the sequence of its request
 
 	server    uint32
 	condition Condition
 
-	lease lease.Message // of a message of core/lease
+	lease lease.Message // in a message of core/lease
 
 	updates []update
 }
 
-// append writes m behind buffer, with as many of its updates as fit.
+// append appends the encoding of m to buffer, with as many of its updates as fit.
 func (m *message) append(buffer []byte) []byte {
 	order := binary.BigEndian
 	buffer = append(buffer, datagramVersion, DatagramKind)
@@ -182,23 +181,24 @@
 	return buffer
 }
 
-// amountDown is a lease in units of the wire, rounded down, so that the sum of leases stays within the pool.
+// amountDown returns the amount of a lease in lease.AmountUnit, rounded down so that the sum of leases stays within the
+// pool.
 func amountDown(amount float64) uint32 { return clampUnits(math.Floor(amount / lease.AmountUnit)) }
 
-// amountUp is a demand in units of the wire, rounded up.
+// amountUp returns a demand in lease.AmountUnit, rounded up.
 func amountUp(amount float64) uint32 { return clampUnits(math.Ceil(amount / lease.AmountUnit)) }
 
 func clampUnits(units float64) uint32 { return uint32(min(max(units, 0), math.MaxUint32)) }
 
-// parseAmount reads an amount.
+// parseAmount decodes an amount.
 func parseAmount(data []byte) float64 {
 	return float64(binary.BigEndian.Uint32(data)) * lease.AmountUnit
 }
 
-// parseTerm reads a term, in microseconds.
+// parseTerm decodes a term and returns it in microseconds.
 func parseTerm(data []byte) int64 { return int64(binary.BigEndian.Uint32(data)) * lease.TermUnit }
 
-// parseHolder reads a rank that may be none.
+// parseHolder decodes a rank, which may be lease.NoRank.
 func parseHolder(data []byte) int {
 	if rank := binary.BigEndian.Uint16(data); rank != wireNoRank {
 		return int(rank)
@@ -206,7 +206,7 @@
 	return lease.NoRank
 }
 
-// parse reads a datagram into m, whose room for updates is used again. Its error wraps ErrMalformed.
+// parse decodes a datagram into m and reuses the slice of its updates. Its error wraps ErrMalformed.
 func (m *message) parse(datagram []byte) error {
 	switch {
 	case len(datagram) < headerSize || len(datagram) > MaxDatagramSize:
@@ -260,7 +260,7 @@
 		m.server = order.Uint32(body)
 		m.condition = Condition(body[4])
 		if !m.condition.isKnown() {
-			return fmt.Errorf("%w: condition %d", ErrMalformed, m.condition)
+			return fmt.Errorf("%w: unknown condition %d", ErrMalformed, m.condition)
 		}
 	case treeRequestMessage, treeGrantMessage, treeVoteMessage, treeVoteAckMessage:
 		m.parseLeaseBody(body)
@@ -268,19 +268,19 @@
 	return nil
 }
 
-// parseUpdates reads the updates that end a datagram.
+// parseUpdates decodes the updates at the end of a datagram.
 func (m *message) parseUpdates(data []byte) error {
 	for ; len(data) > 0; data = data[updateSize:] {
 		u := parseUpdate(data)
 		if u.state > stateDead {
-			return fmt.Errorf("%w: state %d", ErrMalformed, u.state)
+			return fmt.Errorf("%w: unknown state %d", ErrMalformed, u.state)
 		}
 		m.updates = append(m.updates, u)
 	}
 	return nil
 }
 
-// append writes u behind buffer.
+// append appends the encoding of u to buffer.
 func (u *update) append(buffer []byte) []byte {
 	order := binary.BigEndian
 	buffer = order.AppendUint16(buffer, uint16(u.rank))
@@ -289,7 +289,7 @@
 	return append(buffer, byte(u.state))
 }
 
-// parseUpdate reads what append wrote. Whether the state is a known one is the caller's to check.
+// parseUpdate decodes an update. The caller must check that its state is known.
 func parseUpdate(data []byte) update {
 	order := binary.BigEndian
 	return update{
--- a/core/fleet/doc.go
+++ b/core/fleet/doc.go
@@ -1,52 +1,53 @@
-// Package fleet keeps what the routers of a fleet must keep together: which of them are up, limits on what all of
-// them do at once, and verdicts on servers. It does no I/O and reads no clock: times are microseconds of the
-// router's own clock, which may stand at anything but never runs backwards. Random numbers come from a seed.
+// Package fleet has the state that the routers of a fleet share: which of them are up, limits on the total of all
+// routers, and verdicts on servers. It does no I/O and reads no clock. Times are in microseconds of the router's own
+// clock, whose zero is arbitrary and which never runs backwards. Random numbers come from a seed.
 //
 // # Membership
 //
-// Each router probes one other at a time, directly and then by way of others, and sends membership updates with
-// whatever it sends next: A. Das, I. Gupta, A. Motivala, "SWIM: Scalable weakly-consistent infection-style process
-// group membership protocol", DSN 2002. A router that misses answers itself grows slow to suspect others, and a
-// suspicion that others confirm ends sooner: A. Dadgar, J. Phillips, J. Currey, "Lifeguard: local health awareness
-// for more accurate failure detection", DSN-W 2018. A datagram that was received of late from a router itself
-// overrides any update about it.
+// Each router probes one other router at a time, first directly and then indirectly through others. It attaches
+// membership updates to the datagrams that it sends: A. Das, I. Gupta, A. Motivala, "SWIM: Scalable weakly-consistent
+// infection-style process group membership protocol", DSN 2002. A router that misses answers to its own probes takes
+// longer to suspect others, and a suspicion that others confirm ends sooner: A. Dadgar, J. Phillips, J. Currey,
+// "Lifeguard: local health awareness for more accurate failure detection", DSN-W 2018. A datagram that was recently
+// received from a router itself overrides updates from others that it is suspect or dead.
 //
 // # Limits
 //
-// A limit is split into floors, one for each router of the settings whether up or not, and a pool, out of which one
-// router, the holder, grants leases to the others, its lessees. (With Options.LeaseTree the pool is leased down a
-// tree of holders instead: see package lease, which has a guarantee of its own.) The guarantee, for any number of
-// partitions of the fleet and any datagrams lost, late or doubled:
-//
-//   - The floors and all leases never pass the limit: over by 0 of it for 0 ms after a cut, a crash or a heal. What
-//     had been begun under a lease may outlast it; a user that needs more than Limit.ExpiryMargin for that passes
-//     the limit by what is still in flight then, for as long.
-//   - While the fleet is cut, each router has its floor. The partition with more than half of all routers has the
-//     pool besides, after RecoveryTime at the latest in fleets of 15 (at 300 up to 18 s were seen after a heal). A
-//     pool whose holder dies is back after that time. Of a pool that is back, six tenths or more are leased at any
-//     time: what a router that joins is to have must come back first from those that have it. With half of the
-//     routers down or more there are floors alone.
-//
-// It assumes that the rates of two clocks differ by maxClockDrift at most, that a restarted router has a greater
-// incarnation, and that no process is paused between acquiring from a limit and beginning what it acquired for: one
-// that is begins one thing late.
-//
-// Why it holds: a holder grants leases only while more than half of all routers have voted for it, and none that
-// lasts longer than those votes count. A voter gives no other its vote while one counts. The holder counts a vote
-// from its own earlier stamp, which the vote echoes, so the vote expires for the holder before it does for the
-// voter. Two majorities share a voter, and that one gives the second holder no vote before its vote for the first
-// has expired. A router counts a lease from the time at which it sent its request, the holder from the time at
-// which it granted it, which is later. A router that starts has forgotten its votes, and gives none for the
-// lifetime of a vote.
+// A limit consists of floors, one for each router in the settings whether it is up or not, and a pool. One router, the
+// holder, grants leases of the pool to the other routers, its lessees. (With Options.LeaseTree, a tree of holders
+// leases the pool instead. See package lease, which has a guarantee of its own.) The following holds for any number of
+// partitions of the fleet, and for datagrams that are lost, delayed or duplicated:
+//
+//   - The sum of all floors and leases never exceeds the limit, by any amount or for any time, also after a partition,
+//     a crash or a heal. Work that starts under a lease may outlast it. If the work takes longer than
+//     Limit.ExpiryMargin, the limit is exceeded by the work that is still in progress when the lease expires, until it
+//     ends.
+//   - While the fleet is partitioned, each router has its floor. The partition with more than half of all routers also
+//     has the pool, within RecoveryTime in fleets of 15 routers (at 300 routers, up to 18 s were seen after a heal).
+//     When the holder dies, the pool is available again after the same time. Once it is available, at least 60% of it
+//     is leased at any time: the share of a router that joins must first be returned by the routers that have it. If
+//     half of the routers or more are down, only the floors are available.
+//
+// The guarantee assumes that the rates of two clocks differ by at most maxClockDrift, that the incarnation of a router
+// grows with each restart, and that no process is paused between acquiring from a limit and starting the work that it
+// acquired for. A process that is paused there starts one unit of work late.
+//
+// Correctness: a holder grants leases only while more than half of all routers have voted for it, and none that expires
+// later than those votes. A voter votes for no other holder while its vote is valid. At the holder, the lifetime of a
+// vote counts from the holder's own earlier stamp, which the vote echoes. The vote therefore expires at the holder
+// before it does at the voter. Any two majorities have a voter in common, and that voter does not vote for the second
+// holder before its vote for the first has expired. A router counts a lease from the time at which it sent its request.
+// The holder counts it from the time of the grant, which is later. A router that starts has no record of its earlier
+// votes, so it casts none for the lifetime of a vote.
 //
 // # Verdicts
 //
-// Routers report servers whose answers fail, and eject those that routers of several sites report: HealthReports.
+// Routers report servers whose answers fail, and eject servers that routers of several sites report. See HealthReports.
 //
 // # Files
 //
-// node.go has a router's part and dispatches what it receives; datagram.go and lease_messages.go the wire format;
-// membership.go, probing.go, suspicion.go and dissemination.go the membership; limits.go the limits, with
-// limit_state.go, limit_lessee.go and limit_holder.go for a single holder and lease_tree.go for a tree;
-// health_reports.go and ejection.go the verdicts.
+// node.go has the state of a router and dispatches received datagrams. The wire format is in datagram.go and
+// lease_messages.go. The membership is in membership.go, probing.go, suspicion.go and dissemination.go. The limits are
+// in limits.go, with limit_state.go, limit_lessee.go and limit_holder.go for a single holder and lease_tree.go for a
+// tree. The verdicts are in health_reports.go and ejection.go.
 package fleet
--- a/core/fleet/ejection.go
+++ b/core/fleet/ejection.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// ejectionQuorum is how many sites must report a server: behind a full or broken link of one site every server
-	// looks bad.
+	// ejectionQuorum is the number of sites that must report a server. One site is not enough: if its link is broken
+	// or full, all servers behind the link seem to fail.
 	ejectionQuorum = 2
-	// serversPerEjection bounds verdicts to one in so many servers of a kind, so that they do not empty a kind.
+	// serversPerEjection limits verdicts to one of every serversPerEjection servers of a kind, so that some servers of
+	// each kind remain.
 	serversPerEjection = 3
 )
 
-// verdict is a server that enough sites report.
+// verdict is a server that at least ejectionQuorum sites report.
 type verdict struct {
 	server uint32
 	sites  int
 }
 
-// byReporters orders verdicts: those that most sites report first, of equals the one with the lesser number.
+// byReporters compares verdicts. The server that more sites report comes first, then the one with the lower number.
 func byReporters(a, b verdict) int {
 	return cmp.Or(cmp.Compare(b.sites, a.sites), cmp.Compare(a.server, b.server))
 }
 
-// Ejected lists the servers, of all that there are of a kind, on which a verdict is in force: the same at all
-// routers that have received the same. They are one in serversPerEjection of all at most, but one of two or more.
+// Ejected returns the servers on which a verdict is in force. The parameter all must list all servers of a kind. The
+// result is the same at all routers that have received the same reports and answers. It has at most one of every
+// serversPerEjection servers, but may have one if there are two or more.
 func (h *HealthReports) Ejected(now int64, condition Condition, all []uint32) []uint32 {
 	var verdicts []verdict
 	for _, server := range all {
@@ -42,7 +44,8 @@
 	return ejected
 }
 
-// countReporters counts the sites whose reports count, which have come after the server's last good answer here.
+// countReporters returns the number of sites with a report that has not expired and that was received after the latest
+// successful answer of the server to this router.
 func (h *HealthReports) countReporters(now int64, key reportKey) (sites int) {
 	for _, at := range h.reports[key] {
 		if now-at < reportLifetime && at > h.succeededAt[key.server] {
@@ -52,7 +55,7 @@
 	return sites
 }
 
-// maxEjected is how many of so many servers may be ejected.
+// maxEjected returns how many of a number of servers may be ejected.
 func maxEjected(servers int) int {
 	if servers > 1 {
 		return max(servers/serversPerEjection, 1)
@@ -60,7 +63,7 @@
 	return 0
 }
 
-// Ejected lists the servers on which a verdict is in force: see HealthReports.
+// Ejected returns the servers on which a verdict is in force. See HealthReports.Ejected.
 func (n *Node) Ejected(now int64, condition Condition, all []uint32) []uint32 {
 	return n.healthReports.Ejected(now, condition, all)
 }
--- a/core/fleet/ejection_test.go
+++ b/core/fleet/ejection_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// ejected lists the servers that a router ejects as failing.
+// ejected returns the servers that a router ejects as failing.
 func (w *world) ejected(rank int, all []uint32) []uint32 {
 	return w.processes[rank].node.Ejected(w.localTime(rank), Failing, all)
 }
 
-// countEjecting counts the routers that eject a server.
+// countEjecting returns the number of running routers that eject a server.
 func (w *world) countEjecting(server uint32, all []uint32) (count int) {
 	for rank, p := range w.processes {
 		if p.isRunning && slices.Contains(w.ejected(rank, all), server) {
@@ -20,15 +20,15 @@
 	return count
 }
 
-// reportFailing has a router observe that a server fails.
+// reportFailing reports to a router that it observes a failing server.
 func (w *world) reportFailing(rank int, server uint32) {
 	w.processes[rank].node.ReportFailure(w.localTime(rank), server, Failing)
 }
 
-// A verdict needs two sites, reaches 99 in 100 of 300 routers 2.5 s after the second observed it at 30% loss, and
-// ends in time once nobody observes it any more. One bad site that reports all servers as failing ejects none; two
-// eject no more than one in three.
-func TestVerdicts(t *testing.T) {
+// Guards against verdicts that are wrong, late or too long, in a fleet of 300 routers with 30% loss. One site that
+// reports all servers as failing must eject none, and two sites at most one of three. A verdict must reach 99% of the
+// routers within 2.5 s of the observations at two sites, and end when no router observes the failure any more.
+func TestVerdictQuorumSpreadAndExpiry(t *testing.T) {
 	all := []uint32{11, 12, 13, 14, 15, 16, 17}
 	for seed := range uint64(5) {
 		w := newWorld(t, seed, 300)
@@ -46,22 +46,22 @@
 		}
 		observe(3*second, all, 0, 4, 8) // ranks of one site
 		if count := w.countEjecting(11, all); count != 0 {
-			t.Errorf("seed %d: %d routers take the word of one site", seed, count)
+			t.Errorf("seed %d: %d routers eject a server that only one site reports", seed, count)
 		}
 		w.run(w.now+4*second, nil)
 		observe(5*second/2, []uint32{13}, 0, 1)
 		if count := w.countEjecting(13, all); count < 297 {
 			t.Errorf("seed %d: %d of 300 eject a failing server after 2.5 s", seed, count)
 		}
-		if rank := 7; len(w.ejected(rank, all)) == 1 { // own evidence wins
+		if rank := 7; len(w.ejected(rank, all)) == 1 { // its own evidence has priority
 			w.processes[rank].node.ReportSuccess(w.localTime(rank), 13)
 			if len(w.ejected(rank, all)) != 0 {
-				t.Errorf("seed %d: a router ejects a server that has just answered it well", seed)
+				t.Errorf("seed %d: a router ejects a server that has just answered it successfully", seed)
 			}
 		}
 		w.run(w.now+observationLifetime+reportLifetime+25_000, nil)
 		if count := w.countEjecting(13, all); count != 0 {
-			t.Errorf("seed %d: %d routers hold a verdict that nobody observes any more", seed, count)
+			t.Errorf("seed %d: %d routers eject a server that no router reports any more", seed, count)
 		}
 		observe(4*second, all, 0, 1)
 		for rank := range w.processes {
@@ -72,17 +72,17 @@
 	}
 }
 
-// While two routers of two sites go on reporting a server, no other of 16 routers drops the verdict, at 30% loss: a
-// router that does sends the dead server requests again. Four seconds are given for all to receive it first. Fewer
-// than one lapse in 2,000 router-seconds is allowed.
+// Guards against verdicts that lapse at a router while two routers of two sites still report the server: that router
+// would send requests to the dead server again. The fleet has 16 routers and 30% loss. Lapses do not count in the
+// first four seconds, in which all routers receive the verdict. At most one lapse in 2,000 router-seconds is allowed.
 func TestVerdictDoesNotLapse(t *testing.T) {
 	const (
-		seeds    = 60
-		routers  = 16
-		settling = 4 * second
-		duration = 20 * second
-		step     = second / 20
-		server   = 13
+		seeds      = 60
+		routers    = 16
+		spreadTime = 4 * second
+		duration   = 20 * second
+		step       = second / 20
+		server     = 13
 	)
 	all := []uint32{11, 12, server}
 	lapses := 0
@@ -90,23 +90,23 @@
 		w := newWorld(t, seed, routers)
 		w.loss = 0.3
 		w.run(w.now+second, nil)
-		begin := w.now
+		startedAt := w.now
 		ejects := make([]bool, routers)
-		for w.now < begin+duration {
+		for w.now < startedAt+duration {
 			for _, rank := range []int{0, 1} { // of two sites
 				w.reportFailing(rank, server)
 			}
 			w.run(w.now+step, nil)
 			for rank := range w.processes {
 				ejectsNow := len(w.ejected(rank, all)) == 1
-				if ejects[rank] && !ejectsNow && w.now > begin+settling {
+				if ejects[rank] && !ejectsNow && w.now > startedAt+spreadTime {
 					lapses++
 				}
 				ejects[rank] = ejectsNow
 			}
 		}
 	}
-	routerSeconds := seeds * routers * int((duration-settling)/second)
+	routerSeconds := seeds * routers * int((duration-spreadTime)/second)
 	t.Logf("%d lapses in %d router-seconds", lapses, routerSeconds)
 	if allowed := routerSeconds / 2000; lapses > allowed {
 		t.Errorf("%d lapses, %d allowed", lapses, allowed)
--- a/core/fleet/example_test.go
+++ b/core/fleet/example_test.go
@@ -6,7 +6,7 @@
 	"spantack/core/fleet"
 )
 
-// network delivers datagrams between routers in virtual time, at once and in order.
+// network delivers datagrams between routers in virtual time, without delay and in order.
 type network struct {
 	nodes    []*fleet.Node // by rank
 	inFlight []delivery
@@ -17,7 +17,7 @@
 	datagram []byte
 }
 
-// newNetwork starts so many routers, the even ranks of one site and the odd ones of another.
+// newNetwork starts a number of routers. Even ranks belong to one site and odd ranks to another.
 func newNetwork(routers int, limits ...fleet.Limit) (*network, error) {
 	w := &network{}
 	for rank := range routers {
@@ -38,7 +38,7 @@
 	return w, nil
 }
 
-// send queues a copy of a datagram, which is only lent to it.
+// send queues a copy of a datagram, because the sender reuses the bytes.
 func (w *network) send(from, to int, datagram []byte) {
 	if to != fleet.Broadcast {
 		w.inFlight = append(w.inFlight, delivery{from, to, append([]byte(nil), datagram...)})
@@ -51,7 +51,8 @@
 	}
 }
 
-// run lets time pass in steps of 50 ms and returns when it ends. isUp tells which routers run.
+// run advances the time by duration (us) in steps of 50 ms and returns the time at the end. Only routers for which isUp
+// returns true run.
 func (w *network) run(now, duration int64, isUp func(rank int) bool) int64 {
 	const step = 50_000 // us
 	for end := now + duration; now < end; now += step {
@@ -76,8 +77,8 @@
 
 func all(int) bool { return true }
 
-// Four routers keep a limit of 40 requests to an origin together. Each has a floor of 2; the rest is leased from
-// the one that they vote for.
+// Four routers share a limit of 40 requests to an origin. Each has a floor of 2. The rest is leased from the router
+// that they elect.
 func Example() {
 	w, err := newNetwork(4, fleet.Limit{Name: "requests to the origin", Max: 40, FloorFraction: 0.2})
 	if err != nil {
@@ -107,7 +108,8 @@
 	// in use: 9
 }
 
-// A router that dies is suspected by those that probe it, and declared dead when it does not refute that.
+// A router that dies is suspected by the routers that probe it, and declared dead when it does not refute the
+// suspicion.
 func ExampleNode_IsUp() {
 	w, err := newNetwork(6)
 	if err != nil {
@@ -125,7 +127,7 @@
 	// 5 are up, router 5: false
 }
 
-// Routers of two sites find a server failing. All eject it, also those that have sent it no request.
+// Routers of two sites report a failing server. All routers eject it, including those that have sent it no request.
 func ExampleNode_Ejected() {
 	w, err := newNetwork(4)
 	if err != nil {
--- a/core/fleet/health_reports.go
+++ b/core/fleet/health_reports.go
@@ -11,17 +11,17 @@
 	"spantack/core/gossip"
 )
 
-// Condition is what a health report tells of a server. The values are those on the wire.
+// Condition is the condition of a server in a health report. The values are part of the wire format.
 type Condition byte
 
 // The conditions.
 const (
-	// Failing: its answers fail, or do not come.
+	// Failing means that the server returns errors or does not answer.
 	Failing Condition = iota + 1
-	// Overloaded: it is late, or rejects requests.
+	// Overloaded means that the server answers late or rejects requests.
 	Overloaded
 
-	conditionEnd // the first value that is no condition
+	conditionEnd // the first value that is not a condition
 )
 
 func (c Condition) isKnown() bool { return c > 0 && c < conditionEnd }
@@ -37,66 +37,66 @@
 	return fmt.Sprintf("Condition(%d)", byte(c))
 }
 
-// Times in microseconds. At 30% loss a verdict that two sites support has reached 99 in 100 of the routers 2.5 s
-// after the second one observed the server. A verdict ends reportLifetime after the last report of all sites but
-// one at the latest, and reports are sent for as long as their observation stands.
+// Times in microseconds. With 30% datagram loss, a verdict that two sites support reaches 99% of the routers within
+// 2.5 s of the observation at the second site. A router sends reports as long as its observation lasts. A verdict ends
+// at the latest reportLifetime after the last report of all sites except one.
 //
-// However many routers observe a server, few report it. Each waits for a random part of a round before it reports,
-// and does not if more than ejectionQuorum other sites have reported the same in that round. The waits are
-// distributed exponentially towards the round's end, so that the number of reports sent before they suppress the
-// others grows with the logarithm of the number of routers only: J. Nonnenmacher, E. W. Biersack, "Scalable
-// feedback for large groups", IEEE/ACM Transactions on Networking 7(3), 1999.
+// Only a few of the routers that observe a server report it. Each waits for a random part of a round before it
+// reports, and sends no report if more than ejectionQuorum other sites have reported the same in that round. The
+// density of the waits grows exponentially towards the end of the round, so the number of reports that are sent before
+// they suppress the others grows only with the logarithm of the number of routers: J. Nonnenmacher, E. W. Biersack,
+// "Scalable feedback for large groups", IEEE/ACM Transactions on Networking 7(3), 1999.
 const (
-	firstRound          = 250_000   // longest wait of the first rounds, while few others report
-	firstRounds         = 6         // how many of those there are
-	laterRound          = 500_000   // longest wait of all other rounds
-	observationLifetime = 500_000   // of an observation that is not made again
-	reportLifetime      = 4_500_000 // of a report that was received
-	reportInterval      = 100_000   // between reports that this router sends, on average
-	reportBurst         = 8         // reports that it may send at once
+	maxInitialRoundDelay = 250_000   // longest wait in the initial rounds, while few others report
+	initialRounds        = 6         // number of initial rounds
+	maxRoundDelay        = 500_000   // longest wait in all other rounds
+	observationLifetime  = 500_000   // of an observation that is not repeated
+	reportLifetime       = 4_500_000 // of a received report
+	reportInterval       = 100_000   // between reports that this router sends, on average
+	reportBurst          = 8         // maximum number of reports that it sends at once
 )
 
-// Bounds of what is kept.
+// Bounds of the stored state.
 const (
 	maxObservations = 128  // of this router
-	maxReports      = 1024 // servers and conditions of which reports are kept, and servers with good answers
+	maxReports      = 1024 // pairs of server and condition with reports, and also servers with successful answers
 )
 
-// reportKey names a server and a condition reported of it.
+// reportKey identifies a server and a condition.
 type reportKey struct {
 	server    uint32
 	condition Condition
 }
 
-// byServer orders keys, so that reports are sent in the same order on every run.
+// byServer compares keys, so that reports are sent in the same order in every run.
 func byServer(a, b reportKey) int {
 	return cmp.Or(cmp.Compare(a.server, b.server), cmp.Compare(a.condition, b.condition))
 }
 
-// observation is what this router itself observes of a server.
+// observation is the state of a condition that this router itself observes.
 type observation struct {
-	observedAt     int64 // last
+	observedAt     int64 // time of the latest observation
 	roundStartedAt int64
 	reportDueAt    int64
-	rounds         int // that have ended, with a report or without
+	rounds         int // number of rounds that have ended, with or without a report
 }
 
-// HealthReports holds one router's observations of servers and the reports of all sites, and decides when to
-// report. It needs no membership: only how many routers there are. It is not safe for concurrent use.
+// HealthReports stores the observations of one router and the reports of all sites, and decides when the router sends a
+// report. It depends on the number of routers, but not on the membership. It is not safe for concurrent use.
 type HealthReports struct {
 	site      int // of this router
 	fleetSize int
 	rng       *rand.Rand
-	broadcast func(server uint32, condition Condition) // sends a report to all
+	broadcast func(server uint32, condition Condition) // sends a report to all members
 
 	observed    map[reportKey]*observation
-	reports     map[reportKey]map[int]int64 // time of the last report, by site
-	succeededAt map[uint32]int64            // time of the last good answer to this router, by server
+	reports     map[reportKey]map[int]int64 // time of the latest report, by site
+	succeededAt map[uint32]int64            // time of the latest successful answer to this router, by server
 	rateLimit   gossip.TokenBucket          // of reports sent
 }
 
-// NewHealthReports returns the state of a router of this site, one of so many in the fleet, that has observed and
-// received nothing. It calls broadcast to have a report sent to all others.
+// NewHealthReports returns the state, without observations and reports, of a router of a site in a fleet of fleetSize
+// routers. It calls broadcast to send a report to all other routers.
 func NewHealthReports(
 	site, fleetSize int, rng *rand.Rand, broadcast func(server uint32, condition Condition),
 ) *HealthReports {
@@ -112,8 +112,8 @@
 	}
 }
 
-// ReportFailure notes that this router itself observes a condition of a server. All members are told, repeatedly
-// for as long as the caller repeats it. Observations beyond maxObservations are dropped.
+// ReportFailure records that this router itself observes a condition of a server. Reports are sent to all members for
+// as long as the caller repeats the observation. Observations beyond maxObservations are dropped.
 func (h *HealthReports) ReportFailure(now int64, server uint32, condition Condition) {
 	key := reportKey{server, condition}
 	seen := h.observed[key]
@@ -123,15 +123,15 @@
 		}
 		seen = &observation{}
 		h.observed[key] = seen
-		h.beginRound(now, seen, firstRound)
+		h.startRound(now, seen, maxInitialRoundDelay)
 	}
 	seen.observedAt = now
 	h.record(now, key, h.site)
 	h.reportIfDue(now, key, seen)
 }
 
-// ReportSuccess notes that a server has just answered this router well. That overrides earlier reports of others
-// here, and ends this router's own observations.
+// ReportSuccess records that a server has just answered a request of this router successfully. At this router, that
+// overrides earlier reports of all sites about the server and ends the router's own observations of it.
 func (h *HealthReports) ReportSuccess(now int64, server uint32) {
 	if len(h.succeededAt) < maxReports || h.succeededAt[server] != 0 {
 		h.succeededAt[server] = now
@@ -141,13 +141,13 @@
 	}
 }
 
-// Receive notes that a router of a site reports a condition of a server. Reports of more than maxReports servers and
-// conditions are dropped.
+// Receive records a report of a site about a condition of a server. Reports about more than maxReports pairs of server
+// and condition are dropped.
 func (h *HealthReports) Receive(now int64, server uint32, condition Condition, site int) {
 	h.record(now, reportKey{server, condition}, site)
 }
 
-// Tick sends the reports that are due, and removes what no longer counts. It is called every tickInterval.
+// Tick sends the reports that are due and removes expired state. It must be called every tickInterval.
 func (h *HealthReports) Tick(now int64) {
 	keys := slices.Collect(maps.Keys(h.observed))
 	slices.SortFunc(keys, byServer)
@@ -165,7 +165,7 @@
 	}
 }
 
-// record books a report of a site, which may be this router's own.
+// record records a report of a site, which may be the site of this router.
 func (h *HealthReports) record(now int64, key reportKey, site int) {
 	bySite := h.reports[key]
 	if bySite == nil {
@@ -178,7 +178,7 @@
 	bySite[site] = now
 }
 
-// expire removes reports and good answers that no longer count.
+// expire removes expired reports and successful answers.
 func (h *HealthReports) expire(now int64) {
 	isExpired := func(at int64) bool { return now-at >= reportLifetime }
 	maps.DeleteFunc(h.reports, func(_ reportKey, bySite map[int]int64) bool {
@@ -188,13 +188,13 @@
 	maps.DeleteFunc(h.succeededAt, func(_ uint32, at int64) bool { return isExpired(at) })
 }
 
-// reportIfDue ends a round that is over: it reports the observation to all members, within the rate allowed, unless
-// enough other sites have reported the same in this round. Then it begins the next round.
+// reportIfDue ends the round of an observation if its report is due. It sends the report to all members, within the
+// rate limit, unless enough other sites have reported the same in this round. Then it starts the next round.
 func (h *HealthReports) reportIfDue(now int64, key reportKey, seen *observation) {
 	if now < seen.reportDueAt {
 		return
 	}
-	// One report more than needed suppresses this one: some of the others' may be lost elsewhere.
+	// Suppression needs one report more than the quorum, because some of the reports may not reach other routers.
 	isSuppressed := h.countOtherReporters(key, seen.roundStartedAt) > ejectionQuorum
 	if !isSuppressed {
 		if !h.rateLimit.Take(now) {
@@ -203,27 +203,27 @@
 		h.broadcast(key.server, key.condition)
 	}
 	seen.rounds++
-	longest := int64(laterRound)
-	if !isSuppressed && seen.rounds < firstRounds {
-		longest = firstRound
+	longest := int64(maxRoundDelay)
+	if !isSuppressed && seen.rounds < initialRounds {
+		longest = maxInitialRoundDelay
 	}
-	h.beginRound(now, seen, longest)
+	h.startRound(now, seen, longest)
 }
 
-// beginRound draws when the observation is to be reported next.
-func (h *HealthReports) beginRound(now int64, seen *observation, longest int64) {
+// startRound starts a round and chooses the random time in it at which the observation is reported.
+func (h *HealthReports) startRound(now int64, seen *observation, longest int64) {
 	seen.roundStartedAt = now
 	seen.reportDueAt = now + int64(h.drawDelay()*float64(longest))
 }
 
-// drawDelay draws a wait as a part of the longest, with a density that grows exponentially by the optimal rate for
-// the size of the fleet.
+// drawDelay returns a random wait as a fraction of the longest wait. Its density grows exponentially, with the optimal
+// rate for the size of the fleet.
 func (h *HealthReports) drawDelay() float64 {
 	rate := math.Log(float64(h.fleetSize)) + 1
 	return math.Log1p(h.rng.Float64()*math.Expm1(rate)) / rate
 }
 
-// countOtherReporters counts the other sites from which a report was received since a time.
+// countOtherReporters returns the number of other sites whose latest report was received at since or later.
 func (h *HealthReports) countOtherReporters(key reportKey, since int64) (others int) {
 	for site, at := range h.reports[key] {
 		if site != h.site && at >= since {
@@ -233,12 +233,12 @@
 	return others
 }
 
-// ReportFailure notes that this router itself observes a condition of a server: see HealthReports.
+// ReportFailure records that this router itself observes a condition of a server. See HealthReports.
 func (n *Node) ReportFailure(now int64, server uint32, condition Condition) {
 	n.healthReports.ReportFailure(now, server, condition)
 }
 
-// ReportSuccess notes that a server has just answered this router well: see HealthReports.
+// ReportSuccess records that a server has just answered a request of this router successfully. See HealthReports.
 func (n *Node) ReportSuccess(now int64, server uint32) { n.healthReports.ReportSuccess(now, server) }
 
 // broadcastHealthReport sends a report to all members.
--- a/core/fleet/lease_messages.go
+++ b/core/fleet/lease_messages.go
@@ -6,7 +6,7 @@
 	"spantack/core/lease"
 )
 
-// leaseKindOf are the kinds of messages of core/lease by the kinds that carry them.
+// leaseKindOf maps the kinds of datagrams that carry messages of core/lease to the kinds of those messages.
 var leaseKindOf = map[messageKind]lease.MessageKind{
 	treeRequestMessage: lease.KindRequest,
 	treeGrantMessage:   lease.KindGrant,
@@ -14,7 +14,7 @@
 	treeVoteAckMessage: lease.KindVoteAck,
 }
 
-// messageKindOf is the reverse of leaseKindOf.
+// messageKindOf is the inverse of leaseKindOf.
 var messageKindOf = map[lease.MessageKind]messageKind{
 	lease.KindRequest: treeRequestMessage,
 	lease.KindGrant:   treeGrantMessage,
@@ -22,7 +22,8 @@
 	lease.KindVoteAck: treeVoteAckMessage,
 }
 
-// appendLeaseBody writes the body of a message of core/lease. Its incarnation is in the header.
+// appendLeaseBody appends the body of a message of core/lease to buffer. The incarnation of the message is in the
+// header.
 func (m *message) appendLeaseBody(buffer []byte) []byte {
 	order := binary.BigEndian
 	body := &m.lease
@@ -53,8 +54,7 @@
 	return buffer
 }
 
-// parseLeaseBody reads what appendLeaseBody wrote. Whether the values have a place in the tree is core/lease's to
-// say.
+// parseLeaseBody decodes a body that appendLeaseBody encoded. It does not check the values: core/lease does.
 func (m *message) parseLeaseBody(data []byte) {
 	order := binary.BigEndian
 	m.limit = int(data[0])
--- a/core/fleet/lease_tree.go
+++ b/core/fleet/lease_tree.go
@@ -6,7 +6,7 @@
 	"spantack/core/lease"
 )
 
-// startLeaseTrees sets out with this router's part in a tree of leases for each limit, instead of a single holder.
+// startLeaseTrees creates the node of this router in a tree of leases for each limit. The trees replace single holders.
 func (n *Node) startLeaseTrees(now int64) error {
 	for i, limit := range n.options.Limits {
 		tree, err := lease.New(now, lease.Options{
@@ -31,23 +31,22 @@
 	return nil
 }
 
-// sendTreeMessage sends a message of a limit's tree.
+// sendTreeMessage sends a message of the tree of a limit.
 func (n *Node) sendTreeMessage(limit, to int, m *lease.Message) {
 	if to >= n.options.FleetSize {
-		return // a rank that may join later, and is not in the settings yet
+		return // the tree has room for routers that are not in the settings yet
 	}
 	n.send(to, &message{kind: messageKindOf[m.Kind], limit: limit, lease: *m})
 }
 
-// handleTreeMessage takes in a message of a limit's tree. Where this router keeps its limits in no tree it is passed
-// over.
+// handleTreeMessage handles a message of the tree of a limit. It ignores the message if this router does not use trees.
 func (n *Node) handleTreeMessage(now int64, m *message) {
 	if m.limit < len(n.leaseTrees) {
 		n.leaseTrees[m.limit].Receive(now, m.rank, m.lease)
 	}
 }
 
-// leaseTreeStatus is this router's part in a limit that is kept by a tree.
+// leaseTreeStatus returns the status at this router of a limit that uses a tree.
 func (n *Node) leaseTreeStatus(now int64, limit int, tree *lease.Node) LimitStatus {
 	levels := tree.HeldLevels(now)
 	return LimitStatus{
--- a/core/fleet/lease_tree_test.go
+++ b/core/fleet/lease_tree_test.go
@@ -8,7 +8,7 @@
 	"spantack/core/lease"
 )
 
-// testTree is 24 routers in regions of 12 and sites of 4.
+// testTree has 24 routers in regions of 12 and sites of 4.
 var testTree = lease.Topology{Routers: 24, GroupSizes: []int{4, 12}, Electors: []int{2, 13, 21}}
 
 func newTreeWorld(t testing.TB, seed uint64, limits ...Limit) *world {
@@ -22,10 +22,10 @@
 	return w
 }
 
-// Leases of a tree pass through the real datagrams and membership: no limit is passed while sites are cut off,
-// holders die and seven in ten restart; the pools are in use before and again afterwards, also of a second limit,
-// and floors meanwhile.
-func TestTreeThroughDatagrams(t *testing.T) {
+// Guards against a lease tree that works alone but not with real datagrams and membership. Two limits must not be
+// exceeded while all sites are isolated, holders die, and 70% of the routers restart. Their pools must be in use
+// before and after each fault, and only the floors while the sites are isolated.
+func TestLeaseTreesOverDatagrams(t *testing.T) {
 	limits := []Limit{{Name: "fills", Max: 72, FloorFraction: 1.0 / 3}, {Name: "retries", Max: 240}}
 	for seed := range uint64(4) {
 		w := newTreeWorld(t, seed, limits...)
@@ -33,7 +33,7 @@
 		check := func() {
 			for i, limit := range limits {
 				if sum := w.quotas(i, nil); sum > limit.Max+1e-6 {
-					t.Fatalf("seed %d: quotas of %.2f pass %s of %v at %.3f s",
+					t.Fatalf("seed %d: quotas of %.2f exceed limit %s of %v at %.3f s",
 						seed, sum, limit.Name, limit.Max, float64(w.now)/1e6)
 				}
 			}
@@ -43,21 +43,21 @@
 			w.run(w.now+lease.RecoveryTime, check)
 			for i, limit := range limits {
 				if sum := w.meanQuotas(i, nil); sum < 0.8*limit.Max {
-					t.Errorf("seed %d, %s: %.1f of %v in use of %s", seed, when, sum, limit.Max, limit.Name)
+					t.Errorf("seed %d, %s: %.1f of %v in use of limit %s", seed, when, sum, limit.Max, limit.Name)
 				}
 			}
 		}
-		wantInUse("complete")
+		wantInUse("before any fault")
 		for rank := range w.partition {
 			w.partition[rank] = rank / 4
 		}
 		w.run(w.now+lease.RecoveryTime, check)
 		if sum := w.quotas(0, nil); math.Abs(sum-24) > 1e-6 {
-			t.Errorf("seed %d: %.2f in use with every site cut off, floors are 24", seed, sum)
+			t.Errorf("seed %d: %.2f in use with every site isolated, want the floors, 24", seed, sum)
 		}
 		clear(w.partition)
-		w.run(w.now+20*second, check) // until all are taken for up again, as in TestWhoIsUpAfterFaults
-		wantInUse("healed")
+		w.run(w.now+20*second, check) // until all are considered up again, as in TestMembershipRecoversAfterFaults
+		wantInUse("after the heal")
 		for rank := range w.processes {
 			if w.status(rank).IsHolder && w.rng.IntN(2) == 0 {
 				w.kill(rank)
@@ -72,13 +72,13 @@
 				w.start(t, rank)
 			}
 		}
-		wantInUse("after seven in ten restarted")
+		wantInUse("after 70% restarted")
 	}
 }
 
-// A router that keeps its limits in no tree passes messages of one over, and one that has a tree those of a single
-// holder: both may be in one fleet.
-func TestTreeAndSingleHolderIgnoreOneAnother(t *testing.T) {
+// Guards against messages that have an effect on a router of the other scheme. One fleet may have routers with a lease
+// tree and routers with a single holder. Each must ignore messages about limits from the other.
+func TestTreeAndSingleHolderIgnoreEachOther(t *testing.T) {
 	limit := Limit{Name: "fills", Max: 24, FloorFraction: 1}
 	newNode := func(rank int, tree *lease.Topology) *Node {
 		n, err := New(0, Options{
@@ -106,18 +106,18 @@
 	exchange(withTree, withoutTree)
 	exchange(withoutTree, withTree)
 	if a, b := withoutTree.Quota(6*second, 0), withTree.Quota(6*second, 0); a != 1 || b != 1 || sent == 0 {
-		t.Errorf("quotas %v and %v of floors of 1, %d datagrams", a, b, sent)
+		t.Errorf("quotas %v and %v, want the floors of 1; %d datagrams", a, b, sent)
 	}
 }
 
-// Its datagrams carry no membership updates: a holder sends many.
-func TestTreeDatagramsAreShort(t *testing.T) {
+// Guards against membership updates in the datagrams of a tree: a holder sends many of these, so they must be short.
+func TestTreeDatagramsHaveNoUpdates(t *testing.T) {
 	w := newTreeWorld(t, 9, Limit{Name: "fills", Max: 72})
 	longest := 0
 	for _, p := range w.processes {
 		send := p.node.Send
 		p.node.Send = func(to int, datagram []byte) {
-			if messageKind(datagram[headerSize-1]).isOfTree() {
+			if messageKind(datagram[headerSize-1]).isTreeMessage() {
 				longest = max(longest, len(datagram))
 			}
 			send(to, datagram)
@@ -125,7 +125,7 @@
 	}
 	w.run(w.now+5*second, nil)
 	if want := headerSize + treeGrantMessage.bodySize(); longest != want {
-		t.Errorf("%d bytes at the most, want %d", longest, want)
+		t.Errorf("longest datagram has %d bytes, want %d", longest, want)
 	}
 }
 
@@ -134,7 +134,7 @@
 		"lease tree: electors: 2, an odd number up to 15 is required": {
 			LeaseTree: &lease.Topology{Routers: 24, Electors: []int{0, 1}},
 		},
-		"lease tree: routers: 4, and this router has rank 5": {
+		"lease tree: routers: 4 is not above the rank of this router, 5": {
 			Rank: 5, LeaseTree: &lease.Topology{Routers: 4, Electors: []int{0}},
 		},
 	} {
--- a/core/fleet/limit_holder.go
+++ b/core/fleet/limit_holder.go
@@ -8,15 +8,15 @@
 
 // Times in microseconds.
 const (
-	countLifetime  = 100_000   // of a count of votes and demand
-	demandLifetime = 3_000_000 // of what a lessee has asked for
+	countLifetime  = 100_000   // until votes and demand are counted again
+	demandLifetime = 3_000_000 // of the demand in a request
 )
 
-// maxLeases of one lessee may be in use: it sends a request each renewInterval, and a lease lasts less than four of
-// those.
+// maxLeases is the number of leases of one lessee that are recorded separately. A lessee sends a request in each
+// renewInterval, and a lease lasts less than four of these.
 const maxLeases = 5
 
-// lessee is a router as the holder of a limit knows it. Times are by the holder's clock.
+// lessee is the record that the holder of a limit has of a router. Times are by the holder's clock.
 type lessee struct {
 	voteExpiresAt int64
 	demand        float64
@@ -24,7 +24,7 @@
 	leases        [maxLeases]lease.Allotment // those that have not expired may be in use
 }
 
-// grantToSelf has this router vote for itself as the holder, and lease what it wants.
+// grantToSelf records the vote of this router for itself as the holder and grants itself a lease for its demand.
 func (l *limitState) grantToSelf(now int64) {
 	rank := l.node.options.Rank
 	self := &l.lessees[rank]
@@ -41,7 +41,8 @@
 	}
 }
 
-// handleRequest takes in a request that came to this router, which may be the holder or become it, and answers it.
+// handleRequest records the vote and the demand in a request and answers it. If this router is not the holder, the vote
+// may elect it.
 func (l *limitState) handleRequest(now int64, m *message) {
 	from := &l.lessees[m.rank]
 	l.recordVote(now, from, m)
@@ -50,7 +51,7 @@
 	amount, term := l.grant(now, m.rank)
 	stamp := l.stamp(now)
 	if stamp == 0 {
-		return // 0 is no stamp: the next request will be answered
+		return // 0 means no stamp; the next request is answered
 	}
 	l.node.send(m.rank, &message{
 		kind:            leaseGrantMessage,
@@ -62,8 +63,9 @@
 	})
 }
 
-// recordVote books the vote that a request carries, if it is for this process. The vote counts from the stamp that it
-// echoes, which is older than the vote, so it expires here before it does for the voter.
+// recordVote records the vote in a request, if there is one and it is for this incarnation. The lifetime of the vote
+// counts from the stamp that it echoes. The stamp is older than the vote, so the vote expires here before it does at
+// the voter.
 func (l *limitState) recordVote(now int64, voter *lessee, m *message) {
 	if m.candidateIncarnation != l.node.options.Incarnation || m.stamp == 0 {
 		return
@@ -75,8 +77,8 @@
 	}
 }
 
-// grant gives a lessee a lease out of the pool, for as long as this router is surely the holder. Its term is 0 if
-// there is none to be had.
+// grant grants a lessee a lease from the pool. The term (us) is at most leaseLifetime and does not extend beyond the
+// election of this router. It is 0 if no lease is granted.
 func (l *limitState) grant(now int64, rank int) (amount float64, term int64) {
 	l.countVotesAndDemand(now)
 	term = min(leaseLifetime, l.electedUntil-now)
@@ -92,14 +94,14 @@
 	to := &l.lessees[rank]
 	fair := min(to.demand, l.fairShare) + l.surplusShare
 	amount = max(min(fair, free), 0)
-	amount = float64(amountDown(amount)) * lease.AmountUnit // as it goes over the wire
+	amount = float64(amountDown(amount)) * lease.AmountUnit // as encoded on the wire
 	expiresAt := now + term + int64(float64(term)*maxClockDrift)
 	lease.Record(now, to.leases[:], lease.Allotment{Amount: amount, ExpiresAt: expiresAt})
 	l.node.Counts.LeasesGranted++
 	return amount, term
 }
 
-// countVotesAndDemand computes until when this router is elected, and how the pool is shared.
+// countVotesAndDemand computes electedUntil and the fair shares of the pool, at most once in countLifetime.
 func (l *limitState) countVotesAndDemand(now int64) {
 	if l.countedAt != 0 && now-l.countedAt < countLifetime {
 		return
@@ -120,8 +122,9 @@
 	l.fairShare, l.surplusShare = fairShares(l.pool(), demands)
 }
 
-// fairShares divides a capacity by max-min fairness: each lessee gets what it wants and a part of the surplus or,
-// where that is too much, none gets more than a share that the capacity just bears. It sorts demands.
+// fairShares divides a capacity by max-min fairness. If the capacity covers all demands, each lessee gets its demand
+// and surplusShare. Otherwise each lessee gets at most fairShare, the largest share that the capacity allows. Demands
+// is sorted in place.
 func fairShares(capacity float64, demands []float64) (fairShare, surplusShare float64) {
 	sum := 0.0
 	for _, demand := range demands {
@@ -131,13 +134,13 @@
 		return capacity, (capacity - sum) / float64(max(len(demands), 1))
 	}
 	slices.Sort(demands)
-	left := capacity
-	for i, demand := range demands { // the modest first: what they leave is shared by the others
-		share := left / float64(len(demands)-i)
+	remaining := capacity
+	for i, demand := range demands { // ascending, so that the unused share of small demands goes to larger ones
+		share := remaining / float64(len(demands)-i)
 		if demand >= share {
 			return share, 0
 		}
-		left -= demand
+		remaining -= demand
 	}
 	return 0, 0
 }
--- a/core/fleet/limit_lessee.go
+++ b/core/fleet/limit_lessee.go
@@ -3,20 +3,20 @@
 import "spantack/core/lease"
 
 const (
-	hintLifetime = 2_000_000 // us, of a holder that another router has named
+	hintLifetime = 2_000_000 // us, of a hint about the holder from another router
 
-	maxUnansweredRequests = 4          // in a row, after which a router is avoided as holder
-	avoidDuration         = 12_000_000 // us, of a router that does not answer
-	maxPendingRequests    = 8          // requests whose leases may still come
+	maxUnansweredRequests = 4          // in a row, before a router is avoided as the holder
+	avoidDuration         = 12_000_000 // us, for a router that does not answer
+	maxPendingRequests    = 8          // requests whose grants are still accepted
 )
 
-// request is one for a lease that was sent.
+// request is the record of a lease request that was sent.
 type request struct {
 	sequence uint32 // of its datagram
-	sentAt   int64  // 0: none was
+	sentAt   int64  // 0: no request
 }
 
-// currentHolder is the holder that has granted this router a lease of late; lease.NoRank if none has.
+// currentHolder returns the holder if it has granted this router a lease within leaseLifetime, otherwise lease.NoRank.
 func (l *limitState) currentHolder(now int64) int {
 	if l.grantedAt != 0 && now-l.grantedAt < leaseLifetime {
 		return l.holder
@@ -24,8 +24,8 @@
 	return lease.NoRank
 }
 
-// noteHolderHint notes whom another router names as the holder of a limit.
-func (n *Node) noteHolderHint(now int64, m *message) {
+// recordHolderHint records the router that another router names as the holder of a limit.
+func (n *Node) recordHolderHint(now int64, m *message) {
 	if m.limit >= len(n.limits) || m.holder == lease.NoRank || m.holder >= n.options.FleetSize {
 		return
 	}
@@ -34,11 +34,11 @@
 	l.hintedAt = now
 }
 
-// isEligible reports whether a router may be the holder: it is taken for up, and answers.
+// isEligible reports whether a router may be chosen as the holder: it is considered up and not avoided.
 func (l *limitState) isEligible(rank int) bool { return l.node.IsUp(rank) && !l.avoided.Contains(rank) }
 
-// preferredHolder is the eligible router with the greatest hash, the same at all routers that take the same ones
-// for up.
+// preferredHolder returns the eligible router with the greatest hash. It is the same at all routers that agree on which
+// routers are eligible.
 func (l *limitState) preferredHolder() int {
 	preferred, greatest := l.node.options.Rank, uint64(0)
 	for rank := range l.node.members {
@@ -49,12 +49,12 @@
 	return preferred
 }
 
-// chooseHolder returns the router to vote for and to ask, lease.NoRank while a vote for one that is of no use any
-// more has not expired. A holder that grants leases is kept; else it is the one that others name, or the preferred
-// one.
+// chooseHolder returns the router that gets the vote and the next request of this router. A holder that grants leases
+// is retained. Otherwise the router that others name as the holder is chosen or, without a valid hint, the preferred
+// one. chooseHolder returns lease.NoRank until the vote for a holder that is not retained has expired.
 func (l *limitState) chooseHolder(now int64) int {
 	l.avoided.Expire(now)
-	if l.unansweredRequests >= maxUnansweredRequests && l.holder != lease.NoRank { // known sooner than by updates
+	if l.unansweredRequests >= maxUnansweredRequests && l.holder != lease.NoRank { // faster than membership updates
 		l.avoided[l.holder] = now + avoidDuration
 		l.unansweredRequests = 0
 	}
@@ -77,7 +77,7 @@
 	return target
 }
 
-// retainsHolder reports whether the holder is retained where target would be chosen without one.
+// retainsHolder reports whether the current holder is retained although target would be chosen without one.
 func (l *limitState) retainsHolder(now int64, target int) bool {
 	if l.holder == lease.NoRank || !l.node.IsUp(l.holder) {
 		return false
@@ -88,12 +88,12 @@
 	return l.isEligible(l.holder) && l.currentHolder(now) != lease.NoRank
 }
 
-// requestLease asks a holder for what this router wants and, where it may vote and has the holder's stamp to echo,
-// votes for it.
+// requestLease requests a lease for the demand of this router from a holder. The request includes a vote for the holder
+// if this router may vote and has a stamp of the holder to echo.
 func (l *limitState) requestLease(now int64, holder int) {
 	m := message{kind: leaseRequestMessage, limit: l.index, amount: l.wanted()}
-	mayVoteAnew := l.holderIncarnation != 0 || now >= l.voteExpiresAt
-	if l.mayVote(now) && l.holderStamp != 0 && mayVoteAnew {
+	mayCastVote := l.holderIncarnation != 0 || now >= l.voteExpiresAt
+	if l.mayVote(now) && l.holderStamp != 0 && mayCastVote {
 		m.stamp = l.holderStamp
 		m.candidateIncarnation = l.holderIncarnation
 		l.voteExpiresAt = now + voteLifetime
@@ -105,14 +105,14 @@
 	l.unansweredRequests++
 }
 
-// handleGrant takes in a lease, or the answer that there is none to be had.
+// handleGrant handles the answer of the holder to a request: a lease, or a term of 0 if none was granted.
 func (l *limitState) handleGrant(now int64, m *message) {
 	if m.rank != l.holder {
 		return
 	}
 	l.unansweredRequests = 0
 	if l.holderIncarnation != 0 && m.incarnation != l.holderIncarnation && now < l.voteExpiresAt {
-		l.holderStamp = 0 // the vote was for the process before: it must expire first
+		l.holderStamp = 0 // the vote is for the previous incarnation and must expire first
 		return
 	}
 	sentAt, isKnown := l.requestSentAt(m.requestSequence)
@@ -124,8 +124,8 @@
 	l.lastGrantedRequest = m.requestSequence
 	if m.term >= minLeaseTerm && m.term <= leaseLifetime {
 		l.grantedAt = now
-		// The lease counts from when its request was sent, which was before it was granted, and less the clocks'
-		// drift: it expires here before it does for the holder.
+		// The term counts from when the request was sent, which was before the grant, and is reduced by the clock
+		// drift. The lease therefore expires here before it does at the holder.
 		l.lease = lease.Allotment{
 			Amount:    m.amount,
 			ExpiresAt: sentAt + m.term - int64(float64(m.term)*maxClockDrift),
@@ -133,7 +133,7 @@
 	}
 }
 
-// requestSentAt is when the request with that sequence was sent, if it is still known.
+// requestSentAt returns the time at which the request with a sequence was sent, and whether that request is recorded.
 func (l *limitState) requestSentAt(sequence uint32) (sentAt int64, isKnown bool) {
 	for _, r := range l.requests {
 		if r.sentAt != 0 && r.sequence == sequence {
--- a/core/fleet/limit_state.go
+++ b/core/fleet/limit_state.go
@@ -2,54 +2,55 @@
 
 import "spantack/core/lease"
 
-// Times in microseconds. How the guarantee of the package follows from them stands there.
+// Times in microseconds. The package comment explains how the guarantee follows from them.
 const (
-	voteLifetime  = 3_000_000 // how long a vote for a holder counts from when it is sent
-	leaseLifetime = 1_500_000 // of a lease at most: shorter than a vote, so that a holder can grant leases all the time
-	minLeaseTerm  = 100_000   // a shorter lease is not granted
-	renewInterval = 400_000   // between two requests, with up to a quarter more at random
+	voteLifetime  = 3_000_000 // validity of a vote for a holder, from when it is sent
+	leaseLifetime = 1_500_000 // maximum; shorter than voteLifetime, so that a holder can grant without interruption
+	minLeaseTerm  = 100_000   // shorter leases are not granted
+	renewInterval = 400_000   // between two requests, plus a random part of up to a quarter
 
-	// voteDriftMargin is how much sooner a vote expires for the holder than for the voter, for any drift of clocks.
+	// voteDriftMargin is subtracted from the lifetime of a vote at the holder, so that the vote expires there before it
+	// expires at the voter for any clock drift up to maxClockDrift.
 	voteDriftMargin = voteLifetime * maxClockDrift * 2
 )
 
-// maxClockDrift is how much the rates of two clocks differ at most.
+// maxClockDrift is the maximum difference between the rates of two clocks, as a fraction.
 const maxClockDrift = 0.02
 
-// limitState is one limit that a single holder keeps: this router's use of it, and its part in it as a lessee and
-// as the holder.
+// limitState is the state of this router for one limit with a single holder: its use of the limit, and its state as a
+// lessee and as the holder.
 type limitState struct {
 	node  *Node
-	index int // among the limits
+	index int // in Options.Limits
 	limit Limit
 
-	inUse  int     // acquired and not released
-	demand float64 // what this router could use
+	inUse  int     // units acquired and not released
+	demand float64 // amount that this router could use
 
-	// As a lessee: the holder that this router votes for and asks.
+	// As a lessee: the holder that gets the votes and requests of this router.
 	holder            int    // lease.NoRank: none
-	holderIncarnation uint32 // that has the vote; 0: none has
-	holderStamp       uint32 // of that holder's last answer; 0: none
+	holderIncarnation uint32 // that the vote is for; 0: no vote
+	holderStamp       uint32 // in the holder's last answer; 0: none
 	voteExpiresAt     int64
-	hintedHolder      int // that another router has last named; lease.NoRank: none
+	hintedHolder      int // that another router last named as the holder; lease.NoRank: none
 	hintedAt          int64
 	avoided           lease.AvoidList // routers that do not answer requests
 
-	// As a lessee: requests, and the lease that the latest answer gave.
-	requests           [maxPendingRequests]request // by requestCount, modulo the length
+	// As a lessee: requests, and the latest lease.
+	requests           [maxPendingRequests]request // indexed by requestCount, modulo the length
 	requestCount       int
 	unansweredRequests int // in a row
 	nextRequestAt      int64
-	lastGrantedRequest uint32          // sequence of the latest request that was answered
-	lease              lease.Allotment // by the own clock
-	grantedAt          int64           // 0: the holder has granted no lease
+	lastGrantedRequest uint32          // sequence of the latest answered request
+	lease              lease.Allotment // by the clock of this router
+	grantedAt          int64           // 0: the current holder has granted no lease
 
 	// As the holder.
 	lessees      []lessee // by rank
 	countedAt    int64    // when the fields below were computed; 0: never
-	electedUntil int64    // until then more than half of all routers have voted for this one
-	fairShare    float64  // no lessee gets more, where there is too little for all
-	surplusShare float64  // what each lessee gets besides, where there is more than all want
+	electedUntil int64    // time until which votes of more than half of all routers are valid; 0: not elected
+	fairShare    float64  // upper bound for each lessee if demand exceeds the pool
+	surplusShare float64  // added to each grant if the pool exceeds demand
 }
 
 func newLimitState(n *Node, index int, limit Limit) *limitState {
@@ -64,12 +65,12 @@
 	}
 }
 
-// floor is what each router may have in use without a lease.
+// floor returns how much each router may have in use without a lease.
 func (l *limitState) floor() float64 {
 	return l.limit.Max * l.limit.FloorFraction / float64(l.node.options.FleetSize)
 }
 
-// pool is what the holder leases.
+// pool returns the part of the limit that the holder leases out.
 func (l *limitState) pool() float64 { return l.limit.Max * (1 - l.limit.FloorFraction) }
 
 func (l *limitState) quota(now int64) float64 {
@@ -104,17 +105,18 @@
 	}
 }
 
-// stamp is a time of this process in units of lease.TermUnit. It overflows after 49 days.
+// stamp returns the time since this process started in units of lease.TermUnit. It overflows after 49 days.
 func (l *limitState) stamp(now int64) uint32 {
 	return uint32((now - l.node.startedAt) / lease.TermUnit)
 }
 
-// mayVote reports whether all votes that a process before this one may have given have expired: they are forgotten.
+// mayVote reports whether all votes of the previous incarnation of this router must have expired. This process has no
+// record of them.
 func (l *limitState) mayVote(now int64) bool {
 	return now-l.node.startedAt >= voteLifetime+voteDriftMargin
 }
 
-// tick requests a lease when that is due.
+// tick requests a lease if a request is due.
 func (l *limitState) tick(now int64) {
 	if now < l.nextRequestAt {
 		return
@@ -129,5 +131,5 @@
 	}
 }
 
-// wanted is what this router wants of the pool: the floor is its own.
+// wanted returns the demand of this router for the pool, which is its demand beyond its floor.
 func (l *limitState) wanted() float64 { return max(l.demand-l.floor(), 0) }
--- a/core/fleet/limits_test.go
+++ b/core/fleet/limits_test.go
@@ -7,7 +7,8 @@
 	"spantack/core/lease"
 )
 
-// injectFault brings about one fault, or heals all cuts; check is called after each event meanwhile.
+// injectFault causes one random fault, or heals all partitions, one-way cuts and delays. It calls check after each
+// event that it runs.
 func injectFault(t *testing.T, w *world, check func()) {
 	t.Helper()
 	routers := len(w.processes)
@@ -24,7 +25,7 @@
 		if holder := w.holder(rank); holder != lease.NoRank {
 			w.extraDelay[holder] = w.rng.Int64N(3 * second)
 			w.run(w.now+w.extraDelay[holder]+second, check)
-			w.partition[holder] = 9 // and is cut off with what is on its way to it
+			w.partition[holder] = 9 // datagrams to the holder are still in flight
 		}
 	case 2:
 		w.loss = w.rng.Float64() * 0.4
@@ -40,10 +41,10 @@
 	}
 }
 
-// The guarantee of the package, whatever happens: floors and leases never pass the limit. With the check of a
-// lease's end, of votes at the start, or of the incarnation that was voted for taken out, this fails within 200
-// seeds.
-func TestQuotasNeverPassTheLimit(t *testing.T) {
+// Guards against violations of the guarantee of the package: under random faults, the sum of all floors and leases must
+// never exceed the limit. If the check of the expiry of a lease, the wait before the first vote, or the check of the
+// incarnation in a vote is removed, the test fails within 200 seeds.
+func TestQuotasNeverExceedLimit(t *testing.T) {
 	seeds := uint64(400)
 	if testing.Short() {
 		seeds = 40
@@ -58,7 +59,7 @@
 			sum := w.quotas(0, nil)
 			greatest = max(greatest, sum)
 			if sum > limit.Max+1e-6 {
-				t.Fatalf("seed %d, %d routers, at %.3f s: quotas of %.3f pass a limit of %v",
+				t.Fatalf("seed %d, %d routers, at %.3f s: quotas of %.3f exceed the limit of %v",
 					seed, routers, float64(w.now)/1e6, sum, limit.Max)
 			}
 		}
@@ -76,14 +77,14 @@
 		}
 	}
 	if greatest < 39 || granted < int(seeds)*50 {
-		t.Errorf("at most %.1f of 40 in use, %d leases: these worlds show nothing", greatest, granted)
+		t.Errorf("at most %.1f of 40 in use, %d leases: the worlds are too idle to test the bound", greatest, granted)
 	}
 }
 
-// The holder is one that not all would prefer, as the preferred one was away when it was chosen. It is cut off with
-// its leases out, and all others restart that moment, with nothing known of what they had voted for: they must not
-// have a second holder before the first one's leases have expired.
-func TestRestartedVotersVoteLate(t *testing.T) {
+// Guards against two holders when voters restart. The preferred holder is down at first, so another router becomes the
+// holder. That one is partitioned while its leases are in use, and at the same time all others restart without a record
+// of their votes. They must not elect the preferred one before the leases of the first holder have expired.
+func TestRestartedVotersWaitBeforeVoting(t *testing.T) {
 	for seed := range uint64(20) {
 		limit := Limit{Name: "fills", Max: 40, FloorFraction: 0.25}
 		w := newWorld(t, seed, 7, limit)
@@ -94,7 +95,7 @@
 		w.run(w.now+2*second, nil)
 		holder := w.holder(preferred)
 		if holder == lease.NoRank || holder == preferred {
-			t.Fatalf("seed %d: held by %d, preferred is %d", seed, holder, preferred)
+			t.Fatalf("seed %d: the holder is %d, the preferred holder %d", seed, holder, preferred)
 		}
 		w.partition[holder] = 1
 		for rank := range w.processes {
@@ -105,21 +106,21 @@
 		}
 		w.run(w.now+RecoveryTime, func() {
 			if sum := w.quotas(0, nil); sum > limit.Max+1e-6 {
-				t.Fatalf("seed %d: quotas of %.2f pass a limit of %v at %.3f s",
+				t.Fatalf("seed %d: quotas of %.2f exceed the limit of %v at %.3f s",
 					seed, sum, limit.Max, float64(w.now)/1e6)
 			}
 		})
 		if sum := w.meanQuotas(0, nil); sum < 0.8*limit.Max {
-			t.Errorf("seed %d: %.2f of %v in use once they have a holder", seed, sum, limit.Max)
+			t.Errorf("seed %d: %.2f of %v in use after the election of a holder", seed, sum, limit.Max)
 		}
 	}
 }
 
-// A vote counts from the stamp that it echoes: one that was long on its way has nearly expired.
-func TestVoteCountsFromItsStamp(t *testing.T) {
+// Guards against a delayed vote that is valid for too long: its lifetime must count from the stamp that it echoes.
+func TestVoteLifetimeCountsFromStamp(t *testing.T) {
 	for name, test := range map[string]struct {
-		age    int64 // of the vote's stamp
-		grants bool
+		age        int64 // us, of the stamp in the vote
+		wantsGrant bool
 	}{
 		"young":          {second, true},
 		"nearly expired": {voteLifetime - second/10, false},
@@ -130,7 +131,7 @@
 			w.run(w.now+RecoveryTime, nil)
 			holder := w.holder(0)
 			limit := w.processes[holder].node.limits[0]
-			now := w.localTime(holder) + 10*second // no vote counts any more
+			now := w.localTime(holder) + 10*second // all votes have expired
 			for rank := range 3 {
 				if rank == holder {
 					continue
@@ -144,17 +145,17 @@
 			}
 			limit.countedAt = 0
 			_, term := limit.grant(now, (holder+1)%3)
-			if (term > 0) != test.grants || term > max(voteLifetime-test.age, 0) {
-				t.Errorf("a lease of %d us on votes whose stamps were %d us old", term, test.age)
+			if (term > 0) != test.wantsGrant || term > max(voteLifetime-test.age, 0) {
+				t.Errorf("a lease of %d us with votes whose stamps are %d us old", term, test.age)
 			}
 		})
 	}
 }
 
-// What stays usable: while the fleet is cut in three, the partition with more than half of the routers has six
-// tenths of the pool or more, the others their floors; a holder that dies, or is cut off, is replaced within
-// RecoveryTime, also where it dies the moment that the partitions are one again.
-func TestPoolIsRecovered(t *testing.T) {
+// Guards against a pool that stays unused after a holder is lost. While the fleet has three partitions, the one with
+// more than half of the routers must use at least 60% of the pool, and the others only their floors. A holder that
+// dies or is partitioned must be replaced within RecoveryTime, also if it dies at the moment of the heal.
+func TestPoolRecoversAfterHolderLoss(t *testing.T) {
 	const routers = 15
 	for seed := range uint64(12) {
 		limit := Limit{Name: "fills", Max: 90, FloorFraction: 0.3}
@@ -162,13 +163,13 @@
 		w.loss = 0.1
 		w.run(w.now+RecoveryTime, nil)
 		if sum := w.meanQuotas(0, nil); sum < 0.9*limit.Max {
-			t.Fatalf("seed %d: %v of %v in use in a complete fleet", seed, sum, limit.Max)
+			t.Fatalf("seed %d: %v of %v in use with all routers running", seed, sum, limit.Max)
 		}
 		holder := w.holder(0)
 		if holder == lease.NoRank {
 			t.Fatalf("seed %d: no holder", seed)
 		}
-		for rank := range w.partition { // the holder and five others are cut off, in two partitions
+		for rank := range w.partition { // the holder and five others form two small partitions
 			if distance := (rank - holder + routers) % routers; distance < 6 {
 				w.partition[rank] = 1 + distance%2
 			}
@@ -179,12 +180,12 @@
 		floors := limit.Max * limit.FloorFraction
 		pool := limit.Max - floors
 		if large < 0.6*pool+floors*9/routers || math.Abs(small-floors*6/routers) > 1e-6 {
-			t.Errorf("seed %d: cut in three, %v in use in the large partition, %v in the small ones", seed, large, small)
+			t.Errorf("seed %d: three partitions, %v in use in the large one, %v in the small ones", seed, large, small)
 		}
 		clear(w.partition)
-		next := w.heldBy()
+		next := w.selfDeclaredHolder()
 		if next == lease.NoRank || next == holder {
-			t.Fatalf("seed %d: held by %d, by %d before the cut", seed, next, holder)
+			t.Fatalf("seed %d: the holder is %d, and was %d before the partition", seed, next, holder)
 		}
 		w.kill(next)
 		w.run(w.now+RecoveryTime, nil)
@@ -194,8 +195,8 @@
 	}
 }
 
-// A fleet of one keeps its limits by itself.
-func TestFleetOfOne(t *testing.T) {
+// Guards against a fleet of one router that cannot use its whole limit because no other router votes.
+func TestSingleRouterFleet(t *testing.T) {
 	w := newWorld(t, 1, 1, Limit{Name: "a", Max: 5, FloorFraction: 0.4})
 	w.run(w.now+RecoveryTime, nil)
 	n, now := w.processes[0].node, w.localTime(0)
@@ -208,12 +209,13 @@
 	}
 	n.Release(0)
 	if !n.TryAcquire(now, 0) || n.TryAcquire(now, 0) {
-		t.Error("one released is not one to be acquired")
+		t.Error("not exactly one unit can be acquired after one is released")
 	}
 }
 
-// A router gives no second holder its vote before the one for the first has expired, whatever becomes of that holder.
-func TestLesseeVotesForOneAtATime(t *testing.T) {
+// Guards against two holders: a router must not vote for a second holder before its vote for the first has expired,
+// even if the first does not answer.
+func TestLesseeDoesNotVoteForTwoHolders(t *testing.T) {
 	n, err := New(0, Options{FleetSize: 3, Sites: 1, Incarnation: 1, Limits: []Limit{{Name: "a", Max: 9}}})
 	if err != nil {
 		t.Fatal(err)
@@ -225,10 +227,10 @@
 	limit.unansweredRequests = maxUnansweredRequests
 	for at := now; at < limit.voteExpiresAt; at += renewInterval {
 		if holder := limit.chooseHolder(at); holder != lease.NoRank {
-			t.Fatalf("holder %d while the vote for %d counts, which does not answer", holder, first)
+			t.Fatalf("holder %d while the vote for the unresponsive %d is valid", holder, first)
 		}
 	}
 	if holder := limit.chooseHolder(limit.voteExpiresAt); holder == lease.NoRank || holder == first {
-		t.Errorf("holder %d once the vote for %d has expired, which does not answer", holder, first)
+		t.Errorf("holder %d after the vote for the unresponsive %d has expired", holder, first)
 	}
 }
--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -2,11 +2,11 @@
 
 import "spantack/core/gossip"
 
-// memberState is what a router is taken for. The values are those on the wire.
+// memberState is the state of a router as another one knows it. The values are part of the wire format.
 type memberState byte
 
-// The states, from the least to the gravest. A member of which nothing is known counts as up: only what was observed
-// takes one out.
+// The states, in ascending order of severity. A member whose state is unknown counts as up: a member counts as down
+// only if routers have observed that it does not answer.
 const (
 	stateUnknown memberState = iota
 	stateAlive
@@ -21,17 +21,17 @@
 type update struct {
 	rank        int
 	incarnation uint32
-	refutations uint16 // how often that incarnation has refuted that it is suspect or dead
+	refutations uint16 // number of times that incarnation has refuted that it is suspect or dead
 	state       memberState
 }
 
-// isSameVersion reports whether two updates about one router are of the same incarnation and refutation of it.
+// isSameVersion reports whether two updates about one router have the same incarnation and refutations.
 func (u update) isSameVersion(other update) bool {
 	return u.incarnation == other.incarnation && u.refutations == other.refutations
 }
 
-// supersedes reports whether u replaces other: by incarnation, by refutations, and with the same of both by the
-// graver state.
+// supersedes reports whether u replaces other. The greater incarnation wins, then the greater number of refutations,
+// then the more severe state.
 func (u update) supersedes(other update) bool {
 	if u.incarnation != other.incarnation {
 		return u.incarnation > other.incarnation
@@ -42,34 +42,34 @@
 	return u.state > other.state
 }
 
-// member is a router as this one knows it.
+// member is what this router knows of a router.
 type member struct {
-	update // what is known of it, and sent on
+	update // latest known state, which is also sent to others
 
 	replayWindow   gossip.ReplayWindow // of its datagrams
-	lastReceivedAt int64               // of a datagram of its own; 0: none
-	transmissions  int                 // how often the update is still to be sent
+	lastReceivedAt int64               // time of the latest datagram from the member itself; 0: none
+	transmissions  int                 // number of times that the update must still be sent
 
 	// While suspect.
 	suspectedAt     int64
-	suspicionEndsAt int64                 // then it is declared dead
-	confirmedBy     [maxConfirmations]int // who else suspects it
-	confirmations   int                   // how many of confirmedBy count
+	suspicionEndsAt int64                 // time at which it is declared dead
+	confirmedBy     [maxConfirmations]int // ranks of the members that suspect it
+	confirmations   int                   // number of entries of confirmedBy in use
 
-	// needsSuspicionNotice tells that the member is suspected or declared dead by others while this router receives
-	// from it: it must be told, so that it can refute that.
+	// needsSuspicionNotice reports that the member is suspected, or that others consider it suspect or dead while this
+	// router receives from it. The datagrams to the member then include a suspicion, so that it can refute it.
 	needsSuspicionNotice bool
 }
 
-// noReporter stands for the reporter of an update that follows from what is known here.
+// noReporter is the reporter of an update that this router derives from its own state.
 const noReporter = -1
 
-// IsUp reports whether a router is not declared dead.
+// IsUp reports whether a router has not been declared dead.
 func (n *Node) IsUp(rank int) bool {
 	return rank == n.options.Rank || n.members[rank].state != stateDead
 }
 
-// LiveCount is how many routers are not declared dead, this one among them.
+// LiveCount returns the number of routers that have not been declared dead, including this one.
 func (n *Node) LiveCount() (live int) {
 	for rank := range n.members {
 		if n.IsUp(rank) {
@@ -79,8 +79,8 @@
 	return live
 }
 
-// noteReceivedFrom notes a datagram of a member itself, which is the newest evidence that there is of it.
-func (n *Node) noteReceivedFrom(now int64, m *member, incarnation uint32) {
+// recordReceived records the arrival of a datagram from a member itself, which is the latest evidence that it is alive.
+func (n *Node) recordReceived(now int64, m *member, incarnation uint32) {
 	m.lastReceivedAt = now
 	switch {
 	case incarnation > m.incarnation:
@@ -88,39 +88,41 @@
 		m.update = update{m.rank, incarnation, 0, stateAlive}
 		n.queueUpdate(m)
 	case incarnation == m.incarnation && m.state != stateAlive:
-		// The evidence counts here. Others believe only the member itself: it must refute what they have received.
+		// The datagram is evidence for this router only. For other routers, the member itself must refute the updates
+		// that they have received.
 		m.needsSuspicionNotice = m.needsSuspicionNotice || m.state >= stateSuspect
 		m.state = stateAlive
 	}
 }
 
-// applyUpdate takes in a membership update that a member sent, or that follows from what is known here.
+// applyUpdate applies a membership update that a member sent, or that this router derived from its own state.
 func (n *Node) applyUpdate(now int64, u update, reporter int) {
 	m := &n.members[u.rank]
 	switch {
 	case u.rank == n.options.Rank:
 		n.refute(m, u)
 	case u.state == stateSuspect:
-		n.suspectMember(now, m, u, reporter)
+		n.applySuspect(now, m, u, reporter)
 	case u.state == stateDead:
-		n.deadMember(now, m, u, reporter)
+		n.applyDead(now, m, u, reporter)
 	default:
-		n.aliveMember(m, u)
+		n.applyAlive(m, u)
 	}
 }
 
-// aliveMember takes in that a member has started anew, or has refuted what was held against it.
-func (n *Node) aliveMember(m *member, u update) {
+// applyAlive applies an update that a member has restarted, or has refuted that it is suspect or dead.
+func (n *Node) applyAlive(m *member, u update) {
 	if u.supersedes(m.update) {
 		m.replaceUpdate(u)
 		n.queueUpdate(m)
 	}
 }
 
-// refute has this router deny that it is suspect or dead.
+// refute refutes an update that this router is suspect or dead, if it is about the current incarnation and has not been
+// refuted yet.
 func (n *Node) refute(self *member, u update) {
-	isAboutNow := u.incarnation == self.incarnation && u.refutations >= self.refutations
-	if u.state < stateSuspect || !isAboutNow {
+	isCurrent := u.incarnation == self.incarnation && u.refutations >= self.refutations
+	if u.state < stateSuspect || !isCurrent {
 		return
 	}
 	self.refutations = u.refutations + 1
@@ -128,13 +130,13 @@
 	n.queueUpdate(self)
 }
 
-// suspectMember takes in that a member is suspected: a suspicion begins here or, if there is one, is confirmed.
-func (n *Node) suspectMember(now int64, m *member, u update, reporter int) {
+// applySuspect applies an update that a member is suspect. It starts a suspicion or confirms an existing one.
+func (n *Node) applySuspect(now int64, m *member, u update, reporter int) {
 	if m.state == stateSuspect && u.isSameVersion(m.update) {
 		n.confirmSuspicion(m, reporter)
 		return
 	}
-	if !n.acceptsAgainst(now, m, u, reporter) {
+	if !n.acceptsFailureUpdate(now, m, u, reporter) {
 		return
 	}
 	m.replaceUpdate(u)
@@ -142,17 +144,17 @@
 	n.queueUpdate(m)
 }
 
-// deadMember takes in that a member is declared dead.
-func (n *Node) deadMember(now int64, m *member, u update, reporter int) {
-	if n.acceptsAgainst(now, m, u, reporter) {
+// applyDead applies an update that a member is dead.
+func (n *Node) applyDead(now int64, m *member, u update, reporter int) {
+	if n.acceptsFailureUpdate(now, m, u, reporter) {
 		m.replaceUpdate(u)
 		n.queueUpdate(m)
 	}
 }
 
-// acceptsAgainst reports whether an update by which a member is suspect or dead replaces what is known of it. If this
-// router's own evidence contradicts it, the member is to be told instead.
-func (n *Node) acceptsAgainst(now int64, m *member, u update, reporter int) bool {
+// acceptsFailureUpdate reports whether an update that a member is suspect or dead replaces its known state. If evidence
+// of this router contradicts the update, the member is notified instead.
+func (n *Node) acceptsFailureUpdate(now int64, m *member, u update, reporter int) bool {
 	if !u.supersedes(m.update) {
 		return false
 	}
@@ -163,14 +165,14 @@
 	return true
 }
 
-// contradicts reports whether this router has received from a member so lately that it takes no other's word, only
-// its own, for an update against that member.
+// contradicts reports whether this router has received a datagram from a member within probeInterval, so that it
+// rejects updates from other routers that this incarnation of the member is suspect or dead.
 func (n *Node) contradicts(now int64, m *member, u update, reporter int) bool {
 	isRecent := m.lastReceivedAt != 0 && now-m.lastReceivedAt < probeInterval
 	return isRecent && u.incarnation == m.incarnation && reporter != n.options.Rank
 }
 
-// replaceUpdate replaces what is known of a member.
+// replaceUpdate replaces the known state of a member.
 func (m *member) replaceUpdate(u update) {
 	if u.incarnation > m.incarnation || u.refutations > m.refutations {
 		m.needsSuspicionNotice = false
--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Seven in ten die at once, and restart under their names: those left take the others for dead, and for up again,
-// with one in ten datagrams lost.
-func TestSevenInTenDieAtOnce(t *testing.T) {
+// Guards against a wrong count of live routers after 70% of them die at once, and after they restart with the same
+// ranks. The loss is 10%.
+func TestMassFailureAndRestartAreDetected(t *testing.T) {
 	const routers, dead = 40, 28
 	w := newWorld(t, 3, routers)
 	w.loss = 0.1
@@ -12,10 +12,10 @@
 	for rank := range dead {
 		w.kill(rank)
 	}
-	w.run(w.now+40*second, nil) // most probes go to dead members, one after the other
+	w.run(w.now+40*second, nil) // most probes go to dead members, one at a time
 	for rank := dead; rank < routers; rank++ {
 		if live := w.liveCount(rank); live != routers-dead {
-			t.Errorf("router %d takes %d of 40 for up where 12 are", rank, live)
+			t.Errorf("router %d considers %d of 40 up, want 12", rank, live)
 		}
 	}
 	for rank := range dead {
@@ -24,14 +24,15 @@
 	w.run(w.now+6*second, nil)
 	for rank := range routers {
 		if live := w.liveCount(rank); live != routers {
-			t.Errorf("router %d takes %d of 40 for up where all are", rank, live)
+			t.Errorf("router %d considers %d of 40 up, want all", rank, live)
 		}
 	}
 }
 
-// Two halves that each take the other for dead find one another again; a process that was paused for three seconds,
-// and one that receives but is not received by one other, are not declared dead for longer than they deserve.
-func TestWhoIsUpAfterFaults(t *testing.T) {
+// Guards against members that stay dead after a fault: two halves of a fleet that were partitioned must find each other
+// again. A process that was paused for three seconds, and one whose datagrams do not reach some of the other routers,
+// must not be considered dead afterwards.
+func TestMembershipRecoversAfterFaults(t *testing.T) {
 	const routers = 20
 	w := newWorld(t, 5, routers)
 	w.run(w.now+4*second, nil)
@@ -40,28 +41,28 @@
 	}
 	w.run(w.now+30*second, nil)
 	if first, last := w.liveCount(0), w.liveCount(19); first != 10 || last != 10 {
-		t.Errorf("halves of 10 take %d and %d for up", first, last)
+		t.Errorf("routers in halves of 10 consider %d and %d up", first, last)
 	}
 	clear(w.partition)
 	w.run(w.now+20*second, nil)
 	for rank := range routers {
 		if live := w.liveCount(rank); live != routers {
-			t.Errorf("router %d takes %d of 20 for up after the heal", rank, live)
+			t.Errorf("router %d considers %d of 20 up after the heal, want all", rank, live)
 		}
 	}
-	const unheard, paused = 3, 12
-	for rank := range routers { // some do not receive from it, but all receive of it
-		if rank != 7 && rank != unheard {
-			w.oneWay[[2]int{unheard, rank}] = rank < 5
+	const oneWayRank, paused = 3, 12
+	for rank := range routers { // some routers receive no datagrams from oneWayRank, but updates about it from others
+		if rank != 7 && rank != oneWayRank {
+			w.oneWay[[2]int{oneWayRank, rank}] = rank < 5
 		}
 	}
 	w.processes[paused].pausedUntil = w.now + 3*second
 	w.run(w.now+12*second, nil)
 	for rank := range routers {
 		n := w.processes[rank].node
-		if !n.IsUp(unheard) || !n.IsUp(paused) {
-			t.Errorf("router %d takes %d for %v and %d for %v",
-				rank, unheard, n.members[unheard].state, paused, n.members[paused].state)
+		if !n.IsUp(oneWayRank) || !n.IsUp(paused) {
+			t.Errorf("router %d considers %d %v and %d %v",
+				rank, oneWayRank, n.members[oneWayRank].state, paused, n.members[paused].state)
 		}
 	}
 }
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -9,49 +9,51 @@
 	"spantack/core/lease"
 )
 
-// Broadcast stands for all members where a rank is wanted: one datagram that reaches all.
+// Broadcast is the value of a rank that refers to all members: one datagram reaches all of them.
 const Broadcast = -1
 
 // Times in microseconds.
 const (
-	tickInterval   = 50_000  // how often Tick wants to be called: a probe's answer is looked for no later than that
-	pauseThreshold = 500_000 // between two calls of Tick: the process was stopped, or starved
+	tickInterval   = 50_000  // between two calls of Tick, which check whether the answer to a probe is overdue
+	pauseThreshold = 500_000 // between two calls of Tick, above which the process was stopped or had no CPU time
 )
 
-// ErrInvalidOptions is wrapped by the errors of New, which name the option.
+// ErrInvalidOptions is wrapped by the errors of New.
 var ErrInvalidOptions = errors.New("invalid options")
 
-// Options of a Node. All routers of a fleet are given the same FleetSize, Sites, Limits and LeaseTree.
+// Options are the parameters of a Node. FleetSize, Sites, Limits and LeaseTree must be the same at all routers of a
+// fleet.
 type Options struct {
 	Rank        int    // of this router, from 0
-	FleetSize   int    // routers in the settings
+	FleetSize   int    // number of routers in the settings
 	Site        int    // of this router, from 0
-	Sites       int    // sites in the settings
+	Sites       int    // number of sites in the settings
 	Incarnation uint32 // greater at each start of this router
 	Seed        uint64 // of random numbers
 	Limits      []Limit
-	// LeaseTree has limits kept by a tree of leases (package lease); nil: by one holder for the whole fleet.
+	// LeaseTree is the topology of the tree of leases for the limits (package lease). If it is nil, each limit has one
+	// holder for the whole fleet.
 	LeaseTree *lease.Topology
 }
 
-// Counts of a Node since its start.
+// Counts are the counters of a Node since its start.
 type Counts struct {
 	Sent, Received, Dropped int64 // datagrams
-	Suspected               int64 // members that this router suspected by its own probes
-	DeclaredDead            int64 // members whose suspicion ended here
+	Suspected               int64 // members that this router suspected after its own probes
+	DeclaredDead            int64 // members that this router declared dead when their suspicion ended
 	LeasesGranted           int64
 	VotesSent               int64
 }
 
-// Node is one router's part in the fleet. It is not safe for concurrent use. The functions are set before its first
-// use and are called from within its methods.
+// Node is the state of one router in the fleet. It is not safe for concurrent use. The callbacks must be set before the
+// first use. The methods of the node call them.
 type Node struct {
 	Counts Counts
 
-	// Send hands a datagram out to a rank or to Broadcast. It must not keep the bytes.
+	// Send sends a datagram to a rank or to Broadcast. It must not retain the bytes.
 	Send func(rank int, datagram []byte)
-	// OnHolderChange is called when this router asks another holder for leases of a limit's groups of a level;
-	// lease.NoRank: none is known. It is called only where limits are kept by a tree of leases.
+	// OnHolderChange is called when this router chooses another holder for the group of a level in the tree of a limit.
+	// Holder is lease.NoRank if none is known. It is called only if the limits use a tree of leases.
 	OnHolderChange func(limit, level, holder int)
 
 	options      Options
@@ -62,30 +64,30 @@
 
 	// Membership.
 	members        []member // by rank
-	pendingUpdates []int    // ranks of the members whose updates are still to be sent
-	healthScore    int      // of Lifeguard: grows as this router itself misses answers
+	pendingUpdates []int    // ranks of the members whose updates must still be sent
+	healthScore    int      // as in Lifeguard: increases when this router misses answers
 
 	// Probing.
-	probeOrder     []int // ranks of the others, shuffled anew each round
-	probeIndex     int   // in probeOrder, of the next to probe
+	probeOrder     []int // ranks of the other members, shuffled in each round
+	probeIndex     int   // index in probeOrder of the next target
 	nextProbeAt    int64
 	currentProbe   probe
 	token          uint32 // of the latest probe
 	indirectProbes map[uint32]indirectProbe
 
-	// Limits, in the order of Options.Limits. One of the two is nil.
+	// Limits, in the order of Options.Limits. One of the two slices is nil.
 	limits     []*limitState
 	leaseTrees []*lease.Node
 
 	healthReports *HealthReports
 
-	received      message  // used again by each Receive
-	updatesToSend []update // used again by each send
-	sendBuffer    []byte   // used again by each send
+	received      message  // reused by each Receive
+	updatesToSend []update // reused by each send
+	sendBuffer    []byte   // reused by each send
 }
 
-// New returns a node that starts now and knows nothing but the settings. Its error wraps ErrInvalidOptions and
-// names the option.
+// New returns a node that starts at now (us) and has no state besides its options. Its error wraps ErrInvalidOptions
+// and names the invalid option.
 func New(now int64, options Options) (*Node, error) {
 	if err := options.validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidOptions, err)
@@ -119,7 +121,7 @@
 		return err
 	}
 	if len(o.Limits) > maxLimits {
-		return fmt.Errorf("limits: %d, %d at most", len(o.Limits), maxLimits)
+		return fmt.Errorf("limits: %d, want at most %d", len(o.Limits), maxLimits)
 	}
 	for i, limit := range o.Limits {
 		if err := limit.Validate(); err != nil {
@@ -133,12 +135,12 @@
 		return fmt.Errorf("lease tree: %w", err)
 	}
 	if o.LeaseTree.Routers <= o.Rank {
-		return fmt.Errorf("lease tree: routers: %d, and this router has rank %d", o.LeaseTree.Routers, o.Rank)
+		return fmt.Errorf("lease tree: routers: %d is not above the rank of this router, %d", o.LeaseTree.Routers, o.Rank)
 	}
 	return nil
 }
 
-// startMembership sets out with all others unknown, and this router alive.
+// startMembership initializes the members: this router is alive, and the state of all others is unknown.
 func (n *Node) startMembership(now int64) {
 	for rank := range n.members {
 		n.members[rank].rank = rank
@@ -154,7 +156,8 @@
 	n.nextProbeAt = now + int64(n.rng.Float64()*probeInterval)
 }
 
-// Tick does what is due and returns the time by which it wants to be called again.
+// Tick sends probes, requests and reports that are due, handles timeouts, and returns the time (us) by which it must be
+// called again.
 func (n *Node) Tick(now int64) (next int64) {
 	if pause := now - n.lastCalledAt; pause > pauseThreshold && n.lastCalledAt > 0 {
 		n.handlePause(pause)
@@ -174,9 +177,9 @@
 	return now + tickInterval
 }
 
-// Receive takes in a datagram of the router with that rank, as its address tells, and sends what it calls for. Its
-// error wraps ErrMalformed, ErrUnknownSender or ErrStale; nothing was taken in then. This router's own datagrams,
-// which come back where an address reaches all, are passed over.
+// Receive handles a datagram from the router with the given rank and sends the answer, if any. The caller derives the
+// rank from the sender's address. The error wraps ErrMalformed, ErrUnknownSender or ErrStale, and the datagram then has
+// no effect. Receive ignores datagrams of this router itself, which can arrive through a broadcast address.
 func (n *Node) Receive(now int64, rank int, datagram []byte) error {
 	if rank == n.options.Rank {
 		return nil
@@ -200,9 +203,9 @@
 	}
 	sender := &n.members[rank]
 	if !sender.replayWindow.Accept(m.incarnation, m.sequence) {
-		return fmt.Errorf("%w: rank %d, %d of %d", ErrStale, rank, m.sequence, m.incarnation)
+		return fmt.Errorf("%w: rank %d, sequence %d of incarnation %d", ErrStale, rank, m.sequence, m.incarnation)
 	}
-	n.noteReceivedFrom(now, sender, m.incarnation)
+	n.recordReceived(now, sender, m.incarnation)
 	for _, u := range m.updates {
 		if u.rank < n.options.FleetSize {
 			n.applyUpdate(now, u, rank)
@@ -212,14 +215,14 @@
 	return nil
 }
 
-// handle does what a message calls for.
+// handle handles a message by its kind.
 func (n *Node) handle(now int64, m *message) {
 	switch m.kind {
 	case pingMessage:
-		n.noteHolderHint(now, m)
+		n.recordHolderHint(now, m)
 		n.handlePing(m)
 	case ackMessage:
-		n.noteHolderHint(now, m)
+		n.recordHolderHint(now, m)
 		n.handleAck(now, m)
 	case indirectPingMessage:
 		n.handleIndirectPing(now, m)
@@ -238,14 +241,14 @@
 	}
 }
 
-// send hands out a message of this process, with updates where there is room for them.
+// send sends a message with the header of this process and as many updates as fit.
 func (n *Node) send(to int, m *message) {
 	n.sequence++
 	m.rank = n.options.Rank
 	m.site = n.options.Site
 	m.incarnation = n.options.Incarnation
 	m.sequence = n.sequence
-	m.updates = n.takeUpdates(to, m.kind)
+	m.updates = n.selectUpdates(to, m.kind)
 	n.Counts.Sent++
 	n.sendBuffer = m.append(n.sendBuffer[:0])
 	n.Send(to, n.sendBuffer)
--- a/core/fleet/node_test.go
+++ b/core/fleet/node_test.go
@@ -15,15 +15,15 @@
 		"rank: 3 of 3":                    func(o *Options) { o.Rank = 3 },
 		"sites: 0 is not 1 to 65536":      func(o *Options) { o.Sites = 0 },
 		"site: 2 of 2":                    func(o *Options) { o.Site = 2 },
-		"limits: 9, 8 at most":            func(o *Options) { o.Limits = make([]Limit, 9) },
+		"limits: 9, want at most 8":       func(o *Options) { o.Limits = make([]Limit, 9) },
 		"limits[0].name: missing":         func(o *Options) { o.Limits = []Limit{{Max: 1}} },
-		"limits[0].a: NaN is not above 0 to 1000000": func(o *Options) {
+		"limits[0].a: NaN is not above 0 and at most 1000000": func(o *Options) {
 			o.Limits = []Limit{{Name: "a", Max: math.NaN()}}
 		},
-		"limits[0].floor: 2 is not 0 to 1": func(o *Options) {
+		"limits[0].floor: 2 is not between 0 and 1": func(o *Options) {
 			o.Limits = []Limit{{Name: "a", Max: 1, FloorFraction: 2}}
 		},
-		"limits[0].expiryMargin: 1500000 us is not 0 to less than 1500000": func(o *Options) {
+		"limits[0].expiryMargin: 1500000 us is not at least 0 and below 1500000 us": func(o *Options) {
 			o.Limits = []Limit{{Name: "a", Max: 1, ExpiryMargin: leaseLifetime}}
 		},
 	} {
@@ -38,9 +38,9 @@
 	}
 }
 
-// Routers that know only core/gossip are in the fleet while it is upgraded: each side drops the other's datagrams
-// as of an unknown kind, and goes on.
-func TestVersionsIgnoreOneAnother(t *testing.T) {
+// Guards against datagrams that a router of another version misinterprets. During an upgrade, a fleet has routers that
+// support only core/gossip. Each version must drop the datagrams of the other as of an unknown kind and stay usable.
+func TestVersionsDropEachOthersDatagrams(t *testing.T) {
 	old, err := gossip.New(gossip.Options{Rank: 1, FleetSize: 20, Sites: 4, Incarnation: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	n.Send = func(to int, datagram []byte) {
 		sent++
 		if err := old.Receive(second, 0, datagram, func(string) {}); !errors.Is(err, gossip.ErrMalformed) {
-			t.Errorf("a router of the version before takes %x for its own: %v", datagram, err)
+			t.Errorf("a router of the previous version accepts %x: %v", datagram, err)
 		}
 	}
 	for now := int64(0); now < 5*second; now += tickInterval {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Whatever is received, a node neither fails nor gets more than its floor of it.
+// Guards against datagrams with any content that make a node panic or raise its quota above its floor.
 func FuzzReceive(f *testing.F) {
 	m := message{rank: 1, incarnation: 2, sequence: 3, updates: []update{{0, 1, 0, stateDead}, {1, 9, 9, stateAlive}}}
 	for kind := pingMessage; kind < messageKindEnd; kind++ {
@@ -85,7 +85,7 @@
 		}
 		n.Send = func(_ int, sent []byte) {
 			if len(sent) > MaxDatagramSize {
-				t.Fatalf("%d bytes", len(sent))
+				t.Fatalf("a datagram of %d bytes", len(sent))
 			}
 		}
 		err = n.Receive(second, 1, datagram)
@@ -95,7 +95,7 @@
 		}
 		n.Tick(2 * second)
 		if quota := n.Quota(2*second, 0); quota > 0.5 {
-			t.Fatalf("%x gives a quota of %v", datagram, quota)
+			t.Fatalf("datagram %x raises the quota to %v, above the floor of 0.5", datagram, quota)
 		}
 	})
 }
--- a/core/fleet/probing.go
+++ b/core/fleet/probing.go
@@ -2,37 +2,37 @@
 
 import "spantack/core/lease"
 
-// Times in microseconds. A router that dies is declared dead by nearly all others within 7 s in a fleet of 300,
-// each of which is probed once in that time or more.
+// Times in microseconds. In a fleet of 300, nearly all routers declare a router that has died dead within 7 s. Each
+// router is probed at least once in that time.
 const (
-	probeInterval         = 500_000 // between two probes, with up to a fifth more at random
-	probeTimeout          = 150_000 // for the ack of a direct probe, times 1 + health score
-	indirectTimeout       = 350_000 // for the ack of an indirect probe, from the direct one, times 1 + health score
+	probeInterval         = 500_000 // between two probes, plus a random part of up to a fifth
+	probeTimeout          = 150_000 // for the ack of a direct probe, multiplied by 1 + health score
+	indirectTimeout       = 350_000 // for the ack of an indirect probe, from the direct probe on, multiplied likewise
 	indirectProbeLifetime = 2_000_000
 )
 
 const (
-	indirectProbeCount = 3  // members that are asked to probe one that does not answer
-	maxIndirectProbes  = 64 // probes for others that are out
-	maxHealthScore     = 7  // bounds how patient a router grows that misses answers itself
+	indirectProbeCount = 3  // requests to other members to probe a target that does not answer
+	maxIndirectProbes  = 64 // pending probes for other members
+	maxHealthScore     = 7  // bounds the timeouts of a router that misses answers
 
-	// deadProbeFraction, times the part of the fleet that is declared dead, is the part of all probes that go to dead
-	// members: halves of a fleet must find one another again.
+	// deadProbeFraction, multiplied by the fraction of members that are declared dead, is the fraction of probes that
+	// are sent to dead members. These probes let partitions find each other after a heal.
 	deadProbeFraction = 0.5
 )
 
-// probe is one that is under way.
+// probe is a probe of this router that is in progress.
 type probe struct {
-	target     int // lease.NoRank: no probe is under way
+	target     int // lease.NoRank: no probe is in progress
 	token      uint32
 	sentAt     int64
-	isIndirect bool // others have been asked to probe the target too
+	isIndirect bool // other members were also requested to probe the target
 }
 
-// noProbe is the state in which no probe is under way.
+// noProbe is the value of a probe when none is in progress.
 var noProbe = probe{target: lease.NoRank}
 
-// indirectProbe is one made for another member.
+// indirectProbe is a probe on behalf of another member.
 type indirectProbe struct {
 	requester      int
 	requesterToken uint32
@@ -42,7 +42,7 @@
 func (n *Node) raiseHealthScore() { n.healthScore = min(n.healthScore+1, maxHealthScore) }
 func (n *Node) lowerHealthScore() { n.healthScore = max(n.healthScore-1, 0) }
 
-// scaleTimeout is a timeout lengthened by how far this router misses answers itself.
+// scaleTimeout returns a timeout multiplied by 1 + health score.
 func (n *Node) scaleTimeout(timeout int64) int64 { return timeout * int64(1+n.healthScore) }
 
 func (n *Node) shuffleProbeOrder() {
@@ -52,8 +52,8 @@
 	n.probeIndex = 0
 }
 
-// checkProbe sees to the probe that is under way, if there is one: it asks others to probe the target too when the
-// ack is overdue, and suspects the target when there is none to that either.
+// checkProbe handles the timeouts of the probe in progress, if any. After probeTimeout it requests indirect probes from
+// other members, and after indirectTimeout it suspects the target.
 func (n *Node) checkProbe(now int64) {
 	p := &n.currentProbe
 	if p.target == lease.NoRank {
@@ -72,7 +72,7 @@
 	}
 }
 
-// probeIndirectly asks some others to probe a target.
+// probeIndirectly requests other members, chosen at random, to probe the target.
 func (n *Node) probeIndirectly(p *probe) {
 	for range indirectProbeCount {
 		helper := n.probeOrder[n.rng.IntN(len(n.probeOrder))]
@@ -82,43 +82,43 @@
 	}
 }
 
-// startProbe sends the next probe when that is due and none is under way.
+// startProbe sends the next probe if it is due and no probe is in progress.
 func (n *Node) startProbe(now int64) {
 	if n.currentProbe.target != lease.NoRank || now < n.nextProbeAt || len(n.probeOrder) == 0 {
 		return
 	}
 	n.nextProbeAt = now + probeInterval + int64(n.rng.Float64()*probeInterval/5)
 	deadFraction := 1 - float64(n.LiveCount())/float64(n.options.FleetSize)
-	wantsDead := n.rng.Float64() < deadProbeFraction*deadFraction
-	target := n.nextProbeTarget(wantsDead)
+	probeDead := n.rng.Float64() < deadProbeFraction*deadFraction
+	target := n.nextProbeTarget(probeDead)
 	if target == lease.NoRank {
 		return
 	}
 	n.token++
-	if !wantsDead { // a dead member owes no ack; if it is there after all, its ack shows that
+	if !probeDead { // a dead member need not answer; if it does, its ack shows that it is alive
 		n.currentProbe = probe{target: target, token: n.token, sentAt: now}
 	}
 	n.sendProbeMessage(target, pingMessage, target, n.token)
 }
 
-// nextProbeTarget is the next member in the order of probes that is up or, if wantsDead, declared dead;
+// nextProbeTarget returns the next member in probeOrder that is up or, if probeDead is set, declared dead. It returns
 // lease.NoRank if there is none.
-func (n *Node) nextProbeTarget(wantsDead bool) int {
+func (n *Node) nextProbeTarget(probeDead bool) int {
 	for range n.probeOrder {
 		if n.probeIndex >= len(n.probeOrder) {
 			n.shuffleProbeOrder()
 		}
 		rank := n.probeOrder[n.probeIndex]
 		n.probeIndex++
-		if n.IsUp(rank) != wantsDead {
+		if n.IsUp(rank) != probeDead {
 			return rank
 		}
 	}
 	return lease.NoRank
 }
 
-// sendProbeMessage sends a ping, an ack or an indirect ping, with the holder of one limit as this router knows it;
-// the limits take turns.
+// sendProbeMessage sends a ping, an ack or an indirect ping. The message includes the holder of one of the limits, as
+// this router knows it. Successive datagrams include different limits.
 func (n *Node) sendProbeMessage(to int, kind messageKind, target int, token uint32) {
 	m := message{kind: kind, target: target, token: token, holder: lease.NoRank}
 	if len(n.limits) > 0 {
@@ -133,7 +133,7 @@
 	n.sendProbeMessage(m.rank, ackMessage, n.options.Rank, m.token)
 }
 
-// handleIndirectPing probes a target for another member.
+// handleIndirectPing probes a target on behalf of another member, unless maxIndirectProbes are pending.
 func (n *Node) handleIndirectPing(now int64, m *message) {
 	if m.target >= n.options.FleetSize || m.target == n.options.Rank || len(n.indirectProbes) >= maxIndirectProbes {
 		return
@@ -143,7 +143,7 @@
 	n.sendProbeMessage(m.target, pingMessage, m.target, n.token)
 }
 
-// handleAck ends a probe, this router's or one that it made for another member.
+// handleAck ends the probe in progress, or forwards the ack of a probe on behalf of another member.
 func (n *Node) handleAck(now int64, m *message) {
 	if p := &n.currentProbe; p.target == m.target && p.token == m.token {
 		p.target = lease.NoRank
@@ -165,7 +165,8 @@
 	}
 }
 
-// handlePause makes up for a time in which this process did not run: it was away, not the others.
+// handlePause compensates for a pause (us) of this process. Answers may be missing because of the pause, not because
+// other members have failed, so the probe in progress is dropped and suspicions are extended.
 func (n *Node) handlePause(pause int64) {
 	n.currentProbe.target = lease.NoRank
 	n.raiseHealthScore()
--- a/core/fleet/stored_compat_test.go
+++ b/core/fleet/stored_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The log line fleet of a router holds these.
-func TestLoggedHoldingsAreReadAndWrittenAlike(t *testing.T) {
+// Guards against a change of the JSON format of LimitStatus, which routers write to the log line "fleet".
+func TestLoggedLimitStatusCompat(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/holdings.json", "", []LimitStatus{
 		{
 			Name:       "s1",
--- a/core/fleet/suspicion.go
+++ b/core/fleet/suspicion.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// maxConfirmations by others take a suspicion from its longest time to its shortest.
+// maxConfirmations is the number of confirmations that shorten a suspicion from its longest time to its shortest.
 const maxConfirmations = 3
 
 const (
-	// suspicionTimeoutBase (us), times the logarithm of the fleet's size, is the shortest suspicion: in that time an
-	// update reaches all, and its refutation comes back.
+	// suspicionTimeoutBase (us), multiplied by logFleetSize, is the shortest time of a suspicion. In that time an
+	// update reaches all members, and the refutation returns.
 	suspicionTimeoutBase = 400_000
-	// maxSuspicionTimeoutFactor, times the shortest suspicion, is the longest.
+	// maxSuspicionTimeoutFactor is the ratio of the longest time of a suspicion to the shortest, at a health score of 0.
 	maxSuspicionTimeoutFactor = 2
 )
 
-// minSuspicionTimeout is how long a suspicion lasts that maxConfirmations others confirm.
+// minSuspicionTimeout returns the time (us) of a suspicion with maxConfirmations confirmations.
 func (n *Node) minSuspicionTimeout() int64 { return suspicionTimeoutBase * int64(n.logFleetSize()) }
 
-// maxSuspicionTimeout is how long a suspicion lasts that nobody confirms: longer, the more this router misses answers
-// itself.
+// maxSuspicionTimeout returns the time (us) of a suspicion that no other member confirms. It grows with the health
+// score of this router.
 func (n *Node) maxSuspicionTimeout() int64 {
 	return maxSuspicionTimeoutFactor * n.minSuspicionTimeout() * int64(2+n.healthScore) / 2
 }
 
-// startSuspicion gives a member, which has just become suspect, time to refute that.
+// startSuspicion starts the time in which a member that has just become suspect can refute the suspicion.
 func (n *Node) startSuspicion(now int64, m *member, reporter int) {
 	m.suspectedAt = now
 	m.confirmations = 0
 	m.suspicionEndsAt = now + n.maxSuspicionTimeout()
 	n.confirmSuspicion(m, reporter)
 	m.needsSuspicionNotice = true
-	// The member is told at once by the router that suspects it and some others (the buddy system of Lifeguard).
+	// The router that suspects the member and a few others notify it at once (the buddy system of Lifeguard).
 	if reporter == n.options.Rank || n.rng.IntN(n.options.FleetSize) < maxConfirmations {
 		n.token++
 		n.sendProbeMessage(m.rank, pingMessage, m.rank, n.token)
 	}
 }
 
-// confirmSuspicion shortens a suspicion that another member shares.
+// confirmSuspicion records a reporter that suspects a member and shortens the suspicion.
 func (n *Node) confirmSuspicion(m *member, reporter int) {
 	if reporter == noReporter || m.confirmations >= maxConfirmations {
 		return
@@ -54,18 +54,19 @@
 	fraction := math.Log(float64(m.confirmations)) / math.Log(maxConfirmations)
 	m.suspicionEndsAt = m.suspectedAt + int64(max(longest-(longest-shortest)*fraction, shortest))
 	if m.confirmations > 1 {
-		n.queueUpdate(m) // each further one is worth sending
+		n.queueUpdate(m) // other members also need each further confirmation
 	}
 }
 
-// prolongSuspicion gives a suspect that has just answered another member's probe time to refute the suspicion.
+// prolongSuspicion extends the suspicion of a member that has just answered a probe of this router, so that the member
+// can refute it.
 func (n *Node) prolongSuspicion(now int64, m *member) {
 	if m.state == stateSuspect && now >= m.suspectedAt {
 		m.suspicionEndsAt = max(m.suspicionEndsAt, now+n.minSuspicionTimeout())
 	}
 }
 
-// expireSuspicions declares the members dead whose suspicion has ended.
+// expireSuspicions declares members dead when their suspicion has ended.
 func (n *Node) expireSuspicions(now int64) {
 	for rank := range n.members {
 		if m := &n.members[rank]; m.state == stateSuspect && now >= m.suspicionEndsAt {
--- a/core/fleet/wire_compat_test.go
+++ b/core/fleet/wire_compat_test.go
@@ -9,12 +9,12 @@
 	"spantack/internal/testfixture"
 )
 
-// wireFixture holds recorded messages, a line each: the bytes that the program wrote at commit e67ffc3. Routers of
-// that version read them, so no line is ever changed to suit a program.
+// wireFixture has one line for each recorded message, with the bytes that the program wrote at commit e67ffc3. Routers
+// of that version read these bytes, so the lines must not be changed to match a later program.
 const wireFixture = "testdata/wire_compat.txt"
 
 func TestWireCompat(t *testing.T) {
-	const sender = 0x05060708 // incarnation of each datagram here
+	const sender = 0x05060708 // incarnation of the sender of each datagram
 	updates := []update{
 		{rank: 0x1112, incarnation: 0x13141516, refutations: 0x1718, state: stateUnknown},
 		{rank: 1, incarnation: 2, refutations: 3, state: stateAlive},
@@ -24,7 +24,7 @@
 	probe := func(kind messageKind) message {
 		return message{kind: kind, target: 0x2122, token: 0x23242526, limit: 0x27, holder: 0x2829}
 	}
-	ofTree := func(kind messageKind, limit int, m lease.Message) message {
+	treeMessage := func(kind messageKind, limit int, m lease.Message) message {
 		m.Incarnation = sender
 		return message{kind: kind, limit: limit, lease: m}
 	}
@@ -45,23 +45,23 @@
 		"report of a crowded server": {
 			kind: healthReportMessage, server: 0x00c41f7a, condition: Overloaded, updates: updates[1:2],
 		},
-		"tree request": ofTree(treeRequestMessage, 0x41, lease.Message{
+		"tree request": treeMessage(treeRequestMessage, 0x41, lease.Message{
 			Kind: lease.KindRequest, Level: 0x42, Amount: 77.25, RequestNumber: 0x43444546, Weight: 0x4748,
 		}),
-		"tree grant": ofTree(treeGrantMessage, 0x41, lease.Message{
+		"tree grant": treeMessage(treeGrantMessage, 0x41, lease.Message{
 			Kind: lease.KindGrant, Level: 0x42, Amount: 77.25, Term: 2_000_000, RequestNumber: 0x43444546,
 			KnownHolder: 0x494a,
 		}),
-		"tree grant, no holder": ofTree(treeGrantMessage, 1, lease.Message{
+		"tree grant, no holder": treeMessage(treeGrantMessage, 1, lease.Message{
 			Kind: lease.KindGrant, Level: 2, RequestNumber: 3, KnownHolder: lease.NoRank,
 		}),
-		"tree vote": ofTree(treeVoteMessage, 0x41, lease.Message{
+		"tree vote": treeMessage(treeVoteMessage, 0x41, lease.Message{
 			Kind: lease.KindVote, Stamp: 0x4b4c4d4e, CandidateIncarnation: 0x4f505152,
 		}),
-		"tree vote ack": ofTree(treeVoteAckMessage, 0x41, lease.Message{
+		"tree vote ack": treeMessage(treeVoteAckMessage, 0x41, lease.Message{
 			Kind: lease.KindVoteAck, Stamp: 0x4b4c4d4e,
 		}),
-		"tree vote ack, elected": ofTree(treeVoteAckMessage, 0x41, lease.Message{
+		"tree vote ack, elected": treeMessage(treeVoteAckMessage, 0x41, lease.Message{
 			Kind: lease.KindVoteAck, Stamp: 0x4b4c4d4e, IsElected: true,
 		}),
 	}
@@ -84,13 +84,13 @@
 		})
 	}
 	if known := int(messageKindEnd) - 1; len(kinds) != known {
-		t.Errorf("%d kinds of %d have a fixture", len(kinds), known)
+		t.Errorf("fixtures for %d of %d kinds", len(kinds), known)
 	}
 }
 
-// Amounts are cut to whole units on the way out: what is wanted up, what is granted down.
+// Guards against a change of the rounding of amounts to whole units: demands are rounded up, grants down.
 func TestWireRoundingCompat(t *testing.T) {
 	if up, down := amountUp(1.0001), amountDown(1.0009); up != 1025 || down != 1024 {
-		t.Errorf("up %d, down %d", up, down)
+		t.Errorf("rounded up to %d, down to %d; want 1025 and 1024", up, down)
 	}
 }
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -11,8 +11,8 @@
 
 const second = int64(1_000_000)
 
-// world is a fleet in virtual time: a network that loses, doubles and delays datagrams and is cut in partitions and
-// one-way, and processes that crash, restart, pause, and whose clocks run at rates of their own.
+// world simulates a fleet in virtual time. Its network loses, duplicates and delays datagrams, and can have partitions
+// and one-way cuts. Its processes crash, restart and pause, and their clocks run at different rates.
 type world struct {
 	rng       *rand.Rand
 	now       int64
@@ -21,11 +21,11 @@
 	events    eventQueue
 	sent      int // datagrams
 
-	loss       float64 // part of the datagrams that are lost
-	late       float64 // part of the datagrams that come up to 3 s late
-	partition  []int   // by rank; routers of different partitions do not receive one another's datagrams
-	oneWay     map[[2]int]bool
-	extraDelay map[int]int64 // of the datagrams to a router
+	loss       float64         // fraction of datagrams that are lost
+	late       float64         // fraction of datagrams that are delayed by up to 3 s more
+	partition  []int           // by rank; no datagrams pass between different partitions
+	oneWay     map[[2]int]bool // pairs of sender and receiver whose datagrams are lost
+	extraDelay map[int]int64   // us, of datagrams to a rank
 }
 
 type process struct {
@@ -37,7 +37,7 @@
 	starts      uint32
 }
 
-// event is a datagram on its way or, without one, a tick.
+// event is the delivery of a datagram or, if datagram is nil, a tick.
 type event struct {
 	at       int64
 	sequence int
@@ -81,13 +81,13 @@
 	return w
 }
 
-// localTime is the present time by a process's own clock.
+// localTime returns the current time by the clock of a process.
 func (w *world) localTime(rank int) int64 {
 	p := w.processes[rank]
 	return p.clockOffset + int64(float64(w.now)*p.clockRate)
 }
 
-// start starts a process anew, with no state.
+// start starts a process, or restarts one, without state from before.
 func (w *world) start(t testing.TB, rank int) {
 	t.Helper()
 	p := w.processes[rank]
@@ -115,7 +115,7 @@
 	w.push(w.now, rank, rank, nil)
 }
 
-// kill ends a process; start starts it again.
+// kill ends a process. It can be restarted with start.
 func (w *world) kill(rank int) { w.processes[rank].isRunning = false }
 
 func (w *world) push(at int64, from, to int, datagram []byte) {
@@ -132,13 +132,13 @@
 		return
 	}
 	w.sent++
-	for range 1 + w.rng.IntN(10)/9 { // one in ten is doubled
-		// What is on its way when a cut comes still arrives.
+	for range 1 + w.rng.IntN(10)/9 { // one in ten is duplicated
+		// A partition does not affect datagrams that are already in flight.
 		if w.rng.Float64() < w.loss || w.partition[from] != w.partition[to] || w.oneWay[[2]int{from, to}] {
 			continue
 		}
 		delay := 1400 + w.rng.Int64N(22_000)
-		if w.late > 0 && w.rng.Float64() < w.late { // some come when all has changed
+		if w.late > 0 && w.rng.Float64() < w.late { // some arrive after the state of the fleet has changed
 			delay += w.rng.Int64N(3 * second)
 		}
 		delay += w.extraDelay[to]
@@ -146,7 +146,7 @@
 	}
 }
 
-// run lets time pass until a moment; check is called after each event.
+// run advances the time to until and calls check, unless it is nil, after each event.
 func (w *world) run(until int64, check func()) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
@@ -176,7 +176,8 @@
 	}
 }
 
-// quotas sums up what all that run may have in use of a limit, of those that match.
+// quotas returns the sum of the quotas, for a limit, of the running processes that match, all of them if matches is
+// nil.
 func (w *world) quotas(limit int, matches func(rank int) bool) (sum float64) {
 	for rank, p := range w.processes {
 		if p.isRunning && w.now >= p.pausedUntil && (matches == nil || matches(rank)) {
@@ -186,7 +187,7 @@
 	return sum
 }
 
-// meanQuotas is the mean of quotas over the two seconds that follow.
+// meanQuotas returns the mean of quotas over the next two seconds.
 func (w *world) meanQuotas(limit int, matches func(rank int) bool) (mean float64) {
 	const samples = 20
 	for range samples {
@@ -196,19 +197,20 @@
 	return mean
 }
 
-// status is a router's part in the first limit.
+// status returns the status of the first limit at a router.
 func (w *world) status(rank int) LimitStatus {
 	return w.processes[rank].node.LimitStatuses(w.localTime(rank))[0]
 }
 
-// holder is the holder of the first limit as a router knows it; lease.NoRank if it knows none.
+// holder returns the holder of the first limit that a router knows, lease.NoRank if it knows none.
 func (w *world) holder(rank int) int { return w.status(rank).Holder }
 
-// liveCount is how many routers a router takes for up.
+// liveCount returns the number of routers that a router considers up.
 func (w *world) liveCount(rank int) int { return w.processes[rank].node.LiveCount() }
 
-// heldBy is the last of the routers that hold the first limit by their own account; lease.NoRank if none does.
-func (w *world) heldBy() int {
+// selfDeclaredHolder returns the last rank whose own status shows that it holds the first limit, lease.NoRank if there
+// is none.
+func (w *world) selfDeclaredHolder() int {
 	holder := lease.NoRank
 	for rank := range w.processes {
 		if w.status(rank).IsHolder {
