--- a/core/fleet/ejection.go
+++ b/core/fleet/ejection.go
@@ -55,7 +55,7 @@
 	return sites
 }
 
-// maxEjected returns how many of a number of servers may be ejected.
+// maxEjected returns how many of the given number of servers may be ejected.
 func maxEjected(servers int) int {
 	if servers > 1 {
 		return max(servers/serversPerEjection, 1)
--- a/core/fleet/health_reports.go
+++ b/core/fleet/health_reports.go
@@ -59,7 +59,7 @@
 // Bounds of the stored state.
 const (
 	maxObservations = 128  // of this router
-	maxReports      = 1024 // pairs of server and condition with reports, and also servers with successful answers
+	maxReports      = 1024 // pairs of server and condition with reports; separately, servers with successful answers
 )
 
 // reportKey identifies a server and a condition.
--- a/core/fleet/limits.go
+++ b/core/fleet/limits.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// LimitName returns the name of the limit with an index.
+// LimitName returns the name of the limit with the given index in Options.Limits.
 func (n *Node) LimitName(limit int) string { return n.options.Limits[limit].Name }
 
 // Quota returns how much of a limit this router may have in use at present: its floor plus its lease. Routers with
--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -2,7 +2,7 @@
 
 import "spantack/core/gossip"
 
-// memberState is the state of a router as another one knows it. The values are part of the wire format.
+// memberState is the state of a router as known to another router. The values are part of the wire format.
 type memberState byte
 
 // The states, in ascending order of severity. A member whose state is unknown counts as up: a member counts as down
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -14,7 +14,7 @@
 
 // Times in microseconds.
 const (
-	tickInterval   = 50_000  // between two calls of Tick, which check whether the answer to a probe is overdue
+	tickInterval   = 50_000  // between two calls of Tick, and the greatest delay until an overdue ack is detected
 	pauseThreshold = 500_000 // between two calls of Tick, above which the process was stopped or had no CPU time
 )
 
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// handle handles a message by its kind.
+// handle passes a message to the handler of its kind.
 func (n *Node) handle(now int64, m *message) {
 	switch m.kind {
 	case pingMessage:
--- a/core/fleet/probing.go
+++ b/core/fleet/probing.go
@@ -2,12 +2,12 @@
 
 import "spantack/core/lease"
 
-// Times in microseconds. In a fleet of 300, nearly all routers declare a router that has died dead within 7 s. Each
+// Times in microseconds. In a fleet of 300, a router that dies is declared dead by nearly all others within 7 s. Each
 // router is probed at least once in that time.
 const (
 	probeInterval         = 500_000 // between two probes, plus a random part of up to a fifth
 	probeTimeout          = 150_000 // for the ack of a direct probe, multiplied by 1 + health score
-	indirectTimeout       = 350_000 // for the ack of an indirect probe, from the direct probe on, multiplied likewise
+	indirectTimeout       = 350_000 // for the ack of an indirect probe, from the direct one, multiplied by the same
 	indirectProbeLifetime = 2_000_000
 )
 
@@ -42,7 +42,7 @@
 func (n *Node) raiseHealthScore() { n.healthScore = min(n.healthScore+1, maxHealthScore) }
 func (n *Node) lowerHealthScore() { n.healthScore = max(n.healthScore-1, 0) }
 
-// scaleTimeout returns a timeout multiplied by 1 + health score.
+// scaleTimeout returns a timeout (us) multiplied by 1 + the health score of this router.
 func (n *Node) scaleTimeout(timeout int64) int64 { return timeout * int64(1+n.healthScore) }
 
 func (n *Node) shuffleProbeOrder() {
