--- a/core/lease/allotment.go
+++ b/core/lease/allotment.go
@@ -19,9 +19,9 @@
 	return amount
 }
 
-// Record replaces the allotment that expires first with added. If that allotment has not expired yet, the two are
+// RecordAllotment replaces the allotment that expires first with added. If that allotment has not expired yet, the two are
 // merged: the result has the larger amount and the later expiry, so Outstanding is never less than what was recorded.
-func Record(now int64, allotments []Allotment, added Allotment) {
+func RecordAllotment(now int64, allotments []Allotment, added Allotment) {
 	earliest := &allotments[0]
 	for i := range allotments {
 		if allotments[i].ExpiresAt < earliest.ExpiresAt {
--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -23,7 +23,7 @@
 	maxAccounts = 4096
 
 	// maxLeases is the number of leases of one lessee that are recorded separately. At no level does a lease last
-	// longer than seven of its renew intervals. If there are more, Record merges two.
+	// longer than seven of its renew intervals. If there are more, RecordAllotment merges two.
 	maxLeases = 8
 )
 
@@ -95,7 +95,7 @@
 	}
 	amount = math.Floor(amount/AmountUnit) * AmountUnit // as encoded on the wire
 	expiresAt := now + term + int64(math.Ceil(float64(term)*maxClockDrift))
-	Record(now, lessee.leases[:], Allotment{amount, expiresAt})
+	RecordAllotment(now, lessee.leases[:], Allotment{amount, expiresAt})
 	return amount, term
 }
 
