--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -41,7 +41,7 @@
 	}
 	w.run(w.now+30*second, nil)
 	if first, last := w.liveCount(0), w.liveCount(19); first != 10 || last != 10 {
-		t.Errorf("routers in halves of 10 consider %d and %d up", first, last)
+		t.Errorf("routers in halves of 10 consider %d and %d up, want 10 and 10", first, last)
 	}
 	clear(w.partition)
 	w.run(w.now+20*second, nil)
--- a/core/lease/allotment.go
+++ b/core/lease/allotment.go
@@ -19,8 +19,9 @@
 	return amount
 }
 
-// RecordAllotment replaces the allotment that expires first with added. If that allotment has not expired yet, the two are
-// merged: the result has the larger amount and the later expiry, so Outstanding is never less than what was recorded.
+// RecordAllotment replaces the allotment that expires first with added. If that allotment has not expired yet, the two
+// are merged: the result has the larger amount and the later expiry, so Outstanding is never less than what was
+// recorded.
 func RecordAllotment(now int64, allotments []Allotment, added Allotment) {
 	earliest := &allotments[0]
 	for i := range allotments {
