--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// BenchmarkTick measures one call of Tick. The metric %core is the load of one call every 50 ms, and heap-B/router is
-// the heap of a node divided by the number of routers.
+// BenchmarkTick measures one call of Tick. The metric %core is the share of one CPU core that one call every 50 ms
+// uses, and heap-B/router is the heap of a node divided by the number of routers.
 func BenchmarkTick(b *testing.B) {
 	for _, routers := range scaleSizes {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
@@ -84,7 +84,8 @@
 	}
 }
 
-// BenchmarkHandleRequest measures one request to the holder of a limit when all routers have demand and a lease.
+// BenchmarkHandleRequest measures one request to the holder of a limit when all routers have demand and a lease. The
+// metric %core is the share of one CPU core that the holder uses if each router sends one request every 450 ms.
 func BenchmarkHandleRequest(b *testing.B) {
 	for _, routers := range scaleSizes {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
@@ -97,7 +98,7 @@
 				now += interval
 				m.rank = 1 + i%(routers-1)
 				m.sequence = uint32(i + 1)
-				m.stamp = n.limits[0].stamp(now)
+				m.timestamp = n.limits[0].timestamp(now)
 				n.limits[0].handleRequest(now, &m)
 			}
 			for i := range 4 * routers {
--- a/core/fleet/datagram.go
+++ b/core/fleet/datagram.go
@@ -9,32 +9,34 @@
 	"spantack/core/lease"
 )
 
-// The format of a datagram, with big-endian numbers. The header starts with that of core/gossip and has another kind.
-// Routers that support only core/gossip therefore drop datagrams of this package as of an unknown kind.
+// The format of a datagram, with big-endian numbers. The first bytes have the layout of core/gossip, with another value
+// of the datagram kind. Routers that support only core/gossip therefore drop datagrams of this package.
 //
-//	version:1 kind:1 rank:2 site:2 incarnation:4 sequence:4 message kind:1 body updates
+//	version:1 datagram kind:1 rank:2 site:2 incarnation:4 sequence:4 message kind:1 body updates
 //
-// The bodies, by the kind of the message:
+// The bodies, by message kind:
 //
 //	ping            target:2 token:4 limit:1 holder:2      a probe, with the known holder of a limit; 65535: none
 //	ack             target:2 token:4 limit:1 holder:2      the answer to a ping
 //	indirect ping   target:2 token:4 limit:1 holder:2      a request to the receiver to probe the target
-//	lease request   limit:1 amount:4 stamp:4 candidate incarnation:4      the demand, and a vote for the receiver
-//	lease grant     limit:1 amount:4 term:4 stamp:4 request sequence:4
+//	lease request   limit:1 amount:4 timestamp:4 candidate incarnation:4  the demand, and a vote unless timestamp is 0
+//	lease grant     limit:1 amount:4 term:4 timestamp:4 request sequence:4
 //	health report   server:4 condition:1                   a condition that the sender observes
 //	tree request    limit:1 level:1 amount:4 number:4 weight:2            messages of core/lease
 //	tree grant      limit:1 level:1 amount:4 term:4 number:4 holder:2
-//	tree vote       limit:1 stamp:4 candidate incarnation:4
-//	tree vote ack   limit:1 stamp:4 elected:1
+//	tree vote       limit:1 timestamp:4 candidate incarnation:4
+//	tree vote ack   limit:1 timestamp:4 elected:1
 //
-// Amounts are in units of lease.AmountUnit, terms and stamps in units of lease.TermUnit. As many updates as fit follow
-// the body. The format of an update:
+// Amounts are in units of lease.AmountUnit, terms and timestamps in units of lease.TermUnit. As many updates as fit
+// follow the body. The format of an update:
 //
 //	rank:2 incarnation:4 refutations:2 state:1
 const (
-	// MaxDatagramSize is the maximum size in bytes that the platform supports. No longer datagram is created.
+	// MaxDatagramSize is the maximum size of a datagram in bytes, a limit of the platform on which routers run. The
+	// package never creates a longer datagram.
 	MaxDatagramSize = 256
-	// DatagramKind is the kind in the header that distinguishes datagrams of this package from those of core/gossip.
+	// DatagramKind is the datagram kind in the header that distinguishes datagrams of this package from datagrams of
+	// core/gossip.
 	DatagramKind = 2
 
 	datagramVersion = 1
@@ -96,14 +98,14 @@
 	return messageKinds[k].name
 }
 
-// The errors with which a datagram is dropped.
+// The errors that Receive returns for a datagram that it drops.
 var (
 	// ErrMalformed is wrapped if the bytes are not a valid datagram of this package.
 	ErrMalformed = errors.New("malformed datagram")
-	// ErrUnknownSender is wrapped if the rank or the site of the sender is not in the settings, or if the rank in the
-	// datagram does not match the rank of the sender's address.
+	// ErrUnknownSender is wrapped if the rank or the site of the sender is not in the configuration, or if the rank in
+	// the datagram does not match the rank of the sender's address.
 	ErrUnknownSender = errors.New("not a router of this fleet")
-	// ErrStale is wrapped if the datagram is a duplicate or is older than others that were received before.
+	// ErrStale is wrapped if the datagram is a duplicate or is too old for the replay window of its sender.
 	ErrStale = errors.New("old or repeated datagram")
 )
 
@@ -122,8 +124,8 @@
 
 	amount               float64 // requested or granted
 	term                 int64   // us, of a grant
-	stamp                uint32  // of the holder, in a grant; the next vote echoes it
-	candidateIncarnation uint32  // in a vote: the incarnation that sent the stamp
+	timestamp            uint32  // of the holder, in a grant; the next vote echoes it
+	candidateIncarnation uint32  // in a vote: the incarnation that sent the timestamp
 	requestSequence      uint32  // in a grant: the sequence of its request
 
 	server    uint32
@@ -163,14 +165,14 @@
 		buffer = order.AppendUint16(buffer, uint16(m.holder))
 	case leaseRequestMessage:
 		buffer = append(buffer, byte(m.limit))
-		buffer = order.AppendUint32(buffer, amountUp(m.amount))
-		buffer = order.AppendUint32(buffer, m.stamp)
+		buffer = order.AppendUint32(buffer, unitsRoundedUp(m.amount))
+		buffer = order.AppendUint32(buffer, m.timestamp)
 		buffer = order.AppendUint32(buffer, m.candidateIncarnation)
 	case leaseGrantMessage:
 		buffer = append(buffer, byte(m.limit))
-		buffer = order.AppendUint32(buffer, amountDown(m.amount))
+		buffer = order.AppendUint32(buffer, unitsRoundedDown(m.amount))
 		buffer = order.AppendUint32(buffer, uint32(m.term/lease.TermUnit))
-		buffer = order.AppendUint32(buffer, m.stamp)
+		buffer = order.AppendUint32(buffer, m.timestamp)
 		buffer = order.AppendUint32(buffer, m.requestSequence)
 	case healthReportMessage:
 		buffer = order.AppendUint32(buffer, m.server)
@@ -181,16 +183,18 @@
 	return buffer
 }
 
-// amountDown returns the amount of a lease in lease.AmountUnit, rounded down so that the sum of leases stays within the
-// pool.
-func amountDown(amount float64) uint32 { return clampUnits(math.Floor(amount / lease.AmountUnit)) }
+// unitsRoundedDown returns the amount of a lease as a number of units of lease.AmountUnit. It is rounded down, so that
+// the sum of leases stays within the pool.
+func unitsRoundedDown(amount float64) uint32 {
+	return clampUnits(math.Floor(amount / lease.AmountUnit))
+}
 
-// amountUp returns a demand in lease.AmountUnit, rounded up.
-func amountUp(amount float64) uint32 { return clampUnits(math.Ceil(amount / lease.AmountUnit)) }
+// unitsRoundedUp returns a demand as a number of units of lease.AmountUnit, rounded up.
+func unitsRoundedUp(amount float64) uint32 { return clampUnits(math.Ceil(amount / lease.AmountUnit)) }
 
 func clampUnits(units float64) uint32 { return uint32(min(max(units, 0), math.MaxUint32)) }
 
-// parseAmount decodes an amount.
+// parseAmount decodes a number of units of lease.AmountUnit and returns it as an amount.
 func parseAmount(data []byte) float64 {
 	return float64(binary.BigEndian.Uint32(data)) * lease.AmountUnit
 }
@@ -210,9 +214,9 @@
 func (m *message) parse(datagram []byte) error {
 	switch {
 	case len(datagram) < headerSize || len(datagram) > MaxDatagramSize:
-		return fmt.Errorf("%w: %d bytes", ErrMalformed, len(datagram))
+		return fmt.Errorf("%w: size of %d bytes is out of range", ErrMalformed, len(datagram))
 	case datagram[0] != datagramVersion || datagram[1] != DatagramKind:
-		return fmt.Errorf("%w: version %d, kind %d", ErrMalformed, datagram[0], datagram[1])
+		return fmt.Errorf("%w: unsupported version %d or datagram kind %d", ErrMalformed, datagram[0], datagram[1])
 	}
 	order := binary.BigEndian
 	*m = message{
@@ -225,11 +229,12 @@
 	}
 	rest := datagram[headerSize:]
 	if !m.kind.isKnown() {
-		return fmt.Errorf("%w: %v with %d bytes", ErrMalformed, m.kind, len(rest))
+		return fmt.Errorf("%w: unknown message kind %v, %d bytes after the header", ErrMalformed, m.kind, len(rest))
 	}
 	bodySize := m.kind.bodySize()
 	if len(rest) < bodySize || (len(rest)-bodySize)%updateSize != 0 {
-		return fmt.Errorf("%w: %v with %d bytes", ErrMalformed, m.kind, len(rest))
+		return fmt.Errorf("%w: %v with %d bytes after the header, not a body and whole updates",
+			ErrMalformed, m.kind, len(rest))
 	}
 	if err := m.parseBody(rest[:bodySize]); err != nil {
 		return err
@@ -248,13 +253,13 @@
 	case leaseRequestMessage:
 		m.limit = int(body[0])
 		m.amount = parseAmount(body[1:])
-		m.stamp = order.Uint32(body[5:])
+		m.timestamp = order.Uint32(body[5:])
 		m.candidateIncarnation = order.Uint32(body[9:])
 	case leaseGrantMessage:
 		m.limit = int(body[0])
 		m.amount = parseAmount(body[1:])
 		m.term = parseTerm(body[5:])
-		m.stamp = order.Uint32(body[9:])
+		m.timestamp = order.Uint32(body[9:])
 		m.requestSequence = order.Uint32(body[13:])
 	case healthReportMessage:
 		m.server = order.Uint32(body)
--- a/core/fleet/ejection_test.go
+++ b/core/fleet/ejection_test.go
@@ -28,7 +28,7 @@
 // Guards against verdicts that are wrong, late or too long, in a fleet of 300 routers with 30% loss. One site that
 // reports all servers as failing must eject none, and two sites at most one of three. A verdict must reach 99% of the
 // routers within 2.5 s of the observations at two sites, and end when no router observes the failure any more.
-func TestVerdictQuorumSpreadAndExpiry(t *testing.T) {
+func TestVerdictNeedsTwoSitesReachesFleetAndExpires(t *testing.T) {
 	all := []uint32{11, 12, 13, 14, 15, 16, 17}
 	for seed := range uint64(5) {
 		w := newWorld(t, seed, 300)
@@ -51,7 +51,7 @@
 		w.run(w.now+4*second, nil)
 		observe(5*second/2, []uint32{13}, 0, 1)
 		if count := w.countEjecting(13, all); count < 297 {
-			t.Errorf("seed %d: %d of 300 eject a failing server after 2.5 s", seed, count)
+			t.Errorf("seed %d: %d of 300 routers eject a failing server after 2.5 s, want at least 297", seed, count)
 		}
 		if rank := 7; len(w.ejected(rank, all)) == 1 { // its own evidence has priority
 			w.processes[rank].node.ReportSuccess(w.localTime(rank), 13)
--- a/core/fleet/example_test.go
+++ b/core/fleet/example_test.go
@@ -156,6 +156,6 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(n.Quota(0, 0), "of its own, before anybody grants a lease")
-	// Output: 2 of its own, before anybody grants a lease
+	fmt.Println(n.Quota(0, 0), "without a lease")
+	// Output: 2 without a lease
 }
--- a/core/fleet/health_reports.go
+++ b/core/fleet/health_reports.go
@@ -37,12 +37,14 @@
 	return fmt.Sprintf("Condition(%d)", byte(c))
 }
 
-// Times in microseconds. With 30% datagram loss, a verdict that two sites support reaches 99% of the routers within
-// 2.5 s of the observation at the second site. A router sends reports as long as its observation lasts. A verdict ends
-// at the latest reportLifetime after the last report of all sites except one.
+// Times in microseconds. In a fleet of 300 routers with 30% datagram loss, a verdict that two sites support reaches 99%
+// of the routers within 2.5 s of the observation at the second site. A test checks this for observations that start at
+// both sites at once. A router sends reports as long as its observation lasts. A verdict ends at most reportLifetime
+// after the time from which only one site still reports.
 //
-// Only a few of the routers that observe a server report it. Each waits for a random part of a round before it
-// reports, and sends no report if more than ejectionQuorum other sites have reported the same in that round. The
+// Only a few of the routers that observe a condition of a server report it. A round is the time from one decision of a
+// router whether to report its observation to the next. In each round the router waits for a random time before it
+// reports, and it sends no report if more than ejectionQuorum other sites have reported the same in that round. The
 // density of the waits grows exponentially towards the end of the round, so the number of reports that are sent before
 // they suppress the others grows only with the logarithm of the number of routers: J. Nonnenmacher, E. W. Biersack,
 // "Scalable feedback for large groups", IEEE/ACM Transactions on Networking 7(3), 1999.
@@ -52,14 +54,14 @@
 	maxRoundDelay        = 500_000   // longest wait in all other rounds
 	observationLifetime  = 500_000   // of an observation that is not repeated
 	reportLifetime       = 4_500_000 // of a received report
-	reportInterval       = 100_000   // between reports that this router sends, on average
-	reportBurst          = 8         // maximum number of reports that it sends at once
+	reportInterval       = 100_000   // in which a token bucket permits one more report of this router
+	reportBurst          = 8         // size of that bucket: maximum number of reports sent at once
 )
 
 // Bounds of the stored state.
 const (
-	maxObservations = 128  // of this router
-	maxReports      = 1024 // pairs of server and condition with reports; separately, servers with successful answers
+	maxObservations = 128  // entries of HealthReports.observed
+	maxReports      = 1024 // entries of HealthReports.reports, and of HealthReports.succeededAt
 )
 
 // reportKey identifies a server and a condition.
@@ -82,7 +84,7 @@
 }
 
 // HealthReports stores the observations of one router and the reports of all sites, and decides when the router sends a
-// report. It depends on the number of routers, but not on the membership. It is not safe for concurrent use.
+// report. It uses the configured number of routers, not which of them are up. It is not safe for concurrent use.
 type HealthReports struct {
 	site      int // of this router
 	fleetSize int
@@ -95,8 +97,8 @@
 	rateLimit   gossip.TokenBucket          // of reports sent
 }
 
-// NewHealthReports returns the state, without observations and reports, of a router of a site in a fleet of fleetSize
-// routers. It calls broadcast to send a report to all other routers.
+// NewHealthReports returns empty health reports for a router of the given site in a fleet of fleetSize routers. They
+// call broadcast to send a report to all other routers.
 func NewHealthReports(
 	site, fleetSize int, rng *rand.Rand, broadcast func(server uint32, condition Condition),
 ) *HealthReports {
@@ -147,7 +149,7 @@
 	h.record(now, reportKey{server, condition}, site)
 }
 
-// Tick sends the reports that are due and removes expired state. It must be called every tickInterval.
+// Tick sends the reports that are due and removes expired state. It must be called every 50 ms.
 func (h *HealthReports) Tick(now int64) {
 	keys := slices.Collect(maps.Keys(h.observed))
 	slices.SortFunc(keys, byServer)
@@ -188,14 +190,15 @@
 	maps.DeleteFunc(h.succeededAt, func(_ uint32, at int64) bool { return isExpired(at) })
 }
 
-// reportIfDue ends the round of an observation if its report is due. It sends the report to all members, within the
-// rate limit, unless enough other sites have reported the same in this round. Then it starts the next round.
+// reportIfDue ends the round of an observation if its report is due, and starts the next round. It sends the report to
+// all members unless more than ejectionQuorum other sites have reported the same in this round. If the rate limit does
+// not permit the report, the round does not end and the report stays due.
 func (h *HealthReports) reportIfDue(now int64, key reportKey, seen *observation) {
 	if now < seen.reportDueAt {
 		return
 	}
 	// Suppression needs one report more than the quorum, because some of the reports may not reach other routers.
-	isSuppressed := h.countOtherReporters(key, seen.roundStartedAt) > ejectionQuorum
+	isSuppressed := h.countOtherSites(key, seen.roundStartedAt) > ejectionQuorum
 	if !isSuppressed {
 		if !h.rateLimit.Take(now) {
 			return
@@ -216,15 +219,15 @@
 	seen.reportDueAt = now + int64(h.drawDelay()*float64(longest))
 }
 
-// drawDelay returns a random wait as a fraction of the longest wait. Its density grows exponentially, with the optimal
-// rate for the size of the fleet.
+// drawDelay returns a random wait as a fraction of the longest wait. Its density grows exponentially. The rate,
+// ln(fleetSize) + 1, is the optimal one for the size of the fleet (Nonnenmacher and Biersack).
 func (h *HealthReports) drawDelay() float64 {
 	rate := math.Log(float64(h.fleetSize)) + 1
 	return math.Log1p(h.rng.Float64()*math.Expm1(rate)) / rate
 }
 
-// countOtherReporters returns the number of other sites whose latest report was received at since or later.
-func (h *HealthReports) countOtherReporters(key reportKey, since int64) (others int) {
+// countOtherSites returns the number of other sites whose latest report was received at or after the time since.
+func (h *HealthReports) countOtherSites(key reportKey, since int64) (others int) {
 	for site, at := range h.reports[key] {
 		if site != h.site && at >= since {
 			others++
--- a/core/fleet/lease_messages.go
+++ b/core/fleet/lease_messages.go
@@ -31,12 +31,12 @@
 	switch m.kind {
 	case treeRequestMessage:
 		buffer = append(buffer, byte(body.Level))
-		buffer = order.AppendUint32(buffer, amountUp(body.Amount))
+		buffer = order.AppendUint32(buffer, unitsRoundedUp(body.Amount))
 		buffer = order.AppendUint32(buffer, body.RequestNumber)
 		buffer = order.AppendUint16(buffer, uint16(body.Weight))
 	case treeGrantMessage:
 		buffer = append(buffer, byte(body.Level))
-		buffer = order.AppendUint32(buffer, amountDown(body.Amount))
+		buffer = order.AppendUint32(buffer, unitsRoundedDown(body.Amount))
 		buffer = order.AppendUint32(buffer, uint32(body.Term/lease.TermUnit))
 		buffer = order.AppendUint32(buffer, body.RequestNumber)
 		buffer = order.AppendUint16(buffer, uint16(body.KnownHolder))
--- a/core/fleet/lease_tree.go
+++ b/core/fleet/lease_tree.go
@@ -21,7 +21,7 @@
 			},
 		})
 		if err != nil {
-			return fmt.Errorf("%w: LeaseTree: %w", ErrInvalidOptions, err)
+			return fmt.Errorf("%w: lease tree: %w", ErrInvalidOptions, err)
 		}
 		tree.IsUp = n.IsUp
 		tree.Send = func(to int, m lease.Message) { n.sendTreeMessage(i, to, &m) }
@@ -34,7 +34,7 @@
 // sendTreeMessage sends a message of the tree of a limit.
 func (n *Node) sendTreeMessage(limit, to int, m *lease.Message) {
 	if to >= n.options.FleetSize {
-		return // the tree has room for routers that are not in the settings yet
+		return // the tree has room for routers that are not configured yet
 	}
 	n.send(to, &message{kind: messageKindOf[m.Kind], limit: limit, lease: *m})
 }
--- a/core/fleet/lease_tree_test.go
+++ b/core/fleet/lease_tree_test.go
@@ -22,10 +22,11 @@
 	return w
 }
 
-// Guards against a lease tree that works alone but not with real datagrams and membership. Two limits must not be
-// exceeded while all sites are isolated, holders die, and 70% of the routers restart. Their pools must be in use
-// before and after each fault, and only the floors while the sites are isolated.
-func TestLeaseTreesOverDatagrams(t *testing.T) {
+// Guards against exceeded limits and unused pools when lease trees use the datagrams and the membership of this
+// package. Two limits must not be exceeded while all sites are isolated, holders die, and 70% of the routers restart.
+// At least 80% of each limit must be available to the routers before and after each fault, and only the floors while
+// the sites are isolated.
+func TestLeaseTreesKeepLimitsUnderFaults(t *testing.T) {
 	limits := []Limit{{Name: "fills", Max: 72, FloorFraction: 1.0 / 3}, {Name: "retries", Max: 240}}
 	for seed := range uint64(4) {
 		w := newTreeWorld(t, seed, limits...)
@@ -38,26 +39,27 @@
 				}
 			}
 		}
-		wantInUse := func(when string) {
+		checkQuotas := func(when string) {
 			t.Helper()
 			w.run(w.now+lease.RecoveryTime, check)
 			for i, limit := range limits {
 				if sum := w.meanQuotas(i, nil); sum < 0.8*limit.Max {
-					t.Errorf("seed %d, %s: %.1f of %v in use of limit %s", seed, when, sum, limit.Max, limit.Name)
+					t.Errorf("seed %d, %s: mean sum of quotas %.1f, want at least 80%% of %v, limit %s",
+						seed, when, sum, limit.Max, limit.Name)
 				}
 			}
 		}
-		wantInUse("before any fault")
+		checkQuotas("before any fault")
 		for rank := range w.partition {
 			w.partition[rank] = rank / 4
 		}
 		w.run(w.now+lease.RecoveryTime, check)
 		if sum := w.quotas(0, nil); math.Abs(sum-24) > 1e-6 {
-			t.Errorf("seed %d: %.2f in use with every site isolated, want the floors, 24", seed, sum)
+			t.Errorf("seed %d: quotas of %.2f with every site isolated, want the floors, 24", seed, sum)
 		}
 		clear(w.partition)
 		w.run(w.now+20*second, check) // until all are considered up again, as in TestMembershipRecoversAfterFaults
-		wantInUse("after the heal")
+		checkQuotas("after the partitions have healed")
 		for rank := range w.processes {
 			if w.status(rank).IsHolder && w.rng.IntN(2) == 0 {
 				w.kill(rank)
@@ -65,19 +67,20 @@
 				w.start(t, rank)
 			}
 		}
-		wantInUse("after holders died")
+		checkQuotas("after holders died")
 		for rank := range w.processes {
 			if rank%10 < 7 {
 				w.kill(rank)
 				w.start(t, rank)
 			}
 		}
-		wantInUse("after 70% restarted")
+		checkQuotas("after 70% restarted")
 	}
 }
 
-// Guards against messages that have an effect on a router of the other scheme. One fleet may have routers with a lease
-// tree and routers with a single holder. Each must ignore messages about limits from the other.
+// Guards against messages of a lease tree that affect a router without one, and the reverse. While LeaseTree is being
+// introduced or removed, a fleet has routers with a lease tree and routers with a single holder. Each must ignore
+// messages about limits from the other.
 func TestTreeAndSingleHolderIgnoreEachOther(t *testing.T) {
 	limit := Limit{Name: "fills", Max: 24, FloorFraction: 1}
 	newNode := func(rank int, tree *lease.Topology) *Node {
--- a/core/fleet/limit_holder.go
+++ b/core/fleet/limit_holder.go
@@ -8,16 +8,16 @@
 
 // Times in microseconds.
 const (
-	countLifetime  = 100_000   // until votes and demand are counted again
-	demandLifetime = 3_000_000 // of the demand in a request
+	recountInterval = 100_000   // minimum time between two counts of votes and demands
+	demandLifetime  = 3_000_000 // of the demand in a request
 )
 
 // maxLeases is the number of leases of one lessee that are recorded separately. A lessee sends a request in each
 // renewInterval, and a lease lasts less than four of these.
 const maxLeases = 5
 
-// lessee is the record that the holder of a limit has of a router. Times are by the holder's clock.
-type lessee struct {
+// account is the record that the holder of a limit has of a router. Times are by the holder's clock.
+type account struct {
 	voteExpiresAt int64
 	demand        float64
 	demandAt      int64                      // 0: never
@@ -27,7 +27,7 @@
 // grantToSelf records the vote of this router for itself as the holder and grants itself a lease for its demand.
 func (l *limitState) grantToSelf(now int64) {
 	rank := l.node.options.Rank
-	self := &l.lessees[rank]
+	self := &l.accounts[rank]
 	l.holderIncarnation = l.node.options.Incarnation
 	if l.mayVote(now) {
 		l.voteExpiresAt = now + voteLifetime
@@ -44,41 +44,41 @@
 // handleRequest records the vote and the demand in a request and answers it. If this router is not the holder, the vote
 // may elect it.
 func (l *limitState) handleRequest(now int64, m *message) {
-	from := &l.lessees[m.rank]
+	from := &l.accounts[m.rank]
 	l.recordVote(now, from, m)
 	from.demand = m.amount
 	from.demandAt = now
 	amount, term := l.grant(now, m.rank)
-	stamp := l.stamp(now)
-	if stamp == 0 {
-		return // 0 means no stamp; the next request is answered
+	timestamp := l.timestamp(now)
+	if timestamp == 0 {
+		return // 0 means no timestamp; the next request is answered
 	}
 	l.node.send(m.rank, &message{
 		kind:            leaseGrantMessage,
 		limit:           l.index,
 		amount:          amount,
 		term:            term,
-		stamp:           stamp,
+		timestamp:       timestamp,
 		requestSequence: m.sequence,
 	})
 }
 
 // recordVote records the vote in a request, if there is one and it is for this incarnation. The lifetime of the vote
-// counts from the stamp that it echoes. The stamp is older than the vote, so the vote expires here before it does at
-// the voter.
-func (l *limitState) recordVote(now int64, voter *lessee, m *message) {
-	if m.candidateIncarnation != l.node.options.Incarnation || m.stamp == 0 {
+// counts from the timestamp that it echoes. The timestamp is older than the vote, so the vote expires here before it
+// does at the voter.
+func (l *limitState) recordVote(now int64, voter *account, m *message) {
+	if m.candidateIncarnation != l.node.options.Incarnation || m.timestamp == 0 {
 		return
 	}
-	age := int64(l.stamp(now)-m.stamp) * lease.TermUnit
+	age := int64(l.timestamp(now)-m.timestamp) * lease.TermUnit
 	if age < voteLifetime {
 		expiresAt := now - age - lease.TermUnit + voteLifetime - voteDriftMargin
 		voter.voteExpiresAt = max(voter.voteExpiresAt, expiresAt)
 	}
 }
 
-// grant grants a lessee a lease from the pool. The term (us) is at most leaseLifetime and does not extend beyond the
-// election of this router. It is 0 if no lease is granted.
+// grant grants a lessee a lease from the pool. The term (us) is at most leaseLifetime and does not extend beyond
+// electedUntil, when the votes for this router expire. It is 0 if no lease is granted.
 func (l *limitState) grant(now int64, rank int) (amount float64, term int64) {
 	l.countVotesAndDemand(now)
 	term = min(leaseLifetime, l.electedUntil-now)
@@ -86,31 +86,31 @@
 		return 0, 0
 	}
 	free := l.pool()
-	for i := range l.lessees {
+	for i := range l.accounts {
 		if i != rank {
-			free -= lease.Outstanding(now, l.lessees[i].leases[:])
+			free -= lease.Outstanding(now, l.accounts[i].leases[:])
 		}
 	}
-	to := &l.lessees[rank]
+	to := &l.accounts[rank]
 	fair := min(to.demand, l.fairShare) + l.surplusShare
 	amount = max(min(fair, free), 0)
-	amount = float64(amountDown(amount)) * lease.AmountUnit // as encoded on the wire
+	amount = float64(unitsRoundedDown(amount)) * lease.AmountUnit // as encoded on the wire
 	expiresAt := now + term + int64(float64(term)*maxClockDrift)
 	lease.RecordAllotment(now, to.leases[:], lease.Allotment{Amount: amount, ExpiresAt: expiresAt})
 	l.node.Counts.LeasesGranted++
 	return amount, term
 }
 
-// countVotesAndDemand computes electedUntil and the fair shares of the pool, at most once in countLifetime.
+// countVotesAndDemand computes electedUntil and the fair shares of the pool, at most once in recountInterval.
 func (l *limitState) countVotesAndDemand(now int64) {
-	if l.countedAt != 0 && now-l.countedAt < countLifetime {
+	if l.countedAt != 0 && now-l.countedAt < recountInterval {
 		return
 	}
 	l.countedAt = now
 	var expirations []int64
 	var demands []float64
-	for i := range l.lessees {
-		from := &l.lessees[i]
+	for i := range l.accounts {
+		from := &l.accounts[i]
 		if from.voteExpiresAt > now {
 			expirations = append(expirations, from.voteExpiresAt)
 		}
@@ -118,7 +118,7 @@
 			demands = append(demands, from.demand)
 		}
 	}
-	l.electedUntil = lease.MajorityUntil(expirations, len(l.lessees))
+	l.electedUntil = lease.MajorityUntil(expirations, len(l.accounts))
 	l.fairShare, l.surplusShare = fairShares(l.pool(), demands)
 }
 
--- a/core/fleet/limit_lessee.go
+++ b/core/fleet/limit_lessee.go
@@ -16,7 +16,8 @@
 	sentAt   int64  // 0: no request
 }
 
-// currentHolder returns the holder if it has granted this router a lease within leaseLifetime, otherwise lease.NoRank.
+// currentHolder returns the holder if it has granted this router a lease within the last leaseLifetime, otherwise
+// lease.NoRank.
 func (l *limitState) currentHolder(now int64) int {
 	if l.grantedAt != 0 && now-l.grantedAt < leaseLifetime {
 		return l.holder
@@ -54,7 +55,8 @@
 // one. chooseHolder returns lease.NoRank until the vote for a holder that is not retained has expired.
 func (l *limitState) chooseHolder(now int64) int {
 	l.avoided.Expire(now)
-	if l.unansweredRequests >= maxUnansweredRequests && l.holder != lease.NoRank { // faster than membership updates
+	// This detects a lost holder sooner than the membership does.
+	if l.unansweredRequests >= maxUnansweredRequests && l.holder != lease.NoRank {
 		l.avoided[l.holder] = now + avoidDuration
 		l.unansweredRequests = 0
 	}
@@ -70,14 +72,15 @@
 	}
 	l.holder = target
 	l.holderIncarnation = 0
-	l.holderStamp = 0
+	l.holderTimestamp = 0
 	l.grantedAt = 0
-	l.lastGrantedRequest = 0
+	l.lastAnsweredRequest = 0
 	l.unansweredRequests = 0
 	return target
 }
 
-// retainsHolder reports whether the current holder is retained although target would be chosen without one.
+// retainsHolder reports whether the current holder is kept rather than replaced by target: it is up, and it either is
+// target or is eligible and grants leases to this router.
 func (l *limitState) retainsHolder(now int64, target int) bool {
 	if l.holder == lease.NoRank || !l.node.IsUp(l.holder) {
 		return false
@@ -89,12 +92,12 @@
 }
 
 // requestLease requests a lease for the demand of this router from a holder. The request includes a vote for the holder
-// if this router may vote and has a stamp of the holder to echo.
+// if this router may vote and has a timestamp of the holder to echo.
 func (l *limitState) requestLease(now int64, holder int) {
 	m := message{kind: leaseRequestMessage, limit: l.index, amount: l.wanted()}
-	mayCastVote := l.holderIncarnation != 0 || now >= l.voteExpiresAt
-	if l.mayVote(now) && l.holderStamp != 0 && mayCastVote {
-		m.stamp = l.holderStamp
+	otherVotesExpired := l.holderIncarnation != 0 || now >= l.voteExpiresAt
+	if l.mayVote(now) && l.holderTimestamp != 0 && otherVotesExpired {
+		m.timestamp = l.holderTimestamp
 		m.candidateIncarnation = l.holderIncarnation
 		l.voteExpiresAt = now + voteLifetime
 		l.node.Counts.VotesSent++
@@ -112,16 +115,16 @@
 	}
 	l.unansweredRequests = 0
 	if l.holderIncarnation != 0 && m.incarnation != l.holderIncarnation && now < l.voteExpiresAt {
-		l.holderStamp = 0 // the vote is for the previous incarnation and must expire first
+		l.holderTimestamp = 0 // the vote is for the previous incarnation and must expire first
 		return
 	}
 	sentAt, isKnown := l.requestSentAt(m.requestSequence)
-	if !isKnown || l.holderIncarnation == m.incarnation && m.requestSequence <= l.lastGrantedRequest {
+	if !isKnown || l.holderIncarnation == m.incarnation && m.requestSequence <= l.lastAnsweredRequest {
 		return
 	}
 	l.holderIncarnation = m.incarnation
-	l.holderStamp = m.stamp
-	l.lastGrantedRequest = m.requestSequence
+	l.holderTimestamp = m.timestamp
+	l.lastAnsweredRequest = m.requestSequence
 	if m.term >= minLeaseTerm && m.term <= leaseLifetime {
 		l.grantedAt = now
 		// The term counts from when the request was sent, which was before the grant, and is reduced by the clock
@@ -133,7 +136,8 @@
 	}
 }
 
-// requestSentAt returns the time at which the request with a sequence was sent, and whether that request is recorded.
+// requestSentAt returns the time at which the request with the given sequence number was sent, and whether that request
+// is recorded.
 func (l *limitState) requestSentAt(sequence uint32) (sentAt int64, isKnown bool) {
 	for _, r := range l.requests {
 		if r.sentAt != 0 && r.sequence == sequence {
--- a/core/fleet/limit_state.go
+++ b/core/fleet/limit_state.go
@@ -29,28 +29,28 @@
 
 	// As a lessee: the holder that gets the votes and requests of this router.
 	holder            int    // lease.NoRank: none
-	holderIncarnation uint32 // that the vote is for; 0: no vote
-	holderStamp       uint32 // in the holder's last answer; 0: none
+	holderIncarnation uint32 // as of its last answer; votes are for it; 0: no answer yet
+	holderTimestamp   uint32 // in the holder's last answer; 0: none
 	voteExpiresAt     int64
 	hintedHolder      int // that another router last named as the holder; lease.NoRank: none
 	hintedAt          int64
 	avoided           lease.AvoidList // routers that do not answer requests
 
 	// As a lessee: requests, and the latest lease.
-	requests           [maxPendingRequests]request // indexed by requestCount, modulo the length
-	requestCount       int
-	unansweredRequests int // in a row
-	nextRequestAt      int64
-	lastGrantedRequest uint32          // sequence of the latest answered request
-	lease              lease.Allotment // by the clock of this router
-	grantedAt          int64           // 0: the current holder has granted no lease
+	requests            [maxPendingRequests]request // indexed by requestCount, modulo the length
+	requestCount        int
+	unansweredRequests  int // in a row
+	nextRequestAt       int64
+	lastAnsweredRequest uint32          // sequence of the latest answered request
+	lease               lease.Allotment // by the clock of this router
+	grantedAt           int64           // 0: the current holder has granted no lease
 
 	// As the holder.
-	lessees      []lessee // by rank
-	countedAt    int64    // when the fields below were computed; 0: never
-	electedUntil int64    // time until which votes of more than half of all routers are valid; 0: not elected
-	fairShare    float64  // upper bound for each lessee if demand exceeds the pool
-	surplusShare float64  // added to each grant if the pool exceeds demand
+	accounts     []account // of the lessees, by rank
+	countedAt    int64     // when the fields below were computed; 0: never
+	electedUntil int64     // time until which votes of more than half of all routers are valid; 0: not elected
+	fairShare    float64   // upper bound for each lessee if demand exceeds the pool
+	surplusShare float64   // added to each grant if the pool exceeds demand
 }
 
 func newLimitState(n *Node, index int, limit Limit) *limitState {
@@ -61,7 +61,7 @@
 		holder:       lease.NoRank,
 		hintedHolder: lease.NoRank,
 		avoided:      lease.AvoidList{},
-		lessees:      make([]lessee, n.options.FleetSize),
+		accounts:     make([]account, n.options.FleetSize),
 	}
 }
 
@@ -105,13 +105,14 @@
 	}
 }
 
-// stamp returns the time since this process started in units of lease.TermUnit. It overflows after 49 days.
-func (l *limitState) stamp(now int64) uint32 {
+// timestamp returns the time since this process started in units of lease.TermUnit. It wraps around after 49 days,
+// which is harmless, because only differences of timestamps are used.
+func (l *limitState) timestamp(now int64) uint32 {
 	return uint32((now - l.node.startedAt) / lease.TermUnit)
 }
 
-// mayVote reports whether all votes of the previous incarnation of this router must have expired. This process has no
-// record of them.
+// mayVote reports whether all votes of the previous incarnation of this router have certainly expired. This process has
+// no record of them.
 func (l *limitState) mayVote(now int64) bool {
 	return now-l.node.startedAt >= voteLifetime+voteDriftMargin
 }
--- a/core/fleet/limits.go
+++ b/core/fleet/limits.go
@@ -6,41 +6,44 @@
 )
 
 const (
-	maxLimits     = 8   // of a fleet: the index of a limit is one byte on the wire
+	maxLimits     = 8   // of a fleet; must not exceed 256, because the index of a limit is one byte on the wire
 	maxLimitValue = 1e6 // on the wire, amounts are 32-bit numbers in units of lease.AmountUnit
 )
 
 // RecoveryTime (us) is the time until leases of a pool are granted again after its holder has died or was partitioned
 // from the others, provided that more than half of all routers are in one partition. In this time the holder is
-// declared dead, the votes for it expire, and two requests are answered. A test checks this time for 15 routers with
-// 10% datagram loss. Fleets of 300 routers took up to 18 s after a heal.
+// declared dead, the votes for it expire, and two requests are answered: the first answer has the timestamp that a vote
+// must echo, and the second request carries the vote. A test checks this time for 15 routers with 10% datagram loss: in
+// the 2 s after it, at least 60% of the pool must be leased on average. Fleets of 300 routers can need up to 18 s after
+// a partition has healed.
 const RecoveryTime = 10_000_000
 
-// Limit is an upper bound on the total of all routers.
+// Limit is an upper bound on the sum of the units that all routers have in use.
 type Limit struct {
 	Name string
 	// Max is the limit, above 0.
 	Max float64
-	// FloorFraction is the fraction of Max, 0 to 1, that is split evenly into floors, one for each router in the
-	// settings. The rest is the pool, which is leased.
+	// FloorFraction is the fraction of Max, 0 to 1, that is split evenly into floors, one for each configured router.
+	// The rest is the pool, which is leased.
 	FloorFraction float64
-	// ExpiryMargin is how long (us) before a lease expires a router stops using it. Work that starts under a lease
-	// and takes no longer than the margin ends before the lease expires.
+	// ExpiryMargin is a time (us). A router stops using a lease this long before it expires. Work that starts under a
+	// lease and takes no longer than the margin ends before the lease expires.
 	ExpiryMargin int64
 }
 
-// Validate returns an error that names the first field that is out of range, nil if all are valid. As in the features
-// file, the error names Max by the name of the limit, and FloorFraction as "floor".
+// Validate returns an error that names the first field that is out of range, nil if all are valid. It names fields by
+// their keys in the features file: the name of the limit for Max, and "floor" for FloorFraction.
 func (l *Limit) Validate() error {
 	switch {
 	case l.Name == "":
 		return errors.New("name: missing")
 	case !(l.Max > 0 && l.Max <= maxLimitValue):
-		return fmt.Errorf("%s: %v is not above 0 and at most %d", l.Name, l.Max, int(maxLimitValue))
+		return fmt.Errorf("%s: %v is out of range: must be above 0 and at most %d", l.Name, l.Max, int(maxLimitValue))
 	case !(l.FloorFraction >= 0 && l.FloorFraction <= 1):
 		return fmt.Errorf("floor: %v is not between 0 and 1", l.FloorFraction)
 	case l.ExpiryMargin < 0 || l.ExpiryMargin >= leaseLifetime:
-		return fmt.Errorf("expiryMargin: %d us is not at least 0 and below %d us", l.ExpiryMargin, leaseLifetime)
+		return fmt.Errorf("expiryMargin: %d us is out of range: must be at least 0 and below %d us",
+			l.ExpiryMargin, leaseLifetime)
 	}
 	return nil
 }
@@ -48,8 +51,8 @@
 // LimitName returns the name of the limit with the given index in Options.Limits.
 func (n *Node) LimitName(limit int) string { return n.options.Limits[limit].Name }
 
-// Quota returns how much of a limit this router may have in use at present: its floor plus its lease. Routers with
-// quotas below 1 that use them at random comply with the limit only on average. TryAcquire always complies with it.
+// Quota returns how much of a limit this router may have in use at present: its floor plus its lease. Routers that use
+// a quota below 1 as the probability of using a unit keep the limit only on average. TryAcquire always keeps the limit.
 func (n *Node) Quota(now int64, limit int) float64 {
 	if n.leaseTrees != nil {
 		return n.leaseTrees[limit].Quota(now)
--- a/core/fleet/limits_test.go
+++ b/core/fleet/limits_test.go
@@ -7,8 +7,8 @@
 	"spantack/core/lease"
 )
 
-// injectFault causes one random fault, or heals all partitions, one-way cuts and delays. It calls check after each
-// event that it runs.
+// injectFault causes one random fault, or heals all partitions, one-way link failures and delays. It calls check after
+// each event that it runs.
 func injectFault(t *testing.T, w *world, check func()) {
 	t.Helper()
 	routers := len(w.processes)
@@ -42,8 +42,8 @@
 }
 
 // Guards against violations of the guarantee of the package: under random faults, the sum of all floors and leases must
-// never exceed the limit. If the check of the expiry of a lease, the wait before the first vote, or the check of the
-// incarnation in a vote is removed, the test fails within 200 seeds.
+// never exceed the limit. This covers the check of the expiry of a lease, the wait before the first vote, and the check
+// of the incarnation in a vote: without any one of them, the test fails within 200 seeds. With -short it runs only 40.
 func TestQuotasNeverExceedLimit(t *testing.T) {
 	seeds := uint64(400)
 	if testing.Short() {
@@ -77,7 +77,8 @@
 		}
 	}
 	if greatest < 39 || granted < int(seeds)*50 {
-		t.Errorf("at most %.1f of 40 in use, %d leases: the worlds are too idle to test the bound", greatest, granted)
+		t.Errorf("too few for a meaningful test: quotas up to %.1f, want at least 39; %d leases, want at least 50 per seed",
+			greatest, granted)
 	}
 }
 
@@ -111,20 +112,20 @@
 			}
 		})
 		if sum := w.meanQuotas(0, nil); sum < 0.8*limit.Max {
-			t.Errorf("seed %d: %.2f of %v in use after the election of a holder", seed, sum, limit.Max)
+			t.Errorf("seed %d: quotas of %.2f, want at least 80%% of %v after the election of a holder", seed, sum, limit.Max)
 		}
 	}
 }
 
-// Guards against a delayed vote that is valid for too long: its lifetime must count from the stamp that it echoes.
-func TestVoteLifetimeCountsFromStamp(t *testing.T) {
+// Guards against a delayed vote that is valid for too long: its lifetime must count from the timestamp that it echoes.
+func TestVoteLifetimeCountsFromTimestamp(t *testing.T) {
 	for name, test := range map[string]struct {
-		age        int64 // us, of the stamp in the vote
+		age        int64 // us, of the timestamp in the vote
 		wantsGrant bool
 	}{
-		"young":          {second, true},
-		"nearly expired": {voteLifetime - second/10, false},
-		"expired":        {voteLifetime + second, false},
+		"young": {second, true},
+		"expired after voteDriftMargin is subtracted": {voteLifetime - second/10, false},
+		"expired": {voteLifetime + second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1, 3, Limit{Name: "a", Max: 9})
@@ -139,22 +140,22 @@
 				limit.handleRequest(now, &message{
 					rank:                 rank,
 					amount:               1,
-					stamp:                limit.stamp(now - test.age),
+					timestamp:            limit.timestamp(now - test.age),
 					candidateIncarnation: limit.node.options.Incarnation,
 				})
 			}
 			limit.countedAt = 0
 			_, term := limit.grant(now, (holder+1)%3)
 			if (term > 0) != test.wantsGrant || term > max(voteLifetime-test.age, 0) {
-				t.Errorf("a lease of %d us with votes whose stamps are %d us old", term, test.age)
+				t.Errorf("a lease of %d us with votes whose timestamps are %d us old", term, test.age)
 			}
 		})
 	}
 }
 
 // Guards against a pool that stays unused after a holder is lost. While the fleet has three partitions, the one with
-// more than half of the routers must use at least 60% of the pool, and the others only their floors. A holder that
-// dies or is partitioned must be replaced within RecoveryTime, also if it dies at the moment of the heal.
+// more than half of the routers must have leased at least 60% of the pool, and the others must have only their floors.
+// A holder that dies or is partitioned must be replaced within RecoveryTime, also if it dies when the partitions heal.
 func TestPoolRecoversAfterHolderLoss(t *testing.T) {
 	const routers = 15
 	for seed := range uint64(12) {
@@ -163,7 +164,7 @@
 		w.loss = 0.1
 		w.run(w.now+RecoveryTime, nil)
 		if sum := w.meanQuotas(0, nil); sum < 0.9*limit.Max {
-			t.Fatalf("seed %d: %v of %v in use with all routers running", seed, sum, limit.Max)
+			t.Fatalf("seed %d: quotas of %v, want at least 90%% of %v with all routers running", seed, sum, limit.Max)
 		}
 		holder := w.holder(0)
 		if holder == lease.NoRank {
@@ -180,7 +181,8 @@
 		floors := limit.Max * limit.FloorFraction
 		pool := limit.Max - floors
 		if large < 0.6*pool+floors*9/routers || math.Abs(small-floors*6/routers) > 1e-6 {
-			t.Errorf("seed %d: three partitions, %v in use in the large one, %v in the small ones", seed, large, small)
+			t.Errorf("seed %d, quotas: %v in the large partition, want floors and 60%% of the pool; %v elsewhere, want floors",
+				seed, large, small)
 		}
 		clear(w.partition)
 		next := w.selfDeclaredHolder()
@@ -190,7 +192,8 @@
 		w.kill(next)
 		w.run(w.now+RecoveryTime, nil)
 		if sum := w.meanQuotas(0, nil); sum < 0.6*pool+floors*14/routers {
-			t.Errorf("seed %d: %v in use %v s after the holder died", seed, sum, RecoveryTime/second)
+			t.Errorf("seed %d: quotas of %v, want at least the floors and 60%% of the pool %v s after the holder died",
+				seed, sum, RecoveryTime/second)
 		}
 	}
 }
@@ -209,7 +212,7 @@
 	}
 	n.Release(0)
 	if !n.TryAcquire(now, 0) || n.TryAcquire(now, 0) {
-		t.Error("not exactly one unit can be acquired after one is released")
+		t.Error("after one unit is released, want exactly one successful TryAcquire")
 	}
 }
 
--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -5,8 +5,8 @@
 // memberState is the state of a router as known to another router. The values are part of the wire format.
 type memberState byte
 
-// The states, in ascending order of severity. A member whose state is unknown counts as up: a member counts as down
-// only if routers have observed that it does not answer.
+// The states, in ascending order of severity. Only a dead member counts as down: routers have observed that it does not
+// answer. Unknown and suspect members count as up.
 const (
 	stateUnknown memberState = iota
 	stateAlive
@@ -17,11 +17,11 @@
 // String returns the state's name.
 func (s memberState) String() string { return [...]string{"unknown", "alive", "suspect", "dead"}[s] }
 
-// update is a membership update about one router.
+// update is the state of one router, as datagrams carry it.
 type update struct {
 	rank        int
 	incarnation uint32
-	refutations uint16 // number of times that incarnation has refuted that it is suspect or dead
+	refutations uint16 // how often the router has refuted, in this incarnation, that it is suspect or dead
 	state       memberState
 }
 
@@ -56,12 +56,13 @@
 	confirmedBy     [maxConfirmations]int // ranks of the members that suspect it
 	confirmations   int                   // number of entries of confirmedBy in use
 
-	// needsSuspicionNotice reports that the member is suspected, or that others consider it suspect or dead while this
-	// router receives from it. The datagrams to the member then include a suspicion, so that it can refute it.
+	// needsSuspicionNotice reports that the member is suspected, or that others consider it suspect or dead although
+	// this router receives datagrams from it. The datagrams to the member then include a suspicion, so that the member
+	// can refute it.
 	needsSuspicionNotice bool
 }
 
-// noReporter is the reporter of an update that this router derives from its own state.
+// noReporter is the reporter of an update that a member is dead because its suspicion ended at this router.
 const noReporter = -1
 
 // IsUp reports whether a router has not been declared dead.
@@ -95,7 +96,8 @@
 	}
 }
 
-// applyUpdate applies a membership update that a member sent, or that this router derived from its own state.
+// applyUpdate applies a membership update that a member sent, or that follows from a probe or a suspicion of this
+// router.
 func (n *Node) applyUpdate(now int64, u update, reporter int) {
 	m := &n.members[u.rank]
 	switch {
@@ -110,7 +112,7 @@
 	}
 }
 
-// applyAlive applies an update that a member has restarted, or has refuted that it is suspect or dead.
+// applyAlive applies an update that a member is alive: it has started, or has refuted that it is suspect or dead.
 func (n *Node) applyAlive(m *member, u update) {
 	if u.supersedes(m.update) {
 		m.replaceUpdate(u)
@@ -165,8 +167,9 @@
 	return true
 }
 
-// contradicts reports whether this router has received a datagram from a member within probeInterval, so that it
-// rejects updates from other routers that this incarnation of the member is suspect or dead.
+// contradicts reports whether an update that a member is suspect or dead is to be rejected, because this router has
+// received a datagram from the member within the last probeInterval. It returns false if the update is about another
+// incarnation than the known one, or follows from a probe of this router.
 func (n *Node) contradicts(now int64, m *member, u update, reporter int) bool {
 	isRecent := m.lastReceivedAt != 0 && now-m.lastReceivedAt < probeInterval
 	return isRecent && u.incarnation == m.incarnation && reporter != n.options.Rank
--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Guards against a wrong count of live routers after 70% of them die at once, and after they restart with the same
-// ranks. The loss is 10%.
+// ranks. 10% of the datagrams are lost.
 func TestMassFailureAndRestartAreDetected(t *testing.T) {
 	const routers, dead = 40, 28
 	w := newWorld(t, 3, routers)
@@ -12,7 +12,8 @@
 	for rank := range dead {
 		w.kill(rank)
 	}
-	w.run(w.now+40*second, nil) // most probes go to dead members, one at a time
+	// Each router probes one member at a time and waits for the timeouts of each dead one.
+	w.run(w.now+40*second, nil)
 	for rank := dead; rank < routers; rank++ {
 		if live := w.liveCount(rank); live != routers-dead {
 			t.Errorf("router %d considers %d of 40 up, want 12", rank, live)
@@ -47,7 +48,7 @@
 	w.run(w.now+20*second, nil)
 	for rank := range routers {
 		if live := w.liveCount(rank); live != routers {
-			t.Errorf("router %d considers %d of 20 up after the heal, want all", rank, live)
+			t.Errorf("router %d considers %d of 20 up after the partitions have healed, want all", rank, live)
 		}
 	}
 	const oneWayRank, paused = 3, 12
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -9,13 +9,17 @@
 	"spantack/core/lease"
 )
 
-// Broadcast is the value of a rank that refers to all members: one datagram reaches all of them.
+// Broadcast is the value of a rank that refers to all other members. Node.Send must deliver a datagram with this rank
+// to each of them.
 const Broadcast = -1
 
 // Times in microseconds.
 const (
-	tickInterval   = 50_000  // between two calls of Tick, and the greatest delay until an overdue ack is detected
-	pauseThreshold = 500_000 // between two calls of Tick, above which the process was stopped or had no CPU time
+	tickInterval = 50_000 // between two calls of Tick, and the greatest delay until an overdue ack is detected
+
+	// pauseThreshold is the longest normal time without a call of Tick or Receive. Tick handles a longer time as a
+	// pause, in which the process was stopped or had no CPU time.
+	pauseThreshold = 500_000
 )
 
 // ErrInvalidOptions is wrapped by the errors of New.
@@ -25,9 +29,9 @@
 // fleet.
 type Options struct {
 	Rank        int    // of this router, from 0
-	FleetSize   int    // number of routers in the settings
+	FleetSize   int    // configured number of routers
 	Site        int    // of this router, from 0
-	Sites       int    // number of sites in the settings
+	Sites       int    // configured number of sites
 	Incarnation uint32 // greater at each start of this router
 	Seed        uint64 // of random numbers
 	Limits      []Limit
@@ -40,9 +44,9 @@
 type Counts struct {
 	Sent, Received, Dropped int64 // datagrams
 	Suspected               int64 // members that this router suspected after its own probes
-	DeclaredDead            int64 // members that this router declared dead when their suspicion ended
-	LeasesGranted           int64
-	VotesSent               int64
+	DeclaredDead            int64 // members that this router declared dead because their suspicion ended
+	LeasesGranted           int64 // for limits with a single holder; lease trees are not counted
+	VotesSent               int64 // for limits with a single holder; lease trees are not counted
 }
 
 // Node is the state of one router in the fleet. It is not safe for concurrent use. The callbacks must be set before the
@@ -52,20 +56,21 @@
 
 	// Send sends a datagram to a rank or to Broadcast. It must not retain the bytes.
 	Send func(rank int, datagram []byte)
-	// OnHolderChange is called when this router chooses another holder for the group of a level in the tree of a limit.
-	// Holder is lease.NoRank if none is known. It is called only if the limits use a tree of leases.
+	// OnHolderChange is called when this router chooses another router as the holder of its group at the given level, in
+	// the tree of a limit. The parameter holder is lease.NoRank if this router knows none. It is called only if the
+	// limits use a tree of leases.
 	OnHolderChange func(limit, level, holder int)
 
 	options      Options
 	rng          *rand.Rand
 	startedAt    int64
-	lastCalledAt int64
+	lastCalledAt int64  // time of the latest call of Tick or Receive; 0: none
 	sequence     uint32 // of the latest datagram sent
 
 	// Membership.
 	members        []member // by rank
 	pendingUpdates []int    // ranks of the members whose updates must still be sent
-	healthScore    int      // as in Lifeguard: increases when this router misses answers
+	healthScore    int      // 0: healthy; grows when answers are missed (the local health multiplier of Lifeguard)
 
 	// Probing.
 	probeOrder     []int // ranks of the other members, shuffled in each round
@@ -75,7 +80,7 @@
 	token          uint32 // of the latest probe
 	indirectProbes map[uint32]indirectProbe
 
-	// Limits, in the order of Options.Limits. One of the two slices is nil.
+	// Limits, in the order of Options.Limits. At most one of the two slices has entries.
 	limits     []*limitState
 	leaseTrees []*lease.Node
 
@@ -241,7 +246,7 @@
 	}
 }
 
-// send sends a message with the header of this process and as many updates as fit.
+// send fills in the header fields of a message, adds as many updates as fit, and sends it.
 func (n *Node) send(to int, m *message) {
 	n.sequence++
 	m.rank = n.options.Rank
--- a/core/fleet/node_test.go
+++ b/core/fleet/node_test.go
@@ -17,13 +17,13 @@
 		"site: 2 of 2":                    func(o *Options) { o.Site = 2 },
 		"limits: 9, want at most 8":       func(o *Options) { o.Limits = make([]Limit, 9) },
 		"limits[0].name: missing":         func(o *Options) { o.Limits = []Limit{{Max: 1}} },
-		"limits[0].a: NaN is not above 0 and at most 1000000": func(o *Options) {
+		"limits[0].a: NaN is out of range: must be above 0 and at most 1000000": func(o *Options) {
 			o.Limits = []Limit{{Name: "a", Max: math.NaN()}}
 		},
 		"limits[0].floor: 2 is not between 0 and 1": func(o *Options) {
 			o.Limits = []Limit{{Name: "a", Max: 1, FloorFraction: 2}}
 		},
-		"limits[0].expiryMargin: 1500000 us is not at least 0 and below 1500000 us": func(o *Options) {
+		"limits[0].expiryMargin: 1500000 us is out of range: must be at least 0 and below 1500000 us": func(o *Options) {
 			o.Limits = []Limit{{Name: "a", Max: 1, ExpiryMargin: leaseLifetime}}
 		},
 	} {
@@ -39,7 +39,8 @@
 }
 
 // Guards against datagrams that a router of another version misinterprets. During an upgrade, a fleet has routers that
-// support only core/gossip. Each version must drop the datagrams of the other as of an unknown kind and stay usable.
+// support only core/gossip. Each version must drop the datagrams of the other, because their kind is unknown, and
+// continue to work.
 func TestVersionsDropEachOthersDatagrams(t *testing.T) {
 	old, err := gossip.New(gossip.Options{Rank: 1, FleetSize: 20, Sites: 4, Incarnation: 1})
 	if err != nil {
@@ -65,7 +66,7 @@
 		t.Errorf("%v, want %v", err, ErrMalformed)
 	}
 	if quota := n.Quota(5*second, 0); sent == 0 || quota != 1 {
-		t.Errorf("%d datagrams, quota %v", sent, quota)
+		t.Errorf("%d datagrams sent, want more than 0; quota %v, want 1", sent, quota)
 	}
 }
 
--- a/core/fleet/probing.go
+++ b/core/fleet/probing.go
@@ -2,22 +2,25 @@
 
 import "spantack/core/lease"
 
-// Times in microseconds. In a fleet of 300, a router that dies is declared dead by nearly all others within 7 s. Each
-// router is probed at least once in that time.
+// Times in microseconds. With these values, nearly all routers of a fleet of 300 declare a router that dies dead within
+// 7 s. In that time each router is probed by at least one other.
 const (
-	probeInterval         = 500_000 // between two probes, plus a random part of up to a fifth
-	probeTimeout          = 150_000 // for the ack of a direct probe, multiplied by 1 + health score
-	indirectTimeout       = 350_000 // for the ack of an indirect probe, from the direct one, multiplied by the same
-	indirectProbeLifetime = 2_000_000
+	probeInterval = 500_000 // between two probes, plus a random part of up to a fifth
+	probeTimeout  = 150_000 // for the ack of a direct probe, multiplied by 1 + health score
+
+	// indirectTimeout, multiplied by 1 + health score, is the time from a direct probe until its target is suspected if
+	// no ack of the direct probe or of an indirect one has arrived.
+	indirectTimeout       = 350_000
+	indirectProbeLifetime = 2_000_000 // after which a probe on behalf of another member is forgotten
 )
 
 const (
-	indirectProbeCount = 3  // requests to other members to probe a target that does not answer
+	indirectProbeCount = 3  // maximum number of requests to other members to probe a target that does not answer
 	maxIndirectProbes  = 64 // pending probes for other members
 	maxHealthScore     = 7  // bounds the timeouts of a router that misses answers
 
-	// deadProbeFraction, multiplied by the fraction of members that are declared dead, is the fraction of probes that
-	// are sent to dead members. These probes let partitions find each other after a heal.
+	// deadProbeFraction, multiplied by the fraction of members that are declared dead, is the probability that a probe
+	// goes to a dead member. These probes let members find each other after a partition has healed.
 	deadProbeFraction = 0.5
 )
 
@@ -118,7 +121,7 @@
 }
 
 // sendProbeMessage sends a ping, an ack or an indirect ping. The message includes the holder of one of the limits, as
-// this router knows it. Successive datagrams include different limits.
+// this router knows it. Which limit that is depends on the sequence number of the latest datagram.
 func (n *Node) sendProbeMessage(to int, kind messageKind, target int, token uint32) {
 	m := message{kind: kind, target: target, token: token, holder: lease.NoRank}
 	if len(n.limits) > 0 {
--- a/core/fleet/suspicion.go
+++ b/core/fleet/suspicion.go
@@ -5,27 +5,28 @@
 	"slices"
 )
 
-// maxConfirmations is the number of confirmations that shorten a suspicion from its longest time to its shortest.
+// maxConfirmations is the number of members, including the first reporter, that must suspect a member until its
+// suspicion has the shortest timeout.
 const maxConfirmations = 3
 
 const (
-	// suspicionTimeoutBase (us), multiplied by logFleetSize, is the shortest time of a suspicion. In that time an
-	// update reaches all members, and the refutation returns.
+	// suspicionTimeoutBase (us), multiplied by logFleetSize, is the shortest suspicion timeout. In that time an update
+	// reaches all members, and the refutation returns.
 	suspicionTimeoutBase = 400_000
-	// maxSuspicionTimeoutFactor is the ratio of the longest time of a suspicion to the shortest, at a health score of 0.
+	// maxSuspicionTimeoutFactor is the ratio of the longest suspicion timeout to the shortest, at a health score of 0.
 	maxSuspicionTimeoutFactor = 2
 )
 
-// minSuspicionTimeout returns the time (us) of a suspicion with maxConfirmations confirmations.
+// minSuspicionTimeout returns the suspicion timeout (us) of a member that maxConfirmations members suspect.
 func (n *Node) minSuspicionTimeout() int64 { return suspicionTimeoutBase * int64(n.logFleetSize()) }
 
-// maxSuspicionTimeout returns the time (us) of a suspicion that no other member confirms. It grows with the health
-// score of this router.
+// maxSuspicionTimeout returns the suspicion timeout (us) of a member that only one member suspects. It grows with the
+// health score of this router.
 func (n *Node) maxSuspicionTimeout() int64 {
 	return maxSuspicionTimeoutFactor * n.minSuspicionTimeout() * int64(2+n.healthScore) / 2
 }
 
-// startSuspicion starts the time in which a member that has just become suspect can refute the suspicion.
+// startSuspicion starts the suspicion timeout of a member, in which the member can refute the suspicion.
 func (n *Node) startSuspicion(now int64, m *member, reporter int) {
 	m.suspectedAt = now
 	m.confirmations = 0
--- a/core/fleet/wire_compat_test.go
+++ b/core/fleet/wire_compat_test.go
@@ -35,10 +35,10 @@
 		"ack":               probe(ackMessage),
 		"ping request":      probe(indirectPingMessage),
 		"lease request": {
-			kind: leaseRequestMessage, limit: 0x31, amount: 1000.5, stamp: 0x32333435, candidateIncarnation: 0x36373839,
+			kind: leaseRequestMessage, limit: 0x31, amount: 1000.5, timestamp: 0x32333435, candidateIncarnation: 0x36373839,
 		},
 		"lease grant": {
-			kind: leaseGrantMessage, limit: 0x31, amount: 0.0009765625, term: 1_234_567_000, stamp: 0x32333435,
+			kind: leaseGrantMessage, limit: 0x31, amount: 0.0009765625, term: 1_234_567_000, timestamp: 0x32333435,
 			requestSequence: 0x3a3b3c3d,
 		},
 		"report of a failing server": {kind: healthReportMessage, server: 0x00c41f7a, condition: Failing},
@@ -90,7 +90,7 @@
 
 // Guards against a change of the rounding of amounts to whole units: demands are rounded up, grants down.
 func TestWireRoundingCompat(t *testing.T) {
-	if up, down := amountUp(1.0001), amountDown(1.0009); up != 1025 || down != 1024 {
+	if up, down := unitsRoundedUp(1.0001), unitsRoundedDown(1.0009); up != 1025 || down != 1024 {
 		t.Errorf("rounded up to %d, down to %d; want 1025 and 1024", up, down)
 	}
 }
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -12,7 +12,7 @@
 const second = int64(1_000_000)
 
 // world simulates a fleet in virtual time. Its network loses, duplicates and delays datagrams, and can have partitions
-// and one-way cuts. Its processes crash, restart and pause, and their clocks run at different rates.
+// and one-way link failures. Its processes crash, restart and pause, and their clocks run at different rates.
 type world struct {
 	rng       *rand.Rand
 	now       int64
@@ -202,7 +202,7 @@
 	return w.processes[rank].node.LimitStatuses(w.localTime(rank))[0]
 }
 
-// holder returns the holder of the first limit that a router knows, lease.NoRank if it knows none.
+// holder returns the router that a router considers the holder of the first limit, lease.NoRank if it knows none.
 func (w *world) holder(rank int) int { return w.status(rank).Holder }
 
 // liveCount returns the number of routers that a router considers up.
--- a/core/lease/allotment.go
+++ b/core/lease/allotment.go
@@ -9,7 +9,8 @@
 }
 
 // Outstanding returns the largest amount among the allotments that have not expired, 0 if all have. It bounds what
-// their owner may have in use from now on.
+// their owner may have in use from now on: an owner uses one allotment at a time, and what it grants to others adds up
+// to no more than its largest one.
 func Outstanding(now int64, allotments []Allotment) (amount float64) {
 	for _, a := range allotments {
 		if now < a.ExpiresAt {
@@ -20,8 +21,8 @@
 }
 
 // RecordAllotment replaces the allotment that expires first with added. If that allotment has not expired yet, the two
-// are merged: the result has the larger amount and the later expiry, so Outstanding is never less than what was
-// recorded.
+// are merged: the result has the larger amount and the later expiry, so Outstanding is never below an unexpired
+// amount that was recorded.
 func RecordAllotment(now int64, allotments []Allotment, added Allotment) {
 	earliest := &allotments[0]
 	for i := range allotments {
@@ -37,7 +38,7 @@
 }
 
 // MajorityUntil returns the time (us) until which votes of more than half of the voters are valid, 0 if fewer have
-// voted. Expirations has the expiry of each vote and is sorted in place.
+// voted. The parameter expirations has the expiry of each vote and is sorted in place.
 func MajorityUntil(expirations []int64, voters int) int64 {
 	majority := voters/2 + 1
 	if len(expirations) < majority {
--- a/core/lease/bound_test.go
+++ b/core/lease/bound_test.go
@@ -16,7 +16,7 @@
 	return t
 }
 
-// injectFault causes one random fault, or heals all partitions and one-way cuts.
+// injectFault causes one random fault, or heals all partitions and one-way link failures.
 func injectFault(w *world) {
 	routers := len(w.processes)
 	rank := w.rng.IntN(routers)
@@ -112,7 +112,8 @@
 		}
 	}
 	if greatest < 39 || granted < int64(seeds)*100 {
-		t.Errorf("at most %.1f of 40 in use, %d leases: the worlds are too idle to test the bound", greatest, granted)
+		t.Errorf("too few for a meaningful test: quotas up to %.1f, want at least 39; %d leases, want at least 100 per seed",
+			greatest, granted)
 	}
 }
 
@@ -134,7 +135,7 @@
 	amount, granted := h.grant(grantedAt, key, demand{5, 1}, []Allotment{{5, grantedAt + 10*second}}, term)
 	l.handleGrant(sentAt+delay, 3, &Message{Incarnation: 1, Amount: amount, Term: granted, RequestNumber: number})
 	if l.available(sentAt+delay) != 5 {
-		t.Fatalf("%v on lease", l.available(sentAt+delay))
+		t.Fatalf("%v available at the lessee, want 5", l.available(sentAt+delay))
 	}
 	account := h.accounts[key]
 	slow, fast := 1-maxClockDrift/2, 1+maxClockDrift/2
@@ -147,8 +148,8 @@
 	}
 }
 
-// singleElector returns a node that is the only elector, and elected, in a fleet of eight routers without groups, and
-// the time (us) at the end of the election.
+// singleElector returns a node that is elected as the only elector, in a fleet of eight routers without groups, and the
+// current time (us).
 func singleElector(t *testing.T) (n *Node, now int64) {
 	t.Helper()
 	n, err := New(0, Options{
@@ -185,7 +186,7 @@
 			Kind: KindRequest, Incarnation: incarnation, Level: 1, Amount: 1e5, Weight: 1, RequestNumber: number,
 		})
 	}
-	for number := uint32(1); number < 20; number++ { // until the leases of others have expired
+	for number := uint32(1); number < 20; number++ { // until the lease that the holder granted itself has expired
 		now += renewInterval
 		n.Tick(now)
 		request(1, number)
--- a/core/lease/doc.go
+++ b/core/lease/doc.go
@@ -1,7 +1,8 @@
 // Package lease enforces one limit on all routers of a fleet together, such as requests in flight to an origin, with a
-// tree of leases. A router exchanges messages only with its group and its children, however large the fleet. The
-// package does no I/O and reads no clock. Times are in microseconds of the router's own clock, whose zero is arbitrary
-// and which never runs backwards. Random numbers come from a seed.
+// tree of leases. However large the fleet, a router exchanges messages only with the holders of its groups, with its
+// lessees and, if it is an elector, with the other electors. The package does no I/O and reads no clock. Times are in
+// microseconds of the router's own clock, whose zero is arbitrary and which never runs backwards. Random numbers come
+// from a seed.
 //
 // # The tree
 //
@@ -9,7 +10,8 @@
 // smallest groups are blocks of consecutive ranks, several of these form a larger group, and all of them form the
 // fleet. In each group one router, the holder, leases a part of the pool from the holder of the group above it. It
 // grants leases of that part to its lessees: the members of its group, or the holders of the groups in it. The holder
-// of the fleet has the whole pool. The tree follows J. Dean, Y. Sobel, "Doorman" (2016), but needs no external store.
+// of the fleet has the whole pool. The tree follows J. Dean, Y. Sobel, "Doorman" (2016), but needs no external store:
+// the routers elect the holder of the fleet themselves.
 //
 // # Guarantee
 //
@@ -19,16 +21,16 @@
 //   - The sum of all floors and all leases in use never exceeds the limit, by any amount or for any time. Work that
 //     starts under a lease may outlast the lease, unless it takes less than Limit.ExpiryMargin.
 //   - Each router always has its floor. Routers that reach the fleet's holder through the holders of their groups also
-//     have the pool. After the loss of any holder, group or part of the fleet, the pool is in use again within
+//     have the pool. After the loss of any holder, group or part of the fleet, 80% of the pool is leased again within
 //     RecoveryTime, provided that a majority of the electors can reach one another. A partition without the fleet's
 //     holder uses its leases until they expire, and only its floors after that.
-//   - When a router joins, leaves or restarts, only the quotas of the others change. Routers need not agree on which
-//     routers are up, or on which router holds a group.
+//   - A router that joins, leaves or restarts affects the other routers only through their quotas. Routers need not
+//     agree on which routers are up, or on which router holds a group.
 //
 // The guarantee assumes that the rates of two clocks differ by at most maxClockDrift, that the incarnation of a router
 // grows with each restart, that Topology and Limit are the same at all routers, and that no process is paused between
-// acquiring from a limit and starting the work that it acquired for. A process that is paused there starts one unit of
-// work late.
+// acquiring from a limit and starting the work that it acquired for. A process that is paused there can start that one
+// unit of work after its lease has expired.
 //
 // # Correctness
 //
@@ -39,12 +41,12 @@
 // for it. A holder that restarts loses the record of its grants. The holder above therefore counts the leases of the
 // previous incarnation separately until they have expired.
 //
-// Only the holder of the fleet must be unique. It grants leases while a majority of the electors have voted for it,
-// and none that expires later than those votes. A vote echoes the holder's own stamp, and its lifetime counts from that
-// stamp. It therefore expires for the holder before it does for the voter, and the voter casts no other vote before
-// that. Any two majorities have a voter in common. A voter that starts has no record of its earlier votes, so it casts
-// none for the lifetime of a vote (L. Lamport, "The part-time parliament", ACM Transactions on Computer Systems 16(2),
-// 1998; C. Gray, D. Cheriton, "Leases", SOSP 1989).
+// Only the holder of the fleet must be unique. It grants leases while a majority of the electors have voted for it, and
+// none that expires later than those votes. A vote echoes the holder's own timestamp, and its lifetime counts from that
+// timestamp. It therefore expires for the holder before it does for the voter. The voter casts no vote for another
+// candidate before its earlier vote has expired by its own clock. Any two majorities have a voter in common. A voter
+// that starts has no record of its earlier votes, so it casts none for the lifetime of a vote (L. Lamport, "The
+// part-time parliament", ACM Transactions on Computer Systems 16(2), 1998; C. Gray, D. Cheriton, "Leases", SOSP 1989).
 //
 // # Files
 //
--- a/core/lease/election.go
+++ b/core/lease/election.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// maxUnansweredVotes is how many messages in a row carry a vote without an answer. The messages after them only
-	// request a stamp, so that the vote of an elector expires soon if its candidate is lost.
+	// maxUnansweredVotes is the number of unanswered messages in a row after which further messages carry no vote and
+	// only request a timestamp, so that the vote of an elector expires soon if its candidate is lost.
 	maxUnansweredVotes = 2
 	// maxUnansweredBeforeAvoid is how many messages in a row may stay unanswered before the candidate is avoided.
 	maxUnansweredBeforeAvoid = 8
 )
 
-// elector is the state with which a router votes for the holder of the fleet.
+// elector is the state of a router as an elector of the holder of the fleet.
 type elector struct {
 	// The candidate for which it votes.
 	candidate            int    // NoRank: none yet
 	candidateSince       int64  // time at which it was chosen or last known to be elected
-	candidateIncarnation uint32 // that the vote is for; 0: no vote
-	candidateStamp       uint32 // in the candidate's last answer; 0: none
+	candidateIncarnation uint32 // as of its last answer; votes are for it; 0: no answer yet
+	candidateTimestamp   uint32 // in the candidate's last answer; 0: none
 	voteExpiresAt        int64  // by the clock of this router
-	unansweredVotes      int    // in a row
+	unansweredVotes      int    // messages to the candidate, with or without a vote, in a row
 	nextVoteAt           int64
 	avoided              AvoidList // candidates that do not answer
 
@@ -58,7 +58,7 @@
 // has announced that it is elected or, if there is none, the elector with the greatest hash. It skips avoided routers.
 //
 // The choice depends only on messages that this router has received itself, not on which routers are considered up.
-// When partitions merge, electors therefore need not wait until they consider one another up.
+// After a partition has healed, electors therefore need not wait until they consider one another up.
 func (e *elector) chooseCandidate(now int64, electors []int, hash func(rank int) uint64) int {
 	e.avoided.Expire(now)
 	if e.candidate != NoRank {
@@ -74,7 +74,7 @@
 	if chosen != e.candidate {
 		e.candidate = chosen
 		e.candidateIncarnation = 0
-		e.candidateStamp = 0
+		e.candidateTimestamp = 0
 		e.unansweredVotes = 0
 		e.candidateSince = now
 	}
@@ -104,16 +104,16 @@
 	return firstByHash(electors, hash, func(rank int) bool { return !e.avoided.Contains(rank) })
 }
 
-// ballot holds the votes that a router has received as a candidate.
-type ballot struct {
+// receivedVotes has the votes that a router has received as a candidate.
+type receivedVotes struct {
 	voteExpiresAt map[int]int64 // by rank of the elector, in the time of this router's clock
 }
 
 // electedUntil returns the time (us) until which votes of more than half of the electors for this router are valid, 0
 // if there are fewer.
-func (b *ballot) electedUntil(now int64, electors int) int64 {
+func (v *receivedVotes) electedUntil(now int64, electors int) int64 {
 	var expirations []int64
-	for _, expiresAt := range b.voteExpiresAt {
+	for _, expiresAt := range v.voteExpiresAt {
 		if expiresAt > now {
 			expirations = append(expirations, expiresAt)
 		}
@@ -122,24 +122,25 @@
 }
 
 // record records the vote of an elector.
-func (b *ballot) record(elector int, expiresAt int64) {
-	b.voteExpiresAt[elector] = max(b.voteExpiresAt[elector], expiresAt)
+func (v *receivedVotes) record(elector int, expiresAt int64) {
+	v.voteExpiresAt[elector] = max(v.voteExpiresAt[elector], expiresAt)
 }
 
 // electedUntil returns the time (us) until which this router is elected as the holder of the fleet, 0 if it is not
 // elected.
 func (n *Node) electedUntil(now int64) int64 {
-	return n.ballot.electedUntil(now, len(n.options.Topology.Electors))
+	return n.receivedVotes.electedUntil(now, len(n.options.Topology.Electors))
 }
 
 // isElected reports whether this router is elected as the holder of the fleet.
 func (n *Node) isElected(now int64) bool { return n.electedUntil(now) > now }
 
-// stamp returns the time since this process started in units of TermUnit. It overflows after 49 days.
-func (n *Node) stamp(now int64) uint32 { return uint32((now - n.startedAt) / TermUnit) }
+// timestamp returns the time since this process started in units of TermUnit. It wraps around after 49 days, which is
+// harmless, because only differences of timestamps are used.
+func (n *Node) timestamp(now int64) uint32 { return uint32((now - n.startedAt) / TermUnit) }
 
-// mayVote reports whether all votes of the previous incarnation of this router must have expired. This process has no
-// record of them.
+// mayVote reports whether all votes of the previous incarnation of this router have certainly expired. This process has
+// no record of them.
 func (n *Node) mayVote(now int64) bool { return now-n.startedAt >= voteLifetime+voteDriftMargin }
 
 // castVote votes for the candidate of this elector. If this router is itself elected, it announces that first.
@@ -167,17 +168,18 @@
 	}
 	e.candidateIncarnation = n.options.Incarnation
 	e.voteExpiresAt = now + voteLifetime
-	n.ballot.record(n.options.Rank, e.voteExpiresAt)
+	n.receivedVotes.record(n.options.Rank, e.voteExpiresAt)
 }
 
-// voteFor sends the vote of this elector to another router. The message only requests a stamp if this elector may not
-// vote, has no stamp of the candidate to echo, or has maxUnansweredVotes unanswered votes.
+// voteFor sends the vote of this elector to another router. If this elector may not vote, has no timestamp of the
+// candidate to echo, or has sent maxUnansweredVotes messages without an answer, the message carries no vote and just
+// requests a timestamp.
 func (n *Node) voteFor(now int64, candidate int) {
 	e := n.elector
 	m := Message{Kind: KindVote}
-	hasStamp := e.candidateStamp != 0 && e.candidateIncarnation != 0
-	if n.mayVote(now) && hasStamp && e.unansweredVotes < maxUnansweredVotes {
-		m.Stamp = e.candidateStamp
+	hasTimestamp := e.candidateTimestamp != 0 && e.candidateIncarnation != 0
+	if n.mayVote(now) && hasTimestamp && e.unansweredVotes < maxUnansweredVotes {
+		m.Stamp = e.candidateTimestamp
 		m.CandidateIncarnation = e.candidateIncarnation
 		e.voteExpiresAt = now + voteLifetime
 		n.Counts.VotesSent++
@@ -191,29 +193,29 @@
 func (n *Node) announceElected(now int64) {
 	for _, rank := range n.options.Topology.Electors {
 		if rank != n.options.Rank {
-			n.send(rank, Message{Kind: KindVoteAck, Stamp: n.stamp(now), IsElected: true})
+			n.send(rank, Message{Kind: KindVoteAck, Stamp: n.timestamp(now), IsElected: true})
 		}
 	}
 }
 
-// handleVote records a vote for this router and answers with a stamp for the next vote. The lifetime of a vote counts
-// from the stamp that it echoes. The stamp is older than the vote, so the vote expires here before it does at the
-// voter.
+// handleVote records a vote for this router and answers with a timestamp for the next vote. The lifetime of a vote
+// counts from the timestamp that it echoes. The timestamp is older than the vote, so the vote expires here before it
+// does at the voter.
 func (n *Node) handleVote(now int64, from int, m *Message) {
-	age := int64(n.stamp(now)-m.Stamp) * TermUnit
+	age := int64(n.timestamp(now)-m.Stamp) * TermUnit
 	isForThisProcess := m.CandidateIncarnation == n.options.Incarnation && m.Stamp != 0
 	if isForThisProcess && age >= 0 && age < voteLifetime {
-		n.ballot.record(from, now-age-TermUnit+voteLifetime-voteDriftMargin)
+		n.receivedVotes.record(from, now-age-TermUnit+voteLifetime-voteDriftMargin)
 	}
-	stamp := n.stamp(now)
-	if stamp == 0 {
-		return // 0 means no stamp; the next vote is answered
+	timestamp := n.timestamp(now)
+	if timestamp == 0 {
+		return // 0 means no timestamp; the next vote is answered
 	}
-	n.send(from, Message{Kind: KindVoteAck, Stamp: stamp, IsElected: n.isElected(now)})
+	n.send(from, Message{Kind: KindVoteAck, Stamp: timestamp, IsElected: n.isElected(now)})
 }
 
-// handleVoteAck records whether the sender is elected and, if the sender is the candidate of this elector, the stamp
-// that the next vote echoes.
+// handleVoteAck records whether the sender is elected and, if the sender is the candidate of this elector, the
+// timestamp that the next vote echoes.
 func (n *Node) handleVoteAck(now int64, from int, m *Message) {
 	e := n.elector
 	if m.IsElected {
@@ -225,13 +227,13 @@
 	e.unansweredVotes = 0
 	if e.candidateIncarnation != 0 {
 		if m.Incarnation != e.candidateIncarnation && now < e.voteExpiresAt {
-			e.candidateStamp = 0 // the vote is for the previous incarnation and must expire first
+			e.candidateTimestamp = 0 // the vote is for the previous incarnation and must expire first
 			return
 		}
-		if m.Incarnation == e.candidateIncarnation && m.Stamp-e.candidateStamp > 1<<31 {
-			return // older than the recorded stamp: messages were reordered
+		if m.Incarnation == e.candidateIncarnation && m.Stamp-e.candidateTimestamp > 1<<31 {
+			return // older than the recorded timestamp: messages were reordered
 		}
 	}
 	e.candidateIncarnation = m.Incarnation
-	e.candidateStamp = m.Stamp
+	e.candidateTimestamp = m.Stamp
 }
--- a/core/lease/election_test.go
+++ b/core/lease/election_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Guards against a delayed vote that is valid for too long: its lifetime must count from the candidate's stamp that it
-// echoes, not from its arrival.
-func TestVoteLifetimeCountsFromStamp(t *testing.T) {
+// Guards against a delayed vote that is valid for too long: its lifetime must count from the candidate's timestamp that
+// it echoes, not from its arrival.
+func TestVoteLifetimeCountsFromTimestamp(t *testing.T) {
 	n, err := New(0, Options{
 		Incarnation: 1,
 		Topology:    Topology{Routers: 3, Electors: []int{0, 1, 2}},
@@ -16,12 +16,12 @@
 	stampedAt, now := 10*second, 13*second
 	vote := func(from int, candidateIncarnation uint32) (expiresAt int64) {
 		n.Receive(now, from, Message{
-			Kind: KindVote, Incarnation: 5, CandidateIncarnation: candidateIncarnation, Stamp: n.stamp(stampedAt),
+			Kind: KindVote, Incarnation: 5, CandidateIncarnation: candidateIncarnation, Stamp: n.timestamp(stampedAt),
 		})
-		return n.ballot.voteExpiresAt[from]
+		return n.receivedVotes.voteExpiresAt[from]
 	}
 	if expiresAt := vote(1, 1); expiresAt <= now || expiresAt > stampedAt+voteLifetime {
-		t.Errorf("a vote with a stamp of %d us is valid until %d us", stampedAt, expiresAt)
+		t.Errorf("a vote with a timestamp of %d us is valid until %d us", stampedAt, expiresAt)
 	}
 	if expiresAt := vote(2, 9); expiresAt != 0 {
 		t.Errorf("a vote for another incarnation is valid until %d us", expiresAt)
--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -10,20 +10,21 @@
 // Times in microseconds.
 const (
 	demandLifetime    = 4_000_000 // of the demand in a request
-	fairShareLifetime = 100_000   // until fair shares are computed again
+	fairShareInterval = 100_000   // minimum time between two computations of fair shares
 )
 
 const (
-	// shorterLeaseFactor is the ratio of amounts above which a grant from an older lease is preferred to a grant from
-	// the current lease, which lasts longer.
+	// shorterLeaseFactor is a ratio of amounts. A grant from an older lease, which ends sooner, is preferred only if it
+	// is more than this many times as large as the grant from the current lease.
 	shorterLeaseFactor = 4.0 / 3
 
-	// maxAccounts bounds the accounts of a holder, one for each process. It is several times the number of ranks in the
-	// largest group below the children of the fleet.
+	// maxAccounts bounds the accounts of a holder, one for each process. It is meant to be several times the number of
+	// ranks in the largest group below the groups that lease from the holder of the fleet. Topology.Validate does not
+	// check that. A holder grants no leases to further processes.
 	maxAccounts = 4096
 
 	// maxLeases is the number of leases of one lessee that are recorded separately. At no level does a lease last
-	// longer than seven of its renew intervals. If there are more, RecordAllotment merges two.
+	// longer than seven of its renew intervals. If more than maxLeases are unexpired, RecordAllotment merges two.
 	maxLeases = 8
 )
 
@@ -46,15 +47,15 @@
 	leases   [maxLeases]Allotment // times by the holder's clock; a lease that has not expired may be in use
 }
 
-// hasRecentRequest reports whether the lessee has sent a request within demandLifetime.
+// hasRecentRequest reports whether the lessee has sent a request within the last demandLifetime.
 func (a *account) hasRecentRequest(now int64) bool { return now-a.demandAt < demandLifetime }
 
-// holder is the state with which a router grants leases to the members of one group, or to the holders of its
-// subgroups.
+// holder is the state of a router as the holder of one group. It grants leases to the members of the group, or to the
+// holders of its subgroups.
 type holder struct {
 	accounts map[lesseeKey]*account
 
-	// Fair shares, as amounts for each router below a lessee.
+	// Fair shares, per unit of weight: per router that a lessee requests for.
 	sharesComputedAt int64
 	fairShare        float64 // upper bound if demand exceeds capacity
 	surplusShare     float64 // added to each grant if capacity exceeds demand
@@ -73,29 +74,29 @@
 	return sum
 }
 
-// hasDemand reports whether any lessee has sent a request within demandLifetime.
+// hasDemand reports whether any lessee has sent a request within the last demandLifetime.
 func (h *holder) hasDemand(now int64) bool { return h.demand(now).weight > 0 }
 
-// grant grants a lessee a lease from one of the capacities, the first of which is the current one. The lease expires
-// before that capacity and its term (us) is at most lifetime. A term of 0 means that no lease is granted.
-func (h *holder) grant(now int64, key lesseeKey, wanted demand, capacities []Allotment, lifetime int64) (
+// grant grants a lessee a lease from one of the sources: the leases of this holder, the current one first. The granted
+// lease expires before its source, and its term (us) is at most lifetime. A term of 0 means that no lease is granted.
+func (h *holder) grant(now int64, key lesseeKey, wanted demand, sources []Allotment, lifetime int64) (
 	amount float64, term int64) {
-	lessee := h.accountOf(now, key)
-	if lessee == nil {
+	to := h.accountOf(now, key)
+	if to == nil {
 		return 0, 0
 	}
-	lessee.demand = wanted
-	lessee.demandAt = now
-	h.computeFairShares(now, capacities[0].Amount)
+	to.demand = wanted
+	to.demandAt = now
+	h.computeFairShares(now, sources[0].Amount)
 	weight := float64(wanted.weight)
 	fair := min(wanted.amount, h.fairShare*weight) + h.surplusShare*weight
-	amount, term = fitGrant(now, fair, h.outstandingToOthers(now, key), capacities, lifetime)
+	amount, term = fitGrant(now, fair, h.outstandingToOthers(now, key), sources, lifetime)
 	if term == 0 {
 		return 0, 0
 	}
 	amount = math.Floor(amount/AmountUnit) * AmountUnit // as encoded on the wire
 	expiresAt := now + term + int64(math.Ceil(float64(term)*maxClockDrift))
-	RecordAllotment(now, lessee.leases[:], Allotment{amount, expiresAt})
+	RecordAllotment(now, to.leases[:], Allotment{amount, expiresAt})
 	return amount, term
 }
 
@@ -121,17 +122,18 @@
 	})
 }
 
-// fitGrant chooses the best capacity for a grant of a fair amount and returns the amount and term (us) that fit into it
-// beside the leases of the other lessees. It prefers an earlier capacity, which lasts longer, unless a later one yields
-// more than shorterLeaseFactor times as much. The term is 0 if no capacity lasts for minLeaseTerm.
-func fitGrant(now int64, fair, others float64, capacities []Allotment, lifetime int64) (amount float64, term int64) {
-	for _, capacity := range capacities {
-		untilExpiry := int64(float64(capacity.ExpiresAt-now) / (1 + maxClockDrift))
+// fitGrant chooses the best source for a grant of a fair amount. It returns the term (us) that the source allows, and
+// the amount that remains of it after others, the leases of the other lessees, up to fair. It takes the first source
+// that lasts for minLeaseTerm, which usually is the current lease, and another one only if that allows more than
+// shorterLeaseFactor times as much. The term is 0 if no source lasts for minLeaseTerm.
+func fitGrant(now int64, fair, others float64, sources []Allotment, lifetime int64) (amount float64, term int64) {
+	for _, source := range sources {
+		untilExpiry := int64(float64(source.ExpiresAt-now) / (1 + maxClockDrift))
 		fittingTerm := min(lifetime, untilExpiry) / TermUnit * TermUnit
 		if fittingTerm < minLeaseTerm {
 			continue
 		}
-		fittingAmount := max(min(fair, capacity.Amount-others), 0)
+		fittingAmount := max(min(fair, source.Amount-others), 0)
 		if term == 0 || fittingAmount > amount*shorterLeaseFactor {
 			amount = fittingAmount
 			term = fittingTerm
@@ -151,10 +153,10 @@
 }
 
 // computeFairShares divides a capacity by weighted max-min fairness. If the capacity covers the total demand, each
-// lessee gets its demand and a part of the surplus. Otherwise each lessee gets at most fairShare for each router below
-// it, which is the largest share that the capacity allows.
+// lessee gets its demand and a part of the surplus. Otherwise each lessee gets at most fairShare per unit of its
+// weight. That is the largest share that the capacity allows.
 func (h *holder) computeFairShares(now int64, capacity float64) {
-	if h.sharesComputedAt != 0 && now-h.sharesComputedAt < fairShareLifetime {
+	if h.sharesComputedAt != 0 && now-h.sharesComputedAt < fairShareInterval {
 		return
 	}
 	h.sharesComputedAt = now
@@ -188,7 +190,7 @@
 	}
 }
 
-// byDemandPerRouter compares lessees by their demand for each router, without a division.
+// byDemandPerRouter compares lessees by their demand per router (unit of weight), without a division.
 func byDemandPerRouter(a, b *account) int {
 	return cmp.Compare(a.demand.amount*float64(b.demand.weight), b.demand.amount*float64(a.demand.weight))
 }
--- a/core/lease/leasing.go
+++ b/core/lease/leasing.go
@@ -62,7 +62,7 @@
 	key := lesseeKey{from, m.Incarnation}
 	wanted := demand{m.Amount, m.Weight}
 	lifetime := leaseLifetimeAt(m.Level - 1)
-	amount, term := n.holders[m.Level].grant(now, key, wanted, n.capacities(now, m.Level), lifetime)
+	amount, term := n.holders[m.Level].grant(now, key, wanted, n.sources(now, m.Level), lifetime)
 	if term > 0 {
 		n.Counts.LeasesGranted++
 	}
@@ -77,17 +77,17 @@
 	}
 }
 
-// capacities returns what this router, as the holder of a group, may grant leases from, the current one first: its own
-// leases or, at the level of the fleet, the pool until its election expires.
-func (n *Node) capacities(now int64, level int) []Allotment {
+// sources returns what this router, as the holder of a group, may grant leases from, the current one first: its own
+// leases or, at the level of the fleet, the pool until electedUntil, when the votes for this router expire.
+func (n *Node) sources(now int64, level int) []Allotment {
 	if level < n.options.Topology.fleetLevel() {
-		return n.lessees[level].capacities(now)
+		return n.lessees[level].sources(now)
 	}
 	return []Allotment{{n.options.Limit.pool(), n.electedUntil(now)}}
 }
 
 // knownHolder returns the router that this router, as an elector, knows to be elected as the holder of the fleet. It
-// returns NoRank if it knows of none, and at other levels.
+// returns NoRank at all other levels, and if it knows of none.
 func (n *Node) knownHolder(now int64, level int) int {
 	if level < n.options.Topology.fleetLevel() || n.elector == nil {
 		return NoRank
--- a/core/lease/lessee.go
+++ b/core/lease/lessee.go
@@ -2,13 +2,13 @@
 
 // Times in microseconds. Upper levels renew less often and have longer leases, so that the leases below fit into them.
 const (
-	leaseLifetime = 1_500_000 // maximum for the own lease of a router; each level above adds the same again
+	leaseLifetime = 1_500_000 // maximum at level 0; each level above adds the same again
 	minLeaseTerm  = 100_000   // shorter leases are not granted
 	renewInterval = 400_000   // between two requests of a router, plus a random part of up to a quarter
 	hintLifetime  = 5_000_000 // of a hint about the holder from another router
 
-	// renewIntervalPerLevel is added to renewInterval for each level above 0. A lease on
-	// which more routers depend therefore tolerates more lost requests before it expires.
+	// renewIntervalPerLevel is added to renewInterval for each level above 0. Lease lifetimes grow faster by level than
+	// renew intervals, so a lease on which more routers depend tolerates more lost requests before it expires.
 	renewIntervalPerLevel = 200_000
 
 	maxUnansweredRequests = 8          // in a row, before a holder is avoided
@@ -31,9 +31,9 @@
 	sentAt int64
 }
 
-// lessee is the state with which a router requests leases for one level from the holder of the group above it.
+// lessee is the state of a router as a lessee at one level. It requests leases from the holder of the group above it.
 type lessee struct {
-	level int // that uses the leases: 0 is the router's own use
+	level int // of the user of the leases. 0: this router itself; above 0: the group of that level that it holds
 
 	// The holder.
 	holder       int // receives the requests; NoRank: none chosen yet
@@ -42,15 +42,15 @@
 	avoided      AvoidList // holders that do not answer
 
 	// Requests.
-	requests           [maxPendingRequests]request // indexed by number, modulo the length
-	lastRequest        uint32                      // number of the latest
-	lastGrantedRequest uint32                      // number of the latest that was answered
-	unansweredRequests int                         // in a row
-	nextRequestAt      int64
+	requests            [maxPendingRequests]request // indexed by number, modulo the length
+	lastRequest         uint32                      // number of the latest
+	lastAnsweredRequest uint32                      // number of the latest that was answered
+	unansweredRequests  int                         // in a row
+	nextRequestAt       int64
 
 	// Leases, with times by the clock of this router.
 	lease       Allotment            // the latest lease
-	olderLeases [maxLeases]Allotment // earlier leases, some of which may not have expired
+	olderLeases [maxLeases]Allotment // some of them may not have expired
 }
 
 func newLessee(level int) *lessee {
@@ -65,10 +65,10 @@
 	return l.lease.Amount
 }
 
-// capacities returns the leases from which a holder may grant others: the latest, then the earlier ones that are larger
-// and have not expired. When the lease of a holder shrinks, the earlier ones let it reduce all leases below it evenly.
-// With the latest alone, the first lessee to renew would bear the whole reduction.
-func (l *lessee) capacities(now int64) []Allotment {
+// sources returns the leases from which a holder may grant others: the latest, then the older ones that are larger and
+// have not expired. When the lease of a holder shrinks, the older ones let it reduce all leases below it evenly. With
+// the latest alone, the first lessee to renew would bear the whole reduction.
+func (l *lessee) sources(now int64) []Allotment {
 	all := []Allotment{l.lease}
 	for _, older := range l.olderLeases {
 		if older.ExpiresAt > now && older.Amount > l.lease.Amount {
@@ -140,11 +140,11 @@
 func (l *lessee) handleGrant(now int64, from int, m *Message) {
 	answered := l.requests[m.RequestNumber%maxPendingRequests]
 	isKnown := m.RequestNumber != 0 && answered.number == m.RequestNumber
-	if !isKnown || from != l.holder || m.RequestNumber <= l.lastGrantedRequest {
+	if !isKnown || from != l.holder || m.RequestNumber <= l.lastAnsweredRequest {
 		return
 	}
 	l.unansweredRequests = 0
-	l.lastGrantedRequest = m.RequestNumber
+	l.lastAnsweredRequest = m.RequestNumber
 	if m.Term < minLeaseTerm || m.Term > leaseLifetimeAt(l.level) || m.Amount < 0 {
 		if m.KnownHolder != NoRank && m.KnownHolder != from {
 			l.recordHolderHint(now, m.KnownHolder)
@@ -157,7 +157,7 @@
 	l.lease = Allotment{m.Amount, answered.sentAt + m.Term - int64(float64(m.Term)*maxClockDrift)}
 }
 
-// recordHolderHint records the holder that another router has named. If it differs from the hint before it, the next
+// recordHolderHint records the holder that another router has named. If it differs from the previous hint, the next
 // request is sent at once. Otherwise the request waits until it is due, because two routers may name each other.
 func (l *lessee) recordHolderHint(now int64, rank int) {
 	if rank != l.hintedHolder {
--- a/core/lease/lessee_test.go
+++ b/core/lease/lessee_test.go
@@ -18,13 +18,12 @@
 	grant(first, 9)
 	grant(77, 9)
 	if got := l.available(2*second + 2000); got != 2 {
-		t.Errorf("%v on lease, want 2, the latest grant", got)
+		t.Errorf("%v available, want 2, the latest grant", got)
 	}
 }
 
-// Guards against the loss of an older, larger lease as a capacity for grants before it expires, and against its use
-// after that.
-func TestOlderLeaseIsCapacityUntilExpiry(t *testing.T) {
+// Guards against granting from an older, larger lease that has expired, and against not granting from it before.
+func TestOlderLeaseIsSourceUntilExpiry(t *testing.T) {
 	l := newLessee(1)
 	l.holder = 3
 	grant := func(at int64, amount float64) {
@@ -35,10 +34,10 @@
 	grant(second, 9)
 	first := l.lease
 	grant(2*second, 4)
-	if got := l.capacities(2 * second); len(got) != 2 || got[0] != l.lease || got[1] != first {
-		t.Errorf("capacities %v, want the current lease and %v", got, first)
+	if got := l.sources(2 * second); len(got) != 2 || got[0] != l.lease || got[1] != first {
+		t.Errorf("sources of grants %v, want the current lease and %v", got, first)
 	}
-	if got := l.capacities(first.ExpiresAt); len(got) != 1 {
-		t.Errorf("capacities %v after the older lease has expired, want one", got)
+	if got := l.sources(first.ExpiresAt); len(got) != 1 {
+		t.Errorf("sources of grants %v after the older lease has expired, want one", got)
 	}
 }
--- a/core/lease/limit.go
+++ b/core/lease/limit.go
@@ -2,15 +2,16 @@
 
 import "fmt"
 
-// Limit is an upper bound on the total of all routers, such as requests in flight to an origin.
+// Limit is an upper bound on the sum of the units that all routers have in use, such as requests in flight to an
+// origin.
 type Limit struct {
 	// Max is the limit, above 0.
 	Max float64
 	// FloorFraction is the fraction of Max, 0 to 1, that is split evenly into floors, one for each possible router.
 	// The rest is the pool, which is leased.
 	FloorFraction float64
-	// ExpiryMargin is how long (us) before a lease expires a router stops using it. Work that starts under a lease
-	// and takes no longer than the margin ends before the lease expires.
+	// ExpiryMargin is a time (us). A router stops using a lease this long before it expires. Work that starts under a
+	// lease and takes no longer than the margin ends before the lease expires.
 	ExpiryMargin int64
 }
 
@@ -21,11 +22,12 @@
 func (l *Limit) Validate() error {
 	switch {
 	case !(l.Max > 0 && l.Max <= maxLimitValue):
-		return fmt.Errorf("max: %v is not above 0 and at most %v", l.Max, maxLimitValue)
+		return fmt.Errorf("max: %v is out of range: must be above 0 and at most %.0f", l.Max, maxLimitValue)
 	case !(l.FloorFraction >= 0 && l.FloorFraction <= 1):
 		return fmt.Errorf("floorFraction: %v is not between 0 and 1", l.FloorFraction)
 	case l.ExpiryMargin < 0 || l.ExpiryMargin >= leaseLifetime:
-		return fmt.Errorf("expiryMargin: %d us is not at least 0 and below %d us", l.ExpiryMargin, leaseLifetime)
+		return fmt.Errorf("expiryMargin: %d us is out of range: must be at least 0 and below %d us",
+			l.ExpiryMargin, leaseLifetime)
 	}
 	return nil
 }
--- a/core/lease/message.go
+++ b/core/lease/message.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// MessageKind is the kind of a message.
+// MessageKind distinguishes the messages between routers. core/fleet encodes it as a message kind of its own.
 type MessageKind byte
 
 // The kinds of messages.
@@ -12,9 +12,9 @@
 	// KindGrant answers a KindRequest. Its Term is 0 if no lease is granted.
 	KindGrant
 	// KindVote carries the vote of an elector for the holder of the fleet. With a Stamp of 0 it carries no vote and
-	// only requests the stamp that the next vote must echo.
+	// only requests the timestamp that the next vote must echo.
 	KindVote
-	// KindVoteAck answers a KindVote with the stamp that the next vote must echo, or announces an elected holder.
+	// KindVoteAck answers a KindVote with the timestamp that the next vote must echo, or announces an elected holder.
 	KindVoteAck
 
 	kindEnd // the first value that is not a kind
@@ -45,13 +45,13 @@
 	// RequestNumber is the number of a request, counted from 1 by its sender. The grant echoes it.
 	RequestNumber uint32
 	// KnownHolder is, in a grant at the level of the fleet, the router that the sender knows to be elected. It is
-	// NoRank if the sender knows of none, and at other levels.
+	// NoRank at all other levels, and if the sender knows of none.
 	KnownHolder int
 
-	// Stamp is, in a vote ack, the candidate's own time in units of TermUnit. The next vote for the candidate echoes
-	// it. 0: no stamp.
+	// Stamp is, in a vote ack, the time since the candidate's process started, in units of TermUnit. The next vote for
+	// the candidate echoes it. 0: no timestamp.
 	Stamp uint32
-	// CandidateIncarnation is, in a vote, the incarnation of the candidate when it sent the stamp.
+	// CandidateIncarnation is, in a vote, the incarnation of the candidate when it sent the timestamp.
 	CandidateIncarnation uint32
 	// IsElected reports, in a vote ack, that its sender is elected as the holder of the fleet.
 	IsElected bool
@@ -60,7 +60,7 @@
 // Granularity on the wire.
 const (
 	AmountUnit = 1.0 / 1024 // of amounts
-	TermUnit   = 1000       // us, of terms and stamps
+	TermUnit   = 1000       // us, of terms and timestamps
 )
 
 // NoRank is the value of a rank that refers to no router.
--- a/core/lease/node.go
+++ b/core/lease/node.go
@@ -6,10 +6,12 @@
 	"math/rand/v2"
 )
 
-// RecoveryTime (us) is the time after the loss of a holder, a group or a part of the fleet until 80% of the pool is in
-// use again. In this time the lessees of a lost holder avoid it or consider it down, the votes for it expire, requests
-// travel up the tree, and grants travel down. Tests check this time at three levels with 10% message loss, for routers
-// that know which routers are up. If routers learn this from one another, the time starts when they have learned it.
+// RecoveryTime (us) is the time after the loss of a holder, a group or a part of the fleet until 80% of the pool is
+// leased again. In this time the lessees of a lost holder avoid it or consider it down, the votes for it expire, and
+// the holders of each level request and receive new leases. Tests check this time at three levels with 10% message
+// loss, for routers that know which routers are up: in the 10 s after it, the mean sum of all quotas, floors included,
+// must be at least 85% of a limit with a pool of 75%. If routers learn from one another which are up, the time starts
+// when they have learned it.
 const RecoveryTime = 30_000_000
 
 // tickInterval (us) is the time between two calls of Tick.
@@ -48,8 +50,8 @@
 	// IsUp reports whether a router is considered up. Wrong answers can leave parts of the pool unused, but the limit
 	// is never exceeded.
 	IsUp func(rank int) bool
-	// OnHolderChange is called when this router chooses another holder for the group of a level. Holder is NoRank if
-	// none is known.
+	// OnHolderChange is called when this router chooses another router as the holder of its group at the given level.
+	// The parameter holder is NoRank if this router knows none.
 	OnHolderChange func(level, holder int)
 
 	options   Options
@@ -60,7 +62,8 @@
 	lessees   []*lessee // by level, from 0 to the level below the fleet
 	holders   []*holder // by level, from 1 to the level of the fleet; [0] is nil
 	elector   *elector  // nil: this router is not an elector
-	ballot    ballot
+	// receivedVotes has the votes for this router as a candidate.
+	receivedVotes receivedVotes
 }
 
 // New returns a node that starts at now (us). Its error wraps ErrInvalidOptions and names the invalid option.
@@ -75,7 +78,7 @@
 		options:        options,
 		rng:            rand.New(rand.NewPCG(options.Seed, uint64(options.Rank)<<32|uint64(options.Incarnation))),
 		startedAt:      now,
-		ballot:         ballot{voteExpiresAt: map[int]int64{}},
+		receivedVotes:  receivedVotes{voteExpiresAt: map[int]int64{}},
 	}
 	fleetLevel := options.Topology.fleetLevel()
 	for level := range fleetLevel {
--- a/core/lease/node_test.go
+++ b/core/lease/node_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-func TestAcquireAndRelease(t *testing.T) {
+// Guards against more acquired units than the quota, and against a released unit that cannot be acquired again.
+func TestQuotaBoundsAcquiredUnits(t *testing.T) {
 	n, err := New(0, Options{
 		Topology: Topology{Routers: 2, Electors: []int{0}},
 		Limit:    Limit{Max: 4, FloorFraction: 1},
--- a/core/lease/quota.go
+++ b/core/lease/quota.go
@@ -3,8 +3,9 @@
 // floor returns how much this router may have in use without a lease.
 func (n *Node) floor() float64 { return n.options.Limit.floor(n.options.Topology.Routers) }
 
-// Quota returns how much of the limit this router may have in use at present: its floor plus its lease. Routers with
-// quotas below 1 that use them at random comply with the limit only on average. TryAcquire always complies with it.
+// Quota returns how much of the limit this router may have in use at present: its floor plus its lease. Routers that
+// use a quota below 1 as the probability of using a unit keep the limit only on average. TryAcquire always keeps the
+// limit.
 func (n *Node) Quota(now int64) float64 {
 	return n.floor() + n.lessees[0].available(now+n.options.Limit.ExpiryMargin)
 }
@@ -39,7 +40,7 @@
 // leases from it and it has a lease to grant them from or, at the level of the fleet, is elected.
 func (n *Node) HeldLevels(now int64) (levels []int) {
 	for level := 1; level < len(n.holders); level++ {
-		if n.capacities(now, level)[0].ExpiresAt > now && n.holders[level].hasDemand(now) {
+		if n.sources(now, level)[0].ExpiresAt > now && n.holders[level].hasDemand(now) {
 			levels = append(levels, level)
 		}
 	}
--- a/core/lease/recovery_test.go
+++ b/core/lease/recovery_test.go
@@ -9,15 +9,15 @@
 var testTopology = Topology{Routers: 64, GroupSizes: []int{4, 16}, Electors: []int{1, 18, 35, 52, 61}}
 
 // Guards against a pool that stays unused after a start or after the loss of a holder. One holder of each level is
-// lost, from the smallest groups to the fleet, with 10% message loss. The pool must be in use RecoveryTime after each.
+// lost, from the smallest groups to the fleet, with 10% message loss. The pool must be leased RecoveryTime after each.
 func TestPoolRecoversAfterHolderLoss(t *testing.T) {
 	limit := Limit{Max: 128, FloorFraction: 0.25}
 	for seed := range uint64(6) {
 		w := newWorld(t, seed, testTopology, limit)
 		w.loss = 0.1
 		w.run(w.now+RecoveryTime, nil)
-		if use := w.meanQuotas(nil); use < 0.9*limit.Max {
-			t.Fatalf("seed %d: %.1f of %v in use with all routers running", seed, use, limit.Max)
+		if sum := w.meanQuotas(nil); sum < 0.9*limit.Max {
+			t.Fatalf("seed %d: mean sum of quotas %.1f, want at least 90%% of %v with all routers running", seed, sum, limit.Max)
 		}
 		for level := 1; level <= testTopology.fleetLevel(); level++ {
 			holders := w.holders(level)
@@ -26,19 +26,19 @@
 			}
 			w.kill(holders[0])
 			w.run(w.now+RecoveryTime, nil)
-			if use := w.meanQuotas(nil); use < 0.85*limit.Max {
-				t.Errorf("seed %d: %.1f of %v in use %d s after the loss of a holder of level %d",
-					seed, use, limit.Max, RecoveryTime/second, level)
+			if sum := w.meanQuotas(nil); sum < 0.85*limit.Max {
+				t.Errorf("seed %d: mean sum of quotas %.1f, want at least 85%% of %v %d s after the loss of a holder of level %d",
+					seed, sum, limit.Max, RecoveryTime/second, level)
 			}
 			w.start(holders[0])
 		}
 	}
 }
 
-// Guards against leases that stay in use in an isolated region, and against a pool that is not usable in the majority
-// partition. Two of four regions are isolated from all others for a minute. The partition with three of the five
-// electors must have the pool, and the isolated regions only their floors once their leases have expired. After the
-// heal all routers must have the pool again.
+// Guards against leases that stay valid in an isolated region, and against a pool that is not usable in the majority
+// partition. Two of four regions are isolated from all others for RecoveryTime and 70 s. The partition with three of
+// the five electors must have the pool, and the isolated regions only their floors once their leases have expired.
+// After the partitions have healed, all routers must have the pool again.
 func TestIsolatedRegionsKeepOnlyFloors(t *testing.T) {
 	limit := Limit{Max: 128, FloorFraction: 0.25}
 	floors := limit.Max * limit.FloorFraction
@@ -52,18 +52,19 @@
 			}
 		}
 		w.run(w.now+RecoveryTime, nil)
-		if use := w.quotas(isCutOff); math.Abs(use-floors/2) > 1e-6 {
-			t.Errorf("seed %d: %.1f in use in the isolated regions, want their floors, %.1f", seed, use, floors/2)
+		if sum := w.quotas(isCutOff); math.Abs(sum-floors/2) > 1e-6 {
+			t.Errorf("seed %d: quotas of %.1f in the isolated regions, want their floors, %.1f", seed, sum, floors/2)
 		}
-		use := w.meanQuotas(func(rank int) bool { return !isCutOff(rank) })
-		if use < 0.9*(limit.Max-floors)+floors/2 {
-			t.Errorf("seed %d: %.1f in use in the partition with most electors", seed, use)
+		sum := w.meanQuotas(func(rank int) bool { return !isCutOff(rank) })
+		if sum < 0.9*(limit.Max-floors)+floors/2 {
+			t.Errorf("seed %d: quotas of %.1f with three of five electors, want floors and 90%% of the pool", seed, sum)
 		}
 		w.run(w.now+second*60, nil)
 		clear(w.partition)
 		w.run(w.now+RecoveryTime, nil)
-		if use := w.meanQuotas(nil); use < 0.9*limit.Max {
-			t.Errorf("seed %d: %.1f of %v in use after the heal", seed, use, limit.Max)
+		if sum := w.meanQuotas(nil); sum < 0.9*limit.Max {
+			t.Errorf("seed %d: mean sum of quotas %.1f, want at least 90%% of %v after the partitions have healed",
+				seed, sum, limit.Max)
 		}
 	}
 }
@@ -87,11 +88,11 @@
 		w.start(rank)
 	}
 	w.run(w.now+RecoveryTime, nil)
-	if use := w.meanQuotas(nil); use < 0.9*limit.Max {
-		t.Errorf("%.1f of %v in use", use, limit.Max)
+	if sum := w.meanQuotas(nil); sum < 0.9*limit.Max {
+		t.Errorf("mean sum of quotas %.1f, want at least 90%% of %v", sum, limit.Max)
 	}
-	if use := w.quotas(func(rank int) bool { return rank >= 56 }); use < 8 {
-		t.Errorf("%.1f in use at the 8 routers that joined", use)
+	if sum := w.quotas(func(rank int) bool { return rank >= 56 }); sum < 8 {
+		t.Errorf("quotas of %.1f at the 8 routers that joined, want at least 8", sum)
 	}
 }
 
@@ -108,13 +109,14 @@
 		}
 	}
 	w.run(w.now+RecoveryTime, nil)
-	if use := w.meanQuotas(isBusy); use < 0.5*limit.Max {
-		t.Errorf("%.1f of %v in use at the two busy routers", use, limit.Max)
+	if sum := w.meanQuotas(isBusy); sum < 0.5*limit.Max {
+		t.Errorf("mean sum of quotas %.1f, want at least half of %v at the two busy routers", sum, limit.Max)
 	}
 }
 
 // Guards against a message rate of a router that grows with the size of the fleet. A router exchanges messages only
-// with its group and its children, so its rate stays about the same in a fleet of eight times the size.
+// with the holders of its groups and with its lessees, so its rate may grow by at most 60% in a fleet of eight times
+// the size. The larger fleet has one more level, and one router may hold a group of each level.
 func TestMessageRateDoesNotGrowWithFleetSize(t *testing.T) {
 	greatestRate := func(topology Topology) float64 { // messages a second
 		w := newWorld(t, 7, topology, Limit{Max: 1000})
@@ -131,7 +133,8 @@
 	}
 	small := greatestRate(Topology{Routers: 64, GroupSizes: []int{8}, Electors: []int{1, 18, 35}})
 	large := greatestRate(Topology{Routers: 512, GroupSizes: []int{8, 64}, Electors: []int{1, 180, 350}})
-	if large > 1.6*small { // one more level; a process may hold one group of each level
-		t.Errorf("greatest rate of one router: %.0f messages/s of 512 routers, %.0f of 64", large, small)
+	if large > 1.6*small {
+		t.Errorf("greatest rate of one router: %.0f messages/s in a fleet of 512, want at most 1.6 times the %.0f of 64",
+			large, small)
 	}
 }
--- a/core/lease/topology.go
+++ b/core/lease/topology.go
@@ -43,7 +43,7 @@
 	previous := 1
 	for i, size := range t.GroupSizes {
 		if size <= previous || size%previous != 0 {
-			return fmt.Errorf("groups[%d]: %d is not a multiple of %d or not greater than it", i, size, previous)
+			return fmt.Errorf("groups[%d]: %d is not a multiple of %d above %[3]d", i, size, previous)
 		}
 		previous = size
 	}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// fleetLevel returns the level of the whole fleet. Level 0 is the own use of a router, level 1 the smallest groups.
+// fleetLevel returns the level of the whole fleet. Level 0 is a router itself, level 1 the smallest groups.
 func (t *Topology) fleetLevel() int { return len(t.GroupSizes) + 1 }
 
 // inSameGroup reports whether two routers belong to the same group of a level.
--- a/core/lease/world_test.go
+++ b/core/lease/world_test.go
@@ -9,7 +9,7 @@
 const second = int64(1_000_000)
 
 // world simulates a fleet in virtual time. Its network loses, duplicates and delays messages, and can have partitions
-// and one-way cuts. Its processes crash, restart and pause, and their clocks run at different rates.
+// and one-way link failures. Its processes crash, restart and pause, and their clocks run at different rates.
 type world struct {
 	t         testing.TB
 	rng       *rand.Rand
