--- a/core/fleet/limit_holder.go
+++ b/core/fleet/limit_holder.go
@@ -21,7 +21,7 @@
 	voteExpiresAt int64
 	demand        float64
 	demandAt      int64                      // 0: never
-	leases        [maxLeases]lease.Allotment // those that have not expired may be in use
+	leases        [maxLeases]lease.Lease // those that have not expired may be in use
 }
 
 // grantToSelf records the vote of this router for itself as the holder and grants itself a lease for its demand.
@@ -36,7 +36,7 @@
 	self.demand = l.wanted()
 	self.demandAt = now
 	if amount, term := l.grant(now, rank); term > 0 {
-		l.lease = lease.Allotment{Amount: amount, ExpiresAt: now + term}
+		l.lease = lease.Lease{Amount: amount, ExpiresAt: now + term}
 		l.grantedAt = now
 	}
 }
@@ -96,7 +96,7 @@
 	amount = max(min(fair, free), 0)
 	amount = float64(unitsRoundedDown(amount)) * lease.AmountUnit // as encoded on the wire
 	expiresAt := now + term + int64(float64(term)*maxClockDrift)
-	lease.RecordAllotment(now, to.leases[:], lease.Allotment{Amount: amount, ExpiresAt: expiresAt})
+	lease.RecordAllotment(now, to.leases[:], lease.Lease{Amount: amount, ExpiresAt: expiresAt})
 	l.node.Counts.LeasesGranted++
 	return amount, term
 }
--- a/core/fleet/limit_lessee.go
+++ b/core/fleet/limit_lessee.go
@@ -129,7 +129,7 @@
 		l.grantedAt = now
 		// The term counts from when the request was sent, which was before the grant, and is reduced by the clock
 		// drift. The lease therefore expires here before it does at the holder.
-		l.lease = lease.Allotment{
+		l.lease = lease.Lease{
 			Amount:    m.amount,
 			ExpiresAt: sentAt + m.term - int64(float64(m.term)*maxClockDrift),
 		}
--- a/core/fleet/limit_state.go
+++ b/core/fleet/limit_state.go
@@ -42,7 +42,7 @@
 	unansweredRequests  int // in a row
 	nextRequestAt       int64
 	lastAnsweredRequest uint32          // sequence of the latest answered request
-	lease               lease.Allotment // by the clock of this router
+	lease               lease.Lease // by the clock of this router
 	grantedAt           int64           // 0: the current holder has granted no lease
 
 	// As the holder.
--- a/core/lease/allotment.go
+++ b/core/lease/allotment.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Allotment is an amount that may be in use until a time.
-type Allotment struct {
+// Lease is an amount that may be in use until a time.
+type Lease struct {
 	Amount    float64
 	ExpiresAt int64 // us
 }
@@ -11,7 +11,7 @@
 // Outstanding returns the largest amount among the allotments that have not expired, 0 if all have. It bounds what
 // their owner may have in use from now on: an owner uses one allotment at a time, and what it grants to others adds up
 // to no more than its largest one.
-func Outstanding(now int64, allotments []Allotment) (amount float64) {
+func Outstanding(now int64, allotments []Lease) (amount float64) {
 	for _, a := range allotments {
 		if now < a.ExpiresAt {
 			amount = max(amount, a.Amount)
@@ -23,7 +23,7 @@
 // RecordAllotment replaces the allotment that expires first with added. If that allotment has not expired yet, the two
 // are merged: the result has the larger amount and the later expiry, so Outstanding is never below an unexpired
 // amount that was recorded.
-func RecordAllotment(now int64, allotments []Allotment, added Allotment) {
+func RecordAllotment(now int64, allotments []Lease, added Lease) {
 	earliest := &allotments[0]
 	for i := range allotments {
 		if allotments[i].ExpiresAt < earliest.ExpiresAt {
--- a/core/lease/bound_test.go
+++ b/core/lease/bound_test.go
@@ -132,7 +132,7 @@
 	h := newHolder()
 	key := lesseeKey{0, 1}
 	grantedAt := 900 * second // by the holder's clock, at the time at which the request was sent
-	amount, granted := h.grant(grantedAt, key, demand{5, 1}, []Allotment{{5, grantedAt + 10*second}}, term)
+	amount, granted := h.grant(grantedAt, key, demand{5, 1}, []Lease{{5, grantedAt + 10*second}}, term)
 	l.handleGrant(sentAt+delay, 3, &Message{Incarnation: 1, Amount: amount, Term: granted, RequestNumber: number})
 	if l.available(sentAt+delay) != 5 {
 		t.Fatalf("%v available at the lessee, want 5", l.available(sentAt+delay))
--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -44,7 +44,7 @@
 type account struct {
 	demand   demand
 	demandAt int64                // time of the last request
-	leases   [maxLeases]Allotment // times by the holder's clock; a lease that has not expired may be in use
+	leases   [maxLeases]Lease // times by the holder's clock; a lease that has not expired may be in use
 }
 
 // hasRecentRequest reports whether the lessee has sent a request within the last demandLifetime.
@@ -79,7 +79,7 @@
 
 // grant grants a lessee a lease from one of the sources: the leases of this holder, the current one first. The granted
 // lease expires before its source, and its term (us) is at most lifetime. A term of 0 means that no lease is granted.
-func (h *holder) grant(now int64, key lesseeKey, wanted demand, sources []Allotment, lifetime int64) (
+func (h *holder) grant(now int64, key lesseeKey, wanted demand, sources []Lease, lifetime int64) (
 	amount float64, term int64) {
 	to := h.accountOf(now, key)
 	if to == nil {
@@ -96,7 +96,7 @@
 	}
 	amount = math.Floor(amount/AmountUnit) * AmountUnit // as encoded on the wire
 	expiresAt := now + term + int64(math.Ceil(float64(term)*maxClockDrift))
-	RecordAllotment(now, to.leases[:], Allotment{amount, expiresAt})
+	RecordAllotment(now, to.leases[:], Lease{amount, expiresAt})
 	return amount, term
 }
 
@@ -126,7 +126,7 @@
 // the amount that remains of it after others, the leases of the other lessees, up to fair. It takes the first source
 // that lasts for minLeaseTerm, which usually is the current lease, and another one only if that allows more than
 // shorterLeaseFactor times as much. The term is 0 if no source lasts for minLeaseTerm.
-func fitGrant(now int64, fair, others float64, sources []Allotment, lifetime int64) (amount float64, term int64) {
+func fitGrant(now int64, fair, others float64, sources []Lease, lifetime int64) (amount float64, term int64) {
 	for _, source := range sources {
 		untilExpiry := int64(float64(source.ExpiresAt-now) / (1 + maxClockDrift))
 		fittingTerm := min(lifetime, untilExpiry) / TermUnit * TermUnit
--- a/core/lease/leasing.go
+++ b/core/lease/leasing.go
@@ -79,11 +79,11 @@
 
 // sources returns what this router, as the holder of a group, may grant leases from, the current one first: its own
 // leases or, at the level of the fleet, the pool until electedUntil, when the votes for this router expire.
-func (n *Node) sources(now int64, level int) []Allotment {
+func (n *Node) sources(now int64, level int) []Lease {
 	if level < n.options.Topology.fleetLevel() {
 		return n.lessees[level].sources(now)
 	}
-	return []Allotment{{n.options.Limit.pool(), n.electedUntil(now)}}
+	return []Lease{{n.options.Limit.pool(), n.electedUntil(now)}}
 }
 
 // knownHolder returns the router that this router, as an elector, knows to be elected as the holder of the fleet. It
--- a/core/lease/lessee.go
+++ b/core/lease/lessee.go
@@ -49,8 +49,8 @@
 	nextRequestAt       int64
 
 	// Leases, with times by the clock of this router.
-	lease       Allotment            // the latest lease
-	olderLeases [maxLeases]Allotment // some of them may not have expired
+	lease       Lease            // the latest lease
+	olderLeases [maxLeases]Lease // some of them may not have expired
 }
 
 func newLessee(level int) *lessee {
@@ -68,8 +68,8 @@
 // sources returns the leases from which a holder may grant others: the latest, then the older ones that are larger and
 // have not expired. When the lease of a holder shrinks, the older ones let it reduce all leases below it evenly. With
 // the latest alone, the first lessee to renew would bear the whole reduction.
-func (l *lessee) sources(now int64) []Allotment {
-	all := []Allotment{l.lease}
+func (l *lessee) sources(now int64) []Lease {
+	all := []Lease{l.lease}
 	for _, older := range l.olderLeases {
 		if older.ExpiresAt > now && older.Amount > l.lease.Amount {
 			all = append(all, older)
@@ -154,7 +154,7 @@
 	l.olderLeases[m.RequestNumber%maxLeases] = l.lease
 	// The term counts from when the request was sent, which was before the grant, and is reduced by the clock drift.
 	// The lease therefore expires here before it does at the holder.
-	l.lease = Allotment{m.Amount, answered.sentAt + m.Term - int64(float64(m.Term)*maxClockDrift)}
+	l.lease = Lease{m.Amount, answered.sentAt + m.Term - int64(float64(m.Term)*maxClockDrift)}
 }
 
 // recordHolderHint records the holder that another router has named. If it differs from the previous hint, the next
