--- a/core/fleet/limit_holder.go
+++ b/core/fleet/limit_holder.go
@@ -96,7 +96,7 @@
 	amount = max(min(fair, free), 0)
 	amount = float64(unitsRoundedDown(amount)) * lease.AmountUnit // as encoded on the wire
 	expiresAt := now + term + int64(float64(term)*maxClockDrift)
-	lease.RecordAllotment(now, to.leases[:], lease.Lease{Amount: amount, ExpiresAt: expiresAt})
+	lease.RecordLease(now, to.leases[:], lease.Lease{Amount: amount, ExpiresAt: expiresAt})
 	l.node.Counts.LeasesGranted++
 	return amount, term
 }
--- a/core/lease/allotment.go
+++ b/core/lease/allotment.go
@@ -20,10 +20,10 @@
 	return amount
 }
 
-// RecordAllotment replaces the allotment that expires first with added. If that allotment has not expired yet, the two
+// RecordLease replaces the allotment that expires first with added. If that allotment has not expired yet, the two
 // are merged: the result has the larger amount and the later expiry, so Outstanding is never below an unexpired
 // amount that was recorded.
-func RecordAllotment(now int64, allotments []Lease, added Lease) {
+func RecordLease(now int64, allotments []Lease, added Lease) {
 	earliest := &allotments[0]
 	for i := range allotments {
 		if allotments[i].ExpiresAt < earliest.ExpiresAt {
--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -96,7 +96,7 @@
 	}
 	amount = math.Floor(amount/AmountUnit) * AmountUnit // as encoded on the wire
 	expiresAt := now + term + int64(math.Ceil(float64(term)*maxClockDrift))
-	RecordAllotment(now, to.leases[:], Lease{amount, expiresAt})
+	RecordLease(now, to.leases[:], Lease{amount, expiresAt})
 	return amount, term
 }
 
