--- a/core/fleet/lease_messages.go
+++ b/core/fleet/lease_messages.go
@@ -41,14 +41,14 @@
 		buffer = order.AppendUint32(buffer, body.RequestNumber)
 		buffer = order.AppendUint16(buffer, uint16(body.KnownHolder))
 	case treeVoteMessage:
-		buffer = order.AppendUint32(buffer, body.Stamp)
+		buffer = order.AppendUint32(buffer, body.Timestamp)
 		buffer = order.AppendUint32(buffer, body.CandidateIncarnation)
 	case treeVoteAckMessage:
 		isElected := byte(0)
 		if body.IsElected {
 			isElected = 1
 		}
-		buffer = order.AppendUint32(buffer, body.Stamp)
+		buffer = order.AppendUint32(buffer, body.Timestamp)
 		buffer = append(buffer, isElected)
 	}
 	return buffer
@@ -74,10 +74,10 @@
 		body.RequestNumber = order.Uint32(data[10:])
 		body.KnownHolder = parseHolder(data[14:])
 	case treeVoteMessage:
-		body.Stamp = order.Uint32(data[1:])
+		body.Timestamp = order.Uint32(data[1:])
 		body.CandidateIncarnation = order.Uint32(data[5:])
 	case treeVoteAckMessage:
-		body.Stamp = order.Uint32(data[1:])
+		body.Timestamp = order.Uint32(data[1:])
 		body.IsElected = data[5] == 1
 	}
 }
--- a/core/fleet/wire_compat_test.go
+++ b/core/fleet/wire_compat_test.go
@@ -56,13 +56,13 @@
 			Kind: lease.KindGrant, Level: 2, RequestNumber: 3, KnownHolder: lease.NoRank,
 		}),
 		"tree vote": treeMessage(treeVoteMessage, 0x41, lease.Message{
-			Kind: lease.KindVote, Stamp: 0x4b4c4d4e, CandidateIncarnation: 0x4f505152,
+			Kind: lease.KindVote, Timestamp: 0x4b4c4d4e, CandidateIncarnation: 0x4f505152,
 		}),
 		"tree vote ack": treeMessage(treeVoteAckMessage, 0x41, lease.Message{
-			Kind: lease.KindVoteAck, Stamp: 0x4b4c4d4e,
+			Kind: lease.KindVoteAck, Timestamp: 0x4b4c4d4e,
 		}),
 		"tree vote ack, elected": treeMessage(treeVoteAckMessage, 0x41, lease.Message{
-			Kind: lease.KindVoteAck, Stamp: 0x4b4c4d4e, IsElected: true,
+			Kind: lease.KindVoteAck, Timestamp: 0x4b4c4d4e, IsElected: true,
 		}),
 	}
 	recorded := testfixture.HexLines(t, wireFixture)
--- a/core/lease/election.go
+++ b/core/lease/election.go
@@ -179,7 +179,7 @@
 	m := Message{Kind: KindVote}
 	hasTimestamp := e.candidateTimestamp != 0 && e.candidateIncarnation != 0
 	if n.mayVote(now) && hasTimestamp && e.unansweredVotes < maxUnansweredVotes {
-		m.Stamp = e.candidateTimestamp
+		m.Timestamp = e.candidateTimestamp
 		m.CandidateIncarnation = e.candidateIncarnation
 		e.voteExpiresAt = now + voteLifetime
 		n.Counts.VotesSent++
@@ -193,7 +193,7 @@
 func (n *Node) announceElected(now int64) {
 	for _, rank := range n.options.Topology.Electors {
 		if rank != n.options.Rank {
-			n.send(rank, Message{Kind: KindVoteAck, Stamp: n.timestamp(now), IsElected: true})
+			n.send(rank, Message{Kind: KindVoteAck, Timestamp: n.timestamp(now), IsElected: true})
 		}
 	}
 }
@@ -202,8 +202,8 @@
 // counts from the timestamp that it echoes. The timestamp is older than the vote, so the vote expires here before it
 // does at the voter.
 func (n *Node) handleVote(now int64, from int, m *Message) {
-	age := int64(n.timestamp(now)-m.Stamp) * TermUnit
-	isForThisProcess := m.CandidateIncarnation == n.options.Incarnation && m.Stamp != 0
+	age := int64(n.timestamp(now)-m.Timestamp) * TermUnit
+	isForThisProcess := m.CandidateIncarnation == n.options.Incarnation && m.Timestamp != 0
 	if isForThisProcess && age >= 0 && age < voteLifetime {
 		n.receivedVotes.record(from, now-age-TermUnit+voteLifetime-voteDriftMargin)
 	}
@@ -211,7 +211,7 @@
 	if timestamp == 0 {
 		return // 0 means no timestamp; the next vote is answered
 	}
-	n.send(from, Message{Kind: KindVoteAck, Stamp: timestamp, IsElected: n.isElected(now)})
+	n.send(from, Message{Kind: KindVoteAck, Timestamp: timestamp, IsElected: n.isElected(now)})
 }
 
 // handleVoteAck records whether the sender is elected and, if the sender is the candidate of this elector, the
@@ -230,10 +230,10 @@
 			e.candidateTimestamp = 0 // the vote is for the previous incarnation and must expire first
 			return
 		}
-		if m.Incarnation == e.candidateIncarnation && m.Stamp-e.candidateTimestamp > 1<<31 {
+		if m.Incarnation == e.candidateIncarnation && m.Timestamp-e.candidateTimestamp > 1<<31 {
 			return // older than the recorded timestamp: messages were reordered
 		}
 	}
 	e.candidateIncarnation = m.Incarnation
-	e.candidateTimestamp = m.Stamp
+	e.candidateTimestamp = m.Timestamp
 }
--- a/core/lease/election_test.go
+++ b/core/lease/election_test.go
@@ -16,7 +16,7 @@
 	stampedAt, now := 10*second, 13*second
 	vote := func(from int, candidateIncarnation uint32) (expiresAt int64) {
 		n.Receive(now, from, Message{
-			Kind: KindVote, Incarnation: 5, CandidateIncarnation: candidateIncarnation, Stamp: n.timestamp(stampedAt),
+			Kind: KindVote, Incarnation: 5, CandidateIncarnation: candidateIncarnation, Timestamp: n.timestamp(stampedAt),
 		})
 		return n.receivedVotes.voteExpiresAt[from]
 	}
--- a/core/lease/message.go
+++ b/core/lease/message.go
@@ -48,9 +48,9 @@
 	// NoRank at all other levels, and if the sender knows of none.
 	KnownHolder int
 
-	// Stamp is, in a vote ack, the time since the candidate's process started, in units of TermUnit. The next vote for
+	// Timestamp is, in a vote ack, the time since the candidate's process started, in units of TermUnit. The next vote for
 	// the candidate echoes it. 0: no timestamp.
-	Stamp uint32
+	Timestamp uint32
 	// CandidateIncarnation is, in a vote, the incarnation of the candidate when it sent the timestamp.
 	CandidateIncarnation uint32
 	// IsElected reports, in a vote ack, that its sender is elected as the holder of the fleet.
