--- a/core/fleet/health_reports.go
+++ b/core/fleet/health_reports.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// ReportFailure records that this router itself observes a condition of a server. Reports are sent to all members for
+// ReportCondition records that this router itself observes a condition of a server. Reports are sent to all members for
 // as long as the caller repeats the observation. Observations beyond maxObservations are dropped.
-func (h *HealthReports) ReportFailure(now int64, server uint32, condition Condition) {
+func (h *HealthReports) ReportCondition(now int64, server uint32, condition Condition) {
 	key := reportKey{server, condition}
 	seen := h.observed[key]
 	if seen == nil {
@@ -238,7 +238,7 @@
 
 // ReportFailure records that this router itself observes a condition of a server. See HealthReports.
 func (n *Node) ReportFailure(now int64, server uint32, condition Condition) {
-	n.healthReports.ReportFailure(now, server, condition)
+	n.healthReports.ReportCondition(now, server, condition)
 }
 
 // ReportSuccess records that a server has just answered a request of this router successfully. See HealthReports.
--- a/lab/scale/verdicts.go
+++ b/lab/scale/verdicts.go
@@ -131,7 +131,7 @@
 
 func (w *reportWorld) tick(router *reportRouter) {
 	if w.serverIsFailing {
-		router.reports.ReportFailure(w.now, failingServer, fleet.Failing)
+		router.reports.ReportCondition(w.now, failingServer, fleet.Failing)
 	}
 	router.reports.Tick(w.now)
 }
