--- a/core/fleet/ejection_test.go
+++ b/core/fleet/ejection_test.go
@@ -22,7 +22,7 @@
 
 // reportFailing reports to a router that it observes a failing server.
 func (w *world) reportFailing(rank int, server uint32) {
-	w.processes[rank].node.ReportFailure(w.localTime(rank), server, Failing)
+	w.processes[rank].node.ReportCondition(w.localTime(rank), server, Failing)
 }
 
 // Guards against verdicts that are wrong, late or too long, in a fleet of 300 routers with 30% loss. One site that
--- a/core/fleet/example_test.go
+++ b/core/fleet/example_test.go
@@ -137,8 +137,8 @@
 	servers := []uint32{0xa1, 0xa2, 0xa3}
 	now := int64(0)
 	for range 10 {
-		w.nodes[0].ReportFailure(now, 0xa2, fleet.Failing) // of one site
-		w.nodes[1].ReportFailure(now, 0xa2, fleet.Failing) // of the other
+		w.nodes[0].ReportCondition(now, 0xa2, fleet.Failing) // of one site
+		w.nodes[1].ReportCondition(now, 0xa2, fleet.Failing) // of the other
 		now = w.run(now, 200_000, all)
 	}
 	fmt.Printf("%#x\n", w.nodes[3].Ejected(now, fleet.Failing, servers))
--- a/core/fleet/health_reports.go
+++ b/core/fleet/health_reports.go
@@ -236,8 +236,8 @@
 	return others
 }
 
-// ReportFailure records that this router itself observes a condition of a server. See HealthReports.
-func (n *Node) ReportFailure(now int64, server uint32, condition Condition) {
+// ReportCondition records that this router itself observes a condition of a server. See HealthReports.
+func (n *Node) ReportCondition(now int64, server uint32, condition Condition) {
 	n.healthReports.ReportCondition(now, server, condition)
 }
 
--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -117,7 +117,7 @@
 	t.mu.Lock()
 	for _, id := range failing {
 		if server, ok := gossip.ParseServerID(id); ok {
-			t.Fleet.ReportFailure(now, server, fleet.Failing)
+			t.Fleet.ReportCondition(now, server, fleet.Failing)
 		}
 	}
 	for _, server := range t.Fleet.Ejected(now, fleet.Failing, servers) {
--- a/lab/scale/datagram_test.go
+++ b/lab/scale/datagram_test.go
@@ -104,7 +104,7 @@
 		for _, node := range check.nodes {
 			node.Tick(now)
 		}
-		check.nodes[0].ReportFailure(now, failingServer, fleet.Failing)
+		check.nodes[0].ReportCondition(now, failingServer, fleet.Failing)
 		check.deliver(now)
 	}
 	for _, op := range []operation{opPing, opAck, opLeaseRequest, opLeaseGrant, opHealthReport} {
