--- a/core/fleet/limit_holder.go
+++ b/core/fleet/limit_holder.go
@@ -20,7 +20,7 @@
 type account struct {
 	voteExpiresAt int64
 	demand        float64
-	demandAt      int64                      // 0: never
+	demandAt      int64                  // 0: never
 	leases        [maxLeases]lease.Lease // those that have not expired may be in use
 }
 
--- a/core/fleet/limit_state.go
+++ b/core/fleet/limit_state.go
@@ -41,9 +41,9 @@
 	requestCount        int
 	unansweredRequests  int // in a row
 	nextRequestAt       int64
-	lastAnsweredRequest uint32          // sequence of the latest answered request
+	lastAnsweredRequest uint32      // sequence of the latest answered request
 	lease               lease.Lease // by the clock of this router
-	grantedAt           int64           // 0: the current holder has granted no lease
+	grantedAt           int64       // 0: the current holder has granted no lease
 
 	// As the holder.
 	accounts     []account // of the lessees, by rank
--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -24,7 +24,7 @@
 	maxAccounts = 4096
 
 	// maxLeases is the number of leases of one lessee that are recorded separately. At no level does a lease last
-	// longer than seven of its renew intervals. If more than maxLeases are unexpired, RecordAllotment merges two.
+	// longer than seven of its renew intervals. If more than maxLeases are unexpired, RecordLease merges two.
 	maxLeases = 8
 )
 
@@ -43,7 +43,7 @@
 // account is the record that a holder has of one lessee.
 type account struct {
 	demand   demand
-	demandAt int64                // time of the last request
+	demandAt int64            // time of the last request
 	leases   [maxLeases]Lease // times by the holder's clock; a lease that has not expired may be in use
 }
 
--- a/core/lease/message.go
+++ b/core/lease/message.go
@@ -11,7 +11,7 @@
 	KindRequest MessageKind = iota + 1
 	// KindGrant answers a KindRequest. Its Term is 0 if no lease is granted.
 	KindGrant
-	// KindVote carries the vote of an elector for the holder of the fleet. With a Stamp of 0 it carries no vote and
+	// KindVote carries the vote of an elector for the holder of the fleet. With a Timestamp of 0 it carries no vote and
 	// only requests the timestamp that the next vote must echo.
 	KindVote
 	// KindVoteAck answers a KindVote with the timestamp that the next vote must echo, or announces an elected holder.
