--- a/core/lease/lessee_test.go
+++ b/core/lease/lessee_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A grant that is older than the latest, or of a request that was never sent, is dropped.
-func TestOldGrantsAreDropped(t *testing.T) {
+// Guards against grants that replace a newer lease: a grant that is older than the latest one, or whose request was
+// never sent, must be ignored.
+func TestStaleGrantsAreIgnored(t *testing.T) {
 	l := newLessee(0)
 	l.holder = 3
 	first := l.recordRequest(second)
@@ -17,12 +18,12 @@
 	grant(first, 9)
 	grant(77, 9)
 	if got := l.available(2*second + 2000); got != 2 {
-		t.Errorf("%v on lease, 2 was granted last", got)
+		t.Errorf("%v available, want 2, the latest grant", got)
 	}
 }
 
-// Leases may be granted out of each of a holder's older leases until that one expires.
-func TestOlderLeasesKeepTheirExpiry(t *testing.T) {
+// Guards against granting from an older, larger lease that has expired, and against not granting from it before.
+func TestOlderLeaseIsSourceUntilExpiry(t *testing.T) {
 	l := newLessee(1)
 	l.holder = 3
 	grant := func(at int64, amount float64) {
@@ -33,10 +34,10 @@
 	grant(second, 9)
 	first := l.lease
 	grant(2*second, 4)
-	if got := l.capacities(2 * second); len(got) != 2 || got[0] != l.lease || got[1] != first {
-		t.Errorf("%v, want the present lease and %v", got, first)
+	if got := l.sources(2 * second); len(got) != 2 || got[0] != l.lease || got[1] != first {
+		t.Errorf("sources of grants %v, want the current lease and %v", got, first)
 	}
-	if got := l.capacities(first.ExpiresAt); len(got) != 1 {
-		t.Errorf("%v after the older one has expired", got)
+	if got := l.sources(first.ExpiresAt); len(got) != 1 {
+		t.Errorf("sources of grants %v after the older lease has expired, want one", got)
 	}
 }
