--- a/core/cells/admission.go
+++ b/core/cells/admission.go
@@ -6,40 +6,40 @@
 	"spantack/routing"
 )
 
-// Admission decides on requests before and after the routing engine that it owns: it limits each request to the caches
-// of its tenant's cell, names the parents for its fills, and rejects what exceeds the cell's share. It has three parts
-// that are switched on apart from each other: SetAssignment, SetTopology and SetOriginLimit. Without any of them events
-// pass through to the engine unchanged. It is not safe for concurrent use.
+// Admission wraps a routing engine. It limits each request to the caches of its tenant's cell, selects the parents for
+// its fills, and rejects requests that exceed the cell's share. Three parts are enabled independently of each other, by
+// SetAssignment, SetTopology and SetOriginLimit. Without any of them, events pass through to the engine unchanged. An
+// Admission is not safe for concurrent use.
 type Admission struct {
-	// Stats count decisions since the start. Read only.
+	// Stats counts decisions since the start. It is read-only for callers.
 	Stats Stats
 	Options
 	*shared
 
-	// With an assignment.
+	// Used only with an assignment.
 	scope        scope
 	budget       budget
-	openRequests map[string]openRequest // admitted requests under way, by request ID
+	openRequests map[string]openRequest // admitted requests that have not ended, by request ID
 	heavyObjects *HeavyHitters          // by KB requested
 	migrations   migrations
 	rollout      rolloutGate
 
-	// With and without an assignment.
+	// Used with and without an assignment.
 	parents parentSelection
 	origin  originGate
 }
 
-// Options are set by the owner of an Admission, before the first call or between calls.
+// Options may be set by the owner of an Admission before the first call or between calls.
 type Options struct {
-	// DocumentClockOffset, in microseconds, is how far the clock of documents (migrations, rollouts) is ahead of the
-	// times of events.
+	// DocumentClockOffset, in microseconds, is added to the time of an event to get the clock of documents (migrations,
+	// rollouts).
 	DocumentClockOffset int64
-	// PlansInBackground says that the owner asks for TakePlanJob, runs the job apart from requests and hands it to
-	// ApplyPlanJob. Otherwise plans are computed while an event waits.
+	// PlansInBackground is set if the owner polls TakePlanJob, runs the job outside of request processing and passes
+	// it to ApplyPlanJob. Otherwise plans are computed inline, while an event waits.
 	PlansInBackground bool
 }
 
-// shared is what all parts of an Admission use.
+// shared is the state that all parts of an Admission use.
 type shared struct {
 	engine     *routing.Engine
 	settings   routing.Settings
@@ -48,10 +48,10 @@
 	options    *Options
 	stats      *Stats
 	rng        *rand.Rand
-	logActions []routing.Action // to be returned by the next Step or Tick
+	logActions []routing.Action // returned by the next Step or Tick
 }
 
-// requestClass is what admission needs to know of a class in the settings.
+// requestClass holds the settings of a request class that admission needs.
 type requestClass struct {
 	index          int // in the settings
 	priorityWeight float64
@@ -59,12 +59,12 @@
 }
 
 const (
-	maxHeavyObjects = 256  // objects counted: each with more than 1/256 of all KB is among them
+	maxHeavyObjects = 256  // objects tracked: every object with more than 1/256 of all KB is among them
 	objectHalfLife  = 60e6 // microseconds
 )
 
-// NewAdmission returns an Admission without assignment, topology or origin limit. The seed is for the random numbers of
-// admission and engine.
+// NewAdmission returns an Admission without assignment, topology or origin limit. The seed is used for the random
+// numbers of both the Admission and its engine.
 func NewAdmission(settings routing.Settings, seed int64) (*Admission, error) {
 	engine, err := routing.NewEngine(settings, seed)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return a, nil
 }
 
-// UpdateSettings puts other settings in force, as routing.Engine.UpdateSettings does. An open request keeps its class
-// by name; one whose class is gone counts with the first class of the new settings.
+// UpdateSettings replaces the settings, as routing.Engine.UpdateSettings does. An open request keeps its class by name.
+// If the new settings do not have that class, the request counts for their first class.
 func (a *Admission) UpdateSettings(now int64, settings routing.Settings) error {
 	if err := a.engine.UpdateSettings(settings); err != nil {
 		return err
@@ -125,34 +125,34 @@
 	}
 }
 
-// documentMillis returns a time as documents have it, in milliseconds.
+// documentMillis converts a time to the clock of documents, in milliseconds.
 func (s *shared) documentMillis(now int64) float64 {
 	return float64(now+s.options.DocumentClockOffset) / 1000
 }
 
-// log appends a line to the pending log actions.
+// log adds a line to the log actions that the next Step or Tick returns.
 func (s *shared) log(text string) {
 	s.logActions = append(s.logActions, routing.Action{Kind: routing.ActionLog, LogText: text})
 }
 
-// LearnedState returns what the engine has learned. What admission itself has learned of tenants is not handed over.
+// LearnedState returns the learned state of the engine. It does not include the Admission's own estimates for tenants.
 func (a *Admission) LearnedState(now int64) routing.LearnedState { return a.engine.LearnedState(now) }
 
-// RestoreLearnedState takes over what the engine of another process of the same router had learned.
+// RestoreLearnedState restores the learned state of the engine of another process of the same router.
 func (a *Admission) RestoreLearnedState(now int64, state routing.LearnedState) error {
 	return a.engine.RestoreLearnedState(now, state)
 }
 
-// EjectedCaches returns the listed caches of the own site that the engine's circuit breakers exclude.
+// EjectedCaches returns the listed caches of this site that the engine's circuit breakers exclude.
 func (a *Admission) EjectedCaches(now int64) []string { return a.engine.EjectedCaches(now) }
 
-// Parents returns the listed parents, and those of them that the engine's circuit breakers exclude.
+// Parents returns all listed parents, and the subset of them that the engine's circuit breakers exclude.
 func (a *Admission) Parents(now int64) (all, excluded []string) { return a.engine.Parents(now) }
 
-// ConfirmedOriginFills returns how many fills are in flight that are known to reach the origin.
+// ConfirmedOriginFills returns the number of fills in flight that are known to reach the origin.
 func (a *Admission) ConfirmedOriginFills() int { return a.engine.ConfirmedOriginFills() }
 
-// Step takes the events of a time and returns what to do, in order.
+// Step handles events that happen at one time and returns the resulting actions, in order.
 func (a *Admission) Step(now int64, events []routing.Event) []routing.Action {
 	if a.isPassThrough() {
 		for i := range events {
@@ -172,12 +172,13 @@
 	return actions
 }
 
-// isPassThrough reports whether the engine alone decides.
+// isPassThrough reports whether all parts are disabled, so that events go to the engine unchanged.
 func (a *Admission) isPassThrough() bool {
 	return a.scope.spec == nil && a.parents.graph == nil && a.origin.limiter == nil
 }
 
-// stepOne handles one event, given as a slice of one to spare an allocation, and appends what to do.
+// stepOne handles one event and appends the resulting actions. The event is passed as a slice of length 1 to avoid an
+// allocation.
 func (a *Admission) stepOne(now int64, events []routing.Event, actions []routing.Action) []routing.Action {
 	event := &events[0]
 	switch event.Kind {
@@ -218,7 +219,8 @@
 	return append(actions, decisions...)
 }
 
-// Tick advances migrations, a rollout and fill plans while there are no requests, and returns the log actions.
+// Tick advances migrations, the rollout and the fill plan, also while no requests arrive, and returns pending log
+// actions.
 func (a *Admission) Tick(now int64) []routing.Action {
 	a.parents.planIfDue(now)
 	if a.scope.spec != nil {
--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -3,11 +3,11 @@
 import "spantack/routing"
 
 const (
-	defaultRequestKB      = 100.0 // of a request that does not tell its size
-	minRetryAfterFraction = 0.25  // least Retry-After of a rejected request, as a part of the greatest
+	defaultRequestKB      = 100.0 // assumed size of a request without one
+	minRetryAfterFraction = 0.25  // shortest Retry-After of a rejected request, as a fraction of the longest
 )
 
-// candidate is a request on its way through admission.
+// candidate is a request while admission decides on it.
 type candidate struct {
 	tenantIndex   int
 	tenant        *tenant
@@ -17,16 +17,16 @@
 	isUncacheable bool
 	isRelease     bool // the object belongs to the rollout's release
 	sizeKB        float64
-	recent        int8 // 1: its chunk was requested recently
-	fillKB        float64
-	originKB      float64
-	usage         float64 // of its tenant, by weight
-	exceedsShare  bool    // the usage is above the fair share of the cell
+	recent        int8    // 1: its chunk was requested recently; 0: it was not
+	fillKB        float64 // estimate of KB filled over the link
+	originKB      float64 // estimate of KB sent by the origin
+	usage         float64 // usage of its tenant, divided by the tenant's weight
+	exceedsShare  bool    // the usage is above the cell's fair-share limit
 	route         migrationRoute
 }
 
-// admit decides whether the engine may handle a request, and with which caches; there must be an assignment. It does
-// not allocate.
+// admit decides whether the engine may handle a request, and sets the caches that the engine may use. There must be an
+// assignment in force. It does not allocate memory.
 func (a *Admission) admit(now int64, event *routing.Event) Reason {
 	a.scope.countActiveTenants(now)
 	a.migrations.advance(now)
@@ -49,7 +49,7 @@
 		return reason
 	}
 	a.takeBudget(&c)
-	a.limitScope(now, event, &c)
+	a.setSubsets(now, event, &c)
 	a.recordOpenRequest(now, event, &c)
 	return ReasonNone
 }
@@ -70,8 +70,8 @@
 	return c
 }
 
-// selectCell finds the cell of a request: its tenant's, one of the two of a migration, or the fallback of a cell that
-// has no healthy cache.
+// selectCell selects the cell of a request: the tenant's cell, one of the two cells of a migration, or the fallback
+// cell if the selected one has no healthy cache.
 func (a *Admission) selectCell(now int64, event *routing.Event, c *candidate) Reason {
 	c.cellIndex = c.tenant.cell
 	if c.tenant.migration != nil && !c.isUncacheable {
@@ -92,7 +92,7 @@
 	return ReasonNone
 }
 
-// estimateFill estimates what a request takes of link, parents and origin.
+// estimateFill estimates how many KB a request needs from the link and the parents, and how many from the origin.
 func (a *Admission) estimateFill(now int64, event *routing.Event, c *candidate) {
 	c.cell.arrivals.add(now, 1)
 	if a.scope.recentChunks.record(now, event.Object, event.Chunk) {
@@ -105,12 +105,12 @@
 	c.fillKB = c.sizeKB * fillRatio
 	c.originKB = c.sizeKB * originRatio
 	if c.route.isColdInDestination() {
-		c.fillKB = c.sizeKB // parents have the object, as the source cell filled it from there
+		c.fillKB = c.sizeKB // originKB stays: the source cell filled the object through the parents, so they have it
 	}
 }
 
-// recordUsage adds a request, admitted or not, to the usage and demand of its tenant, and compares the usage with the
-// fair share of the cell.
+// recordUsage adds a request, admitted or not, to the usage and demand of its tenant, and compares the tenant's usage
+// with the cell's fair-share limit.
 func (a *Admission) recordUsage(now int64, c *candidate) {
 	cost := a.budget.cost(c.fillKB, c.originKB)
 	c.usage = c.tenant.usage.add(now, cost) / c.tenant.weight
@@ -122,8 +122,8 @@
 	c.exceedsShare = fair.exceeds(now, c.usage)
 }
 
-// checkBudget returns which share of the cell is used up, or ReasonNone. Requests of tenants with little usage may put
-// the cell in debt.
+// checkBudget returns the reason for which the cell's budget does not allow a request, or ReasonNone. Requests of
+// tenants with low usage may put the cell into debt.
 func (a *Admission) checkBudget(now int64, c *candidate) Reason {
 	reason := ReasonNone
 	if c.isUncacheable {
@@ -145,8 +145,8 @@
 	}
 }
 
-// limitScope names the caches in the event that the engine may use for a request.
-func (a *Admission) limitScope(now int64, event *routing.Event, c *candidate) {
+// setSubsets sets in the event which caches the engine may use for a request.
+func (a *Admission) setSubsets(now int64, event *routing.Event, c *candidate) {
 	event.Subset = a.scope.subsetOf(now, c.tenantIndex, c.cellIndex)
 	if overflow := a.scope.overflowCell; overflow != noCell && c.cellIndex != overflow {
 		event.OverflowSubset = cellSubset(overflow)
@@ -158,7 +158,7 @@
 	}
 }
 
-// recordOpenRequest keeps an admitted request until it ends.
+// recordOpenRequest stores an admitted request until it ends.
 func (a *Admission) recordOpenRequest(now int64, event *routing.Event, c *candidate) {
 	c.cell.openRequests++
 	a.heavyObjects.Add(now, event.Object, c.sizeKB)
@@ -181,18 +181,19 @@
 	a.Stats.Admitted++
 }
 
-// rejection answers a rejected request. Its Retry-After is long, and random so that clients do not come back together.
+// rejection returns the action that rejects a request. Its Retry-After is random, from minRetryAfterFraction of the
+// longest one upwards, so that clients do not retry at the same time.
 func (a *Admission) rejection(event *routing.Event) routing.Action {
-	longest := float64(a.settings.Permissions.MaxRetryAfter)
-	part := minRetryAfterFraction + (1-minRetryAfterFraction)*a.rng.Float64()
+	maxRetryAfter := float64(a.settings.Permissions.MaxRetryAfter)
+	fraction := minRetryAfterFraction + (1-minRetryAfterFraction)*a.rng.Float64()
 	return routing.Action{
 		Kind:       routing.ActionReject,
 		RequestID:  event.RequestID,
-		RetryAfter: int64(longest * part),
+		RetryAfter: int64(maxRetryAfter * fraction),
 	}
 }
 
-// observeOutcome learns from the end of an attempt.
+// observeOutcome updates estimates, the rollout and migrations with the outcome of an attempt.
 func (a *Admission) observeOutcome(now int64, event *routing.Event) {
 	request, isOpen := a.openRequests[event.RequestID]
 	if !isOpen {
@@ -208,7 +209,8 @@
 	}
 }
 
-// learnFill replaces the estimate of what a request takes by what it took.
+// learnFill updates miss ratios with a served attempt, and replaces the request's estimate in the budget by its actual
+// usage.
 func (a *Admission) learnFill(request *openRequest, status routing.CacheStatus) {
 	filled, fromOrigin := 0.0, 0.0
 	if status.IsFilled() {
@@ -217,7 +219,7 @@
 	if status == routing.FilledFromOrigin {
 		fromOrigin = 1
 	}
-	if !request.route.isCold { // misses in a cell that is new to the tenant say nothing of later ones
+	if !request.route.isCold { // misses in a cell that is new to the tenant do not predict later misses
 		tenant := &a.scope.tenants[request.tenant]
 		tenant.missRatio.learn(request.recent, filled, fromOrigin, tenantLearningStep)
 		a.scope.cells[tenant.cell].missRatio.learn(request.recent, filled, fromOrigin, cellLearningStep)
@@ -225,7 +227,7 @@
 	a.budget.correct(request, request.sizeKB*filled, request.sizeKB*fromOrigin)
 }
 
-// observeDecisions learns from the engine's final answers without service: rejections show an overloaded cell.
+// observeDecisions records requests that the engine rejected or failed. Rejections indicate an overloaded cell.
 func (a *Admission) observeDecisions(now int64, actions []routing.Action) {
 	for i := range actions {
 		action := &actions[i]
--- a/core/cells/assignment.go
+++ b/core/cells/assignment.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Assignment is a valid specification with the indexes that routers need. It does not change and may be shared between
-// goroutines: compiling it takes long, putting it in force does not.
+// Assignment is a valid specification with the indexes that routers need. It is immutable and may be shared between
+// goroutines: Compile is slow and can run in the background, while Admission.SetAssignment is fast.
 type Assignment struct {
 	spec         *Spec
 	keys         *keyTable
 	tenantByKey  []int32          // index of a tenant by index of a key
 	tenantByName map[string]int32 // index of a tenant
-	homeCell     []int32          // index of a cell by tenant, where CellBySite names no other
+	defaultCell  []int32          // index of a cell by tenant, for sites that CellBySite does not list
 	cellByName   map[string]int32 // index of a cell
 }
 
-// Compile validates and indexes a specification, which must not be changed afterwards.
+// Compile validates and indexes a specification. The caller must not modify it afterwards.
 func Compile(spec *Spec) (*Assignment, error) {
 	if err := spec.Validate(); err != nil {
 		return nil, fmt.Errorf("cells.%w", err)
@@ -23,7 +23,7 @@
 		keys:         newKeyTable(spec.TenantKeys),
 		tenantByKey:  make([]int32, len(spec.TenantKeys)),
 		tenantByName: make(map[string]int32, len(spec.Tenants)),
-		homeCell:     make([]int32, len(spec.Tenants)),
+		defaultCell:  make([]int32, len(spec.Tenants)),
 		cellByName:   make(map[string]int32, len(spec.Cells)),
 	}
 	for i, cell := range spec.Cells {
@@ -32,7 +32,7 @@
 	for i := range spec.Tenants {
 		tenant := &spec.Tenants[i]
 		a.tenantByName[tenant.Name] = int32(i)
-		a.homeCell[i] = a.cellByName[tenant.Cell]
+		a.defaultCell[i] = a.cellByName[tenant.Cell]
 	}
 	for i := range spec.TenantKeys {
 		a.tenantByKey[i] = a.tenantByName[spec.TenantKeys[i].Tenant]
@@ -40,15 +40,15 @@
 	return a, nil
 }
 
-// Version returns the version of the specification.
+// Version returns the version number of the specification.
 func (a *Assignment) Version() int64 { return a.spec.Version }
 
 // cellAt returns the index of a tenant's cell at a site.
 func (a *Assignment) cellAt(tenant int, site string) int {
-	if name, differs := a.spec.Tenants[tenant].CellBySite[site]; differs {
+	if name, isListed := a.spec.Tenants[tenant].CellBySite[site]; isListed {
 		return int(a.cellByName[name])
 	}
-	return int(a.homeCell[tenant])
+	return int(a.defaultCell[tenant])
 }
 
 // tenantOf returns the index of the tenant that a request belongs to.
--- a/core/cells/budget.go
+++ b/core/cells/budget.go
@@ -3,17 +3,17 @@
 import "cmp"
 
 const (
-	defaultReclaimMillis = 250.0 // where the budget names none
-	// maxOpenFraction is the part of the requests open at once that cells may fill beyond their shares; the rest is for
-	// tenants with little usage.
+	defaultReclaimMillis = 250.0 // if the budget sets no reclaim time
+	// maxOpenFraction is the fraction of the limit on open requests up to which cells may exceed their shares. The rest
+	// is reserved for tenants with low usage.
 	maxOpenFraction = 0.9
-	// minRequestCost is the least cost of a request, in seconds of what this router may use of the site.
+	// minRequestCost is the minimum cost of a request, in seconds of this router's part of the site's resources.
 	minRequestCost = 1e-6
 )
 
-// budget is this router's part of what the cells of a site share.
+// budget is this router's part of the resources that the cells of a site share.
 type budget struct {
-	requests        *sharedRate // requests per second, uncacheable ones apart
+	requests        *sharedRate // cacheable requests per second
 	link            *sharedRate // KB per second of fills into the site
 	parents         *sharedRate // KB per second of fills that parents send
 	origin          *sharedRate // KB per second of fills that the origin sends
@@ -21,7 +21,7 @@
 	maxOpenRequests int         // 0: no limit
 }
 
-// newBudget divides the budget of a specification among routers, and among cells by their shares.
+// newBudget returns this router's part of the budget of a specification, divided among cells by their shares.
 func (s *shared) newBudget(spec *Spec) budget {
 	shares := make([]float64, len(spec.Cells))
 	for i := range spec.Cells {
@@ -44,7 +44,8 @@
 	}
 }
 
-// cost returns what a request takes of this router's part, in seconds of the resource that it takes most of.
+// cost returns the cost of a request: the time for which it uses up this router's part of its most used resource, in
+// seconds, and at least minRequestCost.
 func (b *budget) cost(fillKB, originKB float64) float64 {
 	cost := minRequestCost
 	for _, use := range [...]struct {
@@ -58,35 +59,35 @@
 	return cost
 }
 
-// check returns why a cell may not take a cacheable request now, or ReasonNone.
-func (b *budget) check(now int64, cell int, mayOwe bool) Reason {
+// check returns why a cell may not accept a cacheable request now, or ReasonNone.
+func (b *budget) check(now int64, cell int, allowDebt bool) Reason {
 	b.requests.refill(now)
 	b.link.refill(now)
 	b.parents.refill(now)
 	b.origin.refill(now)
 	switch {
-	case !b.requests.mayTake(cell, mayOwe):
+	case !b.requests.mayTake(cell, allowDebt):
 		return ReasonRequestRate
-	case !b.link.mayTake(cell, mayOwe):
+	case !b.link.mayTake(cell, allowDebt):
 		return ReasonLinkRate
-	case !b.parents.mayTake(cell, mayOwe):
+	case !b.parents.mayTake(cell, allowDebt):
 		return ReasonParentRate
-	case !b.origin.mayTake(cell, mayOwe):
+	case !b.origin.mayTake(cell, allowDebt):
 		return ReasonOriginRate
 	}
 	return ReasonNone
 }
 
-// checkUncacheable returns why a cell may not take an uncacheable request now, or ReasonNone.
-func (b *budget) checkUncacheable(now int64, cell int, mayOwe bool) Reason {
+// checkUncacheable returns why a cell may not accept an uncacheable request now, or ReasonNone.
+func (b *budget) checkUncacheable(now int64, cell int, allowDebt bool) Reason {
 	b.uncacheable.refill(now)
-	if !b.uncacheable.mayTake(cell, mayOwe) {
+	if !b.uncacheable.mayTake(cell, allowDebt) {
 		return ReasonUncacheableRate
 	}
 	return ReasonNone
 }
 
-// take spends the estimate of a cacheable request.
+// take subtracts the estimated usage of a cacheable request.
 func (b *budget) take(cell int, fillKB, originKB float64) {
 	b.requests.take(cell, 1)
 	b.link.take(cell, fillKB)
@@ -94,7 +95,7 @@
 	b.origin.take(cell, originKB)
 }
 
-// correct replaces the estimate of a cacheable request by what it used.
+// correct replaces the estimated usage of a cacheable request by its actual usage.
 func (b *budget) correct(request *openRequest, filledKB, originKB float64) {
 	cell := int(request.cell)
 	b.link.correct(cell, filledKB-request.fillKB)
--- a/core/cells/cache_assignment.go
+++ b/core/cells/cache_assignment.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// affinity is a pseudo-random number between 0 and 1 for a pair of names, the same at every router.
+// affinity returns a pseudo-random number between 0 and 1 for a pair of names. It is the same at every router.
 func affinity(a, b string) float64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -18,8 +18,9 @@
 	return (float64(digest.Sum64()>>11) + 0.5) / (1 << 53)
 }
 
-// cacheQuotas divides so many caches among cells by the largest-remainder method. While there are enough caches each
-// cell has one at least; otherwise those with the greatest shares have one each, the first of equal ones.
+// cacheQuotas returns how many of the given number of caches each cell gets, by the largest-remainder method. With
+// enough caches each cell gets at least one. Otherwise the cells with the largest shares get one each; of cells with
+// equal shares, the first ones.
 func cacheQuotas(cells []Cell, caches int) []int {
 	quotas := make([]int, len(cells))
 	if caches <= len(cells) {
@@ -32,20 +33,20 @@
 	for i := range cells {
 		shares += cells[i].Share
 	}
-	left := caches
+	remaining := caches
 	remainders := make([]float64, len(cells))
 	for i := range cells {
 		exact := float64(caches) * cells[i].Share / shares
 		quotas[i] = max(int(exact), 1)
 		remainders[i] = exact - float64(quotas[i])
-		left -= quotas[i]
+		remaining -= quotas[i]
 	}
-	for ; left > 0; left-- {
+	for ; remaining > 0; remaining-- {
 		i := slices.Index(remainders, slices.Max(remainders))
 		quotas[i]++
 		remainders[i]--
 	}
-	for ; left < 0; left++ { // small cells got their one cache: take it from where the remainder is smallest
+	for ; remaining < 0; remaining++ { // caches for small cells were added: take them from the smallest remainders
 		i := smallestRemainder(quotas, remainders)
 		quotas[i]--
 		remainders[i]++
@@ -53,7 +54,7 @@
 	return quotas
 }
 
-// cellsByShare returns the indexes of cells, those with the greatest shares first.
+// cellsByShare returns the indexes of cells, sorted by share in descending order.
 func cellsByShare(cells []Cell) []int {
 	order := make([]int, len(cells))
 	for i := range cells {
@@ -63,7 +64,7 @@
 	return order
 }
 
-// smallestRemainder returns the index of the smallest remainder among cells that have more than one cache.
+// smallestRemainder returns the index of the cell with the smallest remainder among those with more than one cache.
 func smallestRemainder(quotas []int, remainders []float64) int {
 	found, smallest := -1, math.Inf(1)
 	for i := range quotas {
@@ -74,20 +75,20 @@
 	return found
 }
 
-// cacheMatching is the state of a stable matching of caches to cells, in which both sides prefer by affinity. It is
-// found by caches proposing to cells in order of preference (Gale and Shapley 1962).
+// cacheMatching computes a stable matching of caches to cells, in which both sides prefer the greater affinity. Caches
+// propose to cells in order of preference (Gale and Shapley 1962).
 type cacheMatching struct {
 	cells    int
 	affinity []float64 // by cache, then cell
 	proposed []bool    // by cache, then cell
 	quotas   []int     // by cell
-	accepted [][]int   // caches by cell, in no order
+	accepted [][]int   // caches by cell, unsorted
 }
 
-// divideCaches puts each cache into one cell by a stable matching: no cache and cell would both rather have each
-// other. As both sides have the same preferences there is only one such matching, so all routers with the same list
-// come to the same result, and replacing a cache moves few others (docs/cells.md has figures). Names are sorted in
-// each cell.
+// divideCaches assigns each cache to one cell by a stable matching: there is no cache and cell that both prefer each
+// other to their match. Because both sides rank pairs by the same affinity, there is only one such matching. So all
+// routers with the same endpoint list compute the same result, and replacing a cache moves few others (docs/cells.md
+// has figures). The names in each cell are sorted.
 func divideCaches(cells []Cell, caches []string) [][]string {
 	divided := make([][]string, len(cells))
 	if len(caches) == 0 {
@@ -120,7 +121,7 @@
 	return m
 }
 
-// run lets caches propose until each is accepted.
+// run lets unmatched caches propose until every cache is accepted by a cell.
 func (m *cacheMatching) run(caches int) {
 	unmatched := make([]int, caches)
 	for cache := range unmatched {
@@ -131,7 +132,7 @@
 		unmatched = unmatched[:len(unmatched)-1]
 		cell := m.nextChoice(cache)
 		if cell < 0 {
-			continue // can't happen: the quotas add up to the number of caches
+			continue // unreachable: the quotas add up to the number of caches
 		}
 		m.proposed[cache*m.cells+cell] = true
 		m.accepted[cell] = append(m.accepted[cell], cache)
@@ -141,7 +142,7 @@
 	}
 }
 
-// nextChoice returns the cell that a cache prefers among those it has not proposed to, or -1.
+// nextChoice returns the cell that a cache prefers among those that it has not proposed to yet, or -1.
 func (m *cacheMatching) nextChoice(cache int) int {
 	best := -1
 	row := m.affinity[cache*m.cells : (cache+1)*m.cells]
@@ -153,7 +154,7 @@
 	return best
 }
 
-// dropLowestAffinity removes from a cell the cache of the smallest affinity and returns it.
+// dropLowestAffinity removes the cache with the lowest affinity from a cell and returns it.
 func (m *cacheMatching) dropLowestAffinity(cell int) int {
 	accepted := m.accepted[cell]
 	worst := 0
@@ -169,7 +170,8 @@
 	return dropped
 }
 
-// drawSubset returns the caches of the greatest affinity to a tenant, so many of them, sorted by name.
+// drawSubset returns the width caches with the greatest affinity to a tenant, sorted by name, or all if there are no
+// more than that.
 func drawSubset(tenant string, caches []string, width int) []string {
 	if len(caches) <= width {
 		return caches
@@ -196,7 +198,8 @@
 	return names
 }
 
-// cachesOf returns the caches that a tenant may use, of all caches at a site or of those in its cell.
+// cachesOf returns the caches that a tenant may use: with SchemeShuffle a subset of the site's caches, with
+// SchemeNested a subset of its cell's caches, otherwise all of its cell's caches.
 func (s *Spec) cachesOf(tenant string, siteCaches, cellCaches []string) []string {
 	switch s.Scheme {
 	case SchemeShuffle:
--- a/core/cells/count_min_sketch.go
+++ b/core/cells/count_min_sketch.go
@@ -6,22 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// CountMinSketch estimates how much has been counted under each of any number of keys, in bounded memory: a count-min
-// sketch with conservative update (Estan and Varghese 2002), whose counts halve in every half-life.
+// CountMinSketch estimates the counts of any number of keys in bounded memory. It is a count-min sketch with
+// conservative update (Estan and Varghese 2002). Counts decay by half in every half-life.
 //
-// An estimate is never below the decayed count, and above it by at most e/width of all that is counted with probability
-// 1-exp(-depth).
+// An estimate is never below the decayed count. With probability 1-exp(-depth) it exceeds that count by at most e/width
+// of the decayed total of all keys.
 type CountMinSketch struct {
 	width, depth int
 	counters     []float32 // depth rows of width
 	decay        decayScale
 }
 
-// maxSketchScale is the scale at which all counters are divided by it: float32 holds 24 bits.
+// maxSketchScale is the decay scale at which all counters are rescaled: float32 has 24 bits of precision.
 const maxSketchScale = 1 << 20
 
-// NewCountMinSketch returns a sketch of depth rows with width counters each; memory is 4 bytes for each counter. The
-// half-life is in microseconds.
+// NewCountMinSketch returns a sketch of depth rows with width counters each, of 4 bytes per counter. The half-life is
+// in microseconds.
 func NewCountMinSketch(width, depth int, halfLife float64) *CountMinSketch {
 	width, depth = max(width, 1), max(depth, 1)
 	return &CountMinSketch{
@@ -32,12 +32,12 @@
 	}
 }
 
-// Add counts an amount under a key and returns the key's estimate with it.
+// Add adds an amount to the count of a key and returns the new estimate.
 func (s *CountMinSketch) Add(now int64, key string, amount float64) float64 {
 	return s.addHash(now, xxhash.Sum64String(key), amount)
 }
 
-// Estimate returns what is counted under a key, decayed to now.
+// Estimate returns the estimated count of a key, decayed to now.
 func (s *CountMinSketch) Estimate(now int64, key string) float64 {
 	return s.estimateHash(now, xxhash.Sum64String(key))
 }
@@ -58,7 +58,7 @@
 	return float64(s.minCounter(hash)) / s.decay.scale
 }
 
-// age makes counts decay to now.
+// age decays all counts to now.
 func (s *CountMinSketch) age(now int64) {
 	divisor := s.decay.age(now, maxSketchScale)
 	if divisor == 1 {
@@ -69,8 +69,8 @@
 	}
 }
 
-// slot returns the index of a hash's counter in a row: two halves of one hash stand for any number of hash functions
-// (Kirsch and Mitzenmacher 2006).
+// slot returns the index of the counter of a hash in a row. The hash function of each row is derived from the two
+// halves of one hash (Kirsch and Mitzenmacher 2006).
 func (s *CountMinSketch) slot(hash uint64, row int) int {
 	x := uint32(hash) + uint32(row)*(uint32(hash>>32)|1)
 	return row*s.width + int(uint64(x)*uint64(s.width)>>32)
--- a/core/cells/decay_scale.go
+++ b/core/cells/decay_scale.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// decayScale lets many counts halve in every half-life without changing them: what is added later weighs more instead.
-// A count is an amount times the scale of its time; divided by the scale of now it is the decayed amount.
+// decayScale implements exponential decay of many counts without updating each of them. The scale doubles in every
+// half-life. An amount is multiplied by the scale at the time when it is added; a stored count divided by the current
+// scale is the decayed count.
 type decayScale struct {
 	halfLife float64 // microseconds
 	scale    float64
-	agedAt   int64 // time of scale, microseconds; 0: nothing was counted yet
+	agedAt   int64 // time of the last update of scale, microseconds; 0: never updated
 }
 
 func newDecayScale(halfLife float64) decayScale { return decayScale{halfLife: halfLife, scale: 1} }
 
-// age brings the scale up to now. Where it has reached the limit it becomes 1, and all counts must be divided by the
-// returned divisor; otherwise that is 1.
+// age updates the scale to now. If the scale reaches the limit, age resets it to 1, and the caller must divide all
+// stored counts by the returned divisor. Otherwise the divisor is 1.
 func (d *decayScale) age(now int64, limit float64) (divisor float64) {
 	if d.agedAt == 0 {
 		d.agedAt = now
--- a/core/cells/decaying_sum.go
+++ b/core/cells/decaying_sum.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// usageTimeConstant, in microseconds, is the time in which an amount in a decayingSum fades to 1/e. A flood shows
-// within a second and is forgotten as fast.
+// usageTimeConstant, in microseconds, is the time in which an amount in a decayingSum decays to 1/e. A flood is visible
+// within a second, and disappears as fast after its end.
 const usageTimeConstant = 2e6
 
-// decayingSum adds up amounts that fade exponentially with usageTimeConstant.
+// decayingSum is a sum of amounts that decay exponentially with usageTimeConstant.
 type decayingSum struct {
 	sum       float64
 	updatedAt int64 // microseconds
 }
 
-// add counts an amount and returns the sum with it.
+// add adds an amount and returns the new sum.
 func (s *decayingSum) add(now int64, amount float64) float64 {
 	s.sum = s.valueAt(now) + amount
 	s.updatedAt = now
 	return s.sum
 }
 
-// valueAt returns the sum, faded to now.
+// valueAt returns the sum, decayed to now.
 func (s *decayingSum) valueAt(now int64) float64 {
 	return s.sum * math.Exp(-float64(now-s.updatedAt)/usageTimeConstant)
 }
--- a/core/cells/demand.go
+++ b/core/cells/demand.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// demandTimeConstant, in microseconds, is the time in which a request fades to 1/e in a tenant's demand: a minute, as
-// assignments are not planned for peaks.
+// demandTimeConstant, in microseconds, is the time in which a request decays to 1/e in a tenant's demand. It is one
+// minute because assignments are not planned for short peaks.
 const demandTimeConstant = 60e6
 
-// demandRate is what a tenant requested recently, admitted or not: what a plan must find capacity for. The sums decay
-// with demandTimeConstant.
+// demandRate is the recent demand of a tenant, of admitted and rejected requests: the capacity that a plan must
+// provide. The sums decay with demandTimeConstant.
 type demandRate struct {
 	requests       float64
 	requestedKB    float64
@@ -20,7 +20,7 @@
 	updatedAt      int64 // microseconds; 0: no request yet
 }
 
-// add counts a request.
+// add adds a request to all sums.
 func (d *demandRate) add(now int64, requestedKB, fillKB, priorityWeight float64) {
 	decay := math.Exp(-float64(now-d.updatedAt) / demandTimeConstant)
 	d.requests = d.requests*decay + 1
@@ -30,7 +30,7 @@
 	d.updatedAt = now
 }
 
-// perSecond returns the demand of a tenant per second.
+// perSecond returns the sums as rates per second, under the name of the tenant.
 func (d *demandRate) perSecond(now int64, tenant string) TenantDemand {
 	factor := math.Exp(-float64(now-d.updatedAt)/demandTimeConstant) / (demandTimeConstant / 1e6)
 	return TenantDemand{
@@ -40,14 +40,14 @@
 	}
 }
 
-// TenantDemand is what one tenant requests of one router.
+// TenantDemand is the demand of one tenant at one router.
 type TenantDemand struct {
 	Name           string    `json:"name"`
 	Loads          []float64 `json:"loads"` // per second: requests, KB requested, KB to be filled
-	PriorityWeight float64   `json:"worth"` // per second, of answers that come in time
+	PriorityWeight float64   `json:"worth"` // per second: sum of the requests' priority weights
 }
 
-// TopDemand lists the demand of tenants, n at most, the greatest by KB requested first.
+// TopDemand returns the demand of up to n tenants, those with the most KB requested first.
 func (a *Admission) TopDemand(now int64, n int) []TenantDemand {
 	var all []TenantDemand
 	for i := range a.scope.tenants {
--- a/core/cells/document_validation.go
+++ b/core/cells/document_validation.go
@@ -9,8 +9,8 @@
 	"spantack/core/rollout"
 )
 
-// ValidateMigrations validates a document for an assignment: tenants and cells must exist, and a tenant's cell must be
-// one of its migration's two.
+// ValidateMigrations checks a document against the assignment: tenants and cells must exist, and a tenant's cell must
+// be one of the two cells of its migration.
 func (a *Assignment) ValidateMigrations(document *migration.Document) error {
 	if document == nil {
 		return nil
@@ -35,7 +35,7 @@
 		return fieldError(path+".to", "%q is no cell", m.To)
 	}
 	if a.spec.Scheme != SchemeFixed && a.spec.Scheme != SchemeOverflow {
-		return fieldError(path, "tenants move with schemes fixed and overflow, not %s", a.spec.Scheme)
+		return fieldError(path, "migrations need scheme fixed or overflow, not %s", a.spec.Scheme)
 	}
 	for _, site := range a.sitesOf(int(tenant), m) {
 		if cell := a.spec.Cells[a.cellAt(int(tenant), site)].Name; cell != m.From && cell != m.To {
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// sitesOf returns the sites at which a migration's tenant may have different cells; "" stands for all sites that the
-// specification does not name.
+// sitesOf returns the sites of a migration at which its tenant may be in different cells. "" stands for all sites that
+// the tenant's CellBySite does not list.
 func (a *Assignment) sitesOf(tenant int, m *migration.Migration) []string {
 	if m.Site != migration.AllSites {
 		return []string{m.Site}
@@ -56,8 +56,8 @@
 	return append([]string{""}, named...)
 }
 
-// ValidateRollout validates a rollout for an assignment: its rings must name cells and leave one without the release to
-// compare with.
+// ValidateRollout checks a rollout against the assignment: its rings must consist of cells of the assignment, and the
+// first ring must leave a cell without the release for comparison.
 func (a *Assignment) ValidateRollout(r *rollout.Rollout) error {
 	if r == nil {
 		return nil
@@ -73,7 +73,7 @@
 		}
 	}
 	if len(a.spec.Cells) < 2 || len(r.Rings[0].Cells) == len(a.spec.Cells) {
-		return fieldError("stage.rings[0].cells", "every cell: none is left to compare with")
+		return fieldError("stage.rings[0].cells", "contains all cells, none is left for comparison")
 	}
 	return nil
 }
--- a/core/cells/document_validation_test.go
+++ b/core/cells/document_validation_test.go
@@ -34,7 +34,7 @@
 	nested.Scheme = SchemeNested
 	nested.Width = 2
 	err := mustCompile(t, nested).ValidateMigrations(migrationOfCalm())
-	if err == nil || !strings.Contains(err.Error(), "schemes fixed and overflow") {
+	if err == nil || !strings.Contains(err.Error(), "need scheme fixed or overflow") {
 		t.Errorf("got %v", err)
 	}
 }
@@ -48,7 +48,7 @@
 		{"valid", "", func(*rollout.Rollout) {}},
 		{"no name", "stage.name: ", func(r *rollout.Rollout) { r.Name = "" }},
 		{"unknown cell", "stage.rings[0].cells:", func(r *rollout.Rollout) { r.Rings[0].Cells = []string{"x"} }},
-		{"all cells", "stage.rings[0].cells: every cell", func(r *rollout.Rollout) {
+		{"all cells", "stage.rings[0].cells: contains all cells", func(r *rollout.Rollout) {
 			r.Rings[0].Cells = []string{"one", "two"}
 		}},
 	} {
--- a/core/cells/shared_rate.go
+++ b/core/cells/shared_rate.go
@@ -99,11 +99,11 @@
 
 // mayTake reports whether a cell has something left, of its own or to borrow. Requests of tenants that use less than
 // the mean may put the cell in debt as far as the bucket is deep: what its heavy tenants took was due to them.
-func (r *sharedRate) mayTake(cell int, mayOwe bool) bool {
+func (r *sharedRate) mayTake(cell int, allowDebt bool) bool {
 	if r.perMicrosecond == 0 || r.tokens[cell] > 0 || r.mayBorrow(cell) {
 		return true
 	}
-	return mayOwe && r.tokens[cell] > -r.bucketDepth(cell)
+	return allowDebt && r.tokens[cell] > -r.bucketDepth(cell)
 }
 
 // take spends an amount. What the bucket lacks is borrowed as far as the pool goes; the rest is debt.
