--- a/core/cells/plan/plan.go
+++ b/core/cells/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan proposes which cell each tenant should have: even loads, a bound on the part of the priority weight that
-// one cell holds, and few migrations. It does no I/O; random numbers come from a seed.
+// Package plan proposes an assignment of tenants to cells, with even loads, a limit on the fraction of the total
+// priority weight in one cell, and few migrations. It does no I/O. Random numbers come from a seed.
 package plan
 
 import (
@@ -9,51 +9,52 @@
 	"gonum.org/v1/gonum/floats"
 )
 
-// Loads are what a tenant takes of each resource, such as requests, KB sent and KB filled per second. All tenants have
-// the same resources in the same order. Units do not matter, as each load is divided by the total of its resource.
+// Loads is the load of a tenant on each resource, such as requests, KB sent and KB filled per second. All tenants have
+// the same resources in the same order. Units do not matter, because each load is divided by the total of its resource.
 type Loads []float64
 
-// Demand is one tenant's.
+// Demand is the demand of one tenant.
 type Demand struct {
 	Name           string
 	Loads          Loads
 	PriorityWeight float64 // per second
-	CurrentCell    int     // index of a cell; negative: the tenant has none yet
+	CurrentCell    int     // index of a cell; negative: the tenant has no cell yet
 }
 
-// Objective says what a plan is to achieve.
+// Objective is the objective and the constraints of a plan.
 type Objective struct {
-	Shares           []float64 // of the cells
-	MaxPriorityShare float64   // blast radius: greatest part of all priority weight that a cell may hold; 0: any
-	MaxMigrations    int       // tenants that may leave their current cell; negative: any number
-	Slack            float64   // excess of the greatest load over its bound that is accepted; 0: defaultSlack
+	Shares           []float64 // share of each cell
+	MaxPriorityShare float64   // blast radius: maximum fraction of the total priority weight in a cell; 0: no limit
+	MaxMigrations    int       // maximum number of tenants that leave their current cell; negative: no limit
+	Slack            float64   // accepted relative excess of the maximum load over its lower bound; 0: defaultSlack
 	Seed             uint64
 }
 
-// defaultSlack is the relative excess of the greatest load over its bound below which no tenant is moved.
+// defaultSlack is the relative excess of the maximum load over its lower bound up to which no tenant is moved.
 const defaultSlack = 0.02
 
-// Plan is an assignment of tenants to cells. Loads are relative: 1 is a cell that has just its share of a resource.
+// Plan is an assignment of tenants to cells. Loads are relative: a load of 1 is exactly the cell's share of a resource.
 type Plan struct {
-	CellByTenant      []int
-	MaxLoad           float64 // greatest relative load of a cell
-	MaxLoadLowerBound float64 // no assignment has a lower MaxLoad
-	Migrations        int     // tenants that leave their current cell
-	MaxPriorityShare  float64 // greatest part of all priority weight in one cell
+	CellByTenant      []int   // index of a cell by tenant
+	MaxLoad           float64 // maximum over cells and resources of the relative load
+	MaxLoadLowerBound float64 // lower bound on MaxLoad of all assignments
+	Migrations        int     // number of tenants that leave their current cell
+	MaxPriorityShare  float64 // maximum over cells of the fraction of the total priority weight
 }
 
-// ErrInfeasible is wrapped by the error for an objective that no assignment was found for.
+// ErrInfeasible is wrapped by the error for an objective for which no assignment was found.
 var ErrInfeasible = errors.New("no assignment keeps the bound on worth")
 
-// errEmpty is the error for an objective without cells, or a demand without tenants.
+// errEmpty is the error for an objective without cells or a demand without tenants.
 var errEmpty = errors.New("no cells or no tenants")
 
-// unassigned is the cell of a tenant that has none.
+// unassigned is the cell index of a tenant without a cell.
 const unassigned = -1
 
-// Propose returns a plan: it starts from the current cells, gives tenants without one the cell where they cost least,
-// the greatest loads first, then moves or swaps tenants out of the most expensive cell while that helps. With
-// ErrInfeasible the plan is the best that was found.
+// Propose returns a plan for a demand and an objective. It starts from the current cells. Tenants without a cell are
+// placed where they cost least, in descending order of load. Then tenants are moved or swapped out of the cell with the
+// highest cost while that reduces the cost. With ErrInfeasible it also returns the best plan that was found. Other
+// errors are for invalid arguments.
 func Propose(demand []Demand, objective Objective) (Plan, error) {
 	p, err := newPlanner(demand, objective)
 	if err != nil {
@@ -64,12 +65,12 @@
 	newSearch(p).run(bound)
 	plan := p.result(bound)
 	if limit := objective.MaxPriorityShare; limit > 0 && plan.MaxPriorityShare > limit+1e-9 {
-		return plan, fmt.Errorf("%w: a cell holds %.3f of it, %.3f at most", ErrInfeasible, plan.MaxPriorityShare, limit)
+		return plan, fmt.Errorf("%w: a cell has %.3f of it, the limit is %.3f", ErrInfeasible, plan.MaxPriorityShare, limit)
 	}
 	return plan, nil
 }
 
-// result describes the present placement.
+// result returns the current placement as a plan.
 func (p *planner) result(bound float64) Plan {
 	plan := Plan{
 		CellByTenant:      p.cellByTenant,
--- a/core/cells/plan/plan_test.go
+++ b/core/cells/plan/plan_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// randomDemand has tenants with loads by a power law and cells of equal shares.
+// randomDemand returns tenants whose loads follow a power law, and cells with equal shares.
 func randomDemand(seed uint64, tenants, cells int) ([]Demand, Objective) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var demand []Demand
@@ -28,7 +28,7 @@
 	return demand, objective
 }
 
-// exhaustivePlanner is a planner whose tenants are in no cell, made without newPlanner.
+// exhaustivePlanner returns a planner with unassigned tenants. It does not use newPlanner, to test it independently.
 func exhaustivePlanner(demand []Demand, objective Objective) *planner {
 	cells := len(objective.Shares)
 	p := &planner{
@@ -53,8 +53,8 @@
 	return p
 }
 
-// exhaustiveBest returns the lowest greatest load of all assignments of tenants from the given one on, by trying them;
-// lowest is the best one known.
+// exhaustiveBest returns the lowest maximum load over all assignments of the given tenant and those after it, found by
+// exhaustive search, or lowest if that is lower. Partial assignments with a load of at least lowest are pruned.
 func exhaustiveBest(p *planner, tenant int, lowest float64) float64 {
 	load := 0.0
 	for cell := range p.cellLoad {
@@ -79,8 +79,9 @@
 	return lowest
 }
 
-// With few tenants, the plan is not far from the best assignment, and neither is below the relaxation's bound.
-func TestPlanAgainstExhaustiveSearchAndRelaxation(t *testing.T) {
+// With few tenants, the maximum load of the plan must be at most 15% above the optimum that exhaustive search finds.
+// Neither may be below the lower bounds.
+func TestPlanIsNearExhaustiveOptimum(t *testing.T) {
 	gap := 0.0
 	for seed := range uint64(12) {
 		demand, objective := randomDemand(seed, 9, 3)
@@ -94,30 +95,31 @@
 		}
 		best := exhaustiveBest(exhaustivePlanner(demand, objective), 0, math.Inf(1))
 		if plan.MaxLoad < best-1e-9 || best < relaxed-1e-6 || plan.MaxLoadLowerBound > best+1e-9 {
-			t.Errorf("seed %d: plan %.4f, best %.4f, relaxation %.4f, bound %.4f",
+			t.Errorf("seed %d: maximum load of plan %.4f, optimum %.4f, relaxation %.4f, lower bound %.4f",
 				seed, plan.MaxLoad, best, relaxed, plan.MaxLoadLowerBound)
 		}
 		gap = max(gap, plan.MaxLoad/best-1)
 	}
-	t.Logf("at most %.3f over the best of all assignments", gap)
+	t.Logf("relative excess over the optimum: at most %.3f", gap)
 	if gap > 0.15 {
-		t.Errorf("%.3f over the best", gap)
+		t.Errorf("relative excess over the optimum: %.3f", gap)
 	}
 }
 
-func TestLargePlanIsNearItsBound(t *testing.T) {
+func TestLargePlanIsNearLowerBound(t *testing.T) {
 	demand, objective := randomDemand(1, 10_000, 64)
 	p, err := Propose(demand, objective)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if p.MaxLoad > p.MaxLoadLowerBound*1.05 {
-		t.Errorf("worst %.4f, bound %.4f", p.MaxLoad, p.MaxLoadLowerBound)
+		t.Errorf("maximum load %.4f, lower bound %.4f", p.MaxLoad, p.MaxLoadLowerBound)
 	}
 }
 
-// From a current assignment that got out of balance, few migrations bring most of it back.
-func TestMigrationsAreFew(t *testing.T) {
+// The load of all tenants in one cell doubles. A plan with at most 30 migrations must balance the cells again, stay
+// within that limit and report the number of migrations correctly.
+func TestFewMigrationsRestoreBalance(t *testing.T) {
 	demand, objective := randomDemand(2, 400, 8)
 	p, err := Propose(demand, objective)
 	if err != nil {
@@ -133,7 +135,7 @@
 	objective.MaxMigrations = 0
 	stay, err := Propose(demand, objective)
 	if err != nil || stay.Migrations != 0 || stay.MaxLoad < 1.5 {
-		t.Fatalf("%v, %+v", err, stay.MaxLoad)
+		t.Fatalf("without migrations: %v, maximum load %+v", err, stay.MaxLoad)
 	}
 	objective.MaxMigrations = 30
 	few, err := Propose(demand, objective)
@@ -141,7 +143,7 @@
 		t.Fatal(err)
 	}
 	if few.Migrations > 30 || few.MaxLoad > 1.15 {
-		t.Errorf("%d migrations, greatest load %.3f (%.3f without)", few.Migrations, few.MaxLoad, stay.MaxLoad)
+		t.Errorf("%d migrations, maximum load %.3f (%.3f without)", few.Migrations, few.MaxLoad, stay.MaxLoad)
 	}
 	for i := range demand {
 		if few.CellByTenant[i] != demand[i].CurrentCell {
@@ -149,27 +151,29 @@
 		}
 	}
 	if few.Migrations != 0 {
-		t.Errorf("%d migrations miscounted", few.Migrations)
+		t.Errorf("reported migrations minus actual ones: %d", few.Migrations)
 	}
 }
 
-func TestPriorityShareStaysUnderItsBound(t *testing.T) {
+// The limit on the priority weight of a cell must hold, and one that can't hold must give ErrInfeasible. Invalid demand
+// must be an error.
+func TestPriorityShareStaysWithinLimit(t *testing.T) {
 	demand, objective := randomDemand(3, 200, 8)
 	objective.MaxPriorityShare = 0.14
 	p, err := Propose(demand, objective)
 	if err != nil || p.MaxPriorityShare > 0.14+1e-9 {
-		t.Errorf("%v: %.4f of the worth in one cell", err, p.MaxPriorityShare)
+		t.Errorf("%v: fraction %.4f of the priority weight in one cell", err, p.MaxPriorityShare)
 	}
-	objective.MaxPriorityShare = 0.05 // 8 cells can't
+	objective.MaxPriorityShare = 0.05 // infeasible with 8 cells
 	if _, err := Propose(demand, objective); !errors.Is(err, ErrInfeasible) {
-		t.Errorf("got %v", err)
+		t.Errorf("infeasible limit: got %v", err)
 	}
 	if _, err := Propose(nil, objective); err == nil {
-		t.Error("a plan without tenants")
+		t.Error("no error without tenants")
 	}
 	demand[3].Loads = demand[3].Loads[:1]
 	if _, err := Propose(demand, objective); err == nil {
-		t.Error("a plan for loads of two kinds")
+		t.Error("no error for a tenant with too few loads")
 	}
 }
 
--- a/core/cells/plan/planner.go
+++ b/core/cells/plan/planner.go
@@ -9,18 +9,19 @@
 	"gonum.org/v1/gonum/floats"
 )
 
-// planner keeps the load of each cell while tenants are placed and moved.
+// planner tracks the load of each cell while tenants are placed and moved.
 type planner struct {
 	demand        []Demand
 	objective     Objective
-	relativeLoad  [][]float64 // by tenant and resource: part of the total
-	priorityShare []float64   // by tenant: part of the total
-	cellLoad      [][]float64 // by cell and resource: part of the total
-	cellPriority  []float64   // by cell: part of the total
-	cellByTenant  []int       // or unassigned
+	relativeLoad  [][]float64 // by tenant and resource: fraction of the total load
+	priorityShare []float64   // by tenant: fraction of the total priority weight
+	cellLoad      [][]float64 // by cell and resource: fraction of the total load
+	cellPriority  []float64   // by cell: fraction of the total priority weight
+	cellByTenant  []int       // index of a cell, or unassigned
 }
 
-// priorityPenalty is the cost of a cell's priority weight above its bound, per relative excess. It outweighs any load.
+// priorityPenalty is the cost of priority weight above the limit, per relative excess. It is higher than that of any
+// load.
 const priorityPenalty = 100
 
 func newPlanner(demand []Demand, objective Objective) (*planner, error) {
@@ -63,13 +64,13 @@
 
 func (d *Demand) validate(resources, cells int) error {
 	if len(d.Loads) != resources || d.CurrentCell >= cells {
-		return fmt.Errorf("demand of %s: %d loads where others have %d, or cell %d of %d",
+		return fmt.Errorf("demand of %s: %d loads, must be %d, or current cell index %d, must be below %d",
 			d.Name, len(d.Loads), resources, d.CurrentCell, cells)
 	}
 	return nil
 }
 
-// relativeTo returns loads as parts of their totals; of a resource that nobody takes, 0.
+// relativeTo returns loads as fractions of their totals, 0 for a resource whose total is 0.
 func relativeTo(totals []float64, loads Loads) []float64 {
 	relative := make([]float64, len(loads))
 	for resource, load := range loads {
@@ -80,7 +81,8 @@
 	return relative
 }
 
-// placeAll puts tenants into their current cells, then those without one into the cell where they cost least.
+// placeAll places tenants in their current cells. Then it places each tenant without one in the cell where it costs
+// least, in descending order of load.
 func (p *planner) placeAll() {
 	var unplaced []int
 	for i := range p.demand {
@@ -98,7 +100,7 @@
 	}
 }
 
-// place puts a tenant into a cell, out of the one that it is in.
+// place places a tenant in a cell, and removes it from its previous cell.
 func (p *planner) place(tenant, cell int) {
 	if from := p.cellByTenant[tenant]; from != unassigned {
 		floats.Sub(p.cellLoad[from], p.relativeLoad[tenant])
@@ -109,15 +111,15 @@
 	p.cellPriority[cell] += p.priorityShare[tenant]
 }
 
-// maxLoad returns the greatest relative load of a cell over resources.
+// maxLoad returns the relative load of a cell, maximum over resources.
 func (p *planner) maxLoad(cell int) float64 {
 	return floats.Max(p.cellLoad[cell]) / p.objective.Shares[cell] * p.totalShare()
 }
 
 func (p *planner) totalShare() float64 { return floats.Sum(p.objective.Shares) }
 
-// cost returns what a cell would cost with one tenant more and another one less, where they are not noTenant: its
-// greatest relative load, and a penalty for priority weight above its bound.
+// cost returns the cost of a cell after one tenant is added and another removed. Either may be noTenant. The cost is
+// the maximum relative load over resources, plus a penalty for priority weight above the limit.
 func (p *planner) cost(cell, added, removed int) float64 {
 	load := 0.0
 	for resource, sum := range p.cellLoad[cell] {
@@ -133,6 +135,7 @@
 	return load + p.priorityCost(cell, added, removed)
 }
 
+// priorityCost returns the penalty for priority weight above the limit.
 func (p *planner) priorityCost(cell, added, removed int) float64 {
 	priority := p.cellPriority[cell]
 	if added != noTenant {
@@ -148,10 +151,10 @@
 	return priorityPenalty * (priority - limit) / limit
 }
 
-// currentCost returns the cost of a cell as it is.
+// currentCost returns the cost of a cell with its current tenants.
 func (p *planner) currentCost(cell int) float64 { return p.cost(cell, noTenant, noTenant) }
 
-// cheapestCell returns the cell that costs least with one tenant more.
+// cheapestCell returns the cell with the lowest cost after a tenant is added.
 func (p *planner) cheapestCell(tenant int) int {
 	best, lowest := 0, math.Inf(1)
 	for cell := range p.cellLoad {
@@ -162,13 +165,13 @@
 	return best
 }
 
-// loadLowerBound returns a load that no assignment can beat: that of even cells, and of each tenant alone in the cell
-// with the greatest share.
+// loadLowerBound returns a lower bound on the maximum load of all assignments: the load of perfectly balanced cells, or
+// that of the largest tenant alone in the cell with the largest share if that is higher.
 func (p *planner) loadLowerBound() float64 {
 	bound := 1.0
-	widest := floats.Max(p.objective.Shares)
+	largestShare := floats.Max(p.objective.Shares)
 	for tenant := range p.relativeLoad {
-		bound = max(bound, floats.Max(p.relativeLoad[tenant])*p.totalShare()/widest)
+		bound = max(bound, floats.Max(p.relativeLoad[tenant])*p.totalShare()/largestShare)
 	}
 	return bound
 }
--- a/core/cells/plan/search.go
+++ b/core/cells/plan/search.go
@@ -9,29 +9,30 @@
 
 const (
 	noTenant         = -1
-	roundsPerTenant  = 20   // bounds the search
-	maxTargetCells   = 4    // cheapest cells that a tenant may go to
-	maxSwapSamples   = 32   // tenants of either cell that are tried in swaps
-	minImprovement   = 1e-9 // gain of a change per migration that is worth it
+	roundsPerTenant  = 20   // maximum number of search rounds, per tenant
+	maxTargetCells   = 4    // number of cells with the lowest cost that are considered as targets
+	maxSwapSamples   = 32   // maximum number of tenants of each cell that are sampled for swaps
+	minImprovement   = 1e-9 // improvement per migration that a change must exceed
 	searchSeedStream = 0x91a2
 )
 
-// search improves the placement of a planner by local changes.
+// search improves the placement of a planner by local search.
 type search struct {
 	*planner
 	rng        *rand.Rand
 	tenants    [][]int // by cell
-	migrations int     // so far
+	migrations int     // number of migrations so far
 
-	// The round under way.
+	// State of the current round.
 	worstCell       int
 	worstCost       float64
 	best            change
 	bestImprovement float64
-	bestMigration   int // migrations that the best change adds
+	bestMigrations  int // migrations that the best change adds
 }
 
-// change moves a tenant out of the worst cell, and another one back in its place where that is not noTenant.
+// change moves tenant out from the worst cell to cell to. If back is not noTenant, tenant back moves from that cell to
+// the worst cell in exchange.
 type change struct{ out, to, back int }
 
 func newSearch(p *planner) *search {
@@ -46,8 +47,9 @@
 	return s
 }
 
-// run applies, round by round, the change that improves the most expensive cell most per migration. It ends within the
-// slack over the bound, when migrations are used up, or when nothing helps.
+// run applies in each round the change with the greatest improvement per migration for the cell with the highest cost.
+// It ends when the cost is within the slack above the bound, when no allowed change is an improvement, for example
+// because all migrations are used up, or after roundsPerTenant rounds per tenant.
 func (s *search) run(bound float64) {
 	for range roundsPerTenant * len(s.demand) {
 		s.startRound()
@@ -66,7 +68,7 @@
 	}
 }
 
-// startRound finds the most expensive cell.
+// startRound finds the cell with the highest cost and resets the best change.
 func (s *search) startRound() {
 	s.worstCell, s.worstCost = 0, 0
 	for cell := range s.cellLoad {
@@ -76,10 +78,10 @@
 	}
 	s.best = change{out: noTenant, back: noTenant}
 	s.bestImprovement = minImprovement
-	s.bestMigration = 0
+	s.bestMigrations = 0
 }
 
-// targetCells returns the cheapest cells other than the worst one.
+// targetCells returns the cells with the lowest cost, up to maxTargetCells, without the worst cell.
 func (s *search) targetCells() []int {
 	targets := make([]int, 0, len(s.cellLoad))
 	for cell := range s.cellLoad {
@@ -93,7 +95,7 @@
 	return targets[:min(maxTargetCells, len(targets))]
 }
 
-// considerMoves considers each tenant of the worst cell for each target.
+// considerMoves considers moving each tenant of the worst cell to each target.
 func (s *search) considerMoves(targets []int) {
 	for _, out := range s.tenants[s.worstCell] {
 		for _, to := range targets {
@@ -102,7 +104,7 @@
 	}
 }
 
-// considerSwaps considers a sample of exchanges between the worst cell and each target.
+// considerSwaps considers a random sample of swaps between the worst cell and each target.
 func (s *search) considerSwaps(targets []int) {
 	outs := s.tenants[s.worstCell]
 	for _, to := range targets {
@@ -116,7 +118,8 @@
 	}
 }
 
-// consider keeps a change as the best one if it is allowed and improves more per migration.
+// consider makes a change the best one if it is within the limit on migrations and its improvement per migration is
+// greater than that of the best change so far.
 func (s *search) consider(c change) {
 	added := s.addedMigrations(c.out, c.to)
 	if c.back != noTenant {
@@ -127,11 +130,11 @@
 	}
 	costAfter := max(s.cost(s.worstCell, c.back, c.out), s.cost(c.to, c.out, c.back))
 	if improvement := (s.worstCost - costAfter) / float64(max(added, 0)+1); improvement > s.bestImprovement {
-		s.best, s.bestImprovement, s.bestMigration = c, improvement, added
+		s.best, s.bestImprovement, s.bestMigrations = c, improvement, added
 	}
 }
 
-// addedMigrations returns how many more tenants would be out of their current cell if one went to a cell: 1, 0 or -1.
+// addedMigrations returns by how much the number of migrations changes if a tenant moves to a cell: 1, 0 or -1.
 func (s *search) addedMigrations(tenant, to int) int {
 	current, from := s.demand[tenant].CurrentCell, s.cellByTenant[tenant]
 	switch {
@@ -152,9 +155,9 @@
 	return s.objective.MaxMigrations - s.migrations
 }
 
-// apply makes the best change of the round.
+// apply applies the best change of the round.
 func (s *search) apply() {
-	s.migrations += s.bestMigration
+	s.migrations += s.bestMigrations
 	s.move(s.best.out, s.worstCell, s.best.to)
 	if s.best.back != noTenant {
 		s.move(s.best.back, s.best.to, s.worstCell)
