--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -101,7 +101,7 @@
 	if c.isUncacheable {
 		return
 	}
-	fillRatio, originRatio := c.tenant.missRatio.expect(c.recent, &a.scope.cells[c.tenant.cell].missRatio)
+	fillRatio, originRatio := c.tenant.missRatio.estimate(c.recent, &a.scope.cells[c.tenant.cell].missRatio)
 	c.fillKB = c.sizeKB * fillRatio
 	c.originKB = c.sizeKB * originRatio
 	if c.route.isColdInDestination() {
--- a/core/cells/endpoints.go
+++ b/core/cells/endpoints.go
@@ -8,18 +8,18 @@
 	"spantack/routing"
 )
 
-// endpointList is the part of the endpoint list that concerns this router's site.
+// endpointList holds the entries of the endpoint list that this router uses.
 type endpointList struct {
-	edgeCaches map[string]routing.Endpoint // of the own site, by name
+	edgeCaches map[string]routing.Endpoint // of this site, by name
 	parents    map[string]routing.Endpoint // of all sites, by name
-	version    int                         // counts updates
+	version    int                         // number of updates applied
 }
 
 func newEndpointList() endpointList {
 	return endpointList{edgeCaches: map[string]routing.Endpoint{}, parents: map[string]routing.Endpoint{}}
 }
 
-// applyEndpoints applies an update of the endpoint list and reports whether there was one.
+// applyEndpoints applies an update of the endpoint list. It returns false for UpdateUnavailable, which has no update.
 func (s *shared) applyEndpoints(event *routing.Event) bool {
 	if event.UpdateMode == routing.UpdateUnavailable {
 		return false
@@ -45,23 +45,23 @@
 	return true
 }
 
-// IsEdgeCache reports whether an endpoint is an edge cache: neither a parent nor the origin.
+// IsEdgeCache reports whether an endpoint is an edge cache, that is, neither a parent nor the origin.
 func (a *Admission) IsEdgeCache(endpoint routing.Endpoint) bool {
 	kind := slices.Index(a.settings.Kinds, endpoint.Kind)
 	return kind != a.settings.Hierarchy.OriginKind && kind != a.settings.Hierarchy.ParentKind
 }
 
-// parentNames lists the parents by name.
+// parentNames returns the sorted names of the listed parents.
 func (l *endpointList) parentNames() []string {
 	return slices.Sorted(maps.Keys(l.parents))
 }
 
-// isHealthyCache reports whether an edge cache of the own site is listed as healthy.
+// isHealthyCache reports whether an edge cache of this site is listed as healthy.
 func (l *endpointList) isHealthyCache(name string) bool {
 	return l.edgeCaches[name].Status == routing.EndpointHealthy
 }
 
-// routersAtSite returns how many routers share the site, running or not, by the settings.
+// routersAtSite returns the number of routers at this site, running or not, by the settings.
 func (s *shared) routersAtSite() int {
 	zone := slices.Index(s.settings.Zones, s.settings.Zone)
 	if routers := s.settings.Hierarchy.RoutersByZone; zone >= 0 && zone < len(routers) && routers[zone] > 0 {
@@ -70,10 +70,10 @@
 	return s.fleetSize()
 }
 
-// fleetSize returns how many routers there are at all sites, running or not, by the settings.
+// fleetSize returns the number of routers at all sites, running or not, by the settings.
 func (s *shared) fleetSize() int { return max(s.settings.FleetSize, 1) }
 
-// linkKBPerSecond returns the capacity of the link into the site by the settings; 0: unknown.
+// linkKBPerSecond returns the capacity of the link into this site by the settings, or 0 if it is not known.
 func (s *shared) linkKBPerSecond() float64 {
 	links := s.settings.Hierarchy.ZoneLinkKBPerSecond
 	if zone := slices.Index(s.settings.Zones, s.settings.Zone); zone >= 0 && zone < len(links) {
@@ -82,7 +82,7 @@
 	return 0
 }
 
-// edgeCapacity returns the capacity of edge caches by the settings.
+// edgeCapacity returns the capacity model of edge caches by the settings.
 func (s *shared) edgeCapacity() migration.CapacityModel {
 	return migration.CapacityModel{
 		ResponseKBPerSecond: s.settings.Hierarchy.ResponseKBPerSecond,
@@ -92,7 +92,7 @@
 	}
 }
 
-// parentCapacity returns the capacity of parents by the settings.
+// parentCapacity returns the capacity model of parents by the settings.
 func (s *shared) parentCapacity() migration.CapacityModel {
 	return migration.CapacityModel{
 		ResponseKBPerSecond: s.settings.Hierarchy.ResponseKBPerSecond,
--- a/core/cells/explain.go
+++ b/core/cells/explain.go
@@ -2,17 +2,18 @@
 
 import "fmt"
 
-// Explanation says what would become of a request, for operators who ask ahead of time.
+// Explanation describes how a specification routes a request, for operators who want to know before applying it.
 type Explanation struct {
-	KeyIndex     int      `json:"line"` // of the tenant key that matches, from 0
+	KeyIndex     int      `json:"line"` // index of the matching tenant key, from 0
 	Tenant       string   `json:"tenant"`
 	Cell         string   `json:"cell"`
-	Caches       []string `json:"caches"` // that the tenant may use at the site
+	Caches       []string `json:"caches"` // caches that the tenant may use at the site
 	OverflowCell string   `json:"spare,omitempty"`
 	FallbackCell string   `json:"spill,omitempty"` // used while the cell has no healthy cache
 }
 
-// Explain finds tenant, cell and caches of a request at a site with these edge caches.
+// Explain returns the tenant, cell and caches of a request at a site with the given edge caches. It returns an error if
+// the specification is invalid.
 func (s *Spec) Explain(
 	site string, caches []string, group int, class, object, declaredTenant string,
 ) (Explanation, error) {
@@ -33,10 +34,11 @@
 	}, nil
 }
 
-// CachesByCell returns the caches of each cell at a site that has these edge caches, in the order of the cells.
+// CachesByCell returns the caches of each cell at a site with the given edge caches, in the order of the cells.
 func (s *Spec) CachesByCell(caches []string) [][]string { return divideCaches(s.Cells, caches) }
 
-// Changes describes, one line each, what differs between two specifications; nothing if they are alike.
+// Changes returns the differences between two specifications in version, cell of each tenant and share of each cell, as
+// one line of text each. It returns nil if there are none.
 func Changes(old, next *Spec) []string {
 	var lines []string
 	if next.Version <= old.Version && next.Version != 0 {
@@ -47,7 +49,7 @@
 }
 
 func tenantChanges(old, next []Tenant) (lines []string) {
-	cellOf := map[string]string{} // of tenants that next has not named
+	cellOf := map[string]string{} // cell by name, of the tenants not yet found in next
 	for _, tenant := range old {
 		cellOf[tenant.Name] = tenant.Cell
 	}
@@ -63,26 +65,26 @@
 	}
 	for _, tenant := range old {
 		if _, isRemoved := cellOf[tenant.Name]; isRemoved {
-			lines = append(lines, fmt.Sprintf("tenant %s: no more", tenant.Name))
+			lines = append(lines, fmt.Sprintf("tenant %s: removed", tenant.Name))
 		}
 	}
 	return lines
 }
 
 func cellChanges(old, next []Cell) (lines []string) {
-	shares := map[string]float64{} // of cells that next has not named
+	shares := map[string]float64{} // share by name, of the cells not yet found in next
 	for _, cell := range old {
 		shares[cell.Name] = cell.Share
 	}
 	for _, cell := range next {
 		if before := shares[cell.Name]; before != cell.Share {
-			lines = append(lines, fmt.Sprintf("cell %s: share %.4g, %.4g before", cell.Name, cell.Share, before))
+			lines = append(lines, fmt.Sprintf("cell %s: share %.4g, previously %.4g", cell.Name, cell.Share, before))
 		}
 		delete(shares, cell.Name)
 	}
 	for _, cell := range old {
 		if _, isRemoved := shares[cell.Name]; isRemoved {
-			lines = append(lines, fmt.Sprintf("cell %s: no more", cell.Name))
+			lines = append(lines, fmt.Sprintf("cell %s: removed", cell.Name))
 		}
 	}
 	return lines
--- a/core/cells/fair_share.go
+++ b/core/cells/fair_share.go
@@ -2,37 +2,39 @@
 
 import "math"
 
-// fairShare finds how much of an overloaded cell one tenant may use for its weight. The limit falls while the cell
-// rejects requests and rises while it does not. Only tenants above it are rejected, so the heaviest go first.
+// fairShare adapts a limit on the usage of each tenant in a cell, in proportion to the tenant's weight. The limit falls
+// while the cell rejects requests and rises while it does not. Only requests of tenants above the limit are rejected,
+// so the tenants with the highest usage are limited first.
 type fairShare struct {
-	limit         float64     // usage by weight above which a tenant is rejected; math.Inf(1): no limit
-	peak          decayingSum // greatest recent usage by weight of a tenant
+	limit         float64     // usage divided by weight above which a tenant is rejected; math.Inf(1): no limit
+	peak          decayingSum // greatest recent usage divided by weight of any tenant
 	total         decayingSum // usage of all tenants
 	activeTenants float64
-	rejectedAt    int64 // when the cell last had to reject a request, microseconds
+	rejectedAt    int64 // when the cell last rejected a request for lack of capacity, microseconds
 	adjustedAt    int64 // when the limit was last changed, microseconds
 }
 
 const (
-	fairAdjustInterval = 50_000  // microseconds between two changes of the limit
+	fairAdjustInterval = 50_000  // minimum time between two changes of the limit, microseconds
 	fairRecoveryDelay  = 200_000 // microseconds without a rejection after which the limit rises
 	fairDecrease       = 0.8
 	fairIncrease       = 1.1
-	// fairMinFraction bounds the limit from below, as a fraction of the mean usage of the cell's tenants: a tenant that
-	// uses less than half of the mean is never rejected for its usage.
+	// fairMinFraction is the minimum of the limit, as a fraction of the mean usage of the cell's active tenants. A
+	// tenant that uses less than half of the mean is never rejected for its usage.
 	fairMinFraction = 0.5
-	// fairUnlimitedPeaks is the multiple of the peak usage past which a rising limit is lifted.
+	// fairUnlimitedPeaks is the multiple of the peak usage above which a rising limit is removed.
 	fairUnlimitedPeaks = 2
 )
 
-// observe records a tenant's usage by weight.
+// observe records a tenant's usage divided by its weight.
 func (f *fairShare) observe(now int64, usage float64) {
 	if peak := f.peak.valueAt(now); usage > peak {
 		f.peak = decayingSum{usage, now}
 	}
 }
 
-// observeRejection lowers the limit, as the cell had to reject a request.
+// observeRejection lowers the limit, at most once per fairAdjustInterval, after the cell rejected a request for lack of
+// capacity.
 func (f *fairShare) observeRejection(now int64) {
 	f.rejectedAt = now
 	if now-f.adjustedAt < fairAdjustInterval {
@@ -43,12 +45,13 @@
 	f.limit = max(f.limit*fairDecrease, fairMinFraction*f.meanUsage(now))
 }
 
-// meanUsage returns the usage of the cell's tenants on average.
+// meanUsage returns the mean usage of the cell's active tenants.
 func (f *fairShare) meanUsage(now int64) float64 {
 	return f.total.valueAt(now) / max(f.activeTenants, 1)
 }
 
-// exceeds reports whether a usage by weight is above the limit. It raises the limit first where that is due.
+// exceeds reports whether a usage divided by weight is above the limit. Before that it raises the limit if no request
+// was rejected for fairRecoveryDelay.
 func (f *fairShare) exceeds(now int64, usage float64) bool {
 	if now-f.rejectedAt > fairRecoveryDelay && now-f.adjustedAt >= fairAdjustInterval {
 		f.adjustedAt = now
--- a/core/cells/heavy_hitters.go
+++ b/core/cells/heavy_hitters.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// HeavyHitters finds the keys with the greatest counts, in bounded memory: the space-saving algorithm (Metwally,
-// Agrawal and El Abbadi 2005) over a heap, with counts that halve in every half-life. A key that has more than 1/size
-// of all that is counted is among those stored.
+// HeavyHitters tracks the keys with the greatest counts in bounded memory. It is the space-saving algorithm (Metwally,
+// Agrawal and El Abbadi 2005) on a heap, with counts that decay by half in every half-life. Every key with more than
+// 1/size of the total of all counts is stored.
 type HeavyHitters struct {
 	index    map[string]*heapEntry
 	heap     []*heapEntry // smallest count first
@@ -16,23 +16,24 @@
 }
 
 type heapEntry struct {
-	index        int // in the heap, so that a swap changes no map
+	index        int // position in the heap; stored here so that a swap does not update a map
 	key          string
 	count        float64
 	maxOvercount float64
 }
 
-// HeavyHitter is one of the keys with the greatest counts. Its count is between Count-MaxOvercount and Count.
+// HeavyHitter is one of the keys with the greatest counts. Its true count is between Count-MaxOvercount and Count.
 type HeavyHitter struct {
 	Key          string  `json:"key"`
 	Count        float64 `json:"count"`
 	MaxOvercount float64 `json:"over"`
 }
 
-// maxHitterScale is the scale at which all counts are divided by it, long before float64 overflows.
+// maxHitterScale is the decay scale at which all counts are rescaled, well before float64 overflows.
 const maxHitterScale = 1e100
 
-// NewHeavyHitters returns a counter that stores so many keys. The half-life is in microseconds.
+// NewHeavyHitters returns a HeavyHitters that stores up to size keys, and at least one. The half-life is in
+// microseconds.
 func NewHeavyHitters(size int, halfLife float64) *HeavyHitters {
 	return &HeavyHitters{
 		index:    make(map[string]*heapEntry, size),
@@ -41,7 +42,7 @@
 	}
 }
 
-// Add counts an amount under a key.
+// Add adds an amount to the count of a key.
 func (h *HeavyHitters) Add(now int64, key string, amount float64) {
 	h.age(now)
 	amount *= h.decay.scale
@@ -55,7 +56,7 @@
 		h.index[key] = entry
 		h.siftUp(entry.index)
 		return
-	default: // replace the smallest, whose count may be part of the new key's
+	default: // replace the smallest entry; the new key inherits its count, which may include earlier counts of that key
 		entry = h.heap[0]
 		delete(h.index, entry.key)
 		*entry = heapEntry{key: key, count: entry.count + amount, maxOvercount: entry.count}
@@ -64,7 +65,7 @@
 	h.siftDown(entry.index)
 }
 
-// Top lists the keys with the greatest counts, n at most, the greatest first.
+// Top returns up to n stored keys with the greatest counts, the greatest first.
 func (h *HeavyHitters) Top(n int) []HeavyHitter {
 	entries := slices.Clone(h.heap)
 	slices.SortFunc(entries, func(a, b *heapEntry) int {
@@ -81,7 +82,7 @@
 	return top
 }
 
-// age makes counts decay to now.
+// age decays all counts to now.
 func (h *HeavyHitters) age(now int64) {
 	divisor := h.decay.age(now, maxHitterScale)
 	if divisor == 1 {
--- a/core/cells/migration.go
+++ b/core/cells/migration.go
@@ -7,10 +7,10 @@
 	"spantack/routing"
 )
 
-// capacityInterval, in microseconds, is how often the capacity of cells is measured and migrations are paced.
+// capacityInterval, in microseconds, is how often the capacity of cells and the pace of migrations are updated.
 const capacityInterval = 250_000
 
-// migrations leads the requests of migrating tenants from cell to cell.
+// migrations selects the cells for requests of migrating tenants.
 type migrations struct {
 	*shared
 	scope          *scope
@@ -21,7 +21,7 @@
 	healthyParents []migration.Server   // reused
 }
 
-// migrationProgress is one tenant's migration as this router performs it.
+// migrationProgress is the state of one tenant's migration at this router.
 type migrationProgress struct {
 	migration *migration.Migration
 	fromCell  int // index of a cell in the assignment in force
@@ -29,19 +29,21 @@
 	pace      migration.Pacer
 }
 
-// migrationRoute is how one request of a migrating tenant goes.
+// migrationRoute is the routing decision for one request of a migrating tenant. The destination is the cell that
+// objects move to: the new cell, or the old cell during a rollback.
 type migrationRoute struct {
-	progress      *migrationProgress // nil: its tenant does not migrate
-	toDestination bool               // it goes to the cell that objects go to: the new cell, or the old one in a rollback
-	isCold        bool               // its chunk has not been requested there recently
-	rejected      Reason             // why it goes nowhere, or ReasonNone
+	progress      *migrationProgress // nil: the tenant does not migrate
+	toDestination bool               // the request goes to the destination
+	isCold        bool               // the chunk has not been requested in the destination recently
+	rejected      Reason             // why the request is rejected, or ReasonNone
 }
 
 func (r *migrationRoute) isColdInDestination() bool { return r.isCold && r.toDestination }
 
-// SetMigrations puts a document in force, or with nil none. It must fit the assignment in force. A migration that goes
-// on keeps its pace. A tenant whose migration is left out is in the cell that the assignment names, one whose migration
-// is over in the cell that it led to.
+// SetMigrations applies a document, or with nil removes the current one. The document must be valid for the assignment
+// in force. A migration that is in both the old and the new document keeps its pace. A tenant whose migration is no
+// longer in the document is in the cell of the assignment. A tenant whose migration has ended is in the cell to which
+// the migration, or its rollback, led.
 func (a *Admission) SetMigrations(now int64, document *migration.Document) {
 	if a.scope.spec == nil {
 		return
@@ -50,7 +52,7 @@
 	a.migrations.bind(now)
 }
 
-// MigrationsVersion returns the version of the document in force, 0 without one.
+// MigrationsVersion returns the version of the document in force, or 0 without a document.
 func (a *Admission) MigrationsVersion() int64 {
 	if a.migrations.document == nil {
 		return 0
@@ -64,12 +66,12 @@
 	From     string  `json:"from"`
 	To       string  `json:"to"`
 	Phase    string  `json:"phase"`
-	Share    float64 `json:"share"` // of the tenant's objects that go to the new cell from this router
-	MinShare float64 `json:"least"` // that the document allows now
-	MaxShare float64 `json:"most"`  // that the document allows now
+	Share    float64 `json:"share"` // fraction of the tenant's objects that this router sends to the new cell
+	MinShare float64 `json:"least"` // minimum of Share that the document allows now
+	MaxShare float64 `json:"most"`  // maximum of Share that the document allows now
 }
 
-// Migrations describes the migrations of this site.
+// Migrations returns the status of each migration at this site.
 func (a *Admission) Migrations(now int64) []MigrationStatus {
 	millis := a.documentMillis(now)
 	var all []MigrationStatus
@@ -91,7 +93,8 @@
 
 func (m *migrations) clear() { m.document, m.active = nil, nil }
 
-// bind starts the migrations of this site by document and assignment; those that go on keep their pace.
+// bind rebuilds the active migrations of this site from the document and the assignment. Migrations that were active
+// before keep their pace.
 func (m *migrations) bind(now int64) {
 	type key struct{ tenant, from, to string }
 	previous := map[key]*migrationProgress{}
@@ -121,8 +124,8 @@
 	m.advance(now)
 }
 
-// start returns the progress of a migration with its tenant, or nil where it is not for this site or the assignment no
-// longer has its tenant or cells: the tenant then is where the assignment says.
+// start returns the progress of a new migration and its tenant. It returns nil if the migration is for another site, or
+// if the assignment no longer has its tenant or cells; the tenant is then in the cell of the assignment.
 func (m *migrations) start(entry *migration.Migration) (*migrationProgress, *tenant) {
 	if entry.Site != m.settings.Zone && entry.Site != migration.AllSites {
 		return nil, nil
@@ -136,22 +139,22 @@
 	return &migrationProgress{migration: entry, fromCell: int(from), toCell: int(to)}, &m.scope.tenants[tenant]
 }
 
-// advanceDue makes the next advance measure capacity at once.
+// advanceDue makes the next call of advance run without waiting for capacityInterval.
 func (m *migrations) advanceDue() { m.advancedAt = 0 }
 
-// advance measures, at intervals, the capacity of cells, and paces the migrations.
+// advance updates the capacity of cells and the pace of migrations, at most once per capacityInterval.
 func (m *migrations) advance(now int64) {
 	if !m.areActive() || now-m.advancedAt < capacityInterval && m.advancedAt != 0 {
 		return
 	}
 	m.advancedAt = now
-	m.measureCells(now)
+	m.updateCapacity(now)
 	for _, p := range m.active {
 		m.pace(now, p)
 	}
 }
 
-// pace steps a migration. Its tenant counts in the cell that has the greater part of its objects.
+// pace updates the pace of a migration. The tenant is counted in the cell that has at least half of its objects.
 func (m *migrations) pace(now int64, p *migrationProgress) {
 	p.pace.SetWarmCapacity(min(m.scope.cells[p.fromCell].warmFraction, m.scope.cells[p.toCell].warmFraction))
 	cell := p.fromCell
@@ -161,8 +164,8 @@
 	m.scope.tenants[m.scope.assignment.tenantByName[p.migration.Tenant]].cell = cell
 }
 
-// measureCells measures how much each cell can take at this router.
-func (m *migrations) measureCells(now int64) {
+// updateCapacity updates how much load each cell can accept from this router.
+func (m *migrations) updateCapacity(now int64) {
 	model := m.edgeCapacity()
 	parentWarmFraction := m.parentWarmFraction(now)
 	routers := float64(m.routersAtSite())
@@ -188,7 +191,7 @@
 	}
 }
 
-// parentWarmFraction returns the capacity of the healthy parents as a part of that when they are warm.
+// parentWarmFraction returns the current capacity of the healthy parents as a fraction of their capacity when warm.
 func (m *migrations) parentWarmFraction(now int64) float64 {
 	if len(m.endpoints.parents) == 0 {
 		return 1 // fills come directly from the origin
@@ -205,7 +208,7 @@
 	return warmFraction
 }
 
-// fillCapacity returns the KB per second of fills that a cell may take by the budget; infinite without a limit.
+// fillCapacity returns the KB per second of fills that the budget allows a cell, or infinity without a limit.
 func (m *migrations) fillCapacity(c *cell, parentWarmFraction float64) float64 {
 	capacity := math.Inf(1)
 	if m.budget.link.isLimited() {
@@ -217,16 +220,16 @@
 	return capacity
 }
 
-// selectCell decides which of its two cells a request of a migrating tenant goes to, also while caches are replaced or
-// lost. It is the cell that the migration gives its object. Where that is the destination, and it has no healthy cache
-// or no capacity, it is the source, which still has the object. Where the source has no healthy cache, it is the
-// destination as far as its capacity goes; otherwise the request is rejected.
+// selectCell selects one of the two cells of a migration for a request, also while caches are replaced or lost.
+// Normally that is the cell that the migration assigns to the object at this time. If that is the destination, and it
+// has no healthy cache or no capacity, the request goes to the source, which still has the object. If the source has no
+// healthy cache, the request goes to the destination up to its capacity, and is rejected beyond that.
 func (m *migrations) selectCell(
 	now int64, p *migrationProgress, event *routing.Event, sizeKB float64,
 ) (int, migrationRoute) {
 	millis := m.documentMillis(now)
 	if !p.migration.InProgress(millis) {
-		m.recordAtHome(now, p, event)
+		m.recordInSource(now, p, event)
 		if p.migration.Phase(millis) == migration.Done {
 			return p.toCell, migrationRoute{}
 		}
@@ -239,18 +242,18 @@
 		hasMigrated = !hasMigrated
 	}
 	route := migrationRoute{progress: p, toDestination: hasMigrated}
-	destinationLives := m.scope.cells[destination].hasLiveCache
-	sourceLives := m.scope.cells[source].hasLiveCache
+	destinationIsLive := m.scope.cells[destination].hasLiveCache
+	sourceIsLive := m.scope.cells[source].hasLiveCache
 	switch {
-	case !hasMigrated && (sourceLives || !destinationLives):
-		m.recordAtHome(now, p, event)
+	case !hasMigrated && (sourceIsLive || !destinationIsLive):
+		m.recordInSource(now, p, event)
 		return source, route
-	case !destinationLives:
+	case !destinationIsLive:
 		route.toDestination = false
-		if sourceLives {
+		if sourceIsLive {
 			return source, route
 		}
-		return destination, route // which has a fallback cell, or rejects the request
+		return destination, route // the caller uses the destination's fallback cell or rejects the request
 	}
 	route.isCold = !m.scope.recentChunks.isRecentInCell(now, event.Object, event.Chunk, destination)
 	hasCapacity := p.migration.Unbounded || m.acquire(now, destination, sizeKB, route.isCold)
@@ -261,7 +264,7 @@
 	case hasCapacity:
 		route.toDestination = true
 		return destination, route
-	case sourceLives:
+	case sourceIsLive:
 		m.stats.Deferred++
 		return source, migrationRoute{progress: p}
 	}
@@ -269,7 +272,7 @@
 	return destination, route
 }
 
-// acquire takes a request from the capacity of a cell, if there is enough left.
+// acquire reserves capacity of a cell for a request, and reports whether the cell had enough.
 func (m *migrations) acquire(now int64, cell int, sizeKB float64, isCold bool) bool {
 	fillKB := 0.0
 	if isCold {
@@ -278,8 +281,8 @@
 	return m.scope.cells[cell].capacity.TryAcquire(now, sizeKB, fillKB)
 }
 
-// recordAtHome records that a chunk was requested in the cell that its object goes from.
-func (m *migrations) recordAtHome(now int64, p *migrationProgress, event *routing.Event) {
+// recordInSource records that a chunk was requested in the source cell: the old cell, or the new one during a rollback.
+func (m *migrations) recordInSource(now int64, p *migrationProgress, event *routing.Event) {
 	cell := p.fromCell
 	if p.migration.RollbackStarted(m.documentMillis(now)) {
 		cell = p.toCell
@@ -287,9 +290,9 @@
 	m.scope.recentChunks.recordInCell(now, event.Object, event.Chunk, cell)
 }
 
-// admitToDestination records an admitted request that goes to the destination: only now its chunk will be known there.
-// The engine may send it to the other cell where this one has no capacity, but never into the destination beyond the
-// destination's capacity.
+// admitToDestination records an admitted request for the destination. Its chunk is recorded as requested there only
+// now, because a rejected request fills nothing. The engine may send the request to the other cell if this one has no
+// capacity, but it sends no request to the destination beyond the destination's capacity.
 func (m *migrations) admitToDestination(now int64, route *migrationRoute, cell int, event *routing.Event) {
 	m.scope.recentChunks.recordInCell(now, event.Object, event.Chunk, cell)
 	m.stats.Migrated++
@@ -302,10 +305,10 @@
 	}
 }
 
-// observeOutcome learns from an attempt that was served.
+// observeOutcome updates the fill cost of a cell and the pace of a migration with a served attempt.
 func (m *migrations) observeOutcome(now int64, request *openRequest, event *routing.Event) {
 	if event.Outcome != routing.OutcomeServed || !m.areActive() {
-		return // of other attempts, only the end of the request shows whether it was served in time
+		return // other attempts may be retried: only the end of the request shows whether it was served in time
 	}
 	rate := m.settings.Hierarchy.ResponseKBPerSecond
 	if event.CacheStatus.IsFilled() && rate > 0 && request.sizeKB > 0 {
@@ -317,7 +320,7 @@
 	}
 }
 
-// observeUnserved learns from a request that the engine rejected or failed.
+// observeUnserved counts a request that the engine rejected or failed as late.
 func (m *migrations) observeUnserved(now int64, request *openRequest) {
 	if request.route.progress != nil {
 		m.observeAnswer(now, request, true)
--- a/core/cells/open_requests.go
+++ b/core/cells/open_requests.go
@@ -1,22 +1,22 @@
 package cells
 
-// openRequest is an admitted request under way. There is one for each, so the fields are ordered to save memory.
+// openRequest is an admitted request that has not ended. The fields are ordered to save memory, as there may be many.
 type openRequest struct {
 	sizeKB        float64
-	fillKB        float64        // estimate of what is filled over the link
-	originKB      float64        // estimate of what the origin sends
+	fillKB        float64        // estimate of KB filled over the link
+	originKB      float64        // estimate of KB sent by the origin
 	admittedAt    int64          // microseconds
 	route         migrationRoute // of a migrating tenant's request
 	tenant        int32
 	cell          int32
 	class         int16 // index in the settings; 0 while there is neither a migration nor a rollout
-	recent        int8  // 1: its chunk had been requested recently; index of missRatio
+	recent        int8  // index in missRatio; 1: its chunk was requested recently
 	isUncacheable bool
 	isRelease     bool // the object belongs to the rollout's release
 }
 
-// hasOpenCapacity reports whether a cell may have one more open request. It may use its share at any time; beyond that
-// the shares of other active cells stay reserved.
+// hasOpenCapacity reports whether a cell may have one more open request. A cell may always use its own share. Beyond
+// it, the unused shares of other active cells stay reserved.
 func (a *Admission) hasOpenCapacity(cell int) bool {
 	limit := float64(a.budget.maxOpenRequests)
 	if limit == 0 {
@@ -35,7 +35,7 @@
 	return float64(len(a.openRequests))+reserved < maxOpenFraction*limit
 }
 
-// closeRequest forgets a request that has ended.
+// closeRequest removes a request that has ended.
 func (a *Admission) closeRequest(id string) {
 	a.parents.forget(id)
 	if request, isOpen := a.openRequests[id]; isOpen {
@@ -44,8 +44,8 @@
 	}
 }
 
-// reassignOpenRequests moves open requests to the cells and tenants of a new assignment. Those whose cell or tenant it
-// does not have are no longer counted.
+// reassignOpenRequests maps open requests to the cells and tenants of a new assignment. Requests whose cell or tenant
+// is not in it are no longer tracked.
 func (a *Admission) reassignOpenRequests(previousCells []cell, newTenantIndex []int32) {
 	for id, request := range a.openRequests {
 		newCell, exists := a.scope.assignment.cellByName[previousCells[request.cell].name]
@@ -60,12 +60,12 @@
 	}
 }
 
-// isLate reports whether an answer that comes now misses the latency objective of its class.
+// isLate reports whether a response at this time misses the latency objective of the request's class.
 func (s *shared) isLate(now int64, request *openRequest) bool {
 	return float64(now-request.admittedAt) > s.latencyObjective(request)
 }
 
-// latencyObjective returns how long an answer may take to count in full, in microseconds. It grows with the size.
+// latencyObjective returns the latency within which a response is in time, in microseconds. It grows with the size.
 func (s *shared) latencyObjective(request *openRequest) float64 {
 	class := &s.settings.Classes[request.class]
 	objective := float64(class.LatencyObjective)
--- a/core/cells/origin_limit.go
+++ b/core/cells/origin_limit.go
@@ -8,44 +8,44 @@
 )
 
 const (
-	initialOriginFraction = 0.15 // of fills' attempts that reach the origin, before any was seen
-	originFractionStep    = 0.01 // weight of a new sample
-	minOriginFraction     = 0.02 // assumed at least: a surge of new objects can't be foreseen
-	announceStep          = 0.05 // relative change of the limit that the engine is told of
-	minAnnounced          = 0.01 // as 0 stands for no limit
-	maxAbandoned          = 4096 // abandoned fetches that are counted: far above any limit
+	initialOriginFraction = 0.15 // initial estimate of the fraction of fill attempts that reach the origin
+	originFractionStep    = 0.01 // weight of a new sample in that estimate
+	minOriginFraction     = 0.02 // minimum of the fraction in use: a surge of new objects can't be predicted
+	announceStep          = 0.05 // minimum relative change of the limit that is sent to the engine
+	minAnnounced          = 0.01 // minimum limit sent to the engine, as 0 means no limit
+	maxAbandoned          = 4096 // maximum number of abandoned fetches that are tracked, far above any limit
 )
 
-// originGate tells the engine how many fills in flight may reach the origin.
+// originGate sets the engine's limits on fills in flight that may reach the origin.
 type originGate struct {
 	*shared
 	limiter         *originLimiter // nil: no document is in force
-	assignmentLimit float64        // this router's part of the assignment's limit on fills; 0: none
-	lease           float64        // fills that the fleet's limit grants this router; 0: there is no such limit
-	announced       float64        // limit on attempts that the engine was told last
+	assignmentLimit float64        // this router's part of the assignment's limit on fills; 0: no limit
+	lease           float64        // fills that the fleet limit grants this router; 0: no limit
+	announced       float64        // limit on attempts that was last sent to the engine
 }
 
-// originLimiter estimates how many fetches from the origin are in flight, and adapts a limit on them. An attempt that
-// names a source reaches the origin only where edge cache and parent both lack the object, which is not known before
-// it ends. So an attempt in flight counts with the fraction of those before that reached the origin. One that ended
-// without an answer counts as a complete fetch for as long as the parent may go on with it.
+// originLimiter estimates how many fetches from the origin are in flight, and adapts a limit on them. An attempt with a
+// source reaches the origin only if neither the edge cache nor the parent has the object, which is not known before the
+// attempt ends. So each attempt in flight is weighted by the fraction of recent attempts that reached the origin. An
+// attempt that ended without a response counts as a whole fetch for as long as the parent may continue it.
 type originLimiter struct {
 	document       originlimit.Document
 	limit          *originlimit.Limit
-	originFraction float64         // of fills' attempts that reached the origin recently
-	inFlight       map[string]bool // request IDs of attempts that may reach the origin; true: directly
-	directInFlight int             // those that go to the origin directly
-	abandonedUntil []int64         // microseconds, ascending: when abandoned fetches are taken to end
+	originFraction float64         // fraction of recent fill attempts that reached the origin
+	inFlight       map[string]bool // attempts that may reach the origin, by request ID; true: the source is the origin
+	directInFlight int             // number of attempts in flight whose source is the origin
+	abandonedUntil []int64         // assumed end times of abandoned fetches, microseconds, ascending
 }
 
-// SetOriginLimit puts a limit on fetches from the origin in force, or with nil none. An invalid document changes
-// nothing.
+// SetOriginLimit applies a limit on fetches from the origin, or with nil removes it. It returns an error for an invalid
+// document, and then keeps the current limit.
 func (a *Admission) SetOriginLimit(now int64, document *originlimit.Document) error {
 	return a.origin.setDocument(now, document)
 }
 
-// SetOriginFillQuota limits the fills that are known to reach the origin, as their source was found not to have the
-// object, to this router's lease of the fleet's limit (core/fleet). 0: there is no such limit.
+// SetOriginFillQuota limits the fills that are known to reach the origin, because their source does not have the
+// object, to this router's lease of the fleet limit (core/fleet). 0 means no limit.
 func (a *Admission) SetOriginFillQuota(now int64, maxFills float64) {
 	if maxFills != a.origin.lease {
 		a.origin.lease = maxFills
@@ -55,14 +55,14 @@
 
 // OriginLimitStatus is the state of the origin limit at this router.
 type OriginLimitStatus struct {
-	Limit          float64 // fetches from the origin that this router may have in flight
+	Limit          float64 // limit on this router's fetches from the origin in flight
 	Share          float64 // this router's part of the document's limit
-	InFlight       int     // attempts that may reach the origin
-	Abandoned      int     // fetches that parents are taken to go on with, though nobody waits for them
-	OriginFraction float64 // of fills' attempts that reached the origin recently
+	InFlight       int     // attempts in flight that may reach the origin
+	Abandoned      int     // fetches that parents are assumed to continue though their attempts have ended
+	OriginFraction float64 // fraction of recent fill attempts that reached the origin
 }
 
-// OriginLimitStatus describes the origin limit; nil without one.
+// OriginLimitStatus returns the state of the origin limit, or nil without a limit.
 func (a *Admission) OriginLimitStatus() *OriginLimitStatus {
 	limiter := a.origin.limiter
 	if limiter == nil {
@@ -86,7 +86,7 @@
 		return nil
 	}
 	if g.limiter != nil && g.limiter.document == *document {
-		return nil // what it has learned is kept
+		return nil // keep the adapted limit and the estimates
 	}
 	config, algorithm, err := document.Config(g.fleetSize())
 	if err != nil {
@@ -106,16 +106,17 @@
 	return nil
 }
 
-// setAssignmentLimit takes over the assignment's limit on fills that may reach the origin, of all routers; 0: none.
+// setAssignmentLimit applies the assignment's limit on fills that may reach the origin, of all routers together. 0
+// means no limit.
 func (g *originGate) setAssignmentLimit(now int64, maxFills int) {
 	g.assignmentLimit = float64(maxFills) / float64(g.fleetSize())
 	g.announce(now)
 }
 
-// announce tells the engine the limits.
+// announce sends the limits to the engine.
 func (g *originGate) announce(now int64) { g.send(now, g.maxAttempts(now)) }
 
-// announceChange tells the engine the limits if the document's has changed by more than announceStep.
+// announceChange sends the limits to the engine if the limit on attempts has changed by more than announceStep.
 func (g *originGate) announceChange(now int64) {
 	if g.limiter == nil {
 		return
@@ -135,8 +136,8 @@
 	}})
 }
 
-// maxAttempts returns how many attempts may be in flight that may reach the origin, by the document and the assignment;
-// 0: no limit.
+// maxAttempts returns the limit on attempts in flight that may reach the origin, by the document and the assignment. 0
+// means no limit.
 func (g *originGate) maxAttempts(now int64) float64 {
 	if g.limiter == nil {
 		return g.assignmentLimit
@@ -148,7 +149,8 @@
 	return min(limit, g.assignmentLimit)
 }
 
-// maxAttempts updates the estimate of fetches in flight and returns how many attempts they leave the limit for.
+// maxAttempts updates the estimate of fetches in flight and returns how many attempts may be in flight within the
+// limit, at least minAnnounced.
 func (l *originLimiter) maxAttempts(now int64) float64 {
 	for len(l.abandonedUntil) > 0 && l.abandonedUntil[0] <= now {
 		l.abandonedUntil = l.abandonedUntil[1:]
@@ -161,7 +163,7 @@
 	return max(minAnnounced, free/fraction)
 }
 
-// recordAttempts notes attempts that may reach the origin.
+// recordAttempts records started attempts that may reach the origin.
 func (g *originGate) recordAttempts(actions []routing.Action) {
 	if g.limiter == nil {
 		return
@@ -174,13 +176,13 @@
 	}
 }
 
-// mayReachOrigin reports whether an action sends an attempt that may fill from another server's source.
+// mayReachOrigin reports whether an action starts an attempt that may fill from a source other than its server.
 func mayReachOrigin(action *routing.Action) bool {
 	return action.Kind == routing.ActionSend && action.Source != "" && action.Source != action.Server &&
 		action.FetchFlags&routing.FetchCachedOnly == 0
 }
 
-// start counts an attempt.
+// start records an attempt in flight.
 func (l *originLimiter) start(requestID string, isDirect bool) {
 	l.inFlight[requestID] = isDirect
 	if isDirect {
@@ -188,7 +190,7 @@
 	}
 }
 
-// observeAttempt learns from the end of an attempt or request.
+// observeAttempt updates the counts and estimates at the end of an attempt or request.
 func (g *originGate) observeAttempt(now int64, event *routing.Event) {
 	l := g.limiter
 	if l == nil {
@@ -214,14 +216,14 @@
 	}
 }
 
-// isUnanswered reports whether an attempt ended without an answer.
+// isUnanswered reports whether an attempt ended without a response.
 func isUnanswered(event *routing.Event) bool {
 	return event.Kind != routing.EventOutcome ||
 		event.Outcome == routing.OutcomeTimedOut || event.Outcome == routing.OutcomeCanceled
 }
 
-// abandon counts an attempt without an answer as a fetch that goes on. It does not change originFraction: the slow
-// fetches are among these attempts.
+// abandon counts an attempt that ended without a response as a fetch that continues. It does not update originFraction:
+// slow fetches from the origin are among these attempts, and must not count as attempts that did not reach it.
 func (l *originLimiter) abandon(now int64, millis float64, event *routing.Event) {
 	if len(l.abandonedUntil) < maxAbandoned {
 		l.abandonedUntil = append(l.abandonedUntil, now+int64(l.document.AbandonedFetchMs*1000))
@@ -231,7 +233,7 @@
 	}
 }
 
-// learn takes in an answered attempt that named a parent.
+// learn updates the limit and originFraction with the response to an attempt whose source is a parent.
 func (l *originLimiter) learn(millis float64, event *routing.Event) {
 	reachedOrigin := 0.0
 	switch event.CacheStatus {
@@ -245,7 +247,7 @@
 	l.originFraction += originFractionStep * (reachedOrigin - l.originFraction)
 }
 
-// complete tells the limit how long the origin took.
+// complete reports the response time of the origin to the limit.
 func (l *originLimiter) complete(millis float64, event *routing.Event, hasFailed bool) {
 	l.limit.Complete(millis, float64(event.UpstreamWait)/1000, hasFailed)
 }
--- a/core/cells/parents.go
+++ b/core/cells/parents.go
@@ -13,60 +13,61 @@
 )
 
 const (
-	// firstParentSubset numbers the subsets of parents in the engine, one for each parent group in the topology's order,
-	// far from those of edge caches.
+	// firstParentSubset is the number of the first parent group's subset in the engine. The other groups follow in the
+	// order of the topology. It is above all subset numbers of edge caches.
 	firstParentSubset = 1 << 20
-	// unnamedSubset is a subset that is never defined: fills go to the origin.
-	unnamedSubset = -1
+	// undefinedSubset is never defined in the engine, so that fills go to the origin.
+	undefinedSubset = -1
 )
 
 const (
-	// replanInterval, in microseconds, is how often fills are planned while a parent group is warming up. Otherwise that
-	// is done when the endpoint list changes.
+	// replanInterval, in microseconds, is how often fills are planned while a parent group is warming up. Otherwise
+	// they are planned when the endpoint list changes.
 	replanInterval = 500_000
-	// maxGroupsPlannedInline is how many parent groups are planned for while an event waits, which takes well under a
-	// millisecond; a plan for 40 takes 170 ms.
+	// maxGroupsPlannedInline is the maximum number of parent groups for which a plan is computed while an event waits.
+	// That takes well under a millisecond; a plan for 40 groups takes 170 ms.
 	maxGroupsPlannedInline = 8
-	// minLoggedFraction is the least part of the fills that is mentioned in the log.
+	// minLoggedFraction is the smallest fraction of the fills that is logged.
 	minLoggedFraction = 0.05
 )
 
-// A parent group is unavailable after so many failed fills for each of its servers, without a good one between: about
-// when the engine has opened the circuit breakers of all, and not when one of several has failed. While it is
-// unavailable, a router sends it one fill every trialInterval to twice that, drawn anew each time, so that the trials
-// of routers do not come together.
+// A parent group is unavailable after failuresPerServer consecutive failed fills for each of its servers. That is about
+// when the engine has opened the circuit breakers of all its servers, and not when one of several has failed. While the
+// group is unavailable, a router sends it one trial fill at random intervals of trialInterval to twice trialInterval,
+// so that the trials of different routers do not coincide.
 const (
 	failuresPerServer = 3
 	trialInterval     = 1_000_000 // microseconds
 )
 
-// parentSelection divides this router's fills among parent groups by a topology.
+// parentSelection distributes this router's fills over parent groups by a topology.
 type parentSelection struct {
 	*shared
-	graph          *hierarchy.Graph // nil: no topology; the engine treats all parents alike
-	route          hierarchy.Route  // of the plan in force
-	planErr        error            // why there is no plan
-	planDueAt      int64            // microseconds; 0: at the next event
+	graph          *hierarchy.Graph // nil: no topology; the engine does not distinguish parent groups
+	route          hierarchy.Route  // this site's part of the plan in force
+	planErr        error            // error of the last planning
+	planDueAt      int64            // time of the next planning, microseconds; 0: at the next event
 	pendingJob     *PlanJob         // to be run by the owner; nil: none is due
 	lastLogged     string
-	serversByGroup [][]string          // healthy ones, as the engine knows them
+	serversByGroup [][]string          // healthy servers of each subset that is defined in the engine
 	groupByServer  map[string]int      // of all listed parents
-	groupByRequest map[string]int      // group that the attempt under way names for its fill
+	groupByRequest map[string]int      // group of the source of the request's current attempt, by request ID
 	health         []parentGroupHealth // by group
 }
 
-// parentGroupHealth is what fills say of a parent group before the endpoint list does.
+// parentGroupHealth is the health of a parent group by the results of fills, which show a failure before the endpoint
+// list does.
 type parentGroupHealth struct {
 	consecutiveFailures int
-	nextTrialAt         int64 // microseconds; 0: the group is available
+	nextTrialAt         int64 // time of the next trial fill, microseconds; 0: the group is available
 }
 
 func (h *parentGroupHealth) isAvailable() bool { return h.nextTrialAt == 0 }
 
-// SetTopology puts a topology in force, or with nil none. It applies with and without an assignment.
+// SetTopology applies a topology, or with nil removes it. It has effect with and without an assignment.
 func (a *Admission) SetTopology(now int64, graph *hierarchy.Graph) { a.parents.setTopology(now, graph) }
 
-// TopologyVersion returns the version of the topology in force, 0 without one.
+// TopologyVersion returns the version of the topology in force, or 0 without a topology.
 func (a *Admission) TopologyVersion() int64 {
 	if a.parents.graph == nil {
 		return 0
@@ -74,8 +75,8 @@
 	return a.parents.graph.Topology().Version
 }
 
-// ParentsOf returns the parents that an object's fills go to first. Without a topology, and where it leaves none, these
-// are all that are listed.
+// ParentsOf returns the parents that an object's fills try first. Without a topology, and if the plan assigns no parent
+// group to the object, these are all listed parents.
 func (a *Admission) ParentsOf(object string) []string {
 	p := &a.parents
 	if p.graph != nil {
@@ -88,7 +89,7 @@
 
 func (p *parentSelection) setTopology(now int64, graph *hierarchy.Graph) {
 	if graph != nil && p.graph != nil && reflect.DeepEqual(graph.Topology(), p.graph.Topology()) {
-		return // the health of its groups is kept
+		return // keep the health of its groups
 	}
 	for group := range p.serversByGroup {
 		p.defineSubset(now, firstParentSubset+group, nil)
@@ -103,7 +104,8 @@
 	p.planIfDue(now)
 }
 
-// PlanJob is a fill plan to be computed. Run takes long; it may run beside the Admission, of which it reads nothing.
+// PlanJob is a fill plan to be computed. Run is slow. It may run concurrently with calls of the Admission, because it
+// does not access it.
 type PlanJob struct {
 	graph  *hierarchy.Graph
 	status map[string]hierarchy.GroupStatus // by group
@@ -111,32 +113,33 @@
 	err    error
 }
 
-// Run computes the plan.
+// Run computes the plan for Admission.ApplyPlanJob.
 func (j *PlanJob) Run() { j.plan, j.err = j.graph.PlanFills(j.status) }
 
-// TakePlanJob hands out a plan that is due to be computed, once; nil where none is. See Options.PlansInBackground.
+// TakePlanJob returns the plan that is due to be computed, or nil if there is none. It returns each job only once. See
+// Options.PlansInBackground.
 func (a *Admission) TakePlanJob() *PlanJob {
 	job := a.parents.pendingJob
 	a.parents.pendingJob = nil
 	return job
 }
 
-// ApplyPlanJob puts a computed plan in force, unless the topology has changed since. The endpoint list may have changed
-// since: then the next plan is due already.
+// ApplyPlanJob applies a computed plan, unless the topology has changed since TakePlanJob. If the endpoint list has
+// changed since then, the plan is applied too, and another plan is already due.
 func (a *Admission) ApplyPlanJob(job *PlanJob) {
 	if job.graph == a.parents.graph {
 		a.parents.applyPlan(job.plan, job.err)
 	}
 }
 
-// replan plans fills now.
+// replan plans fills without waiting until that is due.
 func (p *parentSelection) replan(now int64) {
 	p.planDueAt = 0
 	p.planIfDue(now)
 }
 
-// planIfDue plans the fills of all sites by the endpoint list. Routers that have the same list and topology come to the
-// same plan.
+// planIfDue plans the fills of all sites by the endpoint list, if that is due. Routers with the same list and topology
+// compute the same plan.
 func (p *parentSelection) planIfDue(now int64) {
 	if p.graph == nil || p.planDueAt > now {
 		return
@@ -144,15 +147,15 @@
 	p.planDueAt = math.MaxInt64
 	job := &PlanJob{graph: p.graph, status: p.groupStatus(now)}
 	if p.options.PlansInBackground && len(p.serversByGroup) > maxGroupsPlannedInline {
-		p.pendingJob = job // until it is done the plan before stays in force
+		p.pendingJob = job // the previous plan stays in force until the job is applied
 		return
 	}
 	job.Run()
 	p.applyPlan(job.plan, job.err)
 }
 
-// groupStatus returns the capacity of each parent group, tells the engine which servers they have, and notes when to
-// plan again.
+// groupStatus returns the capacity of each parent group. It also updates the groups' subsets in the engine, and
+// schedules the next planning if a group is warming up.
 func (p *parentSelection) groupStatus(now int64) map[string]hierarchy.GroupStatus {
 	groups := p.graph.Topology().ParentGroups
 	names, servers := p.listedServers(groups)
@@ -175,7 +178,8 @@
 	return status
 }
 
-// listedServers returns the healthy servers of each group by the endpoint list, and notes the group of each parent.
+// listedServers returns the names and capacity inputs of the healthy servers of each group, by the endpoint list. It
+// also rebuilds groupByServer.
 func (p *parentSelection) listedServers(groups []hierarchy.ParentGroup) ([][]string, [][]migration.Server) {
 	groupIndex := make(map[string]int, len(groups))
 	for i := range groups {
@@ -201,7 +205,7 @@
 
 func (p *parentSelection) applyPlan(plan *hierarchy.FillPlan, err error) {
 	p.planErr = err
-	if err != nil { // can't be with capacities from the endpoint list; fills then go as without a topology
+	if err != nil { // not expected with capacities from the endpoint list; fills then go as without a topology
 		p.route = hierarchy.Route{}
 	} else {
 		p.route = plan.Route(p.settings.Zone)
@@ -209,7 +213,7 @@
 	p.logPlan()
 }
 
-// logPlan logs where fills go and what is rejected, in tenths, if that has changed.
+// logPlan logs the fractions of fills for each target and of rejected fills, in tenths, if they have changed.
 func (p *parentSelection) logPlan() {
 	text := p.describePlan()
 	if text != p.lastLogged {
@@ -228,18 +232,18 @@
 	text := "fills go to " + strings.Join(targets, ", ")
 	switch {
 	case p.planErr != nil:
-		text = "no plan for fills: " + p.planErr.Error()
+		text = "planning fills failed: " + p.planErr.Error()
 	case len(targets) == 0:
-		text = "fills have no way by the shape, and go as without one"
+		text = "topology has no route for fills, they go as without a topology"
 	}
 	if p.route.RejectedFraction >= minLoggedFraction {
-		text += fmt.Sprintf("; no room for %.1f of them", p.route.RejectedFraction)
+		text += fmt.Sprintf("; no capacity for %.1f of them", p.route.RejectedFraction)
 	}
 	return text
 }
 
-// selectGroup names the parent group in an event that a request's fills go to. An object keeps its group as long as the
-// plan's fractions stay.
+// selectGroup sets in the event the parent group for a request's fills. An object keeps its group while the fractions
+// of the plan stay the same.
 func (p *parentSelection) selectGroup(now int64, event *routing.Event) {
 	if p.graph == nil {
 		return
@@ -252,15 +256,15 @@
 	}
 	group := p.route.Pick(chunkHash(event.Object, 0))
 	switch {
-	case group < 0: // rejected by the plan: any parent that has capacity after all, within the engine's limits
+	case group < 0: // no capacity by the plan: the engine may use any parent that has capacity, within its limits
 	case group < len(p.serversByGroup):
 		event.ParentSubset = firstParentSubset + group
 	default:
-		event.ParentSubset = unnamedSubset
+		event.ParentSubset = undefinedSubset
 	}
 }
 
-// dueTrial returns an unavailable group that is to be tried now.
+// dueTrial returns an unavailable group for which a trial fill is due.
 func (p *parentSelection) dueTrial(now int64) (group int, isDue bool) {
 	for i := range p.health {
 		h := &p.health[i]
@@ -271,12 +275,12 @@
 	return 0, false
 }
 
-// drawTrial draws the time of the next trial.
+// drawTrial returns a random time for the next trial, trialInterval to twice trialInterval from now.
 func (p *parentSelection) drawTrial(now int64) int64 {
 	return now + trialInterval + int64(p.rng.Float64()*trialInterval)
 }
 
-// recordAttempts notes which group attempts name for their fills.
+// recordAttempts records the parent group of the source of each started attempt.
 func (p *parentSelection) recordAttempts(actions []routing.Action) {
 	if p.graph == nil {
 		return
@@ -292,13 +296,13 @@
 	}
 }
 
-// forget drops what is noted of a request that has ended.
+// forget removes a request that has ended.
 func (p *parentSelection) forget(requestID string) { delete(p.groupByRequest, requestID) }
 
-// observeFill learns from the end of an attempt or request whether its parent group is available.
+// observeFill updates the health of a parent group at the end of an attempt or request.
 func (p *parentSelection) observeFill(now int64, event *routing.Event) {
-	group, isNoted := p.groupByRequest[event.RequestID]
-	if !isNoted {
+	group, isRecorded := p.groupByRequest[event.RequestID]
+	if !isRecorded {
 		return
 	}
 	p.forget(event.RequestID)
--- a/core/cells/recent_chunks.go
+++ b/core/cells/recent_chunks.go
@@ -6,24 +6,24 @@
 	recentSketchWidth = 1 << 16 // counters in a row
 	recentSketchDepth = 3
 	recentHalfLife    = 20e6 // microseconds
-	// recentThreshold is the decayed count from which a chunk was requested recently: one request within 46 s.
+	// recentThreshold is the decayed count from which a chunk is recent. One request exceeds it for 46 s.
 	recentThreshold = 0.2
 )
 
-// recentChunks knows which chunks of objects were requested recently, at the site and in each cell. It may take a chunk
-// for recent that is not, as the sketch overestimates, but not the reverse.
+// recentChunks tracks which chunks of objects were requested recently, at the site and in each cell. It may have false
+// positives, because the sketch overestimates, but no false negatives.
 type recentChunks struct{ sketch *CountMinSketch }
 
 func newRecentChunks() recentChunks {
 	return recentChunks{NewCountMinSketch(recentSketchWidth, recentSketchDepth, recentHalfLife)}
 }
 
-// record counts a request for a chunk and reports whether there was a recent one before.
+// record counts a request for a chunk and reports whether the chunk was already recent.
 func (r recentChunks) record(now int64, object string, chunk int64) bool {
 	return r.sketch.addHash(now, chunkHash(object, chunk), 1) >= 1+recentThreshold
 }
 
-// recordInCell counts a request for a chunk that a cell answers.
+// recordInCell counts a request for a chunk that goes to a cell.
 func (r recentChunks) recordInCell(now int64, object string, chunk int64, cell int) {
 	r.sketch.addHash(now, chunkInCellHash(object, chunk, cell), 1)
 }
--- a/core/cells/rollout.go
+++ b/core/cells/rollout.go
@@ -8,15 +8,17 @@
 	"spantack/routing"
 )
 
-// rolloutGate lets a release into the cells that its rollout has reached, and counts what came of it.
+// rolloutGate rejects requests for a release in cells that its rollout has not reached, and counts outcomes as evidence
+// for or against the release.
 type rolloutGate struct {
 	*shared
 	scope    *scope
-	progress *rollout.Progress // nil: there is no rollout
+	progress *rollout.Progress // nil: no rollout is in force
 }
 
-// SetRollout starts a rollout, or with nil ends it: its objects are then like any others. It must fit the assignment in
-// force. Another version of the same rollout goes on from where this router is.
+// SetRollout starts a rollout, or with nil ends it, so that its objects are no longer treated differently from others.
+// The rollout must be valid for the assignment in force. A new version of the rollout in force continues from this
+// router's current state.
 func (a *Admission) SetRollout(now int64, r *rollout.Rollout) error {
 	if r == nil || a.scope.spec == nil {
 		a.rollout.clear()
@@ -32,16 +34,16 @@
 	Rings   []RingStatus `json:"rings"`
 }
 
-// RingStatus is the state of one ring of cells. Evidence is, by metric (late answers, failures, fill errors), the
-// logarithm of a likelihood ratio against the release; that of several routers may be added up.
+// RingStatus is the state of one ring of cells. Evidence is the log-likelihood ratio against the release, by metric
+// (late answers, failures, fill errors). Ratios of several routers may be added.
 type RingStatus struct {
 	Cells        []string  `json:"cells"`
 	State        string    `json:"state"`
-	HarmedMetric string    `json:"by,omitempty"` // the metric that showed harm at this router
+	HarmedMetric string    `json:"by,omitempty"` // metric that the release has worsened, as seen by this router
 	Evidence     []float64 `json:"evidence"`
 }
 
-// RolloutStatus describes the rollout; nil without one.
+// RolloutStatus returns the state of the rollout, or nil without a rollout.
 func (a *Admission) RolloutStatus() *RolloutStatus { return a.rollout.status() }
 
 func (g *rolloutGate) isActive() bool { return g.progress != nil }
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// advance steps the rollout, and logs rings that changed their state.
+// advance updates the rollout to now, and logs rings whose state has changed.
 func (g *rolloutGate) advance(now int64) {
 	if g.progress == nil {
 		return
@@ -76,7 +78,8 @@
 	}
 }
 
-// gate rejects a request for the release in a cell that must not have it, and bounds the age of the answer in others.
+// gate rejects a request for the release in a cell that may not serve it. In other cells it limits the age of the
+// cached copy.
 func (g *rolloutGate) gate(event *routing.Event, c *candidate) Reason {
 	if g.progress == nil || !g.progress.Rollout().Contains(int(event.PurgeGroup), event.Object) {
 		return ReasonNone
@@ -93,7 +96,7 @@
 	return ReasonNone
 }
 
-// observeOutcome counts the end of an attempt.
+// observeOutcome counts the outcome of an attempt.
 func (g *rolloutGate) observeOutcome(now int64, request *openRequest, event *routing.Event) {
 	if g.progress == nil {
 		return
@@ -119,10 +122,11 @@
 	g.count(request, rollout.LateAnswers, true)
 }
 
-// count counts an event at its cell. In a cell that has the release, failures and fill errors are those of the release
-// alone, or they would be found late among all others; where a release replaces objects, that is so before a ring opens
-// too, as a baseline. Late answers are those of the complete cell: new objects are filled first and are late by
-// themselves, and a release that harms other requests of its cell must show.
+// count counts an observation in the request's cell. In a cell that has the release, failures and fill errors are
+// counted only for requests of the release; among all requests they would be detected late. If the release replaces
+// objects, the same holds before a ring opens, as a baseline. Late answers are counted for all requests of the cell,
+// for two reasons: new objects must be filled first and are late even with a good release, and a release that slows
+// down other requests of its cell must be detected.
 func (g *rolloutGate) count(request *openRequest, metric rollout.Metric, isBad bool) {
 	cell := g.scope.cells[request.cell].name
 	if metric != rollout.LateAnswers && !request.isRelease && g.progress.CountsReleaseOnly(cell) {
--- a/core/cells/scope.go
+++ b/core/cells/scope.go
@@ -10,7 +10,7 @@
 	"spantack/routing"
 )
 
-// The engine knows subsets of edge caches by numbers: subset 1 to MaxCells is a cell's, the tenants' own follow.
+// firstTenantSubset is the number of the first tenant's subset in the engine. Subsets 1 to MaxCells are those of cells.
 const firstTenantSubset = MaxCells + 1
 
 func cellSubset(cell int) int     { return cell + 1 }
@@ -22,22 +22,22 @@
 )
 
 const (
-	overloadRejectFraction = 0.05      // of a cell's requests rejected by the engine, above which it is overloaded
-	activeCountInterval    = 500_000   // microseconds between two counts of active tenants
-	activeWithin           = 2_000_000 // microseconds since its last request in which a tenant is active
+	overloadRejectFraction = 0.05      // fraction of requests rejected by the engine above which a cell is overloaded
+	activeCountInterval    = 500_000   // minimum time between two counts of active tenants, microseconds
+	activeWithin           = 2_000_000 // time after its last request for which a tenant is active, microseconds
 )
 
-// scope is the assignment in force: its tenants and cells with their state at this router.
+// scope is the assignment in force, with the state of its tenants and cells at this router.
 type scope struct {
 	*shared
 	assignment   *Assignment // nil: none is in force
 	spec         *Spec       // of the assignment
-	tenants      []tenant    // as in the specification
-	cells        []cell      // as in the specification
+	tenants      []tenant    // in the order of the specification
+	cells        []cell      // in the order of the specification
 	overflowCell int         // or noCell
 	recentChunks recentChunks
 
-	caches          []string        // listed edge caches of the own site, sorted
+	caches          []string        // listed edge caches of this site, sorted
 	subsetEvents    []routing.Event // reused
 	activeCountedAt int64           // microseconds; 0: never
 }
@@ -47,11 +47,11 @@
 	name          string
 	weight        float64
 	cell          int
-	usage         decayingSum // in seconds of what this router may use of the site
+	usage         decayingSum // in seconds of this router's part of the site's resources
 	missRatio     missRatio
 	demand        demandRate
-	migration     *migrationProgress // nil: it stays in its cell
-	subsetVersion int                // endpoint list version for which its subset was drawn, plus 1; 0: never
+	migration     *migrationProgress // nil: the tenant does not migrate
+	subsetVersion int                // endpoint list version for which its subset was defined, plus 1; 0: never
 	isActive      bool
 }
 
@@ -67,20 +67,20 @@
 	missRatio    missRatio // of all its tenants
 	arrivals     decayingSum
 	rejections   decayingSum               // by the engine
-	capacity     migration.CapacityLimiter // for tenants that migrate into it
-	warmFraction float64                   // its caches' capacity, as a part of that when all are warm
+	capacity     migration.CapacityLimiter // for tenants that migrate into the cell
+	warmFraction float64                   // capacity of its caches, as a fraction of their capacity when all are warm
 }
 
-// observeRejection records that the engine rejected a request. A few of those say nothing; many say that the cell is
-// overloaded.
+// observeRejection records that the engine rejected a request. The cell counts as overloaded only above
+// overloadRejectFraction, because a few rejections are not significant.
 func (c *cell) observeRejection(now int64) {
 	if c.rejections.add(now, 1) > overloadRejectFraction*c.arrivals.valueAt(now) {
 		c.fairShare.observeRejection(now)
 	}
 }
 
-// SetAssignment puts an assignment in force, or with nil none. Requests under way end where they began; what is known
-// of tenants that both assignments have is kept.
+// SetAssignment applies an assignment, or with nil removes it. Open requests end where they started. The state of
+// tenants that both assignments have is kept.
 func (a *Admission) SetAssignment(now int64, next *Assignment) {
 	a.scope.dropTenantSubsets(now)
 	if next == nil {
@@ -106,7 +106,7 @@
 	clear(a.openRequests)
 }
 
-// AssignmentVersion returns the version of the assignment in force, 0 without one.
+// AssignmentVersion returns the version of the assignment in force, or 0 without an assignment.
 func (a *Admission) AssignmentVersion() int64 {
 	if a.scope.spec == nil {
 		return 0
@@ -114,10 +114,11 @@
 	return a.scope.spec.Version
 }
 
-// TenantOf returns the index in the specification of the tenant that a request belongs to. There must be an assignment.
+// TenantOf returns the index in the specification of the tenant that a request belongs to. It must not be called
+// without an assignment.
 func (a *Admission) TenantOf(event *routing.Event) int { return a.scope.tenantOf(event) }
 
-// CachesOf returns the caches that a tenant's requests go to at present; none while there is no assignment.
+// CachesOf returns the caches that a tenant's requests currently go to, or nil without an assignment.
 func (a *Admission) CachesOf(tenant int) []string { return a.scope.cachesOf(tenant) }
 
 func (s *scope) tenantOf(event *routing.Event) int {
@@ -132,8 +133,8 @@
 	return s.spec.cachesOf(t.name, s.caches, s.cells[t.cell].caches)
 }
 
-// replace puts the tenants and cells of an assignment in the place of those before. It returns the new index of each
-// tenant by its index before, or noTenant.
+// replace replaces the tenants and cells by those of another assignment. It returns the new index of each tenant by its
+// old index, or noTenant for tenants that are not in the new assignment.
 func (s *scope) replace(next *Assignment) (newTenantIndex []int32) {
 	if s.recentChunks.sketch == nil {
 		s.recentChunks = newRecentChunks()
@@ -195,7 +196,7 @@
 	s.tenants, s.cells = nil, nil
 }
 
-// defineSubset tells the engine the servers of a subset; without servers the subset is dropped.
+// defineSubset defines a subset of servers in the engine. Without servers the subset is removed.
 func (s *shared) defineSubset(now int64, subset int, servers []string) {
 	s.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, Subset: subset, SubsetServers: servers}})
 }
@@ -214,15 +215,16 @@
 	}
 }
 
-// assignCaches tells the engine which caches each cell has. Draining caches stay in their cell until they are off the
-// list, so that cells are divided once and not twice when a cache is replaced.
+// assignCaches divides the listed caches among cells and updates the cells' subsets in the engine. Draining caches stay
+// in their cell until they are removed from the list, so that replacing a cache changes the division once instead of
+// twice.
 func (s *scope) assignCaches(now int64) {
 	s.caches = slices.AppendSeq(s.caches[:0], maps.Keys(s.endpoints.edgeCaches))
 	slices.Sort(s.caches)
 	s.subsetEvents = s.subsetEvents[:0]
 	for i, caches := range divideCaches(s.spec.Cells, s.caches) {
 		c := &s.cells[i]
-		if s.spec.Scheme == SchemeShuffle { // the cell's subset is all caches: each tenant has one of its own
+		if s.spec.Scheme == SchemeShuffle { // the cell's subset has all caches: each tenant has its own subset
 			caches = s.caches
 		}
 		c.hasLiveCache = slices.ContainsFunc(caches, s.endpoints.isHealthyCache)
@@ -243,8 +245,8 @@
 	}
 }
 
-// subsetOf returns the subset of caches for a tenant's requests in a cell. A tenant's own subset is drawn when first
-// needed; in other cells than its own, the tenant uses the cell's caches as they are.
+// subsetOf returns the subset of caches for a tenant's requests in a cell. With SchemeShuffle and SchemeNested a tenant
+// has its own subset, which is defined on first use. Outside its own cell, a tenant uses all caches of the cell.
 func (s *scope) subsetOf(now int64, index, inCell int) int {
 	t := &s.tenants[index]
 	hasOwnSubset := s.spec.Scheme == SchemeShuffle || s.spec.Scheme == SchemeNested
@@ -264,7 +266,7 @@
 	return tenantSubset(index)
 }
 
-// countActiveTenants counts at intervals how many tenants of each cell are active.
+// countActiveTenants updates the number of active tenants of each cell, at most once per activeCountInterval.
 func (s *scope) countActiveTenants(now int64) {
 	if now-s.activeCountedAt < activeCountInterval && s.activeCountedAt != 0 {
 		return
--- a/core/cells/shared_rate.go
+++ b/core/cells/shared_rate.go
@@ -1,32 +1,35 @@
 package cells
 
-// sharedRate divides one rate among cells. Each cell has a token bucket that fills at the cell's share of the rate.
-// What overflows a full bucket goes to a pool that any cell may borrow from. A bucket holds what its cell gets in the
-// reclaim time, and the pool half of what all cells get in it. Once a cell uses its share again its bucket no longer
-// overflows, and what others can still borrow is used up within the reclaim time.
+// sharedRate divides one rate among cells. Each cell has a token bucket that is refilled at the cell's share of the
+// rate. Tokens that overflow a full bucket go to a pool from which any cell may borrow. A bucket holds the cell's
+// tokens for the reclaim time, and the pool holds half of all cells' tokens for it. Once a cell uses its share again,
+// its bucket no longer overflows, and the rest of the pool is used up within the reclaim time.
 //
-// A fair queue would share the rate as well, but it delays requests, which spantack does not do: what can't be sent now
-// is rejected now.
+// A fair queue would divide the rate too, but it delays requests. Spantack does not queue requests: one that can't be
+// sent now is rejected now.
 type sharedRate struct {
 	perMicrosecond float64 // of all cells; 0: no limit
 	shares         []float64
 	tokens         []float64     // by cell; negative: debt
-	borrowed       []decayingSum // by cell: what it took from the pool recently
-	pool           float64
-	reclaim        float64 // microseconds
-	refilledAt     int64   // microseconds; 0: never
+	borrowed       []decayingSum // by cell: tokens recently borrowed from the pool
+	pool           float64       // tokens that any cell may borrow
+	reclaim        float64       // microseconds
+	refilledAt     int64         // microseconds; 0: never
 }
 
 const (
-	// refillInterval, in microseconds, is how often buckets are refilled: a borrower sees what overflows no sooner.
+	// refillInterval, in microseconds, is the minimum time between refills. Overflow can be borrowed only after a
+	// refill.
 	refillInterval = 1000
-	// amplePoolFraction is the part of a full pool above which any cell may borrow.
+	// amplePoolFraction is the fraction of a full pool above which any cell may borrow.
 	amplePoolFraction = 0.5
-	// poolDepthFraction is the depth of the pool as a part of what all cells get in the reclaim time. It is small, or a
-	// sudden flood would take at once what all others left in that time, on top of what they go on using.
+	// poolDepthFraction is the depth of the pool, as a fraction of all cells' tokens for the reclaim time. With a deep
+	// pool, a sudden flood could use all tokens that other cells left unused in that time at once, on top of the tokens
+	// that these cells still use.
 	poolDepthFraction = 0.5
-	// maxDebtDepths bounds a cell's debt, in depths of its bucket: debt is paid off within twice the reclaim time after
-	// the last admitted request, or one huge object would block its cell for long.
+	// maxDebtDepths limits a cell's debt, as a multiple of the depth of its bucket. Debt is paid off within twice the
+	// reclaim time after the last admitted request. Without a limit, one huge object would block its cell for a long
+	// time.
 	maxDebtDepths = 2
 )
 
@@ -45,7 +48,7 @@
 	return r
 }
 
-// isLimited reports whether there is a limit at all.
+// isLimited reports whether the rate has a limit.
 func (r *sharedRate) isLimited() bool { return r.perMicrosecond > 0 }
 
 // perSecond returns the rate of all cells.
@@ -57,7 +60,8 @@
 	return r.shares[cell] * r.perMicrosecond * r.reclaim
 }
 
-// refill adds to the buckets and the pool what has come since the last refill.
+// refill adds the tokens since the last refill to the buckets, and their overflow to the pool, at most once per
+// refillInterval.
 func (r *sharedRate) refill(now int64) {
 	elapsed := float64(now - r.refilledAt)
 	if r.refilledAt != 0 && elapsed < refillInterval {
@@ -78,8 +82,8 @@
 	r.pool = min(r.pool, r.poolDepth())
 }
 
-// mayBorrow reports whether a cell may take from the pool. While the pool runs low only cells may that have borrowed no
-// more than others for their share: a flood finds it empty before the rest does.
+// mayBorrow reports whether a cell may borrow from the pool. While the pool is low, only cells may borrow that have
+// borrowed no more than the mean in proportion to their share, so that a flooding cell is refused before the others.
 func (r *sharedRate) mayBorrow(cell int) bool {
 	switch {
 	case r.pool <= 0:
@@ -97,8 +101,9 @@
 	return r.borrowed[cell].valueAt(r.refilledAt)*borrowerShares <= borrowed*r.shares[cell]
 }
 
-// mayTake reports whether a cell has something left, of its own or to borrow. Requests of tenants that use less than
-// the mean may put the cell in debt as far as the bucket is deep: what its heavy tenants took was due to them.
+// mayTake reports whether a cell has tokens left or may borrow. With allowDebt, which is set for tenants with low
+// usage, the cell may also go into debt up to the depth of its bucket: its heavy tenants used tokens that tenants with
+// low usage were entitled to.
 func (r *sharedRate) mayTake(cell int, allowDebt bool) bool {
 	if r.perMicrosecond == 0 || r.tokens[cell] > 0 || r.mayBorrow(cell) {
 		return true
@@ -106,7 +111,8 @@
 	return allowDebt && r.tokens[cell] > -r.bucketDepth(cell)
 }
 
-// take spends an amount. What the bucket lacks is borrowed as far as the pool goes; the rest is debt.
+// take removes an amount of tokens from a cell's bucket. Missing tokens are borrowed from the pool; if the pool does
+// not have enough, the rest becomes debt.
 func (r *sharedRate) take(cell int, amount float64) {
 	if r.perMicrosecond == 0 {
 		return
@@ -121,7 +127,8 @@
 	r.tokens[cell] = max(tokens, -maxDebtDepths*r.bucketDepth(cell))
 }
 
-// correct takes what a request used beyond its estimate, or gives back what it did not use.
+// correct adjusts the tokens by the difference between a request's actual and estimated usage. A positive excess is
+// taken, a negative one is given back.
 func (r *sharedRate) correct(cell int, excess float64) {
 	if excess > 0 {
 		r.take(cell, excess)
--- a/core/cells/spec_validation.go
+++ b/core/cells/spec_validation.go
@@ -9,15 +9,15 @@
 )
 
 // ErrUnreachableKey is wrapped by the error for a tenant key that no request can match.
-var ErrUnreachableKey = errors.New("no request gets here: lines above match all of it")
+var ErrUnreachableKey = errors.New("unreachable: earlier keys match all its requests")
 
-// FieldError says that a field of a document is invalid, and why.
+// FieldError is the error for an invalid field of a document.
 type FieldError struct {
-	Path string // of the field, from the document
-	Err  error
+	Path string // path of the field from the root of the document
+	Err  error  // reason
 }
 
-// Error returns path and reason.
+// Error returns the path and the reason.
 func (e *FieldError) Error() string { return e.Path + ": " + e.Err.Error() }
 
 // Unwrap returns the reason.
@@ -27,8 +27,8 @@
 	return &FieldError{Path: path, Err: fmt.Errorf(format, args...)}
 }
 
-// Validate reports the first field that is invalid, by its path in the document. A specification that passes can be put
-// in force.
+// Validate returns an error for the first invalid field, with its path in the document, or nil if the specification is
+// valid.
 func (s *Spec) Validate() error {
 	if err := s.validateScalars(); err != nil {
 		return err
@@ -49,24 +49,24 @@
 	hasWidth := s.Scheme == SchemeShuffle || s.Scheme == SchemeNested
 	switch {
 	case s.Version < 1:
-		return fieldError("version", "%d is under 1", s.Version)
+		return fieldError("version", "%d is less than 1", s.Version)
 	case !slices.Contains([]Scheme{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow}, s.Scheme):
-		return fieldError("scheme", "%q is none of fixed, shuffle, nested, overflow", s.Scheme)
+		return fieldError("scheme", "%q is not one of fixed, shuffle, nested, overflow", s.Scheme)
 	case hasWidth != (s.Width > 0) || s.Width < 0:
-		return fieldError("width", "%d: above 0 with shuffle and nested, left out otherwise", s.Width)
+		return fieldError("width", "%d: must be above 0 with schemes shuffle and nested, left out otherwise", s.Width)
 	case (s.Scheme == SchemeOverflow) != (s.OverflowCell != ""):
-		return fieldError("spare", "%q: a cell with overflow, left out otherwise", s.OverflowCell)
+		return fieldError("spare", "%q: must be a cell with scheme overflow, left out otherwise", s.OverflowCell)
 	case len(s.Cells) == 0 || len(s.Cells) > MaxCells:
-		return fieldError("cells", "%d of them, 1 to %d allowed", len(s.Cells), MaxCells)
+		return fieldError("cells", "%d entries, must be 1 to %d", len(s.Cells), MaxCells)
 	case len(s.Tenants) == 0 || len(s.Tenants) > MaxTenants:
-		return fieldError("tenants", "%d of them, 1 to %d allowed", len(s.Tenants), MaxTenants)
+		return fieldError("tenants", "%d entries, must be 1 to %d", len(s.Tenants), MaxTenants)
 	case len(s.TenantKeys) == 0 || len(s.TenantKeys) > MaxTenantKeys:
-		return fieldError("keys", "%d of them, 1 to %d allowed", len(s.TenantKeys), MaxTenantKeys)
+		return fieldError("keys", "%d entries, must be 1 to %d", len(s.TenantKeys), MaxTenantKeys)
 	}
 	return nil
 }
 
-// cellNames lists the cells for error texts.
+// cellNames returns the names of all cells for error messages.
 func (s *Spec) cellNames() string {
 	names := make([]string, len(s.Cells))
 	for i := range s.Cells {
@@ -84,25 +84,25 @@
 		case cell.Name == "":
 			return fieldError(path+".name", "missing")
 		case names[cell.Name]:
-			return fieldError(path+".name", "%q is named twice", cell.Name)
+			return fieldError(path+".name", "%q is a duplicate", cell.Name)
 		case !(cell.Share > 0 && cell.Share <= 1): // NaN too
-			return fieldError(path+".share", "%v is not above 0 and at most 1", cell.Share)
+			return fieldError(path+".share", "%v is not in the range above 0 to 1", cell.Share)
 		}
 		names[cell.Name] = true
 		shares += cell.Share
 	}
 	if shares > 1+1e-9 {
-		return fieldError("cells", "shares come to %.4g, 1 at most", shares)
+		return fieldError("cells", "sum of shares is %.4g, must be at most 1", shares)
 	}
 	for i, cell := range s.Cells {
 		fallback := cell.FallbackCell
 		if fallback != "" && (!names[fallback] || fallback == cell.Name) {
 			path := fmt.Sprintf("cells[%d].spill", i)
-			return fieldError(path, "%q is no other cell; cells are %s", fallback, s.cellNames())
+			return fieldError(path, "%q is not another cell; cells are %s", fallback, s.cellNames())
 		}
 	}
 	if s.OverflowCell != "" && !names[s.OverflowCell] {
-		return fieldError("spare", "%q is no cell; cells are %s", s.OverflowCell, s.cellNames())
+		return fieldError("spare", "%q is not a cell; cells are %s", s.OverflowCell, s.cellNames())
 	}
 	return nil
 }
@@ -119,18 +119,18 @@
 		case tenant.Name == "":
 			return fieldError(path+".name", "missing")
 		case names[tenant.Name]:
-			return fieldError(path+".name", "%q is named twice", tenant.Name)
+			return fieldError(path+".name", "%q is a duplicate", tenant.Name)
 		case !cells[tenant.Cell]:
-			return fieldError(path+".cell", "%q is no cell; cells are %s", tenant.Cell, s.cellNames())
+			return fieldError(path+".cell", "%q is not a cell; cells are %s", tenant.Cell, s.cellNames())
 		}
 		names[tenant.Name] = true
 		for site, cell := range tenant.CellBySite {
 			if !cells[cell] || site == "" {
-				return fieldError(path+".depots["+site+"]", "%q is no cell; cells are %s", cell, s.cellNames())
+				return fieldError(path+".depots["+site+"]", "%q is not a cell; cells are %s", cell, s.cellNames())
 			}
 		}
 		if !(tenant.Weight >= 0) || math.IsInf(tenant.Weight, 1) { // NaN too
-			return fieldError(path+".weight", "%v is not above 0", tenant.Weight)
+			return fieldError(path+".weight", "%v is negative or not finite", tenant.Weight)
 		}
 	}
 	return nil
@@ -151,7 +151,7 @@
 		{"giveMs", b.ReclaimMillis},
 	} {
 		if !(field.value >= 0 && field.value < maxBudget) { // NaN too
-			return fieldError("budget."+field.name, "%v is not 0 to 1e12", field.value)
+			return fieldError("budget."+field.name, "%v is not in the range 0 to 1e12", field.value)
 		}
 	}
 	return nil
@@ -170,7 +170,7 @@
 	last := len(s.TenantKeys) - 1
 	if !s.TenantKeys[last].matchesAll() {
 		path := fmt.Sprintf("keys[%d]", last)
-		return fieldError(path, "the last line names the tenant of all else, and nothing more")
+		return fieldError(path, "the last key must match all requests: only its tenant may be set")
 	}
 	return validateReachable(s.TenantKeys)
 }
@@ -180,10 +180,10 @@
 		return fieldError(path+".tenant", "%q is no tenant", k.Tenant)
 	}
 	if r := k.PurgeGroupRange; r != nil && (len(r) != 2 || r[0] < 0 || r[1] >= purgeGroupCount || r[0] > r[1]) {
-		return fieldError(path+".families", "%v is not first and last, 0 to %d", r, purgeGroupCount-1)
+		return fieldError(path+".families", "%v is not a first and a last purge group, 0 to %d", r, purgeGroupCount-1)
 	}
 	if len(k.ObjectPrefix) > maxPrefixDigits || strings.Trim(k.ObjectPrefix, "0123456789abcdef") != "" {
-		return fieldError(path+".prefix", "%q is not up to %d hex digits", k.ObjectPrefix, maxPrefixDigits)
+		return fieldError(path+".prefix", "%q is not at most %d lower-case hex digits", k.ObjectPrefix, maxPrefixDigits)
 	}
 	return nil
 }
@@ -196,10 +196,11 @@
 // keyFields are the fields of a tenant key other than its purge groups.
 type keyFields struct{ class, prefix, declaredTenant string }
 
-// validateReachable finds a key that earlier keys leave no request: those whose other fields include its own, and whose
-// purge groups together include all of its purge groups.
+// validateReachable returns an error for the first key that no request can reach, because earlier keys together cover
+// all its purge groups. An earlier key covers groups only if its other fields match everything that the key's other
+// fields match.
 func validateReachable(keys []TenantKey) error {
-	matched := map[keyFields]groupSet{} // purge groups that earlier keys with these fields match
+	matched := map[keyFields]groupSet{} // purge groups of the earlier keys with these fields
 	for i := range keys {
 		key := &keys[i]
 		groups := key.groups()
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// groupSet has a bit for each purge group.
+// groupSet is a set of purge groups, with one bit for each group.
 type groupSet [purgeGroupCount / 64]uint64
 
 // groups returns the purge groups that a key matches.
@@ -227,7 +228,7 @@
 	return set
 }
 
-// without removes the groups that are matched by keys whose other fields include those of a key.
+// without returns the set minus the groups in matched that earlier keys cover for a key. See validateReachable.
 func (g groupSet) without(matched map[keyFields]groupSet, key *TenantKey) groupSet {
 	for length := 0; length <= len(key.ObjectPrefix); length++ {
 		for _, class := range [...]string{"", key.Class} {
--- a/core/cells/spec_validation_test.go
+++ b/core/cells/spec_validation_test.go
@@ -10,33 +10,33 @@
 // Each invalid field is named in an error of one line.
 func TestValidateNamesTheField(t *testing.T) {
 	for want, invalidate := range map[string]func(*Spec){
-		`version: 0 is under 1`:                  func(s *Spec) { s.Version = 0 },
+		`version: 0 is less than 1`:              func(s *Spec) { s.Version = 0 },
 		`scheme: `:                               func(s *Spec) { s.Scheme = "round" },
 		`width: `:                                func(s *Spec) { s.Width = 2 },
 		`spare: `:                                func(s *Spec) { s.OverflowCell = "one" },
-		`cells: 0 of them`:                       func(s *Spec) { s.Cells = nil },
-		`cells: shares come to 1.5`:              func(s *Spec) { s.Cells[0].Share = 1 },
+		`cells: 0 entries`:                       func(s *Spec) { s.Cells = nil },
+		`cells: sum of shares is 1.5`:            func(s *Spec) { s.Cells[0].Share = 1 },
 		`cells[0].share: `:                       func(s *Spec) { s.Cells[0].Share = math.NaN() },
-		`cells[1].name: "one" is named twice`:    func(s *Spec) { s.Cells[1].Name = "one" },
+		`cells[1].name: "one" is a duplicate`:    func(s *Spec) { s.Cells[1].Name = "one" },
 		`cells[0].spill: "one"`:                  func(s *Spec) { s.Cells[0].FallbackCell = "one" },
-		`tenants[1].name: "loud" is named twice`: func(s *Spec) { s.Tenants[1].Name = "loud" },
-		`tenants[2].cell: "nine" is no cell`:     func(s *Spec) { s.Tenants[2].Cell = "nine" },
+		`tenants[1].name: "loud" is a duplicate`: func(s *Spec) { s.Tenants[1].Name = "loud" },
+		`tenants[2].cell: "nine" is not a cell`:  func(s *Spec) { s.Tenants[2].Cell = "nine" },
 		`tenants[0].weight: `:                    func(s *Spec) { s.Tenants[0].Weight = -1 },
 		`keys[0].tenant: "who" is no tenant`:     func(s *Spec) { s.TenantKeys[0].Tenant = "who" },
 		`keys[0].families: `:                     func(s *Spec) { s.TenantKeys[0].PurgeGroupRange = []int{5, 2} },
 		`keys[1].prefix: `:                       func(s *Spec) { s.TenantKeys[1].ObjectPrefix = "AA" },
 		`budget.open: `:                          func(s *Spec) { s.Budget.MaxOpenRequests = -1 },
-		`cells[0].spill: "three" is no other cell; cells are one, two`: func(s *Spec) {
+		`cells[0].spill: "three" is not another cell; cells are one, two`: func(s *Spec) {
 			s.Cells[0].FallbackCell = "three"
 		},
 		`tenants[0].depots[z]: `: func(s *Spec) {
 			s.Tenants[0].CellBySite = map[string]string{"z": "nine"}
 		},
-		`keys[3]: the last line`: func(s *Spec) {
+		`keys[3]: the last key`: func(s *Spec) {
 			s.TenantKeys = s.TenantKeys[:4]
 			s.TenantKeys[3].Class = "page"
 		},
-		`keys[1]: no request gets here`: func(s *Spec) {
+		`keys[1]: unreachable`: func(s *Spec) {
 			s.TenantKeys[1] = TenantKey{PurgeGroupRange: []int{3, 4}, ObjectPrefix: "b", Tenant: "calm"}
 		},
 	} {
--- a/core/cells/status.go
+++ b/core/cells/status.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Stats count since the start.
+// Stats counts decisions on requests since the start.
 type Stats struct {
 	Admitted int64              `json:"Admitted"`
-	FellBack int64              `json:"Spilled"` // sent to the fallback cell, as the own cell had no healthy cache
+	FellBack int64              `json:"Spilled"` // sent to the fallback cell, because the cell had no healthy cache
 	Rejected [reasonCount]int64 `json:"Refused"` // by reason
-	Migrated int64              `json:"Moved"`   // requests of migrating tenants sent to the destination cell
-	Deferred int64              `json:"Kept"`    // and sent to the source cell, as the destination had no capacity
+	Migrated int64              `json:"Moved"`   // requests of migrating tenants sent to the destination
+	Deferred int64              `json:"Kept"`    // the same sent to the source, because the destination had no capacity
 }
 
-// Status is what a router can tell of its cells at one moment, for its log and for operators.
+// Status is a snapshot of the cells at a router, for its log and for operators.
 type Status struct {
 	Version      int64         `json:"version"` // of the assignment
 	Stats        Stats         `json:"stats"`
@@ -31,20 +31,20 @@
 	Caches         []string `json:"caches"`
 	OpenRequests   int      `json:"open"`
 	ActiveTenants  float64  `json:"tenants"`
-	FairShareLimit float64  `json:"level"` // usage by weight above which a tenant is rejected; 0: no limit
+	FairShareLimit float64  `json:"level"` // usage divided by weight above which a tenant is rejected; 0: no limit
 }
 
-// HeavyTenant is a tenant with much recent usage.
+// HeavyTenant is a tenant with high recent usage.
 type HeavyTenant struct {
 	Name  string  `json:"name"`
 	Cell  string  `json:"cell"`
-	Usage float64 `json:"used"` // per second, in seconds of what this router may use of the site
+	Usage float64 `json:"used"` // per second, in seconds of this router's part of the site's resources
 }
 
-// maxHeavyListed bounds the lists of heavy tenants and objects in a Status.
+// maxHeavyListed is the maximum length of the lists of heavy tenants and objects in a Status.
 const maxHeavyListed = 5
 
-// Status describes the cells; nil while there is no assignment.
+// Status returns a snapshot of the cells, or nil without an assignment.
 func (a *Admission) Status(now int64) *Status {
 	if a.scope.spec == nil {
 		return nil
@@ -76,7 +76,7 @@
 	}
 }
 
-// heavyTenants lists the active tenants with the greatest usage.
+// heavyTenants returns the active tenants with the highest usage, up to maxHeavyListed, the highest first.
 func (s *scope) heavyTenants(now int64) []HeavyTenant {
 	var heavy []HeavyTenant
 	for i := range s.tenants {
--- a/core/cells/tenant_keys.go
+++ b/core/cells/tenant_keys.go
@@ -1,21 +1,22 @@
 package cells
 
-// keyTable finds the first key that a request matches. Keys that match on the declared tenant are found by that name,
-// the others in a trie over the object's hex digits, so that few keys are compared for one request.
+// keyTable finds the first key that matches a request. Keys with a declared tenant are indexed by that name, the others
+// in a trie over the object's hex digits, so that few keys are compared for each request.
 type keyTable struct {
 	keys             []TenantKey
 	byDeclaredTenant map[string][]int32 // indexes of keys, ascending
-	trie             []trieNode         // the first is the root
+	trie             []trieNode         // the first node is the root
 }
 
 // trieNode holds the keys whose object prefix ends at the node.
 type trieNode struct {
-	child   [16]int32 // index of a node by hex digit; 0: none
-	keys    []int32   // indexes of keys, ascending
-	byGroup *[purgeGroupCount][]int32
+	child   [16]int32                 // index of a node by hex digit; 0: none
+	keys    []int32                   // indexes of keys, ascending
+	byGroup *[purgeGroupCount][]int32 // keys by purge group; nil for at most maxKeysScanned keys
 }
 
-// maxKeysScanned is how many keys of a node are compared one by one; more are divided by purge group first.
+// maxKeysScanned is the maximum number of keys of a node that are compared one by one. A node with more keys indexes
+// them by purge group.
 const maxKeysScanned = 8
 
 // newKeyTable indexes the keys of a valid specification.
@@ -38,7 +39,7 @@
 	return t
 }
 
-// nodeFor returns the index of the trie's node for a prefix, which it creates where there is none.
+// nodeFor returns the index of the trie node for a prefix. It creates missing nodes.
 func (t *keyTable) nodeFor(prefix string) int32 {
 	node := int32(0)
 	for _, c := range []byte(prefix) {
@@ -80,7 +81,8 @@
 
 func (k *TenantKey) matchesClass(class string) bool { return k.Class == "" || k.Class == class }
 
-// find returns the index of the first key that matches; the last key matches everything.
+// find returns the index of the first key that matches a request. There always is one, as the last key matches all
+// requests.
 func (t *keyTable) find(group int, class, object, declaredTenant string) int {
 	best := int32(len(t.keys) - 1)
 	if declaredTenant != "" {
@@ -109,7 +111,7 @@
 	return int(best)
 }
 
-// firstMatch returns the first of a node's keys that matches group and class, or best where that comes before.
+// firstMatch returns the index of the first of a node's keys that matches group and class, or best if that is earlier.
 func (t *keyTable) firstMatch(keys []int32, group int, class string, best int32) int32 {
 	for _, index := range keys {
 		if index >= best {
@@ -122,7 +124,7 @@
 	return best
 }
 
-// keysFor returns the keys of a node that can match a purge group.
+// keysFor returns the indexes of a node's keys that can match a purge group.
 func (n *trieNode) keysFor(group int) []int32 {
 	if n.byGroup != nil && group >= 0 && group < purgeGroupCount {
 		return n.byGroup[group]
