--- a/core/cells/admission_test.go
+++ b/core/cells/admission_test.go
@@ -9,8 +9,9 @@
 	"spantack/routing"
 )
 
-// Without an assignment an Admission does to the byte what the engine does alone, also after one was taken away.
-func TestNoAssignmentIsWithoutEffect(t *testing.T) {
+// An Admission without an assignment must return exactly the actions of its engine, also after an assignment was
+// removed.
+func TestNoAssignmentHasNoEffect(t *testing.T) {
 	engine, err := routing.NewEngine(testSettings(), 9)
 	if err != nil {
 		t.Fatal(err)
@@ -21,16 +22,16 @@
 	}
 	admission.SetAssignment(0, mustCompile(t, twoCells()))
 	admission.SetAssignment(0, nil)
-	if !slices.Equal(actionsOfRandomDay(engine.Step), actionsOfRandomDay(admission.Step)) {
-		t.Error("not the same actions")
+	if !slices.Equal(actionsOfRandomRun(engine.Step), actionsOfRandomRun(admission.Step)) {
+		t.Error("actions of the Admission differ from those of the engine")
 	}
 	if admission.Status(0) != nil || admission.AssignmentVersion() != 0 {
-		t.Error("something is left")
+		t.Error("status or version of an assignment that was removed")
 	}
 }
 
-// actionsOfRandomDay plays requests with random outcomes and returns what was done, step by step.
-func actionsOfRandomDay(step func(int64, []routing.Event) []routing.Action) (log []string) {
+// actionsOfRandomRun sends requests with random outcomes and returns the actions of each step.
+func actionsOfRandomRun(step func(int64, []routing.Event) []routing.Action) (log []string) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	now := sec
 	step(now, []routing.Event{{
@@ -73,9 +74,9 @@
 	return log
 }
 
-// Settings change while requests of tenants are open: these end as they would have, their cell's counts come back to
-// zero, and a class that was dropped is rejected by the engine.
-func TestUpdateSettingsWithOpenRequests(t *testing.T) {
+// Settings change while requests are open. The counts of open requests must return to zero after these end, and the
+// engine must fail requests of a class that was removed.
+func TestUpdateSettingsKeepsOpenRequestCounts(t *testing.T) {
 	video := routing.Class{
 		Name:               "video",
 		Deadline:           6_000_000,
@@ -148,16 +149,16 @@
 		t.Fatal(err)
 	}
 	if admission.classes["price"].isUncacheable {
-		t.Error("a class of the new settings is still taken for uncacheable")
+		t.Error("class is still uncacheable after the settings changed that")
 	}
 	if err := admission.UpdateSettings(2000, routing.Settings{}); err == nil {
-		t.Error("settings without a class were taken")
+		t.Error("settings without classes were accepted")
 	}
 	if actions := request("r2", "price"); len(actions) == 0 || actions[0].Kind != routing.ActionSend {
-		t.Errorf("the new settings: %+v", actions)
+		t.Errorf("class of the new settings: %+v", actions)
 	}
 	if actions := request("r3", "video"); len(actions) != 1 || actions[0].Kind != routing.ActionFail {
-		t.Errorf("a class that was dropped: %+v", actions)
+		t.Errorf("class that was removed: %+v", actions)
 	}
 
 	admission.step(3000, routing.Event{
@@ -174,6 +175,6 @@
 		{Kind: routing.EventAborted, RequestID: "r3"},
 	})
 	if open, inCell := len(admission.openRequests), admission.scope.cells[0].openRequests; open != 0 || inCell != 0 {
-		t.Errorf("%d open, %d in its cell", open, inCell)
+		t.Errorf("after all requests ended: %d open requests, %d in their cell", open, inCell)
 	}
 }
--- a/core/cells/admit_test.go
+++ b/core/cells/admit_test.go
@@ -12,24 +12,25 @@
 	"spantack/routing"
 )
 
-// Reports go past the edge caches to the origin: a cell without a cache has them served all the same.
+// Uncacheable requests go directly to the origin, so they must also be admitted in a cell without a cache.
 func TestUncacheableRequestsNeedNoCache(t *testing.T) {
 	client := &testClient{t: t, admission: newTestAdmission(t, twoCells(), "c0"), now: 2 * sec}
 	page := client.request(routing.Event{PurgeGroup: 99, Object: "01"})
 	report := client.request(routing.Event{PurgeGroup: 99, Class: "report"})
 	if page != "" || report != "o" {
-		t.Errorf("page sent to %q, report to %q", page, report)
+		t.Errorf("page sent to %q, want rejected; report sent to %q, want o", page, report)
 	}
 }
 
-// A flood that uses a cell's share up is rejected; the other cell, and the quiet tenant beside a loud one, are not.
+// One tenant floods its cell. Its requests above the cell's share must be rejected. Requests of the other cell, and of
+// a tenant with low usage in the same cell, must not.
 func TestFloodIsLimitedToItsCellsShare(t *testing.T) {
 	spec := twoCells()
 	spec.Budget.RequestsPerSecond = 400 // 200 for this router, 100 for each cell
-	spec.Tenants[2].Cell = "one"        // quiet lives with loud
+	spec.Tenants[2].Cell = "one"        // quiet shares the cell with loud
 	client := &testClient{t: t, admission: newTestAdmission(t, spec, cacheNames(8)...), now: 2 * sec}
 	sent, served := map[string]int{}, map[string]int{}
-	for i := range 10_000 { // ten seconds: loud 900 a second, calm 80, quiet 20
+	for i := range 10_000 { // 10 s with requests per second of 900 for loud, 80 for calm, 20 for quiet
 		client.now += msec
 		event, tenant := routing.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)}, "loud"
 		switch {
@@ -47,12 +48,12 @@
 		t.Errorf("sent %v, served %v", sent, served)
 	}
 	if served["loud"] > 1600 || served["loud"] < 700 {
-		t.Errorf("loud: %d served of %d, its cell's share is 1000 and what others leave 200", served["loud"], sent["loud"])
+		t.Errorf("loud: %d served of %d; the cell's share is 1000, others leave 200", served["loud"], sent["loud"])
 	}
 }
 
-// Uncacheable requests have a rate of their own: a flood of pages leaves them alone.
-func TestUncacheableRequestsHaveTheirOwnRate(t *testing.T) {
+// Uncacheable requests have a separate rate limit: a flood of cacheable requests must not cause rejections of them.
+func TestUncacheableRequestsHaveSeparateRate(t *testing.T) {
 	spec := twoCells()
 	spec.Budget.RequestsPerSecond = 100
 	spec.Budget.UncacheablePerSecond = 100
@@ -66,35 +67,36 @@
 		}
 	}
 	if served != 40 {
-		t.Errorf("%d of 40 reports", served)
+		t.Errorf("%d of 40 uncacheable requests served", served)
 	}
 }
 
-// Random days: caches come and go, assignments change, requests end in every way. Nothing is counted as open that is
-// not, no request goes where its assignment of the moment does not allow, and each has one answer.
-func TestRandomDays(t *testing.T) {
+// Random events: caches are added and removed, assignments change, requests end with all outcomes. Requests that have
+// ended must not count as open, a request must not go to a cache that the assignment in force does not allow, and each
+// request must get exactly one response.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
-		day := newRandomDay(t, seed)
+		run := newRandomRun(t, seed)
 		for i := range 3000 {
-			day.now += int64(day.rng.IntN(4000))
-			switch day.rng.IntN(40) {
+			run.now += int64(run.rng.IntN(4000))
+			switch run.rng.IntN(40) {
 			case 0:
-				day.changeAssignment()
+				run.changeAssignment()
 			case 1:
-				day.changeCache()
+				run.changeCache()
 			default:
-				day.sendRequest(fmt.Sprint(i))
+				run.sendRequest(fmt.Sprint(i))
 			}
-			for len(day.serverOf) > 30 {
-				day.endAttempt()
+			for len(run.serverOf) > 30 {
+				run.endAttempt()
 			}
 		}
-		day.end()
+		run.end()
 	}
 }
 
-// randomDay plays events on an Admission.
-type randomDay struct {
+// randomRun sends random events to an Admission.
+type randomRun struct {
 	t         *testing.T
 	seed      uint64
 	rng       *rand.Rand
@@ -103,11 +105,11 @@
 	specs     []*Spec
 	caches    []string
 	isListed  map[string]bool   // by cache
-	serverOf  map[string]string // by open request: where its attempt is, "" without one
-	attempts  map[string]int    // by request
+	serverOf  map[string]string // server of the current attempt by open request, "" without an attempt
+	attempts  map[string]int    // number of attempts by request
 }
 
-func newRandomDay(t *testing.T, seed uint64) *randomDay {
+func newRandomRun(t *testing.T, seed uint64) *randomRun {
 	specs := []*Spec{twoCells(), twoCells(), twoCells()}
 	specs[1].Version, specs[1].Scheme, specs[1].Width = 2, SchemeNested, 2
 	specs[2].Version = 3
@@ -124,7 +126,7 @@
 		UncacheablePerSecond: 30,
 	}
 	caches := cacheNames(9)
-	day := &randomDay{
+	run := &randomRun{
 		t:         t,
 		seed:      seed,
 		rng:       rand.New(rand.NewPCG(seed, 77)),
@@ -137,39 +139,39 @@
 		attempts:  map[string]int{},
 	}
 	for _, name := range caches {
-		day.isListed[name] = true
+		run.isListed[name] = true
 	}
-	return day
+	return run
 }
 
-func (d *randomDay) changeAssignment() {
-	d.admission.SetAssignment(d.now, mustCompile(d.t, d.specs[d.rng.IntN(len(d.specs))]))
+func (r *randomRun) changeAssignment() {
+	r.admission.SetAssignment(r.now, mustCompile(r.t, r.specs[r.rng.IntN(len(r.specs))]))
 }
 
-func (d *randomDay) changeCache() {
-	name := d.caches[d.rng.IntN(len(d.caches))]
+func (r *randomRun) changeCache() {
+	name := r.caches[r.rng.IntN(len(r.caches))]
 	cache := endpointsWith(name)[3]
-	d.isListed[name] = !d.isListed[name]
-	if !d.isListed[name] {
-		cache.Status = []routing.EndpointStatus{routing.EndpointDraining, routing.EndpointRemoved}[d.rng.IntN(2)]
+	r.isListed[name] = !r.isListed[name]
+	if !r.isListed[name] {
+		cache.Status = []routing.EndpointStatus{routing.EndpointDraining, routing.EndpointRemoved}[r.rng.IntN(2)]
 	}
-	d.take(changeEndpoints(d.admission, d.now, cache))
+	r.recordActions(changeEndpoints(r.admission, r.now, cache))
 }
 
-func (d *randomDay) sendRequest(id string) {
+func (r *randomRun) sendRequest(id string) {
 	event := routing.Event{
 		Kind:       routing.EventRequest,
 		RequestID:  id,
-		Class:      []string{"page", "page", "report"}[d.rng.IntN(3)],
-		PurgeGroup: int64(d.rng.IntN(20)),
-		Object:     fmt.Sprintf("%04x", d.rng.IntN(300)),
-		SizeKB:     float64(d.rng.IntN(100)),
+		Class:      []string{"page", "page", "report"}[r.rng.IntN(3)],
+		PurgeGroup: int64(r.rng.IntN(20)),
+		Object:     fmt.Sprintf("%04x", r.rng.IntN(300)),
+		SizeKB:     float64(r.rng.IntN(100)),
 		Timeout:    sec,
 	}
-	d.serverOf[id] = ""
-	scope := &d.admission.scope
-	tenant := scope.tenants[d.admission.TenantOf(&event)]
-	actions := d.admission.step(d.now, event)
+	r.serverOf[id] = ""
+	scope := &r.admission.scope
+	tenant := scope.tenants[r.admission.TenantOf(&event)]
+	actions := r.admission.step(r.now, event)
 	for _, action := range actions {
 		toCache := strings.HasPrefix(action.Server, "s-")
 		if action.Kind != routing.ActionSend || event.Class == "report" || !toCache {
@@ -179,77 +181,78 @@
 		isAllowed := slices.Contains(cell.caches, action.Server) ||
 			cell.fallback >= 0 && slices.Contains(scope.cells[cell.fallback].caches, action.Server)
 		if !isAllowed {
-			d.t.Fatalf("seed %d: %s of %s sent to %s", d.seed, id, tenant.name, action.Server)
+			r.t.Fatalf("seed %d: request %s of tenant %s sent to %s", r.seed, id, tenant.name, action.Server)
 		}
 	}
-	d.take(actions)
+	r.recordActions(actions)
 }
 
-// take checks that each request has one attempt at a time, and one answer.
-func (d *randomDay) take(actions []routing.Action) {
+// recordActions records actions, and checks that each request has at most one attempt at a time and one response.
+func (r *randomRun) recordActions(actions []routing.Action) {
 	for _, action := range actions {
 		switch action.Kind {
 		case routing.ActionSend:
-			if d.serverOf[action.RequestID] != "" {
-				d.t.Fatalf("seed %d: two attempts of %s", d.seed, action.RequestID)
+			if r.serverOf[action.RequestID] != "" {
+				r.t.Fatalf("seed %d: two concurrent attempts of request %s", r.seed, action.RequestID)
 			}
-			d.serverOf[action.RequestID] = action.Server
-			d.attempts[action.RequestID]++
+			r.serverOf[action.RequestID] = action.Server
+			r.attempts[action.RequestID]++
 		case routing.ActionReject, routing.ActionFail:
-			if _, isOpen := d.serverOf[action.RequestID]; !isOpen {
-				d.t.Fatalf("seed %d: an answer to %s, which is over", d.seed, action.RequestID)
+			if _, isOpen := r.serverOf[action.RequestID]; !isOpen {
+				r.t.Fatalf("seed %d: response to request %s, which has ended", r.seed, action.RequestID)
 			}
-			delete(d.serverOf, action.RequestID)
+			delete(r.serverOf, action.RequestID)
 		}
 	}
 }
 
-// endAttempt ends an attempt of a random request, or aborts the request.
-func (d *randomDay) endAttempt() {
-	open := slices.Sorted(maps.Keys(d.serverOf))
-	id := open[d.rng.IntN(len(open))]
-	server := d.serverOf[id]
-	if d.rng.IntN(8) == 0 {
-		delete(d.serverOf, id)
-		d.admission.step(d.now, routing.Event{Kind: routing.EventAborted, RequestID: id})
+// endAttempt ends the attempt of a random open request with a random outcome, or aborts the request.
+func (r *randomRun) endAttempt() {
+	open := slices.Sorted(maps.Keys(r.serverOf))
+	id := open[r.rng.IntN(len(open))]
+	server := r.serverOf[id]
+	if r.rng.IntN(8) == 0 {
+		delete(r.serverOf, id)
+		r.admission.step(r.now, routing.Event{Kind: routing.EventAborted, RequestID: id})
 		return
 	}
 	outcome := []routing.AttemptOutcome{
 		routing.OutcomeServed, routing.OutcomeError, routing.OutcomeRejected, routing.OutcomeConnectionReset,
 		routing.OutcomeTimedOut,
-	}[d.rng.IntN(5)]
+	}[r.rng.IntN(5)]
 	event := routing.Event{
 		Kind:         routing.EventOutcome,
 		RequestID:    id,
-		Attempt:      d.attempts[id] - 1,
+		Attempt:      r.attempts[id] - 1,
 		Server:       server,
 		Outcome:      outcome,
-		CacheStatus:  routing.CacheStatus(d.rng.IntN(11)),
+		CacheStatus:  routing.CacheStatus(r.rng.IntN(11)),
 		ResponseTime: 40 * msec,
 		IsFinal:      outcome == routing.OutcomeServed,
 	}
-	d.serverOf[id] = ""
+	r.serverOf[id] = ""
 	if outcome == routing.OutcomeServed {
-		delete(d.serverOf, id)
+		delete(r.serverOf, id)
 	}
-	d.take(d.admission.step(d.now, event))
+	r.recordActions(r.admission.step(r.now, event))
 }
 
-// end aborts what is open and checks that nothing is left.
-func (d *randomDay) end() {
-	for id := range d.serverOf {
-		d.admission.step(d.now, routing.Event{Kind: routing.EventAborted, RequestID: id})
+// end aborts all open requests and checks that none counts as open any more.
+func (r *randomRun) end() {
+	for id := range r.serverOf {
+		r.admission.step(r.now, routing.Event{Kind: routing.EventAborted, RequestID: id})
 	}
 	inCells := 0
-	for _, cell := range d.admission.scope.cells {
+	for _, cell := range r.admission.scope.cells {
 		inCells += cell.openRequests
 	}
-	if len(d.admission.openRequests) != 0 || inCells != 0 {
-		d.t.Errorf("seed %d: %d requests and %d places left open", d.seed, len(d.admission.openRequests), inCells)
+	if len(r.admission.openRequests) != 0 || inCells != 0 {
+		r.t.Errorf("seed %d: %d open requests, %d in cells, want 0", r.seed, len(r.admission.openRequests), inCells)
 	}
 }
 
-// BenchmarkAdmit is what admission adds to a request, with the count of its outcome and without the engine.
+// BenchmarkAdmit measures the cost of admission per request, including its outcome and without the engine, and the
+// memory per tenant.
 func BenchmarkAdmit(b *testing.B) {
 	for _, size := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("tenants=%d", size), func(b *testing.B) {
--- a/core/cells/cache_assignment_test.go
+++ b/core/cells/cache_assignment_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// independentDivide lets each cache alone take the cell of its greatest affinity weighted by share: nothing moves but
-// the replaced cache, and cells are uneven or empty. It is here to be compared with divideCaches.
+// independentDivide assigns each cache independently to a cell, by weighted rendezvous hashing with the shares as
+// weights. Replacing a cache moves no other cache, but cells are uneven or empty. It is a baseline for divideCaches.
 func independentDivide(cells []Cell, caches []string) [][]string {
 	divided := make([][]string, len(cells))
 	for _, name := range caches {
@@ -26,7 +26,8 @@
 	return divided
 }
 
-// referenceDivide goes through all pairs by affinity: divideCaches must agree with it.
+// referenceDivide is a greedy assignment over all pairs of cell and cache in descending order of affinity. divideCaches
+// must return the same.
 func referenceDivide(cells []Cell, caches []string) [][]string {
 	type pair struct {
 		cell, cache int
@@ -39,13 +40,13 @@
 		}
 	}
 	slices.SortFunc(pairs, func(a, b pair) int { return cmp.Compare(b.affinity, a.affinity) })
-	places := cacheQuotas(cells, len(caches))
+	quotas := cacheQuotas(cells, len(caches))
 	divided := make([][]string, len(cells))
-	isPlaced := map[int]bool{}
+	isAssigned := map[int]bool{}
 	for _, p := range pairs {
-		if !isPlaced[p.cache] && places[p.cell] > 0 {
-			isPlaced[p.cache] = true
-			places[p.cell]--
+		if !isAssigned[p.cache] && quotas[p.cell] > 0 {
+			isAssigned[p.cache] = true
+			quotas[p.cell]--
 			divided[p.cell] = append(divided[p.cell], caches[p.cache])
 		}
 	}
@@ -55,6 +56,7 @@
 	return divided
 }
 
+// Quotas must add up to the number of caches, and each cell must get at least one cache if there are enough.
 func TestCacheQuotasAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 80).Draw(t, "caches")
@@ -64,16 +66,17 @@
 		sum := 0
 		for i, q := range cacheQuotas(cells, n) {
 			if sum += q; q < 0 || n >= len(cells) && q == 0 {
-				t.Fatalf("cell %d has %d of %d", i, q, n)
+				t.Fatalf("cell %d has %d of %d caches", i, q, n)
 			}
 		}
 		if sum != n {
-			t.Fatalf("%d places for %d caches", sum, n)
+			t.Fatalf("quotas add up to %d for %d caches", sum, n)
 		}
 	})
 }
 
-// A cache that is replaced by one of another name moves few others: docs/cells.md states it.
+// Replacing a cache by one with another name must move at most 5% of the other caches to other cells, which
+// docs/cells.md states.
 func TestReplacedCacheMovesFewOthers(t *testing.T) {
 	cells := []Cell{
 		{Name: "a", Share: 0.25}, {Name: "b", Share: 0.25}, {Name: "c", Share: 0.25}, {Name: "d", Share: 0.25},
@@ -105,13 +108,14 @@
 		worst = max(worst, movedNow)
 	}
 	fraction := float64(moved) / float64(stayed)
-	t.Logf("moved %.4f of the caches that stayed, %d at most", fraction, worst)
-	t.Logf("plain hashing of 12 caches left %d of 1200 cells empty", empty)
+	t.Logf("fraction %.4f of the other caches moved, at most %d per replacement", fraction, worst)
+	t.Logf("independent assignment of 12 caches: %d of 1200 cells empty", empty)
 	if fraction > 0.05 {
-		t.Errorf("%d of %d caches moved", moved, stayed)
+		t.Errorf("%d of %d other caches moved", moved, stayed)
 	}
 }
 
+// divideCaches must return the same as the greedy reference, for random shares and numbers of caches.
 func TestDivideCachesAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var cells []Cell
--- a/core/cells/count_min_sketch_test.go
+++ b/core/cells/count_min_sketch_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// zipfKeys draws from n keys, the first ones most.
+// zipfKeys returns draws from n keys with a Zipf distribution.
 func zipfKeys(seed uint64, n, draws int) []string {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	zipf := rand.NewZipf(rng, 1.1, 1, uint64(n-1))
@@ -18,8 +18,9 @@
 	return keys
 }
 
-// Estimates are never below the count and hardly ever far above it; the count halves in a half-life.
-func TestCountMinSketchAgainstMap(t *testing.T) {
+// Estimates must not be below the counts of a map that halve every half-life, and may exceed the error bound for no
+// more keys than its probability allows.
+func TestCountMinSketchErrorBound(t *testing.T) {
 	const halfLife = 1e6
 	sketch := NewCountMinSketch(4096, 4, halfLife)
 	counts := map[string]float64{}
@@ -40,17 +41,18 @@
 	for key, count := range counts {
 		estimate := sketch.Estimate(now, key)
 		if estimate < count*(1-1e-3)-1e-3 {
-			t.Fatalf("%s: %v estimated, %v counted", key, estimate, count)
+			t.Fatalf("%s: estimate %v is below count %v", key, estimate, count)
 		}
 		if estimate > count+math.E/4096*total {
 			overestimated++
 		}
 	}
 	if allowed := float64(len(counts)) * math.Exp(-4); float64(overestimated) > allowed {
-		t.Errorf("%d of %d keys past the bound, %.0f allowed", overestimated, len(counts), allowed)
+		t.Errorf("%d of %d keys above the error bound, %.0f allowed", overestimated, len(counts), allowed)
 	}
 }
 
+// sketchObjects is the number of distinct keys in BenchmarkSketches.
 const sketchObjects = 1_000_000
 
 func BenchmarkSketches(b *testing.B) {
--- a/core/cells/document_validation_test.go
+++ b/core/cells/document_validation_test.go
@@ -8,7 +8,8 @@
 	"spantack/core/rollout"
 )
 
-func TestValidateMigrationsNamesTheField(t *testing.T) {
+// The error for an invalid migration must begin with the path of the field.
+func TestValidateMigrationsNamesInvalidField(t *testing.T) {
 	assignment := mustCompile(t, twoCells())
 	if err := assignment.ValidateMigrations(migrationOfCalm()); err != nil {
 		t.Fatal(err)
@@ -26,7 +27,7 @@
 		t.Run(want, func(t *testing.T) {
 			err := assignment.ValidateMigrations(migrationOfCalm(invalidate))
 			if err == nil || !strings.HasPrefix(err.Error(), want) {
-				t.Errorf("got %v, want %s", err, want)
+				t.Errorf("got %v, want prefix %q", err, want)
 			}
 		})
 	}
@@ -35,11 +36,12 @@
 	nested.Width = 2
 	err := mustCompile(t, nested).ValidateMigrations(migrationOfCalm())
 	if err == nil || !strings.Contains(err.Error(), "need scheme fixed or overflow") {
-		t.Errorf("got %v", err)
+		t.Errorf("scheme nested: got %v", err)
 	}
 }
 
-func TestValidateRolloutNamesTheField(t *testing.T) {
+// The error for an invalid rollout must begin with the path of the field.
+func TestValidateRolloutNamesInvalidField(t *testing.T) {
 	assignment := mustCompile(t, twoCells())
 	for _, test := range []struct {
 		name, want string // "": no error
@@ -57,7 +59,7 @@
 			test.change(release)
 			err := assignment.ValidateRollout(release)
 			if (err == nil) != (test.want == "") || err != nil && !strings.HasPrefix(err.Error(), test.want) {
-				t.Errorf("got %v, want %s", err, test.want)
+				t.Errorf("got %v, want prefix %q", err, test.want)
 			}
 		})
 	}
--- a/core/cells/heavy_hitters_test.go
+++ b/core/cells/heavy_hitters_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// A key that has more than 1/size of all is stored, with bounds that hold.
-func TestHeavyHittersKeepsHeavyKeys(t *testing.T) {
+// Every key with more than 1/size of the total must be stored, and the true count of each stored key must be within its
+// bounds.
+func TestHeavyHittersStoresHeavyKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hitters := NewHeavyHitters(10, 1e12)
 		counts, total := map[string]float64{}, 0.0
@@ -23,19 +24,19 @@
 			isTop[hitter.Key] = true
 			count := counts[hitter.Key]
 			if hitter.Count < count-1e-6 || hitter.Count-hitter.MaxOvercount > count+1e-6 {
-				t.Fatalf("%+v, counted %v", hitter, count)
+				t.Fatalf("%+v: true count %v is out of bounds", hitter, count)
 			}
 		}
 		for key, count := range counts {
 			if !isTop[key] && count > total/10 {
-				t.Fatalf("%s with %v of %v is not stored", key, count, total)
+				t.Fatalf("%s with count %v of total %v is not stored", key, count, total)
 			}
 		}
 	})
 }
 
-// Old counts decay: who was heavy yesterday makes room.
-func TestHeavyHittersDecay(t *testing.T) {
+// Old counts must decay, so that a formerly heavy key is replaced by new keys with lower counts.
+func TestHeavyHittersReplacesDecayedKeys(t *testing.T) {
 	hitters := NewHeavyHitters(2, 1e6)
 	for range 100 {
 		hitters.Add(1, "old", 1)
@@ -45,6 +46,6 @@
 	}
 	top := hitters.Top(2)
 	if keys := top[0].Key + top[1].Key; keys != "new0new1" && keys != "new1new0" {
-		t.Errorf("%+v", top)
+		t.Errorf("want keys new0 and new1: %+v", top)
 	}
 }
--- a/core/cells/helpers_test.go
+++ b/core/cells/helpers_test.go
@@ -15,7 +15,7 @@
 	sec  = 1000 * msec
 )
 
-// twoCells has the tenant "loud" alone in one cell, "calm" and "quiet" in the other.
+// twoCells returns a specification with the tenant "loud" alone in cell "one", and "calm" and "quiet" in cell "two".
 func twoCells() *Spec {
 	return &Spec{
 		Version: 1,
@@ -31,7 +31,7 @@
 	}
 }
 
-// manyTenants has as many tenants as are planned for, or ten times as many, with a key each.
+// manyTenants returns a specification with the given number of tenants, with one key each, spread evenly over cells.
 func manyTenants(tenants, cells int) *Spec {
 	spec := &Spec{Version: 1, Scheme: SchemeFixed, Budget: Budget{
 		RequestsPerSecond:    1e9,
@@ -53,7 +53,7 @@
 	return spec
 }
 
-// testSettings are those of one of two routers at the site z. Pages are cacheable, reports are not.
+// testSettings returns the settings of one of two routers at site z. Class "page" is cacheable, "report" is not.
 func testSettings() routing.Settings {
 	return routing.Settings{
 		Classes: []routing.Class{
@@ -107,7 +107,7 @@
 	}
 }
 
-// endpointsWith lists the origin, two parents and these caches of the site z.
+// endpointsWith returns an endpoint list of the origin, two parents and the given caches of site z, in this order.
 func endpointsWith(caches ...string) []routing.Endpoint {
 	list := []routing.Endpoint{
 		{Server: "o", Zone: "hub", Kind: "origin", Status: "healthy", Weight: 100},
@@ -120,6 +120,7 @@
 	return list
 }
 
+// cacheNames returns n names of caches.
 func cacheNames(n int) (list []string) {
 	for i := range n {
 		list = append(list, fmt.Sprintf("s-%08x", uint32(i+1)*2654435761))
@@ -136,7 +137,7 @@
 	return assignment
 }
 
-// newTestAdmission has an assignment and these caches.
+// newTestAdmission returns an Admission with an assignment and the given caches.
 func newTestAdmission(t testing.TB, spec *Spec, caches ...string) *Admission {
 	t.Helper()
 	admission, err := NewAdmission(testSettings(), 1)
@@ -148,22 +149,22 @@
 	return admission
 }
 
-// step handles one event.
+// step is Step for one event.
 func (a *Admission) step(now int64, event routing.Event) []routing.Action {
 	return a.Step(now, []routing.Event{event})
 }
 
-// replaceEndpoints gives an admission a complete endpoint list.
+// replaceEndpoints sends an Admission a complete endpoint list.
 func replaceEndpoints(a *Admission, now int64, endpoints []routing.Endpoint) []routing.Action {
 	return a.step(now, routing.Event{Kind: routing.EventEndpoints, UpdateMode: "replace", Endpoints: endpoints})
 }
 
-// changeEndpoints gives an admission changed entries of the endpoint list.
+// changeEndpoints sends an Admission changed entries of the endpoint list.
 func changeEndpoints(a *Admission, now int64, endpoints ...routing.Endpoint) []routing.Action {
 	return a.step(now, routing.Event{Kind: routing.EventEndpoints, UpdateMode: "update", Endpoints: endpoints})
 }
 
-// testClient sends requests and ends each with a good answer at once.
+// testClient sends requests and ends each one at once with a cache hit.
 type testClient struct {
 	t         testing.TB
 	admission *Admission
@@ -171,7 +172,8 @@
 	now       int64
 }
 
-// request returns where the first attempt went, "" if the request was rejected, "fail" if it failed.
+// request sends a request. It returns the server of the first attempt, "" if the request was rejected, or "fail" if it
+// failed.
 func (c *testClient) request(event routing.Event) string {
 	c.sent++
 	event.Kind = routing.EventRequest
@@ -195,18 +197,19 @@
 			return action.Server
 		case routing.ActionReject:
 			if action.RetryAfter <= 0 || action.RetryAfter > sec {
-				c.t.Fatalf("rejected with a Retry-After of %d us", action.RetryAfter)
+				c.t.Fatalf("rejected with Retry-After of %d us, want above 0 and at most 1 s", action.RetryAfter)
 			}
 			return ""
 		case routing.ActionFail:
 			return "fail"
 		}
 	}
-	c.t.Fatal("no answer")
+	c.t.Fatal("request was neither sent, rejected nor failed")
 	return ""
 }
 
-// panickingT is for helpers inside a property: what they would fail by is a fault of the test itself.
+// panickingT is passed to helpers inside a property-based test. It panics on Fatal, because a failure of these helpers
+// is a bug in the test.
 type panickingT struct{ testing.TB }
 
 func (panickingT) Helper() {}
--- a/core/cells/migration_test.go
+++ b/core/cells/migration_test.go
@@ -12,7 +12,8 @@
 	"spantack/routing"
 )
 
-// migrationOfCalm is a document in which "calm" goes from cell two to cell one, from second 20 to second 40.
+// migrationOfCalm returns a document with a migration of tenant "calm" from cell "two" to cell "one", with the shift
+// from second 20 to second 40.
 func migrationOfCalm(changes ...func(*migration.Migration)) *migration.Document {
 	m := migration.Migration{
 		Tenant:    "calm",
@@ -30,19 +31,20 @@
 	return &migration.Document{Version: 1, Migrations: []migration.Migration{m}}
 }
 
+// boundByCapacity limits a migration by the capacity of its destination.
 func boundByCapacity(m *migration.Migration) {
 	m.Unbounded = false
 	m.MaxShift = 40_000
 }
 
-// newMigrationClient has eight caches in two cells, at second 10.
+// newMigrationClient returns a client at second 10, with eight caches in two cells.
 func newMigrationClient(t testing.TB, spec *Spec, document *migration.Document) *testClient {
 	client := &testClient{t: t, admission: newTestAdmission(t, spec, cacheNames(8)...), now: 10 * sec}
 	client.admission.SetMigrations(client.now, document)
 	return client
 }
 
-// cellByCache returns the cell that each cache is in.
+// cellByCache returns the name of each cache's cell.
 func cellByCache(a *Admission) map[string]string {
 	cells := map[string]string{}
 	for _, cell := range a.scope.cells {
@@ -53,7 +55,8 @@
 	return cells
 }
 
-// requestObjects requests n objects of calm's, spread over a time, and counts answers by cell; "" counts rejections.
+// requestObjects sends n requests of tenant "calm", spread evenly over a duration. It returns the number of responses
+// by cell, and of rejections under "".
 func (c *testClient) requestObjects(n int, over int64, object func(i int) string) map[string]int {
 	cells := cellByCache(c.admission)
 	answers := map[string]int{}
@@ -65,9 +68,10 @@
 	return answers
 }
 
+// oneOf50Objects returns an object of tenant "calm", the same for every 50th i.
 func oneOf50Objects(i int) string { return fmt.Sprintf("aa%014x", i%50) }
 
-// drainCell makes all caches of a cell draining.
+// drainCell marks all caches of a cell as draining.
 func (c *testClient) drainCell(cell string) {
 	for name, in := range cellByCache(c.admission) {
 		if in == cell {
@@ -78,29 +82,30 @@
 	}
 }
 
-func TestMigrationFromStartToEnd(t *testing.T) {
+// Before, during and after a migration, requests must go to the cells that the document requires at that time.
+func TestMigrationRoutesByPhase(t *testing.T) {
 	client := newMigrationClient(t, twoCells(), migrationOfCalm())
 	if got := client.requestObjects(100, 9*sec, oneOf50Objects); got["two"] != 100 {
-		t.Errorf("before it starts: %v", got)
+		t.Errorf("before the start: %v", got)
 	}
 	client.requestObjects(1000, 11*sec, oneOf50Objects)
 	status := client.admission.Migrations(client.now)[0]
 	if status.Phase != "shifting" || status.Share < 0.4 || status.Share > status.MaxShare {
-		t.Errorf("half-way: %+v", status)
+		t.Errorf("during the shift: %+v", status)
 	}
 	half := client.requestObjects(500, sec/10, oneOf50Objects)
 	if half["one"] < 100 || half["two"] < 100 || half["one"]+half["two"] != 500 {
-		t.Errorf("half-way: %v", half)
+		t.Errorf("during the shift: %v", half)
 	}
-	client.checkChunksTogether()
+	client.checkChunksInOneCell()
 	client.now = 45 * sec
 	client.requestObjects(200, sec, oneOf50Objects)
 	if got := client.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 {
-		t.Errorf("at its end: %v", got)
+		t.Errorf("after the shift: %v", got)
 	}
 	client.now = 60 * sec
 	if got := client.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 {
-		t.Errorf("after it: %v", got)
+		t.Errorf("after the migration: %v", got)
 	}
 	spec := twoCells()
 	spec.Version = 2
@@ -109,12 +114,12 @@
 	client.admission.SetMigrations(client.now, &migration.Document{Version: 2})
 	got := client.requestObjects(100, sec, oneOf50Objects)
 	if got["one"] != 100 || len(client.admission.Migrations(client.now)) != 0 {
-		t.Errorf("under an assignment that has it there: %v", got)
+		t.Errorf("with an assignment that has the tenant in the new cell: %v", got)
 	}
 }
 
-// checkChunksTogether checks that all chunks of an object are in one cell at one time.
-func (c *testClient) checkChunksTogether() {
+// checkChunksInOneCell checks that all chunks of an object go to the same cell.
+func (c *testClient) checkChunksInOneCell() {
 	cellOf := map[string]string{} // by object
 	cells := cellByCache(c.admission)
 	for i := range 500 {
@@ -130,9 +135,9 @@
 	}
 }
 
-// Until the migration ends, chunks that the new cell does not have come no faster than its capacity: here links let 40
-// KB a second of fills into the cell, at this router. With the answer of the capacity limiter ignored the test finds 19
-// times as much.
+// Until the migration ends, the rate of requests for chunks that the destination does not have must not exceed its
+// capacity. Here the link allows 40 KB per second of fills for the cell at this router. Without the capacity limiter
+// the rate is 19 times as high.
 func TestMigrationStaysWithinDestinationCapacity(t *testing.T) {
 	spec := twoCells()
 	spec.Budget.FillKBPerSecond = 2 * 2 * 40 / 0.85
@@ -155,15 +160,17 @@
 	}
 	for second := range coldKB {
 		if sum := coldKB[second] + coldKB[second+1] + coldKB[second+2]; sum > 3.5*40+20 {
-			t.Errorf("%v KB that the cell did not have within 3 s", sum)
+			t.Errorf("%v KB of cold chunks sent to the destination within 3 s", sum)
 		}
 	}
 	if len(hasMigrated) < 30 {
-		t.Errorf("only %d objects have gone over", len(hasMigrated))
+		t.Errorf("only %d objects have migrated", len(hasMigrated))
 	}
 }
 
-func TestMigrationWhileACellIsLost(t *testing.T) {
+// A cell of a migration loses all its caches. Requests must go to the other cell, and be rejected if that lacks the
+// capacity or the migration is over.
+func TestMigrationSurvivesLossOfACell(t *testing.T) {
 	halfWay := func() *testClient {
 		client := newMigrationClient(t, twoCells(), migrationOfCalm())
 		client.now = 19 * sec
@@ -173,18 +180,19 @@
 	client := halfWay()
 	client.drainCell("one")
 	if got := client.requestObjects(200, sec, oneOf50Objects); got["two"] != 200 {
-		t.Errorf("destination lost half-way: %v", got)
+		t.Errorf("destination lost during the shift: %v", got)
 	}
 	client.now = 60 * sec
 	if got := client.requestObjects(200, sec, oneOf50Objects); got[""] != 200 {
-		t.Errorf("destination lost, and the migration over: %v", got)
+		t.Errorf("destination lost, after the migration: %v", got)
 	}
 	client = halfWay()
 	client.drainCell("two")
 	if got := client.requestObjects(200, sec, oneOf50Objects); got["one"] != 200 {
-		t.Errorf("source lost half-way: %v", got)
+		t.Errorf("source lost during the shift: %v", got)
 	}
-	// Bounded, what the new cell has no capacity for is rejected at once, with the reason.
+	// If the migration is limited by capacity, requests beyond the destination's capacity are rejected at once, with
+	// ReasonMigrating.
 	spec := twoCells()
 	spec.Budget.FillKBPerSecond = 100
 	client = newMigrationClient(t, spec, migrationOfCalm(boundByCapacity))
@@ -193,12 +201,12 @@
 	got := client.requestObjects(400, sec, func(i int) string { return fmt.Sprintf("aa%014x", i) })
 	rejected := client.admission.Stats.Rejected
 	if got["one"] == 0 || got[""] == 0 || rejected[ReasonMigrating] == 0 {
-		t.Errorf("source lost, and the new cell has little capacity: %v, %v", got, rejected)
+		t.Errorf("source lost, and the destination has little capacity: %v, rejected %v", got, rejected)
 	}
 }
 
-// A document that is rolled back leads everything to the old cell within one shift; a router that starts in the midst
-// goes on from the document.
+// After a rollback all objects must be in the old cell within the duration of one shift. A router that starts during a
+// migration must continue at the share that the document requires.
 func TestMigrationRollbackAndRestart(t *testing.T) {
 	client := newMigrationClient(t, twoCells(), migrationOfCalm())
 	client.now = 25 * sec
@@ -206,36 +214,36 @@
 	rollback := migrationOfCalm(func(m *migration.Migration) { m.RollbackAt = 35_000 })
 	rollback.Version = 2
 	client.admission.SetMigrations(client.now, rollback)
-	for range 100 { // during the rollback each object is in the cell that its position gives it
+	for range 100 { // during the rollback the position of an object determines its cell
 		object := oneOf50Objects(client.sent)
 		client.requestObjects(1, 50*msec, func(int) string { return object })
 		cache := client.request(routing.Event{PurgeGroup: 50, Object: object, SizeKB: 50})
 		cell, share := cellByCache(client.admission)[cache], client.admission.Migrations(client.now)[0].Share
 		position := rollback.Migrations[0].Position(object)
 		if want := map[bool]string{true: "one", false: "two"}[position < share]; cell != want {
-			t.Fatalf("at share %v object at %v goes to %s", share, position, cell)
+			t.Fatalf("at share %v, object at position %v goes to cell %s", share, position, cell)
 		}
 	}
 	client.requestObjects(400, 30*sec, oneOf50Objects)
 	if got := client.requestObjects(100, sec, oneOf50Objects); got["two"] != 100 {
-		t.Errorf("rolled back: %v", got)
+		t.Errorf("after the rollback: %v", got)
 	}
 
 	restarted := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 30 * sec}
 	restarted.admission.SetMigrations(restarted.now, migrationOfCalm(boundByCapacity))
 	status := restarted.admission.Migrations(restarted.now)[0]
 	if status.Share != status.MinShare || status.Share < 0.2 {
-		t.Errorf("a router that starts half-way: %+v", status)
+		t.Errorf("router started during the shift: %+v", status)
 	}
 	restarted.now = 90 * sec
 	if got := restarted.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 {
-		t.Errorf("and after the end: %v", got)
+		t.Errorf("router started during the shift, after the migration: %v", got)
 	}
 }
 
-// The migrating tenant floods: others of the cell that it goes to are served as before.
-func TestFloodOfMigratingTenant(t *testing.T) {
-	servedShare := func(times int) float64 {
+// A tenant floods while it migrates. The tenants of the destination must be served as without the flood.
+func TestFloodOfMigratingTenantSparesDestination(t *testing.T) {
+	servedFraction := func(floodFactor int) float64 {
 		spec := twoCells()
 		spec.Budget = Budget{RequestsPerSecond: 800, FillKBPerSecond: 4000}
 		client := &testClient{t: t, admission: newTestAdmission(t, spec, cacheNames(8)...), now: 18 * sec}
@@ -243,7 +251,7 @@
 		sent, served := 0, 0
 		for i := range 6000 {
 			client.now += 5 * msec
-			for range times {
+			for range floodFactor {
 				object := fmt.Sprintf("aa%014x", i*7%3000)
 				client.request(routing.Event{PurgeGroup: 50, Object: object, SizeKB: 50})
 			}
@@ -256,13 +264,14 @@
 		}
 		return float64(served) / float64(sent)
 	}
-	calm, flood := servedShare(0), servedShare(8)
-	if flood < 0.98*calm {
-		t.Errorf("the tenant that lives there: %.3f served in the flood, %.3f without", flood, calm)
+	without, flood := servedFraction(0), servedFraction(8)
+	if flood < 0.98*without {
+		t.Errorf("tenant of the destination: %.3f served during the flood, %.3f without it", flood, without)
 	}
 }
 
-// Whatever happens to cells and documents, a migrating tenant is served by one of its two cells and no third.
+// With random changes of caches and documents, requests of a migrating tenant must go to its two cells only, and no
+// request may count as open after its end.
 func TestMigratingTenantStaysInItsTwoCells(t *testing.T) {
 	spec := twoCells()
 	spec.Cells = []Cell{{Name: "one", Share: 0.3}, {Name: "two", Share: 0.3}, {Name: "three", Share: 0.4}}
@@ -288,17 +297,17 @@
 				object := oneOf50Objects(rapid.IntRange(0, 49).Draw(t, "object"))
 				cache := client.request(routing.Event{PurgeGroup: 50, Object: object, SizeKB: 50})
 				if cell := cells[cache]; cache != "" && cache != "fail" && cell != "one" && cell != "two" {
-					t.Fatalf("sent to %s of cell %q", cache, cell)
+					t.Fatalf("request sent to %s of cell %q", cache, cell)
 				}
 			}
 			if open := len(client.admission.openRequests); open != 0 {
-				t.Fatalf("%d requests counted as open", open)
+				t.Fatalf("%d ended requests count as open", open)
 			}
 		}
 	})
 }
 
-// drawMigrationOfCalm draws a document whose migration starts or started about now.
+// drawMigrationOfCalm returns a random document whose migration starts between 30 s before and 10 s after now.
 func drawMigrationOfCalm(t *rapid.T, now, version int64) *migration.Document {
 	document := migrationOfCalm(func(m *migration.Migration) {
 		m.Start = float64(now)/1000 + rapid.Float64Range(-30_000, 10_000).Draw(t, "start")
@@ -311,8 +320,8 @@
 	return document
 }
 
-// A document without a migration at this site changes nothing at all.
-func TestMigrationsAtOtherSitesAreWithoutEffect(t *testing.T) {
+// A document with migrations at other sites only must not change the routing at this site.
+func TestMigrationsAtOtherSitesHaveNoEffect(t *testing.T) {
 	plain := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
 	elsewhere := migrationOfCalm(func(m *migration.Migration) { m.Site = "elsewhere" })
 	other := newMigrationClient(t, twoCells(), elsewhere)
@@ -321,18 +330,19 @@
 		plain.now += 5 * msec
 		other.now += 5 * msec
 		if a, b := plain.request(event), other.request(event); a != b {
-			t.Fatalf("request %d: %s, and %s with a document", i, a, b)
+			t.Fatalf("request %d sent to %q without a document, to %q with one", i, a, b)
 		}
 	}
 	if !slices.Equal(plain.admission.Migrations(plain.now), other.admission.Migrations(other.now)) {
-		t.Error("a migration where nobody migrates")
+		t.Error("status shows a migration at this site")
 	}
 	if version := other.admission.MigrationsVersion(); version != 1 {
-		t.Errorf("version %d", version)
+		t.Errorf("version %d, want 1", version)
 	}
 }
 
-// BenchmarkAdmitMigratingTenant is admission for a migrating tenant among a thousand.
+// BenchmarkAdmitMigratingTenant measures the cost of admission for requests of 1,000 migrating tenants, and the memory
+// per migration.
 func BenchmarkAdmitMigratingTenant(b *testing.B) {
 	spec := twoCells()
 	spec.Tenants, spec.TenantKeys = nil, nil
--- a/core/cells/open_requests_test.go
+++ b/core/cells/open_requests_test.go
@@ -7,8 +7,9 @@
 	"spantack/routing"
 )
 
-// Open requests: a cell that holds all it can leaves the other cell its share, and gives back what ends.
-func TestOpenRequestsAreReservedByCell(t *testing.T) {
+// A cell that opens as many requests as it may must leave the other cell its share of the limit. Requests that end must
+// no longer count as open.
+func TestOpenRequestsLeaveOtherCellsShare(t *testing.T) {
 	spec := twoCells()
 	spec.Budget.MaxOpenRequests = 20
 	admission := newTestAdmission(t, spec, cacheNames(8)...)
@@ -40,12 +41,12 @@
 	loud := openMany(1, 30)
 	calm := openMany(99, 9)
 	if len(loud) > 12 || len(calm) < 8 {
-		t.Errorf("loud %d, calm %d of 20 places", len(loud), len(calm))
+		t.Errorf("open requests with a limit of 20: loud %d, calm %d", len(loud), len(calm))
 	}
 	for _, id := range loud {
 		admission.step(now, routing.Event{Kind: routing.EventAborted, RequestID: id})
 	}
 	if got, want := len(admission.openRequests), len(calm)+1; got != want {
-		t.Errorf("%d open after the clients left, %d requested", got, want)
+		t.Errorf("%d open requests after the others were aborted, want %d", got, want)
 	}
 }
--- a/core/cells/origin_limit_test.go
+++ b/core/cells/origin_limit_test.go
@@ -20,7 +20,8 @@
 	AbandonedFetchMs: 2000,
 }
 
-// newLimitedAdmission has four caches, two parents and the origin; its router is one of two. There is no assignment.
+// newLimitedAdmission returns an Admission of one of two routers, with an origin limit, four caches, two parents and
+// the origin. It has no assignment.
 func newLimitedAdmission(t testing.TB, document *originlimit.Document) *Admission {
 	t.Helper()
 	admission, err := NewAdmission(routing.Settings{
@@ -65,7 +66,7 @@
 	return admission
 }
 
-// pageRequest is a request of a page of 1 KB.
+// pageRequest returns a request for a page of 1 KB.
 func pageRequest(id, object string) routing.Event {
 	return routing.Event{
 		Kind:      routing.EventRequest,
@@ -77,31 +78,31 @@
 	}
 }
 
-// attemptInFlight is an attempt under way.
+// attemptInFlight is an attempt that has not ended.
 type attemptInFlight struct {
 	routing.Action
 	attempt int
 }
 
-// asksCachedOnly reports whether an attempt can't reach the origin.
-func (a *attemptInFlight) asksCachedOnly() bool {
+// isCachedOnly reports whether an attempt can't reach the origin.
+func (a *attemptInFlight) isCachedOnly() bool {
 	return a.Source == "" || a.Source == a.Server || a.FetchFlags&routing.FetchCachedOnly != 0
 }
 
 // originLoad sends requests and ends their attempts.
 type originLoad struct {
 	admission    *Admission
-	responseTime int64                       // ms, of each attempt
-	outcome      func(i int) routing.Event   // of an attempt that may reach the origin
+	responseTime int64                       // of each attempt, ms
+	outcome      func(i int) routing.Event   // of an attempt that may reach the origin, ended at time i ms
 	inFlight     map[int64][]attemptInFlight // by the time of their end, ms
 
 	toOrigin    int // attempts in flight that may reach the origin
-	maxToOrigin int
-	cachedOnly  int // attempts that asked for cached copies only
+	maxToOrigin int // maximum of toOrigin
+	cachedOnly  int // attempts that requested cached copies only
 }
 
-// runLoad sends n requests, 1 ms apart, and ends each attempt after responseTime ms. It returns how many attempts that
-// may reach the origin were in flight at most, and how many asked for cached copies only.
+// runLoad sends n requests, 1 ms apart, and ends each attempt after responseTime ms. It returns the maximum number of
+// attempts in flight that may reach the origin, and the number of attempts that requested cached copies only.
 func runLoad(
 	a *Admission, from, n int, responseTime int64, outcome func(i int) routing.Event,
 ) (maxToOrigin, cachedOnly int) {
@@ -129,7 +130,7 @@
 		started := attemptInFlight{action, attempt}
 		end := now + l.responseTime
 		l.inFlight[end] = append(l.inFlight[end], started)
-		if started.asksCachedOnly() {
+		if started.isCachedOnly() {
 			l.cachedOnly++
 		} else {
 			l.toOrigin++
@@ -142,7 +143,7 @@
 	now := int64(i)
 	for _, ended := range l.inFlight[now] {
 		event := l.outcome(i)
-		if ended.asksCachedOnly() {
+		if ended.isCachedOnly() {
 			event = routing.Event{Outcome: routing.OutcomeMiss}
 		} else {
 			l.toOrigin--
@@ -158,6 +159,7 @@
 	delete(l.inFlight, now)
 }
 
+// originAnswer returns an outcome function for fills from the origin that take waitMs.
 func originAnswer(waitMs int64) func(int) routing.Event {
 	return func(int) routing.Event {
 		return routing.Event{
@@ -168,53 +170,55 @@
 	}
 }
 
-// Where every fill reaches the origin and it becomes slow, what this router has in flight there comes down from what is
-// borrowed to its share, less what is reserved for others; the rest asks for cached copies.
+// Every fill reaches the origin, which becomes slow. The number of this router's fills in flight must then fall from
+// the share plus borrowed capacity to the share minus the reserve. The other attempts must request cached copies only.
 func TestOriginLimitBoundsFills(t *testing.T) {
 	admission := newLimitedAdmission(t, &originLimitDocument)
-	runLoad(admission, 0, 3000, 60, originAnswer(55)) // the fraction of fills that reach the origin is learned
-	calm, _ := runLoad(admission, 4000, 2000, 60, originAnswer(55))
+	runLoad(admission, 0, 3000, 60, originAnswer(55)) // to learn the fraction of fills that reach the origin
+	fast, _ := runLoad(admission, 4000, 2000, 60, originAnswer(55))
 	share := originLimitDocument.MaxInFlight / 2
-	if limit := originLimitDocument.Burst * share / 0.9; float64(calm) > limit || float64(calm) < share {
-		t.Errorf("calm: %d in flight at most; the share is %v, %v with all that may be borrowed", calm, share, limit)
+	if limit := originLimitDocument.Burst * share / 0.9; float64(fast) > limit || float64(fast) < share {
+		t.Errorf("fast origin: at most %d in flight; the share is %v, with the maximum burst %v", fast, share, limit)
 	}
 	runLoad(admission, 7000, 2000, 400, originAnswer(390))
 	slow, cachedOnly := runLoad(admission, 10_000, 2000, 400, originAnswer(390))
 	if float64(slow) > share+1 || cachedOnly < 100 || slow == 0 {
-		t.Errorf("slow: %d in flight at most, of a share of %v; %d asked for cached copies", slow, share, cachedOnly)
+		t.Errorf("slow origin: at most %d in flight, the share is %v; %d cached only", slow, share, cachedOnly)
 	}
 	unlimited := newLimitedAdmission(t, nil)
 	runLoad(unlimited, 0, 3000, 60, originAnswer(55))
-	if most, _ := runLoad(unlimited, 4000, 2000, 400, originAnswer(390)); float64(most) < 3*share {
-		t.Errorf("without a limit: %d in flight at most, so the day shows nothing", most)
+	if inFlight, _ := runLoad(unlimited, 4000, 2000, 400, originAnswer(390)); float64(inFlight) < 3*share {
+		t.Errorf("without a limit: only %d in flight, the load is too low for this test", inFlight)
 	}
 }
 
-// An abandoned fetch counts for as long as a parent may go on with it: no more than the limit is sent up meanwhile.
+// Every attempt times out. An abandoned fetch must count for as long as a parent may continue it, so that the limit
+// also holds for abandoned fetches.
 func TestOriginLimitCountsAbandonedFills(t *testing.T) {
 	admission := newLimitedAdmission(t, &originLimitDocument)
 	runLoad(admission, 0, 3000, 60, originAnswer(55))
 	timedOut := func(int) routing.Event { return routing.Event{Outcome: routing.OutcomeTimedOut} }
 	sent := 0
-	for i := range 10 { // a second in tenths: every attempt ends unanswered after 50 ms
+	for i := range 10 { // 10 intervals of 150 ms: every attempt times out after 50 ms
 		before := admission.OriginLimitStatus().Abandoned
 		runLoad(admission, 4000+150*i, 50, 50, timedOut)
 		sent += admission.OriginLimitStatus().Abandoned - before
 	}
 	if limit := originLimitDocument.Burst * originLimitDocument.MaxInFlight / 2; float64(sent) > 2*limit {
-		t.Errorf("%d sent and abandoned within 1.5 s, with a limit of %v", sent, limit)
+		t.Errorf("%d attempts abandoned within 1.5 s, the limit is %v", sent, limit)
 	}
 	if n := admission.OriginLimitStatus().Abandoned; n == 0 {
-		t.Error("nothing counts as abandoned")
+		t.Error("no fetch counts as abandoned")
 	}
 	admission.step(20_000_000, routing.Event{Kind: routing.EventTimer})
 	if n := admission.OriginLimitStatus().Abandoned; n != 0 {
-		t.Errorf("%d count as abandoned 14 s later", n)
+		t.Errorf("%d fetches still count as abandoned after 14 s", n)
 	}
 }
 
-// Whatever comes back, the counts are even at the end, and the estimates stay within their bounds.
-func TestOriginLimitAccountsBalance(t *testing.T) {
+// With random outcomes and statuses, all counts must be zero at the end, and the estimates must stay within their
+// bounds.
+func TestOriginLimitCountsReturnToZero(t *testing.T) {
 	outcomes := []routing.AttemptOutcome{
 		routing.OutcomeServed, routing.OutcomeError, routing.OutcomeRejected, routing.OutcomeTimedOut,
 		routing.OutcomeConnectionRefused, routing.OutcomeConnectionReset, routing.OutcomeMiss,
@@ -236,25 +240,26 @@
 		admission.step(1e9, routing.Event{Kind: routing.EventTimer})
 		status, direct := admission.OriginLimitStatus(), admission.origin.limiter.directInFlight
 		if status.InFlight != 0 || direct != 0 || status.Abandoned != 0 {
-			t.Fatalf("not even: %+v, %d direct", status, direct)
+			t.Fatalf("counts not zero: %+v, %d direct", status, direct)
 		}
 		if status.OriginFraction < 0 || status.OriginFraction > 1 {
-			t.Fatalf("fraction: %+v", status)
+			t.Fatalf("origin fraction outside 0 to 1: %+v", status)
 		}
 		if status.Limit <= 0 || status.Limit > document.Burst*status.Share {
-			t.Fatalf("limit: %+v", status)
+			t.Fatalf("limit out of bounds: %+v", status)
 		}
 	})
 }
 
-// Without a document nothing changes; an invalid document changes nothing.
-func TestNoOriginLimitIsWithoutEffect(t *testing.T) {
+// An invalid document must keep the current limit. After the limit is removed, actions must be the same as without a
+// limit from the start.
+func TestNoOriginLimitHasNoEffect(t *testing.T) {
 	admission, unlimited := newLimitedAdmission(t, &originLimitDocument), newLimitedAdmission(t, nil)
 	invalid := originLimitDocument
 	invalid.Burst = 0
 	err := admission.SetOriginLimit(0, &invalid)
 	if err == nil || admission.OriginLimitStatus() == nil || admission.origin.limiter.document != originLimitDocument {
-		t.Errorf("an invalid document: %v", err)
+		t.Errorf("invalid document: %v", err)
 	}
 	if err := admission.SetOriginLimit(0, nil); err != nil || admission.OriginLimitStatus() != nil {
 		t.Fatal(err)
@@ -262,7 +267,7 @@
 	for i := range 500 {
 		now, event := int64(i)*1000, pageRequest(fmt.Sprint(i), fmt.Sprint(i%40))
 		if a, b := admission.step(now, event), unlimited.step(now, event); !reflect.DeepEqual(a, b) {
-			t.Fatalf("request %d: %+v with it off, %+v without", i, a, b)
+			t.Fatalf("request %d: %+v with the limit removed, %+v without a limit", i, a, b)
 		}
 	}
 }
--- a/core/cells/parents_test.go
+++ b/core/cells/parents_test.go
@@ -20,7 +20,7 @@
 	return graph
 }
 
-// twoParentGroups has a parent group near the site z and one far off, each with one of the listed parents.
+// twoParentGroups returns a topology with a parent group near site z and a distant one, each with one listed parent.
 func twoParentGroups(t testing.TB) *hierarchy.Graph {
 	t.Helper()
 	return mustCompileTopology(t, &hierarchy.Topology{
@@ -41,7 +41,7 @@
 	})
 }
 
-// fillClient sends requests whose fills succeed unless their source is failing, and counts attempts by source.
+// fillClient sends requests and counts attempts by source. Each fill succeeds unless its source is in failing.
 type fillClient struct {
 	admission *Admission
 	sent      int
@@ -50,7 +50,7 @@
 	logged    []string
 }
 
-// run sends n requests.
+// run sends n requests, 20 ms apart, and returns the number of attempts by source.
 func (c *fillClient) run(n int) map[string]int {
 	attempts := map[string]int{}
 	for range n {
@@ -72,7 +72,7 @@
 	return attempts
 }
 
-// endAttempts ends the attempts of actions and returns what follows.
+// endAttempts ends the attempts that the actions start, and returns the resulting actions.
 func (c *fillClient) endAttempts(actions []routing.Action, attempt int, attempts map[string]int) []routing.Action {
 	var next []routing.Action
 	for _, action := range actions {
@@ -100,16 +100,16 @@
 	return next
 }
 
-// Fills go as the topology's plan has it, with an assignment and without: to both groups by capacity, elsewhere when
-// the endpoint list says that one is gone, or before that when its fills fail, with few trials; and back after a good
-// trial.
-func TestFillsFollowTheTopology(t *testing.T) {
+// Fills must follow the plan of the topology, with and without an assignment: to both parent groups by capacity, to the
+// other group when one is removed from the endpoint list or its fills fail, with few trial fills of the failing group,
+// and to both again after a successful trial.
+func TestFillsFollowTopology(t *testing.T) {
 	for name, spec := range map[string]*Spec{"without cells": nil, "with cells": twoCells()} {
-		t.Run(name, func(t *testing.T) { testFillsFollowTheTopology(t, spec) })
+		t.Run(name, func(t *testing.T) { testFillsFollowTopology(t, spec) })
 	}
 }
 
-func testFillsFollowTheTopology(t *testing.T, spec *Spec) {
+func testFillsFollowTopology(t *testing.T, spec *Spec) {
 	admission, err := NewAdmission(testSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -120,14 +120,14 @@
 	replaceEndpoints(admission, sec, endpointsWith(cacheNames(8)...))
 	admission.SetTopology(sec, twoParentGroups(t))
 	client := &fillClient{admission: admission, now: 2 * sec, failing: map[string]bool{}}
-	calm := client.run(400)
-	if calm["p1"] < 110 || calm["p1"] > 210 || calm["p0"]+calm["p1"] != 400 { // 4,000 of 10,000 fit on its link
-		t.Errorf("on a calm day: %v", calm)
+	healthy := client.run(400)
+	if healthy["p1"] < 110 || healthy["p1"] > 210 || healthy["p0"]+healthy["p1"] != 400 { // its link has 40% of the peak
+		t.Errorf("both groups healthy: %v", healthy)
 	}
 	client.failing["p1"] = true
 	client.run(50)
-	if got := client.run(400); got["p1"] > 12 || got["p0"] < 395 { // a trial a second or less, in 8 s
-		t.Errorf("with one group failing: %v", got)
+	if got := client.run(400); got["p1"] > 12 || got["p0"] < 395 { // at most one trial per second, in 8 s
+		t.Errorf("far group failing: %v", got)
 	}
 	if n := len(client.logged); n == 0 || !strings.Contains(client.logged[n-1], "fills go to near 1.0") {
 		t.Errorf("log %q", client.logged)
@@ -135,24 +135,24 @@
 	client.failing["p1"] = false
 	client.run(200)
 	if got := client.run(400); got["p1"] < 110 {
-		t.Errorf("after a good trial: %v", got)
+		t.Errorf("after a successful trial: %v", got)
 	}
 	removed := routing.Endpoint{Server: "p0", Zone: "hub", Kind: "area", Status: routing.EndpointRemoved}
 	changeEndpoints(admission, client.now, removed)
 	if got := client.run(400); got["p0"] > 0 || got["o"] < 40 {
-		t.Errorf("with the near group off the list: %v", got)
+		t.Errorf("near group removed from the endpoint list: %v", got)
 	}
 	if n := len(admission.parents.groupByRequest); n != 0 {
-		t.Errorf("%d attempts are still noted", n)
+		t.Errorf("%d ended attempts are still recorded", n)
 	}
 	admission.SetTopology(client.now, nil)
 	version, parents := admission.TopologyVersion(), admission.ParentsOf("x")
 	if version != 0 || !slices.Equal(parents, []string{"p1"}) {
-		t.Errorf("version %d, parents %v", version, parents)
+		t.Errorf("topology removed: version %d, parents %v", version, parents)
 	}
 }
 
-// manyParentGroups has more parent groups than are planned for while an event waits.
+// manyParentGroups returns a topology with more parent groups than maxGroupsPlannedInline.
 func manyParentGroups(t testing.TB, version int64) *hierarchy.Graph {
 	t.Helper()
 	topology := &hierarchy.Topology{
@@ -171,9 +171,9 @@
 	return mustCompileTopology(t, topology)
 }
 
-// A plan for many groups is computed in the background: events do not wait for it, fills go by the plan before, and one
-// for a topology that is gone is not applied. It is the same plan as one computed at once.
-func TestPlanInBackground(t *testing.T) {
+// A plan for many groups is computed in the background. It must be the same as one computed inline. Events must not
+// wait for it, and a plan for a topology that has been replaced must not be applied.
+func TestPlanInBackgroundEqualsInlinePlan(t *testing.T) {
 	background, inline := newLimitedAdmission(t, nil), newLimitedAdmission(t, nil)
 	for _, admission := range []*Admission{background, inline} {
 		var parents []routing.Endpoint
@@ -192,14 +192,14 @@
 	background.SetTopology(0, manyParentGroups(t, 1))
 	inline.SetTopology(0, manyParentGroups(t, 1))
 	if hasPlan(background) {
-		t.Error("a plan is in force that nobody has computed")
+		t.Error("a plan is in force before its job was run")
 	}
 	job := background.TakePlanJob()
 	if job == nil || background.TakePlanJob() != nil {
-		t.Fatal("no plan is due, or twice")
+		t.Fatal("no plan job, or the same job twice")
 	}
 	done := make(chan struct{})
-	go func() { // beside events, under the race detector
+	go func() { // concurrently with events, for the race detector
 		job.Run()
 		close(done)
 	}()
@@ -214,11 +214,11 @@
 			Timeout:    3 * sec,
 		})
 	}
-	testwait.Receive(t, done, "the job beside events")
+	testwait.Receive(t, done, "end of the plan job")
 	background.ApplyPlanJob(job)
 	got, want := background.parents.route.Fractions(), inline.parents.route.Fractions()
 	if !slices.Equal(got, want) || slices.Max(got) <= 0 {
-		t.Errorf("in the background %v, inline %v", got, want)
+		t.Errorf("fractions of the background plan %v, of the inline plan %v", got, want)
 	}
 	background.SetTopology(100, manyParentGroups(t, 2))
 	old := background.TakePlanJob()
@@ -226,6 +226,6 @@
 	old.Run()
 	background.ApplyPlanJob(old)
 	if hasPlan(background) {
-		t.Error("the plan of a topology that is gone is in force")
+		t.Error("the plan of a replaced topology is in force")
 	}
 }
--- a/core/cells/rollout_test.go
+++ b/core/cells/rollout_test.go
@@ -10,7 +10,7 @@
 	"spantack/routing"
 )
 
-// pricesRelease is a rollout whose one ring, cell one, opens at second 60.
+// pricesRelease returns a rollout with a single ring, cell "one", that opens at second 60.
 func pricesRelease() *rollout.Rollout {
 	return &rollout.Rollout{
 		Version: 1,
@@ -21,7 +21,7 @@
 	}
 }
 
-// newRolloutAdmission has eight caches in two cells.
+// newRolloutAdmission returns an Admission with a rollout, and eight caches in two cells.
 func newRolloutAdmission(t *testing.T, r *rollout.Rollout) *Admission {
 	t.Helper()
 	admission := newTestAdmission(t, twoCells(), cacheNames(8)...)
@@ -31,10 +31,10 @@
 	return admission
 }
 
-// runReleaseDay sends requests of both cells for so many seconds, a tenth of them for the release; in cell one, a
-// fraction of those is late. It returns how many of the release were admitted by cell, before the ring opened and
-// after, and what was logged.
-func runReleaseDay(
+// sendReleaseTraffic sends requests of both cells for a duration, one in ten of them for the release. 1% of all
+// responses are late, and lateFraction of the responses for the release. It returns the number of admitted requests for
+// the release, by cell and by whether the ring was open, and the log.
+func sendReleaseTraffic(
 	t *testing.T, a *Admission, lateFraction float64, seconds int64,
 ) (admitted map[string]int, log string) {
 	t.Helper()
@@ -44,7 +44,7 @@
 	for now := 10 * sec; now < (10+seconds)*sec; now += 4 * msec {
 		n++
 		isRelease := n%20 < 2
-		event, cell := releaseDayRequest(n, isRelease)
+		event, cell := releaseTrafficRequest(n, isRelease)
 		for _, action := range a.step(now, event) {
 			switch action.Kind {
 			case routing.ActionLog:
@@ -68,7 +68,7 @@
 				})
 			case routing.ActionReject:
 				if !isRelease {
-					t.Fatalf("a request that is not for the release is rejected: %v", a.Stats.Rejected)
+					t.Fatalf("rejected a request that is not for the release: %v", a.Stats.Rejected)
 				}
 			}
 		}
@@ -76,8 +76,8 @@
 	return admitted, log
 }
 
-// releaseDayRequest returns the n-th request of a day, and its cell.
-func releaseDayRequest(n int, isRelease bool) (event routing.Event, cell string) {
+// releaseTrafficRequest returns request n of sendReleaseTraffic, and its cell.
+func releaseTrafficRequest(n int, isRelease bool) (event routing.Event, cell string) {
 	event = routing.Event{
 		Kind:       routing.EventRequest,
 		RequestID:  fmt.Sprint("r", n),
@@ -98,14 +98,14 @@
 	return event, cell
 }
 
-// Requests for a release are rejected at once in cells that don't have it, and admitted where they do; nothing else is
-// touched.
-func TestReleaseFollowsItsRings(t *testing.T) {
+// Requests for a release must be rejected in cells that do not have it and admitted in cells that do. Other requests
+// must not be affected.
+func TestReleaseIsServedOnlyInOpenRings(t *testing.T) {
 	admission := newRolloutAdmission(t, pricesRelease())
-	admitted, log := runReleaseDay(t, admission, 0, 110)
+	admitted, log := sendReleaseTraffic(t, admission, 0, 110)
 	tooEarly := admitted["one after false"] + admitted["two after false"] + admitted["two after true"]
 	if tooEarly > 0 || admitted["one after true"] < 500 {
-		t.Errorf("admitted: %v", admitted)
+		t.Errorf("admitted requests for the release: %v", admitted)
 	}
 	isJudging := strings.Contains(log, "release prices, ring 0 ([one]): judging\n")
 	if admission.Stats.Rejected[ReasonNotReleased] == 0 || !isJudging || strings.Contains(log, "stopped") {
@@ -121,20 +121,21 @@
 	client.request(routing.Event{PurgeGroup: 3, Object: "aa00"})
 	got := client.request(routing.Event{PurgeGroup: 3, Object: "bb00"})
 	if got != "" || admission.RolloutStatus().Rings[0].State != "stopped" {
-		t.Errorf("after the document stopped it: %q, %+v", got, admission.RolloutStatus())
+		t.Errorf("after a rollback by the document: sent to %q, %+v", got, admission.RolloutStatus())
 	}
 	if err := admission.SetRollout(123*sec, nil); err != nil || admission.RolloutStatus() != nil {
-		t.Error("ended, and still there")
+		t.Error("removing the rollout failed, or it still has a status")
 	}
 	if got := client.request(routing.Event{PurgeGroup: 50, Object: "bb00"}); got == "" {
 		t.Error("rejected with no rollout in force")
 	}
 }
 
-// A release whose answers come late is stopped by what this router sees, with the metric in the log.
+// A release with late responses must be stopped by the observations of this router. Log and status must name the
+// metric.
 func TestHarmfulReleaseIsStopped(t *testing.T) {
 	admission := newRolloutAdmission(t, pricesRelease())
-	_, log := runReleaseDay(t, admission, 0.5, 110)
+	_, log := sendReleaseTraffic(t, admission, 0.5, 110)
 	ring := admission.RolloutStatus().Rings[0]
 	isLogged := strings.Contains(log, "stopped, by late answers")
 	if !isLogged || ring.State != "stopped" || ring.HarmedMetric != "late answers" {
@@ -142,9 +143,9 @@
 	}
 }
 
-// Prices that are replaced under their names: each cell requests copies as its ring allows, by the document's clock,
-// and other objects are left alone.
-func TestRenewedObjectsRespectMaxAge(t *testing.T) {
+// A release replaces objects under the same names. The maximum age of cached copies must depend on the state of the
+// cell's ring, by the clock of the document. Other objects must not be affected.
+func TestReplacedObjectsRespectMaxAge(t *testing.T) {
 	release := pricesRelease()
 	release.Since = 50_000
 	release.ReplacesObjects = true
@@ -170,19 +171,19 @@
 				return action.MaxAge
 			}
 		}
-		t.Fatalf("at %d rejected: %v", now, admission.Stats.Rejected)
+		t.Fatalf("request at %d us was not sent, rejected %v", now, admission.Stats.Rejected)
 		return 0
 	}
 	usual := maxAge(55*sec, 3, "aa01")
 	if got := maxAge(55*sec, 3, "bb01"); usual > 0 && got != 600*sec {
-		t.Errorf("ring closed: %d", got)
+		t.Errorf("ring closed: maximum age %d us", got)
 	}
 	got, limit := maxAge(70*sec, 3, "bb02"), 20*sec+admission.DocumentClockOffset
 	if got > limit || got < limit-10*msec {
-		t.Errorf("ring open: copies as old as %d us, %d since the release", got, limit)
+		t.Errorf("ring open: maximum age %d us, %d us since the release", got, limit)
 	}
 	if got := maxAge(70*sec, 50, "bb03"); usual > 0 && got != 600*sec {
-		t.Errorf("in no ring: %d", got)
+		t.Errorf("cell in no ring: maximum age %d us", got)
 	}
 	rolledBack := *release
 	rolledBack.Version = 2
@@ -193,21 +194,21 @@
 	for _, group := range []int64{3, 50} {
 		got, limit := maxAge(72*sec, group, "bb04"), 1*sec+admission.DocumentClockOffset
 		if got > limit || got < limit-10*msec {
-			t.Errorf("rolled back: copies as old as %d us, %d since then", got, limit)
+			t.Errorf("rolled back: maximum age %d us, %d us since the rollback", got, limit)
 		}
 	}
 }
 
-// With no request at all a ring opens in its time, and that is logged once.
-func TestTickWithoutRequests(t *testing.T) {
+// A ring must open on time without any requests, and log that once.
+func TestTickOpensRingWithoutRequests(t *testing.T) {
 	admission := newRolloutAdmission(t, pricesRelease())
 	if actions := admission.Tick(59 * sec); len(actions) != 0 {
-		t.Errorf("before: %v", actions)
+		t.Errorf("before the opening time: %v", actions)
 	}
 	if actions := admission.Tick(60 * sec); len(actions) != 1 || !strings.Contains(actions[0].LogText, "judging") {
-		t.Errorf("at its time: %v", actions)
+		t.Errorf("at the opening time: %v", actions)
 	}
 	if actions := admission.Tick(61 * sec); len(actions) != 0 {
-		t.Errorf("after: %v", actions)
+		t.Errorf("after the opening time: %v", actions)
 	}
 }
--- a/core/cells/scope_test.go
+++ b/core/cells/scope_test.go
@@ -8,6 +8,8 @@
 	"spantack/routing"
 )
 
+// With fewer caches than cells, the cell with the larger share must get the cache. The other cell must reject its
+// requests, or send them to its fallback cell if it has one.
 func TestFewerCachesThanCells(t *testing.T) {
 	spec := twoCells()
 	spec.Cells[0].Share = 0.6
@@ -15,32 +17,32 @@
 	admission := newTestAdmission(t, spec, "c0")
 	client := &testClient{t: t, admission: admission, now: 2 * sec}
 	if got := client.request(routing.Event{PurgeGroup: 1, Object: "01"}); got != "c0" {
-		t.Errorf("the cell with the greater share is sent to %q", got)
+		t.Errorf("request of the cell with the larger share sent to %q, want c0", got)
 	}
 	if got := client.request(routing.Event{PurgeGroup: 99, Object: "01"}); got != "" {
-		t.Errorf("a cell without caches is sent to %q", got)
+		t.Errorf("request of a cell without caches sent to %q, want rejected", got)
 	}
 	spec.Version = 2
 	spec.Cells[1].FallbackCell = "one"
 	admission.SetAssignment(2*sec, mustCompile(t, spec))
 	if got := client.request(routing.Event{PurgeGroup: 99, Object: "01"}); got != "c0" {
-		t.Errorf("the fallback cell does not serve: %q", got)
+		t.Errorf("request of a cell with a fallback cell sent to %q, want c0", got)
 	}
 	if admission.Stats.FellBack != 1 || admission.Stats.Rejected[ReasonNoLiveCache] != 1 {
-		t.Errorf("%+v", admission.Stats)
+		t.Errorf("want 1 fallback and 1 rejection: %+v", admission.Stats)
 	}
 }
 
-// requestBoth sends a request of each of the two cells.
+// requestBoth sends a request of each of the two cells, and returns their servers.
 func (c *testClient) requestBoth(object string) (one, two string) {
 	one = c.request(routing.Event{PurgeGroup: 1, Object: object})
 	two = c.request(routing.Event{PurgeGroup: 99, Object: object})
 	return one, two
 }
 
-// The only cache of a cell drains, goes, and another one comes: requests are rejected meanwhile, never spread over the
-// other cell.
-func TestOnlyCacheOfACellIsLost(t *testing.T) {
+// The only cache of a cell drains: the cell's requests must be rejected, not sent to the cache of the other cell. After
+// it is removed from the endpoint list, and after another cache is added, no cache may serve both cells.
+func TestCellWithoutCacheUsesNoOtherCell(t *testing.T) {
 	admission := newTestAdmission(t, twoCells(), "c0", "c1")
 	client := &testClient{t: t, admission: admission, now: 2 * sec}
 	cache := endpointsWith(client.request(routing.Event{PurgeGroup: 1, Object: "01"}))[3]
@@ -48,37 +50,38 @@
 	changeEndpoints(admission, client.now, cache)
 	for range 20 {
 		if got := client.request(routing.Event{PurgeGroup: 1, Object: fmt.Sprint(client.sent)}); got != "" {
-			t.Fatalf("%s: sent to %s", cache.Status, got)
+			t.Fatalf("cache %s: request sent to %s, want rejected", cache.Status, got)
 		}
 	}
 	cache.Status = routing.EndpointRemoved
 	changeEndpoints(admission, client.now, cache)
-	// One cache for two cells of equal shares: the first named has it.
+	// With one cache for two cells with equal shares, the first cell gets it.
 	if one, two := client.requestBoth("1"); one == "" || two != "" {
-		t.Errorf("one cache left: cells sent to %q and %q", one, two)
+		t.Errorf("one cache: requests of the cells sent to %q and %q", one, two)
 	}
 	changeEndpoints(admission, client.now, endpointsWith("c7")[3:]...)
 	if one, two := client.requestBoth("2"); one == "" || two == "" || one == two {
-		t.Errorf("two caches again: cells sent to %q and %q", one, two)
+		t.Errorf("two caches: requests of the cells sent to %q and %q", one, two)
 	}
 }
 
-// While its only cache drains, a cell's requests go to the fallback cell that it names.
+// While the only cache of a cell drains, its requests must go to its fallback cell.
 func TestFallbackWhileOnlyCacheDrains(t *testing.T) {
 	spec := twoCells()
 	spec.Cells[0].FallbackCell = "two"
 	admission := newTestAdmission(t, spec, "c0", "c1")
 	client := &testClient{t: t, admission: admission, now: 2 * sec}
-	home := client.request(routing.Event{PurgeGroup: 1, Object: "01"})
-	cache := endpointsWith(home)[3]
+	draining := client.request(routing.Event{PurgeGroup: 1, Object: "01"})
+	cache := endpointsWith(draining)[3]
 	cache.Status = routing.EndpointDraining
 	changeEndpoints(admission, client.now, cache)
-	if got := client.request(routing.Event{PurgeGroup: 1, Object: "01"}); got == "" || got == home {
-		t.Errorf("sent to %q", got)
+	if got := client.request(routing.Event{PurgeGroup: 1, Object: "01"}); got == "" || got == draining {
+		t.Errorf("request sent to %q while the only cache drains", got)
 	}
 }
 
-// Routers with different versions send a tenant to its cell by the one or by the other, and nowhere else.
+// While routers have different versions of the assignment, each must send a tenant's requests only to the tenant's cell
+// in its own version.
 func TestRoutersWithDifferentAssignments(t *testing.T) {
 	caches := cacheNames(9)
 	next := twoCells()
@@ -91,13 +94,13 @@
 		for object := range 100 {
 			got := client.request(routing.Event{PurgeGroup: 1, Object: fmt.Sprint(object)})
 			if !slices.Contains(allowed, got) {
-				t.Fatalf("version %d: sent to %s", spec.Version, got)
+				t.Fatalf("version %d: request sent to %s", spec.Version, got)
 			}
 		}
 	}
 }
 
-// With any scheme, no request goes outside the caches that Explain names, and at least two of those are used.
+// With each scheme, requests must go only to the caches that Explain returns, and use at least two of them.
 func TestRequestsStayInTheirTenantsCaches(t *testing.T) {
 	caches := cacheNames(12)
 	for _, scheme := range []Scheme{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow} {
@@ -126,20 +129,20 @@
 			}
 			got := client.request(event)
 			if !slices.Contains(expected.Caches, got) {
-				t.Fatalf("%s: %s of %s sent to %q, not one of %v",
+				t.Fatalf("%s: request for %s of tenant %s sent to %q, not one of %v",
 					scheme, event.Object, expected.Tenant, got, expected.Caches)
 			}
 			used[expected.Tenant][got] = true
 		}
 		for tenant, caches := range used {
 			if len(caches) < 2 {
-				t.Errorf("%s: %s used only %v", scheme, tenant, caches)
+				t.Errorf("%s: tenant %s used only %v", scheme, tenant, caches)
 			}
 		}
 	}
 }
 
-// What was learned of a tenant goes with it into a new assignment, whatever its place there.
+// The estimates for a tenant must be kept in a new assignment in which the tenant has another index.
 func TestLearnedTenantStateSurvivesNewAssignment(t *testing.T) {
 	admission := newTestAdmission(t, twoCells(), cacheNames(4)...)
 	admission.scope.tenants[0].missRatio.fill[0] = 0.95
@@ -151,12 +154,12 @@
 	admission.SetAssignment(3*sec, mustCompile(t, next))
 	quiet, added, loud := admission.scope.tenants[0], admission.scope.tenants[1], admission.scope.tenants[2]
 	if quiet.missRatio.fill[0] != 0.1 || added.missRatio != (missRatio{}) || loud.missRatio.fill[0] != 0.95 {
-		t.Errorf("%+v", admission.scope.tenants)
+		t.Errorf("miss ratios of quiet, new, loud: %+v", admission.scope.tenants)
 	}
 }
 
-// BenchmarkSetAssignment is a new specification taken in while serving: compiled apart from requests, and put in force
-// under the router's lock, for which requests wait.
+// BenchmarkSetAssignment measures the two steps of applying a specification while serving: Compile runs in the
+// background, SetAssignment runs under the router's lock while requests wait.
 func BenchmarkSetAssignment(b *testing.B) {
 	for _, size := range []int{10_000, 100_000} {
 		spec := manyTenants(size, 64)
--- a/core/cells/shared_rate_test.go
+++ b/core/cells/shared_rate_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A cell gets its share back within the reclaim time, though the borrower goes on.
-func TestLentShareIsReclaimed(t *testing.T) {
+// A cell must get its share back within the reclaim time, though another cell continues to borrow as much as it can.
+func TestBorrowedShareIsReclaimed(t *testing.T) {
 	const reclaim = 250 * msec
 	rate := newSharedRate(1000, []float64{0.5, 0.5}, float64(reclaim))
 	now := sec
@@ -18,14 +18,14 @@
 		return admitted
 	}
 	borrowed := 0.0
-	for range 5000 { // the first cell alone: it may have all
+	for range 5000 { // the first cell alone may use the whole rate
 		now += msec
 		borrowed += spend(0, 3)
 	}
 	if borrowed < 4700 {
-		t.Errorf("alone: %v of 5000", borrowed)
+		t.Errorf("first cell alone: %v of 5000 admitted", borrowed)
 	}
-	now += 60 * sec // no request for a minute: no more than the pool's depth is lent afterwards
+	now += 60 * sec // after a minute without requests, the pool must not exceed its depth
 	borrower, owner := 0.0, 0.0
 	for at := range int64(2000) {
 		now += msec
@@ -37,10 +37,10 @@
 		}
 	}
 	if owner < 870*0.98 || borrower > 880*1.05 {
-		t.Errorf("after the reclaim time: owner %v, borrower %v, 875 each", owner, borrower)
+		t.Errorf("after the reclaim time: owner %v, borrower %v, want about 875 each", owner, borrower)
 	}
 	rate.refill(now + 3600*sec)
 	if depth := 1000 * 0.25 * poolDepthFraction; rate.pool > depth*1.001 {
-		t.Errorf("an idle hour leaves %v to lend, %v at most", rate.pool, depth)
+		t.Errorf("after an idle hour the pool has %v, want at most %v", rate.pool, depth)
 	}
 }
--- a/core/cells/spec_validation_test.go
+++ b/core/cells/spec_validation_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Each invalid field is named in an error of one line.
-func TestValidateNamesTheField(t *testing.T) {
+// The error for an invalid field must begin with the path of the field and have one line only.
+func TestValidateNamesInvalidField(t *testing.T) {
 	for want, invalidate := range map[string]func(*Spec){
 		`version: 0 is less than 1`:              func(s *Spec) { s.Version = 0 },
 		`scheme: `:                               func(s *Spec) { s.Scheme = "round" },
@@ -45,7 +45,7 @@
 			invalidate(spec)
 			err := spec.Validate()
 			if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want %s...", err, want)
+				t.Errorf("got %v, want one line with prefix %q", err, want)
 			}
 		})
 	}
@@ -54,8 +54,9 @@
 	}
 }
 
-// Keys that together match all that a later one does make it unreachable, though none does alone.
-func TestKeyUnreachableBehindSeveral(t *testing.T) {
+// A key must be reported as unreachable if several earlier keys together match all its requests, though none of them
+// does alone.
+func TestKeyCoveredBySeveralKeysIsUnreachable(t *testing.T) {
 	spec := twoCells()
 	spec.TenantKeys = []TenantKey{
 		{PurgeGroupRange: []int{0, 100}, Tenant: "loud"},
@@ -64,7 +65,7 @@
 		{Tenant: "calm"},
 	}
 	if err := spec.Validate(); err == nil || !strings.HasPrefix(err.Error(), "keys[2]: ") {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want an error for keys[2]", err)
 	}
 	spec.TenantKeys[2].Class = ""
 	if err := spec.Validate(); err != nil {
@@ -72,22 +73,23 @@
 	}
 }
 
-// An invalid specification does not get as far as an Admission.
-func TestInvalidSpecIsNotCompiled(t *testing.T) {
+// Compile must reject an invalid specification, so that an Admission never gets one.
+func TestCompileRejectsInvalidSpec(t *testing.T) {
 	spec := twoCells()
 	spec.Tenants[0].Cell = "nowhere"
 	assignment, err := Compile(spec)
 	if assignment != nil || err == nil || !strings.HasPrefix(err.Error(), "cells.tenants[0].cell: ") {
-		t.Errorf("got %v, %v", assignment, err)
+		t.Errorf("got %v, %v, want an error for cells.tenants[0].cell", assignment, err)
 	}
 }
 
+// Callers must be able to get the path and the reason of a validation error by errors.As and errors.Is.
 func TestValidationErrorsHaveTypes(t *testing.T) {
 	spec := twoCells()
 	spec.TenantKeys[1] = TenantKey{PurgeGroupRange: []int{3, 4}, ObjectPrefix: "b", Tenant: "calm"}
 	_, err := Compile(spec)
 	var field *FieldError
 	if !errors.As(err, &field) || field.Path != "keys[1]" || !errors.Is(err, ErrUnreachableKey) {
-		t.Errorf("got %#v", err)
+		t.Errorf("got %#v, want a FieldError for keys[1] that wraps ErrUnreachableKey", err)
 	}
 }
--- a/core/cells/tenant_keys_test.go
+++ b/core/cells/tenant_keys_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// referenceFind compares all keys in order: find must agree with it.
+// referenceFind is a linear search over all keys. keyTable.find must return the same.
 func referenceFind(keys []TenantKey, group int, class, object, declaredTenant string) int {
 	return slices.IndexFunc(keys, func(k TenantKey) bool {
 		return (k.Class == "" || k.Class == class) && k.matchesGroup(group) &&
@@ -18,6 +18,7 @@
 	})
 }
 
+// drawKeys returns a random list of keys. The last one matches all requests.
 func drawKeys(t *rapid.T) []TenantKey {
 	hex := rapid.StringMatching("[0-3]{0,3}")
 	keys := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) TenantKey {
@@ -36,7 +37,8 @@
 	return append(keys, TenantKey{Tenant: "calm"})
 }
 
-// The table finds what a linear search finds; and a key that Check lets through is found by some request.
+// The table must find the same key as a linear search. Every key of a list that validateReachable accepts must be found
+// by some request.
 func TestKeyTableAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := drawKeys(t)
@@ -48,23 +50,24 @@
 			declared := rapid.SampledFrom([]string{"", "q", "x"}).Draw(t, "declared")
 			got, want := table.find(group, class, object, declared), referenceFind(keys, group, class, object, declared)
 			if got != want {
-				t.Fatalf("%d %q %q %q: key %d, want %d", group, class, object, declared, got, want)
+				t.Fatalf("group %d, class %q, object %q, tenant %q: key %d, want %d",
+					group, class, object, declared, got, want)
 			}
 		}
 		if err := validateReachable(keys); err != nil {
 			return
 		}
 		for i, key := range keys {
-			// Longer prefixes than any key's can't be covered in parts.
-			if len(key.ObjectPrefix) == 3 && !isFoundBySome(keys, i) {
-				t.Fatalf("key %d of %+v is never found, and Check said nothing", i, keys)
+			// Keys with longer prefixes could cover a key with a shorter one piece by piece. 3 is the maximum length.
+			if len(key.ObjectPrefix) == 3 && !isReachable(keys, i) {
+				t.Fatalf("key %d of %+v is found by no request, but validateReachable accepts it", i, keys)
 			}
 		}
 	})
 }
 
-// isFoundBySome reports whether some request finds a key.
-func isFoundBySome(keys []TenantKey, index int) bool {
+// isReachable reports whether some request finds a key.
+func isReachable(keys []TenantKey, index int) bool {
 	key := &keys[index]
 	for group := range purgeGroupCount {
 		for _, class := range []string{"page", "report", "other"} {
--- a/core/cells/wire_compat_test.go
+++ b/core/cells/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The section cells of a features file.
-func TestStoredSpecIsReadAndWrittenAlike(t *testing.T) {
+// Section "cells" of a features file must keep its JSON format.
+func TestSpecJSONFormat(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/spec.json", " ", Spec{
 		Version:      7,
 		Scheme:       "overflow",
@@ -54,8 +54,8 @@
 	})
 }
 
-// The log line cells of a router holds parts of a picture.
-func TestLoggedPictureIsReadAndWrittenAlike(t *testing.T) {
+// The log record "cells" of a router contains parts of a Status, whose JSON format must stay the same.
+func TestStatusJSONFormat(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/picture.json", "", Status{
 		Version: 1,
 		Stats: Stats{
@@ -94,8 +94,8 @@
 	})
 }
 
-// The log line moves of a router holds these.
-func TestLoggedMovesAreReadAndWrittenAlike(t *testing.T) {
+// The log record "moves" of a router contains a list of MigrationStatus, whose JSON format must stay the same.
+func TestMigrationStatusJSONFormat(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/moves.json", "", []MigrationStatus{
 		{
 			Tenant:   "s1",
@@ -118,8 +118,8 @@
 	})
 }
 
-// The log line stage of a router holds this.
-func TestLoggedStageIsReadAndWrittenAlike(t *testing.T) {
+// The log record "stage" of a router contains a RolloutStatus, whose JSON format must stay the same.
+func TestRolloutStatusJSONFormat(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/stage.json", "", RolloutStatus{Name: "s1", Version: 2, Rings: []RingStatus{
 		{
 			Cells:        []string{"s3", "s4"},
@@ -136,8 +136,9 @@
 	}})
 }
 
-// The log line demand of a router holds these, and spanctl reads lists of them.
-func TestLoggedDemandIsReadAndWrittenAlike(t *testing.T) {
+// The log record "demand" of a router contains a list of TenantDemand, and spanctl reads such lists, so their JSON
+// format must stay the same.
+func TestTenantDemandJSONFormat(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/demand.json", "", []TenantDemand{
 		{Name: "s1", Loads: []float64{2.5, 3.5}, PriorityWeight: 4.5},
 		{Name: "s5", Loads: []float64{6.5, 7.5}, PriorityWeight: 8.5},
