--- a/core/cells/admission.go
+++ b/core/cells/admission.go
@@ -17,7 +17,7 @@
 	*shared
 
 	// Used only with an assignment.
-	scope        scope
+	state        assignmentState
 	budget       budget
 	openRequests map[string]openRequest // admitted requests that have not ended, by request ID
 	heavyObjects *HeavyHitters          // by KB requested
@@ -83,9 +83,9 @@
 		rng:       rand.New(rand.NewPCG(uint64(seed), 1)),
 	}
 	a.indexClasses()
-	a.scope = scope{shared: a.shared, overflowCell: noCell}
-	a.migrations = migrations{shared: a.shared, scope: &a.scope, budget: &a.budget}
-	a.rollout = rolloutGate{shared: a.shared, scope: &a.scope}
+	a.state = assignmentState{shared: a.shared, overflowCell: noCell}
+	a.migrations = migrations{shared: a.shared, state: &a.state, budget: &a.budget}
+	a.rollout = rolloutGate{shared: a.shared, state: &a.state}
 	a.parents = parentSelection{shared: a.shared}
 	a.origin = originGate{shared: a.shared}
 	return a, nil
@@ -107,8 +107,8 @@
 		request.class = int16(a.classes[old.Classes[request.class].Name].index)
 		a.openRequests[id] = request
 	}
-	if a.scope.assignment != nil {
-		a.SetAssignment(now, a.scope.assignment)
+	if a.state.assignment != nil {
+		a.SetAssignment(now, a.state.assignment)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 
 // isPassThrough reports whether all parts are disabled, so that events go to the engine unchanged.
 func (a *Admission) isPassThrough() bool {
-	return a.scope.spec == nil && a.parents.graph == nil && a.origin.limiter == nil
+	return a.state.spec == nil && a.parents.graph == nil && a.origin.limiter == nil
 }
 
 // stepOne handles one event and appends the resulting actions. The event is passed as a slice of length 1 to avoid an
@@ -184,7 +184,7 @@
 	switch event.Kind {
 	case routing.EventRequest:
 		a.parents.selectGroup(now, event)
-		if a.scope.spec == nil {
+		if a.state.spec == nil {
 			break
 		}
 		if reason := a.admit(now, event); reason != ReasonNone {
@@ -208,8 +208,8 @@
 	a.origin.recordAttempts(decisions)
 	a.origin.announceChange(now)
 	if event.Kind == routing.EventEndpoints {
-		if a.scope.spec != nil {
-			a.scope.assignCaches(now)
+		if a.state.spec != nil {
+			a.state.assignCaches(now)
 		}
 		a.parents.replan(now)
 	}
@@ -223,7 +223,7 @@
 // actions.
 func (a *Admission) Tick(now int64) []routing.Action {
 	a.parents.planIfDue(now)
-	if a.scope.spec != nil {
+	if a.state.spec != nil {
 		a.migrations.advance(now)
 		a.rollout.advance(now)
 	}
@@ -238,6 +238,6 @@
 
 func (a *Admission) updateEndpoints(event *routing.Event) {
 	if a.applyEndpoints(event) {
-		a.migrations.advanceDue()
+		a.migrations.forceNextAdvance()
 	}
 }
--- a/core/cells/admission_test.go
+++ b/core/cells/admission_test.go
@@ -174,7 +174,7 @@
 		{Kind: routing.EventAborted, RequestID: "r2"},
 		{Kind: routing.EventAborted, RequestID: "r3"},
 	})
-	if open, inCell := len(admission.openRequests), admission.scope.cells[0].openRequests; open != 0 || inCell != 0 {
+	if open, inCell := len(admission.openRequests), admission.state.cells[0].openRequests; open != 0 || inCell != 0 {
 		t.Errorf("after all requests ended: %d open requests, %d in their cell", open, inCell)
 	}
 }
--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -28,7 +28,7 @@
 // admit decides whether the engine may handle a request, and sets the caches that the engine may use. There must be an
 // assignment in force. It does not allocate memory.
 func (a *Admission) admit(now int64, event *routing.Event) Reason {
-	a.scope.countActiveTenants(now)
+	a.state.countActiveTenants(now)
 	a.migrations.advance(now)
 	a.rollout.advance(now)
 
@@ -55,11 +55,11 @@
 }
 
 func (a *Admission) newCandidate(event *routing.Event) candidate {
-	index := a.scope.tenantOf(event)
+	index := a.state.tenantOf(event)
 	class := a.classes[event.Class]
 	c := candidate{
 		tenantIndex:   index,
-		tenant:        &a.scope.tenants[index],
+		tenant:        &a.state.tenants[index],
 		class:         class,
 		isUncacheable: class.isUncacheable,
 		sizeKB:        event.SizeKB,
@@ -81,27 +81,27 @@
 		}
 	}
 	needsCache := !c.isUncacheable || !a.settings.Hierarchy.AllowsDirectFetch
-	if needsCache && !a.scope.cells[c.cellIndex].hasLiveCache {
-		c.cellIndex = a.scope.cells[c.cellIndex].fallback
-		if c.cellIndex == noCell || !a.scope.cells[c.cellIndex].hasLiveCache {
+	if needsCache && !a.state.cells[c.cellIndex].hasLiveCache {
+		c.cellIndex = a.state.cells[c.cellIndex].fallback
+		if c.cellIndex == noCell || !a.state.cells[c.cellIndex].hasLiveCache {
 			return ReasonNoLiveCache
 		}
 		a.Stats.FellBack++
 	}
-	c.cell = &a.scope.cells[c.cellIndex]
+	c.cell = &a.state.cells[c.cellIndex]
 	return ReasonNone
 }
 
 // estimateFill estimates how many KB a request needs from the link and the parents, and how many from the origin.
 func (a *Admission) estimateFill(now int64, event *routing.Event, c *candidate) {
 	c.cell.arrivals.add(now, 1)
-	if a.scope.recentChunks.record(now, event.Object, event.Chunk) {
+	if a.state.recentChunks.record(now, event.Object, event.Chunk) {
 		c.recent = 1
 	}
 	if c.isUncacheable {
 		return
 	}
-	fillRatio, originRatio := c.tenant.missRatio.estimate(c.recent, &a.scope.cells[c.tenant.cell].missRatio)
+	fillRatio, originRatio := c.tenant.missRatio.estimate(c.recent, &a.state.cells[c.tenant.cell].missRatio)
 	c.fillKB = c.sizeKB * fillRatio
 	c.originKB = c.sizeKB * originRatio
 	if c.route.isColdInDestination() {
@@ -147,8 +147,8 @@
 
 // setSubsets sets in the event which caches the engine may use for a request.
 func (a *Admission) setSubsets(now int64, event *routing.Event, c *candidate) {
-	event.Subset = a.scope.subsetOf(now, c.tenantIndex, c.cellIndex)
-	if overflow := a.scope.overflowCell; overflow != noCell && c.cellIndex != overflow {
+	event.Subset = a.state.subsetOf(now, c.tenantIndex, c.cellIndex)
+	if overflow := a.state.overflowCell; overflow != noCell && c.cellIndex != overflow {
 		event.OverflowSubset = cellSubset(overflow)
 	}
 	if c.route.toDestination {
@@ -220,9 +220,9 @@
 		fromOrigin = 1
 	}
 	if !request.route.isCold { // misses in a cell that is new to the tenant do not predict later misses
-		tenant := &a.scope.tenants[request.tenant]
+		tenant := &a.state.tenants[request.tenant]
 		tenant.missRatio.learn(request.recent, filled, fromOrigin, tenantLearningStep)
-		a.scope.cells[tenant.cell].missRatio.learn(request.recent, filled, fromOrigin, cellLearningStep)
+		a.state.cells[tenant.cell].missRatio.learn(request.recent, filled, fromOrigin, cellLearningStep)
 	}
 	a.budget.correct(request, request.sizeKB*filled, request.sizeKB*fromOrigin)
 }
@@ -236,7 +236,7 @@
 		}
 		if request, isOpen := a.openRequests[action.RequestID]; isOpen {
 			if action.Kind == routing.ActionReject {
-				a.scope.cells[request.cell].observeRejection(now)
+				a.state.cells[request.cell].observeRejection(now)
 			}
 			a.rollout.observeUnserved(&request, action.Kind == routing.ActionFail)
 			a.migrations.observeUnserved(now, &request)
--- a/core/cells/admit_test.go
+++ b/core/cells/admit_test.go
@@ -169,17 +169,17 @@
 		Timeout:    sec,
 	}
 	r.serverOf[id] = ""
-	scope := &r.admission.scope
-	tenant := scope.tenants[r.admission.TenantOf(&event)]
+	state := &r.admission.state
+	tenant := state.tenants[r.admission.TenantOf(&event)]
 	actions := r.admission.step(r.now, event)
 	for _, action := range actions {
 		toCache := strings.HasPrefix(action.Server, "s-")
 		if action.Kind != routing.ActionSend || event.Class == "report" || !toCache {
 			continue
 		}
-		cell := &scope.cells[tenant.cell]
+		cell := &state.cells[tenant.cell]
 		isAllowed := slices.Contains(cell.caches, action.Server) ||
-			cell.fallback >= 0 && slices.Contains(scope.cells[cell.fallback].caches, action.Server)
+			cell.fallback >= 0 && slices.Contains(state.cells[cell.fallback].caches, action.Server)
 		if !isAllowed {
 			r.t.Fatalf("seed %d: request %s of tenant %s sent to %s", r.seed, id, tenant.name, action.Server)
 		}
@@ -243,7 +243,7 @@
 		r.admission.step(r.now, routing.Event{Kind: routing.EventAborted, RequestID: id})
 	}
 	inCells := 0
-	for _, cell := range r.admission.scope.cells {
+	for _, cell := range r.admission.state.cells {
 		inCells += cell.openRequests
 	}
 	if len(r.admission.openRequests) != 0 || inCells != 0 {
--- a/core/cells/scope.go
+++ b/core/cells/assignment_state.go
@@ -27,8 +27,8 @@
 	activeWithin           = 2_000_000 // time after its last request for which a tenant is active, microseconds
 )
 
-// scope is the assignment in force, with the state of its tenants and cells at this router.
-type scope struct {
+// assignmentState is the assignment in force, with the state of its tenants and cells at this router.
+type assignmentState struct {
 	*shared
 	assignment   *Assignment // nil: none is in force
 	spec         *Spec       // of the assignment
@@ -82,24 +82,24 @@
 // SetAssignment applies an assignment, or with nil removes it. Open requests end where they started. The state of
 // tenants that both assignments have is kept.
 func (a *Admission) SetAssignment(now int64, next *Assignment) {
-	a.scope.dropTenantSubsets(now)
+	a.state.dropTenantSubsets(now)
 	if next == nil {
 		a.clearAssignment(now)
 		return
 	}
-	previousCells := a.scope.cells
-	newTenantIndex := a.scope.replace(next)
+	previousCells := a.state.cells
+	newTenantIndex := a.state.replace(next)
 	a.reassignOpenRequests(previousCells, newTenantIndex)
-	a.scope.dropCellSubsets(now, len(a.scope.cells), len(previousCells))
+	a.state.dropCellSubsets(now, len(a.state.cells), len(previousCells))
 	a.budget = a.newBudget(next.spec)
 	a.origin.setAssignmentLimit(now, next.spec.Budget.MaxOriginFills)
-	a.scope.assignCaches(now)
-	a.migrations.bind(now)
+	a.state.assignCaches(now)
+	a.migrations.rebuild(now)
 }
 
 func (a *Admission) clearAssignment(now int64) {
-	a.scope.dropCellSubsets(now, 0, len(a.scope.cells))
-	a.scope.clear()
+	a.state.dropCellSubsets(now, 0, len(a.state.cells))
+	a.state.clear()
 	a.origin.setAssignmentLimit(now, 0)
 	a.migrations.clear()
 	a.rollout.clear()
@@ -108,24 +108,24 @@
 
 // AssignmentVersion returns the version of the assignment in force, or 0 without an assignment.
 func (a *Admission) AssignmentVersion() int64 {
-	if a.scope.spec == nil {
+	if a.state.spec == nil {
 		return 0
 	}
-	return a.scope.spec.Version
+	return a.state.spec.Version
 }
 
 // TenantOf returns the index in the specification of the tenant that a request belongs to. It must not be called
 // without an assignment.
-func (a *Admission) TenantOf(event *routing.Event) int { return a.scope.tenantOf(event) }
+func (a *Admission) TenantOf(event *routing.Event) int { return a.state.tenantOf(event) }
 
 // CachesOf returns the caches that a tenant's requests currently go to, or nil without an assignment.
-func (a *Admission) CachesOf(tenant int) []string { return a.scope.cachesOf(tenant) }
+func (a *Admission) CachesOf(tenant int) []string { return a.state.cachesOf(tenant) }
 
-func (s *scope) tenantOf(event *routing.Event) int {
+func (s *assignmentState) tenantOf(event *routing.Event) int {
 	return s.assignment.tenantOf(int(event.PurgeGroup), event.Class, event.Object, event.Tenant)
 }
 
-func (s *scope) cachesOf(index int) []string {
+func (s *assignmentState) cachesOf(index int) []string {
 	if s.spec == nil || index < 0 || index >= len(s.tenants) {
 		return nil
 	}
@@ -135,7 +135,7 @@
 
 // replace replaces the tenants and cells by those of another assignment. It returns the new index of each tenant by its
 // old index, or noTenant for tenants that are not in the new assignment.
-func (s *scope) replace(next *Assignment) (newTenantIndex []int32) {
+func (s *assignmentState) replace(next *Assignment) (newTenantIndex []int32) {
 	if s.recentChunks.sketch == nil {
 		s.recentChunks = newRecentChunks()
 	}
@@ -145,7 +145,7 @@
 	return newTenantIndex
 }
 
-func (s *scope) replaceTenants(next *Assignment) (newIndex []int32) {
+func (s *assignmentState) replaceTenants(next *Assignment) (newIndex []int32) {
 	previous, previousTenants := s.assignment, s.tenants
 	newIndex = make([]int32, len(previousTenants))
 	for i := range newIndex {
@@ -170,7 +170,7 @@
 	return newIndex
 }
 
-func (s *scope) replaceCells(next *Assignment) {
+func (s *assignmentState) replaceCells(next *Assignment) {
 	s.cells = make([]cell, len(next.spec.Cells))
 	s.overflowCell = noCell
 	for i, spec := range next.spec.Cells {
@@ -191,7 +191,7 @@
 	}
 }
 
-func (s *scope) clear() {
+func (s *assignmentState) clear() {
 	s.assignment, s.spec = nil, nil
 	s.tenants, s.cells = nil, nil
 }
@@ -201,7 +201,7 @@
 	s.engine.Step(now, []routing.Event{{Kind: routing.EventSubset, Subset: subset, SubsetServers: servers}})
 }
 
-func (s *scope) dropTenantSubsets(now int64) {
+func (s *assignmentState) dropTenantSubsets(now int64) {
 	for i := range s.tenants {
 		if s.tenants[i].subsetVersion != 0 {
 			s.defineSubset(now, tenantSubset(i), nil)
@@ -209,7 +209,7 @@
 	}
 }
 
-func (s *scope) dropCellSubsets(now int64, from, to int) {
+func (s *assignmentState) dropCellSubsets(now int64, from, to int) {
 	for i := from; i < to; i++ {
 		s.defineSubset(now, cellSubset(i), nil)
 	}
@@ -218,7 +218,7 @@
 // assignCaches divides the listed caches among cells and updates the cells' subsets in the engine. Draining caches stay
 // in their cell until they are removed from the list, so that replacing a cache changes the division once instead of
 // twice.
-func (s *scope) assignCaches(now int64) {
+func (s *assignmentState) assignCaches(now int64) {
 	s.caches = slices.AppendSeq(s.caches[:0], maps.Keys(s.endpoints.edgeCaches))
 	slices.Sort(s.caches)
 	s.subsetEvents = s.subsetEvents[:0]
@@ -247,7 +247,7 @@
 
 // subsetOf returns the subset of caches for a tenant's requests in a cell. With SchemeShuffle and SchemeNested a tenant
 // has its own subset, which is defined on first use. Outside its own cell, a tenant uses all caches of the cell.
-func (s *scope) subsetOf(now int64, index, inCell int) int {
+func (s *assignmentState) subsetOf(now int64, index, inCell int) int {
 	t := &s.tenants[index]
 	hasOwnSubset := s.spec.Scheme == SchemeShuffle || s.spec.Scheme == SchemeNested
 	if !hasOwnSubset || inCell != t.cell {
@@ -267,7 +267,7 @@
 }
 
 // countActiveTenants updates the number of active tenants of each cell, at most once per activeCountInterval.
-func (s *scope) countActiveTenants(now int64) {
+func (s *assignmentState) countActiveTenants(now int64) {
 	if now-s.activeCountedAt < activeCountInterval && s.activeCountedAt != 0 {
 		return
 	}
--- a/core/cells/scope_test.go
+++ b/core/cells/assignment_state_test.go
@@ -145,16 +145,16 @@
 // The estimates for a tenant must be kept in a new assignment in which the tenant has another index.
 func TestLearnedTenantStateSurvivesNewAssignment(t *testing.T) {
 	admission := newTestAdmission(t, twoCells(), cacheNames(4)...)
-	admission.scope.tenants[0].missRatio.fill[0] = 0.95
-	admission.scope.tenants[2].missRatio.fill[0] = 0.1
+	admission.state.tenants[0].missRatio.fill[0] = 0.95
+	admission.state.tenants[2].missRatio.fill[0] = 0.1
 	next := twoCells()
 	next.Version = 2
 	next.Tenants = []Tenant{{Name: "quiet", Cell: "one"}, {Name: "new", Cell: "one"}, {Name: "loud", Cell: "two"}}
 	next.TenantKeys = []TenantKey{{PurgeGroupRange: []int{0, 9}, Tenant: "loud"}, {Tenant: "new"}}
 	admission.SetAssignment(3*sec, mustCompile(t, next))
-	quiet, added, loud := admission.scope.tenants[0], admission.scope.tenants[1], admission.scope.tenants[2]
+	quiet, added, loud := admission.state.tenants[0], admission.state.tenants[1], admission.state.tenants[2]
 	if quiet.missRatio.fill[0] != 0.1 || added.missRatio != (missRatio{}) || loud.missRatio.fill[0] != 0.95 {
-		t.Errorf("miss ratios of quiet, new, loud: %+v", admission.scope.tenants)
+		t.Errorf("miss ratios of quiet, new, loud: %+v", admission.state.tenants)
 	}
 }
 
--- a/core/cells/demand.go
+++ b/core/cells/demand.go
@@ -50,8 +50,8 @@
 // TopDemand returns the demand of up to n tenants, those with the most KB requested first.
 func (a *Admission) TopDemand(now int64, n int) []TenantDemand {
 	var all []TenantDemand
-	for i := range a.scope.tenants {
-		t := &a.scope.tenants[i]
+	for i := range a.state.tenants {
+		t := &a.state.tenants[i]
 		if t.demand.updatedAt != 0 {
 			all = append(all, t.demand.perSecond(now, t.name))
 		}
--- a/core/cells/migration.go
+++ b/core/cells/migration.go
@@ -13,7 +13,7 @@
 // migrations selects the cells for requests of migrating tenants.
 type migrations struct {
 	*shared
-	scope          *scope
+	state          *assignmentState
 	budget         *budget
 	document       *migration.Document  // nil: no tenant migrates
 	active         []*migrationProgress // of this site
@@ -45,11 +45,11 @@
 // longer in the document is in the cell of the assignment. A tenant whose migration has ended is in the cell to which
 // the migration, or its rollback, led.
 func (a *Admission) SetMigrations(now int64, document *migration.Document) {
-	if a.scope.spec == nil {
+	if a.state.spec == nil {
 		return
 	}
 	a.migrations.document = document
-	a.migrations.bind(now)
+	a.migrations.rebuild(now)
 }
 
 // MigrationsVersion returns the version of the document in force, or 0 without a document.
@@ -93,24 +93,24 @@
 
 func (m *migrations) clear() { m.document, m.active = nil, nil }
 
-// bind rebuilds the active migrations of this site from the document and the assignment. Migrations that were active
+// rebuild creates the active migrations of this site from the document and the assignment. Migrations that were active
 // before keep their pace.
-func (m *migrations) bind(now int64) {
+func (m *migrations) rebuild(now int64) {
 	type key struct{ tenant, from, to string }
 	previous := map[key]*migrationProgress{}
 	for _, p := range m.active {
 		previous[key{p.migration.Tenant, p.migration.From, p.migration.To}] = p
 	}
 	m.active = nil
-	for i := range m.scope.tenants {
-		m.scope.tenants[i].migration = nil
+	for i := range m.state.tenants {
+		m.state.tenants[i].migration = nil
 	}
 	if m.document == nil {
 		return
 	}
 	for i := range m.document.Migrations {
 		entry := &m.document.Migrations[i]
-		p, tenant := m.start(entry)
+		p, tenant := m.newProgress(entry)
 		if p == nil {
 			continue
 		}
@@ -120,27 +120,27 @@
 		tenant.migration = p
 		m.active = append(m.active, p)
 	}
-	m.advanceDue()
+	m.forceNextAdvance()
 	m.advance(now)
 }
 
-// start returns the progress of a new migration and its tenant. It returns nil if the migration is for another site, or
-// if the assignment no longer has its tenant or cells; the tenant is then in the cell of the assignment.
-func (m *migrations) start(entry *migration.Migration) (*migrationProgress, *tenant) {
+// newProgress returns the progress of a new migration and its tenant. It returns nil if the migration is for another
+// site, or if the assignment no longer has its tenant or cells; the tenant is then in the cell of the assignment.
+func (m *migrations) newProgress(entry *migration.Migration) (*migrationProgress, *tenant) {
 	if entry.Site != m.settings.Zone && entry.Site != migration.AllSites {
 		return nil, nil
 	}
-	tenant, hasTenant := m.scope.assignment.tenantByName[entry.Tenant]
-	from, hasFrom := m.scope.assignment.cellByName[entry.From]
-	to, hasTo := m.scope.assignment.cellByName[entry.To]
+	tenant, hasTenant := m.state.assignment.tenantByName[entry.Tenant]
+	from, hasFrom := m.state.assignment.cellByName[entry.From]
+	to, hasTo := m.state.assignment.cellByName[entry.To]
 	if !hasTenant || !hasFrom || !hasTo {
 		return nil, nil
 	}
-	return &migrationProgress{migration: entry, fromCell: int(from), toCell: int(to)}, &m.scope.tenants[tenant]
+	return &migrationProgress{migration: entry, fromCell: int(from), toCell: int(to)}, &m.state.tenants[tenant]
 }
 
-// advanceDue makes the next call of advance run without waiting for capacityInterval.
-func (m *migrations) advanceDue() { m.advancedAt = 0 }
+// forceNextAdvance makes the next call of advance run without waiting for capacityInterval.
+func (m *migrations) forceNextAdvance() { m.advancedAt = 0 }
 
 // advance updates the capacity of cells and the pace of migrations, at most once per capacityInterval.
 func (m *migrations) advance(now int64) {
@@ -156,12 +156,12 @@
 
 // pace updates the pace of a migration. The tenant is counted in the cell that has at least half of its objects.
 func (m *migrations) pace(now int64, p *migrationProgress) {
-	p.pace.SetWarmCapacity(min(m.scope.cells[p.fromCell].warmFraction, m.scope.cells[p.toCell].warmFraction))
+	p.pace.SetWarmCapacity(min(m.state.cells[p.fromCell].warmFraction, m.state.cells[p.toCell].warmFraction))
 	cell := p.fromCell
 	if p.pace.Step(m.documentMillis(now), p.migration) >= 0.5 {
 		cell = p.toCell
 	}
-	m.scope.tenants[m.scope.assignment.tenantByName[p.migration.Tenant]].cell = cell
+	m.state.tenants[m.state.assignment.tenantByName[p.migration.Tenant]].cell = cell
 }
 
 // updateCapacity updates how much load each cell can accept from this router.
@@ -170,8 +170,8 @@
 	parentWarmFraction := m.parentWarmFraction(now)
 	routers := float64(m.routersAtSite())
 	var servers []migration.Server
-	for i := range m.scope.cells {
-		c := &m.scope.cells[i]
+	for i := range m.state.cells {
+		c := &m.state.cells[i]
 		servers = servers[:0]
 		capacityWhenWarm := 0.0
 		for _, name := range c.caches {
@@ -242,8 +242,8 @@
 		hasMigrated = !hasMigrated
 	}
 	route := migrationRoute{progress: p, toDestination: hasMigrated}
-	destinationIsLive := m.scope.cells[destination].hasLiveCache
-	sourceIsLive := m.scope.cells[source].hasLiveCache
+	destinationIsLive := m.state.cells[destination].hasLiveCache
+	sourceIsLive := m.state.cells[source].hasLiveCache
 	switch {
 	case !hasMigrated && (sourceIsLive || !destinationIsLive):
 		m.recordInSource(now, p, event)
@@ -255,8 +255,8 @@
 		}
 		return destination, route // the caller uses the destination's fallback cell or rejects the request
 	}
-	route.isCold = !m.scope.recentChunks.isRecentInCell(now, event.Object, event.Chunk, destination)
-	hasCapacity := p.migration.Unbounded || m.acquire(now, destination, sizeKB, route.isCold)
+	route.isCold = !m.state.recentChunks.isRecentInCell(now, event.Object, event.Chunk, destination)
+	hasCapacity := p.migration.Unbounded || m.tryAcquire(now, destination, sizeKB, route.isCold)
 	if hasMigrated {
 		p.pace.ObserveAdmission(millis, hasCapacity)
 	}
@@ -272,13 +272,13 @@
 	return destination, route
 }
 
-// acquire reserves capacity of a cell for a request, and reports whether the cell had enough.
-func (m *migrations) acquire(now int64, cell int, sizeKB float64, isCold bool) bool {
+// tryAcquire reserves capacity of a cell for a request, and reports whether the cell had enough.
+func (m *migrations) tryAcquire(now int64, cell int, sizeKB float64, isCold bool) bool {
 	fillKB := 0.0
 	if isCold {
 		fillKB = sizeKB
 	}
-	return m.scope.cells[cell].capacity.TryAcquire(now, sizeKB, fillKB)
+	return m.state.cells[cell].capacity.TryAcquire(now, sizeKB, fillKB)
 }
 
 // recordInSource records that a chunk was requested in the source cell: the old cell, or the new one during a rollback.
@@ -287,20 +287,20 @@
 	if p.migration.RollbackStarted(m.documentMillis(now)) {
 		cell = p.toCell
 	}
-	m.scope.recentChunks.recordInCell(now, event.Object, event.Chunk, cell)
+	m.state.recentChunks.recordInCell(now, event.Object, event.Chunk, cell)
 }
 
 // admitToDestination records an admitted request for the destination. Its chunk is recorded as requested there only
 // now, because a rejected request fills nothing. The engine may send the request to the other cell if this one has no
 // capacity, but it sends no request to the destination beyond the destination's capacity.
 func (m *migrations) admitToDestination(now int64, route *migrationRoute, cell int, event *routing.Event) {
-	m.scope.recentChunks.recordInCell(now, event.Object, event.Chunk, cell)
+	m.state.recentChunks.recordInCell(now, event.Object, event.Chunk, cell)
 	m.stats.Migrated++
 	other := route.progress.fromCell
 	if event.Subset == cellSubset(other) {
 		other = route.progress.toCell
 	}
-	if event.OverflowSubset == 0 && m.scope.cells[other].hasLiveCache {
+	if event.OverflowSubset == 0 && m.state.cells[other].hasLiveCache {
 		event.OverflowSubset = cellSubset(other)
 	}
 }
@@ -313,7 +313,7 @@
 	rate := m.settings.Hierarchy.ResponseKBPerSecond
 	if event.CacheStatus.IsFilled() && rate > 0 && request.sizeKB > 0 {
 		expected := request.sizeKB / rate * 1e6
-		m.scope.cells[request.cell].capacity.ObserveFillCost(float64(event.UpstreamWait) / expected)
+		m.state.cells[request.cell].capacity.ObserveFillCost(float64(event.UpstreamWait) / expected)
 	}
 	if request.route.progress != nil {
 		m.observeAnswer(now, request, m.isLate(now, request))
--- a/core/cells/migration_test.go
+++ b/core/cells/migration_test.go
@@ -47,7 +47,7 @@
 // cellByCache returns the name of each cache's cell.
 func cellByCache(a *Admission) map[string]string {
 	cells := map[string]string{}
-	for _, cell := range a.scope.cells {
+	for _, cell := range a.state.cells {
 		for _, cache := range cell.caches {
 			cells[cache] = cell.name
 		}
--- a/core/cells/open_requests.go
+++ b/core/cells/open_requests.go
@@ -22,13 +22,13 @@
 	if limit == 0 {
 		return true
 	}
-	c := &a.scope.cells[cell]
+	c := &a.state.cells[cell]
 	if float64(c.openRequests) < c.share*limit {
 		return true
 	}
 	reserved := 0.0
-	for i := range a.scope.cells {
-		if other := &a.scope.cells[i]; i != cell && other.fairShare.activeTenants > 0 {
+	for i := range a.state.cells {
+		if other := &a.state.cells[i]; i != cell && other.fairShare.activeTenants > 0 {
 			reserved += max(other.share*limit-float64(other.openRequests), 0)
 		}
 	}
@@ -39,7 +39,7 @@
 func (a *Admission) closeRequest(id string) {
 	a.parents.forget(id)
 	if request, isOpen := a.openRequests[id]; isOpen {
-		a.scope.cells[request.cell].openRequests--
+		a.state.cells[request.cell].openRequests--
 		delete(a.openRequests, id)
 	}
 }
@@ -48,14 +48,14 @@
 // is not in it are no longer tracked.
 func (a *Admission) reassignOpenRequests(previousCells []cell, newTenantIndex []int32) {
 	for id, request := range a.openRequests {
-		newCell, exists := a.scope.assignment.cellByName[previousCells[request.cell].name]
+		newCell, exists := a.state.assignment.cellByName[previousCells[request.cell].name]
 		newTenant := newTenantIndex[request.tenant]
 		if !exists || newTenant == noTenant {
 			delete(a.openRequests, id)
 			continue
 		}
 		request.cell, request.tenant = newCell, newTenant
-		a.scope.cells[newCell].openRequests++
+		a.state.cells[newCell].openRequests++
 		a.openRequests[id] = request
 	}
 }
--- a/core/cells/parents.go
+++ b/core/cells/parents.go
@@ -250,7 +250,7 @@
 	}
 	p.planIfDue(now)
 	if group, isDue := p.dueTrial(now); isDue {
-		p.health[group].nextTrialAt = p.drawTrial(now)
+		p.health[group].nextTrialAt = p.nextTrialTime(now)
 		event.ParentSubset = firstParentSubset + group
 		return
 	}
@@ -275,8 +275,8 @@
 	return 0, false
 }
 
-// drawTrial returns a random time for the next trial, trialInterval to twice trialInterval from now.
-func (p *parentSelection) drawTrial(now int64) int64 {
+// nextTrialTime returns a random time for the next trial, trialInterval to twice trialInterval from now.
+func (p *parentSelection) nextTrialTime(now int64) int64 {
 	return now + trialInterval + int64(p.rng.Float64()*trialInterval)
 }
 
@@ -320,7 +320,7 @@
 	case event.CacheStatus == routing.SourceUnreachable:
 		h.consecutiveFailures++
 		if h.isAvailable() && h.consecutiveFailures >= failuresPerServer*len(p.serversByGroup[group]) {
-			h.nextTrialAt = p.drawTrial(now)
+			h.nextTrialAt = p.nextTrialTime(now)
 			p.planDueAt = 0
 		}
 	}
--- a/core/cells/plan/search.go
+++ b/core/cells/plan/search.go
@@ -106,13 +106,13 @@
 
 // considerSwaps considers a random sample of swaps between the worst cell and each target.
 func (s *search) considerSwaps(targets []int) {
-	outs := s.tenants[s.worstCell]
+	worstTenants := s.tenants[s.worstCell]
 	for _, to := range targets {
-		backs := s.tenants[to]
-		for range min(maxSwapSamples, len(backs)) {
-			back := backs[s.rng.IntN(len(backs))]
-			for range min(maxSwapSamples, len(outs)) {
-				s.consider(change{outs[s.rng.IntN(len(outs))], to, back})
+		targetTenants := s.tenants[to]
+		for range min(maxSwapSamples, len(targetTenants)) {
+			back := targetTenants[s.rng.IntN(len(targetTenants))]
+			for range min(maxSwapSamples, len(worstTenants)) {
+				s.consider(change{worstTenants[s.rng.IntN(len(worstTenants))], to, back})
 			}
 		}
 	}
--- a/core/cells/rollout.go
+++ b/core/cells/rollout.go
@@ -12,7 +12,7 @@
 // for or against the release.
 type rolloutGate struct {
 	*shared
-	scope    *scope
+	state    *assignmentState
 	progress *rollout.Progress // nil: no rollout is in force
 }
 
@@ -20,7 +20,7 @@
 // The rollout must be valid for the assignment in force. A new version of the rollout in force continues from this
 // router's current state.
 func (a *Admission) SetRollout(now int64, r *rollout.Rollout) error {
-	if r == nil || a.scope.spec == nil {
+	if r == nil || a.state.spec == nil {
 		a.rollout.clear()
 		return nil
 	}
@@ -128,7 +128,7 @@
 // for two reasons: new objects must be filled first and are late even with a good release, and a release that slows
 // down other requests of its cell must be detected.
 func (g *rolloutGate) count(request *openRequest, metric rollout.Metric, isBad bool) {
-	cell := g.scope.cells[request.cell].name
+	cell := g.state.cells[request.cell].name
 	if metric != rollout.LateAnswers && !request.isRelease && g.progress.CountsReleaseOnly(cell) {
 		return
 	}
--- a/core/cells/status.go
+++ b/core/cells/status.go
@@ -46,17 +46,17 @@
 
 // Status returns a snapshot of the cells, or nil without an assignment.
 func (a *Admission) Status(now int64) *Status {
-	if a.scope.spec == nil {
+	if a.state.spec == nil {
 		return nil
 	}
 	status := &Status{
-		Version:      a.scope.spec.Version,
+		Version:      a.state.spec.Version,
 		Stats:        a.Stats,
-		HeavyTenants: a.scope.heavyTenants(now),
+		HeavyTenants: a.state.heavyTenants(now),
 		HeavyObjects: a.heavyObjects.Top(maxHeavyListed),
 	}
-	for i := range a.scope.cells {
-		status.Cells = append(status.Cells, a.scope.cells[i].status())
+	for i := range a.state.cells {
+		status.Cells = append(status.Cells, a.state.cells[i].status())
 	}
 	return status
 }
@@ -77,7 +77,7 @@
 }
 
 // heavyTenants returns the active tenants with the highest usage, up to maxHeavyListed, the highest first.
-func (s *scope) heavyTenants(now int64) []HeavyTenant {
+func (s *assignmentState) heavyTenants(now int64) []HeavyTenant {
 	var heavy []HeavyTenant
 	for i := range s.tenants {
 		t := &s.tenants[i]
