--- a/core/cells/admission_test.go
+++ b/core/cells/admission_test.go
@@ -139,7 +139,7 @@
 	}
 	first := request("r1", "video")
 	if len(first) == 0 || first[0].Kind != routing.ActionSend {
-		t.Fatalf("%+v", first)
+		t.Fatalf("first request: %+v", first)
 	}
 
 	next := settings
--- a/core/cells/budget.go
+++ b/core/cells/budget.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// cost returns the cost of a request: the time for which it uses up this router's part of its most used resource, in
-// seconds, and at least minRequestCost.
+// cost returns the cost of a request in seconds: the time in which this router's part of a resource provides the amount
+// that the request needs, maximum over resources, and at least minRequestCost.
 func (b *budget) cost(fillKB, originKB float64) float64 {
 	cost := minRequestCost
 	for _, use := range [...]struct {
--- a/core/cells/migration_test.go
+++ b/core/cells/migration_test.go
@@ -281,7 +281,7 @@
 		version := int64(0)
 		for range 60 {
 			client.now += rapid.Int64Range(0, 2_000_000).Draw(t, "elapsed")
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				version++
 				client.admission.SetMigrations(client.now, drawMigrationOfCalm(t, client.now, version))
--- a/core/cells/plan/plan_test.go
+++ b/core/cells/plan/plan_test.go
@@ -106,6 +106,7 @@
 	}
 }
 
+// With 10,000 tenants and 64 cells, the maximum load of the plan must be at most 5% above its lower bound.
 func TestLargePlanIsNearLowerBound(t *testing.T) {
 	demand, objective := randomDemand(1, 10_000, 64)
 	p, err := Propose(demand, objective)
