--- a/core/cells/plan/plan.go
+++ b/core/cells/plan/plan.go
@@ -21,7 +21,7 @@
 	CurrentCell    int     // index of a cell; negative: the tenant has no cell yet
 }
 
-// Objective is the objective and the constraints of a plan.
+// Objective states what a plan must achieve: loads in proportion to the shares of cells, within these limits.
 type Objective struct {
 	Shares           []float64 // share of each cell
 	MaxPriorityShare float64   // blast radius: maximum fraction of the total priority weight in a cell; 0: no limit
@@ -42,7 +42,8 @@
 	MaxPriorityShare  float64 // maximum over cells of the fraction of the total priority weight
 }
 
-// ErrInfeasible is wrapped by the error for an objective for which no assignment was found.
+// ErrInfeasible is wrapped by the error for an objective for which the search found no assignment within the limit on
+// the priority weight ("worth") of a cell.
 var ErrInfeasible = errors.New("no assignment keeps the bound on worth")
 
 // errEmpty is the error for an objective without cells or a demand without tenants.
@@ -65,7 +66,8 @@
 	newSearch(p).run(bound)
 	plan := p.result(bound)
 	if limit := objective.MaxPriorityShare; limit > 0 && plan.MaxPriorityShare > limit+1e-9 {
-		return plan, fmt.Errorf("%w: a cell has %.3f of it, the limit is %.3f", ErrInfeasible, plan.MaxPriorityShare, limit)
+		return plan, fmt.Errorf("%w: a cell has the fraction %.3f of the total priority weight, the limit is %.3f",
+			ErrInfeasible, plan.MaxPriorityShare, limit)
 	}
 	return plan, nil
 }
--- a/core/cells/plan/plan_test.go
+++ b/core/cells/plan/plan_test.go
@@ -28,7 +28,7 @@
 	return demand, objective
 }
 
-// exhaustivePlanner returns a planner with unassigned tenants. It does not use newPlanner, to test it independently.
+// exhaustivePlanner returns a planner with unassigned tenants. It does not use newPlanner, which Propose uses.
 func exhaustivePlanner(demand []Demand, objective Objective) *planner {
 	cells := len(objective.Shares)
 	p := &planner{
@@ -44,7 +44,7 @@
 		totals[1] += d.Loads[1]
 	}
 	for i, d := range demand {
-		p.relativeLoad = append(p.relativeLoad, []float64{d.Loads[0] / totals[0], d.Loads[1] / totals[1]})
+		p.loadFraction = append(p.loadFraction, []float64{d.Loads[0] / totals[0], d.Loads[1] / totals[1]})
 		p.cellByTenant[i] = unassigned
 	}
 	for range cells {
@@ -71,7 +71,7 @@
 		p.place(tenant, cell)
 		lowest = exhaustiveBest(p, tenant+1, lowest)
 		for resource := range p.cellLoad[cell] {
-			p.cellLoad[cell][resource] -= p.relativeLoad[tenant][resource]
+			p.cellLoad[cell][resource] -= p.loadFraction[tenant][resource]
 		}
 		p.cellPriority[cell] -= p.priorityShare[tenant]
 		p.cellByTenant[tenant] = unassigned
--- a/core/cells/plan/planner.go
+++ b/core/cells/plan/planner.go
@@ -13,15 +13,15 @@
 type planner struct {
 	demand        []Demand
 	objective     Objective
-	relativeLoad  [][]float64 // by tenant and resource: fraction of the total load
+	loadFraction  [][]float64 // by tenant and resource: fraction of the total load
 	priorityShare []float64   // by tenant: fraction of the total priority weight
 	cellLoad      [][]float64 // by cell and resource: fraction of the total load
 	cellPriority  []float64   // by cell: fraction of the total priority weight
 	cellByTenant  []int       // index of a cell, or unassigned
 }
 
-// priorityPenalty is the cost of priority weight above the limit, per relative excess. It is higher than that of any
-// load.
+// priorityPenalty is the cost of priority weight that exceeds the limit by 100% of the limit. It is higher than the
+// cost of any load, so that the limit is met first.
 const priorityPenalty = 100
 
 func newPlanner(demand []Demand, objective Objective) (*planner, error) {
@@ -43,14 +43,14 @@
 	p := &planner{
 		demand:        demand,
 		objective:     objective,
-		relativeLoad:  make([][]float64, len(demand)),
+		loadFraction:  make([][]float64, len(demand)),
 		priorityShare: make([]float64, len(demand)),
 		cellLoad:      make([][]float64, cells),
 		cellPriority:  make([]float64, cells),
 		cellByTenant:  make([]int, len(demand)),
 	}
 	for i := range demand {
-		p.relativeLoad[i] = relativeTo(totals, demand[i].Loads)
+		p.loadFraction[i] = fractionsOf(totals, demand[i].Loads)
 		if totalPriority > 0 {
 			p.priorityShare[i] = demand[i].PriorityWeight / totalPriority
 		}
@@ -64,21 +64,21 @@
 
 func (d *Demand) validate(resources, cells int) error {
 	if len(d.Loads) != resources || d.CurrentCell >= cells {
-		return fmt.Errorf("demand of %s: %d loads, must be %d, or current cell index %d, must be below %d",
+		return fmt.Errorf("demand of %s: %d loads (must be %d), current cell index %d (must be below %d)",
 			d.Name, len(d.Loads), resources, d.CurrentCell, cells)
 	}
 	return nil
 }
 
-// relativeTo returns loads as fractions of their totals, 0 for a resource whose total is 0.
-func relativeTo(totals []float64, loads Loads) []float64 {
-	relative := make([]float64, len(loads))
+// fractionsOf returns loads as fractions of their totals, 0 for a resource whose total is 0.
+func fractionsOf(totals []float64, loads Loads) []float64 {
+	fractions := make([]float64, len(loads))
 	for resource, load := range loads {
 		if totals[resource] > 0 {
-			relative[resource] = load / totals[resource]
+			fractions[resource] = load / totals[resource]
 		}
 	}
-	return relative
+	return fractions
 }
 
 // placeAll places tenants in their current cells. Then it places each tenant without one in the cell where it costs
@@ -93,7 +93,7 @@
 		}
 	}
 	slices.SortStableFunc(unplaced, func(a, b int) int {
-		return cmp.Compare(floats.Max(p.relativeLoad[b]), floats.Max(p.relativeLoad[a]))
+		return cmp.Compare(floats.Max(p.loadFraction[b]), floats.Max(p.loadFraction[a]))
 	})
 	for _, i := range unplaced {
 		p.place(i, p.cheapestCell(i))
@@ -103,11 +103,11 @@
 // place places a tenant in a cell, and removes it from its previous cell.
 func (p *planner) place(tenant, cell int) {
 	if from := p.cellByTenant[tenant]; from != unassigned {
-		floats.Sub(p.cellLoad[from], p.relativeLoad[tenant])
+		floats.Sub(p.cellLoad[from], p.loadFraction[tenant])
 		p.cellPriority[from] -= p.priorityShare[tenant]
 	}
 	p.cellByTenant[tenant] = cell
-	floats.Add(p.cellLoad[cell], p.relativeLoad[tenant])
+	floats.Add(p.cellLoad[cell], p.loadFraction[tenant])
 	p.cellPriority[cell] += p.priorityShare[tenant]
 }
 
@@ -124,10 +124,10 @@
 	load := 0.0
 	for resource, sum := range p.cellLoad[cell] {
 		if added != noTenant {
-			sum += p.relativeLoad[added][resource]
+			sum += p.loadFraction[added][resource]
 		}
 		if removed != noTenant {
-			sum -= p.relativeLoad[removed][resource]
+			sum -= p.loadFraction[removed][resource]
 		}
 		load = max(load, sum)
 	}
@@ -170,8 +170,8 @@
 func (p *planner) loadLowerBound() float64 {
 	bound := 1.0
 	largestShare := floats.Max(p.objective.Shares)
-	for tenant := range p.relativeLoad {
-		bound = max(bound, floats.Max(p.relativeLoad[tenant])*p.totalShare()/largestShare)
+	for tenant := range p.loadFraction {
+		bound = max(bound, floats.Max(p.loadFraction[tenant])*p.totalShare()/largestShare)
 	}
 	return bound
 }
--- a/core/cells/plan/search.go
+++ b/core/cells/plan/search.go
@@ -9,11 +9,11 @@
 
 const (
 	noTenant         = -1
-	roundsPerTenant  = 20   // maximum number of search rounds, per tenant
-	maxTargetCells   = 4    // number of cells with the lowest cost that are considered as targets
-	maxSwapSamples   = 32   // maximum number of tenants of each cell that are sampled for swaps
-	minImprovement   = 1e-9 // improvement per migration that a change must exceed
-	searchSeedStream = 0x91a2
+	roundsPerTenant  = 20     // maximum number of search rounds, per tenant
+	maxTargetCells   = 4      // number of cells with the lowest cost that are considered as targets
+	maxSwapSamples   = 32     // maximum number of tenants of each cell that are sampled for swaps
+	minImprovement   = 1e-9   // improvement per migration that a change must exceed
+	searchSeedStream = 0x91a2 // second half of the seed of the random numbers, an arbitrary constant
 )
 
 // search improves the placement of a planner by local search.
@@ -31,9 +31,9 @@
 	bestMigrations  int // migrations that the best change adds
 }
 
-// change moves tenant out from the worst cell to cell to. If back is not noTenant, tenant back moves from that cell to
-// the worst cell in exchange.
-type change struct{ out, to, back int }
+// change moves a tenant of the worst cell to a target cell. If backTenant is not noTenant, that tenant of the target
+// cell moves to the worst cell in exchange.
+type change struct{ outTenant, targetCell, backTenant int }
 
 func newSearch(p *planner) *search {
 	s := &search{
@@ -58,10 +58,10 @@
 		}
 		targets := s.targetCells()
 		s.considerMoves(targets)
-		if s.best.out == noTenant {
+		if s.best.outTenant == noTenant {
 			s.considerSwaps(targets)
 		}
-		if s.best.out == noTenant {
+		if s.best.outTenant == noTenant {
 			return
 		}
 		s.apply()
@@ -76,7 +76,7 @@
 			s.worstCell, s.worstCost = cell, cost
 		}
 	}
-	s.best = change{out: noTenant, back: noTenant}
+	s.best = change{outTenant: noTenant, backTenant: noTenant}
 	s.bestImprovement = minImprovement
 	s.bestMigrations = 0
 }
@@ -97,9 +97,9 @@
 
 // considerMoves considers moving each tenant of the worst cell to each target.
 func (s *search) considerMoves(targets []int) {
-	for _, out := range s.tenants[s.worstCell] {
+	for _, outTenant := range s.tenants[s.worstCell] {
 		for _, to := range targets {
-			s.consider(change{out, to, noTenant})
+			s.consider(change{outTenant, to, noTenant})
 		}
 	}
 }
@@ -119,16 +119,17 @@
 }
 
 // consider makes a change the best one if it is within the limit on migrations and its improvement per migration is
-// greater than that of the best change so far.
+// greater than that of the best change so far. The improvement per migration is the improvement divided by 1 plus the
+// number of added migrations (0 if that is negative), so that changes without migrations can be compared too.
 func (s *search) consider(c change) {
-	added := s.addedMigrations(c.out, c.to)
-	if c.back != noTenant {
-		added += s.addedMigrations(c.back, s.worstCell)
+	added := s.addedMigrations(c.outTenant, c.targetCell)
+	if c.backTenant != noTenant {
+		added += s.addedMigrations(c.backTenant, s.worstCell)
 	}
 	if added > s.remainingMigrations() {
 		return
 	}
-	costAfter := max(s.cost(s.worstCell, c.back, c.out), s.cost(c.to, c.out, c.back))
+	costAfter := max(s.cost(s.worstCell, c.backTenant, c.outTenant), s.cost(c.targetCell, c.outTenant, c.backTenant))
 	if improvement := (s.worstCost - costAfter) / float64(max(added, 0)+1); improvement > s.bestImprovement {
 		s.best, s.bestImprovement, s.bestMigrations = c, improvement, added
 	}
@@ -158,9 +159,9 @@
 // apply applies the best change of the round.
 func (s *search) apply() {
 	s.migrations += s.bestMigrations
-	s.move(s.best.out, s.worstCell, s.best.to)
-	if s.best.back != noTenant {
-		s.move(s.best.back, s.best.to, s.worstCell)
+	s.move(s.best.outTenant, s.worstCell, s.best.targetCell)
+	if s.best.backTenant != noTenant {
+		s.move(s.best.backTenant, s.best.targetCell, s.worstCell)
 	}
 }
 
