--- a/core/cells/admission.go
+++ b/core/cells/admission.go
@@ -20,7 +20,7 @@
 	state        assignmentState
 	budget       budget
 	openRequests map[string]openRequest // admitted requests that have not ended, by request ID
-	heavyObjects *HeavyHitters          // by KB requested
+	heavyObjects *HeavyHitters          // objects with the most KB requested recently
 	migrations   migrations
 	rollout      rolloutGate
 
@@ -31,11 +31,12 @@
 
 // Options may be set by the owner of an Admission before the first call or between calls.
 type Options struct {
-	// DocumentClockOffset, in microseconds, is added to the time of an event to get the clock of documents (migrations,
-	// rollouts).
+	// DocumentClockOffset, in microseconds, is added to the time of an event to get the time on the clock that
+	// documents (migrations, rollouts) use.
 	DocumentClockOffset int64
 	// PlansInBackground is set if the owner polls TakePlanJob, runs the job outside of request processing and passes
-	// it to ApplyPlanJob. Otherwise plans are computed inline, while an event waits.
+	// it to ApplyPlanJob. Otherwise plans are computed inline, while an event waits. Plans for at most
+	// maxGroupsPlannedInline parent groups are computed inline in any case.
 	PlansInBackground bool
 }
 
@@ -91,8 +92,8 @@
 	return a, nil
 }
 
-// UpdateSettings replaces the settings, as routing.Engine.UpdateSettings does. An open request keeps its class by name.
-// If the new settings do not have that class, the request counts for their first class.
+// UpdateSettings replaces the settings, as routing.Engine.UpdateSettings does. An open request is then counted in the
+// class of the same name, or in the first class if the new settings have none of that name.
 func (a *Admission) UpdateSettings(now int64, settings routing.Settings) error {
 	if err := a.engine.UpdateSettings(settings); err != nil {
 		return err
@@ -143,16 +144,16 @@
 	return a.engine.RestoreLearnedState(now, state)
 }
 
-// EjectedCaches returns the listed caches of this site that the engine's circuit breakers exclude.
+// EjectedCaches returns the listed caches of this site that the engine's circuit breakers eject.
 func (a *Admission) EjectedCaches(now int64) []string { return a.engine.EjectedCaches(now) }
 
-// Parents returns all listed parents, and the subset of them that the engine's circuit breakers exclude.
-func (a *Admission) Parents(now int64) (all, excluded []string) { return a.engine.Parents(now) }
+// Parents returns all listed parents, and those of them that the engine's circuit breakers eject.
+func (a *Admission) Parents(now int64) (all, ejected []string) { return a.engine.Parents(now) }
 
 // ConfirmedOriginFills returns the number of fills in flight that are known to reach the origin.
 func (a *Admission) ConfirmedOriginFills() int { return a.engine.ConfirmedOriginFills() }
 
-// Step handles events that happen at one time and returns the resulting actions, in order.
+// Step handles events that happen at the same time and returns the resulting actions, in order.
 func (a *Admission) Step(now int64, events []routing.Event) []routing.Action {
 	if a.isPassThrough() {
 		for i := range events {
@@ -206,7 +207,7 @@
 	a.observeDecisions(now, decisions)
 	a.parents.recordAttempts(decisions)
 	a.origin.recordAttempts(decisions)
-	a.origin.announceChange(now)
+	a.origin.sendIfChanged(now)
 	if event.Kind == routing.EventEndpoints {
 		if a.state.spec != nil {
 			a.state.assignCaches(now)
@@ -219,8 +220,8 @@
 	return append(actions, decisions...)
 }
 
-// Tick advances migrations, the rollout and the fill plan, also while no requests arrive, and returns pending log
-// actions.
+// Tick advances migrations and the rollout, and computes the fill plan if that is due. Requests do the same, so Tick is
+// for times without requests. It returns pending log actions.
 func (a *Admission) Tick(now int64) []routing.Action {
 	a.parents.planIfDue(now)
 	if a.state.spec != nil {
--- a/core/cells/admission_test.go
+++ b/core/cells/admission_test.go
@@ -11,7 +11,7 @@
 
 // An Admission without an assignment must return exactly the actions of its engine, also after an assignment was
 // removed.
-func TestNoAssignmentHasNoEffect(t *testing.T) {
+func TestActionsWithoutAssignmentEqualEngine(t *testing.T) {
 	engine, err := routing.NewEngine(testSettings(), 9)
 	if err != nil {
 		t.Fatal(err)
@@ -122,8 +122,8 @@
 		Version:    1,
 		Scheme:     SchemeFixed,
 		Cells:      []Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
-		Tenants:    []Tenant{{Name: "loud", Cell: "one"}, {Name: "rest", Cell: "two"}},
-		TenantKeys: []TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "loud"}, {Tenant: "rest"}},
+		Tenants:    []Tenant{{Name: "heavy", Cell: "one"}, {Name: "rest", Cell: "two"}},
+		TenantKeys: []TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "heavy"}, {Tenant: "rest"}},
 		Budget:     Budget{RequestsPerSecond: 3000, MaxOpenRequests: 200},
 	}))
 	request := func(id, class string) []routing.Action {
@@ -139,7 +139,7 @@
 	}
 	first := request("r1", "video")
 	if len(first) == 0 || first[0].Kind != routing.ActionSend {
-		t.Fatalf("first request: %+v", first)
+		t.Fatalf("first request: got %+v, want it sent", first)
 	}
 
 	next := settings
@@ -149,16 +149,16 @@
 		t.Fatal(err)
 	}
 	if admission.classes["price"].isUncacheable {
-		t.Error("class is still uncacheable after the settings changed that")
+		t.Error("class price is still uncacheable, the new settings make it cacheable")
 	}
 	if err := admission.UpdateSettings(2000, routing.Settings{}); err == nil {
 		t.Error("settings without classes were accepted")
 	}
 	if actions := request("r2", "price"); len(actions) == 0 || actions[0].Kind != routing.ActionSend {
-		t.Errorf("class of the new settings: %+v", actions)
+		t.Errorf("request of a class of the new settings: got %+v, want it sent", actions)
 	}
 	if actions := request("r3", "video"); len(actions) != 1 || actions[0].Kind != routing.ActionFail {
-		t.Errorf("class that was removed: %+v", actions)
+		t.Errorf("request of a class that was removed: got %+v, want it failed", actions)
 	}
 
 	admission.step(3000, routing.Event{
--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -3,30 +3,31 @@
 import "spantack/routing"
 
 const (
-	defaultRequestKB      = 100.0 // assumed size of a request without one
+	defaultRequestKB      = 100.0 // assumed response size for a request that does not state it
 	minRetryAfterFraction = 0.25  // shortest Retry-After of a rejected request, as a fraction of the longest
 )
 
 // candidate is a request while admission decides on it.
 type candidate struct {
-	tenantIndex   int
-	tenant        *tenant
-	cellIndex     int
-	cell          *cell
-	class         requestClass
-	isUncacheable bool
-	isRelease     bool // the object belongs to the rollout's release
-	sizeKB        float64
-	recent        int8    // 1: its chunk was requested recently; 0: it was not
-	fillKB        float64 // estimate of KB filled over the link
-	originKB      float64 // estimate of KB sent by the origin
-	usage         float64 // usage of its tenant, divided by the tenant's weight
-	exceedsShare  bool    // the usage is above the cell's fair-share limit
-	route         migrationRoute
+	tenantIndex      int
+	tenant           *tenant
+	cellIndex        int
+	cell             *cell
+	class            requestClass
+	isUncacheable    bool
+	isRelease        bool // the object belongs to the rollout's release
+	sizeKB           float64
+	recent           int8    // 1: its chunk was requested recently; 0: it was not
+	fillKB           float64 // estimate of KB filled over the link
+	originKB         float64 // estimate of KB sent by the origin
+	usage            float64 // usage of its tenant, divided by the tenant's weight
+	exceedsFairShare bool    // the usage is above the cell's fair-share limit
+	route            migrationRoute
 }
 
 // admit decides whether the engine may handle a request, and sets the caches that the engine may use. There must be an
-// assignment in force. It does not allocate memory.
+// assignment in force. It does not allocate memory, except while its maps and lists grow, when a tenant's subset is
+// first used, and in the periodic updates of migrations and the rollout.
 func (a *Admission) admit(now int64, event *routing.Event) Reason {
 	a.state.countActiveTenants(now)
 	a.migrations.advance(now)
@@ -41,7 +42,7 @@
 	}
 	a.estimateFill(now, event, &c)
 	a.recordUsage(now, &c)
-	if c.exceedsShare && !c.isUncacheable {
+	if c.exceedsFairShare && !c.isUncacheable {
 		return ReasonHeavyTenant
 	}
 	if reason := a.checkBudget(now, &c); reason != ReasonNone {
@@ -81,9 +82,9 @@
 		}
 	}
 	needsCache := !c.isUncacheable || !a.settings.Hierarchy.AllowsDirectFetch
-	if needsCache && !a.state.cells[c.cellIndex].hasLiveCache {
+	if needsCache && !a.state.cells[c.cellIndex].hasHealthyCache {
 		c.cellIndex = a.state.cells[c.cellIndex].fallback
-		if c.cellIndex == noCell || !a.state.cells[c.cellIndex].hasLiveCache {
+		if c.cellIndex == noCell || !a.state.cells[c.cellIndex].hasHealthyCache {
 			return ReasonNoLiveCache
 		}
 		a.Stats.FellBack++
@@ -109,8 +110,8 @@
 	}
 }
 
-// recordUsage adds a request, admitted or not, to the usage and demand of its tenant, and compares the tenant's usage
-// with the cell's fair-share limit.
+// recordUsage adds a request to the usage and demand of its tenant, whether or not the cell's limit and budget then
+// admit it, and compares the tenant's usage with the cell's fair-share limit.
 func (a *Admission) recordUsage(now int64, c *candidate) {
 	cost := a.budget.cost(c.fillKB, c.originKB)
 	c.usage = c.tenant.usage.add(now, cost) / c.tenant.weight
@@ -119,15 +120,16 @@
 	fair := &c.cell.fairShare
 	fair.total.add(now, cost)
 	fair.observe(now, c.usage)
-	c.exceedsShare = fair.exceeds(now, c.usage)
+	c.exceedsFairShare = fair.exceeds(now, c.usage)
 }
 
 // checkBudget returns the reason for which the cell's budget does not allow a request, or ReasonNone. Requests of
-// tenants with low usage may put the cell into debt.
+// tenants with low usage may put the cell into debt, which is a negative number of tokens. For uncacheable requests,
+// low usage is at most the fair-share limit, for cacheable ones it is below the mean usage of the cell's tenants.
 func (a *Admission) checkBudget(now int64, c *candidate) Reason {
 	reason := ReasonNone
 	if c.isUncacheable {
-		reason = a.budget.checkUncacheable(now, c.cellIndex, !c.exceedsShare)
+		reason = a.budget.checkUncacheable(now, c.cellIndex, !c.exceedsFairShare)
 	} else {
 		reason = a.budget.check(now, c.cellIndex, c.usage < c.cell.fairShare.meanUsage(now))
 	}
@@ -145,7 +147,7 @@
 	}
 }
 
-// setSubsets sets in the event which caches the engine may use for a request.
+// setSubsets sets the subsets of the event, which limit the engine to the caches that a request may use.
 func (a *Admission) setSubsets(now int64, event *routing.Event, c *candidate) {
 	event.Subset = a.state.subsetOf(now, c.tenantIndex, c.cellIndex)
 	if overflow := a.state.overflowCell; overflow != noCell && c.cellIndex != overflow {
@@ -181,8 +183,8 @@
 	a.Stats.Admitted++
 }
 
-// rejection returns the action that rejects a request. Its Retry-After is random, from minRetryAfterFraction of the
-// longest one upwards, so that clients do not retry at the same time.
+// rejection returns the action that rejects a request. Its Retry-After is random, between minRetryAfterFraction of
+// MaxRetryAfter and MaxRetryAfter, so that clients do not retry at the same time.
 func (a *Admission) rejection(event *routing.Event) routing.Action {
 	maxRetryAfter := float64(a.settings.Permissions.MaxRetryAfter)
 	fraction := minRetryAfterFraction + (1-minRetryAfterFraction)*a.rng.Float64()
@@ -219,7 +221,7 @@
 	if status == routing.FilledFromOrigin {
 		fromOrigin = 1
 	}
-	if !request.route.isCold { // misses in a cell that is new to the tenant do not predict later misses
+	if !request.route.isCold { // a miss of a chunk that is new to a migration's destination predicts no later miss
 		tenant := &a.state.tenants[request.tenant]
 		tenant.missRatio.learn(request.recent, filled, fromOrigin, tenantLearningStep)
 		a.state.cells[tenant.cell].missRatio.learn(request.recent, filled, fromOrigin, cellLearningStep)
--- a/core/cells/admit_test.go
+++ b/core/cells/admit_test.go
@@ -27,28 +27,29 @@
 func TestFloodIsLimitedToItsCellsShare(t *testing.T) {
 	spec := twoCells()
 	spec.Budget.RequestsPerSecond = 400 // 200 for this router, 100 for each cell
-	spec.Tenants[2].Cell = "one"        // quiet shares the cell with loud
+	spec.Tenants[2].Cell = "one"        // light shares the cell with heavy
 	client := &testClient{t: t, admission: newTestAdmission(t, spec, cacheNames(8)...), now: 2 * sec}
 	sent, served := map[string]int{}, map[string]int{}
-	for i := range 10_000 { // 10 s with requests per second of 900 for loud, 80 for calm, 20 for quiet
+	for i := range 10_000 { // 10 s with requests per second of 900 for heavy, 80 for normal, 20 for light
 		client.now += msec
-		event, tenant := routing.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)}, "loud"
+		event, tenant := routing.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)}, "heavy"
 		switch {
 		case i%50 == 0:
-			event.PurgeGroup, event.Tenant, tenant = 99, "q", "quiet"
+			event.PurgeGroup, event.Tenant, tenant = 99, "q", "light"
 		case i%50 < 5:
-			event.PurgeGroup, tenant = 99, "calm"
+			event.PurgeGroup, tenant = 99, "normal"
 		}
 		sent[tenant]++
 		if client.request(event) != "" {
 			served[tenant]++
 		}
 	}
-	if served["calm"] < sent["calm"]*98/100 || served["quiet"] < sent["quiet"]*90/100 {
-		t.Errorf("sent %v, served %v", sent, served)
+	if served["normal"] < sent["normal"]*98/100 || served["light"] < sent["light"]*90/100 {
+		t.Errorf("sent %v, served %v, want at least 98%% of normal and 90%% of light", sent, served)
 	}
-	if served["loud"] > 1600 || served["loud"] < 700 {
-		t.Errorf("loud: %d served of %d; the cell's share is 1000, others leave 200", served["loud"], sent["loud"])
+	if served["heavy"] > 1600 || served["heavy"] < 700 {
+		t.Errorf("heavy: %d served of %d, want 700 to 1600: 1000 is its cell's share, 200 are unused",
+			served["heavy"], sent["heavy"])
 	}
 }
 
@@ -74,7 +75,7 @@
 // Random events: caches are added and removed, assignments change, requests end with all outcomes. Requests that have
 // ended must not count as open, a request must not go to a cache that the assignment in force does not allow, and each
 // request must get exactly one response.
-func TestInvariantsUnderRandomEvents(t *testing.T) {
+func TestRandomEventsLeaveNoOpenRequestsAndUseAllowedCaches(t *testing.T) {
 	for seed := range uint64(30) {
 		run := newRandomRun(t, seed)
 		for i := range 3000 {
--- a/core/cells/assignment_state.go
+++ b/core/cells/assignment_state.go
@@ -47,7 +47,7 @@
 	name          string
 	weight        float64
 	cell          int
-	usage         decayingSum // in seconds of this router's part of the site's resources
+	usage         decayingSum // cost of its recent requests, in seconds; see budget.cost
 	missRatio     missRatio
 	demand        demandRate
 	migration     *migrationProgress // nil: the tenant does not migrate
@@ -57,18 +57,18 @@
 
 // cell is the state of one cell at this router.
 type cell struct {
-	name         string
-	fallback     int // index of a cell, or noCell
-	share        float64
-	hasLiveCache bool
-	caches       []string // sorted
-	fairShare    fairShare
-	openRequests int
-	missRatio    missRatio // of all its tenants
-	arrivals     decayingSum
-	rejections   decayingSum               // by the engine
-	capacity     migration.CapacityLimiter // for tenants that migrate into the cell
-	warmFraction float64                   // capacity of its caches, as a fraction of their capacity when all are warm
+	name            string
+	fallback        int // index of a cell, or noCell
+	share           float64
+	hasHealthyCache bool
+	caches          []string // sorted
+	fairShare       fairShare
+	openRequests    int
+	missRatio       missRatio // of all its tenants
+	arrivals        decayingSum
+	rejections      decayingSum               // by the engine
+	capacity        migration.CapacityLimiter // for tenants that migrate into the cell
+	warmFraction    float64                   // current capacity of healthy caches / capacity of all caches when warm
 }
 
 // observeRejection records that the engine rejected a request. The cell counts as overloaded only above
@@ -79,8 +79,9 @@
 	}
 }
 
-// SetAssignment applies an assignment, or with nil removes it. Open requests end where they started. The state of
-// tenants that both assignments have is kept.
+// SetAssignment applies an assignment, or with nil removes it. Open requests end at the caches where they started. They
+// are counted in the cell of the same name in the new assignment, or no longer tracked if it lacks their cell or their
+// tenant. The state of tenants that both assignments have is kept. The state of cells starts from its initial values.
 func (a *Admission) SetAssignment(now int64, next *Assignment) {
 	a.state.dropTenantSubsets(now)
 	if next == nil {
@@ -227,7 +228,7 @@
 		if s.spec.Scheme == SchemeShuffle { // the cell's subset has all caches: each tenant has its own subset
 			caches = s.caches
 		}
-		c.hasLiveCache = slices.ContainsFunc(caches, s.endpoints.isHealthyCache)
+		c.hasHealthyCache = slices.ContainsFunc(caches, s.endpoints.isHealthyCache)
 		if slices.Equal(c.caches, caches) && len(caches) > 0 {
 			continue
 		}
--- a/core/cells/assignment_state_test.go
+++ b/core/cells/assignment_state_test.go
@@ -10,7 +10,7 @@
 
 // With fewer caches than cells, the cell with the larger share must get the cache. The other cell must reject its
 // requests, or send them to its fallback cell if it has one.
-func TestFewerCachesThanCells(t *testing.T) {
+func TestScarceCachesGoToLargestCells(t *testing.T) {
 	spec := twoCells()
 	spec.Cells[0].Share = 0.6
 	spec.Cells[1].Share = 0.4
@@ -57,11 +57,11 @@
 	changeEndpoints(admission, client.now, cache)
 	// With one cache for two cells with equal shares, the first cell gets it.
 	if one, two := client.requestBoth("1"); one == "" || two != "" {
-		t.Errorf("one cache: requests of the cells sent to %q and %q", one, two)
+		t.Errorf("one cache: requests of the cells sent to %q and %q, want the second rejected", one, two)
 	}
 	changeEndpoints(admission, client.now, endpointsWith("c7")[3:]...)
 	if one, two := client.requestBoth("2"); one == "" || two == "" || one == two {
-		t.Errorf("two caches: requests of the cells sent to %q and %q", one, two)
+		t.Errorf("two caches: requests of the cells sent to %q and %q, want two different caches", one, two)
 	}
 }
 
@@ -76,13 +76,13 @@
 	cache.Status = routing.EndpointDraining
 	changeEndpoints(admission, client.now, cache)
 	if got := client.request(routing.Event{PurgeGroup: 1, Object: "01"}); got == "" || got == draining {
-		t.Errorf("request sent to %q while the only cache drains", got)
+		t.Errorf("request sent to %q while the only cache drains, want the cache of the fallback cell", got)
 	}
 }
 
 // While routers have different versions of the assignment, each must send a tenant's requests only to the tenant's cell
 // in its own version.
-func TestRoutersWithDifferentAssignments(t *testing.T) {
+func TestRouterUsesCellsOfItsOwnVersion(t *testing.T) {
 	caches := cacheNames(9)
 	next := twoCells()
 	next.Version = 2
@@ -116,7 +116,7 @@
 			spec.OverflowCell = "spare"
 		}
 		client := &testClient{t: t, admission: newTestAdmission(t, spec, caches...), now: 2 * sec}
-		used := map[string]map[string]bool{"loud": {}, "calm": {}, "quiet": {}}
+		used := map[string]map[string]bool{"heavy": {}, "normal": {}, "light": {}}
 		for i := range 600 {
 			client.now += 10 * msec
 			event := routing.Event{PurgeGroup: int64(i % 20), Object: fmt.Sprintf("%02x", i)}
@@ -149,12 +149,12 @@
 	admission.state.tenants[2].missRatio.fill[0] = 0.1
 	next := twoCells()
 	next.Version = 2
-	next.Tenants = []Tenant{{Name: "quiet", Cell: "one"}, {Name: "new", Cell: "one"}, {Name: "loud", Cell: "two"}}
-	next.TenantKeys = []TenantKey{{PurgeGroupRange: []int{0, 9}, Tenant: "loud"}, {Tenant: "new"}}
+	next.Tenants = []Tenant{{Name: "light", Cell: "one"}, {Name: "new", Cell: "one"}, {Name: "heavy", Cell: "two"}}
+	next.TenantKeys = []TenantKey{{PurgeGroupRange: []int{0, 9}, Tenant: "heavy"}, {Tenant: "new"}}
 	admission.SetAssignment(3*sec, mustCompile(t, next))
-	quiet, added, loud := admission.state.tenants[0], admission.state.tenants[1], admission.state.tenants[2]
-	if quiet.missRatio.fill[0] != 0.1 || added.missRatio != (missRatio{}) || loud.missRatio.fill[0] != 0.95 {
-		t.Errorf("miss ratios of quiet, new, loud: %+v", admission.state.tenants)
+	light, added, heavy := admission.state.tenants[0], admission.state.tenants[1], admission.state.tenants[2]
+	if light.missRatio.fill[0] != 0.1 || added.missRatio != (missRatio{}) || heavy.missRatio.fill[0] != 0.95 {
+		t.Errorf("miss ratios of light, new, heavy: %+v", admission.state.tenants)
 	}
 }
 
@@ -168,7 +168,7 @@
 				mustCompile(b, spec)
 			}
 		})
-		b.Run(fmt.Sprintf("force/tenants=%d", size), func(b *testing.B) {
+		b.Run(fmt.Sprintf("set/tenants=%d", size), func(b *testing.B) {
 			admission := newTestAdmission(b, spec, cacheNames(256)...)
 			assignment := mustCompile(b, spec)
 			for b.Loop() {
--- a/core/cells/budget.go
+++ b/core/cells/budget.go
@@ -5,9 +5,9 @@
 const (
 	defaultReclaimMillis = 250.0 // if the budget sets no reclaim time
 	// maxOpenFraction is the fraction of the limit on open requests up to which cells may exceed their shares. The rest
-	// is reserved for tenants with low usage.
+	// is reserved for tenants with low usage, in the sense that only cells below their shares may use it.
 	maxOpenFraction = 0.9
-	// minRequestCost is the minimum cost of a request, in seconds of this router's part of the site's resources.
+	// minRequestCost is the minimum cost of a request, in seconds. See budget.cost.
 	minRequestCost = 1e-6
 )
 
@@ -44,8 +44,9 @@
 	}
 }
 
-// cost returns the cost of a request in seconds: the time in which this router's part of a resource provides the amount
-// that the request needs, maximum over resources, and at least minRequestCost.
+// cost returns the cost of a request in seconds: the amount of a resource that the request needs, divided by the rate
+// per second that this router may use of it. It is the maximum over resources with a limit, and at least
+// minRequestCost. A cost of 1 thus uses up one second of this router's part of a resource.
 func (b *budget) cost(fillKB, originKB float64) float64 {
 	cost := minRequestCost
 	for _, use := range [...]struct {
--- a/core/cells/cache_assignment.go
+++ b/core/cells/cache_assignment.go
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// affinity returns a pseudo-random number between 0 and 1 for a pair of names. It is the same at every router.
+// affinity returns the score of a pair of names for rendezvous hashing, a pseudo-random number between 0 and 1. It is
+// the same at every router.
 func affinity(a, b string) float64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -46,7 +47,8 @@
 		quotas[i]++
 		remainders[i]--
 	}
-	for ; remaining < 0; remaining++ { // caches for small cells were added: take them from the smallest remainders
+	// Small cells were rounded up to one cache. Take as many from the cells with the smallest remainders.
+	for ; remaining < 0; remaining++ {
 		i := smallestRemainder(quotas, remainders)
 		quotas[i]--
 		remainders[i]++
@@ -85,10 +87,10 @@
 	accepted [][]int   // caches by cell, unsorted
 }
 
-// divideCaches assigns each cache to one cell by a stable matching: there is no cache and cell that both prefer each
-// other to their match. Because both sides rank pairs by the same affinity, there is only one such matching. So all
-// routers with the same endpoint list compute the same result, and replacing a cache moves few others (docs/cells.md
-// has figures). The names in each cell are sorted.
+// divideCaches assigns each cache to one cell by a stable matching: if a cache has a greater affinity to another cell
+// than to its own, that cell has only caches with a still greater affinity to it. Because both sides rank pairs by the
+// same affinity, there is only one such matching. So all routers with the same endpoint list compute the same result,
+// and replacing a cache moves few others (docs/cells.md has figures). The names in each cell are sorted.
 func divideCaches(cells []Cell, caches []string) [][]string {
 	divided := make([][]string, len(cells))
 	if len(caches) == 0 {
@@ -170,9 +172,9 @@
 	return dropped
 }
 
-// drawSubset returns the width caches with the greatest affinity to a tenant, sorted by name, or all if there are no
-// more than that.
-func drawSubset(tenant string, caches []string, width int) []string {
+// rendezvousSubset returns the width caches with the greatest affinity to a tenant, sorted by name, or all caches if
+// there are no more than that.
+func rendezvousSubset(tenant string, caches []string, width int) []string {
 	if len(caches) <= width {
 		return caches
 	}
@@ -203,9 +205,9 @@
 func (s *Spec) cachesOf(tenant string, siteCaches, cellCaches []string) []string {
 	switch s.Scheme {
 	case SchemeShuffle:
-		return drawSubset(tenant, siteCaches, s.Width)
+		return rendezvousSubset(tenant, siteCaches, s.Width)
 	case SchemeNested:
-		return drawSubset(tenant, cellCaches, s.Width)
+		return rendezvousSubset(tenant, cellCaches, s.Width)
 	}
 	return cellCaches
 }
--- a/core/cells/cache_assignment_test.go
+++ b/core/cells/cache_assignment_test.go
@@ -109,7 +109,7 @@
 	}
 	fraction := float64(moved) / float64(stayed)
 	t.Logf("fraction %.4f of the other caches moved, at most %d per replacement", fraction, worst)
-	t.Logf("independent assignment of 12 caches: %d of 1200 cells empty", empty)
+	t.Logf("for comparison, independent assignment of 12 caches to 4 cells: %d of 1200 cells empty", empty)
 	if fraction > 0.05 {
 		t.Errorf("%d of %d other caches moved", moved, stayed)
 	}
--- a/core/cells/count_min_sketch.go
+++ b/core/cells/count_min_sketch.go
@@ -17,7 +17,8 @@
 	decay        decayScale
 }
 
-// maxSketchScale is the decay scale at which all counters are rescaled: float32 has 24 bits of precision.
+// maxSketchScale is the decay scale at which all counters are rescaled. It is below 2^24, because the counters are
+// float32, which has 24 bits of precision.
 const maxSketchScale = 1 << 20
 
 // NewCountMinSketch returns a sketch of depth rows with width counters each, of 4 bytes per counter. The half-life is
--- a/core/cells/count_min_sketch_test.go
+++ b/core/cells/count_min_sketch_test.go
@@ -18,8 +18,8 @@
 	return keys
 }
 
-// Estimates must not be below the counts of a map that halve every half-life, and may exceed the error bound for no
-// more keys than its probability allows.
+// Estimates must not be below the counts of a map that halve every half-life. At most a fraction exp(-depth) of the
+// keys may exceed the error bound.
 func TestCountMinSketchErrorBound(t *testing.T) {
 	const halfLife = 1e6
 	sketch := NewCountMinSketch(4096, 4, halfLife)
--- a/core/cells/demand.go
+++ b/core/cells/demand.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// demandTimeConstant, in microseconds, is the time in which a request decays to 1/e in a tenant's demand. It is one
-// minute because assignments are not planned for short peaks.
+// demandTimeConstant, in microseconds, is the time in which the weight of a request in its tenant's demand decays to
+// 1/e. It is one minute because assignments are not planned for short peaks.
 const demandTimeConstant = 60e6
 
-// demandRate is the recent demand of a tenant, of admitted and rejected requests: the capacity that a plan must
-// provide. The sums decay with demandTimeConstant.
+// demandRate is the recent demand of a tenant: the capacity that a plan must provide. It counts admitted requests and
+// those rejected for the tenant's usage or the cell's budget, but not those rejected before that, for lack of a healthy
+// cache, for a migration or for a rollout. The sums decay with demandTimeConstant.
 type demandRate struct {
 	requests       float64
 	requestedKB    float64
--- a/core/cells/doc.go
+++ b/core/cells/doc.go
@@ -8,10 +8,15 @@
 //   - the choice of the parent group for fills, by the topology;
 //   - the limit on fills that may reach the origin.
 //
-// Guarantees: a request is sent only to caches of its tenant's cell, with three exceptions: the fallback cell while the
-// tenant's cell has no healthy cache, the overflow cell of the overflow scheme, and the two cells of a migration. When
-// a cell uses its share of a common rate again, it has the whole share within the reclaim time plus the time until
-// responses in progress end, however much other cells had borrowed.
+// Guarantee on caches: a request is sent only to caches of its tenant's cell, or with scheme shuffle to the caches
+// selected for the tenant from the whole site. Other caches are used only in these cases:
+//
+//   - the fallback cell, while the tenant's cell has no healthy cache;
+//   - the overflow cell, with the overflow scheme;
+//   - both cells of a migration, while the tenant migrates.
+//
+// Guarantee on rates: a cell that left its share of a common rate unused has the whole share back, once it needs it,
+// within the reclaim time plus the time until responses in progress end, however much other cells had borrowed.
 //
 // The package does no I/O and reads no clock: callers pass times in microseconds since an epoch of their choice, and
 // random numbers come from a seed. An Admission is not safe for concurrent use. An Assignment is, as it is immutable.
--- a/core/cells/document_validation.go
+++ b/core/cells/document_validation.go
@@ -39,7 +39,7 @@
 	}
 	for _, site := range a.sitesOf(int(tenant), m) {
 		if cell := a.spec.Cells[a.cellAt(int(tenant), site)].Name; cell != m.From && cell != m.To {
-			const text = "%s is in cell %s in depot %q, neither %s nor %s"
+			const text = "%s is in cell %s at site %q, neither in %s nor in %s (site \"\": all sites not in its depots)"
 			return fieldError(path+".from", text, m.Tenant, cell, site, m.From, m.To)
 		}
 	}
@@ -73,7 +73,7 @@
 		}
 	}
 	if len(a.spec.Cells) < 2 || len(r.Rings[0].Cells) == len(a.spec.Cells) {
-		return fieldError("stage.rings[0].cells", "contains all cells, none is left for comparison")
+		return fieldError("stage.rings[0].cells", "contains all cells, none is left to compare with")
 	}
 	return nil
 }
--- a/core/cells/document_validation_test.go
+++ b/core/cells/document_validation_test.go
@@ -11,7 +11,7 @@
 // The error for an invalid migration must begin with the path of the field.
 func TestValidateMigrationsNamesInvalidField(t *testing.T) {
 	assignment := mustCompile(t, twoCells())
-	if err := assignment.ValidateMigrations(migrationOfCalm()); err != nil {
+	if err := assignment.ValidateMigrations(normalTenantMigration()); err != nil {
 		t.Fatal(err)
 	}
 	if err := assignment.ValidateMigrations(nil); err != nil {
@@ -20,12 +20,12 @@
 	for want, invalidate := range map[string]func(*migration.Migration){
 		`moves.moves[0].tenant: "x" is no tenant`: func(m *migration.Migration) { m.Tenant = "x" },
 		`moves.moves[0].from: "x" is no cell`:     func(m *migration.Migration) { m.From = "x" },
-		`moves.moves[0].from: loud is in cell one in d`: func(m *migration.Migration) {
-			m.Tenant, m.From, m.To = "loud", "two", "two"
+		`moves.moves[0].from: heavy is in cell one at site "z"`: func(m *migration.Migration) {
+			m.Tenant, m.From, m.To = "heavy", "two", "two"
 		},
 	} {
 		t.Run(want, func(t *testing.T) {
-			err := assignment.ValidateMigrations(migrationOfCalm(invalidate))
+			err := assignment.ValidateMigrations(normalTenantMigration(invalidate))
 			if err == nil || !strings.HasPrefix(err.Error(), want) {
 				t.Errorf("got %v, want prefix %q", err, want)
 			}
@@ -34,7 +34,7 @@
 	nested := twoCells()
 	nested.Scheme = SchemeNested
 	nested.Width = 2
-	err := mustCompile(t, nested).ValidateMigrations(migrationOfCalm())
+	err := mustCompile(t, nested).ValidateMigrations(normalTenantMigration())
 	if err == nil || !strings.Contains(err.Error(), "need scheme fixed or overflow") {
 		t.Errorf("scheme nested: got %v", err)
 	}
--- a/core/cells/endpoints.go
+++ b/core/cells/endpoints.go
@@ -19,7 +19,8 @@
 	return endpointList{edgeCaches: map[string]routing.Endpoint{}, parents: map[string]routing.Endpoint{}}
 }
 
-// applyEndpoints applies an update of the endpoint list. It returns false for UpdateUnavailable, which has no update.
+// applyEndpoints applies an update of the endpoint list. It changes nothing and returns false if discovery is
+// unavailable (UpdateUnavailable).
 func (s *shared) applyEndpoints(event *routing.Event) bool {
 	if event.UpdateMode == routing.UpdateUnavailable {
 		return false
@@ -61,7 +62,8 @@
 	return l.edgeCaches[name].Status == routing.EndpointHealthy
 }
 
-// routersAtSite returns the number of routers at this site, running or not, by the settings.
+// routersAtSite returns the number of routers at this site, running or not, as given in the settings, or the fleet size
+// if the settings do not give it for this site.
 func (s *shared) routersAtSite() int {
 	zone := slices.Index(s.settings.Zones, s.settings.Zone)
 	if routers := s.settings.Hierarchy.RoutersByZone; zone >= 0 && zone < len(routers) && routers[zone] > 0 {
@@ -70,10 +72,11 @@
 	return s.fleetSize()
 }
 
-// fleetSize returns the number of routers at all sites, running or not, by the settings.
+// fleetSize returns the number of routers at all sites, running or not, as given in the settings, or 1 if it is not
+// given.
 func (s *shared) fleetSize() int { return max(s.settings.FleetSize, 1) }
 
-// linkKBPerSecond returns the capacity of the link into this site by the settings, or 0 if it is not known.
+// linkKBPerSecond returns the capacity of the link into this site as given in the settings, or 0 if it is not given.
 func (s *shared) linkKBPerSecond() float64 {
 	links := s.settings.Hierarchy.ZoneLinkKBPerSecond
 	if zone := slices.Index(s.settings.Zones, s.settings.Zone); zone >= 0 && zone < len(links) {
@@ -82,7 +85,7 @@
 	return 0
 }
 
-// edgeCapacity returns the capacity model of edge caches by the settings.
+// edgeCapacity returns the capacity model of edge caches, as given in the settings.
 func (s *shared) edgeCapacity() migration.CapacityModel {
 	return migration.CapacityModel{
 		ResponseKBPerSecond: s.settings.Hierarchy.ResponseKBPerSecond,
@@ -92,7 +95,7 @@
 	}
 }
 
-// parentCapacity returns the capacity model of parents by the settings.
+// parentCapacity returns the capacity model of parents, as given in the settings.
 func (s *shared) parentCapacity() migration.CapacityModel {
 	return migration.CapacityModel{
 		ResponseKBPerSecond: s.settings.Hierarchy.ResponseKBPerSecond,
--- a/core/cells/explain.go
+++ b/core/cells/explain.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Explanation describes how a specification routes a request, for operators who want to know before applying it.
+// Explanation describes how a specification routes a request, so that operators can check the specification before they
+// apply it.
 type Explanation struct {
 	KeyIndex     int      `json:"line"` // index of the matching tenant key, from 0
 	Tenant       string   `json:"tenant"`
@@ -37,8 +38,9 @@
 // CachesByCell returns the caches of each cell at a site with the given edge caches, in the order of the cells.
 func (s *Spec) CachesByCell(caches []string) [][]string { return divideCaches(s.Cells, caches) }
 
-// Changes returns the differences between two specifications in version, cell of each tenant and share of each cell, as
-// one line of text each. It returns nil if there are none.
+// Changes describes the differences between two specifications, one line of text each: tenants and their cells, cells
+// and their shares (the previous share of a new cell is 0), and a version that is not greater than the old one. It does
+// not compare other fields, nor the cells of tenants by site. It returns nil if there are no such differences.
 func Changes(old, next *Spec) []string {
 	var lines []string
 	if next.Version <= old.Version && next.Version != 0 {
@@ -49,7 +51,7 @@
 }
 
 func tenantChanges(old, next []Tenant) (lines []string) {
-	cellOf := map[string]string{} // cell by name, of the tenants not yet found in next
+	cellOf := map[string]string{} // cell by tenant name; tenants found in next are deleted
 	for _, tenant := range old {
 		cellOf[tenant.Name] = tenant.Cell
 	}
@@ -72,7 +74,7 @@
 }
 
 func cellChanges(old, next []Cell) (lines []string) {
-	shares := map[string]float64{} // share by name, of the cells not yet found in next
+	shares := map[string]float64{} // share by cell name; cells found in next are deleted
 	for _, cell := range old {
 		shares[cell.Name] = cell.Share
 	}
--- a/core/cells/fair_share.go
+++ b/core/cells/fair_share.go
@@ -20,10 +20,11 @@
 	fairDecrease       = 0.8
 	fairIncrease       = 1.1
 	// fairMinFraction is the minimum of the limit, as a fraction of the mean usage of the cell's active tenants. A
-	// tenant that uses less than half of the mean is never rejected for its usage.
+	// tenant whose usage divided by its weight is less than half of the mean is never rejected for its usage. The mean
+	// is that of the time when the limit was last lowered.
 	fairMinFraction = 0.5
-	// fairUnlimitedPeaks is the multiple of the peak usage above which a rising limit is removed.
-	fairUnlimitedPeaks = 2
+	// fairRemovalPeaks is the multiple of the peak usage above which a rising limit is removed.
+	fairRemovalPeaks = 2
 )
 
 // observe records a tenant's usage divided by its weight.
@@ -56,7 +57,7 @@
 	if now-f.rejectedAt > fairRecoveryDelay && now-f.adjustedAt >= fairAdjustInterval {
 		f.adjustedAt = now
 		f.limit *= fairIncrease
-		if f.limit > fairUnlimitedPeaks*f.peak.valueAt(now) {
+		if f.limit > fairRemovalPeaks*f.peak.valueAt(now) {
 			f.limit = math.Inf(1)
 		}
 	}
--- a/core/cells/heavy_hitters.go
+++ b/core/cells/heavy_hitters.go
@@ -56,7 +56,9 @@
 		h.index[key] = entry
 		h.siftUp(entry.index)
 		return
-	default: // replace the smallest entry; the new key inherits its count, which may include earlier counts of that key
+	default:
+		// Replace the smallest entry. Its count is an upper bound on what the new key may have had before, so the new
+		// key's count starts from it.
 		entry = h.heap[0]
 		delete(h.index, entry.key)
 		*entry = heapEntry{key: key, count: entry.count + amount, maxOvercount: entry.count}
--- a/core/cells/helpers_test.go
+++ b/core/cells/helpers_test.go
@@ -15,18 +15,18 @@
 	sec  = 1000 * msec
 )
 
-// twoCells returns a specification with the tenant "loud" alone in cell "one", and "calm" and "quiet" in cell "two".
+// twoCells returns a specification with the tenant "heavy" alone in cell "one", and "normal" and "light" in cell "two".
 func twoCells() *Spec {
 	return &Spec{
 		Version: 1,
 		Scheme:  SchemeFixed,
 		Cells:   []Cell{{Name: "one", Share: 0.5}, {Name: "two", Share: 0.5}},
-		Tenants: []Tenant{{Name: "loud", Cell: "one"}, {Name: "calm", Cell: "two"}, {Name: "quiet", Cell: "two"}},
+		Tenants: []Tenant{{Name: "heavy", Cell: "one"}, {Name: "normal", Cell: "two"}, {Name: "light", Cell: "two"}},
 		TenantKeys: []TenantKey{
-			{PurgeGroupRange: []int{0, 9}, Tenant: "loud"},
-			{ObjectPrefix: "aa", Tenant: "calm"},
-			{DeclaredTenant: "q", Tenant: "quiet"},
-			{Tenant: "calm"},
+			{PurgeGroupRange: []int{0, 9}, Tenant: "heavy"},
+			{ObjectPrefix: "aa", Tenant: "normal"},
+			{DeclaredTenant: "q", Tenant: "light"},
+			{Tenant: "normal"},
 		},
 	}
 }
--- a/core/cells/migration.go
+++ b/core/cells/migration.go
@@ -7,7 +7,7 @@
 	"spantack/routing"
 )
 
-// capacityInterval, in microseconds, is how often the capacity of cells and the pace of migrations are updated.
+// capacityInterval, in microseconds, is how often the capacity of cells and the share of migrated objects are updated.
 const capacityInterval = 250_000
 
 // migrations selects the cells for requests of migrating tenants.
@@ -26,7 +26,7 @@
 	migration *migration.Migration
 	fromCell  int // index of a cell in the assignment in force
 	toCell    int
-	pace      migration.Pacer
+	pacer     migration.Pacer // determines the share of the tenant's objects that go to toCell
 }
 
 // migrationRoute is the routing decision for one request of a migrating tenant. The destination is the cell that
@@ -41,9 +41,9 @@
 func (r *migrationRoute) isColdInDestination() bool { return r.isCold && r.toDestination }
 
 // SetMigrations applies a document, or with nil removes the current one. The document must be valid for the assignment
-// in force. A migration that is in both the old and the new document keeps its pace. A tenant whose migration is no
-// longer in the document is in the cell of the assignment. A tenant whose migration has ended is in the cell to which
-// the migration, or its rollback, led.
+// in force. A migration that is in both the old and the new document keeps its share of migrated objects. A tenant
+// whose migration is no longer in the document is in the cell of the assignment. A tenant whose migration has ended is
+// in the cell to which the migration, or its rollback, led.
 func (a *Admission) SetMigrations(now int64, document *migration.Document) {
 	if a.state.spec == nil {
 		return
@@ -81,7 +81,7 @@
 			From:     p.migration.From,
 			To:       p.migration.To,
 			Phase:    p.migration.Phase(millis).String(),
-			Share:    p.pace.Share(),
+			Share:    p.pacer.Share(),
 			MinShare: p.migration.MinShare(millis),
 			MaxShare: p.migration.MaxShare(millis),
 		})
@@ -94,7 +94,7 @@
 func (m *migrations) clear() { m.document, m.active = nil, nil }
 
 // rebuild creates the active migrations of this site from the document and the assignment. Migrations that were active
-// before keep their pace.
+// before keep their share of migrated objects.
 func (m *migrations) rebuild(now int64) {
 	type key struct{ tenant, from, to string }
 	previous := map[key]*migrationProgress{}
@@ -115,7 +115,7 @@
 			continue
 		}
 		if before := previous[key{entry.Tenant, entry.From, entry.To}]; before != nil {
-			p.pace = before.pace
+			p.pacer = before.pacer
 		}
 		tenant.migration = p
 		m.active = append(m.active, p)
@@ -142,7 +142,7 @@
 // forceNextAdvance makes the next call of advance run without waiting for capacityInterval.
 func (m *migrations) forceNextAdvance() { m.advancedAt = 0 }
 
-// advance updates the capacity of cells and the pace of migrations, at most once per capacityInterval.
+// advance updates the capacity of cells and the share of each migration, at most once per capacityInterval.
 func (m *migrations) advance(now int64) {
 	if !m.areActive() || now-m.advancedAt < capacityInterval && m.advancedAt != 0 {
 		return
@@ -150,15 +150,16 @@
 	m.advancedAt = now
 	m.updateCapacity(now)
 	for _, p := range m.active {
-		m.pace(now, p)
+		m.updateShare(now, p)
 	}
 }
 
-// pace updates the pace of a migration. The tenant is counted in the cell that has at least half of its objects.
-func (m *migrations) pace(now int64, p *migrationProgress) {
-	p.pace.SetWarmCapacity(min(m.state.cells[p.fromCell].warmFraction, m.state.cells[p.toCell].warmFraction))
+// updateShare updates the fraction of a migrating tenant's objects that go to the new cell. The tenant belongs to the
+// new cell while that has at least half of its objects, otherwise to the old cell.
+func (m *migrations) updateShare(now int64, p *migrationProgress) {
+	p.pacer.SetWarmCapacity(min(m.state.cells[p.fromCell].warmFraction, m.state.cells[p.toCell].warmFraction))
 	cell := p.fromCell
-	if p.pace.Step(m.documentMillis(now), p.migration) >= 0.5 {
+	if p.pacer.Step(m.documentMillis(now), p.migration) >= 0.5 {
 		cell = p.toCell
 	}
 	m.state.tenants[m.state.assignment.tenantByName[p.migration.Tenant]].cell = cell
@@ -220,10 +221,11 @@
 	return capacity
 }
 
-// selectCell selects one of the two cells of a migration for a request, also while caches are replaced or lost.
-// Normally that is the cell that the migration assigns to the object at this time. If that is the destination, and it
-// has no healthy cache or no capacity, the request goes to the source, which still has the object. If the source has no
-// healthy cache, the request goes to the destination up to its capacity, and is rejected beyond that.
+// selectCell selects one of the two cells of a migration for a request. Before the migration that is the old cell,
+// after it the new one, and after a rollback the old one. In between it is normally the cell that the migration assigns
+// to the object at this time. If that is the destination, and it has no healthy cache or no capacity, the request goes
+// to the source, which still has the object. If the source has no healthy cache, the request goes to the destination up
+// to its capacity, and is rejected beyond that. An unbounded migration ignores the destination's capacity.
 func (m *migrations) selectCell(
 	now int64, p *migrationProgress, event *routing.Event, sizeKB float64,
 ) (int, migrationRoute) {
@@ -236,21 +238,21 @@
 		return p.fromCell, migrationRoute{}
 	}
 	destination, source := p.toCell, p.fromCell
-	hasMigrated := p.migration.Position(event.Object) < p.pace.Share()
+	hasMigrated := p.migration.Position(event.Object) < p.pacer.Share()
 	if p.migration.RollbackStarted(millis) {
 		destination, source = p.fromCell, p.toCell
 		hasMigrated = !hasMigrated
 	}
 	route := migrationRoute{progress: p, toDestination: hasMigrated}
-	destinationIsLive := m.state.cells[destination].hasLiveCache
-	sourceIsLive := m.state.cells[source].hasLiveCache
+	destinationIsHealthy := m.state.cells[destination].hasHealthyCache
+	sourceIsHealthy := m.state.cells[source].hasHealthyCache
 	switch {
-	case !hasMigrated && (sourceIsLive || !destinationIsLive):
+	case !hasMigrated && (sourceIsHealthy || !destinationIsHealthy):
 		m.recordInSource(now, p, event)
 		return source, route
-	case !destinationIsLive:
+	case !destinationIsHealthy:
 		route.toDestination = false
-		if sourceIsLive {
+		if sourceIsHealthy {
 			return source, route
 		}
 		return destination, route // the caller uses the destination's fallback cell or rejects the request
@@ -258,13 +260,13 @@
 	route.isCold = !m.state.recentChunks.isRecentInCell(now, event.Object, event.Chunk, destination)
 	hasCapacity := p.migration.Unbounded || m.tryAcquire(now, destination, sizeKB, route.isCold)
 	if hasMigrated {
-		p.pace.ObserveAdmission(millis, hasCapacity)
+		p.pacer.ObserveAdmission(millis, hasCapacity)
 	}
 	switch {
 	case hasCapacity:
 		route.toDestination = true
 		return destination, route
-	case sourceIsLive:
+	case sourceIsHealthy:
 		m.stats.Deferred++
 		return source, migrationRoute{progress: p}
 	}
@@ -291,8 +293,9 @@
 }
 
 // admitToDestination records an admitted request for the destination. Its chunk is recorded as requested there only
-// now, because a rejected request fills nothing. The engine may send the request to the other cell if this one has no
-// capacity, but it sends no request to the destination beyond the destination's capacity.
+// now, because a rejected request fills nothing. If the engine finds no capacity in the destination, it may send the
+// request to the overflow cell with scheme overflow, otherwise to the source. It does not send requests for the source
+// to the destination, so that the destination gets no more requests than its capacity allows.
 func (m *migrations) admitToDestination(now int64, route *migrationRoute, cell int, event *routing.Event) {
 	m.state.recentChunks.recordInCell(now, event.Object, event.Chunk, cell)
 	m.stats.Migrated++
@@ -300,12 +303,12 @@
 	if event.Subset == cellSubset(other) {
 		other = route.progress.toCell
 	}
-	if event.OverflowSubset == 0 && m.state.cells[other].hasLiveCache {
+	if event.OverflowSubset == 0 && m.state.cells[other].hasHealthyCache {
 		event.OverflowSubset = cellSubset(other)
 	}
 }
 
-// observeOutcome updates the fill cost of a cell and the pace of a migration with a served attempt.
+// observeOutcome updates the fill cost of a cell and the pacer of a migration with a served attempt.
 func (m *migrations) observeOutcome(now int64, request *openRequest, event *routing.Event) {
 	if event.Outcome != routing.OutcomeServed || !m.areActive() {
 		return // other attempts may be retried: only the end of the request shows whether it was served in time
@@ -316,18 +319,18 @@
 		m.state.cells[request.cell].capacity.ObserveFillCost(float64(event.UpstreamWait) / expected)
 	}
 	if request.route.progress != nil {
-		m.observeAnswer(now, request, m.isLate(now, request))
+		m.observeResponse(now, request, m.isLate(now, request))
 	}
 }
 
-// observeUnserved counts a request that the engine rejected or failed as late.
+// observeUnserved counts as late a request that the engine rejected, or that failed.
 func (m *migrations) observeUnserved(now int64, request *openRequest) {
 	if request.route.progress != nil {
-		m.observeAnswer(now, request, true)
+		m.observeResponse(now, request, true)
 	}
 }
 
-func (m *migrations) observeAnswer(now int64, request *openRequest, isLate bool) {
-	pace := &request.route.progress.pace
-	pace.ObserveAnswer(m.documentMillis(now), request.route.toDestination, isLate)
+func (m *migrations) observeResponse(now int64, request *openRequest, isLate bool) {
+	pacer := &request.route.progress.pacer
+	pacer.ObserveAnswer(m.documentMillis(now), request.route.toDestination, isLate)
 }
--- a/core/cells/migration_test.go
+++ b/core/cells/migration_test.go
@@ -12,11 +12,11 @@
 	"spantack/routing"
 )
 
-// migrationOfCalm returns a document with a migration of tenant "calm" from cell "two" to cell "one", with the shift
-// from second 20 to second 40.
-func migrationOfCalm(changes ...func(*migration.Migration)) *migration.Document {
+// normalTenantMigration returns a document with a migration of tenant "normal" from cell "two" to cell "one", with the
+// shift from second 20 to second 40.
+func normalTenantMigration(changes ...func(*migration.Migration)) *migration.Document {
 	m := migration.Migration{
-		Tenant:    "calm",
+		Tenant:    "normal",
 		Site:      "z",
 		From:      "two",
 		To:        "one",
@@ -55,20 +55,20 @@
 	return cells
 }
 
-// requestObjects sends n requests of tenant "calm", spread evenly over a duration. It returns the number of responses
+// requestObjects sends n requests of tenant "normal", spread evenly over a duration. It returns the number of responses
 // by cell, and of rejections under "".
 func (c *testClient) requestObjects(n int, over int64, object func(i int) string) map[string]int {
 	cells := cellByCache(c.admission)
-	answers := map[string]int{}
+	responses := map[string]int{}
 	for i := range n {
 		c.now += over / int64(n)
 		cache := c.request(routing.Event{PurgeGroup: 50, Object: object(i), SizeKB: 50})
-		answers[cells[cache]]++
+		responses[cells[cache]]++
 	}
-	return answers
+	return responses
 }
 
-// oneOf50Objects returns an object of tenant "calm", the same for every 50th i.
+// oneOf50Objects returns object number i modulo 50 of tenant "normal".
 func oneOf50Objects(i int) string { return fmt.Sprintf("aa%014x", i%50) }
 
 // drainCell marks all caches of a cell as draining.
@@ -84,28 +84,28 @@
 
 // Before, during and after a migration, requests must go to the cells that the document requires at that time.
 func TestMigrationRoutesByPhase(t *testing.T) {
-	client := newMigrationClient(t, twoCells(), migrationOfCalm())
+	client := newMigrationClient(t, twoCells(), normalTenantMigration())
 	if got := client.requestObjects(100, 9*sec, oneOf50Objects); got["two"] != 100 {
-		t.Errorf("before the start: %v", got)
+		t.Errorf("before the start: responses by cell %v, want 100 from two", got)
 	}
 	client.requestObjects(1000, 11*sec, oneOf50Objects)
 	status := client.admission.Migrations(client.now)[0]
 	if status.Phase != "shifting" || status.Share < 0.4 || status.Share > status.MaxShare {
-		t.Errorf("during the shift: %+v", status)
+		t.Errorf("during the shift: status %+v, want a share from 0.4 to MaxShare", status)
 	}
 	half := client.requestObjects(500, sec/10, oneOf50Objects)
 	if half["one"] < 100 || half["two"] < 100 || half["one"]+half["two"] != 500 {
-		t.Errorf("during the shift: %v", half)
+		t.Errorf("during the shift: responses by cell %v, want at least 100 from each, 500 together", half)
 	}
 	client.checkChunksInOneCell()
 	client.now = 45 * sec
 	client.requestObjects(200, sec, oneOf50Objects)
 	if got := client.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 {
-		t.Errorf("after the shift: %v", got)
+		t.Errorf("after the shift: responses by cell %v, want 100 from one", got)
 	}
 	client.now = 60 * sec
 	if got := client.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 {
-		t.Errorf("after the migration: %v", got)
+		t.Errorf("after the migration: responses by cell %v, want 100 from one", got)
 	}
 	spec := twoCells()
 	spec.Version = 2
@@ -114,7 +114,7 @@
 	client.admission.SetMigrations(client.now, &migration.Document{Version: 2})
 	got := client.requestObjects(100, sec, oneOf50Objects)
 	if got["one"] != 100 || len(client.admission.Migrations(client.now)) != 0 {
-		t.Errorf("with an assignment that has the tenant in the new cell: %v", got)
+		t.Errorf("assignment has the tenant in the new cell: responses by cell %v, want 100 from one, no status", got)
 	}
 }
 
@@ -136,12 +136,13 @@
 }
 
 // Until the migration ends, the rate of requests for chunks that the destination does not have must not exceed its
-// capacity. Here the link allows 40 KB per second of fills for the cell at this router. Without the capacity limiter
-// the rate is 19 times as high.
+// capacity. Here the link allows 40 KB per second of fills for the cell at this router: its budget is for 2 routers and
+// 2 cells, and a migration may use the fraction 0.85 of a capacity. Without the capacity limiter, the rate is 19 times
+// as high.
 func TestMigrationStaysWithinDestinationCapacity(t *testing.T) {
 	spec := twoCells()
 	spec.Budget.FillKBPerSecond = 2 * 2 * 40 / 0.85
-	client := newMigrationClient(t, spec, migrationOfCalm(boundByCapacity))
+	client := newMigrationClient(t, spec, normalTenantMigration(boundByCapacity))
 	client.now = 20 * sec
 	cells := cellByCache(client.admission)
 	hasMigrated := map[string]bool{} // by object
@@ -156,7 +157,7 @@
 		}
 	}
 	if client.admission.Stats.Deferred == 0 {
-		t.Error("nothing was deferred")
+		t.Error("no request was sent to the source for lack of capacity in the destination")
 	}
 	for second := range coldKB {
 		if sum := coldKB[second] + coldKB[second+1] + coldKB[second+2]; sum > 3.5*40+20 {
@@ -168,11 +169,11 @@
 	}
 }
 
-// A cell of a migration loses all its caches. Requests must go to the other cell, and be rejected if that lacks the
-// capacity or the migration is over.
-func TestMigrationSurvivesLossOfACell(t *testing.T) {
+// A cell of a migration loses all its caches. Requests must go to the other cell. They must be rejected if the other
+// cell lacks the capacity, or if the migration is over.
+func TestMigrationUsesOtherCellIfOneIsLost(t *testing.T) {
 	halfWay := func() *testClient {
-		client := newMigrationClient(t, twoCells(), migrationOfCalm())
+		client := newMigrationClient(t, twoCells(), normalTenantMigration())
 		client.now = 19 * sec
 		client.requestObjects(600, 11*sec, oneOf50Objects)
 		return client
@@ -180,38 +181,39 @@
 	client := halfWay()
 	client.drainCell("one")
 	if got := client.requestObjects(200, sec, oneOf50Objects); got["two"] != 200 {
-		t.Errorf("destination lost during the shift: %v", got)
+		t.Errorf("destination lost during the shift: responses by cell %v, want 200 from two", got)
 	}
 	client.now = 60 * sec
 	if got := client.requestObjects(200, sec, oneOf50Objects); got[""] != 200 {
-		t.Errorf("destination lost, after the migration: %v", got)
+		t.Errorf("destination lost, after the migration: responses by cell %v, want 200 rejected", got)
 	}
 	client = halfWay()
 	client.drainCell("two")
 	if got := client.requestObjects(200, sec, oneOf50Objects); got["one"] != 200 {
-		t.Errorf("source lost during the shift: %v", got)
+		t.Errorf("source lost during the shift: responses by cell %v, want 200 from one", got)
 	}
 	// If the migration is limited by capacity, requests beyond the destination's capacity are rejected at once, with
 	// ReasonMigrating.
 	spec := twoCells()
 	spec.Budget.FillKBPerSecond = 100
-	client = newMigrationClient(t, spec, migrationOfCalm(boundByCapacity))
+	client = newMigrationClient(t, spec, normalTenantMigration(boundByCapacity))
 	client.now = 25 * sec
 	client.drainCell("two")
 	got := client.requestObjects(400, sec, func(i int) string { return fmt.Sprintf("aa%014x", i) })
 	rejected := client.admission.Stats.Rejected
 	if got["one"] == 0 || got[""] == 0 || rejected[ReasonMigrating] == 0 {
-		t.Errorf("source lost, and the destination has little capacity: %v, rejected %v", got, rejected)
+		t.Errorf("source lost, little capacity in the destination: responses by cell %v, rejected %v, want both",
+			got, rejected)
 	}
 }
 
 // After a rollback all objects must be in the old cell within the duration of one shift. A router that starts during a
 // migration must continue at the share that the document requires.
-func TestMigrationRollbackAndRestart(t *testing.T) {
-	client := newMigrationClient(t, twoCells(), migrationOfCalm())
+func TestRollbackReturnsObjectsAndStartedRouterContinues(t *testing.T) {
+	client := newMigrationClient(t, twoCells(), normalTenantMigration())
 	client.now = 25 * sec
 	client.requestObjects(200, 10*sec, oneOf50Objects)
-	rollback := migrationOfCalm(func(m *migration.Migration) { m.RollbackAt = 35_000 })
+	rollback := normalTenantMigration(func(m *migration.Migration) { m.RollbackAt = 35_000 })
 	rollback.Version = 2
 	client.admission.SetMigrations(client.now, rollback)
 	for range 100 { // during the rollback the position of an object determines its cell
@@ -226,28 +228,28 @@
 	}
 	client.requestObjects(400, 30*sec, oneOf50Objects)
 	if got := client.requestObjects(100, sec, oneOf50Objects); got["two"] != 100 {
-		t.Errorf("after the rollback: %v", got)
+		t.Errorf("after the rollback: responses by cell %v, want 100 from two", got)
 	}
 
 	restarted := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 30 * sec}
-	restarted.admission.SetMigrations(restarted.now, migrationOfCalm(boundByCapacity))
+	restarted.admission.SetMigrations(restarted.now, normalTenantMigration(boundByCapacity))
 	status := restarted.admission.Migrations(restarted.now)[0]
 	if status.Share != status.MinShare || status.Share < 0.2 {
-		t.Errorf("router started during the shift: %+v", status)
+		t.Errorf("router started during the shift: status %+v, want the minimum share, at least 0.2", status)
 	}
 	restarted.now = 90 * sec
 	if got := restarted.requestObjects(100, sec, oneOf50Objects); got["one"] != 100 {
-		t.Errorf("router started during the shift, after the migration: %v", got)
+		t.Errorf("router started during the shift, after the migration: responses by cell %v, want 100 from one", got)
 	}
 }
 
 // A tenant floods while it migrates. The tenants of the destination must be served as without the flood.
-func TestFloodOfMigratingTenantSparesDestination(t *testing.T) {
+func TestMigratingTenantFloodDoesNotAffectDestination(t *testing.T) {
 	servedFraction := func(floodFactor int) float64 {
 		spec := twoCells()
 		spec.Budget = Budget{RequestsPerSecond: 800, FillKBPerSecond: 4000}
 		client := &testClient{t: t, admission: newTestAdmission(t, spec, cacheNames(8)...), now: 18 * sec}
-		client.admission.SetMigrations(client.now, migrationOfCalm(boundByCapacity))
+		client.admission.SetMigrations(client.now, normalTenantMigration(boundByCapacity))
 		sent, served := 0, 0
 		for i := range 6000 {
 			client.now += 5 * msec
@@ -284,7 +286,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				version++
-				client.admission.SetMigrations(client.now, drawMigrationOfCalm(t, client.now, version))
+				client.admission.SetMigrations(client.now, drawNormalTenantMigration(t, client.now, version))
 			case 1:
 				cache := endpointsWith(caches[rapid.IntRange(0, 8).Draw(t, "cache")])[3]
 				cache.Status = rapid.SampledFrom([]routing.EndpointStatus{
@@ -307,9 +309,9 @@
 	})
 }
 
-// drawMigrationOfCalm returns a random document whose migration starts between 30 s before and 10 s after now.
-func drawMigrationOfCalm(t *rapid.T, now, version int64) *migration.Document {
-	document := migrationOfCalm(func(m *migration.Migration) {
+// drawNormalTenantMigration returns a random document whose migration starts between 30 s before and 10 s after now.
+func drawNormalTenantMigration(t *rapid.T, now, version int64) *migration.Document {
+	document := normalTenantMigration(func(m *migration.Migration) {
 		m.Start = float64(now)/1000 + rapid.Float64Range(-30_000, 10_000).Draw(t, "start")
 		m.Unbounded = rapid.Bool().Draw(t, "unbounded")
 		if rapid.Bool().Draw(t, "rolls back") {
@@ -323,7 +325,7 @@
 // A document with migrations at other sites only must not change the routing at this site.
 func TestMigrationsAtOtherSitesHaveNoEffect(t *testing.T) {
 	plain := &testClient{t: t, admission: newTestAdmission(t, twoCells(), cacheNames(8)...), now: 10 * sec}
-	elsewhere := migrationOfCalm(func(m *migration.Migration) { m.Site = "elsewhere" })
+	elsewhere := normalTenantMigration(func(m *migration.Migration) { m.Site = "elsewhere" })
 	other := newMigrationClient(t, twoCells(), elsewhere)
 	for i := range 2000 {
 		event := routing.Event{PurgeGroup: int64(i % 60), Object: fmt.Sprintf("%016x", i%37), SizeKB: float64(i % 90)}
@@ -381,5 +383,5 @@
 			admission.closeRequest("x")
 		}
 	}
-	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(document.Migrations)), "B/move")
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(document.Migrations)), "B/migration")
 }
--- a/core/cells/open_requests.go
+++ b/core/cells/open_requests.go
@@ -9,7 +9,7 @@
 	route         migrationRoute // of a migrating tenant's request
 	tenant        int32
 	cell          int32
-	class         int16 // index in the settings; 0 while there is neither a migration nor a rollout
+	class         int16 // index in the settings; 0 if there was no migration and no rollout when it was admitted
 	recent        int8  // index in missRatio; 1: its chunk was requested recently
 	isUncacheable bool
 	isRelease     bool // the object belongs to the rollout's release
--- a/core/cells/open_requests_test.go
+++ b/core/cells/open_requests_test.go
@@ -38,15 +38,15 @@
 	}
 	open("first", 99, "x")
 	now += sec
-	loud := openMany(1, 30)
-	calm := openMany(99, 9)
-	if len(loud) > 12 || len(calm) < 8 {
-		t.Errorf("open requests with a limit of 20: loud %d, calm %d", len(loud), len(calm))
+	heavy := openMany(1, 30)
+	normal := openMany(99, 9)
+	if len(heavy) > 12 || len(normal) < 8 {
+		t.Errorf("open requests with a limit of 20: heavy %d, normal %d", len(heavy), len(normal))
 	}
-	for _, id := range loud {
+	for _, id := range heavy {
 		admission.step(now, routing.Event{Kind: routing.EventAborted, RequestID: id})
 	}
-	if got, want := len(admission.openRequests), len(calm)+1; got != want {
+	if got, want := len(admission.openRequests), len(normal)+1; got != want {
 		t.Errorf("%d open requests after the others were aborted, want %d", got, want)
 	}
 }
--- a/core/cells/origin_limit.go
+++ b/core/cells/origin_limit.go
@@ -10,10 +10,10 @@
 const (
 	initialOriginFraction = 0.15 // initial estimate of the fraction of fill attempts that reach the origin
 	originFractionStep    = 0.01 // weight of a new sample in that estimate
-	minOriginFraction     = 0.02 // minimum of the fraction in use: a surge of new objects can't be predicted
-	announceStep          = 0.05 // minimum relative change of the limit that is sent to the engine
-	minAnnounced          = 0.01 // minimum limit sent to the engine, as 0 means no limit
-	maxAbandoned          = 4096 // maximum number of abandoned fetches that are tracked, far above any limit
+	minOriginFraction     = 0.02 // lower bound on the fraction used: a surge of new objects can't be predicted
+	minSentChange         = 0.05 // minimum relative change of the limit that is sent to the engine
+	minSentLimit          = 0.01 // minimum limit sent to the engine, as 0 means no limit
+	maxAbandoned          = 4096 // maximum number of abandoned fetches that are tracked; meant to be far above any limit
 )
 
 // originGate sets the engine's limits on fills in flight that may reach the origin.
@@ -21,14 +21,16 @@
 	*shared
 	limiter         *originLimiter // nil: no document is in force
 	assignmentLimit float64        // this router's part of the assignment's limit on fills; 0: no limit
-	lease           float64        // fills that the fleet limit grants this router; 0: no limit
-	announced       float64        // limit on attempts that was last sent to the engine
+	quota           float64        // fills that the fleet limit grants this router; 0: no limit
+	sentLimit       float64        // limit on attempts that was last sent to the engine
 }
 
-// originLimiter estimates how many fetches from the origin are in flight, and adapts a limit on them. An attempt with a
-// source reaches the origin only if neither the edge cache nor the parent has the object, which is not known before the
-// attempt ends. So each attempt in flight is weighted by the fraction of recent attempts that reached the origin. An
-// attempt that ended without a response counts as a whole fetch for as long as the parent may continue it.
+// originLimiter estimates how many fetches from the origin are in flight, and adapts a limit on them. An attempt causes
+// a fill if the edge cache does not have the object. A fill from a parent causes a fetch from the origin if the parent
+// does not have the object either. Neither is known before the attempt ends. So an attempt in flight that may fill from
+// a parent counts as the fraction of recent such attempts that reached the origin. An attempt that may fill directly
+// from the origin counts as a whole fetch. So does an attempt that ended without a response, for as long as the parent
+// may continue its fetch.
 type originLimiter struct {
 	document       originlimit.Document
 	limit          *originlimit.Limit
@@ -44,12 +46,12 @@
 	return a.origin.setDocument(now, document)
 }
 
-// SetOriginFillQuota limits the fills that are known to reach the origin, because their source does not have the
-// object, to this router's lease of the fleet limit (core/fleet). 0 means no limit.
+// SetOriginFillQuota limits this router's confirmed origin fills to its quota of the fleet limit (core/fleet). These
+// are known to reach the origin, because their source does not have the object. 0 means no limit.
 func (a *Admission) SetOriginFillQuota(now int64, maxFills float64) {
-	if maxFills != a.origin.lease {
-		a.origin.lease = maxFills
-		a.origin.announce(now)
+	if maxFills != a.origin.quota {
+		a.origin.quota = maxFills
+		a.origin.sendLimits(now)
 	}
 }
 
@@ -81,7 +83,7 @@
 	if document == nil {
 		if g.limiter != nil {
 			g.limiter = nil
-			g.announce(now)
+			g.sendLimits(now)
 		}
 		return nil
 	}
@@ -102,42 +104,42 @@
 		originFraction: initialOriginFraction,
 		inFlight:       map[string]bool{},
 	}
-	g.announce(now)
+	g.sendLimits(now)
 	return nil
 }
 
-// setAssignmentLimit applies the assignment's limit on fills that may reach the origin, of all routers together. 0
-// means no limit.
+// setAssignmentLimit applies the assignment's limit on fills that may reach the origin. It is for all routers together.
+// 0 means no limit.
 func (g *originGate) setAssignmentLimit(now int64, maxFills int) {
 	g.assignmentLimit = float64(maxFills) / float64(g.fleetSize())
-	g.announce(now)
+	g.sendLimits(now)
 }
 
-// announce sends the limits to the engine.
-func (g *originGate) announce(now int64) { g.send(now, g.maxAttempts(now)) }
+// sendLimits sends the limits to the engine.
+func (g *originGate) sendLimits(now int64) { g.send(now, g.maxAttempts(now)) }
 
-// announceChange sends the limits to the engine if the limit on attempts has changed by more than announceStep.
-func (g *originGate) announceChange(now int64) {
+// sendIfChanged sends the limits to the engine if the limit on attempts has changed by more than minSentChange.
+func (g *originGate) sendIfChanged(now int64) {
 	if g.limiter == nil {
 		return
 	}
 	limit := g.maxAttempts(now)
-	if math.Abs(limit-g.announced) > announceStep*g.announced {
+	if math.Abs(limit-g.sentLimit) > minSentChange*g.sentLimit {
 		g.send(now, limit)
 	}
 }
 
 func (g *originGate) send(now int64, limit float64) {
-	g.announced = limit
+	g.sentLimit = limit
 	g.engine.Step(now, []routing.Event{{
 		Kind:                    routing.EventOriginFillBounds,
 		MaxPossibleOriginFills:  limit,
-		MaxConfirmedOriginFills: g.lease,
+		MaxConfirmedOriginFills: g.quota,
 	}})
 }
 
-// maxAttempts returns the limit on attempts in flight that may reach the origin, by the document and the assignment. 0
-// means no limit.
+// maxAttempts returns the limit on attempts in flight that may reach the origin: the lower of the limits that the
+// document and the assignment allow. 0 means no limit.
 func (g *originGate) maxAttempts(now int64) float64 {
 	if g.limiter == nil {
 		return g.assignmentLimit
@@ -150,7 +152,7 @@
 }
 
 // maxAttempts updates the estimate of fetches in flight and returns how many attempts may be in flight within the
-// limit, at least minAnnounced.
+// limit, at least minSentLimit.
 func (l *originLimiter) maxAttempts(now int64) float64 {
 	for len(l.abandonedUntil) > 0 && l.abandonedUntil[0] <= now {
 		l.abandonedUntil = l.abandonedUntil[1:]
@@ -160,7 +162,7 @@
 	possible := float64(len(l.inFlight) - l.directInFlight)
 	l.limit.SetInFlight(int(math.Round(possible*fraction + certain)))
 	free := max(l.limit.Current()*(1-l.document.Reserve)-certain, 0)
-	return max(minAnnounced, free/fraction)
+	return max(minSentLimit, free/fraction)
 }
 
 // recordAttempts records started attempts that may reach the origin.
--- a/core/cells/origin_limit_test.go
+++ b/core/cells/origin_limit_test.go
@@ -89,7 +89,7 @@
 	return a.Source == "" || a.Source == a.Server || a.FetchFlags&routing.FetchCachedOnly != 0
 }
 
-// originLoad sends requests and ends their attempts.
+// originLoad sends requests and simulates caches that end each attempt after responseTime.
 type originLoad struct {
 	admission    *Admission
 	responseTime int64                       // of each attempt, ms
@@ -159,8 +159,8 @@
 	delete(l.inFlight, now)
 }
 
-// originAnswer returns an outcome function for fills from the origin that take waitMs.
-func originAnswer(waitMs int64) func(int) routing.Event {
+// originResponse returns an outcome function for fills from the origin that take waitMs.
+func originResponse(waitMs int64) func(int) routing.Event {
 	return func(int) routing.Event {
 		return routing.Event{
 			Outcome:      routing.OutcomeServed,
@@ -174,20 +174,20 @@
 // the share plus borrowed capacity to the share minus the reserve. The other attempts must request cached copies only.
 func TestOriginLimitBoundsFills(t *testing.T) {
 	admission := newLimitedAdmission(t, &originLimitDocument)
-	runLoad(admission, 0, 3000, 60, originAnswer(55)) // to learn the fraction of fills that reach the origin
-	fast, _ := runLoad(admission, 4000, 2000, 60, originAnswer(55))
+	runLoad(admission, 0, 3000, 60, originResponse(55)) // to learn the fraction of fills that reach the origin
+	fast, _ := runLoad(admission, 4000, 2000, 60, originResponse(55))
 	share := originLimitDocument.MaxInFlight / 2
 	if limit := originLimitDocument.Burst * share / 0.9; float64(fast) > limit || float64(fast) < share {
 		t.Errorf("fast origin: at most %d in flight; the share is %v, with the maximum burst %v", fast, share, limit)
 	}
-	runLoad(admission, 7000, 2000, 400, originAnswer(390))
-	slow, cachedOnly := runLoad(admission, 10_000, 2000, 400, originAnswer(390))
+	runLoad(admission, 7000, 2000, 400, originResponse(390))
+	slow, cachedOnly := runLoad(admission, 10_000, 2000, 400, originResponse(390))
 	if float64(slow) > share+1 || cachedOnly < 100 || slow == 0 {
 		t.Errorf("slow origin: at most %d in flight, the share is %v; %d cached only", slow, share, cachedOnly)
 	}
 	unlimited := newLimitedAdmission(t, nil)
-	runLoad(unlimited, 0, 3000, 60, originAnswer(55))
-	if inFlight, _ := runLoad(unlimited, 4000, 2000, 400, originAnswer(390)); float64(inFlight) < 3*share {
+	runLoad(unlimited, 0, 3000, 60, originResponse(55))
+	if inFlight, _ := runLoad(unlimited, 4000, 2000, 400, originResponse(390)); float64(inFlight) < 3*share {
 		t.Errorf("without a limit: only %d in flight, the load is too low for this test", inFlight)
 	}
 }
@@ -196,7 +196,7 @@
 // also holds for abandoned fetches.
 func TestOriginLimitCountsAbandonedFills(t *testing.T) {
 	admission := newLimitedAdmission(t, &originLimitDocument)
-	runLoad(admission, 0, 3000, 60, originAnswer(55))
+	runLoad(admission, 0, 3000, 60, originResponse(55))
 	timedOut := func(int) routing.Event { return routing.Event{Outcome: routing.OutcomeTimedOut} }
 	sent := 0
 	for i := range 10 { // 10 intervals of 150 ms: every attempt times out after 50 ms
@@ -205,7 +205,7 @@
 		sent += admission.OriginLimitStatus().Abandoned - before
 	}
 	if limit := originLimitDocument.Burst * originLimitDocument.MaxInFlight / 2; float64(sent) > 2*limit {
-		t.Errorf("%d attempts abandoned within 1.5 s, the limit is %v", sent, limit)
+		t.Errorf("%d attempts abandoned within 1.5 s, want at most twice the limit of %v", sent, limit)
 	}
 	if n := admission.OriginLimitStatus().Abandoned; n == 0 {
 		t.Error("no fetch counts as abandoned")
@@ -253,13 +253,13 @@
 
 // An invalid document must keep the current limit. After the limit is removed, actions must be the same as without a
 // limit from the start.
-func TestNoOriginLimitHasNoEffect(t *testing.T) {
+func TestInvalidOriginLimitIsIgnoredAndRemovedLimitHasNoEffect(t *testing.T) {
 	admission, unlimited := newLimitedAdmission(t, &originLimitDocument), newLimitedAdmission(t, nil)
 	invalid := originLimitDocument
 	invalid.Burst = 0
 	err := admission.SetOriginLimit(0, &invalid)
 	if err == nil || admission.OriginLimitStatus() == nil || admission.origin.limiter.document != originLimitDocument {
-		t.Errorf("invalid document: %v", err)
+		t.Errorf("invalid document: got error %v, want an error and the old limit still in force", err)
 	}
 	if err := admission.SetOriginLimit(0, nil); err != nil || admission.OriginLimitStatus() != nil {
 		t.Fatal(err)
@@ -274,7 +274,7 @@
 
 func BenchmarkStepWithOriginLimit(b *testing.B) {
 	for _, isLimited := range []bool{false, true} {
-		b.Run(fmt.Sprintf("shield=%v", isLimited), func(b *testing.B) {
+		b.Run(fmt.Sprintf("originLimit=%v", isLimited), func(b *testing.B) {
 			admission := newLimitedAdmission(b, nil)
 			if isLimited {
 				if err := admission.SetOriginLimit(0, &originLimitDocument); err != nil {
--- a/core/cells/parents.go
+++ b/core/cells/parents.go
@@ -25,7 +25,7 @@
 	// they are planned when the endpoint list changes.
 	replanInterval = 500_000
 	// maxGroupsPlannedInline is the maximum number of parent groups for which a plan is computed while an event waits.
-	// That takes well under a millisecond; a plan for 40 groups takes 170 ms.
+	// Such a plan takes well under 1 ms. A plan for 40 groups takes 170 ms, for which events can't wait.
 	maxGroupsPlannedInline = 8
 	// minLoggedFraction is the smallest fraction of the fills that is logged.
 	minLoggedFraction = 0.05
@@ -33,11 +33,11 @@
 
 // A parent group is unavailable after failuresPerServer consecutive failed fills for each of its servers. That is about
 // when the engine has opened the circuit breakers of all its servers, and not when one of several has failed. While the
-// group is unavailable, a router sends it one trial fill at random intervals of trialInterval to twice trialInterval,
-// so that the trials of different routers do not coincide.
+// group is unavailable, a router sends it one fill as a probe, at random intervals of probeInterval to twice
+// probeInterval, so that the probes of different routers do not coincide.
 const (
 	failuresPerServer = 3
-	trialInterval     = 1_000_000 // microseconds
+	probeInterval     = 1_000_000 // microseconds
 )
 
 // parentSelection distributes this router's fills over parent groups by a topology.
@@ -59,10 +59,10 @@
 // list does.
 type parentGroupHealth struct {
 	consecutiveFailures int
-	nextTrialAt         int64 // time of the next trial fill, microseconds; 0: the group is available
+	nextProbeAt         int64 // time of the next probe, microseconds; 0: the group is available
 }
 
-func (h *parentGroupHealth) isAvailable() bool { return h.nextTrialAt == 0 }
+func (h *parentGroupHealth) isAvailable() bool { return h.nextProbeAt == 0 }
 
 // SetTopology applies a topology, or with nil removes it. It has effect with and without an assignment.
 func (a *Admission) SetTopology(now int64, graph *hierarchy.Graph) { a.parents.setTopology(now, graph) }
@@ -205,7 +205,8 @@
 
 func (p *parentSelection) applyPlan(plan *hierarchy.FillPlan, err error) {
 	p.planErr = err
-	if err != nil { // not expected with capacities from the endpoint list; fills then go as without a topology
+	if err != nil {
+		// Not expected with capacities from the endpoint list. Parents are then selected as if there were no topology.
 		p.route = hierarchy.Route{}
 	} else {
 		p.route = plan.Route(p.settings.Zone)
@@ -213,7 +214,8 @@
 	p.logPlan()
 }
 
-// logPlan logs the fractions of fills for each target and of rejected fills, in tenths, if they have changed.
+// logPlan logs the fraction of fills for each target and the fraction without capacity, with one decimal, if they have
+// changed.
 func (p *parentSelection) logPlan() {
 	text := p.describePlan()
 	if text != p.lastLogged {
@@ -229,28 +231,28 @@
 			targets = append(targets, fmt.Sprintf("%s %.1f", p.graph.TargetName(i), fraction))
 		}
 	}
-	text := "fills go to " + strings.Join(targets, ", ")
+	text := "fill fractions by target: " + strings.Join(targets, ", ")
 	switch {
 	case p.planErr != nil:
 		text = "planning fills failed: " + p.planErr.Error()
 	case len(targets) == 0:
-		text = "topology has no route for fills, they go as without a topology"
+		text = "the topology has no route for fills; parents are selected as if there were no topology"
 	}
 	if p.route.RejectedFraction >= minLoggedFraction {
-		text += fmt.Sprintf("; no capacity for %.1f of them", p.route.RejectedFraction)
+		text += fmt.Sprintf("; fraction without capacity: %.1f", p.route.RejectedFraction)
 	}
 	return text
 }
 
-// selectGroup sets in the event the parent group for a request's fills. An object keeps its group while the fractions
-// of the plan stay the same.
+// selectGroup selects the parent group for a request's fills and sets its subset in the event. An object keeps its
+// group while the fractions of the plan stay the same.
 func (p *parentSelection) selectGroup(now int64, event *routing.Event) {
 	if p.graph == nil {
 		return
 	}
 	p.planIfDue(now)
-	if group, isDue := p.dueTrial(now); isDue {
-		p.health[group].nextTrialAt = p.nextTrialTime(now)
+	if group, isDue := p.dueProbe(now); isDue {
+		p.health[group].nextProbeAt = p.nextProbeTime(now)
 		event.ParentSubset = firstParentSubset + group
 		return
 	}
@@ -264,20 +266,20 @@
 	}
 }
 
-// dueTrial returns an unavailable group for which a trial fill is due.
-func (p *parentSelection) dueTrial(now int64) (group int, isDue bool) {
+// dueProbe returns an unavailable group for which a probe is due.
+func (p *parentSelection) dueProbe(now int64) (group int, isDue bool) {
 	for i := range p.health {
 		h := &p.health[i]
-		if !h.isAvailable() && now >= h.nextTrialAt && len(p.serversByGroup[i]) > 0 {
+		if !h.isAvailable() && now >= h.nextProbeAt && len(p.serversByGroup[i]) > 0 {
 			return i, true
 		}
 	}
 	return 0, false
 }
 
-// nextTrialTime returns a random time for the next trial, trialInterval to twice trialInterval from now.
-func (p *parentSelection) nextTrialTime(now int64) int64 {
-	return now + trialInterval + int64(p.rng.Float64()*trialInterval)
+// nextProbeTime returns a random time for the next probe, probeInterval to twice probeInterval from now.
+func (p *parentSelection) nextProbeTime(now int64) int64 {
+	return now + probeInterval + int64(p.rng.Float64()*probeInterval)
 }
 
 // recordAttempts records the parent group of the source of each started attempt.
@@ -314,13 +316,13 @@
 	case event.CacheStatus.IsFilled():
 		h.consecutiveFailures = 0
 		if !h.isAvailable() {
-			h.nextTrialAt = 0
+			h.nextProbeAt = 0
 			p.planDueAt = 0
 		}
 	case event.CacheStatus == routing.SourceUnreachable:
 		h.consecutiveFailures++
 		if h.isAvailable() && h.consecutiveFailures >= failuresPerServer*len(p.serversByGroup[group]) {
-			h.nextTrialAt = p.nextTrialTime(now)
+			h.nextProbeAt = p.nextProbeTime(now)
 			p.planDueAt = 0
 		}
 	}
--- a/core/cells/parents_test.go
+++ b/core/cells/parents_test.go
@@ -101,8 +101,8 @@
 }
 
 // Fills must follow the plan of the topology, with and without an assignment: to both parent groups by capacity, to the
-// other group when one is removed from the endpoint list or its fills fail, with few trial fills of the failing group,
-// and to both again after a successful trial.
+// other group when one is removed from the endpoint list or its fills fail, with few probes of the failing group, and
+// to both again after a successful probe.
 func TestFillsFollowTopology(t *testing.T) {
 	for name, spec := range map[string]*Spec{"without cells": nil, "with cells": twoCells()} {
 		t.Run(name, func(t *testing.T) { testFillsFollowTopology(t, spec) })
@@ -122,25 +122,25 @@
 	client := &fillClient{admission: admission, now: 2 * sec, failing: map[string]bool{}}
 	healthy := client.run(400)
 	if healthy["p1"] < 110 || healthy["p1"] > 210 || healthy["p0"]+healthy["p1"] != 400 { // its link has 40% of the peak
-		t.Errorf("both groups healthy: %v", healthy)
+		t.Errorf("both groups healthy: attempts by source %v, want 110 to 210 to p1, the rest of 400 to p0", healthy)
 	}
 	client.failing["p1"] = true
 	client.run(50)
-	if got := client.run(400); got["p1"] > 12 || got["p0"] < 395 { // at most one trial per second, in 8 s
-		t.Errorf("far group failing: %v", got)
+	if got := client.run(400); got["p1"] > 12 || got["p0"] < 395 { // at most one probe per second, in 8 s
+		t.Errorf("far group failing: attempts by source %v, want at most 12 to p1 and at least 395 to p0", got)
 	}
-	if n := len(client.logged); n == 0 || !strings.Contains(client.logged[n-1], "fills go to near 1.0") {
-		t.Errorf("log %q", client.logged)
+	if n := len(client.logged); n == 0 || !strings.Contains(client.logged[n-1], "fill fractions by target: near 1.0") {
+		t.Errorf("log %q, want a last line with all fills to the near group", client.logged)
 	}
 	client.failing["p1"] = false
 	client.run(200)
 	if got := client.run(400); got["p1"] < 110 {
-		t.Errorf("after a successful trial: %v", got)
+		t.Errorf("after a successful probe: attempts by source %v, want at least 110 to p1", got)
 	}
 	removed := routing.Endpoint{Server: "p0", Zone: "hub", Kind: "area", Status: routing.EndpointRemoved}
 	changeEndpoints(admission, client.now, removed)
 	if got := client.run(400); got["p0"] > 0 || got["o"] < 40 {
-		t.Errorf("near group removed from the endpoint list: %v", got)
+		t.Errorf("near group not listed any more: attempts by source %v, want 0 to p0, 40 or more to o", got)
 	}
 	if n := len(admission.parents.groupByRequest); n != 0 {
 		t.Errorf("%d ended attempts are still recorded", n)
--- a/core/cells/reason.go
+++ b/core/cells/reason.go
@@ -8,18 +8,18 @@
 	ReasonNone            Reason = iota // the request was admitted
 	ReasonNoLiveCache                   // neither the cell nor its fallback cell, if it has one, has a healthy cache
 	ReasonHeavyTenant                   // the tenant uses more than its fair share of an overloaded cell
-	ReasonRequestRate                   // the cell's share of requests per second is used up
-	ReasonLinkRate                      // the cell's share of the link into the site is used up
-	ReasonParentRate                    // the cell's share of the parents' bandwidth is used up
-	ReasonOriginRate                    // the cell's share of the origin's bandwidth is used up
-	ReasonUncacheableRate               // the cell's share of uncacheable requests per second is used up
-	ReasonOpenRequests                  // the cell's share of open requests is used up
+	ReasonRequestRate                   // the cell's share of requests per second is used up, and it may not borrow
+	ReasonLinkRate                      // the same for the link into the site
+	ReasonParentRate                    // the same for the parents' bandwidth
+	ReasonOriginRate                    // the same for the origin's bandwidth
+	ReasonUncacheableRate               // the same for uncacheable requests per second
+	ReasonOpenRequests                  // the cell's share of open requests is used up, and it may not exceed it
 	ReasonNotReleased                   // the object belongs to a release that the cell does not have, or no longer has
 	ReasonMigrating                     // the migration's source has no healthy cache, and its destination no capacity
 	reasonCount
 )
 
-// reasonNames are keys in logs and names of metrics in the lab's results.
+// reasonNames are keys in logs, and names of figures in the results of experiments (lab).
 var reasonNames = [reasonCount]string{
 	ReasonNone:            "none",
 	ReasonNoLiveCache:     "no live cache",
@@ -34,5 +34,5 @@
 	ReasonMigrating:       "moving",
 }
 
-// String returns the name of the reason in logs and lab results.
+// String returns the name of the reason in logs and in the results of experiments.
 func (r Reason) String() string { return reasonNames[r] }
--- a/core/cells/recent_chunks.go
+++ b/core/cells/recent_chunks.go
@@ -6,7 +6,7 @@
 	recentSketchWidth = 1 << 16 // counters in a row
 	recentSketchDepth = 3
 	recentHalfLife    = 20e6 // microseconds
-	// recentThreshold is the decayed count from which a chunk is recent. One request exceeds it for 46 s.
+	// recentThreshold is the minimum decayed count of a recent chunk. A chunk is recent for 46 s after a single request.
 	recentThreshold = 0.2
 )
 
--- a/core/cells/rollout.go
+++ b/core/cells/rollout.go
@@ -35,7 +35,7 @@
 }
 
 // RingStatus is the state of one ring of cells. Evidence is the log-likelihood ratio against the release, by metric
-// (late answers, failures, fill errors). Ratios of several routers may be added.
+// (late answers, failures, fill errors). The sum of the ratios of several routers is the evidence of all of them.
 type RingStatus struct {
 	Cells        []string  `json:"cells"`
 	State        string    `json:"state"`
@@ -123,10 +123,11 @@
 }
 
 // count counts an observation in the request's cell. In a cell that has the release, failures and fill errors are
-// counted only for requests of the release; among all requests they would be detected late. If the release replaces
-// objects, the same holds before a ring opens, as a baseline. Late answers are counted for all requests of the cell,
-// for two reasons: new objects must be filled first and are late even with a good release, and a release that slows
-// down other requests of its cell must be detected.
+// counted only for requests of the release, because an increase would be detected late if they were counted for all
+// requests. If the release replaces objects, they are counted only for requests of these objects before a ring opens
+// too, as a baseline to compare with. Late responses are counted for all requests of the cell, for two reasons: new
+// objects must be filled first and are late even with a good release, and a release that slows down other requests of
+// its cell must be detected.
 func (g *rolloutGate) count(request *openRequest, metric rollout.Metric, isBad bool) {
 	cell := g.state.cells[request.cell].name
 	if metric != rollout.LateAnswers && !request.isRelease && g.progress.CountsReleaseOnly(cell) {
--- a/core/cells/rollout_test.go
+++ b/core/cells/rollout_test.go
@@ -51,7 +51,7 @@
 				log += action.LogText + "\n"
 			case routing.ActionSend:
 				if isRelease {
-					admitted[fmt.Sprintf("%s after %v", cell, now >= 60*sec)]++
+					admitted[fmt.Sprintf("%s, ring open: %v", cell, now >= 60*sec)]++
 				}
 				responseTime := int64(0)
 				if rng.Float64() < 0.01 || isRelease && rng.Float64() < lateFraction {
@@ -103,8 +103,8 @@
 func TestReleaseIsServedOnlyInOpenRings(t *testing.T) {
 	admission := newRolloutAdmission(t, pricesRelease())
 	admitted, log := sendReleaseTraffic(t, admission, 0, 110)
-	tooEarly := admitted["one after false"] + admitted["two after false"] + admitted["two after true"]
-	if tooEarly > 0 || admitted["one after true"] < 500 {
+	tooEarly := admitted["one, ring open: false"] + admitted["two, ring open: false"] + admitted["two, ring open: true"]
+	if tooEarly > 0 || admitted["one, ring open: true"] < 500 {
 		t.Errorf("admitted requests for the release: %v", admitted)
 	}
 	isJudging := strings.Contains(log, "release prices, ring 0 ([one]): judging\n")
--- a/core/cells/shared_rate.go
+++ b/core/cells/shared_rate.go
@@ -1,9 +1,10 @@
 package cells
 
 // sharedRate divides one rate among cells. Each cell has a token bucket that is refilled at the cell's share of the
-// rate. Tokens that overflow a full bucket go to a pool from which any cell may borrow. A bucket holds the cell's
-// tokens for the reclaim time, and the pool holds half of all cells' tokens for it. Once a cell uses its share again,
-// its bucket no longer overflows, and the rest of the pool is used up within the reclaim time.
+// rate. Tokens that overflow a full bucket go to a pool from which any cell may borrow. The depth of a bucket is the
+// number of tokens that its cell gets in one reclaim time. The depth of the pool is half of the tokens that all cells
+// get in that time. Once a cell uses its share again, its bucket no longer overflows, and the rest of the pool is used
+// up within the reclaim time.
 //
 // A fair queue would divide the rate too, but it delays requests. Spantack does not queue requests: one that can't be
 // sent now is rejected now.
@@ -23,9 +24,9 @@
 	refillInterval = 1000
 	// amplePoolFraction is the fraction of a full pool above which any cell may borrow.
 	amplePoolFraction = 0.5
-	// poolDepthFraction is the depth of the pool, as a fraction of all cells' tokens for the reclaim time. With a deep
-	// pool, a sudden flood could use all tokens that other cells left unused in that time at once, on top of the tokens
-	// that these cells still use.
+	// poolDepthFraction is the depth of the pool, as a fraction of the tokens that all cells get in one reclaim time.
+	// With a deeper pool, a sudden flood in one cell could use at once all tokens that other cells left unused in that
+	// time, while these cells use their own tokens too. The sum would exceed the rate.
 	poolDepthFraction = 0.5
 	// maxDebtDepths limits a cell's debt, as a multiple of the depth of its bucket. Debt is paid off within twice the
 	// reclaim time after the last admitted request. Without a limit, one huge object would block its cell for a long
@@ -82,8 +83,9 @@
 	r.pool = min(r.pool, r.poolDepth())
 }
 
-// mayBorrow reports whether a cell may borrow from the pool. While the pool is low, only cells may borrow that have
-// borrowed no more than the mean in proportion to their share, so that a flooding cell is refused before the others.
+// mayBorrow reports whether a cell may borrow from the pool. While the pool is low, a cell may borrow only if the
+// tokens that it borrowed recently, divided by its share, are at most the mean of all borrowers. So a cell with a flood
+// is refused before the others.
 func (r *sharedRate) mayBorrow(cell int) bool {
 	switch {
 	case r.pool <= 0:
--- a/core/cells/shared_rate_test.go
+++ b/core/cells/shared_rate_test.go
@@ -25,7 +25,7 @@
 	if borrowed < 4700 {
 		t.Errorf("first cell alone: %v of 5000 admitted", borrowed)
 	}
-	now += 60 * sec // after a minute without requests, the pool must not exceed its depth
+	now += 60 * sec // a minute without requests fills the pool up to its depth
 	borrower, owner := 0.0, 0.0
 	for at := range int64(2000) {
 		now += msec
@@ -37,7 +37,8 @@
 		}
 	}
 	if owner < 870*0.98 || borrower > 880*1.05 {
-		t.Errorf("after the reclaim time: owner %v, borrower %v, want about 875 each", owner, borrower)
+		t.Errorf("after the reclaim time: owner %v, want at least 870-2%%; borrower %v, want at most 880+5%%",
+			owner, borrower)
 	}
 	rate.refill(now + 3600*sec)
 	if depth := 1000 * 0.25 * poolDepthFraction; rate.pool > depth*1.001 {
--- a/core/cells/spec.go
+++ b/core/cells/spec.go
@@ -22,7 +22,8 @@
 )
 
 // Spec is a specification: it assigns tenants to cells, and divides the resources of a site among the cells. It is
-// versioned. While routers have different versions, a tenant's requests go only to its cells of these versions.
+// versioned. While routers have different versions, each router sends a tenant's requests only to the tenant's cell in
+// its own version.
 type Spec struct {
 	Version      int64       `json:"version" jsonschema:"minimum=1" jsonschema_description:"version of the assignment; each new one must be greater"`
 	Scheme       Scheme      `json:"scheme" jsonschema:"enum=fixed,enum=shuffle,enum=nested,enum=overflow"`
--- a/core/cells/spec_validation.go
+++ b/core/cells/spec_validation.go
@@ -30,7 +30,7 @@
 // Validate returns an error for the first invalid field, with its path in the document, or nil if the specification is
 // valid.
 func (s *Spec) Validate() error {
-	if err := s.validateScalars(); err != nil {
+	if err := s.validateTopLevel(); err != nil {
 		return err
 	}
 	if err := s.validateCells(); err != nil {
@@ -45,7 +45,8 @@
 	return s.validateKeys()
 }
 
-func (s *Spec) validateScalars() error {
+// validateTopLevel validates the fields that are neither lists nor objects, and the lengths of the lists.
+func (s *Spec) validateTopLevel() error {
 	hasWidth := s.Scheme == SchemeShuffle || s.Scheme == SchemeNested
 	switch {
 	case s.Version < 1:
@@ -53,9 +54,9 @@
 	case !slices.Contains([]Scheme{SchemeFixed, SchemeShuffle, SchemeNested, SchemeOverflow}, s.Scheme):
 		return fieldError("scheme", "%q is not one of fixed, shuffle, nested, overflow", s.Scheme)
 	case hasWidth != (s.Width > 0) || s.Width < 0:
-		return fieldError("width", "%d: must be above 0 with schemes shuffle and nested, left out otherwise", s.Width)
+		return fieldError("width", "%d: must be above 0 with schemes shuffle and nested, left out with others", s.Width)
 	case (s.Scheme == SchemeOverflow) != (s.OverflowCell != ""):
-		return fieldError("spare", "%q: must be a cell with scheme overflow, left out otherwise", s.OverflowCell)
+		return fieldError("spare", "%q: must name a cell with scheme overflow, left out with others", s.OverflowCell)
 	case len(s.Cells) == 0 || len(s.Cells) > MaxCells:
 		return fieldError("cells", "%d entries, must be 1 to %d", len(s.Cells), MaxCells)
 	case len(s.Tenants) == 0 || len(s.Tenants) > MaxTenants:
@@ -85,8 +86,8 @@
 			return fieldError(path+".name", "missing")
 		case names[cell.Name]:
 			return fieldError(path+".name", "%q is a duplicate", cell.Name)
-		case !(cell.Share > 0 && cell.Share <= 1): // NaN too
-			return fieldError(path+".share", "%v is not in the range above 0 to 1", cell.Share)
+		case !(cell.Share > 0 && cell.Share <= 1): // also rejects NaN
+			return fieldError(path+".share", "%v: must be above 0 and at most 1", cell.Share)
 		}
 		names[cell.Name] = true
 		shares += cell.Share
@@ -126,10 +127,11 @@
 		names[tenant.Name] = true
 		for site, cell := range tenant.CellBySite {
 			if !cells[cell] || site == "" {
-				return fieldError(path+".depots["+site+"]", "%q is not a cell; cells are %s", cell, s.cellNames())
+				return fieldError(path+".depots["+site+"]", "%q is not a cell, or the site name is empty; cells are %s",
+					cell, s.cellNames())
 			}
 		}
-		if !(tenant.Weight >= 0) || math.IsInf(tenant.Weight, 1) { // NaN too
+		if !(tenant.Weight >= 0) || math.IsInf(tenant.Weight, 1) { // also rejects NaN
 			return fieldError(path+".weight", "%v is negative or not finite", tenant.Weight)
 		}
 	}
@@ -150,8 +152,8 @@
 		{"writesPerS", b.UncacheablePerSecond},
 		{"giveMs", b.ReclaimMillis},
 	} {
-		if !(field.value >= 0 && field.value < maxBudget) { // NaN too
-			return fieldError("budget."+field.name, "%v is not in the range 0 to 1e12", field.value)
+		if !(field.value >= 0 && field.value < maxBudget) { // also rejects NaN
+			return fieldError("budget."+field.name, "%v: must be at least 0 and below 1e12", field.value)
 		}
 	}
 	return nil
@@ -180,10 +182,10 @@
 		return fieldError(path+".tenant", "%q is no tenant", k.Tenant)
 	}
 	if r := k.PurgeGroupRange; r != nil && (len(r) != 2 || r[0] < 0 || r[1] >= purgeGroupCount || r[0] > r[1]) {
-		return fieldError(path+".families", "%v is not a first and a last purge group, 0 to %d", r, purgeGroupCount-1)
+		return fieldError(path+".families", "%v: must be first and last purge group, 0 to %d", r, purgeGroupCount-1)
 	}
 	if len(k.ObjectPrefix) > maxPrefixDigits || strings.Trim(k.ObjectPrefix, "0123456789abcdef") != "" {
-		return fieldError(path+".prefix", "%q is not at most %d lower-case hex digits", k.ObjectPrefix, maxPrefixDigits)
+		return fieldError(path+".prefix", "%q: must be up to %d lower-case hex digits", k.ObjectPrefix, maxPrefixDigits)
 	}
 	return nil
 }
@@ -228,7 +230,8 @@
 	return set
 }
 
-// without returns the set minus the groups in matched that earlier keys cover for a key. See validateReachable.
+// without returns the set without the groups for which earlier keys match all requests that the key matches. matched
+// holds the groups of the earlier keys. See validateReachable.
 func (g groupSet) without(matched map[keyFields]groupSet, key *TenantKey) groupSet {
 	for length := 0; length <= len(key.ObjectPrefix); length++ {
 		for _, class := range [...]string{"", key.Class} {
--- a/core/cells/status.go
+++ b/core/cells/status.go
@@ -12,7 +12,7 @@
 	FellBack int64              `json:"Spilled"` // sent to the fallback cell, because the cell had no healthy cache
 	Rejected [reasonCount]int64 `json:"Refused"` // by reason
 	Migrated int64              `json:"Moved"`   // requests of migrating tenants sent to the destination
-	Deferred int64              `json:"Kept"`    // the same sent to the source, because the destination had no capacity
+	Deferred int64              `json:"Kept"`    // such requests sent to the source, as the destination had no capacity
 }
 
 // Status is a snapshot of the cells at a router, for its log and for operators.
@@ -21,7 +21,7 @@
 	Stats        Stats         `json:"stats"`
 	Cells        []CellStatus  `json:"cells"`
 	HeavyTenants []HeavyTenant `json:"heavy"`
-	HeavyObjects []HeavyHitter `json:"objects"` // by KB requested recently
+	HeavyObjects []HeavyHitter `json:"objects"` // objects with the most KB requested recently
 }
 
 // CellStatus is the state of one cell.
@@ -38,7 +38,7 @@
 type HeavyTenant struct {
 	Name  string  `json:"name"`
 	Cell  string  `json:"cell"`
-	Usage float64 `json:"used"` // per second, in seconds of this router's part of the site's resources
+	Usage float64 `json:"used"` // cost of its recent requests per second; 1: all of this router's part of a resource
 }
 
 // maxHeavyListed is the maximum length of the lists of heavy tenants and objects in a Status.
@@ -68,7 +68,7 @@
 	}
 	return CellStatus{
 		Name:           c.name,
-		HasLiveCache:   c.hasLiveCache,
+		HasLiveCache:   c.hasHealthyCache,
 		Caches:         slices.Clone(c.caches),
 		OpenRequests:   c.openRequests,
 		ActiveTenants:  c.fairShare.activeTenants,
--- a/core/cells/tenant_keys_test.go
+++ b/core/cells/tenant_keys_test.go
@@ -26,7 +26,7 @@
 			ObjectPrefix:   hex.Draw(t, "prefix"),
 			Class:          rapid.SampledFrom([]string{"", "page", "report"}).Draw(t, "class"),
 			DeclaredTenant: rapid.SampledFrom([]string{"", "", "q"}).Draw(t, "declared"),
-			Tenant:         "loud",
+			Tenant:         "heavy",
 		}
 		if rapid.Bool().Draw(t, "has groups") {
 			first := rapid.IntRange(0, 255).Draw(t, "first")
@@ -34,11 +34,11 @@
 		}
 		return key
 	}), 0, 40).Draw(t, "keys")
-	return append(keys, TenantKey{Tenant: "calm"})
+	return append(keys, TenantKey{Tenant: "normal"})
 }
 
-// The table must find the same key as a linear search. Every key of a list that validateReachable accepts must be found
-// by some request.
+// The table must find the same key as a linear search. In a list that validateReachable accepts, every key with a
+// prefix of the maximum length must be found by some request.
 func TestKeyTableAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := drawKeys(t)
@@ -58,7 +58,8 @@
 			return
 		}
 		for i, key := range keys {
-			// Keys with longer prefixes could cover a key with a shorter one piece by piece. 3 is the maximum length.
+			// validateReachable does not detect that several keys with longer prefixes together cover a key. So only
+			// keys with a prefix of the maximum length, 3, are checked.
 			if len(key.ObjectPrefix) == 3 && !isReachable(keys, i) {
 				t.Fatalf("key %d of %+v is found by no request, but validateReachable accepts it", i, keys)
 			}
@@ -86,12 +87,12 @@
 		spec := manyTenants(size, 64)
 		table := newKeyTable(spec.TenantKeys)
 		object := fmt.Sprintf("%05x%011x", size/2, 1)
-		b.Run(fmt.Sprintf("trie/lines=%d", size), func(b *testing.B) {
+		b.Run(fmt.Sprintf("trie/keys=%d", size), func(b *testing.B) {
 			for b.Loop() {
 				table.find(7, "page", object, "")
 			}
 		})
-		b.Run(fmt.Sprintf("plain/lines=%d", size), func(b *testing.B) {
+		b.Run(fmt.Sprintf("linear/keys=%d", size), func(b *testing.B) {
 			for b.Loop() {
 				referenceFind(spec.TenantKeys, 7, "page", object, "")
 			}
--- a/core/cells/wire_compat_test.go
+++ b/core/cells/wire_compat_test.go
@@ -6,7 +6,7 @@
 	"spantack/internal/testfixture"
 )
 
-// Section "cells" of a features file must keep its JSON format.
+// Section "cells" of the features file (internal/features) is a Spec, whose JSON format must stay the same.
 func TestSpecJSONFormat(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/spec.json", " ", Spec{
 		Version:      7,
