--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -85,7 +85,7 @@
 	if needsCache && !a.state.cells[c.cellIndex].hasHealthyCache {
 		c.cellIndex = a.state.cells[c.cellIndex].fallback
 		if c.cellIndex == noCell || !a.state.cells[c.cellIndex].hasHealthyCache {
-			return ReasonNoLiveCache
+			return ReasonNoHealthyCache
 		}
 		a.Stats.FellBack++
 	}
--- a/core/cells/assignment_state_test.go
+++ b/core/cells/assignment_state_test.go
@@ -28,7 +28,7 @@
 	if got := client.request(routing.Event{PurgeGroup: 99, Object: "01"}); got != "c0" {
 		t.Errorf("request of a cell with a fallback cell sent to %q, want c0", got)
 	}
-	if admission.Stats.FellBack != 1 || admission.Stats.Rejected[ReasonNoLiveCache] != 1 {
+	if admission.Stats.FellBack != 1 || admission.Stats.Rejected[ReasonNoHealthyCache] != 1 {
 		t.Errorf("want 1 fallback and 1 rejection: %+v", admission.Stats)
 	}
 }
