--- a/core/cells/status.go
+++ b/core/cells/status.go
@@ -27,7 +27,7 @@
 // CellStatus is the state of one cell.
 type CellStatus struct {
 	Name           string   `json:"name"`
-	HasLiveCache   bool     `json:"live"`
+	HasHealthyCache   bool     `json:"live"`
 	Caches         []string `json:"caches"`
 	OpenRequests   int      `json:"open"`
 	ActiveTenants  float64  `json:"tenants"`
@@ -68,7 +68,7 @@
 	}
 	return CellStatus{
 		Name:           c.name,
-		HasLiveCache:   c.hasHealthyCache,
+		HasHealthyCache:   c.hasHealthyCache,
 		Caches:         slices.Clone(c.caches),
 		OpenRequests:   c.openRequests,
 		ActiveTenants:  c.fairShare.activeTenants,
--- a/core/cells/wire_compat_test.go
+++ b/core/cells/wire_compat_test.go
@@ -68,7 +68,7 @@
 		Cells: []CellStatus{
 			{
 				Name:           "s17",
-				HasLiveCache:   true,
+				HasHealthyCache:   true,
 				Caches:         []string{"s18", "s19"},
 				OpenRequests:   20,
 				ActiveTenants:  21.5,
@@ -76,7 +76,7 @@
 			},
 			{
 				Name:           "s23",
-				HasLiveCache:   true,
+				HasHealthyCache:   true,
 				Caches:         []string{"s24", "s25"},
 				OpenRequests:   26,
 				ActiveTenants:  27.5,
