--- a/core/cells/migration.go
+++ b/core/cells/migration.go
@@ -267,7 +267,7 @@
 		route.toDestination = true
 		return destination, route
 	case sourceIsHealthy:
-		m.stats.Deferred++
+		m.stats.KeptInSource++
 		return source, migrationRoute{progress: p}
 	}
 	route.rejected = ReasonMigrating
--- a/core/cells/migration_test.go
+++ b/core/cells/migration_test.go
@@ -156,7 +156,7 @@
 			coldKB[client.now/sec] += 20
 		}
 	}
-	if client.admission.Stats.Deferred == 0 {
+	if client.admission.Stats.KeptInSource == 0 {
 		t.Error("no request was sent to the source for lack of capacity in the destination")
 	}
 	for second := range coldKB {
--- a/core/cells/wire_compat_test.go
+++ b/core/cells/wire_compat_test.go
@@ -63,7 +63,7 @@
 			FellBack: 3,
 			Rejected: [11]int64{4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14},
 			Migrated: 15,
-			Deferred: 16,
+			KeptInSource: 16,
 		},
 		Cells: []CellStatus{
 			{
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -271,7 +271,7 @@
 	sum.Admitted += stats.Admitted
 	sum.FellBack += stats.FellBack
 	sum.Migrated += stats.Migrated
-	sum.Deferred += stats.Deferred
+	sum.KeptInSource += stats.KeptInSource
 	for reason := range stats.Rejected {
 		sum.Rejected[reason] += stats.Rejected[reason]
 	}
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -118,7 +118,7 @@
 		"doneS":         result.MigratedAtSeconds,
 		"endS":          cfg.MigrationEndSeconds,
 		"moved":         float64(result.Admission.Migrated),
-		"kept":          float64(result.Admission.Deferred),
+		"kept":          float64(result.Admission.KeptInSource),
 		"unanswered":    float64(result.Unanswered),
 		"unended":       float64(result.Unfinished),
 	}
