--- a/core/cells/reason.go
+++ b/core/cells/reason.go
@@ -6,7 +6,7 @@
 // The values of Reason.
 const (
 	ReasonNone            Reason = iota // the request was admitted
-	ReasonNoHealthyCache                   // neither the cell nor its fallback cell, if it has one, has a healthy cache
+	ReasonNoHealthyCache                // neither the cell nor its fallback cell, if it has one, has a healthy cache
 	ReasonHeavyTenant                   // the tenant uses more than its fair share of an overloaded cell
 	ReasonRequestRate                   // the cell's share of requests per second is used up, and it may not borrow
 	ReasonLinkRate                      // the same for the link into the site
@@ -22,7 +22,7 @@
 // reasonNames are keys in logs, and names of figures in the results of experiments (lab).
 var reasonNames = [reasonCount]string{
 	ReasonNone:            "none",
-	ReasonNoHealthyCache:     "no live cache",
+	ReasonNoHealthyCache:  "no live cache",
 	ReasonHeavyTenant:     "heavy tenant",
 	ReasonRequestRate:     "requests",
 	ReasonLinkRate:        "fills",
--- a/core/cells/status.go
+++ b/core/cells/status.go
@@ -8,10 +8,10 @@
 
 // Stats counts decisions on requests since the start.
 type Stats struct {
-	Admitted int64              `json:"Admitted"`
-	FellBack int64              `json:"Spilled"` // sent to the fallback cell, because the cell had no healthy cache
-	Rejected [reasonCount]int64 `json:"Refused"` // by reason
-	Migrated int64              `json:"Moved"`   // requests of migrating tenants sent to the destination
+	Admitted     int64              `json:"Admitted"`
+	FellBack     int64              `json:"Spilled"` // sent to the fallback cell, because the cell had no healthy cache
+	Rejected     [reasonCount]int64 `json:"Refused"` // by reason
+	Migrated     int64              `json:"Moved"`   // requests of migrating tenants sent to the destination
 	KeptInSource int64              `json:"Kept"`    // such requests sent to the source, as the destination had no capacity
 }
 
@@ -26,12 +26,12 @@
 
 // CellStatus is the state of one cell.
 type CellStatus struct {
-	Name           string   `json:"name"`
-	HasHealthyCache   bool     `json:"live"`
-	Caches         []string `json:"caches"`
-	OpenRequests   int      `json:"open"`
-	ActiveTenants  float64  `json:"tenants"`
-	FairShareLimit float64  `json:"level"` // usage divided by weight above which a tenant is rejected; 0: no limit
+	Name            string   `json:"name"`
+	HasHealthyCache bool     `json:"live"`
+	Caches          []string `json:"caches"`
+	OpenRequests    int      `json:"open"`
+	ActiveTenants   float64  `json:"tenants"`
+	FairShareLimit  float64  `json:"level"` // usage divided by weight above which a tenant is rejected; 0: no limit
 }
 
 // HeavyTenant is a tenant with high recent usage.
@@ -67,12 +67,12 @@
 		limit = 0
 	}
 	return CellStatus{
-		Name:           c.name,
-		HasHealthyCache:   c.hasHealthyCache,
-		Caches:         slices.Clone(c.caches),
-		OpenRequests:   c.openRequests,
-		ActiveTenants:  c.fairShare.activeTenants,
-		FairShareLimit: limit,
+		Name:            c.name,
+		HasHealthyCache: c.hasHealthyCache,
+		Caches:          slices.Clone(c.caches),
+		OpenRequests:    c.openRequests,
+		ActiveTenants:   c.fairShare.activeTenants,
+		FairShareLimit:  limit,
 	}
 }
 
