--- a/cmd/spantack/counters.go
+++ b/cmd/spantack/counters.go
@@ -97,7 +97,8 @@
 	line.Interface("cells", status.Cells).Interface("heavy", status.HeavyTenants).
 		Interface("objects", status.HeavyObjects).Msg("cells")
 	if migrations, version := p.router.MigrationStatus(); version > 0 {
-		p.log.Info().Int64("version", version).Int64("moved", status.Stats.Migrated).Int64("kept", status.Stats.KeptInSource).
+		p.log.Info().Int64("version", version).Int64("moved", status.Stats.Migrated).
+			Int64("kept", status.Stats.KeptInSource).
 			Interface("moves", migrations).Msg("moves")
 	}
 	if rollout := p.router.RolloutStatus(); rollout != nil {
--- a/core/cells/status.go
+++ b/core/cells/status.go
@@ -12,7 +12,7 @@
 	FellBack     int64              `json:"Spilled"` // sent to the fallback cell, because the cell had no healthy cache
 	Rejected     [reasonCount]int64 `json:"Refused"` // by reason
 	Migrated     int64              `json:"Moved"`   // requests of migrating tenants sent to the destination
-	KeptInSource int64              `json:"Kept"`    // such requests sent to the source, as the destination had no capacity
+	KeptInSource int64              `json:"Kept"`    // such requests sent to the source: no capacity in the destination
 }
 
 // Status is a snapshot of the cells at a router, for its log and for operators.
