--- a/routing/actions.go
+++ b/routing/actions.go
@@ -1,20 +1,20 @@
 package routing
 
-// ActionKind tells which fields of an Action count.
+// ActionKind is the kind of an Action. It determines which fields of the Action are used.
 type ActionKind int
 
 // The kinds of action.
 const (
 	ActionSend           ActionKind = iota + 1 // an attempt: RequestID, Server and all fields marked "send"
-	ActionReject                               // the final answer that a retry is harmless: RequestID, RetryAfter
-	ActionFail                                 // the final answer that the request failed: RequestID
+	ActionReject                               // final answer: rejected, a retry is safe: RequestID, RetryAfter
+	ActionFail                                 // final answer: the request failed: RequestID
 	ActionCancel                               // stop waiting for an attempt: RequestID, Attempt
-	ActionSetTimer                             // ask for an EventTimer: Delay, TimerToken
+	ActionSetTimer                             // request an EventTimer: Delay, TimerToken
 	ActionProbe                                // a health check: Server
-	ActionSubscribe                            // ask for changes of the endpoint list, or stop that: Enabled
-	ActionResolve                              // ask for the complete endpoint list once
+	ActionSubscribe                            // subscribe to changes of the endpoint list, or unsubscribe: Enabled
+	ActionResolve                              // request the complete endpoint list once
 	ActionLog                                  // a line for the log: LogText
-	ActionReportOverload                       // tell other routers that a parent is overloaded: Server
+	ActionReportOverload                       // report to other routers that a parent is overloaded: Server
 )
 
 // String returns the kind's name.
@@ -26,36 +26,36 @@
 	ActionReportOverload: "report overload",
 }
 
-// FetchFlags is a sum of bits that say how an edge cache gets what it does not have.
+// FetchFlags is a bit set that controls how an edge cache fills a miss.
 type FetchFlags int
 
 // The bits of Action.FetchFlags.
 const (
-	FetchCollapse        FetchFlags = 1 << iota // wait for a fill of the same object that is under way
-	FetchCachedOnly                             // the source gives only what it has cached, and asks nobody
-	FetchSkipParentStore                        // the parent keeps no copy
-	FetchRevalidate                             // an ageing copy is served, and fetched anew meanwhile
+	FetchCollapse        FetchFlags = 1 << iota // join a fill of the same object that is in progress
+	FetchCachedOnly                             // the source serves only a cached copy and does not fill a miss itself
+	FetchSkipParentStore                        // the parent stores no copy
+	FetchRevalidate                             // an ageing copy is served while it is fetched again
 )
 
-// Action is one thing that the engine wants done. Times are microseconds.
+// Action is one instruction of the engine to the router. Times are in microseconds.
 type Action struct {
 	Kind          ActionKind
 	RequestID     string
 	Server        string
-	Source        string     // send: the server that fills a miss; Server itself: none does; "": plain lookup
+	Source        string     // send: the server that fills a miss; Server itself: no fill; "": plain lookup
 	LogText       string     // of ActionLog
 	Attempt       int        // of ActionCancel: number of the attempt, from 0
-	RetentionRank int        // send: at which a copy is kept, 1 to 3; 0: none is
+	RetentionRank int        // send: rank at which the copy is stored, 1 to 3; 0: not stored
 	FetchFlags    FetchFlags // send
 	Timeout       int64      // send: how long to wait for the response
-	MaxAge        int64      // send: the oldest copy that will do; 0: that of the class
-	RetryAfter    int64      // of ActionReject: how long the client should stay away
+	MaxAge        int64      // send: maximum age of the copy; 0: the limit of the class
+	RetryAfter    int64      // of ActionReject: how long the client should wait before a retry
 	Delay         int64      // of ActionSetTimer
 	TimerToken    int64      // of ActionSetTimer
 	Enabled       bool       // of ActionSubscribe
-	// SendWithin is how long after this decision the attempt may still leave the router: a repeat of what may have run
-	// must not leave once its class no longer drops repeats. HasSideEffects tells that running it twice does harm.
-	// (send)
+	// SendWithin is the time after this decision within which the attempt may leave the router: once the
+	// deduplication window of the class has passed, a retry of a request that may have run must not be sent.
+	// HasSideEffects is true if the request must not run twice. (send)
 	SendWithin     int64
 	HasSideEffects bool
 }
--- a/routing/circuit_breaker.go
+++ b/routing/circuit_breaker.go
@@ -4,43 +4,43 @@
 
 // Constants of circuit breakers.
 const (
-	breakerMinOutcomes       = 3          // recent outcomes, by weight, before a breaker may open
-	breakerMaxOutcomes       = 8          // recent outcomes that count: a sudden fault opens it after four
-	breakerFailureRatio      = 0.5        // share of failed outcomes that ejects a parent or the origin
-	cacheBreakerFailureRatio = 0.75       // the same for an edge cache: of half its requests a retry is better
+	breakerMinOutcomes       = 3          // minimum total weight of recent outcomes before a breaker may open
+	breakerMaxOutcomes       = 8          // recent outcomes that count: a sudden fault opens the breaker after four
+	breakerFailureRatio      = 0.5        // fraction of failed outcomes that ejects a parent or the origin
+	cacheBreakerFailureRatio = 0.75       // for an edge cache: if only half of its requests fail, retries work better
 	breakerCoolDown          = 10_000_000 // us for which a parent or the origin is ejected before its trial
-	cacheBreakerCoolDown     = 2_000_000  // us for an edge cache: a trial is one request, and other caches are few
-	breakerCoolDownJitter    = 0.3        // random share more: routers must not try a cold parent together
+	cacheBreakerCoolDown     = 2_000_000  // us, for an edge cache: a trial costs one request, and other caches are few
+	breakerCoolDownJitter    = 0.3        // maximum random extension: routers must not try a cold parent simultaneously
 )
 
 // circuitBreaker is a failure-rate breaker. It is closed, then open until a time, then half-open: one trial at a time
-// is let through, and its outcome closes the breaker or opens it again. The zero value is closed.
+// is allowed, and its outcome closes the breaker or opens it again. The zero value is closed.
 type circuitBreaker struct {
-	outcomes        [breakerMaxOutcomes]breakerOutcome // a ring of the last ones while closed
-	next            int                                // counts outcomes; the ring's next place
+	outcomes        [breakerMaxOutcomes]breakerOutcome // ring buffer of the last outcomes while closed
+	next            int                                // number of outcomes; modulo the size, the next ring index
 	openUntil       int64                              // 0: closed
 	isTrialInFlight bool
-	hasTrialFailed  bool // since it opened
+	hasTrialFailed  bool // a trial has failed since the breaker opened
 }
 
-// breakerOutcome is one outcome. One that counts only in part has a weight below 1.
+// breakerOutcome is one outcome. Its weight is below 1 if it counts only in part.
 type breakerOutcome struct {
 	weight float64
 	failed float64 // the weight if it failed, else 0
 }
 
-// isOpen reports that the server is ejected: the breaker is open, or a trial is under way.
+// isOpen reports whether the server is ejected: the breaker is open, or a trial is in flight.
 func (b *circuitBreaker) isOpen(now int64) bool {
 	return b.openUntil != 0 && (now < b.openUntil || b.isTrialInFlight)
 }
 
-// isReadyForTrial reports that the breaker is half-open and the next request to the server is its trial.
+// isReadyForTrial reports whether the breaker is half-open without a trial, so that the next request is its trial.
 func (b *circuitBreaker) isReadyForTrial(now int64) bool {
 	return b.openUntil != 0 && now >= b.openUntil && !b.isTrialInFlight
 }
 
-// record counts an outcome, and opens the breaker if the share of failures has reached the ratio. While it is open only
-// the trial's outcome counts.
+// record counts an outcome, and opens the breaker if the fraction of failures reaches failureRatio. While the breaker
+// is open, only the trial's outcome counts.
 func (b *circuitBreaker) record(now int64, outcome breakerOutcome, isTrial bool, failureRatio float64, coolDown int64) {
 	hasFailed := outcome.failed > 0
 	if b.openUntil != 0 {
@@ -61,7 +61,7 @@
 	}
 }
 
-// endTrial closes the breaker, or opens it again after a failure.
+// endTrial closes the breaker after a successful trial, or opens it again after a failed one.
 func (b *circuitBreaker) endTrial(now int64, hasFailed bool, coolDown int64) {
 	if !hasFailed {
 		*b = circuitBreaker{}
@@ -71,7 +71,7 @@
 	b.hasTrialFailed = true
 }
 
-// claimTrials makes an attempt the half-open trial of each server that it uses and that is ready for one.
+// claimTrials makes an attempt the half-open trial of each server that it uses and whose breaker is ready for a trial.
 func (e *Engine) claimTrials(req *request, next *attempt) {
 	claim := func(srv *server) {
 		breaker := srv.breakerFor(req.accountingGroup)
@@ -94,15 +94,15 @@
 	e.recordAtBreaker(req, ended, srv, breakerOutcome{weight: 1, failed: 1})
 }
 
-// recordSuccess counts a response of a server, at its circuit breaker and among those that show it to be alive. weight
-// is the likelihood that the server had a part in it, above 0 and at most 1.
+// recordSuccess counts a response of a server at its circuit breaker, and in the counts that show that the server is
+// responsive. weight is the probability that the server contributed to the response, above 0 and at most 1.
 func (e *Engine) recordSuccess(req *request, ended *attempt, srv *server, weight float64) {
 	srv.answerCount += weight
 	srv.recentAnswers.add(e.now, rateWindow, weight)
 	e.recordAtBreaker(req, ended, srv, breakerOutcome{weight: weight})
 }
 
-// recordAtBreaker counts an outcome at the circuit breaker of a server. The cool-down is drawn anew at each.
+// recordAtBreaker counts an outcome at the circuit breaker of a server. The cool-down is randomized for each outcome.
 func (e *Engine) recordAtBreaker(req *request, ended *attempt, srv *server, outcome breakerOutcome) {
 	coolDown, failureRatio := float64(breakerCoolDown), breakerFailureRatio
 	if srv.role == roleEdgeCache {
@@ -114,9 +114,10 @@
 	breaker.record(e.now, outcome, isTrial, failureRatio, jittered)
 }
 
-// chargedServer returns the server that a failed attempt is charged to, nil: none. A time-out is charged to the edge
-// cache, or else to the source, only if it answered nothing meanwhile; and to none if the client's time ended before a
-// response was due, so that impatient clients eject no sound server.
+// chargedServer returns the server that a failed attempt is charged to; nil: none. A time-out is charged to the edge
+// cache if that did not answer any request in the meantime, otherwise to the source under the same condition. It is
+// charged to no server if the client gave up before a response was due, so that clients with short timeouts do not
+// eject healthy servers.
 func (e *Engine) chargedServer(req *request, ended *attempt, ev *Event) *server {
 	isServerAlive := ended.server.answerCount > ended.serverAnswersBefore
 	hasTimedOut := ev.Outcome == OutcomeTimedOut
@@ -140,18 +141,18 @@
 	return nil
 }
 
-// wasResponseDue reports that an attempt that timed out had the time in which a response was due.
+// wasResponseDue reports whether a response was due when an attempt timed out.
 func (e *Engine) wasResponseDue(req *request, ended *attempt, ev *Event) bool {
-	return ended.isCanceledAsSilent || float64(ev.ResponseTime) >= e.latencyObjective(req)
+	return ended.isCanceledAsUnresponsive || float64(ev.ResponseTime) >= e.latencyObjective(req)
 }
 
-// reportsCacheStatus reports that caches tell every cache status, failures too.
+// reportsCacheStatus reports whether caches report all cache statuses, including failures.
 func (e *Engine) reportsCacheStatus() bool {
 	return e.settings.Hierarchy.CacheStatusReporting == CacheStatusReported
 }
 
-// recordOutcome counts the outcome of an attempt at the circuit breakers, and learns from a response. charged is the
-// server that a failure is charged to, nil: none.
+// recordOutcome counts the outcome of an attempt at the circuit breakers, and updates estimates from a response.
+// charged is the server that a failure is charged to; nil: none.
 func (e *Engine) recordOutcome(req *request, ended *attempt, ev *Event, charged *server) {
 	isDirectWrite := e.isUncacheable(req) && ended.server.role != roleEdgeCache
 	if ev.Outcome == OutcomeCanceled || ev.Outcome == OutcomeSkipped || isDirectWrite {
@@ -160,7 +161,7 @@
 	isServed := ev.Outcome == OutcomeServed
 	e.recordCharge(req, ended, ev, charged)
 	if isServed {
-		for _, cache := range req.bareErrorCaches {
+		for _, cache := range req.unexplainedErrorCaches {
 			e.recordFailure(req, ended, cache)
 		}
 	}
@@ -177,18 +178,19 @@
 	}
 }
 
-// recordCharge counts a failure. An error without a reason may be the request's own fault, as with an object that
-// nobody knows: it is charged to the cache only once another one has served the request.
+// recordCharge counts a failure at the charged server. An error without a reason may be caused by the request itself,
+// for example by an object that does not exist. It is charged to the cache only after another cache has served the
+// request.
 func (e *Engine) recordCharge(req *request, ended *attempt, ev *Event, charged *server) {
-	isBareError := ev.Outcome == OutcomeError && ev.CacheStatus == CacheStatusUnknown && charged == ended.server
-	if isBareError {
-		req.bareErrorCaches = append(req.bareErrorCaches, charged)
+	isUnexplainedError := ev.Outcome == OutcomeError && ev.CacheStatus == CacheStatusUnknown && charged == ended.server
+	if isUnexplainedError {
+		req.unexplainedErrorCaches = append(req.unexplainedErrorCaches, charged)
 	} else if charged != nil {
 		e.recordFailure(req, ended, charged)
 	}
 }
 
-// recordFill counts a response at the servers that had a part in the fill.
+// recordFill counts a response at the servers that contributed to the fill.
 func (e *Engine) recordFill(req *request, ended *attempt, ev *Event) {
 	switch {
 	case ev.CacheStatus.IsFilled():
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -7,42 +7,42 @@
 
 // Constants of concurrency limits. Those without a unit are ratios.
 const (
-	rateWindow          = 4_000_000 // us over which rates are averaged
-	defaultMissRatio    = 0.3       // of an edge cache that tells no other, by cache status or load report
+	rateWindow          = 4_000_000 // us; time constant of averaged rates
+	defaultMissRatio    = 0.3       // of an edge cache that reports none, in cache statuses or load reports
 	initialLimit        = 16        // requests in flight at a new server; grows fast until the first reduction
-	initialLimitExtra   = 2         // of them more for each router: as many meet by chance
-	minLimit            = 0.05      // requests; a router with few of them tries one now and then
-	limitDecreaseFactor = 0.85      // on a limit at a late response, once for each mean sending time
-	lateServerTransfers = 2.0       // most in flight for each transfer of a router's part of a server found late
-	limitGrowthPerRound = 9         // requests a round of responses, summed over the routers of a server
-	reservedLimitShare  = 0.5       // of a limit, kept for requests with the most weight for their sending time
-	reservedShareDecay  = 1_000_000 // us over which what a group has reserved of its share fades
-
-	// A response is late past its sending time and this share of what its objective leaves beyond that; without sizes,
-	// past this share of the objective, for a large chunk takes long by nature.
+	initialLimitMargin  = 2         // additional requests per router, as that many coincide by chance
+	minLimit            = 0.05      // requests; a router with such a limit still sends one occasionally
+	limitDecreaseFactor = 0.85      // applied at a late response, at most once per mean sending time
+	lateServerTransfers = 2.0       // maximum in flight per transfer of a router's share of an overloaded server
+	limitGrowthPerRound = 9         // requests per round of responses, summed over the routers of a server
+	reservedLimitShare  = 0.5       // of a limit, for the requests with the greatest weight per sending time
+	reservedShareDecay  = 1_000_000 // us; time constant with which a group's reserved part of its share decays
+
+	// A response is late if it takes longer than its sending time plus this fraction of the rest of its objective.
+	// Without known sizes it is late past this fraction of the whole objective, since large chunks take long to send.
 	lateObjectiveShare        = 0.5
 	lateObjectiveShareUnsized = 0.8
 
-	overloadedLinkUse     = 1.5    // of what fits on the zone's link, past which fills must become fewer
-	maxOriginWaitMultiple = 3      // of its least recent wait that a fill may wait for a distant origin
-	minOriginWaitRise     = 0.0005 // by which the least recent wait rises at each response
+	overloadedLinkUse     = 1.5    // use of the zone's link, over its capacity, above which fills must be reduced
+	maxOriginWaitMultiple = 3      // normal wait for a distant origin, in multiples of the minimum recent wait
+	minOriginWaitRise     = 0.0005 // relative rise of the minimum recent wait at each response
 )
 
-// initialConcurrencyLimit returns a router's limit at a server that started.
+// initialConcurrencyLimit returns a router's limit, in requests, at a server that started.
 func initialConcurrencyLimit(srv *server) float64 {
 	if srv.role == roleOrigin {
 		return initialLimit / srv.routers
 	}
-	return initialLimit/srv.routers + initialLimitExtra
+	return initialLimit/srv.routers + initialLimitMargin
 }
 
-// hasCapacity reports that a server is under the concurrency limit that holds for a request. What a limit has below a
-// whole request is let through at random, so that hundreds of routers keep to their sum.
+// hasCapacity reports whether a server is below the concurrency limit that applies to a request. The fractional part of
+// a limit is the probability of one more request, so that the sum of the limits of hundreds of routers is observed.
 func (e *Engine) hasCapacity(req *request, srv *server) bool {
 	return e.hasCapacityWithin(req, srv, srv.concurrencyLimit)
 }
 
-// hasCapacityWithin is hasCapacity with another limit.
+// hasCapacityWithin is hasCapacity with the given limit instead of the server's.
 func (e *Engine) hasCapacityWithin(req *request, srv *server, concurrencyLimit float64) bool {
 	limit := concurrencyLimit * e.usableLimitShare(req, e.maxWeightDensityAt(srv))
 	draw := e.rng.Float64()
@@ -52,8 +52,8 @@
 	return float64(srv.inFlight)+draw < limit
 }
 
-// usableLimitShare returns the share of a limit that a request may use: all for one with the greatest priority weight
-// for its sending time, and as much less as its own is less. maxDensity is that greatest weight.
+// usableLimitShare returns the fraction of a limit that a request may use. It is 1 for the greatest weight density,
+// maxDensity, which is priority weight per sending time, and decreases linearly with the request's density.
 func (e *Engine) usableLimitShare(req *request, maxDensity float64) float64 {
 	density := e.settings.Classes[req.class].PriorityWeight / max(e.sendTime(req), 1)
 	relative := min(density/maxDensity, 1)
@@ -63,9 +63,10 @@
 	return 1 - reservedLimitShare*(1-relative)
 }
 
-// hasGroupCapacity reports that an accounting group may have one more request in flight at a server that groups share.
-// The group's share of the limit is its own. Past it, it borrows what others leave: of a group that has more in flight
-// for its share than this one, its share is reserved as far as it was used recently, and of all others what they used.
+// hasGroupCapacity reports whether an accounting group may have one more request in flight at a server that groups
+// share. Its own share of the limit is always available to it. Above that, it may borrow capacity that other groups do
+// not reserve. A group reserves the capacity that it used recently; if it has more in flight relative to its share than
+// this group, it reserves at most its share.
 func (e *Engine) hasGroupCapacity(group int, srv *server, limit, draw float64) bool {
 	inFlight := float64(srv.usageOf(group).inFlight)
 	share := e.capacityShares[group]
@@ -86,8 +87,8 @@
 	return float64(srv.inFlight)+reserved+draw < limit
 }
 
-// adjustLimits moves the concurrency limits that an attempt used: up with a response in time, down with one that was
-// late or with a rejection.
+// adjustLimits adjusts the concurrency limits of the servers that an attempt used: up after a timely response, down
+// after a late response or a rejection.
 func (e *Engine) adjustLimits(req *request, ended *attempt, ev *Event) {
 	target := e.lateTarget(req)
 	wasFillRejected := e.wasFillRejected(ended, ev)
@@ -98,7 +99,7 @@
 	}
 }
 
-// lateTarget returns the response time, in microseconds, past which a response to a request is late.
+// lateTarget returns the response time, in microseconds, above which a response to a request is late.
 func (e *Engine) lateTarget(req *request) float64 {
 	if req.SizeKB > 0 {
 		return e.sendTime(req) + lateObjectiveShare*(e.latencyObjective(req)-e.sendTime(req))
@@ -106,8 +107,8 @@
 	return lateObjectiveShareUnsized * e.latencyObjective(req)
 }
 
-// wasFillRejected reports that a source rejected a fill. Where caches tell no failures this shows as a rejection of the
-// attempt.
+// wasFillRejected reports whether a source rejected a fill. If caches do not report failures, a rejection of the
+// attempt is taken as a rejection of its fill.
 func (e *Engine) wasFillRejected(ended *attempt, ev *Event) bool {
 	if !ended.isFill || ev.Outcome != OutcomeRejected {
 		return false
@@ -115,27 +116,27 @@
 	return ev.CacheStatus == SourceRejected || ev.CacheStatus == CacheStatusUnknown && !e.reportsCacheStatus()
 }
 
-// isSourceOfMany reports that so many routers share the source of a fill that a late fill, less its wait for the
-// origin, tells of it and not of the edge cache.
-func (a *attempt) isSourceOfMany() bool {
+// isSourceWidelyShared reports whether so many routers share the source of a fill that a late fill, less its wait for
+// the origin, is evidence of load at the source and not at the edge cache.
+func (a *attempt) isSourceWidelyShared() bool {
 	return a.isFill && a.source.routers > initialLimit
 }
 
-// adjustServerLimit moves the limit at the server of an attempt. Direct attempts to the origin tell nothing: they fill
-// links.
+// adjustServerLimit adjusts the limit at the server of an attempt. Direct attempts to the origin are not counted, since
+// their response times reflect the load of the links.
 func (e *Engine) adjustServerLimit(req *request, ended *attempt, ev *Event, target float64, wasFillRejected bool) {
 	srv := ended.server
 	if srv.role != roleEdgeCache && srv.role != roleParent {
 		return
 	}
 	isRejected := ev.Outcome == OutcomeRejected && !ev.CacheStatus.IsFailure() && !wasFillRejected
-	isSourcesDoing := ended.isSourceOfMany() && ev.CacheStatus.IsFilled()
+	isSourceResponsible := ended.isSourceWidelyShared() && ev.CacheStatus.IsFilled()
 	ownTime := float64(ev.ResponseTime - ev.UpstreamWait)
-	isLate := !isSourcesDoing && isLateResponse(ended, ev, srv, ended.serverAnswersBefore, ownTime, target)
-	e.moveLimit(req, ev, srv, 1, isRejected || isLate)
+	isLate := !isSourceResponsible && isLateResponse(ended, ev, srv, ended.serverAnswersBefore, ownTime, target)
+	e.adjustLimit(req, ev, srv, 1, isRejected || isLate)
 }
 
-// adjustSourceLimit moves the limit at the source of a fill, where it is known that the fill reached it.
+// adjustSourceLimit adjusts the limit at the source of a fill, if the fill is known to have reached it.
 func (e *Engine) adjustSourceLimit(req *request, ended *attempt, ev *Event, target float64, wasFillRejected bool) {
 	hasTimedOut := ev.Outcome == OutcomeTimedOut
 	isUnreported := e.settings.Hierarchy.CacheStatusReporting == CacheStatusUnreported
@@ -145,12 +146,12 @@
 	source := ended.source
 	responseTime := float64(ev.ResponseTime)
 	switch {
-	case ended.isSourceOfMany():
+	case ended.isSourceWidelyShared():
 		responseTime = float64(ev.ResponseTime - ev.UpstreamWait)
 	case ev.CacheStatus == FilledFromOrigin:
-		// The wait for a distant origin is not the source's doing; but on a full link fills must become fewer.
+		// The wait for a distant origin is not caused by the source. On a full link, however, fills must be reduced.
 		source.updateMinOriginWait(originWait(req, ended, ev))
-		if e.linkUseIndex < 0 { // nothing tells of the link: a usual wait within the objective is not late
+		if e.linkUseIndex < 0 { // no load reports on the link: a usual wait within the objective is not late
 			usual := e.sendTime(req) + maxOriginWaitMultiple*source.minOriginWait
 			target = max(target, min(usual, e.latencyObjective(req)))
 		} else if e.linkUse < overloadedLinkUse {
@@ -159,35 +160,35 @@
 	}
 	isLate := !isOriginTimeout(req, ended, ev) &&
 		isLateResponse(ended, ev, source, ended.sourceAnswersBefore, responseTime, target)
-	e.moveLimit(req, ev, source, defaultMissRatio, wasFillRejected || isLate)
+	e.adjustLimit(req, ev, source, defaultMissRatio, wasFillRejected || isLate)
 }
 
-// updateMinOriginWait takes in a wait for the origin, in microseconds. The least one rises slowly until it is met
-// again.
+// updateMinOriginWait updates the minimum wait for the origin with a new one, in microseconds. The minimum rises slowly
+// until a wait is below it.
 func (srv *server) updateMinOriginWait(wait float64) {
 	known := cmp.Or(srv.minOriginWait, wait)
 	srv.minOriginWait = min(known*(1+minOriginWaitRise), wait)
 }
 
-// isLateResponse reports that a server took longer than a target. One attempt that times out does not make a server
-// late that answered others meanwhile.
-func isLateResponse(ended *attempt, ev *Event, srv *server, answersBefore, took, target float64) bool {
+// isLateResponse reports whether a server exceeded the target response time. A timed-out attempt does not count as late
+// if the server answered other requests in the meantime.
+func isLateResponse(ended *attempt, ev *Event, srv *server, answersBefore, responseTime, target float64) bool {
 	if ev.Outcome != OutcomeTimedOut {
-		return took > target
+		return responseTime > target
 	}
 	hasAnsweredOthers := srv.answerCount-answersBefore >= 1
-	return !hasAnsweredOthers && (ended.isCanceledAsSilent || took > target)
+	return !hasAnsweredOthers && (ended.isCanceledAsUnresponsive || responseTime > target)
 }
 
-// moveLimit moves a server's limit after a response or a failure. requestShare is the part of the requests counted at
-// it that it serves.
-func (e *Engine) moveLimit(req *request, ev *Event, srv *server, requestShare float64, isLate bool) {
+// adjustLimit adjusts a server's limit after a response or a failure. requestShare is the fraction of the requests
+// counted at the server that it actually serves.
+func (e *Engine) adjustLimit(req *request, ev *Event, srv *server, requestShare float64, isLate bool) {
 	isInUse := float64(srv.inFlight+1) >= srv.concurrencyLimit/2
 	switch {
-	case !isInUse: // a limit that is far away tells nothing
+	case !isInUse: // far below the limit, the response is no evidence for or against it
 	case isLate && e.now-srv.limitReducedAt > int64(e.meanSendTime[req.class]):
 		e.reduceLimit(srv, requestShare)
-		if srv.role == roleParent && ev.Outcome != OutcomeTimedOut { // a time-out may be due to what is upstream of it
+		if srv.role == roleParent && ev.Outcome != OutcomeTimedOut { // a time-out may be caused upstream of it
 			e.emit(Action{Kind: ActionReportOverload, Server: srv.name})
 		}
 	case isLate || ev.Outcome != OutcomeServed:
@@ -198,13 +199,14 @@
 	}
 }
 
-// limitGrowth returns by how much a limit that was reduced before grows: the less, the more routers share the server,
-// and the smaller the response. Small ones are in time whatever the load and tell little.
+// limitGrowth returns the growth, in requests, of a limit that was reduced before. It is smaller the more routers share
+// the server, and the smaller the response, since small responses are on time even under load.
 func (e *Engine) limitGrowth(req *request, srv *server) float64 {
 	return limitGrowthPerRound * e.sendTime(req) / slices.Max(e.meanSendTime) / (srv.concurrencyLimit * srv.routers)
 }
 
-// reduceLimit takes a server's limit down: at once to what its known size allows, where few responses are seen.
+// reduceLimit reduces a server's limit by limitDecreaseFactor, but not below minLimit. If the server's size is known,
+// the limit is at once capped by that size, because a router may see too few responses to get there step by step.
 func (e *Engine) reduceLimit(srv *server, requestShare float64) {
 	srv.concurrencyLimit = max(srv.concurrencyLimit*limitDecreaseFactor, minLimit)
 	srv.limitReducedAt = e.now
@@ -213,7 +215,8 @@
 	}
 }
 
-// parentOverloaded reduces the limit at a parent that routers of other sites find overloaded, as a late response would.
+// parentOverloaded reduces the limit at a parent that routers of other sites report as overloaded, as a late response
+// would.
 func (e *Engine) parentOverloaded(srv *server) {
 	if srv == nil || srv.role != roleParent {
 		return
@@ -223,8 +226,8 @@
 	}
 }
 
-// capacity estimates this router's part of what a warm server can do, in work per microsecond: at least one transfer's
-// part where nothing tells its size.
+// capacity estimates this router's share of a warm server's capacity, in work per microsecond. If the server's size is
+// unknown, it is at least the share of one transfer.
 func (e *Engine) capacity(srv *server) float64 {
 	if e.hasServerWeights && srv.weight > 0 {
 		return srv.weight / srv.routers
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// resubscribeShare is the share of Guarantees.MaxPollInterval within which a failed subscription is renewed.
+// resubscribeShare is the fraction of Guarantees.MaxPollInterval within which a failed subscription is renewed.
 const resubscribeShare = 0.5
 
-// serverRole is what a server is to this router.
+// serverRole is the role of a server from the point of view of this router.
 type serverRole int
 
-// The roles. LearnedState stores figures by their numbers.
+// The roles. LearnedState.PeakWorkRates is indexed by them.
 const (
-	roleEdgeCache   serverRole = iota // an edge cache of the own zone
+	roleEdgeCache   serverRole = iota // an edge cache of this router's zone
 	roleParent                        // a parent, which all sites share
 	roleOrigin                        // the origin
 	roleRemoteCache                   // an edge cache of another zone: never used
 	roleCount
 )
 
-// server is what the engine knows of one server, by its name. It is kept from its first listing until it is off the
-// list and nothing is in flight at it.
+// server is the state of one server, identified by its name. It is kept from the server's first listing until the
+// server is no longer listed and has no requests in flight.
 type server struct {
 	// As listed.
 	name       string
@@ -29,37 +29,37 @@
 	role       serverRole
 	cell       int64
 	weight     float64
-	startedAt  int64   // of its present process; 0: long ago
-	routers    float64 // that share it
+	startedAt  int64   // start time of its present process; 0: long ago
+	routers    float64 // number of routers that share it
 	isHealthy  bool
 	isDelisted bool
 
-	// Requests at it.
-	inFlight         int           // attempts at it, and fills from it
+	// Requests in flight.
+	inFlight         int           // attempts at the server, and fills from it
 	concurrencyLimit float64       // on inFlight; adapted by additive increase and multiplicative decrease
-	limitReducedAt   int64         // when that was last reduced; 0: never
+	limitReducedAt   int64         // time of the last reduction of concurrencyLimit; 0: never
 	groupUsage       []*groupUsage // by accounting group, from 1; only at servers that groups share
 	breaker          circuitBreaker
 
 	// Slow start.
 	coldSends  []coldSend // within the last OverloadWindow, while it was cold
-	coldDrawAt int64      // when coldDraw was drawn; it holds for an OverloadWindow
-	coldDraw   float64    // a random share of a request's work that the first send of a window must fit
+	coldDrawAt int64      // time at which coldDraw was drawn; valid for an OverloadWindow
+	coldDraw   float64    // random factor on the work of the first send in a window, for the budget check
 
 	// Learned from responses.
 	recentWork    decayingSum // work done for this router while warm
 	recentAnswers decayingSum // responses, and fills that came from it
-	answerCount   float64     // the sum of these since it was first listed
-	missRatio     float64     // of an edge cache: share of requests that it fills
-	minOriginWait float64     // of a parent: the least recent wait for what the origin gave through it; 0: unknown
+	answerCount   float64     // number of these since it was first listed
+	missRatio     float64     // of an edge cache: fraction of requests that it fills
+	minOriginWait float64     // of a parent: minimum recent wait for the origin in fills through it; 0: unknown
 }
 
-// isSharedByGroups reports that accounting groups share the server, and each has a part of its limit.
+// isSharedByGroups reports whether accounting groups share the server, so that each has a share of its limit.
 func (srv *server) isSharedByGroups() bool {
 	return srv.role == roleParent || srv.role == roleOrigin
 }
 
-// resetForNewProcess voids what was learned of the process before that a new one doesn't share.
+// resetForNewProcess resets the state that applied to the server's previous process.
 func (srv *server) resetForNewProcess(startedAt int64) {
 	srv.startedAt = startedAt
 	srv.breaker = circuitBreaker{}
@@ -71,7 +71,7 @@
 	}
 }
 
-// updateEndpoints applies an endpoint list. A server that has left it is not used until it is listed once more.
+// updateEndpoints applies an endpoint list. A server that is no longer listed is not used until it is listed again.
 func (e *Engine) updateEndpoints(ev *Event) {
 	if ev.UpdateMode == UpdateUnavailable {
 		e.scheduleResubscription()
@@ -93,8 +93,8 @@
 	}
 }
 
-// scheduleResubscription sets the timer without a token, after which the engine subscribes anew. The time is random so
-// that routers do not subscribe together.
+// scheduleResubscription sets the timer with token 0, after which the engine subscribes again. The delay is random so
+// that routers do not all subscribe at the same time.
 func (e *Engine) scheduleResubscription() {
 	wait := resubscribeShare * float64(e.settings.Guarantees.MaxPollInterval) * (0.1 + 0.9*e.rng.Float64())
 	e.emit(Action{Kind: ActionSetTimer, Delay: int64(wait) + 1})
@@ -125,7 +125,7 @@
 	}
 }
 
-// indexServers lists the usable servers by role, in the order of their names.
+// indexServers rebuilds the lists of usable servers by role, sorted by name.
 func (e *Engine) indexServers() {
 	e.caches = nil
 	e.parents = nil
@@ -146,8 +146,8 @@
 	e.parentRanking = newRendezvousRanking(e.parents, e.hasServerWeights)
 }
 
-// Parents returns the names of the listed parents, and of those of them that circuit breakers of this router eject.
-// Both are sorted.
+// Parents returns the names of all listed parents, and of the listed parents that are ejected by this router's circuit
+// breakers. Both lists are sorted.
 func (e *Engine) Parents(now int64) (all, ejected []string) {
 	for _, srv := range e.servers {
 		if srv.role != roleParent || srv.isDelisted {
@@ -163,7 +163,8 @@
 	return all, ejected
 }
 
-// EjectedCaches returns the names of the usable edge caches of the own zone that circuit breakers eject, sorted.
+// EjectedCaches returns the sorted names of the usable edge caches of this router's zone that are ejected by circuit
+// breakers.
 func (e *Engine) EjectedCaches(now int64) (names []string) {
 	for _, srv := range e.caches {
 		if srv.breaker.isOpen(now) {
--- a/routing/engine.go
+++ b/routing/engine.go
@@ -2,25 +2,25 @@
 // which parent or origin fills a miss, whether a failed attempt is retried, and which requests are rejected so that no
 // server is overloaded.
 //
-// An Engine is a state machine without input or output, clock or goroutines. Step takes the events that came in at a
-// time and returns what to do, in order. With the same settings, seed and events it returns the same actions. Its
-// random numbers come from the seed alone.
+// An Engine is a state machine: it performs no I/O, reads no clock and starts no goroutines. Step processes the events
+// that occurred at a given time and returns the resulting actions in order. The same settings, seed and events always
+// result in the same actions. All random numbers are derived from the seed.
 //
-// The decisions, each in a file of its name:
+// Each kind of decision has its own file:
 //
 //   - selection: edge cache, source of a fill, direct fetch, uncacheable requests
-//   - rendezvous: the order of servers for an object, alike at all routers
-//   - concurrency: adaptive limits on what is in flight at a server, and accounting groups' shares of them
+//   - rendezvous: the order of servers for an object, which is the same at all routers
+//   - concurrency: adaptive limits on the requests in flight at a server, and the accounting groups' shares of them
 //   - origin_fills: admission of fills to the origin
-//   - slow_start: what a server that started recently may be sent
-//   - circuit_breaker: which servers are ejected, and what a failure is charged to
-//   - outcomes: whether and where an attempt is retried
-//   - idempotency: whether and for how long it may be, and the final answer where not
-//   - lost_responses: attempts whose response won't come
-//   - freshness, purges: the oldest copy that will do
-//   - endpoints, subsets: which servers there are, and which of them a request may use
-//   - estimates: what is learned about sizes, times and capacities
-//   - handover: what a process leaves to its successor
+//   - slow_start: how much work a recently started server may be sent
+//   - circuit_breaker: which servers are ejected, and which server a failure is charged to
+//   - outcomes: whether and where a failed attempt is retried
+//   - idempotency: whether and for how long a retry is safe, and the final answer if it is not
+//   - lost_responses: detection of attempts whose response will not arrive
+//   - freshness, purges: the maximum age of a cached copy that may be served
+//   - endpoints, subsets: the known servers, and which of them a request may use
+//   - estimates: learned estimates of sizes, times and capacities
+//   - handover: the learned state that a process hands to its replacement
 package routing
 
 import (
@@ -28,70 +28,70 @@
 	"slices"
 )
 
-// Engine decides for one request router. It is not safe for concurrent use. Times are microseconds of the clock that is
-// given to Step.
+// Engine makes the decisions of one request router. It is not safe for concurrent use. All times are in microseconds
+// and refer to the clock whose time is passed to Step.
 type Engine struct {
-	// Settings, and what follows from them.
+	// Settings, and values derived from them.
 	settings         Settings
-	classIndexes     map[string]int // by name of class
-	hasServerWeights bool           // weights in the endpoint list tell the sizes of servers
-	hitRatioIndex    int            // place in load reports; -1: absent
-	linkUseIndex     int            // place in load reports; -1: absent
-	purgeRetention   int64          // how long a purge matters
+	classIndexes     map[string]int // by class name
+	hasServerWeights bool           // the weights in the endpoint list are the sizes of servers
+	hitRatioIndex    int            // index in load reports; -1: absent
+	linkUseIndex     int            // index in load reports; -1: absent
+	purgeRetention   int64          // how long a purge is remembered
 
-	// The step at hand.
+	// The current step.
 	now     int64
 	actions []Action
 	rng     *rand.Rand
 
 	// Servers.
-	startedAt        int64              // time of the first step; 0: before it
-	servers          map[string]*server // by name; all that are listed or have something in flight
-	caches           []*server          // the usable edge caches of the own zone, by name
-	parents          []*server          // the usable parents, by name
-	origin           *server            // nil: none is usable
+	startedAt        int64              // time of the first step; 0: no step yet
+	servers          map[string]*server // by name; all servers that are listed or have requests in flight
+	caches           []*server          // the usable edge caches of this router's zone, sorted by name
+	parents          []*server          // the usable parents, sorted by name
+	origin           *server            // nil: no origin is usable
 	parentRanking    *rendezvousRanking // of parents
-	endpointsVersion int                // counts endpoint lists
+	endpointsVersion int                // incremented at each change of the endpoint list
 
 	// Subsets and accounting groups.
 	subsets        map[int]*subset // by number; 0: all edge caches of the zone
-	emptySubset    *subset         // stands for those that are not defined
+	emptySubset    *subset         // used for undefined subset numbers
 	capacityShares []float64       // by accounting group
 
 	// Requests.
-	requests        map[string]*request // open ones, by id
-	watchedRequests map[int64]*request  // by token of the timer that checks their attempts
+	requests        map[string]*request // open requests, by id
+	watchedRequests map[int64]*request  // by token of the timer that checks the attempt
 	lastTimerToken  int64
-	cancelBudget    float64 // requests whose attempt may be canceled as lost
+	cancelBudget    float64 // number of requests whose attempt may be canceled as lost
 
 	// Fills that reach the origin.
-	originFills             server  // stands for the origin as seen through parents: limit, and what may reach it
-	confirmedOriginFills    int     // fills in flight that are known to reach it
+	originFills             server  // pseudo-server: fills that may reach the origin, and their limit
+	confirmedOriginFills    int     // fills in flight that are known to reach the origin
 	maxPossibleOriginFills  float64 // bound on originFills.concurrencyLimit
 	maxConfirmedOriginFills float64 // bound on confirmedOriginFills
 
 	// Purges.
-	purgedAt map[purgeKey]int64 // when an object, or a group, was purged last
+	purgedAt map[purgeKey]int64 // time of the last purge of an object or a purge group
 	purges   purgeHeap          // all purges within their retention
 
 	// Learned from requests and responses.
 	tenants               map[string]*tenantUsage // by name
-	recentRequests        map[string]int          // by object; halved now and then
+	recentRequests        map[string]int          // by object; halved after each recentRequestWindow requests
 	recentRequestCount    int                     // sum of recentRequests
 	meanSendTime          []float64               // by class, from responses
-	meanRequestedSendTime map[string]*runningMean // by name of class, from sizes of requests
-	tailMultiple          []float64               // by class: what few responses exceed, in usual response times
-	peakWorkRates         [roleCount]float64      // by role: the most that one warm server did for this router
-	linkUse               float64                 // transfers on the zone's link over those that fit, by load reports
+	meanRequestedSendTime map[string]*runningMean // by class name, from the sizes given in requests
+	tailMultiple          []float64               // by class: tail of response times, in usual response times
+	peakWorkRates         [roleCount]float64      // by role: highest work rate of one warm server for this router
+	linkUse               float64                 // transfers on the zone's link over its capacity, from load reports
 }
 
-// NewEngine returns an engine for the settings, whose random numbers come from the seed. Where the settings can't be
-// used, the error is a *SettingsError.
+// NewEngine returns an engine for the settings. All of its random numbers are derived from the seed. If the settings
+// are invalid, the error is a *SettingsError.
 func NewEngine(settings Settings, seed int64) (*Engine, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	noParents := newRendezvousRanking(nil, false)
+	emptyRanking := newRendezvousRanking(nil, false)
 	e := &Engine{
 		settings:         settings,
 		classIndexes:     make(map[string]int),
@@ -102,10 +102,10 @@
 		rng: rand.New(rand.NewPCG(uint64(seed), 0)),
 
 		servers:       make(map[string]*server),
-		parentRanking: noParents,
+		parentRanking: emptyRanking,
 
-		subsets:     map[int]*subset{0: {endpointsVersion: neverFound}},
-		emptySubset: &subset{ranking: noParents},
+		subsets:     map[int]*subset{0: {endpointsVersion: noEndpointsVersion}},
+		emptySubset: &subset{ranking: emptyRanking},
 
 		requests:        make(map[string]*request),
 		watchedRequests: make(map[int64]*request),
@@ -135,9 +135,10 @@
 	return e, nil
 }
 
-// Step takes the events that came in at a time and returns what to do, in order. Times must not decrease.
+// Step processes the events that occurred at the time now and returns the resulting actions in order. The time must not
+// decrease from call to call.
 func (e *Engine) Step(now int64, events []Event) []Action {
-	e.beginStep(now)
+	e.startStep(now)
 	for i := range events {
 		ev := &events[i]
 		switch ev.Kind {
@@ -166,8 +167,8 @@
 	return e.actions
 }
 
-// beginStep begins a step.
-func (e *Engine) beginStep(now int64) {
+// startStep sets the time of the step and clears the actions of the last one.
+func (e *Engine) startStep(now int64) {
 	e.now = now
 	e.actions = nil
 	if e.startedAt == 0 {
@@ -175,10 +176,10 @@
 	}
 }
 
-// emit adds an action to those that the step returns.
+// emit appends an action to those that the current step returns.
 func (e *Engine) emit(action Action) {
 	if e.actions == nil {
-		e.actions = make([]Action, 0, 2) // most requests make two: the attempt and the timer of its first check
+		e.actions = make([]Action, 0, 2) // most requests need two: the attempt and the timer of its first check
 	}
 	e.actions = append(e.actions, action)
 }
--- a/routing/estimates.go
+++ b/routing/estimates.go
@@ -1,26 +1,26 @@
 package routing
 
-// Constants of what is estimated about sizes and times.
+// Constants of the estimates of sizes and times.
 const (
-	meanSendTimeStep   = 0.02  // by which one response moves a mean sending time
-	baseObjectiveShare = 0.25  // of the latency objective that a usual response takes besides its sending time
-	tailIncrease       = 0.2   // step of the tail of response times at a response past it
-	tailDecrease       = 0.004 // and at any other: 98 of 100 responses stay under it
-	linkUseStep        = 0.1   // by which one load report moves the use of the zone's link
-	minWeightDensity   = 1e-12 // for use as a divisor
+	meanSendTimeStep   = 0.02  // weight of one response in a mean sending time
+	baseObjectiveShare = 0.25  // fraction of the latency objective that a usual response needs besides its sending time
+	tailIncrease       = 0.2   // relative increase of the tail of response times at a response above it
+	tailDecrease       = 0.004 // relative decrease at any other response: 98 of 100 responses stay below the tail
+	linkUseStep        = 0.1   // weight of one load report in the use of the zone's link
+	minWeightDensity   = 1e-12 // above 0, since it is used as a divisor
 )
 
-// hasSize reports that a request's size tells how long its response takes to send.
+// hasSize reports whether the sending time of a response can be computed from the given size.
 func (e *Engine) hasSize(sizeKB float64) bool {
 	return sizeKB > 0 && e.settings.Hierarchy.ResponseKBPerSecond > 0
 }
 
-// sendTimeOf returns how long a response of a size takes to send, in microseconds.
+// sendTimeOf returns the sending time of a response of the given size, in microseconds.
 func (e *Engine) sendTimeOf(sizeKB float64) float64 {
 	return sizeKB / e.settings.Hierarchy.ResponseKBPerSecond * 1e6
 }
 
-// sendTime estimates how long the response to a request takes to send, in microseconds.
+// sendTime estimates the sending time of the response to a request, in microseconds.
 func (e *Engine) sendTime(req *request) float64 {
 	if e.hasSize(req.SizeKB) {
 		return e.sendTimeOf(req.SizeKB)
@@ -28,9 +28,9 @@
 	return e.meanSendTime[req.class]
 }
 
-// expectedWork estimates the mean sending time of a class as one of its requests comes, in microseconds. Requests tell
-// their sizes at once, responses teach them slowly and large ones late. The greater of both means counts, for servers
-// fail by what is sent too much.
+// expectedWork estimates the mean sending time of a class, in microseconds, when one of its requests arrives. Requests
+// give their sizes immediately, whereas the mean over responses adapts slowly and sees large responses late. The
+// greater of the two means is used, since too low an estimate would overload servers.
 func (e *Engine) expectedWork(ev *Event, class int) float64 {
 	learned := e.meanSendTime[class]
 	if !e.hasSize(ev.SizeKB) {
@@ -51,17 +51,17 @@
 	return float64(class.LatencyObjective) + class.ObjectiveSizeFactor*e.sendTime(req)
 }
 
-// usualResponseTime estimates how long a response to a request takes where nothing is wrong, in microseconds.
+// usualResponseTime estimates the response time of a request without faults or overload, in microseconds.
 func (e *Engine) usualResponseTime(req *request) float64 {
 	return e.sendTime(req) + baseObjectiveShare*float64(e.settings.Classes[req.class].LatencyObjective)
 }
 
-// tailResponseTime returns what few responses to such requests exceed, in microseconds.
+// tailResponseTime returns the response time, in microseconds, that few responses to similar requests exceed.
 func (e *Engine) tailResponseTime(req *request) float64 {
 	return e.tailMultiple[req.class] * e.usualResponseTime(req)
 }
 
-// adjustTail moves a class's tail of response times with a response.
+// adjustTail updates the tail of response times of a request's class with one response time.
 func (e *Engine) adjustTail(req *request, responseTime float64) {
 	if responseTime > e.tailResponseTime(req) {
 		e.tailMultiple[req.class] *= 1 + tailIncrease
@@ -70,7 +70,7 @@
 	}
 }
 
-// maxWeightDensity returns the greatest priority weight for its mean sending time of all classes.
+// maxWeightDensity returns the greatest weight density of all classes, at least minWeightDensity.
 func (e *Engine) maxWeightDensity() float64 {
 	greatest := minWeightDensity
 	for i := range e.settings.Classes {
@@ -79,8 +79,8 @@
 	return greatest
 }
 
-// maxWeightDensityAt returns the greatest weight density that counts at a server: at edge caches of other zones, which
-// get no uncacheable requests, that of the cacheable classes.
+// maxWeightDensityAt returns the greatest weight density that applies at a server. Edge caches of other zones get no
+// uncacheable requests, so that only cacheable classes apply there.
 func (e *Engine) maxWeightDensityAt(srv *server) float64 {
 	if srv.role == roleRemoteCache {
 		return e.maxCacheableWeightDensity()
@@ -88,7 +88,7 @@
 	return e.maxWeightDensity()
 }
 
-// maxCacheableWeightDensity returns the greatest one of the classes that leave copies.
+// maxCacheableWeightDensity returns the greatest weight density of the cacheable classes, at least minWeightDensity.
 func (e *Engine) maxCacheableWeightDensity() float64 {
 	greatest := minWeightDensity
 	for i := range e.settings.Classes {
@@ -99,12 +99,12 @@
 	return greatest
 }
 
-// weightDensity returns the priority weight of a class for its mean sending time.
+// weightDensity returns the priority weight of a class per microsecond of its mean sending time.
 func (e *Engine) weightDensity(class int) float64 {
 	return e.settings.Classes[class].PriorityWeight / e.meanSendTime[class]
 }
 
-// learnFromResponse learns from a served attempt: sending times, and what warm servers can do.
+// learnFromResponse updates the mean sending times and the work rates of warm servers after a served attempt.
 func (e *Engine) learnFromResponse(req *request, ended *attempt, ev *Event) {
 	e.learnSendTime(req, ended, ev)
 	e.learnWork(ended.server, ended.work)
@@ -121,8 +121,8 @@
 	}
 }
 
-// learnSendTime takes a response into the mean sending time of its class. Without its size, only an edge cache that is
-// little used shows it: under load the mean, and with it all objectives, would drift.
+// learnSendTime updates the mean sending time of a class with a response. If the size is unknown, only responses of
+// lightly loaded edge caches count: under load, the mean would rise, and all objectives with it.
 func (e *Engine) learnSendTime(req *request, ended *attempt, ev *Event) {
 	mean := &e.meanSendTime[req.class]
 	isLittleUsed := float64(ended.server.inFlight) < ended.server.concurrencyLimit/2
@@ -134,7 +134,7 @@
 	}
 }
 
-// learnWork counts work that a warm server has done, by which its capacity is estimated.
+// learnWork counts work that a warm server has done. The peak rate of this work is the estimate of its capacity.
 func (e *Engine) learnWork(srv *server, work float64) {
 	if srv.role == roleOrigin || e.isCold(srv) {
 		return
@@ -143,7 +143,8 @@
 	e.peakWorkRates[srv.role] = max(e.peakWorkRates[srv.role], srv.recentWork.rate(e.now, rateWindow))
 }
 
-// learnLoadReport learns from the load report of an edge cache, which may be absent or short.
+// learnLoadReport updates the miss ratio and the link use from the load report of an edge cache, which may be absent or
+// short.
 func (e *Engine) learnLoadReport(srv *server, report []float64) {
 	if srv.role != roleEdgeCache {
 		return
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// EventKind tells which fields of an Event count.
+// EventKind is the kind of an Event. It determines which fields of the Event are used.
 type EventKind int
 
 // The kinds of event.
@@ -11,13 +11,13 @@
 	EventRequest                               // a client's request: RequestID and all fields marked "request"
 	EventFirstByte                             // a streamed response began: RequestID, Attempt, Server, ResponseTime
 	EventOutcome                               // an attempt has ended: RequestID and all fields marked "outcome"
-	EventAborted                               // no answer is owed any more: RequestID
+	EventAborted                               // the client needs no answer any more: RequestID
 	EventTimer                                 // a timer has fired: TimerToken
 	EventProbed                                // a health check has ended: Outcome, Server, ResponseTime, LoadReport
-	EventPurge                                 // copies are out of date: Object ("": its group), PurgeGroup, PurgeAge
+	EventPurge                                 // copies are invalid: Object ("": its group), PurgeGroup, PurgeAge
 	EventSubset                                // a subset of servers: Subset and all fields marked "subset"
 	EventOriginFillBounds                      // bounds on fills: MaxPossibleOriginFills, MaxConfirmedOriginFills
-	EventParentOverloaded                      // routers of other sites find a parent overloaded: Server
+	EventParentOverloaded                      // routers of other sites report a parent as overloaded: Server
 )
 
 // String returns the kind's name.
@@ -29,7 +29,7 @@
 	EventOriginFillBounds: "origin fill bounds", EventParentOverloaded: "parent overloaded",
 }
 
-// nameOf returns the name at a place, or the number where there is none.
+// nameOf returns names[i], or i in decimal if there is no such name.
 func nameOf(names []string, i int) string {
 	if i >= 0 && i < len(names) && names[i] != "" {
 		return names[i]
@@ -37,7 +37,7 @@
 	return strconv.Itoa(i)
 }
 
-// Event is one thing that the engine is told. Times are microseconds.
+// Event is one input of the engine. Times are in microseconds.
 type Event struct {
 	Kind           EventKind
 	RequestID      string         // request, outcome
@@ -47,56 +47,56 @@
 	Server         string         // outcome: that of the attempt
 	UpdateMode     UpdateMode     // of EventEndpoints
 	Outcome        AttemptOutcome // outcome
-	Chunk          int64          // request: number of the object's chunk, from 0
-	PurgeGroup     int64          // request: the group that a purge may name for the object
+	Chunk          int64          // request: index of the object's chunk, from 0
+	PurgeGroup     int64          // request: the purge group of the object; also of EventPurge
 	Attempt        int            // outcome: number of the attempt, from 0
 	CacheStatus    CacheStatus    // outcome
-	SizeKB         float64        // request: of the chunk; 0: not told
-	Timeout        int64          // request: how long the client still waits
+	SizeKB         float64        // request: of the chunk; 0: unknown
+	Timeout        int64          // request: remaining time before the client gives up
 	ResponseTime   int64          // outcome: since the attempt was sent
 	UpstreamWait   int64          // outcome: until the source's first byte, or the fill's failure
-	PurgeAge       int64          // of EventPurge: how long ago the purge was made
-	MinVersionTime int64          // request: copies that left the origin before it are out of date; 0: no bound
-	MaxAge         int64          // request: how old a copy may be, where that is more than its class allows
+	PurgeAge       int64          // of EventPurge: time since the purge was issued
+	MinVersionTime int64          // request: copies that left the origin before this time are invalid; 0: no bound
+	MaxAge         int64          // request: maximum age of a copy, if it is more than the class allows
 	TimerToken     int64          // of EventTimer: that of ActionSetTimer
 	IsWrite        bool           // request
-	IsClientRetry  bool           // request: the client repeats an earlier one
-	IsFinal        bool           // outcome: the request has ended, with this outcome or before
+	IsClientRetry  bool           // request: the client retries an earlier request
+	IsFinal        bool           // outcome: the request has ended, with this outcome or earlier
 	Endpoints      []Endpoint     // of EventEndpoints
 	LoadReport     []float64      // outcome: by LoadReporting.Fields; often absent
 
-	// Subset names the edge caches that a request may go to, and OverflowSubset those that it may go to when none of
-	// the former can take it. 0 stands for all edge caches of the zone, in OverflowSubset for none. A subset that no
-	// EventSubset has named holds no cache. (request, subset)
+	// Subset is the number of the set of edge caches that may serve a request. OverflowSubset is the set that is used
+	// if no cache of Subset is available. 0 means all edge caches of the zone in Subset, and no cache in
+	// OverflowSubset. A subset that no EventSubset has defined is empty. (request, subset)
 	Subset, OverflowSubset int
-	// ParentSubset names the parents that a request's fills are sent to first; other parents get them only when none of
-	// these can take them. 0: no preference. One that no EventSubset has named holds none: then the origin gets the
-	// fills. (request)
+	// ParentSubset is the number of the set of parents that are preferred for a request's fills. Other parents are
+	// used only if none of these is available. 0: no preference. A subset that no EventSubset has defined is empty:
+	// its fills go to the origin. (request)
 	ParentSubset int
-	// AccountingGroup is who is charged for what a subset's requests take of servers that all groups share, the
-	// parents and the origin: each group has its own circuit breakers there, and CapacityShare of such a server's
-	// concurrency limit, 0 to 1, is the group's whenever it wants it. Group 0 is that of requests without a subset;
-	// it has no share. (subset)
+	// AccountingGroup is the group that is charged for the load of a subset's requests on the servers that all groups
+	// share, which are the parents and the origin. Each group has its own circuit breakers there. CapacityShare is the
+	// fraction, 0 to 1, of such a server's concurrency limit that is always available to the group. Group 0 is for
+	// requests without a subset; it has no share. (subset)
 	AccountingGroup int
 	CapacityShare   float64
-	SubsetServers   []string // subset: the names of its servers; none: the subset is dropped
+	SubsetServers   []string // subset: the names of its servers; empty: the subset is deleted
 
-	// MaxPossibleOriginFills bounds the fills in flight that may reach the origin, MaxConfirmedOriginFills those that
-	// are known to: a parent is then asked for a cached copy before it may fetch one. 0: no bound but what is learned
-	// from the origin's answers. (EventOriginFillBounds)
+	// MaxPossibleOriginFills limits the fills in flight that may reach the origin. MaxConfirmedOriginFills limits the
+	// fills that are known to reach it; if it is set, a parent must first report that it has no cached copy. 0: no
+	// bound other than the limit learned from the origin's responses. (EventOriginFillBounds)
 	MaxPossibleOriginFills  float64
 	MaxConfirmedOriginFills float64
 }
 
-// UpdateMode says how the endpoints of an event change the list.
+// UpdateMode is how the endpoints of an event change the list.
 type UpdateMode string
 
 // The modes of an update.
 const (
 	UpdateChanges     UpdateMode = "update"      // only entries that changed
 	UpdateReplace     UpdateMode = "replace"     // the complete list
-	UpdateRestored    UpdateMode = "restored"    // the complete list as the router last had it, possibly stale
-	UpdateUnavailable UpdateMode = "unavailable" // a subscription broke or a call failed; the list stays as it is
+	UpdateRestored    UpdateMode = "restored"    // the complete list that the router last received, possibly stale
+	UpdateUnavailable UpdateMode = "unavailable" // a subscription or a call failed; the list is unchanged
 )
 
 // Endpoint is one entry of the endpoint list.
@@ -104,10 +104,10 @@
 	Server    string // its name
 	Zone      string
 	Kind      string // one of Settings.Kinds
-	Cell      int64  // servers of a cell share what they know for deduplication
+	Cell      int64  // servers of a cell share their deduplication records
 	Status    EndpointStatus
-	Weight    float64 // as Settings.WeightSource says
-	StartedAt int64   // time of its process's start; 0: long ago
+	Weight    float64 // its meaning is given by Settings.WeightSource
+	StartedAt int64   // start time of its process; 0: long ago
 }
 
 // EndpointStatus is the state of a server in the endpoint list.
@@ -116,14 +116,14 @@
 // The states of a server.
 const (
 	EndpointHealthy  EndpointStatus = "healthy"
-	EndpointDraining EndpointStatus = "cordoned"     // completes its requests and must get nothing new
+	EndpointDraining EndpointStatus = "cordoned"     // completes its requests and must not get new ones
 	EndpointRemoved  EndpointStatus = "deregistered" // only among changes
 )
 
-// AttemptOutcome is how an attempt ended, in the words of the platform's wire.
+// AttemptOutcome is how an attempt ended. The values are those of the wire protocol.
 type AttemptOutcome string
 
-// The outcomes of attempts. Those that prove that nothing ran say so.
+// The outcomes of attempts. "Nothing ran" marks those that prove that the request was not executed.
 const (
 	OutcomeServed            AttemptOutcome = "done"
 	OutcomeError             AttemptOutcome = "err"
@@ -133,10 +133,10 @@
 	OutcomeConnectionReset   AttemptOutcome = "econnreset"
 	OutcomeCanceled          AttemptOutcome = "ecanceled"
 	OutcomeSkipped           AttemptOutcome = "skipped" // never sent; nothing ran
-	OutcomeMiss              AttemptOutcome = "enoent"  // no copy that will do, and none was filled; nothing ran
+	OutcomeMiss              AttemptOutcome = "enoent"  // no acceptable copy, and no fill; nothing ran
 )
 
-// mayHaveRun reports that an attempt with this outcome may have had its effect.
+// mayHaveRun reports whether an attempt with this outcome may have been executed.
 func (o AttemptOutcome) mayHaveRun() bool {
 	switch o {
 	case OutcomeRejected, OutcomeConnectionRefused, OutcomeSkipped, OutcomeMiss:
@@ -145,23 +145,23 @@
 	return true
 }
 
-// CacheStatus is what an edge cache says of how it came by a response, or why it has none. The values are those of the
-// platform's wire.
+// CacheStatus is how an edge cache obtained a response, or the reason why it has none, as reported by the cache. The
+// values are those of the wire protocol.
 type CacheStatus int
 
-// The cache statuses. From SourceRejected on they tell why there is no response.
+// The cache statuses. SourceRejected and those after it are reasons for a missing response.
 const (
 	CacheStatusUnknown CacheStatus = iota
 	CacheHit                       // found at the edge cache
 	FilledFromSource               // filled from a copy that the source had
-	FilledFromOrigin               // the origin was asked
-	JoinedFill                     // waited for a fill under way; with OutcomeMiss: there is one under way
+	FilledFromOrigin               // filled from the origin
+	JoinedFill                     // waited for a fill in progress; with OutcomeMiss: one is in progress
 	ServedStale                    // a copy past its freshness lifetime
 	SourceRejected                 // the source rejected the fill
 	SourceUnreachable              // the source is unreachable, broken or too slow
 	SourceMissed                   // the source has no copy
-	FillsExhausted                 // all places for fills at the edge cache are taken
-	OriginFailed                   // the origin failed the parent
+	FillsExhausted                 // the edge cache is at its fill limit
+	OriginFailed                   // the parent's request to the origin failed
 )
 
 // String returns the status's name.
@@ -174,8 +174,8 @@
 	FillsExhausted: "fills exhausted", OriginFailed: "origin failed",
 }
 
-// IsFilled reports that the response came through the source: from its own copy or from the origin.
+// IsFilled reports whether the response came through the source: from its own copy or from the origin.
 func (s CacheStatus) IsFilled() bool { return s == FilledFromSource || s == FilledFromOrigin }
 
-// IsFailure reports that the edge cache says why there is no response.
+// IsFailure reports whether the status is a reason for a missing response.
 func (s CacheStatus) IsFailure() bool { return s >= SourceRejected }
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -1,15 +1,16 @@
 package routing
 
 const (
-	// freshnessJitter is the random share taken off a freshness lifetime, so that copies are not renewed together.
+	// freshnessJitter is the maximum random reduction of a freshness lifetime, as a fraction. It prevents that copies
+	// are renewed simultaneously.
 	freshnessJitter = 0.2
-	// purgeClockMargin is taken off an age limit after a purge, in microseconds: time comes in steps.
+	// purgeClockMargin is subtracted from the age limit after a purge, in microseconds, as clocks advance in steps.
 	purgeClockMargin = 1_000
 )
 
-// maxAge returns the age of the oldest copy that will do for a request, in microseconds; 0: any. It is the freshness
-// lifetime less jitter, or where any cached copy is wanted that lifetime and its grace period; and never more than the
-// time since a purge or the request's minimum version.
+// maxAge returns the maximum age of a copy for a request, in microseconds; 0: no limit. It is the freshness lifetime
+// minus jitter or, for an attempt that accepts any cached copy, the lifetime plus its grace period. It never exceeds
+// the time since a purge or since the request's MinVersionTime.
 func (e *Engine) maxAge(req *request) (limit int64) {
 	if fresh := valueAt(e.settings.Hierarchy.FreshnessLifetime, req.class); fresh > 0 {
 		limit = fresh - int64(freshnessJitter*e.rng.Float64()*float64(fresh))
@@ -25,8 +26,8 @@
 	return limit
 }
 
-// timeSinceChange returns how long ago, in microseconds, a request's object or its group was purged, or a new version
-// of it was made at the time latest if that is not 0. It returns 0 where neither happened recently.
+// timeSinceChange returns the time, in microseconds, since the last change of a request's object: a purge of the object
+// or its group, or a new version at the time latest, if that is not 0. It returns 0 if there was no recent change.
 func (e *Engine) timeSinceChange(req *request, latest int64) int64 {
 	isChanged := latest != 0
 	for _, key := range [...]purgeKey{{object: req.Object}, {group: req.PurgeGroup}} {
--- a/routing/handover.go
+++ b/routing/handover.go
@@ -7,21 +7,21 @@
 	"slices"
 )
 
-// LearnedState is what an engine has learned and would otherwise learn anew: what its servers bear, which of them fail,
-// what cold ones were sent recently, how long responses take, which objects are requested most. A process that takes
-// over from another starts with it. Open requests are no part of it: the process that sent them still sees them end.
-// Times are microseconds of the engine's clock. The tags are the names in the stored file.
+// LearnedState is the state that an engine has learned and that a replacement process starts with: concurrency limits,
+// circuit breakers, recent work sent to cold servers, response times, and the most requested objects. Open requests are
+// not included: the process that sent them completes them. Times are in microseconds of the engine's clock. The JSON
+// tags are the names in the stored file.
 type LearnedState struct {
 	TakenAt        int64          `json:"At"`
 	Servers        []ServerState  `json:"Nodes"`
-	OriginFills    ServerState    `json:"Behind"` // the origin as seen through parents
+	OriginFills    ServerState    `json:"Behind"` // limit on fills that may reach the origin
 	PeakWorkRates  []float64      `json:"Peak"`   // by role
 	Classes        []ClassState   `json:"Classes"`
 	RecentRequests map[string]int `json:"Recent"` // by object
 	CancelBudget   float64        `json:"Spare"`
 }
 
-// ServerState is what is known of one process at a server; one that started anew is another.
+// ServerState is the learned state of one process of a server. A restarted server is a new process.
 type ServerState struct {
 	Name               string                      `json:"Name"`
 	StartedAt          int64                       `json:"CameUp"`
@@ -36,24 +36,24 @@
 	ColdDraw           float64                     `json:"Luck"`
 	BreakerOpenUntil   int64                       `json:"Until"` // 0: closed
 	BreakerTrialFailed bool                        `json:"Dead"`
-	OutcomeWeights     [breakerMaxOutcomes]float64 `json:"Weights"` // of the outcomes that the breaker counts
-	FailureWeights     [breakerMaxOutcomes]float64 `json:"Failed"`  // of those that failed
+	OutcomeWeights     [breakerMaxOutcomes]float64 `json:"Weights"` // of the outcomes in the breaker's ring buffer
+	FailureWeights     [breakerMaxOutcomes]float64 `json:"Failed"`  // 0 for outcomes that did not fail
 	NextOutcome        int                         `json:"Next"`
 }
 
-// DecayingSum is a sum in which amounts fade exponentially, as it stood at a time.
+// DecayingSum is the value at UpdatedAt of a sum in which each amount decays exponentially.
 type DecayingSum struct {
 	Sum       float64 `json:"Sum"`
 	UpdatedAt int64   `json:"At"`
 }
 
-// ColdSend is work that was sent to a cold server at a time.
+// ColdSend is work that was sent to a cold server at SentAt.
 type ColdSend struct {
 	SentAt int64   `json:"At"`
 	Work   float64 `json:"Work"`
 }
 
-// ClassState is what is known of a class.
+// ClassState is the learned state of a class.
 type ClassState struct {
 	Name         string  `json:"Name"`
 	MeanSendTime float64 `json:"SendMean"`
@@ -63,27 +63,27 @@
 // beforeAnyStart is a time before the start of any server.
 const beforeAnyStart = 1
 
-// Bounds on what is taken over from another process. Times are microseconds.
+// Bounds on the learned state of another process. Times are in microseconds.
 const (
-	maxLearnedStateAge  = 5_000_000 // past it, the state tells of another time
+	maxLearnedStateAge  = 5_000_000 // older state no longer describes the present
 	maxBreakerOpenAhead = 2 * breakerCoolDown
 	maxColdSends        = 1 << 14
 	maxRecentObjects    = 2 * recentRequestWindow
-	maxLearnedFigure    = 1e15
+	maxLearnedValue     = 1e15
 )
 
-// LearnedStateError says which part of a LearnedState can't be true.
+// LearnedStateError describes an implausible value in a LearnedState.
 type LearnedStateError struct {
 	Problem string // names the field as in the stored file
 }
 
-// Error gives the problem.
-func (e *LearnedStateError) Error() string { return "beliefs: " + e.Problem }
+// Error returns the problem.
+func (e *LearnedStateError) Error() string { return "learned state: " + e.Problem }
 
-// ErrLearnedStateAge tells that a LearnedState was taken at another time.
-var ErrLearnedStateAge = fmt.Errorf("%d us at most", maxLearnedStateAge)
+// ErrLearnedStateAge is the error for a LearnedState whose TakenAt is too far from the present time.
+var ErrLearnedStateAge = fmt.Errorf("the limit is %d us", maxLearnedStateAge)
 
-// LearnedState returns what is known now.
+// LearnedState returns a copy of the engine's learned state at the time now.
 func (e *Engine) LearnedState(now int64) LearnedState {
 	state := LearnedState{
 		TakenAt:        now,
@@ -102,7 +102,7 @@
 	return state
 }
 
-// learnedState returns what is known of a server.
+// learnedState returns a copy of the server's learned state.
 func (srv *server) learnedState() ServerState {
 	state := ServerState{
 		Name:               srv.name,
@@ -129,9 +129,9 @@
 	return state
 }
 
-// RestoreLearnedState takes over what another process of the same router knew. Of servers that are not listed, or that
-// started anew since, nothing is taken. Where the state is too old or something in it can't be true, the error names it
-// and nothing changes.
+// RestoreLearnedState applies the learned state of another process of the same router. The state of servers that are
+// not listed, or that have restarted since, is ignored. If the state is too old or a value is implausible, the error
+// names the value and nothing changes.
 func (e *Engine) RestoreLearnedState(now int64, state LearnedState) error {
 	if err := state.validate(now); err != nil {
 		return err
@@ -143,7 +143,7 @@
 		}
 	}
 	e.originFills.restore(&state.OriginFills)
-	e.startedAt = beforeAnyStart // what cold servers were sent before is known
+	e.startedAt = beforeAnyStart // the work that was sent to cold servers before is known
 	for _, class := range state.Classes {
 		if i, known := e.classIndexes[class.Name]; known {
 			e.meanSendTime[i] = class.MeanSendTime
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// restoreRecentRequests takes over the counts of requests by object.
+// restoreRecentRequests replaces the counts of recent requests by object.
 func (e *Engine) restoreRecentRequests(counts map[string]int) {
 	e.recentRequests = make(map[string]int, len(counts))
 	e.recentRequestCount = 0
@@ -166,7 +166,7 @@
 	}
 }
 
-// restore takes over what another process knew of a server.
+// restore applies the learned state of a server from another process.
 func (srv *server) restore(state *ServerState) {
 	srv.concurrencyLimit = state.ConcurrencyLimit
 	srv.limitReducedAt = state.LimitReducedAt
@@ -190,14 +190,14 @@
 	}
 }
 
-// validate guards against a file that was damaged or is of another time.
+// validate returns an error if the state is too old or was damaged in its file.
 func (s *LearnedState) validate(now int64) error {
 	if age := now - s.TakenAt; age > maxLearnedStateAge || age < -maxLearnedStateAge {
-		return fmt.Errorf("beliefs of %d us ago: %w", age, ErrLearnedStateAge)
+		return fmt.Errorf("learned state taken %d us ago: %w", age, ErrLearnedStateAge)
 	}
 	areRatesPlausible := len(s.PeakWorkRates) == int(roleCount) && arePlausible(s.PeakWorkRates...)
 	if !areRatesPlausible || len(s.RecentRequests) > maxRecentObjects || !arePlausible(s.CancelBudget) {
-		return &LearnedStateError{"Peak, Recent or Spare"}
+		return &LearnedStateError{"Peak, Recent or Spare is out of range"}
 	}
 	for i := range s.Servers {
 		if problem := s.Servers[i].problem(now); problem != "" {
@@ -210,51 +210,51 @@
 	for i, class := range s.Classes {
 		areMeansPlausible := arePlausible(class.MeanSendTime, class.TailMultiple)
 		if !areMeansPlausible || class.MeanSendTime <= 0 || class.TailMultiple <= 0 {
-			return &LearnedStateError{fmt.Sprintf("Classes[%d]: SendMean or Tail", i)}
+			return &LearnedStateError{fmt.Sprintf("Classes[%d]: SendMean or Tail is out of range", i)}
 		}
 	}
 	for object, count := range s.RecentRequests {
 		if count < 0 || count > recentRequestWindow {
-			return &LearnedStateError{fmt.Sprintf("Recent[%q]: %d", object, count)}
+			return &LearnedStateError{fmt.Sprintf("Recent[%q]: count %d is out of range", object, count)}
 		}
 	}
 	return nil
 }
 
-// problem returns what in the state could eject a server for long or put an index out of range, starting with the name
-// of the field in the stored file; "" if nothing could.
+// problem describes the first value that could eject a server for too long or put an index out of range, starting with
+// the name of the field in the stored file. It returns "" if there is no such value.
 func (s *ServerState) problem(now int64) string {
 	sums := []float64{s.ConcurrencyLimit, s.AnswerCount, s.RecentAnswers.Sum, s.RecentWork.Sum}
 	switch {
-	case !arePlausible(sums...) || !isShare(s.MissRatio) || !isShare(s.ColdDraw):
-		return "Limit, MissPart, Answered, Answers, Work or Luck"
+	case !arePlausible(sums...) || !isFraction(s.MissRatio) || !isFraction(s.ColdDraw):
+		return "Limit, MissPart, Answered, Answers, Work or Luck is out of range"
 	case s.BreakerOpenUntil > now+maxBreakerOpenAhead || s.BreakerOpenUntil < 0 || s.NextOutcome < 0:
-		return "Until or Next"
+		return "Until or Next is out of range"
 	case !arePlausible(s.OutcomeWeights[:]...) || !arePlausible(s.FailureWeights[:]...):
-		return "Weights or Failed"
+		return "Weights or Failed is out of range"
 	case len(s.ColdSends) > maxColdSends:
-		return fmt.Sprintf("Spent: %d, %d at most", len(s.ColdSends), maxColdSends)
+		return fmt.Sprintf("Spent: %d entries, the limit is %d", len(s.ColdSends), maxColdSends)
 	}
 	latest := max(s.LimitReducedAt, s.ColdDrawAt, s.RecentAnswers.UpdatedAt, s.RecentWork.UpdatedAt)
 	for _, send := range s.ColdSends {
 		latest = max(latest, send.SentAt)
-		if math.IsNaN(send.Work) || math.Abs(send.Work) > maxLearnedFigure { // what never reached a server is negative
-			return fmt.Sprintf("Spent: Work %v", send.Work)
+		if math.IsNaN(send.Work) || math.Abs(send.Work) > maxLearnedValue { // negative: canceled work
+			return fmt.Sprintf("Spent: Work %v is out of range", send.Work)
 		}
 	}
 	if latest > now+maxLearnedStateAge {
-		return fmt.Sprintf("a time %d us ahead", latest-now)
+		return fmt.Sprintf("a time is %d us ahead of now", latest-now)
 	}
 	return ""
 }
 
-// isShare reports that a figure is from 0 to 1.
-func isShare(figure float64) bool { return figure >= 0 && figure <= 1 }
+// isFraction reports whether a value is from 0 to 1.
+func isFraction(value float64) bool { return value >= 0 && value <= 1 }
 
-// arePlausible reports that figures can be sums, shares or counts.
-func arePlausible(figures ...float64) bool {
-	for _, figure := range figures {
-		if math.IsNaN(figure) || figure < 0 || figure > maxLearnedFigure {
+// arePlausible reports whether all values are from 0 to maxLearnedValue, the range of sums, fractions and counts.
+func arePlausible(values ...float64) bool {
+	for _, value := range values {
+		if math.IsNaN(value) || value < 0 || value > maxLearnedValue {
 			return false
 		}
 	}
--- a/routing/handover_test.go
+++ b/routing/handover_test.go
@@ -167,7 +167,7 @@
 		t.Fatal(err)
 	}
 	srv := next.servers["bad"]
-	if srv.breaker.openUntil != 0 || srv.concurrencyLimit != initialLimit+initialLimitExtra {
+	if srv.breaker.openUntil != 0 || srv.concurrencyLimit != initialLimit+initialLimitMargin {
 		t.Errorf("of a new process: breaker until %d, limit %v", srv.breaker.openUntil, srv.concurrencyLimit)
 	}
 }
--- a/routing/idempotency.go
+++ b/routing/idempotency.go
@@ -1,16 +1,16 @@
 package routing
 
 const (
-	// deduplicationWindowShare is the share of a class's DeduplicationWindow within which a request with an idempotency
-	// key is retried.
+	// deduplicationWindowShare is the fraction of a class's DeduplicationWindow within which a request with an
+	// idempotency key is retried.
 	deduplicationWindowShare = 0.9
-	// retryAfterObjectives is the least Retry-After of a rejection, in latency objectives, up to twice that: a retry in
-	// time still has its full weight.
+	// retryAfterObjectives is the minimum Retry-After of a rejection, in latency objectives. The maximum is twice that.
+	// It is so short that the response to a client's retry can still have its full weight.
 	retryAfterObjectives = 0.12
 )
 
-// retryWindow returns for how long, in microseconds, an attempt of a request may still be sent. What may have run is
-// retried only as its class allows.
+// retryWindow returns the remaining time, in microseconds, in which an attempt of a request may be sent; 0 or less: no
+// attempt may be sent. A request that may have run is retried only as its class allows.
 func (e *Engine) retryWindow(req *request) int64 {
 	class := &e.settings.Classes[req.class]
 	untilDeadline := req.deadline - e.now
@@ -24,8 +24,8 @@
 	return min(window-(e.now-req.firstRunAt), untilDeadline)
 }
 
-// isInDeduplicationScope reports that a server would drop a repeat of what a request may have run before, or that there
-// is nothing to drop.
+// isInDeduplicationScope reports whether a request may be repeated at a server: the server drops repeats of an earlier
+// attempt that may have run, or no deduplication is needed.
 func (e *Engine) isInDeduplicationScope(req *request, srv *server) bool {
 	class := &e.settings.Classes[req.class]
 	first := req.firstRunServer
@@ -45,11 +45,11 @@
 	return false
 }
 
-// rejectOrFail gives the final answer: a rejection where a retry by the client is harmless, else a failure.
+// rejectOrFail gives the final answer: a rejection if a retry by the client is safe, otherwise a failure.
 func (e *Engine) rejectOrFail(req *request) {
 	class := &e.settings.Classes[req.class]
 	e.closeRequest(req.RequestID)
-	if req.firstRunServer != nil && !class.isRetryHarmless() {
+	if req.firstRunServer != nil && !class.isRetrySafe() {
 		e.emit(Action{Kind: ActionFail, RequestID: req.RequestID})
 		return
 	}
@@ -58,8 +58,8 @@
 	e.emit(Action{Kind: ActionReject, RequestID: req.RequestID, RetryAfter: retryAfter})
 }
 
-// isRetryHarmless reports that a client may retry a request that may have run.
-func (c *Class) isRetryHarmless() bool {
+// isRetrySafe reports whether a client may retry a request that may have run.
+func (c *Class) isRetrySafe() bool {
 	switch c.Idempotency {
 	case IdempotentRead:
 		return true
--- a/routing/lost_responses.go
+++ b/routing/lost_responses.go
@@ -1,27 +1,28 @@
 package routing
 
-// Constants by which attempts are told whose response won't come.
+// Constants for the detection of attempts whose response will not arrive. A server is unresponsive if it answers no
+// request. A response is lost if only one attempt gets none while its edge cache answers others.
 const (
-	silentMinAnswersDue       = 8    // responses due and none come: silent (by chance under 1 in 1000)
-	silentMaxObjectives       = 4    // latency objectives without a response: silent, however few were due
-	silentCheckInterval       = 0.5  // latency objectives between checks
-	minObjectiveDeadlineShare = 0.05 // an objective counts as this share of the deadline at least, for that interval
+	unresponsiveMinAnswersDue = 8    // responses due, and none received: unresponsive (by chance under 1 in 1000)
+	unresponsiveMaxObjectives = 4    // latency objectives without a response: unresponsive, however few were due
+	unresponsiveCheckInterval = 0.5  // latency objectives between checks
+	minObjectiveDeadlineShare = 0.05 // minimum objective for that interval, as a fraction of the deadline
 
-	initialTailMultiple    = 4.0  // tail of response times at the start, in usual times
-	lostTailMultiple       = 1.5  // tails that the first response may take: then it is lost
-	lostMinAnswers         = 3    // responses of its edge cache meanwhile, or it is not this attempt alone
-	cancelBudgetPerRequest = 0.03 // share of requests whose attempt may be canceled as lost: no storm under load
+	initialTailMultiple    = 4.0  // initial tail of response times, in usual response times
+	lostTailMultiple       = 1.5  // tails after which the response to a first attempt is lost
+	lostMinAnswers         = 3    // responses of its edge cache since then; with fewer, other attempts may be affected
+	cancelBudgetPerRequest = 0.03 // fraction of requests whose attempt may be canceled as lost, to bound retries
 	maxCancelBudget        = 5    // requests
 )
 
-// watchAttempt sets the timer of the next check of an attempt.
+// watchAttempt sets the timer for the next check of the attempt in flight.
 func (e *Engine) watchAttempt(req *request) {
 	e.lastTimerToken++
 	e.watchedRequests[e.lastTimerToken] = req
 	class := &e.settings.Classes[req.class]
 	objective := max(float64(class.LatencyObjective), minObjectiveDeadlineShare*float64(class.Deadline))
-	delay := silentCheckInterval * objective
-	if req.attempts == 1 { // a first attempt may be lost before it is silent
+	delay := unresponsiveCheckInterval * objective
+	if req.attempts == 1 { // a first attempt may be lost before its server is unresponsive
 		untilLost := e.lostAfter(req) - float64(e.now-req.current.sentAt)
 		if untilLost > 0 {
 			delay = min(delay, untilLost)
@@ -30,7 +31,7 @@
 	e.emit(Action{Kind: ActionSetTimer, Delay: int64(delay) + 1, TimerToken: e.lastTimerToken})
 }
 
-// timerFired checks the attempt that a timer watches. The timer without a token renews the subscription.
+// timerFired checks the attempt for which a timer was set. The timer with token 0 renews the subscription.
 func (e *Engine) timerFired(token int64) {
 	req := e.watchedRequests[token]
 	delete(e.watchedRequests, token)
@@ -47,23 +48,24 @@
 		e.cancelAttempt(req)
 		return
 	}
-	if e.isAttemptSilent(req, watched) {
+	if e.isAttemptUnresponsive(req, watched) {
 		mayRepeat := e.settings.Classes[req.class].Idempotency != NotIdempotent
-		if !watched.isCanceledAsSilent && e.settings.Permissions.MayCancel && mayRepeat {
+		if !watched.isCanceledAsUnresponsive && e.settings.Permissions.MayCancel && mayRepeat {
 			e.cancelAttempt(req)
 		}
-		watched.isCanceledAsSilent = true
+		watched.isCanceledAsUnresponsive = true
 		return
 	}
 	e.watchAttempt(req)
 }
 
-// cancelAttempt stops waiting for the attempt in flight. Its outcome follows.
+// cancelAttempt cancels the attempt in flight. Its outcome arrives as an event.
 func (e *Engine) cancelAttempt(req *request) {
 	e.emit(Action{Kind: ActionCancel, RequestID: req.RequestID, Attempt: req.attempts - 1})
 }
 
-// isLost reports that the first response to a request is later than almost all others recently, and it alone.
+// isLost reports whether the response to a request's first attempt is probably lost: it is later than almost all recent
+// responses, while its edge cache has answered other requests.
 func (e *Engine) isLost(req *request) bool {
 	watched := &req.current
 	elapsed := float64(e.now - watched.sentAt)
@@ -76,25 +78,26 @@
 		watched.server.answerCount-watched.serverAnswersBefore >= lostMinAnswers
 }
 
-// lostAfter returns the response time past which a first response is lost, in microseconds.
+// lostAfter returns the time, in microseconds, after which the response to a first attempt is considered lost.
 func (e *Engine) lostAfter(req *request) float64 {
 	return lostTailMultiple * e.tailMultiple[req.class] * e.usualResponseTime(req)
 }
 
-// isAttemptSilent reports that the server of an attempt, or its source, answers nobody.
-func (e *Engine) isAttemptSilent(req *request, watched *attempt) bool {
-	if e.isSilent(req, watched.server, watched.serverAnswersBefore, watched.sentAt) {
+// isAttemptUnresponsive reports whether the server of an attempt, or its source, is unresponsive.
+func (e *Engine) isAttemptUnresponsive(req *request, watched *attempt) bool {
+	if e.isUnresponsive(req, watched.server, watched.serverAnswersBefore, watched.sentAt) {
 		return true
 	}
-	return watched.isFill && e.isSilent(req, watched.source, watched.sourceAnswersBefore, watched.sentAt)
+	return watched.isFill && e.isUnresponsive(req, watched.source, watched.sourceAnswersBefore, watched.sentAt)
 }
 
-// isSilent reports that a server has answered nobody since an attempt was sent, though responses were due.
-func (e *Engine) isSilent(req *request, srv *server, answersBefore float64, since int64) bool {
+// isUnresponsive reports whether a server has not answered any request since an attempt was sent, although responses
+// were due.
+func (e *Engine) isUnresponsive(req *request, srv *server, answersBefore float64, since int64) bool {
 	if srv.answerCount-answersBefore >= 1 {
 		return false
 	}
 	elapsed := float64(e.now - since)
 	due := srv.recentAnswers.rate(e.now, rateWindow) * elapsed
-	return due >= silentMinAnswersDue || elapsed >= silentMaxObjectives*e.latencyObjective(req)
+	return due >= unresponsiveMinAnswersDue || elapsed >= unresponsiveMaxObjectives*e.latencyObjective(req)
 }
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -1,11 +1,11 @@
 package routing
 
-// maxBareErrors is the number of edge caches that give an error without a reason after which the fault is the
-// request's.
-const maxBareErrors = 2
+// maxUnexplainedErrors is the number of edge caches that give an error without a reason after which the request itself
+// is considered faulty.
+const maxUnexplainedErrors = 2
 
-// attemptEnded takes the outcome of an attempt: it moves limits and circuit breakers, and retries or answers the
-// request.
+// attemptEnded processes the outcome of an attempt: it adjusts limits and circuit breakers, and then retries the
+// request or gives the final answer.
 func (e *Engine) attemptEnded(ev *Event) {
 	req := e.requests[ev.RequestID]
 	if req == nil || !req.inFlight || ev.Attempt != req.attempts-1 {
@@ -13,7 +13,7 @@
 	}
 	ended := req.current
 	e.releaseAttempt(req)
-	if ev.Outcome == OutcomeCanceled && (ended.isCanceledAsSilent || ended.isCanceledAsLost) {
+	if ev.Outcome == OutcomeCanceled && (ended.isCanceledAsUnresponsive || ended.isCanceledAsLost) {
 		ev.Outcome = OutcomeTimedOut
 	}
 	e.learnLoadReport(ended.server, ev.LoadReport)
@@ -39,20 +39,20 @@
 	}
 }
 
-// retryDecision is what follows an attempt without a final outcome.
+// retryDecision is the next step after an attempt without a final outcome.
 type retryDecision int
 
 const (
 	retryAttempt  retryDecision = iota // another attempt
-	retryRejected                      // none: reject the request, or fail it if it may have run
-	retryFailed                        // none: the request itself is at fault
+	retryRejected                      // no retry: reject the request, or fail it if it may have run
+	retryFailed                        // no retry: the request itself is at fault
 )
 
-// prepareRetry decides whether another attempt follows one that failed, and keeps in the request where it may go: to
-// the same edge cache with another source or for a cached copy, or to another one.
+// prepareRetry decides whether another attempt follows a failed one. It stores in the request where the attempt may go:
+// to the same edge cache with another source or for any cached copy, or to another edge cache.
 func (e *Engine) prepareRetry(req *request, ended *attempt, ev *Event, charged *server) retryDecision {
 	switch {
-	case len(req.bareErrorCaches) >= maxBareErrors:
+	case len(req.unexplainedErrorCaches) >= maxUnexplainedErrors:
 		return retryFailed
 	case req.isCachedCopyOnly:
 		return e.retryAfterCachedCopy(req, ended, ev)
@@ -72,8 +72,8 @@
 	return retryAttempt
 }
 
-// retryAfterCachedCopy decides after an attempt for any cached copy: a source that may not have been selected yet, else
-// a rejection.
+// retryAfterCachedCopy decides what follows a failed attempt for any cached copy: an attempt with a source if one may
+// still be untried, otherwise a rejection.
 func (e *Engine) retryAfterCachedCopy(req *request, ended *attempt, ev *Event) retryDecision {
 	req.isCachedCopyOnly = false
 	req.cachedCopyMissed = true
@@ -88,27 +88,27 @@
 	return retryAttempt
 }
 
-// hasConfirmedMiss reports that a source which was asked for a cached copy only has none: the origin may now be asked
-// in the knowledge that it is.
+// hasConfirmedMiss reports whether a fill with FetchCachedOnly found no copy at its source. The next fill may then go
+// to the origin, and counts as one that is known to reach it.
 func hasConfirmedMiss(req *request, ended *attempt, ev *Event) bool {
 	isCachedOnly := ended.isFill && !ended.mayReachOrigin
 	return isCachedOnly && ev.CacheStatus == SourceMissed && !req.isMissConfirmed
 }
 
-// hasFillFailed reports that a fill failed and not the edge cache, which may be asked once more.
+// hasFillFailed reports whether the fill failed rather than the edge cache, which may then be tried again.
 func (e *Engine) hasFillFailed(ended *attempt, ev *Event, charged *server) bool {
 	if !ended.isFill || ended.server.role != roleEdgeCache {
 		return false
 	}
 	isOtherCharged := charged != nil && charged != ended.server
-	isNobodyCharged := charged == nil && ev.Outcome == OutcomeTimedOut
-	return isOtherCharged || isNobodyCharged || ev.CacheStatus == FillsExhausted || ev.Outcome == OutcomeMiss ||
+	isUncharged := charged == nil && ev.Outcome == OutcomeTimedOut
+	return isOtherCharged || isUncharged || ev.CacheStatus == FillsExhausted || ev.Outcome == OutcomeMiss ||
 		e.wasFillRejected(ended, ev)
 }
 
-// retryAfterFailedFill decides after a failed fill: the same edge cache is asked for any cached copy, then with another
-// source. An edge cache without a place for a fill has none for any source: a retry elsewhere would feed the
-// congestion.
+// retryAfterFailedFill decides what follows a failed fill: an attempt at the same edge cache for any cached copy, then
+// one with another source. An edge cache at its fill limit cannot fill from any source, so no other source is tried.
+// A retry at another cache would add to the congestion.
 func (e *Engine) retryAfterFailedFill(req *request, ended *attempt, ev *Event) retryDecision {
 	req.retryCache = ended.server
 	req.isCachedCopyOnly = !req.triedCachedCopy
--- a/routing/overload_reports_test.go
+++ b/routing/overload_reports_test.go
@@ -85,7 +85,7 @@
 		Event{Kind: EventParentOverloaded, Server: "nobody"},
 	)
 	known := lateServerTransfers * 15.0 / 300 / defaultMissRatio
-	if before < initialLimitExtra || math.Abs(parent.concurrencyLimit-known) > 1e-9 {
+	if before < initialLimitMargin || math.Abs(parent.concurrencyLimit-known) > 1e-9 {
 		t.Fatalf("limit %v, then %v; the share that is known is %v", before, parent.concurrencyLimit, known)
 	}
 	if cache.limitReducedAt != 0 || origin.limitReducedAt != 0 {
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -55,7 +55,7 @@
 }
 
 // Purges and age limits are those of the reference, for any purges of objects and groups, of any age and in any
-// order, with settings that change meanwhile. Without the comparison of times in forgetOldPurges, or without the
+// order, with settings that change meanwhile. Without the comparison of times in dropExpiredPurges, or without the
 // check of the retention in timeSinceChange, this fails.
 func TestPurgesAgreeWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -7,10 +7,10 @@
 )
 
 // Rendezvous hashing (highest random weight): the servers are ordered by a hash of the key and their name, so that all
-// routers agree on the order, and a server that leaves moves only its own keys. Ordering hundreds of servers costs more
-// than the rest of a decision. A rendezvousRanking holds what can be computed before the key is known; it gives the
-// order that sorting all servers by score would give (a test compares the two), one by one, since more than the first
-// two are hardly ever looked at.
+// routers use the same order, and the removal of a server moves only its own keys. Ordering hundreds of servers costs
+// more than the rest of a decision. A rendezvousRanking therefore precomputes everything that does not depend on the
+// key, and returns the servers one by one, since more than the first two are rarely needed. The order is the same as
+// that of sorting all servers by score; a test compares the two.
 
 // The constants of FNV-1a with 64 bits.
 const (
@@ -19,43 +19,43 @@
 )
 
 const (
-	// hashBits is the number of bits of a finished hash: as many as a float64 holds exactly.
+	// hashBits is the number of bits of a finished hash, the precision of a float64.
 	hashBits = 53
-	// maxServersWithoutTable servers are hashed name by name each time: a table would be larger than they are, and each
-	// of thousands of tenants may have a subset of so few.
+	// maxServersWithoutTable is the maximum number of servers for which no table is kept. Their names are hashed for
+	// each key: a table would be larger than the servers, and thousands of tenants may each have such a small subset.
 	maxServersWithoutTable = 8
-	// maxTakenUnsorted is the number of servers taken one by one after which sorting the rest costs less.
-	maxTakenUnsorted = 6
-	// boundMargin keeps a lower bound below its score in spite of rounding.
+	// maxReturnedUnsorted is the number of servers returned one by one. For any further server, sorting costs less.
+	maxReturnedUnsorted = 6
+	// boundMargin keeps a lower bound below its score despite rounding errors.
 	boundMargin = 1 - 1e-9
 )
 
 // rendezvousRanking orders a fixed list of servers for any key.
 //
-// FNV-1a mixes one byte at a time into the low byte of its state h and multiplies. So what a name does to h depends on
-// h's low byte alone: h ends as h*namePower + nameSums[low byte of h].
+// For each byte, FNV-1a XORs the byte into the low byte of its state h and multiplies h. The effect of a name on h
+// therefore depends only on the low byte of h: the final state is h*namePower + nameSums[low byte of h].
 type rendezvousRanking struct {
-	// Of the servers.
+	// Independent of the key.
 	servers         []*server
 	isWeighted      bool
-	hasSameNameSize bool       // all names have one length
-	boundFactor     []float64  // by server: the lower bound on its score, for a hash's distance to the greatest hash
+	hasSameNameSize bool       // all names have the same length
+	boundFactor     []float64  // by server: lower bound on its score per unit of distance from the greatest hash
 	namePower       []uint64   // by server: fnvPrime to the power of its name's length
-	nameSums        [][]uint64 // by low byte, then by server; a row is made when first needed. nil with few servers
-	singleRow       []uint64   // with few servers: the row of the key at hand
+	nameSums        [][]uint64 // by low byte, then by server; rows are computed on first use; nil with few servers
+	singleRow       []uint64   // with few servers: the row of the current key
 
-	// Of the key at hand.
-	hashes      []uint64   // by server; among equal weights the greatest comes first
-	bestIndex   int        // the first server by lower bound
-	secondIndex int        // the second; -1: there is none
-	nextBounds  [2]float64 // with weights: the lower bounds of the second and the third
-	sorted      []int32    // the order, once it was sorted
-	takenCount  int        // servers that next has given
-	lastIndex   int        // the last of them
-	lastScore   float64    // its score, with weights
+	// For the current key.
+	hashes        []uint64   // by server; among equal weights the greatest hash is first in the order
+	bestIndex     int        // index of the first server by lower bound
+	secondIndex   int        // index of the second server by lower bound; -1: there is none
+	nextBounds    [2]float64 // with weights: the lower bounds of the second and the third server
+	sorted        []int32    // the whole order; empty until it is needed
+	returnedCount int        // number of servers that next has returned
+	lastIndex     int        // index of the last server returned
+	lastScore     float64    // its score, with weights
 }
 
-// newRendezvousRanking prepares for a list of servers, which must not change from then on.
+// newRendezvousRanking returns a ranking of a list of servers. The list, names and weights must not change afterwards.
 func newRendezvousRanking(servers []*server, isWeighted bool) *rendezvousRanking {
 	k := &rendezvousRanking{
 		servers:         servers,
@@ -86,10 +86,10 @@
 	return k
 }
 
-// setKey makes key the one at hand, and finds the servers with the two least bounds.
+// setKey sets the current key, and finds the two servers with the lowest bounds.
 func (k *rendezvousRanking) setKey(key string) {
 	k.sorted = k.sorted[:0]
-	k.takenCount = 0
+	k.returnedCount = 0
 	k.lastIndex = -1
 	k.lastScore = math.Inf(-1)
 	k.bestIndex = 0
@@ -115,7 +115,7 @@
 	return state * fnvPrime
 }
 
-// row returns what each server's name adds to a state with the low byte.
+// row returns the row of nameSums for a state with the given low byte.
 func (k *rendezvousRanking) row(low byte) []uint64 {
 	if k.nameSums == nil {
 		k.fillRow(k.singleRow, low)
@@ -129,7 +129,7 @@
 	return k.nameSums[low]
 }
 
-// fillRow computes a row for a low byte.
+// fillRow computes the row of nameSums for a low byte.
 func (k *rendezvousRanking) fillRow(row []uint64, low byte) {
 	for i, srv := range k.servers {
 		state := uint64(low)
@@ -140,14 +140,14 @@
 	}
 }
 
-// finishHash mixes a state of FNV into a hash of hashBits bits: FNV spreads late bytes badly.
+// finishHash mixes an FNV state into a hash of hashBits bits, since FNV alone diffuses the last bytes poorly.
 func finishHash(state uint64) uint64 {
 	state = (state ^ state>>30) * 0xbf58476d1ce4e5b9
 	state = (state ^ state>>27) * 0x94d049bb133111eb
 	return (state ^ state>>31) >> (64 - hashBits)
 }
 
-// hashUnweighted computes the hashes of servers with equal weights and names of one length, and finds the two greatest.
+// hashUnweighted computes the hashes of servers with equal weights and equal name lengths, and finds the two greatest.
 func (k *rendezvousRanking) hashUnweighted(state uint64, row []uint64) {
 	hashes := k.hashes[:len(row)]
 	state *= k.namePower[0]
@@ -168,7 +168,8 @@
 	}
 }
 
-// hashWithBounds computes the hashes where names or weights differ, and finds the two servers with the least bounds.
+// hashWithBounds computes the hashes if name lengths or weights differ, and finds the two servers with the lowest
+// bounds.
 func (k *rendezvousRanking) hashWithBounds(state uint64, row []uint64) {
 	hashes := k.hashes[:len(row)]
 	namePower := k.namePower[:len(row)]
@@ -201,12 +202,12 @@
 	k.nextBounds = [2]float64{second, third}
 }
 
-// lowerBound returns what a server's score is never less than: -log(u) is never less than 1-u.
+// lowerBound returns a lower bound on a server's score, as -log(u) is never less than 1-u.
 func lowerBound(hash uint64, boundFactor float64) float64 {
 	return float64(int64(1<<hashBits-1-hash)) * boundFactor
 }
 
-// score returns a server's score for the key at hand. The least comes first.
+// score returns a server's score for the current key. The server with the lowest score is first in the order.
 func (k *rendezvousRanking) score(i int) float64 {
 	score := -math.Log((float64(k.hashes[i]) + 0.5) / (1 << hashBits))
 	if weight := k.servers[i].weight; k.isWeighted && weight > 0 {
@@ -215,13 +216,13 @@
 	return score
 }
 
-// next returns the servers in their order for the key at hand, then nil.
+// next returns the next server in the order for the current key, or nil after the last one.
 func (k *rendezvousRanking) next() *server {
-	if k.takenCount >= len(k.servers) {
+	if k.returnedCount >= len(k.servers) {
 		return nil
 	}
-	k.takenCount++
-	if k.takenCount <= maxTakenUnsorted {
+	k.returnedCount++
+	if k.returnedCount <= maxReturnedUnsorted {
 		if i := k.nextIndex(); i >= 0 {
 			k.lastIndex = i
 			return k.servers[i]
@@ -230,17 +231,17 @@
 	if len(k.sorted) == 0 {
 		k.sort()
 	}
-	return k.servers[k.sorted[k.takenCount-1]]
+	return k.servers[k.sorted[k.returnedCount-1]]
 }
 
-// nextIndex finds the server after the one taken last; -1 where the order of equal scores takes a full sort.
+// nextIndex returns the index of the server after the last one returned; -1 if equal scores require a full sort.
 func (k *rendezvousRanking) nextIndex() int {
 	switch {
 	case k.isWeighted:
 		return k.nextWeighted()
-	case k.takenCount == 1:
+	case k.returnedCount == 1:
 		return k.bestIndex
-	case k.takenCount == 2 && k.secondIndex >= 0 && k.hashes[k.secondIndex] < k.hashes[k.bestIndex]:
+	case k.returnedCount == 2 && k.secondIndex >= 0 && k.hashes[k.secondIndex] < k.hashes[k.bestIndex]:
 		return k.secondIndex
 	}
 	found, greatest := -1, uint64(0)
@@ -255,13 +256,13 @@
 	return found
 }
 
-// nextWeighted is nextIndex for servers of different weights. It takes a logarithm only of a hash whose bound leaves
-// its server in the running.
+// nextWeighted is nextIndex for servers of different weights. It computes the logarithm of a hash only if the bound
+// does not exclude its server.
 func (k *rendezvousRanking) nextWeighted() int {
 	found, least := -1, math.Inf(1)
-	if k.takenCount <= 2 {
+	if k.returnedCount <= 2 {
 		found, least = k.bestOfBounds()
-		if least < k.nextBounds[k.takenCount-1] { // the usual case: no bound leaves another in the running
+		if least < k.nextBounds[k.returnedCount-1] { // the usual case: the bounds exclude all other servers
 			k.lastScore = least
 			return found
 		}
@@ -282,8 +283,8 @@
 	return found
 }
 
-// bestOfBounds returns the next one of the two servers with the least bounds, by score: most likely no other server
-// needs a logarithm. -1: neither is next for certain.
+// bestOfBounds returns the next server by score among the two with the lowest bounds, with its score. In most cases no
+// other server needs a logarithm. found is -1 if both are already returned or precede the last score.
 func (k *rendezvousRanking) bestOfBounds() (found int, least float64) {
 	found, least = -1, math.Inf(1)
 	for _, i := range [...]int{k.bestIndex, k.secondIndex} {
@@ -298,7 +299,7 @@
 	return found, least
 }
 
-// sort orders all servers by their scores; equal ones stay in the order of the list.
+// sort orders all servers by score. Servers with equal scores keep the order of the list.
 func (k *rendezvousRanking) sort() {
 	for i := range k.servers {
 		k.sorted = append(k.sorted, int32(i))
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -5,62 +5,62 @@
 	"strconv"
 )
 
-// recentRequestWindow is the number of requests over which the shares of objects are counted; all counts are halved
-// once it is reached.
+// recentRequestWindow is the number of requests over which requests are counted by object. When it is reached, all
+// counts are halved.
 const recentRequestWindow = 512
 
-// request is one client request that this router owes an answer. The Engine owns it from acceptRequest to closeRequest.
+// request is an open client request. The Engine owns it from acceptRequest to closeRequest.
 type request struct {
 	Event
 	class           int // index in Settings.Classes
 	accountingGroup int
-	chunkKey        string // object and chunk: what is cached and filled on its own
+	chunkKey        string // object and chunk number: the unit of caching and filling
 	deadline        int64
-	expectedWork    float64 // mean sending time of its class when it came, in microseconds
-	isOverQuota     bool    // its tenant is past its quota
+	expectedWork    float64 // mean sending time of its class at its arrival, in microseconds
+	isOverQuota     bool    // its tenant exceeds its quota
 
 	// Attempts.
-	attempts    int // made so far
-	maxAttempts int // allowed when it came
+	attempts    int // sent so far
+	maxAttempts int // the limit at the request's arrival
 	inFlight    bool
 	isStarted   bool    // the response has begun to stream to the client
-	current     attempt // the one in flight, or the last
+	current     attempt // the attempt in flight, or the last one
 
-	// What may have run. firstRunServer is nil while nothing may have.
-	firstRunServer *server // where the first attempt that may have run was sent
-	firstRunAt     int64   // and when
+	// The first attempt that may have run. firstRunServer is nil if there is none.
+	firstRunServer *server // the server that it was sent to
+	firstRunAt     int64   // the time at which it was sent
 
 	// For the next attempt.
-	retryCache       *server   // the edge cache whose fill failed: it is asked once more
-	isCachedCopyOnly bool      // it takes any cached copy, without a fill
-	triedCachedCopy  bool      // such an attempt has been made
-	cachedCopyMissed bool      // the last attempt was such a one, and failed
-	isMissConfirmed  bool      // a source is known to have no copy, so that a fill reaches the origin
-	areSourcesFull   bool      // at its last selection a source was full or cold, or there was none
-	failedCaches     []*server // edge caches that failed this request
-	failedSources    []*server // sources that failed it
-	bareErrorCaches  []*server // that gave an error without a reason; charged once another has served the request
+	retryCache             *server   // the edge cache whose fill failed and which is tried again
+	isCachedCopyOnly       bool      // the attempt accepts any cached copy, without a fill
+	triedCachedCopy        bool      // an attempt for any cached copy has been sent
+	cachedCopyMissed       bool      // the last attempt was for any cached copy, and failed
+	isMissConfirmed        bool      // a source is known to have no copy, so that a fill reaches the origin
+	areSourcesFull         bool      // at the last selection a source was full or cold, or there was no source
+	failedCaches           []*server // edge caches at which this request failed
+	failedSources          []*server // sources at which it failed
+	unexplainedErrorCaches []*server // caches that gave an error without a reason; charged once another cache serves it
 }
 
 // attempt is one attempt of a request.
 type attempt struct {
-	server *server // that the request is sent to
-	source *server // that fills a miss; the server itself: none does; nil: plain lookup
+	server *server // the server that the request is sent to
+	source *server // the server that fills a miss; equal to server: no fill; nil: plain lookup
 	sentAt int64
 	work   float64 // expected sending time
 
 	isFill         bool              // source is another server, from which a miss is filled
-	mayReachOrigin bool              // and it may ask the origin
-	trials         []*circuitBreaker // those whose half-open trial this is
+	mayReachOrigin bool              // the fill may reach the origin
+	trials         []*circuitBreaker // the breakers whose half-open trial this attempt is
 
-	serverAnswersBefore float64 // answerCount of server when it was sent
-	sourceAnswersBefore float64 // answerCount of source
+	serverAnswersBefore float64 // answerCount of server when the attempt was sent
+	sourceAnswersBefore float64 // answerCount of source when the attempt was sent
 
-	isCanceledAsSilent bool // canceled because its server or source answered nobody
-	isCanceledAsLost   bool // canceled because others were answered meanwhile
+	isCanceledAsUnresponsive bool // canceled because its server or source did not respond to any request
+	isCanceledAsLost         bool // canceled because other requests got their responses in the meantime
 }
 
-// acceptRequest takes a client's request and sends its first attempt or answers it.
+// acceptRequest opens a client's request, and sends its first attempt or gives the final answer.
 func (e *Engine) acceptRequest(ev *Event) {
 	class, known := e.classIndexes[ev.Class]
 	if !known {
@@ -85,14 +85,14 @@
 	e.sendNextAttempt(req)
 }
 
-// responseStarted notes that a request's response has begun to stream to the client: no other attempt may follow.
+// responseStarted records that a request's response has begun to stream to the client: no other attempt may follow.
 func (e *Engine) responseStarted(ev *Event) {
 	if req := e.requests[ev.RequestID]; req != nil {
 		req.isStarted = true
 	}
 }
 
-// closeRequest forgets a request that is answered or needs no answer.
+// closeRequest removes a request that is answered or needs no answer.
 func (e *Engine) closeRequest(id string) {
 	e.releaseAttempt(e.requests[id])
 	delete(e.requests, id)
@@ -104,13 +104,13 @@
 	quotaPerSecond float64 // this router's part of the quota
 }
 
-// countRequest counts a request and reports that the tenant is over its quota.
+// countRequest counts a request and reports whether the tenant is over its quota.
 func (t *tenantUsage) countRequest(now int64) (overQuota bool) {
 	t.recentRequests.add(now, rateWindow, 1)
 	return t.recentRequests.rate(now, rateWindow)*1e6 > t.quotaPerSecond
 }
 
-// countRecentRequest counts a request for an object, by which hot objects are told.
+// countRecentRequest counts a request for an object. The counts are used to detect hot objects.
 func (e *Engine) countRecentRequest(object string) {
 	e.recentRequests[object]++
 	e.recentRequestCount++
@@ -125,13 +125,13 @@
 	})
 }
 
-// isHot reports that an object gets so large a part of recent requests that one of a number of caches is not enough.
+// isHot reports whether an object's share of recent requests is too large for a single cache out of the given number.
 func (e *Engine) isHot(object string, caches int) bool {
 	counted := max(e.recentRequestCount, recentRequestWindow/8)
 	return float64(e.recentRequests[object]*caches) > hotObjectShare*float64(counted)
 }
 
-// chunkKey is the key of an object's chunk, such as "7f3a/3". It makes one allocation.
+// chunkKey returns the key of an object's chunk, such as "7f3a/3". It makes one allocation.
 func chunkKey(object string, chunk int64) string {
 	var buffer [48]byte
 	key := append(buffer[:0], object...)
@@ -139,8 +139,8 @@
 	return string(strconv.AppendInt(key, chunk, 10))
 }
 
-// sendAttempt sends an attempt and books it at the servers that it uses. The action's kind, request, servers and time
-// limits are filled in here.
+// sendAttempt sends an attempt and counts it as in flight at the servers that it uses. It sets the action's kind,
+// request, servers and time limits.
 func (e *Engine) sendAttempt(req *request, next attempt, action Action) {
 	action.Kind = ActionSend
 	action.RequestID = req.RequestID
@@ -160,7 +160,7 @@
 		next.sourceAnswersBefore = next.source.answerCount
 	}
 	e.claimTrials(req, &next)
-	e.bookAttempt(req, &next)
+	e.countAttempt(req, &next)
 
 	req.current = next
 	req.inFlight = true
@@ -170,8 +170,8 @@
 	e.watchAttempt(req)
 }
 
-// bookAttempt counts an attempt at the servers that it uses.
-func (e *Engine) bookAttempt(req *request, next *attempt) {
+// countAttempt counts an attempt as in flight at the servers that it uses.
+func (e *Engine) countAttempt(req *request, next *attempt) {
 	e.recordColdSend(next.server, next.work)
 	e.addInFlight(next.server, req.accountingGroup, 1)
 	if next.isFill {
@@ -186,7 +186,8 @@
 	}
 }
 
-// releaseAttempt takes the attempt in flight, if there is one, off what bookAttempt and claimTrials counted.
+// releaseAttempt ends the attempt in flight, if there is one: it is no longer counted as in flight at its servers, and
+// its half-open trials end.
 func (e *Engine) releaseAttempt(req *request) {
 	if req == nil || !req.inFlight {
 		return
@@ -194,7 +195,7 @@
 	req.inFlight = false
 	last := &req.current
 	e.addInFlight(last.server, req.accountingGroup, -1)
-	for _, breaker := range last.trials { // one that ends without an outcome lets another be tried
+	for _, breaker := range last.trials { // a trial that ends without an outcome makes way for another
 		breaker.isTrialInFlight = false
 	}
 	if last.isFill {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -3,15 +3,15 @@
 import "slices"
 
 const (
-	// hotObjectShare is the share of a cache's even part of requests past which an object is hot.
+	// hotObjectShare is the fraction of an average cache's requests above which an object is hot.
 	hotObjectShare = 0.25
-	// maxUncacheableAttempts bounds the attempts of an uncacheable request: rejections come at once.
+	// maxUncacheableAttempts limits the attempts of an uncacheable request, as rejections arrive without delay.
 	maxUncacheableAttempts = 3
-	// retentionRank is the rank at which all copies are kept, so that the least recently used one is dropped first.
+	// retentionRank is the rank of all copies. As all have the same, the least recently used one is evicted first.
 	retentionRank = 1
 )
 
-// sendNextAttempt sends a request's next attempt, or gives its final answer where none may follow.
+// sendNextAttempt sends a request's next attempt, or gives the final answer if no further attempt is allowed.
 func (e *Engine) sendNextAttempt(req *request) {
 	if req.attempts >= req.maxAttempts || e.retryWindow(req) <= 0 {
 		e.rejectOrFail(req)
@@ -38,7 +38,7 @@
 		}
 	}
 	next.isFill = next.source != nil
-	if !next.isFill { // every source is unusable, or a fill has failed: any cached copy will do
+	if !next.isFill { // every source is unusable, or a fill has failed: any cached copy is accepted
 		req.isCachedCopyOnly = true
 		req.triedCachedCopy = true
 		next.source = next.server
@@ -46,14 +46,14 @@
 	e.sendAttempt(req, next, Action{RetentionRank: retentionRank, FetchFlags: flags, MaxAge: e.maxAge(req)})
 }
 
-// isUncacheable reports that a request runs at the origin and leaves no copy.
+// isUncacheable reports whether a request runs at the origin and leaves no copy.
 func (e *Engine) isUncacheable(req *request) bool {
 	return valueAt(e.settings.Hierarchy.Uncacheable, req.class)
 }
 
-// cacheForAttempt returns the edge cache of the next attempt: the one whose fill failed, or else one of the request's
-// subset, or of its overflow subset. With none, isFull reports that one of the subset was passed over for its
-// concurrency limit alone.
+// cacheForAttempt returns the edge cache of the next attempt: the one whose fill failed, otherwise one of the request's
+// subset or, if none is available, of its overflow subset. If it returns nil, isFull reports whether a cache of the
+// subset was skipped only because of its concurrency limit.
 func (e *Engine) cacheForAttempt(req *request) (cache *server, isFull bool) {
 	if req.retryCache != nil && e.isEligible(req, req.retryCache) {
 		return req.retryCache, false
@@ -66,9 +66,9 @@
 	return cache, isFull
 }
 
-// selectEdgeCache selects the first eligible edge cache with capacity in the rendezvous order of the request's chunk;
-// of a hot object the first two share the requests. isFull reports that one was passed over for its concurrency limit
-// alone.
+// selectEdgeCache selects the first eligible edge cache with capacity in the rendezvous order of the request's chunk.
+// The requests for a hot object are distributed over the first two. isFull reports whether a cache was skipped only
+// because of its concurrency limit.
 func (e *Engine) selectEdgeCache(req *request, subsetNumber int) (selected *server, isFull bool) {
 	set := e.subsetOf(subsetNumber)
 	set.inPanic = e.areAllEjected(set.servers)
@@ -98,7 +98,7 @@
 	return first, isFull
 }
 
-// areAllEjected reports that the circuit breakers of all the servers are open.
+// areAllEjected reports whether the circuit breakers of all the servers are open.
 func (e *Engine) areAllEjected(servers []*server) bool {
 	for _, srv := range servers {
 		if !srv.breaker.isOpen(e.now) {
@@ -108,8 +108,8 @@
 	return true
 }
 
-// isEligible reports that an edge cache may get a request, its concurrency limit aside. In panic, while the breakers of
-// all caches of the subset are open, those whose half-open trial has not failed may.
+// isEligible reports whether an edge cache may get a request, regardless of its concurrency limit. In panic mode, while
+// the breakers of all caches of the subset are open, an ejected cache is eligible unless its half-open trial failed.
 func (e *Engine) isEligible(req *request, srv *server) bool {
 	if srv.breaker.isOpen(e.now) && (srv.breaker.hasTrialFailed || !e.subsetOf(req.Subset).inPanic) {
 		return false
@@ -120,12 +120,12 @@
 		e.fitsColdBudget(srv, req.expectedWork)
 }
 
-// selectFillSource selects the server that fills a miss: the first parent that is usable in the rendezvous order of the
-// object, else the origin where no parent can serve the request. With FetchCachedOnly the origin must not be asked, and
-// a parent gives only what it has. nil: nothing can fill a miss.
+// selectFillSource selects the server that fills a miss: the first usable parent in the rendezvous order of the object,
+// or the origin if no parent can serve the request. With FetchCachedOnly the origin must not be used, and a parent
+// serves only its cached copy. A nil source means that no server can fill a miss.
 func (e *Engine) selectFillSource(req *request) (source *server, flags FetchFlags) {
 	if e.settings.Hierarchy.CollapsesFills && e.timeSinceChange(req, 0) == 0 {
-		flags = FetchCollapse // not after a purge: a fill under way may bring an older copy
+		flags = FetchCollapse // not after a purge: a fill in progress may return an older copy
 	}
 	isOriginClosed := !e.isOriginUsable(req) || !e.mayFillFromOrigin(req)
 	if isOriginClosed && len(e.parents) > 0 {
@@ -135,8 +135,8 @@
 	if source != nil {
 		return source, flags
 	}
-	// The origin takes fills, within its limit, where all parents are full or cold, or where they are ejected and no
-	// cached copy was found.
+	// The origin gets fills, within its limit, if all parents are full or cold, or if they are ejected and no cached
+	// copy was found.
 	mayBypassParents := isAnyFull || len(req.failedSources) > 0 || req.triedCachedCopy && req.attempts == 1
 	if mayBypassParents && !isOriginClosed && e.hasCapacity(req, e.origin) &&
 		!slices.Contains(req.failedSources, e.origin) {
@@ -145,13 +145,13 @@
 	return nil, flags
 }
 
-// isOriginUsable reports that there is an origin, and that its circuit breaker is not open.
+// isOriginUsable reports whether there is an origin whose circuit breaker is not open.
 func (e *Engine) isOriginUsable(req *request) bool {
 	return e.origin != nil && !e.origin.breakerFor(req.accountingGroup).isOpen(e.now)
 }
 
-// selectParent selects a parent with capacity for a request: of its subset first, then of all. It keeps in the request
-// whether one was full or cold, or there was none to select.
+// selectParent selects a parent with capacity for a request, first from its parent subset, then from all parents.
+// isAnyFull, which is also stored in the request, reports whether a parent was full or cold, or there was none.
 func (e *Engine) selectParent(req *request) (selected *server, isAnyFull bool) {
 	preferred := e.parentRanking
 	if req.ParentSubset != 0 {
@@ -160,16 +160,16 @@
 	isEmpty := len(preferred.servers) == 0
 	selected, isAnyFull = e.firstParentWithCapacity(req, preferred)
 	if selected == nil && preferred != e.parentRanking && !isEmpty {
-		var isOneFull bool
-		selected, isOneFull = e.firstParentWithCapacity(req, e.parentRanking)
-		isAnyFull = isAnyFull || isOneFull
+		var isParentFull bool
+		selected, isParentFull = e.firstParentWithCapacity(req, e.parentRanking)
+		isAnyFull = isAnyFull || isParentFull
 	}
 	req.areSourcesFull = isEmpty || isAnyFull
 	return selected, req.areSourcesFull
 }
 
 // firstParentWithCapacity selects the first usable parent in the rendezvous order of a request's object. isAnyFull
-// reports that one before it was at its concurrency limit or cold budget.
+// reports whether a parent before it was at its concurrency limit or cold budget.
 func (e *Engine) firstParentWithCapacity(req *request, ranking *rendezvousRanking) (selected *server, isAnyFull bool) {
 	ranking.setKey(req.Object)
 	for srv := ranking.next(); srv != nil; srv = ranking.next() {
@@ -184,8 +184,8 @@
 	return nil, isAnyFull
 }
 
-// rejectOrFetchDirect answers a request that no edge cache can take. Where none was full, and it is not restricted to a
-// subset, the source fetches it directly if the deployment allows that; else it is rejected.
+// rejectOrFetchDirect handles a request for which no edge cache is available. The request is sent directly to the
+// source if the deployment allows that, no cache was full and the request has no subset. Otherwise it is rejected.
 func (e *Engine) rejectOrFetchDirect(req *request, isFull bool) {
 	source, flags := e.selectFillSource(req)
 	mayFetchDirect := e.settings.Hierarchy.AllowsDirectFetch && e.origin != nil && req.Subset == 0
@@ -202,8 +202,8 @@
 	e.sendAttempt(req, next, Action{FetchFlags: flags, MaxAge: e.maxAge(req)})
 }
 
-// forwardUncacheable sends an uncacheable request to the origin whatever the circuit breakers say: directly, or else
-// through an edge cache.
+// forwardUncacheable sends an uncacheable request to the origin regardless of circuit breakers: directly if possible,
+// otherwise through an edge cache.
 func (e *Engine) forwardUncacheable(req *request) {
 	next := attempt{server: e.origin}
 	isDirect := e.settings.Hierarchy.AllowsDirectFetch && e.origin != nil
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Settings is what one router is told at its start and with each change of its configuration. The tags of the fields
-// are the names on the platform's wire. Times are microseconds throughout.
+// Settings is the configuration of one router, set at its start and replaced at each change. The JSON tags are the
+// names in the wire protocol. All times are in microseconds.
 type Settings struct {
 	Classes       []Class        `json:"Classes"`
 	Discovery     DiscoveryMode  `json:"Discovery"`
 	Hierarchy     CacheHierarchy `json:"Extra"`
 	Guarantees    Guarantees     `json:"Guarantees"`
-	Kinds         []string       `json:"Kinds"` // of machine; Hierarchy says which are parents and the origin
+	Kinds         []string       `json:"Kinds"` // of servers; Hierarchy holds the indexes of parents and the origin
 	Permissions   Permissions    `json:"Permissions"`
 	Penalties     Penalties      `json:"Prices"`
 	LoadReporting LoadReporting  `json:"Report"`
-	FleetSize     int            `json:"Siblings"` // routers that share the servers
+	FleetSize     int            `json:"Siblings"` // number of routers that share the servers
 	Tenants       []Tenant       `json:"Tenants"`
 	WeightSource  WeightSource   `json:"WeightSource"`
 	Zone          string         `json:"Zone"` // of this router and of the edge caches it may use
@@ -31,102 +31,102 @@
 	Name string `json:"Name"`
 	// ObjectiveSizeFactor times a response's own sending time is added to LatencyObjective.
 	ObjectiveSizeFactor float64 `json:"AimStretch"`
-	Deadline            int64   `json:"Deadline"`  // how long a client waits in all, over its own retries
-	LatencyObjective    int64   `json:"Promise"`   // a response within this time counts in full
-	PriorityWeight      float64 `json:"Gain"`      // what a served request counts, relative to other classes
-	LateWeightFactor    float64 `json:"LateWorth"` // fraction of the weight that a response after the objective has
-	// DeduplicationScope names the servers that drop repeats of a request with an idempotency key, and
-	// DeduplicationWindow says for how long after the first attempt that may have run.
+	Deadline            int64   `json:"Deadline"`  // total time that a client waits, including its own retries
+	LatencyObjective    int64   `json:"Promise"`   // a response within this time has its full weight
+	PriorityWeight      float64 `json:"Gain"`      // weight of a served request, relative to other classes
+	LateWeightFactor    float64 `json:"LateWorth"` // fraction of the weight for a response after the objective
+	// DeduplicationScope is the set of servers that drop repeats of a request with an idempotency key.
+	// DeduplicationWindow is how long they do so, from the first attempt that may have run.
 	DeduplicationScope  DeduplicationScope `json:"Group"`
 	Idempotency         Idempotency        `json:"Idempotency"`
 	DeduplicationWindow int64              `json:"MemorySpan"`
 	Streaming           bool               `json:"Stream"`
 }
 
-// CacheHierarchy describes the edge caches, parents and origin. Slices are by class or, where the name says so, by
-// zone; one that is too short counts as zero from its end on.
+// CacheHierarchy describes the edge caches, parents and origin. Slices are indexed by class or, if the name contains
+// Zone, by zone. Missing elements count as zero.
 type CacheHierarchy struct {
 	FreshnessLifetime     []int64              `json:"FreshFor"`   // 0: copies don't age
-	StaleGracePeriod      []int64              `json:"GraceFor"`   // how much older a copy may be if need be
-	PurgeGracePeriod      int64                `json:"HeedWithin"` // within which a purge must be honoured
+	StaleGracePeriod      []int64              `json:"GraceFor"`   // extra age at which a copy may still be served
+	PurgeGracePeriod      int64                `json:"HeedWithin"` // time within which a purge must take effect
 	OriginKind            int                  `json:"MasterKind"` // index in Settings.Kinds
-	Chunked               []bool               `json:"MultiPart"`  // clients ask for an object's chunks in turn
+	Chunked               []bool               `json:"MultiPart"`  // clients request an object's chunks one by one
 	PeerSources           PeerSources          `json:"Neighbours"`
 	CacheStatusReporting  CacheStatusReporting `json:"NotesGiven"`
-	ResponseKBPerSecond   float64              `json:"PaceKbPerS"`    // the most that one response is sent at
-	ParentInitialCapacity float64              `json:"ParentFloor"`   // fraction that a parent starts with at least
-	ParentWarmUpTime      int64                `json:"ParentWarmsIn"` // until a parent has all of its capacity
+	ResponseKBPerSecond   float64              `json:"PaceKbPerS"`    // maximum rate at which one response is sent
+	ParentInitialCapacity float64              `json:"ParentFloor"`   // minimum fraction of its capacity at the start
+	ParentWarmUpTime      int64                `json:"ParentWarmsIn"` // from a parent's start to its full capacity
 	Uncacheable           []bool               `json:"PassOn"`        // runs at the origin and leaves no copy
-	PurgePropagationTime  int64                `json:"PurgeTakes"`    // after it no older copy is left anywhere
+	PurgePropagationTime  int64                `json:"PurgeTakes"`    // after it no older copy is left in any cache
 	RoutersByZone         []int                `json:"SeatsByZone"`
-	CollapsesFills        bool                 `json:"SharesFills"` // a request may wait for a fill that is under way
+	CollapsesFills        bool                 `json:"SharesFills"` // a request may wait for a fill in progress
 	ParentKind            int                  `json:"ShieldKind"`  // index in Settings.Kinds; -1: there are no parents
-	StaleWeightFactor     []float64            `json:"StaleEarns"`  // fraction of the weight that a stale response has
-	AllowsDirectFetch     bool                 `json:"Straight"`    // parents and the origin take attempts themselves
+	StaleWeightFactor     []float64            `json:"StaleEarns"`  // fraction of the weight for a stale response
+	AllowsDirectFetch     bool                 `json:"Straight"`    // parents and the origin accept attempts directly
 	TransitPenalty        float64              `json:"TransitPrice"`
-	// ParentOverloadMultiple stands in place of Guarantees.OverloadMultiple for a parent.
+	// ParentOverloadMultiple replaces Guarantees.OverloadMultiple for parents.
 	ParentOverloadMultiple float64   `json:"UpperFallMultiple"`
-	ZoneLinkKBPerSecond    []float64 `json:"ZoneLinkKbPerS"` // of the link into each zone; 0: not told
+	ZoneLinkKBPerSecond    []float64 `json:"ZoneLinkKbPerS"` // of the link into each zone; 0: unknown
 }
 
-// Guarantees holds the figures of the rules that every router must keep.
+// Guarantees holds the limits that every router must observe.
 type Guarantees struct {
-	MaxPollInterval   int64   `json:"AskWithin"`         // within which a lost subscription must be renewed
-	WarmUpTime        int64   `json:"Cold"`              // until a server that started has all of its capacity
-	InitialCapacity   float64 `json:"ColdFrom"`          // fraction that it starts with at least
-	OverloadWindow    int64   `json:"Fall"`              // a server overloaded for as long as this fails
+	MaxPollInterval   int64   `json:"AskWithin"`         // time within which a lost subscription must be renewed
+	WarmUpTime        int64   `json:"Cold"`              // from a server's start to its full capacity
+	InitialCapacity   float64 `json:"ColdFrom"`          // minimum fraction of its capacity at the start
+	OverloadWindow    int64   `json:"Fall"`              // a server that is overloaded for this long fails
 	AnswerGracePeriod int64   `json:"GraceToAnswer"`     // after the client's deadline, in which an answer still counts
-	DrainGracePeriod  int64   `json:"StopSendingWithin"` // within which a draining server must get nothing more
-	OverloadMultiple  float64 `json:"TipMultiple"`       // of its present capacity, past which it is overloaded
+	DrainGracePeriod  int64   `json:"StopSendingWithin"` // after it a draining server must get no more requests
+	OverloadMultiple  float64 `json:"TipMultiple"`       // multiple of its present capacity that overloads a server
 }
 
-// Permissions says what the deployment allows a router.
+// Permissions holds the actions that the deployment allows a router, and their limits.
 type Permissions struct {
 	MayCancel       bool  `json:"Cancelling"`
 	DialTimeout     int64 `json:"DialTimeout"`
 	MaxAttempts     int   `json:"MaxAttempts"`   // per request
-	MaxRetryAfter   int64 `json:"MaxRetryAfter"` // the longest that clients honour
+	MaxRetryAfter   int64 `json:"MaxRetryAfter"` // longest Retry-After that clients honour
 	MayProbe        bool  `json:"Probing"`
-	SendsRetryAfter bool  `json:"RetryAfter"` // clients are told ActionReject's RetryAfter
+	SendsRetryAfter bool  `json:"RetryAfter"` // ActionReject's RetryAfter is sent to clients
 	MayHedge        bool  `json:"SecondCopies"`
 }
 
-// Penalties are points taken off the platform's score.
+// Penalties are points subtracted from the platform's score.
 type Penalties struct {
 	Origin float64 `json:"Origin"` // for bytes from the origin
 	Probe  float64 `json:"Probe"`  // for health checks
-	Waste  float64 `json:"Waste"`  // for work of servers that led to no response
+	Waste  float64 `json:"Waste"`  // for work of servers that did not result in a response
 }
 
-// LoadReporting says what load reports hold and how they come.
+// LoadReporting describes the contents of load reports and how they are delivered.
 type LoadReporting struct {
-	Fields   []string           `json:"Fields"` // names of the values in Event.LoadReport, in their order
+	Fields   []string           `json:"Fields"` // names of the values in Event.LoadReport, in this order
 	Delivery LoadReportDelivery `json:"How"`
 }
 
 // Tenant is a customer with a quota.
 type Tenant struct {
 	Name           string  `json:"Name"`
-	QuotaPerSecond float64 `json:"QuotaPerS"` // requests over all routers
+	QuotaPerSecond float64 `json:"QuotaPerS"` // requests per second, over all routers
 	ServiceShare   float64 `json:"Share"`     // fraction of the service
 }
 
 // Names of values in load reports that the engine uses.
 const (
-	hitRatioField = "x0" // of a cache: its recent share of hits
-	linkUseField  = "x1" // of a cache: transfers on its zone's link over those that fit
+	hitRatioField = "x0" // of a cache: its recent hit ratio
+	linkUseField  = "x1" // of a cache: transfers on its zone's link over the link's capacity
 )
 
-// DiscoveryMode says how changes of the endpoint list reach the router.
+// DiscoveryMode is how the router receives changes of the endpoint list.
 type DiscoveryMode string
 
 // The discovery modes.
 const (
-	DiscoveryAutomatic DiscoveryMode = "automatic" // changes come by themselves
-	DiscoverySubscribe DiscoveryMode = "subscribe" // changes come only after ActionSubscribe or ActionResolve
+	DiscoveryAutomatic DiscoveryMode = "automatic" // changes are pushed without a subscription
+	DiscoverySubscribe DiscoveryMode = "subscribe" // changes are sent only after ActionSubscribe or ActionResolve
 )
 
-// WeightSource says what the weights in the endpoint list tell.
+// WeightSource is the meaning of the weights in the endpoint list.
 type WeightSource string
 
 // The sources of weights.
@@ -134,20 +134,20 @@
 	WeightsAbsent  WeightSource = "silent"  // the weight is always 1
 	WeightsNominal WeightSource = "nominal" // the registered size
 	WeightsRough   WeightSource = "rough"   // an approximate size
-	WeightsLive    WeightSource = "live"    // the size divided by the load of some time ago
+	WeightsLive    WeightSource = "live"    // the size divided by the load, which may be out of date
 )
 
-// Idempotency says whether an attempt that may have run may be repeated.
+// Idempotency is whether an attempt that may have run may be repeated.
 type Idempotency string
 
 // The kinds of idempotency.
 const (
-	IdempotentRead Idempotency = "read_like"       // may be repeated anywhere at any time
+	IdempotentRead Idempotency = "read_like"       // may be repeated at any server at any time
 	IdempotentKey  Idempotency = "idempotency_key" // repeats are dropped within a scope and a window
 	NotIdempotent  Idempotency = "non_idempotent"  // may be repeated only after proof that nothing ran
 )
 
-// DeduplicationScope names the servers that drop repeats of a request that one of them has run.
+// DeduplicationScope is the set of servers that drop repeats of a request that one of them has run.
 type DeduplicationScope string
 
 // The scopes of deduplication.
@@ -157,46 +157,46 @@
 	DeduplicatedByCell DeduplicationScope = "cell"
 )
 
-// PeerSources says which other edge caches may be the source of a fill.
+// PeerSources is the set of other edge caches that may be the source of a fill.
 type PeerSources string
 
-// The extents of peer sources.
+// The sets of peer sources.
 const (
 	PeerSourcesNone     PeerSources = "silent"
-	PeerSourcesLocation PeerSources = "location" // those of the own site
+	PeerSourcesLocation PeerSources = "location" // edge caches of the same site
 	PeerSourcesAny      PeerSources = "any"
 )
 
-// CacheStatusReporting says which values of CacheStatus the caches report.
+// CacheStatusReporting is the set of CacheStatus values that the caches report.
 type CacheStatusReporting string
 
-// The extents of reporting.
+// The sets of reported cache statuses.
 const (
 	CacheStatusReported     CacheStatusReporting = "all"
-	CacheStatusHitsReported CacheStatusReporting = "hit" // no failures, and FilledFromSource also for FilledFromOrigin
+	CacheStatusHitsReported CacheStatusReporting = "hit" // no failures; FilledFromOrigin as FilledFromSource
 	CacheStatusUnreported   CacheStatusReporting = "silent"
 )
 
-// LoadReportDelivery says how load reports come.
+// LoadReportDelivery is how load reports are delivered.
 type LoadReportDelivery string
 
-// The ways in which load reports come.
+// The deliveries of load reports.
 const (
-	LoadReportPiggyback LoadReportDelivery = "piggyback" // within outcomes and results of health checks
-	LoadReportPull      LoadReportDelivery = "pull"      // within results of health checks only
+	LoadReportPiggyback LoadReportDelivery = "piggyback" // in outcomes and in results of health checks
+	LoadReportPull      LoadReportDelivery = "pull"      // in results of health checks only
 	LoadReportAbsent    LoadReportDelivery = "silent"
 )
 
-// SettingsError says which setting can't be used and why.
+// SettingsError describes an invalid setting.
 type SettingsError struct {
-	Field   string // path by the names on the wire
+	Field   string // path of the field, in the names of the wire protocol
 	Problem string
 }
 
-// Error gives field and problem.
+// Error returns the field and the problem.
 func (e *SettingsError) Error() string { return e.Field + ": " + e.Problem }
 
-// validate checks what the engine relies on. The error is a *SettingsError.
+// validate returns an error, always a *SettingsError, if a setting that the engine depends on is invalid.
 func (s *Settings) validate() error {
 	known := []Idempotency{IdempotentRead, IdempotentKey, NotIdempotent}
 	for i, class := range s.Classes {
@@ -207,23 +207,23 @@
 	origin := s.Hierarchy.OriginKind
 	switch {
 	case len(s.Classes) == 0:
-		return &SettingsError{"Classes", "none"}
+		return &SettingsError{"Classes", "must not be empty"}
 	case s.Zone == "":
-		return &SettingsError{"Zone", "missing"}
+		return &SettingsError{"Zone", "must not be empty"}
 	case origin < 0 || origin >= len(s.Kinds):
-		return &SettingsError{"Extra.MasterKind", fmt.Sprintf("%d is no place in Kinds", origin)}
+		return &SettingsError{"Extra.MasterKind", fmt.Sprintf("index %d is out of range of Kinds", origin)}
 	case s.Permissions.MaxAttempts <= 0:
 		return &SettingsError{"Permissions.MaxAttempts", "must be positive"}
 	}
 	return nil
 }
 
-// hasServerWeights reports that weights in the endpoint list tell the sizes of servers.
+// hasServerWeights reports whether the weights in the endpoint list are the sizes of servers.
 func (s *Settings) hasServerWeights() bool {
 	return s.WeightSource == WeightsNominal || s.WeightSource == WeightsRough
 }
 
-// roleOf returns the role of a server as this router sees it.
+// roleOf returns the role of a server for this router.
 func (s *Settings) roleOf(endpoint *Endpoint) serverRole {
 	switch kind := slices.Index(s.Kinds, endpoint.Kind); {
 	case kind == s.Hierarchy.OriginKind:
@@ -236,7 +236,7 @@
 	return roleEdgeCache
 }
 
-// routersSharing returns how many routers use a server of the role and zone.
+// routersSharing returns the number of routers that use a server of the given role and zone, at least 1.
 func (s *Settings) routersSharing(role serverRole, zone string) float64 {
 	inZone := valueAt(s.Hierarchy.RoutersByZone, slices.Index(s.Zones, zone))
 	if role == roleEdgeCache && inZone > 0 {
@@ -245,7 +245,7 @@
 	return float64(max(s.FleetSize, 1))
 }
 
-// valueAt returns list[i], or the zero value outside the list.
+// valueAt returns list[i], or the zero value if i is out of range.
 func valueAt[T any](list []T, i int) (value T) {
 	if i >= 0 && i < len(list) {
 		value = list[i]
@@ -253,8 +253,8 @@
 	return value
 }
 
-// classSettings is all that the settings say of one class: its entry in Settings.Classes and those of the lists by
-// class in CacheHierarchy, which may be short or missing.
+// classSettings holds all settings of one class: its entry in Settings.Classes and its elements of the lists by class
+// in CacheHierarchy, which may be short or missing.
 type classSettings struct {
 	Class
 	freshnessLifetime int64
@@ -264,7 +264,7 @@
 	staleWeightFactor float64
 }
 
-// classSettings returns what the settings say of class i.
+// classSettings returns all settings of class i.
 func (s *Settings) classSettings(i int) classSettings {
 	return classSettings{
 		Class:             s.Classes[i],
@@ -276,8 +276,8 @@
 	}
 }
 
-// setClassSettings replaces the classes. It makes new lists and leaves the former ones as they are, for others may hold
-// them.
+// setClassSettings replaces the classes. It allocates new lists and does not modify the old ones, because they may be
+// shared with other Settings.
 func (s *Settings) setClassSettings(classes []classSettings) {
 	hierarchy := &s.Hierarchy
 	s.Classes = make([]Class, len(classes))
@@ -296,11 +296,11 @@
 	}
 }
 
-// UpdateSettings puts other settings in force for requests that come from now on. Open requests keep their class as it
-// was and the number of attempts that was allowed: the table of classes holds the new ones first and, after them, each
-// former one that an open request still needs. What was learned of a class is kept by its name. Zone, Zones, Kinds and
-// which of these are parents and the origin stay as they were at the start. Where the settings can't be used, the error
-// is a *SettingsError and nothing changes.
+// UpdateSettings applies new settings to all requests that arrive from now on. Open requests keep the settings of their
+// class and their maximum number of attempts: the table of classes holds the new classes first, followed by each old
+// class that an open request still uses. Learned values of a class are carried over to the new class of the same name.
+// Zone, Zones, Kinds, OriginKind and ParentKind keep their initial values. If the settings are invalid, the error is a
+// *SettingsError and nothing changes.
 func (e *Engine) UpdateSettings(settings Settings) error {
 	settings.Zone = e.settings.Zone
 	settings.Zones = e.settings.Zones
@@ -326,7 +326,7 @@
 	return nil
 }
 
-// carryOverTenants gives the tenants of next what was counted of those with their names.
+// carryOverTenants copies the request counts of this engine's tenants to the tenants of the same name in next.
 func (e *Engine) carryOverTenants(next *Engine) {
 	for name, tenant := range next.tenants {
 		if former := e.tenants[name]; former != nil {
@@ -335,8 +335,8 @@
 	}
 }
 
-// carryOverClasses gives the classes of next what was learned of those with their names, points open requests at their
-// places in the new table of classes, and returns this table.
+// carryOverClasses copies the learned values of this engine's classes to the classes of the same name in next, updates
+// the class indexes of open requests, and returns the new table of classes.
 func (e *Engine) carryOverClasses(next *Engine) []classSettings {
 	classes := make([]classSettings, len(next.settings.Classes))
 	for i, class := range next.settings.Classes {
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// coldBudgetShare is the share of a cold server's budget that is used: requests are uneven and estimates rough.
+// coldBudgetShare is the fraction of a cold server's budget that is used, as the work per request varies and estimates
+// are imprecise.
 const coldBudgetShare = 0.6
 
 // coldSend is work that was sent to a cold server.
@@ -11,8 +12,8 @@
 	work   float64
 }
 
-// warmUp returns how a server of the role warms up: from a fraction of its capacity at its start, to all of it after a
-// time; and past which multiple of its present capacity it is overloaded.
+// warmUp returns how a server of the role warms up: the fraction of its capacity at its start, the time in microseconds
+// until its full capacity, and the multiple of its present capacity above which it is overloaded.
 func (e *Engine) warmUp(role serverRole) (initialCapacity float64, warmUpTime int64, overloadMultiple float64) {
 	if role == roleParent {
 		hierarchy := &e.settings.Hierarchy
@@ -22,7 +23,7 @@
 	return guarantees.InitialCapacity, guarantees.WarmUpTime, guarantees.OverloadMultiple
 }
 
-// isCold reports that a server started so recently that its capacity may still be less than its full one.
+// isCold reports whether a server started so recently that it may not have its full capacity yet.
 func (e *Engine) isCold(srv *server) bool {
 	if srv.role == roleOrigin || srv.startedAt <= 0 {
 		return false
@@ -31,8 +32,9 @@
 	return e.now-srv.startedAt < warmUpTime+e.settings.Guarantees.OverloadWindow
 }
 
-// fitsColdBudget reports that a server may be sent work now: it is warm, or what this router sent it in the last
-// OverloadWindow, with this, is within the router's part of the capacity that it had at that window's start.
+// fitsColdBudget reports whether a server may be sent the given work now. This is so if the server is warm, or if this
+// work and the work that this router sent it in the last OverloadWindow are within the router's share of the capacity
+// that the server had at the start of that window.
 func (e *Engine) fitsColdBudget(srv *server, work float64) bool {
 	if !e.isCold(srv) {
 		return true
@@ -47,15 +49,15 @@
 	for _, s := range srv.coldSends {
 		sent += s.work
 	}
-	// The part of one router among hundreds is less than a request: the random draw lets so many of them send one as
-	// keep the sum within the budget.
+	// The share of one router among hundreds is less than a request. The random draw allows as many routers to send
+	// one request as keep the sum within the budget.
 	if sent <= 0 {
 		work *= srv.coldDraw
 	}
 	return sent+work <= e.coldBudget(srv)
 }
 
-// coldBudget returns the work, in microseconds of sending time, that this router may send a cold server within an
+// coldBudget returns the work, in microseconds of sending time, that this router may send to a cold server within one
 // OverloadWindow.
 func (e *Engine) coldBudget(srv *server) float64 {
 	initialCapacity, warmUpTime, overloadMultiple := e.warmUp(srv.role)
@@ -65,13 +67,13 @@
 	return coldBudgetShare * e.knownHistoryShare(srv) * overloadMultiple * fraction * e.capacity(srv) * float64(window)
 }
 
-// isColdDrawDue reports that the next look at a cold server draws its random share anew.
+// isColdDrawDue reports whether the next check of a cold server's budget draws a new random factor.
 func (e *Engine) isColdDrawDue(srv *server) bool {
 	return e.now-srv.coldDrawAt > e.settings.Guarantees.OverloadWindow
 }
 
-// knownHistoryShare returns the part of the last OverloadWindow for which this router knows what was sent to a server
-// in its name. A process before it may have sent the whole budget just before it ended.
+// knownHistoryShare returns the fraction of the last OverloadWindow for which this process knows what this router sent
+// to a server. The previous process may have sent the whole budget just before it ended.
 func (e *Engine) knownHistoryShare(srv *server) float64 {
 	if srv.startedAt >= e.startedAt {
 		return 1
@@ -80,7 +82,7 @@
 	return min(known/float64(max(e.settings.Guarantees.OverloadWindow, 1)), 1)
 }
 
-// recordColdSend counts work sent to a server if it is cold. Negative work takes back what never reached it.
+// recordColdSend counts work sent to a server if the server is cold. Negative work cancels work that never reached it.
 func (e *Engine) recordColdSend(srv *server, work float64) {
 	if e.isCold(srv) {
 		srv.coldSends = append(srv.coldSends, coldSend{e.now, work})
--- a/routing/subsets.go
+++ b/routing/subsets.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// subset is a set of edge caches, or of parents, among which a server is selected.
+// subset is a set of edge caches, or of parents, from which a server is selected.
 type subset struct {
 	serverNames      []string // sorted; nil: all edge caches of the zone
 	accountingGroup  int
-	servers          []*server // the usable ones, by name
+	servers          []*server // the usable servers, sorted by name
 	ranking          *rendezvousRanking
-	endpointsVersion int  // the Engine.endpointsVersion at which servers and ranking were found
-	inPanic          bool // the circuit breakers of all its edge caches were open at the last selection
+	endpointsVersion int  // the Engine.endpointsVersion that servers and ranking were computed from
+	inPanic          bool // panic mode: all its edge caches were ejected at the last selection
 }
 
-// subsetOf returns a subset as the endpoint list has it now. One that was not defined is empty.
+// subsetOf returns the subset with the given number, updated to the current endpoint list. An undefined subset is
+// empty.
 func (e *Engine) subsetOf(number int) *subset {
 	set := e.subsets[number]
 	if set == nil {
@@ -39,8 +40,8 @@
 	return servers
 }
 
-// defineSubset defines a subset, or drops it, and sets its accounting group's share of what all groups share. Subset 0,
-// all edge caches of the zone, can be neither.
+// defineSubset defines a subset and sets the capacity share of its accounting group, or deletes the subset. Subset 0,
+// which is all edge caches of the zone, cannot be changed.
 func (e *Engine) defineSubset(ev *Event) {
 	if ev.Subset == 0 {
 		return
@@ -54,7 +55,7 @@
 	e.subsets[ev.Subset] = &subset{
 		serverNames:      slices.Compact(names),
 		accountingGroup:  ev.AccountingGroup,
-		endpointsVersion: neverFound,
+		endpointsVersion: noEndpointsVersion,
 	}
 	for len(e.capacityShares) <= ev.AccountingGroup {
 		e.capacityShares = append(e.capacityShares, 0)
@@ -62,23 +63,24 @@
 	e.capacityShares[ev.AccountingGroup] = ev.CapacityShare
 }
 
-// neverFound is a version that no endpoint list has.
-const neverFound = -1
+// noEndpointsVersion is an endpointsVersion that no endpoint list has.
+const noEndpointsVersion = -1
 
-// groupUsage is what one accounting group has at a server that groups share.
+// groupUsage is the state of one accounting group at a server that groups share.
 type groupUsage struct {
 	breaker    circuitBreaker
 	inFlight   int
-	recentPeak decayingSum // the most it had in flight recently; fades over reservedShareDecay
+	recentPeak decayingSum // recent maximum of inFlight; decays over reservedShareDecay
 }
 
-// reserved returns how much of a bound the group has free at present because it used it recently.
+// reserved returns the capacity that is kept free for the group, in requests: the part of its recent use, up to a
+// bound, that it does not use at present.
 func (u *groupUsage) reserved(now int64, bound float64) float64 {
 	used := min(u.recentPeak.valueAt(now, reservedShareDecay), bound)
 	return max(used-float64(u.inFlight), 0)
 }
 
-// usageOf returns the usage of an accounting group above 0.
+// usageOf returns the state of an accounting group other than 0.
 func (srv *server) usageOf(group int) *groupUsage {
 	for len(srv.groupUsage) <= group {
 		srv.groupUsage = append(srv.groupUsage, &groupUsage{})
@@ -86,8 +88,8 @@
 	return srv.groupUsage[group]
 }
 
-// breakerFor returns the circuit breaker that holds for the requests of an accounting group. An edge cache has one for
-// all groups.
+// breakerFor returns the circuit breaker for the requests of an accounting group. An edge cache has a single breaker
+// for all groups.
 func (srv *server) breakerFor(group int) *circuitBreaker {
 	if group == 0 || srv.role == roleEdgeCache {
 		return &srv.breaker
@@ -95,7 +97,7 @@
 	return &srv.usageOf(group).breaker
 }
 
-// addInFlight books one more request in flight at a server, or with -1 one less, for an accounting group.
+// addInFlight changes the number of requests in flight at a server, for an accounting group, by 1 or -1.
 func (e *Engine) addInFlight(srv *server, group, change int) {
 	srv.inFlight += change
 	if group == 0 || srv.role == roleEdgeCache {
