--- a/routing/circuit_breaker_test.go
+++ b/routing/circuit_breaker_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A breaker opens, lets one trial through, opens again if that fails, and closes if it succeeds. A trial without an
-// outcome is given to another request.
-func TestCircuitBreakerOpensTriesAndCloses(t *testing.T) {
+// A breaker opens after failures, then allows one trial at a time. It opens again if the trial fails, and closes if it
+// succeeds. If a trial ends without an outcome, another request becomes the trial.
+func TestCircuitBreakerAllowsOneTrialAfterCoolDown(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
 	for i := range 3 {
 		action := engine.request("small", fmt.Sprint("x", i))
@@ -15,30 +15,30 @@
 	}
 	parent := engine.servers["p0"]
 	if !parent.breaker.isOpen(engine.now) {
-		t.Fatal("three failures of three leave the breaker closed")
+		t.Fatal("breaker is closed after three failures out of three")
 	}
 	if action := engine.request("small", "y"); action.Source != action.Server {
-		t.Errorf("every parent ejected, but filled from %q", action.Source)
+		t.Errorf("all parents are ejected, but the source is %q", action.Source)
 	}
 	engine.now += breakerCoolDown * 2
 	action, other := engine.request("small", "y1"), engine.request("small", "y2")
 	if action.Source != "p0" || other.Source == "p0" {
-		t.Errorf("half-open: sources %q and %q, want one trial", action.Source, other.Source)
+		t.Errorf("half-open breaker: sources %q and %q, want one trial", action.Source, other.Source)
 	}
 	engine.step(outcomeEvent(action, 0, OutcomeError, SourceUnreachable))
 	if !parent.breaker.isOpen(engine.now + breakerCoolDown/2) {
-		t.Error("a failed trial does not restart the cool-down")
+		t.Error("failed trial did not restart the cool-down")
 	}
 	engine.now += breakerCoolDown * 2
 	action = engine.request("small", "y3")
-	// The client of the trial leaves: the next request is the trial.
+	// The client of the trial gives up: the next request is the trial.
 	engine.step(Event{Kind: EventAborted, RequestID: action.RequestID})
 	if action = engine.request("small", "y4"); action.Source != "p0" {
-		t.Errorf("trial lost with its client: source %q", action.Source)
+		t.Errorf("no new trial after an aborted one: source %q", action.Source)
 	}
 	engine.step(outcomeEvent(action, 0, OutcomeServed, FilledFromSource))
 	if action = engine.request("small", "y5"); action.Source != "p0" || parent.breaker.openUntil != 0 {
-		t.Error("a good trial does not close the breaker")
+		t.Error("successful trial did not close the breaker")
 	}
 }
 
@@ -77,18 +77,19 @@
 				}
 			}
 			if got != tc.want {
-				t.Errorf("charges %q, want %q", got, tc.want)
+				t.Errorf("open breakers: %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// Objects that no cache knows, requested by bad clients, went to every cache in turn and opened the breakers of
-// all. An error without a reason is charged once another cache has served the same request; a second one ends it.
-func TestErrorWithoutReasonIsChargedOnceOthersServe(t *testing.T) {
+// Requests for nonexistent objects fail at every cache. If such failures were charged at once, the retries would open
+// the breakers of all caches. An error without a reason is charged only after another cache has served the same
+// request. A second such error ends the request.
+func TestUnexplainedErrorIsChargedAfterOtherCacheServes(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
 	for i := range 10 {
-		req := engine.request("small", fmt.Sprint("nobody knows ", i))
+		req := engine.request("small", fmt.Sprint("nonexistent ", i))
 		second := engine.stepOne(outcomeEvent(req, 0, OutcomeError, CacheStatusUnknown))
 		if second.Kind != ActionSend || second.Server == req.Server {
 			t.Fatalf("after one error: %+v", second)
@@ -99,7 +100,7 @@
 	}
 	for _, srv := range engine.caches {
 		if srv.breaker.openUntil != 0 {
-			t.Errorf("unknown objects opened the breaker of %s", srv.name)
+			t.Errorf("requests for nonexistent objects opened the breaker of %s", srv.name)
 		}
 	}
 	failing := ""
@@ -116,11 +117,11 @@
 		engine.step(outcomeEvent(retry, 1, OutcomeServed, CacheHit))
 	}
 	if engine.servers[failing].breaker.openUntil == 0 {
-		t.Error("a cache that fails what others serve is not ejected")
+		t.Error("cache that fails requests which other caches serve is not ejected")
 	}
 }
 
-// Slow chunks open no circuit breaker of servers that answer others meanwhile.
+// Time-outs of slow chunks must not open the breakers of servers that answer other requests in the meantime.
 func TestSlowLargeChunkDoesNotEjectParent(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	for i := range 5 {
@@ -131,13 +132,13 @@
 		engine.servers["p0"].concurrencyLimit = initialLimit
 	}
 	if engine.servers["p0"].breaker.openUntil != 0 || engine.servers["c0"].breaker.openUntil != 0 {
-		t.Error("slow chunks opened a breaker though others were answered meanwhile")
+		t.Error("slow chunks opened a breaker although other requests were answered in the meantime")
 	}
 }
 
-// Clients that give up before a response was due once opened the breakers of all caches and parents, and with them
-// everyone else was rejected for ten seconds (churn day, 33 s).
-func TestImpatientClientsEjectNothing(t *testing.T) {
+// Time-outs of clients that give up before a response is due must not open breakers. Otherwise they eject all caches
+// and parents, and all requests are rejected for the cool-down of ten seconds.
+func TestShortClientTimeoutsDoNotEjectServers(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	cache, parent := engine.servers["c0"], engine.servers["p0"]
 	cacheLimit, parentLimit := cache.concurrencyLimit, parent.concurrencyLimit
@@ -150,7 +151,7 @@
 		t.Errorf("breakers open until %d and %d", cache.breaker.openUntil, parent.breaker.openUntil)
 	}
 	if cache.concurrencyLimit != cacheLimit || parent.concurrencyLimit != parentLimit {
-		t.Errorf("limits %v of %v and %v of %v",
+		t.Errorf("cache limit %v, want %v; parent limit %v, want %v",
 			cache.concurrencyLimit, cacheLimit, parent.concurrencyLimit, parentLimit)
 	}
 }
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// An overload once went on for ever: every router sent all it had to a cache that was late already.
+// A late response reduces the limit of a cache if the limit is in use. Without this an overload never ends, as every
+// router continues to send all its requests to the cache.
 func TestLateResponseReducesLimit(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	cache := engine.servers["c0"]
@@ -23,12 +24,12 @@
 	idle.request("small", "x")
 	idle.step(late)
 	if srv := idle.servers["c0"]; srv.concurrencyLimit != first {
-		t.Errorf("limit %v reduced though it was not in use", srv.concurrencyLimit)
+		t.Errorf("limit %v was reduced although it was not in use", srv.concurrencyLimit)
 	}
 }
 
-// Single responses that never came reduced the limits of caches and parents that answered hundreds meanwhile, to a
-// sixth in ten seconds, and misses were rejected (day with lost responses, 350 requests a second).
+// A single lost response must not reduce the limits of a cache and a parent that answer other requests in the meantime.
+// At 350 requests/s with lost responses, the limits would fall to a sixth in ten seconds, and misses be rejected.
 func TestSingleTimeoutDoesNotReduceLimit(t *testing.T) {
 	for _, others := range []bool{true, false} {
 		engine := newTestEngine(t, testSettings(), 1, 1)
@@ -46,12 +47,14 @@
 		engine.step(outcomeEvent(lost, 0, OutcomeTimedOut, CacheStatusUnknown))
 		isCacheReduced, isParentReduced := cache.concurrencyLimit < 2, parent.concurrencyLimit < 2
 		if isCacheReduced == others || isParentReduced == others {
-			t.Errorf("others answered %v: limits reduced %v, %v", others, isCacheReduced, isParentReduced)
+			t.Errorf("others answered: %v; cache limit reduced: %v, parent limit reduced: %v",
+				others, isCacheReduced, isParentReduced)
 		}
 	}
 }
 
-// A limit of at least two for each of 50 routers overloaded a cache of a few transfers for good.
+// Limits may be below one request. If each of 50 routers had a limit of at least two, a cache with capacity for a few
+// transfers would stay overloaded.
 func TestLimitsFallBelowOneRequest(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	cache, sent := engine.servers["c0"], 0
@@ -63,7 +66,7 @@
 		}
 	}
 	if sent < 50 || sent > 130 {
-		t.Errorf("a limit of 0.3 let %d of 300 through", sent)
+		t.Errorf("limit of 0.3 admitted %d of 300 requests", sent)
 	}
 	action := engine.request("small", "last")
 	for action.Kind != ActionSend {
@@ -86,20 +89,19 @@
 	late.ResponseTime = sec
 	engine.step(late)
 	if cache := engine.servers["c0"]; cache.concurrencyLimit > lateServerTransfers*1/4 {
-		t.Errorf("limit %v though the router's part of the cache is a quarter of a transfer", cache.concurrencyLimit)
+		t.Errorf("limit %v although the router's share of the cache is a quarter of a transfer", cache.concurrencyLimit)
 	}
 }
 
-// With no cache left requests go directly to the parents, over the zone's link. On a fleet day with a site's caches
-// down nothing held that back: up to 19% came late, 0.86 of the weight was served. Late responses of a parent must
-// reduce its limit.
+// If no cache is available, requests are sent directly to the parents, over the zone's link. Late responses must reduce
+// the parent's limit. Otherwise direct requests are unlimited, and up to 19% of the responses are late.
 func TestLateDirectResponseReducesParentLimit(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 0, 1)
 	parent := engine.servers["p0"]
 	var last Action
 	for float64(parent.inFlight) < parent.concurrencyLimit/2 {
 		if last = engine.request("big", "hot"); last.Server != "p0" {
-			t.Fatalf("no cache is left, and the attempt is %+v", last)
+			t.Fatalf("no cache is available, got attempt %+v", last)
 		}
 	}
 	before := parent.concurrencyLimit
@@ -112,7 +114,7 @@
 	}
 }
 
-// largeRequest returns a request whose response takes 2 s to send.
+// largeRequest returns a request for a response with a sending time of 2 s.
 func largeRequest(timeout int64) Event {
 	request := requestEvent("large", "big", "x")
 	request.SizeKB = 2000
@@ -120,13 +122,12 @@
 	return request
 }
 
-// A large chunk takes its sending time on an idle link; that alone once counted as late, and on busy days each such
-// response reduced the limits of caches and parents until misses were rejected. In a fleet of hundreds a late fill
-// is due to the load at its source and reduces that limit alone. When it reduced the cache's too, requests went on
-// to other caches, where all was filled once more, and a site that one new object had overloaded filled twice as
-// much for long after (calm+mass, 309 routers: 8,078 selections passed their first cache over in 5 s, at a mean
-// limit of 1). Among few routers the site's own link may be what is full: there caches whose limit stayed had 31
-// fills of one router in flight, not 17, and two plays of upgrade+hand in eleven fell from 0.77 to 0.22 and 0.29.
+// The sending time of a large chunk alone must not count as late. Otherwise each such response reduces the limits of
+// caches and parents until misses are rejected. In a fleet of hundreds of routers, a late fill is caused by load at its
+// source and must reduce only the source's limit. If it also reduced the cache's limit, requests would go to other
+// caches, which fill the same objects again: with 309 routers and a mean limit of 1, 8,078 selections skipped their
+// first cache in 5 s, and the site filled twice as much. With few routers the site's own link may be full, so that the
+// cache's limit must fall too: without that, one router had 31 fills in flight instead of 17.
 func TestSendingTimeOfLargeChunkIsNotLate(t *testing.T) {
 	for _, tc := range []struct {
 		routers       int
@@ -142,7 +143,7 @@
 		{300, 1400 * ms, FilledFromSource, false, true},
 		{300, 500 * ms, CacheHit, false, false},
 		{300, 1400 * ms, CacheHit, true, false},
-	} { // sending takes 2 s, the objective is 4.6 s
+	} { // the sending time is 2 s, the latency objective 4.6 s
 		t.Run(fmt.Sprintf("%d routers, %s after %d ms", tc.routers, tc.status, 2000+tc.extra/ms), func(t *testing.T) {
 			settings := testSettings()
 			settings.FleetSize = tc.routers
@@ -158,16 +159,15 @@
 			engine.step(ev)
 			if cacheServer.concurrencyLimit < 2 != tc.cache || parentServer.concurrencyLimit < 2 != tc.parent {
 				limits := []float64{cacheServer.concurrencyLimit, parentServer.concurrencyLimit}
-				t.Errorf("%+v: limits of cache and parent %v", tc, limits)
+				t.Errorf("%+v: limits of cache and parent are %v", tc, limits)
 			}
 		})
 	}
 }
 
-// The wait for a distant origin was taken for an overload of the parent, on quiet days too: its limit fell, and 10
-// to 20% of all requests were rejected at half load. Only what a wait has above the least recent one counts; but on
-// a full link all of it, since there it is the number of fills that must fall (the overload day: the link at 12
-// times what fits, 0.66 for 0.71).
+// The wait for a distant origin must not count as overload of the parent. Otherwise the parent's limit falls, and 10 to
+// 20% of all requests are rejected at half load. Only the part of a wait above the recent minimum counts. On a full
+// link the whole wait counts, since the number of fills must fall there.
 func TestWaitForDistantOriginIsNotChargedToParent(t *testing.T) {
 	limit := func(wait int64, link float64) float64 {
 		engine := newTestEngine(t, distantOriginSettings(), 2, 1)
@@ -178,7 +178,7 @@
 			if action.Kind != ActionSend || action.FetchFlags&FetchCachedOnly != 0 {
 				continue
 			}
-			engine.servers["p0"].inFlight += 40 // a limit not in use tells nothing
+			engine.servers["p0"].inFlight += 40 // only a limit in use is adjusted
 			engine.now += 110 * ms
 			engine.step(originFillOutcome(action, min(190*ms+int64(i)*wait/20, max(wait, 190*ms)), link))
 			engine.servers["p0"].inFlight -= 40
@@ -186,20 +186,19 @@
 		return engine.servers["p0"].concurrencyLimit
 	}
 	if idle, full := limit(190*ms, 0.4), limit(190*ms, 4); idle < 5 || full > 1 {
-		t.Errorf("limit %v of a parent before a distant origin, %v on a full link", idle, full)
+		t.Errorf("parent limit %v with a distant origin, %v on a full link", idle, full)
 	}
-	// The least wait rises so slowly that the waits of an overload do not become it: at 2% a response the overload
-	// outlived its cause.
+	// The minimum wait rises so slowly that it does not adapt to the waits of an overload. With a rise of 2% per
+	// response the overload would outlast its cause.
 	if overloaded := limit(700*ms, 0.4); overloaded > 1 {
-		t.Errorf("limit %v of a parent through which all fills have come late for 300 responses", overloaded)
+		t.Errorf("parent limit %v after 300 late fills through the parent", overloaded)
 	}
 }
 
-// Where nothing tells of the link, the wait for an origin that is distant for the class's objective was taken for
-// an overload of the source: of a class with an objective of 180 ms a quarter was rejected on a quiet day, with two
-// or three fills in flight at servers that bear dozens (variant harbour-metrics, 0.72 for 0.97 in the simulator).
-// What is usual, and within the objective, is not late; what takes several times as long is, and so is what comes
-// past the objective.
+// Without load reports on the link, the wait for an origin that is distant relative to the class's objective must not
+// count as overload of the source. Otherwise a quarter of a class with an objective of 180 ms is rejected at low load,
+// with two or three fills in flight at servers with capacity for dozens. A usual wait within the objective is not late.
+// A wait of several times the usual one is late, and so is a response after the objective.
 func TestUsualOriginWaitOfUrgentClassIsNotLate(t *testing.T) {
 	limit := func(usual, then int64) float64 {
 		settings := testSettings()
@@ -213,7 +212,7 @@
 			if action.Kind != ActionSend || action.FetchFlags&FetchCachedOnly != 0 {
 				continue
 			}
-			more := int(engine.servers["p0"].concurrencyLimit) // one not in use tells nothing
+			more := int(engine.servers["p0"].concurrencyLimit) // only a limit in use is adjusted
 			engine.servers["p0"].inFlight += more
 			engine.now += 110 * ms
 			ev := originFillOutcome(action, usual, 0)
@@ -229,13 +228,13 @@
 	}
 	distant, late, overloaded := limit(100*ms, 100*ms), limit(100*ms, 400*ms), limit(30*ms, 130*ms)
 	if distant < 5 || late > 1 || overloaded > 1 {
-		t.Errorf("limits: %v before a distant origin, %v past the objective, %v at four times the usual wait",
+		t.Errorf("limits: %v with a distant origin, %v past the objective, %v at four times the usual wait",
 			distant, late, overloaded)
 	}
 }
 
-// Without cache statuses a source that rejects looks like a full cache: the cache's limit was reduced, the source's
-// not.
+// Without cache statuses, a rejection by the source cannot be told from a rejection by the cache. It must reduce the
+// limit of the source, not that of the cache.
 func TestRejectedFillWithoutCacheStatusReducesSourceLimit(t *testing.T) {
 	settings := testSettings()
 	settings.Hierarchy.CacheStatusReporting = CacheStatusUnreported
@@ -247,16 +246,16 @@
 	cacheLimit, sourceLimit := cache.concurrencyLimit, source.concurrencyLimit
 	second := engine.stepOne(outcomeEvent(first, 0, OutcomeRejected, CacheStatusUnknown))
 	if source.concurrencyLimit >= sourceLimit || cache.concurrencyLimit < cacheLimit {
-		t.Errorf("limit of the cache %v to %v, of the source %v to %v",
+		t.Errorf("cache limit changed from %v to %v, source limit from %v to %v",
 			cacheLimit, cache.concurrencyLimit, sourceLimit, source.concurrencyLimit)
 	}
 	last := engine.stepOne(outcomeEvent(second, 1, OutcomeMiss, CacheStatusUnknown))
 	if last.Kind != ActionSend || last.Source == first.Source || last.Source == last.Server {
-		t.Errorf("after the cached copy missed %+v, want another source", last)
+		t.Errorf("after a miss for any cached copy: %+v, want another source", last)
 	}
 }
 
-// When capacity is short, a tenant past its quota loses first.
+// When capacity is short, requests of a tenant over its quota are rejected first.
 func TestTenantOverQuotaIsRejectedFirst(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{Name: "t", QuotaPerSecond: 3}}
@@ -277,32 +276,33 @@
 		}
 	}
 	if rejected["t"] <= rejected[""] {
-		t.Errorf("rejected %v: the tenant over its quota should lose first", rejected)
+		t.Errorf("rejected by tenant: %v; want most for the tenant over its quota", rejected)
 	}
 }
 
-// However large an object, and however small its class's weight, half of a server's limit is open to it: the
-// largest of a class are owed half of what the class gets in shortage.
-func TestHalfOfALimitIsOpenToTheLargestRequests(t *testing.T) {
+// Requests for the largest objects, of classes with any weight, may use half of a server's limit, so that they are not
+// rejected altogether when capacity is short.
+func TestLargestRequestsMayUseHalfOfLimit(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	srv := engine.servers["c0"]
 	srv.concurrencyLimit = 100
-	fits := func(class int, sizeKB float64) int { // how many may be in flight for such a one still to be admitted
+	maxInFlight := func(class int, sizeKB float64) int { // with fewer in flight, such a request is admitted
 		req := &request{class: class}
 		req.SizeKB = sizeKB
 		for srv.inFlight = 0; srv.inFlight < 200 && engine.hasCapacity(req, srv); srv.inFlight++ {
 		}
 		return srv.inFlight
 	}
-	smallest, largest := fits(1, 1), fits(0, 1e6)
-	if largest < smallest/2-1 { // one: the random part of a request
-		t.Errorf("capacity for %d of the largest, %d of the smallest", largest, smallest)
+	smallest, largest := maxInFlight(1, 1), maxInFlight(0, 1e6)
+	if largest < smallest/2-1 { // 1: the random draw
+		t.Errorf("capacity for %d of the largest requests, for %d of the smallest", largest, smallest)
 	}
 }
 
-// An edge cache of another zone gets no uncacheable requests, so their weight reserves nothing of its limit. In the own
-// zone the heaviest class, which is uncacheable here, leaves a lighter one less than the full limit.
-func TestWeightOfUncacheableClassReservesNothingAtRemoteCaches(t *testing.T) {
+// An edge cache of another zone gets no uncacheable requests, so that no part of its limit is reserved for them. At an
+// edge cache of this zone, part of the limit is reserved for the class with the greatest weight, which is uncacheable
+// here.
+func TestUncacheableClassReservesNoCapacityAtRemoteCaches(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].PriorityWeight = 1000
 	settings.Hierarchy.Uncacheable = []bool{true}
@@ -311,20 +311,20 @@
 	srv.concurrencyLimit = 100
 	capacity := func(role serverRole) (admitted int) {
 		srv.role = role
-		req := &request{class: 3} // of the cacheable classes none has a greater weight density
+		req := &request{class: 3} // has the greatest weight density of the cacheable classes
 		for srv.inFlight = 0; srv.inFlight < 200 && engine.hasCapacity(req, srv); srv.inFlight++ {
 			admitted++
 		}
 		return admitted
 	}
 	if own, remote := capacity(roleEdgeCache), capacity(roleRemoteCache); own > 55 || remote < 99 {
-		t.Errorf("capacity for %d in the own zone and %d in another, want about 50 and 100", own, remote)
+		t.Errorf("capacity for %d in this zone and %d in another, want about 50 and 100", own, remote)
 	}
 }
 
-// Of a parent's and the origin's limit each request has one draw: hundreds of routers, each with capacity for less
-// than one request, keep to the sum of their limits by it. One that found no capacity, and then missed a cached
-// copy, had a second draw: three fills where two may be (calm+mass 0.83 -> 0.82).
+// Each request makes one random draw against the limits of parents and origin, so that hundreds of routers, each with
+// capacity for less than one request, observe the sum of their limits. A second draw, after a request found no capacity
+// and then no cached copy, would allow three fills instead of two.
 func TestLimitsAreDrawnOncePerRequest(t *testing.T) {
 	const requests = 2000
 	engine := newTestEngine(t, testSettings(), 3, 1)
@@ -332,7 +332,7 @@
 	parent := engine.servers["p0"]
 	fills, rejected := 0, 0
 	for i := range requests {
-		parent.concurrencyLimit = 0.5 // less than one request, as where hundreds of routers share a source
+		parent.concurrencyLimit = 0.5 // less than one request, as with hundreds of routers that share a source
 		first := engine.request("small", fmt.Sprint("x", i))
 		if first.Source != first.Server {
 			fills++
@@ -344,10 +344,10 @@
 		case ActionReject:
 			rejected++
 		default:
-			t.Fatalf("a source was at its limit, and no copy is cached: %+v", last)
+			t.Fatalf("source at its limit and no cached copy: %+v, want a rejection", last)
 		}
 	}
 	if fills == 0 || rejected == 0 || fills+rejected != requests {
-		t.Errorf("%d fills, %d rejected of %d: this shows nothing", fills, rejected, requests)
+		t.Errorf("%d fills and %d rejections of %d requests, want both and nothing else", fills, rejected, requests)
 	}
 }
--- a/routing/decision_bench_test.go
+++ b/routing/decision_bench_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// decisionSizes are the sizes at which the cost of a decision is stated, caches by parents.
+// decisionSizes are the deployment sizes of BenchmarkDecision.
 var decisionSizes = []struct{ caches, parents int }{{4, 1}, {16, 4}, {64, 16}, {256, 64}}
 
-// benchObjects returns the names of as many objects as a benchmark requests in turn.
+// benchObjects returns count different object names.
 func benchObjects(count int64) []string {
 	objects := make([]string, count)
 	for i := range objects {
@@ -17,7 +17,7 @@
 	return objects
 }
 
-// decide is one request, its good outcome and the timer of its first check. wait passes between request and outcome.
+// decide passes one request to the engine and, after wait, its successful outcome and the timer of its first check.
 func decide(b *testing.B, engine *Engine, events []Event, now, wait int64, id, object string) {
 	events[0] = Event{
 		Kind:      EventRequest,
@@ -37,7 +37,7 @@
 		}
 	}
 	if server == "" {
-		b.Fatal("no attempt")
+		b.Fatal("request resulted in no attempt")
 	}
 	events[0] = Event{
 		Kind:         EventOutcome,
@@ -53,7 +53,7 @@
 	engine.Step(now+wait, events)
 }
 
-// BenchmarkDecision is one request, its outcome and the timer of its first check, on one core.
+// BenchmarkDecision measures one request, its outcome and the timer of its first check, on one core.
 func BenchmarkDecision(b *testing.B) {
 	for i, size := range append(decisionSizes, decisionSizes...) {
 		source := WeightsAbsent
@@ -71,7 +71,7 @@
 			list := endpoints(size.caches, size.parents)
 			for i := range list {
 				list[i].Weight = 1 + float64(i%7)/10
-				list[i].Server = fmt.Sprintf("s-%08x", uint32(i+1)*2654435761) // as the platform names them
+				list[i].Server = fmt.Sprintf("s-%08x", uint32(i+1)*2654435761) // like the names of real servers
 			}
 			engine.Step(now, []Event{{Kind: EventEndpoints, UpdateMode: UpdateReplace, Endpoints: list}})
 			objects := benchObjects(4096)
@@ -89,10 +89,11 @@
 	}
 }
 
-// purgeRates are the purges a second at which the cost of one is stated.
+// purgeRates are the rates of BenchmarkPurge, in purges per second.
 var purgeRates = []int64{24, 240, 2400}
 
-// BenchmarkPurge is one purge by a router that has heard of as many a second for longer than it remembers them.
+// BenchmarkPurge measures one purge at a router that has received purges at the given rate for longer than their
+// retention.
 func BenchmarkPurge(b *testing.B) {
 	for _, rate := range purgeRates {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
@@ -125,8 +126,8 @@
 	}
 }
 
-// BenchmarkDecisionOfMany is one request and its good answer, with so many caches in the zone: those of fleets of 300
-// to 11,000 routers.
+// BenchmarkDecisionOfMany measures one request and its successful outcome with many caches in the zone, as in fleets of
+// 300 to 11,000 routers.
 func BenchmarkDecisionOfMany(b *testing.B) {
 	const perSecond = 718 // requests of one router at the peak
 	for _, caches := range []int{46, 155, 464, 1700} {
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Servers that drain or have left the list get nothing, and an empty list rejects requests.
+// Draining and removed servers must not get requests or fills. With an empty endpoint list, requests are rejected.
 func TestDrainingServersAreNeverUsed(t *testing.T) {
 	for _, status := range []EndpointStatus{EndpointDraining, EndpointRemoved} {
 		engine := newTestEngine(t, testSettings(), 1, 1)
@@ -15,19 +15,19 @@
 		}})
 		for i := range 20 {
 			if action := engine.request("big", fmt.Sprint(i)); action.Server == "c0" || action.Source == "p0" {
-				t.Fatalf("%s: %+v", status, action)
+				t.Fatalf("servers with status %s are used: %+v", status, action)
 			}
 		}
 	}
 	engine := newTestEngine(t, testSettings(), 1, 0)
 	engine.step(Event{Kind: EventEndpoints, UpdateMode: UpdateReplace})
 	if action := engine.request("big", "x"); action.Kind != ActionReject {
-		t.Errorf("empty list: %+v", action)
+		t.Errorf("empty endpoint list: %+v, want a rejection", action)
 	}
 }
 
-// Where changes must be subscribed to, the engine does so at the start, and once more after a failure.
-func TestSubscription(t *testing.T) {
+// With DiscoverySubscribe, the engine subscribes at the start and again after a failure, within MaxPollInterval.
+func TestFailedSubscriptionIsRenewed(t *testing.T) {
 	settings := testSettings()
 	settings.Discovery = DiscoverySubscribe
 	engine, err := NewEngine(settings, 1)
@@ -37,21 +37,22 @@
 	restored := Event{Kind: EventEndpoints, UpdateMode: UpdateRestored, Endpoints: endpoints(1, 1)}
 	actions := engine.Step(1, []Event{restored})
 	if len(actions) != 1 || actions[0].Kind != ActionSubscribe || !actions[0].Enabled {
-		t.Fatalf("start: %+v", actions)
+		t.Fatalf("at the start: %+v, want a subscription", actions)
 	}
 	actions = engine.Step(2, []Event{{Kind: EventEndpoints, UpdateMode: UpdateUnavailable}})
 	maxDelay := settings.Guarantees.MaxPollInterval
 	if len(actions) != 1 || actions[0].Kind != ActionSetTimer || actions[0].Delay > maxDelay {
-		t.Fatalf("failed call: %+v", actions)
+		t.Fatalf("after a failed call: %+v, want a timer of at most MaxPollInterval", actions)
 	}
 	actions = engine.Step(3, []Event{{Kind: EventTimer, TimerToken: actions[0].TimerToken}})
 	if len(actions) != 1 || actions[0].Kind != ActionSubscribe {
-		t.Errorf("subscribed anew: %+v", actions)
+		t.Errorf("after the timer: %+v, want a subscription", actions)
 	}
 }
 
-// Caches replaced all day long, each by one with a new id, are forgotten once nothing is in flight at them.
-func TestDelistedServersAreForgotten(t *testing.T) {
+// Delisted servers are deleted once they have nothing in flight. Otherwise memory grows while caches are continuously
+// replaced by caches with new ids.
+func TestDelistedServersAreDeleted(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	endpoint := func(name string, status EndpointStatus) Endpoint {
 		return Endpoint{Server: name, Zone: "z", Kind: "box", Status: status, Weight: 1}
@@ -68,11 +69,11 @@
 		}})
 	}
 	if len(engine.servers) != 4 { // the last one, the parent, the origin, and c0 with its attempt
-		t.Errorf("%d servers known with an attempt in flight at one that left the list", len(engine.servers))
+		t.Errorf("%d servers kept, want 4: an attempt is in flight at a delisted server", len(engine.servers))
 	}
 	engine.step(outcomeEvent(pending, 0, OutcomeServed, CacheHit))
 	engine.step(Event{Kind: EventEndpoints, UpdateMode: UpdateChanges})
 	if len(engine.servers) != 3 {
-		t.Errorf("%d servers known", len(engine.servers))
+		t.Errorf("%d servers kept, want 3", len(engine.servers))
 	}
 }
--- a/routing/engine_test.go
+++ b/routing/engine_test.go
@@ -10,7 +10,8 @@
 	sec = 1000 * ms
 )
 
-// testSettings returns those of a small deployment: zone "z" with edge caches, hub "h" with parents, one origin.
+// testSettings returns the settings of a small deployment: zone "z" with edge caches, zone "h" with parents and one
+// origin.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -94,7 +95,7 @@
 	}
 }
 
-// endpoints returns the endpoint list of such a deployment: o, c0, c1 and so on, p0, p1 and so on.
+// endpoints returns an endpoint list for testSettings: origin o, edge caches c0, c1, ... and parents p0, p1, ...
 func endpoints(caches, parents int) []Endpoint {
 	list := []Endpoint{{Server: "o", Zone: "h", Kind: "origin", Status: EndpointHealthy, Weight: 1}}
 	for i := range caches {
@@ -108,7 +109,7 @@
 	return list
 }
 
-// testEngine drives an engine step by step. Its clock stands still but for what a test adds to now.
+// testEngine drives an engine step by step. Its clock, now, advances only if a test changes it.
 type testEngine struct {
 	*Engine
 	t                 *testing.T
@@ -117,19 +118,19 @@
 	reportedOverloads []string // servers of ActionReportOverload
 }
 
-// newTestEngine returns an engine that knows its servers.
+// newTestEngine returns an engine that has received its endpoint list.
 func newTestEngine(t *testing.T, settings Settings, caches, parents int) *testEngine {
 	t.Helper()
 	engine, err := NewEngine(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	driven := &testEngine{Engine: engine, t: t, now: 1000 * sec}
-	driven.step(Event{Kind: EventEndpoints, UpdateMode: UpdateRestored, Endpoints: endpoints(caches, parents)})
-	return driven
+	tested := &testEngine{Engine: engine, t: t, now: 1000 * sec}
+	tested.step(Event{Kind: EventEndpoints, UpdateMode: UpdateRestored, Endpoints: endpoints(caches, parents)})
+	return tested
 }
 
-// step hands events to the engine and returns its actions less timers and reports of overload.
+// step passes events to the engine and returns its actions, without timers and overload reports.
 func (engine *testEngine) step(events ...Event) (actions []Action) {
 	for _, action := range engine.Step(engine.now, events) {
 		if action.Kind == ActionReportOverload {
@@ -141,7 +142,7 @@
 	return actions
 }
 
-// stepOne is step where one action is expected.
+// stepOne is step for events that must result in exactly one action, which it returns.
 func (engine *testEngine) stepOne(events ...Event) Action {
 	engine.t.Helper()
 	actions := engine.step(events...)
@@ -151,19 +152,19 @@
 	return actions[0]
 }
 
-// request hands over a request of a new id and returns the action that follows.
+// request passes a request with a new id to the engine and returns the resulting action.
 func (engine *testEngine) request(class, object string) Action {
 	engine.t.Helper()
 	engine.requestCount++
 	return engine.stepOne(requestEvent(fmt.Sprint("q", engine.requestCount), class, object))
 }
 
-// requestEvent returns a request whose client waits for 3 s.
+// requestEvent returns a request with a client timeout of 3 s.
 func requestEvent(id, class, object string) Event {
 	return Event{Kind: EventRequest, RequestID: id, Class: class, Object: object, Timeout: 3 * sec}
 }
 
-// outcomeEvent returns the outcome of an attempt: after 50 ms, or 3 s if it timed out.
+// outcomeEvent returns the outcome of an attempt after 50 ms, or after 3 s if it timed out.
 func outcomeEvent(action Action, attempt int, outcome AttemptOutcome, status CacheStatus) Event {
 	ev := Event{
 		Kind:         EventOutcome,
@@ -181,7 +182,8 @@
 	return ev
 }
 
-// A request goes to an edge cache and names a parent for a miss. Engines with equal lists agree on both.
+// A request is sent to an edge cache, with a parent as the source for a miss. Engines with the same endpoint list
+// select the same servers.
 func TestRequestIsServedThroughCacheAndParent(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 2)
 	action := engine.request("small", "x")
@@ -192,18 +194,18 @@
 		t.Fatalf("first attempt %+v", action)
 	}
 	if action.MaxAge > 10*sec || action.MaxAge < 8*sec {
-		t.Errorf("maximum age %d is not the freshness lifetime less 0-20%%", action.MaxAge)
+		t.Errorf("MaxAge %d is not the freshness lifetime minus 0-20%%", action.MaxAge)
 	}
 	other := newTestEngine(t, testSettings(), 3, 2).request("small", "x")
 	if other.Server != action.Server || other.Source != action.Source {
-		t.Error("two routers disagree on cache or parent")
+		t.Error("two routers select different caches or parents")
 	}
 	if unaged := engine.request("big", "x"); unaged.MaxAge != 0 || unaged.Source != action.Source {
-		t.Errorf("class with no fresh time: %+v", unaged)
+		t.Errorf("class without a freshness lifetime: %+v", unaged)
 	}
 }
 
-// Events about requests, servers and timers that the engine does not know change nothing.
+// Events for unknown requests, servers and timers have no effect.
 func TestUnknownReferencesAreIgnored(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	for _, ev := range []Event{
@@ -215,7 +217,7 @@
 		{},
 	} {
 		if actions := engine.step(ev); len(actions) != 0 {
-			t.Errorf("%+v brings %+v", ev, actions)
+			t.Errorf("event %+v resulted in actions %+v", ev, actions)
 		}
 	}
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -6,7 +6,7 @@
 	"spantack/routing"
 )
 
-// newExampleEngine returns the engine of a router in zone "east" that knows two edge caches, a parent and the origin.
+// newExampleEngine returns the engine of a router in zone "east" with two edge caches, a parent and the origin.
 func newExampleEngine() *routing.Engine {
 	engine, err := routing.NewEngine(routing.Settings{
 		Classes: []routing.Class{{
@@ -43,7 +43,7 @@
 	return engine
 }
 
-// send hands over an event and prints what follows, timers left out. It returns the last action.
+// send passes an event to the engine and prints the resulting actions, except timers. It returns the last action.
 func send(engine *routing.Engine, now int64, event routing.Event) (last routing.Action) {
 	for _, action := range engine.Step(now, []routing.Event{event}) {
 		switch action.Kind {
@@ -59,7 +59,7 @@
 	return last
 }
 
-// request returns a client's request that waits for two seconds.
+// request returns a client's request with a timeout of two seconds.
 func request(id, object string) routing.Event {
 	return routing.Event{
 		Kind:      routing.EventRequest,
@@ -70,21 +70,21 @@
 	}
 }
 
-// outcome returns the end of the first attempt of a request.
-func outcome(sent routing.Action, how routing.AttemptOutcome, status routing.CacheStatus) routing.Event {
+// outcome returns the outcome of the first attempt of a request.
+func outcome(sent routing.Action, result routing.AttemptOutcome, status routing.CacheStatus) routing.Event {
 	return routing.Event{
 		Kind:         routing.EventOutcome,
 		RequestID:    sent.RequestID,
 		Server:       sent.Server,
-		Outcome:      how,
+		Outcome:      result,
 		CacheStatus:  status,
 		ResponseTime: 40_000,
-		IsFinal:      how == routing.OutcomeServed,
+		IsFinal:      result == routing.OutcomeServed,
 	}
 }
 
-// A request goes to an edge cache, which fills a miss from the parent that is named. Once it is served nothing
-// follows.
+// A request is sent to an edge cache, which fills a miss from the given parent. After the request is served, there are
+// no further actions.
 func Example() {
 	engine := newExampleEngine()
 	sent := send(engine, 1_002_000, request("r1", "front"))
@@ -95,7 +95,7 @@
 	// served
 }
 
-// An attempt that the edge cache refused is retried at another one; the parent stays the same.
+// An attempt whose connection the edge cache refused is retried at another edge cache, with the same parent.
 func Example_retry() {
 	engine := newExampleEngine()
 	sent := send(engine, 1_002_000, request("r1", "front"))
@@ -106,8 +106,8 @@
 	// r1 to edge-1 filled from parent-1
 }
 
-// The parent can't be reached. After three failed fills its circuit breaker opens: it is ejected, and later
-// requests ask their edge cache for a cached copy only.
+// The parent is unreachable. After three failed fills its circuit breaker opens and ejects it. Later requests are sent
+// to their edge cache for a cached copy only.
 func Example_circuitBreaker() {
 	engine := newExampleEngine()
 	for i := range 3 {
@@ -116,7 +116,7 @@
 		sent := send(engine, now, request(id, id))
 		engine.Step(now+40_000, []routing.Event{
 			outcome(sent, routing.OutcomeError, routing.SourceUnreachable),
-			{Kind: routing.EventAborted, RequestID: id}, // its client does not wait for more
+			{Kind: routing.EventAborted, RequestID: id}, // the client has given up
 		})
 	}
 	_, ejected := engine.Parents(1_400_000)
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// After a purge of the object or its group no older copy will do, and no fill under way is joined.
+// After a purge of an object or its group, a request must not get an older copy or join a fill in progress.
 func TestPurgeLimitsMaxAge(t *testing.T) {
 	for name, ev := range map[string]Event{
 		"object": {Kind: EventPurge, Object: "x", PurgeGroup: 3, PurgeAge: 200 * ms},
@@ -16,18 +16,18 @@
 			request.PurgeGroup = 3
 			first := engine.stepOne(request)
 			if first.MaxAge <= 0 || first.MaxAge > 1200*ms || first.FetchFlags&FetchCollapse != 0 {
-				t.Errorf("%s purge, class %s: age %d flags %d", name, class, first.MaxAge, first.FetchFlags)
+				t.Errorf("%s purge, class %s: MaxAge %d, flags %d", name, class, first.MaxAge, first.FetchFlags)
 			}
 			cachedCopy := engine.stepOne(outcomeEvent(first, 0, OutcomeError, SourceUnreachable))
 			if cachedCopy.MaxAge <= 0 || cachedCopy.MaxAge > 1200*ms {
-				t.Errorf("%s purge, cached copy: age %d", name, cachedCopy.MaxAge)
+				t.Errorf("%s purge, any cached copy: MaxAge %d", name, cachedCopy.MaxAge)
 			}
 		}
 	}
 }
 
-// A request may name the time from which copies will do, which binds any cached copy too, and an age that is more
-// than its class allows; a purge binds over both.
+// A request's MinVersionTime limits the age of its copy, also if any cached copy is accepted. Its MaxAge may exceed the
+// limit of its class. A purge has precedence over both.
 func TestRequestLimitsMaxAge(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 1)
 	engine.now += 1000 * sec
@@ -39,25 +39,25 @@
 	}
 	usual, extended := send("a", "big", 0, 0).MaxAge, send("b", "big", 0, 500*sec).MaxAge
 	if usual > 0 && extended != 500*sec || usual == 0 && extended != 0 {
-		t.Errorf("class big: %d as usual, %d extended", usual, extended)
+		t.Errorf("class big: MaxAge %d without and %d with a request limit of 500 s", usual, extended)
 	}
 	fresh := valueAt(testSettings().Hierarchy.FreshnessLifetime, 1)
 	if got := send("c", "small", 0, 500*sec).MaxAge; fresh > 0 && got != 500*sec {
-		t.Errorf("fresh for %d, may be as old as 500 s: %d", fresh, got)
+		t.Errorf("freshness lifetime %d, request limit of 500 s: MaxAge %d", fresh, got)
 	}
 	action := send("d", "small", engine.now-100*ms, 500*sec)
 	if want := int64(100*ms - purgeClockMargin); action.MaxAge != want {
-		t.Errorf("copies of the last 100 ms: %d, want %d", action.MaxAge, want)
+		t.Errorf("minimum version 100 ms ago: MaxAge %d, want %d", action.MaxAge, want)
 	}
 	cachedCopy := engine.stepOne(outcomeEvent(action, 0, OutcomeError, SourceUnreachable))
 	if cachedCopy.MaxAge <= 0 || cachedCopy.MaxAge > 100*ms {
-		t.Errorf("any cached copy: %d", cachedCopy.MaxAge)
+		t.Errorf("any cached copy: MaxAge %d, want at most 100 ms", cachedCopy.MaxAge)
 	}
 	if action := send("e", "small", engine.now+sec, 0); action.MaxAge != 1 {
-		t.Errorf("from a time to come: %d", action.MaxAge)
+		t.Errorf("minimum version in the future: MaxAge %d, want 1", action.MaxAge)
 	}
 	engine.step(Event{Kind: EventPurge, Object: "x", PurgeAge: 20 * ms})
 	if action := send("f", "small", engine.now-100*ms, 500*sec); action.MaxAge > 20*ms {
-		t.Errorf("after a purge: %d", action.MaxAge)
+		t.Errorf("purge 20 ms ago: MaxAge %d", action.MaxAge)
 	}
 }
--- a/routing/handover_test.go
+++ b/routing/handover_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// engineWithHistory returns an engine that has met good responses, a failing cache, late fills and a cold cache.
+// engineWithHistory returns an engine with learned state from successful responses, a failing cache and a cold cache.
+// It also returns the endpoint list and the present time.
 func engineWithHistory(t *testing.T, seed uint64) (*Engine, []Endpoint, int64) {
 	t.Helper()
 	settings := baseSettings()
@@ -33,7 +34,7 @@
 		list = append(list, Endpoint{Server: name, Zone: "east", Kind: "box", Status: EndpointHealthy, Weight: 4})
 	}
 	engine.Step(now, []Event{{Kind: EventEndpoints, UpdateMode: UpdateReplace, Endpoints: list}})
-	engine.servers["a"].concurrencyLimit = 41 // as a busier day would have taught
+	engine.servers["a"].concurrencyLimit = 41 // a value that differs from the initial limit
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for i := range 400 {
 		now += 2000
@@ -70,56 +71,56 @@
 	return request
 }
 
-// throughJSON returns a state as it is read from the file that it is written to.
-func throughJSON(t *testing.T, state LearnedState) (read LearnedState) {
+// roundTripJSON returns the state after encoding it to JSON and decoding it again.
+func roundTripJSON(t *testing.T, state LearnedState) (decoded LearnedState) {
 	t.Helper()
 	text, err := json.Marshal(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(text, &read); err != nil {
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	return read
+	return decoded
 }
 
-// What a process leaves, through JSON, is what its successor knows, and it acts by it: the cache that fails is left
-// alone, the cold one has had its part, limits are not learned anew.
+// The learned state of a process, restored from JSON, is in effect in its replacement: the failing cache stays ejected,
+// the work sent to the cold cache counts, and limits are kept.
 func TestLearnedStateIsHandedOver(t *testing.T) {
 	for seed := range uint64(20) {
 		old, list, now := engineWithHistory(t, seed)
-		left := throughJSON(t, old.LearnedState(now))
+		saved := roundTripJSON(t, old.LearnedState(now))
 		next, err := NewEngine(old.settings, 2)
 		if err != nil {
 			t.Fatal(err)
 		}
 		next.Step(now, []Event{{Kind: EventEndpoints, UpdateMode: UpdateReplace, Endpoints: list}})
-		if err := next.RestoreLearnedState(now, left); err != nil {
+		if err := next.RestoreLearnedState(now, saved); err != nil {
 			t.Fatal(err)
 		}
-		if got := next.LearnedState(now); !reflect.DeepEqual(got, left) {
-			t.Fatalf("seed %d: left %+v\ntaken over %+v", seed, left, got)
+		if got := next.LearnedState(now); !reflect.DeepEqual(got, saved) {
+			t.Fatalf("seed %d: saved %+v\nrestored %+v", seed, saved, got)
 		}
 		if !old.servers["bad"].breaker.isOpen(now) || next.servers["a"].concurrencyLimit != 41 {
-			t.Fatalf("seed %d: the day showed nothing", seed)
+			t.Fatalf("seed %d: breaker of the failing cache not open, or limit not restored", seed)
 		}
 		sent := 0.0
 		for _, send := range next.servers["cold"].coldSends {
 			sent += send.work
 		}
 		if sent == 0 {
-			t.Errorf("seed %d: what the cold cache was sent is forgotten", seed)
+			t.Errorf("seed %d: the work sent to the cold cache was not restored", seed)
 		}
 		for i := range 50 {
 			actions := next.Step(now, []Event{videoRequest(fmt.Sprint(i), fmt.Sprint(i), 1)})
 			if actions[0].Server == "bad" {
-				t.Errorf("seed %d: sent to the cache that fails", seed)
+				t.Errorf("seed %d: request sent to the failing cache", seed)
 			}
 		}
 	}
 }
 
-// Nothing is taken over of a process that started anew, and nothing that can't be true.
+// A state with an implausible value is rejected as a whole. The state of a server that has restarted is ignored.
 func TestImplausibleLearnedStateIsRejected(t *testing.T) {
 	old, list, now := engineWithHistory(t, 1)
 	good := old.LearnedState(now)
@@ -134,7 +135,7 @@
 	}
 	next.Step(now, []Event{{Kind: EventEndpoints, UpdateMode: UpdateReplace, Endpoints: list}})
 	fresh := next.LearnedState(now)
-	for want, damage := range map[string]func(*LearnedState){
+	for want, corrupt := range map[string]func(*LearnedState){
 		"us ago":           func(s *LearnedState) { s.TakenAt -= maxLearnedStateAge + 1 },
 		"Peak":             func(s *LearnedState) { s.PeakWorkRates = nil },
 		"Nodes[0].Limit":   func(s *LearnedState) { s.Servers[0].ConcurrencyLimit = -1 },
@@ -148,18 +149,18 @@
 		`Recent["object"]`: func(s *LearnedState) { s.RecentRequests = map[string]int{"object": -1} },
 	} {
 		t.Run(want, func(t *testing.T) {
-			state := throughJSON(t, good)
-			damage(&state)
+			state := roundTripJSON(t, good)
+			corrupt(&state)
 			err := next.RestoreLearnedState(now, state)
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("error %v", err)
+				t.Errorf("error %v, want one that names the value", err)
 			}
 			var stateError *LearnedStateError
 			if isOld := errors.Is(err, ErrLearnedStateAge); isOld == errors.As(err, &stateError) {
 				t.Errorf("%T: %v, want either an age or a *LearnedStateError", err, err)
 			}
 			if got := next.LearnedState(now); !reflect.DeepEqual(got, fresh) {
-				t.Error("changed something")
+				t.Error("rejected state changed the engine")
 			}
 		})
 	}
@@ -168,6 +169,6 @@
 	}
 	srv := next.servers["bad"]
 	if srv.breaker.openUntil != 0 || srv.concurrencyLimit != initialLimit+initialLimitMargin {
-		t.Errorf("of a new process: breaker until %d, limit %v", srv.breaker.openUntil, srv.concurrencyLimit)
+		t.Errorf("restarted server: breaker open until %d, limit %v", srv.breaker.openUntil, srv.concurrencyLimit)
 	}
 }
--- a/routing/idempotency_test.go
+++ b/routing/idempotency_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What follows an attempt that may have run depends on the class's idempotency.
+// A request that may have run is retried, rejected or failed according to the idempotency of its class.
 func TestRetriesFollowIdempotency(t *testing.T) {
 	for _, tc := range []struct {
 		class   string
@@ -35,24 +35,25 @@
 	}
 }
 
-// A retry of a keyed request may wait for a connection: it says until when it may be sent.
-func TestRetrySaysUntilWhenItMayBeSent(t *testing.T) {
+// A retry may wait for a connection at the router. Its SendWithin must end before the deduplication window of a request
+// with an idempotency key, or else the request could run twice.
+func TestRetryIsSentWithinDeduplicationWindow(t *testing.T) {
 	for class, hasSideEffects := range map[string]bool{"keyed": true, "zoned": true, "unsafe": true, "big": false} {
 		t.Run(class, func(t *testing.T) {
 			engine := newTestEngine(t, testSettings(), 2, 1)
 			first := engine.request(class, "x")
-			left := 3 * sec // as the clients of requestEvent wait
-			if first.HasSideEffects != hasSideEffects || first.SendWithin < left-ms || first.SendWithin > left {
-				t.Errorf("effects %v, may be sent within %d", first.HasSideEffects, first.SendWithin)
+			timeout := 3 * sec // the timeout of requestEvent
+			if first.HasSideEffects != hasSideEffects || first.SendWithin < timeout-ms || first.SendWithin > timeout {
+				t.Errorf("HasSideEffects %v, SendWithin %d", first.HasSideEffects, first.SendWithin)
 			}
 			engine.now += sec
-			want := min(2*sec, left) - sec
+			want := min(2*sec, timeout) - sec
 			if class == "big" {
-				want = left - sec
+				want = timeout - sec
 			}
 			retry := engine.stepOne(outcomeEvent(first, 0, OutcomeConnectionReset, CacheStatusUnknown))
 			if retry.Kind == ActionSend && (retry.SendWithin > want || retry.SendWithin < want-400*ms) {
-				t.Errorf("the retry may be sent within %d of %d", retry.SendWithin, want)
+				t.Errorf("retry with SendWithin %d, want %d", retry.SendWithin, want)
 			}
 		})
 	}
--- a/routing/lost_responses_test.go
+++ b/routing/lost_responses_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-// An attempt at a server that answers nobody is canceled and retried.
-func TestSilentCacheIsCanceled(t *testing.T) {
+// An attempt at a server that answers no requests is canceled and retried.
+func TestAttemptAtUnresponsiveCacheIsCanceled(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 1)
 	token := engine.requestWithTimer(requestEvent("q", "small", "x"))
-	engine.now += 2900 * ms // four objectives of a mean small request and more
+	engine.now += 2900 * ms // more than four latency objectives of a mean small request
 	action := engine.stepOne(Event{Kind: EventTimer, TimerToken: token})
 	if action.Kind != ActionCancel || action.RequestID != "q" {
-		t.Fatalf("silence brings %+v", action)
+		t.Fatalf("without any response: %+v, want a cancellation", action)
 	}
 	retry := engine.stepOne(Event{Kind: EventOutcome, RequestID: "q", Outcome: OutcomeCanceled})
 	if retry.Kind != ActionSend {
-		t.Errorf("after the cancellation %+v", retry)
+		t.Errorf("after the cancellation: %+v, want a retry", retry)
 	}
 }
 
-// requestWithTimer hands over a request and returns the token of the timer that checks its first attempt.
+// requestWithTimer passes a request to the engine and returns the token of the timer that checks its first attempt.
 func (engine *testEngine) requestWithTimer(request Event) (token int64) {
 	for _, action := range engine.Step(engine.now, []Event{request}) {
 		if action.Kind == ActionSetTimer {
@@ -30,9 +30,9 @@
 	return token
 }
 
-// A response that never comes cost its request all its time; canceled once it is later than almost all others, it
-// is mostly found cached at the same cache. Under overload, when nobody is answered, nothing is canceled, and no
-// more than a share of requests is.
+// An attempt whose response is lost must be canceled once it is later than almost all others, or it uses up the time of
+// its request. A retry then usually finds the object at the same cache. Without responses to other requests, as under
+// overload, or without cancel budget, the attempt is not canceled.
 func TestLostResponseIsCanceled(t *testing.T) {
 	for _, tc := range []struct {
 		others int
@@ -52,7 +52,7 @@
 			engine.now += int64(lostTailMultiple*2*(50+baseObjectiveShare*300))*ms + ms
 			actions := engine.step(Event{Kind: EventTimer, TimerToken: token})
 			if got := len(actions) == 1 && actions[0].Kind == ActionCancel; got != tc.want {
-				t.Errorf("%d others answered, budget %v: %+v", tc.others, tc.budget, actions)
+				t.Errorf("%d other responses, budget %v: unexpected actions %+v", tc.others, tc.budget, actions)
 			}
 			if !tc.want {
 				return
@@ -61,7 +61,7 @@
 			canceled.ResponseTime = 400 * ms
 			retry := engine.stepOne(canceled)
 			if retry.Kind != ActionSend || retry.Server != "c0" || retry.Source != "c0" {
-				t.Errorf("after the cancellation: %+v", retry)
+				t.Errorf("after the cancellation: %+v, want an attempt at the same cache", retry)
 			}
 			cache, parent := engine.servers["c0"], engine.servers["p0"]
 			if cache.breaker.next != tc.others || parent.breaker.next != 0 {
--- a/routing/origin_fills_test.go
+++ b/routing/origin_fills_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// distantOriginSettings returns those of a deployment whose origin takes long for a fill even on a quiet day, whose
-// caches report their link's use, and where a request goes to caches only.
+// distantOriginSettings returns the settings of a deployment with a distant origin: no direct fetches, no collapsed
+// fills, and caches that report the use of their link.
 func distantOriginSettings() Settings {
 	settings := testSettings()
 	settings.Hierarchy.AllowsDirectFetch = false
@@ -15,14 +15,15 @@
 	return settings
 }
 
-// raiseLimits takes all limits but that on origin fills out of the way.
+// raiseLimits raises the concurrency limits of all servers, so that only the limit on origin fills has an effect.
 func (engine *testEngine) raiseLimits() {
 	for _, srv := range engine.servers {
 		srv.concurrencyLimit = 1000
 	}
 }
 
-// originFillOutcome is the response to an attempt that the origin gave after a wait, with a report of the link's use.
+// originFillOutcome returns the outcome of an attempt filled from the origin after a wait, with a load report of the
+// link's use.
 func originFillOutcome(action Action, wait int64, link float64) Event {
 	ev := outcomeEvent(action, 0, OutcomeServed, FilledFromOrigin)
 	ev.UpstreamWait = wait
@@ -31,47 +32,46 @@
 	return ev
 }
 
-// Most fills in flight are hits at the parent, of which the origin hears nothing. Counted as origin fills, they
-// kept the limit on these full, and a miss was rejected while the origin stood idle (rough-1 of the second site:
-// 41% rejected, a fifth of the usual fills made). What a cached-only fill has shown to be a miss is counted on its
-// own.
+// Most fills in flight are hits at the parent and never reach the origin, but count against the limit on fills that may
+// reach it. A miss that a cached-only fill has confirmed is counted separately. Otherwise the limit is always reached,
+// and misses are rejected while the origin is idle: 41% of requests rejected, a fifth of the usual fills.
 func TestConfirmedMissIsFetchedFromOrigin(t *testing.T) {
 	engine := newTestEngine(t, distantOriginSettings(), 2, 1)
 	engine.raiseLimits()
 	engine.originFills.concurrencyLimit = 3
-	for i := range 40 { // large chunks in flight: hits, most likely
+	for i := range 40 { // large chunks in flight, probably hits
 		engine.request("big", fmt.Sprint(i))
 	}
 	var fills []Action
 	for i := range 9 {
 		cachedOnly := engine.request("big", fmt.Sprint("n", i))
 		if cachedOnly.FetchFlags&FetchCachedOnly == 0 || cachedOnly.Source != "p0" {
-			t.Fatalf("with the limit full: %+v, want a cached-only fill", cachedOnly)
+			t.Fatalf("limit on origin fills reached: %+v, want a cached-only fill", cachedOnly)
 		}
 		next := engine.stepOne(outcomeEvent(cachedOnly, 0, OutcomeMiss, SourceMissed))
 		switch next.Kind {
 		case ActionSend:
 			if next.FetchFlags&FetchCachedOnly != 0 || next.Source != "p0" || next.Server != cachedOnly.Server {
-				t.Fatalf("after a cached-only fill that found nothing: %+v", next)
+				t.Fatalf("after a miss of a cached-only fill: %+v, want a fill through the parent", next)
 			}
 			fills = append(fills, next)
 		case ActionReject:
 		default:
-			t.Fatalf("after a cached-only fill that found nothing: %+v", next)
+			t.Fatalf("after a miss of a cached-only fill: %+v, want a fill or a rejection", next)
 		}
 	}
 	if len(fills) < 2 || len(fills) > 3 {
-		t.Errorf("%d confirmed fills in flight under a limit of 3", len(fills))
+		t.Errorf("%d confirmed fills in flight, limit 3", len(fills))
 	}
 	for _, fill := range fills {
 		engine.step(outcomeEvent(fill, 1, OutcomeServed, FilledFromOrigin))
 	}
 	if engine.confirmedOriginFills != 0 {
-		t.Errorf("%d confirmed fills counted when all have ended", engine.confirmedOriginFills)
+		t.Errorf("%d confirmed fills counted after all have ended", engine.confirmedOriginFills)
 	}
 }
 
-// A cached copy within its grace period comes before an origin fill, where the class has one.
+// After a confirmed miss, a copy within its stale grace period is tried before an origin fill, if the class has one.
 func TestConfirmedMissTriesCachedCopyFirst(t *testing.T) {
 	engine := newTestEngine(t, distantOriginSettings(), 2, 1)
 	engine.originFills.concurrencyLimit = 0.01
@@ -79,17 +79,17 @@
 	cachedCopy := engine.stepOne(outcomeEvent(cachedOnly, 0, OutcomeMiss, SourceMissed))
 	isCachedCopy := cachedCopy.Source == cachedCopy.Server && cachedCopy.MaxAge == 30*sec
 	if cachedOnly.FetchFlags&FetchCachedOnly == 0 || !isCachedCopy {
-		t.Fatalf("%+v, then %+v", cachedOnly, cachedCopy)
+		t.Fatalf("attempts %+v and %+v, want a cached-only fill and any cached copy", cachedOnly, cachedCopy)
 	}
 	last := engine.stepOne(outcomeEvent(cachedCopy, 1, OutcomeMiss, CacheStatusUnknown))
 	if last.Kind != ActionReject {
-		t.Errorf("without capacity for an origin fill: %+v", last)
+		t.Errorf("without capacity for an origin fill: %+v, want a rejection", last)
 	}
 }
 
-// When the origin slows, what is in flight there is far too much. Reduced by 15% at a time the limit took five
-// seconds to follow; it is reduced to what would have been in time, as waits go with what is in flight.
-func TestOriginFillLimitFallsByLateness(t *testing.T) {
+// When the origin slows down, the limit falls in one step to the number of fills that would have been on time, since
+// waits are proportional to the fills in flight. In steps of 15% it would need five seconds.
+func TestOriginFillLimitFallsInProportionToLateness(t *testing.T) {
 	for _, late := range []float64{1.1, 4} {
 		engine := newTestEngine(t, distantOriginSettings(), 2, 1)
 		engine.raiseLimits()
@@ -102,12 +102,12 @@
 		engine.step(originFillOutcome(sent[0], wait, 0.5))
 		want := 20 * min(1/late, limitDecreaseFactor)
 		if limit := engine.originFills.concurrencyLimit; limit < want-0.1 || limit > want+0.1 {
-			t.Errorf("limit %v after a fill %v times as late as it may be among 20, want %v", limit, late, want)
+			t.Errorf("limit %v after a wait of %v times the target with 20 in flight, want %v", limit, late, want)
 		}
 	}
 }
 
-// An origin fill that never comes back is the latest of all, and not the doing of the parent that forwarded it.
+// The time-out of an origin fill reduces the limit on origin fills, but not the limit of the parent that forwarded it.
 func TestOriginTimeoutReducesOriginFillLimitAlone(t *testing.T) {
 	engine := newTestEngine(t, distantOriginSettings(), 2, 1)
 	engine.raiseLimits()
@@ -123,11 +123,11 @@
 	engine.step(outcomeEvent(fill, 1, OutcomeTimedOut, CacheStatusUnknown))
 	limit := engine.originFills.concurrencyLimit
 	if limit >= 2 || parent.concurrencyLimit < before {
-		t.Errorf("limit on origin fills %v of 2, the parent's %v of %v", limit, parent.concurrencyLimit, before)
+		t.Errorf("limit on origin fills %v, was 2; parent limit %v, was %v", limit, parent.concurrencyLimit, before)
 	}
 }
 
-// A slow origin made every fill through a parent late; parents' copies were rejected along with it.
+// With a slow origin, fills that may reach it are limited, but parents must still be used for their cached copies.
 func TestSlowOriginLeavesParentCopiesInUse(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 1)
 	for i := range 30 {
@@ -149,12 +149,12 @@
 		}
 	}
 	if cachedOnly == 0 {
-		t.Error("all still fill from a slow origin through the parent")
+		t.Error("no cached-only fills from the parent while the origin is slow")
 	}
 }
 
-// newOriginLimitEngine returns an engine with two accounting groups in which EventOriginFillBounds bounds the fills
-// that may reach the origin, with no other limit in the way.
+// newOriginLimitEngine returns an engine with two accounting groups and a bound on the fills that may reach the origin.
+// All other limits are too high to have an effect.
 func newOriginLimitEngine(t *testing.T, bound float64) *testEngine {
 	engine := newSubsetEngine(t, 0.5, 0.5)
 	engine.step(Event{Kind: EventOriginFillBounds, MaxPossibleOriginFills: bound})
@@ -164,9 +164,9 @@
 	return engine
 }
 
-// requestMany requests n new objects of which no server has a copy, and counts the attempts left in flight that may
-// reach the origin.
-func (engine *testEngine) requestMany(subset, n int, name string) (inFlight int) {
+// requestNewObjects requests n new objects of which no server has a copy. It returns the number of attempts left in
+// flight that may reach the origin.
+func (engine *testEngine) requestNewObjects(subset, n int, name string) (inFlight int) {
 	for i := range n {
 		action := engine.requestIn(subset, "small", fmt.Sprint(name, i))
 		for attempt := 0; action.Kind == ActionSend; attempt++ {
@@ -174,28 +174,28 @@
 				inFlight++
 				break
 			}
-			// A cached-only fill, or an attempt for any cached copy, that found nothing.
+			// A cached-only fill, or an attempt for any cached copy, that finds no copy.
 			action = engine.stepOne(outcomeEvent(action, attempt, OutcomeMiss, SourceMissed))
 		}
 	}
 	return inFlight
 }
 
-// What is confirmed to reach the origin is counted apart, but the bound that EventOriginFillBounds sets is on all
-// fills: counted beside the bound, a flood of new objects had twice as much at the origin, which slowed for every cell
-// (0.94 of others' weight for 0.98).
+// MaxPossibleOriginFills bounds all fills that may reach the origin, including confirmed ones, which are counted
+// separately. If confirmed fills did not count, a flood of new objects would have twice as many fills at the origin and
+// slow it down for all cells.
 func TestConfirmedFillsCountTowardsBoundOnAllFills(t *testing.T) {
 	engine := newOriginLimitEngine(t, 8)
-	if inFlight := engine.requestMany(1, 100, "l"); inFlight < 6 || inFlight > 8 {
-		t.Errorf("%d fills that may reach the origin in flight under a bound of 8", inFlight)
+	if inFlight := engine.requestNewObjects(1, 100, "l"); inFlight < 6 || inFlight > 8 {
+		t.Errorf("%d fills in flight that may reach the origin, bound 8", inFlight)
 	}
 }
 
-// One group has borrowed the whole bound with confirmed fills: the other's share of it is still its own.
+// One group uses the whole bound with confirmed fills. The share of the other group must still be available to it.
 func TestConfirmedFillsLeaveOtherGroupsTheirShare(t *testing.T) {
 	engine := newOriginLimitEngine(t, 8)
-	engine.requestMany(1, 100, "l")
-	if inFlight := engine.requestMany(2, 100, "q"); inFlight < 3 || inFlight > 5 {
-		t.Errorf("the second group has %d fills in flight that may reach the origin, its share is 4", inFlight)
+	engine.requestNewObjects(1, 100, "l")
+	if inFlight := engine.requestNewObjects(2, 100, "q"); inFlight < 3 || inFlight > 5 {
+		t.Errorf("second group: %d fills in flight that may reach the origin, want about its share of 4", inFlight)
 	}
 }
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// After a failed fill the same cache is asked for any cached copy, then the request is rejected.
+// After a failed fill, an attempt at the same cache accepts any cached copy. If that fails, the request is rejected.
 func TestFailedFillTriesCachedCopyThenRejects(t *testing.T) {
 	settings := testSettings()
 	settings.Permissions.MaxAttempts = 2
@@ -10,24 +10,25 @@
 	first := engine.request("small", "x")
 	second := engine.stepOne(outcomeEvent(first, 0, OutcomeError, SourceUnreachable))
 	if second.Server != first.Server || second.Source != first.Server || second.MaxAge != 30*sec {
-		t.Fatalf("second attempt %+v", second)
+		t.Fatalf("after the failed fill: %+v, want any cached copy of the same cache", second)
 	}
 	last := engine.stepOne(outcomeEvent(second, 1, OutcomeMiss, CacheStatusUnknown))
 	if last.Kind != ActionReject || last.RetryAfter <= 0 || last.RetryAfter > 2*sec {
-		t.Errorf("after the miss %+v", last)
+		t.Errorf("after the miss: %+v, want a rejection", last)
 	}
 }
 
-// Caches with no place for a fill were tried one after another, a storm that kept them full.
+// If an edge cache is at its fill limit, the request must not be retried at other caches. Such retries would keep all
+// caches at their limits.
 func TestExhaustedFillsAreNotRetriedElsewhere(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 2)
 	first := engine.request("small", "x")
 	second := engine.stepOne(outcomeEvent(first, 0, OutcomeRejected, FillsExhausted))
 	if second.Server != first.Server || second.Source != first.Server {
-		t.Fatalf("after no place for a fill %+v", second)
+		t.Fatalf("after a fill rejected at the fill limit: %+v, want any cached copy of the same cache", second)
 	}
 	last := engine.stepOne(outcomeEvent(second, 1, OutcomeMiss, CacheStatusUnknown))
 	if last.Kind != ActionReject {
-		t.Errorf("after the cached copy missed %+v", last)
+		t.Errorf("after a miss for any cached copy: %+v, want a rejection", last)
 	}
 }
