--- a/routing/overload_reports_test.go
+++ b/routing/overload_reports_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A parent found overloaded by a late fill is reported, once a sending time; a cache, of which other sites know
-// nothing, is not.
+// A late fill causes an overload report for the parent, at most once per sending time. Edge caches are not reported, as
+// other sites do not use them.
 func TestOverloadedParentIsReported(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	late := func(status CacheStatus) {
@@ -19,24 +19,23 @@
 	}
 	late(CacheHit)
 	if len(engine.reportedOverloads) != 0 || engine.servers["c0"].concurrencyLimit >= 1.5 {
-		t.Fatalf("a late hit: reported %v, limit %v", engine.reportedOverloads, engine.servers["c0"].concurrencyLimit)
+		t.Fatalf("late hit: reported %v, limit %v", engine.reportedOverloads, engine.servers["c0"].concurrencyLimit)
 	}
 	late(FilledFromSource)
 	late(FilledFromSource) // at the same time: no further report
 	if len(engine.reportedOverloads) != 1 || engine.reportedOverloads[0] != "p0" {
-		t.Errorf("late fills: reported %v", engine.reportedOverloads)
+		t.Errorf("two late fills: reported %v, want one report of p0", engine.reportedOverloads)
 	}
 	engine.now += 10 * sec
 	late(FilledFromSource)
 	if len(engine.reportedOverloads) != 2 {
-		t.Errorf("10 s later: reported %v", engine.reportedOverloads)
+		t.Errorf("late fill 10 s later: reported %v, want two reports", engine.reportedOverloads)
 	}
 }
 
-// In a fleet of hundreds a parent that waits for the origin is not overloaded, nor is one reported for a fill that
-// nobody saw the end of: while six in ten caches started empty, each such fill was reported, and fills went at a
-// quarter of what the parents bear (join+mass: 66% of requests rejected for five seconds). Among few routers the
-// wait counts, as it always has.
+// In a fleet of hundreds of routers, a parent that waits for the origin is not overloaded, and a timed-out fill is not
+// reported. If both were reported, fills would run at a quarter of the parents' capacity while six in ten caches are
+// empty, and 66% of requests would be rejected for five seconds. With few routers the wait counts.
 func TestWaitForOriginIsNotReportedAsOverload(t *testing.T) {
 	for _, tc := range []struct {
 		routers               int
@@ -61,15 +60,15 @@
 			parent.concurrencyLimit = 1.5
 			engine.step(ev)
 			if parent.concurrencyLimit < 1.5 != tc.isReduced || len(engine.reportedOverloads) > 0 != tc.isReported {
-				t.Errorf("%+v: limit %v, reported %v", tc, parent.concurrencyLimit, engine.reportedOverloads)
+				t.Errorf("%+v: parent limit %v, reported %v", tc, parent.concurrencyLimit, engine.reportedOverloads)
 			}
 		})
 	}
 }
 
-// A parent that other routers report has its limit reduced here too, as by a late response, but nothing else
-// follows: it is not reported on, no breaker opens, and responses in time raise the limit again. Of 309 routers
-// each had to be rejected at each parent before.
+// An overload report of other routers reduces the parent's limit as a late response does, but has no other effect: it
+// is not forwarded, no breaker opens, and timely responses raise the limit again. Without reports, each of 309 routers
+// must be rejected at each parent before it reduces its limit.
 func TestReportedOverloadReducesParentLimit(t *testing.T) {
 	settings := testSettings()
 	settings.WeightSource = WeightsNominal
@@ -86,17 +85,17 @@
 	)
 	known := lateServerTransfers * 15.0 / 300 / defaultMissRatio
 	if before < initialLimitMargin || math.Abs(parent.concurrencyLimit-known) > 1e-9 {
-		t.Fatalf("limit %v, then %v; the share that is known is %v", before, parent.concurrencyLimit, known)
+		t.Fatalf("limit %v before and %v after the report, want %v", before, parent.concurrencyLimit, known)
 	}
 	if cache.limitReducedAt != 0 || origin.limitReducedAt != 0 {
-		t.Errorf("cache's limit reduced at %d, origin's at %d", cache.limitReducedAt, origin.limitReducedAt)
+		t.Errorf("cache limit reduced at %d, origin limit at %d, want 0", cache.limitReducedAt, origin.limitReducedAt)
 	}
 	if parent.breaker.openUntil != 0 || len(engine.reportedOverloads) != 0 {
-		t.Errorf("breaker %+v, reported %v", parent.breaker, engine.reportedOverloads)
+		t.Errorf("breaker %+v, reported %v, want closed and none", parent.breaker, engine.reportedOverloads)
 	}
 	engine.step(Event{Kind: EventParentOverloaded, Server: "p0"})
 	if math.Abs(parent.concurrencyLimit-known) > 1e-9 {
-		t.Errorf("reduced again at once: %v", parent.concurrencyLimit)
+		t.Errorf("limit %v after a second report at the same time, want no further reduction", parent.concurrencyLimit)
 	}
 	engine.now += 10 * sec
 	engine.step(Event{Kind: EventParentOverloaded, Server: "p0"})
@@ -106,7 +105,7 @@
 	low := parent.concurrencyLimit
 	for i := 0; parent.concurrencyLimit < known; i++ {
 		if i == 200 {
-			t.Fatalf("limit %v after %d fills in time, %v before", parent.concurrencyLimit, i, low)
+			t.Fatalf("limit %v after %d timely fills, %v before", parent.concurrencyLimit, i, low)
 		}
 		if action := engine.request("small", "x"); action.Source == "p0" {
 			engine.step(outcomeEvent(action, 0, OutcomeServed, FilledFromSource))
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -8,10 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// referencePurges is the reference: it walks all purges at each purge, and computes each limit on its own.
+// referencePurges is a simple reference implementation: it scans all purges at each purge, and computes each age limit
+// independently.
 type referencePurges struct{ *Engine }
 
-// recordPurge is Engine.recordPurge.
+// recordPurge is the reference of Engine.recordPurge.
 func (p referencePurges) recordPurge(ev *Event) {
 	maps.DeleteFunc(p.purgedAt, func(_ purgeKey, made int64) bool { return p.now-made > p.purgeRetention })
 	key := purgeKey{object: ev.Object}
@@ -21,7 +22,7 @@
 	p.purgedAt[key] = max(p.purgedAt[key], p.now-ev.PurgeAge)
 }
 
-// sincePurge is Engine.timeSinceChange without a minimum version.
+// sincePurge is the reference of Engine.timeSinceChange without a minimum version.
 func (p referencePurges) sincePurge(req *request) (since int64) {
 	for _, key := range []purgeKey{{object: req.Object}, {group: req.PurgeGroup}} {
 		made, known := p.purgedAt[key]
@@ -33,7 +34,7 @@
 	return since
 }
 
-// maxAge is Engine.maxAge.
+// maxAge is the reference of Engine.maxAge.
 func (p referencePurges) maxAge(req *request) int64 {
 	fresh := valueAt(p.settings.Hierarchy.FreshnessLifetime, req.class)
 	limit := int64(0)
@@ -54,9 +55,9 @@
 	return limit
 }
 
-// Purges and age limits are those of the reference, for any purges of objects and groups, of any age and in any
-// order, with settings that change meanwhile. Without the comparison of times in dropExpiredPurges, or without the
-// check of the retention in timeSinceChange, this fails.
+// Purges and age limits agree with the reference for random purges of objects and groups, of any age and in any order,
+// and for random changes of settings. The test fails without the comparison of times in dropExpiredPurges, and without
+// the check of the retention in timeSinceChange.
 func TestPurgesAgreeWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings()
@@ -64,11 +65,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		same, err := NewEngine(settings, 1)
+		referenceEngine, err := NewEngine(settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		reference := referencePurges{same}
+		reference := referencePurges{referenceEngine}
 		now := rapid.SampledFrom([]int64{0, 1, sec, 1000 * sec}).Draw(t, "start")
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			retention := engine.purgeRetention
@@ -84,13 +85,13 @@
 			ago := rapid.SampledFrom([]int64{
 				0, 1, ms, sec, retention - 1, retention, retention + purgeClockMargin, 20 * sec, 2000 * sec,
 			})
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0:
-				settings.Hierarchy.PurgePropagationTime = rapid.Int64Range(0, 9*sec).Draw(t, "takes")
+				settings.Hierarchy.PurgePropagationTime = rapid.Int64Range(0, 9*sec).Draw(t, "propagation time")
 				if err := engine.UpdateSettings(settings); err != nil {
 					t.Fatal(err)
 				}
-				if err := same.UpdateSettings(settings); err != nil {
+				if err := referenceEngine.UpdateSettings(settings); err != nil {
 					t.Fatal(err)
 				}
 			case 1, 2, 3, 4:
@@ -98,7 +99,7 @@
 				engine.recordPurge(&ev)
 				reference.recordPurge(&ev)
 				if !maps.Equal(engine.purgedAt, reference.purgedAt) {
-					t.Fatalf("purges %v, the reference %v", engine.purgedAt, reference.purgedAt)
+					t.Fatalf("purges %v, want %v", engine.purgedAt, reference.purgedAt)
 				}
 			default:
 				req := &request{
@@ -108,37 +109,37 @@
 				req.Object = object
 				req.PurgeGroup = group
 				req.MaxAge = rapid.SampledFrom([]int64{0, 30 * sec}).Draw(t, "max age")
-				if rapid.Bool().Draw(t, "renewed") {
-					req.MinVersionTime = max(now-ago.Draw(t, "renewed ago"), 0)
+				if rapid.Bool().Draw(t, "has minimum version") {
+					req.MinVersionTime = max(now-ago.Draw(t, "minimum version age"), 0)
 				}
 				if got, want := engine.timeSinceChange(req, 0), reference.sincePurge(req); got != want {
-					t.Fatalf("at %d purged %d ago, the reference %d", now, got, want)
+					t.Fatalf("at %d: time since purge %d, want %d", now, got, want)
 				}
 				if got, want := engine.maxAge(req), reference.maxAge(req); got != want {
-					t.Fatalf("at %d a limit of %d for %+v, the reference %d", now, got, req.Event, want)
+					t.Fatalf("at %d: maxAge %d for %+v, want %d", now, got, req.Event, want)
 				}
 			}
 		}
 	})
 }
 
-// What is remembered of purges ends: no more of them are held than came within the retention.
-func TestPurgesAreForgotten(t *testing.T) {
+// Purges are deleted after their retention, so that memory does not grow: at most those within the retention are kept.
+func TestPurgesAreDeletedAfterRetention(t *testing.T) {
 	engine, err := NewEngine(testSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const gap = 5 * ms
-	within := int(engine.purgeRetention/gap) + 1
-	for i := range 20 * within {
+	maxKept := int(engine.purgeRetention/gap) + 1
+	for i := range 20 * maxKept {
 		object := fmt.Sprint(i)
 		if i%2 == 0 {
-			object = "again and again"
+			object = "repeated"
 		}
 		engine.Step(int64(i)*gap, []Event{{Kind: EventPurge, Object: object}})
-		if len(engine.purges) > within+1 || len(engine.purgedAt) > len(engine.purges) {
-			t.Fatalf("after %d purges %d are kept in the order of their times, %d by name, %d at most",
-				i+1, len(engine.purges), len(engine.purgedAt), within)
+		if len(engine.purges) > maxKept+1 || len(engine.purgedAt) > len(engine.purges) {
+			t.Fatalf("after %d purges: %d in the heap, %d by key, want at most %d",
+				i+1, len(engine.purges), len(engine.purgedAt), maxKept)
 		}
 	}
 }
--- a/routing/rendezvous_test.go
+++ b/routing/rendezvous_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// referenceRanking scores and sorts all servers for a key: what a rendezvousRanking must agree with.
+// referenceRanking is the reference of rendezvousRanking: it scores and sorts all servers for a key.
 func referenceRanking(servers []*server, key string, weighted bool) []*server {
 	score := map[*server]float64{}
 	for _, srv := range servers {
@@ -26,11 +26,11 @@
 	return order
 }
 
-// The order is that of the reference, for any lists of servers, weights and keys.
+// The order agrees with the reference for random lists of servers, weights and keys.
 func TestRankingAgreesWithReference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 1))
-	for world := range 300 {
-		weighted := world%2 == 0
+	for run := range 300 {
+		weighted := run%2 == 0
 		var servers []*server
 		for i := range 1 + rng.IntN(60) {
 			srv := &server{name: fmt.Sprintf("s-%0*x", 1+rng.IntN(8), i*7919)}
@@ -43,13 +43,13 @@
 		for range 20 {
 			key := fmt.Sprintf("%x/%d", rng.Uint64(), rng.IntN(20))
 			ranking.setKey(key)
-			for place, want := range referenceRanking(servers, key, weighted) {
+			for position, want := range referenceRanking(servers, key, weighted) {
 				if got := ranking.next(); got != want {
 					t.Fatalf(
-						"world %d, key %s, place %d of %d: %s, want %s",
-						world,
+						"run %d, key %s, position %d of %d: %s, want %s",
+						run,
 						key,
-						place,
+						position,
 						len(servers),
 						got.name,
 						want.name,
@@ -57,7 +57,7 @@
 				}
 			}
 			if ranking.next() != nil {
-				t.Fatal("more servers than there are")
+				t.Fatal("ranking returned more servers than its list has")
 			}
 		}
 	}
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// referenceSelectEdgeCache looks at every cache in the order of referenceRanking, and draws for each that is
-// eligible.
+// referenceSelectEdgeCache is the reference of selectEdgeCache: it checks every cache in the order of referenceRanking,
+// with a random draw for each eligible one.
 func referenceSelectEdgeCache(engine *Engine, req *request) (selected *server, isFull bool) {
 	isUsable := func(srv *server) bool { return !srv.breaker.isOpen(engine.now) }
 	engine.subsetOf(0).inPanic = !slices.ContainsFunc(engine.caches, isUsable)
@@ -38,15 +38,15 @@
 	return first, isFull
 }
 
-// The selection is that of the reference with the same random numbers, with open breakers, cold and loaded caches,
-// hot objects and requests that were tried before.
+// With the same random numbers, the selection agrees with the reference, for random open breakers, cold and loaded
+// caches, hot objects and retries.
 func TestSelectEdgeCacheAgreesWithReference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(11, 3))
-	none, second := 0, 0
-	for world := range 400 {
+	unselected, notFirst := 0, 0
+	for run := range 400 {
 		settings := testSettings()
 		settings.WeightSource = []WeightSource{WeightsAbsent, WeightsNominal}[rng.IntN(2)]
-		engine, err := NewEngine(settings, int64(world))
+		engine, err := NewEngine(settings, int64(run))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -99,24 +99,24 @@
 			}
 			got, isFull := engine.selectEdgeCache(req, 0)
 			if got != want || got == nil && isFull != wantFull {
-				t.Fatalf("world %d, selection %d: %v, full %v, want %v, %v", world, i, got, isFull, want, wantFull)
+				t.Fatalf("run %d, selection %d: %v, full %v, want %v, %v", run, i, got, isFull, want, wantFull)
 			}
 			if got == nil {
-				none++
+				unselected++
 			} else if got != referenceRanking(engine.caches, req.chunkKey, engine.hasServerWeights)[0] {
-				second++
+				notFirst++
 			}
 			if got != nil {
 				engine.recordColdSend(got, 1000)
 			}
 		}
 	}
-	if none < 100 || second < 1000 {
-		t.Errorf("worlds too easy: %d selections of none, %d not of the first", none, second)
+	if unselected < 100 || notFirst < 1000 {
+		t.Errorf("too few hard cases: %d without a selected cache, %d not the first cache", unselected, notFirst)
 	}
 }
 
-// A hot object is shared by two caches while they are loaded, and by one else.
+// The requests for a hot object are distributed over two caches under load, and sent to one cache otherwise.
 func TestHotObjectsSplitOnlyUnderLoad(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
 	used := map[string]bool{}
@@ -126,36 +126,36 @@
 		engine.step(outcomeEvent(action, 0, OutcomeServed, CacheHit))
 	}
 	if len(used) != 1 {
-		t.Errorf("an idle zone spreads a hot object over %d caches", len(used))
+		t.Errorf("idle zone: %d caches used for a hot object, want 1", len(used))
 	}
 	for range 4 {
 		used[engine.request("big", "x").Server] = true
 	}
 	if len(used) != 2 {
-		t.Errorf("a busy zone uses %d caches for a hot object", len(used))
+		t.Errorf("loaded zone: %d caches used for a hot object, want 2", len(used))
 	}
 }
 
-// While all caches are ejected, those whose half-open trial has not failed are used.
+// In panic mode, while all caches are ejected, only those whose half-open trial has not failed are used.
 func TestPanicUsesCachesWhoseTrialHasNotFailed(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 1)
 	for _, srv := range engine.caches {
 		srv.breaker.openUntil = engine.now + sec
 	}
 	if action := engine.request("small", "x"); action.Server[0] != 'c' {
-		t.Errorf("sent to %q", action.Server)
+		t.Errorf("request sent to %q, want an ejected cache", action.Server)
 	}
 	for _, srv := range engine.caches {
 		srv.breaker.hasTrialFailed = true
 	}
 	if action := engine.request("small", "y"); action.Server[0] == 'c' {
-		t.Error("a cache whose trial failed was used")
+		t.Error("cache with a failed trial was used")
 	}
 }
 
-// Hundreds of routers that sent a full parent's fills to the origin at once overloaded it, and uncacheable requests
-// with it.
-func TestFullParentIsFollowedByNextThenOrigin(t *testing.T) {
+// Fills of a full parent go to the next parent first, and to the origin only if all parents are full. If hundreds of
+// routers sent them to the origin directly, they would overload it and delay uncacheable requests.
+func TestFullParentFallsBackToNextParentThenOrigin(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 2)
 	first := engine.request("small", "x").Source
 	other := map[string]string{"p0": "p1", "p1": "p0"}[first]
@@ -167,33 +167,33 @@
 		engine.servers[want].inFlight = 100
 	}
 	if action := engine.request("small", "x"); action.Source != action.Server {
-		t.Errorf("all sources full: filled from %q", action.Source)
+		t.Errorf("all sources are full, but the source is %q", action.Source)
 	}
 }
 
-// One parent had failed, the other was drained: with the breaker of the first open, misses of four in ten requests
-// were rejected for ten seconds while the origin stood idle (a join+brink day, 0.39 of its weight).
-func TestOriginFillsOnceNoCopyIsCachedWhileParentsAreEjected(t *testing.T) {
+// If all parents are ejected or drained, a miss is filled from the origin after no cached copy was found. Otherwise
+// misses, four in ten requests, are rejected for the cool-down of ten seconds while the origin is idle.
+func TestMissIsFilledFromOriginWhileParentsAreEjected(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
 	for i := range 3 {
 		engine.step(outcomeEvent(engine.request("small", fmt.Sprint("x", i)), 0, OutcomeError, SourceUnreachable))
 	}
 	cachedCopy := engine.request("small", "y")
 	if cachedCopy.Source != cachedCopy.Server {
-		t.Fatalf("every parent ejected: %+v, want a cached copy first", cachedCopy)
+		t.Fatalf("all parents ejected: %+v, want any cached copy first", cachedCopy)
 	}
 	fill := engine.stepOne(outcomeEvent(cachedCopy, 0, OutcomeMiss, CacheStatusUnknown))
 	if fill.Kind != ActionSend || fill.Source != "o" || fill.FetchFlags&FetchCachedOnly != 0 {
-		t.Fatalf("no copy cached: %+v, want a fill from the origin", fill)
+		t.Fatalf("no cached copy: %+v, want a fill from the origin", fill)
 	}
 	last := engine.stepOne(outcomeEvent(fill, 1, OutcomeError, OriginFailed))
 	if last.Kind == ActionSend && last.Source == "o" {
-		t.Errorf("after the origin failed: %+v", last)
+		t.Errorf("after the origin failed: %+v, want no further origin fill", last)
 	}
 	cachedCopy = engine.request("small", "z")
 	engine.servers["o"].inFlight = 100
 	last = engine.stepOne(outcomeEvent(cachedCopy, 0, OutcomeMiss, CacheStatusUnknown))
 	if last.Kind != ActionReject {
-		t.Errorf("with the origin at its limit: %+v", last)
+		t.Errorf("origin at its limit: %+v, want a rejection", last)
 	}
 }
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// The error names the setting that can't be used.
+// The error for invalid settings names the invalid field.
 func TestNewEngineNamesTheInvalidField(t *testing.T) {
-	for field, damage := range map[string]func(*Settings){
+	for field, corrupt := range map[string]func(*Settings){
 		"Classes":     func(invalid *Settings) { invalid.Classes = nil },
 		"Deadline":    func(invalid *Settings) { invalid.Classes[0].Deadline = 0 },
 		"Idempotency": func(invalid *Settings) { invalid.Classes[0].Idempotency = "?" },
@@ -20,10 +20,10 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			invalid := testSettings()
-			damage(&invalid)
+			corrupt(&invalid)
 			_, err := NewEngine(invalid, 1)
 			if err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("error %v", err)
+				t.Errorf("error %v, want one that names the field", err)
 			}
 			var settingsError *SettingsError
 			if !errors.As(err, &settingsError) || settingsError.Field == "" {
@@ -33,7 +33,8 @@
 	}
 }
 
-// baseSettings returns those of a deployment without parents, with a read class and a keyed one.
+// baseSettings returns the settings of a deployment without parents, with a read class and a class with idempotency
+// keys.
 func baseSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -91,7 +92,8 @@
 	return engine
 }
 
-// failAttempts fails every attempt of a request until it has a final answer, and counts them.
+// failAttempts fails every attempt of a request until it has a final answer. It returns the number of attempts and the
+// kind of the final answer.
 func failAttempts(engine *Engine, id string, actions []Action) (attempts int, last ActionKind) {
 	for now := int64(1000); ; now += 1000 {
 		var next *Action
@@ -116,9 +118,9 @@
 	}
 }
 
-// An open request keeps the attempts and the class it came with; one that comes later has the new ones. A class
-// that was dropped is unknown from then on, and one of the same name may have another idempotency.
-func TestUpdateSettings(t *testing.T) {
+// Changed settings apply to new requests only: an open request keeps its number of attempts and the settings of its
+// class. A removed class is unknown to new requests. A class of the same name may have another idempotency.
+func TestUpdatedSettingsApplyToNewRequestsOnly(t *testing.T) {
 	engine := engineWithOpenRequest(t)
 	updated := baseSettings()
 	updated.Permissions.MaxAttempts = 2
@@ -141,40 +143,40 @@
 	}
 	open := engine.requests["open"]
 	if class := engine.settings.classSettings(open.class); class.Name != "video" || class.freshnessLifetime != 0 {
-		t.Errorf("the open request is of %+v now", class)
+		t.Errorf("class of the open request changed to %+v", class)
 	}
 	first := Action{Kind: ActionSend, RequestID: "open", Server: open.current.server.name}
 	if attempts, _ := failAttempts(engine, "open", []Action{first}); attempts <= 2 {
-		t.Errorf("the open request had %d attempts, more were allowed when it came", attempts)
+		t.Errorf("open request had %d attempts, want the former maximum", attempts)
 	}
 	request := requestEvent("new", "price", "front")
 	request.SizeKB = 100
 	actions := engine.Step(0, []Event{request})
 	if len(actions) == 0 || actions[0].Kind != ActionSend || actions[0].MaxAge == 0 {
-		t.Fatalf("a new class: %+v", actions)
+		t.Fatalf("request of a new class: %+v, want an attempt with MaxAge", actions)
 	}
 	if attempts, last := failAttempts(engine, "new", actions); attempts != 2 || last != ActionReject {
-		t.Errorf("the new request had %d attempts of 2, then %s", attempts, last)
+		t.Errorf("new request had %d attempts, then %s; want 2, then reject", attempts, last)
 	}
 	actions = engine.Step(0, []Event{requestEvent("old", "video", "x")})
 	if len(actions) != 1 || actions[0].Kind != ActionFail {
-		t.Errorf("a class that was dropped: %+v", actions)
+		t.Errorf("request of a removed class: %+v, want a failure", actions)
 	}
 	updated.Classes[1].Idempotency = NotIdempotent
 	if err := engine.UpdateSettings(updated); err != nil {
 		t.Fatal(err)
 	}
-	if len(engine.settings.Classes) != 2 { // nothing is open any more
-		t.Errorf("%d classes are kept", len(engine.settings.Classes))
+	if len(engine.settings.Classes) != 2 { // no request is open
+		t.Errorf("%d classes kept, want 2", len(engine.settings.Classes))
 	}
 	if class := engine.settings.Classes[engine.classIndexes["price"]]; class.Idempotency != NotIdempotent {
-		t.Errorf("%+v", class)
+		t.Errorf("class %+v, want the updated idempotency", class)
 	}
 }
 
-// Settings that can't be used change nothing.
+// Invalid settings are rejected and change nothing.
 func TestInvalidUpdateChangesNothing(t *testing.T) {
-	for name, damage := range map[string]func(*Settings){
+	for name, corrupt := range map[string]func(*Settings){
 		"no classes":  func(s *Settings) { s.Classes = nil },
 		"deadline":    func(s *Settings) { s.Classes[0].Deadline = -5 },
 		"attempts":    func(s *Settings) { s.Permissions.MaxAttempts = 0 },
@@ -184,19 +186,19 @@
 			engine := engineWithOpenRequest(t)
 			invalid := baseSettings()
 			invalid.Classes[0].Name = "other"
-			damage(&invalid)
+			corrupt(&invalid)
 			if err := engine.UpdateSettings(invalid); err == nil {
-				t.Error("taken")
+				t.Error("invalid settings were accepted")
 			}
 			if _, known := engine.classIndexes["video"]; !known || engine.settings.Permissions.MaxAttempts != 8 {
-				t.Error("changed something")
+				t.Error("rejected settings changed the engine")
 			}
 		})
 	}
 }
 
-// Whatever settings follow each other while requests are open, each of these keeps what its class said when it
-// came, and the table of classes holds no more than the new ones and those.
+// Through random changes of settings, each open request keeps the settings that its class had at its arrival, and the
+// table of classes holds only the new classes and those of open requests.
 func TestUpdateSettingsKeepsOpenRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine, err := NewEngine(baseSettings(), 1)
@@ -230,12 +232,12 @@
 		open := map[classSettings]bool{}
 		for id, req := range engine.requests {
 			if got := engine.settings.classSettings(req.class); got != original[id] {
-				t.Fatalf("%s is of %+v, came as %+v", id, got, original[id])
+				t.Fatalf("request %s has class %+v, want %+v", id, got, original[id])
 			}
 			open[original[id]] = true
 		}
 		if len(engine.settings.Classes) > 2+len(open) {
-			t.Fatalf("%d classes for %d that are open", len(engine.settings.Classes), len(open))
+			t.Fatalf("%d classes kept, %d used by open requests", len(engine.settings.Classes), len(open))
 		}
 	})
 }
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Cold servers get some work, and no more than their budget.
+// Cold servers get some work, but not more than their budget.
 func TestColdServersStayWithinTheirBudget(t *testing.T) {
 	settings := testSettings()
 	settings.WeightSource = WeightsNominal
@@ -30,15 +30,16 @@
 		}
 	}
 	if sent["c0"] == 0 || sent["c0"] > 2*0.2/2*float64(2*sec) {
-		t.Errorf("cold cache got %v", sent["c0"])
+		t.Errorf("work sent to the cold cache is none or over its budget: %v", sent["c0"])
 	}
 	if sent["p0"] > 2*0.1/3*float64(2*sec) {
-		t.Errorf("cold parent got %v", sent["p0"])
+		t.Errorf("work sent to the cold parent is over its budget: %v", sent["p0"])
 	}
 }
 
-// A cold parent's budget is less than one request of each of hundreds of routers: none used it until it was warm.
-// Together they must use it, and stay within it in every window.
+// With hundreds of routers, each router's share of a cold parent's budget is less than one request. Together they must
+// use the budget, and stay within it in every window. Without the random draw, no router would use the parent until it
+// is warm.
 func TestManyRoutersShareAColdParentsBudget(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 200
@@ -49,7 +50,7 @@
 	)
 	start := 1000 * sec
 	used := 0.0
-	perWindow := map[int64]float64{} // work by number of the window
+	perWindow := map[int64]float64{} // work by window number
 	for seed := range settings.FleetSize {
 		engine, _ := NewEngine(settings, int64(seed))
 		list := endpoints(1, 1)
@@ -70,32 +71,32 @@
 		}
 	}
 	if used == 0 {
-		t.Error("a cold parent gets nothing")
+		t.Error("cold parent got no work")
 	}
 	hierarchy := &settings.Hierarchy
 	for number, work := range perWindow {
 		warmedUp := float64(number*window) / float64(hierarchy.ParentWarmUpTime)
 		capacity := hierarchy.ParentInitialCapacity + (1-hierarchy.ParentInitialCapacity)*warmedUp
 		if budget := hierarchy.ParentOverloadMultiple * capacity * weight * float64(window); work > budget {
-			t.Errorf("window %d: %v sent, budget %v", number, work, budget)
+			t.Errorf("window %d: work %v sent, budget %v", number, work, budget)
 		}
 	}
 }
 
-// coldFleet is a fleet of routers while one of four caches starts cold. What they send is answered at once.
+// coldFleet is a fleet of routers while one of four caches is cold. All requests are answered immediately.
 type coldFleet struct {
 	routers   int
 	weight    float64                    // of each cache
-	every     int64                      // between two requests to one router
+	interval  int64                      // between two requests to one router
 	meanKB    float64                    // of objects
 	size      func(u, z float64) float64 // of an object, from a uniform and a normal random number
-	restarted float64                    // part of the routers that lose what they know restartAt after the cold start
+	restarted float64                    // fraction of the routers that restart at restartAt after the cold start
 }
 
 // restartAt is within the first OverloadWindow, once most of the budget has been sent.
 const restartAt = 1500 * ms
 
-// settings returns those of the fleet's routers.
+// settings returns the settings of the fleet's routers.
 func (f coldFleet) settings() Settings {
 	settings := testSettings()
 	settings.FleetSize = f.routers
@@ -108,7 +109,7 @@
 	return settings
 }
 
-// run returns when requests were sent to the cold cache, from its start on.
+// run returns the sorted times at which requests were sent to the cold cache, relative to its start.
 func (f coldFleet) run(t *testing.T, seed uint64) (sent []int64) {
 	t.Helper()
 	settings, start := f.settings(), 1000*sec
@@ -118,7 +119,7 @@
 	}
 	cold := &list[1]
 	cold.StartedAt = start
-	begin := func(now int64, seed uint64) *Engine {
+	startRouter := func(now int64, seed uint64) *Engine {
 		engine, err := NewEngine(settings, int64(seed))
 		if err != nil {
 			t.Fatal(err)
@@ -127,12 +128,12 @@
 		return engine
 	}
 	for rank := range f.routers {
-		engine := begin(start, seed*1_000_000+7919*uint64(rank+1))
+		engine := startRouter(start, seed*1_000_000+7919*uint64(rank+1))
 		rng := rand.New(rand.NewPCG(uint64(rank), seed))
 		restarts := rng.Float64() < f.restarted
-		for now := start + int64(rank)*f.every/int64(f.routers); now < start+8*sec; now += f.every {
+		for now := start + int64(rank)*f.interval/int64(f.routers); now < start+8*sec; now += f.interval {
 			if restarts && now >= start+restartAt {
-				engine, restarts = begin(now, seed*1_000_000+104_729*uint64(rank+1)), false
+				engine, restarts = startRouter(now, seed*1_000_000+104_729*uint64(rank+1)), false
 			}
 			request := requestEvent(fmt.Sprint(now), "small", fmt.Sprint(now))
 			request.SizeKB = f.size(rng.Float64(), rng.NormFloat64())
@@ -153,11 +154,12 @@
 	return sent
 }
 
-// check finds the window with most requests for its bound: the budget at its beginning and what chance adds.
-func (f coldFleet) check(t *testing.T, name string, sent []int64) {
+// checkBudget reports an error if there are no requests, or for the first window with more requests than its budget.
+// The budget is computed for the start of the window, with a tolerance for random variation.
+func (f coldFleet) checkBudget(t *testing.T, name string, sent []int64) {
 	t.Helper()
 	if len(sent) == 0 {
-		t.Errorf("%s: the cold cache gets nothing", name)
+		t.Errorf("%s: cold cache got no requests", name)
 	}
 	settings := f.settings()
 	guarantees := &settings.Guarantees
@@ -171,45 +173,44 @@
 		sendTime := f.meanKB / settings.Hierarchy.ResponseKBPerSecond * 1e6
 		budget := guarantees.OverloadMultiple * capacity * f.weight * float64(guarantees.OverloadWindow) / sendTime
 		if got, limit := last-first, int(budget+2*math.Sqrt(budget)+2); got > limit {
-			t.Errorf("%s: %d requests in the window from %d ms after the start, %d may be",
+			t.Errorf("%s: %d requests in the window from %d ms after the start, want at most %d",
 				name, got, sent[first]/ms, limit)
 			return
 		}
 	}
 }
 
-// Thirty routers begin as one cache starts cold, and objects take six times as long to send as the settings of
-// their class suggest. Each request tells its size, so all routers together stay within the cache's budget, and
-// what chance adds, in every window from the first one on. While only responses taught the mean size, 2% of it
-// each, a window held 24 and 25 requests where 17 may be.
+// Thirty routers start together with a cold cache, and objects take six times as long to send as the class settings
+// suggest. The routers must use the sizes given in requests to stay within the cache's budget from the first window on.
+// If only responses adapt the mean size, by 2% each, a window has 24 or 25 requests where 17 are allowed.
 func TestColdBudgetFollowsRequestSizes(t *testing.T) {
 	const meanKB = 1200
-	for name, spread := range map[string]float64{"all alike": 0, "from 60 KB to 2,340 KB": 0.95} {
+	for name, spread := range map[string]float64{"equal sizes": 0, "from 60 KB to 2,340 KB": 0.95} {
 		f := coldFleet{
-			routers: 30,
-			weight:  4,
-			every:   90 * ms,
-			meanKB:  meanKB,
-			size:    func(u, _ float64) float64 { return meanKB * (1 + spread*(2*u-1)) },
+			routers:  30,
+			weight:   4,
+			interval: 90 * ms,
+			meanKB:   meanKB,
+			size:     func(u, _ float64) float64 { return meanKB * (1 + spread*(2*u-1)) },
 		}
-		f.check(t, name, f.run(t, 1))
+		f.checkBudget(t, name, f.run(t, 1))
 	}
 }
 
-// Seven in ten of thirty routers are killed and start anew while a cache is cold. What they sent before counts,
-// though they do not know of it: with a whole budget anew they sent 28 to 41 requests on these seeds where 27 or 28
-// may be.
-func TestRestartedRoutersStayWithinAColdBudget(t *testing.T) {
+// Seven in ten of thirty routers restart without learned state while a cache is cold. The work that they sent before
+// the restart must count. With a whole new budget they send 28 to 41 requests on these seeds, where 27 or 28 are
+// allowed.
+func TestRestartedRoutersStayWithinColdBudget(t *testing.T) {
 	const median, sigma = 300, 1.2
 	f := coldFleet{
 		routers:   30,
 		weight:    4,
-		every:     90 * ms,
+		interval:  90 * ms,
 		meanKB:    median * math.Exp(sigma*sigma/2),
 		restarted: 0.7,
 		size:      func(_, z float64) float64 { return median * math.Exp(sigma*z) },
 	}
 	for seed := range uint64(12) {
-		f.check(t, fmt.Sprint("seed ", seed), f.run(t, seed))
+		f.checkBudget(t, fmt.Sprint("seed ", seed), f.run(t, seed))
 	}
 }
--- a/routing/source_test.go
+++ b/routing/source_test.go
@@ -12,15 +12,16 @@
 	"testing"
 )
 
-// policyFiles are those that deploy/balancer.toml names as policy: the files that decide, with their tuned values.
+// policyFiles are the files that deploy/balancer.toml lists under policy: those that make the decisions, with their
+// tuned constants.
 var policyFiles = []string{
 	"engine.go", "requests.go", "selection.go", "rendezvous.go", "concurrency.go", "origin_fills.go", "slow_start.go",
 	"circuit_breaker.go", "outcomes.go", "idempotency.go", "lost_responses.go", "freshness.go", "purges.go",
 	"endpoints.go", "subsets.go", "estimates.go",
 }
 
-// The deploy file names the files that decide, and no others of the package.
-func TestDeployFileNamesThePolicyFiles(t *testing.T) {
+// The deploy file must list exactly the policy files of the package.
+func TestDeployFileListsPolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +32,7 @@
 	}
 	slices.Sort(named)
 	if want := slices.Sorted(slices.Values(policyFiles)); !slices.Equal(named, want) {
-		t.Errorf("deploy/balancer.toml names %v, want %v", named, want)
+		t.Errorf("deploy/balancer.toml lists %v, want %v", named, want)
 	}
 	for _, name := range policyFiles {
 		if _, err := os.Stat(name); err != nil {
@@ -40,9 +41,9 @@
 	}
 }
 
-// The deciding files once were held to 940 lines together, which made steps be packed into one line. In place of that
-// cap each file of the package is held to lines of 120 characters, and each function outside of tests to 60 lines.
-func TestSourceIsReadable(t *testing.T) {
+// Each file is limited to lines of 120 characters, and each function outside of tests to 60 lines. This replaces a
+// limit of 940 lines for all policy files together, which led to several steps in one line.
+func TestSourceKeepsLengthLimits(t *testing.T) {
 	const (
 		maxLineLength    = 120 // characters, a tab counted as 4
 		maxFunctionLines = 60
--- a/routing/subsets_test.go
+++ b/routing/subsets_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// newSubsetEngine returns an engine with two subsets of two edge caches, an accounting group each.
+// newSubsetEngine returns an engine with two subsets of two edge caches, each with its own accounting group.
 func newSubsetEngine(t *testing.T, shares ...float64) *testEngine {
 	engine := newTestEngine(t, testSettings(), 4, 2)
 	for i, names := range [][]string{{"c0", "c1"}, {"c3", "c2", "c9"}} {
@@ -21,7 +21,7 @@
 	return engine
 }
 
-// requestIn hands over a request that is restricted to a subset.
+// requestIn passes a request that is restricted to a subset to the engine and returns the resulting action.
 func (engine *testEngine) requestIn(subset int, class, object string) Action {
 	engine.t.Helper()
 	request := requestEvent(fmt.Sprint(subset, object), class, object)
@@ -29,7 +29,7 @@
 	return engine.stepOne(request)
 }
 
-// Requests go to their subset's caches only. A subset that was never defined, or was dropped, holds none.
+// Requests are sent only to the caches of their subset. A subset that is undefined or deleted is empty.
 func TestRequestsStayInTheirSubset(t *testing.T) {
 	engine := newSubsetEngine(t, 0.5, 0.5)
 	members := map[int]string{1: "c0 c1", 2: "c2 c3"}
@@ -43,44 +43,44 @@
 		}
 	}
 	if action := engine.requestIn(7, "small", "x"); action.Kind != ActionReject {
-		t.Errorf("a subset that was never defined: %+v", action)
+		t.Errorf("undefined subset: %+v, want a rejection", action)
 	}
 	engine.step(Event{Kind: EventSubset, Subset: 1})
 	if action := engine.requestIn(1, "small", "y"); action.Kind != ActionReject {
-		t.Errorf("a subset that was dropped: %+v", action)
+		t.Errorf("deleted subset: %+v, want a rejection", action)
 	}
 }
 
-// Subset 0 stands for all edge caches of the zone, whatever an event says of it.
+// Subset 0 is all edge caches of the zone. An event that redefines or deletes it has no effect.
 func TestSubsetOfAllCachesIsNotRedefined(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 1)
 	engine.step(Event{Kind: EventSubset, Subset: 0, SubsetServers: []string{"c9"}})
 	engine.step(Event{Kind: EventSubset, Subset: 0})
 	if action := engine.request("small", "x"); action.Kind != ActionSend || !strings.HasPrefix(action.Server, "c") {
-		t.Errorf("got %+v", action)
+		t.Errorf("got %+v, want an attempt at an edge cache", action)
 	}
 }
 
-// All caches of a subset are ejected: its requests are rejected, and go neither to other caches nor directly to
-// parents.
-func TestEjectedSubsetIsRejected(t *testing.T) {
+// If all caches of a subset are ejected, its requests are rejected. They must not be sent to other caches or directly
+// to parents.
+func TestRequestsOfEjectedSubsetAreRejected(t *testing.T) {
 	engine := newSubsetEngine(t, 0.5, 0.5)
 	for i := range 40 {
 		engine.now += 10 * ms
 		action := engine.requestIn(1, "small", fmt.Sprint("o", i))
 		for attempt := 0; action.Kind == ActionSend; attempt++ {
 			if action.Server != "c0" && action.Server != "c1" {
-				t.Fatalf("sent to %s", action.Server)
+				t.Fatalf("request sent to %s, outside its subset", action.Server)
 			}
 			action = engine.stepOne(outcomeEvent(action, attempt, OutcomeConnectionReset, CacheStatusUnknown))
 		}
 	}
 	if action := engine.requestIn(2, "small", "z"); action.Kind != ActionSend {
-		t.Errorf("the other subset: %+v", action)
+		t.Errorf("request of the other subset: %+v, want an attempt", action)
 	}
 }
 
-// Where the subset has no cache that can take a request, the overflow subset gets it.
+// If no cache of its subset is available, a request is sent to the overflow subset.
 func TestOverflowSubsetIsUsedWhenNoCacheIsLeft(t *testing.T) {
 	engine := newSubsetEngine(t, 0.5, 0.5)
 	engine.step(Event{Kind: EventEndpoints, UpdateMode: UpdateChanges, Endpoints: []Endpoint{
@@ -92,11 +92,11 @@
 	request.OverflowSubset = 2
 	action := engine.stepOne(request)
 	if action.Kind != ActionSend || action.Server != "c2" && action.Server != "c3" {
-		t.Errorf("%+v", action)
+		t.Errorf("got %+v, want an attempt at c2 or c3", action)
 	}
 }
 
-// The origin fails one accounting group's fills: its circuit breaker opens for that group alone.
+// If the origin fails the fills of one accounting group, its circuit breaker opens for that group only.
 func TestBreakersOfSharedServersAreKeptByGroup(t *testing.T) {
 	engine := newSubsetEngine(t, 0.5, 0.5)
 	for i := range 12 {
@@ -111,7 +111,7 @@
 	}
 	origin := engine.origin
 	if !origin.breakerFor(1).isOpen(engine.now) {
-		t.Fatal("twelve failed fills do not open the group's breaker")
+		t.Fatal("the group's breaker is closed after twelve failed fills")
 	}
 	if origin.breakerFor(2).isOpen(engine.now) || origin.breaker.openUntil != 0 {
 		t.Error("another group's breaker is open")
@@ -119,12 +119,12 @@
 	action := engine.requestIn(2, "small", "good")
 	isFill := action.Source != action.Server && action.FetchFlags&FetchCachedOnly == 0
 	if action.Kind != ActionSend || !isFill {
-		t.Errorf("the other group's fill: %+v", action)
+		t.Errorf("request of the other group: %+v, want a fill", action)
 	}
 }
 
-// One accounting group fills the parents' limits: the other still has its share.
-func TestGroupHasItsShareOfALimit(t *testing.T) {
+// If one accounting group uses up the parents' limits, the share of the other must still be available to it.
+func TestGroupKeepsItsShareOfLimit(t *testing.T) {
 	engine := newSubsetEngine(t, 0.25, 0.25)
 	parents := engine.parents
 	for _, srv := range append(parents, engine.origin) {
@@ -145,14 +145,15 @@
 	}
 	first := fills(1, 200, "l")
 	if first < 25 || first > 60 {
-		t.Errorf("alone, the first group has %d fills in flight at limits of 40", first)
+		t.Errorf("first group alone: %d fills in flight, sum of limits 40", first)
 	}
 	if second := fills(2, 30, "q"); second < 6 {
-		t.Errorf("the second group gets %d fills, its share is 10", second)
+		t.Errorf("second group: %d fills in flight, its share is 10", second)
 	}
 }
 
-// What a group used recently, within its share, others do not borrow for a while; after that they may.
+// Capacity that a group used recently, within its share, is reserved for it. Other groups may borrow it only after some
+// time.
 func TestRecentlyUsedShareIsReserved(t *testing.T) {
 	for _, wait := range []int64{10 * ms, 8 * sec} {
 		engine := newSubsetEngine(t, 0.5, 0.5)
@@ -179,13 +180,13 @@
 			inFlight += srv.inFlight
 		}
 		if isReserved := inFlight <= 30; isReserved != (wait < sec) {
-			t.Errorf("%d us after the other's last fill: %d of 40 places borrowed", wait, inFlight)
+			t.Errorf("%d us after the other group's last fill: %d of 40 fills in flight", wait, inFlight)
 		}
 	}
 }
 
-// Fills go to the parent subset that a request names, in the order of the object; to other parents when none of the
-// subset can take them; and to the origin where the subset is empty.
+// Fills go to the parents of the request's parent subset, in the order of the object. They go to other parents if none
+// of the subset is available, and to the origin if the subset is empty.
 func TestFillsPreferTheParentSubset(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 4)
 	engine.step(Event{Kind: EventSubset, Subset: 50, SubsetServers: []string{"p0", "p2"}})
@@ -202,15 +203,15 @@
 		engine.step(outcomeEvent(action, 0, OutcomeServed, FilledFromSource))
 	}
 	if len(seen) != 2 || !seen["p0"] || !seen["p2"] {
-		t.Errorf("fills of subset 50 went to %v", seen)
+		t.Errorf("fills of subset 50 went to %v, want p0 and p2", seen)
 	}
 	if action := send(100, -1); action.Source != "o" {
-		t.Errorf("an empty subset: %s", action.Source)
+		t.Errorf("empty parent subset: source %s, want the origin", action.Source)
 	}
 	if action := send(101, 0); action.Source == "" || action.Source == "o" {
-		t.Errorf("no subset: %s", action.Source)
+		t.Errorf("no parent subset: source %s, want a parent", action.Source)
 	}
-	for i := 200; i < 300; i++ { // both of the subset fail every fill
+	for i := 200; i < 300; i++ { // both parents of the subset fail every fill
 		action := send(i, 50)
 		attempt := 0
 		for ; action.Kind == ActionSend && (action.Source == "p0" || action.Source == "p2"); attempt++ {
@@ -221,6 +222,6 @@
 		}
 	}
 	if action := send(400, 50); action.Source != "p1" && action.Source != "p3" {
-		t.Errorf("with the subset ejected: %s", action.Source)
+		t.Errorf("parent subset ejected: source %s, want p1 or p3", action.Source)
 	}
 }
--- a/routing/wire_compat_test.go
+++ b/routing/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The settings of a router keep the names that the platform gives them.
-func TestStoredSettingsAreReadAndWrittenAlike(t *testing.T) {
+// The settings must keep the field names of the wire protocol.
+func TestSettingsKeepWireNames(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/settings.json", "", Settings{
 		Classes: []Class{
 			{
@@ -91,8 +91,8 @@
 	})
 }
 
-// The beliefs that one process saves are read by one of another release.
-func TestStoredBeliefsAreReadAndWrittenAlike(t *testing.T) {
+// The learned state must keep its stored field names, so that a process of another release can read it.
+func TestLearnedStateKeepsStoredNames(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/beliefs.json", "", LearnedState{
 		TakenAt: 1,
 		Servers: []ServerState{
