--- a/routing/engine.go
+++ b/routing/engine.go
@@ -1,6 +1,6 @@
-// Package routing decides for one request router in front of a hierarchy of caches: which edge cache gets a request,
-// which parent or origin fills a miss, whether a failed attempt is retried, and which requests are rejected so that no
-// server is overloaded.
+// Package routing makes the decisions of one request router in front of a hierarchy of caches: which edge cache gets a
+// request, which parent or origin fills a miss, whether a failed attempt is retried, and which requests are rejected so
+// that no server is overloaded.
 //
 // An Engine is a state machine: it performs no I/O, reads no clock and starts no goroutines. Step processes the events
 // that occurred at a given time and returns the resulting actions in order. The same settings, seed and events always
@@ -167,7 +167,7 @@
 	return e.actions
 }
 
-// startStep sets the time of the step and clears the actions of the last one.
+// startStep sets the time of a new step and clears the actions of the previous one.
 func (e *Engine) startStep(now int64) {
 	e.now = now
 	e.actions = nil
--- a/routing/estimates.go
+++ b/routing/estimates.go
@@ -125,11 +125,11 @@
 // lightly loaded edge caches count: under load, the mean would rise, and all objectives with it.
 func (e *Engine) learnSendTime(req *request, ended *attempt, ev *Event) {
 	mean := &e.meanSendTime[req.class]
-	isLittleUsed := float64(ended.server.inFlight) < ended.server.concurrencyLimit/2
+	isLightlyLoaded := float64(ended.server.inFlight) < ended.server.concurrencyLimit/2
 	switch {
 	case req.SizeKB > 0:
 		*mean += meanSendTimeStep * (e.sendTime(req) - *mean)
-	case !ev.CacheStatus.IsFilled() && isLittleUsed:
+	case !ev.CacheStatus.IsFilled() && isLightlyLoaded:
 		*mean += meanSendTimeStep * (float64(ev.ResponseTime) - *mean)
 	}
 }
--- a/routing/handover.go
+++ b/routing/handover.go
@@ -81,7 +81,7 @@
 func (e *LearnedStateError) Error() string { return "learned state: " + e.Problem }
 
 // ErrLearnedStateAge is the error for a LearnedState whose TakenAt is too far from the present time.
-var ErrLearnedStateAge = fmt.Errorf("the limit is %d us", maxLearnedStateAge)
+var ErrLearnedStateAge = fmt.Errorf("age limit is %d us", maxLearnedStateAge)
 
 // LearnedState returns a copy of the engine's learned state at the time now.
 func (e *Engine) LearnedState(now int64) LearnedState {
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -101,7 +101,7 @@
 // tenantUsage is a tenant's traffic at this router.
 type tenantUsage struct {
 	recentRequests decayingSum
-	quotaPerSecond float64 // this router's part of the quota
+	quotaPerSecond float64 // this router's share of the quota
 }
 
 // countRequest counts a request and reports whether the tenant is over its quota.
--- a/routing/subsets.go
+++ b/routing/subsets.go
@@ -30,7 +30,7 @@
 	return set
 }
 
-// usableServers returns those of the named servers that may be used in a subset.
+// usableServers returns the healthy servers with the given names, without the origin.
 func (e *Engine) usableServers(names []string) (servers []*server) {
 	for _, name := range names {
 		if srv := e.servers[name]; srv != nil && srv.isHealthy && srv.role != roleOrigin {
