--- a/routing/settings.go
+++ b/routing/settings.go
@@ -207,7 +207,7 @@
 	origin := s.Hierarchy.OriginKind
 	switch {
 	case len(s.Classes) == 0:
-		return &SettingsError{"Classes", "must not be empty"}
+		return &SettingsError{"Classes", "none"}
 	case s.Zone == "":
 		return &SettingsError{"Zone", "must not be empty"}
 	case origin < 0 || origin >= len(s.Kinds):
