--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -16,7 +16,7 @@
 	roleEdgeCache   serverRole = iota // an edge cache of this router's zone
 	roleParent                        // a parent, which all sites share
 	roleOrigin                        // the origin
-	roleRemoteCache                   // an edge cache of another zone: never used
+	roleRemoteCache                   // an edge cache of another zone: used only in subsets that list it
 	roleCount
 )
 
