--- a/routing/circuit_breaker_test.go
+++ b/routing/circuit_breaker_test.go
@@ -89,7 +89,7 @@
 func TestUnexplainedErrorIsChargedAfterOtherCacheServes(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
 	for i := range 10 {
-		req := engine.request("small", fmt.Sprint("nonexistent ", i))
+		req := engine.request("small", fmt.Sprint("nobody knows ", i))
 		second := engine.stepOne(outcomeEvent(req, 0, OutcomeError, CacheStatusUnknown))
 		if second.Kind != ActionSend || second.Server == req.Server {
 			t.Fatalf("after one error: %+v", second)
