--- a/routing/actions.go
+++ b/routing/actions.go
@@ -6,7 +6,7 @@
 // The kinds of action.
 const (
 	ActionSend           ActionKind = iota + 1 // an attempt: RequestID, Server and all fields marked "send"
-	ActionReject                               // final answer: rejected, a retry is safe: RequestID, RetryAfter
+	ActionReject                               // final answer: a rejection, a retry is safe; RequestID, RetryAfter
 	ActionFail                                 // final answer: the request failed: RequestID
 	ActionCancel                               // stop waiting for an attempt: RequestID, Attempt
 	ActionSetTimer                             // request an EventTimer: Delay, TimerToken
@@ -33,22 +33,24 @@
 const (
 	FetchCollapse        FetchFlags = 1 << iota // join a fill of the same object that is in progress
 	FetchCachedOnly                             // the source serves only a cached copy and does not fill a miss itself
-	FetchSkipParentStore                        // the parent stores no copy
-	FetchRevalidate                             // an ageing copy is served while it is fetched again
+	FetchSkipParentStore                        // the parent stores no copy; never set by the engine
+	FetchRevalidate                             // serve a cached copy and renew it meanwhile; never set by the engine
 )
 
 // Action is one instruction of the engine to the router. Times are in microseconds.
 type Action struct {
-	Kind          ActionKind
-	RequestID     string
-	Server        string
-	Source        string     // send: the server that fills a miss; Server itself: no fill; "": plain lookup
+	Kind      ActionKind
+	RequestID string
+	Server    string
+	// Source is the server that fills a miss, or the origin to which Server forwards an uncacheable request. Server
+	// itself: no fill. "": an uncacheable request that is sent directly to the origin. (send)
+	Source        string
 	LogText       string     // of ActionLog
 	Attempt       int        // of ActionCancel: number of the attempt, from 0
 	RetentionRank int        // send: rank at which the copy is stored, 1 to 3; 0: not stored
 	FetchFlags    FetchFlags // send
 	Timeout       int64      // send: how long to wait for the response
-	MaxAge        int64      // send: maximum age of the copy; 0: the limit of the class
+	MaxAge        int64      // send: maximum age of the copy; 0: no limit
 	RetryAfter    int64      // of ActionReject: how long the client should wait before a retry
 	Delay         int64      // of ActionSetTimer
 	TimerToken    int64      // of ActionSetTimer
--- a/routing/circuit_breaker.go
+++ b/routing/circuit_breaker.go
@@ -5,11 +5,11 @@
 // Constants of circuit breakers.
 const (
 	breakerMinOutcomes       = 3          // minimum total weight of recent outcomes before a breaker may open
-	breakerMaxOutcomes       = 8          // recent outcomes that count: a sudden fault opens the breaker after four
+	breakerMaxOutcomes       = 8          // outcomes that count: a sudden fault ejects after 4, an edge cache after 6
 	breakerFailureRatio      = 0.5        // fraction of failed outcomes that ejects a parent or the origin
-	cacheBreakerFailureRatio = 0.75       // for an edge cache: if only half of its requests fail, retries work better
+	cacheBreakerFailureRatio = 0.75       // for an edge cache: if only half fail, retries serve more than ejection
 	breakerCoolDown          = 10_000_000 // us for which a parent or the origin is ejected before its trial
-	cacheBreakerCoolDown     = 2_000_000  // us, for an edge cache: a trial costs one request, and other caches are few
+	cacheBreakerCoolDown     = 2_000_000  // us, for an edge cache: a trial risks one request; few caches can replace it
 	breakerCoolDownJitter    = 0.3        // maximum random extension: routers must not try a cold parent simultaneously
 )
 
@@ -17,7 +17,7 @@
 // is allowed, and its outcome closes the breaker or opens it again. The zero value is closed.
 type circuitBreaker struct {
 	outcomes        [breakerMaxOutcomes]breakerOutcome // ring buffer of the last outcomes while closed
-	next            int                                // number of outcomes; modulo the size, the next ring index
+	outcomeCount    int                                // recorded while closed; modulo the size, the next index
 	openUntil       int64                              // 0: closed
 	isTrialInFlight bool
 	hasTrialFailed  bool // a trial has failed since the breaker opened
@@ -49,8 +49,8 @@
 		}
 		return
 	}
-	b.outcomes[b.next%breakerMaxOutcomes] = outcome
-	b.next++
+	b.outcomes[b.outcomeCount%breakerMaxOutcomes] = outcome
+	b.outcomeCount++
 	total, failed := 0.0, 0.0
 	for _, o := range b.outcomes {
 		total += o.weight
@@ -115,11 +115,11 @@
 }
 
 // chargedServer returns the server that a failed attempt is charged to; nil: none. A time-out is charged to the edge
-// cache if that did not answer any request in the meantime, otherwise to the source under the same condition. It is
-// charged to no server if the client gave up before a response was due, so that clients with short timeouts do not
-// eject healthy servers.
+// cache if the cache has answered no request since the attempt was sent. If it has, the time-out of a fill is charged
+// to the source if that has answered none. A time-out is charged to no server if the client gave up before a response
+// was due, so that clients with short timeouts do not eject healthy servers, or if the attempt was canceled as lost.
 func (e *Engine) chargedServer(req *request, ended *attempt, ev *Event) *server {
-	isServerAlive := ended.server.answerCount > ended.serverAnswersBefore
+	hasServerAnswered := ended.server.answerCount > ended.serverAnswersBefore
 	hasTimedOut := ev.Outcome == OutcomeTimedOut
 	switch {
 	case hasTimedOut && (ended.isCanceledAsLost || !e.wasResponseDue(req, ended, ev)):
@@ -128,12 +128,12 @@
 		return e.origin
 	case ended.isFill && (ev.CacheStatus == SourceRejected || ev.CacheStatus == SourceUnreachable):
 		return ended.source
-	case ev.Outcome == OutcomeError && ended.isFill && isServerAlive && !e.reportsCacheStatus():
+	case ev.Outcome == OutcomeError && ended.isFill && hasServerAnswered && !e.reportsCacheStatus():
 		return ended.source
 	case ev.Outcome == OutcomeConnectionRefused,
 		ev.Outcome == OutcomeConnectionReset,
 		ev.Outcome == OutcomeError,
-		hasTimedOut && !isServerAlive:
+		hasTimedOut && !hasServerAnswered:
 		return ended.server
 	case hasTimedOut && ended.isFill && ended.source.answerCount-ended.sourceAnswersBefore < 1:
 		return ended.source
@@ -143,7 +143,7 @@
 
 // wasResponseDue reports whether a response was due when an attempt timed out.
 func (e *Engine) wasResponseDue(req *request, ended *attempt, ev *Event) bool {
-	return ended.isCanceledAsUnresponsive || float64(ev.ResponseTime) >= e.latencyObjective(req)
+	return ended.foundUnresponsive || float64(ev.ResponseTime) >= e.latencyObjective(req)
 }
 
 // reportsCacheStatus reports whether caches report all cache statuses, including failures.
@@ -154,8 +154,8 @@
 // recordOutcome counts the outcome of an attempt at the circuit breakers, and updates estimates from a response.
 // charged is the server that a failure is charged to; nil: none.
 func (e *Engine) recordOutcome(req *request, ended *attempt, ev *Event, charged *server) {
-	isDirectWrite := e.isUncacheable(req) && ended.server.role != roleEdgeCache
-	if ev.Outcome == OutcomeCanceled || ev.Outcome == OutcomeSkipped || isDirectWrite {
+	isDirectUncacheable := e.isUncacheable(req) && ended.server.role != roleEdgeCache
+	if ev.Outcome == OutcomeCanceled || ev.Outcome == OutcomeSkipped || isDirectUncacheable {
 		return
 	}
 	isServed := ev.Outcome == OutcomeServed
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -7,28 +7,33 @@
 
 // Constants of concurrency limits. Those without a unit are ratios.
 const (
-	rateWindow          = 4_000_000 // us; time constant of averaged rates
-	defaultMissRatio    = 0.3       // of an edge cache that reports none, in cache statuses or load reports
-	initialLimit        = 16        // requests in flight at a new server; grows fast until the first reduction
-	initialLimitMargin  = 2         // additional requests per router, as that many coincide by chance
-	minLimit            = 0.05      // requests; a router with such a limit still sends one occasionally
-	limitDecreaseFactor = 0.85      // applied at a late response, at most once per mean sending time
-	lateServerTransfers = 2.0       // maximum in flight per transfer of a router's share of an overloaded server
-	limitGrowthPerRound = 9         // requests per round of responses, summed over the routers of a server
-	reservedLimitShare  = 0.5       // of a limit, for the requests with the greatest weight per sending time
-	reservedShareDecay  = 1_000_000 // us; time constant with which a group's reserved part of its share decays
-
-	// A response is late if it takes longer than its sending time plus this fraction of the rest of its objective.
-	// Without known sizes it is late past this fraction of the whole objective, since large chunks take long to send.
+	rateWindow              = 4_000_000 // us; time constant of averaged rates
+	defaultMissRatio        = 0.3       // of an edge cache that reports none, in cache statuses or load reports
+	initialLimit            = 16        // requests in flight at a new server; grows fast until the first reduction
+	initialLimitMargin      = 2         // requests added to each router's share, as about that many overlap by chance
+	minLimit                = 0.05      // requests; a router with such a limit still sends one occasionally
+	limitDecreaseFactor     = 0.85      // applied at a late response, at most once per mean sending time
+	maxReducedLimitMultiple = 2.0       // cap on a reduced limit, as a multiple of the router's share of the capacity
+
+	// limitGrowthPerRound is the growth of the limits at a server, in requests and summed over its routers, after each
+	// router has received as many responses as its limit. It is less for small responses, see limitGrowth.
+	limitGrowthPerRound = 9
+
+	reservedLimitShare = 0.5       // of a limit, for the requests with the greatest weight per sending time
+	reservationDecay   = 1_000_000 // us; time constant with which a reservation for a group's recent use decays
+
+	// A response is late if it takes longer than its sending time plus the first fraction of the time by which its
+	// objective exceeds its sending time. If its size is unknown, it is late past the second fraction of the whole
+	// objective, since large chunks take long to send.
 	lateObjectiveShare        = 0.5
 	lateObjectiveShareUnsized = 0.8
 
-	overloadedLinkUse     = 1.5    // use of the zone's link, over its capacity, above which fills must be reduced
-	maxOriginWaitMultiple = 3      // normal wait for a distant origin, in multiples of the minimum recent wait
+	overloadedLinkUse     = 1.5    // ratio of the zone link's use to its capacity from which fills must be reduced
+	maxOriginWaitMultiple = 3      // a wait for the origin of up to this multiple of the minimum recent wait is usual
 	minOriginWaitRise     = 0.0005 // relative rise of the minimum recent wait at each response
 )
 
-// initialConcurrencyLimit returns a router's limit, in requests, at a server that started.
+// initialConcurrencyLimit returns a router's limit, in requests, at a newly listed or restarted server.
 func initialConcurrencyLimit(srv *server) float64 {
 	if srv.role == roleOrigin {
 		return initialLimit / srv.routers
@@ -37,7 +42,8 @@
 }
 
 // hasCapacity reports whether a server is below the concurrency limit that applies to a request. The fractional part of
-// a limit is the probability of one more request, so that the sum of the limits of hundreds of routers is observed.
+// a limit is the probability of one more request, so that hundreds of routers together stay within the sum of their
+// limits on average.
 func (e *Engine) hasCapacity(req *request, srv *server) bool {
 	return e.hasCapacityWithin(req, srv, srv.concurrencyLimit)
 }
@@ -52,8 +58,9 @@
 	return float64(srv.inFlight)+draw < limit
 }
 
-// usableLimitShare returns the fraction of a limit that a request may use. It is 1 for the greatest weight density,
-// maxDensity, which is priority weight per sending time, and decreases linearly with the request's density.
+// usableLimitShare returns the fraction of a limit that a request may use. The weight density of a request is its
+// priority weight per sending time. The fraction is 1 at the greatest density, maxDensity, and decreases linearly with
+// the density of the request.
 func (e *Engine) usableLimitShare(req *request, maxDensity float64) float64 {
 	density := e.settings.Classes[req.class].PriorityWeight / max(e.sendTime(req), 1)
 	relative := min(density/maxDensity, 1)
@@ -122,8 +129,8 @@
 	return a.isFill && a.source.routers > initialLimit
 }
 
-// adjustServerLimit adjusts the limit at the server of an attempt. Direct attempts to the origin are not counted, since
-// their response times reflect the load of the links.
+// adjustServerLimit adjusts the limit at the server of an attempt, if that is a parent or an edge cache of this zone.
+// Direct attempts to the origin are not counted, since their response times reflect the load of the links.
 func (e *Engine) adjustServerLimit(req *request, ended *attempt, ev *Event, target float64, wasFillRejected bool) {
 	srv := ended.server
 	if srv.role != roleEdgeCache && srv.role != roleParent {
@@ -136,7 +143,8 @@
 	e.adjustLimit(req, ev, srv, 1, isRejected || isLate)
 }
 
-// adjustSourceLimit adjusts the limit at the source of a fill, if the fill is known to have reached it.
+// adjustSourceLimit adjusts the limit at the source of a fill, if the fill is known to have reached the source, or may
+// have reached it because the attempt timed out or caches report no statuses.
 func (e *Engine) adjustSourceLimit(req *request, ended *attempt, ev *Event, target float64, wasFillRejected bool) {
 	hasTimedOut := ev.Outcome == OutcomeTimedOut
 	isUnreported := e.settings.Hierarchy.CacheStatusReporting == CacheStatusUnreported
@@ -177,21 +185,21 @@
 		return responseTime > target
 	}
 	hasAnsweredOthers := srv.answerCount-answersBefore >= 1
-	return !hasAnsweredOthers && (ended.isCanceledAsUnresponsive || responseTime > target)
+	return !hasAnsweredOthers && (ended.foundUnresponsive || responseTime > target)
 }
 
 // adjustLimit adjusts a server's limit after a response or a failure. requestShare is the fraction of the requests
-// counted at the server that it actually serves.
-func (e *Engine) adjustLimit(req *request, ev *Event, srv *server, requestShare float64, isLate bool) {
+// counted at the server that it actually serves. isOverloaded reports a late response or a rejection.
+func (e *Engine) adjustLimit(req *request, ev *Event, srv *server, requestShare float64, isOverloaded bool) {
 	isInUse := float64(srv.inFlight+1) >= srv.concurrencyLimit/2
 	switch {
 	case !isInUse: // far below the limit, the response is no evidence for or against it
-	case isLate && e.now-srv.limitReducedAt > int64(e.meanSendTime[req.class]):
+	case isOverloaded && e.now-srv.limitReducedAt > int64(e.meanSendTime[req.class]):
 		e.reduceLimit(srv, requestShare)
 		if srv.role == roleParent && ev.Outcome != OutcomeTimedOut { // a time-out may be caused upstream of it
 			e.emit(Action{Kind: ActionReportOverload, Server: srv.name})
 		}
-	case isLate || ev.Outcome != OutcomeServed:
+	case isOverloaded || ev.Outcome != OutcomeServed:
 	case srv.limitReducedAt == 0:
 		srv.concurrencyLimit++
 	default:
@@ -211,12 +219,12 @@
 	srv.concurrencyLimit = max(srv.concurrencyLimit*limitDecreaseFactor, minLimit)
 	srv.limitReducedAt = e.now
 	if e.hasServerWeights && srv.role != roleOrigin {
-		srv.concurrencyLimit = min(srv.concurrencyLimit, lateServerTransfers*e.capacity(srv)/requestShare)
+		srv.concurrencyLimit = min(srv.concurrencyLimit, maxReducedLimitMultiple*e.capacity(srv)/requestShare)
 	}
 }
 
-// parentOverloaded reduces the limit at a parent that routers of other sites report as overloaded, as a late response
-// would.
+// parentOverloaded reduces the limit, in the same way as a late response, at a parent that routers of other sites
+// report as overloaded.
 func (e *Engine) parentOverloaded(srv *server) {
 	if srv == nil || srv.role != roleParent {
 		return
@@ -227,7 +235,7 @@
 }
 
 // capacity estimates this router's share of a warm server's capacity, in work per microsecond. If the server's size is
-// unknown, it is at least the share of one transfer.
+// unknown, the estimate is at least this router's share of a server with capacity for one transfer.
 func (e *Engine) capacity(srv *server) float64 {
 	if e.hasServerWeights && srv.weight > 0 {
 		return srv.weight / srv.routers
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -29,7 +29,7 @@
 }
 
 // A single lost response must not reduce the limits of a cache and a parent that answer other requests in the meantime.
-// At 350 requests/s with lost responses, the limits would fall to a sixth in ten seconds, and misses be rejected.
+// Otherwise lost responses reduce the limits until misses are rejected.
 func TestSingleTimeoutDoesNotReduceLimit(t *testing.T) {
 	for _, others := range []bool{true, false} {
 		engine := newTestEngine(t, testSettings(), 1, 1)
@@ -88,13 +88,13 @@
 	late := outcomeEvent(action, 0, OutcomeServed, CacheHit)
 	late.ResponseTime = sec
 	engine.step(late)
-	if cache := engine.servers["c0"]; cache.concurrencyLimit > lateServerTransfers*1/4 {
+	if cache := engine.servers["c0"]; cache.concurrencyLimit > maxReducedLimitMultiple*1/4 {
 		t.Errorf("limit %v although the router's share of the cache is a quarter of a transfer", cache.concurrencyLimit)
 	}
 }
 
 // If no cache is available, requests are sent directly to the parents, over the zone's link. Late responses must reduce
-// the parent's limit. Otherwise direct requests are unlimited, and up to 19% of the responses are late.
+// the parent's limit. Otherwise direct requests are unlimited, and responses are late.
 func TestLateDirectResponseReducesParentLimit(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 0, 1)
 	parent := engine.servers["p0"]
@@ -125,10 +125,9 @@
 // The sending time of a large chunk alone must not count as late. Otherwise each such response reduces the limits of
 // caches and parents until misses are rejected. In a fleet of hundreds of routers, a late fill is caused by load at its
 // source and must reduce only the source's limit. If it also reduced the cache's limit, requests would go to other
-// caches, which fill the same objects again: with 309 routers and a mean limit of 1, 8,078 selections skipped their
-// first cache in 5 s, and the site filled twice as much. With few routers the site's own link may be full, so that the
-// cache's limit must fall too: without that, one router had 31 fills in flight instead of 17.
-func TestSendingTimeOfLargeChunkIsNotLate(t *testing.T) {
+// caches, which would fill the same objects again. With few routers the site's own link may be full, so that the
+// cache's limit must fall too. Otherwise too many fills are in flight.
+func TestOnlyDelayBeyondSendingTimeReducesLimits(t *testing.T) {
 	for _, tc := range []struct {
 		routers       int
 		extra         int64
@@ -165,9 +164,9 @@
 	}
 }
 
-// The wait for a distant origin must not count as overload of the parent. Otherwise the parent's limit falls, and 10 to
-// 20% of all requests are rejected at half load. Only the part of a wait above the recent minimum counts. On a full
-// link the whole wait counts, since the number of fills must fall there.
+// The wait for a distant origin must not count as overload of the parent. Otherwise the parent's limit falls, and
+// requests are rejected although no server is overloaded. Only the part of a wait above the recent minimum counts. On a
+// full link the whole wait counts, since the number of fills must fall there.
 func TestWaitForDistantOriginIsNotChargedToParent(t *testing.T) {
 	limit := func(wait int64, link float64) float64 {
 		engine := newTestEngine(t, distantOriginSettings(), 2, 1)
@@ -188,19 +187,19 @@
 	if idle, full := limit(190*ms, 0.4), limit(190*ms, 4); idle < 5 || full > 1 {
 		t.Errorf("parent limit %v with a distant origin, %v on a full link", idle, full)
 	}
-	// The minimum wait rises so slowly that it does not adapt to the waits of an overload. With a rise of 2% per
-	// response the overload would outlast its cause.
+	// The minimum wait rises so slowly that it does not adapt to the waits of an overload. If it rose quickly, these
+	// would soon count as normal, and the overload would outlast its cause.
 	if overloaded := limit(700*ms, 0.4); overloaded > 1 {
 		t.Errorf("parent limit %v after 300 late fills through the parent", overloaded)
 	}
 }
 
 // Without load reports on the link, the wait for an origin that is distant relative to the class's objective must not
-// count as overload of the source. Otherwise a quarter of a class with an objective of 180 ms is rejected at low load,
-// with two or three fills in flight at servers with capacity for dozens. A usual wait within the objective is not late.
-// A wait of several times the usual one is late, and so is a response after the objective.
+// count as overload of the source. Otherwise requests of a class with an objective of 180 ms are rejected at low load.
+// A usual wait within the objective is not late. A wait of several times the usual one is late, and so is a response
+// after the objective.
 func TestUsualOriginWaitOfUrgentClassIsNotLate(t *testing.T) {
-	limit := func(usual, then int64) float64 {
+	limit := func(firstWait, laterWait int64) float64 {
 		settings := testSettings()
 		settings.Classes[1].LatencyObjective = 180 * ms
 		engine := newTestEngine(t, settings, 2, 1)
@@ -215,11 +214,11 @@
 			more := int(engine.servers["p0"].concurrencyLimit) // only a limit in use is adjusted
 			engine.servers["p0"].inFlight += more
 			engine.now += 110 * ms
-			ev := originFillOutcome(action, usual, 0)
+			ev := originFillOutcome(action, firstWait, 0)
 			ev.LoadReport = nil
 			if i >= 100 {
-				ev.UpstreamWait = then
-				ev.ResponseTime = then + 20*ms
+				ev.UpstreamWait = laterWait
+				ev.ResponseTime = laterWait + 20*ms
 			}
 			engine.step(ev)
 			engine.servers["p0"].inFlight -= more
@@ -323,8 +322,8 @@
 }
 
 // Each request makes one random draw against the limits of parents and origin, so that hundreds of routers, each with
-// capacity for less than one request, observe the sum of their limits. A second draw, after a request found no capacity
-// and then no cached copy, would allow three fills instead of two.
+// capacity for less than one request, stay within the sum of their limits. A second draw, after a request found no
+// capacity and then no cached copy, would give the request two chances, so that more fills than the limit are sent.
 func TestLimitsAreDrawnOncePerRequest(t *testing.T) {
 	const requests = 2000
 	engine := newTestEngine(t, testSettings(), 3, 1)
--- a/routing/decision_bench_test.go
+++ b/routing/decision_bench_test.go
@@ -126,10 +126,10 @@
 	}
 }
 
-// BenchmarkDecisionOfMany measures one request and its successful outcome with many caches in the zone, as in fleets of
-// 300 to 11,000 routers.
-func BenchmarkDecisionOfMany(b *testing.B) {
-	const perSecond = 718 // requests of one router at the peak
+// BenchmarkDecisionWithManyCaches measures one request and its successful outcome with many caches in the zone, as in
+// fleets of 300 to 11,000 routers.
+func BenchmarkDecisionWithManyCaches(b *testing.B) {
+	const perSecond = 718 // assumed requests per second of one router, for the share of a core
 	for _, caches := range []int{46, 155, 464, 1700} {
 		b.Run(fmt.Sprintf("caches=%d", caches), func(b *testing.B) {
 			engine, err := NewEngine(testSettings(), 1)
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -44,7 +44,7 @@
 	// Slow start.
 	coldSends  []coldSend // within the last OverloadWindow, while it was cold
 	coldDrawAt int64      // time at which coldDraw was drawn; valid for an OverloadWindow
-	coldDraw   float64    // random factor on the work of the first send in a window, for the budget check
+	coldDraw   float64    // 0 to 1; the budget check multiplies the first work sent in a window by it
 
 	// Learned from responses.
 	recentWork    decayingSum // work done for this router while warm
@@ -146,8 +146,8 @@
 	e.parentRanking = newRendezvousRanking(e.parents, e.hasServerWeights)
 }
 
-// Parents returns the names of all listed parents, and of the listed parents that are ejected by this router's circuit
-// breakers. Both lists are sorted.
+// Parents returns the names of all listed parents, and of those that this router ejects for requests of accounting
+// group 0. The breakers of other groups are not considered. Both lists are sorted.
 func (e *Engine) Parents(now int64) (all, ejected []string) {
 	for _, srv := range e.servers {
 		if srv.role != roleParent || srv.isDelisted {
--- a/routing/engine.go
+++ b/routing/engine.go
@@ -67,7 +67,7 @@
 	// Fills that reach the origin.
 	originFills             server  // pseudo-server: fills that may reach the origin, and their limit
 	confirmedOriginFills    int     // fills in flight that are known to reach the origin
-	maxPossibleOriginFills  float64 // bound on originFills.concurrencyLimit
+	maxPotentialOriginFills float64 // bound on originFills.concurrencyLimit
 	maxConfirmedOriginFills float64 // bound on confirmedOriginFills
 
 	// Purges.
@@ -76,13 +76,13 @@
 
 	// Learned from requests and responses.
 	tenants               map[string]*tenantUsage // by name
-	recentRequests        map[string]int          // by object; halved after each recentRequestWindow requests
+	recentRequests        map[string]int          // by object; all halved when their sum is recentRequestWindow
 	recentRequestCount    int                     // sum of recentRequests
 	meanSendTime          []float64               // by class, from responses
 	meanRequestedSendTime map[string]*runningMean // by class name, from the sizes given in requests
-	tailMultiple          []float64               // by class: tail of response times, in usual response times
-	peakWorkRates         [roleCount]float64      // by role: highest work rate of one warm server for this router
-	linkUse               float64                 // transfers on the zone's link over its capacity, from load reports
+	tailMultiple          []float64               // by class: 98th percentile of response time, relative to the usual
+	peakWorkRates         [roleCount]float64      // by role: highest rate of work by one warm server for this router
+	linkUse               float64                 // use of the zone's link relative to its capacity, from load reports
 }
 
 // NewEngine returns an engine for the settings. All of its random numbers are derived from the seed. If the settings
@@ -110,9 +110,9 @@
 		requests:        make(map[string]*request),
 		watchedRequests: make(map[int64]*request),
 
-		originFills:             server{concurrencyLimit: unlimitedOriginFills, role: roleOrigin},
-		maxPossibleOriginFills:  unlimitedOriginFills,
-		maxConfirmedOriginFills: unlimitedOriginFills,
+		originFills:             server{concurrencyLimit: maxOriginFills, role: roleOrigin},
+		maxPotentialOriginFills: maxOriginFills,
+		maxConfirmedOriginFills: maxOriginFills,
 
 		purgedAt: make(map[purgeKey]int64),
 
--- a/routing/engine_test.go
+++ b/routing/engine_test.go
@@ -188,10 +188,10 @@
 	engine := newTestEngine(t, testSettings(), 3, 2)
 	action := engine.request("small", "x")
 	if action.Kind != ActionSend || action.Server[0] != 'c' || action.Source[0] != 'p' {
-		t.Fatalf("first attempt %+v", action)
+		t.Fatalf("got %+v, want an attempt at a cache with a parent as source", action)
 	}
 	if action.FetchFlags&FetchCollapse == 0 || action.RetentionRank < 1 {
-		t.Fatalf("first attempt %+v", action)
+		t.Fatalf("got %+v, want FetchCollapse and a RetentionRank", action)
 	}
 	if action.MaxAge > 10*sec || action.MaxAge < 8*sec {
 		t.Errorf("MaxAge %d is not the freshness lifetime minus 0-20%%", action.MaxAge)
--- a/routing/estimates.go
+++ b/routing/estimates.go
@@ -4,8 +4,8 @@
 const (
 	meanSendTimeStep   = 0.02  // weight of one response in a mean sending time
 	baseObjectiveShare = 0.25  // fraction of the latency objective that a usual response needs besides its sending time
-	tailIncrease       = 0.2   // relative increase of the tail of response times at a response above it
-	tailDecrease       = 0.004 // relative decrease at any other response: 98 of 100 responses stay below the tail
+	tailIncrease       = 0.2   // relative increase of the percentile estimate at a response above it
+	tailDecrease       = 0.004 // relative decrease at any other response: 98 of 100 responses stay below the estimate
 	linkUseStep        = 0.1   // weight of one load report in the use of the zone's link
 	minWeightDensity   = 1e-12 // above 0, since it is used as a divisor
 )
@@ -28,9 +28,10 @@
 	return e.meanSendTime[req.class]
 }
 
-// expectedWork estimates the mean sending time of a class, in microseconds, when one of its requests arrives. Requests
-// give their sizes immediately, whereas the mean over responses adapts slowly and sees large responses late. The
-// greater of the two means is used, since too low an estimate would overload servers.
+// expectedWork updates the mean sending time of a class with the size given in an arriving request, and returns an
+// estimate of this mean, in microseconds. Requests give their sizes immediately, whereas the mean over responses adapts
+// slowly and includes large responses late. The greater of the two means is used, since too low an estimate would
+// overload servers.
 func (e *Engine) expectedWork(ev *Event, class int) float64 {
 	learned := e.meanSendTime[class]
 	if !e.hasSize(ev.SizeKB) {
@@ -56,12 +57,12 @@
 	return e.sendTime(req) + baseObjectiveShare*float64(e.settings.Classes[req.class].LatencyObjective)
 }
 
-// tailResponseTime returns the response time, in microseconds, that few responses to similar requests exceed.
+// tailResponseTime estimates the 98th percentile of the response times of similar requests, in microseconds.
 func (e *Engine) tailResponseTime(req *request) float64 {
 	return e.tailMultiple[req.class] * e.usualResponseTime(req)
 }
 
-// adjustTail updates the tail of response times of a request's class with one response time.
+// adjustTail updates the estimated percentile of a request's class with one response time, in microseconds.
 func (e *Engine) adjustTail(req *request, responseTime float64) {
 	if responseTime > e.tailResponseTime(req) {
 		e.tailMultiple[req.class] *= 1 + tailIncrease
--- a/routing/events.go
+++ b/routing/events.go
@@ -37,7 +37,8 @@
 	return strconv.Itoa(i)
 }
 
-// Event is one input of the engine. Times are in microseconds.
+// Event is one input of the engine. Times are in microseconds. A field marked "request", "outcome" or "subset" is used
+// by EventRequest, EventOutcome or EventSubset. The comment of each other kind lists all fields that it uses.
 type Event struct {
 	Kind           EventKind
 	RequestID      string         // request, outcome
@@ -54,20 +55,20 @@
 	SizeKB         float64        // request: of the chunk; 0: unknown
 	Timeout        int64          // request: remaining time before the client gives up
 	ResponseTime   int64          // outcome: since the attempt was sent
-	UpstreamWait   int64          // outcome: until the source's first byte, or the fill's failure
+	UpstreamWait   int64          // outcome: how long Server waited for the fill's first byte or its failure
 	PurgeAge       int64          // of EventPurge: time since the purge was issued
 	MinVersionTime int64          // request: copies that left the origin before this time are invalid; 0: no bound
-	MaxAge         int64          // request: maximum age of a copy, if it is more than the class allows
+	MaxAge         int64          // request: replaces the maximum age of a copy that the class allows, if greater
 	TimerToken     int64          // of EventTimer: that of ActionSetTimer
-	IsWrite        bool           // request
+	IsWrite        bool           // request: it is a write; the engine does not use this field
 	IsClientRetry  bool           // request: the client retries an earlier request
-	IsFinal        bool           // outcome: the request has ended, with this outcome or earlier
+	IsFinal        bool           // outcome: no attempt may follow, as the request has its answer or needs none
 	Endpoints      []Endpoint     // of EventEndpoints
 	LoadReport     []float64      // outcome: by LoadReporting.Fields; often absent
 
 	// Subset is the number of the set of edge caches that may serve a request. OverflowSubset is the set that is used
-	// if no cache of Subset is available. 0 means all edge caches of the zone in Subset, and no cache in
-	// OverflowSubset. A subset that no EventSubset has defined is empty. (request, subset)
+	// if no cache of Subset is available. Subset 0 is all edge caches of the zone. OverflowSubset 0 is none. A subset
+	// that no EventSubset has defined is empty. (Subset: request, subset; OverflowSubset: request)
 	Subset, OverflowSubset int
 	// ParentSubset is the number of the set of parents that are preferred for a request's fills. Other parents are
 	// used only if none of these is available. 0: no preference. A subset that no EventSubset has defined is empty:
@@ -82,8 +83,9 @@
 	SubsetServers   []string // subset: the names of its servers; empty: the subset is deleted
 
 	// MaxPossibleOriginFills limits the fills in flight that may reach the origin. MaxConfirmedOriginFills limits the
-	// fills that are known to reach it; if it is set, a parent must first report that it has no cached copy. 0: no
-	// bound other than the limit learned from the origin's responses. (EventOriginFillBounds)
+	// fills that are known to reach it; if it is set, a fill may go to the origin only after a parent has reported that
+	// it has no cached copy. 0: no bound other than the limit learned from the origin's responses.
+	// (EventOriginFillBounds)
 	MaxPossibleOriginFills  float64
 	MaxConfirmedOriginFills float64
 }
@@ -155,10 +157,10 @@
 	CacheHit                       // found at the edge cache
 	FilledFromSource               // filled from a copy that the source had
 	FilledFromOrigin               // filled from the origin
-	JoinedFill                     // waited for a fill in progress; with OutcomeMiss: one is in progress
+	JoinedFill                     // served by a fill that was in progress; with OutcomeMiss: a fill is in progress
 	ServedStale                    // a copy past its freshness lifetime
 	SourceRejected                 // the source rejected the fill
-	SourceUnreachable              // the source is unreachable, broken or too slow
+	SourceUnreachable              // the source is unreachable, fails or is too slow
 	SourceMissed                   // the source has no copy
 	FillsExhausted                 // the edge cache is at its fill limit
 	OriginFailed                   // the parent's request to the origin failed
@@ -170,8 +172,8 @@
 var cacheStatusNames = [...]string{
 	CacheStatusUnknown: "unknown", CacheHit: "hit", FilledFromSource: "filled from source",
 	FilledFromOrigin: "filled from origin", JoinedFill: "joined a fill", ServedStale: "served stale",
-	SourceRejected: "source rejected", SourceUnreachable: "source unreachable", SourceMissed: "source missed",
-	FillsExhausted: "fills exhausted", OriginFailed: "origin failed",
+	SourceRejected: "source rejected", SourceUnreachable: "source unreachable", SourceMissed: "source has no copy",
+	FillsExhausted: "fill limit reached", OriginFailed: "origin failed",
 }
 
 // IsFilled reports whether the response came through the source: from its own copy or from the origin.
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -1,16 +1,18 @@
 package routing
 
 const (
-	// freshnessJitter is the maximum random reduction of a freshness lifetime, as a fraction. It prevents that copies
-	// are renewed simultaneously.
+	// freshnessJitter is the maximum random reduction of a freshness lifetime, as a fraction. It prevents copies from
+	// being renewed simultaneously.
 	freshnessJitter = 0.2
-	// purgeClockMargin is subtracted from the age limit after a purge, in microseconds, as clocks advance in steps.
-	purgeClockMargin = 1_000
+	// clockMargin is subtracted from the age limit after a purge or a new version, in microseconds, as clocks advance
+	// in steps.
+	clockMargin = 1_000
 )
 
 // maxAge returns the maximum age of a copy for a request, in microseconds; 0: no limit. It is the freshness lifetime
-// minus jitter or, for an attempt that accepts any cached copy, the lifetime plus its grace period. It never exceeds
-// the time since a purge or since the request's MinVersionTime.
+// minus jitter or, for an attempt that accepts any cached copy, the lifetime plus its grace period, but at least the
+// request's MaxAge. For a class without a freshness lifetime there is no such limit, and MaxAge has no effect. In both
+// cases the result never exceeds the time since a purge or the request's MinVersionTime, as given by timeSinceChange.
 func (e *Engine) maxAge(req *request) (limit int64) {
 	if fresh := valueAt(e.settings.Hierarchy.FreshnessLifetime, req.class); fresh > 0 {
 		limit = fresh - int64(freshnessJitter*e.rng.Float64()*float64(fresh))
@@ -26,19 +28,20 @@
 	return limit
 }
 
-// timeSinceChange returns the time, in microseconds, since the last change of a request's object: a purge of the object
-// or its group, or a new version at the time latest, if that is not 0. It returns 0 if there was no recent change.
-func (e *Engine) timeSinceChange(req *request, latest int64) int64 {
-	isChanged := latest != 0
+// timeSinceChange returns the time, in microseconds, since the last change of a request's object, less clockMargin but
+// at least 1. A change is a purge of the object or its group, or a new version at the time changedAt, if that is not 0.
+// It returns 0 if there was no change, or only purges past their retention.
+func (e *Engine) timeSinceChange(req *request, changedAt int64) int64 {
+	isChanged := changedAt != 0
 	for _, key := range [...]purgeKey{{object: req.Object}, {group: req.PurgeGroup}} {
 		madeAt, isPurged := e.purgedAt[key]
-		if isPurged && e.now-madeAt-purgeClockMargin <= e.purgeRetention {
-			latest = max(latest, madeAt)
+		if isPurged && e.now-madeAt-clockMargin <= e.purgeRetention {
+			changedAt = max(changedAt, madeAt)
 			isChanged = true
 		}
 	}
 	if !isChanged {
 		return 0
 	}
-	return max(e.now-latest-purgeClockMargin, 1)
+	return max(e.now-changedAt-clockMargin, 1)
 }
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("freshness lifetime %d, request limit of 500 s: MaxAge %d", fresh, got)
 	}
 	action := send("d", "small", engine.now-100*ms, 500*sec)
-	if want := int64(100*ms - purgeClockMargin); action.MaxAge != want {
+	if want := int64(100*ms - clockMargin); action.MaxAge != want {
 		t.Errorf("minimum version 100 ms ago: MaxAge %d, want %d", action.MaxAge, want)
 	}
 	cachedCopy := engine.stepOne(outcomeEvent(action, 0, OutcomeError, SourceUnreachable))
--- a/routing/handover.go
+++ b/routing/handover.go
@@ -117,7 +117,7 @@
 		ColdDraw:           srv.coldDraw,
 		BreakerOpenUntil:   srv.breaker.openUntil,
 		BreakerTrialFailed: srv.breaker.hasTrialFailed,
-		NextOutcome:        srv.breaker.next,
+		NextOutcome:        srv.breaker.outcomeCount,
 	}
 	for i, outcome := range srv.breaker.outcomes {
 		state.OutcomeWeights[i] = outcome.weight
@@ -130,8 +130,8 @@
 }
 
 // RestoreLearnedState applies the learned state of another process of the same router. The state of servers that are
-// not listed, or that have restarted since, is ignored. If the state is too old or a value is implausible, the error
-// names the value and nothing changes.
+// not listed, or that have restarted since, is ignored. If the state is too old or a value is implausible, nothing
+// changes. The error names the field, or a group of fields of which one is implausible.
 func (e *Engine) RestoreLearnedState(now int64, state LearnedState) error {
 	if err := state.validate(now); err != nil {
 		return err
@@ -181,7 +181,7 @@
 		srv.coldSends = append(srv.coldSends, coldSend{s.SentAt, s.Work})
 	}
 	srv.breaker = circuitBreaker{
-		next:           state.NextOutcome,
+		outcomeCount:   state.NextOutcome,
 		openUntil:      state.BreakerOpenUntil,
 		hasTrialFailed: state.BreakerTrialFailed,
 	}
@@ -190,10 +190,10 @@
 	}
 }
 
-// validate returns an error if the state is too old or was damaged in its file.
+// validate returns an error if TakenAt is more than maxLearnedStateAge before or after now, or a value is implausible.
 func (s *LearnedState) validate(now int64) error {
 	if age := now - s.TakenAt; age > maxLearnedStateAge || age < -maxLearnedStateAge {
-		return fmt.Errorf("learned state taken %d us ago: %w", age, ErrLearnedStateAge)
+		return fmt.Errorf("learned state has an age of %d us: %w", age, ErrLearnedStateAge)
 	}
 	areRatesPlausible := len(s.PeakWorkRates) == int(roleCount) && arePlausible(s.PeakWorkRates...)
 	if !areRatesPlausible || len(s.RecentRequests) > maxRecentObjects || !arePlausible(s.CancelBudget) {
@@ -222,7 +222,7 @@
 }
 
 // problem describes the first value that could eject a server for too long or put an index out of range, starting with
-// the name of the field in the stored file. It returns "" if there is no such value.
+// the name of its field in the stored file, or of a group of fields. It returns "" if there is no such value.
 func (s *ServerState) problem(now int64) string {
 	sums := []float64{s.ConcurrencyLimit, s.AnswerCount, s.RecentAnswers.Sum, s.RecentWork.Sum}
 	switch {
@@ -243,7 +243,7 @@
 		}
 	}
 	if latest > now+maxLearnedStateAge {
-		return fmt.Sprintf("a time is %d us ahead of now", latest-now)
+		return fmt.Sprintf("CutAt, DrawnAt or an At of Answers, Work or Spent is %d us ahead of now", latest-now)
 	}
 	return ""
 }
--- a/routing/handover_test.go
+++ b/routing/handover_test.go
@@ -14,7 +14,7 @@
 // It also returns the endpoint list and the present time.
 func engineWithHistory(t *testing.T, seed uint64) (*Engine, []Endpoint, int64) {
 	t.Helper()
-	settings := baseSettings()
+	settings := settingsWithoutParents()
 	settings.Guarantees = Guarantees{
 		WarmUpTime:       16_000_000,
 		InitialCapacity:  0.18,
@@ -136,7 +136,7 @@
 	next.Step(now, []Event{{Kind: EventEndpoints, UpdateMode: UpdateReplace, Endpoints: list}})
 	fresh := next.LearnedState(now)
 	for want, corrupt := range map[string]func(*LearnedState){
-		"us ago":           func(s *LearnedState) { s.TakenAt -= maxLearnedStateAge + 1 },
+		"has an age of":    func(s *LearnedState) { s.TakenAt -= maxLearnedStateAge + 1 },
 		"Peak":             func(s *LearnedState) { s.PeakWorkRates = nil },
 		"Nodes[0].Limit":   func(s *LearnedState) { s.Servers[0].ConcurrencyLimit = -1 },
 		"Nodes[1].Until":   func(s *LearnedState) { s.Servers[1].BreakerOpenUntil = now + maxBreakerOpenAhead + 1 },
@@ -157,7 +157,7 @@
 			}
 			var stateError *LearnedStateError
 			if isOld := errors.Is(err, ErrLearnedStateAge); isOld == errors.As(err, &stateError) {
-				t.Errorf("%T: %v, want either an age or a *LearnedStateError", err, err)
+				t.Errorf("%T: %v, want either ErrLearnedStateAge or a *LearnedStateError", err, err)
 			}
 			if got := next.LearnedState(now); !reflect.DeepEqual(got, fresh) {
 				t.Error("rejected state changed the engine")
--- a/routing/idempotency.go
+++ b/routing/idempotency.go
@@ -4,8 +4,8 @@
 	// deduplicationWindowShare is the fraction of a class's DeduplicationWindow within which a request with an
 	// idempotency key is retried.
 	deduplicationWindowShare = 0.9
-	// retryAfterObjectives is the minimum Retry-After of a rejection, in latency objectives. The maximum is twice that.
-	// It is so short that the response to a client's retry can still have its full weight.
+	// retryAfterObjectives is the minimum Retry-After of a rejection, in latency objectives. Even the maximum, twice
+	// that, is short enough that the response to a client's retry can still have its full weight.
 	retryAfterObjectives = 0.12
 )
 
--- a/routing/idempotency_test.go
+++ b/routing/idempotency_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// A retry may wait for a connection at the router. Its SendWithin must end before the deduplication window of a request
-// with an idempotency key, or else the request could run twice.
+// A retry may wait for a connection at the router. Its SendWithin must not be longer than the rest of the deduplication
+// window of a request with an idempotency key. Otherwise the request could run twice.
 func TestRetryIsSentWithinDeduplicationWindow(t *testing.T) {
 	for class, hasSideEffects := range map[string]bool{"keyed": true, "zoned": true, "unsafe": true, "big": false} {
 		t.Run(class, func(t *testing.T) {
--- a/routing/invariants_test.go
+++ b/routing/invariants_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// For random event sequences that are valid on the wire, every action observes the rules, each request gets exactly one
-// final answer, and equal events result in equal actions.
+// For random event sequences that are valid on the wire, no unavailable server is used, no request can run twice, no
+// purged copy is accepted, each request gets exactly one final answer, and equal events result in equal actions.
 func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		run := func() []Action { return runRandomEvents(t, seed) }
@@ -170,7 +170,7 @@
 		r.isUnavailable[endpoint.Server] = endpoint.Status != EndpointHealthy
 		r.queueFirst(Event{Kind: EventEndpoints, UpdateMode: UpdateChanges, Endpoints: []Endpoint{endpoint}})
 	}
-	if r.rng.IntN(50) == 0 { // also for servers that are unknown or no parents
+	if r.rng.IntN(50) == 0 { // also for servers that are unknown or not parents
 		reported := []string{"p0", "p1", "c0", "o", "nobody"}[r.rng.IntN(5)]
 		r.queue = append(r.queue, Event{Kind: EventParentOverloaded, Server: reported})
 	}
@@ -213,8 +213,8 @@
 		r.checkSend(req, action)
 		r.send(req, action)
 	case ActionReject:
-		isKeyedByAll := req.class.Idempotency == IdempotentKey && req.class.DeduplicationScope == DeduplicatedByAll
-		mayReject := req.class.Idempotency == IdempotentRead || isKeyedByAll
+		dropsRepeats := req.class.Idempotency == IdempotentKey && req.class.DeduplicationScope == DeduplicatedByAll
+		mayReject := req.class.Idempotency == IdempotentRead || dropsRepeats
 		if req.mayHaveRun && !mayReject {
 			r.t.Fatalf("seed %d: rejection of a request that may have run", r.seed)
 		}
--- a/routing/lost_responses.go
+++ b/routing/lost_responses.go
@@ -3,13 +3,13 @@
 // Constants for the detection of attempts whose response will not arrive. A server is unresponsive if it answers no
 // request. A response is lost if only one attempt gets none while its edge cache answers others.
 const (
-	unresponsiveMinAnswersDue = 8    // responses due, and none received: unresponsive (by chance under 1 in 1000)
+	unresponsiveMinAnswersDue = 8    // responses due without any received: unresponsive; by chance under 1 in 1000
 	unresponsiveMaxObjectives = 4    // latency objectives without a response: unresponsive, however few were due
 	unresponsiveCheckInterval = 0.5  // latency objectives between checks
-	minObjectiveDeadlineShare = 0.05 // minimum objective for that interval, as a fraction of the deadline
+	minObjectiveDeadlineShare = 0.05 // lower bound on the objective in check intervals, as a fraction of the deadline
 
-	initialTailMultiple    = 4.0  // initial tail of response times, in usual response times
-	lostTailMultiple       = 1.5  // tails after which the response to a first attempt is lost
+	initialTailMultiple    = 4.0  // initial percentile estimate, as a multiple of the usual response time
+	lostTailMultiple       = 1.5  // multiple of the percentile estimate after which a first response is lost
 	lostMinAnswers         = 3    // responses of its edge cache since then; with fewer, other attempts may be affected
 	cancelBudgetPerRequest = 0.03 // fraction of requests whose attempt may be canceled as lost, to bound retries
 	maxCancelBudget        = 5    // requests
@@ -38,7 +38,7 @@
 	if token == 0 {
 		e.emit(Action{Kind: ActionSubscribe, Enabled: true})
 	}
-	if req == nil || !req.inFlight || e.requests[req.RequestID] != req || req.isStarted {
+	if req == nil || !req.inFlight || e.requests[req.RequestID] != req || req.isResponseStarted {
 		return
 	}
 	watched := &req.current
@@ -50,10 +50,10 @@
 	}
 	if e.isAttemptUnresponsive(req, watched) {
 		mayRepeat := e.settings.Classes[req.class].Idempotency != NotIdempotent
-		if !watched.isCanceledAsUnresponsive && e.settings.Permissions.MayCancel && mayRepeat {
+		if !watched.foundUnresponsive && e.settings.Permissions.MayCancel && mayRepeat {
 			e.cancelAttempt(req)
 		}
-		watched.isCanceledAsUnresponsive = true
+		watched.foundUnresponsive = true
 		return
 	}
 	e.watchAttempt(req)
--- a/routing/lost_responses_test.go
+++ b/routing/lost_responses_test.go
@@ -64,7 +64,7 @@
 				t.Errorf("after the cancellation: %+v, want an attempt at the same cache", retry)
 			}
 			cache, parent := engine.servers["c0"], engine.servers["p0"]
-			if cache.breaker.next != tc.others || parent.breaker.next != 0 {
+			if cache.breaker.outcomeCount != tc.others || parent.breaker.outcomeCount != 0 {
 				t.Error("a single lost response was charged to a server")
 			}
 		})
--- a/routing/origin_fills.go
+++ b/routing/origin_fills.go
@@ -5,17 +5,20 @@
 // Constants of the limit on fills that may reach the origin. These fills go to the origin directly, or to parents,
 // which may forward them to the origin. The limit is therefore not that of a single server.
 const (
-	unlimitedOriginFills    = 1000 // fills in flight; initial and maximum limit, which few routers ever reach
-	minOriginFills          = 1    // minimum limit, in fills in flight, needed to detect a recovery
-	originFillsGrowthFactor = 1.1  // growth of the limit at a timely response
-	originFillsGrowthStep   = 0.5  // additional growth, in fills: the limit recovers from 1 within a few responses
+	// maxOriginFills is the initial limit, in fills in flight, and its maximum unless a bound is set. Few routers ever
+	// reach it. A bound of at least this value counts as none.
+	maxOriginFills = 1000
+
+	minOriginFills          = 1   // minimum limit, in fills in flight, needed to detect a recovery
+	originFillsGrowthFactor = 1.1 // growth of the limit at a timely response
+	originFillsGrowthStep   = 0.5 // additional growth, in fills: the limit recovers from 1 within a few responses
 )
 
 // boundOriginFills sets the bounds on fills that reach the origin; 0: no bound.
 func (e *Engine) boundOriginFills(ev *Event) {
-	e.maxPossibleOriginFills = cmp.Or(ev.MaxPossibleOriginFills, unlimitedOriginFills)
-	e.maxConfirmedOriginFills = cmp.Or(ev.MaxConfirmedOriginFills, unlimitedOriginFills)
-	e.originFills.concurrencyLimit = min(e.originFills.concurrencyLimit, e.maxPossibleOriginFills)
+	e.maxPotentialOriginFills = cmp.Or(ev.MaxPossibleOriginFills, maxOriginFills)
+	e.maxConfirmedOriginFills = cmp.Or(ev.MaxConfirmedOriginFills, maxOriginFills)
+	e.originFills.concurrencyLimit = min(e.originFills.concurrencyLimit, e.maxPotentialOriginFills)
 }
 
 // mayFillFromOrigin reports whether a request's fill may go to the origin: within the learned limit on fills that may
@@ -24,17 +27,18 @@
 func (e *Engine) mayFillFromOrigin(req *request) bool {
 	if !req.isMissConfirmed {
 		hasCapacity := e.hasCapacity(req, &e.originFills)
-		return hasCapacity && e.maxConfirmedOriginFills >= unlimitedOriginFills
+		return hasCapacity && e.maxConfirmedOriginFills >= maxOriginFills
 	}
 	if !e.hasConfirmedFillCapacity(req) {
 		return false
 	}
-	isUnbounded := e.maxPossibleOriginFills >= unlimitedOriginFills
-	return isUnbounded || e.hasCapacityWithin(req, &e.originFills, e.maxPossibleOriginFills)
+	isUnbounded := e.maxPotentialOriginFills >= maxOriginFills
+	return isUnbounded || e.hasCapacityWithin(req, &e.originFills, e.maxPotentialOriginFills)
 }
 
 // hasConfirmedFillCapacity reports whether one more fill known to reach the origin is within the limit. All accounting
-// groups share this limit. Only weights of cacheable classes are compared, as uncacheable requests cause no fills.
+// groups share this limit. The part of it that a request may use depends on the request's weight density relative to
+// the greatest of the cacheable classes, since uncacheable requests cause no fills.
 func (e *Engine) hasConfirmedFillCapacity(req *request) bool {
 	limit := min(e.originFills.concurrencyLimit, e.maxConfirmedOriginFills)
 	limit *= e.usableLimitShare(req, e.maxCacheableWeightDensity())
@@ -67,11 +71,11 @@
 	target := lateObjectiveShareUnsized * e.latencyObjective(req)
 	if wait <= target {
 		grown := fills.concurrencyLimit*originFillsGrowthFactor + originFillsGrowthStep
-		fills.concurrencyLimit = min(grown, e.maxPossibleOriginFills)
+		fills.concurrencyLimit = min(grown, e.maxPotentialOriginFills)
 		return
 	}
 	if e.now-fills.limitReducedAt > int64(e.meanSendTime[req.class]) {
-		// The reduction starts from the number in flight, as hundreds of reductions would be needed from the limit.
+		// The reduction starts from the number in flight: from the initial limit, dozens of reductions could be needed.
 		used := min(fills.concurrencyLimit, float64(fills.inFlight+1))
 		fills.concurrencyLimit = max(used*min(target/wait, limitDecreaseFactor), minOriginFills)
 		fills.limitReducedAt = e.now
--- a/routing/origin_fills_test.go
+++ b/routing/origin_fills_test.go
@@ -34,7 +34,7 @@
 
 // Most fills in flight are hits at the parent and never reach the origin, but count against the limit on fills that may
 // reach it. A miss that a cached-only fill has confirmed is counted separately. Otherwise the limit is always reached,
-// and misses are rejected while the origin is idle: 41% of requests rejected, a fifth of the usual fills.
+// and misses are rejected while the origin is idle.
 func TestConfirmedMissIsFetchedFromOrigin(t *testing.T) {
 	engine := newTestEngine(t, distantOriginSettings(), 2, 1)
 	engine.raiseLimits()
@@ -88,7 +88,7 @@
 }
 
 // When the origin slows down, the limit falls in one step to the number of fills that would have been on time, since
-// waits are proportional to the fills in flight. In steps of 15% it would need five seconds.
+// waits are proportional to the fills in flight. In steps of limitDecreaseFactor the overload would last longer.
 func TestOriginFillLimitFallsInProportionToLateness(t *testing.T) {
 	for _, late := range []float64{1.1, 4} {
 		engine := newTestEngine(t, distantOriginSettings(), 2, 1)
@@ -182,8 +182,8 @@
 }
 
 // MaxPossibleOriginFills bounds all fills that may reach the origin, including confirmed ones, which are counted
-// separately. If confirmed fills did not count, a flood of new objects would have twice as many fills at the origin and
-// slow it down for all cells.
+// separately. If confirmed fills did not count, many requests for new objects could cause twice the bound of fills at
+// the origin and slow it down for all cells.
 func TestConfirmedFillsCountTowardsBoundOnAllFills(t *testing.T) {
 	engine := newOriginLimitEngine(t, 8)
 	if inFlight := engine.requestNewObjects(1, 100, "l"); inFlight < 6 || inFlight > 8 {
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -13,7 +13,7 @@
 	}
 	ended := req.current
 	e.releaseAttempt(req)
-	if ev.Outcome == OutcomeCanceled && (ended.isCanceledAsUnresponsive || ended.isCanceledAsLost) {
+	if ev.Outcome == OutcomeCanceled && (ended.foundUnresponsive || ended.isCanceledAsLost) {
 		ev.Outcome = OutcomeTimedOut
 	}
 	e.learnLoadReport(ended.server, ev.LoadReport)
@@ -29,11 +29,11 @@
 		req.firstRunServer = ended.server
 	}
 	switch e.prepareRetry(req, &ended, ev, charged) {
-	case retryAttempt:
+	case decisionRetry:
 		e.sendNextAttempt(req)
-	case retryRejected:
+	case decisionReject:
 		e.rejectOrFail(req)
-	case retryFailed:
+	case decisionFail:
 		e.closeRequest(req.RequestID)
 		e.emit(Action{Kind: ActionFail, RequestID: req.RequestID})
 	}
@@ -43,9 +43,9 @@
 type retryDecision int
 
 const (
-	retryAttempt  retryDecision = iota // another attempt
-	retryRejected                      // no retry: reject the request, or fail it if it may have run
-	retryFailed                        // no retry: the request itself is at fault
+	decisionRetry  retryDecision = iota // another attempt
+	decisionReject                      // no retry: reject the request, or fail it if it may have run
+	decisionFail                        // no retry: the request itself is at fault
 )
 
 // prepareRetry decides whether another attempt follows a failed one. It stores in the request where the attempt may go:
@@ -53,28 +53,29 @@
 func (e *Engine) prepareRetry(req *request, ended *attempt, ev *Event, charged *server) retryDecision {
 	switch {
 	case len(req.unexplainedErrorCaches) >= maxUnexplainedErrors:
-		return retryFailed
+		return decisionFail
 	case req.isCachedCopyOnly:
-		return e.retryAfterCachedCopy(req, ended, ev)
+		return e.decideAfterCachedCopy(req, ended, ev)
 	case hasConfirmedMiss(req, ended, ev):
 		req.isMissConfirmed = true
 		req.retryCache = ended.server
 		mayBeStale := valueAt(e.settings.Hierarchy.FreshnessLifetime, req.class) > 0
 		req.isCachedCopyOnly = !req.triedCachedCopy && mayBeStale
 	case e.hasFillFailed(ended, ev, charged):
-		return e.retryAfterFailedFill(req, ended, ev)
+		return e.decideAfterFailedFill(req, ended, ev)
 	case ended.server.role == roleEdgeCache:
 		req.retryCache = nil
 		req.failedCaches = append(req.failedCaches, ended.server)
 	default:
 		req.failedSources = append(req.failedSources, ended.server)
 	}
-	return retryAttempt
+	return decisionRetry
 }
 
-// retryAfterCachedCopy decides what follows a failed attempt for any cached copy: an attempt with a source if one may
-// still be untried, otherwise a rejection.
-func (e *Engine) retryAfterCachedCopy(req *request, ended *attempt, ev *Event) retryDecision {
+// decideAfterCachedCopy decides what follows a failed attempt for any cached copy: another attempt, with a source. The
+// request is rejected if no source has failed or reported a miss, and either this was not its first attempt or
+// isAnyParentFull is set.
+func (e *Engine) decideAfterCachedCopy(req *request, ended *attempt, ev *Event) retryDecision {
 	req.isCachedCopyOnly = false
 	req.cachedCopyMissed = true
 	if ev.Outcome != OutcomeMiss && ev.Outcome != OutcomeRejected {
@@ -82,10 +83,10 @@
 		req.failedCaches = append(req.failedCaches, ended.server)
 	}
 	hasTriedSource := len(req.failedSources) > 0 || req.isMissConfirmed
-	if !hasTriedSource && (req.attempts > 1 || req.areSourcesFull) {
-		return retryRejected
+	if !hasTriedSource && (req.attempts > 1 || req.isAnyParentFull) {
+		return decisionReject
 	}
-	return retryAttempt
+	return decisionRetry
 }
 
 // hasConfirmedMiss reports whether a fill with FetchCachedOnly found no copy at its source. The next fill may then go
@@ -95,7 +96,8 @@
 	return isCachedOnly && ev.CacheStatus == SourceMissed && !req.isMissConfirmed
 }
 
-// hasFillFailed reports whether the fill failed rather than the edge cache, which may then be tried again.
+// hasFillFailed reports whether the fill, and not the edge cache, is the cause of a failure, so that the same cache may
+// be tried again.
 func (e *Engine) hasFillFailed(ended *attempt, ev *Event, charged *server) bool {
 	if !ended.isFill || ended.server.role != roleEdgeCache {
 		return false
@@ -106,18 +108,18 @@
 		e.wasFillRejected(ended, ev)
 }
 
-// retryAfterFailedFill decides what follows a failed fill: an attempt at the same edge cache for any cached copy, then
+// decideAfterFailedFill decides what follows a failed fill: an attempt at the same edge cache for any cached copy, then
 // one with another source. An edge cache at its fill limit cannot fill from any source, so no other source is tried.
 // A retry at another cache would add to the congestion.
-func (e *Engine) retryAfterFailedFill(req *request, ended *attempt, ev *Event) retryDecision {
+func (e *Engine) decideAfterFailedFill(req *request, ended *attempt, ev *Event) retryDecision {
 	req.retryCache = ended.server
 	req.isCachedCopyOnly = !req.triedCachedCopy
 	if ev.CacheStatus != FillsExhausted {
 		req.failedSources = append(req.failedSources, ended.source)
-		return retryAttempt
+		return decisionRetry
 	}
 	if req.triedCachedCopy {
-		return retryRejected
+		return decisionReject
 	}
-	return retryAttempt
+	return decisionRetry
 }
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -20,7 +20,7 @@
 
 // If an edge cache is at its fill limit, the request must not be retried at other caches. Such retries would keep all
 // caches at their limits.
-func TestExhaustedFillsAreNotRetriedElsewhere(t *testing.T) {
+func TestRequestIsNotRetriedElsewhereAtFillLimit(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 2)
 	first := engine.request("small", "x")
 	second := engine.stepOne(outcomeEvent(first, 0, OutcomeRejected, FillsExhausted))
--- a/routing/overload_reports_test.go
+++ b/routing/overload_reports_test.go
@@ -14,7 +14,7 @@
 		engine.servers["c0"].concurrencyLimit, engine.servers["p0"].concurrencyLimit = 9, 9
 		ev := outcomeEvent(engine.stepOne(largeRequest(9*sec)), 0, OutcomeServed, status)
 		ev.ResponseTime = 8 * sec
-		engine.servers["c0"].concurrencyLimit, engine.servers["p0"].concurrencyLimit = 1.5, 1.5 // in use by this one
+		engine.servers["c0"].concurrencyLimit, engine.servers["p0"].concurrencyLimit = 1.5, 1.5 // in use
 		engine.step(ev)
 	}
 	late(CacheHit)
@@ -34,8 +34,8 @@
 }
 
 // In a fleet of hundreds of routers, a parent that waits for the origin is not overloaded, and a timed-out fill is not
-// reported. If both were reported, fills would run at a quarter of the parents' capacity while six in ten caches are
-// empty, and 66% of requests would be rejected for five seconds. With few routers the wait counts.
+// reported. If both were reported, the parents' limits would fall while many caches are empty, and requests would be
+// rejected. With few routers the wait counts.
 func TestWaitForOriginIsNotReportedAsOverload(t *testing.T) {
 	for _, tc := range []struct {
 		routers               int
@@ -67,8 +67,8 @@
 }
 
 // An overload report of other routers reduces the parent's limit as a late response does, but has no other effect: it
-// is not forwarded, no breaker opens, and timely responses raise the limit again. Without reports, each of 309 routers
-// must be rejected at each parent before it reduces its limit.
+// is not forwarded, no breaker opens, and timely responses raise the limit again. Without reports, each router reduces
+// its limit at a parent only after its own requests were late or rejected there.
 func TestReportedOverloadReducesParentLimit(t *testing.T) {
 	settings := testSettings()
 	settings.WeightSource = WeightsNominal
@@ -83,7 +83,7 @@
 		Event{Kind: EventParentOverloaded, Server: origin.name},
 		Event{Kind: EventParentOverloaded, Server: "nobody"},
 	)
-	known := lateServerTransfers * 15.0 / 300 / defaultMissRatio
+	known := maxReducedLimitMultiple * 15.0 / 300 / defaultMissRatio
 	if before < initialLimitMargin || math.Abs(parent.concurrencyLimit-known) > 1e-9 {
 		t.Fatalf("limit %v before and %v after the report, want %v", before, parent.concurrencyLimit, known)
 	}
@@ -91,7 +91,7 @@
 		t.Errorf("cache limit reduced at %d, origin limit at %d, want 0", cache.limitReducedAt, origin.limitReducedAt)
 	}
 	if parent.breaker.openUntil != 0 || len(engine.reportedOverloads) != 0 {
-		t.Errorf("breaker %+v, reported %v, want closed and none", parent.breaker, engine.reportedOverloads)
+		t.Errorf("breaker %+v, reported %v, want it closed and no report", parent.breaker, engine.reportedOverloads)
 	}
 	engine.step(Event{Kind: EventParentOverloaded, Server: "p0"})
 	if math.Abs(parent.concurrencyLimit-known) > 1e-9 {
--- a/routing/purges.go
+++ b/routing/purges.go
@@ -38,8 +38,8 @@
 	return purge
 }
 
-// recordPurge records a purge for Engine.purgeRetention. After that time all caches have dropped older copies, and all
-// fills that began before the purge have ended.
+// recordPurge records a purge and keeps it for Engine.purgeRetention. After that time all caches have dropped older
+// copies, and all fills that began before the purge have ended.
 func (e *Engine) recordPurge(ev *Event) {
 	e.dropExpiredPurges()
 	key := purgeKey{object: ev.Object}
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// referencePurges is a simple reference implementation: it scans all purges at each purge, and computes each age limit
-// independently.
+// referencePurges is a simple reference implementation of purge records and age limits. It scans all records at each
+// new purge, and computes each age limit independently.
 type referencePurges struct{ *Engine }
 
 // recordPurge is the reference of Engine.recordPurge.
@@ -26,7 +26,7 @@
 func (p referencePurges) sincePurge(req *request) (since int64) {
 	for _, key := range []purgeKey{{object: req.Object}, {group: req.PurgeGroup}} {
 		made, known := p.purgedAt[key]
-		age := max(p.now-made-purgeClockMargin, 1)
+		age := max(p.now-made-clockMargin, 1)
 		if known && age <= p.purgeRetention && (since == 0 || age < since) {
 			since = age
 		}
@@ -48,7 +48,7 @@
 	if since := p.sincePurge(req); since != 0 && (limit == 0 || since < limit) {
 		limit = since
 	}
-	since := max(p.now-req.MinVersionTime-purgeClockMargin, 1)
+	since := max(p.now-req.MinVersionTime-clockMargin, 1)
 	if req.MinVersionTime != 0 && (limit == 0 || since < limit) {
 		limit = since
 	}
@@ -75,7 +75,7 @@
 			retention := engine.purgeRetention
 			waits := []int64{
 				0, 1, ms, 100 * ms, sec, 4 * sec,
-				retention, retention + purgeClockMargin/2, retention + purgeClockMargin + 1,
+				retention, retention + clockMargin/2, retention + clockMargin + 1,
 			}
 			now += rapid.SampledFrom(waits).Draw(t, "wait")
 			engine.now = now
@@ -83,7 +83,7 @@
 			object := rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "object")
 			group := rapid.Int64Range(0, 2).Draw(t, "group")
 			ago := rapid.SampledFrom([]int64{
-				0, 1, ms, sec, retention - 1, retention, retention + purgeClockMargin, 20 * sec, 2000 * sec,
+				0, 1, ms, sec, retention - 1, retention, retention + clockMargin, 20 * sec, 2000 * sec,
 			})
 			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0:
@@ -134,7 +134,7 @@
 	for i := range 20 * maxKept {
 		object := fmt.Sprint(i)
 		if i%2 == 0 {
-			object = "repeated"
+			object = "again and again"
 		}
 		engine.Step(int64(i)*gap, []Event{{Kind: EventPurge, Object: object}})
 		if len(engine.purges) > maxKept+1 || len(engine.purgedAt) > len(engine.purges) {
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -22,9 +22,11 @@
 	// hashBits is the number of bits of a finished hash, the precision of a float64.
 	hashBits = 53
 	// maxServersWithoutTable is the maximum number of servers for which no table is kept. Their names are hashed for
-	// each key: a table would be larger than the servers, and thousands of tenants may each have such a small subset.
+	// each key: a table would take more memory than the servers, and thousands of tenants may each have such a small
+	// subset.
 	maxServersWithoutTable = 8
-	// maxReturnedUnsorted is the number of servers returned one by one. For any further server, sorting costs less.
+	// maxReturnedUnsorted is the number of servers that next finds without sorting the list. For any further server,
+	// sorting costs less.
 	maxReturnedUnsorted = 6
 	// boundMargin keeps a lower bound below its score despite rounding errors.
 	boundMargin = 1 - 1e-9
@@ -36,13 +38,13 @@
 // therefore depends only on the low byte of h: the final state is h*namePower + nameSums[low byte of h].
 type rendezvousRanking struct {
 	// Independent of the key.
-	servers         []*server
-	isWeighted      bool
-	hasSameNameSize bool       // all names have the same length
-	boundFactor     []float64  // by server: lower bound on its score per unit of distance from the greatest hash
-	namePower       []uint64   // by server: fnvPrime to the power of its name's length
-	nameSums        [][]uint64 // by low byte, then by server; rows are computed on first use; nil with few servers
-	singleRow       []uint64   // with few servers: the row of the current key
+	servers             []*server
+	isWeighted          bool
+	hasEqualNameLengths bool       // all names have the same length
+	boundFactor         []float64  // by server: factor of lowerBound
+	namePower           []uint64   // by server: fnvPrime to the power of its name's length
+	nameSums            [][]uint64 // by low byte, then by server; rows are computed on first use; nil with few servers
+	singleRow           []uint64   // with few servers: the row of the current key
 
 	// For the current key.
 	hashes        []uint64   // by server; among equal weights the greatest hash is first in the order
@@ -58,12 +60,12 @@
 // newRendezvousRanking returns a ranking of a list of servers. The list, names and weights must not change afterwards.
 func newRendezvousRanking(servers []*server, isWeighted bool) *rendezvousRanking {
 	k := &rendezvousRanking{
-		servers:         servers,
-		hasSameNameSize: true,
-		boundFactor:     make([]float64, len(servers)),
-		namePower:       make([]uint64, len(servers)),
-		hashes:          make([]uint64, len(servers)),
-		sorted:          make([]int32, 0, len(servers)),
+		servers:             servers,
+		hasEqualNameLengths: true,
+		boundFactor:         make([]float64, len(servers)),
+		namePower:           make([]uint64, len(servers)),
+		hashes:              make([]uint64, len(servers)),
+		sorted:              make([]int32, 0, len(servers)),
 	}
 	if len(servers) > maxServersWithoutTable {
 		k.nameSums = make([][]uint64, 256)
@@ -71,7 +73,7 @@
 		k.singleRow = make([]uint64, len(servers))
 	}
 	for i, srv := range servers {
-		k.hasSameNameSize = k.hasSameNameSize && len(srv.name) == len(servers[0].name)
+		k.hasEqualNameLengths = k.hasEqualNameLengths && len(srv.name) == len(servers[0].name)
 		k.namePower[i] = 1
 		for range len(srv.name) {
 			k.namePower[i] *= fnvPrime
@@ -99,7 +101,7 @@
 	}
 	state := fnvState(key)
 	row := k.row(byte(state))
-	if k.hasSameNameSize && !k.isWeighted {
+	if k.hasEqualNameLengths && !k.isWeighted {
 		k.hashUnweighted(state, row)
 	} else {
 		k.hashWithBounds(state, row)
@@ -175,11 +177,11 @@
 	namePower := k.namePower[:len(row)]
 	boundFactor := k.boundFactor[:len(row)]
 	least, second, third := math.Inf(1), math.Inf(1), math.Inf(1)
-	if k.hasSameNameSize {
+	if k.hasEqualNameLengths {
 		state *= namePower[0]
 	}
 	for i, sum := range row {
-		if k.hasSameNameSize {
+		if k.hasEqualNameLengths {
 			sum += state
 		} else {
 			sum += state * namePower[i]
@@ -202,7 +204,8 @@
 	k.nextBounds = [2]float64{second, third}
 }
 
-// lowerBound returns a lower bound on a server's score, as -log(u) is never less than 1-u.
+// lowerBound returns a lower bound on a server's score, the distance of its hash from the greatest possible hash
+// multiplied by boundFactor, as -log(u) is never less than 1-u.
 func lowerBound(hash uint64, boundFactor float64) float64 {
 	return float64(int64(1<<hashBits-1-hash)) * boundFactor
 }
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -5,8 +5,7 @@
 	"strconv"
 )
 
-// recentRequestWindow is the number of requests over which requests are counted by object. When it is reached, all
-// counts are halved.
+// recentRequestWindow is the sum of the request counts by object at which all counts are halved.
 const recentRequestWindow = 512
 
 // request is an open client request. The Engine owns it from acceptRequest to closeRequest.
@@ -20,13 +19,13 @@
 	isOverQuota     bool    // its tenant exceeds its quota
 
 	// Attempts.
-	attempts    int // sent so far
-	maxAttempts int // the limit at the request's arrival
-	inFlight    bool
-	isStarted   bool    // the response has begun to stream to the client
-	current     attempt // the attempt in flight, or the last one
+	attempts          int // sent so far
+	maxAttempts       int // the limit at the request's arrival
+	inFlight          bool
+	isResponseStarted bool    // the response has begun to stream to the client
+	current           attempt // the attempt in flight, or the last one
 
-	// The first attempt that may have run. firstRunServer is nil if there is none.
+	// The first attempt that a server may have executed. firstRunServer is nil if there is none.
 	firstRunServer *server // the server that it was sent to
 	firstRunAt     int64   // the time at which it was sent
 
@@ -35,17 +34,19 @@
 	isCachedCopyOnly       bool      // the attempt accepts any cached copy, without a fill
 	triedCachedCopy        bool      // an attempt for any cached copy has been sent
 	cachedCopyMissed       bool      // the last attempt was for any cached copy, and failed
-	isMissConfirmed        bool      // a source is known to have no copy, so that a fill reaches the origin
-	areSourcesFull         bool      // at the last selection a source was full or cold, or there was no source
+	isMissConfirmed        bool      // a source reported that it has no copy: the next fill reaches the origin
+	isAnyParentFull        bool      // at the last selection a parent was full or cold, or there was none
 	failedCaches           []*server // edge caches at which this request failed
 	failedSources          []*server // sources at which it failed
-	unexplainedErrorCaches []*server // caches that gave an error without a reason; charged once another cache serves it
+	unexplainedErrorCaches []*server // caches that gave an error without a reason; charged when another cache serves it
 }
 
 // attempt is one attempt of a request.
 type attempt struct {
 	server *server // the server that the request is sent to
-	source *server // the server that fills a miss; equal to server: no fill; nil: plain lookup
+	// source is the server that fills a miss, or the origin to which an edge cache forwards an uncacheable request.
+	// Equal to server: no fill. nil: an uncacheable request that is sent directly to the origin.
+	source *server
 	sentAt int64
 	work   float64 // expected sending time
 
@@ -56,8 +57,8 @@
 	serverAnswersBefore float64 // answerCount of server when the attempt was sent
 	sourceAnswersBefore float64 // answerCount of source when the attempt was sent
 
-	isCanceledAsUnresponsive bool // canceled because its server or source did not respond to any request
-	isCanceledAsLost         bool // canceled because other requests got their responses in the meantime
+	foundUnresponsive bool // its server or source was found unresponsive; canceled only if that is permitted
+	isCanceledAsLost  bool // canceled because other requests got their responses in the meantime
 }
 
 // acceptRequest opens a client's request, and sends its first attempt or gives the final answer.
@@ -88,7 +89,7 @@
 // responseStarted records that a request's response has begun to stream to the client: no other attempt may follow.
 func (e *Engine) responseStarted(ev *Event) {
 	if req := e.requests[ev.RequestID]; req != nil {
-		req.isStarted = true
+		req.isResponseStarted = true
 	}
 }
 
@@ -125,7 +126,8 @@
 	})
 }
 
-// isHot reports whether an object's share of recent requests is too large for a single cache out of the given number.
+// isHot reports whether an object gets more than hotObjectShare of the recent requests that an average cache gets, if
+// the requests are distributed over the given number of caches.
 func (e *Engine) isHot(object string, caches int) bool {
 	counted := max(e.recentRequestCount, recentRequestWindow/8)
 	return float64(e.recentRequests[object]*caches) > hotObjectShare*float64(counted)
@@ -195,7 +197,7 @@
 	req.inFlight = false
 	last := &req.current
 	e.addInFlight(last.server, req.accountingGroup, -1)
-	for _, breaker := range last.trials { // a trial that ends without an outcome makes way for another
+	for _, breaker := range last.trials { // if it ended without an outcome, another attempt may be the trial
 		breaker.isTrialInFlight = false
 	}
 	if last.isFill {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -5,7 +5,8 @@
 const (
 	// hotObjectShare is the fraction of an average cache's requests above which an object is hot.
 	hotObjectShare = 0.25
-	// maxUncacheableAttempts limits the attempts of an uncacheable request, as rejections arrive without delay.
+	// maxUncacheableAttempts limits the attempts of an uncacheable request. Rejections arrive without delay, so that
+	// its retries would follow each other immediately.
 	maxUncacheableAttempts = 3
 	// retentionRank is the rank of all copies. As all have the same, the least recently used one is evicted first.
 	retentionRank = 1
@@ -127,18 +128,18 @@
 	if e.settings.Hierarchy.CollapsesFills && e.timeSinceChange(req, 0) == 0 {
 		flags = FetchCollapse // not after a purge: a fill in progress may return an older copy
 	}
-	isOriginClosed := !e.isOriginUsable(req) || !e.mayFillFromOrigin(req)
-	if isOriginClosed && len(e.parents) > 0 {
+	isOriginUnavailable := !e.isOriginUsable(req) || !e.mayFillFromOrigin(req)
+	if isOriginUnavailable && len(e.parents) > 0 {
 		flags |= FetchCachedOnly
 	}
-	source, isAnyFull := e.selectParent(req)
+	source, isAnyParentFull := e.selectParent(req)
 	if source != nil {
 		return source, flags
 	}
 	// The origin gets fills, within its limit, if all parents are full or cold, or if they are ejected and no cached
 	// copy was found.
-	mayBypassParents := isAnyFull || len(req.failedSources) > 0 || req.triedCachedCopy && req.attempts == 1
-	if mayBypassParents && !isOriginClosed && e.hasCapacity(req, e.origin) &&
+	mayBypassParents := isAnyParentFull || len(req.failedSources) > 0 || req.triedCachedCopy && req.attempts == 1
+	if mayBypassParents && !isOriginUnavailable && e.hasCapacity(req, e.origin) &&
 		!slices.Contains(req.failedSources, e.origin) {
 		return e.origin, flags
 	}
@@ -151,21 +152,22 @@
 }
 
 // selectParent selects a parent with capacity for a request, first from its parent subset, then from all parents.
-// isAnyFull, which is also stored in the request, reports whether a parent was full or cold, or there was none.
-func (e *Engine) selectParent(req *request) (selected *server, isAnyFull bool) {
+// isAnyParentFull, which is also stored in the request, reports whether a parent was at its concurrency limit or cold
+// budget, or there was no parent to prefer.
+func (e *Engine) selectParent(req *request) (selected *server, isAnyParentFull bool) {
 	preferred := e.parentRanking
 	if req.ParentSubset != 0 {
 		preferred = e.subsetOf(req.ParentSubset).ranking
 	}
 	isEmpty := len(preferred.servers) == 0
-	selected, isAnyFull = e.firstParentWithCapacity(req, preferred)
+	selected, isAnyParentFull = e.firstParentWithCapacity(req, preferred)
 	if selected == nil && preferred != e.parentRanking && !isEmpty {
-		var isParentFull bool
-		selected, isParentFull = e.firstParentWithCapacity(req, e.parentRanking)
-		isAnyFull = isAnyFull || isParentFull
+		var isOtherFull bool
+		selected, isOtherFull = e.firstParentWithCapacity(req, e.parentRanking)
+		isAnyParentFull = isAnyParentFull || isOtherFull
 	}
-	req.areSourcesFull = isEmpty || isAnyFull
-	return selected, req.areSourcesFull
+	req.isAnyParentFull = isEmpty || isAnyParentFull
+	return selected, req.isAnyParentFull
 }
 
 // firstParentWithCapacity selects the first usable parent in the rendezvous order of a request's object. isAnyFull
@@ -202,8 +204,8 @@
 	e.sendAttempt(req, next, Action{FetchFlags: flags, MaxAge: e.maxAge(req)})
 }
 
-// forwardUncacheable sends an uncacheable request to the origin regardless of circuit breakers: directly if possible,
-// otherwise through an edge cache.
+// forwardUncacheable sends an uncacheable request to the origin regardless of the origin's circuit breaker: directly if
+// possible, otherwise through an edge cache.
 func (e *Engine) forwardUncacheable(req *request) {
 	next := attempt{server: e.origin}
 	isDirect := e.settings.Hierarchy.AllowsDirectFetch && e.origin != nil
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -112,12 +112,12 @@
 		}
 	}
 	if unselected < 100 || notFirst < 1000 {
-		t.Errorf("too few hard cases: %d without a selected cache, %d not the first cache", unselected, notFirst)
+		t.Errorf("cases cover too little: %d without a selected cache, %d not the first cache", unselected, notFirst)
 	}
 }
 
 // The requests for a hot object are distributed over two caches under load, and sent to one cache otherwise.
-func TestHotObjectsSplitOnlyUnderLoad(t *testing.T) {
+func TestRequestsForHotObjectAreDistributedOnlyUnderLoad(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
 	used := map[string]bool{}
 	for range 40 {
@@ -172,7 +172,7 @@
 }
 
 // If all parents are ejected or drained, a miss is filled from the origin after no cached copy was found. Otherwise
-// misses, four in ten requests, are rejected for the cool-down of ten seconds while the origin is idle.
+// misses are rejected for the cool-down of ten seconds while the origin is idle.
 func TestMissIsFilledFromOriginWhileParentsAreEjected(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
 	for i := range 3 {
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -19,7 +19,7 @@
 	FleetSize     int            `json:"Siblings"` // number of routers that share the servers
 	Tenants       []Tenant       `json:"Tenants"`
 	WeightSource  WeightSource   `json:"WeightSource"`
-	Zone          string         `json:"Zone"` // of this router and of the edge caches it may use
+	Zone          string         `json:"Zone"` // of this router, and of its edge caches unless a subset lists others
 	Zones         []string       `json:"Zones"`
 
 	// OverQuotaWeightFactor is the priority weight of a request above its tenant's quota, as a fraction of its class's.
@@ -29,7 +29,7 @@
 // Class describes the requests of one class.
 type Class struct {
 	Name string `json:"Name"`
-	// ObjectiveSizeFactor times a response's own sending time is added to LatencyObjective.
+	// A response's objective is LatencyObjective plus its sending time multiplied by ObjectiveSizeFactor.
 	ObjectiveSizeFactor float64 `json:"AimStretch"`
 	Deadline            int64   `json:"Deadline"`  // total time that a client waits, including its own retries
 	LatencyObjective    int64   `json:"Promise"`   // a response within this time has its full weight
@@ -54,16 +54,16 @@
 	PeerSources           PeerSources          `json:"Neighbours"`
 	CacheStatusReporting  CacheStatusReporting `json:"NotesGiven"`
 	ResponseKBPerSecond   float64              `json:"PaceKbPerS"`    // maximum rate at which one response is sent
-	ParentInitialCapacity float64              `json:"ParentFloor"`   // minimum fraction of its capacity at the start
+	ParentInitialCapacity float64              `json:"ParentFloor"`   // minimum fraction that a parent starts with
 	ParentWarmUpTime      int64                `json:"ParentWarmsIn"` // from a parent's start to its full capacity
-	Uncacheable           []bool               `json:"PassOn"`        // runs at the origin and leaves no copy
-	PurgePropagationTime  int64                `json:"PurgeTakes"`    // after it no older copy is left in any cache
+	Uncacheable           []bool               `json:"PassOn"`        // requests run at the origin and leave no copy
+	PurgePropagationTime  int64                `json:"PurgeTakes"`    // from a purge until no cache holds an older copy
 	RoutersByZone         []int                `json:"SeatsByZone"`
-	CollapsesFills        bool                 `json:"SharesFills"` // a request may wait for a fill in progress
-	ParentKind            int                  `json:"ShieldKind"`  // index in Settings.Kinds; -1: there are no parents
-	StaleWeightFactor     []float64            `json:"StaleEarns"`  // fraction of the weight for a stale response
-	AllowsDirectFetch     bool                 `json:"Straight"`    // parents and the origin accept attempts directly
-	TransitPenalty        float64              `json:"TransitPrice"`
+	CollapsesFills        bool                 `json:"SharesFills"`  // a request may wait for a fill in progress
+	ParentKind            int                  `json:"ShieldKind"`   // index in Settings.Kinds; -1: no parents
+	StaleWeightFactor     []float64            `json:"StaleEarns"`   // fraction of the weight for a stale response
+	AllowsDirectFetch     bool                 `json:"Straight"`     // parents and the origin accept attempts directly
+	TransitPenalty        float64              `json:"TransitPrice"` // as in Penalties; the engine does not use it
 	// ParentOverloadMultiple replaces Guarantees.OverloadMultiple for parents.
 	ParentOverloadMultiple float64   `json:"UpperFallMultiple"`
 	ZoneLinkKBPerSecond    []float64 `json:"ZoneLinkKbPerS"` // of the link into each zone; 0: unknown
@@ -73,11 +73,11 @@
 type Guarantees struct {
 	MaxPollInterval   int64   `json:"AskWithin"`         // time within which a lost subscription must be renewed
 	WarmUpTime        int64   `json:"Cold"`              // from a server's start to its full capacity
-	InitialCapacity   float64 `json:"ColdFrom"`          // minimum fraction of its capacity at the start
+	InitialCapacity   float64 `json:"ColdFrom"`          // minimum fraction of capacity that a server starts with
 	OverloadWindow    int64   `json:"Fall"`              // a server that is overloaded for this long fails
 	AnswerGracePeriod int64   `json:"GraceToAnswer"`     // after the client's deadline, in which an answer still counts
 	DrainGracePeriod  int64   `json:"StopSendingWithin"` // after it a draining server must get no more requests
-	OverloadMultiple  float64 `json:"TipMultiple"`       // multiple of its present capacity that overloads a server
+	OverloadMultiple  float64 `json:"TipMultiple"`       // of its present capacity; above it a server is overloaded
 }
 
 // Permissions holds the actions that the deployment allows a router, and their limits.
@@ -91,7 +91,7 @@
 	MayHedge        bool  `json:"SecondCopies"`
 }
 
-// Penalties are points subtracted from the platform's score.
+// Penalties are deductions from the score by which the platform is rated. The engine does not use them.
 type Penalties struct {
 	Origin float64 `json:"Origin"` // for bytes from the origin
 	Probe  float64 `json:"Probe"`  // for health checks
@@ -108,13 +108,13 @@
 type Tenant struct {
 	Name           string  `json:"Name"`
 	QuotaPerSecond float64 `json:"QuotaPerS"` // requests per second, over all routers
-	ServiceShare   float64 `json:"Share"`     // fraction of the service
+	ServiceShare   float64 `json:"Share"`     // the tenant's fraction of the service; the engine does not use it
 }
 
 // Names of values in load reports that the engine uses.
 const (
 	hitRatioField = "x0" // of a cache: its recent hit ratio
-	linkUseField  = "x1" // of a cache: transfers on its zone's link over the link's capacity
+	linkUseField  = "x1" // of a cache: use of its zone's link as a fraction of the link's capacity
 )
 
 // DiscoveryMode is how the router receives changes of the endpoint list.
@@ -173,14 +173,14 @@
 // The sets of reported cache statuses.
 const (
 	CacheStatusReported     CacheStatusReporting = "all"
-	CacheStatusHitsReported CacheStatusReporting = "hit" // no failures; FilledFromOrigin as FilledFromSource
+	CacheStatusHitsReported CacheStatusReporting = "hit" // no failures; reports FilledFromOrigin as FilledFromSource
 	CacheStatusUnreported   CacheStatusReporting = "silent"
 )
 
 // LoadReportDelivery is how load reports are delivered.
 type LoadReportDelivery string
 
-// The deliveries of load reports.
+// The ways in which load reports are delivered.
 const (
 	LoadReportPiggyback LoadReportDelivery = "piggyback" // in outcomes and in results of health checks
 	LoadReportPull      LoadReportDelivery = "pull"      // in results of health checks only
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// baseSettings returns the settings of a deployment without parents, with a read class and a class with idempotency
-// keys.
-func baseSettings() Settings {
+// settingsWithoutParents returns the settings of a deployment without parents, with a read class and a class with
+// idempotency keys.
+func settingsWithoutParents() Settings {
 	return Settings{
 		Classes: []Class{
 			{
@@ -77,7 +77,7 @@
 // engineWithOpenRequest returns an engine with three edge caches, the origin and one open request of class video.
 func engineWithOpenRequest(t *testing.T) *Engine {
 	t.Helper()
-	engine, err := NewEngine(baseSettings(), 1)
+	engine, err := NewEngine(settingsWithoutParents(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 // class. A removed class is unknown to new requests. A class of the same name may have another idempotency.
 func TestUpdatedSettingsApplyToNewRequestsOnly(t *testing.T) {
 	engine := engineWithOpenRequest(t)
-	updated := baseSettings()
+	updated := settingsWithoutParents()
 	updated.Permissions.MaxAttempts = 2
 	updated.Classes = []Class{
 		updated.Classes[1],
@@ -184,7 +184,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			engine := engineWithOpenRequest(t)
-			invalid := baseSettings()
+			invalid := settingsWithoutParents()
 			invalid.Classes[0].Name = "other"
 			corrupt(&invalid)
 			if err := engine.UpdateSettings(invalid); err == nil {
@@ -201,7 +201,7 @@
 // table of classes holds only the new classes and those of open requests.
 func TestUpdateSettingsKeepsOpenRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engine, err := NewEngine(baseSettings(), 1)
+		engine, err := NewEngine(settingsWithoutParents(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -210,7 +210,7 @@
 		original := map[string]classSettings{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "update") {
-				updated := baseSettings()
+				updated := settingsWithoutParents()
 				for j := range updated.Classes {
 					name := rapid.SampledFrom([]string{"video", "report", "price"}).Draw(t, "name")
 					updated.Classes[j].Name = name + string(rune('0'+j))
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -49,8 +49,8 @@
 	for _, s := range srv.coldSends {
 		sent += s.work
 	}
-	// The share of one router among hundreds is less than a request. The random draw allows as many routers to send
-	// one request as keep the sum within the budget.
+	// The share of one router among hundreds is less than a request. The random draw admits a first request at only
+	// some of the routers, so that the sum stays within the budget.
 	if sent <= 0 {
 		work *= srv.coldDraw
 	}
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -93,7 +93,7 @@
 	restarted float64                    // fraction of the routers that restart at restartAt after the cold start
 }
 
-// restartAt is within the first OverloadWindow, once most of the budget has been sent.
+// restartAt is within the first OverloadWindow, when most of the budget has been used.
 const restartAt = 1500 * ms
 
 // settings returns the settings of the fleet's routers.
@@ -182,7 +182,7 @@
 
 // Thirty routers start together with a cold cache, and objects take six times as long to send as the class settings
 // suggest. The routers must use the sizes given in requests to stay within the cache's budget from the first window on.
-// If only responses adapt the mean size, by 2% each, a window has 24 or 25 requests where 17 are allowed.
+// If only responses adapted the mean size, the first windows would exceed the budget.
 func TestColdBudgetFollowsRequestSizes(t *testing.T) {
 	const meanKB = 1200
 	for name, spread := range map[string]float64{"equal sizes": 0, "from 60 KB to 2,340 KB": 0.95} {
@@ -197,9 +197,8 @@
 	}
 }
 
-// Seven in ten of thirty routers restart without learned state while a cache is cold. The work that they sent before
-// the restart must count. With a whole new budget they send 28 to 41 requests on these seeds, where 27 or 28 are
-// allowed.
+// Most routers of a fleet restart without learned state while a cache is cold. The work that they sent before the
+// restart must count. If a restarted router had a whole new budget, the fleet would exceed the cache's budget.
 func TestRestartedRoutersStayWithinColdBudget(t *testing.T) {
 	const median, sigma = 300, 1.2
 	f := coldFleet{
--- a/routing/source_test.go
+++ b/routing/source_test.go
@@ -12,8 +12,7 @@
 	"testing"
 )
 
-// policyFiles are the files that deploy/balancer.toml lists under policy: those that make the decisions, with their
-// tuned constants.
+// policyFiles are the files that make the decisions. deploy/balancer.toml must list them under policy.
 var policyFiles = []string{
 	"engine.go", "requests.go", "selection.go", "rendezvous.go", "concurrency.go", "origin_fills.go", "slow_start.go",
 	"circuit_breaker.go", "outcomes.go", "idempotency.go", "lost_responses.go", "freshness.go", "purges.go",
@@ -41,8 +40,7 @@
 	}
 }
 
-// Each file is limited to lines of 120 characters, and each function outside of tests to 60 lines. This replaces a
-// limit of 940 lines for all policy files together, which led to several steps in one line.
+// Each file is limited to lines of 120 characters, and each function outside of tests to 60 lines.
 func TestSourceKeepsLengthLimits(t *testing.T) {
 	const (
 		maxLineLength    = 120 // characters, a tab counted as 4
@@ -50,7 +48,7 @@
 	)
 	names, err := filepath.Glob("*.go")
 	if err != nil || len(names) < len(policyFiles) {
-		t.Fatalf("%d files: %v", len(names), err)
+		t.Fatalf("found too few Go files: %d, error %v", len(names), err)
 	}
 	for _, name := range names {
 		text, err := os.ReadFile(name)
--- a/routing/subsets.go
+++ b/routing/subsets.go
@@ -70,13 +70,13 @@
 type groupUsage struct {
 	breaker    circuitBreaker
 	inFlight   int
-	recentPeak decayingSum // recent maximum of inFlight; decays over reservedShareDecay
+	recentPeak decayingSum // recent maximum of inFlight; decays over reservationDecay
 }
 
 // reserved returns the capacity that is kept free for the group, in requests: the part of its recent use, up to a
 // bound, that it does not use at present.
 func (u *groupUsage) reserved(now int64, bound float64) float64 {
-	used := min(u.recentPeak.valueAt(now, reservedShareDecay), bound)
+	used := min(u.recentPeak.valueAt(now, reservationDecay), bound)
 	return max(used-float64(u.inFlight), 0)
 }
 
@@ -105,7 +105,7 @@
 	}
 	usage := srv.usageOf(group)
 	usage.inFlight += change
-	if float64(usage.inFlight) >= usage.recentPeak.valueAt(e.now, reservedShareDecay) {
+	if float64(usage.inFlight) >= usage.recentPeak.valueAt(e.now, reservationDecay) {
 		usage.recentPeak = decayingSum{float64(usage.inFlight), e.now}
 	}
 }
