--- a/emulator/attempts.go
+++ b/emulator/attempts.go
@@ -166,7 +166,7 @@
 		attempt.cacheStatus = routing.FilledFromOrigin
 		w.joinFetch(attempt.server, id)
 	case server.fills >= fillsPerStream*int(server.streams):
-		w.endAttempt(id, routing.OutcomeRejected, routing.FillsExhausted)
+		w.endAttempt(id, routing.OutcomeRejected, routing.FillLimitReached)
 	default:
 		server.fills++
 		attempt.countedFilling = true
--- a/internal/resp/response.go
+++ b/internal/resp/response.go
@@ -62,7 +62,7 @@
 	case "PEER_MISS":
 		return routing.SourceMissed, true
 	case "FILL_FULL":
-		return routing.FillsExhausted, true
+		return routing.FillLimitReached, true
 	case "ROOT_FAIL":
 		return routing.OriginFailed, true
 	}
--- a/routing/circuit_breaker_test.go
+++ b/routing/circuit_breaker_test.go
@@ -58,7 +58,7 @@
 		{OutcomeConnectionReset, CacheStatusUnknown, "cache"},
 		{OutcomeTimedOut, CacheStatusUnknown, "cache"},
 		{OutcomeRejected, CacheStatusUnknown, ""},
-		{OutcomeRejected, FillsExhausted, ""},
+		{OutcomeRejected, FillLimitReached, ""},
 		{OutcomeMiss, SourceMissed, ""},
 		{OutcomeSkipped, CacheStatusUnknown, ""},
 		{OutcomeCanceled, CacheStatusUnknown, ""},
--- a/routing/events.go
+++ b/routing/events.go
@@ -162,7 +162,7 @@
 	SourceRejected                 // the source rejected the fill
 	SourceUnreachable              // the source is unreachable, fails or is too slow
 	SourceMissed                   // the source has no copy
-	FillsExhausted                 // the edge cache is at its fill limit
+	FillLimitReached               // the edge cache is at its fill limit
 	OriginFailed                   // the parent's request to the origin failed
 )
 
@@ -173,7 +173,7 @@
 	CacheStatusUnknown: "unknown", CacheHit: "hit", FilledFromSource: "filled from source",
 	FilledFromOrigin: "filled from origin", JoinedFill: "joined a fill", ServedStale: "served stale",
 	SourceRejected: "source rejected", SourceUnreachable: "source unreachable", SourceMissed: "source has no copy",
-	FillsExhausted: "fill limit reached", OriginFailed: "origin failed",
+	FillLimitReached: "fill limit reached", OriginFailed: "origin failed",
 }
 
 // IsFilled reports whether the response came through the source: from its own copy or from the origin.
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -104,7 +104,7 @@
 	}
 	isOtherCharged := charged != nil && charged != ended.server
 	isUncharged := charged == nil && ev.Outcome == OutcomeTimedOut
-	return isOtherCharged || isUncharged || ev.CacheStatus == FillsExhausted || ev.Outcome == OutcomeMiss ||
+	return isOtherCharged || isUncharged || ev.CacheStatus == FillLimitReached || ev.Outcome == OutcomeMiss ||
 		e.wasFillRejected(ended, ev)
 }
 
@@ -114,7 +114,7 @@
 func (e *Engine) decideAfterFailedFill(req *request, ended *attempt, ev *Event) retryDecision {
 	req.retryCache = ended.server
 	req.isCachedCopyOnly = !req.triedCachedCopy
-	if ev.CacheStatus != FillsExhausted {
+	if ev.CacheStatus != FillLimitReached {
 		req.failedSources = append(req.failedSources, ended.source)
 		return decisionRetry
 	}
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -23,7 +23,7 @@
 func TestRequestIsNotRetriedElsewhereAtFillLimit(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 2)
 	first := engine.request("small", "x")
-	second := engine.stepOne(outcomeEvent(first, 0, OutcomeRejected, FillsExhausted))
+	second := engine.stepOne(outcomeEvent(first, 0, OutcomeRejected, FillLimitReached))
 	if second.Server != first.Server || second.Source != first.Server {
 		t.Fatalf("after a fill rejected at the fill limit: %+v, want any cached copy of the same cache", second)
 	}
