--- a/core/cells/origin_limit.go
+++ b/core/cells/origin_limit.go
@@ -130,7 +130,7 @@
 	g.announced = limit
 	g.engine.Step(now, []routing.Event{{
 		Kind:                    routing.EventOriginFillBounds,
-		MaxPossibleOriginFills:  limit,
+		MaxPotentialOriginFills: limit,
 		MaxConfirmedOriginFills: g.lease,
 	}})
 }
--- a/routing/events.go
+++ b/routing/events.go
@@ -16,7 +16,7 @@
 	EventProbed                                // a health check has ended: Outcome, Server, ResponseTime, LoadReport
 	EventPurge                                 // copies are invalid: Object ("": its group), PurgeGroup, PurgeAge
 	EventSubset                                // a subset of servers: Subset and all fields marked "subset"
-	EventOriginFillBounds                      // bounds on fills: MaxPossibleOriginFills, MaxConfirmedOriginFills
+	EventOriginFillBounds                      // bounds on fills: MaxPotentialOriginFills, MaxConfirmedOriginFills
 	EventParentOverloaded                      // routers of other sites report a parent as overloaded: Server
 )
 
@@ -82,11 +82,11 @@
 	CapacityShare   float64
 	SubsetServers   []string // subset: the names of its servers; empty: the subset is deleted
 
-	// MaxPossibleOriginFills limits the fills in flight that may reach the origin. MaxConfirmedOriginFills limits the
+	// MaxPotentialOriginFills limits the fills in flight that may reach the origin. MaxConfirmedOriginFills limits the
 	// fills that are known to reach it; if it is set, a fill may go to the origin only after a parent has reported that
 	// it has no cached copy. 0: no bound other than the limit learned from the origin's responses.
 	// (EventOriginFillBounds)
-	MaxPossibleOriginFills  float64
+	MaxPotentialOriginFills float64
 	MaxConfirmedOriginFills float64
 }
 
--- a/routing/origin_fills.go
+++ b/routing/origin_fills.go
@@ -16,7 +16,7 @@
 
 // boundOriginFills sets the bounds on fills that reach the origin; 0: no bound.
 func (e *Engine) boundOriginFills(ev *Event) {
-	e.maxPotentialOriginFills = cmp.Or(ev.MaxPossibleOriginFills, maxOriginFills)
+	e.maxPotentialOriginFills = cmp.Or(ev.MaxPotentialOriginFills, maxOriginFills)
 	e.maxConfirmedOriginFills = cmp.Or(ev.MaxConfirmedOriginFills, maxOriginFills)
 	e.originFills.concurrencyLimit = min(e.originFills.concurrencyLimit, e.maxPotentialOriginFills)
 }
--- a/routing/origin_fills_test.go
+++ b/routing/origin_fills_test.go
@@ -157,7 +157,7 @@
 // All other limits are too high to have an effect.
 func newOriginLimitEngine(t *testing.T, bound float64) *testEngine {
 	engine := newSubsetEngine(t, 0.5, 0.5)
-	engine.step(Event{Kind: EventOriginFillBounds, MaxPossibleOriginFills: bound})
+	engine.step(Event{Kind: EventOriginFillBounds, MaxPotentialOriginFills: bound})
 	for _, srv := range engine.servers {
 		srv.concurrencyLimit = 1000
 	}
@@ -181,7 +181,7 @@
 	return inFlight
 }
 
-// MaxPossibleOriginFills bounds all fills that may reach the origin, including confirmed ones, which are counted
+// MaxPotentialOriginFills bounds all fills that may reach the origin, including confirmed ones, which are counted
 // separately. If confirmed fills did not count, many requests for new objects could cause twice the bound of fills at
 // the origin and slow it down for all cells.
 func TestConfirmedFillsCountTowardsBoundOnAllFills(t *testing.T) {
