--- a/internal/simwire/wire_compat_test.go
+++ b/internal/simwire/wire_compat_test.go
@@ -39,7 +39,7 @@
 			ParentKind:     -1, StaleWeightFactor: []float64{5.5}, AllowsDirectFetch: true, TransitPenalty: 6.5,
 			ParentOverloadMultiple: 7.5,
 			ZoneLinkKBPerSecond:    []float64{8.5, 9.5}},
-		Guarantees: routing.Guarantees{MaxPollInterval: 301, WarmUpTime: 302, InitialCapacity: 0.5, OverloadWindow: 303,
+		Guarantees: routing.Guarantees{MaxResubscribeDelay: 301, WarmUpTime: 302, InitialCapacity: 0.5, OverloadWindow: 303,
 			AnswerGracePeriod: 304,
 			DrainGracePeriod:  305, OverloadMultiple: 10.5},
 		Kinds: []string{"std", "parent"},
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// resubscribeShare is the fraction of Guarantees.MaxPollInterval within which a failed subscription is renewed.
+// resubscribeShare is the fraction of Guarantees.MaxResubscribeDelay within which a failed subscription is renewed.
 const resubscribeShare = 0.5
 
 // serverRole is the role of a server from the point of view of this router.
@@ -96,7 +96,7 @@
 // scheduleResubscription sets the timer with token 0, after which the engine subscribes again. The delay is random so
 // that routers do not all subscribe at the same time.
 func (e *Engine) scheduleResubscription() {
-	wait := resubscribeShare * float64(e.settings.Guarantees.MaxPollInterval) * (0.1 + 0.9*e.rng.Float64())
+	wait := resubscribeShare * float64(e.settings.Guarantees.MaxResubscribeDelay) * (0.1 + 0.9*e.rng.Float64())
 	e.emit(Action{Kind: ActionSetTimer, Delay: int64(wait) + 1})
 }
 
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// With DiscoverySubscribe, the engine subscribes at the start and again after a failure, within MaxPollInterval.
+// With DiscoverySubscribe, the engine subscribes at the start and again after a failure, within MaxResubscribeDelay.
 func TestFailedSubscriptionIsRenewed(t *testing.T) {
 	settings := testSettings()
 	settings.Discovery = DiscoverySubscribe
@@ -40,9 +40,9 @@
 		t.Fatalf("at the start: %+v, want a subscription", actions)
 	}
 	actions = engine.Step(2, []Event{{Kind: EventEndpoints, UpdateMode: UpdateUnavailable}})
-	maxDelay := settings.Guarantees.MaxPollInterval
+	maxDelay := settings.Guarantees.MaxResubscribeDelay
 	if len(actions) != 1 || actions[0].Kind != ActionSetTimer || actions[0].Delay > maxDelay {
-		t.Fatalf("after a failed call: %+v, want a timer of at most MaxPollInterval", actions)
+		t.Fatalf("after a failed call: %+v, want a timer of at most MaxResubscribeDelay", actions)
 	}
 	actions = engine.Step(3, []Event{{Kind: EventTimer, TimerToken: actions[0].TimerToken}})
 	if len(actions) != 1 || actions[0].Kind != ActionSubscribe {
