--- a/routing/settings.go
+++ b/routing/settings.go
@@ -75,7 +75,7 @@
 	WarmUpTime          int64   `json:"Cold"`              // from a server's start to its full capacity
 	InitialCapacity     float64 `json:"ColdFrom"`          // minimum fraction of capacity that a server starts with
 	OverloadWindow      int64   `json:"Fall"`              // a server that is overloaded for this long fails
-	AnswerGracePeriod   int64   `json:"GraceToAnswer"`     // after the client's deadline, in which an answer still counts
+	AnswerGracePeriod   int64   `json:"GraceToAnswer"`     // after the client's deadline; an answer still counts
 	DrainGracePeriod    int64   `json:"StopSendingWithin"` // after it a draining server must get no more requests
 	OverloadMultiple    float64 `json:"TipMultiple"`       // of its present capacity; above it a server is overloaded
 }
