--- a/internal/msgpackrpc/capacity.go
+++ b/internal/msgpackrpc/capacity.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// admit registers a new connection. At MaxConns the connection that has been idle for longest is evicted: clients that
-// hold idle connections must not keep others out. Without an idle one the new connection is rejected. Evicted ones are
-// closed after the lock is released.
+// admit registers a new connection and reports whether it is accepted. At MaxConns it evicts the connection that has
+// been idle for longest, so that clients with idle connections do not block others. If no connection is idle, the new
+// one is rejected. Evicted connections are closed after the lock is released.
 func (s *Server) admit(c *conn) bool {
 	var evicted []*conn
 	defer func() {
@@ -28,7 +28,7 @@
 	return true
 }
 
-// idlestConn returns the connection to evict, or nil if a response is due on each. s.mu is held.
+// idlestConn returns the connection to evict, or nil if every connection has a pending response. s.mu is held.
 func (s *Server) idlestConn() *conn {
 	var idlest *conn
 	lowest := math.Inf(1)
@@ -41,8 +41,8 @@
 	return idlest
 }
 
-// evictionRank orders connections for eviction, the lowest first: those that never sent a message, then those that have
-// been idle for longest. It is infinite, which prevents eviction, while a response is due.
+// evictionRank orders connections for eviction, lowest rank first: connections that never sent a message, then the
+// others by idle time, longest first. The rank is infinite, which prevents eviction, while a response is pending.
 func (c *conn) evictionRank() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,7 @@
 	return c.idleSince
 }
 
-// reserve reserves n bytes of MaxQueuedBytes, or reports false where they are not free; a negative n releases them.
+// reserve reserves n bytes of MaxQueuedBytes and reports whether they were available. A negative n releases bytes.
 func (s *Server) reserve(n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,21 +66,21 @@
 	return true
 }
 
-// reserveResponse reserves n bytes for a response on a connection; a negative n releases them. While more than half of
-// MaxQueuedBytes is reserved, a connection with unwritten responses gets no more than its quota, so that clients which
-// do not read leave capacity for the others.
+// reserveResponse reserves n bytes for a response on a connection and reports whether they were available. A negative n
+// releases bytes. While more than half of MaxQueuedBytes is reserved, a connection with unwritten responses is limited
+// to its quota, so that clients that do not read leave capacity for others.
 func (s *Server) reserveResponse(c *conn, n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	total := s.queuedBytes + n
-	own := c.reservedBytes + n
+	connTotal := c.reservedBytes + n
 	if n > 0 {
-		isOverQuota := c.reservedBytes > 0 && own > s.MaxQueuedBytes/connQuotaDivisor
+		isOverQuota := c.reservedBytes > 0 && connTotal > s.MaxQueuedBytes/connQuotaDivisor
 		if total > s.MaxQueuedBytes || isOverQuota && total > s.MaxQueuedBytes/2 {
 			return false
 		}
 	}
 	s.queuedBytes = total
-	c.reservedBytes = own
+	c.reservedBytes = connTotal
 	return true
 }
--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -13,34 +13,34 @@
 	"spantack/internal/router"
 )
 
-// Bounds of a response to the client, in bytes: an object has 240,000 at most.
+// Limits of a response, in bytes. An object has at most 240,000 bytes.
 const (
 	maxResponseBody = 256 << 10
 	maxResponse     = maxResponseBody + 4<<10
 )
 
-// ErrClosed is wrapped by the error of a call whose connection broke: the request may have run.
+// ErrClosed is wrapped by the error of a call whose connection failed. The router may have processed the request.
 var ErrClosed = errors.New("connection closed")
 
-// Client is one connection to a request router, for other programs: many calls open at once, responses in any order.
-// It is safe for concurrent use.
+// Client is one connection to a request router, for use by other programs. It supports many concurrent calls, with
+// responses in any order, and is safe for concurrent use.
 type Client struct {
 	conn net.Conn // owned; closed by Close, or by read when it fails
 
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	lastID    uint64
-	openCalls map[uint64]chan result // by message id; each takes one result without blocking
-	closed    bool                   // the connection has failed: no call can be opened
+	openCalls map[uint64]chan result // by message id; each channel buffers one result
+	closed    bool                   // the connection has failed; new calls return ErrClosed
 }
 
-// result is how a call ended.
+// result is the outcome of a call.
 type result struct {
-	response router.Response // of Do
-	isReady  bool            // of Ready
+	response router.Response // set for Do
+	isReady  bool            // set for Ready
 	err      error
 }
 
-// Dial opens a connection within timeout milliseconds.
+// Dial connects to a router. The timeout is in milliseconds.
 func Dial(addr string, timeout float64) (*Client, error) {
 	conn, err := net.DialTimeout("tcp", addr, clock.Duration(timeout))
 	if err != nil {
@@ -51,30 +51,30 @@
 	return c, nil
 }
 
-// Close ends the connection and all calls open on it.
+// Close closes the connection. Its open calls fail with ErrClosed.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Do sends a request and waits for its response. When ctx ends first, the router is notified, and the error is that of
-// ctx; when the connection breaks, it wraps ErrClosed.
+// Do sends a request and waits for its response. If ctx ends first, Do cancels the request at the router and returns
+// the error of ctx. If the connection fails, the error wraps ErrClosed.
 func (c *Client) Do(ctx context.Context, request router.Request) (router.Response, error) {
 	encode := func(id uint64) []byte { return appendRequest(nil, id, request) }
 	result, err := c.call(ctx, encode)
 	return result.response, err
 }
 
-// Ready reports whether the router is ready for requests. Its errors are those of Do.
+// Ready reports whether the router is ready for requests. It returns the same errors as Do.
 func (c *Client) Ready(ctx context.Context) (bool, error) {
 	result, err := c.call(ctx, appendHealthRequest)
 	return result.isReady, err
 }
 
-// call opens a call, writes its message and waits for the result.
+// call registers a call, writes its message and waits for the result.
 func (c *Client) call(ctx context.Context, encode func(id uint64) []byte) (result, error) {
 	id, done, err := c.open()
 	if err != nil {
 		return result{}, err
 	}
-	if _, err := c.conn.Write(encode(id)); err != nil { // one Write is one message: net.Conn keeps them apart
+	if _, err := c.conn.Write(encode(id)); err != nil { // net.Conn does not interleave concurrent Writes
 		c.forget(id)
 		return result{}, fmt.Errorf("%w: %w", ErrClosed, err)
 	}
@@ -83,12 +83,12 @@
 		return r, r.err
 	case <-ctx.Done():
 		c.forget(id)
-		_, _ = c.conn.Write(appendCancel(nil, id)) // on a broken connection the request is given up anyway
+		_, _ = c.conn.Write(appendCancel(nil, id)) // a failed connection cancels the request anyway
 		return result{}, ctx.Err()
 	}
 }
 
-// open registers a call and returns its message id and the channel of its result.
+// open registers a call and returns its message id and the channel that receives its result.
 func (c *Client) open() (id uint64, done chan result, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,14 +101,14 @@
 	return c.lastID, done, nil
 }
 
-// forget removes a call that nobody waits for any more.
+// forget removes a call whose caller no longer waits.
 func (c *Client) forget(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.openCalls, id)
 }
 
-// read delivers responses until the connection ends, and then ends all open calls.
+// read delivers responses until the connection fails or is closed, and then fails all open calls.
 func (c *Client) read() {
 	reader := bufio.NewReader(c.conn)
 	for {
@@ -124,7 +124,7 @@
 	}
 }
 
-// fail closes the connection and ends all open calls with an error.
+// fail closes the connection and fails all open calls with err.
 func (c *Client) fail(err error) {
 	c.conn.Close()
 	c.mu.Lock()
@@ -136,16 +136,16 @@
 	}
 }
 
-// deliver gives a response to its call. One that nobody waits for belongs to a call that was given up.
+// deliver passes a response to its call. A response without an open call is discarded, since that call was canceled.
 func (c *Client) deliver(v any) error {
 	list, _ := v.([]any)
 	if len(list) != responseLength {
-		return fmt.Errorf("%w: no answer", errMalformed)
+		return fmt.Errorf("%w: not a response", errMalformed)
 	}
 	kind, kindOK := asUint64(list[0])
 	id, idOK := asUint64(list[1])
 	if !kindOK || !idOK || kind != uint64(kindResponse) {
-		return fmt.Errorf("%w: no answer", errMalformed)
+		return fmt.Errorf("%w: not a response", errMalformed)
 	}
 	c.mu.Lock()
 	done := c.openCalls[id]
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// appendRequest appends the message of a request. Fields without a value are left out.
+// appendRequest appends a request message. Fields that are empty strings are omitted.
 func appendRequest(buf []byte, id uint64, request router.Request) []byte {
 	pairs := []string{
 		fieldID, request.ID,
@@ -186,31 +186,31 @@
 	return append(appendBinaryHeader(buf, len(request.Body)), request.Body...)
 }
 
-// appendHealthRequest returns the message that asks whether the router is ready.
+// appendHealthRequest returns a health request message with the given id.
 func appendHealthRequest(id uint64) []byte {
 	return appendFields(appendArrayHeader(appendRequestHeader(nil, id, methodHealth), 1))
 }
 
-// appendRequestHeader appends the beginning of a request, up to its parameters.
+// appendRequestHeader appends a request message up to, but without, its parameters.
 func appendRequestHeader(buf []byte, id uint64, method string) []byte {
 	buf = append(appendArrayHeader(buf, requestLength), byte(kindRequest))
 	return appendString(appendUint(buf, id), method)
 }
 
-// appendCancel appends the message that gives up a request.
+// appendCancel appends the notification that cancels a request.
 func appendCancel(buf []byte, id uint64) []byte {
 	buf = append(appendArrayHeader(buf, notificationLength), byte(kindNotification))
 	return appendUint(appendArrayHeader(appendString(buf, methodCancel), 1), id)
 }
 
-// parseResponse reads the error and the result of a response. Its error wraps errMalformed.
-func parseResponse(fault, value any) (result, error) {
-	if fault != nil {
-		return parseFault(fault), nil
+// parseResponse parses the error and result values of a response. Its error wraps errMalformed.
+func parseResponse(errorValue, value any) (result, error) {
+	if errorValue != nil {
+		return parseErrorValue(errorValue), nil
 	}
 	list, _ := value.([]any)
 	if len(list) != 2 {
-		return result{}, fmt.Errorf("%w: no body and fields", errMalformed)
+		return result{}, fmt.Errorf("%w: result is not a body and fields", errMalformed)
 	}
 	fields, _ := list[1].(map[string]any)
 	isNotModified := fields[fieldNotModified] == valueNotModified
@@ -221,13 +221,13 @@
 		response := router.Response{Outcome: router.Served, Body: body, NotModified: isNotModified}
 		return result{response: response}, nil
 	}
-	return result{}, fmt.Errorf("%w: no body", errMalformed)
+	return result{}, fmt.Errorf("%w: result has neither a body nor a boolean", errMalformed)
 }
 
-// parseFault reads an error of the form [WORD, FIELDS]. An unknown one counts as a failed request, and a Retry-After
-// that is absent or can't be used as 0.
-func parseFault(fault any) result {
-	list, _ := fault.([]any)
+// parseErrorValue parses an error value of the form [CODE, FIELDS]. An unknown code counts as a failed request. A
+// missing or invalid Retry-After counts as 0.
+func parseErrorValue(errorValue any) result {
+	list, _ := errorValue.([]any)
 	if len(list) == 0 || list[0] != errorRejected {
 		return result{response: router.Response{Outcome: router.Failed}}
 	}
--- a/internal/msgpackrpc/codec_test.go
+++ b/internal/msgpackrpc/codec_test.go
@@ -18,7 +18,7 @@
 	"spantack/internal/router"
 )
 
-// encode encodes a value as MessagePack, also those that clients send and the server never does.
+// encode encodes a value as MessagePack, including types that clients send and the server does not.
 func encode(buf []byte, v any) []byte {
 	switch v := v.(type) {
 	case nil:
@@ -43,6 +43,7 @@
 	return buf
 }
 
+// drawMessage draws a request message with random id, fields and body.
 func drawMessage(t *rapid.T) []any {
 	fields := map[string]any{}
 	for k, v := range rapid.MapOfN(rapid.StringN(1, 8, 8), rapid.StringN(0, 40, 40), 0, 10).Draw(t, "fields") {
@@ -52,8 +53,9 @@
 	return []any{uint64(0), rapid.Uint64().Draw(t, "id"), "segment", []any{fields, body}}
 }
 
-// However the network splits a stream of messages, they come out as they went in.
-func TestCutMessages(t *testing.T) {
+// Messages must decode to the same values wherever the network splits the stream, and a truncated stream must not
+// count as malformed.
+func TestReadMessageAcrossSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
 		want := rapid.SliceOfN(rapid.Custom(drawMessage), 1, 4).Draw(t, "messages")
@@ -81,17 +83,17 @@
 			if _, err := readMessage(short); err == io.EOF || err == io.ErrUnexpectedEOF {
 				return
 			} else if err != nil {
-				t.Fatalf("a cut is no malformed message: %v", err)
+				t.Fatalf("truncated stream: got %v, want EOF or unexpected EOF", err)
 			}
 		}
 	})
 }
 
-// Garbage ends in an error or a message, never in a panic or a large allocation.
-func TestGarbage(t *testing.T) {
+// Arbitrary or damaged bytes must result in an error or a message, not in a panic or a large allocation.
+func TestReadMessageOfArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		garbage := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "garbage")
-		if rapid.Bool().Draw(t, "damaged") { // a valid message with one byte changed gets further in
+		if rapid.Bool().Draw(t, "damaged") { // one changed byte in a valid message reaches later checks
 			garbage = encode(nil, drawMessage(t))
 			garbage[rapid.IntRange(0, len(garbage)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
@@ -106,8 +108,9 @@
 	})
 }
 
-// A length is checked before anything is allocated for it: four bytes must not make the router allocate gigabytes.
-func TestLengths(t *testing.T) {
+// A length must be checked before memory is allocated for it. Otherwise four bytes of input could make the router
+// allocate gigabytes.
+func TestOversizedLengthIsMalformed(t *testing.T) {
 	for _, text := range []string{"\xdd\xff\xff\xff\xff", "\xdf\xff\xff\xff\xff", "\xc6\xff\xff\xff\xff",
 		"\xdb\x00\x02\x00\x00", strings.Repeat("\x91", 1000), "\xc1"} {
 		_, err := readMessage(bufio.NewReader(strings.NewReader(text)))
@@ -117,7 +120,7 @@
 	}
 }
 
-func TestNumbers(t *testing.T) {
+func TestDecodeNumbers(t *testing.T) {
 	for text, want := range map[string]any{"\x05": int64(5), "\xff": int64(-1), "\xd0\x80": int64(-128),
 		"\xd3\xff\xff\xff\xff\xff\xff\xff\xfe": int64(-2), "\xcd\x01\x00": uint64(256),
 		"\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00": 1.0, "\xca\x3f\x80\x00\x00": 1.0, "\xc3": true} {
@@ -128,28 +131,28 @@
 	for _, n := range []uint64{0, 127, 128, 255, 256, 65535, 65536, math.MaxUint32, math.MaxUint32 + 1, math.MaxUint64} {
 		v, err := readMessage(bufio.NewReader(bytes.NewReader(appendUint(nil, n))))
 		if got, ok := asUint64(v); err != nil || !ok || got != n {
-			t.Errorf("%d comes back as %v (%v)", n, v, err)
+			t.Errorf("%d decoded as %v (%v)", n, v, err)
 		}
 	}
 }
 
-func TestFields(t *testing.T) {
-	good := func() map[string]any {
+func TestParseRequestFields(t *testing.T) {
+	validFields := func() map[string]any {
 		return map[string]any{"ref": "9b1f03aa5c7e2d41", "allow": "1500", "lookup": "7f3a9c21e0b4d655", "block": "3",
 			"family": "17", "room": "412.5", "cached": "4be0c1927d55a6f3", "replay": "5c0f6e1a2b3d4c59"}
 	}
 	want := router.Request{ID: "9b1f03aa5c7e2d41", Class: "segment", Object: "7f3a9c21e0b4d655", Chunk: 3, PurgeGroup: 17,
 		SizeKB: 412.5, IdempotencyKey: "5c0f6e1a2b3d4c59", ClientETag: "4be0c1927d55a6f3", ClientTimeout: 1500,
 		Body: []byte("body")}
-	got, err := parseRequest("segment", []any{good(), []byte("body")}, true)
+	got, err := parseRequest("segment", []any{validFields(), []byte("body")}, true)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	wantFieldError := func(name string, value any) {
 		t.Helper()
-		bad := good()
-		bad[name] = value
-		_, err := parseRequest("segment", []any{bad, []byte(nil)}, true)
+		invalid := validFields()
+		invalid[name] = value
+		_, err := parseRequest("segment", []any{invalid, []byte(nil)}, true)
 		var fieldErr *fieldError
 		if !errors.As(err, &fieldErr) || fieldErr.field != name || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s = %v: %v", name, value, err)
@@ -160,7 +163,7 @@
 		wantFieldError(name, value)
 	}
 	for _, pair := range [][2]string{{"block", "2.5"}, {"block", "0x10"}, {"family", "256"},
-		{"ref", "r2"}, {"lookup", "7f3a9c21e0b4d65g"}, // caches close the connection on ids that are none
+		{"ref", "r2"}, {"lookup", "7f3a9c21e0b4d65g"}, // edge caches close the connection on invalid ids
 		{"allow", "-1"}, {"allow", "NaN"}, {"allow", "Inf"}, {"room", "Inf"}} {
 		wantFieldError(pair[0], pair[1])
 	}
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -13,27 +13,27 @@
 	"spantack/internal/clock"
 )
 
-// conn is one client connection. Its reader runs in serve; writer and handlers run in goroutines of their own.
+// conn is one client connection. serve reads its messages; the writer and each handler run in separate goroutines.
 type conn struct {
 	server        *Server
-	netConn       net.Conn             // owned; closed at the end of serve, or earlier to end it
-	queue         chan encodedResponse // closed by serve once no handler runs
-	reservedBytes int64                // of responses waiting to be written; guarded by Server.mu
+	netConn       net.Conn             // owned; closed at the end of serve, or earlier to make serve return
+	queue         chan encodedResponse // closed by serve after all handlers have returned
+	reservedBytes int64                // for responses not yet written; guarded by Server.mu
 
-	mu                sync.Mutex              // guards all below
+	mu                sync.Mutex              // guards the fields below
 	openRequests      map[uint64]*openRequest // by message id
-	unsentResponses   int                     // queued, or about to be, and not yet written
+	unsentResponses   int                     // queued or about to be queued, and not yet written
 	inMessage         bool                    // the reader is reading a message
-	awaitsLastMessage bool                    // the reader waits for a last message before the connection closes
-	woken             bool                    // wake was called since the reader finished the last message
+	awaitsLastMessage bool                    // the reader waits for a last message before it closes
+	woken             bool                    // wake was called since awaitMessage last cleared this
 	receivedAny       bool                    // a complete message has been received
-	idleSince         float64                 // Unix milliseconds of its start, or its last message or response
+	idleSince         float64                 // Unix milliseconds of the start, or of the last message or response
 }
 
-// testHookAwait is called after a reader has checked whether its connection is to close, before it acts on that.
+// testHookAwait is called between a reader's check whether its connection is to close and its use of the result.
 var testHookAwait = func() {}
 
-// newConn returns a connection that is not served yet.
+// newConn returns a connection on which serve has not been called.
 func newConn(server *Server, netConn net.Conn) *conn {
 	return &conn{
 		server:       server,
@@ -44,7 +44,7 @@
 	}
 }
 
-// serve reads requests until the connection ends, then cancels those still open.
+// serve handles messages until the connection ends, then cancels open requests and closes the connection.
 func (c *conn) serve() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -67,8 +67,8 @@
 	c.netConn.Close()
 }
 
-// linger closes the write side and discards what the client still sent: unread bytes would turn the close into a
-// reset, which can destroy the last responses under way.
+// linger closes the write side and discards remaining bytes from the client for up to lingerTimeout. Unread bytes would
+// turn the close into a reset, which can discard the last responses before the client reads them.
 func (c *conn) linger() {
 	tcpConn, ok := c.netConn.(*net.TCPConn)
 	if !ok {
@@ -84,7 +84,7 @@
 	}
 }
 
-// read reads and handles messages. It returns nil when no request is open and the connection is to close.
+// read reads and handles messages. It returns nil if the connection is to close and has no open requests.
 func (c *conn) read(ctx context.Context, handlers *sync.WaitGroup) error {
 	reader := bufio.NewReaderSize(c.netConn, readBufferSize)
 	for {
@@ -115,9 +115,9 @@
 	}
 }
 
-// awaitMessage sets the deadline for the start of the next message. On a connection that is to close, it allows only
-// for messages that the client sent before it could know; isLast reports that. A concurrent wake takes precedence: the
-// reader returns here at once.
+// awaitMessage sets the read deadline for the start of the next message. If the connection is to close and no request
+// is open, isLast is true and the deadline is short: it only allows for messages already in transit. After a concurrent
+// wake the deadline has already expired and stays, so that the reader calls awaitMessage again immediately.
 func (c *conn) awaitMessage() (isLast bool) {
 	c.mu.Lock()
 	c.inMessage = false
@@ -145,18 +145,18 @@
 	return isLast
 }
 
-// wake makes a waiting reader check again whether the connection is to close. A message that has begun is not cut
-// short, or its request would be lost with all open ones.
+// wake makes a waiting reader check again whether the connection is to close. It does not interrupt the read of a
+// message, since that would lose the message's request and all open ones.
 func (c *conn) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.woken = true
-	if !c.inMessage && !c.awaitsLastMessage { // the wait for a last message is not cut short: requests may be under way
+	if !c.inMessage && !c.awaitsLastMessage { // a last message may be in transit
 		c.netConn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// beginMessage sets the deadline for the rest of a message.
+// beginMessage sets the read deadline for the rest of a message.
 func (c *conn) beginMessage() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,7 +164,7 @@
 	c.netConn.SetReadDeadline(clock.Deadline(messageTimeout))
 }
 
-// recordMessage notes that a complete message was received.
+// recordMessage records the arrival of a complete message, in Unix milliseconds.
 func (c *conn) recordMessage(arrivedAt float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,7 +172,7 @@
 	c.idleSince = arrivedAt
 }
 
-// idleTimeout is how long the connection may be idle, in milliseconds. c.mu is held.
+// idleTimeout returns how long the connection may be idle, in milliseconds. c.mu is held.
 func (c *conn) idleTimeout() float64 {
 	if c.receivedAny {
 		return idleTimeout
@@ -180,7 +180,7 @@
 	return firstMessageTimeout
 }
 
-// isIdleTooLong reports whether the connection has been idle for its time limit.
+// isIdleTooLong reports whether the connection has been idle for at least its idle timeout.
 func (c *conn) isIdleTooLong() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,9 +188,9 @@
 	return isIdle && c.server.Clock.Now()-c.idleSince >= c.idleTimeout()
 }
 
-// owesResponse reports whether a response is due, or was queued less than readTimeout milliseconds ago and is not
-// written yet.
-func (c *conn) owesResponse(readTimeout float64) bool {
+// hasPendingResponse reports whether a request is open, or a response is not written yet and the last one was queued or
+// written less than readTimeout milliseconds ago.
+func (c *conn) hasPendingResponse(readTimeout float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.openRequests) > 0 {
@@ -199,12 +199,13 @@
 	return c.unsentResponses > 0 && c.server.Clock.Now()-c.idleSince < readTimeout
 }
 
-// enqueueBytes queues a response of one part, for which nothing is reserved.
+// enqueueBytes queues an encoded response for which no bytes are reserved.
 func (c *conn) enqueueBytes(encoded []byte) error {
 	return c.enqueue(encodedResponse{parts: net.Buffers{encoded}})
 }
 
-// enqueue queues a response without blocking. It fails where the queue is full, and releases what was reserved.
+// enqueue queues a response without blocking. If the queue is full, it releases the response's reserved bytes and
+// returns an error.
 func (c *conn) enqueue(response encodedResponse) error {
 	c.addUnsentResponses(1)
 	select {
@@ -213,11 +214,11 @@
 	default:
 		c.addUnsentResponses(-1)
 		c.server.reserveResponse(c, -response.reservedSize)
-		return fmt.Errorf("%d answers wait for a client that does not read", maxQueuedResponses)
+		return fmt.Errorf("response queue full: %d responses not read by the client", maxQueuedResponses)
 	}
 }
 
-// addUnsentResponses changes the number of responses that are due and not written.
+// addUnsentResponses adds n to the number of unsent responses and restarts the idle time.
 func (c *conn) addUnsentResponses(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -225,7 +226,7 @@
 	c.idleSince = c.server.Clock.Now()
 }
 
-// write writes queued responses to the socket until the queue is closed. After a failure it only empties the queue.
+// write writes queued responses to the socket until the queue is closed. After a write error it discards the rest.
 func (c *conn) write() {
 	failed := false
 	for response := range c.queue {
--- a/internal/msgpackrpc/decode.go
+++ b/internal/msgpackrpc/decode.go
@@ -9,15 +9,15 @@
 	"math"
 )
 
-// Bounds of a message from a client. Lengths are checked before anything is allocated.
+// Limits of a message from a client. Lengths are checked before memory is allocated.
 const (
-	maxStringSize  = 48 << 10 // bytes of a string or body; a write carries 48,000 at most
+	maxStringSize  = 48 << 10 // bytes of a string or body; a write has at most 48,000
 	maxMessageSize = 64 << 10 // bytes of all strings, bodies and numbers together
 	maxItems       = 64       // in an array or map
-	maxDepth       = 6        // arrays and maps within each other
+	maxDepth       = 6        // nesting levels of arrays and maps
 )
 
-// Formats of MessagePack: the first byte of a value. A fixed form holds a small value or length in its lower bits.
+// MessagePack formats: the first byte of a value. The fix formats hold a small value or length in the lower bits.
 const (
 	formatFixMap      = 0x80
 	formatFixArray    = 0x90
@@ -48,27 +48,27 @@
 	formatNegativeFix = 0xe0
 )
 
-// errMalformed is what every error wraps that means bytes which no client may send; it ends the connection.
+// errMalformed is wrapped by all errors about bytes that violate the protocol. Such an error ends the connection.
 var errMalformed = errors.New("malformed message")
 
-// decoder reads one message within bounds.
+// decoder decodes one message within size limits.
 type decoder struct {
 	reader    *bufio.Reader
-	remaining int // bytes that the message may still have
-	maxLength int // of a string or body, in bytes
+	remaining int // bytes that the rest of the message may use
+	maxLength int // limit of a string or body, in bytes
 }
 
 // readMessage reads one MessagePack value: nil, bool, int64, uint64, float64, string, []byte, []any or map[string]any.
-// It returns io.EOF at an end of the stream between messages, and io.ErrUnexpectedEOF at one within a message.
+// It returns io.EOF if the stream ends between messages, and io.ErrUnexpectedEOF if it ends within a message.
 func readMessage(reader *bufio.Reader) (any, error) {
 	d := decoder{reader: reader, remaining: maxMessageSize, maxLength: maxStringSize}
 	return d.readValue(0)
 }
 
-// readValue reads a value that stands within depth arrays and maps.
+// readValue reads a value that is nested in depth arrays and maps.
 func (d *decoder) readValue(depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, fmt.Errorf("%w: nested too deep", errMalformed)
+		return nil, fmt.Errorf("%w: nested too deeply", errMalformed)
 	}
 	format, err := d.reader.ReadByte()
 	if err != nil {
@@ -92,8 +92,8 @@
 	return d.readFormatted(format, depth)
 }
 
-// readFormatted reads the rest of a value whose format is none of the fixed forms. The formats of one type follow each
-// other, and each has a number of twice the size of the one before.
+// readFormatted reads the rest of a value whose format is not a fix format. The formats of a type are consecutive, and
+// the size of the number or length doubles from one format to the next.
 func (d *decoder) readFormatted(format byte, depth int) (any, error) {
 	switch format {
 	case formatNil:
@@ -135,13 +135,13 @@
 		}
 		return d.readMap(length, depth)
 	}
-	return nil, fmt.Errorf("%w: type %#x", errMalformed, format)
+	return nil, fmt.Errorf("%w: unknown format %#x", errMalformed, format)
 }
 
-// readBytes reads n bytes.
+// readBytes reads n bytes, if the limits allow that many.
 func (d *decoder) readBytes(n int) ([]byte, error) {
 	if n > d.maxLength || n > d.remaining {
-		return nil, fmt.Errorf("%w: %d bytes are too many", errMalformed, n)
+		return nil, fmt.Errorf("%w: %d bytes exceed the size limit", errMalformed, n)
 	}
 	d.remaining -= n
 	b := make([]byte, n)
@@ -154,7 +154,7 @@
 	return b, nil
 }
 
-// readUint reads a big-endian number of n bytes.
+// readUint reads a big-endian unsigned integer of n bytes.
 func (d *decoder) readUint(n int) (uint64, error) {
 	b, err := d.readBytes(n)
 	if err != nil {
@@ -165,18 +165,18 @@
 	return binary.BigEndian.Uint64(wide[:]), nil
 }
 
-// readInt reads a big-endian signed number of n bytes.
+// readInt reads a big-endian signed integer of n bytes.
 func (d *decoder) readInt(n int) (int64, error) {
 	v, err := d.readUint(n)
 	shift := 64 - 8*n
 	return int64(v<<shift) >> shift, err
 }
 
-// readLength reads a length of n bytes.
+// readLength reads a length that is encoded in n bytes, and rejects lengths above maxLength.
 func (d *decoder) readLength(n int) (int, error) {
 	length, err := d.readUint(n)
 	if length > uint64(d.maxLength) {
-		return 0, fmt.Errorf("%w: length %d", errMalformed, length)
+		return 0, fmt.Errorf("%w: length %d exceeds the limit", errMalformed, length)
 	}
 	return int(length), err
 }
@@ -187,10 +187,10 @@
 	return string(b), err
 }
 
-// readArray reads an array of n values that stands within depth others.
+// readArray reads the n values of an array that is nested in depth arrays and maps.
 func (d *decoder) readArray(n, depth int) (any, error) {
 	if n > maxItems {
-		return nil, fmt.Errorf("%w: array of %d", errMalformed, n)
+		return nil, fmt.Errorf("%w: array of %d values exceeds the limit", errMalformed, n)
 	}
 	list := make([]any, n)
 	for i := range list {
@@ -203,11 +203,11 @@
 	return list, nil
 }
 
-// readMap reads a map of n pairs that stands within depth others. Its keys must be strings; the last of equal ones
-// counts.
+// readMap reads the n pairs of a map that is nested in depth arrays and maps. Its keys must be strings. Of pairs with
+// the same key, the last one applies.
 func (d *decoder) readMap(n, depth int) (any, error) {
 	if n > maxItems {
-		return nil, fmt.Errorf("%w: map of %d", errMalformed, n)
+		return nil, fmt.Errorf("%w: map of %d pairs exceeds the limit", errMalformed, n)
 	}
 	pairs := make(map[string]any, n)
 	for range n {
@@ -217,7 +217,7 @@
 		}
 		name, ok := key.(string)
 		if !ok {
-			return nil, fmt.Errorf("%w: a map key is no string", errMalformed)
+			return nil, fmt.Errorf("%w: map key is not a string", errMalformed)
 		}
 		if pairs[name], err = d.readValue(depth + 1); err != nil {
 			return nil, err
@@ -226,7 +226,7 @@
 	return pairs, nil
 }
 
-// asUint64 converts a number that readMessage returned; ok is false where it is none, or negative.
+// asUint64 converts an integer that readMessage returned. ok is false if v is not an integer or is negative.
 func asUint64(v any) (n uint64, ok bool) {
 	switch n := v.(type) {
 	case uint64:
--- a/internal/msgpackrpc/departed.go
+++ b/internal/msgpackrpc/departed.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// A reader that lags behind its socket is waited for: up to maxSocketPeeks times socketPeekInterval. A reader waits for
-// nothing but its client, so it has caught up after the first interval, unless bytes come faster than it reads or the
-// process gets no processor time during each interval.
+// clientDeparted waits up to maxSocketPeeks times socketPeekInterval for a reader that lags behind its socket. A reader
+// blocks only on its client, so it has usually caught up after the first interval. It has not if bytes arrive faster
+// than it reads them, or if the process gets no CPU time during the intervals.
 const (
 	maxSocketPeeks     = 50
 	socketPeekInterval = 200 * time.Microsecond
 )
 
-// socketState is what waits unread on a client's socket.
+// socketState describes the unread input of a client's socket.
 type socketState int
 
 // The states of a socket.
 const (
 	socketEmpty socketState = iota
 	socketHasData
-	socketEnded // a close, a half-close or a reset
+	socketClosed // closed, half-closed or reset by the client
 )
 
-// clientDeparted reports whether the client of a request has left, also where its reader has not run since then: a
-// router that is short of processor time finds the response of a server and the end of a client's stream at once, in
-// no order. ctx is the request's. It may block for some milliseconds.
+// clientDeparted reports whether the client of a request has disconnected or canceled the request. It also detects this
+// before the connection's reader has run: on a router that is short of CPU time, the response of a server and the end
+// of the client's stream can become readable together, in any order. ctx is the context of the request. The call may
+// block for some milliseconds.
 func (c *conn) clientDeparted(ctx context.Context) bool {
 	for range maxSocketPeeks {
 		if ctx.Err() != nil {
@@ -34,17 +35,17 @@
 		}
 		switch c.peekSocket() {
 		case socketEmpty:
-			return ctx.Err() != nil // what was read meanwhile counts
-		case socketEnded:
+			return ctx.Err() != nil // the reader may have handled a cancel in the meantime
+		case socketClosed:
 			return true
 		}
-		time.Sleep(socketPeekInterval) // a cancel, or the end, may come behind these bytes
+		time.Sleep(socketPeekInterval) // a cancel or the end of the stream may follow these bytes
 	}
 	return ctx.Err() != nil
 }
 
-// peekSocket examines the socket without reading from it. Where that is not possible it finds the socket empty: the
-// reader will find what there is.
+// peekSocket returns the state of the socket without consuming input. If the connection is not a socket, it returns
+// socketEmpty, and the reader detects a disconnect.
 func (c *conn) peekSocket() socketState {
 	socket, ok := c.netConn.(syscall.Conn)
 	if !ok {
@@ -62,11 +63,11 @@
 		case n > 0:
 			state = socketHasData
 		case err == nil, err == syscall.ECONNRESET, err == syscall.EPIPE, err == syscall.ETIMEDOUT:
-			state = socketEnded
+			state = socketClosed
 		}
 	})
-	if err != nil { // closed on this side: the request was given up
-		return socketEnded
+	if err != nil { // closed by this process: the request was canceled
+		return socketClosed
 	}
 	return state
 }
--- a/internal/msgpackrpc/drain.go
+++ b/internal/msgpackrpc/drain.go
@@ -9,9 +9,9 @@
 	"spantack/internal/clock"
 )
 
-// Drain drains the server until Rejoin: each connection is closed once no request is open on it, and requests that come
-// more than rejectAfter later are rejected. New connections are accepted, since the load balancer learns of it late,
-// and closed likewise.
+// Drain drains the server until Rejoin: each connection is closed once it has no open requests, and requests that
+// arrive more than rejectAfter later are rejected. New connections are still accepted, since the load balancer stops
+// sending them only after a delay, and are drained in the same way.
 func (s *Server) Drain() { s.startDraining(false) }
 
 // Rejoin ends draining, unless the server is shutting down.
@@ -21,15 +21,15 @@
 	s.draining = s.shuttingDown
 }
 
-// Draining reports whether Drain is in force.
+// Draining reports whether the server drains because of Drain, and not because it shuts down.
 func (s *Server) Draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining && !s.shuttingDown
 }
 
-// startDraining begins to drain the server, for good if it is for the shutdown, and returns the connections that are
-// open. The time of draining begins anew with the shutdown.
+// startDraining starts to drain the server and returns the open connections. Draining for a shutdown is permanent and
+// resets drainingSince.
 func (s *Server) startDraining(isShutdown bool) []*conn {
 	s.mu.Lock()
 	if !s.draining || isShutdown {
@@ -45,7 +45,7 @@
 	return open
 }
 
-// shutdown drains the server for good, and returns once all connections are closed.
+// shutdown drains the server permanently and returns after all connections are closed.
 func (s *Server) shutdown(serving *sync.WaitGroup) {
 	open := s.startDraining(true)
 	timeout := time.AfterFunc(clock.Duration(s.ShutdownTimeout), func() { s.closeRemaining(open) })
@@ -53,17 +53,17 @@
 	serving.Wait()
 }
 
-// closeRemaining closes connections at the end of ShutdownTimeout. One on which a response is due stays until
-// ShutdownGracePeriod is over: responses are given just before, and a process that the machine lets run late must not
-// close on its clients with all of them in hand.
+// closeRemaining closes connections at the end of ShutdownTimeout. A connection with a pending response stays open for
+// up to ShutdownGracePeriod longer: handlers respond just before ShutdownTimeout, and a process that is scheduled late
+// must still deliver those responses.
 func (s *Server) closeRemaining(open []*conn) {
 	s.mu.Lock()
 	graceEnd := s.drainingSince + s.ShutdownTimeout + s.ShutdownGracePeriod
 	s.mu.Unlock()
 	for {
-		isGraceOver := s.Clock.Now() >= graceEnd
+		isGracePeriodOver := s.Clock.Now() >= graceEnd
 		open = slices.DeleteFunc(open, func(c *conn) bool {
-			if !isGraceOver && c.owesResponse(s.ResponseReadTimeout) {
+			if !isGracePeriodOver && c.hasPendingResponse(s.ResponseReadTimeout) {
 				return false
 			}
 			c.netConn.Close()
@@ -76,18 +76,18 @@
 	}
 }
 
-// connections returns the open connections. s.mu is held.
+// connections returns the open connections in no particular order. s.mu is held.
 func (s *Server) connections() []*conn { return slices.Collect(maps.Keys(s.conns)) }
 
-// closesConnections reports whether connections without open requests are to be closed.
+// closesConnections reports whether connections without open requests are to be closed, that is while draining.
 func (s *Server) closesConnections() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining
 }
 
-// rejectsRequests reports whether requests are rejected because the server drains: clients that keep connections busy
-// must not prevent that.
+// rejectsRequests reports whether the server has been draining for at least rejectAfter, after which requests are
+// rejected. Otherwise clients that always have a request open could keep their connections from closing.
 func (s *Server) rejectsRequests() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/msgpackrpc/encode.go
+++ b/internal/msgpackrpc/encode.go
@@ -5,16 +5,16 @@
 	"math"
 )
 
-// maxFixString is the first length of a string that has no fixed form.
-const maxFixString = 32
+// fixStringLimit is the smallest string length, in bytes, that does not fit the fix format.
+const fixStringLimit = 32
 
-// appendArrayHeader appends the beginning of an array of n values, 15 at most.
+// appendArrayHeader appends the header of an array of n values, at most 15.
 func appendArrayHeader(buf []byte, n int) []byte { return append(buf, formatFixArray|byte(n)) }
 
 // appendNil appends the value nil.
 func appendNil(buf []byte) []byte { return append(buf, formatNil) }
 
-// appendBool appends a truth value.
+// appendBool appends a boolean.
 func appendBool(buf []byte, v bool) []byte {
 	if v {
 		return append(buf, formatTrue)
@@ -22,7 +22,7 @@
 	return append(buf, formatFalse)
 }
 
-// appendUint appends a number in its shortest form.
+// appendUint appends an unsigned integer in its shortest format.
 func appendUint(buf []byte, v uint64) []byte {
 	switch {
 	case v < formatFixMap:
@@ -39,7 +39,7 @@
 
 // appendString appends a string of up to 65,535 bytes.
 func appendString(buf []byte, s string) []byte {
-	if len(s) < maxFixString {
+	if len(s) < fixStringLimit {
 		buf = append(buf, formatFixString|byte(len(s)))
 	} else {
 		buf = binary.BigEndian.AppendUint16(append(buf, formatString16), uint16(len(s)))
@@ -47,7 +47,7 @@
 	return append(buf, s...)
 }
 
-// appendBinaryHeader appends the beginning of a body of n bytes.
+// appendBinaryHeader appends the header of a binary value of n bytes.
 func appendBinaryHeader(buf []byte, n int) []byte {
 	if n <= math.MaxUint8 {
 		return append(buf, formatBinary8, byte(n))
@@ -55,7 +55,7 @@
 	return binary.BigEndian.AppendUint32(append(buf, formatBinary32), uint32(n))
 }
 
-// appendFields appends a map of strings to strings, 15 at most: names and values in turn.
+// appendFields appends a map of at most 15 strings to strings; pairs holds alternating names and values.
 func appendFields(buf []byte, pairs ...string) []byte {
 	buf = append(buf, formatFixMap|byte(len(pairs)/2))
 	for _, s := range pairs {
--- a/internal/msgpackrpc/handler.go
+++ b/internal/msgpackrpc/handler.go
@@ -12,18 +12,18 @@
 	"spantack/internal/router"
 )
 
-// openRequest is a request that has no response yet. Its address distinguishes it from a later one of the same message
-// id.
+// openRequest is a request that has no response yet. Its address distinguishes it from a later request with the same
+// message id.
 type openRequest struct{ cancel context.CancelFunc }
 
-// encodedResponse is one response in the queue of a connection.
+// encodedResponse is a response in the queue of a connection.
 type encodedResponse struct {
 	parts        net.Buffers
-	reservedSize int64 // bytes of Server.MaxQueuedBytes that are reserved until it is written
+	reservedSize int64 // bytes of Server.MaxQueuedBytes reserved until the response is written
 }
 
-// handleMessage handles one message; an error ends the connection. Handlers of requests run in handlers, with contexts
-// derived from ctx.
+// handleMessage handles one message. An error ends the connection. Request handlers run as goroutines of handlers, with
+// contexts derived from ctx.
 func (c *conn) handleMessage(ctx context.Context, m message, arrivedAt float64, handlers *sync.WaitGroup) error {
 	switch {
 	case m.kind == kindNotification && m.method == methodCancel:
@@ -38,7 +38,7 @@
 	return c.handleRequest(ctx, m, arrivedAt, handlers)
 }
 
-// handleRequest starts the handler of a request, or answers one that is not accepted.
+// handleRequest starts the handler of a request, or queues an error response if the request is not accepted.
 func (c *conn) handleRequest(ctx context.Context, m message, arrivedAt float64, handlers *sync.WaitGroup) error {
 	server := c.server
 	keyRequired, isKnown := server.lookupClass(m.method)
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// openRequest registers a request and reserves its cost in bytes, which bounds the memory of open requests. It returns
-// nil where there is no capacity, and an error where the message id is open already.
+// openRequest registers a request and reserves its cost in bytes, which limits the memory of open requests. It returns
+// a nil request if there is no capacity, and an error if a request with the same message id is open.
 func (c *conn) openRequest(ctx context.Context, id uint64, cost int64) (context.Context, *openRequest, error) {
 	isReserved := c.server.reserve(cost)
 	c.mu.Lock()
@@ -88,15 +88,15 @@
 		c.server.reserve(-cost)
 	}
 	if isDuplicate {
-		return nil, nil, fmt.Errorf("%w: message id %d is open already", errMalformed, id)
+		return nil, nil, fmt.Errorf("%w: message id %d is already in use", errMalformed, id)
 	}
 	return nil, nil, nil
 }
 
-// serveRequest runs the handler of a request and queues its response, unless the request was canceled meanwhile.
+// serveRequest runs the handler of a request and queues its response, unless the request was canceled.
 func (c *conn) serveRequest(ctx context.Context, id uint64, open *openRequest, request router.Request) {
 	response := c.server.handle(ctx, request)
-	c.addUnsentResponses(1) // or the connection might be evicted before the response is queued
+	c.addUnsentResponses(1) // prevents eviction of the connection before the response is queued
 	defer c.addUnsentResponses(-1)
 	if !c.closeRequest(id, open) || response.Outcome == router.NoResponse {
 		return
@@ -107,7 +107,7 @@
 	}
 }
 
-// handle calls Handle and turns a panic into a failed request.
+// handle calls Handle. If Handle panics, it logs the panic and returns a failed response.
 func (s *Server) handle(ctx context.Context, request router.Request) (response router.Response) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -118,12 +118,12 @@
 	return s.Handle(ctx, request)
 }
 
-// cancel ends requests that the client canceled; none of them gets a response.
+// cancel cancels the requests with the given message ids. They get no response.
 func (c *conn) cancel(ids []any) {
 	for _, v := range ids {
 		id, ok := asUint64(v)
 		if !ok {
-			c.server.recordFault(errors.New("cancel: no message id"))
+			c.server.recordFault(errors.New("cancel: message id is not an unsigned integer"))
 			continue
 		}
 		c.mu.Lock()
@@ -133,8 +133,9 @@
 	}
 }
 
-// closeRequest removes a request from the open ones. It returns true once for each: that caller may respond. A request
-// that was canceled is closed a second time, when its id may belong to another.
+// closeRequest removes a request from the open ones and cancels its context. It returns true only for the first call
+// with a request; only that caller may respond. A canceled request is closed again when its handler returns, and its id
+// may belong to another request by then.
 func (c *conn) closeRequest(id uint64, request *openRequest) bool {
 	c.mu.Lock()
 	isOpen := request != nil && c.openRequests[id] == request
@@ -152,7 +153,7 @@
 	return isOpen
 }
 
-// reject answers a request that is not accepted; retryAfter is how long its client should stay away, in milliseconds.
+// reject queues a rejection. retryAfter is the time after which the client may retry, in milliseconds.
 func (c *conn) reject(m message, retryAfter string) error {
 	if c.server.OnRejected != nil {
 		c.server.OnRejected(m.method)
@@ -172,8 +173,8 @@
 	return c.enqueueBytes(appendError(nil, id, errorFailed))
 }
 
-// respondServed queues a response with a body, whose size is reserved until it is written: that bounds the memory that
-// clients hold which do not read.
+// respondServed queues a response with a body. The body's size is reserved until it is written, which limits the memory
+// for clients that do not read.
 func (c *conn) respondServed(id uint64, response router.Response) error {
 	size := int64(len(response.Body))
 	if !c.server.reserveResponse(c, size) {
--- a/internal/msgpackrpc/interleavings_test.go
+++ b/internal/msgpackrpc/interleavings_test.go
@@ -13,12 +13,12 @@
 	"spantack/internal/testwait"
 )
 
-// Race conditions on a client's connection. The client holds back what it sends, and the handler its response, until
-// the server has reached the point that the test is about.
+// Race conditions on a client's connection. The client delays its messages, and the handler its response, until the
+// server has reached the state under test.
 
-// Drain, or the end of accepting, comes between a reader's check whether its connection is to close and its wait for
-// the next message: the connection must close as others do, and not stay for the idle timeout.
-func TestDrainWhileReaderChecks(t *testing.T) {
+// If Drain or a shutdown starts between a reader's check whether its connection is to close and its wait for the next
+// message, the connection must still close promptly, and not stay open for the idle timeout.
+func TestDrainBetweenCheckAndWaitClosesConnection(t *testing.T) {
 	for name, drain := range map[string]func(*testClient){
 		"drain": func(c *testClient) { c.Drain() },
 		"end": func(c *testClient) {
@@ -27,7 +27,7 @@
 			c.Server.mu.Lock()
 			open := c.connections()
 			c.Server.mu.Unlock()
-			for _, conn := range open { // the server's own calls of wake may come a moment later: these are the same
+			for _, conn := range open { // same calls as the server's own, which may come later
 				conn.wake()
 			}
 		},
@@ -47,7 +47,7 @@
 		client.expect("[1 1 <nil> [true map[]]]")
 		client.SetReadDeadline(time.Now().Add(idleTimeout / 3 * time.Millisecond))
 		if _, err := client.reader.ReadByte(); err != io.EOF {
-			t.Errorf("%s: the connection stays: %v", name, err)
+			t.Errorf("%s: connection not closed: %v", name, err)
 		}
 		client.stopServer()
 		client.Close()
@@ -59,28 +59,28 @@
 // deadlineCounter is a connection that counts how often its read deadline is set.
 type deadlineCounter struct {
 	net.Conn
-	setCount int
+	deadlineCount int
 }
 
-func (d *deadlineCounter) SetReadDeadline(time.Time) error { d.setCount++; return nil }
+func (d *deadlineCounter) SetReadDeadline(time.Time) error { d.deadlineCount++; return nil }
 
-// A reader that waits for a last message has its full time for that, whoever wakes it meanwhile: a request that is
-// under way must be accepted.
-func TestWakeWhileAwaitingLastMessage(t *testing.T) {
+// wake must not shorten the wait for a last message, since a request in transit must still be accepted.
+func TestWakeKeepsWaitForLastMessage(t *testing.T) {
 	deadlines := &deadlineCounter{}
 	c := &conn{netConn: deadlines, awaitsLastMessage: true}
 	c.wake()
-	if deadlines.setCount != 0 {
-		t.Error("the wait for a last message was cut short")
+	if deadlines.deadlineCount != 0 {
+		t.Error("wake shortened the wait for a last message")
 	}
 	c = &conn{netConn: deadlines}
-	if c.wake(); deadlines.setCount != 1 {
-		t.Error("a waiting reader was not woken")
+	if c.wake(); deadlines.deadlineCount != 1 {
+		t.Error("wake did not wake a waiting reader")
 	}
 }
 
-// The handler of a canceled request ends when its message id is another request's: that one still gets its response.
-func TestIdUsedAgainAfterCancel(t *testing.T) {
+// The handler of a canceled request returns after its message id was reused. The second request with that id must still
+// get its response.
+func TestReusedMessageIDGetsResponseAfterCancel(t *testing.T) {
 	entered := make(chan string)
 	responses := make(chan router.Response)
 	client := startServer(t, func(server *Server) {
@@ -94,9 +94,9 @@
 	client.sendCancel(uint64(1))
 	client.sendRequest(1, "page", "0000000000000002")
 	if id := testwait.Receive(t, entered, "the second request"); id != "0000000000000002" {
-		t.Fatalf("handled %s", id)
+		t.Fatalf("second request: handler got id %s", id)
 	}
-	// Which of the two handlers takes a response is not known, so each gets one.
+	// It is not known which of the two handlers receives a response, so each gets one.
 	testwait.Send(t, responses, router.Response{}, "the end of a handler")
 	testwait.Until(t, "one handler to end", func() bool {
 		client.Server.mu.Lock()
@@ -107,10 +107,10 @@
 	client.expect("[1 1 [Error map[]] <nil>]")
 }
 
-// A client leaves in each way there is while its request is open, before the end of accepting and after. The handler's
-// context ends, so that nothing more is forwarded.
-func TestWaysOfLeaving(t *testing.T) {
-	for name, leave := range map[string]func(c *testClient){
+// A client that cancels or disconnects must end the context of its handler, before and during a shutdown. Otherwise the
+// router would go on forwarding the request.
+func TestDisconnectCancelsRequest(t *testing.T) {
+	for name, disconnect := range map[string]func(c *testClient){
 		"cancel":     func(c *testClient) { c.sendCancel(uint64(1)) },
 		"close":      func(c *testClient) { c.Close() },
 		"reset":      func(c *testClient) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
@@ -121,45 +121,46 @@
 			c.Close()
 		},
 	} {
-		for _, isEnding := range []bool{false, true} {
+		for _, isShuttingDown := range []bool{false, true} {
 			client := startServer(t)
 			client.sendRequest(1, "page", "0000000000000001")
 			call := client.nextCall()
-			if isEnding {
+			if isShuttingDown {
 				client.stopServer()
 				testwait.Until(t, "the end of accepting", client.closesConnections)
 			}
-			leave(client)
-			what := fmt.Sprintf("the end of the request of a client that left: %s, ending %v", name, isEnding)
-			testwait.Receive(t, call.ctx.Done(), what)
+			disconnect(client)
+			awaited := fmt.Sprintf("the end of the request context: %s, shutting down %v", name, isShuttingDown)
+			testwait.Receive(t, call.ctx.Done(), awaited)
 		}
 	}
 }
 
-// A call of this package's Client is given up: the router is notified of it as the protocol says.
-func TestCallGivenUp(t *testing.T) {
+// Client must send a cancel message when the context of a call ends. Otherwise the router would go on with the request.
+func TestClientSendsCancel(t *testing.T) {
 	client := startServer(t)
 	caller, err := Dial(client.addr, 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer caller.Close()
-	ctx, giveUp := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
 		_, err := caller.Do(ctx, router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1500})
 		ended <- err
 	}()
 	call := client.nextCall()
-	giveUp()
+	cancel()
 	if err := testwait.Receive(t, ended, "the end of the call"); err != context.Canceled {
 		t.Error(err)
 	}
 	call.awaitCancel(t)
 }
 
-// A client leaves right after the last byte of its request: whether the request was begun or not, its handler ends.
-func TestClientLeavesAtOnce(t *testing.T) {
+// A client disconnects right after the last byte of its request. Whether or not the handler has started by then, the
+// connection and the reserved bytes must be released.
+func TestDisconnectRightAfterRequest(t *testing.T) {
 	defer func() { testHookAwait = func() {} }()
 	for _, withReset := range []bool{false, true} {
 		accepted := make(chan struct{})
@@ -170,7 +171,7 @@
 			client.Conn.(*net.TCPConn).SetLinger(0)
 		}
 		client.Close()
-		testwait.Receive(t, accepted, "the connection to be accepted") // until then there is none to end
+		testwait.Receive(t, accepted, "the connection to be accepted") // before that there is no connection to end
 		testwait.Until(t, "the end of the connection and of its request", func() bool {
 			select {
 			case call := <-client.handlerCalls:
@@ -186,25 +187,25 @@
 	}
 }
 
-// An operator drains a server that does not serve yet: its second address is open by then. Connections that it accepts
-// later are closed likewise.
-func TestDrainBeforeServe(t *testing.T) {
-	begin := make(chan struct{})
+// An operator can drain a server before Serve is called, since the management address opens earlier. Connections that
+// are accepted later must be closed as well.
+func TestDrainBeforeServeClosesConnections(t *testing.T) {
+	startDrain := make(chan struct{})
 	client := startServer(t, func(server *Server) {
 		go func() {
-			<-begin
+			<-startDrain
 			server.Drain()
 		}()
 	})
-	close(begin)
+	close(startDrain)
 	client.SetReadDeadline(time.Now().Add(firstMessageTimeout / 2 * time.Millisecond))
 	if _, err := client.reader.ReadByte(); err != io.EOF {
-		t.Errorf("the connection stays: %v", err)
+		t.Errorf("connection not closed: %v", err)
 	}
 }
 
-// A client that does not read must not use up MaxQueuedBytes: the large responses of others failed then, small ones did
-// not.
+// A client that does not read must not use up MaxQueuedBytes. Otherwise large responses to other clients fail, while
+// small ones succeed.
 func TestUnreadResponsesLeaveCapacity(t *testing.T) {
 	const large = 200 << 10
 	client := startServer(t, func(server *Server) {
@@ -213,7 +214,7 @@
 	})
 	client.sendRequest(1, "page", "0000000000000001")
 	call := client.nextCall()
-	// Nothing writes the queue of this connection: its responses wait, as for a client that does not read.
+	// This connection has no writer, so its responses stay queued, as for a client that does not read.
 	unread := &conn{server: client.Server, queue: make(chan encodedResponse, maxQueuedResponses)}
 	for id := range uint64(maxQueuedResponses) {
 		if err := unread.respond(id, router.Response{Outcome: router.Served, Body: make([]byte, large)}); err != nil {
@@ -224,11 +225,11 @@
 	d := decoder{reader: client.reader, remaining: 2 * large, maxLength: 2 * large}
 	value, err := d.readValue(0)
 	if list, _ := value.([]any); err != nil || len(list) != 4 || list[2] != nil {
-		t.Errorf("a large response to another client: %.80v, %v", value, err)
+		t.Errorf("large response to another client: got %.80v, %v", value, err)
 	}
 	client.Server.mu.Lock()
 	defer client.Server.mu.Unlock()
 	if unread.reservedBytes < client.MaxQueuedBytes/4 {
-		t.Errorf("one client gets only %d bytes while nobody else needs them", unread.reservedBytes)
+		t.Errorf("one client can reserve only %d bytes, want at least a quarter", unread.reservedBytes)
 	}
 }
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// messageKind is the first value of a message.
+// messageKind is the type of a message, which is its first value.
 type messageKind int64
 
-// The kinds of message.
+// Message kinds of MessagePack-RPC, with the layout of the message.
 const (
 	kindRequest      messageKind = 0 // [kind, id, method, params]
 	kindResponse     messageKind = 1 // [kind, id, error, result]
@@ -25,46 +25,46 @@
 	return fmt.Sprintf("kind %d", int64(k))
 }
 
-// Values in each kind of message.
+// Number of values in a message of each kind.
 const (
 	requestLength      = 4
 	responseLength     = 4
 	notificationLength = 3
 )
 
-// The methods that are no request class.
+// Methods that are not request classes.
 const (
-	methodHealth = "health" // a request whose result is whether the router is ready
-	methodCancel = "cancel" // a notification with the ids of requests that are given up
+	methodHealth = "health" // a request; its result reports whether the router is ready
+	methodCancel = "cancel" // a notification with the message ids of requests to cancel
 )
 
-// The words of errors in responses.
+// Error codes in responses.
 const (
-	errorRejected = "Full"  // not accepted: a retry after fieldRetryAfter does no harm
-	errorFailed   = "Error" // with fieldReason where the router itself found one
+	errorRejected = "Full"  // the request was not accepted; it is safe to retry after fieldRetryAfter
+	errorFailed   = "Error" // the request failed; has fieldReason if the router itself found the cause
 )
 
 // Fields of responses.
 const (
 	fieldReason      = "reason"
 	fieldRetryAfter  = "cooldown" // milliseconds
-	fieldNotModified = "keep"     // the client's own copy is current: the body is empty
+	fieldNotModified = "keep"     // the client's cached copy is current, and the body is empty
 	valueNotModified = "1"
 )
 
-// message is a request or notification as it came.
+// message is a request or notification with unchecked parameters.
 type message struct {
 	kind   messageKind
-	id     uint64 // of a request
+	id     uint64 // of a request; 0 for a notification
 	method string
 	params []any
 }
 
-// parseMessage checks the frame only; the parameters are checked where they are used. Errors wrap errMalformed.
+// parseMessage parses a message but does not check the parameters. Errors wrap errMalformed.
 func parseMessage(v any) (m message, err error) {
 	list, _ := v.([]any)
 	if len(list) < notificationLength {
-		return m, fmt.Errorf("%w: no request", errMalformed)
+		return m, fmt.Errorf("%w: not a request or notification", errMalformed)
 	}
 	kind, isKind := list[0].(int64)
 	m.kind = messageKind(kind)
@@ -73,40 +73,40 @@
 	case isKind && m.kind == kindRequest && len(list) == requestLength:
 		id, ok := asUint64(list[1])
 		if !ok {
-			return m, fmt.Errorf("%w: message id", errMalformed)
+			return m, fmt.Errorf("%w: message id is not an unsigned integer", errMalformed)
 		}
 		m.id = id
 		rest = list[2:]
 	case isKind && m.kind == kindNotification && len(list) == notificationLength:
 	case isKind:
-		return m, fmt.Errorf("%w: %v of %d values", errMalformed, m.kind, len(list))
+		return m, fmt.Errorf("%w: %v with %d values", errMalformed, m.kind, len(list))
 	default:
-		return m, fmt.Errorf("%w: no request", errMalformed)
+		return m, fmt.Errorf("%w: not a request or notification", errMalformed)
 	}
 	method, methodOK := rest[0].(string)
 	params, paramsOK := rest[1].([]any)
 	if !methodOK || !paramsOK {
-		return m, fmt.Errorf("%w: method or parameters", errMalformed)
+		return m, fmt.Errorf("%w: method is not a string or parameters are not an array", errMalformed)
 	}
 	m.method = method
 	m.params = params
 	return m, nil
 }
 
-// appendResponseHeader appends the beginning of a response, up to its error.
+// appendResponseHeader appends a response up to, but without, its error value.
 func appendResponseHeader(buf []byte, id uint64) []byte {
 	return appendUint(append(appendArrayHeader(buf, responseLength), byte(kindResponse)), id)
 }
 
-// appendResultHeader appends the beginning of a response without an error, up to the body or truth value of its result.
-// What follows is that and the result's fields.
+// appendResultHeader appends a successful response up to, but without, the two values of its result: a body or boolean,
+// and the fields.
 func appendResultHeader(buf []byte, id uint64) []byte {
 	return appendArrayHeader(appendNil(appendResponseHeader(buf, id)), 2)
 }
 
-// appendError appends a complete response with an error: its word and fields.
-func appendError(buf []byte, id uint64, word string, pairs ...string) []byte {
+// appendError appends a complete error response with a code and fields.
+func appendError(buf []byte, id uint64, code string, pairs ...string) []byte {
 	buf = appendArrayHeader(appendResponseHeader(buf, id), 2)
-	buf = appendFields(appendString(buf, word), pairs...)
+	buf = appendFields(appendString(buf, code), pairs...)
 	return appendNil(buf)
 }
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -8,7 +8,7 @@
 	"spantack/internal/router"
 )
 
-// Bounds of a request's fields.
+// Limits of the fields of a request.
 const (
 	maxTokenLength   = 64
 	idLength         = 16
@@ -18,7 +18,7 @@
 	maxSizeKB        = 1e9
 )
 
-// Names of a request's fields on the wire.
+// Field names of a request on the wire.
 const (
 	fieldID             = "ref"
 	fieldObject         = "lookup"
@@ -35,14 +35,14 @@
 	errNoBody   = errors.New("no body")
 )
 
-// fieldError names a field of a request that can't be used. Clients get its text as the reason.
+// fieldError is the error of an invalid request field. Clients receive its text as the reason.
 type fieldError struct{ field string }
 
 // Error implements error.
 func (e *fieldError) Error() string { return "field " + e.field + " can't be used" }
 
-// parseRequest reads the parameters [FIELDS, BODY] of a request of a class. An error is a *fieldError where a field is
-// at fault: the first one, in the order in which they are read.
+// parseRequest parses the parameters [FIELDS, BODY] of a request. If fields are invalid, the error is a *fieldError for
+// the first one in the order of parsing.
 func parseRequest(class string, params []any, keyRequired bool) (request router.Request, err error) {
 	if len(params) != 2 {
 		return request, fmt.Errorf("%d parameters", len(params))
@@ -69,7 +69,7 @@
 	return request, fields.err
 }
 
-// parseBody accepts a body, a string, or nil for none.
+// parseBody returns a body that is sent as binary or as a string. It returns nil for nil.
 func parseBody(param any) ([]byte, error) {
 	switch body := param.(type) {
 	case []byte:
@@ -82,20 +82,20 @@
 	return nil, errNoBody
 }
 
-// requestFields reads the fields of a request, which are strings all. What it returns counts only while err is nil.
+// requestFields parses the fields of a request, which all are strings. Values are valid only if err is nil in the end.
 type requestFields struct {
 	values map[string]any
-	err    error // the first field that can't be used
+	err    error // *fieldError of the first invalid field
 }
 
-// fail notes that a field can't be used.
+// fail records that a field is invalid, if no earlier one is.
 func (f *requestFields) fail(name string) {
 	if f.err == nil {
 		f.err = &fieldError{field: name}
 	}
 }
 
-// token reads a field that is passed on as it is.
+// token returns a field that is forwarded unchanged, or "" if an optional one is absent.
 func (f *requestFields) token(name string, isRequired bool) string {
 	v, isPresent := f.values[name]
 	s, isString := v.(string)
@@ -108,7 +108,7 @@
 	return s
 }
 
-// hexID reads a field that is an id.
+// hexID returns a field that is an id, or "" if an optional one is absent.
 func (f *requestFields) hexID(name string, isRequired bool) string {
 	s := f.token(name, isRequired)
 	if s != "" && !isHexID(s) {
@@ -117,7 +117,7 @@
 	return s
 }
 
-// number reads a number from minimum to maximum; an optional one that is absent is 0.
+// number returns a number from minimum to maximum, or 0 if an optional one is absent.
 func (f *requestFields) number(name string, isRequired bool, minimum, maximum float64) float64 {
 	v, isPresent := f.values[name]
 	if !isPresent && !isRequired {
@@ -125,13 +125,14 @@
 	}
 	s, _ := v.(string)
 	n, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(n >= minimum && n <= maximum) { // NaN is neither
+	if err != nil || !(n >= minimum && n <= maximum) { // the negated condition also rejects NaN
 		f.fail(name)
 	}
 	return n
 }
 
-// integer reads an optional integer from 0 to maximum. A fraction is an error: it must not become another chunk.
+// integer returns an optional integer from 0 to maximum. A fraction is an error, since rounding it would select another
+// chunk.
 func (f *requestFields) integer(name string, maximum int64) int64 {
 	v, isPresent := f.values[name]
 	if !isPresent {
@@ -145,8 +146,8 @@
 	return int64(n)
 }
 
-// isHexID reports whether s is an id as the protocol writes it. Caches answer other ids with an error, or close the
-// connection on them.
+// isHexID reports whether s is an id of the protocol: 16 hexadecimal digits. Edge caches respond to other ids with an
+// error or close the connection.
 func isHexID(s string) bool {
 	for _, c := range []byte(s) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
@@ -156,8 +157,8 @@
 	return len(s) == idLength
 }
 
-// isToken reports whether s can be passed on in a list of name=value pairs: a comma or a line end in it would forge
-// other fields.
+// isToken reports whether s can be forwarded in a list of name=value pairs. A comma or a line end in it would inject
+// other fields. The empty string is a token.
 func isToken(s string) bool {
 	for _, c := range []byte(s) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.') {
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -1,5 +1,5 @@
-// Package msgpackrpc serves clients over MessagePack-RPC on TCP: many requests open on one connection, responses in any
-// order. Its Client speaks the same protocol for other programs.
+// Package msgpackrpc serves clients over MessagePack-RPC on TCP. A connection carries many concurrent requests, with
+// responses in any order. Client implements the client side of the protocol for other programs.
 package msgpackrpc
 
 import (
@@ -16,49 +16,51 @@
 	"spantack/internal/router"
 )
 
-// Bounds of client connections; times are milliseconds.
+// Limits of client connections. Times are in milliseconds.
 const (
-	maxOpenRequests    = 32                  // on one connection, as the protocol allows
-	maxQueuedResponses = 4 * maxOpenRequests // waiting to be written on one connection
-	requestOverhead    = 8 << 10             // bytes that an open request takes besides its body
-	connQuotaDivisor   = 8                   // divisor of MaxQueuedBytes for the quota of a connection
+	maxOpenRequests    = 32                  // per connection, as the protocol allows
+	maxQueuedResponses = 4 * maxOpenRequests // per connection, not yet written
+	requestOverhead    = 8 << 10             // bytes reserved for an open request besides its body
+	connQuotaDivisor   = 8                   // the quota of a connection is MaxQueuedBytes divided by this
 	readBufferSize     = 4 << 10             // bytes
 
-	firstMessageTimeout = 2_000  // for the first message: clients connect to send one at once
-	newConnGracePeriod  = 100    // in which a new connection is not evicted first: its first message is under way
-	idleTimeout         = 6_000  // clients close idle connections after 4 s; this bounds those that do not
-	messageTimeout      = 2_000  // for the rest of a message once it has begun
-	writeTimeout        = 10_000 // for one response: a client that reads none of it counts as gone
-	lingerTimeout       = 250    // for bytes that the client sent before it saw the close
-	acceptRetryDelay    = 20     // after an accept that failed
-
-	drainTimeout          = 50    // for a message already under way when the connection is to be closed
-	rejectAfter           = 1_500 // after Drain: 4 s after it no connection may have a request of the last 2 s open
-	rejectingDrainTimeout = 1     // replaces drainTimeout once requests are rejected
-	closeCheckInterval    = 5     // between checks for connections whose responses are written, at the end
-
-	overloadRetryAfter = "100"  // of a request for which there is no capacity
-	drainRetryAfter    = "1000" // of a request to a draining server
+	firstMessageTimeout = 2_000  // for the first message; clients send one as soon as they connect
+	newConnGracePeriod  = 100    // before a new connection is preferred for eviction; its first message may be in transit
+	idleTimeout         = 6_000  // clients close idle connections after 4 s; this closes the others
+	messageTimeout      = 2_000  // for the rest of a message after its first byte
+	writeTimeout        = 10_000 // for one response; a client that does not read it is treated as disconnected
+	lingerTimeout       = 250    // for bytes that the client sent before it received the close
+	acceptRetryDelay    = 20     // after a failed accept
+
+	drainTimeout          = 50    // for a message in transit on a connection that is to close
+	rejectAfter           = 1_500 // after Drain; 4 s after it no connection may have an open request of the last 2 s
+	rejectingDrainTimeout = 1     // replaces drainTimeout while requests are rejected
+	closeCheckInterval    = 5     // between checks for unwritten responses at the end of a shutdown
+
+	overloadRetryAfter = "100"  // for a request that exceeds the capacity
+	drainRetryAfter    = "1000" // for a request to a draining server
 )
 
-// Server serves clients over MessagePack-RPC. Its exported fields are set before Serve, but for the three that bound
-// the shutdown: they are read after the context of Serve has ended.
+// Server serves clients over MessagePack-RPC. Its exported fields must be set before Serve, except for the three that
+// limit the shutdown, which are read after the context of Serve has ended.
 type Server struct {
-	// Handle serves one request; it runs in a goroutine of its own. Its context ends when the client no longer waits.
+	// Handle serves one request. Each call runs in its own goroutine. Its context ends when the client disconnects or
+	// cancels the request.
 	Handle func(context.Context, router.Request) router.Response
-	// IsReady answers health requests.
+	// IsReady returns the response to health requests.
 	IsReady func() bool
-	// KeyRequired holds the classes, and whether their requests carry an idempotency key. UpdateClasses replaces it.
+	// KeyRequired maps each class to whether its requests must have an idempotency key. UpdateClasses replaces it.
 	KeyRequired map[string]bool
-	// OnRejected is called with the class of each request that is rejected here; it may be nil.
+	// OnRejected is called with the class of each request that the server rejects before Handle. It may be nil.
 	OnRejected func(class string)
 
 	MaxConns       int
-	MaxQueuedBytes int64 // of open requests and of responses waiting to be written, on all connections
+	MaxQueuedBytes int64 // of open requests and unwritten responses on all connections
 
-	// Milliseconds. ShutdownTimeout is how long open requests may delay the end of Serve; ResponseReadTimeout is how
-	// long clients have to read a response that was given late in that time. ShutdownGracePeriod is how much longer
-	// than ShutdownTimeout connections stay for that, and for responses that are due and not given yet.
+	// Limits of the shutdown in milliseconds. ShutdownTimeout is how long open requests may delay the end of Serve.
+	// ResponseReadTimeout is how long clients have to read a response that was queued late in that time.
+	// ShutdownGracePeriod is how long after ShutdownTimeout connections with such responses, or with open requests,
+	// stay open.
 	ShutdownTimeout     float64
 	ResponseReadTimeout float64
 	ShutdownGracePeriod float64
@@ -66,22 +68,22 @@
 	Clock *clock.Clock
 	Log   zerolog.Logger
 
-	mu            sync.Mutex // locked before a conn's where both are held
+	mu            sync.Mutex // locked before conn.mu if both are held
 	conns         map[*conn]bool
-	queuedBytes   int64   // reserved of MaxQueuedBytes
-	draining      bool    // connections are closed as they become free, since drainingSince
-	shuttingDown  bool    // draining will not end
+	queuedBytes   int64   // reserved part of MaxQueuedBytes
+	draining      bool    // connections without open requests are closed, since drainingSince
+	shuttingDown  bool    // draining is permanent
 	drainingSince float64 // Unix milliseconds
 
 	faultCount    int64
 	faultLog      ratelog.Limiter
 	evictedCount  int64
-	rejectedCount int64 // connections
+	rejectedCount int64 // of connections
 }
 
-// Serve accepts connections until ctx ends, then closes each as soon as no request is open on it, and returns when all
-// are closed. Requests that come more than rejectAfter later, on connections that always have one open, are rejected:
-// they would be cut short at the end.
+// Serve accepts connections until ctx ends, then closes each connection once it has no open requests, and returns when
+// all are closed. Requests that arrive more than rejectAfter after the end of ctx, on connections that always have an
+// open request, are rejected, since the end of the shutdown would abort them.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	s.mu.Lock() // Drain may be called before Serve
 	s.conns = map[*conn]bool{}
@@ -102,7 +104,7 @@
 		}
 		if err != nil {
 			s.recordFault(fmt.Errorf("accept: %w", err))
-			time.Sleep(clock.Duration(acceptRetryDelay)) // the process may be out of descriptors: retry without spinning
+			time.Sleep(clock.Duration(acceptRetryDelay)) // avoids a busy loop if the process is out of descriptors
 			continue
 		}
 		c := newConn(s, netConn)
@@ -119,14 +121,14 @@
 	}
 }
 
-// UpdateClasses replaces KeyRequired, for connections that are open too.
+// UpdateClasses replaces KeyRequired. The change also applies to open connections.
 func (s *Server) UpdateClasses(keyRequired map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.KeyRequired = keyRequired
 }
 
-// lookupClass reports whether a class is known, and whether its requests carry an idempotency key.
+// lookupClass reports whether a class is known and whether its requests must have an idempotency key.
 func (s *Server) lookupClass(name string) (keyRequired, isKnown bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,14 +136,14 @@
 	return keyRequired, isKnown
 }
 
-// ConnectionCounts returns the numbers of connections evicted and rejected, and of faults.
+// ConnectionCounts returns the numbers of evicted connections, of rejected connections, and of recorded faults.
 func (s *Server) ConnectionCounts() (evicted, rejected, faults int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.evictedCount, s.rejectedCount, s.faultCount
 }
 
-// recordFault counts a fault of a client or of the system, and logs at most one per ratelog.Interval.
+// recordFault counts a fault of a client or the system, and logs at most one fault per ratelog.Interval.
 func (s *Server) recordFault(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -15,7 +15,7 @@
 	"spantack/internal/testwait"
 )
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	client := startServer(t)
 	client.sendHealthRequest()
 	client.expect("[1 1 <nil> [true map[]]]")
@@ -38,8 +38,8 @@
 	client.expect("[1 5 [Error map[]] <nil>]")
 }
 
-// A request that can't be used is answered under its message id, and the connection stays open.
-func TestUnusableRequests(t *testing.T) {
+// An invalid request must get an error response with its message id, and the connection must stay open.
+func TestInvalidRequestKeepsConnection(t *testing.T) {
 	client := startServer(t)
 	client.sendRequest(1, "film", "0000000000000001")
 	client.expect("[1 1 [Error map[reason:unknown method]] <nil>]")
@@ -49,8 +49,8 @@
 	client.expect("[1 3 [Error map[reason:field replay can't be used]] <nil>]")
 }
 
-// A canceled request gets no response, though its id was open a moment ago.
-func TestCancel(t *testing.T) {
+// A canceled request must get no response. Unknown ids in the cancel message must be ignored.
+func TestCanceledRequestGetsNoResponse(t *testing.T) {
 	client := startServer(t)
 	client.sendRequest(1, "page", "0000000000000001")
 	call := client.nextCall()
@@ -61,8 +61,8 @@
 	client.expect("[1 2 [Error map[]] <nil>]")
 }
 
-// A malformed stream ends that connection and its requests; the next one is served.
-func TestMalformed(t *testing.T) {
+// A malformed stream must end its connection and that connection's requests, and no others.
+func TestMalformedStreamEndsOnlyItsConnection(t *testing.T) {
 	sameMessageID := string(encodeRequest(1, "page", "0000000000000002"))
 	for _, text := range []string{"\xc1", "GET / HTTP/1.1\r\n\r\n", "\x93\x00\x01\x02", sameMessageID} {
 		client := startServer(t)
@@ -71,20 +71,20 @@
 		client.Write([]byte(text))
 		call.awaitCancel(t)
 		if _, err := client.reader.ReadByte(); err == nil {
-			t.Errorf("%q: the connection is still open", text)
+			t.Errorf("%q: connection not closed", text)
 		}
 		next := testwait.Dial(t, client.addr)
 		next.Write(encode(nil, []any{uint64(0), uint64(1), "health", []any{}}))
 		want := []any{int64(1), int64(1), nil, []any{true, map[string]any{}}}
 		if value, err := readMessage(bufio.NewReader(next)); err != nil || !reflect.DeepEqual(value, want) {
-			t.Errorf("%q: then %v, %v", text, value, err)
+			t.Errorf("%q: response on the next connection: %v, %v", text, value, err)
 		}
 		next.Close()
 	}
 }
 
-// After the end of accepting, open requests still get their responses, and the connection closes after them.
-func TestShutdown(t *testing.T) {
+// During a shutdown, open requests must still get their responses before the connection closes.
+func TestShutdownAnswersOpenRequests(t *testing.T) {
 	client := startServer(t)
 	client.sendRequest(1, "page", "0000000000000001")
 	call := client.nextCall()
@@ -98,9 +98,9 @@
 	client.awaitServeEnd()
 }
 
-// The process runs so late that a response is given only after ShutdownTimeout: the client still gets it. One that is
-// never given delays the end no longer than ShutdownGracePeriod.
-func TestShutdownRunLate(t *testing.T) {
+// On an overloaded machine a handler may respond only after ShutdownTimeout. The client must still get that response. A
+// handler that never responds must not delay the shutdown beyond ShutdownGracePeriod.
+func TestShutdownDeliversLateResponse(t *testing.T) {
 	const timeout = 20 // milliseconds
 	client := startServer(t, func(server *Server) {
 		server.ShutdownTimeout = timeout
@@ -128,13 +128,13 @@
 	client.awaitServeEnd()
 }
 
-// A message that has begun when accepting ends is read to its end, and gets a response.
-func TestShutdownInsideMessage(t *testing.T) {
+// A message that is partly received when the shutdown starts must be read in full and get a response.
+func TestShutdownReadsPartialMessage(t *testing.T) {
 	client := startServer(t)
 	client.sendRequest(1, "page", "0000000000000001")
 	call := client.nextCall()
 	text := encodeRequest(2, "page", "0000000000000002")
-	client.sendRequest(3, "film", "0000000000000003") // its response shows that the reader is past it
+	client.sendRequest(3, "film", "0000000000000003") // its response shows that the reader has finished this message
 	client.Write(text[:9])
 	client.expect("[1 3 [Error map[reason:unknown method]] <nil>]")
 	client.stopServer()
@@ -145,9 +145,9 @@
 	client.expect("[1 2 [Error map[]] <nil>]")
 }
 
-// Drained by an operator: open requests get their responses, and the connection closes after them; a client that keeps
-// its connection busy is rejected in time; and after Rejoin all is as before.
-func TestDrainUntilRejoin(t *testing.T) {
+// While an operator drains the server, open requests must get their responses before the connection closes, and a
+// client that keeps its connection busy must be rejected after rejectAfter. Rejoin must end this.
+func TestDrainAndRejoin(t *testing.T) {
 	fake := clock.NewFake(1_764_576_000_000)
 	rejected := make(chan string, 1)
 	client := startServer(t, func(server *Server) {
@@ -158,15 +158,15 @@
 	call := client.nextCall()
 	client.Drain()
 	if !client.Draining() {
-		t.Error("not draining")
+		t.Error("Draining is false after Drain")
 	}
-	client.sendRequest(2, "page", "0000000000000002") // clients go on using open connections
+	client.sendRequest(2, "page", "0000000000000002") // clients continue to use open connections
 	second := client.nextCall()
 	fake.Advance(rejectAfter)
 	client.sendRequest(3, "page", "0000000000000003")
 	client.expect("[1 3 [Full map[cooldown:1000]] <nil>]")
 	if class := testwait.Receive(t, rejected, "a rejected request"); class != "page" {
-		t.Errorf("rejected a request of %q", class)
+		t.Errorf("OnRejected got class %q", class)
 	}
 	call.respond(t, router.Response{Outcome: router.Served, Body: []byte("x")})
 	client.expect("[1 1 <nil> [[120] map[]]]")
@@ -177,16 +177,16 @@
 	}
 	client.Rejoin()
 	if client.Draining() {
-		t.Error("draining after Rejoin")
+		t.Error("Draining is true after Rejoin")
 	}
-	again := client.dialAnother()
-	again.sendRequest(1, "page", "0000000000000004")
-	again.nextCall().respond(t, router.Response{Outcome: router.Failed})
-	again.expect("[1 1 [Error map[]] <nil>]")
+	rejoined := client.dialAnother()
+	rejoined.sendRequest(1, "page", "0000000000000004")
+	rejoined.nextCall().respond(t, router.Response{Outcome: router.Failed})
+	rejoined.expect("[1 1 [Error map[]] <nil>]")
 }
 
-// The classes change while a connection is open: a new one is known at once, one that was removed no longer.
-func TestUpdateClasses(t *testing.T) {
+// UpdateClasses must apply to open connections: a new class is accepted and a removed one is unknown.
+func TestUpdateClassesOnOpenConnection(t *testing.T) {
 	client := startServer(t)
 	client.UpdateClasses(map[string]bool{"price": false})
 	client.sendRequest(1, "page", "0000000000000001")
@@ -196,8 +196,8 @@
 	client.expect("[1 2 [Error map[]] <nil>]")
 }
 
-// Responses that nobody reads are bounded, by connection and in bytes.
-func TestQueueBounds(t *testing.T) {
+// Unread responses must be limited in number per connection and in total bytes.
+func TestUnreadResponsesAreLimited(t *testing.T) {
 	server := &Server{MaxQueuedBytes: 100, Clock: &clock.Clock{}}
 	c := &conn{server: server, queue: make(chan encodedResponse, 1)}
 	respond := func(id uint64, size int) error {
@@ -207,27 +207,27 @@
 		t.Fatal(err)
 	}
 	if err := respond(2, 10); err == nil || server.queuedBytes != 80 {
-		t.Errorf("a full queue takes another response: %v, %d bytes reserved", err, server.queuedBytes)
+		t.Errorf("response for a full queue: error %v, %d bytes reserved", err, server.queuedBytes)
 	}
 	testwait.Receive(t, c.queue, "the first response in the queue")
 	if err := respond(3, 30); err != nil || server.queuedBytes != 80 {
-		t.Errorf("%v, %d bytes reserved", err, server.queuedBytes)
+		t.Errorf("response above MaxQueuedBytes: error %v, %d bytes reserved", err, server.queuedBytes)
 	}
 	want := string(appendError(nil, 3, "Error", "reason", "too many answers wait"))
 	if text := string(testwait.Receive(t, c.queue, "a response in the queue").parts[0]); text != want {
-		t.Errorf("%q", text)
+		t.Errorf("queued response %q", text)
 	}
 }
 
-// A client that sent one request and keeps its connection open, or never sends anything, is evicted for a new one; a
-// connection on which a response is due is not. On a churn day such clients held all connections, and 9,000 requests of
-// others were never accepted.
+// At MaxConns, the idle connection of a client must be evicted for a new one, and a connection with a pending response
+// must not. Without eviction, clients with idle connections have held all connections while clients often reconnected,
+// and 9,000 requests of others were never accepted.
 func TestIdleConnectionIsEvicted(t *testing.T) {
-	client := startServer(t) // for two connections
+	client := startServer(t) // MaxConns is 2
 	client.sendRequest(1, "page", "0000000000000001")
 	client.nextCall().respond(t, router.Response{Outcome: router.Failed})
 	client.expect("[1 1 [Error map[]] <nil>]")
-	testwait.Until(t, "the response to be counted as written", func() bool { // the client may have it a moment before
+	testwait.Until(t, "the response to be counted as written", func() bool { // the client may receive it earlier
 		client.Server.mu.Lock()
 		defer client.Server.mu.Unlock()
 		for c := range client.conns {
@@ -243,14 +243,14 @@
 	next := client.dialAnother()
 	next.sendRequest(1, "page", "0000000000000003")
 	nextCall := client.nextCall()
-	// Half the idle limit: a connection closed only for being idle would still be open then.
+	// Within half the idle timeout, only eviction can close the connection.
 	client.Conn.SetReadDeadline(time.Now().Add(clock.Duration(idleTimeout / 2)))
 	var netErr net.Error
 	if _, err := client.reader.ReadByte(); err == nil || errors.As(err, &netErr) && netErr.Timeout() {
-		t.Errorf("the idle connection is still open (%v)", err)
+		t.Errorf("idle connection not evicted (%v)", err)
 	}
 	if _, err := client.dialAnother().reader.ReadByte(); err == nil {
-		t.Error("a connection was accepted while responses were due on all")
+		t.Error("new connection accepted while all others had pending responses")
 	}
 	for _, call := range []*handlerCall{busyCall, nextCall} {
 		call.respond(t, router.Response{Outcome: router.Failed})
@@ -259,9 +259,9 @@
 	next.expect("[1 1 [Error map[]] <nil>]")
 }
 
-// Clients usually close after 4 s without a request, and send one as soon as they connect: one that is silent for
-// longer is closed, but not while a response is still being written.
-func TestIdle(t *testing.T) {
+// Clients send a request as soon as they connect, and usually close after 4 s without a request. A connection that is
+// idle for longer must be closed, but not while a response is unwritten.
+func TestIdleTimeout(t *testing.T) {
 	fake := clock.NewFake(1000)
 	server := &Server{Clock: fake}
 	for _, test := range []struct {
@@ -278,7 +278,7 @@
 		test.c.server = server
 		test.c.idleSince = fake.Now() - test.idleFor
 		if got := test.c.isIdleTooLong(); got != test.want {
-			t.Errorf("received any %v, %d unsent, after %v ms: idle too long %v",
+			t.Errorf("receivedAny %v, %d unsent responses, idle for %v ms: isIdleTooLong = %v",
 				test.c.receivedAny, test.c.unsentResponses, test.idleFor, got)
 		}
 	}
--- a/internal/msgpackrpc/testclient_test.go
+++ b/internal/msgpackrpc/testclient_test.go
@@ -14,7 +14,7 @@
 	"spantack/internal/testwait"
 )
 
-// testClient is the client's side of a connection to a server. The test is the handler of its requests too, by way of
+// testClient is the client side of a connection to a server. The test also acts as the server's handler, through
 // handlerCalls.
 type testClient struct {
 	t *testing.T
@@ -27,14 +27,14 @@
 	*Server
 }
 
-// handlerCall is a call of the server's Handle that waits for its response.
+// handlerCall is a call of the server's Handle that waits for the test's response.
 type handlerCall struct {
 	router.Request
 	ctx      context.Context
 	response chan router.Response
 }
 
-// startServer serves until the end of the test, with room for two connections, and returns a client of it.
+// startServer runs a server until the end of the test, with MaxConns 2, and returns a client that is connected to it.
 func startServer(t *testing.T, setup ...func(*Server)) *testClient {
 	t.Helper()
 	listener := testwait.Listen(t)
@@ -66,7 +66,7 @@
 	}()
 	client.Conn = testwait.Dial(t, client.addr)
 	client.reader = bufio.NewReader(client.Conn)
-	t.Cleanup(func() { // nothing of one test runs on into the next
+	t.Cleanup(func() { // no goroutine may outlive the test
 		stop()
 		client.Close()
 		testwait.Receive(t, served, "the end of Serve")
@@ -74,7 +74,7 @@
 	return client
 }
 
-// handle is the server's Handle: the test gives the response.
+// handle is the server's Handle. It waits for the test's response or the end of ctx.
 func (c *testClient) handle(ctx context.Context, request router.Request) router.Response {
 	call := &handlerCall{request, ctx, make(chan router.Response)}
 	c.handlerCalls <- call
@@ -86,20 +86,20 @@
 	}
 }
 
-// dialAnother returns a further client of the same server.
+// dialAnother returns another client of the same server.
 func (c *testClient) dialAnother() *testClient {
 	c.t.Helper()
 	netConn := testwait.Dial(c.t, c.addr)
 	return &testClient{t: c.t, Conn: netConn, reader: bufio.NewReader(netConn), handlerCalls: c.handlerCalls}
 }
 
-// nextCall returns the next request that comes to the handler.
+// nextCall waits for the next call of the handler.
 func (c *testClient) nextCall() *handlerCall {
 	c.t.Helper()
 	return testwait.Receive(c.t, c.handlerCalls, "a request at the handler")
 }
 
-// awaitServeEnd waits for the end of Serve, which must be without an error.
+// awaitServeEnd waits until Serve returns, and fails the test if it returns an error.
 func (c *testClient) awaitServeEnd() {
 	c.t.Helper()
 	if err := testwait.Receive(c.t, c.serveResult, "the end of Serve"); err != nil {
@@ -107,25 +107,25 @@
 	}
 }
 
-// respond ends a request at the handler.
+// respond makes the handler return a response.
 func (h *handlerCall) respond(t *testing.T, response router.Response) {
 	t.Helper()
 	testwait.Send(t, h.response, response, "the response to "+h.ID)
 }
 
-// awaitCancel waits until the handler of a request is notified that its client no longer waits.
+// awaitCancel waits until the handler's context ends.
 func (h *handlerCall) awaitCancel(t *testing.T) {
 	t.Helper()
 	testwait.Receive(t, h.ctx.Done(), "the end of "+h.ID)
 }
 
-// encodeRequest encodes a request as a client does, with the fields that each must have.
+// encodeRequest encodes a request with the required fields.
 func encodeRequest(id uint64, method, ref string) []byte {
 	fields := map[string]any{"ref": ref, "allow": "1500"}
 	return encode(nil, []any{uint64(0), id, method, []any{fields, []byte(nil)}})
 }
 
-// sendRequest sends a request with the fields that each must have.
+// sendRequest sends a request with the required fields.
 func (c *testClient) sendRequest(id uint64, method, ref string) {
 	c.Write(encodeRequest(id, method, ref))
 }
@@ -135,10 +135,10 @@
 	c.Write(encode(nil, []any{uint64(0), uint64(1), "health", []any{map[string]any{}}}))
 }
 
-// sendCancel sends a notification that gives up requests.
+// sendCancel sends a notification that cancels requests.
 func (c *testClient) sendCancel(ids ...any) { c.Write(encode(nil, []any{uint64(2), "cancel", ids})) }
 
-// expect reads the next response and compares its text.
+// expect reads the next response and compares its formatted value with want.
 func (c *testClient) expect(want string) {
 	c.t.Helper()
 	value, err := readMessage(c.reader)
--- a/internal/msgpackrpc/wire_compat_test.go
+++ b/internal/msgpackrpc/wire_compat_test.go
@@ -18,10 +18,11 @@
 	"spantack/internal/testfixture"
 )
 
-// wireFixture holds recorded messages, a line each: as the program of commit e67ffc3 wrote or read them. Clients rely
-// on them, so no line is ever changed to suit a program.
+// wireFixture holds one recorded message per line, as the program of commit e67ffc3 wrote or read it. Clients depend on
+// these bytes, so the lines must not be changed to match the program.
 const wireFixture = "testdata/wire_compat.txt"
 
+// wantBytes compares written bytes with the line of the fixture.
 func wantBytes(t *testing.T, name, got string) {
 	t.Helper()
 	if want := testfixture.QuotedLines(t, wireFixture)[name]; got != want || want == "" {
@@ -29,31 +30,33 @@
 	}
 }
 
-// every is a request with all that a client can say.
-func every() router.Request {
+// fullRequest returns a request with a value in each field that a client can send.
+func fullRequest() router.Request {
 	return router.Request{ID: "9b1f00000000c0de", Class: "report", Object: "7f3a9c21e0b4d655", Chunk: 3, PurgeGroup: 17,
 		SizeKB: 6.5, IdempotencyKey: "key-1", ClientETag: "tag.2", ClientTimeout: 1500, Body: []byte("\x00body\xff")}
 }
 
-// serverConn is a connection of a server on which messages are handled one by one; its answers stay in the queue.
+// serverConn is a server's connection without reader and writer. Messages are passed to handle, and responses stay in
+// the queue.
 type serverConn struct {
 	*conn
-	asked chan router.Request
+	handled chan router.Request // requests passed to the server's Handle
 }
 
-func newServerConn(end router.Response) serverConn {
-	asked := make(chan router.Request, 1)
+// newServerConn returns a connection of a server whose handler returns the given response.
+func newServerConn(response router.Response) serverConn {
+	handled := make(chan router.Request, 1)
 	s := &Server{IsReady: func() bool { return true }, KeyRequired: map[string]bool{"page": false, "report": true},
 		MaxQueuedBytes: 1 << 20, Clock: clock.NewFake(1e6), Log: zerolog.Nop(),
 		Handle: func(_ context.Context, q router.Request) router.Response {
-			asked <- q
-			return end
+			handled <- q
+			return response
 		}}
 	return serverConn{&conn{server: s, openRequests: map[uint64]*openRequest{}, queue: make(chan encodedResponse, 4)},
-		asked}
+		handled}
 }
 
-// handle hands the bytes of one message to the server and returns those of its answer, if there is one.
+// handle passes the bytes of one message to the server and returns the bytes of the response, or "" if there is none.
 func (c serverConn) handle(t *testing.T, text string) string {
 	t.Helper()
 	v, err := readMessage(bufio.NewReader(strings.NewReader(text)))
@@ -70,21 +73,21 @@
 	}
 	requests.Wait()
 	select {
-	case a := <-c.queue:
-		return string(bytes.Join(a.parts, nil))
+	case encoded := <-c.queue:
+		return string(bytes.Join(encoded.parts, nil))
 	default:
 		return ""
 	}
 }
 
-// Each form of request that clients send is read to the values it had.
-func TestRequestsCompat(t *testing.T) {
+// Requests in each recorded encoding must be parsed to the recorded values.
+func TestRequestWireCompat(t *testing.T) {
 	recorded := testfixture.QuotedLines(t, wireFixture)
-	all := every()
+	full := fullRequest()
 	bare := router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1}
 	text := router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1, Body: []byte("text")}
 	for name, want := range map[string]router.Request{
-		"request with all fields":               all,
+		"request with all fields":               full,
 		"request with the least, no body":       bare,
 		"request with a body that is a string":  text,
 		"request with wide numbers and lengths": text,
@@ -92,32 +95,32 @@
 		t.Run(name, func(t *testing.T) {
 			c := newServerConn(router.Response{Outcome: router.Failed})
 			c.handle(t, recorded[name])
-			got := <-c.asked
+			got := <-c.handled
 			got.ClientDeparted = nil
 			if len(want.Body) == 0 {
 				got.Body = nil
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("read %+v, want %+v", got, want)
+				t.Errorf("parsed %+v, want %+v", got, want)
 			}
 		})
 	}
 }
 
-// A cancelled request has no answer, and its handler is told.
-func TestCancelCompat(t *testing.T) {
+// A recorded cancel message must cancel the request's context and get no response.
+func TestCancelWireCompat(t *testing.T) {
 	c := newServerConn(router.Response{})
-	told := false
-	c.openRequests[1] = &openRequest{cancel: func() { told = true }}
+	isCanceled := false
+	c.openRequests[1] = &openRequest{cancel: func() { isCanceled = true }}
 	got := c.handle(t, testfixture.QuotedLines(t, wireFixture)["cancel of message 1"])
-	if got != "" || !told || len(c.openRequests) != 0 {
-		t.Errorf("answer %+q, told %v, open %v", got, told, c.openRequests)
+	if got != "" || !isCanceled || len(c.openRequests) != 0 {
+		t.Errorf("response %+q, canceled %v, open requests %v", got, isCanceled, c.openRequests)
 	}
 }
 
-// What the server writes for each way a request can end.
-func TestAnswersCompat(t *testing.T) {
-	for name, a := range map[string]router.Response{
+// Responses for each outcome of a request must have the recorded bytes.
+func TestResponseWireCompat(t *testing.T) {
+	for name, r := range map[string]router.Response{
 		"served":                     {Outcome: router.Served, Body: []byte("\x00body\xff")},
 		"served, body of 300 bytes":  {Outcome: router.Served, Body: bytes.Repeat([]byte("x"), 300)},
 		"served, client's own copy":  {Outcome: router.Served, NotModified: true},
@@ -126,26 +129,26 @@
 		"failed":                     {Outcome: router.Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wantBytes(t, name, newServerConn(a).handle(t, testfixture.QuotedLines(t, wireFixture)["request with all fields"]))
+			wantBytes(t, name, newServerConn(r).handle(t, testfixture.QuotedLines(t, wireFixture)["request with all fields"]))
 		})
 	}
 	t.Run("none", func(t *testing.T) {
 		c := newServerConn(router.Response{Outcome: router.NoResponse})
 		if got := c.handle(t, testfixture.QuotedLines(t, wireFixture)["request with all fields"]); got != "" {
-			t.Errorf("a client that has left was written %+q", got)
+			t.Errorf("outcome NoResponse: wrote %+q", got)
 		}
 	})
 }
 
-// What the server writes of its own.
-func TestServersOwnAnswersCompat(t *testing.T) {
-	unready := func(s *Server) { s.IsReady = func() bool { return false } }
+// Responses that the server generates without a handler's response must have the recorded bytes.
+func TestGeneratedResponseWireCompat(t *testing.T) {
+	notReady := func(s *Server) { s.IsReady = func() bool { return false } }
 	for name, c := range map[string]struct {
 		message string
 		set     func(*Server)
 	}{
 		"health, ready":     {"health request", func(*Server) {}},
-		"health, not ready": {"health request", unready},
+		"health, not ready": {"health request", notReady},
 		"unknown method": {"request with all fields", func(s *Server) {
 			delete(s.KeyRequired,
 				"report")
@@ -163,45 +166,45 @@
 			sc := newServerConn(router.Response{Outcome: router.Served, Body: make([]byte, 100)})
 			if c.set != nil {
 				c.set(sc.server)
-			} else { // room for the request, and none for its answer
-				sc.server.MaxQueuedBytes = requestOverhead + int64(len(every().Body)) + 99
+			} else { // capacity for the request, but not for its response
+				sc.server.MaxQueuedBytes = requestOverhead + int64(len(fullRequest().Body)) + 99
 			}
 			wantBytes(t, name, sc.handle(t, testfixture.QuotedLines(t, wireFixture)[c.message]))
 		})
 	}
 }
 
-// written is a connection that keeps what is written to it.
-type written struct {
+// recordingConn records the bytes written to it.
+type recordingConn struct {
 	net.Conn
-	text bytes.Buffer
+	data bytes.Buffer
 }
 
-func (w *written) Write(b []byte) (int, error) { return w.text.Write(b) }
+func (c *recordingConn) Write(b []byte) (int, error) { return c.data.Write(b) }
 
-// What the client writes: each message as one, and the cancel behind the request that was given up.
-func TestClientCompat(t *testing.T) {
-	given, up := context.WithCancel(t.Context())
-	up()
+// Client must write the recorded bytes, and a cancel message after a request whose context has ended.
+func TestClientWriteWireCompat(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	for name, do := range map[string]func(*Client) error{
-		"request with all fields": func(c *Client) error { _, err := c.Do(given, every()); return err },
+		"request with all fields": func(c *Client) error { _, err := c.Do(ctx, fullRequest()); return err },
 		"request with the least, no body": func(c *Client) error {
-			_, err := c.Do(given, router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1})
+			_, err := c.Do(ctx, router.Request{ID: "0000000000000001", Class: "page", ClientTimeout: 1})
 			return err
 		},
-		"health request": func(c *Client) error { _, err := c.Ready(given); return err },
+		"health request": func(c *Client) error { _, err := c.Ready(ctx); return err },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := &written{}
+			w := &recordingConn{}
 			err := do(&Client{conn: w, openCalls: map[uint64]chan result{}})
 			if !errors.Is(err, context.Canceled) {
 				t.Fatal(err)
 			}
-			request, found := strings.CutSuffix(w.text.String(), testfixture.QuotedLines(t, wireFixture)["cancel of message 1"])
+			request, found := strings.CutSuffix(w.data.String(), testfixture.QuotedLines(t, wireFixture)["cancel of message 1"])
 			if !found {
-				t.Errorf("no cancel behind the request: %+q", w.text.String())
+				t.Errorf("no cancel message after the request: %+q", w.data.String())
 			}
-			if name == "request with the least, no body" { // the client puts the numbers in always; servers read both forms
+			if name == "request with the least, no body" { // Client always writes the numbers; the server accepts both
 				name = "request of the client with the least"
 			}
 			wantBytes(t, name, request)
@@ -209,8 +212,8 @@
 	}
 }
 
-// What the client reads the answers as.
-func TestClientReadsCompat(t *testing.T) {
+// Client must parse the recorded responses to the recorded values.
+func TestClientReadWireCompat(t *testing.T) {
 	for name, want := range map[string]result{
 		"served":                     {response: router.Response{Outcome: router.Served, Body: []byte("\x00body\xff")}},
 		"served, client's own copy":  {response: router.Response{Outcome: router.Served, Body: []byte{}, NotModified: true}},
@@ -230,7 +233,7 @@
 				err = c.deliver(v)
 			}
 			if err != nil || len(done) != 1 {
-				t.Fatalf("%d answers (%v)", len(done), err)
+				t.Fatalf("%d results (%v)", len(done), err)
 			}
 			if got := <-done; !reflect.DeepEqual(got, want) {
 				t.Errorf("read %+v, want %+v", got, want)
