--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -15,6 +15,7 @@
 	"spantack/internal/router"
 )
 
+// names are the names to which the records in tests refer.
 var names = Names{Zones: []string{"central", "east"}, Kinds: []string{"std", "parent"}}
 
 // appendFrame encodes a frame as the discovery service does.
@@ -24,11 +25,12 @@
 	return append(buf, payload...)
 }
 
-// The example server of the protocol, as a record: s-00c41f7a at 10.1.0.9:5050, draining, weight 1.5.
+// record is the protocol's example server: s-00c41f7a at 10.1.0.9:5050, draining, weight 1.5.
 const record = "\x00\xc4\x1f\x7a\x0a\x01\x00\x09\x13\xba\x01\x01\x00\x00\x02\x00\x00\x05\xdc" +
 	"\x00\x00\x01\x9a\xd8\x4b\x90\x00"
 
-func TestFrames(t *testing.T) {
+// Frames of each kind must be parsed to their values, and truncated or malformed frames must be rejected.
+func TestReadFrame(t *testing.T) {
 	server := router.Server{ID: "s-00c41f7a", Addr: "10.1.0.9:5050", Zone: "east", Kind: "std", Cell: 2,
 		Status: "cordoned", Weight: 1.5, StartedAt: 0x19ad84b9000}
 	for _, test := range []struct {
@@ -50,16 +52,16 @@
 			t.Errorf("%v: %+v, %v", test.kind, got, err)
 		}
 		if _, err := readFrame(bytes.NewReader(stream[:len(stream)-1]), names); err != io.ErrUnexpectedEOF {
-			t.Errorf("%v, cut: %v", test.kind, err)
+			t.Errorf("truncated %v: %v", test.kind, err)
 		}
 	}
 	unknownState := strings.Replace(record, "\x01\x01\x00", "\x03\x01\x00", 1)
 	for name, malformed := range map[string][]byte{
-		"too long":         []byte("\xff\xff\xff\xff"),
-		"too short":        []byte("\x00\x00\x00\x08"),
-		"part of a record": appendFrame(nil, 1, kindSnapshot, []byte(record[1:])),
-		"unknown kind":     appendFrame(nil, 1, 9, nil),
-		"unknown state":    appendFrame(nil, 1, kindUpdate, []byte(unknownState)),
+		"too long":       []byte("\xff\xff\xff\xff"),
+		"too short":      []byte("\x00\x00\x00\x08"),
+		"partial record": appendFrame(nil, 1, kindSnapshot, []byte(record[1:])),
+		"unknown kind":   appendFrame(nil, 1, 9, nil),
+		"unknown state":  appendFrame(nil, 1, kindUpdate, []byte(unknownState)),
 	} {
 		if _, err := readFrame(bytes.NewReader(malformed), names); !errors.Is(err, errMalformed) {
 			t.Errorf("%s: %v", name, err)
@@ -67,8 +69,8 @@
 	}
 }
 
-// Garbage ends in an error or a frame, never in a panic or a large allocation.
-func TestGarbage(t *testing.T) {
+// Arbitrary bytes must result in an error or a frame, not in a panic or a large allocation.
+func TestReadFrameOfArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		garbage := rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(t, "garbage")
 		if rapid.Bool().Draw(t, "framed") {
@@ -81,11 +83,12 @@
 	})
 }
 
-// listedServerText is an entry of the endpoint list in the settings' document `known`.
+// listedServerText is an entry of an endpoint list in the settings' document `known`.
 const listedServerText = `{"uid":"s-00c41f7a","endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,` +
 	`"state":"Ready","capacity_hint":4.5,"boot_ms":0}`
 
-func TestInitialEvents(t *testing.T) {
+// Initial events must be converted in order, and errors must name the invalid field by path.
+func TestParseInitialEvents(t *testing.T) {
 	text := `{"rev":43,"notices":[{"rev":41,"pool":{"rev":7,"all":true,"targets":[` + listedServerText + `]}},
 		{"rev":42,"flush":{"asset":"7f3a9c21e0b4d655","ms":1764576000123}},
 		{"rev":43,"flush":{"collection":17,"ms":1764576000480}}]}`
@@ -100,14 +103,14 @@
 	if err != nil || last != 43 || !reflect.DeepEqual(events, want) {
 		t.Errorf("%d, %+v, %v", last, events, err)
 	}
-	for field, swap := range map[string][2]string{
+	for field, replacement := range map[string][2]string{
 		"uid":      {"s-00c41f7a", ""},
 		"endpoint": {"10.1.0.9", "nowhere"},
 		"az":       {"east", "west"},
 		"model":    {"std", "odd"},
 		"state":    {"Ready", "Asleep"},
 	} {
-		unusable := strings.Replace(listedServerText, swap[0], swap[1], 1)
+		unusable := strings.Replace(listedServerText, replacement[0], replacement[1], 1)
 		text := `{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":[` + unusable + `]}}]}`
 		_, _, err := ParseInitialEvents([]byte(text), names)
 		if err == nil || !strings.HasPrefix(err.Error(), "notices[0].pool.targets[0]."+field+": ") {
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -11,16 +11,16 @@
 	"spantack/routing"
 )
 
-// Names are the lists of the settings into which the indexes in frames point.
+// Names are the zone and server kind names of the settings. Records in frames refer to them by index.
 type Names struct {
 	Zones []string
 	Kinds []string // of servers
 }
 
-// frameKind says what a frame carries.
+// frameKind is the type of a frame.
 type frameKind byte
 
-// The kinds of frame, with the protocol's numbers.
+// Frame kinds, with their numbers in the protocol.
 const (
 	kindHeartbeat frameKind = iota
 	kindSnapshot
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("kind %d", byte(k))
 }
 
-// Sizes in bytes. Each frame begins with the length of what follows that.
+// Sizes in bytes. Each frame begins with the length of its header and payload.
 const (
 	lengthSize      = 4
 	frameHeaderSize = 9 // number:8 kind:1
@@ -55,24 +55,24 @@
 	purgeGroupSize  = 10 // group:2 before:8
 )
 
-// statusesByNumber are the states of a server, in the order of the protocol's numbers.
+// statusesByNumber maps the protocol's state numbers to server statuses.
 var statusesByNumber = []routing.EndpointStatus{
 	routing.EndpointHealthy,
 	routing.EndpointDraining,
 	routing.EndpointRemoved,
 }
 
-// errMalformed is what every error wraps that means bytes which the service may not send; it ends the connection.
+// errMalformed is wrapped by all errors about bytes that violate the protocol. Such an error ends the connection.
 var errMalformed = errors.New("malformed frame")
 
-// frame is one message of the stream.
+// frame is one decoded message of the stream.
 type frame struct {
-	number uint64 // of the event; a heartbeat has that of the last one
+	number uint64 // event number; a heartbeat has the number of the last event
 	kind   frameKind
 	event  router.WatchEvent // empty for a heartbeat
 }
 
-// readFrame reads one frame. It returns io.EOF at an end of the stream between frames, and io.ErrUnexpectedEOF at one
+// readFrame reads one frame. It returns io.EOF if the stream ends between frames, and io.ErrUnexpectedEOF if it ends
 // within a frame.
 func readFrame(reader io.Reader, names Names) (f frame, err error) {
 	var size [lengthSize]byte
@@ -81,7 +81,7 @@
 	}
 	length := binary.BigEndian.Uint32(size[:])
 	if length < frameHeaderSize || length > maxFrameSize {
-		return f, fmt.Errorf("%w: length %d", errMalformed, length)
+		return f, fmt.Errorf("%w: invalid length %d", errMalformed, length)
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(reader, body); err != nil {
@@ -96,7 +96,7 @@
 	return f, err
 }
 
-// parsePayload parses what a frame of the given kind carries behind its header.
+// parsePayload parses the payload of a frame of the given kind.
 func parsePayload(kind frameKind, payload []byte, names Names) (event router.WatchEvent, err error) {
 	switch {
 	case kind == kindHeartbeat:
@@ -121,10 +121,10 @@
 	return event, fmt.Errorf("%w: %v with %d bytes", errMalformed, kind, len(payload))
 }
 
-// parseRecords parses the servers of a snapshot or update.
+// parseRecords parses the server records of a snapshot or update.
 func parseRecords(payload []byte, names Names) (servers []router.Server, err error) {
 	if len(payload)%recordSize != 0 {
-		return nil, fmt.Errorf("%w: %d bytes of records", errMalformed, len(payload))
+		return nil, fmt.Errorf("%w: %d bytes are not a whole number of records", errMalformed, len(payload))
 	}
 	for ; len(payload) > 0; payload = payload[recordSize:] {
 		server, err := parseRecord(payload, names)
@@ -136,13 +136,14 @@
 	return servers, nil
 }
 
-// parseRecord parses one server: id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8 bytes.
+// parseRecord parses one server record, which has id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8
+// bytes. The weight is in thousandths, and started in Unix milliseconds.
 func parseRecord(record []byte, names Names) (router.Server, error) {
 	state := int(record[10])
 	zone := int(record[11])
 	kind := int(record[12])
 	if state >= len(statusesByNumber) || zone >= len(names.Zones) || kind >= len(names.Kinds) {
-		return router.Server{}, fmt.Errorf("%w: state %d, zone %d, kind %d", errMalformed, state, zone, kind)
+		return router.Server{}, fmt.Errorf("%w: unknown state %d, zone %d or kind %d", errMalformed, state, zone, kind)
 	}
 	ip := netip.AddrFrom4([4]byte(record[4:8]))
 	return router.Server{
--- a/internal/discovery/initialevents.go
+++ b/internal/discovery/initialevents.go
@@ -11,20 +11,21 @@
 	"spantack/routing"
 )
 
-// initialEvents is the settings' document `known`: what the discovery service sent before the start.
+// initialEvents is the settings' document `known`: the events that the discovery service sent before the start of this
+// process.
 type initialEvents struct {
 	LastNumber uint64         `json:"rev"`
 	Events     []initialEvent `json:"notices"`
 }
 
-// initialEvent is an event of the endpoint list or a purge.
+// initialEvent is an endpoint list event or a purge.
 type initialEvent struct {
 	Number  uint64      `json:"rev"`
-	Servers *serverList `json:"pool"`  // nil: a purge
-	Purge   *purgeEvent `json:"flush"` // nil: an event of the endpoint list
+	Servers *serverList `json:"pool"`  // nil for a purge
+	Purge   *purgeEvent `json:"flush"` // nil for an endpoint list event
 }
 
-// serverList is a snapshot of the endpoint list, or a change of it.
+// serverList is a snapshot or an update of the endpoint list.
 type serverList struct {
 	IsSnapshot bool           `json:"all"`
 	Servers    []listedServer `json:"targets"`
@@ -42,14 +43,14 @@
 	StartedAt float64 `json:"boot_ms"` // Unix milliseconds
 }
 
-// purgeEvent names what is purged: an object, or a group if that is empty.
+// purgeEvent is a purge of an object, or of a group if Object is empty.
 type purgeEvent struct {
 	Object string  `json:"asset"`
 	Group  int64   `json:"collection"`
 	Before float64 `json:"ms"` // Unix milliseconds
 }
 
-// statusesByState maps the states of the document.
+// statusesByState maps the document's states to server statuses.
 var statusesByState = map[string]routing.EndpointStatus{
 	"Ready":       routing.EndpointHealthy,
 	"Terminating": routing.EndpointDraining,
@@ -61,8 +62,8 @@
 	errMissing     = errors.New("missing")
 )
 
-// ParseInitialEvents reads the settings' document `known`, the events from before the start in their order. It also
-// returns the number of the last one, after which a Watcher begins. Its errors name the field by its path.
+// ParseInitialEvents parses the settings' document `known` and returns its events in order. It also returns the number
+// of the last event, after which a Watcher resumes. Its errors name the invalid field by path.
 func ParseInitialEvents(text []byte, names Names) (last uint64, events []router.WatchEvent, err error) {
 	var document initialEvents
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -80,7 +81,7 @@
 	return last, events, nil
 }
 
-// watchEvent checks an event against the settings' names and converts it. Errors begin with the rest of the path.
+// watchEvent checks the names in an event and converts it. Errors begin with the field's path within the event.
 func (e *initialEvent) watchEvent(names Names) (event router.WatchEvent, err error) {
 	switch {
 	case e.Servers != nil:
@@ -96,7 +97,7 @@
 	return event, fmt.Errorf(": %w", errNeitherKind)
 }
 
-// watchEvent checks the list against the settings' names and converts it.
+// watchEvent checks the names in the list and converts it. Errors begin with the field's path within the list.
 func (l *serverList) watchEvent(names Names) (event router.WatchEvent, err error) {
 	event.IsSnapshot = l.IsSnapshot
 	for i, listed := range l.Servers {
@@ -109,7 +110,7 @@
 	return event, nil
 }
 
-// server checks an entry against the settings' names and converts it.
+// server checks an entry and converts it. Errors begin with the field's path within the entry.
 func (s *listedServer) server(names Names) (server router.Server, err error) {
 	status, isKnown := statusesByState[s.State]
 	_, addrErr := netip.ParseAddrPort(s.Addr)
--- a/internal/discovery/interleavings_test.go
+++ b/internal/discovery/interleavings_test.go
@@ -16,32 +16,33 @@
 	"spantack/internal/testwait"
 )
 
-// acceptWatch accepts a connection of a watcher that starts with LastApplied 41 and has applied nothing since.
+// acceptWatch accepts a watcher's connection, which must resume after event 41.
 func acceptWatch(t *testing.T, listener net.Listener) net.Conn {
 	t.Helper()
 	return acceptWatchAfter(t, listener, 41)
 }
 
-// acceptWatchAfter accepts a watcher's connection, which must resume after a given event.
+// acceptWatchAfter accepts a watcher's connection, which must resume after event last.
 func acceptWatchAfter(t *testing.T, listener net.Listener, last uint64) net.Conn {
 	t.Helper()
 	return testwait.AcceptHello(t, listener, string(binary.BigEndian.AppendUint64(nil, last)), "a watcher")
 }
 
-// A watch falls silent at each point, or sends too little too slowly, while the router's retry has the last slot of a
-// fleet of hundreds: an update on the next connection is applied within the 4 s after the silence began, when it binds;
-// where the next connection is silent too, within the 7 s after which every update binds.
-func TestSilence(t *testing.T) {
+// The stream stops at different positions of a frame, or sends bytes too slowly, and the router has the last retry slot
+// of a fleet of 300. An update on the next connection must be applied within 4 s of the start of the silence, since
+// routers must comply with it from then on. If the next connection is silent too, the limit is 7 s, after which routers
+// must comply with every update.
+func TestSilentStreamIsReplacedInTime(t *testing.T) {
 	event := appendFrame(nil, 42, kindUpdate, []byte(record))
 	const (
-		slowly = "a byte at a time"
-		twice  = "before the first frame, twice"
+		slowly = "one byte at a time"
+		twice  = "before the first frame on two connections"
 	)
-	for name, part := range map[string][]byte{
+	for name, partialFrame := range map[string][]byte{
 		"before the first frame": nil,
-		"in a frame's head":      event[:2],
-		"in its number":          event[:9],
-		"in its payload":         event[:len(event)-1],
+		"in the length":          event[:2],
+		"in the number":          event[:9],
+		"in the payload":         event[:len(event)-1],
 		slowly:                   event,
 		twice:                    nil,
 	} {
@@ -62,9 +63,9 @@
 			first := acceptWatch(t, listener)
 			silence := testwait.StartStopwatch()
 			if name == slowly {
-				go writeSlowly(first, part)
+				go writeSlowly(first, partialFrame)
 			} else {
-				first.Write(part)
+				first.Write(partialFrame)
 			}
 			limit := 4 * time.Second
 			if name == twice {
@@ -80,7 +81,8 @@
 	}
 }
 
-// writeSlowly writes a byte at a time, each well within silenceTimeout, until all are written or the connection ends.
+// writeSlowly writes one byte at a time, at intervals well below silenceTimeout, until all bytes are written or a write
+// fails.
 func writeSlowly(conn net.Conn, text []byte) {
 	for _, b := range text {
 		if _, err := conn.Write([]byte{b}); err != nil {
@@ -90,7 +92,8 @@
 	}
 }
 
-// hookWriter is a log that calls a function at its first line: the watcher is about to wait for its retry then.
+// hookWriter is a log writer that calls hook at the first line. The watcher writes that line before it waits for a
+// retry.
 type hookWriter struct {
 	hook   func()
 	called bool
@@ -104,8 +107,9 @@
 	return len(line), nil
 }
 
-// The address changes twice in a row just as a watcher begins to wait for a retry: it connects to the last one.
-func TestAddressChangesTwiceBeforeRetry(t *testing.T) {
+// If the address changes twice just before a watcher waits for a retry, the watcher must connect to the last address
+// within 2 s, and not to the one before it.
+func TestTwoAddressChangesBeforeRetry(t *testing.T) {
 	old, skipped, last := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
 	watcher := &Watcher{
 		Names:         names,
@@ -124,16 +128,16 @@
 	lost := testwait.StartStopwatch()
 	acceptWatch(t, last)
 	if took := lost.Elapsed(); took > 2*time.Second {
-		t.Errorf("%v until it connected to the new address", took)
+		t.Errorf("connected to the new address after %v", took)
 	}
 	skipped.SetDeadline(time.Now())
 	if _, err := skipped.Accept(); err == nil {
-		t.Error("it connected to the address that was replaced at once")
+		t.Error("watcher connected to the address that was replaced immediately")
 	}
 }
 
-// The address changes while a watcher still dials the old one, where nobody listens any longer.
-func TestAddressChangesWhileDialling(t *testing.T) {
+// If the address changes while a watcher dials an address without a listener, it must connect to the new address.
+func TestAddressChangeWhileDialing(t *testing.T) {
 	last := testwait.Listen(t)
 	watcher := &Watcher{
 		Names:       names,
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery watches the discovery service (the settings' field `board`), which sends the endpoint list, its
-// changes, and purges as numbered events.
+// Package discovery watches the discovery service, whose address is `board` in the settings. The service sends the
+// endpoint list, its changes, and purges as numbered events.
 package discovery
 
 import (
@@ -19,22 +19,22 @@
 	"spantack/internal/router"
 )
 
-// Times are milliseconds. A purge or drain binds 2 s after the stream broke and 4 s after it fell silent, whether it
-// was received or not: the new connection must be up before that.
+// Times in milliseconds. Routers must comply with a purge or drain 2 s after the stream broke and 4 s after it became
+// silent, even if they did not receive it. The new connection must be open before that.
 const (
-	silenceTimeout = 2500 // without a frame; the service sends one each second
+	silenceTimeout = 2500 // without a frame; the service sends one per second
 	dialTimeout    = 500
-	minStableTime  = 1000 // a connection that lasted so long counts as a success: its loss begins a new outage
+	minStableTime  = 1000 // a connection of at least this duration is a success: its loss starts a new outage
 )
 
-// errAddressChanged is the cause with which SetAddress ends a connection.
-var errAddressChanged = errors.New("the address of the discovery service has changed")
+// errAddressChanged is the cause with which SetAddress cancels the context of a connection.
+var errAddressChanged = errors.New("discovery service address changed")
 
-// Watcher keeps a watch open on the discovery service and applies its events in order. Exported fields are set before
-// Run.
+// Watcher keeps a connection to the discovery service open and applies its events in order. Its exported fields must be
+// set before Run.
 type Watcher struct {
 	Names         Names
-	LastApplied   uint64                  // number of the last event applied; the watch resumes after it
+	LastApplied   uint64                  // number of the last applied event; connections resume after it
 	Apply         func(router.WatchEvent) // called for each event, one at a time
 	RetrySchedule backoff.Schedule        // spreads the retries of the routers of a fleet
 	Clock         *clock.Clock
@@ -42,21 +42,22 @@
 
 	mu     sync.Mutex // guards addr and cancel
 	addr   string
-	cancel context.CancelCauseFunc // ends the connection to addr; nil: there is none
+	cancel context.CancelCauseFunc // ends the connection to addr; nil before the first one
 
-	// Used by Run alone.
-	failureCount int // connections lost, and dials that failed
+	// Used only by Run.
+	failureCount int // lost connections and failed dials
 	failureLog   ratelog.Limiter
 }
 
-// outage is a time without a connection that lasted minStableTime. Times are the clock's monotonic milliseconds.
+// outage is a period in which no connection lasted for minStableTime. startedAt is in milliseconds of the monotonic
+// clock; 0 means that there was no outage.
 type outage struct {
 	startedAt  float64
-	hasRetried bool // a retry followed already
+	hasRetried bool // the outage's first retry was made
 }
 
-// SetAddress points the watcher at another discovery service and closes the present connection. The watch resumes there
-// after the last event applied; an event of which the old connection brought only a part is requested again.
+// SetAddress sets the address of the discovery service and closes the current connection. The watcher resumes at the
+// new address after the last applied event. An event that was only partly received is requested again.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,8 +67,8 @@
 	}
 }
 
-// Run watches the discovery service until ctx ends, and returns nil then. A lost connection is reopened after the last
-// event applied.
+// Run watches the discovery service until ctx ends, and returns nil. It reopens a lost connection and resumes after the
+// last applied event.
 func (w *Watcher) Run(ctx context.Context) error {
 	var current outage
 	for ctx.Err() == nil {
@@ -77,7 +78,7 @@
 }
 
 // watchOnce opens one connection, applies its events until it ends, and waits until the schedule allows the next one.
-// It takes the outage of the connections before it and returns the one that the next retry belongs to.
+// current is the outage before this connection. watchOnce returns the outage to which the next retry belongs.
 func (w *Watcher) watchOnce(ctx context.Context, current outage) outage {
 	connCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -98,7 +99,7 @@
 		w.waitForRetry(connCtx, current)
 		current.hasRetried = true
 	}
-	if isAddressChanged(connCtx) { // possibly during that wait; every router of the fleet learns of it at once
+	if isAddressChanged(connCtx) { // possibly during the wait above; all routers of a fleet change at the same time
 		current = outage{startedAt: w.Clock.Monotonic()}
 		w.waitForRetry(ctx, current)
 		current.hasRetried = true
@@ -106,13 +107,13 @@
 	return current
 }
 
-// isAddressChanged reports whether SetAddress ended the context of a connection.
+// isAddressChanged reports whether SetAddress canceled the context of a connection.
 func isAddressChanged(connCtx context.Context) bool {
 	return context.Cause(connCtx) == errAddressChanged
 }
 
-// waitForRetry waits until the schedule allows the next retry, or until ctx ends, which a change of the address also
-// does.
+// waitForRetry waits until the schedule allows the next retry, or until ctx ends. SetAddress also ends the context of a
+// connection.
 func (w *Watcher) waitForRetry(ctx context.Context, current outage) {
 	now := clock.Micros(w.Clock.Monotonic())
 	retryAt := w.RetrySchedule.Next(clock.Micros(current.startedAt), now, current.hasRetried)
@@ -121,8 +122,8 @@
 	<-wait.Done()
 }
 
-// logFailure logs a lost connection. Those that brought no event are logged at most once per ratelog.Interval, since a
-// service that is down is dialed often.
+// logFailure logs a lost connection. Connections on which no event was applied are logged at most once per
+// ratelog.Interval, since a service that is down is dialed often.
 func (w *Watcher) logFailure(err error, addr string, applied uint64) {
 	w.failureCount++
 	now := w.Clock.Now()
@@ -135,11 +136,11 @@
 		Uint64("last", w.LastApplied).
 		Uint64("applied", applied).
 		Int("lost", w.failureCount).
-		Msg("board connection lost")
+		Msg("discovery service connection lost")
 }
 
-// watch opens one connection and applies its events until it ends. It reports whether any frame was received, and why
-// the connection ended.
+// watch opens one connection and applies its events until it ends. It returns whether any frame was received, and the
+// error that ended the connection.
 func (w *Watcher) watch(ctx context.Context, addr string) (received bool, err error) {
 	dialer := net.Dialer{Timeout: clock.Duration(dialTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -154,17 +155,17 @@
 	}
 	reader := bufio.NewReader(conn)
 	for {
-		// This also bounds a service that accepts and stays silent, or stops within a frame.
+		// The deadline also covers a service that accepts and sends nothing, or that stops within a frame.
 		conn.SetReadDeadline(clock.Deadline(silenceTimeout))
 		frame, err := readFrame(reader, w.Names)
 		if err != nil {
 			return received, fmt.Errorf("read: %w", err)
 		}
 		if !received {
-			w.Log.Info().Str("board", addr).Uint64("last", w.LastApplied).Msg("following the board")
+			w.Log.Info().Str("board", addr).Uint64("last", w.LastApplied).Msg("watching the discovery service")
 		}
 		received = true
-		if frame.kind == kindHeartbeat || frame.number <= w.LastApplied { // the service may repeat events
+		if frame.kind == kindHeartbeat || frame.number <= w.LastApplied { // the service may send events again
 			continue
 		}
 		w.Apply(frame.event)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -11,8 +11,8 @@
 	"spantack/internal/testwait"
 )
 
-// A lost or malformed stream is reopened after the last event applied, and no event is applied twice.
-func TestReconnect(t *testing.T) {
+// After a lost or malformed stream, the watcher must resume after the last applied event and apply no event twice.
+func TestReconnectAppliesEventsOnce(t *testing.T) {
 	listener := testwait.Listen(t)
 	applied := make(chan router.WatchEvent, 8)
 	watcher := &Watcher{Names: names, LastApplied: 41, Clock: clock.NewFake(0), Log: zerolog.Nop(),
@@ -37,19 +37,19 @@
 	}
 	first := testwait.Receive(t, applied, "the first event")
 	if len(first.Servers) != 1 || first.Servers[0].Status != "cordoned" {
-		t.Errorf("first %+v", first)
+		t.Errorf("first event %+v", first)
 	}
 	if event := testwait.Receive(t, applied, "the second event"); event.Purge == nil || event.Purge.Group != 17 {
-		t.Errorf("second %+v", event)
+		t.Errorf("second event %+v", event)
 	}
 	if len(applied) != 0 {
-		t.Errorf("%d events more", len(applied))
+		t.Errorf("%d more events applied", len(applied))
 	}
 }
 
-// After a change of the address the watch resumes there at once, after the last event that was received in full; the
-// event of which the old connection had brought half is requested again.
-func TestAddressChanges(t *testing.T) {
+// After an address change, the watcher must connect to the new address although the old connection is open. It must
+// resume after the last complete event, and request a partly received event again.
+func TestAddressChangeResumesAfterLastEvent(t *testing.T) {
 	applied := make(chan router.WatchEvent, 8)
 	watcher := &Watcher{Names: names, LastApplied: 41, Clock: clock.NewFake(0), Log: zerolog.Nop(),
 		Apply: func(event router.WatchEvent) { applied <- event }}
@@ -67,7 +67,7 @@
 		if i == 0 {
 			go watcher.Run(t.Context())
 		}
-		conn := acceptWatchAfter(t, listener, connection.resumesAfter) // the old connection stays open meanwhile
+		conn := acceptWatchAfter(t, listener, connection.resumesAfter) // the server keeps the old connection open
 		io.WriteString(conn, connection.text)
 		testwait.Receive(t, applied, "the event to be applied")
 	}
--- a/internal/discovery/wire_compat_test.go
+++ b/internal/discovery/wire_compat_test.go
@@ -15,13 +15,15 @@
 	"spantack/internal/testwait"
 )
 
-// wireFixture holds recorded messages, a line each: frames of the discovery service's protocol as the program of
-// commit e67ffc3 reads them, and what it sends. No line is ever changed to suit a program.
+// wireFixture holds one recorded message per line: frames of the discovery service as the program of commit e67ffc3
+// reads them, and the message that it sends. The lines must not be changed to match the program.
 const wireFixture = "testdata/wire_compat.txt"
 
-const watchPin = "watch after event 0102030405060708"
+// watchLine is the name of the line with the message that a watcher sends.
+const watchLine = "watch after event 0102030405060708"
 
-func TestFramesCompat(t *testing.T) {
+// Recorded frames of each kind must be parsed to the recorded values.
+func TestFrameWireCompat(t *testing.T) {
 	healthy := router.Server{ID: "s-00c41f7a", Addr: "10.1.0.9:5050", Zone: "central", Kind: "parent", Cell: 0x0203,
 		Status: "healthy", Weight: 1.5, StartedAt: 0x19ad84b9000}
 	cordoned := router.Server{ID: "s-ffffffff", Addr: "192.168.254.1:65535", Zone: "east", Kind: "std", Cell: 65535,
@@ -40,36 +42,36 @@
 			event: router.WatchEvent{Purge: &router.Purge{Group: 0x0111, Before: 1764576000480}}},
 	}
 	recorded := testfixture.HexLines(t, wireFixture)
-	if len(recorded) != len(cases)+1 { // watchPin
-		t.Errorf("%d fixtures, %d cases", len(recorded), len(cases)+1)
+	if len(recorded) != len(cases)+1 { // watchLine
+		t.Errorf("%d recorded lines, want %d", len(recorded), len(cases)+1)
 	}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
 			got, err := readFrame(bytes.NewReader(recorded[name]), names)
 			if err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("read %+v (%v), want %+v", got, err, want)
+				t.Errorf("parsed %+v (%v), want %+v", got, err, want)
 			}
 		})
 	}
 }
 
-// What the router sends: the number of the last event applied.
-func TestWatchCompat(t *testing.T) {
-	want := testfixture.HexLines(t, wireFixture)[watchPin]
-	l := testwait.Listen(t)
-	w := &Watcher{Names: names, LastApplied: 0x0102030405060708, Clock: clock.NewFake(0), Log: zerolog.Nop(),
+// The watcher must send the number of the last applied event, in the recorded bytes.
+func TestWatchWireCompat(t *testing.T) {
+	want := testfixture.HexLines(t, wireFixture)[watchLine]
+	listener := testwait.Listen(t)
+	watcher := &Watcher{Names: names, LastApplied: 0x0102030405060708, Clock: clock.NewFake(0), Log: zerolog.Nop(),
 		Apply: func(router.WatchEvent) {}}
-	w.SetAddress(l.Addr().String())
-	go w.Run(t.Context())
-	nc := testwait.Accept(t, l, "the watch")
+	watcher.SetAddress(listener.Addr().String())
+	go watcher.Run(t.Context())
+	conn := testwait.Accept(t, listener, "the watch")
 	got := make([]byte, len(want))
-	if _, err := io.ReadFull(nc, got); err != nil || !bytes.Equal(got, want) || len(want) != 8 {
-		t.Errorf("sent %x (%v), fixture %x", got, err, want)
+	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, want) || len(want) != 8 {
+		t.Errorf("sent %x (%v), want %x", got, err, want)
 	}
 }
 
-// The settings' document `known`, with every key that is read.
-func TestInitialEventsCompat(t *testing.T) {
+// Every key of the settings' document `known` must be parsed to its field.
+func TestInitialEventsFormatCompat(t *testing.T) {
 	text, err := os.ReadFile("testdata/known.json")
 	if err != nil {
 		t.Fatal(err)
