--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -11,37 +11,38 @@
 	"spantack/internal/clock"
 )
 
-// originLimit is the index of the one limit that there is: of fills from the origin.
+// originLimit is the index of the only fleet limit, which is on fills from the origin.
 const originLimit = 0
 
-// outboundDatagram is a datagram of core/fleet that waits to be sent.
+// outboundDatagram is a queued datagram of core/fleet.
 type outboundDatagram struct {
-	rank  int // or fleet.Broadcast
+	rank  int // of the receiver, or fleet.Broadcast
 	bytes []byte
 }
 
-// holderChange is a holder that this router asks for leases from now on.
+// holderChange is a change of the holder from which this router requests leases.
 type holderChange struct {
-	limit         string
+	limit         string // name
 	level, holder int
 }
 
-// queueDatagram is called by Fleet, while t.mu is held.
+// queueDatagram queues a datagram, or drops it if the outbox is full. It is Fleet.Send; t.mu is held.
 func (t *Transport) queueDatagram(rank int, datagram []byte) {
 	if len(t.outbox) < maxOutbox {
 		t.outbox = append(t.outbox, outboundDatagram{rank, slices.Clone(datagram)})
 	}
 }
 
-// queueHolderChange is called by Fleet, while t.mu is held.
+// queueHolderChange queues a holder change for logging, or drops it if maxOutbox changes are queued. It is
+// Fleet.OnHolderChange; t.mu is held.
 func (t *Transport) queueHolderChange(limit, level, holder int) {
 	if len(t.holderChanges) < maxOutbox {
 		t.holderChanges = append(t.holderChanges, holderChange{t.Fleet.LimitName(limit), level, holder})
 	}
 }
 
-// maintainFleet sees to the fleet's limits and verdicts until ctx ends. It goes on while the address can't be opened:
-// leases expire, whether datagrams are received or not.
+// maintainFleet maintains the fleet's limits and verdicts until ctx ends. It also runs while the address can't be
+// opened, since leases expire even if no datagrams are received.
 func (t *Transport) maintainFleet(ctx context.Context) error {
 	for ctx.Err() == nil {
 		now, next := t.tickFleet()
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// tickFleet does what is due, and tells of the quota that this router has then. It returns the time, and when the
-// next call is due.
+// tickFleet updates the demand, runs the due work of Fleet and reports the resulting quota to OnQuota. It returns the
+// current time and the time of the next call, in monotonic microseconds.
 func (t *Transport) tickFleet() (now, next int64) {
 	inFlight, rejected := t.OriginLoad()
 	now = t.monotonicMicros()
@@ -64,13 +65,13 @@
 	next = t.Fleet.Tick(now)
 	quota := t.quota(now)
 	t.mu.Unlock()
-	// Of the fills rejected by now half still count as demand the next time, a quarter after that.
+	// Half of the fills rejected so far still count as demand in the next call, and a quarter in the call after that.
 	t.rejectedSettled += (rejected - t.rejectedSettled + 1) / 2
 	t.notifyQuota(quota)
 	return now, next
 }
 
-// quota is this router's quota of the limit; 0 where there is none. t.mu is held.
+// quota returns this router's quota of the origin limit, or 0 if there is no limit. t.mu is held.
 func (t *Transport) quota(now int64) float64 {
 	if t.OnQuota == nil {
 		return 0
@@ -78,28 +79,29 @@
 	return t.Fleet.Quota(now, originLimit)
 }
 
+// notifyQuota calls OnQuota if it is set.
 func (t *Transport) notifyQuota(quota float64) {
 	if t.OnQuota != nil {
 		t.OnQuota(quota)
 	}
 }
 
-// receiveFleet takes in a datagram of core/fleet, and sends what it calls for.
+// receiveFleet passes a datagram to Fleet, reports the resulting quota and sends the datagrams that Fleet queued.
 func (t *Transport) receiveFleet(rank int, datagram []byte, from netip.AddrPort) {
 	now := t.monotonicMicros()
 	t.mu.Lock()
 	err := t.Fleet.Receive(now, rank, datagram)
 	quota := t.quota(now)
 	t.mu.Unlock()
-	if err != nil && !errors.Is(err, fleet.ErrStale) { // those are counted only: datagrams overtake one another
+	if err != nil && !errors.Is(err, fleet.ErrStale) { // not logged: datagrams may arrive out of order
 		t.logFault(err, from)
 	}
 	t.notifyQuota(quota)
 	t.flushOutbox(context.Background())
 }
 
-// updateEjections reports the servers that this router finds failing, and tells of those on which a verdict is in
-// force.
+// updateEjections reports to Fleet the servers that this router finds failing, and calls OnEjected if the servers with
+// a verdict have changed.
 func (t *Transport) updateEjections(now int64) {
 	if t.ServerHealth == nil {
 		return
@@ -131,7 +133,7 @@
 	}
 }
 
-// flushOutbox sends what waits to be sent, and logs changes of holders.
+// flushOutbox logs queued holder changes and sends queued datagrams. Without an open socket it drops the datagrams.
 func (t *Transport) flushOutbox(ctx context.Context) {
 	t.mu.Lock()
 	conn := t.conn
@@ -142,7 +144,7 @@
 	t.mu.Unlock()
 	for _, change := range changes {
 		t.Log.Info().Str("limit", change.limit).Int("level", change.level).Int("holder", change.holder).
-			Msg("lease holder")
+			Msg("lease holder changed")
 	}
 	if conn == nil {
 		return
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -16,28 +16,29 @@
 	"spantack/internal/testwait"
 )
 
-// quotas are what routers were told last, by rank.
+// quotas holds the last reported quota of each router, by rank.
 type quotas struct {
 	mu     sync.Mutex
 	values []float64
 }
 
+// set records the quota of a router.
 func (q *quotas) set(rank int, quota float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.values[rank] = quota
 }
 
-// least is the smallest quota.
-func (q *quotas) least() float64 {
+// minimum returns the smallest quota.
+func (q *quotas) minimum() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.Min(q.values)
 }
 
-// Three routers of three sites on loopback keep a limit together: each has its floor and then a lease. Two of them
-// find a server failing; the third, which alone receives broadcasts here, is told to eject it.
-func TestFleetOnLoopback(t *testing.T) {
+// Three routers of three sites share a limit over loopback sockets. Each must get a lease and so a quota above its
+// floor. Two of them report a failing server. The third, which alone receives broadcasts in this test, must eject it.
+func TestLeasesAndVerdictsReachRouters(t *testing.T) {
 	const (
 		routers = 3
 		floor   = 2.0
@@ -46,7 +47,7 @@
 	limit := fleet.Limit{Name: "asks", Max: 30, FloorFraction: floor * routers / 30}
 	servers := []string{"s-0000000a", failing, "s-0000000c"}
 	now := clock.NewFake(1e6)
-	told := &quotas{values: make([]float64, routers)}
+	reported := &quotas{values: make([]float64, routers)}
 	ejected := make(chan []string, 100)
 
 	var conns []*net.UDPConn
@@ -76,7 +77,7 @@
 			Clock:            now,
 			Log:              zerolog.Nop(),
 			OriginLoad:       func() (int, int64) { return 20, 0 },
-			OnQuota:          func(quota float64) { told.set(rank, quota) },
+			OnQuota:          func(quota float64) { reported.set(rank, quota) },
 			OnEjected:        func([]string) {},
 		}
 		transport.ServerHealth = func() (all, found []string) { return servers, []string{failing} }
@@ -95,7 +96,7 @@
 		go func() { ended <- transport.serveConn(ctx, conns[rank]) }()
 	}
 	var lastEjected []string
-	testwait.Until(t, "quotas above the floors, the ejection, and all to be up", func() bool {
+	testwait.Until(t, "quotas above the floors, the ejection, and all routers alive", func() bool {
 		now.Advance(50)
 		select {
 		case lastEjected = <-ejected:
@@ -103,7 +104,7 @@
 		}
 		statuses, live := transports[0].LimitStatuses()
 		hasLease := len(statuses) == 1 && statuses[0].Name == "asks" && statuses[0].Holder >= 0
-		return told.least() > floor && hasLease && live == routers && slices.Equal(lastEjected, []string{failing})
+		return reported.minimum() > floor && hasLease && live == routers && slices.Equal(lastEjected, []string{failing})
 	})
 	cancel()
 	for range 2 * routers {
--- a/internal/gossip/socket.go
+++ b/internal/gossip/socket.go
@@ -14,7 +14,7 @@
 	"spantack/internal/clock"
 )
 
-// serve opens the address, and sends and receives there until ctx ends.
+// serve opens ListenAddress, and sends and receives datagrams there until ctx ends. It retries every reopenInterval.
 func (t *Transport) serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		conn, err := open(t.ListenAddress)
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// open opens an address. Its error names the setting.
+// open opens a UDP socket. Its errors name the setting that holds the address.
 func open(address string) (*net.UDPConn, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return conn, nil
 }
 
-// serveConn sends and receives on conn until ctx ends, and closes it.
+// serveConn sends and receives datagrams on conn until ctx ends, and then closes conn.
 func (t *Transport) serveConn(ctx context.Context, conn *net.UDPConn) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -56,7 +56,7 @@
 	return group.Wait()
 }
 
-// sendReports sends the queued reports of overloaded servers until ctx ends.
+// sendReports broadcasts queued reports of overloaded servers until ctx ends.
 func (t *Transport) sendReports(ctx context.Context, conn *net.UDPConn) error {
 	for {
 		select {
@@ -73,7 +73,7 @@
 	}
 }
 
-// write sends a datagram. An error is logged only: datagrams may be lost anyway.
+// write sends a datagram. Errors are logged but not returned, since datagrams may be lost anyway.
 func (t *Transport) write(ctx context.Context, conn *net.UDPConn, datagram []byte, to netip.AddrPort) {
 	_, err := conn.WriteToUDPAddrPort(datagram, to)
 	if err != nil && ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
@@ -81,9 +81,9 @@
 	}
 }
 
-// receiveDatagrams takes in datagrams until conn is closed.
+// receiveDatagrams receives datagrams until ctx ends or conn is closed.
 func (t *Transport) receiveDatagrams(ctx context.Context, conn *net.UDPConn) error {
-	buffer := make([]byte, gossip.MaxDatagramSize+1) // a datagram that is too long fills it
+	buffer := make([]byte, gossip.MaxDatagramSize+1) // one byte longer than allowed, to detect datagrams that are too long
 	for ctx.Err() == nil {
 		size, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// receiveDatagram hands a datagram to the one of Gossip and Fleet whose kind it is.
+// receiveDatagram passes a datagram to Gossip or Fleet, by its kind. The rank is -1 for unknown senders.
 func (t *Transport) receiveDatagram(datagram []byte, from netip.AddrPort) {
 	rank, isKnown := t.rankByAddress[from]
 	if !isKnown {
@@ -111,7 +111,7 @@
 	t.receiveGossip(rank, datagram, from)
 }
 
-// receiveGossip takes in a datagram of core/gossip, and tells of the servers that are now found overloaded.
+// receiveGossip passes a datagram to Gossip, and calls OnOverloaded for each server that it reports as overloaded.
 func (t *Transport) receiveGossip(rank int, datagram []byte, from netip.AddrPort) {
 	var overloaded []string
 	t.mu.Lock()
@@ -119,7 +119,7 @@
 		overloaded = append(overloaded, serverID)
 	})
 	t.mu.Unlock()
-	if err != nil && !errors.Is(err, gossip.ErrStale) { // those are counted only: datagrams overtake one another
+	if err != nil && !errors.Is(err, gossip.ErrStale) { // not logged: datagrams may arrive out of order
 		t.logFault(err, from)
 	}
 	for _, serverID := range overloaded {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,5 +1,4 @@
-// Package gossip carries datagrams between the routers of a fleet: what core/gossip and core/fleet have to send and
-// to receive.
+// Package gossip sends and receives the UDP datagrams of core/gossip and core/fleet between the routers of a fleet.
 package gossip
 
 import (
@@ -18,57 +17,58 @@
 
 // Times in milliseconds.
 const (
-	logInterval    = 1000 // between log lines on datagrams that are dropped: anyone may send some
-	reopenInterval = 500  // between attempts to open the address: the process that this one replaces has it until it ends
+	logInterval    = 1000 // between log lines on faults: anyone may send invalid datagrams
+	reopenInterval = 500  // between attempts to open the address, which a replaced process uses until it ends
 )
 
 const (
-	// maxQueuedReports of overloaded servers wait to be sent. What comes beyond is dropped: the next one says the
-	// same.
+	// maxQueuedReports bounds the queued reports of overloaded servers. Further reports are dropped, since the next
+	// report of a server has the same content.
 	maxQueuedReports = 64
-	// maxOutbox bounds the datagrams of core/fleet that wait to be sent, and the changes of holders that wait to be
-	// logged. What is lost is sent again.
+	// maxOutbox bounds the queued datagrams of core/fleet, and the queued holder changes. core/fleet sends dropped
+	// datagrams again.
 	maxOutbox = 256
 )
 
 // Transport sends and receives the datagrams of this router. Its exported fields are set before Init.
 type Transport struct {
 	Gossip           *gossip.Node
-	ListenAddress    string                // where datagrams come in
+	ListenAddress    string                // on which datagrams are received
 	PeerAddresses    []netip.AddrPort      // of all routers, by rank
 	BroadcastAddress netip.AddrPort        // reaches all routers
-	OnOverloaded     func(serverID string) // called for each server that the others report as overloaded
+	OnOverloaded     func(serverID string) // called for each server that other routers report as overloaded
 	Clock            *clock.Clock
 	Log              zerolog.Logger
 
-	// Fleet keeps limits and verdicts together with the others; nil: there are none.
+	// Fleet maintains limits and verdicts together with other routers. If it is nil, there are none.
 	Fleet *fleet.Node
-	// OnQuota is told this router's quota of the limit on fills from the origin; nil: there is no limit.
+	// OnQuota is called with this router's quota of the limit on fills from the origin. If it is nil, there is no such
+	// limit.
 	OnQuota func(quota float64)
-	// OriginLoad returns the fills from the origin that are in flight, and how many were rejected since the start.
-	// It is called where Fleet is set.
+	// OriginLoad returns the number of fills from the origin in flight, and the number rejected since the start. It must
+	// be set if Fleet is set.
 	OriginLoad func() (inFlight int, rejected int64)
-	// ServerHealth names the servers that verdicts may be of, and those that this router finds failing; nil: no
-	// verdicts are reported or heeded.
+	// ServerHealth returns the ids of the servers that can have verdicts, and of those that this router finds failing.
+	// If it is nil, no verdicts are reported or applied.
 	ServerHealth func() (all, failing []string)
-	// OnEjected is told on which servers a verdict is in force, when that changes.
+	// OnEjected is called with the ids of all servers with a verdict whenever that set changes.
 	OnEjected func(serverIDs []string)
 
 	rankByAddress map[netip.AddrPort]int
-	overloadQueue chan string // ids of servers that are to be reported
+	overloadQueue chan string // ids of servers to report
 
-	// Of the goroutine that maintains limits and verdicts.
-	rejectedSettled int64    // of the rejected fills, those that no longer count as demand
-	ejected         []string // what OnEjected was told last
+	// Used only by the goroutine that runs maintainFleet.
+	rejectedSettled int64    // number of rejected fills that no longer count as demand
+	ejected         []string // last argument of OnEjected
 
-	mu            sync.Mutex   // guards Gossip, Fleet and what follows; never held across I/O
-	conn          *net.UDPConn // nil: the address could not be opened so far
+	mu            sync.Mutex   // guards Gossip, Fleet and the fields below; never held during I/O
+	conn          *net.UDPConn // nil until the address is open
 	outbox        []outboundDatagram
 	holderChanges []holderChange // to be logged
-	loggedAt      float64
+	loggedAt      float64        // Unix milliseconds of the last logged fault
 }
 
-// Init prepares the transport. It is called once, before all other methods.
+// Init prepares the transport. It must be called once, before all other methods.
 func (t *Transport) Init() {
 	t.overloadQueue = make(chan string, maxQueuedReports)
 	t.rankByAddress = make(map[netip.AddrPort]int, len(t.PeerAddresses))
@@ -81,7 +81,8 @@
 	}
 }
 
-// ReportOverload tells the others that this router itself found a server overloaded. It does not wait.
+// ReportOverload queues a report to other routers that this router found a server overloaded. It does not block: if
+// maxQueuedReports are queued, it drops the report.
 func (t *Transport) ReportOverload(serverID string) {
 	select {
 	case t.overloadQueue <- serverID:
@@ -89,14 +90,15 @@
 	}
 }
 
-// Counts are those of Gossip.
+// Counts returns the datagram counts of Gossip.
 func (t *Transport) Counts() gossip.Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.Gossip.Counts
 }
 
-// LimitStatuses are this router's parts in the fleet's limits, and how many routers it takes for up; nil without any.
+// LimitStatuses returns this router's status in each fleet limit, and the number of routers that it considers alive.
+// If Fleet is nil, it returns nil and 0.
 func (t *Transport) LimitStatuses() (all []fleet.LimitStatus, live int) {
 	if t.Fleet == nil {
 		return nil, 0
@@ -106,8 +108,8 @@
 	return t.Fleet.LimitStatuses(t.monotonicMicros()), t.Fleet.LiveCount()
 }
 
-// Run sends and receives until ctx ends. While the address can't be opened it tries again, and nothing is sent or
-// received meanwhile.
+// Run sends and receives datagrams until ctx ends. While the address can't be opened, it retries and transfers no
+// datagrams.
 func (t *Transport) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	if t.Fleet != nil {
@@ -117,10 +119,10 @@
 	return group.Wait()
 }
 
-// monotonicMicros is the time by which core/fleet counts.
+// monotonicMicros returns the monotonic time in microseconds, which core/fleet uses.
 func (t *Transport) monotonicMicros() int64 { return clock.Micros(t.Clock.Monotonic()) }
 
-// sleep waits for so many milliseconds, or until ctx ends.
+// sleep waits for ms milliseconds, or until ctx ends.
 func (t *Transport) sleep(ctx context.Context, ms float64) {
 	due, timer := t.Clock.Alarm(ms)
 	select {
@@ -130,7 +132,8 @@
 	}
 }
 
-// logFault logs a datagram that is dropped or can't be sent, at most once each logInterval.
+// logFault logs a datagram that is dropped or can't be sent, or a socket that can't be opened. It logs at most one
+// fault per logInterval.
 func (t *Transport) logFault(err error, from netip.AddrPort) {
 	now := t.Clock.Now()
 	t.mu.Lock()
@@ -141,6 +144,6 @@
 	}
 	t.mu.Unlock()
 	if isDue {
-		t.Log.Warn().Err(err).Stringer("from", from).Int64("dropped", dropped).Msg("peers' datagrams")
+		t.Log.Warn().Err(err).Stringer("from", from).Int64("dropped", dropped).Msg("router datagram fault")
 	}
 }
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -19,50 +19,54 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const testRouters = 16
+// routerCount is the number of routers in a testFleet.
+const routerCount = 16
 
-// hub stands for the address that reaches all: it passes each datagram on from an address of the sender's own, as the
-// platform does, but for those that drop says.
-type hub struct {
+// broadcaster receives datagrams at the broadcast address and forwards them to routers for which drop returns false. As
+// on the platform, forwarded datagrams have a separate source address for each sender.
+type broadcaster struct {
 	conn *net.UDPConn
 
 	mu      sync.Mutex
-	longest int // datagram, in bytes
+	longest int // bytes of the longest datagram
 	drop    func(from, to int) bool
 }
 
-func (h *hub) setDrop(drop func(from, to int) bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.drop = drop
+// setDrop sets the function that selects the datagrams to drop, by rank of sender and receiver.
+func (b *broadcaster) setDrop(drop func(from, to int) bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.drop = drop
 }
 
+// dropNone is a drop function that drops no datagrams.
 func dropNone(from, to int) bool { return false }
 
 // testFleet is 16 routers of 16 sites on loopback.
 type testFleet struct {
-	t     *testing.T
-	clock *clock.Clock
-	hub   *hub
-	hubs  sync.WaitGroup
+	t           *testing.T
+	clock       *clock.Clock
+	broadcaster *broadcaster
+	forwarding  sync.WaitGroup // runBroadcaster
 
 	conns     []*net.UDPConn // of the routers, by rank
 	addresses []netip.AddrPort
-	// relays are the sockets from which the hub passes datagrams on, at the addresses by which the routers know one
-	// another.
-	relays     []*net.UDPConn
-	known      []netip.AddrPort
-	transports []*Transport
-	stop       []func() // by rank: ends the transport
-	finds      chan find
+	// relays are the sockets from which the broadcaster forwards datagrams, by rank of the sender. Routers know one
+	// another by the addresses of these sockets.
+	relays        []*net.UDPConn
+	peerAddresses []netip.AddrPort
+	transports    []*Transport
+	stop          []func() // stops a router's transport, by rank
+	detections    chan detection
 }
 
-// find is a server that a router is told is overloaded.
-type find struct {
+// detection is a call of a router's OnOverloaded.
+type detection struct {
 	rank     int
 	serverID string
 }
 
+// listen opens a socket on a free loopback port.
 func listen(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := open("127.0.0.1:0")
@@ -72,49 +76,51 @@
 	return conn
 }
 
+// addressOf returns the local address of a socket.
 func addressOf(conn *net.UDPConn) netip.AddrPort { return conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
+// newTestFleet starts all routers and the broadcaster.
 func newTestFleet(t *testing.T) *testFleet {
 	t.Helper()
 	f := &testFleet{
-		t:          t,
-		clock:      clock.NewFake(1e6),
-		hub:        &hub{conn: listen(t), drop: dropNone},
-		transports: make([]*Transport, testRouters),
-		stop:       make([]func(), testRouters),
-		finds:      make(chan find, 1000),
+		t:           t,
+		clock:       clock.NewFake(1e6),
+		broadcaster: &broadcaster{conn: listen(t), drop: dropNone},
+		transports:  make([]*Transport, routerCount),
+		stop:        make([]func(), routerCount),
+		detections:  make(chan detection, 1000),
 	}
-	for range testRouters {
+	for range routerCount {
 		conn, relay := listen(t), listen(t)
 		f.conns = append(f.conns, conn)
 		f.addresses = append(f.addresses, addressOf(conn))
 		f.relays = append(f.relays, relay)
-		f.known = append(f.known, addressOf(relay))
+		f.peerAddresses = append(f.peerAddresses, addressOf(relay))
 	}
-	for rank := range testRouters {
+	for rank := range routerCount {
 		f.start(rank, 1)
 	}
-	f.hubs.Go(f.runHub)
+	f.forwarding.Go(f.runBroadcaster)
 	return f
 }
 
-// runHub passes datagrams on until the hub's socket is closed.
-func (f *testFleet) runHub() {
+// runBroadcaster forwards datagrams until the broadcaster's socket is closed.
+func (f *testFleet) runBroadcaster() {
 	rankOf := map[netip.AddrPort]int{}
 	for rank, address := range f.addresses {
 		rankOf[address] = rank
 	}
 	buffer := make([]byte, 1500)
 	for {
-		size, from, err := f.hub.conn.ReadFromUDPAddrPort(buffer)
+		size, from, err := f.broadcaster.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
 		rank := rankOf[from]
-		f.hub.mu.Lock()
-		f.hub.longest = max(f.hub.longest, size)
-		drop := f.hub.drop
-		f.hub.mu.Unlock()
+		f.broadcaster.mu.Lock()
+		f.broadcaster.longest = max(f.broadcaster.longest, size)
+		drop := f.broadcaster.drop
+		f.broadcaster.mu.Unlock()
 		for to, address := range f.addresses {
 			if !drop(rank, to) {
 				f.relays[rank].WriteToUDPAddrPort(buffer[:size], address)
@@ -123,19 +129,20 @@
 	}
 }
 
+// start starts the transport of a router on its open socket.
 func (f *testFleet) start(rank int, incarnation uint32) {
 	f.t.Helper()
 	node, err := gossip.New(gossip.Options{
-		Rank: rank, FleetSize: testRouters, Site: rank, Sites: testRouters, Incarnation: incarnation,
+		Rank: rank, FleetSize: routerCount, Site: rank, Sites: routerCount, Incarnation: incarnation,
 	})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	transport := &Transport{
 		Gossip:           node,
-		PeerAddresses:    f.known,
-		BroadcastAddress: addressOf(f.hub.conn),
-		OnOverloaded:     func(serverID string) { f.finds <- find{rank, serverID} },
+		PeerAddresses:    f.peerAddresses,
+		BroadcastAddress: addressOf(f.broadcaster.conn),
+		OnOverloaded:     func(serverID string) { f.detections <- detection{rank, serverID} },
 		Clock:            f.clock,
 		Log:              zerolog.Nop(),
 	}
@@ -153,7 +160,7 @@
 	}
 }
 
-// restart ends a router's transport and starts another at its address.
+// restart stops a router's transport and starts another one at the same address.
 func (f *testFleet) restart(rank int, incarnation uint32) {
 	f.t.Helper()
 	f.stop[rank]()
@@ -165,86 +172,88 @@
 	f.start(rank, incarnation)
 }
 
-// reporters is how many routers report a server: whichever of them does not send its report has received two.
+// reporters is the number of routers that report a server. A router that has received two reports of a server does not
+// send its own, so some of the four may send none.
 const reporters = 4
 
-// reportAndAwait has the four routers from reporter on report a server, and takes finds of it until all of the
-// routers from first to last that did not report it have made one, and no other has.
+// reportAndAwait lets four routers, from rank reporter on, report a server. It waits until each of the other routers
+// from rank first to last has detected the server, and fails the test if a router outside that range detects one.
 func (f *testFleet) reportAndAwait(serverID string, reporter, first, last int) {
 	f.t.Helper()
 	for rank := reporter; rank < reporter+reporters; rank++ {
 		f.transports[rank].ReportOverload(serverID)
 	}
-	told := map[int]bool{}
-	for len(told) < last-first+1-reporters {
-		found := testwait.Receive(f.t, f.finds, "a find of "+serverID)
-		if found.rank < first || found.rank > last {
-			f.t.Fatalf("%s found by %d", serverID, found.rank)
+	detectedBy := map[int]bool{}
+	for len(detectedBy) < last-first+1-reporters {
+		detected := testwait.Receive(f.t, f.detections, "a detection of "+serverID)
+		if detected.rank < first || detected.rank > last {
+			f.t.Fatalf("%s: detection by router %d outside the range", serverID, detected.rank)
 		}
-		isReporter := found.rank >= reporter && found.rank < reporter+reporters
-		if found.serverID == serverID && !isReporter {
-			told[found.rank] = true
+		isReporter := detected.rank >= reporter && detected.rank < reporter+reporters
+		if detected.serverID == serverID && !isReporter {
+			detectedBy[detected.rank] = true
 		}
 	}
 }
 
+// close stops all routers and the broadcaster.
 func (f *testFleet) close() {
 	for rank := range f.stop {
 		f.stop[rank]()
 	}
-	f.hub.conn.Close()
-	f.hubs.Wait()
+	f.broadcaster.conn.Close()
+	f.forwarding.Wait()
 	for _, relay := range f.relays {
 		relay.Close()
 	}
 }
 
-// 16 routers of 16 sites on loopback: what some of them report, all find; cut in halves, neither receives from the
-// other; healed, they do again; one that restarts is received from at once; datagrams of strangers and malformed
-// ones change nothing. None is longer than allowed.
-func TestSixteenRouters(t *testing.T) {
+// Reports must reach all of 16 routers at 16 sites, but not the other half while the network is partitioned. They must
+// reach all routers again after the partition heals, and immediately after a router restarts. Malformed datagrams and
+// datagrams from unknown senders must be dropped, and no datagram may exceed the maximum size.
+func TestReportsReachRoutersAcrossPartitionAndRestart(t *testing.T) {
 	f := newTestFleet(t)
 	f.reportAndAwait("s-00000001", 0, 0, 15)
 
-	f.hub.setDrop(func(from, to int) bool { return (from < 8) != (to < 8) })
+	f.broadcaster.setDrop(func(from, to int) bool { return (from < 8) != (to < 8) })
 	f.reportAndAwait("s-00000002", 0, 0, 7)
 
-	f.hub.setDrop(dropNone)
+	f.broadcaster.setDrop(dropNone)
 	f.clock.Advance(2000)
 	f.restart(5, 2)
 	f.reportAndAwait("s-00000003", 5, 0, 15)
 
-	before := f.transports[0].Counts()
-	stranger := listen(t)
+	countsBefore := f.transports[0].Counts()
+	unknownSender := listen(t)
 	malformed := [][]byte{{}, {1}, make([]byte, 300), make([]byte, 256)}
 	for _, datagram := range malformed {
-		stranger.WriteToUDPAddrPort(datagram, f.addresses[0])
+		unknownSender.WriteToUDPAddrPort(datagram, f.addresses[0])
 		f.relays[3].WriteToUDPAddrPort(datagram, f.addresses[0])
 	}
-	f.reportAndAwait("s-00000004", 9, 0, 15) // comes after all of that on the same socket
+	f.reportAndAwait("s-00000004", 9, 0, 15) // arrives after these datagrams on the same socket
 	f.close()
-	stranger.Close()
-	if dropped := f.transports[0].Counts().Dropped - before.Dropped; dropped != int64(2*len(malformed)) {
-		t.Errorf("%d datagrams dropped, of strangers or malformed were %d", dropped, 2*len(malformed))
+	unknownSender.Close()
+	if dropped := f.transports[0].Counts().Dropped - countsBefore.Dropped; dropped != int64(2*len(malformed)) {
+		t.Errorf("%d datagrams dropped, want %d", dropped, 2*len(malformed))
 	}
-	if f.hub.longest == 0 || f.hub.longest > gossip.MaxDatagramSize {
-		t.Errorf("longest datagram: %d bytes", f.hub.longest)
+	if f.broadcaster.longest == 0 || f.broadcaster.longest > gossip.MaxDatagramSize {
+		t.Errorf("longest datagram: %d bytes", f.broadcaster.longest)
 	}
 }
 
-// Reports beyond what can wait are dropped, and nobody waits for them.
-func TestReportOverloadDoesNotWait(t *testing.T) {
+// ReportOverload must not block if the queue is full. It must drop the report.
+func TestReportOverloadDropsWhenQueueIsFull(t *testing.T) {
 	transport := &Transport{}
 	transport.Init()
 	for range 10 * maxQueuedReports {
 		transport.ReportOverload("s-00000001")
 	}
 	if queued := len(transport.overloadQueue); queued != maxQueuedReports {
-		t.Errorf("%d reports wait", queued)
+		t.Errorf("%d reports queued", queued)
 	}
 }
 
-// logLines receives what was logged.
+// logLines receives the log lines.
 type logLines chan string
 
 func (l logLines) Write(line []byte) (int, error) {
@@ -252,10 +261,10 @@
 	return len(line), nil
 }
 
-// A process that replaces another finds the address in use until that one ends. It serves all the same, and listens
-// then.
-func TestAddressComesFree(t *testing.T) {
-	before := listen(t)
+// A process that replaces another one can't open the address until the other process ends. It must log this, retry, and
+// receive datagrams once the address is free.
+func TestTransportRetriesUsedAddress(t *testing.T) {
+	previous := listen(t)
 	node, err := gossip.New(gossip.Options{FleetSize: 16, Sites: 16})
 	if err != nil {
 		t.Fatal(err)
@@ -266,8 +275,8 @@
 	logged := make(logLines, 100)
 	transport := &Transport{
 		Gossip:        node,
-		ListenAddress: addressOf(before).String(),
-		PeerAddresses: []netip.AddrPort{addressOf(before), addressOf(peer)},
+		ListenAddress: addressOf(previous).String(),
+		PeerAddresses: []netip.AddrPort{addressOf(previous), addressOf(peer)},
 		Clock:         now,
 		Log:           zerolog.New(logged),
 	}
@@ -279,12 +288,12 @@
 	if !strings.Contains(line, "peer_listen: ") || !strings.Contains(line, "in use") {
 		t.Errorf("logged %s", line)
 	}
-	before.Close()
+	previous.Close()
 	m := gossip.Message{Rank: 1, Site: 1, Overloaded: []uint32{7}}
-	for transport.Counts().Received == 0 { // until it has the address; each of these is new
+	for transport.Counts().Received == 0 { // until the transport has opened the address; each datagram is new
 		now.Advance(reopenInterval)
 		m.Sequence++
-		peer.WriteToUDPAddrPort(m.Append(nil), addressOf(before))
+		peer.WriteToUDPAddrPort(m.Append(nil), addressOf(previous))
 		runtime.Gosched()
 	}
 	cancel()
