--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter hosts router instances for the simulator: one routing.Engine for each instance, nothing shared. It
-// reads the simulator's wire from its input, replies on its output, and exits with 1 after an input that it can't use.
+// Command simadapter runs router instances for the simulator. Each instance has its own routing.Engine, and instances
+// share no state. The command reads batches of the simulator's protocol from standard input and writes replies to
+// standard output. It exits with status 1 if the input is invalid.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	}
 }
 
-// run replies to batches until the input ends. A reply is written in full or not at all.
+// run replies to batches until the input ends. A reply is written only after the whole batch was processed.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	instances := host{}
@@ -48,8 +49,9 @@
 // host holds the running instances by name.
 type host map[string]*routing.Engine
 
-// appendReply gives the events of a batch to their instances, all of an instance in one step, and appends the actions.
-// Instances are stepped in the order of their first messages. A start or a stop discards the events before it.
+// appendReply passes the events of a batch to their instances and appends the resulting actions to buf. Each instance
+// processes all its events in one step. The steps are in the order of the instances' first messages. A start or stop of
+// an instance discards its earlier events.
 func (h host) appendReply(buf []byte, batch *simwire.Batch) ([]byte, error) {
 	var order []string
 	pending := map[string][]routing.Event{}
@@ -83,7 +85,8 @@
 	return buf, nil
 }
 
-// appendStep steps one instance and appends its actions. A panic in it is reported to the simulator in their place.
+// appendStep runs one step of an instance and appends its actions to buf. If the step panics, it appends a panic line
+// instead of the actions.
 func appendStep(buf []byte, name string, engine *routing.Engine, now int64, events []routing.Event) (out []byte) {
 	defer func() {
 		if reason := recover(); reason != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// settings are those of an instance in zone east with one class.
+// settings configure an instance in zone east with one class.
 const settings = `{"Classes":[{"Name":"page","Deadline":3000000,"Promise":300000,"Idempotency":"read_like"}],` +
 	`"Extra":{"MasterKind":2,"ShieldKind":1,"FreshFor":[0]},"Kinds":["box","hub","origin"],` +
 	`"Permissions":{"MaxAttempts":3},"Zone":"east","Zones":["east","hub"]}`
 
-// start is the message that starts an instance, and its endpoint list.
+// start returns the messages that start an instance and send its endpoint list.
 func start(id string) string {
 	return fmt.Sprintf("BORN DirectorId=%s Entropy=4 BootInfo=%s\nFLEET DirectorId=%[1]s Mode=restored Rows=2\n"+
 		"ROW Node=b:1 Campus=east Shape=box Status=healthy\nROW Node=o:1 Campus=hub Shape=origin Status=healthy\n",
 		id, settings)
 }
 
-// reply returns the whole output for an input.
+// reply runs the adapter on an input and returns the output.
 func reply(t *testing.T, text string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -29,7 +29,8 @@
 	return out.String()
 }
 
-func TestRun(t *testing.T) {
+// Instances must act independently of each other, and a stopped instance must not act.
+func TestInstancesAreIndependent(t *testing.T) {
 	request := func(id string) string {
 		return fmt.Sprintf("KNOCK DirectorId=%s Call=a1 Qos=page Resource=x ExpiresIn=9000\n", id)
 	}
@@ -41,15 +42,16 @@
 	}
 	alone := reply(t, "ROUND Time=2000\n"+start("d1")+request("d1")+"OVER_TO_YOU\n")
 	if !strings.Contains(both, strings.TrimSuffix(alone, "READY\n")) {
-		t.Errorf("an instance acts differently beside another:\n%s\n%s", alone, both)
+		t.Errorf("reply of an instance alone differs from its reply beside another:\n%s\n%s", alone, both)
 	}
 	stopped := reply(t, "ROUND Time=2000\n"+start("d1")+"SHUTDOWN DirectorId=d1\n"+request("d1")+"OVER_TO_YOU\n")
 	if stopped != "READY\n" {
-		t.Errorf("a stopped instance acts: %q", stopped)
+		t.Errorf("stopped instance replied %q", stopped)
 	}
 }
 
-func TestRunMalformed(t *testing.T) {
+// Invalid input must result in an error that names the line or the setting, and in no output.
+func TestRunInvalidInput(t *testing.T) {
 	var out bytes.Buffer
 	err := run(strings.NewReader("ROUND Time=1\nNOISE DirectorId=d\nOVER_TO_YOU\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "line 2") || out.Len() != 0 {
@@ -57,6 +59,6 @@
 	}
 	err = run(strings.NewReader("ROUND Time=1\nBORN DirectorId=d Entropy=1 BootInfo={}\nOVER_TO_YOU\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "Classes") {
-		t.Errorf("unusable settings: %v", err)
+		t.Errorf("invalid settings: error %v", err)
 	}
 }
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -8,8 +8,8 @@
 	"spantack/routing"
 )
 
-// AppendAction appends the line of an instance's action to buf. ActionReportOverload has none, since instances share
-// nothing on this wire.
+// AppendAction appends the line for an instance's action to buf. It appends nothing for ActionReportOverload, since the
+// protocol has no messages between instances for it.
 func AppendAction(buf []byte, instance string, action routing.Action) []byte {
 	switch action.Kind {
 	case routing.ActionReportOverload:
@@ -41,12 +41,12 @@
 		buf = appendVerb(buf, "RESOLVE", instance)
 	case routing.ActionLog:
 		buf = appendVerb(buf, "WRITE_LOG", instance)
-		buf = appendText(buf, "Line", inOneLine(action.LogText))
+		buf = appendText(buf, "Line", singleLine(action.LogText))
 	}
 	return append(buf, '\n')
 }
 
-// appendSend appends an ActionSend; its verb depends on whether a source may fill a miss.
+// appendSend appends an ActionSend. The verb depends on whether the action has a source that may fill a miss.
 func appendSend(buf []byte, instance string, action *routing.Action) []byte {
 	verb := "ASSIGN"
 	hasSource := action.Source != ""
@@ -68,23 +68,23 @@
 
 // AppendPanic appends the line that reports a panic in an instance.
 func AppendPanic(buf []byte, instance, text string) []byte {
-	return fmt.Appendf(buf, "PANIC %s=%s Line=%s\n", fieldInstance, instance, inOneLine(text))
+	return fmt.Appendf(buf, "PANIC %s=%s Line=%s\n", fieldInstance, instance, singleLine(text))
 }
 
-// inOneLine replaces line ends, which would begin another action.
-func inOneLine(text string) string { return strings.ReplaceAll(text, "\n", " ") }
+// singleLine replaces line ends by spaces, since a line end would start another action.
+func singleLine(text string) string { return strings.ReplaceAll(text, "\n", " ") }
 
-// appendVerb appends the beginning of a line.
+// appendVerb appends the verb and the instance, with which each line begins.
 func appendVerb(buf []byte, verb, instance string) []byte {
 	return appendText(append(buf, verb...), fieldInstance, instance)
 }
 
-// appendName appends the beginning of a field.
+// appendName appends a field up to its value.
 func appendName(buf []byte, name string) []byte {
 	return append(append(append(buf, ' '), name...), '=')
 }
 
-// appendText appends a field, unless it is empty.
+// appendText appends a field, unless value is empty.
 func appendText(buf []byte, name, value string) []byte {
 	if value == "" {
 		return buf
@@ -92,12 +92,12 @@
 	return append(appendName(buf, name), value...)
 }
 
-// appendNumber appends a field.
+// appendNumber appends a decimal field.
 func appendNumber(buf []byte, name string, value int64) []byte {
 	return strconv.AppendInt(appendName(buf, name), value, 10)
 }
 
-// appendNonZero appends a field, unless it is 0.
+// appendNonZero appends a decimal field, unless value is 0.
 func appendNonZero(buf []byte, name string, value int64) []byte {
 	if value == 0 {
 		return buf
@@ -105,7 +105,7 @@
 	return appendNumber(buf, name, value)
 }
 
-// appendBool appends a field as 0 or 1.
+// appendBool appends a field with the value 0 or 1.
 func appendBool(buf []byte, name string, value bool) []byte {
 	if value {
 		return appendNumber(buf, name, 1)
--- a/internal/simwire/action_test.go
+++ b/internal/simwire/action_test.go
@@ -6,7 +6,8 @@
 	"spantack/routing"
 )
 
-func TestAppend(t *testing.T) {
+// Each kind of action must be formatted as one line with its fields in order.
+func TestAppendAction(t *testing.T) {
 	for want, action := range map[string]routing.Action{
 		"ASSIGN DirectorId=d Call=a GiveUpAfter=5 Node=n": {
 			Kind: routing.ActionSend, RequestID: "a", Server: "n", Timeout: 5},
@@ -31,8 +32,8 @@
 	}
 }
 
-// Reports to other routers have no line on this wire; once there would have been an empty one.
-func TestOverloadReportHasNoLine(t *testing.T) {
+// Overload reports have no line in the protocol. AppendAction must not append an empty line for them.
+func TestOverloadReportAppendsNothing(t *testing.T) {
 	if out := AppendAction(nil, "d", routing.Action{Kind: routing.ActionReportOverload, Server: "p"}); len(out) != 0 {
 		t.Errorf("%q", out)
 	}
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// fields are the name=value pairs of a line, with a space between two of them.
+// fields are the name=value pairs of a line, separated by spaces.
 type fields struct {
 	text     string
-	lastName string // the value of the field of this name extends to the end of the line; empty: none does
+	lastName string // the value of this field extends to the end of the line; empty if there is no such field
 }
 
-// forEach calls set for each pair, in order, until an error, which then names the field.
+// forEach calls set for each pair, in order, until the first error. The error names the field.
 func (f fields) forEach(set func(name, value string) error) error {
 	for f.text != "" {
 		name, value, err := f.next()
@@ -40,8 +40,8 @@
 	return name, value, nil
 }
 
-// require returns an error that names the first of the given fields which the line does not have. The line must be
-// well-formed.
+// require returns a missingFieldError for the first of the given fields that the line does not have, or nil. The line
+// must be well-formed.
 func (f fields) require(names ...string) error {
 	for _, name := range names {
 		if !f.has(name) {
@@ -51,28 +51,28 @@
 	return nil
 }
 
-// has reports whether the line has a field.
-func (f fields) has(wanted string) bool {
+// has reports whether the line has a field of the given name.
+func (f fields) has(target string) bool {
 	for f.text != "" {
 		name, _, err := f.next()
 		if err != nil {
 			return false
 		}
-		if name == wanted {
+		if name == target {
 			return true
 		}
 	}
 	return false
 }
 
-// parseInt parses an integer into a field, which holds int64 or int.
+// parseInt parses a decimal integer into field.
 func parseInt[T ~int | ~int64](field *T, value string) error {
 	n, err := strconv.ParseInt(value, 10, 64)
 	*field = T(n)
 	return err
 }
 
-// parseCount parses a number of lines.
+// parseCount parses a number of lines, which must not be negative.
 func parseCount(value string) (int, error) {
 	n, err := strconv.Atoi(value)
 	if n < 0 {
@@ -81,13 +81,13 @@
 	return n, err
 }
 
-// parseFloat parses a number into a field.
+// parseFloat parses a number into field.
 func parseFloat(field *float64, value string) (err error) {
 	*field, err = strconv.ParseFloat(value, 64)
 	return err
 }
 
-// parseBool parses 0 or 1 into a field.
+// parseBool parses 0 or 1 into field.
 func parseBool(field *bool, value string) error {
 	if value != "0" && value != "1" {
 		return errNotBoolean
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// parseLoadReport parses numbers with commas between them, and appends them to a field.
+// parseLoadReport parses comma-separated numbers and appends them to field.
 func parseLoadReport(field *[]float64, value string) error {
 	for part := range strings.SplitSeq(value, ",") {
 		n, err := strconv.ParseFloat(part, 64)
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,5 +1,6 @@
-// Package simwire speaks the simulator's wire: it reads batches of messages for router instances, and formats the
-// actions that the instances reply with. It decides nothing, and it is the one place that knows the wire's words.
+// Package simwire implements the simulator's protocol: it reads batches of messages for router instances, and formats
+// the actions with which the instances reply. It makes no routing decisions. Only this package uses the protocol's
+// names.
 package simwire
 
 import (
@@ -14,26 +15,26 @@
 	"spantack/routing"
 )
 
-// Message is one message for an instance: a start, a stop, or an event for one that runs.
+// Message is a message for an instance: its start, its stop, or an event while it runs.
 type Message struct {
 	Instance string
 	IsStart  bool
 	IsStop   bool
-	Settings *routing.Settings // of a start; shared by all with the same text, so it must not be changed
-	Seed     int64             // of a start
-	Event    routing.Event     // of neither
+	Settings *routing.Settings // for a start; shared by messages with equal text: do not modify
+	Seed     int64             // for a start
+	Event    routing.Event     // for an event
 }
 
-// Batch is all messages that came at one time.
+// Batch holds all messages of one simulated time.
 type Batch struct {
-	Time     int64 // microseconds
+	Time     int64 // simulated time in microseconds
 	Messages []Message
 }
 
 // inputBufferSize is the size of the Reader's buffer, in bytes.
 const inputBufferSize = 1 << 20
 
-// Reader reads batches. After an error it must not be used any longer.
+// Reader reads batches. It must not be used after an error.
 type Reader struct {
 	input      *bufio.Reader
 	lineNumber int
@@ -48,18 +49,18 @@
 	}
 }
 
-// Each line begins with one of these verbs, or with that of an event (eventKinds). A batch is the lines from verbBatch
-// to verbBatchEnd.
+// Each line begins with one of these verbs, or with the verb of an event (see eventKinds). A batch consists of the
+// lines from verbBatch to verbBatchEnd.
 const (
 	verbBatch    = "ROUND"
 	verbBatchEnd = "OVER_TO_YOU"
 	verbStart    = "BORN"
 	verbStop     = "SHUTDOWN"
-	verbMail     = "MAIL" // between instances: ignored
-	verbEndpoint = "ROW"  // an entry of the endpoint list in the message before it
+	verbMail     = "MAIL" // a message between instances; ignored
+	verbEndpoint = "ROW"  // an entry of the endpoint list of the preceding message
 )
 
-// Names of fields that are used in several places.
+// Names of fields that occur in several places.
 const (
 	fieldInstance = "DirectorId"
 	fieldTime     = "Time"
@@ -69,7 +70,7 @@
 	fieldServer   = "Node"
 )
 
-// What is wrong with a line.
+// Errors in the input.
 var (
 	errNoBatch            = errors.New("a batch must begin with ROUND")
 	errNestedBatch        = errors.New("ROUND inside a batch")
@@ -79,7 +80,7 @@
 	errTruncated          = errors.New("input ends inside a batch")
 )
 
-// missingFieldError names a field without which a line means nothing.
+// missingFieldError is the name of a required field that a line does not have.
 type missingFieldError string
 
 // Error implements error.
@@ -88,11 +89,11 @@
 // lineError is an error in a line of the input.
 type lineError struct {
 	number int
-	text   string // of the line, abbreviated
+	text   string // of the line, possibly shortened
 	err    error
 }
 
-// newLineError returns the error of the line that was read last.
+// newLineError returns an error for the line that was read last.
 func (r *Reader) newLineError(text string, err error) error {
 	const maxShown = 200
 	if len(text) > maxShown {
@@ -104,10 +105,10 @@
 // Error implements error.
 func (e *lineError) Error() string { return fmt.Sprintf("line %d: %v: %q", e.number, e.err, e.text) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the underlying error.
 func (e *lineError) Unwrap() error { return e.err }
 
-// readLine returns the next line without its end.
+// readLine returns the next line without its line end.
 func (r *Reader) readLine() (string, error) {
 	text, err := r.input.ReadString('\n')
 	if err != nil && (err != io.EOF || text == "") {
@@ -119,11 +120,11 @@
 
 // partialBatch is a batch that is being read.
 type partialBatch struct {
-	batch            *Batch // nil before its first line
-	missingEndpoints int    // lines that the last message announced and that did not come yet
+	batch            *Batch // nil before the first line of the batch
+	missingEndpoints int    // endpoint lines of the last message that were not read yet
 }
 
-// Read returns the next batch, or io.EOF at an end of the input between batches. Other errors name the line.
+// Read returns the next batch, or io.EOF if the input ends between batches. Errors in the input name the line.
 func (r *Reader) Read() (*Batch, error) {
 	var partial partialBatch
 	for {
@@ -148,7 +149,7 @@
 	}
 }
 
-// addLine adds a line to a batch; isComplete is true for its last line.
+// addLine adds a line to a batch. isComplete is true for the last line of the batch.
 func (r *Reader) addLine(partial *partialBatch, text string) (isComplete bool, err error) {
 	verb, rest, _ := strings.Cut(text, " ")
 	switch {
@@ -169,7 +170,7 @@
 	return false, r.addMessage(partial, verb, rest)
 }
 
-// parseBatch parses the fields of a batch's first line.
+// parseBatch parses the first line of a batch.
 func parseBatch(text string) (*Batch, error) {
 	line := fields{text: text}
 	batch := &Batch{}
@@ -200,7 +201,7 @@
 	return nil
 }
 
-// addMessage adds a message for an instance.
+// addMessage parses a message for an instance and adds it to the batch.
 func (r *Reader) addMessage(partial *partialBatch, verb, text string) error {
 	line := fields{text: text}
 	if verb == verbStart {
@@ -220,7 +221,7 @@
 	return nil
 }
 
-// eventKinds maps the verbs of events.
+// eventKinds maps verbs to event kinds.
 var eventKinds = map[string]routing.EventKind{
 	"FLEET":    routing.EventEndpoints,
 	"KNOCK":    routing.EventRequest,
@@ -232,7 +233,7 @@
 	"REPLACED": routing.EventPurge,
 }
 
-// requiredFields names the fields without which a message means nothing, by verb.
+// requiredFields lists the required fields of messages, by verb.
 var requiredFields = map[string][]string{
 	verbStart: {fieldSeed, fieldSettings},
 	"FLEET":   {"Mode"},
@@ -244,7 +245,7 @@
 	"ECHO":    {"Code", fieldServer},
 }
 
-// parseMessage parses the fields of a message; endpointCount is the number of endpoint lines that follow it.
+// parseMessage parses the fields of a message. endpointCount is the number of endpoint lines that follow the message.
 func (r *Reader) parseMessage(verb string, line fields) (message Message, endpointCount int, err error) {
 	message.IsStart = verb == verbStart
 	message.IsStop = verb == verbStop
@@ -273,10 +274,10 @@
 	return message, endpointCount, line.require(requiredFields[verb]...)
 }
 
-// decodeSettings decodes the settings of an instance, or returns those of the same text before it.
+// decodeSettings decodes the settings of an instance. Equal texts result in the same pointer.
 func (r *Reader) decodeSettings(text string) (*routing.Settings, error) {
-	if known := r.settings[text]; known != nil {
-		return known, nil
+	if cached := r.settings[text]; cached != nil {
+		return cached, nil
 	}
 	settings := &routing.Settings{}
 	if err := json.Unmarshal([]byte(text), settings); err != nil {
@@ -286,7 +287,7 @@
 	return settings, nil
 }
 
-// setEventField sets one field of an event. Fields that are not known are ignored.
+// setEventField sets the named field of an event. It ignores unknown fields.
 func setEventField(event *routing.Event, name, value string) error {
 	switch name {
 	case "Mode":
@@ -335,7 +336,7 @@
 	return nil
 }
 
-// parseEndpoint parses an entry of the endpoint list.
+// parseEndpoint parses an entry of an endpoint list, which must name its server.
 func parseEndpoint(line fields) (endpoint routing.Endpoint, err error) {
 	err = line.forEach(func(name, value string) error { return setEndpointField(&endpoint, name, value) })
 	if err != nil {
@@ -347,7 +348,7 @@
 	return endpoint, nil
 }
 
-// setEndpointField sets one field of an entry. Fields that are not known are ignored.
+// setEndpointField sets the named field of an entry. It ignores unknown fields.
 func setEndpointField(endpoint *routing.Endpoint, name, value string) error {
 	switch name {
 	case fieldServer:
@@ -368,7 +369,7 @@
 	return nil
 }
 
-// parseSeed parses a seed: any number of 64 bits, signed or not.
+// parseSeed parses a seed, which is a signed or unsigned 64-bit integer.
 func parseSeed(value string) (int64, error) {
 	if seed, err := strconv.ParseUint(value, 10, 64); err == nil {
 		return int64(seed), nil
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -10,6 +10,7 @@
 	"spantack/routing"
 )
 
+// A batch with a message of each kind must be parsed to the sent values.
 func TestRead(t *testing.T) {
 	text := "ROUND Time=5\n" +
 		`BORN DirectorId=d-1 Entropy=18446744073709551615 BootInfo={"Zone": "a b", "Siblings": 3, "New": 1}` + "\n" +
@@ -27,7 +28,7 @@
 	}
 	first := batch.Messages[0]
 	if !first.IsStart || first.Seed != -1 || first.Settings.Zone != "a b" || first.Settings.FleetSize != 3 {
-		t.Errorf("first %+v", first)
+		t.Errorf("first message %+v", first)
 	}
 	want := []routing.Event{
 		{Kind: routing.EventEndpoints, UpdateMode: "restored", Endpoints: []routing.Endpoint{
@@ -48,13 +49,14 @@
 		}
 	}
 	if last := batch.Messages[len(batch.Messages)-1]; !last.IsStop || batch.Time != 5 {
-		t.Errorf("last %+v at %d", last, batch.Time)
+		t.Errorf("last message %+v, batch time %d", last, batch.Time)
 	}
 	if _, err := reader.Read(); err != io.EOF {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("after the last batch: %v", err)
 	}
 }
 
+// Malformed input must result in an error that names the line or the field.
 func TestReadMalformed(t *testing.T) {
 	for text, want := range map[string]string{
 		"KNOCK DirectorId=d Call=a\n":                               "line 1: a batch must begin with ROUND",
@@ -77,8 +79,8 @@
 	}
 }
 
-// Errors of a line can be told apart by what is wrong, and name the line.
-func TestLineErrors(t *testing.T) {
+// Callers must be able to distinguish line errors by type, and the errors must hold the line number and text.
+func TestLineErrorsAreDistinguishable(t *testing.T) {
 	_, err := NewReader(strings.NewReader("ROUND Time=1\nROUND Time=2\n")).Read()
 	var line *lineError
 	if !errors.Is(err, errNestedBatch) || !errors.As(err, &line) || line.number != 2 || line.text != "ROUND Time=2" {
--- a/internal/simwire/wire_compat_test.go
+++ b/internal/simwire/wire_compat_test.go
@@ -12,9 +12,9 @@
 	"spantack/routing"
 )
 
-// The files under testdata are texts of the simulator's wire, as the program of commit e67ffc3 reads and writes them.
-// The simulator is another program, so none is ever changed to suit this one.
-func readPin(t *testing.T, name string) []byte {
+// readFixture reads a file of recorded protocol text, as the program of commit e67ffc3 reads and writes it. The
+// simulator is a separate program, so these files must not be changed to match this program.
+func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/" + name)
 	if err != nil {
@@ -23,8 +23,8 @@
 	return text
 }
 
-// every is what testdata/settings.json says: each field has a value, and no two numbers of it are the same.
-func every() *routing.Settings {
+// fullSettings returns the content of testdata/settings.json. Each field has a value, and all numbers differ.
+func fullSettings() *routing.Settings {
 	return &routing.Settings{
 		Classes: []routing.Class{{Name: "page", ObjectiveSizeFactor: 1.5, Deadline: 101, LatencyObjective: 102,
 			PriorityWeight: 2.5, LateWeightFactor: 0.25,
@@ -56,39 +56,40 @@
 	}
 }
 
-// Each key of the settings goes to its field, and to no other. The keys are also those that come out again.
-func TestSettingsCompat(t *testing.T) {
-	text := readPin(t, "settings.json")
+// Each key of the settings must be decoded to its field and to no other, and encoding must produce the same keys.
+func TestSettingsKeysCompat(t *testing.T) {
+	text := readFixture(t, "settings.json")
 	strict := json.NewDecoder(bytes.NewReader(text))
 	strict.DisallowUnknownFields()
 	var got routing.Settings
-	if err := strict.Decode(&got); err != nil || !reflect.DeepEqual(&got, every()) {
-		t.Errorf("read %+v (%v), want %+v", got, err, every())
+	if err := strict.Decode(&got); err != nil || !reflect.DeepEqual(&got, fullSettings()) {
+		t.Errorf("decoded %+v (%v), want %+v", got, err, fullSettings())
 	}
-	written, err := json.Marshal(every())
+	written, err := json.Marshal(fullSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var want, again any
+	var want, reencoded any
 	if err := json.Unmarshal(text, &want); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(written, &again); err != nil || !reflect.DeepEqual(again, want) {
-		t.Errorf("wrote %s (%v)", written, err)
+	if err := json.Unmarshal(written, &reencoded); err != nil || !reflect.DeepEqual(reencoded, want) {
+		t.Errorf("encoded %s (%v)", written, err)
 	}
 }
 
-func TestEventsCompat(t *testing.T) {
+// Each recorded message must be parsed to the recorded values.
+func TestMessagesWireCompat(t *testing.T) {
 	var settings bytes.Buffer
-	if err := json.Compact(&settings, readPin(t, "settings.json")); err != nil {
+	if err := json.Compact(&settings, readFixture(t, "settings.json")); err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(string(readPin(t, "events.txt")), "@SETTINGS@", settings.String(), 1)
+	text := strings.Replace(string(readFixture(t, "events.txt")), "@SETTINGS@", settings.String(), 1)
 	outcome := func(attempt int, code routing.AttemptOutcome) Message {
 		return Message{Event: routing.Event{Kind: routing.EventOutcome, RequestID: "ab", Attempt: attempt, Outcome: code}}
 	}
 	want := []Message{
-		{IsStart: true, Seed: -1, Settings: every()},
+		{IsStart: true, Seed: -1, Settings: fullSettings()},
 		{Instance: "d-2", IsStart: true, Seed: -7, Settings: &routing.Settings{}},
 		{Event: routing.Event{Kind: routing.EventEndpoints, UpdateMode: "replace", Endpoints: []routing.Endpoint{
 			{Server: "10.1.0.9:5050", Zone: "central", Kind: "parent", Cell: 2, Status: "healthy", Weight: 1.5, StartedAt: 9},
@@ -120,22 +121,23 @@
 	r := NewReader(strings.NewReader(text))
 	b, err := r.Read()
 	if err != nil || b.Time != 5000001 || len(b.Messages) != len(want) {
-		t.Fatalf("%+v (%v), want %d items", b, err, len(want))
+		t.Fatalf("batch %+v (%v), want %d messages", b, err, len(want))
 	}
 	for i, w := range want {
 		if w.Instance == "" {
 			w.Instance = "d-1"
 		}
 		if got := b.Messages[i]; !reflect.DeepEqual(got, w) {
-			t.Errorf("item %d: read %+v, want %+v", i, got, w)
+			t.Errorf("message %d: parsed %+v, want %+v", i, got, w)
 		}
 	}
 	if _, err := r.Read(); err != io.EOF {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("after the last batch: %v", err)
 	}
 }
 
-func TestActionsCompat(t *testing.T) {
+// Each kind of action must be formatted as the recorded line.
+func TestActionsWireCompat(t *testing.T) {
 	fill := func(how routing.FetchFlags) routing.Action {
 		return routing.Action{Kind: routing.ActionSend, RequestID: "ab", Server: "n2", Source: "p1", FetchFlags: how}
 	}
@@ -161,7 +163,7 @@
 		got = AppendAction(got, "d-1", a)
 	}
 	got = AppendPanic(got, "d-1", "two lines\nnow")
-	lines, want := strings.Split(string(got), "\n"), strings.Split(string(readPin(t, "actions.txt")), "\n")
+	lines, want := strings.Split(string(got), "\n"), strings.Split(string(readFixture(t, "actions.txt")), "\n")
 	for i := range max(len(lines), len(want)) {
 		if i >= len(lines) || i >= len(want) || lines[i] != want[i] {
 			t.Fatalf("from line %d on: wrote %q, want %q", i+1, lines[min(i, len(lines)):], want[min(i, len(want)):])
