--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -11,7 +11,7 @@
 	"spantack/internal/clock"
 )
 
-// originLimit is the index of the only fleet limit, which is on fills from the origin.
+// originLimit is the index of the only fleet limit, which limits fills from the origin.
 const originLimit = 0
 
 // outboundDatagram is a queued datagram of core/fleet.
--- a/internal/msgpackrpc/capacity.go
+++ b/internal/msgpackrpc/capacity.go
@@ -41,8 +41,9 @@
 	return idlest
 }
 
-// evictionRank orders connections for eviction, lowest rank first: connections that never sent a message, then the
-// others by idle time, longest first. The rank is infinite, which prevents eviction, while a response is pending.
+// evictionRank orders connections for eviction, lowest rank first: connections without a message after
+// newConnGracePeriod, then the others by idle time, longest first. The rank is infinite, which prevents eviction, while
+// a response is pending.
 func (c *conn) evictionRank() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -151,7 +151,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.woken = true
-	if !c.inMessage && !c.awaitsLastMessage { // a last message may be in transit
+	if !c.inMessage && !c.awaitsLastMessage { // a last message may be in transit: do not shorten that wait
 		c.netConn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
--- a/internal/msgpackrpc/handler.go
+++ b/internal/msgpackrpc/handler.go
@@ -22,8 +22,8 @@
 	reservedSize int64 // bytes of Server.MaxQueuedBytes reserved until the response is written
 }
 
-// handleMessage handles one message. An error ends the connection. Request handlers run as goroutines of handlers, with
-// contexts derived from ctx.
+// handleMessage handles one message. An error ends the connection. Request handlers run in goroutines of the WaitGroup
+// handlers, with contexts derived from ctx.
 func (c *conn) handleMessage(ctx context.Context, m message, arrivedAt float64, handlers *sync.WaitGroup) error {
 	switch {
 	case m.kind == kindNotification && m.method == methodCancel:
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -219,9 +219,9 @@
 	}
 }
 
-// At MaxConns, the idle connection of a client must be evicted for a new one, and a connection with a pending response
-// must not. Without eviction, clients with idle connections have held all connections while clients often reconnected,
-// and 9,000 requests of others were never accepted.
+// At MaxConns, an idle connection must be evicted for a new one, whether or not its client ever sent a request. A
+// connection with a pending response must not be evicted. On a day with high connection churn, idle clients held all
+// connections, and 9,000 requests of other clients were never accepted.
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	client := startServer(t) // MaxConns is 2
 	client.sendRequest(1, "page", "0000000000000001")
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -9,7 +9,7 @@
 )
 
 // AppendAction appends the line for an instance's action to buf. It appends nothing for ActionReportOverload, since the
-// protocol has no messages between instances for it.
+// protocol does not carry reports between instances.
 func AppendAction(buf []byte, instance string, action routing.Action) []byte {
 	switch action.Kind {
 	case routing.ActionReportOverload:
