--- a/internal/msgpackrpc/capacity.go
+++ b/internal/msgpackrpc/capacity.go
@@ -15,30 +15,30 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.conns) >= s.MaxConns {
-		idlest := s.idlestConn()
-		if idlest == nil {
+		next := s.connToEvict()
+		if next == nil {
 			s.rejectedCount++
 			return false
 		}
-		delete(s.conns, idlest)
+		delete(s.conns, next)
 		s.evictedCount++
-		evicted = append(evicted, idlest)
+		evicted = append(evicted, next)
 	}
 	s.conns[c] = true
 	return true
 }
 
-// idlestConn returns the connection to evict, or nil if every connection has a pending response. s.mu is held.
-func (s *Server) idlestConn() *conn {
-	var idlest *conn
+// connToEvict returns the connection to evict, or nil if every connection has a pending response. s.mu is held.
+func (s *Server) connToEvict() *conn {
+	var selected *conn
 	lowest := math.Inf(1)
 	for c := range s.conns {
 		if rank := c.evictionRank(); rank < lowest {
-			idlest = c
+			selected = c
 			lowest = rank
 		}
 	}
-	return idlest
+	return selected
 }
 
 // evictionRank orders connections for eviction, lowest rank first: connections without a message after
--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -25,7 +25,7 @@
 // Client is one connection to a request router, for use by other programs. It supports many concurrent calls, with
 // responses in any order, and is safe for concurrent use.
 type Client struct {
-	conn net.Conn // owned; closed by Close, or by read when it fails
+	conn net.Conn // owned; closed by Close, or by read after an error
 
 	mu        sync.Mutex // guards the fields below
 	lastID    uint64
@@ -136,7 +136,8 @@
 	}
 }
 
-// deliver passes a response to its call. A response without an open call is discarded, since that call was canceled.
+// deliver passes a response to its call. A response whose call is no longer open is discarded, since the caller no
+// longer waits for it.
 func (c *Client) deliver(v any) error {
 	list, _ := v.([]any)
 	if len(list) != responseLength {
@@ -210,7 +211,7 @@
 	}
 	list, _ := value.([]any)
 	if len(list) != 2 {
-		return result{}, fmt.Errorf("%w: result is not a body and fields", errMalformed)
+		return result{}, fmt.Errorf("%w: result is not an array of 2 values", errMalformed)
 	}
 	fields, _ := list[1].(map[string]any)
 	isNotModified := fields[fieldNotModified] == valueNotModified
--- a/internal/msgpackrpc/codec_test.go
+++ b/internal/msgpackrpc/codec_test.go
@@ -18,7 +18,7 @@
 	"spantack/internal/router"
 )
 
-// encode encodes a value as MessagePack, including types that clients send and the server does not.
+// encode encodes a value as MessagePack, with 16-bit array and map headers, which the server reads but never writes.
 func encode(buf []byte, v any) []byte {
 	switch v := v.(type) {
 	case nil:
@@ -76,7 +76,7 @@
 			}
 		}
 		if _, err := readMessage(in); err != io.EOF {
-			t.Fatalf("after the last message: %v", err)
+			t.Fatalf("read after the last message: got %v, want EOF", err)
 		}
 		short := bufio.NewReader(bytes.NewReader(stream[:cut]))
 		for {
@@ -109,8 +109,8 @@
 }
 
 // A length must be checked before memory is allocated for it. Otherwise four bytes of input could make the router
-// allocate gigabytes.
-func TestOversizedLengthIsMalformed(t *testing.T) {
+// allocate gigabytes. Input that is nested too deeply or has an unknown format must be rejected as well.
+func TestInputBeyondLimitsIsMalformed(t *testing.T) {
 	for _, text := range []string{"\xdd\xff\xff\xff\xff", "\xdf\xff\xff\xff\xff", "\xc6\xff\xff\xff\xff",
 		"\xdb\x00\x02\x00\x00", strings.Repeat("\x91", 1000), "\xc1"} {
 		_, err := readMessage(bufio.NewReader(strings.NewReader(text)))
@@ -120,6 +120,7 @@
 	}
 }
 
+// Numbers must decode to the same value from each of their formats.
 func TestDecodeNumbers(t *testing.T) {
 	for text, want := range map[string]any{"\x05": int64(5), "\xff": int64(-1), "\xd0\x80": int64(-128),
 		"\xd3\xff\xff\xff\xff\xff\xff\xff\xfe": int64(-2), "\xcd\x01\x00": uint64(256),
@@ -136,6 +137,7 @@
 	}
 }
 
+// Valid fields must be parsed to their values, and the error for an invalid field must name it.
 func TestParseRequestFields(t *testing.T) {
 	validFields := func() map[string]any {
 		return map[string]any{"ref": "9b1f03aa5c7e2d41", "allow": "1500", "lookup": "7f3a9c21e0b4d655", "block": "3",
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -24,13 +24,16 @@
 	openRequests      map[uint64]*openRequest // by message id
 	unsentResponses   int                     // queued or about to be queued, and not yet written
 	inMessage         bool                    // the reader is reading a message
-	awaitsLastMessage bool                    // the reader waits for a last message before it closes
+	awaitsLastMessage bool                    // the connection is to close; the reader waits for a message in transit
 	woken             bool                    // wake was called since awaitMessage last cleared this
 	receivedAny       bool                    // a complete message has been received
-	idleSince         float64                 // Unix milliseconds of the start, or of the last message or response
+	// idleSince is the time in Unix milliseconds when the connection was accepted, or when a message last arrived or a
+	// response was last queued or written.
+	idleSince float64
 }
 
-// testHookAwait is called between a reader's check whether its connection is to close and its use of the result.
+// testHookAwait is called by awaitMessage after it has checked whether the server is draining, and before it sets the
+// read deadline.
 var testHookAwait = func() {}
 
 // newConn returns a connection on which serve has not been called.
@@ -84,16 +87,17 @@
 	}
 }
 
-// read reads and handles messages. It returns nil if the connection is to close and has no open requests.
+// read reads and handles messages. It returns nil if the connection has no open requests and is to close, or has been
+// idle for too long.
 func (c *conn) read(ctx context.Context, handlers *sync.WaitGroup) error {
 	reader := bufio.NewReaderSize(c.netConn, readBufferSize)
 	for {
-		isLast := c.awaitMessage()
+		closesAfterWait := c.awaitMessage()
 		if _, err := reader.Peek(1); err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
 				return err
 			}
-			if isLast || c.isIdleTooLong() {
+			if closesAfterWait || c.isIdleTooLong() {
 				return nil
 			}
 			continue
@@ -116,9 +120,10 @@
 }
 
 // awaitMessage sets the read deadline for the start of the next message. If the connection is to close and no request
-// is open, isLast is true and the deadline is short: it only allows for messages already in transit. After a concurrent
-// wake the deadline has already expired and stays, so that the reader calls awaitMessage again immediately.
-func (c *conn) awaitMessage() (isLast bool) {
+// is open, closesAfterWait is true and the deadline is short: it only allows for messages already in transit. If wake
+// was called in the meantime, awaitMessage keeps the expired deadline that wake set, so that the read fails immediately
+// and the reader calls awaitMessage again.
+func (c *conn) awaitMessage() (closesAfterWait bool) {
 	c.mu.Lock()
 	c.inMessage = false
 	c.awaitsLastMessage = false
@@ -132,21 +137,21 @@
 	if c.woken {
 		return false
 	}
-	isLast = isClosing && len(c.openRequests) == 0
-	c.awaitsLastMessage = isLast
-	timeout := c.idleTimeout()
+	closesAfterWait = isClosing && len(c.openRequests) == 0
+	c.awaitsLastMessage = closesAfterWait
+	timeout := c.allowedIdleTime()
 	switch {
-	case isLast && isRejecting:
+	case closesAfterWait && isRejecting:
 		timeout = rejectingDrainTimeout
-	case isLast:
+	case closesAfterWait:
 		timeout = drainTimeout
 	}
 	c.netConn.SetReadDeadline(clock.Deadline(timeout))
-	return isLast
+	return closesAfterWait
 }
 
 // wake makes a waiting reader check again whether the connection is to close. It does not interrupt the read of a
-// message, since that would lose the message's request and all open ones.
+// message: a failed read ends the connection, and with it the request in the message and all open requests.
 func (c *conn) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,24 +177,24 @@
 	c.idleSince = arrivedAt
 }
 
-// idleTimeout returns how long the connection may be idle, in milliseconds. c.mu is held.
-func (c *conn) idleTimeout() float64 {
+// allowedIdleTime returns how long the connection may be idle, in milliseconds. c.mu is held.
+func (c *conn) allowedIdleTime() float64 {
 	if c.receivedAny {
 		return idleTimeout
 	}
 	return firstMessageTimeout
 }
 
-// isIdleTooLong reports whether the connection has been idle for at least its idle timeout.
+// isIdleTooLong reports whether the connection has been idle for at least its allowed idle time.
 func (c *conn) isIdleTooLong() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	isIdle := len(c.openRequests) == 0 && c.unsentResponses == 0
-	return isIdle && c.server.Clock.Now()-c.idleSince >= c.idleTimeout()
+	return isIdle && c.server.Clock.Now()-c.idleSince >= c.allowedIdleTime()
 }
 
-// hasPendingResponse reports whether a request is open, or a response is not written yet and the last one was queued or
-// written less than readTimeout milliseconds ago.
+// hasPendingResponse reports whether a request is open, or a response is not written yet and idleSince is less than
+// readTimeout milliseconds ago.
 func (c *conn) hasPendingResponse(readTimeout float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/msgpackrpc/decode.go
+++ b/internal/msgpackrpc/decode.go
@@ -11,7 +11,7 @@
 
 // Limits of a message from a client. Lengths are checked before memory is allocated.
 const (
-	maxStringSize  = 48 << 10 // bytes of a string or body; a write has at most 48,000
+	maxStringSize  = 48 << 10 // bytes of a string or body; the body of a write request has at most 48,000 bytes
 	maxMessageSize = 64 << 10 // bytes of all strings, bodies and numbers together
 	maxItems       = 64       // in an array or map
 	maxDepth       = 6        // nesting levels of arrays and maps
@@ -19,33 +19,33 @@
 
 // MessagePack formats: the first byte of a value. The fix formats hold a small value or length in the lower bits.
 const (
-	formatFixMap      = 0x80
-	formatFixArray    = 0x90
-	formatFixString   = 0xa0
-	formatNil         = 0xc0
-	formatFalse       = 0xc2
-	formatTrue        = 0xc3
-	formatBinary8     = 0xc4
-	formatBinary16    = 0xc5
-	formatBinary32    = 0xc6
-	formatFloat32     = 0xca
-	formatFloat64     = 0xcb
-	formatUint8       = 0xcc
-	formatUint16      = 0xcd
-	formatUint32      = 0xce
-	formatUint64      = 0xcf
-	formatInt8        = 0xd0
-	formatInt16       = 0xd1
-	formatInt32       = 0xd2
-	formatInt64       = 0xd3
-	formatString8     = 0xd9
-	formatString16    = 0xda
-	formatString32    = 0xdb
-	formatArray16     = 0xdc
-	formatArray32     = 0xdd
-	formatMap16       = 0xde
-	formatMap32       = 0xdf
-	formatNegativeFix = 0xe0
+	formatFixMap         = 0x80
+	formatFixArray       = 0x90
+	formatFixString      = 0xa0
+	formatNil            = 0xc0
+	formatFalse          = 0xc2
+	formatTrue           = 0xc3
+	formatBinary8        = 0xc4
+	formatBinary16       = 0xc5
+	formatBinary32       = 0xc6
+	formatFloat32        = 0xca
+	formatFloat64        = 0xcb
+	formatUint8          = 0xcc
+	formatUint16         = 0xcd
+	formatUint32         = 0xce
+	formatUint64         = 0xcf
+	formatInt8           = 0xd0
+	formatInt16          = 0xd1
+	formatInt32          = 0xd2
+	formatInt64          = 0xd3
+	formatString8        = 0xd9
+	formatString16       = 0xda
+	formatString32       = 0xdb
+	formatArray16        = 0xdc
+	formatArray32        = 0xdd
+	formatMap16          = 0xde
+	formatMap32          = 0xdf
+	formatNegativeFixInt = 0xe0
 )
 
 // errMalformed is wrapped by all errors about bytes that violate the protocol. Such an error ends the connection.
@@ -65,7 +65,7 @@
 	return d.readValue(0)
 }
 
-// readValue reads a value that is nested in depth arrays and maps.
+// readValue reads a value at the nesting level depth, which is 0 for the outermost value.
 func (d *decoder) readValue(depth int) (any, error) {
 	if depth > maxDepth {
 		return nil, fmt.Errorf("%w: nested too deeply", errMalformed)
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	switch {
-	case format < formatFixMap:
+	case format < formatFixMap: // positive fixint
 		return int64(format), nil
 	case format < formatFixArray:
 		return d.readMap(int(format&0x0f), depth)
@@ -86,15 +86,15 @@
 		return d.readArray(int(format&0x0f), depth)
 	case format < formatNil:
 		return d.readString(int(format & 0x1f))
-	case format >= formatNegativeFix:
+	case format >= formatNegativeFixInt:
 		return int64(int8(format)), nil
 	}
-	return d.readFormatted(format, depth)
+	return d.readNonFix(format, depth)
 }
 
-// readFormatted reads the rest of a value whose format is not a fix format. The formats of a type are consecutive, and
-// the size of the number or length doubles from one format to the next.
-func (d *decoder) readFormatted(format byte, depth int) (any, error) {
+// readNonFix reads the rest of a value whose format is not a fix format. The formats of a type are consecutive, and the
+// size of the number or length doubles from one format to the next.
+func (d *decoder) readNonFix(format byte, depth int) (any, error) {
 	switch format {
 	case formatNil:
 		return nil, nil
@@ -187,7 +187,7 @@
 	return string(b), err
 }
 
-// readArray reads the n values of an array that is nested in depth arrays and maps.
+// readArray reads the n values of an array at the nesting level depth.
 func (d *decoder) readArray(n, depth int) (any, error) {
 	if n > maxItems {
 		return nil, fmt.Errorf("%w: array of %d values exceeds the limit", errMalformed, n)
@@ -203,8 +203,8 @@
 	return list, nil
 }
 
-// readMap reads the n pairs of a map that is nested in depth arrays and maps. Its keys must be strings. Of pairs with
-// the same key, the last one applies.
+// readMap reads the n pairs of a map at the nesting level depth. Its keys must be strings. Of pairs with the same key,
+// the last one applies.
 func (d *decoder) readMap(n, depth int) (any, error) {
 	if n > maxItems {
 		return nil, fmt.Errorf("%w: map of %d pairs exceeds the limit", errMalformed, n)
--- a/internal/msgpackrpc/departed.go
+++ b/internal/msgpackrpc/departed.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// clientDeparted waits up to maxSocketPeeks times socketPeekInterval for a reader that lags behind its socket. A reader
-// blocks only on its client, so it has usually caught up after the first interval. It has not if bytes arrive faster
-// than it reads them, or if the process gets no CPU time during the intervals.
+// Limits of the wait in clientDeparted for a reader that has not yet read the available input: at most maxSocketPeeks
+// times socketPeekInterval. A reader blocks only on its client, so it has usually caught up after the first interval.
+// It may not have caught up if bytes arrive faster than it reads them, or if the process gets no CPU time during the
+// intervals.
 const (
 	maxSocketPeeks     = 50
 	socketPeekInterval = 200 * time.Microsecond
@@ -26,8 +27,8 @@
 
 // clientDeparted reports whether the client of a request has disconnected or canceled the request. It also detects this
 // before the connection's reader has run: on a router that is short of CPU time, the response of a server and the end
-// of the client's stream can become readable together, in any order. ctx is the context of the request. The call may
-// block for some milliseconds.
+// of the client's stream may both be readable before any goroutine reads them, so they may be read in either order. ctx
+// is the context of the request. The call may block for some milliseconds.
 func (c *conn) clientDeparted(ctx context.Context) bool {
 	for range maxSocketPeeks {
 		if ctx.Err() != nil {
@@ -66,7 +67,7 @@
 			state = socketClosed
 		}
 	})
-	if err != nil { // closed by this process: the request was canceled
+	if err != nil { // this process has closed the connection, so the client can't get a response
 		return socketClosed
 	}
 	return state
--- a/internal/msgpackrpc/drain.go
+++ b/internal/msgpackrpc/drain.go
@@ -54,8 +54,8 @@
 }
 
 // closeRemaining closes connections at the end of ShutdownTimeout. A connection with a pending response stays open for
-// up to ShutdownGracePeriod longer: handlers respond just before ShutdownTimeout, and a process that is scheduled late
-// must still deliver those responses.
+// up to ShutdownGracePeriod longer. Handlers may respond as late as just before ShutdownTimeout. If the process then
+// gets CPU time late, they respond after it, and those responses must still be delivered.
 func (s *Server) closeRemaining(open []*conn) {
 	s.mu.Lock()
 	graceEnd := s.drainingSince + s.ShutdownTimeout + s.ShutdownGracePeriod
@@ -87,7 +87,8 @@
 }
 
 // rejectsRequests reports whether the server has been draining for at least rejectAfter, after which requests are
-// rejected. Otherwise clients that always have a request open could keep their connections from closing.
+// rejected. Otherwise clients that always have a request open could keep their connections from closing. 4 s after
+// Drain, no connection may have an open request that arrived in the last 2 s.
 func (s *Server) rejectsRequests() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/msgpackrpc/encode.go
+++ b/internal/msgpackrpc/encode.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// fixStringLimit is the smallest string length, in bytes, that does not fit the fix format.
+// fixStringLimit is the smallest string length, in bytes, that does not fit the fixstr format.
 const fixStringLimit = 32
 
 // appendArrayHeader appends the header of an array of n values, at most 15.
@@ -25,7 +25,7 @@
 // appendUint appends an unsigned integer in its shortest format.
 func appendUint(buf []byte, v uint64) []byte {
 	switch {
-	case v < formatFixMap:
+	case v < formatFixMap: // fits the positive fixint format, whose bytes are below those of the fixmap format
 		return append(buf, byte(v))
 	case v <= math.MaxUint8:
 		return append(buf, formatUint8, byte(v))
--- a/internal/msgpackrpc/handler.go
+++ b/internal/msgpackrpc/handler.go
@@ -12,8 +12,8 @@
 	"spantack/internal/router"
 )
 
-// openRequest is a request that has no response yet. Its address distinguishes it from a later request with the same
-// message id.
+// openRequest is a request that has no response yet. Requests are compared by pointer, since a later request may have
+// the same message id.
 type openRequest struct{ cancel context.CancelFunc }
 
 // encodedResponse is a response in the queue of a connection.
@@ -22,8 +22,8 @@
 	reservedSize int64 // bytes of Server.MaxQueuedBytes reserved until the response is written
 }
 
-// handleMessage handles one message. An error ends the connection. Request handlers run in goroutines of the WaitGroup
-// handlers, with contexts derived from ctx.
+// handleMessage handles one message. An error ends the connection. Request handlers run in goroutines that are started
+// with the WaitGroup `handlers`, and have contexts derived from ctx.
 func (c *conn) handleMessage(ctx context.Context, m message, arrivedAt float64, handlers *sync.WaitGroup) error {
 	switch {
 	case m.kind == kindNotification && m.method == methodCancel:
@@ -54,7 +54,7 @@
 		return c.reject(m, drainRetryAfter)
 	}
 	cost := int64(requestOverhead + len(request.Body))
-	requestCtx, open, err := c.openRequest(ctx, m.id, cost)
+	requestCtx, open, err := c.registerRequest(ctx, m.id, cost)
 	if err != nil {
 		return err
 	}
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// openRequest registers a request and reserves its cost in bytes, which limits the memory of open requests. It returns
-// a nil request if there is no capacity, and an error if a request with the same message id is open.
-func (c *conn) openRequest(ctx context.Context, id uint64, cost int64) (context.Context, *openRequest, error) {
+// registerRequest registers a request as open and reserves its cost in bytes, which limits the memory of open requests.
+// It returns a nil request if there is no capacity, and an error if a request with the same message id is open.
+func (c *conn) registerRequest(ctx context.Context, id uint64, cost int64) (context.Context, *openRequest, error) {
 	isReserved := c.server.reserve(cost)
 	c.mu.Lock()
 	_, isDuplicate := c.openRequests[id]
@@ -83,7 +83,7 @@
 		c.openRequests[id] = open
 		return requestCtx, open, nil
 	}
-	c.mu.Unlock() // before Server.mu is locked
+	c.mu.Unlock() // before reserve locks Server.mu, which must be locked first if both are held
 	if isReserved {
 		c.server.reserve(-cost)
 	}
@@ -112,7 +112,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			response = router.Response{Outcome: router.Failed}
-			s.Log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("request failed")
+			s.Log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("request handler panicked")
 		}
 	}()
 	return s.Handle(ctx, request)
--- a/internal/msgpackrpc/interleavings_test.go
+++ b/internal/msgpackrpc/interleavings_test.go
@@ -21,13 +21,13 @@
 func TestDrainBetweenCheckAndWaitClosesConnection(t *testing.T) {
 	for name, drain := range map[string]func(*testClient){
 		"drain": func(c *testClient) { c.Drain() },
-		"end": func(c *testClient) {
+		"shutdown": func(c *testClient) {
 			c.stopServer()
-			testwait.Until(c.t, "the end of accepting", c.closesConnections)
+			testwait.Until(c.t, "the server to start draining", c.closesConnections)
 			c.Server.mu.Lock()
 			open := c.connections()
 			c.Server.mu.Unlock()
-			for _, conn := range open { // same calls as the server's own, which may come later
+			for _, conn := range open { // startDraining makes the same calls, but possibly after this hook has returned
 				conn.wake()
 			}
 		},
@@ -78,8 +78,8 @@
 	}
 }
 
-// The handler of a canceled request returns after its message id was reused. The second request with that id must still
-// get its response.
+// If the handler of a canceled request returns only after a second request has reused its message id, the second
+// request must still get its response.
 func TestReusedMessageIDGetsResponseAfterCancel(t *testing.T) {
 	entered := make(chan string)
 	responses := make(chan router.Response)
@@ -107,8 +107,8 @@
 	client.expect("[1 1 [Error map[]] <nil>]")
 }
 
-// A client that cancels or disconnects must end the context of its handler, before and during a shutdown. Otherwise the
-// router would go on forwarding the request.
+// When a client cancels a request or disconnects, the context of the request's handler must end, before and during a
+// shutdown. Otherwise the router would go on forwarding the request.
 func TestDisconnectCancelsRequest(t *testing.T) {
 	for name, disconnect := range map[string]func(c *testClient){
 		"cancel":     func(c *testClient) { c.sendCancel(uint64(1)) },
@@ -127,7 +127,7 @@
 			call := client.nextCall()
 			if isShuttingDown {
 				client.stopServer()
-				testwait.Until(t, "the end of accepting", client.closesConnections)
+				testwait.Until(t, "the server to start draining", client.closesConnections)
 			}
 			disconnect(client)
 			awaited := fmt.Sprintf("the end of the request context: %s, shutting down %v", name, isShuttingDown)
@@ -158,8 +158,8 @@
 	call.awaitCancel(t)
 }
 
-// A client disconnects right after the last byte of its request. Whether or not the handler has started by then, the
-// connection and the reserved bytes must be released.
+// If a client disconnects right after the last byte of its request, the connection and the reserved bytes must be
+// released, whether or not the handler has started by then.
 func TestDisconnectRightAfterRequest(t *testing.T) {
 	defer func() { testHookAwait = func() {} }()
 	for _, withReset := range []bool{false, true} {
@@ -205,7 +205,8 @@
 }
 
 // A client that does not read must not use up MaxQueuedBytes. Otherwise large responses to other clients fail, while
-// small ones succeed.
+// small ones succeed. A single connection must still be able to reserve at least a quarter of MaxQueuedBytes while the
+// rest is free.
 func TestUnreadResponsesLeaveCapacity(t *testing.T) {
 	const large = 200 << 10
 	client := startServer(t, func(server *Server) {
@@ -230,6 +231,6 @@
 	client.Server.mu.Lock()
 	defer client.Server.mu.Unlock()
 	if unread.reservedBytes < client.MaxQueuedBytes/4 {
-		t.Errorf("one client can reserve only %d bytes, want at least a quarter", unread.reservedBytes)
+		t.Errorf("one client can reserve only %d bytes, want at least a quarter of MaxQueuedBytes", unread.reservedBytes)
 	}
 }
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -40,8 +40,10 @@
 
 // Error codes in responses.
 const (
-	errorRejected = "Full"  // the request was not accepted; it is safe to retry after fieldRetryAfter
-	errorFailed   = "Error" // the request failed; has fieldReason if the router itself found the cause
+	errorRejected = "Full" // the request was not accepted; it is safe to retry after fieldRetryAfter
+	// errorFailed is the code for a failed request. The response has fieldReason if this server found the cause, and
+	// not the request handler: an unknown method, an invalid request, or too many unwritten responses.
+	errorFailed = "Error"
 )
 
 // Fields of responses.
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -82,7 +82,8 @@
 	return nil, errNoBody
 }
 
-// requestFields parses the fields of a request, which all are strings. Values are valid only if err is nil in the end.
+// requestFields parses the fields of a request, all of which are strings. The returned values are valid only if err is
+// nil after all fields have been parsed.
 type requestFields struct {
 	values map[string]any
 	err    error // *fieldError of the first invalid field
@@ -132,7 +133,7 @@
 }
 
 // integer returns an optional integer from 0 to maximum. A fraction is an error, since rounding it would select another
-// chunk.
+// chunk or purge group.
 func (f *requestFields) integer(name string, maximum int64) int64 {
 	v, isPresent := f.values[name]
 	if !isPresent {
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -26,23 +26,23 @@
 
 	firstMessageTimeout = 2_000  // for the first message; clients send one as soon as they connect
 	newConnGracePeriod  = 100    // before a new connection is preferred for eviction; its first message may be in transit
-	idleTimeout         = 6_000  // clients close idle connections after 4 s; this closes the others
+	idleTimeout         = 6_000  // clients close idle connections after 4 s; the server closes those that they left open
 	messageTimeout      = 2_000  // for the rest of a message after its first byte
 	writeTimeout        = 10_000 // for one response; a client that does not read it is treated as disconnected
 	lingerTimeout       = 250    // for bytes that the client sent before it received the close
 	acceptRetryDelay    = 20     // after a failed accept
 
 	drainTimeout          = 50    // for a message in transit on a connection that is to close
-	rejectAfter           = 1_500 // after Drain; 4 s after it no connection may have an open request of the last 2 s
+	rejectAfter           = 1_500 // from the start of draining; see rejectsRequests
 	rejectingDrainTimeout = 1     // replaces drainTimeout while requests are rejected
-	closeCheckInterval    = 5     // between checks for unwritten responses at the end of a shutdown
+	closeCheckInterval    = 5     // between checks for pending responses at the end of a shutdown
 
 	overloadRetryAfter = "100"  // for a request that exceeds the capacity
 	drainRetryAfter    = "1000" // for a request to a draining server
 )
 
-// Server serves clients over MessagePack-RPC. Its exported fields must be set before Serve, except for the three that
-// limit the shutdown, which are read after the context of Serve has ended.
+// Server serves clients over MessagePack-RPC. Its exported fields must be set before Serve, except for the three limits
+// of the shutdown, which may be set until the context of Serve ends.
 type Server struct {
 	// Handle serves one request. Each call runs in its own goroutine. Its context ends when the client disconnects or
 	// cancels the request.
@@ -57,10 +57,10 @@
 	MaxConns       int
 	MaxQueuedBytes int64 // of open requests and unwritten responses on all connections
 
-	// Limits of the shutdown in milliseconds. ShutdownTimeout is how long open requests may delay the end of Serve.
-	// ResponseReadTimeout is how long clients have to read a response that was queued late in that time.
-	// ShutdownGracePeriod is how long after ShutdownTimeout connections with such responses, or with open requests,
-	// stay open.
+	// Limits of the shutdown in milliseconds. Until ShutdownTimeout, open requests delay the end of Serve. After it, a
+	// connection stays open while it has an open request, or an unwritten response and activity within the last
+	// ResponseReadTimeout, so that its client can still read a response that was queued late. All remaining connections
+	// are closed ShutdownGracePeriod after ShutdownTimeout.
 	ShutdownTimeout     float64
 	ResponseReadTimeout float64
 	ShutdownGracePeriod float64
@@ -71,7 +71,7 @@
 	mu            sync.Mutex // locked before conn.mu if both are held
 	conns         map[*conn]bool
 	queuedBytes   int64   // reserved part of MaxQueuedBytes
-	draining      bool    // connections without open requests are closed, since drainingSince
+	draining      bool    // connections without open requests are closed; drainingSince is the start
 	shuttingDown  bool    // draining is permanent
 	drainingSince float64 // Unix milliseconds
 
@@ -82,8 +82,8 @@
 }
 
 // Serve accepts connections until ctx ends, then closes each connection once it has no open requests, and returns when
-// all are closed. Requests that arrive more than rejectAfter after the end of ctx, on connections that always have an
-// open request, are rejected, since the end of the shutdown would abort them.
+// all are closed. Requests that arrive more than rejectAfter after the end of ctx, on connections that are still open
+// because they have an open request, are rejected, since the end of the shutdown would abort them.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	s.mu.Lock() // Drain may be called before Serve
 	s.conns = map[*conn]bool{}
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -15,7 +15,9 @@
 	"spantack/internal/testwait"
 )
 
-func TestResponses(t *testing.T) {
+// Each outcome must be encoded as specified, and responses must be sent in the order in which requests are completed,
+// not in the order in which they arrived.
+func TestResponseOfEachOutcome(t *testing.T) {
 	client := startServer(t)
 	client.sendHealthRequest()
 	client.expect("[1 1 <nil> [true map[]]]")
@@ -92,7 +94,7 @@
 	call.respond(t, router.Response{Outcome: router.Served, Body: []byte("x")})
 	client.expect("[1 1 <nil> [[120] map[]]]")
 	if _, err := client.reader.ReadByte(); err != io.EOF {
-		t.Errorf("after the last response: %v", err)
+		t.Errorf("read after the last response: got %v, want EOF", err)
 	}
 	client.Close()
 	client.awaitServeEnd()
@@ -110,7 +112,7 @@
 	client.sendRequest(1, "page", "0000000000000001")
 	call := client.nextCall()
 	client.stopServer()
-	testwait.Until(t, "the end of accepting", client.closesConnections)
+	testwait.Until(t, "the server to start draining", client.closesConnections)
 	time.Sleep(10 * timeout * time.Millisecond)
 	call.respond(t, router.Response{Outcome: router.Failed})
 	client.expect("[1 1 [Error map[]] <nil>]")
@@ -173,7 +175,7 @@
 	second.respond(t, router.Response{Outcome: router.Failed})
 	client.expect("[1 2 [Error map[]] <nil>]")
 	if _, err := client.reader.ReadByte(); err != io.EOF {
-		t.Errorf("after the last response: %v", err)
+		t.Errorf("read after the last response: got %v, want EOF", err)
 	}
 	client.Rejoin()
 	if client.Draining() {
@@ -220,8 +222,8 @@
 }
 
 // At MaxConns, an idle connection must be evicted for a new one, whether or not its client ever sent a request. A
-// connection with a pending response must not be evicted. On a day with high connection churn, idle clients held all
-// connections, and 9,000 requests of other clients were never accepted.
+// connection with a pending response must not be evicted. Otherwise idle clients can hold all connections, and requests
+// of other clients are never accepted: 9,000 requests on a day with high connection churn.
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	client := startServer(t) // MaxConns is 2
 	client.sendRequest(1, "page", "0000000000000001")
--- a/internal/msgpackrpc/testclient_test.go
+++ b/internal/msgpackrpc/testclient_test.go
@@ -116,7 +116,7 @@
 // awaitCancel waits until the handler's context ends.
 func (h *handlerCall) awaitCancel(t *testing.T) {
 	t.Helper()
-	testwait.Receive(t, h.ctx.Done(), "the end of "+h.ID)
+	testwait.Receive(t, h.ctx.Done(), "the end of the context of request "+h.ID)
 }
 
 // encodeRequest encodes a request with the required fields.
--- a/internal/msgpackrpc/wire_compat_test.go
+++ b/internal/msgpackrpc/wire_compat_test.go
@@ -18,8 +18,8 @@
 	"spantack/internal/testfixture"
 )
 
-// wireFixture holds one recorded message per line, as the program of commit e67ffc3 wrote or read it. Clients depend on
-// these bytes, so the lines must not be changed to match the program.
+// wireFixture holds one recorded message per line, in the format that clients use. They depend on these bytes, so the
+// lines must not be changed to match the program.
 const wireFixture = "testdata/wire_compat.txt"
 
 // wantBytes compares written bytes with the line of the fixture.
@@ -140,7 +140,7 @@
 	})
 }
 
-// Responses that the server generates without a handler's response must have the recorded bytes.
+// Responses that the server generates itself, and not from a handler's response, must have the recorded bytes.
 func TestGeneratedResponseWireCompat(t *testing.T) {
 	notReady := func(s *Server) { s.IsReady = func() bool { return false } }
 	for name, c := range map[string]struct {
@@ -204,7 +204,8 @@
 			if !found {
 				t.Errorf("no cancel message after the request: %+q", w.data.String())
 			}
-			if name == "request with the least, no body" { // Client always writes the numbers; the server accepts both
+			// Client also writes number fields that are 0. The server accepts requests with and without them.
+			if name == "request with the least, no body" {
 				name = "request of the client with the least"
 			}
 			wantBytes(t, name, request)
