--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -25,7 +25,7 @@
 // run replies to batches until the input ends. A reply is written only after the whole batch was processed.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
-	instances := host{}
+	instances := instanceMap{}
 	var reply []byte
 	for {
 		batch, err := reader.Read()
@@ -46,13 +46,13 @@
 	}
 }
 
-// host holds the running instances by name.
-type host map[string]*routing.Engine
+// instanceMap holds the running instances by name.
+type instanceMap map[string]*routing.Engine
 
 // appendReply passes the events of a batch to their instances and appends the resulting actions to buf. Each instance
 // processes all its events in one step. The steps are in the order of the instances' first messages. A start or stop of
 // an instance discards its earlier events.
-func (h host) appendReply(buf []byte, batch *simwire.Batch) ([]byte, error) {
+func (m instanceMap) appendReply(buf []byte, batch *simwire.Batch) ([]byte, error) {
 	var order []string
 	pending := map[string][]routing.Event{}
 	for _, message := range batch.Messages {
@@ -64,22 +64,22 @@
 		}
 		switch {
 		case message.IsStop:
-			delete(h, name)
+			delete(m, name)
 			pending[name] = nil
 		case message.IsStart:
 			engine, err := routing.NewEngine(*message.Settings, message.Seed)
 			if err != nil {
 				return buf, fmt.Errorf("settings of %s: %w", name, err)
 			}
-			h[name] = engine
+			m[name] = engine
 			pending[name] = nil
-		case h[name] != nil:
+		case m[name] != nil:
 			pending[name] = append(events, message.Event)
 		}
 	}
 	for _, name := range order {
 		if events := pending[name]; len(events) > 0 {
-			buf = appendStep(buf, name, h[name], batch.Time, events)
+			buf = appendStep(buf, name, m[name], batch.Time, events)
 		}
 	}
 	return buf, nil
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -38,7 +38,7 @@
 		"ROUND Time=2000\n"+start("d1")+start("d2")+request("d1")+request("d2")+"OVER_TO_YOU\n")
 	want := "ANSWER_FROM DirectorId=d1 Call=a1 GiveUpAfter=9000 Node=b:1 Feeder=o:1"
 	if !strings.HasPrefix(both, "READY\n") || !strings.Contains(both, want) || strings.Count(both, "READY\n") != 2 {
-		t.Errorf("reply %q", both)
+		t.Errorf("got reply %q, want an empty reply, then one with an action of d1", both)
 	}
 	alone := reply(t, "ROUND Time=2000\n"+start("d1")+request("d1")+"OVER_TO_YOU\n")
 	if !strings.Contains(both, strings.TrimSuffix(alone, "READY\n")) {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -83,7 +83,7 @@
 	})
 }
 
-// listedServerText is an entry of an endpoint list in the settings' document `known`.
+// listedServerText is an entry of an endpoint list in the document `known` in the settings.
 const listedServerText = `{"uid":"s-00c41f7a","endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,` +
 	`"state":"Ready","capacity_hint":4.5,"boot_ms":0}`
 
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -11,7 +11,8 @@
 	"spantack/routing"
 )
 
-// Names are the zone and server kind names of the settings. Records in frames refer to them by index.
+// Names holds the names of the zones and of the server kinds from the settings. Records in frames refer to them by
+// index.
 type Names struct {
 	Zones []string
 	Kinds []string // of servers
@@ -51,6 +52,7 @@
 	recordSize      = 27
 	maxFrameSize    = frameHeaderSize + recordSize*4096
 
+	// In purges, before is in Unix milliseconds: copies made before that time are out of date.
 	purgeObjectSize = 16 // object:8 before:8
 	purgeGroupSize  = 10 // group:2 before:8
 )
--- a/internal/discovery/initialevents.go
+++ b/internal/discovery/initialevents.go
@@ -11,8 +11,8 @@
 	"spantack/routing"
 )
 
-// initialEvents is the settings' document `known`: the events that the discovery service sent before the start of this
-// process.
+// initialEvents is the document `known` in the settings. It holds the events that the discovery service sent before the
+// start of this process.
 type initialEvents struct {
 	LastNumber uint64         `json:"rev"`
 	Events     []initialEvent `json:"notices"`
@@ -58,12 +58,12 @@
 }
 
 var (
-	errNeitherKind = errors.New("neither pool nor flush")
-	errMissing     = errors.New("missing")
+	errNoPoolOrFlush = errors.New("neither pool nor flush")
+	errMissing       = errors.New("missing")
 )
 
-// ParseInitialEvents parses the settings' document `known` and returns its events in order. It also returns the number
-// of the last event, after which a Watcher resumes. Its errors name the invalid field by path.
+// ParseInitialEvents parses the document `known` in the settings and returns its events in order. It also returns the
+// number of the last event, after which a Watcher resumes. Its errors name the invalid field by path.
 func ParseInitialEvents(text []byte, names Names) (last uint64, events []router.WatchEvent, err error) {
 	var document initialEvents
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -94,7 +94,7 @@
 		event.Purge = &router.Purge{Object: e.Purge.Object, Group: e.Purge.Group, Before: e.Purge.Before}
 		return event, nil
 	}
-	return event, fmt.Errorf(": %w", errNeitherKind)
+	return event, fmt.Errorf(": %w", errNoPoolOrFlush)
 }
 
 // watchEvent checks the names in the list and converts it. Errors begin with the field's path within the list.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -19,8 +19,8 @@
 	"spantack/internal/router"
 )
 
-// Times in milliseconds. Routers must comply with a purge or drain 2 s after the stream broke and 4 s after it became
-// silent, even if they did not receive it. The new connection must be open before that.
+// Times in milliseconds. A purge or drain that the service sends while the stream is lost must take effect at the
+// latest 2 s after the stream broke, or 4 s after it became silent. The new connection must be open before that.
 const (
 	silenceTimeout = 2500 // without a frame; the service sends one per second
 	dialTimeout    = 500
@@ -99,7 +99,9 @@
 		w.waitForRetry(connCtx, current)
 		current.hasRetried = true
 	}
-	if isAddressChanged(connCtx) { // possibly during the wait above; all routers of a fleet change at the same time
+	// The address may also have changed during the wait above. All routers of a fleet get the new address at the same
+	// time, so each waits for its slot before it dials.
+	if isAddressChanged(connCtx) {
 		current = outage{startedAt: w.Clock.Monotonic()}
 		w.waitForRetry(ctx, current)
 		current.hasRetried = true
@@ -112,8 +114,8 @@
 	return context.Cause(connCtx) == errAddressChanged
 }
 
-// waitForRetry waits until the schedule allows the next retry, or until ctx ends. SetAddress also ends the context of a
-// connection.
+// waitForRetry waits until the schedule allows the next retry, or until ctx ends. If ctx is the context of a
+// connection, a call of SetAddress ends it.
 func (w *Watcher) waitForRetry(ctx context.Context, current outage) {
 	now := clock.Micros(w.Clock.Monotonic())
 	retryAt := w.RetrySchedule.Next(clock.Micros(current.startedAt), now, current.hasRetried)
@@ -122,8 +124,8 @@
 	<-wait.Done()
 }
 
-// logFailure logs a lost connection. Connections on which no event was applied are logged at most once per
-// ratelog.Interval, since a service that is down is dialed often.
+// logFailure logs a lost connection or a failed dial. Connections on which no event was applied are logged at most once
+// per ratelog.Interval, since a service that is down is dialed often.
 func (w *Watcher) logFailure(err error, addr string, applied uint64) {
 	w.failureCount++
 	now := w.Clock.Now()
@@ -136,7 +138,7 @@
 		Uint64("last", w.LastApplied).
 		Uint64("applied", applied).
 		Int("lost", w.failureCount).
-		Msg("discovery service connection lost")
+		Msg("discovery service connection failed")
 }
 
 // watch opens one connection and applies its events until it ends. It returns whether any frame was received, and the
--- a/internal/discovery/wire_compat_test.go
+++ b/internal/discovery/wire_compat_test.go
@@ -15,8 +15,8 @@
 	"spantack/internal/testwait"
 )
 
-// wireFixture holds one recorded message per line: frames of the discovery service as the program of commit e67ffc3
-// reads them, and the message that it sends. The lines must not be changed to match the program.
+// wireFixture holds one recorded message per line, in the format that the discovery service uses: frames that it sends,
+// and the message that a watcher sends. The lines must not be changed to match the program.
 const wireFixture = "testdata/wire_compat.txt"
 
 // watchLine is the name of the line with the message that a watcher sends.
@@ -42,7 +42,7 @@
 			event: router.WatchEvent{Purge: &router.Purge{Group: 0x0111, Before: 1764576000480}}},
 	}
 	recorded := testfixture.HexLines(t, wireFixture)
-	if len(recorded) != len(cases)+1 { // watchLine
+	if len(recorded) != len(cases)+1 { // the fixture has one more line, watchLine
 		t.Errorf("%d recorded lines, want %d", len(recorded), len(cases)+1)
 	}
 	for name, want := range cases {
@@ -70,7 +70,7 @@
 	}
 }
 
-// Every key of the settings' document `known` must be parsed to its field.
+// Every key of the document `known` in the settings must be parsed to its field.
 func TestInitialEventsFormatCompat(t *testing.T) {
 	text, err := os.ReadFile("testdata/known.json")
 	if err != nil {
--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -26,22 +26,23 @@
 	level, holder int
 }
 
-// queueDatagram queues a datagram, or drops it if the outbox is full. It is Fleet.Send; t.mu is held.
+// queueDatagram queues a datagram, or drops it if the outbox is full. It is set as Fleet.Send, which is called with
+// t.mu held.
 func (t *Transport) queueDatagram(rank int, datagram []byte) {
 	if len(t.outbox) < maxOutbox {
 		t.outbox = append(t.outbox, outboundDatagram{rank, slices.Clone(datagram)})
 	}
 }
 
-// queueHolderChange queues a holder change for logging, or drops it if maxOutbox changes are queued. It is
-// Fleet.OnHolderChange; t.mu is held.
+// queueHolderChange queues a holder change for logging, or drops it if maxOutbox changes are queued. It is set as
+// Fleet.OnHolderChange, which is called with t.mu held.
 func (t *Transport) queueHolderChange(limit, level, holder int) {
 	if len(t.holderChanges) < maxOutbox {
 		t.holderChanges = append(t.holderChanges, holderChange{t.Fleet.LimitName(limit), level, holder})
 	}
 }
 
-// maintainFleet maintains the fleet's limits and verdicts until ctx ends. It also runs while the address can't be
+// maintainFleet maintains the fleet's limits and verdicts until ctx ends. It also runs while the socket can't be
 // opened, since leases expire even if no datagrams are received.
 func (t *Transport) maintainFleet(ctx context.Context) error {
 	for ctx.Err() == nil {
@@ -65,7 +66,8 @@
 	next = t.Fleet.Tick(now)
 	quota := t.quota(now)
 	t.mu.Unlock()
-	// Half of the fills rejected so far still count as demand in the next call, and a quarter in the call after that.
+	// Of the rejected fills that count as demand in this call, half still count in the next call, and a quarter in the
+	// call after that.
 	t.rejectedSettled += (rejected - t.rejectedSettled + 1) / 2
 	t.notifyQuota(quota)
 	return now, next
@@ -93,7 +95,8 @@
 	err := t.Fleet.Receive(now, rank, datagram)
 	quota := t.quota(now)
 	t.mu.Unlock()
-	if err != nil && !errors.Is(err, fleet.ErrStale) { // not logged: datagrams may arrive out of order
+	// Stale datagrams are not logged, since datagrams may arrive out of order.
+	if err != nil && !errors.Is(err, fleet.ErrStale) {
 		t.logFault(err, from)
 	}
 	t.notifyQuota(quota)
--- a/internal/gossip/socket.go
+++ b/internal/gossip/socket.go
@@ -14,7 +14,8 @@
 	"spantack/internal/clock"
 )
 
-// serve opens ListenAddress, and sends and receives datagrams there until ctx ends. It retries every reopenInterval.
+// serve opens a socket at ListenAddress, and sends and receives datagrams there until ctx ends. If the socket can't be
+// opened, it retries every reopenInterval.
 func (t *Transport) serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		conn, err := open(t.ListenAddress)
@@ -119,7 +120,8 @@
 		overloaded = append(overloaded, serverID)
 	})
 	t.mu.Unlock()
-	if err != nil && !errors.Is(err, gossip.ErrStale) { // not logged: datagrams may arrive out of order
+	// Stale datagrams are not logged, since datagrams may arrive out of order.
+	if err != nil && !errors.Is(err, gossip.ErrStale) {
 		t.logFault(err, from)
 	}
 	for _, serverID := range overloaded {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -18,7 +18,7 @@
 // Times in milliseconds.
 const (
 	logInterval    = 1000 // between log lines on faults: anyone may send invalid datagrams
-	reopenInterval = 500  // between attempts to open the address, which a replaced process uses until it ends
+	reopenInterval = 500  // between attempts to open the socket: a replaced process uses the address until it has ended
 )
 
 const (
@@ -59,10 +59,10 @@
 
 	// Used only by the goroutine that runs maintainFleet.
 	rejectedSettled int64    // number of rejected fills that no longer count as demand
-	ejected         []string // last argument of OnEjected
+	ejected         []string // argument of the most recent call of OnEjected
 
 	mu            sync.Mutex   // guards Gossip, Fleet and the fields below; never held during I/O
-	conn          *net.UDPConn // nil until the address is open
+	conn          *net.UDPConn // nil until the socket is open
 	outbox        []outboundDatagram
 	holderChanges []holderChange // to be logged
 	loggedAt      float64        // Unix milliseconds of the last logged fault
@@ -108,7 +108,7 @@
 	return t.Fleet.LimitStatuses(t.monotonicMicros()), t.Fleet.LiveCount()
 }
 
-// Run sends and receives datagrams until ctx ends. While the address can't be opened, it retries and transfers no
+// Run sends and receives datagrams until ctx ends. While the socket can't be opened, it retries and transfers no
 // datagrams.
 func (t *Transport) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
@@ -132,9 +132,9 @@
 	}
 }
 
-// logFault logs a datagram that is dropped or can't be sent, or a socket that can't be opened. It logs at most one
-// fault per logInterval.
-func (t *Transport) logFault(err error, from netip.AddrPort) {
+// logFault logs a datagram that is dropped or can't be sent, or a socket that can't be opened. peer is the sender or
+// receiver of the datagram. It logs at most one fault per logInterval.
+func (t *Transport) logFault(err error, peer netip.AddrPort) {
 	now := t.Clock.Now()
 	t.mu.Lock()
 	isDue := now-t.loggedAt >= logInterval
@@ -144,6 +144,6 @@
 	}
 	t.mu.Unlock()
 	if isDue {
-		t.Log.Warn().Err(err).Stringer("from", from).Int64("dropped", dropped).Msg("router datagram fault")
+		t.Log.Warn().Err(err).Stringer("from", peer).Int64("dropped", dropped).Msg("router datagram or socket error")
 	}
 }
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -23,7 +23,7 @@
 const routerCount = 16
 
 // broadcaster receives datagrams at the broadcast address and forwards them to routers for which drop returns false. As
-// on the platform, forwarded datagrams have a separate source address for each sender.
+// in production, forwarded datagrams have a separate source address for each sender.
 type broadcaster struct {
 	conn *net.UDPConn
 
@@ -47,7 +47,7 @@
 	t           *testing.T
 	clock       *clock.Clock
 	broadcaster *broadcaster
-	forwarding  sync.WaitGroup // runBroadcaster
+	forwarding  sync.WaitGroup // waits for runBroadcaster to end
 
 	conns     []*net.UDPConn // of the routers, by rank
 	addresses []netip.AddrPort
@@ -208,9 +208,10 @@
 	}
 }
 
-// Reports must reach all of 16 routers at 16 sites, but not the other half while the network is partitioned. They must
-// reach all routers again after the partition heals, and immediately after a router restarts. Malformed datagrams and
-// datagrams from unknown senders must be dropped, and no datagram may exceed the maximum size.
+// Reports must reach all of 16 routers at 16 sites. While the network is partitioned, they must reach only the routers
+// in the reporters' half. They must reach all routers again after the partition heals, and immediately after a router
+// restarts. Malformed datagrams and datagrams from unknown senders must be dropped, and no datagram may exceed the
+// maximum size.
 func TestReportsReachRoutersAcrossPartitionAndRestart(t *testing.T) {
 	f := newTestFleet(t)
 	f.reportAndAwait("s-00000001", 0, 0, 15)
@@ -261,8 +262,8 @@
 	return len(line), nil
 }
 
-// A process that replaces another one can't open the address until the other process ends. It must log this, retry, and
-// receive datagrams once the address is free.
+// A new process can't open its socket until the process that it replaces ends, since both use the same address. The new
+// process must log this, retry, and receive datagrams once the address is free.
 func TestTransportRetriesUsedAddress(t *testing.T) {
 	previous := listen(t)
 	node, err := gossip.New(gossip.Options{FleetSize: 16, Sites: 16})
@@ -284,13 +285,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- transport.Run(ctx) }()
-	line := testwait.Receive(t, logged, "the log line on the address")
+	line := testwait.Receive(t, logged, "a log line that the address is in use")
 	if !strings.Contains(line, "peer_listen: ") || !strings.Contains(line, "in use") {
 		t.Errorf("logged %s", line)
 	}
 	previous.Close()
 	m := gossip.Message{Rank: 1, Site: 1, Overloaded: []uint32{7}}
-	for transport.Counts().Received == 0 { // until the transport has opened the address; each datagram is new
+	for transport.Counts().Received == 0 { // until the transport has opened its socket; each datagram is new
 		now.Advance(reopenInterval)
 		m.Sequence++
 		peer.WriteToUDPAddrPort(m.Append(nil), addressOf(previous))
--- a/internal/simwire/action_test.go
+++ b/internal/simwire/action_test.go
@@ -35,6 +35,6 @@
 // Overload reports have no line in the protocol. AppendAction must not append an empty line for them.
 func TestOverloadReportAppendsNothing(t *testing.T) {
 	if out := AppendAction(nil, "d", routing.Action{Kind: routing.ActionReportOverload, Server: "p"}); len(out) != 0 {
-		t.Errorf("%q", out)
+		t.Errorf("overload report: appended %q, want nothing", out)
 	}
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,6 +1,6 @@
 // Package simwire implements the simulator's protocol: it reads batches of messages for router instances, and formats
-// the actions with which the instances reply. It makes no routing decisions. Only this package uses the protocol's
-// names.
+// the actions with which the instances reply. It makes no routing decisions. No other package contains the protocol's
+// verbs and field names, except for READY, the end of a reply, in cmd/simadapter.
 package simwire
 
 import (
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("last message %+v, batch time %d", last, batch.Time)
 	}
 	if _, err := reader.Read(); err != io.EOF {
-		t.Errorf("after the last batch: %v", err)
+		t.Errorf("read after the last batch: got %v, want EOF", err)
 	}
 }
 
@@ -79,16 +79,16 @@
 	}
 }
 
-// Callers must be able to distinguish line errors by type, and the errors must hold the line number and text.
-func TestLineErrorsAreDistinguishable(t *testing.T) {
+// A line error must wrap its cause and hold the line number and text.
+func TestLineErrorWrapsCause(t *testing.T) {
 	_, err := NewReader(strings.NewReader("ROUND Time=1\nROUND Time=2\n")).Read()
 	var line *lineError
 	if !errors.Is(err, errNestedBatch) || !errors.As(err, &line) || line.number != 2 || line.text != "ROUND Time=2" {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want errNestedBatch in line 2", err)
 	}
 	_, err = NewReader(strings.NewReader("ROUND Time=1\nTIMER DirectorId=d\n")).Read()
 	var missing missingFieldError
 	if !errors.As(err, &missing) || missing != "Ctx" {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want a missing field Ctx", err)
 	}
 }
--- a/internal/simwire/wire_compat_test.go
+++ b/internal/simwire/wire_compat_test.go
@@ -12,8 +12,8 @@
 	"spantack/routing"
 )
 
-// readFixture reads a file of recorded protocol text, as the program of commit e67ffc3 reads and writes it. The
-// simulator is a separate program, so these files must not be changed to match this program.
+// readFixture reads a file of recorded protocol text, in the format that the simulator uses. The simulator is a
+// separate program, so these files must not be changed to match this program.
 func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/" + name)
@@ -133,7 +133,7 @@
 		}
 	}
 	if _, err := r.Read(); err != io.EOF {
-		t.Errorf("after the last batch: %v", err)
+		t.Errorf("read after the last batch: got %v, want EOF", err)
 	}
 }
 
