--- a/internal/msgpackrpc/capacity.go
+++ b/internal/msgpackrpc/capacity.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// admit registers a new connection. At MaxConns the connection that has been idle for longest is evicted: clients that
-// hold idle connections must not keep others out. Without an idle one the new connection is rejected. Evicted ones are
-// closed after the lock is released.
+// admit registers a new connection and reports whether it is accepted. At MaxConns it evicts the connection that has
+// been idle for longest, so that clients with idle connections do not block others. If no connection is idle, the new
+// one is rejected. Evicted connections are closed after the lock is released.
 func (s *Server) admit(c *conn) bool {
 	var evicted []*conn
 	defer func() {
@@ -15,34 +15,35 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.conns) >= s.MaxConns {
-		idlest := s.idlestConn()
-		if idlest == nil {
+		next := s.connToEvict()
+		if next == nil {
 			s.rejectedCount++
 			return false
 		}
-		delete(s.conns, idlest)
+		delete(s.conns, next)
 		s.evictedCount++
-		evicted = append(evicted, idlest)
+		evicted = append(evicted, next)
 	}
 	s.conns[c] = true
 	return true
 }
 
-// idlestConn returns the connection to evict, or nil if a response is due on each. s.mu is held.
-func (s *Server) idlestConn() *conn {
-	var idlest *conn
+// connToEvict returns the connection to evict, or nil if every connection has a pending response. s.mu is held.
+func (s *Server) connToEvict() *conn {
+	var selected *conn
 	lowest := math.Inf(1)
 	for c := range s.conns {
 		if rank := c.evictionRank(); rank < lowest {
-			idlest = c
+			selected = c
 			lowest = rank
 		}
 	}
-	return idlest
+	return selected
 }
 
-// evictionRank orders connections for eviction, the lowest first: those that never sent a message, then those that have
-// been idle for longest. It is infinite, which prevents eviction, while a response is due.
+// evictionRank orders connections for eviction, lowest rank first: connections without a message after
+// newConnGracePeriod, then the others by idle time, longest first. The rank is infinite, which prevents eviction, while
+// a response is pending.
 func (c *conn) evictionRank() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +56,7 @@
 	return c.idleSince
 }
 
-// reserve reserves n bytes of MaxQueuedBytes, or reports false where they are not free; a negative n releases them.
+// reserve reserves n bytes of MaxQueuedBytes and reports whether they were available. A negative n releases bytes.
 func (s *Server) reserve(n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,21 +67,21 @@
 	return true
 }
 
-// reserveResponse reserves n bytes for a response on a connection; a negative n releases them. While more than half of
-// MaxQueuedBytes is reserved, a connection with unwritten responses gets no more than its quota, so that clients which
-// do not read leave capacity for the others.
+// reserveResponse reserves n bytes for a response on a connection and reports whether they were available. A negative n
+// releases bytes. While more than half of MaxQueuedBytes is reserved, a connection with unwritten responses is limited
+// to its quota, so that clients that do not read leave capacity for others.
 func (s *Server) reserveResponse(c *conn, n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	total := s.queuedBytes + n
-	own := c.reservedBytes + n
+	connTotal := c.reservedBytes + n
 	if n > 0 {
-		isOverQuota := c.reservedBytes > 0 && own > s.MaxQueuedBytes/connQuotaDivisor
+		isOverQuota := c.reservedBytes > 0 && connTotal > s.MaxQueuedBytes/connQuotaDivisor
 		if total > s.MaxQueuedBytes || isOverQuota && total > s.MaxQueuedBytes/2 {
 			return false
 		}
 	}
 	s.queuedBytes = total
-	c.reservedBytes = own
+	c.reservedBytes = connTotal
 	return true
 }
