--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -6,36 +6,36 @@
 type Attempt struct {
 	*Request
 	Server         string             // id of the server
-	Source         string             // id of the server that fills a miss; empty: none
+	Source         string             // id of the server from which a miss is filled; empty: none
 	Timeout        float64            // how long the router waits for the result
-	RetentionRank  int                // how long the server is to keep the copy, as a rank; only with a Source
-	MaxAge         float64            // of the copy; 0: the class's fresh time
-	FetchFlags     routing.FetchFlags // how the copy is to be fetched from Source
-	SendWithin     float64            // from the decision on; 0: as long as its server may be sent to
-	HasSideEffects bool               // run twice it does harm: no other attempt may be taken for it
+	RetentionRank  int                // how long the server keeps the copy, as a rank; 0 where the module names no source
+	MaxAge         float64            // greatest age of the copy; 0: the fresh time of the class
+	FetchFlags     routing.FetchFlags // how the server fetches the copy from Source
+	SendWithin     float64            // how long after the decision it may be sent; 0: not bounded for this attempt
+	HasSideEffects bool               // running it twice is harmful: no other attempt's response may be attributed to it
 }
 
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Outcome     routing.AttemptOutcome
-	CacheStatus routing.CacheStatus // how the server came by the copy, or why it has none
+	CacheStatus routing.CacheStatus // how the server got the copy, or why it has none
 	SourceWait  float64             // milliseconds that the server waited for Source
 	Body        []byte
 	NotModified bool    // the client's own copy is current: no body
-	LoadReport  string  // the server's load report as it came, "NAME:VALUE;NAME:VALUE"; empty: none
-	CopyMadeAt  float64 // Unix milliseconds at which the origin gave the copy out; 0: not told
+	LoadReport  string  // the server's load report as received, "NAME:VALUE;NAME:VALUE"; empty: none
+	CopyMadeAt  float64 // when the origin issued the copy, in Unix milliseconds; 0: not reported
 }
 
-// PendingAttempt is an attempt in flight. Whoever sent it owns it until its result has come or it was canceled.
+// PendingAttempt is an attempt in flight. Its sender owns it until it has received the result or canceled the attempt.
 type PendingAttempt interface {
-	// Done yields the attempt's result, once; nothing after Cancel.
+	// Done returns the channel that delivers the attempt's result, once. It delivers nothing after Cancel.
 	Done() <-chan AttemptResult
-	// Cancel gives the attempt up; mayRetry tells that a retry may follow. It returns once the server has been told or
-	// the connection closed, or neither can be done soon.
+	// Cancel cancels the attempt; mayRetry is set if a retry may follow. It returns once the server has been notified
+	// or the connection is closed, or after a short wait if neither is possible.
 	Cancel(mayRetry bool)
 }
 
-// Upstream carries attempts to servers. Send must not wait for the network.
+// Upstream sends attempts to servers. Send must not wait for the network.
 type Upstream interface {
 	Send(Attempt) PendingAttempt
 }
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -9,19 +9,19 @@
 	"spantack/routing"
 )
 
-// Counters count, since the start of the process, the requests that Serve was given, the attempts and the responses.
+// Counters are the totals of requests, attempts and responses since the start of the process.
 type Counters struct {
-	Accepted atomic.Int64 // requests that Serve was given
+	Accepted atomic.Int64 // requests passed to Serve
 	Attempts atomic.Int64 // attempts that were sent
 
-	// The ends of requests, by outcome.
+	// Requests that have ended, by outcome.
 	Served   atomic.Int64
 	Rejected atomic.Int64
 	Failed   atomic.Int64
 	Departed atomic.Int64 // NoResponse: the client had left
 
-	Overdue atomic.Int64 // requests that the module left without a response; each is in Failed too
-	Faults  atomic.Int64 // panics of the module, and actions that no request waited for
+	Overdue atomic.Int64 // requests for which the module decided no response; also counted in Failed
+	Faults  atomic.Int64 // panics of the module, and actions that could not be passed to a request
 }
 
 // countOutcome counts the end of a request.
@@ -38,7 +38,7 @@
 	}
 }
 
-// ClassCounters count the ends of requests of one class since the start of the process.
+// ClassCounters are the totals of requests of one class that have ended, since the start of the process.
 type ClassCounters struct {
 	Class    string
 	Served   atomic.Int64
@@ -46,21 +46,21 @@
 	Failed   atomic.Int64
 }
 
-// maxCountedClasses bounds the classes that are counted, for each reload may bring new ones.
+// maxCountedClasses bounds the number of classes with counters, since each reload may add classes.
 const maxCountedClasses = 256
 
-// resizeClassCounters makes counters for each class of the settings. Those of dropped classes are kept, for counts
-// start with the process, unless there would be more than maxCountedClasses.
-func (r *Router) resizeClassCounters(set routing.Settings) {
+// resizeClassCounters adds counters for each new class of the settings. Counters of removed classes are kept, since
+// counts start with the process, unless there would be more than maxCountedClasses.
+func (r *Router) resizeClassCounters(settings routing.Settings) {
 	var old map[string]*ClassCounters
 	if counters := r.classCounters.Load(); counters != nil {
 		old = *counters
 	}
 	next := map[string]*ClassCounters{}
-	if len(old)+len(set.Classes) <= maxCountedClasses {
+	if len(old)+len(settings.Classes) <= maxCountedClasses {
 		maps.Copy(next, old)
 	}
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		if old[class.Name] != nil {
 			next[class.Name] = old[class.Name]
 		} else if next[class.Name] == nil {
@@ -70,8 +70,8 @@
 	r.classCounters.Store(&next)
 }
 
-// countOutcome counts the end of a request by class and outcome. One whose client left or whose class is unknown is
-// not counted.
+// countOutcome counts the end of a request by class and outcome. A request whose client has left or whose class is
+// unknown is not counted.
 func (r *Router) countOutcome(class string, outcome Outcome) {
 	counters := (*r.classCounters.Load())[class]
 	if counters == nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// CountRejected counts a request that the front rejected before Serve because its queue was full.
+// CountRejected counts a request that the front end rejected before Serve because its queue was full.
 func (r *Router) CountRejected(class string) { r.countOutcome(class, Rejected) }
 
 // CountersByClass returns the counters of all classes, ordered by name.
@@ -96,15 +96,15 @@
 	return slices.SortedFunc(maps.Values(*r.classCounters.Load()), byName)
 }
 
-// OpenRequests returns the number of requests that Serve was given and that have not ended.
+// OpenRequests returns the number of requests that were passed to Serve and have not ended.
 func (r *Router) OpenRequests() int64 {
 	c := &r.Counters
 	ended := c.Served.Load() + c.Rejected.Load() + c.Failed.Load() + c.Departed.Load()
-	return max(c.Accepted.Load()-ended, 0) // read after ended, so that requests that arrive meanwhile count as open
+	return max(c.Accepted.Load()-ended, 0) // Accepted is read last: requests that arrive meanwhile count as open
 }
 
-// CacheCounts returns how many edge caches are listed, including other sites', and how many of them get nothing
-// from this router: excluded by hand, or with an open circuit breaker.
+// CacheCounts returns the number of listed edge caches, including those of other sites, and the number of them to
+// which this router sends no requests: excluded by hand, or with an open circuit breaker.
 func (r *Router) CacheCounts() (listed, off int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -7,12 +7,12 @@
 	"spantack/routing"
 )
 
-// plays is how often each pair of events is played. Several things have happened to a request when it is looked at
-// again: the upstream holds Serve inside Send or Cancel until all of them are there. Without a stated order a
-// select takes one of them at random, so each pair is played often enough that a random choice does not pass.
-const plays = 24
+// repetitions is the number of runs of each pair of events. The upstream blocks Serve inside Send or Cancel until both
+// events have arrived. Without a defined precedence, select picks one at random, so each pair runs often enough that a
+// random choice fails the test.
+const repetitions = 24
 
-// hookedUpstream is an upstream that runs functions of the test inside Send and Cancel.
+// hookedUpstream is an upstream that calls functions of the test inside Send and Cancel.
 type hookedUpstream struct {
 	sends    int
 	onSend   func(number int, attempt *fakeAttempt) // number counts from 1; nil: nothing
@@ -40,9 +40,9 @@
 	a.fakeAttempt.Cancel(mayRetry)
 }
 
-// playInterleaved plays one request with what happens inside Send and Cancel, and returns its outcome and how many
-// attempts were sent.
-func playInterleaved(t *testing.T, setup func(*testRouter, *hookedUpstream)) (Outcome, int) {
+// runInterleaved serves one request with the hooks that setup installs, and returns its outcome and the number of
+// attempts sent.
+func runInterleaved(t *testing.T, setup func(*testRouter, *hookedUpstream)) (Outcome, int) {
 	t.Helper()
 	r := newTestRouter(t, "box", "parent", "origin")
 	upstream := &hookedUpstream{}
@@ -56,11 +56,11 @@
 	return response.Outcome, upstream.sends
 }
 
-// Of several events that have happened, the one that counts is always the same.
-func TestOrderOfEvents(t *testing.T) {
+// When several events have arrived before Serve looks, the same one must always decide the outcome.
+func TestEventPrecedence(t *testing.T) {
 	served := AttemptResult{Outcome: routing.OutcomeServed, Body: []byte("bytes")}
 	refused := AttemptResult{Outcome: routing.OutcomeConnectionRefused}
-	// withResult has the first attempt end within Send, and then does something else.
+	// withResult ends each attempt within Send, and then calls another function.
 	withResult := func(result AttemptResult, then func(*testRouter)) func(*testRouter, *hookedUpstream) {
 		return func(r *testRouter, u *hookedUpstream) {
 			u.onSend = func(_ int, attempt *fakeAttempt) {
@@ -69,13 +69,13 @@
 			}
 		}
 	}
-	// beforeSend does something before the request arrives.
-	beforeSend := func(do func(*testRouter)) func(*testRouter, *hookedUpstream) {
-		return func(r *testRouter, _ *hookedUpstream) { do(r) }
+	// beforeArrival calls a function before the request arrives.
+	beforeArrival := func(event func(*testRouter)) func(*testRouter, *hookedUpstream) {
+		return func(r *testRouter, _ *hookedUpstream) { event(r) }
 	}
 	// cancelAction is the module's decision to cancel the first attempt.
 	cancelAction := routing.Action{Kind: routing.ActionCancel, RequestID: "r1", Attempt: 0}
-	leave := func(r *testRouter) { r.cancel() }
+	depart := func(r *testRouter) { r.cancel() }
 	shutDown := func(r *testRouter) { r.Close() }
 
 	for _, tc := range []struct {
@@ -87,8 +87,8 @@
 		{"response and timeout", withResult(served, func(r *testRouter) { r.clock.Advance(1475) }), Served, 1},
 		{"response and end of the process", withResult(served, shutDown), Served, 1},
 		{"response and overdue", withResult(served, func(r *testRouter) { r.clock.Advance(1475 + overdueAfter) }), Served, 1},
-		{"response and client departed", withResult(served, leave), NoResponse, 1},
-		{"failure and client departed", withResult(refused, leave), NoResponse, 1},
+		{"response and client departed", withResult(served, depart), NoResponse, 1},
+		{"failure and client departed", withResult(refused, depart), NoResponse, 1},
 		{"failure and end of the process", withResult(refused, shutDown), Failed, 1},
 		{"client departs while an attempt is canceled", func(r *testRouter, u *hookedUpstream) {
 			u.onSend = func(number int, _ *fakeAttempt) {
@@ -109,12 +109,12 @@
 				}
 			}
 		}, Failed, 1},
-		{"client departed and the module's next attempt", beforeSend(leave), NoResponse, 0},
-		{"end of the process and the module's first attempt", beforeSend(shutDown), Failed, 0},
+		{"client departed and the module's next attempt", beforeArrival(depart), NoResponse, 0},
+		{"end of the process and the module's first attempt", beforeArrival(shutDown), Failed, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			for range plays {
-				outcome, attempts := playInterleaved(t, tc.setup)
+			for range repetitions {
+				outcome, attempts := runInterleaved(t, tc.setup)
 				if outcome != tc.outcome || attempts != tc.attempts {
 					t.Fatalf("%v after %d attempts, want %v after %d", outcome, attempts, tc.outcome, tc.attempts)
 				}
--- a/internal/router/exclusions.go
+++ b/internal/router/exclusions.go
@@ -2,8 +2,8 @@
 
 import "spantack/routing"
 
-// Exclude ejects a server by hand before it returns: no later attempt goes to it or is filled from it, whatever its
-// listed status, until Include. Its error is endpoints.ErrUnknownServer or endpoints.ErrTooManyExclusions.
+// Exclude excludes a server by hand. Once it returns, no attempt is sent to the server or filled from it, whatever
+// its listed status, until Include. Its error is endpoints.ErrUnknownServer or endpoints.ErrTooManyExclusions.
 func (r *Router) Exclude(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -12,7 +12,7 @@
 	return err
 }
 
-// Include readmits a server that was excluded by hand. Its error is endpoints.ErrUnknownServer.
+// Include reinstates a server that was excluded by hand. Its error is endpoints.ErrUnknownServer.
 func (r *Router) Include(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -21,15 +21,15 @@
 	return err
 }
 
-// Excluded returns the servers that are excluded by hand, in order.
+// Excluded returns the ids of the servers that are excluded by hand, sorted.
 func (r *Router) Excluded() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endpoints.Exclusions()
 }
 
-// SetExcluded replaces the servers that are excluded by hand by those that another process of this router wrote. On
-// error nothing has changed.
+// SetExcluded replaces the set of servers that are excluded by hand with the set that another process of this router
+// wrote. On error nothing has changed.
 func (r *Router) SetExcluded(ids []string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,20 +38,20 @@
 	return err
 }
 
-// SetEjected replaces the set of servers that the fleet's verdicts eject. Ejected servers get nothing new, like
-// draining ones; the others are readmitted. Each change is logged.
+// SetEjected replaces the set of servers that the fleet's verdicts eject. Like draining servers, ejected ones get no
+// new attempts; servers no longer in the set are reinstated. Each change is logged.
 func (r *Router) SetEjected(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := r.endpoints.SetEjected(ids)
 	for _, endpoint := range changed {
 		isOff := endpoint.Status != routing.EndpointHealthy
-		r.log.Info().Str("server", endpoint.Server).Bool("off", isOff).Msg("fleet's verdict")
+		r.log.Info().Str("server", endpoint.Server).Bool("off", isOff).Msg("fleet verdict applied")
 	}
 	r.applyEndpointsLocked(changed)
 }
 
-// applyEndpointsLocked passes endpoints that staff or the fleet changed to the module. r.mu is held.
+// applyEndpointsLocked passes endpoints that operators or the fleet changed to the module. r.mu is held.
 func (r *Router) applyEndpointsLocked(changed []routing.Endpoint) {
 	if len(changed) > 0 {
 		r.stepLocked(routing.Event{Kind: routing.EventEndpoints, UpdateMode: routing.UpdateChanges, Endpoints: changed})
--- a/internal/router/exclusions_test.go
+++ b/internal/router/exclusions_test.go
@@ -8,13 +8,13 @@
 	"spantack/routing"
 )
 
-// listed is an update in which the edge cache has a status.
+// listed returns an update that lists the edge cache with a status.
 func listed(status routing.EndpointStatus) WatchEvent {
 	return WatchEvent{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: status, Weight: 4}}}
 }
 
-// An edge cache that staff excluded gets nothing, whatever the list says of it meanwhile, until it is included.
-func TestExclude(t *testing.T) {
+// An edge cache that is excluded by hand gets no attempts, whatever its listed status, until it is included.
+func TestExcludedCacheGetsNoAttempts(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	checkCounts := func(when string) {
 		t.Helper()
@@ -28,7 +28,7 @@
 		}
 	}
 	if err := r.Exclude("box-9"); !errors.Is(err, endpoints.ErrUnknownServer) {
-		t.Errorf("an unknown one: %v", err)
+		t.Errorf("exclusion of an unknown server: %v", err)
 	}
 	for _, event := range []WatchEvent{
 		{},
@@ -41,7 +41,7 @@
 		r.startRequest("r1")
 		attempt := r.nextAttempt()
 		if attempt.Server != "origin-1" {
-			t.Errorf("after %+v: sent to %s", event, attempt.Server)
+			t.Errorf("after %+v: sent to %s, want origin-1", event, attempt.Server)
 		}
 		attempt.result <- AttemptResult{Outcome: routing.OutcomeServed}
 		r.nextResponse()
@@ -53,23 +53,24 @@
 	r.startRequest("r2")
 	attempt := r.nextAttempt()
 	if attempt.Server != "box-1" {
-		t.Errorf("included, and sent to %s", attempt.Server)
+		t.Errorf("after Include: sent to %s, want box-1", attempt.Server)
 	}
 	attempt.result <- AttemptResult{Outcome: routing.OutcomeServed}
 	r.nextResponse()
 	if err := r.SetExcluded([]string{"box-1"}); err != nil || len(r.Excluded()) != 1 {
-		t.Errorf("set to %v, %v", r.Excluded(), err)
+		t.Errorf("after SetExcluded: excluded %v, error %v", r.Excluded(), err)
 	}
 	checkCounts("set")
 }
 
-// A drain binds the very next request, and without any server left there is still a response.
-func TestDrainingServer(t *testing.T) {
+// A server that drains gets no request from the next one on, and a request still gets a response when no server is
+// left.
+func TestDrainingServerGetsNoNewRequest(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	r.Apply(listed(routing.EndpointDraining))
 	r.startRequest("r1")
 	if attempt := r.nextAttempt(); attempt.Server != "origin-1" {
-		t.Errorf("sent to %s", attempt.Server)
+		t.Errorf("sent to %s, want origin-1", attempt.Server)
 	} else {
 		r.Apply(WatchEvent{IsSnapshot: true})
 		attempt.result <- AttemptResult{Outcome: routing.OutcomeConnectionReset}
--- a/internal/router/features.go
+++ b/internal/router/features.go
@@ -19,8 +19,8 @@
 	OriginLimit *originlimit.Document
 }
 
-// ApplyFeatures puts features in force before it returns. No request sees a part without the others. The error is
-// that of the rollout or of the origin limit, which is then not in force.
+// ApplyFeatures puts features in force before it returns. Every request sees either all of them or none. The error
+// is from the rollout or the origin limit; the one that failed is not in force.
 func (r *Router) ApplyFeatures(f Features) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,15 +33,15 @@
 	return errors.Join(rolloutErr, originLimitErr)
 }
 
-// PlanOnTick leaves the computing of plans for many parent groups to Tick, which the caller must then call
-// regularly. It is called before the first request.
+// PlanOnTick makes Tick compute plans for many parent groups; the caller must then call Tick regularly. PlanOnTick
+// must be called before the first request.
 func (r *Router) PlanOnTick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.admission.PlansInBackground = true
 }
 
-// Tick advances migrations and a rollout while no request comes, and computes a due plan for fills outside the lock.
+// Tick advances migrations and the rollout while no requests arrive, and computes a due fill plan outside the lock.
 func (r *Router) Tick() {
 	r.mu.Lock()
 	actions := r.admission.Tick(r.advanceLocked())
@@ -72,18 +72,18 @@
 	return r.admission.RolloutStatus()
 }
 
-// MigrationStatus returns the progress of this site's migrations, and the version of their document; 0 while there
-// is none.
+// MigrationStatus returns the progress of this site's migrations, and the version of their document, which is 0
+// without one.
 func (r *Router) MigrationStatus() (statuses []cells.MigrationStatus, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.Migrations(r.nowMicros()), r.admission.MigrationsVersion()
 }
 
-// maxReportedDemands bounds the tenants whose demand CellStatus returns.
+// maxReportedDemands bounds the number of tenants whose demand CellStatus returns.
 const maxReportedDemands = 500
 
-// CellStatus returns the present state of the cells and the recent demand of tenants; nil while cells are off.
+// CellStatus returns the current state of the cells and the recent demand of tenants; nil while cells are off.
 func (r *Router) CellStatus() (*cells.Status, []cells.TenantDemand) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -6,12 +6,12 @@
 	"spantack/routing"
 )
 
-// minOriginFillQuota replaces a quota of 0, which the module would take for no limit.
+// minOriginFillQuota replaces a quota of 0, which the module would treat as no limit.
 const minOriginFillQuota = 1e-6
 
-// SetOriginFillQuota bounds the fills that ask the origin by this router's quota of a limit on the whole fleet. A
-// quota of one or more is rounded down, so that the sum of all quotas never exceeds the limit; with a smaller one a
-// fill goes out now and then, and the limit holds on average.
+// SetOriginFillQuota bounds fills from the origin by this router's quota of the fleet limit. A quota of one or more
+// is rounded down, so that the sum of all quotas never exceeds the limit. With a quota below one, occasional fills are
+// sent, and the limit holds on average.
 func (r *Router) SetOriginFillQuota(quota float64) {
 	if quota >= 1 {
 		quota = math.Floor(quota)
@@ -21,22 +21,22 @@
 	r.admission.SetOriginFillQuota(r.advanceLocked(), max(quota, minOriginFillQuota))
 }
 
-// OriginFills returns how many fills that ask the origin are in flight here, and how many requests were rejected
-// since the start.
+// OriginFills returns the number of this router's fills from the origin in flight, and the number of requests
+// rejected since the start of the process.
 func (r *Router) OriginFills() (inFlight int, rejected int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.ConfirmedOriginFills(), r.Counters.Rejected.Load()
 }
 
-// Parents returns the listed parents, and those of them whose circuit breakers are open here.
+// Parents returns the listed parents, and those among them whose circuit breakers are open in this router.
 func (r *Router) Parents() (listed, failing []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.Parents(r.nowMicros())
 }
 
-// ReportOverloaded tells the module that routers of other sites find a parent overloaded.
+// ReportOverloaded notifies the module that routers of other sites report a parent as overloaded.
 func (r *Router) ReportOverloaded(server string) {
 	r.step(routing.Event{Kind: routing.EventParentOverloaded, Server: server})
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -11,14 +11,14 @@
 	"spantack/routing"
 )
 
-// fakeUpstream hands attempts to the test, which plays the servers.
+// fakeUpstream passes attempts to the test, which acts as the servers.
 type fakeUpstream struct{ sent chan *fakeAttempt }
 
-// fakeAttempt is an attempt whose result the test gives.
+// fakeAttempt is an attempt whose result the test sends.
 type fakeAttempt struct {
 	Attempt
 	result   chan AttemptResult
-	canceled chan struct{} // gets a value for each Cancel
+	canceled chan struct{} // receives a value for each Cancel
 }
 
 func (u *fakeUpstream) Send(a Attempt) PendingAttempt {
@@ -31,17 +31,17 @@
 
 func (a *fakeAttempt) Cancel(bool) { a.canceled <- struct{}{} }
 
-// testRouter is a router with a server of each kind that is asked for, and a clock that the test moves.
+// testRouter is a router with a fake upstream and a clock that the test advances.
 type testRouter struct {
 	*Router
 	t         testing.TB
 	clock     *clock.Clock
 	upstream  *fakeUpstream
-	cancel    context.CancelFunc // the client of the last startRequest leaves
-	responses chan Response      // of requests by startRequest
+	cancel    context.CancelFunc // ends the context of the last startRequest: its client leaves
+	responses chan Response      // to requests of startRequest
 }
 
-// testSettings are those of a site with edge caches, parents and an origin.
+// testSettings returns the settings of a site with edge caches, parents and an origin.
 func testSettings() routing.Settings {
 	return routing.Settings{
 		Classes: []routing.Class{{
@@ -60,7 +60,7 @@
 	}
 }
 
-// newTestRouter returns a router that knows one server of each of these kinds, "box-1" of kind "box".
+// newTestRouter returns a router with one listed server of each given kind, such as "box-1" of kind "box".
 func newTestRouter(t testing.TB, kinds ...string) *testRouter {
 	t.Helper()
 	r := &testRouter{
@@ -81,14 +81,14 @@
 	return r
 }
 
-// pageRequest is a request of a client that waits 1,500 ms from now on.
+// pageRequest returns a request of a client that waits 1,500 ms from now.
 func (r *testRouter) pageRequest(id string) Request {
 	return Request{
 		ID: id, Class: "page", Object: "front", SizeKB: 100, ClientTimeout: 1500, ArrivedAt: r.clock.Now(),
 	}
 }
 
-// startRequest serves a request in a goroutine; nextResponse returns what comes of it.
+// startRequest serves a request in a goroutine; nextResponse returns its response.
 func (r *testRouter) startRequest(id string) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	r.cancel = cancel
@@ -113,17 +113,17 @@
 	testwait.Receive(r.t, a.canceled, "an attempt to be canceled")
 }
 
-// openMailboxes is how many requests are open.
+// openMailboxes returns the number of open requests.
 func (r *testRouter) openMailboxes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.mailboxes)
 }
 
-// checkNoneOpen checks that all requests have ended on the router's side too.
+// checkNoneOpen checks that the router has removed the mailboxes of all requests.
 func (r *testRouter) checkNoneOpen() {
 	r.t.Helper()
 	if n := r.openMailboxes(); n != 0 {
-		r.t.Errorf("%d mailboxes left", n)
+		r.t.Errorf("%d mailboxes left, want none", n)
 	}
 }
--- a/internal/router/learned_state.go
+++ b/internal/router/learned_state.go
@@ -2,15 +2,15 @@
 
 import "spantack/routing"
 
-// LearnedState returns what the module has learnt, for a process that takes over.
+// LearnedState returns the module's learned state, for a process that replaces this one.
 func (r *Router) LearnedState() routing.LearnedState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.LearnedState(r.nowMicros())
 }
 
-// RestoreLearnedState adopts what the process has learnt that this one replaces. It is called once the endpoint
-// list is known. On error, which names what is implausible, nothing is adopted.
+// RestoreLearnedState adopts the learned state of the process that this one replaces. It must be called once the
+// endpoint list is known. On error, which names the implausible value, nothing is adopted.
 func (r *Router) RestoreLearnedState(state routing.LearnedState) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/learned_state_test.go
+++ b/internal/router/learned_state_test.go
@@ -6,8 +6,9 @@
 	"spantack/routing"
 )
 
-// What a router has learnt reaches another through RestoreLearnedState, once the endpoint list is known there.
-func TestLearnedState(t *testing.T) {
+// The learned state of one router can be restored in another one that knows the endpoint list; an implausible state
+// is rejected.
+func TestLearnedStateIsRestored(t *testing.T) {
 	old, next := newTestRouter(t, "box", "origin"), newTestRouter(t, "box", "origin")
 	old.startRequest("r1")
 	old.nextAttempt().result <- AttemptResult{Outcome: routing.OutcomeServed}
@@ -16,11 +17,11 @@
 		t.Fatal(err)
 	}
 	if state := next.LearnedState(); state.RecentRequests["front"] != 1 {
-		t.Errorf("%+v", state)
+		t.Errorf("restored state: %+v", state)
 	}
 	state := old.LearnedState()
 	state.TakenAt = 0
 	if err := next.RestoreLearnedState(state); err == nil {
-		t.Error("a state of another time was taken")
+		t.Error("a state with an implausible TakenAt was adopted")
 	}
 }
--- a/internal/router/load_report.go
+++ b/internal/router/load_report.go
@@ -17,15 +17,15 @@
 	"eps":        "failed_ps",
 }
 
-// maxLoadValue is the greatest plausible value of a field.
+// maxLoadValue is the highest plausible value of a field.
 const maxLoadValue = 1e9
 
-// loadFieldMissing stands for a field that has not been found yet; values are never below 0.
+// loadFieldMissing marks a field that has not been found yet; values are never below 0.
 const loadFieldMissing = -1
 
-// parseLoadReport parses a load report, "NAME:VALUE;NAME:VALUE", into the order of the settings' fields. It returns
-// nil where there is no report, a field is missing or a value is implausible: half a report must not count as
-// zeros, and a bad one must not spoil the response it came with.
+// parseLoadReport parses a load report, "NAME:VALUE;NAME:VALUE", and returns the values in the order of fields. It
+// returns nil if there is no report, a field is missing or a value is implausible: missing values must not count as
+// zeros, and an invalid report must not invalidate the response that carries it.
 func parseLoadReport(fields []string, report string) []float64 {
 	if report == "" || len(fields) == 0 {
 		return nil
@@ -57,10 +57,10 @@
 	return values
 }
 
-// isPlausibleLoad is false for NaN too.
+// isPlausibleLoad reports whether a value is from 0 to maxLoadValue; NaN is not.
 func isPlausibleLoad(value float64) bool { return value >= 0 && value <= maxLoadValue }
 
-// reportOutcome passes an attempt's outcome to the module together with the load report that came with it.
+// reportOutcome passes an attempt's outcome to the module, together with the load report of its response.
 func (r *Router) reportOutcome(loadReport string, event routing.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/load_report_test.go
+++ b/internal/router/load_report_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A report is taken whole, in the order of the settings' fields and by either name of a field, or not at all.
+// A report gives all values, in the order of the settings' fields and under either name of a field, or none at all.
 func TestParseLoadReport(t *testing.T) {
 	fields := []string{"cpu_share", "x1"}
 	for report, want := range map[string][]float64{
@@ -27,6 +27,6 @@
 		}
 	}
 	if got := parseLoadReport(nil, "util:0.61"); got != nil {
-		t.Errorf("%v where the settings name nothing", got)
+		t.Errorf("%v although the settings name no fields", got)
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -3,20 +3,20 @@
 // Request is one client's request. Times are milliseconds.
 type Request struct {
 	ID             string  // unique among open requests
-	Class          string  // one of the settings' classes
-	Tenant         string  // as the front names it; often empty
-	Object         string  // what is asked for
-	Chunk          int64   // of the object
+	Class          string  // name of a class in the settings
+	Tenant         string  // as the front end names it; often empty
+	Object         string  // id of the requested object
+	Chunk          int64   // index of the chunk within the object
 	PurgeGroup     int64   // group of objects that can be purged together
 	SizeKB         float64 // expected size of the response; 0: not known
-	IdempotencyKey string  // lets servers recognize a repeat; empty: none
-	ClientETag     string  // tag of the copy that the client holds; empty: none
-	ClientTimeout  float64 // how long the client waits from ArrivedAt on
+	IdempotencyKey string  // lets servers recognize a repeated request; empty: none
+	ClientETag     string  // ETag of the copy that the client holds; empty: none
+	ClientTimeout  float64 // how long the client waits, from ArrivedAt
 	ArrivedAt      float64 // Unix milliseconds
 	Body           []byte
 
-	// ClientDeparted reports whether the client has left, as soon as that can be known: the context of Serve may end
-	// later. It looks at the client's connection, and may wait some milliseconds. Nil: only the context tells.
+	// ClientDeparted reports whether the client has left. It checks the client's connection, so it may report this
+	// before the context of Serve ends, and it may block for some milliseconds. If nil, only the context is used.
 	ClientDeparted func() bool
 }
 
@@ -25,13 +25,13 @@
 
 // The outcomes.
 const (
-	NoResponse Outcome = iota // the client has left: no response is owed
-	Served                    // Body, or NotModified
-	Rejected                  // RetryAfter; trying again is harmless
+	NoResponse Outcome = iota // the client has left: no response is sent
+	Served                    // with Body or NotModified
+	Rejected                  // with RetryAfter; a retry by the client is safe
 	Failed
 )
 
-// String returns the outcome in words, for logs and tests.
+// String returns the outcome in words for logs and tests, "unknown outcome" for any other value.
 func (o Outcome) String() string {
 	switch o {
 	case NoResponse:
@@ -51,6 +51,6 @@
 type Response struct {
 	Outcome     Outcome
 	Body        []byte
-	NotModified bool    // the client's own copy is current: no body
-	RetryAfter  float64 // milliseconds; only of Rejected
+	NotModified bool    // the client's own copy is current; Body is empty
+	RetryAfter  float64 // milliseconds; only with Rejected
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,9 +1,9 @@
-// Package router serves requests by the decision module. It knows no protocol and no socket: a front hands it
-// Requests, an Upstream carries its Attempts, and the discovery service's WatchEvents tell it of servers and
-// purges.
+// Package router serves requests as the decision module decides. It is independent of protocols and sockets: a front
+// end passes Requests to it, an Upstream sends its Attempts, and WatchEvents from the discovery service notify it of
+// servers and purges.
 //
-// A Router shares one module between all requests of the process. Each request has a goroutine of its own in Serve;
-// what the module decides reaches it by a mailbox. Every request gets one final response, at its deadline at the
+// A Router shares one module between all requests of the process. Serve runs in one goroutine per request and receives
+// the module's actions through a mailbox channel. Every request gets one final response, at its deadline at the
 // latest, whatever the module or the upstream does.
 package router
 
@@ -24,7 +24,7 @@
 // Router shares one decision module between the requests of this process. It is safe for concurrent use.
 type Router struct {
 	Counters Counters
-	// OnOverloaded, if set before the first request, is called with each server that this router itself found
+	// OnOverloaded, if set before the first request, is called with each server that this router itself finds
 	// overloaded. It must not block.
 	OnOverloaded func(server string)
 
@@ -32,26 +32,28 @@
 	log      zerolog.Logger
 	upstream Upstream
 
-	// mu is held only while the module decides, never across I/O. It guards what follows.
+	// mu is held only while the module decides, never across I/O. It guards the fields below up to keyedClasses.
 	mu           sync.Mutex
 	admission    *cells.Admission
 	endpoints    *endpoints.List
-	lastStepAt   int64                          // microseconds; the module's time must not run backwards
-	mailboxes    map[string]chan routing.Action // of the open requests, by id; Serve owns each
-	loadFields   []string                       // what load reports hold, in the module's order
-	keyedClasses map[string]bool                // classes whose requests carry an idempotency key
+	lastStepAt   int64                          // microseconds; the module's time must not go backwards
+	mailboxes    map[string]chan routing.Action // of open requests, by request id; each is owned by Serve
+	loadFields   []string                       // fields of load reports, in the module's order
+	keyedClasses map[string]bool                // classes whose requests must carry an idempotency key
 
-	// classCounters are the counters by class. The map itself never changes: new settings replace it.
+	// classCounters holds the counters by class. The map itself is never modified: new settings replace it.
 	classCounters atomic.Pointer[map[string]*ClassCounters]
 
 	// closed is closed by Close.
 	closed chan struct{}
 }
 
-// New returns a router that decides by the settings and sends attempts by way of upstream. The error names the
-// setting at fault.
-func New(set routing.Settings, seed int64, c *clock.Clock, upstream Upstream, log zerolog.Logger) (*Router, error) {
-	admission, err := cells.NewAdmission(set, seed)
+// New returns a router that decides by the settings and sends attempts through upstream. The error names the setting
+// at fault.
+func New(
+	settings routing.Settings, seed int64, c *clock.Clock, upstream Upstream, log zerolog.Logger,
+) (*Router, error) {
+	admission, err := cells.NewAdmission(settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -64,24 +66,24 @@
 		mailboxes: map[string]chan routing.Action{},
 		closed:    make(chan struct{}),
 	}
-	r.applySettingsLocked(set)
+	r.applySettingsLocked(settings)
 	return r, nil
 }
 
-// Close fails all open requests and all later ones, so that none is left without a response when the process ends.
-// It must be called once only.
+// Close fails all open and all later requests, so that none is left without a response when the process ends. It must
+// be called only once.
 func (r *Router) Close() { close(r.closed) }
 
 // nowMicros returns the time in the module's unit.
 func (r *Router) nowMicros() int64 { return clock.Micros(r.clock.Now()) }
 
-// advanceLocked returns the time of the module's next step, which is never before that of the last one. r.mu is held.
+// advanceLocked returns the time of the module's next step in microseconds, never before its last step. r.mu is held.
 func (r *Router) advanceLocked() int64 {
 	r.lastStepAt = max(r.lastStepAt, r.nowMicros())
 	return r.lastStepAt
 }
 
-// step passes one event to the module and carries out its actions.
+// step passes one event to the module and executes the resulting actions.
 func (r *Router) step(event routing.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,11 +94,12 @@
 func (r *Router) stepLocked(event routing.Event) {
 	now := r.advanceLocked()
 	for _, action := range r.decide(now, event) {
-		r.carryOutLocked(action)
+		r.executeLocked(action)
 	}
 }
 
-// decide calls the module and recovers from its panics, which would end every open request.
+// decide calls the module and returns its actions. It recovers from a panic of the module, which would otherwise end
+// every open request.
 func (r *Router) decide(now int64, event routing.Event) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -107,14 +110,14 @@
 	return r.admission.Step(now, []routing.Event{event})
 }
 
-// carryOutLocked passes an action to the mailbox of the request that it names, or does what the module asks of the
-// router itself. The timers that the module sets belong to the router: they fire even when their request has ended.
-func (r *Router) carryOutLocked(action routing.Action) {
+// executeLocked sends an action to the mailbox of its request, or executes it if it concerns the router itself.
+// Timers of the module belong to the router: they fire even when their request has ended. r.mu is held.
+func (r *Router) executeLocked(action routing.Action) {
 	switch action.Kind {
 	case routing.ActionSend, routing.ActionReject, routing.ActionFail, routing.ActionCancel:
 		select {
 		case r.mailboxes[action.RequestID] <- action:
-		default: // no request waits for it, or the mailbox is full: the request still gets its response at its deadline
+		default: // no such request is open, or its mailbox is full; an open one still gets a response at its deadline
 			r.Counters.Faults.Add(1)
 		}
 	case routing.ActionSetTimer:
@@ -132,5 +135,5 @@
 
 // logModuleText logs the text of an ActionLog.
 func (r *Router) logModuleText(action routing.Action) {
-	r.log.Info().Str("text", action.LogText).Msg("module says")
+	r.log.Info().Str("text", action.LogText).Msg("decision module log")
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -7,25 +7,25 @@
 	"spantack/routing"
 )
 
-// Margins of a request's time, in milliseconds.
+// Time margins of a request, in milliseconds.
 const (
-	// replyMarginShare of the client's time, within minReplyMargin and maxReplyMargin, is reserved for the way there
-	// and back and for a busy core.
+	// replyMarginShare of the client's timeout, but at least minReplyMargin and at most maxReplyMargin, is reserved for
+	// the network round trip to the client and for delays on a busy core.
 	replyMarginShare = 0.1
 	minReplyMargin   = 5
 	maxReplyMargin   = 25
-	// retryCutoff is how long before the end of a request's time, and later, no retry goes out.
+	// retryCutoff is the time before a request's deadline within which no retry is sent.
 	retryCutoff = 1
-	// overdueAfter is how long past its deadline the module may leave a request without a response before the router
-	// fails it.
+	// overdueAfter is how long after a request's deadline the router waits for the module's decision before it fails the
+	// request.
 	overdueAfter = 10
 )
 
-// mailboxSize is far more than the actions that the module ever has for one request at once.
+// mailboxSize is far above the number of actions that the module ever has for one request at once.
 const mailboxSize = 16
 
-// Serve carries one request from its arrival to its final response. The module decides each step; ctx ends when the
-// client no longer waits.
+// Serve handles one request from its arrival to its final response, which it returns. The module decides each step;
+// ctx ends when the client no longer waits.
 func (r *Router) Serve(ctx context.Context, q Request) (response Response) {
 	r.Counters.Accepted.Add(1)
 	defer func() { r.countOutcome(q.Class, response.Outcome) }()
@@ -51,17 +51,17 @@
 	}
 }
 
-// deadline returns until when an attempt may bring the response, in Unix milliseconds: until the client's time is
-// over, less a margin.
+// deadline returns the latest time for an attempt to return the response, in Unix milliseconds: the end of the
+// client's timeout, less a margin.
 func (q *Request) deadline() float64 {
 	margin := min(max(replyMarginShare*q.ClientTimeout, minReplyMargin), maxReplyMargin)
 	return q.ArrivedAt + q.ClientTimeout - margin
 }
 
-// open registers the request's mailbox and passes the request to the module. It returns false where the request
-// must not be served: the response to the first request of an id must not go to a second one. And where a class
-// requires keys since a reload, after the front read this request by the older settings, its servers could not
-// recognize a repeat.
+// open registers the request's mailbox and passes the request to the module. It returns false if the request must not
+// be served, which has two cases. An open request has the same id: its response must not go to this request. Or the
+// class requires keys and the request has none, because the front end read it before the settings were reloaded:
+// servers could not recognize a repeat of it.
 func (r *Router) open(s *serving) bool {
 	q := s.request
 	r.mu.Lock()
@@ -86,53 +86,52 @@
 	return true
 }
 
-// forget removes the request's mailbox: actions for its id that come later find none.
+// forget removes the request's mailbox, so that later actions for its id are dropped.
 func (r *Router) forget(s *serving) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.mailboxes, s.request.ID)
 }
 
-// serving is the state of one request while Serve has it. Only the goroutine of Serve uses it; the module, the
-// upstream and the timers reach it by channels.
+// serving is the state of one request in Serve. Only the goroutine of Serve uses it; the module, the upstream and the
+// timers send to it through channels.
 type serving struct {
 	router   *Router
 	request  *Request
 	deadline float64 // Unix milliseconds; see Request.deadline
 
-	// mailbox receives the module's actions for this request. The router sends to it, from open until forget; it is
-	// never closed.
+	// mailbox receives the module's actions for this request, from open until forget. It is never closed.
 	mailbox chan routing.Action
-	// overdueAlarm gets a value overdueAfter past the deadline. Serve owns its timer.
+	// overdueAlarm receives a value overdueAfter past the deadline. Serve owns its timer.
 	overdueAlarm <-chan struct{}
 
-	// attempt numbers the last attempt that was sent, from 0 on; -1: none yet.
+	// attempt is the number of the last attempt that was sent, counted from 0; -1: none yet.
 	attempt int
 	// sent is the attempt that is in flight; zero while there is none. There is never more than one.
 	sent sentAttempt
 
-	// What has happened and is not handled yet.
-	result     AttemptResult // of sent
+	// Events that have arrived and have not been handled.
+	result     AttemptResult // of the attempt in flight
 	hasResult  bool
-	action     routing.Action // the module's next one
+	action     routing.Action // the module's next action
 	hasAction  bool
-	isTimedOut bool // sent is
-	isOverdue  bool // the module has left the request without a response
+	isTimedOut bool // the attempt in flight has timed out
+	isOverdue  bool // the module has decided no response within overdueAfter past the deadline
 }
 
 // sentAttempt is an attempt in flight.
 type sentAttempt struct {
-	// pending is owned by serving until its result has come or it was canceled; nil: no attempt is in flight.
+	// pending is owned by serving until its result has been received or it was canceled; nil: no attempt is in flight.
 	pending PendingAttempt
-	result  <-chan AttemptResult // pending's
-	timeout <-chan struct{}      // gets a value when the attempt's time is over
-	timer   *clock.Timer         // of timeout; stopped with the end of the attempt
+	result  <-chan AttemptResult // of pending
+	timeout <-chan struct{}      // receives a value when the attempt times out
+	timer   *clock.Timer         // of timeout; stopped when the attempt ends
 	server  string
 	sentAt  float64 // Unix milliseconds
 }
 
-// wait returns when something has happened to the request, at once if the module's next action is at hand, and
-// takes in all that has.
+// wait blocks until an event of the request arrives, or returns at once if an action of the module is pending. It
+// stores all events that have arrived.
 func (s *serving) wait(ctx context.Context) {
 	if !s.hasAction {
 		select {
@@ -155,10 +154,10 @@
 	s.isTimedOut = s.isTimedOut || isReady(s.sent.timeout)
 }
 
-// handleNext handles one of the events that have arrived; ended is true where the request has its final response.
-// Of several events the first in the order of the cases is handled. An attempt's result comes first: it may be the
-// response, and a timeout does not make the attempt open again. Next are the events that forbid a retry, then those
-// that may lead to one.
+// handleNext handles one of the events that have arrived; ended is true once the request has its final response. Of
+// several events, the first in the order of the cases is handled. An attempt's result comes first: it may be the
+// response, and the attempt has ended even if it has also timed out. Events that rule out a retry come next, then
+// those that may lead to one.
 func (s *serving) handleNext(ctx context.Context) (response Response, ended bool) {
 	switch {
 	case s.hasResult:
@@ -183,8 +182,8 @@
 	return Response{}, false
 }
 
-// handleResult reports the result of the attempt in flight to the module, and makes the response of one that was
-// served.
+// handleResult reports the result of the attempt in flight to the module, and returns the final response if the
+// attempt was served.
 func (s *serving) handleResult(ctx context.Context) (response Response, ended bool) {
 	result := s.result
 	s.result, s.hasResult = AttemptResult{}, false
@@ -199,7 +198,7 @@
 	}
 }
 
-// handleAction does what the module has decided.
+// handleAction executes the module's action; ended is true if it is the final response.
 func (s *serving) handleAction() (response Response, ended bool) {
 	s.hasAction = false
 	switch a := &s.action; a.Kind {
@@ -220,7 +219,7 @@
 	return Response{}, false
 }
 
-// send sends the attempt that the module has decided on.
+// send sends the attempt of an ActionSend.
 func (s *serving) send(a *routing.Action) {
 	attempt := newAttempt(s.request, a)
 	now := s.router.clock.Now()
@@ -233,7 +232,7 @@
 	s.router.Counters.Attempts.Add(1)
 }
 
-// newAttempt returns the attempt of an ActionSend.
+// newAttempt returns the attempt that an ActionSend describes.
 func newAttempt(q *Request, a *routing.Action) Attempt {
 	attempt := Attempt{
 		Request:        q,
@@ -247,7 +246,7 @@
 		attempt.MaxAge = clock.Millis(a.MaxAge)
 		attempt.FetchFlags = a.FetchFlags
 	}
-	if a.Source != a.Server { // else the server answers from its own store only
+	if a.Source != a.Server { // with its own id as the source, the server responds from its own store only
 		attempt.Source = a.Source
 	}
 	return attempt
@@ -272,7 +271,7 @@
 	})
 }
 
-// cancelAttempt cancels the attempt in flight, if any, with no retry to follow.
+// cancelAttempt cancels the attempt in flight, if any. No retry follows.
 func (s *serving) cancelAttempt() {
 	if s.sent.pending != nil {
 		s.sent.timer.Stop()
@@ -280,16 +279,16 @@
 	}
 }
 
-// abort cancels the attempt in flight and ends the request on the module's side, which has not decided on its end.
+// abort cancels the attempt in flight and notifies the module, which has not ended the request, that it is aborted.
 func (s *serving) abort() {
 	s.cancelAttempt()
 	s.router.step(routing.Event{Kind: routing.EventAborted, RequestID: s.request.ID})
 }
 
-// reportOverdue counts and logs that the module gave no response in time.
+// reportOverdue counts and logs that the module decided no response in time.
 func (s *serving) reportOverdue() {
 	s.router.Counters.Overdue.Add(1)
-	s.router.log.Error().Str("request", s.request.ID).Msg("module gave no answer in time")
+	s.router.log.Error().Str("request", s.request.ID).Msg("decision module did not end the request by its deadline")
 }
 
 // respond counts the request's final response and returns it.
@@ -298,7 +297,7 @@
 	return response
 }
 
-// receiveIfReady receives from c without blocking; ok is false where nothing is ready.
+// receiveIfReady receives from c without blocking; ok is false if no value is ready.
 func receiveIfReady[T any](c <-chan T) (v T, ok bool) {
 	select {
 	case v, ok = <-c:
--- a/internal/router/serve_bench_test.go
+++ b/internal/router/serve_bench_test.go
@@ -8,10 +8,10 @@
 	"spantack/routing"
 )
 
-// immediateUpstream answers each attempt at once, from the server's own store.
+// immediateUpstream serves each attempt at once, as a cache hit.
 type immediateUpstream struct{}
 
-// servedAttempt is an attempt of immediateUpstream: its result is there already.
+// servedAttempt is an attempt of immediateUpstream. Its result is in the channel from the start.
 type servedAttempt chan AttemptResult
 
 func (immediateUpstream) Send(Attempt) PendingAttempt {
@@ -24,7 +24,8 @@
 
 func (a servedAttempt) Cancel(bool) {}
 
-// BenchmarkServe is one request from its arrival to its response, with the module's decisions and without a network.
+// BenchmarkServe measures one request from its arrival to its response, including the module's decisions, without a
+// network.
 func BenchmarkServe(b *testing.B) {
 	r := newTestRouter(b, "box", "parent", "origin")
 	systemClock := &clock.Clock{}
--- a/internal/router/serve_test.go
+++ b/internal/router/serve_test.go
@@ -8,8 +8,8 @@
 	"spantack/routing"
 )
 
-// A request is sent to an edge cache, with the parent that fills a miss, and the cache's response is the client's.
-func TestServed(t *testing.T) {
+// A request is sent to an edge cache with the parent as the source of a fill, and the cache's response is returned.
+func TestServedFromEdgeCacheWithParentAsSource(t *testing.T) {
 	r := newTestRouter(t, "box", "parent", "origin")
 	r.startRequest("r1")
 	attempt := r.nextAttempt()
@@ -23,8 +23,8 @@
 	}
 }
 
-// After a failed fill the same cache is asked for a stale copy within the grace period, with no fill; a miss there
-// with no source left ends in a rejection that says when to come back.
+// After a failed fill, the same cache gets an attempt for a stale copy within the stale grace, without a fill. A miss
+// there, with no source left, leads to a rejection with a RetryAfter.
 func TestStaleCopyThenRejection(t *testing.T) {
 	r := newTestRouter(t, "box", "parent", "origin")
 	r.startRequest("r1")
@@ -44,12 +44,12 @@
 		t.Errorf("response %+v", got)
 	}
 	if n := r.Counters.Attempts.Load(); n != 4 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want 4", n)
 	}
 }
 
-// An attempt that brings nothing is canceled before the client's time is over, and the request still gets its response.
-func TestDeadline(t *testing.T) {
+// An attempt without a result is canceled before the client's timeout ends, and the request still gets a response.
+func TestAttemptCanceledAtDeadline(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	r.startRequest("r1")
 	attempt := r.nextAttempt()
@@ -61,8 +61,8 @@
 	r.checkNoneOpen()
 }
 
-// A client that left is owed no response, and what was in flight for it is canceled.
-func TestClientDeparts(t *testing.T) {
+// When the client leaves, the request ends without a response and its attempt in flight is canceled.
+func TestClientDepartureCancelsAttempt(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	r.startRequest("r1")
 	attempt := r.nextAttempt()
@@ -73,8 +73,8 @@
 	}
 }
 
-// A fault in the module costs neither the process nor the one response.
-func TestModulePanics(t *testing.T) {
+// A panic in the module must not end the process, and the request still gets a response.
+func TestModulePanicStillGivesResponse(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	r.admission = nil // panics at any event
 	advanced := make(chan struct{})
@@ -92,23 +92,24 @@
 	testwait.Receive(t, advanced, "the clock's goroutine to end")
 }
 
-// Two open requests of one id would get each other's responses.
-func TestDuplicateID(t *testing.T) {
+// Two open requests with the same id could get each other's responses, so the second one fails.
+func TestSecondOpenRequestOfIDFails(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	r.startRequest("r1")
 	attempt := r.nextAttempt()
 	second := Request{ID: "r1", Class: "page", ClientTimeout: 1000, ArrivedAt: r.clock.Now()}
 	if got := r.Serve(t.Context(), second); got.Outcome != Failed {
-		t.Errorf("the second got %+v", got)
+		t.Errorf("response to the second request: %+v", got)
 	}
 	attempt.result <- AttemptResult{Outcome: routing.OutcomeServed, NotModified: true}
 	if got := r.nextResponse(); got.Outcome != Served || !got.NotModified {
-		t.Errorf("the first got %+v", got)
+		t.Errorf("response to the first request: %+v", got)
 	}
 }
 
-// Shortly before SIGKILL what is open gets its response and is canceled at its server: left open, it would be lost.
-func TestClose(t *testing.T) {
+// Close, which runs shortly before SIGKILL, fails open requests and cancels their attempts; otherwise their clients
+// would get no response.
+func TestCloseFailsOpenRequests(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	r.startRequest("r1")
 	attempt := r.nextAttempt()
@@ -120,9 +121,9 @@
 	r.checkNoneOpen()
 }
 
-// Of a short time little is reserved: with 25 ms of 60 reserved, clients in a hurry were rejected what a hit would
-// have brought in time.
-func TestMarginOfShortTime(t *testing.T) {
+// The margin of a short client timeout must be small: with 25 ms of 60 ms reserved, requests were rejected that a cache
+// hit would have served in time.
+func TestShortTimeoutKeepsSmallMargin(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	for clientTimeout, want := range map[float64]float64{1500: 1475, 60: 54, 20: 15} {
 		request := r.pageRequest("r")
@@ -130,17 +131,17 @@
 		go r.Serve(t.Context(), request)
 		attempt := r.nextAttempt()
 		if attempt.Timeout != want {
-			t.Errorf("of %v ms the attempt got %v, want %v", clientTimeout, attempt.Timeout, want)
+			t.Errorf("client timeout %v ms: attempt timeout %v ms, want %v ms", clientTimeout, attempt.Timeout, want)
 		}
 		attempt.result <- AttemptResult{Outcome: routing.OutcomeServed}
-		testwait.Until(t, "the end of the request", func() bool { // the next one has the same id
+		testwait.Until(t, "the end of the request", func() bool { // the next request has the same id
 			return r.openMailboxes() == 0
 		})
 	}
 }
 
-// The module ends a request while an attempt is in flight: the attempt is canceled.
-func TestModuleEndsRequestWithAttemptInFlight(t *testing.T) {
+// When the module ends a request while an attempt is in flight, the attempt must be canceled.
+func TestEndedRequestCancelsAttemptInFlight(t *testing.T) {
 	for _, kind := range []routing.ActionKind{routing.ActionReject, routing.ActionFail} {
 		t.Run(fmt.Sprint(kind), func(t *testing.T) {
 			r := newTestRouter(t, "box", "origin")
@@ -159,9 +160,9 @@
 	}
 }
 
-// New settings require keys of a class after the front has read a request of it by the old ones: it is not sent
-// without one.
-func TestClassRequiresKeysOnceRead(t *testing.T) {
+// New settings require idempotency keys for a class after the front end has read a request of it under the old
+// settings: the request must not be sent without a key.
+func TestRequestWithoutKeyFailsAfterReload(t *testing.T) {
 	r := newTestRouter(t, "box", "parent", "origin")
 	err := r.UpdateSettings(routing.Settings{
 		Classes: []routing.Class{{
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -4,22 +4,22 @@
 
 // UpdateSettings puts new settings in force for later requests. On error, which names the field at fault, nothing
 // has changed.
-func (r *Router) UpdateSettings(set routing.Settings) error {
+func (r *Router) UpdateSettings(settings routing.Settings) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.admission.UpdateSettings(r.advanceLocked(), set); err != nil {
+	if err := r.admission.UpdateSettings(r.advanceLocked(), settings); err != nil {
 		return err
 	}
-	r.applySettingsLocked(set)
+	r.applySettingsLocked(settings)
 	return nil
 }
 
-// applySettingsLocked reads the settings that the router itself needs. r.mu is held, or r is not shared yet.
-func (r *Router) applySettingsLocked(set routing.Settings) {
-	r.resizeClassCounters(set)
-	r.loadFields = set.LoadReporting.Fields
+// applySettingsLocked stores the settings that the router itself uses. r.mu is held, or r is not shared yet.
+func (r *Router) applySettingsLocked(settings routing.Settings) {
+	r.resizeClassCounters(settings)
+	r.loadFields = settings.LoadReporting.Fields
 	r.keyedClasses = map[string]bool{}
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		r.keyedClasses[class.Name] = class.Idempotency == routing.IdempotentKey
 	}
 }
--- a/internal/router/watch_event.go
+++ b/internal/router/watch_event.go
@@ -10,24 +10,24 @@
 	ID        string
 	Addr      string // host and port
 	Zone      string
-	Kind      string // one of the settings' kinds
+	Kind      string // name of a kind in the settings
 	Cell      int64
 	Status    routing.EndpointStatus
 	Weight    float64
 	StartedAt float64 // Unix milliseconds; 0: long ago
 }
 
-// Purge says that copies made before a moment are out of date.
+// Purge invalidates the copies of objects that were made before a given time.
 type Purge struct {
 	Object string // empty: all objects of Group
 	Group  int64
 	Before float64 // Unix milliseconds
 }
 
-// WatchEvent is what the discovery service tells: the complete endpoint list, changes of it, or a purge.
+// WatchEvent is a notification of the discovery service: the complete endpoint list, changes of it, or a purge.
 type WatchEvent struct {
 	IsSnapshot bool     // Servers is the complete list
-	Servers    []Server // entries that are new or have changed
+	Servers    []Server // all entries, or without IsSnapshot those that are new or have changed
 	Purge      *Purge   // nil: the event is about the endpoint list
 }
 
@@ -56,7 +56,7 @@
 	r.step(routing.Event{Kind: routing.EventPurge, Object: p.Object, PurgeGroup: p.Group, PurgeAge: clock.Micros(age)})
 }
 
-// endpoint returns the entry in the module's form.
+// endpoint converts the entry to the module's type.
 func (s *Server) endpoint() routing.Endpoint {
 	return routing.Endpoint{
 		Server:    s.ID,
