--- a/internal/resp/array.go
+++ b/internal/resp/array.go
@@ -8,29 +8,29 @@
 	"strconv"
 )
 
-// Bounds of an array, in bytes unless they say otherwise. Lengths are checked before anything is allocated.
+// Bounds of an array, in bytes unless noted. Lengths are checked before anything is allocated.
 const (
-	// MaxBodySize is the longest body that a response may have; an object has 240,000 bytes at most.
+	// MaxBodySize is the maximum length of a response body; an object has at most 240,000 bytes.
 	MaxBodySize = 256 << 10
 
-	maxArrayLength = 8       // strings in an array
-	maxStringSize  = 4 << 10 // of every string but the body
+	maxArrayLength = 8       // number of strings in an array
+	maxStringSize  = 4 << 10 // of any string other than the body
 	maxLengthLine  = 16      // of a line such as "$12\r\n"
-	bodyIndex      = 3       // place of the body in commands and responses alike
+	bodyIndex      = 3       // index of the body, both in commands and in responses
 )
 
-// Each array and each string in it begins with a line of one of these marks and a length.
+// Each array and each string in it begins with a line that holds one of these type marks and a length.
 const (
 	arrayMark  = '*'
 	stringMark = '$'
 	lineEnd    = "\r\n"
 )
 
-// errMalformed is what every error wraps that means bytes which no server may send.
-var errMalformed = errors.New("malformed answer")
+// errMalformed is wrapped by every error that means that a server has violated the protocol.
+var errMalformed = errors.New("malformed response")
 
 // ReadArray reads one array of bulk strings: a command or a response. Lengths are checked before anything is allocated.
-// It returns io.EOF at an end of the stream between arrays, and io.ErrUnexpectedEOF at one within an array.
+// It returns io.EOF if the stream ends between arrays, and io.ErrUnexpectedEOF if it ends within one.
 func ReadArray(in *bufio.Reader) ([][]byte, error) {
 	length, err := readLength(in, arrayMark, maxArrayLength)
 	if err != nil {
@@ -61,12 +61,12 @@
 		return nil, err
 	}
 	if text[size] != '\r' || text[size+1] != '\n' {
-		return nil, fmt.Errorf("%w: bulk string without its end", errMalformed)
+		return nil, fmt.Errorf("%w: bulk string not terminated by CRLF", errMalformed)
 	}
 	return text[:size:size], nil
 }
 
-// unexpectedEOF makes an end of the stream within an array differ from one between arrays.
+// unexpectedEOF converts io.EOF within an array to io.ErrUnexpectedEOF; other errors are returned unchanged.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -74,7 +74,7 @@
 	return err
 }
 
-// readLength reads a line of a mark and a length, such as "$12\r\n".
+// readLength reads a line of a mark and a length, such as "$12\r\n", and returns the length, which is at most limit.
 func readLength(in *bufio.Reader, mark byte, limit int) (int, error) {
 	var line [maxLengthLine]byte
 	for i := range line {
@@ -94,10 +94,10 @@
 		}
 		break
 	}
-	return 0, fmt.Errorf("%w: no length after %q", errMalformed, mark)
+	return 0, fmt.Errorf("%w: no valid length after %q", errMalformed, mark)
 }
 
-// parseLength parses a whole line of a mark and a length; ok is false where it is none.
+// parseLength parses a complete line of a mark and a length; ok is false if the line is anything else.
 func parseLength(line []byte, mark byte) (length int, ok bool) {
 	digitsEnd := len(line) - len(lineEnd)
 	if digitsEnd < 2 || line[0] != mark || line[digitsEnd] != '\r' {
--- a/internal/resp/codec_test.go
+++ b/internal/resp/codec_test.go
@@ -16,12 +16,14 @@
 	"spantack/routing"
 )
 
+// drawArray draws an array of up to maxArrayLength short strings.
 func drawArray(t *rapid.T) [][]byte {
 	return rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 60), 0, maxArrayLength).Draw(t, "parts")
 }
 
-// However the network splits a stream of arrays, they come out as they went in.
-func TestCutArrays(t *testing.T) {
+// Arrays must be read as they were written, however the network splits the stream, and a truncated stream must not
+// look like a malformed one.
+func TestReadArrayFromSplitStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
 		want := rapid.SliceOfN(rapid.Custom(drawArray), 1, 4).Draw(t, "arrays")
@@ -40,14 +42,14 @@
 			if _, err := ReadArray(short); err == io.EOF || err == io.ErrUnexpectedEOF {
 				return
 			} else if err != nil {
-				t.Fatalf("a cut is no malformed array: %v", err)
+				t.Fatalf("a truncated stream gave: %v", err)
 			}
 		}
 	})
 }
 
-// Garbage ends in an error or a response, never in a panic or a large allocation.
-func TestGarbage(t *testing.T) {
+// Malformed input must give an error or a response, never a panic or a large allocation.
+func TestMalformedInputDoesNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		garbage := rapid.SliceOfN(rapid.SampledFrom([]byte("*$0149\r\nOKMISnlow=,-\x00")), 0, 80).Draw(t, "garbage")
 		if rapid.Bool().Draw(t, "damaged") {
@@ -59,22 +61,23 @@
 			_, _, err = parseResponse(parts)
 		}
 		if err != nil && err != io.EOF && err != io.ErrUnexpectedEOF && !errors.Is(err, errMalformed) {
-			t.Fatalf("unexpected kind of error: %v", err)
+			t.Fatalf("unexpected error: %v", err)
 		}
 	})
 }
 
-// A length is checked before anything is allocated for it, and only the body may be long.
-func TestLengths(t *testing.T) {
+// A length must be checked before anything is allocated for it; only the body may be longer than maxStringSize.
+func TestLengthsCheckedBeforeAllocation(t *testing.T) {
 	for _, malformed := range []string{"*9\r\n", "*-1\r\n", "*1\r\n$99999999\r\n", "*1\r\n$5000\r\n", "*1\r\n$1\r\nabc",
 		"$1\r\na\r\n", "*1\n$1\r\na\r\n", "*00000000000000001\r\n"} {
 		if _, err := ReadArray(bufio.NewReader(strings.NewReader(malformed))); !errors.Is(err, errMalformed) {
-			t.Errorf("%q: %v", malformed, err)
+			t.Errorf("%q: error %v, want errMalformed", malformed, err)
 		}
 	}
 }
 
-func TestAnswers(t *testing.T) {
+// Each outcome word and the fields of a response must be parsed; invalid values of known fields must be rejected.
+func TestParseResponse(t *testing.T) {
 	for _, test := range []struct {
 		parts []string
 		want  router.AttemptResult
@@ -98,17 +101,18 @@
 		}
 		id, got, err := parseResponse(parts)
 		if err != nil || id != "a" || !reflect.DeepEqual(got, test.want) {
-			t.Errorf("%q: %s %+v, %v", test.parts, id, got, err)
+			t.Errorf("%q: id %s, result %+v, error %v", test.parts, id, got, err)
 		}
 	}
 	for _, fields := range []string{"n=TCP_HOT", "slow=soon", "slow=NaN", "slow=-1"} {
 		if _, _, err := parseResponse([][]byte{[]byte("a"), []byte("OK"), []byte(fields), nil}); err == nil {
-			t.Errorf("%q passes", fields)
+			t.Errorf("%q was accepted", fields)
 		}
 	}
 }
 
-func TestGet(t *testing.T) {
+// The GET of an attempt must have all fields in order, and none for what the attempt does not set.
+func TestAppendGet(t *testing.T) {
 	request := &router.Request{ID: "9b1f", Class: "catalogue", Object: "7f3a", Chunk: 2, IdempotencyKey: "5c0f",
 		ClientETag: "4be0", Body: []byte("ask")}
 	got := string(appendGet(nil, router.Attempt{Request: request, Source: "s-00c41f7a", Timeout: 1499.9, RetentionRank: 1,
@@ -118,9 +122,9 @@
 	if got != want {
 		t.Errorf("got  %q\nwant %q", got, want)
 	}
-	// An age limit of 0 would mean the class's own, so a limit under a millisecond becomes 1. None is left out.
+	// An age limit of 0 would mean the class's own, so a limit below one millisecond becomes 1. No limit is left out.
 	bare := string(appendGet(nil, router.Attempt{Request: &router.Request{ID: "a"}}))
 	if strings.Contains(bare, "agelim") {
-		t.Errorf("%q", bare)
+		t.Errorf("agelim although the attempt has no MaxAge: %q", bare)
 	}
 }
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -9,13 +9,13 @@
 	"spantack/routing"
 )
 
-// The verbs of commands. A command is the array of a verb, the request's id and, of a GET, its fields and body.
+// Verbs of commands. A command is an array of a verb, the request's id and, for a GET, the fields and the body.
 const (
 	verbGet  = "GET"
 	verbDrop = "DROP"
 )
 
-// fetchFlagWords are the wire's words for the bits of an attempt's FetchFlags, in the order in which they are written.
+// fetchFlagWords are the words of the protocol for the bits of FetchFlags, in the order in which they are written.
 var fetchFlagWords = []struct {
 	flag routing.FetchFlags
 	word string
@@ -46,17 +46,17 @@
 	return AppendArray(buf, []byte(verbGet), []byte(attempt.ID), []byte(fields.String()), attempt.Body)
 }
 
-// appendDrop appends the command that gives up the attempt of a request.
+// appendDrop appends the command that cancels the attempt of a request at its server.
 func appendDrop(buf []byte, id string) []byte {
 	return AppendArray(buf, []byte(verbDrop), []byte(id))
 }
 
-// fieldList is a command's fields as name=value pairs with commas between them.
+// fieldList builds the fields of a command: name=value pairs, separated by commas.
 type fieldList struct {
 	strings.Builder
 }
 
-// add appends a field; an empty value leaves it out.
+// add appends a field, or nothing if the value is empty.
 func (l *fieldList) add(name, value string) {
 	if value == "" {
 		return
@@ -67,7 +67,7 @@
 	l.WriteString(name + "=" + value)
 }
 
-// formatFetchFlags joins the words of the bits that are set.
+// formatFetchFlags returns the words of the bits that are set, joined by "+".
 func formatFetchFlags(flags routing.FetchFlags) string {
 	var words []string
 	for _, bit := range fetchFlagWords {
@@ -78,8 +78,8 @@
 	return strings.Join(words, "+")
 }
 
-// floorMillis formats milliseconds rounded down, so that an age limit never admits more than was meant, but to 1 at
-// least: a 0 on the wire means the class's own limit.
+// floorMillis formats milliseconds, rounded down so that an age limit is never exceeded. The result is at least 1,
+// since a 0 in the protocol means the class's own limit.
 func floorMillis(ms float64) string {
 	return strconv.FormatFloat(max(math.Floor(ms), 1), 'f', 0, 64)
 }
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -12,40 +12,43 @@
 	"spantack/routing"
 )
 
-// conn is one connection to a server, with any number of attempts out on it. Its reader and writer run until it is
-// closed. Fields are guarded by Pools.mu unless they say otherwise; times are Unix milliseconds.
+// conn is one connection to a server, which carries up to Options.MaxStreams attempts. Its reader and writer run until
+// it is closed. Fields are guarded by Pools.mu unless noted; times are Unix milliseconds.
 type conn struct {
 	pool    *serverPool
-	netConn net.Conn      // owned; closed by close. Read, written and given deadlines without the lock
-	queue   chan command  // commands that the writer has not begun on; safe without the lock
+	netConn net.Conn      // owned; closed by close. Used without the lock for reads, writes and deadlines
+	queue   chan command  // commands that the writer has not started; safe without the lock
 	done    chan struct{} // closed with the connection; safe without the lock
 
-	attempts map[string]*pendingAttempt // out on this connection, by request id
+	attempts map[string]*pendingAttempt // in flight on this connection, by request id
 
-	// droppedAt holds ids whose DROP is queued or written here, by when: their next attempt must follow on this
-	// connection. unservedAt holds ids of which an attempt ended here unserved, by when: its response may come twice.
-	droppedAt  map[string]float64
+	// droppedAt holds the times at which a DROP was queued on this connection, by request id. The next attempt of such a
+	// request must use this connection.
+	droppedAt map[string]float64
+	// unservedAt holds the times at which an attempt ended unserved on this connection, by request id. The response to
+	// such an attempt may arrive twice.
 	unservedAt map[string]float64
 
-	idleTimer      *clock.Timer // closes the connection once it has been idle; nil or stopped while it is in use
+	idleTimer      *clock.Timer // closes the connection after it has been idle; nil or stopped while it is in use
 	lastUsedAt     float64
-	lastResponseAt float64 // 0: none came yet
-	bytesWritten   int64   // bytes of commands handed to the socket in full
+	lastResponseAt float64 // 0: none yet
+	bytesWritten   int64   // total size of the commands passed to the socket in full
 	closed         bool
 }
 
 // command is an entry of a connection's queue.
 type command struct {
 	encoded  []byte
-	attempt  *pendingAttempt // of a GET, which is written only while it is due; nil: a DROP
-	written  chan struct{}   // closed once written; nil: nobody waits
-	releases *pendingAttempt // whose delayedResult is given out once this is written; nil: none
+	attempt  *pendingAttempt // the attempt of a GET, which is written only while it may be sent; nil: a DROP
+	written  chan struct{}   // closed once the command is written; nil: not needed
+	releases *pendingAttempt // attempt whose delayedResult is delivered once this command is written; nil: none
 }
 
-// pools returns the owner of all connections.
+// pools returns the Pools that the connection belongs to.
 func (c *conn) pools() *Pools { return c.pool.pools }
 
-// enqueue puts an attempt into the connection's queue; if that is full, nothing is sent. Pools.mu is held.
+// enqueue queues an attempt on the connection. If the queue is full, the attempt ends as OutcomeSkipped: nothing was
+// sent. Pools.mu is held.
 func (c *conn) enqueue(a *pendingAttempt) {
 	id := a.attempt.ID
 	select {
@@ -62,26 +65,27 @@
 	c.idleTimer.Stop()
 }
 
-// queueDrop puts the DROP of an id into the queue, as the given command. Pools.mu is held.
+// queueDrop queues the DROP of a request id; drop holds the other fields of the command. Pools.mu is held.
 func (c *conn) queueDrop(id string, drop command) {
 	c.recordID(c.droppedAt, id)
 	drop.encoded = appendDrop(nil, id)
 	select {
 	case c.queue <- drop:
-	default: // the connection takes nothing more: its end gives up all that is out on it
+	default: // the queue is full: closing the connection cancels all attempts on it
 		c.close()
 	}
 }
 
-// recordID notes an id in droppedAt or unservedAt, and forgets those that are too old to matter. Pools.mu is held.
+// recordID adds an id to droppedAt or unservedAt, and removes the ids that are older than dropRetention. Pools.mu is
+// held.
 func (c *conn) recordID(ids map[string]float64, id string) {
 	now := c.pools().clock.Now()
 	maps.DeleteFunc(ids, func(_ string, at float64) bool { return now-at > dropRetention })
 	ids[id] = now
 }
 
-// closeWhenIdle starts the idle timer if nothing is out on the connection, or closes the connection at once if its
-// server has left the endpoint list. Pools.mu is held.
+// closeWhenIdle starts the idle timer if no attempt is in flight on the connection, or closes the connection at once if
+// its pool is retired. Pools.mu is held.
 func (c *conn) closeWhenIdle() {
 	if c.closed || len(c.attempts) > 0 {
 		return
@@ -104,7 +108,7 @@
 	c.idleTimer = timer
 }
 
-// close ends the connection and every attempt that is out on it. Pools.mu is held.
+// close closes the connection and ends every attempt in flight on it. Pools.mu is held.
 func (c *conn) close() {
 	if c.closed {
 		return
@@ -121,15 +125,15 @@
 	clear(c.attempts)
 }
 
-// resultOnClose is the result of an attempt whose connection closes under it. Pools.mu is held.
+// resultOnClose returns the result of an attempt in flight when its connection is closed. Pools.mu is held.
 func (a *pendingAttempt) resultOnClose() router.AttemptResult {
-	if !a.writeBegun { // still in the queue: the server never ran it
+	if !a.writeStarted { // still in the queue: it never ran
 		return router.AttemptResult{Outcome: routing.OutcomeConnectionRefused}
 	}
 	return *cmp.Or(a.delayedResult, &router.AttemptResult{Outcome: routing.OutcomeConnectionReset})
 }
 
-// abort closes the connection and discards what waits in its send queue. Pools.mu is held.
+// abort closes the connection and discards the data in its send queue. Pools.mu is held.
 func (c *conn) abort() {
 	if tcpConn, ok := c.netConn.(*net.TCPConn); ok && !c.closed {
 		tcpConn.SetLinger(0)
@@ -137,7 +141,7 @@
 	c.close()
 }
 
-// fail closes the connection after an error of its reader or writer, and records the fault if it is the server's.
+// fail closes the connection after an error of its reader or writer. It records a fault if the response was malformed.
 func (c *conn) fail(err error) {
 	pools := c.pools()
 	pools.mu.Lock()
@@ -148,7 +152,7 @@
 	c.close()
 }
 
-// remove takes a closed connection off its pool. Pools.mu is held.
+// remove removes a closed connection from its pool. Pools.mu is held.
 func (p *serverPool) remove(c *conn) {
 	if i := slices.Index(p.conns, c); i >= 0 {
 		p.conns = slices.Delete(p.conns, i, i+1)
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -15,22 +15,22 @@
 	"spantack/routing"
 )
 
-// Race conditions on a connection to a server. The fake server holds back what it reads or writes until the pool has
-// reached the point that the test is about. No test waits for time to pass, except where a time limit is what it tests.
+// The tests of this file cover race conditions on a connection to a server. The fake server delays its reads and writes
+// until the pool has reached the state under test. No test waits for time to pass, except tests of a time limit.
 
-// stuckBody is more than the sockets' buffers hold: its write is stuck until the fake server reads.
+// stuckBody is larger than the sockets' buffers: its write is stuck until the fake server reads.
 var stuckBody = []byte(strings.Repeat("x", 32<<20))
 
-// newSharedPools returns pools with one connection for all attempts.
+// newSharedPools returns pools in which all attempts share one connection.
 func newSharedPools(t *testing.T, addr string, maxSendDelay float64) *Pools {
 	options := Options{DialTimeout: 5000, IdleTimeout: 30_000, MaxStreams: 8, MaxConns: 1, MaxSendDelay: maxSendDelay}
 	pools := NewPools(t.Context(), options, clock.NewFake(1000), zerolog.Nop())
-	pools.timeouts.write = longerThanAnyWait // a write that is stuck is still so when the test goes on
+	pools.timeouts.write = longerThanAnyWait // a stuck write does not time out during the test
 	applyServer(pools, "s-1", addr)
 	return pools
 }
 
-// sendStuck sends an attempt whose write does not end, and returns once the fake server has its first byte.
+// sendStuck sends an attempt whose write gets stuck, and returns once the fake server has received its first byte.
 func sendStuck(t *testing.T, pools *Pools, conn *fakeConn) router.PendingAttempt {
 	t.Helper()
 	pending := pools.Send(router.Attempt{Request: &router.Request{ID: "stuck", Body: stuckBody}, Server: "s-1"})
@@ -40,18 +40,18 @@
 	return pending
 }
 
-// openConns is the number of connections that are open or being dialed.
+// openConns returns the number of connections that are open or being dialed.
 func (p *Pools) openConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connCount
 }
 
-// readRest discards all that still comes, and returns its length and the error that ended it.
+// readRest discards all further data, and returns its length and the error that ended it, nil for io.EOF.
 func (c *fakeConn) readRest() (n int64, err error) { return io.Copy(io.Discard, c.in) }
 
-// The DROP of an attempt is stuck behind another's write, and the server has responded since, so that it is not silent:
-// the connection must be closed before Cancel returns, or two attempts of the request could be out at once.
+// The DROP of an attempt is stuck behind the write of another attempt, and the connection is not silent. Cancel must
+// close the connection before it returns, or two attempts of the request could be in flight at once.
 func TestDropBehindStuckWrite(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
@@ -63,13 +63,13 @@
 	wantOutcome(t, other, routing.OutcomeServed)
 	pending.Cancel(true)
 	if n := pools.openConns(); n != 0 {
-		t.Errorf("%d connections open, the attempt on it not given up", n)
+		t.Errorf("%d connections open, want 0: the attempt is not canceled", n)
 	}
-	wantOutcome(t, stuck, routing.OutcomeConnectionReset) // part of it went out, and may have run
+	wantOutcome(t, stuck, routing.OutcomeConnectionReset) // part of it was sent, so it may have run
 }
 
-// A client leaves while its own request is half written: the server must not get all of it later.
-func TestLeftInTheMiddleOfAWrite(t *testing.T) {
+// A client leaves while its request is partly written: the server must not receive the rest of it later.
+func TestClientDepartsDuringWrite(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
 	send(pools, "a")
@@ -77,15 +77,16 @@
 	conn.expect("GET a")
 	sendStuck(t, pools, conn).Cancel(false)
 	if n, _ := conn.readRest(); n >= int64(len(stuckBody)) {
-		t.Errorf("%d bytes came: the request was sent in full", n)
+		t.Errorf("%d bytes received: the request was sent in full", n)
 	}
 	if n := pools.openConns(); n != 0 {
-		t.Errorf("%d connections open", n)
+		t.Errorf("%d connections open, want 0", n)
 	}
 }
 
-// A client leaves while its request waits behind a stuck write: neither it nor its DROP goes out after that write.
-func TestLeftInTheQueue(t *testing.T) {
+// A client leaves while its request is queued behind a stuck write: neither the request nor a DROP for it is sent after
+// that write.
+func TestClientDepartsWhileQueued(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
 	send(pools, "first")
@@ -95,7 +96,7 @@
 	send(pools, "left").Cancel(false)
 	send(pools, "stays")
 	discard := make([]byte, len(stuckBody))
-	for bodyIsNext := false; !bodyIsNext; { // the stuck command, whose body is too long for ReadArray
+	for bodyIsNext := false; !bodyIsNext; { // the stuck command; its body is too long for ReadArray
 		line, err := conn.in.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
@@ -109,9 +110,9 @@
 	conn.expect("GET stays")
 }
 
-// A write that is stuck is not waited for beyond MaxSendDelay: what was half written is no request, and what waits
-// behind it never ran.
-func TestStuckPastTheGrace(t *testing.T) {
+// A stuck write must end after MaxSendDelay. The partly written attempt and the one queued behind it end as refused,
+// since neither can have run.
+func TestWriteStuckPastMaxSendDelay(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 500)
 	pending := send(pools, "first")
@@ -120,7 +121,7 @@
 	stuck, behind := newAttempt(pools, "stuck"), newAttempt(pools, "behind")
 	stuck.attempt.Body = stuckBody
 	pools.mu.Lock()
-	for _, next := range []*pendingAttempt{stuck, behind} { // at once, or the first may end before the second is queued
+	for _, next := range []*pendingAttempt{stuck, behind} { // under one lock, or the first may end too early
 		pools.servers["s-1"].conns[0].enqueue(next)
 	}
 	pools.mu.Unlock()
@@ -129,18 +130,19 @@
 	}
 	wantOutcome(t, stuck, routing.OutcomeConnectionRefused)
 	wantOutcome(t, behind, routing.OutcomeConnectionRefused)
-	wantOutcome(t, pending, routing.OutcomeConnectionReset) // it was with the server
+	wantOutcome(t, pending, routing.OutcomeConnectionReset) // it was sent in full
 }
 
-// The server closed an idle connection while an attempt was on its way to it: nothing of the attempt got through.
-func TestEarlyCloseCrossesGet(t *testing.T) {
+// The server closes an idle connection while an attempt is about to be sent on it: the attempt must end as refused,
+// since the server received nothing of it.
+func TestServerCloseCrossesGet(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	netConn := testwait.Dial(t, server.addr())
 	peer := server.accept()
 	peer.Conn.(*net.TCPConn).SetLinger(0)
 	peer.Close()
-	netConn.Read(make([]byte, 1)) // the reset is here
+	netConn.Read(make([]byte, 1)) // waits for the reset
 	pending := newAttempt(pools, "a")
 	conn := newTestConn(pools, netConn)
 	pools.mu.Lock()
@@ -153,12 +155,12 @@
 	pending = newAttempt(pools, "b")
 	pools.mu.Lock()
 	conn.enqueue(pending)
-	conn.close() // the reader saw the close first
+	conn.close() // as the reader does when it notices the close first
 	pools.mu.Unlock()
 	wantOutcome(t, pending, routing.OutcomeConnectionRefused)
 }
 
-// newAttempt returns an attempt that is not sent yet, chosen at the start of the fake clock.
+// newAttempt returns an attempt that has not been sent. Its server was chosen at the start of the fake clock.
 func newAttempt(pools *Pools, id string) *pendingAttempt {
 	return &pendingAttempt{
 		pools:    pools,
@@ -168,7 +170,7 @@
 	}
 }
 
-// newTestConn returns a connection without reader and writer.
+// newTestConn returns a connection whose reader and writer are not started.
 func newTestConn(pools *Pools, netConn net.Conn) *conn {
 	return &conn{
 		pool:       pools.servers["s-1"],
@@ -181,9 +183,9 @@
 	}
 }
 
-// A response comes twice, the second time when the next attempt of its request is out on the same connection: it may
-// end that attempt only once the server was told to give it up, or a third one would go out beside it.
-func TestSecondAnswer(t *testing.T) {
+// A response arrives twice, the second time while the next attempt of its request is in flight on the same connection.
+// It may end that attempt only after a DROP was sent for it, or a third attempt could be in flight beside it.
+func TestDuplicateResponseDuringRetry(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	pending, conn := sendFirst(pools, server)
@@ -193,15 +195,15 @@
 	conn.expect("GET a")
 	conn.respond("a", "MISS", "-", "")
 	wantOutcome(t, pending, routing.OutcomeMiss)
-	next := send(pools, "b") // stands for the third attempt: by now the second is given up
+	next := send(pools, "b") // takes the place of the third attempt: the DROP of the second comes first
 	conn.expect("DROP a", "GET b")
 	conn.respond("b", "MISS", "-", "")
 	wantOutcome(t, next, routing.OutcomeMiss)
 }
 
-// The same where the first attempt was given up and its response crossed the DROP. A request may be served by the
-// response of any of its attempts.
-func TestLateAnswer(t *testing.T) {
+// The first attempt was canceled, and its response crossed the DROP. A DROP must be sent for the second attempt too.
+// The request may be served by the response to either of its attempts.
+func TestLateResponseAfterDrop(t *testing.T) {
 	for word, outcome := range map[string]routing.AttemptOutcome{
 		"BUSY": routing.OutcomeRejected,
 		"OK":   routing.OutcomeServed,
@@ -209,7 +211,7 @@
 		server := listen(t)
 		pools, _ := newPools(t, server.addr())
 		pending, conn := sendFirst(pools, server)
-		conn.proveAlive(pools)
+		conn.sendUnmatchedResponse(pools)
 		pending.Cancel(true)
 		pending = send(pools, "a")
 		conn.expect("DROP a", "GET a")
@@ -220,8 +222,8 @@
 	}
 }
 
-// dialLocked returns an attempt whose connection has come up and waits for Pools.mu, which it leaves locked: the caller
-// unlocks it.
+// dialLocked returns an attempt whose connection is established and waits for Pools.mu to be added to the pool. It
+// returns with Pools.mu locked; the caller unlocks it.
 func dialLocked(pools *Pools, fake *fakeServer) (pending *pendingAttempt, server *serverPool, conn *fakeConn) {
 	pending = newAttempt(pools, "a")
 	pools.mu.Lock()
@@ -232,8 +234,9 @@
 	return pending, server, fake.accept()
 }
 
-// The connection comes up after its server left the list: the attempt is not sent, since another machine may be there.
-func TestLeftTheListWhileDialling(t *testing.T) {
+// The connection is established after its server left the endpoint list: the attempt must not be sent, since another
+// machine may have the address.
+func TestServerRemovedWhileDialing(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	pending, pool, conn := dialLocked(pools, server)
@@ -241,18 +244,19 @@
 	pools.mu.Unlock()
 	wantOutcome(t, pending, routing.OutcomeConnectionRefused)
 	if n, err := conn.readRest(); n != 0 || err != nil {
-		t.Errorf("%d bytes (%v) on a connection to a server that left", n, err)
+		t.Errorf("%d bytes (error %v) on a connection to a removed server", n, err)
 	}
 }
 
-// The connection comes up after the client left: its request is not sent, and the connection serves the next one.
-func TestLeftWhileDialling(t *testing.T) {
+// The connection is established after the client left: its request must not be sent, and the connection is used for the
+// next one.
+func TestClientDepartsWhileDialing(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
 	pending, pool, conn := dialLocked(pools, server)
-	pending.finished = true // Cancel, which finds no connection yet
+	pending.finished = true // as Cancel does while there is no connection yet
 	pools.mu.Unlock()
-	testwait.Until(t, "the connection to be up", func() bool {
+	testwait.Until(t, "the connection to be established", func() bool {
 		pools.mu.Lock()
 		defer pools.mu.Unlock()
 		return len(pool.conns) == 1
@@ -261,18 +265,18 @@
 	conn.expect("GET next")
 }
 
-// An attempt waits for a connection that comes up too late: it is not sent, and its outcome proves that. The limit is
-// SendWithin where that is shorter than MaxSendDelay, and the MaxSendDelay of settings that came after the choice.
-func TestUpTooLate(t *testing.T) {
+// An attempt waits for a connection that is established too late: it must not be sent, and must end as refused. The
+// limit is the shorter of SendWithin and MaxSendDelay, also if MaxSendDelay was changed after the server was chosen.
+func TestConnectionEstablishedTooLate(t *testing.T) {
 	for name, limits := range map[string]struct{ maxSendDelay, sendWithin float64 }{
-		"repeat past its window": {300, 150},
-		"shorter grace":          {150, 0},
+		"SendWithin exceeded":   {300, 150},
+		"MaxSendDelay exceeded": {150, 0},
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			server := listen(t)
 			pools, fake := newPools(t, server.addr())
 			pools.SetMaxSendDelay(limits.maxSendDelay)
-			fake.Advance(200) // since its choice
+			fake.Advance(200) // since its server was chosen
 			pending, _, conn := dialLocked(pools, server)
 			pending.attempt.SendWithin = limits.sendWithin
 			pools.mu.Unlock()
@@ -283,24 +287,24 @@
 	}
 }
 
-// An attempt with side effects never ran, so its request goes to the same server again, and then the first response
-// comes a second time. It must not end the second attempt as one that never ran, or a third could run besides.
-func TestSecondAnswerOfAnEffect(t *testing.T) {
+// An attempt with side effects was rejected, so its request is sent to the same server again. Then the first response
+// arrives a second time. It must not end the second attempt as one that never ran, or a third could run beside it.
+func TestDuplicateResponseWithSideEffects(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
-	again := func() router.PendingAttempt {
+	sendWithSideEffects := func() router.PendingAttempt {
 		return pools.Send(router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1", HasSideEffects: true})
 	}
-	pending := again()
+	pending := sendWithSideEffects()
 	conn := server.accept()
 	conn.expect("GET a")
 	conn.respond("a", "BUSY", "-", "")
 	wantOutcome(t, pending, routing.OutcomeRejected)
-	pending = again()
-	second := server.accept() // it does not go to the same connection
+	pending = sendWithSideEffects()
+	second := server.accept() // it must not use the same connection
 	second.expect("GET a")
 	conn.respond("a", "BUSY", "-", "")
-	crossed := send(pools, "b") // once it is answered, the second BUSY has been read
+	crossed := send(pools, "b") // once it has its response, the second BUSY has been read
 	conn.expect("GET b")
 	conn.respond("b", "MISS", "-", "")
 	wantOutcome(t, crossed, routing.OutcomeMiss)
@@ -308,13 +312,13 @@
 	wantOutcome(t, pending, routing.OutcomeServed)
 }
 
-// An attempt that was given up is served late, with a copy older than the next attempt may take, since a purge was
-// notified in between. That is not the next attempt's response, which comes after it.
-func TestLateAnswerOfAnOlderCopy(t *testing.T) {
+// A canceled attempt is served late, with a copy older than the MaxAge of the next attempt, since a purge arrived in
+// between. This response must be ignored: the next attempt's own response comes after it.
+func TestLateResponseWithOlderCopy(t *testing.T) {
 	server := listen(t)
 	pools, fake := newPools(t, server.addr())
 	pending, conn := sendFirst(pools, server)
-	conn.proveAlive(pools)
+	conn.sendUnmatchedResponse(pools)
 	pending.Cancel(true)
 	fake.Advance(500)
 	pending = pools.Send(router.Attempt{Request: &router.Request{ID: "a"}, Server: "s-1", MaxAge: 400})
@@ -322,12 +326,12 @@
 	conn.respond("a", "OK", "t0=1000", "from before the purge")
 	conn.respond("a", "OK", "t0=1200", "from after it")
 	if result := wantOutcome(t, pending, routing.OutcomeServed); string(result.Body) != "from after it" {
-		t.Errorf("answered with the copy %q", result.Body)
+		t.Errorf("served the copy %q", result.Body)
 	}
 }
 
-// The idle timer of a connection fires just as an attempt comes and ends on it: the connection is not closed.
-func TestIdleTimeCrossesUse(t *testing.T) {
+// The idle timer of a connection fires while an attempt starts and ends on it: the connection must stay open.
+func TestIdleTimerCrossesUse(t *testing.T) {
 	server := listen(t)
 	pools, fake := newPools(t, server.addr())
 	pending, conn := sendFirst(pools, server)
@@ -343,21 +347,21 @@
 		defer close(advanced)
 		fake.Advance(idleCloseShare * pools.options.IdleTimeout)
 	}()
-	// From then on the timer's function waits for the lock.
+	// From this point on, the timer's function waits for the lock.
 	testwait.Until(t, "the idle time to be over", func() bool { return fake.Now() >= due })
 	idle.attempts["b"] = newAttempt(pools, "b")
 	idle.idleTimer.Stop()
 	delete(idle.attempts, "b")
 	idle.closeWhenIdle()
 	pools.mu.Unlock()
-	testwait.Receive(t, advanced, "the timer of the idle time")
+	testwait.Receive(t, advanced, "the idle timer to have run")
 	if pools.openConns() != 1 {
-		t.Error("closed at once after use")
+		t.Error("connection closed right after use")
 	}
 }
 
-// A response stops short that began in the same read as the one before: attempts behind it must not wait forever.
-func TestStallBehindAnAnswer(t *testing.T) {
+// A response whose start was read together with the previous response stops halfway: its attempt must not wait forever.
+func TestStallAfterCompleteResponse(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
 	first := send(pools, "a")
@@ -368,8 +372,8 @@
 	conn.Write([]byte("*2\r\n$1\r\na\r\n$4\r\nMISS\r\n*2\r\n$1\r\nb"))
 	wantOutcome(t, first, routing.OutcomeMiss)
 	limit := 10 * stallTimeout * time.Millisecond
-	result := testwait.ReceiveWithin(t, limit, second.Done(), "an attempt behind a response that does not end")
+	result := testwait.ReceiveWithin(t, limit, second.Done(), "an attempt whose response is incomplete")
 	if result.Outcome != routing.OutcomeConnectionReset {
-		t.Errorf("%v behind a response that does not end", result.Outcome)
+		t.Errorf("outcome %v after an incomplete response", result.Outcome)
 	}
 }
--- a/internal/resp/pools.go
+++ b/internal/resp/pools.go
@@ -1,5 +1,5 @@
 // Package resp sends attempts to edge caches, parents and the origin. Commands and responses are RESP arrays of bulk
-// strings, over pooled connections that carry many attempts each; responses come in any order.
+// strings. Each of the pooled connections carries several attempts at once, and responses arrive in any order.
 package resp
 
 import (
@@ -15,55 +15,55 @@
 	"spantack/routing"
 )
 
-// Options are the figures that the settings and the process's limits give to the pools. Times are milliseconds.
+// Options are the limits of the pools, from the settings and the limits of the process. Times are milliseconds.
 type Options struct {
 	DialTimeout  float64
-	IdleTimeout  float64 // servers close a connection that has been idle for so long
-	MaxStreams   int     // attempts out at once on one connection
-	MaxConns     int     // connections to all servers together
-	MaxSendDelay float64 // an attempt that was not written so long after its choice is not sent; 0: no bound
+	IdleTimeout  float64 // idle time after which servers close a connection
+	MaxStreams   int     // attempts in flight at once on one connection
+	MaxConns     int     // total of connections to all servers
+	MaxSendDelay float64 // an attempt is not sent later than this after its server was chosen; 0: no bound
 }
 
 // Bounds of connections to servers; times are milliseconds.
 const (
-	idleCloseShare    = 0.8     // of IdleTimeout: closing before the server does, so that its close crosses no attempt
+	idleCloseShare    = 0.8     // of IdleTimeout; the close comes before the server's, which could cross an attempt
 	writeTimeout      = 2000    // for one command
-	minWriteTimeout   = 20      // for an attempt that is due at the last moment
-	queueCapacity     = 64      // commands waiting to be written on one connection
-	dropWriteTimeout  = 20      // for a DROP to be written while its Cancel waits
-	dropRetention     = 2000    // within which the next attempt of a dropped id would come
-	maxSilence        = 250     // without a response, after which a connection whose attempt was given up is closed
-	stallTimeout      = 1000    // within a response, without a further byte
+	minWriteTimeout   = 20      // for an attempt with hardly any time left to be sent
+	queueCapacity     = 64      // commands that wait to be written on one connection
+	dropWriteTimeout  = 20      // for which Cancel waits for its DROP to be written
+	dropRetention     = 2000    // within which the next attempt of a dropped request would be sent
+	maxSilence        = 250     // without a response, after which a connection is closed when its attempt is canceled
+	stallTimeout      = 1000    // without a further byte within a response
 	readBufferSize    = 4 << 10 // bytes
 	maxConnsPerServer = 24      // connections to one server before attempts share them
 )
 
 // Pools holds the connections to all servers. It implements router.Upstream, and is safe for concurrent use. A server
-// is an id together with an address: addresses are used again, and what was out at the old machine must not be mixed
-// with what is out at the new one.
+// is identified by its id together with its address: addresses are reused, and attempts in flight at the old machine
+// must not be mixed up with those at the new one.
 type Pools struct {
 	clock *clock.Clock
 	log   zerolog.Logger
 	ctx   context.Context // ends all connections
 
 	timeouts        timeouts     // set before the first Send
-	attemptsWritten atomic.Int64 // attempts handed to a socket in full
+	attemptsWritten atomic.Int64 // attempts passed to a socket in full
 
-	mu         sync.Mutex             // guards all below, and the fields of pools, connections and attempts
-	options    Options                // only MaxSendDelay changes: the others are read without the lock
+	mu         sync.Mutex             // guards the fields below, and those of pools, connections and attempts
+	options    Options                // only MaxSendDelay changes; the others are read without the lock
 	servers    map[string]*serverPool // by id; only those on the endpoint list
 	connCount  int                    // connections open and being dialed
-	faultCount int                    // responses that were malformed, and dials without a free descriptor
+	faultCount int                    // malformed responses, and dials that failed for lack of descriptors
 	faultLog   ratelog.Limiter
 }
 
-// timeouts bound writes to servers, in milliseconds. Tests lengthen them.
+// timeouts bound the time of writes to servers, in milliseconds. Tests increase them.
 type timeouts struct {
 	write float64 // of one command
-	drop  float64 // of a Cancel's wait for its DROP to be written
+	drop  float64 // for which Cancel waits for its DROP to be written
 }
 
-// NewPools returns pools without servers. The end of ctx closes their connections.
+// NewPools returns pools without servers. All connections are closed when ctx ends.
 func NewPools(ctx context.Context, options Options, clock *clock.Clock, log zerolog.Logger) *Pools {
 	return &Pools{
 		options:  options,
@@ -75,14 +75,15 @@
 	}
 }
 
-// SetMaxSendDelay replaces Options.MaxSendDelay, for attempts that are not written yet too.
+// SetMaxSendDelay sets Options.MaxSendDelay, in milliseconds. It also applies to attempts that are not written yet.
 func (p *Pools) SetMaxSendDelay(ms float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.options.MaxSendDelay = ms
 }
 
-// Apply keeps the addresses in step with the endpoint list. Attempts out at a server that left the list go on.
+// Apply updates the servers and their addresses from an event of the endpoint list; purges are ignored. Attempts in
+// flight at a server that left the list continue.
 func (p *Pools) Apply(event router.WatchEvent) {
 	if event.Purge != nil {
 		return
@@ -109,7 +110,7 @@
 	}
 }
 
-// retireUnlisted retires every server that a snapshot of the endpoint list left out. p.mu is held.
+// retireUnlisted retires every server that a snapshot of the endpoint list does not contain. p.mu is held.
 func (p *Pools) retireUnlisted(listed map[string]bool) {
 	for id, server := range p.servers {
 		if !listed[id] {
@@ -118,8 +119,8 @@
 	}
 }
 
-// Send implements router.Upstream. An attempt that finds no room, or whose server left the list since it was chosen,
-// ends as OutcomeSkipped: nothing was sent.
+// Send implements router.Upstream. An attempt ends as OutcomeSkipped, with nothing sent, if no connection has room for
+// it or if its server has left the endpoint list since it was chosen.
 func (p *Pools) Send(attempt router.Attempt) router.PendingAttempt {
 	pending := &pendingAttempt{
 		pools:    p,
@@ -148,9 +149,9 @@
 	return pending
 }
 
-// freeConnSlot reports whether a connection may be dialed. If isNeeded is set and all slots are taken, it closes the
-// connection that has been idle for longest: a server without any must not wait for those that others no longer use.
-// p.mu is held.
+// freeConnSlot reports whether a connection may be dialed. If MaxConns is reached and isNeeded is set, it closes the
+// connection that has been idle for the longest time, so that idle connections to other servers don't keep a server
+// without a usable connection waiting. p.mu is held.
 func (p *Pools) freeConnSlot(isNeeded bool) bool {
 	if p.connCount < p.options.MaxConns {
 		return true
@@ -173,7 +174,7 @@
 	return true
 }
 
-// AttemptsWritten is the number of attempts that were written to servers in full.
+// AttemptsWritten returns the number of attempts that were written to servers in full.
 func (p *Pools) AttemptsWritten() int64 { return p.attemptsWritten.Load() }
 
 // recordFault counts a fault of a server or of the system, and logs at most one per ratelog.Interval. p.mu is held.
--- a/internal/resp/pools_test.go
+++ b/internal/resp/pools_test.go
@@ -19,7 +19,7 @@
 	"spantack/routing"
 )
 
-// fakeServer is the listener of a server that the test plays.
+// fakeServer is the listener of a server that the test implements.
 type fakeServer struct {
 	t *testing.T
 	net.Listener
@@ -51,6 +51,7 @@
 	return string(parts[0]) + " " + string(parts[1])
 }
 
+// expect reads the next commands and checks the verb and id of each.
 func (c *fakeConn) expect(want ...string) {
 	c.t.Helper()
 	for _, command := range want {
@@ -60,6 +61,7 @@
 	}
 }
 
+// respond writes a response.
 func (c *fakeConn) respond(words ...string) {
 	var parts [][]byte
 	for _, word := range words {
@@ -68,21 +70,21 @@
 	c.Write(AppendArray(nil, parts...))
 }
 
-// longerThanAnyWait is a time limit for writes in milliseconds, longer than any wait of a test: a test that passes has
-// not waited for it.
+// longerThanAnyWait is a time limit for writes, in milliseconds. It is longer than any wait of a test, so a test that
+// passes has not reached it.
 var longerThanAnyWait = 10 * float64(testwait.Limit.Milliseconds())
 
-// newPools returns pools of up to two connections, with one server on the list.
+// newPools returns pools of up to two connections, with one server on the endpoint list.
 func newPools(t *testing.T, addr string) (*Pools, *clock.Clock) {
 	fake := clock.NewFake(1000)
 	options := Options{DialTimeout: 5000, IdleTimeout: 30_000, MaxStreams: 2, MaxConns: 2, MaxSendDelay: 300}
 	pools := NewPools(t.Context(), options, fake, zerolog.Nop())
-	pools.timeouts.drop = longerThanAnyWait // none is stuck
+	pools.timeouts.drop = longerThanAnyWait // no write gets stuck
 	applyServer(pools, "s-1", addr)
 	return pools, fake
 }
 
-// applyServer puts a server on the endpoint list.
+// applyServer adds a server to the endpoint list.
 func applyServer(pools *Pools, id, addr string) {
 	pools.Apply(router.WatchEvent{Servers: []router.Server{{ID: id, Addr: addr, Status: "healthy"}}})
 }
@@ -92,7 +94,7 @@
 	return pools.Send(router.Attempt{Request: &router.Request{ID: id}, Server: "s-1"})
 }
 
-// sendFirst returns an attempt that has reached the fake server, and its connection, the first one to it.
+// sendFirst returns an attempt that has reached the fake server, and the connection to it, which is the first one.
 func sendFirst(pools *Pools, server *fakeServer) (router.PendingAttempt, *fakeConn) {
 	pending := send(pools, "a")
 	conn := server.accept()
@@ -100,8 +102,9 @@
 	return pending, conn
 }
 
-// proveAlive writes a response to no attempt and returns once it is read: the server does not count as silent then.
-func (c *fakeConn) proveAlive(pools *Pools) {
+// sendUnmatchedResponse writes a response with an unknown id and returns once it is read: the connection does not count
+// as silent then.
+func (c *fakeConn) sendUnmatchedResponse(pools *Pools) {
 	c.respond("x", "VOID", "-", "")
 	testwait.Until(c.t, "a response to be read", func() bool {
 		pools.mu.Lock()
@@ -112,6 +115,7 @@
 
 func (s *fakeServer) addr() string { return s.Addr().String() }
 
+// wantOutcome waits for the result of an attempt, checks its outcome and returns it.
 func wantOutcome(t *testing.T, pending router.PendingAttempt, want routing.AttemptOutcome) router.AttemptResult {
 	t.Helper()
 	result := testwait.Receive(t, pending.Done(), fmt.Sprintf("an attempt to end %q", want))
@@ -121,8 +125,8 @@
 	return result
 }
 
-// Responses find their attempts in any order, two connections are opened before one is shared, and none gets more than
-// MaxStreams attempts: one that finds no room was never sent.
+// Responses are matched to their attempts in any order. New connections are opened up to MaxConns before one is shared.
+// No connection carries more than MaxStreams attempts: another attempt ends as skipped.
 func TestConnectionsAreShared(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
@@ -137,7 +141,7 @@
 	ids := []string{conn.readCommand(), second.readCommand()}
 	slices.Sort(ids)
 	if ids[0] != "GET c" || ids[1] != "GET d" {
-		t.Fatalf("shared by %q", ids)
+		t.Fatalf("shared connections got %q", ids)
 	}
 	second.respond("b", "OK", "n=TCP_HIT", "bytes of b")
 	conn.respond("a", "MISS", "-", "")
@@ -147,31 +151,32 @@
 	wantOutcome(t, a, routing.OutcomeMiss)
 	conn.Close()
 	second.Close()
-	for _, pending := range more { // a broken connection proves nothing
+	for _, pending := range more { // a broken connection does not show whether it ran
 		wantOutcome(t, pending, routing.OutcomeConnectionReset)
 	}
 }
 
-// The next attempt of a request goes behind the DROP of the one before, on its connection: the server must never see
-// two of them at once.
-func TestDropThenGet(t *testing.T) {
+// The next attempt of a request must follow the DROP of the previous one on the same connection, so that the server
+// never has two of them at once.
+func TestRetryFollowsDropOnSameConnection(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	pending, conn := sendFirst(pools, server)
 	conn.respond("a", "OK", "-", "x")
 	wantOutcome(t, pending, routing.OutcomeServed)
-	pending = send(pools, "a") // the last response came at the time when this was sent
+	pending = send(pools, "a") // queued at the time of the last response
 	conn.expect("GET a")
 	pending.Cancel(true)
-	again := send(pools, "a")
+	retry := send(pools, "a")
 	conn.expect("DROP a", "GET a")
 	conn.respond("a", "OK", "-", "x")
-	wantOutcome(t, again, routing.OutcomeServed)
+	wantOutcome(t, retry, routing.OutcomeServed)
 }
 
-// A machine that is cut off never reads the DROP. Both a GET on the same silent connection (fleet day, seed 11) and one
-// to another server (seed 15) counted as hedged requests: the silent connection must be closed before Cancel returns.
-func TestDropOnSilentConnection(t *testing.T) {
+// A machine that is cut off never reads the DROP, so Cancel must close a silent connection before it returns. Otherwise
+// the next GET counts as a hedged request, be it on the same connection (fleet day, seed 11) or at another server
+// (seed 15).
+func TestCancelClosesSilentConnection(t *testing.T) {
 	server := listen(t)
 	pools, fake := newPools(t, server.addr())
 	fake.Advance(1)
@@ -183,17 +188,17 @@
 	pools.mu.Unlock()
 	conn.expect("DROP a")
 	if _, err := ReadArray(conn.in); err != io.EOF {
-		t.Errorf("on the silent connection: %v", err)
+		t.Errorf("after the DROP on the silent connection: %v, want EOF", err)
 	}
-	again := send(pools, "a")
+	retry := send(pools, "a")
 	second := server.accept()
 	second.expect("GET a")
 	second.respond("a", "OK", "-", "x")
-	wantOutcome(t, again, routing.OutcomeServed)
+	wantOutcome(t, retry, routing.OutcomeServed)
 }
 
-// Idle connections to one server do not keep another server from its first.
-func TestIdleConnectionsGiveWay(t *testing.T) {
+// Idle connections to one server must not prevent the first connection to another when MaxConns is reached.
+func TestIdleConnectionsClosedForOtherServer(t *testing.T) {
 	server, other := listen(t), listen(t)
 	pools, _ := newPools(t, server.addr())
 	applyServer(pools, "s-2", other.addr())
@@ -209,14 +214,14 @@
 	other.accept().expect("GET c")
 }
 
-// Nothing listens: the refused connection proves that nothing ran.
-func TestRefused(t *testing.T) {
+// If no process listens at the address, the attempt ends as refused, since it can't have run.
+func TestConnectionRefused(t *testing.T) {
 	pools, _ := newPools(t, loopback.FreeAddress())
 	wantOutcome(t, send(pools, "a"), routing.OutcomeConnectionRefused)
 }
 
-// A new machine at an old address gets a connection of its own, and a server that left the list gets nothing.
-func TestAddressReused(t *testing.T) {
+// A new server at a reused address gets a new connection, and a server that left the endpoint list gets no attempts.
+func TestReusedAddressGetsNewConnection(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	pending, old := sendFirst(pools, server)
@@ -228,45 +233,46 @@
 	old.respond("a", "OK", "-", "late but complete")
 	wantOutcome(t, pending, routing.OutcomeServed)
 	if _, err := old.in.ReadByte(); err == nil {
-		t.Error("the old connection stays open with nothing out on it")
+		t.Error("the old connection is still open without attempts")
 	}
 	fresh.Cancel(false)
 }
 
-// A malformed response ends the connection and the attempts out on it, not the process.
-func TestMalformed(t *testing.T) {
+// A malformed response must close the connection and end the attempts in flight on it, but not the process.
+func TestMalformedResponseClosesConnection(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	pending, conn := sendFirst(pools, server)
 	conn.Write([]byte("HTTP/1.1 200 OK\r\n"))
 	wantOutcome(t, pending, routing.OutcomeConnectionReset)
 	if pools.mu.Lock(); pools.faultCount != 1 {
-		t.Errorf("%d faults counted", pools.faultCount)
+		t.Errorf("%d faults counted, want 1", pools.faultCount)
 	}
 	pools.mu.Unlock()
 }
 
-// An idle connection is closed here before the server closes it: an attempt that crosses a close proves nothing.
-func TestIdle(t *testing.T) {
+// An idle connection must be closed before the server closes it: for an attempt that crosses the server's close, it is
+// not known whether it ran.
+func TestIdleConnectionClosedBeforeServerDoes(t *testing.T) {
 	server := listen(t)
 	pools, fake := newPools(t, server.addr())
 	pending, conn := sendFirst(pools, server)
 	conn.respond("a", "MISS", "-", "")
 	wantOutcome(t, pending, routing.OutcomeMiss)
-	// the reader starts the idle timer under the same lock as it ends the attempt
+	// The reader starts the idle timer while it holds the lock under which it ends the attempt.
 	pools.mu.Lock()
 	if conns := pools.servers["s-1"].conns; len(conns) != 1 || len(conns[0].attempts) != 0 || conns[0].idleTimer == nil {
-		t.Error("the response left no connection that is idle")
+		t.Error("no idle connection after the response")
 	}
 	pools.mu.Unlock()
 	fake.Advance(24_000)
 	if _, err := conn.in.ReadByte(); err == nil {
-		t.Error("still open")
+		t.Error("the idle connection is still open")
 	}
 }
 
-// An attempt that waited for its connection beyond MaxSendDelay is not sent, nor is one that was given up meanwhile.
-func TestWaitedTooLong(t *testing.T) {
+// An attempt that was queued for longer than MaxSendDelay must not be sent, nor one that was canceled meanwhile.
+func TestAttemptQueuedTooLongIsNotSent(t *testing.T) {
 	pools, fake := newPools(t, "127.0.0.1:1")
 	local, remote := net.Pipe()
 	testwait.BoundConn(t, remote)
@@ -290,7 +296,7 @@
 	wantOutcome(t, attempts["late"], routing.OutcomeConnectionRefused)
 }
 
-// Values that would break the list of fields never get this far, but a body may hold any bytes.
+// A body may hold any bytes and must arrive unchanged. Other values are checked before they get here.
 func TestBodyUnchanged(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
@@ -298,25 +304,25 @@
 	pools.Send(router.Attempt{Request: &router.Request{ID: "a", Body: []byte(body)}, Server: "s-1"})
 	parts, err := ReadArray(server.accept().in)
 	if err != nil || string(parts[3]) != body {
-		t.Errorf("%d bytes, %v", len(parts), err)
+		t.Errorf("body changed; command of %d strings, error %v", len(parts), err)
 	}
 }
 
-// A response that comes before its attempt was written can't be the attempt's: it is ignored, as are a second response
-// and an unknown id, and the attempt's own response ends it.
-func TestResponseBeforeItsAttempt(t *testing.T) {
+// A response that arrives before its attempt is written can't belong to the attempt. It must be ignored, and so must a
+// second response and one with an unknown id. The attempt's own response ends it.
+func TestResponseBeforeAttemptIsWritten(t *testing.T) {
 	pools, _ := newPools(t, "127.0.0.1:1")
 	local, remote := net.Pipe()
 	testwait.BoundConn(t, remote)
 	conn := newTestConn(pools, local)
 	pending := newAttempt(pools, "a")
 	pools.mu.Lock()
-	conn.enqueue(pending) // queued, and no writer yet
+	conn.enqueue(pending) // queued; the writer is not started
 	pools.mu.Unlock()
 	go conn.read()
 	server := &fakeConn{t, remote, bufio.NewReader(remote)}
 	server.respond("a", "OK", "-", "ahead")
-	server.respond("b", "OK", "-", "unknown") // its first byte is read once the one before has been handled
+	server.respond("b", "OK", "-", "unknown") // read only after the response before has been handled
 	go conn.write()
 	server.expect("GET a")
 	server.respond("a", "OK", "-", "true")
@@ -327,8 +333,8 @@
 	server.respond("b", "OK", "-", "unknown")
 }
 
-// A response that can't be its request's ends the connection, with all attempts out on it.
-func TestImpossibleResponse(t *testing.T) {
+// A response that can't belong to its request must close the connection and end all attempts on it.
+func TestImpossibleResponseClosesConnection(t *testing.T) {
 	for _, words := range [][]string{{"a", "SAME", "n=TCP_HIT"}, {"a", "OK", "n=TCP_HIT"}, {"a", "GOOD", "-", "x"}} {
 		server := listen(t)
 		pools, _ := newPools(t, server.addr())
@@ -341,20 +347,20 @@
 	}
 }
 
-// recorder is a connection that returns one byte and records the deadline set after it.
-type recorder struct {
+// deadlineRecorder is a connection that returns one byte and records the deadline set after it.
+type deadlineRecorder struct {
 	net.Conn
 	deadline time.Time
 }
 
-func (r *recorder) Read([]byte) (int, error)           { return 1, nil }
-func (r *recorder) SetReadDeadline(at time.Time) error { r.deadline = at; return nil }
+func (r *deadlineRecorder) Read([]byte) (int, error)           { return 1, nil }
+func (r *deadlineRecorder) SetReadDeadline(at time.Time) error { r.deadline = at; return nil }
 
-// A response that stopped short on an open connection once held up all others on it forever: after a first byte there
-// is a deadline for the next.
-func TestStall(t *testing.T) {
-	r := &recorder{}
+// A response that stopped halfway on an open connection blocked all others on it forever, so there must be a deadline
+// for the next byte after the first one.
+func TestReadSetsDeadlineForNextByte(t *testing.T) {
+	r := &deadlineRecorder{}
 	if _, err := (&stallGuard{Conn: r}).Read(nil); err != nil || r.deadline.IsZero() {
-		t.Errorf("no deadline for the next byte (%v)", err)
+		t.Errorf("no deadline for the next byte (read error %v)", err)
 	}
 }
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -11,18 +11,18 @@
 	"spantack/routing"
 )
 
-// stallGuard is a connection on which each read is followed soon by the next. It guards against a response that stops
-// short on a connection that stays open, and so holds up all others on it.
+// stallGuard is a connection that sets a read deadline after each read. A response that stops halfway on a connection
+// that stays open would otherwise block all others on it.
 type stallGuard struct{ net.Conn }
 
-// Read implements io.Reader, and sets the deadline for the bytes after those that it returns.
+// Read implements io.Reader, and sets a deadline of stallTimeout for the next read.
 func (s *stallGuard) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	s.SetReadDeadline(clock.Deadline(stallTimeout))
 	return n, err
 }
 
-// read reads responses and gives them to their attempts until the stream ends.
+// read reads responses and passes them to their attempts until the connection fails or is closed.
 func (c *conn) read() {
 	in := bufio.NewReaderSize(&stallGuard{Conn: c.netConn}, readBufferSize)
 	for {
@@ -37,11 +37,11 @@
 	}
 }
 
-// readResponse reads one response. Its first byte may take as long as the attempt that it is for.
+// readResponse reads one response. There is no deadline for its first byte: attempts have their own timeouts.
 func (c *conn) readResponse(in *bufio.Reader) (id string, result router.AttemptResult, err error) {
 	c.netConn.SetReadDeadline(time.Time{})
 	_, err = in.Peek(1)
-	c.netConn.SetReadDeadline(clock.Deadline(stallTimeout)) // also where the first byte came with the last response
+	c.netConn.SetReadDeadline(clock.Deadline(stallTimeout)) // also if the first byte was in the read before
 	if err != nil {
 		return "", result, err
 	}
@@ -52,19 +52,19 @@
 	return parseResponse(parts)
 }
 
-// handleResponse gives a response to its attempt. One without an attempt that can have it is ignored: the attempt was
-// given up, or the response came twice.
+// handleResponse passes a response to its attempt. A response that belongs to no attempt in flight is ignored: the
+// attempt was canceled, or the response arrived twice.
 func (c *conn) handleResponse(id string, result router.AttemptResult) error {
 	pools := c.pools()
 	pools.mu.Lock()
 	defer pools.mu.Unlock()
 	now := pools.clock.Now()
-	if a := c.attempts[id]; a != nil && a.writeBegun && a.delayedResult == nil {
-		if result.NotModified && a.attempt.ClientETag == "" { // not this request's: nothing on the stream can be trusted
-			return fmt.Errorf("%w: SAME for a client without a copy", errMalformed)
+	if a := c.attempts[id]; a != nil && a.writeStarted && a.delayedResult == nil {
+		if result.NotModified && a.attempt.ClientETag == "" { // for another request: the stream can't be trusted
+			return fmt.Errorf("%w: SAME for a request without an ETag", errMalformed)
 		}
-		if a.mayHave(result, now) {
-			c.settle(a, result)
+		if a.canMatch(result, now) {
+			c.endWithResponse(a, result)
 		}
 	}
 	c.lastResponseAt = now
@@ -73,19 +73,20 @@
 	return nil
 }
 
-// mayHave reports whether a response can be the attempt's own. A copy older than it may take is that of an attempt of
-// the same id before it, and its own response is still to come. Pools.mu is held.
-func (a *pendingAttempt) mayHave(result router.AttemptResult, now float64) bool {
+// canMatch reports whether a response can be the attempt's own. A copy older than the attempt's MaxAge belongs to an
+// earlier attempt of the same id; the attempt's own response is still to come. Pools.mu is held.
+func (a *pendingAttempt) canMatch(result router.AttemptResult, now float64) bool {
 	if !a.ambiguous || result.CopyMadeAt == 0 || a.attempt.MaxAge == 0 {
 		return true
 	}
 	return now-result.CopyMadeAt <= a.attempt.MaxAge
 }
 
-// settle ends an attempt with a response. If another attempt of its id ended on this connection, the response may be
-// that one's, come late or twice, and this attempt may still be out: its DROP is queued, and unless the request is
-// served, the result is held back until that is written, or two attempts could be out at once. Pools.mu is held.
-func (c *conn) settle(a *pendingAttempt, result router.AttemptResult) {
+// endWithResponse ends an attempt with a response. If the attempt is ambiguous, the response may belong to an earlier
+// attempt and have arrived late or twice, so this attempt may still be in flight. A DROP is then queued for it. Unless
+// the request is served, the result is delayed until the DROP is written; otherwise a retry could start while this
+// attempt is still in flight. Pools.mu is held.
+func (c *conn) endWithResponse(a *pendingAttempt, result router.AttemptResult) {
 	id := a.attempt.ID
 	isServed := result.Outcome == routing.OutcomeServed
 	if !isServed {
@@ -98,7 +99,7 @@
 	}
 	delete(c.attempts, id)
 	a.finish(result)
-	if a.ambiguous { // the request is served, whichever attempt that was: nobody waits for the DROP
+	if a.ambiguous { // the request is served, by whichever attempt: the result need not wait for the DROP
 		c.queueDrop(id, command{})
 	}
 }
--- a/internal/resp/response.go
+++ b/internal/resp/response.go
@@ -9,7 +9,7 @@
 	"spantack/routing"
 )
 
-// The words of responses: how an attempt ended at its server.
+// Outcome words of responses: how an attempt ended at its server.
 const (
 	wordServed      = "OK"
 	wordNotModified = "SAME"
@@ -19,13 +19,13 @@
 	wordSkipped     = "VOID"
 )
 
-// noFields stands for an empty list of fields.
+// noFields represents an empty list of fields.
 const noFields = "-"
 
-// maxSourceWait bounds the wait for a source that a response may tell, in milliseconds.
+// maxSourceWait bounds the wait for a source that a response may report, in milliseconds.
 const maxSourceWait = 1e9
 
-// outcomeOf returns the outcome that a word stands for.
+// outcomeOf returns the outcome that a word of the protocol represents.
 func outcomeOf(word string) (outcome routing.AttemptOutcome, isKnown bool) {
 	switch word {
 	case wordServed, wordNotModified:
@@ -42,7 +42,7 @@
 	return "", false
 }
 
-// cacheStatusOf returns the cache status that a word stands for.
+// cacheStatusOf returns the cache status that a word of the protocol represents.
 func cacheStatusOf(word string) (status routing.CacheStatus, isKnown bool) {
 	switch word {
 	case "TCP_HIT":
@@ -69,16 +69,16 @@
 	return routing.CacheStatusUnknown, false
 }
 
-// parseResponse parses the array ID WORD [FIELDS [BODY]]. Unknown fields are skipped; an unknown word is an error, as
-// is a value of a known field that can't be used. Errors wrap errMalformed.
+// parseResponse parses the array ID WORD [FIELDS [BODY]]. Unknown fields are skipped. An unknown word is an error, and
+// so is an invalid value of the fields n and slow. Errors wrap errMalformed.
 func parseResponse(parts [][]byte) (id string, result router.AttemptResult, err error) {
 	if len(parts) < 2 || len(parts) > bodyIndex+1 {
-		return "", result, fmt.Errorf("%w: %d parts", errMalformed, len(parts))
+		return "", result, fmt.Errorf("%w: %d strings in the array", errMalformed, len(parts))
 	}
 	word := string(parts[1])
 	outcome, isKnown := outcomeOf(word)
 	if !isKnown {
-		return "", result, fmt.Errorf("%w: unknown word %.20q", errMalformed, word)
+		return "", result, fmt.Errorf("%w: unknown outcome word %.20q", errMalformed, word)
 	}
 	result.Outcome = outcome
 	result.NotModified = word == wordNotModified
@@ -96,7 +96,7 @@
 	return string(parts[0]), result, nil
 }
 
-// parseFields reads the name=value pairs of a response into its result.
+// parseFields parses the name=value pairs of a response and stores them in the result.
 func parseFields(result *router.AttemptResult, fields string) error {
 	for pair := range strings.SplitSeq(fields, ",") {
 		name, value, _ := strings.Cut(pair, "=")
@@ -104,20 +104,20 @@
 		case "n":
 			status, isKnown := cacheStatusOf(value)
 			if !isKnown {
-				return fmt.Errorf("%w: unknown note %.20q", errMalformed, value)
+				return fmt.Errorf("%w: unknown cache status n=%.20q", errMalformed, value)
 			}
 			result.CacheStatus = status
 		case "l":
-			result.LoadReport = value // checked by the router, which knows the fields that the settings name
+			result.LoadReport = value // parsed by the router, which knows the fields that the settings name
 		case "t0":
-			// A value that can't be used counts as absent: no response is decided by it alone.
+			// An invalid value counts as absent: no response depends on this field alone.
 			if madeAt, err := strconv.ParseUint(value, 10, 53); err == nil {
 				result.CopyMadeAt = float64(madeAt)
 			}
 		case "slow":
 			wait, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(wait >= 0 && wait < maxSourceWait) {
-				return fmt.Errorf("%w: slow=%.20q", errMalformed, value)
+				return fmt.Errorf("%w: invalid value slow=%.20q", errMalformed, value)
 			}
 			result.SourceWait = wait
 		}
--- a/internal/resp/sendqueue.go
+++ b/internal/resp/sendqueue.go
@@ -9,14 +9,14 @@
 	"spantack/internal/clock"
 )
 
-// ioctlUnsentBytes (Linux: SIOCOUTQNSD) asks for the number of bytes in a socket's send queue that were never sent,
+// ioctlUnsentBytes (Linux: SIOCOUTQNSD) returns the number of bytes in a socket's send queue that were never sent,
 // because the peer's receive window is full.
 const ioctlUnsentBytes = 0x894b
 
-// sendQueuePollInterval is the time between two looks at a send queue, in milliseconds.
+// sendQueuePollInterval is the time between two checks of a send queue, in milliseconds.
 const sendQueuePollInterval = 2
 
-// unsentBytes is the number of bytes in the send queue that were never sent; 0 if the system does not tell.
+// unsentBytes returns the number of bytes in the send queue that were never sent; 0 if the system can't report it.
 func unsentBytes(conn net.Conn) int64 {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -37,8 +37,9 @@
 	return int64(unsent)
 }
 
-// waitUntilSent reports whether all of an attempt leaves the send queue within timeout milliseconds. What stays there
-// for a server that does not read would reach it later in full, however long ago its client left.
+// waitUntilSent reports whether an attempt leaves the send queue completely within timeout milliseconds. An attempt
+// that stays there because the server does not read would reach the server later in full, however long ago its client
+// left.
 func (c *conn) waitUntilSent(a *pendingAttempt, timeout float64) bool {
 	pools := c.pools()
 	startedAt := time.Now()
--- a/internal/resp/serverpool.go
+++ b/internal/resp/serverpool.go
@@ -18,13 +18,13 @@
 	pools   *Pools
 	id      string
 	addr    string
-	conns   []*conn // open, in the order in which they came up
-	dialing int     // connections that are not up yet
+	conns   []*conn // open, in the order in which they were established
+	dialing int     // connections that are not established yet
 	retired bool    // the server left the endpoint list, or its address changed
 }
 
-// retire takes the pool off the list of servers and closes its idle connections; each of the others closes when the
-// last attempt on it ends. Pools.mu is held.
+// retire removes the pool from Pools.servers and closes its idle connections; each of the others closes when the last
+// attempt on it ends. Pools.mu is held.
 func (p *serverPool) retire() {
 	p.retired = true
 	delete(p.pools.servers, p.id)
@@ -35,13 +35,14 @@
 	}
 }
 
-// pick chooses the connection for an attempt; if that is nil, mayDial says whether to dial one. An idle connection
-// comes first, since a large body holds up all responses behind it. Connections are shared once enough are open.
+// pick returns the best connection for an attempt. If it is nil, mayDial reports whether to dial a new one. An idle
+// connection is preferred, since a large body blocks all responses behind it. Connections are shared once
+// maxConnsPerServer or Options.MaxConns is reached.
 //
-// The next attempt of a request that was given up goes to the connection with its DROP, or nowhere while that is full:
-// the DROP must be read first, or two attempts would be out at once. An attempt with side effects keeps off connections
-// on which another one of its request ended: that one's response may come twice, and would be taken as proof that this
-// one never ran. Pools.mu is held.
+// After an attempt was canceled, the next attempt of its request uses the connection with the DROP, or none while that
+// is full: the server must read the DROP first, or two attempts would be in flight at once. An attempt with side
+// effects avoids connections on which another attempt of its request ended unserved: that response may arrive twice,
+// and would count as proof that this attempt never ran. Pools.mu is held.
 func (p *serverPool) pick(attempt *router.Attempt) (best *conn, mayDial bool) {
 	id := attempt.ID
 	for _, c := range p.conns {
@@ -67,10 +68,11 @@
 	return best, false
 }
 
-// hasFreeStream reports whether the connection may take another attempt. Pools.mu is held.
+// hasFreeStream reports whether the connection may carry another attempt. Pools.mu is held.
 func (c *conn) hasFreeStream() bool { return len(c.attempts) < c.pools().options.MaxStreams }
 
-// isPreferredTo reports whether c has fewer attempts out than other, or as many and was used later. Pools.mu is held.
+// isPreferredTo reports whether c has fewer attempts in flight than other, or equally many and was used later. Pools.mu
+// is held.
 func (c *conn) isPreferredTo(other *conn) bool {
 	if len(c.attempts) != len(other.attempts) {
 		return len(c.attempts) < len(other.attempts)
@@ -78,7 +80,7 @@
 	return c.lastUsedAt > other.lastUsedAt
 }
 
-// dial opens a connection for an attempt and serves it until it ends.
+// dial opens a connection for an attempt, and runs its reader and writer until it is closed.
 func (p *serverPool) dial(first *pendingAttempt) {
 	pools := p.pools
 	dialer := net.Dialer{Timeout: clock.Duration(pools.options.DialTimeout)}
@@ -94,8 +96,8 @@
 	c.read()
 }
 
-// dialFailed ends the attempt for which a connection was dialed: nothing was sent. It records a fault if the process
-// is out of descriptors.
+// dialFailed ends the attempt for which a connection was dialed, with OutcomeConnectionRefused: nothing was sent. It
+// records a fault if the process or the system has no free descriptors.
 func (p *serverPool) dialFailed(first *pendingAttempt, err error) {
 	p.pools.mu.Lock()
 	defer p.pools.mu.Unlock()
@@ -107,7 +109,7 @@
 	}
 }
 
-// add takes up a connection that was dialed, and puts the attempt on it that it was dialed for.
+// add adds a dialed connection to the pool, and queues the attempt on it for which it was dialed.
 func (p *serverPool) add(netConn net.Conn, first *pendingAttempt) *conn {
 	pools := p.pools
 	pools.mu.Lock()
@@ -125,12 +127,12 @@
 	p.dialing--
 	p.conns = append(p.conns, c)
 	switch {
-	case pools.ctx.Err() != nil, p.retired: // another machine may be at the address by now
+	case pools.ctx.Err() != nil, p.retired: // another machine may have the address by now
 		first.finish(router.AttemptResult{Outcome: routing.OutcomeConnectionRefused})
 		c.close()
 	case !first.finished:
 		c.enqueue(first)
-	default: // its client left meanwhile
+	default: // the attempt was canceled meanwhile
 		c.closeWhenIdle()
 	}
 	return c
--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -13,10 +13,11 @@
 	"spantack/routing"
 )
 
-// wireFixture holds recorded messages, a line each: as the program of commit e67ffc3 wrote or read them. Caches rely
-// on them, so no line is ever changed to suit a program.
+// wireFixture holds one recorded message per line, as the program of commit e67ffc3 wrote or read it. Caches depend on
+// this format, so lines must never be changed to make a test pass.
 const wireFixture = "testdata/wire_compat.txt"
 
+// The GET commands must be written as recorded.
 func TestCommandsCompat(t *testing.T) {
 	request := &router.Request{ID: "9b1f00000000c0de", Class: "report", Object: "7f3a9c21e0b4d655", Chunk: 3,
 		PurgeGroup:     17,
@@ -38,27 +39,27 @@
 	}
 }
 
-// An attempt that is given up, as its server reads it.
+// The DROP of a canceled attempt must be written as recorded.
 func TestDropCompat(t *testing.T) {
 	s := listen(t)
 	pools, _ := newPools(t, s.addr())
 	pending, conn := sendFirst(pools, s)
-	conn.proveAlive(pools)
+	conn.sendUnmatchedResponse(pools)
 	go pending.Cancel(true)
 	want := testfixture.QuotedLines(t, wireFixture)["drop"]
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(conn.in, got); err != nil || string(got) != want || want == "" {
 		t.Errorf("wrote %+q (%v)", got, err)
 	}
-	testwait.Until(t, "the attempt to be forgotten", func() bool {
+	testwait.Until(t, "the attempt to be finished", func() bool {
 		pools.mu.Lock()
 		defer pools.mu.Unlock()
 		return pending.(*pendingAttempt).finished
 	})
 }
 
-func TestAnswersCompat(t *testing.T) {
-
+// Recorded responses must be read as before, and each outcome word and cache status must have one.
+func TestResponsesCompat(t *testing.T) {
 	cases := map[string]router.AttemptResult{
 		"answer OK": {Outcome: "done", Body: []byte("\x00body\xff")},
 		"answer OK with all fields": {Outcome: "done", CacheStatus: 2, SourceWait: 3.5, Body: []byte("x"),
@@ -88,7 +89,7 @@
 		}
 	}
 	if answers != len(cases) {
-		t.Errorf("%d fixtures of answers, %d cases", answers, len(cases))
+		t.Errorf("%d recorded responses, %d cases", answers, len(cases))
 	}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -96,8 +97,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if again := string(AppendArray(nil, parts...)); again != recorded[name] {
-				t.Errorf("wrote %+q", again)
+			if encoded := string(AppendArray(nil, parts...)); encoded != recorded[name] {
+				t.Errorf("wrote %+q", encoded)
 			}
 			id, got, err := parseResponse(parts)
 			if err != nil || id != "9b1f" || !reflect.DeepEqual(got, want) {
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -9,8 +9,8 @@
 	"spantack/routing"
 )
 
-// errClientDeparted ends a connection on which a command was half written when its client left.
-var errClientDeparted = errors.New("the client left while its command was half written")
+// errClientDeparted closes a connection on which a command was partly written when its client left.
+var errClientDeparted = errors.New("client left while its command was partly written")
 
 // write writes queued commands to the socket, each within a bounded time, until the connection closes.
 func (c *conn) write() {
@@ -27,12 +27,12 @@
 	}
 }
 
-// writeIfDue writes one command, unless it is a GET that must not go out any more.
+// writeIfDue writes one command, unless it is a GET that must no longer be sent.
 func (c *conn) writeIfDue(next command) error {
 	timeout := c.pools().timeouts.write
 	if next.attempt != nil {
 		if next.attempt.clientDeparted() {
-			return nil // its Cancel takes it off this connection
+			return nil // Cancel removes it from this connection
 		}
 		limit, isDue := c.beginWrite(next.attempt)
 		if !isDue {
@@ -49,9 +49,9 @@
 	return err
 }
 
-// beginWrite reports whether an attempt may still be written, and within how many milliseconds. One that waited too
-// long for its connection is not sent, which proves that nothing ran; one of which no byte went out in time must not
-// begin to go out later.
+// beginWrite reports whether an attempt may still be written, and within how many milliseconds. An attempt that waited
+// too long for its connection ends as OutcomeConnectionRefused: it was not sent, so it never ran. An attempt whose
+// first byte is not sent in time must not be sent later.
 func (c *conn) beginWrite(a *pendingAttempt) (timeout float64, isDue bool) {
 	pools := c.pools()
 	pools.mu.Lock()
@@ -64,16 +64,16 @@
 		c.closeWhenIdle()
 	}
 	if a.finished {
-		a.writeBegun = false
+		a.writeStarted = false
 		return 0, false
 	}
-	a.writeBegun = true
-	delete(c.droppedAt, id) // its DROP stood in the queue before, and is written
+	a.writeStarted = true
+	delete(c.droppedAt, id) // its DROP was queued before, so it has been written
 	return min(max(timeLeft, minWriteTimeout), pools.timeouts.write), true
 }
 
-// recordWrite records a command that is on the socket, or with an error one that is not there in full: what does not
-// reach a server in full never runs.
+// recordWrite records that a command was written in full, or not in full if err is set. A command that does not reach a
+// server in full never runs.
 func (c *conn) recordWrite(written command, err error) {
 	pools := c.pools()
 	pools.mu.Lock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// recordAttemptWrite is recordWrite for the attempt of a GET. Pools.mu is held.
+// recordAttemptWrite records the write of an attempt's GET, like recordWrite. Pools.mu is held.
 func (c *conn) recordAttemptWrite(a *pendingAttempt, err error) {
 	switch {
 	case err == nil:
@@ -101,15 +101,15 @@
 	case !a.finished:
 		delete(c.attempts, a.attempt.ID)
 		outcome := routing.OutcomeConnectionRefused
-		if errors.Is(err, errClientDeparted) { // says nothing about the server
+		if errors.Is(err, errClientDeparted) { // not a fault of the server
 			outcome = routing.OutcomeSkipped
 		}
 		a.finish(router.AttemptResult{Outcome: outcome})
 	}
 }
 
-// writeCommand writes a command to the socket. Where the socket takes it in parts, it checks before each part but the
-// first whether the command's client has left: a request must not be completed on the server's side after that.
+// writeCommand writes a command to the socket. If the socket accepts it in parts, writeCommand checks before each part
+// after the first whether the command's client has left: the server must not receive the rest of the request then.
 func (c *conn) writeCommand(next command) error {
 	socket, ok := c.netConn.(syscall.Conn)
 	if !ok || next.attempt == nil {
@@ -135,7 +135,7 @@
 			case err == nil:
 				rest = rest[n:]
 			case err == syscall.EAGAIN:
-				return false // called again once the socket takes more
+				return false // called again once the socket is writable
 			case err != syscall.EINTR:
 				writeErr = err
 				return true
