--- a/internal/handover/exclusions.go
+++ b/internal/handover/exclusions.go
@@ -15,16 +15,16 @@
 
 // Times in milliseconds.
 const (
-	// watchInterval is how often excludedFile is checked for changes by the other process. It must stay well under the
-	// 500 ms after which an exclusion binds.
+	// watchInterval is the time between checks of excludedFile for changes by the other process. It must be well below
+	// the 500 ms within which an exclusion must take effect.
 	watchInterval = 100
-	// lockTimeout is how long a change waits for the lock, and lockRetryInterval how long between attempts. The call
+	// lockTimeout is how long a change waits for the lock, with an attempt every lockRetryInterval. The management call
 	// that makes the change must be answered within 1 s.
 	lockTimeout       = 700
 	lockRetryInterval = 5
 )
 
-// Excluded reads the servers that were excluded by hand; none without a file.
+// Excluded reads the ids of the servers that were excluded by hand. Without a file there are none.
 func (d *StateDir) Excluded() (ids []string, err error) {
 	if d == nil {
 		return nil, nil
@@ -35,8 +35,8 @@
 	return ids, err
 }
 
-// RestoreExcluded passes the excluded servers of the file to adopt. A missing or unreadable file changes nothing:
-// it must neither undo a call nor keep the router from serving.
+// RestoreExcluded reads the excluded servers from the file and passes them to adopt. A missing or unreadable file
+// changes nothing: it must neither undo an exclusion nor keep the router from serving. Errors are logged.
 func (d *StateDir) RestoreExcluded(adopt func(ids []string) error) {
 	if d == nil {
 		return
@@ -46,14 +46,14 @@
 		err = adopt(ids)
 	}
 	if err != nil {
-		d.log.Warn().Err(err).Msg("what is out can't be read")
+		d.log.Warn().Err(err).Msg("can't restore the excluded servers")
 	}
 }
 
-// ChangeExcluded makes one change to the excluded servers under the lock that the processes share: it adopts what
-// the other process wrote, calls change, and writes what excluded returns then. A nil StateDir only calls change.
-// Where another process, stopped in the middle of a change, holds the lock for longer than lockTimeout, the error
-// is EWOULDBLOCK.
+// ChangeExcluded makes one change to the excluded servers under the lock that the processes share: it adopts the
+// servers that the other process wrote, calls change, and writes the servers that excluded then returns. A nil StateDir
+// only calls change. The error wraps EWOULDBLOCK if another process holds the lock for longer than lockTimeout, for
+// example because it was stopped during a change.
 func (d *StateDir) ChangeExcluded(adopt func(ids []string) error, change func() error, excluded func() []string) error {
 	if d == nil {
 		return change()
@@ -71,8 +71,9 @@
 	return d.writeFile(excludedFile, ids)
 }
 
-// WatchExcluded adopts what the other process writes, until ctx ends. It reads and adopts under the lock, or a
-// change made between the two would be undone. While another process holds the lock it retries at the next tick.
+// WatchExcluded adopts changes that the other process writes, until ctx ends. It reads and adopts under the lock;
+// otherwise a change made between the two would be undone. While another process holds the lock, it retries at the next
+// tick.
 func (d *StateDir) WatchExcluded(ctx context.Context, adopt func(ids []string) error) error {
 	if d == nil {
 		return nil
@@ -90,8 +91,8 @@
 	}
 }
 
-// adoptIfChanged adopts the excluded servers if their file is another than the one that was adopted last, and
-// returns the one that is now.
+// adoptIfChanged adopts the excluded servers if their file is not the one that adopted describes. It returns the file
+// info of the file that was adopted last; nil: none yet.
 func (d *StateDir) adoptIfChanged(adopted fs.FileInfo, adopt func(ids []string) error) fs.FileInfo {
 	current, err := os.Stat(filepath.Join(d.dir, excludedFile))
 	if err != nil || adopted != nil && os.SameFile(adopted, current) && current.ModTime() == adopted.ModTime() {
@@ -103,10 +104,10 @@
 	}
 	defer unlock()
 	d.RestoreExcluded(adopt)
-	return current // from before the lock: a later write is noticed at the next tick
+	return current // read before the lock was taken: a later write is noticed at the next tick
 }
 
-// lockWithin takes the lock alone, and retries for so many milliseconds while another process holds it.
+// lockWithin takes the exclusive lock, and retries for timeout milliseconds while another process holds it.
 func (d *StateDir) lockWithin(timeout float64) (unlock func(), err error) {
 	const mode = syscall.LOCK_EX | syscall.LOCK_NB
 	startedAt := time.Now()
@@ -118,16 +119,16 @@
 	return unlock, err
 }
 
-// lock takes the lock on the excluded servers; mode is that of flock. With LOCK_NB the error is EWOULDBLOCK while
-// another process holds it.
+// lock takes the lock on the excluded servers in a mode of flock. With LOCK_NB the error wraps EWOULDBLOCK while
+// another process holds the lock.
 func (d *StateDir) lock(mode int) (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(d.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("lock of what is out: %w", err)
+		return nil, fmt.Errorf("lock excluded servers: %w", err)
 	}
 	if err := syscall.Flock(int(file.Fd()), mode); err != nil {
 		file.Close()
-		return nil, fmt.Errorf("lock of what is out: %w", err)
+		return nil, fmt.Errorf("lock excluded servers: %w", err)
 	}
 	return func() { file.Close() }, nil // releases the lock too
 }
--- a/internal/handover/exclusions_test.go
+++ b/internal/handover/exclusions_test.go
@@ -18,14 +18,14 @@
 	"spantack/internal/testwait"
 )
 
-// noAdopt adopts nothing.
-func noAdopt([]string) error { return nil }
+// adoptNothing adopts nothing.
+func adoptNothing([]string) error { return nil }
 
-// noChange changes nothing.
-func noChange() error { return nil }
+// changeNothing changes nothing.
+func changeNothing() error { return nil }
 
-// What the other process wrote is adopted here while a call excludes a server: the call must come after or before,
-// not in between, or what was read before it would undo it.
+// A management call excludes a server while this process adopts the other process's change. The call must wait until
+// the change is read and adopted; otherwise adopting the older state would undo the exclusion.
 func TestWatchInterleavedWithChange(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, excludedFile), []byte(`["s-1"]`), 0o600); err != nil {
@@ -34,65 +34,65 @@
 	state := NewStateDir(dir, zerolog.Nop())
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	entered, leave, ended := make(chan struct{}), make(chan struct{}), make(chan error)
+	entered, resume, ended := make(chan struct{}), make(chan struct{}), make(chan error)
 	go func() {
-		ended <- state.WatchExcluded(ctx, func([]string) error { // it has read, and stands before it adopts
+		ended <- state.WatchExcluded(ctx, func([]string) error { // called after the read, before the state is adopted
 			entered <- struct{}{}
-			<-leave
+			<-resume
 			return nil
 		})
 	}()
 	testwait.Receive(t, entered, "the other process's change to be read")
 	if unlock, err := state.lock(syscall.LOCK_EX | syscall.LOCK_NB); err == nil {
-		t.Error("a call may change the excluded servers between reading and adopting")
+		t.Error("the lock is free between reading and adopting")
 		unlock()
 	} else if !errors.Is(err, syscall.EWOULDBLOCK) {
 		t.Error(err)
 	}
 	stop()
-	close(leave)
+	close(resume)
 	if err := testwait.Receive(t, ended, "the end of WatchExcluded"); err != nil {
 		t.Error(err)
 	}
-	if err := state.ChangeExcluded(noAdopt, noChange, func() []string { return []string{"s-2"} }); err != nil {
+	if err := state.ChangeExcluded(adoptNothing, changeNothing, func() []string { return []string{"s-2"} }); err != nil {
 		t.Error(err)
 	}
 	if ids, err := state.Excluded(); err != nil || !slices.Equal(ids, []string{"s-2"}) {
-		t.Errorf("%v, %v", ids, err)
+		t.Errorf("excluded %v, error %v, want s-2", ids, err)
 	}
 }
 
-// Another process was stopped in the middle of a change: a call is answered with an error, in time.
+// Another process was stopped during a change and holds the lock: a call must fail within its time limit.
 func TestChangeWhileLockHolderIsStopped(t *testing.T) {
 	dir := t.TempDir()
 	stopped, state := NewStateDir(dir, zerolog.Nop()), NewStateDir(dir, zerolog.Nop())
-	entered, leave := make(chan struct{}), make(chan struct{})
+	entered, resume := make(chan struct{}), make(chan struct{})
 	none := func() []string { return nil }
 	ended := make(chan error)
 	go func() {
 		change := func() error {
 			close(entered)
-			<-leave
+			<-resume
 			return nil
 		}
-		ended <- stopped.ChangeExcluded(noAdopt, change, none)
+		ended <- stopped.ChangeExcluded(adoptNothing, change, none)
 	}()
-	testwait.Receive(t, entered, "a change to begin")
-	answer := make(chan error, 1)
-	go func() { answer <- state.ChangeExcluded(noAdopt, noChange, none) }()
-	const inTime = 10 * lockTimeout * time.Millisecond
-	err := testwait.ReceiveWithin(t, inTime, answer, "the answer to a call beside a process that is stopped")
+	testwait.Receive(t, entered, "the change to start")
+	result := make(chan error, 1)
+	go func() { result <- state.ChangeExcluded(adoptNothing, changeNothing, none) }()
+	const limit = 10 * lockTimeout * time.Millisecond
+	err := testwait.ReceiveWithin(t, limit, result, "the result of a call while the lock holder is stopped")
 	if !errors.Is(err, syscall.EWOULDBLOCK) {
-		t.Errorf("answered %v", err)
+		t.Errorf("error %v, want EWOULDBLOCK", err)
 	}
-	close(leave)
+	close(resume)
 	if err := testwait.Receive(t, ended, "the change to end"); err != nil {
 		t.Error(err)
 	}
 }
 
-// routerProcess is one of the processes of a router: its state directory, and the endpoint list whose exclusions it
-// shares.
+// routerProcess is one of the processes of a router: its state directory, and the endpoint list whose exclusions the
+// processes share.
 type routerProcess struct {
 	state *StateDir
 
@@ -100,7 +100,7 @@
 	list *endpoints.List
 }
 
-// startRouterProcess starts one that has adopted what is in the directory.
+// startRouterProcess returns a process that has adopted the excluded servers from the directory.
 func startRouterProcess(t *testing.T, dir string) *routerProcess {
 	t.Helper()
 	p := &routerProcess{state: NewStateDir(dir, zerolog.Nop()), list: endpoints.New()}
@@ -127,32 +127,33 @@
 	return p.list.Exclusions()
 }
 
-// exclude and include make a change as a call of staff does.
+// exclude excludes a server, as a management call does.
 func (p *routerProcess) exclude(id string) error {
 	return p.change(func(ids []string) []string { return append(ids, id) })
 }
 
+// include includes a server, as a management call does.
 func (p *routerProcess) include(id string) error {
 	return p.change(func(ids []string) []string {
 		return slices.DeleteFunc(ids, func(other string) bool { return other == id })
 	})
 }
 
-// change makes a change, again where others had the lock for so long that a caller is told no.
+// change makes a change, and retries while it fails because others hold the lock for too long.
 func (p *routerProcess) change(edit func(ids []string) []string) error {
-	once := func() error {
+	attempt := func() error {
 		return p.state.ChangeExcluded(p.adopt, func() error { return p.adopt(edit(p.excluded())) }, p.excluded)
 	}
-	err := once()
-	for begin := time.Now(); errors.Is(err, syscall.EWOULDBLOCK) && time.Since(begin) < testwait.Limit; {
-		err = once()
+	err := attempt()
+	for startedAt := time.Now(); errors.Is(err, syscall.EWOULDBLOCK) && time.Since(startedAt) < testwait.Limit; {
+		err = attempt()
 	}
 	return err
 }
 
-// Two processes of one router change what is excluded: none forgets what the other did, and each hears of it by the
-// file.
-func TestTwoProcesses(t *testing.T) {
+// Two processes of one router change the excluded servers at the same time: no change may be lost, and each process
+// adopts the other's changes from the file.
+func TestConcurrentChangesOfTwoProcesses(t *testing.T) {
 	const changes = 40
 	dir := t.TempDir()
 	old := startRouterProcess(t, dir)
@@ -173,20 +174,20 @@
 		t.Fatal(err)
 	}
 	if got := next.excluded(); len(got) != changes || slices.Contains(got, "a") {
-		t.Errorf("%d are excluded: %v", len(got), got)
+		t.Errorf("%d servers excluded: %v", len(got), got)
 	}
-	checkHearsOf(t, old, changes)
+	checkAdopts(t, old, changes)
 	if got := old.excluded(); slices.Contains(got, "a") {
 		t.Errorf("the other process still has %v excluded", got)
 	}
 	if err := os.Remove(filepath.Join(dir, excludedFile)); err != nil {
 		t.Fatal(err)
 	}
-	if err := next.exclude("b"); err != nil { // a file that was lost undoes nothing
+	if err := next.exclude("b"); err != nil { // the loss of the file must undo nothing
 		t.Fatal(err)
 	}
 	if got := next.excluded(); len(got) != changes+1 {
-		t.Errorf("%d are excluded after the file was lost", len(got))
+		t.Errorf("%d servers excluded after the loss of the file", len(got))
 	}
 	for _, id := range next.excluded() {
 		if err := next.include(id); err != nil {
@@ -195,30 +196,30 @@
 	}
 	old.state.RestoreExcluded(old.adopt)
 	if got := old.excluded(); len(got) != 0 {
-		t.Errorf("the last one included is still excluded at the other process: %v", got)
+		t.Errorf("still excluded in the other process after all were included: %v", got)
 	}
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
 	if err != nil || len(left) != 2 {
-		t.Errorf("files left: %v, %v", left, err)
+		t.Errorf("files in the directory: %v, error %v, want 2 files", left, err)
 	}
 }
 
-// checkHearsOf checks that a process that watches the file adopts so many excluded servers from it.
-func checkHearsOf(t *testing.T, p *routerProcess, excluded int) {
+// checkAdopts checks that a process that watches the file adopts the given number of excluded servers from it.
+func checkAdopts(t *testing.T, p *routerProcess, excluded int) {
 	t.Helper()
-	heard := make(chan struct{})
+	adopted := make(chan struct{})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	ended := make(chan error, 1)
 	go func() {
 		ended <- p.state.WatchExcluded(ctx, func(ids []string) error {
 			if len(ids) == excluded {
-				close(heard)
+				close(adopted)
 			}
 			return p.adopt(ids)
 		})
 	}()
-	testwait.Receive(t, heard, "the other process to hear of the changes")
+	testwait.Receive(t, adopted, "the other process to adopt the changes")
 	stop()
 	if err := testwait.Receive(t, ended, "the end of WatchExcluded"); err != nil {
 		t.Error(err)
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -8,10 +8,10 @@
 	"path/filepath"
 )
 
-// maxFileBytes bounds what is read from a file: anything larger is none of ours.
+// maxFileBytes is the maximum size of a file that is read; this program writes no larger ones.
 const maxFileBytes = 256 << 10
 
-// writeFile replaces a file atomically: no reader sees a part of it.
+// writeFile writes v as JSON and replaces the file atomically, so that no reader sees part of it.
 func (d *StateDir) writeFile(name string, v any) error {
 	f, err := d.writeTemp(name, v)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return f, nil
 }
 
-// publish renames a temporary file to its name, or removes it.
+// publish renames a temporary file to name, or removes it if that fails.
 func (d *StateDir) publish(f *os.File, name string) error {
 	err := os.Rename(f.Name(), filepath.Join(d.dir, name))
 	if err != nil {
@@ -48,7 +48,7 @@
 	return err
 }
 
-// readFile reads JSON of at most maxFileBytes.
+// readFile reads JSON from a file of at most maxFileBytes.
 func (d *StateDir) readFile(name string, into any) error {
 	path := filepath.Join(d.dir, name)
 	info, err := os.Stat(path)
@@ -56,7 +56,7 @@
 		return err
 	}
 	if info.Size() > maxFileBytes {
-		return fmt.Errorf("%s: file too large: %d bytes are more than %d", name, info.Size(), maxFileBytes)
+		return fmt.Errorf("%s: file too large: %d bytes, at most %d allowed", name, info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/handover/learned_state.go
+++ b/internal/handover/learned_state.go
@@ -10,11 +10,11 @@
 	"spantack/routing"
 )
 
-// saveInterval is how often the learned state is written while this process serves, in milliseconds.
+// saveInterval is the time between writes of the learned state while this process serves, in milliseconds.
 const saveInterval = 500
 
-// SaveLearnedState writes the learned state every saveInterval until ctx ends, for the process that takes over. It
-// writes nothing while this process is replaced, or an older state would overwrite a newer one.
+// SaveLearnedState writes the learned state every saveInterval until ctx ends, for the process that replaces this one.
+// It writes nothing once this process is replaced, since an older state would overwrite a newer one. Errors are logged.
 func (d *StateDir) SaveLearnedState(ctx context.Context, learned func() routing.LearnedState) error {
 	if d == nil {
 		return nil
@@ -24,7 +24,7 @@
 	for {
 		if !d.IsReplaced() {
 			if err := d.writeFile(learnedStateFile, learned()); err != nil {
-				d.log.Warn().Err(err).Msg("beliefs can't be left")
+				d.log.Warn().Err(err).Msg("can't save the learned state")
 			}
 		}
 		select {
@@ -35,7 +35,7 @@
 	}
 }
 
-// LoadLearnedState reads what the previous process saved; found is false where there is nothing.
+// LoadLearnedState reads the learned state that the previous process saved; found is false if there is none.
 func (d *StateDir) LoadLearnedState() (state routing.LearnedState, found bool, err error) {
 	if d == nil {
 		return state, false, nil
--- a/internal/handover/serving.go
+++ b/internal/handover/serving.go
@@ -8,7 +8,8 @@
 	"syscall"
 )
 
-// ClaimServing records that this process serves, until ReleaseServing or its own end. It must be called once only.
+// ClaimServing records that this process serves, until ReleaseServing or the end of the process. It must be called only
+// once.
 func (d *StateDir) ClaimServing() error {
 	if d == nil {
 		return nil
@@ -28,12 +29,12 @@
 // ReleaseServing withdraws the claim of ClaimServing.
 func (d *StateDir) ReleaseServing() {
 	if d != nil && d.servingLock != nil {
-		_ = syscall.Flock(int(d.servingLock.Fd()), syscall.LOCK_UN) // can't fail: it is locked
+		_ = syscall.Flock(int(d.servingLock.Fd()), syscall.LOCK_UN) // can't fail: the lock is held
 	}
 }
 
-// IsReplaced reports whether another process has claimed since that it serves, and still does. The claim of one
-// that died or is shutting down does not count.
+// IsReplaced reports whether another process has claimed to serve since this one did, and still serves. The claim of a
+// process that has died or is shutting down does not count.
 func (d *StateDir) IsReplaced() bool {
 	if d == nil {
 		return false
@@ -50,7 +51,7 @@
 	return errors.Is(err, syscall.EWOULDBLOCK)
 }
 
-// isOwnClaim reports whether a claim is this process's, or may be.
+// isOwnClaim reports whether a claim is this process's own. It also returns true if that can't be determined.
 func (d *StateDir) isOwnClaim(claim *os.File) bool {
 	if d.servingLock == nil {
 		return false
--- a/internal/handover/serving_test.go
+++ b/internal/handover/serving_test.go
@@ -6,12 +6,12 @@
 	"github.com/rs/zerolog"
 )
 
-// The next process claims that it serves, then dies or is told to end, before this one asks: it takes no work, and
-// this one must not stop taking it. Until the claim is written whole nobody is replaced.
+// The next process claims to serve, then dies or starts to shut down before this process checks. It accepts no
+// requests, so this process must not count as replaced. A claim that is not published yet must not count either.
 func TestClaimOfProcessThatEnds(t *testing.T) {
 	for name, end := range map[string]func(*StateDir){
-		"dies":           func(d *StateDir) { d.servingLock.Close() }, // as the system does for it
-		"is told to end": (*StateDir).ReleaseServing,
+		"dies":       func(d *StateDir) { d.servingLock.Close() }, // as the system does at the end of a process
+		"shuts down": (*StateDir).ReleaseServing,
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -29,20 +29,20 @@
 			}
 			staged, err := next.writeTemp(servingFile, 1) // its claim is written but not renamed yet
 			if err != nil || old.IsReplaced() {
-				t.Errorf("replaced by half a claim, %v", err)
+				t.Errorf("replaced by an unpublished claim, error %v", err)
 			}
 			staged.Close()
 			claim(next)
 			if !old.IsReplaced() || next.IsReplaced() {
-				t.Error("not replaced by one that serves")
+				t.Error("not replaced by a process that serves")
 			}
 			end(next)
 			if old.IsReplaced() || next.IsReplaced() {
-				t.Error("replaced by one that serves no longer")
+				t.Error("replaced by a process that no longer serves")
 			}
 			claim(last)
 			if !old.IsReplaced() {
-				t.Error("not replaced by the one after it")
+				t.Error("not replaced by a later process that serves")
 			}
 			old.ReleaseServing()
 			last.ReleaseServing()
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -10,16 +10,16 @@
 	"syscall"
 )
 
-// The reasons why a descriptor can't be inherited, beside those of the system.
+// Errors of InheritSocket besides those of the system.
 var (
 	errNotListening = errors.New("not a listening socket")
 	errNotTCP       = errors.New("not a TCP socket")
 )
 
-// Socket is a listening socket that a supervisor holds and passes to one process after another. Unlike a listener
-// of package net it does not rely on the descriptor's non-blocking mode, which all holders share and a supervisor
-// that starts the next process may clear at any time: Accept sets the mode again before each attempt. Otherwise the
-// process could block in accept and not end when it is told to.
+// Socket is a listening socket that a supervisor holds and passes to one process after another. All holders share the
+// descriptor's non-blocking mode, and a supervisor that starts the next process may clear it at any time. Unlike a
+// listener of package net, Accept therefore sets the mode again before each attempt. Otherwise the process could block
+// in accept and not end when it is stopped.
 type Socket struct {
 	file     *os.File // owned; Close closes it
 	raw      syscall.RawConn
@@ -27,8 +27,8 @@
 	isClosed atomic.Bool
 }
 
-// InheritSocket returns the listening socket on a descriptor, which it takes over. Its error is that the descriptor
-// is no such socket.
+// InheritSocket returns the listening TCP socket on a descriptor, and takes ownership of the descriptor. It returns an
+// error if the descriptor is not such a socket.
 func InheritSocket(fd int) (*Socket, error) {
 	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	switch {
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-// tcpAddr returns the address of a TCP socket.
+// tcpAddr returns the local address of a TCP socket, or errNotTCP.
 func tcpAddr(fd int) (*net.TCPAddr, error) {
 	name, err := syscall.Getsockname(fd)
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Accept waits for the next connection. After Close its error is net.ErrClosed.
+// Accept waits for the next connection and returns it. After Close its error wraps net.ErrClosed.
 func (s *Socket) Accept() (net.Conn, error) {
 	accepted := -1
 	var acceptErr error
@@ -77,7 +77,7 @@
 			return true
 		}
 		accepted, _, acceptErr = syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
-		return acceptErr != syscall.EAGAIN && acceptErr != syscall.EINTR // another process may have been faster
+		return acceptErr != syscall.EAGAIN && acceptErr != syscall.EINTR // another process may have accepted it first
 	})
 	switch {
 	case err != nil && s.isClosed.Load():
@@ -92,7 +92,7 @@
 	return net.FileConn(file)
 }
 
-// Close ends Accept in this process; other holders of the socket are not affected.
+// Close closes the socket and ends Accept in this process; other holders of the socket are not affected.
 func (s *Socket) Close() error {
 	s.isClosed.Store(true)
 	return s.file.Close()
--- a/internal/handover/socket_test.go
+++ b/internal/handover/socket_test.go
@@ -9,9 +9,9 @@
 	"spantack/internal/testwait"
 )
 
-// holdSocket opens a listening socket as a supervisor holds one, and returns descriptors of it: two for processes,
-// and the supervisor's own.
-func holdSocket(t *testing.T) (addr string, fds [3]int) {
+// openSharedSocket opens a listening socket as a supervisor does, and returns three descriptors of it: two for
+// processes, and the supervisor's own.
+func openSharedSocket(t *testing.T) (addr string, fds [3]int) {
 	t.Helper()
 	l := testwait.Listen(t)
 	defer l.Close()
@@ -29,10 +29,10 @@
 	return l.Addr().String(), fds
 }
 
-// Two processes accept on one socket; that whoever holds it makes it block keeps neither from ending, and what
-// comes after one has ended goes to the other.
-func TestSocketMadeToBlock(t *testing.T) {
-	addr, fds := holdSocket(t)
+// Two processes accept on one socket while a third holder sets it to blocking mode. Close must still end Accept in
+// either process, and later connections must go to the process that still accepts.
+func TestAcceptOnSocketSetToBlocking(t *testing.T) {
+	addr, fds := openSharedSocket(t)
 	accepted := make(chan net.Conn)
 	var ended [2]chan error
 	var sockets [2]*Socket
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		if s.Addr().String() != addr {
-			t.Errorf("at %s, not %s", s.Addr(), addr)
+			t.Errorf("address %s, want %s", s.Addr(), addr)
 		}
 		sockets[i] = s
 		ended[i] = make(chan error, 1)
@@ -57,45 +57,45 @@
 			}
 		}()
 	}
-	visit := func() {
+	exchangeByte := func() {
 		client := testwait.Dial(t, addr)
 		server := testwait.Receive(t, accepted, "a connection to be accepted")
 		testwait.BoundConn(t, server)
 		client.Write([]byte("x"))
 		var got [1]byte
 		if _, err := server.Read(got[:]); err != nil || got[0] != 'x' {
-			t.Errorf("%q, %v", got, err)
+			t.Errorf("read %q, error %v", got, err)
 		}
 		server.Close()
 		client.Close()
 	}
-	for range 50 { // each wakes both, and one comes too late
+	for range 50 { // each connection wakes both processes, and one finds none to accept
 		if err := syscall.SetNonblock(fds[2], false); err != nil {
 			t.Fatal(err)
 		}
-		visit()
+		exchangeByte()
 	}
 	if err := syscall.SetNonblock(fds[2], false); err != nil {
 		t.Fatal(err)
 	}
 	sockets[0].Close()
-	if err := testwait.Receive(t, ended[0], "the end of the first process"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the end: %v", err)
+	if err := testwait.Receive(t, ended[0], "Accept to end in the first process"); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Accept after Close: %v", err)
 	}
 	for range 20 {
-		visit()
+		exchangeByte()
 	}
 	sockets[1].Close()
-	if err := testwait.Receive(t, ended[1], "the end of the second process"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the end: %v", err)
+	if err := testwait.Receive(t, ended[1], "Accept to end in the second process"); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Accept after Close: %v", err)
 	}
 }
 
-// What is no listening socket is not taken.
-func TestInheritNoListeningSocket(t *testing.T) {
-	addr, fds := holdSocket(t)
+// A descriptor that is closed or not a listening socket must be rejected.
+func TestInheritRejectsOtherDescriptors(t *testing.T) {
+	addr, fds := openSharedSocket(t)
 	if _, err := InheritSocket(1 << 20); err == nil {
-		t.Error("took a descriptor that is not open")
+		t.Error("accepted a descriptor that is not open")
 	}
 	c := testwait.Dial(t, addr)
 	f, err := c.File()
@@ -104,7 +104,7 @@
 	}
 	defer f.Close()
 	if _, err := InheritSocket(int(f.Fd())); err == nil {
-		t.Error("took a connection")
+		t.Error("accepted a descriptor of a connection")
 	}
 	for _, fd := range fds[:2] {
 		syscall.Close(fd)
--- a/internal/handover/state_dir.go
+++ b/internal/handover/state_dir.go
@@ -1,10 +1,10 @@
-// Package handover has what the processes of one router share while one replaces the other without a connection
-// refused: the listening socket that a supervisor holds (Socket), and a directory (StateDir) with the servers that
-// were excluded by hand, the process that serves, and what that process has learnt.
+// Package handover implements the state that the processes of one router share, so that one can replace another without
+// refusing connections: the listening socket that a supervisor holds (Socket), and a directory (StateDir) with the
+// servers that were excluded by hand, the claim of the process that serves, and the learned state of that process.
 //
-// A new process reads the excluded servers and the learned state, claims to serve once it is ready, and is noticed
-// by the old one through IsReplaced when that is told to end. Until it has ended both take calls that exclude
-// servers, and each adopts what the other wrote.
+// A new process reads the excluded servers and the learned state, and claims to serve once it is ready. When the old
+// process is stopped, it detects the new one through IsReplaced. Until the old process has ended, both accept calls
+// that exclude servers, and each adopts the changes that the other writes.
 package handover
 
 import (
@@ -13,23 +13,23 @@
 	"github.com/rs/zerolog"
 )
 
-// The files of the directory. They keep their names and their form between releases: a process may replace one of
-// an older release.
+// Files of the directory. Their names and formats must not change between releases: a process may replace one of an
+// older release.
 const (
 	excludedFile     = "spantack-outs.json"    // JSON array of server ids
-	lockFile         = "spantack-lock"         // empty; locked by flock while excludedFile changes
-	servingFile      = "spantack-serving"      // id of the process that serves; locked by flock while it does
+	lockFile         = "spantack-lock"         // empty; locked by flock during changes of excludedFile
+	servingFile      = "spantack-serving"      // id of the process that serves; locked by flock while it serves
 	learnedStateFile = "spantack-beliefs.json" // routing.LearnedState as JSON
 )
 
-// StateDir is the directory that the processes of one router share. A lost or unreadable file counts as empty, for
+// StateDir is the directory that the processes of one router share. A lost or unreadable file counts as empty, since
 // the directory is new after a crash. A nil StateDir shares nothing; all its methods may be called.
 type StateDir struct {
 	dir string
 	log zerolog.Logger
 
-	// servingLock is servingFile, locked from ClaimServing to ReleaseServing; nil: not claimed. It stays open until
-	// the process ends, when the system releases the lock, however that comes about.
+	// servingLock is servingFile, locked from ClaimServing to ReleaseServing; nil: not claimed. It stays open until the
+	// process ends, and the system then releases the lock, whatever the cause.
 	servingLock *os.File
 }
 
--- a/internal/handover/state_dir_test.go
+++ b/internal/handover/state_dir_test.go
@@ -10,32 +10,32 @@
 	"github.com/rs/zerolog"
 )
 
-// A corrupt file is no reason to stop.
+// Missing and corrupt files must give errors or empty results, and a claim without a lock must not count.
 func TestCorruptFiles(t *testing.T) {
 	dir := t.TempDir()
 	d := NewStateDir(dir, zerolog.Nop())
 	if d.IsReplaced() {
-		t.Error("replaced by nobody")
+		t.Error("replaced although there is no claim")
 	}
 	if err := d.ClaimServing(); err != nil || d.IsReplaced() {
-		t.Errorf("replaced by itself, %v", err)
+		t.Errorf("replaced by itself, error %v", err)
 	}
 	for _, text := range []string{"", "{", `{"a":1}`, strings.Repeat(" ", maxFileBytes+1)} {
 		if err := os.WriteFile(filepath.Join(dir, excludedFile), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if ids, err := d.Excluded(); err == nil || ids != nil {
-			t.Errorf("%.10q: read as %v", text, ids)
+			t.Errorf("%.10q: excluded servers read as %v", text, ids)
 		}
 	}
 	claim := filepath.Join(dir, servingFile)
 	err := errors.Join(os.Remove(claim), os.WriteFile(claim, []byte("1"), 0o600))
 	if err != nil || d.IsReplaced() {
-		t.Errorf("replaced by a claim that no living process holds, %v", err)
+		t.Errorf("replaced by a claim without a lock, error %v", err)
 	}
 }
 
-// Without a state directory all works but is not handed over.
+// Without a state directory, changes and claims work but are not shared.
 func TestWithoutStateDir(t *testing.T) {
 	none := NewStateDir("", zerolog.Nop())
 	isCalled := false
@@ -44,9 +44,9 @@
 		return nil
 	}
 	if err := none.ChangeExcluded(nil, change, nil); err != nil || !isCalled {
-		t.Errorf("change: called %v, %v", isCalled, err)
+		t.Errorf("change called: %v, error %v", isCalled, err)
 	}
 	if err := none.ClaimServing(); err != nil || none.IsReplaced() {
-		t.Errorf("replaced, %v", err)
+		t.Errorf("replaced without a state directory, error %v", err)
 	}
 }
--- a/internal/handover/stored_compat_test.go
+++ b/internal/handover/stored_compat_test.go
@@ -14,9 +14,10 @@
 	"spantack/routing"
 )
 
-// storedDir is a state directory as a process of an earlier release left it.
+// storedDir is a state directory that a process of an earlier release wrote.
 const storedDir = "testdata/statedir"
 
+// stored returns the content of a file.
 func stored(t *testing.T, dir, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, name))
@@ -26,21 +27,21 @@
 	return text
 }
 
-// A process reads what one of an earlier release left in the state directory, and leaves the same for it: files of the
-// same names with the same bytes. The file of the process that serves holds its id.
-func TestStoredStateDirIsReadAndWrittenAlike(t *testing.T) {
+// The state directory of an earlier release must be readable, and this release must write files with the same names and
+// the same bytes. The file of the process that serves holds its process id.
+func TestStoredStateDirCompat(t *testing.T) {
 	old := NewStateDir(storedDir, zerolog.Nop())
 	ids, err := old.Excluded()
 	if want := []string{"s-00c41f7a", "s-00000002"}; err != nil || !slices.Equal(ids, want) {
-		t.Fatalf("excluded: %v, %v, want %v", ids, err, want)
+		t.Fatalf("excluded: %v, error %v, want %v", ids, err, want)
 	}
 	learned, found, err := old.LoadLearnedState()
 	if err != nil || !found || len(learned.Servers) != 2 || learned.TakenAt != 1 ||
 		learned.Servers[1].Name == "" || learned.CancelBudget == 0 {
-		t.Fatalf("beliefs: %+v, %v, %v", learned, found, err)
+		t.Fatalf("learned state: %+v, found %v, error %v", learned, found, err)
 	}
 	if pid, err := strconv.Atoi(string(stored(t, storedDir, "spantack-serving"))); err != nil || pid <= 0 {
-		t.Fatalf("serving: %d, %v", pid, err)
+		t.Fatalf("serving: process id %d, error %v", pid, err)
 	}
 
 	dir := t.TempDir()
@@ -54,7 +55,7 @@
 	}
 	defer d.servingLock.Close()
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // it is written once before the end is heeded
+	cancel() // the state is written once before the end of ctx is checked
 	if err := d.SaveLearnedState(ctx, func() routing.LearnedState { return learned }); err != nil {
 		t.Fatal(err)
 	}
