--- a/internal/admin/calls.go
+++ b/internal/admin/calls.go
@@ -7,16 +7,16 @@
 	"spantack/core/endpoints"
 )
 
-// maxIDLength bounds the id of a server in a call, in bytes.
+// maxIDLength is the maximum length of a server id in a call, in bytes.
 const maxIDLength = 64
 
-// The answers of calls that have no other text.
+// Response bodies of calls that return no other text.
 const (
-	answerYes = "yes\n"
-	answerNo  = "no\n"
+	bodyYes = "yes\n"
+	bodyNo  = "no\n"
 )
 
-// handler returns the calls by method and path. Their names and answers are those of the operators' page.
+// handler returns the handler of all calls. The operators' page documents their paths and responses.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/ready", s.ready)
@@ -28,19 +28,22 @@
 	return http.MaxBytesHandler(mux, maxBodyBytes)
 }
 
+// ready responds whether the router accepts requests: 200 or 503.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !s.IsReady() {
-		respond(w, http.StatusServiceUnavailable, answerNo)
+		respond(w, http.StatusServiceUnavailable, bodyNo)
 		return
 	}
-	respond(w, http.StatusOK, answerYes)
+	respond(w, http.StatusOK, bodyYes)
 }
 
+// telemetry responds with the metrics.
 func (s *Server) telemetry(w http.ResponseWriter, _ *http.Request) {
 	respond(w, http.StatusOK, string(AppendMetrics(nil, s.Metrics())))
 }
 
-// serverCall answers a call that names a server; message is logged once it has taken effect.
+// serverCall returns the handler of a call that names a server; message is logged once the call has taken effect. The
+// response is 400 for an id that is too long, 404 for an unknown server and 503 for any other error.
 func (s *Server) serverCall(message string, call func(id string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
@@ -56,22 +59,23 @@
 			respond(w, http.StatusServiceUnavailable, err.Error()+"\n")
 		default:
 			s.Log.Info().Str("server", id).Msg(message)
-			respond(w, http.StatusOK, answerYes)
+			respond(w, http.StatusOK, bodyYes)
 		}
 	}
 }
 
-// routerCall answers a call about the router itself; message is logged before.
+// routerCall returns the handler of a call about the router itself; message is logged before the call runs.
 func (s *Server) routerCall(message string, call func()) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		s.Log.Info().Msg(message)
 		call()
-		respond(w, http.StatusOK, answerYes)
+		respond(w, http.StatusOK, bodyYes)
 	}
 }
 
+// respond writes a plain text response.
 func respond(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(text)) // the caller may have gone
+	_, _ = w.Write([]byte(text)) // the caller may have closed the connection
 }
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -2,14 +2,14 @@
 
 import "strconv"
 
-// metricPrefix precedes every name (the operators' page).
+// metricPrefix precedes the name of every metric, as the operators' page documents.
 const metricPrefix = "app."
 
-// Metric is one metric, as staff read it.
+// Metric is the name and current value of one metric.
 type Metric struct {
 	Name    string // without metricPrefix
 	Value   int64
-	IsGauge bool // else a counter since the start of the process
+	IsGauge bool // if false, it is a counter since the start of the process
 }
 
 // AppendMetrics appends metrics as StatsD lines, such as "app.outstanding:14|g".
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin serves the management address over HTTP/1.1, with one call to a connection (the operators' page of
-// daily service): readiness, metrics, servers excluded and included by hand, and the router drained and put back to
-// work. Each call runs a function that it is given.
+// Package admin serves the management address over HTTP/1.1, with one call per connection. The calls report readiness
+// and metrics, exclude and include servers, and drain and rejoin the router; the operators' page documents them. Each
+// call runs a function of Server.
 package admin
 
 import (
@@ -18,14 +18,14 @@
 	"spantack/internal/clock"
 )
 
-// MaxConns bounds the connections that are open at a time: a new one closes the oldest.
+// MaxConns is the maximum number of open connections. Beyond it, a new connection closes the oldest.
 const MaxConns = 24
 
 // Times in milliseconds.
 const (
-	// readTimeout is how long a connection may take to send a whole call.
+	// readTimeout is how long a connection may take to send a complete call.
 	readTimeout = 2_000
-	// handlerTimeout is how long a call may take to be answered.
+	// handlerTimeout is how long a call may take until its response is written.
 	handlerTimeout = 1_000
 )
 
@@ -35,21 +35,22 @@
 	maxBodyBytes   = 4 << 10
 )
 
-// Server answers the calls on the management address. Its exported fields are set before Serve.
+// Server handles the calls on the management address. Its exported fields must be set before Serve.
 type Server struct {
-	IsReady func() bool           // whether the router takes requests
-	Metrics func() []Metric       // in the order in which they are told
-	Exclude func(id string) error // has taken effect when it returns
-	Include func(id string) error // has taken effect when it returns
-	Drain   func()                // must not wait for open requests
-	Rejoin  func()                // ends what Drain began
+	IsReady func() bool           // reports whether the router accepts requests
+	Metrics func() []Metric       // returns the metrics in the order in which they are written
+	Exclude func(id string) error // excludes a server before it returns
+	Include func(id string) error // includes a server before it returns
+	Drain   func()                // drains the router; must not wait for open requests
+	Rejoin  func()                // ends the drain
 	Log     zerolog.Logger
 
 	mu    sync.Mutex
-	conns []net.Conn // the open ones, the oldest first
+	conns []net.Conn // open connections, the oldest first
 }
 
-// Serve answers calls until ctx ends, then closes at once, also connections with a call open. It owns the listener.
+// Serve handles calls until ctx ends. Then it closes the listener and all connections at once, also those with an open
+// call. It owns the listener.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	server := &http.Server{
 		Handler:           s.handler(),
@@ -59,17 +60,17 @@
 		ReadTimeout:       clock.Duration(readTimeout),
 		WriteTimeout:      clock.Duration(readTimeout + handlerTimeout),
 	}
-	server.SetKeepAlivesEnabled(false) // one call to a connection
+	server.SetKeepAlivesEnabled(false) // one call per connection
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("management address: %w", err)
+		return fmt.Errorf("serve management address: %w", err)
 	}
 	return nil
 }
 
-// trackConn bounds the connections to MaxConns by closing the oldest, so that connections which send no whole call
-// don't keep others out.
+// trackConn limits the connections to MaxConns by closing the oldest, so that connections that never send a complete
+// call don't block new ones.
 func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	var oldest net.Conn
 	s.mu.Lock()
@@ -89,14 +90,14 @@
 	}
 }
 
-// Listen retries so often, so many milliseconds apart.
+// Listen makes listenAttempts attempts, listenRetryInterval milliseconds apart.
 const (
 	listenAttempts      = 20
 	listenRetryInterval = 25
 )
 
-// Listen opens the management address. It retries for half a second, while the process that this one replaces may
-// still hold it.
+// Listen returns a listener on the management address. It retries for half a second, since the process that this one
+// replaces may still hold the address.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	var lastErr error
 	for range listenAttempts {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -23,7 +23,7 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait")) // it sleeps before it closes
 }
 
-// fakeRouter records the calls that come through to it.
+// fakeRouter records the calls that reach it.
 type fakeRouter struct {
 	isReady atomic.Bool
 
@@ -37,7 +37,7 @@
 	r.calls = append(r.calls, call)
 }
 
-// serverCall is a call that knows no server s-0, and fails for s-full.
+// serverCall returns a call for which server s-0 is unknown, and which fails for s-full.
 func (r *fakeRouter) serverCall(name string) func(id string) error {
 	return func(id string) error {
 		switch id {
@@ -65,7 +65,7 @@
 	return []Metric{{Name: "results.page.succeeded", Value: 812}, {Name: "outstanding", Value: 14, IsGauge: true}}
 }
 
-// serve starts a server before a fake router, which is ready, until the end of the test.
+// serve runs a server for a fake router that is ready, until the end of the test.
 func serve(t *testing.T) (addr string, router *fakeRouter, s *Server) {
 	t.Helper()
 	router = &fakeRouter{}
@@ -88,15 +88,15 @@
 	go func() { ended <- s.Serve(ctx, l) }()
 	t.Cleanup(func() {
 		stop()
-		if err := testwait.Receive(t, ended, "the end of Serve"); err != nil {
+		if err := testwait.Receive(t, ended, "Serve to end"); err != nil {
 			t.Error(err)
 		}
 	})
 	return l.Addr().String(), router, s
 }
 
-// call writes one call as it stands, in pieces, and returns the status and the body; 0 for a connection that ends
-// without.
+// call writes the pieces of one call, and returns the status and the body of the response. The status is 0 if the
+// connection is closed without a response.
 func call(t *testing.T, addr string, pieces ...string) (int, string) {
 	t.Helper()
 	c := testwait.Dial(t, addr)
@@ -114,13 +114,13 @@
 		t.Error(err)
 	}
 	if !r.Close {
-		t.Error("the connection is kept for a second call")
+		t.Error("the connection stays open after the response")
 	}
 	return r.StatusCode, string(body)
 }
 
-// Each call is answered as the operators' page says, and comes through to its function.
-func TestCalls(t *testing.T) {
+// Each call must get the response that the operators' page documents, and must reach its function.
+func TestCallResponses(t *testing.T) {
 	addr, router, _ := serve(t)
 	for _, tc := range []struct {
 		line   string
@@ -152,24 +152,25 @@
 	router.mu.Lock()
 	defer router.mu.Unlock()
 	if got := strings.Join(router.calls, ", "); got != "exclude s-1, include s-1, drain, rejoin" {
-		t.Errorf("calls that came through: %s", got)
+		t.Errorf("calls that reached the router: %s", got)
 	}
 }
 
-// Callers that connect and send no whole call, however many, hold up no call; nor does what is no HTTP.
-func TestHeldConnections(t *testing.T) {
+// Any number of connections without a complete call must not block another call, and neither must input that is not a
+// valid call.
+func TestIncompleteCallsDoNotBlockOthers(t *testing.T) {
 	addr, _, s := serve(t)
-	beginnings := []string{"", "GET /api/re", "PUT /api/exclude/s-1 HTTP/1.1\r\nHost: r\r\nContent-Length: 900\r\n\r\nx"}
+	incomplete := []string{"", "GET /api/re", "PUT /api/exclude/s-1 HTTP/1.1\r\nHost: r\r\nContent-Length: 900\r\n\r\nx"}
 	for i := range 3 * MaxConns {
 		c := testwait.Dial(t, addr)
-		io.WriteString(c, beginnings[i%len(beginnings)])
+		io.WriteString(c, incomplete[i%len(incomplete)])
 	}
 	if status, _ := call(t, addr, "GET /api/ready HTTP/1.1\r\nHost: r\r\n\r\n"); status != 200 {
-		t.Errorf("status %d beside held connections", status)
+		t.Errorf("status %d beside connections with incomplete calls, want 200", status)
 	}
 	s.mu.Lock()
 	if n := len(s.conns); n > MaxConns {
-		t.Errorf("%d connections are held", n)
+		t.Errorf("%d connections are open", n)
 	}
 	s.mu.Unlock()
 	for _, text := range []string{
@@ -178,7 +179,7 @@
 		"GET\r\n\r\n",
 	} {
 		if status, _ := call(t, addr, text); status == 200 {
-			t.Errorf("%.20q: answered", text)
+			t.Errorf("%.20q: status 200", text)
 		}
 	}
 }
--- a/internal/admin/wire_compat_test.go
+++ b/internal/admin/wire_compat_test.go
@@ -13,27 +13,27 @@
 	"spantack/internal/testwait"
 )
 
-// date is the one line of an answer that differs from call to call.
+// date matches the only header line of a response that differs between calls.
 var date = regexp.MustCompile(`(?m)^Date: .*\r\n`)
 
-// logged has the lines of a log.
-type logged chan string
+// logLines is a log that sends each line to a channel.
+type logLines chan string
 
-func (l logged) Write(line []byte) (int, error) {
+func (l logLines) Write(line []byte) (int, error) {
 	l <- string(line)
 	return len(line), nil
 }
 
-// The calls of staff, their answers and what is logged of them: testdata/wire_compat.txt has for each call a line
-// "> call", the answer without its date, and "log: " with a line of the log. Programs of staff read
-// these, so no line is ever changed to suit this program.
+// The calls of operators, their responses and log lines must not change. For each call, testdata/wire_compat.txt has a
+// line "> call", the response without its date, and a log line after "log: ". Operators' programs read these, so lines
+// must never be changed to make a test pass.
 func TestWireCompat(t *testing.T) {
 	text, err := os.ReadFile("testdata/wire_compat.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, state, sample := serve(t)
-	log := make(logged, 4)
+	_, router, sample := serve(t)
+	log := make(logLines, 4)
 	s := &Server{IsReady: sample.IsReady, Metrics: sample.Metrics, Exclude: sample.Exclude, Include: sample.Include,
 		Drain: sample.Drain, Rejoin: sample.Rejoin, Log: zerolog.New(log)}
 	l := testwait.Listen(t)
@@ -48,21 +48,21 @@
 		}
 		got.WriteString(line)
 		request, starting := strings.CutSuffix(request, " #starting")
-		state.isReady.Store(!starting)
-		nc := testwait.Dial(t, l.Addr().String())
-		io.WriteString(nc, request+" HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n")
-		answer, err := io.ReadAll(nc)
-		nc.Close()
+		router.isReady.Store(!starting)
+		conn := testwait.Dial(t, l.Addr().String())
+		io.WriteString(conn, request+" HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n")
+		response, err := io.ReadAll(conn)
+		conn.Close()
 		if err != nil {
 			t.Fatal(err)
 		}
-		got.WriteString(strings.ReplaceAll(date.ReplaceAllString(string(answer), ""), "\r\n", "\n"))
-		for len(log) > 0 { // it is written before the answer
+		got.WriteString(strings.ReplaceAll(date.ReplaceAllString(string(response), ""), "\r\n", "\n"))
+		for len(log) > 0 { // written before the response
 			got.WriteString("log: " + <-log)
 		}
 	}
 	stop()
-	if err := testwait.Receive(t, ended, "the end of Serve"); err != nil {
+	if err := testwait.Receive(t, ended, "Serve to end"); err != nil {
 		t.Error(err)
 	}
 	if got.String() != string(text) {
--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -1,5 +1,5 @@
-// Package asynclog writes log lines without blocking the caller. Lines are logged where locks are held and requests
-// wait, and the reader of the log may be slow, stopped or gone: it must not stop the router.
+// Package asynclog writes log lines without blocking the caller. Callers log while they hold locks and requests wait.
+// The reader of the log may be slow, stopped or gone, and must not block the router.
 package asynclog
 
 import (
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Bounds of a Writer.
+// Limits of a Writer.
 const (
 	maxLines     = 256                    // capacity of the queue, in lines
-	maxBytes     = 1 << 20                // and in bytes
-	closeTimeout = 100 * time.Millisecond // how long Close waits for the queue to drain
+	maxBytes     = 1 << 20                // capacity of the queue, in bytes
+	closeTimeout = 100 * time.Millisecond // how long Close waits until the queue is written
 )
 
-// Writer queues lines and writes them from a goroutine of its own. Lines that find the queue full are dropped; the
-// next line written is preceded by one that counts them. It is safe for concurrent use.
+// Writer queues lines and writes them from its own goroutine. Lines are dropped while the queue is full; the next line
+// is preceded by a line with the number of dropped ones. Writer is safe for concurrent use.
 type Writer struct {
 	queue        chan []byte
 	quit         chan struct{} // closed by Close
-	finished     chan struct{} // closed when the goroutine has ended
-	pendingBytes atomic.Int64  // in the queue
-	dropped      atomic.Int64  // lines dropped and not reported yet
+	finished     chan struct{} // closed when the goroutine ends
+	pendingBytes atomic.Int64  // size of the queued lines
+	dropped      atomic.Int64  // lines dropped since the last report
 }
 
-// New returns a writer to a destination that may block or fail. Close ends it.
+// New returns a writer to a destination that may block or fail. It must be closed.
 func New(destination io.Writer) *Writer {
 	w := &Writer{
 		queue:    make(chan []byte, maxLines),
@@ -37,7 +37,7 @@
 	return w
 }
 
-// Write queues a copy of one line. It never blocks and never fails.
+// Write queues a copy of one line, or drops it. It never blocks and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	size := int64(len(line))
 	if w.pendingBytes.Add(size) <= maxBytes {
@@ -52,7 +52,8 @@
 	return len(line), nil
 }
 
-// Close writes the queued lines, for closeTimeout at most. Later lines are dropped. It must be called once only.
+// Close waits up to closeTimeout until the queued lines are written. Later lines are dropped. It must be called only
+// once.
 func (w *Writer) Close() {
 	close(w.quit)
 	timeout := time.NewTimer(closeTimeout)
@@ -63,11 +64,11 @@
 	}
 }
 
-// forward writes queued lines until Close.
+// forward writes queued lines to the destination until Close is called and the queue is empty.
 func (w *Writer) forward(destination io.Writer) {
 	defer close(w.finished)
 	for {
-		select { // queued lines are written before quit is looked at
+		select { // queued lines are written before quit is checked
 		case line := <-w.queue:
 			w.writeLine(destination, line)
 			continue
@@ -82,8 +83,8 @@
 	}
 }
 
-// writeLine writes a line, preceded by the count of dropped ones, if any. A write error is ignored: there is no
-// other log to report it to.
+// writeLine writes a line, preceded by a report of the dropped lines, if any. A write error is ignored, since there is
+// no other log for it.
 func (w *Writer) writeLine(destination io.Writer, line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(destination, "{\"level\":\"warn\",\"lost\":%d,\"message\":\"log lines were not taken\"}\n", n)
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -31,9 +31,9 @@
 	return len(line), w.err
 }
 
-// A destination that blocks does not block Write; once released it gets the lines in order, and the number of those
-// dropped. One that fails is written to again.
-func TestBlockedDestination(t *testing.T) {
+// A blocked destination must not block Write. Once released, it must receive the queued lines in order, and the number
+// of dropped lines. Writes continue after a destination returns an error.
+func TestBlockedDestinationDoesNotBlockWrite(t *testing.T) {
 	for _, err := range []error{nil, errors.New("broken pipe")} {
 		destination := &blockingWriter{entered: make(chan struct{}), release: make(chan struct{}), err: err}
 		entered := destination.entered
@@ -45,7 +45,7 @@
 		}
 		testwait.Receive(t, entered, "the first line to be written")
 		for i := range maxLines + 7 {
-			line = fmt.Appendf(line[:0], "%d\n", i) // the caller's buffer is used again
+			line = fmt.Appendf(line[:0], "%d\n", i) // the caller's buffer is reused
 			w.Write(line)
 		}
 		close(destination.release)
@@ -56,13 +56,13 @@
 			want += fmt.Sprintf("%d\n", i)
 		}
 		if got := destination.got.String(); got != want {
-			t.Errorf("%v: got %.200q", err, got)
+			t.Errorf("destination with error %v: got %.200q", err, got)
 		}
 	}
 }
 
-// Close does not wait for a destination that blocks, and the queue is bounded in bytes too.
-func TestCloseWhileBlocked(t *testing.T) {
+// Close must not wait for a blocked destination, and the queue must be bounded in bytes too.
+func TestCloseWhileDestinationBlocks(t *testing.T) {
 	destination := &blockingWriter{entered: make(chan struct{}), release: make(chan struct{})}
 	entered := destination.entered
 	w := New(destination)
@@ -70,7 +70,7 @@
 	w.Write(half)
 	testwait.Receive(t, entered, "the first line to be written")
 	w.Write(half)
-	w.Write(half) // the one too many
+	w.Write(half) // exceeds maxBytes
 	w.Close()
 	w.Write([]byte("after the end\n"))
 	close(destination.release)
@@ -78,6 +78,6 @@
 	report := "{\"level\":\"warn\",\"lost\":2,\"message\":\"log lines were not taken\"}\n"
 	got, lost := destination.got.Len(), w.dropped.Load()
 	if got < maxBytes || got > maxBytes+len(report) || lost != 0 {
-		t.Errorf("%d bytes passed on, %d lines dropped and not reported", got, lost)
+		t.Errorf("%d bytes written, %d dropped lines not reported", got, lost)
 	}
 }
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -1,5 +1,6 @@
-// Package background runs work that can wait beside the requests of a router, in the order and within the budget of
-// core/scheduler: one goroutine, one job at a time, so that it never takes more than its part of the core.
+// Package background runs deferrable jobs beside the requests of a router. core/scheduler decides their order and keeps
+// them within their budget. One goroutine runs one job at a time, so that jobs never use more than their share of the
+// core.
 package background
 
 import (
@@ -15,20 +16,20 @@
 	"spantack/internal/clock"
 )
 
-// Bounds of all background work of a router; times are milliseconds.
+// Limits of all background jobs of a router; times are milliseconds.
 const (
-	coreBudgetMsPerSecond = 20.0   // of its core, each second
-	budgetBurst           = 1000   // of this time the budget may be used at once
-	maxQueuedJobs         = 64     // jobs that wait
-	maxAttempts           = 3      // of one job
-	attemptTimeout        = 10_000 // a job that has not ended by then counts as failed
+	coreBudgetMsPerSecond = 20.0   // time per second on the router's core
+	budgetBurst           = 1000   // period whose budget may be used at once
+	maxQueuedJobs         = 64     // jobs that wait to run
+	maxAttempts           = 3      // attempts of one job
+	attemptTimeout        = 10_000 // after which a job that has not ended counts as failed
 	initialBackoff        = 500    // before the second attempt of a job
 	maxBackoff            = 30_000
-	agingInterval         = 2000 // a job that waits for so long rises by one priority
-	minWait               = 1    // between two looks at the queue while nothing can run
+	agingInterval         = 2000 // waiting time after which a job rises by one priority
+	minWait               = 1    // between two checks of the queue while no job can run
 )
 
-// Runner runs jobs. New makes one.
+// Runner queues and runs jobs. It is created by New.
 type Runner struct {
 	clock *clock.Clock
 	log   zerolog.Logger
@@ -36,13 +37,13 @@
 	// mu is never held while a job runs. It guards scheduler and jobs.
 	mu        sync.Mutex
 	scheduler *scheduler.Scheduler
-	jobs      map[string]func() // what is queued or runs, by the job's id
+	jobs      map[string]func() // queued and running jobs, by id
 
-	// wake gets a value when a job is submitted.
+	// wake receives a value when a job is submitted.
 	wake chan struct{}
 }
 
-// New returns a runner without jobs; seed feeds the jitter of backoffs.
+// New returns a runner without jobs; seed initializes the random jitter of backoffs.
 func New(c *clock.Clock, seed uint64, log zerolog.Logger) (*Runner, error) {
 	config := scheduler.Config{
 		Resources: []scheduler.Resource{{
@@ -64,14 +65,15 @@
 	return &Runner{clock: c, log: log, scheduler: s, jobs: map[string]func(){}, wake: make(chan struct{}, 1)}, nil
 }
 
-// Submit queues a job of so many milliseconds, as far as that is known. Its error wraps scheduler.ErrDuplicateJob
-// where one is queued or runs under this id already, and another one of the scheduler's where there is no room.
+// Submit queues a job; costMs is its expected run time in milliseconds, 0 if it is not known. The error wraps
+// scheduler.ErrDuplicateJob if a job with this id is queued or running, or another error of the scheduler if the queue
+// is full.
 func (r *Runner) Submit(id string, priority scheduler.Priority, costMs float64, run func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	job := scheduler.Job{ID: id, Priority: priority, Cost: []float64{costMs}, MaxAttempts: maxAttempts}
 	abandoned, err := r.scheduler.Submit(r.nowMicros(), job)
-	r.forgetLocked(abandoned)
+	r.removeLocked(abandoned)
 	if err != nil {
 		return fmt.Errorf("background job %s: %w", id, err)
 	}
@@ -83,8 +85,8 @@
 	return nil
 }
 
-// Every runs a job again and again, so many milliseconds after its last end, until ctx ends. It is left out for
-// once while the queue has no room for it.
+// Every runs a job repeatedly until ctx ends, each time interval milliseconds after its last run has ended. A run is
+// skipped if the queue has no room for it.
 func (r *Runner) Every(ctx context.Context, id string, interval float64, priority scheduler.Priority, run func()) {
 	var submit func()
 	submit = func() {
@@ -102,7 +104,7 @@
 	submit()
 }
 
-// Run runs what is due until ctx ends.
+// Run runs due jobs until ctx ends.
 func (r *Runner) Run(ctx context.Context) error {
 	for {
 		due, nextStep := r.step()
@@ -124,16 +126,16 @@
 	}
 }
 
-// step returns the attempts that are due, and when the next may be, in microseconds.
+// step returns the attempts that are due, and the earliest time of the next one, in microseconds.
 func (r *Runner) step() (due []scheduler.Attempt, nextStep int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ready := r.scheduler.Step(r.nowMicros())
-	r.forgetLocked(ready.Abandoned)
+	r.removeLocked(ready.Abandoned)
 	return ready.Start, ready.NextStep
 }
 
-// waitUntil is how long to wait for a time of the scheduler, in milliseconds, and at most attemptTimeout.
+// waitUntil returns the time to wait until nextStep, in milliseconds, from minWait to attemptTimeout.
 func (r *Runner) waitUntil(nextStep int64) float64 {
 	if nextStep == math.MaxInt64 {
 		return attemptTimeout
@@ -141,7 +143,7 @@
 	return min(max(clock.Millis(nextStep)-r.clock.Now(), minWait), attemptTimeout)
 }
 
-// run runs one attempt of a job, and tells the scheduler what it took.
+// run runs one attempt of a job, and reports its outcome and duration to the scheduler.
 func (r *Runner) run(attempt scheduler.Attempt) {
 	r.mu.Lock()
 	job := r.jobs[attempt.ID]
@@ -154,11 +156,11 @@
 		delete(r.jobs, attempt.ID)
 	}
 	now := r.clock.Now()
-	took := max(now-startedAt, 0)
-	r.forgetLocked(r.scheduler.Finish(clock.Micros(now), attempt.ID, attempt.Number, outcome, []float64{took}))
+	duration := max(now-startedAt, 0)
+	r.removeLocked(r.scheduler.Finish(clock.Micros(now), attempt.ID, attempt.Number, outcome, []float64{duration}))
 }
 
-// runRecovering runs a job and recovers from its panic: a fault in work that can wait must not take the router down.
+// runRecovering runs a job and recovers from its panic: a fault in a background job must not end the router.
 func (r *Runner) runRecovering(id string, job func()) (outcome scheduler.Outcome) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -170,11 +172,12 @@
 	return scheduler.Done
 }
 
-// forgetLocked drops jobs that the scheduler has abandoned. r.mu is held.
-func (r *Runner) forgetLocked(abandoned []scheduler.Abandoned) {
+// removeLocked removes the jobs that the scheduler has abandoned. r.mu is held.
+func (r *Runner) removeLocked(abandoned []scheduler.Abandoned) {
 	for _, a := range abandoned {
 		delete(r.jobs, a.ID)
 	}
 }
 
+// nowMicros returns the time in the scheduler's unit.
 func (r *Runner) nowMicros() int64 { return clock.Micros(r.clock.Now()) }
--- a/internal/background/background_test.go
+++ b/internal/background/background_test.go
@@ -25,7 +25,7 @@
 	ran []string
 }
 
-// job is one that records that it ran.
+// job returns a job that records that it ran.
 func (l *jobLog) job(id string) func() {
 	return func() {
 		l.mu.Lock()
@@ -41,8 +41,8 @@
 	return slices.Clone(l.ran)
 }
 
-// Jobs run one at a time, the urgent first, each once however often it is submitted; one that fails is attempted
-// three times and given up, and what comes after it still runs. Time is the test's.
+// Jobs must run one at a time, the urgent ones first, and once even if submitted twice. A job that fails must be
+// attempted three times and then dropped, and later jobs must still run. The test uses a fake clock.
 func TestJobsRunInOrder(t *testing.T) {
 	c := clock.NewFake(1e12)
 	var log bytes.Buffer
@@ -59,7 +59,7 @@
 		}
 	}
 	if err := r.Submit("idle", scheduler.Urgent, 1, once.job("idle")); !errors.Is(err, scheduler.ErrDuplicateJob) {
-		t.Errorf("twice under one id: %v", err)
+		t.Errorf("second job with the same id: %v", err)
 	}
 	broken := func() {
 		once.job("broken")()
@@ -83,9 +83,9 @@
 	ran := once.all()
 	urgent, prompt, idle := slices.Index(ran, "urgent"), slices.Index(ran, "prompt"), slices.Index(ran, "idle")
 	if urgent > prompt || prompt > idle || len(ran) != 6 {
-		t.Errorf("ran %v", ran)
+		t.Errorf("jobs ran in the order %v", ran)
 	}
 	if n := strings.Count(log.String(), "background job failed"); n != 3 {
-		t.Errorf("%d lines of a job that fails three times", n)
+		t.Errorf("%d log lines for a job that fails three times, want 3", n)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,20 +1,20 @@
-// Package clock is the program's one source of time: Unix milliseconds as float64. Only the decision module counts
-// in whole microseconds; Micros and Millis are the one place where the two meet.
+// Package clock is the only source of time of the program, as Unix milliseconds in float64. Only the decision module
+// uses whole microseconds; Micros and Millis are the only functions that convert between the two.
 package clock
 
 import "time"
 
-// Clock tells the time and runs functions later. The zero value is the system's clock; NewFake makes one that a
-// test sets. It is safe for concurrent use.
+// Clock returns the time and runs functions after a delay. The zero value is the system's clock; NewFake returns one
+// that a test advances. It is safe for concurrent use.
 type Clock struct {
-	fake *fakeTime // nil: the system's
+	fake *fakeTime // nil: the system's clock
 }
 
-// Timer is a function that a Clock will run.
+// Timer is a function that a Clock runs after a delay.
 type Timer struct {
-	real *time.Timer // nil: a fake clock's
+	real *time.Timer // nil: the timer of a fake clock
 
-	// Of a fake clock.
+	// Set for a fake clock only.
 	fake *fakeTime
 	due  float64
 	run  func()
@@ -28,11 +28,11 @@
 	return float64(time.Now().UnixMicro()) / 1000
 }
 
-// processStart is the origin of monotonic time.
+// processStart is the zero point of Monotonic.
 var processStart = time.Now()
 
-// Monotonic returns a time in milliseconds that no setting of the system's clock moves, counted from the start of
-// the process. Intervals on which other processes rely are measured by it.
+// Monotonic returns the time since the start of the process in milliseconds, which is not affected by changes of the
+// system's clock. It is used for intervals that other processes rely on. With a fake clock it returns Now.
 func (c *Clock) Monotonic() float64 {
 	if c.fake != nil {
 		return c.fake.read()
@@ -40,8 +40,8 @@
 	return float64(time.Since(processStart).Microseconds()) / 1000
 }
 
-// AfterFunc runs f once ms milliseconds have passed: in a goroutine of its own, or, with a fake clock, in that of
-// Advance.
+// AfterFunc runs f after ms milliseconds, and returns the timer that can stop it. f runs in its own goroutine, or, with
+// a fake clock, in the goroutine that calls Advance.
 func (c *Clock) AfterFunc(ms float64, f func()) *Timer {
 	if c.fake != nil {
 		return c.fake.afterFunc(ms, f)
@@ -49,13 +49,13 @@
 	return &Timer{real: time.AfterFunc(Duration(ms), f)}
 }
 
-// Alarm returns a channel that gets one value after ms milliseconds, and the timer that stops it.
+// Alarm returns a channel that receives one value after ms milliseconds, and the timer that can stop it.
 func (c *Clock) Alarm(ms float64) (<-chan struct{}, *Timer) {
 	alarm := make(chan struct{}, 1)
 	return alarm, c.AfterFunc(ms, func() { alarm <- struct{}{} })
 }
 
-// Stop keeps the timer from running if it has not yet. A nil timer is stopped already.
+// Stop prevents the timer from running if it has not run yet. On a nil timer it does nothing.
 func (t *Timer) Stop() {
 	switch {
 	case t == nil:
--- a/internal/clock/convert.go
+++ b/internal/clock/convert.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// microsPerMilli converts between the program's unit and the decision module's.
+// microsPerMilli is the number of the decision module's units (microseconds) in one of the program's (milliseconds).
 const microsPerMilli = 1000
 
-// Micros converts milliseconds to the decision module's microseconds. It takes back what Millis gave, exactly.
+// Micros converts milliseconds to the decision module's microseconds. It is the exact inverse of Millis.
 func Micros(ms float64) int64 { return int64(math.Round(ms * microsPerMilli)) }
 
 // Millis converts the decision module's microseconds to milliseconds.
 func Millis(us int64) float64 { return float64(us) / microsPerMilli }
 
-// Duration converts milliseconds for the standard library.
+// Duration converts milliseconds to a duration of the standard library.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Deadline returns the moment ms milliseconds from now as the net package takes it.
+// Deadline returns the time ms milliseconds from now, for the deadlines of package net.
 func Deadline(ms float64) time.Time { return time.Now().Add(Duration(ms)) }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback hands out free addresses on the loopback interface to tests and experiments, for servers that
-// are started later and, most often, in processes of their own.
+// Package loopback provides free addresses on the loopback interface to tests and experiments, for servers that are
+// started later, usually in separate processes.
 package loopback
 
 import (
@@ -8,21 +8,21 @@
 	"sync/atomic"
 )
 
-// Ports are handed out from firstPort up to those that the system gives to outgoing connections.
+// Ports are taken from firstPort up to endPort, below the ports that the system uses for outgoing connections.
 const (
 	firstPort = 20_000
-	endPort   = 32_000 // not handed out itself
+	endPort   = 32_000 // exclusive
 )
 
-// addressesGiven counts the calls of FreeAddress.
-var addressesGiven atomic.Uint32
+// addressCount is the number of calls of FreeAddress.
+var addressCount atomic.Uint32
 
-// FreeAddress returns an address on which nobody listens. It differs from all that this process was given before,
-// until the ports are used up, and from those of every other process: the host part follows from the process id. A
-// port that the system picks for a listener which is then closed has neither property, since the system soon gives
-// it to somebody else.
+// FreeAddress returns an address on which no process listens. It differs from the addresses of all earlier calls in
+// this process, until the ports are used up, and from those of every other process, because the host part is derived
+// from the process id. A port that the system picks for a listener that is then closed has neither property, since the
+// system soon reuses it.
 func FreeAddress() string {
 	pid := os.Getpid()
-	port := firstPort + (addressesGiven.Add(1)-1)%(endPort-firstPort)
+	port := firstPort + (addressCount.Add(1)-1)%(endPort-firstPort)
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+pid>>16&0x7f, pid>>8&0xff, pid&0xff, port)
 }
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -1,17 +1,17 @@
-// Package ratelog bounds how often a repeating fault is logged, so that a fault of every connection does not fill the
-// log. The caller counts the faults and logs the count, so that the ones left out can still be seen.
+// Package ratelog limits how often a repeated fault is logged, so that a fault of every connection does not fill the
+// log. The caller counts the faults and logs the count, so that faults without a log line are still visible.
 package ratelog
 
-// Interval is the time between two log lines of one kind, in milliseconds.
+// Interval is the minimum time between two log lines of a Limiter, in milliseconds.
 const Interval = 1000
 
-// Limiter admits one log line per Interval. The zero value is ready for use. It is not safe for concurrent use: its
-// owner guards it together with the count that it logs.
+// Limiter allows one log line per Interval. The zero value is ready for use. It is not safe for concurrent use: the
+// caller guards it together with the count that it logs.
 type Limiter struct {
-	loggedAt float64 // Unix milliseconds of the last line; 0: none yet
+	loggedAt float64 // time of the last line in Unix milliseconds; 0: none yet
 }
 
-// Allow reports whether a line may be logged at now (Unix milliseconds), and counts it as logged if so.
+// Allow reports whether a line may be logged at now, in Unix milliseconds. If so, the line counts as logged.
 func (l *Limiter) Allow(now float64) bool {
 	if now-l.loggedAt < Interval {
 		return false
@@ -20,5 +20,5 @@
 	return true
 }
 
-// Record counts a line as logged at now although it was not subject to the limit.
+// Record counts a line as logged at now, in Unix milliseconds, that was logged without Allow.
 func (l *Limiter) Record(now float64) { l.loggedAt = now }
--- a/internal/ratelog/ratelog_test.go
+++ b/internal/ratelog/ratelog_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-func TestAllow(t *testing.T) {
+// Only one line may be allowed per Interval, and a recorded line must count too.
+func TestAllowOncePerInterval(t *testing.T) {
 	const start = 1_764_576_000_000
 	var limiter Limiter
 	for _, step := range []struct {
@@ -21,6 +22,6 @@
 	}
 	limiter.Record(start + 2*Interval - 1)
 	if limiter.Allow(start + 3*Interval - 2) {
-		t.Error("allowed within the interval of a recorded line")
+		t.Error("allowed less than Interval after a recorded line")
 	}
 }
