--- a/internal/handover/exclusions.go
+++ b/internal/handover/exclusions.go
@@ -19,7 +19,7 @@
 	// the 500 ms within which an exclusion must take effect.
 	watchInterval = 100
 	// lockTimeout is how long a change waits for the lock, with an attempt every lockRetryInterval. The management call
-	// that makes the change must be answered within 1 s.
+	// that makes the change must get its response within 1 s.
 	lockTimeout       = 700
 	lockRetryInterval = 5
 )
--- a/internal/resp/pools.go
+++ b/internal/resp/pools.go
@@ -28,12 +28,12 @@
 const (
 	idleCloseShare    = 0.8     // of IdleTimeout; the close comes before the server's, which could cross an attempt
 	writeTimeout      = 2000    // for one command
-	minWriteTimeout   = 20      // for an attempt with hardly any time left to be sent
+	minWriteTimeout   = 20      // for an attempt that has hardly any time left to be sent
 	queueCapacity     = 64      // commands that wait to be written on one connection
-	dropWriteTimeout  = 20      // for which Cancel waits for its DROP to be written
-	dropRetention     = 2000    // within which the next attempt of a dropped request would be sent
-	maxSilence        = 250     // without a response, after which a connection is closed when its attempt is canceled
-	stallTimeout      = 1000    // without a further byte within a response
+	dropWriteTimeout  = 20      // for Cancel to wait until its DROP is written
+	dropRetention     = 2000    // for which the id of a canceled attempt is remembered; its next attempt comes sooner
+	maxSilence        = 250     // without a response; then a connection is closed when its only attempt is canceled
+	stallTimeout      = 1000    // between two bytes of a response
 	readBufferSize    = 4 << 10 // bytes
 	maxConnsPerServer = 24      // connections to one server before attempts share them
 )
@@ -60,7 +60,7 @@
 // timeouts bound the time of writes to servers, in milliseconds. Tests increase them.
 type timeouts struct {
 	write float64 // of one command
-	drop  float64 // for which Cancel waits for its DROP to be written
+	drop  float64 // of the wait in Cancel until its DROP is written
 }
 
 // NewPools returns pools without servers. All connections are closed when ctx ends.
--- a/internal/resp/pools_test.go
+++ b/internal/resp/pools_test.go
@@ -164,7 +164,7 @@
 	pending, conn := sendFirst(pools, server)
 	conn.respond("a", "OK", "-", "x")
 	wantOutcome(t, pending, routing.OutcomeServed)
-	pending = send(pools, "a") // queued at the time of the last response
+	pending = send(pools, "a") // queued at the same time as the last response, so the connection is not silent
 	conn.expect("GET a")
 	pending.Cancel(true)
 	retry := send(pools, "a")
--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -82,14 +82,14 @@
 		"answer ERR, FILL_FULL":    {Outcome: "err", CacheStatus: 9},
 		"answer ERR, ROOT_FAIL":    {Outcome: "err", CacheStatus: 10},
 	}
-	recorded, answers := testfixture.QuotedLines(t, wireFixture), 0
+	recorded, count := testfixture.QuotedLines(t, wireFixture), 0
 	for name := range recorded {
 		if strings.HasPrefix(name, "answer ") {
-			answers++
+			count++
 		}
 	}
-	if answers != len(cases) {
-		t.Errorf("%d recorded responses, %d cases", answers, len(cases))
+	if count != len(cases) {
+		t.Errorf("%d recorded responses, %d cases", count, len(cases))
 	}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -8,14 +8,14 @@
 	Server         string             // id of the server
 	Source         string             // id of the server from which a miss is filled; empty: none
 	Timeout        float64            // how long the router waits for the result
-	RetentionRank  int                // how long the server keeps the copy, as a rank; 0 where the module names no source
+	RetentionRank  int                // rank that determines how long the server keeps the copy, 1 to 3; 0: none is kept
 	MaxAge         float64            // greatest age of the copy; 0: the fresh time of the class
 	FetchFlags     routing.FetchFlags // how the server fetches the copy from Source
 	SendWithin     float64            // how long after the decision it may be sent; 0: not bounded for this attempt
 	HasSideEffects bool               // running it twice is harmful: no other attempt's response may be attributed to it
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Outcome     routing.AttemptOutcome
 	CacheStatus routing.CacheStatus // how the server got the copy, or why it has none
@@ -31,7 +31,7 @@
 	// Done returns the channel that delivers the attempt's result, once. It delivers nothing after Cancel.
 	Done() <-chan AttemptResult
 	// Cancel cancels the attempt; mayRetry is set if a retry may follow. It returns once the server has been notified
-	// or the connection is closed, or after a short wait if neither is possible.
+	// or the connection is closed, or after a short wait if neither is possible soon.
 	Cancel(mayRetry bool)
 }
 
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -20,7 +20,7 @@
 	Failed   atomic.Int64
 	Departed atomic.Int64 // NoResponse: the client had left
 
-	Overdue atomic.Int64 // requests for which the module decided no response; also counted in Failed
+	Overdue atomic.Int64 // requests that the module did not end in time; also counted in Failed
 	Faults  atomic.Int64 // panics of the module, and actions that could not be passed to a request
 }
 
--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -56,7 +56,7 @@
 	return response.Outcome, upstream.sends
 }
 
-// When several events have arrived before Serve looks, the same one must always decide the outcome.
+// When several events have arrived before Serve handles any, the same one must always decide the outcome.
 func TestEventPrecedence(t *testing.T) {
 	served := AttemptResult{Outcome: routing.OutcomeServed, Body: []byte("bytes")}
 	refused := AttemptResult{Outcome: routing.OutcomeConnectionRefused}
--- a/internal/router/exclusions_test.go
+++ b/internal/router/exclusions_test.go
@@ -63,8 +63,7 @@
 	checkCounts("set")
 }
 
-// A server that drains gets no request from the next one on, and a request still gets a response when no server is
-// left.
+// A draining server must get no new request, and a request must still get a response when no server is left.
 func TestDrainingServerGetsNoNewRequest(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	r.Apply(listed(routing.EndpointDraining))
--- a/internal/router/features.go
+++ b/internal/router/features.go
@@ -10,11 +10,11 @@
 	"spantack/core/rollout"
 )
 
-// Features is what a features file sets. A nil field is off.
+// Features holds the features of a features file. A nil field means that the feature is off.
 type Features struct {
 	Cells       *cells.Assignment
-	Migrations  *migration.Document // fits Cells
-	Rollout     *rollout.Rollout    // fits Cells
+	Migrations  *migration.Document // valid for Cells
+	Rollout     *rollout.Rollout    // valid for Cells
 	Topology    *hierarchy.Graph
 	OriginLimit *originlimit.Document
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -6,7 +6,7 @@
 	Class          string  // name of a class in the settings
 	Tenant         string  // as the front end names it; often empty
 	Object         string  // id of the requested object
-	Chunk          int64   // index of the chunk within the object
+	Chunk          int64   // number of the object's chunk, counted from 0
 	PurgeGroup     int64   // group of objects that can be purged together
 	SizeKB         float64 // expected size of the response; 0: not known
 	IdempotencyKey string  // lets servers recognize a repeated request; empty: none
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -29,7 +29,7 @@
 func (r *Router) Serve(ctx context.Context, q Request) (response Response) {
 	r.Counters.Accepted.Add(1)
 	defer func() { r.countOutcome(q.Class, response.Outcome) }()
-	s := serving{
+	s := requestState{
 		router:   r,
 		request:  &q,
 		deadline: q.deadline(),
@@ -39,10 +39,10 @@
 	overdue, overdueTimer := r.clock.Alarm(s.deadline + overdueAfter - r.clock.Now())
 	s.overdueAlarm = overdue
 	defer overdueTimer.Stop()
-	if !r.open(&s) {
+	if !r.register(&s) {
 		return s.respond(Response{Outcome: Failed})
 	}
-	defer r.forget(&s)
+	defer r.unregister(&s)
 	for {
 		s.wait(ctx)
 		if response, ended := s.handleNext(ctx); ended {
@@ -58,11 +58,11 @@
 	return q.ArrivedAt + q.ClientTimeout - margin
 }
 
-// open registers the request's mailbox and passes the request to the module. It returns false if the request must not
-// be served, which has two cases. An open request has the same id: its response must not go to this request. Or the
-// class requires keys and the request has none, because the front end read it before the settings were reloaded:
+// register adds the request's mailbox and passes the request to the module. It returns false in two cases, in which
+// the request must not be served. An open request has the same id, and its response must not go to this request. Or
+// the class requires keys and the request has none, because the front end read it before the settings were reloaded;
 // servers could not recognize a repeat of it.
-func (r *Router) open(s *serving) bool {
+func (r *Router) register(s *requestState) bool {
 	q := s.request
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,21 +86,21 @@
 	return true
 }
 
-// forget removes the request's mailbox, so that later actions for its id are dropped.
-func (r *Router) forget(s *serving) {
+// unregister removes the request's mailbox, so that later actions for its id are dropped.
+func (r *Router) unregister(s *requestState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.mailboxes, s.request.ID)
 }
 
-// serving is the state of one request in Serve. Only the goroutine of Serve uses it; the module, the upstream and the
-// timers send to it through channels.
-type serving struct {
+// requestState is the state of one request in Serve. Only the goroutine of Serve uses it; the module, the upstream and
+// the timers send to it through channels.
+type requestState struct {
 	router   *Router
 	request  *Request
 	deadline float64 // Unix milliseconds; see Request.deadline
 
-	// mailbox receives the module's actions for this request, from open until forget. It is never closed.
+	// mailbox receives the module's actions for this request, from register until unregister. It is never closed.
 	mailbox chan routing.Action
 	// overdueAlarm receives a value overdueAfter past the deadline. Serve owns its timer.
 	overdueAlarm <-chan struct{}
@@ -121,7 +121,7 @@
 
 // sentAttempt is an attempt in flight.
 type sentAttempt struct {
-	// pending is owned by serving until its result has been received or it was canceled; nil: no attempt is in flight.
+	// pending is owned by requestState until its result is received or it is canceled; nil: no attempt is in flight.
 	pending PendingAttempt
 	result  <-chan AttemptResult // of pending
 	timeout <-chan struct{}      // receives a value when the attempt times out
@@ -132,7 +132,7 @@
 
 // wait blocks until an event of the request arrives, or returns at once if an action of the module is pending. It
 // stores all events that have arrived.
-func (s *serving) wait(ctx context.Context) {
+func (s *requestState) wait(ctx context.Context) {
 	if !s.hasAction {
 		select {
 		case s.result = <-s.sent.result:
@@ -158,7 +158,7 @@
 // several events, the first in the order of the cases is handled. An attempt's result comes first: it may be the
 // response, and the attempt has ended even if it has also timed out. Events that rule out a retry come next, then
 // those that may lead to one.
-func (s *serving) handleNext(ctx context.Context) (response Response, ended bool) {
+func (s *requestState) handleNext(ctx context.Context) (response Response, ended bool) {
 	switch {
 	case s.hasResult:
 		return s.handleResult(ctx)
@@ -184,7 +184,7 @@
 
 // handleResult reports the result of the attempt in flight to the module, and returns the final response if the
 // attempt was served.
-func (s *serving) handleResult(ctx context.Context) (response Response, ended bool) {
+func (s *requestState) handleResult(ctx context.Context) (response Response, ended bool) {
 	result := s.result
 	s.result, s.hasResult = AttemptResult{}, false
 	s.endAttempt(result)
@@ -199,7 +199,7 @@
 }
 
 // handleAction executes the module's action; ended is true if it is the final response.
-func (s *serving) handleAction() (response Response, ended bool) {
+func (s *requestState) handleAction() (response Response, ended bool) {
 	s.hasAction = false
 	switch a := &s.action; a.Kind {
 	case routing.ActionSend:
@@ -220,7 +220,7 @@
 }
 
 // send sends the attempt of an ActionSend.
-func (s *serving) send(a *routing.Action) {
+func (s *requestState) send(a *routing.Action) {
 	attempt := newAttempt(s.request, a)
 	now := s.router.clock.Now()
 	s.attempt++
@@ -253,7 +253,7 @@
 }
 
 // endAttempt ends the attempt in flight and reports its result to the module.
-func (s *serving) endAttempt(result AttemptResult) {
+func (s *requestState) endAttempt(result AttemptResult) {
 	ended := s.sent
 	ended.timer.Stop()
 	s.sent = sentAttempt{}
@@ -272,7 +272,7 @@
 }
 
 // cancelAttempt cancels the attempt in flight, if any. No retry follows.
-func (s *serving) cancelAttempt() {
+func (s *requestState) cancelAttempt() {
 	if s.sent.pending != nil {
 		s.sent.timer.Stop()
 		s.sent.pending.Cancel(false)
@@ -280,19 +280,19 @@
 }
 
 // abort cancels the attempt in flight and notifies the module, which has not ended the request, that it is aborted.
-func (s *serving) abort() {
+func (s *requestState) abort() {
 	s.cancelAttempt()
 	s.router.step(routing.Event{Kind: routing.EventAborted, RequestID: s.request.ID})
 }
 
 // reportOverdue counts and logs that the module decided no response in time.
-func (s *serving) reportOverdue() {
+func (s *requestState) reportOverdue() {
 	s.router.Counters.Overdue.Add(1)
 	s.router.log.Error().Str("request", s.request.ID).Msg("decision module did not end the request by its deadline")
 }
 
 // respond counts the request's final response and returns it.
-func (s *serving) respond(response Response) Response {
+func (s *requestState) respond(response Response) Response {
 	s.router.Counters.countOutcome(response.Outcome)
 	return response
 }
