--- a/internal/resp/array.go
+++ b/internal/resp/array.go
@@ -19,20 +19,21 @@
 	bodyIndex      = 3       // index of the body, both in commands and in responses
 )
 
-// Each array and each string in it begins with a line that holds one of these type marks and a length.
+// Each array and each string in it begins with a line that holds one of these type bytes and a length.
 const (
-	arrayMark  = '*'
-	stringMark = '$'
-	lineEnd    = "\r\n"
+	arrayType  = '*'
+	stringType = '$'
+
+	lineEnd = "\r\n" // ends such a line, and the bytes of a string
 )
 
-// errMalformed is wrapped by every error that means that a server has violated the protocol.
-var errMalformed = errors.New("malformed response")
+// errMalformed is wrapped by the error for every message that violates the protocol.
+var errMalformed = errors.New("malformed message")
 
 // ReadArray reads one array of bulk strings: a command or a response. Lengths are checked before anything is allocated.
 // It returns io.EOF if the stream ends between arrays, and io.ErrUnexpectedEOF if it ends within one.
 func ReadArray(in *bufio.Reader) ([][]byte, error) {
-	length, err := readLength(in, arrayMark, maxArrayLength)
+	length, err := readLength(in, arrayType, maxArrayLength)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +53,7 @@
 
 // readString reads one bulk string of at most limit bytes.
 func readString(in *bufio.Reader, limit int) ([]byte, error) {
-	size, err := readLength(in, stringMark, limit)
+	size, err := readLength(in, stringType, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -74,8 +75,9 @@
 	return err
 }
 
-// readLength reads a line of a mark and a length, such as "$12\r\n", and returns the length, which is at most limit.
-func readLength(in *bufio.Reader, mark byte, limit int) (int, error) {
+// readLength reads a line that holds a type byte and a length, such as "$12\r\n", and returns the length, which is at
+// most limit.
+func readLength(in *bufio.Reader, typeByte byte, limit int) (int, error) {
 	var line [maxLengthLine]byte
 	for i := range line {
 		next, err := in.ReadByte()
@@ -89,18 +91,18 @@
 		if next != '\n' {
 			continue
 		}
-		if length, ok := parseLength(line[:i+1], mark); ok && length <= limit {
+		if length, ok := parseLength(line[:i+1], typeByte); ok && length <= limit {
 			return length, nil
 		}
 		break
 	}
-	return 0, fmt.Errorf("%w: no valid length after %q", errMalformed, mark)
+	return 0, fmt.Errorf("%w: no valid length after %q", errMalformed, typeByte)
 }
 
-// parseLength parses a complete line of a mark and a length; ok is false if the line is anything else.
-func parseLength(line []byte, mark byte) (length int, ok bool) {
+// parseLength parses a complete line that holds a type byte and a length; ok is false if the line is anything else.
+func parseLength(line []byte, typeByte byte) (length int, ok bool) {
 	digitsEnd := len(line) - len(lineEnd)
-	if digitsEnd < 2 || line[0] != mark || line[digitsEnd] != '\r' {
+	if digitsEnd < 2 || line[0] != typeByte || line[digitsEnd] != '\r' {
 		return 0, false
 	}
 	number, err := strconv.ParseUint(string(line[1:digitsEnd]), 10, 31)
@@ -109,18 +111,18 @@
 
 // AppendArray appends an array of bulk strings to buf.
 func AppendArray(buf []byte, parts ...[]byte) []byte {
-	buf = appendLength(buf, arrayMark, len(parts))
+	buf = appendLength(buf, arrayType, len(parts))
 	for _, part := range parts {
-		buf = appendLength(buf, stringMark, len(part))
+		buf = appendLength(buf, stringType, len(part))
 		buf = append(buf, part...)
 		buf = append(buf, lineEnd...)
 	}
 	return buf
 }
 
-// appendLength appends the line of a mark and a length.
-func appendLength(buf []byte, mark byte, length int) []byte {
-	buf = append(buf, mark)
+// appendLength appends the line that holds a type byte and a length.
+func appendLength(buf []byte, typeByte byte, length int) []byte {
+	buf = append(buf, typeByte)
 	buf = strconv.AppendInt(buf, int64(length), 10)
 	return append(buf, lineEnd...)
 }
--- a/internal/resp/attempt.go
+++ b/internal/resp/attempt.go
@@ -21,8 +21,8 @@
 	fullyWritten bool  // all of it was passed to the socket
 	endOffset    int64 // its end in the bytes written to its connection; valid once fullyWritten
 
-	ambiguous     bool                  // another attempt of its id ended on this connection: a response may be for it
-	delayedResult *router.AttemptResult // of an ambiguous attempt: delivered once the DROP behind it is written; nil: none
+	ambiguous     bool                  // an earlier attempt with its id ended on conn: a response may be for that one
+	delayedResult *router.AttemptResult // of an ambiguous attempt: delivered once its DROP is written; nil: none
 
 	finished bool
 	result   chan router.AttemptResult // has a capacity of one, so that finish never blocks
@@ -44,16 +44,16 @@
 //
 //   - An attempt that the writer has not started is removed: the server never receives any of it.
 //   - For any other attempt, Cancel waits until the DROP is written. It closes the connection if nothing was received
-//     on it since the attempt was queued: a machine that is cut off reads no DROP, but the close cancels all attempts
-//     that are open on it.
+//     on it since the attempt was queued: its machine may be cut off and never read the DROP. When a connection is
+//     closed, the server cancels all attempts on it.
 //   - A DROP that can't be written soon, because the write before it is stuck, has no effect at the server. The
 //     connection is then closed if another attempt may follow, or if the attempt itself is stuck, since it must not
 //     arrive after it was canceled.
 //   - An attempt that is still in the socket's send queue, because its server does not read, is discarded together with
 //     the connection.
 //
-// If no attempt can follow, the connection stays open unless it has been silent for maxSilence: an early departure of a
-// client is no sign of a fault of the server.
+// If no attempt can follow, such a silent connection is closed only if the attempt was queued more than maxSilence ago
+// and no other attempt is in flight on it: a client that leaves early is not a sign of a fault of the server.
 func (a *pendingAttempt) Cancel(mayRetry bool) {
 	canceledAt, dropWritten, isInFlight := a.withdraw()
 	if !isInFlight {
@@ -62,7 +62,7 @@
 	conn := a.conn
 	isDropStuck := !conn.awaitDrop(dropWritten)
 	sendTimeout := float64(dropWriteTimeout)
-	if isDropStuck { // that time has passed already
+	if isDropStuck { // awaitDrop has already waited that long
 		sendTimeout = 0
 	}
 	isSent := conn.waitUntilSent(a, sendTimeout)
@@ -72,7 +72,7 @@
 	switch {
 	case !isSent:
 		conn.abort()
-	case conn.isSilent(a, canceledAt, mayRetry), isDropStuck && (mayRetry || !a.fullyWritten):
+	case conn.mustCloseForSilence(a, canceledAt, mayRetry), isDropStuck && (mayRetry || !a.fullyWritten):
 		conn.close()
 	default:
 		conn.closeWhenIdle()
@@ -115,10 +115,11 @@
 	}
 }
 
-// isSilent reports whether a connection must be closed after one of its attempts was canceled, because no response has
-// been received on it since that attempt was queued. If a retry may follow, that alone is enough. Otherwise the attempt
-// must have waited for more than maxSilence, with no other attempt in flight on the connection. Pools.mu is held.
-func (c *conn) isSilent(canceled *pendingAttempt, canceledAt float64, mayRetry bool) bool {
+// mustCloseForSilence reports whether a connection must be closed after one of its attempts was canceled, because no
+// response has been received on it since that attempt was queued. If a retry may follow, that alone is enough.
+// Otherwise the attempt must have waited for more than maxSilence, with no other attempt in flight on the connection.
+// Pools.mu is held.
+func (c *conn) mustCloseForSilence(canceled *pendingAttempt, canceledAt float64, mayRetry bool) bool {
 	if c.lastResponseAt >= canceled.queuedAt {
 		return false
 	}
--- a/internal/resp/codec_test.go
+++ b/internal/resp/codec_test.go
@@ -101,7 +101,7 @@
 		}
 		id, got, err := parseResponse(parts)
 		if err != nil || id != "a" || !reflect.DeepEqual(got, test.want) {
-			t.Errorf("%q: id %s, result %+v, error %v", test.parts, id, got, err)
+			t.Errorf("%q: id %s, result %+v, error %v; want id a and the result of the case", test.parts, id, got, err)
 		}
 	}
 	for _, fields := range []string{"n=TCP_HOT", "slow=soon", "slow=NaN", "slow=-1"} {
@@ -112,7 +112,7 @@
 }
 
 // The GET of an attempt must have all fields in order, and none for what the attempt does not set.
-func TestAppendGet(t *testing.T) {
+func TestGetHasFieldsInOrder(t *testing.T) {
 	request := &router.Request{ID: "9b1f", Class: "catalogue", Object: "7f3a", Chunk: 2, IdempotencyKey: "5c0f",
 		ClientETag: "4be0", Body: []byte("ask")}
 	got := string(appendGet(nil, router.Attempt{Request: request, Source: "s-00c41f7a", Timeout: 1499.9, RetentionRank: 1,
@@ -122,7 +122,8 @@
 	if got != want {
 		t.Errorf("got  %q\nwant %q", got, want)
 	}
-	// An age limit of 0 would mean the class's own, so a limit below one millisecond becomes 1. No limit is left out.
+	// An age limit of 0 would mean the class's own, so a limit below one millisecond becomes 1. Without a limit, the field
+	// is omitted.
 	bare := string(appendGet(nil, router.Attempt{Request: &router.Request{ID: "a"}}))
 	if strings.Contains(bare, "agelim") {
 		t.Errorf("agelim although the attempt has no MaxAge: %q", bare)
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -79,7 +79,7 @@
 }
 
 // floorMillis formats milliseconds, rounded down so that an age limit is never exceeded. The result is at least 1,
-// since a 0 in the protocol means the class's own limit.
+// since an agelim of 0 means the class's own limit in the protocol.
 func floorMillis(ms float64) string {
 	return strconv.FormatFloat(max(math.Floor(ms), 1), 'f', 0, 64)
 }
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -38,10 +38,10 @@
 
 // command is an entry of a connection's queue.
 type command struct {
-	encoded  []byte
-	attempt  *pendingAttempt // the attempt of a GET, which is written only while it may be sent; nil: a DROP
-	written  chan struct{}   // closed once the command is written; nil: not needed
-	releases *pendingAttempt // attempt whose delayedResult is delivered once this command is written; nil: none
+	encoded []byte
+	attempt *pendingAttempt // the attempt of a GET, which is written only while it may be sent; nil: a DROP
+	written chan struct{}   // closed once the command is written; nil: not needed
+	delayed *pendingAttempt // attempt whose delayedResult is delivered once this command is written; nil: none
 }
 
 // pools returns the Pools that the connection belongs to.
@@ -65,7 +65,8 @@
 	c.idleTimer.Stop()
 }
 
-// queueDrop queues the DROP of a request id; drop holds the other fields of the command. Pools.mu is held.
+// queueDrop queues drop as the DROP of a request id: it sets the encoded text, the caller the other fields. If the
+// queue is full, it closes the connection instead. Pools.mu is held.
 func (c *conn) queueDrop(id string, drop command) {
 	c.recordID(c.droppedAt, id)
 	drop.encoded = appendDrop(nil, id)
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -52,7 +52,7 @@
 
 // The DROP of an attempt is stuck behind the write of another attempt, and the connection is not silent. Cancel must
 // close the connection before it returns, or two attempts of the request could be in flight at once.
-func TestDropBehindStuckWrite(t *testing.T) {
+func TestCancelClosesConnectionIfDropIsStuck(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
 	pending, conn := sendFirst(pools, server)
@@ -65,11 +65,12 @@
 	if n := pools.openConns(); n != 0 {
 		t.Errorf("%d connections open, want 0: the attempt is not canceled", n)
 	}
-	wantOutcome(t, stuck, routing.OutcomeConnectionReset) // part of it was sent, so it may have run
+	// Its write had started when the connection was closed, so the pool does not know how much of it was sent.
+	wantOutcome(t, stuck, routing.OutcomeConnectionReset)
 }
 
 // A client leaves while its request is partly written: the server must not receive the rest of it later.
-func TestClientDepartsDuringWrite(t *testing.T) {
+func TestRestOfPartlyWrittenRequestIsNotSent(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
 	send(pools, "a")
@@ -86,7 +87,7 @@
 
 // A client leaves while its request is queued behind a stuck write: neither the request nor a DROP for it is sent after
 // that write.
-func TestClientDepartsWhileQueued(t *testing.T) {
+func TestCanceledQueuedRequestIsNotSent(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
 	send(pools, "first")
@@ -112,7 +113,7 @@
 
 // A stuck write must end after MaxSendDelay. The partly written attempt and the one queued behind it end as refused,
 // since neither can have run.
-func TestWriteStuckPastMaxSendDelay(t *testing.T) {
+func TestStuckWriteEndsAfterMaxSendDelay(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 500)
 	pending := send(pools, "first")
@@ -121,7 +122,8 @@
 	stuck, behind := newAttempt(pools, "stuck"), newAttempt(pools, "behind")
 	stuck.attempt.Body = stuckBody
 	pools.mu.Lock()
-	for _, next := range []*pendingAttempt{stuck, behind} { // under one lock, or the first may end too early
+	// Under one lock, or the connection may be closed before the second is queued.
+	for _, next := range []*pendingAttempt{stuck, behind} {
 		pools.servers["s-1"].conns[0].enqueue(next)
 	}
 	pools.mu.Unlock()
@@ -135,7 +137,7 @@
 
 // The server closes an idle connection while an attempt is about to be sent on it: the attempt must end as refused,
 // since the server received nothing of it.
-func TestServerCloseCrossesGet(t *testing.T) {
+func TestAttemptOnClosedConnectionEndsAsRefused(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	netConn := testwait.Dial(t, server.addr())
@@ -184,8 +186,9 @@
 }
 
 // A response arrives twice, the second time while the next attempt of its request is in flight on the same connection.
-// It may end that attempt only after a DROP was sent for it, or a third attempt could be in flight beside it.
-func TestDuplicateResponseDuringRetry(t *testing.T) {
+// It may end the second attempt only after the DROP of that attempt is written. Otherwise a third attempt could start
+// while the second is still in flight.
+func TestDuplicateResponseEndsRetryOnlyAfterDrop(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	pending, conn := sendFirst(pools, server)
@@ -195,7 +198,7 @@
 	conn.expect("GET a")
 	conn.respond("a", "MISS", "-", "")
 	wantOutcome(t, pending, routing.OutcomeMiss)
-	next := send(pools, "b") // takes the place of the third attempt: the DROP of the second comes first
+	next := send(pools, "b") // stands for a third attempt: the DROP of the second must be written before it
 	conn.expect("DROP a", "GET b")
 	conn.respond("b", "MISS", "-", "")
 	wantOutcome(t, next, routing.OutcomeMiss)
@@ -203,7 +206,7 @@
 
 // The first attempt was canceled, and its response crossed the DROP. A DROP must be sent for the second attempt too.
 // The request may be served by the response to either of its attempts.
-func TestLateResponseAfterDrop(t *testing.T) {
+func TestDropIsSentForRetryEndedByLateResponse(t *testing.T) {
 	for word, outcome := range map[string]routing.AttemptOutcome{
 		"BUSY": routing.OutcomeRejected,
 		"OK":   routing.OutcomeServed,
@@ -222,8 +225,8 @@
 	}
 }
 
-// dialLocked returns an attempt whose connection is established and waits for Pools.mu to be added to the pool. It
-// returns with Pools.mu locked; the caller unlocks it.
+// dialLocked returns an attempt whose connection is established but not yet added to the pool, since that requires
+// Pools.mu. It returns with Pools.mu locked; the caller unlocks it.
 func dialLocked(pools *Pools, fake *fakeServer) (pending *pendingAttempt, server *serverPool, conn *fakeConn) {
 	pending = newAttempt(pools, "a")
 	pools.mu.Lock()
@@ -236,7 +239,7 @@
 
 // The connection is established after its server left the endpoint list: the attempt must not be sent, since another
 // machine may have the address.
-func TestServerRemovedWhileDialing(t *testing.T) {
+func TestNothingIsSentToServerRemovedWhileDialing(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	pending, pool, conn := dialLocked(pools, server)
@@ -250,7 +253,7 @@
 
 // The connection is established after the client left: its request must not be sent, and the connection is used for the
 // next one.
-func TestClientDepartsWhileDialing(t *testing.T) {
+func TestConnectionDialedForDepartedClientIsReused(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
 	pending, pool, conn := dialLocked(pools, server)
@@ -267,7 +270,7 @@
 
 // An attempt waits for a connection that is established too late: it must not be sent, and must end as refused. The
 // limit is the shorter of SendWithin and MaxSendDelay, also if MaxSendDelay was changed after the server was chosen.
-func TestConnectionEstablishedTooLate(t *testing.T) {
+func TestAttemptIsNotSentAfterSendLimit(t *testing.T) {
 	for name, limits := range map[string]struct{ maxSendDelay, sendWithin float64 }{
 		"SendWithin exceeded":   {300, 150},
 		"MaxSendDelay exceeded": {150, 0},
@@ -288,8 +291,9 @@
 }
 
 // An attempt with side effects was rejected, so its request is sent to the same server again. Then the first response
-// arrives a second time. It must not end the second attempt as one that never ran, or a third could run beside it.
-func TestDuplicateResponseWithSideEffects(t *testing.T) {
+// arrives a second time. It must not be taken for the second attempt's response, or a third attempt could run at the
+// same time.
+func TestDuplicateRejectionDoesNotEndAttemptWithSideEffects(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	sendWithSideEffects := func() router.PendingAttempt {
@@ -314,7 +318,7 @@
 
 // A canceled attempt is served late, with a copy older than the MaxAge of the next attempt, since a purge arrived in
 // between. This response must be ignored: the next attempt's own response comes after it.
-func TestLateResponseWithOlderCopy(t *testing.T) {
+func TestCopyFromBeforePurgeIsIgnored(t *testing.T) {
 	server := listen(t)
 	pools, fake := newPools(t, server.addr())
 	pending, conn := sendFirst(pools, server)
@@ -331,7 +335,7 @@
 }
 
 // The idle timer of a connection fires while an attempt starts and ends on it: the connection must stay open.
-func TestIdleTimerCrossesUse(t *testing.T) {
+func TestFiredIdleTimerDoesNotCloseUsedConnection(t *testing.T) {
 	server := listen(t)
 	pools, fake := newPools(t, server.addr())
 	pending, conn := sendFirst(pools, server)
@@ -361,7 +365,7 @@
 }
 
 // A response whose start was read together with the previous response stops halfway: its attempt must not wait forever.
-func TestStallAfterCompleteResponse(t *testing.T) {
+func TestStalledResponseInBufferTimesOut(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
 	first := send(pools, "a")
--- a/internal/resp/pools.go
+++ b/internal/resp/pools.go
@@ -26,13 +26,13 @@
 
 // Bounds of connections to servers; times are milliseconds.
 const (
-	idleCloseShare    = 0.8     // of IdleTimeout; the close comes before the server's, which could cross an attempt
+	idleCloseShare    = 0.8     // of IdleTimeout; a close by the server could cross an attempt, so the pool closes first
 	writeTimeout      = 2000    // for one command
-	minWriteTimeout   = 20      // for an attempt that has hardly any time left to be sent
+	minWriteTimeout   = 20      // lower bound of the write timeout, also for an attempt with less time left to be sent
 	queueCapacity     = 64      // commands that wait to be written on one connection
-	dropWriteTimeout  = 20      // for Cancel to wait until its DROP is written
-	dropRetention     = 2000    // for which the id of a canceled attempt is remembered; its next attempt comes sooner
-	maxSilence        = 250     // without a response; then a connection is closed when its only attempt is canceled
+	dropWriteTimeout  = 20      // how long Cancel waits until its DROP is written
+	dropRetention     = 2000    // of ids in droppedAt and unservedAt; the next attempt of a request starts sooner
+	maxSilence        = 250     // after it without a response, a connection is closed when its only attempt is canceled
 	stallTimeout      = 1000    // between two bytes of a response
 	readBufferSize    = 4 << 10 // bytes
 	maxConnsPerServer = 24      // connections to one server before attempts share them
@@ -49,7 +49,7 @@
 	timeouts        timeouts     // set before the first Send
 	attemptsWritten atomic.Int64 // attempts passed to a socket in full
 
-	mu         sync.Mutex             // guards the fields below, and those of pools, connections and attempts
+	mu         sync.Mutex             // guards the fields below, and those of serverPool, conn and pendingAttempt
 	options    Options                // only MaxSendDelay changes; the others are read without the lock
 	servers    map[string]*serverPool // by id; only those on the endpoint list
 	connCount  int                    // connections open and being dialed
@@ -149,10 +149,10 @@
 	return pending
 }
 
-// freeConnSlot reports whether a connection may be dialed. If MaxConns is reached and isNeeded is set, it closes the
-// connection that has been idle for the longest time, so that idle connections to other servers don't keep a server
-// without a usable connection waiting. p.mu is held.
-func (p *Pools) freeConnSlot(isNeeded bool) bool {
+// makeRoomForConn reports whether a connection may be dialed. If MaxConns is reached and isNeeded is set, it closes the
+// connection that has been idle for the longest time, so that a server without a usable connection can get one even if
+// idle connections to other servers use up MaxConns. p.mu is held.
+func (p *Pools) makeRoomForConn(isNeeded bool) bool {
 	if p.connCount < p.options.MaxConns {
 		return true
 	}
@@ -181,6 +181,6 @@
 func (p *Pools) recordFault(server *serverPool, err error) {
 	p.faultCount++
 	if p.faultLog.Allow(p.clock.Now()) {
-		p.log.Warn().Err(err).Str("server", server.id).Int("faults", p.faultCount).Msg("upstream connection closed")
+		p.log.Warn().Err(err).Str("server", server.id).Int("faults", p.faultCount).Msg("upstream connection failed")
 	}
 }
--- a/internal/resp/pools_test.go
+++ b/internal/resp/pools_test.go
@@ -102,8 +102,8 @@
 	return pending, conn
 }
 
-// sendUnmatchedResponse writes a response with an unknown id and returns once it is read: the connection does not count
-// as silent then.
+// sendUnmatchedResponse writes a response with an unknown id and returns once it is read, so that the connection does
+// not count as silent.
 func (c *fakeConn) sendUnmatchedResponse(pools *Pools) {
 	c.respond("x", "VOID", "-", "")
 	testwait.Until(c.t, "a response to be read", func() bool {
@@ -127,7 +127,7 @@
 
 // Responses are matched to their attempts in any order. New connections are opened up to MaxConns before one is shared.
 // No connection carries more than MaxStreams attempts: another attempt ends as skipped.
-func TestConnectionsAreShared(t *testing.T) {
+func TestConnectionLimitsAndResponseMatching(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
 	a := send(pools, "a")
@@ -151,7 +151,7 @@
 	wantOutcome(t, a, routing.OutcomeMiss)
 	conn.Close()
 	second.Close()
-	for _, pending := range more { // a broken connection does not show whether it ran
+	for _, pending := range more { // after a reset it is not known whether they ran
 		wantOutcome(t, pending, routing.OutcomeConnectionReset)
 	}
 }
@@ -164,7 +164,7 @@
 	pending, conn := sendFirst(pools, server)
 	conn.respond("a", "OK", "-", "x")
 	wantOutcome(t, pending, routing.OutcomeServed)
-	pending = send(pools, "a") // queued at the same time as the last response, so the connection is not silent
+	pending = send(pools, "a") // the fake clock has not moved since the response, so the connection is not silent
 	conn.expect("GET a")
 	pending.Cancel(true)
 	retry := send(pools, "a")
@@ -174,8 +174,7 @@
 }
 
 // A machine that is cut off never reads the DROP, so Cancel must close a silent connection before it returns. Otherwise
-// the next GET counts as a hedged request, be it on the same connection (fleet day, seed 11) or at another server
-// (seed 15).
+// the next GET counts as a hedged request, on the same connection or at another server.
 func TestCancelClosesSilentConnection(t *testing.T) {
 	server := listen(t)
 	pools, fake := newPools(t, server.addr())
@@ -215,7 +214,7 @@
 }
 
 // If no process listens at the address, the attempt ends as refused, since it can't have run.
-func TestConnectionRefused(t *testing.T) {
+func TestFailedDialEndsAsRefused(t *testing.T) {
 	pools, _ := newPools(t, loopback.FreeAddress())
 	wantOutcome(t, send(pools, "a"), routing.OutcomeConnectionRefused)
 }
@@ -296,7 +295,7 @@
 	wantOutcome(t, attempts["late"], routing.OutcomeConnectionRefused)
 }
 
-// A body may hold any bytes and must arrive unchanged. Other values are checked before they get here.
+// A body may hold any bytes and must arrive unchanged. The other fields are validated before Send.
 func TestBodyUnchanged(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
@@ -333,8 +332,8 @@
 	server.respond("b", "OK", "-", "unknown")
 }
 
-// A response that can't belong to its request must close the connection and end all attempts on it.
-func TestImpossibleResponseClosesConnection(t *testing.T) {
+// A response that is malformed, or can't belong to its request, must close the connection and end all attempts on it.
+func TestInvalidResponseClosesConnection(t *testing.T) {
 	for _, words := range [][]string{{"a", "SAME", "n=TCP_HIT"}, {"a", "OK", "n=TCP_HIT"}, {"a", "GOOD", "-", "x"}} {
 		server := listen(t)
 		pools, _ := newPools(t, server.addr())
@@ -356,7 +355,7 @@
 func (r *deadlineRecorder) Read([]byte) (int, error)           { return 1, nil }
 func (r *deadlineRecorder) SetReadDeadline(at time.Time) error { r.deadline = at; return nil }
 
-// A response that stopped halfway on an open connection blocked all others on it forever, so there must be a deadline
+// A response that stops halfway on an open connection would block all others on it forever, so there must be a deadline
 // for the next byte after the first one.
 func TestReadSetsDeadlineForNextByte(t *testing.T) {
 	r := &deadlineRecorder{}
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -41,7 +41,7 @@
 func (c *conn) readResponse(in *bufio.Reader) (id string, result router.AttemptResult, err error) {
 	c.netConn.SetReadDeadline(time.Time{})
 	_, err = in.Peek(1)
-	c.netConn.SetReadDeadline(clock.Deadline(stallTimeout)) // also if the first byte was in the read before
+	c.netConn.SetReadDeadline(clock.Deadline(stallTimeout)) // Peek reads nothing if the byte is buffered
 	if err != nil {
 		return "", result, err
 	}
@@ -60,7 +60,7 @@
 	defer pools.mu.Unlock()
 	now := pools.clock.Now()
 	if a := c.attempts[id]; a != nil && a.writeStarted && a.delayedResult == nil {
-		if result.NotModified && a.attempt.ClientETag == "" { // for another request: the stream can't be trusted
+		if result.NotModified && a.attempt.ClientETag == "" { // responses can't be matched any more
 			return fmt.Errorf("%w: SAME for a request without an ETag", errMalformed)
 		}
 		if a.canMatch(result, now) {
@@ -94,7 +94,7 @@
 	}
 	if a.ambiguous && !isServed {
 		a.delayedResult = &result
-		c.queueDrop(id, command{releases: a})
+		c.queueDrop(id, command{delayed: a})
 		return
 	}
 	delete(c.attempts, id)
--- a/internal/resp/response.go
+++ b/internal/resp/response.go
@@ -69,8 +69,8 @@
 	return routing.CacheStatusUnknown, false
 }
 
-// parseResponse parses the array ID WORD [FIELDS [BODY]]. Unknown fields are skipped. An unknown word is an error, and
-// so is an invalid value of the fields n and slow. Errors wrap errMalformed.
+// parseResponse parses the array ID WORD [FIELDS [BODY]]. WORD is an outcome word. Unknown fields are skipped. An
+// unknown outcome word is an error, and so is an invalid value of the fields n and slow. Errors wrap errMalformed.
 func parseResponse(parts [][]byte) (id string, result router.AttemptResult, err error) {
 	if len(parts) < 2 || len(parts) > bodyIndex+1 {
 		return "", result, fmt.Errorf("%w: %d strings in the array", errMalformed, len(parts))
@@ -96,7 +96,8 @@
 	return string(parts[0]), result, nil
 }
 
-// parseFields parses the name=value pairs of a response and stores them in the result.
+// parseFields parses the name=value pairs of a response and stores them in the result: the cache status (n), the load
+// report (l), the time at which the origin issued the copy (t0) and the wait for the source (slow).
 func parseFields(result *router.AttemptResult, fields string) error {
 	for pair := range strings.SplitSeq(fields, ",") {
 		name, value, _ := strings.Cut(pair, "=")
@@ -110,7 +111,7 @@
 		case "l":
 			result.LoadReport = value // parsed by the router, which knows the fields that the settings name
 		case "t0":
-			// An invalid value counts as absent: no response depends on this field alone.
+			// An invalid value counts as absent: the field only adds a check (see canMatch).
 			if madeAt, err := strconv.ParseUint(value, 10, 53); err == nil {
 				result.CopyMadeAt = float64(madeAt)
 			}
--- a/internal/resp/sendqueue.go
+++ b/internal/resp/sendqueue.go
@@ -9,14 +9,15 @@
 	"spantack/internal/clock"
 )
 
-// ioctlUnsentBytes (Linux: SIOCOUTQNSD) returns the number of bytes in a socket's send queue that were never sent,
-// because the peer's receive window is full.
+// ioctlUnsentBytes (Linux: SIOCOUTQNSD) returns the number of bytes in a socket's send queue that have not been sent
+// yet, because the peer's receive window is full.
 const ioctlUnsentBytes = 0x894b
 
 // sendQueuePollInterval is the time between two checks of a send queue, in milliseconds.
 const sendQueuePollInterval = 2
 
-// unsentBytes returns the number of bytes in the send queue that were never sent; 0 if the system can't report it.
+// unsentBytes returns the number of bytes in the send queue that have not been sent yet; 0 if the system can't report
+// it.
 func unsentBytes(conn net.Conn) int64 {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -37,9 +38,9 @@
 	return int64(unsent)
 }
 
-// waitUntilSent reports whether an attempt leaves the send queue completely within timeout milliseconds. An attempt
-// that stays there because the server does not read would reach the server later in full, however long ago its client
-// left.
+// waitUntilSent waits up to timeout milliseconds until no byte of an attempt is left in the send queue. It returns
+// false if some are still there: if the server read again later, it would receive the attempt in full, however long ago
+// the client left. For an attempt that was not written to the socket in full it returns true at once.
 func (c *conn) waitUntilSent(a *pendingAttempt, timeout float64) bool {
 	pools := c.pools()
 	startedAt := time.Now()
--- a/internal/resp/serverpool.go
+++ b/internal/resp/serverpool.go
@@ -39,15 +39,18 @@
 // connection is preferred, since a large body blocks all responses behind it. Connections are shared once
 // maxConnsPerServer or Options.MaxConns is reached.
 //
-// After an attempt was canceled, the next attempt of its request uses the connection with the DROP, or none while that
-// is full: the server must read the DROP first, or two attempts would be in flight at once. An attempt with side
-// effects avoids connections on which another attempt of its request ended unserved: that response may arrive twice,
-// and would count as proof that this attempt never ran. Pools.mu is held.
+// After an attempt was canceled, the next attempt of its request uses the connection on which the DROP was queued;
+// while that connection is full, it gets none. The server must read the DROP first, or two attempts would be in flight
+// at once. An attempt with side effects avoids connections on which another attempt of its request ended unserved: that
+// response may arrive a second time and be taken for this attempt's own, as if this attempt had never run.
+//
+// A connection whose queue is at least half full gets no other attempts, so that DROPs can still be queued: a full
+// queue closes the connection (see queueDrop). Pools.mu is held.
 func (p *serverPool) pick(attempt *router.Attempt) (best *conn, mayDial bool) {
 	id := attempt.ID
 	for _, c := range p.conns {
 		if c.droppedAt[id] != 0 {
-			if c.hasFreeStream() {
+			if c.hasCapacity() {
 				return c, false
 			}
 			return nil, false
@@ -55,24 +58,24 @@
 		if attempt.HasSideEffects && c.unservedAt[id] != 0 {
 			continue
 		}
-		if c.hasFreeStream() && len(c.queue) < queueCapacity/2 && (best == nil || c.isPreferredTo(best)) {
+		if c.hasCapacity() && len(c.queue) < queueCapacity/2 && (best == nil || c.isPreferredTo(best)) {
 			best = c
 		}
 	}
 	if best != nil && len(best.attempts) == 0 {
 		return best, false
 	}
-	if len(p.conns)+p.dialing < maxConnsPerServer && p.pools.freeConnSlot(best == nil) {
+	if len(p.conns)+p.dialing < maxConnsPerServer && p.pools.makeRoomForConn(best == nil) {
 		return nil, true
 	}
 	return best, false
 }
 
-// hasFreeStream reports whether the connection may carry another attempt. Pools.mu is held.
-func (c *conn) hasFreeStream() bool { return len(c.attempts) < c.pools().options.MaxStreams }
+// hasCapacity reports whether the connection may carry one more attempt. Pools.mu is held.
+func (c *conn) hasCapacity() bool { return len(c.attempts) < c.pools().options.MaxStreams }
 
-// isPreferredTo reports whether c has fewer attempts in flight than other, or equally many and was used later. Pools.mu
-// is held.
+// isPreferredTo reports whether c has fewer attempts in flight than other, or equally many and was used more
+// recently. Pools.mu is held.
 func (c *conn) isPreferredTo(other *conn) bool {
 	if len(c.attempts) != len(other.attempts) {
 		return len(c.attempts) < len(other.attempts)
@@ -109,7 +112,7 @@
 	}
 }
 
-// add adds a dialed connection to the pool, and queues the attempt on it for which it was dialed.
+// add adds a dialed connection to the pool, and queues on it the attempt for which it was dialed.
 func (p *serverPool) add(netConn net.Conn, first *pendingAttempt) *conn {
 	pools := p.pools
 	pools.mu.Lock()
--- a/internal/resp/wire_compat_test.go
+++ b/internal/resp/wire_compat_test.go
@@ -13,7 +13,7 @@
 	"spantack/routing"
 )
 
-// wireFixture holds one recorded message per line, as the program of commit e67ffc3 wrote or read it. Caches depend on
+// wireFixture holds one recorded message per line, as an earlier release wrote or read it. Caches depend on
 // this format, so lines must never be changed to make a test pass.
 const wireFixture = "testdata/wire_compat.txt"
 
@@ -34,7 +34,7 @@
 		"get, shortest times": {Request: plain, Timeout: 0.2, MaxAge: 0.2},
 	} {
 		if got := string(appendGet(nil, a)); got != testfixture.QuotedLines(t, wireFixture)[name] {
-			t.Errorf("%s: wrote %+q", name, got)
+			t.Errorf("%s: wrote %+q, not the recorded command", name, got)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	want := testfixture.QuotedLines(t, wireFixture)["drop"]
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(conn.in, got); err != nil || string(got) != want || want == "" {
-		t.Errorf("wrote %+q (%v)", got, err)
+		t.Errorf("wrote %+q (%v), want the recorded DROP", got, err)
 	}
 	testwait.Until(t, "the attempt to be finished", func() bool {
 		pools.mu.Lock()
@@ -58,7 +58,8 @@
 	})
 }
 
-// Recorded responses must be read as before, and each outcome word and cache status must have one.
+// Recorded responses must be read as before. The numbers of recorded responses and of cases must be equal; the cases
+// cover each outcome word and cache status.
 func TestResponsesCompat(t *testing.T) {
 	cases := map[string]router.AttemptResult{
 		"answer OK": {Outcome: "done", Body: []byte("\x00body\xff")},
@@ -98,7 +99,7 @@
 				t.Fatal(err)
 			}
 			if encoded := string(AppendArray(nil, parts...)); encoded != recorded[name] {
-				t.Errorf("wrote %+q", encoded)
+				t.Errorf("encoded again as %+q, not as recorded", encoded)
 			}
 			id, got, err := parseResponse(parts)
 			if err != nil || id != "9b1f" || !reflect.DeepEqual(got, want) {
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -9,7 +9,8 @@
 	"spantack/routing"
 )
 
-// errClientDeparted closes a connection on which a command was partly written when its client left.
+// errClientDeparted is the error with which a connection is closed because a command was partly written on it when its
+// client left.
 var errClientDeparted = errors.New("client left while its command was partly written")
 
 // write writes queued commands to the socket, each within a bounded time, until the connection closes.
@@ -51,7 +52,8 @@
 
 // beginWrite reports whether an attempt may still be written, and within how many milliseconds. An attempt that waited
 // too long for its connection ends as OutcomeConnectionRefused: it was not sent, so it never ran. An attempt whose
-// first byte is not sent in time must not be sent later.
+// first byte is not sent in time must not be sent later, so timeout is the time left, but at least minWriteTimeout and
+// at most timeouts.write.
 func (c *conn) beginWrite(a *pendingAttempt) (timeout float64, isDue bool) {
 	pools := c.pools()
 	pools.mu.Lock()
@@ -72,8 +74,8 @@
 	return min(max(timeLeft, minWriteTimeout), pools.timeouts.write), true
 }
 
-// recordWrite records that a command was written in full, or not in full if err is set. A command that does not reach a
-// server in full never runs.
+// recordWrite records the result of writing a command: it was written in full if err is nil. A command that does not
+// reach a server in full never runs.
 func (c *conn) recordWrite(written command, err error) {
 	pools := c.pools()
 	pools.mu.Lock()
@@ -84,7 +86,7 @@
 	if a := written.attempt; a != nil {
 		c.recordAttemptWrite(a, err)
 	}
-	if a := written.releases; a != nil && c.attempts[a.attempt.ID] == a {
+	if a := written.delayed; a != nil && c.attempts[a.attempt.ID] == a {
 		delete(c.attempts, a.attempt.ID)
 		a.finish(*a.delayedResult)
 		c.closeWhenIdle()
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -49,9 +49,9 @@
 // maxCountedClasses bounds the number of classes with counters, since each reload may add classes.
 const maxCountedClasses = 256
 
-// resizeClassCounters adds counters for each new class of the settings. Counters of removed classes are kept, since
-// counts start with the process, unless there would be more than maxCountedClasses.
-func (r *Router) resizeClassCounters(settings routing.Settings) {
+// updateClassCounters adds counters for each new class of the settings. Counters of removed classes are kept, since
+// counts cover the whole life of the process. They are dropped if there could otherwise be more than maxCountedClasses.
+func (r *Router) updateClassCounters(settings routing.Settings) {
 	var old map[string]*ClassCounters
 	if counters := r.classCounters.Load(); counters != nil {
 		old = *counters
@@ -70,9 +70,9 @@
 	r.classCounters.Store(&next)
 }
 
-// countOutcome counts the end of a request by class and outcome. A request whose client has left or whose class is
+// countClassOutcome counts the end of a request by class and outcome. A request whose client has left or whose class is
 // unknown is not counted.
-func (r *Router) countOutcome(class string, outcome Outcome) {
+func (r *Router) countClassOutcome(class string, outcome Outcome) {
 	counters := (*r.classCounters.Load())[class]
 	if counters == nil {
 		return
@@ -88,7 +88,7 @@
 }
 
 // CountRejected counts a request that the front end rejected before Serve because its queue was full.
-func (r *Router) CountRejected(class string) { r.countOutcome(class, Rejected) }
+func (r *Router) CountRejected(class string) { r.countClassOutcome(class, Rejected) }
 
 // CountersByClass returns the counters of all classes, ordered by name.
 func (r *Router) CountersByClass() []*ClassCounters {
@@ -103,9 +103,9 @@
 	return max(c.Accepted.Load()-ended, 0) // Accepted is read last: requests that arrive meanwhile count as open
 }
 
-// CacheCounts returns the number of listed edge caches, including those of other sites, and the number of them to
-// which this router sends no requests: excluded by hand, or with an open circuit breaker.
-func (r *Router) CacheCounts() (listed, off int) {
+// CacheCounts returns the number of listed edge caches, including those of other sites, and how many of them operators
+// have excluded or have an open circuit breaker in this router: these get no requests from it.
+func (r *Router) CacheCounts() (listed, unavailable int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endpoints.Count(r.admission.IsEdgeCache, r.admission.EjectedCaches(r.nowMicros()))
--- a/internal/router/counters_test.go
+++ b/internal/router/counters_test.go
@@ -42,7 +42,8 @@
 	}
 	page, price := counters[0], counters[1]
 	if page.Class != "page" || page.Served.Load() != 1 || page.Rejected.Load() != 1 || price.Class != "price" {
-		t.Errorf("%s: %d served, %d rejected; %s", page.Class, page.Served.Load(), page.Rejected.Load(), price.Class)
+		t.Errorf("%s: %d served, %d rejected; %s; want page: 1 served, 1 rejected; price",
+			page.Class, page.Served.Load(), page.Rejected.Load(), price.Class)
 	}
 	for i := range 2 * maxCountedClasses { // repeated reloads must not add counters without bound
 		settings.Classes[0].Name = fmt.Sprint("class-", i)
@@ -51,6 +52,6 @@
 		}
 	}
 	if n := len(r.CountersByClass()); n > maxCountedClasses {
-		t.Errorf("%d classes have counters", n)
+		t.Errorf("%d classes have counters, more than maxCountedClasses", n)
 	}
 }
--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -7,9 +7,9 @@
 	"spantack/routing"
 )
 
-// repetitions is the number of runs of each pair of events. The upstream blocks Serve inside Send or Cancel until both
-// events have arrived. Without a defined precedence, select picks one at random, so each pair runs often enough that a
-// random choice fails the test.
+// repetitions is the number of runs of each pair of events. Hooks of the upstream create both events inside Send or
+// Cancel, or before the request arrives, so that Serve has handled neither. Without a defined precedence, select picks
+// one at random, so each pair runs often enough that a random choice fails the test.
 const repetitions = 24
 
 // hookedUpstream is an upstream that calls functions of the test inside Send and Cancel.
@@ -60,7 +60,7 @@
 func TestEventPrecedence(t *testing.T) {
 	served := AttemptResult{Outcome: routing.OutcomeServed, Body: []byte("bytes")}
 	refused := AttemptResult{Outcome: routing.OutcomeConnectionRefused}
-	// withResult ends each attempt within Send, and then calls another function.
+	// withResult ends each attempt within Send, and then calls then, which creates the second event.
 	withResult := func(result AttemptResult, then func(*testRouter)) func(*testRouter, *hookedUpstream) {
 		return func(r *testRouter, u *hookedUpstream) {
 			u.onSend = func(_ int, attempt *fakeAttempt) {
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	// beforeArrival calls a function before the request arrives.
+	// beforeArrival creates an event before the request arrives.
 	beforeArrival := func(event func(*testRouter)) func(*testRouter, *hookedUpstream) {
 		return func(r *testRouter, _ *hookedUpstream) { event(r) }
 	}
@@ -86,13 +86,16 @@
 	}{
 		{"response and timeout", withResult(served, func(r *testRouter) { r.clock.Advance(1475) }), Served, 1},
 		{"response and end of the process", withResult(served, shutDown), Served, 1},
-		{"response and overdue", withResult(served, func(r *testRouter) { r.clock.Advance(1475 + overdueAfter) }), Served, 1},
+		{"response and overdue alarm", withResult(served, func(r *testRouter) {
+			r.clock.Advance(1475 + overdueAfter)
+		}), Served, 1},
 		{"response and client departed", withResult(served, depart), NoResponse, 1},
 		{"failure and client departed", withResult(refused, depart), NoResponse, 1},
 		{"failure and end of the process", withResult(refused, shutDown), Failed, 1},
 		{"client departs while an attempt is canceled", func(r *testRouter, u *hookedUpstream) {
 			u.onSend = func(number int, _ *fakeAttempt) {
 				if number == 1 {
+					// An outcome of an unknown request, which the module ignores.
 					r.stepLocked(routing.Event{Kind: routing.EventOutcome, RequestID: "none"})
 					r.mailboxes["r1"] <- cancelAction
 				}
--- a/internal/router/exclusions.go
+++ b/internal/router/exclusions.go
@@ -2,8 +2,9 @@
 
 import "spantack/routing"
 
-// Exclude excludes a server by hand. Once it returns, no attempt is sent to the server or filled from it, whatever
-// its listed status, until Include. Its error is endpoints.ErrUnknownServer or endpoints.ErrTooManyExclusions.
+// Exclude excludes a server at an operator's request. Once it returns, no attempt is sent to the server and none uses
+// it as a source, whatever its listed status, until Include. Its error is endpoints.ErrUnknownServer or
+// endpoints.ErrTooManyExclusions.
 func (r *Router) Exclude(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -12,7 +13,7 @@
 	return err
 }
 
-// Include reinstates a server that was excluded by hand. Its error is endpoints.ErrUnknownServer.
+// Include ends the exclusion of a server at an operator's request. Its error is endpoints.ErrUnknownServer.
 func (r *Router) Include(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -21,15 +22,15 @@
 	return err
 }
 
-// Excluded returns the ids of the servers that are excluded by hand, sorted.
+// Excluded returns the ids of the servers that operators have excluded, sorted.
 func (r *Router) Excluded() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endpoints.Exclusions()
 }
 
-// SetExcluded replaces the set of servers that are excluded by hand with the set that another process of this router
-// wrote. On error nothing has changed.
+// SetExcluded replaces the set of servers that operators have excluded with ids, the set that another process of this
+// router wrote to the state directory. On error nothing has changed.
 func (r *Router) SetExcluded(ids []string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,8 +46,8 @@
 	defer r.mu.Unlock()
 	changed := r.endpoints.SetEjected(ids)
 	for _, endpoint := range changed {
-		isOff := endpoint.Status != routing.EndpointHealthy
-		r.log.Info().Str("server", endpoint.Server).Bool("off", isOff).Msg("fleet verdict applied")
+		isUnavailable := endpoint.Status != routing.EndpointHealthy
+		r.log.Info().Str("server", endpoint.Server).Bool("off", isUnavailable).Msg("fleet verdict applied")
 	}
 	r.applyEndpointsLocked(changed)
 }
--- a/internal/router/exclusions_test.go
+++ b/internal/router/exclusions_test.go
@@ -13,13 +13,13 @@
 	return WatchEvent{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: status, Weight: 4}}}
 }
 
-// An edge cache that is excluded by hand gets no attempts, whatever its listed status, until it is included.
+// An edge cache that an operator has excluded gets no attempts, whatever its listed status, until it is included.
 func TestExcludedCacheGetsNoAttempts(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	checkCounts := func(when string) {
 		t.Helper()
-		if listed, off := r.CacheCounts(); listed != 1 || off != 1 {
-			t.Errorf("%s: %d listed, %d off", when, listed, off)
+		if listed, unavailable := r.CacheCounts(); listed != 1 || unavailable != 1 {
+			t.Errorf("%s: %d caches listed, %d unavailable, want 1 and 1", when, listed, unavailable)
 		}
 	}
 	for range 2 {
@@ -46,7 +46,7 @@
 		attempt.result <- AttemptResult{Outcome: routing.OutcomeServed}
 		r.nextResponse()
 	}
-	checkCounts("excluded")
+	checkCounts("after Exclude")
 	if err := r.Include("box-1"); err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	if err := r.SetExcluded([]string{"box-1"}); err != nil || len(r.Excluded()) != 1 {
 		t.Errorf("after SetExcluded: excluded %v, error %v", r.Excluded(), err)
 	}
-	checkCounts("set")
+	checkCounts("after SetExcluded")
 }
 
 // A draining server must get no new request, and a request must still get a response when no server is left.
@@ -75,6 +75,6 @@
 		attempt.result <- AttemptResult{Outcome: routing.OutcomeConnectionReset}
 	}
 	if got := r.nextResponse(); got.Outcome != Rejected {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want a rejection", got)
 	}
 }
--- a/internal/router/features.go
+++ b/internal/router/features.go
@@ -10,17 +10,19 @@
 	"spantack/core/rollout"
 )
 
-// Features holds the features of a features file. A nil field means that the feature is off.
+// Features is the parsed content of a features file, with one field for each optional feature. A nil field means that
+// the feature is off.
 type Features struct {
 	Cells       *cells.Assignment
-	Migrations  *migration.Document // valid for Cells
-	Rollout     *rollout.Rollout    // valid for Cells
+	Migrations  *migration.Document // already validated against Cells
+	Rollout     *rollout.Rollout    // already validated against Cells
 	Topology    *hierarchy.Graph
 	OriginLimit *originlimit.Document
 }
 
-// ApplyFeatures puts features in force before it returns. Every request sees either all of them or none. The error
-// is from the rollout or the origin limit; the one that failed is not in force.
+// ApplyFeatures applies features, which are in effect when it returns. Every request sees either all of them or none.
+// If the rollout or the origin limit is invalid, that one is not applied, the other features are, and the error says
+// why.
 func (r *Router) ApplyFeatures(f Features) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,15 +35,17 @@
 	return errors.Join(rolloutErr, originLimitErr)
 }
 
-// PlanOnTick makes Tick compute plans for many parent groups; the caller must then call Tick regularly. PlanOnTick
-// must be called before the first request.
+// PlanOnTick makes Tick compute the fill plans of topologies with many parent groups. Otherwise such a plan is computed
+// while an event of the module waits. The caller must then call Tick regularly. PlanOnTick must be called before the
+// first request.
 func (r *Router) PlanOnTick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.admission.PlansInBackground = true
 }
 
-// Tick advances migrations and the rollout while no requests arrive, and computes a due fill plan outside the lock.
+// Tick advances migrations and the rollout, which requests also do, so that they advance without traffic too. If a fill
+// plan of PlanOnTick is due, Tick computes it without holding the lock.
 func (r *Router) Tick() {
 	r.mu.Lock()
 	actions := r.admission.Tick(r.advanceLocked())
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -9,9 +9,9 @@
 // minOriginFillQuota replaces a quota of 0, which the module would treat as no limit.
 const minOriginFillQuota = 1e-6
 
-// SetOriginFillQuota bounds fills from the origin by this router's quota of the fleet limit. A quota of one or more
-// is rounded down, so that the sum of all quotas never exceeds the limit. With a quota below one, occasional fills are
-// sent, and the limit holds on average.
+// SetOriginFillQuota bounds fills from the origin by quota, this router's lease of the fleet limit. A quota of one or
+// more is rounded down, so that the sum of all quotas never exceeds the limit. With a quota below one, the router still
+// sends a fill from time to time, and the limit holds on average.
 func (r *Router) SetOriginFillQuota(quota float64) {
 	if quota >= 1 {
 		quota = math.Floor(quota)
@@ -21,8 +21,8 @@
 	r.admission.SetOriginFillQuota(r.advanceLocked(), max(quota, minOriginFillQuota))
 }
 
-// OriginFills returns the number of this router's fills from the origin in flight, and the number of requests
-// rejected since the start of the process.
+// OriginFills returns the number of this router's fills from the origin in flight, and the number of requests that
+// Serve has rejected since the start of the process.
 func (r *Router) OriginFills() (inFlight int, rejected int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -30,13 +30,13 @@
 }
 
 // Parents returns the listed parents, and those among them whose circuit breakers are open in this router.
-func (r *Router) Parents() (listed, failing []string) {
+func (r *Router) Parents() (listed, unavailable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.Parents(r.nowMicros())
 }
 
-// ReportOverloaded notifies the module that routers of other sites report a parent as overloaded.
+// ReportOverloaded passes a report of routers of other sites, that a parent is overloaded, to the module.
 func (r *Router) ReportOverloaded(server string) {
 	r.step(routing.Event{Kind: routing.EventParentOverloaded, Server: server})
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -113,8 +113,8 @@
 	testwait.Receive(r.t, a.canceled, "an attempt to be canceled")
 }
 
-// openMailboxes returns the number of open requests.
-func (r *testRouter) openMailboxes() int {
+// mailboxCount returns the number of mailboxes, one for each open request.
+func (r *testRouter) mailboxCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.mailboxes)
@@ -123,7 +123,7 @@
 // checkNoneOpen checks that the router has removed the mailboxes of all requests.
 func (r *testRouter) checkNoneOpen() {
 	r.t.Helper()
-	if n := r.openMailboxes(); n != 0 {
+	if n := r.mailboxCount(); n != 0 {
 		r.t.Errorf("%d mailboxes left, want none", n)
 	}
 }
--- a/internal/router/learned_state.go
+++ b/internal/router/learned_state.go
@@ -9,8 +9,8 @@
 	return r.admission.LearnedState(r.nowMicros())
 }
 
-// RestoreLearnedState adopts the learned state of the process that this one replaces. It must be called once the
-// endpoint list is known. On error, which names the implausible value, nothing is adopted.
+// RestoreLearnedState adopts the learned state of the process that this one replaces. It must be called after
+// the endpoint list is known. On error, which names the implausible value, nothing is adopted.
 func (r *Router) RestoreLearnedState(state routing.LearnedState) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/load_report_test.go
+++ b/internal/router/load_report_test.go
@@ -27,6 +27,6 @@
 		}
 	}
 	if got := parseLoadReport(nil, "util:0.61"); got != nil {
-		t.Errorf("%v although the settings name no fields", got)
+		t.Errorf("got %v, want nil: the settings name no fields", got)
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -1,12 +1,12 @@
 package router
 
-// Request is one client's request. Times are milliseconds.
+// Request is a client's request for one chunk of an object. Times are milliseconds.
 type Request struct {
 	ID             string  // unique among open requests
 	Class          string  // name of a class in the settings
-	Tenant         string  // as the front end names it; often empty
+	Tenant         string  // tenant id as the front end passes it; often empty
 	Object         string  // id of the requested object
-	Chunk          int64   // number of the object's chunk, counted from 0
+	Chunk          int64   // index of the chunk in the object, from 0
 	PurgeGroup     int64   // group of objects that can be purged together
 	SizeKB         float64 // expected size of the response; 0: not known
 	IdempotencyKey string  // lets servers recognize a repeated request; empty: none
@@ -23,7 +23,7 @@
 // Outcome is the kind of a final response.
 type Outcome int
 
-// The outcomes.
+// The kinds of final responses.
 const (
 	NoResponse Outcome = iota // the client has left: no response is sent
 	Served                    // with Body or NotModified
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -3,8 +3,10 @@
 // servers and purges.
 //
 // A Router shares one module between all requests of the process. Serve runs in one goroutine per request and receives
-// the module's actions through a mailbox channel. Every request gets one final response, at its deadline at the
-// latest, whatever the module or the upstream does.
+// the module's actions through a mailbox channel. It returns one final Response for every request, whatever the module
+// or the upstream does. The response is due at the request's deadline at the latest. If the module has not ended the
+// request by overdueAfter past the deadline, Serve fails it. If an attempt is still in flight, the response also waits
+// until PendingAttempt.Cancel returns.
 package router
 
 import (
@@ -44,12 +46,12 @@
 	// classCounters holds the counters by class. The map itself is never modified: new settings replace it.
 	classCounters atomic.Pointer[map[string]*ClassCounters]
 
-	// closed is closed by Close.
+	// closed is closed by Close; Serve then fails all open requests.
 	closed chan struct{}
 }
 
-// New returns a router that decides by the settings and sends attempts through upstream. The error names the setting
-// at fault.
+// New returns a router whose decision module uses the settings. It sends attempts through upstream. The error names
+// the invalid setting.
 func New(
 	settings routing.Settings, seed int64, c *clock.Clock, upstream Upstream, log zerolog.Logger,
 ) (*Router, error) {
@@ -99,7 +101,7 @@
 }
 
 // decide calls the module and returns its actions. It recovers from a panic of the module, which would otherwise end
-// every open request.
+// the process and every open request with it.
 func (r *Router) decide(now int64, event routing.Event) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -111,13 +113,14 @@
 }
 
 // executeLocked sends an action to the mailbox of its request, or executes it if it concerns the router itself.
-// Timers of the module belong to the router: they fire even when their request has ended. r.mu is held.
+// The module's timers are not tied to a request: they also fire after the request for which they were set has ended.
+// r.mu is held.
 func (r *Router) executeLocked(action routing.Action) {
 	switch action.Kind {
 	case routing.ActionSend, routing.ActionReject, routing.ActionFail, routing.ActionCancel:
 		select {
 		case r.mailboxes[action.RequestID] <- action:
-		default: // no such request is open, or its mailbox is full; an open one still gets a response at its deadline
+		default: // no such request is open, or its mailbox is full; Serve fails an open one when it is overdue
 			r.Counters.Faults.Add(1)
 		}
 	case routing.ActionSetTimer:
@@ -133,7 +136,7 @@
 	}
 }
 
-// logModuleText logs the text of an ActionLog.
+// logModuleText logs the text of an ActionLog at level info.
 func (r *Router) logModuleText(action routing.Action) {
 	r.log.Info().Str("text", action.LogText).Msg("decision module log")
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -14,7 +14,7 @@
 	replyMarginShare = 0.1
 	minReplyMargin   = 5
 	maxReplyMargin   = 25
-	// retryCutoff is the time before a request's deadline within which no retry is sent.
+	// No retry is sent in the last retryCutoff before a request's deadline.
 	retryCutoff = 1
 	// overdueAfter is how long after a request's deadline the router waits for the module's decision before it fails the
 	// request.
@@ -28,25 +28,25 @@
 // ctx ends when the client no longer waits.
 func (r *Router) Serve(ctx context.Context, q Request) (response Response) {
 	r.Counters.Accepted.Add(1)
-	defer func() { r.countOutcome(q.Class, response.Outcome) }()
+	defer func() { r.countClassOutcome(q.Class, response.Outcome) }()
 	s := requestState{
-		router:   r,
-		request:  &q,
-		deadline: q.deadline(),
-		mailbox:  make(chan routing.Action, mailboxSize),
-		attempt:  -1,
+		router:        r,
+		request:       &q,
+		deadline:      q.deadline(),
+		mailbox:       make(chan routing.Action, mailboxSize),
+		attemptNumber: -1,
 	}
 	overdue, overdueTimer := r.clock.Alarm(s.deadline + overdueAfter - r.clock.Now())
 	s.overdueAlarm = overdue
 	defer overdueTimer.Stop()
 	if !r.register(&s) {
-		return s.respond(Response{Outcome: Failed})
+		return s.countResponse(Response{Outcome: Failed})
 	}
 	defer r.unregister(&s)
 	for {
 		s.wait(ctx)
 		if response, ended := s.handleNext(ctx); ended {
-			return s.respond(response)
+			return s.countResponse(response)
 		}
 	}
 }
@@ -58,10 +58,12 @@
 	return q.ArrivedAt + q.ClientTimeout - margin
 }
 
-// register adds the request's mailbox and passes the request to the module. It returns false in two cases, in which
-// the request must not be served. An open request has the same id, and its response must not go to this request. Or
-// the class requires keys and the request has none, because the front end read it before the settings were reloaded;
-// servers could not recognize a repeat of it.
+// register adds the request's mailbox and passes the request to the module. It returns false if the request
+// must not be served:
+//
+//   - if an open request has the same id, since the response of one could go to the other;
+//   - if the class requires an idempotency key and the request has none, because the front end read it before the
+//     settings were reloaded: servers could not deduplicate a retry of it.
 func (r *Router) register(s *requestState) bool {
 	q := s.request
 	r.mu.Lock()
@@ -102,13 +104,13 @@
 
 	// mailbox receives the module's actions for this request, from register until unregister. It is never closed.
 	mailbox chan routing.Action
-	// overdueAlarm receives a value overdueAfter past the deadline. Serve owns its timer.
+	// overdueAlarm receives a value when overdueAfter has passed since the deadline. Serve owns its timer.
 	overdueAlarm <-chan struct{}
 
-	// attempt is the number of the last attempt that was sent, counted from 0; -1: none yet.
-	attempt int
-	// sent is the attempt that is in flight; zero while there is none. There is never more than one.
-	sent sentAttempt
+	// attemptNumber is the number of the last attempt that was sent, counted from 0; -1: none yet.
+	attemptNumber int
+	// inFlight is the attempt in flight; zero while there is none. There is never more than one.
+	inFlight sentAttempt
 
 	// Events that have arrived and have not been handled.
 	result     AttemptResult // of the attempt in flight
@@ -116,16 +118,16 @@
 	action     routing.Action // the module's next action
 	hasAction  bool
 	isTimedOut bool // the attempt in flight has timed out
-	isOverdue  bool // the module has decided no response within overdueAfter past the deadline
+	isOverdue  bool // the deadline passed overdueAfter ago, and the module has not ended the request
 }
 
-// sentAttempt is an attempt in flight.
+// sentAttempt is the attempt of a requestState that is in flight.
 type sentAttempt struct {
 	// pending is owned by requestState until its result is received or it is canceled; nil: no attempt is in flight.
 	pending PendingAttempt
 	result  <-chan AttemptResult // of pending
 	timeout <-chan struct{}      // receives a value when the attempt times out
-	timer   *clock.Timer         // of timeout; stopped when the attempt ends
+	timer   *clock.Timer         // sends the value to timeout; stopped when the attempt ends
 	server  string
 	sentAt  float64 // Unix milliseconds
 }
@@ -135,23 +137,23 @@
 func (s *requestState) wait(ctx context.Context) {
 	if !s.hasAction {
 		select {
-		case s.result = <-s.sent.result:
+		case s.result = <-s.inFlight.result:
 			s.hasResult = true
 		case <-ctx.Done():
 		case <-s.router.closed:
 		case <-s.overdueAlarm:
 			s.isOverdue = true
-		case <-s.sent.timeout:
+		case <-s.inFlight.timeout:
 			s.isTimedOut = true
 		case s.action = <-s.mailbox:
 			s.hasAction = true
 		}
 	}
 	if !s.hasResult {
-		s.result, s.hasResult = receiveIfReady(s.sent.result)
+		s.result, s.hasResult = receiveIfReady(s.inFlight.result)
 	}
 	s.isOverdue = s.isOverdue || isReady(s.overdueAlarm)
-	s.isTimedOut = s.isTimedOut || isReady(s.sent.timeout)
+	s.isTimedOut = s.isTimedOut || isReady(s.inFlight.timeout)
 }
 
 // handleNext handles one of the events that have arrived; ended is true once the request has its final response. Of
@@ -174,7 +176,7 @@
 		return Response{Outcome: Failed}, true
 	case s.isTimedOut:
 		mayRetry := s.router.clock.Now() < s.deadline-retryCutoff
-		s.sent.pending.Cancel(mayRetry)
+		s.inFlight.pending.Cancel(mayRetry)
 		s.endAttempt(AttemptResult{Outcome: routing.OutcomeTimedOut})
 	case s.hasAction:
 		return s.handleAction()
@@ -205,8 +207,8 @@
 	case routing.ActionSend:
 		s.send(a)
 	case routing.ActionCancel:
-		if s.sent.pending != nil && a.Attempt == s.attempt {
-			s.sent.pending.Cancel(true)
+		if s.inFlight.pending != nil && a.Attempt == s.attemptNumber {
+			s.inFlight.pending.Cancel(true)
 			s.endAttempt(AttemptResult{Outcome: routing.OutcomeCanceled})
 		}
 	case routing.ActionReject:
@@ -223,12 +225,12 @@
 func (s *requestState) send(a *routing.Action) {
 	attempt := newAttempt(s.request, a)
 	now := s.router.clock.Now()
-	s.attempt++
-	s.sent.server = a.Server
-	s.sent.sentAt = now
-	s.sent.timeout, s.sent.timer = s.router.clock.Alarm(min(attempt.Timeout, max(s.deadline-now, 0)))
-	s.sent.pending = s.router.upstream.Send(attempt)
-	s.sent.result = s.sent.pending.Done()
+	s.attemptNumber++
+	s.inFlight.server = a.Server
+	s.inFlight.sentAt = now
+	s.inFlight.timeout, s.inFlight.timer = s.router.clock.Alarm(min(attempt.Timeout, max(s.deadline-now, 0)))
+	s.inFlight.pending = s.router.upstream.Send(attempt)
+	s.inFlight.result = s.inFlight.pending.Done()
 	s.router.Counters.Attempts.Add(1)
 }
 
@@ -254,14 +256,14 @@
 
 // endAttempt ends the attempt in flight and reports its result to the module.
 func (s *requestState) endAttempt(result AttemptResult) {
-	ended := s.sent
+	ended := s.inFlight
 	ended.timer.Stop()
-	s.sent = sentAttempt{}
+	s.inFlight = sentAttempt{}
 	s.isTimedOut = false
 	s.router.reportOutcome(result.LoadReport, routing.Event{
 		Kind:         routing.EventOutcome,
 		RequestID:    s.request.ID,
-		Attempt:      s.attempt,
+		Attempt:      s.attemptNumber,
 		Server:       ended.server,
 		Outcome:      result.Outcome,
 		CacheStatus:  result.CacheStatus,
@@ -273,26 +275,27 @@
 
 // cancelAttempt cancels the attempt in flight, if any. No retry follows.
 func (s *requestState) cancelAttempt() {
-	if s.sent.pending != nil {
-		s.sent.timer.Stop()
-		s.sent.pending.Cancel(false)
+	if s.inFlight.pending != nil {
+		s.inFlight.timer.Stop()
+		s.inFlight.pending.Cancel(false)
 	}
 }
 
-// abort cancels the attempt in flight and notifies the module, which has not ended the request, that it is aborted.
+// abort cancels the attempt in flight, and notifies the module that the request is aborted, since the module has not
+// ended it itself.
 func (s *requestState) abort() {
 	s.cancelAttempt()
 	s.router.step(routing.Event{Kind: routing.EventAborted, RequestID: s.request.ID})
 }
 
-// reportOverdue counts and logs that the module decided no response in time.
+// reportOverdue counts and logs that the module did not end the request in time.
 func (s *requestState) reportOverdue() {
 	s.router.Counters.Overdue.Add(1)
 	s.router.log.Error().Str("request", s.request.ID).Msg("decision module did not end the request by its deadline")
 }
 
-// respond counts the request's final response and returns it.
-func (s *requestState) respond(response Response) Response {
+// countResponse counts the request's final response and returns it.
+func (s *requestState) countResponse(response Response) Response {
 	s.router.Counters.countOutcome(response.Outcome)
 	return response
 }
--- a/internal/router/serve_test.go
+++ b/internal/router/serve_test.go
@@ -9,7 +9,7 @@
 )
 
 // A request is sent to an edge cache with the parent as the source of a fill, and the cache's response is returned.
-func TestServedFromEdgeCacheWithParentAsSource(t *testing.T) {
+func TestRequestGoesToEdgeCacheFirst(t *testing.T) {
 	r := newTestRouter(t, "box", "parent", "origin")
 	r.startRequest("r1")
 	attempt := r.nextAttempt()
@@ -19,13 +19,14 @@
 	}
 	attempt.result <- AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: 2, Body: []byte("bytes")}
 	if got := r.nextResponse(); got.Outcome != Served || string(got.Body) != "bytes" {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want served with the cache's body", got)
 	}
 }
 
-// After a failed fill, the same cache gets an attempt for a stale copy within the stale grace, without a fill. A miss
-// there, with no source left, leads to a rejection with a RetryAfter.
-func TestStaleCopyThenRejection(t *testing.T) {
+// After a failed fill, the same cache gets an attempt for a stale copy within the stale grace, without a fill. After a
+// miss there, two more attempts follow, of which the first is rejected and the second ends as a miss. The request is
+// then rejected with a RetryAfter.
+func TestFailedFillFallsBackToStaleCopy(t *testing.T) {
 	r := newTestRouter(t, "box", "parent", "origin")
 	r.startRequest("r1")
 	failedFill := AttemptResult{
@@ -41,7 +42,7 @@
 	origin.result <- AttemptResult{Outcome: routing.OutcomeRejected, CacheStatus: routing.SourceRejected}
 	r.nextAttempt().result <- AttemptResult{Outcome: routing.OutcomeMiss}
 	if got := r.nextResponse(); got.Outcome != Rejected || got.RetryAfter <= 0 || got.RetryAfter > 1000 {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want rejected with a RetryAfter of at most 1000 ms", got)
 	}
 	if n := r.Counters.Attempts.Load(); n != 4 {
 		t.Errorf("%d attempts, want 4", n)
@@ -56,7 +57,7 @@
 	r.clock.Advance(1475)
 	r.awaitCancel(attempt)
 	if got := r.nextResponse(); got.Outcome != Rejected {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want a rejection", got)
 	}
 	r.checkNoneOpen()
 }
@@ -69,7 +70,7 @@
 	r.cancel()
 	r.awaitCancel(attempt)
 	if got := r.nextResponse(); got.Outcome != NoResponse || r.Counters.Departed.Load() != 1 {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want no response, counted once in Departed", got)
 	}
 }
 
@@ -87,13 +88,13 @@
 	}()
 	r.startRequest("r1")
 	if got := r.nextResponse(); got.Outcome != Failed || r.Counters.Overdue.Load() != 1 {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want failed, counted once in Overdue", got)
 	}
 	testwait.Receive(t, advanced, "the clock's goroutine to end")
 }
 
 // Two open requests with the same id could get each other's responses, so the second one fails.
-func TestSecondOpenRequestOfIDFails(t *testing.T) {
+func TestDuplicateRequestIDFails(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	r.startRequest("r1")
 	attempt := r.nextAttempt()
@@ -116,13 +117,13 @@
 	r.Close()
 	r.awaitCancel(attempt)
 	if got := r.nextResponse(); got.Outcome != Failed {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want failed", got)
 	}
 	r.checkNoneOpen()
 }
 
-// The margin of a short client timeout must be small: with 25 ms of 60 ms reserved, requests were rejected that a cache
-// hit would have served in time.
+// The margin of a short client timeout must be small: with a fixed margin of 25 ms, requests with a client timeout of
+// 60 ms would be rejected although a cache hit can serve them in time.
 func TestShortTimeoutKeepsSmallMargin(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	for clientTimeout, want := range map[float64]float64{1500: 1475, 60: 54, 20: 15} {
@@ -135,7 +136,7 @@
 		}
 		attempt.result <- AttemptResult{Outcome: routing.OutcomeServed}
 		testwait.Until(t, "the end of the request", func() bool { // the next request has the same id
-			return r.openMailboxes() == 0
+			return r.mailboxCount() == 0
 		})
 	}
 }
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -2,8 +2,7 @@
 
 import "spantack/routing"
 
-// UpdateSettings puts new settings in force for later requests. On error, which names the field at fault, nothing
-// has changed.
+// UpdateSettings applies new settings to later requests. On error, which names the invalid field, nothing has changed.
 func (r *Router) UpdateSettings(settings routing.Settings) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -16,7 +15,7 @@
 
 // applySettingsLocked stores the settings that the router itself uses. r.mu is held, or r is not shared yet.
 func (r *Router) applySettingsLocked(settings routing.Settings) {
-	r.resizeClassCounters(settings)
+	r.updateClassCounters(settings)
 	r.loadFields = settings.LoadReporting.Fields
 	r.keyedClasses = map[string]bool{}
 	for _, class := range settings.Classes {
--- a/internal/router/watch_event.go
+++ b/internal/router/watch_event.go
@@ -10,7 +10,7 @@
 	ID        string
 	Addr      string // host and port
 	Zone      string
-	Kind      string // name of a kind in the settings
+	Kind      string // kind of server, one of Settings.Kinds
 	Cell      int64
 	Status    routing.EndpointStatus
 	Weight    float64
@@ -31,7 +31,7 @@
 	Purge      *Purge   // nil: the event is about the endpoint list
 }
 
-// Apply passes an event to the module before it returns.
+// Apply passes an event to the module. The event is in effect when Apply returns.
 func (r *Router) Apply(event WatchEvent) {
 	if event.Purge != nil {
 		r.applyPurge(event.Purge)
