--- a/internal/admin/calls.go
+++ b/internal/admin/calls.go
@@ -16,7 +16,7 @@
 	bodyNo  = "no\n"
 )
 
-// handler returns the handler of all calls. The operators' page documents their paths and responses.
+// handler returns the handler of all management calls. docs/operation.md documents their paths and responses.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/ready", s.ready)
@@ -42,16 +42,16 @@
 	respond(w, http.StatusOK, string(AppendMetrics(nil, s.Metrics())))
 }
 
-// serverCall returns the handler of a call that names a server; message is logged once the call has taken effect. The
-// response is 400 for an id that is too long, 404 for an unknown server and 503 for any other error.
-func (s *Server) serverCall(message string, call func(id string) error) http.HandlerFunc {
+// serverCall returns the handler of a call that names a server; message is logged after run has returned without error.
+// The response is 400 for an id that is too long, 404 for an unknown server and 503 for any other error.
+func (s *Server) serverCall(message string, run func(id string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
 		if len(id) > maxIDLength {
 			respond(w, http.StatusBadRequest, "id: too long\n")
 			return
 		}
-		switch err := call(id); {
+		switch err := run(id); {
 		case errors.Is(err, endpoints.ErrUnknownServer):
 			respond(w, http.StatusNotFound, "id: "+err.Error()+"\n")
 		case err != nil:
@@ -64,11 +64,11 @@
 	}
 }
 
-// routerCall returns the handler of a call about the router itself; message is logged before the call runs.
-func (s *Server) routerCall(message string, call func()) http.HandlerFunc {
+// routerCall returns the handler of a call about the router itself; message is logged before run is called.
+func (s *Server) routerCall(message string, run func()) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		s.Log.Info().Msg(message)
-		call()
+		run()
 		respond(w, http.StatusOK, bodyYes)
 	}
 }
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// metricPrefix precedes the name of every metric, as the operators' page documents.
+// metricPrefix precedes the name of every metric, as docs/operation.md documents.
 const metricPrefix = "app."
 
 // Metric is the name and current value of one metric.
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin serves the management address over HTTP/1.1, with one call per connection. The calls report readiness
-// and metrics, exclude and include servers, and drain and rejoin the router; the operators' page documents them. Each
-// call runs a function of Server.
+// Package admin serves the management address over HTTP/1.1, with one management call per connection. The calls report
+// readiness and metrics, exclude and include servers, and drain and rejoin the router; docs/operation.md documents
+// them. Each call runs a function of Server.
 package admin
 
 import (
@@ -25,7 +25,9 @@
 const (
 	// readTimeout is how long a connection may take to send a complete call.
 	readTimeout = 2_000
-	// handlerTimeout is how long a call may take until its response is written.
+	// handlerTimeout is how long a complete call may take until its response is written. The write timeout starts
+	// when the header of the call has been read. The body may take until readTimeout, so the write timeout is the sum of
+	// both.
 	handlerTimeout = 1_000
 )
 
@@ -39,8 +41,8 @@
 type Server struct {
 	IsReady func() bool           // reports whether the router accepts requests
 	Metrics func() []Metric       // returns the metrics in the order in which they are written
-	Exclude func(id string) error // excludes a server before it returns
-	Include func(id string) error // includes a server before it returns
+	Exclude func(id string) error // excludes a server; in effect when it returns
+	Include func(id string) error // includes a server; in effect when it returns
 	Drain   func()                // drains the router; must not wait for open requests
 	Rejoin  func()                // ends the drain
 	Log     zerolog.Logger
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -119,7 +119,7 @@
 	return r.StatusCode, string(body)
 }
 
-// Each call must get the response that the operators' page documents, and must reach its function.
+// Each call must get the response that docs/operation.md documents, and must reach its function.
 func TestCallResponses(t *testing.T) {
 	addr, router, _ := serve(t)
 	for _, tc := range []struct {
@@ -166,7 +166,7 @@
 		io.WriteString(c, incomplete[i%len(incomplete)])
 	}
 	if status, _ := call(t, addr, "GET /api/ready HTTP/1.1\r\nHost: r\r\n\r\n"); status != 200 {
-		t.Errorf("status %d beside connections with incomplete calls, want 200", status)
+		t.Errorf("status %d while other connections have incomplete calls, want 200", status)
 	}
 	s.mu.Lock()
 	if n := len(s.conns); n > MaxConns {
--- a/internal/admin/wire_compat_test.go
+++ b/internal/admin/wire_compat_test.go
@@ -24,18 +24,19 @@
 	return len(line), nil
 }
 
-// The calls of operators, their responses and log lines must not change. For each call, testdata/wire_compat.txt has a
-// line "> call", the response without its date, and a log line after "log: ". Operators' programs read these, so lines
-// must never be changed to make a test pass.
+// The management calls, their responses and log lines must not change. For each call, testdata/wire_compat.txt has a
+// line "> call", the response without its date, and a log line after "log: ". The suffix "#starting" of a call makes
+// the router not ready during that call. Operators' programs read these, so lines must never be changed to make a test
+// pass.
 func TestWireCompat(t *testing.T) {
 	text, err := os.ReadFile("testdata/wire_compat.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, router, sample := serve(t)
+	_, router, template := serve(t)
 	log := make(logLines, 4)
-	s := &Server{IsReady: sample.IsReady, Metrics: sample.Metrics, Exclude: sample.Exclude, Include: sample.Include,
-		Drain: sample.Drain, Rejoin: sample.Rejoin, Log: zerolog.New(log)}
+	s := &Server{IsReady: template.IsReady, Metrics: template.Metrics, Exclude: template.Exclude,
+		Include: template.Include, Drain: template.Drain, Rejoin: template.Rejoin, Log: zerolog.New(log)}
 	l := testwait.Listen(t)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -47,8 +48,8 @@
 			continue
 		}
 		got.WriteString(line)
-		request, starting := strings.CutSuffix(request, " #starting")
-		router.isReady.Store(!starting)
+		request, isStarting := strings.CutSuffix(request, " #starting")
+		router.isReady.Store(!isStarting)
 		conn := testwait.Dial(t, l.Addr().String())
 		io.WriteString(conn, request+" HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n")
 		response, err := io.ReadAll(conn)
--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -1,5 +1,5 @@
-// Package asynclog writes log lines without blocking the caller. Callers log while they hold locks and requests wait.
-// The reader of the log may be slow, stopped or gone, and must not block the router.
+// Package asynclog writes log lines without blocking the caller. Callers may log while they hold locks, and while
+// requests wait for them. The reader of the log may be slow, stopped or gone, and must not block the router.
 package asynclog
 
 import (
@@ -52,8 +52,9 @@
 	return len(line), nil
 }
 
-// Close waits up to closeTimeout until the queued lines are written. Later lines are dropped. It must be called only
-// once.
+// Close waits up to closeTimeout until the queued lines are written. Later lines are dropped: once the queue has been
+// written, they are lost without a report. Until then, lines that are passed to Write may still be written. Close must
+// be called only once.
 func (w *Writer) Close() {
 	close(w.quit)
 	timeout := time.NewTimer(closeTimeout)
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -62,7 +62,7 @@
 }
 
 // Close must not wait for a blocked destination, and the queue must be bounded in bytes too.
-func TestCloseWhileDestinationBlocks(t *testing.T) {
+func TestCloseDoesNotWaitForBlockedDestination(t *testing.T) {
 	destination := &blockingWriter{entered: make(chan struct{}), release: make(chan struct{})}
 	entered := destination.entered
 	w := New(destination)
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -1,6 +1,6 @@
-// Package background runs deferrable jobs beside the requests of a router. core/scheduler decides their order and keeps
-// them within their budget. One goroutine runs one job at a time, so that jobs never use more than their share of the
-// core.
+// Package background runs deferrable jobs alongside the requests of a router. Package core/scheduler decides their
+// order and keeps them within their budget. One goroutine runs one job at a time, so that jobs never use more than
+// their share of the CPU core.
 package background
 
 import (
@@ -18,14 +18,14 @@
 
 // Limits of all background jobs of a router; times are milliseconds.
 const (
-	coreBudgetMsPerSecond = 20.0   // time per second on the router's core
-	budgetBurst           = 1000   // period whose budget may be used at once
+	coreBudgetMsPerSecond = 20.0   // time per second on the router's CPU core
+	budgetBurst           = 1000   // period whose unused budget may be saved up and used at once
 	maxQueuedJobs         = 64     // jobs that wait to run
 	maxAttempts           = 3      // attempts of one job
 	attemptTimeout        = 10_000 // after which a job that has not ended counts as failed
 	initialBackoff        = 500    // before the second attempt of a job
 	maxBackoff            = 30_000
-	agingInterval         = 2000 // waiting time after which a job rises by one priority
+	agingInterval         = 2000 // waiting time after which a job rises by one priority level
 	minWait               = 1    // between two checks of the queue while no job can run
 )
 
@@ -66,8 +66,8 @@
 }
 
 // Submit queues a job; costMs is its expected run time in milliseconds, 0 if it is not known. The error wraps
-// scheduler.ErrDuplicateJob if a job with this id is queued or running, or another error of the scheduler if the queue
-// is full.
+// scheduler.ErrDuplicateJob if a job with this id is queued or running, and scheduler.ErrQueueFull if the queue is full
+// and no queued job has a lower priority. Otherwise a full queue makes room by abandoning a job of a lower priority.
 func (r *Runner) Submit(id string, priority scheduler.Priority, costMs float64, run func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,8 +85,10 @@
 	return nil
 }
 
-// Every runs a job repeatedly until ctx ends, each time interval milliseconds after its last run has ended. A run is
-// skipped if the queue has no room for it.
+// Every runs a job repeatedly until ctx ends. It queues the first run at once, and each further run interval
+// milliseconds after the last one has ended. A run is skipped if the queue has no room for it, or if Submit fails for
+// another reason: the job is submitted again after interval. The job is not run again once it has failed in all
+// maxAttempts attempts, or once a full queue has abandoned it for a job of a higher priority.
 func (r *Runner) Every(ctx context.Context, id string, interval float64, priority scheduler.Priority, run func()) {
 	var submit func()
 	submit = func() {
--- a/internal/background/background_test.go
+++ b/internal/background/background_test.go
@@ -42,8 +42,8 @@
 }
 
 // Jobs must run one at a time, the urgent ones first, and once even if submitted twice. A job that fails must be
-// attempted three times and then dropped, and later jobs must still run. The test uses a fake clock.
-func TestJobsRunInOrder(t *testing.T) {
+// attempted three times and then dropped. Jobs that are submitted later, or repeated by Every, must still run.
+func TestJobsRunInOrderDespiteFailures(t *testing.T) {
 	c := clock.NewFake(1e12)
 	var log bytes.Buffer
 	r, err := New(c, 1, zerolog.New(&log))
@@ -52,7 +52,7 @@
 	}
 	var once, repeated jobLog
 	for id, priority := range map[string]scheduler.Priority{
-		"idle": scheduler.Idle, "urgent": scheduler.Urgent, "prompt": scheduler.High,
+		"idle": scheduler.Idle, "urgent": scheduler.Urgent, "high": scheduler.High,
 	} {
 		if err := r.Submit(id, priority, 1, once.job(id)); err != nil {
 			t.Fatal(err)
@@ -81,8 +81,8 @@
 		t.Error(err)
 	}
 	ran := once.all()
-	urgent, prompt, idle := slices.Index(ran, "urgent"), slices.Index(ran, "prompt"), slices.Index(ran, "idle")
-	if urgent > prompt || prompt > idle || len(ran) != 6 {
+	urgent, high, idle := slices.Index(ran, "urgent"), slices.Index(ran, "high"), slices.Index(ran, "idle")
+	if urgent > high || high > idle || len(ran) != 6 {
 		t.Errorf("jobs ran in the order %v", ran)
 	}
 	if n := strings.Count(log.String(), "background job failed"); n != 3 {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,7 @@
-// Package clock is the only source of time of the program, as Unix milliseconds in float64. Only the decision module
-// uses whole microseconds; Micros and Millis are the only functions that convert between the two.
+// Package clock provides the time, as Unix milliseconds in float64. It is the only source of time for the decisions of
+// a router; some waits, tickers and I/O deadlines use package time directly. The events of package routing and of the
+// packages in core have times in whole microseconds. Outside core, Micros and Millis are the only functions of a router
+// that convert between the two.
 package clock
 
 import "time"
--- a/internal/clock/convert.go
+++ b/internal/clock/convert.go
@@ -8,7 +8,8 @@
 // microsPerMilli is the number of the decision module's units (microseconds) in one of the program's (milliseconds).
 const microsPerMilli = 1000
 
-// Micros converts milliseconds to the decision module's microseconds. It is the exact inverse of Millis.
+// Micros converts milliseconds to the decision module's microseconds. It is the exact inverse of Millis: for all
+// current times in microseconds, Micros(Millis(us)) == us.
 func Micros(ms float64) int64 { return int64(math.Round(ms * microsPerMilli)) }
 
 // Millis converts the decision module's microseconds to milliseconds.
--- a/internal/handover/exclusions.go
+++ b/internal/handover/exclusions.go
@@ -18,13 +18,13 @@
 	// watchInterval is the time between checks of excludedFile for changes by the other process. It must be well below
 	// the 500 ms within which an exclusion must take effect.
 	watchInterval = 100
-	// lockTimeout is how long a change waits for the lock, with an attempt every lockRetryInterval. The management call
-	// that makes the change must get its response within 1 s.
+	// lockTimeout is how long a change waits for the lock, which it tries to take every lockRetryInterval. The management
+	// call that makes the change must get its response within 1 s.
 	lockTimeout       = 700
 	lockRetryInterval = 5
 )
 
-// Excluded reads the ids of the servers that were excluded by hand. Without a file there are none.
+// Excluded reads the ids of the servers that operators have excluded. Without a file there are none.
 func (d *StateDir) Excluded() (ids []string, err error) {
 	if d == nil {
 		return nil, nil
@@ -35,8 +35,9 @@
 	return ids, err
 }
 
-// RestoreExcluded reads the excluded servers from the file and passes them to adopt. A missing or unreadable file
-// changes nothing: it must neither undo an exclusion nor keep the router from serving. Errors are logged.
+// RestoreExcluded reads the excluded servers from the file and passes them to adopt, at the start of a process and
+// after changes by the other process. A missing or unreadable file changes nothing: it must neither undo an exclusion
+// nor keep the router from serving. Errors are logged.
 func (d *StateDir) RestoreExcluded(adopt func(ids []string) error) {
 	if d == nil {
 		return
@@ -46,7 +47,7 @@
 		err = adopt(ids)
 	}
 	if err != nil {
-		d.log.Warn().Err(err).Msg("can't restore the excluded servers")
+		d.log.Warn().Err(err).Msg("can't read or adopt the excluded servers")
 	}
 }
 
@@ -71,9 +72,9 @@
 	return d.writeFile(excludedFile, ids)
 }
 
-// WatchExcluded adopts changes that the other process writes, until ctx ends. It reads and adopts under the lock;
-// otherwise a change made between the two would be undone. While another process holds the lock, it retries at the next
-// tick.
+// WatchExcluded adopts changes that the other process writes, until ctx ends. It reads and adopts under the lock.
+// Otherwise a change that this process makes after the read and before the adoption would be undone. While another
+// process holds the lock, it retries at the next tick.
 func (d *StateDir) WatchExcluded(ctx context.Context, adopt func(ids []string) error) error {
 	if d == nil {
 		return nil
@@ -91,8 +92,8 @@
 	}
 }
 
-// adoptIfChanged adopts the excluded servers if their file is not the one that adopted describes. It returns the file
-// info of the file that was adopted last; nil: none yet.
+// adoptIfChanged adopts the excluded servers if their file has changed since it had the file info adopted. It returns
+// the file info of the file that was adopted last; nil: none yet.
 func (d *StateDir) adoptIfChanged(adopted fs.FileInfo, adopt func(ids []string) error) fs.FileInfo {
 	current, err := os.Stat(filepath.Join(d.dir, excludedFile))
 	if err != nil || adopted != nil && os.SameFile(adopted, current) && current.ModTime() == adopted.ModTime() {
--- a/internal/handover/exclusions_test.go
+++ b/internal/handover/exclusions_test.go
@@ -18,15 +18,14 @@
 	"spantack/internal/testwait"
 )
 
-// adoptNothing adopts nothing.
 func adoptNothing([]string) error { return nil }
 
-// changeNothing changes nothing.
 func changeNothing() error { return nil }
 
 // A management call excludes a server while this process adopts the other process's change. The call must wait until
-// the change is read and adopted; otherwise adopting the older state would undo the exclusion.
-func TestWatchInterleavedWithChange(t *testing.T) {
+// the change is read and adopted; otherwise adopting the older state would undo the exclusion. The test checks that the
+// lock, which the call needs, is held between reading and adopting, and that a call succeeds afterwards.
+func TestAdoptionHoldsLock(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, excludedFile), []byte(`["s-1"]`), 0o600); err != nil {
 		t.Fatal(err)
@@ -63,7 +62,7 @@
 }
 
 // Another process was stopped during a change and holds the lock: a call must fail within its time limit.
-func TestChangeWhileLockHolderIsStopped(t *testing.T) {
+func TestChangeFailsInTimeWhileLockIsHeld(t *testing.T) {
 	dir := t.TempDir()
 	stopped, state := NewStateDir(dir, zerolog.Nop()), NewStateDir(dir, zerolog.Nop())
 	entered, resume := make(chan struct{}), make(chan struct{})
@@ -153,7 +152,7 @@
 
 // Two processes of one router change the excluded servers at the same time: no change may be lost, and each process
 // adopts the other's changes from the file.
-func TestConcurrentChangesOfTwoProcesses(t *testing.T) {
+func TestConcurrentChangesAreNotLost(t *testing.T) {
 	const changes = 40
 	dir := t.TempDir()
 	old := startRouterProcess(t, dir)
@@ -174,7 +173,7 @@
 		t.Fatal(err)
 	}
 	if got := next.excluded(); len(got) != changes || slices.Contains(got, "a") {
-		t.Errorf("%d servers excluded: %v", len(got), got)
+		t.Errorf("%d servers excluded, want one for each change, and not a: %v", len(got), got)
 	}
 	checkAdopts(t, old, changes)
 	if got := old.excluded(); slices.Contains(got, "a") {
@@ -187,7 +186,7 @@
 		t.Fatal(err)
 	}
 	if got := next.excluded(); len(got) != changes+1 {
-		t.Errorf("%d servers excluded after the loss of the file", len(got))
+		t.Errorf("%d servers excluded after the loss of the file, want all as before and b", len(got))
 	}
 	for _, id := range next.excluded() {
 		if err := next.include(id); err != nil {
--- a/internal/handover/serving_test.go
+++ b/internal/handover/serving_test.go
@@ -6,9 +6,10 @@
 	"github.com/rs/zerolog"
 )
 
-// The next process claims to serve, then dies or starts to shut down before this process checks. It accepts no
-// requests, so this process must not count as replaced. A claim that is not published yet must not count either.
-func TestClaimOfProcessThatEnds(t *testing.T) {
+// The next process claims to serve, then dies or starts to shut down before this process checks. The next process then
+// accepts no requests, so this process must not count as replaced. A claim that is not published yet must not count
+// either.
+func TestClaimOfEndedProcessDoesNotCount(t *testing.T) {
 	for name, end := range map[string]func(*StateDir){
 		"dies":       func(d *StateDir) { d.servingLock.Close() }, // as the system does at the end of a process
 		"shuts down": (*StateDir).ReleaseServing,
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -17,9 +17,9 @@
 )
 
 // Socket is a listening socket that a supervisor holds and passes to one process after another. All holders share the
-// descriptor's non-blocking mode, and a supervisor that starts the next process may clear it at any time. Unlike a
-// listener of package net, Accept therefore sets the mode again before each attempt. Otherwise the process could block
-// in accept and not end when it is stopped.
+// descriptor's non-blocking mode, and a supervisor that starts the next process may clear it at any time. Accept
+// therefore sets the mode again each time before it calls accept, which a listener of package net does not do.
+// Otherwise the process could block in accept and not end when it is stopped.
 type Socket struct {
 	file     *os.File // owned; Close closes it
 	raw      syscall.RawConn
@@ -77,7 +77,7 @@
 			return true
 		}
 		accepted, _, acceptErr = syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
-		return acceptErr != syscall.EAGAIN && acceptErr != syscall.EINTR // another process may have accepted it first
+		return acceptErr != syscall.EAGAIN && acceptErr != syscall.EINTR // another process may have accepted the connection
 	})
 	switch {
 	case err != nil && s.isClosed.Load():
--- a/internal/handover/socket_test.go
+++ b/internal/handover/socket_test.go
@@ -31,7 +31,7 @@
 
 // Two processes accept on one socket while a third holder sets it to blocking mode. Close must still end Accept in
 // either process, and later connections must go to the process that still accepts.
-func TestAcceptOnSocketSetToBlocking(t *testing.T) {
+func TestCloseEndsAcceptOnBlockingSocket(t *testing.T) {
 	addr, fds := openSharedSocket(t)
 	accepted := make(chan net.Conn)
 	var ended [2]chan error
@@ -69,7 +69,7 @@
 		server.Close()
 		client.Close()
 	}
-	for range 50 { // each connection wakes both processes, and one finds none to accept
+	for range 50 { // both Accepts wake for each connection, and one finds none
 		if err := syscall.SetNonblock(fds[2], false); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/handover/state_dir.go
+++ b/internal/handover/state_dir.go
@@ -1,10 +1,11 @@
 // Package handover implements the state that the processes of one router share, so that one can replace another without
 // refusing connections: the listening socket that a supervisor holds (Socket), and a directory (StateDir) with the
-// servers that were excluded by hand, the claim of the process that serves, and the learned state of that process.
+// servers that operators have excluded, the claim of the process that serves, and the learned state of that process.
 //
-// A new process reads the excluded servers and the learned state, and claims to serve once it is ready. When the old
-// process is stopped, it detects the new one through IsReplaced. Until the old process has ended, both accept calls
-// that exclude servers, and each adopts the changes that the other writes.
+// A new process reads the excluded servers and the learned state, and claims to serve once it is ready. The old process
+// detects the new one through IsReplaced: it then no longer saves its learned state, and accepts no more requests once
+// it is stopped. Until the old process has ended, both processes accept management calls that exclude servers, and each
+// adopts the changes that the other writes.
 package handover
 
 import (
@@ -22,14 +23,16 @@
 	learnedStateFile = "spantack-beliefs.json" // routing.LearnedState as JSON
 )
 
-// StateDir is the directory that the processes of one router share. A lost or unreadable file counts as empty, since
-// the directory is new after a crash. A nil StateDir shares nothing; all its methods may be called.
+// StateDir is the directory that the processes of one router share. A missing file counts as empty, since the
+// directory is new after a crash. Nothing is adopted from an unreadable file: Excluded and LoadLearnedState return an
+// error, RestoreExcluded logs it, and IsReplaced does not count a claim that it can't open. A nil StateDir shares
+// nothing; all its methods may be called.
 type StateDir struct {
 	dir string
 	log zerolog.Logger
 
 	// servingLock is servingFile, locked from ClaimServing to ReleaseServing; nil: not claimed. It stays open until the
-	// process ends, and the system then releases the lock, whatever the cause.
+	// process ends; the system then releases the lock, however the process ended.
 	servingLock *os.File
 }
 
--- a/internal/handover/state_dir_test.go
+++ b/internal/handover/state_dir_test.go
@@ -10,8 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Missing and corrupt files must give errors or empty results, and a claim without a lock must not count.
-func TestCorruptFiles(t *testing.T) {
+// A corrupt file of excluded servers must give an error. A missing claim, the process's own claim and a claim without a
+// lock must not count.
+func TestCorruptFilesAreNotUsed(t *testing.T) {
 	dir := t.TempDir()
 	d := NewStateDir(dir, zerolog.Nop())
 	if d.IsReplaced() {
@@ -36,7 +37,7 @@
 }
 
 // Without a state directory, changes and claims work but are not shared.
-func TestWithoutStateDir(t *testing.T) {
+func TestNilStateDirIsUsable(t *testing.T) {
 	none := NewStateDir("", zerolog.Nop())
 	isCalled := false
 	change := func() error {
--- a/internal/handover/stored_compat_test.go
+++ b/internal/handover/stored_compat_test.go
@@ -17,8 +17,8 @@
 // storedDir is a state directory that a process of an earlier release wrote.
 const storedDir = "testdata/statedir"
 
-// stored returns the content of a file.
-func stored(t *testing.T, dir, name string) []byte {
+// fileContent returns the content of a file.
+func fileContent(t *testing.T, dir, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, name))
 	if err != nil {
@@ -40,7 +40,7 @@
 		learned.Servers[1].Name == "" || learned.CancelBudget == 0 {
 		t.Fatalf("learned state: %+v, found %v, error %v", learned, found, err)
 	}
-	if pid, err := strconv.Atoi(string(stored(t, storedDir, "spantack-serving"))); err != nil || pid <= 0 {
+	if pid, err := strconv.Atoi(string(fileContent(t, storedDir, "spantack-serving"))); err != nil || pid <= 0 {
 		t.Fatalf("serving: process id %d, error %v", pid, err)
 	}
 
@@ -60,8 +60,8 @@
 		t.Fatal(err)
 	}
 	var names []string
-	for _, of := range []string{storedDir, dir} {
-		entries, err := os.ReadDir(of)
+	for _, folder := range []string{storedDir, dir} {
+		entries, err := os.ReadDir(folder)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,11 +75,11 @@
 		names = list
 	}
 	for _, name := range []string{"spantack-outs.json", "spantack-beliefs.json", "spantack-lock"} {
-		if got, want := stored(t, dir, name), stored(t, storedDir, name); !bytes.Equal(got, want) {
+		if got, want := fileContent(t, dir, name), fileContent(t, storedDir, name); !bytes.Equal(got, want) {
 			t.Errorf("%s: written as %s, want %s", name, got, want)
 		}
 	}
-	if got, want := string(stored(t, dir, "spantack-serving")), strconv.Itoa(os.Getpid()); got != want {
+	if got, want := string(fileContent(t, dir, "spantack-serving")), strconv.Itoa(os.Getpid()); got != want {
 		t.Errorf("spantack-serving: written as %s, want %s", got, want)
 	}
 }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -19,8 +19,8 @@
 
 // FreeAddress returns an address on which no process listens. It differs from the addresses of all earlier calls in
 // this process, until the ports are used up, and from those of every other process, because the host part is derived
-// from the process id. A port that the system picks for a listener that is then closed has neither property, since the
-// system soon reuses it.
+// from the process id. To listen on port 0 and close that listener would guarantee neither, since the system soon
+// reuses the port.
 func FreeAddress() string {
 	pid := os.Getpid()
 	port := firstPort + (addressCount.Add(1)-1)%(endPort-firstPort)
