--- a/cmd/spantack/wire.go
+++ b/cmd/spantack/wire.go
@@ -9,7 +9,7 @@
 // wire gives the router its initial state, from which on it is ready, and makes the parts that keep it up to date.
 func (p *process) wire() error {
 	c := p.config.Load()
-	p.state.RestoreExcluded(p.router.SetExcluded)
+	p.state.AdoptExcluded(p.router.SetExcluded)
 	for _, event := range c.InitialEvents {
 		p.apply(event)
 	}
--- a/internal/handover/exclusions.go
+++ b/internal/handover/exclusions.go
@@ -35,10 +35,10 @@
 	return ids, err
 }
 
-// RestoreExcluded reads the excluded servers from the file and passes them to adopt, at the start of a process and
+// AdoptExcluded reads the excluded servers from the file and passes them to adopt, at the start of a process and
 // after changes by the other process. A missing or unreadable file changes nothing: it must neither undo an exclusion
 // nor keep the router from serving. Errors are logged.
-func (d *StateDir) RestoreExcluded(adopt func(ids []string) error) {
+func (d *StateDir) AdoptExcluded(adopt func(ids []string) error) {
 	if d == nil {
 		return
 	}
@@ -64,7 +64,7 @@
 		return err
 	}
 	defer unlock()
-	d.RestoreExcluded(adopt)
+	d.AdoptExcluded(adopt)
 	if err := change(); err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 		return adopted
 	}
 	defer unlock()
-	d.RestoreExcluded(adopt)
+	d.AdoptExcluded(adopt)
 	return current // read before the lock was taken: a later write is noticed at the next tick
 }
 
--- a/internal/handover/exclusions_test.go
+++ b/internal/handover/exclusions_test.go
@@ -193,7 +193,7 @@
 			t.Fatal(err)
 		}
 	}
-	old.state.RestoreExcluded(old.adopt)
+	old.state.AdoptExcluded(old.adopt)
 	if got := old.excluded(); len(got) != 0 {
 		t.Errorf("still excluded in the other process after all were included: %v", got)
 	}
--- a/internal/handover/state_dir.go
+++ b/internal/handover/state_dir.go
@@ -25,7 +25,7 @@
 
 // StateDir is the directory that the processes of one router share. A missing file counts as empty, since the
 // directory is new after a crash. Nothing is adopted from an unreadable file: Excluded and LoadLearnedState return an
-// error, RestoreExcluded logs it, and IsReplaced does not count a claim that it can't open. A nil StateDir shares
+// error, AdoptExcluded logs it, and IsReplaced does not count a claim that it can't open. A nil StateDir shares
 // nothing; all its methods may be called.
 type StateDir struct {
 	dir string
