--- a/cmd/spantack/gossip.go
+++ b/cmd/spantack/gossip.go
@@ -64,7 +64,7 @@
 		ListenAddress:    c.Fleet.ListenAddr,
 		PeerAddresses:    c.Fleet.Members,
 		BroadcastAddress: c.Fleet.BroadcastAddr,
-		OnOverloaded:     p.router.ReportOverloaded,
+		OnOverloaded:     p.router.HandleOverloadReport,
 		Clock:            p.clock,
 		Log:              p.log,
 	}
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -36,7 +36,7 @@
 	return r.admission.Parents(r.nowMicros())
 }
 
-// ReportOverloaded passes a report of routers of other sites, that a parent is overloaded, to the module.
-func (r *Router) ReportOverloaded(server string) {
+// HandleOverloadReport notifies the module that routers of other sites have reported a parent as overloaded.
+func (r *Router) HandleOverloadReport(server string) {
 	r.step(routing.Event{Kind: routing.EventParentOverloaded, Server: server})
 }
