--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -15,8 +15,8 @@
 // hit is the result of an attempt that the cache served from its store.
 var hit = AttemptResult{Outcome: routing.OutcomeServed, CacheStatus: routing.CacheHit}
 
-// newRouterWithTwoCaches returns a router with two edge caches, and breakerWindow objects whose requests the
-// router sends to the given cache.
+// newRouterWithTwoCaches returns a router with two edge caches, and breakerWindow objects whose requests the router
+// sends to the given cache.
 func newRouterWithTwoCaches(t *testing.T, cache string) (r *testRouter, objects []string) {
 	t.Helper()
 	r = newTestRouter(t, "box", "origin")
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -103,8 +103,8 @@
 	return max(c.Accepted.Load()-ended, 0) // Accepted is read last: requests that arrive meanwhile count as open
 }
 
-// CacheCounts returns the number of listed edge caches, including those of other sites, and how many of them operators
-// have excluded or have an open circuit breaker in this router: these get no requests from it.
+// CacheCounts returns the number of listed edge caches, including those of other sites, and how many of them are
+// excluded by operators or have an open circuit breaker in this router: these get no requests from it.
 func (r *Router) CacheCounts() (listed, unavailable int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
