--- a/internal/background/background_test.go
+++ b/internal/background/background_test.go
@@ -25,7 +25,7 @@
 	ran []string
 }
 
-// job is one that records that it ran.
+// job returns a job that records that it ran.
 func (l *jobLog) job(id string) func() {
 	return func() {
 		l.mu.Lock()
@@ -41,9 +41,9 @@
 	return slices.Clone(l.ran)
 }
 
-// Jobs run one at a time, the urgent first, each once however often it is submitted; one that fails is attempted
-// three times and given up, and what comes after it still runs. Time is the test's.
-func TestJobsRunInOrder(t *testing.T) {
+// Jobs must run one at a time, the urgent ones first, and once even if submitted twice. A job that fails must be
+// attempted three times and then dropped. Jobs that are submitted later, or repeated by Every, must still run.
+func TestJobsRunInOrderDespiteFailures(t *testing.T) {
 	c := clock.NewFake(1e12)
 	var log bytes.Buffer
 	r, err := New(c, 1, zerolog.New(&log))
@@ -52,14 +52,14 @@
 	}
 	var once, repeated jobLog
 	for id, priority := range map[string]scheduler.Priority{
-		"idle": scheduler.Idle, "urgent": scheduler.Urgent, "prompt": scheduler.High,
+		"idle": scheduler.Idle, "urgent": scheduler.Urgent, "high": scheduler.High,
 	} {
 		if err := r.Submit(id, priority, 1, once.job(id)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := r.Submit("idle", scheduler.Urgent, 1, once.job("idle")); !errors.Is(err, scheduler.ErrDuplicateJob) {
-		t.Errorf("twice under one id: %v", err)
+		t.Errorf("second job with the same id: %v", err)
 	}
 	broken := func() {
 		once.job("broken")()
@@ -81,11 +81,11 @@
 		t.Error(err)
 	}
 	ran := once.all()
-	urgent, prompt, idle := slices.Index(ran, "urgent"), slices.Index(ran, "prompt"), slices.Index(ran, "idle")
-	if urgent > prompt || prompt > idle || len(ran) != 6 {
-		t.Errorf("ran %v", ran)
+	urgent, high, idle := slices.Index(ran, "urgent"), slices.Index(ran, "high"), slices.Index(ran, "idle")
+	if urgent > high || high > idle || len(ran) != 6 {
+		t.Errorf("jobs ran in the order %v", ran)
 	}
 	if n := strings.Count(log.String(), "background job failed"); n != 3 {
-		t.Errorf("%d lines of a job that fails three times", n)
+		t.Errorf("%d log lines for a job that fails three times, want 3", n)
 	}
 }
--- a/internal/router/features.go
+++ b/internal/router/features.go
@@ -10,17 +10,19 @@
 	"spantack/core/rollout"
 )
 
-// Features is what a features file sets. A nil field is off.
+// Features is the parsed content of a features file, with one field for each optional feature. A nil field means that
+// the feature is off.
 type Features struct {
 	Cells       *cells.Assignment
-	Migrations  *migration.Document // fits Cells
-	Rollout     *rollout.Rollout    // fits Cells
+	Migrations  *migration.Document // already validated against Cells
+	Rollout     *rollout.Rollout    // already validated against Cells
 	Topology    *hierarchy.Graph
 	OriginLimit *originlimit.Document
 }
 
-// ApplyFeatures puts features in force before it returns. No request sees a part without the others. The error is
-// that of the rollout or of the origin limit, which is then not in force.
+// ApplyFeatures applies features, which are in effect when it returns. Every request sees either all of them or none.
+// If the rollout or the origin limit is invalid, that one is not applied, the other features are, and the error says
+// why.
 func (r *Router) ApplyFeatures(f Features) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,15 +35,17 @@
 	return errors.Join(rolloutErr, originLimitErr)
 }
 
-// PlanOnTick leaves the computing of plans for many parent groups to Tick, which the caller must then call
-// regularly. It is called before the first request.
+// PlanOnTick makes Tick compute the fill plans of topologies with many parent groups. Otherwise such a plan is computed
+// while an event of the module waits. The caller must then call Tick regularly. PlanOnTick must be called before the
+// first request.
 func (r *Router) PlanOnTick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.admission.PlansInBackground = true
 }
 
-// Tick advances migrations and a rollout while no request comes, and computes a due plan for fills outside the lock.
+// Tick advances migrations and the rollout, which requests also do, so that they advance without traffic too. If a fill
+// plan of PlanOnTick is due, Tick computes it without holding the lock.
 func (r *Router) Tick() {
 	r.mu.Lock()
 	actions := r.admission.Tick(r.advanceLocked())
@@ -72,18 +76,18 @@
 	return r.admission.RolloutStatus()
 }
 
-// MigrationStatus returns the progress of this site's migrations, and the version of their document; 0 while there
-// is none.
+// MigrationStatus returns the progress of this site's migrations, and the version of their document, which is 0
+// without one.
 func (r *Router) MigrationStatus() (statuses []cells.MigrationStatus, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.Migrations(r.nowMicros()), r.admission.MigrationsVersion()
 }
 
-// maxReportedDemands bounds the tenants whose demand CellStatus returns.
+// maxReportedDemands bounds the number of tenants whose demand CellStatus returns.
 const maxReportedDemands = 500
 
-// CellStatus returns the present state of the cells and the recent demand of tenants; nil while cells are off.
+// CellStatus returns the current state of the cells and the recent demand of tenants; nil while cells are off.
 func (r *Router) CellStatus() (*cells.Status, []cells.TenantDemand) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
