--- a/lab/bench_test.go
+++ b/lab/bench_test.go
@@ -6,7 +6,7 @@
 	"spantack/emulator"
 )
 
-// BenchmarkEvents is the emulator on a calm day: events a second, with the routers' decisions in them.
+// BenchmarkEvents measures the events per second of the emulator on a calm day, including the routers' decisions.
 func BenchmarkEvents(b *testing.B) {
 	e, err := Load("cells-flood")
 	if err != nil {
--- a/lab/charts.go
+++ b/lab/charts.go
@@ -9,25 +9,25 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The sizes of charts, and of what is in them.
+// Chart dimensions.
 const (
 	chartHeight       = 12 * vg.Centimeter
 	secondsChartWidth = 22 * vg.Centimeter
-	armCentimeters    = 2.6
+	armCentimeters    = 2.6 // width per arm
 	armsMargin        = 6 * vg.Centimeter
-	barPointsPerArm   = 60 // shared by the bars of all days
+	barPointsPerArm   = 60 // divided among the bars of all days
 )
 
-// saveSecondsChart draws the share of the others' weight in time by the second, a line for each arm and day.
+// saveSecondsChart plots Run.Seconds over the seconds of the day, one line for each arm and day of the chart.
 func (e *Experiment) saveSecondsChart(file string, outcome *Outcome) error {
 	p := plot.New()
 	p.Title.Text = e.Title
 	p.X.Label.Text = "second of the day"
-	p.Y.Label.Text = "timely worth of others"
+	p.Y.Label.Text = "fraction of weight served on time, other cells"
 	p.Y.Min = 0
 	p.Y.Max = 1.02
 	p.Legend.Left = true
-	var lines []any // names and points in turn
+	var lines []any // name, points, name, points, ...
 	for _, day := range e.Chart.Days {
 		for _, arm := range e.Chart.Arms {
 			for _, run := range outcome.Runs {
@@ -43,7 +43,7 @@
 	return p.Save(secondsChartWidth, chartHeight, file)
 }
 
-// bySecond are the points of a value for each second.
+// bySecond returns one point per value, with its index, the second of the day, as X.
 func bySecond(values []float64) plotter.XYs {
 	points := make(plotter.XYs, len(values))
 	for second, value := range values {
@@ -52,7 +52,8 @@
 	return points
 }
 
-// saveArmsChart draws the means of the chart's figure by arm, a bar of its own colour for each day.
+// saveArmsChart draws a bar chart of the chart's figure, averaged over the outcomes. Bars are grouped by arm, and each
+// day has its own colour.
 func (e *Experiment) saveArmsChart(file string, outcomes []*Outcome) error {
 	p := plot.New()
 	p.Title.Text = e.Chart.Title
@@ -60,13 +61,13 @@
 	p.Legend.Top = true
 	days := len(e.Chart.Days)
 	width := vg.Points(barPointsPerArm / float64(max(days, 1)))
-	least, greatest := math.Inf(1), 0.0
+	lowest, highest := math.Inf(1), 0.0
 	for i, day := range e.Chart.Days {
 		values := make(plotter.Values, len(e.Chart.Arms))
 		for j, arm := range e.Chart.Arms {
 			values[j] = meanInterval(figureOfSeeds(outcomes, arm+"/"+day+"/"+e.Chart.Figure)).Mean
-			least = min(least, values[j])
-			greatest = max(greatest, values[j])
+			lowest = min(lowest, values[j])
+			highest = max(highest, values[j])
 		}
 		bar, err := plotter.NewBarChart(values, width)
 		if err != nil {
@@ -77,8 +78,8 @@
 		p.Add(bar)
 		p.Legend.Add(day, bar)
 	}
-	p.Y.Min = max(least-(greatest-least)*0.3-0.01, 0)
-	p.Y.Max = greatest + (greatest-least)*0.2 + 0.01
+	p.Y.Min = max(lowest-(highest-lowest)*0.3-0.01, 0)
+	p.Y.Max = highest + (highest-lowest)*0.2 + 0.01
 	p.NominalX(e.Chart.Arms...)
 	return p.Save(vg.Length(len(e.Chart.Arms))*armCentimeters*vg.Centimeter+armsMargin, chartHeight, file)
 }
--- a/lab/claims.go
+++ b/lab/claims.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Verdict is what became of a claim.
+// Verdict is a claim with the value found and whether it is within the claim's bounds.
 type Verdict struct {
 	Claim
 	Value  float64 `json:"value"`
 	Passed bool    `json:"kept"`
 }
 
-// evaluate holds a claim against the figures.
+// evaluate checks a claim against the figures. A claim without a bound and an unknown figure are errors.
 func (o *Outcome) evaluate(claim Claim) (Verdict, error) {
 	verdict := Verdict{Claim: claim}
 	if claim.Min == nil && claim.Max == nil {
-		return verdict, fmt.Errorf("claim %s: neither least nor most", claim.Name)
+		return verdict, fmt.Errorf("claim %s: sets neither least nor most", claim.Name)
 	}
 	value, err := o.valueOf(claim)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return verdict, nil
 }
 
-// valueOf returns the figure of a claim, or its quotient by the divisor.
+// valueOf returns the figure of a claim, divided by the claim's divisor if it has one. A divisor of 0 is an error.
 func (o *Outcome) valueOf(claim Claim) (float64, error) {
 	value, err := o.Figure(claim.Figure)
 	if err != nil || claim.Divisor == "" {
@@ -35,7 +35,7 @@
 		return 0, err
 	}
 	if divisor == 0 {
-		return 0, fmt.Errorf("claim %s: %s is 0", claim.Name, claim.Divisor)
+		return 0, fmt.Errorf("claim %s: divisor %s is 0", claim.Name, claim.Divisor)
 	}
 	return roundFigure(value / divisor), nil
 }
--- a/lab/claims_test.go
+++ b/lab/claims_test.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// firstSeed and seedCount give the seeds on which experiments are run.
+	// firstSeed and seedCount define the seeds that experiments are run with.
 	firstSeed = 60413
 	seedCount = 2
-	// shortfallMargin is the share of its listed figure by which a claim known to be short may fall further.
+	// shortfallMargin is the fraction of its listed value by which a listed claim may get worse.
 	shortfallMargin = 0.02
-	// experimentTimeout bounds all experiments together.
+	// experimentTimeout bounds the total time of all experiments.
 	experimentTimeout = 4 * time.Minute
-	// exitShort is the exit code of spanlab where a claim falls short.
+	// exitShort is the exit code of spanlab when a claim falls short.
 	exitShort = 3
 )
 
-// shortClaim is a claim that is known to fall short on a seed, with the figure it had when it was listed.
+// shortClaim is a claim that is known to fall short with a seed, and its value when it was listed.
 type shortClaim struct {
 	Experiment string  `json:"experiment"`
 	Seed       uint64  `json:"seed"`
@@ -36,7 +36,7 @@
 	Cause      string  `json:"cause"`
 }
 
-// checkClaims holds an experiment's outcomes against the claims listed as short, and returns what is wrong.
+// checkClaims compares the outcomes of an experiment with the claims listed as short, and returns the faults found.
 func checkClaims(outcomes []*Outcome, listed []shortClaim) (faults []string) {
 	for _, outcome := range outcomes {
 		known := map[string]shortClaim{}
@@ -57,34 +57,35 @@
 			}
 		}
 		for name := range known {
-			addFault(name, "listed as short, but there is no such claim")
+			addFault(name, "listed as short, but the claim does not exist")
 		}
 	}
 	return faults
 }
 
-// checkClaim holds a claim against what is listed of it, and returns what is wrong; empty: nothing.
+// checkClaim compares a claim with its entry in the list, and returns the fault found; empty: none.
 func checkClaim(verdict *Verdict, short shortClaim, isListed bool) string {
 	switch {
 	case verdict.Passed && isListed:
-		return fmt.Sprintf("kept with %v, but listed as short", verdict.Value)
+		return fmt.Sprintf("holds with %v, but is listed as short", verdict.Value)
 	case !verdict.Passed && !isListed:
-		return fmt.Sprintf("short with %v, and not listed", verdict.Value)
-	case !verdict.Passed && hasFallenFurther(verdict, short.Value):
-		return fmt.Sprintf("%v, listed as short with %v", verdict.Value, short.Value)
+		return fmt.Sprintf("short with %v, but not listed", verdict.Value)
+	case !verdict.Passed && isWorseThanListed(verdict, short.Value):
+		return fmt.Sprintf("%v is worse than the listed %v", verdict.Value, short.Value)
 	}
 	return ""
 }
 
-// hasFallenFurther tells whether a claim misses its bound by more than when it was listed.
-func hasFallenFurther(verdict *Verdict, listed float64) bool {
+// isWorseThanListed reports whether a claim misses its bound by more than when it was listed, beyond shortfallMargin.
+func isWorseThanListed(verdict *Verdict, listed float64) bool {
 	if verdict.Min != nil && verdict.Value < *verdict.Min {
 		return verdict.Value < listed*(1-shortfallMargin)
 	}
 	return verdict.Value > listed*(1+shortfallMargin)
 }
 
-// readShortClaims reads the list, and checks that each entry names an experiment and a seed that are run, once.
+// readShortClaims reads the list of short claims. It checks that each entry has a known experiment, a seed that is run
+// and a cause, and that none is listed twice.
 func readShortClaims(t *testing.T) (listed []shortClaim) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "short_claims.json"))
@@ -103,15 +104,16 @@
 			t.Errorf("short_claims.json: %s: %v", key, err)
 		}
 		if short.Seed < firstSeed || short.Seed >= firstSeed+seedCount || short.Cause == "" || seen[key] {
-			t.Errorf("short_claims.json: %s: a seed that is not run, no cause, or listed twice", key)
+			t.Errorf("short_claims.json: %s: the seed is not run, the cause is missing, or the claim is listed twice", key)
 		}
 		seen[key] = true
 	}
 	return listed
 }
 
-// buildSpanlab builds the command without the race detector: an emulated world runs on one goroutine, and the detector
-// would make the experiments ten times as slow. The package's other tests run small experiments under it.
+// buildSpanlab builds spanlab without the race detector and returns its path. Each emulated world runs on one
+// goroutine, and the detector would slow the experiments down tenfold. Other tests of the package run small
+// experiments with the detector.
 func buildSpanlab(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "spanlab")
@@ -122,7 +124,7 @@
 	return binary
 }
 
-// runSeeds runs an experiment at size small on all seeds of the test.
+// runSeeds runs an experiment at size small with all seeds of the test.
 func runSeeds(ctx context.Context, t *testing.T, binary, name string) (outcomes []*Outcome) {
 	t.Helper()
 	dir := t.TempDir()
@@ -143,8 +145,8 @@
 	return outcomes
 }
 
-// Every experiment passes its claims at size small on both seeds, save for those listed as short, which fall no
-// further. The list is kept true: a listed claim that passes again fails the test as well.
+// Every experiment passes its claims at size small with both seeds. Claims listed in short_claims.json may fall short,
+// but not by more than listed. A listed claim that passes again fails the test, so that the list stays up to date.
 func TestEveryExperimentPassesItsClaims(t *testing.T) {
 	listed := readShortClaims(t)
 	binary := buildSpanlab(t)
@@ -154,7 +156,7 @@
 		t.Run(name, func(t *testing.T) {
 			outcomes := runSeeds(ctx, t, binary, name)
 			if len(outcomes) != seedCount {
-				t.Fatalf("%d outcomes of %d seeds", len(outcomes), seedCount)
+				t.Fatalf("%d outcomes, want %d, one for each seed", len(outcomes), seedCount)
 			}
 			for _, fault := range checkClaims(outcomes, listed) {
 				t.Error(fault)
@@ -178,7 +180,7 @@
 		name     string
 		outcomes []*Outcome
 		listed   []shortClaim
-		want     string // "": no fault
+		want     string // empty: no fault
 	}{
 		{"passed", outcome(atLeast, 0.95, true), nil, ""},
 		{"short and listed", outcome(atLeast, 0.8, false), listed("worth", 7, 0.8), ""},
@@ -186,16 +188,17 @@
 		{"over a maximum, within the margin", outcome(atMost, 0.96, false), listed("worth", 7, 0.95), ""},
 		{"short and not listed", outcome(atLeast, 0.8, false), nil, "not listed"},
 		{"listed on another seed", outcome(atLeast, 0.8, false), listed("worth", 8, 0.8), "not listed"},
-		{"passed again", outcome(atLeast, 0.95, true), listed("worth", 7, 0.8), "kept with 0.95"},
-		{"fell further", outcome(atLeast, 0.78, false), listed("worth", 7, 0.8), "0.78, listed as short with 0.8"},
-		{"rose further over a maximum", outcome(atMost, 0.98, false), listed("worth", 7, 0.95),
-			"0.98, listed as short with 0.95"},
-		{"no such claim", outcome(atLeast, 0.95, true), listed("speed", 7, 0.8), "there is no such claim"},
+		{"passed again", outcome(atLeast, 0.95, true), listed("worth", 7, 0.8), "holds with 0.95"},
+		{"short beyond the margin", outcome(atLeast, 0.78, false), listed("worth", 7, 0.8),
+			"0.78 is worse than the listed 0.8"},
+		{"over a maximum, beyond the margin", outcome(atMost, 0.98, false), listed("worth", 7, 0.95),
+			"0.98 is worse than the listed 0.95"},
+		{"unknown claim listed", outcome(atLeast, 0.95, true), listed("speed", 7, 0.8), "the claim does not exist"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := strings.Join(checkClaims(test.outcomes, test.listed), "; ")
 			if test.want == "" && got != "" || !strings.Contains(got, test.want) {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("faults %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/lab/compare.go
+++ b/lab/compare.go
@@ -5,11 +5,13 @@
 	"io"
 )
 
-// Compare sets two results side by side: the means over their seeds, and their difference with its 95% interval. Each
-// has an outcome at least, and both are of one experiment and size.
+// Compare prints a table of two results: the means over their seeds, and the difference of the means with its 95%
+// confidence interval. Each result must have at least one outcome. Results of different experiments or sizes are an
+// error.
 func Compare(out io.Writer, a, b []*Outcome) error {
 	if a[0].Experiment != b[0].Experiment || a[0].Size != b[0].Size {
-		return fmt.Errorf("%s %s and %s %s do not compare", a[0].Experiment, a[0].Size, b[0].Experiment, b[0].Size)
+		return fmt.Errorf("results of %s %s and %s %s can't be compared: experiment or size differs",
+			a[0].Experiment, a[0].Size, b[0].Experiment, b[0].Size)
 	}
 	fmt.Fprintf(out, "%-14s %-10s %-12s %18s %18s %22s\n", "arm", "day", "figure", "A", "B", "B - A")
 	for _, run := range a[0].Runs {
--- a/lab/compare_test.go
+++ b/lab/compare_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-func TestCompare(t *testing.T) {
+// Compare prints a header and one row for each figure of both runs, and refuses results of different sizes.
+func TestCompareRowsAndSizeMismatch(t *testing.T) {
 	e := loadSmallFlood(t, `arms={"none":{},"cells":{"cells":4}}`, `days={"calm":{}}`, `claims=[]`)
 	a := []*Outcome{runAndReadBack(t, e, 0), runAndReadBack(t, e, 1)}
 	b := []*Outcome{runAndReadBack(t, e, 2), runAndReadBack(t, e, 3)}
@@ -16,15 +17,15 @@
 		t.Fatal(err)
 	}
 	if lines := strings.Count(out.String(), "\n"); lines != 1+2*len(defaultTableFigures) {
-		t.Errorf("%d lines:\n%s", lines, out.String())
+		t.Errorf("Compare wrote %d lines:\n%s", lines, out.String())
 	}
 	b[0].Size = "full"
 	if err := Compare(&out, a, b); err == nil {
-		t.Error("two sizes compared")
+		t.Error("no error for results of different sizes")
 	}
 }
 
-// runAndReadBack runs an experiment and returns its outcome as a file has it.
+// runAndReadBack runs an experiment and returns its outcome, encoded as JSON and decoded again.
 func runAndReadBack(t *testing.T, e *Experiment, seed uint64) *Outcome {
 	t.Helper()
 	outcome, err := e.Run("small", seed, nil)
--- a/lab/configure.go
+++ b/lab/configure.go
@@ -8,10 +8,11 @@
 	"spantack/emulator"
 )
 
-// overflowShare is the share of all caches that is set apart for what cells have no capacity for.
+// overflowShare is the share of all caches in the overflow cell, which serves requests that exceed the capacity of
+// their cells.
 const overflowShare = 1.0 / 8
 
-// configure returns the world of an arm on a day.
+// configure returns the emulator configuration for an arm on a day.
 func (e *Experiment) configure(size string, seed uint64, arm Arm, day Day) (emulator.Config, error) {
 	cfg, known := e.Sizes[size]
 	if !known {
@@ -26,10 +27,10 @@
 	return cfg, err
 }
 
-// unknownSize is the error for a size that an experiment has not.
-func unknownSize(size string) error { return fmt.Errorf("size %q: there is none", size) }
+// unknownSize is the error for a size that an experiment does not define.
+func unknownSize(size string) error { return fmt.Errorf("size %q is not defined", size) }
 
-// addDay sets what goes wrong on a day, its release aside.
+// addDay sets the faults and load changes of a day, but not its release, which addCells sets.
 func addDay(cfg *emulator.Config, day Day) {
 	cfg.Flood = day.Flood
 	cfg.Poison = day.Poison
@@ -38,7 +39,7 @@
 	cfg.HotObject = day.HotObject
 }
 
-// addArm sets an arm's mechanisms, its cells aside.
+// addArm sets the mechanisms of an arm, but not its cells and migrations, which addCells sets.
 func addArm(cfg *emulator.Config, arm Arm) (err error) {
 	cfg.RateLimitFactor = arm.RateLimitFactor
 	cfg.CancelsAbandonedFetches = arm.CancelsAbandonedFetches
@@ -55,8 +56,8 @@
 	return err
 }
 
-// addCells sets an arm's cells, and what only worlds with cells have: the day's release and the arm's migrations.
-// Tenants are counted by the cells that they would have, also where none are in force.
+// addCells sets the cells of an arm, and what needs cells: the release of the day and the migrations of the arm. In an
+// arm without cells, tenants are still assigned to the cells of another arm for the figures, so that arms compare.
 func (e *Experiment) addCells(cfg *emulator.Config, size string, arm Arm, day Day) error {
 	cellCount := arm.Cells.forSize(size)
 	planned := cellCount
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// addOverflowCell sets overflowShare of all caches apart for what cells have no capacity for.
+// addOverflowCell adds an overflow cell with overflowShare of all caches, and shrinks the other cells accordingly.
 func addOverflowCell(spec *cells.Spec) {
 	for i := range spec.Cells {
 		spec.Cells[i].Share *= 1 - overflowShare
--- a/lab/experiment_test.go
+++ b/lab/experiment_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// smallWorld makes an experiment end in a second.
+// smallWorld are changes that shrink the world of cells-flood, so that the experiment takes about a second.
 var smallWorld = []string{
 	"sizes.small.dayS=4",
 	"sizes.small.warmS=2",
@@ -14,7 +14,7 @@
 	`days.unique.flood={"tenant":0,"times":10,"kind":"unique","fromS":3,"forS":2}`,
 }
 
-// loadSmallFlood is the experiment cells-flood with a small world, and with further changes.
+// loadSmallFlood loads the experiment cells-flood with smallWorld and further changes.
 func loadSmallFlood(t *testing.T, changes ...string) *Experiment {
 	t.Helper()
 	e, err := Load("cells-flood", append(append([]string{}, smallWorld...), changes...)...)
@@ -41,14 +41,14 @@
 		}
 		for _, arm := range e.Chart.Arms {
 			if _, known := e.Arms[arm]; !known {
-				t.Errorf("%s: the chart shows arm %s, which there is not", name, arm)
+				t.Errorf("%s: the chart shows arm %s, which is not defined", name, arm)
 			}
 		}
 		checkWorlds(t, e)
 	}
 }
 
-// checkWorlds checks that the world of each size and arm is valid.
+// checkWorlds checks that the emulator configuration of each size and arm is valid.
 func checkWorlds(t *testing.T, e *Experiment) {
 	t.Helper()
 	for size := range e.Sizes {
@@ -66,24 +66,24 @@
 
 func TestLoadAndRunErrors(t *testing.T) {
 	for want, change := range map[string]string{
-		"not of the form":         "sizes",
-		"there is no":             "days.nothing.flood=1",
-		"holds no fields":         "title.x=1",
-		"unknown field":           "sizes.small.depot=3",
-		"a number, or one for ea": `arms.cells.cells="four"`,
+		"not of the form":       "sizes",
+		"does not exist":        "days.nothing.flood=1",
+		"is not an object":      "title.x=1",
+		"unknown field":         "sizes.small.depot=3",
+		"a number or an object": `arms.cells.cells="four"`,
 	} {
 		if _, err := Load("cells-flood", change); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v", change, err)
+			t.Errorf("%s: error %v", change, err)
 		}
 	}
 	if _, err := Load("nothing"); err == nil {
-		t.Error("an experiment that there is not")
+		t.Error("no error for an unknown experiment")
 	}
 	if _, err := loadSmallFlood(t).Run("huge", 1, nil); err == nil {
-		t.Error("a size that there is not")
+		t.Error("no error for an unknown size")
 	}
 	bad := loadSmallFlood(t, "sizes.small.depots=0")
 	if _, err := bad.Run("small", 1, nil); err == nil || !strings.Contains(err.Error(), "depots: 0") {
-		t.Errorf("got %v", err)
+		t.Errorf("depots of 0: error %v", err)
 	}
 }
--- a/lab/experiments/bench-day.jsonnet
+++ b/lab/experiments/bench-day.jsonnet
@@ -1,4 +1,4 @@
-// A quiet day of the operators' bench, as near as this model comes: docs/emulator.md sets the figures side by side.
+// A calm day of the operators' bench, approximated by the emulator. docs/emulator.md compares the figures.
 local day = {
   depots: 2, routers: 2, caches: 4, parents: 3, tenants: 1, objects: 120, channels: 4,
   rateS: 81, tenantSkew: 0, objectSkew: 1.05, onceShare: 0.03, driftS: 200, keepS: 60,
@@ -6,7 +6,7 @@
   warmS: 5, dayS: 50,
 };
 {
-  title: 'A quiet day as on the bench',
+  title: 'A calm day of the bench',
   sizes: { small: day, full: day },
   watch: 0,
   arms: { none: {} },
@@ -18,5 +18,5 @@
     { name: 'the next in size', of: 'none/calm/next', least: 0.667 },
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
-  chart: { figure: 'guilty', title: 'Timely worth', arms: ['none'], days: ['calm'] },
+  chart: { figure: 'guilty', title: 'Fraction of weight served on time', arms: ['none'], days: ['calm'] },
 }
--- a/lab/experiments/cells-flood.jsonnet
+++ b/lab/experiments/cells-flood.jsonnet
@@ -1,5 +1,5 @@
-// One tenant at ten times its load: what that costs tenants in other cells, with cells, without, and with a plain rate
-// limit of each tenant alone.
+// One tenant sends ten times its usual load. Compares the cost to tenants of other cells with cells, without them, and
+// with a rate limit per tenant instead.
 local worlds = import 'worlds.libsonnet';
 local flood(kind) = { tenant: 0, times: 10, kind: kind, fromS: 6, forS: 8, hugeKb: 4000 };
 local days = { calm: {} } + { [kind]: { flood: flood(kind) } for kind in ['catalogue', 'unique', 'huge'] };
@@ -19,5 +19,5 @@
   ] + [
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
-  chart: { figure: 'others', title: 'Timely worth of tenants in other cells', arms: ['none', 'limit', 'cells'], days: ['catalogue', 'unique', 'huge'] },
+  chart: { figure: 'others', title: 'Fraction of weight served on time, tenants of other cells', arms: ['none', 'limit', 'cells'], days: ['catalogue', 'unique', 'huge'] },
 }
--- a/lab/experiments/cells-poison.jsonnet
+++ b/lab/experiments/cells-poison.jsonnet
@@ -1,8 +1,9 @@
-// A tenant all of whose answers fail: caches answer ERR, send what can't be read, or the origin fails its fills.
+// All responses to one tenant fail: caches respond with ERR, caches send unreadable responses, or its fills fail at the
+// origin.
 local worlds = import 'worlds.libsonnet';
 local kinds = ['err', 'spoilt', 'root'];
 {
-  title: 'A tenant whose answers all fail',
+  title: 'A tenant whose responses all fail',
   sizes: worlds,
   watch: 0,
   arms: { none: {}, cells: { cells: { small: 4, full: 8 } } },
@@ -13,5 +14,5 @@
   ] + [
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
-  chart: { figure: 'others', title: 'Timely worth of tenants in other cells', arms: ['none', 'cells'], days: kinds },
+  chart: { figure: 'others', title: 'Fraction of weight served on time, tenants of other cells', arms: ['none', 'cells'], days: kinds },
 }
--- a/lab/experiments/cells-price.jsonnet
+++ b/lab/experiments/cells-price.jsonnet
@@ -1,8 +1,8 @@
-// What confinement costs on a calm day, by the number of cells and by scheme.
+// Cost of cells on a calm day, by the number of cells and by scheme.
 local worlds = import 'worlds.libsonnet';
 local counts = [2, 4, 8, 12, 16];
 {
-  title: 'The price of cells on a calm day',
+  title: 'The cost of cells on a calm day',
   sizes: worlds,
   watch: 0,
   arms: { none: {} }
@@ -16,5 +16,5 @@
     { name: 'head office bytes with 8 cells', of: 'cells-08/calm/originMb', over: 'none/calm/originMb', most: 1.15 },
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
-  chart: { figure: 'timely', title: 'Timely worth of all tenants', arms: ['none'] + ['cells-%02d' % n for n in counts] + ['shuffle-4', 'nested-3', 'overflow-08'], days: ['calm'] },
+  chart: { figure: 'timely', title: 'Fraction of weight served on time, all tenants', arms: ['none'] + ['cells-%02d' % n for n in counts] + ['shuffle-4', 'nested-3', 'overflow-08'], days: ['calm'] },
 }
--- a/lab/experiments/fleet-learn.jsonnet
+++ b/lab/experiments/fleet-learn.jsonnet
@@ -1,11 +1,12 @@
-// Parents that are short by a fifth, and a new object that takes half of all video for ten seconds; all sites fill it from the parent that is its home. Routers that each learn by themselves how
-// overloaded that is, against routers that report it to one another (core/gossip), with all datagrams and with three in ten lost.
+// Parents lack a fifth of the capacity that they need, and for ten seconds half of all video requests are for one new
+// object, which all sites fill from the same parent. Compares routers that each observe the overload of that parent
+// alone with routers that report it to one another (core/gossip), without loss and with a loss of 30% of the datagrams.
 local worlds = import 'worlds.libsonnet';
 local fleet = {
   caches: 4, channels: 8, objects: 40, onceShare: 0.02, keepS: 40, linkRoom: 1.6, parentRoom: 0.8, originRoom: 3, hubs: 2, warmS: 6, dayS: 24,
 };
 {
-  title: 'A tier that learns together',
+  title: 'Routers that share observations of overload',
   sizes: {
     small: worlds.small + fleet + { depots: 10, routers: 6, parents: 4, tenants: 40, rateS: 600 },
     full: worlds.full + fleet + { depots: 50, routers: 6, parents: 12, tenants: 200, rateS: 3000 },
@@ -21,5 +22,5 @@
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
   table: ['timely', 'end', 'hits', 'fillMb', 'originMb', 'refused', 'attemptsEach', 'words', 'wordPrice', 'p99CatalogueMs', 'broken'],
-  chart: { figure: 'timely', title: 'Timely worth', arms: ['alone', 'told', 'lossy'], days: ['calm', 'hot'] },
+  chart: { figure: 'timely', title: 'Fraction of weight served on time', arms: ['alone', 'told', 'lossy'], days: ['calm', 'hot'] },
 }
--- a/lab/experiments/fleet-limits.jsonnet
+++ b/lab/experiments/fleet-limits.jsonnet
@@ -1,10 +1,11 @@
-// A limit of 80 that 300 routers keep together, where few of them could use most of it at any time and others a few seconds later: split evenly, shared by
-// gossiped demand, leased by a holder in each part without a majority, and as core/fleet does it. The fleet is cut in two (six in ten, four in ten) or five parts for 20 s,
-// or seven in ten routers die at once.
+// A limit of 80 shared by 300 routers. At any time a few routers have most of the demand, and a few seconds later
+// others do. Compares an even split, shares by gossiped demand, leases from a holder in each partition without a
+// majority, and core/fleet. The network is partitioned in two (60% and 40% of the routers) or in five for 20 s, or 70%
+// of the routers die at once.
 local trial = { routers: 300, limit: 80, floor: 0.1, demand: 1.2, skew: 0.9, movesS: 15, loss: 0.05, warmS: 20, dayS: 90 };
 local cut = { cutS: 35, cutForS: 20 };
 {
-  title: 'A limit kept by all routers together',
+  title: 'A limit shared by all routers',
   tier: { small: trial { routers: 48, limit: 40, dayS: 75 }, full: trial },
   arms: { even: { way: 'even' }, gossip: { way: 'gossip' }, keeper: { way: 'keeper' }, fleet: { way: 'fleet' } },
   days: { whole: {}, lossy: { loss: 0.25 }, halves: cut { parts: 2 }, fifths: cut { parts: 5 }, deaths: cut { deadPart: 0.7 } },
@@ -22,5 +23,5 @@
     { name: 'seconds until it is used again', of: 'fleet/halves/regainS', most: 15 },
   ],
   table: ['over', 'overS', 'use', 'cutUse', 'regainS', 'bytes'],
-  chart: { figure: 'over', title: 'Most that all might use, in parts of the limit', arms: ['even', 'gossip', 'keeper', 'fleet'], days: ['whole', 'lossy', 'halves', 'fifths', 'deaths'] },
+  chart: { figure: 'over', title: 'Maximum granted, as a fraction of the limit', arms: ['even', 'gossip', 'keeper', 'fleet'], days: ['whole', 'lossy', 'halves', 'fifths', 'deaths'] },
 }
--- a/lab/experiments/hub-loss.jsonnet
+++ b/lab/experiments/hub-loss.jsonnet
@@ -1,10 +1,10 @@
-// One hub of four loses its parents for 20 s under peak load, and they come back cold. What is left of the parents just bears its fills,
-// and the origin just what they miss.
+// One of four hubs loses its parents for 20 s under peak load, and they return cold. The remaining parents have just
+// enough capacity for the fills of that hub, and the origin just enough for their misses.
 local worlds = import 'worlds.libsonnet';
 local hubs = { hubs: 4, parentRoom: 1.35, linkRoom: 1.9, originRoom: 1.0, dayS: 56 };
 local loss = { kind: 'hub', which: 0, atS: 10, forS: 20 };
 {
-  title: 'A hub loses its area caches',
+  title: 'A hub loses its parents',
   sizes: { small: worlds.small + hubs, full: worlds.full + hubs },
   watch: -1,
   arms: { rules: {}, planned: { shape: 'planned' }, nearest: { shape: 'nearest' }, direct: { shape: 'direct' },
@@ -16,12 +16,12 @@
     { name: 'worth against straight up', of: 'shielded/loss/timely', over: 'direct/loss/timely', least: 1.05 },
     { name: 'worth against a static limit', of: 'shielded/loss/timely', over: 'static/loss/timely', least: 1 },
     { name: 'worth against a plan alone', of: 'shielded/loss/timely', over: 'planned/loss/timely', least: 1 },
-    // With full knowledge 1 is served at most, so this is within 5% of any bound.
+    // Even with full knowledge the figure is at most 1, so this is within 5% of the optimum.
     { name: 'worth itself', of: 'shielded/loss/timely', least: 0.95 },
     { name: 'seconds over the head office', of: 'shielded/loss/originOverS', most: 1 },
     { name: 'cold servers within their bound', of: 'shielded/loss/coldMost', most: 1 },
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
   table: ['timely', 'hits', 'originMb', 'originMost', 'originOverS', 'refused', 'failed', 'coldMost', 'coldShare', 'p99CatalogueMs', 'broken'],
-  chart: { figure: 'timely', title: 'Timely worth', arms: ['rules', 'planned', 'nearest', 'direct', 'static', 'shielded'], days: ['calm', 'loss'] },
+  chart: { figure: 'timely', title: 'Fraction of weight served on time', arms: ['rules', 'planned', 'nearest', 'direct', 'static', 'shielded'], days: ['calm', 'loss'] },
 }
--- a/lab/experiments/moves-deploy.jsonnet
+++ b/lab/experiments/moves-deploy.jsonnet
@@ -1,5 +1,6 @@
-// Thirty tenants migrate between cells in every site while 91% of the caches are replaced within 22 s. Links and origin have the capacity to
-// refill the caches of such a deploy: where they have not, the day is lost with migrations or without (docs/migration.md).
+// Thirty tenants migrate between cells in all sites while 91% of the caches are replaced within 22 s. Links and origin
+// have the capacity to refill the replaced caches. Without that capacity, service breaks down with
+// migrations or without (docs/migration.md).
 local worlds = import 'worlds.libsonnet';
 local roomy = {
   small: { linkRoom: 4, parentRoom: 4, originRoom: 6, dayS: 70 },
@@ -11,7 +12,7 @@
 };
 local deploy = { kind: 'deploy', depot: -1, atS: 8, forS: 22, part: 0.91 };
 {
-  title: 'Moves between cells during rolling deploys',
+  title: 'Migrations between cells during rolling deploys',
   sizes: { small: worlds.small + roomy.small, full: worlds.full + roomy.full },
   watch: -1,
   arms: { [style]: { cells: { small: 4, full: 8 }, trip: trip(style) } for style in ['none', 'paced', 'ramp'] },
@@ -27,5 +28,5 @@
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
   table: ['movers', 'stayers', 'hits', 'originMb', 'fillMb', 'refused', 'moversRefused', 'coldMost', 'coldShare', 'cellFill', 'cellBusy', 'moved', 'kept', 'spread', 'doneS', 'broken'],
-  chart: { figure: 'movers', title: 'Timely worth of moved tenants', arms: ['none', 'paced', 'ramp'], days: ['calm', 'deploy'] },
+  chart: { figure: 'movers', title: 'Fraction of weight served on time, migrated tenants', arms: ['none', 'paced', 'ramp'], days: ['calm', 'deploy'] },
 }
--- a/lab/experiments/moves-evacuate.jsonnet
+++ b/lab/experiments/moves-evacuate.jsonnet
@@ -1,5 +1,6 @@
-// A cell is drained into two others, of four, or three of eight: all at once, one tenant after the other, all together but paced, and as
-// planned. Others bear a third or half more than on a usual day only if they have the capacity: rates and links are set so that they have.
+// One cell of four is drained into two others, or one of eight into three: all tenants at once, one tenant after the
+// other, all together but paced, and by the plan. The other cells get a third to a half more load than on a usual day;
+// rates and links are set so that they have the capacity for it.
 local worlds = import 'worlds.libsonnet';
 local trip(style) = {
   small: { style: style, evacuate: 'cell-03', into: 2, startS: 6, warmS: 0, shiftS: 10, slow: 8, settleS: 10, hot: 0 },
@@ -7,7 +8,7 @@
 };
 local styles = ['none', 'atOnce', 'oneByOne', 'paced', 'planned'];
 {
-  title: 'Emptying a cell',
+  title: 'Draining a cell',
   sizes: { small: worlds.small { dayS: 60, rateS: 250, linkRoom: 2.2, parentRoom: 2.2, originRoom: 3 }, full: worlds.full { dayS: 60, rateS: 14000, linkRoom: 2, parentRoom: 2, originRoom: 3 } },
   watch: -1,
   arms: { [style]: { cells: { small: 4, full: 8 }, trip: trip(style) } for style in styles },
@@ -23,5 +24,5 @@
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
   table: ['movers', 'stayers', 'hits', 'originMb', 'fillMb', 'refused', 'moversRefused', 'cellFill', 'cellBusy', 'moved', 'kept', 'spread', 'endS', 'doneS', 'broken'],
-  chart: { figure: 'cellFill', title: 'Most fills into a cell, in parts of its share of the link', arms: styles, days: ['calm'] },
+  chart: { figure: 'cellFill', title: 'Maximum fills into a cell, as a fraction of its share of the link', arms: styles, days: ['calm'] },
 }
--- a/lab/experiments/origin-brownout.jsonnet
+++ b/lab/experiments/origin-brownout.jsonnet
@@ -1,11 +1,13 @@
-// The origin falls to 30% of its capacity for 30 s and returns: by the engine alone, and with core/originlimit in admission under three algorithms. A parent asks it for a chunk once for all who wait;
-// when they wait no more it goes on all the same (keeps), or gives up (drops). What is kept may make a jam that outlives the brownout; fills that never come back
-// count as late in the engine, which ends it by the engine alone in most worlds, and also where the origin limit does not count what was abandoned (forgets).
+// The origin drops to 30% of its capacity for 30 s and recovers. Compares the decision engine alone with
+// core/originlimit in admission under three algorithms. A parent fetches a chunk once for all waiting clients. When no
+// client waits any more, the parent continues the fetch (keeps) or cancels it (drops). Continued fetches can cause a
+// backlog that outlasts the brownout. The engine counts fills that never return as late, which clears the backlog in
+// most worlds without an origin limit, and also where the origin limit does not count abandoned fills (forgets).
 local worlds = import 'worlds.libsonnet';
 local room = { hubs: 4, parentRoom: 1.9, linkRoom: 1.9, originRoom: 1.0, dayS: 90 };
 local brownout = { kind: 'brownout', depot: 0, atS: 20, forS: 30, part: 0.3 };
 {
-  title: 'A brownout of the head office',
+  title: 'A brownout of the origin',
   sizes: { small: worlds.small + room, full: worlds.full + room },
   watch: -1,
   arms: { keeps: {}, drops: { dropFetches: true }, fixed: { shield: 'fixed' }, aimd: { shield: 'aimd' }, gradient: { shield: 'gradient' },
@@ -26,5 +28,5 @@
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
   table: ['timely', 'end', 'hits', 'originMb', 'originMost', 'originOverS', 'refused', 'attemptsEach', 'p99CatalogueMs', 'broken'],
-  chart: { figure: 'end', title: 'Timely worth in the last 15 s', arms: ['keeps', 'drops', 'fixed', 'aimd', 'gradient', 'forgets'], days: ['calm', 'brownout'] },
+  chart: { figure: 'end', title: 'Fraction of weight served on time in the last 15 s', arms: ['keeps', 'drops', 'fixed', 'aimd', 'gradient', 'forgets'], days: ['calm', 'brownout'] },
 }
--- a/lab/experiments/second-site.jsonnet
+++ b/lab/experiments/second-site.jsonnet
@@ -1,14 +1,15 @@
-// A deployment like the second one: requests go to caches alone, parents fetch for each fill apart, the origin is far, copies of
-// the catalogue are fresh for 5 s, caches report how full their site's link is. Half of all groups are purged, the origin slows to
-// a third for 10 s, or both at once: copies expire just when little can be fetched. The arm `silent` has no reports, `near` an origin as near as the
-// first deployment's: by chance what was tuned there worked here too.
+// A deployment like the second one: requests go only to caches, parents fetch separately for each fill, the origin is
+// distant, catalogue copies stay fresh for 5 s, and caches report the utilization of their site's link. Half of all
+// purge groups are purged, the origin slows to a third for 10 s, or both happen at once, so that copies expire while
+// little can be fetched. The arm `silent` has no reports. The arm `near` has an origin as near as in the first
+// deployment.
 local worlds = import 'worlds.libsonnet';
 local site = { cachesOnly: true, apart: true, linkTold: true, originWayMs: 50, freshS: 5, graceS: 30, promiseMs: 300 };
 local room = { hubs: 3, parentRoom: 1.6, linkRoom: 1.4, originRoom: 3, missShare: 0.5, dayS: 40, site: site };
 local purge = { kind: 'purge', depot: 0, atS: 14, part: 0.5 };
 local slow = { kind: 'brownout', depot: 0, atS: 15, forS: 10, part: 0.33 };
 {
-  title: 'A far head office, purges of groups and reports of load',
+  title: 'A distant origin, group purges and load reports',
   sizes: { small: worlds.small + room + { depots: 4, caches: 8 }, full: worlds.full + room },
   watch: -1,
   arms: { site: {}, silent: { site: site + { linkTold: false } }, near: { site: site + { originWayMs: 12 } } },
@@ -27,5 +28,5 @@
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
   table: ['timely', 'end', 'hits', 'originMb', 'refused', 'attemptsEach', 'p99CatalogueMs', 'largest', 'next', 'broken'],
-  chart: { figure: 'timely', title: 'Timely worth', arms: ['site', 'silent', 'near'], days: ['calm', 'purge', 'slow', 'both'] },
+  chart: { figure: 'timely', title: 'Fraction of weight served on time', arms: ['site', 'silent', 'near'], days: ['calm', 'purge', 'slow', 'both'] },
 }
--- a/lab/experiments/shapes.jsonnet
+++ b/lab/experiments/shapes.jsonnet
@@ -1,12 +1,13 @@
-// Random topologies of up to 24 parent groups at several levels, a third with a cycle planted, each changed six times while fills run through nodes of
-// which half have not heard of the last change: every cycle is rejected and named, no valid topology is, and no fill visits a node twice.
+// Random topologies of up to 24 parent groups at several levels, a third of them with a planted cycle. Each is changed
+// six times while fills pass through nodes, half of which do not have the last change yet. Every cycle must be rejected
+// and named, no valid topology may be rejected, and no fill may visit a node twice.
 {
-  title: 'Shapes with circles, and shapes that change under way',
+  title: 'Topologies with cycles, and topologies that change during fills',
   shapes: {
     small: { shapes: 200, areas: 24, depots: 8, changes: 6, fills: 20 },
     full: { shapes: 1000, areas: 24, depots: 8, changes: 6, fills: 100 },
   },
-  arms: { plain: {}, asker: {}, path: {} },  // the guards: nothing; by the requester alone; by a path carried along
+  arms: { plain: {}, asker: {}, path: {} },  // guards against cycles: none; by the requester only; by the path that a fill carries
   days: { changes: {} },
   claims: [
     { name: 'shapes with circles taken', of: 'path/changes/plantedTaken', most: 0 },
--- a/lab/experiments/stages.jsonnet
+++ b/lab/experiments/stages.jsonnet
@@ -1,11 +1,14 @@
-// Releases go to one cell first: good ones, and bad ones of which a part of all objects fails at every cache. How many are stopped, how
-// soon, and how many good ones wrongly. A cell gets 26 requests a second at one router, 14% of them for the release. Each router judges alone; a release counts as stopped when one of the four has stopped it.
+// Releases go to one cell first. Of a bad release, a fraction of the objects fails at every cache. Measures how many
+// bad releases are stopped and how soon, and how many good ones are stopped by mistake. A cell gets 26 requests per
+// second at one router, 14% of them for the release. Each router judges alone. A release counts as stopped when one of
+// the four routers has stopped it.
 local worlds = import 'worlds.libsonnet';
 local stage = {
   version: 1, name: 'release', families: [255, 255], since: 4000, alpha: 0.01,
   rings: [{ cells: ['cell-00'], open: 14000, 'for': 50000 }],
 };
-// Price files under their old names: the ring may open two seconds after the origin has the new ones.
+// A release that replaces price files under their existing names. The ring may open two seconds after the origin has
+// the new files.
 local renews = stage { renews: true, since: 12000, keep: 300000 };
 local renewed(harm, more={}) = { fromS: 12, part: 0.3, harm: harm, renews: true, stage: renews + more };
 local harms = ['0.005', '0.01', '0.02', '0.05', '0.1', '0.2'];
@@ -20,11 +23,11 @@
           'renews-good': { worlds: { small: 10, full: 100 }, release: renewed(0) },
           'renews-harm-0.1': { worlds: { small: 6, full: 34 }, release: renewed(0.1) },
           'renews-harm-0.2': { worlds: { small: 6, full: 34 }, release: renewed(0.2) },
-          // rolled back by the document ten seconds before the end
+          // rolled back by the rollout document ten seconds before the end
           'renews-back': { worlds: { small: 6, full: 34 }, release: renewed(0, { stopAt: 40000 }) + { backS: 39 } },
         },
   claims: [
-    // 0.04 is stated, alpha for each of four routers; of 200 worlds some more by chance
+    // The stated bound is 0.04, alpha for each of four routers. The claim allows for chance in 200 worlds.
     { name: 'good releases stopped', of: 'stage/good/stopped', most: 0.08 },
     { name: 'bad releases of a tenth stopped', of: 'stage/harm-0.1/stopped', least: 0.8 },
     { name: 'seconds to find a tenth', of: 'stage/harm-0.1/foundS', most: 25 },
@@ -34,5 +37,5 @@
     { name: 'no rule broken', of: 'all/broken', most: 0 },
   ],
   table: ['worlds', 'stopped', 'passed', 'unsure', 'foundS', 'renewed', 'early', 'restored', 'broken'],
-  chart: { figure: 'stopped', title: 'Releases stopped, by part of their objects that fail', arms: ['stage'], days: ['good'] + ['harm-' + h for h in harms] },
+  chart: { figure: 'stopped', title: 'Fraction of releases stopped, by fraction of objects that fail', arms: ['stage'], days: ['good'] + ['harm-' + h for h in harms] },
 }
--- a/lab/experiments/worlds.libsonnet
+++ b/lab/experiments/worlds.libsonnet
@@ -1,4 +1,4 @@
-// Worlds that experiments start from. Times are seconds.
+// Base worlds of the experiments. Times are in seconds.
 {
   small: {
     depots: 2, routers: 2, caches: 16, parents: 4, tenants: 120, objects: 5, channels: 6,
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// endSeconds is how many of a day's last seconds count for how it ends.
+	// endSeconds is the length of the period at the end of a day over which the figure "end" is taken.
 	endSeconds = 15
-	// datagramPrice is what the platform takes off the result for datagramPriceBytes of datagrams a request, as a
-	// fraction of it.
+	// datagramPrice is the fraction of the result that the platform deducts for each datagramPriceBytes of datagrams
+	// per request.
 	datagramPrice      = 0.0075
 	datagramPriceBytes = 256
 )
 
-// roundFigure keeps figures short and free of the last bits.
+// roundFigure rounds a figure to five decimal places, so that stored figures are short.
 func roundFigure(x float64) float64 { return math.Round(x*1e5) / 1e5 }
 
-// ratio returns a part of a whole; of nothing it is 0.
+// ratio returns part / whole; 0 if both are 0.
 func ratio(part, whole int64) float64 { return float64(part) / max(float64(whole), 1) }
 
-// addWorldFigures takes the figures of a run from its world.
+// addWorldFigures fills in the figures, violations and seconds of a run from the result of its world.
 func (r *Run) addWorldFigures(cfg *emulator.Config, result *emulator.Result) {
 	r.Broken = result.Violations
 	r.Figures = requestFigures(result)
@@ -50,7 +50,7 @@
 	}
 }
 
-// requestFigures tell what became of requests, and what they cost.
+// requestFigures returns the figures on the outcomes of requests and on their cost.
 func requestFigures(result *emulator.Result) map[string]float64 {
 	others := result.OtherCells()
 	noisy := result.NoisyCell()
@@ -79,7 +79,7 @@
 	}
 }
 
-// latencyFigures are quantiles of latencies. Classes stand in the emulator's order: video, catalogue, reports.
+// latencyFigures returns the latency quantiles. The emulator's order of classes is video, catalogue, reports.
 func latencyFigures(result *emulator.Result) map[string]float64 {
 	return map[string]float64{
 		"p50VideoMs":     result.P50Millis[0],
@@ -90,8 +90,8 @@
 	}
 }
 
-// originFigures are those of worlds with hubs: of the load of the origin and of caches that warm up, and how the day
-// ends.
+// originFigures returns the additional figures of worlds with hubs: load of the origin, load of caches in warm-up,
+// unfinished requests, and the timely ratio at the end of the day.
 func originFigures(result *emulator.Result) map[string]float64 {
 	return map[string]float64{
 		"originMost":  result.MaxOriginLoad,
@@ -104,7 +104,7 @@
 	}
 }
 
-// migrationFigures are those of days on which tenants are migrated.
+// migrationFigures returns the additional figures of days with migrations.
 func migrationFigures(cfg *emulator.Config, result *emulator.Result) map[string]float64 {
 	return map[string]float64{
 		"movers":        result.Migrated.TimelyRatio(),
@@ -124,12 +124,12 @@
 	}
 }
 
-// addReleaseFigures adds the figures of a day with a release that was emulated in several worlds.
+// addReleaseFigures adds the figures of a day with a release, summed over the worlds in which it was emulated.
 func (r *Run) addReleaseFigures(cfg *emulator.Config, worlds []emulator.Result) {
 	opensAtSeconds := cfg.Release.Rollout.Rings[0].OpensAt / 1000
-	stopped, passed := 0.0, 0.0 // worlds
+	stopped, passed := 0.0, 0.0 // counts of worlds
 	violations := 0.0
-	stopSeconds := 0.0 // until routers stopped the release, summed over the worlds in which any did
+	stopSeconds := 0.0 // from the ring's opening to the stop, summed over the worlds in which a router stopped the release
 	var answers, pending, early, rolledBack int64
 	for i := range worlds {
 		world := &worlds[i]
@@ -149,7 +149,7 @@
 	if cfg.Release.ReplacesObjects {
 		r.Figures["renewed"] = float64(answers)
 		r.Figures["restored"] = float64(rolledBack)
-		r.Figures["early"] = roundFigure(ratio(early, pending)) // of answers in cells without the release
+		r.Figures["early"] = roundFigure(ratio(early, pending)) // of responses in cells without the release
 	}
 	count := float64(len(worlds))
 	r.Figures["worlds"] = count
--- a/lab/load.go
+++ b/lab/load.go
@@ -22,7 +22,7 @@
 	experimentSuffix = ".jsonnet"
 )
 
-// Names lists the experiments, sorted.
+// Names returns the names of the experiments, sorted.
 func Names() (names []string) {
 	entries, err := fs.ReadDir(experimentFiles, experimentDir)
 	if err != nil {
@@ -36,9 +36,9 @@
 	return names
 }
 
-// embeddedImporter reads from the embedded folder and nowhere else.
+// embeddedImporter resolves jsonnet imports from the embedded folder only.
 type embeddedImporter struct {
-	contents map[string]jsonnet.Contents // read so far, by path; the interpreter wants one value for each
+	contents map[string]jsonnet.Contents // by path; jsonnet.Importer must return the same value for the same path
 }
 
 // Import implements jsonnet.Importer.
@@ -56,11 +56,11 @@
 	return contents, file, nil
 }
 
-// Load reads an experiment. Each change is a path and a value, such as "days.unique.flood.times=5". Its error names
-// the experiment, or the change.
+// Load reads an experiment and applies changes to it. Each change is a path and a value, such as
+// "days.unique.flood.times=5". The error names the experiment, or the change that can't be applied.
 func Load(name string, changes ...string) (*Experiment, error) {
 	if !slices.Contains(Names(), name) {
-		return nil, fmt.Errorf("experiment %q: there is none; see spanlab list", name)
+		return nil, fmt.Errorf("experiment %q does not exist; see spanlab list", name)
 	}
 	doc, err := readDocument(name)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return e, nil
 }
 
-// readDocument evaluates the file of an experiment.
+// readDocument evaluates the jsonnet file of an experiment and returns it as decoded JSON.
 func readDocument(name string) (doc any, err error) {
 	vm := jsonnet.MakeVM()
 	vm.Importer(&embeddedImporter{map[string]jsonnet.Contents{}})
@@ -91,7 +91,7 @@
 	return doc, err
 }
 
-// decodeExperiment decodes a document; a field that there is not is an error.
+// decodeExperiment converts decoded JSON to an experiment. An unknown field is an error.
 func decodeExperiment(doc any) (*Experiment, error) {
 	text, err := json.Marshal(doc)
 	if err != nil {
@@ -104,11 +104,11 @@
 	return e, err
 }
 
-// errNotAChange is the error for a change without a path or a value.
+// errNotAChange is the error for a change without a path or without "=".
 var errNotAChange = errors.New("not of the form path=value")
 
-// applyChange sets what a path leads to. A value that is not JSON is a string. Only the last step of the path may be
-// new.
+// applyChange sets the field at a path. A value that is not JSON is taken as a string. All steps of the path but the
+// last must exist.
 func applyChange(doc any, text string) error {
 	fieldPath, valueText, isChange := strings.Cut(text, "=")
 	if !isChange || fieldPath == "" {
@@ -122,7 +122,7 @@
 	for i, step := range steps {
 		fields, isObject := doc.(map[string]any)
 		if !isObject {
-			return fmt.Errorf("%s holds no fields", strings.Join(steps[:i], "."))
+			return fmt.Errorf("%s is not an object", strings.Join(steps[:i], "."))
 		}
 		if i == len(steps)-1 {
 			fields[step] = value
@@ -130,7 +130,7 @@
 		}
 		next, known := fields[step]
 		if !known {
-			return fmt.Errorf("there is no %s", strings.Join(steps[:i+1], "."))
+			return fmt.Errorf("%s does not exist", strings.Join(steps[:i+1], "."))
 		}
 		doc = next
 	}
--- a/lab/outcome.go
+++ b/lab/outcome.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Run is one arm on one day, with the figures that it came to.
+// Run is the result of one arm on one day.
 type Run struct {
 	Arm     string             `json:"arm"`
 	Day     string             `json:"day"`
 	Figures map[string]float64 `json:"figures"`
-	Seconds []float64          `json:"seconds"`          // share of the others' weight in time, by second
+	Seconds []float64          `json:"seconds"`          // fraction of weight served on time in other cells, by second
 	Broken  map[string]int64   `json:"broken,omitempty"` // violations of the platform's rules, by rule
 }
 
-// Outcome is what an experiment came to on one seed.
+// Outcome is the result of an experiment with one seed.
 type Outcome struct {
 	Experiment string    `json:"experiment"`
 	Size       string    `json:"size"`
@@ -24,13 +24,13 @@
 }
 
 const (
-	// violationsFigure is the figure of a run that counts its violations.
+	// violationsFigure is the name of the figure that counts the violations in a run.
 	violationsFigure = "broken"
-	// allViolations names the sum of all runs' violations.
+	// allViolations is the name of the sum of the violations in all runs.
 	allViolations = "all/broken"
 )
 
-// newOutcome holds runs against the claims.
+// newOutcome checks the claims against runs, and returns the runs with the verdicts.
 func (e *Experiment) newOutcome(size string, seed uint64, runs []Run) (*Outcome, error) {
 	outcome := &Outcome{Experiment: e.Name, Size: size, Seed: seed, Runs: runs}
 	for _, claim := range e.Claims {
@@ -43,7 +43,7 @@
 	return outcome, nil
 }
 
-// Figure returns the figure with a name: "ARM/DAY/FIGURE", or allViolations.
+// Figure returns a figure by its name: "ARM/DAY/FIGURE", or allViolations. An unknown name is an error.
 func (o *Outcome) Figure(name string) (float64, error) {
 	if name == allViolations {
 		sum := 0.0
@@ -60,10 +60,10 @@
 			}
 		}
 	}
-	return 0, fmt.Errorf("claim on %q: there is no such figure", name)
+	return 0, fmt.Errorf("unknown figure %q in a claim", name)
 }
 
-// PassedCount counts the claims that hold.
+// PassedCount returns the number of claims that hold.
 func (o *Outcome) PassedCount() (count int) {
 	for _, verdict := range o.Claims {
 		if verdict.Passed {
@@ -73,10 +73,10 @@
 	return count
 }
 
-// Passed reports that all claims hold.
+// Passed reports whether all claims hold.
 func (o *Outcome) Passed() bool { return o.PassedCount() == len(o.Claims) }
 
-// Summary returns the RESULT line, which scripts read.
+// Summary returns the RESULT line, which is stable for scripts.
 func (o *Outcome) Summary() string {
 	verdict := "kept"
 	if !o.Passed() {
@@ -85,9 +85,9 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "RESULT %s seed=%d size=%s verdict=%s claims=%d/%d",
 		o.Experiment, o.Seed, o.Size, verdict, o.PassedCount(), len(o.Claims))
-	asKey := strings.NewReplacer(" ", "_", "=", "_")
+	keyReplacer := strings.NewReplacer(" ", "_", "=", "_")
 	for _, claim := range o.Claims {
-		fmt.Fprintf(&b, " %s=%.4f", asKey.Replace(claim.Name), claim.Value)
+		fmt.Fprintf(&b, " %s=%.4f", keyReplacer.Replace(claim.Name), claim.Value)
 	}
 	return b.String()
 }
--- a/lab/report.go
+++ b/lab/report.go
@@ -15,8 +15,8 @@
 	"p99CatalogueMs", violationsFigure,
 }
 
-// Write puts result.json, table.md and two charts into a folder, which is made if need be. There is an outcome for each
-// seed, at least one.
+// Write writes result.json, table.md and two charts to a folder, which it creates if necessary. outcomes has one entry
+// for each seed, and at least one.
 func (e *Experiment) Write(dir string, outcomes []*Outcome) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("--out: %w", err)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// table is the text of table.md: figures by arm and day, then claims by seed.
+// table returns the text of table.md: figures by arm and day, then claims by seed.
 func (e *Experiment) table(outcomes []*Outcome) []byte {
 	var b bytes.Buffer
 	seeds := make([]string, len(outcomes))
@@ -48,14 +48,14 @@
 		seeds[i] = fmt.Sprint(outcome.Seed)
 	}
 	fmt.Fprintf(&b, "# %s: %s\n\n", e.Name, e.Title)
-	fmt.Fprintf(&b, "Size %s, seeds %s; means with 95%% t intervals where there are several.\n\n",
+	fmt.Fprintf(&b, "Size %s, seeds %s; with several seeds, means with 95%% t intervals.\n\n",
 		outcomes[0].Size, strings.Join(seeds, ", "))
 	e.writeFigures(&b, outcomes)
 	writeClaims(&b, seeds, outcomes)
 	return b.Bytes()
 }
 
-// writeFigures writes the table of figures, a line for each arm and day.
+// writeFigures writes the table of figures, one row for each arm and day.
 func (e *Experiment) writeFigures(b *bytes.Buffer, outcomes []*Outcome) {
 	figures := defaultTableFigures
 	if len(e.TableFigures) > 0 {
@@ -71,24 +71,24 @@
 	}
 }
 
-// writeClaims writes the table of claims, a column for each seed.
+// writeClaims writes the table of claims, one column for each seed.
 func writeClaims(b *bytes.Buffer, seeds []string, outcomes []*Outcome) {
 	fmt.Fprintf(b, "\n| claim | bound | %s |\n|---|---|%s\n",
 		strings.Join(seeds, " | "), strings.Repeat("---|", len(seeds)))
 	for i, claim := range outcomes[0].Claims {
 		fmt.Fprintf(b, "| %s | %s |", claim.Name, claim.bounds())
 		for _, outcome := range outcomes {
-			word := "short"
+			verdict := "short"
 			if outcome.Claims[i].Passed {
-				word = "kept"
+				verdict = "kept"
 			}
-			fmt.Fprintf(b, " %.4g %s |", outcome.Claims[i].Value, word)
+			fmt.Fprintf(b, " %.4g %s |", outcome.Claims[i].Value, verdict)
 		}
 		b.WriteByte('\n')
 	}
 }
 
-// bounds is the text of a claim's bounds.
+// bounds returns the bounds of a claim as text, such as ">= 0.98".
 func (c *Claim) bounds() (text string) {
 	if c.Min != nil {
 		text = fmt.Sprintf(">= %v", *c.Min)
--- a/lab/run.go
+++ b/lab/run.go
@@ -11,10 +11,10 @@
 	"spantack/emulator"
 )
 
-// worldSeedFactor times an experiment's seed is the seed of a day's first world, where the day has several.
+// worldSeedFactor is multiplied by the seed of an experiment to get the seed of the first world of a day with several.
 const worldSeedFactor = 1_000_003
 
-// Run runs all arms on all days, some at once. progress, if not nil, is called after each, from one goroutine.
+// Run runs all arms on all days concurrently. progress, if not nil, is called from one goroutine after each world.
 func (e *Experiment) Run(size string, seed uint64, progress func(done, all int)) (*Outcome, error) {
 	switch {
 	case e.TopologyTrials != nil:
@@ -39,7 +39,7 @@
 	return e.newOutcome(size, seed, runs)
 }
 
-// newRuns lists each arm on each day, without figures.
+// newRuns returns a run without figures for each arm on each day.
 func (e *Experiment) newRuns() (runs []Run) {
 	for _, arm := range sortedKeys(e.Arms) {
 		for _, day := range sortedKeys(e.Days) {
@@ -49,21 +49,21 @@
 	return runs
 }
 
-// sortedKeys returns the keys of a map in order.
+// sortedKeys returns the keys of a map, sorted.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// worldSet is the emulated worlds of all runs: one each, or several for days that say so.
+// worldSet is the emulated worlds of all runs: one per run, or several on days that set Day.Worlds.
 type worldSet struct {
 	experiment *Experiment
 	size       string
 	seed       uint64
 	runs       []Run
 
-	configs []emulator.Config   // by run: of its first world
+	configs []emulator.Config   // of the first world of each run
 	results [][]emulator.Result // by run, then by world
 }
 
-// newWorldSet lays out the worlds of some runs.
+// newWorldSet prepares the worlds of runs.
 func newWorldSet(e *Experiment, size string, seed uint64, runs []Run) *worldSet {
 	set := &worldSet{
 		experiment: e,
@@ -79,7 +79,7 @@
 	return set
 }
 
-// runAll runs all worlds, as many at once as there are CPUs.
+// runAll runs all worlds, GOMAXPROCS of them at a time.
 func (set *worldSet) runAll(progress func(done, all int)) error {
 	all := 0
 	for _, results := range set.results {
@@ -100,7 +100,7 @@
 	return group.Wait()
 }
 
-// reportProgress calls progress for each of so many worlds that has ended.
+// reportProgress calls progress, if not nil, for each of all worlds as it ends.
 func reportProgress(ended <-chan struct{}, all int, progress func(done, all int)) {
 	for i := range all {
 		<-ended
@@ -110,7 +110,7 @@
 	}
 }
 
-// runWorld runs one world of a run.
+// runWorld runs one world of a run and stores its result.
 func (set *worldSet) runWorld(run, world int) error {
 	e := set.experiment
 	arm, day := set.runs[run].Arm, set.runs[run].Day
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// worldSeed is the seed of a world. Worlds of one number have the same one on days that differ in their release alone.
+// worldSeed returns the seed of a world of a run. In days with several worlds it depends on the number of the world
+// only, so that days with different releases have the same worlds.
 func (set *worldSet) worldSeed(run, world int) uint64 {
 	if len(set.results[run]) == 1 {
 		return set.seed
--- a/lab/run_test.go
+++ b/lab/run_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// twoClaims are one that holds and one that can't.
+// twoClaims has one claim that holds and one that can't hold.
 const twoClaims = `claims=[` +
 	`{"name":"sure","of":"none/calm/others","least":0.5},` +
 	`{"name":"never","of":"none/calm/others","over":"cells/calm/others","least":5}]`
 
-// The same seed and size give the same files to the byte; a claim that can't hold falls short.
+// Two runs with the same seed and size write byte-identical files. A claim that can't hold falls short.
 func TestRunIsReproducible(t *testing.T) {
 	var texts [2][]byte
 	for i := range texts {
@@ -33,11 +33,11 @@
 		texts[i] = writeAndRead(t, e, outcome)
 	}
 	if !bytes.Equal(texts[0], texts[1]) {
-		t.Error("two runs of one seed wrote different files")
+		t.Error("two runs with the same seed wrote different files")
 	}
 }
 
-// writeAndRead writes an outcome and returns the text of all files.
+// writeAndRead writes an outcome and returns the concatenated contents of the files.
 func writeAndRead(t *testing.T, e *Experiment, outcome *Outcome) (all []byte) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "out")
--- a/lab/scenario/cold-start.jsonnet
+++ b/lab/scenario/cold-start.jsonnet
@@ -1,8 +1,8 @@
-// All routers lose the discovery service at once, and it comes back; it resets each connection; it falls silent with
-// connections open; and it is away while seven in ten routers are killed and restarted. Judged by the relay before it:
-// how many dial within any 100 ms, and that all are connected again.
+// All routers lose the discovery service at once: it refuses connections, it resets each connection, it stops
+// responding on open connections, and it is down while 70% of the routers are killed and restarted. The relay in front
+// of the service counts the dials within any 100 ms, and whether all routers reconnect.
 {
-  title: 'Routers that lose the list service together',
+  title: 'All routers lose the discovery service at once',
   asks: 0,
   floor: 0,
   delayMs: 20,
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -8,13 +8,13 @@
 	"spantack/standin/link"
 )
 
-// resetInterval is how often the discovery service resets all connections under discoveryResets.
+// resetInterval is the time between two resets of all connections to the discovery service under discoveryResets.
 const resetInterval = 100 * time.Millisecond
 
-// isolatedPartition is the partition of a router that is cut off from all others.
+// isolatedPartition is the partition of a router that is cut off from all other routers.
 const isolatedPartition = -1
 
-// setConditions puts network conditions in force.
+// setConditions applies conditions to the network between the routers.
 func (p *player) setConditions(conditions *Conditions) error {
 	partitions, err := p.partitionByRank(conditions)
 	if err != nil {
@@ -29,7 +29,7 @@
 	})
 }
 
-// partitionByRank returns the partition of each router; nil: there is one of all.
+// partitionByRank returns the partition of each router, by rank; nil: the network is not partitioned.
 func (p *player) partitionByRank(conditions *Conditions) (partitions []int, err error) {
 	routers := p.options.Routers
 	if conditions.ContiguousPartitions > 1 {
@@ -54,7 +54,7 @@
 	return partitions, nil
 }
 
-// setDiscovery puts a fault of the discovery service in force.
+// setDiscovery applies a fault to the discovery service.
 func (p *player) setDiscovery(fault DiscoveryFault) {
 	relay := p.deployment.DiscoveryRelay
 	switch fault {
@@ -80,17 +80,17 @@
 	if step.Freeze != targetNone {
 		target = step.Freeze
 	}
-	victims, err := p.ranksOf(target)
+	ranks, err := p.ranksOf(target)
 	if err != nil {
 		return err
 	}
 	if step.Freeze != targetNone {
-		victim := p.deployment.Routers[victims[0]]
+		frozen := p.deployment.Routers[ranks[0]]
 		p.unfrozen = make(chan error, 1)
-		go func() { p.unfrozen <- victim.Freeze(seconds(step.FreezeSeconds)) }()
+		go func() { p.unfrozen <- frozen.Freeze(seconds(step.FreezeSeconds)) }()
 		return nil
 	}
-	for _, rank := range victims {
+	for _, rank := range ranks {
 		if err := p.deployment.Routers[rank].Kill(); err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 	return ranks, nil
 }
 
-// restartKilled starts all routers that were killed anew.
+// restartKilled restarts all killed routers.
 func (p *player) restartKilled(ctx context.Context) error {
 	for _, rank := range p.killed {
 		if err := p.deployment.Restart(ctx, rank); err != nil {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// waitUntilUnfrozen waits until a router that was frozen goes on.
+// waitUntilUnfrozen waits until the frozen router, if there is one, resumes.
 func (p *player) waitUntilUnfrozen() error {
 	if p.unfrozen == nil {
 		return nil
--- a/lab/scenario/fleet-tree.jsonnet
+++ b/lab/scenario/fleet-tree.jsonnet
@@ -1,19 +1,19 @@
-// The same limit by a tree of leases: four groups of routers, each with a lease holder that leases from that of the
-// fleet. Groups are cut off from one another, and lease holders of a group and of the fleet are killed and restarted
-// without state.
+// The limit of fleet-limits, shared by a lease tree: four groups of routers, each with a lease holder that leases from
+// the lease holder of the fleet. The groups are cut off from one another, and the lease holders of a group and of the
+// fleet are killed and restarted without state.
 local fair = { loss: 0.05, double: 0.1, delayMs: 1, jitterMs: 20 };
 {
-  title: 'A limit at the head office by a tree of leases',
-  asks: 3,  // of each router
-  floor: 1 / 3,  // one for each router: whole ones, so that the bound is hard
+  title: 'A limit at the origin by a lease tree',
+  asks: 3,  // per router
+  floor: 1 / 3,  // of the limit, which is one fill per router: a whole number, so that the bound is strict
   group: 4,
-  delayMs: 70,  // of an edge cache; a parent and the origin take three times as long
-  everyMs: 2,  // between two requests to all routers, of sixteen; fewer for more
+  delayMs: 70,  // delay of an edge cache; parents and the origin take three times as long
+  everyMs: 2,  // between two requests over all routers, for a fleet of 16; use less for a larger fleet
   conditions: fair,
   steps: [
     { name: 'whole', forS: 30, regains: true },
-    // No group has a majority of the electors: floors alone, once votes (7 s) and the leases under them (3 s and 1.5 s)
-    // have ended.
+    // No group has a majority of the electors, so only the floors remain once the votes (7 s) and the leases based on
+    // them (3 s and 1.5 s) have expired.
     { name: 'groups cut off', conditions: fair { blocks: 4 }, forS: 15, settleS: 13, floors: true, fills: true },
     { name: 'healed', conditions: fair, forS: 40, regains: true },
     { name: 'holder of a group killed', kill: 'holder', forS: 2 },
--- a/lab/scenario/fleet-verdicts.jsonnet
+++ b/lab/scenario/fleet-verdicts.jsonnet
@@ -1,8 +1,8 @@
-// One of three parents dies under 16 routers of four sites, and the endpoint list does not say so for as long as the
-// scenario lasts. Each router fills little, so that it needs seconds to eject the parent by itself; a verdict of two
-// sites keeps all routers off it. The network loses three datagrams in ten.
+// One of three parents dies, with 16 routers in four sites. The endpoint list shows it as ready throughout the
+// scenario. Each router makes few fills, so that on its own it needs seconds to eject the parent. A verdict by two
+// sites makes all routers avoid it. The network loses 30% of the datagrams.
 {
-  title: 'A dead area cache that the list calls ready',
+  title: 'A dead parent that the endpoint list shows as ready',
   asks: 0,
   floor: 0,
   depots: 4,
@@ -12,8 +12,8 @@
   conditions: { loss: 0.3, double: 0.1, delayMs: 1, jitterMs: 20 },
   steps: [
     { name: 'all well', forS: 4 },
-    // Two sites find it in some seconds; 2.5 s after the second all have heard. The circuit breakers of the finders
-    // close after 10 s at the soonest.
+    // Two sites detect it within seconds, and 2.5 s after the second one all routers have the verdict. The circuit
+    // breakers of the routers that detect it close after 10 s at the earliest.
     { name: 'one dies', lose: true, forS: 11, settleS: 7, named: 1 },
   ],
 }
--- a/lab/scenario/leases.go
+++ b/lab/scenario/leases.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// holderTimeout is how long routers are asked for a lease holder.
+	// holderTimeout bounds the search for a lease holder.
 	holderTimeout = 20 * time.Second
-	// holderPollInterval is how long they are left alone in between.
+	// holderPollInterval is the time between two polls of all routers during that search.
 	holderPollInterval = 200 * time.Millisecond
-	// logTime is what a router needs to log its counters.
+	// logTime is the time that a router gets to log its counters.
 	logTime = 100 * time.Millisecond
-	// fleetLevel is the level of the fleet in a tree above groups of one size.
+	// fleetLevel is the level of the fleet in a lease tree with one level of groups.
 	fleetLevel = 2
-	// unknownHolder stands for the rank of a lease holder that nobody knows.
+	// unknownHolder is used instead of a rank if the lease holder is not known.
 	unknownHolder = -1
 )
 
-// Errors where no router knows whom a fault is to hit.
+// Errors for faults whose target can't be found.
 var (
-	errNoHolder      = errors.New("no router knows a holder")
-	errNoFleetHolder = errors.New("no router holds the fleet")
+	errNoHolder      = errors.New("no router reports a lease holder")
+	errNoFleetHolder = errors.New("no router reports that it holds the fleet's lease")
 )
 
-// leaseHolder asks the routers one after the other whom they have for the lease holder, until one knows. It returns
-// its rank.
+// leaseHolder polls the routers in order of rank until one reports a lease holder, and returns the rank of the holder.
+// It fails after holderTimeout.
 func (p *player) leaseHolder() (int, error) {
 	for startedAt := time.Now(); time.Since(startedAt) < holderTimeout; time.Sleep(holderPollInterval) {
 		for _, r := range p.deployment.Routers {
@@ -46,8 +46,8 @@
 	return unknownHolder, errNoHolder
 }
 
-// fleetLeaseHolder asks the routers one after the other until one says that it holds the lease of the fleet. It returns
-// its rank.
+// fleetLeaseHolder polls the routers in order of rank until one reports that it holds the lease of the fleet, and
+// returns the rank of that router. It fails after holderTimeout.
 func (p *player) fleetLeaseHolder() (int, error) {
 	for startedAt := time.Now(); time.Since(startedAt) < holderTimeout; time.Sleep(holderPollInterval) {
 		for rank, r := range p.deployment.Routers {
@@ -59,14 +59,14 @@
 	return unknownHolder, errNoFleetHolder
 }
 
-// limitRecord is what a router logs of its part in a fleet limit.
+// limitRecord is the log record of a router's part in a fleet limit.
 type limitRecord struct {
 	Holder int   `json:"Holder"` // rank of the lease holder
-	Levels []int `json:"Levels"` // of a tree, at which the router holds a lease
+	Levels []int `json:"Levels"` // levels of a lease tree at which the router holds a lease
 }
 
-// reportedLimit has a router log its counters, and reads its part in the fleet limit. Holder is unknownHolder where it
-// tells nothing.
+// reportedLimit makes a router log its counters, and returns its part in the fleet limit. Holder is unknownHolder if
+// the log has no record of it.
 func reportedLimit(r *process.Router) limitRecord {
 	last := limitRecord{Holder: unknownHolder}
 	if r.Signal(syscall.SIGUSR1) != nil {
--- a/lab/scenario/player.go
+++ b/lab/scenario/player.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// edgeCacheCount and parentCount are the numbers of caches of every scenario. Verdicts eject one parent in three at
-	// most.
+	// edgeCacheCount and parentCount are the numbers of caches in every scenario. Verdicts eject at most one parent in
+	// three.
 	edgeCacheCount = 4
 	parentCount    = 3
-	// fleetElectors is how many routers elect the lease holder of the fleet in a tree.
+	// fleetElectors is the number of routers that elect the lease holder of the fleet in a lease tree.
 	fleetElectors = 5
 )
 
-// Options say how a scenario is run.
+// Options are the parameters of a run of a scenario.
 type Options struct {
 	Routers      int
-	Seed         uint64 // of the load, and of what happens to datagrams by chance
-	RouterBinary string // path of the router's program; empty: built for the purpose
-	// OnStep, if not nil, is called before each step with the number of those that are done.
+	Seed         uint64 // of the load and of random datagram faults
+	RouterBinary string // path of the router's program; empty: Run builds it
+	// OnStep, if not nil, is called before each step. done is the number of completed steps.
 	OnStep func(step string, done, all int)
 }
 
-// player is a scenario that is under way.
+// player is a running scenario.
 type player struct {
 	*Scenario
 	options    Options
 	deployment *process.Deployment
 	result     *Result
 	startedAt  time.Time
-	killed     []int      // ranks of the routers that are dead
-	unfrozen   chan error // tells when a frozen router goes on; nil: none is frozen
+	killed     []int      // ranks of the killed routers
+	unfrozen   chan error // receives the result when a frozen router resumes; nil: none is frozen
 }
 
-// Run runs the scenario. Its error is of the deployment; what fell short is in the result.
+// Run runs the scenario. The error is a failure of the deployment; unmet conditions of steps are in the result.
 func (s *Scenario) Run(ctx context.Context, options Options) (*Result, error) {
 	limit := s.OriginFillsPerRouter * float64(options.Routers)
 	features, err := s.features(options.Routers, limit)
@@ -80,7 +80,7 @@
 	return p.result, errors.Join(err, deployment.Stop())
 }
 
-// features returns the features file of the routers; empty where the scenario needs none.
+// features returns the text of the routers' features file; empty if the scenario needs none.
 func (s *Scenario) features(routers int, limit float64) (string, error) {
 	if s.OriginFillsPerRouter == 0 && !s.HasVerdicts {
 		return "", nil
@@ -93,7 +93,8 @@
 	return string(text), err
 }
 
-// leaseTopology is the tree of the scenario's leases: groups of neighbouring ranks, and electors in different groups.
+// leaseTopology returns the lease tree of the scenario. Groups have neighbouring ranks, and the electors are spread
+// evenly over the ranks.
 func (s *Scenario) leaseTopology(routers int) lease.Topology {
 	topology := lease.Topology{Routers: routers, GroupSizes: []int{s.GroupSize}}
 	for i := range fleetElectors {
@@ -102,7 +103,7 @@
 	return topology
 }
 
-// run takes the steps under the load, and counts what became of its requests.
+// run runs the steps under load, and then adds the request totals to the result.
 func (p *player) run(ctx context.Context) error {
 	if p.deployment.Mesh != nil {
 		if err := p.setConditions(&p.Conditions); err != nil {
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// load is a load without end, for an object of its own with each request, so that every one needs a fill.
+// load returns a load without end in which each request is for a different object, so that each needs a fill.
 func (p *player) load() process.Load {
 	return process.Load{
 		Seed:             p.options.Seed,
@@ -148,7 +149,7 @@
 	}
 }
 
-// addTotals enters what became of all requests into the result.
+// addTotals adds the request totals, overlaps and datagram sizes to the result.
 func (p *player) addTotals(total process.Tally) {
 	p.result.Served = total.Served
 	p.result.Rejected = total.Rejected
@@ -161,6 +162,6 @@
 	}
 }
 
-// millis and seconds convert the units of scenarios.
+// millis and seconds convert numbers in scenario files to durations.
 func millis(n float64) time.Duration  { return time.Duration(n * float64(time.Millisecond)) }
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -6,46 +6,46 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// maxDatagramBytes bounds a datagram between routers, as the platform does.
+// maxDatagramBytes is the platform's limit on the size of a datagram between routers.
 const maxDatagramBytes = 256
 
-// StepResult is what a step came to. Figures are those of the stand-ins.
+// StepResult is the result of a step. The stand-ins measure the figures.
 type StepResult struct {
 	Step        string  `json:"step"`
-	MaxInFlight int     `json:"most"`            // fills at the origin at once
-	Bound       int     `json:"bound"`           // on them, at the end of the step
-	Fills       int     `json:"fills"`           // that reached the origin
-	TookSeconds float64 `json:"tookS"`           // until what the step waits for had come, or its duration
-	Fault       string  `json:"fault,omitempty"` // what fell short first; empty: nothing did
-	// FailedParentFills counts fills that named a dead parent after the step had settled.
+	MaxInFlight int     `json:"most"`            // maximum of fills in flight at the origin
+	Bound       int     `json:"bound"`           // on MaxInFlight, at the end of the step
+	Fills       int     `json:"fills"`           // fills that reached the origin
+	TookSeconds float64 `json:"tookS"`           // until the condition that ends the step held; otherwise its duration
+	Fault       string  `json:"fault,omitempty"` // first unmet condition; empty: none
+	// FailedParentFills is the number of fills that named the dead parent after the settle time.
 	FailedParentFills int `json:"named,omitempty"`
-	MaxDials          int `json:"tries,omitempty"` // of the discovery service, within dialWindow
+	MaxDials          int `json:"tries,omitempty"` // of the discovery service, within any dialWindow
 	DialBound         int `json:"triesMay,omitempty"`
 }
 
-// Result is what a scenario came to.
+// Result is the result of a scenario.
 type Result struct {
 	Scenario string       `json:"scenario"`
 	Routers  int          `json:"routers"`
 	Seed     uint64       `json:"seed"`
-	Limit    int          `json:"limit"`  // on fills at the origin at once
-	FloorSum int          `json:"floors"` // of it, what all routers have without a lease
+	Limit    int          `json:"limit"`  // on fills in flight at the origin
+	FloorSum int          `json:"floors"` // part of the limit that all routers together have without a lease
 	Steps    []StepResult `json:"steps"`
 
-	// The clients' requests, by what became of them.
+	// Counts of the clients' requests by outcome.
 	Served    int `json:"served"`
 	Rejected  int `json:"refused"`
 	Failed    int `json:"failed"`
-	Lost      int `json:"lost"`  // at routers that died
-	WrongBody int `json:"wrong"` // served with another body
+	Lost      int `json:"lost"`  // without a response: the router died
+	WrongBody int `json:"wrong"` // served with a wrong body
 
-	Overlaps         int `json:"overlaps"` // requests with two attempts at once
+	Overlaps         int `json:"overlaps"` // requests with two concurrent attempts
 	MaxDatagramBytes int `json:"longest"`
 
-	inFlightCurve, boundCurve plotter.XYs // of fills at the origin, over the seconds since the start
+	inFlightCurve, boundCurve plotter.XYs // fills in flight at the origin and their bound, over seconds since the start
 }
 
-// Failures lists what fell short, a line each.
+// Failures returns a line for each unmet condition; none if the scenario passed.
 func (r *Result) Failures() (all []string) {
 	for _, step := range r.Steps {
 		if step.Fault != "" {
@@ -53,13 +53,14 @@
 		}
 	}
 	if r.WrongBody > 0 || r.Overlaps > 0 || r.Served == 0 || r.MaxDatagramBytes > maxDatagramBytes {
-		all = append(all, fmt.Sprintf("%d served, %d wrongly, %d requests with two attempts out, a datagram of %d bytes",
+		all = append(all, fmt.Sprintf(
+			"%d served, %d with a wrong body, %d requests with two attempts at once, datagrams of up to %d bytes",
 			r.Served, r.WrongBody, r.Overlaps, r.MaxDatagramBytes))
 	}
 	return all
 }
 
-// Summary returns the RESULT line, which scripts read.
+// Summary returns the RESULT line, which is stable for scripts.
 func (r *Result) Summary() string {
 	verdict := "kept"
 	if len(r.Failures()) > 0 {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -11,13 +11,13 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// scenarioTimeout bounds a scenario of sixteen routers, which takes a minute or two.
+// scenarioTimeout bounds a scenario with 16 routers, which takes one to two minutes.
 const scenarioTimeout = 4 * time.Minute
 
-// Sixteen real processes under each script. The verdict is that of the stand-ins' request logs; how long a step takes
-// decides nothing but whether what must come back did at all within its time. fleet-verdicts: without verdicts seven
-// fills still name the dead parent after the step has settled.
-func TestScenarios(t *testing.T) {
+// Each scenario passes with 16 real processes, by the request logs of the stand-ins. The duration of a step matters
+// only as the time within which the system must recover. Without verdicts, fleet-verdicts fails: seven fills still name
+// the dead parent after the settle time.
+func TestScenariosPass(t *testing.T) {
 	for _, name := range []string{"fleet-limits", "fleet-verdicts", "fleet-tree"} {
 		t.Run(name, func(t *testing.T) {
 			s, err := Load(name)
@@ -38,33 +38,33 @@
 	}
 }
 
-func TestNames(t *testing.T) {
+func TestAllScenariosLoad(t *testing.T) {
 	for _, name := range Names() {
 		if _, err := Load(name); err != nil {
 			t.Error(err)
 		}
 	}
 	if _, err := Load("nothing"); err == nil {
-		t.Error("a scenario that is not there")
+		t.Error("no error for an unknown scenario")
 	}
 }
 
-// An error names the step and the field that can't be used.
-func TestValidateNamesTheField(t *testing.T) {
+// The error of an invalid step names the step and the field.
+func TestValidateErrorNamesField(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		step Step
-		want string // "": the step is valid
+		want string // empty: the step is valid
 	}{
-		{"nothing but a duration", Step{DurationSeconds: 1}, ""},
+		{"only a duration", Step{DurationSeconds: 1}, ""},
 		{"a fraction killed", Step{DurationSeconds: 600, Kill: "0.7"}, ""},
-		{"the holder of the fleet killed", Step{DurationSeconds: 1, Kill: targetFleetHolder}, ""},
-		{"the holder frozen", Step{DurationSeconds: 1, Freeze: targetHolder}, ""},
+		{"fleet's lease holder killed", Step{DurationSeconds: 1, Kill: targetFleetHolder}, ""},
+		{"lease holder frozen", Step{DurationSeconds: 1, Freeze: targetHolder}, ""},
 		{"all killed", Step{DurationSeconds: 1, Kill: "1"}, "steps[1].kill"},
-		{"nobody's name killed", Step{DurationSeconds: 1, Kill: "leader"}, "steps[1].kill"},
+		{"unknown target killed", Step{DurationSeconds: 1, Kill: "leader"}, "steps[1].kill"},
 		{"a fraction frozen", Step{DurationSeconds: 1, Freeze: "0.5"}, "steps[1].freeze"},
 		{"no duration", Step{}, "steps[1].forS"},
-		{"too long", Step{DurationSeconds: 601}, "steps[1].forS"},
+		{"duration above the maximum", Step{DurationSeconds: 601}, "steps[1].forS"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := Scenario{Steps: []Step{{DurationSeconds: 1}, test.step}}
--- a/lab/scenario/step.go
+++ b/lab/scenario/step.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// sampleInterval is how often the request log is read. It keeps the greatest number of fills in flight between two
-	// reads itself.
+	// sampleInterval is the time between two reads of the request log, which itself records the maximum of fills in
+	// flight between two reads.
 	sampleInterval = 50 * time.Millisecond
-	// dialWindow is the time within which dials of the discovery service are counted.
+	// dialWindow is the length of the time window in which dials of the discovery service are counted.
 	dialWindow = 100 * time.Millisecond
-	// lateProcessFactor times the bound on dials is allowed to processes that a busy machine runs late.
+	// lateProcessFactor multiplies the bound on dials, because a busy machine may run processes late.
 	lateProcessFactor = 2
-	// floorsMargin is the part of the floors, as a divisor, by which they must be exceeded where a step says so.
+	// floorsMargin is a divisor: Step.MustExceedFloors requires more than the floors plus this part of them.
 	floorsMargin = 4
 )
 
-// stepRun is a step that is under way.
+// stepRun is a running step.
 type stepRun struct {
 	player    *player
 	step      *Step
 	result    StepResult
 	startedAt time.Time
 
-	dialsBefore int       // of the discovery service
-	fillsBefore int       // that reached the origin
-	parent      string    // name of the one that a step may kill
+	dialsBefore int       // dials of the discovery service
+	fillsBefore int       // fills that reached the origin
+	parent      string    // name of the parent that a step may kill
 	resetAt     time.Time // when the discovery service last reset all connections
-	flips       int       // of partitions, so far
-	hasEnded    bool      // what the step waits for has come
+	flips       int       // times that partitions were applied or removed
+	hasEnded    bool      // the condition that ends the step holds
 }
 
-// runStep injects the faults of a step, samples the request log until its end, and judges what it found.
+// runStep injects the faults of a step, samples the request log until the step ends, and evaluates its conditions.
 func (p *player) runStep(ctx context.Context, step *Step) error {
 	if step.Conditions != nil {
 		if err := p.setConditions(step.Conditions); err != nil {
@@ -63,12 +63,12 @@
 			return err
 		}
 	}
-	run.judge()
+	run.evaluate()
 	p.result.Steps = append(p.result.Steps, run.result)
 	return p.waitUntilUnfrozen()
 }
 
-// beginStep notes the counts before a step, and injects the faults that are counted in it.
+// beginStep records the counts before a step, and injects the discovery and parent faults.
 func (p *player) beginStep(step *Step) *stepRun {
 	run := &stepRun{player: p, step: step, parent: p.deployment.Parents[0].Name()}
 	run.result = StepResult{Step: step.Name, Bound: p.result.Limit + step.LimitSlack, TookSeconds: step.DurationSeconds}
@@ -84,7 +84,8 @@
 	return run
 }
 
-// sample reads the request log once, and does what the step does over and over.
+// sample reads the request log once, repeats the recurring faults of the step when they are due, and ends the step when
+// its condition holds.
 func (run *stepRun) sample() error {
 	if run.step.Discovery == discoveryResets && time.Since(run.resetAt) >= resetInterval {
 		run.resetAt = time.Now()
@@ -102,22 +103,22 @@
 	return run.flipPartitions()
 }
 
-// end ends the step before its time, as what it waits for has come.
+// end ends the step early because its condition holds.
 func (run *stepRun) end() {
 	run.hasEnded = true
 	run.result.TookSeconds = run.elapsed()
 }
 
-// elapsed is the time since the step's begin, in seconds.
+// elapsed returns the seconds since the start of the step.
 func (run *stepRun) elapsed() float64 { return time.Since(run.startedAt).Seconds() }
 
-// areAllConnected reports that all routers that live are connected to the discovery service.
+// areAllConnected reports whether all living routers are connected to the discovery service.
 func (run *stepRun) areAllConnected() bool {
 	_, open, _, _ := run.player.deployment.DiscoveryRelay.Counts()
 	return open >= run.player.options.Routers-len(run.player.killed)
 }
 
-// checkInFlight holds the greatest number of fills in flight since the last sample against its bound.
+// checkInFlight compares the maximum of fills in flight since the last sample with its bound.
 func (run *stepRun) checkInFlight(inFlight int) {
 	total := run.player.result
 	bound := total.Limit + run.step.LimitSlack
@@ -130,11 +131,12 @@
 	total.inFlightCurve = append(total.inFlightCurve, plotter.XY{X: at, Y: float64(inFlight)})
 	total.boundCurve = append(total.boundCurve, plotter.XY{X: at, Y: float64(bound)})
 	if run.player.OriginFillsPerRouter > 0 && inFlight > bound && run.result.Fault == "" {
-		run.result.Fault = fmt.Sprintf("%d out at the head office %.2f s into it, %d may be", inFlight, run.elapsed(), bound)
+		run.result.Fault = fmt.Sprintf("%d fills in flight at the origin %.2f s into the step, bound %d",
+			inFlight, run.elapsed(), bound)
 	}
 }
 
-// flipPartitions cuts or heals the network where the step does so and the time for it has come.
+// flipPartitions applies or removes the partitions of a step with PartitionFlips when the next flip is due.
 func (run *stepRun) flipPartitions() error {
 	conditions := run.step.Conditions
 	if conditions == nil || conditions.PartitionFlips == 0 {
@@ -151,8 +153,8 @@
 	return run.player.setConditions(&next)
 }
 
-// judge counts what the step came to, and finds the first thing that fell short.
-func (run *stepRun) judge() {
+// evaluate fills in the figures of the step's result, and the first unmet condition.
+func (run *stepRun) evaluate() {
 	_, fills := run.player.deployment.RequestLog.OriginFills()
 	failedParentFills := run.failedParentFills()
 	run.result.Fills = fills - run.fillsBefore
@@ -160,32 +162,33 @@
 	run.result.MaxDials = run.player.deployment.DiscoveryRelay.MaxDialsWithin(run.dialsBefore, dialWindow)
 	run.result.DialBound = run.dialBound()
 	if run.result.Fault == "" {
-		run.result.Fault = run.shortfall(failedParentFills)
+		run.result.Fault = run.unmetCondition(failedParentFills)
 	}
 }
 
-// shortfall names the first of the step's conditions that does not hold; empty: all do.
-func (run *stepRun) shortfall(failedParentFills []string) string {
+// unmetCondition describes the first condition of the step that does not hold; empty: all hold.
+func (run *stepRun) unmetCondition(failedParentFills []string) string {
 	step := run.step
 	result := &run.result
 	switch {
 	case step.MaxFailedParentFills != nil && result.FailedParentFills > *step.MaxFailedParentFills:
-		return fmt.Sprintf("%d fills name an area cache %.1f s after it died, %d may: %s",
+		return fmt.Sprintf("%d fills name the dead parent more than %.1f s after its death, bound %d: %s",
 			result.FailedParentFills, step.SettleSeconds, *step.MaxFailedParentFills, strings.Join(failedParentFills, ", "))
 	case step.ChecksDials && result.MaxDials > result.DialBound:
-		return fmt.Sprintf("%d tries at the list service within %v, %d may be", result.MaxDials, dialWindow, result.DialBound)
+		return fmt.Sprintf("%d dials of the discovery service within %v, bound %d",
+			result.MaxDials, dialWindow, result.DialBound)
 	case step.MustReconnect && !run.hasEnded:
-		return "not all routers are back at the list service"
+		return "not all routers are connected to the discovery service"
 	case step.MustExceedFloors && !run.hasEnded:
-		return fmt.Sprintf("never more out than the %d of the floors", run.player.result.FloorSum)
+		return fmt.Sprintf("fills in flight did not exceed the floors of %d by the margin", run.player.result.FloorSum)
 	case step.MustFill && result.Fills == 0:
-		return "nothing was filled, though the floors are there"
+		return "no fill reached the origin, though the floors allow fills"
 	}
 	return ""
 }
 
-// failedParentFills lists the fills that named the first parent after the step had settled, each as its time from the
-// step's begin. There are none where the step states no bound.
+// failedParentFills returns the times, since the start of the step, of the fills that named the first parent after the
+// settle time; none if the step sets no bound on them.
 func (run *stepRun) failedParentFills() (times []string) {
 	if run.step.MaxFailedParentFills == nil {
 		return nil
@@ -199,7 +202,7 @@
 	return times
 }
 
-// dialBound is the bound of core/backoff on dials within dialWindow, for processes that run late.
+// dialBound returns the bound of core/backoff on dials within dialWindow, times lateProcessFactor.
 func (run *stepRun) dialBound() int {
 	routers := run.player.options.Routers
 	period := int(backoff.Schedule{FleetSize: routers}.Period()) // us
--- a/lab/scenario/wire_compat_test.go
+++ b/lab/scenario/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The file result.json of spanlab scenario run.
-func TestStoredResultIsReadAndWrittenAlike(t *testing.T) {
+// The form of result.json, as spanlab scenario run writes it, does not change. Every field is set.
+func TestStoredResultRoundTrip(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/result.json", " ", Result{
 		Scenario: "s1",
 		Routers:  2,
@@ -48,8 +48,8 @@
 	})
 }
 
-// A scenario, every field set.
-func TestStoredScenarioIsReadAndWrittenAlike(t *testing.T) {
+// The form of a scenario file does not change. Every field is set.
+func TestStoredScenarioRoundTrip(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/scenario.json", " ", Scenario{
 		Title:                 "s2",
 		OriginFillsPerRouter:  3.5,
--- a/lab/scenario/write.go
+++ b/lab/scenario/write.go
@@ -12,14 +12,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of the chart.
+// Chart dimensions.
 const (
 	chartWidth  = 24 * vg.Centimeter
 	chartHeight = 11 * vg.Centimeter
 )
 
-// Write puts result.json, table.md and a chart of the fills in flight beside their bound into a folder, which is made
-// if need be.
+// Write writes result.json, table.md and a chart of the fills in flight and their bound to a folder, which it creates
+// if necessary.
 func (r *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("--out: %w", err)
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// table is the text of table.md.
+// table returns the text of table.md.
 func (r *Result) table() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "# %s: %d routers, seed %d\n\n", r.Scenario, r.Routers, r.Seed)
-	fmt.Fprintf(&b, "Limit %d, of it floors %d. Most out at the head office at once, by its own request log.\n\n",
+	fmt.Fprintf(&b, "Limit %d, sum of floors %d. Fills in flight are those at the origin, by its request log.\n\n",
 		r.Limit, r.FloorSum)
-	b.WriteString("Tries are at the list service, the most within 100 ms.\n\n")
-	b.WriteString("| step | most out | may be | fills | tries | may be | named | s | |\n")
+	b.WriteString("Dials are the maximum at the discovery service within any 100 ms.\n\n")
+	b.WriteString("| step | max in flight | bound | fills | dials | bound | fills naming the dead parent | s | |\n")
 	b.WriteString("|---|---|---|---|---|---|---|---|---|\n")
 	for _, step := range r.Steps {
 		verdict := step.Fault
@@ -60,14 +60,14 @@
 	return b.Bytes()
 }
 
-// saveChart draws the fills in flight and their bound over time.
+// saveChart plots the fills in flight and their bound over time.
 func (r *Result) saveChart(file string) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("Fills at the head office, %d routers", r.Routers)
+	p.Title.Text = fmt.Sprintf("Fills in flight at the origin, %d routers", r.Routers)
 	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = "out at once, by its request log"
+	p.Y.Label.Text = "fills in flight, by the request log"
 	p.Y.Min = 0
-	if err := plotutil.AddLines(p, "out", r.inFlightCurve, "may be", r.boundCurve); err != nil {
+	if err := plotutil.AddLines(p, "in flight", r.inFlightCurve, "bound", r.boundCurve); err != nil {
 		return err
 	}
 	return p.Save(chartWidth, chartHeight, file)
--- a/lab/statistics.go
+++ b/lab/statistics.go
@@ -8,14 +8,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// upperQuantile bounds the upper tail of a two-sided interval of 95%.
+// upperQuantile is the quantile at the upper end of a two-sided 95% interval.
 const upperQuantile = 0.975
 
-// Interval is a mean with its 95% interval: from Mean-HalfWidth to Mean+HalfWidth. HalfWidth is 0 where one value alone
-// tells of no spread.
+// Interval is a mean with its 95% confidence interval, from Mean-HalfWidth to Mean+HalfWidth. HalfWidth is 0 if there
+// are too few values to estimate it.
 type Interval struct{ Mean, HalfWidth float64 }
 
-// meanInterval returns the mean of values with its t interval.
+// meanInterval returns the mean of values with its t interval; the mean of no values is NaN.
 func meanInterval(values []float64) Interval {
 	mean, deviation := stat.MeanStdDev(values, nil)
 	if len(values) < 2 {
@@ -25,7 +25,7 @@
 	return Interval{mean, t * deviation / math.Sqrt(float64(len(values)))}
 }
 
-// differenceOfMeans returns Welch's interval for the mean of b less that of a.
+// differenceOfMeans returns the mean of b minus the mean of a, with Welch's interval.
 func differenceOfMeans(a, b []float64) Interval {
 	meanA, varianceA := stat.MeanVariance(a, nil)
 	meanB, varianceB := stat.MeanVariance(b, nil)
@@ -36,13 +36,13 @@
 	errorA := varianceA / float64(len(a)) // squared standard errors
 	errorB := varianceB / float64(len(b))
 	sum := errorA + errorB
-	freedom := sum * sum / (errorA*errorA/float64(len(a)-1) + errorB*errorB/float64(len(b)-1))
-	t := distuv.StudentsT{Sigma: 1, Nu: freedom}.Quantile(upperQuantile)
+	degreesOfFreedom := sum * sum / (errorA*errorA/float64(len(a)-1) + errorB*errorB/float64(len(b)-1))
+	t := distuv.StudentsT{Sigma: 1, Nu: degreesOfFreedom}.Quantile(upperQuantile)
 	difference.HalfWidth = t * math.Sqrt(sum)
 	return difference
 }
 
-// String is empty for a figure that an arm or day has not.
+// String returns the mean and the half-width. It is empty if the mean is NaN: the arm or day lacks the figure.
 func (i Interval) String() string {
 	if math.IsNaN(i.Mean) {
 		return ""
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("%.4g ± %.2g", i.Mean, i.HalfWidth)
 }
 
-// figureOfSeeds returns a figure of each outcome that has it.
+// figureOfSeeds returns the values of a figure in the outcomes that have it.
 func figureOfSeeds(outcomes []*Outcome, name string) (values []float64) {
 	for _, outcome := range outcomes {
 		if value, err := outcome.Figure(name); err == nil {
--- a/lab/trials.go
+++ b/lab/trials.go
@@ -8,7 +8,7 @@
 	"spantack/emulator"
 )
 
-// runTopologyTrial runs a trial of topologies: a run for each guard against cycles.
+// runTopologyTrial runs a trial of topologies, with one run for each guard against cycles.
 func (e *Experiment) runTopologyTrial(size string, seed uint64, progress func(done, all int)) (*Outcome, error) {
 	trial, known := e.TopologyTrials[size]
 	if !known {
@@ -41,22 +41,22 @@
 	return e.newOutcome(size, seed, runs)
 }
 
-// runOriginLimitTrial runs a trial of limits at the origin: each arm on each day.
+// runOriginLimitTrial runs a trial of limits at the origin, with one run for each arm and day.
 func (e *Experiment) runOriginLimitTrial(size string, seed uint64, progress func(done, all int)) (*Outcome, error) {
 	trial, known := e.OriginLimitTrials[size]
 	if !known {
 		return nil, unknownSize(size)
 	}
 	run := func(arm Arm, day Day) (*emulator.OriginLimitResult, error) {
-		own := trial
-		own.Algorithm = arm.Algorithm
-		own.Burst = arm.Burst
-		own.BrownoutCapacity = day.BrownoutCapacity
-		own.BrownoutStartSeconds = day.BrownoutStartSeconds
-		own.BrownoutDurationSeconds = day.BrownoutDurationSeconds
-		own.FailedFraction = day.FailedFraction
-		own.FailureSeconds = day.FailureSeconds
-		return own.Run(seed)
+		armTrial := trial
+		armTrial.Algorithm = arm.Algorithm
+		armTrial.Burst = arm.Burst
+		armTrial.BrownoutCapacity = day.BrownoutCapacity
+		armTrial.BrownoutStartSeconds = day.BrownoutStartSeconds
+		armTrial.BrownoutDurationSeconds = day.BrownoutDurationSeconds
+		armTrial.FailedFraction = day.FailedFraction
+		armTrial.FailureSeconds = day.FailureSeconds
+		return armTrial.Run(seed)
 	}
 	runs, err := runTrial(e, run, originLimitFigures)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return e.newOutcome(size, seed, runs)
 }
 
-// originLimitFigures are the figures of a trial of limits at the origin.
+// originLimitFigures returns the figures of a trial of limits at the origin.
 func originLimitFigures(result *emulator.OriginLimitResult) map[string]float64 {
 	operations := float64(max(result.Operations, 1))
 	return map[string]float64{
@@ -87,21 +87,21 @@
 	}
 }
 
-// runFleetLimitTrial runs a trial of a limit that a fleet shares: each arm on each day.
+// runFleetLimitTrial runs a trial of a limit shared by a fleet, with one run for each arm and day.
 func (e *Experiment) runFleetLimitTrial(size string, seed uint64, progress func(done, all int)) (*Outcome, error) {
 	trial, known := e.FleetLimitTrials[size]
 	if !known {
 		return nil, unknownSize(size)
 	}
 	run := func(arm Arm, day Day) (*emulator.FleetLimitResult, error) {
-		own := trial
-		own.Method = arm.Method
-		own.Partitions = day.Partitions
-		own.PartitionSeconds = day.PartitionSeconds
-		own.PartitionDurationSeconds = day.PartitionDurationSeconds
-		own.FailedFraction = day.FailedFraction
-		own.LossRatio += day.ExtraLossRatio
-		return own.Run(seed)
+		armTrial := trial
+		armTrial.Method = arm.Method
+		armTrial.Partitions = day.Partitions
+		armTrial.PartitionSeconds = day.PartitionSeconds
+		armTrial.PartitionDurationSeconds = day.PartitionDurationSeconds
+		armTrial.FailedFraction = day.FailedFraction
+		armTrial.LossRatio += day.ExtraLossRatio
+		return armTrial.Run(seed)
 	}
 	runs, err := runTrial(e, run, fleetLimitFigures)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return e.newOutcome(size, seed, runs)
 }
 
-// fleetLimitFigures are the figures of a trial of a limit that a fleet shares.
+// fleetLimitFigures returns the figures of a trial of a limit shared by a fleet.
 func fleetLimitFigures(result *emulator.FleetLimitResult) map[string]float64 {
 	return map[string]float64{
 		"over":    roundFigure(result.MaxGranted),
@@ -125,7 +125,7 @@
 	}
 }
 
-// runTrial runs a trial for each arm on each day, as many at once as there are CPUs, and returns the runs with their
+// runTrial runs a trial for each arm on each day, GOMAXPROCS of them at a time, and returns the runs with their
 // figures.
 func runTrial[R any](e *Experiment, run func(Arm, Day) (R, error), figures func(R) map[string]float64) ([]Run, error) {
 	runs := e.newRuns()
--- a/lab/wire_compat_test.go
+++ b/lab/wire_compat_test.go
@@ -10,8 +10,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The file result.json of spanlab run, every field set.
-func TestStoredOutcomesAreReadAndWrittenAlike(t *testing.T) {
+// The form of result.json, as spanlab run writes it, does not change. Every field is set.
+func TestStoredOutcomesRoundTrip(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/outcomes.json", " ", []*Outcome{
 		{
 			Experiment: "s1",
@@ -90,8 +90,8 @@
 	})
 }
 
-// The result of spanlab run bench-day --seed 41 --size small is read, and Write puts the same bytes into its folder.
-func TestStoredResultIsReadAndWrittenAlike(t *testing.T) {
+// A stored result of spanlab run bench-day --seed 41 --size small can be read, and Write reproduces it byte for byte.
+func TestStoredResultRoundTrip(t *testing.T) {
 	want, err := os.ReadFile("testdata/bench-day.json")
 	if err != nil {
 		t.Fatal(err)
@@ -118,12 +118,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("written as %s, want %s", got, want)
+		t.Errorf("result.json written as %s, want %s", got, want)
 	}
 }
 
-// A file under experiments with every field set, also those of the emulator's worlds.
-func TestStoredExperimentIsReadAndWrittenAlike(t *testing.T) {
+// The form of an experiment file does not change. Every field is set, including those of the emulator's worlds.
+func TestStoredExperimentRoundTrip(t *testing.T) {
 	e := testfixture.ReadBack[Experiment](t, "testdata/experiment.json", " ")
 	world := e.Sizes["s3"]
 	if e.Title != "s2" || world.Seed != 4 || world.DurationSeconds != 26.5 || world.Cells.OverflowCell != "s30" {
