--- a/lab/process/admin_test.go
+++ b/lab/process/admin_test.go
@@ -19,7 +19,7 @@
 
 const logTime = "15:04:05.000000"
 
-// adminStatus makes a call to a router's admin API and returns its status.
+// adminStatus makes a call to a router's admin API and returns the HTTP status.
 func adminStatus(t *testing.T, r *Router, method, path string) int {
 	t.Helper()
 	status, _, err := callAdmin(contextWithLimit(t, callTimeout, "a call"), r, method, path)
@@ -29,7 +29,7 @@
 	return status
 }
 
-// mustCall makes a call that has to succeed.
+// mustCall makes a call that must succeed and returns the body of the response.
 func mustCall(t *testing.T, r *Router, method, path string) string {
 	t.Helper()
 	status, body, err := callAdmin(contextWithLimit(t, callTimeout, "a call"), r, method, path)
@@ -39,7 +39,7 @@
 	return body
 }
 
-// readMetrics reads the lines of the admin API's telemetry.
+// readMetrics returns the values of the admin API's telemetry by name.
 func readMetrics(t *testing.T, r *Router) map[string]int {
 	t.Helper()
 	metrics := map[string]int{}
@@ -48,7 +48,7 @@
 		text, kind, typed := strings.Cut(rest, "|")
 		value, err := strconv.Atoi(text)
 		if !found || !typed || err != nil || kind != "c" && kind != "g" {
-			t.Fatalf("line %q", line)
+			t.Fatalf("telemetry line %q", line)
 		}
 		metrics[name] = value
 	}
@@ -66,16 +66,16 @@
 	return client
 }
 
-// requestFor is a request for the object of family 0 with a number.
+// requestFor returns a request for an object of family 0.
 func requestFor(id, class string, object int) router.Request {
 	return router.Request{ID: id, Class: class, Object: ObjectName(0, object), SizeKB: objectKB,
 		ClientTimeout: clientTimeoutMillis}
 }
 
-// A router is replaced three times under load, with one cache excluded before the first and included after the second:
-// every request has one right answer, none meets a closed door, no two attempts are out at once, and of requests sent
-// between the answers to the two calls none reaches that cache, in whichever process.
-func TestRouterReplacedWhileServing(t *testing.T) {
+// A router is replaced three times under load. One cache is excluded before the first replacement and included after
+// the second. Every request gets one correct response, no connection is refused, and no two attempts of a request
+// overlap. Requests sent while the cache is excluded do not reach it from any of the processes.
+func TestRouterReplacementLosesNoRequest(t *testing.T) {
 	const requests = 6000
 	d := startDeployment(t, Options{Routers: 1, EdgeCaches: 4, ResponseDelay: time.Millisecond, HasAdminAPI: true})
 	var sent atomic.Int64
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// One sent in time may reach a router after the call, on a busy machine.
+		// On a busy machine, a request sent before the call to include may reach a router after it.
 		switch {
 		case number >= firstExcluded && request.ArrivedAt.Before(includedAt):
 			between++
@@ -127,16 +127,17 @@
 		}
 	}
 	if between > 0 {
-		t.Errorf("%d attempts at %s while it was out, requests %d to %d", between, excluded, firstExcluded, lastExcluded)
+		t.Errorf("%d attempts at %s while it was excluded, requests %d to %d", between, excluded, firstExcluded, lastExcluded)
 	}
 	if after == 0 {
-		t.Errorf("%s got nothing after the call back", excluded)
+		t.Errorf("%s got no request after it was included", excluded)
 	}
 	waitForLog(t, d.Routers[0], "taking over")
-	t.Logf("%d sent again, %d of %d requests while one was out", total.Resent, lastExcluded-firstExcluded, requests)
+	t.Logf("%d sent again, %d of %d requests while a cache was excluded",
+		total.Resent, lastExcluded-firstExcluded, requests)
 }
 
-// mustReplaceRouter replaces the only router.
+// mustReplaceRouter replaces the process of the only router.
 func mustReplaceRouter(t *testing.T, d *Deployment) {
 	t.Helper()
 	startedAt := time.Now()
@@ -148,7 +149,7 @@
 	}
 }
 
-// requestsInvolving lists the requests that reached a server, or that had a fill asked of it.
+// requestsInvolving returns the requests that reached a server or that named it for the fill.
 func requestsInvolving(d *Deployment, server string) (found []cache.Request) {
 	for _, request := range d.RequestLog.Requests() {
 		if request.Server == server || request.FillFrom == server {
@@ -158,16 +159,16 @@
 	return found
 }
 
-// The metrics are what clients and servers saw; an id that nobody knows is not found.
+// The metrics agree with the outcomes that clients and servers saw. Excluding an unknown id fails with status 404.
 func TestMetricsMatchClients(t *testing.T) {
 	const requests = 1500
 	d := startDeployment(t, Options{Routers: 1, EdgeCaches: 3, ResponseDelay: time.Millisecond, HasAdminAPI: true})
 	r := d.Routers[0]
 	if status := adminStatus(t, r, http.MethodPut, "/api/exclude/s-00000000"); status != http.StatusNotFound {
-		t.Errorf("an unknown id: %d", status)
+		t.Errorf("excluding an unknown id: status %d", status)
 	}
-	// The list comes from the discovery service alone, after the router is ready.
-	waitUntil(t, "list", func() bool { return readMetrics(t, r)["app.discovered"] == 3 })
+	// The endpoint list comes only from the discovery service, after the router is ready.
+	waitUntil(t, "the endpoint list", func() bool { return readMetrics(t, r)["app.discovered"] == 3 })
 	mustCall(t, r, http.MethodPut, "/api/exclude/"+d.EdgeCaches[0].Name())
 	result := mustRunLoad(t, d, Load{
 		Seed:             12,
@@ -183,7 +184,7 @@
 		wants := map[string]int{"succeeded": tally.Served, "declined": tally.Rejected, "aborted": tally.Failed}
 		for name, want := range wants {
 			if got := metrics["app.results."+class+"."+name]; got != want {
-				t.Errorf("%s %s: %d told, clients had %d", class, name, got, want)
+				t.Errorf("%s %s: metric %d, clients counted %d", class, name, got, want)
 			}
 		}
 	}
@@ -194,16 +195,16 @@
 		"app.sighup_applied":  0,
 		"app.sighup_rejected": 0,
 	} {
-		if got, told := metrics[name]; got != want || !told {
+		if got, reported := metrics[name]; got != want || !reported {
 			t.Errorf("%s: %d, want %d", name, got, want)
 		}
 	}
-	waitUntil(t, "forwards", func() bool { // may lag behind the answer
+	waitUntil(t, "app.forwards", func() bool { // may lag behind the response
 		return readMetrics(t, r)["app.forwards"] == len(d.RequestLog.Requests())
 	})
 }
 
-// classDocument is a class in the settings of a configuration.
+// classDocument returns the settings of a request class. Times are in microseconds.
 func classDocument(name string, objective, deadline, objectiveSizeFactor int) map[string]any {
 	return map[string]any{
 		"Name":        name,
@@ -218,29 +219,29 @@
 	}
 }
 
-// permissionsOf returns the permissions in a configuration.
+// permissionsOf returns the permissions of a configuration document.
 func permissionsOf(doc map[string]any) map[string]any {
 	return settingsOf(doc)["Permissions"].(map[string]any)
 }
 
-// invalidEdits are changes of a configuration that make it one that can't be used.
+// invalidEdits are changes that make a configuration invalid, by description.
 var invalidEdits = map[string]func(doc map[string]any){
-	"a key of the document": func(doc map[string]any) {
+	"missing settings": func(doc map[string]any) {
 		delete(doc, "settings")
 		doc["board"] = "127.0.0.1:9"
 	},
-	"a key of Permissions": func(doc map[string]any) { delete(permissionsOf(doc), "MaxAttempts") },
-	"a deadline below 0": func(doc map[string]any) {
+	"missing MaxAttempts": func(doc map[string]any) { delete(permissionsOf(doc), "MaxAttempts") },
+	"negative deadline": func(doc map[string]any) {
 		settingsOf(doc)["Classes"] = []any{classDocument("x", 1, -5, 1)}
 		doc["board"] = "127.0.0.1:9"
 	},
-	"attempts that are no number": func(doc map[string]any) { permissionsOf(doc)["MaxAttempts"] = "many" },
-	"no attempts":                 func(doc map[string]any) { permissionsOf(doc)["MaxAttempts"] = 0 },
+	"MaxAttempts not a number": func(doc map[string]any) { permissionsOf(doc)["MaxAttempts"] = "many" },
+	"MaxAttempts 0":            func(doc map[string]any) { permissionsOf(doc)["MaxAttempts"] = 0 },
 }
 
-// A file that can't be used is refused whole: neither its classes nor its discovery address hold. A good one holds for
-// requests that come.
-func TestSettingsReload(t *testing.T) {
+// An invalid configuration is rejected as a whole: neither its classes nor its discovery address take effect. A valid
+// one applies to the requests that follow.
+func TestSettingsReloadIsAllOrNothing(t *testing.T) {
 	d := startDeployment(t, Options{Routers: 1, EdgeCaches: 2, HasAdminAPI: true})
 	r := d.Routers[0]
 	reload := func(edit func(doc map[string]any)) {
@@ -253,7 +254,7 @@
 	checkOutcome := func(number int, class string, want router.Outcome, what string) {
 		t.Helper()
 		request := requestFor(fmt.Sprintf("%016x", number), class, number)
-		response, err := dialRouter(t, r).Do(contextWithLimit(t, callTimeout, "an answer"), request)
+		response, err := dialRouter(t, r).Do(contextWithLimit(t, callTimeout, "a response"), request)
 		if err != nil || response.Outcome != want {
 			t.Errorf("%s: %+v, %v", what, response, err)
 		}
@@ -264,15 +265,15 @@
 		rejected++
 		waitUntil(t, name, func() bool { return readMetrics(t, r)["app.sighup_rejected"] == rejected })
 	}
-	checkOutcome(1, classCatalogue, router.Served, "after files that were turned down")
+	checkOutcome(1, classCatalogue, router.Served, "after invalid configurations")
 	reload(func(doc map[string]any) {
 		classes := settingsOf(doc)["Classes"].([]any)
 		settingsOf(doc)["Classes"] = append(classes[:1], classDocument("price", 400_000, 3_000_000, 2))
 		permissionsOf(doc)["MaxAttempts"] = 2
 	})
-	waitUntil(t, "a good file", func() bool { return readMetrics(t, r)["app.sighup_applied"] == 1 })
+	waitUntil(t, "the valid configuration", func() bool { return readMetrics(t, r)["app.sighup_applied"] == 1 })
 	checkOutcome(2, "price", router.Served, "a new class")
-	checkOutcome(3, classCatalogue, router.Failed, "a class that was dropped")
+	checkOutcome(3, classCatalogue, router.Failed, "a removed class")
 	for name, want := range map[string]int{
 		"app.sighup_rejected":             rejected,
 		"app.results.price.succeeded":     1,
@@ -284,8 +285,8 @@
 	}
 }
 
-// A drained router is not ready at both addresses, answers what it had, closes its clients' connections and runs on;
-// then it rejoins and works again.
+// A drained router reports at both addresses that it is not ready, responds to its open requests, closes the
+// connections of its clients and keeps running. After it rejoins it serves requests again.
 func TestDrainAndRejoin(t *testing.T) {
 	d := startDeployment(t, Options{
 		Routers:       1,
@@ -294,45 +295,45 @@
 		HasAdminAPI:   true,
 	})
 	r := d.Routers[0]
-	checkWorks(t, d, 13)
+	checkServesRequests(t, d, 13)
 	before := len(d.RequestLog.Requests())
 	client := dialRouter(t, r)
 	responses := make(chan router.Response, 1)
 	go func() {
 		request := requestFor("0000000000000001", classVideo, 1)
-		response, err := client.Do(contextWithLimit(t, callTimeout, "an answer"), request)
+		response, err := client.Do(contextWithLimit(t, callTimeout, "a response"), request)
 		if err != nil {
 			t.Error(err)
 		}
 		responses <- response
 	}()
-	waitUntil(t, "a request out", func() bool { return len(d.RequestLog.Requests()) > before })
+	waitUntil(t, "the request to reach a server", func() bool { return len(d.RequestLog.Requests()) > before })
 	mustCall(t, r, http.MethodPut, "/api/evacuate")
 	if status := adminStatus(t, r, http.MethodGet, "/api/ready"); status != http.StatusServiceUnavailable {
-		t.Errorf("ready while it is emptied: %d", status)
+		t.Errorf("readiness while drained: status %d", status)
 	}
-	response := testwait.Receive(t, responses, "the answer to the open request")
+	response := testwait.Receive(t, responses, "the response to the open request")
 	if response.Outcome != router.Served {
-		t.Errorf("what was open got %+v", response)
+		t.Errorf("response to the open request: %+v", response)
 	}
-	waitUntil(t, "the connection closed", func() bool {
+	waitUntil(t, "the connection to close", func() bool {
 		_, err := client.Ready(contextWithLimit(t, callTimeout, "health"))
 		return errors.Is(err, msgpackrpc.ErrClosed)
 	})
 	isReady, err := dialRouter(t, r).Ready(contextWithLimit(t, callTimeout, "health"))
 	if err != nil || isReady {
-		t.Errorf("to the front: %v, %v", isReady, err)
+		t.Errorf("drained router at its client address: ready %v, %v", isReady, err)
 	}
 	mustCall(t, r, http.MethodPut, "/api/rejoin")
 	mustCall(t, r, http.MethodGet, "/api/ready")
-	checkWorks(t, d, 14)
+	checkServesRequests(t, d, 14)
 	if metrics := readMetrics(t, r); metrics["app.outstanding"] != 0 {
-		t.Errorf("figures %v", metrics)
+		t.Errorf("app.outstanding is not 0: %v", metrics)
 	}
 }
 
-// checkWorks checks that the routers answer 50 requests, and serve some.
-func checkWorks(t *testing.T, d *Deployment, seed uint64) {
+// checkServesRequests checks that the routers respond to 50 requests and serve some of them.
+func checkServesRequests(t *testing.T, d *Deployment, seed uint64) {
 	t.Helper()
 	total := mustRunLoad(t, d, Load{
 		Seed:             seed,
@@ -343,6 +344,6 @@
 		ObjectsPerFamily: 5,
 	}).Total()
 	if total.Served+total.Rejected+total.Failed != 50 || total.Served == 0 {
-		t.Errorf("at work: %+v", total)
+		t.Errorf("outcomes of 50 requests: %+v", total)
 	}
 }
--- a/lab/process/cells_test.go
+++ b/lab/process/cells_test.go
@@ -12,10 +12,10 @@
 	"spantack/standin/cache"
 )
 
-// loudFamily begins the names of the objects of the tenant "loud".
+// loudFamily is the prefix of the object names of the tenant "loud".
 const loudFamily = "00"
 
-// cellsFeatures is a features file that puts four families into two cells; a version in the other order exchanges them.
+// cellsFeatures returns a features file that assigns the tenants "loud" and "rest" to cells "one" and "two".
 func cellsFeatures(t *testing.T, version int64, loudCell, restCell string) string {
 	t.Helper()
 	spec := cells.Spec{
@@ -33,8 +33,8 @@
 	return string(text)
 }
 
-// Three routers, a flood by one tenant whose caches also fail now and then: no request of any tenant reaches a cache
-// outside its cell, every request has one right answer, and no two attempts of one were out at once.
+// One tenant floods three routers, and some of its requests fail at the caches. No request of any tenant reaches a
+// cache outside its cell, every request gets one correct response, and no two attempts of a request overlap.
 func TestFloodIsConfinedToItsCell(t *testing.T) {
 	const requests = 3000
 	text := cellsFeatures(t, 1, "one", "two")
@@ -70,7 +70,7 @@
 			t.Errorf("family %d: %d failed", family+1, tally.Failed)
 		}
 	}
-	for _, r := range d.Routers { // what a plan is made from is in the log
+	for _, r := range d.Routers { // the log has the demand by tenant, which plans are based on
 		signal(t, r, syscall.SIGUSR1)
 		waitForLog(t, r, `"name":"loud"`)
 	}
@@ -93,15 +93,15 @@
 	checkNoOverlaps(t, d)
 }
 
-// SIGHUP under load: a file that can't be used changes nothing, a good one moves the tenants to each other's cells, and
-// no request is lost on the way.
-func TestCellsChangeInService(t *testing.T) {
+// Features files are reloaded on SIGHUP under load. An invalid file changes nothing. A valid one exchanges the cells of
+// the two tenants, and no request is lost.
+func TestCellsReloadLosesNoRequest(t *testing.T) {
 	before := cellsFeatures(t, 1, "one", "two")
 	after := cellsFeatures(t, 2, "two", "one")
 	d := startDeployment(t, Options{Routers: 2, EdgeCaches: 4, ResponseDelay: time.Millisecond, Features: before})
-	// maxInFlight is less than half of a router's first concurrency limit of 10 at a cache: a cell's caches are never
-	// full, and no late response reduces their limits. Where processes wait for a CPU, requests sent by the clock pile
-	// up past the limit and are rejected, as they should be.
+	// maxInFlight is less than half of a router's initial concurrency limit of 10 at a cache. So the caches of a cell
+	// are never full, and no late response reduces their limits. Without this bound, on a busy machine, requests sent
+	// on a timer would exceed the limit and be rejected, correctly.
 	const maxInFlight = 4
 	load := func(seed uint64, requests int) Load {
 		return Load{Seed: seed, Requests: requests, Interval: time.Millisecond, ConnsPerRouter: 2,
@@ -110,7 +110,7 @@
 	checkServed := func(seed uint64) {
 		t.Helper()
 		if total := mustRunLoad(t, d, load(seed, 300)).Total(); total.Served != 300 {
-			t.Errorf("answers: %+v", total)
+			t.Errorf("outcomes of 300 requests: %+v", total)
 		}
 	}
 	checkServed(1)
@@ -118,19 +118,19 @@
 	checkServed(2)
 	got := cellsReached(d.RequestLog.Requests(), cellByCache(t, d, before))
 	if !got["loud"]["one"] || got["loud"]["two"] || got["rest"]["one"] {
-		t.Errorf("before: %v", got)
+		t.Errorf("cells reached before the change: %v", got)
 	}
 
 	ended := startLoad(t, d, load(3, 600))
 	reloadFeatures(t, d, after, `"cells":2`)
 	if total := waitForLoad(t, ended).Total(); total.Served != 600 {
-		t.Errorf("while it changed: %+v", total)
+		t.Errorf("outcomes of 600 requests during the change: %+v", total)
 	}
 	from := len(d.RequestLog.Requests())
 	checkServed(4)
 	got = cellsReached(d.RequestLog.Requests()[from:], cellByCache(t, d, before))
 	if !got["loud"]["two"] || got["loud"]["one"] || got["rest"]["two"] {
-		t.Errorf("after: %v", got)
+		t.Errorf("cells reached after the change: %v", got)
 	}
 }
 
--- a/lab/process/coldcaches_test.go
+++ b/lab/process/coldcaches_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// coldBudget is what the settings allow a cache that started a while ago, in requests of mean work.
+// coldBudget is the load that the settings allow for a cache in slow start, in requests of mean size.
 type coldBudget struct {
-	initialShare      float64       // capacity at the start, as a part of the whole
-	slowStart         time.Duration // until it is warm
-	overloadMultiple  float64       // how many times its present capacity it bears
-	overloadWindow    time.Duration // and for how long
-	requestsPerWindow float64       // that a warm cache works off in a window
+	initialShare      float64       // capacity at the start, as a fraction of the full capacity
+	slowStart         time.Duration // duration of the slow start
+	overloadMultiple  float64       // load that a cache tolerates, as a multiple of its current capacity
+	overloadWindow    time.Duration // duration for which it tolerates that load
+	requestsPerWindow float64       // that a warm cache serves in overloadWindow
 }
 
-// newColdBudget reads the budget from the settings, for requests of a mean size.
+// newColdBudget returns the budget that the settings define, for requests of a mean size.
 func newColdBudget(settings map[string]any, meanKB float64) coldBudget {
 	guarantees := settings["Guarantees"].(map[string]any)
 	micros := func(name string) time.Duration { return time.Duration(guarantees[name].(int)) * time.Microsecond }
@@ -33,15 +33,16 @@
 	}
 }
 
-// maxRequests is the most that a cache may get within a window that begins at an age: the budget of the window's
-// beginning, which is the least in it, and what chance may add.
+// maxRequests returns the maximum of requests that a cache may get in a window that begins at an age of the cache. It
+// is the budget at the beginning of the window, where it is lowest, plus a margin of two standard deviations for
+// chance.
 func (b coldBudget) maxRequests(age time.Duration) int {
 	capacity := min(b.initialShare+(1-b.initialShare)*max(age.Seconds(), 0)/b.slowStart.Seconds(), 1)
 	requests := b.overloadMultiple * capacity * b.requestsPerWindow
 	return int(requests + 2*math.Sqrt(requests) + 2)
 }
 
-// windowCounts is, for each of some times in order, how many there are within the window that begins with it.
+// windowCounts returns, for each of the sorted times, the number of times in the window that begins with it.
 func windowCounts(times []time.Time, window time.Duration) []int {
 	counts := make([]int, len(times))
 	last := 0
@@ -54,7 +55,8 @@
 	return counts
 }
 
-// burst is a load of one class, more than cold caches bear. The sizes of its objects are spread evenly.
+// burst is a load of one class that exceeds the capacity of cold caches. The sizes of its objects are evenly
+// distributed.
 type burst struct {
 	requests, objects int
 	interval          time.Duration
@@ -63,7 +65,7 @@
 
 func (b burst) meanKB() float64 { return float64(b.minKB+b.maxKB) / 2 }
 
-// burstClients are the clients of a burst: two connections to each router, opened anew where one was closed.
+// burstClients returns two clients for each router, which reconnect when their connection is closed.
 func burstClients(d *Deployment) (clients []*loadClient) {
 	for _, r := range d.Routers {
 		for range 2 {
@@ -73,7 +75,7 @@
 	return clients
 }
 
-// send sends a burst and returns what became of its requests.
+// send sends a burst, closes the clients and returns the outcomes of the requests.
 func (b burst) send(t *testing.T, clients []*loadClient) (sum Tally) {
 	t.Helper()
 	defer func() {
@@ -105,7 +107,7 @@
 	return sum
 }
 
-// arrivalsByServer returns the times of the requests that reached each server, in order.
+// arrivalsByServer returns the sorted arrival times of the requests at each server.
 func arrivalsByServer(d *Deployment) map[string][]time.Time {
 	arrivals := map[string][]time.Time{}
 	for _, request := range d.RequestLog.Requests() {
@@ -114,8 +116,8 @@
 	return arrivals
 }
 
-// checkColdBudget judges the arrivals at a cold cache, in order: those within any window, against the budget of the
-// window's beginning.
+// checkColdBudget checks that the number of arrivals at a cold cache in any window is within the budget at the
+// beginning of the window. arrivals must be sorted.
 func checkColdBudget(t *testing.T, name string, arrivals []time.Time, startedAt time.Time, budget coldBudget) {
 	t.Helper()
 	worst := 0.0
@@ -124,32 +126,33 @@
 		bound := budget.maxRequests(age)
 		worst = max(worst, float64(got)/float64(bound))
 		if got > bound {
-			t.Errorf("%s: %d calls within %v from %v after its start, %d may be",
+			t.Errorf("%s: %d requests within %v from %v after its start, bound %d",
 				name, got, budget.overloadWindow, age, bound)
 			break
 		}
 	}
-	t.Logf("%s: %d calls, at most %.2f of the bound, which begins at %d",
+	t.Logf("%s: %d requests, at most %.2f of the bound, which is %d at the start",
 		name, len(arrivals), worst, budget.maxRequests(0))
 }
 
-// coldCaches is how many of the edge caches of a test come back cold.
+// coldCaches is the number of edge caches that a test replaces by cold ones.
 const coldCaches = 2
 
-// coldCacheTest is a case of TestColdCachesKeepTheirBudgetUnderAllProcesses.
+// coldCacheTest is a case of TestColdCachesStayWithinBudget.
 type coldCacheTest struct {
 	name    string
 	options Options
 	load    burst
-	// restarted is the part of the routers that are killed and start anew while most of the first budget has been sent.
+	// restarted is the fraction of the routers that are killed and restarted when most of the initial budget has been
+	// used.
 	restarted float64
 }
 
-// Two of eight caches come back cold under a burst that gives each cache more than a cold one bears. All that reaches
-// them from all processes within any window of the settings' length, by the caches' request logs, is within the budget
-// of the settings, and beyond it what chance adds; also where objects take two and six times as long to send as the
-// settings of their class suggest, so that routers must learn it.
-func TestColdCachesKeepTheirBudgetUnderAllProcesses(t *testing.T) {
+// Two of eight caches are replaced by cold ones during a burst that would overload a cold cache. The requests that
+// reach them from all processes in any overload window, by the caches' request logs, stay within the budget of the
+// settings, with a margin for chance. This also holds if objects take two or six times as long to send as the settings
+// of their class suggest, so that routers must learn it.
+func TestColdCachesStayWithinBudget(t *testing.T) {
 	twofold := burst{requests: 1400, objects: 600, interval: 3 * time.Millisecond, minKB: 100, maxKB: 700}
 	sixfold := burst{requests: 1400, objects: 600, interval: 3 * time.Millisecond, minKB: 60, maxKB: 2340}
 	withGossip := Options{
@@ -161,8 +164,8 @@
 	for _, test := range []coldCacheTest{
 		{"twenty processes", Options{Routers: 20}, twofold, 0},
 		{"thirty processes", Options{Routers: 30}, sixfold, 0},
-		{"thirty processes, seven in ten start anew", Options{Routers: 30}, sixfold, 0.7},
-		{"thirty processes with datagrams", withGossip, sixfold, 0},
+		{"thirty processes, seven in ten restarted", Options{Routers: 30}, sixfold, 0.7},
+		{"thirty processes with gossip", withGossip, sixfold, 0},
 	} {
 		t.Run(test.name, test.run)
 	}
@@ -175,7 +178,7 @@
 	sent := make(chan Tally, 1)
 	clients := burstClients(d)
 	go func() { sent <- test.load.send(t, clients) }()
-	time.Sleep(300 * time.Millisecond) // the burst is there before
+	time.Sleep(300 * time.Millisecond) // so that the burst has begun
 	startedAt := map[string]time.Time{}
 	for i := range coldCaches {
 		before := time.Now()
@@ -190,24 +193,24 @@
 	budget := newColdBudget(Settings(test.options.Routers), test.load.meanKB())
 	arrivals := arrivalsByServer(d)
 	used := 0
-	for name, begun := range startedAt {
+	for name, start := range startedAt {
 		used += len(arrivals[name])
-		checkColdBudget(t, name, arrivals[name], begun, budget)
+		checkColdBudget(t, name, arrivals[name], start, budget)
 	}
 	if used == 0 {
-		t.Error("cold caches got nothing: their budget is not used")
+		t.Error("cold caches got no requests, so their budget was not tested")
 	}
 	checkBurstOverloads(t, d, arrivals, budget)
 	if d.Mesh != nil && d.Mesh.Counts().Forwarded == 0 {
-		t.Error("no datagram passed between routers")
+		t.Error("no datagrams were forwarded between routers")
 	}
 	if sum.WrongBody > 0 {
-		t.Errorf("%d wrong answers", sum.WrongBody)
+		t.Errorf("%d responses with a wrong body", sum.WrongBody)
 	}
-	t.Logf("answers %+v", sum)
+	t.Logf("outcomes %+v", sum)
 }
 
-// checkBurstOverloads checks that a warm cache got more in a window than a cold one bears.
+// checkBurstOverloads checks that a warm cache got more requests in a window than the budget of a cold one.
 func checkBurstOverloads(t *testing.T, d *Deployment, arrivals map[string][]time.Time, budget coldBudget) {
 	t.Helper()
 	warm := 0
@@ -216,8 +219,8 @@
 		warm = max(warm, slices.Max(append(counts, 0)))
 	}
 	if warm <= budget.maxRequests(0) {
-		t.Errorf("warm caches got %d calls within %v at most: the burst would not push over a cold one, which bears %d",
+		t.Errorf("warm caches got at most %d requests within %v: the burst would not overload a cold one with a budget of %d",
 			warm, budget.overloadWindow, budget.maxRequests(0))
 	}
-	t.Logf("warm caches: %d within %v at most", warm, budget.overloadWindow)
+	t.Logf("warm caches: at most %d requests within %v", warm, budget.overloadWindow)
 }
--- a/lab/process/demo.go
+++ b/lab/process/demo.go
@@ -15,11 +15,11 @@
 	demoPerSecond = 150
 )
 
-// Demo brings a small deployment up, puts a load of the three classes on it, and prints what became of it. progress is
-// called with the number of requests that have ended.
+// Demo starts a small deployment, sends it a load of the three classes, and prints the outcomes. progress is called
+// with the number of requests that have ended.
 func Demo(ctx context.Context, out io.Writer, progress func(done, all int)) (err error) {
-	fmt.Fprintln(out, "building the router and starting 4 depot caches, an area cache, the head office, "+
-		"a discovery service")
+	fmt.Fprintln(out, "building the router and starting 4 edge caches, a parent, the origin "+
+		"and a discovery service")
 	d, err := Start(ctx, Options{Routers: 1, EdgeCaches: 4, ResponseDelay: 3 * time.Millisecond})
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// printDemo prints a table with a line for each class.
+// printDemo prints a table with one row for each class.
 func printDemo(out io.Writer, result *LoadResult, requests []cache.Request) {
 	lookups, hits := countHits(requests)
 	fmt.Fprintf(out, "\n%-14s %7s %8s %7s %6s %9s %9s\n",
@@ -60,13 +60,13 @@
 	}
 }
 
-// millisAtQuantile returns a quantile, in percent, of the latencies of a tally, in milliseconds.
+// millisAtQuantile returns the latency of a tally, in milliseconds, at a percentile.
 func millisAtQuantile(tally *Tally, percent float64) float64 {
 	return float64(tally.Latency.ValueAtQuantile(percent)) / 1000
 }
 
-// countHits counts, by class, the requests that reached a server, and those of them for what the server had been asked
-// for before.
+// countHits counts, by class, the requests that reached servers, and those for an object and chunk that the same server
+// had been asked for before.
 func countHits(requests []cache.Request) (lookups, hits map[string]int) {
 	lookups = map[string]int{}
 	hits = map[string]int{}
--- a/lab/process/deployment.go
+++ b/lab/process/deployment.go
@@ -1,6 +1,6 @@
-// Package process brings up a small deployment on loopback: stand-ins for edge caches, parents, the origin and the
-// discovery service, and real router processes between them. It sends loads to the routers and tells what became of
-// the requests. What reached the servers is in the deployment's request log.
+// Package process runs a small deployment on loopback: stand-ins for edge caches, parents, the origin and the discovery
+// service, and real router processes. It sends loads to the routers and counts the outcomes of the requests. The
+// request log of the deployment records what reached the servers.
 package process
 
 import (
@@ -17,35 +17,38 @@
 	"spantack/standin/link"
 )
 
-// Options describe a deployment. Each field but Routers may be left at its zero value.
+// Options describes a deployment. Only Routers is required.
 type Options struct {
 	Routers int
-	// Sites is the number of sites, to which edge caches and routers are dealt out in turn. 0 stands for 1.
+	// Sites is the number of sites, over which edge caches and routers are distributed round-robin. 0 means 1.
 	Sites      int
 	EdgeCaches int
-	// Parents is the number of parents, which all sites share. 0 stands for 1.
+	// Parents is the number of parents, which all sites share. 0 means 1.
 	Parents int
-	// Features is the text of a features file. Empty means that the routers get none.
+	// Features is the text of the routers' features file. Empty: they have none.
 	Features string
-	// FaultScript chooses faults of edge caches; nil: there are none. It is called from several goroutines at once.
+	// FaultScript chooses the fault of an edge cache for each request; nil: no faults. It must be safe for concurrent
+	// use.
 	FaultScript func(cache.Request) cache.Fault
-	// ResponseDelay is that of an edge cache. Parents and the origin take upstreamDelayFactor times as long.
+	// ResponseDelay is the delay of a response of an edge cache. Parents and the origin take upstreamDelayFactor times
+	// as long.
 	ResponseDelay time.Duration
-	// RouterBinary is the path of the router's program. Empty means that Start builds it.
+	// RouterBinary is the path of the router's program. Empty: Start builds it.
 	RouterBinary string
 	// ExtraFlags are added to the command line of each router.
 	ExtraFlags []string
-	// HasAdminAPI gives routers an admin address, and hands their listening socket down to them.
+	// HasAdminAPI gives each router an admin address and an inherited listening socket.
 	HasAdminAPI bool
-	// HasGossip puts Deployment.Mesh between the routers, over which they send one another datagrams.
+	// HasGossip connects the routers by Deployment.Mesh, over which they exchange datagrams.
 	HasGossip bool
-	// GossipSeed is the seed of what happens to datagrams by chance.
+	// GossipSeed is the seed of random datagram faults.
 	GossipSeed uint64
-	// HasDiscoveryRelay has routers reach the discovery service through Deployment.DiscoveryRelay.
+	// HasDiscoveryRelay makes routers connect to the discovery service through Deployment.DiscoveryRelay.
 	HasDiscoveryRelay bool
 }
 
-// Deployment is a deployment that runs. Its methods are not safe for concurrent use, unless they say so. Stop ends it.
+// Deployment is a running deployment. Its methods are not safe for concurrent use unless documented otherwise. Stop
+// ends it.
 type Deployment struct {
 	// RequestLog records the requests that reached EdgeCaches, Parents and the origin.
 	RequestLog     *cache.RequestLog
@@ -57,17 +60,17 @@
 	DiscoveryRelay *link.Relay // nil without Options.HasDiscoveryRelay
 
 	options      Options
-	dir          string // of all that the deployment writes
+	dir          string // for all files of the deployment
 	routerBinary string
 	serverCount  uint32               // servers started so far
-	endpoints    []discovery.Endpoint // the list, as it was last published
-	gossipAddrs  []netip.AddrPort     // by rank; none without Options.HasGossip
+	endpoints    []discovery.Endpoint // the endpoint list as last published
+	gossipAddrs  []netip.AddrPort     // by rank; empty without Options.HasGossip
 
 	mu            sync.Mutex
-	serversByName map[string]*cache.Server // those that run; guarded by mu
+	serversByName map[string]*cache.Server // running servers; guarded by mu
 }
 
-// Start brings a deployment up, and returns once all routers are ready. What it started before an error is ended again.
+// Start starts a deployment and returns once all routers are ready. On an error it stops what it has started.
 func Start(ctx context.Context, options Options) (*Deployment, error) {
 	dir, err := os.MkdirTemp("", "spantack-local-")
 	if err != nil {
@@ -86,7 +89,7 @@
 	return d, nil
 }
 
-// startAll starts the servers, then the routers, which need to know their addresses.
+// startAll starts the servers, and then the routers, which need the servers' addresses.
 func (d *Deployment) startAll(ctx context.Context) (err error) {
 	if d.routerBinary == "" {
 		if d.routerBinary, err = Build(d.dir); err != nil {
@@ -112,7 +115,7 @@
 	return d.startRouters(ctx)
 }
 
-// startDiscovery starts the discovery service, and the relay before it.
+// startDiscovery starts the discovery service, and the relay in front of it if the options ask for one.
 func (d *Deployment) startDiscovery() (err error) {
 	if d.Discovery, err = discovery.Listen(); err != nil {
 		return err
@@ -140,8 +143,8 @@
 	return nil
 }
 
-// Stop ends all that was started and removes what it wrote. Routers get SIGTERM, and are killed if they do not end
-// within stopTimeout.
+// Stop stops all processes and servers and removes the files of the deployment. Routers get SIGTERM, and are killed if
+// they do not exit within stopTimeout, which is an error.
 func (d *Deployment) Stop() error {
 	var errs []error
 	for _, r := range d.Routers {
@@ -167,10 +170,10 @@
 	return errors.Join(append(errs, os.RemoveAll(d.dir))...)
 }
 
-// featuresPath is where the routers' features file is.
+// featuresPath returns the path of the routers' features file.
 func (d *Deployment) featuresPath() string { return filepath.Join(d.dir, "features.jsonnet") }
 
-// WriteFeatures replaces the features file. Routers read it on SIGHUP.
+// WriteFeatures replaces the features file, which routers read at their start and on SIGHUP.
 func (d *Deployment) WriteFeatures(text string) error {
 	return os.WriteFile(d.featuresPath(), []byte(text), 0o600)
 }
--- a/lab/process/discovery_outage_test.go
+++ b/lab/process/discovery_outage_test.go
@@ -9,19 +9,19 @@
 	"spantack/standin/link"
 )
 
-// dialCount is how often the relay before the discovery service was dialled so far.
+// dialCount returns the number of dials of the relay in front of the discovery service so far.
 func dialCount(d *Deployment) int {
 	dials, _, _, _ := d.DiscoveryRelay.Counts()
 	return len(dials)
 }
 
-// cutDiscovery has the discovery service refuse connections for 3 s, and leaves it so.
+// cutDiscovery resets all connections to the discovery service, and returns after 3 s. The fault stays.
 func cutDiscovery(d *Deployment) {
 	d.DiscoveryRelay.SetConditions(link.RelayConditions{Resets: true})
 	time.Sleep(3 * time.Second)
 }
 
-// resetConnections has all connections to the discovery service break, and each new one at its first piece, for 2 s.
+// resetConnections resets all connections to the discovery service every 100 ms for 2 s.
 func resetConnections(d *Deployment) {
 	for range 20 {
 		d.DiscoveryRelay.SetConditions(link.RelayConditions{Resets: true})
@@ -30,11 +30,11 @@
 	}
 }
 
-// Twenty-four real routers lose the discovery service at one moment, for 3 s, twice; then it takes connections and
-// breaks them off at once. By the relay's log their dials keep the stated bound all the time, with twice its number for
-// processes that a busy machine runs late; before, all of them dialled within the same milliseconds, every 250 ms. When
-// it is back, all are there within a period and what a late process needs.
-func TestColdStartSparesDiscovery(t *testing.T) {
+// 24 real routers lose the discovery service at the same moment, twice for 3 s, and then it resets connections soon
+// after it accepts them. By the relay's log, the dials stay within the stated bound, doubled for processes that a busy
+// machine runs late. Without slots all routers dialled within the same milliseconds every 250 ms. When the service is
+// back, all routers reconnect within one period plus the delay of a late process.
+func TestDiscoveryDialRateIsBounded(t *testing.T) {
 	const routers = 24
 	d, err := Start(contextWithLimit(t, 2*time.Minute, "the deployment to start"),
 		Options{Routers: routers, EdgeCaches: 2, HasDiscoveryRelay: true})
@@ -46,29 +46,29 @@
 			t.Error(err)
 		}
 	})
-	waitUntilAllBack := func() {
+	waitUntilAllConnected := func() {
 		t.Helper()
-		testwait.UntilWithin(t, 10*time.Second, "all routers to be back", func() bool {
+		testwait.UntilWithin(t, 10*time.Second, "all routers to reconnect", func() bool {
 			_, open, _, _ := d.DiscoveryRelay.Counts()
 			return open == routers
 		})
 	}
-	waitUntilAllBack()
+	waitUntilAllConnected()
 	for round, breakDiscovery := range []func(*Deployment){cutDiscovery, cutDiscovery, resetConnections} {
-		time.Sleep(1200 * time.Millisecond) // a connection that held is a new start
+		time.Sleep(1200 * time.Millisecond) // long enough that the next loss counts as a new outage
 		before := dialCount(d)
 		breakDiscovery(d)
 		dials := dialCount(d) - before
 		checkDialBound(t, d, round, before)
 		if dials < 2*routers {
-			t.Errorf("round %d: %d tries of %d routers: they gave up, or nothing was cut", round, dials, routers)
+			t.Errorf("round %d: %d dials by %d routers: they gave up, or no connection was cut", round, dials, routers)
 		}
 		d.DiscoveryRelay.SetConditions(link.RelayConditions{})
-		waitUntilAllBack()
+		waitUntilAllConnected()
 	}
 }
 
-// checkDialBound holds the dials after the first so many against the bound that core/backoff states.
+// checkDialBound checks that the dials from number after on stay within twice the bound of core/backoff.
 func checkDialBound(t *testing.T, d *Deployment, round, after int) {
 	t.Helper()
 	routers := len(d.Routers)
@@ -77,7 +77,7 @@
 		window := period / time.Duration(part)
 		bound := 2 * (routers/part + 1)
 		if dials := d.DiscoveryRelay.MaxDialsWithin(after, window); dials > bound {
-			t.Errorf("round %d: %d tries within %v, %d at most", round, dials, window, bound)
+			t.Errorf("round %d: %d dials within %v, bound %d", round, dials, window, bound)
 		}
 	}
 }
--- a/lab/process/gossip.go
+++ b/lab/process/gossip.go
@@ -8,21 +8,22 @@
 	"spantack/standin/link"
 )
 
-// openMesh finds an address for the datagrams of each router, and puts a mesh between them.
+// openMesh chooses a UDP address for each router and connects the addresses by a mesh.
 func (d *Deployment) openMesh() (err error) {
 	for range d.options.Routers {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			return err
 		}
-		defer conn.Close() // each stays taken until all routers have one of their own
+		defer conn.Close() // stays open until all addresses are chosen, so that they differ
 		d.gossipAddrs = append(d.gossipAddrs, netip.MustParseAddrPort(conn.LocalAddr().String()))
 	}
 	d.Mesh, err = link.NewMesh(d.options.GossipSeed, slices.Clone(d.gossipAddrs))
 	return err
 }
 
-// configureGossip adds to the configuration of the router with a rank how it reaches the others, and that it may.
+// configureGossip adds the gossip addresses to the configuration of the router with a rank, and the permission to send
+// datagrams.
 func (d *Deployment) configureGossip(rank int, doc map[string]any) {
 	var peers []string
 	for peer := range d.gossipAddrs {
--- a/lab/process/harness_test.go
+++ b/lab/process/harness_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// routerTimeout bounds the waits for what routers do.
+	// routerTimeout bounds waits for routers.
 	routerTimeout = time.Minute
-	// loadTimeout bounds a load with all its responses, which takes half a minute at most on a machine that is free.
+	// loadTimeout bounds a load with all its responses, which takes at most half a minute on an idle machine.
 	loadTimeout = 4 * time.Minute
-	// callTimeout bounds a call to a router, which has limits of its own.
+	// callTimeout bounds a call to a router. Routers have their own time limits.
 	callTimeout = testwait.Limit
 )
 
-// routerBinary is the path of the router's program, which TestMain builds once for all tests.
+// routerBinary is the path of the router's program. TestMain builds it once for all tests.
 var routerBinary string
 
 func TestMain(m *testing.M) {
@@ -42,7 +42,7 @@
 	os.Exit(code)
 }
 
-// startDeployment starts a deployment that ends with the test.
+// startDeployment starts a deployment that is stopped when the test ends.
 func startDeployment(t *testing.T, options Options) *Deployment {
 	t.Helper()
 	options.RouterBinary = routerBinary
@@ -59,7 +59,7 @@
 	return d
 }
 
-// contextWithLimit is a context for a wait of the test; its cause at the end names what was awaited.
+// contextWithLimit returns a context for a wait. Its cause after the limit names what the test waited for.
 func contextWithLimit(t *testing.T, limit time.Duration, what string) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeoutCause(t.Context(), limit, fmt.Errorf("waited %v for %s", limit, what))
@@ -70,16 +70,16 @@
 // runLoad sends a load and waits for all responses.
 func runLoad(t *testing.T, d *Deployment, load Load) (*LoadResult, error) {
 	t.Helper()
-	what := fmt.Sprintf("the answers to %d requests of seed %d", load.Requests, load.Seed)
+	what := fmt.Sprintf("the responses to %d requests of seed %d", load.Requests, load.Seed)
 	ctx := contextWithLimit(t, loadTimeout, what)
 	result, err := d.RunLoad(ctx, load)
-	if late := context.Cause(ctx); late != nil { // requests that were out count as lost
+	if late := context.Cause(ctx); late != nil { // requests in flight count as lost
 		err = late
 	}
 	return result, err
 }
 
-// mustRunLoad is runLoad for a load that has to end.
+// mustRunLoad is runLoad for a load that must end without an error.
 func mustRunLoad(t *testing.T, d *Deployment, load Load) *LoadResult {
 	t.Helper()
 	result, err := runLoad(t, d, load)
@@ -89,7 +89,7 @@
 	return result
 }
 
-// startLoad is runLoad beside the test.
+// startLoad is runLoad in a goroutine. The channel gets the result.
 func startLoad(t *testing.T, d *Deployment, load Load) <-chan *LoadResult {
 	t.Helper()
 	ended := make(chan *LoadResult, 1)
@@ -103,13 +103,13 @@
 	return ended
 }
 
-// waitForLoad waits until a load that startLoad began has ended.
+// waitForLoad waits for the result of a load that startLoad started.
 func waitForLoad(t *testing.T, ended <-chan *LoadResult) *LoadResult {
 	t.Helper()
 	return testwait.ReceiveWithin(t, loadTimeout+routerTimeout, ended, "the load")
 }
 
-// waitUntil waits until a condition holds that a router brings about.
+// waitUntil waits, at most for routerTimeout, until a condition holds. what describes the condition.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	testwait.UntilWithin(t, routerTimeout, what, holds)
@@ -125,11 +125,11 @@
 	return string(text)
 }
 
-// waitForLog returns once a router's log holds some words.
-func waitForLog(t *testing.T, r *Router, words string) {
+// waitForLog waits until a router's log contains substring.
+func waitForLog(t *testing.T, r *Router, substring string) {
 	t.Helper()
-	waitUntil(t, fmt.Sprintf("the log of %s to say %q", r.Addr, words), func() bool {
-		return strings.Contains(readLog(t, r), words)
+	waitUntil(t, fmt.Sprintf("the log of %s to contain %q", r.Addr, substring), func() bool {
+		return strings.Contains(readLog(t, r), substring)
 	})
 }
 
@@ -141,8 +141,9 @@
 	}
 }
 
-// reloadFeatures has all routers read a features file, and returns once the log of each says some words after it.
-func reloadFeatures(t *testing.T, d *Deployment, text, words string) {
+// reloadFeatures replaces the features file, sends SIGHUP to all routers, and waits until the log of each contains
+// logged.
+func reloadFeatures(t *testing.T, d *Deployment, text, logged string) {
 	t.Helper()
 	if err := d.WriteFeatures(text); err != nil {
 		t.Fatal(err)
@@ -151,23 +152,23 @@
 		signal(t, r, syscall.SIGHUP)
 	}
 	for _, r := range d.Routers {
-		waitForLog(t, r, words)
+		waitForLog(t, r, logged)
 	}
 }
 
-// checkNoOverlaps holds the request log against the rule that a request has one attempt in flight at a time.
+// checkNoOverlaps checks that no request had more than one attempt in flight at a time, by the request log.
 func checkNoOverlaps(t *testing.T, d *Deployment) {
 	t.Helper()
 	if overlaps := d.RequestLog.Overlaps(); len(overlaps) > 0 {
-		t.Errorf("two attempts out at once: %v", overlaps)
+		t.Errorf("requests with two attempts in flight at once: %v", overlaps)
 	}
 }
 
-// checkAllAnswered checks that so many requests had one right response each.
+// checkAllAnswered checks that all requests got one correct response each.
 func checkAllAnswered(t *testing.T, total Tally, requests int) {
 	t.Helper()
 	if n := total.Served + total.Rejected + total.Failed; n != requests || total.WrongBody+total.Lost > 0 {
-		t.Errorf("answers: %+v, want %d in all, none wrong or lost", total, requests)
+		t.Errorf("outcomes: %+v, want %d in total, none wrong or lost", total, requests)
 	}
 }
 
@@ -179,7 +180,8 @@
 	return names
 }
 
-// cellByCache returns the name of the cell of each edge cache, by the name of the cache, under a features file.
+// cellByCache returns the name of the cell of each edge cache by the name of the cache, for the text of a features
+// file.
 func cellByCache(t *testing.T, d *Deployment, text string) map[string]string {
 	t.Helper()
 	file, err := features.Parse([]byte(text))
@@ -189,7 +191,7 @@
 	return cellsOfCaches(file.CellSpec(), cacheNames(d))
 }
 
-// cellsOfCaches returns the name of each cache's cell, by the name of the cache.
+// cellsOfCaches returns the name of the cell of each cache by the name of the cache.
 func cellsOfCaches(spec *cells.Spec, names []string) map[string]string {
 	cellOf := map[string]string{}
 	for i, members := range spec.CachesByCell(names) {
--- a/lab/process/load.go
+++ b/lab/process/load.go
@@ -15,50 +15,53 @@
 )
 
 const (
-	// catalogueShare and reportShare are the shares of the requests that ask for catalogue objects and for reports;
-	// the rest ask for video.
+	// catalogueShare and reportShare are the fractions of the requests that are for catalogue objects and for reports.
+	// The others are for video.
 	catalogueShare = 0.45
 	reportShare    = 0.05
-	// chunksPerVideo is the number of chunks of a video, of which a request asks for one.
+	// chunksPerVideo is the number of chunks of a video. A request is for one of them.
 	chunksPerVideo = 6
-	// objectKB is the size of a response, as clients tell it.
+	// objectKB is the response size that clients state in their requests.
 	objectKB = 20
-	// clientTimeoutMillis is for how long a client waits for a response.
+	// clientTimeoutMillis is how long a client waits for a response.
 	clientTimeoutMillis = 3000
-	// loadStream sets the random numbers of loads apart from others of the same seed.
+	// loadStream is the second half of the seed of a load's random numbers, which keeps them independent of other
+	// random numbers with the same seed.
 	loadStream = 0x10ad
 )
 
-// Load is what clients ask of the routers of a deployment.
+// Load describes the requests that clients send to the routers of a deployment.
 type Load struct {
 	Seed     uint64
-	Requests int           // in all
-	Interval time.Duration // from one request to the next, over all routers
-	// ConnsPerRouter is the number of connections to each router. A request goes out on any of them.
+	Requests int           // in total
+	Interval time.Duration // between two requests, over all routers
+	// ConnsPerRouter is the number of connections to each router. Each request uses a random one of all connections.
 	ConnsPerRouter int
-	// MaxInFlight bounds the requests without a response: the next one waits for one. 0 stands for no bound.
+	// MaxInFlight bounds the requests in flight. At the bound, the next request waits for a response. 0 means no bound.
 	MaxInFlight int
-	// Families is the number of object families, each of which is a tenant's.
+	// Families is the number of object families. Each belongs to one tenant.
 	Families         int
 	ObjectsPerFamily int
-	// FloodFamily is asked for FloodFactor times as often as the others together. 0 stands for no flood.
+	// FloodFamily gets the fraction FloodFactor/(1+FloodFactor) of the requests. The others are spread over all
+	// families. A FloodFactor of 0 means no flood.
 	FloodFamily int
 	FloodFactor float64
-	// OnSend, if not nil, is called with the number of each request, from 0, before it goes out.
+	// OnSend, if not nil, is called with the number of each request, from 0, before it is sent.
 	OnSend func(number int)
-	// OnResponse, if not nil, is called with the number of ended requests so far, from several goroutines in turn.
+	// OnResponse, if not nil, is called with the number of requests that have ended. Calls come from several
+	// goroutines, one at a time.
 	OnResponse func(done int)
-	// Reconnects has a client open a new connection where one was closed, and send a request that crossed the close
-	// once more, as clients of the platform do.
+	// Reconnects makes a client open a new connection when one was closed, and resend a request that was in flight at
+	// the close once, as clients of the platform do.
 	Reconnects bool
 }
 
-// ObjectName names an object of a family. Its first two digits are those of the family.
+// ObjectName returns the name of an object of a family. The first two hex digits are the family.
 func ObjectName(family, number int) string {
 	return fmt.Sprintf("%02x%014x", family, uint64(number)*0x9e3779b97f4a7c15>>8)
 }
 
-// loadRun is a load that is under way.
+// loadRun is a running load.
 type loadRun struct {
 	load    Load
 	rng     *rand.Rand
@@ -69,8 +72,8 @@
 	done   int // requests that have ended
 }
 
-// RunLoad sends the load and waits for all responses. The requests and their order depend on the seed alone; when they
-// go out is up to the clock. It ends early with ctx, with what there is by then.
+// RunLoad sends the load and waits for all responses. The requests and their order depend on the seed only, but their
+// timing depends on the clock. When ctx ends, it stops early and returns the result so far with the error of ctx.
 func (d *Deployment) RunLoad(ctx context.Context, load Load) (*LoadResult, error) {
 	run := &loadRun{load: load, rng: rand.New(rand.NewPCG(load.Seed, loadStream)), result: newLoadResult(load.Families)}
 	defer run.close()
@@ -94,7 +97,7 @@
 	}
 }
 
-// sendAll sends the requests and waits until all that went out have ended.
+// sendAll sends the requests and waits until all sent requests have ended.
 func (run *loadRun) sendAll(ctx context.Context) error {
 	var inFlight errgroup.Group
 	inFlight.SetLimit(cmp.Or(run.load.MaxInFlight, -1))
@@ -120,7 +123,7 @@
 	return nil
 }
 
-// nextRequest draws a request, and the family of its object.
+// nextRequest draws a random request and returns it with the family of its object.
 func (run *loadRun) nextRequest(number int) (family int, request *router.Request) {
 	family = run.rng.IntN(run.load.Families)
 	factor := run.load.FloodFactor
@@ -146,7 +149,7 @@
 	return family, request
 }
 
-// drawClass draws the class of a request.
+// drawClass draws a random request class.
 func (run *loadRun) drawClass() string {
 	switch draw := run.rng.Float64(); {
 	case draw > 1-reportShare:
@@ -158,7 +161,7 @@
 	}
 }
 
-// sendOne sends a request and records what became of it.
+// sendOne sends a request and records its outcome.
 func (run *loadRun) sendOne(ctx context.Context, client *loadClient, family int, request *router.Request) {
 	startedAt := time.Now()
 	response, resent, err := client.send(ctx, *request)
--- a/lab/process/loadclient.go
+++ b/lab/process/loadclient.go
@@ -9,19 +9,19 @@
 	"spantack/internal/router"
 )
 
-// loadDialTimeoutMillis bounds the dial of a client.
+// loadDialTimeoutMillis is the dial timeout of a client.
 const loadDialTimeoutMillis = 1000
 
 // loadClient is a client of one router, with one connection at a time. It is safe for concurrent use.
 type loadClient struct {
 	addr       string
-	reconnects bool // it opens a new connection where one was closed
+	reconnects bool // opens a new connection when one was closed
 
 	mu   sync.Mutex
-	conn *msgpackrpc.Client // nil: there is none
+	conn *msgpackrpc.Client // nil: not connected
 }
 
-// connect returns the connection, and opens it if there is none.
+// connect returns the connection, which it opens if there is none.
 func (c *loadClient) connect() (*msgpackrpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,8 +35,8 @@
 	return c.conn, nil
 }
 
-// send sends a request and returns its response. resent is 1 where the request crossed the close of a connection and
-// went out once more on a new one.
+// send sends a request and returns its response. resent is 1 if the connection was closed while the request was in
+// flight, and the request was sent again on a new connection.
 func (c *loadClient) send(ctx context.Context, request router.Request) (response router.Response, resent int, _ error) {
 	for {
 		conn, err := c.connect()
--- a/lab/process/migration_test.go
+++ b/lab/process/migration_test.go
@@ -14,10 +14,10 @@
 	"spantack/internal/features"
 )
 
-// moverFamily begins the names of the objects of the tenant "mover".
+// moverFamily is the prefix of the object names of the tenant "mover".
 const moverFamily = "00"
 
-// moverCells are three cells, with the tenant that is migrated in the first of them.
+// moverCells defines three cells. The tenant "mover", which is migrated, is in the first of them.
 var moverCells = cells.Spec{
 	Version: 1,
 	Scheme:  cells.SchemeFixed,
@@ -30,7 +30,7 @@
 	TenantKeys: []cells.TenantKey{{PurgeGroupRange: []int{0, 0}, Tenant: "mover"}, {Tenant: "rest"}},
 }
 
-// migrationFeatures is a features file with moverCells, and with migrations where the document has any.
+// migrationFeatures returns a features file with moverCells and the migrations of document.
 func migrationFeatures(t *testing.T, document migration.Document) string {
 	t.Helper()
 	file := features.File{
@@ -48,10 +48,10 @@
 	return string(text)
 }
 
-// Three routers, a tenant moved in service by SIGHUP while half of the caches are replaced, one at the address of the
-// machine that has gone: 20,000 requests, each with one right answer, and none at a cache that is in neither of its
-// tenant's cells.
-func TestMigrationInService(t *testing.T) {
+// A tenant is migrated by SIGHUP on three routers under a load of 20,000 requests, while four of nine caches are
+// replaced, two at the same address. Every request gets one correct response, and no request of the tenant reaches a
+// cache outside its old and new cell.
+func TestMigrationStaysWithinItsCells(t *testing.T) {
 	const requests = 20_000
 	d := startDeployment(t, Options{
 		Routers:       3,
@@ -59,13 +59,13 @@
 		ResponseDelay: time.Millisecond,
 		Features:      migrationFeatures(t, migration.Document{}),
 	})
-	cellsOf := map[string][]string{} // the cells of every cache, under each endpoint list that there was
-	noteCells := func() {
+	cellsOf := map[string][]string{} // the cells of each cache under all endpoint lists so far
+	recordCells := func() {
 		for name, cell := range cellsOfCaches(&moverCells, cacheNames(d)) {
 			cellsOf[name] = append(cellsOf[name], cell)
 		}
 	}
-	noteCells()
+	recordCells()
 	ended := startLoad(t, d, Load{
 		Seed:             9,
 		Requests:         requests,
@@ -88,15 +88,15 @@
 	reloadFeatures(t, d, migrationFeatures(t, document), `"moves":1`)
 	for i := range 4 {
 		replaceCache(t, d, 2*i, 700*time.Millisecond, i%2 == 0)
-		noteCells()
+		recordCells()
 	}
-	move.To = "three" // a migration under way can't be led elsewhere
+	move.To = "three" // the target of a running migration can't be changed
 	document = migration.Document{Version: 2, Migrations: []migration.Migration{move}}
 	reloadFeatures(t, d, migrationFeatures(t, document), "new features can't be used")
 	total := waitForLoad(t, ended).Total()
 	checkAllAnswered(t, total, requests)
 	if total.Served < requests*99/100 {
-		t.Errorf("%d of %d served", total.Served, requests)
+		t.Errorf("%d of %d requests served", total.Served, requests)
 	}
 	checkNoOverlaps(t, d)
 	checkMoverStaysInItsCells(t, d, cellsOf)
@@ -106,7 +106,8 @@
 	}
 }
 
-// checkMoverStaysInItsCells checks that the migrated tenant's requests reached caches of both its cells, and no other.
+// checkMoverStaysInItsCells checks that the requests of the migrated tenant reached caches of both its cells, and no
+// others.
 func checkMoverStaysInItsCells(t *testing.T, d *Deployment, cellsOf map[string][]string) {
 	t.Helper()
 	attempts := map[string]int{}
--- a/lab/process/readiness_test.go
+++ b/lab/process/readiness_test.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// mostReadyLimit is how soon nine in ten restarted routers have to be ready, allReadyLimit how soon all.
+	// mostReadyLimit is the time limit for nine in ten restarted routers to be ready, and allReadyLimit for all.
 	mostReadyLimit = 10 * time.Second
 	allReadyLimit  = 30 * time.Second
 )
 
-// fleetFeatures is a features file with a fleet limit of so many origin fills, and with verdicts.
+// fleetFeatures returns a features file with a fleet limit on origin fills, and with verdicts.
 func fleetFeatures(originFills int) string {
 	return fmt.Sprintf(`{"fleet": {"enabled": true, "asks": %d, "floor": 0.5, "verdicts": true}}`, originFills)
 }
 
-// loadAllCores runs a loop on each core until the test ends, or for a limit at most.
+// loadAllCores runs a busy loop on each core until the test ends or the limit has passed.
 func loadAllCores(t *testing.T, limit time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -38,13 +38,13 @@
 		}
 		t.Cleanup(func() {
 			cancel()
-			_ = loop.Wait() // killed: that is its end
+			_ = loop.Wait() // it was killed, so that Wait returns an error
 		})
 	}
 }
 
-// endpointsDocument is the endpoint list in the form of a configuration: what a router that starts knows before it
-// hears from the discovery service.
+// endpointsDocument returns the endpoint list in the form that the configuration has. A router uses it from its start
+// until the discovery service responds.
 func endpointsDocument(d *Deployment) map[string]any {
 	settings := Settings(d.options.Routers)
 	zones := settings["Zones"].([]string)
@@ -66,8 +66,8 @@
 	return map[string]any{"rev": 1, "notices": []any{map[string]any{"rev": 1, "pool": pool}}}
 }
 
-// waitUntilReady waits until a router that has just been started accepts connections and says over one that it is
-// ready, as the platform's front does.
+// waitUntilReady waits until a new router accepts connections and passes a health check, as the platform's front end
+// does.
 func waitUntilReady(ctx context.Context, r *Router) error {
 	for {
 		isReady, err := probe(ctx, r)
@@ -78,7 +78,7 @@
 		case <-ctx.Done():
 			return fmt.Errorf("router at %s is not ready: %w", r.Addr, errors.Join(ctx.Err(), err))
 		case <-r.exited:
-			return fmt.Errorf("router at %s ended: %v", r.Addr, r.exitErr)
+			return fmt.Errorf("router at %s exited: %v", r.Addr, r.exitErr)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -96,8 +96,8 @@
 	return client.Ready(ctx)
 }
 
-// restartRouters kills the routers with the least ranks, starts them anew at once, and returns how long each took to be
-// ready, in order.
+// restartRouters kills count routers, those with the lowest ranks, restarts them all at once, and returns the sorted
+// times until they were ready.
 func restartRouters(t *testing.T, d *Deployment, count int) (times []time.Duration) {
 	t.Helper()
 	for _, r := range d.Routers[:count] {
@@ -135,13 +135,13 @@
 	return times
 }
 
-// checkRoutersForward asks each router for an object, again if it refuses, and finds by the request log that it was
-// forwarded: a router is not ready that does not know where to send.
+// checkRoutersForward sends each router requests until one is served, and checks by the request log that each router
+// forwarded one. A router that does not know any servers must not report that it is ready.
 func checkRoutersForward(t *testing.T, d *Deployment, round int) {
 	t.Helper()
 	rankByRequest := map[string]int{}
 	for rank, r := range d.Routers {
-		for _, id := range askUntilServed(t, r, round, rank) {
+		for _, id := range requestUntilServed(t, r, round, rank) {
 			rankByRequest[id] = rank
 		}
 	}
@@ -153,13 +153,13 @@
 	}
 	for rank := range d.Routers {
 		if !hasForwarded[rank] {
-			t.Errorf("router %d says that it is ready and sent no request on", rank)
+			t.Errorf("router %d is ready but forwarded no request", rank)
 		}
 	}
 }
 
-// askUntilServed sends a router requests until one is served, five at most, and returns their ids.
-func askUntilServed(t *testing.T, r *Router, round, rank int) (ids []string) {
+// requestUntilServed sends a router up to five requests until one is served, and returns their ids.
+func requestUntilServed(t *testing.T, r *Router, round, rank int) (ids []string) {
 	t.Helper()
 	const maxRequests = 5
 	client, err := msgpackrpc.Dial(r.Addr, 5000)
@@ -178,10 +178,10 @@
 	return ids
 }
 
-// Thirty processes killed at one moment and started anew at once, on a machine on which a loop keeps each core busy,
-// while discovery is slow, mute or down: nine in ten are ready within 10 s and all within 30 s, and each forwards
-// requests by what its configuration tells.
-func TestNineInTenAreReadyInTime(t *testing.T) {
+// Thirty routers are killed and restarted at the same time, with all cores busy, while the discovery service is slow,
+// silent or down. Nine in ten are ready within 10 s and all within 30 s. Each forwards requests by the endpoint list in
+// its configuration.
+func TestRestartedRoutersAreReadyInTime(t *testing.T) {
 	const routers = 30
 	d := startDeployment(t, Options{
 		Routers:    routers,
@@ -202,11 +202,11 @@
 			t.Fatal(err)
 		}
 		times := restartRouters(t, d, routers)
-		ninth := times[(len(times)*9+9)/10-1]
-		t.Logf("discovery %v: ready after %v least, %v median, %v nine in ten, %v most",
-			mode, times[0], times[len(times)/2], ninth, times[len(times)-1])
-		if ninth > mostReadyLimit {
-			t.Errorf("discovery %v: nine in ten are ready after %v, %v is the limit", mode, ninth, mostReadyLimit)
+		p90 := times[(len(times)*9+9)/10-1]
+		t.Logf("discovery %v: time until ready: min %v, median %v, p90 %v, max %v",
+			mode, times[0], times[len(times)/2], p90, times[len(times)-1])
+		if p90 > mostReadyLimit {
+			t.Errorf("discovery %v: nine in ten routers ready after %v, limit %v", mode, p90, mostReadyLimit)
 		}
 		checkRoutersForward(t, d, round)
 	}
--- a/lab/process/replace_test.go
+++ b/lab/process/replace_test.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// readyCallInterval is how long replaceRouter waits between two calls to the new process.
+	// readyCallInterval is the time between two readiness calls of replaceRouter.
 	readyCallInterval = 5 * time.Millisecond
-	// maxCallBody bounds what is read of the answer to a call of the admin API.
+	// maxCallBody is the maximum number of bytes read of a response of the admin API.
 	maxCallBody = 1 << 20
 )
 
-// replaceCache replaces an edge cache as a deploy does: it drains for a while, then goes, and a new one, with nothing
-// in its store, is listed in its place, at the same address if that is asked for.
+// replaceCache replaces an edge cache as a deploy does, and returns the new one. The old one is drained for a duration
+// and then removed. The new one has an empty store, and the address of the old one if keepsAddr is set.
 func replaceCache(t *testing.T, d *Deployment, index int, drain time.Duration, keepsAddr bool) *cache.Server {
 	t.Helper()
 	old := d.EdgeCaches[index]
@@ -38,7 +38,7 @@
 		}
 	}
 	if at < 0 {
-		t.Fatalf("cache %d is not listed", index)
+		t.Fatalf("cache %d is not in the endpoint list", index)
 	}
 	row := d.endpoints[at]
 	row.State = stateDraining
@@ -61,12 +61,12 @@
 	return fresh
 }
 
-// parentName is the name that a parent will have, before the deployment starts. The origin is the first server, then
-// come the parents.
+// parentName returns the name of a parent, also before the deployment starts. Names follow the order of start: the
+// origin is the first server, and then come the parents.
 func parentName(index int) string { return fmt.Sprintf("s-%08x", uint32(2+index)*idFactor) }
 
-// replaceRouter starts a router's program anew beside the process that serves, ends that one with SIGTERM once the new
-// one says that it is ready, and returns when the old one has ended.
+// replaceRouter starts a second process of a router, terminates the old one when the new one is ready, and returns when
+// the old one has exited.
 func replaceRouter(ctx context.Context, d *Deployment, rank int) error {
 	old := d.Routers[rank]
 	next, err := d.startRouter(rank, old)
@@ -78,7 +78,7 @@
 			break
 		}
 		if time.Since(startedAt) > readyTimeout {
-			return errors.Join(fmt.Errorf("the new process at %s says no", next.AdminAddr), next.Kill())
+			return errors.Join(fmt.Errorf("the new process at %s is not ready", next.AdminAddr), next.Kill())
 		}
 	}
 	d.Routers[rank] = next
@@ -89,7 +89,7 @@
 	return old.exitErr
 }
 
-// callAdmin makes a call to a router's admin API.
+// callAdmin makes a call to a router's admin API and returns the HTTP status and the body of the response.
 func callAdmin(ctx context.Context, r *Router, method, path string) (status int, body string, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+r.AdminAddr+path, nil)
 	if err != nil {
--- a/lab/process/rollout_test.go
+++ b/lab/process/rollout_test.go
@@ -14,10 +14,10 @@
 	"spantack/standin/cache"
 )
 
-// releaseFamily is the family of the release's objects; the tenant "first" asks for them, as for those of family 0.
+// releaseFamily is the family of the release's objects. It belongs to the tenant "first", like family 0.
 const releaseFamily = 2
 
-// rolloutFeatures is a features file with two cells and a release.
+// rolloutFeatures returns a features file with two cells and a release.
 func rolloutFeatures(t *testing.T, release rollout.Rollout) string {
 	t.Helper()
 	spec := cells.Spec{
@@ -43,22 +43,22 @@
 	return string(text)
 }
 
-// ringOfCellOne is the only ring of a release, which opens at a time in Unix milliseconds.
+// ringOfCellOne returns the only ring of a release. opensAt is in Unix milliseconds.
 func ringOfCellOne(opensAt float64) []rollout.Ring {
 	return []rollout.Ring{{Cells: []string{"one"}, OpensAt: opensAt, JudgeWithin: 600_000}}
 }
 
-// rolloutLoad is a load on three families, one of which is the release's.
+// rolloutLoad returns a load for three families, including that of the release.
 func rolloutLoad(seed uint64, requests int) Load {
 	return Load{Seed: seed, Requests: requests, Interval: 2 * time.Millisecond, ConnsPerRouter: 2, Families: 3,
 		ObjectsPerFamily: 50}
 }
 
-// Two routers and a release in one of two cells: refused before its ring opens, served after, and once its objects fail
-// at the caches taken back by each router for itself, while nothing else is touched.
-func TestReleaseInService(t *testing.T) {
+// A release in one of two cells is rejected by two routers before its ring opens and served afterwards. When its
+// objects fail at the caches, each router stops it on its own. Requests for other objects are not affected.
+func TestHarmfulReleaseIsStopped(t *testing.T) {
 	var isHarmful atomic.Bool
-	opensAt := float64(time.Now().UnixMilli()) + 12_000 // the routers are up long before
+	opensAt := float64(time.Now().UnixMilli()) + 12_000 // long after the routers are ready
 	d := startDeployment(t, Options{
 		Routers:       2,
 		EdgeCaches:    4,
@@ -86,28 +86,28 @@
 	before := run(1, 1500)
 	isStillClosed := float64(time.Now().UnixMilli()) < opensAt
 	if tally := before.ByFamily[releaseFamily]; isStillClosed && (tally.Served > 0 || tally.Rejected == 0) {
-		t.Errorf("before the ring opens: %+v, reports %+v", tally, before.ByClass[classReport])
+		t.Errorf("release before the ring opens: %+v, reports %+v", tally, before.ByClass[classReport])
 	}
 	for _, r := range d.Routers {
 		waitForLog(t, r, "release r, ring 0 ([one]): judging")
 	}
 	if tally := run(2, 600).ByFamily[releaseFamily]; tally.Served == 0 || tally.Rejected+tally.Failed > 0 {
-		t.Errorf("where it is open: %+v", tally)
+		t.Errorf("release in the open ring: %+v", tally)
 	}
 	isHarmful.Store(true)
 	for i := uint64(0); !isStoppedEverywhere(t, d); i++ {
 		if i == 20 {
-			t.Fatal("a release that fails whole is not stopped after 10,000 requests")
+			t.Fatal("a release whose requests all fail is not stopped after 10,000 requests")
 		}
 		run(10+i, 500)
 	}
 	if tally := run(50, 500).ByFamily[releaseFamily]; tally.Served > 0 || tally.Failed > 0 {
-		t.Errorf("after it was stopped: %+v", tally)
+		t.Errorf("release after it was stopped: %+v", tally)
 	}
 }
 
-// checkOtherFamiliesServed checks that no request was lost or answered wrongly, and that 99 of 100 requests of the
-// families without the release were served.
+// checkOtherFamiliesServed checks that no request was lost or got a wrong body, and that at least 99% of the requests
+// for the other families than the release's were served.
 func checkOtherFamiliesServed(t *testing.T, result *LoadResult) {
 	t.Helper()
 	for family, tally := range result.ByFamily {
@@ -119,7 +119,7 @@
 	}
 }
 
-// isStoppedEverywhere reports that the logs of all routers say that the release was stopped.
+// isStoppedEverywhere reports whether all routers have logged that the release was stopped.
 func isStoppedEverywhere(t *testing.T, d *Deployment) bool {
 	t.Helper()
 	for _, r := range d.Routers {
@@ -130,9 +130,10 @@
 	return true
 }
 
-// Two routers and prices renewed under their names, from the ring's time to the document's way back: every attempt for
-// them at every server carries the age that its cell's ring allows at that moment, and nothing is refused.
-func TestObjectReplacementInService(t *testing.T) {
+// Objects are replaced under the same names on two routers, from the opening of the ring until the rollback in the
+// document. Every attempt for these objects, at every server, carries the maximum age of copies that the ring of its
+// cell allows at that time, and no request is rejected.
+func TestObjectReplacementLimitsCopyAge(t *testing.T) {
 	const oldCopyMaxAge = 3_600_000 // ms
 	since := float64(time.Now().UnixMilli()) + 5000
 	rollbackAt := since + 6000
@@ -161,9 +162,9 @@
 		switch {
 		case at >= rollbackAt:
 		case family == "02" && (request.MaxAgeMillis < 1 || float64(request.MaxAgeMillis) > at-since):
-			t.Errorf("%s, cell one, %.0f ms since: copies of %d ms", request.Object, at-since, request.MaxAgeMillis)
+			t.Errorf("%s in cell one, %.0f ms after the opening: max age %d ms", request.Object, at-since, request.MaxAgeMillis)
 		case family == "01" && request.MaxAgeMillis != 0 && request.MaxAgeMillis != oldCopyMaxAge:
-			t.Errorf("%s, cell two: copies of %d ms", request.Object, request.MaxAgeMillis)
+			t.Errorf("%s in cell two: max age %d ms", request.Object, request.MaxAgeMillis)
 		}
 	}
 	for _, r := range d.Routers {
@@ -173,15 +174,15 @@
 	for _, request := range seenAfter {
 		at := float64(request.ArrivedAt.UnixMilli())
 		if request.MaxAgeMillis < 1 || float64(request.MaxAgeMillis) > at-rollbackAt {
-			t.Errorf("%s, taken back %.0f ms before: copies of %d ms", request.Object, at-rollbackAt, request.MaxAgeMillis)
+			t.Errorf("%s, %.0f ms after the rollback: max age %d ms", request.Object, at-rollbackAt, request.MaxAgeMillis)
 		}
 	}
 	if n := len(seen) + len(seenAfter); n < 200 {
-		t.Errorf("%d attempts seen", n)
+		t.Errorf("%d attempts for replaced objects, want at least 200", n)
 	}
 }
 
-// replacementRequests sends a load, all of which must be served, and returns the requests for replaced objects that
+// replacementRequests sends a load that must be served completely, and returns the requests for replaced objects that
 // reached servers.
 func replacementRequests(t *testing.T, d *Deployment, seed uint64) (seen []cache.Request) {
 	t.Helper()
--- a/lab/process/router.go
+++ b/lab/process/router.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	// readyTimeout is how long a router that was started may take until it is ready.
+	// readyTimeout is how long a router may take from its start until it is ready.
 	readyTimeout = 10 * time.Second
-	// readyPollInterval is how long waitUntilReady waits between two health checks.
+	// readyPollInterval is the time between two health checks of waitUntilReady.
 	readyPollInterval = 20 * time.Millisecond
-	// readyDialTimeoutMillis bounds the dial of such a health check.
+	// readyDialTimeoutMillis is the dial timeout of such a health check.
 	readyDialTimeoutMillis = 200
-	// stopTimeout is how long a router may take to end after SIGTERM.
+	// stopTimeout is how long a router may take to exit after SIGTERM.
 	stopTimeout = 6 * time.Second
 	// firstExtraFD is the descriptor of the first file of exec.Cmd's ExtraFiles.
 	firstExtraFD = 3
 )
 
-// Router is one router process. It is not safe for concurrent use, save for Freeze, Signal and its fields.
+// Router is one router process. Only Freeze, Signal and its fields are safe for concurrent use.
 type Router struct {
 	Addr      string // where clients connect
-	AdminAddr string // of the admin API; empty: it has none
-	LogPath   string // of the file that its output goes to
+	AdminAddr string // of the admin API; empty: none
+	LogPath   string // of the file with its output
 
 	cmd        *exec.Cmd
-	exited     chan struct{} // closed when the process has ended
-	exitErr    error         // how it ended; set before exited is closed
-	startCount int           // processes that had its place before
-	listener   *os.File      // the listening socket that its processes inherit; nil: they open their own
+	exited     chan struct{} // closed when the process has exited
+	exitErr    error         // result of the process; set before exited is closed
+	startCount int           // earlier processes of the same rank
+	listener   *os.File      // listening socket that its processes inherit; nil: they open one
 }
 
-// Build compiles the router into a folder and returns its path. It needs the Go tool chain, and a working directory
-// within the project's sources.
+// Build compiles the router's program into a folder and returns its path. It needs the Go tool chain, and a working
+// directory within the project's sources.
 func Build(dir string) (string, error) {
 	binary := filepath.Join(dir, "spantack")
 	cmd := exec.Command("go", "build", "-o", binary, "spantack/cmd/spantack")
@@ -53,8 +53,8 @@
 	return binary, nil
 }
 
-// startRouter starts the process of the router with a rank. previous is the process that had its place before, from
-// which it takes over the address; nil: there was none, and the router gets a new address and configuration.
+// startRouter starts a process of the router with a rank. previous is the earlier process, whose address and
+// configuration the new one uses; nil: there is none, and the router gets a new address and configuration.
 func (d *Deployment) startRouter(rank int, previous *Router) (*Router, error) {
 	r := &Router{exited: make(chan struct{})}
 	if previous != nil {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close() // the process has a descriptor of its own
+	defer log.Close() // the process has its own descriptor
 	r.cmd.Stdout = log
 	r.cmd.Stderr = log
 	if err := r.cmd.Start(); err != nil {
@@ -90,7 +90,7 @@
 	return r, nil
 }
 
-// chooseAddr sets the address of a new router, and opens its listening socket where it gets one handed down.
+// chooseAddr sets the address of a new router, and opens its listening socket if the router inherits one.
 func (d *Deployment) chooseAddr(r *Router) (err error) {
 	if d.options.HasAdminAPI {
 		r.listener, r.Addr, err = openListener()
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// prepareCommand sets the command line and the environment of a router, as the platform sets them.
+// prepareCommand sets the command line and the environment of a router as the platform does.
 func (d *Deployment) prepareCommand(r *Router, rank int) error {
 	r.cmd = exec.Command(d.routerBinary, d.options.ExtraFlags...)
 	if d.options.Features != "" {
@@ -122,27 +122,28 @@
 	return nil
 }
 
-// routerName is the name of the router with a rank.
+// routerName returns the name of the router with a rank.
 func routerName(rank int) string { return fmt.Sprintf("n%d", rank) }
 
-// openListener opens a listening socket as the platform holds one: it stays open while processes come and go.
+// openListener opens a listening socket that stays open while processes are replaced, as the platform does, and returns
+// it with its address.
 func openListener() (*os.File, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
 	}
-	defer l.Close() // the file has a copy
+	defer l.Close() // the file has its own descriptor
 	f, err := l.(*net.TCPListener).File()
 	return f, l.Addr().String(), err
 }
 
-// waitUntilReady returns once the router says that it is ready, within readyTimeout.
+// waitUntilReady waits until the router reports that it is ready. It fails if the process exits or after readyTimeout.
 func (r *Router) waitUntilReady(ctx context.Context) error {
 	for startedAt := time.Now(); time.Since(startedAt) < readyTimeout; time.Sleep(readyPollInterval) {
 		select {
 		case <-r.exited:
-			text, _ := os.ReadFile(r.LogPath) // the log says more than the exit code, if there is one
-			return fmt.Errorf("router at %s ended: %v: %s", r.Addr, r.cmd.ProcessState, bytes.TrimSpace(text))
+			text, _ := os.ReadFile(r.LogPath) // the log has more details than the exit code
+			return fmt.Errorf("router at %s exited: %v: %s", r.Addr, r.cmd.ProcessState, bytes.TrimSpace(text))
 		case <-ctx.Done():
 			return ctx.Err()
 		default:
@@ -160,8 +161,8 @@
 	return fmt.Errorf("router at %s not ready within %v", r.Addr, readyTimeout)
 }
 
-// Restart starts a router that was killed, under its name and addresses, with nothing but its configuration. It returns
-// once the router is ready.
+// Restart starts a killed router under the same name and address and with the same configuration, but without other
+// state. It returns once the router is ready.
 func (d *Deployment) Restart(ctx context.Context, rank int) error {
 	r, err := d.startRouter(rank, d.Routers[rank])
 	if err != nil {
@@ -174,7 +175,7 @@
 // Signal sends a signal to the router's process.
 func (r *Router) Signal(s syscall.Signal) error { return r.cmd.Process.Signal(s) }
 
-// Freeze stops a router's process for a while, as a starved machine does.
+// Freeze stops a router's process for a duration, as on a machine without free CPU, and then resumes it.
 func (r *Router) Freeze(duration time.Duration) error {
 	if err := r.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -183,7 +184,7 @@
 	return r.Signal(syscall.SIGCONT)
 }
 
-// Kill ends a router as a crash does, and returns when its process has ended.
+// Kill kills a router's process, like a crash, and returns when the process has exited.
 func (r *Router) Kill() error {
 	if err := r.cmd.Process.Kill(); err != nil {
 		return err
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// terminate asks the router's process to end; one that has ended already is no error.
+// terminate sends SIGTERM to the router's process. It returns nil if the process has already exited.
 func (r *Router) terminate() error {
 	if err := r.Signal(syscall.SIGTERM); !errors.Is(err, os.ErrProcessDone) {
 		return err
@@ -200,13 +201,14 @@
 	return nil
 }
 
-// waitUntilStopped waits until a router that was asked to end has done so, kills it if it does not, and closes its
-// listening socket.
+// waitUntilStopped waits until a terminated router has exited, and closes its listening socket. After stopTimeout it
+// kills the process and returns an error.
 func (r *Router) waitUntilStopped() (err error) {
 	select {
 	case <-r.exited:
 	case <-time.After(stopTimeout):
-		err = errors.Join(fmt.Errorf("router at %s did not end within %v", r.Addr, stopTimeout), r.cmd.Process.Kill())
+		err = errors.Join(fmt.Errorf("router at %s did not exit within %v after SIGTERM", r.Addr, stopTimeout),
+			r.cmd.Process.Kill())
 	}
 	if r.listener != nil {
 		r.listener.Close()
--- a/lab/process/servers.go
+++ b/lab/process/servers.go
@@ -5,10 +5,10 @@
 	"spantack/standin/discovery"
 )
 
-// serverKind is the kind of a server in the endpoint list: an index in the routers' setting Kinds.
+// serverKind is the kind of a server in the endpoint list, an index into the routers' setting Kinds.
 type serverKind byte
 
-// The kinds of server.
+// Kinds of servers.
 const (
 	kindEdgeCache serverKind = iota
 	kindParent
@@ -16,15 +16,16 @@
 )
 
 const (
-	// cacheWeight is the weight of each server in the endpoint list: responses that it sends at once.
+	// cacheWeight is the weight of each server in the endpoint list, the number of responses that it sends
+	// concurrently.
 	cacheWeight = 4
-	// upstreamDelayFactor times the delay of an edge cache is that of parents and the origin.
+	// upstreamDelayFactor is the delay of parents and the origin, divided by the delay of an edge cache.
 	upstreamDelayFactor = 3
-	// idFactor spreads the ids of servers over 32 bits (multiplicative hashing), as ids of a platform are.
+	// idFactor spreads the ids of servers over 32 bits by multiplicative hashing, as they are spread on the platform.
 	idFactor = 2654435761
 )
 
-// startServers starts the origin, the parents and the edge caches, in this order, and publishes them.
+// startServers starts the origin, the parents and the edge caches, in this order, and publishes the endpoint list.
 func (d *Deployment) startServers() error {
 	if _, err := d.addServer(kindOrigin, "", 0); err != nil {
 		return err
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// addServer starts a server and adds it to the endpoint list. It listens on addr, or on a free one if that is empty.
-// startedAt is the time of its start as the list tells it, in Unix milliseconds; 0: long ago.
+// addServer starts a server and adds it to the endpoint list. It listens on addr, or on a free address if addr is
+// empty. startedAt is its start time in the list, in Unix milliseconds; 0: long ago.
 func (d *Deployment) addServer(kind serverKind, addr string, startedAt int64) (*cache.Server, error) {
 	d.serverCount++
 	options := cache.Options{
@@ -84,15 +85,15 @@
 	return srv, nil
 }
 
-// serverByName returns a server that runs, or nil. It is safe for concurrent use.
+// serverByName returns a running server, or nil. It is safe for concurrent use.
 func (d *Deployment) serverByName(name string) *cache.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.serversByName[name]
 }
 
-// KillParent ends a parent as a power cut does: the endpoint list stays as it is, the parent's connections break, and
-// fills that name it fail.
+// KillParent stops a parent like a power failure: its connections break and fills from it fail, but it stays in the
+// endpoint list.
 func (d *Deployment) KillParent(index int) {
 	parent := d.Parents[index]
 	d.mu.Lock()
@@ -101,7 +102,7 @@
 	parent.Close()
 }
 
-// closeServers ends all servers that run.
+// closeServers stops all running servers.
 func (d *Deployment) closeServers() {
 	d.mu.Lock()
 	servers := d.serversByName
--- a/lab/process/settings.go
+++ b/lab/process/settings.go
@@ -7,18 +7,18 @@
 	"path/filepath"
 )
 
-// Classes are the names of the request classes in Settings: video in chunks, copies of which do not age; catalogue
-// objects, copies of which do; and uncacheable reports with idempotency keys.
+// Classes are the names of the request classes in Settings: video in chunks, whose copies do not expire; catalogue
+// objects, whose copies expire; and uncacheable reports with idempotency keys.
 var Classes = []string{classVideo, classCatalogue, classReport}
 
-// The names of the request classes.
+// Names of the request classes.
 const (
 	classVideo     = "screen-video"
 	classCatalogue = "catalogue"
 	classReport    = "stock-report"
 )
 
-// The names of the zones: that of parents and the origin, and that of the only site.
+// Names of the zone of parents and the origin, and of the zone of the only site.
 const (
 	hubZone  = "hub"
 	siteZone = "depot-00"
@@ -29,12 +29,12 @@
 	microsPerMilli = 1000
 	memoryLimitMB  = 192
 	socketLimit    = 512
-	// seedStep times the rank from 1 is the seed of a router.
+	// seedStep is multiplied by rank + 1 to get the seed of a router.
 	seedStep = 7919
 )
 
-// Settings returns the settings of a deployment with one site, as the platform writes them for so many routers. Times
-// are microseconds. The caller may change it.
+// Settings returns the settings of a deployment with one site, as the platform writes them for a number of routers.
+// Times are in microseconds. The caller may modify the map.
 func Settings(routers int) map[string]any {
 	const ms = microsPerMilli
 	return map[string]any{
@@ -86,7 +86,7 @@
 	}
 }
 
-// classSettings returns the settings of a request class. The latency objective and the deadline are milliseconds.
+// classSettings returns the settings of a request class. The latency objective and the deadline are in milliseconds.
 func classSettings(name string, objective, deadline int, weight float64, idempotency string) map[string]any {
 	return map[string]any{
 		"Name":        name,
@@ -101,7 +101,7 @@
 	}
 }
 
-// routerSettings returns the settings of the router with a rank: those of the deployment, with its site and its rank.
+// routerSettings returns the settings of the router with a rank, including its rank and site.
 func (d *Deployment) routerSettings(rank int) map[string]any {
 	settings := Settings(d.options.Routers)
 	settings["Rank"] = rank
@@ -121,13 +121,13 @@
 	return settings
 }
 
-// configPath is where the configuration of the router with a rank is.
+// configPath returns the path of the configuration of the router with a rank.
 func (d *Deployment) configPath(rank int) string {
 	return filepath.Join(d.dir, routerName(rank)+".json")
 }
 
-// Configure writes the configuration of the router with a rank, as the platform does, which it reads at its start and
-// on SIGHUP. edit, if not nil, may change the document before.
+// Configure writes the configuration of the router with a rank in the form that the platform uses. The router reads it
+// at its start and on SIGHUP. edit, if not nil, can change the document before it is written.
 func (d *Deployment) Configure(rank int, edit func(doc map[string]any)) error {
 	doc := map[string]any{
 		"seed":     fmt.Sprintf("%016x", seedStep*(rank+1)),
@@ -149,10 +149,10 @@
 	return os.WriteFile(d.configPath(rank), text, 0o600)
 }
 
-// settingsOf returns the settings in a configuration.
+// settingsOf returns the settings of a configuration document.
 func settingsOf(doc map[string]any) map[string]any { return doc["settings"].(map[string]any) }
 
-// discoveryAddr is where routers reach the discovery service.
+// discoveryAddr returns the address at which routers reach the discovery service, or the relay in front of it.
 func (d *Deployment) discoveryAddr() string {
 	if d.DiscoveryRelay != nil {
 		return d.DiscoveryRelay.Addr()
--- a/lab/process/tally.go
+++ b/lab/process/tally.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxLatencyMicros is the greatest latency that a histogram tells apart.
+	// maxLatencyMicros is the highest latency that a histogram records.
 	maxLatencyMicros = 60_000_000
-	// latencyDigits is the number of significant decimal digits that it keeps.
+	// latencyDigits is the number of significant decimal digits of a recorded latency.
 	latencyDigits = 3
 )
 
-// Tally counts requests by what became of them: each one in one of the first five fields.
+// Tally counts requests by outcome. Each request counts in exactly one of the fields Served to Lost.
 type Tally struct {
 	Served    int // with the body of their object
 	Rejected  int
 	Failed    int
-	WrongBody int // served, with another body
-	Lost      int // no response came: the connection closed, or the client's time was over
-	// Resent is how many of all crossed the close of a connection and were sent once more.
+	WrongBody int // served with a wrong body
+	Lost      int // no response: the connection closed, or the client timed out
+	// Resent is the number of requests that were sent again because a connection closed while they were in flight.
 	Resent int
-	// Latency is that of served ones, in microseconds; nil: it is not kept.
+	// Latency is the latency of served requests in microseconds; nil: not recorded.
 	Latency *hdrhistogram.Histogram
 }
 
-// LoadResult is what became of the requests of a load.
+// LoadResult is the outcomes of the requests of a load, by class and by family.
 type LoadResult struct {
 	ByClass  map[string]*Tally
 	ByFamily []Tally
@@ -46,7 +46,7 @@
 	return result
 }
 
-// Total adds up the tallies of all classes, without latencies.
+// Total returns the sum of the tallies of all classes, without latencies.
 func (r *LoadResult) Total() (sum Tally) {
 	for _, tally := range r.ByClass {
 		sum.Served += tally.Served
@@ -59,7 +59,7 @@
 	return sum
 }
 
-// record counts a request. err tells that no response came.
+// record counts a request. A non-nil err means that there was no response.
 func (t *Tally) record(request *router.Request, response router.Response, err error, latency time.Duration) {
 	switch {
 	case err != nil:
@@ -73,7 +73,7 @@
 	default:
 		t.Served++
 		if t.Latency != nil {
-			_ = t.Latency.RecordValue(latency.Microseconds()) // one above maxLatencyMicros is left out
+			_ = t.Latency.RecordValue(latency.Microseconds()) // fails for a latency above maxLatencyMicros, which is omitted
 		}
 	}
 }
--- a/lab/process/topology_test.go
+++ b/lab/process/topology_test.go
@@ -11,7 +11,8 @@
 	"spantack/internal/features"
 )
 
-// topologyWithParents is a topology of the site, the origin, and the parents with some indexes, each one a group.
+// topologyWithParents returns a topology of the site, the origin and the parents with the given indexes, each of which
+// is a parent group.
 func topologyWithParents(version int64, parents ...int) *hierarchy.Topology {
 	topology := &hierarchy.Topology{
 		Version: version,
@@ -29,7 +30,7 @@
 	return topology
 }
 
-// topologyFeatures is a features file with a topology.
+// topologyFeatures returns a features file with a topology.
 func topologyFeatures(t *testing.T, topology *hierarchy.Topology) string {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"shape": features.Topology{Enabled: true, Topology: *topology}})
@@ -39,15 +40,15 @@
 	return string(text)
 }
 
-// fillSources are, by object, the servers that its fills were asked of.
+// fillSources is the set of servers that fills of an object named, by object.
 type fillSources map[string]map[string]bool
 
 // runFills sends a load and returns the sources of the fills in it.
 func runFills(t *testing.T, d *Deployment, seed uint64, objects int) fillSources {
 	t.Helper()
-	// maxFills is how many fills two routers have in flight. A router starts with a concurrency limit of 10 at each
-	// parent and keeps half of it for the classes with the most weight; a fill that is past it goes to another parent,
-	// as it should. Where processes wait for a CPU, requests sent by the clock pile up past 10.
+	// maxFills is the maximum of fills in flight by both routers. A router starts with a concurrency limit of 10 at
+	// each parent and reserves half of it for the classes with the highest weight. A fill beyond the limit goes to
+	// another parent, correctly. Without this bound, on a busy machine, requests sent on a timer would exceed 10.
 	const maxFills = 5
 	from := len(d.RequestLog.Requests())
 	total := mustRunLoad(t, d, Load{
@@ -75,7 +76,8 @@
 	return sources
 }
 
-// onlySource checks that the fills of each object were asked of one of some parents, and returns it by object.
+// onlySource checks that all fills of an object named the same parent, one of the given ones, and returns the parents
+// by object.
 func (f fillSources) onlySource(t *testing.T, parents ...int) map[string]string {
 	t.Helper()
 	parentOf := map[string]string{}
@@ -83,7 +85,7 @@
 		for source := range sources {
 			isListed := slices.ContainsFunc(parents, func(i int) bool { return parentName(i) == source })
 			if len(sources) != 1 || !isListed {
-				t.Errorf("fills of %s are asked of %v", object, sources)
+				t.Errorf("fills of %s named %v", object, sources)
 			}
 			parentOf[object] = source
 		}
@@ -91,10 +93,10 @@
 	return parentOf
 }
 
-// Two routers, three parents, and a topology that changes by SIGHUP: an object's fills are asked of one parent at both
-// routers, a planted cycle is refused and changes nothing, a later topology moves what it must, and when a parent is
-// cut off, still listed, fills go elsewhere. Every request has one right answer.
-func TestTopologyChangesInService(t *testing.T) {
+// The topology of two routers and three parents is changed by SIGHUP. Both routers fill an object from the same parent.
+// A topology with a cycle is rejected and changes nothing. A valid one moves fills only as the hash requires. When a
+// parent dies but stays in the endpoint list, fills go to others. Every request gets one correct response.
+func TestTopologyReloadMovesOnlyRequiredFills(t *testing.T) {
 	d := startDeployment(t, Options{
 		Routers:       2,
 		EdgeCaches:    4,
@@ -112,7 +114,7 @@
 	afterRefusal := runFills(t, d, 2, 200).onlySource(t, 0, 1)
 	for object, parent := range before {
 		if now, known := afterRefusal[object]; known && now != parent {
-			t.Errorf("%s went from %s to %s by a topology that was refused", object, parent, now)
+			t.Errorf("%s moved from %s to %s by a rejected topology", object, parent, now)
 		}
 	}
 
@@ -127,27 +129,28 @@
 			}
 		}
 	}
-	if seen < 50 || len(afterRefusal) < 100 || moved > seen*45/100 { // a third goes to the new one, as the hash has it
-		t.Errorf("%d and %d objects seen; of those whose parent stayed %d of %d went elsewhere",
+	if seen < 50 || len(afterRefusal) < 100 || moved > seen*45/100 { // by the hash, a third moves to the new parent
+		t.Errorf("%d and %d objects seen; of those whose parent stayed, %d of %d moved",
 			seen, len(afterRefusal), moved, seen)
 	}
 
 	d.KillParent(2)
-	runFills(t, d, 4, 400) // finds out
+	runFills(t, d, 4, 400) // the routers detect the failure
 	checkDeadParentAvoided(t, runFills(t, d, 5, 800))
 	checkNoOverlaps(t, d)
 }
 
-// checkDeadParentAvoided checks that fills are asked of the dead parent, which is the last one, for trials alone.
+// checkDeadParentAvoided checks that fills of at most 10% of the objects, as probes, named the dead parent, which is
+// the last one.
 func checkDeadParentAvoided(t *testing.T, sources fillSources) {
 	t.Helper()
-	astray := 0
-	for _, asked := range sources {
-		if asked[parentName(2)] {
-			astray++
+	misdirected := 0
+	for _, named := range sources {
+		if named[parentName(2)] {
+			misdirected++
 		}
 	}
-	if astray > len(sources)/10 || len(sources) < 300 {
-		t.Errorf("after the cut %d of %d objects were asked of what is not there", astray, len(sources))
+	if misdirected > len(sources)/10 || len(sources) < 300 {
+		t.Errorf("after the parent died, fills of %d of %d objects named it", misdirected, len(sources))
 	}
 }
