--- a/lab/configure.go
+++ b/lab/configure.go
@@ -57,7 +57,7 @@
 }
 
 // addCells sets the cells of an arm, and what needs cells: the release of the day and the migrations of the arm. In an
-// arm without cells, tenants are still assigned to the cells of another arm for the figures, so that arms compare.
+// arm without cells, tenants are still assigned to the cells of another arm, so that the figures of the arms compare.
 func (e *Experiment) addCells(cfg *emulator.Config, size string, arm Arm, day Day) error {
 	cellCount := arm.Cells.forSize(size)
 	planned := cellCount
--- a/lab/experiments/shapes.jsonnet
+++ b/lab/experiments/shapes.jsonnet
@@ -7,7 +7,7 @@
     small: { shapes: 200, areas: 24, depots: 8, changes: 6, fills: 20 },
     full: { shapes: 1000, areas: 24, depots: 8, changes: 6, fills: 100 },
   },
-  arms: { plain: {}, asker: {}, path: {} },  // guards against cycles: none; by the requester only; by the path that a fill carries
+  arms: { plain: {}, asker: {}, path: {} },  // guard against cycles: none, requester only, path of the fill
   days: { changes: {} },
   claims: [
     { name: 'shapes with circles taken', of: 'path/changes/plantedTaken', most: 0 },
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// addReleaseFigures adds the figures of a day with a release, summed over the worlds in which it was emulated.
+// addReleaseFigures adds the figures of a day with a release, calculated over all worlds of the day.
 func (r *Run) addReleaseFigures(cfg *emulator.Config, worlds []emulator.Result) {
 	opensAtSeconds := cfg.Release.Rollout.Rings[0].OpensAt / 1000
 	stopped, passed := 0.0, 0.0 // counts of worlds
--- a/lab/process/admin_test.go
+++ b/lab/process/admin_test.go
@@ -66,7 +66,7 @@
 	return client
 }
 
-// requestFor returns a request for an object of family 0.
+// requestFor returns a request for the object of family 0 with a number.
 func requestFor(id, class string, object int) router.Request {
 	return router.Request{ID: id, Class: class, Object: ObjectName(0, object), SizeKB: objectKB,
 		ClientTimeout: clientTimeoutMillis}
@@ -99,7 +99,7 @@
 	firstExcluded := sent.Load() + 1
 	waitUntilSent(firstExcluded + 200)
 	mustReplaceRouter(t, d)
-	mustCall(t, d.Routers[0], http.MethodPut, "/api/exclude/"+excluded) // twice
+	mustCall(t, d.Routers[0], http.MethodPut, "/api/exclude/"+excluded) // a repeated call must succeed too
 	mustReplaceRouter(t, d)
 	lastExcluded := sent.Load()
 	includedAt := time.Now()
--- a/lab/run.go
+++ b/lab/run.go
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// worldSeed returns the seed of a world of a run. In days with several worlds it depends on the number of the world
+// worldSeed returns the seed of a world of a run. On days with several worlds it depends on the number of the world
 // only, so that days with different releases have the same worlds.
 func (set *worldSet) worldSeed(run, world int) uint64 {
 	if len(set.results[run]) == 1 {
