--- a/lab/figures.go
+++ b/lab/figures.go
@@ -26,7 +26,7 @@
 
 // addWorldFigures fills in the figures, violations and seconds of a run from the result of its world.
 func (r *Run) addWorldFigures(cfg *emulator.Config, result *emulator.Result) {
-	r.Broken = result.Violations
+	r.Violations = result.Violations
 	r.Figures = requestFigures(result)
 	maps.Copy(r.Figures, latencyFigures(result))
 	if cfg.Hubs > 0 {
--- a/lab/outcome.go
+++ b/lab/outcome.go
@@ -7,11 +7,11 @@
 
 // Run is the result of one arm on one day.
 type Run struct {
-	Arm     string             `json:"arm"`
-	Day     string             `json:"day"`
-	Figures map[string]float64 `json:"figures"`
-	Seconds []float64          `json:"seconds"`          // fraction of weight served on time in other cells, by second
-	Broken  map[string]int64   `json:"broken,omitempty"` // violations of the platform's rules, by rule
+	Arm        string             `json:"arm"`
+	Day        string             `json:"day"`
+	Figures    map[string]float64 `json:"figures"`
+	Seconds    []float64          `json:"seconds"`          // fraction of weight served on time in other cells, by second
+	Violations map[string]int64   `json:"broken,omitempty"` // violations of the platform's rules, by rule
 }
 
 // Outcome is the result of an experiment with one seed.
