--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -11,12 +11,12 @@
 
 // StepResult is the result of a step. The stand-ins measure the figures.
 type StepResult struct {
-	Step        string  `json:"step"`
-	MaxInFlight int     `json:"most"`            // maximum of fills in flight at the origin
-	Bound       int     `json:"bound"`           // on MaxInFlight, at the end of the step
-	Fills       int     `json:"fills"`           // fills that reached the origin
-	TookSeconds float64 `json:"tookS"`           // until the condition that ends the step held; otherwise its duration
-	Fault       string  `json:"fault,omitempty"` // first unmet condition; empty: none
+	Step           string  `json:"step"`
+	MaxInFlight    int     `json:"most"`            // maximum of fills in flight at the origin
+	Bound          int     `json:"bound"`           // on MaxInFlight, at the end of the step
+	Fills          int     `json:"fills"`           // fills that reached the origin
+	TookSeconds    float64 `json:"tookS"`           // until the condition that ends the step held; otherwise its duration
+	UnmetCondition string  `json:"fault,omitempty"` // first unmet condition; empty: none
 	// FailedParentFills is the number of fills that named the dead parent after the settle time.
 	FailedParentFills int `json:"named,omitempty"`
 	MaxDials          int `json:"tries,omitempty"` // of the discovery service, within any dialWindow
@@ -48,8 +48,8 @@
 // Failures returns a line for each unmet condition; none if the scenario passed.
 func (r *Result) Failures() (all []string) {
 	for _, step := range r.Steps {
-		if step.Fault != "" {
-			all = append(all, step.Step+": "+step.Fault)
+		if step.UnmetCondition != "" {
+			all = append(all, step.Step+": "+step.UnmetCondition)
 		}
 	}
 	if r.WrongBody > 0 || r.Overlaps > 0 || r.Served == 0 || r.MaxDatagramBytes > maxDatagramBytes {
--- a/lab/scenario/step.go
+++ b/lab/scenario/step.go
@@ -130,8 +130,8 @@
 	at := time.Since(run.player.startedAt).Seconds()
 	total.inFlightCurve = append(total.inFlightCurve, plotter.XY{X: at, Y: float64(inFlight)})
 	total.boundCurve = append(total.boundCurve, plotter.XY{X: at, Y: float64(bound)})
-	if run.player.OriginFillsPerRouter > 0 && inFlight > bound && run.result.Fault == "" {
-		run.result.Fault = fmt.Sprintf("%d fills in flight at the origin %.2f s into the step, bound %d",
+	if run.player.OriginFillsPerRouter > 0 && inFlight > bound && run.result.UnmetCondition == "" {
+		run.result.UnmetCondition = fmt.Sprintf("%d fills in flight at the origin %.2f s into the step, bound %d",
 			inFlight, run.elapsed(), bound)
 	}
 }
@@ -161,8 +161,8 @@
 	run.result.FailedParentFills = len(failedParentFills)
 	run.result.MaxDials = run.player.deployment.DiscoveryRelay.MaxDialsWithin(run.dialsBefore, dialWindow)
 	run.result.DialBound = run.dialBound()
-	if run.result.Fault == "" {
-		run.result.Fault = run.unmetCondition(failedParentFills)
+	if run.result.UnmetCondition == "" {
+		run.result.UnmetCondition = run.unmetCondition(failedParentFills)
 	}
 }
 
--- a/lab/scenario/write.go
+++ b/lab/scenario/write.go
@@ -49,7 +49,7 @@
 	b.WriteString("| step | max in flight | bound | fills | dials | bound | fills naming the dead parent | s | |\n")
 	b.WriteString("|---|---|---|---|---|---|---|---|---|\n")
 	for _, step := range r.Steps {
-		verdict := step.Fault
+		verdict := step.UnmetCondition
 		if verdict == "" {
 			verdict = "kept"
 		}
