--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -3,32 +3,33 @@
 import "spantack/routing"
 
 const (
-	defaultRequestKB      = 100.0 // of a request that does not tell its size
-	minRetryAfterFraction = 0.25  // least Retry-After of a rejected request, as a part of the greatest
+	defaultRequestKB      = 100.0 // assumed response size for a request that does not state it
+	minRetryAfterFraction = 0.25  // shortest Retry-After of a rejected request, as a fraction of the longest
 )
 
-// candidate is a request on its way through admission.
+// candidate is a request while admission decides on it.
 type candidate struct {
-	tenantIndex   int
-	tenant        *tenant
-	cellIndex     int
-	cell          *cell
-	class         requestClass
-	isUncacheable bool
-	isRelease     bool // the object belongs to the rollout's release
-	sizeKB        float64
-	recent        int8 // 1: its chunk was requested recently
-	fillKB        float64
-	originKB      float64
-	usage         float64 // of its tenant, by weight
-	exceedsShare  bool    // the usage is above the fair share of the cell
-	route         migrationRoute
+	tenantIndex      int
+	tenant           *tenant
+	cellIndex        int
+	cell             *cell
+	class            requestClass
+	isUncacheable    bool
+	isRelease        bool // the object belongs to the rollout's release
+	sizeKB           float64
+	recent           int8    // 1: its chunk was requested recently; 0: it was not
+	fillKB           float64 // estimate of KB filled over the link
+	originKB         float64 // estimate of KB sent by the origin
+	usage            float64 // usage of its tenant, divided by the tenant's weight
+	exceedsFairShare bool    // the usage is above the cell's fair-share limit
+	route            migrationRoute
 }
 
-// admit decides whether the engine may handle a request, and with which caches; there must be an assignment. It does
-// not allocate.
+// admit decides whether the engine may handle a request, and sets the caches that the engine may use. There must be an
+// assignment in force. It does not allocate memory, except while its maps and lists grow, when a tenant's subset is
+// first used, and in the periodic updates of migrations and the rollout.
 func (a *Admission) admit(now int64, event *routing.Event) Reason {
-	a.scope.countActiveTenants(now)
+	a.state.countActiveTenants(now)
 	a.migrations.advance(now)
 	a.rollout.advance(now)
 
@@ -41,7 +42,7 @@
 	}
 	a.estimateFill(now, event, &c)
 	a.recordUsage(now, &c)
-	if c.exceedsShare && !c.isUncacheable {
+	if c.exceedsFairShare && !c.isUncacheable {
 		return ReasonHeavyTenant
 	}
 	if reason := a.checkBudget(now, &c); reason != ReasonNone {
@@ -49,17 +50,17 @@
 		return reason
 	}
 	a.takeBudget(&c)
-	a.limitScope(now, event, &c)
+	a.setSubsets(now, event, &c)
 	a.recordOpenRequest(now, event, &c)
 	return ReasonNone
 }
 
 func (a *Admission) newCandidate(event *routing.Event) candidate {
-	index := a.scope.tenantOf(event)
+	index := a.state.tenantOf(event)
 	class := a.classes[event.Class]
 	c := candidate{
 		tenantIndex:   index,
-		tenant:        &a.scope.tenants[index],
+		tenant:        &a.state.tenants[index],
 		class:         class,
 		isUncacheable: class.isUncacheable,
 		sizeKB:        event.SizeKB,
@@ -70,8 +71,8 @@
 	return c
 }
 
-// selectCell finds the cell of a request: its tenant's, one of the two of a migration, or the fallback of a cell that
-// has no healthy cache.
+// selectCell selects the cell of a request: the tenant's cell, one of the two cells of a migration, or the fallback
+// cell if the selected one has no healthy cache.
 func (a *Admission) selectCell(now int64, event *routing.Event, c *candidate) Reason {
 	c.cellIndex = c.tenant.cell
 	if c.tenant.migration != nil && !c.isUncacheable {
@@ -81,36 +82,36 @@
 		}
 	}
 	needsCache := !c.isUncacheable || !a.settings.Hierarchy.AllowsDirectFetch
-	if needsCache && !a.scope.cells[c.cellIndex].hasLiveCache {
-		c.cellIndex = a.scope.cells[c.cellIndex].fallback
-		if c.cellIndex == noCell || !a.scope.cells[c.cellIndex].hasLiveCache {
-			return ReasonNoLiveCache
+	if needsCache && !a.state.cells[c.cellIndex].hasHealthyCache {
+		c.cellIndex = a.state.cells[c.cellIndex].fallback
+		if c.cellIndex == noCell || !a.state.cells[c.cellIndex].hasHealthyCache {
+			return ReasonNoHealthyCache
 		}
 		a.Stats.FellBack++
 	}
-	c.cell = &a.scope.cells[c.cellIndex]
+	c.cell = &a.state.cells[c.cellIndex]
 	return ReasonNone
 }
 
-// estimateFill estimates what a request takes of link, parents and origin.
+// estimateFill estimates how many KB a request needs from the link and the parents, and how many from the origin.
 func (a *Admission) estimateFill(now int64, event *routing.Event, c *candidate) {
 	c.cell.arrivals.add(now, 1)
-	if a.scope.recentChunks.record(now, event.Object, event.Chunk) {
+	if a.state.recentChunks.record(now, event.Object, event.Chunk) {
 		c.recent = 1
 	}
 	if c.isUncacheable {
 		return
 	}
-	fillRatio, originRatio := c.tenant.missRatio.expect(c.recent, &a.scope.cells[c.tenant.cell].missRatio)
+	fillRatio, originRatio := c.tenant.missRatio.estimate(c.recent, &a.state.cells[c.tenant.cell].missRatio)
 	c.fillKB = c.sizeKB * fillRatio
 	c.originKB = c.sizeKB * originRatio
 	if c.route.isColdInDestination() {
-		c.fillKB = c.sizeKB // parents have the object, as the source cell filled it from there
+		c.fillKB = c.sizeKB // originKB stays: the source cell filled the object through the parents, so they have it
 	}
 }
 
-// recordUsage adds a request, admitted or not, to the usage and demand of its tenant, and compares the usage with the
-// fair share of the cell.
+// recordUsage adds a request to the usage and demand of its tenant, whether or not the cell's limit and budget then
+// admit it, and compares the tenant's usage with the cell's fair-share limit.
 func (a *Admission) recordUsage(now int64, c *candidate) {
 	cost := a.budget.cost(c.fillKB, c.originKB)
 	c.usage = c.tenant.usage.add(now, cost) / c.tenant.weight
@@ -119,15 +120,16 @@
 	fair := &c.cell.fairShare
 	fair.total.add(now, cost)
 	fair.observe(now, c.usage)
-	c.exceedsShare = fair.exceeds(now, c.usage)
+	c.exceedsFairShare = fair.exceeds(now, c.usage)
 }
 
-// checkBudget returns which share of the cell is used up, or ReasonNone. Requests of tenants with little usage may put
-// the cell in debt.
+// checkBudget returns the reason for which the cell's budget does not allow a request, or ReasonNone. Requests of
+// tenants with low usage may put the cell into debt, which is a negative number of tokens. For uncacheable requests,
+// low usage is at most the fair-share limit, for cacheable ones it is below the mean usage of the cell's tenants.
 func (a *Admission) checkBudget(now int64, c *candidate) Reason {
 	reason := ReasonNone
 	if c.isUncacheable {
-		reason = a.budget.checkUncacheable(now, c.cellIndex, !c.exceedsShare)
+		reason = a.budget.checkUncacheable(now, c.cellIndex, !c.exceedsFairShare)
 	} else {
 		reason = a.budget.check(now, c.cellIndex, c.usage < c.cell.fairShare.meanUsage(now))
 	}
@@ -145,10 +147,10 @@
 	}
 }
 
-// limitScope names the caches in the event that the engine may use for a request.
-func (a *Admission) limitScope(now int64, event *routing.Event, c *candidate) {
-	event.Subset = a.scope.subsetOf(now, c.tenantIndex, c.cellIndex)
-	if overflow := a.scope.overflowCell; overflow != noCell && c.cellIndex != overflow {
+// setSubsets sets the subsets of the event, which limit the engine to the caches that a request may use.
+func (a *Admission) setSubsets(now int64, event *routing.Event, c *candidate) {
+	event.Subset = a.state.subsetOf(now, c.tenantIndex, c.cellIndex)
+	if overflow := a.state.overflowCell; overflow != noCell && c.cellIndex != overflow {
 		event.OverflowSubset = cellSubset(overflow)
 	}
 	if c.route.toDestination {
@@ -158,7 +160,7 @@
 	}
 }
 
-// recordOpenRequest keeps an admitted request until it ends.
+// recordOpenRequest stores an admitted request until it ends.
 func (a *Admission) recordOpenRequest(now int64, event *routing.Event, c *candidate) {
 	c.cell.openRequests++
 	a.heavyObjects.Add(now, event.Object, c.sizeKB)
@@ -181,18 +183,19 @@
 	a.Stats.Admitted++
 }
 
-// rejection answers a rejected request. Its Retry-After is long, and random so that clients do not come back together.
+// rejection returns the action that rejects a request. Its Retry-After is random, between minRetryAfterFraction of
+// MaxRetryAfter and MaxRetryAfter, so that clients do not retry at the same time.
 func (a *Admission) rejection(event *routing.Event) routing.Action {
-	longest := float64(a.settings.Permissions.MaxRetryAfter)
-	part := minRetryAfterFraction + (1-minRetryAfterFraction)*a.rng.Float64()
+	maxRetryAfter := float64(a.settings.Permissions.MaxRetryAfter)
+	fraction := minRetryAfterFraction + (1-minRetryAfterFraction)*a.rng.Float64()
 	return routing.Action{
 		Kind:       routing.ActionReject,
 		RequestID:  event.RequestID,
-		RetryAfter: int64(longest * part),
+		RetryAfter: int64(maxRetryAfter * fraction),
 	}
 }
 
-// observeOutcome learns from the end of an attempt.
+// observeOutcome updates estimates, the rollout and migrations with the outcome of an attempt.
 func (a *Admission) observeOutcome(now int64, event *routing.Event) {
 	request, isOpen := a.openRequests[event.RequestID]
 	if !isOpen {
@@ -208,7 +211,8 @@
 	}
 }
 
-// learnFill replaces the estimate of what a request takes by what it took.
+// learnFill updates miss ratios with a served attempt, and replaces the request's estimate in the budget by its actual
+// usage.
 func (a *Admission) learnFill(request *openRequest, status routing.CacheStatus) {
 	filled, fromOrigin := 0.0, 0.0
 	if status.IsFilled() {
@@ -217,15 +221,15 @@
 	if status == routing.FilledFromOrigin {
 		fromOrigin = 1
 	}
-	if !request.route.isCold { // misses in a cell that is new to the tenant say nothing of later ones
-		tenant := &a.scope.tenants[request.tenant]
+	if !request.route.isCold { // a miss of a chunk that is new to a migration's destination predicts no later miss
+		tenant := &a.state.tenants[request.tenant]
 		tenant.missRatio.learn(request.recent, filled, fromOrigin, tenantLearningStep)
-		a.scope.cells[tenant.cell].missRatio.learn(request.recent, filled, fromOrigin, cellLearningStep)
+		a.state.cells[tenant.cell].missRatio.learn(request.recent, filled, fromOrigin, cellLearningStep)
 	}
 	a.budget.correct(request, request.sizeKB*filled, request.sizeKB*fromOrigin)
 }
 
-// observeDecisions learns from the engine's final answers without service: rejections show an overloaded cell.
+// observeDecisions records requests that the engine rejected or failed. Rejections indicate an overloaded cell.
 func (a *Admission) observeDecisions(now int64, actions []routing.Action) {
 	for i := range actions {
 		action := &actions[i]
@@ -234,7 +238,7 @@
 		}
 		if request, isOpen := a.openRequests[action.RequestID]; isOpen {
 			if action.Kind == routing.ActionReject {
-				a.scope.cells[request.cell].observeRejection(now)
+				a.state.cells[request.cell].observeRejection(now)
 			}
 			a.rollout.observeUnserved(&request, action.Kind == routing.ActionFail)
 			a.migrations.observeUnserved(now, &request)
--- a/core/cells/document_validation_test.go
+++ b/core/cells/document_validation_test.go
@@ -8,9 +8,10 @@
 	"spantack/core/rollout"
 )
 
-func TestValidateMigrationsNamesTheField(t *testing.T) {
+// The error for an invalid migration must begin with the path of the field.
+func TestValidateMigrationsNamesInvalidField(t *testing.T) {
 	assignment := mustCompile(t, twoCells())
-	if err := assignment.ValidateMigrations(migrationOfCalm()); err != nil {
+	if err := assignment.ValidateMigrations(normalTenantMigration()); err != nil {
 		t.Fatal(err)
 	}
 	if err := assignment.ValidateMigrations(nil); err != nil {
@@ -19,27 +20,28 @@
 	for want, invalidate := range map[string]func(*migration.Migration){
 		`moves.moves[0].tenant: "x" is no tenant`: func(m *migration.Migration) { m.Tenant = "x" },
 		`moves.moves[0].from: "x" is no cell`:     func(m *migration.Migration) { m.From = "x" },
-		`moves.moves[0].from: loud is in cell one in d`: func(m *migration.Migration) {
-			m.Tenant, m.From, m.To = "loud", "two", "two"
+		`moves.moves[0].from: heavy is in cell one at site "z"`: func(m *migration.Migration) {
+			m.Tenant, m.From, m.To = "heavy", "two", "two"
 		},
 	} {
 		t.Run(want, func(t *testing.T) {
-			err := assignment.ValidateMigrations(migrationOfCalm(invalidate))
+			err := assignment.ValidateMigrations(normalTenantMigration(invalidate))
 			if err == nil || !strings.HasPrefix(err.Error(), want) {
-				t.Errorf("got %v, want %s", err, want)
+				t.Errorf("got %v, want prefix %q", err, want)
 			}
 		})
 	}
 	nested := twoCells()
 	nested.Scheme = SchemeNested
 	nested.Width = 2
-	err := mustCompile(t, nested).ValidateMigrations(migrationOfCalm())
-	if err == nil || !strings.Contains(err.Error(), "schemes fixed and overflow") {
-		t.Errorf("got %v", err)
+	err := mustCompile(t, nested).ValidateMigrations(normalTenantMigration())
+	if err == nil || !strings.Contains(err.Error(), "need scheme fixed or overflow") {
+		t.Errorf("scheme nested: got %v", err)
 	}
 }
 
-func TestValidateRolloutNamesTheField(t *testing.T) {
+// The error for an invalid rollout must begin with the path of the field.
+func TestValidateRolloutNamesInvalidField(t *testing.T) {
 	assignment := mustCompile(t, twoCells())
 	for _, test := range []struct {
 		name, want string // "": no error
@@ -48,7 +50,7 @@
 		{"valid", "", func(*rollout.Rollout) {}},
 		{"no name", "stage.name: ", func(r *rollout.Rollout) { r.Name = "" }},
 		{"unknown cell", "stage.rings[0].cells:", func(r *rollout.Rollout) { r.Rings[0].Cells = []string{"x"} }},
-		{"all cells", "stage.rings[0].cells: every cell", func(r *rollout.Rollout) {
+		{"all cells", "stage.rings[0].cells: contains all cells", func(r *rollout.Rollout) {
 			r.Rings[0].Cells = []string{"one", "two"}
 		}},
 	} {
@@ -57,7 +59,7 @@
 			test.change(release)
 			err := assignment.ValidateRollout(release)
 			if (err == nil) != (test.want == "") || err != nil && !strings.HasPrefix(err.Error(), test.want) {
-				t.Errorf("got %v, want %s", err, test.want)
+				t.Errorf("got %v, want prefix %q", err, test.want)
 			}
 		})
 	}
--- a/core/fleet/lease_messages.go
+++ b/core/fleet/lease_messages.go
@@ -6,7 +6,7 @@
 	"spantack/core/lease"
 )
 
-// leaseKindOf are the kinds of messages of core/lease by the kinds that carry them.
+// leaseKindOf maps the kinds of datagrams that carry messages of core/lease to the kinds of those messages.
 var leaseKindOf = map[messageKind]lease.MessageKind{
 	treeRequestMessage: lease.KindRequest,
 	treeGrantMessage:   lease.KindGrant,
@@ -14,7 +14,7 @@
 	treeVoteAckMessage: lease.KindVoteAck,
 }
 
-// messageKindOf is the reverse of leaseKindOf.
+// messageKindOf is the inverse of leaseKindOf.
 var messageKindOf = map[lease.MessageKind]messageKind{
 	lease.KindRequest: treeRequestMessage,
 	lease.KindGrant:   treeGrantMessage,
@@ -22,7 +22,8 @@
 	lease.KindVoteAck: treeVoteAckMessage,
 }
 
-// appendLeaseBody writes the body of a message of core/lease. Its incarnation is in the header.
+// appendLeaseBody appends the body of a message of core/lease to buffer. The incarnation of the message is in the
+// header.
 func (m *message) appendLeaseBody(buffer []byte) []byte {
 	order := binary.BigEndian
 	body := &m.lease
@@ -30,31 +31,30 @@
 	switch m.kind {
 	case treeRequestMessage:
 		buffer = append(buffer, byte(body.Level))
-		buffer = order.AppendUint32(buffer, amountUp(body.Amount))
+		buffer = order.AppendUint32(buffer, unitsRoundedUp(body.Amount))
 		buffer = order.AppendUint32(buffer, body.RequestNumber)
 		buffer = order.AppendUint16(buffer, uint16(body.Weight))
 	case treeGrantMessage:
 		buffer = append(buffer, byte(body.Level))
-		buffer = order.AppendUint32(buffer, amountDown(body.Amount))
+		buffer = order.AppendUint32(buffer, unitsRoundedDown(body.Amount))
 		buffer = order.AppendUint32(buffer, uint32(body.Term/lease.TermUnit))
 		buffer = order.AppendUint32(buffer, body.RequestNumber)
 		buffer = order.AppendUint16(buffer, uint16(body.KnownHolder))
 	case treeVoteMessage:
-		buffer = order.AppendUint32(buffer, body.Stamp)
+		buffer = order.AppendUint32(buffer, body.Timestamp)
 		buffer = order.AppendUint32(buffer, body.CandidateIncarnation)
 	case treeVoteAckMessage:
 		isElected := byte(0)
 		if body.IsElected {
 			isElected = 1
 		}
-		buffer = order.AppendUint32(buffer, body.Stamp)
+		buffer = order.AppendUint32(buffer, body.Timestamp)
 		buffer = append(buffer, isElected)
 	}
 	return buffer
 }
 
-// parseLeaseBody reads what appendLeaseBody wrote. Whether the values have a place in the tree is core/lease's to
-// say.
+// parseLeaseBody decodes a body that appendLeaseBody encoded. It does not check the values: core/lease does.
 func (m *message) parseLeaseBody(data []byte) {
 	order := binary.BigEndian
 	m.limit = int(data[0])
@@ -74,10 +74,10 @@
 		body.RequestNumber = order.Uint32(data[10:])
 		body.KnownHolder = parseHolder(data[14:])
 	case treeVoteMessage:
-		body.Stamp = order.Uint32(data[1:])
+		body.Timestamp = order.Uint32(data[1:])
 		body.CandidateIncarnation = order.Uint32(data[5:])
 	case treeVoteAckMessage:
-		body.Stamp = order.Uint32(data[1:])
+		body.Timestamp = order.Uint32(data[1:])
 		body.IsElected = data[5] == 1
 	}
 }
--- a/core/lease/election.go
+++ b/core/lease/election.go
@@ -2,42 +2,42 @@
 
 // Times in microseconds.
 const (
-	// voteLifetime is how long a vote counts. A lease from the fleet's holder lasts less, so that it can grant
-	// leases all the time.
+	// voteLifetime is how long a vote is valid. It is longer than a lease from the fleet's holder, so that the holder
+	// can grant leases without interruption.
 	voteLifetime = 7_000_000
 	voteInterval = 1_000_000 // between two votes of an elector
 
-	// voteDriftMargin is how much sooner a vote expires for the candidate than for the voter, for any drift of
-	// clocks.
+	// voteDriftMargin is subtracted from the lifetime of a vote at the candidate, so that the vote expires there before
+	// it expires at the voter for any clock drift up to maxClockDrift.
 	voteDriftMargin = voteLifetime * maxClockDrift * 2
 
-	// electionTimeout is how long a candidate that is not elected is voted for: the electors must come to agree on
-	// another.
+	// electionTimeout is how long an elector votes for a candidate that is not elected. After that it lets its vote
+	// expire, so that the electors can agree on another candidate.
 	electionTimeout        = 4_000_000
-	avoidCandidateDuration = 6_000_000 // of a candidate that does not answer
+	avoidCandidateDuration = 6_000_000 // for a candidate that does not answer
 )
 
 const (
-	// maxUnansweredVotes in a row count as votes: what follows asks for a stamp only, so that the votes expire soon
-	// if the candidate is lost.
+	// maxUnansweredVotes is the number of unanswered messages in a row after which further messages carry no vote and
+	// only request a timestamp, so that the vote of an elector expires soon if its candidate is lost.
 	maxUnansweredVotes = 2
-	// maxUnansweredCandidate is how many votes in a row a candidate may leave unanswered before it is avoided.
-	maxUnansweredCandidate = 8
+	// maxUnansweredBeforeAvoid is how many messages in a row may stay unanswered before the candidate is avoided.
+	maxUnansweredBeforeAvoid = 8
 )
 
-// elector is a router's part in electing the fleet's holder.
+// elector is the state of a router as an elector of the holder of the fleet.
 type elector struct {
-	// The candidate that it votes for.
+	// The candidate for which it votes.
 	candidate            int    // NoRank: none yet
-	candidateSince       int64  // when it was chosen, or last known to be elected
-	candidateIncarnation uint32 // that has the vote; 0: none has
-	candidateStamp       uint32 // of the candidate's last answer; 0: none
-	voteExpiresAt        int64  // by the own clock
-	unansweredVotes      int    // in a row
+	candidateSince       int64  // time at which it was chosen or last known to be elected
+	candidateIncarnation uint32 // as of its last answer; votes are for it; 0: no answer yet
+	candidateTimestamp   uint32 // in the candidate's last answer; 0: none
+	voteExpiresAt        int64  // by the clock of this router
+	unansweredVotes      int    // messages to the candidate, with or without a vote, in a row
 	nextVoteAt           int64
 	avoided              AvoidList // candidates that do not answer
 
-	// The router that has last announced that it is elected.
+	// The router that last announced that it is elected.
 	electedHolder int // NoRank: none
 	announcedAt   int64
 }
@@ -46,18 +46,19 @@
 	return &elector{candidate: NoRank, electedHolder: NoRank, avoided: AvoidList{}}
 }
 
-// noteElected notes that a router is elected at present.
-func (e *elector) noteElected(now int64, rank int) {
+// recordElected records that a router is elected at present.
+func (e *elector) recordElected(now int64, rank int) {
 	e.electedHolder = rank
 	e.announcedAt = now
 }
 
-// chooseCandidate returns the router to vote for, NoRank if none may have the vote at present. While a vote counts,
-// its candidate is kept as long as that may come to be elected; no other gets the vote before it has expired. Then
-// it is the router that announces that it is elected or, without one, the elector with the greatest hash.
+// chooseCandidate returns the router to vote for, NoRank if no vote may be cast at present. While a vote is valid, it
+// returns the candidate of that vote, or NoRank if the candidate does not answer or was not elected within
+// electionTimeout. It never returns another router before the vote has expired. After that it returns the router that
+// has announced that it is elected or, if there is none, the elector with the greatest hash. It skips avoided routers.
 //
-// Only what this router has received itself counts, not who is taken for up, so that parts of a fleet that come
-// together again need not wait until they take one another for up.
+// The choice depends only on messages that this router has received itself, not on which routers are considered up.
+// After a partition has healed, electors therefore need not wait until they consider one another up.
 func (e *elector) chooseCandidate(now int64, electors []int, hash func(rank int) uint64) int {
 	e.avoided.Expire(now)
 	if e.candidate != NoRank {
@@ -73,19 +74,20 @@
 	if chosen != e.candidate {
 		e.candidate = chosen
 		e.candidateIncarnation = 0
-		e.candidateStamp = 0
+		e.candidateTimestamp = 0
 		e.unansweredVotes = 0
 		e.candidateSince = now
 	}
-	if now-e.candidateSince >= electionTimeout { // the same once more
+	if now-e.candidateSince >= electionTimeout { // the same candidate is tried again
 		e.candidateSince = now
 	}
 	return chosen
 }
 
-// reviewCandidate avoids the candidate if it does not answer, and notes that it is elected if it is.
+// reviewCandidate adds the candidate to the avoid list if it does not answer. If the candidate has announced within
+// electionTimeout that it is elected, reviewCandidate sets candidateSince to the time of that announcement.
 func (e *elector) reviewCandidate(now int64) {
-	if e.unansweredVotes >= maxUnansweredCandidate && !e.avoided.Contains(e.candidate) {
+	if e.unansweredVotes >= maxUnansweredBeforeAvoid && !e.avoided.Contains(e.candidate) {
 		e.avoided[e.candidate] = now + avoidCandidateDuration
 	}
 	if e.candidate == e.electedHolder && now-e.announcedAt < electionTimeout {
@@ -93,7 +95,7 @@
 	}
 }
 
-// preferredCandidate is the router to vote for where no vote counts any more; NoRank if all are avoided.
+// preferredCandidate returns the router to vote for once no vote is valid, NoRank if all electors are avoided.
 func (e *elector) preferredCandidate(now int64, electors []int, hash func(rank int) uint64) int {
 	isElected := e.electedHolder != NoRank && now-e.announcedAt < voteLifetime
 	if isElected && !e.avoided.Contains(e.electedHolder) {
@@ -102,16 +104,16 @@
 	return firstByHash(electors, hash, func(rank int) bool { return !e.avoided.Contains(rank) })
 }
 
-// ballot holds the votes that a router has received as a candidate.
-type ballot struct {
-	voteExpiresAt map[int]int64 // by elector, by the own clock
+// receivedVotes has the votes that a router has received as a candidate.
+type receivedVotes struct {
+	voteExpiresAt map[int]int64 // by rank of the elector, in the time of this router's clock
 }
 
-// electedUntil is the time until which more than half of so many electors have voted for this router; 0 if they have
-// not.
-func (b *ballot) electedUntil(now int64, electors int) int64 {
+// electedUntil returns the time (us) until which votes of more than half of the electors for this router are valid, 0
+// if there are fewer.
+func (v *receivedVotes) electedUntil(now int64, electors int) int64 {
 	var expirations []int64
-	for _, expiresAt := range b.voteExpiresAt {
+	for _, expiresAt := range v.voteExpiresAt {
 		if expiresAt > now {
 			expirations = append(expirations, expiresAt)
 		}
@@ -119,29 +121,32 @@
 	return MajorityUntil(expirations, electors)
 }
 
-// record books an elector's vote.
-func (b *ballot) record(elector int, expiresAt int64) {
-	b.voteExpiresAt[elector] = max(b.voteExpiresAt[elector], expiresAt)
+// record records the vote of an elector.
+func (v *receivedVotes) record(elector int, expiresAt int64) {
+	v.voteExpiresAt[elector] = max(v.voteExpiresAt[elector], expiresAt)
 }
 
-// electedUntil is the time until which this router is elected as the fleet's holder; 0 if it is not.
+// electedUntil returns the time (us) until which this router is elected as the holder of the fleet, 0 if it is not
+// elected.
 func (n *Node) electedUntil(now int64) int64 {
-	return n.ballot.electedUntil(now, len(n.options.Topology.Electors))
+	return n.receivedVotes.electedUntil(now, len(n.options.Topology.Electors))
 }
 
-// isElected reports whether this router holds the fleet.
+// isElected reports whether this router is elected as the holder of the fleet.
 func (n *Node) isElected(now int64) bool { return n.electedUntil(now) > now }
 
-// stamp is a time of this process in units of TermUnit. It overflows after 49 days.
-func (n *Node) stamp(now int64) uint32 { return uint32((now - n.startedAt) / TermUnit) }
+// timestamp returns the time since this process started in units of TermUnit. It wraps around after 49 days, which is
+// harmless, because only differences of timestamps are used.
+func (n *Node) timestamp(now int64) uint32 { return uint32((now - n.startedAt) / TermUnit) }
 
-// mayVote reports whether all votes that a process before this one may have given have expired: they are forgotten.
+// mayVote reports whether all votes of the previous incarnation of this router have certainly expired. This process has
+// no record of them.
 func (n *Node) mayVote(now int64) bool { return now-n.startedAt >= voteLifetime+voteDriftMargin }
 
-// castVote votes for this elector's candidate. If this router is elected itself, it announces that first.
+// castVote votes for the candidate of this elector. If this router is itself elected, it announces that first.
 func (n *Node) castVote(now int64) {
 	if n.isElected(now) {
-		n.elector.noteElected(now, n.options.Rank)
+		n.elector.recordElected(now, n.options.Rank)
 		n.announceElected(now)
 	}
 	topology := &n.options.Topology
@@ -155,7 +160,7 @@
 	}
 }
 
-// voteForSelf books this elector's vote for itself, unless the vote for another incarnation still counts.
+// voteForSelf records the vote of this elector for itself, unless its vote for another incarnation is still valid.
 func (n *Node) voteForSelf(now int64) {
 	e := n.elector
 	if !n.mayVote(now) || e.candidateIncarnation != n.options.Incarnation && now < e.voteExpiresAt {
@@ -163,17 +168,18 @@
 	}
 	e.candidateIncarnation = n.options.Incarnation
 	e.voteExpiresAt = now + voteLifetime
-	n.ballot.record(n.options.Rank, e.voteExpiresAt)
+	n.receivedVotes.record(n.options.Rank, e.voteExpiresAt)
 }
 
-// voteFor sends another router this elector's vote or, where it may not vote or has no stamp of the candidate to
-// echo, asks for a stamp.
+// voteFor sends the vote of this elector to another router. If this elector may not vote, has no timestamp of the
+// candidate to echo, or has sent maxUnansweredVotes messages without an answer, the message carries no vote and just
+// requests a timestamp.
 func (n *Node) voteFor(now int64, candidate int) {
 	e := n.elector
 	m := Message{Kind: KindVote}
-	hasStamp := e.candidateStamp != 0 && e.candidateIncarnation != 0
-	if n.mayVote(now) && hasStamp && e.unansweredVotes < maxUnansweredVotes {
-		m.Stamp = e.candidateStamp
+	hasTimestamp := e.candidateTimestamp != 0 && e.candidateIncarnation != 0
+	if n.mayVote(now) && hasTimestamp && e.unansweredVotes < maxUnansweredVotes {
+		m.Timestamp = e.candidateTimestamp
 		m.CandidateIncarnation = e.candidateIncarnation
 		e.voteExpiresAt = now + voteLifetime
 		n.Counts.VotesSent++
@@ -182,36 +188,38 @@
 	n.send(candidate, m)
 }
 
-// announceElected tells all other electors that this router is elected: so those that were cut off learn it, and
-// name it to lessees that ask them.
+// announceElected informs all other electors that this router is elected. Electors that were partitioned learn it from
+// this message and can name this router to lessees that send them requests.
 func (n *Node) announceElected(now int64) {
 	for _, rank := range n.options.Topology.Electors {
 		if rank != n.options.Rank {
-			n.send(rank, Message{Kind: KindVoteAck, Stamp: n.stamp(now), IsElected: true})
+			n.send(rank, Message{Kind: KindVoteAck, Timestamp: n.timestamp(now), IsElected: true})
 		}
 	}
 }
 
-// handleVote books a vote for this router and answers with a stamp for the next one. A vote counts from the stamp
-// that it echoes, which is older than the vote, so it expires here before it does for the voter.
+// handleVote records a vote for this router and answers with a timestamp for the next vote. The lifetime of a vote
+// counts from the timestamp that it echoes. The timestamp is older than the vote, so the vote expires here before it
+// does at the voter.
 func (n *Node) handleVote(now int64, from int, m *Message) {
-	age := int64(n.stamp(now)-m.Stamp) * TermUnit
-	isForThisProcess := m.CandidateIncarnation == n.options.Incarnation && m.Stamp != 0
+	age := int64(n.timestamp(now)-m.Timestamp) * TermUnit
+	isForThisProcess := m.CandidateIncarnation == n.options.Incarnation && m.Timestamp != 0
 	if isForThisProcess && age >= 0 && age < voteLifetime {
-		n.ballot.record(from, now-age-TermUnit+voteLifetime-voteDriftMargin)
+		n.receivedVotes.record(from, now-age-TermUnit+voteLifetime-voteDriftMargin)
 	}
-	stamp := n.stamp(now)
-	if stamp == 0 {
-		return // 0 is no stamp: the next vote will be answered
+	timestamp := n.timestamp(now)
+	if timestamp == 0 {
+		return // 0 means no timestamp; the next vote is answered
 	}
-	n.send(from, Message{Kind: KindVoteAck, Stamp: stamp, IsElected: n.isElected(now)})
+	n.send(from, Message{Kind: KindVoteAck, Timestamp: timestamp, IsElected: n.isElected(now)})
 }
 
-// handleVoteAck takes in a candidate's answer with the stamp that the next vote echoes, and whether it is elected.
+// handleVoteAck records whether the sender is elected and, if the sender is the candidate of this elector, the
+// timestamp that the next vote echoes.
 func (n *Node) handleVoteAck(now int64, from int, m *Message) {
 	e := n.elector
 	if m.IsElected {
-		e.noteElected(now, from)
+		e.recordElected(now, from)
 	}
 	if from != e.candidate {
 		return
@@ -219,13 +227,13 @@
 	e.unansweredVotes = 0
 	if e.candidateIncarnation != 0 {
 		if m.Incarnation != e.candidateIncarnation && now < e.voteExpiresAt {
-			e.candidateStamp = 0 // the vote was for the process before: it must expire first
+			e.candidateTimestamp = 0 // the vote is for the previous incarnation and must expire first
 			return
 		}
-		if m.Incarnation == e.candidateIncarnation && m.Stamp-e.candidateStamp > 1<<31 {
-			return // an older stamp, overtaken by a newer one
+		if m.Incarnation == e.candidateIncarnation && m.Timestamp-e.candidateTimestamp > 1<<31 {
+			return // older than the recorded timestamp: messages were reordered
 		}
 	}
 	e.candidateIncarnation = m.Incarnation
-	e.candidateStamp = m.Stamp
+	e.candidateTimestamp = m.Timestamp
 }
--- a/core/lease/recovery_test.go
+++ b/core/lease/recovery_test.go
@@ -5,40 +5,41 @@
 	"testing"
 )
 
-// testTopology is 64 routers in regions of 16 and sites of 4.
+// testTopology has 64 routers in regions of 16 and sites of 4.
 var testTopology = Topology{Routers: 64, GroupSizes: []int{4, 16}, Electors: []int{1, 18, 35, 52, 61}}
 
-// The pool is in use RecoveryTime after a start, and again after each holder was lost, one after the other from the
-// smallest group's to the fleet's, with one message in ten lost.
-func TestPoolIsRecovered(t *testing.T) {
+// Guards against a pool that stays unused after a start or after the loss of a holder. One holder of each level is
+// lost, from the smallest groups to the fleet, with 10% message loss. The pool must be leased RecoveryTime after each.
+func TestPoolRecoversAfterHolderLoss(t *testing.T) {
 	limit := Limit{Max: 128, FloorFraction: 0.25}
 	for seed := range uint64(6) {
 		w := newWorld(t, seed, testTopology, limit)
 		w.loss = 0.1
 		w.run(w.now+RecoveryTime, nil)
-		if use := w.meanQuotas(nil); use < 0.9*limit.Max {
-			t.Fatalf("seed %d: %.1f of %v in use in a complete fleet", seed, use, limit.Max)
+		if sum := w.meanQuotas(nil); sum < 0.9*limit.Max {
+			t.Fatalf("seed %d: mean sum of quotas %.1f, want at least 90%% of %v with all routers running", seed, sum, limit.Max)
 		}
 		for level := 1; level <= testTopology.fleetLevel(); level++ {
 			holders := w.holders(level)
 			if len(holders) == 0 {
-				t.Fatalf("seed %d: nobody holds a group of level %d", seed, level)
+				t.Fatalf("seed %d: no group of level %d has a holder", seed, level)
 			}
 			w.kill(holders[0])
 			w.run(w.now+RecoveryTime, nil)
-			if use := w.meanQuotas(nil); use < 0.85*limit.Max {
-				t.Errorf("seed %d: %.1f of %v in use %d s after a holder of level %d was lost",
-					seed, use, limit.Max, RecoveryTime/second, level)
+			if sum := w.meanQuotas(nil); sum < 0.85*limit.Max {
+				t.Errorf("seed %d: mean sum of quotas %.1f, want at least 85%% of %v %d s after the loss of a holder of level %d",
+					seed, sum, limit.Max, RecoveryTime/second, level)
 			}
 			w.start(holders[0])
 		}
 	}
 }
 
-// Two of four regions are cut off from the others, and from one another, for a minute: the partition with three of
-// the five electors has the pool, the others have their floors once their leases have expired. All have it again
-// after the heal.
-func TestRegionsCutOff(t *testing.T) {
+// Guards against leases that stay valid in an isolated region, and against a pool that is not usable in the majority
+// partition. Two of four regions are isolated from all others for RecoveryTime and 70 s. The partition with three of
+// the five electors must have the pool, and the isolated regions only their floors once their leases have expired.
+// After the partitions have healed, all routers must have the pool again.
+func TestIsolatedRegionsKeepOnlyFloors(t *testing.T) {
 	limit := Limit{Max: 128, FloorFraction: 0.25}
 	floors := limit.Max * limit.FloorFraction
 	for seed := range uint64(4) {
@@ -51,28 +52,29 @@
 			}
 		}
 		w.run(w.now+RecoveryTime, nil)
-		if use := w.quotas(isCutOff); math.Abs(use-floors/2) > 1e-6 {
-			t.Errorf("seed %d: %.1f in use in the regions that are cut off, their floors are %.1f", seed, use, floors/2)
+		if sum := w.quotas(isCutOff); math.Abs(sum-floors/2) > 1e-6 {
+			t.Errorf("seed %d: quotas of %.1f in the isolated regions, want their floors, %.1f", seed, sum, floors/2)
 		}
-		use := w.meanQuotas(func(rank int) bool { return !isCutOff(rank) })
-		if use < 0.9*(limit.Max-floors)+floors/2 {
-			t.Errorf("seed %d: %.1f in use in the partition with the electors", seed, use)
+		sum := w.meanQuotas(func(rank int) bool { return !isCutOff(rank) })
+		if sum < 0.9*(limit.Max-floors)+floors/2 {
+			t.Errorf("seed %d: quotas of %.1f with three of five electors, want floors and 90%% of the pool", seed, sum)
 		}
 		w.run(w.now+second*60, nil)
 		clear(w.partition)
 		w.run(w.now+RecoveryTime, nil)
-		if use := w.meanQuotas(nil); use < 0.9*limit.Max {
-			t.Errorf("seed %d: %.1f of %v in use after the heal", seed, use, limit.Max)
+		if sum := w.meanQuotas(nil); sum < 0.9*limit.Max {
+			t.Errorf("seed %d: mean sum of quotas %.1f, want at least 90%% of %v after the partitions have healed",
+				seed, sum, limit.Max)
 		}
 	}
 }
 
-// Seven in ten routers restart at once, and others join that were never there: nobody else restarts, and the pool
-// is in use again.
-func TestRestartsAndNewcomers(t *testing.T) {
+// Guards against a pool that stays unused when 70% of the routers restart at once and eight ranks join that did not run
+// before. The other routers do not restart.
+func TestPoolRecoversAfterMassRestartAndJoin(t *testing.T) {
 	limit := Limit{Max: 128, FloorFraction: 0.25}
 	w := newWorld(t, 5, testTopology, limit)
-	for rank := 56; rank < 64; rank++ { // two sites that are to come
+	for rank := 56; rank < 64; rank++ { // two sites that join later
 		w.kill(rank)
 	}
 	w.run(w.now+RecoveryTime, nil)
@@ -86,16 +88,17 @@
 		w.start(rank)
 	}
 	w.run(w.now+RecoveryTime, nil)
-	if use := w.meanQuotas(nil); use < 0.9*limit.Max {
-		t.Errorf("%.1f of %v in use", use, limit.Max)
+	if sum := w.meanQuotas(nil); sum < 0.9*limit.Max {
+		t.Errorf("mean sum of quotas %.1f, want at least 90%% of %v", sum, limit.Max)
 	}
-	if use := w.quotas(func(rank int) bool { return rank >= 56 }); use < 8 {
-		t.Errorf("%.1f in use at the 8 that have joined", use)
+	if sum := w.quotas(func(rank int) bool { return rank >= 56 }); sum < 8 {
+		t.Errorf("quotas of %.1f at the 8 routers that joined, want at least 8", sum)
 	}
 }
 
-// A busy router gets what idle ones leave: max-min fairness through all levels.
-func TestBusyRoutersGetMore(t *testing.T) {
+// Guards against shares that ignore demand. Max-min fairness must apply at all levels, so that the unused shares of
+// idle routers go to busy ones.
+func TestBusyRoutersGetUnusedShares(t *testing.T) {
 	limit := Limit{Max: 128}
 	w := newWorld(t, 6, testTopology, limit)
 	isBusy := func(rank int) bool { return rank == 7 || rank == 40 }
@@ -106,14 +109,15 @@
 		}
 	}
 	w.run(w.now+RecoveryTime, nil)
-	if use := w.meanQuotas(isBusy); use < 0.5*limit.Max {
-		t.Errorf("%.1f of %v in use at the two that want more", use, limit.Max)
+	if sum := w.meanQuotas(isBusy); sum < 0.5*limit.Max {
+		t.Errorf("mean sum of quotas %.1f, want at least half of %v at the two busy routers", sum, limit.Max)
 	}
 }
 
-// No process exchanges messages with more than its group and its children, at the same rate in a fleet of eight
-// times the size.
-func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
+// Guards against a message rate of a router that grows with the size of the fleet. A router exchanges messages only
+// with the holders of its groups and with its lessees, so its rate may grow by at most 60% in a fleet of eight times
+// the size. The larger fleet has one more level, and one router may hold a group of each level.
+func TestMessageRateDoesNotGrowWithFleetSize(t *testing.T) {
 	greatestRate := func(topology Topology) float64 { // messages a second
 		w := newWorld(t, 7, topology, Limit{Max: 1000})
 		w.run(w.now+RecoveryTime, nil)
@@ -129,7 +133,8 @@
 	}
 	small := greatestRate(Topology{Routers: 64, GroupSizes: []int{8}, Electors: []int{1, 18, 35}})
 	large := greatestRate(Topology{Routers: 512, GroupSizes: []int{8, 64}, Electors: []int{1, 180, 350}})
-	if large > 1.6*small { // one level more; a process may hold one group of each
-		t.Errorf("%.0f messages a second at the worst of 512 routers, %.0f of 64", large, small)
+	if large > 1.6*small {
+		t.Errorf("greatest rate of one router: %.0f messages/s in a fleet of 512, want at most 1.6 times the %.0f of 64",
+			large, small)
 	}
 }
--- a/core/rollout/wire_compat_test.go
+++ b/core/rollout/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The section stage of a features file, which spanctl stage start writes.
-func TestStoredStageIsReadAndWrittenAlike(t *testing.T) {
+// Guards against changes to the JSON of the "stage" section of a features file, which `spanctl stage start` writes.
+func TestDocumentJSONIsUnchanged(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/stage.json", " ", Rollout{
 		Version:         9,
 		Name:            "prices",
@@ -20,12 +20,12 @@
 			{Cells: []string{"north"}, OpensAt: 1764576060009, JudgeWithin: 600010},
 			{Cells: []string{"south", "spare"}, OpensAt: 1764577060011, JudgeWithin: 600012},
 		},
-		OnRollback:  "serve",
-		OnUndecided: "go",
-		RollbackAt:  1764579000013,
-		Alpha:       0.02,
-		Beta:        0.06,
-		MinHarm:     2.5,
-		Margin:      1.25,
+		OnStop:         "serve",
+		OnUndecided:    "go",
+		RollbackAt:     1764579000013,
+		Alpha:          0.02,
+		Beta:           0.06,
+		MinDegradation: 2.5,
+		Margin:         1.25,
 	})
 }
--- a/internal/resp/array.go
+++ b/internal/resp/array.go
@@ -8,31 +8,32 @@
 	"strconv"
 )
 
-// Bounds of an array, in bytes unless they say otherwise. Lengths are checked before anything is allocated.
+// Bounds of an array, in bytes unless noted. Lengths are checked before anything is allocated.
 const (
-	// MaxBodySize is the longest body that a response may have; an object has 240,000 bytes at most.
+	// MaxBodySize is the maximum length of a response body; an object has at most 240,000 bytes.
 	MaxBodySize = 256 << 10
 
-	maxArrayLength = 8       // strings in an array
-	maxStringSize  = 4 << 10 // of every string but the body
+	maxArrayLength = 8       // number of strings in an array
+	maxStringSize  = 4 << 10 // of any string other than the body
 	maxLengthLine  = 16      // of a line such as "$12\r\n"
-	bodyIndex      = 3       // place of the body in commands and responses alike
+	bodyIndex      = 3       // index of the body, both in commands and in responses
 )
 
-// Each array and each string in it begins with a line of one of these marks and a length.
+// Each array and each string in it begins with a line that holds one of these type bytes and a length.
 const (
-	arrayMark  = '*'
-	stringMark = '$'
-	lineEnd    = "\r\n"
+	arrayType  = '*'
+	stringType = '$'
+
+	lineEnd = "\r\n" // ends such a line, and the bytes of a string
 )
 
-// errMalformed is what every error wraps that means bytes which no server may send.
-var errMalformed = errors.New("malformed answer")
+// errMalformed is wrapped by the error for every message that violates the protocol.
+var errMalformed = errors.New("malformed message")
 
 // ReadArray reads one array of bulk strings: a command or a response. Lengths are checked before anything is allocated.
-// It returns io.EOF at an end of the stream between arrays, and io.ErrUnexpectedEOF at one within an array.
+// It returns io.EOF if the stream ends between arrays, and io.ErrUnexpectedEOF if it ends within one.
 func ReadArray(in *bufio.Reader) ([][]byte, error) {
-	length, err := readLength(in, arrayMark, maxArrayLength)
+	length, err := readLength(in, arrayType, maxArrayLength)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +53,7 @@
 
 // readString reads one bulk string of at most limit bytes.
 func readString(in *bufio.Reader, limit int) ([]byte, error) {
-	size, err := readLength(in, stringMark, limit)
+	size, err := readLength(in, stringType, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -61,12 +62,12 @@
 		return nil, err
 	}
 	if text[size] != '\r' || text[size+1] != '\n' {
-		return nil, fmt.Errorf("%w: bulk string without its end", errMalformed)
+		return nil, fmt.Errorf("%w: bulk string not terminated by CRLF", errMalformed)
 	}
 	return text[:size:size], nil
 }
 
-// unexpectedEOF makes an end of the stream within an array differ from one between arrays.
+// unexpectedEOF converts io.EOF within an array to io.ErrUnexpectedEOF; other errors are returned unchanged.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -74,8 +75,9 @@
 	return err
 }
 
-// readLength reads a line of a mark and a length, such as "$12\r\n".
-func readLength(in *bufio.Reader, mark byte, limit int) (int, error) {
+// readLength reads a line that holds a type byte and a length, such as "$12\r\n", and returns the length, which is at
+// most limit.
+func readLength(in *bufio.Reader, typeByte byte, limit int) (int, error) {
 	var line [maxLengthLine]byte
 	for i := range line {
 		next, err := in.ReadByte()
@@ -89,18 +91,18 @@
 		if next != '\n' {
 			continue
 		}
-		if length, ok := parseLength(line[:i+1], mark); ok && length <= limit {
+		if length, ok := parseLength(line[:i+1], typeByte); ok && length <= limit {
 			return length, nil
 		}
 		break
 	}
-	return 0, fmt.Errorf("%w: no length after %q", errMalformed, mark)
+	return 0, fmt.Errorf("%w: no valid length after %q", errMalformed, typeByte)
 }
 
-// parseLength parses a whole line of a mark and a length; ok is false where it is none.
-func parseLength(line []byte, mark byte) (length int, ok bool) {
+// parseLength parses a complete line that holds a type byte and a length; ok is false if the line is anything else.
+func parseLength(line []byte, typeByte byte) (length int, ok bool) {
 	digitsEnd := len(line) - len(lineEnd)
-	if digitsEnd < 2 || line[0] != mark || line[digitsEnd] != '\r' {
+	if digitsEnd < 2 || line[0] != typeByte || line[digitsEnd] != '\r' {
 		return 0, false
 	}
 	number, err := strconv.ParseUint(string(line[1:digitsEnd]), 10, 31)
@@ -109,18 +111,18 @@
 
 // AppendArray appends an array of bulk strings to buf.
 func AppendArray(buf []byte, parts ...[]byte) []byte {
-	buf = appendLength(buf, arrayMark, len(parts))
+	buf = appendLength(buf, arrayType, len(parts))
 	for _, part := range parts {
-		buf = appendLength(buf, stringMark, len(part))
+		buf = appendLength(buf, stringType, len(part))
 		buf = append(buf, part...)
 		buf = append(buf, lineEnd...)
 	}
 	return buf
 }
 
-// appendLength appends the line of a mark and a length.
-func appendLength(buf []byte, mark byte, length int) []byte {
-	buf = append(buf, mark)
+// appendLength appends the line that holds a type byte and a length.
+func appendLength(buf []byte, typeByte byte, length int) []byte {
+	buf = append(buf, typeByte)
 	buf = strconv.AppendInt(buf, int64(length), 10)
 	return append(buf, lineEnd...)
 }
--- a/internal/router/exclusions_test.go
+++ b/internal/router/exclusions_test.go
@@ -8,18 +8,18 @@
 	"spantack/routing"
 )
 
-// listed is an update in which the edge cache has a status.
+// listed returns an update that lists the edge cache with a status.
 func listed(status routing.EndpointStatus) WatchEvent {
 	return WatchEvent{Servers: []Server{{ID: "box-1", Zone: "east", Kind: "box", Status: status, Weight: 4}}}
 }
 
-// An edge cache that staff excluded gets nothing, whatever the list says of it meanwhile, until it is included.
-func TestExclude(t *testing.T) {
+// An edge cache that an operator has excluded gets no attempts, whatever its listed status, until it is included.
+func TestExcludedCacheGetsNoAttempts(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	checkCounts := func(when string) {
 		t.Helper()
-		if listed, off := r.CacheCounts(); listed != 1 || off != 1 {
-			t.Errorf("%s: %d listed, %d off", when, listed, off)
+		if listed, unavailable := r.CacheCounts(); listed != 1 || unavailable != 1 {
+			t.Errorf("%s: %d caches listed, %d unavailable, want 1 and 1", when, listed, unavailable)
 		}
 	}
 	for range 2 {
@@ -28,7 +28,7 @@
 		}
 	}
 	if err := r.Exclude("box-9"); !errors.Is(err, endpoints.ErrUnknownServer) {
-		t.Errorf("an unknown one: %v", err)
+		t.Errorf("exclusion of an unknown server: %v", err)
 	}
 	for _, event := range []WatchEvent{
 		{},
@@ -41,40 +41,40 @@
 		r.startRequest("r1")
 		attempt := r.nextAttempt()
 		if attempt.Server != "origin-1" {
-			t.Errorf("after %+v: sent to %s", event, attempt.Server)
+			t.Errorf("after %+v: sent to %s, want origin-1", event, attempt.Server)
 		}
 		attempt.result <- AttemptResult{Outcome: routing.OutcomeServed}
 		r.nextResponse()
 	}
-	checkCounts("excluded")
+	checkCounts("after Exclude")
 	if err := r.Include("box-1"); err != nil {
 		t.Fatal(err)
 	}
 	r.startRequest("r2")
 	attempt := r.nextAttempt()
 	if attempt.Server != "box-1" {
-		t.Errorf("included, and sent to %s", attempt.Server)
+		t.Errorf("after Include: sent to %s, want box-1", attempt.Server)
 	}
 	attempt.result <- AttemptResult{Outcome: routing.OutcomeServed}
 	r.nextResponse()
 	if err := r.SetExcluded([]string{"box-1"}); err != nil || len(r.Excluded()) != 1 {
-		t.Errorf("set to %v, %v", r.Excluded(), err)
+		t.Errorf("after SetExcluded: excluded %v, error %v", r.Excluded(), err)
 	}
-	checkCounts("set")
+	checkCounts("after SetExcluded")
 }
 
-// A drain binds the very next request, and without any server left there is still a response.
-func TestDrainingServer(t *testing.T) {
+// A draining server must get no new request, and a request must still get a response when no server is left.
+func TestDrainingServerGetsNoNewRequest(t *testing.T) {
 	r := newTestRouter(t, "box", "origin")
 	r.Apply(listed(routing.EndpointDraining))
 	r.startRequest("r1")
 	if attempt := r.nextAttempt(); attempt.Server != "origin-1" {
-		t.Errorf("sent to %s", attempt.Server)
+		t.Errorf("sent to %s, want origin-1", attempt.Server)
 	} else {
 		r.Apply(WatchEvent{IsSnapshot: true})
 		attempt.result <- AttemptResult{Outcome: routing.OutcomeConnectionReset}
 	}
 	if got := r.nextResponse(); got.Outcome != Rejected {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want a rejection", got)
 	}
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -7,62 +7,64 @@
 	"spantack/routing"
 )
 
-// Margins of a request's time, in milliseconds.
+// Time margins of a request, in milliseconds.
 const (
-	// replyMarginShare of the client's time, within minReplyMargin and maxReplyMargin, is reserved for the way there
-	// and back and for a busy core.
+	// replyMarginShare of the client's timeout, but at least minReplyMargin and at most maxReplyMargin, is reserved for
+	// the network round trip to the client and for delays on a busy core.
 	replyMarginShare = 0.1
 	minReplyMargin   = 5
 	maxReplyMargin   = 25
-	// retryCutoff is how long before the end of a request's time, and later, no retry goes out.
+	// No retry is sent in the last retryCutoff before a request's deadline.
 	retryCutoff = 1
-	// overdueAfter is how long past its deadline the module may leave a request without a response before the router
-	// fails it.
+	// overdueAfter is how long after a request's deadline the router waits for the module's decision before it fails the
+	// request.
 	overdueAfter = 10
 )
 
-// mailboxSize is far more than the actions that the module ever has for one request at once.
+// mailboxSize is far above the number of actions that the module ever has for one request at once.
 const mailboxSize = 16
 
-// Serve carries one request from its arrival to its final response. The module decides each step; ctx ends when the
-// client no longer waits.
+// Serve handles one request from its arrival to its final response, which it returns. The module decides each step;
+// ctx ends when the client no longer waits.
 func (r *Router) Serve(ctx context.Context, q Request) (response Response) {
 	r.Counters.Accepted.Add(1)
-	defer func() { r.countOutcome(q.Class, response.Outcome) }()
-	s := serving{
-		router:   r,
-		request:  &q,
-		deadline: q.deadline(),
-		mailbox:  make(chan routing.Action, mailboxSize),
-		attempt:  -1,
+	defer func() { r.countClassOutcome(q.Class, response.Outcome) }()
+	s := requestState{
+		router:        r,
+		request:       &q,
+		deadline:      q.deadline(),
+		mailbox:       make(chan routing.Action, mailboxSize),
+		attemptNumber: -1,
 	}
 	overdue, overdueTimer := r.clock.Alarm(s.deadline + overdueAfter - r.clock.Now())
 	s.overdueAlarm = overdue
 	defer overdueTimer.Stop()
-	if !r.open(&s) {
-		return s.respond(Response{Outcome: Failed})
+	if !r.register(&s) {
+		return s.countResponse(Response{Outcome: Failed})
 	}
-	defer r.forget(&s)
+	defer r.unregister(&s)
 	for {
 		s.wait(ctx)
 		if response, ended := s.handleNext(ctx); ended {
-			return s.respond(response)
+			return s.countResponse(response)
 		}
 	}
 }
 
-// deadline returns until when an attempt may bring the response, in Unix milliseconds: until the client's time is
-// over, less a margin.
+// deadline returns the latest time for an attempt to return the response, in Unix milliseconds: the end of the
+// client's timeout, less a margin.
 func (q *Request) deadline() float64 {
 	margin := min(max(replyMarginShare*q.ClientTimeout, minReplyMargin), maxReplyMargin)
 	return q.ArrivedAt + q.ClientTimeout - margin
 }
 
-// open registers the request's mailbox and passes the request to the module. It returns false where the request
-// must not be served: the response to the first request of an id must not go to a second one. And where a class
-// requires keys since a reload, after the front read this request by the older settings, its servers could not
-// recognize a repeat.
-func (r *Router) open(s *serving) bool {
+// register adds the request's mailbox and passes the request to the module. It returns false if the request
+// must not be served:
+//
+//   - if an open request has the same id, since the response of one could go to the other;
+//   - if the class requires an idempotency key and the request has none, because the front end read it before the
+//     settings were reloaded: servers could not deduplicate a retry of it.
+func (r *Router) register(s *requestState) bool {
 	q := s.request
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,80 +88,79 @@
 	return true
 }
 
-// forget removes the request's mailbox: actions for its id that come later find none.
-func (r *Router) forget(s *serving) {
+// unregister removes the request's mailbox, so that later actions for its id are dropped.
+func (r *Router) unregister(s *requestState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.mailboxes, s.request.ID)
 }
 
-// serving is the state of one request while Serve has it. Only the goroutine of Serve uses it; the module, the
-// upstream and the timers reach it by channels.
-type serving struct {
+// requestState is the state of one request in Serve. Only the goroutine of Serve uses it; the module, the upstream and
+// the timers send to it through channels.
+type requestState struct {
 	router   *Router
 	request  *Request
 	deadline float64 // Unix milliseconds; see Request.deadline
 
-	// mailbox receives the module's actions for this request. The router sends to it, from open until forget; it is
-	// never closed.
+	// mailbox receives the module's actions for this request, from register until unregister. It is never closed.
 	mailbox chan routing.Action
-	// overdueAlarm gets a value overdueAfter past the deadline. Serve owns its timer.
+	// overdueAlarm receives a value when overdueAfter has passed since the deadline. Serve owns its timer.
 	overdueAlarm <-chan struct{}
 
-	// attempt numbers the last attempt that was sent, from 0 on; -1: none yet.
-	attempt int
-	// sent is the attempt that is in flight; zero while there is none. There is never more than one.
-	sent sentAttempt
+	// attemptNumber is the number of the last attempt that was sent, counted from 0; -1: none yet.
+	attemptNumber int
+	// inFlight is the attempt in flight; zero while there is none. There is never more than one.
+	inFlight sentAttempt
 
-	// What has happened and is not handled yet.
-	result     AttemptResult // of sent
+	// Events that have arrived and have not been handled.
+	result     AttemptResult // of the attempt in flight
 	hasResult  bool
-	action     routing.Action // the module's next one
+	action     routing.Action // the module's next action
 	hasAction  bool
-	isTimedOut bool // sent is
-	isOverdue  bool // the module has left the request without a response
+	isTimedOut bool // the attempt in flight has timed out
+	isOverdue  bool // the deadline passed overdueAfter ago, and the module has not ended the request
 }
 
-// sentAttempt is an attempt in flight.
+// sentAttempt is the attempt of a requestState that is in flight.
 type sentAttempt struct {
-	// pending is owned by serving until its result has come or it was canceled; nil: no attempt is in flight.
+	// pending is owned by requestState until its result is received or it is canceled; nil: no attempt is in flight.
 	pending PendingAttempt
-	result  <-chan AttemptResult // pending's
-	timeout <-chan struct{}      // gets a value when the attempt's time is over
-	timer   *clock.Timer         // of timeout; stopped with the end of the attempt
+	result  <-chan AttemptResult // of pending
+	timeout <-chan struct{}      // receives a value when the attempt times out
+	timer   *clock.Timer         // sends the value to timeout; stopped when the attempt ends
 	server  string
 	sentAt  float64 // Unix milliseconds
 }
 
-// wait returns when something has happened to the request, at once if the module's next action is at hand, and
-// takes in all that has.
-func (s *serving) wait(ctx context.Context) {
+// wait blocks until an event of the request arrives, or returns at once if an action of the module is pending. It
+// stores all events that have arrived.
+func (s *requestState) wait(ctx context.Context) {
 	if !s.hasAction {
 		select {
-		case s.result = <-s.sent.result:
+		case s.result = <-s.inFlight.result:
 			s.hasResult = true
 		case <-ctx.Done():
 		case <-s.router.closed:
 		case <-s.overdueAlarm:
 			s.isOverdue = true
-		case <-s.sent.timeout:
+		case <-s.inFlight.timeout:
 			s.isTimedOut = true
 		case s.action = <-s.mailbox:
 			s.hasAction = true
 		}
 	}
 	if !s.hasResult {
-		s.result, s.hasResult = receiveIfReady(s.sent.result)
+		s.result, s.hasResult = receiveIfReady(s.inFlight.result)
 	}
 	s.isOverdue = s.isOverdue || isReady(s.overdueAlarm)
-	s.isTimedOut = s.isTimedOut || isReady(s.sent.timeout)
+	s.isTimedOut = s.isTimedOut || isReady(s.inFlight.timeout)
 }
 
-// handleNext handles one of the events that have arrived; ended is true where the request has its final response.
-// Of several events the first in the order of the cases is handled. An attempt's result comes first: it may be the
-// response, and a timeout does not make the attempt open again. Next are the events that forbid a retry, then those
-// that may lead to one.
-func (s *serving) handleNext(ctx context.Context) (response Response, ended bool) {
+// handleNext handles one of the events that have arrived; ended is true once the request has its final response. Of
+// several events, the first in the order of the cases is handled. An attempt's result comes first: it may be the
+// response, and the attempt has ended even if it has also timed out. Events that rule out a retry come next, then
+// those that may lead to one.
+func (s *requestState) handleNext(ctx context.Context) (response Response, ended bool) {
 	switch {
 	case s.hasResult:
 		return s.handleResult(ctx)
@@ -175,7 +176,7 @@
 		return Response{Outcome: Failed}, true
 	case s.isTimedOut:
 		mayRetry := s.router.clock.Now() < s.deadline-retryCutoff
-		s.sent.pending.Cancel(mayRetry)
+		s.inFlight.pending.Cancel(mayRetry)
 		s.endAttempt(AttemptResult{Outcome: routing.OutcomeTimedOut})
 	case s.hasAction:
 		return s.handleAction()
@@ -183,9 +184,9 @@
 	return Response{}, false
 }
 
-// handleResult reports the result of the attempt in flight to the module, and makes the response of one that was
-// served.
-func (s *serving) handleResult(ctx context.Context) (response Response, ended bool) {
+// handleResult reports the result of the attempt in flight to the module, and returns the final response if the
+// attempt was served.
+func (s *requestState) handleResult(ctx context.Context) (response Response, ended bool) {
 	result := s.result
 	s.result, s.hasResult = AttemptResult{}, false
 	s.endAttempt(result)
@@ -199,15 +200,15 @@
 	}
 }
 
-// handleAction does what the module has decided.
-func (s *serving) handleAction() (response Response, ended bool) {
+// handleAction executes the module's action; ended is true if it is the final response.
+func (s *requestState) handleAction() (response Response, ended bool) {
 	s.hasAction = false
 	switch a := &s.action; a.Kind {
 	case routing.ActionSend:
 		s.send(a)
 	case routing.ActionCancel:
-		if s.sent.pending != nil && a.Attempt == s.attempt {
-			s.sent.pending.Cancel(true)
+		if s.inFlight.pending != nil && a.Attempt == s.attemptNumber {
+			s.inFlight.pending.Cancel(true)
 			s.endAttempt(AttemptResult{Outcome: routing.OutcomeCanceled})
 		}
 	case routing.ActionReject:
@@ -220,20 +221,20 @@
 	return Response{}, false
 }
 
-// send sends the attempt that the module has decided on.
-func (s *serving) send(a *routing.Action) {
+// send sends the attempt of an ActionSend.
+func (s *requestState) send(a *routing.Action) {
 	attempt := newAttempt(s.request, a)
 	now := s.router.clock.Now()
-	s.attempt++
-	s.sent.server = a.Server
-	s.sent.sentAt = now
-	s.sent.timeout, s.sent.timer = s.router.clock.Alarm(min(attempt.Timeout, max(s.deadline-now, 0)))
-	s.sent.pending = s.router.upstream.Send(attempt)
-	s.sent.result = s.sent.pending.Done()
+	s.attemptNumber++
+	s.inFlight.server = a.Server
+	s.inFlight.sentAt = now
+	s.inFlight.timeout, s.inFlight.timer = s.router.clock.Alarm(min(attempt.Timeout, max(s.deadline-now, 0)))
+	s.inFlight.pending = s.router.upstream.Send(attempt)
+	s.inFlight.result = s.inFlight.pending.Done()
 	s.router.Counters.Attempts.Add(1)
 }
 
-// newAttempt returns the attempt of an ActionSend.
+// newAttempt returns the attempt that an ActionSend describes.
 func newAttempt(q *Request, a *routing.Action) Attempt {
 	attempt := Attempt{
 		Request:        q,
@@ -247,22 +248,22 @@
 		attempt.MaxAge = clock.Millis(a.MaxAge)
 		attempt.FetchFlags = a.FetchFlags
 	}
-	if a.Source != a.Server { // else the server answers from its own store only
+	if a.Source != a.Server { // with its own id as the source, the server responds from its own store only
 		attempt.Source = a.Source
 	}
 	return attempt
 }
 
 // endAttempt ends the attempt in flight and reports its result to the module.
-func (s *serving) endAttempt(result AttemptResult) {
-	ended := s.sent
+func (s *requestState) endAttempt(result AttemptResult) {
+	ended := s.inFlight
 	ended.timer.Stop()
-	s.sent = sentAttempt{}
+	s.inFlight = sentAttempt{}
 	s.isTimedOut = false
 	s.router.reportOutcome(result.LoadReport, routing.Event{
 		Kind:         routing.EventOutcome,
 		RequestID:    s.request.ID,
-		Attempt:      s.attempt,
+		Attempt:      s.attemptNumber,
 		Server:       ended.server,
 		Outcome:      result.Outcome,
 		CacheStatus:  result.CacheStatus,
@@ -272,33 +273,34 @@
 	})
 }
 
-// cancelAttempt cancels the attempt in flight, if any, with no retry to follow.
-func (s *serving) cancelAttempt() {
-	if s.sent.pending != nil {
-		s.sent.timer.Stop()
-		s.sent.pending.Cancel(false)
+// cancelAttempt cancels the attempt in flight, if any. No retry follows.
+func (s *requestState) cancelAttempt() {
+	if s.inFlight.pending != nil {
+		s.inFlight.timer.Stop()
+		s.inFlight.pending.Cancel(false)
 	}
 }
 
-// abort cancels the attempt in flight and ends the request on the module's side, which has not decided on its end.
-func (s *serving) abort() {
+// abort cancels the attempt in flight, and notifies the module that the request is aborted, since the module has not
+// ended it itself.
+func (s *requestState) abort() {
 	s.cancelAttempt()
 	s.router.step(routing.Event{Kind: routing.EventAborted, RequestID: s.request.ID})
 }
 
-// reportOverdue counts and logs that the module gave no response in time.
-func (s *serving) reportOverdue() {
+// reportOverdue counts and logs that the module did not end the request in time.
+func (s *requestState) reportOverdue() {
 	s.router.Counters.Overdue.Add(1)
-	s.router.log.Error().Str("request", s.request.ID).Msg("module gave no answer in time")
+	s.router.log.Error().Str("request", s.request.ID).Msg("decision module did not end the request by its deadline")
 }
 
-// respond counts the request's final response and returns it.
-func (s *serving) respond(response Response) Response {
+// countResponse counts the request's final response and returns it.
+func (s *requestState) countResponse(response Response) Response {
 	s.router.Counters.countOutcome(response.Outcome)
 	return response
 }
 
-// receiveIfReady receives from c without blocking; ok is false where nothing is ready.
+// receiveIfReady receives from c without blocking; ok is false if no value is ready.
 func receiveIfReady[T any](c <-chan T) (v T, ok bool) {
 	select {
 	case v, ok = <-c:
--- a/lab/scenario/wire_compat_test.go
+++ b/lab/scenario/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The file result.json of spanlab scenario run.
-func TestStoredResultIsReadAndWrittenAlike(t *testing.T) {
+// The form of result.json, as spanlab scenario run writes it, does not change. Every field is set.
+func TestStoredResultRoundTrip(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/result.json", " ", Result{
 		Scenario: "s1",
 		Routers:  2,
@@ -21,7 +21,7 @@
 				Bound:             8,
 				Fills:             9,
 				TookSeconds:       10.5,
-				Fault:             "s11",
+				UnmetCondition:    "s11",
 				FailedParentFills: 12,
 				MaxDials:          13,
 				DialBound:         14,
@@ -32,7 +32,7 @@
 				Bound:             17,
 				Fills:             18,
 				TookSeconds:       19.5,
-				Fault:             "s20",
+				UnmetCondition:    "s20",
 				FailedParentFills: 21,
 				MaxDials:          22,
 				DialBound:         23,
@@ -48,8 +48,8 @@
 	})
 }
 
-// A scenario, every field set.
-func TestStoredScenarioIsReadAndWrittenAlike(t *testing.T) {
+// The form of a scenario file does not change. Every field is set.
+func TestStoredScenarioRoundTrip(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/scenario.json", " ", Scenario{
 		Title:                 "s2",
 		OriginFillsPerRouter:  3.5,
--- a/lab/wire_compat_test.go
+++ b/lab/wire_compat_test.go
@@ -10,8 +10,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The file result.json of spanlab run, every field set.
-func TestStoredOutcomesAreReadAndWrittenAlike(t *testing.T) {
+// The form of result.json, as spanlab run writes it, does not change. Every field is set.
+func TestStoredOutcomesRoundTrip(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/outcomes.json", " ", []*Outcome{
 		{
 			Experiment: "s1",
@@ -19,18 +19,18 @@
 			Seed:       3,
 			Runs: []Run{
 				{
-					Arm:     "s4",
-					Day:     "s5",
-					Figures: map[string]float64{"s6": 7.5, "s8": 9.5},
-					Seconds: []float64{10.5, 11.5},
-					Broken:  map[string]int64{"s12": 13, "s14": 15},
+					Arm:        "s4",
+					Day:        "s5",
+					Figures:    map[string]float64{"s6": 7.5, "s8": 9.5},
+					Seconds:    []float64{10.5, 11.5},
+					Violations: map[string]int64{"s12": 13, "s14": 15},
 				},
 				{
-					Arm:     "s16",
-					Day:     "s17",
-					Figures: map[string]float64{"s18": 19.5, "s20": 21.5},
-					Seconds: []float64{22.5, 23.5},
-					Broken:  map[string]int64{"s24": 25, "s26": 27},
+					Arm:        "s16",
+					Day:        "s17",
+					Figures:    map[string]float64{"s18": 19.5, "s20": 21.5},
+					Seconds:    []float64{22.5, 23.5},
+					Violations: map[string]int64{"s24": 25, "s26": 27},
 				},
 			},
 			Claims: []Verdict{
@@ -56,18 +56,18 @@
 			Seed:       42,
 			Runs: []Run{
 				{
-					Arm:     "s43",
-					Day:     "s44",
-					Figures: map[string]float64{"s45": 46.5, "s47": 48.5},
-					Seconds: []float64{49.5, 50.5},
-					Broken:  map[string]int64{"s51": 52, "s53": 54},
+					Arm:        "s43",
+					Day:        "s44",
+					Figures:    map[string]float64{"s45": 46.5, "s47": 48.5},
+					Seconds:    []float64{49.5, 50.5},
+					Violations: map[string]int64{"s51": 52, "s53": 54},
 				},
 				{
-					Arm:     "s55",
-					Day:     "s56",
-					Figures: map[string]float64{"s57": 58.5, "s59": 60.5},
-					Seconds: []float64{61.5, 62.5},
-					Broken:  map[string]int64{"s63": 64, "s65": 66},
+					Arm:        "s55",
+					Day:        "s56",
+					Figures:    map[string]float64{"s57": 58.5, "s59": 60.5},
+					Seconds:    []float64{61.5, 62.5},
+					Violations: map[string]int64{"s63": 64, "s65": 66},
 				},
 			},
 			Claims: []Verdict{
@@ -90,8 +90,8 @@
 	})
 }
 
-// The result of spanlab run bench-day --seed 41 --size small is read, and Write puts the same bytes into its folder.
-func TestStoredResultIsReadAndWrittenAlike(t *testing.T) {
+// A stored result of spanlab run bench-day --seed 41 --size small can be read, and Write reproduces it byte for byte.
+func TestStoredResultRoundTrip(t *testing.T) {
 	want, err := os.ReadFile("testdata/bench-day.json")
 	if err != nil {
 		t.Fatal(err)
@@ -118,12 +118,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("written as %s, want %s", got, want)
+		t.Errorf("result.json written as %s, want %s", got, want)
 	}
 }
 
-// A file under experiments with every field set, also those of the emulator's worlds.
-func TestStoredExperimentIsReadAndWrittenAlike(t *testing.T) {
+// The form of an experiment file does not change. Every field is set, including those of the emulator's worlds.
+func TestStoredExperimentRoundTrip(t *testing.T) {
 	e := testfixture.ReadBack[Experiment](t, "testdata/experiment.json", " ")
 	world := e.Sizes["s3"]
 	if e.Title != "s2" || world.Seed != 4 || world.DurationSeconds != 26.5 || world.Cells.OverflowCell != "s30" {
