--- a/emulator/arrivals.go
+++ b/emulator/arrivals.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// videoSession is a client that requests the chunks of a video one after the other.
+// videoSession is a client that requests the chunks of a video one after another, one every chunkInterval.
 type videoSession struct {
 	site      int32
 	tenant    int32
@@ -17,13 +17,14 @@
 	chunks    int32
 }
 
-// arrivalGap draws the time until the next client arrives at a site.
+// arrivalGap returns a random, exponentially distributed time until the next client arrives at a site.
 func (w *World) arrivalGap(site int) int64 {
 	perSecond := w.config.RequestsPerSecond * w.classCDF[classCount-1] / float64(w.config.Sites)
 	return fromSeconds(w.arrivalRandom[site].ExpFloat64() / perSecond)
 }
 
-// arrival lets a client arrive at a site, and the next one later.
+// arrival starts a client at a site and schedules the next arrival there, until stopAt. If there are migrated tenants,
+// it also samples the cells and the migration progress every sampleInterval.
 func (w *World) arrival(site int) {
 	if w.now >= w.nextSampleAt && len(w.config.MigratedTenants) > 0 {
 		w.nextSampleAt = w.now + sampleInterval
@@ -32,12 +33,12 @@
 	}
 	if w.now < w.stopAt {
 		w.push(event{time: w.now + w.arrivalGap(site), kind: eventArrival, target: int32(site)})
-		w.clientArrives(site)
+		w.startClient(site)
 	}
 }
 
-// clientArrives draws what a client wants, and starts it.
-func (w *World) clientArrives(site int) {
+// startClient chooses at random what a new client requests and starts its operation or video session.
+func (w *World) startClient(site int) {
 	rng := w.arrivalRandom[site]
 	tenant := w.drawTenant(rng)
 	class := w.drawClass(rng)
@@ -62,7 +63,8 @@
 	return int32(len(w.sessions) - 1)
 }
 
-// startRunningSessions starts a site with as many sessions midway as an endless day has.
+// startRunningSessions adds the video sessions that are already running at a site when the simulation starts: as many
+// as there are in the steady state, each at a random chunk.
 func (w *World) startRunningSessions(site int) {
 	rng := w.arrivalRandom[site]
 	class := &classModels[classVideo]
@@ -80,7 +82,7 @@
 	}
 }
 
-// requestNextChunk starts an operation on a session's next chunk, and schedules the one after it.
+// requestNextChunk starts an operation for a session's next chunk and schedules the request for the chunk after it.
 func (w *World) requestNextChunk(id int32) {
 	session := &w.sessions[id]
 	if w.now >= w.stopAt || session.nextChunk >= session.chunks {
@@ -95,13 +97,13 @@
 	})
 }
 
-// drawTenant draws a client's tenant by the tenants' shares.
+// drawTenant returns a random tenant, weighted by the tenants' shares of the requests.
 func (w *World) drawTenant(rng *rand.Rand) int {
 	tenant, _ := slices.BinarySearch(w.tenantCDF, rng.Float64())
 	return min(tenant, w.config.Tenants-1)
 }
 
-// drawClass draws the class of an operation or session.
+// drawClass returns a random class for an operation or a session, weighted by classCDF.
 func (w *World) drawClass(rng *rand.Rand) int {
 	draw := rng.Float64() * w.classCDF[classCount-1]
 	class := 0
@@ -111,12 +113,13 @@
 	return class
 }
 
-// drawChunks draws how many chunks an object of the class has.
+// drawChunks returns a random number of chunks for an object of the class, from minChunks to maxChunks.
 func (c *classModel) drawChunks(rng *rand.Rand) int {
 	return c.minChunks + rng.IntN(c.maxChunks-c.minChunks+1)
 }
 
-// drawObject draws an object of a tenant and class: by popularity, which drifts, or one that is requested only once.
+// drawObject returns the key and name of a random object of a tenant and class. With probability OneTimeFraction the
+// object is requested only once; otherwise it is chosen by popularity, which drifts with time.
 func (w *World) drawObject(rng *rand.Rand, tenant, class int) (key uint64, object string) {
 	if rng.Float64() < w.config.OneTimeFraction {
 		return w.oneTimeObject(tenant, class)
@@ -132,33 +135,35 @@
 	return key, object
 }
 
-// Bits of an object's key beside its number.
+// Bits of an object's key that mark special objects.
 const (
-	releaseObjectBit = 1 << 42 // a new object of a release
+	releaseObjectBit = 1 << 42 // a new object that a release adds
 	oneTimeObjectBit = 1 << 43 // an object that is requested only once
 )
 
-// oneTimeObject returns an object that nobody has requested before.
+// oneTimeObject returns the key and name of an object that has not been requested before.
 func (w *World) oneTimeObject(tenant, class int) (key uint64, object string) {
 	w.oneTimeObjects++
 	key = objectKey(tenant, class, oneTimeObjectBit|w.oneTimeObjects)
 	return key, objectName(tenant, key)
 }
 
-// objectKey numbers the objects of all tenants.
+// objectKey returns a key that is unique among the objects of all tenants and classes.
 func objectKey(tenant, class int, number uint64) uint64 {
 	return uint64(tenant)<<48 | uint64(class)<<44 | number
 }
 
-// chunkKey numbers the chunks of an object.
+// chunkKey returns a key that is unique among the chunks of all objects.
 func chunkKey(objectKey uint64, chunk int32) uint64 { return objectKey ^ uint64(chunk)<<36 }
 
-// objectName returns the name under which an object is requested: 16 hexadecimal digits.
+// objectName returns the name by which clients request an object: 16 hexadecimal digits, of which the first four are
+// the tenant.
 func objectName(tenant int, key uint64) string {
 	return fmt.Sprintf("%04x%012x", tenant, hashMix(key)&(1<<48-1))
 }
 
-// chunkSizeKB returns the size of a chunk, always the same: log-normal, by the Box-Muller transform of a hash.
+// chunkSizeKB returns the size of a chunk in KB. It depends only on the arguments. Sizes of a class are log-normally
+// distributed; the normal variate is the Box-Muller transform of a hash.
 func chunkSizeKB(key uint64, chunk int32, class int) float64 {
 	hash := hashMix(key*31 + uint64(chunk))
 	u1 := (float64(hash>>40) + 0.5) / (1 << 24)
@@ -168,10 +173,11 @@
 	return c.meanKB * math.Exp(c.sigma*normal-c.sigma*c.sigma/2)
 }
 
-// hugeFloodChunks is how many chunks of a video a huge flood requests.
+// hugeFloodChunks is the number of chunks of each video that a FloodHuge requests.
 const hugeFloodChunks = 15
 
-// floodRequest starts an operation of the flood, and the next one later. All sites alike get them.
+// floodRequest starts an operation of the flood at a random site and schedules the next one. It stops at the end of the
+// flood or at stopAt.
 func (w *World) floodRequest() {
 	flood := w.config.Flood
 	end := fromSeconds(flood.StartSeconds + flood.DurationSeconds)
--- a/emulator/attempts.go
+++ b/emulator/attempts.go
@@ -2,48 +2,50 @@
 
 import "spantack/routing"
 
-// serverAttempt is one attempt of a router at a server. Its place is freed when the router has its outcome or drops
-// it.
+// serverAttempt is one attempt of a router at a server. Its slot in World.attempts is freed when the router receives
+// the outcome or drops the attempt.
 type serverAttempt struct {
 	generation        uint32
 	request           int32
 	requestGeneration uint32
 	server            int32
-	source            int32 // of the fill, if the server has no copy; -1: none
+	source            int32 // server to fill from if server has no copy; -1: none
 	site              int32 // of the router
-	cachedOnly        bool  // the source may not fetch
-	maxAge            int64 // of a copy; 0: any
+	cachedOnly        bool  // the source may serve only a cached copy and must not fetch
+	maxAge            int64 // of a copy that may be served; 0: any
 	sentAt            int64
-	fillStartedAt     int64 // when the server sent to the source; 0: it has not
+	fillStartedAt     int64 // when server sent the fill request to source; 0: not yet
 
 	outcome      routing.AttemptOutcome
 	cacheStatus  routing.CacheStatus
-	upstreamWait int64 // what the answer took beyond its sending
-	producedAt   int64 // when the origin sent the copy
+	upstreamWait int64 // time for the fill beyond sending the response at full rate
+	producedAt   int64 // when the origin sent the served copy
 
-	links           [attemptSegments]int32 // on which its data is; -1: none
-	activeTransfers int                    // on links
-	fetch           int32                  // of the parent, that it waits for; -1: none
+	links           [attemptSegments]int32 // links that its data is on, by segment; -1: none
+	activeTransfers int                    // number of links that its data is on
+	fetch           int32                  // fetch from the origin that it waits for at a parent; -1: none
 
-	atServer        bool // it arrived there and has not ended
-	countedActive   bool // among the server's active ones
-	countedFilling  bool // among the server's fills
-	countedAtSource bool // among the source's active ones
+	atServer        bool // it has arrived at server and has not ended
+	countedActive   bool // included in the server's active
+	countedFilling  bool // included in the server's fills
+	countedAtSource bool // included in the source's active
 }
 
-// noLinks is serverAttempt.links of an attempt whose data is on no link.
+// noLinks is the value of serverAttempt.links while no data is in transfer.
 var noLinks = [attemptSegments]int32{-1, -1, -1, -1}
 
-// operationOf returns the operation that an attempt is for.
+// operationOf returns the client operation that an attempt belongs to.
 func (w *World) operationOf(attempt *serverAttempt) *clientOperation {
 	return &w.operations[w.requests[attempt.request].operation]
 }
 
-// sendAttempt sends an attempt to a server.
+// sendAttempt sends an attempt to the server of an action and schedules its timeout. It counts a violation if the
+// request already has an attempt in flight, or if the router knew for longer than drainGracePeriod that the server is
+// draining.
 func (w *World) sendAttempt(requestID int32, action routing.Action) {
 	request := &w.requests[requestID]
 	if request.attempt >= 0 {
-		w.result.violation(violationTwoAttemptsOut)
+		w.result.violation(violationTwoAttemptsInFlight)
 		return
 	}
 	server := w.serverNamed(action.Server)
@@ -77,12 +79,12 @@
 	w.pushForAttempt(id, eventAttemptTimeout, min(action.Timeout, max(request.deadline-w.now, 1)))
 }
 
-// pushForAttempt pushes an event that an attempt is the target of.
+// pushForAttempt schedules an event for an attempt after a delay.
 func (w *World) pushForAttempt(id int32, kind eventKind, delay int64) {
 	w.push(event{time: w.now + delay, kind: kind, target: id, generation: w.attempts[id].generation})
 }
 
-// arriveAtServer lets an attempt arrive at its server, which answers, fills, rejects or fails.
+// arriveAtServer handles the arrival of an attempt at its server, which answers, fills, rejects or fails.
 func (w *World) arriveAtServer(id int32) {
 	attempt := &w.attempts[id]
 	server := &w.servers[attempt.server]
@@ -117,8 +119,8 @@
 	w.answerFromCache(id, server, operation)
 }
 
-// serverFailure tells how a server fails an operation by itself, if it does: a release's harmful object, or a poisoned
-// tenant.
+// serverFailure returns the outcome if a server fails an operation on its own, because of a harmful object of the
+// release or a poisoned tenant. If fails is false the server handles the operation normally.
 func (w *World) serverFailure(
 	server *simulatedServer, operation *clientOperation,
 ) (outcome routing.AttemptOutcome, status routing.CacheStatus, fails bool) {
@@ -138,18 +140,18 @@
 	return "", routing.CacheStatusUnknown, false
 }
 
-// answerFromOrigin lets the origin, a server or a source, send what an attempt is for.
+// answerFromOrigin sends an attempt's chunk from the origin, which is either the attempt's server or its source.
 func (w *World) answerFromOrigin(id, origin int32) {
 	w.attempts[id].producedAt = w.now
 	w.result.originFill(w, w.sizeKB(id))
 	w.sendFrom(id, origin)
 }
 
-// answerFromCache lets an edge cache or a parent look up what an attempt is for, and answer or fill.
+// answerFromCache looks up an attempt's chunk at an edge cache or a parent, which then answers, fills or rejects.
 func (w *World) answerFromCache(id int32, server *simulatedServer, operation *clientOperation) {
 	attempt := &w.attempts[id]
 	producedAt, isHit := server.store.get(w.chunkKey(id), w.minProducedAt(attempt, attempt.server))
-	isHit = isHit && operation.class != classReport // reports run at the origin, whichever way they take
+	isHit = isHit && operation.class != classReport // reports always run at the origin
 	w.result.cacheLookup(server, attempt.server, operation, isHit)
 	switch {
 	case isHit && server.kind == cacheServer:
@@ -175,7 +177,7 @@
 	}
 }
 
-// endAttempt ends an attempt at its server. The router has the outcome after the way back.
+// endAttempt ends an attempt at its server and schedules the arrival of the outcome at the router.
 func (w *World) endAttempt(id int32, outcome routing.AttemptOutcome, status routing.CacheStatus) {
 	attempt := &w.attempts[id]
 	attempt.outcome = outcome
@@ -184,7 +186,7 @@
 	w.pushForAttempt(id, eventAttemptOutcome, w.networkDelay(attempt.site, &w.servers[attempt.server]))
 }
 
-// releaseAttempt gives back all that an attempt takes at servers and on links.
+// releaseAttempt releases everything that an attempt occupies at servers and on links.
 func (w *World) releaseAttempt(id int32) {
 	attempt := &w.attempts[id]
 	if attempt.atServer {
@@ -213,14 +215,14 @@
 	}
 }
 
-// freeAttempt releases an attempt and its place.
+// freeAttempt releases an attempt and frees its slot in World.attempts.
 func (w *World) freeAttempt(id int32) {
 	w.releaseAttempt(id)
 	w.attempts[id].generation++
 	w.freeAttempts = append(w.freeAttempts, id)
 }
 
-// attemptOutcome lets an outcome reach the router, and with it the response, if there is one.
+// attemptOutcome delivers an outcome, and the response if there is one, to the router.
 func (w *World) attemptOutcome(id int32) {
 	attempt := w.attempts[id]
 	w.freeAttempt(id)
@@ -248,7 +250,7 @@
 	})
 }
 
-// dropAttempt gives an attempt up at the router, which did not wait for its outcome.
+// dropAttempt ends an attempt that the router no longer waits for and reports the outcome to the router.
 func (w *World) dropAttempt(id int32, outcome routing.AttemptOutcome) {
 	attempt := w.attempts[id]
 	w.freeAttempt(id)
@@ -266,7 +268,7 @@
 	})
 }
 
-// cancelAttempt drops the attempt that an action names, if it is still out.
+// cancelAttempt drops the attempt that an action names, if it is still in flight.
 func (w *World) cancelAttempt(action routing.Action) {
 	requestID := w.requestByCallID(action.RequestID)
 	if requestID < 0 {
@@ -278,7 +280,7 @@
 	}
 }
 
-// detachAttempt takes an attempt off its request; false: the request is over, or has another attempt.
+// detachAttempt removes an attempt from its request. It returns false if the request has ended or has another attempt.
 func (w *World) detachAttempt(id int32, attempt *serverAttempt) bool {
 	request := &w.requests[attempt.request]
 	if request.generation != attempt.requestGeneration || request.attempt != id {
--- a/emulator/capacity.go
+++ b/emulator/capacity.go
@@ -2,37 +2,38 @@
 
 import "math"
 
-// Capacities of links and servers, derived from the load of a calm day.
+// Capacities of links and servers, derived from the load of a run without faults or floods (the normal load).
 
-// originFillRatio is how many of the sites' fills reach the origin on a calm day.
+// originFillRatio is the fraction of the sites' fills that reach the origin under normal load.
 const originFillRatio = 0.35
 
-// fillKBPerSecond is what all sites together fill on a calm day.
+// fillKBPerSecond returns the fill rate of all sites together under normal load, in KB/s.
 func (c *Config) fillKBPerSecond() float64 {
 	return c.RequestsPerSecond * meanRequestKB() * c.MissRatio
 }
 
-// siteLinkKBPerSecond is the capacity of the link into a site.
+// siteLinkKBPerSecond returns the capacity of the link into a site in KB/s, at least the rate of four responses.
 func (c *Config) siteLinkKBPerSecond() float64 {
 	return max(c.SiteLinkCapacityFactor*c.fillKBPerSecond()/float64(c.Sites), 4*responseKBPerSecond)
 }
 
-// remoteHubKBPerSecond is the capacity of the line from a hub into a site that is not near it.
+// remoteHubKBPerSecond returns the capacity of the line from a remote hub to a site in KB/s, at least the rate of two
+// responses.
 func (c *Config) remoteHubKBPerSecond() float64 {
 	return max(c.RemoteHubCapacityFactor*c.fillKBPerSecond()/float64(c.Sites), 2*responseKBPerSecond)
 }
 
-// streamsPerParent is how many responses a parent sends at full rate at once.
+// streamsPerParent returns the number of responses that a parent can send concurrently at full rate, at least 4.
 func (c *Config) streamsPerParent() float64 {
 	return math.Ceil(max(c.ParentCapacityFactor*c.fillKBPerSecond()/float64(c.Parents)/responseKBPerSecond, 4))
 }
 
-// originKBPerSecond is the capacity of the origin.
+// originKBPerSecond returns the capacity of the origin in KB/s, at least the rate of twelve responses.
 func (c *Config) originKBPerSecond() float64 {
 	return max(c.OriginCapacityFactor*c.fillKBPerSecond()*originFillRatio, 12*responseKBPerSecond)
 }
 
-// originKnee is how many responses the origin sends at once before it slows down.
+// originKnee returns the number of concurrent responses above which the origin slows down.
 func (c *Config) originKnee() float64 {
 	return 2 * c.originKBPerSecond() / maxFillKBPerSecond
 }
--- a/emulator/cell_gauges.go
+++ b/emulator/cell_gauges.go
@@ -7,12 +7,12 @@
 	"spantack/routing"
 )
 
-// cellGauge measures one cell of one site over gaugeWindow: its fills, and how busy its caches are.
+// cellGauge measures the fills and the utilization of the caches of one cell at one site over gaugeWindow.
 type cellGauge struct {
 	fills       []receivedWork
 	fillKB      float64 // sum of fills
 	utilization [gaugeWindow / sampleInterval]float64
-	nextSample  int // in utilization
+	nextSample  int // index in utilization
 }
 
 const (
@@ -20,8 +20,8 @@
 	sampleInterval = 100 * millisecond
 )
 
-// recordCellFill counts a fill of an edge cache, and measures what part of its cell's share of the site's link the
-// cell's fills take.
+// recordCellFill counts a fill of an edge cache and updates MaxCellFill: the cell's fills within gaugeWindow as a
+// fraction of the cell's share of the site link.
 func (w *World) recordCellFill(attempt *serverAttempt, site int, sizeKB float64) {
 	server := &w.servers[attempt.server]
 	if server.kind != cacheServer || w.cellGauges == nil || server.status == routing.EndpointRemoved {
@@ -49,8 +49,8 @@
 	return &w.cellGauges[site*len(w.config.Cells.Cells)+cell]
 }
 
-// cellOfCache returns the cell that an edge cache belongs to by the endpoint list as it is, or -1. Routers may see it
-// a little later.
+// cellOfCache returns the cell of an edge cache according to the current endpoint list, or -1 if it is in no cell.
+// Routers receive changes of the endpoint list up to maxEndpointUpdateDelay later.
 func (w *World) cellOfCache(id int32) int {
 	server := &w.servers[id]
 	if version := len(w.endpointChanges); server.cellVersion != version {
@@ -63,7 +63,7 @@
 	return int(server.cell)
 }
 
-// assignCells divides a site's edge caches among the cells, as routers do.
+// assignCells assigns a site's edge caches to cells in the same way as the routers.
 func (w *World) assignCells(site, version int) {
 	var names []string
 	byName := map[string]*simulatedServer{}
@@ -82,8 +82,8 @@
 	}
 }
 
-// sampleCells measures how busy each cell is: the answers open at its caches, those that wait for a fill too, over
-// what the caches can send at once at their age.
+// sampleCells samples the utilization of each cell: the responses in progress at its caches, including responses that
+// wait for a fill, divided by the number that the caches can send concurrently at their current warm-up state.
 func (w *World) sampleCells() {
 	if w.cellGauges == nil {
 		return
@@ -111,7 +111,7 @@
 	}
 }
 
-// cacheCapacity returns the part of its capacity that an edge cache has at its age.
+// cacheCapacity returns the fraction of its full capacity that an edge cache has now, which rises while it warms up.
 func (w *World) cacheCapacity(server *simulatedServer) float64 {
 	age := w.now - server.startedAt
 	if server.startedAt == 0 || age >= int64(cacheWarmUpTime) {
@@ -133,7 +133,8 @@
 	return sum / float64(len(g.utilization))
 }
 
-// recordMigrationSpread measures how far apart the routers of each site are with each migration.
+// recordMigrationSpread updates MaxMigrationSpread, the largest difference in a migration's progress between two
+// routers of one site, and MigratedAtSeconds.
 func (w *World) recordMigrationSpread() {
 	type progress struct{ min, max float64 }
 	for site := range w.config.Sites {
--- a/emulator/cell_plan.go
+++ b/emulator/cell_plan.go
@@ -7,11 +7,11 @@
 	"spantack/core/cells/plan"
 )
 
-// budgetFraction is the part of a capacity that budgets give out. The rest takes up bursts.
+// budgetFraction is the fraction of a capacity that budgets assign. The rest is headroom for bursts.
 const budgetFraction = 0.8
 
-// PlanCells returns an assignment of a world's tenants to count cells of equal shares, planned by the tenants' shares
-// of the load, with budgets by the world's capacities; and the number of each tenant's cell.
+// PlanCells assigns a world's tenants to count cells of equal shares. Tenants are placed by their shares of the load,
+// and budgets follow from the world's capacities. It returns the assignment and the cell index of each tenant.
 func PlanCells(cfg *Config, count int) (*cells.Spec, []int) {
 	spec := &cells.Spec{Version: 1, Scheme: cells.SchemeFixed, Budget: cfg.cellBudget()}
 	shares := make([]float64, count)
@@ -30,7 +30,7 @@
 	}
 	proposal, err := plan.Propose(demand, plan.Objective{Shares: shares, MaxMigrations: -1, Seed: cfg.Seed})
 	if err != nil {
-		panic(err) // without a bound on the objective there is always a plan
+		panic(err) // a plan always exists when migrations are unlimited
 	}
 	for tenant, d := range demand {
 		cell := spec.Cells[proposal.CellByTenant[tenant]].Name
@@ -43,7 +43,7 @@
 	return spec, proposal.CellByTenant
 }
 
-// cellBudget returns the budget of a site's cells together.
+// cellBudget returns the combined budget of all cells of a site.
 func (c *Config) cellBudget() cells.Budget {
 	return cells.Budget{
 		RequestsPerSecond:    budgetFraction * 1e6 / max(c.RouterCPUMicros, 1) * float64(c.RoutersPerSite),
--- a/emulator/clients.go
+++ b/emulator/clients.go
@@ -6,57 +6,57 @@
 	"spantack/routing"
 )
 
-// clientOperation is what a client wants: one chunk of an object, with all requests that it takes. Its place is freed
-// when it is served or the client stops trying.
+// clientOperation is one chunk of an object that a client wants, over all requests that the client sends for it. Its
+// slot in World.operations is freed when it is served or the client stops retrying.
 type clientOperation struct {
 	class     int32
 	tenant    int32
 	site      int32
-	requests  int32 // sent so far
+	requests  int32 // requests sent so far
 	key       uint64
 	object    string
 	chunk     int32
 	sizeKB    float64
 	startedAt int64
-	counted   bool // it began after the warm-up
+	counted   bool // it started after the warm-up
 	release   bool // its object belongs to Config.Release
 }
 
-// clientRequest is one request of an operation, at one router. Its place is freed when the client has an answer,
-// gives up or sees the connection break.
+// clientRequest is one request of an operation, sent to one router. Its slot in World.requests is freed when the client
+// receives an answer, times out or loses the connection.
 type clientRequest struct {
 	generation       uint32
 	operation        int32
 	router           int32
 	routerGeneration uint32
-	callID           string // the router's name for it: place and generation
-	deadline         int64  // for the router's answer
+	callID           string // request ID at the router: index and generation
+	deadline         int64  // by which the router must answer
 
-	attempt           int32 // that is out; -1: none
-	attemptNumber     int32 // of the last attempt; -1: none yet
+	attempt           int32 // in flight; -1: none
+	attemptNumber     int32 // number of the last attempt; -1: none yet
 	attemptsAtServers int
 
-	retryAfter int64 // of a rejection; 0: the answer is none
+	retryAfter int64 // of a rejection; 0: the answer is not a rejection
 	answered   bool
-	served     bool // the answer is a response
-	closed     bool // the client waits no more
+	served     bool // the answer is a served response
+	closed     bool // the client no longer waits
 }
 
-// Behaviour of clients.
+// Retry behaviour of clients.
 const (
-	maxClientRequests   = 3          // of an operation
-	impatientPercent    = 25         // of clients do not retry
-	honoursRetryPercent = 55         // of those that retry honour Retry-After
-	minClientBackoff    = 50         // ms, before a retry
-	clientBackoffSpread = 350        // ms, added at most
-	retriesAfterStop    = 2 * second // for so long after the last arrival clients retry
+	maxClientRequests        = 3          // for one operation
+	noRetryPercent           = 25         // percentage of clients that do not retry
+	honoursRetryAfterPercent = 55         // percentage of retrying clients that honour Retry-After
+	minClientBackoff         = 50         // ms, minimum before a retry
+	clientBackoffSpread      = 350        // ms, upper bound of the random addition
+	retriesAfterStop         = 2 * second // clients retry until this long after stopAt
 )
 
-// releaseSelectionSalt decides which objects a release takes.
+// releaseSelectionSalt is the hash salt that selects the objects of a release.
 const releaseSelectionSalt = 0x4e1ea5e
 
-// startOperation begins an operation. It counts from here on, if the warm-up is over. A sizeKB of 0 stands for the
-// size that the chunk always has.
+// startOperation starts an operation, which is counted if the warm-up is over. If sizeKB is 0, it is set to
+// chunkSizeKB.
 func (w *World) startOperation(operation clientOperation) {
 	if operation.sizeKB == 0 {
 		operation.sizeKB = chunkSizeKB(operation.key, operation.chunk, int(operation.class))
@@ -70,8 +70,8 @@
 	w.sendRequest(id)
 }
 
-// selectForRelease makes an operation on the catalogue one on the release's objects, if it is on one of those that the
-// release takes: always the same ones.
+// selectForRelease assigns a catalogue operation to the release if its object is one of those that the release selects.
+// The selection depends on the object key alone, so it is the same throughout the run.
 func (w *World) selectForRelease(operation *clientOperation) {
 	r := w.config.Release
 	if r == nil || operation.class != classCatalogue {
@@ -88,7 +88,8 @@
 	}
 }
 
-// sendRequest sends a request of an operation to a router of the site that the frontend takes for alive.
+// sendRequest sends a request of an operation to the router that frontendChoice selects, and schedules the client
+// timeout.
 func (w *World) sendRequest(id int32) {
 	operation := &w.operations[id]
 	operation.requests++
@@ -105,16 +106,16 @@
 	request.callID = callID(requestID, request.generation)
 	deadline := int64(classModels[operation.class].deadlineMs) * millisecond
 	w.pushForRequest(requestID, eventAtRouter, clientDelay)
-	w.pushForRequest(requestID, eventClientGivesUp, deadline)
+	w.pushForRequest(requestID, eventClientTimeout, deadline)
 }
 
-// pushForRequest pushes an event that a request is the target of.
+// pushForRequest schedules an event for a request after a delay.
 func (w *World) pushForRequest(id int32, kind eventKind, delay int64) {
 	w.push(event{time: w.now + delay, kind: kind, target: id, generation: w.requests[id].generation})
 }
 
-// frontendChoice returns the router that the frontend sends a request to: one by hash, or the next one that it takes
-// for alive. If it takes none for alive, it is the one by hash.
+// frontendChoice returns the router that the frontend sends a request to: the one selected by hash, or the next one
+// that the frontend considers alive. If it considers none alive, it uses the one selected by hash.
 func (w *World) frontendChoice(operation *clientOperation) int32 {
 	count := int32(w.config.RoutersPerSite)
 	first := operation.site * count
@@ -128,12 +129,12 @@
 	return first + chosen
 }
 
-// callID returns the name of a request at its router.
+// callID returns the ID of a request at its router: generation and index in hexadecimal.
 func callID(id int32, generation uint32) string {
 	return strconv.FormatUint(uint64(generation)<<32|uint64(uint32(id)), 16)
 }
 
-// requestByCallID returns the request of a name, or -1 if it has ended.
+// requestByCallID returns the index of the request with a call ID, or -1 if the request has ended.
 func (w *World) requestByCallID(call string) int32 {
 	n, err := strconv.ParseUint(call, 16, 64)
 	if err != nil {
@@ -146,14 +147,14 @@
 	return int32(id)
 }
 
-// freeRequest frees a request's place.
+// freeRequest closes a request and frees its slot in World.requests.
 func (w *World) freeRequest(requestID int32) {
 	w.requests[requestID].generation++
 	w.requests[requestID].closed = true
 	w.freeRequests = append(w.freeRequests, requestID)
 }
 
-// answerClient lets an answer reach the client.
+// answerClient delivers an answer to the client, which may retry if the request was rejected or failed.
 func (w *World) answerClient(requestID int32) {
 	request := w.requests[requestID]
 	w.freeRequest(requestID)
@@ -171,26 +172,29 @@
 	}
 }
 
-// retryOperation lets a client send another request for an operation, or stop trying. Most retry once or twice, and
-// most honour a Retry-After.
+// retryOperation schedules another request for an operation, or ends the operation as unserved. A client sends at most
+// maxClientRequests requests; at each failure noRetryPercent of the clients stop. Of the retries,
+// honoursRetryAfterPercent wait for retryAfter if it is longer than their backoff. No client retries after a failure
+// later than retriesAfterStop after stopAt.
 func (w *World) retryOperation(id int32, retryAfter int64) {
 	operation := &w.operations[id]
 	draw := hashMix(operation.key ^ uint64(operation.startedAt) ^ uint64(operation.requests)<<50)
-	isImpatient := draw%100 < impatientPercent
-	if operation.requests >= maxClientRequests || isImpatient || w.now >= w.stopAt+retriesAfterStop {
+	givesUp := draw%100 < noRetryPercent
+	if operation.requests >= maxClientRequests || givesUp || w.now >= w.stopAt+retriesAfterStop {
 		w.result.operationUnserved(operation)
 		w.freeOperations = append(w.freeOperations, id)
 		return
 	}
 	backoff := (minClientBackoff + int64(draw>>8%clientBackoffSpread)) * millisecond
-	if draw>>20%100 < honoursRetryPercent {
+	if draw>>20%100 < honoursRetryAfterPercent {
 		backoff = max(backoff, retryAfter)
 	}
 	w.push(event{time: w.now + backoff, kind: eventClientRetry, target: id})
 }
 
-// clientGivesUp lets a client close its connection when its deadline has passed. The router owes no answer any more.
-func (w *World) clientGivesUp(requestID int32) {
+// clientTimeout closes the connection of a client whose deadline has passed, and reports the abort to the router, which
+// then must not answer. A request without an answer by then counts as unanswered.
+func (w *World) clientTimeout(requestID int32) {
 	request := w.requests[requestID]
 	router := &w.routers[request.router]
 	isAtRouter := router.running && router.generation == request.routerGeneration
@@ -208,7 +212,7 @@
 	w.freeOperations = append(w.freeOperations, request.operation)
 }
 
-// requestLost ends a request whose router has died. The client sees the connection break and may retry.
+// requestLost ends a request whose router has crashed. The client sees the connection break and may retry.
 func (w *World) requestLost(requestID int32) {
 	request := w.requests[requestID]
 	w.freeRequest(requestID)
--- a/emulator/config.go
+++ b/emulator/config.go
@@ -11,107 +11,108 @@
 	"spantack/core/rollout"
 )
 
-// Config describes a world and the day that it plays. Capacities are derived from the load: a link has its capacity
-// factor times the fills of a calm day.
+// Config describes a simulated world and one run of it. Capacities are derived from the load: the capacity of a link is
+// its capacity factor times the fills under normal load, which is the load of a run without faults or floods.
 type Config struct {
 	Seed uint64 `json:"seed"`
 
 	Sites          int `json:"depots"`
 	RoutersPerSite int `json:"routers"`
 	CachesPerSite  int `json:"caches"`
-	Parents        int `json:"parents"` // parent caches of all hubs together
-	// Hubs hold the parents in turn, and each site is near one of them. 0: one hub, as far from each site.
+	Parents        int `json:"parents"` // number of parent caches of all hubs together
+	// Hubs is the number of hubs. Parents and sites are assigned to hubs round-robin; the hub of a site is near, all
+	// others are remote. 0: one hub that is near all sites.
 	Hubs            int `json:"hubs,omitempty"`
 	Tenants         int `json:"tenants"`
-	Objects         int `json:"objects"`  // of each tenant
-	StreamsPerCache int `json:"channels"` // responses that an edge cache sends at full rate at once
+	Objects         int `json:"objects"`  // number of objects of each tenant
+	StreamsPerCache int `json:"channels"` // concurrent responses of an edge cache at full rate
 
 	RequestsPerSecond float64 `json:"rateS"`      // of all sites together
 	TenantSkew        float64 `json:"tenantSkew"` // Zipf exponent of the tenants' shares
-	ObjectSkew        float64 `json:"objectSkew"` // Zipf exponent of a tenant's objects
-	OneTimeFraction   float64 `json:"onceShare"`  // of requests are for an object that is requested only once
+	ObjectSkew        float64 `json:"objectSkew"` // Zipf exponent of the popularity of a tenant's objects
+	OneTimeFraction   float64 `json:"onceShare"`  // fraction of requests for objects requested only once
 
-	PopularityDriftSeconds float64 `json:"driftS"` // time in which popularity moves on by one object
-	CacheRetentionSeconds  float64 `json:"keepS"`  // an edge cache stores what it sends at full rate in this time
+	PopularityDriftSeconds float64 `json:"driftS"` // time in which the popularity ranking shifts by one object
+	CacheRetentionSeconds  float64 `json:"keepS"`  // edge cache size, as the time to send it at full rate
 
 	SiteLinkCapacityFactor  float64 `json:"linkRoom"`          // of the link into a site
-	RemoteHubCapacityFactor float64 `json:"farRoom,omitempty"` // of the line from a remote hub to a site; 0: unbounded
+	RemoteHubCapacityFactor float64 `json:"farRoom,omitempty"` // of the line from a remote hub to a site; 0: unlimited
 	ParentCapacityFactor    float64 `json:"parentRoom"`        // of all parents together
 	OriginCapacityFactor    float64 `json:"originRoom"`        // of the origin
-	MissRatio               float64 `json:"missShare"`         // of edge caches, for which capacities are sized
-	// RouterCPUMicros is the time that a request takes on a router's core. A request that admission rejects takes a
-	// quarter of it.
+	MissRatio               float64 `json:"missShare"`         // miss ratio of edge caches to size capacities for
+	// RouterCPUMicros is the CPU time of a router for one request. A request that admission rejects costs a quarter of
+	// it.
 	RouterCPUMicros float64 `json:"routerUs"`
 
-	WarmUpSeconds   float64 `json:"warmS"` // before counting begins
-	DurationSeconds float64 `json:"dayS"`  // counted
+	WarmUpSeconds   float64 `json:"warmS"` // not counted
+	DurationSeconds float64 `json:"dayS"`  // counted; follows the warm-up
 
 	Cells           *cells.Spec `json:"cells,omitempty"` // nil: no cells
-	CellByTenant    []int       `json:"-"`               // for counting, also where no cells are in force
-	RateLimitFactor float64     `json:"limit,omitempty"` // of a tenant's usual rate; 0: no plain rate limit
+	CellByTenant    []int       `json:"-"`               // for counting, also when no cells are configured
+	RateLimitFactor float64     `json:"limit,omitempty"` // rate limit over the normal rate of a tenant; 0: none
 	Flood           *Flood      `json:"flood,omitempty"`
 	Poison          *Poison     `json:"poison,omitempty"`
 	Faults          []Fault     `json:"faults,omitempty"`
 
-	// CancelsAbandonedFetches makes parents cancel a fetch from the origin once nobody waits for it. Otherwise it runs to
-	// its end and the parent stores the chunk.
+	// CancelsAbandonedFetches makes parents cancel a fetch from the origin when no attempt waits for it any more.
+	// Otherwise the fetch runs to its end and the parent stores the chunk.
 	CancelsAbandonedFetches bool `json:"dropFetches,omitempty"`
 
 	Release     *Release              `json:"release,omitempty"`
-	Topology    *hierarchy.Topology   `json:"-"` // nil: sites fill from all parents alike
-	OriginLimit *originlimit.Document `json:"-"` // nil: no limit of origin fills but that of package routing
+	Topology    *hierarchy.Topology   `json:"-"` // nil: sites fill from all parents, with no preference
+	OriginLimit *originlimit.Document `json:"-"` // nil: origin fills are limited only by package routing
 
-	Gossip     *Gossip     `json:"talk,omitempty"` // nil: routers exchange nothing
+	Gossip     *Gossip     `json:"talk,omitempty"` // nil: routers exchange no gossip
 	HotObject  *HotObject  `json:"hot,omitempty"`
-	Deployment *Deployment `json:"site,omitempty"` // nil: like the first deployment
+	Deployment *Deployment `json:"site,omitempty"` // nil: the default deployment
 
-	Changes             []Change `json:"-"` // in the order of their times
-	MigratedTenants     []int    `json:"-"` // counted apart
-	MigrationEndSeconds float64  `json:"-"` // end of the last migration, by the documents
-	// MaxClockSkewMillis is how far a router's clock for documents is ahead or behind at most.
+	Changes             []Change `json:"-"` // ordered by time
+	MigratedTenants     []int    `json:"-"` // tenants that Result.Migrated counts
+	MigrationEndSeconds float64  `json:"-"` // end of the last migration according to the documents
+	// MaxClockSkewMillis is the maximum offset, in either direction, of the clock that a router applies to documents.
 	MaxClockSkewMillis float64 `json:"skewMs,omitempty"`
 }
 
-// Change is a new cell assignment, a new document of migrations, or both. Each running router applies it within
-// maxReloadDelay of its time; a router that starts later applies the last one at once.
+// Change is a new cell assignment, a new migration document, or both. Each running router applies it within
+// maxReloadDelay after its time. A router that starts later applies all past changes at once, in order.
 type Change struct {
 	AtSeconds  float64
 	Cells      *cells.Spec         // nil: unchanged
 	Migrations *migration.Document // nil: unchanged
 }
 
-// FloodKind is what the requests of a Flood are for.
+// FloodKind selects the objects that a Flood requests.
 type FloodKind string
 
 // The kinds of floods.
 const (
 	FloodCatalogue FloodKind = "catalogue" // objects of the catalogue, by popularity
-	FloodUnique    FloodKind = "unique"    // an object of its own for each request: no cache can serve it
+	FloodUnique    FloodKind = "unique"    // a different object for each request, so no cache has it
 	FloodHuge      FloodKind = "huge"      // chunks of videos, each of Flood.HugeKB
 )
 
-// Flood is a tenant that sends a multiple of its usual load for a time.
+// Flood makes one tenant send a multiple of its normal load for a time.
 type Flood struct {
 	Tenant          int       `json:"tenant"`
-	Factor          float64   `json:"times"` // of its usual load
+	Factor          float64   `json:"times"` // load of the tenant over its normal load
 	Kind            FloodKind `json:"kind"`
 	StartSeconds    float64   `json:"fromS"`
 	DurationSeconds float64   `json:"forS"`
 	HugeKB          float64   `json:"hugeKb,omitempty"`
 }
 
-// PoisonKind is how the answers to a poisoned tenant fail.
+// PoisonKind is the way in which requests of a poisoned tenant fail.
 type PoisonKind string
 
-// The kinds of poison; the empty one means none.
+// The kinds of poison. The empty string means none.
 const (
 	poisonNone    PoisonKind = ""
 	PoisonError   PoisonKind = "err"    // edge caches answer with an error
-	PoisonGarbled PoisonKind = "spoilt" // what edge caches send can't be parsed
+	PoisonGarbled PoisonKind = "spoilt" // responses of edge caches can't be parsed
 	PoisonOrigin  PoisonKind = "root"   // the origin fails
 )
 
-// Poison makes all answers to one tenant's requests fail for a time.
+// Poison makes all requests of one tenant fail for a time.
 type Poison struct {
 	Tenant          int        `json:"tenant"`
 	Kind            PoisonKind `json:"kind"`
@@ -119,13 +120,13 @@
 	DurationSeconds float64    `json:"forS"`
 }
 
-// Release is a new version that a fraction of the catalogue requests is for. Its objects are an object family of
-// their own. Without ReplacesObjects they are new objects, requested from StartSeconds on. With it they are requested
-// all day, and the origin serves the new version of them from StartSeconds until RollbackSeconds.
+// Release is a release that affects a fraction of the catalogue objects. Its objects form an object family of their
+// own. Without ReplacesObjects they are new objects, requested from StartSeconds on. With ReplacesObjects they are
+// requested during the whole run, and the origin serves their new version from StartSeconds until RollbackSeconds.
 type Release struct {
 	StartSeconds      float64          `json:"fromS"`
 	CatalogueFraction float64          `json:"part"`
-	HarmfulFraction   float64          `json:"harm"` // of its objects fail at every cache, in the new version
+	HarmfulFraction   float64          `json:"harm"` // fraction of its objects whose new version fails at every cache
 	ReplacesObjects   bool             `json:"renews,omitempty"`
 	RollbackSeconds   float64          `json:"backS,omitempty"` // 0: never
 	Rollout           *rollout.Rollout `json:"stage"`
@@ -134,35 +135,35 @@
 // releaseFamily is the purge group of a release's objects.
 const releaseFamily = 255
 
-// FaultKind is what a Fault does.
+// FaultKind selects what a Fault does.
 type FaultKind string
 
 // The kinds of faults.
 const (
-	FaultRouter   FaultKind = "router"   // a router dies and starts again
-	FaultCache    FaultKind = "cache"    // an edge cache dies and starts again, empty
-	FaultSite     FaultKind = "depot"    // all edge caches of a site at once
-	FaultDeploy   FaultKind = "deploy"   // edge caches are drained and replaced one after the other
-	FaultParent   FaultKind = "parent"   // a parent dies and starts again, empty
-	FaultHub      FaultKind = "hub"      // all parents of a hub at once
+	FaultRouter   FaultKind = "router"   // a router crashes and restarts
+	FaultCache    FaultKind = "cache"    // an edge cache crashes and restarts empty
+	FaultSite     FaultKind = "depot"    // all edge caches of a site crash at once
+	FaultDeploy   FaultKind = "deploy"   // rolling deploy: edge caches are drained and replaced one by one
+	FaultParent   FaultKind = "parent"   // a parent crashes and restarts empty
+	FaultHub      FaultKind = "hub"      // all parents of a hub crash at once
 	FaultBrownout FaultKind = "brownout" // the origin loses capacity
-	FaultPurge    FaultKind = "purge"    // copies of some groups of objects are purged
+	FaultPurge    FaultKind = "purge"    // copies of a fraction of the purge groups are purged
 )
 
-// Fault is something that happens to servers or routers at a set time.
+// Fault is a fault or an operation, such as a deploy or a purge, that affects servers or routers at a set time.
 type Fault struct {
 	Kind      FaultKind `json:"kind"`
 	Site      int       `json:"depot"` // -1: every site
 	Index     int       `json:"which"` // of the router, cache, parent or hub
 	AtSeconds float64   `json:"atS"`
-	// DurationSeconds is how long it lasts; of a deploy, how long replacing all caches takes.
+	// DurationSeconds is how long the fault lasts; for a deploy, the time to replace all caches.
 	DurationSeconds float64 `json:"forS"`
-	// Fraction is, of a deploy, how many of the caches it replaces; of a brownout, the capacity that the origin has left;
-	// of a purge, how many of the groups it purges.
+	// Fraction is, for a deploy, the fraction of the caches that it replaces; for a brownout, the fraction of the
+	// origin capacity that is left; for a purge, the fraction of the groups that it purges.
 	Fraction float64 `json:"part"`
 }
 
-// expandFaults replaces a fault of every site by one for each.
+// expandFaults replaces each fault that is for every site (Site is -1) by one fault per site.
 func (c *Config) expandFaults() {
 	var all []Fault
 	for _, f := range c.Faults {
@@ -194,12 +195,12 @@
 	return shares
 }
 
-// TenantPrefix returns what the names of a tenant's objects begin with.
+// TenantPrefix returns the prefix of the names of a tenant's objects.
 func TenantPrefix(tenant int) string { return fmt.Sprintf("%04x", tenant) }
 
-// OriginLimitDocument returns a document of the origin limit as staff who know the origin would write it: a fill takes
-// two round trips on a usual day, and a parent goes on with an abandoned fetch for longer than any client waits. With
-// forget, abandoned fetches count as ended at once.
+// OriginLimitDocument returns an origin limit document as operators who know the origin would write it: a fill takes
+// two round trips under normal load, and a parent continues an abandoned fetch for longer than any client waits. If
+// forget is set, abandoned fetches count as ended at once.
 func (c *Config) OriginLimitDocument(algorithm string, forget bool) *originlimit.Document {
 	doc := &originlimit.Document{
 		Algorithm:        algorithm,
--- a/emulator/deployment.go
+++ b/emulator/deployment.go
@@ -2,24 +2,24 @@
 
 import "spantack/routing"
 
-// Deployment is how a deployment differs from the first one.
+// Deployment lists the differences from the default deployment.
 type Deployment struct {
-	// CachesOnly makes routers send requests to the edge caches of their site alone, never to parents or the origin.
+	// CachesOnly makes routers send requests only to the edge caches of their site, never to parents or the origin.
 	CachesOnly bool `json:"cachesOnly,omitempty"`
-	// FetchesSeparately makes parents fetch from the origin for each fill, where otherwise fills of one chunk share a
-	// fetch.
+	// FetchesSeparately makes parents start a fetch from the origin for each fill. By default, concurrent fills of one
+	// chunk share a fetch.
 	FetchesSeparately bool `json:"apart,omitempty"`
-	// ReportsLinkLoad makes edge caches report with every answer how full the link into their site is.
+	// ReportsLinkLoad makes edge caches report the utilization of the link into their site with every response.
 	ReportsLinkLoad bool `json:"linkTold,omitempty"`
 
-	// 0 stands for the usual figure in all of these.
+	// In each of these fields, 0 selects the default.
 	OriginDelayMillis      float64 `json:"originWayMs,omitempty"` // one way, between a parent and the origin
 	FreshSeconds           float64 `json:"freshS,omitempty"`      // freshness lifetime of the catalogue
 	StaleGraceSeconds      float64 `json:"graceS,omitempty"`      // stale grace period of the catalogue
-	LatencyObjectiveMillis float64 `json:"promiseMs,omitempty"`   // of the catalogue
+	LatencyObjectiveMillis float64 `json:"promiseMs,omitempty"`   // latency objective of the catalogue
 }
 
-// validate returns an error that names the first field out of its bounds. A nil deployment is valid.
+// validate returns an error that names the first field that is out of range. A nil deployment is valid.
 func (d *Deployment) validate() error {
 	if d == nil {
 		return nil
@@ -32,7 +32,7 @@
 	})
 }
 
-// applyTo changes a router's settings to what the deployment allows. A nil deployment changes nothing.
+// applyTo sets the fields of a router's settings that depend on the deployment. A nil deployment changes nothing.
 func (d *Deployment) applyTo(settings *routing.Settings) {
 	if d == nil {
 		return
@@ -40,13 +40,13 @@
 	settings.Hierarchy.AllowsDirectFetch = !d.CachesOnly
 	if d.ReportsLinkLoad {
 		settings.LoadReporting = routing.LoadReporting{
-			Fields:   []string{"x1"}, // the link's use
+			Fields:   []string{"x1"}, // the link's utilization
 			Delivery: routing.LoadReportPiggyback,
 		}
 	}
 }
 
-// deployment returns the configured deployment, or one like the first.
+// deployment returns the configured deployment, or the default one.
 func (c *Config) deployment() Deployment {
 	if c.Deployment == nil {
 		return Deployment{}
@@ -54,31 +54,31 @@
 	return *c.Deployment
 }
 
-// configuredOr returns a configured figure in virtual time, or the usual one where it is 0.
-func configuredOr(figure float64, unit, usual int64) int64 {
-	if figure == 0 {
-		return usual
+// configuredOr converts a configured duration, given in unit, to virtual time. It returns defaultValue if value is 0.
+func configuredOr(value float64, unit, defaultValue int64) int64 {
+	if value == 0 {
+		return defaultValue
 	}
-	return int64(figure * float64(unit))
+	return int64(value * float64(unit))
 }
 
-// originDelay is the one-way delay between a hub and the origin.
+// originDelay returns the one-way delay between a hub and the origin.
 func (c *Config) originDelay() int64 {
 	return configuredOr(c.deployment().OriginDelayMillis, millisecond, defaultOriginDelay)
 }
 
-// freshnessLifetime is that of the catalogue.
+// freshnessLifetime returns the freshness lifetime of catalogue copies.
 func (c *Config) freshnessLifetime() int64 {
 	return configuredOr(c.deployment().FreshSeconds, second, defaultFreshnessLifetime)
 }
 
-// staleGracePeriod is that of the catalogue.
+// staleGracePeriod returns the stale grace period of catalogue copies.
 func (c *Config) staleGracePeriod() int64 {
 	return configuredOr(c.deployment().StaleGraceSeconds, second, defaultStaleGracePeriod)
 }
 
-// latencyObjectiveMs is the time in which an answer of a class has its full weight, in milliseconds, without what its
-// size adds.
+// latencyObjectiveMs returns the latency within which a response of a class has its full weight, in milliseconds,
+// without the addition for its size.
 func (c *Config) latencyObjectiveMs(class int) float64 {
 	if objective := c.deployment().LatencyObjectiveMillis; class == classCatalogue && objective != 0 {
 		return objective
--- a/emulator/deployment_test.go
+++ b/emulator/deployment_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// secondDeployment is a deployment unlike the first, on a day with a purge, a router that dies and a brownout.
-func secondDeployment(seed uint64) Config {
+// customDeploymentConfig returns a configuration in which each field of Deployment is set, with a purge, a router crash
+// and a brownout of the origin.
+func customDeploymentConfig(seed uint64) Config {
 	cfg := smallConfig(seed)
 	cfg.MissRatio = 0.5
 	cfg.OriginCapacityFactor = 3
@@ -28,26 +29,27 @@
 	return cfg
 }
 
-// Half of all groups are purged while a router is dead and the origin slow: nobody is served from an old copy, not by
-// the router that comes back either.
+// Guards against responses from purged copies. Half of all groups are purged while a router is down and the origin is
+// slow. The router that restarts missed the notice and must not serve purged copies either.
 func TestPurgedCopiesAreNotServed(t *testing.T) {
 	for seed := range uint64(3) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runWorld(t, secondDeployment(seed)) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runWorld(t, customDeploymentConfig(seed)) })
 	}
-	t.Run("a router without notice", func(t *testing.T) { // shows that the check can fail
-		w := newWorld(t, secondDeployment(1))
+	t.Run("missed notice is counted", func(t *testing.T) { // shows that the check detects purged copies
+		w := newWorld(t, customDeploymentConfig(1))
 		w.purges = []purge{{startedAt: 6 * second, fraction: 1}}
 		w.routers[0].purgeDeadlines = []purgeDeadline{{0, 6 * second}}
 		if r := w.Run(); r.Violations["an answer from a purged copy"] == 0 {
-			t.Error("the router serves no old copy, or the check sees none")
+			t.Error("no violation counted for a router that missed the purge notice")
 		}
 	})
 }
 
-// Where requests may go to edge caches alone, reports run at the origin by way of a cache and leave nothing there, and
-// nothing goes to parents or the origin directly. On a calm day all is served in time though the origin is far.
+// Guards against lost or late requests in a deployment where routers may use only edge caches. Reports reach the origin
+// through a cache, which must not store them. Without faults nearly all requests are served in time although the origin
+// is far away.
 func TestCachesOnly(t *testing.T) {
-	cfg := secondDeployment(2)
+	cfg := customDeploymentConfig(2)
 	cfg.Faults = nil
 	r := runWorld(t, cfg)
 	for class, c := range r.ByClass {
@@ -57,6 +59,6 @@
 	}
 	cfg.Deployment.OriginDelayMillis = -1
 	if _, err := New(cfg); err == nil {
-		t.Error("a delay of -1 ms is valid")
+		t.Error("New accepted an origin delay of -1 ms")
 	}
 }
--- a/emulator/documents.go
+++ b/emulator/documents.go
@@ -7,7 +7,7 @@
 	"spantack/core/migration"
 )
 
-// compileChanges checks and compiles the changes of the day.
+// compileChanges validates the configured changes and compiles their cell assignments.
 func (w *World) compileChanges() error {
 	inForce := w.assignment
 	var lastDocument *migration.Document
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// scheduleChanges lets each router apply each change within maxReloadDelay of its time.
+// scheduleChanges schedules each change at each router, at a random time within maxReloadDelay after the time of the
+// change.
 func (w *World) scheduleChanges() {
 	for i, change := range w.config.Changes {
 		for r := range w.routers {
@@ -53,7 +54,7 @@
 	})
 }
 
-// applyChange applies a change at a router, unless it has applied a later one.
+// applyChange applies a change at a router, unless the router has already applied this or a later one.
 func (w *World) applyChange(router *simulatedRouter, change int) {
 	if change < router.appliedChanges {
 		return
@@ -67,8 +68,8 @@
 	}
 }
 
-// applyPastChanges gives a router that has just started the changes that are out. It reads the documents, and knows
-// nothing of how far it was with them. Later changes are scheduled for its new generation.
+// applyPastChanges applies the changes up to now at a router that has just started. The router reads the documents but
+// has lost its progress through them. Later changes are scheduled for its new generation.
 func (w *World) applyPastChanges(id int32) {
 	router := &w.routers[id]
 	router.appliedChanges = 0
--- a/emulator/faults.go
+++ b/emulator/faults.go
@@ -7,19 +7,20 @@
 	"spantack/routing"
 )
 
-// Values of an eventFault. A deploy counts two steps for each cache: it is drained, then replaced.
+// Values of an eventFault. For a deploy the value is instead a step number, with two steps for each cache: drain and
+// replace.
 const (
 	faultBegins = 0
 	faultEnds   = 1
 )
 
-// Times of faults.
+// Delays in faults.
 const (
-	frontendStartDelay = second // until clients are sent to a router that has started
-	deployDrainTime    = second // between the drain notice of a cache and its end
+	frontendStartDelay = second // until the frontend sends clients to a restarted router
+	deployDrainTime    = second // between the drain notice of a cache and its shutdown
 )
 
-// applyFault lets a step of a fault happen, and schedules the next one.
+// applyFault performs a step of a fault and schedules the next one.
 func (w *World) applyFault(e *event) {
 	fault := w.config.Faults[e.target]
 	switch fault.Kind {
@@ -41,12 +42,12 @@
 
 func (f *Fault) duration() int64 { return fromSeconds(f.DurationSeconds) }
 
-// pushFaultStep schedules a later step of the fault that an event is one of.
+// pushFaultStep schedules a later step of the fault that an event belongs to.
 func (w *World) pushFaultStep(e *event, delay, step int64) {
 	w.push(event{time: w.now + delay, kind: eventFault, target: e.target, value: step})
 }
 
-// routerFault lets a router die, and start again.
+// routerFault crashes a router or restarts it.
 func (w *World) routerFault(fault Fault, e *event) {
 	id := int32(fault.Site*w.config.RoutersPerSite + fault.Index%w.config.RoutersPerSite)
 	if e.value == faultBegins {
@@ -60,7 +61,7 @@
 	w.push(event{time: w.now + frontendStartDelay, kind: eventFrontendUpdate, target: id, value: 1})
 }
 
-// brownout takes capacity from the origin, and gives it back.
+// brownout reduces the capacity of the origin or restores it.
 func (w *World) brownout(fault Fault, e *event) {
 	id := w.servers[w.origin].link
 	l := &w.links[id]
@@ -71,11 +72,11 @@
 	} else {
 		l.capacity /= fault.Fraction
 	}
-	l.dueAt = 0 // transfers end at other times than scheduled
+	l.dueAt = 0 // the end times of transfers change, so schedule them again
 	w.scheduleLink(id)
 }
 
-// faultTargets returns the servers that a fault hits.
+// faultTargets returns the servers that a fault affects.
 func (w *World) faultTargets(fault Fault) []int32 {
 	switch fault.Kind {
 	case FaultParent:
@@ -100,8 +101,8 @@
 	return ids
 }
 
-// rollingDeploy replaces edge caches one after the other: each is drained for a while, goes, and a cold one comes in
-// its place.
+// rollingDeploy replaces edge caches one by one: each is drained for deployDrainTime, then shut down and replaced by a
+// cold one.
 func (w *World) rollingDeploy(fault Fault, e *event) {
 	count := int64(math.Round(fault.Fraction * float64(w.config.CachesPerSite)))
 	interval := fault.duration() / max(count, 1)
@@ -122,8 +123,8 @@
 	}
 }
 
-// firstCache returns a site's first cache of a status, or else its first cache. Caches that replace others come last,
-// so that the oldest is drained next.
+// firstCache returns the first cache of a site that has a status, or the first cache if none has it. Replacements are
+// added at the end of the list, so the oldest cache comes first.
 func (w *World) firstCache(site int, status routing.EndpointStatus) int32 {
 	for _, id := range w.cachesBySite[site] {
 		if w.servers[id].status == status {
@@ -133,7 +134,7 @@
 	return w.cachesBySite[site][0]
 }
 
-// replaceCache ends the site's draining cache and starts a cold one.
+// replaceCache shuts down the site's draining cache and starts a cold one.
 func (w *World) replaceCache(site int) {
 	id := w.firstCache(site, routing.EndpointDraining)
 	w.killServer(id)
@@ -143,7 +144,7 @@
 	w.addCache(site, w.now)
 }
 
-// poisonKind tells how answers to a tenant fail now.
+// poisonKind returns the kind of poison that affects a tenant now, or poisonNone.
 func (w *World) poisonKind(tenant int32) PoisonKind {
 	p := w.config.Poison
 	if p == nil || tenant != int32(p.Tenant) {
--- a/emulator/fetches.go
+++ b/emulator/fetches.go
@@ -2,37 +2,37 @@
 
 import "spantack/routing"
 
-// parentFetch is a chunk on its way from the origin to a parent. All attempts that want the chunk there may wait for
-// it.
+// parentFetch is the fetch of a chunk by a parent from the origin. Several attempts may wait for one fetch.
 type parentFetch struct {
 	generation uint32
 	parent     int32
 	key        uint64
 	sizeKB     float64
 	tenant     int32
-	started    bool // the origin has begun to send
+	started    bool // the origin has started to send
 	producedAt int64
 	waiters    []attemptRef
 }
 
-// attemptRef is an attempt that may have ended meanwhile.
+// attemptRef refers to an attempt that may already have ended.
 type attemptRef struct {
 	id         int32
 	generation uint32
 }
 
-// isWaiting reports that an attempt still waits for a fetch.
+// isWaiting reports whether an attempt still waits for a fetch.
 func (w *World) isWaiting(ref attemptRef, fetchID int32) bool {
 	attempt := &w.attempts[ref.id]
 	return attempt.generation == ref.generation && attempt.fetch == fetchID
 }
 
-// joinFetch lets an attempt wait at a parent for a chunk from the origin. The first one to want it starts the fetch.
+// joinFetch makes an attempt wait at a parent for a chunk from the origin. It starts a fetch if there is none that the
+// attempt can use.
 func (w *World) joinFetch(parent, id int32) {
 	attempt := &w.attempts[id]
 	key := w.chunkKey(id)
-	fetchID, isUnderWay := w.servers[parent].fetches[key]
-	if !isUnderWay || w.config.deployment().FetchesSeparately || w.isTooOld(fetchID, attempt) {
+	fetchID, isInFlight := w.servers[parent].fetches[key]
+	if !isInFlight || w.config.deployment().FetchesSeparately || w.isTooOld(fetchID, attempt) {
 		fetchID = w.startFetch(parent, id, key)
 	}
 	attempt.fetch = fetchID
@@ -44,13 +44,13 @@
 	}
 }
 
-// isTooOld reports that what a fetch brings was produced before what an attempt may be served.
+// isTooOld reports whether a fetch returns a copy that was produced too early to serve an attempt.
 func (w *World) isTooOld(fetchID int32, attempt *serverAttempt) bool {
 	fetch := &w.fetches[fetchID]
 	return fetch.started && fetch.producedAt < w.minProducedAt(attempt, fetch.parent)
 }
 
-// startFetch sends a parent's request for a chunk to the origin.
+// startFetch sends a parent's request for a chunk to the origin and returns the index of the fetch.
 func (w *World) startFetch(parent, attemptID int32, key uint64) int32 {
 	id := allocate(&w.fetches, &w.freeFetches)
 	fetch := &w.fetches[id]
@@ -72,7 +72,8 @@
 	return id
 }
 
-// startFetchAtOrigin lets the origin begin to send, or fail. The parent passes on what it receives.
+// startFetchAtOrigin handles the arrival of a fetch at the origin, which starts to send or fails. The parent forwards
+// the data to the waiting attempts while it receives it.
 func (w *World) startFetchAtOrigin(fetchID int32) {
 	fetch := &w.fetches[fetchID]
 	if w.poisonKind(fetch.tenant) == PoisonOrigin {
@@ -80,11 +81,11 @@
 		return
 	}
 	w.result.originFill(w, fetch.sizeKB)
-	over := w.servers[w.origin].link
-	w.links[over].add(w.now, fetch.sizeKB, transfer{
+	linkID := w.servers[w.origin].link
+	w.links[linkID].add(w.now, fetch.sizeKB, transfer{
 		owner: fetchID, generation: fetch.generation, segment: segmentToParent,
 	})
-	w.scheduleLink(over)
+	w.scheduleLink(linkID)
 	fetch.started = true
 	fetch.producedAt = w.now
 	for _, waiter := range fetch.waiters {
@@ -95,7 +96,7 @@
 	}
 }
 
-// fetchCompleted lets a parent store what it has fetched.
+// fetchCompleted stores a fetched chunk at the parent and ends the fetch.
 func (w *World) fetchCompleted(fetchID int32) {
 	fetch := &w.fetches[fetchID]
 	if parent := &w.servers[fetch.parent]; parent.running {
@@ -104,12 +105,12 @@
 	w.finishFetch(fetchID, w.completeIfDelivered)
 }
 
-// finishFetch frees a fetch's place and calls notify for each attempt that waits for it.
+// finishFetch ends a fetch, frees its slot in World.fetches and calls notify for each attempt that waits for it.
 func (w *World) finishFetch(fetchID int32, notify func(id int32)) {
 	fetch := &w.fetches[fetchID]
 	fetch.generation++
 	fetches := w.servers[fetch.parent].fetches
-	if fetches[fetch.key] == fetchID { // and not that of a later one
+	if fetches[fetch.key] == fetchID { // a later fetch may have replaced the entry
 		delete(fetches, fetch.key)
 	}
 	waiters := fetch.waiters
@@ -123,7 +124,7 @@
 	w.freeFetches = append(w.freeFetches, fetchID)
 }
 
-// cancelIfAbandoned cancels a fetch that nobody waits for any more.
+// cancelIfAbandoned cancels a fetch if no attempt waits for it any more.
 func (w *World) cancelIfAbandoned(fetchID int32) {
 	fetch := &w.fetches[fetchID]
 	for _, waiter := range fetch.waiters {
--- a/emulator/fetches_test.go
+++ b/emulator/fetches_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// A brownout of the origin: where parents cancel fetches that nobody waits for, there are none of them, and the
-// origin's link has the transfers that it should; where they do not, most are.
+// Guards against abandoned fetches that continue although parents cancel them, and against transfers that a canceled
+// fetch leaves on the origin's link. A brownout of the origin makes clients time out. Without cancellation at least
+// half of the fetches are abandoned.
 func TestAbandonedFetches(t *testing.T) {
 	for _, cancels := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancels ", cancels), func(t *testing.T) {
@@ -35,10 +36,11 @@
 					}
 				}
 			}
-			// What goes directly to a router or an edge cache is on the origin's link besides.
+			// Transfers that go directly to a router or an edge cache are on the origin's link too.
 			origin := &w.servers[w.origin]
 			if n := w.links[origin.link].active; n < started || n > started+origin.active {
-				t.Errorf("%d transfers, %d fetches and %d direct", n, started, origin.active)
+				t.Errorf("%d transfers on the origin link, want those of %d fetches and up to %d direct ones",
+					n, started, origin.active)
 			}
 			if all == 0 || cancels && abandoned > 0 || !cancels && abandoned < all/2 {
 				t.Errorf("%d of %d fetches are abandoned", abandoned, all)
@@ -52,6 +54,6 @@
 	cfg := smallConfig(3)
 	cfg.Faults = []Fault{{Kind: FaultBrownout, Fraction: 0}}
 	if _, err := New(cfg); err == nil {
-		t.Error("a brownout that leaves nothing is valid")
+		t.Error("New accepted a brownout that leaves no capacity")
 	}
 }
--- a/emulator/fills.go
+++ b/emulator/fills.go
@@ -6,16 +6,16 @@
 	"spantack/routing"
 )
 
-// sizeKB returns the size of what an attempt is for.
+// sizeKB returns the size of an attempt's chunk in KB.
 func (w *World) sizeKB(id int32) float64 { return w.operationOf(&w.attempts[id]).sizeKB }
 
-// chunkKey returns the key under which caches store what an attempt is for.
+// chunkKey returns the key under which caches store an attempt's chunk.
 func (w *World) chunkKey(id int32) uint64 {
 	operation := w.operationOf(&w.attempts[id])
 	return chunkKey(operation.key, operation.chunk)
 }
 
-// storeFill stores what an attempt has filled at its server. Reports are not stored.
+// storeFill stores an attempt's chunk at its server after a fill. Reports are not stored.
 func (w *World) storeFill(server *simulatedServer, id int32) {
 	attempt := &w.attempts[id]
 	if server.store != nil && w.operationOf(attempt).class != classReport {
@@ -23,7 +23,8 @@
 	}
 }
 
-// minProducedAt returns when a copy at a server must have been produced, to serve an attempt.
+// minProducedAt returns the earliest production time that a copy at a server may have to serve an attempt, given the
+// purges that have reached the server and the maximum age.
 func (w *World) minProducedAt(attempt *serverAttempt, server int32) int64 {
 	earliest := int64(math.MinInt64)
 	if len(w.purges) > 0 {
@@ -35,7 +36,7 @@
 	return earliest
 }
 
-// arriveAtSource lets a fill arrive at its source, a parent or the origin.
+// arriveAtSource handles the arrival of a fill at its source, which is a parent or the origin.
 func (w *World) arriveAtSource(id int32) {
 	attempt := &w.attempts[id]
 	source := &w.servers[attempt.source]
@@ -90,7 +91,8 @@
 	w.joinFetch(attempt.source, id)
 }
 
-// pushFillFailed lets the server of an attempt have the failure of its fill, after the way back from the source.
+// pushFillFailed schedules the arrival of a fill failure at the attempt's server, after the network delay from the
+// source.
 func (w *World) pushFillFailed(id int32, status routing.CacheStatus) {
 	attempt := &w.attempts[id]
 	w.push(event{
@@ -102,7 +104,7 @@
 	})
 }
 
-// fillFailed ends an attempt whose source gave nothing.
+// fillFailed ends an attempt whose fill failed.
 func (w *World) fillFailed(id int32, status routing.CacheStatus) {
 	attempt := &w.attempts[id]
 	attempt.upstreamWait = w.now - attempt.fillStartedAt
--- a/emulator/fleetlimits.go
+++ b/emulator/fleetlimits.go
@@ -7,40 +7,40 @@
 	"spantack/core/fleet"
 )
 
-// FleetLimitTrial is a trial of a limit that a fleet of routers keeps together. What each of them could use moves
-// about between them, while the network between them loses datagrams and falls into partitions, and routers fail. It
-// stands apart from World, so that methods of sharing can be compared where they decide alone.
+// FleetLimitTrial is a trial of a limit that a fleet of routers shares. The demand shifts between the routers, the
+// network between them loses datagrams and is partitioned, and routers fail. The trial does not use World, so that it
+// compares the sharing methods without other influences.
 type FleetLimitTrial struct {
 	Routers            int     `json:"routers"`
 	Limit              float64 `json:"limit"`
 	FloorFraction      float64 `json:"floor"`  // of the limit, with MethodFleet
-	Demand             float64 `json:"demand"` // what all routers could use, over the limit
-	DemandSkew         float64 `json:"skew"`   // Zipf exponent of it over the routers
-	DemandShiftSeconds float64 `json:"movesS"` // after which other routers are the busy ones
+	Demand             float64 `json:"demand"` // total demand of all routers, over the limit
+	DemandSkew         float64 `json:"skew"`   // Zipf exponent of the demand by router
+	DemandShiftSeconds float64 `json:"movesS"` // interval after which demand is reassigned among routers
 	LossRatio          float64 `json:"loss"`   // of datagrams
 	WarmUpSeconds      float64 `json:"warmS"`  // not counted
 	DurationSeconds    float64 `json:"dayS"`   // warm-up included
 
 	Method string `json:"way,omitempty"` // one of the methods below
 
-	// At PartitionSeconds, for PartitionDurationSeconds, the fleet falls into Partitions: of two, one has three fifths of
-	// the routers; more are of equal size. FailedFraction of the routers fail then, and come back with nothing when it
-	// heals.
+	// At PartitionSeconds, for PartitionDurationSeconds, the network is split into Partitions parts. Of two parts, one
+	// has three fifths of the routers; more parts are of equal size. FailedFraction of the routers fail at the same
+	// time. They restart without state when the partition heals.
 	Partitions               int     `json:"parts,omitempty"`
 	PartitionSeconds         float64 `json:"cutS,omitempty"`
 	PartitionDurationSeconds float64 `json:"cutForS,omitempty"`
 	FailedFraction           float64 `json:"deadPart,omitempty"`
 }
 
-// Methods of sharing a limit.
+// Methods of sharing a limit among routers.
 const (
-	MethodEven   = "even"   // each router has an equal part
-	MethodGossip = "gossip" // by demand, as gossip tells it
-	MethodLease  = "keeper" // by demand, as a lease holder in each partition grants it at once
+	MethodEven   = "even"   // equal quotas
+	MethodGossip = "gossip" // by demand, as known from gossip
+	MethodLease  = "keeper" // by demand, granted at once by a lease holder in each partition
 	MethodFleet  = "fleet"  // core/fleet
 )
 
-// Validate returns an error that names the first field which can't be used, as experiments spell it.
+// Validate returns an error that names the first field that is out of range by its name in experiment files.
 func (t *FleetLimitTrial) Validate() error {
 	return checkBounds("tier.", []bounds{
 		{"routers", float64(t.Routers), 1, 2000},
@@ -57,15 +57,16 @@
 	})
 }
 
-// FleetLimitResult is what a trial came to after the warm-up.
+// FleetLimitResult is the result of a trial, measured after the warm-up.
 type FleetLimitResult struct {
-	MaxGranted           float64 // most that all routers might use at once, over the limit
-	OverLimitSeconds     float64 // in which more than the limit was in use
-	Utilization          float64 // mean of what was used, over what could have been used within the limit
+	MaxGranted           float64 // maximum sum of the quotas, over the limit
+	OverLimitSeconds     float64 // time in which more than the limit was used
+	Utilization          float64 // mean usage, over the usable demand within the limit
 	PartitionUtilization float64 // the same while the fleet is partitioned or some routers have failed
-	BytesPerSecond       float64 // of datagrams, for each router
-	// RecoverySeconds is how long after the heal the first second began in which the utilization was recoveredUtilization
-	// throughout.
+	BytesPerSecond       float64 // of datagrams sent, per router
+	// RecoverySeconds is the time from the heal to the start of the first second in which the utilization was at least
+	// recoveredUtilization throughout. It is DurationSeconds if there is none, and 0
+	// without a partition.
 	RecoverySeconds float64
 }
 
@@ -73,16 +74,16 @@
 const (
 	recoveredUtilization = 0.9
 	recoveredFor         = second
-	usageTolerance       = 1 + 1e-9 // sums of quotas are not exact
+	usageTolerance       = 1 + 1e-9 // sums of quotas have rounding errors
 )
 
-// trialTick is how often quotas are computed and counted.
+// trialTick is the interval at which quotas are computed and counted.
 const trialTick = 100 * millisecond
 
-// fleetLimitStream sets the trial's random numbers apart from those of other trials.
+// fleetLimitStream selects a random number stream that no other trial uses.
 const fleetLimitStream = 0x71e4
 
-// fleetLimitWorld is a trial of fleet limits that is being played. Slices are by router.
+// fleetLimitWorld is the state of a running FleetLimitTrial. Slices are indexed by router unless noted otherwise.
 type fleetLimitWorld struct {
 	FleetLimitTrial
 	seed   uint64
@@ -95,11 +96,11 @@
 	partition    []int
 
 	demandByRank []float64
-	demandRank   []int // of each router in demandByRank
+	demandRank   []int // index of each router in demandByRank
 	quotas       []float64
 
-	knownDemand [][]float64 // of MethodGossip: what a router knows of each other
-	knownAt     [][]int64   // and as of when; 0: nothing
+	knownDemand [][]float64 // for MethodGossip: demand of each router as known to a router
+	knownAt     [][]int64   // time of each knownDemand; 0: unknown
 
 	inFlight  datagramHeap
 	sequence  int
@@ -108,7 +109,7 @@
 	result FleetLimitResult
 }
 
-// Run plays the trial. The same seed gives the same result.
+// Run executes the trial. The same seed gives the same result.
 func (t *FleetLimitTrial) Run(seed uint64) (*FleetLimitResult, error) {
 	if err := t.Validate(); err != nil {
 		return nil, err
@@ -125,11 +126,11 @@
 		demandRank:      make([]int, t.Routers),
 		quotas:          make([]float64, t.Routers),
 	}
-	w.layOutDemand()
+	w.initDemand()
 	if t.Method == MethodGossip {
-		w.layOutGossip()
+		w.initGossip()
 	}
-	if err := w.startFailed(); err != nil {
+	if err := w.startDeadRouters(); err != nil {
 		return nil, err
 	}
 	if err := w.run(); err != nil {
@@ -138,8 +139,8 @@
 	return &w.result, nil
 }
 
-// layOutDemand gives each router its demand, by Zipf.
-func (w *fleetLimitWorld) layOutDemand() {
+// initDemand sets the initial demand of each router, which follows a Zipf distribution.
+func (w *fleetLimitWorld) initDemand() {
 	sum := 0.0
 	for i := range w.demandByRank {
 		w.demandByRank[i] = math.Pow(float64(i+1), -w.DemandSkew)
@@ -151,11 +152,11 @@
 	}
 }
 
-// demand returns what a router could use now.
+// demand returns the current demand of a router.
 func (w *fleetLimitWorld) demand(router int) float64 { return w.demandByRank[w.demandRank[router]] }
 
-// startFailed starts all routers that are not alive.
-func (w *fleetLimitWorld) startFailed() error {
+// startDeadRouters starts all routers that are not alive: initially all of them, later those that failed.
+func (w *fleetLimitWorld) startDeadRouters() error {
 	for i := range w.alive {
 		if w.alive[i] {
 			continue
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// start starts a router, which knows nothing.
+// start starts a router without state.
 func (w *fleetLimitWorld) start(router int) error {
 	w.alive[router] = true
 	w.incarnations[router]++
@@ -190,7 +191,7 @@
 	return nil
 }
 
-// fleetPhase is where a trial stands with its partition.
+// fleetPhase is the phase of a trial relative to its partition.
 type fleetPhase uint8
 
 const (
@@ -199,7 +200,7 @@
 	afterPartition
 )
 
-// run plays the trial to its end, tick by tick.
+// run executes the trial to its end in steps of trialTick.
 func (w *fleetLimitWorld) run() error {
 	partitionAt := fromSeconds(w.PartitionSeconds)
 	healAt := fromSeconds(w.PartitionSeconds + w.PartitionDurationSeconds)
@@ -210,7 +211,7 @@
 	shiftedAt := int64(0)
 	usage := fleetUsage{world: w, healAt: healAt, recoveringSince: never}
 	if w.PartitionDurationSeconds > 0 {
-		w.result.RecoverySeconds = w.DurationSeconds // until it is seen
+		w.result.RecoverySeconds = w.DurationSeconds // until the recovery is detected
 	}
 	for w.now = 0; w.now < fromSeconds(w.DurationSeconds); w.now += trialTick {
 		if phase == beforePartition && w.now >= partitionAt {
@@ -220,7 +221,7 @@
 		if phase == duringPartition && w.now >= healAt {
 			phase = afterPartition
 			clear(w.partition)
-			if err := w.startFailed(); err != nil {
+			if err := w.startDeadRouters(); err != nil {
 				return err
 			}
 		}
@@ -237,11 +238,11 @@
 	return nil
 }
 
-// injectFault partitions the fleet and lets some routers fail.
+// injectFault partitions the network and stops FailedFraction of the routers.
 func (w *fleetLimitWorld) injectFault() {
 	for i := range w.partition {
 		switch {
-		case w.Partitions == 2: // three fifths, and two
+		case w.Partitions == 2: // three fifths and two fifths
 			w.partition[i] = (i * 5 / w.Routers) / 3
 		case w.Partitions > 2:
 			w.partition[i] = i % w.Partitions
@@ -254,23 +255,23 @@
 	}
 }
 
-// shiftDemand makes other routers the busy ones.
+// shiftDemand reassigns the demands to the routers at random.
 func (w *fleetLimitWorld) shiftDemand() {
 	w.random.Shuffle(len(w.demandRank), func(a, b int) {
 		w.demandRank[a], w.demandRank[b] = w.demandRank[b], w.demandRank[a]
 	})
 }
 
-// fleetUsage counts what a trial's routers use.
+// fleetUsage measures the usage of a trial's routers.
 type fleetUsage struct {
 	world           *fleetLimitWorld
 	ticks           float64
 	partitionTicks  float64
 	healAt          int64
-	recoveringSince int64 // never: the utilization is too low
+	recoveringSince int64 // start of the current high utilization; never: it is too low
 }
 
-// count counts one tick.
+// count adds the quotas and the usage of one tick to the result.
 func (u *fleetUsage) count(phase fleetPhase) {
 	w, result := u.world, &u.world.result
 	granted, used, usable := 0.0, 0.0, 0.0
@@ -299,7 +300,7 @@
 	}
 }
 
-// countRecovery sets RecoverySeconds once the utilization has been high for recoveredFor.
+// countRecovery sets RecoverySeconds when the utilization has been at least recoveredUtilization for recoveredFor.
 func (u *fleetUsage) countRecovery(utilization float64) {
 	now := u.world.now
 	switch {
@@ -312,7 +313,7 @@
 	}
 }
 
-// summarize turns sums into means.
+// summarize converts the sums in the result to means.
 func (u *fleetUsage) summarize() {
 	w, result := u.world, &u.world.result
 	result.Utilization /= max(u.ticks, 1)
--- a/emulator/fleetlimits_methods.go
+++ b/emulator/fleetlimits_methods.go
@@ -5,7 +5,7 @@
 	"container/heap"
 )
 
-// Datagrams in the trial take from minTrialDelay up to maxTrialDelay more.
+// Delay of a datagram in the trial: minTrialDelay plus a random time below maxTrialDelay.
 const (
 	minTrialDelay = millisecond
 	maxTrialDelay = 22 * millisecond
@@ -14,17 +14,17 @@
 // Parameters of the methods that are compared with core/fleet.
 const (
 	gossipInterval = 200 * millisecond
-	gossipFanout   = 3          // routers that one tells in each interval
-	gossipLifetime = 2 * second // after which a demand that was heard of does not count
-	gossipBytes    = 40         // of a datagram
+	gossipFanout   = 3          // datagrams that a router sends in each interval
+	gossipLifetime = 2 * second // after which a received demand is ignored
+	gossipBytes    = 40         // size of a datagram
 
 	leaseInterval = 500 * millisecond
-	leaseBytes    = 60 // of a request for a lease, and of its grant
+	leaseBytes    = 60 // size of a lease request, and of its grant
 
-	minTotalDemand = 1e-9 // keeps quotas finite where nobody has any
+	minTotalDemand = 1e-9 // avoids a division by zero when there is no demand
 )
 
-// updateQuotas lets time pass up to now, and sets what each router may use.
+// updateQuotas advances the sharing method to now and sets the quota of each router.
 func (w *fleetLimitWorld) updateQuotas() {
 	switch w.Method {
 	case MethodEven:
@@ -40,10 +40,10 @@
 	}
 }
 
-// nodeTime is the time of a fleet node's clock, which does not begin at 0.
+// nodeTime converts trial time to the clock of fleet nodes, which does not start at 0.
 func (w *fleetLimitWorld) nodeTime(now int64) int64 { return now + second }
 
-// fleetQuotas lets core/fleet share the limit. Nodes tick twice a tick of the trial.
+// fleetQuotas sets the quotas that core/fleet grants. Nodes tick twice in each trialTick.
 func (w *fleetLimitWorld) fleetQuotas() {
 	for i, node := range w.nodes {
 		if node != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// send sends a datagram, unless the network loses it or it is for another partition.
+// send sends a datagram, unless it is lost or the receiver is in another partition.
 func (w *fleetLimitWorld) send(from, to int, payload []byte) {
 	w.bytesSent += float64(len(payload))
 	if w.random.Float64() < w.LossRatio || w.partition[from] != w.partition[to] {
@@ -84,18 +84,18 @@
 	})
 }
 
-// deliver hands over the datagrams that have arrived by now.
+// deliver delivers the datagrams that are due by now.
 func (w *fleetLimitWorld) deliver() {
 	for len(w.inFlight) > 0 && w.inFlight[0].deliverAt <= w.now {
 		d := heap.Pop(&w.inFlight).(fleetDatagram)
 		if node := w.nodes[d.receiver]; node != nil {
-			_ = node.Receive(w.nodeTime(d.deliverAt), d.sender, d.payload) // refuses one that another overtook
+			_ = node.Receive(w.nodeTime(d.deliverAt), d.sender, d.payload) // error: a later one came first
 		}
 	}
 }
 
-// layOutGossip prepares MethodGossip.
-func (w *fleetLimitWorld) layOutGossip() {
+// initGossip allocates the state of MethodGossip.
+func (w *fleetLimitWorld) initGossip() {
 	w.knownDemand = make([][]float64, w.Routers)
 	w.knownAt = make([][]int64, w.Routers)
 	for i := range w.knownDemand {
@@ -104,9 +104,9 @@
 	}
 }
 
-// gossipQuotas is distributed rate limiting: each router tells some others its own demand and what it has heard of,
-// and takes its part of all demand that it knows of (B. Raghavan and others, "Cloud control with distributed rate
-// limiting", 2007).
+// gossipQuotas sets quotas by distributed rate limiting: each router sends its own demand and the demands that it knows
+// to some others, and uses its share of the total demand that it knows (B. Raghavan and others, "Cloud control with
+// distributed rate limiting", 2007).
 func (w *fleetLimitWorld) gossipQuotas() {
 	for i := range w.quotas {
 		if !w.alive[i] {
@@ -125,7 +125,7 @@
 	}
 }
 
-// gossipDemand tells a router what another knows, unless the datagram does not arrive.
+// gossipDemand sends the demands that one router knows to another, unless the datagram is lost or undeliverable.
 func (w *fleetLimitWorld) gossipDemand(from, to int) {
 	w.bytesSent += gossipBytes
 	if to == from || !w.alive[to] || w.partition[to] != w.partition[from] || w.random.Float64() < w.LossRatio {
@@ -139,7 +139,7 @@
 	}
 }
 
-// totalKnownDemand returns the demand of all routers that one knows of.
+// totalKnownDemand returns the sum of the demands that a router knows and that are not older than gossipLifetime.
 func (w *fleetLimitWorld) totalKnownDemand(router int) (sum float64) {
 	for i, at := range w.knownAt[router] {
 		if at > 0 && w.now-at < gossipLifetime {
@@ -149,8 +149,8 @@
 	return sum
 }
 
-// leaseQuotas is a lease holder in each partition that grants all of the limit there, by demand and at once: the best
-// that leases without a majority could do.
+// leaseQuotas sets quotas as if a lease holder in each partition granted the whole limit there, by demand and without
+// delay. This is the best case for leases without a majority.
 func (w *fleetLimitWorld) leaseQuotas() {
 	if w.now%leaseInterval != 0 {
 		return
@@ -170,13 +170,13 @@
 // fleetDatagram is a datagram in flight.
 type fleetDatagram struct {
 	deliverAt int64
-	sequence  int // of two due at one time, the one sent first comes first
+	sequence  int // order of sending; breaks ties between datagrams due at the same time
 	sender    int
 	receiver  int
 	payload   []byte
 }
 
-// datagramHeap orders datagrams by when they arrive.
+// datagramHeap orders datagrams by delivery time.
 type datagramHeap []fleetDatagram
 
 // Len implements heap.Interface.
--- a/emulator/fleetlimits_test.go
+++ b/emulator/fleetlimits_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// A fleet in five partitions: core/fleet stays within the limit and uses it again after the heal; methods without a
-// majority exceed it. The same seed gives the same result.
-func TestFleetKeepsItsLimit(t *testing.T) {
+// Guards against a fleet that exceeds its limit while the network is split into five partitions, or that does not use
+// the limit again after the heal. The methods that share by demand without a majority exceed the limit, which shows
+// that the trial can detect it. The same seed must give the same result.
+func TestFleetLimitHoldsDuringPartitions(t *testing.T) {
 	base := FleetLimitTrial{
 		Routers:                  20,
 		Limit:                    40,
@@ -31,7 +32,7 @@
 			}
 			again, err := trial.Run(3)
 			if err != nil || *again != *r {
-				t.Errorf("%+v, then %+v (%v)", r, again, err)
+				t.Errorf("same seed: %+v, then %+v (%v)", r, again, err)
 			}
 			if (r.MaxGranted > 1.01) != exceeds {
 				t.Errorf("%+v", r)
@@ -43,6 +44,6 @@
 	}
 	base.LossRatio = 2
 	if _, err := base.Run(1); err == nil {
-		t.Error("a loss of 2 is valid")
+		t.Error("Run accepted a loss ratio of 2")
 	}
 }
--- a/emulator/gossip.go
+++ b/emulator/gossip.go
@@ -9,39 +9,39 @@
 	"spantack/routing"
 )
 
-// Gossip lets routers tell one another of overloaded parents (core/gossip), in datagrams that are late or lost.
+// Gossip makes routers report overloaded parents to each other (core/gossip), in datagrams that are delayed or lost.
 type Gossip struct {
 	LossRatio float64 `json:"loss"` // of datagrams, 0 to 1
 }
 
-// HotObject is a new object that a fraction of all video sessions is for during some time. No cache has it before.
+// HotObject is a new object that a fraction of the video sessions requests for some time. Initially no cache has it.
 type HotObject struct {
 	StartSeconds    float64 `json:"atS"`
 	DurationSeconds float64 `json:"forS"`
-	SessionFraction float64 `json:"part"` // of sessions that begin meanwhile, 0 to 1
+	SessionFraction float64 `json:"part"` // fraction of the sessions that start in this time, 0 to 1
 }
 
-// Delay of a datagram, as between routers of the platform.
+// Bounds of the delay of a datagram, as between routers of the platform.
 const (
 	minDatagramDelay = 1400 * microsecond
 	maxDatagramDelay = 23 * millisecond
 )
 
-// The hot object.
+// Key and number of chunks of the hot object.
 const (
-	hotObjectKey    = uint64(0xffff)<<48 | 0x407 // no tenant's object has this key
+	hotObjectKey    = uint64(0xffff)<<48 | 0x407 // differs from the keys of all tenants' objects
 	hotObjectChunks = 15
 )
 
-// gossipState is the gossip of a world.
+// gossipState is the gossip state of a world.
 type gossipState struct {
-	nodes         []*gossip.Node // by router, a new one at each start; nil: the router has not started yet
+	nodes         []*gossip.Node // by router, replaced at each start; nil: not started yet
 	random        *rand.Rand
 	datagrams     []datagram
 	freeDatagrams []int32
 }
 
-// datagram is on its way to one or more routers.
+// datagram is a datagram in flight to one or more routers.
 type datagram struct {
 	from              int32
 	pendingDeliveries int32
@@ -50,16 +50,16 @@
 
 func (c *Config) validateGossip() error {
 	if g := c.Gossip; g != nil && !isFraction(g.LossRatio) {
-		return fmt.Errorf("talk.loss: %v is not 0 to 1", g.LossRatio)
+		return fmt.Errorf("talk.loss: %v is outside the range 0 to 1", g.LossRatio)
 	}
 	h := c.HotObject
 	if h != nil && (!isFraction(h.SessionFraction) || !(h.StartSeconds >= 0) || !(h.DurationSeconds >= 0)) {
-		return fmt.Errorf("hot: a time, how long, and a part of 0 to 1: %+v", *h)
+		return fmt.Errorf("hot: atS and forS must be at least 0, and part 0 to 1: %+v", *h)
 	}
 	return nil
 }
 
-// joinGossip gives a router that starts a gossip node, if the world has gossip.
+// joinGossip creates the gossip node of a router that starts, if gossip is configured.
 func (w *World) joinGossip(id int32) error {
 	if w.config.Gossip == nil {
 		return nil
@@ -71,7 +71,7 @@
 	node, err := gossip.New(gossip.Options{
 		Rank:        int(id),
 		FleetSize:   w.config.routerCount(),
-		Site:        w.routers[id].site + 1, // zone 0 is that of the hubs
+		Site:        w.routers[id].site + 1, // site 0 is the zone of the hubs
 		Sites:       w.config.Sites + 1,
 		Incarnation: uint32(w.now/second) + 1,
 	})
@@ -82,11 +82,11 @@
 	return nil
 }
 
-// gossipServerFormat is the name of a server in datagrams.
+// gossipServerFormat is the format of server names in datagrams; the number is an index in World.servers.
 const gossipServerFormat = "s-%08x"
 
-// gossipOverload sends to all other routers that one found a server overloaded, if its node finds that worth a
-// datagram.
+// gossipOverload sends a router's overload report about a server to all other routers, unless the router's gossip node
+// suppresses it.
 func (w *World) gossipOverload(id int32, serverName string) {
 	if w.config.Gossip == nil {
 		return
@@ -109,7 +109,7 @@
 	}
 }
 
-// scheduleDeliveries draws whom a datagram reaches, and when, and returns how many.
+// scheduleDeliveries chooses at random which routers receive a datagram and when, and returns the number of deliveries.
 func (w *World) scheduleDeliveries(datagramID, from int32) (deliveries int32) {
 	rng := w.gossip.random
 	for to := range w.routers {
@@ -123,7 +123,7 @@
 	return deliveries
 }
 
-// receiveGossip delivers a datagram to a router that is running, and tells its module what follows.
+// receiveGossip delivers a datagram to a router, if it is running, and passes the reported overloads to its module.
 func (w *World) receiveGossip(e *event) {
 	from, payload := w.takeDatagram(int32(e.value))
 	if !w.routers[e.target].running {
@@ -132,7 +132,7 @@
 	var overloaded []string
 	report := func(server string) { overloaded = append(overloaded, server) }
 	err := w.gossip.nodes[e.target].Receive(w.now, int(from), payload, report)
-	if err != nil && !errors.Is(err, gossip.ErrStale) { // a stale one comes from a router that has started anew since
+	if err != nil && !errors.Is(err, gossip.ErrStale) { // stale: the sender has restarted since
 		w.result.violation(violationGossipPayload)
 	}
 	for _, name := range overloaded {
@@ -147,7 +147,7 @@
 	}
 }
 
-// takeDatagram returns a datagram for one delivery, and frees its place with the last.
+// takeDatagram returns the sender and payload of a datagram for one delivery. The last delivery frees its slot.
 func (w *World) takeDatagram(id int32) (from int32, payload []byte) {
 	d := &w.gossip.datagrams[id]
 	from, payload = d.from, d.payload
@@ -159,7 +159,7 @@
 	return from, payload
 }
 
-// drawHotObject tells whether a video session that begins now is for the hot object.
+// drawHotObject returns whether a video session that starts now requests the hot object.
 func (w *World) drawHotObject(rng *rand.Rand) bool {
 	hot := w.config.HotObject
 	if hot == nil {
--- a/emulator/gossip_test.go
+++ b/emulator/gossip_test.go
@@ -2,11 +2,10 @@
 
 import "testing"
 
-// A new object that all clients want, where routers tell one another of its overloaded parent: datagrams are sent,
-// one of the routers starts anew meanwhile, most are lost, and the same day comes out the same. Without gossip not
-// one is sent.
-func TestHotObjectAndGossip(t *testing.T) {
-	day := func(gossip *Gossip) Result {
+// Guards against gossip that is not sent, that is sent when it is not configured, or that makes runs nondeterministic.
+// A new popular object overloads its parent, one router restarts meanwhile, and in some runs most datagrams are lost.
+func TestHotObjectGossipIsDeterministic(t *testing.T) {
+	run := func(gossip *Gossip) Result {
 		cfg := smallConfig(3)
 		cfg.Sites = 8
 		cfg.RoutersPerSite = 4
@@ -22,14 +21,15 @@
 		cfg.Faults = []Fault{{Kind: FaultRouter, Site: 1, AtSeconds: 6, DurationSeconds: 2.5}}
 		return runWorld(t, cfg)
 	}
-	without := day(nil)
-	with := day(&Gossip{})
-	lossy := day(&Gossip{LossRatio: 0.6})
-	again := day(&Gossip{LossRatio: 0.6})
+	without := run(nil)
+	with := run(&Gossip{})
+	lossy := run(&Gossip{LossRatio: 0.6})
+	again := run(&Gossip{LossRatio: 0.6})
 	if without.Datagrams != 0 || with.Datagrams == 0 || with.DatagramBytes < 18*with.Datagrams {
-		t.Errorf("%d and %d datagrams, %d bytes", without.Datagrams, with.Datagrams, with.DatagramBytes)
+		t.Errorf("%d datagrams without gossip, %d with gossip, %d bytes",
+			without.Datagrams, with.Datagrams, with.DatagramBytes)
 	}
 	if lossy.Datagrams != again.Datagrams || lossy.FillKB != again.FillKB || lossy.Events != again.Events {
-		t.Error("the same day came out otherwise")
+		t.Error("two runs with the same configuration and seed differ")
 	}
 }
--- a/emulator/helpers_test.go
+++ b/emulator/helpers_test.go
@@ -8,7 +8,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// smallConfig is a world of two sites that plays a day in a second or two.
+// smallConfig returns the configuration of a world of two sites that runs in a second or two.
 func smallConfig(seed uint64) Config {
 	return Config{
 		Seed:                   seed,
@@ -35,7 +35,7 @@
 	}
 }
 
-// addCells puts the tenants of a world into cells, as the planner does by their shares.
+// addCells assigns the tenants of a world to cells as PlanCells does.
 func addCells(cfg *Config, count int) {
 	cfg.Cells, cfg.CellByTenant = PlanCells(cfg, count)
 }
@@ -49,7 +49,7 @@
 	return w
 }
 
-// runWorld plays a day that must cause no violation.
+// runWorld runs a world and fails the test if there is any violation.
 func runWorld(t testing.TB, cfg Config) Result {
 	t.Helper()
 	r := newWorld(t, cfg).Run()
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -1,31 +1,32 @@
 package emulator
 
-// link shares its capacity evenly among its transfers, none of them faster than maxRate. Since all active transfers
-// go at the same rate, one number tells how far each of them is: the KB that a transfer active since the link was
-// last idle would have had.
+// link shares its capacity evenly among its transfers, with at most maxRate for each. All active transfers have the
+// same rate, so one number gives the progress of all of them: progressKB, the KB that a transfer would have received if
+// it had been active since the link was last idle.
 type link struct {
-	capacity   float64 // KB a microsecond
-	maxRate    float64 // of one transfer, KB a microsecond
-	knee       float64 // active transfers past which the capacity falls; 0: never
+	capacity   float64 // KB per microsecond
+	maxRate    float64 // of one transfer, KB per microsecond
+	knee       float64 // number of active transfers above which the capacity falls; 0: never
 	progressKB float64
 	updatedAt  int64
 	active     int
-	transfers  []transfer // a heap by endKB; may hold some that were removed
-	dueAt      int64      // when an event of this link will come; 0: none
+	transfers  []transfer // a heap by endKB; may contain removed transfers
+	dueAt      int64      // time of the next scheduled event of this link; 0: none
 }
 
-// transfer ends when the link's progress has reached endKB.
+// transfer is one transfer on a link. It ends when the link's progressKB reaches endKB.
 type transfer struct {
 	endKB      float64
-	owner      int32 // an attempt, or with segmentToParent a fetch
+	owner      int32 // an attempt; for segmentToParent a fetch
 	generation uint32
 	segment    segment
 }
 
-// overKneeSlowdown is how much the capacity falls: at twice the knee it is divided by 1 plus this.
+// overKneeSlowdown sets how much the capacity falls above the knee: at twice the knee it is divided by
+// 1+overKneeSlowdown.
 const overKneeSlowdown = 0.5
 
-// rate is that of each active transfer.
+// rate returns the rate of each active transfer in KB per microsecond.
 func (l *link) rate() float64 {
 	if l.active == 0 {
 		return 0
@@ -37,16 +38,16 @@
 	return min(l.maxRate, capacity/float64(l.active))
 }
 
-// advance brings the progress up to now. It must be called before active changes.
+// advance updates the progress to now. It must be called before active changes.
 func (l *link) advance(now int64) {
 	l.progressKB += float64(now-l.updatedAt) * l.rate()
 	l.updatedAt = now
 }
 
-// add begins a transfer.
+// add starts a transfer of a size in KB.
 func (l *link) add(now int64, kb float64, t transfer) {
 	l.advance(now)
-	if l.active == 0 { // an idle link starts again from zero: small numbers are exact
+	if l.active == 0 { // restart from zero, as small numbers are more precise
 		l.progressKB = 0
 		l.transfers = l.transfers[:0]
 	}
@@ -61,7 +62,7 @@
 	l.transfers[i] = t
 }
 
-// popTransfer takes the transfer that ends first off the heap; active stays as it is.
+// popTransfer removes the transfer that ends first from the heap. It does not change active.
 func (l *link) popTransfer() transfer {
 	first := l.transfers[0]
 	n := len(l.transfers) - 1
@@ -89,7 +90,7 @@
 	return first
 }
 
-// nextEnd is when the first transfer ends if none comes or goes before; 0: there is none.
+// nextEnd returns when the first transfer ends if no transfer is added or removed before, or 0 if there is none.
 func (l *link) nextEnd() int64 {
 	if l.active == 0 || len(l.transfers) == 0 {
 		return 0
--- a/emulator/link_test.go
+++ b/emulator/link_test.go
@@ -7,17 +7,18 @@
 	"pgregory.net/rapid"
 )
 
-// steppedTransfer is a transfer of which each small step of time is computed by itself.
+// steppedTransfer is a transfer in the reference simulation, which advances in small time steps.
 type steppedTransfer struct {
 	startsAt    int64
 	remainingKB float64
-	endedAt     int64 // 0: it has not
+	endedAt     int64 // 0: not yet
 }
 
 func (s *steppedTransfer) isActive(now int64) bool { return s.startsAt <= now && s.endedAt == 0 }
 
-// A link shares its capacity evenly, no transfer above the maximum rate: compared with a computation in small steps.
-func TestLinkAgainstSmallSteps(t *testing.T) {
+// Guards against transfers that end at wrong times. Compares a link with a reference simulation that shares the
+// capacity evenly, with at most maxRate for each transfer, in small time steps.
+func TestLinkMatchesSteppedReference(t *testing.T) {
 	const step = 50 * microsecond
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "transfers")
@@ -66,7 +67,7 @@
 		}
 		for i := range want {
 			if d := endedAt[i] - want[i].endedAt; d > 20*millisecond || d < -20*millisecond {
-				t.Fatalf("transfer %d ends at %d us, in small steps at %d", i, endedAt[i], want[i].endedAt)
+				t.Fatalf("transfer %d ends at %d us, in the reference at %d us", i, endedAt[i], want[i].endedAt)
 			}
 		}
 	})
--- a/emulator/load_reports.go
+++ b/emulator/load_reports.go
@@ -1,14 +1,15 @@
 package emulator
 
-// linkReport is the use of a site's link, as edge caches report it: always the sample before the last.
+// linkReport is the utilization of a site's link as its edge caches report it. They report the sample before the
+// latest.
 type linkReport struct {
 	sampledAt int64
 	reported  float64
-	next      float64 // reported from the next sample on
+	next      float64 // value to report from the next sample on
 }
 
-// linkLoadReport returns what an edge cache reports with an answer: the fills on its site's link over those that fit
-// at full rate, at most some time ago. It is nil where caches report nothing.
+// linkLoadReport returns the load report in a response of an edge cache: the number of fills on its site's link over
+// the number that fit at full rate, sampled every loadReportInterval. It returns nil if caches report nothing.
 func (w *World) linkLoadReport(site int) []float64 {
 	if !w.config.deployment().ReportsLinkLoad {
 		return nil
--- a/emulator/migration.go
+++ b/emulator/migration.go
@@ -8,21 +8,21 @@
 	"spantack/core/migration/schedule"
 )
 
-// MigrationStyle is how the tenants of a MigrationTrial change their cells.
+// MigrationStyle is the way in which the tenants of a MigrationTrial change their cells.
 type MigrationStyle string
 
 // The styles of migrations.
 const (
-	MigrateNone     MigrationStyle = "none"     // nobody migrates
-	MigratePaced    MigrationStyle = "paced"    // all at once, each within its bounds
-	MigrateRamp     MigrationStyle = "ramp"     // all at once, at a set pace without bounds
-	MigratePlanned  MigrationStyle = "planned"  // as core/migration/schedule plans
-	MigrateOneByOne MigrationStyle = "oneByOne" // each begins when the one before has ended
-	MigrateAtOnce   MigrationStyle = "atOnce"   // the assignment of cells changes, and that is all
+	MigrateNone     MigrationStyle = "none"     // no tenant migrates
+	MigratePaced    MigrationStyle = "paced"    // all concurrently, each within its bounds
+	MigrateRamp     MigrationStyle = "ramp"     // all concurrently, at a fixed pace without bounds
+	MigratePlanned  MigrationStyle = "planned"  // as planned by core/migration/schedule
+	MigrateOneByOne MigrationStyle = "oneByOne" // each starts when the one before has ended
+	MigrateAtOnce   MigrationStyle = "atOnce"   // the cell assignment changes at once, without migrations
 )
 
-// MigrationTrial is how tenants migrate in an experiment: either TenantCount of them, drawn by seed, each to another
-// cell, or all tenants of DrainCell to the TargetCells that follow it.
+// MigrationTrial describes the migrations of an experiment: either TenantCount tenants, chosen at random by the seed,
+// each to another cell, or all tenants of DrainCell to the TargetCells cells that follow it.
 type MigrationTrial struct {
 	Style          MigrationStyle `json:"style"`
 	TenantCount    int            `json:"count,omitempty"`
@@ -31,11 +31,11 @@
 	StartSeconds   float64        `json:"startS"`
 	WarmUpSeconds  float64        `json:"warmS"`
 	ShiftSeconds   float64        `json:"shiftS"`
-	MaxShiftFactor float64        `json:"slow"` // a migration takes this times ShiftSeconds at most
+	MaxShiftFactor float64        `json:"slow"` // maximum duration of a shift over ShiftSeconds
 	SettleSeconds  float64        `json:"settleS"`
-	HotObjects     int            `json:"hot"` // named in the document, of each tenant and class
+	HotObjects     int            `json:"hot"` // number listed in the document for each tenant and class
 
-	// Later documents; 0: none.
+	// Times of later documents; 0: none.
 	PauseSeconds    float64 `json:"holdS,omitempty"`
 	ResumeSeconds   float64 `json:"resumeS,omitempty"`
 	RollbackSeconds float64 `json:"backS,omitempty"`
@@ -43,12 +43,12 @@
 
 // Lead times of documents.
 const (
-	documentLeadSeconds = 3    // the first document is out so long before the migrations start
-	rollbackLeadMillis  = 3000 // a rollback begins so long after its document is out
+	documentLeadSeconds = 3    // time from the first document to the start of the migrations
+	rollbackLeadMillis  = 3000 // time from the document of a rollback to its start
 )
 
-// PlanMigrations adds the migrations of a trial to the changes of the day. It sets MigratedTenants also where the
-// style lets nobody migrate.
+// PlanMigrations adds the migrations of a trial to Changes. It sets MigratedTenants also for MigrateNone. It returns an
+// error if the style is unknown or the migrations cannot be planned.
 func (c *Config) PlanMigrations(trial *MigrationTrial) error {
 	tenants, requests := c.migrationRequests(trial)
 	c.MigratedTenants = tenants
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// reassign changes the assignment of cells at once.
+// reassign adds a change that moves the tenants to their new cells at once.
 func (c *Config) reassign(atSeconds float64, tenants []int, requests []schedule.Request) {
 	next := *c.Cells
 	next.Version++
@@ -90,8 +90,8 @@
 	c.MigrationEndSeconds = atSeconds
 }
 
-// changeMigrations adds a later version of the last document, in which each migration is changed. At 0 it does
-// nothing.
+// changeMigrations adds a later version of the last document, with change applied to each migration. It does nothing if
+// atSeconds is 0.
 func (c *Config) changeMigrations(atSeconds float64, change func(*migration.Migration)) {
 	if atSeconds == 0 {
 		return
@@ -104,7 +104,8 @@
 	c.Changes = append(c.Changes, Change{AtSeconds: atSeconds, Migrations: next})
 }
 
-// migrations returns the migrations of a trial's first document.
+// migrations returns the migrations of a trial's first document. It returns an error if the style is unknown or the
+// schedule cannot be planned.
 func (c *Config) migrations(trial *MigrationTrial, requests []schedule.Request) ([]migration.Migration, error) {
 	if trial.Style == MigratePlanned {
 		planned, err := schedule.Plan(requests, c.scheduleConstraints(trial))
@@ -135,14 +136,14 @@
 		case MigrateOneByOne:
 			m.Start += float64(i) * (m.WarmUp + m.MinShift)
 		default:
-			return nil, fmt.Errorf("style %q: none, paced, ramp, planned, oneByOne or atOnce", trial.Style)
+			return nil, fmt.Errorf("style %q: must be none, paced, ramp, planned, oneByOne or atOnce", trial.Style)
 		}
 		all = append(all, m)
 	}
 	return all, nil
 }
 
-// migrationRequests returns the tenants that migrate, and from and to which cell each does.
+// migrationRequests returns the tenants that migrate and a request with the source and target cell for each.
 func (c *Config) migrationRequests(trial *MigrationTrial) (tenants []int, requests []schedule.Request) {
 	var targets []migrationTarget
 	if trial.DrainCell != "" {
@@ -157,10 +158,10 @@
 	return tenants, requests
 }
 
-// migrationTarget is a tenant and the number of the cell that it migrates to.
+// migrationTarget is a tenant and the index of the cell that it migrates to.
 type migrationTarget struct{ tenant, cell int }
 
-// cellNumbers returns the number of each cell by its name.
+// cellNumbers returns the index of each cell by its name.
 func (c *Config) cellNumbers() map[string]int {
 	numbers := map[string]int{}
 	for i, cell := range c.Cells.Cells {
@@ -169,7 +170,7 @@
 	return numbers
 }
 
-// drainTargets returns all tenants of the drained cell, in turn for each of the cells that follow it.
+// drainTargets returns all tenants of the drained cell, assigned round-robin to the TargetCells cells that follow it.
 func (c *Config) drainTargets(trial *MigrationTrial) (targets []migrationTarget) {
 	from := c.cellNumbers()[trial.DrainCell]
 	for tenant := range c.Cells.Tenants {
@@ -181,13 +182,14 @@
 	return targets
 }
 
-// maxDrawnTenant bounds the draw to the tenants of most load, for those of little load show nothing.
+// maxDrawnTenant restricts the choice to the tenants with the highest load, as tenants with little load have no
+// measurable effect.
 const maxDrawnTenant = 400
 
-// migrationDrawFactor sets apart the draws of two seeds.
+// migrationDrawFactor separates the random choices of different seeds.
 const migrationDrawFactor = 0x51ed
 
-// drawTargets draws tenants, and for each another cell than its own.
+// drawTargets returns random tenants, each with a random cell other than its own.
 func (c *Config) drawTargets(trial *MigrationTrial) (targets []migrationTarget) {
 	numbers := c.cellNumbers()
 	count := len(c.Cells.Cells)
@@ -206,7 +208,7 @@
 	return targets
 }
 
-// migrationRequest returns what the planner has to know of a tenant that migrates.
+// migrationRequest returns the request to the planner for a tenant that migrates.
 func (c *Config) migrationRequest(trial *MigrationTrial, tenant, cell int) schedule.Request {
 	demand := c.TenantShares()[tenant] * c.RequestsPerSecond * meanRequestKB() / float64(c.Sites)
 	request := schedule.Request{
@@ -226,14 +228,16 @@
 	return request
 }
 
-// usualFillFraction is the part of the fills that capacities are sized for that the planner expects.
-const usualFillFraction = 0.8
+// expectedFillFraction is the fill rate that the planner expects, as a fraction of the fill rate that capacities are
+// sized for.
+const expectedFillFraction = 0.8
 
-// scheduleConstraints tells the planner what the world's cells can take on a calm day.
+// scheduleConstraints returns the constraints for the planner: the spare capacities of the world's cells under normal
+// load.
 func (c *Config) scheduleConstraints(trial *MigrationTrial) schedule.Constraints {
 	sites := float64(c.Sites)
 	sentKB := c.RequestsPerSecond * meanRequestKB() / sites
-	fillKB := c.fillKBPerSecond() / sites * usualFillFraction
+	fillKB := c.fillKBPerSecond() / sites * expectedFillFraction
 	originSpareKB := budgetFraction*c.originKBPerSecond() - c.fillKBPerSecond()*originFillRatio
 	shareOfCell := map[string]float64{}
 	for tenant, share := range c.TenantShares() {
--- a/emulator/migration_test.go
+++ b/emulator/migration_test.go
@@ -9,11 +9,12 @@
 	"spantack/core/migration"
 )
 
-// migratingTenants is how many tenants migrate on a migrationDay.
+// migratingTenants is the number of tenants that migrate in a migrationConfig.
 const migratingTenants = 12
 
-// migrationDay is a small world in which tenants migrate from second 6 on, with clocks of routers up to a second off.
-func migrationDay(t testing.TB, seed uint64, trial MigrationTrial, faults ...Fault) Config {
+// migrationConfig returns a small world in which tenants migrate from second 6 on, with a clock skew of up to a second
+// between routers and documents.
+func migrationConfig(t testing.TB, seed uint64, trial MigrationTrial, faults ...Fault) Config {
 	t.Helper()
 	cfg := smallConfig(seed)
 	cfg.SiteLinkCapacityFactor = 3
@@ -39,19 +40,19 @@
 	return cfg
 }
 
-// runMigrations plays a day and checks what holds at the end of every migration: no violation, no operation without
-// an end, and each tenant in one cell, the same at all routers, which is the new one unless the migrations were
-// rolled back.
+// runMigrations runs a world and checks the conditions after a migration: no violation, no unfinished operation, and
+// each tenant in one cell, the same at all routers. This is the new cell, or the old one if the migrations were rolled
+// back.
 func runMigrations(t *testing.T, cfg Config, isRolledBack bool) Result {
 	t.Helper()
 	w := newWorld(t, cfg)
 	r := w.Run()
 	checkNoViolation(t, &r)
 	if r.Unfinished != 0 || r.Unanswered != 0 {
-		t.Errorf("%d operations without an end, %d requests without an answer", r.Unfinished, r.Unanswered)
+		t.Errorf("%d unfinished operations, %d unanswered requests", r.Unfinished, r.Unanswered)
 	}
 	if r.MaxWarmUpLoad > 1 {
-		t.Errorf("a cold server got %.2f of its bound", r.MaxWarmUpLoad)
+		t.Errorf("a cold server received %.2f of its bound, want at most 1", r.MaxWarmUpLoad)
 	}
 	want := 1.0
 	if isRolledBack {
@@ -64,14 +65,14 @@
 		}
 		for _, p := range paths {
 			if p.Share != want {
-				t.Errorf("router %d has %s at %v, want %v", i, p.Tenant, p.Share, want)
+				t.Errorf("router %d: migrated share of %s is %v, want %v", i, p.Tenant, p.Share, want)
 			}
 		}
 	}
 	return r
 }
 
-// cellLoss is the loss of all caches of one cell, in the midst of the shift.
+// cellLoss returns faults that crash all caches of one cell during the shift.
 func cellLoss(t testing.TB, cfg Config, cell int) (faults []Fault) {
 	t.Helper()
 	w := newWorld(t, cfg)
@@ -86,24 +87,25 @@
 	return faults
 }
 
-// The cases that can go wrong: migrations lose no request in any of them, cause no violation, and end in one cell.
+// Guards against migrations that lose requests, cause violations or leave a tenant in two cells when servers or routers
+// fail or a migration is paused or rolled back.
 func TestMigrationsDuringFaults(t *testing.T) {
 	deploy := Fault{Kind: FaultDeploy, Site: -1, AtSeconds: 8, DurationSeconds: 14, Fraction: 0.91}
 	for seed := range uint64(2) {
-		base := migrationDay(t, seed, MigrationTrial{})
+		base := migrationConfig(t, seed, MigrationTrial{})
 		for name, c := range map[string]struct {
 			trial        MigrationTrial
 			faults       []Fault
 			isRolledBack bool
 		}{
-			"calm":              {},
-			"rolling deploy":    {faults: []Fault{deploy}},
-			"a cell lost":       {faults: cellLoss(t, base, 0)},
-			"another cell lost": {faults: cellLoss(t, base, 1)},
-			"a parent lost": {faults: []Fault{
+			"calm":           {},
+			"rolling deploy": {faults: []Fault{deploy}},
+			"cell 0 lost":    {faults: cellLoss(t, base, 0)},
+			"cell 1 lost":    {faults: cellLoss(t, base, 1)},
+			"parent lost": {faults: []Fault{
 				{Kind: FaultParent, Index: 0, AtSeconds: 10, DurationSeconds: 5},
 			}},
-			"half the routers": {faults: []Fault{
+			"half of the routers lost": {faults: []Fault{
 				{Kind: FaultRouter, Site: 0, Index: 0, AtSeconds: 11, DurationSeconds: 3},
 				{Kind: FaultRouter, Site: 1, Index: 1, AtSeconds: 12, DurationSeconds: 3},
 			}},
@@ -120,28 +122,28 @@
 			"planned": {trial: MigrationTrial{Style: MigratePlanned}},
 		} {
 			t.Run(fmt.Sprintf("seed %d/%s", seed, name), func(t *testing.T) {
-				cfg := migrationDay(t, seed, c.trial, c.faults...)
+				cfg := migrationConfig(t, seed, c.trial, c.faults...)
 				if name == "planned" {
 					cfg.DurationSeconds = max(cfg.DurationSeconds, 2*cfg.MigrationEndSeconds)
 				}
 				r := runMigrations(t, cfg, c.isRolledBack)
 				if r.Admission.Migrated == 0 {
-					t.Error("nothing migrated")
+					t.Error("no request was migrated")
 				}
 				hasRouterFault := slices.ContainsFunc(c.faults, func(f Fault) bool { return f.Kind == FaultRouter })
 				if r.LostWithRouter > 0 != hasRouterFault {
-					t.Errorf("%d requests at routers that died", r.LostWithRouter)
+					t.Errorf("%d requests lost at crashed routers", r.LostWithRouter)
 				}
 			})
 		}
 	}
 }
 
-// A tenant floods while it migrates: tenants that do not migrate lose no more than by the same flood without a
-// migration.
-func TestMigratedTenantFloods(t *testing.T) {
+// Guards against a migration that makes a flood worse for others. A tenant floods while it migrates; tenants that do
+// not migrate must lose no more than by the same flood without a migration.
+func TestMigrationDoesNotWorsenFlood(t *testing.T) {
 	timelyRatio := func(style MigrationStyle) float64 {
-		cfg := migrationDay(t, 4, MigrationTrial{Style: style})
+		cfg := migrationConfig(t, 4, MigrationTrial{Style: style})
 		cfg.Flood = &Flood{
 			Tenant:          cfg.MigratedTenants[0],
 			Factor:          10,
@@ -152,51 +154,53 @@
 		r := runWorld(t, cfg)
 		return r.NotMigrated.TimelyRatio()
 	}
-	still, migrating := timelyRatio(MigrateNone), timelyRatio(MigratePaced)
-	if migrating < 0.98*still {
-		t.Errorf("other tenants: %.4f while it floods and migrates, %.4f while it floods and stays", migrating, still)
+	baseline, migrating := timelyRatio(MigrateNone), timelyRatio(MigratePaced)
+	if migrating < 0.98*baseline {
+		t.Errorf("timely ratio of other tenants: %.4f with flood and migration, %.4f with the flood alone",
+			migrating, baseline)
 	}
 }
 
-// Documents that cross: some routers have the one that goes on, some the one that rolls back, until a third version
-// ends it. A tenant is served by its two cells throughout, and ends in one.
-func TestCrossingMigrationDocuments(t *testing.T) {
-	cfg := migrationDay(t, 5, MigrationTrial{})
+// Guards against tenants that end in two cells when routers temporarily have different documents. Two versions follow
+// within half a second while a reload takes up to 2 s: one rolls the migrations back, the next one continues them.
+func TestConcurrentMigrationDocumentsConverge(t *testing.T) {
+	cfg := migrationConfig(t, 5, MigrationTrial{})
 	first := cfg.Changes[0].Migrations
-	back := &migration.Document{Version: 2, Migrations: slices.Clone(first.Migrations)}
-	for i := range back.Migrations {
-		back.Migrations[i].RollbackAt = 13_000
+	rollback := &migration.Document{Version: 2, Migrations: slices.Clone(first.Migrations)}
+	for i := range rollback.Migrations {
+		rollback.Migrations[i].RollbackAt = 13_000
 	}
-	on := &migration.Document{Version: 3, Migrations: slices.Clone(first.Migrations)}
-	cfg.Changes = append(cfg.Changes, // half a second apart, while reloads take up to 2 s
-		Change{AtSeconds: 12, Migrations: back}, Change{AtSeconds: 12.5, Migrations: on})
+	resume := &migration.Document{Version: 3, Migrations: slices.Clone(first.Migrations)}
+	cfg.Changes = append(cfg.Changes,
+		Change{AtSeconds: 12, Migrations: rollback}, Change{AtSeconds: 12.5, Migrations: resume})
 	r := runMigrations(t, cfg, false)
 	if r.MaxMigrationSpread == 0 || r.MaxMigrationSpread > 0.6 {
-		t.Errorf("routers %.2f of the objects apart", r.MaxMigrationSpread)
+		t.Errorf("migration spread between routers %.2f, want above 0 and at most 0.6", r.MaxMigrationSpread)
 	}
 }
 
-// A migration whose document comes after its start is rejected as a whole, and nothing of it takes effect.
+// Guards against a migration that starts partway. A document that arrives after the start of its migrations is rejected
+// as a whole.
 func TestPastMigrationIsRejected(t *testing.T) {
-	cfg := migrationDay(t, 6, MigrationTrial{})
+	cfg := migrationConfig(t, 6, MigrationTrial{})
 	cfg.Changes[0].AtSeconds = 9
 	if _, err := New(cfg); err == nil {
-		t.Error("a document whose migrations should have begun before is valid")
+		t.Error("New accepted a document that arrives after the start of its migrations")
 	}
 }
 
-// Days with migrations give the same result however often they run.
+// Guards against nondeterminism: two runs with migrations and the same seed must give the same result.
 func TestMigrationsSameSeedSameResult(t *testing.T) {
 	var last string
 	for range 2 {
 		deploy := Fault{Kind: FaultDeploy, Site: 0, AtSeconds: 8, DurationSeconds: 10, Fraction: 0.5}
-		w := newWorld(t, migrationDay(t, 7, MigrationTrial{}, deploy))
+		w := newWorld(t, migrationConfig(t, 7, MigrationTrial{}, deploy))
 		text, err := json.Marshal(w.Run())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if last != "" && last != string(text) {
-			t.Fatalf("not the same:\n%s\n%s", last, text)
+			t.Fatalf("two runs with the same seed differ:\n%s\n%s", last, text)
 		}
 		last = string(text)
 	}
--- a/emulator/model.go
+++ b/emulator/model.go
@@ -1,11 +1,11 @@
 package emulator
 
-// What the model assumes of all deployments: delays of the network, servers, and classes of requests.
+// Parameters of the model that are the same for all deployments: network delays, servers and classes of requests.
 
-// responseKBPerSecond is the rate at which a server sends one response, if its link allows it.
+// responseKBPerSecond is the maximum rate of one response from a server.
 const responseKBPerSecond = 1000.0
 
-// maxFillKBPerSecond is the rate of one fill from a parent or the origin, if the links on its path allow it.
+// maxFillKBPerSecond is the maximum rate of one fill from a parent or the origin.
 const maxFillKBPerSecond = 3 * responseKBPerSecond
 
 // One-way delays.
@@ -17,7 +17,7 @@
 	defaultOriginDelay  = 12 * millisecond  // between a hub and the origin
 )
 
-// originServiceTime is what the origin takes for any request before it sends.
+// originServiceTime is the time between the arrival of a request at the origin and the start of the response.
 const originServiceTime = 30 * millisecond
 
 // Freshness of copies of the catalogue.
@@ -26,11 +26,12 @@
 	defaultStaleGracePeriod  = 10 * second
 )
 
-// chunkInterval is the time between two chunks that a video session requests.
+// chunkInterval is the time between two requests of a video session.
 const chunkInterval = 590 * millisecond
 
-// Warm-up of servers: capacity rises linearly from the initial fraction to all of it. A server that receives more
-// within overloadWindow than its multiple of that capacity crashes, and runs again after overloadRestartDelay.
+// Warm-up of servers: the capacity rises linearly from the initial fraction to the full capacity. A warming server
+// crashes if it receives more within overloadWindow than its overload multiple times its current capacity. It restarts
+// after overloadRestartDelay.
 const (
 	cacheInitialCapacity   = 0.32
 	cacheWarmUpTime        = 11 * second
@@ -42,25 +43,25 @@
 	overloadRestartDelay   = 3 * second
 )
 
-// Delays of notices.
+// Delays until notices take effect.
 const (
 	drainGracePeriod       = 500 * millisecond  // a router may still send to a server this long after the drain notice
-	frontendDetectionDelay = 2 * second         // clients are sent to a router that died for so long
-	maxEndpointUpdateDelay = 1200 * millisecond // until a router has an update of the endpoint list
+	frontendDetectionDelay = 2 * second         // the frontend sends clients to a crashed router for this long
+	maxEndpointUpdateDelay = 1200 * millisecond // until a router receives an update of the endpoint list
 	maxReloadDelay         = 2 * second         // until a router has applied a changed document
 )
 
-// Purges: what routers and servers need to receive and apply one.
+// Times that routers and servers take to receive and apply a purge.
 const (
 	maxPurgeNoticeDelay  = 400 * millisecond
 	purgeGracePeriod     = 500 * millisecond // a router may still answer from a purged copy this long after the notice
 	purgePropagationTime = 6 * second        // until every server has dropped its copies
 )
 
-// loadReportInterval is how old a cache's load report is at most.
+// loadReportInterval is the interval between samples for the load reports of caches.
 const loadReportInterval = 400 * millisecond
 
-// Classes of requests, in the order of the routers' settings.
+// Classes of requests, in the order of the classes in the routers' settings.
 const (
 	classVideo = iota
 	classCatalogue
@@ -68,7 +69,7 @@
 	classCount
 )
 
-// classModel is what the model assumes of a request class. Sizes are spread log-normally about the mean.
+// classModel contains the model parameters of a request class. Sizes are log-normally distributed with mean meanKB.
 type classModel struct {
 	name                string
 	share               float64 // of requests
@@ -77,10 +78,10 @@
 	minChunks           int     // of an object
 	maxChunks           int
 	latencyObjectiveMs  float64
-	deadlineMs          float64 // after which the client gives up
-	objectiveSizeFactor float64 // the latency objective grows by the time of sending, times this
-	weight              float64 // of an answer within its latency objective
-	lateWeightFactor    float64 // of the weight that a late answer still has
+	deadlineMs          float64 // after which the client times out
+	objectiveSizeFactor float64 // the latency objective grows by this times the time to send the response
+	weight              float64 // of a response within its latency objective
+	lateWeightFactor    float64 // fraction of weight that a late response still has
 }
 
 var classModels = [classCount]classModel{
@@ -92,7 +93,7 @@
 // meanChunks returns the mean number of chunks of an object of the class.
 func (c *classModel) meanChunks() float64 { return float64(c.minChunks+c.maxChunks) / 2 }
 
-// meanRequestKB returns the mean size of a request on a calm day, each chunk of a video counted as one.
+// meanRequestKB returns the mean response size under normal load in KB. Each chunk of a video counts as one response.
 func meanRequestKB() (sum float64) {
 	for _, c := range classModels {
 		sum += c.share * c.meanKB
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -2,22 +2,22 @@
 
 import "spantack/routing"
 
-// segment is a part of the path of a transfer. An attempt's data is on all of its segments at once, as servers pass on
-// what they receive; the response is complete when the slowest of them has ended.
+// segment is a part of the path of a transfer. An attempt's data is on all of its segments concurrently, as servers
+// forward data while they receive it. The response is complete when the transfer on the slowest segment has ended.
 type segment uint8
 
 const (
 	segmentToRouter      segment = iota // from an edge cache to the router
-	segmentFromUpstream                 // from a parent or the origin towards the site
-	segmentFromRemoteHub                // over the line from a hub that is not near the site
+	segmentFromUpstream                 // from a parent or the origin, over its own link
+	segmentFromRemoteHub                // over the line from a remote hub
 	segmentIntoSite                     // over the link into the site
 	segmentToParent                     // from the origin to a parent, for a fetch
 )
 
-// attemptSegments is the number of segments that an attempt's own data may be on; they are the first ones.
+// attemptSegments is the number of segments that an attempt's own data can use. These are the first ones.
 const attemptSegments = int(segmentIntoSite) + 1
 
-// networkDelay is the one-way delay from a router or an edge cache of a site to a server.
+// networkDelay returns the one-way delay between a router or an edge cache of a site and a server.
 func (w *World) networkDelay(site int32, server *simulatedServer) int64 {
 	switch {
 	case server.kind == cacheServer:
@@ -30,41 +30,41 @@
 	return hubDelay
 }
 
-// isRemoteHub reports that a parent stands at a hub that is not near the site.
+// isRemoteHub reports whether a parent is at a hub that is not near the site.
 func (w *World) isRemoteHub(site int, parent *simulatedServer) bool {
 	return w.config.Hubs > 0 && parent.hub != site%w.config.Hubs
 }
 
-// startTransfer puts an attempt's data on a link.
-func (w *World) startTransfer(id, over int32, sizeKB float64, on segment) {
+// startTransfer starts a transfer of an attempt's data on a link.
+func (w *World) startTransfer(id, linkID int32, sizeKB float64, part segment) {
 	attempt := &w.attempts[id]
-	attempt.links[on] = over
+	attempt.links[part] = linkID
 	attempt.activeTransfers++
-	w.links[over].add(w.now, sizeKB, transfer{owner: id, generation: attempt.generation, segment: on})
-	w.scheduleLink(over)
+	w.links[linkID].add(w.now, sizeKB, transfer{owner: id, generation: attempt.generation, segment: part})
+	w.scheduleLink(linkID)
 }
 
-// removeTransfers takes an attempt's data off all links.
+// removeTransfers removes an attempt's transfers from all links.
 func (w *World) removeTransfers(attempt *serverAttempt) {
 	attempt.activeTransfers = 0
-	for i, over := range attempt.links {
-		if over >= 0 {
+	for i, linkID := range attempt.links {
+		if linkID >= 0 {
 			attempt.links[i] = -1
-			w.removeTransfer(over)
+			w.removeTransfer(linkID)
 		}
 	}
 }
 
-// removeTransfer takes one transfer off a link before its end. The link's heap drops it later, as its owner no longer
-// wants it.
-func (w *World) removeTransfer(over int32) {
-	l := &w.links[over]
+// removeTransfer removes one transfer from a link before its end. Its heap entry is discarded later, when isWanted
+// returns false for it.
+func (w *World) removeTransfer(linkID int32) {
+	l := &w.links[linkID]
 	l.advance(w.now)
 	l.active--
-	w.scheduleLink(over)
+	w.scheduleLink(linkID)
 }
 
-// scheduleLink makes sure that there is an event by the time at which a link's next transfer ends.
+// scheduleLink ensures that an event is scheduled no later than the end of a link's next transfer.
 func (w *World) scheduleLink(id int32) {
 	l := &w.links[id]
 	for len(l.transfers) > 0 && !w.isWanted(&l.transfers[0]) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// isWanted reports that a transfer's owner still waits for it.
+// isWanted reports whether a transfer's owner still waits for it.
 func (w *World) isWanted(t *transfer) bool {
 	if t.segment == segmentToParent {
 		return w.fetches[t.owner].generation == t.generation
@@ -85,10 +85,11 @@
 	return attempt.generation == t.generation && attempt.links[t.segment] >= 0
 }
 
-// endTolerance is how many KB short of its end a transfer counts as ended, as sums of many steps are not exact.
+// endTolerance is the number of KB before its end at which a transfer counts as ended. It absorbs the rounding errors
+// of many additions.
 const endTolerance = 1e-9
 
-// advanceLink ends the transfers of a link that are due.
+// advanceLink updates a link's progress and ends the transfers that are complete.
 func (w *World) advanceLink(id int32) {
 	l := &w.links[id]
 	if w.now < l.dueAt {
@@ -111,7 +112,7 @@
 	w.scheduleLink(id)
 }
 
-// transferEnded lets a transfer's owner have what it waited for.
+// transferEnded handles the end of a transfer for the fetch or the attempt that owns it.
 func (w *World) transferEnded(t transfer) {
 	if t.segment == segmentToParent {
 		w.fetchCompleted(t.owner)
@@ -134,7 +135,8 @@
 	w.completeIfDelivered(t.owner)
 }
 
-// completeIfDelivered ends an attempt whose data has come over all its links.
+// completeIfDelivered ends an attempt as served, or as an error for a harmful object, if all its transfers have ended
+// and it waits for no fetch.
 func (w *World) completeIfDelivered(id int32) {
 	attempt := &w.attempts[id]
 	if attempt.activeTransfers > 0 || attempt.fetch >= 0 {
@@ -152,7 +154,7 @@
 	w.endAttempt(id, routing.OutcomeServed, attempt.cacheStatus)
 }
 
-// sendFrom puts an attempt's data on all links between a parent or the origin and the router.
+// sendFrom starts the transfers of an attempt's data on all links from a parent or the origin to the router.
 func (w *World) sendFrom(id, from int32) {
 	attempt := &w.attempts[id]
 	sizeKB := w.sizeKB(id)
--- a/emulator/new.go
+++ b/emulator/new.go
@@ -11,23 +11,23 @@
 	"spantack/core/hierarchy"
 )
 
-// Streams of random numbers, one for each purpose, so that a change in one place leaves the others as they were.
+// Random number streams, one for each purpose, so that a change in the use of one does not affect the others.
 const (
 	floodStream   = 0xf100d
 	miscStream    = 0x3153
 	gossipStream  = 0x7a1c
-	arrivalStream = 0xa11a // and the site
-	routerStream  = 0x4011 // and routerStreamsPerSite times the site, and the router's place there
+	arrivalStream = 0xa11a // plus the site
+	routerStream  = 0x4011 // plus routerStreamsPerSite times the site, plus the router's index there
 )
 
 const routerStreamsPerSite = 1000
 
-// newRandom returns the random numbers of a purpose.
+// newRandom returns a random number generator for a stream, seeded with the seed of the configuration.
 func (c *Config) newRandom(stream int) *rand.Rand {
 	return rand.New(rand.NewPCG(c.Seed, uint64(stream)))
 }
 
-// New lays out a world at the start of its day. It returns an error if the configuration is not valid.
+// New creates a world at the start of its run. It returns an error if the configuration is not valid.
 func New(cfg Config) (*World, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 	return w, nil
 }
 
-// compileDocuments checks and compiles the documents that routers will have.
+// compileDocuments validates and compiles the documents that the routers use.
 func (w *World) compileDocuments() (err error) {
 	cfg := &w.config
 	if cfg.Cells != nil {
@@ -82,12 +82,12 @@
 
 // Range and precision of the latency histograms.
 const (
-	maxLatency            = 9_999_999 * microsecond // longer ones count as this
+	maxLatency            = 9_999_999 * microsecond // longer latencies are recorded as this
 	latencyHistogramLimit = 10 * second
 	latencyDigits         = 3
 )
 
-// startMeasuring prepares the result and what it is computed from.
+// startMeasuring initializes the result, the latency histograms and the cell gauges.
 func (w *World) startMeasuring() {
 	w.result = newResult(&w.config)
 	for i := range w.latency {
@@ -98,7 +98,7 @@
 	}
 }
 
-// computeDistributions computes how likely tenants, objects and classes are.
+// computeDistributions computes the cumulative distributions of tenants, objects and classes.
 func (w *World) computeDistributions() {
 	sum := 0.0
 	for _, share := range w.config.TenantShares() {
@@ -116,12 +116,12 @@
 	sum = 0
 	for i := range classModels {
 		class := &classModels[i]
-		sum += class.share / class.meanChunks() // a session requests many chunks: sessions are rarer by as much
+		sum += class.share / class.meanChunks() // a session requests several chunks, so sessions arrive less often
 		w.classCDF[i] = sum
 	}
 }
 
-// addLink adds a link of a capacity in KB a second; see link for the knee.
+// addLink adds a link and returns its index. Capacity and maximum rate are in KB/s; see link for the knee.
 func (w *World) addLink(kbPerSecond, maxRate, knee float64) int32 {
 	w.links = append(w.links, link{capacity: kbPerSecond / 1e6, maxRate: maxRate / 1e6, knee: knee})
 	return int32(len(w.links) - 1)
@@ -139,7 +139,8 @@
 	})
 }
 
-// parentRetentionSeconds is how long a parent would have to send at full rate to send all that it stores.
+// parentRetentionSeconds sets the size of parent caches: the time that a parent takes to send all that it stores at
+// full rate.
 const parentRetentionSeconds = 27
 
 func (w *World) addParents() {
@@ -159,7 +160,7 @@
 	}
 }
 
-// addSites adds each site's links and edge caches.
+// addSites adds the links, the edge caches and the arrival random numbers of each site.
 func (w *World) addSites() {
 	cfg := &w.config
 	for site := range cfg.Sites {
@@ -179,7 +180,7 @@
 	}
 }
 
-// computeRateLimits gives each tenant its plain rate limit at each router, if there are any.
+// computeRateLimits computes the rate limit of each tenant at each router in requests per microsecond, if configured.
 func (w *World) computeRateLimits() {
 	cfg := &w.config
 	if cfg.RateLimitFactor <= 0 {
@@ -191,7 +192,7 @@
 	}
 }
 
-// addRouters starts all routers, and the clients of their sites.
+// addRouters starts all routers, and the arrivals and running sessions of their sites.
 func (w *World) addRouters() error {
 	for site := range w.config.Sites {
 		for i := range w.config.RoutersPerSite {
--- a/emulator/originlimit.go
+++ b/emulator/originlimit.go
@@ -6,33 +6,34 @@
 	"spantack/core/originlimit"
 )
 
-// OriginLimitTrial is a trial of limits on the fills that reach the origin: routers with clients behind them, and an
-// origin that slows down when more than Knee fills are in flight. It stands apart from World, so that control
-// algorithms can be compared where the limit alone decides.
+// OriginLimitTrial is a trial of limits on the fills that reach the origin. It models clients, routers, and an origin
+// that slows down when more than Knee fills are in flight. The trial does not use World, so that it compares the
+// control algorithms without other influences.
 type OriginLimitTrial struct {
 	Routers         int     `json:"routers"`
-	FillsPerSecond  float64 `json:"rateS"` // that all clients together want
-	OriginPerSecond float64 `json:"capS"`  // fills that the origin can answer
+	FillsPerSecond  float64 `json:"rateS"` // demand of all clients together
+	OriginPerSecond float64 `json:"capS"`  // fills that the origin can answer per second
 	Knee            float64 `json:"knee"`
-	// SlowdownFactor is how much the origin slows past the knee: with twice Knee in flight it is 1+SlowdownFactor times
-	// as slow.
+	// SlowdownFactor sets how much the origin slows down above the knee: with twice Knee fills in flight its throughput
+	// is divided by 1+SlowdownFactor.
 	SlowdownFactor       float64 `json:"slows"`
 	ClientTimeoutSeconds float64 `json:"allowS"`
-	MaxAttempts          int     `json:"tries"`   // of a client for one operation
-	ReportFraction       float64 `json:"reports"` // of operations are reports, for which the limit keeps its reserve
+	MaxAttempts          int     `json:"tries"`   // of a client for one operation, including the first
+	ReportFraction       float64 `json:"reports"` // fraction of operations that are reports, which use Reserve
 	DurationSeconds      float64 `json:"dayS"`    // warm-up included
 	WarmUpSeconds        float64 `json:"warmS"`   // not counted
 
-	Algorithm string  `json:"law"` // of core/originlimit, or "none"
+	Algorithm string  `json:"law"` // one of core/originlimit, or "none"
 	Reserve   float64 `json:"reserve"`
 	Burst     float64 `json:"burst"`
 
-	// The origin has BrownoutCapacity of OriginPerSecond for a time. A duration of 0 stands for no brownout.
+	// During a brownout the origin has the fraction BrownoutCapacity of OriginPerSecond. A duration of 0 means no
+	// brownout.
 	BrownoutCapacity        float64 `json:"lowPart,omitempty"`
 	BrownoutStartSeconds    float64 `json:"lowFromS,omitempty"`
 	BrownoutDurationSeconds float64 `json:"lowForS,omitempty"`
 
-	// FailedFraction of the routers fail at FailureSeconds. Their clients go to the others.
+	// FailedFraction of the routers fail at FailureSeconds. Their clients use the other routers.
 	FailedFraction float64 `json:"deadPart,omitempty"`
 	FailureSeconds float64 `json:"deadAtS,omitempty"`
 }
@@ -40,7 +41,7 @@
 // algorithmNone is the Algorithm of a trial without limits.
 const algorithmNone = "none"
 
-// Validate returns an error that names the first field which can't be used, as experiments spell it.
+// Validate returns an error that names the first field that is out of range by its name in experiment files.
 func (t *OriginLimitTrial) Validate() error {
 	return checkBounds("shield.", []bounds{
 		{"routers", float64(t.Routers), 1, 10_000},
@@ -58,41 +59,43 @@
 	})
 }
 
-// OriginLimitResult is what a trial counted after the warm-up. Ratios of served operations are by the second in which
-// the operations began.
+// OriginLimitResult is the result of a trial, counted after the warm-up. Ratios of served operations refer to the
+// second in which the operations started.
 type OriginLimitResult struct {
 	Operations    int64
-	Served        int64 // operations, in time
-	Sent          int64 // fills, to the origin
-	Rejected      int64 // attempts, by a limit
+	Served        int64 // operations with an attempt that was answered in time
+	Sent          int64 // fills sent to the origin
+	Rejected      int64 // attempts rejected by a limit
 	Reports       int64 // operations that are reports
 	ReportsServed int64
 
-	MaxInFlight     float64 // most fills in flight at once, over the knee
-	OverloadSeconds float64 // with more than overloadFactor times the knee in flight
-	// SettleSeconds is how long after the brownout began the last overload within it ended.
+	MaxInFlight     float64 // maximum number of fills in flight, over the knee
+	OverloadSeconds float64 // time with more than overloadFactor times the knee in flight
+	// SettleSeconds is the time from the start of the brownout to the end of the last overload within it.
 	SettleSeconds float64
-	// RecoverySeconds is how long after the brownout ended five seconds began in which as many were served as before.
+	// RecoverySeconds is the time from the end of the brownout to the start of the first resultWindowSeconds in which
+	// the served ratio is at least recoveredFactor times ServedBefore.
 	RecoverySeconds float64
 	ServedBefore    float64 // ratio, before the brownout
-	ServedDuring    float64 // ratio, in the brownout but for its first five seconds
-	ServedAtEnd     float64 // ratio, in the last five seconds that have an outcome
+	ServedDuring    float64 // ratio, in the brownout without its first five seconds
+	ServedAtEnd     float64 // ratio, in the last five seconds whose operations all have an outcome
 }
 
 // Bounds that the result's fields use.
 const (
-	overloadFactor      = 1.1  // of the knee
-	recoveredFactor     = 0.99 // of the ratio served before
+	overloadFactor      = 1.1  // relative to the knee
+	recoveredFactor     = 0.99 // relative to the ratio served before
 	resultWindowSeconds = 5
 )
 
-// baselineMillis is what a fill takes while the origin is well and no more than the knee are in flight.
+// baselineMillis returns the duration of a fill, in milliseconds, without a brownout and with at most Knee fills in
+// flight.
 func (t *OriginLimitTrial) baselineMillis() float64 { return t.Knee / t.OriginPerSecond * 1000 }
 
-// originLimitStream sets the trial's random numbers apart from those of other trials.
+// originLimitStream selects a random number stream that no other trial uses.
 const originLimitStream = 0x5e1d
 
-// Run plays the trial. The same seed gives the same result.
+// Run executes the trial. The same seed gives the same result.
 func (t *OriginLimitTrial) Run(seed uint64) (*OriginLimitResult, error) {
 	if err := t.Validate(); err != nil {
 		return nil, err
@@ -121,7 +124,7 @@
 	return &w.result, nil
 }
 
-// newLimits returns the limit of each router; nil: none.
+// newLimits returns the limit of each router; all are nil for algorithmNone.
 func (t *OriginLimitTrial) newLimits() ([]*originlimit.Limit, error) {
 	limits := make([]*originlimit.Limit, t.Routers)
 	if t.Algorithm == algorithmNone {
@@ -146,7 +149,7 @@
 	return limits, nil
 }
 
-// summarize computes the figures of the result that are known at the end only.
+// summarize computes the fields of the result that are known only at the end.
 func (w *originLimitWorld) summarize() {
 	r := &w.result
 	warmUp := int(w.WarmUpSeconds)
@@ -179,8 +182,8 @@
 	}
 }
 
-// summarizeInFlight computes how many fills were in flight, and returns when the last overload until the brownout's
-// end ended, in seconds.
+// summarizeInFlight computes MaxInFlight and OverloadSeconds. It returns the end of the last overload before the end of
+// the brownout, in seconds, or 0 if there was none.
 func (w *originLimitWorld) summarizeInFlight(warmUp int) (lastOverload float64) {
 	for i := inFlightSamplesPerSecond * warmUp; i < len(w.maxInFlight); i++ {
 		inFlight := float64(w.maxInFlight[i])
@@ -197,7 +200,7 @@
 	return lastOverload
 }
 
-// servedRatio returns the part of the operations begun in some seconds that were served.
+// servedRatio returns the fraction served of the operations that started from second from up to, not including, to.
 func (w *originLimitWorld) servedRatio(from, to int) float64 {
 	served, all := int64(0), int64(0)
 	for i := max(from, 0); i < min(to, len(w.servedBySecond)); i++ {
--- a/emulator/originlimit_test.go
+++ b/emulator/originlimit_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// limitTrial is a trial with a brownout.
+// limitTrial returns a trial with a brownout of 20 s.
 func limitTrial(algorithm string) OriginLimitTrial {
 	return OriginLimitTrial{
 		Routers:                 32,
@@ -24,10 +24,11 @@
 	}
 }
 
-// An origin that loses 70% for 20 s: without a limit clients that retry never let it recover. Each control algorithm
-// does within three seconds, and keeps the fills in flight under the burst; the one that does not follow response
-// times serves less on a good day.
-func TestOriginLimitBrownout(t *testing.T) {
+// Guards against an origin that stays overloaded after it lost 70% of its capacity for 20 s. Without a limit, retries
+// of clients prevent its recovery. With each control algorithm it recovers within three seconds, and the fills in
+// flight stay near the burst. The fixed limit, which ignores response times, must not serve more before the brownout
+// than the gradient.
+func TestOriginLimitRecoversFromBrownout(t *testing.T) {
 	results := map[string]*OriginLimitResult{}
 	for _, algorithm := range []string{"none", "fixed", "aimd", "gradient", "delay"} {
 		t.Run(algorithm, func(t *testing.T) {
@@ -53,14 +54,16 @@
 		t.Fatal("no results to compare")
 	}
 	if gradient.ServedBefore < 0.98 || fixed.ServedBefore > gradient.ServedBefore {
-		t.Errorf("before: %v by gradient, %v fixed", gradient.ServedBefore, fixed.ServedBefore)
+		t.Errorf("served before the brownout: %v with gradient, %v with fixed",
+			gradient.ServedBefore, fixed.ServedBefore)
 	}
 	if gradient.Sent > gradient.Operations {
 		t.Errorf("%d fills sent for %d operations", gradient.Sent, gradient.Operations)
 	}
 }
 
-// When half of the routers fail the others take over their part, as the origin still answers well.
+// Guards against limits that do not grow when other routers fail. Half of the routers fail while the origin works
+// normally; the others must take over their share.
 func TestOriginLimitRouterFailures(t *testing.T) {
 	trial := limitTrial("gradient")
 	trial.BrownoutDurationSeconds = 0
@@ -72,18 +75,18 @@
 	}
 	again, err := trial.Run(5)
 	if err != nil || *again != *r {
-		t.Errorf("the same seed gives %+v, then %+v", r, again)
+		t.Errorf("same seed: %+v, then %+v", r, again)
 	}
-	for name, spoil := range map[string]func(*OriginLimitTrial){
-		"no routers":           func(t *OriginLimitTrial) { t.Routers = 0 },
-		"an unknown algorithm": func(t *OriginLimitTrial) { t.Algorithm = "pid" },
-		"no burst":             func(t *OriginLimitTrial) { t.Burst = 0 },
+	for name, invalidate := range map[string]func(*OriginLimitTrial){
+		"no routers":        func(t *OriginLimitTrial) { t.Routers = 0 },
+		"unknown algorithm": func(t *OriginLimitTrial) { t.Algorithm = "pid" },
+		"no burst":          func(t *OriginLimitTrial) { t.Burst = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			bad := trial
-			spoil(&bad)
-			if _, err := bad.Run(1); err == nil {
-				t.Errorf("%+v is valid", bad)
+			invalid := trial
+			invalidate(&invalid)
+			if _, err := invalid.Run(1); err == nil {
+				t.Errorf("Run accepted %+v", invalid)
 			}
 		})
 	}
--- a/emulator/originlimit_world.go
+++ b/emulator/originlimit_world.go
@@ -9,20 +9,20 @@
 	"spantack/core/originlimit"
 )
 
-// never is a time that does not come.
+// never is a time after the end of every run.
 const never = math.MaxInt64
 
-// originFill is a fill in flight at the origin, which works on all of them alike.
+// originFill is a fill in flight at the origin, which shares its throughput evenly among all fills.
 type originFill struct {
-	endWork   float64 // ends when the work done for each fill has come to this
-	id        int64   // from 1
+	endWork   float64 // value of workDone at which it ends
+	id        int64   // starts at 1
 	router    int
 	sentAt    int64
 	operation int
 	heapIndex int
 }
 
-// trialOperation is what a client wants in a trial of origin limits.
+// trialOperation is one operation of a client in an OriginLimitTrial.
 type trialOperation struct {
 	startedAt int64
 	attempts  int
@@ -30,7 +30,7 @@
 	served    bool
 }
 
-// originLimitWorld is a trial of origin limits that is being played.
+// originLimitWorld is the state of a running OriginLimitTrial.
 type originLimitWorld struct {
 	OriginLimitTrial
 	now    int64
@@ -46,29 +46,29 @@
 	fills      fillHeap
 	fillsByID  map[int64]*originFill
 	lastFillID int64
-	workDone   float64 // for each fill in flight, since the start
+	workDone   float64 // for each fill in flight, in fills, since the start
 
 	result             OriginLimitResult
-	servedBySecond     []int64 // operations, by when they began
+	servedBySecond     []int64 // served operations, by the second in which they started
 	operationsBySecond []int64
-	maxInFlight        []int // fills, by sample of the time
+	maxInFlight        []int // maximum number of fills, by sampling interval
 }
 
-// inFlightSamplesPerSecond is how often the most fills in flight is noted.
+// inFlightSamplesPerSecond is the number of intervals per second for which maxInFlight is recorded.
 const inFlightSamplesPerSecond = 10
 
-// trialStep is what happens next in a trial.
+// trialStep is the kind of a step in a trial.
 type trialStep uint8
 
 const (
-	stepArrival  trialStep = iota // an operation begins
+	stepArrival  trialStep = iota // an operation starts
 	stepEvent                     // a retry or a timeout
 	stepFillEnd                   // the origin has answered a fill
 	stepCapacity                  // the origin's capacity changes
 	stepFailure                   // routers fail
 )
 
-// run plays the trial to its end.
+// run executes the trial to its end.
 func (w *originLimitWorld) run() {
 	end := fromSeconds(w.DurationSeconds)
 	w.arrivalAt = w.arrivalGap()
@@ -88,13 +88,13 @@
 		case stepFailure:
 			w.failureAt = never
 			w.failRouters(int(w.FailedFraction * float64(w.Routers)))
-		case stepCapacity: // the speed follows from the time
+		case stepCapacity: // speed depends on the time alone
 		}
 	}
 }
 
-// nextStep returns what happens next, and when. Of steps at one time, the one earlier in the list of steps comes
-// first.
+// nextStep returns the next step and its time. If several steps are due at the same time, the one with the lower
+// trialStep comes first.
 func (w *originLimitWorld) nextStep() (at int64, step trialStep) {
 	at, step = w.arrivalAt, stepArrival
 	if len(w.events.heap) > 0 && w.events.heap[0].time < at {
@@ -112,7 +112,7 @@
 	return at, step
 }
 
-// nextCapacityChange returns when the brownout begins or ends next.
+// nextCapacityChange returns the next start or end of the brownout, or never.
 func (w *originLimitWorld) nextCapacityChange() int64 {
 	if w.BrownoutDurationSeconds <= 0 {
 		return never
@@ -126,7 +126,7 @@
 	return never
 }
 
-// nextFillEnd returns when the first fill in flight is answered, if nothing happens before.
+// nextFillEnd returns when the first fill in flight ends if no other step comes before, or never if there is none.
 func (w *originLimitWorld) nextFillEnd() int64 {
 	if len(w.fills) == 0 {
 		return never
@@ -135,7 +135,7 @@
 	return w.now + int64(math.Ceil(work/w.speed()))
 }
 
-// speed is the work done for each fill in flight in a microsecond; a fill needs 1.
+// speed returns the work done for each fill in flight per microsecond. A fill needs a work of 1.
 func (w *originLimitWorld) speed() float64 {
 	inFlight := float64(len(w.fills))
 	if inFlight == 0 {
@@ -148,7 +148,7 @@
 	if inFlight > w.Knee {
 		perSecond /= 1 + w.SlowdownFactor*(inFlight/w.Knee-1)
 	}
-	return perSecond / max(inFlight, w.Knee) / float64(second) // fewer than the knee do not make each one faster
+	return perSecond / max(inFlight, w.Knee) / float64(second) // below the knee the speed of a fill is constant
 }
 
 func (w *originLimitWorld) isBrownout() bool {
@@ -157,18 +157,18 @@
 	return w.BrownoutDurationSeconds > 0 && now >= w.BrownoutStartSeconds && now < end
 }
 
-// advance lets time pass. Nothing may happen in between.
+// advance moves the time forward. No step may be due before to.
 func (w *originLimitWorld) advance(to int64) {
 	w.workDone += w.speed() * float64(to-w.now)
 	w.now = to
 }
 
-// arrivalGap draws the time until the next operation.
+// arrivalGap returns a random, exponentially distributed time until the next operation.
 func (w *originLimitWorld) arrivalGap() int64 {
 	return fromSeconds(w.random.ExpFloat64() / w.FillsPerSecond)
 }
 
-// arrival begins an operation, and draws when the next one comes.
+// arrival starts an operation and sets the time of the next one.
 func (w *originLimitWorld) arrival() {
 	isReport := w.random.Float64() < w.ReportFraction
 	w.operations = append(w.operations, trialOperation{startedAt: w.now, isReport: isReport})
@@ -177,7 +177,7 @@
 	w.arrivalAt = w.now + w.arrivalGap()
 }
 
-// handleEvent lets a client retry, or drop a fill that takes too long.
+// handleEvent handles the retry of a client or the timeout of a fill.
 func (w *originLimitWorld) handleEvent() {
 	e := w.events.pop()
 	if e.value == 0 {
@@ -190,7 +190,8 @@
 	}
 }
 
-// attempt sends a client's request to a router that has not failed, which sends a fill to the origin or rejects it.
+// attempt sends a client's request to a random router that has not failed. The router sends a fill to the origin or
+// rejects the request.
 func (w *originLimitWorld) attempt(id int) {
 	operation := &w.operations[id]
 	operation.attempts++
@@ -227,7 +228,7 @@
 	*sample = max(*sample, len(w.fills))
 }
 
-// count adds 1 to a counter of the result, if the operation began after the warm-up.
+// count adds 1 to a counter of the result if the operation started after the warm-up.
 func (w *originLimitWorld) count(counter *int64, operation *trialOperation) {
 	if operation.startedAt >= fromSeconds(w.WarmUpSeconds) {
 		*counter++
@@ -237,10 +238,10 @@
 // Backoff of clients in the trial.
 const (
 	trialBackoff       = 100 * millisecond
-	trialBackoffSpread = 300 * millisecond // added at most
+	trialBackoffSpread = 300 * millisecond // upper bound of the random addition
 )
 
-// retry schedules a client's next attempt, if it makes one.
+// retry schedules a client's next attempt, unless it has made MaxAttempts.
 func (w *originLimitWorld) retry(id int) {
 	if w.operations[id].attempts < w.MaxAttempts {
 		at := w.now + trialBackoff + drawDelay(w.random, trialBackoffSpread)
@@ -248,14 +249,14 @@
 	}
 }
 
-// endFill ends a fill that is off the heap: it was answered, or dropped, and then its client may retry. What the
-// origin has done for a dropped one is lost.
+// endFill ends a fill that was removed from the heap because it was answered or dropped. The client of a dropped fill
+// may retry, and the work that the origin has done for it is lost.
 func (w *originLimitWorld) endFill(fill *originFill, isDropped bool) {
 	delete(w.fillsByID, fill.id)
 	if limit := w.limits[fill.router]; limit != nil && !w.failed[fill.router] {
 		nowMs := float64(w.now) / float64(millisecond)
-		tookMs := float64(w.now-fill.sentAt) / float64(millisecond)
-		limit.Complete(nowMs, tookMs, isDropped)
+		durationMs := float64(w.now-fill.sentAt) / float64(millisecond)
+		limit.Complete(nowMs, durationMs, isDropped)
 	}
 	if isDropped {
 		w.retry(fill.operation)
@@ -273,7 +274,7 @@
 	}
 }
 
-// failRouters lets the first routers fail. Their fills are dropped.
+// failRouters makes the first count routers fail and drops their fills.
 func (w *originLimitWorld) failRouters(count int) {
 	for i := range count {
 		w.failed[i] = true
@@ -286,7 +287,7 @@
 	}
 }
 
-// fillHeap orders fills by when they end.
+// fillHeap orders fills by the time at which they end.
 type fillHeap []*originFill
 
 // Len implements heap.Interface.
--- a/emulator/prefill.go
+++ b/emulator/prefill.go
@@ -6,12 +6,12 @@
 	"strconv"
 )
 
-// prefill puts into each store what a long day before would have left there: chunks by how often they are requested,
-// each at the server that hashing alone gives it, until the stores are full. Without it a day would have to be as
-// long as the stores are large before anything could be measured.
+// prefill fills each store as a long preceding run would have: with the most requested chunks, each at the server that
+// hashing selects for it, until the stores are full. Without it, the warm-up would have to last until the stores are
+// full before anything could be measured.
 func (w *World) prefill() {
 	p := prefiller{world: w, cachesBySite: make([][]int32, w.config.Sites)}
-	siteCapacityKB := 0.0 // of the edge caches of a site, the same for all
+	siteCapacityKB := 0.0 // of the edge caches of a site; the same for all sites
 	for _, id := range w.cachesBySite[0] {
 		siteCapacityKB += w.servers[id].store.capacityKB
 	}
@@ -29,18 +29,18 @@
 		}
 		p.addObject(object)
 	}
-	for _, c := range slices.Backward(p.chunks) { // the most popular ones are used last
+	for _, c := range slices.Backward(p.chunks) { // so that the most popular chunks are the most recently used
 		w.servers[c.server].store.put(c.key, c.sizeKB, c.producedAt)
 	}
 }
 
-// popularObject is an object that is requested often enough to be stored.
+// popularObject is an object that can be requested more than once.
 type popularObject struct {
 	tenant, class, rank int32
-	rate                float64 // requests for each of its chunks, of all requests
+	rate                float64 // fraction of all requests that are for one of its chunks
 }
 
-// popularObjects returns all objects but those that are requested only once, the most requested first.
+// popularObjects returns all objects except those that are requested only once, in descending order of request rate.
 func (w *World) popularObjects() []popularObject {
 	var all []popularObject
 	for tenant, share := range w.config.TenantShares() {
@@ -63,14 +63,14 @@
 	return all
 }
 
-// prefiller places chunks until the stores are full. Stores of parents get those for which the sites have no capacity
-// left, as parents are asked only for what edge caches miss.
+// prefiller places chunks until the stores are full. Parents store the chunks for which the sites have no capacity
+// left, as parents receive requests only for chunks that edge caches miss.
 type prefiller struct {
 	world              *World
 	siteRemainingKB    []float64 // by site
 	parentsRemainingKB float64
 	parents            []int32
-	cachesBySite       [][]int32 // that the tenant of the present object may use
+	cachesBySite       [][]int32 // edge caches that the tenant of the current object may use
 	chunks             []prefilledChunk
 }
 
@@ -89,7 +89,7 @@
 	object := objectName(tenant, key)
 	p.findCaches(tenant)
 	producedAt := int64(0)
-	if class == classCatalogue { // at most eight tenths of its lifetime ago
+	if class == classCatalogue { // at most 80% of the freshness lifetime ago
 		producedAt = -int64(hashMix(key) % uint64(w.config.freshnessLifetime()*8/10))
 	}
 	var parents []int32 // the same for all chunks
@@ -123,7 +123,7 @@
 	p.chunks = append(p.chunks, chunk)
 }
 
-// findCaches sets the edge caches that a tenant may use: those of its cells, or all.
+// findCaches sets cachesBySite to the edge caches that a tenant may use: those of its cells, or all if there are none.
 func (p *prefiller) findCaches(tenant int) {
 	w := p.world
 	for site := range p.cachesBySite {
@@ -138,7 +138,7 @@
 	}
 }
 
-// parentsForObject returns the parents that sites ask for an object, each once.
+// parentsForObject returns the parents that sites use for an object, without duplicates.
 func (p *prefiller) parentsForObject(object string) (ids []int32) {
 	w := p.world
 	prefix := hashPrefix(object)
@@ -157,14 +157,14 @@
 	return ids
 }
 
-// The FNV-1a hash.
+// Parameters of the FNV-1a hash.
 const (
 	fnvOffset = uint64(14695981039346656037)
 	fnvPrime  = 1099511628211
 )
 
-// hashPrefix returns FNV-1a of a key and the zero byte that ends it: what the hashes of the key for all servers begin
-// with.
+// hashPrefix returns the FNV-1a hash of a key and a terminating zero byte. It is the common start of the hashes of the
+// key with each server name.
 func hashPrefix(key string) uint64 {
 	hash := fnvOffset
 	for i := range len(key) {
@@ -173,8 +173,8 @@
 	return hash * fnvPrime
 }
 
-// rendezvousFirst returns the server that rendezvous hashing with equal weights puts first, as package routing does
-// it.
+// rendezvousFirst returns the server that rendezvous hashing with equal weights ranks first, with the same hash as
+// package routing. ids must not be empty.
 func (w *World) rendezvousFirst(ids []int32, prefix uint64) int32 {
 	best, highest := ids[0], uint64(0)
 	for _, id := range ids {
--- a/emulator/purge.go
+++ b/emulator/purge.go
@@ -9,11 +9,11 @@
 // purge makes the copies of many groups of objects invalid at once.
 type purge struct {
 	startedAt int64
-	fraction  float64 // of all groups
-	salt      uint64  // which of them
+	fraction  float64 // fraction of all groups that is purged
+	salt      uint64  // selects the groups
 }
 
-// includes reports that a group is purged.
+// includes reports whether a group is purged.
 func (p *purge) includes(group int64) bool { return hashFraction(uint64(group)^p.salt) < p.fraction }
 
 // purgeDeadline is the time from which a router may no longer answer from copies that a purge made invalid.
@@ -30,8 +30,8 @@
 	return int64(operation.tenant % releaseFamily)
 }
 
-// startPurge purges a fraction of all groups. Each router has its notice later, and each server drops its copies in
-// its own time.
+// startPurge purges a fraction of all groups. Each running router receives the notice within maxPurgeNoticeDelay, and
+// each server drops its copies within purgePropagationTime.
 func (w *World) startPurge(fault Fault) {
 	w.purges = append(w.purges, purge{startedAt: w.now, fraction: fault.Fraction, salt: w.config.Seed ^ uint64(w.now)})
 	for r := range w.routers {
@@ -49,7 +49,7 @@
 	}
 }
 
-// notifyPurge passes a purge to a router's module, group by group.
+// notifyPurge passes a purge to a router's module, with one event for each group.
 func (w *World) notifyPurge(id int32, which int) {
 	p := &w.purges[which]
 	router := &w.routers[id]
@@ -70,7 +70,8 @@
 	}
 }
 
-// purgedBefore returns the time before which a server no longer has copies of a group.
+// purgedBefore returns the production time before which a server no longer has copies of a group, because of the purges
+// that it has applied so far.
 func (w *World) purgedBefore(server int32, group int64) int64 {
 	latest := int64(math.MinInt64)
 	for i := range w.purges {
@@ -83,7 +84,7 @@
 	return latest
 }
 
-// checkPurges counts a violation if an answer came from a copy that was purged, at a router whose deadline for that
+// checkPurges counts a violation if a response came from a purged copy although the deadline of the router for that
 // purge had passed when it sent the attempt.
 func (w *World) checkPurges(attempt *serverAttempt) {
 	request := &w.requests[attempt.request]
--- a/emulator/queue.go
+++ b/emulator/queue.go
@@ -1,14 +1,14 @@
 package emulator
 
-// eventKind is what an event does. The comments say what the fields of the event stand for; generation is that of the
-// target, where one is named.
+// eventKind is the kind of an event. The comments describe the fields of the event; generation is the generation of the
+// target, for the kinds that list it.
 type eventKind uint8
 
 const (
 	eventArrival        eventKind = iota // a client arrives; target: site
 	eventNextChunk                       // target: video session
 	eventFloodRequest                    // no target
-	eventAtRouter                        // target, generation: request; value: 1 if it waited for the router's core
+	eventAtRouter                        // target, generation: request; value: waitedForCore or 0
 	eventRouterTimer                     // target, generation: router; value: token
 	eventAtServer                        // target, generation: attempt
 	eventAtSource                        // target, generation: attempt
@@ -18,18 +18,18 @@
 	eventLinkDue                         // a transfer ends; target: link
 	eventFetchAtOrigin                   // target, generation: fetch
 	eventAnswer                          // the answer reaches the client; target, generation: request
-	eventClientGivesUp                   // target, generation: request
+	eventClientTimeout                   // target, generation: request
 	eventClientRetry                     // target: operation
 	eventEndpointUpdate                  // target, generation: router; value: length of the list of changes
-	eventFault                           // target: fault; value: step of it
+	eventFault                           // target: fault; value: step of the fault
 	eventServerRestart                   // target: server
-	eventFrontendUpdate                  // target: router; value: 1 if clients are sent to it from now on, or 0
+	eventFrontendUpdate                  // target: router; value: 1 if the frontend uses it from now on, else 0
 	eventConfigChange                    // target, generation: router; value: change
 	eventGossip                          // target: router; value: datagram
 	eventPurge                           // target, generation: router; value: purge
 )
 
-// event is something that happens at a time. Events of one time happen in the order in which they were pushed.
+// event is something that happens at a time. Events with the same time happen in the order in which they were pushed.
 type event struct {
 	time       int64
 	sequence   uint64
@@ -43,8 +43,8 @@
 	return e.time < o.time || e.time == o.time && e.sequence < o.sequence
 }
 
-// eventQueue is a heap with four children a node: it has fewer levels than a binary one, and the children of a node
-// are neighbours in memory.
+// eventQueue is a heap with four children per node. It has fewer levels than a binary heap, and the children of a node
+// are adjacent in memory.
 type eventQueue struct {
 	heap     []event
 	sequence uint64
--- a/emulator/queue_test.go
+++ b/emulator/queue_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// The queue gives events by time, and those of one time in the order in which they were pushed.
+// Guards against events out of order: the queue returns events by time, and events with the same time in the order in
+// which they were pushed.
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q eventQueue
@@ -17,7 +18,7 @@
 			} else if len(q.heap) > 0 {
 				e := q.pop()
 				if e.before(&last) {
-					t.Fatalf("%+v after %+v", e, last)
+					t.Fatalf("popped %+v after %+v", e, last)
 				}
 				last = e
 			}
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -2,34 +2,34 @@
 
 import "spantack/core/cells"
 
-// Result is what a day came to, without the warm-up unless a field says otherwise. The noisy tenant is the one that
-// floods or is poisoned, or the one that WatchTenant names.
+// Result is the result of a run. Unless a field notes otherwise, it does not include the warm-up. The noisy tenant is
+// the tenant that floods or is poisoned, or the one set by WatchTenant.
 type Result struct {
 	ByCell      []Tally           `json:"groups"` // without the noisy tenant
 	NoisyTenant Tally             `json:"guilty"`
 	ByClass     [classCount]Tally `json:"class"` // without the noisy tenant
 	Seconds     []Second          `json:"-"`
-	// Migrated and NotMigrated are Config.MigratedTenants and all others, without the noisy tenant.
+	// Migrated counts Config.MigratedTenants, and NotMigrated all other tenants, both without the noisy tenant.
 	Migrated    Tally `json:"movers"`
 	NotMigrated Tally `json:"stayers"`
 
-	// These count all day.
+	// These include the warm-up.
 	Violations     map[string]int64 `json:"broken"`
 	Events         int64            `json:"events"`
 	Attempts       int64            `json:"attempts"`
-	Requests       int64            `json:"requests"` // several for one operation, where clients retry
-	Unanswered     int64            `json:"overdue"`  // requests whose client gave up without an answer
-	LostWithRouter int64            `json:"lost"`     // requests at routers that died
-	Admission      cells.Stats      `json:"gate"`     // of routers as they are at the end
-	Unfinished     int64            `json:"unended"`  // operations neither served nor given up by the end
+	Requests       int64            `json:"requests"` // more than one for an operation that the client retries
+	Unanswered     int64            `json:"overdue"`  // requests without an answer when the client timed out
+	LostWithRouter int64            `json:"lost"`     // requests lost because their router crashed
+	Admission      cells.Stats      `json:"gate"`     // of the last process of each router
+	Unfinished     int64            `json:"unended"`  // operations neither served nor ended as unserved
 
 	// Edge caches and the origin.
 	Hits     int64   `json:"hits"`
 	Lookups  int64   `json:"looks"`
 	FillKB   float64 `json:"fillKb"`
 	OriginKB float64 `json:"originKb"` // sent by the origin
-	// MaxOriginLoad is the most that the origin was asked for in one second, over what it can send in one.
-	// OriginOverloadSeconds is in how many that was more than all of it.
+	// MaxOriginLoad is the maximum load of the origin in one second, over its capacity. OriginOverloadSeconds is the
+	// number of seconds in which the load exceeded the capacity.
 	MaxOriginLoad         float64 `json:"originMost"`
 	OriginOverloadSeconds float64 `json:"originOverS"`
 
@@ -37,26 +37,30 @@
 	P50Millis [classCount]float64 `json:"p50Ms"`
 	P99Millis [classCount]float64 `json:"p99Ms"`
 
-	// MaxWarmUpLoad is the most that a server was sent while it warmed up, over its bound. MaxWarmUpLoadPerRouter is the
-	// most of one router, over its share of the bound, without its largest request. Both count all day.
+	// MaxWarmUpLoad is the maximum load of a server while it warmed up, over its bound. MaxWarmUpLoadPerRouter is the
+	// maximum from one router without its largest request, over its share of the bound. Both include the warm-up of the
+	// run.
 	MaxWarmUpLoad          float64 `json:"coldMost"`
 	MaxWarmUpLoadPerRouter float64 `json:"coldShare"`
-	// MaxCellFill is the most that a cell's caches filled within gaugeWindow, over the cell's share of the site's link.
+	// MaxCellFill is the maximum amount that a cell's caches filled within gaugeWindow, over the cell's share of the
+	// site link in that time.
 	MaxCellFill float64 `json:"cellFill"`
-	// MaxCellUtilization is the most answers open at a cell's caches, on average over gaugeWindow, over what these can
-	// send at once.
+	// MaxCellUtilization is the maximum, over all windows of gaugeWindow, of the mean utilization of a cell: the
+	// responses in progress at its caches over the number that they can send concurrently.
 	MaxCellUtilization float64 `json:"cellBusy"`
-	// MaxMigrationSpread is the greatest difference between two routers of a site in their shares of one migration.
+	// MaxMigrationSpread is the largest difference between two routers of a site in a migration's share of objects.
 	MaxMigrationSpread float64 `json:"spread"`
-	// MigratedAtSeconds is when the last router sent all objects of the migrated tenants to their new cells.
+	// MigratedAtSeconds is the time of the last sample in which a router had not yet shifted all objects of the
+	// migrated tenants to their new cells.
 	MigratedAtSeconds float64 `json:"doneS"`
 
-	// The release.
-	RoutersStopped   int     `json:"stopped"`  // that stopped it
-	StoppedAtSeconds float64 `json:"stoppedS"` // when the first did
-	RoutersPassed    int     `json:"passed"`   // at which it passed in all rings
-	// Answers with objects that the release replaces: in cells that have the release; in cells that do not have it yet,
-	// and how many of these were of the new version; and after the rollback.
+	// Results of the release.
+	RoutersStopped   int     `json:"stopped"`  // routers that stopped it
+	StoppedAtSeconds float64 `json:"stoppedS"` // when the first router stopped it
+	RoutersPassed    int     `json:"passed"`   // routers at which it passed in all rings
+	// Responses with objects that the release replaces: ReleaseAnswers in cells that have the release; PendingAnswers
+	// in cells that do not have it yet, of which EarlyAnswers were of the new version; RolledBackAnswers after the
+	// rollback.
 	ReleaseAnswers    int64 `json:"renewed"`
 	PendingAnswers    int64 `json:"held"`
 	EarlyAnswers      int64 `json:"early"`
@@ -64,14 +68,15 @@
 
 	// Gossip of routers.
 	Datagrams     int64 `json:"words"`
-	DatagramBytes int64 `json:"wordBytes"` // that reached a router, counted for each
+	DatagramBytes int64 `json:"wordBytes"` // bytes delivered, counted for each receiver
 
-	// LargestServedRatio is, by class, the served part of the largest operations over that of all, and
-	// NextLargestServedRatio the same of the next fifth.
+	// LargestServedRatio is, by class, the served ratio of the largest operations over the served ratio of all.
+	// NextLargestServedRatio is the same for the next largest fifth.
 	LargestServedRatio     [classCount]float64 `json:"largest"`
 	NextLargestServedRatio [classCount]float64 `json:"next"`
 
-	// SharedCacheFraction is how much of the others' weight was looked up at edge caches that the noisy tenant used too.
+	// SharedCacheFraction is the fraction, by weight, of the other tenants' look-ups that went to edge caches that the
+	// noisy tenant also used.
 	SharedCacheFraction float64 `json:"touched"`
 
 	countFrom int64 // end of the warm-up
@@ -83,11 +88,11 @@
 
 	endedBySize       [classCount][]endedOperation
 	noisyTenantCaches map[int32]bool    // edge caches that the noisy tenant used
-	weightByCache     map[int32]float64 // of the others' look-ups
+	weightByCache     map[int32]float64 // weight of the look-ups of other tenants
 
 	originKBPerSecond float64
-	originSecond      int64   // the second that is counted
-	originSecondKB    float64 // asked of the origin in it
+	originSecond      int64   // the current second
+	originSecondKB    float64 // requested from the origin in it
 }
 
 func newResult(cfg *Config) Result {
@@ -120,7 +125,8 @@
 	return r
 }
 
-// WatchTenant counts a tenant as the noisy one on a day on which it is quiet, so that the day compares with others.
+// WatchTenant counts a tenant as the noisy one in a run without a flood or poison, so that the result can be compared
+// with runs in which the tenant is noisy.
 func (w *World) WatchTenant(tenant int) { w.result.watchTenant(tenant) }
 
 func (r *Result) watchTenant(tenant int) {
@@ -139,7 +145,7 @@
 	return int(operation.tenant) == r.noisyTenant
 }
 
-// count adds to each tally that an operation counts in.
+// count adds to each tally that includes an operation.
 func (r *Result) count(operation *clientOperation, add Tally) {
 	if !operation.counted {
 		return
@@ -177,7 +183,7 @@
 	r.recordSize(operation, false)
 }
 
-// recordServed counts an operation that is served now.
+// recordServed counts an operation that has just been served, and records its latency.
 func (w *World) recordServed(operation *clientOperation) {
 	r := &w.result
 	class := &classModels[operation.class]
@@ -195,7 +201,7 @@
 	}
 }
 
-// latencyObjective is that of an operation, with what its size adds.
+// latencyObjective returns the latency objective of an operation in microseconds, including the addition for its size.
 func (w *World) latencyObjective(operation *clientOperation) float64 {
 	factor := classModels[operation.class].objectiveSizeFactor
 	base := w.config.latencyObjectiveMs(int(operation.class)) * float64(millisecond)
@@ -225,7 +231,7 @@
 	}
 }
 
-// originFill counts what the origin is asked for now.
+// originFill counts an amount that is requested from the origin now.
 func (r *Result) originFill(w *World, kb float64) {
 	if w.now >= r.countFrom && w.now < w.stopAt {
 		r.OriginKB += kb
@@ -237,7 +243,7 @@
 	r.originSecondKB += kb
 }
 
-// endOriginSecond ends a second of the origin's load.
+// endOriginSecond adds the origin load of the current second to the result and resets it.
 func (r *Result) endOriginSecond() {
 	if r.originSecond >= r.countFrom/second {
 		load := r.originSecondKB / r.originKBPerSecond
@@ -249,7 +255,7 @@
 	r.originSecondKB = 0
 }
 
-// finishResult computes what is known at the end only.
+// finishResult computes the fields of the result that are known only at the end.
 func (w *World) finishResult() {
 	r := &w.result
 	r.endOriginSecond()
@@ -277,8 +283,8 @@
 	}
 }
 
-// sharedCacheFraction computes Result.SharedCacheFraction, in the order of the servers, as sums must come out the
-// same.
+// sharedCacheFraction returns Result.SharedCacheFraction. It adds in the order of the servers, as the order of
+// additions affects the rounding and results must be deterministic.
 func (w *World) sharedCacheFraction() float64 {
 	all, shared := 0.0, 0.0
 	for i := range w.servers {
@@ -294,7 +300,7 @@
 	return shared / all
 }
 
-// OtherCells sums up all cells but that of the noisy tenant.
+// OtherCells returns the sum over all cells except the noisy tenant's cell.
 func (r *Result) OtherCells() (sum Tally) {
 	for i, cell := range r.ByCell {
 		if i != r.noisyCell {
@@ -304,7 +310,7 @@
 	return sum
 }
 
-// NoisyCell returns the others in the noisy tenant's cell.
+// NoisyCell returns the tally of the other tenants in the noisy tenant's cell.
 func (r *Result) NoisyCell() Tally {
 	if r.noisyCell < 0 {
 		return Tally{}
@@ -312,7 +318,7 @@
 	return r.ByCell[r.noisyCell]
 }
 
-// TimelyRatioAtEnd returns the timely ratio of the last seconds of the day, without the noisy tenant.
+// TimelyRatioAtEnd returns the timely ratio of the last seconds of the run, without the noisy tenant.
 func (r *Result) TimelyRatioAtEnd(seconds int) float64 {
 	var sum Tally
 	for _, s := range r.Seconds[max(len(r.Seconds)-seconds, 0):] {
@@ -322,7 +328,7 @@
 	return sum.TimelyRatio()
 }
 
-// ViolationCount returns the number of all violations.
+// ViolationCount returns the total number of violations.
 func (r *Result) ViolationCount() (count int64) {
 	for _, n := range r.Violations {
 		count += n
@@ -330,7 +336,7 @@
 	return count
 }
 
-// HitRatio returns the part of look-ups at edge caches that found a copy; 0 without any.
+// HitRatio returns the fraction of look-ups at edge caches that found a copy, or 0 if there were none.
 func (r *Result) HitRatio() float64 {
 	if r.Lookups == 0 {
 		return 0
--- a/emulator/rollout.go
+++ b/emulator/rollout.go
@@ -7,12 +7,12 @@
 	"spantack/core/rollout"
 )
 
-// isHarmful reports that an object of the release is a bad one.
+// isHarmful reports whether the new version of an object of the release fails at every cache.
 func (w *World) isHarmful(operation *clientOperation) bool {
 	return hashFraction(operation.key^hashMix(w.config.Seed)) < w.config.Release.HarmfulFraction
 }
 
-// isNewVersion reports that a copy produced at a time is of the version that a release gave to its objects.
+// isNewVersion reports whether a copy that was produced at a time has the new version of the release.
 func (w *World) isNewVersion(producedAt int64) bool {
 	r := w.config.Release
 	if !r.ReplacesObjects || producedAt < fromSeconds(r.StartSeconds) {
@@ -21,9 +21,9 @@
 	return r.RollbackSeconds == 0 || producedAt < fromSeconds(r.RollbackSeconds)
 }
 
-// checkRelease counts an answer with a replaced object, by when it was requested. Once its cell has the release the
-// old version is a violation, and once the document has rolled the release back the new one is. Answers of the new
-// version in cells that do not have the release yet are counted as early.
+// checkRelease counts a response with a replaced object by the time at which its attempt was sent. The old version is a
+// violation after the cell has the release, and the new version is a violation after the document has rolled the
+// release back. Responses of the new version in cells that do not have the release yet are counted as early.
 func (w *World) checkRelease(attempt *serverAttempt) {
 	request := &w.requests[attempt.request]
 	release := w.config.Release
@@ -54,13 +54,13 @@
 	}
 }
 
-// isInState reports that a ring is in a state.
+// isInState reports whether a ring is in a state.
 func isInState(ring cells.RingStatus, state rollout.RingState) bool {
 	return ring.State == state.String()
 }
 
-// recordRolloutState notes which cells a router has opened for the release, and whether it has stopped it. It is
-// called whenever the router's module logs something.
+// recordRolloutState records which cells a router has opened for the release and when the release was first stopped. It
+// is called whenever the router's module logs something.
 func (w *World) recordRolloutState(id int32) {
 	status := w.routers[id].module.RolloutStatus()
 	if status == nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// recordRelease notes when a router opened a cell for the release.
+// recordRelease records when a router first opened a cell for the release, or removes the record if it is closed.
 func (r *simulatedRouter) recordRelease(cell int, isClosed bool, now int64) {
 	if isClosed {
 		delete(r.releaseOpenedAt, cell)
@@ -94,8 +94,8 @@
 	}
 }
 
-// countRolloutVerdicts counts at the end at how many routers the release was stopped, and at how many it passed in all
-// rings.
+// countRolloutVerdicts counts at the end of the run the routers that stopped the release and those at which it passed
+// in all rings.
 func (w *World) countRolloutVerdicts() {
 	for i := range w.routers {
 		status := w.routers[i].module.RolloutStatus()
@@ -105,13 +105,13 @@
 		isStopped := slices.ContainsFunc(status.Rings, func(r cells.RingStatus) bool {
 			return isInState(r, rollout.RingStopped)
 		})
-		hasOther := slices.ContainsFunc(status.Rings, func(r cells.RingStatus) bool {
+		hasUnpassed := slices.ContainsFunc(status.Rings, func(r cells.RingStatus) bool {
 			return !isInState(r, rollout.RingPassed)
 		})
 		if isStopped {
 			w.result.RoutersStopped++
 		}
-		if !hasOther {
+		if !hasUnpassed {
 			w.result.RoutersPassed++
 		}
 	}
--- a/emulator/rollout_test.go
+++ b/emulator/rollout_test.go
@@ -6,9 +6,10 @@
 	"spantack/core/rollout"
 )
 
-// A release that replaces objects, while routers die and come back, clocks differ and caches are replaced: a cell
-// that has the release never answers with the old version, one that does not mostly does, and after the rollback none
-// answers with the new one. At a router that has found harm itself the same holds from the rollback's time on.
+// Guards against responses of the wrong version during a release that replaces objects, while a router crashes, clocks
+// differ and caches are replaced. A cell that has the release must not respond with the old version, a cell without it
+// must mostly respond with the old version, and after the rollback no cell may respond with the new version. This also
+// applies to routers that have stopped the release themselves.
 func TestReleaseDuringFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		harmful    float64
@@ -16,7 +17,7 @@
 		skew       float64
 	}{
 		"good":                   {},
-		"clocks apart":           {skew: 1000},
+		"clock skew":             {skew: 1000},
 		"harmful, rejected":      {harmful: 0.5},
 		"harmful, still serving": {harmful: 0.5, onRollback: "serve"},
 	} {
@@ -50,25 +51,25 @@
 			}
 			r := runWorld(t, cfg)
 			if r.ReleaseAnswers < 20 || r.PendingAnswers < 300 || r.RolledBackAnswers < 100 {
-				t.Errorf("answers: %d with the release, %d before, %d after the rollback",
+				t.Errorf("responses: %d with the release, %d before it, %d after the rollback",
 					r.ReleaseAnswers, r.PendingAnswers, r.RolledBackAnswers)
 			}
 			if float64(r.EarlyAnswers) > 0.4*float64(r.PendingAnswers) {
-				t.Errorf("%d of %d answers before the release are early", r.EarlyAnswers, r.PendingAnswers)
+				t.Errorf("%d of %d responses before the release have the new version", r.EarlyAnswers, r.PendingAnswers)
 			}
 			isStoppedEarly := r.StoppedAtSeconds < 27
 			if r.RoutersStopped != cfg.routerCount() || (c.harmful > 0) != isStoppedEarly {
-				t.Errorf("stopped at %d routers, first after %.1f s", r.RoutersStopped, r.StoppedAtSeconds)
+				t.Errorf("release stopped at %d routers, first at %.1f s", r.RoutersStopped, r.StoppedAtSeconds)
 			}
 		})
 	}
 }
 
-func TestReleaseOfAnotherKindThanItsRollout(t *testing.T) {
+func TestReleaseKindMustMatchRollout(t *testing.T) {
 	cfg := smallConfig(11)
 	addCells(&cfg, 3)
 	cfg.Release = &Release{Rollout: &rollout.Rollout{ReplacesObjects: true}}
 	if _, err := New(cfg); err == nil {
-		t.Error("a rollout that replaces objects, of a release that does not, is valid")
+		t.Error("New accepted a rollout that replaces objects for a release that does not")
 	}
 }
--- a/emulator/routers.go
+++ b/emulator/routers.go
@@ -7,28 +7,28 @@
 	"spantack/routing"
 )
 
-// simulatedRouter is a router process with the real admission and routing modules inside. When it dies it keeps
-// nothing.
+// simulatedRouter is a router process that runs the real admission and routing modules. It loses all state when it
+// crashes.
 type simulatedRouter struct {
 	module     *cells.Admission
 	site       int
 	running    bool
-	inFrontend bool   // clients are sent to it
-	generation uint32 // rises when it dies
-	freeAt     int64  // when its core has time for the next request
+	inFrontend bool   // the frontend sends clients to it
+	generation uint32 // incremented when it crashes
+	freeAt     int64  // when its core is free for the next request
 	random     *rand.Rand
 
-	endpointVersion  int   // changes of the endpoint list that it has
-	endpointUpdateAt int64 // when it has the last update that is in flight
+	endpointVersion  int   // number of changes of the endpoint list that it has applied
+	endpointUpdateAt int64 // when it receives the last endpoint update in flight
 
-	buckets         map[int32]*tokenBucket // plain rate limits, by tenant
-	clockOffset     int64                  // of its clock for documents
-	appliedChanges  int                    // of Config.Changes
+	buckets         map[int32]*tokenBucket // rate limits, by tenant
+	clockOffset     int64                  // offset of its clock for documents
+	appliedChanges  int                    // number of Config.Changes applied
 	releaseOpenedAt map[int]int64          // when it first reported the release as open, by cell
-	purgeDeadlines  []purgeDeadline        // of all purges that it was told of
+	purgeDeadlines  []purgeDeadline        // of all purges that it was notified of
 }
 
-// startRouter starts a router that has nothing but the documents and the endpoint list.
+// startRouter starts a router that has only the documents, the endpoint list and the recent purges.
 func (w *World) startRouter(id int32) error {
 	router := &w.routers[id]
 	module, err := cells.NewAdmission(w.config.routerSettings(router.site), int64(router.random.Uint64()>>1))
@@ -56,12 +56,12 @@
 	return nil
 }
 
-// applyDocuments gives a new module the documents that hold from the start.
+// applyDocuments passes the documents that apply from the start of the run to a new module.
 func (w *World) applyDocuments(module *cells.Admission, clockOffset int64) {
 	module.DocumentClockOffset = clockOffset
 	if w.config.OriginLimit != nil {
 		if err := module.SetOriginLimit(w.now, w.config.OriginLimit); err != nil {
-			panic(err) // New has checked the document
+			panic(err) // New has validated the document
 		}
 	}
 	if w.topology != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// updateEndpoints passes the changes of the endpoint list up to one to a router's module. Of edge caches, routers see
-// those of their own site.
+// updateEndpoints passes the changes of the endpoint list up to a version to a router's module. Routers receive only
+// the edge caches of their own site.
 func (w *World) updateEndpoints(id int32, version int, mode routing.UpdateMode) {
 	router := &w.routers[id]
 	if router.endpointVersion >= version {
@@ -98,18 +98,19 @@
 	}
 }
 
-// waitedForCore is the value of an eventAtRouter of a request that has had its turn.
+// waitedForCore is the value of an eventAtRouter for a request that has waited for the router's core.
 const waitedForCore = 1
 
-// rejectionCostFraction is what a rejected request takes of a router's core, of what any other takes.
+// rejectionCostFraction is the CPU time of a router for a rejected request, as a fraction of the time for any other.
 const rejectionCostFraction = 0.25
 
-// refundCore gives back the time of a router's core that a rejected request did not take.
+// refundCore subtracts the CPU time that a rejected request did not use from the time reserved for it.
 func (w *World) refundCore(router *simulatedRouter) {
 	router.freeAt -= int64(w.config.RouterCPUMicros * (1 - rejectionCostFraction))
 }
 
-// arriveAtRouter lets a request arrive, wait until the router's core is free, and be decided.
+// arriveAtRouter handles the arrival of a request, which waits until the router's core is free and is then passed to
+// the module. A request that exceeds its tenant's rate limit is rejected before.
 func (w *World) arriveAtRouter(e *event) {
 	request := &w.requests[e.target]
 	router := &w.routers[request.router]
@@ -147,8 +148,8 @@
 	}
 }
 
-// routerDeadline is until when a router may answer a request that arrives now: a tenth of the client's deadline, but
-// 5 to 25 ms, is kept for the way back.
+// routerDeadline returns the time by which a router must answer a request that arrives now. A tenth of the client's
+// deadline, but at least 5 ms and at most 25 ms, is reserved for the way back.
 func (w *World) routerDeadline(operation *clientOperation) int64 {
 	deadline := classModels[operation.class].deadlineMs
 	reserve := min(max(0.1*deadline, 5), 25)
@@ -168,7 +169,7 @@
 	}
 }
 
-// tokenBucket is a plain rate limit of one tenant at one router.
+// tokenBucket is the rate limit of one tenant at one router.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt int64
@@ -176,11 +177,11 @@
 
 // Depth of a token bucket.
 const (
-	bucketDepth     = 2 * second // at the tenant's rate
-	minBucketTokens = 3          // at least
+	bucketDepth     = 2 * second // time to fill it at the tenant's rate
+	minBucketTokens = 3          // minimum depth
 )
 
-// withinRateLimit takes a token of the tenant's rate limit at the router; false: there is none.
+// withinRateLimit takes a token from the tenant's rate limit at the router. It returns false if there is none.
 func (w *World) withinRateLimit(router *simulatedRouter, operation *clientOperation) bool {
 	rate := w.rateLimits[operation.tenant]
 	depth := max(rate*float64(bucketDepth), minBucketTokens)
@@ -198,7 +199,7 @@
 	return true
 }
 
-// stepRouter passes an event to a router's module and does what it decides.
+// stepRouter passes an event to a router's module and carries out the returned actions.
 func (w *World) stepRouter(id int32, ev routing.Event) {
 	for _, action := range w.routers[id].module.Step(w.now, []routing.Event{ev}) {
 		switch action.Kind {
@@ -228,8 +229,8 @@
 	}
 }
 
-// answerRequest takes the one answer to a request: the response of an attempt (routing.ActionSend), a rejection or a
-// failure. It reaches the client later.
+// answerRequest schedules the delivery of the answer to a request: the response of an attempt (routing.ActionSend), a
+// rejection or a failure. It counts a violation if the request already has an answer or still has an attempt in flight.
 func (w *World) answerRequest(requestID int32, action routing.Action) {
 	request := &w.requests[requestID]
 	if request.answered {
@@ -254,16 +255,16 @@
 	}
 }
 
-// killRouter ends a router's process. Its requests are lost, and the frontend sees that later.
+// killRouter crashes a router. Its requests are lost, and the frontend detects the crash after frontendDetectionDelay.
 func (w *World) killRouter(id int32) {
 	router := &w.routers[id]
-	died := router.generation
+	generation := router.generation
 	router.running = false
 	router.generation++
 	for requestID := range w.requests {
 		request := &w.requests[requestID]
-		isItsOwn := request.router == id && request.routerGeneration == died && request.callID != ""
-		if !isItsOwn || request.closed || request.answered || w.now <= 0 {
+		isOwn := request.router == id && request.routerGeneration == generation && request.callID != ""
+		if !isOwn || request.closed || request.answered || w.now <= 0 {
 			continue
 		}
 		if request.attempt >= 0 {
--- a/emulator/served_by_size.go
+++ b/emulator/served_by_size.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Served ratios by size show whether routers reject the large objects of a class first, which they must not.
+// Served ratios by size show whether routers prefer to reject the large objects of a class, which they must not.
 
 const (
-	largestFraction     = 0.1 // of a class's operations are its largest
-	nextLargestFraction = 0.2 // are the next ones
+	largestFraction     = 0.1 // fraction of a class's operations that are its largest
+	nextLargestFraction = 0.2 // fraction that are the next largest
 
-	// A class of fewer operations than smallClassOperations has more largest ones, so that chance evens out.
+	// A class with fewer operations than smallClassOperations uses a larger fraction, to reduce the random variation.
 	smallClassOperations      = 400
 	smallClassLargestFraction = 0.25
 )
 
-// endedOperation is an operation that has ended.
+// endedOperation is the size and outcome of an operation that has ended.
 type endedOperation struct {
 	sizeKB float64
 	served bool
@@ -28,8 +28,8 @@
 	}
 }
 
-// servedRatiosBySize returns the served ratio of the largest operations, and that of the next ones, each over the
-// served ratio of all; 1 where none was served.
+// servedRatiosBySize returns the served ratios of the largest and of the next largest operations, each divided by the
+// served ratio of all. Both are 1 if no operation was served.
 func servedRatiosBySize(operations []endedOperation) (largest, next float64) {
 	bySize := slices.Clone(operations)
 	slices.SortStableFunc(bySize, func(a, b endedOperation) int { return cmp.Compare(b.sizeKB, a.sizeKB) })
@@ -47,7 +47,8 @@
 	return servedRatio(bySize[:nextFrom]) / all, servedRatio(bySize[nextFrom:nextTo]) / all
 }
 
-// servedRatio is 1 for an empty list: nobody is worse off there.
+// servedRatio returns the fraction of operations that were served, or 1 for an empty list, so that an empty list does
+// not indicate a bias.
 func servedRatio(operations []endedOperation) float64 {
 	if len(operations) == 0 {
 		return 1
