--- a/emulator/servers.go
+++ b/emulator/servers.go
@@ -6,7 +6,7 @@
 	"spantack/routing"
 )
 
-// serverKind tells edge caches, parents and the origin apart.
+// serverKind distinguishes edge caches, parents and the origin.
 type serverKind uint8
 
 const (
@@ -15,51 +15,51 @@
 	originServer
 )
 
-// noSite is the site of a server that stands at none.
+// noSite is the site of servers that are not at a site: parents and the origin.
 const noSite = -1
 
-// Bounds of what a server takes, in multiples of its streams.
+// Limits of a server, as multiples of its streams.
 const (
-	activePerStream = 8 // answers in flight
-	fillsPerStream  = 5 // fills of an edge cache in flight
+	activePerStream = 8 // responses in progress
+	fillsPerStream  = 5 // fills of an edge cache in progress
 )
 
-// simulatedServer is an edge cache, a parent or the origin. It keeps its place in World.servers when it is gone.
+// simulatedServer is an edge cache, a parent or the origin. Its slot in World.servers is not reused when it is removed.
 type simulatedServer struct {
 	name      string
 	kind      serverKind
-	site      int // of an edge cache; else noSite
-	hub       int // of a parent
+	site      int // site of an edge cache, otherwise noSite
+	hub       int // hub of a parent
 	running   bool
-	startedAt int64 // 0: long ago
+	startedAt int64 // 0: before the run, already warm
 	status    routing.EndpointStatus
 
-	streams   float64 // responses that it sends at full rate at once
-	maxActive int     // answers in flight that it takes
-	active    int     // answers in flight
-	fills     int     // of an edge cache, in flight
-	link      int32   // over which it sends
-	store     *lru    // nil: the origin
+	streams   float64 // concurrent responses that it can send at full rate
+	maxActive int     // maximum of active
+	active    int     // responses in progress
+	fills     int     // fills of an edge cache in progress
+	link      int32   // link that it sends over
+	store     *lru    // nil for the origin
 
-	fetches map[uint64]int32 // of a parent: fetches from the origin in flight, by chunk
+	fetches map[uint64]int32 // for a parent: fetches from the origin in progress, by chunk
 
-	recentWork []receivedWork // within overloadWindow, while it warms up
+	recentWork []receivedWork // work received within overloadWindow, while it warms up
 	recentKB   float64        // sum of recentWork
 
-	drainNoticeAt map[int32]int64 // when each router was told that it drains
+	drainNoticeAt map[int32]int64 // time of the drain notice, by router
 
-	cell        int32 // by the endpoint list of cellVersion; -1: none
+	cell        int32 // according to the endpoint list of cellVersion; -1: none
 	cellVersion int
 }
 
-// receivedWork is an answer that a server was asked for.
+// receivedWork is a response requested from a server.
 type receivedWork struct {
 	receivedAt int64
 	sizeKB     float64
 	router     int32
 }
 
-// addServer adds a server that is running and lists it.
+// addServer adds a running server to the world and the endpoint list, and returns its index.
 func (w *World) addServer(server simulatedServer) int32 {
 	server.running = true
 	server.status = routing.EndpointHealthy
@@ -71,12 +71,12 @@
 	return id
 }
 
-// nameHashFactor spreads the numbers in servers' names, as names are hashed to place objects.
+// nameHashFactor spreads the numbers in server names, as the placement of objects hashes the names.
 const nameHashFactor = 2654435761
 
 func parentName(i int) string { return fmt.Sprintf("p-%08x", uint32(i+1)*nameHashFactor) }
 
-// addCache adds an edge cache to a site; startedAt is 0 for one that has long been warm.
+// addCache adds an edge cache to a site and returns its index. A startedAt of 0 means that the cache is already warm.
 func (w *World) addCache(site int, startedAt int64) int32 {
 	streams := float64(w.config.StreamsPerCache)
 	kbPerSecond := streams * responseKBPerSecond
@@ -94,7 +94,7 @@
 	return id
 }
 
-// findServer returns the newest server of a name, or -1.
+// findServer returns the index of the newest server with a name, or -1.
 func (w *World) findServer(name string) int32 {
 	for i := len(w.servers) - 1; i >= 0; i-- {
 		if w.servers[i].name == name {
@@ -104,7 +104,7 @@
 	return -1
 }
 
-// serverNamed is findServer, and remembers what it found.
+// serverNamed is findServer with a cache of the results.
 func (w *World) serverNamed(name string) int32 {
 	if id, known := w.serversByName[name]; known {
 		return id
@@ -114,7 +114,8 @@
 	return id
 }
 
-// publishEndpoint adds a server's state to the endpoint list. Each router has the update later, and in order.
+// publishEndpoint adds a server's current state to the endpoint list. Each running router receives the update within
+// maxEndpointUpdateDelay after this or the previous update, in order.
 func (w *World) publishEndpoint(id int32) {
 	w.endpointChanges = append(w.endpointChanges, w.endpoint(&w.servers[id]))
 	w.changedServers = append(w.changedServers, id)
@@ -135,7 +136,7 @@
 	}
 }
 
-// endpoint returns a server's entry of the endpoint list.
+// endpoint returns a server's entry for the endpoint list.
 func (w *World) endpoint(server *simulatedServer) routing.Endpoint {
 	endpoint := routing.Endpoint{
 		Server:    server.name,
@@ -155,7 +156,7 @@
 	return endpoint
 }
 
-// killServer ends a server's process: its store is empty, its attempts and the fills from it break.
+// killServer crashes a server. Its store is emptied, and the attempts at it and the fills from it fail.
 func (w *World) killServer(id int32) {
 	server := &w.servers[id]
 	server.running = false
@@ -185,7 +186,8 @@
 	}
 }
 
-// restartServer starts a server again, cold and with an empty store, unless it was deregistered meanwhile.
+// restartServer restarts a server, cold and with an empty store, unless it was removed from the endpoint list
+// meanwhile.
 func (w *World) restartServer(id int32) {
 	server := &w.servers[id]
 	if server.status == routing.EndpointRemoved {
--- a/emulator/settings.go
+++ b/emulator/settings.go
@@ -54,8 +54,8 @@
 	return settings
 }
 
-// hierarchySettings returns the part of the settings that concerns caches and the origin. By class: video, catalogue,
-// report; by zone: the hubs, then each site.
+// hierarchySettings returns the settings for caches and the origin. Lists by class are in the order video, catalogue,
+// report; lists by zone are in the order hubs, then each site.
 func (c *Config) hierarchySettings() routing.CacheHierarchy {
 	h := routing.CacheHierarchy{
 		PurgeGracePeriod:       300 * millisecond,
--- a/emulator/store.go
+++ b/emulator/store.go
@@ -1,6 +1,6 @@
 package emulator
 
-// lru is the store of a cache: chunks, of which the least recently used makes way for a new one.
+// lru is the store of a cache. It evicts the least recently used chunks when it exceeds its capacity.
 type lru struct {
 	capacityKB  float64
 	usedKB      float64
@@ -14,15 +14,15 @@
 type cachedChunk struct {
 	key        uint64
 	sizeKB     float64
-	producedAt int64 // when the origin sent it
-	prev, next int32 // by use, towards the most and the least recent; -1: none
+	producedAt int64 // when the origin sent the copy
+	prev, next int32 // neighbours by recency: more and less recently used; -1: none
 }
 
 func newLRU(capacityKB float64) *lru {
 	return &lru{capacityKB: capacityKB, index: map[uint64]int32{}, newest: -1, oldest: -1}
 }
 
-// unlink takes an entry out of the order of use.
+// unlink removes an entry from the recency list.
 func (c *lru) unlink(i int32) {
 	entry := &c.entries[i]
 	if entry.prev >= 0 {
@@ -37,7 +37,7 @@
 	}
 }
 
-// pushFront makes an entry that is not linked the most recently used one.
+// pushFront inserts an unlinked entry at the front of the recency list, as the most recently used.
 func (c *lru) pushFront(i int32) {
 	entry := &c.entries[i]
 	entry.prev = -1
@@ -51,7 +51,8 @@
 	}
 }
 
-// get uses a chunk and returns when it was produced. A chunk produced before minProducedAt counts as absent.
+// get returns when the copy of a chunk was produced and marks it as the most recently used. A copy that was produced
+// before minProducedAt counts as absent.
 func (c *lru) get(key uint64, minProducedAt int64) (producedAt int64, found bool) {
 	i, found := c.index[key]
 	if !found || c.entries[i].producedAt < minProducedAt {
@@ -62,8 +63,8 @@
 	return c.entries[i].producedAt, true
 }
 
-// put stores a chunk as the most recently used one; of two copies the younger stays. A chunk larger than the store is
-// not stored.
+// put stores a chunk as the most recently used one. If a copy exists, the later production time is kept. A chunk larger
+// than the capacity is not stored.
 func (c *lru) put(key uint64, sizeKB float64, producedAt int64) {
 	if sizeKB > c.capacityKB {
 		return
@@ -95,7 +96,7 @@
 	c.pushFront(i)
 }
 
-// evict drops the least recently used chunk.
+// evict removes the least recently used chunk.
 func (c *lru) evict() {
 	i := c.oldest
 	c.usedKB -= c.entries[i].sizeKB
--- a/emulator/tally.go
+++ b/emulator/tally.go
@@ -1,18 +1,18 @@
 package emulator
 
-// Tally counts the operations of some tenants, cells or classes. Weights are in units of the classes' weights.
+// Tally counts the operations of a set of tenants, cells or classes. Weights are sums of class weights.
 type Tally struct {
 	Operations    int64   `json:"asked"`
 	OfferedWeight float64 `json:"offered"` // of all operations
-	TimelyWeight  float64 `json:"timely"`  // of those served within their latency objective, retries included
-	EarnedWeight  float64 `json:"earned"`  // with what late answers are still worth
+	TimelyWeight  float64 `json:"timely"`  // of operations served within their latency objective, including retries
+	EarnedWeight  float64 `json:"earned"`  // including the reduced weight of late responses
 	Served        int64   `json:"served"`
-	Rejected      int64   `json:"refused"` // requests, those of one operation counted each
-	Failed        int64   `json:"failed"`  // as well
+	Rejected      int64   `json:"refused"` // requests; each request of an operation counts
+	Failed        int64   `json:"failed"`  // requests, counted in the same way
 	Unserved      int64   `json:"lost"`    // operations that were never served
 }
 
-// TimelyRatio returns the timely part of what was offered; 0 for an empty tally.
+// TimelyRatio returns TimelyWeight over OfferedWeight, or 0 if nothing was offered.
 func (t Tally) TimelyRatio() float64 {
 	if t.OfferedWeight == 0 {
 		return 0
@@ -37,7 +37,7 @@
 	t.Unserved += o.Unserved
 }
 
-// Second is one second of the day, without the noisy tenant.
+// Second contains the tallies of one second of the run, without the noisy tenant.
 type Second struct {
 	OtherCells Tally
 	NoisyCell  Tally // the cell of the noisy tenant
--- a/emulator/topology.go
+++ b/emulator/topology.go
@@ -8,8 +8,8 @@
 	"spantack/core/hierarchy"
 )
 
-// TopologyTrial is a trial of topologies: random ones, a third of them also with a loop planted. Each is then changed
-// some times, while fills run through nodes of which a part has not heard of the last changes yet.
+// TopologyTrial is a trial of random topologies. For a third of them it also checks that an added loop is rejected.
+// Each topology is then changed several times, while fills pass through nodes that do not all have the latest version.
 type TopologyTrial struct {
 	Topologies      int `json:"shapes"`
 	MaxParentGroups int `json:"areas"`
@@ -18,7 +18,7 @@
 	FillsPerChange  int `json:"fills"`
 }
 
-// Validate returns an error that names the first field which can't be used, as experiments spell it.
+// Validate returns an error that names the first field that is out of range by its name in experiment files.
 func (t *TopologyTrial) Validate() error {
 	return checkBounds("shapes.", []bounds{
 		{"shapes", float64(t.Topologies), 1, 1e5},
@@ -29,41 +29,41 @@
 	})
 }
 
-// TopologyTrialResult is what a trial counted.
+// TopologyTrialResult contains the counts of a trial.
 type TopologyTrialResult struct {
 	Valid            int64 // topologies without a loop
 	ValidRejected    int64
-	WithLoop         int64 // topologies with a planted loop
+	WithLoop         int64 // topologies with an added loop
 	LoopsAccepted    int64
-	LoopsMisreported int64 // the error named none, or one that the topology does not have
+	LoopsMisreported int64 // the error named no loop, or one that the topology does not have
 	Fills            int64
 	ByGuard          map[string]*FillOutcomes
 }
 
-// FillOutcomes is what became of the fills under one guard against loops.
+// FillOutcomes counts the outcomes of the fills under one guard against loops.
 type FillOutcomes struct {
-	Served   int64 // reached the origin
-	Stuck    int64 // found no route, or went round and round
+	Served   int64 // fills that reached the origin
+	Stuck    int64 // fills that found no route or exceeded maxVisits
 	Revisits int64 // fills that visited a node twice
 	Hops     int64
 }
 
-// Guards against loops that are compared.
+// Guards against loops that the trial compares.
 const (
 	guardNone = "plain" // each node forwards by its own topology
-	guardPeer = "asker" // a node also sees which node asks it
-	guardPath = "path"  // a fill carries its path; a node without a route says so, and the one before tries the next
+	guardPeer = "asker" // a node also knows which node it received the fill from
+	guardPath = "path"  // a fill carries its path; if a node reports no route, the previous node tries another
 )
 
 var loopGuards = []string{guardNone, guardPeer, guardPath}
 
-// maxVisits ends a fill that goes round and round.
+// maxVisits is the number of visited nodes after which a fill in a loop ends.
 const maxVisits = 64
 
-// loopEvery is of how many topologies one has a loop planted.
+// loopEvery is the interval, in topologies, at which a loop is added.
 const loopEvery = 3
 
-// Run plays the trial. The same seed gives the same result.
+// Run executes the trial. The same seed gives the same result.
 func (t *TopologyTrial) Run(seed uint64) (*TopologyTrialResult, error) {
 	if err := t.Validate(); err != nil {
 		return nil, err
@@ -79,7 +79,8 @@
 	return result, nil
 }
 
-// runTopology draws a topology, tests that a loop in it is found, and runs fills through its versions.
+// runTopology generates a random topology, checks that an added loop is detected if withLoop is set, and runs fills
+// through the versions of the topology.
 func (t *TopologyTrial) runTopology(rng *rand.Rand, withLoop bool, result *TopologyTrialResult) {
 	groups := 2 + rng.IntN(max(t.MaxParentGroups-1, 1))
 	sites := 1 + rng.IntN(t.MaxSites)
@@ -87,7 +88,7 @@
 	if withLoop {
 		result.countLoop(plantLoop(rng, topology))
 	}
-	graphs := map[string]*hierarchy.Graph{} // that each node has
+	graphs := map[string]*hierarchy.Graph{} // the version that each node has
 	for version := 1; version <= t.Changes+1; version++ {
 		if version > 1 {
 			topology = changeTopology(rng, topology, groups)
@@ -99,7 +100,7 @@
 			result.ValidRejected++
 			return
 		}
-		for _, node := range nodeNames(topology) { // half of them hear of it now, the others of a later one
+		for _, node := range nodeNames(topology) { // half of the nodes receive it now, the others a later one
 			if graphs[node] == nil || rng.IntN(2) == 0 {
 				graphs[node] = graph
 			}
@@ -116,7 +117,7 @@
 	}
 }
 
-// countLoop counts whether the loop of a topology is found and named.
+// countLoop counts whether the loop of a topology is detected and named.
 func (r *TopologyTrialResult) countLoop(topology *hierarchy.Topology) {
 	r.WithLoop++
 	_, err := hierarchy.Compile(topology)
@@ -128,18 +129,18 @@
 	}
 }
 
-// fillRun is a fill on its way through nodes that may have different topologies.
+// fillRun is a fill that passes through nodes that may have different versions of the topology.
 type fillRun struct {
 	graphs   map[string]*hierarchy.Graph
 	guard    string
 	rng      *rand.Rand
 	outcomes *FillOutcomes
 	visited  map[string]bool
-	noRoute  []string // nodes that said so; with guardPath only
+	noRoute  []string // nodes that reported no route; only with guardPath
 	revisits bool
 }
 
-// followFill follows one fill from a site, and counts what becomes of it.
+// followFill simulates one fill from a site and counts its outcome.
 func followFill(
 	graphs map[string]*hierarchy.Graph, site, guard string, rng *rand.Rand, outcomes *FillOutcomes,
 ) {
@@ -161,7 +162,8 @@
 	}
 }
 
-// reachesOrigin passes the fill from a node to one of the next ones, and on to the origin.
+// reachesOrigin forwards the fill from a node to one of the given next nodes, and recursively towards the origin. It
+// returns false if the fill does not arrive.
 func (f *fillRun) reachesOrigin(node string, nodes []string, path hierarchy.FillPath) bool {
 	for len(nodes) > 0 && len(path.Visited) < maxVisits {
 		i := f.rng.IntN(len(nodes))
@@ -188,7 +190,7 @@
 	return false
 }
 
-// forward returns where a node that has the fill from another one would pass it.
+// forward returns the nodes to which a node may forward the fill that it received from another node, and the new path.
 func (f *fillRun) forward(
 	from, node string, path hierarchy.FillPath,
 ) (parents []string, next hierarchy.FillPath, err error) {
--- a/emulator/topology_config.go
+++ b/emulator/topology_config.go
@@ -9,14 +9,14 @@
 // Styles of a world's topology document.
 const (
 	TopologyPlanned = "planned" // all links, each with its capacity
-	TopologyNearest = "nearest" // all hubs, none with a bound: sites fill from the nearest hub that is there
-	TopologyDirect  = "direct"  // the near hub, and without it the origin, none with a bound
+	TopologyNearest = "nearest" // links to all hubs with no capacity limit: sites fill from the nearest available hub
+	TopologyDirect  = "direct"  // links to the near hub, and to the origin if the hub fails, with no capacity limit
 )
 
-// unboundedKBPerSecond is more than any server or link can take.
+// unboundedKBPerSecond is a capacity above that of any server or link.
 const unboundedKBPerSecond = 1e9
 
-// minimalFillKBPerSecond is a load of a site that fits everywhere.
+// minimalFillKBPerSecond is a site load that fits on every link.
 const minimalFillKBPerSecond = 1
 
 // originNode is the origin's name in topologies.
@@ -24,10 +24,11 @@
 
 func hubName(hub int) string { return fmt.Sprintf("hub-%d", hub) }
 
-// BuildTopology returns the topology of a world with hubs as staff would write it, in one of the styles above.
+// BuildTopology returns the topology document of a world with hubs as operators would write it, in one of the styles
+// above. It returns an error if the world has no hubs.
 func (c *Config) BuildTopology(style string) (*hierarchy.Topology, error) {
 	if c.Hubs < 1 {
-		return nil, fmt.Errorf("shape: hubs: %d is under 1", c.Hubs)
+		return nil, fmt.Errorf("shape: hubs: %d is less than 1", c.Hubs)
 	}
 	t := &hierarchy.Topology{
 		Version: 1,
@@ -93,7 +94,7 @@
 		return link
 	}
 	link.RTTMillis = roundTripMillis(hubDelay + remoteHubExtraDelay)
-	if style == TopologyNearest { // so far away that no object is placed there
+	if style == TopologyNearest { // far enough that no object is placed there
 		link.RTTMillis = hierarchy.RejectionCostMillis / 2
 	}
 	if c.RemoteHubCapacityFactor > 0 && style == TopologyPlanned {
--- a/emulator/topology_random.go
+++ b/emulator/topology_random.go
@@ -8,7 +8,7 @@
 	"spantack/core/hierarchy"
 )
 
-// Capacities in random topologies. Fills do not use them up.
+// Capacities in random topologies. The fills stay below them.
 const (
 	randomOriginKBPerSecond = 1e4
 	randomLinkKBPerSecond   = 1000
@@ -30,7 +30,7 @@
 	return names
 }
 
-// randomTopology draws a topology without loops.
+// randomTopology returns a random topology without loops.
 func randomTopology(rng *rand.Rand, groups, sites int) *hierarchy.Topology {
 	origin := hierarchy.Origin{Name: originNode, CapacityKBPerS: randomOriginKBPerSecond}
 	t := &hierarchy.Topology{Origin: origin}
@@ -49,7 +49,8 @@
 	return hierarchy.Link{From: from, To: to, CapacityKBPerS: randomLinkKBPerSecond}
 }
 
-// randomLinks draws an order of the parent groups, and links that all lead down it to the origin.
+// randomLinks orders the parent groups at random and returns random links that lead only to earlier groups or to the
+// origin, so that there are no loops.
 func randomLinks(rng *rand.Rand, groups, sites int) (links []hierarchy.Link) {
 	order := rng.Perm(groups)
 	for i, group := range order {
@@ -68,8 +69,8 @@
 	return links
 }
 
-// changeTopology returns a topology with a change that leaves it valid: all links drawn anew, all links of one parent
-// group replaced by one to the origin, or a link gone that its node can do without.
+// changeTopology returns a copy of a topology with a random change that keeps it valid: all links are replaced, all
+// links of one parent group are replaced by one to the origin, or one link is removed if its node has another.
 func changeTopology(rng *rand.Rand, t *hierarchy.Topology, groups int) *hierarchy.Topology {
 	next := *t
 	next.Links = slices.Clone(t.Links)
@@ -99,8 +100,8 @@
 	return links
 }
 
-// plantLoop returns a topology with a link more that closes a loop: from a parent group that some group leads to,
-// back to that one.
+// plantLoop returns a copy of a topology with an additional link that closes a loop: from a parent group that is
+// reachable from a random group, back to that group.
 func plantLoop(rng *rand.Rand, t *hierarchy.Topology) *hierarchy.Topology {
 	next := *t
 	next.Version = 1
@@ -113,12 +114,12 @@
 		}
 		end = links[rng.IntN(len(links))].To
 	}
-	place := rng.IntN(len(t.Links) + 1)
-	next.Links = slices.Insert(slices.Clone(t.Links), place, randomLink(end, start))
+	position := rng.IntN(len(t.Links) + 1)
+	next.Links = slices.Insert(slices.Clone(t.Links), position, randomLink(end, start))
 	return &next
 }
 
-// hasReportedLoop reports that the loop which an error names is one of the topology's.
+// hasReportedLoop reports whether the topology contains the loop that an error names.
 func hasReportedLoop(t *hierarchy.Topology, err error) bool {
 	nodes := hierarchy.Cycle(err)
 	if len(nodes) < 2 || nodes[0] != nodes[len(nodes)-1] {
--- a/emulator/topology_test.go
+++ b/emulator/topology_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Each planted loop is rejected and named, no valid topology is rejected, and a fill that carries its path visits no
-// node twice; without a guard many do.
-func TestTopologyTrial(t *testing.T) {
+// Guards against loops that are accepted or misreported, valid topologies that are rejected, and fills that visit a
+// node twice although they carry their path. Without a guard many fills do, which shows that the trial can detect it.
+func TestTopologyLoopsAreDetected(t *testing.T) {
 	trial := TopologyTrial{Topologies: 150, MaxParentGroups: 16, MaxSites: 4, Changes: 5, FillsPerChange: 10}
 	r, err := trial.Run(21)
 	if err != nil {
@@ -18,9 +18,9 @@
 		t.Errorf("revisits: %d by path, %d by peer, %d without a guard", path.Revisits, peer.Revisits, none.Revisits)
 	}
 	if path.Served+path.Stuck != r.Fills || path.Stuck > r.Fills/20 {
-		t.Errorf("%+v of %d fills", path, r.Fills)
+		t.Errorf("guard path: %+v of %d fills", path, r.Fills)
 	}
 	if _, err := (&TopologyTrial{}).Run(1); err == nil {
-		t.Error("a trial without topologies is valid")
+		t.Error("Run accepted a trial without topologies")
 	}
 }
--- a/emulator/validate.go
+++ b/emulator/validate.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// bounds are the values that a field may have, both ends included.
+// bounds is the value of a field with its allowed range, both ends included.
 type bounds struct {
-	field    string // as in experiments
+	field    string // name in experiment files
 	value    float64
 	min, max float64
 }
 
-// check returns an error that names the field unless the value is within the bounds. NaN never is.
+// check returns an error that names the field if the value is out of range. NaN is always out of range.
 func (b bounds) check(path string) error {
 	if b.value >= b.min && b.value <= b.max {
 		return nil
 	}
-	return fmt.Errorf("%s%s: %v is not %v to %v", path, b.field, b.value, b.min, b.max)
+	return fmt.Errorf("%s%s: %v is outside the range %v to %v", path, b.field, b.value, b.min, b.max)
 }
 
-// checkBounds returns the error of the first field that is out of its bounds; path goes before the field's name.
+// checkBounds returns the error of the first field that is out of range, with path before the field's name.
 func checkBounds(path string, all []bounds) error {
 	for _, b := range all {
 		if err := b.check(path); err != nil {
@@ -30,18 +30,18 @@
 	return nil
 }
 
-// Validate returns an error that names the first field which can't be used, as experiments spell it.
+// Validate returns an error that names the first invalid field by its name in experiment files.
 func (c *Config) Validate() error {
 	for _, check := range []func() error{
-		c.validateNumbers,
+		c.validateRanges,
 		c.validateTenants,
 		c.validateRelease,
-		c.validateFractionsOfFaults,
-		c.validateRolloutOfRelease,
+		c.validateFaultFractions,
+		c.validateReleaseRollout,
 		c.validateChanges,
 		c.Deployment.validate,
 		c.validateGossip,
-		c.validatePlacesOfFaults,
+		c.validateFaultTargets,
 	} {
 		if err := check(); err != nil {
 			return err
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (c *Config) validateNumbers() error {
+func (c *Config) validateRanges() error {
 	return checkBounds("", []bounds{
 		{"depots", float64(c.Sites), 1, 256},
 		{"routers", float64(c.RoutersPerSite), 1, 64},
@@ -82,17 +82,17 @@
 
 func (c *Config) validateTenants() error {
 	if c.Flood != nil && !c.isTenant(c.Flood.Tenant) {
-		return fmt.Errorf("flood.tenant: %d is no tenant", c.Flood.Tenant)
+		return fmt.Errorf("flood.tenant: there is no tenant %d", c.Flood.Tenant)
 	}
 	if c.Poison != nil && !c.isTenant(c.Poison.Tenant) {
-		return fmt.Errorf("poison.tenant: %d is no tenant", c.Poison.Tenant)
+		return fmt.Errorf("poison.tenant: there is no tenant %d", c.Poison.Tenant)
 	}
 	if c.CellByTenant != nil && len(c.CellByTenant) != c.Tenants {
-		return errors.New("group: one for each tenant")
+		return errors.New("group: must have one entry for each tenant")
 	}
 	for _, tenant := range c.MigratedTenants {
 		if !c.isTenant(tenant) {
-			return fmt.Errorf("movers: %d is no tenant", tenant)
+			return fmt.Errorf("movers: there is no tenant %d", tenant)
 		}
 	}
 	return nil
@@ -106,33 +106,33 @@
 		return nil
 	}
 	if !(r.StartSeconds >= 0) || !isFraction(r.CatalogueFraction) || !isFraction(r.HarmfulFraction) || c.Cells == nil {
-		return errors.New("release: a time, parts of 0 to 1, and cells")
+		return errors.New("release: needs cells, fromS of at least 0, and part and harm of 0 to 1")
 	}
 	return nil
 }
 
-func (c *Config) validateRolloutOfRelease() error {
+func (c *Config) validateReleaseRollout() error {
 	r := c.Release
 	if r != nil && r.Rollout != nil && r.Rollout.ReplacesObjects != r.ReplacesObjects {
-		return errors.New("release.renews: its stage says otherwise")
+		return errors.New("release.renews: does not match release.stage")
 	}
 	return nil
 }
 
-func (c *Config) validateFractionsOfFaults() error {
+func (c *Config) validateFaultFractions() error {
 	for i, f := range c.Faults {
 		needsFraction := f.Kind == FaultBrownout || f.Kind == FaultPurge
 		if needsFraction && !(f.Fraction > 0 && f.Fraction <= 1) {
-			return fmt.Errorf("faults[%d].part: %v is not above 0 to 1", i, f.Fraction)
+			return fmt.Errorf("faults[%d].part: %v is not above 0 and at most 1", i, f.Fraction)
 		}
 	}
 	return nil
 }
 
-func (c *Config) validatePlacesOfFaults() error {
+func (c *Config) validateFaultTargets() error {
 	for i, f := range c.Faults {
 		if f.Site < -1 || f.Site >= c.Sites || f.Index < 0 {
-			return fmt.Errorf("faults[%d]: there is no such machine", i)
+			return fmt.Errorf("faults[%d]: depot or which is out of range", i)
 		}
 	}
 	return nil
@@ -142,7 +142,7 @@
 	for i, change := range c.Changes {
 		isBeforeLast := i > 0 && change.AtSeconds < c.Changes[i-1].AtSeconds
 		if !(change.AtSeconds >= 0) || isBeforeLast || c.Cells == nil {
-			return fmt.Errorf("changes[%d]: needs cells, and a time not before the last", i)
+			return fmt.Errorf("changes[%d]: needs cells, and a time not before the previous change", i)
 		}
 	}
 	return nil
--- a/emulator/violations.go
+++ b/emulator/violations.go
@@ -1,10 +1,10 @@
 package emulator
 
-// Names of violations as results count them. Scripts and claims read them.
+// Names of violations in results. Scripts and the claims of experiments refer to them.
 const (
 	violationColdServer            = "cold server pushed over"
 	violationDrainedServer         = "sent to a drained server"
-	violationTwoAttemptsOut        = "two attempts of a request out"
+	violationTwoAttemptsInFlight   = "two attempts of a request out"
 	violationTwoAttemptsAtServers  = "two attempts of a request at servers"
 	violationTwoAnswers            = "two answers to a request"
 	violationAnsweredDuringAttempt = "answered with an attempt out"
@@ -13,8 +13,8 @@
 	violationRolledBackVersion     = "an answer of a release that was taken back"
 	violationGossipPayload         = "datagram that its own kind can't use"
 	violationGossipServer          = "datagram on no server"
-	violationRouterStart           = "router does not start: " // and the error
+	violationRouterStart           = "router does not start: " // followed by the error
 )
 
-// violation counts one.
+// violation counts a violation by its name.
 func (r *Result) violation(name string) { r.Violations[name]++ }
--- a/emulator/warm_up.go
+++ b/emulator/warm_up.go
@@ -1,7 +1,7 @@
 package emulator
 
-// acceptsWarmUpLoad counts an answer that a server was asked for while it warms up. If that is more than it can take
-// the server crashes, and the result is false; the attempts at it have ended then.
+// acceptsWarmUpLoad adds a response to the load of a server, if it warms up. If the load exceeds its bound, the server
+// crashes, the attempts at it end, and the function returns false.
 func (w *World) acceptsWarmUpLoad(id int32, sizeKB float64, router int32) bool {
 	server := &w.servers[id]
 	initial, duration, multiple := cacheInitialCapacity, int64(cacheWarmUpTime), cacheOverloadMultiple
@@ -25,7 +25,7 @@
 	return false
 }
 
-// addRecentWork adds to the work of the last overloadWindow.
+// addRecentWork adds work to the sum over the last overloadWindow and removes older work from it.
 func (s *simulatedServer) addRecentWork(work receivedWork) {
 	for len(s.recentWork) > 0 && s.recentWork[0].receivedAt < work.receivedAt-overloadWindow {
 		s.recentKB -= s.recentWork[0].sizeKB
@@ -35,8 +35,9 @@
 	s.recentKB += work.sizeKB
 }
 
-// recordWarmUpLoad measures what part of its bound a server was sent while it warms up, by all routers and by one. A
-// router's share of the bound is an equal one, and its largest request does not count.
+// recordWarmUpLoad updates MaxWarmUpLoad and MaxWarmUpLoadPerRouter: the load of a server over its bound, from all
+// routers and from one. All routers have equal shares of the bound, and the largest request of the router is not
+// counted.
 func (w *World) recordWarmUpLoad(server *simulatedServer, router int32, maxKB float64) {
 	w.result.MaxWarmUpLoad = max(w.result.MaxWarmUpLoad, server.recentKB/maxKB)
 	routers := float64(w.config.RoutersPerSite)
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -10,38 +10,38 @@
 	"spantack/routing"
 )
 
-// World is one deployment on its day. Servers, routers, links and everything that comes and goes are numbered by their
-// place in a slice; places of operations, requests, attempts and fetches are used again, and their generation tells a
-// later one from an earlier.
+// World is the state of one simulated deployment. Servers, routers, links and everything in flight are identified by
+// their index in a slice. The slots of operations, requests, attempts and fetches are reused; the generation of a
+// request, attempt or fetch distinguishes successive users of a slot.
 type World struct {
 	config Config
 	now    int64
-	stopAt int64 // no client arrives from here on
+	stopAt int64 // end of the arrivals of clients
 	queue  eventQueue
 
 	// Documents.
 	assignment         *cells.Assignment   // nil: no cells
-	assignmentByChange []*cells.Assignment // of Config.Changes; nil: unchanged
+	assignmentByChange []*cells.Assignment // by index in Config.Changes; nil: unchanged
 	topology           *hierarchy.Graph    // nil: none
 
 	// Servers and routers.
-	routers       []simulatedRouter // site by site
-	servers       []simulatedServer // the origin, the parents, then edge caches
+	routers       []simulatedRouter // ordered by site
+	servers       []simulatedServer // the origin, the parents, then the edge caches
 	serversByName map[string]int32
 	origin        int32
-	cachesBySite  [][]int32 // present edge caches, in the order in which they were first listed
-	rateLimits    []float64 // requests a microsecond and router, by tenant; nil: none
+	cachesBySite  [][]int32 // current edge caches, in the order in which they were added
+	rateLimits    []float64 // requests per microsecond at each router, by tenant; nil: none
 
 	// The network.
 	links          []link
 	siteLinks      []int32 // link into each site
-	remoteHubLinks []int32 // line from a remote hub, by site and hub; nil: unbounded
+	remoteHubLinks []int32 // line from a remote hub, by site and hub; nil: unlimited
 
 	// The endpoint list.
 	endpointChanges []routing.Endpoint
-	changedServers  []int32 // server of each change
+	changedServers  []int32 // index of the server of each change
 
-	// What is in flight.
+	// Objects in flight, with the free slots of their lists.
 	operations     []clientOperation
 	freeOperations []int32
 	requests       []clientRequest
@@ -54,19 +54,19 @@
 	gossip         gossipState
 	purges         []purge
 
-	// Random draws, by purpose.
+	// Random number generators, by purpose.
 	arrivalRandom []*rand.Rand // by site
 	floodRandom   *rand.Rand
 	miscRandom    *rand.Rand
 
-	// What clients request. The distributions are cumulative.
+	// Distributions of client requests, all cumulative, and names of objects.
 	tenantCDF      []float64
 	objectCDF      []float64
-	classCDF       [classCount]float64 // of operations and sessions; does not end in 1
+	classCDF       [classCount]float64 // of operations and sessions; the last value is not 1
 	objectNames    map[uint64]string
 	oneTimeObjects uint64
 
-	// What is measured.
+	// Measurements.
 	result       Result
 	latency      [classCount]*hdrhistogram.Histogram // microseconds
 	cellGauges   []cellGauge                         // by site and cell; nil: no cells
@@ -74,10 +74,10 @@
 	linkReports  []linkReport // by site
 }
 
-// drainTime is how long a world runs on after its last client has arrived, so that operations end.
+// drainTime is how long a world continues to run after stopAt, so that operations can end.
 const drainTime = 8 * second
 
-// Run plays the day to its end and returns what it came to. A world runs once.
+// Run executes the simulation to its end and returns the result. It must be called only once for a world.
 func (w *World) Run() Result {
 	end := w.stopAt + drainTime
 	for len(w.queue.heap) > 0 {
@@ -95,7 +95,7 @@
 
 func (w *World) push(e event) { w.queue.push(e) }
 
-// handle lets an event happen, unless what it was meant for has gone.
+// handle processes an event, unless it is stale.
 func (w *World) handle(e *event) {
 	if w.isStale(e) {
 		return
@@ -127,8 +127,8 @@
 		w.startFetchAtOrigin(e.target)
 	case eventAnswer:
 		w.answerClient(e.target)
-	case eventClientGivesUp:
-		w.clientGivesUp(e.target)
+	case eventClientTimeout:
+		w.clientTimeout(e.target)
 	case eventClientRetry:
 		w.sendRequest(e.target)
 	case eventEndpointUpdate:
@@ -148,7 +148,7 @@
 	}
 }
 
-// isStale reports that an event's target is of another generation, or a router that is not running.
+// isStale reports whether an event's target has another generation or is a router that is not running.
 func (w *World) isStale(e *event) bool {
 	switch e.kind {
 	case eventRouterTimer, eventEndpointUpdate, eventConfigChange, eventPurge:
@@ -156,7 +156,7 @@
 		return !router.running || router.generation != e.generation
 	case eventAtServer, eventAtSource, eventFillFailed, eventAttemptOutcome, eventAttemptTimeout:
 		return w.attempts[e.target].generation != e.generation
-	case eventAtRouter, eventAnswer, eventClientGivesUp:
+	case eventAtRouter, eventAnswer, eventClientTimeout:
 		return w.requests[e.target].generation != e.generation
 	case eventFetchAtOrigin:
 		return w.fetches[e.target].generation != e.generation
@@ -165,7 +165,7 @@
 	}
 }
 
-// allocate returns a place in a list: a free one, or else a new one at its end.
+// allocate returns the index of a free slot in a list, or of a new slot at its end if none is free.
 func allocate[T any](list *[]T, free *[]int32) int32 {
 	if n := len(*free); n > 0 {
 		id := (*free)[n-1]
--- a/emulator/world_test.go
+++ b/emulator/world_test.go
@@ -11,8 +11,8 @@
 	"spantack/routing"
 )
 
-// faultyDay is a day on which much goes wrong.
-func faultyDay(seed uint64) Config {
+// faultyConfig returns a configuration with a flood and faults of routers, caches, a parent and a whole site.
+func faultyConfig(seed uint64) Config {
 	cfg := smallConfig(seed)
 	addCells(&cfg, 3)
 	cfg.Flood = &Flood{Tenant: 0, Factor: 8, Kind: FloodUnique, StartSeconds: 5, DurationSeconds: 4}
@@ -26,7 +26,8 @@
 	return cfg
 }
 
-func TestCalmDay(t *testing.T) {
+// Guards against a world that serves requests late or not at all under normal load.
+func TestNormalLoadIsServedInTime(t *testing.T) {
 	start := time.Now()
 	r := runWorld(t, smallConfig(1))
 	sum := Tally{}
@@ -43,13 +44,14 @@
 	}
 }
 
-// One seed gives one result, to the byte, however many worlds run beside it.
+// Guards against nondeterminism: the same seed must give the same result to the byte, with several worlds in parallel
+// and on one processor.
 func TestSameSeedSameResult(t *testing.T) {
 	results := make([]string, 6)
 	var wg sync.WaitGroup
 	for i := range results {
 		wg.Go(func() {
-			w, err := New(faultyDay(3))
+			w, err := New(faultyConfig(3))
 			if err != nil {
 				t.Error(err)
 				return
@@ -61,7 +63,7 @@
 			}
 			results[i] = string(text) + fmt.Sprint(r.Seconds)
 		})
-		if i == 2 { // the others run on one processor
+		if i == 2 { // the remaining worlds run on one processor
 			wg.Wait()
 			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 		}
@@ -69,18 +71,18 @@
 	wg.Wait()
 	for _, r := range results {
 		if r != results[0] {
-			t.Fatalf("not the same:\n%s\n%s", results[0], r)
+			t.Fatalf("two runs with the same seed differ:\n%s\n%s", results[0], r)
 		}
 	}
 }
 
-// Days with many faults cause no violation, and all operations are accounted for.
+// Guards against violations and lost operations during many faults.
 func TestFaultsCauseNoViolation(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			r := runWorld(t, faultyDay(seed))
+			r := runWorld(t, faultyConfig(seed))
 			if r.LostWithRouter == 0 {
-				t.Error("no request was at the router that died")
+				t.Error("no request was lost at the crashed router")
 			}
 			all := r.OtherCells().Plus(r.NoisyCell())
 			if ended := all.Served + all.Unserved; ended != all.Operations {
@@ -93,12 +95,12 @@
 	}
 }
 
-// sendTo is a router's action that sends an attempt to a server.
+// sendTo returns a router's action that sends an attempt to a server.
 func sendTo(server string) routing.Action {
 	return routing.Action{Kind: routing.ActionSend, Server: server, Timeout: second}
 }
 
-// The world's own checks find what they are there to find.
+// Guards against checks that detect nothing: causes violations on purpose and expects each to be counted once.
 func TestViolationsAreCounted(t *testing.T) {
 	w := newWorld(t, smallConfig(1))
 	id := w.addCache(0, 1)
@@ -106,7 +108,7 @@
 	for i := 0; i < 10_000 && w.acceptsWarmUpLoad(id, 370, 0); i++ {
 	}
 	if w.result.Violations["cold server pushed over"] != 1 || w.servers[id].running {
-		t.Errorf("a cold cache with ten thousand chunks: %v", w.result.Violations)
+		t.Errorf("violations after an overload of a cold cache: %v", w.result.Violations)
 	}
 	requestID := allocate(&w.requests, &w.freeRequests)
 	w.requests[requestID] = clientRequest{
@@ -129,7 +131,7 @@
 		"two answers to a request",
 	} {
 		if count := w.result.Violations[violation]; count != 1 {
-			t.Errorf("%s: counted %d times", violation, count)
+			t.Errorf("%s: counted %d times, want 1", violation, count)
 		}
 	}
 }
