--- a/emulator/deployment_test.go
+++ b/emulator/deployment_test.go
@@ -46,9 +46,9 @@
 }
 
 // Guards against lost or late requests in a deployment where routers may use only edge caches. Reports reach the origin
-// through a cache, which must not store them. Without faults nearly all requests are served in time although the origin
-// is far away.
-func TestCachesOnly(t *testing.T) {
+// through a cache, which does not store them, and nothing goes directly to parents or the origin. Without faults nearly
+// all requests are served in time although the origin is far away.
+func TestCachesOnlyServesInTime(t *testing.T) {
 	cfg := customDeploymentConfig(2)
 	cfg.Faults = nil
 	r := runWorld(t, cfg)
--- a/emulator/fetches_test.go
+++ b/emulator/fetches_test.go
@@ -9,7 +9,7 @@
 // Guards against abandoned fetches that continue although parents cancel them, and against transfers that a canceled
 // fetch leaves on the origin's link. A brownout of the origin makes clients time out. Without cancellation at least
 // half of the fetches are abandoned.
-func TestAbandonedFetches(t *testing.T) {
+func TestAbandonedFetchesAreCanceled(t *testing.T) {
 	for _, cancels := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancels ", cancels), func(t *testing.T) {
 			cfg := smallConfig(3)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestBrownoutLeavesSomething(t *testing.T) {
+func TestBrownoutFractionMustBePositive(t *testing.T) {
 	cfg := smallConfig(3)
 	cfg.Faults = []Fault{{Kind: FaultBrownout, Fraction: 0}}
 	if _, err := New(cfg); err == nil {
--- a/emulator/migration_test.go
+++ b/emulator/migration_test.go
@@ -89,7 +89,7 @@
 
 // Guards against migrations that lose requests, cause violations or leave a tenant in two cells when servers or routers
 // fail or a migration is paused or rolled back.
-func TestMigrationsDuringFaults(t *testing.T) {
+func TestMigrationsCompleteDuringFaults(t *testing.T) {
 	deploy := Fault{Kind: FaultDeploy, Site: -1, AtSeconds: 8, DurationSeconds: 14, Fraction: 0.91}
 	for seed := range uint64(2) {
 		base := migrationConfig(t, seed, MigrationTrial{})
--- a/emulator/originlimit_test.go
+++ b/emulator/originlimit_test.go
@@ -64,7 +64,7 @@
 
 // Guards against limits that do not grow when other routers fail. Half of the routers fail while the origin works
 // normally; the others must take over their share.
-func TestOriginLimitRouterFailures(t *testing.T) {
+func TestOriginLimitGrowsAfterRouterFailures(t *testing.T) {
 	trial := limitTrial("gradient")
 	trial.BrownoutDurationSeconds = 0
 	trial.FailedFraction = 0.5
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -21,7 +21,8 @@
 	Unanswered     int64            `json:"overdue"`  // requests without an answer when the client timed out
 	LostWithRouter int64            `json:"lost"`     // requests lost because their router crashed
 	Admission      cells.Stats      `json:"gate"`     // of the last process of each router
-	Unfinished     int64            `json:"unended"`  // operations neither served nor ended as unserved
+	// Unfinished counts operations neither served nor ended as unserved, without the warm-up and the noisy tenant.
+	Unfinished int64 `json:"unended"`
 
 	// Edge caches and the origin.
 	Hits     int64   `json:"hits"`
--- a/emulator/rollout_test.go
+++ b/emulator/rollout_test.go
@@ -8,9 +8,9 @@
 
 // Guards against responses of the wrong version during a release that replaces objects, while a router crashes, clocks
 // differ and caches are replaced. A cell that has the release must not respond with the old version, a cell without it
-// must mostly respond with the old version, and after the rollback no cell may respond with the new version. This also
-// applies to routers that have stopped the release themselves.
-func TestReleaseDuringFaults(t *testing.T) {
+// must mostly respond with the old version, and after the rollback no cell may respond with the new version. For
+// routers that have stopped the release themselves, the last condition applies from the time of the rollback on.
+func TestReleaseVersionsDuringFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		harmful    float64
 		onRollback string
--- a/emulator/servers.go
+++ b/emulator/servers.go
@@ -114,8 +114,8 @@
 	return id
 }
 
-// publishEndpoint adds a server's current state to the endpoint list. Each running router receives the update within
-// maxEndpointUpdateDelay after this or the previous update, in order.
+// publishEndpoint adds a server's current state to the endpoint list. Each running router receives the updates in
+// order, each within maxEndpointUpdateDelay.
 func (w *World) publishEndpoint(id int32) {
 	w.endpointChanges = append(w.endpointChanges, w.endpoint(&w.servers[id]))
 	w.changedServers = append(w.changedServers, id)
