--- a/emulator/arrivals.go
+++ b/emulator/arrivals.go
@@ -19,13 +19,14 @@
 
 // arrivalGap returns a random, exponentially distributed time until the next client arrives at a site.
 func (w *World) arrivalGap(site int) int64 {
-	perSecond := w.config.RequestsPerSecond * w.classCDF[classCount-1] / float64(w.config.Sites)
+	perSecond := w.config.RequestsPerSecond * w.classCumulativeWeight[classCount-1] / float64(w.config.Sites)
 	return fromSeconds(w.arrivalRandom[site].ExpFloat64() / perSecond)
 }
 
-// arrival starts a client at a site and schedules the next arrival there, until stopAt. If there are migrated tenants,
-// it also samples the cells and the migration progress every sampleInterval.
-func (w *World) arrival(site int) {
+// handleArrival starts a client at a site and schedules the next arrival there, until stopAt. If there are migrated
+// tenants, it also records the utilization of each cell and the progress of the migrations, at most once every
+// sampleInterval.
+func (w *World) handleArrival(site int) {
 	if w.now >= w.nextSampleAt && len(w.config.MigratedTenants) > 0 {
 		w.nextSampleAt = w.now + sampleInterval
 		w.recordMigrationSpread()
@@ -103,11 +104,11 @@
 	return min(tenant, w.config.Tenants-1)
 }
 
-// drawClass returns a random class for an operation or a session, weighted by classCDF.
+// drawClass returns a random class for an operation or a session, weighted by classCumulativeWeight.
 func (w *World) drawClass(rng *rand.Rand) int {
-	draw := rng.Float64() * w.classCDF[classCount-1]
+	draw := rng.Float64() * w.classCumulativeWeight[classCount-1]
 	class := 0
-	for draw > w.classCDF[class] {
+	for draw > w.classCumulativeWeight[class] {
 		class++
 	}
 	return class
@@ -173,12 +174,13 @@
 	return c.meanKB * math.Exp(c.sigma*normal-c.sigma*c.sigma/2)
 }
 
-// hugeFloodChunks is the number of chunks of each video that a FloodHuge requests.
+// hugeFloodChunks is the number of chunks, from the first on, of which a FloodHuge requests a random one for each
+// video that it draws.
 const hugeFloodChunks = 15
 
-// floodRequest starts an operation of the flood at a random site and schedules the next one. It stops at the end of the
-// flood or at stopAt.
-func (w *World) floodRequest() {
+// startFloodRequest starts an operation of the flood at a random site and schedules the next one. It stops at the end
+// of the flood or at stopAt.
+func (w *World) startFloodRequest() {
 	flood := w.config.Flood
 	end := fromSeconds(flood.StartSeconds + flood.DurationSeconds)
 	if w.now >= min(end, w.stopAt) {
--- a/emulator/attempts.go
+++ b/emulator/attempts.go
@@ -16,9 +16,11 @@
 	sentAt            int64
 	fillStartedAt     int64 // when server sent the fill request to source; 0: not yet
 
-	outcome      routing.AttemptOutcome
-	cacheStatus  routing.CacheStatus
-	upstreamWait int64 // time for the fill beyond sending the response at full rate
+	outcome     routing.AttemptOutcome
+	cacheStatus routing.CacheStatus
+	// upstreamWait is the duration of the fill minus the time to send the response at full rate, at least 0. For a
+	// failed fill it is the whole duration.
+	upstreamWait int64
 	producedAt   int64 // when the origin sent the served copy
 
 	links           [attemptSegments]int32 // links that its data is on, by segment; -1: none
@@ -45,7 +47,7 @@
 func (w *World) sendAttempt(requestID int32, action routing.Action) {
 	request := &w.requests[requestID]
 	if request.attempt >= 0 {
-		w.result.violation(violationTwoAttemptsInFlight)
+		w.result.countViolation(violationTwoAttemptsInFlight)
 		return
 	}
 	server := w.serverNamed(action.Server)
@@ -73,7 +75,7 @@
 	w.result.Attempts++
 	noticeAt, isDrained := w.servers[server].drainNoticeAt[request.router]
 	if isDrained && w.now > noticeAt+drainGracePeriod {
-		w.result.violation(violationDrainedServer)
+		w.result.countViolation(violationDrainedServer)
 	}
 	w.pushForAttempt(id, eventAtServer, w.networkDelay(attempt.site, &w.servers[server]))
 	w.pushForAttempt(id, eventAttemptTimeout, min(action.Timeout, max(request.deadline-w.now, 1)))
@@ -84,7 +86,8 @@
 	w.push(event{time: w.now + delay, kind: kind, target: id, generation: w.attempts[id].generation})
 }
 
-// arriveAtServer handles the arrival of an attempt at its server, which answers, fills, rejects or fails.
+// arriveAtServer handles the arrival of an attempt at its server, which answers it, fills first, rejects it or ends it
+// with an error.
 func (w *World) arriveAtServer(id int32) {
 	attempt := &w.attempts[id]
 	server := &w.servers[attempt.server]
@@ -95,7 +98,7 @@
 	}
 	request.attemptsAtServers++
 	if request.attemptsAtServers > 1 {
-		w.result.violation(violationTwoAttemptsAtServers)
+		w.result.countViolation(violationTwoAttemptsAtServers)
 	}
 	attempt.atServer = true
 	operation := &w.operations[request.operation]
@@ -107,7 +110,7 @@
 		w.endAttempt(id, routing.OutcomeRejected, routing.CacheStatusUnknown)
 		return
 	}
-	if !w.acceptsWarmUpLoad(attempt.server, operation.sizeKB, request.router) {
+	if !w.addWarmUpLoad(attempt.server, operation.sizeKB, request.router) {
 		return
 	}
 	server.active++
@@ -119,8 +122,9 @@
 	w.answerFromCache(id, server, operation)
 }
 
-// serverFailure returns the outcome if a server fails an operation on its own, because of a harmful object of the
-// release or a poisoned tenant. If fails is false the server handles the operation normally.
+// serverFailure returns the outcome if a server fails an operation at once, because its tenant is poisoned or its
+// object is a harmful new object of the release. Replaced objects that are harmful fail later, in completeIfDelivered.
+// If fails is false, the server handles the operation normally.
 func (w *World) serverFailure(
 	server *simulatedServer, operation *clientOperation,
 ) (outcome routing.AttemptOutcome, status routing.CacheStatus, fails bool) {
@@ -143,16 +147,17 @@
 // answerFromOrigin sends an attempt's chunk from the origin, which is either the attempt's server or its source.
 func (w *World) answerFromOrigin(id, origin int32) {
 	w.attempts[id].producedAt = w.now
-	w.result.originFill(w, w.sizeKB(id))
+	w.result.recordOriginFill(w, w.sizeKB(id))
 	w.sendFrom(id, origin)
 }
 
-// answerFromCache looks up an attempt's chunk at an edge cache or a parent, which then answers, fills or rejects.
+// answerFromCache looks up an attempt's chunk at an edge cache or a parent. The server then answers with a copy, fills,
+// rejects the attempt, or reports a miss if the attempt has no source.
 func (w *World) answerFromCache(id int32, server *simulatedServer, operation *clientOperation) {
 	attempt := &w.attempts[id]
 	producedAt, isHit := server.store.get(w.chunkKey(id), w.minProducedAt(attempt, attempt.server))
-	isHit = isHit && operation.class != classReport // reports always run at the origin
-	w.result.cacheLookup(server, attempt.server, operation, isHit)
+	isHit = isHit && operation.class != classReport // reports are never served from a copy
+	w.result.recordCacheLookup(server, attempt.server, operation, isHit)
 	switch {
 	case isHit && server.kind == cacheServer:
 		attempt.producedAt = producedAt
@@ -222,8 +227,8 @@
 	w.freeAttempts = append(w.freeAttempts, id)
 }
 
-// attemptOutcome delivers an outcome, and the response if there is one, to the router.
-func (w *World) attemptOutcome(id int32) {
+// deliverOutcome delivers an outcome, and the response if there is one, to the router.
+func (w *World) deliverOutcome(id int32) {
 	attempt := w.attempts[id]
 	w.freeAttempt(id)
 	if !w.detachAttempt(id, &attempt) {
@@ -238,7 +243,7 @@
 	}
 	w.stepRouter(request.router, routing.Event{
 		Kind:         routing.EventOutcome,
-		RequestID:    request.callID,
+		RequestID:    request.routerRequestID,
 		Attempt:      int(request.attemptNumber),
 		Server:       w.servers[attempt.server].name,
 		Outcome:      attempt.outcome,
@@ -260,7 +265,7 @@
 	request := &w.requests[attempt.request]
 	w.stepRouter(request.router, routing.Event{
 		Kind:         routing.EventOutcome,
-		RequestID:    request.callID,
+		RequestID:    request.routerRequestID,
 		Attempt:      int(request.attemptNumber),
 		Server:       w.servers[attempt.server].name,
 		Outcome:      outcome,
@@ -270,7 +275,7 @@
 
 // cancelAttempt drops the attempt that an action names, if it is still in flight.
 func (w *World) cancelAttempt(action routing.Action) {
-	requestID := w.requestByCallID(action.RequestID)
+	requestID := w.findRequest(action.RequestID)
 	if requestID < 0 {
 		return
 	}
--- a/emulator/capacity.go
+++ b/emulator/capacity.go
@@ -17,7 +17,7 @@
 	return max(c.SiteLinkCapacityFactor*c.fillKBPerSecond()/float64(c.Sites), 4*responseKBPerSecond)
 }
 
-// remoteHubKBPerSecond returns the capacity of the line from a remote hub to a site in KB/s, at least the rate of two
+// remoteHubKBPerSecond returns the capacity of the link from a remote hub to a site in KB/s, at least the rate of two
 // responses.
 func (c *Config) remoteHubKBPerSecond() float64 {
 	return max(c.RemoteHubCapacityFactor*c.fillKBPerSecond()/float64(c.Sites), 2*responseKBPerSecond)
--- a/emulator/cell_gauges.go
+++ b/emulator/cell_gauges.go
@@ -10,9 +10,9 @@
 // cellGauge measures the fills and the utilization of the caches of one cell at one site over gaugeWindow.
 type cellGauge struct {
 	fills       []receivedWork
-	fillKB      float64 // sum of fills
-	utilization [gaugeWindow / sampleInterval]float64
-	nextSample  int // index in utilization
+	fillKB      float64                               // sum of fills
+	utilization [gaugeWindow / sampleInterval]float64 // the latest samples, a ring buffer
+	nextSample  int                                   // index of the oldest sample, which the next one replaces
 }
 
 const (
@@ -89,21 +89,21 @@
 		return
 	}
 	count := len(w.config.Cells.Cells)
-	open := make([]float64, count)
+	active := make([]float64, count)
 	streams := make([]float64, count)
 	for site := range w.config.Sites {
-		clear(open)
+		clear(active)
 		clear(streams)
 		for _, id := range w.cachesBySite[site] {
 			server, cell := &w.servers[id], w.cellOfCache(id)
 			if cell < 0 || !server.running {
 				continue
 			}
-			open[cell] += float64(server.active)
+			active[cell] += float64(server.active)
 			streams[cell] += w.cacheCapacity(server) * server.streams
 		}
 		for cell := range count {
-			w.cellGauge(site, cell).addSample(open[cell] / max(streams[cell], 1))
+			w.cellGauge(site, cell).addSample(active[cell] / max(streams[cell], 1))
 			if w.now >= w.result.countFrom+gaugeWindow {
 				w.result.MaxCellUtilization = max(w.result.MaxCellUtilization, w.cellGauge(site, cell).meanUtilization())
 			}
@@ -144,16 +144,16 @@
 			if !router.running {
 				continue
 			}
-			for _, path := range router.module.Migrations(w.now) {
-				if path.Share < 1 {
+			for _, m := range router.module.Migrations(w.now) {
+				if m.Share < 1 {
 					w.result.MigratedAtSeconds = toSeconds(w.now)
 				}
-				p, isKnown := byTenant[path.Tenant]
+				p, isKnown := byTenant[m.Tenant]
 				if !isKnown {
 					p = progress{math.Inf(1), 0}
 				}
-				p = progress{min(p.min, path.Share), max(p.max, path.Share)}
-				byTenant[path.Tenant] = p
+				p = progress{min(p.min, m.Share), max(p.max, m.Share)}
+				byTenant[m.Tenant] = p
 				w.result.MaxMigrationSpread = max(w.result.MaxMigrationSpread, p.max-p.min)
 			}
 		}
--- a/emulator/cell_plan.go
+++ b/emulator/cell_plan.go
@@ -10,8 +10,9 @@
 // budgetFraction is the fraction of a capacity that budgets assign. The rest is headroom for bursts.
 const budgetFraction = 0.8
 
-// PlanCells assigns a world's tenants to count cells of equal shares. Tenants are placed by their shares of the load,
-// and budgets follow from the world's capacities. It returns the assignment and the cell index of each tenant.
+// PlanCells divides the tenants of a world among the given number of cells, which have equal shares of each capacity.
+// Tenants are placed by their shares of the load, and budgets follow from the world's capacities. It returns the
+// assignment and the cell index of each tenant.
 func PlanCells(cfg *Config, count int) (*cells.Spec, []int) {
 	spec := &cells.Spec{Version: 1, Scheme: cells.SchemeFixed, Budget: cfg.cellBudget()}
 	shares := make([]float64, count)
@@ -43,7 +44,8 @@
 	return spec, proposal.CellByTenant
 }
 
-// cellBudget returns the combined budget of all cells of a site.
+// cellBudget returns the budget that all cells share: requests, uncacheable requests and site fills for one site, the
+// capacities of the parents and the origin for all sites, and open requests for one router.
 func (c *Config) cellBudget() cells.Budget {
 	return cells.Budget{
 		RequestsPerSecond:    budgetFraction * 1e6 / max(c.RouterCPUMicros, 1) * float64(c.RoutersPerSite),
--- a/emulator/clients.go
+++ b/emulator/clients.go
@@ -6,8 +6,8 @@
 	"spantack/routing"
 )
 
-// clientOperation is one chunk of an object that a client wants, over all requests that the client sends for it. Its
-// slot in World.operations is freed when it is served or the client stops retrying.
+// clientOperation is what a client does to get one chunk of an object: its first request and all retries. Its slot in
+// World.operations is freed when it is served or the client stops retrying.
 type clientOperation struct {
 	class     int32
 	tenant    int32
@@ -29,7 +29,7 @@
 	operation        int32
 	router           int32
 	routerGeneration uint32
-	callID           string // request ID at the router: index and generation
+	routerRequestID  string // ID of the request in events of the router: generation and index in hexadecimal
 	deadline         int64  // by which the router must answer
 
 	attempt           int32 // in flight; -1: none
@@ -44,12 +44,12 @@
 
 // Retry behaviour of clients.
 const (
-	maxClientRequests        = 3          // for one operation
-	noRetryPercent           = 25         // percentage of clients that do not retry
-	honoursRetryAfterPercent = 55         // percentage of retrying clients that honour Retry-After
-	minClientBackoff         = 50         // ms, minimum before a retry
-	clientBackoffSpread      = 350        // ms, upper bound of the random addition
-	retriesAfterStop         = 2 * second // clients retry until this long after stopAt
+	maxClientRequests         = 3          // for one operation
+	noRetryPercent            = 25         // percentage of clients that give up, drawn after each unsuccessful request
+	honoursRetryAfterPercent  = 55         // percentage of retrying clients that honour Retry-After
+	minClientBackoffMillis    = 50         // minimum time before a retry
+	clientBackoffSpreadMillis = 350        // upper bound of the random addition
+	retriesAfterStop          = 2 * second // clients retry until this long after stopAt
 )
 
 // releaseSelectionSalt is the hash salt that selects the objects of a release.
@@ -89,7 +89,7 @@
 }
 
 // sendRequest sends a request of an operation to the router that frontendChoice selects, and schedules the client
-// timeout.
+// timeout. The frontend is the load balancer that distributes the clients of a site to its routers.
 func (w *World) sendRequest(id int32) {
 	operation := &w.operations[id]
 	operation.requests++
@@ -103,7 +103,7 @@
 		attempt:       -1,
 		attemptNumber: -1,
 	}
-	request.callID = callID(requestID, request.generation)
+	request.routerRequestID = routerRequestID(requestID, request.generation)
 	deadline := int64(classModels[operation.class].deadlineMs) * millisecond
 	w.pushForRequest(requestID, eventAtRouter, clientDelay)
 	w.pushForRequest(requestID, eventClientTimeout, deadline)
@@ -129,14 +129,14 @@
 	return first + chosen
 }
 
-// callID returns the ID of a request at its router: generation and index in hexadecimal.
-func callID(id int32, generation uint32) string {
+// routerRequestID returns the ID of a request at its router: generation and index in hexadecimal.
+func routerRequestID(id int32, generation uint32) string {
 	return strconv.FormatUint(uint64(generation)<<32|uint64(uint32(id)), 16)
 }
 
-// requestByCallID returns the index of the request with a call ID, or -1 if the request has ended.
-func (w *World) requestByCallID(call string) int32 {
-	n, err := strconv.ParseUint(call, 16, 64)
+// findRequest returns the index of the request that has the given ID at its router, or -1 if the request has ended.
+func (w *World) findRequest(text string) int32 {
+	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
 		return -1
 	}
@@ -173,9 +173,9 @@
 }
 
 // retryOperation schedules another request for an operation, or ends the operation as unserved. A client sends at most
-// maxClientRequests requests; at each failure noRetryPercent of the clients stop. Of the retries,
-// honoursRetryAfterPercent wait for retryAfter if it is longer than their backoff. No client retries after a failure
-// later than retriesAfterStop after stopAt.
+// maxClientRequests requests; after each unsuccessful one noRetryPercent of the clients give up. Of the retries,
+// honoursRetryAfterPercent wait for retryAfter if it is longer than their backoff. From retriesAfterStop after stopAt
+// on, no client schedules a retry.
 func (w *World) retryOperation(id int32, retryAfter int64) {
 	operation := &w.operations[id]
 	draw := hashMix(operation.key ^ uint64(operation.startedAt) ^ uint64(operation.requests)<<50)
@@ -185,15 +185,16 @@
 		w.freeOperations = append(w.freeOperations, id)
 		return
 	}
-	backoff := (minClientBackoff + int64(draw>>8%clientBackoffSpread)) * millisecond
+	backoff := (minClientBackoffMillis + int64(draw>>8%clientBackoffSpreadMillis)) * millisecond
 	if draw>>20%100 < honoursRetryAfterPercent {
 		backoff = max(backoff, retryAfter)
 	}
 	w.push(event{time: w.now + backoff, kind: eventClientRetry, target: id})
 }
 
-// clientTimeout closes the connection of a client whose deadline has passed, and reports the abort to the router, which
-// then must not answer. A request without an answer by then counts as unanswered.
+// clientTimeout closes the connection of a client whose deadline has passed. A request that a running router has
+// received but not answered by then counts as unanswered. The abort is reported to this router, which then must not
+// answer.
 func (w *World) clientTimeout(requestID int32) {
 	request := w.requests[requestID]
 	router := &w.routers[request.router]
@@ -205,7 +206,7 @@
 			w.requests[requestID].attempt = -1
 		}
 		w.requests[requestID].answered = true
-		w.stepRouter(request.router, routing.Event{Kind: routing.EventAborted, RequestID: request.callID})
+		w.stepRouter(request.router, routing.Event{Kind: routing.EventAborted, RequestID: request.routerRequestID})
 	}
 	w.freeRequest(requestID)
 	w.result.operationUnserved(&w.operations[request.operation])
--- a/emulator/config.go
+++ b/emulator/config.go
@@ -11,8 +11,9 @@
 	"spantack/core/rollout"
 )
 
-// Config describes a simulated world and one run of it. Capacities are derived from the load: the capacity of a link is
-// its capacity factor times the fills under normal load, which is the load of a run without faults or floods.
+// Config describes a simulated world and one run of it. Capacities are derived from the load: the capacity of a link,
+// of the parents or of the origin is its capacity factor times the rate of its fills under normal load. Normal load is
+// the load of a run without faults or floods.
 type Config struct {
 	Seed uint64 `json:"seed"`
 
@@ -33,13 +34,13 @@
 	OneTimeFraction   float64 `json:"onceShare"`  // fraction of requests for objects requested only once
 
 	PopularityDriftSeconds float64 `json:"driftS"` // time in which the popularity ranking shifts by one object
-	CacheRetentionSeconds  float64 `json:"keepS"`  // edge cache size, as the time to send it at full rate
+	CacheRetentionSeconds  float64 `json:"keepS"`  // edge cache size, as the time to send that much at full rate
 
 	SiteLinkCapacityFactor  float64 `json:"linkRoom"`          // of the link into a site
-	RemoteHubCapacityFactor float64 `json:"farRoom,omitempty"` // of the line from a remote hub to a site; 0: unlimited
+	RemoteHubCapacityFactor float64 `json:"farRoom,omitempty"` // of the link from a remote hub to a site; 0: unlimited
 	ParentCapacityFactor    float64 `json:"parentRoom"`        // of all parents together
 	OriginCapacityFactor    float64 `json:"originRoom"`        // of the origin
-	MissRatio               float64 `json:"missShare"`         // miss ratio of edge caches to size capacities for
+	MissRatio               float64 `json:"missShare"`         // assumed miss ratio of edge caches, for the capacities
 	// RouterCPUMicros is the CPU time of a router for one request. A request that admission rejects costs a quarter of
 	// it.
 	RouterCPUMicros float64 `json:"routerUs"`
@@ -47,12 +48,14 @@
 	WarmUpSeconds   float64 `json:"warmS"` // not counted
 	DurationSeconds float64 `json:"dayS"`  // counted; follows the warm-up
 
-	Cells           *cells.Spec `json:"cells,omitempty"` // nil: no cells
-	CellByTenant    []int       `json:"-"`               // for counting, also when no cells are configured
-	RateLimitFactor float64     `json:"limit,omitempty"` // rate limit over the normal rate of a tenant; 0: none
-	Flood           *Flood      `json:"flood,omitempty"`
-	Poison          *Poison     `json:"poison,omitempty"`
-	Faults          []Fault     `json:"faults,omitempty"`
+	Cells *cells.Spec `json:"cells,omitempty"` // nil: no cells
+	// CellByTenant is the cell index of each tenant, for the counts by cell in Result. It may be set without Cells, to
+	// compare a run with runs that have cells.
+	CellByTenant    []int   `json:"-"`
+	RateLimitFactor float64 `json:"limit,omitempty"` // rate limit of a tenant as a multiple of its normal rate; 0: none
+	Flood           *Flood  `json:"flood,omitempty"`
+	Poison          *Poison `json:"poison,omitempty"`
+	Faults          []Fault `json:"faults,omitempty"`
 
 	// CancelsAbandonedFetches makes parents cancel a fetch from the origin when no attempt waits for it any more.
 	// Otherwise the fetch runs to its end and the parent stores the chunk.
@@ -66,10 +69,13 @@
 	HotObject  *HotObject  `json:"hot,omitempty"`
 	Deployment *Deployment `json:"site,omitempty"` // nil: the default deployment
 
-	Changes             []Change `json:"-"` // ordered by time
-	MigratedTenants     []int    `json:"-"` // tenants that Result.Migrated counts
-	MigrationEndSeconds float64  `json:"-"` // end of the last migration according to the documents
-	// MaxClockSkewMillis is the maximum offset, in either direction, of the clock that a router applies to documents.
+	Changes         []Change `json:"-"` // ordered by time
+	MigratedTenants []int    `json:"-"` // tenants that Result.Migrated counts
+	// MigrationEndSeconds is the earliest possible end of the last shift in the first document, without the settle
+	// time. With MigrateAtOnce it is the time of the change.
+	MigrationEndSeconds float64 `json:"-"`
+	// MaxClockSkewMillis is the maximum offset, in either direction, of the clock by which a router reads the times in
+	// documents.
 	MaxClockSkewMillis float64 `json:"skewMs,omitempty"`
 }
 
@@ -88,13 +94,13 @@
 const (
 	FloodCatalogue FloodKind = "catalogue" // objects of the catalogue, by popularity
 	FloodUnique    FloodKind = "unique"    // a different object for each request, so no cache has it
-	FloodHuge      FloodKind = "huge"      // chunks of videos, each of Flood.HugeKB
+	FloodHuge      FloodKind = "huge"      // chunks of videos; each chunk has Flood.HugeKB
 )
 
 // Flood makes one tenant send a multiple of its normal load for a time.
 type Flood struct {
 	Tenant          int       `json:"tenant"`
-	Factor          float64   `json:"times"` // load of the tenant over its normal load
+	Factor          float64   `json:"times"` // load of the tenant as a multiple of its normal load
 	Kind            FloodKind `json:"kind"`
 	StartSeconds    float64   `json:"fromS"`
 	DurationSeconds float64   `json:"forS"`
@@ -120,7 +126,7 @@
 	DurationSeconds float64    `json:"forS"`
 }
 
-// Release is a release that affects a fraction of the catalogue objects. Its objects form an object family of their
+// Release is a release that affects a fraction of the catalogue objects. Its objects have a purge group of their
 // own. Without ReplacesObjects they are new objects, requested from StartSeconds on. With ReplacesObjects they are
 // requested during the whole run, and the origin serves their new version from StartSeconds until RollbackSeconds.
 type Release struct {
@@ -132,8 +138,8 @@
 	Rollout           *rollout.Rollout `json:"stage"`
 }
 
-// releaseFamily is the purge group of a release's objects.
-const releaseFamily = 255
+// releasePurgeGroup is the purge group of a release's objects.
+const releasePurgeGroup = 255
 
 // FaultKind selects what a Fault does.
 type FaultKind string
@@ -150,13 +156,13 @@
 	FaultPurge    FaultKind = "purge"    // copies of a fraction of the purge groups are purged
 )
 
-// Fault is a fault or an operation, such as a deploy or a purge, that affects servers or routers at a set time.
+// Fault is a fault, or planned work such as a deploy or a purge, that affects servers or routers at a set time.
 type Fault struct {
 	Kind      FaultKind `json:"kind"`
 	Site      int       `json:"depot"` // -1: every site
 	Index     int       `json:"which"` // of the router, cache, parent or hub
 	AtSeconds float64   `json:"atS"`
-	// DurationSeconds is how long the fault lasts; for a deploy, the time to replace all caches.
+	// DurationSeconds is how long the fault lasts; for a deploy, the time over which the replacements are spread.
 	DurationSeconds float64 `json:"forS"`
 	// Fraction is, for a deploy, the fraction of the caches that it replaces; for a brownout, the fraction of the
 	// origin capacity that is left; for a purge, the fraction of the groups that it purges.
@@ -199,9 +205,10 @@
 func TenantPrefix(tenant int) string { return fmt.Sprintf("%04x", tenant) }
 
 // OriginLimitDocument returns an origin limit document as operators who know the origin would write it: a fill takes
-// two round trips under normal load, and a parent continues an abandoned fetch for longer than any client waits. If
-// forget is set, abandoned fetches count as ended at once.
-func (c *Config) OriginLimitDocument(algorithm string, forget bool) *originlimit.Document {
+// two round trips under normal load, and a parent continues an abandoned fetch for longer than any client waits.
+// BaselineMs is four times the time that a request needs without load to the origin through a hub and back, with the
+// origin's service time. If ignoresAbandoned is set, abandoned fetches count as ended at once.
+func (c *Config) OriginLimitDocument(algorithm string, ignoresAbandoned bool) *originlimit.Document {
 	doc := &originlimit.Document{
 		Algorithm:        algorithm,
 		MaxInFlight:      c.originKnee(),
@@ -210,7 +217,7 @@
 		BaselineMs:       2 * roundTripMillis(2*hubDelay+2*c.originDelay()+originServiceTime),
 		AbandonedFetchMs: 10_000,
 	}
-	if forget {
+	if ignoresAbandoned {
 		doc.AbandonedFetchMs = 0
 	}
 	return doc
--- a/emulator/deployment_test.go
+++ b/emulator/deployment_test.go
@@ -48,13 +48,13 @@
 // Guards against lost or late requests in a deployment where routers may use only edge caches. Reports reach the origin
 // through a cache, which does not store them, and nothing goes directly to parents or the origin. Without faults nearly
 // all requests are served in time although the origin is far away.
-func TestCachesOnlyServesInTime(t *testing.T) {
+func TestCachesOnlyDeploymentServesInTime(t *testing.T) {
 	cfg := customDeploymentConfig(2)
 	cfg.Faults = nil
 	r := runWorld(t, cfg)
 	for class, c := range r.ByClass {
 		if c.Rejected > c.Operations/50 || c.TimelyWeight < 0.97*c.OfferedWeight {
-			t.Errorf("class %d: %+v", class, c)
+			t.Errorf("class %d: more than 2%% rejected or less than 97%% of the weight served in time: %+v", class, c)
 		}
 	}
 	cfg.Deployment.OriginDelayMillis = -1
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -2,7 +2,8 @@
 // endpoint list, and routers that run the real decision modules. A World runs on one goroutine. Runs are deterministic:
 // the same Config gives the same Result to the bit, on every machine and in every run.
 //
-// The emulator counts violations from the events that it simulates, never from what a router reports.
+// The emulator counts violations of the rules that routers must keep (see violations.go). It detects them in the events
+// that it simulates, never from what a router reports.
 //
 // Three trials test one mechanism each, without a World: OriginLimitTrial, FleetLimitTrial and TopologyTrial.
 //
--- a/emulator/documents.go
+++ b/emulator/documents.go
@@ -9,7 +9,7 @@
 
 // compileChanges validates the configured changes and compiles their cell assignments.
 func (w *World) compileChanges() error {
-	inForce := w.assignment
+	current := w.assignment
 	var lastDocument *migration.Document
 	for i, change := range w.config.Changes {
 		var assignment *cells.Assignment
@@ -18,13 +18,13 @@
 			if assignment, err = cells.Compile(change.Cells); err != nil {
 				return fmt.Errorf("changes[%d]: %w", i, err)
 			}
-			inForce = assignment
+			current = assignment
 		}
 		if doc := change.Migrations; doc != nil {
 			if err := doc.Validate(change.AtSeconds*1000, lastDocument); err != nil {
 				return fmt.Errorf("changes[%d]: %w", i, err)
 			}
-			if err := inForce.ValidateMigrations(doc); err != nil {
+			if err := current.ValidateMigrations(doc); err != nil {
 				return fmt.Errorf("changes[%d]: %w", i, err)
 			}
 			lastDocument = doc
@@ -68,8 +68,9 @@
 	}
 }
 
-// applyPastChanges applies the changes up to now at a router that has just started. The router reads the documents but
-// has lost its progress through them. Later changes are scheduled for its new generation.
+// applyPastChanges applies the changes up to now at a router that has just started. The router has the documents but
+// has lost the progress of its migrations. After a restart, later changes are scheduled for its new generation; at the
+// start of the run, scheduleChanges does this.
 func (w *World) applyPastChanges(id int32) {
 	router := &w.routers[id]
 	router.appliedChanges = 0
--- a/emulator/faults.go
+++ b/emulator/faults.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if err := w.startRouter(id); err != nil {
-		w.result.violation(violationRouterStart + err.Error())
+		w.result.countViolation(violationRouterStart + err.Error())
 	}
 	w.push(event{time: w.now + frontendStartDelay, kind: eventFrontendUpdate, target: id, value: 1})
 }
@@ -123,8 +123,8 @@
 	}
 }
 
-// firstCache returns the first cache of a site that has a status, or the first cache if none has it. Replacements are
-// added at the end of the list, so the oldest cache comes first.
+// firstCache returns the first cache of a site with the given status, or the site's first cache if none has that
+// status. Replacements are added at the end of the list, so the oldest cache comes first.
 func (w *World) firstCache(site int, status routing.EndpointStatus) int32 {
 	for _, id := range w.cachesBySite[site] {
 		if w.servers[id].status == status {
--- a/emulator/fetches.go
+++ b/emulator/fetches.go
@@ -80,7 +80,7 @@
 		w.finishFetch(fetchID, func(id int32) { w.fillFailed(id, routing.OriginFailed) })
 		return
 	}
-	w.result.originFill(w, fetch.sizeKB)
+	w.result.recordOriginFill(w, fetch.sizeKB)
 	linkID := w.servers[w.origin].link
 	w.links[linkID].add(w.now, fetch.sizeKB, transfer{
 		owner: fetchID, generation: fetch.generation, segment: segmentToParent,
--- a/emulator/fetches_test.go
+++ b/emulator/fetches_test.go
@@ -43,7 +43,8 @@
 					n, started, origin.active)
 			}
 			if all == 0 || cancels && abandoned > 0 || !cancels && abandoned < all/2 {
-				t.Errorf("%d of %d fetches are abandoned", abandoned, all)
+				t.Errorf("%d of %d fetches are abandoned, want none if parents cancel them, otherwise at least half",
+					abandoned, all)
 			}
 			checkNoViolation(t, &w.result)
 		})
--- a/emulator/fills.go
+++ b/emulator/fills.go
@@ -15,7 +15,7 @@
 	return chunkKey(operation.key, operation.chunk)
 }
 
-// storeFill stores an attempt's chunk at its server after a fill. Reports are not stored.
+// storeFill stores an attempt's chunk at its server after a fill. Responses of the report class are not stored.
 func (w *World) storeFill(server *simulatedServer, id int32) {
 	attempt := &w.attempts[id]
 	if server.store != nil && w.operationOf(attempt).class != classReport {
@@ -49,7 +49,7 @@
 		w.pushFillFailed(id, routing.SourceRejected)
 		return
 	}
-	if !w.acceptsWarmUpLoad(attempt.source, operation.sizeKB, w.requests[attempt.request].router) {
+	if !w.addWarmUpLoad(attempt.source, operation.sizeKB, w.requests[attempt.request].router) {
 		w.pushFillFailed(id, routing.SourceUnreachable)
 		return
 	}
--- a/emulator/fleetlimits.go
+++ b/emulator/fleetlimits.go
@@ -14,18 +14,18 @@
 	Routers            int     `json:"routers"`
 	Limit              float64 `json:"limit"`
 	FloorFraction      float64 `json:"floor"`  // of the limit, with MethodFleet
-	Demand             float64 `json:"demand"` // total demand of all routers, over the limit
+	Demand             float64 `json:"demand"` // total demand of all routers, as a multiple of Limit
 	DemandSkew         float64 `json:"skew"`   // Zipf exponent of the demand by router
-	DemandShiftSeconds float64 `json:"movesS"` // interval after which demand is reassigned among routers
+	DemandShiftSeconds float64 `json:"movesS"` // interval at which the demands are reassigned among the routers
 	LossRatio          float64 `json:"loss"`   // of datagrams
 	WarmUpSeconds      float64 `json:"warmS"`  // not counted
 	DurationSeconds    float64 `json:"dayS"`   // warm-up included
 
 	Method string `json:"way,omitempty"` // one of the methods below
 
-	// At PartitionSeconds, for PartitionDurationSeconds, the network is split into Partitions parts. Of two parts, one
-	// has three fifths of the routers; more parts are of equal size. FailedFraction of the routers fail at the same
-	// time. They restart without state when the partition heals.
+	// At PartitionSeconds, for PartitionDurationSeconds, the network is split into Partitions parts. If there are
+	// two parts, one has three fifths of the routers; if there are more, they are of equal size. FailedFraction of the
+	// routers fail at the same time. They restart without state when the partition ends.
 	Partitions               int     `json:"parts,omitempty"`
 	PartitionSeconds         float64 `json:"cutS,omitempty"`
 	PartitionDurationSeconds float64 `json:"cutForS,omitempty"`
@@ -36,11 +36,12 @@
 const (
 	MethodEven   = "even"   // equal quotas
 	MethodGossip = "gossip" // by demand, as known from gossip
-	MethodLease  = "keeper" // by demand, granted at once by a lease holder in each partition
+	MethodLease  = "keeper" // by demand, granted without network delay by one lease holder in each part of the network
 	MethodFleet  = "fleet"  // core/fleet
 )
 
-// Validate returns an error that names the first field that is out of range by its name in experiment files.
+// Validate returns an error for the first field that is out of range. The error contains the field's name in experiment
+// files.
 func (t *FleetLimitTrial) Validate() error {
 	return checkBounds("tier.", []bounds{
 		{"routers", float64(t.Routers), 1, 2000},
@@ -59,18 +60,20 @@
 
 // FleetLimitResult is the result of a trial, measured after the warm-up.
 type FleetLimitResult struct {
-	MaxGranted           float64 // maximum sum of the quotas, over the limit
-	OverLimitSeconds     float64 // time in which more than the limit was used
-	Utilization          float64 // mean usage, over the usable demand within the limit
+	MaxGranted       float64 // maximum sum of the quotas, as a multiple of Limit
+	OverLimitSeconds float64 // time in which more than the limit was used
+	// Utilization is the mean over time of the usage, at most Limit, divided by the smaller of Limit and the demand of
+	// the running routers.
+	Utilization          float64
 	PartitionUtilization float64 // the same while the fleet is partitioned or some routers have failed
 	BytesPerSecond       float64 // of datagrams sent, per router
-	// RecoverySeconds is the time from the heal to the start of the first second in which the utilization was at least
-	// recoveredUtilization throughout. It is DurationSeconds if there is none, and 0
-	// without a partition.
+	// RecoverySeconds is the time from the end of the partition to the start of the first period of recoveredFor in
+	// which the utilization stays at least recoveredUtilization. It is DurationSeconds if there is none, and 0 without
+	// a partition.
 	RecoverySeconds float64
 }
 
-// Bounds that the result's fields use.
+// Thresholds from which the result is computed.
 const (
 	recoveredUtilization = 0.9
 	recoveredFor         = second
@@ -99,7 +102,7 @@
 	demandRank   []int // index of each router in demandByRank
 	quotas       []float64
 
-	knownDemand [][]float64 // for MethodGossip: demand of each router as known to a router
+	knownDemand [][]float64 // for MethodGossip; [i][j]: demand of router j as router i knows it
 	knownAt     [][]int64   // time of each knownDemand; 0: unknown
 
 	inFlight  datagramHeap
@@ -130,7 +133,7 @@
 	if t.Method == MethodGossip {
 		w.initGossip()
 	}
-	if err := w.startDeadRouters(); err != nil {
+	if err := w.startStoppedRouters(); err != nil {
 		return nil, err
 	}
 	if err := w.run(); err != nil {
@@ -155,8 +158,8 @@
 // demand returns the current demand of a router.
 func (w *fleetLimitWorld) demand(router int) float64 { return w.demandByRank[w.demandRank[router]] }
 
-// startDeadRouters starts all routers that are not alive: initially all of them, later those that failed.
-func (w *fleetLimitWorld) startDeadRouters() error {
+// startStoppedRouters starts all routers that are not alive: initially all of them, later those that failed.
+func (w *fleetLimitWorld) startStoppedRouters() error {
 	for i := range w.alive {
 		if w.alive[i] {
 			continue
@@ -168,7 +171,7 @@
 	return nil
 }
 
-// start starts a router without state.
+// start starts a router. It has no state from before a failure.
 func (w *fleetLimitWorld) start(router int) error {
 	w.alive[router] = true
 	w.incarnations[router]++
@@ -221,7 +224,7 @@
 		if phase == duringPartition && w.now >= healAt {
 			phase = afterPartition
 			clear(w.partition)
-			if err := w.startDeadRouters(); err != nil {
+			if err := w.startStoppedRouters(); err != nil {
 				return err
 			}
 		}
@@ -268,7 +271,7 @@
 	ticks           float64
 	partitionTicks  float64
 	healAt          int64
-	recoveringSince int64 // start of the current high utilization; never: it is too low
+	recoveringSince int64 // start of the current period with a high enough utilization; never: it is too low
 }
 
 // count adds the quotas and the usage of one tick to the result.
@@ -294,8 +297,9 @@
 		result.PartitionUtilization += utilization
 		u.partitionTicks++
 	}
-	isRecovering := w.PartitionDurationSeconds > 0 && result.RecoverySeconds == w.DurationSeconds
-	if phase == afterPartition && isRecovering {
+	// RecoverySeconds is DurationSeconds until the recovery is detected.
+	isRecoveryPending := w.PartitionDurationSeconds > 0 && result.RecoverySeconds == w.DurationSeconds
+	if phase == afterPartition && isRecoveryPending {
 		u.countRecovery(utilization)
 	}
 }
--- a/emulator/fleetlimits_methods.go
+++ b/emulator/fleetlimits_methods.go
@@ -5,10 +5,10 @@
 	"container/heap"
 )
 
-// Delay of a datagram in the trial: minTrialDelay plus a random time below maxTrialDelay.
+// Delay of a datagram of MethodFleet: minTrialDelay plus a random time below trialDelaySpread.
 const (
-	minTrialDelay = millisecond
-	maxTrialDelay = 22 * millisecond
+	minTrialDelay    = millisecond
+	trialDelaySpread = 22 * millisecond
 )
 
 // Parameters of the methods that are compared with core/fleet.
@@ -76,7 +76,7 @@
 	}
 	w.sequence++
 	heap.Push(&w.inFlight, fleetDatagram{
-		deliverAt: w.now + minTrialDelay + w.random.Int64N(maxTrialDelay),
+		deliverAt: w.now + minTrialDelay + w.random.Int64N(trialDelaySpread),
 		sequence:  w.sequence,
 		sender:    from,
 		receiver:  to,
@@ -89,7 +89,8 @@
 	for len(w.inFlight) > 0 && w.inFlight[0].deliverAt <= w.now {
 		d := heap.Pop(&w.inFlight).(fleetDatagram)
 		if node := w.nodes[d.receiver]; node != nil {
-			_ = node.Receive(w.nodeTime(d.deliverAt), d.sender, d.payload) // error: a later one came first
+			// An error is expected for a datagram that arrives too late, after later ones of the sender.
+			_ = node.Receive(w.nodeTime(d.deliverAt), d.sender, d.payload)
 		}
 	}
 }
@@ -149,8 +150,8 @@
 	return sum
 }
 
-// leaseQuotas sets quotas as if a lease holder in each partition granted the whole limit there, by demand and without
-// delay. This is the best case for leases without a majority.
+// leaseQuotas sets quotas every leaseInterval, as if a lease holder in each partition granted the whole limit there, by
+// demand and without network delay. Real leases that need no majority can do no better.
 func (w *fleetLimitWorld) leaseQuotas() {
 	if w.now%leaseInterval != 0 {
 		return
--- a/emulator/fleetlimits_test.go
+++ b/emulator/fleetlimits_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // Guards against a fleet that exceeds its limit while the network is split into five partitions, or that does not use
-// the limit again after the heal. The methods that share by demand without a majority exceed the limit, which shows
-// that the trial can detect it. The same seed must give the same result.
+// the limit again after the partition ends. The methods gossip and lease, which need no majority, exceed the limit;
+// this shows that the trial can detect it. The same seed must give the same result.
 func TestFleetLimitHoldsDuringPartitions(t *testing.T) {
 	base := FleetLimitTrial{
 		Routers:                  20,
@@ -35,10 +35,10 @@
 				t.Errorf("same seed: %+v, then %+v (%v)", r, again, err)
 			}
 			if (r.MaxGranted > 1.01) != exceeds {
-				t.Errorf("%+v", r)
+				t.Errorf("MaxGranted must be above 1.01 for gossip and lease, and at most 1.01 for the others: %+v", r)
 			}
 			if method == MethodFleet && (r.MaxGranted > 1 || r.RecoverySeconds > 20 || r.PartitionUtilization < 0.1) {
-				t.Errorf("%+v", r)
+				t.Errorf("limit exceeded, recovery after more than 20 s or partition utilization below 0.1: %+v", r)
 			}
 		})
 	}
--- a/emulator/gossip.go
+++ b/emulator/gossip.go
@@ -21,7 +21,7 @@
 	SessionFraction float64 `json:"part"` // fraction of the sessions that start in this time, 0 to 1
 }
 
-// Bounds of the delay of a datagram, as between routers of the platform.
+// Bounds of the delay of a datagram between any two routers.
 const (
 	minDatagramDelay = 1400 * microsecond
 	maxDatagramDelay = 23 * millisecond
@@ -54,7 +54,7 @@
 	}
 	h := c.HotObject
 	if h != nil && (!isFraction(h.SessionFraction) || !(h.StartSeconds >= 0) || !(h.DurationSeconds >= 0)) {
-		return fmt.Errorf("hot: atS and forS must be at least 0, and part 0 to 1: %+v", *h)
+		return fmt.Errorf("hot: atS and forS must be at least 0, and part must be from 0 to 1: %+v", *h)
 	}
 	return nil
 }
@@ -133,12 +133,12 @@
 	report := func(server string) { overloaded = append(overloaded, server) }
 	err := w.gossip.nodes[e.target].Receive(w.now, int(from), payload, report)
 	if err != nil && !errors.Is(err, gossip.ErrStale) { // stale: the sender has restarted since
-		w.result.violation(violationGossipPayload)
+		w.result.countViolation(violationGossipPayload)
 	}
 	for _, name := range overloaded {
 		var server int32
 		if _, err := fmt.Sscanf(name, gossipServerFormat, &server); err != nil || int(server) >= len(w.servers) {
-			w.result.violation(violationGossipServer)
+			w.result.countViolation(violationGossipServer)
 			continue
 		}
 		w.stepRouter(e.target, routing.Event{
--- a/emulator/gossip_test.go
+++ b/emulator/gossip_test.go
@@ -4,7 +4,7 @@
 
 // Guards against gossip that is not sent, that is sent when it is not configured, or that makes runs nondeterministic.
 // A new popular object overloads its parent, one router restarts meanwhile, and in some runs most datagrams are lost.
-func TestHotObjectGossipIsDeterministic(t *testing.T) {
+func TestGossipIsSentOnlyIfConfiguredAndDeterministic(t *testing.T) {
 	run := func(gossip *Gossip) Result {
 		cfg := smallConfig(3)
 		cfg.Sites = 8
@@ -25,8 +25,9 @@
 	with := run(&Gossip{})
 	lossy := run(&Gossip{LossRatio: 0.6})
 	again := run(&Gossip{LossRatio: 0.6})
+	// The shortest datagram has 18 bytes: a header of 14 bytes and one server of 4 bytes.
 	if without.Datagrams != 0 || with.Datagrams == 0 || with.DatagramBytes < 18*with.Datagrams {
-		t.Errorf("%d datagrams without gossip, %d with gossip, %d bytes",
+		t.Errorf("%d datagrams without gossip, want 0; %d with gossip, want some; %d bytes, want at least 18 each",
 			without.Datagrams, with.Datagrams, with.DatagramBytes)
 	}
 	if lossy.Datagrams != again.Datagrams || lossy.FillKB != again.FillKB || lossy.Events != again.Events {
--- a/emulator/helpers_test.go
+++ b/emulator/helpers_test.go
@@ -8,7 +8,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// smallConfig returns the configuration of a world of two sites that runs in a second or two.
+// smallConfig returns the configuration of a world of two sites that takes a second or two of real time to run.
 func smallConfig(seed uint64) Config {
 	return Config{
 		Seed:                   seed,
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -62,7 +62,7 @@
 	l.transfers[i] = t
 }
 
-// popTransfer removes the transfer that ends first from the heap. It does not change active.
+// popTransfer removes from the heap, and returns, the transfer that ends first. It does not change active.
 func (l *link) popTransfer() transfer {
 	first := l.transfers[0]
 	n := len(l.transfers) - 1
--- a/emulator/migration.go
+++ b/emulator/migration.go
@@ -11,18 +11,18 @@
 // MigrationStyle is the way in which the tenants of a MigrationTrial change their cells.
 type MigrationStyle string
 
-// The styles of migrations.
+// The styles of migrations. CapacityLimiter and Pacer are those of core/migration.
 const (
 	MigrateNone     MigrationStyle = "none"     // no tenant migrates
-	MigratePaced    MigrationStyle = "paced"    // all concurrently, each within its bounds
-	MigrateRamp     MigrationStyle = "ramp"     // all concurrently, at a fixed pace without bounds
+	MigratePaced    MigrationStyle = "paced"    // all concurrently, each limited by CapacityLimiter and Pacer
+	MigrateRamp     MigrationStyle = "ramp"     // all concurrently, at a fixed rate without these limits
 	MigratePlanned  MigrationStyle = "planned"  // as planned by core/migration/schedule
 	MigrateOneByOne MigrationStyle = "oneByOne" // each starts when the one before has ended
 	MigrateAtOnce   MigrationStyle = "atOnce"   // the cell assignment changes at once, without migrations
 )
 
 // MigrationTrial describes the migrations of an experiment: either TenantCount tenants, chosen at random by the seed,
-// each to another cell, or all tenants of DrainCell to the TargetCells cells that follow it.
+// each to another cell, or all tenants of DrainCell to the TargetCells cells that follow it in Config.Cells.
 type MigrationTrial struct {
 	Style          MigrationStyle `json:"style"`
 	TenantCount    int            `json:"count,omitempty"`
@@ -31,7 +31,7 @@
 	StartSeconds   float64        `json:"startS"`
 	WarmUpSeconds  float64        `json:"warmS"`
 	ShiftSeconds   float64        `json:"shiftS"`
-	MaxShiftFactor float64        `json:"slow"` // maximum duration of a shift over ShiftSeconds
+	MaxShiftFactor float64        `json:"slow"` // maximum duration of a shift as a multiple of ShiftSeconds
 	SettleSeconds  float64        `json:"settleS"`
 	HotObjects     int            `json:"hot"` // number listed in the document for each tenant and class
 
@@ -47,19 +47,19 @@
 	rollbackLeadMillis  = 3000 // time from the document of a rollback to its start
 )
 
-// PlanMigrations adds the migrations of a trial to Changes. It sets MigratedTenants also for MigrateNone. It returns an
+// PlanMigrations adds the specified migrations to Changes. It sets MigratedTenants also for MigrateNone. It returns an
 // error if the style is unknown or the migrations cannot be planned.
-func (c *Config) PlanMigrations(trial *MigrationTrial) error {
-	tenants, requests := c.migrationRequests(trial)
+func (c *Config) PlanMigrations(spec *MigrationTrial) error {
+	tenants, requests := c.migrationRequests(spec)
 	c.MigratedTenants = tenants
-	switch trial.Style {
+	switch spec.Style {
 	case MigrateNone:
 		return nil
 	case MigrateAtOnce:
-		c.reassign(trial.StartSeconds, tenants, requests)
+		c.reassign(spec.StartSeconds, tenants, requests)
 		return nil
 	}
-	migrations, err := c.migrations(trial, requests)
+	migrations, err := c.migrations(spec, requests)
 	if err != nil {
 		return err
 	}
@@ -67,13 +67,13 @@
 		c.MigrationEndSeconds = max(c.MigrationEndSeconds, (m.Start+m.WarmUp+m.MinShift)/1000)
 	}
 	c.Changes = append(c.Changes, Change{
-		AtSeconds:  max(trial.StartSeconds-documentLeadSeconds, 0),
+		AtSeconds:  max(spec.StartSeconds-documentLeadSeconds, 0),
 		Migrations: &migration.Document{Version: 1, Migrations: migrations},
 	})
-	c.changeMigrations(trial.PauseSeconds, func(m *migration.Migration) { m.PausedAt = trial.PauseSeconds * 1000 })
-	c.changeMigrations(trial.ResumeSeconds, func(m *migration.Migration) { *m = m.Resumed(trial.ResumeSeconds * 1000) })
-	c.changeMigrations(trial.RollbackSeconds, func(m *migration.Migration) {
-		m.RollbackAt = trial.RollbackSeconds*1000 + rollbackLeadMillis
+	c.changeMigrations(spec.PauseSeconds, func(m *migration.Migration) { m.PausedAt = spec.PauseSeconds * 1000 })
+	c.changeMigrations(spec.ResumeSeconds, func(m *migration.Migration) { *m = m.Resumed(spec.ResumeSeconds * 1000) })
+	c.changeMigrations(spec.RollbackSeconds, func(m *migration.Migration) {
+		m.RollbackAt = spec.RollbackSeconds*1000 + rollbackLeadMillis
 	})
 	return nil
 }
@@ -104,11 +104,11 @@
 	c.Changes = append(c.Changes, Change{AtSeconds: atSeconds, Migrations: next})
 }
 
-// migrations returns the migrations of a trial's first document. It returns an error if the style is unknown or the
+// migrations returns the migrations of the first document. It returns an error if the style is unknown or the
 // schedule cannot be planned.
-func (c *Config) migrations(trial *MigrationTrial, requests []schedule.Request) ([]migration.Migration, error) {
-	if trial.Style == MigratePlanned {
-		planned, err := schedule.Plan(requests, c.scheduleConstraints(trial))
+func (c *Config) migrations(spec *MigrationTrial, requests []schedule.Request) ([]migration.Migration, error) {
+	if spec.Style == MigratePlanned {
+		planned, err := schedule.Plan(requests, c.scheduleConstraints(spec))
 		if err != nil {
 			return nil, err
 		}
@@ -121,14 +121,14 @@
 			Site:       migration.AllSites,
 			From:       request.From,
 			To:         request.To,
-			Start:      trial.StartSeconds * 1000,
-			WarmUp:     trial.WarmUpSeconds * 1000,
-			MinShift:   trial.ShiftSeconds * 1000,
-			MaxShift:   max(trial.MaxShiftFactor, 1) * trial.ShiftSeconds * 1000,
-			Settle:     trial.SettleSeconds * 1000,
+			Start:      spec.StartSeconds * 1000,
+			WarmUp:     spec.WarmUpSeconds * 1000,
+			MinShift:   spec.ShiftSeconds * 1000,
+			MaxShift:   max(spec.MaxShiftFactor, 1) * spec.ShiftSeconds * 1000,
+			Settle:     spec.SettleSeconds * 1000,
 			HotObjects: request.HotObjects,
 		}
-		switch trial.Style {
+		switch spec.Style {
 		case MigratePaced:
 		case MigrateRamp:
 			m.Unbounded = true
@@ -136,7 +136,7 @@
 		case MigrateOneByOne:
 			m.Start += float64(i) * (m.WarmUp + m.MinShift)
 		default:
-			return nil, fmt.Errorf("style %q: must be none, paced, ramp, planned, oneByOne or atOnce", trial.Style)
+			return nil, fmt.Errorf("style %q: must be none, paced, ramp, planned, oneByOne or atOnce", spec.Style)
 		}
 		all = append(all, m)
 	}
@@ -144,16 +144,16 @@
 }
 
 // migrationRequests returns the tenants that migrate and a request with the source and target cell for each.
-func (c *Config) migrationRequests(trial *MigrationTrial) (tenants []int, requests []schedule.Request) {
+func (c *Config) migrationRequests(spec *MigrationTrial) (tenants []int, requests []schedule.Request) {
 	var targets []migrationTarget
-	if trial.DrainCell != "" {
-		targets = c.drainTargets(trial)
+	if spec.DrainCell != "" {
+		targets = c.drainTargets(spec)
 	} else {
-		targets = c.drawTargets(trial)
+		targets = c.drawTargets(spec)
 	}
 	for _, t := range targets {
 		tenants = append(tenants, t.tenant)
-		requests = append(requests, c.migrationRequest(trial, t.tenant, t.cell))
+		requests = append(requests, c.migrationRequest(spec, t.tenant, t.cell))
 	}
 	return tenants, requests
 }
@@ -161,47 +161,47 @@
 // migrationTarget is a tenant and the index of the cell that it migrates to.
 type migrationTarget struct{ tenant, cell int }
 
-// cellNumbers returns the index of each cell by its name.
-func (c *Config) cellNumbers() map[string]int {
-	numbers := map[string]int{}
+// cellIndexByName returns the index of each cell by its name.
+func (c *Config) cellIndexByName() map[string]int {
+	indexes := map[string]int{}
 	for i, cell := range c.Cells.Cells {
-		numbers[cell.Name] = i
+		indexes[cell.Name] = i
 	}
-	return numbers
+	return indexes
 }
 
 // drainTargets returns all tenants of the drained cell, assigned round-robin to the TargetCells cells that follow it.
-func (c *Config) drainTargets(trial *MigrationTrial) (targets []migrationTarget) {
-	from := c.cellNumbers()[trial.DrainCell]
+func (c *Config) drainTargets(spec *MigrationTrial) (targets []migrationTarget) {
+	from := c.cellIndexByName()[spec.DrainCell]
 	for tenant := range c.Cells.Tenants {
-		if c.Cells.Tenants[tenant].Cell == trial.DrainCell {
-			to := (from + 1 + len(targets)%trial.TargetCells) % len(c.Cells.Cells)
+		if c.Cells.Tenants[tenant].Cell == spec.DrainCell {
+			to := (from + 1 + len(targets)%spec.TargetCells) % len(c.Cells.Cells)
 			targets = append(targets, migrationTarget{tenant, to})
 		}
 	}
 	return targets
 }
 
-// maxDrawnTenant restricts the choice to the tenants with the highest load, as tenants with little load have no
-// measurable effect.
-const maxDrawnTenant = 400
+// drawnTenantCount is the number of tenants, those with the highest load, from which migrating tenants are chosen.
+// Tenants with little load have no measurable effect.
+const drawnTenantCount = 400
 
 // migrationDrawFactor separates the random choices of different seeds.
 const migrationDrawFactor = 0x51ed
 
 // drawTargets returns random tenants, each with a random cell other than its own.
-func (c *Config) drawTargets(trial *MigrationTrial) (targets []migrationTarget) {
-	numbers := c.cellNumbers()
+func (c *Config) drawTargets(spec *MigrationTrial) (targets []migrationTarget) {
+	indexes := c.cellIndexByName()
 	count := len(c.Cells.Cells)
 	isDrawn := map[int]bool{}
-	for i := uint64(0); len(targets) < min(trial.TenantCount, c.Tenants/2); i++ {
+	for i := uint64(0); len(targets) < min(spec.TenantCount, c.Tenants/2); i++ {
 		draw := hashMix(c.Seed*migrationDrawFactor + i)
-		tenant := int(draw % uint64(min(c.Tenants, maxDrawnTenant)))
+		tenant := int(draw % uint64(min(c.Tenants, drawnTenantCount)))
 		if isDrawn[tenant] {
 			continue
 		}
 		isDrawn[tenant] = true
-		own := numbers[c.Cells.Tenants[tenant].Cell]
+		own := indexes[c.Cells.Tenants[tenant].Cell]
 		to := (own + 1 + int(draw>>32)%(count-1)) % count
 		targets = append(targets, migrationTarget{tenant, to})
 	}
@@ -209,7 +209,7 @@
 }
 
 // migrationRequest returns the request to the planner for a tenant that migrates.
-func (c *Config) migrationRequest(trial *MigrationTrial, tenant, cell int) schedule.Request {
+func (c *Config) migrationRequest(spec *MigrationTrial, tenant, cell int) schedule.Request {
 	demand := c.TenantShares()[tenant] * c.RequestsPerSecond * meanRequestKB() / float64(c.Sites)
 	request := schedule.Request{
 		Tenant:       c.Cells.Tenants[tenant].Name,
@@ -218,8 +218,8 @@
 		DemandKBPerS: demand,
 		FillKB:       demand * schedule.WorkingSetSeconds,
 	}
-	drift := int(trial.StartSeconds / c.PopularityDriftSeconds)
-	for rank := range trial.HotObjects {
+	drift := int(spec.StartSeconds / c.PopularityDriftSeconds)
+	for rank := range spec.HotObjects {
 		for class := classVideo; class <= classCatalogue; class++ {
 			key := objectKey(tenant, class, uint64(rank+drift))
 			request.HotObjects = append(request.HotObjects, objectName(tenant, key))
@@ -234,7 +234,7 @@
 
 // scheduleConstraints returns the constraints for the planner: the spare capacities of the world's cells under normal
 // load.
-func (c *Config) scheduleConstraints(trial *MigrationTrial) schedule.Constraints {
+func (c *Config) scheduleConstraints(spec *MigrationTrial) schedule.Constraints {
 	sites := float64(c.Sites)
 	sentKB := c.RequestsPerSecond * meanRequestKB() / sites
 	fillKB := c.fillKBPerSecond() / sites * expectedFillFraction
@@ -245,11 +245,11 @@
 	}
 	constraints := schedule.Constraints{
 		Site:               migration.AllSites,
-		Start:              trial.StartSeconds * 1000,
-		WarmUp:             trial.WarmUpSeconds * 1000,
-		MinShift:           trial.ShiftSeconds * 1000,
-		MaxShiftFactor:     max(trial.MaxShiftFactor, 1),
-		Settle:             trial.SettleSeconds * 1000,
+		Start:              spec.StartSeconds * 1000,
+		WarmUp:             spec.WarmUpSeconds * 1000,
+		MinShift:           spec.ShiftSeconds * 1000,
+		MaxShiftFactor:     max(spec.MaxShiftFactor, 1),
+		Settle:             spec.SettleSeconds * 1000,
 		Cells:              map[string]schedule.CellCapacity{},
 		SiteFillKBPerS:     max(budgetFraction*c.siteLinkKBPerSecond()-fillKB, 1),
 		OriginFillKBPerS:   max(originSpareKB/sites, 0.02*c.originKBPerSecond()/sites),
--- a/emulator/migration_test.go
+++ b/emulator/migration_test.go
@@ -14,7 +14,7 @@
 
 // migrationConfig returns a small world in which tenants migrate from second 6 on, with a clock skew of up to a second
 // between routers and documents.
-func migrationConfig(t testing.TB, seed uint64, trial MigrationTrial, faults ...Fault) Config {
+func migrationConfig(t testing.TB, seed uint64, spec MigrationTrial, faults ...Fault) Config {
 	t.Helper()
 	cfg := smallConfig(seed)
 	cfg.SiteLinkCapacityFactor = 3
@@ -24,25 +24,25 @@
 	addCells(&cfg, 3)
 	cfg.MaxClockSkewMillis = 1000
 	cfg.Faults = faults
-	trial.TenantCount = migratingTenants
-	trial.StartSeconds = 6
-	trial.WarmUpSeconds = 2
-	trial.ShiftSeconds = 10
-	trial.MaxShiftFactor = 2
-	trial.SettleSeconds = 6
-	trial.HotObjects = 2
-	if trial.Style == "" {
-		trial.Style = MigratePaced
+	spec.TenantCount = migratingTenants
+	spec.StartSeconds = 6
+	spec.WarmUpSeconds = 2
+	spec.ShiftSeconds = 10
+	spec.MaxShiftFactor = 2
+	spec.SettleSeconds = 6
+	spec.HotObjects = 2
+	if spec.Style == "" {
+		spec.Style = MigratePaced
 	}
-	if err := cfg.PlanMigrations(&trial); err != nil {
+	if err := cfg.PlanMigrations(&spec); err != nil {
 		t.Fatal(err)
 	}
 	return cfg
 }
 
-// runMigrations runs a world and checks the conditions after a migration: no violation, no unfinished operation, and
-// each tenant in one cell, the same at all routers. This is the new cell, or the old one if the migrations were rolled
-// back.
+// runMigrations runs a world and checks the result and the final state: no violation, no unfinished operation, no
+// unanswered request, no warming server above its bound, and each tenant in one cell, the same at all routers. This is
+// the new cell, or the old one if the migrations were rolled back.
 func runMigrations(t *testing.T, cfg Config, isRolledBack bool) Result {
 	t.Helper()
 	w := newWorld(t, cfg)
@@ -59,11 +59,11 @@
 		want = 0
 	}
 	for i := range w.routers {
-		paths := w.routers[i].module.Migrations(w.now)
-		if len(paths) != migratingTenants {
-			t.Errorf("router %d has %d migrations", i, len(paths))
+		migrations := w.routers[i].module.Migrations(w.now)
+		if len(migrations) != migratingTenants {
+			t.Errorf("router %d has %d migrations, want one for each migrating tenant", i, len(migrations))
 		}
-		for _, p := range paths {
+		for _, p := range migrations {
 			if p.Share != want {
 				t.Errorf("router %d: migrated share of %s is %v, want %v", i, p.Tenant, p.Share, want)
 			}
@@ -94,11 +94,11 @@
 	for seed := range uint64(2) {
 		base := migrationConfig(t, seed, MigrationTrial{})
 		for name, c := range map[string]struct {
-			trial        MigrationTrial
+			spec         MigrationTrial
 			faults       []Fault
 			isRolledBack bool
 		}{
-			"calm":           {},
+			"no faults":      {},
 			"rolling deploy": {faults: []Fault{deploy}},
 			"cell 0 lost":    {faults: cellLoss(t, base, 0)},
 			"cell 1 lost":    {faults: cellLoss(t, base, 1)},
@@ -109,20 +109,20 @@
 				{Kind: FaultRouter, Site: 0, Index: 0, AtSeconds: 11, DurationSeconds: 3},
 				{Kind: FaultRouter, Site: 1, Index: 1, AtSeconds: 12, DurationSeconds: 3},
 			}},
-			"rolled back":        {trial: MigrationTrial{RollbackSeconds: 14}, isRolledBack: true},
-			"paused and resumed": {trial: MigrationTrial{PauseSeconds: 12, ResumeSeconds: 20}},
+			"rolled back":        {spec: MigrationTrial{RollbackSeconds: 14}, isRolledBack: true},
+			"paused and resumed": {spec: MigrationTrial{PauseSeconds: 12, ResumeSeconds: 20}},
 			"rolled back during a deploy": {
-				trial:        MigrationTrial{RollbackSeconds: 12},
+				spec:         MigrationTrial{RollbackSeconds: 12},
 				isRolledBack: true,
 				faults: []Fault{
 					deploy,
 					{Kind: FaultRouter, Site: 0, Index: 0, AtSeconds: 13, DurationSeconds: 3},
 				},
 			},
-			"planned": {trial: MigrationTrial{Style: MigratePlanned}},
+			"planned": {spec: MigrationTrial{Style: MigratePlanned}},
 		} {
 			t.Run(fmt.Sprintf("seed %d/%s", seed, name), func(t *testing.T) {
-				cfg := migrationConfig(t, seed, c.trial, c.faults...)
+				cfg := migrationConfig(t, seed, c.spec, c.faults...)
 				if name == "planned" {
 					cfg.DurationSeconds = max(cfg.DurationSeconds, 2*cfg.MigrationEndSeconds)
 				}
@@ -132,7 +132,8 @@
 				}
 				hasRouterFault := slices.ContainsFunc(c.faults, func(f Fault) bool { return f.Kind == FaultRouter })
 				if r.LostWithRouter > 0 != hasRouterFault {
-					t.Errorf("%d requests lost at crashed routers", r.LostWithRouter)
+					t.Errorf("%d requests lost at crashed routers, want some if a router crashes, otherwise none",
+						r.LostWithRouter)
 				}
 			})
 		}
@@ -179,8 +180,8 @@
 	}
 }
 
-// Guards against a migration that starts partway. A document that arrives after the start of its migrations is rejected
-// as a whole.
+// Guards against a migration that starts in the middle of its shift because its document arrived late. A document that
+// arrives after the start of its migrations is rejected as a whole.
 func TestPastMigrationIsRejected(t *testing.T) {
 	cfg := migrationConfig(t, 6, MigrationTrial{})
 	cfg.Changes[0].AtSeconds = 9
--- a/emulator/model.go
+++ b/emulator/model.go
@@ -30,8 +30,8 @@
 const chunkInterval = 590 * millisecond
 
 // Warm-up of servers: the capacity rises linearly from the initial fraction to the full capacity. A warming server
-// crashes if it receives more within overloadWindow than its overload multiple times its current capacity. It restarts
-// after overloadRestartDelay.
+// crashes if the responses requested from it within overloadWindow exceed its overload multiple times what it can send
+// in that time at its current capacity. It restarts after overloadRestartDelay.
 const (
 	cacheInitialCapacity   = 0.32
 	cacheWarmUpTime        = 11 * second
@@ -51,11 +51,13 @@
 	maxReloadDelay         = 2 * second         // until a router has applied a changed document
 )
 
-// Times that routers and servers take to receive and apply a purge.
+// Times that routers and servers take to receive and apply a purge. An attempt that is sent more than purgeCheckDelay
+// after the notice must not be answered from a purged copy. This is longer than the grace period in the routers'
+// settings (PurgeGracePeriod).
 const (
 	maxPurgeNoticeDelay  = 400 * millisecond
-	purgeGracePeriod     = 500 * millisecond // a router may still answer from a purged copy this long after the notice
-	purgePropagationTime = 6 * second        // until every server has dropped its copies
+	purgeCheckDelay      = 500 * millisecond
+	purgePropagationTime = 6 * second // until every server has dropped its copies
 )
 
 // loadReportInterval is the interval between samples for the load reports of caches.
@@ -79,7 +81,7 @@
 	maxChunks           int
 	latencyObjectiveMs  float64
 	deadlineMs          float64 // after which the client times out
-	objectiveSizeFactor float64 // the latency objective grows by this times the time to send the response
+	objectiveSizeFactor float64 // the time to send at full rate, times this, is added to the objective
 	weight              float64 // of a response within its latency objective
 	lateWeightFactor    float64 // fraction of weight that a late response still has
 }
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -9,12 +9,12 @@
 const (
 	segmentToRouter      segment = iota // from an edge cache to the router
 	segmentFromUpstream                 // from a parent or the origin, over its own link
-	segmentFromRemoteHub                // over the line from a remote hub
+	segmentFromRemoteHub                // over the link from a remote hub
 	segmentIntoSite                     // over the link into the site
 	segmentToParent                     // from the origin to a parent, for a fetch
 )
 
-// attemptSegments is the number of segments that an attempt's own data can use. These are the first ones.
+// attemptSegments is the number of segments that an attempt's own data can use: all but segmentToParent.
 const attemptSegments = int(segmentIntoSite) + 1
 
 // networkDelay returns the one-way delay between a router or an edge cache of a site and a server.
--- a/emulator/new.go
+++ b/emulator/new.go
@@ -84,7 +84,7 @@
 const (
 	maxLatency            = 9_999_999 * microsecond // longer latencies are recorded as this
 	latencyHistogramLimit = 10 * second
-	latencyDigits         = 3
+	latencyDigits         = 3 // significant decimal digits that the histograms keep
 )
 
 // startMeasuring initializes the result, the latency histograms and the cell gauges.
@@ -117,7 +117,7 @@
 	for i := range classModels {
 		class := &classModels[i]
 		sum += class.share / class.meanChunks() // a session requests several chunks, so sessions arrive less often
-		w.classCDF[i] = sum
+		w.classCumulativeWeight[i] = sum
 	}
 }
 
@@ -139,8 +139,8 @@
 	})
 }
 
-// parentRetentionSeconds sets the size of parent caches: the time that a parent takes to send all that it stores at
-// full rate.
+// parentRetentionSeconds sets the size of parent caches: it is the time in which a parent that sends at full rate sends
+// everything that it can store.
 const parentRetentionSeconds = 27
 
 func (w *World) addParents() {
@@ -160,7 +160,7 @@
 	}
 }
 
-// addSites adds the links, the edge caches and the arrival random numbers of each site.
+// addSites adds the links, the edge caches and the random number generator for arrivals of each site.
 func (w *World) addSites() {
 	cfg := &w.config
 	for site := range cfg.Sites {
@@ -169,8 +169,8 @@
 		w.linkReports = append(w.linkReports, linkReport{})
 		if cfg.RemoteHubCapacityFactor > 0 {
 			for range cfg.Hubs {
-				line := w.addLink(cfg.remoteHubKBPerSecond(), maxFillKBPerSecond, 0)
-				w.remoteHubLinks = append(w.remoteHubLinks, line)
+				link := w.addLink(cfg.remoteHubKBPerSecond(), maxFillKBPerSecond, 0)
+				w.remoteHubLinks = append(w.remoteHubLinks, link)
 			}
 		}
 		for range cfg.CachesPerSite {
--- a/emulator/originlimit.go
+++ b/emulator/originlimit.go
@@ -11,7 +11,7 @@
 // control algorithms without other influences.
 type OriginLimitTrial struct {
 	Routers         int     `json:"routers"`
-	FillsPerSecond  float64 `json:"rateS"` // demand of all clients together
+	FillsPerSecond  float64 `json:"rateS"` // operations that all clients together start per second
 	OriginPerSecond float64 `json:"capS"`  // fills that the origin can answer per second
 	Knee            float64 `json:"knee"`
 	// SlowdownFactor sets how much the origin slows down above the knee: with twice Knee fills in flight its throughput
@@ -41,7 +41,8 @@
 // algorithmNone is the Algorithm of a trial without limits.
 const algorithmNone = "none"
 
-// Validate returns an error that names the first field that is out of range by its name in experiment files.
+// Validate returns an error for the first field that is out of range. The error contains the field's name in experiment
+// files.
 func (t *OriginLimitTrial) Validate() error {
 	return checkBounds("shield.", []bounds{
 		{"routers", float64(t.Routers), 1, 10_000},
@@ -59,8 +60,8 @@
 	})
 }
 
-// OriginLimitResult is the result of a trial, counted after the warm-up. Ratios of served operations refer to the
-// second in which the operations started.
+// OriginLimitResult is the result of a trial, counted after the warm-up. The served ratio of a period covers the
+// operations that started in the period.
 type OriginLimitResult struct {
 	Operations    int64
 	Served        int64 // operations with an attempt that was answered in time
@@ -69,19 +70,20 @@
 	Reports       int64 // operations that are reports
 	ReportsServed int64
 
-	MaxInFlight     float64 // maximum number of fills in flight, over the knee
+	MaxInFlight     float64 // maximum number of fills in flight, as a multiple of Knee
 	OverloadSeconds float64 // time with more than overloadFactor times the knee in flight
 	// SettleSeconds is the time from the start of the brownout to the end of the last overload within it.
 	SettleSeconds float64
 	// RecoverySeconds is the time from the end of the brownout to the start of the first resultWindowSeconds in which
-	// the served ratio is at least recoveredFactor times ServedBefore.
+	// the served ratio is at least recoveredFactor times ServedBefore. If there is none, it is the time to the end of
+	// the last second whose operations all have an outcome.
 	RecoverySeconds float64
 	ServedBefore    float64 // ratio, before the brownout
 	ServedDuring    float64 // ratio, in the brownout without its first five seconds
 	ServedAtEnd     float64 // ratio, in the last five seconds whose operations all have an outcome
 }
 
-// Bounds that the result's fields use.
+// Thresholds from which the result is computed.
 const (
 	overloadFactor      = 1.1  // relative to the knee
 	recoveredFactor     = 0.99 // relative to the ratio served before
@@ -111,7 +113,7 @@
 		limits:             limits,
 		failed:             make([]bool, t.Routers),
 		failureAt:          never,
-		fillsByID:          map[int64]*originFill{},
+		fillsByID:          map[int64]*trialFill{},
 		servedBySecond:     make([]int64, seconds),
 		operationsBySecond: make([]int64, seconds),
 		maxInFlight:        make([]int, inFlightSamplesPerSecond*seconds),
@@ -200,10 +202,11 @@
 	return lastOverload
 }
 
-// servedRatio returns the fraction served of the operations that started from second from up to, not including, to.
-func (w *originLimitWorld) servedRatio(from, to int) float64 {
+// servedRatio returns the fraction served of the operations that started from second first up to, not including, second
+// end.
+func (w *originLimitWorld) servedRatio(first, end int) float64 {
 	served, all := int64(0), int64(0)
-	for i := max(from, 0); i < min(to, len(w.servedBySecond)); i++ {
+	for i := max(first, 0); i < min(end, len(w.servedBySecond)); i++ {
 		served += w.servedBySecond[i]
 		all += w.operationsBySecond[i]
 	}
--- a/emulator/originlimit_test.go
+++ b/emulator/originlimit_test.go
@@ -25,9 +25,9 @@
 }
 
 // Guards against an origin that stays overloaded after it lost 70% of its capacity for 20 s. Without a limit, retries
-// of clients prevent its recovery. With each control algorithm it recovers within three seconds, and the fills in
-// flight stay near the burst. The fixed limit, which ignores response times, must not serve more before the brownout
-// than the gradient.
+// of clients prevent its recovery. With each control algorithm it recovers within three seconds, and at most 3.1 times
+// the knee are in flight, with a Burst of 3. The fixed limit, which ignores response times, must not serve more before
+// the brownout than the gradient.
 func TestOriginLimitRecoversFromBrownout(t *testing.T) {
 	results := map[string]*OriginLimitResult{}
 	for _, algorithm := range []string{"none", "fixed", "aimd", "gradient", "delay"} {
@@ -40,12 +40,12 @@
 			results[algorithm] = r
 			if algorithm == "none" {
 				if r.ServedAtEnd > 0.1 || r.ServedDuring > 0.1 || r.Sent < 2*r.Operations {
-					t.Errorf("%+v", r)
+					t.Errorf("without a limit the origin should stay overloaded: %+v", r)
 				}
 				return
 			}
 			if r.MaxInFlight > 3.1 || r.RecoverySeconds > 3 || r.SettleSeconds > 6 || r.ServedDuring < 0.25 {
-				t.Errorf("%+v", r)
+				t.Errorf("too many fills in flight, too slow a recovery or too few served in the brownout: %+v", r)
 			}
 		})
 	}
@@ -58,12 +58,13 @@
 			gradient.ServedBefore, fixed.ServedBefore)
 	}
 	if gradient.Sent > gradient.Operations {
-		t.Errorf("%d fills sent for %d operations", gradient.Sent, gradient.Operations)
+		t.Errorf("%d fills sent for %d operations, want at most one for each", gradient.Sent, gradient.Operations)
 	}
 }
 
 // Guards against limits that do not grow when other routers fail. Half of the routers fail while the origin works
-// normally; the others must take over their share.
+// normally; the others must take over their share. Also checks that the same seed gives the same result and that
+// invalid settings are rejected.
 func TestOriginLimitGrowsAfterRouterFailures(t *testing.T) {
 	trial := limitTrial("gradient")
 	trial.BrownoutDurationSeconds = 0
@@ -71,7 +72,7 @@
 	trial.FailureSeconds = 20
 	r, err := trial.Run(5)
 	if err != nil || r.ServedAtEnd < 0.97 {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("served ratio at the end below 0.97: %+v (error: %v)", r, err)
 	}
 	again, err := trial.Run(5)
 	if err != nil || *again != *r {
--- a/emulator/originlimit_world.go
+++ b/emulator/originlimit_world.go
@@ -12,8 +12,8 @@
 // never is a time after the end of every run.
 const never = math.MaxInt64
 
-// originFill is a fill in flight at the origin, which shares its throughput evenly among all fills.
-type originFill struct {
+// trialFill is a fill in flight. The origin shares its throughput evenly among the fills in flight.
+type trialFill struct {
 	endWork   float64 // value of workDone at which it ends
 	id        int64   // starts at 1
 	router    int
@@ -44,9 +44,9 @@
 	operations []trialOperation
 	arrivalAt  int64 // of the next operation
 	fills      fillHeap
-	fillsByID  map[int64]*originFill
+	fillsByID  map[int64]*trialFill
 	lastFillID int64
-	workDone   float64 // for each fill in flight, in fills, since the start
+	workDone   float64 // work that a fill in flight since the start of the trial would have received; a fill needs 1
 
 	result             OriginLimitResult
 	servedBySecond     []int64 // served operations, by the second in which they started
@@ -80,15 +80,15 @@
 		w.advance(at)
 		switch step {
 		case stepArrival:
-			w.arrival()
+			w.handleArrival()
 		case stepEvent:
 			w.handleEvent()
 		case stepFillEnd:
-			w.endFill(heap.Pop(&w.fills).(*originFill), false)
+			w.endFill(heap.Pop(&w.fills).(*trialFill), false)
 		case stepFailure:
 			w.failureAt = never
 			w.failRouters(int(w.FailedFraction * float64(w.Routers)))
-		case stepCapacity: // speed depends on the time alone
+		case stepCapacity: // nothing to do: speed derives the capacity from the time
 		}
 	}
 }
@@ -157,10 +157,10 @@
 	return w.BrownoutDurationSeconds > 0 && now >= w.BrownoutStartSeconds && now < end
 }
 
-// advance moves the time forward. No step may be due before to.
-func (w *originLimitWorld) advance(to int64) {
-	w.workDone += w.speed() * float64(to-w.now)
-	w.now = to
+// advance moves the time forward. No step may be due before until.
+func (w *originLimitWorld) advance(until int64) {
+	w.workDone += w.speed() * float64(until-w.now)
+	w.now = until
 }
 
 // arrivalGap returns a random, exponentially distributed time until the next operation.
@@ -168,8 +168,8 @@
 	return fromSeconds(w.random.ExpFloat64() / w.FillsPerSecond)
 }
 
-// arrival starts an operation and sets the time of the next one.
-func (w *originLimitWorld) arrival() {
+// handleArrival starts an operation and sets the time of the next one.
+func (w *originLimitWorld) handleArrival() {
 	isReport := w.random.Float64() < w.ReportFraction
 	w.operations = append(w.operations, trialOperation{startedAt: w.now, isReport: isReport})
 	w.operationsBySecond[w.now/second]++
@@ -214,7 +214,7 @@
 // sendFill sends a fill to the origin, and schedules its timeout.
 func (w *originLimitWorld) sendFill(operation, router int) {
 	w.lastFillID++
-	fill := &originFill{
+	fill := &trialFill{
 		endWork:   w.workDone + 1,
 		id:        w.lastFillID,
 		router:    router,
@@ -251,7 +251,7 @@
 
 // endFill ends a fill that was removed from the heap because it was answered or dropped. The client of a dropped fill
 // may retry, and the work that the origin has done for it is lost.
-func (w *originLimitWorld) endFill(fill *originFill, isDropped bool) {
+func (w *originLimitWorld) endFill(fill *trialFill, isDropped bool) {
 	delete(w.fillsByID, fill.id)
 	if limit := w.limits[fill.router]; limit != nil && !w.failed[fill.router] {
 		nowMs := float64(w.now) / float64(millisecond)
@@ -288,7 +288,7 @@
 }
 
 // fillHeap orders fills by the time at which they end.
-type fillHeap []*originFill
+type fillHeap []*trialFill
 
 // Len implements heap.Interface.
 func (h fillHeap) Len() int { return len(h) }
@@ -307,7 +307,7 @@
 
 // Push implements heap.Interface.
 func (h *fillHeap) Push(x any) {
-	fill := x.(*originFill)
+	fill := x.(*trialFill)
 	fill.heapIndex = len(*h)
 	*h = append(*h, fill)
 }
--- a/emulator/prefill.go
+++ b/emulator/prefill.go
@@ -23,7 +23,7 @@
 		p.parents = append(p.parents, id)
 		p.parentsRemainingKB += w.servers[id].store.capacityKB
 	}
-	for _, object := range w.popularObjects() {
+	for _, object := range w.repeatedObjects() {
 		if p.siteRemainingKB[0] <= 0 && p.parentsRemainingKB <= 0 {
 			break
 		}
@@ -34,15 +34,15 @@
 	}
 }
 
-// popularObject is an object that can be requested more than once.
-type popularObject struct {
+// repeatedObject is an object that clients can request more than once, unlike a oneTimeObject.
+type repeatedObject struct {
 	tenant, class, rank int32
-	rate                float64 // fraction of all requests that are for one of its chunks
+	rate                float64 // fraction of all requests that goes to each of its chunks
 }
 
-// popularObjects returns all objects except those that are requested only once, in descending order of request rate.
-func (w *World) popularObjects() []popularObject {
-	var all []popularObject
+// repeatedObjects returns all objects except those that are requested only once, in descending order of request rate.
+func (w *World) repeatedObjects() []repeatedObject {
+	var all []repeatedObject
 	for tenant, share := range w.config.TenantShares() {
 		before := 0.0
 		for rank, cumulative := range w.objectCDF {
@@ -50,7 +50,7 @@
 			before = cumulative
 			for class := classVideo; class <= classCatalogue; class++ {
 				model := &classModels[class]
-				all = append(all, popularObject{
+				all = append(all, repeatedObject{
 					tenant: int32(tenant),
 					class:  int32(class),
 					rank:   int32(rank),
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b popularObject) int { return cmp.Compare(b.rate, a.rate) })
+	slices.SortStableFunc(all, func(a, b repeatedObject) int { return cmp.Compare(b.rate, a.rate) })
 	return all
 }
 
@@ -82,10 +82,10 @@
 }
 
 // addObject places all chunks of an object.
-func (p *prefiller) addObject(popular popularObject) {
+func (p *prefiller) addObject(o repeatedObject) {
 	w := p.world
-	tenant, class := int(popular.tenant), int(popular.class)
-	key := objectKey(tenant, class, uint64(popular.rank))
+	tenant, class := int(o.tenant), int(o.class)
+	key := objectKey(tenant, class, uint64(o.rank))
 	object := objectName(tenant, key)
 	p.findCaches(tenant)
 	producedAt := int64(0)
--- a/emulator/purge.go
+++ b/emulator/purge.go
@@ -6,7 +6,7 @@
 	"spantack/routing"
 )
 
-// purge makes the copies of many groups of objects invalid at once.
+// purge makes all copies of a fraction of the purge groups invalid.
 type purge struct {
 	startedAt int64
 	fraction  float64 // fraction of all groups that is purged
@@ -25,9 +25,9 @@
 // purgeGroup returns the purge group of an operation's object.
 func purgeGroup(operation *clientOperation) int64 {
 	if operation.release {
-		return releaseFamily
+		return releasePurgeGroup
 	}
-	return int64(operation.tenant % releaseFamily)
+	return int64(operation.tenant % releasePurgeGroup)
 }
 
 // startPurge purges a fraction of all groups. Each running router receives the notice within maxPurgeNoticeDelay, and
@@ -50,11 +50,11 @@
 }
 
 // notifyPurge passes a purge to a router's module, with one event for each group.
-func (w *World) notifyPurge(id int32, which int) {
-	p := &w.purges[which]
+func (w *World) notifyPurge(id int32, index int) {
+	p := &w.purges[index]
 	router := &w.routers[id]
-	router.purgeDeadlines = append(router.purgeDeadlines, purgeDeadline{int32(which), w.now + purgeGracePeriod})
-	for group := range int64(releaseFamily) {
+	router.purgeDeadlines = append(router.purgeDeadlines, purgeDeadline{int32(index), w.now + purgeCheckDelay})
+	for group := range int64(releasePurgeGroup) {
 		if p.includes(group) {
 			w.stepRouter(id, routing.Event{Kind: routing.EventPurge, PurgeGroup: group, PurgeAge: w.now - p.startedAt})
 		}
@@ -92,7 +92,7 @@
 	for _, deadline := range w.routers[request.router].purgeDeadlines {
 		p := &w.purges[deadline.purge]
 		if attempt.sentAt > deadline.from && attempt.producedAt < p.startedAt && p.includes(group) {
-			w.result.violation(violationPurgedCopy)
+			w.result.countViolation(violationPurgedCopy)
 		}
 	}
 }
--- a/emulator/queue.go
+++ b/emulator/queue.go
@@ -1,7 +1,7 @@
 package emulator
 
-// eventKind is the kind of an event. The comments describe the fields of the event; generation is the generation of the
-// target, for the kinds that list it.
+// eventKind is the kind of an event. Each comment says what the fields of the event refer to: "target, generation:
+// request" means that they are the index and the generation of a request.
 type eventKind uint8
 
 const (
@@ -15,7 +15,7 @@
 	eventFillFailed                      // target, generation: attempt; value: cache status
 	eventAttemptOutcome                  // target, generation: attempt
 	eventAttemptTimeout                  // target, generation: attempt
-	eventLinkDue                         // a transfer ends; target: link
+	eventLinkDue                         // a transfer may have ended; target: link
 	eventFetchAtOrigin                   // target, generation: fetch
 	eventAnswer                          // the answer reaches the client; target, generation: request
 	eventClientTimeout                   // target, generation: request
@@ -29,7 +29,7 @@
 	eventPurge                           // target, generation: router; value: purge
 )
 
-// event is something that happens at a time. Events with the same time happen in the order in which they were pushed.
+// event is a scheduled event. Events with the same time happen in the order in which they were pushed.
 type event struct {
 	time       int64
 	sequence   uint64
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -13,14 +13,14 @@
 	Migrated    Tally `json:"movers"`
 	NotMigrated Tally `json:"stayers"`
 
-	// These include the warm-up.
+	// These include the warm-up, except Unfinished.
 	Violations     map[string]int64 `json:"broken"`
 	Events         int64            `json:"events"`
 	Attempts       int64            `json:"attempts"`
 	Requests       int64            `json:"requests"` // more than one for an operation that the client retries
 	Unanswered     int64            `json:"overdue"`  // requests without an answer when the client timed out
 	LostWithRouter int64            `json:"lost"`     // requests lost because their router crashed
-	Admission      cells.Stats      `json:"gate"`     // of the last process of each router
+	Admission      cells.Stats      `json:"gate"`     // sum over the routers, of each since its last start
 	// Unfinished counts operations neither served nor ended as unserved, without the warm-up and the noisy tenant.
 	Unfinished int64 `json:"unended"`
 
@@ -29,25 +29,25 @@
 	Lookups  int64   `json:"looks"`
 	FillKB   float64 `json:"fillKb"`
 	OriginKB float64 `json:"originKb"` // sent by the origin
-	// MaxOriginLoad is the maximum load of the origin in one second, over its capacity. OriginOverloadSeconds is the
-	// number of seconds in which the load exceeded the capacity.
+	// MaxOriginLoad is the maximum load of the origin in one second, as a fraction of its capacity.
+	// OriginOverloadSeconds is the number of seconds in which the load exceeded the capacity.
 	MaxOriginLoad         float64 `json:"originMost"`
 	OriginOverloadSeconds float64 `json:"originOverS"`
 
-	// Latency of served operations, without the noisy tenant.
+	// Latency of served operations, without the noisy tenant unless it is the only tenant.
 	P50Millis [classCount]float64 `json:"p50Ms"`
 	P99Millis [classCount]float64 `json:"p99Ms"`
 
-	// MaxWarmUpLoad is the maximum load of a server while it warmed up, over its bound. MaxWarmUpLoadPerRouter is the
-	// maximum from one router without its largest request, over its share of the bound. Both include the warm-up of the
-	// run.
+	// MaxWarmUpLoad is the maximum load of a warming server, as a fraction of its bound. MaxWarmUpLoadPerRouter is the
+	// maximum load that one router caused, without its largest request, as a fraction of the router's share of the
+	// bound. Both include the warm-up of the run.
 	MaxWarmUpLoad          float64 `json:"coldMost"`
 	MaxWarmUpLoadPerRouter float64 `json:"coldShare"`
-	// MaxCellFill is the maximum amount that a cell's caches filled within gaugeWindow, over the cell's share of the
-	// site link in that time.
+	// MaxCellFill is the maximum amount that a cell's caches filled within gaugeWindow, as a fraction of what the
+	// cell's share of the site link carries in that time.
 	MaxCellFill float64 `json:"cellFill"`
-	// MaxCellUtilization is the maximum, over all windows of gaugeWindow, of the mean utilization of a cell: the
-	// responses in progress at its caches over the number that they can send concurrently.
+	// MaxCellUtilization is the highest mean utilization of a cell at a site in any gaugeWindow: the responses in
+	// progress at its caches, divided by the number that they can send concurrently. It is 0 without migrated tenants.
 	MaxCellUtilization float64 `json:"cellBusy"`
 	// MaxMigrationSpread is the largest difference between two routers of a site in a migration's share of objects.
 	MaxMigrationSpread float64 `json:"spread"`
@@ -68,10 +68,11 @@
 	RolledBackAnswers int64 `json:"restored"`
 
 	// Gossip of routers.
-	Datagrams     int64 `json:"words"`
+	Datagrams     int64 `json:"words"`     // reports sent; one to several routers counts once
 	DatagramBytes int64 `json:"wordBytes"` // bytes delivered, counted for each receiver
 
-	// LargestServedRatio is, by class, the served ratio of the largest operations over the served ratio of all.
+	// LargestServedRatio is, by class, the served ratio of the largest operations (see largestFraction), divided by the
+	// served ratio of all.
 	// NextLargestServedRatio is the same for the next largest fifth.
 	LargestServedRatio     [classCount]float64 `json:"largest"`
 	NextLargestServedRatio [classCount]float64 `json:"next"`
@@ -146,28 +147,28 @@
 	return int(operation.tenant) == r.noisyTenant
 }
 
-// count adds to each tally that includes an operation.
-func (r *Result) count(operation *clientOperation, add Tally) {
+// count adds counts to each tally that includes the operation.
+func (r *Result) count(operation *clientOperation, counts Tally) {
 	if !operation.counted {
 		return
 	}
 	if r.isNoisy(operation) {
-		r.NoisyTenant.add(add)
+		r.NoisyTenant.add(counts)
 		return
 	}
 	if r.migratedTenants[operation.tenant] {
-		r.Migrated.add(add)
+		r.Migrated.add(counts)
 	} else {
-		r.NotMigrated.add(add)
+		r.NotMigrated.add(counts)
 	}
-	r.ByClass[operation.class].add(add)
+	r.ByClass[operation.class].add(counts)
 	cell := r.cellOf(operation.tenant)
-	r.ByCell[cell].add(add)
+	r.ByCell[cell].add(counts)
 	inSecond := &r.Seconds[min(int((operation.startedAt-r.countFrom)/second), len(r.Seconds)-1)]
 	if cell == r.noisyCell {
-		inSecond.NoisyCell.add(add)
+		inSecond.NoisyCell.add(counts)
 	} else {
-		inSecond.OtherCells.add(add)
+		inSecond.OtherCells.add(counts)
 	}
 }
 
@@ -196,6 +197,7 @@
 	}
 	r.count(operation, add)
 	r.recordSize(operation, true)
+	// The latency of a noisy tenant is measured only if there is no other tenant.
 	isMeasured := !r.isNoisy(operation) || w.config.Tenants == 1
 	if operation.counted && isMeasured {
 		_ = w.latency[operation.class].RecordValue(min(latency, maxLatency))
@@ -209,8 +211,8 @@
 	return base + factor*operation.sizeKB/responseKBPerSecond*float64(second)
 }
 
-// cacheLookup counts a look-up at an edge cache.
-func (r *Result) cacheLookup(server *simulatedServer, id int32, operation *clientOperation, isHit bool) {
+// recordCacheLookup counts a look-up at an edge cache.
+func (r *Result) recordCacheLookup(server *simulatedServer, id int32, operation *clientOperation, isHit bool) {
 	if !operation.counted || server.kind != cacheServer {
 		return
 	}
@@ -232,8 +234,8 @@
 	}
 }
 
-// originFill counts an amount that is requested from the origin now.
-func (r *Result) originFill(w *World, kb float64) {
+// recordOriginFill counts an amount that is requested from the origin now.
+func (r *Result) recordOriginFill(w *World, kb float64) {
 	if w.now >= r.countFrom && w.now < w.stopAt {
 		r.OriginKB += kb
 	}
--- a/emulator/rollout.go
+++ b/emulator/rollout.go
@@ -12,7 +12,7 @@
 	return hashFraction(operation.key^hashMix(w.config.Seed)) < w.config.Release.HarmfulFraction
 }
 
-// isNewVersion reports whether a copy that was produced at a time has the new version of the release.
+// isNewVersion reports whether a copy produced at producedAt has the new version of the release.
 func (w *World) isNewVersion(producedAt int64) bool {
 	r := w.config.Release
 	if !r.ReplacesObjects || producedAt < fromSeconds(r.StartSeconds) {
@@ -21,9 +21,10 @@
 	return r.RollbackSeconds == 0 || producedAt < fromSeconds(r.RollbackSeconds)
 }
 
-// checkRelease counts a response with a replaced object by the time at which its attempt was sent. The old version is a
-// violation after the cell has the release, and the new version is a violation after the document has rolled the
-// release back. Responses of the new version in cells that do not have the release yet are counted as early.
+// checkRelease counts a response with a replaced object by the time at which its attempt was sent. A response with the
+// old version is a violation once the router has opened the cell for the release. One with the new version is a
+// violation from Rollout.RollbackAt on, by the router's clock. Responses of the new version in cells that do not have
+// the release yet are counted as early.
 func (w *World) checkRelease(attempt *serverAttempt) {
 	request := &w.requests[attempt.request]
 	release := w.config.Release
@@ -38,12 +39,12 @@
 	switch {
 	case rollbackAt > 0 && attempt.sentAt+router.clockOffset >= rollbackAt:
 		if isNew {
-			w.result.violation(violationRolledBackVersion)
+			w.result.countViolation(violationRolledBackVersion)
 		}
 		w.result.RolledBackAnswers++
 	case openedAt > 0 && attempt.sentAt >= openedAt:
 		if attempt.producedAt < startedAt {
-			w.result.violation(violationOldVersion)
+			w.result.countViolation(violationOldVersion)
 		}
 		w.result.ReleaseAnswers++
 	case attempt.sentAt >= startedAt:
@@ -54,7 +55,7 @@
 	}
 }
 
-// isInState reports whether a ring is in a state.
+// isInState reports whether a ring has the given state. The status of a ring contains its state as text.
 func isInState(ring cells.RingStatus, state rollout.RingState) bool {
 	return ring.State == state.String()
 }
@@ -105,13 +106,13 @@
 		isStopped := slices.ContainsFunc(status.Rings, func(r cells.RingStatus) bool {
 			return isInState(r, rollout.RingStopped)
 		})
-		hasUnpassed := slices.ContainsFunc(status.Rings, func(r cells.RingStatus) bool {
+		someNotPassed := slices.ContainsFunc(status.Rings, func(r cells.RingStatus) bool {
 			return !isInState(r, rollout.RingPassed)
 		})
 		if isStopped {
 			w.result.RoutersStopped++
 		}
-		if !hasUnpassed {
+		if !someNotPassed {
 			w.result.RoutersPassed++
 		}
 	}
--- a/emulator/rollout_test.go
+++ b/emulator/rollout_test.go
@@ -8,18 +8,18 @@
 
 // Guards against responses of the wrong version during a release that replaces objects, while a router crashes, clocks
 // differ and caches are replaced. A cell that has the release must not respond with the old version, a cell without it
-// must mostly respond with the old version, and after the rollback no cell may respond with the new version. For
-// routers that have stopped the release themselves, the last condition applies from the time of the rollback on.
+// must mostly respond with the old version, and after the rollback no cell may respond with the new version. A router
+// that stops the release itself may respond with the new version until RollbackAt.
 func TestReleaseVersionsDuringFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		harmful    float64
 		onRollback string
 		skew       float64
 	}{
-		"good":                   {},
-		"clock skew":             {skew: 1000},
-		"harmful, rejected":      {harmful: 0.5},
-		"harmful, still serving": {harmful: 0.5, onRollback: "serve"},
+		"harmless release": {},
+		"clock skew":       {skew: 1000},
+		"harmful, replaced objects rejected after the stop": {harmful: 0.5},
+		"harmful, replaced objects served after the stop":   {harmful: 0.5, onRollback: "serve"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := smallConfig(11)
@@ -51,7 +51,7 @@
 			}
 			r := runWorld(t, cfg)
 			if r.ReleaseAnswers < 20 || r.PendingAnswers < 300 || r.RolledBackAnswers < 100 {
-				t.Errorf("responses: %d with the release, %d before it, %d after the rollback",
+				t.Errorf("responses: %d with release, %d before it, %d after rollback; want at least 20, 300 and 100",
 					r.ReleaseAnswers, r.PendingAnswers, r.RolledBackAnswers)
 			}
 			if float64(r.EarlyAnswers) > 0.4*float64(r.PendingAnswers) {
@@ -59,7 +59,8 @@
 			}
 			isStoppedEarly := r.StoppedAtSeconds < 27
 			if r.RoutersStopped != cfg.routerCount() || (c.harmful > 0) != isStoppedEarly {
-				t.Errorf("release stopped at %d routers, first at %.1f s", r.RoutersStopped, r.StoppedAtSeconds)
+				t.Errorf("release stopped at %d routers, first at %.1f s; want all, before 27 s only if it is harmful",
+					r.RoutersStopped, r.StoppedAtSeconds)
 			}
 		})
 	}
--- a/emulator/routers.go
+++ b/emulator/routers.go
@@ -15,7 +15,7 @@
 	running    bool
 	inFrontend bool   // the frontend sends clients to it
 	generation uint32 // incremented when it crashes
-	freeAt     int64  // when its core is free for the next request
+	freeAt     int64  // when its only CPU core is free for the next request
 	random     *rand.Rand
 
 	endpointVersion  int   // number of changes of the endpoint list that it has applied
@@ -104,13 +104,13 @@
 // rejectionCostFraction is the CPU time of a router for a rejected request, as a fraction of the time for any other.
 const rejectionCostFraction = 0.25
 
-// refundCore subtracts the CPU time that a rejected request did not use from the time reserved for it.
-func (w *World) refundCore(router *simulatedRouter) {
+// releaseUnusedCPUTime subtracts the CPU time that a rejected request did not use from the time reserved for it.
+func (w *World) releaseUnusedCPUTime(router *simulatedRouter) {
 	router.freeAt -= int64(w.config.RouterCPUMicros * (1 - rejectionCostFraction))
 }
 
 // arriveAtRouter handles the arrival of a request, which waits until the router's core is free and is then passed to
-// the module. A request that exceeds its tenant's rate limit is rejected before.
+// the module. A request that exceeds its tenant's rate limit is rejected and never reaches the module.
 func (w *World) arriveAtRouter(e *event) {
 	request := &w.requests[e.target]
 	router := &w.routers[request.router]
@@ -137,14 +137,14 @@
 	operation := &w.operations[request.operation]
 	request.deadline = w.routerDeadline(operation)
 	if w.rateLimits != nil && !w.withinRateLimit(router, operation) {
-		w.refundCore(router)
+		w.releaseUnusedCPUTime(router)
 		w.answerRequest(e.target, routing.Action{Kind: routing.ActionReject, RetryAfter: second / 2})
 		return
 	}
 	admitted := router.module.Stats.Admitted
 	w.stepRouter(request.router, requestEvent(request, operation, w.now))
 	if w.config.Cells != nil && router.module.Stats.Admitted == admitted {
-		w.refundCore(router)
+		w.releaseUnusedCPUTime(router)
 	}
 }
 
@@ -159,7 +159,7 @@
 func requestEvent(request *clientRequest, operation *clientOperation, now int64) routing.Event {
 	return routing.Event{
 		Kind:       routing.EventRequest,
-		RequestID:  request.callID,
+		RequestID:  request.routerRequestID,
 		Class:      classModels[operation.class].name,
 		Object:     operation.object,
 		Chunk:      int64(operation.chunk),
@@ -212,13 +212,13 @@
 				value:      action.TimerToken,
 			})
 		case routing.ActionSend:
-			if requestID := w.requestByCallID(action.RequestID); requestID >= 0 && !w.requests[requestID].answered {
+			if requestID := w.findRequest(action.RequestID); requestID >= 0 && !w.requests[requestID].answered {
 				w.sendAttempt(requestID, action)
 			}
 		case routing.ActionCancel:
 			w.cancelAttempt(action)
 		case routing.ActionReject, routing.ActionFail:
-			if requestID := w.requestByCallID(action.RequestID); requestID >= 0 {
+			if requestID := w.findRequest(action.RequestID); requestID >= 0 {
 				w.answerRequest(requestID, action)
 			}
 		case routing.ActionReportOverload:
@@ -234,11 +234,11 @@
 func (w *World) answerRequest(requestID int32, action routing.Action) {
 	request := &w.requests[requestID]
 	if request.answered {
-		w.result.violation(violationTwoAnswers)
+		w.result.countViolation(violationTwoAnswers)
 		return
 	}
 	if request.attempt >= 0 {
-		w.result.violation(violationAnsweredDuringAttempt)
+		w.result.countViolation(violationAnsweredDuringAttempt)
 	}
 	request.answered = true
 	request.retryAfter = 0
@@ -263,7 +263,7 @@
 	router.generation++
 	for requestID := range w.requests {
 		request := &w.requests[requestID]
-		isOwn := request.router == id && request.routerGeneration == generation && request.callID != ""
+		isOwn := request.router == id && request.routerGeneration == generation && request.routerRequestID != ""
 		if !isOwn || request.closed || request.answered || w.now <= 0 {
 			continue
 		}
--- a/emulator/servers.go
+++ b/emulator/servers.go
@@ -94,7 +94,7 @@
 	return id
 }
 
-// findServer returns the index of the newest server with a name, or -1.
+// findServer returns the index of the newest server with the given name, or -1.
 func (w *World) findServer(name string) int32 {
 	for i := len(w.servers) - 1; i >= 0; i-- {
 		if w.servers[i].name == name {
--- a/emulator/tally.go
+++ b/emulator/tally.go
@@ -4,7 +4,7 @@
 type Tally struct {
 	Operations    int64   `json:"asked"`
 	OfferedWeight float64 `json:"offered"` // of all operations
-	TimelyWeight  float64 `json:"timely"`  // of operations served within their latency objective, including retries
+	TimelyWeight  float64 `json:"timely"`  // of operations served within the objective, counted from the first request
 	EarnedWeight  float64 `json:"earned"`  // including the reduced weight of late responses
 	Served        int64   `json:"served"`
 	Rejected      int64   `json:"refused"` // requests; each request of an operation counts
--- a/emulator/topology.go
+++ b/emulator/topology.go
@@ -18,7 +18,8 @@
 	FillsPerChange  int `json:"fills"`
 }
 
-// Validate returns an error that names the first field that is out of range by its name in experiment files.
+// Validate returns an error for the first field that is out of range. The error contains the field's name in experiment
+// files.
 func (t *TopologyTrial) Validate() error {
 	return checkBounds("shapes.", []bounds{
 		{"shapes", float64(t.Topologies), 1, 1e5},
@@ -60,7 +61,7 @@
 // maxVisits is the number of visited nodes after which a fill in a loop ends.
 const maxVisits = 64
 
-// loopEvery is the interval, in topologies, at which a loop is added.
+// loopEvery is the number of topologies of which one gets an added loop.
 const loopEvery = 3
 
 // Run executes the trial. The same seed gives the same result.
@@ -86,7 +87,7 @@
 	sites := 1 + rng.IntN(t.MaxSites)
 	topology := randomTopology(rng, groups, sites)
 	if withLoop {
-		result.countLoop(plantLoop(rng, topology))
+		result.countLoop(addLoop(rng, topology))
 	}
 	graphs := map[string]*hierarchy.Graph{} // the version that each node has
 	for version := 1; version <= t.Changes+1; version++ {
@@ -100,7 +101,8 @@
 			result.ValidRejected++
 			return
 		}
-		for _, node := range nodeNames(topology) { // half of the nodes receive it now, the others a later one
+		// A node receives this version with probability 1/2, or always if it has none yet. The others keep theirs.
+		for _, node := range nodeNames(topology) {
 			if graphs[node] == nil || rng.IntN(2) == 0 {
 				graphs[node] = graph
 			}
--- a/emulator/topology_config.go
+++ b/emulator/topology_config.go
@@ -6,11 +6,12 @@
 	"spantack/core/hierarchy"
 )
 
-// Styles of a world's topology document.
+// Styles of a world's topology document. With TopologyNearest and TopologyDirect, no capacity limits the fills: the
+// document gives the origin unboundedKBPerSecond and each site a peak fill rate of only minimalFillKBPerSecond.
 const (
-	TopologyPlanned = "planned" // all links, each with its capacity
-	TopologyNearest = "nearest" // links to all hubs with no capacity limit: sites fill from the nearest available hub
-	TopologyDirect  = "direct"  // links to the near hub, and to the origin if the hub fails, with no capacity limit
+	TopologyPlanned = "planned" // all links, with the capacities and fill rates of the world
+	TopologyNearest = "nearest" // links from each site to all hubs: sites fill from the nearest available hub
+	TopologyDirect  = "direct"  // links from each site to its near hub, and to the origin in case the hub fails
 )
 
 // unboundedKBPerSecond is a capacity above that of any server or link.
--- a/emulator/topology_random.go
+++ b/emulator/topology_random.go
@@ -8,7 +8,8 @@
 	"spantack/core/hierarchy"
 )
 
-// Capacities in random topologies. The fills stay below them.
+// Capacities in random topologies, and the peak fill rate of each site. The fills stay below the capacities: the peak
+// fills of up to nine sites are below the capacity of one link.
 const (
 	randomOriginKBPerSecond = 1e4
 	randomLinkKBPerSecond   = 1000
@@ -100,9 +101,9 @@
 	return links
 }
 
-// plantLoop returns a copy of a topology with an additional link that closes a loop: from a parent group that is
+// addLoop returns a copy of a topology with an additional link that closes a loop: from a parent group that is
 // reachable from a random group, back to that group.
-func plantLoop(rng *rand.Rand, t *hierarchy.Topology) *hierarchy.Topology {
+func addLoop(rng *rand.Rand, t *hierarchy.Topology) *hierarchy.Topology {
 	next := *t
 	next.Version = 1
 	start := groupName(rng.IntN(len(t.ParentGroups)))
--- a/emulator/topology_test.go
+++ b/emulator/topology_test.go
@@ -11,7 +11,7 @@
 		t.Fatal(err)
 	}
 	if r.WithLoop != 50 || r.LoopsAccepted+r.LoopsMisreported+r.ValidRejected != 0 || r.Valid != 900 {
-		t.Errorf("%+v", r)
+		t.Errorf("loops accepted or misreported, valid topologies rejected or wrong counts: %+v", r)
 	}
 	path, peer, none := r.ByGuard["path"], r.ByGuard["asker"], r.ByGuard["plain"]
 	if path.Revisits != 0 || none.Revisits < 100 || peer.Revisits >= none.Revisits/4 {
--- a/emulator/validate.go
+++ b/emulator/validate.go
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// Validate returns an error that names the first invalid field by its name in experiment files.
+// Validate returns an error for the first invalid field. The error contains the field's name in experiment files.
 func (c *Config) Validate() error {
 	for _, check := range []func() error{
 		c.validateRanges,
@@ -106,7 +106,7 @@
 		return nil
 	}
 	if !(r.StartSeconds >= 0) || !isFraction(r.CatalogueFraction) || !isFraction(r.HarmfulFraction) || c.Cells == nil {
-		return errors.New("release: needs cells, fromS of at least 0, and part and harm of 0 to 1")
+		return errors.New("release: cells must be set, fromS must be at least 0, and part and harm must be from 0 to 1")
 	}
 	return nil
 }
@@ -123,7 +123,7 @@
 	for i, f := range c.Faults {
 		needsFraction := f.Kind == FaultBrownout || f.Kind == FaultPurge
 		if needsFraction && !(f.Fraction > 0 && f.Fraction <= 1) {
-			return fmt.Errorf("faults[%d].part: %v is not above 0 and at most 1", i, f.Fraction)
+			return fmt.Errorf("faults[%d].part: %v must be above 0 and at most 1", i, f.Fraction)
 		}
 	}
 	return nil
@@ -132,7 +132,7 @@
 func (c *Config) validateFaultTargets() error {
 	for i, f := range c.Faults {
 		if f.Site < -1 || f.Site >= c.Sites || f.Index < 0 {
-			return fmt.Errorf("faults[%d]: depot or which is out of range", i)
+			return fmt.Errorf("faults[%d]: \"depot\" or \"which\" is out of range", i)
 		}
 	}
 	return nil
@@ -140,8 +140,8 @@
 
 func (c *Config) validateChanges() error {
 	for i, change := range c.Changes {
-		isBeforeLast := i > 0 && change.AtSeconds < c.Changes[i-1].AtSeconds
-		if !(change.AtSeconds >= 0) || isBeforeLast || c.Cells == nil {
+		isBeforePrevious := i > 0 && change.AtSeconds < c.Changes[i-1].AtSeconds
+		if !(change.AtSeconds >= 0) || isBeforePrevious || c.Cells == nil {
 			return fmt.Errorf("changes[%d]: needs cells, and a time not before the previous change", i)
 		}
 	}
--- a/emulator/violations.go
+++ b/emulator/violations.go
@@ -16,5 +16,5 @@
 	violationRouterStart           = "router does not start: " // followed by the error
 )
 
-// violation counts a violation by its name.
-func (r *Result) violation(name string) { r.Violations[name]++ }
+// countViolation adds 1 to the count of the violation with the given name.
+func (r *Result) countViolation(name string) { r.Violations[name]++ }
--- a/emulator/warm_up.go
+++ b/emulator/warm_up.go
@@ -1,8 +1,8 @@
 package emulator
 
-// acceptsWarmUpLoad adds a response to the load of a server, if it warms up. If the load exceeds its bound, the server
-// crashes, the attempts at it end, and the function returns false.
-func (w *World) acceptsWarmUpLoad(id int32, sizeKB float64, router int32) bool {
+// addWarmUpLoad adds a response to the load of a server that is still warming up. If the load exceeds the server's
+// bound, the server crashes, the attempts at it end, and the function returns false.
+func (w *World) addWarmUpLoad(id int32, sizeKB float64, router int32) bool {
 	server := &w.servers[id]
 	initial, duration, multiple := cacheInitialCapacity, int64(cacheWarmUpTime), cacheOverloadMultiple
 	if server.kind == parentServer {
@@ -19,7 +19,7 @@
 	if server.recentKB <= maxKB {
 		return true
 	}
-	w.result.violation(violationColdServer)
+	w.result.countViolation(violationColdServer)
 	w.killServer(id)
 	w.push(event{time: w.now + overloadRestartDelay, kind: eventServerRestart, target: id})
 	return false
@@ -35,9 +35,9 @@
 	s.recentKB += work.sizeKB
 }
 
-// recordWarmUpLoad updates MaxWarmUpLoad and MaxWarmUpLoadPerRouter: the load of a server over its bound, from all
-// routers and from one. All routers have equal shares of the bound, and the largest request of the router is not
-// counted.
+// recordWarmUpLoad updates MaxWarmUpLoad, the load of a server as a fraction of its bound, and MaxWarmUpLoadPerRouter,
+// the load from this router without its largest request, as a fraction of its share of the bound. All routers have
+// equal shares of the bound.
 func (w *World) recordWarmUpLoad(server *simulatedServer, router int32, maxKB float64) {
 	w.result.MaxWarmUpLoad = max(w.result.MaxWarmUpLoad, server.recentKB/maxKB)
 	routers := float64(w.config.RoutersPerSite)
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -35,13 +35,14 @@
 	// The network.
 	links          []link
 	siteLinks      []int32 // link into each site
-	remoteHubLinks []int32 // line from a remote hub, by site and hub; nil: unlimited
+	remoteHubLinks []int32 // link from a remote hub, by site and hub; nil: unlimited
 
 	// The endpoint list.
 	endpointChanges []routing.Endpoint
 	changedServers  []int32 // index of the server of each change
 
-	// Objects in flight, with the free slots of their lists.
+	// Operations, requests, attempts and fetches in flight, each with the free slots of its list, and other state of
+	// the run.
 	operations     []clientOperation
 	freeOperations []int32
 	requests       []clientRequest
@@ -60,11 +61,11 @@
 	miscRandom    *rand.Rand
 
 	// Distributions of client requests, all cumulative, and names of objects.
-	tenantCDF      []float64
-	objectCDF      []float64
-	classCDF       [classCount]float64 // of operations and sessions; the last value is not 1
-	objectNames    map[uint64]string
-	oneTimeObjects uint64
+	tenantCDF             []float64
+	objectCDF             []float64
+	classCumulativeWeight [classCount]float64 // of operations and sessions; the last value is not 1
+	objectNames           map[uint64]string
+	oneTimeObjects        uint64
 
 	// Measurements.
 	result       Result
@@ -74,12 +75,12 @@
 	linkReports  []linkReport // by site
 }
 
-// drainTime is how long a world continues to run after stopAt, so that operations can end.
-const drainTime = 8 * second
+// completionTime is how long a world continues to run after stopAt, so that operations can end.
+const completionTime = 8 * second
 
 // Run executes the simulation to its end and returns the result. It must be called only once for a world.
 func (w *World) Run() Result {
-	end := w.stopAt + drainTime
+	end := w.stopAt + completionTime
 	for len(w.queue.heap) > 0 {
 		e := w.queue.pop()
 		if e.time > end {
@@ -102,11 +103,11 @@
 	}
 	switch e.kind {
 	case eventArrival:
-		w.arrival(int(e.target))
+		w.handleArrival(int(e.target))
 	case eventNextChunk:
 		w.requestNextChunk(e.target)
 	case eventFloodRequest:
-		w.floodRequest()
+		w.startFloodRequest()
 	case eventAtRouter:
 		w.arriveAtRouter(e)
 	case eventRouterTimer:
@@ -118,7 +119,7 @@
 	case eventFillFailed:
 		w.fillFailed(e.target, routing.CacheStatus(e.value))
 	case eventAttemptOutcome:
-		w.attemptOutcome(e.target)
+		w.deliverOutcome(e.target)
 	case eventAttemptTimeout:
 		w.dropAttempt(e.target, routing.OutcomeTimedOut)
 	case eventLinkDue:
--- a/emulator/world_test.go
+++ b/emulator/world_test.go
@@ -100,12 +100,13 @@
 	return routing.Action{Kind: routing.ActionSend, Server: server, Timeout: second}
 }
 
-// Guards against checks that detect nothing: causes violations on purpose and expects each to be counted once.
+// Guards against checks for violations that detect nothing: causes violations on purpose and expects each to be counted
+// once.
 func TestViolationsAreCounted(t *testing.T) {
 	w := newWorld(t, smallConfig(1))
 	id := w.addCache(0, 1)
 	w.now = second
-	for i := 0; i < 10_000 && w.acceptsWarmUpLoad(id, 370, 0); i++ {
+	for i := 0; i < 10_000 && w.addWarmUpLoad(id, 370, 0); i++ {
 	}
 	if w.result.Violations["cold server pushed over"] != 1 || w.servers[id].running {
 		t.Errorf("violations after an overload of a cold cache: %v", w.result.Violations)
