--- a/emulator/migration.go
+++ b/emulator/migration.go
@@ -8,7 +8,7 @@
 	"spantack/core/migration/schedule"
 )
 
-// MigrationStyle is the way in which the tenants of a MigrationTrial change their cells.
+// MigrationStyle is the way in which the tenants of a MigrationSpec change their cells.
 type MigrationStyle string
 
 // The styles of migrations. CapacityLimiter and Pacer are those of core/migration.
@@ -21,9 +21,9 @@
 	MigrateAtOnce   MigrationStyle = "atOnce"   // the cell assignment changes at once, without migrations
 )
 
-// MigrationTrial describes the migrations of an experiment: either TenantCount tenants, chosen at random by the seed,
+// MigrationSpec describes the migrations of an experiment: either TenantCount tenants, chosen at random by the seed,
 // each to another cell, or all tenants of DrainCell to the TargetCells cells that follow it in Config.Cells.
-type MigrationTrial struct {
+type MigrationSpec struct {
 	Style          MigrationStyle `json:"style"`
 	TenantCount    int            `json:"count,omitempty"`
 	DrainCell      string         `json:"evacuate,omitempty"`
@@ -49,7 +49,7 @@
 
 // PlanMigrations adds the specified migrations to Changes. It sets MigratedTenants also for MigrateNone. It returns an
 // error if the style is unknown or the migrations cannot be planned.
-func (c *Config) PlanMigrations(spec *MigrationTrial) error {
+func (c *Config) PlanMigrations(spec *MigrationSpec) error {
 	tenants, requests := c.migrationRequests(spec)
 	c.MigratedTenants = tenants
 	switch spec.Style {
@@ -106,7 +106,7 @@
 
 // migrations returns the migrations of the first document. It returns an error if the style is unknown or the
 // schedule cannot be planned.
-func (c *Config) migrations(spec *MigrationTrial, requests []schedule.Request) ([]migration.Migration, error) {
+func (c *Config) migrations(spec *MigrationSpec, requests []schedule.Request) ([]migration.Migration, error) {
 	if spec.Style == MigratePlanned {
 		planned, err := schedule.Plan(requests, c.scheduleConstraints(spec))
 		if err != nil {
@@ -144,7 +144,7 @@
 }
 
 // migrationRequests returns the tenants that migrate and a request with the source and target cell for each.
-func (c *Config) migrationRequests(spec *MigrationTrial) (tenants []int, requests []schedule.Request) {
+func (c *Config) migrationRequests(spec *MigrationSpec) (tenants []int, requests []schedule.Request) {
 	var targets []migrationTarget
 	if spec.DrainCell != "" {
 		targets = c.drainTargets(spec)
@@ -171,7 +171,7 @@
 }
 
 // drainTargets returns all tenants of the drained cell, assigned round-robin to the TargetCells cells that follow it.
-func (c *Config) drainTargets(spec *MigrationTrial) (targets []migrationTarget) {
+func (c *Config) drainTargets(spec *MigrationSpec) (targets []migrationTarget) {
 	from := c.cellIndexByName()[spec.DrainCell]
 	for tenant := range c.Cells.Tenants {
 		if c.Cells.Tenants[tenant].Cell == spec.DrainCell {
@@ -190,7 +190,7 @@
 const migrationDrawFactor = 0x51ed
 
 // drawTargets returns random tenants, each with a random cell other than its own.
-func (c *Config) drawTargets(spec *MigrationTrial) (targets []migrationTarget) {
+func (c *Config) drawTargets(spec *MigrationSpec) (targets []migrationTarget) {
 	indexes := c.cellIndexByName()
 	count := len(c.Cells.Cells)
 	isDrawn := map[int]bool{}
@@ -209,7 +209,7 @@
 }
 
 // migrationRequest returns the request to the planner for a tenant that migrates.
-func (c *Config) migrationRequest(spec *MigrationTrial, tenant, cell int) schedule.Request {
+func (c *Config) migrationRequest(spec *MigrationSpec, tenant, cell int) schedule.Request {
 	demand := c.TenantShares()[tenant] * c.RequestsPerSecond * meanRequestKB() / float64(c.Sites)
 	request := schedule.Request{
 		Tenant:       c.Cells.Tenants[tenant].Name,
@@ -234,7 +234,7 @@
 
 // scheduleConstraints returns the constraints for the planner: the spare capacities of the world's cells under normal
 // load.
-func (c *Config) scheduleConstraints(spec *MigrationTrial) schedule.Constraints {
+func (c *Config) scheduleConstraints(spec *MigrationSpec) schedule.Constraints {
 	sites := float64(c.Sites)
 	sentKB := c.RequestsPerSecond * meanRequestKB() / sites
 	fillKB := c.fillKBPerSecond() / sites * expectedFillFraction
--- a/emulator/migration_test.go
+++ b/emulator/migration_test.go
@@ -14,7 +14,7 @@
 
 // migrationConfig returns a small world in which tenants migrate from second 6 on, with a clock skew of up to a second
 // between routers and documents.
-func migrationConfig(t testing.TB, seed uint64, spec MigrationTrial, faults ...Fault) Config {
+func migrationConfig(t testing.TB, seed uint64, spec MigrationSpec, faults ...Fault) Config {
 	t.Helper()
 	cfg := smallConfig(seed)
 	cfg.SiteLinkCapacityFactor = 3
@@ -92,9 +92,9 @@
 func TestMigrationsCompleteDuringFaults(t *testing.T) {
 	deploy := Fault{Kind: FaultDeploy, Site: -1, AtSeconds: 8, DurationSeconds: 14, Fraction: 0.91}
 	for seed := range uint64(2) {
-		base := migrationConfig(t, seed, MigrationTrial{})
+		base := migrationConfig(t, seed, MigrationSpec{})
 		for name, c := range map[string]struct {
-			spec         MigrationTrial
+			spec         MigrationSpec
 			faults       []Fault
 			isRolledBack bool
 		}{
@@ -109,17 +109,17 @@
 				{Kind: FaultRouter, Site: 0, Index: 0, AtSeconds: 11, DurationSeconds: 3},
 				{Kind: FaultRouter, Site: 1, Index: 1, AtSeconds: 12, DurationSeconds: 3},
 			}},
-			"rolled back":        {spec: MigrationTrial{RollbackSeconds: 14}, isRolledBack: true},
-			"paused and resumed": {spec: MigrationTrial{PauseSeconds: 12, ResumeSeconds: 20}},
+			"rolled back":        {spec: MigrationSpec{RollbackSeconds: 14}, isRolledBack: true},
+			"paused and resumed": {spec: MigrationSpec{PauseSeconds: 12, ResumeSeconds: 20}},
 			"rolled back during a deploy": {
-				spec:         MigrationTrial{RollbackSeconds: 12},
+				spec:         MigrationSpec{RollbackSeconds: 12},
 				isRolledBack: true,
 				faults: []Fault{
 					deploy,
 					{Kind: FaultRouter, Site: 0, Index: 0, AtSeconds: 13, DurationSeconds: 3},
 				},
 			},
-			"planned": {spec: MigrationTrial{Style: MigratePlanned}},
+			"planned": {spec: MigrationSpec{Style: MigratePlanned}},
 		} {
 			t.Run(fmt.Sprintf("seed %d/%s", seed, name), func(t *testing.T) {
 				cfg := migrationConfig(t, seed, c.spec, c.faults...)
@@ -144,7 +144,7 @@
 // not migrate must lose no more than by the same flood without a migration.
 func TestMigrationDoesNotWorsenFlood(t *testing.T) {
 	timelyRatio := func(style MigrationStyle) float64 {
-		cfg := migrationConfig(t, 4, MigrationTrial{Style: style})
+		cfg := migrationConfig(t, 4, MigrationSpec{Style: style})
 		cfg.Flood = &Flood{
 			Tenant:          cfg.MigratedTenants[0],
 			Factor:          10,
@@ -165,7 +165,7 @@
 // Guards against tenants that end in two cells when routers temporarily have different documents. Two versions follow
 // within half a second while a reload takes up to 2 s: one rolls the migrations back, the next one continues them.
 func TestConcurrentMigrationDocumentsConverge(t *testing.T) {
-	cfg := migrationConfig(t, 5, MigrationTrial{})
+	cfg := migrationConfig(t, 5, MigrationSpec{})
 	first := cfg.Changes[0].Migrations
 	rollback := &migration.Document{Version: 2, Migrations: slices.Clone(first.Migrations)}
 	for i := range rollback.Migrations {
@@ -183,7 +183,7 @@
 // Guards against a migration that starts in the middle of its shift because its document arrived late. A document that
 // arrives after the start of its migrations is rejected as a whole.
 func TestPastMigrationIsRejected(t *testing.T) {
-	cfg := migrationConfig(t, 6, MigrationTrial{})
+	cfg := migrationConfig(t, 6, MigrationSpec{})
 	cfg.Changes[0].AtSeconds = 9
 	if _, err := New(cfg); err == nil {
 		t.Error("New accepted a document that arrives after the start of its migrations")
@@ -195,7 +195,7 @@
 	var last string
 	for range 2 {
 		deploy := Fault{Kind: FaultDeploy, Site: 0, AtSeconds: 8, DurationSeconds: 10, Fraction: 0.5}
-		w := newWorld(t, migrationConfig(t, 7, MigrationTrial{}, deploy))
+		w := newWorld(t, migrationConfig(t, 7, MigrationSpec{}, deploy))
 		text, err := json.Marshal(w.Run())
 		if err != nil {
 			t.Fatal(err)
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -50,7 +50,7 @@
 	OriginLimit           string                              `json:"shield,omitempty"` // algorithm of the origin limit
 	ForgetsAbandonedFills bool                                `json:"forget,omitempty"` // it does not count them
 	TopologyStyle         string                              `json:"shape,omitempty"`
-	Migrations            map[string]*emulator.MigrationTrial `json:"trip,omitempty"` // by size
+	Migrations            map[string]*emulator.MigrationSpec `json:"trip,omitempty"` // by size
 	Gossip                *emulator.Gossip                    `json:"talk,omitempty"` // on overloaded parents
 	Deployment            *emulator.Deployment                `json:"site,omitempty"` // in place of the world's own
 }
