--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -47,12 +47,12 @@
 	Method    string  `json:"way,omitempty"`
 	Burst     float64 `json:"burst,omitempty"`
 
-	OriginLimit           string                              `json:"shield,omitempty"` // algorithm of the origin limit
-	ForgetsAbandonedFills bool                                `json:"forget,omitempty"` // it does not count them
-	TopologyStyle         string                              `json:"shape,omitempty"`
+	OriginLimit           string                             `json:"shield,omitempty"` // algorithm of the origin limit
+	ForgetsAbandonedFills bool                               `json:"forget,omitempty"` // it does not count them
+	TopologyStyle         string                             `json:"shape,omitempty"`
 	Migrations            map[string]*emulator.MigrationSpec `json:"trip,omitempty"` // by size
-	Gossip                *emulator.Gossip                    `json:"talk,omitempty"` // on overloaded parents
-	Deployment            *emulator.Deployment                `json:"site,omitempty"` // in place of the world's own
+	Gossip                *emulator.Gossip                   `json:"talk,omitempty"` // on overloaded parents
+	Deployment            *emulator.Deployment               `json:"site,omitempty"` // in place of the world's own
 }
 
 // CountBySize is a number for each size. That of the empty size stands for all others.
