--- a/emulator/warm_up.go
+++ b/emulator/warm_up.go
@@ -1,8 +1,8 @@
 package emulator
 
-// acceptsWarmUpLoad counts an answer that a server was asked for while it warms up. If that is more than it can take
-// the server crashes, and the result is false; the attempts at it have ended then.
-func (w *World) acceptsWarmUpLoad(id int32, sizeKB float64, router int32) bool {
+// addWarmUpLoad adds a response to the load of a server that is still warming up. If the load exceeds the server's
+// bound, the server crashes, the attempts at it end, and the function returns false.
+func (w *World) addWarmUpLoad(id int32, sizeKB float64, router int32) bool {
 	server := &w.servers[id]
 	initial, duration, multiple := cacheInitialCapacity, int64(cacheWarmUpTime), cacheOverloadMultiple
 	if server.kind == parentServer {
@@ -19,13 +19,13 @@
 	if server.recentKB <= maxKB {
 		return true
 	}
-	w.result.violation(violationColdServer)
+	w.result.countViolation(violationColdServer)
 	w.killServer(id)
 	w.push(event{time: w.now + overloadRestartDelay, kind: eventServerRestart, target: id})
 	return false
 }
 
-// addRecentWork adds to the work of the last overloadWindow.
+// addRecentWork adds work to the sum over the last overloadWindow and removes older work from it.
 func (s *simulatedServer) addRecentWork(work receivedWork) {
 	for len(s.recentWork) > 0 && s.recentWork[0].receivedAt < work.receivedAt-overloadWindow {
 		s.recentKB -= s.recentWork[0].sizeKB
@@ -35,8 +35,9 @@
 	s.recentKB += work.sizeKB
 }
 
-// recordWarmUpLoad measures what part of its bound a server was sent while it warms up, by all routers and by one. A
-// router's share of the bound is an equal one, and its largest request does not count.
+// recordWarmUpLoad updates MaxWarmUpLoad, the load of a server as a fraction of its bound, and MaxWarmUpLoadPerRouter,
+// the load from this router without its largest request, as a fraction of its share of the bound. All routers have
+// equal shares of the bound.
 func (w *World) recordWarmUpLoad(server *simulatedServer, router int32, maxKB float64) {
 	w.result.MaxWarmUpLoad = max(w.result.MaxWarmUpLoad, server.recentKB/maxKB)
 	routers := float64(w.config.RoutersPerSite)
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -49,12 +49,12 @@
 	Method    string  `json:"way,omitempty"`
 	Burst     float64 `json:"burst,omitempty"`
 
-	OriginLimit           string                              `json:"shield,omitempty"` // algorithm of the origin limit
-	ForgetsAbandonedFills bool                                `json:"forget,omitempty"` // not counted by the limit
-	TopologyStyle         string                              `json:"shape,omitempty"`
-	Migrations            map[string]*emulator.MigrationTrial `json:"trip,omitempty"` // by size
-	Gossip                *emulator.Gossip                    `json:"talk,omitempty"` // about overloaded parents
-	Deployment            *emulator.Deployment                `json:"site,omitempty"` // replaces the world's deployment
+	OriginLimit           string                             `json:"shield,omitempty"` // algorithm of the origin limit
+	ForgetsAbandonedFills bool                               `json:"forget,omitempty"` // not counted by the limit
+	TopologyStyle         string                             `json:"shape,omitempty"`
+	Migrations            map[string]*emulator.MigrationSpec `json:"trip,omitempty"` // by size
+	Gossip                *emulator.Gossip                   `json:"talk,omitempty"` // about overloaded parents
+	Deployment            *emulator.Deployment               `json:"site,omitempty"` // replaces the world's deployment
 }
 
 // CountBySize is a number for each size. The entry with an empty key applies to all sizes that are not listed.
