--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks what a router is told at its start and on SIGHUP: environment variables and the
-// platform's configuration file, whose fields' names it translates once.
+// Package config reads and validates a router's configuration, at its start and on SIGHUP. Its sources are environment
+// variables and the platform's configuration file. Only this package uses the field names of that file.
 package config
 
 import (
@@ -14,14 +14,14 @@
 	"spantack/routing"
 )
 
-// Config is a checked configuration. Times are milliseconds.
+// Config is a validated configuration. Times are milliseconds.
 type Config struct {
 	Name       string
 	ListenAddr string // for clients
 	AdminAddr  string // for management calls; empty: none
 	ListenerFD int    // file descriptor of an inherited listening socket for clients; -1: none
-	StateDir   string // shared by the processes that succeed each other as this router; empty: none
-	Seed       int64  // of all random draws
+	StateDir   string // shared by successive processes of this router; empty: none
+	Seed       int64  // of the random numbers
 
 	// Limits on the process's resources.
 	MemoryMB   float64
@@ -33,30 +33,30 @@
 	IdleTimeout float64 // after which servers close an unused connection
 	MaxStreams  int     // concurrent requests on a connection
 	MaxDeadline float64 // greatest deadline of a class
-	// MaxSendDelay bounds the time from the choice of a server until the request is written. It is the shorter of the
-	// grace periods after which a drain and a purge bind; 0: no bound.
+	// MaxSendDelay is the maximum time from the choice of a server until the request is written: the shorter of the
+	// grace periods of drains and purges. 0: no maximum.
 	MaxSendDelay float64
 
 	Fleet Fleet
 
-	// Discovery: where it is, and what was known of the endpoint list when the file was written.
+	// Address of the discovery service, and the endpoint list at the time when the file was written.
 	DiscoveryAddr string
 	LastEventID   uint64 // number of the last of InitialEvents
 	InitialEvents []router.WatchEvent
 	Names         discovery.Names
 
-	keys objectKeys // of the file
+	keys objectKeys // of the objects in the file
 }
 
-// Fleet is what the file tells of the other routers.
+// Fleet is the configuration of communication with the other routers.
 type Fleet struct {
-	// GossipEnabled is set if the settings allow datagrams between routers and the file has the addresses. Only then the
-	// other fields but Rank are set.
+	// GossipEnabled is true if the settings allow datagrams between routers and the file has the addresses. If it is
+	// false, no other field but Rank is set.
 	GossipEnabled bool
 	Rank          int // this router's place in Members
 	ListenAddr    string
 	Members       []netip.AddrPort // all routers, this one included, by rank
-	BroadcastAddr netip.AddrPort   // reaches all
+	BroadcastAddr netip.AddrPort   // datagrams to it reach all members
 }
 
 // FieldError is an error in an environment variable or a field of the file.
@@ -65,13 +65,13 @@
 	Err   error
 }
 
-// Error is the field and the error.
+// Error returns the field, a colon and the text of the error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
 // Unwrap returns the error without the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// ErrMissing is wrapped by the FieldError of a variable or field that must be there.
+// ErrMissing is wrapped by the FieldError of a required variable or field that is absent or empty.
 var ErrMissing = errors.New("missing")
 
 // fieldError returns a FieldError. %w may be used in the format.
@@ -79,9 +79,9 @@
 	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-func missing(field string) error { return &FieldError{Field: field, Err: ErrMissing} }
+func missingError(field string) error { return &FieldError{Field: field, Err: ErrMissing} }
 
-// Environment variables. Those after the first three are optional.
+// Environment variables. The first three are required.
 const (
 	envName     = "RELAY_NAME"
 	envListen   = "RELAY_LISTEN"
@@ -94,12 +94,12 @@
 // firstInheritedFD is the lowest descriptor that a socket can be inherited as: those below are the standard streams.
 const firstInheritedFD = 3
 
-// Load reads the environment and the file that it names. An error names the variable or the field at fault, its
-// value, and what is allowed.
+// Load reads the environment variables and the configuration file that they name. An error names the variable or field
+// at fault, its value, and the allowed values.
 func Load(getenv func(string) string) (*Config, error) {
 	for _, name := range []string{envName, envListen, envConfig} {
 		if getenv(name) == "" {
-			return nil, missing(name)
+			return nil, missingError(name)
 		}
 	}
 	text, err := os.ReadFile(getenv(envConfig))
@@ -124,8 +124,8 @@
 	return c, nil
 }
 
-// loadAdminAddr sets the address for management calls: the environment's, or else the file's. Without one there is no
-// state directory either.
+// loadAdminAddr sets AdminAddr from the environment if the variable is set; otherwise the file's address stays. It sets
+// StateDir only if there is an address.
 func (c *Config) loadAdminAddr(getenv func(string) string) error {
 	field := "mgmt"
 	if addr := getenv(envAdmin); addr != "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-const settings = `{"Classes":[{"Name":"page","Deadline":3000000,"Promise":300000,"Idempotency":"read_like"}],` +
+const validSettings = `{"Classes":[{"Name":"page","Deadline":3000000,"Promise":300000,"Idempotency":"read_like"}],` +
 	`"Extra":{"MasterKind":0,"ShieldKind":-1,"HeedWithin":300000},"Guarantees":{"StopSendingWithin":500000},` +
 	`"Kinds":["origin"],` +
 	`"Permissions":{"MaxAttempts":3,"DialTimeout":400000,"IdleClose":30000000,"MaxStreams":32},` +
 	`"Zone":"east","Zones":["east"]}`
 
-const good = `{"name":"n3","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
+const validFile = `{"name":"n3","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
 	`"board":"127.2.0.1:4222","known":{"rev":3,"notices":[{"rev":3,"pool":{"all":true,"targets":[]}}]},` +
-	`"settings":` + settings + `}`
+	`"settings":` + validSettings + `}`
 
-// replaced returns a file with a part replaced, which must be there.
+// replaced returns file with the first occurrence of old replaced by new. It fails the test if there is none.
 func replaced(t *testing.T, file, old, new string) string {
 	t.Helper()
 	if !strings.Contains(file, old) {
@@ -27,11 +27,11 @@
 	return strings.Replace(file, old, new, 1)
 }
 
-// environment is a set of variables with all that must be there, and a file that exists.
+// environment returns the required variables. The configuration file that they name exists and is valid.
 func environment(t *testing.T) map[string]string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(file, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(validFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return map[string]string{"RELAY_NAME": "n3", "RELAY_LISTEN": "127.0.0.1:5050", "RELAY_CONFIG": file}
@@ -55,7 +55,7 @@
 		t.Errorf("%+v", c)
 	}
 	if c.AdminAddr != "" || c.ListenerFD != -1 || c.StateDir != "" {
-		t.Errorf("what the environment does not ask for is on: %+v", c)
+		t.Errorf("set without its environment variable: %+v", c)
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestLoadNamesTheVariable(t *testing.T) {
+func TestLoadErrorNamesVariable(t *testing.T) {
 	for _, c := range []struct{ name, value string }{
 		{"RELAY_MGMT", "here"},
 		{"RELAY_SOCKET_FD", "two"},
@@ -94,15 +94,15 @@
 	}
 }
 
-// An error is one line that begins with the field.
-func TestParseNamesTheField(t *testing.T) {
+// Guards against errors from which the field at fault cannot be told, and against errors of several lines.
+func TestParseErrorNamesField(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"seed", "8c1f30d27a5be964", "dice", "seed:"},
 		{"discovery address", "127.2.0.1:4222", "nowhere", "board:"},
-		{"little memory", `"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb:"},
-		{"few sockets", `"sockets":1024`, `"sockets":8`, "limits.sockets:"},
+		{"memory below the minimum", `"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb:"},
+		{"sockets below the minimum", `"sockets":1024`, `"sockets":8`, "limits.sockets:"},
 		{"string for a number", `"sockets":1024`, `"sockets":"many"`, "RELAY_CONFIG.limits.sockets:"},
-		{"no JSON", `{"name"`, `{name`, "RELAY_CONFIG:"},
+		{"invalid JSON", `{"name"`, `{name`, "RELAY_CONFIG:"},
 		{"no settings", `"settings":`, `"options":`, "settings: missing"},
 		{"no initial events", `"known":`, `"told":`, "known: missing"},
 		{"unknown event", `"pool":`, `"pond":`, "known.notices[0]:"},
@@ -113,11 +113,11 @@
 		{"no zones", `"Zones":["east"]`, `"Zones":[]`, "settings.Zones:"},
 		{"negative idle timeout", `"IdleClose":30000000`, `"IdleClose":-1`,
 			"settings.Permissions.IdleClose: -1 µs, must be above 0"},
-		{"class given twice", `}],"Extra"`, `},{"Name":"page","Deadline":1,"Idempotency":"read_like"}],"Extra"`,
+		{"duplicate class name", `}],"Extra"`, `},{"Name":"page","Deadline":1,"Idempotency":"read_like"}],"Extra"`,
 			"settings.Classes[1].Name"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(replaced(t, good, c.old, c.new)))
+			_, err := Parse([]byte(replaced(t, validFile, c.old, c.new)))
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -5,18 +5,19 @@
 	"testing"
 )
 
-// fleetFiles returns a file whose settings allow datagrams, and one that has the addresses for them too.
-func fleetFiles(t *testing.T) (allowed, complete string) {
+// filesWithGossip returns two configuration files whose settings allow datagrams between routers. Only the second,
+// complete, has the addresses too.
+func filesWithGossip(t *testing.T) (allowed, complete string) {
 	t.Helper()
-	allowed = replaced(t, good, `"Permissions":{`, `"Rank":1,"Permissions":{"MayTell":true,`)
+	allowed = replaced(t, validFile, `"Permissions":{`, `"Rank":1,"Permissions":{"MayTell":true,`)
 	complete = replaced(t, allowed, `"board":`, `"peer_listen":"127.0.0.4:7946",`+
 		`"peers":["127.3.0.1:7946","127.3.0.2:7946"],"peers_all":"127.3.255.1:7946","board":`)
 	return allowed, complete
 }
 
-// The addresses for datagrams are parsed only if the settings allow these.
+// Guards against gossip between routers that the settings do not allow or for which the file has no addresses.
 func TestParseFleet(t *testing.T) {
-	allowed, complete := fleetFiles(t)
+	allowed, complete := filesWithGossip(t)
 	c, err := Parse([]byte(complete))
 	if err != nil {
 		t.Fatal(err)
@@ -27,9 +28,9 @@
 		t.Errorf("%+v", got)
 	}
 	for name, text := range map[string]string{
-		"no permission":   good,
-		"no addresses":    allowed,
-		"permission lost": replaced(t, complete, `"MayTell":true`, `"MayTell":false`),
+		"no permission":    validFile,
+		"no addresses":     allowed,
+		"permission false": replaced(t, complete, `"MayTell":true`, `"MayTell":false`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c, err := Parse([]byte(text)); err != nil || c.Fleet.GossipEnabled {
@@ -39,12 +40,12 @@
 	}
 }
 
-func TestParseFleetNamesTheField(t *testing.T) {
-	_, complete := fleetFiles(t)
+func TestParseFleetErrorNamesField(t *testing.T) {
+	_, complete := filesWithGossip(t)
 	for _, c := range []struct{ name, old, new, want string }{
-		{"own address", "127.0.0.4:7946", "here", "peer_listen:"},
+		{"listen address", "127.0.0.4:7946", "here", "peer_listen:"},
 		{"member's address", "127.3.0.2:7946", "there", "peers[1]:"},
-		{"address of all", "127.3.255.1:7946", "all", "peers_all:"},
+		{"broadcast address", "127.3.255.1:7946", "all", "peers_all:"},
 		{"rank beyond the members", `"Rank":1`, `"Rank":2`, "settings.Rank: 2 of 2 peers"},
 		{"negative rank", `"Rank":1`, `"Rank":-1`, "settings.Rank: -1 of 2 peers"},
 		{"string for a bool", `"MayTell":true`, `"MayTell":"yes"`,
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -10,7 +10,7 @@
 	"spantack/internal/discovery"
 )
 
-// Least limits with which a router can work.
+// Minimum limits that a router needs.
 const (
 	minSockets  = 64
 	minMemoryMB = 32
@@ -32,7 +32,8 @@
 	Settings           json.RawMessage `json:"settings"`
 }
 
-// Parse parses and checks the configuration file. An error names the field at fault, its value, and what is allowed.
+// Parse parses and validates the configuration file. An error names the field at fault, its value, and the allowed
+// values.
 func Parse(text []byte) (*Config, error) {
 	var d document
 	if err := decodeJSON(envConfig, text, &d); err != nil {
@@ -88,15 +89,16 @@
 
 func requireSections(d *document) error {
 	if d.Settings == nil {
-		return missing("settings")
+		return missingError("settings")
 	}
 	if d.InitialEvents == nil {
-		return missing("known")
+		return missingError("known")
 	}
 	return nil
 }
 
-// parseFleet parses the addresses of the fleet, if the settings allow datagrams and the file has any address.
+// parseFleet parses the addresses of the fleet. It disables gossip if the file has neither this router's address nor
+// members, and parses nothing if gossip is disabled.
 func (c *Config) parseFleet(d *document) (err error) {
 	if d.FleetListenAddr == "" && len(d.FleetMembers) == 0 {
 		c.Fleet.GossipEnabled = false
@@ -134,12 +136,12 @@
 	return nil
 }
 
-// decodeJSON decodes the JSON of a field. An error names the field in it that has a value of the wrong type.
+// decodeJSON decodes text, the JSON of a field. If a value inside it has the wrong type, the error names its path.
 func decodeJSON(field string, text []byte, into any) error {
 	err := json.Unmarshal(text, into)
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) && wrong.Field != "" {
-		return fieldError(field+"."+wrong.Field, "a %s, must be %s", wrong.Value, kindInJSON(wrong.Type))
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) && typeError.Field != "" {
+		return fieldError(field+"."+typeError.Field, "a %s, must be %s", typeError.Value, kindInJSON(typeError.Type))
 	}
 	if err != nil {
 		return &FieldError{field, err}
@@ -147,7 +149,7 @@
 	return nil
 }
 
-// kindInJSON names the JSON values that a Go type is decoded from.
+// kindInJSON describes the JSON values that can be decoded into a Go type, for error messages.
 func kindInJSON(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
--- a/internal/config/replace.go
+++ b/internal/config/replace.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// maxKeyDepth bounds how deep objects are nested whose keys are collected.
+// maxKeyDepth is the number of levels of nested objects whose keys are collected.
 const maxKeyDepth = 4
 
-// objectKeys are the sorted keys of each object in a file, by the object's path. The objects in a list have one path
-// together, with the keys that all of them have.
+// objectKeys maps the path of each object in a file to its sorted keys. The objects in a list share one path, which has
+// the keys that all of these objects have.
 type objectKeys map[string][]string
 
-// collectKeys returns the keys of a file. Events are left out: they are of several kinds with keys of their own.
+// collectKeys returns the keys of a file's objects. Events are left out, because each kind of event has other keys.
 func collectKeys(text []byte) (objectKeys, error) {
 	var value any
 	if err := json.Unmarshal(text, &value); err != nil {
@@ -33,8 +33,8 @@
 	switch value := value.(type) {
 	case map[string]any:
 		keys := slices.Sorted(maps.Keys(value))
-		if others, seen := k[path]; seen {
-			keys = slices.DeleteFunc(keys, func(key string) bool { return !slices.Contains(others, key) })
+		if common, exists := k[path]; exists {
+			keys = slices.DeleteFunc(keys, func(key string) bool { return !slices.Contains(common, key) })
 		}
 		k[path] = keys
 		for _, key := range keys {
@@ -54,20 +54,21 @@
 	return path + "." + key
 }
 
-// CheckReplaces checks whether a file taken in on SIGHUP has every key that the one in force has. A file that lacks
-// one is incomplete or a mistake, and the router would silently fall back to a default. The error is a FieldError.
+// CheckReplaces returns an error unless c, read on SIGHUP, has every key of old, the current configuration. A missing
+// key means that the file is incomplete or wrong, and the router would silently use a default. The error is a
+// FieldError.
 func (c *Config) CheckReplaces(old *Config) error {
 	for _, path := range slices.Sorted(maps.Keys(old.keys)) {
 		keys, exists := c.keys[path]
 		if !exists {
-			if strings.Contains(path, "[]") { // a list may have become empty
+			if strings.Contains(path, "[]") { // the list may be empty now
 				continue
 			}
-			return fieldError(path, "no object any more")
+			return fieldError(path, "no longer an object")
 		}
 		for _, key := range old.keys[path] {
 			if !slices.Contains(keys, key) {
-				return missing(joinPath(path, key))
+				return missingError(joinPath(path, key))
 			}
 		}
 	}
--- a/internal/config/replace_test.go
+++ b/internal/config/replace_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A file that lacks a key which the one in force has, at any depth, is rejected. One that has more is not, nor is one
-// whose events are of other kinds.
+// Guards against a reload of an incomplete file: one that lacks a key of the current file, at any depth, is rejected.
+// A file with additional keys, or with events of other kinds, is accepted.
 func TestCheckReplaces(t *testing.T) {
-	old, err := Parse([]byte(good))
+	old, err := Parse([]byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -16,7 +16,7 @@
 		{"key of the only element", `"Promise":300000,`, ``, "settings.Classes[].Promise: missing"},
 		{"key of a nested object", `"HeedWithin":300000`, `"X":1`, "settings.Extra.HeedWithin: missing"},
 		{"null for an object", `"Guarantees":{"StopSendingWithin":500000}`, `"Guarantees":null`,
-			"settings.Guarantees: no object any more"},
+			"settings.Guarantees: no longer an object"},
 		{"new object", `"Zone":"east",`, `"Zone":"east","Beyond":{"a":1},`, ""},
 		{"event of another kind", `{"rev":3,"pool":{"all":true,"targets":[]}}`,
 			`{"rev":3,"flush":{"collection":17,"ms":1764576000480}}`, ""},
@@ -26,7 +26,7 @@
 			"settings.Classes[].Promise: missing"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			next, err := Parse([]byte(replaced(t, good, c.old, c.new)))
+			next, err := Parse([]byte(replaced(t, validFile, c.old, c.new)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -23,7 +23,7 @@
 	} `json:"Permissions"`
 }
 
-// parseSettings parses the section settings: those of the decision module and of connections.
+// parseSettings parses the settings section: settings of the decision module and of connections.
 func (c *Config) parseSettings(d *document) error {
 	var transport transportSettings
 	if err := decodeJSON("settings", d.Settings, &c.Settings); err != nil {
@@ -65,14 +65,14 @@
 	for i, class := range settings.Classes {
 		sameName := func(other routing.Class) bool { return other.Name == class.Name }
 		if slices.ContainsFunc(settings.Classes[:i], sameName) {
-			return fieldError(fmt.Sprintf("settings.Classes[%d].Name", i), "%q is the name of another class already", class.Name)
+			return fieldError(fmt.Sprintf("settings.Classes[%d].Name", i), "%q is already the name of another class", class.Name)
 		}
 	}
 	return nil
 }
 
-// shortestGracePeriod returns the shorter of the times after which a drain and a purge bind, in ms; 0 if the settings
-// have none.
+// shortestGracePeriod returns the shorter of the grace periods of drains and purges, in ms. A period that is not set
+// does not count; 0 if neither is set.
 func shortestGracePeriod(settings *routing.Settings) float64 {
 	shortest := 0.0
 	for _, micros := range []int64{settings.Guarantees.DrainGracePeriod, settings.Hierarchy.PurgeGracePeriod} {
--- a/internal/config/wire_compat_test.go
+++ b/internal/config/wire_compat_test.go
@@ -11,9 +11,10 @@
 	"spantack/internal/router"
 )
 
-// The settings of a router's file are those of the fixture of package rules, whose test holds each value; the file has
-// the fields beside them that the router reads. A file that the release before took in is taken in alike.
-func TestStoredConfigIsReadAlike(t *testing.T) {
+// Guards against a release that rejects a configuration file of the previous release or reads other values from it. The
+// settings in the file are those of the fixture of package routing, whose test checks each value. The file also has the
+// other fields that the router reads.
+func TestStoredConfigIsStillAccepted(t *testing.T) {
 	text, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +36,7 @@
 	}
 	if c.DialTimeout != 0.05 || c.IdleTimeout != 25000.001 || c.MaxStreams != 33 || c.MaxSendDelay != 0.024 ||
 		c.MaxDeadline != 0.012 {
-		t.Errorf("settings of transport: read as %+v", c)
+		t.Errorf("transport settings: read as %+v", c)
 	}
 	fleet := Fleet{
 		GossipEnabled: true,
@@ -50,13 +51,13 @@
 	if !reflect.DeepEqual(c.Fleet, fleet) {
 		t.Errorf("fleet: read as %+v, want %+v", c.Fleet, fleet)
 	}
-	notices := []router.WatchEvent{
+	events := []router.WatchEvent{
 		{IsSnapshot: true, Servers: []router.Server{{ID: "s-00c41f7a", Addr: "127.2.1.1:80", Zone: "s69", Kind: "s48",
 			Cell: 5, Status: "cordoned", Weight: 4.5, StartedAt: 1764576000001.5}}},
 		{Purge: &router.Purge{Object: "00ab01", Before: 1764576000002.5}},
 		{Purge: &router.Purge{Group: 77, Before: 1764576000003.5}},
 	}
-	if c.LastEventID != 12 || !reflect.DeepEqual(c.InitialEvents, notices) {
-		t.Errorf("known: read as %d, %+v, want %+v", c.LastEventID, c.InitialEvents, notices)
+	if c.LastEventID != 12 || !reflect.DeepEqual(c.InitialEvents, events) {
+		t.Errorf("known: read as %d, %+v, want %+v", c.LastEventID, c.InitialEvents, events)
 	}
 }
