--- a/internal/features/file.go
+++ b/internal/features/file.go
@@ -1,6 +1,7 @@
-// Package features reads the features file: Jsonnet in which the features that the platform's configuration does not
-// know are switched on and set. The file is decoded strictly and checked as a whole; no part of it applies unless all
-// is valid. Each feature has a file of its own here, which holds its section, what of it is in force, and its checks.
+// Package features reads the features file. This Jsonnet file enables and configures the features that the platform's
+// configuration does not support. The file is decoded strictly and validated as a whole: one invalid part makes the
+// whole file invalid. Each feature has its own source file here, with its section, the methods that return its active
+// settings, and its checks.
 package features
 
 import (
@@ -10,32 +11,32 @@
 	"reflect"
 )
 
-// File is a features file. A feature whose section is left out is off. Methods that return what is in force may be
-// called on a nil File, in which all features are off.
+// File is a features file. A feature without a section is off. Methods that return active settings may be called on a
+// nil File, in which all features are off.
 type File struct {
-	Cells       Cells       `json:"cells,omitempty" jsonschema_description:"tenants confined to subsets of a depot's caches; docs/cells.md"`
-	Migration   Migration   `json:"moves,omitempty" jsonschema_description:"tenants on their way from cell to cell; docs/moves.md"`
-	Rollout     Rollout     `json:"stage,omitempty" jsonschema_description:"a release let into cells ring by ring; docs/stages.md"`
-	Topology    Topology    `json:"shape,omitempty" jsonschema_description:"who fills from whom; docs/hierarchy.md"`
-	OriginLimit OriginLimit `json:"shield,omitempty" jsonschema_description:"a limit on what fills ask of the head office; docs/hierarchy.md"`
-	Fleet       Fleet       `json:"fleet,omitempty" jsonschema_description:"a limit on fills that ask the head office, kept by all routers together; docs/fleet.md"`
+	Cells       Cells       `json:"cells,omitempty" jsonschema_description:"confines tenants to cells, which are subsets of a site's caches; docs/cells.md"`
+	Migration   Migration   `json:"moves,omitempty" jsonschema_description:"migrations of tenants between cells; docs/moves.md"`
+	Rollout     Rollout     `json:"stage,omitempty" jsonschema_description:"rollout of a release to cells, ring by ring; docs/stages.md"`
+	Topology    Topology    `json:"shape,omitempty" jsonschema_description:"the topology that fills follow: sites, parent groups, origin and links; docs/hierarchy.md"`
+	OriginLimit OriginLimit `json:"shield,omitempty" jsonschema_description:"limit on concurrent fills that reach the origin, of which each router enforces a share by itself; docs/hierarchy.md"`
+	Fleet       Fleet       `json:"fleet,omitempty" jsonschema_description:"limit on fills that reach the origin and verdicts on servers, shared by all routers; docs/fleet.md"`
 }
 
-// FieldError is an error in a field of a features file, or in what the field asks for.
+// FieldError is an error in a field of a features file.
 type FieldError struct {
-	Field   string // its path, such as cells.keys[0].class
-	Problem string // its value, what is wrong with it, and what is allowed
+	Field   string // path, such as cells.keys[0].class
+	Problem string // the value, why it is invalid, and the allowed values
 }
 
-// Error is the field and the problem.
+// Error returns the field, a colon and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 func fieldError(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Load reads, evaluates, decodes and checks a file. An error is one line: the file, the field's path, its value, and
-// what is allowed.
+// Load reads, evaluates, decodes and validates a file. An error is one line with the file, the path of the field, its
+// value, and the allowed values.
 func Load(path string) (*File, error) {
 	text, err := evaluateJsonnet(path)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return f, nil
 }
 
-// Parse decodes and checks the JSON that a file evaluates to.
+// Parse decodes and validates the JSON that a features file evaluates to.
 func Parse(text []byte) (*File, error) {
 	var document any
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -67,27 +68,27 @@
 	return f, nil
 }
 
-// validate checks each feature that is on, and then those that depend on cells.
+// validate checks each enabled feature by itself, then the references of migration and rollout to cells.
 func (f *File) validate() error {
-	steps := []func() error{
+	checks := []func() error{
 		f.validateTopology,
 		f.validateFleet,
 		f.validateOriginLimit,
 		f.validateCells,
 		f.validateMigration,
 		f.validateRollout,
-		f.validateCellUsers,
+		f.validateCellReferences,
 	}
-	for _, step := range steps {
-		if err := step(); err != nil {
+	for _, check := range checks {
+		if err := check(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// validateCellUsers checks that migration and rollout name only cells and tenants of the assignment.
-func (f *File) validateCellUsers() error {
+// validateCellReferences checks that the cells and tenants that migration and rollout refer to exist.
+func (f *File) validateCellReferences() error {
 	migration, rollout := f.ActiveMigration(), f.ActiveRollout()
 	if migration == nil && rollout == nil {
 		return nil
--- a/internal/features/file_test.go
+++ b/internal/features/file_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// writeFiles writes files to a new folder and returns the path of f.jsonnet there.
+// writeFiles writes files, by name, to a temporary folder and returns the path of f.jsonnet in it.
 func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -19,12 +19,12 @@
 	return filepath.Join(dir, "f.jsonnet")
 }
 
-// cellsOn has one cell with one tenant.
-const cellsOn = `{ cells: { enabled: true, version: 3, scheme: 'fixed', cells: [{ name: 'a', share: 1 }],
+// cellsEnabled is a features file with one cell and one tenant.
+const cellsEnabled = `{ cells: { enabled: true, version: 3, scheme: 'fixed', cells: [{ name: 'a', share: 1 }],
   tenants: [{ name: 't', cell: 'a' }], keys: [{ tenant: 't' }],
   budget: { requestsPerS: 0, fillKbPerS: 0, parentKbPerS: 0, originKbPerS: 0, open: 0, writesPerS: 0, giveMs: 0 } } }`
 
-func TestExampleIsOffAndValidWhenOn(t *testing.T) {
+func TestExampleFileIsValidDisabledAndEnabled(t *testing.T) {
 	const example = "../../deploy/features.jsonnet"
 	f, err := Load(example)
 	if err != nil || f.CellSpec() != nil {
@@ -34,27 +34,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	on := strings.ReplaceAll(string(text), "enabled: false", "enabled: true")
-	f, err = Load(writeFiles(t, map[string]string{"f.jsonnet": on}))
+	enabled := strings.ReplaceAll(string(text), "enabled: false", "enabled: true")
+	f, err = Load(writeFiles(t, map[string]string{"f.jsonnet": enabled}))
 	if err != nil || f.CellSpec() == nil {
 		t.Fatalf("%v, %v", f, err)
 	}
 }
 
-// replaced returns cellsOn with a part replaced, which must be there.
+// replaced returns cellsEnabled with the first occurrence of old replaced by new. It fails the test if there is none.
 func replaced(t *testing.T, old, new string) string {
 	t.Helper()
-	if !strings.Contains(cellsOn, old) {
+	if !strings.Contains(cellsEnabled, old) {
 		t.Fatalf("no %q in the file", old)
 	}
-	return strings.Replace(cellsOn, old, new, 1)
+	return strings.Replace(cellsEnabled, old, new, 1)
 }
 
-func TestErrorsAreOneLineWithTheField(t *testing.T) {
-	const lawSet = "most: 9, burst: 2, usualMs: 60"
+func TestLoadErrorNamesFieldOnOneLine(t *testing.T) {
+	const otherFields = "most: 9, burst: 2, usualMs: 60"
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown field", replaced(t, "budget:", "budgets:"),
-			"cells.budgets: no such field; fields are budget, cells, enabled,"},
+			"cells.budgets: unknown field; the fields are budget, cells, enabled,"},
 		{"string for a number", replaced(t, "share: 1", "share: 'x'"),
 			"cells.cells[0].share: \"x\" is not a number"},
 		{"fraction for a whole number", replaced(t, "version: 3", "version: 1.5"),
@@ -67,39 +67,39 @@
 			"cells.keys[0].tenant: \"u\" is no tenant"},
 		{"list for a map", replaced(t, "cell: 'a' }]", "cell: 'a', depots: [] }]"),
 			"cells.tenants[0].depots: [] is not an object"},
-		{"unknown law", "{ shield: { enabled: true, law: 'none', " + lawSet + " } }",
+		{"unknown algorithm", "{ shield: { enabled: true, law: 'none', " + otherFields + " } }",
 			"shield: law: invalid origin limit: \"none\" is none of"},
-		{"negative time", "{ shield: { enabled: true, law: 'fixed', lingerMs: -1, " + lawSet + " } }",
+		{"negative duration", "{ shield: { enabled: true, law: 'fixed', lingerMs: -1, " + otherFields + " } }",
 			"shield: lingerMs: invalid origin limit: -1 is not"},
 		{"no limit", "{ shield: { enabled: true, law: 'fixed', burst: 2, usualMs: 60 } }",
 			"shield: most: invalid origin limit: 0 is not"},
-		{"group of no multiple",
+		{"group size not a multiple of the one below",
 			"{ fleet: { enabled: true, asks: 9, tree: { routers: 64, groups: [16, 20], electors: [0] } } }",
 			"fleet.tree.groups[1]: 20 is not a multiple of 16"},
-		{"elector beyond the fleet",
+		{"elector rank not below the number of routers",
 			"{ fleet: { enabled: true, asks: 9, tree: { routers: 64, groups: [16], electors: [64] } } }",
 			"fleet.tree.electors[0]: rank 64 of 64"},
 		{"even number of electors",
 			"{ fleet: { enabled: true, asks: 9, tree: { routers: 64, groups: [], electors: [0, 1] } } }",
 			"fleet.tree.electors: 2, an odd number"},
-		{"tree of no routers", "{ fleet: { enabled: true, asks: 9, tree: { groups: [], electors: [0] } } }",
+		{"tree without routers", "{ fleet: { enabled: true, asks: 9, tree: { groups: [], electors: [0] } } }",
 			"fleet.tree.routers: 0 is not 1 to 65536"},
 		{"unknown field of a tree", "{ fleet: { enabled: true, asks: 9, tree: { sizes: [2] } } }",
-			"fleet.tree.sizes: no such field"},
-		{"fleet without a use", "{ fleet: { enabled: true } }",
-			"fleet.asks: 0, must be above 0, or fleet.verdicts true"},
+			"fleet.tree.sizes: unknown field"},
+		{"fleet without limit and verdicts", "{ fleet: { enabled: true } }",
+			"fleet.asks: 0, must be above 0, or fleet.verdicts must be true"},
 		{"migration without cells", "{ moves: { enabled: true, version: 1, moves: [] } }",
-			"moves.enabled: true, needs cells.enabled true"},
+			"moves.enabled: true, requires cells.enabled to be true"},
 		{"rollout without cells", "{ stage: { enabled: true } }",
-			"stage.enabled: true, needs cells.enabled true"},
+			"stage.enabled: true, requires cells.enabled to be true"},
 		{"number for an object", "{ cells: 7 }",
 			"cells: 7 is not an object"},
 		{"unknown variable", "{ cells: nothing }",
 			"Unknown variable: nothing"},
 		{"import from another folder", "{ cells: import '../secret' }",
-			"import \"../secret\": not in the file's own folder"},
+			"import \"../secret\": not in the folder of the features file"},
 		{"import from an absolute path", "{ cells: importstr '/etc/passwd' }",
-			"import \"/etc/passwd\": not in the file's own folder"},
+			"import \"/etc/passwd\": not in the folder of the features file"},
 		{"endless recursion", "local f(x) = f(x + 1) + 1; f(0)",
 			"max stack frames exceeded"},
 	} {
@@ -116,22 +116,22 @@
 		})
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that does not exist")
+		t.Error("no error for a file that does not exist")
 	}
 	if _, err := Load(t.TempDir()); err == nil {
-		t.Error("a folder")
+		t.Error("no error for a folder")
 	}
 }
 
-func TestImportsFromTheOwnFolder(t *testing.T) {
-	files := map[string]string{"f.jsonnet": "import 'base.libsonnet'", "base.libsonnet": cellsOn}
+func TestImportFromSameFolder(t *testing.T) {
+	files := map[string]string{"f.jsonnet": "import 'base.libsonnet'", "base.libsonnet": cellsEnabled}
 	f, err := Load(writeFiles(t, files))
 	if err != nil || f.CellSpec().Version != 3 {
 		t.Errorf("%v, %v", f, err)
 	}
 }
 
-// For any input there is an error or a specification that can be put in force, and never a panic.
+// Guards against panics of Parse and against invalid specifications of cells that it accepts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"cells":{"enabled":true,"version":1,"scheme":"nested","width":2,"cells":[{"name":"a","share":1}],` +
 		`"tenants":[{"name":"t","cell":"a"}],"keys":[{"tenant":"t"}],"budget":{}}}`))
--- a/internal/features/fleet.go
+++ b/internal/features/fleet.go
@@ -9,19 +9,20 @@
 	"spantack/routing"
 )
 
-// Fleet is the section of what all routers keep together: a limit on fills from the origin, and verdicts on servers.
+// Fleet is the section of the features that routers share by exchanging messages: a limit on fills that reach the
+// origin, and verdicts on servers.
 type Fleet struct {
 	Enabled     bool    `json:"enabled"`
-	OriginFills float64 `json:"asks,omitempty" jsonschema_description:"fills that ask the head office at once, of all routers, up to 1000000; 0: no such limit"`
-	Floor       float64 `json:"floor,omitempty" jsonschema_description:"part of that which is split evenly and never lent, 0 to 1"`
-	// Verdicts makes routers avoid parent caches that two sites find failing.
-	Verdicts bool `json:"verdicts,omitempty" jsonschema_description:"routers keep off area caches that two depots find failing"`
-	// LeaseTree keeps the limit by a tree of leases, in which a router exchanges messages with its group only. If it is
-	// left out, one router exchanges messages with all.
-	LeaseTree lease.Topology `json:"tree,omitzero" jsonschema_description:"groups that lease the limit to one another, for a fleet of many hundreds or more"`
+	OriginFills float64 `json:"asks,omitempty" jsonschema_description:"maximum of concurrent fills that reach the origin, of all routers, up to 1000000; 0: no limit"`
+	Floor       float64 `json:"floor,omitempty" jsonschema_description:"fraction of the limit that is split evenly among routers and never lent, 0 to 1"`
+	// Verdicts makes routers avoid parent caches that fail according to two sites.
+	Verdicts bool `json:"verdicts,omitempty" jsonschema_description:"routers avoid parent caches that fail according to two sites"`
+	// LeaseTree distributes the limit through a tree of leases, in which a router exchanges messages with its group only.
+	// Without it, one router exchanges messages with all others.
+	LeaseTree lease.Topology `json:"tree,omitzero" jsonschema_description:"groups of routers that lease the limit from one another, for a fleet of many hundreds of routers or more; if left out, one router holds the limit"`
 }
 
-// FleetLimits returns the limits that the fleet keeps together; nil if there are none.
+// FleetLimits returns the limits that apply to all routers together; nil if there are none.
 func (f *File) FleetLimits() []fleet.Limit {
 	if f == nil || !f.Fleet.Enabled || f.Fleet.OriginFills == 0 {
 		return nil
@@ -29,7 +30,7 @@
 	return []fleet.Limit{{Name: "asks", Max: f.Fleet.OriginFills, FloorFraction: f.Fleet.Floor}}
 }
 
-// LeaseTree returns the tree of leases by which the fleet's limits are kept; nil if one router holds each.
+// LeaseTree returns the tree of leases that distributes the fleet's limits; nil if one router holds each limit.
 func (f *File) LeaseTree() *lease.Topology {
 	if f == nil || !f.Fleet.Enabled || reflect.DeepEqual(f.Fleet.LeaseTree, lease.Topology{}) {
 		return nil
@@ -52,23 +53,23 @@
 		}
 	}
 	if f.Fleet.Enabled && f.Fleet.OriginFills == 0 && !f.Fleet.Verdicts {
-		return fieldError("fleet.asks", "0, must be above 0, or fleet.verdicts true, where fleet.enabled is true")
+		return fieldError("fleet.asks", "0, must be above 0, or fleet.verdicts must be true, if fleet.enabled is true")
 	}
 	return nil
 }
 
-// checkFleetSettings checks that a router's settings let it see which requests reach the origin: it has parent
-// caches, and each of their answers tells whether it came from the cache.
+// checkFleetSettings checks that the router can tell which requests reach the origin: its settings must have parent
+// caches, and each response of these must report whether it came from the cache.
 func (f *File) checkFleetSettings(settings *routing.Settings) error {
 	if !f.Fleet.Enabled {
 		return nil
 	}
 	if settings.Hierarchy.ParentKind < 0 {
-		return fieldError("fleet.enabled", "true, but the settings have no area caches (Extra.ShieldKind)")
+		return fieldError("fleet.enabled", "true, but the settings have no parent caches (Extra.ShieldKind)")
 	}
 	if settings.Hierarchy.CacheStatusReporting != routing.CacheStatusReported {
 		return fieldError("fleet.enabled",
-			"true, but by the settings not all answers have a note (Extra.NotesGiven is %q, must be %q)",
+			"true, but not every response reports its cache status (Extra.NotesGiven is %q, must be %q)",
 			settings.Hierarchy.CacheStatusReporting, routing.CacheStatusReported)
 	}
 	return nil
--- a/internal/features/jsonnet.go
+++ b/internal/features/jsonnet.go
@@ -10,11 +10,12 @@
 	"github.com/google/go-jsonnet"
 )
 
-// maxFileBytes bounds the file, each import, and the JSON that it evaluates to.
+// maxFileBytes is the maximum size of the features file, of each file that it imports, and of the JSON that it
+// evaluates to.
 const maxFileBytes = 32 << 20
 
-// evaluateJsonnet returns the JSON that a file evaluates to. A panic of the evaluator is returned as an error: a file
-// taken in on SIGHUP must not end the router.
+// evaluateJsonnet returns the JSON that a file evaluates to. A panic of the evaluator is returned as an error, so that
+// a file loaded on SIGHUP cannot crash the router.
 func evaluateJsonnet(path string) (text []byte, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -38,10 +39,10 @@
 	return []byte(out), nil
 }
 
-// oneLine replaces all runs of space, newlines included, by one space.
+// oneLine replaces each run of white space, including newlines, by one space, and trims both ends.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// readBounded reads a regular file of at most maxFileBytes.
+// readBounded returns the content of a file. It fails unless the file is regular and has at most maxFileBytes.
 func readBounded(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -57,16 +58,16 @@
 	return string(text), err
 }
 
-// folderImporter imports files from the folder of the features file alone, so that a copy of the folder is complete.
+// folderImporter imports files only from the folder of the features file, so that a copy of the folder has all imports.
 type folderImporter struct {
 	dir      string
-	imported map[string]jsonnet.Contents // by name: go-jsonnet wants the same contents each time
+	imported map[string]jsonnet.Contents // by name; go-jsonnet requires the same Contents for each import of a file
 }
 
 // Import implements jsonnet.Importer.
 func (f *folderImporter) Import(_, name string) (jsonnet.Contents, string, error) {
 	if !filepath.IsLocal(name) {
-		return jsonnet.Contents{}, "", fmt.Errorf("import %q: not in the file's own folder", name)
+		return jsonnet.Contents{}, "", fmt.Errorf("import %q: not in the folder of the features file", name)
 	}
 	if contents, known := f.imported[name]; known {
 		return contents, name, nil
--- a/internal/features/migration.go
+++ b/internal/features/migration.go
@@ -8,13 +8,14 @@
 	"spantack/core/migration"
 )
 
-// Migration is the section of tenants that move from one cell to another. It needs cells.
+// Migration is the section of migrations: tenants that move from one cell to another. It requires that cells are
+// enabled.
 type Migration struct {
 	Enabled bool `json:"enabled"`
 	migration.Document
 }
 
-// ActiveMigration returns the migrations in force; nil while the feature is off.
+// ActiveMigration returns the active migrations; nil if the feature is off.
 func (f *File) ActiveMigration() *migration.Document {
 	if f == nil || !f.Migration.Enabled {
 		return nil
@@ -22,14 +23,15 @@
 	return &f.Migration.Document
 }
 
-// validateMigration checks all but times, which depend on when a router takes the file in: see CheckReplaces.
+// validateMigration checks the migrations without regard to the current time. CheckReplaces makes the checks that
+// depend on the time at which a router loads the file.
 func (f *File) validateMigration() error {
 	document := f.ActiveMigration()
 	if document == nil {
 		return nil
 	}
 	if f.CellSpec() == nil {
-		return fieldError("moves.enabled", "true, needs cells.enabled true")
+		return fieldError("moves.enabled", "true, requires cells.enabled to be true")
 	}
 	if err := document.Validate(math.Inf(-1), nil); err != nil {
 		return fmt.Errorf("moves.%w", err)
@@ -37,13 +39,14 @@
 	return nil
 }
 
-// checkMigrationReplaces checks that no migration in progress is lost, and that new ones begin in time.
+// checkMigrationReplaces checks that no migration in progress is left out, and that new ones are loaded before they
+// begin.
 func (f *File) checkMigrationReplaces(now float64, previous *File) error {
 	old, next := previous.ActiveMigration(), f.ActiveMigration()
 	switch {
 	case old == nil && next == nil:
 		return nil
-	case next == nil: // the feature is switched off: as if all migrations were left out
+	case next == nil: // disabling the feature leaves out all migrations
 		next = &migration.Document{Version: old.Version + 1}
 	case old == nil:
 		old = &migration.Document{}
--- a/internal/features/origin_limit.go
+++ b/internal/features/origin_limit.go
@@ -12,7 +12,7 @@
 	originlimit.Document
 }
 
-// ActiveOriginLimit returns the limit in force; nil while the feature is off.
+// ActiveOriginLimit returns the active limit; nil if the feature is off.
 func (f *File) ActiveOriginLimit() *originlimit.Document {
 	if f == nil || !f.OriginLimit.Enabled {
 		return nil
--- a/internal/features/replace.go
+++ b/internal/features/replace.go
@@ -2,9 +2,9 @@
 
 import "spantack/routing"
 
-// CheckReplaces checks whether a file may replace the previous one at a time, in Unix milliseconds: no migration in
-// progress is lost or begun too late, and a rollout or topology that changes has a later version. previous may be
-// nil.
+// CheckReplaces returns an error unless the file may replace the previous one at the time now, in Unix milliseconds. It
+// must not leave out a migration in progress, nor add one that would have begun already. A rollout or topology that
+// differs must have a higher version. previous may be nil.
 func (f *File) CheckReplaces(now float64, previous *File) error {
 	if err := f.checkRolloutReplaces(previous); err != nil {
 		return err
@@ -15,16 +15,16 @@
 	return f.checkMigrationReplaces(now, previous)
 }
 
-// checkVersion checks that a document is the same as the one in force or has a later version.
+// checkVersion returns an error unless a document is the same as the current one or has a higher version.
 func checkVersion(field string, old, next int64, same bool) error {
 	if next <= old && !same {
-		return fieldError(field, "%d is not after %d, the one in force", next, old)
+		return fieldError(field, "%d, must be above %d, the current version", next, old)
 	}
 	return nil
 }
 
-// CheckSettings checks a file against a router's settings: the names that it uses must exist there, and the settings
-// must have what its features need.
+// CheckSettings checks a file against a router's settings. The classes and sites that the file names must exist there,
+// and the settings must support the features that it enables.
 func (f *File) CheckSettings(settings *routing.Settings) error {
 	if err := f.checkFleetSettings(settings); err != nil {
 		return err
--- a/internal/features/rollout.go
+++ b/internal/features/rollout.go
@@ -6,13 +6,13 @@
 	"spantack/core/rollout"
 )
 
-// Rollout is the section of a release that is admitted to cells ring by ring. It needs cells.
+// Rollout is the section of the rollout of a release to cells, ring by ring. It requires that cells are enabled.
 type Rollout struct {
 	Enabled bool `json:"enabled"`
 	rollout.Rollout
 }
 
-// ActiveRollout returns the rollout in force; nil while the feature is off.
+// ActiveRollout returns the active rollout; nil if the feature is off.
 func (f *File) ActiveRollout() *rollout.Rollout {
 	if f == nil || !f.Rollout.Enabled {
 		return nil
@@ -22,12 +22,12 @@
 
 func (f *File) validateRollout() error {
 	if f.ActiveRollout() != nil && f.CellSpec() == nil {
-		return fieldError("stage.enabled", "true, needs cells.enabled true")
+		return fieldError("stage.enabled", "true, requires cells.enabled to be true")
 	}
 	return nil
 }
 
-// checkRolloutReplaces checks that a rollout of the same name, if it differs, has a later version.
+// checkRolloutReplaces checks that a rollout that has the same name but differs has a higher version.
 func (f *File) checkRolloutReplaces(previous *File) error {
 	old, next := previous.ActiveRollout(), f.ActiveRollout()
 	if old == nil || next == nil || old.Name != next.Name {
--- a/internal/features/schema/schema.go
+++ b/internal/features/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema prints the JSON Schema of the features file. It is a package of its own because the router does not
-// need it.
+// Package schema generates the JSON Schema of the features file. It is separate from package features because the
+// router does not need it.
 package schema
 
 import (
@@ -13,8 +13,8 @@
 	"spantack/internal/features"
 )
 
-// definitionNames gives the names of definitions that differ from those of their Go types. Readers of the schema may
-// refer to them, so that renaming a type must not change them.
+// definitionNames maps Go types to the names of their definitions in the schema, where the two differ. Users of the
+// schema may refer to these names, so they must stay the same when a type is renamed.
 var definitionNames = map[string]string{
 	"cells.TenantKey":       "Key",
 	"features.Migration":    "Moves",
@@ -30,10 +30,10 @@
 	"rollout.Rollout":       "Stage",
 }
 
-// definitionName returns the name of a type's definition, or "" for that of the type itself.
+// definitionName returns the name of the definition of a type; "" stands for the name of the type.
 func definitionName(t reflect.Type) string { return definitionNames[t.String()] }
 
-// JSON returns the schema, indented.
+// JSON returns the schema as indented JSON that ends in a newline.
 func JSON() ([]byte, error) {
 	r := jsonschema.Reflector{ExpandedStruct: true, Namer: definitionName}
 	text, err := json.Marshal(r.Reflect(&features.File{}))
--- a/internal/features/schema/wire_compat_test.go
+++ b/internal/features/schema/wire_compat_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Editors and checks of others use the schema that spanctl check --schema prints.
-func TestStoredSchemaIsWrittenAlike(t *testing.T) {
+// Guards against unintended changes of the schema that spanctl check --schema prints. Editors and other tools use it.
+func TestSchemaMatchesStoredFile(t *testing.T) {
 	want, err := os.ReadFile("testdata/schema.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/features/strict.go
+++ b/internal/features/strict.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// checkStrict checks decoded JSON against a Go type, which encoding/json does not do strictly: objects may have only
-// the type's fields, by their exact names, and values must be of the fields' kinds. path is the value's path with a
-// leading dot.
+// checkStrict checks decoded JSON against a Go type. Objects may have only the fields of the type, by their exact
+// names, and values must be of the fields' kinds. encoding/json ignores unknown fields and the case of names. path is
+// the path of the value, with a leading dot.
 func checkStrict(value any, t reflect.Type, path string) error {
 	switch t.Kind() {
 	case reflect.Struct:
@@ -46,7 +46,7 @@
 	for _, name := range slices.Sorted(maps.Keys(object)) {
 		fieldType, known := fields[name]
 		if !known {
-			return fieldError(strings.TrimPrefix(path+"."+name, "."), "no such field; fields are %s",
+			return fieldError(strings.TrimPrefix(path+"."+name, "."), "unknown field; the fields are %s",
 				strings.Join(slices.Sorted(maps.Keys(fields)), ", "))
 		}
 		if err := checkStrict(object[name], fieldType, path+"."+name); err != nil {
@@ -82,16 +82,16 @@
 	return nil
 }
 
-// isInteger reports whether a value is a whole number that a float64 holds exactly.
+// isInteger reports whether a value is a whole number of at most 2^53, up to which float64 is exact.
 func isInteger(value any) bool {
 	n, ok := value.(float64)
 	return ok && n == math.Trunc(n) && math.Abs(n) <= 1<<53
 }
 
-// maxValueBytes bounds the text of a value in an error.
+// maxValueBytes is the maximum length of a value in an error message; longer ones are truncated.
 const maxValueBytes = 60
 
-// checkKind returns an error that names the field, its value and the kind that it must have, unless ok.
+// checkKind returns nil if ok, else an error that names the field, its value and the required kind.
 func checkKind(ok bool, value any, path, kind string) error {
 	if ok {
 		return nil
@@ -106,7 +106,7 @@
 	return fieldError(strings.TrimPrefix(path, "."), "%s is not %s", text, kind)
 }
 
-// collectFields adds the fields of a struct and of those embedded in it, by their names in JSON.
+// collectFields adds the types of the fields of a struct and of its embedded structs to fields, by their JSON names.
 func collectFields(t reflect.Type, fields map[string]reflect.Type) {
 	for i := range t.NumField() {
 		field := t.Field(i)
--- a/internal/features/topology.go
+++ b/internal/features/topology.go
@@ -7,13 +7,13 @@
 	"spantack/core/hierarchy"
 )
 
-// Topology is the section of the hierarchy: which sites and parent groups fill from which.
+// Topology is the section of the hierarchy: the sites, parent groups and origin, and the links that fills may use.
 type Topology struct {
 	Enabled bool `json:"enabled"`
 	hierarchy.Topology
 }
 
-// TopologyGraph returns the compiled topology; nil while the feature is off.
+// TopologyGraph returns the compiled topology; nil if the feature is off.
 func (f *File) TopologyGraph() (*hierarchy.Graph, error) {
 	if f == nil || !f.Topology.Enabled {
 		return nil, nil
@@ -30,7 +30,7 @@
 	return err
 }
 
-// checkTopologyReplaces checks that a topology that differs has a later version.
+// checkTopologyReplaces checks that a topology that differs has a higher version.
 func (f *File) checkTopologyReplaces(previous *File) error {
 	if previous == nil || !previous.Topology.Enabled || !f.Topology.Enabled {
 		return nil
--- a/internal/features/wire_compat_test.go
+++ b/internal/features/wire_compat_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// A features file with all on is read as the release before read it, and what it holds is written alike: once from
-// Jsonnet, once from what that evaluates to.
-func TestStoredFeaturesAreReadAndWrittenAlike(t *testing.T) {
+// Guards against a release that reads or writes a features file of the previous release differently. The stored Jsonnet
+// file must give the same value as the stored JSON to which it evaluates, and encoding the value must give that JSON.
+func TestStoredFeaturesAreStillReadAndWritten(t *testing.T) {
 	for _, name := range []string{"all", "shuffle"} {
 		want, err := os.ReadFile("testdata/" + name + ".json")
 		if err != nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Each feature of the file with all on is on, and what is made of it holds its values.
-func TestStoredFeaturesAreOn(t *testing.T) {
+// Guards against features that are enabled in a file but do not become active, or become active with other values.
+func TestStoredFeaturesAreActiveWithTheirValues(t *testing.T) {
 	f, err := Load("testdata/all.jsonnet")
 	if err != nil {
 		t.Fatal(err)
