--- a/internal/testwait/conns.go
+++ b/internal/testwait/conns.go
@@ -9,8 +9,8 @@
 	"spantack/internal/loopback"
 )
 
-// Listen opens a listener at an address that no other process is given, so that nobody else connects to it, and
-// closes it when the test ends.
+// Listen opens a TCP listener and closes it when the test ends. Its address is not assigned to any other process, so
+// that only the test connects to it.
 func Listen(t testing.TB) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", loopback.FreeAddress())
@@ -21,8 +21,8 @@
 	return l.(*net.TCPListener)
 }
 
-// Accept returns the next connection to l, which is a TCP listener or wraps one. Its reads and writes are bounded,
-// and it is closed when the test ends.
+// Accept returns the next connection to l, which is a TCP listener or wraps one. BoundConn applies to the connection:
+// reads and writes are bounded, and it is closed when the test ends. what names the connection in failures.
 func Accept(t testing.TB, l net.Listener, what string) net.Conn {
 	t.Helper()
 	type result struct {
@@ -42,12 +42,12 @@
 	return accepted.conn
 }
 
-// maxSilentConns is how many connections in a row AcceptHello passes over.
+// maxSilentConns is the number of connections without any data after which AcceptHello fails the test.
 const maxSilentConns = 20
 
-// AcceptHello returns the next connection to l on which the other side first writes hello. It passes over those
-// that end before a byte has come: a dialler that got no CPU in time gives up a connection that the system has
-// made.
+// AcceptHello returns the next connection to l on which the peer first writes hello. It skips connections that end
+// before the first byte: a dialler that gets no CPU in time abandons a connection that the kernel has established
+// already.
 func AcceptHello(t testing.TB, l net.Listener, hello, what string) net.Conn {
 	t.Helper()
 	received := make([]byte, len(hello))
@@ -63,11 +63,12 @@
 		}
 		return conn
 	}
-	t.Fatalf("%d connections of %s ended without a byte", maxSilentConns, what)
+	t.Fatalf("%d connections of %s ended without any data", maxSilentConns, what)
 	panic("unreachable")
 }
 
-// Dial connects to a TCP address. Reads and writes on the connection are bounded, and it is closed when the test ends.
+// Dial connects to a TCP address, within Limit. BoundConn applies to the connection: reads and writes are bounded, and
+// it is closed when the test ends.
 func Dial(t testing.TB, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", addr, Limit)
@@ -78,8 +79,8 @@
 	return conn.(*net.TCPConn)
 }
 
-// BoundConn bounds all reads and writes on conn by ConnLimit, after which they fail with a timeout, and closes it
-// when the test ends.
+// BoundConn sets a deadline of ConnLimit from now, after which all reads and writes on conn fail with a timeout. It
+// closes conn when the test ends.
 func BoundConn(t testing.TB, conn net.Conn) {
 	t.Helper()
 	t.Cleanup(func() { conn.Close() })
--- a/internal/testwait/retry.go
+++ b/internal/testwait/retry.go
@@ -3,26 +3,28 @@
 import "testing"
 
 const (
-	// maxRuns is how often a check is run that a machine without CPUs to spare may spoil.
+	// maxRuns is the maximum number of runs of a check.
 	maxRuns = 5
-	// starvedThreshold is the share of a run's time without CPUs from which on the machine may have spoilt it.
+	// starvedThreshold is a fraction of a run's time. If some process waited for a CPU in this fraction or more, the
+	// wait may have caused the failure, and the run is repeated.
 	starvedThreshold = 0.2
 )
 
-// RetryIfStarved runs a check of what must happen within a short time. Where it finds a fault on a machine that was
-// starved of CPU meanwhile, it is run again; a fault that comes in each run is one.
+// RetryIfStarved runs a check of something that must happen within a short time. It repeats a check that fails while
+// the machine is starved of CPU. The test fails if a run fails on a machine that is not starved, or if all maxRuns runs
+// fail.
 func RetryIfStarved(t testing.TB, check func() error) {
 	t.Helper()
 	for run := 1; ; run++ {
 		stopwatch := StartStopwatch()
-		fault := check()
-		if fault == nil {
+		err := check()
+		if err == nil {
 			return
 		}
 		share := stopwatch.starvedShare()
 		if share < starvedThreshold || run == maxRuns {
-			t.Fatalf("run %d, CPUs short for %.2f of the time: %v", run, share, fault)
+			t.Fatalf("run %d, starved of CPU for %.2f of the time: %v", run, share, err)
 		}
-		t.Logf("run %d again, CPUs short for %.2f of the time: %v", run, share, fault)
+		t.Logf("repeating run %d, starved of CPU for %.2f of the time: %v", run, share, err)
 	}
 }
--- a/internal/testwait/stopwatch.go
+++ b/internal/testwait/stopwatch.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Stopwatch measures how long something takes, less the time for which the machine had more to run than CPUs: a
-// bound on it holds on a machine that is busy too, and is as tight as it says on one that is not.
+// Stopwatch measures elapsed time without the time in which some process waited for a CPU. A bound on the result is
+// also valid on a busy machine, and loses nothing of its strictness on an idle one.
 type Stopwatch struct {
 	startedAt      time.Time
-	starvedAtStart time.Duration // cpuStarvation then
+	starvedAtStart time.Duration // cpuStarvation at the start
 }
 
-// StartStopwatch begins a measurement.
+// StartStopwatch returns a Stopwatch that starts now.
 func StartStopwatch() *Stopwatch {
 	return &Stopwatch{startedAt: time.Now(), starvedAtStart: cpuStarvation()}
 }
 
-// Elapsed returns the result so far.
+// Elapsed returns the time since the start, without the time in which some process waited for a CPU.
 func (s *Stopwatch) Elapsed() time.Duration {
 	return time.Since(s.startedAt) - (cpuStarvation() - s.starvedAtStart)
 }
 
-// starvedShare returns how much of the time some process of the machine waited for a CPU.
+// starvedShare returns the fraction of the time since the start in which some process of the machine waited for a CPU.
 func (s *Stopwatch) starvedShare() float64 {
 	return float64(cpuStarvation()-s.starvedAtStart) / float64(time.Since(s.startedAt))
 }
 
-// cpuPressureTotal finds the total of /proc/pressure/cpu, in microseconds.
+// cpuPressureTotal matches the total in /proc/pressure/cpu, in microseconds.
 var cpuPressureTotal = regexp.MustCompile(`some .* total=(\d+)`)
 
-// cpuStarvation returns for how long, since the machine's start, some process was ready to run and had no CPU. It
-// stays 0 where the system does not tell.
+// cpuStarvation returns the total time since boot in which some process was ready to run but had no CPU. It is 0 if the
+// system does not report this.
 func cpuStarvation() time.Duration {
 	text, _ := os.ReadFile("/proc/pressure/cpu")
 	found := cpuPressureTotal.FindSubmatch(text)
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -1,6 +1,7 @@
-// Package testwait bounds the waits of tests. Every wait names what it waits for, so that a test that would hang
-// fails instead and says where. The bounds are far above what any wait takes on a machine that is starved of CPU:
-// they end tests that hang, and no verdict depends on the machine's speed by way of them. Only tests import it.
+// Package testwait has waits with time limits for tests. Every wait has a description of what it waits for, so that a
+// test that would hang fails with this description instead. The limits are far longer than any wait takes on a machine
+// that is starved of CPU. They only end tests that hang, so that results do not depend on the machine's speed. Only
+// tests import the package.
 package testwait
 
 import (
@@ -10,22 +11,22 @@
 )
 
 const (
-	// Limit bounds a single wait.
+	// Limit is the maximum duration of a single wait.
 	Limit = 20 * time.Second
-	// ConnLimit bounds the use of a connection by a test, which reads and writes on it many times.
+	// ConnLimit is the maximum time for which a test uses a connection, with many reads and writes.
 	ConnLimit = time.Minute
 
-	// pollInterval is the time between two calls of Until's condition.
+	// pollInterval is the pause between two calls of Until's condition.
 	pollInterval = 5 * time.Millisecond
 )
 
-// Receive returns the next value from c, or the zero value once c is closed.
+// Receive returns the next value from c, or the zero value if c is closed. It fails the test after Limit.
 func Receive[T any](t testing.TB, c <-chan T, what string) T {
 	t.Helper()
 	return ReceiveWithin(t, Limit, c, what)
 }
 
-// ReceiveWithin is Receive with a bound of its own, for waits that consist of many steps.
+// ReceiveWithin is Receive with another limit, for waits that consist of many steps.
 func ReceiveWithin[T any](t testing.TB, limit time.Duration, c <-chan T, what string) T {
 	t.Helper()
 	timer := time.NewTimer(limit)
@@ -39,7 +40,7 @@
 	}
 }
 
-// Send hands v to a receiver of c.
+// Send sends v to c. It fails the test after Limit.
 func Send[T any](t testing.TB, c chan<- T, v T, what string) {
 	t.Helper()
 	timer := time.NewTimer(Limit)
@@ -51,13 +52,13 @@
 	}
 }
 
-// WaitGroup waits until all goroutines of g have ended.
+// WaitGroup waits until all goroutines of g have ended. It fails the test after Limit.
 func WaitGroup(t testing.TB, g *sync.WaitGroup, what string) {
 	t.Helper()
 	WaitGroupWithin(t, Limit, g, what)
 }
 
-// WaitGroupWithin is WaitGroup with a bound of its own, for goroutines that wait themselves.
+// WaitGroupWithin is WaitGroup with another limit, for goroutines that wait themselves.
 func WaitGroupWithin(t testing.TB, limit time.Duration, g *sync.WaitGroup, what string) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -68,16 +69,16 @@
 	ReceiveWithin(t, limit, ended, what)
 }
 
-// Until calls holds, every pollInterval, until it returns true.
-func Until(t testing.TB, what string, holds func() bool) {
+// Until calls condition every pollInterval until it returns true. It fails the test after Limit.
+func Until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	UntilWithin(t, Limit, what, holds)
+	UntilWithin(t, Limit, what, condition)
 }
 
-// UntilWithin is Until with a bound of its own, for waits that consist of many steps.
-func UntilWithin(t testing.TB, limit time.Duration, what string, holds func() bool) {
+// UntilWithin is Until with another limit, for waits that consist of many steps.
+func UntilWithin(t testing.TB, limit time.Duration, what string, condition func() bool) {
 	t.Helper()
-	for startedAt := time.Now(); !holds(); time.Sleep(pollInterval) {
+	for startedAt := time.Now(); !condition(); time.Sleep(pollInterval) {
 		if time.Since(startedAt) > limit {
 			t.Fatalf("waited %v for %s", limit, what)
 		}
--- a/internal/testwait/testwait_test.go
+++ b/internal/testwait/testwait_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The waits end with what they wait for.
-func TestWaits(t *testing.T) {
+// Guards against waits that do not return when the awaited event happens, or return early.
+func TestWaitsReturnWhenDone(t *testing.T) {
 	c := make(chan int, 1)
 	Send(t, c, 7, "room in the channel")
 	if v := Receive(t, c, "the value that was sent"); v != 7 {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Both ends of a connection carry bytes.
-func TestConnections(t *testing.T) {
+// Guards against connections whose two ends are not connected to each other.
+func TestConnectionsCarryData(t *testing.T) {
 	l := Listen(t)
 	near := Dial(t, l.Addr().String())
 	far := Accept(t, l, "the connection just dialled")
@@ -49,8 +49,8 @@
 	}
 }
 
-// A connection that ends without a byte is passed over, and one on which something is written is taken.
-func TestAcceptHello(t *testing.T) {
+// Guards against AcceptHello failing on a connection that ends without data, instead of waiting for the next one.
+func TestAcceptHelloSkipsConnectionWithoutData(t *testing.T) {
 	l := Listen(t)
 	Dial(t, l.Addr().String()).Close()
 	if _, err := Dial(t, l.Addr().String()).Write([]byte("hello")); err != nil {
@@ -59,12 +59,13 @@
 	AcceptHello(t, l, "hello", "the second connection")
 }
 
-// A stopwatch counts no more than the time that passes, and RetryIfStarved ends with the first run without a fault.
-func TestRetryIfStarved(t *testing.T) {
+// Guards against a stopwatch that counts more than the elapsed time, and against RetryIfStarved repeating a check that
+// has passed or hiding one that always fails.
+func TestRetryIfStarvedStopsAfterSuccess(t *testing.T) {
 	stopwatch := StartStopwatch()
 	time.Sleep(time.Millisecond)
 	if took := stopwatch.Elapsed(); took > time.Since(stopwatch.startedAt) {
-		t.Errorf("%v, of %v in all", took, time.Since(stopwatch.startedAt))
+		t.Errorf("stopwatch shows %v after %v", took, time.Since(stopwatch.startedAt))
 	}
 	runs := 0
 	RetryIfStarved(t, func() error { runs++; return nil })
@@ -80,7 +81,7 @@
 	}
 }
 
-// failingTB is a testing.TB that records its failure and ends the goroutine, as a test's does.
+// failingTB is a testing.TB that records its failure and ends the goroutine, as testing.T does.
 type failingTB struct {
 	testing.TB
 	failure string
@@ -98,7 +99,7 @@
 	runtime.Goexit()
 }
 
-// failureOf returns with what text a check fails, or an empty one where it does not.
+// failureOf returns the text with which a check fails, or an empty one if it does not fail.
 func failureOf(t *testing.T, check func(f *failingTB)) string {
 	t.Helper()
 	f := &failingTB{}
@@ -111,8 +112,8 @@
 	return f.failure
 }
 
-// A wait for what never comes fails the test and names it.
-func TestWaitsEnd(t *testing.T) {
+// Guards against waits that hang: a wait for an event that never happens fails the test and names the event.
+func TestWaitsFailAfterLimit(t *testing.T) {
 	const limit = 5 * time.Millisecond
 	for name, wait := range map[string]func(f *failingTB){
 		"Receive": func(f *failingTB) { ReceiveWithin(f, limit, make(chan int), "a value") },
