--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,4 +1,4 @@
-// Package testseed makes random tests give the same verdict every time. Only tests import it.
+// Package testseed makes the results of randomized tests reproducible. Only tests import it.
 package testseed
 
 import (
@@ -7,10 +7,10 @@
 	"os"
 	"testing"
 
-	_ "pgregory.net/rapid" // its flags
+	_ "pgregory.net/rapid" // defines the flags
 )
 
-// Main runs a package's tests with the random ones on a fixed seed and writing no files.
+// Main runs a package's tests and exits. Tests that use rapid have a fixed seed and write no failure files.
 func Main(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
