--- a/internal/testfixture/commandlines.go
+++ b/internal/testfixture/commandlines.go
@@ -9,8 +9,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// CommandLines fails the test unless a program takes the commands, arguments and flags that a file lists, a line for
-// each command. Commands that have a new name are compared by their first alias, the name that the file has.
+// CommandLines fails the test unless the commands, arguments and flags of a program are those listed in a file, which
+// has a line for each command. A renamed command is compared by its first alias, which is its name in the file.
 func CommandLines(t testing.TB, file, program string, commands any) {
 	t.Helper()
 	want, err := os.ReadFile(file)
@@ -37,8 +37,8 @@
 	}
 }
 
-// oldPath is the path to a command by the names that it had in the release that wrote the file: those with a new name
-// have the old one as alias.
+// oldPath returns the path to a command with the names of the release that wrote the file. Renamed commands have the
+// old name as their first alias.
 func oldPath(node *kong.Node) string {
 	name := node.Name
 	if len(node.Aliases) > 0 {
--- a/internal/testfixture/lines.go
+++ b/internal/testfixture/lines.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// HexLines reads a file of lines "name: hex": recorded messages of a binary protocol by name.
+// HexLines reads a file of lines "name: hex", and returns the bytes by name: recorded messages of a binary protocol.
 func HexLines(t testing.TB, file string) map[string][]byte {
 	t.Helper()
 	messages := map[string][]byte{}
@@ -22,7 +22,8 @@
 	return messages
 }
 
-// QuotedLines reads a file of lines `name: "bytes"`, quoted as in Go: recorded messages of a text protocol by name.
+// QuotedLines reads a file of lines `name: "text"`, quoted as in Go, and returns the texts by name: recorded messages
+// of a text protocol.
 func QuotedLines(t testing.TB, file string) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
@@ -36,7 +37,7 @@
 	return messages
 }
 
-// namedLines reads a file of lines "name: value".
+// namedLines reads a file of lines "name: value", and returns the values by name.
 func namedLines(t testing.TB, file string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(file)
--- a/internal/testfixture/testfixture.go
+++ b/internal/testfixture/testfixture.go
@@ -1,4 +1,5 @@
-// Package testfixture compares stored documents with the types that they are read into. Only tests import it.
+// Package testfixture reads stored documents, messages and command lines, with which tests compare the program. Only
+// tests import it.
 package testfixture
 
 import (
@@ -9,7 +10,7 @@
 	"testing"
 )
 
-// ReadAndWrite is ReadBack, and also fails the test unless the value read is want.
+// ReadAndWrite calls ReadBack, and fails the test unless the decoded value equals want.
 func ReadAndWrite[T any](t testing.TB, file, indent string, want T) {
 	t.Helper()
 	if got := ReadBack[T](t, file, indent); !reflect.DeepEqual(got, want) {
@@ -17,9 +18,9 @@
 	}
 }
 
-// ReadBack decodes a file of JSON and returns the value. It fails the test unless the file holds no field that the type
-// lacks, and encoding the value gives the same bytes again. An indent other than the empty one is that of the encoding,
-// which then ends in a newline.
+// ReadBack decodes a JSON file and returns the value. It fails the test if the file has a field that the type lacks, or
+// if encoding the value does not give the same bytes as the file. If indent is not empty, the encoding is indented by
+// it and ends in a newline.
 func ReadBack[T any](t testing.TB, file, indent string) (got T) {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -31,17 +32,17 @@
 	if err := decoder.Decode(&got); err != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
-	again, err := encode(got, indent)
+	encoded, err := encode(got, indent)
 	if err != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
-	if !bytes.Equal(again, text) {
-		t.Errorf("%s: written as %s, want %s", file, again, text)
+	if !bytes.Equal(encoded, text) {
+		t.Errorf("%s: written as %s, want %s", file, encoded, text)
 	}
 	return got
 }
 
-// encode is the reverse of what ReadBack reads.
+// encode returns the JSON of value. With an indent it is indented and ends in a newline.
 func encode(value any, indent string) ([]byte, error) {
 	if indent == "" {
 		return json.Marshal(value)
--- a/internal/testfixture/testfixture_test.go
+++ b/internal/testfixture/testfixture_test.go
@@ -13,7 +13,7 @@
 	Size int    `json:"size"`
 }
 
-// recordingTB is a testing.TB that records its failures and goes on.
+// recordingTB is a testing.TB that records failures and continues.
 type recordingTB struct {
 	testing.TB
 	failures []string
@@ -27,21 +27,22 @@
 	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 }
 
-// Fatalf implements testing.TB, but for the end of the goroutine.
+// Fatalf implements testing.TB, except that it does not end the goroutine.
 func (r *recordingTB) Fatalf(format string, args ...any) { r.Errorf(format, args...) }
 
-// A document passes whose encoding is the file again, and fails by a text that says what differs.
-func TestReadAndWrite(t *testing.T) {
+// Guards against differences between a file and the encoding of its value that pass unnoticed, and against failures of
+// files without such a difference.
+func TestReadAndWriteReportsDifferences(t *testing.T) {
 	want := document{"a", 1}
 	for _, test := range []struct{ name, text, indent, failure string }{
 		{"compact", `{"name":"a","size":1}`, "", ""},
 		{"indented", "{\n \"name\": \"a\",\n \"size\": 1\n}\n", " ", ""},
 		{"no newline", "{\n \"name\": \"a\",\n \"size\": 1\n}", " ", "written as"},
-		{"another order", `{"size":1,"name":"a"}`, "", "written as"},
-		{"a field left out", `{"name":"a"}`, "", "written as"},
-		{"another value", `{"name":"a","size":2}`, "", "read as"},
-		{"a field that the type lacks", `{"name":"a","size":1,"more":1}`, "", "unknown field"},
-		{"no JSON", `{`, "", "unexpected EOF"},
+		{"other order of fields", `{"size":1,"name":"a"}`, "", "written as"},
+		{"missing field", `{"name":"a"}`, "", "written as"},
+		{"other value", `{"name":"a","size":2}`, "", "read as"},
+		{"field that the type lacks", `{"name":"a","size":1,"more":1}`, "", "unknown field"},
+		{"invalid JSON", `{`, "", "unexpected EOF"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "document.json")
