--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -1,4 +1,5 @@
-// Package archtest tests which package may import which.
+// Package archtest tests properties of the whole source tree: which package may import which, and names that other
+// programs and people rely on.
 package archtest
 
 import (
@@ -14,8 +15,9 @@
 	"testing"
 )
 
-// allowed says which places of this module the packages of each place may import. Test files may import any.
-var allowed = map[string][]string{
+// allowedImports lists, for each top-level folder and each command, the top-level folders from which its packages may
+// import. Test files may import any package.
+var allowedImports = map[string][]string{
 	"routing":        {},
 	"core":           {"routing", "core"},
 	"internal":       {"core", "routing", "internal"},
@@ -28,8 +30,9 @@
 	"cmd/simadapter": {"routing", "internal"},
 }
 
-// pure places do no I/O, read no clock and draw no random numbers of their own: the caller gives them all of that.
-var pure = []string{"routing", "core", "emulator"}
+// pureFolders are the top-level folders whose packages do no I/O, read no clock and use no random source of their own.
+// The caller passes in all of these.
+var pureFolders = []string{"routing", "core", "emulator"}
 
 var (
 	impurePackages = []string{"net", "net/http", "os", "os/exec", "os/signal", "io/fs", "syscall", "crypto/tls",
@@ -37,7 +40,8 @@
 	clockCalls = regexp.MustCompile(`\btime\.(Now|Sleep|After|AfterFunc|NewTimer|NewTicker|Since|Tick)\(`)
 )
 
-func TestImportsPointOneWay(t *testing.T) {
+// Guards against imports that break the layering, and against I/O, clocks and randomness in pure packages.
+func TestImportsFollowLayers(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
@@ -66,21 +70,23 @@
 	}
 }
 
-// violations returns what a file imports or calls against the rules.
+// violations returns a text for each forbidden import of a file, and one for its first clock call if the file must not
+// read a clock. A file in an unknown folder or with a syntax error gives one text. path is relative to the repository
+// root.
 func violations(path, text string) (found []string) {
-	place, _, _ := strings.Cut(path, "/")
-	if place == "cmd" {
-		place = strings.Join(strings.Split(path, "/")[:2], "/")
+	folder, _, _ := strings.Cut(path, "/")
+	if folder == "cmd" {
+		folder = strings.Join(strings.Split(path, "/")[:2], "/")
 	}
-	mayImport, isKnown := allowed[place]
+	mayImport, isKnown := allowedImports[folder]
 	if !isKnown {
-		return []string{path + ": in no known place"}
+		return []string{path + ": not in a known folder"}
 	}
 	file, err := parser.ParseFile(token.NewFileSet(), path, text, parser.ImportsOnly)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	isPure := slices.Contains(pure, place)
+	isPure := slices.Contains(pureFolders, folder)
 	for _, spec := range file.Imports {
 		name, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
@@ -101,8 +107,8 @@
 	return found
 }
 
-// Each rule finds the violation that it is for.
-func TestViolationsAreFound(t *testing.T) {
+// Guards against rules that no longer find the violations that they are meant to find.
+func TestEachRuleReportsItsViolation(t *testing.T) {
 	for path, text := range map[string]string{
 		"core/x/x.go":          "package x\nimport \"net\"\n",
 		"core/x/y.go":          "package x\nimport \"time\"\nvar now = time.Now()\n",
--- a/internal/archtest/outer_names_test.go
+++ b/internal/archtest/outer_names_test.go
@@ -18,21 +18,22 @@
 	outerNamesPage = "docs/outer-names.txt"
 )
 
-// outerName is a name that clients, servers, peers, files, command lines or log readers refer to.
+// outerName is a name that is used outside the process: by clients, servers, peers, files, command lines or readers of
+// logs.
 type outerName struct {
 	name    string
 	heading string
-	folders []string // the name stands in the source of at least one of them
+	folders []string // at least one of them must have the name in its source
 }
 
-// A rename in the code must not rename what other processes, stored files, scripts and staff refer to. Names of
-// docs/outer-names.txt have to stand as whole words in string literals or struct tags of the folders of their heading,
-// in the names of files there, or in settings files there. Test files do not count.
+// Guards against a rename in the code that also changes a name that other processes, stored files, scripts or operators
+// refer to. Each name of docs/outer-names.txt must appear as a whole word in at least one of the folders of its
+// heading: in a string literal, a struct tag, a file name or a settings file. Test files do not count.
 func TestOuterNamesAreKept(t *testing.T) {
 	textsOfFolder := map[string][]string{}
 	names := readOuterNames(t)
 	if len(names) < 1000 {
-		t.Fatalf("%s: %d names, at least 1000 wanted", outerNamesPage, len(names))
+		t.Fatalf("%s: %d names, want at least 1000", outerNamesPage, len(names))
 	}
 	for _, name := range names {
 		if !isInAnyFolder(t, name, textsOfFolder) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// A name inside a longer word does not count, nor does one with other case.
+// Guards against names that are found only as a part of a longer word or in another case.
 func TestOuterNameMatchesWholeWords(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -61,6 +62,7 @@
 	}
 }
 
+// readOuterNames returns the names of docs/outer-names.txt with the heading and folders of each.
 func readOuterNames(t *testing.T) []outerName {
 	t.Helper()
 	page, err := os.Open(filepath.Join(repositoryRoot, outerNamesPage))
@@ -94,7 +96,8 @@
 	return names
 }
 
-// isInAnyFolder reports whether a folder of the name has it. It reads each folder once, into textsOfFolder.
+// isInAnyFolder reports whether the texts of at least one folder of the name have it. textsOfFolder caches the texts of
+// each folder.
 func isInAnyFolder(t *testing.T, name outerName, textsOfFolder map[string][]string) bool {
 	t.Helper()
 	pattern := wholeWord(name.name)
@@ -111,7 +114,7 @@
 	return false
 }
 
-// wholeWord returns a pattern that finds name, but not as a part of a longer word.
+// wholeWord returns a pattern that matches name, but not as a part of a longer word.
 func wholeWord(name string) *regexp.Regexp {
 	pattern := regexp.QuoteMeta(name)
 	if isWordByte(name[0]) {
