--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads and validates a router's configuration, at its start and on SIGHUP. Its sources are environment
-// variables and the platform's configuration file. Only this package uses the field names of that file.
+// Package config reads and validates a router's configuration, at its start and on SIGHUP. The sources are environment
+// variables and the platform's configuration file. The package translates the field names of the file to those of the
+// code.
 package config
 
 import (
