--- a/internal/features/file.go
+++ b/internal/features/file.go
@@ -22,7 +22,8 @@
 	Fleet       Fleet       `json:"fleet,omitempty" jsonschema_description:"limit on fills that reach the origin and verdicts on servers, shared by all routers; docs/fleet.md"`
 }
 
-// FieldError is an error in a field of a features file.
+// FieldError is an error in a field of a features file, or a conflict of the field with other fields, with the router's
+// settings or with the previous file.
 type FieldError struct {
 	Field   string // path, such as cells.keys[0].class
 	Problem string // the value, why it is invalid, and the allowed values
--- a/internal/features/migration.go
+++ b/internal/features/migration.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// checkMigrationReplaces checks that no migration in progress is left out, and that new ones are loaded before they
-// begin.
+// checkMigrationReplaces checks that no migration in progress is left out, and that new ones are loaded before the end
+// of their warm-up.
 func (f *File) checkMigrationReplaces(now float64, previous *File) error {
 	old, next := previous.ActiveMigration(), f.ActiveMigration()
 	switch {
--- a/internal/features/replace.go
+++ b/internal/features/replace.go
@@ -3,8 +3,8 @@
 import "spantack/routing"
 
 // CheckReplaces returns an error unless the file may replace the previous one at the time now, in Unix milliseconds. It
-// must not leave out a migration in progress, nor add one that would have begun already. A rollout or topology that
-// differs must have a higher version. previous may be nil.
+// must not leave out a migration in progress, nor add one whose warm-up would be over already. A rollout or topology
+// that differs must have a higher version. previous may be nil.
 func (f *File) CheckReplaces(now float64, previous *File) error {
 	if err := f.checkRolloutReplaces(previous); err != nil {
 		return err
--- a/internal/features/replace_test.go
+++ b/internal/features/replace_test.go
@@ -48,8 +48,8 @@
 		{"topology of a higher version", with(topology, "4", "5"), with(topology, "5", "6"), ""},
 		{"changed topology of the same version", with(topology, "4", "5"), with(topology, "4", "6"),
 			"shape.version: 4, must be above 4, the current version"},
-		{"new migration that begins later", off, with(migrating, "1", "60000"), ""},
-		{"new migration that should have begun already", off, with(migrating, "1", "10"), "moves."},
+		{"new migration loaded in time", off, with(migrating, "1", "60000"), ""},
+		{"new migration loaded too late", off, with(migrating, "1", "10"), "moves."},
 		{"same migration", with(migrating, "1", "10"), with(migrating, "1", "10"), ""},
 		{"migration disabled while in progress", with(migrating, "1", "10"), off, "moves."},
 	} {
