--- a/cmd/spanlab/demo.go
+++ b/cmd/spanlab/demo.go
@@ -7,13 +7,13 @@
 	"spantack/lab/process"
 )
 
-// demoCmd shows a router under a small load.
+// demoCmd runs a router under a small load.
 type demoCmd struct{}
 
-// demoTimeout bounds the demonstration.
+// demoTimeout bounds the run of the demo.
 const demoTimeout = time.Minute
 
-// Run prints what became of the load.
+// Run runs the demo and prints the results of its requests.
 func (demoCmd) Run() error {
 	ctx, cancel := commandContext(demoTimeout)
 	defer cancel()
--- a/cmd/spanlab/experiment.go
+++ b/cmd/spanlab/experiment.go
@@ -9,7 +9,7 @@
 	"spantack/lab"
 )
 
-// listCmd lists the experiments.
+// listCmd prints the names of the experiments.
 type listCmd struct{}
 
 // Run prints a line for each experiment.
@@ -24,23 +24,24 @@
 	return nil
 }
 
-// maxSeeds bounds the seeds of one command.
+// maxSeeds bounds the number of seeds of one command.
 const maxSeeds = 1000
 
 // runCmd runs an experiment.
 type runCmd struct {
 	Name  string   `name:"name" arg:"" help:"The experiment."`
 	Seed  uint64   `name:"seed" default:"1" help:"First seed, 0 to 2^63."`
-	Seeds uint64   `name:"seeds" default:"1" help:"How many seeds, one after the other."`
-	Size  string   `name:"size" default:"small" enum:"small,full" help:"small or full."`
-	Out   string   `name:"out" help:"Folder for result.json, table.md and charts."`
-	Set   []string `name:"set" help:"path=value, changes the experiment." sep:"none"`
+	Seeds uint64   `name:"seeds" default:"1" help:"Number of seeds, counted up from the first."`
+	Size  string   `name:"size" default:"small" enum:"small,full" help:"Size of the experiment: small or full."`
+	Out   string   `name:"out" help:"Folder for result.json, table.md and charts; left out: nothing is written."`
+	Set   []string `name:"set" help:"A setting of the experiment to change, as path=value; can be repeated." sep:"none"`
 }
 
-// Run runs the experiment on each seed, writes the outcomes where a folder is named, and prints their RESULT lines.
+// Run runs the experiment with each seed, writes the outcomes if a folder is given, and prints their RESULT lines. It
+// returns errClaimFailed if a claim does not hold.
 func (c *runCmd) Run() error {
 	if c.Seeds == 0 || c.Seed > math.MaxInt64 || c.Seeds > maxSeeds {
-		return fmt.Errorf("--seed %d --seeds %d: seeds are 0 to 2^63, 1 to %d of them", c.Seed, c.Seeds, maxSeeds)
+		return fmt.Errorf("--seed %d --seeds %d: must be 0 to 2^63 and 1 to %d", c.Seed, c.Seeds, maxSeeds)
 	}
 	e, err := lab.Load(c.Name, c.Set...)
 	if err != nil {
@@ -55,18 +56,18 @@
 			return err
 		}
 	}
-	isShort := false
+	isFailed := false
 	for _, outcome := range outcomes {
 		fmt.Println(outcome.Summary())
-		isShort = isShort || !outcome.Passed()
+		isFailed = isFailed || !outcome.Passed()
 	}
-	if isShort {
-		return errClaimShort
+	if isFailed {
+		return errClaimFailed
 	}
 	return nil
 }
 
-// runSeeds runs the experiment on one seed after the other, with a progress bar.
+// runSeeds runs the experiment with one seed after the other and shows a progress bar.
 func (c *runCmd) runSeeds(e *lab.Experiment) (outcomes []*lab.Outcome, err error) {
 	runs := len(e.Arms) * len(e.Days)
 	all := runs * int(c.Seeds)
@@ -82,13 +83,13 @@
 	return outcomes, nil
 }
 
-// compareCmd compares two results.
+// compareCmd compares two files result.json.
 type compareCmd struct {
-	ResultA string `name:"a" arg:"" type:"existingfile" help:"result.json"`
-	ResultB string `name:"b" arg:"" type:"existingfile" help:"result.json"`
+	ResultA string `name:"a" arg:"" type:"existingfile" help:"File result.json of the first run."`
+	ResultB string `name:"b" arg:"" type:"existingfile" help:"File result.json of the second run."`
 }
 
-// Run prints a table of both.
+// Run prints a table with the figures of both results.
 func (c *compareCmd) Run() error {
 	a, err := readResult(c.ResultA)
 	if err != nil {
@@ -101,17 +102,17 @@
 	return lab.Compare(os.Stdout, a, b)
 }
 
-// readResult reads a file result.json, which has an outcome at least.
+// readResult reads a file result.json. It returns an error if the file has no outcome.
 func readResult(file string) (outcomes []*lab.Outcome, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	if err := json.Unmarshal(text, &outcomes); err != nil {
-		return nil, fmt.Errorf("%s: no result of spanlab run: %w", file, err)
+		return nil, fmt.Errorf("%s: not a result of spanlab run: %w", file, err)
 	}
 	if len(outcomes) == 0 {
-		return nil, fmt.Errorf("%s: no result of spanlab run: there is no outcome in it", file)
+		return nil, fmt.Errorf("%s: not a result of spanlab run: it has no outcome", file)
 	}
 	return outcomes, nil
 }
--- a/cmd/spanlab/main.go
+++ b/cmd/spanlab/main.go
@@ -1,5 +1,5 @@
 // Command spanlab runs the project's experiments on its emulator, scenarios on real router processes, and scale tests.
-// It exits with 0 where all claims hold, with 3 where one falls short, and with 2 after any error.
+// It exits with 0 if all claims hold, with 3 if a claim does not hold, and with 2 after an error.
 package main
 
 import (
@@ -17,44 +17,45 @@
 
 // Exit codes, besides 0.
 const (
-	exitInvalid = 2 // after an error
-	exitShort   = 3 // after errClaimShort
+	exitError  = 2 // after any other error
+	exitFailed = 3 // after errClaimFailed
 )
 
-// errClaimShort is the error of a command that ran, but for a claim or a bound that does not hold. What fell short has
-// been printed.
-var errClaimShort = errors.New("a claim falls short")
+// errClaimFailed is returned by a command that has run without an error, but with a claim, a bound or a budget that
+// does not hold. The command has printed which.
+var errClaimFailed = errors.New("a claim does not hold")
 
-// gcPercent trades memory for time: worlds allocate much that is soon free.
+// gcPercent makes the garbage collector run less often, at the cost of memory: emulator worlds allocate much that is
+// soon garbage.
 const gcPercent = 400
 
-// cli has the commands. Those with an alias had that name in earlier releases; it is still accepted, but not shown in
-// the help.
+// cli defines the commands. Aliases are the names of commands in earlier releases. They are still accepted, but not
+// shown in the help.
 type cli struct {
-	List     listCmd     `name:"list" cmd:"" help:"Lists the experiments."`
-	Run      runCmd      `name:"run" cmd:"" help:"Runs an experiment; exits with 3 when a claim falls short."`
-	Demo     demoCmd     `name:"demo" cmd:"" help:"Brings up a real router on loopback, with a small load."`
-	Compare  compareCmd  `name:"compare" cmd:"" help:"Sets two results side by side."`
-	Scenario scenarioCmd `name:"scenario" aliases:"live" cmd:"" help:"Scripted faults between real router processes."`
-	Scale    scaleCmd    `name:"scale" cmd:"" help:"What the fleet's own mechanisms cost as it grows."`
+	List     listCmd     `name:"list" cmd:"" help:"List the experiments."`
+	Run      runCmd      `name:"run" cmd:"" help:"Run an experiment; exit code 3 if a claim does not hold."`
+	Demo     demoCmd     `name:"demo" cmd:"" help:"Run a real router on loopback under a small load."`
+	Compare  compareCmd  `name:"compare" cmd:"" help:"Compare two results."`
+	Scenario scenarioCmd `name:"scenario" aliases:"live" cmd:"" help:"Run real router processes with scripted faults."`
+	Scale    scaleCmd    `name:"scale" cmd:"" help:"Measure the cost of the fleet protocols as the fleet grows."`
 }
 
 func main() {
 	debug.SetGCPercent(gcPercent)
 	err := run(os.Args[1:])
 	switch {
-	case errors.Is(err, errClaimShort):
-		os.Exit(exitShort)
+	case errors.Is(err, errClaimFailed):
+		os.Exit(exitFailed)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "spanlab:", err)
-		os.Exit(exitInvalid)
+		os.Exit(exitError)
 	}
 }
 
-// run parses and runs one command line.
+// run parses and executes a command line.
 func run(args []string) error {
-	parser, err := kong.New(new(cli), kong.Name("spanlab"), kong.Description("Experiments on the emulator."),
-		kong.UsageOnError(), kong.Help(helpWithoutAliases))
+	parser, err := kong.New(new(cli), kong.Name("spanlab"),
+		kong.Description("Runs experiments, scenarios and scale tests."), kong.UsageOnError(), kong.Help(helpWithoutAliases))
 	if err != nil {
 		return err
 	}
@@ -65,7 +66,8 @@
 	return command.Run()
 }
 
-// helpWithoutAliases prints the help, in which kong would show the aliases beside the names. The program ends after it.
+// helpWithoutAliases prints the help without the aliases that kong would show. It removes them from the parser, which
+// is safe because the program exits after the help.
 func helpWithoutAliases(options kong.HelpOptions, command *kong.Context) error {
 	var removeAliases func(node *kong.Node)
 	removeAliases = func(node *kong.Node) {
@@ -78,8 +80,8 @@
 	return kong.DefaultHelpPrinter(options, command)
 }
 
-// commandContext is the context of a command that starts processes: it ends with the first signal to stop, and after a
-// timeout.
+// commandContext returns the context of a command that starts processes. It is canceled at SIGINT or SIGTERM, and after
+// a timeout.
 func commandContext(timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/cmd/spanlab/progress.go
+++ b/cmd/spanlab/progress.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// progressInterval is how often a bar is drawn at most.
+	// progressInterval is the minimum time between updates of a bar.
 	progressInterval = 200 * time.Millisecond
-	// unknownCount is the count of a bar whose steps are not counted before the first is shown.
+	// unknownCount is passed to newProgress if the number of steps is not known before the first call of show.
 	unknownCount = -1
 )
 
-// progress is a bar on a terminal, and nothing elsewhere. A bar that can't be drawn stops nothing: its errors are left.
+// progress is a progress bar. It draws nothing if the standard error output is not a terminal. Errors of drawing are
+// ignored, so that they can't stop a run.
 type progress struct{ bar *progressbar.ProgressBar }
 
-// newProgress draws a bar of so many steps on the standard error output.
+// newProgress returns a bar with a number of steps, drawn on the standard error output.
 func newProgress(all int) *progress {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
@@ -30,7 +31,7 @@
 		progressbar.OptionClearOnFinish())}
 }
 
-// show draws how many of all steps are done.
+// show draws the number of steps done, and updates the number of all steps.
 func (p *progress) show(done, all int) {
 	if p.bar != nil {
 		p.bar.ChangeMax(all)
--- a/cmd/spanlab/scale.go
+++ b/cmd/spanlab/scale.go
@@ -8,14 +8,14 @@
 	"spantack/lab/scale"
 )
 
-// scaleCmd has the commands on scale tests.
+// scaleCmd defines the commands for scale tests.
 type scaleCmd struct {
-	List scaleListCmd `name:"list" cmd:"" help:"Lists the scale tests."`
-	Run  scaleRunCmd  `name:"run" cmd:"" help:"Runs one at several sizes; exits with 3 when a router's budget is passed."`
-	Page scalePageCmd `name:"page" cmd:"" help:"Puts the figures of results into the capacity page."`
+	List scaleListCmd `name:"list" cmd:"" help:"List the scale tests."`
+	Run  scaleRunCmd  `name:"run" cmd:"" help:"Run a scale test at several sizes; exit code 3 if a router exceeds its budget."`
+	Page scalePageCmd `name:"page" cmd:"" help:"Update the figures on the capacity page from results."`
 }
 
-// scaleListCmd lists the scale tests.
+// scaleListCmd prints the names of the scale tests.
 type scaleListCmd struct{}
 
 // Run prints a line for each scale test.
@@ -28,20 +28,21 @@
 
 // scaleRunCmd runs a scale test.
 type scaleRunCmd struct {
-	Name    string `name:"name" arg:"" help:"The test."`
-	Routers []int  `name:"routers" help:"How many request routers, in turn. Left out: 300, 1000, 3000, 11000."`
-	Seed    uint64 `name:"seed" default:"1" help:"Of the network's chance and the load, 0 to 2^63."`
-	Out     string `name:"out" help:"Folder for results.json and charts of cost over size."`
+	Name    string `name:"name" arg:"" help:"The scale test."`
+	Routers []int  `name:"routers" help:"Numbers of request routers, one run each; left out: 300, 1000, 3000, 11000."`
+	Seed    uint64 `name:"seed" default:"1" help:"Seed of the network's random faults and of the load, 0 to 2^63."`
+	Out     string `name:"out" help:"Folder for results.json and charts of cost by size; left out: nothing is written."`
 }
 
-// The memory that a run may take, in bytes, and how far the collector lets garbage grow below that, in percent: worlds
-// are large, and live long.
+// scaleMemory is the Go runtime's memory limit for a run, in bytes. scaleGCPercent replaces gcPercent, because the
+// worlds of scale tests are large and long-lived.
 const (
 	scaleMemory    = 5 << 30
 	scaleGCPercent = 100
 )
 
-// Run runs the test at each size, writes the results where a folder is named, and prints their RESULT lines.
+// Run runs the test at each size, writes the results if a folder is given, and prints their RESULT lines. It returns
+// errClaimFailed if a router exceeds its budget.
 func (c *scaleRunCmd) Run() error {
 	test, err := scale.FindTest(c.Name)
 	if err != nil {
@@ -67,18 +68,18 @@
 			return err
 		}
 	}
-	isShort := false
+	isFailed := false
 	for _, result := range results {
 		fmt.Println(result.Line())
-		isShort = isShort || !result.WithinBudget()
+		isFailed = isFailed || !result.WithinBudget()
 	}
-	if isShort {
-		return errClaimShort
+	if isFailed {
+		return errClaimFailed
 	}
 	return nil
 }
 
-// runSizes runs the test at one size after the other, with a progress bar.
+// runSizes runs the test at one size after the other and shows a progress bar.
 func (c *scaleRunCmd) runSizes(test scale.Test, sizes []int) (results []*scale.Result, err error) {
 	bar := newProgress(unknownCount)
 	defer bar.finish()
@@ -95,11 +96,11 @@
 
 // scalePageCmd updates the capacity page.
 type scalePageCmd struct {
-	Page    string `name:"page" default:"docs/CAPACITY.md" type:"existingfile" help:"The page, with named figures."`
-	Results string `name:"results" default:"docs/results/scale" type:"existingdir" help:"Folder of all tests' results."`
+	Page    string `name:"page" default:"docs/CAPACITY.md" type:"existingfile" help:"Page whose named figures are updated."`
+	Results string `name:"results" default:"docs/results/scale" type:"existingdir" help:"Folder with the results of all scale tests."`
 }
 
-// Run replaces the figures on the page by those of stored results.
+// Run replaces the figures on the page with the figures of stored results.
 func (c *scalePageCmd) Run() error {
 	set, err := scale.ReadResultSet(c.Results)
 	if err != nil {
--- a/cmd/spanlab/scenario.go
+++ b/cmd/spanlab/scenario.go
@@ -7,13 +7,13 @@
 	"spantack/lab/scenario"
 )
 
-// scenarioCmd has the commands on scenarios.
+// scenarioCmd defines the commands for scenarios.
 type scenarioCmd struct {
-	List scenarioListCmd `name:"list" cmd:"" help:"Lists the scenarios."`
-	Run  scenarioRunCmd  `name:"run" cmd:"" help:"Runs one; exits with 3 when a bound does not hold."`
+	List scenarioListCmd `name:"list" cmd:"" help:"List the scenarios."`
+	Run  scenarioRunCmd  `name:"run" cmd:"" help:"Run a scenario; exit code 3 if a bound does not hold."`
 }
 
-// scenarioListCmd lists the scenarios.
+// scenarioListCmd prints the names of the scenarios.
 type scenarioListCmd struct{}
 
 // Run prints a line for each scenario.
@@ -38,16 +38,17 @@
 // scenarioRunCmd runs a scenario.
 type scenarioRunCmd struct {
 	Name    string `name:"name" arg:"" help:"The scenario."`
-	Routers int    `name:"routers" default:"16" help:"How many router processes, 3 to 300."`
-	Seed    uint64 `name:"seed" default:"1" help:"Of the load and the network's chance, 0 to 2^63."`
-	Binary  string `name:"binary" help:"The router's program; left out: built from the sources." type:"existingfile"`
-	Out     string `name:"out" help:"Folder for result.json, table.md and a chart."`
+	Routers int    `name:"routers" default:"16" help:"Number of router processes, 3 to 300."`
+	Seed    uint64 `name:"seed" default:"1" help:"Seed of the load and of the network's random faults, 0 to 2^63."`
+	Binary  string `name:"binary" help:"Router program; left out: it is built from source." type:"existingfile"`
+	Out     string `name:"out" help:"Folder for result.json, table.md and a chart; left out: nothing is written."`
 }
 
-// Run runs the scenario, writes the result where a folder is named, and prints what fell short and the RESULT line.
+// Run runs the scenario, writes the result if a folder is given, and prints the failures and the RESULT line. It
+// returns errClaimFailed if there are failures.
 func (c *scenarioRunCmd) Run() error {
 	if c.Routers < minScenarioRouters || c.Routers > maxScenarioRouters {
-		return fmt.Errorf("--routers %d: %d to %d", c.Routers, minScenarioRouters, maxScenarioRouters)
+		return fmt.Errorf("--routers %d: must be %d to %d", c.Routers, minScenarioRouters, maxScenarioRouters)
 	}
 	s, err := scenario.Load(c.Name)
 	if err != nil {
@@ -68,12 +69,12 @@
 	}
 	fmt.Println(result.Summary())
 	if len(failures) > 0 {
-		return errClaimShort
+		return errClaimFailed
 	}
 	return nil
 }
 
-// run runs the scenario with a progress bar.
+// run runs the scenario and shows a progress bar.
 func (c *scenarioRunCmd) run(s *scenario.Scenario) (*scenario.Result, error) {
 	ctx, cancel := commandContext(scenarioTimeout)
 	defer cancel()
--- a/cmd/spanlab/wire_compat_test.go
+++ b/cmd/spanlab/wire_compat_test.go
@@ -6,7 +6,7 @@
 	"spantack/internal/testfixture"
 )
 
-// Scripts of operators use the names of commands, arguments and flags.
-func TestStoredCommandLinesAreTakenAlike(t *testing.T) {
+// Guards against a change of commands, arguments and flags that operators' scripts use.
+func TestCommandLinesAreStillAccepted(t *testing.T) {
 	testfixture.CommandLines(t, "testdata/commandlines.txt", "spanlab", new(cli))
 }
--- a/cmd/spantack/admin.go
+++ b/cmd/spantack/admin.go
@@ -6,7 +6,7 @@
 	"spantack/internal/router"
 )
 
-// newAdminServer ties the calls on the management address to the parts that carry them out.
+// newAdminServer returns the server for management calls, with handlers from the process's components.
 func (p *process) newAdminServer() *admin.Server {
 	return &admin.Server{
 		IsReady: p.isReady,
@@ -19,15 +19,16 @@
 	}
 }
 
-// sharedChange makes a change to the excluded servers together with the other process of this router.
+// sharedChange returns a function that changes the excluded servers for both processes of this router, through the
+// shared state directory.
 func (p *process) sharedChange(change func(id string) error) func(id string) error {
 	return func(id string) error {
 		return p.state.ChangeExcluded(p.router.SetExcluded, func() error { return change(id) }, p.router.Excluded)
 	}
 }
 
-// metrics are what the management address tells, by the names of the operators' page. Counters start at 0 with the
-// process.
+// metrics returns the metrics of the management address, with the names of the operators' page. Counters start at 0
+// with the process.
 func metrics(r *router.Router, pools *resp.Pools, reloads *reloadCounters) []admin.Metric {
 	var list []admin.Metric
 	counter := func(name string, value int64) { list = append(list, admin.Metric{Name: name, Value: value}) }
--- a/cmd/spantack/build.go
+++ b/cmd/spantack/build.go
@@ -19,8 +19,8 @@
 	"spantack/routing"
 )
 
-// build makes the parts that the configuration and the features file ask for, and opens the listeners. ctx ends
-// when the process has served its last request.
+// build creates the components that the configuration and the features file require, and opens the listeners. ctx is
+// canceled when the last request has its response.
 func (p *process) build(ctx context.Context, out io.Writer) error {
 	c := p.config.Load()
 	file, inForce, err := loadFeatures(p.flags.Features, c)
@@ -28,7 +28,7 @@
 		return err
 	}
 	p.features = file
-	runtime.GOMAXPROCS(1) // routers share one core: more threads would only take turns on it
+	runtime.GOMAXPROCS(1) // routers share one core: more threads would only compete for it
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	p.log = zerolog.New(out).With().Timestamp().Str("router", c.Name).Logger()
 	p.state = handover.NewStateDir(c.StateDir, p.log)
@@ -40,7 +40,7 @@
 	return p.openListeners(ctx)
 }
 
-// buildRouter makes the connections to servers and the router that uses them.
+// buildRouter creates the connection pools for servers and the router, and applies the features.
 func (p *process) buildRouter(ctx context.Context, limits processLimits, inForce router.Features) error {
 	c := p.config.Load()
 	p.pools = resp.NewPools(ctx, resp.Options{
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// buildServer makes the server for clients.
+// buildServer creates the RPC server for clients.
 func (p *process) buildServer(limits processLimits) {
 	p.server = &msgpackrpc.Server{
 		Handle:         p.router.Serve,
@@ -78,7 +78,7 @@
 	}
 }
 
-// keyedClasses tells of each class whether its requests carry an idempotency key.
+// keyedClasses returns, by name of the class, whether requests of the class carry an idempotency key.
 func keyedClasses(c *config.Config) map[string]bool {
 	classes := map[string]bool{}
 	for _, class := range c.Settings.Classes {
@@ -87,7 +87,7 @@
 	return classes
 }
 
-// openListeners opens the address for clients, and the management address where there is one.
+// openListeners opens the listener for clients, and the one for management calls if an address is configured.
 func (p *process) openListeners(ctx context.Context) error {
 	c := p.config.Load()
 	var err error
@@ -101,8 +101,8 @@
 	return err
 }
 
-// listenForClients opens the address for clients: on the descriptor that a supervisor holds, where it hands one
-// down, so that a process can take over from another with no connection refused.
+// listenForClients opens the listener for clients. It uses the descriptor inherited from a supervisor if there is one,
+// so that a process can replace another without a refused connection.
 func listenForClients(c *config.Config) (net.Listener, error) {
 	if c.ListenerFD < 0 {
 		l, err := net.Listen("tcp", c.ListenAddr)
@@ -118,8 +118,8 @@
 	return s, nil
 }
 
-// loadFeatures loads the features file against a configuration, and returns what it puts in force; both are zero
-// without a file.
+// loadFeatures loads the features file, checks it against a configuration, and returns it with the features for the
+// router. Both are zero if path is empty.
 func loadFeatures(path string, c *config.Config) (*features.File, router.Features, error) {
 	if path == "" {
 		return nil, router.Features{}, nil
@@ -135,7 +135,8 @@
 	return file, inForce, nil
 }
 
-// routerFeatures returns what a features file puts in force, or why it does not fit the configuration.
+// routerFeatures returns the router's features of a features file. It returns an error if the file does not match the
+// configuration.
 func routerFeatures(file *features.File, c *config.Config) (router.Features, error) {
 	if err := file.CheckSettings(&c.Settings); err != nil {
 		return router.Features{}, err
--- a/cmd/spantack/busy_core_test.go
+++ b/cmd/spantack/busy_core_test.go
@@ -10,30 +10,31 @@
 	"unsafe"
 )
 
-// spinnerCount are the programs that share a core with the router; they end by themselves after spinnerLifetime, in
-// seconds.
+// spinnerCount is the number of programs with a busy loop that share a core with the router. They exit after
+// spinnerLifetime, in seconds.
 const (
 	spinnerCount    = 2
 	spinnerLifetime = "4"
 )
 
-// busyCore is one core of the machine on which programs never rest.
+// busyCore is a core of the machine that is kept busy by other programs.
 type busyCore struct{ mask [128]byte }
 
-// newBusyCore chooses a core that this process may use, and makes it busy until the end of the test.
+// newBusyCore chooses a core that this process may use, and keeps it busy until the end of the test or of
+// spinnerLifetime.
 func newBusyCore(t *testing.T) *busyCore {
 	t.Helper()
-	var may [128]byte
-	if err := callAffinity(syscall.SYS_SCHED_GETAFFINITY, &may); err != nil {
+	var allowed [128]byte
+	if err := callAffinity(syscall.SYS_SCHED_GETAFFINITY, &allowed); err != nil {
 		t.Fatal(err)
 	}
 	var cores []int
-	for core := range 8 * len(may) {
-		if may[core/8]&(1<<(core%8)) != 0 {
+	for core := range 8 * len(allowed) {
+		if allowed[core/8]&(1<<(core%8)) != 0 {
 			cores = append(cores, core)
 		}
 	}
-	chosen := cores[rand.IntN(len(cores))] // another one for each play that runs beside this one
+	chosen := cores[rand.IntN(len(cores))] // random, so that parallel runs mostly use different cores
 	core := &busyCore{}
 	core.mask[chosen/8] = 1 << (chosen % 8)
 	for range spinnerCount {
@@ -50,7 +51,7 @@
 	return core
 }
 
-// start starts a program on the core.
+// start starts a program that is bound to the core.
 func (b *busyCore) start(cmd *exec.Cmd) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -61,11 +62,11 @@
 	if err := callAffinity(syscall.SYS_SCHED_SETAFFINITY, &b.mask); err != nil {
 		return err
 	}
-	err := cmd.Start() // it inherits the thread's core
+	err := cmd.Start() // it inherits the thread's affinity
 	return errors.Join(err, callAffinity(syscall.SYS_SCHED_SETAFFINITY, &before))
 }
 
-// callAffinity reads or sets the cores of this thread.
+// callAffinity gets or sets the CPU affinity mask of this thread.
 func callAffinity(call uintptr, mask *[128]byte) error {
 	if _, _, errno := syscall.RawSyscall(call, 0, uintptr(len(mask)), uintptr(unsafe.Pointer(mask))); errno != 0 {
 		return errno
--- a/cmd/spantack/client_departure_test.go
+++ b/cmd/spantack/client_departure_test.go
@@ -17,12 +17,13 @@
 	"spantack/internal/testwait"
 )
 
-// A client leaves, in each way there is, while its request is at a server that then breaks off: the request is not
-// sent on. Judged from the caches' request log: the request of another client that comes through afterwards tells that
-// nothing is on its way before it, and once the process has ended nothing can follow. Half of them leave while the
-// process ends. The other client asks once the router has noticed the break: a request that crosses it goes out on
-// the breaking connection, and three that break off so shut their cache.
-func TestLeftIsNotSentOn(t *testing.T) {
+// Guards against a retry for a client that has left. The client leaves, in one of several ways, while its request is
+// at a cache that then closes the connection. The caches' request log must show one attempt of that request. A later
+// request of another client shows that nothing was sent before it, and after the process has exited nothing can follow.
+// The test runs once while the process serves and once while it shuts down. The other client sends its request only
+// after the router has noticed the closed connection: a request sent at the same time would go out on that connection,
+// and three such failures open the cache's circuit breaker.
+func TestNoRetryAfterClientLeaves(t *testing.T) {
 	t.Parallel()
 	ways := map[string]func(*net.TCPConn){
 		"cancel":     func(nc *net.TCPConn) { io.WriteString(nc, "\x93\x02\xa6cancel\x91\x02") },
@@ -33,27 +34,27 @@
 	for _, ending := range []bool{false, true} {
 		t.Run(fmt.Sprintf("ending=%v", ending), func(t *testing.T) {
 			t.Parallel()
-			testwait.RetryIfStarved(t, func() error { return leaveInTurn(t, ways, ending) })
+			testwait.RetryIfStarved(t, func() error { return leaveDuringAttempts(t, ways, ending) })
 		})
 	}
 }
 
-// errEnded is of a process that was told to end and has ended before all clients had left: that takes some 20 ms,
-// and 3 s are left.
-var errEnded = errors.New("the process has ended before all clients had left")
+// errEndedEarly is returned if the process exits after SIGTERM before all clients have left. They need about 20 ms, and
+// the process has 3 s.
+var errEndedEarly = errors.New("the process exited before all clients had left")
 
-// leaveInTurn plays TestLeftIsNotSentOn with one process. All deadlines are far off, so that no request's time is
-// over on a slow machine. Its error is what a machine that is too slow may be the cause of.
-func leaveInTurn(t *testing.T, ways map[string]func(*net.TCPConn), ending bool) error {
+// leaveDuringAttempts runs TestNoRetryAfterClientLeaves with one process, and one client after the other. Deadlines are
+// long, so that no request times out on a slow machine. Failures that a slow machine may cause are returned as errors.
+func leaveDuringAttempts(t *testing.T, ways map[string]func(*net.TCPConn), ending bool) error {
 	p, into := launch(t, true)
 	io.WriteString(into, withLongDeadlines(p.text))
 	into.Close()
-	stays := p.connectReady()
-	// This one keeps the process, and its connection, until it is answered.
-	askWithTimeout(stays, 2, "00000000000000ff", longTimeout)
+	remaining := p.connectReady()
+	// This request stays open, so that the process and the connection stay until it has its response.
+	askWithTimeout(remaining, 2, "00000000000000ff", longTimeout)
 	p.await("GET 00000000000000ff")
 	clients := map[string]*net.TCPConn{}
-	if ending { // a process that ends takes no connections soon
+	if ending { // a process that shuts down soon accepts no more connections
 		for name := range ways {
 			clients[name] = p.connectReady()
 		}
@@ -62,48 +63,48 @@
 	n := 0
 	for name, leave := range ways {
 		n++
-		if !ending { // not before: a connection without a request is closed
+		if !ending { // not earlier: a connection without a request is closed
 			clients[name] = p.connectReady()
 		}
 		left, other := fmt.Sprintf("00000000000000a%d", n), fmt.Sprintf("00000000000000b%d", n)
 		askWithTimeout(clients[name], 2, left, longTimeout)
 		if !p.arrived("GET " + left) {
-			return errEnded
+			return errEndedEarly
 		}
 		leave(clients[name])
-		// The connection is closed instead where the DROP does not get out soon.
+		// The router closes the connection instead if it can't write the DROP soon.
 		if !p.arrived("DROP "+left, "END "+left) {
-			return errEnded
+			return errEndedEarly
 		}
 		p.breakOff(left)
-		askWithTimeout(stays, 2+n, other, longTimeout)
+		askWithTimeout(remaining, 2+n, other, longTimeout)
 		if !p.arrived("GET " + other) {
-			return errEnded
+			return errEndedEarly
 		}
 	}
 	if !ending {
 		p.signal(syscall.SIGTERM)
 	}
-	answers, err := io.ReadAll(stays)
+	answers, err := io.ReadAll(remaining)
 	if err != nil {
 		t.Error(err)
 	}
-	stays.Close()
+	remaining.Close()
 	p.awaitExit(testwait.StartStopwatch())
 	last := 2 + n
 	for ; n > 0; n-- {
 		for _, ref := range []string{fmt.Sprintf("00000000000000a%d", n), fmt.Sprintf("00000000000000b%d", n)} {
 			if times := p.count("GET " + ref); times != 1 {
-				t.Errorf("%s sent %d times", ref, times)
+				t.Errorf("request %s was sent %d times, want once", ref, times)
 			}
 		}
 	}
 	return checkEachAnswered(answers, last)
 }
 
-// A client leaves while the connection to the cache that its request needs does not come up. When it does, the
-// request is not sent on it: the first that the cache hears there is another client's.
-func TestLeftBehindALateDial(t *testing.T) {
+// Guards against sending the request of a client that left while the connection to the cache was being established.
+// Once the connection is up, the first request on it must be another client's.
+func TestNoAttemptOnLateConnectionAfterClientLeaves(t *testing.T) {
 	t.Parallel()
 	addr, open := fullListener(t)
 	adminAddr := loopback.FreeAddress()
@@ -115,42 +116,42 @@
 	text = strings.Replace(text, `"DialTimeout":500000`, `"DialTimeout":20000000`, 1)
 	io.WriteString(into, withLongDeadlines(text))
 	into.Close()
-	leaves := p.connectReady()
-	askWithTimeout(leaves, 2, "00000000000000aa", longTimeout)
+	departing := p.connectReady()
+	askWithTimeout(departing, 2, "00000000000000aa", longTimeout)
 	awaitOutstanding(t, adminAddr, 1)
-	leaves.Close()
+	departing.Close()
 	awaitOutstanding(t, adminAddr, 0)
 	up := make(chan net.Conn, 32)
 	go p.serveCache(&announcingListener{open(), up})
-	// Nobody else dials: the system has tried for the first request again.
+	// This is the dial for the first request: the kernel has repeated its SYN, and nothing else dials.
 	late := testwait.Receive(t, up, "the late connection")
-	stays := p.connectReady() // not before: one that says nothing for long is closed
-	for i := range 6 {        // until one goes that way: the router may hear a moment later that it is up
+	remaining := p.connectReady() // not earlier: a connection without a message is soon closed
+	for i := range 6 {            // until a request uses it: the router may notice a moment later that it is up
 		ref := fmt.Sprintf("00000000000000b%x", i)
-		askWithTimeout(stays, 2+i, ref, longTimeout)
+		askWithTimeout(remaining, 2+i, ref, longTimeout)
 		p.await("GET " + ref)
 		if p.isUsed(late) {
 			break
 		}
 	}
 	if !p.isUsed(late) {
-		t.Error("nothing came on the late connection")
+		t.Error("no request was sent on the late connection")
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := slices.Index(p.requestLog, "GET 00000000000000aa"); i >= 0 {
-		t.Errorf("sent when the connection came up (%d): %q", i, p.requestLog)
+		t.Errorf("request of the client that had left was sent (entry %d): %q", i, p.requestLog)
 	}
 }
 
-// isUsed reports whether a request came on a connection to a cache.
+// isUsed reports whether a request arrived on a connection to a cache.
 func (p *routerProcess) isUsed(nc net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Contains(slices.Collect(maps.Values(p.conns)), nc)
 }
 
-// announcingListener passes on the connections that it has taken up.
+// announcingListener also sends each accepted connection to a channel.
 type announcingListener struct {
 	net.Listener
 	up chan<- net.Conn
--- a/cmd/spantack/client_harness_test.go
+++ b/cmd/spantack/client_harness_test.go
@@ -9,10 +9,10 @@
 	"spantack/internal/testwait"
 )
 
-// shortText begins a MessagePack text of under 32 bytes; its length is added.
+// shortText is the first byte of a MessagePack string of under 32 bytes, to which its length is added.
 const shortText = 0xa0
 
-// connect connects, once the router is ready to take it.
+// connect opens a client connection, as soon as the router accepts one.
 func (p *routerProcess) connect() *net.TCPConn {
 	p.t.Helper()
 	var client *net.TCPConn
@@ -28,19 +28,19 @@
 	return client
 }
 
-// connectReady connects and has the router say that it is ready. It does so again where the router closes a
-// connection because the test was too late with its first message.
+// connectReady opens a client connection on which the router has reported that it is ready. It tries again if the
+// router closes the connection because the test sent its first message too late.
 func (p *routerProcess) connectReady() *net.TCPConn {
 	p.t.Helper()
 	var client *net.TCPConn
-	testwait.Until(p.t, "the router to say that it is ready", func() bool {
+	testwait.Until(p.t, "the router to report that it is ready", func() bool {
 		client = p.connect()
 		return askHealth(client) == nil
 	})
 	return client
 }
 
-// askHealth asks whether the router is ready, which it must be.
+// askHealth makes a health call and returns an error unless the router is ready.
 func askHealth(nc net.Conn) error {
 	io.WriteString(nc, "\x94\x00\x01\xa6health\x91\x80")
 	got := make([]byte, 7)
@@ -53,26 +53,26 @@
 	return nil
 }
 
-// ask asks for a page and waits for 2 s.
+// ask sends a request of class page with a timeout of 2 s.
 func ask(nc net.Conn, message int, ref string) { askWithTimeout(nc, message, ref, "2000") }
 
-// askWithTimeout asks for a page and waits for so many milliseconds.
+// askWithTimeout sends a request of class page with a timeout, in milliseconds.
 func askWithTimeout(nc net.Conn, message int, ref, allow string) {
 	fmt.Fprintf(nc, "\x94\x00%c\xa4page\x92\x83\xa3ref\xb0%s\xa5allow%s%s\xa6lookup\xb0000000000000007f\xc4\x00",
 		message, ref, []byte{shortText + byte(len(allow))}, allow)
 }
 
-// askKeyed asks for a report, with an idempotency key.
+// askKeyed sends a request of class report with an idempotency key.
 func askKeyed(nc net.Conn, message int, ref string) {
 	fmt.Fprintf(nc, "\x94\x00%c\xa6report\x92\x84\xa3ref\xb0%s\xa5allow\xa42000"+
 		"\xa6lookup\xb0000000000000007f\xa6replay\xa4k001\xc4\x00", message, ref)
 }
 
-// checkEachAnswered is nil where each message from 2 to last has one answer.
+// checkEachAnswered returns an error unless each message from 2 to last has exactly one response.
 func checkEachAnswered(answers []byte, last int) error {
 	for message := 2; message <= last; message++ {
 		if times := bytes.Count(answers, []byte{0x94, 1, byte(message)}); times != 1 {
-			return fmt.Errorf("%d answers to message %d in %q", times, message, answers)
+			return fmt.Errorf("%d responses to message %d in %q, want one", times, message, answers)
 		}
 	}
 	return nil
--- a/cmd/spantack/counters.go
+++ b/cmd/spantack/counters.go
@@ -11,22 +11,22 @@
 	"spantack/core/scheduler"
 )
 
-// reportOnSignal logs the counters at each SIGUSR1, until ctx ends.
+// reportOnSignal logs the counters at each SIGUSR1, until ctx is canceled.
 func (p *process) reportOnSignal(ctx context.Context) error {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR1)
-	defer signal.Stop(asked)
+	requested := make(chan os.Signal, 1)
+	signal.Notify(requested, syscall.SIGUSR1)
+	defer signal.Stop(requested)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-asked:
+		case <-requested:
 			p.reportCounters()
 		}
 	}
 }
 
-// reportCounters logs the counters, in the background where there is one.
+// reportCounters logs the counters, as a background job if there is a background runner.
 func (p *process) reportCounters() {
 	if p.background == nil {
 		p.logCounters()
@@ -34,12 +34,12 @@
 	}
 	err := p.background.Submit("report", scheduler.Normal, 1, p.logCounters)
 	if err != nil && !errors.Is(err, scheduler.ErrDuplicateJob) {
-		p.log.Warn().Err(err).Msg("report put off")
+		p.log.Warn().Err(err).Msg("can't queue the job that logs the counters")
 	}
 }
 
-// logCounters logs what the parts have counted since the start, and the present state of what is switched on. The
-// names of lines and fields are those of the operators' pages.
+// logCounters logs the counters since the start, and the current state of the features that are on. The operators'
+// pages document the messages and fields.
 func (p *process) logCounters() {
 	p.logRequestCounters()
 	p.logFleet()
@@ -68,7 +68,7 @@
 		Msg("counters")
 }
 
-// logFleet logs the datagrams between routers, and the fleet's limits; nothing where there are none.
+// logFleet logs the counts of datagrams between routers, and the fleet limits. It logs nothing without gossip.
 func (p *process) logFleet() {
 	if p.gossip == nil {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// logCells logs the cells, and the migrations and the rollout between them; nothing while cells are off.
+// logCells logs the cells, the migrations and the rollout. It logs nothing while cells are off.
 func (p *process) logCells() {
 	status, demand := p.router.CellStatus()
 	if status == nil {
--- a/cmd/spantack/departures_setup_test.go
+++ b/cmd/spantack/departures_setup_test.go
@@ -10,35 +10,35 @@
 	"spantack/internal/testwait"
 )
 
-// setUp brings everything to the moment in which clients leave, and names the step that the machine was too slow
-// for; empty: none.
+// setUp runs the steps before the clients leave. It returns the step for which the machine was too slow; empty if all
+// are done.
 func (p *departure) setUp() (failed string) {
 	switch {
 	case !p.connectAll():
-		return "all clients are connected"
+		return "connect all clients"
 	case !p.sendRequests():
-		return "all requests are at the place"
-	case p.condition.isEnding && !p.beginEnding():
-		return "the router says that it ends"
+		return "bring all requests to the stage"
+	case p.condition.isShuttingDown && !p.beginShutdown():
+		return "begin the shutdown"
 	}
-	if p.condition.isFrozen {
-		p.freeze()
+	if p.condition.isStopped {
+		p.stopRouter()
 	}
 	return ""
 }
 
-// beginEnding tells the router to end, and returns once it says so.
-func (p *departure) beginEnding() bool {
+// beginShutdown sends SIGTERM, and waits until the router reports that it is not ready. It returns false on a timeout.
+func (p *departure) beginShutdown() bool {
 	p.signal(syscall.SIGTERM)
 	return pollUntil(func() bool {
-		p.stayers[0].askHealth(1)
-		return p.stayers[0].readHealth(1) == "not ready"
+		p.remaining[0].askHealth(1)
+		return p.remaining[0].readHealth(1) == "not ready"
 	})
 }
 
-// pollUntil polls until reached is true, and tells whether it was in time.
+// pollUntil polls until reached returns true. It returns false after setUpTimeout.
 func pollUntil(reached func() bool) bool {
-	for begin := time.Now(); time.Since(begin) < setUpWithin; time.Sleep(2 * time.Millisecond) {
+	for begin := time.Now(); time.Since(begin) < setUpTimeout; time.Sleep(2 * time.Millisecond) {
 		if reached() {
 			return true
 		}
@@ -46,32 +46,33 @@
 	return false
 }
 
-// connectAll opens all connections and asks on each at once: the router closes those that say nothing for long.
+// connectAll opens all connections and at once makes a health call on each: the router closes connections that send
+// nothing for long. It returns false unless the router is ready on all.
 func (p *departure) connectAll() bool {
-	each := p.place.clientsPerWay
+	each := p.stage.clientsPerWay
 	if each == 0 {
 		each = 3
 	}
-	if p.place.descriptors == minDescriptors {
-		each = 2 // more clients find no place
+	if p.stage.descriptors == minDescriptors {
+		each = 2 // the descriptors are too few for more clients
 	}
 	for _, way := range departureWays {
 		for range each {
-			ref := fmt.Sprintf("%016x", 1+len(p.leavers))
-			p.leavers = append(p.leavers, &leaver{caller: p.connect(), ref: ref, way: way})
-			p.leavers[len(p.leavers)-1].askHealth(1)
+			ref := fmt.Sprintf("%016x", 1+len(p.departing))
+			p.departing = append(p.departing, &departingClient{caller: p.connect(), ref: ref, way: way})
+			p.departing[len(p.departing)-1].askHealth(1)
 		}
 	}
-	for range stayerCount {
-		p.stayers = append(p.stayers, p.connect())
-		p.stayers[len(p.stayers)-1].askHealth(1)
+	for range remainingCount {
+		p.remaining = append(p.remaining, p.connect())
+		p.remaining[len(p.remaining)-1].askHealth(1)
 	}
-	for _, l := range p.leavers {
+	for _, l := range p.departing {
 		if l.readHealth(1) != "ready" {
 			return false
 		}
 	}
-	for _, c := range p.stayers {
+	for _, c := range p.remaining {
 		if c.readHealth(1) != "ready" {
 			return false
 		}
@@ -79,73 +80,74 @@
 	return true
 }
 
-// sendRequests brings the requests to the place where they wait.
+// sendRequests sends the requests, and waits until they are at the stage. It returns false on a timeout.
 func (p *departure) sendRequests() bool {
-	if p.place.pausesCaches {
+	if p.stage.pausesCaches {
 		for _, cache := range p.caches {
 			cache.Pause()
 		}
 	}
-	if p.place.blockers > 0 {
+	if p.stage.blockers > 0 {
 		blocker := p.connect()
-		for number := range p.place.blockers {
-			blocker.Write(request(byte(2+number), fmt.Sprintf("b%015x", number), departedDeadline, longCommand))
+		for number := range p.stage.blockers {
+			blocker.Write(request(byte(2+number), fmt.Sprintf("b%015x", number), longDeadline, longCommand))
 		}
-		if !p.awaitUnread(p.place.blockers) {
+		if !p.awaitUnread(p.stage.blockers) {
 			return false
 		}
 	}
 	sent := map[string]*caller{}
-	if !p.place.asksOnLeaving {
-		for _, l := range p.leavers {
-			if !l.way.asksAtOnce {
+	if !p.stage.sendsOnLeaving {
+		for _, l := range p.departing {
+			if !l.way.sendsRequest {
 				sent[l.ref] = l.caller
 			}
 		}
 	}
-	for number, c := range p.stayers {
-		sent[stayerRef(number)] = c
+	for number, c := range p.remaining {
+		sent[remainingRef(number)] = c
 	}
 	for ref, c := range sent {
-		c.Write(request(2, ref, departedDeadline, p.place.bodySize))
+		c.Write(request(2, ref, longDeadline, p.stage.bodySize))
 		c.askHealth(1)
 	}
 	for _, c := range sent {
-		if c.readHealth(1) != "ready" { // the router has read the request before it answers
+		if c.readHealth(1) != "ready" { // the router reads the request before it responds
 			return false
 		}
 	}
 	switch {
-	case p.place.dialsLate:
+	case p.stage.dialsLate:
 		return pollUntil(func() bool {
-			p.pendingDials = p.cacheConnections(dialling)
+			p.pendingDials = p.cacheConnections(synSent)
 			return 2*p.pendingDials >= len(sent)
 		})
-	case p.place.holdsAttempts:
+	case p.stage.holdsAttempts:
 		return pollUntil(func() bool { return p.allArrived(sent) })
-	case p.place.bodySize > 0:
+	case p.stage.bodySize > 0:
 		return p.awaitUnread(len(sent))
 	}
 	return true
 }
 
-func stayerRef(number int) string { return fmt.Sprintf("a%015x", number) }
+// remainingRef returns the reference of a remaining client's request.
+func remainingRef(number int) string { return fmt.Sprintf("a%015x", number) }
 
-// allArrived tells whether an attempt of each request has come to a cache.
+// allArrived reports whether an attempt of each request has arrived at a cache.
 func (p *departure) allArrived(sent map[string]*caller) bool {
-	came := map[string]bool{}
+	arrived := map[string]bool{}
 	for _, g := range p.requests.Requests() {
-		came[g.ID] = true
+		arrived[g.ID] = true
 	}
 	for ref := range sent {
-		if !came[ref] {
+		if !arrived[ref] {
 			return false
 		}
 	}
 	return true
 }
 
-// awaitUnread waits until so many connections hold the beginning of a command.
+// awaitUnread waits until at least want connections to caches have unread bytes. It returns false on a timeout.
 func (p *departure) awaitUnread(want int) bool {
 	return pollUntil(func() bool {
 		all := 0
@@ -157,13 +159,13 @@
 	})
 }
 
-// States of a connection, as the system's table numbers them.
+// States of a TCP connection in /proc/net/tcp.
 const (
 	established = 1
-	dialling    = 2 // its first packet is out, and nothing was heard
+	synSent     = 2 // SYN_SENT
 )
 
-// cacheConnections counts those to the caches that are in a state.
+// cacheConnections returns the number of connections to the caches in a state.
 func (p *departure) cacheConnections(state int) (count int) {
 	p.t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
@@ -176,11 +178,11 @@
 	return count
 }
 
-// freeze takes the processor from the router.
-func (p *departure) freeze() {
+// stopRouter stops the router with SIGSTOP, and returns once it is stopped.
+func (p *departure) stopRouter() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
-	testwait.Until(p.t, "the router is stopped", func() bool {
+	testwait.Until(p.t, "the router to stop on SIGSTOP", func() bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		return err == nil && strings.Contains(string(text), ") T ")
 	})
--- a/cmd/spantack/departures_test.go
+++ b/cmd/spantack/departures_test.go
@@ -9,31 +9,33 @@
 	"time"
 )
 
-// A client that cancels or closes its connection has gone: an attempt of its request that begins more than
-// departedGrace later is late, and maxLate of them are let pass. Everything here is judged by the caches' log of
-// requests: by when the kernel received an attempt whole, against the moment at which the client's act was done.
+// A client that cancels its request or closes its connection has left. An attempt of its request is late if it begins
+// more than departedGrace after that; maxLate late attempts are allowed in a run. The test compares the time at which
+// the client's cancel or close was done with the time at which the kernel received the whole attempt, from the caches'
+// request log.
 const (
 	departedGrace = 100 * time.Millisecond
 	maxLate       = 2
 )
 
 const (
-	// playsAtOnce bounds how many deployments are up at a time.
-	playsAtOnce = 4
-	// maxPlays bounds how often a place is set up anew because the machine was so slow that the requests of those who
-	// stay ended there before anything could begin: such a play shows too little. The verdict on those who left counts
-	// in each.
-	maxPlays = 8
-	// setUpWithin bounds each step to that moment, and the wait for an attempt of a client that stayed after it.
-	setUpWithin = 5 * time.Second
+	// maxParallelRuns bounds how many deployments run at a time.
+	maxParallelRuns = 4
+	// maxRuns bounds the runs of a stage. A run is repeated if no attempt of a remaining client began, for instance
+	// because the machine was so slow that these requests had ended before: it shows too little. Late attempts of
+	// departing clients fail the test in each run.
+	maxRuns = 8
+	// setUpTimeout bounds each step before the clients leave, and afterwards the wait for an attempt of a remaining
+	// client.
+	setUpTimeout = 5 * time.Second
 )
 
 // departureWay is a way in which a client leaves.
 type departureWay struct {
 	name string
-	// asksAtOnce means that the client's request goes out in the same moment.
-	asksAtOnce bool
-	leave      func(c *caller, request []byte)
+	// sendsRequest means that the client sends its request in the same step.
+	sendsRequest bool
+	leave        func(c *caller, request []byte)
 }
 
 var departureWays = []departureWay{
@@ -41,27 +43,27 @@
 	{name: "close", leave: func(c *caller, _ []byte) { c.Close() }},
 	{name: "reset", leave: func(c *caller, _ []byte) { c.reset() }},
 	{name: "half-close", leave: func(c *caller, _ []byte) { c.CloseWrite() }},
-	{name: "close with its last byte", asksAtOnce: true, leave: func(c *caller, request []byte) {
+	{name: "close with its last byte", sendsRequest: true, leave: func(c *caller, request []byte) {
 		c.cork()
 		c.Write(request)
 		c.Close()
 	}},
-	{name: "cancel with its last byte", asksAtOnce: true, leave: func(c *caller, request []byte) {
+	{name: "cancel with its last byte", sendsRequest: true, leave: func(c *caller, request []byte) {
 		c.Write(append(slices.Clone(request), "\x93\x02\xa6cancel\x91\x02"...))
 	}},
-	{name: "reset after its last byte", asksAtOnce: true, leave: func(c *caller, request []byte) {
+	{name: "reset after its last byte", sendsRequest: true, leave: func(c *caller, request []byte) {
 		c.Write(request)
 		c.reset()
 	}},
 }
 
-// reset closes the connection such that its peer sees a reset.
+// reset closes the connection with a TCP reset.
 func (c *caller) reset() {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// cork makes the kernel send the last bytes and the end of the stream together.
+// cork makes the kernel send the last bytes and the FIN together.
 func (c *caller) cork() {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -74,78 +76,78 @@
 	}
 }
 
-// waitingPlace is where in the router a request waits when its client leaves. Nothing can begin there until the
-// test lets it.
-type waitingPlace struct {
-	name          string
-	clientsPerWay int  // clients for each way out; 0: three
-	caches        int  // 0: three
-	descriptors   int  // 0: enough for all
-	bodySize      int  // bytes in the requests of those who leave
-	asksOnLeaving bool // they ask in the moment in which they leave
-	holdsAttempts bool // first attempts are with the caches, and end when the test says so, such that a retry follows
-	dialsLate     bool // connections to the caches do not come up
-	pausesCaches  bool // the caches read nothing
-	blockers      int  // commands longer than a connection takes, which were begun before
-	playsBusy     bool // it is also played on a busy core
-	isInKernel    bool // it needs no router to go on: the router gets time to take back what is there
+// requestStage is the stage of a request in the router at which its client leaves. No attempt can begin from there
+// until the test allows it.
+type requestStage struct {
+	name           string
+	clientsPerWay  int  // clients for each departureWay; 0 means 3
+	caches         int  // 0 means 3
+	descriptors    int  // 0 means enough for all
+	bodySize       int  // bytes in the body of a request
+	sendsOnLeaving bool // departing clients send their requests only when they leave
+	holdsAttempts  bool // first attempts are at the caches; when the test lets them end, a retry follows
+	dialsLate      bool // connections to the caches are not established yet
+	pausesCaches   bool // the caches read nothing
+	blockers       int  // commands being written before these requests, each too long for the socket buffers
+	runsBusy       bool // also run on a busy core
+	isInKernel     bool // attempts continue without the router, which gets time to withdraw them
 }
 
-// minDescriptors leave the router so few connections to caches that attempts share them.
+// minDescriptors is a limit with which attempts share the few connections to caches.
 const minDescriptors = 64
 
 const (
-	// longCommand is the body of a request that no connection to a cache that is paused takes whole.
+	// longCommand is the size of a body that does not fit into the socket buffers to a paused cache, in bytes.
 	longCommand = 48_000
-	// shortCommand is one that goes whole to the socket, but not to the cache.
+	// shortCommand is the size of a body that fits into the router's send buffer, but is not received whole, in bytes.
 	shortCommand = 20_000
 )
 
-var waitingPlaces = []waitingPlace{
-	{name: "module", asksOnLeaving: true},
-	{name: "late dial", dialsLate: true, playsBusy: true},
-	{name: "queue behind a stuck write", pausesCaches: true, blockers: 8, descriptors: minDescriptors},
-	{name: "its own stuck write", pausesCaches: true, bodySize: longCommand},
+var requestStages = []requestStage{
+	{name: "decision module", sendsOnLeaving: true},
+	{name: "late dial", dialsLate: true, runsBusy: true},
+	{name: "queue behind a blocked write", pausesCaches: true, blockers: 8, descriptors: minDescriptors},
+	{name: "its own blocked write", pausesCaches: true, bodySize: longCommand},
 	{name: "in the send queue", pausesCaches: true, bodySize: shortCommand, isInKernel: true},
-	{name: "between attempts", holdsAttempts: true, playsBusy: true},
+	{name: "between attempts", holdsAttempts: true, runsBusy: true},
 	{name: "late dial, hundreds", dialsLate: true, clientsPerWay: 30, caches: 10, descriptors: 2048},
 }
 
-// condition is what else befalls the router at that time.
+// condition is the state of the router while clients leave.
 type condition struct {
-	name     string
-	isFrozen bool // it gets no processor time from before its client leaves until after the next attempt could begin
-	isEnding bool // it was told to end
-	isBusy   bool // it shares one core with programs that never rest
+	name           string
+	isStopped      bool // stopped from before the clients leave until after the next attempts could begin
+	isShuttingDown bool // shutting down after SIGTERM
+	isBusy         bool // on one core with busy loops
 }
 
 var conditions = []condition{
 	{name: "serving"},
-	{name: "stopped", isFrozen: true},
-	{name: "ending", isEnding: true},
+	{name: "stopped", isStopped: true},
+	{name: "ending", isShuttingDown: true},
 	{name: "busy", isBusy: true},
 }
 
-// An attempt of a client that has left is not sent, wherever in the router its request waits and whatever else
-// befalls the router.
-func TestDepartedIsNotSentOn(t *testing.T) {
+// Guards against attempts of clients that have left, at each stage of a request in the router and in each condition of
+// the router.
+func TestNoAttemptAfterDeparture(t *testing.T) {
 	t.Parallel()
-	plays := make(chan struct{}, playsAtOnce)
-	for _, place := range waitingPlaces {
+	runs := make(chan struct{}, maxParallelRuns)
+	for _, stage := range requestStages {
 		for _, under := range conditions {
-			if under.isBusy && !place.playsBusy || under.isFrozen && place.isInKernel {
+			if under.isBusy && !stage.runsBusy || under.isStopped && stage.isInKernel {
 				continue
 			}
-			t.Run(strings.ReplaceAll(place.name+"/"+under.name, " ", "-"), func(t *testing.T) {
+			t.Run(strings.ReplaceAll(stage.name+"/"+under.name, " ", "-"), func(t *testing.T) {
 				t.Parallel()
-				plays <- struct{}{}
-				defer func() { <-plays }()
-				for range maxPlays {
-					if newDeparture(t, place, under).play() {
+				runs <- struct{}{}
+				defer func() { <-runs }()
+				for range maxRuns {
+					if newDeparture(t, stage, under).run() {
 						return
 					}
 				}
-				t.Errorf("in %d plays this place was not reached, or no attempt of a client that stayed began there", maxPlays)
+				t.Errorf("in %d runs the stage was not reached, or no attempt of a remaining client began from it", maxRuns)
 			})
 		}
 	}
--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -18,21 +18,21 @@
 	caches "spantack/standin/cache"
 )
 
-// awaitLimit ends every wait of a test that the router, a client or a stand-in should end by itself.
+// awaitLimit bounds each wait for the router, a client or a stand-in.
 const awaitLimit = 20 * time.Second
 
 // blueprint describes a deployment of one router.
 type blueprint struct {
 	caches    int
 	sockets   int           // the router's limit on descriptors
-	deadline  time.Duration // of both classes
-	discovery string        // its address; empty: nobody listens there
+	deadline  time.Duration // of the class
+	discovery string        // address of the discovery service; empty if there is none
 	cache     func(number int, opt *caches.Options)
 	script    func(caches.Request) caches.Fault
-	start     func(*exec.Cmd) error // starts the router; nil: as usual
+	start     func(*exec.Cmd) error // starts the router; nil means (*exec.Cmd).Start
 }
 
-// deployment is a router process among stand-ins, with the log of the requests that reached the edge caches.
+// deployment is a router process with stand-ins for its servers, and a log of the requests that reached them.
 type deployment struct {
 	t        *testing.T
 	plan     blueprint
@@ -45,13 +45,13 @@
 	exited   chan error
 }
 
-// Server ids of a deployment: the caches are numbered from firstCache on.
+// Ids of servers. Those of caches start at firstCache.
 const (
 	originID   = 1
 	firstCache = 2
 )
 
-// deploy starts the caches and the router, and returns once the router takes requests.
+// deploy starts the servers and the router, and returns once the router is ready.
 func deploy(t *testing.T, plan blueprint) *deployment {
 	t.Helper()
 	d := &deployment{
@@ -99,13 +99,13 @@
 	}
 	go func() { d.exited <- d.cmd.Wait() }()
 	t.Cleanup(func() { d.cmd.Process.Kill() })
-	testwait.Until(t, "the router's answer on its health", d.answersReady)
+	testwait.Until(t, "the router to report that it is ready", d.answersReady)
 	return d
 }
 
-// answersReady asks for the router's state on a new connection. It is false where the router closed that one
-// unanswered, as it does with a client that says nothing for long: this process may be that client on a machine
-// that is starved. Any other answer than that it is ready ends the test.
+// answersReady makes a health call on a new connection, and reports whether the router is ready. It returns false if
+// the router closes the connection without a response, as it does if a client sends nothing for long: that may happen
+// if the machine is short of CPU time. Any other response than that it is ready fails the test.
 func (d *deployment) answersReady() bool {
 	d.t.Helper()
 	c := d.connect()
@@ -121,7 +121,7 @@
 	return true
 }
 
-// configuration is the router's, with the origin and the caches known from the start.
+// configuration returns the router's configuration, in which the initial events have the origin and the caches.
 func (d *deployment) configuration() []byte {
 	type entry map[string]any
 	target := func(server *caches.Server, kind string) entry {
@@ -155,7 +155,7 @@
 	return text
 }
 
-// source is where caches fill a miss from: the origin holds everything.
+// source returns the server from which caches fill a miss, which is always the origin.
 func (d *deployment) source(string) *caches.Server { return d.origin }
 
 func (d *deployment) signal(s syscall.Signal) {
@@ -165,20 +165,20 @@
 	}
 }
 
-// terminate tells the router to end, unless it was told before, and returns once the caches have read all that it
-// sent: from then on their log is complete.
-func (d *deployment) terminate(told bool) {
+// terminate sends SIGTERM, unless that has been sent, and waits until the router has exited and the caches have read
+// all that it sent. Their log is then complete.
+func (d *deployment) terminate(isSignaled bool) {
 	d.t.Helper()
-	if !told {
+	if !isSignaled {
 		d.signal(syscall.SIGTERM)
 	}
 	select {
 	case err := <-d.exited:
 		if err != nil {
-			d.t.Errorf("the router ended with %v; log: %s", err, d.stderr)
+			d.t.Errorf("the router exited with %v; log: %s", err, d.stderr)
 		}
 	case <-time.After(awaitLimit):
-		d.t.Fatal("the router does not end after SIGTERM")
+		d.t.Fatal("the router did not exit after SIGTERM")
 	}
 	testwait.Until(d.t, "the end of all connections to the caches", func() bool {
 		for _, cache := range d.caches {
@@ -196,7 +196,7 @@
 	t *testing.T
 }
 
-// connect opens a client's connection, once the router listens.
+// connect opens a client connection, as soon as the router listens.
 func (d *deployment) connect() *caller {
 	d.t.Helper()
 	var conn net.Conn
@@ -209,7 +209,7 @@
 	return &caller{TCPConn: conn.(*net.TCPConn), t: d.t}
 }
 
-// request is a message that asks for a page, with a body of so many bytes.
+// request returns the message of a request of class page, with a body of a size in bytes.
 func request(id byte, ref string, allow time.Duration, body int) []byte {
 	message := append([]byte{0x94, 0, id}, "\xa4page\x92\x83"...)
 	for _, field := range [][2]string{{"ref", ref}, {"allow", fmt.Sprint(allow.Milliseconds())}, {"lookup", ref}} {
@@ -221,12 +221,13 @@
 	return append(message, bytes.Repeat([]byte("x"), body)...)
 }
 
-// askHealth asks for the router's state. When the answer comes the router has read all that was written before.
+// askHealth sends a health call. Once its response arrives, the router has read all that was sent before.
 func (c *caller) askHealth(id byte) {
-	fmt.Fprintf(c, "\x94\x00%c\xa6health\x91\x80", id) // where this fails no answer comes
+	fmt.Fprintf(c, "\x94\x00%c\xa6health\x91\x80", id) // after an error no response arrives
 }
 
-// readHealth waits for the answer to askHealth: "ready", "not ready", or what came instead.
+// readHealth waits for the response to askHealth. It returns "ready", "not ready", the error, or the quoted bytes of
+// another response.
 func (c *caller) readHealth(id byte) string {
 	c.SetReadDeadline(time.Now().Add(awaitLimit))
 	got := make([]byte, 7)
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -19,62 +19,63 @@
 )
 
 const (
-	// maxRewatchTime is how long after the return of discovery the router may take until it watches it. It tries twice
-	// a second or more; idle clients that have asked once are closed for that alone only after 6 s.
+	// maxRewatchTime bounds the time from the return of the discovery service until the router watches it again. The
+	// router tries at least twice a second. Idle clients that have made one call are closed for being idle only after
+	// 6 s. The time in which the machine was short of CPUs is not counted here, nor in maxTimeToServe.
 	maxRewatchTime = 3 * time.Second
-	// maxTimeToServe is how long a client may take from then on until it is served, by the cache that was listed
-	// meanwhile. From both the time is taken off for which the machine was short of CPUs.
+	// maxTimeToServe bounds the time from then on until a client is served by the cache that was listed meanwhile.
 	maxTimeToServe = 5 * time.Second
-	// reconnectDelay is how long an idle client that was closed waits until it comes again.
+	// reconnectDelay is the time after which an idle client connects again when its connection was closed.
 	reconnectDelay = 500 * time.Millisecond
 )
 
-// outage is how discovery goes and comes back.
+// outage describes an outage of the discovery service.
 type outage struct {
-	name                string
-	whileAway, whenBack discovery.Mode
-	duration            time.Duration // while idle clients come
-	descriptorLimits    []int         // of descriptors, at which it is played
-	// firstFrameDelay is how late the first frame comes once discovery is back.
+	name                  string
+	modeDuring, modeAfter discovery.Mode
+	duration              time.Duration // while idle clients connect
+	descriptorLimits      []int         // of the router, one run each
+	// firstFrameDelay is the delay of the first frame after the return of the discovery service.
 	firstFrameDelay time.Duration
 }
 
-// A mute service leaves the router's connection open, so that no new watch has to follow.
-func (o *outage) needsNewWatch() bool { return o.whileAway == discovery.Down }
+// needsNewWatch reports whether the router has to watch again after the outage. A mute service leaves its connection
+// open, so that no new watch is needed.
+func (o *outage) needsNewWatch() bool { return o.modeDuring == discovery.Down }
 
 var outages = []outage{
 	{
-		name: "down", whileAway: discovery.Down, whenBack: discovery.Serving, duration: time.Second,
+		name: "down", modeDuring: discovery.Down, modeAfter: discovery.Serving, duration: time.Second,
 		descriptorLimits: []int{64, 128, 256, 512, 1024},
 	},
-	// Long enough for the router to give up the silent connection and open others.
+	// The duration is long enough for the router to close the silent connection and open others.
 	{
-		name: "mute", whileAway: discovery.Mute, whenBack: discovery.Serving, duration: 4 * time.Second,
+		name: "mute", modeDuring: discovery.Mute, modeAfter: discovery.Serving, duration: 4 * time.Second,
 		descriptorLimits: []int{64, 256, 1024},
 	},
 	{
-		name: "down, then slow", whileAway: discovery.Down, whenBack: discovery.Slow, duration: time.Second,
+		name: "down, then slow", modeDuring: discovery.Down, modeAfter: discovery.Slow, duration: time.Second,
 		descriptorLimits: []int{64, 256, 1024}, firstFrameDelay: discovery.SlowFirstFrameDelay,
 	},
 }
 
-// Idle clients, and such that send half a message and no more, come in greater numbers than the router may have
-// descriptors, while discovery is away. Once it is back the router watches it again, learns that its caches have
-// been replaced, and serves from the new one; the process has no more descriptors than its limit (RLIMIT_NOFILE)
-// and does not crash.
-func TestIdleClientsFillTheDescriptors(t *testing.T) {
+// Guards against idle clients that use up the router's descriptors. During an outage of the discovery service more idle
+// clients connect than the router may have descriptors; some of them send half a message. After the outage the router
+// must watch the service again, learn that its caches have been replaced, and serve from the new one. It must not
+// exceed its limit (RLIMIT_NOFILE) or crash.
+func TestIdleClientsLeaveDescriptorsForDiscoveryAndServers(t *testing.T) {
 	t.Parallel()
-	for _, away := range outages {
-		for _, limit := range away.descriptorLimits {
-			t.Run(strings.ReplaceAll(fmt.Sprintf("%s/%d", away.name, limit), " ", "-"), func(t *testing.T) {
+	for _, o := range outages {
+		for _, limit := range o.descriptorLimits {
+			t.Run(strings.ReplaceAll(fmt.Sprintf("%s/%d", o.name, limit), " ", "-"), func(t *testing.T) {
 				t.Parallel()
-				crowdWhileDiscoveryIsAway(t, &away, limit)
+				connectIdleClientsDuringOutage(t, &o, limit)
 			})
 		}
 	}
 }
 
-func crowdWhileDiscoveryIsAway(t *testing.T, away *outage, limit int) {
+func connectIdleClientsDuringOutage(t *testing.T, o *outage, limit int) {
 	service, err := discovery.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -86,19 +87,19 @@
 	list := append(d.cacheEntries(stateReady, stateReady), entry(d.origin, originID, stateReady, kindOrigin))
 	service.Publish(true, list...)
 	testwait.Until(t, "the router's first watch", func() bool { return service.Watches() > 0 })
-	if err := service.SetMode(away.whileAway); err != nil {
+	if err := service.SetMode(o.modeDuring); err != nil {
 		t.Fatal(err)
 	}
 
-	crowd := gatherCrowd(d.listen, limit+limit/2)
-	defer crowd.disperse()
-	testwait.Until(t, "so many idle clients as the router has descriptors", func() bool {
-		return crowd.connectionsMade() >= limit
+	clients := startIdleClients(d.listen, limit+limit/2)
+	defer clients.stopAll()
+	testwait.Until(t, "as many idle clients as the router has descriptors", func() bool {
+		return clients.connectionsMade() >= limit
 	})
-	testwait.Until(t, "idle clients hold the third of the descriptors that is theirs", func() bool {
+	testwait.Until(t, "idle clients to use the third of the descriptors that is for clients", func() bool {
 		return countDescriptors(t, d.cmd.Process.Pid) >= limit/clientDescriptorDivisor
 	})
-	time.Sleep(away.duration)
+	time.Sleep(o.duration)
 
 	replacement, err := caches.Listen(caches.Options{ID: firstCache + 100, RequestLog: d.requests, FindServer: d.source})
 	if err != nil {
@@ -109,29 +110,29 @@
 	service.Publish(false, replaced...)
 	before := service.Watches()
 	back := testwait.StartStopwatch()
-	if err := service.SetMode(away.whenBack); err != nil {
+	if err := service.SetMode(o.modeAfter); err != nil {
 		t.Fatal(err)
 	}
-	if away.needsNewWatch() {
-		testwait.Until(t, "the watch after the return of discovery", func() bool { return service.Watches() > before })
+	if o.needsNewWatch() {
+		testwait.Until(t, "the watch after the outage", func() bool { return service.Watches() > before })
 		if took := back.Elapsed(); took > maxRewatchTime {
-			t.Errorf("watched again %v after the return of discovery, %v are allowed", took, maxRewatchTime)
+			t.Errorf("watched again %v after the outage, want at most %v", took, maxRewatchTime)
 		}
 	}
-	if took, may := d.servedBy(replacement), maxTimeToServe+away.firstFrameDelay; took > may {
-		t.Errorf("served by the cache that was listed meanwhile after %v, %v are allowed", took, may)
+	if took, allowed := d.servedBy(replacement), maxTimeToServe+o.firstFrameDelay; took > allowed {
+		t.Errorf("served by the cache that was listed meanwhile after %v, want at most %v", took, allowed)
 	}
 	if open := countDescriptors(t, d.cmd.Process.Pid); open > limit {
-		t.Errorf("%d descriptors, %d allowed", open, limit)
+		t.Errorf("%d descriptors, want at most %d", open, limit)
 	}
-	crowd.disperse()
+	clients.stopAll()
 	d.terminate(false)
 	if text := d.stderr.String(); strings.Contains(text, "panic") {
 		t.Errorf("log: %s", text)
 	}
 }
 
-// States and kinds of servers, as the discovery service numbers them.
+// States and kinds of servers in the discovery protocol.
 const (
 	stateReady = 0
 	stateGone  = 2
@@ -139,7 +140,7 @@
 	kindOrigin = 1
 )
 
-// cacheEntries is the two caches of a deployment in these states, as the discovery service tells them.
+// cacheEntries returns endpoint list entries for the caches of a deployment, in these states.
 func (d *deployment) cacheEntries(states ...byte) (entries []discovery.Endpoint) {
 	for number, state := range states {
 		entries = append(entries, entry(d.caches[number], uint32(firstCache+number), state, kindCache))
@@ -151,7 +152,7 @@
 	return discovery.Endpoint{ID: id, Addr: cache.Addr(), State: state, Kind: kind, Weight: 4}
 }
 
-// withDescriptorLimit starts a program that may have so many descriptors.
+// withDescriptorLimit returns a function that starts a program with a limit on descriptors.
 func withDescriptorLimit(descriptors int) func(*exec.Cmd) error {
 	return func(cmd *exec.Cmd) error {
 		shell, err := exec.LookPath("sh")
@@ -165,7 +166,7 @@
 	}
 }
 
-// countDescriptors counts those that a process has open.
+// countDescriptors returns the number of open descriptors of a process.
 func countDescriptors(t *testing.T, process int) int {
 	t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", process))
@@ -175,14 +176,14 @@
 	return len(entries)
 }
 
-// servedBy asks for new objects, on a new connection each time, as a client may whose connection was closed unread,
-// until a request was served and this cache has had one. It returns how long that took, less the time for which the
+// servedBy requests new objects, each on a new connection since the router may have closed the last one unread, until a
+// request was served and this cache has received one. It returns the time that this took, less the time in which the
 // machine was short of CPUs.
 func (d *deployment) servedBy(cache *caches.Server) time.Duration {
 	d.t.Helper()
 	begin := testwait.StartStopwatch()
 	served, number := false, 0
-	testwait.Until(d.t, "an object that is served, by "+cache.Name(), func() bool {
+	testwait.Until(d.t, "a served request, and one at "+cache.Name(), func() bool {
 		number++
 		served = d.ask(fmt.Sprintf("%016x", number)) == nil || served
 		isFromCache := func(request caches.Request) bool { return request.Server == cache.Name() }
@@ -191,7 +192,7 @@
 	return begin.Elapsed()
 }
 
-// ask asks for an object once, and checks that it comes whole.
+// ask requests an object once, and returns an error unless the response is complete.
 func (d *deployment) ask(ref string) error {
 	conn, err := net.DialTimeout("tcp", d.listen, awaitLimit)
 	if err != nil {
@@ -210,13 +211,13 @@
 	want = append(want, body...)
 	got := make([]byte, len(want))
 	if n, err := io.ReadFull(conn, got); err != nil || string(got) != string(want) {
-		return errors.Join(err, fmt.Errorf("%.40q came of %d bytes", got[:n], len(want)))
+		return errors.Join(err, fmt.Errorf("got %.40q, want %d bytes", got[:n], len(want)))
 	}
 	return nil
 }
 
-// crowd are clients that hold connections and ask for nothing.
-type crowd struct {
+// idleClients are clients that keep connections open without a request.
+type idleClients struct {
 	stop chan struct{}
 	once sync.Once
 	wait sync.WaitGroup
@@ -225,33 +226,34 @@
 	dials int
 }
 
-// beginnings are what idle clients send: nothing, half a message, or a whole one, after which they rest for as long
-// as they may.
-var beginnings = []string{"", "\x94\x00\x02\xa4pa", wholeMessage, wholeMessage + "\x94", wholeMessage, wholeMessage}
+// initialBytes are what idle clients send: nothing, half a message, a whole one, or one and a half. They send nothing
+// more until the router closes the connection.
+var initialBytes = []string{"", "\x94\x00\x02\xa4pa", wholeMessage, wholeMessage + "\x94", wholeMessage, wholeMessage}
 
 const wholeMessage = "\x94\x00\x01\xa6health\x91\x80"
 
-// gatherCrowd lets so many clients come, and come again once they were closed.
-func gatherCrowd(addr string, clients int) *crowd {
-	c := &crowd{stop: make(chan struct{})}
+// startIdleClients starts a number of idle clients, which connect again when their connections are closed.
+func startIdleClients(addr string, clients int) *idleClients {
+	c := &idleClients{stop: make(chan struct{})}
 	for number := range clients {
 		c.wait.Go(func() {
-			for c.visit(addr, beginnings[number%len(beginnings)]) {
+			for c.holdConnection(addr, initialBytes[number%len(initialBytes)]) {
 			}
 		})
 	}
 	return c
 }
 
-// visit holds a connection until the router closes it. It is false at the end of the crowd.
-func (c *crowd) visit(addr, beginning string) (again bool) {
+// holdConnection opens a connection and keeps it until the router closes it, then waits for reconnectDelay. It returns
+// false after stopAll.
+func (c *idleClients) holdConnection(addr, initial string) (again bool) {
 	if conn, err := net.DialTimeout("tcp", addr, awaitLimit); err == nil {
 		c.mu.Lock()
 		c.dials++
 		c.mu.Unlock()
 		ended := make(chan struct{})
 		go func() {
-			io.WriteString(conn, beginning)
+			io.WriteString(conn, initial)
 			io.Copy(io.Discard, conn)
 			close(ended)
 		}()
@@ -270,15 +272,15 @@
 	}
 }
 
-// connectionsMade is how many connections were made so far.
-func (c *crowd) connectionsMade() int {
+// connectionsMade returns the number of connections opened so far.
+func (c *idleClients) connectionsMade() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dials
 }
 
-// disperse ends all connections of the crowd.
-func (c *crowd) disperse() {
+// stopAll closes all connections and waits for the clients to end. Further calls do nothing.
+func (c *idleClients) stopAll() {
 	c.once.Do(func() { close(c.stop) })
 	c.wait.Wait()
 }
--- a/cmd/spantack/gossip.go
+++ b/cmd/spantack/gossip.go
@@ -12,18 +12,19 @@
 	"spantack/internal/gossip"
 )
 
-// A start's incarnation for the fleet's limits is its Unix time from the beginning of 2020, in eighths of a second:
-// greater at each start, until 2037. Both in milliseconds.
+// A process's incarnation in the fleet counts the steps of incarnationStep from incarnationEpoch, the beginning of
+// 2020, to the time of its start. It grows with each start, until it overflows in 2037. Both are in milliseconds, the
+// epoch in Unix time.
 const (
 	incarnationEpoch = 1_577_836_800_000
 	incarnationStep  = 125
 )
 
-// originFillLimit is the place of the one fleet limit that there is: fills that ask the origin.
+// originFillLimit is the index of the only fleet limit: fills from the origin.
 const originFillLimit = 0
 
-// wireGossip ties what routers tell one another to the router, as far as flags, features and settings allow. Where
-// nobody can be told, the router gets an even share of the fleet's limit.
+// wireGossip connects the exchange of datagrams with other routers to the router, if flags, features and settings
+// enable it. Otherwise the router gets an equal share of the fleet limit.
 func (p *process) wireGossip() error {
 	c := p.config.Load()
 	fleetLimits := p.features.FleetLimits()
@@ -39,7 +40,8 @@
 	return nil
 }
 
-// openGossip makes the transport, unless the fleet is too small for what is switched on.
+// openGossip creates the transport. It creates none if gossip about overloads is off, as in a fleet that is too small
+// for it, and fleet limits and verdicts are off too.
 func (p *process) openGossip(c *config.Config) error {
 	overloads, err := overload.New(overload.Options{
 		Rank:        c.Fleet.Rank,
@@ -57,7 +59,7 @@
 		return nil
 	}
 	if tree != nil && tree.Routers < len(c.Fleet.Members) {
-		return fmt.Errorf("fleet.tree.routers: %d, and the settings have %d peers", tree.Routers, len(c.Fleet.Members))
+		return fmt.Errorf("fleet.tree.routers: %d is below the %d peers of the settings", tree.Routers, len(c.Fleet.Members))
 	}
 	transport := &gossip.Transport{
 		Gossip:           overloads,
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// joinFleet adds membership to the transport, and what rests on it: the fleet's limits and verdicts.
+// joinFleet adds membership to the transport, and the fleet limits and verdicts that depend on it.
 func (p *process) joinFleet(
 	c *config.Config, transport *gossip.Transport, limits []fleet.Limit, tree *lease.Topology,
 ) error {
@@ -113,5 +115,5 @@
 
 func (p *process) monotonicMicros() int64 { return clock.Micros(p.clock.Monotonic()) }
 
-// siteIndex is the place of this router's site among all.
+// siteIndex returns the index of this router's site among the zones of the settings.
 func siteIndex(c *config.Config) int { return slices.Index(c.Settings.Zones, c.Settings.Zone) }
--- a/cmd/spantack/harness_test.go
+++ b/cmd/spantack/harness_test.go
@@ -21,7 +21,7 @@
 	"spantack/internal/testwait"
 )
 
-// asProcess in the environment makes the test's own binary the router.
+// asProcess is the environment variable with which the test binary runs as the router.
 const asProcess = "SPANTACK_TEST_PROCESS"
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,8 @@
 	os.Exit(m.Run())
 }
 
-// twoCachesConfig is a deployment with a class for reads and a keyed one, both of 2 s.
+// twoCachesConfig is a configuration with two caches, a class for reads and one with idempotency keys, both with a
+// deadline of 2 s. It lacks the addresses of the discovery service and of the caches.
 const twoCachesConfig = `{"seed":"01","limits":{"memory_mb":192,"sockets":256},"board":%q,
 	"known":{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":[
 	{"uid":"s-00000001","endpoint":%q,"az":"east","model":"box","state":"Ready","capacity_hint":4},
@@ -45,18 +46,18 @@
 	"Extra":{"MasterKind":1,"ShieldKind":-1,"NotesGiven":"all"},"Kinds":["box","origin"],
 	"Permissions":{"MaxAttempts":8,"DialTimeout":500000,"MaxStreams":32},"Zone":"east","Zones":["east"]}}`
 
-// longTimeout is how long a client waits where its request's time must not be over on a slow machine, in milliseconds.
+// longTimeout is a client's timeout where the request must not time out on a slow machine, in milliseconds.
 const longTimeout = "30000"
 
-// withLongDeadlines changes a configuration so that its classes leave requests so long.
+// withLongDeadlines returns a configuration with the classes' deadlines raised to longTimeout.
 func withLongDeadlines(text string) string {
 	return strings.ReplaceAll(text, `"Deadline":2000000`, `"Deadline":30000000`)
 }
 
-// killLimit is when SIGKILL may come after SIGTERM, by the protocol.
+// killLimit is the time after SIGTERM at which SIGKILL may follow, by the protocol.
 const killLimit = (2000 + killGrace) * time.Millisecond
 
-// routerProcess is a running router, and its two edge caches with a log of what came to them.
+// routerProcess is a running router and its two edge caches, with a log of the commands that arrived at them.
 type routerProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -66,13 +67,13 @@
 	log    *logBuffer
 
 	mu sync.Mutex
-	// requestLog has "GET id" and "DROP id", as they came, and "END id" once the connection ended on which they came.
+	// requestLog has "GET id" and "DROP id" in the order of arrival, and "END id" for each GET when its connection ends.
 	requestLog []string
-	// conns are the connections on which requests came, by the request's id.
+	// conns are the connections on which commands arrived, by the request's id.
 	conns map[string]net.Conn
 }
 
-// logBuffer holds the log of a process, which may be read while that writes.
+// logBuffer holds the log of a process. It can be read while the process writes.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -90,8 +91,8 @@
 	return b.text.String()
 }
 
-// launch starts a router, after changes to its command; with pipe the configuration comes through one that the test
-// writes, and the router has begun to read it.
+// launch starts a router, after changes to its command. With pipe the configuration is a named pipe: launch returns its
+// write end once the router has opened it for reading.
 func launch(t *testing.T, pipe bool, changes ...func(*exec.Cmd)) (*routerProcess, *os.File) {
 	t.Helper()
 	discovery, one, two := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
@@ -131,7 +132,7 @@
 	return p, p.openPipe()
 }
 
-// routerCommand is the test's own binary as a router.
+// routerCommand returns a command that runs the test binary as a router.
 func routerCommand(listen, config string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), asProcess+"=1", "GORACE=atexit_sleep_ms=0",
@@ -139,7 +140,7 @@
 	return cmd
 }
 
-// writeConfig writes the configuration, or makes a pipe in its place.
+// writeConfig writes the configuration, or creates a named pipe in its place.
 func (p *routerProcess) writeConfig(pipe bool) error {
 	if pipe {
 		return syscall.Mkfifo(p.config, 0o600)
@@ -147,7 +148,7 @@
 	return os.WriteFile(p.config, []byte(p.text), 0o600)
 }
 
-// openPipe opens the pipe that stands for the configuration, which it can once the router reads.
+// openPipe opens the configuration's pipe for writing, which blocks until the router opens it for reading.
 func (p *routerProcess) openPipe() (into *os.File) {
 	p.t.Helper()
 	var err error
@@ -163,7 +164,7 @@
 	return into
 }
 
-// serveCache takes connections of an edge cache, which logs requests and answers nothing by itself.
+// serveCache accepts the connections of an edge cache that logs commands and sends no responses.
 func (p *routerProcess) serveCache(l net.Listener) {
 	for {
 		nc, err := l.Accept()
@@ -174,7 +175,7 @@
 	}
 }
 
-// record logs what comes on a connection to a cache until it ends.
+// record logs the commands on a connection to a cache until it ends.
 func (p *routerProcess) record(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReader(nc)
@@ -205,7 +206,8 @@
 	testwait.Until(p.t, line+" at a cache", func() bool { return p.count(line) > 0 })
 }
 
-// arrived returns true once the request log has one of some lines, and false where the process ends without.
+// arrived waits until the request log has one of the lines, or the process has logged its final counters. It reports
+// whether the log has one.
 func (p *routerProcess) arrived(lines ...string) bool {
 	p.t.Helper()
 	here := func() bool {
@@ -228,14 +230,14 @@
 	return n
 }
 
-// breakOff ends the connection on which a request came to its cache, and returns once the router has closed it too.
+// breakOff closes a request's connection from the cache's side, and returns once the router has closed it too.
 func (p *routerProcess) breakOff(ref string) {
 	p.t.Helper()
 	p.mu.Lock()
 	nc := p.conns[ref].(*net.TCPConn)
 	p.mu.Unlock()
 	err := nc.CloseWrite()
-	if err != nil && !errors.Is(err, net.ErrClosed) { // the router closes one that was silent for long
+	if err != nil && !errors.Is(err, net.ErrClosed) { // the router closes a connection that was silent for long
 		p.t.Fatal(err)
 	}
 	p.await("END " + ref)
@@ -248,19 +250,20 @@
 	}
 }
 
-// wait waits for the process, which has ended or is about to.
+// wait waits until the process has exited.
 func (p *routerProcess) wait() error {
 	p.t.Helper()
 	waited := make(chan error, 1)
 	go func() { waited <- p.cmd.Wait() }()
-	return testwait.Receive(p.t, waited, "the end of the router's process")
+	return testwait.Receive(p.t, waited, "the router process to exit")
 }
 
-// awaitExit waits for the process and returns how long it took by a stopwatch; it must end by itself.
+// awaitExit waits until the process has exited and returns the stopwatch's time. Another exit code than 0 fails the
+// test.
 func (p *routerProcess) awaitExit(w *testwait.Stopwatch) time.Duration {
 	p.t.Helper()
 	if err := p.wait(); err != nil {
-		p.t.Errorf("ended with %v; log: %s", err, p.log)
+		p.t.Errorf("exited with %v; log: %s", err, p.log)
 	}
 	return w.Elapsed()
 }
--- a/cmd/spantack/late_listener_test.go
+++ b/cmd/spantack/late_listener_test.go
@@ -12,8 +12,8 @@
 	"spantack/internal/testwait"
 )
 
-// fullListener is a listener that takes no connection up: the system drops what comes, as it does at a machine that is
-// swamped, until open is called.
+// fullListener returns the address of a listener with a full backlog: until open is called, the kernel drops further
+// SYNs, as on an overloaded machine.
 func fullListener(t *testing.T) (addr string, open func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -32,13 +32,13 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	addr = l.Addr().String()
-	for range 8 { // one of them finds room
+	for range 8 { // the first fit into the backlog
 		nc, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
 		if err != nil {
 			return addr, func() net.Listener {
 				for {
 					nc := testwait.Accept(t, l, "a connection dialled before the listener opened")
-					if _, err := nc.Read(make([]byte, 1)); err != nil { // one of ours
+					if _, err := nc.Read(make([]byte, 1)); err != nil { // opened here to fill the backlog
 						nc.Close()
 						return l
 					}
@@ -47,11 +47,11 @@
 		}
 		nc.Close()
 	}
-	t.Fatal("the listener takes all up")
+	t.Fatal("the backlog does not fill up")
 	return "", nil
 }
 
-// lateListener is a listener at which connections come up only once the test says so.
+// lateListener is a listener at which connections are established only after a call of comeUp.
 type lateListener struct {
 	addr net.Addr
 	open func() net.Listener
@@ -74,7 +74,7 @@
 	return &lateListener{addr: textAddr(addr), open: open, up: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// comeUp takes connections up from now on, with room for all that come at once.
+// comeUp lets connections be established from now on, with a backlog for all at once.
 func (l *lateListener) comeUp(t *testing.T) {
 	t.Helper()
 	l.inner = l.open()
--- a/cmd/spantack/limits.go
+++ b/cmd/spantack/limits.go
@@ -7,40 +7,41 @@
 	"spantack/internal/resp"
 )
 
-// Shares of the memory limit.
+// Fractions of the memory limit.
 const (
-	// heapShare is what Go's heap keeps under; the rest is for stacks, buffers and the kernel.
+	// heapShare is the limit for Go's heap; the rest is for stacks, buffers and the kernel.
 	heapShare = 0.7
-	// requestQueueShare is what open requests and responses waiting for clients may hold.
+	// requestQueueShare is the limit for open requests, and for responses that clients have not read yet.
 	requestQueueShare = 0.25
-	// responseBodyShare is what responses on their way in may hold: one on each connection at most.
+	// responseBodyShare is the limit for responses being received from servers, at most one on each connection.
 	responseBodyShare = 0.35
-	// extraClientShare is what further client connections may take, at bytesPerClient each.
+	// extraClientShare is the limit for client connections above their third of the descriptors, at bytesPerClient each.
 	extraClientShare = 0.15
 	bytesPerClient   = 32 << 10
 )
 
-// Parts of the limit on descriptors.
+// Parts of the descriptor limit.
 const (
-	// clientDescriptorDivisor: usual clients hold a third of the descriptors at most, and always find so many places.
+	// clientDescriptorDivisor is the divisor for the part of the descriptors that clients can always use. Usual numbers
+	// of clients need at most this third.
 	clientDescriptorDivisor = 3
-	// reservedDescriptors are for the listener, the discovery service, logs and connections on their way out.
+	// reservedDescriptors are for the listener, the discovery service, logs and connections being closed.
 	reservedDescriptors = 48
-	// minServerConns there may be to servers, whatever the limits: with none a router would reject all. They come out
-	// of the reserved ones.
+	// minServerConns is the number of connections to servers that is allowed with any limits: without one a router
+	// would reject all requests. If need be, they use reservedDescriptors.
 	minServerConns = 8
 )
 
-// processLimits are what the process may hold.
+// processLimits are the limits of one process.
 type processLimits struct {
 	memory      float64 // bytes
 	clientConns int
 	serverConns int
 }
 
-// newLimits divides the limits of the configuration, of which a process that shares its listener with another gets
-// half: one replaces the other while that serves, and the limits count for both. It puts the limit on Go's heap in
-// force.
+// newLimits returns the limits of this process by the configuration, and sets the limit on Go's heap. A process that
+// shares its listener with another gets half: during a replacement both run, and the limits of the configuration are
+// for both together.
 func newLimits(c *config.Config, isShared bool) processLimits {
 	memory := c.MemoryMB * (1 << 20)
 	descriptors := c.MaxSockets
@@ -53,8 +54,8 @@
 	return processLimits{memory: memory, clientConns: clients, serverConns: servers}
 }
 
-// divideDescriptors divides descriptors and bytes of memory: how many connections clients may hold, and how many
-// there may be to servers.
+// divideDescriptors returns how many connections from clients and to servers are allowed with a number of descriptors
+// and a memory limit in bytes.
 func divideDescriptors(descriptors int, memory float64) (clients, servers int) {
 	clients = descriptors / clientDescriptorDivisor
 	bodies := int(responseBodyShare * memory / resp.MaxBodySize)
--- a/cmd/spantack/limits_test.go
+++ b/cmd/spantack/limits_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// However small the limits, and halved for two processes, there are connections to servers and for clients, and not
-// more than descriptors.
+// Guards against limits under which a router has no connections to servers or from clients, or more than descriptors.
+// The cases include the small limits of two processes that share them.
 func TestDivideDescriptors(t *testing.T) {
 	for _, tc := range []struct {
 		descriptors      int
@@ -18,7 +18,7 @@
 	} {
 		clients, servers := divideDescriptors(tc.descriptors, tc.memoryMB*(1<<20))
 		if clients != tc.clients || servers != tc.servers {
-			t.Errorf("%d descriptors, %v MB: %d for clients, %d to servers", tc.descriptors, tc.memoryMB, clients, servers)
+			t.Errorf("%d descriptors, %v MB: %d from clients, %d to servers", tc.descriptors, tc.memoryMB, clients, servers)
 		}
 	}
 }
--- a/cmd/spantack/log_reader_test.go
+++ b/cmd/spantack/log_reader_test.go
@@ -11,21 +11,22 @@
 	"spantack/internal/testwait"
 )
 
-// Who reads the log has stopped, with the pipe full, or is gone: the router starts, serves, turns bad clients away,
-// reports and ends as ever.
-func TestLogReaderStopsOrGoes(t *testing.T) {
+// Guards against a router that blocks or ends because of its log. The reader of the log has stopped with the pipe full,
+// or has closed the pipe. The router must start, serve, close connections of faulty clients, log counters and shut down
+// as usual.
+func TestStoppedOrClosedLogReaderDoesNotBlockRouter(t *testing.T) {
 	t.Parallel()
-	for _, gone := range []bool{false, true} {
-		testwait.RetryIfStarved(t, func() error { return endWithLogReader(t, gone) })
+	for _, isClosed := range []bool{false, true} {
+		testwait.RetryIfStarved(t, func() error { return shutDownWithLogReader(t, isClosed) })
 	}
 }
 
-func endWithLogReader(t *testing.T, gone bool) error {
+func shutDownWithLogReader(t *testing.T, isClosed bool) error {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if gone {
+	if isClosed {
 		r.Close()
 	} else {
 		defer r.Close()
@@ -42,20 +43,20 @@
 	}
 	ask(nc, 2, "0000000000000002")
 	p.await("GET 0000000000000002")
-	began := testwait.StartStopwatch()
+	watch := testwait.StartStopwatch()
 	p.signal(syscall.SIGTERM)
 	answers, err := io.ReadAll(nc)
 	if err != nil {
-		t.Errorf("gone %v: %v", gone, err)
+		t.Errorf("log closed %v: %v", isClosed, err)
 	}
 	nc.Close()
-	if took := p.awaitExit(began); took > killLimit {
-		return fmt.Errorf("gone %v: ended after %v", gone, took)
+	if took := p.awaitExit(watch); took > killLimit {
+		return fmt.Errorf("log closed %v: exited after %v", isClosed, took)
 	}
 	return checkEachAnswered(answers, 2)
 }
 
-// fillPipe writes to a pipe until it takes no more, and leaves it such that a write waits.
+// fillPipe fills a pipe, so that further writes block.
 func fillPipe(t *testing.T, fd int) {
 	t.Helper()
 	if err := syscall.SetNonblock(fd, true); err != nil {
--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -1,9 +1,9 @@
-// Command spantack is one request router: clients on one side, edge caches, parents and the origin on the other,
-// and the decision module of package routing between them.
+// Command spantack is a request router. It takes requests from clients and sends them to edge caches, parents and the
+// origin, as the decision module in package routing decides.
 //
-// main catches signals and loads the configuration. run then builds the parts (build.go), ties them together
-// (wire.go) and serves (serve.go) until a signal ends the process (shutdown.go); SIGHUP reloads the configuration
-// and the features file (reload.go).
+// main catches signals and loads the configuration. run then builds the components (build.go), connects them (wire.go)
+// and serves (serve.go) until a signal ends the process (shutdown.go). SIGHUP reloads the configuration and the
+// features file (reload.go).
 package main
 
 import (
@@ -16,18 +16,19 @@
 	"spantack/internal/config"
 )
 
-// flags are the command line; all else comes from the environment. Without flags nothing new is on.
+// flags are the command-line flags. All other settings come from the environment. Without flags all optional features
+// are off.
 type flags struct {
-	Gossip   bool   `name:"peers" help:"Tell other routers of overloaded parents by datagrams; see docs/gossip.md."`
-	Features string `name:"features" help:"Jsonnet file of features; see deploy/features.jsonnet." placeholder:"FILE"`
+	Gossip   bool   `name:"peers" help:"Exchange reports of overloaded parents with other routers; see docs/gossip.md."`
+	Features string `name:"features" help:"Features file, in Jsonnet; see deploy/features.jsonnet." placeholder:"FILE"`
 }
 
 func main() {
 	var f flags
 	parser := kong.Must(&f, kong.Name("spantack"),
-		kong.Description("A request router; it reads RELAY_NAME, RELAY_LISTEN and RELAY_CONFIG."))
+		kong.Description("Request router, configured by RELAY_NAME, RELAY_LISTEN and RELAY_CONFIG."))
 	_, err := parser.Parse(os.Args[1:])
-	signals := catchSignals() // before the configuration is read: until then a signal would end the process
+	signals := catchSignals() // before the configuration is read: an uncaught signal would end the process
 	defer signals.release()
 	out := asynclog.New(os.Stderr)
 	loadConfig := func() (*config.Config, error) { return config.Load(os.Getenv) }
--- a/cmd/spantack/process.go
+++ b/cmd/spantack/process.go
@@ -20,10 +20,10 @@
 	"spantack/internal/router"
 )
 
-// configLoader loads the configuration anew, for a SIGHUP.
+// configLoader loads the current configuration, at start and at each SIGHUP.
 type configLoader func() (*config.Config, error)
 
-// process is one router process: its parts, each made by build or wire and used until run returns.
+// process is a router process. build and wire create its components, which are used until run returns.
 type process struct {
 	flags      flags
 	loadConfig configLoader
@@ -32,9 +32,9 @@
 	clock *clock.Clock
 	log   zerolog.Logger
 
-	// config is the configuration in force. Only handleReloads replaces it.
+	// config is the current configuration. Only handleReloads replaces it.
 	config atomic.Pointer[config.Config]
-	// features is the features file in force; nil without one. Only handleReloads uses it once the process serves.
+	// features is the current features file; nil if there is none. Once the process serves, only handleReloads uses it.
 	features *features.File
 	reloads  reloadCounters
 
@@ -43,25 +43,25 @@
 	server *msgpackrpc.Server // connections of clients
 
 	listener      net.Listener // for clients; server.Serve closes it
-	adminListener net.Listener // the management address; nil: none
+	adminListener net.Listener // for management calls; nil if no address is configured
 
-	// inheritsListener is set where a supervisor holds the listener: another process may serve beside this one, before
-	// it or after it.
+	// inheritsListener is true if the listener is inherited from a supervisor. Another process of this router may then
+	// use it too: the process that this one replaces, or the one that replaces this one.
 	inheritsListener bool
-	// state is shared with that other process; nil: nothing is.
+	// state is the directory shared with that other process; nil if there is none.
 	state *handover.StateDir
 
 	watcher    *discovery.Watcher
-	gossip     *gossip.Transport  // nil: the router sends no datagrams and hears none
+	gossip     *gossip.Transport  // nil if the router exchanges no datagrams with others
 	background *background.Runner // nil without a features file
 
 	isStarted  atomic.Bool // the initial state is complete
-	isStopping atomic.Bool // the process was told to end
+	isStopping atomic.Bool // SIGTERM or SIGINT was received
 }
 
-// run serves until SIGTERM or SIGINT, and returns when all that was accepted has its response.
+// run serves until SIGTERM or SIGINT. It returns once all accepted requests have their responses.
 func run(c *config.Config, loadConfig configLoader, f flags, signals *processSignals, out io.Writer) error {
-	serving, endServing := context.WithCancel(context.Background()) // ends when the last request has its response
+	serving, endServing := context.WithCancel(context.Background()) // canceled when the last request has its response
 	defer endServing()
 	p := &process{
 		flags:            f,
@@ -80,13 +80,12 @@
 	return p.serve(serving, endServing)
 }
 
-// isReady reports whether the process takes requests: it is what the health call, the management address and the
-// other process are told.
+// isReady reports whether the process accepts requests. The health call and the management address return it.
 func (p *process) isReady() bool {
 	return p.isStarted.Load() && !p.isStopping.Load() && !p.server.Draining()
 }
 
-// apply passes an event of the discovery service to the parts that it is about.
+// apply applies an event of the discovery service to the connection pools and the router.
 func (p *process) apply(event router.WatchEvent) {
 	p.pools.Apply(event)
 	p.router.Apply(event)
--- a/cmd/spantack/reload.go
+++ b/cmd/spantack/reload.go
@@ -9,10 +9,10 @@
 	"spantack/internal/router"
 )
 
-// reloadCounters count what became of configuration files at SIGHUP.
+// reloadCounters count the configuration files that were applied and rejected at SIGHUP.
 type reloadCounters struct{ applied, rejected atomic.Int64 }
 
-// handleReloads reloads the configuration and the features file at each SIGHUP, until ctx ends.
+// handleReloads reloads the configuration and the features file at each SIGHUP, until ctx is canceled.
 func (p *process) handleReloads(ctx context.Context) error {
 	for {
 		select {
@@ -25,9 +25,9 @@
 	}
 }
 
-// reloadConfig puts the configuration file in force as it is now. Nothing of a file applies unless all of it can be
-// used. The address of the discovery service and the settings change in a running router; limits, seed and what
-// connections rest on take a restart.
+// reloadConfig loads the configuration and applies it. An invalid configuration changes nothing. The address of the
+// discovery service and the settings change in the running router. Limits, the seed, and the options and zone that
+// connections depend on change only at a restart.
 func (p *process) reloadConfig() {
 	old := p.config.Load()
 	c, err := p.loadConfig()
@@ -45,27 +45,28 @@
 	p.server.UpdateClasses(keyedClasses(c))
 	p.pools.SetMaxSendDelay(c.MaxSendDelay)
 	p.reloads.applied.Add(1)
-	if takesRestart(old, c) {
-		p.log.Warn().Msg("new configuration differs in what takes a restart")
+	if needsRestart(old, c) {
+		p.log.Warn().Msg("new configuration has changes that need a restart")
 	}
 	p.log.Info().Str("from", old.DiscoveryAddr).Str("board", c.DiscoveryAddr).Int("classes", len(c.Settings.Classes)).
 		Int("attempts", c.Settings.Permissions.MaxAttempts).Msg("new configuration")
 	if c.DiscoveryAddr != old.DiscoveryAddr {
 		p.watcher.SetAddress(c.DiscoveryAddr)
 	}
-	p.config.Store(withoutRestart(old, c))
+	p.config.Store(keepRestartFields(old, c))
 }
 
-// takesRestart reports whether two configurations differ in what a running process can't change.
-func takesRestart(old, c *config.Config) bool {
+// needsRestart reports whether two configurations differ in fields that a running process can't change.
+func needsRestart(old, c *config.Config) bool {
 	return c.MemoryMB != old.MemoryMB || c.MaxSockets != old.MaxSockets || c.DialTimeout != old.DialTimeout ||
 		c.IdleTimeout != old.IdleTimeout || c.MaxStreams != old.MaxStreams || c.Settings.Zone != old.Settings.Zone
 }
 
-// withoutRestart returns a new configuration with what a running process can't change as it was.
-func withoutRestart(old, c *config.Config) *config.Config {
+// keepRestartFields returns a copy of configuration c with the old values of limits and connection options, which a
+// running process can't change.
+func keepRestartFields(old, c *config.Config) *config.Config {
 	inForce := *c
-	inForce.InitialEvents = nil // those of the start: the watch has brought what came since
+	inForce.InitialEvents = nil // only for the start: the watch has delivered later events since
 	inForce.MemoryMB = old.MemoryMB
 	inForce.MaxSockets = old.MaxSockets
 	inForce.DialTimeout = old.DialTimeout
@@ -74,7 +75,7 @@
 	return &inForce
 }
 
-// reloadFeatures puts the features file in force as it is now. A file that can't be used changes nothing.
+// reloadFeatures loads the features file and applies it. An invalid file changes nothing.
 func (p *process) reloadFeatures() {
 	if p.flags.Features == "" {
 		return
@@ -87,14 +88,14 @@
 		p.log.Error().Err(err).Msg("new features can't be used")
 		return
 	}
-	if err := p.router.ApplyFeatures(inForce); err != nil { // it was checked: this can't be
+	if err := p.router.ApplyFeatures(inForce); err != nil { // not expected: the file has been checked
 		p.log.Error().Err(err).Msg("new features can't be used")
 	}
 	p.features = file
 	p.logFeatures(inForce)
 }
 
-// logFeatures logs the versions of what the features file has put in force.
+// logFeatures logs the versions of the features that have been applied.
 func (p *process) logFeatures(inForce router.Features) {
 	var cellsVersion, topologyVersion int64
 	if inForce.Cells != nil {
@@ -108,7 +109,7 @@
 		Str("release", rolloutName(p.features)).Msg("new features")
 }
 
-// rolloutName is the name of the rollout in a features file; empty without one.
+// rolloutName returns the name of the rollout in a features file; empty if there is none.
 func rolloutName(file *features.File) string {
 	if rollout := file.ActiveRollout(); rollout != nil {
 		return rollout.Name
--- a/cmd/spantack/run_test.go
+++ b/cmd/spantack/run_test.go
@@ -14,8 +14,8 @@
 	"spantack/internal/testwait"
 )
 
-// oneCacheConfig is a deployment of one edge cache, with the addresses of the discovery service and of the cache
-// left out.
+// oneCacheConfig is a configuration with one edge cache. It lacks the addresses of the discovery service and of the
+// cache.
 const oneCacheConfig = `{"seed":"01","limits":{"memory_mb":192,"sockets":256},"board":%q,
 	"known":{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":[
 	{"uid":"s-00000001","endpoint":%q,"az":"east","model":"box","state":"Ready","capacity_hint":4},
@@ -25,8 +25,8 @@
 	"Extra":{"MasterKind":1,"ShieldKind":-1,"NotesGiven":"all"},"Kinds":["box","origin"],
 	"Permissions":{"MaxAttempts":3,"DialTimeout":5000000,"MaxStreams":32},"Zone":"east","Zones":["east"]}}`
 
-// The whole program: ready after the known events, a request through a cache, and after SIGTERM the answer that was
-// still owed, before a clean end.
+// Runs the whole program: it must be ready after the initial events, send a request to a cache, apply a valid
+// configuration at SIGHUP, and after SIGTERM send the response to the open request before a clean exit.
 func TestRun(t *testing.T) {
 	discovery, moved, cache := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
 	c, err := config.Parse(fmt.Appendf(nil, oneCacheConfig, discovery.Addr(), cache.Addr()))
@@ -41,7 +41,7 @@
 	loadConfig := func() (*config.Config, error) { return config.Parse([]byte(<-files)) }
 	go func() { ended <- run(c, loadConfig, flags{}, signals, io.Discard) }()
 	const fromFirst = "\x00\x00\x00\x00\x00\x00\x00\x01"
-	testwait.AcceptHello(t, discovery, fromFirst, "the watch, which begins once the router serves")
+	testwait.AcceptHello(t, discovery, fromFirst, "the watch, which begins when the router serves")
 	client := testwait.Dial(t, c.ListenAddr)
 	expect := func(from io.Reader, want string) {
 		t.Helper()
@@ -57,22 +57,23 @@
 	server := testwait.Accept(t, cache, "the router at the cache")
 	in := bufio.NewReader(server)
 	expect(in, "*4\r\n$3\r\nGET\r\n$16\r\n0000000000000001\r\n")
-	// SIGHUP, with a request open: a file that can't be used changes nothing, a good one moves the discovery service
+	// SIGHUP, with a request open: an invalid file changes nothing, a valid one has a new address of the discovery
+	// service.
 	for _, address := range []string{"nowhere", moved.Addr().String()} {
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		testwait.Send(t, files, fmt.Sprintf(oneCacheConfig, address, cache.Addr()), "a new configuration")
+		testwait.Send(t, files, fmt.Sprintf(oneCacheConfig, address, cache.Addr()), "the reload of a configuration")
 	}
-	testwait.AcceptHello(t, moved, fromFirst, "the watch at its new address")
+	testwait.AcceptHello(t, moved, fromFirst, "the watch at the new address")
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for since := time.Now(); ; { // it hears the signal, and says that it takes no more
+	for since := time.Now(); ; { // until it reports that it is not ready
 		io.WriteString(client, "\x94\x00\x03\xa6health\x91\x80")
 		got := make([]byte, 7)
 		if _, err := io.ReadFull(client, got); err != nil || time.Since(since) > 10*time.Second {
-			t.Fatalf("health, about to end: %q, %v", got, err)
+			t.Fatalf("health during the shutdown: %q, %v", got, err)
 		}
 		if string(got) == "\x94\x01\x03\xc0\x92\xc2\x80" {
 			break
@@ -81,7 +82,7 @@
 	io.WriteString(server, "*4\r\n$16\r\n0000000000000001\r\n$2\r\nOK\r\n$9\r\nn=TCP_HIT\r\n$3\r\nabc\r\n")
 	expect(client, "\x94\x01\x02\xc0\x92\xc4\x03abc\x80")
 	if rest, err := io.ReadAll(client); err != nil || !bytes.Equal(rest, nil) {
-		t.Errorf("after the last answer: %q, %v", rest, err)
+		t.Errorf("after the last response: %q, %v", rest, err)
 	}
 	client.Close()
 	if err := testwait.Receive(t, ended, "the end of run"); err != nil {
--- a/cmd/spantack/serve.go
+++ b/cmd/spantack/serve.go
@@ -9,13 +9,13 @@
 	"spantack/core/scheduler"
 )
 
-// tickInterval is how often migrations and a rollout are advanced while no request comes, in milliseconds.
+// tickInterval is the time between updates of migrations and the rollout while no request arrives, in milliseconds.
 const tickInterval = 500
 
-// serve runs all parts until the server for clients has ended, which ends serving: the last request has its
-// response then.
+// serve runs all components until the server for clients has stopped. The last request then has its response, and
+// serve calls endServing.
 func (p *process) serve(serving context.Context, endServing func()) error {
-	accepting, stopAccepting := context.WithCancel(serving) // ends a while after the signal
+	accepting, stopAccepting := context.WithCancel(serving) // canceled some time after the signal
 	defer stopAccepting()
 	group, ctx := errgroup.WithContext(serving)
 	if p.gossip != nil {
@@ -26,7 +26,7 @@
 		p.serveAdmin(ctx, group)
 	}
 	if p.background != nil {
-		p.background.Every(ctx, "turn", tickInterval, scheduler.High, p.router.Tick)
+		p.background.Every(ctx, "tick", tickInterval, scheduler.High, p.router.Tick)
 		group.Go(func() error { return p.background.Run(ctx) })
 	}
 	group.Go(func() error { return p.reportOnSignal(ctx) })
@@ -44,11 +44,11 @@
 	return err
 }
 
-// serveAdmin serves the management address, and shares what staff change there with the other process of this
-// router. From here on that process finds itself replaced.
+// serveAdmin serves management calls, and shares the exclusions that they set with the other process of this router.
+// It claims to serve in the state directory: from then on the other process counts as replaced.
 func (p *process) serveAdmin(ctx context.Context, group *errgroup.Group) {
 	if err := p.state.ClaimServing(); err != nil {
-		p.log.Warn().Err(err).Msg("can't say that this process serves")
+		p.log.Warn().Err(err).Msg("can't record in the state directory that this process serves")
 	}
 	server := p.newAdminServer()
 	group.Go(func() error { return server.Serve(ctx, p.adminListener) })
--- a/cmd/spantack/shutdown.go
+++ b/cmd/spantack/shutdown.go
@@ -2,35 +2,37 @@
 
 import "context"
 
-// Times of the end of the process, in milliseconds. SIGKILL may come killGrace after the longest deadline of a
-// class, of which maxHonouredDeadline counts at most.
+// Times of the shutdown, in milliseconds. SIGKILL may follow SIGTERM after the longest deadline of a class, capped at
+// maxHonouredDeadline, plus killGrace.
 const (
 	maxHonouredDeadline = 3000
 	killGrace           = 700
-	// acceptAfterSignal is how long after SIGTERM connections and requests are still accepted.
+	// acceptAfterSignal is how long new connections and requests are still accepted after SIGTERM.
 	acceptAfterSignal = 800
-	// finalAnswerLead before SIGKILL may come what is open gets its response, so that the process has ended by itself.
-	finalAnswerLead = 500
-	// maxAnswerReadTime is how long clients have to read those last responses, where they wait so long.
-	maxAnswerReadTime = 150
-	// exitMargin before SIGKILL may come the process is gone, whatever the deadlines.
+	// finalResponseLead is how long before a possible SIGKILL open requests get their final responses. It leaves time
+	// to exit before SIGKILL.
+	finalResponseLead = 500
+	// maxResponseReadTime bounds the time that clients have to read the final responses. With a longest deadline below
+	// twice this, they have half that deadline.
+	maxResponseReadTime = 150
+	// exitMargin is how long before a possible SIGKILL the process has exited, whatever the deadlines.
 	exitMargin = 50
 )
 
-// shutdownPlan says what happens when, in milliseconds from the signal. The process is gone exitMargin before
-// SIGKILL may come.
+// shutdownPlan holds the times of a shutdown, in milliseconds. The process has exited exitMargin before a possible
+// SIGKILL.
 type shutdownPlan struct {
-	acceptFor   float64 // new connections and requests are accepted
-	respondBy   float64 // what is open gets its response
-	clientsRead float64 // how long clients then have to read it
-	slack       float64 // how much later the process may be gone: a busy machine lets it run late
+	acceptFor   float64 // from the signal until new connections and requests are no longer accepted
+	respondBy   float64 // from the signal until open requests get their final responses
+	clientsRead float64 // time that clients then have to read them
+	slack       float64 // how much later the process may exit, since it may be delayed on a busy machine
 }
 
-// planShutdown plans the end of the process by the longest deadline of a class, in milliseconds.
+// planShutdown returns the plan for a longest deadline of a class, in milliseconds.
 func planShutdown(longestDeadline float64) shutdownPlan {
 	kill := min(longestDeadline, maxHonouredDeadline) + killGrace
-	clientsRead := min(maxAnswerReadTime, longestDeadline/2)
-	respondBy := min(max(kill-finalAnswerLead, acceptAfterSignal), kill-exitMargin-clientsRead)
+	clientsRead := min(maxResponseReadTime, longestDeadline/2)
+	respondBy := min(max(kill-finalResponseLead, acceptAfterSignal), kill-exitMargin-clientsRead)
 	return shutdownPlan{
 		acceptFor:   min(acceptAfterSignal, respondBy),
 		respondBy:   respondBy,
@@ -39,7 +41,7 @@
 	}
 }
 
-// awaitTermination waits for the signal that ends the process, and sets the end going; ctx ends with the last response.
+// awaitTermination waits for SIGTERM or SIGINT and begins the shutdown. It returns without one if ctx is canceled.
 func (p *process) awaitTermination(ctx context.Context, stopAccepting func()) error {
 	select {
 	case <-p.signals.terminate.Done():
@@ -49,17 +51,17 @@
 	return nil
 }
 
-// beginShutdown has the process end as planned. Nothing here waits.
+// beginShutdown schedules the steps of the shutdown. It does not block.
 func (p *process) beginShutdown(stopAccepting func()) {
-	p.state.ReleaseServing() // first: whoever is told that this process is not ready must find its claim withdrawn
+	p.state.ReleaseServing() // first: once this process reports that it is not ready, its claim to serve must be gone
 	p.isStopping.Store(true)
 	plan := planShutdown(p.config.Load().MaxDeadline)
 	if p.inheritsListener && p.state.IsReplaced() {
-		// The other process accepts what comes: to accept more would only have it cut short.
+		// The other process accepts new requests. Here the time left could be too short for them.
 		plan.acceptFor = 0
 	}
 	p.log.Info().Bool("replaced", plan.acceptFor == 0).Msg("stopping")
-	// The server reads these once accepting has ended.
+	// The server reads these fields after stopAccepting.
 	p.server.ShutdownTimeout = plan.respondBy + plan.clientsRead - plan.acceptFor
 	p.server.ResponseReadTimeout = plan.clientsRead
 	p.server.ShutdownGracePeriod = plan.slack
--- a/cmd/spantack/shutdown_test.go
+++ b/cmd/spantack/shutdown_test.go
@@ -11,30 +11,30 @@
 	"spantack/internal/testwait"
 )
 
-// The process is gone before SIGKILL may come, accepts requests for as long as they come, and leaves what it
-// accepted all its time where that can be.
+// Guards against a shutdown that goes on until SIGKILL, stops accepting too early, or leaves open requests less time
+// than it could.
 func TestPlanShutdown(t *testing.T) {
 	for deadline := 1.0; deadline < 1e6; deadline *= 1.07 {
 		kill := min(deadline, maxHonouredDeadline) + killGrace
 		plan := planShutdown(deadline)
-		gone := plan.respondBy + plan.clientsRead
-		if gone > kill-exitMargin+1e-6 || plan.acceptFor > plan.respondBy || plan.acceptFor < 600 || plan.clientsRead <= 0 {
-			t.Errorf("deadline of %v ms: %+v, gone by %v, SIGKILL at %v", deadline, plan, gone, kill)
+		exit := plan.respondBy + plan.clientsRead
+		if exit > kill-exitMargin+1e-6 || plan.acceptFor > plan.respondBy || plan.acceptFor < 600 || plan.clientsRead <= 0 {
+			t.Errorf("deadline of %v ms: %+v, exit at %v, SIGKILL at %v", deadline, plan, exit, kill)
 		}
-		if late := gone + plan.slack; late > kill-exitMargin+1e-6 || plan.slack < -1e-6 {
-			t.Errorf("deadline of %v ms: gone by %v where the machine is slow, SIGKILL at %v", deadline, late, kill)
+		if late := exit + plan.slack; late > kill-exitMargin+1e-6 || plan.slack < -1e-6 {
+			t.Errorf("deadline of %v ms: exit at %v on a slow machine, SIGKILL at %v", deadline, late, kill)
 		}
-		isComfortable := plan.acceptFor == acceptAfterSignal && plan.clientsRead == maxAnswerReadTime &&
-			plan.respondBy >= kill-finalAnswerLead
-		if deadline >= 300 && !isComfortable {
+		hasFullTimes := plan.acceptFor == acceptAfterSignal && plan.clientsRead == maxResponseReadTime &&
+			plan.respondBy >= kill-finalResponseLead
+		if deadline >= 300 && !hasFullTimes {
 			t.Errorf("deadline of %v ms: %+v", deadline, plan)
 		}
 	}
 }
 
-// SIGTERM, twice and with SIGHUP for a file half written, while servers hang with a read and a keyed write out:
-// each gets its one answer, and the process is gone before SIGKILL may come.
-func TestEndWithHungServers(t *testing.T) {
+// Guards against requests without a response, or an exit after SIGKILL may come, when servers hang during a shutdown.
+// A read and a write with a key are open; SIGTERM is sent twice, and SIGHUP with a configuration that is half written.
+func TestShutdownRespondsWhenServersHang(t *testing.T) {
 	t.Parallel()
 	testwait.RetryIfStarved(t, func() error { return terminateWithHungServers(t) })
 }
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP)
-	began := testwait.StartStopwatch()
+	watch := testwait.StartStopwatch()
 	p.signal(syscall.SIGTERM)
 	p.signal(syscall.SIGHUP)
 	p.signal(syscall.SIGTERM)
@@ -58,12 +58,12 @@
 		t.Error(err)
 	}
 	nc.Close()
-	took := p.awaitExit(began)
+	took := p.awaitExit(watch)
 	if !strings.Contains(p.log.String(), "new configuration can't be used") {
-		t.Errorf("a file half written was taken in; log: %s", p.log)
+		t.Errorf("a half-written configuration was not rejected; log: %s", p.log)
 	}
 	if took > killLimit {
-		return fmt.Errorf("ended after %v", took)
+		return fmt.Errorf("exited after %v", took)
 	}
 	return checkEachAnswered(answers, 3)
 }
--- a/cmd/spantack/signals.go
+++ b/cmd/spantack/signals.go
@@ -7,15 +7,15 @@
 	"syscall"
 )
 
-// processSignals are the signals that the process honours. Those that come before run looks are not lost.
+// processSignals are the signals that the process handles. Signals that arrive before run waits for them are not lost.
 type processSignals struct {
 	terminate context.Context // done at SIGTERM or SIGINT
-	hangUp    chan os.Signal  // one SIGHUP: more before it is handled mean the same
-	release   func()          // gives the signals back to the system
+	hangUp    chan os.Signal  // holds one SIGHUP: further ones before it is handled would cause the same reload
+	release   func()          // restores the default handling of SIGHUP, SIGTERM and SIGINT
 }
 
-// catchSignals catches signals until release is called. SIGPIPE is ignored: who reads the log may be gone, and that
-// is no reason to end.
+// catchSignals catches signals until release is called. SIGPIPE is ignored: it would end the process when the reader
+// of the log has closed the pipe.
 func catchSignals() *processSignals {
 	terminate, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	hangUp := make(chan os.Signal, 1)
--- a/cmd/spantack/signals_test.go
+++ b/cmd/spantack/signals_test.go
@@ -9,21 +9,21 @@
 	"spantack/internal/testwait"
 )
 
-// A signal comes while the configuration is read: SIGHUP and SIGUSR1 must not end the process, SIGTERM ends it in
-// order.
-func TestSignalBeforeReady(t *testing.T) {
+// Guards against signals that kill the process while it reads its configuration: SIGHUP and SIGUSR1 must not end it,
+// and SIGTERM must end it cleanly.
+func TestSignalDuringStart(t *testing.T) {
 	t.Parallel()
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM} {
 		p, into := launch(t, true)
 		p.signal(s)
-		other := p.config + ".new" // for the reload: the pipe is read once
+		other := p.config + ".new" // for the reload: the pipe can be read only once
 		if err := os.WriteFile(other, []byte(p.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Rename(other, p.config); err != nil {
 			t.Fatal(err)
 		}
-		if s != syscall.SIGTERM { // and more of them than are kept
+		if s != syscall.SIGTERM { // more signals than are buffered
 			for range 20 {
 				p.signal(s)
 			}
@@ -36,7 +36,7 @@
 			p.signal(syscall.SIGTERM)
 		}
 		if took := p.awaitExit(testwait.StartStopwatch()); took > killLimit {
-			t.Errorf("%v: ended after %v", s, took)
+			t.Errorf("%v: exited after %v", s, took)
 		}
 	}
 }
--- a/cmd/spantack/take_over_test.go
+++ b/cmd/spantack/take_over_test.go
@@ -14,16 +14,15 @@
 	"spantack/internal/testwait"
 )
 
-// A router is to be replaced, on a socket that the platform holds, and the process that takes over ends, at each
-// point: killed or told to end once it has said that it serves, or told to end while it reads its configuration.
-// The one before it is then told to end too: it must go on accepting requests as if there had been no other, for
-// there is nobody else.
-func TestTakeOverThatEnds(t *testing.T) {
+// Guards against a router that stops accepting requests at once on SIGTERM because it counts as replaced, although the
+// process that replaced it has ended. Both use a socket of the platform. The new process ends while it serves, by
+// SIGKILL or SIGTERM, or gets SIGTERM while it reads its configuration.
+func TestFailedReplacementDoesNotCountAsReplaced(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name       string
-		next       func(*takeOver) // what becomes of the process that takes over; nil: there is none
-		isReplaced bool            // what the one before it says
+		next       func(*takeOver) // starts the new process, and ends it; nil if there is none
+		isReplaced bool            // what the old process logs
 	}{
 		{"none", nil, false},
 		{"serves", func(o *takeOver) { o.start("next") }, true},
@@ -32,14 +31,14 @@
 			next.signal(syscall.SIGKILL)
 			next.wait()
 		}, false},
-		{"told to end", func(o *takeOver) {
+		{"terminated", func(o *takeOver) {
 			next, adminAddr := o.start("next")
 			next.signal(syscall.SIGTERM)
-			testwait.Until(o.t, "a router that has heard the signal", func() bool {
+			testwait.Until(o.t, "the new process to be no longer ready", func() bool {
 				return readyStatus(adminAddr) != http.StatusOK
 			})
 		}, false},
-		{"told to end while it starts", func(o *takeOver) {
+		{"terminated during its start", func(o *takeOver) {
 			next, into := launch(o.t, true, o.managed(loopback.FreeAddress()))
 			next.signal(syscall.SIGTERM)
 			io.WriteString(into, next.text)
@@ -56,16 +55,16 @@
 			old.signal(syscall.SIGTERM)
 			old.awaitExit(testwait.StartStopwatch())
 			if want := fmt.Sprintf(`"replaced":%v`, tc.isReplaced); !strings.Contains(old.log.String(), want) {
-				t.Errorf("the log lacks %s: %s", want, old.log)
+				t.Errorf("no %s in the log: %s", want, old.log)
 			}
 		})
 	}
 }
 
-// takeOver is a deployment in which one process of a router takes over from another.
+// takeOver is a deployment in which one process of a router replaces another.
 type takeOver struct {
 	t        *testing.T
-	socket   *os.File // the listening socket, as the platform holds it
+	socket   *os.File // the listening socket of the platform
 	stateDir string   // shared by the processes
 }
 
@@ -79,7 +78,7 @@
 	return &takeOver{t: t, socket: socket, stateDir: t.TempDir()}
 }
 
-// managed has a process inherit the socket and serve the management address.
+// managed returns a change to a command: the process inherits the socket and serves management calls at adminAddr.
 func (o *takeOver) managed(adminAddr string) func(*exec.Cmd) {
 	return func(c *exec.Cmd) {
 		c.ExtraFiles = []*os.File{o.socket} // descriptor 3
@@ -87,7 +86,7 @@
 	}
 }
 
-// start starts a process, and returns once it is ready.
+// start starts a process and returns it with its management address once it is ready.
 func (o *takeOver) start(name string) (p *routerProcess, adminAddr string) {
 	o.t.Helper()
 	adminAddr = loopback.FreeAddress()
@@ -98,12 +97,12 @@
 	return p, adminAddr
 }
 
-// staffClient makes calls to the management address.
-var staffClient = http.Client{Timeout: testwait.Limit}
+// adminClient makes management calls.
+var adminClient = http.Client{Timeout: testwait.Limit}
 
-// readyStatus asks a router's management address whether it is ready; 0 where nobody answers.
+// readyStatus returns the HTTP status of a router's ready call; 0 if there is no response.
 func readyStatus(addr string) int {
-	r, err := staffClient.Get("http://" + addr + "/api/ready")
+	r, err := adminClient.Get("http://" + addr + "/api/ready")
 	if err != nil {
 		return 0
 	}
@@ -111,12 +110,12 @@
 	return r.StatusCode
 }
 
-// awaitOutstanding returns once a router says that so many requests are open.
+// awaitOutstanding returns once a router's metrics have a number of open requests.
 func awaitOutstanding(t *testing.T, adminAddr string, requests int) {
 	t.Helper()
 	want := fmt.Sprintf("app.outstanding:%d|g\n", requests)
 	testwait.Until(t, want, func() bool {
-		r, err := staffClient.Get("http://" + adminAddr + "/api/telemetry")
+		r, err := adminClient.Get("http://" + adminAddr + "/api/telemetry")
 		if err != nil {
 			return false
 		}
--- a/cmd/spantack/wire.go
+++ b/cmd/spantack/wire.go
@@ -6,7 +6,7 @@
 	"spantack/internal/discovery"
 )
 
-// wire gives the router its initial state, from which on it is ready, and makes the parts that keep it up to date.
+// wire loads the router's initial state, after which it is ready, and creates the components that update it.
 func (p *process) wire() error {
 	c := p.config.Load()
 	p.state.RestoreExcluded(p.router.SetExcluded)
@@ -31,7 +31,7 @@
 	if err := p.wireGossip(); err != nil {
 		return err
 	}
-	if p.flags.Features == "" { // without the flag nothing new is on
+	if p.flags.Features == "" { // no background jobs without a features file
 		return nil
 	}
 	var err error
@@ -39,8 +39,8 @@
 	return err
 }
 
-// restoreLearnedState starts with what the process had learnt that this one replaces, where there is one. Without
-// it a router begins with small limits and no idea of who fails.
+// restoreLearnedState restores the learned state of the process that this one replaces, if there is one. Without it a
+// router starts with low limits and does not know which servers fail.
 func (p *process) restoreLearnedState() {
 	learned, found, err := p.state.LoadLearnedState()
 	if err == nil && found {
@@ -48,7 +48,7 @@
 	}
 	switch {
 	case err != nil:
-		p.log.Warn().Err(err).Msg("what the process before believed can't be used")
+		p.log.Warn().Err(err).Msg("learned state of the replaced process can't be used")
 	case found:
 		p.log.Info().Int("servers", len(learned.Servers)).Int("objects", len(learned.RecentRequests)).Msg("taking over")
 	}
--- a/cmd/spantack/wire_compat_test.go
+++ b/cmd/spantack/wire_compat_test.go
@@ -15,9 +15,9 @@
 	"spantack/routing"
 )
 
-// The figures of the management address, by name and value, as the program of commit e67ffc3 wrote them. Dashboards
-// read them, so testdata/figures.txt is never changed to suit this program.
-func TestFiguresCompat(t *testing.T) {
+// Guards against a change of the metrics, which dashboards read by name. testdata/figures.txt was written by the
+// program of commit e67ffc3 and is never changed to match this one.
+func TestMetricsAreUnchanged(t *testing.T) {
 	text, err := os.ReadFile("testdata/figures.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 		n.Servers = append(n.Servers, router.Server{ID: id, Addr: "127.0.0.1:1", Zone: "east", Kind: "box",
 			Status: "healthy", Weight: 4})
 	}
-	n.Servers[2].Kind = "origin" // no cache
+	n.Servers[2].Kind = "origin" // not counted as a cache
 	core.Apply(n)
 	if err := core.Exclude("s-1"); err != nil {
 		t.Fatal(err)
@@ -63,8 +63,8 @@
 
 var quoted = regexp.MustCompile("`([^`]*)`")
 
-// The operators' page names these figures, and no others.
-func TestFiguresOfOperatorsPage(t *testing.T) {
+// Guards against metrics that the operators' page lacks, and against others that it has.
+func TestOperatorsPageHasTheMetrics(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operation.md")
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 			names := quoted.FindAllStringSubmatch(first, -1)
 			for _, name := range names {
 				full := name[1]
-				if strings.HasPrefix(full, ".") { // it stands for the last part of the row's first name
+				if strings.HasPrefix(full, ".") { // it replaces the last part of the row's first name
 					full = names[0][1][:strings.LastIndex(names[0][1], ".")] + full
 				}
 				named = append(named, strings.Replace(full, "CLASS", "page", 1))
@@ -91,6 +91,6 @@
 		written = append(written, name)
 	}
 	if got, want := strings.Join(named, "\n"), strings.Join(written, "\n"); got != want {
-		t.Errorf("the page has\n%s\nthe program\n%s", got, want)
+		t.Errorf("the page has\n%s\nwant\n%s", got, want)
 	}
 }
