--- a/cmd/spanctl/cells.go
+++ b/cmd/spanctl/cells.go
@@ -11,20 +11,20 @@
 )
 
 type cellsCmd struct {
-	Show      cellsShowCmd         `name:"show" cmd:"" help:"Cells and tenants of a file, and with --caches which cache is in which cell."`
-	Explain   cellsExplainCmd      `name:"explain" cmd:"" help:"Which tenant a request belongs to, and which caches it may go to."`
-	Diff      cellsDiffCmd         `name:"diff" cmd:"" help:"What changes from one file to another."`
-	Plan      cellsPlanCmd         `name:"plan" cmd:"" help:"Proposes cells for tenants from measured demand."`
-	Migration migrationListCmd     `name:"migration" aliases:"moves" cmd:"" help:"The migrations of a file and how far they are."`
-	Migrate   migrateCmd           `name:"migrate" aliases:"move" cmd:"" help:"Migrates a tenant to another cell."`
-	Drain     cellsDrainCmd        `name:"drain" aliases:"empty" cmd:"" help:"Plans migrations of all tenants of a cell to others."`
-	Pause     migrationPauseCmd    `name:"pause" aliases:"hold" cmd:"" help:"Pauses migrations where they are."`
-	Resume    migrationResumeCmd   `name:"resume" cmd:"" help:"Resumes paused migrations."`
-	Rollback  migrationRollbackCmd `name:"rollback" aliases:"back" cmd:"" help:"Rolls migrations back."`
-	Finalize  migrationFinalizeCmd `name:"finalize" aliases:"settle" cmd:"" help:"Removes migrations that are over, once the assignment has their tenants in the new cells."`
+	Show      cellsShowCmd         `name:"show" cmd:"" help:"Print the cells of a file with their numbers of tenants, and with --caches their caches."`
+	Explain   cellsExplainCmd      `name:"explain" cmd:"" help:"Print the tenant and the cell of a request, and the caches that it may use."`
+	Diff      cellsDiffCmd         `name:"diff" cmd:"" help:"Print the changes of cells from one file to another."`
+	Plan      cellsPlanCmd         `name:"plan" cmd:"" help:"Propose cells for tenants by their measured demand."`
+	Migration migrationListCmd     `name:"migration" aliases:"moves" cmd:"" help:"Print the migrations of a file and their progress."`
+	Migrate   migrateCmd           `name:"migrate" aliases:"move" cmd:"" help:"Migrate a tenant to another cell."`
+	Drain     cellsDrainCmd        `name:"drain" aliases:"empty" cmd:"" help:"Migrate all tenants of a cell to others."`
+	Pause     migrationPauseCmd    `name:"pause" aliases:"hold" cmd:"" help:"Pause migrations at their current share."`
+	Resume    migrationResumeCmd   `name:"resume" cmd:"" help:"Resume paused migrations."`
+	Rollback  migrationRollbackCmd `name:"rollback" aliases:"back" cmd:"" help:"Roll migrations back."`
+	Finalize  migrationFinalizeCmd `name:"finalize" aliases:"settle" cmd:"" help:"Remove migrations that are over, once the assignment has their tenants in the final cells."`
 }
 
-// loadCellSpec loads a file in which cells must be on.
+// loadCellSpec loads a features file and returns it with its cells. It returns an error if cells are off.
 func loadCellSpec(file string) (*features.File, *cells.Spec, error) {
 	f, err := features.Load(file)
 	if err != nil {
@@ -39,7 +39,7 @@
 
 type cellsShowCmd struct {
 	File   string   `name:"file" arg:"" help:"The features file."`
-	Caches []string `name:"caches" help:"Ids of a depot's caches."`
+	Caches []string `name:"caches" help:"Ids of a site's caches."`
 }
 
 // Run prints a line for each cell.
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// fallbackText says what happens with the requests of a cell that has no live cache.
+// fallbackText returns what is done with the requests of a cell that has no live cache.
 func fallbackText(fallbackCell string) string {
 	if fallbackCell == "" {
 		return "refuse"
@@ -77,13 +77,13 @@
 
 type cellsExplainCmd struct {
 	File   string   `name:"file" arg:"" help:"The features file."`
-	Family int      `name:"family" help:"Group of the object, 0 to 255."`
+	Family int      `name:"family" help:"Purge group (family) of the object, 0 to 255."`
 	Class  string   `name:"class" help:"Class of the request."`
 	Object string   `name:"object" help:"The object, in hex."`
-	Now    float64  `name:"now" help:"Unix milliseconds; the clock's if left out." hidden:""`
-	Tenant string   `name:"tenant" help:"The tenant as the front names it."`
-	Site   string   `name:"depot" help:"The depot."`
-	Caches []string `name:"caches" help:"Ids of the depot's caches."`
+	Now    float64  `name:"now" help:"The time to use, in Unix milliseconds; left out: the current time." hidden:""`
+	Tenant string   `name:"tenant" help:"The tenant that the client names."`
+	Site   string   `name:"depot" help:"The site (depot in the features file)."`
+	Caches []string `name:"caches" help:"Ids of the site's caches."`
 }
 
 // Run prints the request's tenant, cell and caches, and the tenant's migrations.
@@ -99,7 +99,7 @@
 	fmt.Fprintf(out, "keys[%d]: tenant %s, cell %s; no live cache: %s",
 		explained.KeyIndex, explained.Tenant, explained.Cell, fallbackText(explained.FallbackCell))
 	if explained.OverflowCell != "" {
-		fmt.Fprintf(out, "; no room: use %s", explained.OverflowCell)
+		fmt.Fprintf(out, "; overflow: use %s", explained.OverflowCell)
 	}
 	if len(c.Caches) > 0 {
 		fmt.Fprintf(out, "; caches %s", strings.Join(explained.Caches, ","))
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// printMigrations prints a tenant's migrations at the site, and with an object which side it is on.
+// printMigrations prints a tenant's migrations at the site, and with --object the share at which the object migrates.
 func (c *cellsExplainCmd) printMigrations(out io.Writer, document *migration.Document, tenant string) {
 	for i := range document.Migrations {
 		m := &document.Migrations[i]
@@ -120,15 +120,16 @@
 		}
 		printMigration(out, m, nowOr(c.Now))
 		if c.Object != "" {
-			fmt.Fprintf(out, "object %s is at %.1f%% of the order: it goes to %s once the share is past that, to %s before\n",
+			fmt.Fprintf(out,
+				"object %s is at %.1f%% of the migration order: it uses %s once the migrated share is greater, %s before\n",
 				c.Object, 100*m.Position(c.Object), m.To, m.From)
 		}
 	}
 }
 
 type cellsDiffCmd struct {
-	Old string `name:"old" arg:"" help:"The file in force."`
-	New string `name:"new" arg:"" help:"The file to come."`
+	Old string `name:"old" arg:"" help:"The current features file."`
+	New string `name:"new" arg:"" help:"The new features file."`
 }
 
 // Run prints a line for each change of the cells.
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// cellAtSite returns a tenant's cell at a site.
+// cellAtSite returns a tenant's cell at a site, which may differ from its default cell.
 func cellAtSite(tenant *cells.Tenant, site string) string {
 	if cell, differs := tenant.CellBySite[site]; differs {
 		return cell
--- a/cmd/spanctl/cells_plan.go
+++ b/cmd/spanctl/cells_plan.go
@@ -10,18 +10,18 @@
 )
 
 type cellsPlanCmd struct {
-	File          string   `name:"file" arg:"" help:"The features file in force: its cells, and the present cell of each tenant."`
-	Demand        []string `name:"demand" required:"" help:"Logs of routers with their lines 'demand', of which the last of each log counts, or JSON files with a list of {name, loads, worth}."`
-	MaxCellWeight float64  `name:"most-worth" help:"The greatest part of all priority weight (worth) that one cell may hold; 0: any."`
-	MaxMigrations int      `name:"most-moves" default:"-1" help:"Tenants that may change their cell; -1: any number."`
+	File          string   `name:"file" arg:"" help:"The current features file, with the cells and the current cell of each tenant."`
+	Demand        []string `name:"demand" required:"" help:"Logs of routers, of which the last record 'demand' is used, or JSON files with a list of {name, loads, worth}."`
+	MaxCellWeight float64  `name:"most-worth" help:"Largest fraction of the total priority weight (worth) that one cell may have; 0: no bound."`
+	MaxMigrations int      `name:"most-moves" default:"-1" help:"Largest number of tenants that may change their cell; -1: no bound."`
 	Seed          uint64   `name:"seed" default:"1" help:"Seed of the search."`
 }
 
-// newTenant is the current cell of a tenant that the file does not have yet.
+// newTenant is the current cell of a tenant that is not in the file yet.
 const newTenant = -1
 
-// Run proposes a cell for each tenant and prints those that change theirs. Even if no proposal keeps the bounds, the
-// one that comes nearest is printed, and the error returned.
+// Run proposes a cell for each tenant and prints the tenants whose cell changes. If no proposal is within the bounds,
+// it prints the closest one and returns an error.
 func (c *cellsPlanCmd) Run(out io.Writer) error {
 	_, spec, err := loadCellSpec(c.File)
 	if err != nil {
@@ -71,7 +71,8 @@
 }
 
 func printProposal(out io.Writer, spec *cells.Spec, tenants []plan.Demand, p plan.Plan) {
-	fmt.Fprintf(out, "worst cell %.3f of an even one, bound %.3f, %d moves, at most %.3f of the worth in one cell\n",
+	fmt.Fprintf(out,
+		"highest load %.3f of an even one, lower bound %.3f, %d migrations, at most %.3f of the worth in one cell\n",
 		p.MaxLoad, p.MaxLoadLowerBound, p.Migrations, p.MaxPriorityShare)
 	for i, tenant := range tenants {
 		proposed := spec.Cells[p.CellByTenant[i]].Name
--- a/cmd/spanctl/cells_test.go
+++ b/cmd/spanctl/cells_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 func TestCommandsOnCells(t *testing.T) {
-	put := folder(t)
-	old := put("old.jsonnet", cellsFile("1", "a"))
-	next := put("new.jsonnet", cellsFile("2", "b"))
-	demand := put("demand.json", `[{"name":"t","loads":[3,1],"worth":5},{"name":"u","loads":[3,1],"worth":5},`+
+	writeFile := newFileWriter(t)
+	old := writeFile("old.jsonnet", cellsFile("1", "a"))
+	next := writeFile("new.jsonnet", cellsFile("2", "b"))
+	demand := writeFile("demand.json", `[{"name":"t","loads":[3,1],"worth":5},{"name":"u","loads":[3,1],"worth":5},`+
 		`{"name":"v","loads":[0.1,0.1],"worth":1}]`)
-	log := put("n0.log", `{"level":"info","message":"serving"}`+"\n"+
+	log := writeFile("n0.log", `{"level":"info","message":"serving"}`+"\n"+
 		`{"message":"demand","demand":[{"name":"t","loads":[9,9],"worth":9}]}`+"\n"+
 		`{"message":"demand","demand":[{"name":"t","loads":[1,2],"worth":3},{"name":"u","loads":[1,2],"worth":3}]}`+
 		"\nno JSON\n")
@@ -23,7 +23,8 @@
 		{"cells diff " + next + " F", "version 1 is not after 2\n", ""},
 		{"cells plan F --demand " + demand, "t: from a to b", ""},
 		{"cells plan F --demand " + demand + " --most-worth 0.1", "", "no assignment keeps the bound on worth"},
-		{"cells plan F --demand " + log + "," + log, "worst cell 1.000 of an even one, bound 1.000, 1 moves", ""},
+		{"cells plan F --demand " + log + "," + log,
+			"highest load 1.000 of an even one, lower bound 1.000, 1 migrations", ""},
 		{"cells plan F --demand " + log + "," + demand, "v: new, to b\n", ""},
 		{"cells show ../../deploy/features.jsonnet", "", "cells are off"},
 		{"check " + demand, "", "is not an object"},
--- a/cmd/spanctl/check.go
+++ b/cmd/spanctl/check.go
@@ -10,10 +10,11 @@
 
 type checkCmd struct {
 	File   string `name:"file" arg:"" optional:"" help:"The features file."`
-	Schema bool   `name:"schema" help:"Prints the JSON Schema of the file instead."`
+	Schema bool   `name:"schema" help:"Print the JSON Schema of features files instead."`
 }
 
-// Run checks the file and prints a line for each feature that is on.
+// Run checks the file and prints a line for each feature that is on, and one if cells are off. With --schema it prints
+// the JSON Schema.
 func (c *checkCmd) Run(out io.Writer) error {
 	if c.Schema {
 		text, err := schema.JSON()
@@ -39,17 +40,17 @@
 		fmt.Fprintln(out, "cells: off")
 	}
 	if document := f.ActiveMigration(); document != nil {
-		fmt.Fprintf(out, "moves: on, version %d, %d moves\n", document.Version, len(document.Migrations))
+		fmt.Fprintf(out, "moves: on, version %d, %d migrations\n", document.Version, len(document.Migrations))
 	}
 	if release := f.ActiveRollout(); release != nil {
-		fmt.Fprintf(out, "stage: on, %s version %d, %d rings\n", release.Name, release.Version, len(release.Rings))
+		fmt.Fprintf(out, "stage: on, release %s version %d, %d rings\n", release.Name, release.Version, len(release.Rings))
 	}
 	if topology := &f.Topology; topology.Enabled {
-		fmt.Fprintf(out, "shape: on, version %d, %d depots, %d areas, %d ways\n",
+		fmt.Fprintf(out, "shape: on, version %d, %d sites, %d parent groups, %d links\n",
 			topology.Version, len(topology.Sites), len(topology.ParentGroups), len(topology.Links))
 	}
 	if limit := f.ActiveOriginLimit(); limit != nil {
-		fmt.Fprintf(out, "shield: on, %s, %v at once, %v of them kept for uncacheable requests\n",
+		fmt.Fprintf(out, "shield: on, %s, %v fills in flight, fraction %v reserved for uncacheable requests\n",
 			limit.Algorithm, limit.MaxInFlight, limit.Reserve)
 	}
 }
--- a/cmd/spanctl/demand.go
+++ b/cmd/spanctl/demand.go
@@ -10,17 +10,17 @@
 	"spantack/core/cells"
 )
 
-// Places of the loads in a tenant's demand, all per second.
+// Indexes of the loads in a tenant's demand, all per second.
 const (
 	loadRequests = iota
-	loadKB       // of answers
-	loadFillKB   // of answers that are filled
+	loadKB       // of responses
+	loadFillKB   // of responses that are filled
 )
 
-// maxLoad bounds a load or weight of a demand.
+// maxLoad is the exclusive upper bound of a load or priority weight.
 const maxLoad = 1e15
 
-// gatherDemand sums up the demand in all files by tenant.
+// gatherDemand returns the demand of each tenant, summed over all files.
 func gatherDemand(files []string) ([]cells.TenantDemand, error) {
 	var all []cells.TenantDemand
 	index := map[string]int{} // by tenant
@@ -40,7 +40,7 @@
 				continue
 			}
 			if len(all[at].Loads) != len(demand.Loads) {
-				return nil, fmt.Errorf("%s[%d]: %d loads of %s, %d before",
+				return nil, fmt.Errorf("%s[%d]: %d loads of %s, but %d before",
 					file, i, len(demand.Loads), demand.Name, len(all[at].Loads))
 			}
 			for r, load := range demand.Loads {
@@ -55,13 +55,13 @@
 func checkDemand(demand cells.TenantDemand) error {
 	for _, load := range append(slices.Clone(demand.Loads), demand.PriorityWeight) {
 		if !(load >= 0 && load < maxLoad) {
-			return fmt.Errorf("%v is no load: must be 0 or more and below %v", load, maxLoad)
+			return fmt.Errorf("load %v: must be 0 or more and below %v", load, maxLoad)
 		}
 	}
 	return nil
 }
 
-// readDemand reads one file: a JSON list, or a router's log, of which the last record of demand counts.
+// readDemand reads the demand in one file: a JSON list, or a router's log, of which the last record 'demand' is used.
 func readDemand(file string) ([]cells.TenantDemand, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -78,13 +78,13 @@
 		Demand []cells.TenantDemand `json:"demand"`
 	}
 	if !lastLogRecord(text, "demand", &record) {
-		return nil, fmt.Errorf("%s: neither a list nor a log with a line 'demand'", file)
+		return nil, fmt.Errorf("%s: neither a JSON list nor a log with a record 'demand'", file)
 	}
 	return record.Demand, nil
 }
 
-// lastLogRecord decodes the last record of a router's log that has a message, and reports whether there is one. Lines
-// that are no records are skipped.
+// lastLogRecord decodes the last record with a message in a router's log, and reports whether there is one. Lines that
+// can't be decoded are skipped.
 func lastLogRecord(log []byte, message string, into any) bool {
 	found := false
 	for line := range bytes.Lines(log) {
@@ -101,14 +101,14 @@
 	return found
 }
 
-// readLogRecord reads the last record of a router's log file that has a message, which must be there.
+// readLogRecord decodes the last record with a message in a router's log file. It returns an error if there is none.
 func readLogRecord(file, message string, into any) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
 	if !lastLogRecord(text, message, into) {
-		return fmt.Errorf("%s: no line '%s'", file, message)
+		return fmt.Errorf("%s: no record '%s'", file, message)
 	}
 	return nil
 }
--- a/cmd/spanctl/document.go
+++ b/cmd/spanctl/document.go
@@ -15,21 +15,21 @@
 	"spantack/internal/features"
 )
 
-// Commands that change migrations or a rollout read the features file and write a document beside it, which the
-// features file imports as its section. A document is checked as a whole before it is written, and written completely
-// or not at all.
+// Commands that change migrations or a rollout read the features file and write a document in the same folder, which
+// the features file imports as a section. A document is checked as a whole before it is written, and the write is
+// atomic.
 
-// documentFlags are the arguments that these commands share.
+// documentFlags are the arguments shared by these commands.
 type documentFlags struct {
-	File   string  `name:"file" arg:"" help:"The features file; its sections moves and stage are import 'moves.json' and import 'stage.json'."`
-	DryRun bool    `name:"dry-run" help:"Prints what would change and writes nothing."`
-	Now    float64 `name:"now" help:"The time to use, Unix milliseconds; the clock's if left out." hidden:""`
+	File   string  `name:"file" arg:"" help:"The features file, with the sections moves: import 'moves.json' and stage: import 'stage.json'."`
+	DryRun bool    `name:"dry-run" help:"Print what would change and write nothing."`
+	Now    float64 `name:"now" help:"The time to use, in Unix milliseconds; left out: the current time." hidden:""`
 }
 
 // now returns the time to use, in Unix milliseconds.
 func (d *documentFlags) now() float64 { return nowOr(d.Now) }
 
-// nowOr returns a time given as a flag, or the clock's if it was left out.
+// nowOr returns a flag's time, or the current time if the flag was left out, in Unix milliseconds.
 func nowOr(flag float64) float64 {
 	if flag > 0 {
 		return flag
@@ -37,23 +37,23 @@
 	return (&clock.Clock{}).Now()
 }
 
-// load loads the features file, in which cells must be on.
+// load loads the features file. It returns an error if cells are off.
 func (d *documentFlags) load() (*features.File, error) {
 	f, _, err := loadCellSpec(d.File)
 	return f, err
 }
 
-// section is a section of the features file that a command writes to a document of its own.
+// section is a section of the features file that a command writes to a separate document.
 type section struct {
 	name     string // in the features file
 	document string // file name
 	version  int64
 	content  any
-	// isTakenFrom reports whether a features file, loaded again, has the section as it was written.
-	isTakenFrom func(*features.File) bool
+	// isImportedBy reports whether a features file, loaded after the write, has the section as it was written.
+	isImportedBy func(*features.File) bool
 }
 
-// save checks the next features file against the one in force and writes its changed section, unless it is a dry run.
+// save checks the next features file against the current one, and writes the changed section unless it is a dry run.
 func (d *documentFlags) save(out io.Writer, inForce, next *features.File, s section) error {
 	if err := next.CheckReplaces(d.now(), inForce); err != nil {
 		return err
@@ -65,8 +65,8 @@
 	return d.write(out, s)
 }
 
-// write replaces a section's document. It restores the old one if the features file does not import its section from
-// there.
+// write replaces a section's document. If the features file does not import the section from it, write restores the old
+// document and returns an error.
 func (d *documentFlags) write(out io.Writer, s section) error {
 	text, err := json.MarshalIndent(s.content, "", "  ")
 	if err != nil {
@@ -78,20 +78,20 @@
 		return err
 	}
 	after, err := features.Load(d.File)
-	if err != nil || !s.isTakenFrom(after) {
+	if err != nil || !s.isImportedBy(after) {
 		if readErr == nil {
 			err = errors.Join(err, writeFileAtomically(path, before))
 		} else {
 			err = errors.Join(err, os.Remove(path))
 		}
-		return errors.Join(fmt.Errorf("%s does not take its section %s from %s: it must be import '%s'",
+		return errors.Join(fmt.Errorf("%s does not import its section %s from %s: the section must be import '%s'",
 			d.File, s.name, path, s.document), err)
 	}
 	fmt.Fprintf(out, "%s: version %d written; send SIGHUP to the routers\n", path, s.version)
 	return nil
 }
 
-// writeFileAtomically writes a file completely or not at all.
+// writeFileAtomically writes a temporary file and renames it to path.
 func writeFileAtomically(path string, text []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
@@ -108,13 +108,13 @@
 	return err
 }
 
-// compileCells compiles the cells of a features file in which they are on.
+// compileCells compiles the cells of a features file, in which they must be on.
 func compileCells(f *features.File) (*cells.Assignment, error) { return cells.Compile(f.CellSpec()) }
 
-// millis converts a duration to milliseconds, in which documents have times.
+// millis converts a duration to milliseconds, the unit of times in documents.
 func millis(d time.Duration) float64 { return float64(d.Milliseconds()) }
 
-// formatTime formats Unix milliseconds. A time that never comes is that of a paused migration.
+// formatTime formats Unix milliseconds. An infinite time is the end of a paused migration.
 func formatTime(ms float64) string {
 	if math.IsInf(ms, 0) {
 		return "until resumed"
--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -16,24 +16,24 @@
 
 type cellsDrainCmd struct {
 	documentFlags
-	Cell           string   `name:"cell" arg:"" help:"The cell to be drained."`
-	Targets        []string `name:"into" required:"" help:"The cells that its tenants go to: each to the one with most capacity left."`
-	Demand         []string `name:"demand" required:"" help:"Logs or lists as for plan: of all routers of one depot."`
-	Site           string   `name:"depot" default:"*" help:"The depot; * for all."`
-	CapacityKBPerS float64  `name:"bears-kb-s" required:"" help:"KB a second that all caches of the depot send at most."`
-	OriginFraction float64  `name:"deep" default:"0.2" help:"Part of fills that reach the head office."`
+	Cell           string   `name:"cell" arg:"" help:"The cell to drain."`
+	Targets        []string `name:"into" required:"" help:"The cells to which its tenants migrate, each to the one with the most capacity left."`
+	Demand         []string `name:"demand" required:"" help:"Logs or JSON files, as for plan, of all routers of the site."`
+	Site           string   `name:"depot" default:"*" help:"The site (depot in the features file); * for all."`
+	CapacityKBPerS float64  `name:"bears-kb-s" required:"" help:"Send capacity of all caches of the site together, in KB/s."`
+	OriginFraction float64  `name:"deep" default:"0.2" help:"Fraction of fills that reach the origin, 0 to 1."`
 	pace
 }
 
-// cellDrain plans the migrations of one cell's tenants.
+// cellDrain is the state of planning the migrations of a cell's tenants.
 type cellDrain struct {
 	cmd         *cellsDrainCmd
 	spec        *cells.Spec
 	now         float64
 	demand      []cells.TenantDemand
 	cellOf      map[string]string  // by tenant, at the site
-	usedKBPerS  map[string]float64 // by cell: demand of its tenants
-	fillKBPerS  map[string]float64 // by cell: fills of its tenants
+	usedKBPerS  map[string]float64 // by cell: KB/s that its tenants request
+	fillKBPerS  map[string]float64 // by cell: KB/s that are filled for its tenants
 	constraints schedule.Constraints
 	requests    map[string]schedule.Request // by tenant
 }
@@ -53,11 +53,11 @@
 		return err
 	}
 	for _, tenant := range slices.Sorted(maps.Keys(planned.Unscheduled)) {
-		fmt.Fprintf(out, "%s stays: %s\n", tenant, planned.Unscheduled[tenant])
+		fmt.Fprintf(out, "%s is not migrated: %s\n", tenant, planned.Unscheduled[tenant])
 	}
 	drain.addIdleTenants(planned)
 	if len(planned.Migrations) == 0 {
-		return fmt.Errorf("nobody moves out of %s", c.Cell)
+		return fmt.Errorf("no tenant can be migrated out of %s", c.Cell)
 	}
 	for _, m := range planned.Migrations {
 		document.Migrations = append(dropEnded(document.Migrations, drain.now, m.Tenant), m)
@@ -67,13 +67,13 @@
 	return c.saveMigrations(out, f, document)
 }
 
-// newDrain checks the flags, reads the demand, and sets the limits of the schedule.
+// newDrain checks the flags, reads the demand, and sets the constraints of the schedule.
 func (c *cellsDrainCmd) newDrain(spec *cells.Spec) (*cellDrain, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	if !(c.CapacityKBPerS > 0) || !(c.OriginFraction >= 0 && c.OriginFraction <= 1) {
-		return nil, errors.New("--bears-kb-s: above 0; --deep: 0 to 1")
+		return nil, errors.New("--bears-kb-s must be above 0, and --deep 0 to 1")
 	}
 	demand, err := gatherDemand(c.Demand)
 	if err != nil {
@@ -97,18 +97,18 @@
 	}
 	for _, cell := range append(slices.Clone(c.Targets), c.Cell) {
 		if _, known := d.constraints.Cells[cell]; !known {
-			return nil, fmt.Errorf("%q is no cell", cell)
+			return nil, fmt.Errorf("unknown cell %q", cell)
 		}
 	}
 	return d, nil
 }
 
-// setConstraints sets the limits that the schedule keeps: what cells and links have left beside the present demand.
+// setConstraints sets the constraints of the schedule: the capacity of cells and links that the current demand leaves.
 func (d *cellDrain) setConstraints() error {
 	siteFill := 0.0
 	for _, tenant := range d.demand {
 		if len(tenant.Loads) <= loadFillKB {
-			return fmt.Errorf("demand of %s: requests, KB and KB to be filled a second are needed", tenant.Name)
+			return fmt.Errorf("demand of %s: must have requests, KB and filled KB per second", tenant.Name)
 		}
 		cell := d.cellOf[tenant.Name]
 		d.usedKBPerS[cell] += tenant.Loads[loadKB]
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// chooseTargets returns a request for each of the cell's tenants with demand, to the target with most capacity left
-// after those before it.
+// chooseTargets returns a request for each of the cell's tenants with demand. Each goes to the target with the most
+// capacity left after the requests before it.
 func (d *cellDrain) chooseTargets() []schedule.Request {
 	arriving := map[string]float64{} // KB/s by cell
 	left := func(cell string) float64 {
@@ -166,8 +166,7 @@
 	return requests
 }
 
-// addIdleTenants schedules the cell's tenants without demand after the others, to the first target: nothing is filled
-// for them.
+// addIdleTenants schedules the cell's tenants without demand after the others, to the first target. They need no fills.
 func (d *cellDrain) addIdleTenants(planned *schedule.Schedule) {
 	for _, tenant := range d.spec.Tenants {
 		_, hasDemand := d.requests[tenant.Name]
@@ -187,15 +186,17 @@
 	}
 }
 
-// printSchedule prints how long the migrations take, how near they come to the limits, and what cells gain and lose.
+// printSchedule prints the duration of the schedule, the peak use of each limit, and the change of load of each cell.
 func (d *cellDrain) printSchedule(out io.Writer, planned *schedule.Schedule) {
-	fmt.Fprintf(out, "%d tenants move within %s; no plan within the limits takes less than %s\n", len(planned.Migrations),
+	fmt.Fprintf(out, "%d tenants migrate within %s; no schedule within the limits takes less than %s\n",
+		len(planned.Migrations),
 		formatDuration(planned.End-d.constraints.Start), formatDuration(planned.LowerBound-d.constraints.Start))
 	for _, limit := range slices.Sorted(maps.Keys(planned.PeakUse)) {
 		fmt.Fprintf(out, "%s: %.0f%% of its limit at most\n", limit, 100*planned.PeakUse[limit])
 	}
 	for _, cycle := range schedule.Cycles(&migration.Document{Migrations: planned.Migrations}) {
-		fmt.Fprintf(out, "go at one pace, since each needs the room of the next: %s\n", strings.Join(cycle, ", "))
+		fmt.Fprintf(out, "migrate at the same pace, since each needs capacity that the next one frees: %s\n",
+			strings.Join(cycle, ", "))
 	}
 	printCellLoads(out, d.spec, planned.Migrations, d.requests)
 }
--- a/cmd/spanctl/main.go
+++ b/cmd/spanctl/main.go
@@ -1,6 +1,6 @@
-// Command spanctl is the operators' command. It checks a features file, explains what it does with a request, plans
-// cells, migrations, rollouts and fills, and writes the documents for them, all from files alone. `spanctl router`
-// makes management calls to running routers.
+// Command spanctl is the command for operators. It checks features files, explains how a request is assigned, plans
+// cells, migrations, rollouts and fills, and writes the documents for them. These commands use only files;
+// `spanctl router` makes management calls to running routers.
 package main
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli has the commands. Those with an alias had that name in earlier releases; it is still accepted, but not shown in
-// the help.
+// cli defines the commands. Aliases are the names of commands in earlier releases. They are still accepted, but not
+// shown in the help.
 type cli struct {
-	Check    checkCmd    `name:"check" cmd:"" help:"Checks a features file as the router would; one line for the first error, exit code 1."`
-	Topology topologyCmd `name:"topology" aliases:"shape" cmd:"" help:"Which sites and areas fill from which: show, diff, plan."`
-	Rollout  rolloutCmd  `name:"rollout" aliases:"stage" cmd:"" help:"Releases admitted to cells ring by ring: start, status, stop."`
-	Router   routerCmd   `name:"router" cmd:"" help:"Management calls to running routers: ready, metrics, exclude, include, drain, rejoin."`
-	Cells    cellsCmd    `name:"cells" cmd:"" help:"Cells: show, explain, diff, plan; and migrations of tenants between them: migration, migrate, drain, pause, resume, rollback, finalize."`
+	Check    checkCmd    `name:"check" cmd:"" help:"Check a features file as the router does; prints the first error, with exit code 1."`
+	Topology topologyCmd `name:"topology" aliases:"shape" cmd:"" help:"Levels of sites and parent groups, and their fills: show, diff, plan."`
+	Rollout  rolloutCmd  `name:"rollout" aliases:"stage" cmd:"" help:"Rollout of a release to cells, ring by ring: start, status, stop."`
+	Router   routerCmd   `name:"router" cmd:"" help:"Make management calls to running routers: ready, metrics, exclude, include, drain, rejoin."`
+	Cells    cellsCmd    `name:"cells" cmd:"" help:"Cells: show, explain, diff, plan; migrations of tenants between cells: migration, migrate, drain, pause, resume, rollback, finalize."`
 }
 
 func main() {
@@ -28,7 +28,7 @@
 	}
 }
 
-// run parses and runs one command line.
+// run parses and executes a command line. Commands print to out.
 func run(args []string, out io.Writer) error {
 	var c cli
 	parser, err := newParser(&c)
@@ -44,11 +44,12 @@
 }
 
 func newParser(c *cli) (*kong.Kong, error) {
-	return kong.New(c, kong.Name("spanctl"), kong.Description("Checks, explains and plans what routers are told."),
-		kong.Help(helpWithoutAliases))
+	return kong.New(c, kong.Name("spanctl"),
+		kong.Description("Checks features files, plans changes of them, and manages routers."), kong.Help(helpWithoutAliases))
 }
 
-// helpWithoutAliases prints the help, in which kong would show the aliases beside the names. The program ends after it.
+// helpWithoutAliases prints the help without the aliases that kong would show. It removes them from the parser, which
+// is safe because the program exits after the help.
 func helpWithoutAliases(options kong.HelpOptions, ctx *kong.Context) error {
 	var removeAliases func(node *kong.Node)
 	removeAliases = func(node *kong.Node) {
--- a/cmd/spanctl/main_test.go
+++ b/cmd/spanctl/main_test.go
@@ -9,24 +9,24 @@
 	"testing"
 )
 
-// cellsText is a features file with two cells: %V stands for the version, %C for the cell of tenant u.
+// cellsText is a features file with two cells, with placeholders %V for the version and %C for the cell of tenant u.
 const cellsText = `{ cells: { enabled: true, version: %V, scheme: 'fixed',
   cells: [{ name: 'a', share: 0.5, spill: 'b' }, { name: 'b', share: 0.5 }],
   tenants: [{ name: 't', cell: 'a' }, { name: 'u', cell: '%C' }],
   keys: [{ families: [1, 2], tenant: 'u' }, { tenant: 't' }], budget: {} } }`
 
-// cellsFile returns cellsText with a version and a cell.
+// cellsFile returns cellsText with a version and a cell of tenant u.
 func cellsFile(version, cell string) string {
 	return strings.NewReplacer("%V", version, "%C", cell).Replace(cellsText)
 }
 
-// withSection returns a features file with one more section, which it imports.
+// withSection returns a features file with one more section, imported from a document.
 func withSection(file, name, document string) string {
 	return strings.TrimSuffix(strings.TrimSpace(file), "}") + ", " + name + ": import '" + document + "' }"
 }
 
-// folder returns a function that writes a file to a new folder and returns its path.
-func folder(t *testing.T) func(name, text string) string {
+// newFileWriter returns a function that writes a file to a new temporary folder and returns its path.
+func newFileWriter(t *testing.T) func(name, text string) string {
 	dir := t.TempDir()
 	return func(name, text string) string {
 		t.Helper()
@@ -38,20 +38,20 @@
 	}
 }
 
-// commandCase is a command line, with what it must print and its error; no error if that is empty.
+// commandCase is a command line, with text that its output and its error must contain. An empty err means no error.
 type commandCase struct{ args, out, err string }
 
-// runCases runs command lines in turn. F stands for the features file.
+// runCases runs command lines one after the other. F in them is replaced by the path of the features file.
 func runCases(t *testing.T, file string, cases []commandCase) {
 	t.Helper()
 	for _, c := range cases {
-		command(t, strings.ReplaceAll(c.args, " F", " "+file), c.out, c.err)
+		runCommand(t, strings.ReplaceAll(c.args, " F", " "+file), c.out, c.err)
 	}
 }
 
-// command runs a command line, which must print out, and fail with err or, if that is empty, not at all. It returns
-// all that was printed.
-func command(t *testing.T, args, out, err string) string {
+// runCommand runs a command line. Its output must contain out, and its error err; an empty err means no error. It
+// returns the output.
+func runCommand(t *testing.T, args, out, err string) string {
 	t.Helper()
 	var printed bytes.Buffer
 	got := run(strings.Fields(args), &printed)
@@ -64,8 +64,8 @@
 	return printed.String()
 }
 
-// Names of commands from earlier releases select the same commands with the same arguments. A line here has all that
-// the command needs; testdata/commandlines.txt has every flag.
+// Guards against command names of earlier releases that are rejected or select another command. The lines here have the
+// required arguments; testdata/commandlines.txt has all flags.
 func TestOldCommandNamesAreAccepted(t *testing.T) {
 	const (
 		pace    = " --in 1s --warm 2s --shift 10s --slow 2 --settle 3s"
@@ -91,13 +91,13 @@
 			oldValues, oldCommand := parsed(t, c.old)
 			newValues, newCommand := parsed(t, c.new)
 			if oldCommand != newCommand || !reflect.DeepEqual(oldValues, newValues) {
-				t.Errorf("parsed as %s, %+v; the new name as %s, %+v", oldCommand, oldValues, newCommand, newValues)
+				t.Errorf("parsed as %s, %+v; with the new name as %s, %+v", oldCommand, oldValues, newCommand, newValues)
 			}
 		})
 	}
 }
 
-// parsed returns the arguments of a command line, and the command that it selects.
+// parsed returns the values of a command line, and the command that it selects.
 func parsed(t *testing.T, line string) (cli, string) {
 	t.Helper()
 	var c cli
@@ -112,7 +112,7 @@
 	return c, ctx.Command()
 }
 
-// The help shows the names of commands, but not those that they had in earlier releases.
+// Guards against a help that lacks names of commands, or shows names from earlier releases.
 func TestHelpHidesOldCommandNames(t *testing.T) {
 	var c cli
 	parser, err := newParser(&c)
@@ -123,17 +123,17 @@
 	parser.Stdout = &printed
 	parser.Exit = func(int) {}
 	if _, err := parser.Parse([]string{"--help"}); err != nil {
-		t.Logf("after the help: %v", err) // the program has ended there
+		t.Logf("after the help: %v", err) // only here, where Exit does nothing, the parser continues after the help
 	}
 	help := printed.String()
 	for _, name := range []string{"topology show", "rollout start", "router drain", "cells migrate"} {
 		if !strings.Contains(help, name) {
-			t.Errorf("no %s in %s", name, help)
+			t.Errorf("the help lacks %s: %s", name, help)
 		}
 	}
 	for _, name := range []string{"shape", "(stage", "evacuate", "(move"} {
 		if strings.Contains(help, name) {
-			t.Errorf("%s in %s", name, help)
+			t.Errorf("the help has %s: %s", name, help)
 		}
 	}
 }
--- a/cmd/spanctl/migrate.go
+++ b/cmd/spanctl/migrate.go
@@ -11,16 +11,16 @@
 	"spantack/core/migration/schedule"
 )
 
-// pace is how fast migrations run.
+// pace has the durations of migrations.
 type pace struct {
-	StartDelay     time.Duration `name:"in" default:"30s" help:"Until the first begins: routers must have the document by then."`
-	WarmDuration   time.Duration `name:"warm" help:"For the hot objects alone, named with --hot."`
-	ShiftDuration  time.Duration `name:"shift" default:"60s" help:"For the others, at the soonest; 10s or more."`
-	MaxSlowdown    float64       `name:"slow" default:"5" help:"Multiple of the shift that a migration may take while cells are replaced or answer late."`
-	SettleDuration time.Duration `name:"settle" default:"60s" help:"For so long after that, the old cell takes what the new one has no capacity for."`
+	StartDelay     time.Duration `name:"in" default:"30s" help:"Time until the first starts. Routers must have loaded the document by then."`
+	WarmDuration   time.Duration `name:"warm" help:"Time in which only the hot objects (--hot) migrate."`
+	ShiftDuration  time.Duration `name:"shift" default:"60s" help:"Shortest time in which the other objects migrate; 10s or more."`
+	MaxSlowdown    float64       `name:"slow" default:"5" help:"Longest time for that while cells are replaced or respond late, as a multiple of --shift."`
+	SettleDuration time.Duration `name:"settle" default:"60s" help:"Time after that in which the old cell takes requests for which the new one has no capacity."`
 }
 
-// maxSlowdownLimit is the greatest MaxSlowdown.
+// maxSlowdownLimit is the upper bound of MaxSlowdown.
 const maxSlowdownLimit = 1000
 
 func (p *pace) validate() error {
@@ -28,22 +28,23 @@
 	valid := p.StartDelay >= 0 && p.WarmDuration >= 0 && p.SettleDuration >= 0 &&
 		p.ShiftDuration >= shortestShift && p.MaxSlowdown >= 1 && p.MaxSlowdown <= maxSlowdownLimit
 	if !valid {
-		return fmt.Errorf("--in, --warm, --settle 0 or more, --shift %s or more, --slow 1 to %d", shortestShift, maxSlowdownLimit)
+		return fmt.Errorf("--in, --warm and --settle must be 0 or more, --shift %s or more, --slow 1 to %d",
+			shortestShift, maxSlowdownLimit)
 	}
 	return nil
 }
 
 type migrateCmd struct {
 	documentFlags
-	Tenant     string   `name:"tenant" arg:"" help:"The tenant."`
-	TargetCell string   `name:"to" required:"" help:"The cell that it goes to."`
-	Site       string   `name:"depot" default:"*" help:"The depot; * for all."`
-	HotObjects []string `name:"hot" help:"Objects that go first, hottest first."`
-	Demand     []string `name:"demand" help:"Logs or lists as for plan, to print what load cells will get."`
+	Tenant     string   `name:"tenant" arg:"" help:"The tenant to migrate."`
+	TargetCell string   `name:"to" required:"" help:"The cell to which it migrates."`
+	Site       string   `name:"depot" default:"*" help:"The site (depot in the features file); * for all."`
+	HotObjects []string `name:"hot" help:"Objects that migrate first, hottest first."`
+	Demand     []string `name:"demand" help:"Logs or JSON files, as for plan, to print the change of load of cells."`
 	pace
 }
 
-// Run adds a migration of the tenant to the document.
+// Run adds a migration of the tenant to the document and prints it.
 func (c *migrateCmd) Run(out io.Writer) error {
 	f, document, err := c.loadMigrations()
 	if err != nil {
@@ -55,7 +56,7 @@
 	spec := f.CellSpec()
 	at := slices.IndexFunc(spec.Tenants, func(t cells.Tenant) bool { return t.Name == c.Tenant })
 	if at < 0 {
-		return fmt.Errorf("%q is no tenant", c.Tenant)
+		return fmt.Errorf("unknown tenant %q", c.Tenant)
 	}
 	now := c.now()
 	added := migration.Migration{
@@ -80,13 +81,13 @@
 	return c.saveMigrations(out, f, document)
 }
 
-// dropEnded removes a tenant's migrations that are over, so that it may move again.
+// dropEnded removes a tenant's migrations that are over, so that a new one can be added.
 func dropEnded(all []migration.Migration, now float64, tenant string) []migration.Migration {
 	return slices.DeleteFunc(all, func(m migration.Migration) bool { return m.Tenant == tenant && isOver(&m, now) })
 }
 
-// requestFor returns the request for a migration by its tenant, from the tenant's demand in files; none if there is
-// no demand.
+// requestFor returns the scheduler's request for a migration, by tenant, from the tenant's demand in files. The map is
+// empty if there is no demand.
 func requestFor(m *migration.Migration, files []string) (map[string]schedule.Request, error) {
 	requests := map[string]schedule.Request{}
 	demand, err := gatherDemand(files)
@@ -98,20 +99,25 @@
 			continue
 		}
 		if len(d.Loads) <= loadKB {
-			return nil, fmt.Errorf("demand of %s: requests and KB a second are needed", d.Name)
+			return nil, fmt.Errorf("demand of %s: must have requests and KB per second", d.Name)
 		}
 		requests[d.Name] = newRequest(d.Name, m.From, m.To, d.Loads[loadKB])
 	}
 	return requests, nil
 }
 
-// newRequest returns a request for the scheduler. What the new cell has to fill is estimated from the tenant's demand.
+// newRequest returns a request for the scheduler. The amount that the new cell has to fill is estimated as the tenant's
+// demand over schedule.WorkingSetSeconds.
 func newRequest(tenant, from, to string, kbPerS float64) schedule.Request {
-	return schedule.Request{Tenant: tenant, From: from, To: to, DemandKBPerS: kbPerS, FillKB: kbPerS * schedule.WorkingSetSeconds}
+	return schedule.Request{
+		Tenant: tenant, From: from, To: to, DemandKBPerS: kbPerS, FillKB: kbPerS * schedule.WorkingSetSeconds,
+	}
 }
 
-// printCellLoads prints what each cell gains and loses by migrations, as far as the tenants' requests are known.
-func printCellLoads(out io.Writer, spec *cells.Spec, migrations []migration.Migration, requests map[string]schedule.Request) {
+// printCellLoads prints the change of each cell's load by migrations, as far as the tenants' demand is known.
+func printCellLoads(
+	out io.Writer, spec *cells.Spec, migrations []migration.Migration, requests map[string]schedule.Request,
+) {
 	gain, fill := map[string]float64{}, map[string]float64{} // KB/s by cell
 	for _, m := range migrations {
 		request := requests[m.Tenant]
@@ -121,7 +127,7 @@
 	}
 	for _, cell := range spec.Cells {
 		if gain[cell.Name] != 0 || fill[cell.Name] != 0 {
-			fmt.Fprintf(out, "cell %s: %+.0f KB/s in the end; fills of %.0f KB/s at most if all its moves ran at once\n",
+			fmt.Fprintf(out, "cell %s: %+.0f KB/s at the end; fills of at most %.0f KB/s if all its migrations ran at once\n",
 				cell.Name, gain[cell.Name], fill[cell.Name])
 		}
 	}
--- a/cmd/spanctl/migration.go
+++ b/cmd/spanctl/migration.go
@@ -10,7 +10,8 @@
 	"spantack/internal/features"
 )
 
-// loadMigrations loads the features file and the migrations of it, none if the feature is off. They are a copy.
+// loadMigrations loads the features file and returns it with a copy of its migrations, which is empty if migrations are
+// off.
 func (d *documentFlags) loadMigrations() (*features.File, *migration.Document, error) {
 	f, err := d.load()
 	if err != nil {
@@ -28,7 +29,7 @@
 func (d *documentFlags) saveMigrations(out io.Writer, f *features.File, document *migration.Document) error {
 	document.Version++
 	if document.Migrations == nil {
-		document.Migrations = []migration.Migration{} // a list in the file, also if it is empty
+		document.Migrations = []migration.Migration{} // written as an empty list, not as null
 	}
 	assignment, err := compileCells(f)
 	if err != nil {
@@ -44,39 +45,40 @@
 		document: "moves.json",
 		version:  document.Version,
 		content:  next.Migration,
-		isTakenFrom: func(f *features.File) bool {
+		isImportedBy: func(f *features.File) bool {
 			return f.ActiveMigration() != nil && f.ActiveMigration().Version == document.Version
 		},
 	})
 }
 
-// isOver reports whether a migration has ended, in the new cell or rolled back.
+// isOver reports whether a migration is done or rolled back.
 func isOver(m *migration.Migration, now float64) bool {
 	phase := m.Phase(now)
 	return phase == migration.Done || phase == migration.RolledBack
 }
 
-// printMigration prints a migration's phase and what it does from now on.
+// printMigration prints a migration's phase, its share and its times.
 func printMigration(out io.Writer, m *migration.Migration, now float64) {
 	phase := m.Phase(now)
 	fmt.Fprintf(out, "%s in %s: %s to %s, %s", m.Tenant, m.Site, m.From, m.To, phase)
 	switch phase {
 	case migration.Planned, migration.Warming, migration.Shifting, migration.Settling, migration.Paused:
-		fmt.Fprintf(out, ", %.0f to %.0f%% over; begins %s, over %s at the soonest, needs no more looking at %s",
+		fmt.Fprintf(out, ", %.0f to %.0f%% migrated; starts %s, all migrated %s at the earliest, ends %s",
 			100*m.MinShare(now), 100*m.MaxShare(now),
 			formatTime(m.Start), formatTime(m.Start+m.WarmUp+m.MinShift), formatTime(m.EndsAt()))
 	case migration.RollingBack:
-		fmt.Fprintf(out, ", at most %.0f%% over, none from %s on", 100*m.MaxShare(now), formatTime(m.EndsAt()))
+		fmt.Fprintf(out, ", at most %.0f%% migrated, none from %s on", 100*m.MaxShare(now), formatTime(m.EndsAt()))
 	}
 	fmt.Fprintln(out)
 }
 
 type migrationListCmd struct {
 	documentFlags
-	Status []string `name:"status" help:"Logs of routers with lines 'moves', of which the last of each log counts: how far routers really are."`
+	Status []string `name:"status" help:"Logs of routers, to print their progress; the last record 'moves' of each is used."`
 }
 
-// progress is how far the routers are with a migration: shares of the tenant's objects that go to the new cell.
+// progress is the routers' progress in a migration: the lowest and highest share of the tenant's objects that a router
+// sends to the new cell.
 type progress struct {
 	minShare float64
 	maxShare float64
@@ -93,18 +95,18 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "version %d, %d moves\n", document.Version, len(document.Migrations))
+	fmt.Fprintf(out, "version %d, %d migrations\n", document.Version, len(document.Migrations))
 	for i := range document.Migrations {
 		m := &document.Migrations[i]
 		printMigration(out, m, c.now())
 		if p, known := byTenant[m.Tenant]; known {
-			fmt.Fprintf(out, "  at %d routers: %.0f to %.0f%% over\n", p.routers, 100*p.minShare, 100*p.maxShare)
+			fmt.Fprintf(out, "  at %d routers: %.0f to %.0f%% migrated\n", p.routers, 100*p.minShare, 100*p.maxShare)
 		}
 	}
 	return nil
 }
 
-// readProgress reads the routers' progress by tenant, and prints which routers have another version.
+// readProgress returns the routers' progress by tenant, and prints the logs whose migrations have another version.
 func (c *migrationListCmd) readProgress(out io.Writer, version int64) (map[string]progress, error) {
 	byTenant := map[string]progress{}
 	for _, file := range c.Status {
--- a/cmd/spanctl/migration_change.go
+++ b/cmd/spanctl/migration_change.go
@@ -10,25 +10,26 @@
 	"spantack/core/migration"
 )
 
-// migrationSelection names the migrations that a command changes.
+// migrationSelection selects the migrations that a command changes.
 type migrationSelection struct {
 	documentFlags
-	Tenants []string `name:"tenants" arg:"" optional:"" help:"Tenants whose migrations are meant."`
-	All     bool     `name:"all" help:"All migrations that are not over."`
+	Tenants []string `name:"tenants" arg:"" optional:"" help:"Tenants whose migrations are changed."`
+	All     bool     `name:"all" help:"Change all migrations that are not over and allow the change."`
 }
 
-// changeFunc changes a migration, or returns false if it can't be changed so at this time.
+// changeFunc changes a migration. It returns false if the migration does not allow the change at this time, in Unix
+// milliseconds.
 type changeFunc func(m *migration.Migration, now float64) bool
 
-// changeEach changes the selected migrations and saves them. One that can't be changed is an error if tenants are
-// named, and skipped with --all. participle says in errors what the change is.
+// changeEach changes the selected migrations and saves them. If a migration can't be changed, it returns an error for
+// named tenants, and skips the migration with --all. participle names the change in errors, such as "paused".
 func (c *migrationSelection) changeEach(out io.Writer, participle string, change changeFunc) error {
 	f, document, err := c.loadMigrations()
 	if err != nil {
 		return err
 	}
 	if c.All == (len(c.Tenants) > 0) {
-		return errors.New("tenants, or --all")
+		return errors.New("give either tenants or --all")
 	}
 	now := c.now()
 	changed := map[string]bool{} // by tenant
@@ -48,20 +49,20 @@
 	}
 	for _, tenant := range c.Tenants {
 		if !changed[tenant] {
-			return fmt.Errorf("%s does not move", tenant)
+			return fmt.Errorf("%s has no migration", tenant)
 		}
 	}
 	if len(changed) == 0 {
-		return fmt.Errorf("there is no move to be %s", participle)
+		return fmt.Errorf("no migration can be %s", participle)
 	}
 	return c.saveMigrations(out, f, document)
 }
 
 type migrationPauseCmd struct{ migrationSelection }
 
-// Run pauses migrations: the share that has moved stays as it is.
+// Run pauses migrations: the migrated share stays as it is.
 func (c *migrationPauseCmd) Run(out io.Writer) error {
-	return c.changeEach(out, "held", func(m *migration.Migration, now float64) bool {
+	return c.changeEach(out, "paused", func(m *migration.Migration, now float64) bool {
 		if m.PausedAt > 0 || m.RollbackStarted(now) {
 			return false
 		}
@@ -72,7 +73,7 @@
 
 type migrationResumeCmd struct{ migrationSelection }
 
-// Run resumes paused migrations, which end later by the time that they were paused.
+// Run resumes paused migrations. They end later by the duration of the pause.
 func (c *migrationResumeCmd) Run(out io.Writer) error {
 	return c.changeEach(out, "resumed", func(m *migration.Migration, now float64) bool {
 		if m.PausedAt == 0 {
@@ -87,7 +88,7 @@
 
 // Run rolls migrations back to the old cells.
 func (c *migrationRollbackCmd) Run(out io.Writer) error {
-	return c.changeEach(out, "taken back", func(m *migration.Migration, now float64) bool {
+	return c.changeEach(out, "rolled back", func(m *migration.Migration, now float64) bool {
 		if m.RollbackAt > 0 {
 			return false
 		}
@@ -98,8 +99,8 @@
 
 type migrationFinalizeCmd struct{ documentFlags }
 
-// Run removes the migrations that are over from the document. One whose tenant has another cell in the assignment
-// than where the migration has ended stays, and what to set there is printed.
+// Run removes the migrations that are over from the document. A migration stays if the assignment does not have its
+// tenant in the final cell yet; Run then prints what to set there.
 func (c *migrationFinalizeCmd) Run(out io.Writer) error {
 	f, document, err := c.loadMigrations()
 	if err != nil {
@@ -125,20 +126,20 @@
 			unassigned++
 			continue
 		}
-		fmt.Fprintf(out, "%s in %s: over, left out\n", m.Tenant, m.Site)
+		fmt.Fprintf(out, "%s in %s: over, removed\n", m.Tenant, m.Site)
 	}
 	if len(remaining) == len(document.Migrations) {
 		if unassigned > 0 {
-			return fmt.Errorf("%d moves are over, and the assignment does not say so yet", unassigned)
+			return fmt.Errorf("%d migrations are over, but the assignment does not have their final cells yet", unassigned)
 		}
-		fmt.Fprintln(out, "no move is over")
+		fmt.Fprintln(out, "no migration is over")
 		return nil
 	}
 	document.Migrations = remaining
 	return c.saveMigrations(out, f, document)
 }
 
-// finalCell returns the cell that a tenant has after a migration that is over.
+// finalCell returns the tenant's cell after a migration that is over.
 func finalCell(m *migration.Migration, now float64) string {
 	if m.Phase(now) == migration.Done {
 		return m.To
--- a/cmd/spanctl/rollout.go
+++ b/cmd/spanctl/rollout.go
@@ -13,12 +13,12 @@
 )
 
 type rolloutCmd struct {
-	Start  rolloutStartCmd  `name:"start" cmd:"" help:"Begins a release: opens rings one after the other, each judged before the next."`
-	Status rolloutStatusCmd `name:"status" cmd:"" help:"What routers see of a release, from their logs, and what that comes to together."`
-	Stop   rolloutStopCmd   `name:"stop" cmd:"" help:"Rolls a release back in all cells."`
+	Start  rolloutStartCmd  `name:"start" cmd:"" help:"Start the rollout of a release: rings open one after the other, each judged before the next."`
+	Status rolloutStatusCmd `name:"status" cmd:"" help:"Print the state and evidence of each ring, summed over the logs of routers."`
+	Stop   rolloutStopCmd   `name:"stop" cmd:"" help:"Roll a release back in all cells."`
 }
 
-// saveRollout checks a changed rollout and writes it.
+// saveRollout checks a changed rollout and writes its document.
 func (d *documentFlags) saveRollout(out io.Writer, f *features.File, release rollout.Rollout) error {
 	assignment, err := compileCells(f)
 	if err != nil {
@@ -34,16 +34,16 @@
 		document: "stage.json",
 		version:  release.Version,
 		content:  next.Rollout,
-		isTakenFrom: func(f *features.File) bool {
+		isImportedBy: func(f *features.File) bool {
 			return f.ActiveRollout() != nil && f.ActiveRollout().Version == release.Version
 		},
 	})
 }
 
-// errNoRollout is returned by commands that need a rollout in force.
-var errNoRollout = errors.New("there is no release")
+// errNoRollout is returned by commands that need an active rollout.
+var errNoRollout = errors.New("no release is being rolled out")
 
-// loadRollout loads the features file and the rollout in force, which must exist.
+// loadRollout loads the features file and returns it with its active rollout. It returns errNoRollout if there is none.
 func (d *documentFlags) loadRollout() (*features.File, *rollout.Rollout, error) {
 	f, err := d.load()
 	if err != nil {
@@ -58,21 +58,21 @@
 
 type rolloutStartCmd struct {
 	documentFlags
-	Name               string        `name:"name" required:"" help:"What the release is called."`
-	Prefix             string        `name:"prefix" help:"How its objects begin, in hex."`
-	Families           []int         `name:"families" help:"First and last group of its objects."`
-	Rings              []string      `name:"ring" required:"" sep:"none" help:"The cells of one ring, separated by commas; once for each ring, in their order."`
-	StartDelay         time.Duration `name:"in" default:"60s" help:"Until the first ring opens: routers learn meanwhile how its cells differ from others."`
+	Name               string        `name:"name" required:"" help:"Name of the release."`
+	Prefix             string        `name:"prefix" help:"Prefix of its objects, in hex."`
+	Families           []int         `name:"families" help:"First and last purge group (family) of its objects."`
+	Rings              []string      `name:"ring" required:"" sep:"none" help:"Cells of a ring, separated by commas; repeated for each ring, in their order."`
+	StartDelay         time.Duration `name:"in" default:"60s" help:"Time until the first ring opens. Routers use it to learn how its cells differ from others."`
 	RingDuration       time.Duration `name:"for" default:"10m" help:"Time in which a ring must be judged."`
-	Replaces           bool          `name:"renews" help:"Its objects have an older version; the head office gives out the new one from the first ring's time on."`
-	MaxStale           time.Duration `name:"keep" help:"With --renews: how old copies may be where a ring is closed." placeholder:"SPAN"`
-	AfterRollback      string        `name:"back" help:"With --renews, what a ring rolled back for harm does until stopped: refuse or serve." placeholder:"refuse|serve"`
-	ContinueIfUnsure   bool          `name:"go" help:"Goes on where a ring can't be judged in its time; else it waits."`
-	RequestRate        float64       `name:"rate" help:"Requests a second that a cell gets at one router, and" placeholder:"N"`
-	BaselineErrorRatio float64       `name:"bad" help:"part of them that fail on a usual day: with both, prints how long harm takes to be found." placeholder:"P"`
+	Replaces           bool          `name:"renews" help:"Its objects replace older versions; the origin returns the new version from the opening of the first ring on."`
+	MaxStale           time.Duration `name:"keep" help:"With --renews: largest age of cached copies in rings that are closed." placeholder:"SPAN"`
+	AfterRollback      string        `name:"back" help:"With --renews: what a ring that is rolled back for harm does until the stop: refuse or serve." placeholder:"refuse|serve"`
+	ContinueIfUnsure   bool          `name:"go" help:"Continue if a ring can't be judged in its time; left out: wait."`
+	RequestRate        float64       `name:"rate" help:"Requests per second to a cell at one router. With --bad: prints how long it takes to detect harm." placeholder:"N"`
+	BaselineErrorRatio float64       `name:"bad" help:"Fraction of these requests that fail without harm. With --rate: prints how long it takes to detect harm." placeholder:"P"`
 }
 
-// Run begins a rollout under a name that no rollout in force has.
+// Run starts a rollout. It returns an error if the active rollout has the same name.
 func (c *rolloutStartCmd) Run(out io.Writer) error {
 	f, err := c.load()
 	if err != nil {
@@ -80,17 +80,17 @@
 	}
 	release := c.newRollout()
 	if release.ReplacesObjects {
-		fmt.Fprintf(out, "the head office must have the new version by %s, and not much sooner: "+
-			"a cell that has no copy gets what is there\n", formatTime(release.Since))
+		fmt.Fprintf(out, "the origin must have the new version by %s, and not much earlier: "+
+			"cells without a copy get the version that is there\n", formatTime(release.Since))
 	}
 	if old := f.ActiveRollout(); old != nil {
 		if old.Name == c.Name {
-			return fmt.Errorf("release %s is there already: stop it, or give the new one a name of its own", c.Name)
+			return fmt.Errorf("release %s already exists: stop it, or choose another name for the new one", c.Name)
 		}
 		release.Version = old.Version + 1
 	}
 	for i, ring := range release.Rings {
-		fmt.Fprintf(out, "ring %d: %s, at the soonest %s\n", i, c.Rings[i], formatTime(ring.OpensAt))
+		fmt.Fprintf(out, "ring %d: %s, opens %s at the earliest\n", i, c.Rings[i], formatTime(ring.OpensAt))
 	}
 	if c.RequestRate > 0 && c.BaselineErrorRatio > 0 && len(release.Rings) > 0 {
 		c.printDetectionTimes(out, &release, len(f.CellSpec().Cells))
@@ -129,7 +129,7 @@
 	return release
 }
 
-// printDetectionTimes prints how long one router takes to find harm of several degrees in the first ring.
+// printDetectionTimes prints how long one router takes to detect several degrees of harm in the first ring, on average.
 func (c *rolloutStartCmd) printDetectionTimes(out io.Writer, release *rollout.Rollout, allCells int) {
 	parameters := release.TestParameters()
 	ringCells, all := float64(len(release.Rings[0].Cells)), float64(allCells)
@@ -137,7 +137,8 @@
 		events := parameters.ExpectedEvents(harm, ringCells/all, 1)
 		eventsPerS := c.RequestRate * c.BaselineErrorRatio * (ringCells*harm + all - ringCells)
 		if seconds := events / eventsPerS; !math.IsInf(seconds, 0) {
-			fmt.Fprintf(out, "harm of %.1f times the odds: found by one router after some %s on average, bursts not counted\n",
+			fmt.Fprintf(out,
+				"failures %.1f times as likely: one router detects this after about %s on average, not counting bursts\n",
 				harm, formatDuration(1000*seconds))
 		}
 	}
@@ -145,7 +146,7 @@
 
 type rolloutStopCmd struct {
 	documentFlags
-	StopDelay time.Duration `name:"in" help:"Until it is rolled back, where the head office needs time for that."`
+	StopDelay time.Duration `name:"in" help:"Time until the release is rolled back, if the origin needs time to go back."`
 }
 
 // Run rolls the release back in all cells.
@@ -155,16 +156,17 @@
 		return err
 	}
 	if inForce.RollbackAt > 0 {
-		return fmt.Errorf("release %s was stopped already", inForce.Name)
+		return fmt.Errorf("release %s has already been stopped", inForce.Name)
 	}
 	release := *inForce
 	release.Version++
 	release.RollbackAt = c.now() + millis(c.StopDelay)
 	if release.ReplacesObjects {
-		fmt.Fprintf(out, "release %s: taken back in all cells; from %s on all copies made before are renewed: "+
-			"by then the head office must have the old version\n", release.Name, formatTime(release.RollbackAt))
+		fmt.Fprintf(out, "release %s: rolled back in all cells; from %s on all older copies are renewed: "+
+			"the origin must have the old version by then\n", release.Name, formatTime(release.RollbackAt))
 	} else {
-		fmt.Fprintf(out, "release %s: taken back in all cells; refused there as soon as a router has this\n", release.Name)
+		fmt.Fprintf(out, "release %s: rolled back in all cells; each router rejects it there once it has the new document\n",
+			release.Name)
 	}
 	return c.saveRollout(out, f, release)
 }
--- a/cmd/spanctl/rollout_status.go
+++ b/cmd/spanctl/rollout_status.go
@@ -14,17 +14,17 @@
 
 type rolloutStatusCmd struct {
 	documentFlags
-	Logs []string `name:"logs" arg:"" help:"Logs of routers with lines 'stage', of which the last of each counts."`
+	Logs []string `name:"logs" arg:"" help:"Logs of routers, of which the last record 'stage' is used."`
 }
 
-// ringSummary is what all routers together see of a ring.
+// ringSummary sums up the status of a ring at all routers.
 type ringSummary struct {
 	routersByState map[string]int
-	evidence       []float64 // by metric: logarithm of the odds that the release does harm
+	evidence       []float64 // by metric: log odds that the release does harm
 }
 
-// Run prints each ring's states and evidence. Routers see different requests, so that their odds multiply: the
-// logarithms are added.
+// Run prints the states and the evidence of each ring. Routers see different requests, so their odds multiply, and
+// their log odds are added.
 func (c *rolloutStatusCmd) Run(out io.Writer) error {
 	_, release, err := c.loadRollout()
 	if err != nil {
@@ -45,18 +45,18 @@
 		for m, evidence := range ring.evidence {
 			fmt.Fprintf(out, "; %s %.1f of %.1f", metrics[m], evidence, threshold)
 			if evidence >= threshold {
-				harm = fmt.Sprintf("ring %d does harm, by %s", i, metrics[m])
+				harm = fmt.Sprintf("harm in ring %d, by %s", i, metrics[m])
 			}
 		}
 		fmt.Fprintln(out)
 	}
 	if harm != "" {
-		fmt.Fprintf(out, "%s: spanctl stage stop %s\n", harm, c.File)
+		fmt.Fprintf(out, "%s: run spanctl rollout stop %s\n", harm, c.File)
 	}
 	return nil
 }
 
-// summarize adds up what the logs tell of each ring.
+// summarize sums up the status of each ring in the logs.
 func (c *rolloutStatusCmd) summarize(release *rollout.Rollout) ([]ringSummary, error) {
 	metrics := len(rollout.MetricNames())
 	rings := make([]ringSummary, len(release.Rings))
@@ -72,7 +72,7 @@
 		}
 		status := &record.Rollout
 		if status.Name != release.Name || len(status.Rings) != len(release.Rings) {
-			return nil, fmt.Errorf("%s: tells of release %q", file, status.Name)
+			return nil, fmt.Errorf("%s: has the status of release %q", file, status.Name)
 		}
 		for i, ring := range status.Rings {
 			rings[i].routersByState[ring.State]++
--- a/cmd/spanctl/router.go
+++ b/cmd/spanctl/router.go
@@ -13,26 +13,26 @@
 
 // routerCmd makes management calls to running routers (docs/operation.md).
 type routerCmd struct {
-	Ready   routerReadyCmd   `name:"ready" cmd:"" help:"Whether routers take requests."`
-	Metrics routerMetricsCmd `name:"metrics" aliases:"figures" cmd:"" help:"Routers' metrics, a line each."`
-	Exclude routerExcludeCmd `name:"exclude" cmd:"" help:"Excludes a server at routers, whatever the endpoint list says, until include."`
-	Include routerIncludeCmd `name:"include" cmd:"" help:"Ends the exclusion of a server."`
-	Drain   routerDrainCmd   `name:"drain" aliases:"evacuate" cmd:"" help:"Drains routers; they run on."`
-	Rejoin  routerRejoinCmd  `name:"rejoin" cmd:"" help:"Lets drained routers take requests again."`
+	Ready   routerReadyCmd   `name:"ready" cmd:"" help:"Print whether routers accept requests."`
+	Metrics routerMetricsCmd `name:"metrics" aliases:"figures" cmd:"" help:"Print metrics of routers, one on each line."`
+	Exclude routerExcludeCmd `name:"exclude" cmd:"" help:"Exclude a server at routers until include, whatever its state in the endpoint list."`
+	Include routerIncludeCmd `name:"include" cmd:"" help:"End the exclusion of a server."`
+	Drain   routerDrainCmd   `name:"drain" aliases:"evacuate" cmd:"" help:"Drain routers; they keep running."`
+	Rejoin  routerRejoinCmd  `name:"rejoin" cmd:"" help:"Let drained routers accept requests again."`
 }
 
-// callTimeout bounds one call. A router must answer within a second.
+// callTimeout bounds one call. Routers respond within a second.
 const callTimeout = 3 * time.Second
 
-// maxResponseBytes bounds what is read of a response.
+// maxResponseBytes bounds the bytes read of a response.
 const maxResponseBytes = 1 << 20
 
-// errRejected is wrapped by the error for a response that is not a success.
-var errRejected = errors.New("no")
+// errUnsuccessful is wrapped by the error for a response with another status code than 2xx.
+var errUnsuccessful = errors.New("unsuccessful response")
 
-// routerTargets are the routers that a call is made to.
+// routerTargets are the routers to which a call is made.
 type routerTargets struct {
-	Routers []string `name:"routers" arg:"" help:"Addresses of routers for management calls, host:port."`
+	Routers []string `name:"routers" arg:"" help:"Management addresses of routers, as host:port."`
 }
 
 type serverTarget struct {
@@ -49,7 +49,7 @@
 	routerRejoinCmd  struct{ routerTargets }
 )
 
-// Run asks whether the routers take requests.
+// Run prints whether the routers accept requests.
 func (c *routerReadyCmd) Run(out io.Writer) error { return c.call(out, http.MethodGet, "ready") }
 
 // Run prints the routers' metrics.
@@ -68,11 +68,11 @@
 // Run drains the routers.
 func (c *routerDrainCmd) Run(out io.Writer) error { return c.call(out, http.MethodPut, "evacuate") }
 
-// Run lets the routers take requests again.
+// Run lets the routers accept requests again.
 func (c *routerRejoinCmd) Run(out io.Writer) error { return c.call(out, http.MethodPut, "rejoin") }
 
-// call calls each router in turn and prints what it responds, a line with its address for each. All are called even
-// if some fail; the error names those.
+// call makes a call to one router after the other, and prints each line of the responses after the router's address. If
+// calls fail, it goes on with the next router; the returned error has all failures.
 func (t *routerTargets) call(out io.Writer, method, name string) error {
 	var failed []error
 	for _, addr := range t.Routers {
@@ -88,7 +88,8 @@
 	return errors.Join(failed...)
 }
 
-// callRouter makes one call and returns the body of a successful response. It uses no proxy and keeps no connection.
+// callRouter makes one call and returns the body of a successful response. It uses no proxy and no persistent
+// connection.
 func callRouter(addr, method, path string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -108,7 +109,7 @@
 		return "", err
 	}
 	if response.StatusCode/100 != 2 {
-		return "", fmt.Errorf("%w: %d %s", errRejected, response.StatusCode, strings.TrimSpace(string(body)))
+		return "", fmt.Errorf("%w: %d %s", errUnsuccessful, response.StatusCode, strings.TrimSpace(string(body)))
 	}
 	return string(body), nil
 }
--- a/cmd/spanctl/router_test.go
+++ b/cmd/spanctl/router_test.go
@@ -12,12 +12,12 @@
 	"spantack/internal/testwait"
 )
 
-// A call reaches every router that is named, also if one of them fails, and the error tells of that.
+// Guards against calls that skip routers after one that fails, and against errors without the router and the reason.
 func TestRouterCalls(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 2)
-	// router starts a router's management server, which knows one server, and returns its address and a count of calls
-	// for it.
+	// router starts a management server that knows one server. It returns its address, and a count of the calls to
+	// exclude and include that server.
 	router := func(knownServer string) (string, *atomic.Int64) {
 		calls, ready := &atomic.Int64{}, &atomic.Bool{}
 		ready.Store(true)
@@ -46,23 +46,24 @@
 	}
 	one, oneCalls := router("s-1")
 	two, twoCalls := router("s-2")
-	command(t, "router ready "+one+" "+two, one+" yes\n"+two+" yes\n", "")
-	command(t, "router metrics "+one, one+" app.outstanding:3|g\n", "")
-	command(t, "router exclude s-2 "+one+" "+two, two+" yes\n", one+": no: 404 id: no such server is listed")
-	command(t, "router include s-1 "+one, one+" yes\n", "")
+	runCommand(t, "router ready "+one+" "+two, one+" yes\n"+two+" yes\n", "")
+	runCommand(t, "router metrics "+one, one+" app.outstanding:3|g\n", "")
+	runCommand(t, "router exclude s-2 "+one+" "+two, two+" yes\n",
+		one+": unsuccessful response: 404 id: no such server is listed")
+	runCommand(t, "router include s-1 "+one, one+" yes\n", "")
 	if oneCalls.Load() != 1 || twoCalls.Load() != 1 {
-		t.Errorf("%d and %d calls", oneCalls.Load(), twoCalls.Load())
+		t.Errorf("%d and %d calls to exclude and include, want 1 and 1", oneCalls.Load(), twoCalls.Load())
 	}
-	command(t, "router drain "+one, "yes", "")
-	command(t, "router ready "+one+" "+two, two+" yes\n", one+": no: 503 no")
-	command(t, "router rejoin "+one, "yes", "")
-	command(t, "router ready "+one, "yes", "")
-	command(t, "router exclude a/b "+one, "", "no: 404")
+	runCommand(t, "router drain "+one, "yes", "")
+	runCommand(t, "router ready "+one+" "+two, two+" yes\n", one+": unsuccessful response: 503 no")
+	runCommand(t, "router rejoin "+one, "yes", "")
+	runCommand(t, "router ready "+one, "yes", "")
+	runCommand(t, "router exclude a/b "+one, "", "unsuccessful response: 404")
 	stop()
 	for range 2 {
 		if err := testwait.Receive(t, ended, "a management server to end"); err != nil {
 			t.Error(err)
 		}
 	}
-	command(t, "router ready "+one, "", one)
+	runCommand(t, "router ready "+one, "", one)
 }
--- a/cmd/spanctl/topology.go
+++ b/cmd/spanctl/topology.go
@@ -13,12 +13,12 @@
 )
 
 type topologyCmd struct {
-	Show topologyShowCmd `name:"show" cmd:"" help:"Levels and links of a file's topology."`
-	Diff topologyDiffCmd `name:"diff" cmd:"" help:"What changes from one file's topology to another's."`
-	Plan topologyPlanCmd `name:"plan" cmd:"" help:"How fills would be divided, with areas as warm as given, and lost ones left out."`
+	Show topologyShowCmd `name:"show" cmd:"" help:"Print the levels and parents of sites and parent groups."`
+	Diff topologyDiffCmd `name:"diff" cmd:"" help:"Print the changes of the topology from one file to another."`
+	Plan topologyPlanCmd `name:"plan" cmd:"" help:"Print how fills are divided among parent groups and the origin, by the capacity and warmth of the groups."`
 }
 
-// loadTopology loads a file in which the topology must be on.
+// loadTopology loads the topology of a features file. It returns an error if the topology is off.
 func loadTopology(file string) (*hierarchy.Graph, error) {
 	f, err := features.Load(file)
 	if err != nil {
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	if graph == nil {
-		return nil, fmt.Errorf("%s: the shape is off", file)
+		return nil, fmt.Errorf("%s: the topology (shape) is off", file)
 	}
 	return graph, nil
 }
@@ -38,26 +38,26 @@
 	File string `name:"file" arg:"" help:"The features file."`
 }
 
-// Run prints the origin, and for each node its level and parents.
+// Run prints the origin, and the level and parents of each parent group and site.
 func (c *topologyShowCmd) Run(out io.Writer) error {
 	graph, err := loadTopology(c.File)
 	if err != nil {
 		return err
 	}
 	topology := graph.Topology()
-	fmt.Fprintf(out, "version %d; head office %s, %.0f KB/s\n",
+	fmt.Fprintf(out, "version %d; origin %s, %.0f KB/s\n",
 		topology.Version, topology.Origin.Name, topology.Origin.CapacityKBPerS)
 	for _, group := range topology.ParentGroups {
-		printNode(out, graph, "area", group.Name, "servers "+strings.Join(group.ServerPrefixes, " "))
+		printNode(out, graph, "parent group", group.Name, "servers "+strings.Join(group.ServerPrefixes, " "))
 	}
 	for _, site := range topology.Sites {
-		printNode(out, graph, "depot", site.Name, fmt.Sprintf("%.0f KB/s", site.PeakFillKBPerS))
+		printNode(out, graph, "site", site.Name, fmt.Sprintf("%.0f KB/s", site.PeakFillKBPerS))
 	}
 	return nil
 }
 
 func printNode(out io.Writer, graph *hierarchy.Graph, kind, name, details string) {
-	level := "no way to the head office, so nothing fills from it"
+	level := "no path to the origin, so nothing fills from it"
 	if n := graph.Level(name); n >= 0 {
 		level = fmt.Sprintf("level %d", n)
 	}
@@ -65,8 +65,8 @@
 }
 
 type topologyDiffCmd struct {
-	Old string `name:"old" arg:"" help:"The file before."`
-	New string `name:"new" arg:"" help:"The file after."`
+	Old string `name:"old" arg:"" help:"The current features file."`
+	New string `name:"new" arg:"" help:"The new features file."`
 }
 
 // Run prints a line for each change of the topology.
@@ -87,14 +87,14 @@
 
 type topologyPlanCmd struct {
 	File           string             `name:"file" arg:"" help:"The features file."`
-	CapacityKBPerS map[string]float64 `name:"bears" required:"" help:"KB/s that an area's servers can send when warm; one that is not named is lost." placeholder:"AREA=KB"`
-	WarmFraction   map[string]float64 `name:"warm" help:"Part of that which they can send now; 1 if left out." placeholder:"AREA=PART"`
+	CapacityKBPerS map[string]float64 `name:"bears" required:"" help:"Capacity of a parent group (area in the features file) when warm, in KB/s. Groups that are left out count as lost." placeholder:"AREA=KB"`
+	WarmFraction   map[string]float64 `name:"warm" help:"Fraction of that capacity available now; 1 if left out." placeholder:"AREA=PART"`
 }
 
-// minPrintedFraction is the least fraction of a site's fills that is printed.
+// minPrintedFraction is the smallest fraction of a site's fills that is printed.
 const minPrintedFraction = 0.0005
 
-// Run prints where each site's fills go, and what areas and the head office get.
+// Run prints the targets of each site's fills, and the load of parent groups and the origin.
 func (c *topologyPlanCmd) Run(out io.Writer) error {
 	graph, err := loadTopology(c.File)
 	if err != nil {
@@ -123,14 +123,14 @@
 	for _, flag := range []map[string]float64{c.CapacityKBPerS, c.WarmFraction} {
 		for _, name := range slices.Sorted(maps.Keys(flag)) {
 			if !known[name] {
-				return fmt.Errorf("%q is no area", name)
+				return fmt.Errorf("unknown parent group %q", name)
 			}
 		}
 	}
 	return nil
 }
 
-// groupStatus returns the status of each group that the flags name.
+// groupStatus returns the status of the parent groups that have a capacity in the flags, by name.
 func (c *topologyPlanCmd) groupStatus() map[string]hierarchy.GroupStatus {
 	status := map[string]hierarchy.GroupStatus{}
 	for name, warmCapacity := range c.CapacityKBPerS {
@@ -150,9 +150,9 @@
 			targets = append(targets, fmt.Sprintf("%s %.1f%%", graph.TargetName(target), 100*fraction))
 		}
 	}
-	fmt.Fprintf(out, "depot %s, %.0f KB/s: %s", site.Name, site.PeakFillKBPerS, strings.Join(targets, ", "))
+	fmt.Fprintf(out, "site %s, %.0f KB/s: %s", site.Name, site.PeakFillKBPerS, strings.Join(targets, ", "))
 	if route.RejectedFraction > 0 {
-		fmt.Fprintf(out, "; no room for %.1f%%", 100*route.RejectedFraction)
+		fmt.Fprintf(out, "; no capacity for %.1f%%", 100*route.RejectedFraction)
 	}
 	fmt.Fprintln(out)
 }
@@ -164,13 +164,13 @@
 		for site := range topology.Sites {
 			load += plan.Allocation.ToGroup[site][i]
 		}
-		fmt.Fprintf(out, "area %s: %.0f of %.0f KB/s\n", group.Name, load, status[group.Name].CapacityKBPerS)
+		fmt.Fprintf(out, "parent group %s: %.0f of %.0f KB/s\n", group.Name, load, status[group.Name].CapacityKBPerS)
 	}
 	origin := topology.Origin
-	fmt.Fprintf(out, "head office %s: %.0f of %.0f KB/s\n", origin.Name, plan.Allocation.OriginLoad, origin.CapacityKBPerS)
+	fmt.Fprintf(out, "origin %s: %.0f of %.0f KB/s\n", origin.Name, plan.Allocation.OriginLoad, origin.CapacityKBPerS)
 }
 
-// printRejected prints what part of all fills is rejected. It returns an error if no site fills anything.
+// printRejected prints the fraction of all fills that is rejected. It returns an error if no site has fills.
 func printRejected(out io.Writer, plan *hierarchy.FillPlan) error {
 	rejected, demand := 0.0, 0.0
 	for i, site := range plan.Graph.Topology().Sites {
@@ -179,11 +179,12 @@
 	}
 	if demand > 0 && rejected > 0 {
 		saved := plan.Allocation.OriginPrice / hierarchy.RejectionCostMillis
-		fmt.Fprintf(out, "no room for %.1f%% of all fills; a KB/s more at the head office would save %.1f KB/s of that\n",
+		fmt.Fprintf(out,
+			"no capacity for %.1f%% of all fills; each further KB/s at the origin would serve %.1f KB/s of that\n",
 			100*rejected/demand, saved)
 	}
 	if demand == 0 {
-		return errors.New("no depot fills anything")
+		return errors.New("no site has fills")
 	}
 	return nil
 }
--- a/cmd/spanctl/wire_compat_test.go
+++ b/cmd/spanctl/wire_compat_test.go
@@ -9,29 +9,29 @@
 	"spantack/internal/testfixture"
 )
 
-// Scripts of operators use the names of commands, arguments and flags.
-func TestStoredCommandLinesAreTakenAlike(t *testing.T) {
+// Guards against a change of commands, arguments and flags that operators' scripts use.
+func TestCommandLinesAreStillAccepted(t *testing.T) {
 	testfixture.CommandLines(t, "testdata/commandlines.txt", "spanctl", new(cli))
 }
 
-// The files that commands on moves and releases write are those that the release before wrote for the same command
-// lines.
-func TestStoredDocumentsAreWrittenAlike(t *testing.T) {
+// Guards against documents of migrations and rollouts that differ from those that the previous release wrote for the
+// same command lines.
+func TestDocumentsAreWrittenUnchanged(t *testing.T) {
 	source, err := os.ReadFile("testdata/f.jsonnet")
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := folder(t)
-	file := put("f.jsonnet", string(source))
-	put("moves.json", `{"enabled": false}`)
-	put("stage.json", `{"enabled": false}`)
+	writeFile := newFileWriter(t)
+	file := writeFile("f.jsonnet", string(source))
+	writeFile("moves.json", `{"enabled": false}`)
+	writeFile("stage.json", `{"enabled": false}`)
 	move := " t --to b --depot depot-1 --hot 00ab,00cd --warm 20s --now 1764576000000"
 	start := " --name prices --prefix 00ef --families 3,4 --ring a --renews --keep 10m --back serve --go" +
 		" --now 1764576000000"
-	command(t, "cells move "+file+move, "version 1 written", "")
-	command(t, "cells hold "+file+" t --now 1764576020000", "version 2 written", "")
-	command(t, "stage start "+file+start, "version 1 written", "")
-	command(t, "stage stop "+file+" --now 1764576090000", "version 2 written", "")
+	runCommand(t, "cells move "+file+move, "version 1 written", "")
+	runCommand(t, "cells hold "+file+" t --now 1764576020000", "version 2 written", "")
+	runCommand(t, "stage start "+file+start, "version 1 written", "")
+	runCommand(t, "stage stop "+file+" --now 1764576090000", "version 2 written", "")
 	for _, name := range []string{"moves.json", "stage.json"} {
 		want, err := os.ReadFile(filepath.Join("testdata", name))
 		if err != nil {
