--- a/cmd/spantack/client_departure_test.go
+++ b/cmd/spantack/client_departure_test.go
@@ -31,10 +31,10 @@
 		"reset":      func(nc *net.TCPConn) { nc.SetLinger(0); nc.Close() },
 		"half-close": func(nc *net.TCPConn) { nc.CloseWrite() },
 	}
-	for _, ending := range []bool{false, true} {
-		t.Run(fmt.Sprintf("ending=%v", ending), func(t *testing.T) {
+	for _, isShuttingDown := range []bool{false, true} {
+		t.Run(fmt.Sprintf("shutting-down=%v", isShuttingDown), func(t *testing.T) {
 			t.Parallel()
-			testwait.RetryIfStarved(t, func() error { return leaveDuringAttempts(t, ways, ending) })
+			testwait.RetryIfStarved(t, func() error { return leaveDuringAttempts(t, ways, isShuttingDown) })
 		})
 	}
 }
@@ -45,16 +45,16 @@
 
 // leaveDuringAttempts runs TestNoRetryAfterClientLeaves with one process, and one client after the other. Deadlines are
 // long, so that no request times out on a slow machine. Failures that a slow machine may cause are returned as errors.
-func leaveDuringAttempts(t *testing.T, ways map[string]func(*net.TCPConn), ending bool) error {
-	p, into := launch(t, true)
-	io.WriteString(into, withLongDeadlines(p.text))
-	into.Close()
+func leaveDuringAttempts(t *testing.T, ways map[string]func(*net.TCPConn), isShuttingDown bool) error {
+	p, configPipe := launch(t, true)
+	io.WriteString(configPipe, withLongDeadlines(p.text))
+	configPipe.Close()
 	remaining := p.connectReady()
 	// This request stays open, so that the process and the connection stay until it has its response.
 	askWithTimeout(remaining, 2, "00000000000000ff", longTimeout)
 	p.await("GET 00000000000000ff")
 	clients := map[string]*net.TCPConn{}
-	if ending { // a process that shuts down soon accepts no more connections
+	if isShuttingDown { // a process that shuts down soon accepts no more connections
 		for name := range ways {
 			clients[name] = p.connectReady()
 		}
@@ -63,7 +63,7 @@
 	n := 0
 	for name, leave := range ways {
 		n++
-		if !ending { // not earlier: a connection without a request is closed
+		if !isShuttingDown { // not earlier: a connection without a request is closed
 			clients[name] = p.connectReady()
 		}
 		left, other := fmt.Sprintf("00000000000000a%d", n), fmt.Sprintf("00000000000000b%d", n)
@@ -82,7 +82,7 @@
 			return errEndedEarly
 		}
 	}
-	if !ending {
+	if !isShuttingDown {
 		p.signal(syscall.SIGTERM)
 	}
 	answers, err := io.ReadAll(remaining)
@@ -108,14 +108,14 @@
 	t.Parallel()
 	addr, open := fullListener(t)
 	adminAddr := loopback.FreeAddress()
-	p, into := launch(t, true, func(c *exec.Cmd) {
+	p, configPipe := launch(t, true, func(c *exec.Cmd) {
 		c.Env = append(c.Env, "RELAY_MGMT="+adminAddr, "TMPDIR="+t.TempDir())
 	})
 	cacheAddrs := regexp.MustCompile(`("uid":"s-0000000[13]","endpoint":")[^"]*`)
 	text := cacheAddrs.ReplaceAllString(p.text, "${1}"+addr)
 	text = strings.Replace(text, `"DialTimeout":500000`, `"DialTimeout":20000000`, 1)
-	io.WriteString(into, withLongDeadlines(text))
-	into.Close()
+	io.WriteString(configPipe, withLongDeadlines(text))
+	configPipe.Close()
 	departing := p.connectReady()
 	askWithTimeout(departing, 2, "00000000000000aa", longTimeout)
 	awaitOutstanding(t, adminAddr, 1)
--- a/cmd/spantack/departures_run_test.go
+++ b/cmd/spantack/departures_run_test.go
@@ -36,8 +36,8 @@
 	remainingCount = 2                // clients that do not leave
 )
 
-func newDeparture(t *testing.T, stage requestStage, under condition) *departure {
-	p := &departure{stage: stage, condition: under, attemptsMayEnd: make(chan struct{})}
+func newDeparture(t *testing.T, stage requestStage, cond condition) *departure {
+	p := &departure{stage: stage, condition: cond, attemptsMayEnd: make(chan struct{})}
 	plan := blueprint{caches: stage.caches, sockets: stage.descriptors, deadline: longDeadline}
 	if plan.caches == 0 {
 		plan.caches = 3
@@ -50,13 +50,13 @@
 		if stage.dialsLate {
 			late := newLateListener(t)
 			opt.Listener = late
-			p.openListeners = append(p.openListeners, func() { late.comeUp(t) })
+			p.openListeners = append(p.openListeners, func() { late.startListening(t) })
 		}
 	}
 	if stage.holdsAttempts || stage.sendsOnLeaving {
 		plan.script = p.holdAttempt
 	}
-	if under.isBusy {
+	if cond.isBusy {
 		core := newBusyCore(t)
 		plan.start = core.start
 	}
@@ -117,8 +117,8 @@
 	for _, cache := range p.caches {
 		cache.Resume()
 	}
-	for _, comeUp := range p.openListeners {
-		comeUp()
+	for _, startListening := range p.openListeners {
+		startListening()
 	}
 	if !p.condition.isStopped {
 		return
--- a/cmd/spantack/departures_test.go
+++ b/cmd/spantack/departures_test.go
@@ -124,7 +124,7 @@
 var conditions = []condition{
 	{name: "serving"},
 	{name: "stopped", isStopped: true},
-	{name: "ending", isShuttingDown: true},
+	{name: "shutting down", isShuttingDown: true},
 	{name: "busy", isBusy: true},
 }
 
@@ -134,16 +134,16 @@
 	t.Parallel()
 	runs := make(chan struct{}, maxParallelRuns)
 	for _, stage := range requestStages {
-		for _, under := range conditions {
-			if under.isBusy && !stage.runsBusy || under.isStopped && stage.isInKernel {
+		for _, cond := range conditions {
+			if cond.isBusy && !stage.runsBusy || cond.isStopped && stage.isInKernel {
 				continue
 			}
-			t.Run(strings.ReplaceAll(stage.name+"/"+under.name, " ", "-"), func(t *testing.T) {
+			t.Run(strings.ReplaceAll(stage.name+"/"+cond.name, " ", "-"), func(t *testing.T) {
 				t.Parallel()
 				runs <- struct{}{}
 				defer func() { <-runs }()
 				for range maxRuns {
-					if newDeparture(t, stage, under).run() {
+					if newDeparture(t, stage, cond).run() {
 						return
 					}
 				}
--- a/cmd/spantack/gossip.go
+++ b/cmd/spantack/gossip.go
@@ -24,7 +24,7 @@
 const originFillLimit = 0
 
 // wireGossip connects the exchange of datagrams with other routers to the router, if flags, features and settings
-// enable it. Otherwise the router gets an equal share of the fleet limit.
+// enable it. Otherwise the router gets an equal share of the fleet limit, if there is one.
 func (p *process) wireGossip() error {
 	c := p.config.Load()
 	fleetLimits := p.features.FleetLimits()
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// openGossip creates the transport. It creates none if gossip about overloads is off, as in a fleet that is too small
-// for it, and fleet limits and verdicts are off too.
+// openGossip creates the transport. It creates none if the fleet is too small for reports of overloaded servers, and
+// neither fleet limits nor verdicts are on.
 func (p *process) openGossip(c *config.Config) error {
 	overloads, err := overload.New(overload.Options{
 		Rank:        c.Fleet.Rank,
--- a/cmd/spantack/harness_test.go
+++ b/cmd/spantack/harness_test.go
@@ -149,19 +149,19 @@
 }
 
 // openPipe opens the configuration's pipe for writing, which blocks until the router opens it for reading.
-func (p *routerProcess) openPipe() (into *os.File) {
+func (p *routerProcess) openPipe() (configPipe *os.File) {
 	p.t.Helper()
 	var err error
 	opened := make(chan struct{})
 	go func() {
 		defer close(opened)
-		into, err = os.OpenFile(p.config, os.O_WRONLY, 0)
+		configPipe, err = os.OpenFile(p.config, os.O_WRONLY, 0)
 	}()
 	testwait.Receive(p.t, opened, "the router to read its configuration")
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return into
+	return configPipe
 }
 
 // serveCache accepts the connections of an edge cache that logs commands and sends no responses.
@@ -210,13 +210,13 @@
 // whether the log has one.
 func (p *routerProcess) arrived(lines ...string) bool {
 	p.t.Helper()
-	here := func() bool {
+	hasLine := func() bool {
 		return slices.ContainsFunc(lines, func(line string) bool { return p.count(line) > 0 })
 	}
 	testwait.Until(p.t, strings.Join(lines, " or ")+" at a cache", func() bool {
-		return here() || strings.Contains(p.log.String(), `"message":"counters"`)
+		return hasLine() || strings.Contains(p.log.String(), `"message":"counters"`)
 	})
-	return here()
+	return hasLine()
 }
 
 func (p *routerProcess) count(line string) (n int) {
--- a/cmd/spantack/late_listener_test.go
+++ b/cmd/spantack/late_listener_test.go
@@ -13,7 +13,8 @@
 )
 
 // fullListener returns the address of a listener with a full backlog: until open is called, the kernel drops further
-// SYNs, as on an overloaded machine.
+// SYNs, as on an overloaded machine. open removes the test's own connection from the
+// backlog and returns the listener.
 func fullListener(t *testing.T) (addr string, open func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -51,7 +52,7 @@
 	return "", nil
 }
 
-// lateListener is a listener at which connections are established only after a call of comeUp.
+// lateListener is a listener at which connections are established only after a call of startListening.
 type lateListener struct {
 	addr net.Addr
 	open func() net.Listener
@@ -74,8 +75,8 @@
 	return &lateListener{addr: textAddr(addr), open: open, up: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// comeUp lets connections be established from now on, with a backlog for all at once.
-func (l *lateListener) comeUp(t *testing.T) {
+// startListening lets connections be established from now on, with a backlog for all at once.
+func (l *lateListener) startListening(t *testing.T) {
 	t.Helper()
 	l.inner = l.open()
 	raw, err := l.inner.(*net.TCPListener).SyscallConn()
--- a/cmd/spantack/signals_test.go
+++ b/cmd/spantack/signals_test.go
@@ -14,7 +14,7 @@
 func TestSignalDuringStart(t *testing.T) {
 	t.Parallel()
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM} {
-		p, into := launch(t, true)
+		p, configPipe := launch(t, true)
 		p.signal(s)
 		other := p.config + ".new" // for the reload: the pipe can be read only once
 		if err := os.WriteFile(other, []byte(p.text), 0o600); err != nil {
@@ -28,8 +28,8 @@
 				p.signal(s)
 			}
 		}
-		io.WriteString(into, p.text)
-		into.Close()
+		io.WriteString(configPipe, p.text)
+		configPipe.Close()
 		if s != syscall.SIGTERM {
 			nc := p.connectReady()
 			nc.Close()
--- a/cmd/spantack/take_over_test.go
+++ b/cmd/spantack/take_over_test.go
@@ -39,10 +39,10 @@
 			})
 		}, false},
 		{"terminated during its start", func(o *takeOver) {
-			next, into := launch(o.t, true, o.managed(loopback.FreeAddress()))
+			next, configPipe := launch(o.t, true, o.managed(loopback.FreeAddress()))
 			next.signal(syscall.SIGTERM)
-			io.WriteString(into, next.text)
-			into.Close()
+			io.WriteString(configPipe, next.text)
+			configPipe.Close()
 			next.awaitExit(testwait.StartStopwatch())
 		}, false},
 	} {
