--- a/cmd/spantack/build.go
+++ b/cmd/spantack/build.go
@@ -23,7 +23,7 @@
 // canceled when the last request has its response.
 func (p *process) build(ctx context.Context, out io.Writer) error {
 	c := p.config.Load()
-	file, inForce, err := loadFeatures(p.flags.Features, c)
+	file, enabled, err := loadFeatures(p.flags.Features, c)
 	if err != nil {
 		return err
 	}
@@ -33,15 +33,15 @@
 	p.log = zerolog.New(out).With().Timestamp().Str("router", c.Name).Logger()
 	p.state = handover.NewStateDir(c.StateDir, p.log)
 	limits := newLimits(c, p.inheritsListener)
-	if err := p.buildRouter(ctx, limits, inForce); err != nil {
+	if err := p.buildRouter(ctx, limits, enabled); err != nil {
 		return err
 	}
 	p.buildServer(limits)
 	return p.openListeners(ctx)
 }
 
-// buildRouter creates the connection pools for servers and the router, and applies the features.
-func (p *process) buildRouter(ctx context.Context, limits processLimits, inForce router.Features) error {
+// buildRouter creates the router and its connection pools to servers, and applies the features.
+func (p *process) buildRouter(ctx context.Context, limits processLimits, enabled router.Features) error {
 	c := p.config.Load()
 	p.pools = resp.NewPools(ctx, resp.Options{
 		DialTimeout:  c.DialTimeout,
@@ -58,7 +58,7 @@
 	if p.flags.Features != "" {
 		p.router.PlanOnTick()
 	}
-	if err := p.router.ApplyFeatures(inForce); err != nil {
+	if err := p.router.ApplyFeatures(enabled); err != nil {
 		return fmt.Errorf("%s: %w", p.flags.Features, err)
 	}
 	return nil
@@ -118,8 +118,8 @@
 	return s, nil
 }
 
-// loadFeatures loads the features file, checks it against a configuration, and returns it with the features for the
-// router. Both are zero if path is empty.
+// loadFeatures loads the features file, checks it against a configuration, and returns it with the features that it
+// enables for the router. Both are zero if path is empty.
 func loadFeatures(path string, c *config.Config) (*features.File, router.Features, error) {
 	if path == "" {
 		return nil, router.Features{}, nil
@@ -128,15 +128,15 @@
 	if err != nil {
 		return nil, router.Features{}, err
 	}
-	inForce, err := routerFeatures(file, c)
+	enabled, err := routerFeatures(file, c)
 	if err != nil {
 		return nil, router.Features{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return file, inForce, nil
+	return file, enabled, nil
 }
 
-// routerFeatures returns the router's features of a features file. It returns an error if the file does not match the
-// configuration.
+// routerFeatures returns the features that a features file enables for the router. It returns an error if the file does
+// not match the configuration.
 func routerFeatures(file *features.File, c *config.Config) (router.Features, error) {
 	if err := file.CheckSettings(&c.Settings); err != nil {
 		return router.Features{}, err
--- a/cmd/spantack/client_departure_test.go
+++ b/cmd/spantack/client_departure_test.go
@@ -17,12 +17,8 @@
 	"spantack/internal/testwait"
 )
 
-// Guards against a retry for a client that has left. The client leaves, in one of several ways, while its request is
-// at a cache that then closes the connection. The caches' request log must show one attempt of that request. A later
-// request of another client shows that nothing was sent before it, and after the process has exited nothing can follow.
-// The test runs once while the process serves and once while it shuts down. The other client sends its request only
-// after the router has noticed the closed connection: a request sent at the same time would go out on that connection,
-// and three such failures open the cache's circuit breaker.
+// Guards against a retry for a client that has left: in one of several ways, while its request is at a cache that then
+// closes the connection.
 func TestNoRetryAfterClientLeaves(t *testing.T) {
 	t.Parallel()
 	ways := map[string]func(*net.TCPConn){
@@ -39,8 +35,8 @@
 	}
 }
 
-// errEndedEarly is returned if the process exits after SIGTERM before all clients have left. They need about 20 ms, and
-// the process has 3 s.
+// errEndedEarly is returned if the process exits after SIGTERM before all clients have left. They need
+// about 20 ms, and the process runs for 3 s, so that this happens only on a very slow machine.
 var errEndedEarly = errors.New("the process exited before all clients had left")
 
 // leaveDuringAttempts runs TestNoRetryAfterClientLeaves with one process, and one client after the other. Deadlines are
@@ -54,7 +50,7 @@
 	askWithTimeout(remaining, 2, "00000000000000ff", longTimeout)
 	p.await("GET 00000000000000ff")
 	clients := map[string]*net.TCPConn{}
-	if isShuttingDown { // a process that shuts down soon accepts no more connections
+	if isShuttingDown { // soon after SIGTERM the process accepts no more connections
 		for name := range ways {
 			clients[name] = p.connectReady()
 		}
@@ -63,22 +59,26 @@
 	n := 0
 	for name, leave := range ways {
 		n++
-		if !isShuttingDown { // not earlier: a connection without a request is closed
+		if !isShuttingDown { // not earlier: the router closes idle connections after a while
 			clients[name] = p.connectReady()
 		}
 		left, other := fmt.Sprintf("00000000000000a%d", n), fmt.Sprintf("00000000000000b%d", n)
 		askWithTimeout(clients[name], 2, left, longTimeout)
-		if !p.arrived("GET " + left) {
+		if !p.awaitAny("GET " + left) {
 			return errEndedEarly
 		}
 		leave(clients[name])
-		// The router closes the connection instead if it can't write the DROP soon.
-		if !p.arrived("DROP "+left, "END "+left) {
+		// If the router can't write the DROP in time, it closes the connection instead.
+		if !p.awaitAny("DROP "+left, "END "+left) {
 			return errEndedEarly
 		}
-		p.breakOff(left)
+		// A request sent before the router has noticed the closed connection would go out on it, and three such failures
+		// open the cache's circuit breaker.
+		p.closeFromCache(left)
+		// Nothing was sent for the client that left before this request, and after the process has exited nothing can
+		// follow.
 		askWithTimeout(remaining, 2+n, other, longTimeout)
-		if !p.arrived("GET " + other) {
+		if !p.awaitAny("GET " + other) {
 			return errEndedEarly
 		}
 	}
@@ -123,10 +123,11 @@
 	awaitOutstanding(t, adminAddr, 0)
 	up := make(chan net.Conn, 32)
 	go p.serveCache(&announcingListener{open(), up})
-	// This is the dial for the first request: the kernel has repeated its SYN, and nothing else dials.
+	// This is the connection for the first request, established by a repeated SYN; no other connection is being dialed.
 	late := testwait.Receive(t, up, "the late connection")
 	remaining := p.connectReady() // not earlier: a connection without a message is soon closed
-	for i := range 6 {            // until a request uses it: the router may notice a moment later that it is up
+	// Until a request uses the late connection, which the router may notice only after a moment.
+	for i := range 6 {
 		ref := fmt.Sprintf("00000000000000b%x", i)
 		askWithTimeout(remaining, 2+i, ref, longTimeout)
 		p.await("GET " + ref)
--- a/cmd/spantack/client_harness_test.go
+++ b/cmd/spantack/client_harness_test.go
@@ -9,14 +9,14 @@
 	"spantack/internal/testwait"
 )
 
-// shortText is the first byte of a MessagePack string of under 32 bytes, to which its length is added.
-const shortText = 0xa0
+// fixstr is the first byte of a MessagePack fixstr, a string of under 32 bytes; the string's length is added to it.
+const fixstr = 0xa0
 
 // connect opens a client connection, as soon as the router accepts one.
 func (p *routerProcess) connect() *net.TCPConn {
 	p.t.Helper()
 	var client *net.TCPConn
-	testwait.Until(p.t, "the router to take a client", func() bool {
+	testwait.Until(p.t, "the router to accept a connection", func() bool {
 		nc, err := net.DialTimeout("tcp", p.listen, testwait.Limit)
 		if err != nil {
 			return false
@@ -57,9 +57,9 @@
 func ask(nc net.Conn, message int, ref string) { askWithTimeout(nc, message, ref, "2000") }
 
 // askWithTimeout sends a request of class page with a timeout, in milliseconds.
-func askWithTimeout(nc net.Conn, message int, ref, allow string) {
+func askWithTimeout(nc net.Conn, message int, ref, timeout string) {
 	fmt.Fprintf(nc, "\x94\x00%c\xa4page\x92\x83\xa3ref\xb0%s\xa5allow%s%s\xa6lookup\xb0000000000000007f\xc4\x00",
-		message, ref, []byte{shortText + byte(len(allow))}, allow)
+		message, ref, []byte{fixstr + byte(len(timeout))}, timeout)
 }
 
 // askKeyed sends a request of class report with an idempotency key.
--- a/cmd/spantack/counters.go
+++ b/cmd/spantack/counters.go
@@ -11,8 +11,8 @@
 	"spantack/core/scheduler"
 )
 
-// reportOnSignal logs the counters at each SIGUSR1, until ctx is canceled.
-func (p *process) reportOnSignal(ctx context.Context) error {
+// logCountersOnSignal logs the counters at each SIGUSR1, until ctx is canceled.
+func (p *process) logCountersOnSignal(ctx context.Context) error {
 	requested := make(chan os.Signal, 1)
 	signal.Notify(requested, syscall.SIGUSR1)
 	defer signal.Stop(requested)
@@ -21,13 +21,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-requested:
-			p.reportCounters()
+			p.requestCounterLog()
 		}
 	}
 }
 
-// reportCounters logs the counters, as a background job if there is a background runner.
-func (p *process) reportCounters() {
+// requestCounterLog logs the counters, as a background job if there is a background runner.
+func (p *process) requestCounterLog() {
 	if p.background == nil {
 		p.logCounters()
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// logCounters logs the counters since the start, and the current state of the features that are on. The operators'
-// pages document the messages and fields.
+// logCounters logs the counters since the start, and the current state of the features that are on. docs/operation.md
+// documents the messages and fields.
 func (p *process) logCounters() {
 	p.logRequestCounters()
 	p.logFleet()
@@ -76,8 +76,8 @@
 	n := p.gossip.Counts()
 	p.log.Info().Int64("told", n.Sent).Int64("heard", n.Received).Int64("dropped", n.Dropped).
 		Int64("found", n.OverloadsFound).Msg("peers")
-	if limits, living := p.gossip.LimitStatuses(); limits != nil {
-		p.log.Info().Int("living", living).Interface("limits", limits).Msg("fleet")
+	if limits, liveMembers := p.gossip.LimitStatuses(); limits != nil {
+		p.log.Info().Int("living", liveMembers).Interface("limits", limits).Msg("fleet")
 	}
 }
 
--- a/cmd/spantack/departures_run_test.go
+++ b/cmd/spantack/departures_run_test.go
@@ -17,15 +17,15 @@
 	stage          requestStage
 	condition      condition
 	attemptsMayEnd chan struct{} // closed when attempts at the caches may end
-	openListeners  []func()      // each lets the connections to a cache be established
+	startListening []func()      // each lets the connections to a cache be established
 	departing      []*departingClient
-	remaining      []*caller
+	remaining      []*clientConn
 	pendingDials   int // connections to caches that are being established
 }
 
 // departingClient is a client that leaves.
 type departingClient struct {
-	*caller
+	*clientConn
 	ref    string
 	way    departureWay
 	leftAt time.Time // when its cancel or close was done
@@ -38,49 +38,49 @@
 
 func newDeparture(t *testing.T, stage requestStage, cond condition) *departure {
 	p := &departure{stage: stage, condition: cond, attemptsMayEnd: make(chan struct{})}
-	plan := blueprint{caches: stage.caches, sockets: stage.descriptors, deadline: longDeadline}
-	if plan.caches == 0 {
-		plan.caches = 3
+	options := deploymentOptions{caches: stage.caches, sockets: stage.descriptors, deadline: longDeadline}
+	if options.caches == 0 {
+		options.caches = 3
 	}
-	if plan.sockets == 0 {
-		plan.sockets = 256
+	if options.sockets == 0 {
+		options.sockets = 256
 	}
-	plan.cache = func(_ int, opt *caches.Options) {
+	options.cache = func(_ int, opt *caches.Options) {
 		opt.UsesSmallBuffers = stage.pausesCaches
 		if stage.dialsLate {
 			late := newLateListener(t)
 			opt.Listener = late
-			p.openListeners = append(p.openListeners, func() { late.startListening(t) })
+			p.startListening = append(p.startListening, func() { late.startListening(t) })
 		}
 	}
 	if stage.holdsAttempts || stage.sendsOnLeaving {
-		plan.script = p.holdAttempt
+		options.injectFault = p.holdAttempt
 	}
 	if cond.isBusy {
 		core := newBusyCore(t)
-		plan.start = core.start
+		options.start = core.start
 	}
-	p.deployment = deploy(t, plan)
+	p.deployment = deploy(t, options)
 	return p
 }
 
 // holdAttempt lets an attempt end only once attemptsMayEnd is closed. Attempts that began before then end with
 // ERR, BUSY or a malformed response.
-func (p *departure) holdAttempt(g caches.Request) caches.Fault {
+func (p *departure) holdAttempt(attempt caches.Request) caches.Fault {
 	select {
 	case <-p.attemptsMayEnd:
 		return caches.FaultNone
 	default:
 	}
 	<-p.attemptsMayEnd
-	return []caches.Fault{caches.FaultError, caches.FaultBusy, caches.FaultMalformed}[g.ID[len(g.ID)-1]%3]
+	return []caches.Fault{caches.FaultError, caches.FaultBusy, caches.FaultMalformed}[attempt.ID[len(attempt.ID)-1]%3]
 }
 
 // run brings all requests to the stage and lets the departing clients leave. After departedGrace it lets the requests
 // continue. It reports whether attempts of remaining clients then began at that stage.
 func (p *departure) run() (hasAttempts bool) {
-	if step := p.setUp(); step != "" {
-		p.t.Logf("repeating the run: too slow for the step: %s", step)
+	if slowStep := p.setUp(); slowStep != "" {
+		p.t.Logf("repeating the run: too slow for the step: %s", slowStep)
 		p.cmd.Process.Kill()
 		return false
 	}
@@ -91,7 +91,7 @@
 	}
 	start := time.Now()
 	p.release()
-	if p.condition.isStopped {
+	if p.condition.isSuspended {
 		p.signal(syscall.SIGCONT)
 	}
 	hasAttempts = p.awaitRemainingAttempt(start)
@@ -100,32 +100,35 @@
 	return hasAttempts
 }
 
-// leave lets the departing clients leave. Other tests start no program meanwhile: between fork and exec a program has
-// copies of this process's connections, and a close would have no effect until these are closed too.
+// leave lets the departing clients leave. It holds the fork lock, so that other tests start no program meanwhile: a
+// child between fork and exec has copies of this process's connections, and a close would have no effect until the
+// child has closed them too.
 func (p *departure) leave() {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
-	for _, l := range p.departing {
-		l.way.leave(l.caller, request(2, l.ref, longDeadline, p.stage.bodySize))
-		l.leftAt = time.Now()
+	for _, client := range p.departing {
+		client.way.leave(client.clientConn, request(2, client.ref, longDeadline, p.stage.bodySize))
+		client.leftAt = time.Now()
 	}
 }
 
-// release lets the waiting requests continue, and returns once a stopped router can notice that.
+// release lets the waiting requests continue. For a suspended router it returns once responses and connections have had
+// time to reach the router's sockets.
 func (p *departure) release() {
 	close(p.attemptsMayEnd)
 	for _, cache := range p.caches {
 		cache.Resume()
 	}
-	for _, startListening := range p.openListeners {
-		startListening()
+	for _, start := range p.startListening {
+		start()
 	}
-	if !p.condition.isStopped {
+	if !p.condition.isSuspended {
 		return
 	}
-	time.Sleep(50 * time.Millisecond) // for the caches' responses; the result does not depend on it
+	// Lets the caches' responses arrive. Without them the run tests less, but its result is right.
+	time.Sleep(50 * time.Millisecond)
 	if p.stage.dialsLate {
-		pollUntil(func() bool { // until most connections are established while the router is stopped
+		pollUntil(func() bool { // until most connections are established while the router is suspended
 			all := 0
 			for _, cache := range p.caches {
 				accepted, _, _ := cache.Connections()
@@ -140,8 +143,8 @@
 // attempts can begin from this stage.
 func (p *departure) awaitRemainingAttempt(since time.Time) bool {
 	return pollUntil(func() bool {
-		return slices.ContainsFunc(p.requests.Requests(), func(g caches.Request) bool {
-			return g.ID[0] == remainingRef(0)[0] && (g.ArrivedAt.After(since) || p.stage.sendsOnLeaving)
+		return slices.ContainsFunc(p.requests.Requests(), func(attempt caches.Request) bool {
+			return attempt.ID[0] == remainingRef(0)[0] && (attempt.ArrivedAt.After(since) || p.stage.sendsOnLeaving)
 		})
 	})
 }
@@ -150,17 +153,18 @@
 func (p *departure) checkLate() {
 	p.t.Helper()
 	clients := map[string]*departingClient{}
-	for _, l := range p.departing {
-		clients[l.ref] = l
+	for _, client := range p.departing {
+		clients[client.ref] = client
 	}
 	var late []string
-	for _, g := range p.requests.Requests() {
-		l := clients[g.ID]
-		if l == nil {
+	for _, attempt := range p.requests.Requests() {
+		client := clients[attempt.ID]
+		if client == nil {
 			continue
 		}
-		if after := g.ArrivedAt.Sub(l.leftAt); after > departedGrace {
-			late = append(late, fmt.Sprintf("%s (%s) %v after its client left by %q", g.ID, g.Server, after, l.way.name))
+		if after := attempt.ArrivedAt.Sub(client.leftAt); after > departedGrace {
+			late = append(late, fmt.Sprintf("%s (%s) %v after its client left by %q",
+				attempt.ID, attempt.Server, after, client.way.name))
 		}
 	}
 	switch {
--- a/cmd/spantack/departures_setup_test.go
+++ b/cmd/spantack/departures_setup_test.go
@@ -12,17 +12,17 @@
 
 // setUp runs the steps before the clients leave. It returns the step for which the machine was too slow; empty if all
 // are done.
-func (p *departure) setUp() (failed string) {
+func (p *departure) setUp() (slowStep string) {
 	switch {
 	case !p.connectAll():
 		return "connect all clients"
 	case !p.sendRequests():
-		return "bring all requests to the stage"
+		return "get all requests to the stage under test"
 	case p.condition.isShuttingDown && !p.beginShutdown():
 		return "begin the shutdown"
 	}
-	if p.condition.isStopped {
-		p.stopRouter()
+	if p.condition.isSuspended {
+		p.suspendRouter()
 	}
 	return ""
 }
@@ -49,17 +49,17 @@
 // connectAll opens all connections and at once makes a health call on each: the router closes connections that send
 // nothing for long. It returns false unless the router is ready on all.
 func (p *departure) connectAll() bool {
-	each := p.stage.clientsPerWay
-	if each == 0 {
-		each = 3
+	perWay := p.stage.clientsPerWay
+	if perWay == 0 {
+		perWay = 3
 	}
 	if p.stage.descriptors == minDescriptors {
-		each = 2 // the descriptors are too few for more clients
+		perWay = 2 // the descriptors are too few for more clients
 	}
 	for _, way := range departureWays {
-		for range each {
+		for range perWay {
 			ref := fmt.Sprintf("%016x", 1+len(p.departing))
-			p.departing = append(p.departing, &departingClient{caller: p.connect(), ref: ref, way: way})
+			p.departing = append(p.departing, &departingClient{clientConn: p.connect(), ref: ref, way: way})
 			p.departing[len(p.departing)-1].askHealth(1)
 		}
 	}
@@ -67,8 +67,8 @@
 		p.remaining = append(p.remaining, p.connect())
 		p.remaining[len(p.remaining)-1].askHealth(1)
 	}
-	for _, l := range p.departing {
-		if l.readHealth(1) != "ready" {
+	for _, client := range p.departing {
+		if client.readHealth(1) != "ready" {
 			return false
 		}
 	}
@@ -87,20 +87,20 @@
 			cache.Pause()
 		}
 	}
-	if p.stage.blockers > 0 {
-		blocker := p.connect()
-		for number := range p.stage.blockers {
-			blocker.Write(request(byte(2+number), fmt.Sprintf("b%015x", number), longDeadline, longCommand))
+	if p.stage.blockingCommands > 0 {
+		sender := p.connect()
+		for number := range p.stage.blockingCommands {
+			sender.Write(request(byte(2+number), fmt.Sprintf("b%015x", number), longDeadline, longCommand))
 		}
-		if !p.awaitUnread(p.stage.blockers) {
+		if !p.awaitUnread(p.stage.blockingCommands) {
 			return false
 		}
 	}
-	sent := map[string]*caller{}
+	sent := map[string]*clientConn{}
 	if !p.stage.sendsOnLeaving {
-		for _, l := range p.departing {
-			if !l.way.sendsRequest {
-				sent[l.ref] = l.caller
+		for _, client := range p.departing {
+			if !client.way.sendsRequest {
+				sent[client.ref] = client.clientConn
 			}
 		}
 	}
@@ -134,10 +134,10 @@
 func remainingRef(number int) string { return fmt.Sprintf("a%015x", number) }
 
 // allArrived reports whether an attempt of each request has arrived at a cache.
-func (p *departure) allArrived(sent map[string]*caller) bool {
+func (p *departure) allArrived(sent map[string]*clientConn) bool {
 	arrived := map[string]bool{}
-	for _, g := range p.requests.Requests() {
-		arrived[g.ID] = true
+	for _, attempt := range p.requests.Requests() {
+		arrived[attempt.ID] = true
 	}
 	for ref := range sent {
 		if !arrived[ref] {
@@ -178,8 +178,8 @@
 	return count
 }
 
-// stopRouter stops the router with SIGSTOP, and returns once it is stopped.
-func (p *departure) stopRouter() {
+// suspendRouter suspends the router with SIGSTOP, and returns once it is suspended.
+func (p *departure) suspendRouter() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
 	testwait.Until(p.t, "the router to stop on SIGSTOP", func() bool {
--- a/cmd/spantack/departures_test.go
+++ b/cmd/spantack/departures_test.go
@@ -21,9 +21,9 @@
 const (
 	// maxParallelRuns bounds how many deployments run at a time.
 	maxParallelRuns = 4
-	// maxRuns bounds the runs of a stage. A run is repeated if no attempt of a remaining client began, for instance
-	// because the machine was so slow that these requests had ended before: it shows too little. Late attempts of
-	// departing clients fail the test in each run.
+	// maxRuns bounds the runs of a stage. A run without an attempt of a remaining client shows nothing and is
+	// repeated. This happens if a slow machine lets these requests end too early. Late attempts of departing clients
+	// fail the test in each run.
 	maxRuns = 8
 	// setUpTimeout bounds each step before the clients leave, and afterwards the wait for an attempt of a remaining
 	// client.
@@ -35,36 +35,36 @@
 	name string
 	// sendsRequest means that the client sends its request in the same step.
 	sendsRequest bool
-	leave        func(c *caller, request []byte)
+	leave        func(c *clientConn, request []byte)
 }
 
 var departureWays = []departureWay{
-	{name: "cancel", leave: func(c *caller, _ []byte) { io.WriteString(c, "\x93\x02\xa6cancel\x91\x02") }},
-	{name: "close", leave: func(c *caller, _ []byte) { c.Close() }},
-	{name: "reset", leave: func(c *caller, _ []byte) { c.reset() }},
-	{name: "half-close", leave: func(c *caller, _ []byte) { c.CloseWrite() }},
-	{name: "close with its last byte", sendsRequest: true, leave: func(c *caller, request []byte) {
+	{name: "cancel", leave: func(c *clientConn, _ []byte) { io.WriteString(c, "\x93\x02\xa6cancel\x91\x02") }},
+	{name: "close", leave: func(c *clientConn, _ []byte) { c.Close() }},
+	{name: "reset", leave: func(c *clientConn, _ []byte) { c.reset() }},
+	{name: "half-close", leave: func(c *clientConn, _ []byte) { c.CloseWrite() }},
+	{name: "close with its last byte", sendsRequest: true, leave: func(c *clientConn, request []byte) {
 		c.cork()
 		c.Write(request)
 		c.Close()
 	}},
-	{name: "cancel with its last byte", sendsRequest: true, leave: func(c *caller, request []byte) {
+	{name: "cancel with its last byte", sendsRequest: true, leave: func(c *clientConn, request []byte) {
 		c.Write(append(slices.Clone(request), "\x93\x02\xa6cancel\x91\x02"...))
 	}},
-	{name: "reset after its last byte", sendsRequest: true, leave: func(c *caller, request []byte) {
+	{name: "reset after its last byte", sendsRequest: true, leave: func(c *clientConn, request []byte) {
 		c.Write(request)
 		c.reset()
 	}},
 }
 
 // reset closes the connection with a TCP reset.
-func (c *caller) reset() {
+func (c *clientConn) reset() {
 	c.SetLinger(0)
 	c.Close()
 }
 
 // cork makes the kernel send the last bytes and the FIN together.
-func (c *caller) cork() {
+func (c *clientConn) cork() {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		c.t.Fatal(err)
@@ -79,21 +79,23 @@
 // requestStage is the stage of a request in the router at which its client leaves. No attempt can begin from there
 // until the test allows it.
 type requestStage struct {
-	name           string
-	clientsPerWay  int  // clients for each departureWay; 0 means 3
-	caches         int  // 0 means 3
-	descriptors    int  // 0 means enough for all
-	bodySize       int  // bytes in the body of a request
-	sendsOnLeaving bool // departing clients send their requests only when they leave
-	holdsAttempts  bool // first attempts are at the caches; when the test lets them end, a retry follows
-	dialsLate      bool // connections to the caches are not established yet
-	pausesCaches   bool // the caches read nothing
-	blockers       int  // commands being written before these requests, each too long for the socket buffers
-	runsBusy       bool // also run on a busy core
-	isInKernel     bool // attempts continue without the router, which gets time to withdraw them
+	name             string
+	clientsPerWay    int  // clients for each departureWay; 0 means 3
+	caches           int  // 0 means 3
+	descriptors      int  // 0 means enough for all
+	bodySize         int  // bytes in the body of a request
+	sendsOnLeaving   bool // departing clients send their requests only when they leave
+	holdsAttempts    bool // first attempts are at the caches; when the test lets them end, a retry follows
+	dialsLate        bool // connections to the caches are not established yet
+	pausesCaches     bool // the caches read nothing
+	blockingCommands int  // commands sent before these requests, each too long for the socket buffers
+	runsBusy         bool // also run on a busy core
+	// isInKernel means that attempts are in the kernel's send buffer, so that a suspended router can't withdraw them. A
+	// running router gets time to do so.
+	isInKernel bool
 }
 
-// minDescriptors is a limit with which attempts share the few connections to caches.
+// minDescriptors is a limit on descriptors that is so low that attempts share connections to caches.
 const minDescriptors = 64
 
 const (
@@ -106,24 +108,24 @@
 var requestStages = []requestStage{
 	{name: "decision module", sendsOnLeaving: true},
 	{name: "late dial", dialsLate: true, runsBusy: true},
-	{name: "queue behind a blocked write", pausesCaches: true, blockers: 8, descriptors: minDescriptors},
-	{name: "its own blocked write", pausesCaches: true, bodySize: longCommand},
+	{name: "queue behind a blocked write", pausesCaches: true, blockingCommands: 8, descriptors: minDescriptors},
+	{name: "blocked write of the request", pausesCaches: true, bodySize: longCommand},
 	{name: "in the send queue", pausesCaches: true, bodySize: shortCommand, isInKernel: true},
 	{name: "between attempts", holdsAttempts: true, runsBusy: true},
-	{name: "late dial, hundreds", dialsLate: true, clientsPerWay: 30, caches: 10, descriptors: 2048},
+	{name: "late dial, hundreds of clients", dialsLate: true, clientsPerWay: 30, caches: 10, descriptors: 2048},
 }
 
 // condition is the state of the router while clients leave.
 type condition struct {
 	name           string
-	isStopped      bool // stopped from before the clients leave until after the next attempts could begin
+	isSuspended    bool // suspended by SIGSTOP while clients leave; resumed once further attempts are possible
 	isShuttingDown bool // shutting down after SIGTERM
 	isBusy         bool // on one core with busy loops
 }
 
 var conditions = []condition{
 	{name: "serving"},
-	{name: "stopped", isStopped: true},
+	{name: "suspended", isSuspended: true},
 	{name: "shutting down", isShuttingDown: true},
 	{name: "busy", isBusy: true},
 }
@@ -135,7 +137,7 @@
 	runs := make(chan struct{}, maxParallelRuns)
 	for _, stage := range requestStages {
 		for _, cond := range conditions {
-			if cond.isBusy && !stage.runsBusy || cond.isStopped && stage.isInKernel {
+			if cond.isBusy && !stage.runsBusy || cond.isSuspended && stage.isInKernel {
 				continue
 			}
 			t.Run(strings.ReplaceAll(stage.name+"/"+cond.name, " ", "-"), func(t *testing.T) {
--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -18,24 +18,24 @@
 	caches "spantack/standin/cache"
 )
 
-// awaitLimit bounds each wait for the router, a client or a stand-in.
+// awaitLimit bounds each wait for the router, a client or a fake server.
 const awaitLimit = 20 * time.Second
 
-// blueprint describes a deployment of one router.
-type blueprint struct {
-	caches    int
-	sockets   int           // the router's limit on descriptors
-	deadline  time.Duration // of the class
-	discovery string        // address of the discovery service; empty if there is none
-	cache     func(number int, opt *caches.Options)
-	script    func(caches.Request) caches.Fault
-	start     func(*exec.Cmd) error // starts the router; nil means (*exec.Cmd).Start
+// deploymentOptions describes a deployment of one router.
+type deploymentOptions struct {
+	caches      int
+	sockets     int           // the router's limit on descriptors
+	deadline    time.Duration // of the class
+	discovery   string        // address of the discovery service; empty if there is none
+	cache       func(number int, opt *caches.Options)
+	injectFault func(caches.Request) caches.Fault
+	start       func(*exec.Cmd) error // starts the router; nil means (*exec.Cmd).Start
 }
 
-// deployment is a router process with stand-ins for its servers, and a log of the requests that reached them.
+// deployment is a router process with fake servers, and a log of the requests that reached them.
 type deployment struct {
 	t        *testing.T
-	plan     blueprint
+	options  deploymentOptions
 	cmd      *exec.Cmd
 	listen   string
 	stderr   *bytes.Buffer
@@ -52,11 +52,11 @@
 )
 
 // deploy starts the servers and the router, and returns once the router is ready.
-func deploy(t *testing.T, plan blueprint) *deployment {
+func deploy(t *testing.T, options deploymentOptions) *deployment {
 	t.Helper()
 	d := &deployment{
 		t:        t,
-		plan:     plan,
+		options:  options,
 		listen:   loopback.FreeAddress(),
 		stderr:   &bytes.Buffer{},
 		requests: caches.NewRequestLog(),
@@ -68,11 +68,11 @@
 	}
 	t.Cleanup(origin.Close)
 	d.origin = origin
-	for number := range plan.caches {
-		opt := caches.Options{ID: uint32(firstCache + number), RequestLog: d.requests, InjectFault: plan.script,
-			FindServer: d.source}
-		if plan.cache != nil {
-			plan.cache(number, &opt)
+	for number := range options.caches {
+		opt := caches.Options{ID: uint32(firstCache + number), RequestLog: d.requests, InjectFault: options.injectFault,
+			FindServer: d.fillSource}
+		if options.cache != nil {
+			options.cache(number, &opt)
 		}
 		cache, err := caches.Listen(opt)
 		if err != nil {
@@ -81,8 +81,8 @@
 		t.Cleanup(cache.Close)
 		d.caches = append(d.caches, cache)
 	}
-	if d.plan.discovery == "" {
-		d.plan.discovery = loopback.FreeAddress()
+	if d.options.discovery == "" {
+		d.options.discovery = loopback.FreeAddress()
 	}
 	config := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(config, d.configuration(), 0o600); err != nil {
@@ -91,8 +91,8 @@
 	d.cmd = routerCommand(d.listen, config)
 	d.cmd.Stderr = d.stderr
 	start := (*exec.Cmd).Start
-	if plan.start != nil {
-		start = plan.start
+	if options.start != nil {
+		start = options.start
 	}
 	if err := start(d.cmd); err != nil {
 		t.Fatal(err)
@@ -104,8 +104,8 @@
 }
 
 // answersReady makes a health call on a new connection, and reports whether the router is ready. It returns false if
-// the router closes the connection without a response, as it does if a client sends nothing for long: that may happen
-// if the machine is short of CPU time. Any other response than that it is ready fails the test.
+// the router closes the connection without a response: it closes silent connections, and on a slow machine the call may
+// come too late. A response other than ready fails the test.
 func (d *deployment) answersReady() bool {
 	d.t.Helper()
 	c := d.connect()
@@ -121,7 +121,7 @@
 	return true
 }
 
-// configuration returns the router's configuration, in which the initial events have the origin and the caches.
+// configuration returns the router's configuration, whose initial events list the origin and the caches.
 func (d *deployment) configuration() []byte {
 	type entry map[string]any
 	target := func(server *caches.Server, kind string) entry {
@@ -134,9 +134,9 @@
 	for _, cache := range d.caches {
 		targets = append(targets, target(cache, "box"))
 	}
-	micros := d.plan.deadline.Microseconds()
+	micros := d.options.deadline.Microseconds()
 	text, err := json.Marshal(entry{
-		"seed": "01", "limits": entry{"memory_mb": 192, "sockets": d.plan.sockets}, "board": d.plan.discovery,
+		"seed": "01", "limits": entry{"memory_mb": 192, "sockets": d.options.sockets}, "board": d.options.discovery,
 		"known": entry{"rev": 1, "notices": []entry{{"rev": 1, "pool": entry{"all": true, "targets": targets}}}},
 		"settings": entry{
 			"Classes": []entry{{
@@ -155,8 +155,8 @@
 	return text
 }
 
-// source returns the server from which caches fill a miss, which is always the origin.
-func (d *deployment) source(string) *caches.Server { return d.origin }
+// fillSource returns the server from which caches fill after a miss, which is always the origin.
+func (d *deployment) fillSource(string) *caches.Server { return d.origin }
 
 func (d *deployment) signal(s syscall.Signal) {
 	d.t.Helper()
@@ -190,14 +190,14 @@
 	})
 }
 
-// caller is a client's connection.
-type caller struct {
+// clientConn is a client's connection to the router.
+type clientConn struct {
 	*net.TCPConn
 	t *testing.T
 }
 
 // connect opens a client connection, as soon as the router listens.
-func (d *deployment) connect() *caller {
+func (d *deployment) connect() *clientConn {
 	d.t.Helper()
 	var conn net.Conn
 	testwait.Until(d.t, "a connection to the router", func() (up bool) {
@@ -206,13 +206,13 @@
 		return err == nil
 	})
 	d.t.Cleanup(func() { conn.Close() })
-	return &caller{TCPConn: conn.(*net.TCPConn), t: d.t}
+	return &clientConn{TCPConn: conn.(*net.TCPConn), t: d.t}
 }
 
-// request returns the message of a request of class page, with a body of a size in bytes.
-func request(id byte, ref string, allow time.Duration, body int) []byte {
+// request returns an encoded request of class page. timeout is the client's; body is the size of the body in bytes.
+func request(id byte, ref string, timeout time.Duration, body int) []byte {
 	message := append([]byte{0x94, 0, id}, "\xa4page\x92\x83"...)
-	for _, field := range [][2]string{{"ref", ref}, {"allow", fmt.Sprint(allow.Milliseconds())}, {"lookup", ref}} {
+	for _, field := range [][2]string{{"ref", ref}, {"allow", fmt.Sprint(timeout.Milliseconds())}, {"lookup", ref}} {
 		for _, text := range field {
 			message = append(append(message, 0xa0|byte(len(text))), text...)
 		}
@@ -222,13 +222,13 @@
 }
 
 // askHealth sends a health call. Once its response arrives, the router has read all that was sent before.
-func (c *caller) askHealth(id byte) {
+func (c *clientConn) askHealth(id byte) {
 	fmt.Fprintf(c, "\x94\x00%c\xa6health\x91\x80", id) // after an error no response arrives
 }
 
 // readHealth waits for the response to askHealth. It returns "ready", "not ready", the error, or the quoted bytes of
 // another response.
-func (c *caller) readHealth(id byte) string {
+func (c *clientConn) readHealth(id byte) string {
 	c.SetReadDeadline(time.Now().Add(awaitLimit))
 	got := make([]byte, 7)
 	if _, err := io.ReadFull(c, got); err != nil {
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -19,11 +19,12 @@
 )
 
 const (
-	// maxRewatchTime bounds the time from the return of the discovery service until the router watches it again. The
-	// router tries at least twice a second. Idle clients that have made one call are closed for being idle only after
-	// 6 s. The time in which the machine was short of CPUs is not counted here, nor in maxTimeToServe.
+	// maxRewatchTime bounds the time from the return of the discovery service until the router watches it again. It is
+	// well above the router's retry interval of at most 500 ms, and below the 6 s after which idle clients that have
+	// made a call are closed. Time in which the machine was short of CPUs does not count, here and for maxTimeToServe.
 	maxRewatchTime = 3 * time.Second
-	// maxTimeToServe bounds the time from then on until a client is served by the cache that was listed meanwhile.
+	// maxTimeToServe bounds the time from the new watch, or from the end of the outage if none is needed, until a
+	// request has been served and one has reached the cache that was added during the outage.
 	maxTimeToServe = 5 * time.Second
 	// reconnectDelay is the time after which an idle client connects again when its connection was closed.
 	reconnectDelay = 500 * time.Millisecond
@@ -33,7 +34,7 @@
 type outage struct {
 	name                  string
 	modeDuring, modeAfter discovery.Mode
-	duration              time.Duration // while idle clients connect
+	duration              time.Duration // how long the outage goes on after the idle clients have connected
 	descriptorLimits      []int         // of the router, one run each
 	// firstFrameDelay is the delay of the first frame after the return of the discovery service.
 	firstFrameDelay time.Duration
@@ -81,7 +82,7 @@
 		t.Fatal(err)
 	}
 	defer service.Close()
-	d := deploy(t, blueprint{
+	d := deploy(t, deploymentOptions{
 		caches: 2, sockets: limit, deadline: 2 * time.Second, discovery: service.Addr(), start: withDescriptorLimit(limit),
 	})
 	list := append(d.cacheEntries(stateReady, stateReady), entry(d.origin, originID, stateReady, kindOrigin))
@@ -94,14 +95,16 @@
 	clients := startIdleClients(d.listen, limit+limit/2)
 	defer clients.stopAll()
 	testwait.Until(t, "as many idle clients as the router has descriptors", func() bool {
-		return clients.connectionsMade() >= limit
+		return clients.dialCount() >= limit
 	})
 	testwait.Until(t, "idle clients to use the third of the descriptors that is for clients", func() bool {
 		return countDescriptors(t, d.cmd.Process.Pid) >= limit/clientDescriptorDivisor
 	})
 	time.Sleep(o.duration)
 
-	replacement, err := caches.Listen(caches.Options{ID: firstCache + 100, RequestLog: d.requests, FindServer: d.source})
+	replacement, err := caches.Listen(caches.Options{
+		ID: firstCache + 100, RequestLog: d.requests, FindServer: d.fillSource,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,18 +112,18 @@
 	replaced := append(d.cacheEntries(stateGone, stateGone), entry(replacement, firstCache+100, stateReady, kindCache))
 	service.Publish(false, replaced...)
 	before := service.Watches()
-	back := testwait.StartStopwatch()
+	sinceReturn := testwait.StartStopwatch()
 	if err := service.SetMode(o.modeAfter); err != nil {
 		t.Fatal(err)
 	}
 	if o.needsNewWatch() {
 		testwait.Until(t, "the watch after the outage", func() bool { return service.Watches() > before })
-		if took := back.Elapsed(); took > maxRewatchTime {
+		if took := sinceReturn.Elapsed(); took > maxRewatchTime {
 			t.Errorf("watched again %v after the outage, want at most %v", took, maxRewatchTime)
 		}
 	}
 	if took, allowed := d.servedBy(replacement), maxTimeToServe+o.firstFrameDelay; took > allowed {
-		t.Errorf("served by the cache that was listed meanwhile after %v, want at most %v", took, allowed)
+		t.Errorf("served by the cache that was added during the outage after %v, want at most %v", took, allowed)
 	}
 	if open := countDescriptors(t, d.cmd.Process.Pid); open > limit {
 		t.Errorf("%d descriptors, want at most %d", open, limit)
@@ -176,9 +179,9 @@
 	return len(entries)
 }
 
-// servedBy requests new objects, each on a new connection since the router may have closed the last one unread, until a
-// request was served and this cache has received one. It returns the time that this took, less the time in which the
-// machine was short of CPUs.
+// servedBy requests new objects until a request has been served and the cache has received one. Each request uses a new
+// connection, since the router may have closed the previous one without reading the request. servedBy returns the time
+// that this took, without the time in which the machine was short of CPUs.
 func (d *deployment) servedBy(cache *caches.Server) time.Duration {
 	d.t.Helper()
 	begin := testwait.StartStopwatch()
@@ -199,8 +202,8 @@
 		return err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(d.plan.deadline))
-	if _, err := conn.Write(request(2, ref, d.plan.deadline, 0)); err != nil {
+	conn.SetDeadline(time.Now().Add(d.options.deadline))
+	if _, err := conn.Write(request(2, ref, d.options.deadline, 0)); err != nil {
 		return err
 	}
 	body := caches.Body(ref, "0")
@@ -226,8 +229,9 @@
 	dials int
 }
 
-// initialBytes are what idle clients send: nothing, half a message, a whole one, or one and a half. They send nothing
-// more until the router closes the connection.
+// initialBytes are what idle clients send: nothing, half a message, a whole one, or one and a part of the next. The
+// repetition sets the proportions: half of the clients send one whole message. They send nothing more until the router
+// closes the connection.
 var initialBytes = []string{"", "\x94\x00\x02\xa4pa", wholeMessage, wholeMessage + "\x94", wholeMessage, wholeMessage}
 
 const wholeMessage = "\x94\x00\x01\xa6health\x91\x80"
@@ -272,8 +276,8 @@
 	}
 }
 
-// connectionsMade returns the number of connections opened so far.
-func (c *idleClients) connectionsMade() int {
+// dialCount returns the number of connections opened so far.
+func (c *idleClients) dialCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dials
--- a/cmd/spantack/gossip.go
+++ b/cmd/spantack/gossip.go
@@ -5,26 +5,25 @@
 	"slices"
 
 	"spantack/core/fleet"
-	overload "spantack/core/gossip"
+	coregossip "spantack/core/gossip"
 	"spantack/core/lease"
 	"spantack/internal/clock"
 	"spantack/internal/config"
 	"spantack/internal/gossip"
 )
 
-// A process's incarnation in the fleet counts the steps of incarnationStep from incarnationEpoch, the beginning of
-// 2020, to the time of its start. It grows with each start, until it overflows in 2037. Both are in milliseconds, the
-// epoch in Unix time.
+// The incarnation of a process in the fleet is its start time, in units of incarnationStep since incarnationEpoch. It
+// grows with each start, until it overflows 32 bits in 2037.
 const (
-	incarnationEpoch = 1_577_836_800_000
-	incarnationStep  = 125
+	incarnationEpoch = 1_577_836_800_000 // in Unix milliseconds: the beginning of 2020
+	incarnationStep  = 125               // in milliseconds
 )
 
 // originFillLimit is the index of the only fleet limit: fills from the origin.
 const originFillLimit = 0
 
-// wireGossip connects the exchange of datagrams with other routers to the router, if flags, features and settings
-// enable it. Otherwise the router gets an equal share of the fleet limit, if there is one.
+// wireGossip starts gossip with other routers if the flag --peers, fleet limits or verdicts need it, and the
+// configuration enables it. Without gossip the router gets an equal share of the fleet limit, if there is one.
 func (p *process) wireGossip() error {
 	c := p.config.Load()
 	fleetLimits := p.features.FleetLimits()
@@ -43,12 +42,12 @@
 // openGossip creates the transport. It creates none if the fleet is too small for reports of overloaded servers, and
 // neither fleet limits nor verdicts are on.
 func (p *process) openGossip(c *config.Config) error {
-	overloads, err := overload.New(overload.Options{
+	overloads, err := coregossip.New(coregossip.Options{
 		Rank:        c.Fleet.Rank,
 		FleetSize:   len(c.Fleet.Members),
 		Site:        siteIndex(c),
 		Sites:       len(c.Settings.Zones),
-		Incarnation: uint32(p.clock.Now() / 1000),
+		Incarnation: uint32(p.clock.Now() / 1000), // the start time in Unix seconds
 	})
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -59,7 +58,8 @@
 		return nil
 	}
 	if tree != nil && tree.Routers < len(c.Fleet.Members) {
-		return fmt.Errorf("fleet.tree.routers: %d is below the %d peers of the settings", tree.Routers, len(c.Fleet.Members))
+		return fmt.Errorf("fleet.tree.routers: %d is less than the %d fleet members in the configuration",
+			tree.Routers, len(c.Fleet.Members))
 	}
 	transport := &gossip.Transport{
 		Gossip:           overloads,
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// joinFleet adds membership to the transport, and the fleet limits and verdicts that depend on it.
+// joinFleet makes this router a member of the fleet, and connects the fleet limits and verdicts that are on.
 func (p *process) joinFleet(
 	c *config.Config, transport *gossip.Transport, limits []fleet.Limit, tree *lease.Topology,
 ) error {
--- a/cmd/spantack/harness_test.go
+++ b/cmd/spantack/harness_test.go
@@ -21,11 +21,11 @@
 	"spantack/internal/testwait"
 )
 
-// asProcess is the environment variable with which the test binary runs as the router.
-const asProcess = "SPANTACK_TEST_PROCESS"
+// runAsRouterEnv is the environment variable with which the test binary runs as the router.
+const runAsRouterEnv = "SPANTACK_TEST_PROCESS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProcess) != "" {
+	if os.Getenv(runAsRouterEnv) != "" {
 		main()
 		return
 	}
@@ -91,8 +91,8 @@
 	return b.text.String()
 }
 
-// launch starts a router, after changes to its command. With pipe the configuration is a named pipe: launch returns its
-// write end once the router has opened it for reading.
+// launch starts a router, after changes to its command. If pipe is true, the configuration is a named pipe, and
+// launch returns its write end once the router has opened it for reading.
 func launch(t *testing.T, pipe bool, changes ...func(*exec.Cmd)) (*routerProcess, *os.File) {
 	t.Helper()
 	discovery, one, two := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
@@ -135,7 +135,7 @@
 // routerCommand returns a command that runs the test binary as a router.
 func routerCommand(listen, config string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asProcess+"=1", "GORACE=atexit_sleep_ms=0",
+	cmd.Env = append(os.Environ(), runAsRouterEnv+"=1", "GORACE=atexit_sleep_ms=0",
 		"RELAY_NAME=n1", "RELAY_LISTEN="+listen, "RELAY_CONFIG="+config)
 	return cmd
 }
@@ -206,9 +206,9 @@
 	testwait.Until(p.t, line+" at a cache", func() bool { return p.count(line) > 0 })
 }
 
-// arrived waits until the request log has one of the lines, or the process has logged its final counters. It reports
+// awaitAny waits until the request log has one of the lines, or the process has logged its final counters. It reports
 // whether the log has one.
-func (p *routerProcess) arrived(lines ...string) bool {
+func (p *routerProcess) awaitAny(lines ...string) bool {
 	p.t.Helper()
 	hasLine := func() bool {
 		return slices.ContainsFunc(lines, func(line string) bool { return p.count(line) > 0 })
@@ -230,8 +230,8 @@
 	return n
 }
 
-// breakOff closes a request's connection from the cache's side, and returns once the router has closed it too.
-func (p *routerProcess) breakOff(ref string) {
+// closeFromCache closes a request's connection from the cache's side, and returns once the router has closed it too.
+func (p *routerProcess) closeFromCache(ref string) {
 	p.t.Helper()
 	p.mu.Lock()
 	nc := p.conns[ref].(*net.TCPConn)
--- a/cmd/spantack/late_listener_test.go
+++ b/cmd/spantack/late_listener_test.go
@@ -13,8 +13,8 @@
 )
 
 // fullListener returns the address of a listener with a full backlog: until open is called, the kernel drops further
-// SYNs, as on an overloaded machine. open removes the test's own connection from the
-// backlog and returns the listener.
+// SYNs, as on an overloaded machine. open removes the connections that fill the backlog from it, and returns the
+// listener.
 func fullListener(t *testing.T) (addr string, open func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -33,7 +33,7 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	addr = l.Addr().String()
-	for range 8 { // the first fit into the backlog
+	for range 8 { // the first ones fit into the backlog; a timeout shows that it is full
 		nc, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
 		if err != nil {
 			return addr, func() net.Listener {
@@ -75,7 +75,7 @@
 	return &lateListener{addr: textAddr(addr), open: open, up: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// startListening lets connections be established from now on, with a backlog for all at once.
+// startListening empties the backlog and raises its limit, so that all waiting connections can be established.
 func (l *lateListener) startListening(t *testing.T) {
 	t.Helper()
 	l.inner = l.open()
--- a/cmd/spantack/limits.go
+++ b/cmd/spantack/limits.go
@@ -7,7 +7,7 @@
 	"spantack/internal/resp"
 )
 
-// Fractions of the memory limit.
+// Fractions of the memory limit, and the memory that a client connection counts as.
 const (
 	// heapShare is the limit for Go's heap; the rest is for stacks, buffers and the kernel.
 	heapShare = 0.7
@@ -15,20 +15,22 @@
 	requestQueueShare = 0.25
 	// responseBodyShare is the limit for responses being received from servers, at most one on each connection.
 	responseBodyShare = 0.35
-	// extraClientShare is the limit for client connections above their third of the descriptors, at bytesPerClient each.
+	// extraClientShare is the limit for client connections beyond the part of the descriptors that clients can always
+	// use. Each counts as bytesPerClient.
 	extraClientShare = 0.15
-	bytesPerClient   = 32 << 10
+	// bytesPerClient is the memory that a client connection counts as, in bytes.
+	bytesPerClient = 32 << 10
 )
 
 // Parts of the descriptor limit.
 const (
-	// clientDescriptorDivisor is the divisor for the part of the descriptors that clients can always use. Usual numbers
-	// of clients need at most this third.
+	// clientDescriptorDivisor sets the part of the descriptors that clients can always use: 1/clientDescriptorDivisor.
+	// Usual numbers of clients need no more.
 	clientDescriptorDivisor = 3
 	// reservedDescriptors are for the listener, the discovery service, logs and connections being closed.
 	reservedDescriptors = 48
-	// minServerConns is the number of connections to servers that is allowed with any limits: without one a router
-	// would reject all requests. If need be, they use reservedDescriptors.
+	// minServerConns is the minimum number of connections to servers, whatever the limits: without a connection a
+	// router would reject all requests. These connections may use reservedDescriptors.
 	minServerConns = 8
 )
 
@@ -39,13 +41,13 @@
 	serverConns int
 }
 
-// newLimits returns the limits of this process by the configuration, and sets the limit on Go's heap. A process that
-// shares its listener with another gets half: during a replacement both run, and the limits of the configuration are
-// for both together.
-func newLimits(c *config.Config, isShared bool) processLimits {
+// newLimits returns the limits of this process according to the configuration, and sets the limit on Go's heap. A
+// process that inherits its listener gets half, even while it runs alone: during a replacement a second process runs,
+// and the limits of the configuration are for both together.
+func newLimits(c *config.Config, inheritsListener bool) processLimits {
 	memory := c.MemoryMB * (1 << 20)
 	descriptors := c.MaxSockets
-	if isShared {
+	if inheritsListener {
 		memory /= 2
 		descriptors /= 2
 	}
--- a/cmd/spantack/limits_test.go
+++ b/cmd/spantack/limits_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against limits under which a router has no connections to servers or from clients, or more than descriptors.
-// The cases include the small limits of two processes that share them.
+// Guards against limits under which a router has no connections to servers or from clients, or more connections than
+// descriptors. Some cases are halved limits, as during a replacement.
 func TestDivideDescriptors(t *testing.T) {
 	for _, tc := range []struct {
 		descriptors      int
--- a/cmd/spantack/log_reader_test.go
+++ b/cmd/spantack/log_reader_test.go
@@ -47,11 +47,11 @@
 	p.signal(syscall.SIGTERM)
 	answers, err := io.ReadAll(nc)
 	if err != nil {
-		t.Errorf("log closed %v: %v", isClosed, err)
+		t.Errorf("log reader closed=%v: %v", isClosed, err)
 	}
 	nc.Close()
 	if took := p.awaitExit(watch); took > killLimit {
-		return fmt.Errorf("log closed %v: exited after %v", isClosed, took)
+		return fmt.Errorf("log reader closed=%v: exited after %v", isClosed, took)
 	}
 	return checkEachAnswered(answers, 2)
 }
@@ -62,9 +62,9 @@
 	if err := syscall.SetNonblock(fd, true); err != nil {
 		t.Fatal(err)
 	}
-	line := []byte("x")
+	oneByte := []byte("x")
 	for {
-		if _, err := syscall.Write(fd, line); err == syscall.EAGAIN {
+		if _, err := syscall.Write(fd, oneByte); err == syscall.EAGAIN {
 			break
 		} else if err != nil {
 			t.Fatal(err)
--- a/cmd/spantack/main.go
+++ b/cmd/spantack/main.go
@@ -16,8 +16,8 @@
 	"spantack/internal/config"
 )
 
-// flags are the command-line flags. All other settings come from the environment. Without flags all optional features
-// are off.
+// flags are the command-line flags. All other settings come from environment variables and the
+// configuration file that RELAY_CONFIG names. Without flags all optional features are off.
 type flags struct {
 	Gossip   bool   `name:"peers" help:"Exchange reports of overloaded parents with other routers; see docs/gossip.md."`
 	Features string `name:"features" help:"Features file, in Jsonnet; see deploy/features.jsonnet." placeholder:"FILE"`
@@ -28,7 +28,7 @@
 	parser := kong.Must(&f, kong.Name("spantack"),
 		kong.Description("Request router, configured by RELAY_NAME, RELAY_LISTEN and RELAY_CONFIG."))
 	_, err := parser.Parse(os.Args[1:])
-	signals := catchSignals() // before the configuration is read: an uncaught signal would end the process
+	signals := catchSignals() // before the configuration is read: until then SIGHUP or SIGTERM would end the process
 	defer signals.release()
 	out := asynclog.New(os.Stderr)
 	loadConfig := func() (*config.Config, error) { return config.Load(os.Getenv) }
--- a/cmd/spantack/process.go
+++ b/cmd/spantack/process.go
@@ -55,7 +55,7 @@
 	gossip     *gossip.Transport  // nil if the router exchanges no datagrams with others
 	background *background.Runner // nil without a features file
 
-	isStarted  atomic.Bool // the initial state is complete
+	isStarted  atomic.Bool // the initial state has been loaded
 	isStopping atomic.Bool // SIGTERM or SIGINT was received
 }
 
@@ -80,7 +80,8 @@
 	return p.serve(serving, endServing)
 }
 
-// isReady reports whether the process accepts requests. The health call and the management address return it.
+// isReady reports whether the process accepts requests. The health call and the management
+// call ready respond with it.
 func (p *process) isReady() bool {
 	return p.isStarted.Load() && !p.isStopping.Load() && !p.server.Draining()
 }
--- a/cmd/spantack/reload.go
+++ b/cmd/spantack/reload.go
@@ -26,8 +26,8 @@
 }
 
 // reloadConfig loads the configuration and applies it. An invalid configuration changes nothing. The address of the
-// discovery service and the settings change in the running router. Limits, the seed, and the options and zone that
-// connections depend on change only at a restart.
+// discovery service and the settings change in the running router. The limits, the seed, the zone and the
+// connection options change only at a restart.
 func (p *process) reloadConfig() {
 	old := p.config.Load()
 	c, err := p.loadConfig()
@@ -65,14 +65,14 @@
 // keepRestartFields returns a copy of configuration c with the old values of limits and connection options, which a
 // running process can't change.
 func keepRestartFields(old, c *config.Config) *config.Config {
-	inForce := *c
-	inForce.InitialEvents = nil // only for the start: the watch has delivered later events since
-	inForce.MemoryMB = old.MemoryMB
-	inForce.MaxSockets = old.MaxSockets
-	inForce.DialTimeout = old.DialTimeout
-	inForce.IdleTimeout = old.IdleTimeout
-	inForce.MaxStreams = old.MaxStreams
-	return &inForce
+	effective := *c
+	effective.InitialEvents = nil // used only at start: the watch has delivered newer events since then
+	effective.MemoryMB = old.MemoryMB
+	effective.MaxSockets = old.MaxSockets
+	effective.DialTimeout = old.DialTimeout
+	effective.IdleTimeout = old.IdleTimeout
+	effective.MaxStreams = old.MaxStreams
+	return &effective
 }
 
 // reloadFeatures loads the features file and applies it. An invalid file changes nothing.
@@ -80,7 +80,7 @@
 	if p.flags.Features == "" {
 		return
 	}
-	file, inForce, err := loadFeatures(p.flags.Features, p.config.Load())
+	file, enabled, err := loadFeatures(p.flags.Features, p.config.Load())
 	if err == nil {
 		err = file.CheckReplaces(p.clock.Now(), p.features)
 	}
@@ -88,21 +88,23 @@
 		p.log.Error().Err(err).Msg("new features can't be used")
 		return
 	}
-	if err := p.router.ApplyFeatures(inForce); err != nil { // not expected: the file has been checked
+	if err := p.router.ApplyFeatures(enabled); err != nil {
+		// Not expected, since the file has been checked. Other features of the file have been applied, so that it
+		// still becomes the current one.
 		p.log.Error().Err(err).Msg("new features can't be used")
 	}
 	p.features = file
-	p.logFeatures(inForce)
+	p.logFeatures(enabled)
 }
 
 // logFeatures logs the versions of the features that have been applied.
-func (p *process) logFeatures(inForce router.Features) {
+func (p *process) logFeatures(applied router.Features) {
 	var cellsVersion, topologyVersion int64
-	if inForce.Cells != nil {
-		cellsVersion = inForce.Cells.Version()
+	if applied.Cells != nil {
+		cellsVersion = applied.Cells.Version()
 	}
-	if inForce.Topology != nil {
-		topologyVersion = inForce.Topology.Topology().Version
+	if applied.Topology != nil {
+		topologyVersion = applied.Topology.Topology().Version
 	}
 	_, migrationsVersion := p.router.MigrationStatus()
 	p.log.Info().Int64("cells", cellsVersion).Int64("shape", topologyVersion).Int64("moves", migrationsVersion).
--- a/cmd/spantack/run_test.go
+++ b/cmd/spantack/run_test.go
@@ -25,9 +25,9 @@
 	"Extra":{"MasterKind":1,"ShieldKind":-1,"NotesGiven":"all"},"Kinds":["box","origin"],
 	"Permissions":{"MaxAttempts":3,"DialTimeout":5000000,"MaxStreams":32},"Zone":"east","Zones":["east"]}}`
 
-// Runs the whole program: it must be ready after the initial events, send a request to a cache, apply a valid
-// configuration at SIGHUP, and after SIGTERM send the response to the open request before a clean exit.
-func TestRun(t *testing.T) {
+// Guards against a program whose parts work alone but not together: it is not ready after the initial events, loses an
+// open request at SIGHUP or SIGTERM, does not apply a valid configuration, or returns an error.
+func TestRunKeepsOpenRequestThroughReloadAndShutdown(t *testing.T) {
 	discovery, moved, cache := testwait.Listen(t), testwait.Listen(t), testwait.Listen(t)
 	c, err := config.Parse(fmt.Appendf(nil, oneCacheConfig, discovery.Addr(), cache.Addr()))
 	if err != nil {
@@ -57,8 +57,8 @@
 	server := testwait.Accept(t, cache, "the router at the cache")
 	in := bufio.NewReader(server)
 	expect(in, "*4\r\n$3\r\nGET\r\n$16\r\n0000000000000001\r\n")
-	// SIGHUP, with a request open: an invalid file changes nothing, a valid one has a new address of the discovery
-	// service.
+	// Reload while a request is open: first an invalid configuration, which must change nothing, then one with a new
+	// address of the discovery service.
 	for _, address := range []string{"nowhere", moved.Addr().String()} {
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
@@ -69,7 +69,7 @@
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for since := time.Now(); ; { // until it reports that it is not ready
+	for since := time.Now(); ; { // until the router reports that it is not ready
 		io.WriteString(client, "\x94\x00\x03\xa6health\x91\x80")
 		got := make([]byte, 7)
 		if _, err := io.ReadFull(client, got); err != nil || time.Since(since) > 10*time.Second {
--- a/cmd/spantack/serve.go
+++ b/cmd/spantack/serve.go
@@ -15,7 +15,7 @@
 // serve runs all components until the server for clients has stopped. The last request then has its response, and
 // serve calls endServing.
 func (p *process) serve(serving context.Context, endServing func()) error {
-	accepting, stopAccepting := context.WithCancel(serving) // canceled some time after the signal
+	accepting, stopAccepting := context.WithCancel(serving) // canceled acceptFor (shutdownPlan) after SIGTERM or SIGINT
 	defer stopAccepting()
 	group, ctx := errgroup.WithContext(serving)
 	if p.gossip != nil {
@@ -29,7 +29,7 @@
 		p.background.Every(ctx, "tick", tickInterval, scheduler.High, p.router.Tick)
 		group.Go(func() error { return p.background.Run(ctx) })
 	}
-	group.Go(func() error { return p.reportOnSignal(ctx) })
+	group.Go(func() error { return p.logCountersOnSignal(ctx) })
 	group.Go(func() error { return p.handleReloads(ctx) })
 	group.Go(func() error { return p.awaitTermination(ctx, stopAccepting) })
 	group.Go(func() error {
@@ -44,8 +44,8 @@
 	return err
 }
 
-// serveAdmin serves management calls, and shares the exclusions that they set with the other process of this router.
-// It claims to serve in the state directory: from then on the other process counts as replaced.
+// serveAdmin serves management calls, and shares the excluded servers with the other process of this router. It records
+// in the state directory that this process serves: from then on the other process counts as replaced.
 func (p *process) serveAdmin(ctx context.Context, group *errgroup.Group) {
 	if err := p.state.ClaimServing(); err != nil {
 		p.log.Warn().Err(err).Msg("can't record in the state directory that this process serves")
--- a/cmd/spantack/shutdown.go
+++ b/cmd/spantack/shutdown.go
@@ -12,8 +12,8 @@
 	// finalResponseLead is how long before a possible SIGKILL open requests get their final responses. It leaves time
 	// to exit before SIGKILL.
 	finalResponseLead = 500
-	// maxResponseReadTime bounds the time that clients have to read the final responses. With a longest deadline below
-	// twice this, they have half that deadline.
+	// maxResponseReadTime bounds the time that clients have to read the final responses. If the longest
+	// deadline of a class is below twice this time, they have half of that deadline instead.
 	maxResponseReadTime = 150
 	// exitMargin is how long before a possible SIGKILL the process has exited, whatever the deadlines.
 	exitMargin = 50
@@ -25,7 +25,7 @@
 	acceptFor   float64 // from the signal until new connections and requests are no longer accepted
 	respondBy   float64 // from the signal until open requests get their final responses
 	clientsRead float64 // time that clients then have to read them
-	slack       float64 // how much later the process may exit, since it may be delayed on a busy machine
+	slack       float64 // how much later than planned the process may exit, for instance on a busy machine
 }
 
 // planShutdown returns the plan for a longest deadline of a class, in milliseconds.
@@ -53,11 +53,12 @@
 
 // beginShutdown schedules the steps of the shutdown. It does not block.
 func (p *process) beginShutdown(stopAccepting func()) {
-	p.state.ReleaseServing() // first: once this process reports that it is not ready, its claim to serve must be gone
+	p.state.ReleaseServing() // first: a process that reports that it is not ready must not be recorded as serving
 	p.isStopping.Store(true)
 	plan := planShutdown(p.config.Load().MaxDeadline)
 	if p.inheritsListener && p.state.IsReplaced() {
-		// The other process accepts new requests. Here the time left could be too short for them.
+		// The other process accepts new requests. This process might exit before it could respond
+		// to them.
 		plan.acceptFor = 0
 	}
 	p.log.Info().Bool("replaced", plan.acceptFor == 0).Msg("stopping")
--- a/cmd/spantack/shutdown_test.go
+++ b/cmd/spantack/shutdown_test.go
@@ -19,7 +19,8 @@
 		plan := planShutdown(deadline)
 		exit := plan.respondBy + plan.clientsRead
 		if exit > kill-exitMargin+1e-6 || plan.acceptFor > plan.respondBy || plan.acceptFor < 600 || plan.clientsRead <= 0 {
-			t.Errorf("deadline of %v ms: %+v, exit at %v, SIGKILL at %v", deadline, plan, exit, kill)
+			t.Errorf("deadline of %v ms: %+v, exit at %v, SIGKILL at %v: exit too late, or a time out of bounds",
+				deadline, plan, exit, kill)
 		}
 		if late := exit + plan.slack; late > kill-exitMargin+1e-6 || plan.slack < -1e-6 {
 			t.Errorf("deadline of %v ms: exit at %v on a slow machine, SIGKILL at %v", deadline, late, kill)
@@ -27,13 +28,14 @@
 		hasFullTimes := plan.acceptFor == acceptAfterSignal && plan.clientsRead == maxResponseReadTime &&
 			plan.respondBy >= kill-finalResponseLead
 		if deadline >= 300 && !hasFullTimes {
-			t.Errorf("deadline of %v ms: %+v", deadline, plan)
+			t.Errorf("deadline of %v ms: %+v, want the full times", deadline, plan)
 		}
 	}
 }
 
-// Guards against requests without a response, or an exit after SIGKILL may come, when servers hang during a shutdown.
-// A read and a write with a key are open; SIGTERM is sent twice, and SIGHUP with a configuration that is half written.
+// Guards against requests without a response, or a process that exits later than the time at which SIGKILL may follow,
+// when servers hang during a shutdown. Also guards against further signals, and a reload of a half-written
+// configuration, that disturb the shutdown.
 func TestShutdownRespondsWhenServersHang(t *testing.T) {
 	t.Parallel()
 	testwait.RetryIfStarved(t, func() error { return terminateWithHungServers(t) })
--- a/cmd/spantack/signals.go
+++ b/cmd/spantack/signals.go
@@ -7,7 +7,8 @@
 	"syscall"
 )
 
-// processSignals are the signals that the process handles. Signals that arrive before run waits for them are not lost.
+// processSignals holds the signals that end the process or reload its configuration. Signals that arrive before run
+// waits for them are kept. SIGUSR1 is handled by logCountersOnSignal.
 type processSignals struct {
 	terminate context.Context // done at SIGTERM or SIGINT
 	hangUp    chan os.Signal  // holds one SIGHUP: further ones before it is handled would cause the same reload
--- a/cmd/spantack/signals_test.go
+++ b/cmd/spantack/signals_test.go
@@ -11,7 +11,7 @@
 
 // Guards against signals that kill the process while it reads its configuration: SIGHUP and SIGUSR1 must not end it,
 // and SIGTERM must end it cleanly.
-func TestSignalDuringStart(t *testing.T) {
+func TestSignalDuringStartDoesNotKillProcess(t *testing.T) {
 	t.Parallel()
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM} {
 		p, configPipe := launch(t, true)
--- a/cmd/spantack/take_over_test.go
+++ b/cmd/spantack/take_over_test.go
@@ -15,31 +15,30 @@
 )
 
 // Guards against a router that stops accepting requests at once on SIGTERM because it counts as replaced, although the
-// process that replaced it has ended. Both use a socket of the platform. The new process ends while it serves, by
-// SIGKILL or SIGTERM, or gets SIGTERM while it reads its configuration.
+// process that replaced it has ended. Both inherit the listener from a supervisor.
 func TestFailedReplacementDoesNotCountAsReplaced(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name       string
-		next       func(*takeOver) // starts the new process, and ends it; nil if there is none
-		isReplaced bool            // what the old process logs
+		next       func(*replacementTest) // starts the new process, and ends it; nil if there is none
+		isReplaced bool                   // what the old process logs
 	}{
 		{"none", nil, false},
-		{"serves", func(o *takeOver) { o.start("next") }, true},
-		{"killed", func(o *takeOver) {
-			next, _ := o.start("next")
+		{"serves", func(r *replacementTest) { r.start("next") }, true},
+		{"killed", func(r *replacementTest) {
+			next, _ := r.start("next")
 			next.signal(syscall.SIGKILL)
 			next.wait()
 		}, false},
-		{"terminated", func(o *takeOver) {
-			next, adminAddr := o.start("next")
+		{"terminated", func(r *replacementTest) {
+			next, adminAddr := r.start("next")
 			next.signal(syscall.SIGTERM)
-			testwait.Until(o.t, "the new process to be no longer ready", func() bool {
+			testwait.Until(r.t, "the new process to be no longer ready", func() bool {
 				return readyStatus(adminAddr) != http.StatusOK
 			})
 		}, false},
-		{"terminated during its start", func(o *takeOver) {
-			next, configPipe := launch(o.t, true, o.managed(loopback.FreeAddress()))
+		{"terminated during its start", func(r *replacementTest) {
+			next, configPipe := launch(r.t, true, r.inheritSocket(loopback.FreeAddress()))
 			next.signal(syscall.SIGTERM)
 			io.WriteString(configPipe, next.text)
 			configPipe.Close()
@@ -47,10 +46,10 @@
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			o := newTakeOver(t)
-			old, _ := o.start("old")
+			r := newReplacementTest(t)
+			old, _ := r.start("old")
 			if tc.next != nil {
-				tc.next(o)
+				tc.next(r)
 			}
 			old.signal(syscall.SIGTERM)
 			old.awaitExit(testwait.StartStopwatch())
@@ -61,37 +60,38 @@
 	}
 }
 
-// takeOver is a deployment in which one process of a router replaces another.
-type takeOver struct {
+// replacementTest is a deployment in which one process of a router replaces another.
+type replacementTest struct {
 	t        *testing.T
-	socket   *os.File // the listening socket of the platform
+	socket   *os.File // the listening socket of the supervisor
 	stateDir string   // shared by the processes
 }
 
-func newTakeOver(t *testing.T) *takeOver {
+func newReplacementTest(t *testing.T) *replacementTest {
 	t.Helper()
 	socket, err := testwait.Listen(t).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { socket.Close() })
-	return &takeOver{t: t, socket: socket, stateDir: t.TempDir()}
+	return &replacementTest{t: t, socket: socket, stateDir: t.TempDir()}
 }
 
-// managed returns a change to a command: the process inherits the socket and serves management calls at adminAddr.
-func (o *takeOver) managed(adminAddr string) func(*exec.Cmd) {
+// inheritSocket returns a function that sets up a command so that its process inherits the socket and serves management
+// calls at adminAddr.
+func (r *replacementTest) inheritSocket(adminAddr string) func(*exec.Cmd) {
 	return func(c *exec.Cmd) {
-		c.ExtraFiles = []*os.File{o.socket} // descriptor 3
-		c.Env = append(c.Env, "RELAY_SOCKET_FD=3", "TMPDIR="+o.stateDir, "RELAY_MGMT="+adminAddr)
+		c.ExtraFiles = []*os.File{r.socket} // descriptor 3
+		c.Env = append(c.Env, "RELAY_SOCKET_FD=3", "TMPDIR="+r.stateDir, "RELAY_MGMT="+adminAddr)
 	}
 }
 
 // start starts a process and returns it with its management address once it is ready.
-func (o *takeOver) start(name string) (p *routerProcess, adminAddr string) {
-	o.t.Helper()
+func (r *replacementTest) start(name string) (p *routerProcess, adminAddr string) {
+	r.t.Helper()
 	adminAddr = loopback.FreeAddress()
-	p, _ = launch(o.t, false, o.managed(adminAddr))
-	testwait.Until(o.t, "the "+name+" process to be ready", func() bool {
+	p, _ = launch(r.t, false, r.inheritSocket(adminAddr))
+	testwait.Until(r.t, "the "+name+" process to be ready", func() bool {
 		return readyStatus(adminAddr) == http.StatusOK
 	})
 	return p, adminAddr
--- a/cmd/spantack/wire.go
+++ b/cmd/spantack/wire.go
@@ -6,7 +6,8 @@
 	"spantack/internal/discovery"
 )
 
-// wire loads the router's initial state, after which it is ready, and creates the components that update it.
+// wire loads the router's initial state, marks the process as started, and creates the watcher of the discovery
+// service, the gossip transport and the background runner. The last two are created only if they are needed.
 func (p *process) wire() error {
 	c := p.config.Load()
 	p.state.RestoreExcluded(p.router.SetExcluded)
--- a/cmd/spantack/wire_compat_test.go
+++ b/cmd/spantack/wire_compat_test.go
@@ -15,8 +15,8 @@
 	"spantack/routing"
 )
 
-// Guards against a change of the metrics, which dashboards read by name. testdata/figures.txt was written by the
-// program of commit e67ffc3 and is never changed to match this one.
+// Guards against a change of the metrics, which dashboards read by name. testdata/figures.txt is the output of
+// the program at commit e67ffc3. It must never be changed to match a later one.
 func TestMetricsAreUnchanged(t *testing.T) {
 	text, err := os.ReadFile("testdata/figures.txt")
 	if err != nil {
@@ -38,32 +38,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := router.WatchEvent{IsSnapshot: true}
+	event := router.WatchEvent{IsSnapshot: true}
 	for _, id := range []string{"s-1", "s-2", "s-3"} {
-		n.Servers = append(n.Servers, router.Server{ID: id, Addr: "127.0.0.1:1", Zone: "east", Kind: "box",
+		event.Servers = append(event.Servers, router.Server{ID: id, Addr: "127.0.0.1:1", Zone: "east", Kind: "box",
 			Status: "healthy", Weight: 4})
 	}
-	n.Servers[2].Kind = "origin" // not counted as a cache
-	core.Apply(n)
+	event.Servers[2].Kind = "origin" // not counted as a cache
+	core.Apply(event)
 	if err := core.Exclude("s-1"); err != nil {
 		t.Fatal(err)
 	}
-	tally := core.CountersByClass()[0]
-	tally.Served.Add(3)
-	tally.Rejected.Add(4)
-	tally.Failed.Add(5)
+	counters := core.CountersByClass()[0]
+	counters.Served.Add(3)
+	counters.Rejected.Add(4)
+	counters.Failed.Add(5)
 	core.Counters.Accepted.Add(9)
-	files := &reloadCounters{}
-	files.applied.Add(6)
-	files.rejected.Add(7)
-	if got := string(admin.AppendMetrics(nil, metrics(core, pools, files))); got != string(text) {
+	reloads := &reloadCounters{}
+	reloads.applied.Add(6)
+	reloads.rejected.Add(7)
+	if got := string(admin.AppendMetrics(nil, metrics(core, pools, reloads))); got != string(text) {
 		t.Errorf("got\n%s\nwant\n%s", got, text)
 	}
 }
 
 var quoted = regexp.MustCompile("`([^`]*)`")
 
-// Guards against metrics that the operators' page lacks, and against others that it has.
+// Guards against metrics that docs/operation.md omits, and against entries there without a metric.
 func TestOperatorsPageHasTheMetrics(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operation.md")
 	if err != nil {
@@ -79,7 +79,7 @@
 			names := quoted.FindAllStringSubmatch(first, -1)
 			for _, name := range names {
 				full := name[1]
-				if strings.HasPrefix(full, ".") { // it replaces the last part of the row's first name
+				if strings.HasPrefix(full, ".") { // stands for the row's first name with its last part replaced
 					full = names[0][1][:strings.LastIndex(names[0][1], ".")] + full
 				}
 				named = append(named, strings.Replace(full, "CLASS", "page", 1))
