--- a/cmd/spanctl/cells.go
+++ b/cmd/spanctl/cells.go
@@ -21,7 +21,7 @@
 	Pause     migrationPauseCmd    `name:"pause" aliases:"hold" cmd:"" help:"Pause migrations at their current share."`
 	Resume    migrationResumeCmd   `name:"resume" cmd:"" help:"Resume paused migrations."`
 	Rollback  migrationRollbackCmd `name:"rollback" aliases:"back" cmd:"" help:"Roll migrations back."`
-	Finalize  migrationFinalizeCmd `name:"finalize" aliases:"settle" cmd:"" help:"Remove migrations that are over, once the assignment has their tenants in the final cells."`
+	Finalize  migrationFinalizeCmd `name:"finalize" aliases:"settle" cmd:"" help:"Remove migrations that are over, once the features file assigns their tenants to the final cells."`
 }
 
 // loadCellSpec loads a features file and returns it with its cells. It returns an error if cells are off.
@@ -80,7 +80,7 @@
 	Family int      `name:"family" help:"Purge group (family) of the object, 0 to 255."`
 	Class  string   `name:"class" help:"Class of the request."`
 	Object string   `name:"object" help:"The object, in hex."`
-	Now    float64  `name:"now" help:"The time to use, in Unix milliseconds; left out: the current time." hidden:""`
+	Now    float64  `name:"now" help:"The time to use, in Unix milliseconds; default: the current time." hidden:""`
 	Tenant string   `name:"tenant" help:"The tenant that the client names."`
 	Site   string   `name:"depot" help:"The site (depot in the features file)."`
 	Caches []string `name:"caches" help:"Ids of the site's caches."`
@@ -111,7 +111,8 @@
 	return nil
 }
 
-// printMigrations prints a tenant's migrations at the site, and with --object the share at which the object migrates.
+// printMigrations prints a tenant's migrations at the site, and with --object the migrated share above which the
+// object uses the new cell.
 func (c *cellsExplainCmd) printMigrations(out io.Writer, document *migration.Document, tenant string) {
 	for i := range document.Migrations {
 		m := &document.Migrations[i]
--- a/cmd/spanctl/cells_plan.go
+++ b/cmd/spanctl/cells_plan.go
@@ -10,15 +10,15 @@
 )
 
 type cellsPlanCmd struct {
-	File          string   `name:"file" arg:"" help:"The current features file, with the cells and the current cell of each tenant."`
-	Demand        []string `name:"demand" required:"" help:"Logs of routers, of which the last record 'demand' is used, or JSON files with a list of {name, loads, worth}."`
-	MaxCellWeight float64  `name:"most-worth" help:"Largest fraction of the total priority weight (worth) that one cell may have; 0: no bound."`
-	MaxMigrations int      `name:"most-moves" default:"-1" help:"Largest number of tenants that may change their cell; -1: no bound."`
-	Seed          uint64   `name:"seed" default:"1" help:"Seed of the search."`
+	File             string   `name:"file" arg:"" help:"The current features file, with the cells and the current cell of each tenant."`
+	Demand           []string `name:"demand" required:"" help:"Logs of routers, of which the last record 'demand' is used, or JSON files with a list of {name, loads, worth}, where worth is the priority weight."`
+	MaxPriorityShare float64  `name:"most-worth" help:"Largest fraction of the total priority weight (worth) that one cell may have; 0: no bound."`
+	MaxMigrations    int      `name:"most-moves" default:"-1" help:"Largest number of tenants that may change their cell; -1: no bound."`
+	Seed             uint64   `name:"seed" default:"1" help:"Seed of the search."`
 }
 
-// newTenant is the current cell of a tenant that is not in the file yet.
-const newTenant = -1
+// noCell is the current cell of a tenant that is not in the file yet.
+const noCell = -1
 
 // Run proposes a cell for each tenant and prints the tenants whose cell changes. If no proposal is within the bounds,
 // it prints the closest one and returns an error.
@@ -31,11 +31,11 @@
 	if err != nil {
 		return err
 	}
-	objective := plan.Objective{MaxPriorityShare: c.MaxCellWeight, MaxMigrations: c.MaxMigrations, Seed: c.Seed}
+	objective := plan.Objective{MaxPriorityShare: c.MaxPriorityShare, MaxMigrations: c.MaxMigrations, Seed: c.Seed}
 	for _, cell := range spec.Cells {
 		objective.Shares = append(objective.Shares, cell.Share)
 	}
-	tenants := planDemand(spec, demand)
+	tenants := withCurrentCells(spec, demand)
 	proposal, err := plan.Propose(tenants, objective)
 	if err != nil && !errors.Is(err, plan.ErrInfeasible) {
 		return err
@@ -44,8 +44,8 @@
 	return err
 }
 
-// planDemand adds each tenant's current cell to its demand.
-func planDemand(spec *cells.Spec, demand []cells.TenantDemand) []plan.Demand {
+// withCurrentCells adds each tenant's current cell to its demand.
+func withCurrentCells(spec *cells.Spec, demand []cells.TenantDemand) []plan.Demand {
 	cellIndex := map[string]int{}
 	for i, cell := range spec.Cells {
 		cellIndex[cell.Name] = i
@@ -58,7 +58,7 @@
 	for _, d := range demand {
 		cell, known := currentCell[d.Name]
 		if !known {
-			cell = newTenant
+			cell = noCell
 		}
 		tenants = append(tenants, plan.Demand{
 			Name:           d.Name,
@@ -72,12 +72,12 @@
 
 func printProposal(out io.Writer, spec *cells.Spec, tenants []plan.Demand, p plan.Plan) {
 	fmt.Fprintf(out,
-		"highest load %.3f of an even one, lower bound %.3f, %d migrations, at most %.3f of the worth in one cell\n",
+		"highest cell load %.3f times its share, lower bound %.3f, %d migrations, at most %.3f of the weight in one cell\n",
 		p.MaxLoad, p.MaxLoadLowerBound, p.Migrations, p.MaxPriorityShare)
 	for i, tenant := range tenants {
 		proposed := spec.Cells[p.CellByTenant[i]].Name
 		switch {
-		case tenant.CurrentCell == newTenant:
+		case tenant.CurrentCell == noCell:
 			fmt.Fprintf(out, "%s: new, to %s\n", tenant.Name, proposed)
 		case tenant.CurrentCell != p.CellByTenant[i]:
 			fmt.Fprintf(out, "%s: from %s to %s\n", tenant.Name, spec.Cells[tenant.CurrentCell].Name, proposed)
--- a/cmd/spanctl/cells_test.go
+++ b/cmd/spanctl/cells_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// Guards against wrong output of check and the cells commands, and against a missing error for invalid input or for
+// cells that are off.
 func TestCommandsOnCells(t *testing.T) {
 	writeFile := newFileWriter(t)
 	old := writeFile("old.jsonnet", cellsFile("1", "a"))
@@ -24,7 +26,7 @@
 		{"cells plan F --demand " + demand, "t: from a to b", ""},
 		{"cells plan F --demand " + demand + " --most-worth 0.1", "", "no assignment keeps the bound on worth"},
 		{"cells plan F --demand " + log + "," + log,
-			"highest load 1.000 of an even one, lower bound 1.000, 1 migrations", ""},
+			"highest cell load 1.000 times its share, lower bound 1.000, 1 migrations", ""},
 		{"cells plan F --demand " + log + "," + demand, "v: new, to b\n", ""},
 		{"cells show ../../deploy/features.jsonnet", "", "cells are off"},
 		{"check " + demand, "", "is not an object"},
--- a/cmd/spanctl/check.go
+++ b/cmd/spanctl/check.go
@@ -42,15 +42,15 @@
 	if document := f.ActiveMigration(); document != nil {
 		fmt.Fprintf(out, "moves: on, version %d, %d migrations\n", document.Version, len(document.Migrations))
 	}
-	if release := f.ActiveRollout(); release != nil {
-		fmt.Fprintf(out, "stage: on, release %s version %d, %d rings\n", release.Name, release.Version, len(release.Rings))
+	if active := f.ActiveRollout(); active != nil {
+		fmt.Fprintf(out, "stage: on, release %s version %d, %d rings\n", active.Name, active.Version, len(active.Rings))
 	}
 	if topology := &f.Topology; topology.Enabled {
 		fmt.Fprintf(out, "shape: on, version %d, %d sites, %d parent groups, %d links\n",
 			topology.Version, len(topology.Sites), len(topology.ParentGroups), len(topology.Links))
 	}
 	if limit := f.ActiveOriginLimit(); limit != nil {
-		fmt.Fprintf(out, "shield: on, %s, %v fills in flight, fraction %v reserved for uncacheable requests\n",
+		fmt.Fprintf(out, "shield: on, %s, at most %v fills in flight, fraction %v reserved for uncacheable requests\n",
 			limit.Algorithm, limit.MaxInFlight, limit.Reserve)
 	}
 }
--- a/cmd/spanctl/demand.go
+++ b/cmd/spanctl/demand.go
@@ -40,11 +40,11 @@
 				continue
 			}
 			if len(all[at].Loads) != len(demand.Loads) {
-				return nil, fmt.Errorf("%s[%d]: %d loads of %s, but %d before",
+				return nil, fmt.Errorf("%s[%d]: %d loads of tenant %s, but %d in an earlier entry",
 					file, i, len(demand.Loads), demand.Name, len(all[at].Loads))
 			}
-			for r, load := range demand.Loads {
-				all[at].Loads[r] += load
+			for resource, load := range demand.Loads {
+				all[at].Loads[resource] += load
 			}
 			all[at].PriorityWeight += demand.PriorityWeight
 		}
@@ -83,8 +83,8 @@
 	return record.Demand, nil
 }
 
-// lastLogRecord decodes the last record with a message in a router's log, and reports whether there is one. Lines that
-// can't be decoded are skipped.
+// lastLogRecord decodes the last record with the given message in a router's log, and reports whether there is one.
+// Lines that can't be decoded are skipped.
 func lastLogRecord(log []byte, message string, into any) bool {
 	found := false
 	for line := range bytes.Lines(log) {
@@ -101,7 +101,8 @@
 	return found
 }
 
-// readLogRecord decodes the last record with a message in a router's log file. It returns an error if there is none.
+// readLogRecord decodes the last record with the given message in a router's log file. It returns an error if there is
+// none.
 func readLogRecord(file, message string, into any) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/spanctl/document.go
+++ b/cmd/spanctl/document.go
@@ -15,21 +15,19 @@
 	"spantack/internal/features"
 )
 
-// Commands that change migrations or a rollout read the features file and write a document in the same folder, which
-// the features file imports as a section. A document is checked as a whole before it is written, and the write is
-// atomic.
-
-// documentFlags are the arguments shared by these commands.
+// documentFlags are the arguments of the commands that change migrations or a rollout, and of those that print them.
+// Commands that make a change read the features file and write a document in the same folder, which the features file
+// imports as a section. A document is checked as a whole before it is written, and the write is atomic.
 type documentFlags struct {
-	File   string  `name:"file" arg:"" help:"The features file, with the sections moves: import 'moves.json' and stage: import 'stage.json'."`
+	File   string  `name:"file" arg:"" help:"The features file. It must import the section that the command changes: moves: import 'moves.json', or stage: import 'stage.json'."`
 	DryRun bool    `name:"dry-run" help:"Print what would change and write nothing."`
-	Now    float64 `name:"now" help:"The time to use, in Unix milliseconds; left out: the current time." hidden:""`
+	Now    float64 `name:"now" help:"The time to use, in Unix milliseconds; default: the current time." hidden:""`
 }
 
 // now returns the time to use, in Unix milliseconds.
 func (d *documentFlags) now() float64 { return nowOr(d.Now) }
 
-// nowOr returns a flag's time, or the current time if the flag was left out, in Unix milliseconds.
+// nowOr returns a flag's time, or the current time if the flag is not given, in Unix milliseconds.
 func nowOr(flag float64) float64 {
 	if flag > 0 {
 		return flag
@@ -54,8 +52,8 @@
 }
 
 // save checks the next features file against the current one, and writes the changed section unless it is a dry run.
-func (d *documentFlags) save(out io.Writer, inForce, next *features.File, s section) error {
-	if err := next.CheckReplaces(d.now(), inForce); err != nil {
+func (d *documentFlags) save(out io.Writer, current, next *features.File, s section) error {
+	if err := next.CheckReplaces(d.now(), current); err != nil {
 		return err
 	}
 	if d.DryRun {
@@ -65,8 +63,8 @@
 	return d.write(out, s)
 }
 
-// write replaces a section's document. If the features file does not import the section from it, write restores the old
-// document and returns an error.
+// write replaces a section's document. If the features file can't be loaded afterwards, or does not import the section
+// from it, write restores the old document and returns an error.
 func (d *documentFlags) write(out io.Writer, s section) error {
 	text, err := json.MarshalIndent(s.content, "", "  ")
 	if err != nil {
@@ -84,7 +82,8 @@
 		} else {
 			err = errors.Join(err, os.Remove(path))
 		}
-		return errors.Join(fmt.Errorf("%s does not import its section %s from %s: the section must be import '%s'",
+		return errors.Join(fmt.Errorf(
+			"%[1]s: can't load the section %[2]s written to %[3]s; the file must have %[2]s: import '%[4]s'",
 			d.File, s.name, path, s.document), err)
 	}
 	fmt.Fprintf(out, "%s: version %d written; send SIGHUP to the routers\n", path, s.version)
@@ -114,10 +113,10 @@
 // millis converts a duration to milliseconds, the unit of times in documents.
 func millis(d time.Duration) float64 { return float64(d.Milliseconds()) }
 
-// formatTime formats Unix milliseconds. An infinite time is the end of a paused migration.
+// formatTime formats Unix milliseconds. Only the end of a paused migration is an infinite time.
 func formatTime(ms float64) string {
 	if math.IsInf(ms, 0) {
-		return "until resumed"
+		return "only after it is resumed"
 	}
 	return time.UnixMilli(int64(ms)).UTC().Format("2006-01-02 15:04:05Z")
 }
--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -18,11 +18,11 @@
 	documentFlags
 	Cell           string   `name:"cell" arg:"" help:"The cell to drain."`
 	Targets        []string `name:"into" required:"" help:"The cells to which its tenants migrate, each to the one with the most capacity left."`
-	Demand         []string `name:"demand" required:"" help:"Logs or JSON files, as for plan, of all routers of the site."`
+	Demand         []string `name:"demand" required:"" help:"Logs of all routers of the site, or JSON files; formats as for cells plan."`
 	Site           string   `name:"depot" default:"*" help:"The site (depot in the features file); * for all."`
 	CapacityKBPerS float64  `name:"bears-kb-s" required:"" help:"Send capacity of all caches of the site together, in KB/s."`
 	OriginFraction float64  `name:"deep" default:"0.2" help:"Fraction of fills that reach the origin, 0 to 1."`
-	pace
+	migrationTiming
 }
 
 // cellDrain is the state of planning the migrations of a cell's tenants.
@@ -103,7 +103,8 @@
 	return d, nil
 }
 
-// setConstraints sets the constraints of the schedule: the capacity of cells and links that the current demand leaves.
+// setConstraints sets the constraints of the schedule: the capacity of cells, and for fills, that the current demand
+// leaves free.
 func (d *cellDrain) setConstraints() error {
 	siteFill := 0.0
 	for _, tenant := range d.demand {
@@ -125,25 +126,25 @@
 		Cells:              map[string]schedule.CellCapacity{},
 		OriginFillFraction: d.cmd.OriginFraction,
 	}
-	linkKBPerS := d.spec.Budget.FillKBPerSecond // 0: no bound
+	fillBudgetKBPerS := d.spec.Budget.FillKBPerSecond // 0 means no limit
 	for _, cell := range d.spec.Cells {
 		capacity := schedule.CellCapacity{
 			SendKBPerS: cell.Share * d.cmd.CapacityKBPerS,
 			UsedKBPerS: d.usedKBPerS[cell.Name],
 		}
-		if linkKBPerS > 0 {
-			capacity.FillKBPerS = max(cell.Share*linkKBPerS-d.fillKBPerS[cell.Name], 1)
+		if fillBudgetKBPerS > 0 {
+			capacity.FillKBPerS = max(cell.Share*fillBudgetKBPerS-d.fillKBPerS[cell.Name], 1)
 		}
 		d.constraints.Cells[cell.Name] = capacity
 	}
-	if linkKBPerS > 0 {
-		d.constraints.SiteFillKBPerS = max(linkKBPerS-siteFill, 1)
+	if fillBudgetKBPerS > 0 {
+		d.constraints.SiteFillKBPerS = max(fillBudgetKBPerS-siteFill, 1)
 	}
 	return nil
 }
 
-// chooseTargets returns a request for each of the cell's tenants with demand. Each goes to the target with the most
-// capacity left after the requests before it.
+// chooseTargets returns a scheduling request for each of the cell's tenants with demand. The target of each is the cell
+// with the most capacity left after the requests before it.
 func (d *cellDrain) chooseTargets() []schedule.Request {
 	arriving := map[string]float64{} // KB/s by cell
 	left := func(cell string) float64 {
@@ -186,7 +187,8 @@
 	}
 }
 
-// printSchedule prints the duration of the schedule, the peak use of each limit, and the change of load of each cell.
+// printSchedule prints the duration of the schedule, the peak use of each limit, the tenants that must migrate at the
+// same pace, and the change of load of each cell.
 func (d *cellDrain) printSchedule(out io.Writer, planned *schedule.Schedule) {
 	fmt.Fprintf(out, "%d tenants migrate within %s; no schedule within the limits takes less than %s\n",
 		len(planned.Migrations),
--- a/cmd/spanctl/drain_test.go
+++ b/cmd/spanctl/drain_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against a drain that does not migrate all tenants of a cell, or that gives no reason for a tenant for which
-// the target has no capacity.
+// Guards against a drain that does not migrate all tenants of a cell, that gives no reason for a tenant for which the
+// target has no capacity, or that does not print the time, its lower bound or the use of limits.
 func TestCellsDrain(t *testing.T) {
 	writeFile := newFileWriter(t)
 	file := writeFeatures(writeFile, "a")
@@ -13,7 +13,7 @@
 		{"number and time", "1000", "tenants migrate within"},
 		{"tenant without capacity", "150", "t is not migrated: load of b: 100 KB"},
 		{"use of limits", "1000", "% of its limit at most"},
-		{"lower bound", "1000", "no schedule within the limits t"},
+		{"lower bound", "1000", "no schedule within the limits takes less than"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runCommand(t, "cells drain "+file+" a --into b --demand "+demand+" --now 1500000 --dry-run --bears-kb-s "+c.capacity,
--- a/cmd/spanctl/main.go
+++ b/cmd/spanctl/main.go
@@ -45,7 +45,7 @@
 
 func newParser(c *cli) (*kong.Kong, error) {
 	return kong.New(c, kong.Name("spanctl"),
-		kong.Description("Checks features files, plans changes of them, and manages routers."), kong.Help(helpWithoutAliases))
+		kong.Description("Checks features files, plans changes to them, and manages routers."), kong.Help(helpWithoutAliases))
 }
 
 // helpWithoutAliases prints the help without the aliases that kong would show. It removes them from the parser, which
--- a/cmd/spanctl/main_test.go
+++ b/cmd/spanctl/main_test.go
@@ -68,8 +68,8 @@
 // required arguments; testdata/commandlines.txt has all flags.
 func TestOldCommandNamesAreAccepted(t *testing.T) {
 	const (
-		pace    = " --in 1s --warm 2s --shift 10s --slow 2 --settle 3s"
-		drained = " --into b --demand d --bears-kb-s 9 --deep 0.1" + pace
+		timingFlags = " --in 1s --warm 2s --shift 10s --slow 2 --settle 3s"
+		drainFlags  = " --into b --demand d --bears-kb-s 9 --deep 0.1" + timingFlags
 	)
 	for _, c := range []struct{ old, new string }{
 		{"shape show f", "topology show f"},
@@ -81,8 +81,8 @@
 		{"router figures r:1", "router metrics r:1"},
 		{"router evacuate r:1 r:2", "router drain r:1 r:2"},
 		{"cells moves f --status g", "cells migration f --status g"},
-		{"cells move f t --to b --hot 00,01" + pace, "cells migrate f t --to b --hot 00,01" + pace},
-		{"cells empty f a" + drained, "cells drain f a" + drained},
+		{"cells move f t --to b --hot 00,01" + timingFlags, "cells migrate f t --to b --hot 00,01" + timingFlags},
+		{"cells empty f a" + drainFlags, "cells drain f a" + drainFlags},
 		{"cells hold f t u", "cells pause f t u"},
 		{"cells back f --all", "cells rollback f --all"},
 		{"cells settle f --dry-run", "cells finalize f --dry-run"},
--- a/cmd/spanctl/migrate.go
+++ b/cmd/spanctl/migrate.go
@@ -11,25 +11,25 @@
 	"spantack/core/migration/schedule"
 )
 
-// pace has the durations of migrations.
-type pace struct {
-	StartDelay     time.Duration `name:"in" default:"30s" help:"Time until the first starts. Routers must have loaded the document by then."`
+// migrationTiming has the flags for the start and the durations of a migration.
+type migrationTiming struct {
+	StartDelay     time.Duration `name:"in" default:"30s" help:"Time until the first migration starts. Routers must have loaded the document by then."`
 	WarmDuration   time.Duration `name:"warm" help:"Time in which only the hot objects (--hot) migrate."`
 	ShiftDuration  time.Duration `name:"shift" default:"60s" help:"Shortest time in which the other objects migrate; 10s or more."`
-	MaxSlowdown    float64       `name:"slow" default:"5" help:"Longest time for that while cells are replaced or respond late, as a multiple of --shift."`
-	SettleDuration time.Duration `name:"settle" default:"60s" help:"Time after that in which the old cell takes requests for which the new one has no capacity."`
+	MaxSlowdown    float64       `name:"slow" default:"5" help:"Longest time in which the other objects migrate while cells are replaced or respond late, as a multiple of --shift."`
+	SettleDuration time.Duration `name:"settle" default:"60s" help:"Time after all objects have migrated in which the old cell takes requests for which the new one has no capacity."`
 }
 
-// maxSlowdownLimit is the upper bound of MaxSlowdown.
-const maxSlowdownLimit = 1000
+// maxAllowedSlowdown is the upper bound of MaxSlowdown.
+const maxAllowedSlowdown = 1000
 
-func (p *pace) validate() error {
+func (p *migrationTiming) validate() error {
 	const shortestShift = migration.ShortestShiftMs * time.Millisecond
 	valid := p.StartDelay >= 0 && p.WarmDuration >= 0 && p.SettleDuration >= 0 &&
-		p.ShiftDuration >= shortestShift && p.MaxSlowdown >= 1 && p.MaxSlowdown <= maxSlowdownLimit
+		p.ShiftDuration >= shortestShift && p.MaxSlowdown >= 1 && p.MaxSlowdown <= maxAllowedSlowdown
 	if !valid {
 		return fmt.Errorf("--in, --warm and --settle must be 0 or more, --shift %s or more, --slow 1 to %d",
-			shortestShift, maxSlowdownLimit)
+			shortestShift, maxAllowedSlowdown)
 	}
 	return nil
 }
@@ -40,8 +40,8 @@
 	TargetCell string   `name:"to" required:"" help:"The cell to which it migrates."`
 	Site       string   `name:"depot" default:"*" help:"The site (depot in the features file); * for all."`
 	HotObjects []string `name:"hot" help:"Objects that migrate first, hottest first."`
-	Demand     []string `name:"demand" help:"Logs or JSON files, as for plan, to print the change of load of cells."`
-	pace
+	Demand     []string `name:"demand" help:"Logs of routers or JSON files, formats as for cells plan; with them the change of each cell's load is printed."`
+	migrationTiming
 }
 
 // Run adds a migration of the tenant to the document and prints it.
@@ -81,13 +81,13 @@
 	return c.saveMigrations(out, f, document)
 }
 
-// dropEnded removes a tenant's migrations that are over, so that a new one can be added.
+// dropEnded removes a tenant's migrations that have ended, so that a new one can be added.
 func dropEnded(all []migration.Migration, now float64, tenant string) []migration.Migration {
-	return slices.DeleteFunc(all, func(m migration.Migration) bool { return m.Tenant == tenant && isOver(&m, now) })
+	return slices.DeleteFunc(all, func(m migration.Migration) bool { return m.Tenant == tenant && hasEnded(&m, now) })
 }
 
-// requestFor returns the scheduler's request for a migration, by tenant, from the tenant's demand in files. The map is
-// empty if there is no demand.
+// requestFor returns the scheduling request for a migration, by tenant. It reads the tenant's demand from files; the
+// map is empty if they have none.
 func requestFor(m *migration.Migration, files []string) (map[string]schedule.Request, error) {
 	requests := map[string]schedule.Request{}
 	demand, err := gatherDemand(files)
@@ -106,8 +106,8 @@
 	return requests, nil
 }
 
-// newRequest returns a request for the scheduler. The amount that the new cell has to fill is estimated as the tenant's
-// demand over schedule.WorkingSetSeconds.
+// newRequest returns a request for the scheduler. The amount that the new cell has to fill is estimated as what the
+// tenant requests in schedule.WorkingSetSeconds.
 func newRequest(tenant, from, to string, kbPerS float64) schedule.Request {
 	return schedule.Request{
 		Tenant: tenant, From: from, To: to, DemandKBPerS: kbPerS, FillKB: kbPerS * schedule.WorkingSetSeconds,
@@ -118,17 +118,17 @@
 func printCellLoads(
 	out io.Writer, spec *cells.Spec, migrations []migration.Migration, requests map[string]schedule.Request,
 ) {
-	gain, fill := map[string]float64{}, map[string]float64{} // KB/s by cell
+	loadChange, fill := map[string]float64{}, map[string]float64{} // KB/s by cell
 	for _, m := range migrations {
 		request := requests[m.Tenant]
-		gain[m.To] += request.DemandKBPerS
-		gain[m.From] -= request.DemandKBPerS
+		loadChange[m.To] += request.DemandKBPerS
+		loadChange[m.From] -= request.DemandKBPerS
 		fill[m.To] += 1000 * request.FillKB / (m.WarmUp + m.MinShift)
 	}
 	for _, cell := range spec.Cells {
-		if gain[cell.Name] != 0 || fill[cell.Name] != 0 {
+		if loadChange[cell.Name] != 0 || fill[cell.Name] != 0 {
 			fmt.Fprintf(out, "cell %s: %+.0f KB/s at the end; fills of at most %.0f KB/s if all its migrations ran at once\n",
-				cell.Name, gain[cell.Name], fill[cell.Name])
+				cell.Name, loadChange[cell.Name], fill[cell.Name])
 		}
 	}
 }
--- a/cmd/spanctl/migration.go
+++ b/cmd/spanctl/migration.go
@@ -51,13 +51,14 @@
 	})
 }
 
-// isOver reports whether a migration is done or rolled back.
-func isOver(m *migration.Migration, now float64) bool {
+// hasEnded reports whether a migration is done or rolled back.
+func hasEnded(m *migration.Migration, now float64) bool {
 	phase := m.Phase(now)
 	return phase == migration.Done || phase == migration.RolledBack
 }
 
-// printMigration prints a migration's phase, its share and its times.
+// printMigration prints a migration's phase, the lowest and the highest share that may have migrated by now, and its
+// times.
 func printMigration(out io.Writer, m *migration.Migration, now float64) {
 	phase := m.Phase(now)
 	fmt.Fprintf(out, "%s in %s: %s to %s, %s", m.Tenant, m.Site, m.From, m.To, phase)
@@ -74,7 +75,7 @@
 
 type migrationListCmd struct {
 	documentFlags
-	Status []string `name:"status" help:"Logs of routers, to print their progress; the last record 'moves' of each is used."`
+	Status []string `name:"status" help:"Logs of routers from which the progress of migrations is printed; the last record 'moves' in each is used."`
 }
 
 // progress is the routers' progress in a migration: the lowest and highest share of the tenant's objects that a router
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// readProgress returns the routers' progress by tenant, and prints the logs whose migrations have another version.
+// readProgress returns the routers' progress by tenant, and prints the names of the logs in which the
+// migrations have another version.
 func (c *migrationListCmd) readProgress(out io.Writer, version int64) (map[string]progress, error) {
 	byTenant := map[string]progress{}
 	for _, file := range c.Status {
@@ -118,7 +120,7 @@
 			return nil, err
 		}
 		if record.Version != version {
-			fmt.Fprintf(out, "%s: has version %d\n", file, record.Version)
+			fmt.Fprintf(out, "%s: the router has version %d of the migrations\n", file, record.Version)
 		}
 		for _, status := range record.Migrations {
 			p, known := byTenant[status.Tenant]
--- a/cmd/spanctl/migration_change.go
+++ b/cmd/spanctl/migration_change.go
@@ -14,11 +14,11 @@
 type migrationSelection struct {
 	documentFlags
 	Tenants []string `name:"tenants" arg:"" optional:"" help:"Tenants whose migrations are changed."`
-	All     bool     `name:"all" help:"Change all migrations that are not over and allow the change."`
+	All     bool     `name:"all" help:"Change all migrations that are not over and can be changed this way."`
 }
 
-// changeFunc changes a migration. It returns false if the migration does not allow the change at this time, in Unix
-// milliseconds.
+// changeFunc changes a migration at now, in Unix milliseconds. It returns false if the migration can't be changed this
+// way at that time.
 type changeFunc func(m *migration.Migration, now float64) bool
 
 // changeEach changes the selected migrations and saves them. If a migration can't be changed, it returns an error for
@@ -38,7 +38,7 @@
 		if !c.All && !slices.Contains(c.Tenants, m.Tenant) {
 			continue
 		}
-		if isOver(m, now) || !change(m, now) {
+		if hasEnded(m, now) || !change(m, now) {
 			if !c.All {
 				return fmt.Errorf("%s is %s: it can't be %s", m.Tenant, m.Phase(now), participle)
 			}
@@ -99,8 +99,8 @@
 
 type migrationFinalizeCmd struct{ documentFlags }
 
-// Run removes the migrations that are over from the document. A migration stays if the assignment does not have its
-// tenant in the final cell yet; Run then prints what to set there.
+// Run removes the migrations that have ended from the document. While the features file assigns the tenant to another
+// cell than the final one, it keeps the migration and prints the cell to set.
 func (c *migrationFinalizeCmd) Run(out io.Writer) error {
 	f, document, err := c.loadMigrations()
 	if err != nil {
@@ -115,13 +115,14 @@
 	var remaining []migration.Migration
 	unassigned := 0
 	for _, m := range document.Migrations {
-		if !isOver(&m, now) {
+		if !hasEnded(&m, now) {
 			remaining = append(remaining, m)
 			continue
 		}
-		assigned, ended := cellAtSite(tenants[m.Tenant], m.Site), finalCell(&m, now)
-		if assigned != ended {
-			fmt.Fprintf(out, "%s in %s: set its cell to %s (now %s) in %s first\n", m.Tenant, m.Site, ended, assigned, c.File)
+		assigned, final := cellAtSite(tenants[m.Tenant], m.Site), finalCell(&m, now)
+		if assigned != final {
+			fmt.Fprintf(out, "%s in %s: first set the tenant's cell to %s (now %s) in %s\n",
+				m.Tenant, m.Site, final, assigned, c.File)
 			remaining = append(remaining, m)
 			unassigned++
 			continue
@@ -130,7 +131,8 @@
 	}
 	if len(remaining) == len(document.Migrations) {
 		if unassigned > 0 {
-			return fmt.Errorf("%d migrations are over, but the assignment does not have their final cells yet", unassigned)
+			return fmt.Errorf(
+				"%d migrations are over, but the features file does not assign their tenants to the final cells yet", unassigned)
 		}
 		fmt.Fprintln(out, "no migration is over")
 		return nil
@@ -139,7 +141,7 @@
 	return c.saveMigrations(out, f, document)
 }
 
-// finalCell returns the tenant's cell after a migration that is over.
+// finalCell returns the tenant's cell after a migration that has ended.
 func finalCell(m *migration.Migration, now float64) string {
 	if m.Phase(now) == migration.Done {
 		return m.To
--- a/cmd/spanctl/migration_test.go
+++ b/cmd/spanctl/migration_test.go
@@ -7,9 +7,8 @@
 	"spantack/internal/features"
 )
 
-// Guards against commands that change migrations wrongly, or that change the document although they fail. A tenant's
-// migration is started, paused, resumed, rolled back, started again and finalized. Commands that are not possible must
-// return an error.
+// Guards against migration commands that set wrong times or phases, that succeed in a phase in which they are not
+// possible, or that write the document although they fail.
 func TestCommandsOnMigrations(t *testing.T) {
 	writeFile := newFileWriter(t)
 	file := writeFeatures(writeFile, "a")
@@ -24,7 +23,7 @@
 		{"cells migrate F u --to c --now 1000000", "", `moves.moves[0].to: "c" is no cell`},
 		{"cells migrate F x --to b --now 1000000", "", `unknown tenant "x"`},
 		{"cells migrate F u --to b --shift 2s --now 1000000", "", "--shift 10s or more"},
-		{"cells migrate " + plain + " u --to b --now 1000000", "", "does not import its section moves from"},
+		{"cells migrate " + plain + " u --to b --now 1000000", "", "can't load the section moves written to"},
 		{"cells pause F u --now 1000000", "", "u has no migration"},
 		{"cells migrate F u --to b --now 1000000 --in 10s --shift 20s --settle 20s --demand " + demand,
 			"cell b: +50 KB/s at the end; fills of at most 50 KB/s", ""},
@@ -41,14 +40,14 @@
 		{"cells resume F u --now 1062000", "", "can't be resumed"},
 		{"cells finalize F --now 1062000", "no migration is over", ""},
 		{"cells migrate F u --to b --now 1200000 --in 10s --shift 20s --settle 20s", "starts 1970-01-01 00:20:10Z", ""},
-		{"cells finalize F --now 1400000", "u in *: set its cell to b (now a)", "1 migrations are over"},
+		{"cells finalize F --now 1400000", "u in *: first set the tenant's cell to b (now a)", "1 migrations are over"},
 		{"check F", "moves: on, version 5, 1 migrations\n", ""},
 	} {
 		printed := runCommand(t, strings.ReplaceAll(c.args, " F", " "+file), c.out, c.err)
 		after := documentVersion(t, file)
 		wrote := strings.Contains(printed, "written; send SIGHUP")
 		if (after != version) != wrote || after > version+1 {
-			t.Errorf("%d, %s: version %d after %d", i, c.args, after, version)
+			t.Errorf("%d, %s: document version %d, was %d", i, c.args, after, version)
 		}
 		version = after
 	}
--- a/cmd/spanctl/rollout.go
+++ b/cmd/spanctl/rollout.go
@@ -19,23 +19,23 @@
 }
 
 // saveRollout checks a changed rollout and writes its document.
-func (d *documentFlags) saveRollout(out io.Writer, f *features.File, release rollout.Rollout) error {
+func (d *documentFlags) saveRollout(out io.Writer, f *features.File, changed rollout.Rollout) error {
 	assignment, err := compileCells(f)
 	if err != nil {
 		return err
 	}
-	if err := assignment.ValidateRollout(&release); err != nil {
+	if err := assignment.ValidateRollout(&changed); err != nil {
 		return err
 	}
 	next := *f
-	next.Rollout = features.Rollout{Enabled: true, Rollout: release}
+	next.Rollout = features.Rollout{Enabled: true, Rollout: changed}
 	return d.save(out, f, &next, section{
 		name:     "stage",
 		document: "stage.json",
-		version:  release.Version,
+		version:  changed.Version,
 		content:  next.Rollout,
 		isImportedBy: func(f *features.File) bool {
-			return f.ActiveRollout() != nil && f.ActiveRollout().Version == release.Version
+			return f.ActiveRollout() != nil && f.ActiveRollout().Version == changed.Version
 		},
 	})
 }
@@ -49,11 +49,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	release := f.ActiveRollout()
-	if release == nil {
+	active := f.ActiveRollout()
+	if active == nil {
 		return nil, nil, errNoRollout
 	}
-	return f, release, nil
+	return f, active, nil
 }
 
 type rolloutStartCmd struct {
@@ -62,14 +62,14 @@
 	Prefix             string        `name:"prefix" help:"Prefix of its objects, in hex."`
 	Families           []int         `name:"families" help:"First and last purge group (family) of its objects."`
 	Rings              []string      `name:"ring" required:"" sep:"none" help:"Cells of a ring, separated by commas; repeated for each ring, in their order."`
-	StartDelay         time.Duration `name:"in" default:"60s" help:"Time until the first ring opens. Routers use it to learn how its cells differ from others."`
-	RingDuration       time.Duration `name:"for" default:"10m" help:"Time in which a ring must be judged."`
-	Replaces           bool          `name:"renews" help:"Its objects replace older versions; the origin returns the new version from the opening of the first ring on."`
-	MaxStale           time.Duration `name:"keep" help:"With --renews: largest age of cached copies in rings that are closed." placeholder:"SPAN"`
-	AfterRollback      string        `name:"back" help:"With --renews: what a ring that is rolled back for harm does until the stop: refuse or serve." placeholder:"refuse|serve"`
-	ContinueIfUnsure   bool          `name:"go" help:"Continue if a ring can't be judged in its time; left out: wait."`
+	StartDelay         time.Duration `name:"in" default:"60s" help:"Time until the first ring opens. Meanwhile routers learn how the cells of that ring differ from the others."`
+	RingDuration       time.Duration `name:"for" default:"10m" help:"Time in which a ring must be judged; the next ring opens after it at the earliest."`
+	Replaces           bool          `name:"renews" help:"The release replaces existing objects; the origin has the new version from the time at which the first ring opens."`
+	MaxStale           time.Duration `name:"keep" help:"With --renews: maximum age of cached copies in rings that have not opened." placeholder:"SPAN"`
+	AfterRollback      string        `name:"back" help:"With --renews: what the cells of a ring that is rolled back for harm do with requests for the release until rollout stop: refuse them, or serve whatever version is available." placeholder:"refuse|serve"`
+	ContinueIfUnsure   bool          `name:"go" help:"Continue with the next ring if a ring can't be judged within --for; without this flag the rollout waits."`
 	RequestRate        float64       `name:"rate" help:"Requests per second to a cell at one router. With --bad: prints how long it takes to detect harm." placeholder:"N"`
-	BaselineErrorRatio float64       `name:"bad" help:"Fraction of these requests that fail without harm. With --rate: prints how long it takes to detect harm." placeholder:"P"`
+	BaselineErrorRatio float64       `name:"bad" help:"Fraction of these requests that fail if the release does no harm. With --rate: prints how long it takes to detect harm." placeholder:"P"`
 }
 
 // Run starts a rollout. It returns an error if the active rollout has the same name.
@@ -78,30 +78,30 @@
 	if err != nil {
 		return err
 	}
-	release := c.newRollout()
-	if release.ReplacesObjects {
+	added := c.newRollout()
+	if added.ReplacesObjects {
 		fmt.Fprintf(out, "the origin must have the new version by %s, and not much earlier: "+
-			"cells without a copy get the version that is there\n", formatTime(release.Since))
+			"a cell without a cached copy gets whichever version the origin has\n", formatTime(added.Since))
 	}
 	if old := f.ActiveRollout(); old != nil {
 		if old.Name == c.Name {
 			return fmt.Errorf("release %s already exists: stop it, or choose another name for the new one", c.Name)
 		}
-		release.Version = old.Version + 1
+		added.Version = old.Version + 1
 	}
-	for i, ring := range release.Rings {
+	for i, ring := range added.Rings {
 		fmt.Fprintf(out, "ring %d: %s, opens %s at the earliest\n", i, c.Rings[i], formatTime(ring.OpensAt))
 	}
-	if c.RequestRate > 0 && c.BaselineErrorRatio > 0 && len(release.Rings) > 0 {
-		c.printDetectionTimes(out, &release, len(f.CellSpec().Cells))
+	if c.RequestRate > 0 && c.BaselineErrorRatio > 0 && len(added.Rings) > 0 {
+		c.printDetectionTimes(out, &added, len(f.CellSpec().Cells))
 	}
-	return c.saveRollout(out, f, release)
+	return c.saveRollout(out, f, added)
 }
 
 // newRollout returns the rollout that the flags describe, as version 1.
 func (c *rolloutStartCmd) newRollout() rollout.Rollout {
 	now := c.now()
-	release := rollout.Rollout{
+	planned := rollout.Rollout{
 		Version:         1,
 		Name:            c.Name,
 		Prefix:          c.Prefix,
@@ -111,34 +111,35 @@
 		OnRollback:      c.AfterRollback,
 	}
 	if c.Replaces {
-		release.Since = now + millis(c.StartDelay) // copies made before are of the old version
+		planned.Since = now + millis(c.StartDelay) // copies made before are of the old version
 	}
 	if len(c.Families) > 0 {
-		release.FamilyRange = c.Families
+		planned.FamilyRange = c.Families
 	}
 	if c.ContinueIfUnsure {
-		release.OnUndecided = "go"
+		planned.OnUndecided = "go"
 	}
 	for i, cells := range c.Rings {
-		release.Rings = append(release.Rings, rollout.Ring{
+		planned.Rings = append(planned.Rings, rollout.Ring{
 			Cells:       strings.Split(cells, ","),
 			OpensAt:     now + millis(c.StartDelay) + float64(i)*millis(c.RingDuration),
 			JudgeWithin: millis(c.RingDuration),
 		})
 	}
-	return release
+	return planned
 }
 
-// printDetectionTimes prints how long one router takes to detect several degrees of harm in the first ring, on average.
-func (c *rolloutStartCmd) printDetectionTimes(out io.Writer, release *rollout.Rollout, allCells int) {
-	parameters := release.TestParameters()
-	ringCells, all := float64(len(release.Rings[0].Cells)), float64(allCells)
+// printDetectionTimes prints the mean time in which one router detects harm in the first ring, for several factors by
+// which failures become more likely.
+func (c *rolloutStartCmd) printDetectionTimes(out io.Writer, planned *rollout.Rollout, allCells int) {
+	parameters := planned.TestParameters()
+	ringCells, all := float64(len(planned.Rings[0].Cells)), float64(allCells)
 	for _, harm := range []float64{1.5, 2, 3, 5} {
 		events := parameters.ExpectedEvents(harm, ringCells/all, 1)
 		eventsPerS := c.RequestRate * c.BaselineErrorRatio * (ringCells*harm + all - ringCells)
 		if seconds := events / eventsPerS; !math.IsInf(seconds, 0) {
 			fmt.Fprintf(out,
-				"failures %.1f times as likely: one router detects this after about %s on average, not counting bursts\n",
+				"failures %.1f times as likely: one router detects this after about %s on average, if there are no bursts\n",
 				harm, formatDuration(1000*seconds))
 		}
 	}
@@ -146,27 +147,28 @@
 
 type rolloutStopCmd struct {
 	documentFlags
-	StopDelay time.Duration `name:"in" help:"Time until the release is rolled back, if the origin needs time to go back."`
+	StopDelay time.Duration `name:"in" help:"Time until the release is rolled back, if the origin needs time to restore the old version."`
 }
 
 // Run rolls the release back in all cells.
 func (c *rolloutStopCmd) Run(out io.Writer) error {
-	f, inForce, err := c.loadRollout()
+	f, current, err := c.loadRollout()
 	if err != nil {
 		return err
 	}
-	if inForce.RollbackAt > 0 {
-		return fmt.Errorf("release %s has already been stopped", inForce.Name)
+	if current.RollbackAt > 0 {
+		return fmt.Errorf("release %s has already been stopped", current.Name)
 	}
-	release := *inForce
-	release.Version++
-	release.RollbackAt = c.now() + millis(c.StopDelay)
-	if release.ReplacesObjects {
-		fmt.Fprintf(out, "release %s: rolled back in all cells; from %s on all older copies are renewed: "+
-			"the origin must have the old version by then\n", release.Name, formatTime(release.RollbackAt))
+	stopped := *current
+	stopped.Version++
+	stopped.RollbackAt = c.now() + millis(c.StopDelay)
+	if stopped.ReplacesObjects {
+		fmt.Fprintf(out, "release %s: rolled back in all cells; from %s on, copies made before then are renewed: "+
+			"the origin must have the old version by then\n", stopped.Name, formatTime(stopped.RollbackAt))
 	} else {
-		fmt.Fprintf(out, "release %s: rolled back in all cells; each router rejects it there once it has the new document\n",
-			release.Name)
+		fmt.Fprintf(out,
+			"release %s: rolled back in all cells; each router rejects its requests once it has loaded the new document\n",
+			stopped.Name)
 	}
-	return c.saveRollout(out, f, release)
+	return c.saveRollout(out, f, stopped)
 }
--- a/cmd/spanctl/rollout_status.go
+++ b/cmd/spanctl/rollout_status.go
@@ -20,25 +20,25 @@
 // ringSummary sums up the status of a ring at all routers.
 type ringSummary struct {
 	routersByState map[string]int
-	evidence       []float64 // by metric: log odds that the release does harm
+	evidence       []float64 // by metric: log likelihood ratio for harm
 }
 
-// Run prints the states and the evidence of each ring. Routers see different requests, so their odds multiply, and
-// their log odds are added.
+// Run prints the states and the evidence of each ring. Routers see different requests, so their log likelihood ratios
+// are added. If several metrics or rings show harm, the last line names only the last of them.
 func (c *rolloutStatusCmd) Run(out io.Writer) error {
-	_, release, err := c.loadRollout()
+	_, active, err := c.loadRollout()
 	if err != nil {
 		return err
 	}
-	rings, err := c.summarize(release)
+	rings, err := c.summarize(active)
 	if err != nil {
 		return err
 	}
 	metrics := rollout.MetricNames()
-	threshold := math.Log(float64(len(metrics)) / release.TestParameters().Alpha)
+	threshold := math.Log(float64(len(metrics)) / active.TestParameters().Alpha)
 	harm := ""
 	for i, ring := range rings {
-		fmt.Fprintf(out, "ring %d, %s:", i, strings.Join(release.Rings[i].Cells, ","))
+		fmt.Fprintf(out, "ring %d, %s:", i, strings.Join(active.Rings[i].Cells, ","))
 		for _, state := range slices.Sorted(maps.Keys(ring.routersByState)) {
 			fmt.Fprintf(out, " %s at %d routers", state, ring.routersByState[state])
 		}
@@ -57,9 +57,9 @@
 }
 
 // summarize sums up the status of each ring in the logs.
-func (c *rolloutStatusCmd) summarize(release *rollout.Rollout) ([]ringSummary, error) {
+func (c *rolloutStatusCmd) summarize(active *rollout.Rollout) ([]ringSummary, error) {
 	metrics := len(rollout.MetricNames())
-	rings := make([]ringSummary, len(release.Rings))
+	rings := make([]ringSummary, len(active.Rings))
 	for i := range rings {
 		rings[i] = ringSummary{routersByState: map[string]int{}, evidence: make([]float64, metrics)}
 	}
@@ -71,8 +71,9 @@
 			return nil, err
 		}
 		status := &record.Rollout
-		if status.Name != release.Name || len(status.Rings) != len(release.Rings) {
-			return nil, fmt.Errorf("%s: has the status of release %q", file, status.Name)
+		if status.Name != active.Name || len(status.Rings) != len(active.Rings) {
+			return nil, fmt.Errorf("%s: the status of release %q does not match the rollout in the features file",
+				file, status.Name)
 		}
 		for i, ring := range status.Rings {
 			rings[i].routersByState[ring.State]++
--- a/cmd/spanctl/rollout_test.go
+++ b/cmd/spanctl/rollout_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against commands that start or stop a rollout wrongly, and against a status that does not add the evidence of
-// routers: together they must show harm that no router has found alone.
+// Guards against commands that accept an invalid rollout, a second start or a second stop, and against a status that
+// does not add the evidence of routers: together they must show harm that no router has found alone.
 func TestCommandsOnRollouts(t *testing.T) {
 	writeFile := newFileWriter(t)
 	file := writeFile("f.jsonnet", withSection(cellsFile("1", "a"), "stage", "stage.json"))
@@ -34,10 +34,10 @@
 		{"check F", "stage: on, release r1 version 1, 1 rings\n", ""},
 		{"rollout status F " + one, "late answers 4.1 of 5.7; failures -1.0 of 5.7", ""},
 		{"rollout status F " + one + " " + two, "harm in ring 0, by late answers: run spanctl rollout stop", ""},
-		{"rollout status F " + other, "", `has the status of release "r0"`},
+		{"rollout status F " + other, "", `the status of release "r0" does not match the rollout`},
 		{"rollout stop F --now 90000", "rolled back in all cells", ""},
 		{"rollout stop F --now 91000", "", "has already been stopped"},
 		{"rollout start F --name r3 --prefix ff --ring a --now 100000 --renews --keep 10m", "version 3 written", ""},
-		{"rollout stop F --now 200000 --in 5s", "all older copies are renewed", ""},
+		{"rollout stop F --now 200000 --in 5s", "copies made before then are renewed", ""},
 	})
 }
--- a/cmd/spanctl/router.go
+++ b/cmd/spanctl/router.go
@@ -15,7 +15,7 @@
 type routerCmd struct {
 	Ready   routerReadyCmd   `name:"ready" cmd:"" help:"Print whether routers accept requests."`
 	Metrics routerMetricsCmd `name:"metrics" aliases:"figures" cmd:"" help:"Print metrics of routers, one on each line."`
-	Exclude routerExcludeCmd `name:"exclude" cmd:"" help:"Exclude a server at routers until include, whatever its state in the endpoint list."`
+	Exclude routerExcludeCmd `name:"exclude" cmd:"" help:"Exclude a server at routers until spanctl router include, whatever its state in the endpoint list."`
 	Include routerIncludeCmd `name:"include" cmd:"" help:"End the exclusion of a server."`
 	Drain   routerDrainCmd   `name:"drain" aliases:"evacuate" cmd:"" help:"Drain routers; they keep running."`
 	Rejoin  routerRejoinCmd  `name:"rejoin" cmd:"" help:"Let drained routers accept requests again."`
@@ -24,10 +24,10 @@
 // callTimeout bounds one call. Routers respond within a second.
 const callTimeout = 3 * time.Second
 
-// maxResponseBytes bounds the bytes read of a response.
+// maxResponseBytes is the maximum number of bytes that are read of a response.
 const maxResponseBytes = 1 << 20
 
-// errUnsuccessful is wrapped by the error for a response with another status code than 2xx.
+// errUnsuccessful is wrapped by the error for a response whose status code is not 2xx.
 var errUnsuccessful = errors.New("unsuccessful response")
 
 // routerTargets are the routers to which a call is made.
--- a/cmd/spanctl/topology.go
+++ b/cmd/spanctl/topology.go
@@ -15,7 +15,7 @@
 type topologyCmd struct {
 	Show topologyShowCmd `name:"show" cmd:"" help:"Print the levels and parents of sites and parent groups."`
 	Diff topologyDiffCmd `name:"diff" cmd:"" help:"Print the changes of the topology from one file to another."`
-	Plan topologyPlanCmd `name:"plan" cmd:"" help:"Print how fills are divided among parent groups and the origin, by the capacity and warmth of the groups."`
+	Plan topologyPlanCmd `name:"plan" cmd:"" help:"Print how fills are divided among parent groups and the origin, by the groups' capacity and the fraction of it that is available now."`
 }
 
 // loadTopology loads the topology of a features file. It returns an error if the topology is off.
@@ -57,7 +57,7 @@
 }
 
 func printNode(out io.Writer, graph *hierarchy.Graph, kind, name, details string) {
-	level := "no path to the origin, so nothing fills from it"
+	level := "no path to the origin, so not used for fills"
 	if n := graph.Level(name); n >= 0 {
 		level = fmt.Sprintf("level %d", n)
 	}
@@ -87,8 +87,8 @@
 
 type topologyPlanCmd struct {
 	File           string             `name:"file" arg:"" help:"The features file."`
-	CapacityKBPerS map[string]float64 `name:"bears" required:"" help:"Capacity of a parent group (area in the features file) when warm, in KB/s. Groups that are left out count as lost." placeholder:"AREA=KB"`
-	WarmFraction   map[string]float64 `name:"warm" help:"Fraction of that capacity available now; 1 if left out." placeholder:"AREA=PART"`
+	CapacityKBPerS map[string]float64 `name:"bears" required:"" help:"Capacity of a parent group (area in the features file) when warm, in KB/s. Groups that are not given count as having no capacity." placeholder:"AREA=KB"`
+	WarmFraction   map[string]float64 `name:"warm" help:"Fraction of that capacity available now; default: 1." placeholder:"AREA=PART"`
 }
 
 // minPrintedFraction is the smallest fraction of a site's fills that is printed.
@@ -178,10 +178,10 @@
 		demand += site.PeakFillKBPerS
 	}
 	if demand > 0 && rejected > 0 {
-		saved := plan.Allocation.OriginPrice / hierarchy.RejectionCostMillis
+		servedPerOriginKB := plan.Allocation.OriginPrice / hierarchy.RejectionCostMillis
 		fmt.Fprintf(out,
-			"no capacity for %.1f%% of all fills; each further KB/s at the origin would serve %.1f KB/s of that\n",
-			100*rejected/demand, saved)
+			"no capacity for %.1f%% of all fills; each further KB/s at the origin would serve %.1f KB/s of the rejected fills\n",
+			100*rejected/demand, servedPerOriginKB)
 	}
 	if demand == 0 {
 		return errors.New("no site has fills")
--- a/cmd/spanlab/experiment.go
+++ b/cmd/spanlab/experiment.go
@@ -30,18 +30,18 @@
 // runCmd runs an experiment.
 type runCmd struct {
 	Name  string   `name:"name" arg:"" help:"The experiment."`
-	Seed  uint64   `name:"seed" default:"1" help:"First seed, 0 to 2^63."`
+	Seed  uint64   `name:"seed" default:"1" help:"First seed, 0 to 2^63-1."`
 	Seeds uint64   `name:"seeds" default:"1" help:"Number of seeds, counted up from the first."`
 	Size  string   `name:"size" default:"small" enum:"small,full" help:"Size of the experiment: small or full."`
-	Out   string   `name:"out" help:"Folder for result.json, table.md and charts; left out: nothing is written."`
+	Out   string   `name:"out" help:"Folder for result.json, table.md and charts; default: nothing is written."`
 	Set   []string `name:"set" help:"A setting of the experiment to change, as path=value; can be repeated." sep:"none"`
 }
 
 // Run runs the experiment with each seed, writes the outcomes if a folder is given, and prints their RESULT lines. It
-// returns errClaimFailed if a claim does not hold.
+// returns errCheckFailed if a claim does not hold.
 func (c *runCmd) Run() error {
 	if c.Seeds == 0 || c.Seed > math.MaxInt64 || c.Seeds > maxSeeds {
-		return fmt.Errorf("--seed %d --seeds %d: must be 0 to 2^63 and 1 to %d", c.Seed, c.Seeds, maxSeeds)
+		return fmt.Errorf("--seed %d --seeds %d: must be 0 to 2^63-1 and 1 to %d", c.Seed, c.Seeds, maxSeeds)
 	}
 	e, err := lab.Load(c.Name, c.Set...)
 	if err != nil {
@@ -56,13 +56,13 @@
 			return err
 		}
 	}
-	isFailed := false
+	hasFailed := false
 	for _, outcome := range outcomes {
 		fmt.Println(outcome.Summary())
-		isFailed = isFailed || !outcome.Passed()
+		hasFailed = hasFailed || !outcome.Passed()
 	}
-	if isFailed {
-		return errClaimFailed
+	if hasFailed {
+		return errCheckFailed
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 	ResultB string `name:"b" arg:"" type:"existingfile" help:"File result.json of the second run."`
 }
 
-// Run prints a table with the figures of both results.
+// Run prints a table with the numbers of both results.
 func (c *compareCmd) Run() error {
 	a, err := readResult(c.ResultA)
 	if err != nil {
--- a/cmd/spanlab/main.go
+++ b/cmd/spanlab/main.go
@@ -1,5 +1,5 @@
 // Command spanlab runs the project's experiments on its emulator, scenarios on real router processes, and scale tests.
-// It exits with 0 if all claims hold, with 3 if a claim does not hold, and with 2 after an error.
+// It exits with 0 if all claims and bounds hold and no budget is exceeded, with 3 otherwise, and with 2 after an error.
 package main
 
 import (
@@ -18,15 +18,15 @@
 // Exit codes, besides 0.
 const (
 	exitError  = 2 // after any other error
-	exitFailed = 3 // after errClaimFailed
+	exitFailed = 3 // after errCheckFailed
 )
 
-// errClaimFailed is returned by a command that has run without an error, but with a claim, a bound or a budget that
-// does not hold. The command has printed which.
-var errClaimFailed = errors.New("a claim does not hold")
+// errCheckFailed is returned by a command that has run without an error, but found a claim or a bound that does not
+// hold, or a budget that is exceeded. The command has printed which.
+var errCheckFailed = errors.New("a claim or bound does not hold, or a budget is exceeded")
 
-// gcPercent makes the garbage collector run less often, at the cost of memory: emulator worlds allocate much that is
-// soon garbage.
+// gcPercent makes the garbage collector run less often, at the cost of memory: the emulator allocates many
+// short-lived objects.
 const gcPercent = 400
 
 // cli defines the commands. Aliases are the names of commands in earlier releases. They are still accepted, but not
@@ -44,7 +44,7 @@
 	debug.SetGCPercent(gcPercent)
 	err := run(os.Args[1:])
 	switch {
-	case errors.Is(err, errClaimFailed):
+	case errors.Is(err, errCheckFailed):
 		os.Exit(exitFailed)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "spanlab:", err)
--- a/cmd/spanlab/progress.go
+++ b/cmd/spanlab/progress.go
@@ -14,7 +14,7 @@
 	unknownCount = -1
 )
 
-// progress is a progress bar. It draws nothing if the standard error output is not a terminal. Errors of drawing are
+// progress is a progress bar. It draws nothing if the standard error output is not a terminal. Drawing errors are
 // ignored, so that they can't stop a run.
 type progress struct{ bar *progressbar.ProgressBar }
 
--- a/cmd/spanlab/scale.go
+++ b/cmd/spanlab/scale.go
@@ -12,7 +12,7 @@
 type scaleCmd struct {
 	List scaleListCmd `name:"list" cmd:"" help:"List the scale tests."`
 	Run  scaleRunCmd  `name:"run" cmd:"" help:"Run a scale test at several sizes; exit code 3 if a router exceeds its budget."`
-	Page scalePageCmd `name:"page" cmd:"" help:"Update the figures on the capacity page from results."`
+	Page scalePageCmd `name:"page" cmd:"" help:"Update the numbers on the capacity page from results."`
 }
 
 // scaleListCmd prints the names of the scale tests.
@@ -29,20 +29,20 @@
 // scaleRunCmd runs a scale test.
 type scaleRunCmd struct {
 	Name    string `name:"name" arg:"" help:"The scale test."`
-	Routers []int  `name:"routers" help:"Numbers of request routers, one run each; left out: 300, 1000, 3000, 11000."`
+	Routers []int  `name:"routers" help:"Numbers of request routers, one run each; default: 300, 1000, 3000, 11000."`
 	Seed    uint64 `name:"seed" default:"1" help:"Seed of the network's random faults and of the load, 0 to 2^63."`
-	Out     string `name:"out" help:"Folder for results.json and charts of cost by size; left out: nothing is written."`
+	Out     string `name:"out" help:"Folder for results.json and charts of cost by size; default: nothing is written."`
 }
 
-// scaleMemory is the Go runtime's memory limit for a run, in bytes. scaleGCPercent replaces gcPercent, because the
-// worlds of scale tests are large and long-lived.
 const (
-	scaleMemory    = 5 << 30
+	// scaleMemory is the Go runtime's memory limit for a run, in bytes.
+	scaleMemory = 5 << 30
+	// scaleGCPercent replaces gcPercent in scale tests, whose worlds are large and long-lived.
 	scaleGCPercent = 100
 )
 
 // Run runs the test at each size, writes the results if a folder is given, and prints their RESULT lines. It returns
-// errClaimFailed if a router exceeds its budget.
+// errCheckFailed if a router exceeds its budget.
 func (c *scaleRunCmd) Run() error {
 	test, err := scale.FindTest(c.Name)
 	if err != nil {
@@ -68,13 +68,13 @@
 			return err
 		}
 	}
-	isFailed := false
+	hasFailed := false
 	for _, result := range results {
 		fmt.Println(result.Line())
-		isFailed = isFailed || !result.WithinBudget()
+		hasFailed = hasFailed || !result.WithinBudget()
 	}
-	if isFailed {
-		return errClaimFailed
+	if hasFailed {
+		return errCheckFailed
 	}
 	return nil
 }
@@ -96,11 +96,11 @@
 
 // scalePageCmd updates the capacity page.
 type scalePageCmd struct {
-	Page    string `name:"page" default:"docs/CAPACITY.md" type:"existingfile" help:"Page whose named figures are updated."`
+	Page    string `name:"page" default:"docs/CAPACITY.md" type:"existingfile" help:"Page on which the marked numbers are updated."`
 	Results string `name:"results" default:"docs/results/scale" type:"existingdir" help:"Folder with the results of all scale tests."`
 }
 
-// Run replaces the figures on the page with the figures of stored results.
+// Run replaces the marked numbers on the page with those of stored results.
 func (c *scalePageCmd) Run() error {
 	set, err := scale.ReadResultSet(c.Results)
 	if err != nil {
--- a/cmd/spanlab/scenario.go
+++ b/cmd/spanlab/scenario.go
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// Bounds of a scenario run.
+// Limits of a scenario run.
 const (
 	minScenarioRouters = 3
 	maxScenarioRouters = 300
@@ -40,12 +40,12 @@
 	Name    string `name:"name" arg:"" help:"The scenario."`
 	Routers int    `name:"routers" default:"16" help:"Number of router processes, 3 to 300."`
 	Seed    uint64 `name:"seed" default:"1" help:"Seed of the load and of the network's random faults, 0 to 2^63."`
-	Binary  string `name:"binary" help:"Router program; left out: it is built from source." type:"existingfile"`
-	Out     string `name:"out" help:"Folder for result.json, table.md and a chart; left out: nothing is written."`
+	Binary  string `name:"binary" help:"Router program; default: it is built from source." type:"existingfile"`
+	Out     string `name:"out" help:"Folder for result.json, table.md and a chart; default: nothing is written."`
 }
 
 // Run runs the scenario, writes the result if a folder is given, and prints the failures and the RESULT line. It
-// returns errClaimFailed if there are failures.
+// returns errCheckFailed if there are failures.
 func (c *scenarioRunCmd) Run() error {
 	if c.Routers < minScenarioRouters || c.Routers > maxScenarioRouters {
 		return fmt.Errorf("--routers %d: must be %d to %d", c.Routers, minScenarioRouters, maxScenarioRouters)
@@ -69,7 +69,7 @@
 	}
 	fmt.Println(result.Summary())
 	if len(failures) > 0 {
-		return errClaimFailed
+		return errCheckFailed
 	}
 	return nil
 }
