--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -18,24 +18,24 @@
 	caches "spantack/standin/cache"
 )
 
-// awaitLimit ends every wait of a test that the router, a client or a stand-in should end by itself.
+// awaitLimit bounds each wait for the router, a client or a fake server.
 const awaitLimit = 20 * time.Second
 
-// blueprint describes a deployment of one router.
-type blueprint struct {
-	caches    int
-	sockets   int           // the router's limit on descriptors
-	deadline  time.Duration // of both classes
-	discovery string        // its address; empty: nobody listens there
-	cache     func(number int, opt *caches.Options)
-	script    func(caches.Request) caches.Fault
-	start     func(*exec.Cmd) error // starts the router; nil: as usual
+// deploymentOptions describes a deployment of one router.
+type deploymentOptions struct {
+	caches      int
+	sockets     int           // the router's limit on descriptors
+	deadline    time.Duration // of the class
+	discovery   string        // address of the discovery service; empty if there is none
+	cache       func(number int, opt *caches.Options)
+	injectFault func(caches.Request) caches.Fault
+	start       func(*exec.Cmd) error // starts the router; nil means (*exec.Cmd).Start
 }
 
-// deployment is a router process among stand-ins, with the log of the requests that reached the edge caches.
+// deployment is a router process with fake servers, and a log of the requests that reached them.
 type deployment struct {
 	t        *testing.T
-	plan     blueprint
+	options  deploymentOptions
 	cmd      *exec.Cmd
 	listen   string
 	stderr   *bytes.Buffer
@@ -45,18 +45,18 @@
 	exited   chan error
 }
 
-// Server ids of a deployment: the caches are numbered from firstCache on.
+// Ids of servers. Those of caches start at firstCache.
 const (
 	originID   = 1
 	firstCache = 2
 )
 
-// deploy starts the caches and the router, and returns once the router takes requests.
-func deploy(t *testing.T, plan blueprint) *deployment {
+// deploy starts the servers and the router, and returns once the router is ready.
+func deploy(t *testing.T, options deploymentOptions) *deployment {
 	t.Helper()
 	d := &deployment{
 		t:        t,
-		plan:     plan,
+		options:  options,
 		listen:   loopback.FreeAddress(),
 		stderr:   &bytes.Buffer{},
 		requests: caches.NewRequestLog(),
@@ -68,11 +68,11 @@
 	}
 	t.Cleanup(origin.Close)
 	d.origin = origin
-	for number := range plan.caches {
-		opt := caches.Options{ID: uint32(firstCache + number), RequestLog: d.requests, InjectFault: plan.script,
-			FindServer: d.source}
-		if plan.cache != nil {
-			plan.cache(number, &opt)
+	for number := range options.caches {
+		opt := caches.Options{ID: uint32(firstCache + number), RequestLog: d.requests, InjectFault: options.injectFault,
+			FindServer: d.fillSource}
+		if options.cache != nil {
+			options.cache(number, &opt)
 		}
 		cache, err := caches.Listen(opt)
 		if err != nil {
@@ -81,8 +81,8 @@
 		t.Cleanup(cache.Close)
 		d.caches = append(d.caches, cache)
 	}
-	if d.plan.discovery == "" {
-		d.plan.discovery = loopback.FreeAddress()
+	if d.options.discovery == "" {
+		d.options.discovery = loopback.FreeAddress()
 	}
 	config := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(config, d.configuration(), 0o600); err != nil {
@@ -91,21 +91,21 @@
 	d.cmd = routerCommand(d.listen, config)
 	d.cmd.Stderr = d.stderr
 	start := (*exec.Cmd).Start
-	if plan.start != nil {
-		start = plan.start
+	if options.start != nil {
+		start = options.start
 	}
 	if err := start(d.cmd); err != nil {
 		t.Fatal(err)
 	}
 	go func() { d.exited <- d.cmd.Wait() }()
 	t.Cleanup(func() { d.cmd.Process.Kill() })
-	testwait.Until(t, "the router's answer on its health", d.answersReady)
+	testwait.Until(t, "the router to report that it is ready", d.answersReady)
 	return d
 }
 
-// answersReady asks for the router's state on a new connection. It is false where the router closed that one
-// unanswered, as it does with a client that says nothing for long: this process may be that client on a machine
-// that is starved. Any other answer than that it is ready ends the test.
+// answersReady makes a health call on a new connection, and reports whether the router is ready. It returns false if
+// the router closes the connection without a response: it closes silent connections, and on a slow machine the call may
+// come too late. A response other than ready fails the test.
 func (d *deployment) answersReady() bool {
 	d.t.Helper()
 	c := d.connect()
@@ -121,7 +121,7 @@
 	return true
 }
 
-// configuration is the router's, with the origin and the caches known from the start.
+// configuration returns the router's configuration, whose initial events list the origin and the caches.
 func (d *deployment) configuration() []byte {
 	type entry map[string]any
 	target := func(server *caches.Server, kind string) entry {
@@ -134,9 +134,9 @@
 	for _, cache := range d.caches {
 		targets = append(targets, target(cache, "box"))
 	}
-	micros := d.plan.deadline.Microseconds()
+	micros := d.options.deadline.Microseconds()
 	text, err := json.Marshal(entry{
-		"seed": "01", "limits": entry{"memory_mb": 192, "sockets": d.plan.sockets}, "board": d.plan.discovery,
+		"seed": "01", "limits": entry{"memory_mb": 192, "sockets": d.options.sockets}, "board": d.options.discovery,
 		"known": entry{"rev": 1, "notices": []entry{{"rev": 1, "pool": entry{"all": true, "targets": targets}}}},
 		"settings": entry{
 			"Classes": []entry{{
@@ -155,8 +155,8 @@
 	return text
 }
 
-// source is where caches fill a miss from: the origin holds everything.
-func (d *deployment) source(string) *caches.Server { return d.origin }
+// fillSource returns the server from which caches fill after a miss, which is always the origin.
+func (d *deployment) fillSource(string) *caches.Server { return d.origin }
 
 func (d *deployment) signal(s syscall.Signal) {
 	d.t.Helper()
@@ -165,20 +165,20 @@
 	}
 }
 
-// terminate tells the router to end, unless it was told before, and returns once the caches have read all that it
-// sent: from then on their log is complete.
-func (d *deployment) terminate(told bool) {
+// terminate sends SIGTERM, unless that has been sent, and waits until the router has exited and the caches have read
+// all that it sent. Their log is then complete.
+func (d *deployment) terminate(isSignaled bool) {
 	d.t.Helper()
-	if !told {
+	if !isSignaled {
 		d.signal(syscall.SIGTERM)
 	}
 	select {
 	case err := <-d.exited:
 		if err != nil {
-			d.t.Errorf("the router ended with %v; log: %s", err, d.stderr)
+			d.t.Errorf("the router exited with %v; log: %s", err, d.stderr)
 		}
 	case <-time.After(awaitLimit):
-		d.t.Fatal("the router does not end after SIGTERM")
+		d.t.Fatal("the router did not exit after SIGTERM")
 	}
 	testwait.Until(d.t, "the end of all connections to the caches", func() bool {
 		for _, cache := range d.caches {
@@ -190,14 +190,14 @@
 	})
 }
 
-// caller is a client's connection.
-type caller struct {
+// clientConn is a client's connection to the router.
+type clientConn struct {
 	*net.TCPConn
 	t *testing.T
 }
 
-// connect opens a client's connection, once the router listens.
-func (d *deployment) connect() *caller {
+// connect opens a client connection, as soon as the router listens.
+func (d *deployment) connect() *clientConn {
 	d.t.Helper()
 	var conn net.Conn
 	testwait.Until(d.t, "a connection to the router", func() (up bool) {
@@ -206,13 +206,13 @@
 		return err == nil
 	})
 	d.t.Cleanup(func() { conn.Close() })
-	return &caller{TCPConn: conn.(*net.TCPConn), t: d.t}
+	return &clientConn{TCPConn: conn.(*net.TCPConn), t: d.t}
 }
 
-// request is a message that asks for a page, with a body of so many bytes.
-func request(id byte, ref string, allow time.Duration, body int) []byte {
+// request returns an encoded request of class page. timeout is the client's; body is the size of the body in bytes.
+func request(id byte, ref string, timeout time.Duration, body int) []byte {
 	message := append([]byte{0x94, 0, id}, "\xa4page\x92\x83"...)
-	for _, field := range [][2]string{{"ref", ref}, {"allow", fmt.Sprint(allow.Milliseconds())}, {"lookup", ref}} {
+	for _, field := range [][2]string{{"ref", ref}, {"allow", fmt.Sprint(timeout.Milliseconds())}, {"lookup", ref}} {
 		for _, text := range field {
 			message = append(append(message, 0xa0|byte(len(text))), text...)
 		}
@@ -221,13 +221,14 @@
 	return append(message, bytes.Repeat([]byte("x"), body)...)
 }
 
-// askHealth asks for the router's state. When the answer comes the router has read all that was written before.
-func (c *caller) askHealth(id byte) {
-	fmt.Fprintf(c, "\x94\x00%c\xa6health\x91\x80", id) // where this fails no answer comes
+// askHealth sends a health call. Once its response arrives, the router has read all that was sent before.
+func (c *clientConn) askHealth(id byte) {
+	fmt.Fprintf(c, "\x94\x00%c\xa6health\x91\x80", id) // after an error no response arrives
 }
 
-// readHealth waits for the answer to askHealth: "ready", "not ready", or what came instead.
-func (c *caller) readHealth(id byte) string {
+// readHealth waits for the response to askHealth. It returns "ready", "not ready", the error, or the quoted bytes of
+// another response.
+func (c *clientConn) readHealth(id byte) string {
 	c.SetReadDeadline(time.Now().Add(awaitLimit))
 	got := make([]byte, 7)
 	if _, err := io.ReadFull(c, got); err != nil {
--- a/cmd/spantack/gossip.go
+++ b/cmd/spantack/gossip.go
@@ -5,25 +5,25 @@
 	"slices"
 
 	"spantack/core/fleet"
-	overload "spantack/core/gossip"
+	coregossip "spantack/core/gossip"
 	"spantack/core/lease"
 	"spantack/internal/clock"
 	"spantack/internal/config"
 	"spantack/internal/gossip"
 )
 
-// A start's incarnation for the fleet's limits is its Unix time from the beginning of 2020, in eighths of a second:
-// greater at each start, until 2037. Both in milliseconds.
+// The incarnation of a process in the fleet is its start time, in units of incarnationStep since incarnationEpoch. It
+// grows with each start, until it overflows 32 bits in 2037.
 const (
-	incarnationEpoch = 1_577_836_800_000
-	incarnationStep  = 125
+	incarnationEpoch = 1_577_836_800_000 // in Unix milliseconds: the beginning of 2020
+	incarnationStep  = 125               // in milliseconds
 )
 
-// originFillLimit is the place of the one fleet limit that there is: fills that ask the origin.
+// originFillLimit is the index of the only fleet limit: fills from the origin.
 const originFillLimit = 0
 
-// wireGossip ties what routers tell one another to the router, as far as flags, features and settings allow. Where
-// nobody can be told, the router gets an even share of the fleet's limit.
+// wireGossip starts gossip with other routers if the flag --peers, fleet limits or verdicts need it, and the
+// configuration enables it. Without gossip the router gets an equal share of the fleet limit, if there is one.
 func (p *process) wireGossip() error {
 	c := p.config.Load()
 	fleetLimits := p.features.FleetLimits()
@@ -39,14 +39,15 @@
 	return nil
 }
 
-// openGossip makes the transport, unless the fleet is too small for what is switched on.
+// openGossip creates the transport. It creates none if the fleet is too small for reports of overloaded servers, and
+// neither fleet limits nor verdicts are on.
 func (p *process) openGossip(c *config.Config) error {
-	overloads, err := overload.New(overload.Options{
+	overloads, err := coregossip.New(coregossip.Options{
 		Rank:        c.Fleet.Rank,
 		FleetSize:   len(c.Fleet.Members),
 		Site:        siteIndex(c),
 		Sites:       len(c.Settings.Zones),
-		Incarnation: uint32(p.clock.Now() / 1000),
+		Incarnation: uint32(p.clock.Now() / 1000), // the start time in Unix seconds
 	})
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -57,7 +58,8 @@
 		return nil
 	}
 	if tree != nil && tree.Routers < len(c.Fleet.Members) {
-		return fmt.Errorf("fleet.tree.routers: %d, and the settings have %d peers", tree.Routers, len(c.Fleet.Members))
+		return fmt.Errorf("fleet.tree.routers: %d is less than the %d fleet members in the configuration",
+			tree.Routers, len(c.Fleet.Members))
 	}
 	transport := &gossip.Transport{
 		Gossip:           overloads,
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// joinFleet adds membership to the transport, and what rests on it: the fleet's limits and verdicts.
+// joinFleet makes this router a member of the fleet, and connects the fleet limits and verdicts that are on.
 func (p *process) joinFleet(
 	c *config.Config, transport *gossip.Transport, limits []fleet.Limit, tree *lease.Topology,
 ) error {
@@ -113,5 +115,5 @@
 
 func (p *process) monotonicMicros() int64 { return clock.Micros(p.clock.Monotonic()) }
 
-// siteIndex is the place of this router's site among all.
+// siteIndex returns the index of this router's site among the zones of the settings.
 func siteIndex(c *config.Config) int { return slices.Index(c.Settings.Zones, c.Settings.Zone) }
