--- a/standin/cache/arrivalreader.go
+++ b/standin/cache/arrivalreader.go
@@ -9,21 +9,21 @@
 	"unsafe"
 )
 
-// controlBufferSize is room for the control message with a time of arrival, and then some.
+// controlBufferSize is the size in bytes of the buffer for control messages: more than one with an arrival time needs.
 const controlBufferSize = 128
 
-// arrivalReader reads a connection and notes when the kernel received the bytes, so that a busy machine, on which this
-// process reads late, makes no request look late. A read that spans several segments counts with the last. One
-// goroutine reads; hasUnread may be called from others.
+// arrivalReader reads a connection and records when the kernel received the bytes. The arrival time of a request then
+// does not depend on when this process reads it, which on a busy machine can be late. For a read that spans several
+// segments it is the time of the last one. Only one goroutine may call Read; hasUnread may be called from others.
 type arrivalReader struct {
 	rawConn       syscall.RawConn
 	readGate      *gate
-	done          <-chan struct{} // ends a wait at the gate
+	done          <-chan struct{} // when closed, Read no longer waits at the gate
 	lastArrival   time.Time       // of the bytes of the last read
 	controlBuffer [controlBufferSize]byte
 }
 
-// newArrivalReader asks the kernel for the times of arrival.
+// newArrivalReader returns a reader of conn, for which it enables the kernel's receive timestamps.
 func newArrivalReader(conn *net.TCPConn, readGate *gate, done <-chan struct{}) (*arrivalReader, error) {
 	rawConn, err := conn.SyscallConn()
 	if err != nil {
@@ -33,7 +33,7 @@
 	return &arrivalReader{rawConn: rawConn, readGate: readGate, done: done}, err
 }
 
-// Read implements io.Reader. It first waits at the gate.
+// Read implements io.Reader. It waits until the gate is open or done is closed, and then reads.
 func (r *arrivalReader) Read(b []byte) (n int, err error) {
 	r.readGate.wait(r.done)
 	var controlSize int
@@ -54,10 +54,10 @@
 	return n, nil
 }
 
-// timespecSize is the size in bytes of the kernel's time: two native 64-bit words, seconds and nanoseconds.
+// timespecSize is the size in bytes of a kernel timestamp: two native 64-bit words, seconds and nanoseconds.
 const timespecSize = 16
 
-// kernelArrivalTime finds the kernel's time in control messages. Where there is none it returns the time of the call.
+// kernelArrivalTime returns the receive timestamp in control messages, or the current time if they contain none.
 func kernelArrivalTime(control []byte) time.Time {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return time.Now()
 }
 
-// hasUnread returns whether bytes wait in the kernel that were not read yet.
+// hasUnread returns whether the kernel has received bytes that were not read yet.
 func (r *arrivalReader) hasUnread() bool {
 	var size int32
 	err := r.rawConn.Control(func(fd uintptr) {
--- a/standin/cache/conn.go
+++ b/standin/cache/conn.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// maxOpenRequests bounds the requests that one connection has open; more are answered BUSY.
+	// maxOpenRequests is the maximum number of open requests of one connection; further ones are answered BUSY.
 	maxOpenRequests = 64
 
-	// maxAnsweredAttempts bounds the answered attempts of one connection whose DROP may still come. When there are as
-	// many all are forgotten.
+	// maxAnsweredAttempts is the maximum number of answered attempts that a connection remembers for a late DROP. When
+	// it is reached, all are removed.
 	maxAnsweredAttempts = 4096
 )
 
-// Commands that a server reads.
+// Commands to a server.
 const (
-	commandPing = "PING" // and an id
-	commandDrop = "DROP" // and the id of a GET, which is cancelled
-	commandGet  = "GET"  // and an id, fields and a body
+	commandPing = "PING" // PING ID
+	commandDrop = "DROP" // DROP ID: cancels the GET with that id
+	commandGet  = "GET"  // GET ID FIELDS BODY
 )
 
-// malformedResponse is what FaultMalformed sends: no array.
+// malformedResponse is what FaultMalformed sends. It is not a RESP array.
 const malformedResponse = "spoilt\r\n"
 
 // conn serves one connection of a server.
@@ -38,14 +38,14 @@
 	writeMu sync.Mutex // held for the length of a write
 
 	mu       sync.Mutex             // guards the fields below
-	open     map[string]openAttempt // by id, which open requests of a connection never share; nil once abandoned
-	answered map[string]*attempt    // by id, those whose DROP may still come
+	open     map[string]openAttempt // by id, unique among the open requests of a connection; nil after cancelAll
+	answered map[string]*attempt    // by id, answered attempts for which a DROP may still be read
 }
 
-// openAttempt is an attempt that was not answered yet.
+// openAttempt is an attempt that is not answered yet.
 type openAttempt struct {
 	attempt   *attempt
-	cancelled chan struct{} // closed when the attempt is given up
+	cancelled chan struct{} // closed when the attempt is cancelled
 }
 
 func newConn(server *Server, netConn net.Conn, arrivals *arrivalReader) *conn {
@@ -58,11 +58,12 @@
 	}
 }
 
-// serve reads commands until the connection ends or something is no command. Then what is open is cancelled.
+// serve reads commands until the connection ends or an invalid command arrives. It then cancels all open attempts,
+// waits for their goroutines and closes the connection.
 func (c *conn) serve() {
 	defer c.netConn.Close()
 	defer c.requests.Wait()
-	defer c.abandon()
+	defer c.cancelAll()
 	in := bufio.NewReader(c.arrivals)
 	for {
 		parts, err := resp.ReadArray(in)
@@ -72,7 +73,7 @@
 	}
 }
 
-// handle handles one command, and returns whether it was one.
+// handle executes one command and returns whether it was valid.
 func (c *conn) handle(parts [][]byte) bool {
 	if len(parts) < 2 {
 		return false
@@ -91,7 +92,7 @@
 	return true
 }
 
-// get starts to serve a request.
+// get starts to serve a request in its own goroutine, or responds BUSY if the connection has too many open ones.
 func (c *conn) get(request Request) {
 	cancelled := make(chan struct{})
 	if !c.begin(request, cancelled) {
@@ -106,7 +107,7 @@
 	})
 }
 
-// begin notes an open attempt, unless the connection has too many.
+// begin records an open attempt and returns true, or returns false if maxOpenRequests are open already.
 func (c *conn) begin(request Request, cancelled chan struct{}) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +119,7 @@
 	return true
 }
 
-// end notes that an open attempt is answered, and returns whether it was still open.
+// end records that an open attempt is answered, and returns whether it was still open.
 func (c *conn) end(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,8 +136,8 @@
 	return true
 }
 
-// drop cancels an attempt. One that is answered may have been dropped before the response went out, where this process
-// reads the DROP late: the request log goes by when it arrived.
+// drop cancels an attempt. A DROP that arrived before the response was sent may be read only after it. Therefore the
+// DROP of an answered attempt is recorded too, with the time at which it arrived.
 func (c *conn) drop(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,8 +152,8 @@
 	}
 }
 
-// abandon cancels everything that is open.
-func (c *conn) abandon() {
+// cancelAll cancels all open attempts.
+func (c *conn) cancelAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, open := range c.open {
@@ -162,7 +163,7 @@
 	c.open = nil
 }
 
-// send sends a response, or what a fault sends in its place.
+// send sends a response. With FaultNoReply it sends nothing, with FaultMalformed invalid bytes instead.
 func (c *conn) send(response [][]byte, fault Fault) {
 	switch fault {
 	case FaultNoReply:
@@ -174,10 +175,10 @@
 	}
 }
 
-// write sends an array.
+// write sends parts as one RESP array.
 func (c *conn) write(parts ...[]byte) { c.writeBytes(resp.AppendArray(nil, parts...)) }
 
-// writeBytes ignores errors: a client that is gone needs no response, and the next read finds that out.
+// writeBytes sends b. It ignores errors: a client that has disconnected needs no response, and the next read fails.
 func (c *conn) writeBytes(b []byte) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
--- a/standin/cache/fault.go
+++ b/standin/cache/fault.go
@@ -1,13 +1,13 @@
 package cache
 
-// Fault is what a server does to a request instead of serving it.
+// Fault is a failure that a server injects instead of serving a request.
 type Fault int
 
 // The faults.
 const (
 	FaultNone      Fault = iota // serves the request
 	FaultError                  // responds ERR
-	FaultMalformed              // sends bytes that are no response, and closes the connection
+	FaultMalformed              // sends bytes that are not a valid response, and closes the connection
 	FaultNoReply                // never responds
 	FaultBusy                   // responds BUSY
 )
--- a/standin/cache/gate.go
+++ b/standin/cache/gate.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// gate holds up goroutines while it is closed. The zero value is open.
+// gate blocks goroutines in wait while it is closed. The zero value is open.
 type gate struct {
 	mu     sync.Mutex
 	opened chan struct{} // closed by open; nil while the gate is open
 }
 
-// close closes the gate; a closed one stays as it is.
+// close closes the gate. It has no effect on a closed gate.
 func (g *gate) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -17,7 +17,7 @@
 	}
 }
 
-// open opens the gate and lets through all that wait.
+// open opens the gate and unblocks all waiting goroutines.
 func (g *gate) open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -27,7 +27,7 @@
 	}
 }
 
-// wait returns once the gate is open, or done is closed.
+// wait blocks until the gate is open or done is closed.
 func (g *gate) wait(done <-chan struct{}) {
 	g.mu.Lock()
 	opened := g.opened
--- a/standin/cache/request.go
+++ b/standin/cache/request.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Request is one GET as it arrived: one attempt of a client's request.
+// Request is one received GET: one attempt of a client's request.
 type Request struct {
-	Server       string // name of the server that it reached
+	Server       string // name of the server that received it
 	ID           string // the same in all attempts of one request
 	Class        string
 	Object       string
 	Chunk        string
 	FillFrom     string    // name of the server to fill a miss from; empty: a miss is not filled
-	CachedOnly   bool      // the server to fill from responds with a cached copy or none
-	MaxAgeMillis int64     // greatest age of a copy that will do; 0: any
-	ArrivedAt    time.Time // when the kernel had received all of it
+	CachedOnly   bool      // the server to fill from must use a cached copy, not the origin
+	MaxAgeMillis int64     // maximum age of an acceptable copy; 0: no limit
+	ArrivedAt    time.Time // when the kernel received its last bytes
 }
 
-// parseRequest reads the parts of a command GET ID FIELDS BODY. Fields are NAME=VALUE with commas between them; a
-// field that is not known, or not well formed, is passed over.
+// parseRequest parses the parts of a command GET ID FIELDS BODY. Fields are NAME=VALUE, separated by commas. Unknown
+// and malformed fields are ignored.
 func parseRequest(server string, parts [][]byte, arrivedAt time.Time) Request {
 	request := Request{Server: server, ID: string(parts[1]), ArrivedAt: arrivedAt}
 	for field := range strings.SplitSeq(string(parts[2]), ",") {
--- a/standin/cache/requestlog.go
+++ b/standin/cache/requestlog.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// RequestLog records what reached the servers of one deployment, and finds what can be found from there: attempts of
-// one request that overlap, and how many fills ask the origin at once. It is safe for concurrent use.
+// RequestLog records the requests that the servers of one deployment received. From these it derives overlapping
+// attempts of one request and the number of concurrent fills from the origin. It is safe for concurrent use.
 type RequestLog struct {
 	mu                  sync.Mutex // guards the fields below
 	requests            []Request
 	attempts            map[string][]*attempt // by the request's id
 	originFillsInFlight int
-	maxOriginFills      int // greatest originFillsInFlight since OriginFills was last called
+	maxOriginFills      int // maximum of originFillsInFlight since OriginFills was last called
 	totalOriginFills    int
 }
 
-// endReason tells how an attempt ended. Its text stands in what Overlaps returns.
+// endReason is why an attempt ended. The lines that Overlaps returns contain its text.
 type endReason string
 
 const (
-	endAnswered   endReason = "its answer"
+	endAnswered   endReason = "its response"
 	endCancelled  endReason = "DROP"
 	endConnClosed endReason = "the close of its connection"
 )
 
-// attempt is the time from the arrival of a GET until its server had it no more. Arrivals are the kernel's times, so
-// that the order in which this process reads its connections on a busy machine decides nothing. A close has no such
-// time and counts from when it was read, an answer from before it is written.
+// attempt is the time from the arrival of a GET until the server stopped working on it. Arrival times come from the
+// kernel, so the order in which this process reads its connections on a busy machine has no influence. The close of a
+// connection has no kernel time: it counts from when it was read. A response counts from just before it is written.
 type attempt struct {
 	server     string
 	clientAddr string
 	startedAt  time.Time
 	endedAt    time.Time // zero while the attempt is in flight
-	endReason  endReason // empty while it is
+	endReason  endReason // empty while the attempt is in flight
 }
 
-// String names the connection that the attempt came on.
+// String returns the server's name and the client address of the attempt's connection.
 func (a *attempt) String() string { return a.server + " from " + a.clientAddr }
 
 func (a *attempt) isInFlight() bool { return a.endedAt.IsZero() }
 
-// endsAfter returns whether an attempt ends later than one that has ended.
+// endsAfter returns whether an attempt is in flight or ended later than ended, which must have ended.
 func (a *attempt) endsAfter(ended *attempt) bool {
 	return a.isInFlight() || a.endedAt.After(ended.endedAt)
 }
@@ -58,8 +58,8 @@
 	return slices.Clone(l.requests)
 }
 
-// Overlaps describes, in sorted lines, each attempt that began while another attempt of the same request was in
-// flight.
+// Overlaps returns one line for each attempt that started while another attempt of the same request was in flight. The
+// lines are sorted.
 func (l *RequestLog) Overlaps() (lines []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,10 +70,11 @@
 	return lines
 }
 
-// overlapTimeLayout is the layout of times in what Overlaps returns.
+// overlapTimeLayout is the layout of times in the lines that Overlaps returns.
 const overlapTimeLayout = "15:04:05.000000"
 
-// overlapsOf compares each attempt of one request with the one before it that ended last. There is one at least.
+// overlapsOf returns the lines of Overlaps for one request. It compares each attempt with the earlier one that ended
+// last. There must be at least one attempt.
 func overlapsOf(id string, attempts []*attempt) (lines []string) {
 	byStart := slices.SortedStableFunc(slices.Values(attempts), func(a, b *attempt) int {
 		return a.startedAt.Compare(b.startedAt)
@@ -83,8 +84,8 @@
 		start := next.startedAt.Format(overlapTimeLayout)
 		switch {
 		case last.isInFlight():
-			lines = append(lines, fmt.Sprintf("%s at %v at %s while out at %s", id, start, next, last))
-			continue // nothing ends later
+			lines = append(lines, fmt.Sprintf("%s at %v at %s while in flight at %s", id, start, next, last))
+			continue // no attempt ends later than one in flight
 		case next.startedAt.Before(last.endedAt):
 			overlap := last.endedAt.Sub(next.startedAt)
 			lines = append(lines, fmt.Sprintf("%s at %v at %s, %v before it ended at %s by %s",
@@ -97,8 +98,8 @@
 	return lines
 }
 
-// OriginFills returns the greatest number of fills from the origin that were in flight at once since it was last
-// called, and how many there were in all.
+// OriginFills returns the maximum number of concurrent fills from the origin since its last call, and the total number
+// of such fills since the log was created.
 func (l *RequestLog) OriginFills() (maxInFlight, total int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,8 +132,8 @@
 	return a
 }
 
-// end records when and how an attempt ended. Of several ends the earliest counts: a DROP that arrived before the
-// response went out may be read after that.
+// end records when and why an attempt ended. If it is called several times, the earliest end counts: a DROP that
+// arrived before the response was sent may be read after it.
 func (l *RequestLog) end(a *attempt, at time.Time, reason endReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/cache/requestlog_test.go
+++ b/standin/cache/requestlog_test.go
@@ -34,19 +34,19 @@
 	}
 }
 
-// startRequest sends getCommand to a server and returns once the request log has it.
+// startRequest sends getCommand to a server and waits until the request log contains it. It returns the connection.
 func startRequest(t *testing.T, s *Server) net.Conn {
 	t.Helper()
 	before := len(s.options.RequestLog.Requests())
 	conn := testwait.Dial(t, s.Addr().String())
 	write(t, conn, getCommand)
-	testwait.Until(t, "the request to come", func() bool {
+	testwait.Until(t, "the request in the log", func() bool {
 		return len(s.options.RequestLog.Requests()) > before
 	})
 	return conn
 }
 
-// awaitInFlight waits until so many attempts of the request "a" are in flight.
+// awaitInFlight waits until the number of in-flight attempts of the request "a" is want.
 func awaitInFlight(t *testing.T, log *RequestLog, want int) {
 	t.Helper()
 	testwait.Until(t, fmt.Sprintf("%d attempts in flight", want), func() bool {
@@ -62,8 +62,8 @@
 	})
 }
 
-// A connection that closes cancels what is open on it: a further attempt of that request does not overlap it. One that
-// begins while the first is open does.
+// Guards against attempts that stay in flight after their connection was closed: a later attempt of the request would
+// be reported as an overlap. An attempt that starts while another is in flight must still be reported.
 func TestClosedConnectionEndsItsAttempts(t *testing.T) {
 	log := NewRequestLog()
 	s := startHangingServer(t, 1, log)
@@ -71,18 +71,18 @@
 	awaitInFlight(t, log, 0)
 	startRequest(t, s)
 	if overlaps := log.Overlaps(); len(overlaps) > 0 {
-		t.Errorf("two attempts in flight at once: %v", overlaps)
+		t.Errorf("overlaps with an attempt of a closed connection: %v, want none", overlaps)
 	}
 	startRequest(t, s)
 	if overlaps := log.Overlaps(); len(overlaps) != 1 {
-		t.Errorf("two attempts were in flight at once: %v", overlaps)
+		t.Errorf("overlaps of two attempts in flight: %v, want one", overlaps)
 	}
 }
 
-// What counts is the order in which commands arrive, not that in which this process reads them: both wait for the
-// log's lock, and either may be first to get it. A GET that arrives after the DROP of the attempt before does not
-// overlap it; one that arrives before the DROP does.
-func TestOverlapsGoByTheTimeOfArrival(t *testing.T) {
+// Guards against overlaps that are derived from the order in which commands are read instead of the order in which
+// they arrive. Both commands wait for the log's lock, and either may get it first. A GET that arrives after the DROP of
+// the previous attempt does not overlap it; one that arrives before the DROP does.
+func TestOverlapsUseArrivalTimes(t *testing.T) {
 	for name, dropFirst := range map[string]bool{"DROP, then GET": true, "GET, then DROP": false} {
 		t.Run(name, func(t *testing.T) {
 			for range 50 {
@@ -117,7 +117,8 @@
 	}
 }
 
-// Of a request's attempts each is compared with the one before that ended last, in the order of their arrival.
+// Guards against missed overlaps when a short attempt lies within a long one, and against false ones when attempts are
+// not recorded in order of arrival. Each attempt is compared with the earlier one that ended last.
 func TestOverlapsOfAttempts(t *testing.T) {
 	const inFlight = -1
 	at := func(ms int) time.Time {
@@ -131,12 +132,12 @@
 		spans [][2]int // start and end in ms
 		want  int
 	}{
-		{"one", [][2]int{{0, inFlight}}, 0},
-		{"one after the other", [][2]int{{0, 5}, {5, 9}, {10, inFlight}}, 0},
-		{"read in another order", [][2]int{{5, 9}, {0, 5}}, 0},
-		{"the second early", [][2]int{{0, 5}, {4, 9}}, 1},
-		{"the first in flight", [][2]int{{0, inFlight}, {4, 9}, {20, 30}}, 2},
-		{"a short one within a long one", [][2]int{{0, 50}, {4, 9}, {20, 30}, {50, 60}}, 2},
+		{"single attempt", [][2]int{{0, inFlight}}, 0},
+		{"sequential attempts", [][2]int{{0, 5}, {5, 9}, {10, inFlight}}, 0},
+		{"sequential attempts read out of order", [][2]int{{5, 9}, {0, 5}}, 0},
+		{"second starts before first ends", [][2]int{{0, 5}, {4, 9}}, 1},
+		{"first still in flight", [][2]int{{0, inFlight}, {4, 9}, {20, 30}}, 2},
+		{"short attempts within a long one", [][2]int{{0, 50}, {4, 9}, {20, 30}, {50, 60}}, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var attempts []*attempt
@@ -144,15 +145,15 @@
 				attempts = append(attempts, &attempt{startedAt: at(span[0]), endedAt: at(span[1])})
 			}
 			if got := overlapsOf("a", attempts); len(got) != test.want {
-				t.Errorf("%q, want %d", got, test.want)
+				t.Errorf("overlaps %q, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// A DROP that arrived before a response went out, but is read after it, ends the attempt when it arrived; one that
-// arrived later changes nothing.
-func TestTheEarliestEndCounts(t *testing.T) {
+// Guards against an attempt that seems to last until its response although its DROP arrived earlier: the DROP may be
+// read only after the response was sent. A DROP that arrived later than the recorded end must change nothing.
+func TestAttemptEndsAtEarliestEnd(t *testing.T) {
 	log := NewRequestLog()
 	start := time.Unix(100, 0)
 	a := log.begin(Request{ID: "a", ArrivedAt: start}, "")
--- a/standin/cache/response.go
+++ b/standin/cache/response.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Statuses of a response on the wire: its second part.
+// Statuses of a response: its second part on the wire.
 const (
 	statusOK    = "OK"
 	statusMiss  = "MISS"
@@ -15,30 +15,30 @@
 	statusBusy  = "BUSY"
 )
 
-// noFields stands for the third part of a response that says nothing more.
+// noFields is the third part of a response without fields.
 const noFields = "-"
 
-// cacheStatus is the value of the field n of a response: where the copy came from, or why there is none.
+// cacheStatus is the value of the field n of a response: the source of the copy, or why there is no copy.
 type cacheStatus string
 
 const (
 	cacheHit          cacheStatus = "TCP_HIT"
 	filledFromCache   cacheStatus = "TCP_MISS"
 	filledByOrigin    cacheStatus = "TCP_MISS_ROOT" // by the origin, through a parent without a copy or directly
-	fillSourceMissing cacheStatus = "PEER_DEAD"
-	fillSourceMiss    cacheStatus = "PEER_MISS"
+	fillSourceMissing cacheStatus = "PEER_DEAD"     // the server to fill from does not exist
+	fillSourceMiss    cacheStatus = "PEER_MISS"     // the server to fill from has no copy
 )
 
-// noReplyWait is the time after which a request that is not to be answered is given up, if its client hasn't done so.
+// noReplyWait is how long a request with FaultNoReply stays open unless its client cancels it.
 const noReplyWait = time.Hour
 
-// Size of the bodies that the origin has, in bytes: from minBodySize up to below minBodySize+bodySizeSpan.
+// Bodies have minBodySize to minBodySize+bodySizeSpan-1 bytes.
 const (
 	minBodySize  = 200
 	bodySizeSpan = 1800
 )
 
-// Body returns what the origin has under an object and chunk, so that a client can check what it got.
+// Body returns the body of a chunk of an object. It depends only on the arguments, so a client can verify a response.
 func Body(object, chunk string) []byte {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s/%s", object, chunk)
@@ -50,16 +50,17 @@
 	return body
 }
 
-// fetchResult is what a server found for a request, in its own store or at the server to fill from.
+// fetchResult is the outcome of looking up a copy in a server's own store or at the server to fill from.
 type fetchResult struct {
 	status    cacheStatus
-	found     bool          // createdAt is that of a copy
-	createdAt time.Time     // when the origin gave the copy out
-	delay     time.Duration // that the server to fill from adds
+	found     bool          // there is a copy
+	createdAt time.Time     // when the origin served the copy
+	delay     time.Duration // added by the server to fill from
 }
 
-// respond works out the parts of the response to a request, which the returned fault may keep from being sent. It
-// waits for as long as the server takes, and returns FaultNoReply at once when the request is cancelled.
+// respond returns the parts of the response to a request, and a fault that replaces the response or is FaultNone. It
+// first waits for the server's delay and that of the server to fill from. When the request is cancelled it returns
+// FaultNoReply at once.
 func (s *Server) respond(request Request, cancelled <-chan struct{}) ([][]byte, Fault) {
 	fault := FaultNone
 	if s.options.InjectFault != nil {
@@ -89,7 +90,7 @@
 	}
 }
 
-// sleep waits for d and returns true, or false at once when the request is cancelled.
+// sleep waits for d and returns true. When cancelled is closed before that, it returns false at once.
 func sleep(d time.Duration, cancelled <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -101,8 +102,8 @@
 	}
 }
 
-// fetch looks a request's object up and, where the server has no copy, fills it from the server that the request
-// names. A fault keeps it from filling.
+// fetch looks up the copy for a request. If the server has none it fills it from the server that the request names,
+// unless a fault is injected.
 func (s *Server) fetch(request Request, fault Fault) fetchResult {
 	createdAt, found := s.lookup(request)
 	if found || fault != FaultNone || request.FillFrom == "" || s.options.FindServer == nil {
@@ -117,8 +118,8 @@
 	return result
 }
 
-// fill returns a copy for another server. Without one it takes it from the origin, unless the request says that only
-// a cached copy will do.
+// fill returns a copy for another server. If this server has none it fetches it from the origin, unless the request
+// has CachedOnly set.
 func (s *Server) fill(request Request) fetchResult {
 	createdAt, found := s.lookup(request)
 	switch {
@@ -134,7 +135,7 @@
 	return fetchResult{status: filledByOrigin, found: true, createdAt: now}
 }
 
-// response returns the parts of the response of a server without a fault, and stores the copy in it.
+// response returns the parts of the response for a fetch result, and stores the copy if there is one.
 func (s *Server) response(request Request, result fetchResult, startedAt time.Time) [][]byte {
 	id := []byte(request.ID)
 	switch {
@@ -153,13 +154,13 @@
 	return [][]byte{id, []byte(statusOK), []byte(fields), Body(request.Object, request.Chunk)}
 }
 
-// emptyResponse returns the parts of a response that has neither fields nor body.
+// emptyResponse returns the parts of a response without fields and body.
 func emptyResponse(id, status string) [][]byte {
 	return [][]byte{[]byte(id), []byte(status), []byte(noFields)}
 }
 
-// lookup returns when the origin gave out the server's copy, and whether there is one. The origin has one of this
-// moment.
+// lookup returns when the origin served the copy that this server has, and whether there is a copy. The origin always
+// has one, created at the time of the call.
 func (s *Server) lookup(request Request) (createdAt time.Time, found bool) {
 	if s.options.IsOrigin {
 		return time.Now(), true
@@ -170,7 +171,7 @@
 	return createdAt, found
 }
 
-// store notes that the server has a copy. The origin needs none.
+// store records that the server has a copy. It does nothing for the origin, which always has one.
 func (s *Server) store(request Request, createdAt time.Time) {
 	if s.options.IsOrigin {
 		return
--- a/standin/cache/server.go
+++ b/standin/cache/server.go
@@ -1,6 +1,6 @@
-// Package cache is a scripted cache server for tests and experiments. It stands in for edge caches, parent caches and
-// the origin: servers on loopback that speak RESP, store copies, fill misses from one another and fail on demand, and
-// a log of the requests that reached them.
+// Package cache provides fake cache servers for tests and experiments. They replace edge caches, parent caches and the
+// origin. They listen on loopback, speak RESP, store copies, fill misses from one another and inject faults on demand.
+// A RequestLog records the requests that they receive.
 package cache
 
 import (
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// anyLoopbackPort is the address of a server that is given none.
+// anyLoopbackPort is the default of Options.Addr.
 const anyLoopbackPort = "127.0.0.1:0"
 
-// Options configure a server. RequestLog is required; each other field may be left at its zero value.
+// Options configure a server. RequestLog is required; all other fields are optional.
 type Options struct {
 	// ID is the server's id in the endpoint list.
 	ID uint32
 	// Addr is the address to listen on. Empty means a free port of 127.0.0.1.
 	Addr string
-	// Listener is where the server accepts connections. Nil means that it opens one at Addr.
+	// Listener accepts the server's connections. Nil means that the server opens a listener at Addr.
 	Listener net.Listener
-	// IsOrigin makes the server hold a fresh copy of every object.
+	// IsOrigin makes the server have a fresh copy of every object.
 	IsOrigin bool
-	// Delay is the time from the arrival of a request to its response, without that of a fill.
+	// Delay is the time from the arrival of a request to its response, without the delay of a fill.
 	Delay time.Duration
-	// FindServer returns the server with a name, which a request has a miss filled from, or nil where there is none.
-	// A nil function means that misses are not filled. It is called from several goroutines at once.
+	// FindServer returns the server with a name, to fill a miss from, or nil if there is none. A nil function means
+	// that misses are not filled. It is called from several goroutines at once.
 	FindServer func(name string) *Server
-	// InjectFault chooses what the server does to a request instead of serving it. A nil function injects no faults.
-	// It is called from several goroutines at once.
+	// InjectFault returns the fault to inject for a request, or FaultNone. A nil function injects no faults. It is
+	// called from several goroutines at once.
 	InjectFault func(Request) Fault
 	// RequestLog records the requests. The servers of one deployment share it.
 	RequestLog *RequestLog
-	// UsesSmallBuffers gives connections the smallest socket buffers: a command of 32 KB or more blocks its sender
-	// until the server reads.
+	// UsesSmallBuffers makes the socket buffers of connections so small that the write of a command of 32 KB or more
+	// blocks until the server reads.
 	UsesSmallBuffers bool
 }
 
@@ -44,21 +44,21 @@
 type Server struct {
 	options    Options
 	listener   net.Listener
-	readGate   gate // closed while the server reads nothing
+	readGate   gate // closed while the server is paused
 	goroutines sync.WaitGroup
 	done       chan struct{} // closed by Close
 
 	mu        sync.Mutex // guards the fields below
 	createdAt map[copyKey]time.Time
-	conns     map[net.Conn]*arrivalReader // the open ones
-	accepted  int                         // connections so far
+	conns     map[net.Conn]*arrivalReader // open connections
+	accepted  int                         // connections accepted so far
 	isClosed  bool
 }
 
-// copyKey names what a copy is of.
+// copyKey identifies a cached copy.
 type copyKey struct{ object, chunk string }
 
-// Listen starts a server. The caller ends it with Close.
+// Listen starts a server. The caller stops it with Close.
 func Listen(options Options) (*Server, error) {
 	listener := options.Listener
 	if listener == nil {
@@ -79,14 +79,14 @@
 	return s, nil
 }
 
-// Name returns the server's name as requests and the endpoint list of the decision module have it.
+// Name returns the server's name in requests and in the endpoint list of the decision module.
 func (s *Server) Name() string { return fmt.Sprintf("s-%08x", s.options.ID) }
 
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() netip.AddrPort { return netip.MustParseAddrPort(s.listener.Addr().String()) }
 
-// Close ends the server as a killed process ends: its connections break. It returns once all its goroutines have
-// ended, and may be called again.
+// Close stops the server like a killed process, closing all connections without waiting for open requests to be
+// answered. It returns when all goroutines of the server have ended. It may be called several times.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -101,15 +101,15 @@
 	s.goroutines.Wait()
 }
 
-// Pause makes the server read nothing from its connections until Resume, as a process that hangs. A read that waits
-// already still gets what comes first.
+// Pause makes the server read nothing from its connections until Resume, like a process that hangs. A read that is
+// already blocked still receives the next bytes.
 func (s *Server) Pause() { s.readGate.close() }
 
-// Resume ends a Pause.
+// Resume makes a paused server read again.
 func (s *Server) Resume() { s.readGate.open() }
 
-// Connections returns how many connections were accepted so far, how many of them are open, and how many of those
-// hold bytes that the server has not read.
+// Connections returns how many connections were accepted so far, how many of them are open, and how many of the open
+// ones have received bytes that the server has not read.
 func (s *Server) Connections() (accepted, open, unread int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	return s.accepted, len(s.conns), unread
 }
 
-// accept serves each connection in a goroutine of its own until the listener is closed.
+// accept serves each connection in its own goroutine until the listener is closed.
 func (s *Server) accept() {
 	for {
 		netConn, err := s.listener.Accept()
@@ -141,7 +141,7 @@
 	}
 }
 
-// register counts a connection, and closes it if the server was closed meanwhile.
+// register adds a connection, or closes it if the server was closed meanwhile. Both count as accepted.
 func (s *Server) register(netConn net.Conn, reader *arrivalReader) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/cache/socket.go
+++ b/standin/cache/socket.go
@@ -6,23 +6,23 @@
 	"syscall"
 )
 
-// Sizes in bytes of connections with small buffers. They keep what such a connection takes unread, on both sides
-// together, under 32 KB: a longer command blocks in the middle of its write until the server reads.
+// Sizes in bytes for connections with small buffers. With them, the buffers of both sides together take less than
+// 32 KB of unread data, so that the write of a longer command blocks until the server reads.
 const (
 	smallReceiveBuffer = 1 << 10
 	smallSegment       = 536
 )
 
-// socketOption is an option of a socket with an integer for value.
+// socketOption is a socket option with an integer value.
 type socketOption struct{ level, name, value int }
 
-// smallBufferOptions are those of a listener, which connections take over from it.
+// smallBufferOptions are set on a listener; accepted connections inherit them.
 var smallBufferOptions = []socketOption{
 	{syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallReceiveBuffer},
 	{syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, smallSegment},
 }
 
-// listen opens the listener of a server.
+// listen opens a TCP listener, with smallBufferOptions if smallBuffers is true.
 func listen(addr string, smallBuffers bool) (net.Listener, error) {
 	var config net.ListenConfig
 	if smallBuffers {
@@ -33,7 +33,7 @@
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// setSocketOptions sets options up to the first that the system refuses.
+// setSocketOptions sets options in order. It stops at the first one that the system rejects and returns that error.
 func setSocketOptions(rawConn syscall.RawConn, options ...socketOption) error {
 	var setError error
 	err := rawConn.Control(func(fd uintptr) {
