--- a/standin/discovery/frame.go
+++ b/standin/discovery/frame.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// frameKind says what a frame carries.
+// frameKind is the kind of payload of a frame.
 type frameKind byte
 
-// The kinds of frame, with the protocol's numbers.
+// The kinds of frames, with their numbers in the protocol.
 const (
 	kindHeartbeat   frameKind = 0
 	kindSnapshot    frameKind = 1
@@ -18,26 +18,26 @@
 
 // Sizes in bytes.
 const (
-	frameHeaderSize   = 9 // number:8 kind:1, behind the length of what follows that
-	lastEventSize     = 8 // what a router sends first: the number of the last event that it has
-	endpointFlagsSize = 2 // left 0
+	frameHeaderSize   = 9 // number:8 kind:1, after the length field, which does not count itself
+	lastEventSize     = 8 // the first bytes from a router: the number of the last event that it has
+	endpointFlagsSize = 2 // always 0
 )
 
-// weightUnit is the weight of 1 on the wire.
+// weightUnit is the value on the wire of a weight of 1.
 const weightUnit = 1000
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID              uint32
-	Addr            netip.AddrPort // an IPv4 one
+	Addr            netip.AddrPort // IPv4 only
 	State           byte           // 0 ready, 1 draining, 2 gone
 	Zone            byte           // index into the zones of the settings
 	Kind            byte           // index into the kinds of the settings
-	Weight          float64        // to three decimals
-	StartedAtMillis int64          // Unix time; 0: long ago
+	Weight          float64        // sent with three decimals
+	StartedAtMillis int64          // Unix time in milliseconds; 0: long ago
 }
 
-// appendEndpoint appends an entry as it stands in a frame.
+// appendEndpoint appends the encoding of an entry to a frame's payload and returns the extended payload.
 func appendEndpoint(payload []byte, endpoint Endpoint) []byte {
 	ip := endpoint.Addr.Addr().As4()
 	payload = binary.BigEndian.AppendUint32(payload, endpoint.ID)
@@ -49,7 +49,7 @@
 	return binary.BigEndian.AppendUint64(payload, uint64(endpoint.StartedAtMillis))
 }
 
-// encodeFrame returns a frame as it goes over the wire.
+// encodeFrame returns the encoding of a frame: length, number, kind and payload.
 func encodeFrame(number uint64, kind frameKind, payload []byte) []byte {
 	frame := binary.BigEndian.AppendUint32(nil, uint32(frameHeaderSize+len(payload)))
 	frame = binary.BigEndian.AppendUint64(frame, number)
--- a/standin/discovery/mode.go
+++ b/standin/discovery/mode.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// Mode is how a Service treats those who connect.
+// Mode is how a Service treats connections.
 type Mode int
 
 // The modes.
 const (
-	Serving Mode = iota // as the protocol describes it
-	Slow                // accepts, and sends the first frame late
-	Mute                // accepts, and sends nothing
-	Down                // connections are refused
+	Serving Mode = iota // follows the protocol
+	Slow                // accepts connections, but delays the first frame
+	Mute                // accepts connections, but sends nothing
+	Down                // refuses connections
 )
 
-// String names the mode.
+// String returns the mode's name.
 func (m Mode) String() string { return [...]string{"serving", "slow", "mute", "down"}[m] }
 
-// SlowFirstFrameDelay is how late the first frame of a connection is while a service is slow. The next comes when one
-// would have come anyway.
+// SlowFirstFrameDelay is the delay of the first frame of a connection in mode Slow. Later frames are not delayed.
 const SlowFirstFrameDelay = 1500 * time.Millisecond
 
-// SetMode changes how the service treats connections. Mute applies to open ones too, Slow to new ones alone; Down
-// closes all. It fails if the service can't listen again, and then stays down.
+// SetMode changes how the service treats connections. Mute also applies to open ones, Slow only to new ones; Down
+// closes all. It returns an error if the service cannot listen again after Down, and the service then stays down.
 func (s *Service) SetMode(mode Mode) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,8 +46,8 @@
 	return nil
 }
 
-// delayFirstFrame waits until a connection that was made in the current mode gets its first frame. It returns false if
-// the service ends meanwhile.
+// delayFirstFrame waits for SlowFirstFrameDelay if the service is in mode Slow. It returns false if the service is
+// closed meanwhile.
 func (s *Service) delayFirstFrame() bool {
 	if s.currentMode() != Slow {
 		return true
--- a/standin/discovery/mode_test.go
+++ b/standin/discovery/mode_test.go
@@ -15,13 +15,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// within bounds each wait for what the service does.
+// within is the timeout of each wait for the service.
 const within = 10 * time.Second
 
-// silentWait is how long a connection must get nothing to count as mute: longer than heartbeatInterval.
+// silentWait is how long a muted connection must receive nothing. It is longer than heartbeatInterval.
 const silentWait = 1200 * time.Millisecond
 
-// start starts a service that ends with the test.
+// start starts a service that is closed at the end of the test.
 func start(t *testing.T) *Service {
 	t.Helper()
 	s, err := Listen()
@@ -32,7 +32,7 @@
 	return s
 }
 
-// connect opens a connection and asks for all events.
+// connect opens a connection and requests all events.
 func connect(t *testing.T, s *Service) net.Conn {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", s.Addr(), within)
@@ -46,7 +46,7 @@
 	return conn
 }
 
-// firstByte waits for a connection's first byte and returns how long that took.
+// firstByte reads one byte from a connection, for at most limit, and returns how long that took.
 func firstByte(conn net.Conn, limit time.Duration) (time.Duration, error) {
 	startedAt := time.Now()
 	conn.SetReadDeadline(startedAt.Add(limit))
@@ -54,7 +54,8 @@
 	return time.Since(startedAt), err
 }
 
-// One service goes through its modes, with connections that stay open over several.
+// Guards against a mode that is not applied to open or new connections. One service goes through all modes, and some
+// connections stay open across mode changes.
 func TestModes(t *testing.T) {
 	s := start(t)
 	s.Publish(true)
@@ -66,37 +67,37 @@
 	}
 	open := connect(t, s)
 	if _, err := firstByte(open, within); err != nil {
-		t.Errorf("serving: %v", err)
+		t.Errorf("serving: no frame: %v", err)
 	}
 	setMode(Slow)
 	took, err := firstByte(connect(t, s), within)
 	if err != nil || took < SlowFirstFrameDelay*9/10 {
-		t.Errorf("slow: the first frame after %v, %v", took, err)
+		t.Errorf("slow: first frame after %v, error %v", took, err)
 	}
 	setMode(Mute)
 	muted := connect(t, s)
-	if _, err := firstByte(muted, silentWait); !isTimeout(err) { // a heartbeat would have come
-		t.Errorf("mute: %v", err)
+	if _, err := firstByte(muted, silentWait); !isTimeout(err) { // long enough for a heartbeat
+		t.Errorf("mute: read error %v, want a timeout", err)
 	}
 	setMode(Serving)
 	if _, err := firstByte(muted, within); err != nil {
-		t.Errorf("no longer mute: %v", err)
+		t.Errorf("serving after mute: no frame: %v", err)
 	}
 	setMode(Down)
 	open.SetReadDeadline(time.Now().Add(within))
 	if _, err := io.Copy(io.Discard, open); isTimeout(err) {
-		t.Error("down: an open connection is left open")
+		t.Error("down: an open connection was not closed")
 	}
 	conn, err := net.DialTimeout("tcp", s.Addr(), within)
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("down: %v", err)
+		t.Errorf("down: dial error %v, want connection refused", err)
 		if err == nil {
 			conn.Close()
 		}
 	}
 	setMode(Serving)
 	if _, err := firstByte(connect(t, s), within); err != nil {
-		t.Errorf("back: %v", err)
+		t.Errorf("serving after down: no frame: %v", err)
 	}
 }
 
--- a/standin/discovery/service.go
+++ b/standin/discovery/service.go
@@ -1,5 +1,5 @@
-// Package discovery is a scripted discovery service for tests and experiments: numbered watch events over TCP, as the
-// protocol of the real service describes them, and the ways in which that service fails.
+// Package discovery provides a fake discovery service for tests and experiments. It sends numbered watch events over
+// TCP in the protocol of the real service, and can be made to fail in the ways of the real service.
 package discovery
 
 import (
@@ -12,10 +12,10 @@
 	"spantack/internal/loopback"
 )
 
-// heartbeatInterval is the time between the heartbeats of a connection.
+// heartbeatInterval is the time between two heartbeats on a connection.
 const heartbeatInterval = time.Second
 
-// Service holds events and sends them to all who connect. It is safe for concurrent use.
+// Service stores events and sends them on all connections. It is safe for concurrent use.
 type Service struct {
 	addr       string
 	goroutines sync.WaitGroup
@@ -24,14 +24,14 @@
 	mu       sync.Mutex   // guards the fields below
 	listener net.Listener // closed while the service is down
 	mode     Mode
-	conns    map[net.Conn]bool // the open ones
-	watches  int               // connections that have asked for events so far
-	frames   [][]byte          // that of event n at n-1
+	conns    map[net.Conn]bool // open connections
+	watches  int               // connections that have requested events so far
+	frames   [][]byte          // event n is at index n-1
 	changed  chan struct{}     // closed, and replaced, when an event is added
 }
 
-// Listen starts a discovery service on loopback, at a host part of its own: a port of 127.0.0.1 might be taken by
-// another connection while the service is down. The caller ends it with Close.
+// Listen starts a discovery service on a loopback address that nothing else uses: a port of 127.0.0.1 might be taken
+// by another connection while the service is down. The caller stops it with Close.
 func Listen() (*Service, error) {
 	listener, err := net.Listen("tcp", loopback.FreeAddress())
 	if err != nil {
@@ -48,10 +48,11 @@
 	return s, nil
 }
 
-// Addr returns the address that routers connect to, the same for the service's life.
+// Addr returns the address that routers connect to. It never changes.
 func (s *Service) Addr() string { return s.addr }
 
-// Close ends the service and its connections, and returns once all its goroutines have ended. It is called once.
+// Close stops the service, closes its connections and returns when all its goroutines have ended. It must be called
+// only once.
 func (s *Service) Close() {
 	close(s.done)
 	s.mu.Lock()
@@ -60,14 +61,14 @@
 	s.goroutines.Wait()
 }
 
-// Watches returns how many connections have asked for events so far.
+// Watches returns how many connections have requested events so far.
 func (s *Service) Watches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.watches
 }
 
-// Publish adds an event: a snapshot of the endpoint list, which replaces it, or an update of some of its entries.
+// Publish adds an event: a snapshot, which replaces the whole endpoint list, or an update of some of its entries.
 func (s *Service) Publish(isSnapshot bool, endpoints ...Endpoint) {
 	kind := kindUpdate
 	if isSnapshot {
@@ -80,7 +81,8 @@
 	s.add(kind, payload)
 }
 
-// PublishPurge adds an event that purges the copies of an object that were made before a Unix time in milliseconds.
+// PublishPurge adds an event that purges all copies of an object that were created before beforeMillis, a Unix time in
+// milliseconds.
 func (s *Service) PublishPurge(object uint64, beforeMillis int64) {
 	payload := binary.BigEndian.AppendUint64(nil, object)
 	s.add(kindPurgeObject, binary.BigEndian.AppendUint64(payload, uint64(beforeMillis)))
@@ -95,7 +97,7 @@
 	s.changed = make(chan struct{})
 }
 
-// accept serves each connection in a goroutine of its own until the listener is closed.
+// accept serves each connection in its own goroutine until the listener is closed.
 func (s *Service) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -110,7 +112,7 @@
 	}
 }
 
-// register notes a connection, and closes it if the service was taken down meanwhile.
+// register adds a connection, and closes it if the service went down meanwhile.
 func (s *Service) register(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,12 +128,12 @@
 	delete(s.conns, conn)
 }
 
-// serve reads the number of the last event that a router has, and sends what comes after that.
+// serve reads the number of the last event that a router has, and sends the events after it.
 func (s *Service) serve(conn net.Conn) {
 	defer conn.Close()
 	served := make(chan struct{})
 	defer close(served)
-	s.goroutines.Go(func() { // ends a read or write that is blocked when the service ends
+	s.goroutines.Go(func() { // unblocks a read or write when the service is closed
 		select {
 		case <-s.done:
 			conn.Close()
@@ -150,8 +152,8 @@
 	}
 }
 
-// watch sends all events after the one with number sent, as they come, and heartbeats. It returns when the service or
-// the connection ends.
+// watch sends all events after the one with number sent as they are published, and heartbeats in between. It returns
+// when the service or the connection is closed.
 func (s *Service) watch(conn net.Conn, sent int) {
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
@@ -176,9 +178,8 @@
 	}
 }
 
-// eventsAfter returns the frames to send to a connection that has all events up to the one with number sent, the number
-// of the last of them, and a channel that is closed when there are more. While the service is mute there are none to
-// send.
+// eventsAfter returns the frames of all events after the one with number sent, the number of the last of them, and a
+// channel that is closed when another event is added. In mode Mute it returns no frames, and sent as the last number.
 func (s *Service) eventsAfter(sent int) (events []byte, last int, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/discovery/service_test.go
+++ b/standin/discovery/service_test.go
@@ -9,7 +9,8 @@
 	"spantack/internal/testwait"
 )
 
-// A router gets the frames of all events after the one that it names, those that are published later too.
+// Guards against missing, repeated or wrongly encoded events: a router must receive the frames of all events after the
+// one that it names, including events that are published later.
 func TestEvents(t *testing.T) {
 	s := start(t)
 	endpoint := Endpoint{
@@ -41,16 +42,16 @@
 		}
 	}
 	if watches := s.Watches(); watches != len(frames) {
-		t.Errorf("%d watches, want %d", watches, len(frames))
+		t.Errorf("%d connections requested events, want %d", watches, len(frames))
 	}
 	conn := testwait.Dial(t, s.Addr())
 	if _, err := conn.Write(binary.BigEndian.AppendUint64(nil, uint64(len(frames)))); err != nil {
 		t.Fatal(err)
 	}
-	testwait.Until(t, "the last watch", func() bool { return s.Watches() == len(frames)+1 })
+	testwait.Until(t, "the last connection to request events", func() bool { return s.Watches() == len(frames)+1 })
 	s.Publish(true)
 	got := readFrame(t, conn, len(later))
-	for got == earlyHeartbeat { // the test was slow to publish
+	for got == earlyHeartbeat { // sent before the event was published
 		got = readFrame(t, conn, len(later))
 	}
 	if got != later {
@@ -59,7 +60,7 @@
 	expect(t, conn, heartbeat)
 }
 
-// expect reads the next frame.
+// expect reads the next frame, which must be want.
 func expect(t *testing.T, conn io.Reader, want string) {
 	t.Helper()
 	if got := readFrame(t, conn, len(want)); got != want {
