--- a/standin/link/doc.go
+++ b/standin/link/doc.go
@@ -1,4 +1,4 @@
-// Package link injects faults into the network between processes in tests and experiments: relays on loopback, for
-// datagrams (Mesh) and for connections (Relay), that delay, lose, duplicate, block and count what passes. The caller
-// says which conditions are in force; random draws come from a seed of the caller's.
+// Package link injects network faults between processes in tests and experiments. Its relays on loopback, Mesh for
+// datagrams and Relay for TCP connections, count traffic and delay, lose, duplicate, block or reset it. The caller sets
+// the conditions and the seed of the random numbers.
 package link
--- a/standin/link/mesh.go
+++ b/standin/link/mesh.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// Conditions are what happens to datagrams between routers. The zero value loses and delays nothing.
+// Conditions are the faults that a Mesh injects. The zero value injects none.
 type Conditions struct {
 	LossRate        float64 // fraction of the datagrams, 0 to 1
-	DuplicateRate   float64 // fraction of those that are not lost, 0 to 1
+	DuplicateRate   float64 // fraction of the datagrams that are not lost, 0 to 1
 	Delay           time.Duration
-	Jitter          time.Duration // bound of a random delay on top, by which datagrams may overtake one another
-	PartitionByRank []int         // by rank: datagrams pass within a partition alone; nil: all are in one
-	BlockedPaths    map[Path]bool // nothing passes that way
+	Jitter          time.Duration // upper bound of a random additional delay, which can reorder datagrams
+	PartitionByRank []int         // by rank: datagrams pass only within a partition; nil: all routers share one
+	BlockedPaths    map[Path]bool // all datagrams on these paths are dropped
 }
 
-// Path is one direction between two routers: the rank of the sender, then that of the receiver.
+// Path is one direction between two routers: the rank of the sender, then the rank of the receiver.
 type Path = [2]int
 
-// blocks returns whether nothing passes along a path.
+// blocks returns whether all datagrams on a path are dropped.
 func (c *Conditions) blocks(path Path) bool {
 	if c.BlockedPaths[path] {
 		return true
@@ -32,23 +32,23 @@
 	return len(c.PartitionByRank) > 0 && c.PartitionByRank[path[0]] != c.PartitionByRank[path[1]]
 }
 
-// Counts are of datagrams since the start, each counted once for every router that it was sent to.
+// Counts are numbers of datagrams since the mesh was opened. A datagram counts once for each router that it is sent to.
 type Counts struct {
 	Forwarded int
 	Lost      int
 	Blocked   int
-	MaxBytes  int // payload of the longest datagram
+	MaxBytes  int // payload size of the longest datagram
 }
 
-// Mesh relays datagrams between the routers of a fleet. Each rank has one address of the mesh, by which all others know
-// it: what is sent there is forwarded to that router, from the address of the sender's rank. It is safe for concurrent
-// use.
+// Mesh relays datagrams between the routers of a fleet. It has one address for each rank, under which the other routers
+// know that router. A datagram to that address is forwarded to the router, from the mesh address of the sender's rank.
+// It is safe for concurrent use.
 type Mesh struct {
 	sockets     []*net.UDPConn // by rank
 	broadcast   *net.UDPConn
-	listenAddrs []netip.AddrPort       // by rank: where each router receives datagrams, and sends them from
-	rankByAddr  map[netip.AddrPort]int // the reverse
-	goroutines  sync.WaitGroup         // the relays, and datagrams that are delayed
+	listenAddrs []netip.AddrPort       // by rank: the router's own address, to receive and to send
+	rankByAddr  map[netip.AddrPort]int // inverse of listenAddrs
+	goroutines  sync.WaitGroup         // the relays, and the timers of delayed datagrams
 
 	mu         sync.Mutex // guards the fields below
 	rng        *rand.Rand
@@ -58,15 +58,15 @@
 }
 
 const (
-	// readBufferSize is more than the payload that any router may send: a longer one shows in Counts.MaxBytes.
+	// readBufferSize is larger than the payload that a router may send, so that Counts.MaxBytes shows a longer one.
 	readBufferSize = 1500
 
-	// rngStream tells the mesh's random numbers from others of the same seed.
+	// rngStream separates the mesh's random numbers from others with the same seed.
 	rngStream = 0x11e5
 )
 
-// NewMesh opens a mesh for the routers that receive datagrams on the given addresses, in the order of their ranks. The
-// caller ends it with Close.
+// NewMesh opens a mesh for the routers that receive datagrams at listenAddrs, in the order of their ranks. The caller
+// stops it with Close.
 func NewMesh(seed uint64, listenAddrs []netip.AddrPort) (*Mesh, error) {
 	m := &Mesh{
 		rng:         rand.New(rand.NewPCG(seed, rngStream)),
@@ -89,7 +89,7 @@
 	return m, nil
 }
 
-// openSockets opens those of all ranks and the broadcast address, up to the first that fails.
+// openSockets opens the sockets of all ranks and the broadcast socket. It stops at the first error and returns it.
 func (m *Mesh) openSockets() (err error) {
 	for range m.listenAddrs {
 		socket, err := listenUDP()
@@ -106,14 +106,14 @@
 	return net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 }
 
-// Addr returns the address by which others reach a router.
+// Addr returns the address under which other routers reach the router with a rank.
 func (m *Mesh) Addr(rank int) string { return m.sockets[rank].LocalAddr().String() }
 
-// BroadcastAddr returns the address that reaches all routers but the sender.
+// BroadcastAddr returns the address that reaches all routers except the sender.
 func (m *Mesh) BroadcastAddr() string { return m.broadcast.LocalAddr().String() }
 
-// SetConditions changes the conditions for what is sent from now on. It refuses those that can't be, and then changes
-// nothing.
+// SetConditions changes the conditions for datagrams that are received from now on. If the conditions are invalid it
+// returns an error that names the field, and changes nothing.
 func (m *Mesh) SetConditions(conditions Conditions) error {
 	if err := conditions.validate(len(m.listenAddrs)); err != nil {
 		return err
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// validate returns an error that names the field that can't be.
+// validate returns an error that names the first invalid field, or nil.
 func (c *Conditions) validate(routers int) error {
 	isRate := func(rate float64) bool { return rate >= 0 && rate <= 1 } // false for NaN
 	switch {
@@ -142,14 +142,14 @@
 	return nil
 }
 
-// Counts returns what passed so far, and what did not.
+// Counts returns the counts of datagrams so far.
 func (m *Mesh) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.counts
 }
 
-// Close ends the mesh, drops what is delayed, and returns once all goroutines have ended.
+// Close stops the mesh and drops delayed datagrams. It returns when all goroutines have ended.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.isClosed = true
@@ -163,7 +163,7 @@
 	m.goroutines.Wait()
 }
 
-// relay forwards what comes to a socket to routers, until the socket is closed.
+// relay forwards each datagram that arrives at a socket to all receivers, until the socket is closed.
 func (m *Mesh) relay(socket *net.UDPConn, receivers []int) {
 	buffer := make([]byte, readBufferSize)
 	for {
@@ -171,7 +171,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as an ICMP message that a router is down
+		if err != nil { // for instance an ICMP error because a router is down
 			continue
 		}
 		sender := netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
@@ -181,8 +181,8 @@
 	}
 }
 
-// forward sends a datagram to a router as the conditions have it. What a router sends to itself does not pass, except
-// in a mesh of one.
+// forward counts a datagram and sends it to a router under the current conditions. Datagrams from unknown addresses are
+// dropped, and so are those from a router to itself, except in a mesh of one router.
 func (m *Mesh) forward(sender netip.AddrPort, receiver int, datagram []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -213,7 +213,7 @@
 	}
 }
 
-// sendAfter sends a datagram unless the mesh is closed meanwhile.
+// sendAfter sends a datagram after a delay, unless the mesh is closed by then.
 func (m *Mesh) sendAfter(delay time.Duration, path Path, datagram []byte) {
 	m.goroutines.Add(1)
 	time.AfterFunc(delay, func() {
@@ -222,7 +222,7 @@
 		isClosed := m.isClosed
 		m.mu.Unlock()
 		if !isClosed {
-			_, _ = m.sockets[path[0]].WriteToUDPAddrPort(datagram, m.listenAddrs[path[1]]) // lost where nobody listens
+			_, _ = m.sockets[path[0]].WriteToUDPAddrPort(datagram, m.listenAddrs[path[1]]) // lost if the receiver is down
 		}
 	})
 }
--- a/standin/link/mesh_test.go
+++ b/standin/link/mesh_test.go
@@ -14,10 +14,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// within bounds each wait for what a mesh or relay does.
+// within is the timeout of each wait for a mesh or relay.
 const within = 10 * time.Second
 
-// meshRouters are the sockets of routers, by rank, with a mesh between them.
+// meshRouters are the sockets of routers, by rank, and the mesh that connects them.
 type meshRouters struct {
 	mesh    *Mesh
 	sockets []*net.UDPConn
@@ -45,7 +45,7 @@
 	return m
 }
 
-// send has a router send a datagram to an address of the mesh.
+// send sends a datagram from a router to an address of the mesh.
 func (m *meshRouters) send(t *testing.T, rank int, addr, text string) {
 	t.Helper()
 	if _, err := m.sockets[rank].WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(addr)); err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// expect reads the next datagram of a router, which must come from an address of the mesh.
+// expect reads the next datagram of a router, which must be text and come from fromAddr.
 func (m *meshRouters) expect(t *testing.T, rank int, fromAddr, text string) {
 	t.Helper()
 	buffer := make([]byte, 100)
@@ -71,8 +71,8 @@
 	}
 }
 
-// What is lost or blocked does not come, and what is sent afterwards does: the first to arrive is the second that was
-// sent. A router knows the others by their addresses of the mesh.
+// Guards against datagrams that arrive although they are lost or blocked, datagrams from a wrong address, and missing
+// duplicates. Lost datagrams must not show up before later ones; routers see only each other's mesh addresses.
 func TestMesh(t *testing.T) {
 	m := startMesh(t, 3)
 	m.send(t, 0, m.mesh.Addr(1), "one")
@@ -91,7 +91,7 @@
 		testwait.UntilWithin(t, within, "the datagram to be counted", func() bool { return m.mesh.Counts() != before })
 		now := m.mesh.Counts()
 		if now.Forwarded != before.Forwarded || now.Blocked+now.Lost != before.Blocked+before.Lost+1 {
-			t.Errorf("%+v: %+v, before %+v", conditions, now, before)
+			t.Errorf("conditions %+v: counts %+v, before %+v", conditions, now, before)
 		}
 	}
 	m.setConditions(t, Conditions{
@@ -104,8 +104,8 @@
 	m.expect(t, 0, m.mesh.Addr(1), "back")
 }
 
-// Conditions that can't be are refused by the name of the field, and change nothing.
-func TestMeshRefusesConditions(t *testing.T) {
+// Guards against invalid conditions that are accepted or partly applied, and against errors that do not name the field.
+func TestMeshRejectsInvalidConditions(t *testing.T) {
 	m := startMesh(t, 2)
 	for want, conditions := range map[string]Conditions{
 		"condition LossRate 2: must be from 0 to 1":          {LossRate: 2},
@@ -117,7 +117,7 @@
 		"condition PartitionByRank: 3 entries for 2 routers": {PartitionByRank: []int{1, 1, 1}},
 	} {
 		if err := m.mesh.SetConditions(conditions); err == nil || err.Error() != want {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("error %v, want %s", err, want)
 		}
 	}
 	m.send(t, 0, m.mesh.Addr(1), "still")
--- a/standin/link/relay.go
+++ b/standin/link/relay.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// RelayConditions are what happens to the connections of a Relay. The zero value passes everything on at once.
+// RelayConditions are the faults that a Relay injects. The zero value forwards everything at once.
 type RelayConditions struct {
-	Resets      bool          // resets open connections, and new ones as they come
-	Blackholes  bool          // reads bytes and passes none on, as if the other machine had vanished
-	Delay       time.Duration // of each piece, in both directions
-	KBPerSecond float64       // of each connection, in both directions; 0: no limit
+	Resets      bool          // resets open connections, and new ones when they are accepted
+	Blackholes  bool          // reads bytes and discards them, as if the other machine had vanished
+	Delay       time.Duration // of each read, in each direction
+	KBPerSecond float64       // bandwidth of each connection in each direction, 1 KB = 1000 bytes; 0: no limit
 }
 
-// pieceDelay returns how long a piece of so many bytes is held back.
-func (c RelayConditions) pieceDelay(size int) time.Duration {
+// forwardDelay returns the time from a read of size bytes to its forwarding.
+func (c RelayConditions) forwardDelay(size int) time.Duration {
 	delay := c.Delay
 	if c.KBPerSecond > 0 {
 		delay += time.Duration(float64(size) / 1000 / c.KBPerSecond * float64(time.Second))
@@ -25,20 +25,20 @@
 	return delay
 }
 
-// direction is one in which a connection carries bytes.
+// direction is a direction of data on a connection.
 type direction int
 
 const (
 	toServer direction = iota
 	toClient
-	directions // how many there are
+	directionCount
 )
 
-// pieceSize is the greatest number of bytes that a relay reads at once.
-const pieceSize = 16 << 10
+// copyBufferSize is the maximum number of bytes that a relay reads at once.
+const copyBufferSize = 16 << 10
 
-// Relay stands between clients and one server: each connection from a client has one to the server. It is safe for
-// concurrent use.
+// Relay is a TCP proxy between clients and one server: it opens one connection to the server for each connection from a
+// client. It is safe for concurrent use.
 type Relay struct {
 	listener   net.Listener
 	target     string // the server's address
@@ -46,12 +46,12 @@
 
 	mu               sync.Mutex // guards the fields below
 	conditions       RelayConditions
-	conns            map[net.Conn]bool // the open ones, of both sides
+	conns            map[net.Conn]bool // open connections, of clients and to the server
 	dials            []time.Time       // when each connection from a client was accepted
-	bytesByDirection [directions]int64
+	bytesByDirection [directionCount]int64
 }
 
-// NewRelay opens a relay to the server at an address. The caller ends it with Close.
+// NewRelay opens a relay to the server at the address target. The caller stops it with Close.
 func NewRelay(target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +65,7 @@
 // Addr returns the address that clients connect to.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetConditions changes what happens to connections, the open ones too.
+// SetConditions changes the conditions of all connections, including open ones.
 func (r *Relay) SetConditions(conditions RelayConditions) {
 	r.mu.Lock()
 	r.conditions = conditions
@@ -79,16 +79,16 @@
 	}
 }
 
-// Counts returns the times at which clients connected so far, how many of the connections are open, and the bytes that
-// went to the server and to clients.
+// Counts returns the times at which clients connected so far, the number of open client connections, and the bytes
+// forwarded to the server and to clients.
 func (r *Relay) Counts() (dials []time.Time, open int, bytesToServer, bytesToClient int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.dials), len(r.conns) / 2, r.bytesByDirection[toServer], r.bytesByDirection[toClient]
 }
 
-// MaxDialsWithin returns the greatest number of connections that clients made within any span of time, leaving out the
-// first ones.
+// MaxDialsWithin returns the maximum number of client connections within any interval of length span. The interval
+// excludes its end. The first skipped connections are ignored.
 func (r *Relay) MaxDialsWithin(skipped int, span time.Duration) (maxDials int) {
 	dials, _, _, _ := r.Counts()
 	dials = dials[skipped:]
@@ -102,14 +102,14 @@
 	return maxDials
 }
 
-// Close ends the relay and resets its connections. It returns once all goroutines have ended.
+// Close stops the relay and resets its connections. It returns when all goroutines have ended.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.SetConditions(RelayConditions{Resets: true})
 	r.goroutines.Wait()
 }
 
-// reset closes a connection so that its peer sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcpConn, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = tcpConn.SetLinger(0)
@@ -123,7 +123,7 @@
 	return r.conditions
 }
 
-// accept relays each connection in goroutines of its own until the listener is closed.
+// accept relays each connection in its own goroutines, one for each direction, until the listener is closed.
 func (r *Relay) accept() {
 	for {
 		client, err := r.listener.Accept()
@@ -149,7 +149,7 @@
 	}
 }
 
-// register notes a pair of connections, and resets it if the conditions have changed meanwhile.
+// register adds a pair of connections, and resets it if the conditions have changed to Resets meanwhile.
 func (r *Relay) register(client, server net.Conn) {
 	r.mu.Lock()
 	r.conns[client] = true
@@ -162,7 +162,8 @@
 	}
 }
 
-// unregister closes a pair of connections, by a reset where the conditions say so. Both of its copies call it.
+// unregister closes and removes a pair of connections, with a reset if the conditions have Resets set. It is called
+// once for each direction.
 func (r *Relay) unregister(one, other net.Conn) {
 	closeConn := func(conn net.Conn) { conn.Close() }
 	if r.currentConditions().Resets {
@@ -176,12 +177,12 @@
 	delete(r.conns, other)
 }
 
-// copy carries bytes in one direction until either end closes.
+// copy forwards bytes in one direction, under the current conditions, until either connection is closed.
 func (r *Relay) copy(to, from net.Conn, direction direction) {
 	defer r.unregister(from, to)
-	piece := make([]byte, pieceSize)
+	buffer := make([]byte, copyBufferSize)
 	for {
-		size, err := from.Read(piece)
+		size, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
@@ -189,8 +190,8 @@
 		if conditions.Blackholes {
 			continue
 		}
-		time.Sleep(conditions.pieceDelay(size))
-		if _, err := to.Write(piece[:size]); err != nil {
+		time.Sleep(conditions.forwardDelay(size))
+		if _, err := to.Write(buffer[:size]); err != nil {
 			return
 		}
 		r.mu.Lock()
--- a/standin/link/relay_test.go
+++ b/standin/link/relay_test.go
@@ -10,7 +10,7 @@
 	"spantack/internal/testwait"
 )
 
-// startEchoRelay starts a relay to a server that sends back what it gets.
+// startEchoRelay starts a relay to a server that echoes all bytes.
 func startEchoRelay(t *testing.T) *Relay {
 	t.Helper()
 	listener := testwait.Listen(t)
@@ -34,7 +34,7 @@
 	return relay
 }
 
-// echo sends five bytes and waits for as many.
+// echo sends five bytes and waits for five bytes, for at most limit.
 func echo(conn net.Conn, limit time.Duration) error {
 	if _, err := conn.Write([]byte("hello")); err != nil {
 		return err
@@ -44,7 +44,8 @@
 	return err
 }
 
-// A relay passes bytes on, swallows them, resets connections and counts.
+// Guards against conditions that are not applied to open connections, and against wrong counts: one relay forwards
+// bytes, discards them, resets connections and forwards again.
 func TestRelay(t *testing.T) {
 	relay := startEchoRelay(t)
 	first := testwait.Dial(t, relay.Addr())
@@ -53,24 +54,24 @@
 	}
 	relay.SetConditions(RelayConditions{Blackholes: true})
 	if err := echo(first, 100*time.Millisecond); err == nil {
-		t.Error("a relay that swallows bytes passes them on")
+		t.Error("a relay that discards bytes forwarded them")
 	}
 	relay.SetConditions(RelayConditions{Resets: true})
 	first.SetReadDeadline(time.Now().Add(within))
 	if _, err := first.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("%v on a connection that was cut, want a reset", err)
+		t.Errorf("read error %v on a reset connection, want a reset", err)
 	}
 	relay.SetConditions(RelayConditions{Delay: time.Millisecond, KBPerSecond: 1000})
 	if err := echo(testwait.Dial(t, relay.Addr()), within); err != nil {
 		t.Error(err)
 	}
-	testwait.UntilWithin(t, within, "the counts", func() bool { // the relay counts a moment after it has passed bytes on
+	testwait.UntilWithin(t, within, "the counts", func() bool { // the relay counts bytes just after it has forwarded them
 		dials, open, toServer, toClient := relay.Counts()
 		return len(dials) == 2 && open == 1 && toServer == 10 && toClient == 10
 	})
 }
 
-// The greatest number within a span counts a connection at the span's end no more.
+// Guards against a count that includes a connection exactly at the end of the interval, or one of the skipped ones.
 func TestMaxDialsWithin(t *testing.T) {
 	start := time.Unix(100, 0)
 	relay := &Relay{}
@@ -90,7 +91,7 @@
 		{8, time.Second, 0},
 	} {
 		if got := relay.MaxDialsWithin(test.skipped, test.span); got != test.want {
-			t.Errorf("%d within %v, leaving out %d; want %d", got, test.span, test.skipped, test.want)
+			t.Errorf("%d dials within %v, %d skipped; want %d", got, test.span, test.skipped, test.want)
 		}
 	}
 }
