--- a/lab/scale/capacitypage.go
+++ b/lab/scale/capacitypage.go
@@ -17,9 +17,9 @@
 	tableBlock   = regexp.MustCompile(`(?s)(<!-- table ([a-z]+) -->\n).*?(<!-- end -->)`)
 )
 
-// UpdatePage returns the page with each figure as the results have it: a number followed by <!--PATH--> as Value names
-// it, and what stands between <!-- table TEST --> and <!-- end -->. It returns the last error of a figure or table, and
-// the others updated.
+// UpdatePage returns the page with its figures and tables updated from the results. A figure is a number followed by
+// <!--PATH-->, with a path for Value. A table is the text between <!-- table TEST --> and <!-- end -->. Figures and
+// tables with an error stay unchanged, and the last such error is returned together with the updated page.
 func (s ResultSet) UpdatePage(page []byte) ([]byte, error) {
 	var lastError error
 	page = tableBlock.ReplaceAllFunc(page, func(block []byte) []byte {
@@ -43,7 +43,8 @@
 	return page, lastError
 }
 
-// formatFigure returns a figure as it stands on the page: three digits, or all before the point, in groups of three.
+// formatFigure formats a figure for the page. Figures of 100 and more are rounded to integers with thousands
+// separators, those below 0.0005 become 0, and all others have three significant digits.
 func formatFigure(value float64) string {
 	switch magnitude := math.Abs(value); {
 	case magnitude >= 100:
@@ -54,7 +55,7 @@
 	return strconv.FormatFloat(value, 'g', 3, 64)
 }
 
-// tableCosts are the costs that a table has for each phase, with their titles.
+// tableCosts are the costs in a table, with their titles. A table has a row for each cost and phase.
 var tableCosts = []struct{ name, title string }{
 	{"bytes", "bytes/s"},
 	{"datagrams", "messages/s"},
@@ -62,11 +63,12 @@
 	{"memory", "state, KB"},
 }
 
-// table returns a test's worst process by phase and size, with the fit over all sizes.
+// table returns the table of a test: the costs of the worst process by phase and the metrics, with a column for each
+// size and the power-law fit over all sizes.
 func (s ResultSet) table(test string) ([]byte, error) {
 	results := s[test]
 	if len(results) == 0 {
-		return nil, fmt.Errorf("table %q: no such results", test)
+		return nil, fmt.Errorf("table %q: no results of a test with this name", test)
 	}
 	var text bytes.Buffer
 	text.WriteString("| worst process |")
@@ -97,8 +99,8 @@
 	return text.Bytes(), nil
 }
 
-// appendRow writes one figure at all sizes. One that not all sizes have, or that is 0 throughout, is left out, and one
-// that is 0 somewhere has no fit.
+// appendRow appends the row of one figure at all sizes. It appends nothing if the figure is missing at some size or
+// formatted as 0 at all sizes. If it is formatted as 0 at some size only, the row has no fit.
 func (s ResultSet) appendRow(text *bytes.Buffer, test string, scenario Scenario, name, title string) error {
 	var values []string
 	zeros := 0
--- a/lab/scale/capacitypage_test.go
+++ b/lab/scale/capacitypage_test.go
@@ -6,20 +6,21 @@
 	"testing"
 )
 
-// The page says what the files of results say: every figure and table on it, of every test at every size.
-func TestCapacityPage(t *testing.T) {
+// Guards against a capacity page that differs from the results files: all figures and tables on it, and results of all
+// tests at all default sizes.
+func TestCapacityPageMatchesResults(t *testing.T) {
 	set, err := ReadResultSet("../../docs/results/scale")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for test, results := range set {
 		if len(results) != len(DefaultSizes) {
-			t.Fatalf("%s: results of %d sizes", test, len(results))
+			t.Fatalf("%s: results of a wrong number of sizes, %d", test, len(results))
 		}
 		for i, result := range results {
 			if result.Test != test || result.Routers != DefaultSizes[i] ||
 				result.SimulatedProcesses < 1 || len(result.Phases) < 3 {
-				t.Errorf("%s: %+v", test, result)
+				t.Errorf("%s: incomplete result, or of another test or size: %+v", test, result)
 			}
 		}
 	}
@@ -32,21 +33,21 @@
 		t.Fatal(err)
 	}
 	if len(inlineFigure.FindAll(page, -1)) < 30 || len(tableBlock.FindAll(page, -1)) != len(Tests()) {
-		t.Error("the page has few figures of the results, or not a table of each test")
+		t.Error("the page has fewer than 30 figures, or not one table for each test")
 	}
 	got, want := strings.Split(string(page), "\n"), strings.Split(string(updated), "\n")
 	for i := range min(len(got), len(want)) {
 		if got[i] != want[i] {
-			t.Fatalf("docs/CAPACITY.md, line %d, differs from the results (spanlab scale page puts that right):\n%s\n%s",
+			t.Fatalf("docs/CAPACITY.md, line %d, differs from the results (spanlab scale page updates it):\n%s\n%s",
 				i+1, got[i], want[i])
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("docs/CAPACITY.md has %d lines, by the results %d", len(got), len(want))
+		t.Errorf("docs/CAPACITY.md has %d lines, want %d", len(got), len(want))
 	}
 }
 
-// squareLawSet has results at three sizes, with bytes that grow with the square of the size.
+// squareLawSet returns results at three sizes, with bytes that grow with the square of the size.
 func squareLawSet() ResultSet {
 	set := ResultSet{}
 	for _, routers := range []int{100, 1_000, 10_000} {
@@ -65,7 +66,7 @@
 	return set
 }
 
-// A figure that differs is put right.
+// Guards against figures and tables that are not updated, are formatted wrongly, or change in a second update.
 func TestUpdatePage(t *testing.T) {
 	set := squareLawSet()
 	const page = "At 100 it has 1<!--limits/100/bytes-->, as a power 9<!--limits/slope/bytes-->, " +
@@ -84,15 +85,15 @@
 		"| state, KB, ordinary day | 7 | 7 | 7 | 0.00 | 0% |\n",
 	} {
 		if !strings.Contains(string(got), want) {
-			t.Errorf("%s\nlacks %s", got, want)
+			t.Errorf("%s\ndoes not contain %s", got, want)
 		}
 	}
 	if again, err := set.UpdatePage(got); err != nil || string(again) != string(got) {
-		t.Errorf("%v: updated again it is\n%s", err, again)
+		t.Errorf("second update: error %v, page:\n%s", err, again)
 	}
 }
 
-// A figure that the results lack is an error.
+// Guards against paths and tables that the results do not contain, but that are accepted without an error.
 func TestUpdatePageWithUnknownFigure(t *testing.T) {
 	set := squareLawSet()
 	for _, page := range []string{
--- a/lab/scale/charts.go
+++ b/lab/scale/charts.go
@@ -9,11 +9,11 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// chart is one cost over size, with a line for each phase.
+// chart plots one cost over the number of routers, with a line for each phase.
 type chart struct {
 	file, title string
 	cost        func(Phase) float64
-	budget      float64 // 0: none
+	budget      float64 // drawn as a line of its own; 0: no line
 }
 
 var charts = []chart{
@@ -23,14 +23,14 @@
 	{"memory.svg", "worst process, state in KB", costByName["memory"], RouterBudget.MemoryKB},
 }
 
-// Size of a chart.
+// Dimensions of a chart.
 const (
 	chartWidth  = 22 * vg.Centimeter
 	chartHeight = 13 * vg.Centimeter
 )
 
-// draw writes the chart, with both axes logarithmic. What costs nothing has no place on it and is left out; a chart
-// with nothing on it is not written.
+// draw writes the chart to its file in dir. Both axes are logarithmic, so costs of 0 are left out. If there are no
+// other costs it writes no file.
 func (c chart) draw(dir string, results []*Result) error {
 	lines := c.lines(results)
 	if len(lines) == 0 {
@@ -49,12 +49,12 @@
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
 		return err
 	}
-	widenPoint(&p.X)
-	widenPoint(&p.Y)
+	widenEmptyRange(&p.X)
+	widenEmptyRange(&p.Y)
 	return p.Save(chartWidth, chartHeight, filepath.Join(dir, c.file))
 }
 
-// lines returns the name and points of each line, in turn, as plotutil takes them.
+// lines returns the arguments of plotutil.AddLinePoints: the name of a line and its points, alternating.
 func (c chart) lines(results []*Result) (lines []any) {
 	for i, phase := range results[0].Phases {
 		var points plotter.XYs
@@ -75,8 +75,8 @@
 	return lines
 }
 
-// widenPoint gives an axis on which all points have one value, as with a single size, a length.
-func widenPoint(axis *plot.Axis) {
+// widenEmptyRange widens the range of an axis on which all points have the same value, for instance with a single size.
+func widenEmptyRange(axis *plot.Axis) {
 	if axis.Min == axis.Max {
 		axis.Min /= 2
 		axis.Max *= 2
--- a/lab/scale/datagram.go
+++ b/lab/scale/datagram.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// Offsets in a datagram of core/fleet, in bytes: see the head of its datagram.go. TestDatagramPlaces compares them with
-// the real codec.
+// Offsets in bytes in a datagram of core/fleet, whose format is described at the top of its datagram.go.
+// TestOffsetsMatchFleetCodec compares them with the real codec.
 const (
 	rankOffset      = 2
 	siteOffset      = 4
@@ -12,12 +12,12 @@
 	targetOffset    = 15 // in the bodies of opPing and opAck
 )
 
-// A membership update: rank, incarnation, refuted, state.
+// Format of a membership update: rank, incarnation, refuted, state.
 const (
 	updateSize    = 9 // in bytes
 	refutedOffset = 6
 	stateOffset   = 8
-	suspectState  = 2 // and what is worse
+	suspectState  = 2 // higher values are worse states
 )
 
 // operation is the kind of a datagram of core/fleet.
@@ -33,7 +33,7 @@
 	opHealthReport
 )
 
-// bodySizes are the sizes in bytes of what follows the operation, before membership updates.
+// bodySizes are the sizes in bytes of the bodies, which lie between the operation and the membership updates.
 var bodySizes = map[operation]int{
 	opPing:         9,
 	opAck:          9,
@@ -45,7 +45,7 @@
 
 func operationOf(datagram []byte) operation { return operation(datagram[operationOffset]) }
 
-// setRank makes a datagram one of another sender.
+// setRank replaces the sender's rank and site in a datagram.
 func setRank(datagram []byte, rank, site int) {
 	binary.BigEndian.PutUint16(datagram[rankOffset:], uint16(rank))
 	binary.BigEndian.PutUint16(datagram[siteOffset:], uint16(site))
@@ -57,7 +57,7 @@
 	binary.BigEndian.PutUint16(datagram[targetOffset:], uint16(rank))
 }
 
-// membershipUpdate is one inside a datagram.
+// membershipUpdate is an encoded membership update, a slice of its datagram.
 type membershipUpdate []byte
 
 func (u membershipUpdate) rank() int         { return int(binary.BigEndian.Uint16(u)) }
--- a/lab/scale/datagram_test.go
+++ b/lab/scale/datagram_test.go
@@ -7,13 +7,13 @@
 	"spantack/core/fleet"
 )
 
-// datagramInFlight is one on its way between the nodes of a test.
+// datagramInFlight is a datagram in flight between the nodes of a test.
 type datagramInFlight struct {
 	from, to int
 	datagram []byte
 }
 
-// datagramCheck compares the datagrams of a few nodes with what datagram.go knows of them.
+// datagramCheck compares the datagrams of a few nodes with the offsets and sizes in datagram.go.
 type datagramCheck struct {
 	*testing.T
 	nodes    []*fleet.Node
@@ -24,7 +24,7 @@
 
 const checkedNodes = 4
 
-// siteOfChecked returns the site of a node: ranks take turns.
+// siteOfChecked returns the site of a node: even ranks are in site 0, odd ranks in site 1.
 func siteOfChecked(rank int) int { return rank % 2 }
 
 func newDatagramCheck(t *testing.T) *datagramCheck {
@@ -55,30 +55,30 @@
 	op := operationOf(datagram)
 	size, known := bodySizes[op]
 	if !known || (len(datagram)-bodyOffset-size)%updateSize != 0 {
-		c.Fatalf("operation %d with %d bytes", op, len(datagram))
+		c.Fatalf("operation %d is unknown or has a wrong size: %d bytes", op, len(datagram))
 	}
 	c.seen[op] = true
 	if op == opAck && targetOf(datagram) != from {
-		c.Errorf("an ack of %d is about %d", from, targetOf(datagram))
+		c.Errorf("target of an ack from %d is %d", from, targetOf(datagram))
 	}
 	if op == opPing && targetOf(datagram) != to {
-		c.Errorf("a ping to %d is about %d", to, targetOf(datagram))
+		c.Errorf("target of a ping to %d is %d", to, targetOf(datagram))
 	}
 	eachUpdate(datagram, func(u membershipUpdate) {
 		c.updates++
 		if u.rank() >= checkedNodes || u.isSuspicion() || u.refuted() != 0 {
-			c.Errorf("an update of rank %d, suspected %v, refuted %d", u.rank(), u.isSuspicion(), u.refuted())
+			c.Errorf("update about rank %d, suspected %v, refuted %d", u.rank(), u.isSuspicion(), u.refuted())
 		}
 	})
 	rewritten := slices.Clone(datagram)
 	setRank(rewritten, from, siteOfChecked(from))
 	if !slices.Equal(rewritten, datagram) {
-		c.Errorf("rank and site are not where they are set: %x", datagram)
+		c.Errorf("setRank writes rank and site at wrong offsets: %x", datagram)
 	}
 	c.inFlight = append(c.inFlight, datagramInFlight{from, to, datagram})
 }
 
-// deliver has nodes receive all that is in flight, and what they send at that.
+// deliver delivers all datagrams in flight, including those that nodes send in response.
 func (c *datagramCheck) deliver(now int64) {
 	for len(c.inFlight) > 0 {
 		next := c.inFlight[0]
@@ -95,8 +95,9 @@
 	}
 }
 
-// Datagrams of the real codec have rank, site, operation, target and updates where datagram.go has them.
-func TestDatagramPlaces(t *testing.T) {
+// Guards against offsets and sizes in datagram.go that differ from the codec of core/fleet: rank, site, operation,
+// target and membership updates.
+func TestOffsetsMatchFleetCodec(t *testing.T) {
 	check := newDatagramCheck(t)
 	now := second
 	for range 200 {
--- a/lab/scale/decisions.go
+++ b/lab/scale/decisions.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// endpointUpdateDelay is the time in seconds until the endpoint list says that servers were lost, half of the phase
-	// at most.
+	// endpointUpdateDelay is the time in seconds from a loss of servers to their removal from the endpoint list. It is
+	// reduced to half of a phase that is too short for it.
 	endpointUpdateDelay = 2
 
-	responseTime   = 20_000 // of each server, in microseconds
+	responseTime   = 20_000 // of all servers, in microseconds
 	responseSizeKB = 50
 )
 
-// requestInterval is the time from one request to the next, in microseconds.
+// requestInterval is the time between two requests, in microseconds.
 var requestInterval = int64(math.Round(float64(second) / requestsPerSecond))
 
-// decisionRun is one router that decides.
+// decisionRun simulates the decision engine of one router.
 type decisionRun struct {
 	options        Options
 	phaseSeconds   float64
@@ -35,12 +35,12 @@
 	endpoints      []routing.Endpoint // the origin first, then the edge caches
 	refusing       map[string]bool    // servers that refuse connections
 	now            int64
-	requests       int // so far
-	servedByCaches int // of these
+	requests       int // number of requests so far
+	servedByCaches int // number of requests served by edge caches or parents so far
 	result         *Result
 }
 
-// start gives the router an empty state and the endpoint list.
+// start replaces the engine with one that has no state but the endpoint list.
 func (d *decisionRun) start() error {
 	engine, err := newEngine(d.options)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// publishEndpoints tells the engine of all servers but those that refuse.
+// publishEndpoints sends the engine an endpoint list without the refusing servers.
 func (d *decisionRun) publishEndpoints() {
 	available := make([]routing.Endpoint, 0, len(d.endpoints))
 	for _, endpoint := range d.endpoints {
@@ -66,7 +66,7 @@
 	}})
 }
 
-// runRequests plays requests at the peak's rate and returns the processor time that the engine took.
+// runRequests simulates requests at the peak rate for a number of seconds and returns the CPU time that this used.
 func (d *decisionRun) runRequests(seconds float64) time.Duration {
 	count := int(seconds * requestsPerSecond)
 	startedAt := d.clock.now()
@@ -77,7 +77,7 @@
 	return d.clock.now() - startedAt
 }
 
-// runRequest plays a request to its end: each attempt is answered at once in virtual time.
+// runRequest simulates one request to its end. Each attempt is answered, and each timer fires, at once in virtual time.
 func (d *decisionRun) runRequest() {
 	d.requests++
 	events := []routing.Event{{
@@ -102,7 +102,7 @@
 	}
 }
 
-// respond returns the outcome of an attempt.
+// respond returns the outcome event of an attempt, and counts it if a cache serves it.
 func (d *decisionRun) respond(attempt routing.Action) routing.Event {
 	outcome := routing.OutcomeServed
 	origin := d.endpoints[0].Server
@@ -129,7 +129,7 @@
 	return float64(d.servedByCaches) / float64(d.requests)
 }
 
-// addPhase adds to the result what a phase cost.
+// addPhase adds a phase that used some CPU time to the result.
 func (d *decisionRun) addPhase(scenario Scenario, used time.Duration) {
 	d.result.Phases = append(d.result.Phases, Phase{
 		Scenario:   scenario,
@@ -140,13 +140,14 @@
 	d.options.Progress(len(d.result.Phases), decisionPhaseCount)
 }
 
-// runPhase plays a phase in which nothing is lost.
+// runPhase simulates a phase without a fault.
 func (d *decisionRun) runPhase(scenario Scenario) {
 	used := d.runRequests(d.phaseSeconds)
 	d.addPhase(scenario, used)
 }
 
-// loseServers plays a phase in which the first edge caches refuse; the endpoint list says so later.
+// loseServers simulates a phase in which the first edge caches refuse connections. After endpointUpdateDelay they are
+// removed from the endpoint list, and after the phase they are added again.
 func (d *decisionRun) loseServers(scenario Scenario, servers int) {
 	for _, endpoint := range d.endpoints[1 : 1+servers] {
 		d.refusing[endpoint.Server] = true
@@ -162,7 +163,8 @@
 	d.publishEndpoints()
 }
 
-// runDecisions has one router decide at the peak's rate with all caches listed in its zone. Decisions cost no datagram.
+// runDecisions measures the decisions of one router at the peak rate, with all caches listed in its zone. Decisions
+// send no datagrams.
 func runDecisions(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -13,28 +13,28 @@
 	frameHeaderSize  = 13 // length, number and kind
 	endpointSize     = 27
 	purgeSize        = 16 // object and time
-	watchRequestSize = 8  // the number of the event that a router asks from
+	watchRequestSize = 8  // the number of the last event that a router has
 )
 
-// heartbeatsPerSecond are the frames that say that nothing is new.
+// heartbeatsPerSecond is the rate of the frames that carry no event.
 const heartbeatsPerSecond = 1
 
 // Times of the discovery test.
 const (
-	discoveryOutage    = 30 * second  // how long the service, or the part of it that a router uses, is away
-	regionsOutage      = 120 * second // how long it is for regions that are cut off
-	failedDialTime     = 30_000       // microseconds until an attempt to connect to what is away fails
-	recoverySeconds    = 10           // counted after an outage
+	discoveryOutage    = 30 * second  // during which the service, or the part that a router uses, is unreachable
+	regionsOutage      = 120 * second // the same for regions that are cut off
+	failedDialTime     = 30_000       // microseconds until an attempt to connect fails during an outage
+	recoverySeconds    = 10           // after an outage; measured with it
 	steadyStateSeconds = 60
 )
 
-// updateBytesPerSecond returns what a router receives from the service in steady state: heartbeats, and one frame for
-// each change of an endpoint.
+// updateBytesPerSecond returns the bytes per second that a router receives from the service in steady state:
+// heartbeats, and one frame for each change of an endpoint.
 func updateBytesPerSecond() float64 {
 	return heartbeatsPerSecond*frameHeaderSize + endpointChangesPerSecond*(frameHeaderSize+endpointSize)
 }
 
-// snapshotSize returns the size in bytes of the whole endpoint list in one frame.
+// snapshotSize returns the size in bytes of the frame with the whole endpoint list.
 func snapshotSize(o Options) float64 {
 	return float64(frameHeaderSize + endpointSize*(o.scaled(fleetCaches)+o.scaled(fleetZones)))
 }
@@ -45,7 +45,7 @@
 	rank int
 }
 
-// reconnectQueue is a heap with the earliest attempt first.
+// reconnectQueue is a heap of connection attempts, the earliest first.
 type reconnectQueue []reconnect
 
 // Len implements heap.Interface.
@@ -68,9 +68,9 @@
 	return popped
 }
 
-// simulateReconnects plays core/backoff for routers that lose the service at one moment and can't connect for the time
-// of an outage. It returns how many attempts the service would get in its worst second, and how many the worst router
-// makes.
+// simulateReconnects runs core/backoff for routers that lose the service at the same moment and cannot connect until
+// the end of an outage. It returns the maximum number of attempts of all routers in one second of the outage, and the
+// maximum number of attempts of one router during the outage.
 func simulateReconnects(fleetSize int, ranks []int, outage int64) (inWorstSecond, ofWorstRouter int) {
 	const lostAt = second
 	next := func(rank int, now int64, isRetry bool) int64 {
@@ -96,18 +96,18 @@
 // discoveryPhase is one phase of the discovery test.
 type discoveryPhase struct {
 	scenario     Scenario
-	affected     []int // ranks that lose the service, or start
-	outage       int64 // for how long
-	needSnapshot bool  // those come back with nothing, and take the whole endpoint list
+	affected     []int // ranks of the routers that lose the service, or start
+	outage       int64 // duration in microseconds
+	needSnapshot bool  // the affected routers have no state and need the whole endpoint list
 }
 
-// discoveryPhases returns the phases for a fleet.
+// discoveryPhases returns the phases of the discovery test, in order.
 func discoveryPhases(o Options) []discoveryPhase {
 	ranks := make([]int, o.Routers)
 	for rank := range ranks {
 		ranks[rank] = rank
 	}
-	first := func(fleetShare int) []int { return ranks[:o.scaled(fleetShare)] }
+	first := func(count int) []int { return ranks[:o.scaled(count)] }
 	const routersPerRegion = FleetRouters / fleetRegions
 	return []discoveryPhase{
 		{ColdStart, ranks, 0, true},
@@ -120,14 +120,14 @@
 	}
 }
 
-// discoveryCost is what a phase of the discovery test costs.
+// discoveryCost is the cost of a phase of the discovery test.
 type discoveryCost struct {
 	phase                 Phase
-	attemptsInWorstSecond int     // to connect, as the service gets them
-	reconnectBytes        float64 // that all affected routers exchange as they come back, updates apart
+	attemptsInWorstSecond int     // maximum of attempts to connect to the service in one second
+	reconnectBytes        float64 // that all affected routers exchange when they reconnect, without missed updates
 }
 
-// cost works out what the phase costs a router that is affected by it, and the mean of all.
+// cost returns the cost of the phase: the worst figures are those of an affected router, the mean is over all routers.
 func (p discoveryPhase) cost(o Options, clock threadCPUClock) discoveryCost {
 	startedAt := clock.now()
 	inWorstSecond, ofWorstRouter := 0, 0
@@ -169,7 +169,7 @@
 	}
 }
 
-// runDiscovery works out a router's traffic with the service; what the service bears goes into the metrics.
+// runDiscovery calculates a router's traffic with the discovery service. The metrics are the load of the service.
 func runDiscovery(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
--- a/lab/scale/discovery_test.go
+++ b/lab/scale/discovery_test.go
@@ -9,9 +9,9 @@
 	"spantack/standin/discovery"
 )
 
-// Frames have the sizes that the discovery and purges tests count, on the wire of the scripted service.
+// Guards against frame sizes in the discovery and purges tests that differ from those of standin/discovery.
 func TestFrameSizes(t *testing.T) {
-	const lengthSize = 4 // in bytes, and not counted by the length
+	const lengthSize = 4 // bytes of the length field, which does not count itself
 	service, err := discovery.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 		heartbeatAt: heartbeatSize,
 	} {
 		if length := frames[at+lengthSize-1]; length != size-lengthSize {
-			t.Errorf("a frame at %d of length %d, want %d", at, length, size-lengthSize)
+			t.Errorf("frame at offset %d has length %d, want %d", at, length, size-lengthSize)
 		}
 	}
 }
--- a/lab/scale/engine.go
+++ b/lab/scale/engine.go
@@ -8,32 +8,32 @@
 
 // Zones of the endpoint list.
 const (
-	siteZone = "z" // of a router and its edge caches
-	hubZone  = "h" // of parents and the origin
+	siteZone = "z" // zone of a router and its edge caches
+	hubZone  = "h" // zone of parents and the origin
 )
 
-// Kinds of server, with their place in the settings.
+// Kinds of servers, in the order of routing.Settings.Kinds.
 const (
 	edgeKind   = "box"
 	parentKind = "parent"
 	originKind = "origin"
 )
 
-// Of the engine's settings, as the fleet would have them.
+// Settings of the engine, as the operators' fleet would have them.
 const (
-	purgePropagationTime = 3_900_000 // microseconds until a purge is done everywhere
+	purgePropagationTime = 3_900_000 // microseconds until a purge has been applied everywhere
 	requestDeadline      = 5 * second
 	requestClass         = "small"
 
-	routersPerSite = (FleetRouters + fleetSites/2) / fleetSites // they share the caches of a site
+	routersPerSite = (FleetRouters + fleetSites/2) / fleetSites // routers that share the caches of a site
 )
 
-// newEngine returns the decision engine of a router.
+// newEngine returns a new decision engine with the settings of engineSettings.
 func newEngine(o Options) (*routing.Engine, error) {
 	return routing.NewEngine(engineSettings(o), int64(o.Seed%(1<<62)))
 }
 
-// engineSettings returns the settings of a router.
+// engineSettings returns the engine's settings in a fleet of this size.
 func engineSettings(o Options) routing.Settings {
 	return routing.Settings{
 		Classes: []routing.Class{{
@@ -84,18 +84,18 @@
 	}
 }
 
-// Multipliers that spread small numbers over all bits.
+// Multipliers that spread small numbers over all bits of a name.
 const (
 	objectMultiplier = 0x9e3779b97f4a7c15
 	serverMultiplier = 2654435761
 )
 
-// objectName returns a name that differs for each number.
+// objectName returns the unique name of the object with a number.
 func objectName(number int) string { return fmt.Sprintf("%016x", uint64(number)*objectMultiplier) }
 
 func serverName(number int) string { return fmt.Sprintf("s-%08x", uint32(number)*serverMultiplier) }
 
-// fleetEndpoints lists the origin first, then all edge caches, then the parents.
+// fleetEndpoints returns the endpoint list: the origin first, then all edge caches, then the parents.
 func fleetEndpoints(o Options) []routing.Endpoint {
 	endpoint := func(number int, zone, kind string) routing.Endpoint {
 		return routing.Endpoint{Server: serverName(number), Zone: zone, Kind: kind, Status: "healthy", Weight: 1}
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -1,10 +1,9 @@
 package scale
 
-// FleetRouters is the number of request routers of the operators' fleet. Fleets of other sizes have the same
-// proportions.
+// FleetRouters is the number of request routers of the operators' fleet. Fleets of other sizes are scaled from it.
 const FleetRouters = 11_000
 
-// The operators' fleet.
+// Sizes and rates of the operators' fleet.
 const (
 	fleetSites   = 890
 	fleetCaches  = 1_700
@@ -16,29 +15,29 @@
 	secondsPerDay            = 24 * 60 * 60
 	purgesPerSecond          = 240
 	endpointChangesPerSecond = 18_000.0 / secondsPerDay
-	requestsPerSecond        = 7_900_000.0 / FleetRouters // of one router at the peak
+	requestsPerSecond        = 7_900_000.0 / FleetRouters // peak rate of one router
 )
 
-// DefaultSizes are the numbers of routers that a test is run at when none is named.
+// DefaultSizes are the numbers of routers that a test runs with by default.
 var DefaultSizes = []int{300, 1_000, 3_000, FleetRouters}
 
-// Budget is what one request router may spend for control.
+// Budget is the maximum that one request router may use for control.
 type Budget struct {
 	BytesPerSecond float64
 	CPUPercent     float64 // of one core
 	MemoryKB       float64
 }
 
-// RouterBudget is the operators' bound: 12 KB a second, 4.4% of a core, 128 MB.
+// RouterBudget is the operators' budget for a request router: 12 KB per second, 4.4% of a core, 128 MB.
 var RouterBudget = Budget{BytesPerSecond: 12_000, CPUPercent: 4.4, MemoryKB: 128 * 1024}
 
-// scaled returns what corresponds, in a fleet of this size, to a number of the operators' fleet: 1 at least.
+// scaled scales a count in the operators' fleet to a fleet of o.Routers routers. It returns at least 1.
 func (o Options) scaled(count int) int {
 	return max((count*o.Routers+FleetRouters/2)/FleetRouters, 1)
 }
 
-// regionOf returns the region of one of count routers or processes, which all regions have equally many of.
+// regionOf returns the region of the router or process with an index. All regions have the same share of count.
 func regionOf(index, count int) int { return index * fleetRegions / count }
 
-// zoneOf is regionOf for zones.
+// zoneOf returns the zone of the router or process with an index. All zones have the same share of count.
 func zoneOf(index, count int) int { return index * fleetZones / count }
--- a/lab/scale/fleetrun.go
+++ b/lab/scale/fleetrun.go
@@ -6,16 +6,16 @@
 	"spantack/core/fleet"
 )
 
-// minRanksPerProcess is how many ranks or more each process plays where not all routers are simulated.
+// minRanksPerProcess is the minimum number of ranks that a process represents when not all routers are simulated.
 const minRanksPerProcess = 4
 
-// sampleSize is how many processes are simulated at most in fleets up to a size.
+// sampleSize is the maximum number of simulated processes in fleets of up to maxRouters routers.
 type sampleSize struct{ maxRouters, processes int }
 
-// sampleSizes fall with the size of the fleet, as each process costs more.
+// sampleSizes decrease with the size of the fleet, as the simulation of each process takes longer.
 var sampleSizes = []sampleSize{{300, 300}, {3_000, 250}, {maxRouters, 4 * fleetRegions}}
 
-// processCount returns how many processes stand for all routers.
+// processCount returns the number of processes to simulate. It equals Options.Routers if all routers are simulated.
 func processCount(o Options) int {
 	limit := o.MaxSimulated
 	if limit == 0 {
@@ -28,7 +28,7 @@
 	return min(limit, o.Routers/minRanksPerProcess)
 }
 
-// phaseSeconds are the lengths of phases in seconds of virtual time.
+// phaseSeconds are the durations of phases in seconds of virtual time.
 type phaseSeconds struct {
 	coldStart   int64
 	steadyState int64
@@ -42,14 +42,15 @@
 	limitPhases      = phaseSeconds{coldStart: 6, steadyState: 3, fault: 4, partition: 60, settle: 2}
 )
 
-// With Options.ShortPhases a phase lasts a sixth, within these bounds in seconds.
+// With Options.ShortPhases the duration of a phase is divided by shortPhaseDivisor and then clamped to these bounds in
+// seconds.
 const (
 	shortPhaseDivisor = 6
 	minShortSeconds   = 2
 	maxShortSeconds   = 4
 )
 
-// shortened returns the lengths that the options ask for.
+// shortened returns the durations for the options: shorter ones with Options.ShortPhases.
 func (s phaseSeconds) shortened(o Options) phaseSeconds {
 	if !o.ShortPhases {
 		return s
@@ -66,13 +67,13 @@
 	}
 }
 
-// fleetRun plays the phases of the membership or the limits test in one world.
+// fleetRun simulates the phases of the membership or the limits test in one world.
 type fleetRun struct {
 	world      *world
 	seconds    phaseSeconds
 	result     *Result
 	options    Options
-	phaseCount int // of the phases that are measured
+	phaseCount int // number of measured phases
 }
 
 func newFleetRun(o Options, seconds phaseSeconds, clock threadCPUClock, limits ...fleet.Limit) (*fleetRun, error) {
@@ -89,9 +90,9 @@
 	}, nil
 }
 
-// run plays a cold start, steady state, faults that take routers away, a partition of regions, and a restart of most.
-// lostAlone returns the router that ProcessLost stops.
-func (f *fleetRun) run(lostAlone func() int, faults ...Scenario) error {
+// run simulates a cold start, steady state, faults that stop routers, a partition of regions, and a restart of most
+// routers. processLostRank returns the rank of the router that ProcessLost stops.
+func (f *fleetRun) run(processLostRank func() int, faults ...Scenario) error {
 	f.phaseCount = len(faults) + 4
 	if err := f.measure(ColdStart, f.seconds.coldStart); err != nil {
 		return err
@@ -100,7 +101,7 @@
 		return err
 	}
 	for _, scenario := range faults {
-		if err := f.loseAndRestart(scenario, lostAlone()); err != nil {
+		if err := f.stopAndRestart(scenario, processLostRank()); err != nil {
 			return err
 		}
 	}
@@ -110,10 +111,10 @@
 	return f.massRestart()
 }
 
-// measure lets a phase pass and adds what it cost to the result.
+// measure simulates a phase and adds its cost to the result.
 func (f *fleetRun) measure(scenario Scenario, seconds int64) error {
 	f.resetMeters()
-	if err := f.pass(seconds); err != nil {
+	if err := f.advance(seconds); err != nil {
 		return err
 	}
 	f.addPhase(scenario, seconds)
@@ -127,15 +128,15 @@
 	}
 }
 
-// pass lets seconds of virtual time pass.
-func (f *fleetRun) pass(seconds int64) error { return f.world.run(f.world.now + seconds*second) }
+// advance simulates a number of seconds of virtual time.
+func (f *fleetRun) advance(seconds int64) error { return f.world.run(f.world.now + seconds*second) }
 
 func (f *fleetRun) addPhase(scenario Scenario, seconds int64) {
 	f.result.Phases = append(f.result.Phases, f.world.phase(scenario, seconds))
 	f.options.Progress(len(f.result.Phases), f.phaseCount)
 }
 
-// phase sums up what processes that run counted.
+// phase returns the cost of a phase, from the meters of the running processes.
 func (w *world) phase(scenario Scenario, seconds int64) Phase {
 	running := w.running()
 	var traffics []*traffic
@@ -149,8 +150,9 @@
 	meanCPU /= float64(len(running))
 	phase, index := newPhase(scenario, seconds, traffics)
 	busiest := running[index]
-	// Of all routers one is the busiest; the others are as those that were simulated are on average. Where routers ask
-	// several for a lease, as when most have just started, a sample gives these too much weight.
+	// Only one router of the fleet is the busiest; the other routers cost the mean of the other simulated processes.
+	// When routers request a lease from several routers, for instance when most have just started, a sample gives these
+	// several too much weight.
 	busiestBytes := float64(busiest.traffic.bytes)
 	routers := float64(w.routers)
 	othersMean := (total - busiestBytes) / float64(len(running)-1)
@@ -160,14 +162,14 @@
 	return phase
 }
 
-// affectedRanks returns the routers that a scenario stops; lostAlone is that of ProcessLost.
-func (f *fleetRun) affectedRanks(scenario Scenario, lostAlone int) []int {
+// affectedRanks returns the ranks of the routers that a scenario stops; for ProcessLost it is processLostRank.
+func (f *fleetRun) affectedRanks(scenario Scenario, processLostRank int) []int {
 	w := f.world
 	last := w.processes[len(w.processes)-1]
 	switch scenario {
 	case ProcessLost:
-		return []int{lostAlone}
-	case RackLost: // as many as a site has: the last ranks
+		return []int{processLostRank}
+	case RackLost: // the last ranks, as many as a site has
 		routersPerSite := w.routers / w.sites
 		return w.ranksOf(func(rank int, _ *process) bool { return rank >= w.routers-routersPerSite })
 	case ZoneLost:
@@ -180,18 +182,19 @@
 	return nil
 }
 
-// loseAndRestart plays a fault that takes routers away, and starts them again. For ProcessLost it adds a metric: how
-// many know of the loss or, with limits, how long it took until most had a lease holder again. Those that know are
-// seldom all: updates about a cold start are passed on for minutes, and this one waits among them.
-func (f *fleetRun) loseAndRestart(scenario Scenario, lostAlone int) error {
-	ranks := f.affectedRanks(scenario, lostAlone)
+// stopAndRestart simulates a fault that stops routers, and starts them again. For ProcessLost it adds a metric: without
+// limits, the fraction of the processes that have detected the loss; with limits, the time until most had a lease
+// holder again. The fraction is seldom 1: updates about a cold start are passed on for minutes, and the update about
+// the loss is queued with them.
+func (f *fleetRun) stopAndRestart(scenario Scenario, processLostRank int) error {
+	ranks := f.affectedRanks(scenario, processLostRank)
 	f.world.stop(ranks)
 	if err := f.measure(scenario, f.seconds.fault); err != nil {
 		return err
 	}
 	if scenario == ProcessLost {
 		if len(f.world.limits) == 0 {
-			f.result.addMetric("known_dead", f.world.failureAwareFraction(lostAlone))
+			f.result.addMetric("known_dead", f.world.failureAwareFraction(processLostRank))
 		} else if err := f.awaitNewLeaseHolder(); err != nil {
 			return err
 		}
@@ -199,14 +202,14 @@
 	if err := f.world.restart(ranks); err != nil {
 		return err
 	}
-	return f.pass(f.seconds.settle)
+	return f.advance(f.seconds.settle)
 }
 
-// maxLeaseRecoverySeconds bounds the wait for a new holder.
+// maxLeaseRecoverySeconds is the maximum time from the loss of a holder to the end of the wait for a new one.
 const maxLeaseRecoverySeconds = 30
 
-// awaitNewLeaseHolder waits until more than half have a holder again after the last one was lost, and adds the time
-// since the loss to the result.
+// awaitNewLeaseHolder simulates until more than half of the processes have a new holder after the last one was lost,
+// or maxLeaseRecoverySeconds have passed. It adds the time since the loss to the result.
 func (f *fleetRun) awaitNewLeaseHolder() error {
 	const step = second / 2
 	took := f.seconds.fault * second
@@ -220,26 +223,27 @@
 	return nil
 }
 
-// partitionRegions cuts regions off from one another, and heals that. The time after that counts too.
+// partitionRegions simulates a partition between all regions and its end. The phase includes the settle time after the
+// partition.
 func (f *fleetRun) partitionRegions() error {
 	f.resetMeters()
 	f.world.isPartitioned = true
-	if err := f.pass(f.seconds.partition); err != nil {
+	if err := f.advance(f.seconds.partition); err != nil {
 		return err
 	}
 	f.world.isPartitioned = false
-	if err := f.pass(f.seconds.settle); err != nil {
+	if err := f.advance(f.seconds.settle); err != nil {
 		return err
 	}
 	f.addPhase(RegionsPartitioned, f.seconds.partition+f.seconds.settle)
 	return nil
 }
 
-// massRestart stops most routers at one moment and starts them a second later.
+// massRestart stops most routers at the same moment and starts them again a second later.
 func (f *fleetRun) massRestart() error {
 	ranks := f.affectedRanks(MassRestart, 0)
 	f.world.stop(ranks)
-	if err := f.pass(1); err != nil {
+	if err := f.advance(1); err != nil {
 		return err
 	}
 	if err := f.world.restart(ranks); err != nil {
@@ -248,7 +252,7 @@
 	return f.measure(MassRestart, f.seconds.fault)
 }
 
-// runMembership plays membership without limits.
+// runMembership measures membership without limits.
 func runMembership(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
@@ -263,13 +267,13 @@
 	return f.result, nil
 }
 
-// Of the limit that all routers want more of than there is.
+// The fleet limit. The demand of all routers together exceeds it.
 const (
 	limitPerRouter     = 4
 	limitFloorFraction = 0.25
 )
 
-// runLimits plays one limit that is leased by a single holder.
+// runLimits measures one limit with a single lease holder.
 func runLimits(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
--- a/lab/scale/leases.go
+++ b/lab/scale/leases.go
@@ -7,8 +7,8 @@
 	"spantack/core/lease"
 )
 
-// leaseSizes are the payloads in bytes of the datagrams that carry messages of core/lease: see the head of core/fleet's
-// datagram.go.
+// leaseSizes are the payload sizes in bytes of the datagrams that carry messages of core/lease. The format is described
+// at the top of core/fleet's datagram.go.
 var leaseSizes = map[lease.MessageKind]int{
 	lease.KindRequest: bodyOffset + 12,
 	lease.KindGrant:   bodyOffset + 16,
@@ -16,14 +16,14 @@
 	lease.KindVoteAck: bodyOffset + 6,
 }
 
-// The tree of groups.
+// The lease tree.
 const (
-	siteGroupSize   = 16  // ranks in the smallest group, somewhat more than a site has
-	regionGroupSize = 512 // and in a group of those
+	siteGroupSize   = 16  // ranks in a group of the lowest level, somewhat more than a site has
+	regionGroupSize = 512 // ranks in a group of the next level
 	electorCount    = 5
 )
 
-// leaseTickInterval is the time between two ticks of a router, in microseconds.
+// leaseTickInterval is the interval of a router's ticks, in microseconds.
 const leaseTickInterval = second / 20
 
 // Phases of the leases test, in seconds.
@@ -36,13 +36,14 @@
 	leasePhaseCount         = 6
 )
 
-// recoveredFraction of what was in use before a loss is in use again when the limit has recovered.
+// recoveredFraction is the fraction of the usage before a loss, in proportion to the remaining routers, at which the
+// limit counts as recovered.
 const recoveredFraction = 0.8
 
-// leaseWorldStream tells the random numbers of a leaseWorld from others of the same seed.
+// leaseWorldStream separates the random numbers of a leaseWorld from others with the same seed.
 const leaseWorldStream = 13
 
-// leaseTopology returns the tree of a fleet of some size.
+// leaseTopology returns the lease tree of a fleet with a number of routers.
 func leaseTopology(routers int) lease.Topology {
 	topology := lease.Topology{Routers: routers, GroupSizes: []int{siteGroupSize}}
 	if routers > 2*regionGroupSize {
@@ -54,11 +55,11 @@
 	return topology
 }
 
-// leaseRouter is one router's part in a limit that is leased by a tree, without its membership.
+// leaseRouter is the lease node of one router, without its membership node.
 type leaseRouter struct {
 	node        *lease.Node
 	region      int
-	tickOffset  int64 // of its ticks, which are not in phase with those of others
+	tickOffset  int64 // in microseconds; differs between routers, so that they do not tick at the same time
 	isUp        bool
 	incarnation uint32
 	traffic     traffic
@@ -70,8 +71,8 @@
 	message  lease.Message
 }
 
-// leaseWorld plays the leases of all routers, each simulated in full. Routers know at once who is up; how they learn it
-// is what the membership test is about.
+// leaseWorld simulates the leases of a fleet, with every router in full. Routers know at once which others are up; the
+// membership test measures how they detect that.
 type leaseWorld struct {
 	rng           *rand.Rand
 	seed          uint64
@@ -80,8 +81,8 @@
 	now           int64
 	routers       []*leaseRouter // by rank
 	calendar      calendar[leaseDelivery]
-	isPartitioned bool  // messages pass within regions alone
-	err           error // of the start of a node; the world stops then
+	isPartitioned bool  // messages pass only within regions
+	err           error // of a failed start of a node; the simulation then stops
 }
 
 func newLeaseWorld(o Options) *leaseWorld {
@@ -101,7 +102,7 @@
 	return w
 }
 
-// start gives a router an empty state.
+// start starts a router with an empty state.
 func (w *leaseWorld) start(rank int) {
 	router := w.routers[rank]
 	router.isUp = true
@@ -124,7 +125,7 @@
 	router.node = node
 }
 
-// reaches returns whether messages pass from one router to another.
+// reaches returns whether the receiver is up and not partitioned from the sender.
 func (w *leaseWorld) reaches(from, to int) bool {
 	return w.routers[to].isUp && (!w.isPartitioned || w.routers[from].region == w.routers[to].region)
 }
@@ -137,7 +138,7 @@
 	w.calendar.add(arrivalTime(w.rng, w.now), leaseDelivery{from, to, message})
 }
 
-// run lets virtual time pass.
+// run simulates until a virtual time in microseconds or the first error, which it returns.
 func (w *leaseWorld) run(until int64) error {
 	for ; w.now < until && w.err == nil; w.now += slotDuration {
 		for _, delivery := range w.calendar.take(w.now) {
@@ -161,7 +162,7 @@
 	router.node.Receive(w.now, delivery.from, delivery.message)
 }
 
-// usedFraction returns the fraction of the limit that routers may use at present.
+// usedFraction returns the fraction of the limit that all running routers together may use now.
 func (w *leaseWorld) usedFraction() (fraction float64) {
 	for _, router := range w.routers {
 		if router.isUp {
@@ -171,7 +172,7 @@
 	return fraction
 }
 
-// fleetHolder returns the rank that holds the lease of the whole fleet, or the first rank where none does.
+// fleetHolder returns the rank of the holder at the top of the lease tree, or rank 0 if there is none.
 func (w *leaseWorld) fleetHolder() int {
 	topLevel := len(w.topology.GroupSizes) + 1
 	for _, rank := range w.topology.Electors {
@@ -183,8 +184,8 @@
 	return 0
 }
 
-// regionOfHolder returns all routers of the region that the fleet's holder is in.
-func (w *leaseWorld) regionOfHolder() (ranks []int) {
+// ranksOfHolderRegion returns the ranks of all routers in the region of the fleet's holder.
+func (w *leaseWorld) ranksOfHolderRegion() (ranks []int) {
 	region := w.routers[w.fleetHolder()].region
 	for rank, router := range w.routers {
 		if router.region == region {
@@ -194,8 +195,8 @@
 	return ranks
 }
 
-// measure lets a phase pass and returns what it cost. The processor time is the mean of all routers, with what the
-// simulation takes.
+// measure simulates a phase and returns its cost. The CPU time is the mean over all routers and includes the overhead
+// of the simulation.
 func (w *leaseWorld) measure(clock threadCPUClock, scenario Scenario, seconds int64) (Phase, error) {
 	for _, router := range w.routers {
 		router.traffic = traffic{}
@@ -217,7 +218,7 @@
 	return phase, err
 }
 
-// leaseRun plays the phases of the test.
+// leaseRun simulates the phases of the leases test.
 type leaseRun struct {
 	world    *leaseWorld
 	clock    threadCPUClock
@@ -225,7 +226,7 @@
 	progress func(done, all int)
 }
 
-// runPhase plays a phase and adds what it cost to the result.
+// runPhase simulates a phase and adds its cost to the result.
 func (r *leaseRun) runPhase(scenario Scenario, seconds int64) error {
 	phase, err := r.world.measure(r.clock, scenario, seconds)
 	r.result.Phases = append(r.result.Phases, phase)
@@ -233,15 +234,15 @@
 	return err
 }
 
-// pass lets virtual time pass.
-func (r *leaseRun) pass(duration int64) error { return r.world.run(r.world.now + duration) }
+// advance simulates a duration of virtual time in microseconds.
+func (r *leaseRun) advance(duration int64) error { return r.world.run(r.world.now + duration) }
 
-// addUsedFraction adds what is in use now to the result.
+// addUsedFraction adds the current usedFraction to the result as a metric.
 func (r *leaseRun) addUsedFraction(metric string) { r.result.addMetric(metric, r.world.usedFraction()) }
 
-// loseAndRestart plays the loss of routers, waits until the rest uses the limit again, adds what it uses then to the
-// result, and starts the lost ones.
-func (r *leaseRun) loseAndRestart(scenario Scenario, ranks []int, metric string) error {
+// stopAndRestart simulates the loss of routers. It waits until the limit has recovered, for at most lease.RecoveryTime
+// after the loss, adds the used fraction to the result, starts the lost routers again and lets the fleet settle.
+func (r *leaseRun) stopAndRestart(scenario Scenario, ranks []int, metric string) error {
 	w := r.world
 	before := w.usedFraction()
 	for _, rank := range ranks {
@@ -253,7 +254,7 @@
 		return err
 	}
 	for w.usedFraction() < recovered && w.now < lostAt+lease.RecoveryTime {
-		if err := r.pass(second); err != nil {
+		if err := r.advance(second); err != nil {
 			return err
 		}
 	}
@@ -261,10 +262,11 @@
 	for _, rank := range ranks {
 		w.start(rank)
 	}
-	return r.pass(leaseSettleSeconds * second)
+	return r.advance(leaseSettleSeconds * second)
 }
 
-// partitionRegions cuts regions off from one another, and heals that.
+// partitionRegions simulates a partition between all regions and the recovery from it. It adds the used fraction at the
+// end of both to the result.
 func (r *leaseRun) partitionRegions() error {
 	r.world.isPartitioned = true
 	if err := r.runPhase(RegionsPartitioned, leasePartitionSeconds); err != nil {
@@ -272,14 +274,14 @@
 	}
 	r.addUsedFraction("used_while_cut")
 	r.world.isPartitioned = false
-	if err := r.pass(lease.RecoveryTime); err != nil {
+	if err := r.advance(lease.RecoveryTime); err != nil {
 		return err
 	}
 	r.addUsedFraction("used_after_cut")
 	return nil
 }
 
-// massRestart starts most routers anew at one moment.
+// massRestart restarts most routers at the same moment.
 func (r *leaseRun) massRestart() error {
 	for rank := range r.world.routers {
 		if restartsInMassRestart(rank) {
@@ -289,15 +291,15 @@
 	if err := r.runPhase(MassRestart, leaseLossSeconds); err != nil {
 		return err
 	}
-	if err := r.pass(lease.RecoveryTime - leaseLossSeconds*second); err != nil {
+	if err := r.advance(lease.RecoveryTime - leaseLossSeconds*second); err != nil {
 		return err
 	}
 	r.addUsedFraction("used_after_restarts")
 	return nil
 }
 
-// run plays a cold start, steady state, the loss of the fleet's holder and of its region, a partition of regions, and a
-// restart of most.
+// run simulates a cold start, steady state, the loss of the fleet's holder and of its region, a partition of regions,
+// and a restart of most routers.
 func (r *leaseRun) run() error {
 	if err := r.runPhase(ColdStart, leaseColdStartSeconds); err != nil {
 		return err
@@ -307,10 +309,10 @@
 	}
 	r.addUsedFraction("used")
 	holder := []int{r.world.fleetHolder()}
-	if err := r.loseAndRestart(ProcessLost, holder, "used_without_holder"); err != nil {
+	if err := r.stopAndRestart(ProcessLost, holder, "used_without_holder"); err != nil {
 		return err
 	}
-	if err := r.loseAndRestart(RegionLost, r.world.regionOfHolder(), "used_without_region"); err != nil {
+	if err := r.stopAndRestart(RegionLost, r.world.ranksOfHolderRegion(), "used_without_region"); err != nil {
 		return err
 	}
 	if err := r.partitionRegions(); err != nil {
@@ -319,7 +321,7 @@
 	return r.massRestart()
 }
 
-// runLeases plays leases by a tree, without membership.
+// runLeases measures leases by a lease tree, without membership.
 func runLeases(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
--- a/lab/scale/leases_test.go
+++ b/lab/scale/leases_test.go
@@ -8,10 +8,10 @@
 	"spantack/core/lease"
 )
 
-// Where all routers want of one limit that is leased by a tree, none bears more than its group and its children: the
-// worst stays within the budget of a router, at six times the size with a level more, and the limit is in use before
-// and after losses.
-func TestLeasesOfATreeFitTheBudget(t *testing.T) {
+// Guards against a lease tree that overloads a router or leaves the limit unused. All routers request leases of one
+// limit, and each has traffic only with its group and its children. The worst router stays within the budget, also in a
+// fleet of six times the size with one more level, and the limit is in use before and after losses.
+func TestLeaseTreeStaysWithinBudget(t *testing.T) {
 	for _, routers := range []int{200, 1_200} {
 		result := run(t, "leases", Options{Routers: routers, Seed: 6})
 		if !result.WithinBudget() || result.SimulatedProcesses != routers {
@@ -27,7 +27,7 @@
 	}
 }
 
-// Datagrams of leases have the sizes that the leases test counts, by the real codec.
+// Guards against datagram sizes in the leases test that differ from the codec of core/fleet.
 func TestLeaseSizes(t *testing.T) {
 	const firstTreeOperation = opHealthReport + 1
 	topology := lease.Topology{Routers: 4, GroupSizes: []int{2}, Electors: []int{0, 1, 3}}
@@ -66,11 +66,11 @@
 		}
 	}
 	if len(seen) != len(leaseSizes) {
-		t.Errorf("sizes %v", seen)
+		t.Errorf("a wrong number of datagram sizes was seen: %v", seen)
 	}
 	for kind, size := range leaseSizes {
 		if !seen[size] {
-			t.Errorf("no datagram of kind %d with %d bytes: %v", kind, size, seen)
+			t.Errorf("no datagram of kind %d with %d bytes; sizes seen: %v", kind, size, seen)
 		}
 	}
 }
--- a/lab/scale/meter.go
+++ b/lab/scale/meter.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// traffic counts what one process sends and receives.
+// traffic counts the datagrams and frames that one process sends and receives.
 type traffic struct {
 	bytes       int64
 	datagrams   int64
-	windowEnd   int64 // of the second that is being counted
-	windowBytes int64 // so far in it
-	peakBytes   int64 // greatest windowBytes
+	windowEnd   int64 // end of the current window of one second
+	windowBytes int64 // bytes in the current window
+	peakBytes   int64 // maximum of windowBytes
 }
 
-// add counts one datagram or frame.
+// add counts one datagram or frame of size bytes.
 func (t *traffic) add(now int64, size int) {
 	t.bytes += int64(size)
 	t.datagrams++
@@ -29,8 +29,8 @@
 	t.peakBytes = max(t.peakBytes, t.windowBytes)
 }
 
-// newPhase returns a phase with the traffic of all processes that run, and the index of the one with the most bytes.
-// There must be one at least.
+// newPhase returns a phase with the traffic of the running processes, and the index of the process with the most bytes.
+// There must be at least one process.
 func newPhase(scenario Scenario, seconds int64, running []*traffic) (phase Phase, busiest int) {
 	duration := float64(seconds)
 	phase = Phase{Scenario: scenario, Seconds: duration}
@@ -48,16 +48,16 @@
 	return phase, busiest
 }
 
-// threadCPUClock reads the processor time of the calling thread, which must not change meanwhile.
+// threadCPUClock reads the CPU time of the calling thread. The goroutine must stay on its thread between two readings.
 type threadCPUClock struct{}
 
-// lockThreadCPUClock keeps the calling goroutine on its thread until release is called.
+// lockThreadCPUClock locks the calling goroutine to its thread until release is called.
 func lockThreadCPUClock() (clock threadCPUClock, release func()) {
 	runtime.LockOSThread()
 	return threadCPUClock{}, runtime.UnlockOSThread
 }
 
-// now returns 0 on a system that does not tell; figures are 0 then.
+// now returns the CPU time so far, or 0 on a system without this clock; all CPU figures are then 0.
 func (threadCPUClock) now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
@@ -66,8 +66,8 @@
 	return time.Duration(t.Nano())
 }
 
-// cpuPercent returns processor time in percent of a time in virtual seconds.
+// cpuPercent returns CPU time as a percentage of a duration in virtual seconds.
 func cpuPercent(used time.Duration, seconds float64) float64 { return used.Seconds() / seconds * 100 }
 
-// memoryKB returns the size of all that a pointer leads to.
+// memoryKB returns the size, in KB of 1,024 bytes, of everything that is reachable from a pointer.
 func memoryKB(pointer any) float64 { return float64(size.Of(&pointer)) / 1024 }
--- a/lab/scale/purges.go
+++ b/lab/scale/purges.go
@@ -11,24 +11,24 @@
 	purgePhaseCount         = 3
 )
 
-// objectCount is how many objects there are; purges and requests go through them in turn.
+// objectCount is the number of objects. Purges and requests cycle through them.
 const objectCount = 1 << 16
 
-// purgeInterval is the time from one purge to the next, in microseconds.
+// purgeInterval is the time between two purges, in microseconds.
 const purgeInterval = second / purgesPerSecond
 
-// purgeRun is one router that receives all purges.
+// purgeRun simulates one router that receives all purges.
 type purgeRun struct {
 	options Options
 	clock   threadCPUClock
 	engine  *routing.Engine
 	now     int64
-	purges  int // so far
+	purges  int // number of purges so far
 	result  *Result
 }
 
-// receive has the router receive purges at an interval, each for copies that have reached an age, and returns the
-// processor time in seconds.
+// receive makes the router receive count purges, one per interval, each of copies of at least some age. Interval and
+// age are in microseconds. It returns the CPU time in seconds.
 func (r *purgeRun) receive(count int, interval, age int64) float64 {
 	startedAt := r.clock.now()
 	for range count {
@@ -40,7 +40,7 @@
 	return (r.clock.now() - startedAt).Seconds()
 }
 
-// addPhase adds to the result what a phase cost in which so many purges came, the most of them in one second.
+// addPhase adds a phase to the result: the number of purges in it, the maximum in one second, and the CPU time.
 func (r *purgeRun) addPhase(scenario Scenario, seconds, purges, maxPerSecond int, usedSeconds float64) {
 	duration := float64(seconds)
 	bytes := float64(purges)*(frameHeaderSize+purgeSize) + updateBytesPerSecond()*duration
@@ -57,15 +57,15 @@
 	r.options.Progress(len(r.result.Phases), purgePhaseCount)
 }
 
-// runEvenly plays a phase in which purges come one by one.
+// runEvenly simulates a phase in which purges arrive at a constant rate.
 func (r *purgeRun) runEvenly(scenario Scenario, seconds int) {
 	count := seconds * purgesPerSecond
 	used := r.receive(count, purgeInterval, 0)
 	r.addPhase(scenario, seconds, count, purgesPerSecond, used)
 }
 
-// runPartition plays a phase in which the router is cut off from the service. When it is back it receives what it
-// missed in one piece.
+// runPartition simulates a phase in which the router is partitioned from the discovery service. After the partition it
+// receives all missed purges at once.
 func (r *purgeRun) runPartition(seconds int) {
 	r.now += int64(seconds) * second
 	used := r.receive(seconds*purgesPerSecond, 0, int64(seconds)*second/2)
@@ -74,8 +74,8 @@
 	r.addPhase(RegionsPartitioned, total, total*purgesPerSecond, (seconds+1)*purgesPerSecond, used)
 }
 
-// runPurges has one router receive all purges. What one router receives does not depend on how many there are; what the
-// service sends does.
+// runPurges measures one router that receives all purges. Its traffic does not depend on the number of routers; the
+// traffic of the discovery service does.
 func runPurges(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
@@ -91,7 +91,7 @@
 	r.runEvenly(SteadyState, purgeSteadyStateSeconds/divisor)
 	r.runPartition(purgePartitionSeconds / divisor)
 
-	// A router that starts anew asks from the event that its configuration names: it receives no old purges.
+	// A restarted router requests the events after the one in its configuration, so it receives no old purges.
 	if r.engine, err = newEngine(o); err != nil {
 		return nil, err
 	}
--- a/lab/scale/result.go
+++ b/lab/scale/result.go
@@ -5,35 +5,37 @@
 	"strings"
 )
 
-// Phase is what one phase of a test measured. Bytes are payloads of datagrams and frames, in and out; those of a
-// process are means over the phase, and the worst process is the one with the most. The names of the JSON are those of
-// the files of results that are kept.
+// Phase is the measured cost of one phase of a test. Bytes are payloads of datagrams and frames, sent and received.
+// Bytes per second are means over the phase, and the worst process is the one with the most bytes. The JSON names are
+// those of stored results files.
 type Phase struct {
 	Scenario            Scenario `json:"Trouble"`
 	Seconds             float64  `json:"Seconds"`
 	MeanBytesPerSecond  float64  `json:"MeanBytesPerSecond"`
 	WorstBytesPerSecond float64  `json:"WorstBytesPerSecond"`
-	// PeakBytes is the greatest number of any process in one second.
+	// PeakBytes is the maximum of any process in one second.
 	PeakBytes               float64 `json:"PeakBytes"`
 	WorstDatagramsPerSecond float64 `json:"WorstDatagramsPerSecond"`
-	// CPUPercent is of one core, for the process with the most bytes. It is the one figure that a seed does not fix.
+	// CPUPercent is the CPU usage of the process with the most bytes, in percent of one core. It is the only figure that
+	// is not determined by the seed.
 	CPUPercent float64 `json:"CPUPercent"`
-	// MemoryKB is the state of that process, in the part under test.
+	// MemoryKB is the size of that process's state in the mechanism under test.
 	MemoryKB float64 `json:"MemoryKB"`
 }
 
-// Metric is a further result of a test.
+// Metric is an additional figure of a test.
 type Metric struct {
 	Name  string  `json:"Name"`
 	Value float64 `json:"Value"`
 }
 
-// Result is what one run of a test measured at one size.
+// Result is the result of one run of a test with one number of routers.
 type Result struct {
 	Test    string `json:"Test"`
 	Routers int    `json:"Routers"`
 	Seed    uint64 `json:"Seed"`
-	// SimulatedProcesses are simulated in full; where there are fewer than routers, each plays several.
+	// SimulatedProcesses is the number of processes that are simulated in full. If it is less than Routers, each process
+	// represents several routers.
 	SimulatedProcesses int      `json:"Simulated"`
 	Phases             []Phase  `json:"Phases"`
 	Metrics            []Metric `json:"Figures"`
@@ -43,7 +45,8 @@
 	r.Metrics = append(r.Metrics, Metric{name, value})
 }
 
-// Worst returns the greatest of each figure over all phases, with the last scenario of those that cost the most bytes.
+// Worst returns the maximum of each figure of the worst process over all phases. Its scenario is that of the phase with
+// the most bytes per second, or of the last such phase.
 func (r *Result) Worst() (worst Phase) {
 	for _, phase := range r.Phases {
 		if phase.WorstBytesPerSecond >= worst.WorstBytesPerSecond {
@@ -58,7 +61,7 @@
 	return worst
 }
 
-// MeanBytesPerSecond returns the mean over processes in steady state, or 0 where the test has no such phase.
+// MeanBytesPerSecond returns the mean over all processes in steady state, or 0 if the test has no such phase.
 func (r *Result) MeanBytesPerSecond() float64 {
 	for _, phase := range r.Phases {
 		if phase.Scenario == SteadyState {
@@ -68,7 +71,7 @@
 	return 0
 }
 
-// WithinBudget returns whether the worst process stayed within RouterBudget in every phase.
+// WithinBudget returns whether the worst process was within RouterBudget in all phases.
 func (r *Result) WithinBudget() bool {
 	worst := r.Worst()
 	return worst.WorstBytesPerSecond <= RouterBudget.BytesPerSecond &&
@@ -76,13 +79,13 @@
 		worst.MemoryKB <= RouterBudget.MemoryKB
 }
 
-// Verdicts of a RESULT line. Scripts read them.
+// Verdicts of a RESULT line, which scripts parse.
 const (
 	verdictPassed = "kept"
 	verdictFailed = "short"
 )
 
-// Line returns the run in one line, which scripts read.
+// Line returns the result as one RESULT line, which scripts parse.
 func (r *Result) Line() string {
 	verdict := verdictFailed
 	if r.WithinBudget() {
--- a/lab/scale/resultset.go
+++ b/lab/scale/resultset.go
@@ -11,10 +11,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// ResultSet holds the results of tests by their names, each by size.
+// ResultSet contains the results of tests, by test name. The results of a test are in the order of their sizes.
 type ResultSet map[string][]*Result
 
-// ReadResultSet reads the results of all tests from the folders of a directory.
+// ReadResultSet reads the results of all tests from the subdirectories of dir, which are named after the tests.
 func ReadResultSet(dir string) (ResultSet, error) {
 	set := ResultSet{}
 	for _, test := range Tests() {
@@ -27,7 +27,7 @@
 	return set, nil
 }
 
-// costByName has the figures of a phase under the names that paths have for them.
+// costByName are the figures of a phase, by their names in paths (see ResultSet.Value).
 var costByName = map[string]func(Phase) float64{
 	"bytes":         func(p Phase) float64 { return p.WorstBytesPerSecond },
 	"mean_bytes":    func(p Phase) float64 { return p.MeanBytesPerSecond },
@@ -40,11 +40,11 @@
 	"memory_factor": func(p Phase) float64 { return p.MemoryKB / RouterBudget.MemoryKB },
 }
 
-// statePerRouter is the name of the bytes that a process holds for each router.
+// statePerRouter is the name in paths of a process's state in bytes, divided by the number of routers.
 const statePerRouter = "state_per_router"
 
-// cost returns a figure of a result: that of one scenario or, without one, the greatest of all phases. A metric has no
-// scenario.
+// cost returns a figure of a result: its maximum over the phases of a scenario, or over all phases if scenario is
+// empty. The name of a metric is also valid, but only with an empty scenario.
 func (r *Result) cost(scenario Scenario, name string) (float64, error) {
 	if name == statePerRouter {
 		kilobytes, err := r.cost(scenario, "memory")
@@ -74,14 +74,15 @@
 	return r.Metrics[index].Value, nil
 }
 
-// PowerLaw is a fit through a cost at several sizes: cost = Factor * routers^Exponent.
+// PowerLaw is a fit of a cost at several sizes: cost = Factor * routers^Exponent.
 type PowerLaw struct {
 	Exponent, Factor float64
-	// MaxRelativeError is the greatest difference of a measured cost from the fit, as a fraction of the measured one.
+	// MaxRelativeError is the maximum relative difference between measured costs and the fit.
 	MaxRelativeError float64
 }
 
-// fit lays a line through the logarithms by least squares.
+// fit fits a power law to a figure over all sizes, by linear regression of the logarithms. It returns an error if there
+// are fewer than two sizes, or a size without the figure or with a figure of 0 or less.
 func (s ResultSet) fit(test string, scenario Scenario, name string) (PowerLaw, error) {
 	var sizes, values []float64
 	for _, result := range s[test] {
@@ -107,15 +108,15 @@
 	return law, nil
 }
 
-// Sizes of a path that stand for the fit over all sizes.
+// Values of SIZE in a path that select the fit over all sizes.
 const (
-	sizeSlope = "slope" // its exponent
-	sizeError = "error" // its greatest error, in percent
+	sizeSlope = "slope" // the exponent
+	sizeError = "error" // the maximum relative error, in percent
 )
 
-// Value returns the figure that a path names: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME, with "slope" or "error" for SIZE
-// the exponent of its fit over all sizes, or the greatest error of that in percent. Several paths with " + " between
-// them are added up.
+// Value returns the figure at a path: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME. SIZE is a number of routers. With "slope"
+// as SIZE it returns the exponent of the power law fitted over all sizes, with "error" the maximum relative error of
+// that fit in percent. For several paths separated by " + " it returns the sum.
 func (s ResultSet) Value(path string) (sum float64, err error) {
 	for term := range strings.SplitSeq(path, " + ") {
 		value, err := s.lookup(term)
@@ -127,14 +128,14 @@
 	return sum, nil
 }
 
-// lookup returns the figure that a single path names.
+// lookup returns the figure at a single path.
 func (s ResultSet) lookup(path string) (float64, error) {
 	parts := strings.Split(path, "/")
 	if len(parts) == 3 {
 		parts = slices.Insert(parts, 2, "")
 	}
 	if len(parts) != 4 {
-		return 0, fmt.Errorf("figure %q: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME wanted", path)
+		return 0, fmt.Errorf("figure %q: must be TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME", path)
 	}
 	test, size, scenario, name := parts[0], parts[1], Scenario(parts[2]), parts[3]
 	switch size {
@@ -150,5 +151,5 @@
 			return result.cost(scenario, name)
 		}
 	}
-	return 0, fmt.Errorf("figure %q: not measured", path)
+	return 0, fmt.Errorf("figure %q: no result of this test and size", path)
 }
--- a/lab/scale/resultsfile.go
+++ b/lab/scale/resultsfile.go
@@ -7,11 +7,11 @@
 	"path/filepath"
 )
 
-// ResultsFile is the name of the file that WriteResults puts into its folder.
+// ResultsFile is the name of the file that WriteResults creates.
 const ResultsFile = "results.json"
 
-// WriteResults puts the results of one test at several sizes, one at least, into a folder, with charts of cost over
-// size. It makes the folder if need be.
+// WriteResults writes the results of one test at one or more sizes to a directory, with charts of the costs over the
+// size. It creates the directory if necessary.
 func WriteResults(dir string, results []*Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("--out: %w", err)
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// ReadResults returns the results that WriteResults put into a folder.
+// ReadResults reads the results that WriteResults wrote to a directory.
 func ReadResults(dir string) ([]*Result, error) {
 	text, err := os.ReadFile(filepath.Join(dir, ResultsFile))
 	if err != nil {
--- a/lab/scale/resultsfile_test.go
+++ b/lab/scale/resultsfile_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// What is written can be read, and there are charts; a folder that can't be made is named.
+// Guards against results that change when they are written and read, missing charts, and an error about the directory
+// that does not name its flag.
 func TestWriteResults(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
 	results := []*Result{
@@ -17,17 +18,17 @@
 	if err := WriteResults(dir, results); err != nil {
 		t.Fatal(err)
 	}
-	back, err := ReadResults(dir)
-	if err != nil || len(back) != 2 || back[1].Line() != results[1].Line() {
-		t.Fatalf("%+v, %v", back, err)
+	read, err := ReadResults(dir)
+	if err != nil || len(read) != 2 || read[1].Line() != results[1].Line() {
+		t.Fatalf("read results %+v, error %v", read, err)
 	}
 	for _, file := range []string{"bytes.svg", "datagrams.svg", "memory.svg"} {
 		if text, err := os.ReadFile(filepath.Join(dir, file)); err != nil || !strings.Contains(string(text), "<svg") {
-			t.Errorf("%s: %v", file, err)
+			t.Errorf("chart %s is not an SVG file, or cannot be read: %v", file, err)
 		}
 	}
 	err = WriteResults(filepath.Join(dir, ResultsFile), results)
 	if err == nil || !strings.Contains(err.Error(), "--out") {
-		t.Errorf("a folder where a file is: %v", err)
+		t.Errorf("directory path that is a file: error %v, want one with --out", err)
 	}
 }
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -1,9 +1,9 @@
-// Package scale measures what the fleet's own mechanisms cost as the number of request routers grows: the real code of
-// core and routing, in virtual time, in steady state and under faults, judged against what a request router may spend
-// for control.
+// Package scale measures how the cost of the fleet's control mechanisms grows with the number of request routers. It
+// runs the real code of core and routing in virtual time, in steady state and under faults, and compares the cost with
+// the budget of a request router.
 //
-// Where a test can't hold all routers in memory or time it simulates a sample of processes in full, and each of them
-// plays several routers (see world.go). Results name how many processes were simulated.
+// If a test would need too much memory or time to simulate all routers, it simulates a sample of processes in full, and
+// each process represents several routers (see world.go). Results contain the number of simulated processes.
 package scale
 
 import (
@@ -13,10 +13,10 @@
 	"strings"
 )
 
-// Scenario names what a phase of a test plays. The text stands in results and on the capacity page.
+// Scenario is the name of the scenario of a phase. Results and the capacity page contain it.
 type Scenario string
 
-// The scenarios, in the order in which they are played.
+// The scenarios. Each test simulates some of them.
 const (
 	ColdStart          Scenario = "cold start"
 	SteadyState        Scenario = "ordinary day"
@@ -40,21 +40,21 @@
 	maxSeed    = 1 << 63
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	// Routers is the size of the fleet, from 100 to 16,000.
 	Routers int
-	// Seed, up to 2^63, decides the network's chance and the load.
+	// Seed, from 0 to 2^63, is the seed of all random numbers, such as those of the network.
 	Seed uint64
-	// ShortPhases makes phases last a sixth or less, for tests.
+	// ShortPhases shortens phases, many to a sixth or less, for Go tests.
 	ShortPhases bool
-	// MaxSimulated bounds how many processes are simulated in full; 0: as many as the test bears.
+	// MaxSimulated is the maximum number of processes that are simulated in full; 0: a default for the fleet's size.
 	MaxSimulated int
-	// Progress is called after each phase with how many are done. It may be nil.
+	// Progress is called after each phase with the number of finished phases and of all phases. It may be nil.
 	Progress func(done, all int)
 }
 
-// Validate returns an error that names the option that can't be used.
+// Validate returns an error that names the first invalid option, or nil.
 func (o Options) Validate() error {
 	switch {
 	case o.Routers < minRouters || o.Routers > maxRouters:
@@ -67,26 +67,26 @@
 	return nil
 }
 
-// Test is one that can be run.
+// Test is a scale test.
 type Test struct {
 	Name, Title string
 	run         func(Options) (*Result, error)
 }
 
-// Tests returns all tests, by name.
+// Tests returns all tests, sorted by name.
 func Tests() []Test {
 	return []Test{
-		{"decisions", "a request's decision, with all caches listed", runDecisions},
-		{"discovery", "the discovery service: its updates, and all that lose it at once", runDiscovery},
-		{"leases", "leases of one fleet limit that all routers want, by a tree of groups, without membership", runLeases},
-		{"limits", "leases of one fleet limit that all routers want, from one holder", runLimits},
-		{"membership", "who is up: probes and membership updates", runMembership},
-		{"purges", "purges, told by the discovery service and remembered by each router", runPurges},
-		{"verdicts", "health reports of one server that all routers observe failing, without membership", runVerdicts},
+		{"decisions", "routing decisions of one router, with all caches in the endpoint list", runDecisions},
+		{"discovery", "updates from the discovery service, and reconnections after an outage of it", runDiscovery},
+		{"leases", "leases of one fleet limit for all routers, by a lease tree, without membership", runLeases},
+		{"limits", "leases of one fleet limit for all routers, from a single holder", runLimits},
+		{"membership", "fleet membership: probes and membership updates", runMembership},
+		{"purges", "purges that one router receives from the discovery service and stores", runPurges},
+		{"verdicts", "health reports when all routers observe one server failing, without membership", runVerdicts},
 	}
 }
 
-// FindTest returns the test of a name, or an error that lists all.
+// FindTest returns the test with a name, or an error that lists the names of all tests.
 func FindTest(name string) (Test, error) {
 	tests := Tests()
 	var names []string
@@ -95,15 +95,15 @@
 	}
 	index := slices.Index(names, name)
 	if index < 0 {
-		return Test{}, fmt.Errorf("NAME %q: no such test; there are %s", name, strings.Join(names, ", "))
+		return Test{}, fmt.Errorf("NAME %q: no such test; must be one of %s", name, strings.Join(names, ", "))
 	}
 	return tests[index], nil
 }
 
-// errInvalidOptions is what the errors of Run wrap that are about its options.
+// errInvalidOptions is wrapped by the errors of Run for invalid options.
 var errInvalidOptions = errors.New("invalid options")
 
-// Run runs the test at one size.
+// Run runs the test with a fleet of o.Routers routers. It returns an error if an option is invalid.
 func (t Test) Run(o Options) (*Result, error) {
 	if err := o.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", errInvalidOptions, err)
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// So many processes are simulated in full in most tests, so that they stay short with the race detector too.
+// Numbers of processes to simulate, small enough to keep tests short with the race detector.
 const (
-	fewProcesses = 60
-	fewest       = 30 // where a coarser sample will do: what a lease holder receives does not depend on it
+	fewProcesses    = 60
+	fewestProcesses = 30 // a coarser sample, enough for lease traffic: what a lease holder receives does not depend on it
 )
 
-// run plays a test in its short form.
+// run runs a scale test with short phases.
 func run(t *testing.T, name string, o Options) *Result {
 	t.Helper()
 	test, err := FindTest(name)
@@ -29,19 +29,19 @@
 	return result
 }
 
-// expectMetrics fails the test where a metric is below its bound.
+// expectMetrics reports an error for each metric below its minimum.
 func expectMetrics(t *testing.T, result *Result, minimum map[string]float64) {
 	t.Helper()
 	for name, want := range minimum {
 		if value, err := result.cost("", name); err != nil || value < want {
-			t.Errorf("%s, %d routers: %s is %v (%v), want %v at least", result.Test, result.Routers, name, value, err, want)
+			t.Errorf("%s, %d routers: %s is %v (%v), want at least %v", result.Test, result.Routers, name, value, err, want)
 		}
 	}
 }
 
-// Each test runs at two sizes; its figures are there, and what one router spends for membership, purges and decisions
-// is within the budget.
-func TestShortForms(t *testing.T) {
+// Guards against scale tests with missing figures, invalid RESULT lines or, except for limits, more bytes per second
+// than the budget. Each scale test runs at two sizes.
+func TestAllTestsReportFiguresWithinBudget(t *testing.T) {
 	for _, test := range Tests() {
 		for _, routers := range []int{300, 1_000} {
 			result := run(t, test.Name, Options{Routers: routers, Seed: 5, MaxSimulated: fewProcesses})
@@ -50,24 +50,24 @@
 			hasBytes := worst.WorstBytesPerSecond > 0 || test.Name == "decisions"
 			isWorst := worst.WorstBytesPerSecond >= result.MeanBytesPerSecond()
 			if len(result.Phases) < 3 || !hasMemory || !hasBytes || !isWorst {
-				t.Errorf("%s at %d: %+v", test.Name, routers, result)
+				t.Errorf("%s at %d: missing or inconsistent figures: %+v", test.Name, routers, result)
 			}
 			line := result.Line()
 			if !strings.HasPrefix(line, "RESULT scale "+test.Name+" routers=") || strings.Contains(line, "NaN") {
-				t.Errorf("%s at %d: %s", test.Name, routers, line)
+				t.Errorf("%s at %d: invalid RESULT line: %s", test.Name, routers, line)
 			}
 			if test.Name != "limits" && worst.WorstBytesPerSecond > RouterBudget.BytesPerSecond {
-				t.Errorf("%s at %d: the worst process has %.0f bytes a second",
+				t.Errorf("%s at %d: worst process over the budget, %.0f bytes per second",
 					test.Name, routers, worst.WorstBytesPerSecond)
 			}
 		}
 	}
 }
 
-// Everything but processor time is the same for a seed, and another seed gives other figures.
+// Guards against figures that are not determined by the seed, except CPU time, and against a seed that has no effect.
 func TestSameSeedSameResult(t *testing.T) {
 	phases := func(name string, seed uint64) string {
-		result := run(t, name, Options{Routers: 160, Seed: seed, MaxSimulated: fewest})
+		result := run(t, name, Options{Routers: 160, Seed: seed, MaxSimulated: fewestProcesses})
 		for i := range result.Phases {
 			result.Phases[i].CPUPercent = 0
 		}
@@ -79,22 +79,22 @@
 	}
 	for _, test := range Tests() {
 		if a, b := phases(test.Name, 9), phases(test.Name, 9); a != b {
-			t.Errorf("%s:\n%s\n%s", test.Name, a, b)
+			t.Errorf("%s: phases differ with the same seed:\n%s\n%s", test.Name, a, b)
 		}
 	}
 	if phases("membership", 9) == phases("membership", 10) {
-		t.Error("membership: seeds 9 and 10 give the same")
+		t.Error("membership: seeds 9 and 10 have the same phases")
 	}
 }
 
 func TestUnknownTest(t *testing.T) {
 	_, err := FindTest("conditions")
 	if err == nil || !strings.Contains(err.Error(), `NAME "conditions"`) || !strings.Contains(err.Error(), "membership") {
-		t.Errorf("no such test: %v", err)
+		t.Errorf("error %v, want one with the unknown name and the names of all tests", err)
 	}
 }
 
-// Options that can't be used are refused by name.
+// Guards against invalid options that are accepted, and against errors that do not name the option.
 func TestInvalidOptions(t *testing.T) {
 	test, err := FindTest("discovery")
 	if err != nil {
@@ -108,7 +108,7 @@
 		"MaxSimulated":    {Routers: 300, MaxSimulated: -1},
 	} {
 		if _, err := test.Run(o); !errors.Is(err, errInvalidOptions) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%+v: %v, want %s", o, err, want)
+			t.Errorf("options %+v: error %v, want one with %s", o, err, want)
 		}
 	}
 }
--- a/lab/scale/stored_compat_test.go
+++ b/lab/scale/stored_compat_test.go
@@ -6,8 +6,8 @@
 	"spantack/internal/testfixture"
 )
 
-// The file results.json of spanlab scale run.
-func TestStoredResultsAreReadAndWrittenAlike(t *testing.T) {
+// Guards against a changed format of results.json, which spanlab scale run writes.
+func TestStoredResultsKeepFormat(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/results.json", " ", []*Result{
 		{
 			Test:               "s1",
--- a/lab/scale/verdicts.go
+++ b/lab/scale/verdicts.go
@@ -6,14 +6,14 @@
 	"spantack/core/fleet"
 )
 
-// failingServer is the one that all routers observe failing in the verdicts test.
+// failingServer is the id of the server that all routers observe failing in the verdicts test.
 const failingServer = 0x2a
 
-// serversOfSameKind are what may be ejected of the failing server's kind.
+// serversOfSameKind are the ids of all servers of the failing server's kind.
 var serversOfSameKind = []uint32{failingServer, failingServer + 1, failingServer + 2}
 
-// reportSize is the payload in bytes of a report's datagram without membership updates, which go out with pings and
-// acks alone.
+// reportSize is the payload size in bytes of a health report's datagram. It contains no membership updates, which are
+// sent only with pings and acks.
 var reportSize = bodyOffset + bodySizes[opHealthReport]
 
 // Phases of the verdicts test, in seconds.
@@ -27,34 +27,34 @@
 	reportTickInterval = second / 20
 	highLossRate       = 0.3 // of PacketLoss
 
-	// reportWorldStream tells the random numbers of a reportWorld from others of the same seed.
+	// reportWorldStream separates the random numbers of a reportWorld from others with the same seed.
 	reportWorldStream = 11
 )
 
-// reportRouter is one router's part in health reports, without its membership.
+// reportRouter is the health-report state of one router, without its membership node.
 type reportRouter struct {
 	reports    *fleet.HealthReports
 	site       int
 	region     int
-	tickOffset int64 // of its ticks, which are not in phase with those of others
+	tickOffset int64 // in microseconds; differs between routers, so that they do not tick at the same time
 	isUp       bool
 	traffic    traffic
 }
 
-// reportDelivery is a report in flight to one router.
+// reportDelivery is a health report in flight to one router.
 type reportDelivery struct {
 	from, to int // ranks
 	server   uint32
 }
 
-// reportWorld plays the health reports of all routers, each simulated in full.
+// reportWorld simulates the health reports of a fleet, with every router in full.
 type reportWorld struct {
 	rng             *rand.Rand
 	now             int64
 	routers         []*reportRouter // by rank
 	calendar        calendar[reportDelivery]
 	serverIsFailing bool // all routers observe failingServer failing
-	isPartitioned   bool // reports pass within regions alone
+	isPartitioned   bool // reports pass only within regions
 	lossRate        float64
 }
 
@@ -72,7 +72,7 @@
 	return w
 }
 
-// start gives a router an empty state.
+// start starts a router with an empty state.
 func (w *reportWorld) start(rank int) {
 	router := w.routers[rank]
 	router.isUp = true
@@ -94,7 +94,7 @@
 	}
 }
 
-// broadcast sends one datagram to the address that reaches all.
+// broadcast sends a report of a server to all other routers. It counts as one sent datagram.
 func (w *reportWorld) broadcast(from int, server uint32) {
 	sender := w.routers[from]
 	sender.traffic.add(w.now, reportSize)
@@ -106,7 +106,7 @@
 	}
 }
 
-// run lets virtual time pass.
+// run simulates a number of seconds of virtual time.
 func (w *reportWorld) run(seconds int64) {
 	for until := w.now + seconds*second; w.now < until; w.now += slotDuration {
 		for _, delivery := range w.calendar.take(w.now) {
@@ -136,7 +136,7 @@
 	router.reports.Tick(w.now)
 }
 
-// ejectingFraction returns the fraction of the running routers that eject the failing server.
+// ejectingFraction returns the fraction of the running routers that have ejected the failing server.
 func (w *reportWorld) ejectingFraction() float64 {
 	ejecting := 0
 	running := 0
@@ -149,8 +149,8 @@
 	return float64(ejecting) / float64(running)
 }
 
-// measure lets a phase pass and returns what it cost. The processor time is the mean of all routers, with what the
-// simulation takes.
+// measure simulates a phase and returns its cost. The CPU time is the mean over all routers and includes the overhead
+// of the simulation.
 func (w *reportWorld) measure(clock threadCPUClock, scenario Scenario, seconds int64) Phase {
 	for _, router := range w.routers {
 		router.traffic = traffic{}
@@ -170,7 +170,7 @@
 	return phase
 }
 
-// ranksOfLastRegion returns the routers of the last router's region.
+// ranksOfLastRegion returns the ranks of all routers in the region of the last router.
 func (w *reportWorld) ranksOfLastRegion() (ranks []int) {
 	region := w.routers[len(w.routers)-1].region
 	for rank, router := range w.routers {
@@ -181,8 +181,9 @@
 	return ranks
 }
 
-// runVerdicts plays health reports alone: steady state without any, then all routers that observe one server failing
-// from the same moment on, through loss of datagrams and of routers.
+// runVerdicts measures health reports without membership. After a steady state without reports, all routers observe the
+// same server failing from the same moment on, also during packet loss, the loss of a region, a partition of regions
+// and a mass restart.
 func runVerdicts(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
--- a/lab/scale/verdicts_test.go
+++ b/lab/scale/verdicts_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// However many routers observe a server failing at one moment, a router receives reports of it no more often, and all
-// of them do: all routers are simulated. Before reports were suppressed by random waits, a router of 1,000 received 1.9
-// times as many as one of 300.
-func TestReportsDoNotGrowWithTheFleet(t *testing.T) {
+// Guards against health reports whose rate grows with the number of routers that observe a server failing at the same
+// moment. Random waits suppress redundant reports; without them a router in a fleet of 1,000 received 1.9 times as many
+// reports as one in a fleet of 300. All routers are simulated, and all of them must eject the server.
+func TestReportRateIndependentOfFleetSize(t *testing.T) {
 	small := run(t, "verdicts", Options{Routers: 300, Seed: 5})
 	middle := run(t, "verdicts", Options{Routers: 1_000, Seed: 5})
 	large := run(t, "verdicts", Options{Routers: 3_000, Seed: 5})
 	if small.SimulatedProcesses != 300 || large.SimulatedProcesses != 3_000 {
-		t.Fatalf("%d and %d routers simulated", small.SimulatedProcesses, large.SimulatedProcesses)
+		t.Fatalf("%d and %d routers simulated, want 300 and 3,000", small.SimulatedProcesses, large.SimulatedProcesses)
 	}
-	// A region of 300 routers is one site or less, which no report of another site can hold back or complete.
+	// In a fleet of 300 a region has at most one site, so no report from another site can suppress or confirm a report.
 	for scenario, smaller := range map[Scenario]*Result{
 		ServerFailing:      small,
 		PacketLoss:         small,
@@ -22,7 +22,7 @@
 		ofSmaller, errSmaller := smaller.cost(scenario, "datagrams")
 		ofLarge, errLarge := large.cost(scenario, "datagrams")
 		if errSmaller != nil || errLarge != nil || ofSmaller <= 0 || ofLarge > 1.5*ofSmaller {
-			t.Errorf("%s: a router receives %.0f reports a second of %d, %.0f of 3,000 (%v, %v)",
+			t.Errorf("%s: a router has %.0f reports per second with %d routers, %.0f with 3,000 (%v, %v)",
 				scenario, ofSmaller, smaller.Routers, ofLarge, errSmaller, errLarge)
 		}
 	}
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -11,31 +11,34 @@
 )
 
 const (
-	// cpuSampleInterval is how many calls there are to one that is timed.
+	// cpuSampleInterval is the number of calls for each call that is timed.
 	cpuSampleInterval = 4
 
 	// maxFirstTickDelay bounds the random time from the start of a node to its first tick, in microseconds.
 	maxFirstTickDelay = slotCount / 2 * slotDuration
 
-	// demandPerRouter is what each router wants of a limit: more than there is.
+	// demandPerRouter is each router's demand for a limit, more than is available.
 	demandPerRouter = 1e5
 
-	// maxSuspectedRanks bounds how many of its ranks a process refutes in turn.
+	// maxSuspectedRanks is the maximum number of suspected ranks that a process remembers, to refute one after another.
 	maxSuspectedRanks = 8
 
-	// worldStream tells a world's random numbers from others of the same seed.
+	// worldStream separates a world's random numbers from others with the same seed.
 	worldStream = 7
 )
 
 // world is a fleet of core/fleet nodes in virtual time.
 //
-// Where it simulates fewer processes than there are routers, process i plays all ranks r with r mod processes = i: it
-// believes in all routers, is spoken to under each of its ranks and replies under that one, and begins conversations
-// under one drawn at random. So each process sends and receives as much as one router does. What goes to one router
-// from all, a request for a lease, is delivered once for each rank that its sender plays, so that the receiver gets as
-// much as it would from all. A report to everybody is delivered once: the waits before reports are drawn by the number
-// of routers, and how many are sent before they suppress the others does not depend on how many of those routers take
-// part (core/fleet). Ranks of one process share incarnation and fate, but for single ranks that are lost.
+// If it simulates fewer processes than there are routers, process i represents all ranks r with r mod processes = i.
+// Its node is configured for a fleet of all routers. The process receives datagrams for each of its ranks and replies
+// from the rank that was addressed. Datagrams that are no replies come from one of its ranks at random. Each process
+// therefore sends and receives as much as one router.
+//
+// All routers send lease requests to one router. Such a request is delivered once for each rank that its sender
+// represents, so that the receiver gets as many as from all routers. A health report is broadcast and delivered once:
+// the random waits before reports depend on the configured number of routers, and the number of reports that are sent
+// before the others are suppressed does not depend on how many of these routers are simulated (see core/fleet). The
+// ranks of one process have the same incarnation and stop and start together, except for single ranks that are lost.
 type world struct {
 	rng           *rand.Rand
 	clock         threadCPUClock
@@ -46,26 +49,26 @@
 	seed          uint64
 	processes     []*process
 	lost          []bool // by rank
-	isPartitioned bool   // datagrams pass within regions alone
+	isPartitioned bool   // datagrams pass only within regions
 	lossRate      float64
 	calendar      calendar[event]
-	err           error // the first of a node; the world stops then
-	calls         int   // of nodes, so far
+	err           error // an error of a node; the simulation then stops
+	calls         int   // number of node calls so far
 }
 
-// process is one that is simulated in full.
+// process is a process that is simulated in full.
 type process struct {
 	index       int
-	primary     int // the rank that its node has
+	primary     int // the rank of its node
 	node        *fleet.Node
 	incarnation uint32 // of the node, which a restart replaces
 	region      int
 	zone        int
 
-	replyingAs     int    // the rank that it was spoken to under, during the call; -1: it acts by itself
-	suspectedRanks []int  // of its ranks, those that others suspected last
-	nextSuspect    int    // counts through them
-	refuted        uint16 // by its node, in the last update about it
+	replyingAs     int    // the addressed rank while the node handles a datagram; otherwise -1
+	suspectedRanks []int  // those of its ranks that others suspected last, the oldest first
+	nextSuspect    int    // counter, modulo their number the index of the next one to refute
+	refuted        uint16 // in the last update that its node sent about itself
 
 	traffic traffic
 	cpu     time.Duration
@@ -76,8 +79,8 @@
 	at          int64
 	from, to    int // ranks
 	datagram    []byte
-	incarnation uint32 // of a tick: of the process that it is for
-	forAllRanks bool   // deliver it once for each rank that the sender's process plays
+	incarnation uint32 // for a tick: the process's incarnation when the tick was scheduled
+	forAllRanks bool   // deliver it once for each rank that the sender's process represents
 }
 
 func newWorld(o Options, clock threadCPUClock, processes int, limits ...fleet.Limit) (*world, error) {
@@ -108,10 +111,10 @@
 	return w, nil
 }
 
-// processOf returns the process that plays a rank.
+// processOf returns the process that represents a rank.
 func (w *world) processOf(rank int) *process { return w.processes[rank%len(w.processes)] }
 
-// isSampled returns whether processes play several ranks each.
+// isSampled returns whether fewer processes are simulated than there are routers.
 func (w *world) isSampled() bool { return len(w.processes) < w.routers }
 
 func (w *world) siteOf(rank int) int { return rank * w.sites / w.routers }
@@ -121,7 +124,7 @@
 	return slices.DeleteFunc(slices.Clone(w.processes), func(p *process) bool { return w.lost[p.primary] })
 }
 
-// start gives a process a node that knows nothing.
+// start starts a process with a node that has an empty state.
 func (w *world) start(p *process) error {
 	p.incarnation++
 	node, err := fleet.New(w.now, fleet.Options{
@@ -149,14 +152,14 @@
 	w.schedule(event{at: at, from: p.primary, to: p.primary, incarnation: p.incarnation})
 }
 
-// schedule adds an event, earlier than it should be where it lies beyond the calendar.
+// schedule adds an event. The time of an event beyond the end of the calendar is moved to the calendar's last slot.
 func (w *world) schedule(e event) {
 	e.at = min(e.at, w.now+(slotCount-1)*slotDuration)
 	w.calendar.add(e.at, e)
 }
 
-// pickSenderRank draws one of a process's ranks that is not lost. Towards a rank of its own it is not the primary,
-// whose datagrams a node ignores.
+// pickSenderRank returns a random rank of a process that is not lost. If the receiver is a rank of the same process, it
+// returns neither that rank nor the primary rank, whose datagrams the node ignores.
 func (w *world) pickSenderRank(p *process, to int) int {
 	if !w.isSampled() {
 		return p.primary
@@ -171,7 +174,7 @@
 	}
 }
 
-// send delivers a datagram of p's node.
+// send sends a datagram of p's node to a rank or to fleet.Broadcast.
 func (w *world) send(p *process, to int, datagram []byte) {
 	p.traffic.add(w.now, len(datagram))
 	op := operationOf(datagram)
@@ -191,13 +194,13 @@
 		return
 	}
 	if op == opLeaseGrant && w.isSampled() && to != w.processOf(to).primary {
-		return // of all ranks of a process only the primary's lease is kept by its node
+		return // a node stores only the lease of its primary rank
 	}
 	forAllRanks := op == opLeaseRequest && w.isSampled()
 	w.deliver(p, event{from: sender, to: to, datagram: datagram, forAllRanks: forAllRanks})
 }
 
-// deliver schedules the arrival of a datagram of p, or loses it.
+// deliver schedules the arrival of a datagram from p, or drops it because of a lost rank, a partition or packet loss.
 func (w *world) deliver(p *process, e event) {
 	if w.lost[e.to] || w.lost[e.from] {
 		return
@@ -213,7 +216,8 @@
 	w.schedule(e)
 }
 
-// rewriteSender makes a datagram of p's node one of another rank that p plays.
+// rewriteSender changes the sender of a datagram of p's node to another rank that p represents. A membership update
+// about the node becomes one about a suspected rank of p, if there is one.
 func (w *world) rewriteSender(p *process, rank int, datagram []byte) {
 	setRank(datagram, rank, w.siteOf(rank))
 	if operationOf(datagram) == opAck && targetOf(datagram) == p.primary {
@@ -231,7 +235,8 @@
 	})
 }
 
-// rewriteTarget makes updates about any rank that p plays ones about its node.
+// rewriteTarget changes membership updates about any rank that p represents to updates about p's node. It records the
+// suspected ranks, for later refutations.
 func (w *world) rewriteTarget(p *process, datagram []byte) {
 	eachUpdate(datagram, func(u membershipUpdate) {
 		rank := u.rank()
@@ -249,7 +254,7 @@
 	})
 }
 
-// run lets virtual time pass.
+// run simulates until a virtual time in microseconds or the first error, which it returns.
 func (w *world) run(until int64) error {
 	for ; w.now < until && w.err == nil; w.now += slotDuration {
 		for _, e := range w.calendar.take(w.now) {
@@ -261,7 +266,7 @@
 	return w.err
 }
 
-// dispatch hands an event to a process, and times one call in cpuSampleInterval.
+// dispatch passes an event to a process. It measures the CPU time of one call in cpuSampleInterval.
 func (w *world) dispatch(p *process, e event) {
 	w.calls++
 	if w.calls%cpuSampleInterval != 0 {
@@ -299,26 +304,27 @@
 	p.traffic.add(w.now, len(datagram))
 	err := p.node.Receive(w.now, from, datagram)
 	if err != nil && !errors.Is(err, fleet.ErrStale) {
-		w.err = fmt.Errorf("rank %d receives from %d: %w", p.primary, from, err)
+		w.err = fmt.Errorf("rank %d: datagram from rank %d: %w", p.primary, from, err)
 	}
 }
 
 func (w *world) tick(p *process, e event) {
 	if e.incarnation != p.incarnation {
-		return // of a node that was replaced
+		return // the tick is for a node that was replaced
 	}
 	next := p.node.Tick(w.now)
 	w.scheduleTick(p, max(next, w.now+slotDuration))
 }
 
-// stop ends routers; processes whose primary rank is among them stop wholly.
+// stop stops routers. A process whose primary rank is among them stops with its node.
 func (w *world) stop(ranks []int) {
 	for _, rank := range ranks {
 		w.lost[rank] = true
 	}
 }
 
-// restart starts routers anew that were stopped. Of a process that runs, a rank goes on with the others.
+// restart starts stopped routers again. A process whose primary rank is among them gets a new node; other ranks resume
+// with the node of their process.
 func (w *world) restart(ranks []int) error {
 	for _, rank := range ranks {
 		w.lost[rank] = false
@@ -331,7 +337,7 @@
 	return nil
 }
 
-// ranksOf returns the ranks that match.
+// ranksOf returns the ranks for which match returns true.
 func (w *world) ranksOf(match func(rank int, p *process) bool) (ranks []int) {
 	for rank := range w.routers {
 		if match(rank, w.processOf(rank)) {
@@ -341,12 +347,12 @@
 	return ranks
 }
 
-// leasedFraction returns the fraction of the processes that a holder has granted a lease of the first limit of late.
+// leasedFraction returns the fraction of the running processes that have a recent lease of the first limit.
 func (w *world) leasedFraction() float64 {
 	return w.fractionOfRunning(func(p *process) bool { return p.node.LimitStatuses(w.now)[0].Holder >= 0 })
 }
 
-// failureAwareFraction returns the fraction of the processes that take a router for dead.
+// failureAwareFraction returns the fraction of the running processes that consider a router dead.
 func (w *world) failureAwareFraction(rank int) float64 {
 	return w.fractionOfRunning(func(p *process) bool { return !p.node.IsUp(rank) })
 }
@@ -362,11 +368,11 @@
 	return float64(matching) / float64(len(running))
 }
 
-// majorityLeaseHolder returns the rank that most processes have for the holder of the first limit, or otherwise, where
-// no rank has more votes than that one.
-func (w *world) majorityLeaseHolder(otherwise int) int {
+// majorityLeaseHolder returns the rank that most processes consider the holder of the first limit. It returns fallback
+// if no rank has more votes than fallback.
+func (w *world) majorityLeaseHolder(fallback int) int {
 	votes := make([]int, w.routers)
-	best := otherwise
+	best := fallback
 	for _, p := range w.processes {
 		rank := p.node.LimitStatuses(w.now)[0].Holder
 		if rank < 0 {
@@ -380,7 +386,7 @@
 	return best
 }
 
-// totalQuota returns what all routers may use of the first limit.
+// totalQuota returns the sum of the quotas of all running processes for the first limit.
 func (w *world) totalQuota() (sum float64) {
 	for _, p := range w.running() {
 		sum += p.node.Quota(w.now, 0)
