--- a/standin/cache/requestlog.go
+++ b/standin/cache/requestlog.go
@@ -28,8 +28,9 @@
 )
 
 // attempt is the time from the arrival of a GET until the server stopped working on it. Arrival times come from the
-// kernel, so the order in which this process reads its connections on a busy machine has no influence. The close of a
-// connection has no kernel time: it counts from when it was read. A response counts from just before it is written.
+// kernel, so the order in which this process reads its connections on a busy machine has no influence. The kernel gives
+// no time for the close of a connection; the time when this process noticed it is used. The end by a response is the
+// time just before the response is written.
 type attempt struct {
 	server     string
 	clientAddr string
--- a/standin/cache/requestlog_test.go
+++ b/standin/cache/requestlog_test.go
@@ -113,7 +113,7 @@
 	testwait.Until(t, "the second attempt", func() bool { return len(log.Requests()) == 2 })
 	awaitInFlight(t, log, 1)
 	if overlaps := log.Overlaps(); (len(overlaps) == 0) != dropFirst {
-		t.Fatalf("overlaps: %v", overlaps)
+		t.Fatalf("wrong overlaps for the order of arrival: %v", overlaps)
 	}
 }
 
@@ -165,6 +165,6 @@
 	}
 	log.begin(Request{ID: "a", ArrivedAt: start.Add(3 * time.Millisecond)}, "")
 	if overlaps := log.Overlaps(); len(overlaps) > 0 {
-		t.Errorf("overlaps: %v", overlaps)
+		t.Errorf("overlaps with an attempt that ended before: %v, want none", overlaps)
 	}
 }
--- a/standin/cache/server_test.go
+++ b/standin/cache/server_test.go
@@ -29,7 +29,7 @@
 
 // Guards against responses with a wrong status or copy source, and against filled copies that are not stored: the
 // next request for a filled copy must be a hit.
-func TestResponses(t *testing.T) {
+func TestResponsesHaveStatusAndCopySource(t *testing.T) {
 	log := NewRequestLog()
 	var servers sync.Map // by name; the servers look each other up in their own goroutines
 	find := func(name string) *Server {
@@ -103,7 +103,7 @@
 
 // Guards against a paused server that reads requests. Only the read that is already blocked still receives bytes;
 // later ones stay unread until the server resumes.
-func TestPause(t *testing.T) {
+func TestPausedServerReadsNothing(t *testing.T) {
 	log := NewRequestLog()
 	s := startHangingServer(t, 1, log)
 	conn := startRequest(t, s)
--- a/standin/discovery/mode_test.go
+++ b/standin/discovery/mode_test.go
@@ -56,7 +56,7 @@
 
 // Guards against a mode that is not applied to open or new connections. One service goes through all modes, and some
 // connections stay open across mode changes.
-func TestModes(t *testing.T) {
+func TestModesApplyToConnections(t *testing.T) {
 	s := start(t)
 	s.Publish(true)
 	setMode := func(mode Mode) {
--- a/standin/discovery/service_test.go
+++ b/standin/discovery/service_test.go
@@ -11,7 +11,7 @@
 
 // Guards against missing, repeated or wrongly encoded events: a router must receive the frames of all events after the
 // one that it names, including events that are published later.
-func TestEvents(t *testing.T) {
+func TestConnectionReceivesAllLaterEvents(t *testing.T) {
 	s := start(t)
 	endpoint := Endpoint{
 		ID: 0x01020304, Addr: netip.MustParseAddrPort("10.11.12.13:4660"), State: 1, Zone: 2, Kind: 3,
--- a/standin/link/mesh_test.go
+++ b/standin/link/mesh_test.go
@@ -73,7 +73,7 @@
 
 // Guards against datagrams that arrive although they are lost or blocked, datagrams from a wrong address, and missing
 // duplicates. Lost datagrams must not show up before later ones; routers see only each other's mesh addresses.
-func TestMesh(t *testing.T) {
+func TestMeshAppliesConditions(t *testing.T) {
 	m := startMesh(t, 3)
 	m.send(t, 0, m.mesh.Addr(1), "one")
 	m.expect(t, 1, m.mesh.Addr(0), "one")
--- a/standin/link/relay_test.go
+++ b/standin/link/relay_test.go
@@ -46,7 +46,7 @@
 
 // Guards against conditions that are not applied to open connections, and against wrong counts: one relay forwards
 // bytes, discards them, resets connections and forwards again.
-func TestRelay(t *testing.T) {
+func TestRelayAppliesConditions(t *testing.T) {
 	relay := startEchoRelay(t)
 	first := testwait.Dial(t, relay.Addr())
 	if err := echo(first, within); err != nil {
