--- a/lab/scale/capacitypage_test.go
+++ b/lab/scale/capacitypage_test.go
@@ -67,7 +67,7 @@
 }
 
 // Guards against figures and tables that are not updated, are formatted wrongly, or change in a second update.
-func TestUpdatePage(t *testing.T) {
+func TestUpdatePageReplacesFiguresAndTables(t *testing.T) {
 	set := squareLawSet()
 	const page = "At 100 it has 1<!--limits/100/bytes-->, as a power 9<!--limits/slope/bytes-->, " +
 		"used 1<!--limits/1000/used-->, both 2<!--limits/100/memory + limits/1000/memory-->.\n" +
@@ -94,7 +94,7 @@
 }
 
 // Guards against paths and tables that the results do not contain, but that are accepted without an error.
-func TestUpdatePageWithUnknownFigure(t *testing.T) {
+func TestUpdatePageRejectsUnknownFigure(t *testing.T) {
 	set := squareLawSet()
 	for _, page := range []string{
 		"1<!--limits/5/bytes-->",
--- a/lab/scale/datagram_test.go
+++ b/lab/scale/datagram_test.go
@@ -114,6 +114,6 @@
 		}
 	}
 	if check.updates == 0 {
-		t.Error("no updates seen")
+		t.Error("no membership updates seen")
 	}
 }
--- a/lab/scale/decisions.go
+++ b/lab/scale/decisions.go
@@ -32,7 +32,7 @@
 	phaseSeconds   float64
 	clock          threadCPUClock
 	engine         *routing.Engine
-	endpoints      []routing.Endpoint // the origin first, then the edge caches
+	endpoints      []routing.Endpoint // the origin first, then the edge caches, then the parents
 	refusing       map[string]bool    // servers that refuse connections
 	now            int64
 	requests       int // number of requests so far
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -7,8 +7,7 @@
 	"spantack/core/backoff"
 )
 
-// Sizes of the discovery protocol in bytes. TestFrameSizes compares them with the scripted service of
-// standin/discovery.
+// Sizes of the discovery protocol in bytes. TestFrameSizes compares them with the fake service of standin/discovery.
 const (
 	frameHeaderSize  = 13 // length, number and kind
 	endpointSize     = 27
--- a/lab/scale/fleetrun.go
+++ b/lab/scale/fleetrun.go
@@ -34,7 +34,7 @@
 	steadyState int64
 	fault       int64
 	partition   int64
-	settle      int64 // after a fault, not measured
+	settle      int64 // after a fault; measured only after a partition
 }
 
 var (
@@ -151,8 +151,8 @@
 	phase, index := newPhase(scenario, seconds, traffics)
 	busiest := running[index]
 	// Only one router of the fleet is the busiest; the other routers cost the mean of the other simulated processes.
-	// When routers request a lease from several routers, for instance when most have just started, a sample gives these
-	// several too much weight.
+	// When routers request a lease from several holders, for instance when most have just started, a sample gives the
+	// holders too much weight.
 	busiestBytes := float64(busiest.traffic.bytes)
 	routers := float64(w.routers)
 	othersMean := (total - busiestBytes) / float64(len(running)-1)
@@ -205,7 +205,7 @@
 	return f.advance(f.seconds.settle)
 }
 
-// maxLeaseRecoverySeconds is the maximum time from the loss of a holder to the end of the wait for a new one.
+// maxLeaseRecoverySeconds limits the wait for a new holder, counted from the loss of the last one.
 const maxLeaseRecoverySeconds = 30
 
 // awaitNewLeaseHolder simulates until more than half of the processes have a new holder after the last one was lost,
--- a/lab/scale/fleetrun_test.go
+++ b/lab/scale/fleetrun_test.go
@@ -16,7 +16,7 @@
 		t.Errorf("holder: %.0f bytes per second with 300 routers, %.0f with 1,000", ofSmall, ofLarge)
 	}
 	if small.WithinBudget() || large.WithinBudget() {
-		t.Error("within the budget of a router")
+		t.Error("holder is within the budget of a router, which it must exceed")
 	}
 }
 
--- a/lab/scale/leases.go
+++ b/lab/scale/leases.go
@@ -59,7 +59,7 @@
 type leaseRouter struct {
 	node        *lease.Node
 	region      int
-	tickOffset  int64 // in microseconds; differs between routers, so that they do not tick at the same time
+	tickOffset  int64 // in microseconds; random, so that routers do not all tick at the same time
 	isUp        bool
 	incarnation uint32
 	traffic     traffic
--- a/lab/scale/resultset.go
+++ b/lab/scale/resultset.go
@@ -77,7 +77,7 @@
 // PowerLaw is a fit of a cost at several sizes: cost = Factor * routers^Exponent.
 type PowerLaw struct {
 	Exponent, Factor float64
-	// MaxRelativeError is the maximum relative difference between measured costs and the fit.
+	// MaxRelativeError is the maximum difference between a measured cost and the fit, as a fraction of the fitted cost.
 	MaxRelativeError float64
 }
 
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestUnknownTest(t *testing.T) {
+func TestFindTestRejectsUnknownName(t *testing.T) {
 	_, err := FindTest("conditions")
 	if err == nil || !strings.Contains(err.Error(), `NAME "conditions"`) || !strings.Contains(err.Error(), "membership") {
 		t.Errorf("error %v, want one with the unknown name and the names of all tests", err)
@@ -95,7 +95,7 @@
 }
 
 // Guards against invalid options that are accepted, and against errors that do not name the option.
-func TestInvalidOptions(t *testing.T) {
+func TestRunRejectsInvalidOptions(t *testing.T) {
 	test, err := FindTest("discovery")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/scale/verdicts.go
+++ b/lab/scale/verdicts.go
@@ -36,7 +36,7 @@
 	reports    *fleet.HealthReports
 	site       int
 	region     int
-	tickOffset int64 // in microseconds; differs between routers, so that they do not tick at the same time
+	tickOffset int64 // in microseconds; random, so that routers do not all tick at the same time
 	isUp       bool
 	traffic    traffic
 }
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// cpuSampleInterval is the number of calls for each call that is timed.
+	// cpuSampleInterval is the number of node calls for each CPU time measurement.
 	cpuSampleInterval = 4
 
 	// maxFirstTickDelay bounds the random time from the start of a node to its first tick, in microseconds.
