--- a/lab/claims.go
+++ b/lab/claims.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Verdict is a claim, its value, and whether the value is within the claim's bounds.
-type Verdict struct {
+// ClaimResult is a claim, its value, and whether the value is within the claim's bounds.
+type ClaimResult struct {
 	Claim
 	Value  float64 `json:"value"`
 	Passed bool    `json:"kept"`
 }
 
 // evaluate checks a claim against the figures. A claim without a bound and an unknown figure are errors.
-func (o *Outcome) evaluate(claim Claim) (Verdict, error) {
-	verdict := Verdict{Claim: claim}
+func (o *Outcome) evaluate(claim Claim) (ClaimResult, error) {
+	verdict := ClaimResult{Claim: claim}
 	if claim.Min == nil && claim.Max == nil {
 		return verdict, fmt.Errorf("claim %s: sets neither least nor most", claim.Name)
 	}
--- a/lab/claims_test.go
+++ b/lab/claims_test.go
@@ -64,7 +64,7 @@
 }
 
 // checkClaim compares a claim with its entry in the list, and returns the problem found; empty: none.
-func checkClaim(verdict *Verdict, failing failingClaim, isListed bool) string {
+func checkClaim(verdict *ClaimResult, failing failingClaim, isListed bool) string {
 	switch {
 	case verdict.Passed && isListed:
 		return fmt.Sprintf("holds with %v, but is listed as failing", verdict.Value)
@@ -77,7 +77,7 @@
 }
 
 // isWorseThanListed reports whether a claim's value is worse than listed by more than shortfallMargin.
-func isWorseThanListed(verdict *Verdict, listed float64) bool {
+func isWorseThanListed(verdict *ClaimResult, listed float64) bool {
 	if verdict.Min != nil && verdict.Value < *verdict.Min {
 		return verdict.Value < listed*(1-shortfallMargin)
 	}
@@ -171,8 +171,8 @@
 	atLeast := Claim{Name: "worth", Min: &bound}
 	atMost := Claim{Name: "worth", Max: &bound}
 	outcome := func(claim Claim, value float64, passed bool) []*Outcome {
-		verdict := Verdict{Claim: claim, Value: value, Passed: passed}
-		return []*Outcome{{Experiment: "flood", Seed: 7, Claims: []Verdict{verdict}}}
+		verdict := ClaimResult{Claim: claim, Value: value, Passed: passed}
+		return []*Outcome{{Experiment: "flood", Seed: 7, Claims: []ClaimResult{verdict}}}
 	}
 	listed := func(claim string, seed uint64, value float64) []failingClaim {
 		return []failingClaim{{Experiment: "flood", Seed: seed, Claim: claim, Value: value, Cause: "known"}}
--- a/lab/outcome.go
+++ b/lab/outcome.go
@@ -18,11 +18,11 @@
 
 // Outcome is the result of an experiment with one seed.
 type Outcome struct {
-	Experiment string    `json:"experiment"`
-	Size       string    `json:"size"`
-	Seed       uint64    `json:"seed"`
-	Runs       []Run     `json:"runs"`
-	Claims     []Verdict `json:"claims"`
+	Experiment string        `json:"experiment"`
+	Size       string        `json:"size"`
+	Seed       uint64        `json:"seed"`
+	Runs       []Run         `json:"runs"`
+	Claims     []ClaimResult `json:"claims"`
 }
 
 const (
--- a/lab/wire_compat_test.go
+++ b/lab/wire_compat_test.go
@@ -33,7 +33,7 @@
 					Violations: map[string]int64{"s24": 25, "s26": 27},
 				},
 			},
-			Claims: []Verdict{
+			Claims: []ClaimResult{
 				{Claim: Claim{
 					Name:    "s28",
 					Figure:  "s29",
@@ -70,7 +70,7 @@
 					Violations: map[string]int64{"s63": 64, "s65": 66},
 				},
 			},
-			Claims: []Verdict{
+			Claims: []ClaimResult{
 				{Claim: Claim{
 					Name:    "s67",
 					Figure:  "s68",
