--- a/lab/claims.go
+++ b/lab/claims.go
@@ -11,17 +11,17 @@
 
 // evaluate checks a claim against the figures. A claim without a bound and an unknown figure are errors.
 func (o *Outcome) evaluate(claim Claim) (ClaimResult, error) {
-	verdict := ClaimResult{Claim: claim}
+	result := ClaimResult{Claim: claim}
 	if claim.Min == nil && claim.Max == nil {
-		return verdict, fmt.Errorf("claim %s: sets neither least nor most", claim.Name)
+		return result, fmt.Errorf("claim %s: sets neither least nor most", claim.Name)
 	}
 	value, err := o.valueOf(claim)
 	if err != nil {
-		return verdict, err
+		return result, err
 	}
-	verdict.Value = value
-	verdict.Passed = (claim.Min == nil || value >= *claim.Min) && (claim.Max == nil || value <= *claim.Max)
-	return verdict, nil
+	result.Value = value
+	result.Passed = (claim.Min == nil || value >= *claim.Min) && (claim.Max == nil || value <= *claim.Max)
+	return result, nil
 }
 
 // valueOf returns the figure of a claim, divided by the claim's divisor if it has one. A divisor of 0 is an error.
--- a/lab/claims_test.go
+++ b/lab/claims_test.go
@@ -49,11 +49,11 @@
 			where := fmt.Sprintf("%s, seed %d, claim %q: ", outcome.Experiment, outcome.Seed, claim)
 			problems = append(problems, where+what)
 		}
-		for _, verdict := range outcome.Claims {
-			failing, isListed := known[verdict.Name]
-			delete(known, verdict.Name)
-			if problem := checkClaim(&verdict, failing, isListed); problem != "" {
-				addProblem(verdict.Name, problem)
+		for _, result := range outcome.Claims {
+			failing, isListed := known[result.Name]
+			delete(known, result.Name)
+			if problem := checkClaim(&result, failing, isListed); problem != "" {
+				addProblem(result.Name, problem)
 			}
 		}
 		for name := range known {
@@ -64,24 +64,24 @@
 }
 
 // checkClaim compares a claim with its entry in the list, and returns the problem found; empty: none.
-func checkClaim(verdict *ClaimResult, failing failingClaim, isListed bool) string {
+func checkClaim(result *ClaimResult, failing failingClaim, isListed bool) string {
 	switch {
-	case verdict.Passed && isListed:
-		return fmt.Sprintf("holds with %v, but is listed as failing", verdict.Value)
-	case !verdict.Passed && !isListed:
-		return fmt.Sprintf("fails with %v, but is not listed", verdict.Value)
-	case !verdict.Passed && isWorseThanListed(verdict, failing.Value):
-		return fmt.Sprintf("%v is worse than the listed %v", verdict.Value, failing.Value)
+	case result.Passed && isListed:
+		return fmt.Sprintf("holds with %v, but is listed as failing", result.Value)
+	case !result.Passed && !isListed:
+		return fmt.Sprintf("fails with %v, but is not listed", result.Value)
+	case !result.Passed && isWorseThanListed(result, failing.Value):
+		return fmt.Sprintf("%v is worse than the listed %v", result.Value, failing.Value)
 	}
 	return ""
 }
 
 // isWorseThanListed reports whether a claim's value is worse than listed by more than shortfallMargin.
-func isWorseThanListed(verdict *ClaimResult, listed float64) bool {
-	if verdict.Min != nil && verdict.Value < *verdict.Min {
-		return verdict.Value < listed*(1-shortfallMargin)
+func isWorseThanListed(result *ClaimResult, listed float64) bool {
+	if result.Min != nil && result.Value < *result.Min {
+		return result.Value < listed*(1-shortfallMargin)
 	}
-	return verdict.Value > listed*(1+shortfallMargin)
+	return result.Value > listed*(1+shortfallMargin)
 }
 
 // readFailingClaims reads the list of failing claims. It checks that each entry has a known experiment, a seed that is
@@ -171,8 +171,8 @@
 	atLeast := Claim{Name: "worth", Min: &bound}
 	atMost := Claim{Name: "worth", Max: &bound}
 	outcome := func(claim Claim, value float64, passed bool) []*Outcome {
-		verdict := ClaimResult{Claim: claim, Value: value, Passed: passed}
-		return []*Outcome{{Experiment: "flood", Seed: 7, Claims: []ClaimResult{verdict}}}
+		result := ClaimResult{Claim: claim, Value: value, Passed: passed}
+		return []*Outcome{{Experiment: "flood", Seed: 7, Claims: []ClaimResult{result}}}
 	}
 	listed := func(claim string, seed uint64, value float64) []failingClaim {
 		return []failingClaim{{Experiment: "flood", Seed: seed, Claim: claim, Value: value, Cause: "known"}}
--- a/lab/outcome.go
+++ b/lab/outcome.go
@@ -32,15 +32,15 @@
 	allViolations = "all/broken"
 )
 
-// newOutcome checks the claims against runs, and returns the runs with the verdicts.
+// newOutcome checks the claims against runs, and returns the runs with the results of the claims.
 func (e *Experiment) newOutcome(size string, seed uint64, runs []Run) (*Outcome, error) {
 	outcome := &Outcome{Experiment: e.Name, Size: size, Seed: seed, Runs: runs}
 	for _, claim := range e.Claims {
-		verdict, err := outcome.evaluate(claim)
+		result, err := outcome.evaluate(claim)
 		if err != nil {
 			return nil, err
 		}
-		outcome.Claims = append(outcome.Claims, verdict)
+		outcome.Claims = append(outcome.Claims, result)
 	}
 	return outcome, nil
 }
@@ -67,8 +67,8 @@
 
 // PassedCount returns the number of claims that hold.
 func (o *Outcome) PassedCount() (count int) {
-	for _, verdict := range o.Claims {
-		if verdict.Passed {
+	for _, result := range o.Claims {
+		if result.Passed {
 			count++
 		}
 	}
