--- a/lab/claims.go
+++ b/lab/claims.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// Verdict is a claim with the value found and whether it is within the claim's bounds.
-type Verdict struct {
+// ClaimResult is a claim, its value, and whether the value is within the claim's bounds.
+type ClaimResult struct {
 	Claim
 	Value  float64 `json:"value"`
 	Passed bool    `json:"kept"`
 }
 
 // evaluate checks a claim against the figures. A claim without a bound and an unknown figure are errors.
-func (o *Outcome) evaluate(claim Claim) (Verdict, error) {
-	verdict := Verdict{Claim: claim}
+func (o *Outcome) evaluate(claim Claim) (ClaimResult, error) {
+	result := ClaimResult{Claim: claim}
 	if claim.Min == nil && claim.Max == nil {
-		return verdict, fmt.Errorf("claim %s: sets neither least nor most", claim.Name)
+		return result, fmt.Errorf("claim %s: sets neither least nor most", claim.Name)
 	}
 	value, err := o.valueOf(claim)
 	if err != nil {
-		return verdict, err
+		return result, err
 	}
-	verdict.Value = value
-	verdict.Passed = (claim.Min == nil || value >= *claim.Min) && (claim.Max == nil || value <= *claim.Max)
-	return verdict, nil
+	result.Value = value
+	result.Passed = (claim.Min == nil || value >= *claim.Min) && (claim.Max == nil || value <= *claim.Max)
+	return result, nil
 }
 
 // valueOf returns the figure of a claim, divided by the claim's divisor if it has one. A divisor of 0 is an error.
