--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 	AdminAddr  string // for management calls; empty: none
 	ListenerFD int    // file descriptor of an inherited listening socket for clients; -1: none
 	StateDir   string // shared by successive processes of this router; empty: none
-	Seed       int64  // of the random numbers
+	Seed       int64  // seed of the random number generator
 
 	// Limits on the process's resources.
 	MemoryMB   float64
@@ -33,20 +33,20 @@
 	DialTimeout float64
 	IdleTimeout float64 // after which servers close an unused connection
 	MaxStreams  int     // concurrent requests on a connection
-	MaxDeadline float64 // greatest deadline of a class
+	MaxDeadline float64 // longest deadline of all classes
 	// MaxSendDelay is the maximum time from the choice of a server until the request is written: the shorter of the
 	// grace periods of drains and purges. 0: no maximum.
 	MaxSendDelay float64
 
 	Fleet Fleet
 
-	// Address of the discovery service, and the endpoint list at the time when the file was written.
-	DiscoveryAddr string
+	DiscoveryAddr string // of the discovery service
 	LastEventID   uint64 // number of the last of InitialEvents
+	// InitialEvents are the discovery events up to the time when the file was written: the endpoint list and purges.
 	InitialEvents []router.WatchEvent
-	Names         discovery.Names
+	Names         discovery.Names // names of the zones and kinds, with which discovery messages are parsed
 
-	keys objectKeys // of the objects in the file
+	keys objectKeys // keys of the objects in the file, for CheckReplaces
 }
 
 // Fleet is the configuration of communication with the other routers.
@@ -72,7 +72,8 @@
 // Unwrap returns the error without the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// ErrMissing is wrapped by the FieldError of a required variable or field that is absent or empty.
+// ErrMissing is wrapped by the FieldError of a required variable or field that is absent or empty, and by that of a key
+// that CheckReplaces requires but a new file lacks.
 var ErrMissing = errors.New("missing")
 
 // fieldError returns a FieldError. %w may be used in the format.
@@ -92,11 +93,12 @@
 	envStateDir = "TMPDIR"
 )
 
-// firstInheritedFD is the lowest descriptor that a socket can be inherited as: those below are the standard streams.
+// firstInheritedFD is the lowest file descriptor of an inherited socket. Lower ones are the standard streams.
 const firstInheritedFD = 3
 
 // Load reads the environment variables and the configuration file that they name. An error names the variable or field
-// at fault, its value, and the allowed values.
+// at fault. If a limit, a setting or the file descriptor is out of bounds, the error also has its value and the allowed
+// values.
 func Load(getenv func(string) string) (*Config, error) {
 	for _, name := range []string{envName, envListen, envConfig} {
 		if getenv(name) == "" {
@@ -116,7 +118,7 @@
 	if _, err := parseAddr(envListen, c.ListenAddr); err != nil {
 		return nil, err
 	}
-	if err := c.loadAdminAddr(getenv); err != nil {
+	if err := c.loadAdminAddrAndStateDir(getenv); err != nil {
 		return nil, err
 	}
 	if err := c.loadListenerFD(getenv); err != nil {
@@ -125,9 +127,10 @@
 	return c, nil
 }
 
-// loadAdminAddr sets AdminAddr from the environment if the variable is set; otherwise the file's address stays. It sets
-// StateDir only if there is an address.
-func (c *Config) loadAdminAddr(getenv func(string) string) error {
+// loadAdminAddrAndStateDir sets AdminAddr from the environment if the variable is set. Otherwise the file's address
+// stays. It sets StateDir only if there is an address. An error names the variable, or the file's mgmt if the variable
+// is not set.
+func (c *Config) loadAdminAddrAndStateDir(getenv func(string) string) error {
 	field := "mgmt"
 	if addr := getenv(envAdmin); addr != "" {
 		field = envAdmin
@@ -148,7 +151,7 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritedFD {
-		return fieldError(envListener, "%q, must be a descriptor of %d or above", text, firstInheritedFD)
+		return fieldError(envListener, "%q, must be a file descriptor number, %d or above", text, firstInheritedFD)
 	}
 	c.ListenerFD = fd
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -48,17 +48,18 @@
 	}
 	if c.Name != "n3" || c.ListenAddr != "127.0.0.1:5050" || c.DiscoveryAddr != "127.2.0.1:4222" ||
 		uint64(c.Seed) != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.MaxSockets != 1024 {
-		t.Errorf("%+v", c)
+		t.Errorf("name, addresses, seed or limits: read as %+v", c)
 	}
 	if c.DialTimeout != 400 || c.IdleTimeout != 30_000 || c.MaxStreams != 32 || c.MaxSendDelay != 300 ||
 		c.MaxDeadline != 3000 || c.LastEventID != 3 || len(c.InitialEvents) != 1 || c.Settings.Zone != "east" {
-		t.Errorf("%+v", c)
+		t.Errorf("settings or initial events: read as %+v", c)
 	}
 	if c.AdminAddr != "" || c.ListenerFD != -1 || c.StateDir != "" {
-		t.Errorf("set without its environment variable: %+v", c)
+		t.Errorf("AdminAddr, ListenerFD or StateDir set without an environment variable: %+v", c)
 	}
 }
 
+// Guards against optional environment variables that are ignored.
 func TestLoadOptionalVariables(t *testing.T) {
 	env := environment(t)
 	env["TMPDIR"] = "/t"
@@ -66,10 +67,11 @@
 	env["RELAY_SOCKET_FD"] = "4"
 	c, err := load(env)
 	if err != nil || c.AdminAddr != "127.0.0.1:9100" || c.ListenerFD != 4 || c.StateDir != "/t" {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("optional variables: read as %+v, error %v", c, err)
 	}
 }
 
+// Guards against an error that does not name the environment variable at fault.
 func TestLoadErrorNamesVariable(t *testing.T) {
 	for _, c := range []struct{ name, value string }{
 		{"RELAY_MGMT", "here"},
@@ -88,13 +90,13 @@
 			_, err := load(env)
 			var field *FieldError
 			if !errors.As(err, &field) || field.Field != c.name || !strings.HasPrefix(err.Error(), c.name+": ") {
-				t.Errorf("%v", err)
+				t.Errorf("got %v, want a FieldError of the variable", err)
 			}
 		})
 	}
 }
 
-// Guards against errors from which the field at fault cannot be told, and against errors of several lines.
+// Guards against errors that do not name the field at fault, and against errors of several lines.
 func TestParseErrorNamesField(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"seed", "8c1f30d27a5be964", "dice", "seed:"},
@@ -112,7 +114,7 @@
 			"settings.Permissions.IdleClose: a string, must be a number"},
 		{"no zones", `"Zones":["east"]`, `"Zones":[]`, "settings.Zones:"},
 		{"negative idle timeout", `"IdleClose":30000000`, `"IdleClose":-1`,
-			"settings.Permissions.IdleClose: -1 µs, must be above 0"},
+			"settings.Permissions.IdleClose: -1 µs, must be 0 (default) or above"},
 		{"duplicate class name", `}],"Extra"`, `},{"Name":"page","Deadline":1,"Idempotency":"read_like"}],"Extra"`,
 			"settings.Classes[1].Name"},
 	} {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// filesWithGossip returns two configuration files whose settings allow datagrams between routers. Only the second,
+// filesAllowingGossip returns two configuration files whose settings allow datagrams between routers. Only the second,
 // complete, has the addresses too.
-func filesWithGossip(t *testing.T) (allowed, complete string) {
+func filesAllowingGossip(t *testing.T) (allowed, complete string) {
 	t.Helper()
 	allowed = replaced(t, validFile, `"Permissions":{`, `"Rank":1,"Permissions":{"MayTell":true,`)
 	complete = replaced(t, allowed, `"board":`, `"peer_listen":"127.0.0.4:7946",`+
@@ -15,9 +15,9 @@
 	return allowed, complete
 }
 
-// Guards against gossip between routers that the settings do not allow or for which the file has no addresses.
-func TestParseFleet(t *testing.T) {
-	allowed, complete := filesWithGossip(t)
+// Guards against gossip although the settings forbid it or the file has no addresses, and against wrong addresses.
+func TestGossipNeedsPermissionAndAddresses(t *testing.T) {
+	allowed, complete := filesAllowingGossip(t)
 	c, err := Parse([]byte(complete))
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 	got := c.Fleet
 	if !got.GossipEnabled || got.Rank != 1 || got.ListenAddr != "127.0.0.4:7946" || len(got.Members) != 2 ||
 		got.Members[1].String() != "127.3.0.2:7946" || got.BroadcastAddr.String() != "127.3.255.1:7946" {
-		t.Errorf("%+v", got)
+		t.Errorf("complete file: read as %+v", got)
 	}
 	for name, text := range map[string]string{
 		"no permission":    validFile,
@@ -34,20 +34,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c, err := Parse([]byte(text)); err != nil || c.Fleet.GossipEnabled {
-				t.Errorf("%v, %+v of %s", err, c, text)
+				t.Errorf("error %v, got %+v, want gossip disabled; file %s", err, c, text)
 			}
 		})
 	}
 }
 
 func TestParseFleetErrorNamesField(t *testing.T) {
-	_, complete := filesWithGossip(t)
+	_, complete := filesAllowingGossip(t)
 	for _, c := range []struct{ name, old, new, want string }{
 		{"listen address", "127.0.0.4:7946", "here", "peer_listen:"},
 		{"member's address", "127.3.0.2:7946", "there", "peers[1]:"},
 		{"broadcast address", "127.3.255.1:7946", "all", "peers_all:"},
-		{"rank beyond the members", `"Rank":1`, `"Rank":2`, "settings.Rank: 2 of 2 peers"},
-		{"negative rank", `"Rank":1`, `"Rank":-1`, "settings.Rank: -1 of 2 peers"},
+		{"rank beyond the members", `"Rank":1`, `"Rank":2`, "settings.Rank: 2, must be 0 or more and below 2"},
+		{"negative rank", `"Rank":1`, `"Rank":-1`, "settings.Rank: -1, must be 0 or more and below 2"},
 		{"string for a bool", `"MayTell":true`, `"MayTell":"yes"`,
 			"settings.Permissions.MayTell: a string, must be true or false"},
 	} {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -10,13 +10,13 @@
 	"spantack/internal/discovery"
 )
 
-// Minimum limits that a router needs.
+// Smallest resource limits that a configuration may set.
 const (
 	minSockets  = 64
 	minMemoryMB = 32
 )
 
-// document is the configuration file.
+// document is the decoded configuration file.
 type document struct {
 	Seed   string `json:"seed"` // hexadecimal
 	Limits struct {
@@ -32,8 +32,8 @@
 	Settings           json.RawMessage `json:"settings"`
 }
 
-// Parse parses and validates the configuration file. An error names the field at fault, its value, and the allowed
-// values.
+// Parse parses and validates the configuration file. An error names the field at fault, or RELAY_CONFIG if the file is
+// not valid JSON. If a limit or a setting is out of bounds, the error also has its value and the allowed values.
 func Parse(text []byte) (*Config, error) {
 	var d document
 	if err := decodeJSON(envConfig, text, &d); err != nil {
@@ -122,7 +122,7 @@
 		c.Fleet.Members = append(c.Fleet.Members, addr)
 	}
 	if c.Fleet.Rank < 0 || c.Fleet.Rank >= len(c.Fleet.Members) {
-		return fieldError("settings.Rank", "%d of %d peers, must be 0 or more and below the number of peers",
+		return fieldError("settings.Rank", "%d, must be 0 or more and below %d, the number of peers",
 			c.Fleet.Rank, len(c.Fleet.Members))
 	}
 	return nil
@@ -136,7 +136,8 @@
 	return nil
 }
 
-// decodeJSON decodes text, the JSON of a field. If a value inside it has the wrong type, the error names its path.
+// decodeJSON decodes JSON. field is the field that holds it, or the variable that names the file. If a value inside it
+// has the wrong type, the error names the path of the value after field, such as RELAY_CONFIG.limits.sockets.
 func decodeJSON(field string, text []byte, into any) error {
 	err := json.Unmarshal(text, into)
 	var typeError *json.UnmarshalTypeError
--- a/internal/config/replace.go
+++ b/internal/config/replace.go
@@ -10,11 +10,12 @@
 // maxKeyDepth is the number of levels of nested objects whose keys are collected.
 const maxKeyDepth = 4
 
-// objectKeys maps the path of each object in a file to its sorted keys. The objects in a list share one path, which has
-// the keys that all of these objects have.
+// objectKeys maps the path of each object in a file to its sorted keys. All objects of a list have the same path, such
+// as settings.Classes[], which maps to the keys that every one of them has.
 type objectKeys map[string][]string
 
-// collectKeys returns the keys of a file's objects. Events are left out, because each kind of event has other keys.
+// collectKeys returns the keys of a file's objects, down to maxKeyDepth levels. Events are left out, because each kind
+// of event has different keys.
 func collectKeys(text []byte) (objectKeys, error) {
 	var value any
 	if err := json.Unmarshal(text, &value); err != nil {
@@ -54,9 +55,9 @@
 	return path + "." + key
 }
 
-// CheckReplaces returns an error unless c, read on SIGHUP, has every key of old, the current configuration. A missing
-// key means that the file is incomplete or wrong, and the router would silently use a default. The error is a
-// FieldError.
+// CheckReplaces returns an error unless c, read on SIGHUP, has every key of old, the current configuration. It checks
+// the keys that collectKeys collects. Lists may become empty. A missing key means that the file is incomplete or wrong,
+// and the router would silently use a default. The error is a FieldError.
 func (c *Config) CheckReplaces(old *Config) error {
 	for _, path := range slices.Sorted(maps.Keys(old.keys)) {
 		keys, exists := c.keys[path]
--- a/internal/config/replace_test.go
+++ b/internal/config/replace_test.go
@@ -4,16 +4,16 @@
 
 // Guards against a reload of an incomplete file: one that lacks a key of the current file, at any depth, is rejected.
 // A file with additional keys, or with events of other kinds, is accepted.
-func TestCheckReplaces(t *testing.T) {
+func TestIncompleteFileDoesNotReplace(t *testing.T) {
 	old, err := Parse([]byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	const class = `"Promise":300000,"Idempotency":"read_like"}`
 	for _, c := range []struct{ name, old, new, want string }{
-		{"key of the file", `"name":"n3",`, ``, "name: missing"},
+		{"key at the top level", `"name":"n3",`, ``, "name: missing"},
 		{"key of an object", `"cores":1.0,`, ``, "limits.cores: missing"},
-		{"key of the only element", `"Promise":300000,`, ``, "settings.Classes[].Promise: missing"},
+		{"key of the only class", `"Promise":300000,`, ``, "settings.Classes[].Promise: missing"},
 		{"key of a nested object", `"HeedWithin":300000`, `"X":1`, "settings.Extra.HeedWithin: missing"},
 		{"null for an object", `"Guarantees":{"StopSendingWithin":500000}`, `"Guarantees":null`,
 			"settings.Guarantees: no longer an object"},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,8 +12,8 @@
 // defaultIdleTimeoutMicros is the idle timeout of connections if the settings have none: 30 s.
 const defaultIdleTimeoutMicros = 30_000_000
 
-// transportSettings are the settings that only the router's connections use. Times are microseconds, as in
-// routing.Settings.
+// transportSettings are the settings that the decision module does not read: those of connections and of gossip. Times
+// are microseconds, as in routing.Settings.
 type transportSettings struct {
 	Rank        int `json:"Rank"`
 	Permissions struct {
@@ -23,7 +23,7 @@
 	} `json:"Permissions"`
 }
 
-// parseSettings parses the settings section: settings of the decision module and of connections.
+// parseSettings parses the settings section: settings of the decision module, of connections and of gossip.
 func (c *Config) parseSettings(d *document) error {
 	var transport transportSettings
 	if err := decodeJSON("settings", d.Settings, &c.Settings); err != nil {
@@ -56,7 +56,8 @@
 	case settings.Permissions.DialTimeout <= 0:
 		return fieldError("settings.Permissions.DialTimeout", "%d µs, must be above 0", settings.Permissions.DialTimeout)
 	case transport.Permissions.IdleTimeout < 0:
-		return fieldError("settings.Permissions.IdleClose", "%d µs, must be above 0", transport.Permissions.IdleTimeout)
+		return fieldError("settings.Permissions.IdleClose", "%d µs, must be 0 (default) or above",
+			transport.Permissions.IdleTimeout)
 	case transport.Permissions.MaxStreams <= 0:
 		return fieldError("settings.Permissions.MaxStreams", "%d, must be above 0", transport.Permissions.MaxStreams)
 	case len(settings.Zones) == 0:
--- a/internal/config/wire_compat_test.go
+++ b/internal/config/wire_compat_test.go
@@ -58,6 +58,6 @@
 		{Purge: &router.Purge{Group: 77, Before: 1764576000003.5}},
 	}
 	if c.LastEventID != 12 || !reflect.DeepEqual(c.InitialEvents, events) {
-		t.Errorf("known: read as %d, %+v, want %+v", c.LastEventID, c.InitialEvents, events)
+		t.Errorf("known: read as %d, %+v, want 12, %+v", c.LastEventID, c.InitialEvents, events)
 	}
 }
