--- a/internal/features/cells.go
+++ b/internal/features/cells.go
@@ -16,7 +16,7 @@
 	cells.Spec
 }
 
-// CellSpec returns the specification of cells; nil if the feature is off.
+// CellSpec returns the assignment of tenants to cells, as in the file; nil if the feature is off.
 func (f *File) CellSpec() *cells.Spec {
 	if f == nil || !f.Cells.Enabled {
 		return nil
@@ -24,7 +24,7 @@
 	return &f.Cells.Spec
 }
 
-// CellAssignment returns the compiled specification of cells; nil if the feature is off.
+// CellAssignment returns the compiled assignment of tenants to cells; nil if the feature is off.
 func (f *File) CellAssignment() (*cells.Assignment, error) {
 	spec := f.CellSpec()
 	if spec == nil {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// checkCellSettings checks that a router's settings have the classes and sites that the section refers to. Sites are
-// not checked if the settings have no zones.
+// checkCellSettings checks that a router's settings have the classes and sites that the section refers to. A site has
+// the name of its zone in the settings. Sites are not checked if the settings have no zones.
 func (f *File) checkCellSettings(settings *routing.Settings) error {
 	spec := f.CellSpec()
 	if spec == nil {
@@ -68,7 +68,7 @@
 		for _, site := range slices.Sorted(maps.Keys(tenant.CellBySite)) {
 			if !slices.Contains(settings.Zones, site) {
 				return fieldError(fmt.Sprintf("cells.tenants[%d].depots[%s]", i, site),
-					"not a site of the settings; the sites are %s", strings.Join(settings.Zones, ", "))
+					"not a zone of the settings; the zones are %s", strings.Join(settings.Zones, ", "))
 			}
 		}
 	}
--- a/internal/features/file.go
+++ b/internal/features/file.go
@@ -1,7 +1,7 @@
 // Package features reads the features file. This Jsonnet file enables and configures the features that the platform's
 // configuration does not support. The file is decoded strictly and validated as a whole: one invalid part makes the
-// whole file invalid. Each feature has its own source file here, with its section, the methods that return its active
-// settings, and its checks.
+// whole file invalid. Each feature has its own source file here, with its section, the methods that return its settings
+// if it is enabled, and its checks.
 package features
 
 import (
@@ -11,12 +11,12 @@
 	"reflect"
 )
 
-// File is a features file. A feature without a section is off. Methods that return active settings may be called on a
-// nil File, in which all features are off.
+// File is a features file. A feature without a section is off. Methods that return the settings of enabled features may
+// be called on a nil File, in which all features are off.
 type File struct {
 	Cells       Cells       `json:"cells,omitempty" jsonschema_description:"confines tenants to cells, which are subsets of a site's caches; docs/cells.md"`
-	Migration   Migration   `json:"moves,omitempty" jsonschema_description:"migrations of tenants between cells; docs/moves.md"`
-	Rollout     Rollout     `json:"stage,omitempty" jsonschema_description:"rollout of a release to cells, ring by ring; docs/stages.md"`
+	Migration   Migration   `json:"moves,omitempty" jsonschema_description:"migrations of tenants between cells; docs/migration.md"`
+	Rollout     Rollout     `json:"stage,omitempty" jsonschema_description:"rollout of a release to cells, ring by ring; docs/rollout.md"`
 	Topology    Topology    `json:"shape,omitempty" jsonschema_description:"the topology that fills follow: sites, parent groups, origin and links; docs/hierarchy.md"`
 	OriginLimit OriginLimit `json:"shield,omitempty" jsonschema_description:"limit on concurrent fills that reach the origin, of which each router enforces a share by itself; docs/hierarchy.md"`
 	Fleet       Fleet       `json:"fleet,omitempty" jsonschema_description:"limit on fills that reach the origin and verdicts on servers, shared by all routers; docs/fleet.md"`
@@ -36,8 +36,9 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Load reads, evaluates, decodes and validates a file. An error is one line with the file, the path of the field, its
-// value, and the allowed values.
+// Load reads, evaluates, decodes and validates a file. An error is one line. It has the file and, if a field is at
+// fault, the path of the field, its value, and the allowed values. Only if both the migrations and the rollout refer to
+// unknown cells or tenants, the error has a line for each.
 func Load(path string) (*File, error) {
 	text, err := evaluateJsonnet(path)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return f, nil
 }
 
-// validate checks each enabled feature by itself, then the references of migration and rollout to cells.
+// validate checks each enabled feature, then that the cells and tenants that migration and rollout refer to exist.
 func (f *File) validate() error {
 	checks := []func() error{
 		f.validateTopology,
--- a/internal/features/file_test.go
+++ b/internal/features/file_test.go
@@ -24,11 +24,12 @@
   tenants: [{ name: 't', cell: 'a' }], keys: [{ tenant: 't' }],
   budget: { requestsPerS: 0, fillKbPerS: 0, parentKbPerS: 0, originKbPerS: 0, open: 0, writesPerS: 0, giveMs: 0 } } }`
 
-func TestExampleFileIsValidDisabledAndEnabled(t *testing.T) {
+// Guards against an example file that the router rejects, as it is or with all features enabled.
+func TestExampleFileIsValidWithFeaturesOffAndOn(t *testing.T) {
 	const example = "../../deploy/features.jsonnet"
 	f, err := Load(example)
 	if err != nil || f.CellSpec() != nil {
-		t.Fatalf("%v, %v", f, err)
+		t.Fatalf("example file: got %v, error %v", f, err)
 	}
 	text, err := os.ReadFile(example)
 	if err != nil {
@@ -37,7 +38,7 @@
 	enabled := strings.ReplaceAll(string(text), "enabled: false", "enabled: true")
 	f, err = Load(writeFiles(t, map[string]string{"f.jsonnet": enabled}))
 	if err != nil || f.CellSpec() == nil {
-		t.Fatalf("%v, %v", f, err)
+		t.Fatalf("example file with all features enabled: got %v, error %v", f, err)
 	}
 }
 
@@ -50,7 +51,8 @@
 	return strings.Replace(cellsEnabled, old, new, 1)
 }
 
-func TestLoadErrorNamesFieldOnOneLine(t *testing.T) {
+// Guards against errors of several lines, or without the file, or without the field at fault.
+func TestLoadErrorIsOneLineThatNamesField(t *testing.T) {
 	const otherFields = "most: 9, burst: 2, usualMs: 60"
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown field", replaced(t, "budget:", "budgets:"),
@@ -87,7 +89,7 @@
 		{"unknown field of a tree", "{ fleet: { enabled: true, asks: 9, tree: { sizes: [2] } } }",
 			"fleet.tree.sizes: unknown field"},
 		{"fleet without limit and verdicts", "{ fleet: { enabled: true } }",
-			"fleet.asks: 0, must be above 0, or fleet.verdicts must be true"},
+			"fleet.asks: 0; if fleet.enabled is true, it must be above 0 or fleet.verdicts must be true"},
 		{"migration without cells", "{ moves: { enabled: true, version: 1, moves: [] } }",
 			"moves.enabled: true, requires cells.enabled to be true"},
 		{"rollout without cells", "{ stage: { enabled: true } }",
@@ -123,15 +125,16 @@
 	}
 }
 
+// Guards against rejecting an import from the folder of the features file.
 func TestImportFromSameFolder(t *testing.T) {
 	files := map[string]string{"f.jsonnet": "import 'base.libsonnet'", "base.libsonnet": cellsEnabled}
 	f, err := Load(writeFiles(t, files))
 	if err != nil || f.CellSpec().Version != 3 {
-		t.Errorf("%v, %v", f, err)
+		t.Errorf("got %v, error %v", f, err)
 	}
 }
 
-// Guards against panics of Parse and against invalid specifications of cells that it accepts.
+// Guards against a Parse that panics or accepts an invalid assignment of tenants to cells.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"cells":{"enabled":true,"version":1,"scheme":"nested","width":2,"cells":[{"name":"a","share":1}],` +
 		`"tenants":[{"name":"t","cell":"a"}],"keys":[{"tenant":"t"}],"budget":{}}}`))
--- a/internal/features/fleet.go
+++ b/internal/features/fleet.go
@@ -9,8 +9,8 @@
 	"spantack/routing"
 )
 
-// Fleet is the section of the features that routers share by exchanging messages: a limit on fills that reach the
-// origin, and verdicts on servers.
+// Fleet is the section of features for which routers exchange messages: a limit on fills that reach the origin, and
+// verdicts on servers.
 type Fleet struct {
 	Enabled     bool    `json:"enabled"`
 	OriginFills float64 `json:"asks,omitempty" jsonschema_description:"maximum of concurrent fills that reach the origin, of all routers, up to 1000000; 0: no limit"`
@@ -22,7 +22,7 @@
 	LeaseTree lease.Topology `json:"tree,omitzero" jsonschema_description:"groups of routers that lease the limit from one another, for a fleet of many hundreds of routers or more; if left out, one router holds the limit"`
 }
 
-// FleetLimits returns the limits that apply to all routers together; nil if there are none.
+// FleetLimits returns the limit on origin fills of all routers together, as a list of one; nil if there is no limit.
 func (f *File) FleetLimits() []fleet.Limit {
 	if f == nil || !f.Fleet.Enabled || f.Fleet.OriginFills == 0 {
 		return nil
@@ -53,13 +53,13 @@
 		}
 	}
 	if f.Fleet.Enabled && f.Fleet.OriginFills == 0 && !f.Fleet.Verdicts {
-		return fieldError("fleet.asks", "0, must be above 0, or fleet.verdicts must be true, if fleet.enabled is true")
+		return fieldError("fleet.asks", "0; if fleet.enabled is true, it must be above 0 or fleet.verdicts must be true")
 	}
 	return nil
 }
 
-// checkFleetSettings checks that the router can tell which requests reach the origin: its settings must have parent
-// caches, and each response of these must report whether it came from the cache.
+// checkFleetSettings checks that the router can determine which requests reach the origin: its settings must name a
+// kind of parent cache, and must state that every response reports its cache status.
 func (f *File) checkFleetSettings(settings *routing.Settings) error {
 	if !f.Fleet.Enabled {
 		return nil
--- a/internal/features/jsonnet.go
+++ b/internal/features/jsonnet.go
@@ -49,7 +49,7 @@
 		return "", err
 	}
 	if !info.Mode().IsRegular() {
-		return "", fmt.Errorf("%s, must be a regular file", info.Mode().Type())
+		return "", fmt.Errorf("mode %s, must be a regular file", info.Mode().Type())
 	}
 	if info.Size() > maxFileBytes {
 		return "", fmt.Errorf("%d bytes, at most %d are allowed", info.Size(), maxFileBytes)
@@ -58,7 +58,8 @@
 	return string(text), err
 }
 
-// folderImporter imports files only from the folder of the features file, so that a copy of the folder has all imports.
+// folderImporter imports files only from the folder of the features file and the folders inside it, so that a copy of
+// the folder has all imports. Names are relative to that folder, also in imported files.
 type folderImporter struct {
 	dir      string
 	imported map[string]jsonnet.Contents // by name; go-jsonnet requires the same Contents for each import of a file
--- a/internal/features/migration.go
+++ b/internal/features/migration.go
@@ -8,14 +8,15 @@
 	"spantack/core/migration"
 )
 
-// Migration is the section of migrations: tenants that move from one cell to another. It requires that cells are
-// enabled.
+// Migration is the section of migrations, each of which moves a tenant from one cell to another. It requires that cells
+// are enabled.
 type Migration struct {
 	Enabled bool `json:"enabled"`
 	migration.Document
 }
 
-// ActiveMigration returns the active migrations; nil if the feature is off.
+// ActiveMigration returns the document of migrations, which may have ones that are over or have not begun; nil if the
+// feature is off.
 func (f *File) ActiveMigration() *migration.Document {
 	if f == nil || !f.Migration.Enabled {
 		return nil
@@ -23,8 +24,8 @@
 	return &f.Migration.Document
 }
 
-// validateMigration checks the migrations without regard to the current time. CheckReplaces makes the checks that
-// depend on the time at which a router loads the file.
+// validateMigration checks the migrations, except for the checks that need the time at which a router loads the file.
+// CheckReplaces makes these.
 func (f *File) validateMigration() error {
 	document := f.ActiveMigration()
 	if document == nil {
@@ -39,8 +40,9 @@
 	return nil
 }
 
-// checkMigrationReplaces checks that no migration in progress is left out, and that new ones are loaded before the end
-// of their warm-up.
+// checkMigrationReplaces checks that no migration in progress is left out or has other cells, that new ones are loaded
+// before the end of their warm-up unless they are paused or rolled back, and that a changed document has a higher
+// version.
 func (f *File) checkMigrationReplaces(now float64, previous *File) error {
 	old, next := previous.ActiveMigration(), f.ActiveMigration()
 	switch {
--- a/internal/features/origin_limit.go
+++ b/internal/features/origin_limit.go
@@ -6,13 +6,14 @@
 	"spantack/core/originlimit"
 )
 
-// OriginLimit is the section of the limit on concurrent requests to the origin, which each router enforces by itself.
+// OriginLimit is the section of the limit on concurrent fills that reach the origin. Each router enforces its share of
+// the limit, without messages to other routers.
 type OriginLimit struct {
 	Enabled bool `json:"enabled"`
 	originlimit.Document
 }
 
-// ActiveOriginLimit returns the active limit; nil if the feature is off.
+// ActiveOriginLimit returns the settings of the limit; nil if the feature is off.
 func (f *File) ActiveOriginLimit() *originlimit.Document {
 	if f == nil || !f.OriginLimit.Enabled {
 		return nil
--- a/internal/features/replace.go
+++ b/internal/features/replace.go
@@ -3,8 +3,9 @@
 import "spantack/routing"
 
 // CheckReplaces returns an error unless the file may replace the previous one at the time now, in Unix milliseconds. It
-// must not leave out a migration in progress, nor add one whose warm-up would be over already. A rollout or topology
-// that differs must have a higher version. previous may be nil.
+// must not leave out a migration in progress or change its cells, nor add one whose warm-up would be over already,
+// unless that one is paused or rolled back. Migrations, a topology, or a rollout of the same name that differ must have
+// a higher version. The version of the cells is not checked. previous may be nil.
 func (f *File) CheckReplaces(now float64, previous *File) error {
 	if err := f.checkRolloutReplaces(previous); err != nil {
 		return err
@@ -15,7 +16,8 @@
 	return f.checkMigrationReplaces(now, previous)
 }
 
-// checkVersion returns an error unless a document is the same as the current one or has a higher version.
+// checkVersion returns an error unless a document has a higher version than the current one. old and next are the
+// versions; same is true if the documents are equal, which is allowed too.
 func checkVersion(field string, old, next int64, same bool) error {
 	if next <= old && !same {
 		return fieldError(field, "%d, must be above %d, the current version", next, old)
--- a/internal/features/replace_test.go
+++ b/internal/features/replace_test.go
@@ -17,7 +17,11 @@
 	return f
 }
 
-func TestCheckReplaces(t *testing.T) {
+// Guards against a reload of a changed document without a higher version, and against a reload that makes a tenant jump
+// between cells. A file that changes nothing, or whose versions are higher, is accepted.
+func TestCheckReplacesRejectsStaleVersionsAndLateMigrations(t *testing.T) {
+	// In the documents %V is the version, and %P a value that differs between two documents: the prefix of a rollout, the
+	// capacity of a topology, the start of a migration.
 	const (
 		cells = `"cells":{"enabled":true,"version":1,"scheme":"fixed",` +
 			`"cells":[{"name":"a","share":0.5},{"name":"b","share":0.5}],` +
@@ -30,8 +34,8 @@
 			`"start":%P,"shift":60000,"slow":120000,"settle":1000}]}}`
 		off = `{}`
 	)
-	with := func(text, version, other string) string {
-		return strings.NewReplacer("%V", version, "%P", other).Replace(text)
+	with := func(text, version, value string) string {
+		return strings.NewReplacer("%V", version, "%P", value).Replace(text)
 	}
 	const now = 1000
 	for _, c := range []struct{ name, old, next, want string }{
@@ -75,12 +79,12 @@
 	}
 	settings.Zones = []string{"y"}
 	if err := f.CheckSettings(settings); err == nil || !strings.HasPrefix(err.Error(), "cells.tenants[0].depots[z]: ") {
-		t.Errorf("got %v", err)
+		t.Errorf("unknown site: got %v, want an error of cells.tenants[0].depots[z]", err)
 	}
 	settings.Classes[0].Name = "video"
 	err := f.CheckSettings(settings)
 	if err == nil || !strings.HasPrefix(err.Error(), "cells.keys[0].class: ") {
-		t.Errorf("got %v", err)
+		t.Errorf("unknown class: got %v, want an error of cells.keys[0].class", err)
 	}
 	var field *FieldError
 	if !errors.As(err, &field) || field.Field != "cells.keys[0].class" {
--- a/internal/features/rollout.go
+++ b/internal/features/rollout.go
@@ -6,13 +6,13 @@
 	"spantack/core/rollout"
 )
 
-// Rollout is the section of the rollout of a release to cells, ring by ring. It requires that cells are enabled.
+// Rollout is the section that rolls a release out to cells, ring by ring. It requires that cells are enabled.
 type Rollout struct {
 	Enabled bool `json:"enabled"`
 	rollout.Rollout
 }
 
-// ActiveRollout returns the active rollout; nil if the feature is off.
+// ActiveRollout returns the rollout, which may be over or not have begun; nil if the feature is off.
 func (f *File) ActiveRollout() *rollout.Rollout {
 	if f == nil || !f.Rollout.Enabled {
 		return nil
--- a/internal/features/schema/schema.go
+++ b/internal/features/schema/schema.go
@@ -30,7 +30,7 @@
 	"rollout.Rollout":       "Stage",
 }
 
-// definitionName returns the name of the definition of a type; "" stands for the name of the type.
+// definitionName returns the name of the definition of a type. If it is empty, the schema uses the name of the Go type.
 func definitionName(t reflect.Type) string { return definitionNames[t.String()] }
 
 // JSON returns the schema as indented JSON that ends in a newline.
--- a/internal/features/strict.go
+++ b/internal/features/strict.go
@@ -11,8 +11,8 @@
 )
 
 // checkStrict checks decoded JSON against a Go type. Objects may have only the fields of the type, by their exact
-// names, and values must be of the fields' kinds. encoding/json ignores unknown fields and the case of names. path is
-// the path of the value, with a leading dot.
+// names, and each value must have the JSON type of its field. This is needed because encoding/json ignores unknown
+// fields and the case of names. path is the path of the value, with a leading dot; empty for the whole document.
 func checkStrict(value any, t reflect.Type, path string) error {
 	switch t.Kind() {
 	case reflect.Struct:
@@ -33,7 +33,7 @@
 	case reflect.Int, reflect.Int64:
 		return checkKind(isInteger(value), value, path, "a whole number")
 	}
-	return fmt.Errorf("%s: fields of kind %s are not supported", path, t.Kind())
+	return fmt.Errorf("%s: internal error: Go fields of kind %s are not supported", path, t.Kind())
 }
 
 func checkStruct(value any, t reflect.Type, path string) error {
@@ -106,7 +106,7 @@
 	return fieldError(strings.TrimPrefix(path, "."), "%s is not %s", text, kind)
 }
 
-// collectFields adds the types of the fields of a struct and of its embedded structs to fields, by their JSON names.
+// collectFields adds the fields of a struct and of its embedded structs to fields, which maps JSON names to types.
 func collectFields(t reflect.Type, fields map[string]reflect.Type) {
 	for i := range t.NumField() {
 		field := t.Field(i)
--- a/internal/features/topology.go
+++ b/internal/features/topology.go
@@ -7,7 +7,7 @@
 	"spantack/core/hierarchy"
 )
 
-// Topology is the section of the hierarchy: the sites, parent groups and origin, and the links that fills may use.
+// Topology is the section that describes the sites, the parent groups, the origin, and the links that fills may use.
 type Topology struct {
 	Enabled bool `json:"enabled"`
 	hierarchy.Topology
--- a/internal/features/wire_compat_test.go
+++ b/internal/features/wire_compat_test.go
@@ -34,12 +34,12 @@
 			t.Fatal(err)
 		}
 		if got = append(got, '\n'); !bytes.Equal(got, want) {
-			t.Errorf("%s: written as %s, want %s", name, got, want)
+			t.Errorf("%s: encoded as %s, want %s", name, got, want)
 		}
 	}
 }
 
-// Guards against features that are enabled in a file but do not become active, or become active with other values.
+// Guards against features that are enabled in a file but are off in the router, or have other values there.
 func TestStoredFeaturesAreActiveWithTheirValues(t *testing.T) {
 	f, err := Load("testdata/all.jsonnet")
 	if err != nil {
@@ -52,27 +52,28 @@
 	if parsed, err := Parse(text); err != nil || !reflect.DeepEqual(parsed, f) {
 		t.Errorf("all.json: read as %+v, %v, want %+v", parsed, err, f)
 	}
-	g, err := f.TopologyGraph()
-	if err != nil || g == nil {
-		t.Fatalf("shape: %v, %v", g, err)
+	graph, err := f.TopologyGraph()
+	if err != nil || graph == nil {
+		t.Fatalf("shape: got %v, error %v", graph, err)
 	}
 	if spec := f.CellSpec(); spec == nil || spec.OverflowCell != "spare" || spec.Budget.ReclaimMillis != 18 ||
 		spec.TenantKeys[0].DeclaredTenant != "acme" {
-		t.Errorf("cells: %+v", spec)
+		t.Errorf("cells: got %+v, want spare \"spare\", giveMs 18 and named \"acme\" of keys[0]", spec)
 	}
 	if doc := f.ActiveMigration(); doc == nil || doc.Version != 8 || doc.Migrations[0].RollbackAt != 1764576040006 {
-		t.Errorf("moves: %+v", doc)
+		t.Errorf("moves: got %+v, want version 8 and backAt 1764576040006", doc)
 	}
-	if s := f.ActiveRollout(); s == nil || s.Version != 9 || s.Rings[1].JudgeWithin != 600012 || s.Margin != 1.25 {
-		t.Errorf("stage: %+v", s)
+	if r := f.ActiveRollout(); r == nil || r.Version != 9 || r.Rings[1].JudgeWithin != 600012 || r.Margin != 1.25 {
+		t.Errorf("stage: got %+v, want version 9, for 600012 of rings[1] and margin 1.25", r)
 	}
-	if d := f.ActiveOriginLimit(); d == nil || d.Algorithm != "gradient" || d.AbandonedFetchMs != 3001 {
-		t.Errorf("shield: %+v", d)
+	if limit := f.ActiveOriginLimit(); limit == nil || limit.Algorithm != "gradient" || limit.AbandonedFetchMs != 3001 {
+		t.Errorf("shield: got %+v, want law gradient and lingerMs 3001", limit)
 	}
-	if l := f.FleetLimits(); len(l) != 1 || l[0].Max != 42 || l[0].FloorFraction != 0.25 || !f.VerdictsEnabled() {
-		t.Errorf("fleet: %+v", l)
+	if limits := f.FleetLimits(); len(limits) != 1 || limits[0].Max != 42 || limits[0].FloorFraction != 0.25 ||
+		!f.VerdictsEnabled() {
+		t.Errorf("fleet: got %+v, want asks 42, floor 0.25 and verdicts", limits)
 	}
 	if tree := f.LeaseTree(); tree == nil || tree.Routers != 12001 || len(tree.Electors) != 3 {
-		t.Errorf("fleet.tree: %+v", tree)
+		t.Errorf("fleet.tree: got %+v, want 12001 routers and 3 electors", tree)
 	}
 }
