--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -1,5 +1,5 @@
-// Package archtest tests properties of the whole source tree: which package may import which, and names that other
-// programs and people rely on.
+// Package archtest tests properties of the whole source tree: which package may import which, and that names used
+// outside the program are kept.
 package archtest
 
 import (
@@ -31,7 +31,7 @@
 }
 
 // pureFolders are the top-level folders whose packages do no I/O, read no clock and use no random source of their own.
-// The caller passes in all of these.
+// The caller passes in the time and random numbers, and does the I/O.
 var pureFolders = []string{"routing", "core", "emulator"}
 
 var (
@@ -66,13 +66,13 @@
 		return nil
 	})
 	if err != nil || files < 40 {
-		t.Fatalf("%d files checked: %v", files, err)
+		t.Fatalf("%d files checked, want at least 40: %v", files, err)
 	}
 }
 
-// violations returns a text for each forbidden import of a file, and one for its first clock call if the file must not
-// read a clock. A file in an unknown folder or with a syntax error gives one text. path is relative to the repository
-// root.
+// violations returns a message for each forbidden import of a file, and one for its first clock call if the file must
+// not read a clock. A file in an unknown folder or with a syntax error has one message. path is relative to the
+// repository root.
 func violations(path, text string) (found []string) {
 	folder, _, _ := strings.Cut(path, "/")
 	if folder == "cmd" {
@@ -119,7 +119,7 @@
 		"elsewhere/x.go":       "package elsewhere\n",
 	} {
 		if got := violations(path, text); len(got) != 1 {
-			t.Errorf("%s: %v", path, got)
+			t.Errorf("%s: got violations %v, want one", path, got)
 		}
 	}
 }
--- a/internal/archtest/outer_names_test.go
+++ b/internal/archtest/outer_names_test.go
@@ -18,8 +18,8 @@
 	outerNamesPage = "docs/outer-names.txt"
 )
 
-// outerName is a name that is used outside the process: by clients, servers, peers, files, command lines or readers of
-// logs.
+// outerName is an external name, which is used outside the process: by clients, servers, peers, files, command lines
+// or readers of logs.
 type outerName struct {
 	name    string
 	heading string
@@ -28,11 +28,11 @@
 
 // Guards against a rename in the code that also changes a name that other processes, stored files, scripts or operators
 // refer to. Each name of docs/outer-names.txt must appear as a whole word in at least one of the folders of its
-// heading: in a string literal, a struct tag, a file name or a settings file. Test files do not count.
+// heading: in a string literal, a struct tag, a file or folder name, or a settings file. Test files do not count.
 func TestOuterNamesAreKept(t *testing.T) {
 	textsOfFolder := map[string][]string{}
 	names := readOuterNames(t)
-	if len(names) < 1000 {
+	if len(names) < 1000 { // the page is cut short or not parsed correctly
 		t.Fatalf("%s: %d names, want at least 1000", outerNamesPage, len(names))
 	}
 	for _, name := range names {
@@ -96,8 +96,8 @@
 	return names
 }
 
-// isInAnyFolder reports whether the texts of at least one folder of the name have it. textsOfFolder caches the texts of
-// each folder.
+// isInAnyFolder reports whether the name occurs in the texts of at least one of its folders. textsOfFolder caches the
+// texts of each folder.
 func isInAnyFolder(t *testing.T, name outerName, textsOfFolder map[string][]string) bool {
 	t.Helper()
 	pattern := wholeWord(name.name)
@@ -130,8 +130,8 @@
 	return b == '_' || '0' <= b && b <= '9' || 'a' <= b && b <= 'z' || 'A' <= b && b <= 'Z'
 }
 
-// readTexts returns the string literals and struct tags of the Go files of a folder, the names of its files, and the
-// text of its settings files. Test files are left out.
+// readTexts returns the name of a folder, the names of its files without extension, the string literals and struct tags
+// of its Go files, and the text of its settings files (.toml). Test files are left out.
 func readTexts(t *testing.T, folder string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
--- a/internal/testfixture/commandlines.go
+++ b/internal/testfixture/commandlines.go
@@ -10,7 +10,8 @@
 )
 
 // CommandLines fails the test unless the commands, arguments and flags of a program are those listed in a file, which
-// has a line for each command. A renamed command is compared by its first alias, which is its name in the file.
+// has a line for each command. A command with aliases is compared by the first of them, which must be its name in the
+// file.
 func CommandLines(t testing.TB, file, program string, commands any) {
 	t.Helper()
 	want, err := os.ReadFile(file)
@@ -37,8 +38,8 @@
 	}
 }
 
-// oldPath returns the path to a command with the names of the release that wrote the file. Renamed commands have the
-// old name as their first alias.
+// oldPath returns the path to a command with the names of the release that wrote the file. The first alias of a renamed
+// command is its old name.
 func oldPath(node *kong.Node) string {
 	name := node.Name
 	if len(node.Aliases) > 0 {
--- a/internal/testfixture/lines.go
+++ b/internal/testfixture/lines.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// HexLines reads a file of lines "name: hex", and returns the bytes by name: recorded messages of a binary protocol.
+// HexLines reads recorded messages of a binary protocol from a file of lines "name: hex". It returns them by name.
 func HexLines(t testing.TB, file string) map[string][]byte {
 	t.Helper()
 	messages := map[string][]byte{}
@@ -22,8 +22,8 @@
 	return messages
 }
 
-// QuotedLines reads a file of lines `name: "text"`, quoted as in Go, and returns the texts by name: recorded messages
-// of a text protocol.
+// QuotedLines reads recorded messages of a text protocol from a file of lines `name: "text"`, quoted as in Go. It
+// returns them by name.
 func QuotedLines(t testing.TB, file string) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
@@ -37,7 +37,7 @@
 	return messages
 }
 
-// namedLines reads a file of lines "name: value", and returns the values by name.
+// namedLines reads a file of lines "name: value" and returns the values by name.
 func namedLines(t testing.TB, file string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(file)
--- a/internal/testfixture/testfixture.go
+++ b/internal/testfixture/testfixture.go
@@ -1,5 +1,5 @@
-// Package testfixture reads stored documents, messages and command lines, with which tests compare the program. Only
-// tests import it.
+// Package testfixture reads stored documents, messages and command lines. Tests check that the program still handles
+// them in the same way. Only tests import the package.
 package testfixture
 
 import (
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// ReadAndWrite calls ReadBack, and fails the test unless the decoded value equals want.
+// ReadAndWrite decodes a JSON file. It fails the test unless the value equals want and encodes to the bytes of the
+// file, as ReadBack checks.
 func ReadAndWrite[T any](t testing.TB, file, indent string, want T) {
 	t.Helper()
 	if got := ReadBack[T](t, file, indent); !reflect.DeepEqual(got, want) {
@@ -19,8 +20,8 @@
 }
 
 // ReadBack decodes a JSON file and returns the value. It fails the test if the file has a field that the type lacks, or
-// if encoding the value does not give the same bytes as the file. If indent is not empty, the encoding is indented by
-// it and ends in a newline.
+// if the value does not encode to the bytes of the file. If indent is not empty, the encoding is indented by it and
+// ends in a newline.
 func ReadBack[T any](t testing.TB, file, indent string) (got T) {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -37,7 +38,7 @@
 		t.Fatalf("%s: %v", file, err)
 	}
 	if !bytes.Equal(encoded, text) {
-		t.Errorf("%s: written as %s, want %s", file, encoded, text)
+		t.Errorf("%s: encoded as %s, want %s", file, encoded, text)
 	}
 	return got
 }
--- a/internal/testfixture/testfixture_test.go
+++ b/internal/testfixture/testfixture_test.go
@@ -30,16 +30,16 @@
 // Fatalf implements testing.TB, except that it does not end the goroutine.
 func (r *recordingTB) Fatalf(format string, args ...any) { r.Errorf(format, args...) }
 
-// Guards against differences between a file and the encoding of its value that pass unnoticed, and against failures of
-// files without such a difference.
+// Guards against ReadAndWrite accepting a file that differs from the encoding of its value, or rejecting one that does
+// not.
 func TestReadAndWriteReportsDifferences(t *testing.T) {
 	want := document{"a", 1}
 	for _, test := range []struct{ name, text, indent, failure string }{
 		{"compact", `{"name":"a","size":1}`, "", ""},
 		{"indented", "{\n \"name\": \"a\",\n \"size\": 1\n}\n", " ", ""},
-		{"no newline", "{\n \"name\": \"a\",\n \"size\": 1\n}", " ", "written as"},
-		{"other order of fields", `{"size":1,"name":"a"}`, "", "written as"},
-		{"missing field", `{"name":"a"}`, "", "written as"},
+		{"no newline at the end", "{\n \"name\": \"a\",\n \"size\": 1\n}", " ", "encoded as"},
+		{"other order of fields", `{"size":1,"name":"a"}`, "", "encoded as"},
+		{"missing field", `{"name":"a"}`, "", "encoded as"},
 		{"other value", `{"name":"a","size":2}`, "", "read as"},
 		{"field that the type lacks", `{"name":"a","size":1,"more":1}`, "", "unknown field"},
 		{"invalid JSON", `{`, "", "unexpected EOF"},
@@ -53,7 +53,7 @@
 			ReadAndWrite(r, file, test.indent, want)
 			failures := strings.Join(r.failures, "\n")
 			if (failures == "") != (test.failure == "") || !strings.Contains(failures, test.failure) {
-				t.Errorf("failed with %q, want %q", failures, test.failure)
+				t.Errorf("failed with %q, want a text with %q", failures, test.failure)
 			}
 		})
 	}
--- a/internal/testwait/conns.go
+++ b/internal/testwait/conns.go
@@ -9,8 +9,8 @@
 	"spantack/internal/loopback"
 )
 
-// Listen opens a TCP listener and closes it when the test ends. Its address is not assigned to any other process, so
-// that only the test connects to it.
+// Listen opens a TCP listener and closes it when the test ends. Its address is derived from the process ID, so that
+// only this test connects to it and no other test process uses it.
 func Listen(t testing.TB) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", loopback.FreeAddress())
@@ -21,8 +21,8 @@
 	return l.(*net.TCPListener)
 }
 
-// Accept returns the next connection to l, which is a TCP listener or wraps one. BoundConn applies to the connection:
-// reads and writes are bounded, and it is closed when the test ends. what names the connection in failures.
+// Accept returns the next connection to l, which is a TCP listener or wraps one. The connection has a deadline of
+// ConnLimit and is closed when the test ends (BoundConn). what names the connection in failures.
 func Accept(t testing.TB, l net.Listener, what string) net.Conn {
 	t.Helper()
 	type result struct {
@@ -42,16 +42,16 @@
 	return accepted.conn
 }
 
-// maxSilentConns is the number of connections without any data after which AcceptHello fails the test.
-const maxSilentConns = 20
+// maxEmptyConns is the number of connections closed without any data after which AcceptHello fails the test.
+const maxEmptyConns = 20
 
 // AcceptHello returns the next connection to l on which the peer first writes hello. It skips connections that end
-// before the first byte: a dialler that gets no CPU in time abandons a connection that the kernel has established
-// already.
+// before the first byte: a client that is starved of CPU may time out and close a connection that the kernel has
+// already established.
 func AcceptHello(t testing.TB, l net.Listener, hello, what string) net.Conn {
 	t.Helper()
 	received := make([]byte, len(hello))
-	for range maxSilentConns {
+	for range maxEmptyConns {
 		conn := Accept(t, l, what)
 		n, err := io.ReadFull(conn, received)
 		if n == 0 && err == io.EOF {
@@ -63,12 +63,12 @@
 		}
 		return conn
 	}
-	t.Fatalf("%d connections of %s ended without any data", maxSilentConns, what)
+	t.Fatalf("%d connections of %s ended without any data", maxEmptyConns, what)
 	panic("unreachable")
 }
 
-// Dial connects to a TCP address, within Limit. BoundConn applies to the connection: reads and writes are bounded, and
-// it is closed when the test ends.
+// Dial connects to a TCP address, within Limit. The connection has a deadline of ConnLimit and is closed when the test
+// ends (BoundConn).
 func Dial(t testing.TB, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", addr, Limit)
--- a/internal/testwait/retry.go
+++ b/internal/testwait/retry.go
@@ -5,14 +5,13 @@
 const (
 	// maxRuns is the maximum number of runs of a check.
 	maxRuns = 5
-	// starvedThreshold is a fraction of a run's time. If some process waited for a CPU in this fraction or more, the
-	// wait may have caused the failure, and the run is repeated.
+	// starvedThreshold is the fraction of a run's time from which on a failed run is repeated, if some process waited
+	// for a CPU for that long: the wait may have caused the failure.
 	starvedThreshold = 0.2
 )
 
-// RetryIfStarved runs a check of something that must happen within a short time. It repeats a check that fails while
-// the machine is starved of CPU. The test fails if a run fails on a machine that is not starved, or if all maxRuns runs
-// fail.
+// RetryIfStarved runs a check with a short time limit. It repeats a check that fails while the machine is starved of
+// CPU. The test fails if a run fails on a machine that is not starved, or if all maxRuns runs fail.
 func RetryIfStarved(t testing.TB, check func() error) {
 	t.Helper()
 	for run := 1; ; run++ {
@@ -23,8 +22,8 @@
 		}
 		share := stopwatch.starvedShare()
 		if share < starvedThreshold || run == maxRuns {
-			t.Fatalf("run %d, starved of CPU for %.2f of the time: %v", run, share, err)
+			t.Fatalf("run %d failed; some process waited for a CPU in %.2f of its time: %v", run, share, err)
 		}
-		t.Logf("repeating run %d, starved of CPU for %.2f of the time: %v", run, share, err)
+		t.Logf("repeating run %d; some process waited for a CPU in %.2f of its time: %v", run, share, err)
 	}
 }
--- a/internal/testwait/stopwatch.go
+++ b/internal/testwait/stopwatch.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Stopwatch measures elapsed time without the time in which some process waited for a CPU. A bound on the result is
-// also valid on a busy machine, and loses nothing of its strictness on an idle one.
+// Stopwatch measures elapsed time without the time in which some process waited for a CPU. So a test can use the same
+// time limit on a busy machine as on an idle one, and the limit is as strict on an idle one as without a Stopwatch.
 type Stopwatch struct {
 	startedAt      time.Time
-	starvedAtStart time.Duration // cpuStarvation at the start
+	starvedAtStart time.Duration
 }
 
 // StartStopwatch returns a Stopwatch that starts now.
@@ -29,7 +29,7 @@
 	return float64(cpuStarvation()-s.starvedAtStart) / float64(time.Since(s.startedAt))
 }
 
-// cpuPressureTotal matches the total in /proc/pressure/cpu, in microseconds.
+// cpuPressureTotal matches the total of the line "some" in /proc/pressure/cpu, in microseconds.
 var cpuPressureTotal = regexp.MustCompile(`some .* total=(\d+)`)
 
 // cpuStarvation returns the total time since boot in which some process was ready to run but had no CPU. It is 0 if the
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -1,7 +1,7 @@
 // Package testwait has waits with time limits for tests. Every wait has a description of what it waits for, so that a
-// test that would hang fails with this description instead. The limits are far longer than any wait takes on a machine
-// that is starved of CPU. They only end tests that hang, so that results do not depend on the machine's speed. Only
-// tests import the package.
+// test that would hang fails with this description instead. The limits are far longer than any wait takes, even on a
+// machine that is starved of CPU. Only a test that hangs reaches them, so that results do not depend on the machine's
+// speed. Only tests import the package.
 package testwait
 
 import (
@@ -26,7 +26,7 @@
 	return ReceiveWithin(t, Limit, c, what)
 }
 
-// ReceiveWithin is Receive with another limit, for waits that consist of many steps.
+// ReceiveWithin is Receive with another limit, for events that take many steps.
 func ReceiveWithin[T any](t testing.TB, limit time.Duration, c <-chan T, what string) T {
 	t.Helper()
 	timer := time.NewTimer(limit)
@@ -40,7 +40,7 @@
 	}
 }
 
-// Send sends v to c. It fails the test after Limit.
+// Send sends v to c. It fails the test after Limit. what describes v.
 func Send[T any](t testing.TB, c chan<- T, v T, what string) {
 	t.Helper()
 	timer := time.NewTimer(Limit)
@@ -58,7 +58,7 @@
 	WaitGroupWithin(t, Limit, g, what)
 }
 
-// WaitGroupWithin is WaitGroup with another limit, for goroutines that wait themselves.
+// WaitGroupWithin is WaitGroup with another limit, for goroutines that contain waits of their own.
 func WaitGroupWithin(t testing.TB, limit time.Duration, g *sync.WaitGroup, what string) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -75,7 +75,7 @@
 	UntilWithin(t, Limit, what, condition)
 }
 
-// UntilWithin is Until with another limit, for waits that consist of many steps.
+// UntilWithin is Until with another limit, for conditions that take many steps.
 func UntilWithin(t testing.TB, limit time.Duration, what string, condition func() bool) {
 	t.Helper()
 	for startedAt := time.Now(); !condition(); time.Sleep(pollInterval) {
--- a/internal/testwait/testwait_test.go
+++ b/internal/testwait/testwait_test.go
@@ -13,7 +13,7 @@
 // Guards against waits that do not return when the awaited event happens, or return early.
 func TestWaitsReturnWhenDone(t *testing.T) {
 	c := make(chan int, 1)
-	Send(t, c, 7, "room in the channel")
+	Send(t, c, 7, "the value 7")
 	if v := Receive(t, c, "the value that was sent"); v != 7 {
 		t.Errorf("received %d", v)
 	}
@@ -35,16 +35,16 @@
 	}
 }
 
-// Guards against connections whose two ends are not connected to each other.
-func TestConnectionsCarryData(t *testing.T) {
+// Guards against Accept returning another connection than the one that was dialled.
+func TestAcceptReturnsDialledConnection(t *testing.T) {
 	l := Listen(t)
-	near := Dial(t, l.Addr().String())
-	far := Accept(t, l, "the connection just dialled")
-	if _, err := near.Write([]byte("x")); err != nil {
+	dialled := Dial(t, l.Addr().String())
+	accepted := Accept(t, l, "the connection just dialled")
+	if _, err := dialled.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	got := make([]byte, 1)
-	if _, err := far.Read(got); err != nil || got[0] != 'x' {
+	if _, err := accepted.Read(got); err != nil || got[0] != 'x' {
 		t.Errorf("read %q, %v", got, err)
 	}
 }
@@ -61,11 +61,11 @@
 
 // Guards against a stopwatch that counts more than the elapsed time, and against RetryIfStarved repeating a check that
 // has passed or hiding one that always fails.
-func TestRetryIfStarvedStopsAfterSuccess(t *testing.T) {
+func TestStopwatchAndRetryIfStarved(t *testing.T) {
 	stopwatch := StartStopwatch()
 	time.Sleep(time.Millisecond)
 	if took := stopwatch.Elapsed(); took > time.Since(stopwatch.startedAt) {
-		t.Errorf("stopwatch shows %v after %v", took, time.Since(stopwatch.startedAt))
+		t.Errorf("stopwatch shows %v, more than the %v since its start", took, time.Since(stopwatch.startedAt))
 	}
 	runs := 0
 	RetryIfStarved(t, func() error { runs++; return nil })
@@ -77,7 +77,7 @@
 		RetryIfStarved(f, func() error { return errLate })
 	})
 	if !strings.Contains(failure, "late") {
-		t.Errorf("failed with %q", failure)
+		t.Errorf("failed with %q, want a text with the error \"late\"", failure)
 	}
 }
 
