--- a/lab/scale/capacitypage.go
+++ b/lab/scale/capacitypage.go
@@ -19,7 +19,7 @@
 
 // UpdatePage returns the page with its figures and tables updated from the results. A figure is a number followed by
 // <!--PATH-->, with a path for Value. A table is the text between <!-- table TEST --> and <!-- end -->. Figures and
-// tables with an error stay unchanged, and the last such error is returned together with the updated page.
+// tables that cannot be computed stay unchanged, and the last error is returned together with the updated page.
 func (s ResultSet) UpdatePage(page []byte) ([]byte, error) {
 	var lastError error
 	page = tableBlock.ReplaceAllFunc(page, func(block []byte) []byte {
@@ -105,7 +105,7 @@
 	var values []string
 	zeros := 0
 	for _, result := range s[test] {
-		value, err := result.cost(scenario, name)
+		value, err := result.figure(scenario, name)
 		if err != nil {
 			return nil
 		}
--- a/lab/scale/capacitypage_test.go
+++ b/lab/scale/capacitypage_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against a capacity page that differs from the results files: all figures and tables on it, and results of all
-// tests at all default sizes.
+// Guards against figures and tables on the capacity page that differ from the results files, and against results that
+// are missing for a test or a default size.
 func TestCapacityPageMatchesResults(t *testing.T) {
 	set, err := ReadResultSet("../../docs/results/scale")
 	if err != nil {
@@ -15,12 +15,12 @@
 	}
 	for test, results := range set {
 		if len(results) != len(DefaultSizes) {
-			t.Fatalf("%s: results of a wrong number of sizes, %d", test, len(results))
+			t.Fatalf("%s: results at %d sizes, want one for each default size", test, len(results))
 		}
 		for i, result := range results {
 			if result.Test != test || result.Routers != DefaultSizes[i] ||
 				result.SimulatedProcesses < 1 || len(result.Phases) < 3 {
-				t.Errorf("%s: incomplete result, or of another test or size: %+v", test, result)
+				t.Errorf("%s: result is incomplete, or belongs to another test or size: %+v", test, result)
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 	}
 }
 
-// Guards against paths and tables that the results do not contain, but that are accepted without an error.
+// Guards against paths to unknown figures, malformed paths and unknown tables that are accepted without an error.
 func TestUpdatePageRejectsUnknownFigure(t *testing.T) {
 	set := squareLawSet()
 	for _, page := range []string{
--- a/lab/scale/charts.go
+++ b/lab/scale/charts.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// chart plots one cost over the number of routers, with a line for each phase.
+// chart plots one cost against the number of routers, with a line for each phase.
 type chart struct {
 	file, title string
 	cost        func(Phase) float64
--- a/lab/scale/datagram.go
+++ b/lab/scale/datagram.go
@@ -23,7 +23,7 @@
 // operation is the kind of a datagram of core/fleet.
 type operation byte
 
-// The operations.
+// Operations, with their values in the datagram format of core/fleet.
 const (
 	opPing operation = iota + 1
 	opAck
@@ -45,8 +45,8 @@
 
 func operationOf(datagram []byte) operation { return operation(datagram[operationOffset]) }
 
-// setRank replaces the sender's rank and site in a datagram.
-func setRank(datagram []byte, rank, site int) {
+// setSender replaces the sender's rank and site in a datagram.
+func setSender(datagram []byte, rank, site int) {
 	binary.BigEndian.PutUint16(datagram[rankOffset:], uint16(rank))
 	binary.BigEndian.PutUint16(datagram[siteOffset:], uint16(site))
 }
@@ -60,10 +60,10 @@
 // membershipUpdate is an encoded membership update, a slice of its datagram.
 type membershipUpdate []byte
 
-func (u membershipUpdate) rank() int         { return int(binary.BigEndian.Uint16(u)) }
-func (u membershipUpdate) setRank(rank int)  { binary.BigEndian.PutUint16(u, uint16(rank)) }
-func (u membershipUpdate) refuted() uint16   { return binary.BigEndian.Uint16(u[refutedOffset:]) }
-func (u membershipUpdate) isSuspicion() bool { return u[stateOffset] >= suspectState }
+func (u membershipUpdate) rank() int              { return int(binary.BigEndian.Uint16(u)) }
+func (u membershipUpdate) setRank(rank int)       { binary.BigEndian.PutUint16(u, uint16(rank)) }
+func (u membershipUpdate) refuted() uint16        { return binary.BigEndian.Uint16(u[refutedOffset:]) }
+func (u membershipUpdate) isSuspectOrWorse() bool { return u[stateOffset] >= suspectState }
 
 func (u membershipUpdate) setRefuted(refuted uint16) {
 	binary.BigEndian.PutUint16(u[refutedOffset:], refuted)
--- a/lab/scale/datagram_test.go
+++ b/lab/scale/datagram_test.go
@@ -24,8 +24,8 @@
 
 const checkedNodes = 4
 
-// siteOfChecked returns the site of a node: even ranks are in site 0, odd ranks in site 1.
-func siteOfChecked(rank int) int { return rank % 2 }
+// siteOfCheckedNode returns the site of a node: even ranks are in site 0, odd ranks in site 1.
+func siteOfCheckedNode(rank int) int { return rank % 2 }
 
 func newDatagramCheck(t *testing.T) *datagramCheck {
 	t.Helper()
@@ -34,7 +34,7 @@
 		node, err := fleet.New(second, fleet.Options{
 			Rank:        rank,
 			FleetSize:   checkedNodes,
-			Site:        siteOfChecked(rank),
+			Site:        siteOfCheckedNode(rank),
 			Sites:       2,
 			Incarnation: 77,
 			Seed:        1,
@@ -66,14 +66,14 @@
 	}
 	eachUpdate(datagram, func(u membershipUpdate) {
 		c.updates++
-		if u.rank() >= checkedNodes || u.isSuspicion() || u.refuted() != 0 {
-			c.Errorf("update about rank %d, suspected %v, refuted %d", u.rank(), u.isSuspicion(), u.refuted())
+		if u.rank() >= checkedNodes || u.isSuspectOrWorse() || u.refuted() != 0 {
+			c.Errorf("update about rank %d, suspected %v, refuted %d", u.rank(), u.isSuspectOrWorse(), u.refuted())
 		}
 	})
 	rewritten := slices.Clone(datagram)
-	setRank(rewritten, from, siteOfChecked(from))
+	setSender(rewritten, from, siteOfCheckedNode(from))
 	if !slices.Equal(rewritten, datagram) {
-		c.Errorf("setRank writes rank and site at wrong offsets: %x", datagram)
+		c.Errorf("setSender writes rank and site at wrong offsets: %x", datagram)
 	}
 	c.inFlight = append(c.inFlight, datagramInFlight{from, to, datagram})
 }
--- a/lab/scale/decisions.go
+++ b/lab/scale/decisions.go
@@ -7,7 +7,7 @@
 	"spantack/routing"
 )
 
-// Phases of the decisions test.
+// Durations of the phases of the decisions test, in seconds, and their number.
 const (
 	decisionPhaseSeconds      = 6
 	decisionShortPhaseSeconds = 1
@@ -15,8 +15,8 @@
 )
 
 const (
-	// endpointUpdateDelay is the time in seconds from a loss of servers to their removal from the endpoint list. It is
-	// reduced to half of a phase that is too short for it.
+	// endpointUpdateDelay is the time in seconds from a loss of servers to their removal from the endpoint list. The
+	// delay is at most half of the phase.
 	endpointUpdateDelay = 2
 
 	responseTime   = 20_000 // of all servers, in microseconds
@@ -24,7 +24,7 @@
 )
 
 // requestInterval is the time between two requests, in microseconds.
-var requestInterval = int64(math.Round(float64(second) / requestsPerSecond))
+var requestInterval = int64(math.Round(float64(second) / peakRequestsPerSecond))
 
 // decisionRun simulates the decision engine of one router.
 type decisionRun struct {
@@ -68,7 +68,7 @@
 
 // runRequests simulates requests at the peak rate for a number of seconds and returns the CPU time that this used.
 func (d *decisionRun) runRequests(seconds float64) time.Duration {
-	count := int(seconds * requestsPerSecond)
+	count := int(seconds * peakRequestsPerSecond)
 	startedAt := d.clock.now()
 	for range count {
 		d.now += requestInterval
@@ -129,7 +129,7 @@
 	return float64(d.servedByCaches) / float64(d.requests)
 }
 
-// addPhase adds a phase that used some CPU time to the result.
+// addPhase adds a phase to the result, with the CPU time that it used.
 func (d *decisionRun) addPhase(scenario Scenario, used time.Duration) {
 	d.result.Phases = append(d.result.Phases, Phase{
 		Scenario:   scenario,
@@ -146,10 +146,10 @@
 	d.addPhase(scenario, used)
 }
 
-// loseServers simulates a phase in which the first edge caches refuse connections. After endpointUpdateDelay they are
-// removed from the endpoint list, and after the phase they are added again.
-func (d *decisionRun) loseServers(scenario Scenario, servers int) {
-	for _, endpoint := range d.endpoints[1 : 1+servers] {
+// loseServers simulates a phase in which the first count edge caches refuse connections. After endpointUpdateDelay they
+// are removed from the endpoint list, and after the phase they are added again.
+func (d *decisionRun) loseServers(scenario Scenario, count int) {
+	for _, endpoint := range d.endpoints[1 : 1+count] {
 		d.refusing[endpoint.Server] = true
 	}
 	delay := min(endpointUpdateDelay, d.phaseSeconds/2)
@@ -198,7 +198,7 @@
 		return nil, err
 	}
 	d.runPhase(MassRestart)
-	d.result.addMetric("requests_per_s", requestsPerSecond)
+	d.result.addMetric("requests_per_s", peakRequestsPerSecond)
 	d.result.addMetric("caches", float64(caches))
 	d.result.addMetric("served_on_ordinary_day", servedInSteadyState)
 	d.result.addMetric("served_in_all", d.servedFraction())
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -18,12 +18,12 @@
 // heartbeatsPerSecond is the rate of the frames that carry no event.
 const heartbeatsPerSecond = 1
 
-// Times of the discovery test.
+// Durations in the discovery test.
 const (
 	discoveryOutage    = 30 * second  // during which the service, or the part that a router uses, is unreachable
-	regionsOutage      = 120 * second // the same for regions that are cut off
+	regionsOutage      = 120 * second // the same for regions that are partitioned from the service
 	failedDialTime     = 30_000       // microseconds until an attempt to connect fails during an outage
-	recoverySeconds    = 10           // after an outage; measured with it
+	recoverySeconds    = 10           // after an outage; part of the same phase
 	steadyStateSeconds = 60
 )
 
@@ -70,7 +70,7 @@
 // simulateReconnects runs core/backoff for routers that lose the service at the same moment and cannot connect until
 // the end of an outage. It returns the maximum number of attempts of all routers in one second of the outage, and the
 // maximum number of attempts of one router during the outage.
-func simulateReconnects(fleetSize int, ranks []int, outage int64) (inWorstSecond, ofWorstRouter int) {
+func simulateReconnects(fleetSize int, ranks []int, outage int64) (maxPerSecond, maxPerRouter int) {
 	const lostAt = second
 	next := func(rank int, now int64, isRetry bool) int64 {
 		return backoff.Schedule{Rank: rank, FleetSize: fleetSize}.Next(lostAt, now, isRetry)
@@ -94,10 +94,10 @@
 
 // discoveryPhase is one phase of the discovery test.
 type discoveryPhase struct {
-	scenario     Scenario
-	affected     []int // ranks of the routers that lose the service, or start
-	outage       int64 // duration in microseconds
-	needSnapshot bool  // the affected routers have no state and need the whole endpoint list
+	scenario      Scenario
+	affected      []int // ranks of the routers that lose the service, or start
+	outage        int64 // duration in microseconds
+	needsSnapshot bool  // the affected routers have no state and need the whole endpoint list
 }
 
 // discoveryPhases returns the phases of the discovery test, in order.
@@ -111,7 +111,7 @@
 	return []discoveryPhase{
 		{ColdStart, ranks, 0, true},
 		{SteadyState, nil, 0, false},
-		{ProcessLost, first(FleetRouters / controlPlaneMachines), discoveryOutage, false},
+		{ProcessLost, first(FleetRouters / discoveryServiceMachines), discoveryOutage, false},
 		{ZoneLost, first(FleetRouters / fleetZones), discoveryOutage, true},
 		{RegionLost, first(routersPerRegion), discoveryOutage, true},
 		{RegionsPartitioned, ranks[o.scaled(routersPerRegion):], regionsOutage, false},
@@ -123,15 +123,15 @@
 type discoveryCost struct {
 	phase                 Phase
 	attemptsInWorstSecond int     // maximum of attempts to connect to the service in one second
-	reconnectBytes        float64 // that all affected routers exchange when they reconnect, without missed updates
+	reconnectBytes        float64 // of all affected routers when they reconnect, without the updates that they missed
 }
 
 // cost returns the cost of the phase: the worst figures are those of an affected router, the mean is over all routers.
 func (p discoveryPhase) cost(o Options, clock threadCPUClock) discoveryCost {
 	startedAt := clock.now()
-	inWorstSecond, ofWorstRouter := 0, 0
+	maxPerSecond, maxPerRouter := 0, 0
 	if p.outage > 0 {
-		inWorstSecond, ofWorstRouter = simulateReconnects(o.Routers, p.affected, p.outage)
+		maxPerSecond, maxPerRouter = simulateReconnects(o.Routers, p.affected, p.outage)
 	}
 	used := clock.now() - startedAt
 
@@ -145,14 +145,14 @@
 	if len(p.affected) > 0 {
 		onReconnect = watchRequestSize
 	}
-	if p.needSnapshot {
+	if p.needsSnapshot {
 		onReconnect += snapshotSize(o)
 		updates -= missed
 	}
 	ofAffected := updates + onReconnect
 	affectedFraction := float64(len(p.affected)) / float64(o.Routers)
 	ofAll := affectedFraction*ofAffected + (1-affectedFraction)*updateBytesPerSecond()*seconds
-	messages := float64(ofWorstRouter) + heartbeatsPerSecond*seconds + endpointChangesPerSecond*seconds
+	messages := float64(maxPerRouter) + heartbeatsPerSecond*seconds + endpointChangesPerSecond*seconds
 	return discoveryCost{
 		phase: Phase{
 			Scenario:                p.scenario,
@@ -163,7 +163,7 @@
 			WorstDatagramsPerSecond: messages / seconds,
 			CPUPercent:              cpuPercent(used, seconds) / float64(max(len(p.affected), 1)),
 		},
-		attemptsInWorstSecond: inWorstSecond,
+		attemptsInWorstSecond: maxPerSecond,
 		reconnectBytes:        float64(len(p.affected)) * onReconnect,
 	}
 }
--- a/lab/scale/discovery_test.go
+++ b/lab/scale/discovery_test.go
@@ -11,7 +11,7 @@
 
 // Guards against frame sizes in the discovery and purges tests that differ from those of standin/discovery.
 func TestFrameSizes(t *testing.T) {
-	const lengthSize = 4 // bytes of the length field, which does not count itself
+	const lengthSize = 4 // size in bytes of the length field, whose value excludes its own size
 	service, err := discovery.Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/lab/scale/engine.go
+++ b/lab/scale/engine.go
@@ -19,7 +19,7 @@
 	originKind = "origin"
 )
 
-// Settings of the engine, as the operators' fleet would have them.
+// Settings of the engine that match the operators' fleet.
 const (
 	purgePropagationTime = 3_900_000 // microseconds until a purge has been applied everywhere
 	requestDeadline      = 5 * second
@@ -33,7 +33,7 @@
 	return routing.NewEngine(engineSettings(o), int64(o.Seed%(1<<62)))
 }
 
-// engineSettings returns the engine's settings in a fleet of this size.
+// engineSettings returns the engine's settings for a fleet of o.Routers routers.
 func engineSettings(o Options) routing.Settings {
 	return routing.Settings{
 		Classes: []routing.Class{{
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -10,18 +10,18 @@
 	fleetRegions = 29
 	fleetZones   = 92
 
-	controlPlaneMachines = 49 // of the discovery service
+	discoveryServiceMachines = 49
 
 	secondsPerDay            = 24 * 60 * 60
-	purgesPerSecond          = 240
-	endpointChangesPerSecond = 18_000.0 / secondsPerDay
-	requestsPerSecond        = 7_900_000.0 / FleetRouters // peak rate of one router
+	purgesPerSecond          = 240                        // of the whole fleet
+	endpointChangesPerSecond = 18_000.0 / secondsPerDay   // of the whole fleet
+	peakRequestsPerSecond    = 7_900_000.0 / FleetRouters // of one router
 )
 
 // DefaultSizes are the numbers of routers that a test runs with by default.
 var DefaultSizes = []int{300, 1_000, 3_000, FleetRouters}
 
-// Budget is the maximum that one request router may use for control.
+// Budget is the maximum that one request router may use for the fleet's control mechanisms.
 type Budget struct {
 	BytesPerSecond float64
 	CPUPercent     float64 // of one core
@@ -36,8 +36,10 @@
 	return max((count*o.Routers+FleetRouters/2)/FleetRouters, 1)
 }
 
-// regionOf returns the region of the router or process with an index. All regions have the same share of count.
+// regionOf returns the region of the router or process at index, of count in all. All regions have the same size,
+// except for rounding.
 func regionOf(index, count int) int { return index * fleetRegions / count }
 
-// zoneOf returns the zone of the router or process with an index. All zones have the same share of count.
+// zoneOf returns the zone of the router or process at index, of count in all. All zones have the same size, except for
+// rounding.
 func zoneOf(index, count int) int { return index * fleetZones / count }
--- a/lab/scale/fleetrun.go
+++ b/lab/scale/fleetrun.go
@@ -12,7 +12,7 @@
 // sampleSize is the maximum number of simulated processes in fleets of up to maxRouters routers.
 type sampleSize struct{ maxRouters, processes int }
 
-// sampleSizes decrease with the size of the fleet, as the simulation of each process takes longer.
+// sampleSizes decrease with the size of the fleet, because each process takes longer to simulate in a larger fleet.
 var sampleSizes = []sampleSize{{300, 300}, {3_000, 250}, {maxRouters, 4 * fleetRegions}}
 
 // processCount returns the number of processes to simulate. It equals Options.Routers if all routers are simulated.
@@ -34,7 +34,7 @@
 	steadyState int64
 	fault       int64
 	partition   int64
-	settle      int64 // after a fault; measured only after a partition
+	settle      int64 // after the end of a fault; part of a measured phase only after a partition
 }
 
 var (
@@ -151,8 +151,8 @@
 	phase, index := newPhase(scenario, seconds, traffics)
 	busiest := running[index]
 	// Only one router of the fleet is the busiest; the other routers cost the mean of the other simulated processes.
-	// When routers request a lease from several holders, for instance when most have just started, a sample gives the
-	// holders too much weight.
+	// When routers request a lease from several holders, for instance when most have just started, the holders
+	// are too large a part of a sample, and this mean is too high.
 	busiestBytes := float64(busiest.traffic.bytes)
 	routers := float64(w.routers)
 	othersMean := (total - busiestBytes) / float64(len(running)-1)
@@ -170,8 +170,8 @@
 	case ProcessLost:
 		return []int{processLostRank}
 	case RackLost: // the last ranks, as many as a site has
-		routersPerSite := w.routers / w.sites
-		return w.ranksOf(func(rank int, _ *process) bool { return rank >= w.routers-routersPerSite })
+		ranksInRack := w.routers / w.sites
+		return w.ranksOf(func(rank int, _ *process) bool { return rank >= w.routers-ranksInRack })
 	case ZoneLost:
 		return w.ranksOf(func(_ int, p *process) bool { return p.zone == last.zone })
 	case RegionLost:
@@ -184,8 +184,8 @@
 
 // stopAndRestart simulates a fault that stops routers, and starts them again. For ProcessLost it adds a metric: without
 // limits, the fraction of the processes that have detected the loss; with limits, the time until most had a lease
-// holder again. The fraction is seldom 1: updates about a cold start are passed on for minutes, and the update about
-// the loss is queued with them.
+// holder again. The fraction is usually below 1: for minutes after a cold start, nodes still pass on updates about it,
+// and the update about the loss waits in the same queue.
 func (f *fleetRun) stopAndRestart(scenario Scenario, processLostRank int) error {
 	ranks := f.affectedRanks(scenario, processLostRank)
 	f.world.stop(ranks)
@@ -194,7 +194,7 @@
 	}
 	if scenario == ProcessLost {
 		if len(f.world.limits) == 0 {
-			f.result.addMetric("known_dead", f.world.failureAwareFraction(processLostRank))
+			f.result.addMetric("known_dead", f.world.detectedFraction(processLostRank))
 		} else if err := f.awaitNewLeaseHolder(); err != nil {
 			return err
 		}
@@ -205,11 +205,11 @@
 	return f.advance(f.seconds.settle)
 }
 
-// maxLeaseRecoverySeconds limits the wait for a new holder, counted from the loss of the last one.
+// maxLeaseRecoverySeconds is the maximum time from the loss of a holder until the wait for a new one ends.
 const maxLeaseRecoverySeconds = 30
 
-// awaitNewLeaseHolder simulates until more than half of the processes have a new holder after the last one was lost,
-// or maxLeaseRecoverySeconds have passed. It adds the time since the loss to the result.
+// awaitNewLeaseHolder simulates until more than half of the processes have a new holder after the loss of the previous
+// one, or maxLeaseRecoverySeconds have passed. It adds the time since the loss to the result.
 func (f *fleetRun) awaitNewLeaseHolder() error {
 	const step = second / 2
 	took := f.seconds.fault * second
--- a/lab/scale/fleetrun_test.go
+++ b/lab/scale/fleetrun_test.go
@@ -5,15 +5,17 @@
 	"testing"
 )
 
-// Guards against a simulation that loses requests to the lease holder. All routers request leases of one limit from its
-// holder. It receives more than ten times as much as other routers, in proportion to the size of the fleet.
+// Guards against a simulation that drops lease requests on their way to the holder. All routers request leases of one
+// limit from its holder. The holder's traffic must be at least ten times the mean, and must grow in proportion to the
+// size of the fleet.
 func TestLeaseHolderTrafficGrowsWithFleet(t *testing.T) {
 	small := run(t, "limits", Options{Routers: 300, Seed: 3, MaxSimulated: fewestProcesses})
 	large := run(t, "limits", Options{Routers: 1_000, Seed: 3, MaxSimulated: fewestProcesses})
 	ofSmall, ofLarge := small.Worst().WorstBytesPerSecond, large.Worst().WorstBytesPerSecond
 	growth := ofLarge / ofSmall
 	if ofSmall < 10*small.MeanBytesPerSecond() || growth < 2.5 || growth > 4.5 {
-		t.Errorf("holder: %.0f bytes per second with 300 routers, %.0f with 1,000", ofSmall, ofLarge)
+		t.Errorf("holder: %.0f bytes/s with 300 routers, %.0f with 1,000; want 10 times the mean and growth by 2.5 to 4.5",
+			ofSmall, ofLarge)
 	}
 	if small.WithinBudget() || large.WithinBudget() {
 		t.Error("holder is within the budget of a router, which it must exceed")
@@ -21,7 +23,8 @@
 }
 
 // Guards against sampled results that differ from those with all routers simulated: the cost of a process must be the
-// same. Shortly after a cold start a sample is somewhat ahead, as updates reach all of fewer processes sooner.
+// same. Some difference is tolerated: updates reach all processes sooner if there are fewer of them, so shortly after a
+// cold start a sample has passed on more updates.
 func TestSampleMatchesFullSimulation(t *testing.T) {
 	const tolerance = 0.2
 	for _, name := range []string{"membership", "limits"} {
@@ -40,8 +43,8 @@
 	}
 }
 
-// meanBytes returns the mean bytes per second of all processes over all phases. It averages over phases because the
-// time, and so the phase, in which a new holder is found is random.
+// meanBytes returns the mean bytes per second of all processes over all phases. It averages over phases because a new
+// holder is found at a random time, which can be in different phases.
 func meanBytes(r *Result) float64 {
 	bytes, seconds := 0.0, 0.0
 	for _, phase := range r.Phases {
--- a/lab/scale/leases.go
+++ b/lab/scale/leases.go
@@ -26,7 +26,7 @@
 // leaseTickInterval is the interval of a router's ticks, in microseconds.
 const leaseTickInterval = second / 20
 
-// Phases of the leases test, in seconds.
+// Durations of the phases of the leases test, in seconds, and their number.
 const (
 	leaseColdStartSeconds   = 20
 	leaseSteadyStateSeconds = 10
@@ -36,8 +36,8 @@
 	leasePhaseCount         = 6
 )
 
-// recoveredFraction is the fraction of the usage before a loss, in proportion to the remaining routers, at which the
-// limit counts as recovered.
+// recoveredFraction defines when the limit counts as recovered after a loss: when usedFraction reaches
+// recoveredFraction of its value before the loss, scaled to the fraction of the routers that remain.
 const recoveredFraction = 0.8
 
 // leaseWorldStream separates the random numbers of a leaseWorld from others with the same seed.
@@ -162,7 +162,8 @@
 	router.node.Receive(w.now, delivery.from, delivery.message)
 }
 
-// usedFraction returns the fraction of the limit that all running routers together may use now.
+// usedFraction returns the sum of the quotas of all running routers as a fraction of the limit. The routers' demand
+// exceeds the limit, so they use all of it.
 func (w *leaseWorld) usedFraction() (fraction float64) {
 	for _, router := range w.routers {
 		if router.isUp {
@@ -321,7 +322,7 @@
 	return r.massRestart()
 }
 
-// runLeases measures leases by a lease tree, without membership.
+// runLeases measures leases from a lease tree, without membership.
 func runLeases(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
--- a/lab/scale/leases_test.go
+++ b/lab/scale/leases_test.go
@@ -9,8 +9,9 @@
 )
 
 // Guards against a lease tree that overloads a router or leaves the limit unused. All routers request leases of one
-// limit, and each has traffic only with its group and its children. The worst router stays within the budget, also in a
-// fleet of six times the size with one more level, and the limit is in use before and after losses.
+// limit, and each has traffic only with its group and its children. The worst router must stay within the budget in a
+// small fleet and in one of six times the size, which has another tree level. Most of the limit must be in use before
+// and after losses.
 func TestLeaseTreeStaysWithinBudget(t *testing.T) {
 	for _, routers := range []int{200, 1_200} {
 		result := run(t, "leases", Options{Routers: routers, Seed: 6})
@@ -66,7 +67,7 @@
 		}
 	}
 	if len(seen) != len(leaseSizes) {
-		t.Errorf("a wrong number of datagram sizes was seen: %v", seen)
+		t.Errorf("datagram sizes seen: %v, want one for each kind in leaseSizes", seen)
 	}
 	for kind, size := range leaseSizes {
 		if !seen[size] {
--- a/lab/scale/network.go
+++ b/lab/scale/network.go
@@ -21,7 +21,7 @@
 // arrivalTime returns the random arrival time of a message that is sent now.
 func arrivalTime(rng *rand.Rand, now int64) int64 { return now + minDelay + rng.Int64N(delaySpan) }
 
-// calendar is a queue of events within the next slotCount slots of virtual time.
+// calendar is a timing wheel: a queue of events within the next slotCount slots of virtual time.
 type calendar[T any] [slotCount][]T
 
 // add adds an item at a time. Items of one slot keep the order in which they were added.
--- a/lab/scale/purges.go
+++ b/lab/scale/purges.go
@@ -2,11 +2,11 @@
 
 import "spantack/routing"
 
-// Phases of the purges test, in seconds.
+// Durations of the phases of the purges test, in seconds, and their number.
 const (
 	purgeSteadyStateSeconds = 30
 	purgePartitionSeconds   = 120
-	purgeCatchUpSeconds     = 10 // after the partition, measured with it
+	purgeCatchUpSeconds     = 10 // after the partition; part of the same phase
 	purgeRestartSeconds     = 20
 	purgePhaseCount         = 3
 )
@@ -27,8 +27,8 @@
 	result  *Result
 }
 
-// receive makes the router receive count purges, one per interval, each of copies of at least some age. Interval and
-// age are in microseconds. It returns the CPU time in seconds.
+// receive makes the router receive count purges, one per interval. Each purges the copies of an object that are at
+// least age old. Interval and age are in microseconds. It returns the CPU time in seconds.
 func (r *purgeRun) receive(count int, interval, age int64) float64 {
 	startedAt := r.clock.now()
 	for range count {
@@ -40,7 +40,8 @@
 	return (r.clock.now() - startedAt).Seconds()
 }
 
-// addPhase adds a phase to the result: the number of purges in it, the maximum in one second, and the CPU time.
+// addPhase adds a phase to the result. Its cost follows from the number of purges in it, the maximum number of purges
+// in one second, and the CPU time in seconds.
 func (r *purgeRun) addPhase(scenario Scenario, seconds, purges, maxPerSecond int, usedSeconds float64) {
 	duration := float64(seconds)
 	bytes := float64(purges)*(frameHeaderSize+purgeSize) + updateBytesPerSecond()*duration
@@ -91,7 +92,8 @@
 	r.runEvenly(SteadyState, purgeSteadyStateSeconds/divisor)
 	r.runPartition(purgePartitionSeconds / divisor)
 
-	// A restarted router requests the events after the one in its configuration, so it receives no old purges.
+	// A restarted router requests only the events after the event number in its configuration, so it receives no old
+	// purges.
 	if r.engine, err = newEngine(o); err != nil {
 		return nil, err
 	}
--- a/lab/scale/result.go
+++ b/lab/scale/result.go
@@ -5,21 +5,25 @@
 	"strings"
 )
 
-// Phase is the measured cost of one phase of a test. Bytes are payloads of datagrams and frames, sent and received.
-// Bytes per second are means over the phase, and the worst process is the one with the most bytes. The JSON names are
-// those of stored results files.
+// Phase is the measured cost of one phase of a test. Byte counts are those of the payloads of datagrams and frames,
+// sent and received. Rates per second are means over the phase. The JSON names are those of stored results files.
 type Phase struct {
-	Scenario            Scenario `json:"Trouble"`
-	Seconds             float64  `json:"Seconds"`
-	MeanBytesPerSecond  float64  `json:"MeanBytesPerSecond"`
-	WorstBytesPerSecond float64  `json:"WorstBytesPerSecond"`
+	Scenario           Scenario `json:"Trouble"`
+	Seconds            float64  `json:"Seconds"`
+	MeanBytesPerSecond float64  `json:"MeanBytesPerSecond"`
+	// WorstBytesPerSecond is the rate of the process with the most bytes.
+	WorstBytesPerSecond float64 `json:"WorstBytesPerSecond"`
 	// PeakBytes is the maximum of any process in one second.
-	PeakBytes               float64 `json:"PeakBytes"`
+	PeakBytes float64 `json:"PeakBytes"`
+	// WorstDatagramsPerSecond is the maximum of any process.
 	WorstDatagramsPerSecond float64 `json:"WorstDatagramsPerSecond"`
-	// CPUPercent is the CPU usage of the process with the most bytes, in percent of one core. It is the only figure that
-	// is not determined by the seed.
+	// CPUPercent is CPU usage in percent of one core. In the decisions and purges tests it is that of the simulated
+	// router. In the membership and limits tests it is that of the process with the most bytes, or the mean of all
+	// running processes if that is greater. In the leases and verdicts tests it is the mean of all routers, in the
+	// discovery test the mean of the affected routers. It is the only figure that is not determined by the seed.
 	CPUPercent float64 `json:"CPUPercent"`
-	// MemoryKB is the size of that process's state in the mechanism under test.
+	// MemoryKB is the size of a process's state in the mechanism under test: of the process with the most bytes or, in
+	// the verdicts test, of router 0. In the discovery test it is 0.
 	MemoryKB float64 `json:"MemoryKB"`
 }
 
--- a/lab/scale/resultset.go
+++ b/lab/scale/resultset.go
@@ -27,7 +27,8 @@
 	return set, nil
 }
 
-// costByName are the figures of a phase, by their names in paths (see ResultSet.Value).
+// costByName contains the costs of a phase, by their names in paths (see ResultSet.Value). A figure is either a cost of
+// the phases of a result or a metric.
 var costByName = map[string]func(Phase) float64{
 	"bytes":         func(p Phase) float64 { return p.WorstBytesPerSecond },
 	"mean_bytes":    func(p Phase) float64 { return p.MeanBytesPerSecond },
@@ -40,14 +41,15 @@
 	"memory_factor": func(p Phase) float64 { return p.MemoryKB / RouterBudget.MemoryKB },
 }
 
-// statePerRouter is the name in paths of a process's state in bytes, divided by the number of routers.
+// statePerRouter is the name, in paths, of this figure: the size in bytes of a process's state (Phase.MemoryKB),
+// divided by the number of routers.
 const statePerRouter = "state_per_router"
 
-// cost returns a figure of a result: its maximum over the phases of a scenario, or over all phases if scenario is
-// empty. The name of a metric is also valid, but only with an empty scenario.
-func (r *Result) cost(scenario Scenario, name string) (float64, error) {
+// figure returns a figure of a result. A cost is the maximum over the phases of a scenario, or over all phases if
+// scenario is empty. The name of a metric is also valid, but only with an empty scenario.
+func (r *Result) figure(scenario Scenario, name string) (float64, error) {
 	if name == statePerRouter {
-		kilobytes, err := r.cost(scenario, "memory")
+		kilobytes, err := r.figure(scenario, "memory")
 		return kilobytes * 1024 / float64(r.Routers), err
 	}
 	costOf, isCost := costByName[name]
@@ -82,16 +84,17 @@
 }
 
 // fit fits a power law to a figure over all sizes, by linear regression of the logarithms. It returns an error if there
-// are fewer than two sizes, or a size without the figure or with a figure of 0 or less.
+// are fewer than two sizes, or if the figure is missing, 0 or negative at any size.
 func (s ResultSet) fit(test string, scenario Scenario, name string) (PowerLaw, error) {
 	var sizes, values []float64
 	for _, result := range s[test] {
-		value, err := result.cost(scenario, name)
+		value, err := result.figure(scenario, name)
 		if err != nil {
 			return PowerLaw{}, err
 		}
 		if value <= 0 {
-			return PowerLaw{}, fmt.Errorf("%s, %s: %v at %d routers has no logarithm", test, name, value, result.Routers)
+			return PowerLaw{}, fmt.Errorf("%s, %s: cannot fit %v at %d routers: must be positive",
+				test, name, value, result.Routers)
 		}
 		sizes = append(sizes, math.Log(float64(result.Routers)))
 		values = append(values, math.Log(value))
@@ -114,9 +117,11 @@
 	sizeError = "error" // the maximum relative error, in percent
 )
 
-// Value returns the figure at a path: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME. SIZE is a number of routers. With "slope"
-// as SIZE it returns the exponent of the power law fitted over all sizes, with "error" the maximum relative error of
-// that fit in percent. For several paths separated by " + " it returns the sum.
+// Value returns the figure at a path: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME. SIZE is a number of routers. PHASE is the
+// name of a scenario. NAME is that of a cost (see costByName), state_per_router or a metric. Without PHASE, the value
+// of a cost is the maximum over all phases. With "slope" as SIZE, Value returns the exponent of the power law fitted
+// over all sizes, with "error" the maximum relative error of that fit in percent. For several paths separated by " + "
+// it returns the sum.
 func (s ResultSet) Value(path string) (sum float64, err error) {
 	for term := range strings.SplitSeq(path, " + ") {
 		value, err := s.lookup(term)
@@ -148,7 +153,7 @@
 	}
 	for _, result := range s[test] {
 		if strconv.Itoa(result.Routers) == size {
-			return result.cost(scenario, name)
+			return result.figure(scenario, name)
 		}
 	}
 	return 0, fmt.Errorf("figure %q: no result of this test and size", path)
--- a/lab/scale/resultsfile.go
+++ b/lab/scale/resultsfile.go
@@ -7,18 +7,18 @@
 	"path/filepath"
 )
 
-// ResultsFile is the name of the file that WriteResults creates.
+// ResultsFile is the name of the JSON file that WriteResults creates for the results.
 const ResultsFile = "results.json"
 
-// WriteResults writes the results of one test at one or more sizes to a directory, with charts of the costs over the
-// size. It creates the directory if necessary.
+// WriteResults writes the results of one test at one or more sizes to a directory, with charts of the costs against
+// the number of routers. It creates the directory if necessary.
 func WriteResults(dir string, results []*Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("--out: %w", err)
 	}
 	text, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
-		return fmt.Errorf("results: %w", err)
+		return fmt.Errorf("encode results: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, ResultsFile), append(text, '\n'), 0o644); err != nil {
 		return fmt.Errorf("--out: %w", err)
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -30,7 +30,8 @@
 	MassRestart        Scenario = "seven in ten restarted"
 )
 
-// restartsInMassRestart returns whether MassRestart restarts the router or process with an index: seven in ten.
+// restartsInMassRestart returns whether MassRestart restarts the router or process at index. It restarts seven of every
+// ten.
 func restartsInMassRestart(index int) bool { return index%10 < 7 }
 
 // Bounds of Options.
@@ -46,9 +47,11 @@
 	Routers int
 	// Seed, from 0 to 2^63, is the seed of all random numbers, such as those of the network.
 	Seed uint64
-	// ShortPhases shortens phases, many to a sixth or less, for Go tests.
+	// ShortPhases makes phases shorter, many of them a sixth as long or less, for Go tests. The discovery and leases
+	// tests ignore it.
 	ShortPhases bool
 	// MaxSimulated is the maximum number of processes that are simulated in full; 0: a default for the fleet's size.
+	// Only the membership and limits tests use it.
 	MaxSimulated int
 	// Progress is called after each phase with the number of finished phases and of all phases. It may be nil.
 	Progress func(done, all int)
@@ -67,7 +70,7 @@
 	return nil
 }
 
-// Test is a scale test.
+// Test is a scale test, selected by Name. Title describes it in one line.
 type Test struct {
 	Name, Title string
 	run         func(Options) (*Result, error)
@@ -77,8 +80,8 @@
 func Tests() []Test {
 	return []Test{
 		{"decisions", "routing decisions of one router, with all caches in the endpoint list", runDecisions},
-		{"discovery", "updates from the discovery service, and reconnections after an outage of it", runDiscovery},
-		{"leases", "leases of one fleet limit for all routers, by a lease tree, without membership", runLeases},
+		{"discovery", "updates from the discovery service, and reconnections after the service was down", runDiscovery},
+		{"leases", "leases of one fleet limit for all routers, from a lease tree, without membership", runLeases},
 		{"limits", "leases of one fleet limit for all routers, from a single holder", runLimits},
 		{"membership", "fleet membership: probes and membership updates", runMembership},
 		{"purges", "purges that one router receives from the discovery service and stores", runPurges},
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -10,8 +10,10 @@
 
 // Numbers of processes to simulate, small enough to keep tests short with the race detector.
 const (
-	fewProcesses    = 60
-	fewestProcesses = 30 // a coarser sample, enough for lease traffic: what a lease holder receives does not depend on it
+	fewProcesses = 60
+	// fewestProcesses is a smaller sample, for tests that do not depend on the number of simulated processes. What a
+	// lease holder receives, for example, does not depend on it.
+	fewestProcesses = 30
 )
 
 // run runs a scale test with short phases.
@@ -33,14 +35,14 @@
 func expectMetrics(t *testing.T, result *Result, minimum map[string]float64) {
 	t.Helper()
 	for name, want := range minimum {
-		if value, err := result.cost("", name); err != nil || value < want {
+		if value, err := result.figure("", name); err != nil || value < want {
 			t.Errorf("%s, %d routers: %s is %v (%v), want at least %v", result.Test, result.Routers, name, value, err, want)
 		}
 	}
 }
 
-// Guards against scale tests with missing figures, invalid RESULT lines or, except for limits, more bytes per second
-// than the budget. Each scale test runs at two sizes.
+// Guards against scale tests with missing figures, invalid RESULT lines or, except in the limits test, more bytes per
+// second than the budget. Each scale test runs at two sizes.
 func TestAllTestsReportFiguresWithinBudget(t *testing.T) {
 	for _, test := range Tests() {
 		for _, routers := range []int{300, 1_000} {
@@ -64,7 +66,8 @@
 	}
 }
 
-// Guards against figures that are not determined by the seed, except CPU time, and against a seed that has no effect.
+// Guards against figures other than CPU time that differ between runs with the same seed, and against a seed that has
+// no effect.
 func TestSameSeedSameResult(t *testing.T) {
 	phases := func(name string, seed uint64) string {
 		result := run(t, name, Options{Routers: 160, Seed: seed, MaxSimulated: fewestProcesses})
--- a/lab/scale/verdicts.go
+++ b/lab/scale/verdicts.go
@@ -16,7 +16,7 @@
 // sent only with pings and acks.
 var reportSize = bodyOffset + bodySizes[opHealthReport]
 
-// Phases of the verdicts test, in seconds.
+// Durations of the phases of the verdicts test, in seconds, and their number.
 const (
 	reportSteadyStateSeconds = 5
 	reportFaultSeconds       = 10
@@ -25,7 +25,7 @@
 
 const (
 	reportTickInterval = second / 20
-	highLossRate       = 0.3 // of PacketLoss
+	highLossRate       = 0.3 // loss rate in the scenario PacketLoss
 
 	// reportWorldStream separates the random numbers of a reportWorld from others with the same seed.
 	reportWorldStream = 11
@@ -182,8 +182,8 @@
 }
 
 // runVerdicts measures health reports without membership. After a steady state without reports, all routers observe the
-// same server failing from the same moment on, also during packet loss, the loss of a region, a partition of regions
-// and a mass restart.
+// same server failing, from the same moment until the end of the test: first without another fault, then with packet
+// loss, the loss of a region, a partition of regions and a mass restart, one after another.
 func runVerdicts(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
--- a/lab/scale/verdicts_test.go
+++ b/lab/scale/verdicts_test.go
@@ -3,8 +3,9 @@
 import "testing"
 
 // Guards against health reports whose rate grows with the number of routers that observe a server failing at the same
-// moment. Random waits suppress redundant reports; without them a router in a fleet of 1,000 received 1.9 times as many
-// reports as one in a fleet of 300. All routers are simulated, and all of them must eject the server.
+// moment. Random waits suppress redundant reports. Without them the rate grows with the fleet: a router in a fleet of
+// 1,000 receives 1.9 times as many reports as one in a fleet of 300. All routers are simulated, and all of them must
+// eject the server.
 func TestReportRateIndependentOfFleetSize(t *testing.T) {
 	small := run(t, "verdicts", Options{Routers: 300, Seed: 5})
 	middle := run(t, "verdicts", Options{Routers: 1_000, Seed: 5})
@@ -13,16 +14,17 @@
 		t.Fatalf("%d and %d routers simulated, want 300 and 3,000", small.SimulatedProcesses, large.SimulatedProcesses)
 	}
 	// In a fleet of 300 a region has at most one site, so no report from another site can suppress or confirm a report.
+	// Therefore RegionsPartitioned is compared with a fleet of 1,000.
 	for scenario, smaller := range map[Scenario]*Result{
 		ServerFailing:      small,
 		PacketLoss:         small,
 		MassRestart:        small,
 		RegionsPartitioned: middle,
 	} {
-		ofSmaller, errSmaller := smaller.cost(scenario, "datagrams")
-		ofLarge, errLarge := large.cost(scenario, "datagrams")
+		ofSmaller, errSmaller := smaller.figure(scenario, "datagrams")
+		ofLarge, errLarge := large.figure(scenario, "datagrams")
 		if errSmaller != nil || errLarge != nil || ofSmaller <= 0 || ofLarge > 1.5*ofSmaller {
-			t.Errorf("%s: a router has %.0f reports per second with %d routers, %.0f with 3,000 (%v, %v)",
+			t.Errorf("%s: %.0f reports per router and second with %d routers, %.0f with 3,000, want at most 1.5 times (%v, %v)",
 				scenario, ofSmaller, smaller.Routers, ofLarge, errSmaller, errLarge)
 		}
 	}
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -31,14 +31,17 @@
 //
 // If it simulates fewer processes than there are routers, process i represents all ranks r with r mod processes = i.
 // Its node is configured for a fleet of all routers. The process receives datagrams for each of its ranks and replies
-// from the rank that was addressed. Datagrams that are no replies come from one of its ranks at random. Each process
-// therefore sends and receives as much as one router.
+// from the rank that was addressed. Datagrams that are not replies come from one of its ranks at random. As only the
+// simulated processes send, each process sends and receives as much as one router.
 //
 // All routers send lease requests to one router. Such a request is delivered once for each rank that its sender
-// represents, so that the receiver gets as many as from all routers. A health report is broadcast and delivered once:
-// the random waits before reports depend on the configured number of routers, and the number of reports that are sent
-// before the others are suppressed does not depend on how many of these routers are simulated (see core/fleet). The
-// ranks of one process have the same incarnation and stop and start together, except for single ranks that are lost.
+// represents, so that the receiver gets as many as if all routers were simulated. A health report is broadcast and
+// delivered once to each other process. The random waits before reports depend on the configured number of routers. The
+// number of reports that are sent before the others are suppressed does not depend on how many of these routers are
+// simulated (see core/fleet). The scale tests that use this world send no health reports.
+//
+// The ranks of one process have the same incarnation. They stop and start together, except when ProcessLost or RackLost
+// stops only some of them.
 type world struct {
 	rng           *rand.Rand
 	clock         threadCPUClock
@@ -66,15 +69,15 @@
 	zone        int
 
 	replyingAs     int    // the addressed rank while the node handles a datagram; otherwise -1
-	suspectedRanks []int  // those of its ranks that others suspected last, the oldest first
-	nextSuspect    int    // counter, modulo their number the index of the next one to refute
-	refuted        uint16 // in the last update that its node sent about itself
+	suspectedRanks []int  // its ranks that other nodes suspected most recently, the oldest suspicion first
+	nextSuspect    int    // nextSuspect % len(suspectedRanks) is the index of the next suspicion to refute
+	refuted        uint16 // value of this field in the last membership update that its node sent about itself
 
 	traffic traffic
 	cpu     time.Duration
 }
 
-// event is a datagram in flight or, without one, a tick.
+// event is a datagram in flight or, if datagram is nil, a tick of a node.
 type event struct {
 	at          int64
 	from, to    int // ranks
@@ -152,14 +155,15 @@
 	w.schedule(event{at: at, from: p.primary, to: p.primary, incarnation: p.incarnation})
 }
 
-// schedule adds an event. The time of an event beyond the end of the calendar is moved to the calendar's last slot.
+// schedule adds an event. An event beyond the end of the calendar is put in the calendar's last slot, so it happens
+// early.
 func (w *world) schedule(e event) {
 	e.at = min(e.at, w.now+(slotCount-1)*slotDuration)
 	w.calendar.add(e.at, e)
 }
 
-// pickSenderRank returns a random rank of a process that is not lost. If the receiver is a rank of the same process, it
-// returns neither that rank nor the primary rank, whose datagrams the node ignores.
+// pickSenderRank returns a random rank of p that is not lost. If the receiver is also a rank of p, it returns neither
+// that rank nor p's primary rank, because the node ignores datagrams from itself.
 func (w *world) pickSenderRank(p *process, to int) int {
 	if !w.isSampled() {
 		return p.primary
@@ -219,7 +223,7 @@
 // rewriteSender changes the sender of a datagram of p's node to another rank that p represents. A membership update
 // about the node becomes one about a suspected rank of p, if there is one.
 func (w *world) rewriteSender(p *process, rank int, datagram []byte) {
-	setRank(datagram, rank, w.siteOf(rank))
+	setSender(datagram, rank, w.siteOf(rank))
 	if operationOf(datagram) == opAck && targetOf(datagram) == p.primary {
 		setTarget(datagram, rank)
 	}
@@ -235,15 +239,15 @@
 	})
 }
 
-// rewriteTarget changes membership updates about any rank that p represents to updates about p's node. It records the
+// rewriteUpdates changes membership updates about any rank that p represents to updates about p's node. It records the
 // suspected ranks, for later refutations.
-func (w *world) rewriteTarget(p *process, datagram []byte) {
+func (w *world) rewriteUpdates(p *process, datagram []byte) {
 	eachUpdate(datagram, func(u membershipUpdate) {
 		rank := u.rank()
 		if rank >= w.routers || w.processOf(rank) != p || w.lost[rank] {
 			return
 		}
-		if u.isSuspicion() {
+		if u.isSuspectOrWorse() {
 			p.suspectedRanks = append(p.suspectedRanks, rank)
 			if len(p.suspectedRanks) > maxSuspectedRanks {
 				p.suspectedRanks = p.suspectedRanks[1:]
@@ -286,7 +290,7 @@
 	p.replyingAs = e.to
 	defer func() { p.replyingAs = -1 }()
 	if w.isSampled() {
-		w.rewriteTarget(p, e.datagram)
+		w.rewriteUpdates(p, e.datagram)
 	}
 	if !e.forAllRanks {
 		w.receive(p, e.from, e.datagram)
@@ -294,7 +298,7 @@
 	}
 	for rank := e.from % len(w.processes); rank < w.routers; rank += len(w.processes) {
 		if !w.lost[rank] {
-			setRank(e.datagram, rank, w.siteOf(rank))
+			setSender(e.datagram, rank, w.siteOf(rank))
 			w.receive(p, rank, e.datagram)
 		}
 	}
@@ -347,13 +351,14 @@
 	return ranks
 }
 
-// leasedFraction returns the fraction of the running processes that have a recent lease of the first limit.
+// leasedFraction returns the fraction of the running processes that have a lease holder for the first limit
+// (see fleet.LimitStatus).
 func (w *world) leasedFraction() float64 {
 	return w.fractionOfRunning(func(p *process) bool { return p.node.LimitStatuses(w.now)[0].Holder >= 0 })
 }
 
-// failureAwareFraction returns the fraction of the running processes that consider a router dead.
-func (w *world) failureAwareFraction(rank int) float64 {
+// detectedFraction returns the fraction of the running processes that consider a router dead.
+func (w *world) detectedFraction(rank int) float64 {
 	return w.fractionOfRunning(func(p *process) bool { return !p.node.IsUp(rank) })
 }
 
@@ -369,17 +374,17 @@
 }
 
 // majorityLeaseHolder returns the rank that most processes consider the holder of the first limit. It returns fallback
-// if no rank has more votes than fallback.
+// if no rank is the holder for more processes than fallback.
 func (w *world) majorityLeaseHolder(fallback int) int {
-	votes := make([]int, w.routers)
+	counts := make([]int, w.routers)
 	best := fallback
 	for _, p := range w.processes {
 		rank := p.node.LimitStatuses(w.now)[0].Holder
 		if rank < 0 {
 			continue
 		}
-		votes[rank]++
-		if votes[rank] > votes[best] {
+		counts[rank]++
+		if counts[rank] > counts[best] {
 			best = rank
 		}
 	}
