--- a/standin/cache/arrivalreader.go
+++ b/standin/cache/arrivalreader.go
@@ -9,12 +9,14 @@
 	"unsafe"
 )
 
-// controlBufferSize is the size in bytes of the buffer for control messages: more than one with an arrival time needs.
+// controlBufferSize is the size in bytes of the buffer for control messages. It is larger than a message with an
+// arrival time.
 const controlBufferSize = 128
 
 // arrivalReader reads a connection and records when the kernel received the bytes. The arrival time of a request then
-// does not depend on when this process reads it, which on a busy machine can be late. For a read that spans several
-// segments it is the time of the last one. Only one goroutine may call Read; hasUnread may be called from others.
+// does not depend on when this process reads it, which on a busy machine can be late. If a read returns the bytes of
+// several segments, lastArrival is the arrival time of the last segment. Only one goroutine may call Read; hasUnread
+// may be called from others.
 type arrivalReader struct {
 	rawConn       syscall.RawConn
 	readGate      *gate
--- a/standin/cache/conn.go
+++ b/standin/cache/conn.go
@@ -136,8 +136,8 @@
 	return true
 }
 
-// drop cancels an attempt. A DROP that arrived before the response was sent may be read only after it. Therefore the
-// DROP of an answered attempt is recorded too, with the time at which it arrived.
+// drop cancels an attempt. The server may have sent the response before it reads a DROP that arrived earlier. Therefore
+// the DROP of an answered attempt is recorded too, with the time at which it arrived.
 func (c *conn) drop(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/cache/fault.go
+++ b/standin/cache/fault.go
@@ -3,7 +3,7 @@
 // Fault is a failure that a server injects instead of serving a request.
 type Fault int
 
-// The faults.
+// Faults, with what the server does.
 const (
 	FaultNone      Fault = iota // serves the request
 	FaultError                  // responds ERR
--- a/standin/cache/requestlog.go
+++ b/standin/cache/requestlog.go
@@ -29,8 +29,8 @@
 
 // attempt is the time from the arrival of a GET until the server stopped working on it. Arrival times come from the
 // kernel, so the order in which this process reads its connections on a busy machine has no influence. The kernel gives
-// no time for the close of a connection; the time when this process noticed it is used. The end by a response is the
-// time just before the response is written.
+// no time for the close of a connection; the time when this process noticed it is used. An attempt that is
+// answered ends just before its response is written.
 type attempt struct {
 	server     string
 	clientAddr string
@@ -44,9 +44,9 @@
 
 func (a *attempt) isInFlight() bool { return a.endedAt.IsZero() }
 
-// endsAfter returns whether an attempt is in flight or ended later than ended, which must have ended.
-func (a *attempt) endsAfter(ended *attempt) bool {
-	return a.isInFlight() || a.endedAt.After(ended.endedAt)
+// endsAfter returns whether an attempt is in flight or ended later than other, which must not be in flight.
+func (a *attempt) endsAfter(other *attempt) bool {
+	return a.isInFlight() || a.endedAt.After(other.endedAt)
 }
 
 // NewRequestLog returns an empty log.
@@ -85,11 +85,14 @@
 		start := next.startedAt.Format(overlapTimeLayout)
 		switch {
 		case last.isInFlight():
-			lines = append(lines, fmt.Sprintf("%s at %v at %s while in flight at %s", id, start, next, last))
+			lines = append(lines, fmt.Sprintf(
+				"request %s, attempt started at %v on server %s while another was in flight on %s",
+				id, start, next, last))
 			continue // no attempt ends later than one in flight
 		case next.startedAt.Before(last.endedAt):
 			overlap := last.endedAt.Sub(next.startedAt)
-			lines = append(lines, fmt.Sprintf("%s at %v at %s, %v before it ended at %s by %s",
+			lines = append(lines, fmt.Sprintf(
+				"request %s, attempt started at %v on server %s, %v before the one on %s was ended by %s",
 				id, start, next, overlap, last, last.endReason))
 		}
 		if next.endsAfter(last) {
--- a/standin/cache/requestlog_test.go
+++ b/standin/cache/requestlog_test.go
@@ -16,7 +16,7 @@
 	dropCommand = "*2\r\n$4\r\nDROP\r\n$1\r\na\r\n"
 )
 
-// startHangingServer starts an origin that never responds.
+// startHangingServer starts an origin that leaves each GET open. It still answers PING, and BUSY to further requests.
 func startHangingServer(t *testing.T, id uint32, log *RequestLog) *Server {
 	t.Helper()
 	s, err := Listen(Options{ID: id, IsOrigin: true, Delay: time.Hour, RequestLog: log})
@@ -151,8 +151,8 @@
 	}
 }
 
-// Guards against an attempt that seems to last until its response although its DROP arrived earlier: the DROP may be
-// read only after the response was sent. A DROP that arrived later than the recorded end must change nothing.
+// Guards against an attempt that seems to last until its response although its DROP arrived earlier: the server may
+// have sent the response before it reads the DROP. A DROP that arrived later than the recorded end must change nothing.
 func TestAttemptEndsAtEarliestEnd(t *testing.T) {
 	log := NewRequestLog()
 	start := time.Unix(100, 0)
--- a/standin/cache/response.go
+++ b/standin/cache/response.go
@@ -22,11 +22,11 @@
 type cacheStatus string
 
 const (
-	cacheHit          cacheStatus = "TCP_HIT"
-	filledFromCache   cacheStatus = "TCP_MISS"
-	filledByOrigin    cacheStatus = "TCP_MISS_ROOT" // by the origin, through a parent without a copy or directly
-	fillSourceMissing cacheStatus = "PEER_DEAD"     // the server to fill from does not exist
-	fillSourceMiss    cacheStatus = "PEER_MISS"     // the server to fill from has no copy
+	cacheHit            cacheStatus = "TCP_HIT"
+	filledFromCache     cacheStatus = "TCP_MISS"
+	filledByOrigin      cacheStatus = "TCP_MISS_ROOT" // by the origin, directly or through a cache that has no copy
+	fillSourceUnknown   cacheStatus = "PEER_DEAD"     // the server to fill from does not exist
+	fillSourceHasNoCopy cacheStatus = "PEER_MISS"     // the server to fill from has no copy
 )
 
 // noReplyWait is how long a request with FaultNoReply stays open unless its client cancels it.
@@ -58,9 +58,9 @@
 	delay     time.Duration // added by the server to fill from
 }
 
-// respond returns the parts of the response to a request, and a fault that replaces the response or is FaultNone. It
-// first waits for the server's delay and that of the server to fill from. When the request is cancelled it returns
-// FaultNoReply at once.
+// respond returns the parts of the response to a request, and FaultNone. If a fault replaces the response, it returns
+// no response and that fault. ERR and BUSY are responses. Before it returns, respond waits for the server's delay and
+// that of the server to fill from. When the request is cancelled it returns FaultNoReply at once.
 func (s *Server) respond(request Request, cancelled <-chan struct{}) ([][]byte, Fault) {
 	fault := FaultNone
 	if s.options.InjectFault != nil {
@@ -111,7 +111,7 @@
 	}
 	source := s.options.FindServer(request.FillFrom)
 	if source == nil {
-		return fetchResult{status: fillSourceMissing}
+		return fetchResult{status: fillSourceUnknown}
 	}
 	result := source.fill(request)
 	result.delay = source.options.Delay
@@ -128,7 +128,7 @@
 	case found:
 		return fetchResult{status: filledFromCache, found: true, createdAt: createdAt}
 	case request.CachedOnly:
-		return fetchResult{status: fillSourceMiss}
+		return fetchResult{status: fillSourceHasNoCopy}
 	}
 	now := time.Now()
 	s.store(request, now)
@@ -139,10 +139,10 @@
 func (s *Server) response(request Request, result fetchResult, startedAt time.Time) [][]byte {
 	id := []byte(request.ID)
 	switch {
-	case result.status == fillSourceMissing:
-		return [][]byte{id, []byte(statusError), []byte("n=" + fillSourceMissing)}
-	case result.status == fillSourceMiss:
-		return [][]byte{id, []byte(statusMiss), []byte("n=" + fillSourceMiss)}
+	case result.status == fillSourceUnknown:
+		return [][]byte{id, []byte(statusError), []byte("n=" + fillSourceUnknown)}
+	case result.status == fillSourceHasNoCopy:
+		return [][]byte{id, []byte(statusMiss), []byte("n=" + fillSourceHasNoCopy)}
 	case !result.found:
 		return emptyResponse(request.ID, statusMiss)
 	}
--- a/standin/cache/server.go
+++ b/standin/cache/server.go
@@ -23,7 +23,7 @@
 	Addr string
 	// Listener accepts the server's connections. Nil means that the server opens a listener at Addr.
 	Listener net.Listener
-	// IsOrigin makes the server have a fresh copy of every object.
+	// IsOrigin makes the server the origin, which has a fresh copy of every object.
 	IsOrigin bool
 	// Delay is the time from the arrival of a request to its response, without the delay of a fill.
 	Delay time.Duration
@@ -35,8 +35,8 @@
 	InjectFault func(Request) Fault
 	// RequestLog records the requests. The servers of one deployment share it.
 	RequestLog *RequestLog
-	// UsesSmallBuffers makes the socket buffers of connections so small that the write of a command of 32 KB or more
-	// blocks until the server reads.
+	// UsesSmallBuffers makes the socket buffers of connections so small that a client's write of a command of 32 KB or
+	// more blocks until the server reads. It has no effect if Listener is set.
 	UsesSmallBuffers bool
 }
 
--- a/standin/cache/server_test.go
+++ b/standin/cache/server_test.go
@@ -102,14 +102,14 @@
 }
 
 // Guards against a paused server that reads requests. Only the read that is already blocked still receives bytes;
-// later ones stay unread until the server resumes.
+// bytes that arrive later stay unread until the server resumes.
 func TestPausedServerReadsNothing(t *testing.T) {
 	log := NewRequestLog()
 	s := startHangingServer(t, 1, log)
 	conn := startRequest(t, s)
 	s.Pause()
 	write(t, conn, strings.Replace(getCommand, "\na\r", "\nb\r", 1))
-	testwait.Until(t, "the request for the read that was already blocked", func() bool { return len(log.Requests()) == 2 })
+	testwait.Until(t, "the request that the blocked read receives", func() bool { return len(log.Requests()) == 2 })
 	write(t, conn, strings.Replace(getCommand, "\na\r", "\nc\r", 1))
 	testwait.Until(t, "unread bytes", func() bool {
 		accepted, open, unread := s.Connections()
--- a/standin/discovery/frame.go
+++ b/standin/discovery/frame.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// frameKind is the kind of payload of a frame.
+// frameKind identifies what the payload of a frame contains.
 type frameKind byte
 
 // The kinds of frames, with their numbers in the protocol.
@@ -18,7 +18,7 @@
 
 // Sizes in bytes.
 const (
-	frameHeaderSize   = 9 // number:8 kind:1, after the length field, which does not count itself
+	frameHeaderSize   = 9 // number (8) and kind (1), after the length field, whose value excludes its own size
 	lastEventSize     = 8 // the first bytes from a router: the number of the last event that it has
 	endpointFlagsSize = 2 // always 0
 )
--- a/standin/discovery/mode.go
+++ b/standin/discovery/mode.go
@@ -9,7 +9,7 @@
 // Mode is how a Service treats connections.
 type Mode int
 
-// The modes.
+// Modes, with what the service does.
 const (
 	Serving Mode = iota // follows the protocol
 	Slow                // accepts connections, but delays the first frame
--- a/standin/discovery/mode_test.go
+++ b/standin/discovery/mode_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// within is the timeout of each wait for the service.
-const within = 10 * time.Second
+// waitTimeout is the timeout of each wait for the service.
+const waitTimeout = 10 * time.Second
 
 // silentWait is how long a muted connection must receive nothing. It is longer than heartbeatInterval.
 const silentWait = 1200 * time.Millisecond
@@ -35,7 +35,7 @@
 // connect opens a connection and requests all events.
 func connect(t *testing.T, s *Service) net.Conn {
 	t.Helper()
-	conn, err := net.DialTimeout("tcp", s.Addr(), within)
+	conn, err := net.DialTimeout("tcp", s.Addr(), waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,11 +66,11 @@
 		}
 	}
 	open := connect(t, s)
-	if _, err := firstByte(open, within); err != nil {
+	if _, err := firstByte(open, waitTimeout); err != nil {
 		t.Errorf("serving: no frame: %v", err)
 	}
 	setMode(Slow)
-	took, err := firstByte(connect(t, s), within)
+	took, err := firstByte(connect(t, s), waitTimeout)
 	if err != nil || took < SlowFirstFrameDelay*9/10 {
 		t.Errorf("slow: first frame after %v, error %v", took, err)
 	}
@@ -80,15 +80,15 @@
 		t.Errorf("mute: read error %v, want a timeout", err)
 	}
 	setMode(Serving)
-	if _, err := firstByte(muted, within); err != nil {
+	if _, err := firstByte(muted, waitTimeout); err != nil {
 		t.Errorf("serving after mute: no frame: %v", err)
 	}
 	setMode(Down)
-	open.SetReadDeadline(time.Now().Add(within))
+	open.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.Copy(io.Discard, open); isTimeout(err) {
 		t.Error("down: an open connection was not closed")
 	}
-	conn, err := net.DialTimeout("tcp", s.Addr(), within)
+	conn, err := net.DialTimeout("tcp", s.Addr(), waitTimeout)
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("down: dial error %v, want connection refused", err)
 		if err == nil {
@@ -96,7 +96,7 @@
 		}
 	}
 	setMode(Serving)
-	if _, err := firstByte(connect(t, s), within); err != nil {
+	if _, err := firstByte(connect(t, s), waitTimeout); err != nil {
 		t.Errorf("serving after down: no frame: %v", err)
 	}
 }
--- a/standin/discovery/service.go
+++ b/standin/discovery/service.go
@@ -1,5 +1,5 @@
 // Package discovery provides a fake discovery service for tests and experiments. It sends numbered watch events over
-// TCP in the protocol of the real service, and can be made to fail in the ways of the real service.
+// TCP in the protocol of the real service, and can simulate failures of the real service (see Mode).
 package discovery
 
 import (
@@ -152,24 +152,24 @@
 	}
 }
 
-// watch sends all events after the one with number sent as they are published, and heartbeats in between. It returns
-// when the service or the connection is closed.
-func (s *Service) watch(conn net.Conn, sent int) {
+// watch sends all events with numbers greater than lastSent, each further event when it is published, and heartbeats in
+// between. It returns when the service or the connection is closed.
+func (s *Service) watch(conn net.Conn, lastSent int) {
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
-		events, last, changed := s.eventsAfter(sent)
+		events, last, changed := s.eventsAfter(lastSent)
 		if _, err := conn.Write(events); err != nil {
 			return
 		}
-		sent = last
+		lastSent = last
 		select {
 		case <-changed:
 		case <-heartbeat.C:
 			if s.currentMode() == Mute {
 				continue
 			}
-			if _, err := conn.Write(encodeFrame(uint64(sent), kindHeartbeat, nil)); err != nil {
+			if _, err := conn.Write(encodeFrame(uint64(lastSent), kindHeartbeat, nil)); err != nil {
 				return
 			}
 		case <-s.done:
@@ -178,12 +178,13 @@
 	}
 }
 
-// eventsAfter returns the frames of all events after the one with number sent, the number of the last of them, and a
-// channel that is closed when another event is added. In mode Mute it returns no frames, and sent as the last number.
-func (s *Service) eventsAfter(sent int) (events []byte, last int, changed <-chan struct{}) {
+// eventsAfter returns the frames of all events with numbers greater than lastSent, the number of the last of them, and
+// a channel that is closed when another event is added. Without such events, and in mode Mute, it returns no frames,
+// and lastSent as the last number.
+func (s *Service) eventsAfter(lastSent int) (events []byte, last int, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last = sent
+	last = lastSent
 	if s.mode != Mute {
 		for ; last < len(s.frames); last++ {
 			events = append(events, s.frames[last]...)
--- a/standin/link/mesh_test.go
+++ b/standin/link/mesh_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// within is the timeout of each wait for a mesh or relay.
-const within = 10 * time.Second
+// waitTimeout is the timeout of each wait for a mesh or relay.
+const waitTimeout = 10 * time.Second
 
 // meshRouters are the sockets of routers, by rank, and the mesh that connects them.
 type meshRouters struct {
@@ -57,7 +57,7 @@
 func (m *meshRouters) expect(t *testing.T, rank int, fromAddr, text string) {
 	t.Helper()
 	buffer := make([]byte, 100)
-	m.sockets[rank].SetReadDeadline(time.Now().Add(within))
+	m.sockets[rank].SetReadDeadline(time.Now().Add(waitTimeout))
 	size, addr, err := m.sockets[rank].ReadFromUDPAddrPort(buffer)
 	if err != nil || string(buffer[:size]) != text || addr.String() != fromAddr {
 		t.Fatalf("router %d received %q from %v (%v), want %q from %s", rank, buffer[:size], addr, err, text, fromAddr)
@@ -71,8 +71,9 @@
 	}
 }
 
-// Guards against datagrams that arrive although they are lost or blocked, datagrams from a wrong address, and missing
-// duplicates. Lost datagrams must not show up before later ones; routers see only each other's mesh addresses.
+// Guards against datagrams that arrive although the conditions drop them, datagrams from a wrong address, and missing
+// duplicates. A receiver that waits for a later datagram must not receive a dropped one first. Routers see only each
+// other's mesh addresses.
 func TestMeshAppliesConditions(t *testing.T) {
 	m := startMesh(t, 3)
 	m.send(t, 0, m.mesh.Addr(1), "one")
@@ -88,7 +89,7 @@
 		m.setConditions(t, conditions)
 		before := m.mesh.Counts()
 		m.send(t, 0, m.mesh.Addr(1), "lost")
-		testwait.UntilWithin(t, within, "the datagram to be counted", func() bool { return m.mesh.Counts() != before })
+		testwait.UntilWithin(t, waitTimeout, "the datagram to be counted", func() bool { return m.mesh.Counts() != before })
 		now := m.mesh.Counts()
 		if now.Forwarded != before.Forwarded || now.Blocked+now.Lost != before.Blocked+before.Lost+1 {
 			t.Errorf("conditions %+v: counts %+v, before %+v", conditions, now, before)
--- a/standin/link/relay.go
+++ b/standin/link/relay.go
@@ -11,7 +11,7 @@
 // RelayConditions are the faults that a Relay injects. The zero value forwards everything at once.
 type RelayConditions struct {
 	Resets      bool          // resets open connections, and new ones when they are accepted
-	Blackholes  bool          // reads bytes and discards them, as if the other machine had vanished
+	Blackholes  bool          // reads bytes and discards them, as if the other machine were unreachable
 	Delay       time.Duration // of each read, in each direction
 	KBPerSecond float64       // bandwidth of each connection in each direction, 1 KB = 1000 bytes; 0: no limit
 }
@@ -88,10 +88,10 @@
 }
 
 // MaxDialsWithin returns the maximum number of client connections within any interval of length span. The interval
-// excludes its end. The first skipped connections are ignored.
-func (r *Relay) MaxDialsWithin(skipped int, span time.Duration) (maxDials int) {
+// excludes its end. It ignores the first skip connections.
+func (r *Relay) MaxDialsWithin(skip int, span time.Duration) (maxDials int) {
 	dials, _, _, _ := r.Counts()
-	dials = dials[skipped:]
+	dials = dials[skip:]
 	first := 0
 	for last := range dials {
 		for dials[last].Sub(dials[first]) >= span {
--- a/standin/link/relay_test.go
+++ b/standin/link/relay_test.go
@@ -49,7 +49,7 @@
 func TestRelayAppliesConditions(t *testing.T) {
 	relay := startEchoRelay(t)
 	first := testwait.Dial(t, relay.Addr())
-	if err := echo(first, within); err != nil {
+	if err := echo(first, waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	relay.SetConditions(RelayConditions{Blackholes: true})
@@ -57,15 +57,16 @@
 		t.Error("a relay that discards bytes forwarded them")
 	}
 	relay.SetConditions(RelayConditions{Resets: true})
-	first.SetReadDeadline(time.Now().Add(within))
+	first.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := first.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("read error %v on a reset connection, want a reset", err)
 	}
 	relay.SetConditions(RelayConditions{Delay: time.Millisecond, KBPerSecond: 1000})
-	if err := echo(testwait.Dial(t, relay.Addr()), within); err != nil {
+	if err := echo(testwait.Dial(t, relay.Addr()), waitTimeout); err != nil {
 		t.Error(err)
 	}
-	testwait.UntilWithin(t, within, "the counts", func() bool { // the relay counts bytes just after it has forwarded them
+	// The relay counts bytes just after it has forwarded them.
+	testwait.UntilWithin(t, waitTimeout, "the counts", func() bool {
 		dials, open, toServer, toClient := relay.Counts()
 		return len(dials) == 2 && open == 1 && toServer == 10 && toClient == 10
 	})
