--- a/standin/cache/requestlog_test.go
+++ b/standin/cache/requestlog_test.go
@@ -83,6 +83,7 @@
 // they arrive. Both commands wait for the log's lock, and either may get it first. A GET that arrives after the DROP of
 // the previous attempt does not overlap it; one that arrives before the DROP does.
 func TestOverlapsUseArrivalTimes(t *testing.T) {
+	keepArrivalTimesOn(t)
 	for name, dropFirst := range map[string]bool{"DROP, then GET": true, "GET, then DROP": false} {
 		t.Run(name, func(t *testing.T) {
 			for range 50 {
@@ -92,6 +93,30 @@
 	}
 }
 
+// keepArrivalTimesOn returns once the kernel records times of arrival, and has it do so until the test ends. The kernel
+// starts some time after the first socket of the machine asks for them and stops after the last one is closed.
+// arrivalReader uses the time of the read for bytes that arrive in between.
+func keepArrivalTimesOn(t *testing.T) {
+	t.Helper()
+	listener := testwait.Listen(t)
+	sender := testwait.Dial(t, listener.Addr().String())
+	accepted := testwait.Accept(t, listener, "the connection that keeps arrival times on")
+	t.Cleanup(func() { accepted.Close() })
+	reader, err := newArrivalReader(accepted.(*net.TCPConn), &gate{}, t.Context().Done())
+	if err != nil {
+		t.Fatal(err)
+	}
+	testwait.Until(t, "a time of arrival from the kernel", func() bool {
+		write(t, sender, "x")
+		time.Sleep(5 * time.Millisecond)
+		readAt := time.Now()
+		if _, err := reader.Read(make([]byte, 1)); err != nil {
+			t.Fatal(err)
+		}
+		return reader.lastArrival.Before(readAt)
+	})
+}
+
 func testArrivalOrder(t *testing.T, dropFirst bool) {
 	t.Helper()
 	log := NewRequestLog()
