--- a/cmd/spantack/build.go
+++ b/cmd/spantack/build.go
@@ -19,29 +19,29 @@
 	"spantack/routing"
 )
 
-// build makes the parts that the configuration and the features file ask for, and opens the listeners. ctx ends
-// when the process has served its last request.
+// build creates the components that the configuration and the features file require, and opens the listeners. ctx is
+// canceled when the last request has its response.
 func (p *process) build(ctx context.Context, out io.Writer) error {
 	c := p.config.Load()
-	file, inForce, err := loadFeatures(p.flags.Features, c)
+	file, enabled, err := loadFeatures(p.flags.Features, c)
 	if err != nil {
 		return err
 	}
 	p.features = file
-	runtime.GOMAXPROCS(1) // routers share one core: more threads would only take turns on it
+	runtime.GOMAXPROCS(1) // routers share one core: more threads would only compete for it
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	p.log = zerolog.New(out).With().Timestamp().Str("router", c.Name).Logger()
 	p.state = handover.NewStateDir(c.StateDir, p.log)
 	limits := newLimits(c, p.inheritsListener)
-	if err := p.buildRouter(ctx, limits, inForce); err != nil {
+	if err := p.buildRouter(ctx, limits, enabled); err != nil {
 		return err
 	}
 	p.buildServer(limits)
 	return p.openListeners(ctx)
 }
 
-// buildRouter makes the connections to servers and the router that uses them.
-func (p *process) buildRouter(ctx context.Context, limits processLimits, inForce router.Features) error {
+// buildRouter creates the router and its connection pools to servers, and applies the features.
+func (p *process) buildRouter(ctx context.Context, limits processLimits, enabled router.Features) error {
 	c := p.config.Load()
 	p.pools = resp.NewPools(ctx, resp.Options{
 		DialTimeout:  c.DialTimeout,
@@ -58,13 +58,13 @@
 	if p.flags.Features != "" {
 		p.router.PlanOnTick()
 	}
-	if err := p.router.ApplyFeatures(inForce); err != nil {
+	if err := p.router.ApplyFeatures(enabled); err != nil {
 		return fmt.Errorf("%s: %w", p.flags.Features, err)
 	}
 	return nil
 }
 
-// buildServer makes the server for clients.
+// buildServer creates the RPC server for clients.
 func (p *process) buildServer(limits processLimits) {
 	p.server = &msgpackrpc.Server{
 		Handle:         p.router.Serve,
@@ -78,7 +78,7 @@
 	}
 }
 
-// keyedClasses tells of each class whether its requests carry an idempotency key.
+// keyedClasses returns, by name of the class, whether requests of the class carry an idempotency key.
 func keyedClasses(c *config.Config) map[string]bool {
 	classes := map[string]bool{}
 	for _, class := range c.Settings.Classes {
@@ -87,7 +87,7 @@
 	return classes
 }
 
-// openListeners opens the address for clients, and the management address where there is one.
+// openListeners opens the listener for clients, and the one for management calls if an address is configured.
 func (p *process) openListeners(ctx context.Context) error {
 	c := p.config.Load()
 	var err error
@@ -101,8 +101,8 @@
 	return err
 }
 
-// listenForClients opens the address for clients: on the descriptor that a supervisor holds, where it hands one
-// down, so that a process can take over from another with no connection refused.
+// listenForClients opens the listener for clients. It uses the descriptor inherited from a supervisor if there is one,
+// so that a process can replace another without a refused connection.
 func listenForClients(c *config.Config) (net.Listener, error) {
 	if c.ListenerFD < 0 {
 		l, err := net.Listen("tcp", c.ListenAddr)
@@ -118,8 +118,8 @@
 	return s, nil
 }
 
-// loadFeatures loads the features file against a configuration, and returns what it puts in force; both are zero
-// without a file.
+// loadFeatures loads the features file, checks it against a configuration, and returns it with the features that it
+// enables for the router. Both are zero if path is empty.
 func loadFeatures(path string, c *config.Config) (*features.File, router.Features, error) {
 	if path == "" {
 		return nil, router.Features{}, nil
@@ -128,14 +128,15 @@
 	if err != nil {
 		return nil, router.Features{}, err
 	}
-	inForce, err := routerFeatures(file, c)
+	enabled, err := routerFeatures(file, c)
 	if err != nil {
 		return nil, router.Features{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return file, inForce, nil
+	return file, enabled, nil
 }
 
-// routerFeatures returns what a features file puts in force, or why it does not fit the configuration.
+// routerFeatures returns the features that a features file enables for the router. It returns an error if the file does
+// not match the configuration.
 func routerFeatures(file *features.File, c *config.Config) (router.Features, error) {
 	if err := file.CheckSettings(&c.Settings); err != nil {
 		return router.Features{}, err
--- a/cmd/spantack/counters.go
+++ b/cmd/spantack/counters.go
@@ -11,35 +11,35 @@
 	"spantack/core/scheduler"
 )
 
-// reportOnSignal logs the counters at each SIGUSR1, until ctx ends.
-func (p *process) reportOnSignal(ctx context.Context) error {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR1)
-	defer signal.Stop(asked)
+// logCountersOnSignal logs the counters at each SIGUSR1, until ctx is canceled.
+func (p *process) logCountersOnSignal(ctx context.Context) error {
+	requested := make(chan os.Signal, 1)
+	signal.Notify(requested, syscall.SIGUSR1)
+	defer signal.Stop(requested)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-asked:
-			p.reportCounters()
+		case <-requested:
+			p.requestCounterLog()
 		}
 	}
 }
 
-// reportCounters logs the counters, in the background where there is one.
-func (p *process) reportCounters() {
+// requestCounterLog logs the counters, as a background job if there is a background runner.
+func (p *process) requestCounterLog() {
 	if p.background == nil {
 		p.logCounters()
 		return
 	}
 	err := p.background.Submit("report", scheduler.Normal, 1, p.logCounters)
 	if err != nil && !errors.Is(err, scheduler.ErrDuplicateJob) {
-		p.log.Warn().Err(err).Msg("report put off")
+		p.log.Warn().Err(err).Msg("can't queue the job that logs the counters")
 	}
 }
 
-// logCounters logs what the parts have counted since the start, and the present state of what is switched on. The
-// names of lines and fields are those of the operators' pages.
+// logCounters logs the counters since the start, and the current state of the features that are on. docs/operation.md
+// documents the messages and fields.
 func (p *process) logCounters() {
 	p.logRequestCounters()
 	p.logFleet()
@@ -68,7 +68,7 @@
 		Msg("counters")
 }
 
-// logFleet logs the datagrams between routers, and the fleet's limits; nothing where there are none.
+// logFleet logs the counts of datagrams between routers, and the fleet limits. It logs nothing without gossip.
 func (p *process) logFleet() {
 	if p.gossip == nil {
 		return
@@ -76,12 +76,12 @@
 	n := p.gossip.Counts()
 	p.log.Info().Int64("told", n.Sent).Int64("heard", n.Received).Int64("dropped", n.Dropped).
 		Int64("found", n.OverloadsFound).Msg("peers")
-	if limits, living := p.gossip.LimitStatuses(); limits != nil {
-		p.log.Info().Int("living", living).Interface("limits", limits).Msg("fleet")
+	if limits, liveMembers := p.gossip.LimitStatuses(); limits != nil {
+		p.log.Info().Int("living", liveMembers).Interface("limits", limits).Msg("fleet")
 	}
 }
 
-// logCells logs the cells, and the migrations and the rollout between them; nothing while cells are off.
+// logCells logs the cells, the migrations and the rollout. It logs nothing while cells are off.
 func (p *process) logCells() {
 	status, demand := p.router.CellStatus()
 	if status == nil {
--- a/cmd/spantack/take_over_test.go
+++ b/cmd/spantack/take_over_test.go
@@ -14,96 +14,95 @@
 	"spantack/internal/testwait"
 )
 
-// A router is to be replaced, on a socket that the platform holds, and the process that takes over ends, at each
-// point: killed or told to end once it has said that it serves, or told to end while it reads its configuration.
-// The one before it is then told to end too: it must go on accepting requests as if there had been no other, for
-// there is nobody else.
-func TestTakeOverThatEnds(t *testing.T) {
+// Guards against a router that stops accepting requests at once on SIGTERM because it counts as replaced, although the
+// process that replaced it has ended. Both inherit the listener from a supervisor.
+func TestFailedReplacementDoesNotCountAsReplaced(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name       string
-		next       func(*takeOver) // what becomes of the process that takes over; nil: there is none
-		isReplaced bool            // what the one before it says
+		next       func(*replacementTest) // starts the new process, and ends it; nil if there is none
+		isReplaced bool                   // what the old process logs
 	}{
 		{"none", nil, false},
-		{"serves", func(o *takeOver) { o.start("next") }, true},
-		{"killed", func(o *takeOver) {
-			next, _ := o.start("next")
+		{"serves", func(r *replacementTest) { r.start("next") }, true},
+		{"killed", func(r *replacementTest) {
+			next, _ := r.start("next")
 			next.signal(syscall.SIGKILL)
 			next.wait()
 		}, false},
-		{"told to end", func(o *takeOver) {
-			next, adminAddr := o.start("next")
+		{"terminated", func(r *replacementTest) {
+			next, adminAddr := r.start("next")
 			next.signal(syscall.SIGTERM)
-			testwait.Until(o.t, "a router that has heard the signal", func() bool {
+			testwait.Until(r.t, "the new process to be no longer ready", func() bool {
 				return readyStatus(adminAddr) != http.StatusOK
 			})
 		}, false},
-		{"told to end while it starts", func(o *takeOver) {
-			next, into := launch(o.t, true, o.managed(loopback.FreeAddress()))
+		{"terminated during its start", func(r *replacementTest) {
+			next, configPipe := launch(r.t, true, r.inheritSocket(loopback.FreeAddress()))
 			next.signal(syscall.SIGTERM)
-			io.WriteString(into, next.text)
-			into.Close()
+			io.WriteString(configPipe, next.text)
+			configPipe.Close()
 			next.awaitExit(testwait.StartStopwatch())
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			o := newTakeOver(t)
-			old, _ := o.start("old")
+			r := newReplacementTest(t)
+			old, _ := r.start("old")
 			if tc.next != nil {
-				tc.next(o)
+				tc.next(r)
 			}
 			old.signal(syscall.SIGTERM)
 			old.awaitExit(testwait.StartStopwatch())
 			if want := fmt.Sprintf(`"replaced":%v`, tc.isReplaced); !strings.Contains(old.log.String(), want) {
-				t.Errorf("the log lacks %s: %s", want, old.log)
+				t.Errorf("no %s in the log: %s", want, old.log)
 			}
 		})
 	}
 }
 
-// takeOver is a deployment in which one process of a router takes over from another.
-type takeOver struct {
+// replacementTest is a deployment in which one process of a router replaces another.
+type replacementTest struct {
 	t        *testing.T
-	socket   *os.File // the listening socket, as the platform holds it
+	socket   *os.File // the listening socket of the supervisor
 	stateDir string   // shared by the processes
 }
 
-func newTakeOver(t *testing.T) *takeOver {
+func newReplacementTest(t *testing.T) *replacementTest {
 	t.Helper()
 	socket, err := testwait.Listen(t).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { socket.Close() })
-	return &takeOver{t: t, socket: socket, stateDir: t.TempDir()}
+	return &replacementTest{t: t, socket: socket, stateDir: t.TempDir()}
 }
 
-// managed has a process inherit the socket and serve the management address.
-func (o *takeOver) managed(adminAddr string) func(*exec.Cmd) {
+// inheritSocket returns a function that sets up a command so that its process inherits the socket and serves management
+// calls at adminAddr.
+func (r *replacementTest) inheritSocket(adminAddr string) func(*exec.Cmd) {
 	return func(c *exec.Cmd) {
-		c.ExtraFiles = []*os.File{o.socket} // descriptor 3
-		c.Env = append(c.Env, "RELAY_SOCKET_FD=3", "TMPDIR="+o.stateDir, "RELAY_MGMT="+adminAddr)
+		c.ExtraFiles = []*os.File{r.socket} // descriptor 3
+		c.Env = append(c.Env, "RELAY_SOCKET_FD=3", "TMPDIR="+r.stateDir, "RELAY_MGMT="+adminAddr)
 	}
 }
 
-// start starts a process, and returns once it is ready.
-func (o *takeOver) start(name string) (p *routerProcess, adminAddr string) {
-	o.t.Helper()
+// start starts a process and returns it with its management address once it is ready.
+func (r *replacementTest) start(name string) (p *routerProcess, adminAddr string) {
+	r.t.Helper()
 	adminAddr = loopback.FreeAddress()
-	p, _ = launch(o.t, false, o.managed(adminAddr))
-	testwait.Until(o.t, "the "+name+" process to be ready", func() bool {
+	p, _ = launch(r.t, false, r.inheritSocket(adminAddr))
+	testwait.Until(r.t, "the "+name+" process to be ready", func() bool {
 		return readyStatus(adminAddr) == http.StatusOK
 	})
 	return p, adminAddr
 }
 
-// staffClient makes calls to the management address.
-var staffClient = http.Client{Timeout: testwait.Limit}
+// adminClient makes management calls.
+var adminClient = http.Client{Timeout: testwait.Limit}
 
-// readyStatus asks a router's management address whether it is ready; 0 where nobody answers.
+// readyStatus returns the HTTP status of a router's ready call; 0 if there is no response.
 func readyStatus(addr string) int {
-	r, err := staffClient.Get("http://" + addr + "/api/ready")
+	r, err := adminClient.Get("http://" + addr + "/api/ready")
 	if err != nil {
 		return 0
 	}
@@ -111,12 +110,12 @@
 	return r.StatusCode
 }
 
-// awaitOutstanding returns once a router says that so many requests are open.
+// awaitOutstanding returns once a router's metrics have a number of open requests.
 func awaitOutstanding(t *testing.T, adminAddr string, requests int) {
 	t.Helper()
 	want := fmt.Sprintf("app.outstanding:%d|g\n", requests)
 	testwait.Until(t, want, func() bool {
-		r, err := staffClient.Get("http://" + adminAddr + "/api/telemetry")
+		r, err := adminClient.Get("http://" + adminAddr + "/api/telemetry")
 		if err != nil {
 			return false
 		}
--- a/emulator/purge.go
+++ b/emulator/purge.go
@@ -6,14 +6,14 @@
 	"spantack/routing"
 )
 
-// purge makes the copies of many groups of objects invalid at once.
+// purge makes all copies of a fraction of the purge groups invalid.
 type purge struct {
 	startedAt int64
-	fraction  float64 // of all groups
-	salt      uint64  // which of them
+	fraction  float64 // fraction of all groups that is purged
+	salt      uint64  // selects the groups
 }
 
-// includes reports that a group is purged.
+// includes reports whether a group is purged.
 func (p *purge) includes(group int64) bool { return hashFraction(uint64(group)^p.salt) < p.fraction }
 
 // purgeDeadline is the time from which a router may no longer answer from copies that a purge made invalid.
@@ -25,13 +25,13 @@
 // purgeGroup returns the purge group of an operation's object.
 func purgeGroup(operation *clientOperation) int64 {
 	if operation.release {
-		return releaseFamily
+		return releasePurgeGroup
 	}
-	return int64(operation.tenant % releaseFamily)
+	return int64(operation.tenant % releasePurgeGroup)
 }
 
-// startPurge purges a fraction of all groups. Each router has its notice later, and each server drops its copies in
-// its own time.
+// startPurge purges a fraction of all groups. Each running router receives the notice within maxPurgeNoticeDelay, and
+// each server drops its copies within purgePropagationTime.
 func (w *World) startPurge(fault Fault) {
 	w.purges = append(w.purges, purge{startedAt: w.now, fraction: fault.Fraction, salt: w.config.Seed ^ uint64(w.now)})
 	for r := range w.routers {
@@ -49,12 +49,12 @@
 	}
 }
 
-// notifyPurge passes a purge to a router's module, group by group.
-func (w *World) notifyPurge(id int32, which int) {
-	p := &w.purges[which]
+// notifyPurge passes a purge to a router's module, with one event for each group.
+func (w *World) notifyPurge(id int32, index int) {
+	p := &w.purges[index]
 	router := &w.routers[id]
-	router.purgeDeadlines = append(router.purgeDeadlines, purgeDeadline{int32(which), w.now + purgeGracePeriod})
-	for group := range int64(releaseFamily) {
+	router.purgeDeadlines = append(router.purgeDeadlines, purgeDeadline{int32(index), w.now + purgeCheckDelay})
+	for group := range int64(releasePurgeGroup) {
 		if p.includes(group) {
 			w.stepRouter(id, routing.Event{Kind: routing.EventPurge, PurgeGroup: group, PurgeAge: w.now - p.startedAt})
 		}
@@ -70,7 +70,8 @@
 	}
 }
 
-// purgedBefore returns the time before which a server no longer has copies of a group.
+// purgedBefore returns the production time before which a server no longer has copies of a group, because of the purges
+// that it has applied so far.
 func (w *World) purgedBefore(server int32, group int64) int64 {
 	latest := int64(math.MinInt64)
 	for i := range w.purges {
@@ -83,7 +84,7 @@
 	return latest
 }
 
-// checkPurges counts a violation if an answer came from a copy that was purged, at a router whose deadline for that
+// checkPurges counts a violation if a response came from a purged copy although the deadline of the router for that
 // purge had passed when it sent the attempt.
 func (w *World) checkPurges(attempt *serverAttempt) {
 	request := &w.requests[attempt.request]
@@ -91,7 +92,7 @@
 	for _, deadline := range w.routers[request.router].purgeDeadlines {
 		p := &w.purges[deadline.purge]
 		if attempt.sentAt > deadline.from && attempt.producedAt < p.startedAt && p.includes(group) {
-			w.result.violation(violationPurgedCopy)
+			w.result.countViolation(violationPurgedCopy)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,8 +12,8 @@
 // defaultIdleTimeoutMicros is the idle timeout of connections if the settings have none: 30 s.
 const defaultIdleTimeoutMicros = 30_000_000
 
-// transportSettings are the settings that only the router's connections use. Times are microseconds, as in
-// routing.Settings.
+// transportSettings are the settings that the decision module does not read: those of connections and of gossip. Times
+// are microseconds, as in routing.Settings.
 type transportSettings struct {
 	Rank        int `json:"Rank"`
 	Permissions struct {
@@ -23,7 +23,7 @@
 	} `json:"Permissions"`
 }
 
-// parseSettings parses the section settings: those of the decision module and of connections.
+// parseSettings parses the settings section: settings of the decision module, of connections and of gossip.
 func (c *Config) parseSettings(d *document) error {
 	var transport transportSettings
 	if err := decodeJSON("settings", d.Settings, &c.Settings); err != nil {
@@ -56,7 +56,8 @@
 	case settings.Permissions.DialTimeout <= 0:
 		return fieldError("settings.Permissions.DialTimeout", "%d µs, must be above 0", settings.Permissions.DialTimeout)
 	case transport.Permissions.IdleTimeout < 0:
-		return fieldError("settings.Permissions.IdleClose", "%d µs, must be above 0", transport.Permissions.IdleTimeout)
+		return fieldError("settings.Permissions.IdleClose", "%d µs, must be 0 (default) or above",
+			transport.Permissions.IdleTimeout)
 	case transport.Permissions.MaxStreams <= 0:
 		return fieldError("settings.Permissions.MaxStreams", "%d, must be above 0", transport.Permissions.MaxStreams)
 	case len(settings.Zones) == 0:
@@ -65,14 +66,14 @@
 	for i, class := range settings.Classes {
 		sameName := func(other routing.Class) bool { return other.Name == class.Name }
 		if slices.ContainsFunc(settings.Classes[:i], sameName) {
-			return fieldError(fmt.Sprintf("settings.Classes[%d].Name", i), "%q is the name of another class already", class.Name)
+			return fieldError(fmt.Sprintf("settings.Classes[%d].Name", i), "%q is already the name of another class", class.Name)
 		}
 	}
 	return nil
 }
 
-// shortestGracePeriod returns the shorter of the times after which a drain and a purge bind, in ms; 0 if the settings
-// have none.
+// shortestGracePeriod returns the shorter of the grace periods of drains and purges, in ms. A period that is not set
+// does not count; 0 if neither is set.
 func shortestGracePeriod(settings *routing.Settings) float64 {
 	shortest := 0.0
 	for _, micros := range []int64{settings.Guarantees.DrainGracePeriod, settings.Hierarchy.PurgeGracePeriod} {
--- a/lab/outcome.go
+++ b/lab/outcome.go
@@ -7,20 +7,22 @@
 
 // Run is the result of one arm on one day.
 type Run struct {
-	Arm        string             `json:"arm"`
-	Day        string             `json:"day"`
-	Figures    map[string]float64 `json:"figures"`
-	Seconds    []float64          `json:"seconds"`          // fraction of weight served on time in other cells, by second
-	Violations map[string]int64   `json:"broken,omitempty"` // violations of the platform's rules, by rule
+	Arm     string             `json:"arm"`
+	Day     string             `json:"day"`
+	Figures map[string]float64 `json:"figures"`
+	// Seconds has, for each second, the fraction of request weight served on time, for the tenants of cells other than
+	// the watched tenant's. Seconds without requests of these tenants are left out.
+	Seconds    []float64        `json:"seconds"`
+	Violations map[string]int64 `json:"broken,omitempty"` // violations of the platform's rules, by rule
 }
 
 // Outcome is the result of an experiment with one seed.
 type Outcome struct {
-	Experiment string    `json:"experiment"`
-	Size       string    `json:"size"`
-	Seed       uint64    `json:"seed"`
-	Runs       []Run     `json:"runs"`
-	Claims     []Verdict `json:"claims"`
+	Experiment string        `json:"experiment"`
+	Size       string        `json:"size"`
+	Seed       uint64        `json:"seed"`
+	Runs       []Run         `json:"runs"`
+	Claims     []ClaimResult `json:"claims"`
 }
 
 const (
@@ -30,20 +32,20 @@
 	allViolations = "all/broken"
 )
 
-// newOutcome checks the claims against runs, and returns the runs with the verdicts.
+// newOutcome checks the claims against runs, and returns the runs with the results of the claims.
 func (e *Experiment) newOutcome(size string, seed uint64, runs []Run) (*Outcome, error) {
 	outcome := &Outcome{Experiment: e.Name, Size: size, Seed: seed, Runs: runs}
 	for _, claim := range e.Claims {
-		verdict, err := outcome.evaluate(claim)
+		result, err := outcome.evaluate(claim)
 		if err != nil {
 			return nil, err
 		}
-		outcome.Claims = append(outcome.Claims, verdict)
+		outcome.Claims = append(outcome.Claims, result)
 	}
 	return outcome, nil
 }
 
-// Figure returns a figure by its name: "ARM/DAY/FIGURE", or allViolations. An unknown name is an error.
+// Figure returns a figure by its name: "ARM/DAY/FIGURE", or allViolations. A figure that no run has is an error.
 func (o *Outcome) Figure(name string) (float64, error) {
 	if name == allViolations {
 		sum := 0.0
@@ -60,13 +62,13 @@
 			}
 		}
 	}
-	return 0, fmt.Errorf("unknown figure %q in a claim", name)
+	return 0, fmt.Errorf("no run has figure %q", name)
 }
 
 // PassedCount returns the number of claims that hold.
 func (o *Outcome) PassedCount() (count int) {
-	for _, verdict := range o.Claims {
-		if verdict.Passed {
+	for _, result := range o.Claims {
+		if result.Passed {
 			count++
 		}
 	}
@@ -76,7 +78,7 @@
 // Passed reports whether all claims hold.
 func (o *Outcome) Passed() bool { return o.PassedCount() == len(o.Claims) }
 
-// Summary returns the RESULT line, which is stable for scripts.
+// Summary returns the RESULT line. Its format does not change, so that scripts can parse it.
 func (o *Outcome) Summary() string {
 	verdict := "kept"
 	if !o.Passed() {
--- a/lab/scale/datagram.go
+++ b/lab/scale/datagram.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// Offsets in a datagram of core/fleet, in bytes: see the head of its datagram.go. TestDatagramPlaces compares them with
-// the real codec.
+// Offsets in bytes in a datagram of core/fleet, whose format is described at the top of its datagram.go.
+// TestOffsetsMatchFleetCodec compares them with the real codec.
 const (
 	rankOffset      = 2
 	siteOffset      = 4
@@ -12,18 +12,18 @@
 	targetOffset    = 15 // in the bodies of opPing and opAck
 )
 
-// A membership update: rank, incarnation, refuted, state.
+// Format of a membership update: rank, incarnation, refuted, state.
 const (
 	updateSize    = 9 // in bytes
 	refutedOffset = 6
 	stateOffset   = 8
-	suspectState  = 2 // and what is worse
+	suspectState  = 2 // higher values are worse states
 )
 
 // operation is the kind of a datagram of core/fleet.
 type operation byte
 
-// The operations.
+// Operations, with their values in the datagram format of core/fleet.
 const (
 	opPing operation = iota + 1
 	opAck
@@ -33,7 +33,7 @@
 	opHealthReport
 )
 
-// bodySizes are the sizes in bytes of what follows the operation, before membership updates.
+// bodySizes are the sizes in bytes of the bodies, which lie between the operation and the membership updates.
 var bodySizes = map[operation]int{
 	opPing:         9,
 	opAck:          9,
@@ -45,8 +45,8 @@
 
 func operationOf(datagram []byte) operation { return operation(datagram[operationOffset]) }
 
-// setRank makes a datagram one of another sender.
-func setRank(datagram []byte, rank, site int) {
+// setSender replaces the sender's rank and site in a datagram.
+func setSender(datagram []byte, rank, site int) {
 	binary.BigEndian.PutUint16(datagram[rankOffset:], uint16(rank))
 	binary.BigEndian.PutUint16(datagram[siteOffset:], uint16(site))
 }
@@ -57,13 +57,13 @@
 	binary.BigEndian.PutUint16(datagram[targetOffset:], uint16(rank))
 }
 
-// membershipUpdate is one inside a datagram.
+// membershipUpdate is an encoded membership update, a slice of its datagram.
 type membershipUpdate []byte
 
-func (u membershipUpdate) rank() int         { return int(binary.BigEndian.Uint16(u)) }
-func (u membershipUpdate) setRank(rank int)  { binary.BigEndian.PutUint16(u, uint16(rank)) }
-func (u membershipUpdate) refuted() uint16   { return binary.BigEndian.Uint16(u[refutedOffset:]) }
-func (u membershipUpdate) isSuspicion() bool { return u[stateOffset] >= suspectState }
+func (u membershipUpdate) rank() int              { return int(binary.BigEndian.Uint16(u)) }
+func (u membershipUpdate) setRank(rank int)       { binary.BigEndian.PutUint16(u, uint16(rank)) }
+func (u membershipUpdate) refuted() uint16        { return binary.BigEndian.Uint16(u[refutedOffset:]) }
+func (u membershipUpdate) isSuspectOrWorse() bool { return u[stateOffset] >= suspectState }
 
 func (u membershipUpdate) setRefuted(refuted uint16) {
 	binary.BigEndian.PutUint16(u[refutedOffset:], refuted)
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -7,34 +7,33 @@
 	"spantack/core/backoff"
 )
 
-// Sizes of the discovery protocol in bytes. TestFrameSizes compares them with the scripted service of
-// standin/discovery.
+// Sizes of the discovery protocol in bytes. TestFrameSizes compares them with the fake service of standin/discovery.
 const (
 	frameHeaderSize  = 13 // length, number and kind
 	endpointSize     = 27
 	purgeSize        = 16 // object and time
-	watchRequestSize = 8  // the number of the event that a router asks from
+	watchRequestSize = 8  // the number of the last event that a router has
 )
 
-// heartbeatsPerSecond are the frames that say that nothing is new.
+// heartbeatsPerSecond is the rate of the frames that carry no event.
 const heartbeatsPerSecond = 1
 
-// Times of the discovery test.
+// Durations in the discovery test.
 const (
-	discoveryOutage    = 30 * second  // how long the service, or the part of it that a router uses, is away
-	regionsOutage      = 120 * second // how long it is for regions that are cut off
-	failedDialTime     = 30_000       // microseconds until an attempt to connect to what is away fails
-	recoverySeconds    = 10           // counted after an outage
+	discoveryOutage    = 30 * second  // during which the service, or the part that a router uses, is unreachable
+	regionsOutage      = 120 * second // the same for regions that are partitioned from the service
+	failedDialTime     = 30_000       // microseconds until an attempt to connect fails during an outage
+	recoverySeconds    = 10           // after an outage; part of the same phase
 	steadyStateSeconds = 60
 )
 
-// updateBytesPerSecond returns what a router receives from the service in steady state: heartbeats, and one frame for
-// each change of an endpoint.
+// updateBytesPerSecond returns the bytes per second that a router receives from the service in steady state:
+// heartbeats, and one frame for each change of an endpoint.
 func updateBytesPerSecond() float64 {
 	return heartbeatsPerSecond*frameHeaderSize + endpointChangesPerSecond*(frameHeaderSize+endpointSize)
 }
 
-// snapshotSize returns the size in bytes of the whole endpoint list in one frame.
+// snapshotSize returns the size in bytes of the frame with the whole endpoint list.
 func snapshotSize(o Options) float64 {
 	return float64(frameHeaderSize + endpointSize*(o.scaled(fleetCaches)+o.scaled(fleetZones)))
 }
@@ -45,7 +44,7 @@
 	rank int
 }
 
-// reconnectQueue is a heap with the earliest attempt first.
+// reconnectQueue is a heap of connection attempts, the earliest first.
 type reconnectQueue []reconnect
 
 // Len implements heap.Interface.
@@ -68,10 +67,10 @@
 	return popped
 }
 
-// simulateReconnects plays core/backoff for routers that lose the service at one moment and can't connect for the time
-// of an outage. It returns how many attempts the service would get in its worst second, and how many the worst router
-// makes.
-func simulateReconnects(fleetSize int, ranks []int, outage int64) (inWorstSecond, ofWorstRouter int) {
+// simulateReconnects runs core/backoff for routers that lose the service at the same moment and cannot connect until
+// the end of an outage. It returns the maximum number of attempts of all routers in one second of the outage, and the
+// maximum number of attempts of one router during the outage.
+func simulateReconnects(fleetSize int, ranks []int, outage int64) (maxPerSecond, maxPerRouter int) {
 	const lostAt = second
 	next := func(rank int, now int64, isRetry bool) int64 {
 		return backoff.Schedule{Rank: rank, FleetSize: fleetSize}.Next(lostAt, now, isRetry)
@@ -95,24 +94,24 @@
 
 // discoveryPhase is one phase of the discovery test.
 type discoveryPhase struct {
-	scenario     Scenario
-	affected     []int // ranks that lose the service, or start
-	outage       int64 // for how long
-	needSnapshot bool  // those come back with nothing, and take the whole endpoint list
+	scenario      Scenario
+	affected      []int // ranks of the routers that lose the service, or start
+	outage        int64 // duration in microseconds
+	needsSnapshot bool  // the affected routers have no state and need the whole endpoint list
 }
 
-// discoveryPhases returns the phases for a fleet.
+// discoveryPhases returns the phases of the discovery test, in order.
 func discoveryPhases(o Options) []discoveryPhase {
 	ranks := make([]int, o.Routers)
 	for rank := range ranks {
 		ranks[rank] = rank
 	}
-	first := func(fleetShare int) []int { return ranks[:o.scaled(fleetShare)] }
+	first := func(count int) []int { return ranks[:o.scaled(count)] }
 	const routersPerRegion = FleetRouters / fleetRegions
 	return []discoveryPhase{
 		{ColdStart, ranks, 0, true},
 		{SteadyState, nil, 0, false},
-		{ProcessLost, first(FleetRouters / controlPlaneMachines), discoveryOutage, false},
+		{ProcessLost, first(FleetRouters / discoveryServiceMachines), discoveryOutage, false},
 		{ZoneLost, first(FleetRouters / fleetZones), discoveryOutage, true},
 		{RegionLost, first(routersPerRegion), discoveryOutage, true},
 		{RegionsPartitioned, ranks[o.scaled(routersPerRegion):], regionsOutage, false},
@@ -120,19 +119,19 @@
 	}
 }
 
-// discoveryCost is what a phase of the discovery test costs.
+// discoveryCost is the cost of a phase of the discovery test.
 type discoveryCost struct {
 	phase                 Phase
-	attemptsInWorstSecond int     // to connect, as the service gets them
-	reconnectBytes        float64 // that all affected routers exchange as they come back, updates apart
+	attemptsInWorstSecond int     // maximum of attempts to connect to the service in one second
+	reconnectBytes        float64 // of all affected routers when they reconnect, without the updates that they missed
 }
 
-// cost works out what the phase costs a router that is affected by it, and the mean of all.
+// cost returns the cost of the phase: the worst figures are those of an affected router, the mean is over all routers.
 func (p discoveryPhase) cost(o Options, clock threadCPUClock) discoveryCost {
 	startedAt := clock.now()
-	inWorstSecond, ofWorstRouter := 0, 0
+	maxPerSecond, maxPerRouter := 0, 0
 	if p.outage > 0 {
-		inWorstSecond, ofWorstRouter = simulateReconnects(o.Routers, p.affected, p.outage)
+		maxPerSecond, maxPerRouter = simulateReconnects(o.Routers, p.affected, p.outage)
 	}
 	used := clock.now() - startedAt
 
@@ -146,14 +145,14 @@
 	if len(p.affected) > 0 {
 		onReconnect = watchRequestSize
 	}
-	if p.needSnapshot {
+	if p.needsSnapshot {
 		onReconnect += snapshotSize(o)
 		updates -= missed
 	}
 	ofAffected := updates + onReconnect
 	affectedFraction := float64(len(p.affected)) / float64(o.Routers)
 	ofAll := affectedFraction*ofAffected + (1-affectedFraction)*updateBytesPerSecond()*seconds
-	messages := float64(ofWorstRouter) + heartbeatsPerSecond*seconds + endpointChangesPerSecond*seconds
+	messages := float64(maxPerRouter) + heartbeatsPerSecond*seconds + endpointChangesPerSecond*seconds
 	return discoveryCost{
 		phase: Phase{
 			Scenario:                p.scenario,
@@ -164,12 +163,12 @@
 			WorstDatagramsPerSecond: messages / seconds,
 			CPUPercent:              cpuPercent(used, seconds) / float64(max(len(p.affected), 1)),
 		},
-		attemptsInWorstSecond: inWorstSecond,
+		attemptsInWorstSecond: maxPerSecond,
 		reconnectBytes:        float64(len(p.affected)) * onReconnect,
 	}
 }
 
-// runDiscovery works out a router's traffic with the service; what the service bears goes into the metrics.
+// runDiscovery calculates a router's traffic with the discovery service. The metrics are the load of the service.
 func runDiscovery(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
