--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 	"spantack/routing"
 )
 
-// Config is a validated configuration. Times are milliseconds.
+// Config is a validated configuration. Times are milliseconds, except in Settings, where they are microseconds.
 type Config struct {
 	Name       string
 	ListenAddr string // for clients
@@ -31,7 +31,7 @@
 	// Settings of the decision module, and those of connections to servers.
 	Settings    routing.Settings
 	DialTimeout float64
-	IdleTimeout float64 // after which servers close an unused connection
+	IdleTimeout float64 // time after which servers close an unused connection
 	MaxStreams  int     // concurrent requests on a connection
 	MaxDeadline float64 // longest deadline of all classes
 	// MaxSendDelay is the maximum time from the choice of a server until the request is written: the shorter of the
@@ -72,8 +72,8 @@
 // Unwrap returns the error without the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// ErrMissing is wrapped by the FieldError of a required variable or field that is absent or empty, and by that of a key
-// that CheckReplaces requires but a new file lacks.
+// ErrMissing is wrapped by a FieldError if a required variable or field is absent or empty, or if a new file lacks a
+// key that CheckReplaces requires.
 var ErrMissing = errors.New("missing")
 
 // fieldError returns a FieldError. %w may be used in the format.
@@ -127,9 +127,9 @@
 	return c, nil
 }
 
-// loadAdminAddrAndStateDir sets AdminAddr from the environment if the variable is set. Otherwise the file's address
-// stays. It sets StateDir only if there is an address. An error names the variable, or the file's mgmt if the variable
-// is not set.
+// loadAdminAddrAndStateDir sets AdminAddr from the environment if the variable is set. Otherwise AdminAddr keeps the
+// address of the file. StateDir is set only if there is an address. An error names the source of the address: the
+// variable, or else the file's field mgmt.
 func (c *Config) loadAdminAddrAndStateDir(getenv func(string) string) error {
 	field := "mgmt"
 	if addr := getenv(envAdmin); addr != "" {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// filesAllowingGossip returns two configuration files whose settings allow datagrams between routers. Only the second,
-// complete, has the addresses too.
+// filesAllowingGossip returns two configuration files. Both permit datagrams between routers. allowed has no peer
+// addresses, complete has them.
 func filesAllowingGossip(t *testing.T) (allowed, complete string) {
 	t.Helper()
 	allowed = replaced(t, validFile, `"Permissions":{`, `"Rank":1,"Permissions":{"MayTell":true,`)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// decodeJSON decodes JSON. field is the field that holds it, or the variable that names the file. If a value inside it
-// has the wrong type, the error names the path of the value after field, such as RELAY_CONFIG.limits.sockets.
+// decodeJSON decodes JSON. field is the field that holds the JSON, or the variable that names the file. If a value in
+// the JSON has the wrong type, the error names the path of the value after field, such as RELAY_CONFIG.limits.sockets.
 func decodeJSON(field string, text []byte, into any) error {
 	err := json.Unmarshal(text, into)
 	var typeError *json.UnmarshalTypeError
--- a/internal/config/replace.go
+++ b/internal/config/replace.go
@@ -56,8 +56,8 @@
 }
 
 // CheckReplaces returns an error unless c, read on SIGHUP, has every key of old, the current configuration. It checks
-// the keys that collectKeys collects. Lists may become empty. A missing key means that the file is incomplete or wrong,
-// and the router would silently use a default. The error is a FieldError.
+// the keys that collectKeys collects. Lists may become empty. A missing key means that the file is incomplete or wrong.
+// Without this check the router would silently use a default. The error is a FieldError.
 func (c *Config) CheckReplaces(old *Config) error {
 	for _, path := range slices.Sorted(maps.Keys(old.keys)) {
 		keys, exists := c.keys[path]
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -73,7 +73,7 @@
 }
 
 // shortestGracePeriod returns the shorter of the grace periods of drains and purges, in ms. A period that is not set
-// does not count; 0 if neither is set.
+// does not count. The result is 0 if neither is set.
 func shortestGracePeriod(settings *routing.Settings) float64 {
 	shortest := 0.0
 	for _, micros := range []int64{settings.Guarantees.DrainGracePeriod, settings.Hierarchy.PurgeGracePeriod} {
