--- a/internal/features/file.go
+++ b/internal/features/file.go
@@ -36,9 +36,9 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Load reads, evaluates, decodes and validates a file. An error is one line. It has the file and, if a field is at
-// fault, the path of the field, its value, and the allowed values. Only if both the migrations and the rollout refer to
-// unknown cells or tenants, the error has a line for each.
+// Load reads, evaluates, decodes and validates a file. An error has the file and, if a field is at fault, the path of
+// the field, its value, and the allowed values. The error is one line, with one exception: if both the migrations and
+// the rollout refer to unknown cells or tenants, it has a line for each of the two.
 func Load(path string) (*File, error) {
 	text, err := evaluateJsonnet(path)
 	if err != nil {
--- a/internal/features/file_test.go
+++ b/internal/features/file_test.go
@@ -51,7 +51,7 @@
 	return strings.Replace(cellsEnabled, old, new, 1)
 }
 
-// Guards against errors of several lines, or without the file, or without the field at fault.
+// Guards against errors that have several lines, or that do not name the file or the field at fault.
 func TestLoadErrorIsOneLineThatNamesField(t *testing.T) {
 	const otherFields = "most: 9, burst: 2, usualMs: 60"
 	for _, c := range []struct{ name, text, want string }{
--- a/internal/features/jsonnet.go
+++ b/internal/features/jsonnet.go
@@ -14,8 +14,8 @@
 // evaluates to.
 const maxFileBytes = 32 << 20
 
-// evaluateJsonnet returns the JSON that a file evaluates to. A panic of the evaluator is returned as an error, so that
-// a file loaded on SIGHUP cannot crash the router.
+// evaluateJsonnet returns the JSON that a file evaluates to. It returns a panic of the evaluator as an error, because a
+// file loaded on SIGHUP must not crash the router.
 func evaluateJsonnet(path string) (text []byte, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -58,8 +58,8 @@
 	return string(text), err
 }
 
-// folderImporter imports files only from the folder of the features file and the folders inside it, so that a copy of
-// the folder has all imports. Names are relative to that folder, also in imported files.
+// folderImporter imports files only from the folder of the features file and the folders inside it. A copy of the
+// folder therefore has all imports. Names are relative to that folder, also in imported files.
 type folderImporter struct {
 	dir      string
 	imported map[string]jsonnet.Contents // by name; go-jsonnet requires the same Contents for each import of a file
--- a/internal/features/migration.go
+++ b/internal/features/migration.go
@@ -15,8 +15,7 @@
 	migration.Document
 }
 
-// ActiveMigration returns the document of migrations, which may have ones that are over or have not begun; nil if the
-// feature is off.
+// ActiveMigration returns the document of migrations, including finished and future ones; nil if the feature is off.
 func (f *File) ActiveMigration() *migration.Document {
 	if f == nil || !f.Migration.Enabled {
 		return nil
@@ -40,9 +39,10 @@
 	return nil
 }
 
-// checkMigrationReplaces checks that no migration in progress is left out or has other cells, that new ones are loaded
-// before the end of their warm-up unless they are paused or rolled back, and that a changed document has a higher
-// version.
+// checkMigrationReplaces checks that
+//   - the file keeps each migration that is in progress, with the same site and cells,
+//   - the warm-up of a new migration has not ended, unless the migration is paused or rolled back, and
+//   - a changed document has a higher version.
 func (f *File) checkMigrationReplaces(now float64, previous *File) error {
 	old, next := previous.ActiveMigration(), f.ActiveMigration()
 	switch {
--- a/internal/features/replace.go
+++ b/internal/features/replace.go
@@ -2,10 +2,11 @@
 
 import "spantack/routing"
 
-// CheckReplaces returns an error unless the file may replace the previous one at the time now, in Unix milliseconds. It
-// must not leave out a migration in progress or change its cells, nor add one whose warm-up would be over already,
-// unless that one is paused or rolled back. Migrations, a topology, or a rollout of the same name that differ must have
-// a higher version. The version of the cells is not checked. previous may be nil.
+// CheckReplaces returns an error unless the file may replace the previous one at the time now, in Unix milliseconds.
+// The file must keep each migration that is in progress, with the same site and cells. It must not add a migration
+// whose warm-up has ended, unless the migration is paused or rolled back. Changed migrations, a changed topology, and a
+// changed rollout of the same name must have a higher version. The version of the cells is not checked. previous may be
+// nil.
 func (f *File) CheckReplaces(now float64, previous *File) error {
 	if err := f.checkRolloutReplaces(previous); err != nil {
 		return err
@@ -16,10 +17,10 @@
 	return f.checkMigrationReplaces(now, previous)
 }
 
-// checkVersion returns an error unless a document has a higher version than the current one. old and next are the
-// versions; same is true if the documents are equal, which is allowed too.
-func checkVersion(field string, old, next int64, same bool) error {
-	if next <= old && !same {
+// checkVersion returns an error unless the new version is higher than the old one or the documents are equal. isEqual
+// reports whether they are.
+func checkVersion(field string, old, next int64, isEqual bool) error {
+	if next <= old && !isEqual {
 		return fieldError(field, "%d, must be above %d, the current version", next, old)
 	}
 	return nil
--- a/internal/features/replace_test.go
+++ b/internal/features/replace_test.go
@@ -17,8 +17,9 @@
 	return f
 }
 
-// Guards against a reload of a changed document without a higher version, and against a reload that makes a tenant jump
-// between cells. A file that changes nothing, or whose versions are higher, is accepted.
+// Guards against a reload of a changed document without a higher version, and against a reload that moves a tenant to
+// another cell without the gradual shift of a migration. A file that changes nothing, or whose versions are higher, is
+// accepted.
 func TestCheckReplacesRejectsStaleVersionsAndLateMigrations(t *testing.T) {
 	// In the documents %V is the version, and %P a value that differs between two documents: the prefix of a rollout, the
 	// capacity of a topology, the start of a migration.
--- a/internal/features/rollout.go
+++ b/internal/features/rollout.go
@@ -12,7 +12,7 @@
 	rollout.Rollout
 }
 
-// ActiveRollout returns the rollout, which may be over or not have begun; nil if the feature is off.
+// ActiveRollout returns the rollout, also if it is finished or in the future; nil if the feature is off.
 func (f *File) ActiveRollout() *rollout.Rollout {
 	if f == nil || !f.Rollout.Enabled {
 		return nil
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// checkRolloutReplaces checks that a rollout that has the same name but differs has a higher version.
+// checkRolloutReplaces checks that a changed rollout of the same name has a higher version.
 func (f *File) checkRolloutReplaces(previous *File) error {
 	old, next := previous.ActiveRollout(), f.ActiveRollout()
 	if old == nil || next == nil || old.Name != next.Name {
--- a/internal/features/strict.go
+++ b/internal/features/strict.go
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// isInteger reports whether a value is a whole number with a magnitude of at most 2^53, up to which float64 is exact.
+// isInteger reports whether a value is a whole number with a magnitude of at most 2^53. Up to this magnitude, float64
+// represents all whole numbers exactly.
 func isInteger(value any) bool {
 	n, ok := value.(float64)
 	return ok && n == math.Trunc(n) && math.Abs(n) <= 1<<53
--- a/internal/features/topology.go
+++ b/internal/features/topology.go
@@ -30,7 +30,7 @@
 	return err
 }
 
-// checkTopologyReplaces checks that a topology that differs has a higher version.
+// checkTopologyReplaces checks that a changed topology has a higher version.
 func (f *File) checkTopologyReplaces(previous *File) error {
 	if previous == nil || !previous.Topology.Enabled || !f.Topology.Enabled {
 		return nil
