--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -71,7 +71,7 @@
 }
 
 // violations returns a message for each forbidden import of a file, and one for its first clock call if the file must
-// not read a clock. A file in an unknown folder or with a syntax error has one message. path is relative to the
+// not read a clock. A file in an unknown folder or with a syntax error gives one message. path is relative to the
 // repository root.
 func violations(path, text string) (found []string) {
 	folder, _, _ := strings.Cut(path, "/")
--- a/internal/archtest/outer_names_test.go
+++ b/internal/archtest/outer_names_test.go
@@ -18,8 +18,8 @@
 	outerNamesPage = "docs/outer-names.txt"
 )
 
-// outerName is an external name, which is used outside the process: by clients, servers, peers, files, command lines
-// or readers of logs.
+// outerName is a name that is used outside the process: by clients, servers, peers, files, command lines or readers of
+// logs.
 type outerName struct {
 	name    string
 	heading string
--- a/internal/testfixture/commandlines.go
+++ b/internal/testfixture/commandlines.go
@@ -9,9 +9,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// CommandLines fails the test unless the commands, arguments and flags of a program are those listed in a file, which
-// has a line for each command. A command with aliases is compared by the first of them, which must be its name in the
-// file.
+// CommandLines fails the test unless the commands, arguments and flags of a program are those listed in a file. The
+// file has a line for each command. If a command has aliases, its first alias must be its name in the file.
 func CommandLines(t testing.TB, file, program string, commands any) {
 	t.Helper()
 	want, err := os.ReadFile(file)
@@ -38,8 +37,8 @@
 	}
 }
 
-// oldPath returns the path to a command with the names of the release that wrote the file. The first alias of a renamed
-// command is its old name.
+// oldPath returns the full name of a command, such as "spanlab scale run", as it was in the release that wrote the
+// file. The first alias of a renamed command is its old name.
 func oldPath(node *kong.Node) string {
 	name := node.Name
 	if len(node.Aliases) > 0 {
--- a/internal/testfixture/testfixture.go
+++ b/internal/testfixture/testfixture.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// ReadAndWrite decodes a JSON file. It fails the test unless the value equals want and encodes to the bytes of the
-// file, as ReadBack checks.
+// ReadAndWrite decodes a JSON file. It fails the test unless the value equals want and passes the checks of
+// ReadBack.
 func ReadAndWrite[T any](t testing.TB, file, indent string, want T) {
 	t.Helper()
 	if got := ReadBack[T](t, file, indent); !reflect.DeepEqual(got, want) {
--- a/internal/testfixture/testfixture_test.go
+++ b/internal/testfixture/testfixture_test.go
@@ -30,8 +30,8 @@
 // Fatalf implements testing.TB, except that it does not end the goroutine.
 func (r *recordingTB) Fatalf(format string, args ...any) { r.Errorf(format, args...) }
 
-// Guards against ReadAndWrite accepting a file that differs from the encoding of its value, or rejecting one that does
-// not.
+// Guards against ReadAndWrite accepting a file that differs from the encoding of its value, or rejecting one that is
+// equal to it.
 func TestReadAndWriteReportsDifferences(t *testing.T) {
 	want := document{"a", 1}
 	for _, test := range []struct{ name, text, indent, failure string }{
--- a/internal/testwait/conns.go
+++ b/internal/testwait/conns.go
@@ -9,8 +9,8 @@
 	"spantack/internal/loopback"
 )
 
-// Listen opens a TCP listener and closes it when the test ends. Its address is derived from the process ID, so that
-// only this test connects to it and no other test process uses it.
+// Listen opens a TCP listener and closes it when the test ends. Its address is derived from the process ID.
+// Therefore no other test process uses the address, and only this test connects to it.
 func Listen(t testing.TB) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", loopback.FreeAddress())
@@ -46,8 +46,8 @@
 const maxEmptyConns = 20
 
 // AcceptHello returns the next connection to l on which the peer first writes hello. It skips connections that end
-// before the first byte: a client that is starved of CPU may time out and close a connection that the kernel has
-// already established.
+// before the first byte, because a client that is starved of CPU may time out and close a connection that the kernel
+// has already established.
 func AcceptHello(t testing.TB, l net.Listener, hello, what string) net.Conn {
 	t.Helper()
 	received := make([]byte, len(hello))
--- a/internal/testwait/retry.go
+++ b/internal/testwait/retry.go
@@ -5,8 +5,8 @@
 const (
 	// maxRuns is the maximum number of runs of a check.
 	maxRuns = 5
-	// starvedThreshold is the fraction of a run's time from which on a failed run is repeated, if some process waited
-	// for a CPU for that long: the wait may have caused the failure.
+	// starvedThreshold is a fraction of a run's time. A failed run is repeated if some process waited for a CPU for at
+	// least this fraction of its time, because the wait may have caused the failure.
 	starvedThreshold = 0.2
 )
 
--- a/internal/testwait/stopwatch.go
+++ b/internal/testwait/stopwatch.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Stopwatch measures elapsed time without the time in which some process waited for a CPU. So a test can use the same
-// time limit on a busy machine as on an idle one, and the limit is as strict on an idle one as without a Stopwatch.
+// Stopwatch measures elapsed time without the time in which some process waited for a CPU. A test can therefore use
+// the same time limit on a busy machine as on an idle one. On an idle machine the limit is as strict as without a
+// Stopwatch.
 type Stopwatch struct {
 	startedAt      time.Time
 	starvedAtStart time.Duration
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -1,6 +1,6 @@
 // Package testwait has waits with time limits for tests. Every wait has a description of what it waits for, so that a
 // test that would hang fails with this description instead. The limits are far longer than any wait takes, even on a
-// machine that is starved of CPU. Only a test that hangs reaches them, so that results do not depend on the machine's
+// machine that is starved of CPU. Only a test that hangs reaches them. Results therefore do not depend on the machine's
 // speed. Only tests import the package.
 package testwait
 
