--- a/deploy/features.jsonnet
+++ b/deploy/features.jsonnet
@@ -17,7 +17,7 @@
     // number of caches of a tenant), and overflow (with the field spare, the cell for requests for which other cells
     // have no capacity).
     scheme: 'fixed',
-    // share: fraction of each site's caches and of the budget below. The shares of all cells add up to at most 1.
+    // share: fraction of each site's caches and of the budget below for this cell. All shares add up to at most 1.
     // spill: the cell that serves requests while this one has no live cache. Without it, they are rejected.
     cells: [
       { name: 'north', share: 0.5, spill: 'south' },
@@ -61,13 +61,15 @@
         start: 1764576000000,
         warm: 0,  // duration of the warm-up, in which only the objects listed in the field hot (not shown) migrate
         shift: 30000,  // minimum duration of the migration of all other objects
-        slow: 150000,  // its maximum duration; it slows down while a cell is being deployed or responds slowly
+        // Maximum duration of the migration of all other objects. The migration slows down while a cell is being
+        // deployed or responds slowly.
+        slow: 150000,
         settle: 60000,  // time for which the source cell then serves requests for which the target has no capacity
       },
     ],
   },
   // Rollout of a release to cells, ring by ring, with a verdict on each ring: docs/rollout.md. Requests for objects of
-  // the release are rejected in cells that do not have it.
+  // the release are rejected in cells that do not have it, unless the field renews (not shown) is set.
   stage: {
     enabled: false,
     version: 1,  // increase it with every change of this section
@@ -86,7 +88,7 @@
     // least.
     beta: 0.05,
     least: 2,  // smallest odds ratio (of late responses, failures or fill errors) that the test must detect
-    margin: 1.1,  // greatest odds ratio that counts as harmless
+    margin: 1.1,  // greatest odds ratio that is tolerated
   },
   // Topology that fills follow: docs/hierarchy.md. If it is left out or disabled, fills are spread over all parents by
   // hash.
@@ -115,7 +117,7 @@
     // Algorithm that adapts a router's limit to the durations of its fills: gradient, aimd, or delay. fixed: the limit
     // is always the router's share.
     law: 'gradient',
-    most: 40,  // concurrent fills of all routers together up to which the origin answers in its usual time
+    most: 40,  // concurrent fills of all routers together up to which the origin responds in its usual time
     reserve: 0.1,  // fraction of each router's limit reserved for uncacheable requests
     // A router may use up to this many times its share (most divided by the number of routers) while its fills take no
     // longer than usual.
@@ -124,10 +126,11 @@
     lingerMs: 3000,  // maximum time for which a parent continues a fetch without a waiting request
   },
   // Limit on fills that reach the origin, which all routers enforce together by exchanging datagrams: docs/fleet.md. It
-  // requires peers in the configuration file, and settings with parent caches and the cache status of every response.
+  // requires peers in the configuration file. The settings must name parent caches and state that every response
+  // reports its cache status.
   fleet: {
     enabled: false,
-    asks: 40,  // maximum number of concurrent fills of all routers; it also holds while the fleet is partitioned
+    asks: 40,  // maximum number of concurrent fills of all routers, also while the fleet is partitioned
     floor: 0.25,  // fraction split evenly among all routers of the fleet, running or not; the rest is leased out
     verdicts: false,  // whether routers avoid parents that two sites report as failing
     // For a fleet of many hundreds of routers: groups lease the limit from one another, so that no router receives
@@ -135,7 +138,7 @@
     tree: {
       // Must be the number of peers: docs/fleet.md. The floor of each router is reserved even if it is not running.
       routers: 12000,
-      groups: [16, 512],  // number of ranks in a group, smallest first: those of a site, and those of a region
+      groups: [16, 512],  // ranks in a group, smallest first: 16 in the group of a site, 512 in that of a region
       // Ranks of the electors, a majority of which elects the holder of the fleet's limit: three or five, in different
       // regions.
       electors: [0, 2200, 4400, 6600, 8800],
