--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Guards against errors that do not name the field at fault, and against errors of several lines.
+// Guards against errors that do not name the field at fault, or that have several lines.
 func TestParseErrorNamesField(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"seed", "8c1f30d27a5be964", "dice", "seed:"},
