--- a/core/migration/schedule/cycles.go
+++ b/core/migration/schedule/cycles.go
@@ -78,9 +78,9 @@
 	return result
 }
 
-// Cycles returns the cycles in the graph of the document's migrations, such as A to B, B to C, C to A. Their migrations
-// may have to wait for each other's capacity. Each cycle begins with its alphabetically first cell, and cycles are
-// sorted.
+// Cycles returns the cycles in the graph of the document's migrations, such as A to B, B to C, C to A. The migrations
+// of a cycle may have to wait for capacity that another of them frees. Each cycle begins with its alphabetically first
+// cell, and cycles are sorted.
 func Cycles(d *migration.Document) [][]string {
 	var pairs []cellPair
 	for i := range d.Migrations {
--- a/core/migration/schedule/planner.go
+++ b/core/migration/schedule/planner.go
@@ -16,10 +16,10 @@
 	slotMs = 1000.0
 	// maxSlots is the planning horizon in slots: four hours.
 	maxSlots = 4 * 3600
-	// maxBatchFraction is the maximum fraction of a limit that one batch uses. It lets several batches run at the same
-	// time, so that small batches do not wait for large ones.
+	// maxBatchFraction is the maximum fraction of a fill limit that one batch uses. It lets several batches run at the
+	// same time. Small batches then need not wait for large ones.
 	maxBatchFraction = 0.5
-	// usableCellFraction of a cell's capacity may be in use after all migrations into it.
+	// usableCellFraction is the maximum fraction of a cell's capacity that may be in use after all migrations into it.
 	usableCellFraction = 0.95
 	// capacityTolerance is a factor on capacities that absorbs rounding errors of sums.
 	capacityTolerance = 1 + 1e-9
@@ -90,8 +90,8 @@
 	return l
 }
 
-// lowerBound returns the earliest possible end of all migrations, in Unix ms: Start plus the time that all fills need
-// at the rates of the limits, which is at least MinShift if there are requests.
+// lowerBound returns the earliest possible end of all migrations, in Unix ms. This is Start plus the time that all
+// fills need if each limit is fully used, or Start plus MinShift if that is later. Without requests it is Start.
 func (p *planner) lowerBound(requests []Request) float64 {
 	shortest, allKB := 0.0, 0.0
 	cellKB := map[string]float64{}
@@ -122,8 +122,8 @@
 // slots returns the length of the batch in slots, rounded up.
 func (b *batch) slots() int { return int(math.Ceil(b.durationMs / slotMs)) }
 
-// newBatch returns a batch of requests. Its duration is at least MinShift, and so long that its fills use at most
-// maxBatchFraction of each fill limit. WarmUp is added if any request has hot objects.
+// newBatch returns a batch of requests. Its duration is MinShift, or longer if its fills would then use more than
+// maxBatchFraction of a fill limit. WarmUp is added if any request has hot objects.
 func (p *planner) newBatch(requests []Request) batch {
 	b := batch{requests: requests, durationMs: p.constraints.MinShift}
 	allKB := 0.0
@@ -156,7 +156,7 @@
 			cmp.Compare(a.requests[0].Tenant, b.requests[0].Tenant),
 		)
 	})
-	// Placing a batch frees capacity in the cells that it leaves, so those that did not fit are tried again.
+	// A placed batch frees capacity in its source cells. Therefore batches that did not fit are tried again.
 	for placed := true; placed && len(batches) > 0; {
 		placed = false
 		var unplaced []batch
@@ -180,7 +180,7 @@
 type limitUse struct {
 	limit       *limit
 	rate        float64 // KB/s
-	from, until int     // slots; until is maxSlots for a lasting change
+	from, until int     // slots; until is maxSlots if the change is permanent
 }
 
 // uses yields how much a batch uses of each limit if it begins in slot.
@@ -210,8 +210,8 @@
 		cells := slices.AppendSeq(make([]string, 0, len(changes)), maps.Keys(changes))
 		slices.Sort(cells)
 		for _, cell := range cells {
-			// Gained load counts from the first slot, because a migration may be faster than planned. Lost load is free
-			// only after the last slot.
+			// A cell that gains load needs the capacity from the first slot, because a migration may be faster than
+			// planned. A cell that loses load frees its capacity only after the last slot.
 			from := slot
 			if changes[cell] < 0 {
 				from = end
--- a/core/migration/schedule/schedule.go
+++ b/core/migration/schedule/schedule.go
@@ -1,5 +1,5 @@
-// Package schedule plans the migrations of many tenants: as many at the same time as the limits of cells, site and
-// origin allow. It is used by the tools of operators, not by the router.
+// Package schedule plans the migrations of many tenants. As many of them run at the same time as the limits of cells,
+// site and origin allow. The package is used by the tools of operators, not by the router.
 //
 // Rates are in KB/s and apply to all routers of a site together. Times are Unix milliseconds, durations are
 // milliseconds.
@@ -35,10 +35,10 @@
 type Constraints struct {
 	Site           string
 	Start          float64 // earliest start of a migration
-	WarmUp         float64 // of each migration with hot objects
-	MinShift       float64 // of each migration
+	WarmUp         float64 // Migration.WarmUp of each migration with hot objects
+	MinShift       float64 // lower bound of Migration.MinShift of each migration
 	MaxShiftFactor float64 // ratio of MaxShift to MinShift of each migration: 1 or more
-	Settle         float64 // of each migration
+	Settle         float64 // Migration.Settle of each migration
 	Cells          map[string]CellCapacity
 
 	SiteFillKBPerS     float64 // spare capacity for fills into the site, beyond the fills that run now; 0: unlimited
@@ -55,9 +55,9 @@
 	Unscheduled map[string]string     // reason why a tenant could not be scheduled, by tenant
 }
 
-// Plan schedules the requests, shortest migrations first, as many at the same time as the limits allow. Tenants that
-// wait for each other's capacity in a cycle migrate with the same start and duration, so that each cell loses load
-// while it gains load. Errors wrap ErrInvalid.
+// Plan schedules the requests, shortest migrations first, as many at the same time as the limits allow. If tenants form
+// a cycle in which each needs the capacity that another frees, they migrate with the same start and duration. Each
+// cell of the cycle then loses load while it gains load. Errors wrap ErrInvalid.
 func Plan(requests []Request, constraints Constraints) (*Schedule, error) {
 	if err := constraints.validate(requests); err != nil {
 		return nil, err
--- a/core/migration/schedule/schedule_test.go
+++ b/core/migration/schedule/schedule_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Guards against plans that lose a tenant, exceed a limit at some time, or end before the lower bound. It would fail if
-// firstFit always returned the first slot.
+// Guards against plans that lose a tenant, exceed a limit at some time, or end before the lower bound. The test fails
+// if firstFit always returns the first slot.
 func TestPlanStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells := drawCells(t)
@@ -118,8 +118,8 @@
 	}
 }
 
-// Guards against cycles of full cells that are not scheduled, or not as one batch, and against a request without
-// capacity that is scheduled, or whose reason does not name the limit.
+// Guards against wrong plans for full cells. A cycle of them must be scheduled as one batch. A request that exceeds a
+// limit must not be scheduled, and the reason must name the limit.
 func TestPlanSchedulesCyclesTogether(t *testing.T) {
 	full := CellCapacity{SendKBPerS: 10_000, UsedKBPerS: 9500, FillKBPerS: 2000}
 	constraints := sampleConstraints(map[string]CellCapacity{"a": full, "b": full, "c": full})
