--- a/core/migration/capacity.go
+++ b/core/migration/capacity.go
@@ -14,8 +14,9 @@
 	StartedAt int64 // microseconds; 0: warmed up already
 }
 
-// WarmFraction returns the fraction of its capacity that a server started at startedAt has at now, from InitialCapacity
-// to 1. The warm-up begins OverloadWindow after the start, because a server's load is summed over that window.
+// WarmFraction returns the fraction of its full capacity that a server has at now if it started at startedAt. The
+// fraction is InitialCapacity until OverloadWindow after the start, because a server's load is summed over that window.
+// It then rises to 1 within WarmUp. It is always 1 if startedAt or WarmUp is 0 or less.
 func (c *CapacityModel) WarmFraction(now, startedAt int64) float64 {
 	age := now - startedAt - c.OverloadWindow
 	if startedAt <= 0 || c.WarmUp <= 0 || age >= c.WarmUp {
@@ -24,8 +25,8 @@
 	return c.InitialCapacity + (1-c.InitialCapacity)*float64(max(age, 0))/float64(c.WarmUp)
 }
 
-// Capacity returns how much the servers can send together at now, in KB/s, and which fraction that is of their
-// capacity after the warm-up. Both are 0 if there are no servers.
+// Capacity returns the total capacity of the servers at now, in KB/s, and its ratio to their total capacity after the
+// warm-up. Both are 0 if there are no servers.
 func (c *CapacityModel) Capacity(now int64, servers []Server) (kbPerS, warmFraction float64) {
 	warmKBPerS := 0.0
 	for _, s := range servers {
--- a/core/migration/capacity_limiter.go
+++ b/core/migration/capacity_limiter.go
@@ -24,9 +24,9 @@
 // that its fills pass, minus the load of the cell's resident tenants.
 //
 // Guarantee: in any t seconds it admits at most (usableFraction * capacity - resident load) * (t + burstSeconds), plus
-// one request. The resident load is the observed moving average; the bound assumes that it and the capacity are
-// constant during the t seconds. Each router is given its part of the capacity, so that all routers together stay
-// within the cell's capacity.
+// one request. The resident load is the observed moving average. The bound assumes that the resident load and the
+// capacity are constant during the t seconds. Each router is given its part of the capacity. For this reason all
+// routers together stay within the cell's capacity.
 //
 // It is not safe for concurrent use. Times are in microseconds.
 type CapacityLimiter struct {
@@ -34,11 +34,11 @@
 
 	sendKBPerS float64 // this router's part of the capacity of the caches
 	fillKBPerS float64 // this router's part of the capacity for fills; math.Inf(1): unlimited
-	sendTokens float64 // KB; negative after a request that cost more than was left
+	sendTokens float64 // KB; negative after a request that cost more than the tokens that were left
 	fillTokens float64 // KB
 	refilledAt int64
 
-	residentSends decayingRate // KB, including fills at FillCost
+	residentSends decayingRate // KB of sends, plus KB of fills multiplied by FillCost
 	residentFills decayingRate // KB
 }
 
--- a/core/migration/capacity_limiter_test.go
+++ b/core/migration/capacity_limiter_test.go
@@ -49,16 +49,16 @@
 		}
 		available, availableFills := l.Available(now)
 		// By the end of the run the load of resident tenants is fully observed. Fills must be within usableFraction of
-		// the capacity. The bound on sends is looser than that: it adds back 0.6 of the resident load after it has
-		// subtracted 0.5 of it.
+		// the capacity. The bound on sends is looser: it is 0.1 of the resident load plus 2 KB/s above usableFraction of
+		// the capacity. Neither bound checks that the resident load is subtracted.
 		maxAvailable := max(usableFraction*sends-resident*sends*0.5, 0) + 1
 		if available > maxAvailable+0.6*sends*resident+1 || availableFills > usableFraction*fills+1e-6 {
 			t.Fatalf("%v KB/s of sends and %v KB/s of fills available", available, availableFills)
 		}
 		const span = 1_500_000
 		greatest, greatestFills := greatestWindow(all, span)
-		// The limits are above the guarantee by 2% and one more request, because the observed load of resident tenants
-		// still rises in the first windows, so that more was available then than at the end.
+		// The limits exceed the guarantee by 2% and one request. They are computed from what is available at the end of
+		// the run. More was available in the first windows, in which the observed resident load was still rising.
 		seconds := span/1e6 + burstSeconds
 		if limit := available*1.02*seconds + 2*largestKB*(1+l.FillCost); greatest > limit {
 			t.Fatalf("%v KB in a window, %v allowed (%v KB/s available)", greatest, limit, available)
--- a/core/migration/document.go
+++ b/core/migration/document.go
@@ -11,10 +11,11 @@
 // objects d times the greater of 1/MinShift and hotPositionRange/WarmUp.
 //
 // The guarantee is for the shares after a step of both pacers, and only while both shares are within MinShare and
-// MaxShare. A share is outside of them after a new version of the document, and while MinShare rises faster than
-// MaxRiseRate, as it does in a short warm-up. It then moves into its bounds at no more than MaxRiseRate and
-// MaxFallRate, with two exceptions: with Unbounded and in a rollback it falls at up to the greater of both rates, and
-// after a time without steps (idleAfter) it is clamped to its bounds at once.
+// MaxShare. A share may be out of bounds after a new version of the document, and while MinShare rises faster than
+// MaxRiseRate, as it does in a short warm-up. It then moves to within its bounds, rising at up to MaxRiseRate or
+// falling at up to MaxFallRate. There are two exceptions:
+//   - With Unbounded and in a rollback, the share falls at up to the greater of MaxRiseRate and MaxFallRate.
+//   - After more than idleAfter without a step, the next step clamps the share to its bounds at once.
 //
 // The package does no I/O and does not read the clock. Times are Unix milliseconds and durations are milliseconds,
 // except in capacity.go and capacity_limiter.go, which use microseconds as package routing does.
@@ -54,8 +55,8 @@
 	PausedAt float64 `json:"heldAt,omitempty" jsonschema_description:"Unix milliseconds at which the minimum and the maximum share stop changing; 0: not paused"`
 	// RollbackAt is the time from which on MinShare and MaxShare fall by 1/MinShift per ms; 0: not rolled back.
 	RollbackAt float64 `json:"backAt,omitempty" jsonschema_description:"Unix milliseconds from which on all objects move back, within the time of shift; 0: not rolled back"`
-	// Unbounded means that load and late answers are ignored: CapacityLimiter is not applied, and the share follows
-	// MaxShare, which remains its bound. It is meant for emergencies and as the baseline of experiments.
+	// Unbounded means that load and late responses are ignored: CapacityLimiter is not applied, and the share follows
+	// MaxShare, its upper bound. Unbounded is meant for emergencies and as the baseline of experiments.
 	Unbounded bool `json:"unbounded,omitempty" jsonschema_description:"move at the maximum speed, without regard to the capacity of the new cell and to late answers"`
 }
 
--- a/core/migration/pacer.go
+++ b/core/migration/pacer.go
@@ -6,14 +6,13 @@
 const (
 	// stepInterval is the minimum time between two steps.
 	stepInterval = 250.0
-	// idleAfter is the time without a step after which the next step begins by clamping the share to MinShare and
-	// MaxShare at once.
+	// If there was no step for longer than idleAfter, the next step first clamps the share to MinShare and MaxShare.
 	idleAfter = 2000.0
 	// observationWindow is the time constant of the decay of observations.
 	observationWindow = 3000.0
 	// minObservations is the number of observations below which a ratio is not used.
 	minObservations = 20.0
-	// The target counts as degraded if its ratio of late answers exceeds the source's by more than lateRatioTolerance
+	// The target counts as degraded if its ratio of late responses exceeds the source's by more than lateRatioTolerance
 	// plus lateStandardErrors standard errors of the difference.
 	lateRatioTolerance = 0.03
 	lateStandardErrors = 2.0
@@ -40,16 +39,17 @@
 // Pacer controls the share of one migration at one router, between MinShare and MaxShare. The target is the cell that
 // objects move to, and the source the cell that they move from: To and From, or in a rollback From and To.
 //
-// The share rises while answers of the target are not late significantly more often than answers of the source, and
-// falls while they are. It does not rise while the target lacks capacity or the servers of either cell are being
-// replaced. It always rises as far as MinShare requires. With Unbounded and in a rollback it follows MaxShare.
+// The share falls while responses of the target are late significantly more often than responses of the source.
+// Otherwise it rises, unless the target lacks capacity or the servers of either cell are being replaced. It always
+// rises as far as MinShare requires. With Unbounded and in a rollback it follows MaxShare.
 //
 // MaxRiseRate and MaxFallRate bound the rate of change, except after idleAfter without a step. The pacer steps at most
-// every 250 ms, on observations that decay over 3 s, and the share begins to fall at the first step that finds the
-// target degraded. So, unless MinShare requires more, the share exceeds the value at which the target becomes degraded
-// by at most MaxRiseRate * (250 ms + the time in which 20 answers of the target arrive + the decay of observations,
-// twice 3 s), and does not oscillate by more than that. This assumes that the target is sent enough requests: with less
-// than 20 answers in 3 s, observations decay before there are 20 of them.
+// every 250 ms and uses observations that decay over 3 s. The share begins to fall at the first step that finds the
+// target degraded. Therefore the overshoot, by which the share exceeds the value at which the target becomes degraded,
+// is at most MaxRiseRate * (250 ms + the time in which 20 responses of the target arrive + the decay of observations,
+// twice 3 s). The share does not oscillate by more than the overshoot. The overshoot can be greater if MinShare
+// requires it, or if the target is sent too few requests: with less than 20 responses in 3 s, observations decay before
+// there are 20 of them.
 //
 // The zero value is ready for use. It is not safe for concurrent use.
 type Pacer struct {
@@ -58,7 +58,7 @@
 	steppedAt float64
 	started   bool
 
-	// target and source count the answers of both cells. Late and missing answers are bad.
+	// target and source count the responses of both cells. Late and missing responses are bad.
 	target, source decayingRatio
 	// admissions counts the requests for the target. A request is bad if the target lacked capacity for it.
 	admissions decayingRatio
@@ -66,7 +66,8 @@
 	capacityReady bool
 }
 
-// ObserveAnswer records an answer of the target cell, or of the source cell. late is also true for a missing answer.
+// ObserveAnswer records a response of the target cell, or of the source cell. late is also true if there was no
+// response.
 func (p *Pacer) ObserveAnswer(now float64, fromTarget, late bool) {
 	ratio := &p.source
 	if fromTarget {
@@ -78,17 +79,17 @@
 // ObserveAdmission records a request for the target cell, and whether the capacity limiter admitted it.
 func (p *Pacer) ObserveAdmission(now float64, admitted bool) { p.admissions.add(now, !admitted) }
 
-// SetWarmCapacity sets the current capacity of a cell as a fraction of its full capacity, 0 to 1: the smaller fraction
-// of both cells. Below minWarmCapacity, as during a deployment or a loss of caches, the share rises only as far as
-// MinShare requires, until the capacity is back.
+// SetWarmCapacity sets the warm capacity: the current capacity of a cell as a fraction of its full capacity, 0 to 1.
+// Callers pass the smaller fraction of both cells. While it is below minWarmCapacity, as during a deployment or a loss
+// of caches, the share rises only as far as MinShare requires.
 func (p *Pacer) SetWarmCapacity(fraction float64) { p.capacityReady = fraction >= minWarmCapacity }
 
 // Share returns the share of the tenant's objects, in the order of Position, that this router sends to the new cell.
 func (p *Pacer) Share() float64 { return p.share }
 
 // Step advances the pacer to now, in Unix ms, and returns the share. With Unbounded and during a rollback the share
-// follows MaxShare regardless of observations. A share below MaxShare rises to it first, also in a rollback. A rollback
-// must not be delayed by observations, not even if the cell that objects move back to is degraded.
+// follows MaxShare regardless of observations. If the share is below MaxShare, it first rises to MaxShare, also in a
+// rollback. Observations must not delay a rollback, not even if the cell that objects move back to is degraded.
 func (p *Pacer) Step(now float64, m *Migration) float64 {
 	if !p.started {
 		p.started = true
@@ -103,7 +104,7 @@
 	p.steppedAt = now
 	low := m.MinShare(now)
 	high := m.MaxShare(now)
-	if elapsed > idleAfter { // the share may have left its bounds meanwhile
+	if elapsed > idleAfter { // the bounds may have moved past the share meanwhile
 		p.share = min(max(p.share, low), high)
 		elapsed = stepInterval
 	}
@@ -134,7 +135,7 @@
 	return min(max(to, from-maxFall), from+maxRise)
 }
 
-// targetDegraded reports whether the target's answers are late significantly more often than the source's.
+// targetDegraded reports whether the target's responses are late significantly more often than the source's.
 func (p *Pacer) targetDegraded(now float64) bool {
 	p.target.decay(now)
 	p.source.decay(now)
--- a/core/migration/pacer_test.go
+++ b/core/migration/pacer_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// simulatedCell answers 2% of requests late up to a share of a tenant's objects. Above it, the rate of late answers
-// rises.
+// simulatedCell responds late to 2% of requests up to a given share of a tenant's objects. Above that share, the rate
+// of late responses rises.
 type simulatedCell struct{ supportedShare float64 }
 
 func (c simulatedCell) late(share float64, rng *rand.Rand) bool {
@@ -59,11 +59,12 @@
 				}
 			}
 			last, lastAt = share, now
-			if m.MinShare(now) < supported { // else the document requires more than that
+			if m.MinShare(now) < supported { // otherwise MinShare requires a share above supported
 				greatest = max(greatest, share)
 			}
 		})
-		detectionTime := 1000 * minObservations / (requestsPerS * max(supported, 0.1)) // ms until minObservations answers
+		// detectionTime is the time in ms until minObservations responses have arrived.
+		detectionTime := 1000 * minObservations / (requestsPerS * max(supported, 0.1))
 		overshoot := m.MaxRiseRate() * (stepInterval + detectionTime + 2*observationWindow)
 		if greatest > min(supported+overshoot+0.1, 1.0001) {
 			t.Fatalf("share rose to %v, with %v supported and an overshoot of %v", greatest, supported, overshoot)
@@ -74,7 +75,8 @@
 	})
 }
 
-// Guards against a share that stays up while the target answers late, or does not rise again once it has recovered.
+// Guards against a share that does not fall while responses of the target are late, or does not rise again once the
+// target has recovered.
 func TestPacerFallsAndRecoversWithTarget(t *testing.T) {
 	const (
 		degradedFrom  = 1e6 + 20_000
@@ -86,9 +88,9 @@
 	before, lowest := 0.0, 1.0
 	target := func(now float64) simulatedCell {
 		if now > degradedFrom && now < degradedUntil {
-			return simulatedCell{-1} // 92% of answers are late at any share
+			return simulatedCell{-1} // 92% of responses are late at any share
 		}
-		return simulatedCell{2} // supports all objects: 2% of answers are late
+		return simulatedCell{2} // supports all objects: 2% of responses are late
 	}
 	runMigration(&m, &p, 200, rng, target, func(now, share float64) {
 		switch {
@@ -152,7 +154,8 @@
 	}
 }
 
-// Guards against an outdated share after a time without steps: it must be within MinShare and MaxShare at once.
+// Guards against an outdated share after a time without steps. The first step must move the share to between MinShare
+// and MaxShare.
 func TestPacerCatchesUpAfterIdleTime(t *testing.T) {
 	m := Migration{Start: 1e6, MinShift: 20_000, MaxShift: 60_000}
 	var p Pacer
--- a/core/migration/phase.go
+++ b/core/migration/phase.go
@@ -49,14 +49,15 @@
 // latestShiftEnd returns the latest time by which all objects have moved, disregarding PausedAt and RollbackAt.
 func (m *Migration) latestShiftEnd() float64 { return m.Start + m.WarmUp + m.longestShift() }
 
-// InProgress reports whether the migration has started and has not yet ended, so that either cell may get requests. The
-// Settle time is part of it, also after a rollback, when the phase is already RolledBack.
+// InProgress reports whether the migration has started and has not yet ended. During this time either cell may get
+// requests. It includes the Settle time, also after a rollback, when the phase is already RolledBack.
 func (m *Migration) InProgress(now float64) bool { return now >= m.Start && now < m.EndsAt() }
 
 // RollbackStarted reports whether RollbackAt has passed. From then on objects move back to the old cell.
 func (m *Migration) RollbackStarted(now float64) bool { return m.RollbackAt > 0 && now >= m.RollbackAt }
 
-// EndsAt returns when the migration is done or rolled back, including its Settle time; math.Inf(1) if it is paused.
+// EndsAt returns the time at which the migration, including its Settle time, is done or rolled back. It returns
+// math.Inf(1) if the migration is paused and not rolled back.
 func (m *Migration) EndsAt() float64 {
 	switch {
 	case m.RollbackAt > 0:
--- a/core/migration/share_test.go
+++ b/core/migration/share_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// Guards against hot objects that do not move first in the order of the document, and against objects that move during
-// the warm-up without being hot, never move, or do not move evenly over the shift.
+// Guards against objects that move in the wrong order. Hot objects must move first, in the order of the document. No
+// other object may move during the warm-up. All others must move by the end of the shift, evenly over it.
 func TestObjectsMoveInOrderOfPosition(t *testing.T) {
 	m := sampleMigration()
 	if m.Position("h0") >= m.Position("h1") || m.Position("h2") >= hotPositionRange {
--- a/core/migration/validate_test.go
+++ b/core/migration/validate_test.go
@@ -12,7 +12,7 @@
 	for _, test := range []struct {
 		name   string
 		change func(*Document)
-		now    float64 // ms after start; 0: 1000
+		now    float64 // ms after start; 0 means 1000
 		want   string  // prefix of the error text
 		cause  error
 	}{
