--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// oddsRatios are the alternative hypotheses of the test, with equal weight. Each is a degradation as an odds ratio of a
-// bad event. There are several because a test for a small degradation would find a large one too late.
+// oddsRatios are the alternative hypotheses of the test, with equal weight. Each is a factor on the odds of a bad event
+// in the ring under the null hypothesis. There are several because a test for a small degradation would find a large
+// one too late.
 var oddsRatios = [...]float64{1.25, 1.5, 2, 3, 5, 10}
 
 const (
@@ -28,13 +29,13 @@
 type evidence struct {
 	// Baseline, from before the ring opened.
 	ring, control     Counts
-	squaredDeviations float64 // sum of squared standardized differences, over samples
+	squaredDeviations float64 // sum over samples of (actual - expected bad events of the ring)^2 / variance
 	baselineSamples   float64
 	dispersion        float64 // variance of bad events relative to that of independent events: 1 or more
 
 	// Since the ring opened.
 	logRatios              [len(oddsRatios)]float64 // log likelihood ratios, by alternative
-	minDegradationLogRatio float64                  // of "degraded by MinDegradation" to "not degraded"
+	minDegradationLogRatio float64                  // log likelihood ratio of a degradation by MinDegradation to none
 }
 
 // addBaseline adds the counts of a sample from before the ring opened.
@@ -59,7 +60,7 @@
 }
 
 // baselineOddsRatio returns the odds of a bad event in the ring, relative to the control, before the ring opened. It is
-// 1 if either had no events.
+// 1 if the ring or the control had no events.
 func (e *evidence) baselineOddsRatio() float64 {
 	ring, control := e.ring, e.control
 	if ring.Total == 0 || control.Total == 0 {
@@ -71,15 +72,15 @@
 	return ringOdds / controlOdds
 }
 
-// baselineUncertainty returns the factor by which baselineOddsRatio may be wrong: two standard errors of its logarithm,
-// at most maxUncertainty.
+// baselineUncertainty returns the factor by which baselineOddsRatio may be wrong. Its logarithm is two standard errors
+// of the logarithm of the odds ratio. It is at most maxUncertainty.
 func (e *evidence) baselineUncertainty() float64 {
 	variance := e.dispersion * (1/(e.ring.Bad+priorEvents) + 1/(e.control.Bad+priorEvents))
 	return min(math.Exp(2*math.Sqrt(variance)), maxUncertainty)
 }
 
-// add adds the counts of a sample from after the ring opened. A sample without bad events or with invalid counts is
-// ignored.
+// add adds the counts of a sample from after the ring opened. It ignores a sample if the ring or the control has
+// no events or more bad events than events, or if neither has bad events.
 func (e *evidence) add(ring, control Counts, p *TestParameters) {
 	empty := !(ring.Total > 0 && control.Total > 0 && ring.Bad+control.Bad > 0)
 	if empty || ring.Bad > ring.Total || control.Bad > control.Total {
--- a/core/rollout/metrics.go
+++ b/core/rollout/metrics.go
@@ -5,7 +5,7 @@
 
 // A degradation of any of these metrics stops the release.
 const (
-	LateAnswers Metric = iota // answers that missed their latency objective
+	LateAnswers Metric = iota // responses that missed their latency objective
 	Failures                  // requests that failed
 	FillErrors                // fills that failed
 	metricCount
--- a/core/rollout/progress.go
+++ b/core/rollout/progress.go
@@ -46,7 +46,7 @@
 	openedAt       float64 // Unix ms; 0: never
 	test           *SequentialTest
 	degraded       bool   // this router found a degradation in this ring
-	degradedMetric Metric // if degraded
+	degradedMetric Metric // metric of the degradation; valid only if degraded is true
 }
 
 // NewProgress starts a rollout at now with all rings closed. It returns the error of r.Validate, if any. A router that
@@ -218,8 +218,8 @@
 	return control
 }
 
-// sampleOf returns the sample of a ring. The cells of a closed ring are subtracted from the control, so that they are
-// not their own control.
+// sampleOf returns the sample of a ring. If the ring is closed, control includes its cells. sampleOf subtracts them, so
+// that the ring is not compared with itself.
 func (p *Progress) sampleOf(ring int, control metricCounts) Sample {
 	var counts metricCounts
 	for _, cell := range p.rollout.Rings[ring].Cells {
--- a/core/rollout/progress_test.go
+++ b/core/rollout/progress_test.go
@@ -103,8 +103,8 @@
 	return 0.01
 }
 
-// Guards against a verdict for a ring with hardly any traffic, and against a next ring that opens or stays closed
-// against OnUndecided.
+// Guards against a verdict for a ring with hardly any traffic, and against a next ring that opens, or stays closed,
+// contrary to OnUndecided.
 func TestRingWithoutTrafficIsUndecided(t *testing.T) {
 	for _, onUndecided := range []string{"", ProceedWhenUndecided} {
 		r := sampleRollout()
--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -3,9 +3,10 @@
 //
 // Guarantee: the probability that a release without degradation is stopped is at most Alpha over all metrics together,
 // regardless of how long and how often it is tested (Ville's inequality). The bound is for the test of one ring at one
-// router. It assumes that bad events of ring and control are independent, apart from bursts no larger than the bursts
-// before the ring opened, and that the difference between ring and control before the ring opened is known to within
-// two standard errors, at most a factor of maxUncertainty.
+// router. It rests on two assumptions:
+//   - Bad events of ring and control are independent, apart from bursts no larger than those before the ring opened.
+//   - The estimate of the odds ratio between ring and control before the ring opened is wrong by at most two standard
+//     errors of its logarithm, and by at most a factor of maxUncertainty.
 //
 // The package does no I/O and does not read the clock: callers pass counts and times. Times are Unix milliseconds,
 // durations are milliseconds.
@@ -35,12 +36,12 @@
 	// must be above 0 with ReplacesObjects, and 0 without.
 	OldCopyMaxAge float64 `json:"keep,omitempty" jsonschema_description:"maximum age in ms of cached copies of the older version in closed rings; required with renews, not allowed without"`
 	Rings         []Ring  `json:"rings"`
-	// OnStop determines what a cell does with requests for replaced objects after this router has stopped its ring and
-	// before RollbackAt, when the origin has the old version again: RejectWhenStopped, the default, or
-	// ServeWhenStopped.
+	// OnStop determines what a cell does with requests for replaced objects from the time at which this router stops the
+	// cell's ring until RollbackAt. It is RejectWhenStopped, the default, or ServeWhenStopped. From RollbackAt on the
+	// origin has the old version again.
 	OnStop string `json:"back,omitempty" jsonschema:"enum=refuse,enum=serve" jsonschema_description:"requests for replaced objects in a ring that a router has stopped: refuse (if left out) or serve any version"`
-	// OnUndecided is how the rollout continues after a ring without a verdict within JudgeWithin: WaitWhenUndecided,
-	// the default, or ProceedWhenUndecided.
+	// OnUndecided determines how the rollout continues after a ring without a verdict within JudgeWithin. It is
+	// WaitWhenUndecided, the default, or ProceedWhenUndecided.
 	OnUndecided string `json:"unsure,omitempty" jsonschema:"enum=wait,enum=go" jsonschema_description:"after a ring without a verdict in its time: wait for one (if left out) or go on with the next ring"`
 	// RollbackAt is the time from which on all rings are stopped; 0: not rolled back. With ReplacesObjects the origin
 	// must have the old version again by then.
@@ -58,7 +59,8 @@
 	// OpensAt is the earliest time at which the ring opens. The ring opens only once the previous ring has passed, but
 	// see OnUndecided.
 	OpensAt float64 `json:"open" jsonschema_description:"Unix milliseconds at which the ring opens, at the earliest"`
-	// JudgeWithin is the time after which an open ring without a verdict becomes RingUndecided.
+	// JudgeWithin is the time, in ms after the ring has opened, after which a ring without a verdict becomes
+	// RingUndecided.
 	JudgeWithin float64 `json:"for" jsonschema_description:"ms within which a verdict is expected; the next ring waits for the verdict, but see unsure"`
 }
 
--- a/core/rollout/sequential.go
+++ b/core/rollout/sequential.go
@@ -25,10 +25,11 @@
 	return nil
 }
 
-// ExpectedEvents returns the average number of bad events, of ring and control together, until a degradation is found;
-// math.Inf(1) if it is too small to be found. oddsRatio is the degradation, ringFraction the fraction of all events
-// that are events of the ring, and dispersion is above 1 if bad events occur in bursts. The result is the threshold of
-// the test statistic divided by its expected increase for each event.
+// ExpectedEvents returns the average number of bad events, of ring and control together, until a degradation is found.
+// It returns math.Inf(1) if the degradation is too small to be found. oddsRatio is the degradation, as the odds ratio
+// of a bad event. ringFraction is the fraction of all events that are events of the ring. dispersion is above 1 if bad
+// events occur in bursts. The result is the threshold of the test statistic divided by its expected increase for each
+// event.
 func (p *TestParameters) ExpectedEvents(oddsRatio, ringFraction, dispersion float64) float64 {
 	null := expectedRingShare(ringFraction, 1-ringFraction, p.Margin)
 	actual := expectedRingShare(ringFraction, 1-ringFraction, oddsRatio)
@@ -81,7 +82,8 @@
 }
 
 // AddBaseline adds a sample from before the ring opened. The baseline is used to estimate how ring and control differ
-// without the release, and how much bad events occur in bursts. AddBaseline has no effect after the first Add.
+// without the release, and how strongly bad events cluster (their dispersion). AddBaseline has no effect after the
+// first Add.
 func (t *SequentialTest) AddBaseline(s Sample) {
 	if t.started {
 		return
--- a/core/rollout/sequential_test.go
+++ b/core/rollout/sequential_test.go
@@ -50,9 +50,9 @@
 	return Undecided, r.maxSamples
 }
 
-// Guards against more false alarms than Alpha allows, for 400 releases without degradation and 300 tests each, with
-// independent bad events and with bursts of five. Without the estimate of the dispersion, far more than Alpha of the
-// releases with bursts would be stopped: almost half of them.
+// Guards against more false alarms than Alpha allows. There are 400 releases without degradation, with 300 tests each.
+// Bad events are either independent or occur in bursts of five. Without the estimate of the dispersion, far more than
+// Alpha of the releases with bursts would be stopped: almost half of them.
 func TestFalseAlarmRateIsWithinAlpha(t *testing.T) {
 	for _, burst := range []int{1, 5} {
 		stopped := 0
