--- a/core/scheduler/config.go
+++ b/core/scheduler/config.go
@@ -9,13 +9,13 @@
 // Config is the configuration of a Scheduler. Times are in microseconds.
 type Config struct {
 	Resources      []Resource
-	MaxQueued      int   // maximum number of queued jobs: 1 or more
-	MaxRunning     int   // maximum number of running attempts: 1 or more
-	AttemptTimeout int64 // time after which a running attempt has failed: above 0
-	InitialBackoff int64 // before the second attempt, doubled before each further one, with jitter: above 0
-	MaxBackoff     int64 // upper bound of backoffs: InitialBackoff or more
-	AgingInterval  int64 // time in the queue after which the rank of a job rises by one, so that none starves: above 0
-	Tick           int64 // resolution of the timer wheel: 0 or more; 0: defaultTick
+	MaxQueued      int   // maximum number of queued jobs in Submit; jobs queued again may exceed it; 1 or more
+	MaxRunning     int   // maximum number of running attempts; 1 or more
+	AttemptTimeout int64 // time after which a running attempt counts as failed; must be above 0
+	InitialBackoff int64 // delay before the second attempt, then doubled each time, with jitter; must be above 0
+	MaxBackoff     int64 // upper bound of backoffs; must be InitialBackoff or more
+	AgingInterval  int64 // time in the queue until a job's rank rises by one, so that no job starves; must be above 0
+	Tick           int64 // resolution of the timer wheel; 0 means defaultTick; must be 0 or more
 }
 
 const (
@@ -28,7 +28,7 @@
 type Resource struct {
 	Name          string
 	RatePerSecond float64 // 0 or more
-	BurstWindow   int64   // microseconds in which the rate yields the burst: above 0
+	BurstWindow   int64   // microseconds; the burst is the rate times this time; must be above 0
 }
 
 // perMicrosecond returns the rate per microsecond.
--- a/core/scheduler/job.go
+++ b/core/scheduler/job.go
@@ -12,7 +12,7 @@
 
 // Priorities of jobs, lowest first.
 const (
-	Idle   Priority = iota // starts after all others, until aging raises its rank: compaction, clean-up
+	Idle   Priority = iota // compaction, clean-up; these jobs start after all others until aging raises their rank
 	Normal                 // warm-up, rebalancing
 	High                   // overdue work, jobs that an operator waits for
 	Urgent                 // purges
@@ -69,7 +69,7 @@
 // Attempt is an attempt that the caller is to start now.
 type Attempt struct {
 	ID       string // of the job
-	Number   int    // from 1; an attempt that ended with Requeue does not count, its number is used again
+	Number   int    // from 1; the number of an attempt that ended with Requeue is used again
 	Deadline int64  // microseconds; the attempt has failed if it has not ended by then
 }
 
@@ -98,7 +98,7 @@
 type StepResult struct {
 	Start     []Attempt   // attempts to start now, in this order
 	Abandoned []Abandoned // jobs abandoned in this step
-	NextStep  int64       // call Step again at this time or earlier; math.MaxInt64: no need
+	NextStep  int64       // time at which Step must be called again, at the latest; math.MaxInt64: no need
 }
 
 // jobState is the state of a job.
--- a/core/scheduler/scheduler.go
+++ b/core/scheduler/scheduler.go
@@ -99,8 +99,8 @@
 	return j != nil
 }
 
-// Finish records the outcome of an attempt and how much of each resource it used. It ignores an attempt that is not the
-// running one of the job, for example because it has timed out. It returns the job if it is abandoned.
+// Finish records the outcome of an attempt and how much of each resource it used. It ignores an attempt that is no
+// longer running, for example because it has timed out. If the job is abandoned, Finish returns it.
 func (s *Scheduler) Finish(now int64, id string, attempt int, outcome Outcome, used []float64) []Abandoned {
 	s.refill(now)
 	j := s.jobs[id]
@@ -135,7 +135,7 @@
 		for len(s.queues[rank]) > 0 && s.running < s.config.MaxRunning {
 			j := s.queues[rank][0]
 			if earliest := s.tokensAvailableAt(j); earliest > s.now {
-				// Later jobs must not overtake the first one, or expensive jobs would never start.
+				// If later jobs could overtake the first one, expensive jobs might never start.
 				result.NextStep = min(result.NextStep, earliest)
 				return result
 			}
--- a/core/scheduler/wheel.go
+++ b/core/scheduler/wheel.go
@@ -180,7 +180,7 @@
 }
 
 // Next returns a time before which no timer fires, in microseconds; math.MaxInt64 if there are no timers. At that time
-// a slot may only cascade, without a timer that fires.
+// a slot may cascade without any timer firing.
 func (w *Wheel) Next() int64 {
 	if tick := w.nextTick(); tick != math.MaxInt64 {
 		return tick * w.tick
