--- a/core/migration/capacity_limiter_test.go
+++ b/core/migration/capacity_limiter_test.go
@@ -57,8 +57,9 @@
 		}
 		const span = 1_500_000
 		greatest, greatestFills := greatestWindow(all, span)
-		// The limits exceed the guarantee by 2% and one request. They are computed from what is available at the end of
-		// the run. More was available in the first windows, in which the observed resident load was still rising.
+		// The limits exceed the guarantee by 2% of the rate and one request. They are computed from what is available
+		// at the end of the run. More was available in the first windows, in which the observed resident load was still
+		// rising.
 		seconds := span/1e6 + burstSeconds
 		if limit := available*1.02*seconds + 2*largestKB*(1+l.FillCost); greatest > limit {
 			t.Fatalf("%v KB in a window, %v allowed (%v KB/s available)", greatest, limit, available)
--- a/core/migration/phase_test.go
+++ b/core/migration/phase_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Guards against a jump of the share on resuming: a migration continues from its share at the pause,
-// however long the pause was.
+// Guards against a jump of the share on resuming: a migration continues from its share at the pause, however
+// long the pause was.
 func TestResumedContinuesFromThePausedShare(t *testing.T) {
 	m := sampleMigration()
 	m.PausedAt = start + 40_000
--- a/core/migration/validate.go
+++ b/core/migration/validate.go
@@ -128,8 +128,8 @@
 }
 
 // validateInProgress returns an error for the first migration in progress that the document lacks, or whose site or
-// cells it changes. Otherwise objects of the tenant would jump between cells. A migration in progress must stay in the
-// document until it is done or rolled back. Operators stop it by setting PausedAt or RollbackAt.
+// cells it changes. With such a document, objects of the tenant would jump between cells. A migration in progress must
+// stay in the document until it is done or rolled back. Operators stop it by setting PausedAt or RollbackAt.
 func (d *Document) validateInProgress(now float64, current *Document) error {
 	if current == nil {
 		return nil
