--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -73,7 +73,7 @@
 }
 
 // baselineUncertainty returns the factor by which baselineOddsRatio may be wrong. Its logarithm is two standard errors
-// of the logarithm of the odds ratio. It is at most maxUncertainty.
+// of the logarithm of the odds ratio. The factor is at most maxUncertainty.
 func (e *evidence) baselineUncertainty() float64 {
 	variance := e.dispersion * (1/(e.ring.Bad+priorEvents) + 1/(e.control.Bad+priorEvents))
 	return min(math.Exp(2*math.Sqrt(variance)), maxUncertainty)
