--- a/core/migration/pacer_test.go
+++ b/core/migration/pacer_test.go
@@ -59,7 +59,7 @@
 				}
 			}
 			last, lastAt = share, now
-			if m.MinShare(now) < supported { // otherwise MinShare requires a share above supported
+			if m.MinShare(now) < supported { // otherwise MinShare requires a share of supported or more
 				greatest = max(greatest, share)
 			}
 		})
