--- a/core/rollout/sequential_test.go
+++ b/core/rollout/sequential_test.go
@@ -50,9 +50,10 @@
 	return Undecided, r.maxSamples
 }
 
-// Guards against more false alarms than Alpha allows. There are 400 releases without degradation, with 300 tests each.
-// Bad events are either independent or occur in bursts of five. Without the estimate of the dispersion, far more than
-// Alpha of the releases with bursts would be stopped: almost half of them.
+// Guards against more false alarms than Alpha allows, plus three standard deviations of their number. There are 400
+// releases without degradation, with 300 tests each. Bad events are either independent or occur in bursts of five.
+// Without the estimate of the dispersion, far more than Alpha of the releases with bursts would be stopped: almost half
+// of them.
 func TestFalseAlarmRateIsWithinAlpha(t *testing.T) {
 	for _, burst := range []int{1, 5} {
 		stopped := 0
@@ -93,8 +94,9 @@
 	}
 }
 
-// Guards against healthy releases without a verdict, degradations above MinDegradation that are judged healthy more
-// often than Beta allows, and verdicts on too few events or on invalid counts.
+// Guards against wrong verdicts. Of 100 healthy releases, at least 80 must be judged healthy. Of 100 releases with 1.5
+// times MinDegradation, at most 10 may be judged healthy; Beta allows 5. With too few events, no degradation may be
+// found. Without samples and on invalid counts there must be no verdict.
 func TestVerdictIsHealthyOnlyWithoutDegradation(t *testing.T) {
 	verdicts := map[Verdict]int{}
 	missed := 0
