--- a/core/scheduler/wheel_test.go
+++ b/core/scheduler/wheel_test.go
@@ -67,7 +67,7 @@
 	return true
 }
 
-// advance calls fire for each timer that is due at now.
+// advance calls fire for each timer that is due by now.
 func (h *timerHeap) advance(now int64, fire func(payload uint64, due int64)) {
 	for h.Len() > 0 && h.entries[0].due <= now {
 		e := heap.Pop(h).(*heapEntry)
