--- a/core/cells/plan/plan.go
+++ b/core/cells/plan/plan.go
@@ -26,24 +26,25 @@
 	Shares           []float64 // share of each cell
 	MaxPriorityShare float64   // blast radius: maximum fraction of the total priority weight in a cell; 0: no limit
 	MaxMigrations    int       // maximum number of tenants that leave their current cell; negative: no limit
-	Slack            float64   // accepted relative excess of the maximum load over its lower bound; 0: defaultSlack
+	Slack            float64   // fraction by which the maximum load may exceed its lower bound; 0: defaultSlack
 	Seed             uint64
 }
 
-// defaultSlack is the relative excess of the maximum load over its lower bound up to which no tenant is moved.
+// defaultSlack is the slack for an Objective that sets none. No tenant is moved while the maximum load exceeds its
+// lower bound by at most this fraction.
 const defaultSlack = 0.02
 
 // Plan is an assignment of tenants to cells. Loads are relative: a load of 1 is exactly the cell's share of a resource.
 type Plan struct {
 	CellByTenant      []int   // index of a cell by tenant
-	MaxLoad           float64 // maximum over cells and resources of the relative load
+	MaxLoad           float64 // highest relative load of any cell and resource
 	MaxLoadLowerBound float64 // lower bound on MaxLoad of all assignments
 	Migrations        int     // number of tenants that leave their current cell
-	MaxPriorityShare  float64 // maximum over cells of the fraction of the total priority weight
+	MaxPriorityShare  float64 // highest fraction of the total priority weight in one cell
 }
 
-// ErrInfeasible is wrapped by the error for an objective for which the search found no assignment within the limit on
-// the priority weight ("worth") of a cell.
+// ErrInfeasible is wrapped by the error that Propose returns if it finds no assignment within the limit on the priority
+// weight ("worth") of a cell.
 var ErrInfeasible = errors.New("no assignment keeps the bound on worth")
 
 // errEmpty is the error for an objective without cells or a demand without tenants.
@@ -53,9 +54,9 @@
 const unassigned = -1
 
 // Propose returns a plan for a demand and an objective. It starts from the current cells. Tenants without a cell are
-// placed where they cost least, in descending order of load. Then tenants are moved or swapped out of the cell with the
-// highest cost while that reduces the cost. With ErrInfeasible it also returns the best plan that was found. Other
-// errors are for invalid arguments.
+// placed in descending order of load, each in the cell where its cost is lowest. Then tenants are moved or swapped out
+// of the cell with the highest cost, for as long as this reduces that cost. If the error is ErrInfeasible, the returned
+// plan is the best that was found. Other errors are for invalid arguments.
 func Propose(demand []Demand, objective Objective) (Plan, error) {
 	p, err := newPlanner(demand, objective)
 	if err != nil {
--- a/core/cells/plan/plan_test.go
+++ b/core/cells/plan/plan_test.go
@@ -28,7 +28,8 @@
 	return demand, objective
 }
 
-// exhaustivePlanner returns a planner with unassigned tenants. It does not use newPlanner, which Propose uses.
+// exhaustivePlanner returns a planner with unassigned tenants. It does not call newPlanner, because
+// Propose, the function under test, does.
 func exhaustivePlanner(demand []Demand, objective Objective) *planner {
 	cells := len(objective.Shares)
 	p := &planner{
@@ -53,8 +54,9 @@
 	return p
 }
 
-// exhaustiveBest returns the lowest maximum load over all assignments of the given tenant and those after it, found by
-// exhaustive search, or lowest if that is lower. Partial assignments with a load of at least lowest are pruned.
+// exhaustiveBest returns the lowest maximum load over all assignments of the given tenant and the tenants after it,
+// found by exhaustive search. It returns lowest if no assignment has a lower maximum load. Partial assignments with a
+// load of at least lowest are pruned.
 func exhaustiveBest(p *planner, tenant int, lowest float64) float64 {
 	load := 0.0
 	for cell := range p.cellLoad {
@@ -80,7 +82,7 @@
 }
 
 // With few tenants, the maximum load of the plan must be at most 15% above the optimum that exhaustive search finds.
-// Neither may be below the lower bounds.
+// Neither the plan's maximum load nor the optimum may be below the lower bounds.
 func TestPlanIsNearExhaustiveOptimum(t *testing.T) {
 	gap := 0.0
 	for seed := range uint64(12) {
@@ -156,8 +158,8 @@
 	}
 }
 
-// The limit on the priority weight of a cell must hold, and one that can't hold must give ErrInfeasible. Invalid demand
-// must be an error.
+// The plan must meet the limit on the priority weight of a cell. A limit that can't be met must give ErrInfeasible.
+// Invalid demand must be an error.
 func TestPriorityShareStaysWithinLimit(t *testing.T) {
 	demand, objective := randomDemand(3, 200, 8)
 	objective.MaxPriorityShare = 0.14
--- a/core/cells/plan/planner.go
+++ b/core/cells/plan/planner.go
@@ -81,8 +81,8 @@
 	return fractions
 }
 
-// placeAll places tenants in their current cells. Then it places each tenant without one in the cell where it costs
-// least, in descending order of load.
+// placeAll places tenants in their current cells. Then it places the tenants without a current cell in descending order
+// of load, each in the cell where its cost is lowest.
 func (p *planner) placeAll() {
 	var unplaced []int
 	for i := range p.demand {
@@ -111,15 +111,15 @@
 	p.cellPriority[cell] += p.priorityShare[tenant]
 }
 
-// maxLoad returns the relative load of a cell, maximum over resources.
+// maxLoad returns the highest relative load of a cell on any resource.
 func (p *planner) maxLoad(cell int) float64 {
 	return floats.Max(p.cellLoad[cell]) / p.objective.Shares[cell] * p.totalShare()
 }
 
 func (p *planner) totalShare() float64 { return floats.Sum(p.objective.Shares) }
 
-// cost returns the cost of a cell after one tenant is added and another removed. Either may be noTenant. The cost is
-// the maximum relative load over resources, plus a penalty for priority weight above the limit.
+// cost returns the cost of a cell after one tenant is added and another removed. Each of them may be noTenant. The cost
+// is the highest relative load on any resource, plus a penalty for priority weight above the limit.
 func (p *planner) cost(cell, added, removed int) float64 {
 	load := 0.0
 	for resource, sum := range p.cellLoad[cell] {
@@ -135,7 +135,7 @@
 	return load + p.priorityCost(cell, added, removed)
 }
 
-// priorityCost returns the penalty for priority weight above the limit.
+// priorityCost returns the penalty for priority weight above the limit, after one tenant is added and another removed.
 func (p *planner) priorityCost(cell, added, removed int) float64 {
 	priority := p.cellPriority[cell]
 	if added != noTenant {
@@ -165,8 +165,8 @@
 	return best
 }
 
-// loadLowerBound returns a lower bound on the maximum load of all assignments: the load of perfectly balanced cells, or
-// that of the largest tenant alone in the cell with the largest share if that is higher.
+// loadLowerBound returns a lower bound on the maximum load of all assignments. It is the load of perfectly balanced
+// cells, or, if higher, the load of the cell with the largest share when it contains only the largest tenant.
 func (p *planner) loadLowerBound() float64 {
 	bound := 1.0
 	largestShare := floats.Max(p.objective.Shares)
--- a/core/cells/plan/search.go
+++ b/core/cells/plan/search.go
@@ -12,7 +12,7 @@
 	roundsPerTenant  = 20     // maximum number of search rounds, per tenant
 	maxTargetCells   = 4      // number of cells with the lowest cost that are considered as targets
 	maxSwapSamples   = 32     // maximum number of tenants of each cell that are sampled for swaps
-	minImprovement   = 1e-9   // improvement per migration that a change must exceed
+	minImprovement   = 1e-9   // a change must have a greater improvement per migration
 	searchSeedStream = 0x91a2 // second half of the seed of the random numbers, an arbitrary constant
 )
 
@@ -48,8 +48,8 @@
 }
 
 // run applies in each round the change with the greatest improvement per migration for the cell with the highest cost.
-// It ends when the cost is within the slack above the bound, when no allowed change is an improvement, for example
-// because all migrations are used up, or after roundsPerTenant rounds per tenant.
+// It ends in one of three cases: the highest cost exceeds the bound by at most the slack; no allowed change is an
+// improvement, for example because all migrations are used up; or roundsPerTenant rounds per tenant have run.
 func (s *search) run(bound float64) {
 	for range roundsPerTenant * len(s.demand) {
 		s.startRound()
@@ -120,7 +120,7 @@
 
 // consider makes a change the best one if it is within the limit on migrations and its improvement per migration is
 // greater than that of the best change so far. The improvement per migration is the improvement divided by 1 plus the
-// number of added migrations (0 if that is negative), so that changes without migrations can be compared too.
+// number of added migrations. A negative number counts as 0. Adding 1 makes changes without migrations comparable.
 func (s *search) consider(c change) {
 	added := s.addedMigrations(c.outTenant, c.targetCell)
 	if c.backTenant != noTenant {
@@ -135,7 +135,7 @@
 	}
 }
 
-// addedMigrations returns by how much the number of migrations changes if a tenant moves to a cell: 1, 0 or -1.
+// addedMigrations returns the change of the number of migrations if a tenant moves to a cell: 1, 0 or -1.
 func (s *search) addedMigrations(tenant, to int) int {
 	current, from := s.demand[tenant].CurrentCell, s.cellByTenant[tenant]
 	switch {
