--- a/core/cells/admission.go
+++ b/core/cells/admission.go
@@ -34,9 +34,9 @@
 	// DocumentClockOffset, in microseconds, is added to the time of an event to get the time on the clock that
 	// documents (migrations, rollouts) use.
 	DocumentClockOffset int64
-	// PlansInBackground is set if the owner polls TakePlanJob, runs the job outside of request processing and passes
-	// it to ApplyPlanJob. Otherwise plans are computed inline, while an event waits. Plans for at most
-	// maxGroupsPlannedInline parent groups are computed inline in any case.
+	// PlansInBackground is set if the owner polls TakePlanJob, runs each job outside of request processing and passes
+	// the job to ApplyPlanJob. If it is not set, plans are computed inline, while an event waits. Plans for at most
+	// maxGroupsPlannedInline parent groups are always computed inline.
 	PlansInBackground bool
 }
 
@@ -54,7 +54,7 @@
 
 // requestClass holds the settings of a request class that admission needs.
 type requestClass struct {
-	index          int // in the settings
+	index          int // of the class in the settings
 	priorityWeight float64
 	isUncacheable  bool
 }
@@ -92,8 +92,9 @@
 	return a, nil
 }
 
-// UpdateSettings replaces the settings, as routing.Engine.UpdateSettings does. An open request is then counted in the
-// class of the same name, or in the first class if the new settings have none of that name.
+// UpdateSettings replaces the settings, as routing.Engine.UpdateSettings does. Each open request is then counted in the
+// class that has the same name in the new settings. If the new settings lack this class, the request is counted in
+// their first class.
 func (a *Admission) UpdateSettings(now int64, settings routing.Settings) error {
 	if err := a.engine.UpdateSettings(settings); err != nil {
 		return err
@@ -144,10 +145,10 @@
 	return a.engine.RestoreLearnedState(now, state)
 }
 
-// EjectedCaches returns the listed caches of this site that the engine's circuit breakers eject.
+// EjectedCaches returns those listed caches of this site that the engine's circuit breakers have ejected.
 func (a *Admission) EjectedCaches(now int64) []string { return a.engine.EjectedCaches(now) }
 
-// Parents returns all listed parents, and those of them that the engine's circuit breakers eject.
+// Parents returns all listed parents, and those among them that the engine's circuit breakers have ejected.
 func (a *Admission) Parents(now int64) (all, ejected []string) { return a.engine.Parents(now) }
 
 // ConfirmedOriginFills returns the number of fills in flight that are known to reach the origin.
@@ -173,7 +174,7 @@
 	return actions
 }
 
-// isPassThrough reports whether all parts are disabled, so that events go to the engine unchanged.
+// isPassThrough reports whether all parts are disabled. Events then go to the engine unchanged.
 func (a *Admission) isPassThrough() bool {
 	return a.state.spec == nil && a.parents.graph == nil && a.origin.limiter == nil
 }
@@ -220,8 +221,8 @@
 	return append(actions, decisions...)
 }
 
-// Tick advances migrations and the rollout, and computes the fill plan if that is due. Requests do the same, so Tick is
-// for times without requests. It returns pending log actions.
+// Tick advances migrations and the rollout, and computes the fill plan if one is due. Requests cause the same updates,
+// so Tick is only needed at times without requests. It returns pending log actions.
 func (a *Admission) Tick(now int64) []routing.Action {
 	a.parents.planIfDue(now)
 	if a.state.spec != nil {
--- a/core/cells/admission_test.go
+++ b/core/cells/admission_test.go
@@ -9,8 +9,8 @@
 	"spantack/routing"
 )
 
-// An Admission without an assignment must return exactly the actions of its engine, also after an assignment was
-// removed.
+// An Admission without an assignment must return exactly the actions of its engine. This must also hold after an
+// assignment was removed.
 func TestActionsWithoutAssignmentEqualEngine(t *testing.T) {
 	engine, err := routing.NewEngine(testSettings(), 9)
 	if err != nil {
@@ -74,8 +74,8 @@
 	return log
 }
 
-// Settings change while requests are open. The counts of open requests must return to zero after these end, and the
-// engine must fail requests of a class that was removed.
+// Settings change while requests are open. After the requests end, the counts of open requests must be zero. The engine
+// must fail requests of a class that was removed.
 func TestUpdateSettingsKeepsOpenRequestCounts(t *testing.T) {
 	video := routing.Class{
 		Name:               "video",
--- a/core/cells/admit.go
+++ b/core/cells/admit.go
@@ -7,7 +7,7 @@
 	minRetryAfterFraction = 0.25  // shortest Retry-After of a rejected request, as a fraction of the longest
 )
 
-// candidate is a request while admission decides on it.
+// candidate is a request that admission is deciding on.
 type candidate struct {
 	tenantIndex      int
 	tenant           *tenant
@@ -20,14 +20,14 @@
 	recent           int8    // 1: its chunk was requested recently; 0: it was not
 	fillKB           float64 // estimate of KB filled over the link
 	originKB         float64 // estimate of KB sent by the origin
-	usage            float64 // usage of its tenant, divided by the tenant's weight
+	usage            float64 // usage of the request's tenant, divided by the tenant's weight
 	exceedsFairShare bool    // the usage is above the cell's fair-share limit
 	route            migrationRoute
 }
 
 // admit decides whether the engine may handle a request, and sets the caches that the engine may use. There must be an
-// assignment in force. It does not allocate memory, except while its maps and lists grow, when a tenant's subset is
-// first used, and in the periodic updates of migrations and the rollout.
+// assignment in force. admit allocates memory only while its maps and lists grow, when a tenant's subset is first used,
+// and in the periodic updates of migrations and the rollout.
 func (a *Admission) admit(now int64, event *routing.Event) Reason {
 	a.state.countActiveTenants(now)
 	a.migrations.advance(now)
@@ -71,8 +71,10 @@
 	return c
 }
 
-// selectCell selects the cell of a request: the tenant's cell, one of the two cells of a migration, or the fallback
-// cell if the selected one has no healthy cache.
+// selectCell selects the cell of a request. For a cacheable request of a migrating tenant, this is one of the
+// migration's two cells, otherwise the tenant's cell. If the request needs a cache and the selected cell has no healthy
+// one, selectCell uses that cell's fallback cell. It returns ReasonNoHealthyCache if the fallback cell has no healthy
+// cache either, or if there is no fallback cell.
 func (a *Admission) selectCell(now int64, event *routing.Event, c *candidate) Reason {
 	c.cellIndex = c.tenant.cell
 	if c.tenant.migration != nil && !c.isUncacheable {
@@ -106,12 +108,12 @@
 	c.fillKB = c.sizeKB * fillRatio
 	c.originKB = c.sizeKB * originRatio
 	if c.route.isColdInDestination() {
-		c.fillKB = c.sizeKB // originKB stays: the source cell filled the object through the parents, so they have it
+		c.fillKB = c.sizeKB // originKB stays: the parents have the object, as they filled it for the source cell
 	}
 }
 
-// recordUsage adds a request to the usage and demand of its tenant, whether or not the cell's limit and budget then
-// admit it, and compares the tenant's usage with the cell's fair-share limit.
+// recordUsage adds a request to the usage and demand of its tenant, and sets exceedsFairShare by comparing the usage
+// with the cell's fair-share limit. Requests that the limit or the budget then rejects are counted too.
 func (a *Admission) recordUsage(now int64, c *candidate) {
 	cost := a.budget.cost(c.fillKB, c.originKB)
 	c.usage = c.tenant.usage.add(now, cost) / c.tenant.weight
@@ -124,8 +126,9 @@
 }
 
 // checkBudget returns the reason for which the cell's budget does not allow a request, or ReasonNone. Requests of
-// tenants with low usage may put the cell into debt, which is a negative number of tokens. For uncacheable requests,
-// low usage is at most the fair-share limit, for cacheable ones it is below the mean usage of the cell's tenants.
+// tenants with low usage may put the cell into debt, which is a negative number of tokens. For a cacheable request, low
+// usage means below the mean usage of the cell's active tenants. For an uncacheable request, it means at most the
+// fair-share limit.
 func (a *Admission) checkBudget(now int64, c *candidate) Reason {
 	reason := ReasonNone
 	if c.isUncacheable {
@@ -147,7 +150,7 @@
 	}
 }
 
-// setSubsets sets the subsets of the event, which limit the engine to the caches that a request may use.
+// setSubsets sets the subsets of caches in the event. The engine may use only these caches for the request.
 func (a *Admission) setSubsets(now int64, event *routing.Event, c *candidate) {
 	event.Subset = a.state.subsetOf(now, c.tenantIndex, c.cellIndex)
 	if overflow := a.state.overflowCell; overflow != noCell && c.cellIndex != overflow {
@@ -184,7 +187,7 @@
 }
 
 // rejection returns the action that rejects a request. Its Retry-After is random, between minRetryAfterFraction of
-// MaxRetryAfter and MaxRetryAfter, so that clients do not retry at the same time.
+// MaxRetryAfter and MaxRetryAfter. This prevents clients from retrying all at the same time.
 func (a *Admission) rejection(event *routing.Event) routing.Action {
 	maxRetryAfter := float64(a.settings.Permissions.MaxRetryAfter)
 	fraction := minRetryAfterFraction + (1-minRetryAfterFraction)*a.rng.Float64()
@@ -221,7 +224,7 @@
 	if status == routing.FilledFromOrigin {
 		fromOrigin = 1
 	}
-	if !request.route.isCold { // a miss of a chunk that is new to a migration's destination predicts no later miss
+	if !request.route.isCold { // the first miss of a chunk in a migration's destination predicts no later misses
 		tenant := &a.state.tenants[request.tenant]
 		tenant.missRatio.learn(request.recent, filled, fromOrigin, tenantLearningStep)
 		a.state.cells[tenant.cell].missRatio.learn(request.recent, filled, fromOrigin, cellLearningStep)
--- a/core/cells/admit_test.go
+++ b/core/cells/admit_test.go
@@ -22,15 +22,15 @@
 	}
 }
 
-// One tenant floods its cell. Its requests above the cell's share must be rejected. Requests of the other cell, and of
-// a tenant with low usage in the same cell, must not.
+// One tenant floods its cell. Its requests above the cell's share must be rejected. Requests of the other cell must be
+// admitted, and so must those of a tenant with low usage in the same cell.
 func TestFloodIsLimitedToItsCellsShare(t *testing.T) {
 	spec := twoCells()
 	spec.Budget.RequestsPerSecond = 400 // 200 for this router, 100 for each cell
 	spec.Tenants[2].Cell = "one"        // light shares the cell with heavy
 	client := &testClient{t: t, admission: newTestAdmission(t, spec, cacheNames(8)...), now: 2 * sec}
 	sent, served := map[string]int{}, map[string]int{}
-	for i := range 10_000 { // 10 s with requests per second of 900 for heavy, 80 for normal, 20 for light
+	for i := range 10_000 { // 10 s: heavy sends 900 requests per second, normal 80, light 20
 		client.now += msec
 		event, tenant := routing.Event{PurgeGroup: 1, Object: fmt.Sprintf("%04x", i)}, "heavy"
 		switch {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Random events: caches are added and removed, assignments change, requests end with all outcomes. Requests that have
-// ended must not count as open, a request must not go to a cache that the assignment in force does not allow, and each
+// In a random run, caches are added and removed, assignments change, and requests end with all outcomes. Requests that
+// have ended must not count as open. A request must not go to a cache that the assignment in force does not allow. Each
 // request must get exactly one response.
 func TestRandomEventsLeaveNoOpenRequestsAndUseAllowedCaches(t *testing.T) {
 	for seed := range uint64(30) {
--- a/core/cells/assignment.go
+++ b/core/cells/assignment.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // Assignment is a valid specification with the indexes that routers need. It is immutable and may be shared between
-// goroutines: Compile is slow and can run in the background, while Admission.SetAssignment is fast.
+// goroutines. Compile is slow, but can run in the background. Admission.SetAssignment is fast.
 type Assignment struct {
 	spec         *Spec
 	keys         *keyTable
@@ -13,7 +13,7 @@
 	cellByName   map[string]int32 // index of a cell
 }
 
-// Compile validates and indexes a specification. The caller must not modify it afterwards.
+// Compile validates and indexes a specification. The caller must not modify the specification afterwards.
 func Compile(spec *Spec) (*Assignment, error) {
 	if err := spec.Validate(); err != nil {
 		return nil, fmt.Errorf("cells.%w", err)
--- a/core/cells/assignment_state.go
+++ b/core/cells/assignment_state.go
@@ -10,7 +10,7 @@
 	"spantack/routing"
 )
 
-// firstTenantSubset is the number of the first tenant's subset in the engine. Subsets 1 to MaxCells are those of cells.
+// firstTenantSubset is the number of the first tenant's subset in the engine. Subsets 1 to MaxCells belong to cells.
 const firstTenantSubset = MaxCells + 1
 
 func cellSubset(cell int) int     { return cell + 1 }
@@ -24,7 +24,7 @@
 const (
 	overloadRejectFraction = 0.05      // fraction of requests rejected by the engine above which a cell is overloaded
 	activeCountInterval    = 500_000   // minimum time between two counts of active tenants, microseconds
-	activeWithin           = 2_000_000 // time after its last request for which a tenant is active, microseconds
+	activeWithin           = 2_000_000 // a tenant stays active for this time after its last request, microseconds
 )
 
 // assignmentState is the assignment in force, with the state of its tenants and cells at this router.
@@ -39,7 +39,7 @@
 
 	caches          []string        // listed edge caches of this site, sorted
 	subsetEvents    []routing.Event // reused
-	activeCountedAt int64           // microseconds; 0: never
+	activeCountedAt int64           // time of the last count of active tenants, microseconds; 0: never
 }
 
 // tenant is the state of one tenant at this router.
@@ -51,37 +51,38 @@
 	missRatio     missRatio
 	demand        demandRate
 	migration     *migrationProgress // nil: the tenant does not migrate
-	subsetVersion int                // endpoint list version for which its subset was defined, plus 1; 0: never
+	subsetVersion int                // 1 + version of the endpoint list that its subset was defined for; 0: none
 	isActive      bool
 }
 
 // cell is the state of one cell at this router.
 type cell struct {
 	name            string
-	fallback        int // index of a cell, or noCell
-	share           float64
+	fallback        int     // index of a cell, or noCell
+	share           float64 // fraction of each shared resource
 	hasHealthyCache bool
 	caches          []string // sorted
 	fairShare       fairShare
 	openRequests    int
-	missRatio       missRatio // of all its tenants
-	arrivals        decayingSum
-	rejections      decayingSum               // by the engine
+	missRatio       missRatio                 // of all its tenants
+	arrivals        decayingSum               // recent requests
+	rejections      decayingSum               // recent requests that the engine rejected
 	capacity        migration.CapacityLimiter // for tenants that migrate into the cell
 	warmFraction    float64                   // current capacity of healthy caches / capacity of all caches when warm
 }
 
-// observeRejection records that the engine rejected a request. The cell counts as overloaded only above
-// overloadRejectFraction, because a few rejections are not significant.
+// observeRejection records that the engine rejected a request. The cell counts as overloaded only while the engine
+// rejects more than overloadRejectFraction of its requests, because a few rejections are not significant.
 func (c *cell) observeRejection(now int64) {
 	if c.rejections.add(now, 1) > overloadRejectFraction*c.arrivals.valueAt(now) {
 		c.fairShare.observeRejection(now)
 	}
 }
 
-// SetAssignment applies an assignment, or with nil removes it. Open requests end at the caches where they started. They
-// are counted in the cell of the same name in the new assignment, or no longer tracked if it lacks their cell or their
-// tenant. The state of tenants that both assignments have is kept. The state of cells starts from its initial values.
+// SetAssignment applies an assignment, or with nil removes it. Open requests end at the caches where they started. If
+// the new assignment has both the cell and the tenant of an open request, the request is counted in the cell of the
+// same name. Otherwise it is no longer tracked. The state of a tenant is kept if both assignments have the tenant. The
+// state of cells starts from its initial values.
 func (a *Admission) SetAssignment(now int64, next *Assignment) {
 	a.state.dropTenantSubsets(now)
 	if next == nil {
@@ -134,8 +135,8 @@
 	return s.spec.cachesOf(t.name, s.caches, s.cells[t.cell].caches)
 }
 
-// replace replaces the tenants and cells by those of another assignment. It returns the new index of each tenant by its
-// old index, or noTenant for tenants that are not in the new assignment.
+// replace replaces the tenants and cells by those of another assignment. The result is indexed by a tenant's old index
+// and contains its new index, or noTenant if the new assignment does not have the tenant.
 func (s *assignmentState) replace(next *Assignment) (newTenantIndex []int32) {
 	if s.recentChunks.sketch == nil {
 		s.recentChunks = newRecentChunks()
@@ -216,8 +217,8 @@
 	}
 }
 
-// assignCaches divides the listed caches among cells and updates the cells' subsets in the engine. Draining caches stay
-// in their cell until they are removed from the list, so that replacing a cache changes the division once instead of
+// assignCaches divides the listed caches among cells and updates the cells' subsets in the engine. A draining cache
+// stays in its cell until it is removed from the list. Replacing a cache therefore changes the division once instead of
 // twice.
 func (s *assignmentState) assignCaches(now int64) {
 	s.caches = slices.AppendSeq(s.caches[:0], maps.Keys(s.endpoints.edgeCaches))
@@ -225,7 +226,7 @@
 	s.subsetEvents = s.subsetEvents[:0]
 	for i, caches := range divideCaches(s.spec.Cells, s.caches) {
 		c := &s.cells[i]
-		if s.spec.Scheme == SchemeShuffle { // the cell's subset has all caches: each tenant has its own subset
+		if s.spec.Scheme == SchemeShuffle { // a cell's subset has all caches, because each tenant has its own subset
 			caches = s.caches
 		}
 		c.hasHealthyCache = slices.ContainsFunc(caches, s.endpoints.isHealthyCache)
@@ -246,8 +247,9 @@
 	}
 }
 
-// subsetOf returns the subset of caches for a tenant's requests in a cell. With SchemeShuffle and SchemeNested a tenant
-// has its own subset, which is defined on first use. Outside its own cell, a tenant uses all caches of the cell.
+// subsetOf returns the subset of caches for a tenant's requests in a cell. With SchemeShuffle and SchemeNested, a
+// tenant has its own subset for its own cell. That subset is defined in the engine on first use. In another cell, and
+// with the other schemes, a tenant uses the subset of the whole cell.
 func (s *assignmentState) subsetOf(now int64, index, inCell int) int {
 	t := &s.tenants[index]
 	hasOwnSubset := s.spec.Scheme == SchemeShuffle || s.spec.Scheme == SchemeNested
--- a/core/cells/assignment_state_test.go
+++ b/core/cells/assignment_state_test.go
@@ -8,8 +8,8 @@
 	"spantack/routing"
 )
 
-// With fewer caches than cells, the cell with the larger share must get the cache. The other cell must reject its
-// requests, or send them to its fallback cell if it has one.
+// With fewer caches than cells, the cell with the larger share must get the cache. Requests of the other cell must be
+// rejected, or go to its fallback cell if it has one.
 func TestScarceCachesGoToLargestCells(t *testing.T) {
 	spec := twoCells()
 	spec.Cells[0].Share = 0.6
@@ -40,8 +40,9 @@
 	return one, two
 }
 
-// The only cache of a cell drains: the cell's requests must be rejected, not sent to the cache of the other cell. After
-// it is removed from the endpoint list, and after another cache is added, no cache may serve both cells.
+// The only cache of a cell drains. The cell's requests must be rejected, not sent to the cache of the other cell. No
+// cache may serve both cells after the draining cache is removed from the endpoint list, and after another cache is
+// added.
 func TestCellWithoutCacheUsesNoOtherCell(t *testing.T) {
 	admission := newTestAdmission(t, twoCells(), "c0", "c1")
 	client := &testClient{t: t, admission: admission, now: 2 * sec}
@@ -65,7 +66,7 @@
 	}
 }
 
-// While the only cache of a cell drains, its requests must go to its fallback cell.
+// While the only cache of a cell drains, the cell's requests must go to its fallback cell.
 func TestFallbackWhileOnlyCacheDrains(t *testing.T) {
 	spec := twoCells()
 	spec.Cells[0].FallbackCell = "two"
@@ -142,7 +143,7 @@
 	}
 }
 
-// The estimates for a tenant must be kept in a new assignment in which the tenant has another index.
+// The estimates for a tenant must be kept if the tenant has another index in a new assignment.
 func TestLearnedTenantStateSurvivesNewAssignment(t *testing.T) {
 	admission := newTestAdmission(t, twoCells(), cacheNames(4)...)
 	admission.state.tenants[0].missRatio.fill[0] = 0.95
--- a/core/cells/budget.go
+++ b/core/cells/budget.go
@@ -4,8 +4,9 @@
 
 const (
 	defaultReclaimMillis = 250.0 // if the budget sets no reclaim time
-	// maxOpenFraction is the fraction of the limit on open requests up to which cells may exceed their shares. The rest
-	// is reserved for tenants with low usage, in the sense that only cells below their shares may use it.
+	// maxOpenFraction is a fraction of the limit on open requests. A cell may exceed its share only while the open
+	// requests of all cells and the reserved unused shares together are below this fraction. Only cells below their
+	// shares may use the rest of the limit. This keeps the rest available to tenants with low usage.
 	maxOpenFraction = 0.9
 	// minRequestCost is the minimum cost of a request, in seconds. See budget.cost.
 	minRequestCost = 1e-6
@@ -18,7 +19,7 @@
 	parents         *sharedRate // KB per second of fills that parents send
 	origin          *sharedRate // KB per second of fills that the origin sends
 	uncacheable     *sharedRate // uncacheable requests per second
-	maxOpenRequests int         // 0: no limit
+	maxOpenRequests int         // at this router; 0: no limit
 }
 
 // newBudget returns this router's part of the budget of a specification, divided among cells by their shares.
@@ -44,9 +45,10 @@
 	}
 }
 
-// cost returns the cost of a request in seconds: the amount of a resource that the request needs, divided by the rate
-// per second that this router may use of it. It is the maximum over resources with a limit, and at least
-// minRequestCost. A cost of 1 thus uses up one second of this router's part of a resource.
+// cost returns the cost of a request in seconds. For one resource, the cost is the amount that the request needs,
+// divided by the rate per second at which this router may use the resource. The result is the maximum over all
+// resources with a limit, and at least minRequestCost. A request with a cost of 1 thus uses up one second of this
+// router's part of a resource.
 func (b *budget) cost(fillKB, originKB float64) float64 {
 	cost := minRequestCost
 	for _, use := range [...]struct {
--- a/core/cells/cache_assignment.go
+++ b/core/cells/cache_assignment.go
@@ -20,8 +20,8 @@
 }
 
 // cacheQuotas returns how many of the given number of caches each cell gets, by the largest-remainder method. With
-// enough caches each cell gets at least one. Otherwise the cells with the largest shares get one each; of cells with
-// equal shares, the first ones.
+// enough caches each cell gets at least one. With too few, the cells with the largest shares get one each, and the
+// first of several cells with equal shares takes precedence.
 func cacheQuotas(cells []Cell, caches int) []int {
 	quotas := make([]int, len(cells))
 	if caches <= len(cells) {
@@ -47,7 +47,8 @@
 		quotas[i]++
 		remainders[i]--
 	}
-	// Small cells were rounded up to one cache. Take as many from the cells with the smallest remainders.
+	// Cells with small shares were rounded up to one cache. Take the same number of caches from the cells with the
+	// smallest remainders.
 	for ; remaining < 0; remaining++ {
 		i := smallestRemainder(quotas, remainders)
 		quotas[i]--
@@ -88,9 +89,9 @@
 }
 
 // divideCaches assigns each cache to one cell by a stable matching: if a cache has a greater affinity to another cell
-// than to its own, that cell has only caches with a still greater affinity to it. Because both sides rank pairs by the
-// same affinity, there is only one such matching. So all routers with the same endpoint list compute the same result,
-// and replacing a cache moves few others (docs/cells.md has figures). The names in each cell are sorted.
+// than to its own, all caches of the other cell have a still greater affinity to that cell. Because both sides rank
+// pairs by the same affinity, there is only one such matching. So all routers with the same endpoint list compute the
+// same result. Replacing a cache moves few other caches (docs/cells.md has figures). The names in each cell are sorted.
 func divideCaches(cells []Cell, caches []string) [][]string {
 	divided := make([][]string, len(cells))
 	if len(caches) == 0 {
@@ -172,8 +173,8 @@
 	return dropped
 }
 
-// rendezvousSubset returns the width caches with the greatest affinity to a tenant, sorted by name, or all caches if
-// there are no more than that.
+// rendezvousSubset returns the width caches with the greatest affinity to a tenant, sorted by name. If there are at
+// most width caches, it returns all of them.
 func rendezvousSubset(tenant string, caches []string, width int) []string {
 	if len(caches) <= width {
 		return caches
--- a/core/cells/cache_assignment_test.go
+++ b/core/cells/cache_assignment_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// Replacing a cache by one with another name must move at most 5% of the other caches to other cells, which
-// docs/cells.md states.
+// Replacing a cache by one with another name must move at most 5% of the other caches to other cells. docs/cells.md
+// states this bound.
 func TestReplacedCacheMovesFewOthers(t *testing.T) {
 	cells := []Cell{
 		{Name: "a", Share: 0.25}, {Name: "b", Share: 0.25}, {Name: "c", Share: 0.25}, {Name: "d", Share: 0.25},
--- a/core/cells/count_min_sketch.go
+++ b/core/cells/count_min_sketch.go
@@ -9,16 +9,16 @@
 // CountMinSketch estimates the counts of any number of keys in bounded memory. It is a count-min sketch with
 // conservative update (Estan and Varghese 2002). Counts decay by half in every half-life.
 //
-// An estimate is never below the decayed count. With probability 1-exp(-depth) it exceeds that count by at most e/width
-// of the decayed total of all keys.
+// An estimate is never below the decayed count. With probability 1-exp(-depth), the excess of the estimate over this
+// count is at most e/width of the decayed total of all keys.
 type CountMinSketch struct {
 	width, depth int
 	counters     []float32 // depth rows of width
 	decay        decayScale
 }
 
-// maxSketchScale is the decay scale at which all counters are rescaled. It is below 2^24, because the counters are
-// float32, which has 24 bits of precision.
+// maxSketchScale is the decay scale at which all counters are rescaled. It must be below 2^24, because the counters
+// have type float32, with 24 bits of precision.
 const maxSketchScale = 1 << 20
 
 // NewCountMinSketch returns a sketch of depth rows with width counters each, of 4 bytes per counter. The half-life is
--- a/core/cells/count_min_sketch_test.go
+++ b/core/cells/count_min_sketch_test.go
@@ -18,8 +18,8 @@
 	return keys
 }
 
-// Estimates must not be below the counts of a map that halve every half-life. At most a fraction exp(-depth) of the
-// keys may exceed the error bound.
+// Estimates must not be below exact counts, kept in a map and halved every half-life. The estimates of at most the
+// fraction exp(-depth) of the keys may exceed the error bound.
 func TestCountMinSketchErrorBound(t *testing.T) {
 	const halfLife = 1e6
 	sketch := NewCountMinSketch(4096, 4, halfLife)
--- a/core/cells/decaying_sum.go
+++ b/core/cells/decaying_sum.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// usageTimeConstant, in microseconds, is the time in which an amount in a decayingSum decays to 1/e. The sum shows the
-// start and the end of a flood within a second: after one second without requests it has fallen to 61%.
+// usageTimeConstant, in microseconds, is the time in which an amount in a decayingSum decays to 1/e. With this value,
+// the sum shows the start and the end of a flood within a second. After one second without requests it has fallen to
+// 61%.
 const usageTimeConstant = 2e6
 
 // decayingSum is a sum of amounts that decay exponentially with usageTimeConstant.
--- a/core/cells/demand.go
+++ b/core/cells/demand.go
@@ -10,9 +10,9 @@
 // 1/e. It is one minute because assignments are not planned for short peaks.
 const demandTimeConstant = 60e6
 
-// demandRate is the recent demand of a tenant: the capacity that a plan must provide. It counts admitted requests and
-// those rejected for the tenant's usage or the cell's budget, but not those rejected before that, for lack of a healthy
-// cache, for a migration or for a rollout. The sums decay with demandTimeConstant.
+// demandRate is the recent demand of a tenant, which is the capacity that a plan must provide. It counts admitted
+// requests, and requests rejected for the tenant's usage or the cell's budget. It does not count requests rejected for
+// lack of a healthy cache, for a migration or for a rollout. The sums decay with demandTimeConstant.
 type demandRate struct {
 	requests       float64
 	requestedKB    float64
@@ -31,7 +31,7 @@
 	d.updatedAt = now
 }
 
-// perSecond returns the sums as rates per second, under the name of the tenant.
+// perSecond returns the demand with the sums converted to rates per second. tenant is the name in the result.
 func (d *demandRate) perSecond(now int64, tenant string) TenantDemand {
 	factor := math.Exp(-float64(now-d.updatedAt)/demandTimeConstant) / (demandTimeConstant / 1e6)
 	return TenantDemand{
@@ -48,7 +48,8 @@
 	PriorityWeight float64   `json:"worth"` // per second: sum of the requests' priority weights
 }
 
-// TopDemand returns the demand of up to n tenants, those with the most KB requested first.
+// TopDemand returns the demand of the n tenants with the most KB requested, in descending order. It returns fewer than
+// n if fewer have sent requests.
 func (a *Admission) TopDemand(now int64, n int) []TenantDemand {
 	var all []TenantDemand
 	for i := range a.state.tenants {
--- a/core/cells/doc.go
+++ b/core/cells/doc.go
@@ -15,9 +15,11 @@
 //   - the overflow cell, with the overflow scheme;
 //   - both cells of a migration, while the tenant migrates.
 //
-// Guarantee on rates: a cell that left its share of a common rate unused has the whole share back, once it needs it,
-// within the reclaim time plus the time until responses in progress end, however much other cells had borrowed.
+// Guarantee on rates: if a cell did not use its share of a shared rate limit and then needs it, it gets the whole share
+// back within the reclaim time plus the time until responses in progress end. This holds however much other cells have
+// borrowed.
 //
 // The package does no I/O and reads no clock: callers pass times in microseconds since an epoch of their choice, and
-// random numbers come from a seed. An Admission is not safe for concurrent use. An Assignment is, as it is immutable.
+// random numbers come from a seed. An Admission is not safe for concurrent use. An Assignment is safe for concurrent
+// use, because it is immutable.
 package cells
--- a/core/cells/document_validation.go
+++ b/core/cells/document_validation.go
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// sitesOf returns the sites of a migration at which its tenant may be in different cells. "" stands for all sites that
-// the tenant's CellBySite does not list.
+// sitesOf returns the sites of a migration that must be checked separately, because the tenant's cell may differ
+// between them. "" stands for all sites that the tenant's CellBySite does not list.
 func (a *Assignment) sitesOf(tenant int, m *migration.Migration) []string {
 	if m.Site != migration.AllSites {
 		return []string{m.Site}
@@ -56,8 +56,8 @@
 	return append([]string{""}, named...)
 }
 
-// ValidateRollout checks a rollout against the assignment: its rings must consist of cells of the assignment, and the
-// first ring must leave a cell without the release for comparison.
+// ValidateRollout checks a rollout against the assignment: its rings must consist of cells of the assignment. At least
+// one cell must be outside the first ring, for comparison with the release.
 func (a *Assignment) ValidateRollout(r *rollout.Rollout) error {
 	if r == nil {
 		return nil
--- a/core/cells/endpoints.go
+++ b/core/cells/endpoints.go
@@ -62,8 +62,8 @@
 	return l.edgeCaches[name].Status == routing.EndpointHealthy
 }
 
-// routersAtSite returns the number of routers at this site, running or not, as given in the settings, or the fleet size
-// if the settings do not give it for this site.
+// routersAtSite returns the number of routers at this site as given in the settings, running or not. If the settings do
+// not give it for this site, it returns the fleet size.
 func (s *shared) routersAtSite() int {
 	zone := slices.Index(s.settings.Zones, s.settings.Zone)
 	if routers := s.settings.Hierarchy.RoutersByZone; zone >= 0 && zone < len(routers) && routers[zone] > 0 {
@@ -72,11 +72,12 @@
 	return s.fleetSize()
 }
 
-// fleetSize returns the number of routers at all sites, running or not, as given in the settings, or 1 if it is not
-// given.
+// fleetSize returns the number of routers at all sites as given in the settings, running or not. If the settings do not
+// give it, it returns 1.
 func (s *shared) fleetSize() int { return max(s.settings.FleetSize, 1) }
 
-// linkKBPerSecond returns the capacity of the link into this site as given in the settings, or 0 if it is not given.
+// linkKBPerSecond returns the capacity of the link into this site, in KB per second, as given in the settings, or 0 if
+// it is not given.
 func (s *shared) linkKBPerSecond() float64 {
 	links := s.settings.Hierarchy.ZoneLinkKBPerSecond
 	if zone := slices.Index(s.settings.Zones, s.settings.Zone); zone >= 0 && zone < len(links) {
--- a/core/cells/explain.go
+++ b/core/cells/explain.go
@@ -38,9 +38,10 @@
 // CachesByCell returns the caches of each cell at a site with the given edge caches, in the order of the cells.
 func (s *Spec) CachesByCell(caches []string) [][]string { return divideCaches(s.Cells, caches) }
 
-// Changes describes the differences between two specifications, one line of text each: tenants and their cells, cells
-// and their shares (the previous share of a new cell is 0), and a version that is not greater than the old one. It does
-// not compare other fields, nor the cells of tenants by site. It returns nil if there are no such differences.
+// Changes describes the differences between two specifications, one line of text each: added and removed tenants,
+// changed cells of tenants, added and removed cells, and changed shares. The previous share of a new cell is given as
+// 0. There is also a line if the new version is not greater than the old one. Changes does not compare other fields,
+// nor the cells of tenants by site. It returns nil if there are no such differences.
 func Changes(old, next *Spec) []string {
 	var lines []string
 	if next.Version <= old.Version && next.Version != 0 {
--- a/core/cells/fair_share.go
+++ b/core/cells/fair_share.go
@@ -3,8 +3,8 @@
 import "math"
 
 // fairShare adapts a limit on the usage of each tenant in a cell, in proportion to the tenant's weight. The limit falls
-// while the cell rejects requests and rises while it does not. Only requests of tenants above the limit are rejected,
-// so the tenants with the highest usage are limited first.
+// while the cell rejects requests and rises while it rejects none. Only requests of tenants above the limit are
+// rejected, so the tenants with the highest usage are limited first.
 type fairShare struct {
 	limit         float64     // usage divided by weight above which a tenant is rejected; math.Inf(1): no limit
 	peak          decayingSum // greatest recent usage divided by weight of any tenant
@@ -17,13 +17,13 @@
 const (
 	fairAdjustInterval = 50_000  // minimum time between two changes of the limit, microseconds
 	fairRecoveryDelay  = 200_000 // microseconds without a rejection after which the limit rises
-	fairDecrease       = 0.8
-	fairIncrease       = 1.1
-	// fairMinFraction is the minimum of the limit, as a fraction of the mean usage of the cell's active tenants. A
-	// tenant whose usage divided by its weight is less than half of the mean is never rejected for its usage. The mean
-	// is that of the time when the limit was last lowered.
+	fairDecrease       = 0.8     // factor by which the limit falls
+	fairIncrease       = 1.1     // factor by which the limit rises
+	// fairMinFraction is the minimum of the limit, as a fraction of the mean usage of the cell's active tenants at the
+	// time when the limit was last lowered. A tenant whose usage divided by its weight is less than half of this mean
+	// is never rejected for its usage.
 	fairMinFraction = 0.5
-	// fairRemovalPeaks is the multiple of the peak usage above which a rising limit is removed.
+	// fairRemovalPeaks is a multiple of the peak usage. A rising limit that exceeds it is removed.
 	fairRemovalPeaks = 2
 )
 
@@ -51,8 +51,8 @@
 	return f.total.valueAt(now) / max(f.activeTenants, 1)
 }
 
-// exceeds reports whether a usage divided by weight is above the limit. Before that it raises the limit if no request
-// was rejected for fairRecoveryDelay.
+// exceeds reports whether a usage divided by weight is above the limit. Before the comparison it raises the limit, at
+// most once per fairAdjustInterval, if no request was rejected for fairRecoveryDelay.
 func (f *fairShare) exceeds(now int64, usage float64) bool {
 	if now-f.rejectedAt > fairRecoveryDelay && now-f.adjustedAt >= fairAdjustInterval {
 		f.adjustedAt = now
--- a/core/cells/heavy_hitters.go
+++ b/core/cells/heavy_hitters.go
@@ -57,8 +57,8 @@
 		h.siftUp(entry.index)
 		return
 	default:
-		// Replace the smallest entry. Its count is an upper bound on what the new key may have had before, so the new
-		// key's count starts from it.
+		// Replace the smallest entry. The count of the smallest entry is an upper bound on the earlier count of the new
+		// key, so the new key's count starts from it.
 		entry = h.heap[0]
 		delete(h.index, entry.key)
 		*entry = heapEntry{key: key, count: entry.count + amount, maxOvercount: entry.count}
--- a/core/cells/migration.go
+++ b/core/cells/migration.go
@@ -30,7 +30,7 @@
 }
 
 // migrationRoute is the routing decision for one request of a migrating tenant. The destination is the cell that
-// objects move to: the new cell, or the old cell during a rollback.
+// objects move to. The source is the other cell. The destination is the new cell, or during a rollback the old cell.
 type migrationRoute struct {
 	progress      *migrationProgress // nil: the tenant does not migrate
 	toDestination bool               // the request goes to the destination
@@ -41,9 +41,9 @@
 func (r *migrationRoute) isColdInDestination() bool { return r.isCold && r.toDestination }
 
 // SetMigrations applies a document, or with nil removes the current one. The document must be valid for the assignment
-// in force. A migration that is in both the old and the new document keeps its share of migrated objects. A tenant
-// whose migration is no longer in the document is in the cell of the assignment. A tenant whose migration has ended is
-// in the cell to which the migration, or its rollback, led.
+// in force. A migration that is in both the old and the new document keeps its share of migrated objects. If a tenant's
+// migration is no longer in the document, the tenant is in the cell of the assignment. If a tenant's migration has
+// ended, the tenant is in the new cell, or after a rollback in the old cell.
 func (a *Admission) SetMigrations(now int64, document *migration.Document) {
 	if a.state.spec == nil {
 		return
@@ -93,8 +93,8 @@
 
 func (m *migrations) clear() { m.document, m.active = nil, nil }
 
-// rebuild creates the active migrations of this site from the document and the assignment. Migrations that were active
-// before keep their share of migrated objects.
+// rebuild creates the active migrations of this site from the document and the assignment. A migration that was already
+// active keeps its share of migrated objects.
 func (m *migrations) rebuild(now int64) {
 	type key struct{ tenant, from, to string }
 	previous := map[key]*migrationProgress{}
@@ -125,7 +125,8 @@
 }
 
 // newProgress returns the progress of a new migration and its tenant. It returns nil if the migration is for another
-// site, or if the assignment no longer has its tenant or cells; the tenant is then in the cell of the assignment.
+// site, or if the assignment no longer has the migration's tenant or one of its cells. The tenant, if it still exists,
+// is then in the cell of the assignment.
 func (m *migrations) newProgress(entry *migration.Migration) (*migrationProgress, *tenant) {
 	if entry.Site != m.settings.Zone && entry.Site != migration.AllSites {
 		return nil, nil
@@ -155,7 +156,7 @@
 }
 
 // updateShare updates the fraction of a migrating tenant's objects that go to the new cell. The tenant belongs to the
-// new cell while that has at least half of its objects, otherwise to the old cell.
+// new cell while at least half of its objects go there, otherwise to the old cell.
 func (m *migrations) updateShare(now int64, p *migrationProgress) {
 	p.pacer.SetWarmCapacity(min(m.state.cells[p.fromCell].warmFraction, m.state.cells[p.toCell].warmFraction))
 	cell := p.fromCell
@@ -221,11 +222,12 @@
 	return capacity
 }
 
-// selectCell selects one of the two cells of a migration for a request. Before the migration that is the old cell,
-// after it the new one, and after a rollback the old one. In between it is normally the cell that the migration assigns
-// to the object at this time. If that is the destination, and it has no healthy cache or no capacity, the request goes
-// to the source, which still has the object. If the source has no healthy cache, the request goes to the destination up
-// to its capacity, and is rejected beyond that. An unbounded migration ignores the destination's capacity.
+// selectCell selects one of the two cells of a migration for a request. Before the migration and after a rollback it
+// selects the old cell. After the migration it selects the new cell. While the migration or its rollback is in
+// progress, it selects the cell to which the object is assigned at this time, except in two cases. If this cell is the
+// destination and lacks a healthy cache or capacity, the request goes to the source, which still has the object. If the
+// source has no healthy cache, the request goes to the destination up to its capacity, and is rejected beyond that. An
+// unbounded migration ignores the destination's capacity.
 func (m *migrations) selectCell(
 	now int64, p *migrationProgress, event *routing.Event, sizeKB float64,
 ) (int, migrationRoute) {
@@ -292,10 +294,11 @@
 	m.state.recentChunks.recordInCell(now, event.Object, event.Chunk, cell)
 }
 
-// admitToDestination records an admitted request for the destination. Its chunk is recorded as requested there only
-// now, because a rejected request fills nothing. If the engine finds no capacity in the destination, it may send the
-// request to the overflow cell with scheme overflow, otherwise to the source. It does not send requests for the source
-// to the destination, so that the destination gets no more requests than its capacity allows.
+// admitToDestination records an admitted request for the destination. The request's chunk is recorded only after
+// admission, because a rejected request fills nothing. If the engine finds no capacity in the destination, it may send
+// the request to the overflow cell, if the event has one, otherwise to the source, if the source has a healthy cache. A
+// request for the source does not get the destination as its alternative, because the destination must not get more
+// requests than its capacity allows.
 func (m *migrations) admitToDestination(now int64, route *migrationRoute, cell int, event *routing.Event) {
 	m.state.recentChunks.recordInCell(now, event.Object, event.Chunk, cell)
 	m.stats.Migrated++
@@ -311,7 +314,7 @@
 // observeOutcome updates the fill cost of a cell and the pacer of a migration with a served attempt.
 func (m *migrations) observeOutcome(now int64, request *openRequest, event *routing.Event) {
 	if event.Outcome != routing.OutcomeServed || !m.areActive() {
-		return // other attempts may be retried: only the end of the request shows whether it was served in time
+		return // an attempt that was not served may be retried, so the request may still be served in time
 	}
 	rate := m.settings.Hierarchy.ResponseKBPerSecond
 	if event.CacheStatus.IsFilled() && rate > 0 && request.sizeKB > 0 {
--- a/core/cells/migration_test.go
+++ b/core/cells/migration_test.go
@@ -12,8 +12,8 @@
 	"spantack/routing"
 )
 
-// normalTenantMigration returns a document with a migration of tenant "normal" from cell "two" to cell "one", with the
-// shift from second 20 to second 40.
+// normalTenantMigration returns a document with a migration of tenant "normal" from cell "two" to cell "one". Its ramp
+// (MinShift) lasts from second 20 to second 40.
 func normalTenantMigration(changes ...func(*migration.Migration)) *migration.Document {
 	m := migration.Migration{
 		Tenant:    "normal",
@@ -68,7 +68,7 @@
 	return responses
 }
 
-// oneOf50Objects returns object number i modulo 50 of tenant "normal".
+// oneOf50Objects returns the name of object i modulo 50 of tenant "normal".
 func oneOf50Objects(i int) string { return fmt.Sprintf("aa%014x", i%50) }
 
 // drainCell marks all caches of a cell as draining.
@@ -136,9 +136,9 @@
 }
 
 // Until the migration ends, the rate of requests for chunks that the destination does not have must not exceed its
-// capacity. Here the link allows 40 KB per second of fills for the cell at this router: its budget is for 2 routers and
-// 2 cells, and a migration may use the fraction 0.85 of a capacity. Without the capacity limiter, the rate is 19 times
-// as high.
+// capacity. Here the link allows 40 KB per second of fills for the cell at this router. The budget is larger by a
+// factor of 2 * 2 / 0.85, because it is for 2 routers and 2 cells, and a migration may use the fraction 0.85 of a
+// capacity. Without the capacity limiter, the rate is 19 times as high.
 func TestMigrationStaysWithinDestinationCapacity(t *testing.T) {
 	spec := twoCells()
 	spec.Budget.FillKBPerSecond = 2 * 2 * 40 / 0.85
@@ -169,8 +169,9 @@
 	}
 }
 
-// A cell of a migration loses all its caches. Requests must go to the other cell. They must be rejected if the other
-// cell lacks the capacity, or if the migration is over.
+// One of a migration's two cells loses all its caches. During the migration, requests must go to the other cell, and
+// must be rejected if the other cell lacks the capacity. After the migration, requests must be rejected if the new cell
+// is the lost one.
 func TestMigrationUsesOtherCellIfOneIsLost(t *testing.T) {
 	halfWay := func() *testClient {
 		client := newMigrationClient(t, twoCells(), normalTenantMigration())
@@ -207,8 +208,8 @@
 	}
 }
 
-// After a rollback all objects must be in the old cell within the duration of one shift. A router that starts during a
-// migration must continue at the share that the document requires.
+// After a rollback, all objects must be in the old cell within MinShift, the time of the ramp. A router that starts
+// during a migration must continue at the share that the document requires.
 func TestRollbackReturnsObjectsAndStartedRouterContinues(t *testing.T) {
 	client := newMigrationClient(t, twoCells(), normalTenantMigration())
 	client.now = 25 * sec
@@ -243,7 +244,8 @@
 	}
 }
 
-// A tenant floods while it migrates. The tenants of the destination must be served as without the flood.
+// A tenant floods while it migrates. The tenants of the destination must be served as well as they are without the
+// flood.
 func TestMigratingTenantFloodDoesNotAffectDestination(t *testing.T) {
 	servedFraction := func(floodFactor int) float64 {
 		spec := twoCells()
--- a/core/cells/open_requests.go
+++ b/core/cells/open_requests.go
@@ -9,14 +9,14 @@
 	route         migrationRoute // of a migrating tenant's request
 	tenant        int32
 	cell          int32
-	class         int16 // index in the settings; 0 if there was no migration and no rollout when it was admitted
+	class         int16 // index in the settings; 0 if no migration or rollout was active at admission
 	recent        int8  // index in missRatio; 1: its chunk was requested recently
 	isUncacheable bool
 	isRelease     bool // the object belongs to the rollout's release
 }
 
-// hasOpenCapacity reports whether a cell may have one more open request. A cell may always use its own share. Beyond
-// it, the unused shares of other active cells stay reserved.
+// hasOpenCapacity reports whether a cell may have one more open request. A cell may always use its own share. It may
+// exceed its share only with capacity that is not reserved. The unused shares of other active cells are reserved.
 func (a *Admission) hasOpenCapacity(cell int) bool {
 	limit := float64(a.budget.maxOpenRequests)
 	if limit == 0 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// reassignOpenRequests maps open requests to the cells and tenants of a new assignment. Requests whose cell or tenant
-// is not in it are no longer tracked.
+// reassignOpenRequests maps open requests to the cells and tenants of a new assignment. A request whose cell or tenant
+// is not in the new assignment is no longer tracked.
 func (a *Admission) reassignOpenRequests(previousCells []cell, newTenantIndex []int32) {
 	for id, request := range a.openRequests {
 		newCell, exists := a.state.assignment.cellByName[previousCells[request.cell].name]
@@ -65,7 +65,8 @@
 	return float64(now-request.admittedAt) > s.latencyObjective(request)
 }
 
-// latencyObjective returns the latency within which a response is in time, in microseconds. It grows with the size.
+// latencyObjective returns the maximum latency of a response that is in time, in microseconds. It grows with the size
+// of the response.
 func (s *shared) latencyObjective(request *openRequest) float64 {
 	class := &s.settings.Classes[request.class]
 	objective := float64(class.LatencyObjective)
--- a/core/cells/open_requests_test.go
+++ b/core/cells/open_requests_test.go
@@ -7,8 +7,8 @@
 	"spantack/routing"
 )
 
-// A cell that opens as many requests as it may must leave the other cell its share of the limit. Requests that end must
-// no longer count as open.
+// One cell opens as many requests as it is allowed. The other cell must still get its share of the limit. Requests that
+// end must no longer count as open.
 func TestOpenRequestsLeaveOtherCellsShare(t *testing.T) {
 	spec := twoCells()
 	spec.Budget.MaxOpenRequests = 20
--- a/core/cells/origin_limit.go
+++ b/core/cells/origin_limit.go
@@ -9,11 +9,11 @@
 
 const (
 	initialOriginFraction = 0.15 // initial estimate of the fraction of fill attempts that reach the origin
-	originFractionStep    = 0.01 // weight of a new sample in that estimate
-	minOriginFraction     = 0.02 // lower bound on the fraction used: a surge of new objects can't be predicted
+	originFractionStep    = 0.01 // weight of a new sample in the estimate of that fraction
+	minOriginFraction     = 0.02 // lower bound on the fraction used, as a surge of new objects can't be predicted
 	minSentChange         = 0.05 // minimum relative change of the limit that is sent to the engine
 	minSentLimit          = 0.01 // minimum limit sent to the engine, as 0 means no limit
-	maxAbandoned          = 4096 // maximum number of abandoned fetches that are tracked; meant to be far above any limit
+	maxAbandoned          = 4096 // maximum number of abandoned fetches tracked; meant to be far above any limit
 )
 
 // originGate sets the engine's limits on fills in flight that may reach the origin.
@@ -21,16 +21,16 @@
 	*shared
 	limiter         *originLimiter // nil: no document is in force
 	assignmentLimit float64        // this router's part of the assignment's limit on fills; 0: no limit
-	quota           float64        // fills that the fleet limit grants this router; 0: no limit
+	quota           float64        // confirmed origin fills that the fleet limit grants this router; 0: no limit
 	sentLimit       float64        // limit on attempts that was last sent to the engine
 }
 
 // originLimiter estimates how many fetches from the origin are in flight, and adapts a limit on them. An attempt causes
 // a fill if the edge cache does not have the object. A fill from a parent causes a fetch from the origin if the parent
-// does not have the object either. Neither is known before the attempt ends. So an attempt in flight that may fill from
-// a parent counts as the fraction of recent such attempts that reached the origin. An attempt that may fill directly
-// from the origin counts as a whole fetch. So does an attempt that ended without a response, for as long as the parent
-// may continue its fetch.
+// does not have the object either. Whether an attempt causes a fetch is known only when the attempt ends. Until then,
+// an attempt that may fill from a parent counts as a fraction of a fetch: the fraction of recent such attempts that
+// reached the origin. An attempt that may fill directly from the origin counts as a whole fetch. An attempt that ended
+// without a response also counts as a whole fetch, for as long as the parent may continue its fetch.
 type originLimiter struct {
 	document       originlimit.Document
 	limit          *originlimit.Limit
@@ -40,14 +40,15 @@
 	abandonedUntil []int64         // assumed end times of abandoned fetches, microseconds, ascending
 }
 
-// SetOriginLimit applies a limit on fetches from the origin, or with nil removes it. It returns an error for an invalid
-// document, and then keeps the current limit.
+// SetOriginLimit applies a limit on fetches from the origin, or with nil removes it. If the document is invalid, it
+// returns an error and keeps the current limit.
 func (a *Admission) SetOriginLimit(now int64, document *originlimit.Document) error {
 	return a.origin.setDocument(now, document)
 }
 
-// SetOriginFillQuota limits this router's confirmed origin fills to its quota of the fleet limit (core/fleet). These
-// are known to reach the origin, because their source does not have the object. 0 means no limit.
+// SetOriginFillQuota limits this router's confirmed origin fills to its quota of the fleet limit (core/fleet).
+// Confirmed origin fills are known to reach the origin, because their source does not have the object. 0 means no
+// limit.
 func (a *Admission) SetOriginFillQuota(now int64, maxFills float64) {
 	if maxFills != a.origin.quota {
 		a.origin.quota = maxFills
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// setAssignmentLimit applies the assignment's limit on fills that may reach the origin. It is for all routers together.
-// 0 means no limit.
+// setAssignmentLimit applies the assignment's limit on fills that may reach the origin. maxFills is the limit for all
+// routers together. 0 means no limit.
 func (g *originGate) setAssignmentLimit(now int64, maxFills int) {
 	g.assignmentLimit = float64(maxFills) / float64(g.fleetSize())
 	g.sendLimits(now)
@@ -151,8 +152,8 @@
 	return min(limit, g.assignmentLimit)
 }
 
-// maxAttempts updates the estimate of fetches in flight and returns how many attempts may be in flight within the
-// limit, at least minSentLimit.
+// maxAttempts updates the estimate of fetches in flight. It returns the number of attempts in flight that the limit
+// allows, at least minSentLimit.
 func (l *originLimiter) maxAttempts(now int64) float64 {
 	for len(l.abandonedUntil) > 0 && l.abandonedUntil[0] <= now {
 		l.abandonedUntil = l.abandonedUntil[1:]
@@ -224,8 +225,8 @@
 		event.Outcome == routing.OutcomeTimedOut || event.Outcome == routing.OutcomeCanceled
 }
 
-// abandon counts an attempt that ended without a response as a fetch that continues. It does not update originFraction:
-// slow fetches from the origin are among these attempts, and must not count as attempts that did not reach it.
+// abandon counts an attempt that ended without a response as a fetch that continues. It does not update originFraction,
+// because some of these attempts are slow fetches from the origin and must not count as attempts that did not reach it.
 func (l *originLimiter) abandon(now int64, millis float64, event *routing.Event) {
 	if len(l.abandonedUntil) < maxAbandoned {
 		l.abandonedUntil = append(l.abandonedUntil, now+int64(l.document.AbandonedFetchMs*1000))
--- a/core/cells/origin_limit_test.go
+++ b/core/cells/origin_limit_test.go
@@ -93,8 +93,8 @@
 type originLoad struct {
 	admission    *Admission
 	responseTime int64                       // of each attempt, ms
-	outcome      func(i int) routing.Event   // of an attempt that may reach the origin, ended at time i ms
-	inFlight     map[int64][]attemptInFlight // by the time of their end, ms
+	outcome      func(i int) routing.Event   // of an attempt that may reach the origin and ends at time i ms
+	inFlight     map[int64][]attemptInFlight // by end time, ms
 
 	toOrigin    int // attempts in flight that may reach the origin
 	maxToOrigin int // maximum of toOrigin
@@ -170,8 +170,9 @@
 	}
 }
 
-// Every fill reaches the origin, which becomes slow. The number of this router's fills in flight must then fall from
-// the share plus borrowed capacity to the share minus the reserve. The other attempts must request cached copies only.
+// Every fill reaches the origin, and the origin becomes slow. The number of this router's fills in flight must then
+// fall from the router's share plus borrowed capacity to the share minus the reserve. The other attempts must request
+// cached copies only.
 func TestOriginLimitBoundsFills(t *testing.T) {
 	admission := newLimitedAdmission(t, &originLimitDocument)
 	runLoad(admission, 0, 3000, 60, originResponse(55)) // to learn the fraction of fills that reach the origin
@@ -192,8 +193,8 @@
 	}
 }
 
-// Every attempt times out. An abandoned fetch must count for as long as a parent may continue it, so that the limit
-// also holds for abandoned fetches.
+// Every attempt times out. An abandoned fetch must count for as long as a parent may continue it. Otherwise abandoned
+// fetches would exceed the limit.
 func TestOriginLimitCountsAbandonedFills(t *testing.T) {
 	admission := newLimitedAdmission(t, &originLimitDocument)
 	runLoad(admission, 0, 3000, 60, originResponse(55))
@@ -251,8 +252,8 @@
 	})
 }
 
-// An invalid document must keep the current limit. After the limit is removed, actions must be the same as without a
-// limit from the start.
+// After an invalid document, the current limit must stay in force. After the limit is removed, actions must be the same
+// as those of an Admission that never had a limit.
 func TestInvalidOriginLimitIsIgnoredAndRemovedLimitHasNoEffect(t *testing.T) {
 	admission, unlimited := newLimitedAdmission(t, &originLimitDocument), newLimitedAdmission(t, nil)
 	invalid := originLimitDocument
--- a/core/cells/parents.go
+++ b/core/cells/parents.go
@@ -16,25 +16,27 @@
 	// firstParentSubset is the number of the first parent group's subset in the engine. The other groups follow in the
 	// order of the topology. It is above all subset numbers of edge caches.
 	firstParentSubset = 1 << 20
-	// undefinedSubset is never defined in the engine, so that fills go to the origin.
+	// undefinedSubset is never defined in the engine. Fills with this subset go to the origin.
 	undefinedSubset = -1
 )
 
 const (
-	// replanInterval, in microseconds, is how often fills are planned while a parent group is warming up. Otherwise
-	// they are planned when the endpoint list changes.
+	// replanInterval, in microseconds, is the interval between plans of fills while a parent group is warming up. At
+	// other times, fills are planned when the endpoint list or the availability of a group changes.
 	replanInterval = 500_000
 	// maxGroupsPlannedInline is the maximum number of parent groups for which a plan is computed while an event waits.
-	// Such a plan takes well under 1 ms. A plan for 40 groups takes 170 ms, for which events can't wait.
+	// A plan for this number takes well under 1 ms. A plan for 40 groups takes 170 ms, which is too long for an event
+	// to wait.
 	maxGroupsPlannedInline = 8
-	// minLoggedFraction is the smallest fraction of the fills that is logged.
+	// minLoggedFraction is a fraction of the fills. Targets with a smaller fraction are left out of the log.
 	minLoggedFraction = 0.05
 )
 
-// A parent group is unavailable after failuresPerServer consecutive failed fills for each of its servers. That is about
-// when the engine has opened the circuit breakers of all its servers, and not when one of several has failed. While the
-// group is unavailable, a router sends it one fill as a probe, at random intervals of probeInterval to twice
-// probeInterval, so that the probes of different routers do not coincide.
+// A parent group becomes unavailable when the number of consecutive failed fills reaches failuresPerServer times the
+// number of its servers. At about this number, the engine has opened the circuit breakers of all servers of the group.
+// A failure of only one of several servers does not make the group unavailable. While the group is unavailable, a
+// router sends it one fill as a probe, at random intervals of probeInterval to twice probeInterval. The intervals are
+// random so that the probes of different routers do not coincide.
 const (
 	failuresPerServer = 3
 	probeInterval     = 1_000_000 // microseconds
@@ -55,8 +57,8 @@
 	health         []parentGroupHealth // by group
 }
 
-// parentGroupHealth is the health of a parent group by the results of fills, which show a failure before the endpoint
-// list does.
+// parentGroupHealth is the health of a parent group by the results of fills. Fills show a failure earlier than the
+// endpoint list does.
 type parentGroupHealth struct {
 	consecutiveFailures int
 	nextProbeAt         int64 // time of the next probe, microseconds; 0: the group is available
@@ -64,7 +66,7 @@
 
 func (h *parentGroupHealth) isAvailable() bool { return h.nextProbeAt == 0 }
 
-// SetTopology applies a topology, or with nil removes it. It has effect with and without an assignment.
+// SetTopology applies a topology, or with nil removes it. A topology has effect with and without an assignment.
 func (a *Admission) SetTopology(now int64, graph *hierarchy.Graph) { a.parents.setTopology(now, graph) }
 
 // TopologyVersion returns the version of the topology in force, or 0 without a topology.
@@ -75,8 +77,8 @@
 	return a.parents.graph.Topology().Version
 }
 
-// ParentsOf returns the parents that an object's fills try first. Without a topology, and if the plan assigns no parent
-// group to the object, these are all listed parents.
+// ParentsOf returns the parents that an object's fills try first. It returns all listed parents if there is no
+// topology, or if the plan assigns no parent group to the object.
 func (a *Admission) ParentsOf(object string) []string {
 	p := &a.parents
 	if p.graph != nil {
@@ -104,8 +106,8 @@
 	p.planIfDue(now)
 }
 
-// PlanJob is a fill plan to be computed. Run is slow. It may run concurrently with calls of the Admission, because it
-// does not access it.
+// PlanJob is a fill plan to be computed. Run is slow. It may run concurrently with calls of the Admission, because Run
+// does not access the Admission.
 type PlanJob struct {
 	graph  *hierarchy.Graph
 	status map[string]hierarchy.GroupStatus // by group
@@ -116,7 +118,7 @@
 // Run computes the plan for Admission.ApplyPlanJob.
 func (j *PlanJob) Run() { j.plan, j.err = j.graph.PlanFills(j.status) }
 
-// TakePlanJob returns the plan that is due to be computed, or nil if there is none. It returns each job only once. See
+// TakePlanJob returns the job for the plan that is due, or nil if none is due. It returns each job only once. See
 // Options.PlansInBackground.
 func (a *Admission) TakePlanJob() *PlanJob {
 	job := a.parents.pendingJob
@@ -124,22 +126,22 @@
 	return job
 }
 
-// ApplyPlanJob applies a computed plan, unless the topology has changed since TakePlanJob. If the endpoint list has
-// changed since then, the plan is applied too, and another plan is already due.
+// ApplyPlanJob applies a computed plan, unless the topology has changed since TakePlanJob. The plan is also applied if
+// only the endpoint list has changed since TakePlanJob. Another plan is then already due.
 func (a *Admission) ApplyPlanJob(job *PlanJob) {
 	if job.graph == a.parents.graph {
 		a.parents.applyPlan(job.plan, job.err)
 	}
 }
 
-// replan plans fills without waiting until that is due.
+// replan plans fills now, whether or not a plan is due.
 func (p *parentSelection) replan(now int64) {
 	p.planDueAt = 0
 	p.planIfDue(now)
 }
 
-// planIfDue plans the fills of all sites by the endpoint list, if that is due. Routers with the same list and topology
-// compute the same plan.
+// planIfDue plans the fills of all sites by the endpoint list, if a plan is due. Routers with the same list, topology
+// and availability of groups compute the same plan.
 func (p *parentSelection) planIfDue(now int64) {
 	if p.graph == nil || p.planDueAt > now {
 		return
@@ -214,8 +216,8 @@
 	p.logPlan()
 }
 
-// logPlan logs the fraction of fills for each target and the fraction without capacity, with one decimal, if they have
-// changed.
+// logPlan logs the fraction of fills for each target and the fraction without capacity, with one decimal, if the
+// resulting text has changed.
 func (p *parentSelection) logPlan() {
 	text := p.describePlan()
 	if text != p.lastLogged {
--- a/core/cells/parents_test.go
+++ b/core/cells/parents_test.go
@@ -100,9 +100,9 @@
 	return next
 }
 
-// Fills must follow the plan of the topology, with and without an assignment: to both parent groups by capacity, to the
-// other group when one is removed from the endpoint list or its fills fail, with few probes of the failing group, and
-// to both again after a successful probe.
+// Fills must follow the plan of the topology, with and without an assignment. They must go to both parent groups by
+// capacity. When one group is removed from the endpoint list or its fills fail, they must go to the other group, with
+// few probes of the failing group. After a successful probe they must go to both groups again.
 func TestFillsFollowTopology(t *testing.T) {
 	for name, spec := range map[string]*Spec{"without cells": nil, "with cells": twoCells()} {
 		t.Run(name, func(t *testing.T) { testFillsFollowTopology(t, spec) })
@@ -121,12 +121,12 @@
 	admission.SetTopology(sec, twoParentGroups(t))
 	client := &fillClient{admission: admission, now: 2 * sec, failing: map[string]bool{}}
 	healthy := client.run(400)
-	if healthy["p1"] < 110 || healthy["p1"] > 210 || healthy["p0"]+healthy["p1"] != 400 { // its link has 40% of the peak
+	if healthy["p1"] < 110 || healthy["p1"] > 210 || healthy["p0"]+healthy["p1"] != 400 { // p1's link: 40% of peak
 		t.Errorf("both groups healthy: attempts by source %v, want 110 to 210 to p1, the rest of 400 to p0", healthy)
 	}
 	client.failing["p1"] = true
 	client.run(50)
-	if got := client.run(400); got["p1"] > 12 || got["p0"] < 395 { // at most one probe per second, in 8 s
+	if got := client.run(400); got["p1"] > 12 || got["p0"] < 395 { // in 8 s, with at most one probe per second
 		t.Errorf("far group failing: attempts by source %v, want at most 12 to p1 and at least 395 to p0", got)
 	}
 	if n := len(client.logged); n == 0 || !strings.Contains(client.logged[n-1], "fill fractions by target: near 1.0") {
@@ -171,8 +171,8 @@
 	return mustCompileTopology(t, topology)
 }
 
-// A plan for many groups is computed in the background. It must be the same as one computed inline. Events must not
-// wait for it, and a plan for a topology that has been replaced must not be applied.
+// A plan for many groups is computed in the background. It must be the same as a plan computed inline. Events must not
+// wait for the plan. A plan for a topology that has been replaced must not be applied.
 func TestPlanInBackgroundEqualsInlinePlan(t *testing.T) {
 	background, inline := newLimitedAdmission(t, nil), newLimitedAdmission(t, nil)
 	for _, admission := range []*Admission{background, inline} {
--- a/core/cells/reason.go
+++ b/core/cells/reason.go
@@ -9,13 +9,13 @@
 	ReasonNoHealthyCache                // neither the cell nor its fallback cell, if it has one, has a healthy cache
 	ReasonHeavyTenant                   // the tenant uses more than its fair share of an overloaded cell
 	ReasonRequestRate                   // the cell's share of requests per second is used up, and it may not borrow
-	ReasonLinkRate                      // the same for the link into the site
-	ReasonParentRate                    // the same for the parents' bandwidth
-	ReasonOriginRate                    // the same for the origin's bandwidth
-	ReasonUncacheableRate               // the same for uncacheable requests per second
+	ReasonLinkRate                      // the cell's share of the link into the site is used up, and it may not borrow
+	ReasonParentRate                    // the cell's share of the parents' bandwidth is used up, and it may not borrow
+	ReasonOriginRate                    // the cell's share of the origin's bandwidth is used up, and it may not borrow
+	ReasonUncacheableRate               // as ReasonRequestRate, for uncacheable requests
 	ReasonOpenRequests                  // the cell's share of open requests is used up, and it may not exceed it
-	ReasonNotReleased                   // the object belongs to a release that the cell does not have, or no longer has
-	ReasonMigrating                     // the migration's source has no healthy cache, and its destination no capacity
+	ReasonNotReleased                   // the object belongs to a release that the cell does not have now
+	ReasonMigrating                     // the migration's source has no healthy cache, its destination no capacity
 	reasonCount
 )
 
--- a/core/cells/recent_chunks.go
+++ b/core/cells/recent_chunks.go
@@ -6,7 +6,8 @@
 	recentSketchWidth = 1 << 16 // counters in a row
 	recentSketchDepth = 3
 	recentHalfLife    = 20e6 // microseconds
-	// recentThreshold is the minimum decayed count of a recent chunk. A chunk is recent for 46 s after a single request.
+	// recentThreshold is the minimum decayed count of requests for a recent chunk. After a single request, a chunk is
+	// recent for 46 s.
 	recentThreshold = 0.2
 )
 
--- a/core/cells/rollout.go
+++ b/core/cells/rollout.go
@@ -16,9 +16,9 @@
 	progress *rollout.Progress // nil: no rollout is in force
 }
 
-// SetRollout starts a rollout, or with nil ends it, so that its objects are no longer treated differently from others.
-// The rollout must be valid for the assignment in force. A new version of the rollout in force continues from this
-// router's current state.
+// SetRollout starts a rollout, or with nil ends it. After its end, the objects of the release are treated like all
+// others. The rollout must be valid for the assignment in force. A new version of the rollout in force continues from
+// this router's current state.
 func (a *Admission) SetRollout(now int64, r *rollout.Rollout) error {
 	if r == nil || a.state.spec == nil {
 		a.rollout.clear()
@@ -35,11 +35,11 @@
 }
 
 // RingStatus is the state of one ring of cells. Evidence is the log-likelihood ratio against the release, by metric
-// (late answers, failures, fill errors). The sum of the ratios of several routers is the evidence of all of them.
+// (late responses, failures, fill errors). The evidence of several routers together is the sum of their ratios.
 type RingStatus struct {
 	Cells        []string  `json:"cells"`
 	State        string    `json:"state"`
-	HarmedMetric string    `json:"by,omitempty"` // metric that the release has worsened, as seen by this router
+	HarmedMetric string    `json:"by,omitempty"` // metric that this router found to be worse with the release
 	Evidence     []float64 `json:"evidence"`
 }
 
@@ -78,8 +78,8 @@
 	}
 }
 
-// gate rejects a request for the release in a cell that may not serve it. In other cells it limits the age of the
-// cached copy.
+// gate rejects a request for the release in a cell that may not serve the release. In other cells it sets the limits on
+// the age of the cached copy.
 func (g *rolloutGate) gate(event *routing.Event, c *candidate) Reason {
 	if g.progress == nil || !g.progress.Rollout().Contains(int(event.PurgeGroup), event.Object) {
 		return ReasonNone
@@ -113,7 +113,8 @@
 	}
 }
 
-// observeUnserved counts a request that the engine rejected or failed.
+// observeUnserved counts a request that the engine rejected or failed as a late response. hasFailed states whether it
+// also counts as a failure.
 func (g *rolloutGate) observeUnserved(request *openRequest, hasFailed bool) {
 	if g.progress == nil {
 		return
@@ -123,11 +124,10 @@
 }
 
 // count counts an observation in the request's cell. In a cell that has the release, failures and fill errors are
-// counted only for requests of the release, because an increase would be detected late if they were counted for all
-// requests. If the release replaces objects, they are counted only for requests of these objects before a ring opens
-// too, as a baseline to compare with. Late responses are counted for all requests of the cell, for two reasons: new
-// objects must be filled first and are late even with a good release, and a release that slows down other requests of
-// its cell must be detected.
+// counted only for requests of the release. If they were counted for all requests, an increase would be detected late.
+// If the release replaces objects, the same is done before a ring opens, to obtain a baseline for these objects. Late
+// responses are counted for all requests of the cell, for two reasons. New objects must be filled first, so their
+// responses are late even with a good release. A release that slows down other requests of its cell must be detected.
 func (g *rolloutGate) count(request *openRequest, metric rollout.Metric, isBad bool) {
 	cell := g.state.cells[request.cell].name
 	if metric != rollout.LateAnswers && !request.isRelease && g.progress.CountsReleaseOnly(cell) {
--- a/core/cells/rollout_test.go
+++ b/core/cells/rollout_test.go
@@ -32,8 +32,8 @@
 }
 
 // sendReleaseTraffic sends requests of both cells for a duration, one in ten of them for the release. 1% of all
-// responses are late, and lateFraction of the responses for the release. It returns the number of admitted requests for
-// the release, by cell and by whether the ring was open, and the log.
+// responses are late. Of the responses for the release, the fraction lateFraction is late in addition. It returns the
+// number of admitted requests for the release, by cell and by whether the ring was open, and the log.
 func sendReleaseTraffic(
 	t *testing.T, a *Admission, lateFraction float64, seconds int64,
 ) (admitted map[string]int, log string) {
--- a/core/cells/shared_rate.go
+++ b/core/cells/shared_rate.go
@@ -3,19 +3,19 @@
 // sharedRate divides one rate among cells. Each cell has a token bucket that is refilled at the cell's share of the
 // rate. Tokens that overflow a full bucket go to a pool from which any cell may borrow. The depth of a bucket is the
 // number of tokens that its cell gets in one reclaim time. The depth of the pool is half of the tokens that all cells
-// get in that time. Once a cell uses its share again, its bucket no longer overflows, and the rest of the pool is used
-// up within the reclaim time.
+// get in one reclaim time. Once a cell uses its share again, its bucket no longer overflows, and the tokens that remain
+// in the pool are used up within the reclaim time.
 //
-// A fair queue would divide the rate too, but it delays requests. Spantack does not queue requests: one that can't be
-// sent now is rejected now.
+// A fair queue would divide the rate too, but it delays requests. Spantack does not queue requests. A request that
+// can't be sent at once is rejected at once.
 type sharedRate struct {
 	perMicrosecond float64 // of all cells; 0: no limit
 	shares         []float64
 	tokens         []float64     // by cell; negative: debt
 	borrowed       []decayingSum // by cell: tokens recently borrowed from the pool
 	pool           float64       // tokens that any cell may borrow
-	reclaim        float64       // microseconds
-	refilledAt     int64         // microseconds; 0: never
+	reclaim        float64       // reclaim time, microseconds
+	refilledAt     int64         // time of the last refill, microseconds; 0: never
 }
 
 const (
@@ -25,12 +25,12 @@
 	// amplePoolFraction is the fraction of a full pool above which any cell may borrow.
 	amplePoolFraction = 0.5
 	// poolDepthFraction is the depth of the pool, as a fraction of the tokens that all cells get in one reclaim time.
-	// With a deeper pool, a sudden flood in one cell could use at once all tokens that other cells left unused in that
-	// time, while these cells use their own tokens too. The sum would exceed the rate.
+	// With a deeper pool, a sudden flood in one cell could use at once all tokens that other cells left unused in one
+	// reclaim time. The other cells could use their own tokens at the same time. The sum would exceed the rate.
 	poolDepthFraction = 0.5
-	// maxDebtDepths limits a cell's debt, as a multiple of the depth of its bucket. Debt is paid off within twice the
-	// reclaim time after the last admitted request. Without a limit, one huge object would block its cell for a long
-	// time.
+	// maxDebtDepths is the maximum debt of a cell, as a multiple of the depth of its bucket. A cell pays off its debt
+	// within twice the reclaim time after its last admitted request. Without a maximum, one huge object would block its
+	// cell for a long time.
 	maxDebtDepths = 2
 )
 
@@ -61,8 +61,8 @@
 	return r.shares[cell] * r.perMicrosecond * r.reclaim
 }
 
-// refill adds the tokens since the last refill to the buckets, and their overflow to the pool, at most once per
-// refillInterval.
+// refill adds the tokens earned since the last refill to the buckets, and tokens that overflow the buckets to the pool.
+// It does so at most once per refillInterval.
 func (r *sharedRate) refill(now int64) {
 	elapsed := float64(now - r.refilledAt)
 	if r.refilledAt != 0 && elapsed < refillInterval {
@@ -83,9 +83,10 @@
 	r.pool = min(r.pool, r.poolDepth())
 }
 
-// mayBorrow reports whether a cell may borrow from the pool. While the pool is low, a cell may borrow only if the
-// tokens that it borrowed recently, divided by its share, are at most the mean of all borrowers. So a cell with a flood
-// is refused before the others.
+// mayBorrow reports whether a cell may borrow from the pool. If the pool is empty, no cell may borrow. If the pool is
+// filled above amplePoolFraction, every cell may. Otherwise a cell may borrow only if its recently borrowed tokens
+// divided by its share are at most the tokens of all recent borrowers divided by the sum of their shares. So a cell
+// with a flood is refused before the others.
 func (r *sharedRate) mayBorrow(cell int) bool {
 	switch {
 	case r.pool <= 0:
@@ -103,9 +104,9 @@
 	return r.borrowed[cell].valueAt(r.refilledAt)*borrowerShares <= borrowed*r.shares[cell]
 }
 
-// mayTake reports whether a cell has tokens left or may borrow. With allowDebt, which is set for tenants with low
-// usage, the cell may also go into debt up to the depth of its bucket: its heavy tenants used tokens that tenants with
-// low usage were entitled to.
+// mayTake reports whether a cell has tokens left or may borrow. allowDebt is set for tenants with low usage. With
+// allowDebt, the cell may also go into debt up to the depth of its bucket, because its heavy tenants may have used
+// tokens that tenants with low usage were entitled to.
 func (r *sharedRate) mayTake(cell int, allowDebt bool) bool {
 	if r.perMicrosecond == 0 || r.tokens[cell] > 0 || r.mayBorrow(cell) {
 		return true
@@ -113,8 +114,8 @@
 	return allowDebt && r.tokens[cell] > -r.bucketDepth(cell)
 }
 
-// take removes an amount of tokens from a cell's bucket. Missing tokens are borrowed from the pool; if the pool does
-// not have enough, the rest becomes debt.
+// take removes an amount of tokens from a cell's bucket. Missing tokens are borrowed from the pool. If the pool does
+// not have enough, the rest becomes debt, up to maxDebtDepths.
 func (r *sharedRate) take(cell int, amount float64) {
 	if r.perMicrosecond == 0 {
 		return
@@ -129,8 +130,8 @@
 	r.tokens[cell] = max(tokens, -maxDebtDepths*r.bucketDepth(cell))
 }
 
-// correct adjusts the tokens by the difference between a request's actual and estimated usage. A positive excess is
-// taken, a negative one is given back.
+// correct adjusts the tokens by excess, a request's actual usage minus its estimated usage. A positive excess is taken,
+// a negative excess is given back.
 func (r *sharedRate) correct(cell int, excess float64) {
 	if excess > 0 {
 		r.take(cell, excess)
--- a/core/cells/shared_rate_test.go
+++ b/core/cells/shared_rate_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A cell must get its share back within the reclaim time, though another cell continues to borrow as much as it can.
+// A cell must get its share back within the reclaim time, even if another cell continues to borrow as much as it can.
 func TestBorrowedShareIsReclaimed(t *testing.T) {
 	const reclaim = 250 * msec
 	rate := newSharedRate(1000, []float64{0.5, 0.5}, float64(reclaim))
--- a/core/cells/spec.go
+++ b/core/cells/spec.go
@@ -8,7 +8,7 @@
 	SchemeFixed    Scheme = "fixed"    // a tenant uses all caches of its cell
 	SchemeShuffle  Scheme = "shuffle"  // a tenant uses Width caches, selected from all caches of the site
 	SchemeNested   Scheme = "nested"   // a tenant uses Width caches, selected from its cell
-	SchemeOverflow Scheme = "overflow" // as SchemeFixed, and one cell serves requests that exceed others' capacity
+	SchemeOverflow Scheme = "overflow" // as SchemeFixed; OverflowCell serves requests that exceed other cells' capacity
 )
 
 // Limits of a specification.
@@ -60,8 +60,8 @@
 	Tenant          string `json:"tenant"`
 }
 
-// Budget limits the total use of resources by all routers of a site, or of all sites for fields that say so. 0 means no
-// limit.
+// Budget limits the use of resources. Each field's description states whether the limit is for one router, for all
+// routers of a site, or for all sites. 0 means no limit, except for FillKBPerSecond and ReclaimMillis.
 type Budget struct {
 	RequestsPerSecond    float64 `json:"requestsPerS" jsonschema_description:"requests per second of all routers of a site"`
 	FillKBPerSecond      float64 `json:"fillKbPerS" jsonschema_description:"fills over the link into a site, KB/s; 0: capacity of the link in the settings"`
--- a/core/cells/spec_validation.go
+++ b/core/cells/spec_validation.go
@@ -199,8 +199,8 @@
 type keyFields struct{ class, prefix, declaredTenant string }
 
 // validateReachable returns an error for the first key that no request can reach, because earlier keys together cover
-// all its purge groups. An earlier key covers groups only if its other fields match everything that the key's other
-// fields match.
+// all its purge groups. An earlier key covers its own purge groups only if its other fields match all values that the
+// later key's fields match.
 func validateReachable(keys []TenantKey) error {
 	matched := map[keyFields]groupSet{} // purge groups of the earlier keys with these fields
 	for i := range keys {
@@ -230,8 +230,9 @@
 	return set
 }
 
-// without returns the set without the groups for which earlier keys match all requests that the key matches. matched
-// holds the groups of the earlier keys. See validateReachable.
+// without returns the set without the groups that earlier keys cover, which means that they match all requests of these
+// groups that the key matches. matched holds the groups of the earlier keys by their other fields. See
+// validateReachable.
 func (g groupSet) without(matched map[keyFields]groupSet, key *TenantKey) groupSet {
 	for length := 0; length <= len(key.ObjectPrefix); length++ {
 		for _, class := range [...]string{"", key.Class} {
--- a/core/cells/spec_validation_test.go
+++ b/core/cells/spec_validation_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// A key must be reported as unreachable if several earlier keys together match all its requests, though none of them
-// does alone.
+// A key must be reported as unreachable if several earlier keys together match all its requests, even if each of them
+// matches only some.
 func TestKeyCoveredBySeveralKeysIsUnreachable(t *testing.T) {
 	spec := twoCells()
 	spec.TenantKeys = []TenantKey{
--- a/core/cells/status.go
+++ b/core/cells/status.go
@@ -12,7 +12,7 @@
 	FellBack     int64              `json:"Spilled"` // sent to the fallback cell, because the cell had no healthy cache
 	Rejected     [reasonCount]int64 `json:"Refused"` // by reason
 	Migrated     int64              `json:"Moved"`   // requests of migrating tenants sent to the destination
-	KeptInSource int64              `json:"Kept"`    // such requests sent to the source: no capacity in the destination
+	KeptInSource int64              `json:"Kept"`    // requests sent to the source, as the destination lacked capacity
 }
 
 // Status is a snapshot of the cells at a router, for its log and for operators.
@@ -76,7 +76,7 @@
 	}
 }
 
-// heavyTenants returns the active tenants with the highest usage, up to maxHeavyListed, the highest first.
+// heavyTenants returns up to maxHeavyListed active tenants with the highest usage, in descending order of usage.
 func (s *assignmentState) heavyTenants(now int64) []HeavyTenant {
 	var heavy []HeavyTenant
 	for i := range s.tenants {
--- a/core/cells/tenant_keys.go
+++ b/core/cells/tenant_keys.go
@@ -1,7 +1,7 @@
 package cells
 
-// keyTable finds the first key that matches a request. Keys with a declared tenant are indexed by that name, the others
-// in a trie over the object's hex digits, so that few keys are compared for each request.
+// keyTable finds the first key that matches a request. A key with a declared tenant is indexed by the tenant's name.
+// The other keys are in a trie over the object's hex digits. Few keys are therefore compared for each request.
 type keyTable struct {
 	keys             []TenantKey
 	byDeclaredTenant map[string][]int32 // indexes of keys, ascending
@@ -81,8 +81,8 @@
 
 func (k *TenantKey) matchesClass(class string) bool { return k.Class == "" || k.Class == class }
 
-// find returns the index of the first key that matches a request. There always is one, as the last key matches all
-// requests.
+// find returns the index of the first key that matches a request. Such a key always exists, because the last key
+// matches all requests.
 func (t *keyTable) find(group int, class, object, declaredTenant string) int {
 	best := int32(len(t.keys) - 1)
 	if declaredTenant != "" {
@@ -111,7 +111,8 @@
 	return int(best)
 }
 
-// firstMatch returns the index of the first of a node's keys that matches group and class, or best if that is earlier.
+// firstMatch returns the index of the first of a node's keys that matches group and class. It returns best if best is
+// lower or no key matches.
 func (t *keyTable) firstMatch(keys []int32, group int, class string, best int32) int32 {
 	for _, index := range keys {
 		if index >= best {
--- a/core/cells/tenant_keys_test.go
+++ b/core/cells/tenant_keys_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// referenceFind is a linear search over all keys. keyTable.find must return the same.
+// referenceFind returns the result that keyTable.find must return. It is a linear search over all keys.
 func referenceFind(keys []TenantKey, group int, class, object, declaredTenant string) int {
 	return slices.IndexFunc(keys, func(k TenantKey) bool {
 		return (k.Class == "" || k.Class == class) && k.matchesGroup(group) &&
@@ -67,7 +67,7 @@
 	})
 }
 
-// isReachable reports whether some request finds a key.
+// isReachable reports whether referenceFind returns the key with the given index for some request.
 func isReachable(keys []TenantKey, index int) bool {
 	key := &keys[index]
 	for group := range purgeGroupCount {
