--- a/core/cells/admission.go
+++ b/core/cells/admission.go
@@ -60,8 +60,8 @@
 }
 
 const (
-	maxHeavyObjects = 256  // objects tracked: every object with more than 1/256 of all KB is among them
-	objectHalfLife  = 60e6 // microseconds
+	maxHeavyObjects = 256  // objects tracked; they include every object with more than 1/256 of all KB
+	objectHalfLife  = 60e6 // half-life of the KB counted for an object, microseconds
 )
 
 // NewAdmission returns an Admission without assignment, topology or origin limit. The seed is used for the random
--- a/core/cells/assignment_state.go
+++ b/core/cells/assignment_state.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	overloadRejectFraction = 0.05      // fraction of requests rejected by the engine above which a cell is overloaded
+	overloadRejectFraction = 0.05      // a cell is overloaded if the engine rejects more than this fraction of requests
 	activeCountInterval    = 500_000   // minimum time between two counts of active tenants, microseconds
 	activeWithin           = 2_000_000 // a tenant stays active for this time after its last request, microseconds
 )
@@ -67,7 +67,7 @@
 	missRatio       missRatio                 // of all its tenants
 	arrivals        decayingSum               // recent requests
 	rejections      decayingSum               // recent requests that the engine rejected
-	capacity        migration.CapacityLimiter // for tenants that migrate into the cell
+	capacity        migration.CapacityLimiter // limits requests of tenants that migrate into the cell
 	warmFraction    float64                   // current capacity of healthy caches / capacity of all caches when warm
 }
 
@@ -81,8 +81,8 @@
 
 // SetAssignment applies an assignment, or with nil removes it. Open requests end at the caches where they started. If
 // the new assignment has both the cell and the tenant of an open request, the request is counted in the cell of the
-// same name. Otherwise it is no longer tracked. The state of a tenant is kept if both assignments have the tenant. The
-// state of cells starts from its initial values.
+// same name. Otherwise the request is no longer tracked. The state of a tenant is kept if both assignments have the
+// tenant. The state of cells starts from its initial values.
 func (a *Admission) SetAssignment(now int64, next *Assignment) {
 	a.state.dropTenantSubsets(now)
 	if next == nil {
--- a/core/cells/budget.go
+++ b/core/cells/budget.go
@@ -3,7 +3,7 @@
 import "cmp"
 
 const (
-	defaultReclaimMillis = 250.0 // if the budget sets no reclaim time
+	defaultReclaimMillis = 250.0 // reclaim time if the budget sets none
 	// maxOpenFraction is a fraction of the limit on open requests. A cell may exceed its share only while the open
 	// requests of all cells and the reserved unused shares together are below this fraction. Only cells below their
 	// shares may use the rest of the limit. This keeps the rest available to tenants with low usage.
--- a/core/cells/decay_scale.go
+++ b/core/cells/decay_scale.go
@@ -3,8 +3,8 @@
 import "math"
 
 // decayScale implements exponential decay of many counts without updating each of them. The scale doubles in every
-// half-life. An added amount is multiplied by the scale at that time. A stored count divided by the current scale is
-// the decayed count.
+// half-life. An amount is multiplied by the scale at the time of its addition. A stored count divided by the current
+// scale is the decayed count.
 type decayScale struct {
 	halfLife  float64 // microseconds
 	scale     float64
--- a/core/cells/decaying_sum.go
+++ b/core/cells/decaying_sum.go
@@ -10,7 +10,7 @@
 // decayingSum is a sum of amounts that decay exponentially with usageTimeConstant.
 type decayingSum struct {
 	sum       float64
-	updatedAt int64 // microseconds
+	updatedAt int64 // time of the last addition, microseconds
 }
 
 // add adds an amount and returns the new sum.
--- a/core/cells/demand.go
+++ b/core/cells/demand.go
@@ -18,7 +18,7 @@
 	requestedKB    float64
 	fillKB         float64
 	priorityWeight float64
-	updatedAt      int64 // microseconds; 0: no request yet
+	updatedAt      int64 // time of the last request, microseconds; 0: no request yet
 }
 
 // add adds a request to all sums.
--- a/core/cells/parents.go
+++ b/core/cells/parents.go
@@ -14,7 +14,7 @@
 
 const (
 	// firstParentSubset is the number of the first parent group's subset in the engine. The other groups follow in the
-	// order of the topology. It is above all subset numbers of edge caches.
+	// order of the topology. This number is above all subset numbers of edge caches.
 	firstParentSubset = 1 << 20
 	// undefinedSubset is never defined in the engine. Fills with this subset go to the origin.
 	undefinedSubset = -1
@@ -39,7 +39,7 @@
 // random so that the probes of different routers do not coincide.
 const (
 	failuresPerServer = 3
-	probeInterval     = 1_000_000 // microseconds
+	probeInterval     = 1_000_000 // minimum time between probes of a group, microseconds
 )
 
 // parentSelection distributes this router's fills over parent groups by a topology.
--- a/core/cells/recent_chunks.go
+++ b/core/cells/recent_chunks.go
@@ -5,7 +5,7 @@
 const (
 	recentSketchWidth = 1 << 16 // counters in a row
 	recentSketchDepth = 3
-	recentHalfLife    = 20e6 // microseconds
+	recentHalfLife    = 20e6 // half-life of the counts, microseconds
 	// recentThreshold is the minimum decayed count of requests for a recent chunk. After a single request, a chunk is
 	// recent for 46 s.
 	recentThreshold = 0.2
--- a/core/cells/spec_validation.go
+++ b/core/cells/spec_validation.go
@@ -230,8 +230,8 @@
 	return set
 }
 
-// without returns the set without the groups that earlier keys cover, which means that they match all requests of these
-// groups that the key matches. matched holds the groups of the earlier keys by their other fields. See
+// without returns the set without the groups that earlier keys cover. A group is covered if one earlier key matches all
+// requests of the group that the key matches. matched holds the groups of the earlier keys by their other fields. See
 // validateReachable.
 func (g groupSet) without(matched map[keyFields]groupSet, key *TenantKey) groupSet {
 	for length := 0; length <= len(key.ObjectPrefix); length++ {
