--- a/routing/actions.go
+++ b/routing/actions.go
@@ -55,8 +55,8 @@
 	Delay         int64      // of ActionSetTimer
 	TimerToken    int64      // of ActionSetTimer
 	Enabled       bool       // of ActionSubscribe
-	// SendWithin is the time after this decision within which the attempt may leave the router: once the
-	// deduplication window of the class has passed, a retry of a request that may have run must not be sent.
+	// SendWithin is the time after this decision within which the attempt may leave the router. A retry of a
+	// request that may have run must not be sent after the deduplication window of the class.
 	// HasSideEffects is true if the request must not run twice. (send)
 	SendWithin     int64
 	HasSideEffects bool
--- a/routing/circuit_breaker.go
+++ b/routing/circuit_breaker.go
@@ -4,13 +4,24 @@
 
 // Constants of circuit breakers.
 const (
-	breakerMinOutcomes       = 3          // minimum total weight of recent outcomes before a breaker may open
-	breakerMaxOutcomes       = 8          // outcomes that count: a sudden fault ejects after 4, an edge cache after 6
-	breakerFailureRatio      = 0.5        // fraction of failed outcomes that ejects a parent or the origin
-	cacheBreakerFailureRatio = 0.75       // for an edge cache: if only half fail, retries serve more than ejection
-	breakerCoolDown          = 10_000_000 // us for which a parent or the origin is ejected before its trial
-	cacheBreakerCoolDown     = 2_000_000  // us, for an edge cache: a trial risks one request; few caches can replace it
-	breakerCoolDownJitter    = 0.3        // maximum random extension: routers must not try a cold parent simultaneously
+	// breakerMinOutcomes is the minimum total weight of recent outcomes before a breaker may open.
+	breakerMinOutcomes = 3
+	// breakerMaxOutcomes is the number of latest outcomes that count. If a fault follows 8 successes, a parent is
+	// ejected after 4 failures and an edge cache after 6.
+	breakerMaxOutcomes = 8
+	// breakerFailureRatio is the fraction of failed outcomes at which a parent or the origin is ejected.
+	breakerFailureRatio = 0.5
+	// cacheBreakerFailureRatio is the fraction of failed outcomes at which an edge cache is ejected. If only half of
+	// the outcomes are failures, retries serve more requests than ejection.
+	cacheBreakerFailureRatio = 0.75
+	// breakerCoolDown is the time for which a parent or the origin is ejected before its trial, in microseconds.
+	breakerCoolDown = 10_000_000
+	// cacheBreakerCoolDown is the time for which an edge cache is ejected before its trial, in microseconds. It is
+	// short because a trial risks only one request, and few other caches can replace the ejected one.
+	cacheBreakerCoolDown = 2_000_000
+	// breakerCoolDownJitter is the maximum random extension of a cool-down, as a fraction of the cool-down. The
+	// extension prevents all routers from trying a cold parent simultaneously.
+	breakerCoolDownJitter = 0.3
 )
 
 // circuitBreaker is a failure-rate breaker. It is closed, then open until a time, then half-open: one trial at a time
@@ -34,7 +45,7 @@
 	return b.openUntil != 0 && (now < b.openUntil || b.isTrialInFlight)
 }
 
-// isReadyForTrial reports whether the breaker is half-open without a trial, so that the next request is its trial.
+// isReadyForTrial reports whether the breaker is half-open without a trial. The next request is then its trial.
 func (b *circuitBreaker) isReadyForTrial(now int64) bool {
 	return b.openUntil != 0 && now >= b.openUntil && !b.isTrialInFlight
 }
@@ -94,8 +105,9 @@
 	e.recordAtBreaker(req, ended, srv, breakerOutcome{weight: 1, failed: 1})
 }
 
-// recordSuccess counts a response of a server at its circuit breaker, and in the counts that show that the server is
-// responsive. weight is the probability that the server contributed to the response, above 0 and at most 1.
+// recordSuccess records a response of a server as a success at its circuit breaker, and adds it to answerCount and
+// recentAnswers, which show whether the server responds. weight is the probability that the server contributed to the
+// response, above 0 and at most 1.
 func (e *Engine) recordSuccess(req *request, ended *attempt, srv *server, weight float64) {
 	srv.answerCount += weight
 	srv.recentAnswers.add(e.now, rateWindow, weight)
@@ -115,9 +127,10 @@
 }
 
 // chargedServer returns the server that a failed attempt is charged to; nil: none. A time-out is charged to the edge
-// cache if the cache has answered no request since the attempt was sent. If it has, the time-out of a fill is charged
-// to the source if that has answered none. A time-out is charged to no server if the client gave up before a response
-// was due, so that clients with short timeouts do not eject healthy servers, or if the attempt was canceled as lost.
+// cache if the cache has answered no request since the attempt was sent. Otherwise, the time-out of a fill is charged
+// to the source if the source has answered no request since then. A time-out is not charged at all if the attempt was
+// canceled as lost. Neither is it charged if the client gave up before a response was due, because clients with short
+// timeouts must not eject healthy servers.
 func (e *Engine) chargedServer(req *request, ended *attempt, ev *Event) *server {
 	hasServerAnswered := ended.server.answerCount > ended.serverAnswersBefore
 	hasTimedOut := ev.Outcome == OutcomeTimedOut
--- a/routing/circuit_breaker_test.go
+++ b/routing/circuit_breaker_test.go
@@ -31,7 +31,7 @@
 	}
 	engine.now += breakerCoolDown * 2
 	action = engine.request("small", "y3")
-	// The client of the trial gives up: the next request is the trial.
+	// The client of the trial gives up. The next request must become the trial.
 	engine.step(Event{Kind: EventAborted, RequestID: action.RequestID})
 	if action = engine.request("small", "y4"); action.Source != "p0" {
 		t.Errorf("no new trial after an aborted one: source %q", action.Source)
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -8,28 +8,32 @@
 // Constants of concurrency limits. Those without a unit are ratios.
 const (
 	rateWindow              = 4_000_000 // us; time constant of averaged rates
-	defaultMissRatio        = 0.3       // of an edge cache that reports none, in cache statuses or load reports
-	initialLimit            = 16        // requests in flight at a new server; grows fast until the first reduction
-	initialLimitMargin      = 2         // requests added to each router's share, as about that many overlap by chance
+	defaultMissRatio        = 0.3       // fraction of misses assumed for an edge cache without a reported hit ratio
+	initialLimit            = 16        // requests in flight at a new server, of all routers; grows fast until reduced
+	initialLimitMargin      = 2         // requests added to each router's share; about that many overlap by chance
 	minLimit                = 0.05      // requests; a router with such a limit still sends one occasionally
-	limitDecreaseFactor     = 0.85      // applied at a late response, at most once per mean sending time
+	limitDecreaseFactor     = 0.85      // factor after a late response or rejection, at most once per mean sending time
 	maxReducedLimitMultiple = 2.0       // cap on a reduced limit, as a multiple of the router's share of the capacity
 
-	// limitGrowthPerRound is the growth of the limits at a server, in requests and summed over its routers, after each
-	// router has received as many responses as its limit. It is less for small responses, see limitGrowth.
+	// limitGrowthPerRound is the growth in one round, in requests, of the limits at a server, added up over its
+	// routers. In one round each router receives as many responses as its limit. Small responses cause less growth, see
+	// limitGrowth.
 	limitGrowthPerRound = 9
 
-	reservedLimitShare = 0.5       // of a limit, for the requests with the greatest weight per sending time
-	reservationDecay   = 1_000_000 // us; time constant with which a reservation for a group's recent use decays
+	reservedLimitShare = 0.5 // fraction of a limit for the requests with the greatest weight per sending time
+	// reservationDecay is the time constant, in microseconds, with which the capacity that is reserved for a group
+	// according to its recent use decays.
+	reservationDecay = 1_000_000
 
-	// A response is late if it takes longer than its sending time plus the first fraction of the time by which its
-	// objective exceeds its sending time. If its size is unknown, it is late past the second fraction of the whole
-	// objective, since large chunks take long to send.
+	// These fractions define when a response is late. A response of known size is late if it takes longer than its
+	// sending time plus lateObjectiveShare of the rest of its objective. A response of unknown size is late if it takes
+	// longer than lateObjectiveShareUnsized of its whole objective. The second fraction is greater, since large
+	// chunks take long to send.
 	lateObjectiveShare        = 0.5
 	lateObjectiveShareUnsized = 0.8
 
-	overloadedLinkUse     = 1.5    // ratio of the zone link's use to its capacity from which fills must be reduced
-	maxOriginWaitMultiple = 3      // a wait for the origin of up to this multiple of the minimum recent wait is usual
+	overloadedLinkUse     = 1.5    // use of the zone's link / its capacity, at and above which fills must be reduced
+	maxOriginWaitMultiple = 3      // a wait for the origin is usual up to this multiple of the minimum recent wait
 	minOriginWaitRise     = 0.0005 // relative rise of the minimum recent wait at each response
 )
 
@@ -42,8 +46,8 @@
 }
 
 // hasCapacity reports whether a server is below the concurrency limit that applies to a request. The fractional part of
-// a limit is the probability of one more request, so that hundreds of routers together stay within the sum of their
-// limits on average.
+// a limit is the probability that one more request is admitted. On average, hundreds of routers together then stay
+// within the sum of their limits.
 func (e *Engine) hasCapacity(req *request, srv *server) bool {
 	return e.hasCapacityWithin(req, srv, srv.concurrencyLimit)
 }
@@ -72,8 +76,8 @@
 
 // hasGroupCapacity reports whether an accounting group may have one more request in flight at a server that groups
 // share. Its own share of the limit is always available to it. Above that, it may borrow capacity that other groups do
-// not reserve. A group reserves the capacity that it used recently; if it has more in flight relative to its share than
-// this group, it reserves at most its share.
+// not reserve. Each other group reserves the capacity that it used recently. If it has more requests in flight,
+// relative to its share, than this group, it reserves at most its share.
 func (e *Engine) hasGroupCapacity(group int, srv *server, limit, draw float64) bool {
 	inFlight := float64(srv.usageOf(group).inFlight)
 	share := e.capacityShares[group]
@@ -123,13 +127,13 @@
 	return ev.CacheStatus == SourceRejected || ev.CacheStatus == CacheStatusUnknown && !e.reportsCacheStatus()
 }
 
-// isSourceWidelyShared reports whether so many routers share the source of a fill that a late fill, less its wait for
-// the origin, is evidence of load at the source and not at the edge cache.
+// isSourceWidelyShared reports whether more than initialLimit routers share the source of a fill. A fill that is late
+// even without its wait for the origin is then evidence of load at the source, and not at the edge cache.
 func (a *attempt) isSourceWidelyShared() bool {
 	return a.isFill && a.source.routers > initialLimit
 }
 
-// adjustServerLimit adjusts the limit at the server of an attempt, if that is a parent or an edge cache of this zone.
+// adjustServerLimit adjusts the limit at the server of an attempt, if it is a parent or an edge cache of this zone.
 // Direct attempts to the origin are not counted, since their response times reflect the load of the links.
 func (e *Engine) adjustServerLimit(req *request, ended *attempt, ev *Event, target float64, wasFillRejected bool) {
 	srv := ended.server
@@ -143,8 +147,8 @@
 	e.adjustLimit(req, ev, srv, 1, isRejected || isLate)
 }
 
-// adjustSourceLimit adjusts the limit at the source of a fill, if the fill is known to have reached the source, or may
-// have reached it because the attempt timed out or caches report no statuses.
+// adjustSourceLimit adjusts the limit at the source of a fill that is known to have reached the source. If the attempt
+// timed out or caches report no statuses, the fill may have reached the source, and the limit is adjusted too.
 func (e *Engine) adjustSourceLimit(req *request, ended *attempt, ev *Event, target float64, wasFillRejected bool) {
 	hasTimedOut := ev.Outcome == OutcomeTimedOut
 	isUnreported := e.settings.Hierarchy.CacheStatusReporting == CacheStatusUnreported
@@ -159,7 +163,7 @@
 	case ev.CacheStatus == FilledFromOrigin:
 		// The wait for a distant origin is not caused by the source. On a full link, however, fills must be reduced.
 		source.updateMinOriginWait(originWait(req, ended, ev))
-		if e.linkUseIndex < 0 { // no load reports on the link: a usual wait within the objective is not late
+		if e.linkUseIndex < 0 { // the link's use is not reported: a usual wait within the objective is not late
 			usual := e.sendTime(req) + maxOriginWaitMultiple*source.minOriginWait
 			target = max(target, min(usual, e.latencyObjective(req)))
 		} else if e.linkUse < overloadedLinkUse {
@@ -171,8 +175,8 @@
 	e.adjustLimit(req, ev, source, defaultMissRatio, wasFillRejected || isLate)
 }
 
-// updateMinOriginWait updates the minimum wait for the origin with a new one, in microseconds. The minimum rises slowly
-// until a wait is below it.
+// updateMinOriginWait updates the minimum recent wait for the origin with a new wait, in microseconds. Each call raises
+// the minimum by the fraction minOriginWaitRise, but not above the new wait.
 func (srv *server) updateMinOriginWait(wait float64) {
 	known := cmp.Or(srv.minOriginWait, wait)
 	srv.minOriginWait = min(known*(1+minOriginWaitRise), wait)
@@ -189,14 +193,14 @@
 }
 
 // adjustLimit adjusts a server's limit after a response or a failure. requestShare is the fraction of the requests
-// counted at the server that it actually serves. isOverloaded reports a late response or a rejection.
+// counted at the server that it actually serves. isOverloaded is true after a late response or a rejection.
 func (e *Engine) adjustLimit(req *request, ev *Event, srv *server, requestShare float64, isOverloaded bool) {
 	isInUse := float64(srv.inFlight+1) >= srv.concurrencyLimit/2
 	switch {
 	case !isInUse: // far below the limit, the response is no evidence for or against it
 	case isOverloaded && e.now-srv.limitReducedAt > int64(e.meanSendTime[req.class]):
 		e.reduceLimit(srv, requestShare)
-		if srv.role == roleParent && ev.Outcome != OutcomeTimedOut { // a time-out may be caused upstream of it
+		if srv.role == roleParent && ev.Outcome != OutcomeTimedOut { // a time-out may be caused upstream of the parent
 			e.emit(Action{Kind: ActionReportOverload, Server: srv.name})
 		}
 	case isOverloaded || ev.Outcome != OutcomeServed:
@@ -207,14 +211,16 @@
 	}
 }
 
-// limitGrowth returns the growth, in requests, of a limit that was reduced before. It is smaller the more routers share
-// the server, and the smaller the response, since small responses are on time even under load.
+// limitGrowth returns the growth, in requests, of a limit at a timely response, after the first reduction of the limit.
+// It is smaller if more routers share the server. It is also smaller for a smaller response, since small responses are
+// on time even under load.
 func (e *Engine) limitGrowth(req *request, srv *server) float64 {
 	return limitGrowthPerRound * e.sendTime(req) / slices.Max(e.meanSendTime) / (srv.concurrencyLimit * srv.routers)
 }
 
 // reduceLimit reduces a server's limit by limitDecreaseFactor, but not below minLimit. If the server's size is known,
-// the limit is at once capped by that size, because a router may see too few responses to get there step by step.
+// the limit is also capped at a multiple of this router's share of that size. A router may receive too few responses to
+// reach this cap step by step.
 func (e *Engine) reduceLimit(srv *server, requestShare float64) {
 	srv.concurrencyLimit = max(srv.concurrencyLimit*limitDecreaseFactor, minLimit)
 	srv.limitReducedAt = e.now
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A late response reduces the limit of a cache if the limit is in use. Without this an overload never ends, as every
+// A late response reduces the limit of a cache if the limit is in use. Otherwise an overload never ends, as every
 // router continues to send all its requests to the cache.
 func TestLateResponseReducesLimit(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
@@ -125,14 +125,14 @@
 // The sending time of a large chunk alone must not count as late. Otherwise each such response reduces the limits of
 // caches and parents until misses are rejected. In a fleet of hundreds of routers, a late fill is caused by load at its
 // source and must reduce only the source's limit. If it also reduced the cache's limit, requests would go to other
-// caches, which would fill the same objects again. With few routers the site's own link may be full, so that the
-// cache's limit must fall too. Otherwise too many fills are in flight.
+// caches, which would fill the same objects again. With few routers the cause may be a full link of the site. The
+// cache's limit must then fall too. Otherwise too many fills are in flight.
 func TestOnlyDelayBeyondSendingTimeReducesLimits(t *testing.T) {
 	for _, tc := range []struct {
 		routers       int
 		extra         int64
 		status        CacheStatus
-		cache, parent bool // whose limit is reduced
+		cache, parent bool // whether the limit of each is reduced
 	}{
 		{3, 500 * ms, FilledFromSource, false, false},
 		{3, 1400 * ms, FilledFromSource, true, true},
@@ -187,15 +187,16 @@
 	if idle, full := limit(190*ms, 0.4), limit(190*ms, 4); idle < 5 || full > 1 {
 		t.Errorf("parent limit %v with a distant origin, %v on a full link", idle, full)
 	}
-	// The minimum wait rises so slowly that it does not adapt to the waits of an overload. If it rose quickly, these
-	// would soon count as normal, and the overload would outlast its cause.
+	// The minimum wait rises so slowly that it does not adapt to the waits of an overload. If it rose quickly, long
+	// waits would soon count as normal, and the overload would outlast its cause.
 	if overloaded := limit(700*ms, 0.4); overloaded > 1 {
 		t.Errorf("parent limit %v after 300 late fills through the parent", overloaded)
 	}
 }
 
-// Without load reports on the link, the wait for an origin that is distant relative to the class's objective must not
-// count as overload of the source. Otherwise requests of a class with an objective of 180 ms are rejected at low load.
+// If no load report shows the use of the link, the usual wait for a distant origin must not count as overload of the
+// source, even if it is long compared with the class's objective. Otherwise requests of a class with an objective of
+// 180 ms are rejected at low load.
 // A usual wait within the objective is not late. A wait of several times the usual one is late, and so is a response
 // after the objective.
 func TestUsualOriginWaitOfUrgentClassIsNotLate(t *testing.T) {
@@ -232,8 +233,8 @@
 	}
 }
 
-// Without cache statuses, a rejection by the source cannot be told from a rejection by the cache. It must reduce the
-// limit of the source, not that of the cache.
+// Without cache statuses, a rejection by the source cannot be distinguished from a rejection by the cache. Any
+// rejection of a fill must reduce the limit of the source, and not the limit of the cache.
 func TestRejectedFillWithoutCacheStatusReducesSourceLimit(t *testing.T) {
 	settings := testSettings()
 	settings.Hierarchy.CacheStatusReporting = CacheStatusUnreported
@@ -279,8 +280,8 @@
 	}
 }
 
-// Requests for the largest objects, of classes with any weight, may use half of a server's limit, so that they are not
-// rejected altogether when capacity is short.
+// Requests for the largest objects, of classes with any weight, may use half of a server's limit. Otherwise all of them
+// would be rejected when capacity is short.
 func TestLargestRequestsMayUseHalfOfLimit(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	srv := engine.servers["c0"]
@@ -293,12 +294,12 @@
 		return srv.inFlight
 	}
 	smallest, largest := maxInFlight(1, 1), maxInFlight(0, 1e6)
-	if largest < smallest/2-1 { // 1: the random draw
+	if largest < smallest/2-1 { // minus 1 because of the random draw
 		t.Errorf("capacity for %d of the largest requests, for %d of the smallest", largest, smallest)
 	}
 }
 
-// An edge cache of another zone gets no uncacheable requests, so that no part of its limit is reserved for them. At an
+// An edge cache of another zone gets no uncacheable requests. No part of its limit may be reserved for them. At an
 // edge cache of this zone, part of the limit is reserved for the class with the greatest weight, which is uncacheable
 // here.
 func TestUncacheableClassReservesNoCapacityAtRemoteCaches(t *testing.T) {
@@ -321,9 +322,10 @@
 	}
 }
 
-// Each request makes one random draw against the limits of parents and origin, so that hundreds of routers, each with
-// capacity for less than one request, stay within the sum of their limits. A second draw, after a request found no
-// capacity and then no cached copy, would give the request two chances, so that more fills than the limit are sent.
+// Each request must be compared only once with the limits of parents and origin, by a random draw. Hundreds of routers,
+// each with capacity for less than one request, then stay within the sum of their limits. A second draw, after a
+// request found no capacity and then no cached copy, would give the request two chances, and the fills would exceed the
+// limit.
 func TestLimitsAreDrawnOncePerRequest(t *testing.T) {
 	const requests = 2000
 	engine := newTestEngine(t, testSettings(), 3, 1)
--- a/routing/decision_bench_test.go
+++ b/routing/decision_bench_test.go
@@ -129,7 +129,7 @@
 // BenchmarkDecisionWithManyCaches measures one request and its successful outcome with many caches in the zone, as in
 // fleets of 300 to 11,000 routers.
 func BenchmarkDecisionWithManyCaches(b *testing.B) {
-	const perSecond = 718 // assumed requests per second of one router, for the share of a core
+	const perSecond = 718 // assumed requests per second of one router; %core is the load at this rate
 	for _, caches := range []int{46, 155, 464, 1700} {
 		b.Run(fmt.Sprintf("caches=%d", caches), func(b *testing.B) {
 			engine, err := NewEngine(testSettings(), 1)
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -36,25 +36,25 @@
 
 	// Requests in flight.
 	inFlight         int           // attempts at the server, and fills from it
-	concurrencyLimit float64       // on inFlight; adapted by additive increase and multiplicative decrease
+	concurrencyLimit float64       // limit on inFlight; adapted by additive increase and multiplicative decrease
 	limitReducedAt   int64         // time of the last reduction of concurrencyLimit; 0: never
 	groupUsage       []*groupUsage // by accounting group, from 1; only at servers that groups share
 	breaker          circuitBreaker
 
 	// Slow start.
-	coldSends  []coldSend // within the last OverloadWindow, while it was cold
+	coldSends  []coldSend // work sent to it within the last OverloadWindow, while it was cold
 	coldDrawAt int64      // time at which coldDraw was drawn; valid for an OverloadWindow
 	coldDraw   float64    // 0 to 1; the budget check multiplies the first work sent in a window by it
 
 	// Learned from responses.
 	recentWork    decayingSum // work done for this router while warm
-	recentAnswers decayingSum // responses, and fills that came from it
-	answerCount   float64     // number of these since it was first listed
+	recentAnswers decayingSum // responses of the server, and fills from it
+	answerCount   float64     // number of responses and fills from it since it was first listed
 	missRatio     float64     // of an edge cache: fraction of requests that it fills
 	minOriginWait float64     // of a parent: minimum recent wait for the origin in fills through it; 0: unknown
 }
 
-// isSharedByGroups reports whether accounting groups share the server, so that each has a share of its limit.
+// isSharedByGroups reports whether accounting groups share the server and its concurrency limit.
 func (srv *server) isSharedByGroups() bool {
 	return srv.role == roleParent || srv.role == roleOrigin
 }
@@ -146,8 +146,8 @@
 	e.parentRanking = newRendezvousRanking(e.parents, e.hasServerWeights)
 }
 
-// Parents returns the names of all listed parents, and of those that this router ejects for requests of accounting
-// group 0. The breakers of other groups are not considered. Both lists are sorted.
+// Parents returns the sorted names of all listed parents, and the sorted names of the listed parents that this router
+// ejects for requests of accounting group 0. The breakers of other groups are not considered.
 func (e *Engine) Parents(now int64) (all, ejected []string) {
 	for _, srv := range e.servers {
 		if srv.role != roleParent || srv.isDelisted {
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -68,7 +68,7 @@
 			endpoint(fmt.Sprint("new", i), EndpointHealthy),
 		}})
 	}
-	if len(engine.servers) != 4 { // the last one, the parent, the origin, and c0 with its attempt
+	if len(engine.servers) != 4 { // the last edge cache, the parent, the origin, and c0 with its attempt
 		t.Errorf("%d servers kept, want 4: an attempt is in flight at a delisted server", len(engine.servers))
 	}
 	engine.step(outcomeEvent(pending, 0, OutcomeServed, CacheHit))
--- a/routing/engine.go
+++ b/routing/engine.go
@@ -80,7 +80,7 @@
 	recentRequestCount    int                     // sum of recentRequests
 	meanSendTime          []float64               // by class, from responses
 	meanRequestedSendTime map[string]*runningMean // by class name, from the sizes given in requests
-	tailMultiple          []float64               // by class: 98th percentile of response time, relative to the usual
+	tailMultiple          []float64               // by class: 98th percentile of response time / usual response time
 	peakWorkRates         [roleCount]float64      // by role: highest rate of work by one warm server for this router
 	linkUse               float64                 // use of the zone's link relative to its capacity, from load reports
 }
--- a/routing/estimates.go
+++ b/routing/estimates.go
@@ -2,12 +2,15 @@
 
 // Constants of the estimates of sizes and times.
 const (
-	meanSendTimeStep   = 0.02  // weight of one response in a mean sending time
-	baseObjectiveShare = 0.25  // fraction of the latency objective that a usual response needs besides its sending time
-	tailIncrease       = 0.2   // relative increase of the percentile estimate at a response above it
-	tailDecrease       = 0.004 // relative decrease at any other response: 98 of 100 responses stay below the estimate
-	linkUseStep        = 0.1   // weight of one load report in the use of the zone's link
-	minWeightDensity   = 1e-12 // above 0, since it is used as a divisor
+	meanSendTimeStep   = 0.02 // weight of one response in a mean sending time
+	baseObjectiveShare = 0.25 // fraction of the latency objective that a usual response needs besides its sending time
+
+	// tailIncrease and tailDecrease keep 98 of 100 responses below the percentile estimate.
+	tailIncrease = 0.2   // relative increase of the estimate at a response above it
+	tailDecrease = 0.004 // relative decrease of the estimate at any other response
+
+	linkUseStep      = 0.1   // weight of one load report in the use of the zone's link
+	minWeightDensity = 1e-12 // lower bound on a greatest weight density; above 0, since the density is a divisor
 )
 
 // hasSize reports whether the sending time of a response can be computed from the given size.
@@ -81,7 +84,7 @@
 }
 
 // maxWeightDensityAt returns the greatest weight density that applies at a server. Edge caches of other zones get no
-// uncacheable requests, so that only cacheable classes apply there.
+// uncacheable requests. Only cacheable classes count there.
 func (e *Engine) maxWeightDensityAt(srv *server) float64 {
 	if srv.role == roleRemoteCache {
 		return e.maxCacheableWeightDensity()
@@ -116,14 +119,15 @@
 	case ev.CacheStatus.IsFilled():
 		e.learnWork(ended.source, ended.work)
 	case ev.CacheStatus == CacheHit || ev.CacheStatus == JoinedFill || ev.CacheStatus == ServedStale:
-		e.recordColdSend(ended.source, -ended.work) // it never reached the source
+		e.recordColdSend(ended.source, -ended.work) // the fill never reached the source
 	case e.settings.Hierarchy.CacheStatusReporting == CacheStatusUnreported:
 		e.learnWork(ended.source, ended.work*ended.server.missRatio)
 	}
 }
 
-// learnSendTime updates the mean sending time of a class with a response. If the size is unknown, only responses of
-// lightly loaded edge caches count: under load, the mean would rise, and all objectives with it.
+// learnSendTime updates the mean sending time of a class with a response. If the size is unknown, a response counts
+// only if it was not filled from a source and its server is lightly loaded. Otherwise the mean would rise under load,
+// and all objectives with it.
 func (e *Engine) learnSendTime(req *request, ended *attempt, ev *Event) {
 	mean := &e.meanSendTime[req.class]
 	isLightlyLoaded := float64(ended.server.inFlight) < ended.server.concurrencyLimit/2
@@ -135,7 +139,8 @@
 	}
 }
 
-// learnWork counts work that a warm server has done. The peak rate of this work is the estimate of its capacity.
+// learnWork counts work that a warm server has done. The highest rate of such work at any server of a role is the
+// estimate of a server's capacity in this role.
 func (e *Engine) learnWork(srv *server, work float64) {
 	if srv.role == roleOrigin || e.isCold(srv) {
 		return
@@ -144,8 +149,8 @@
 	e.peakWorkRates[srv.role] = max(e.peakWorkRates[srv.role], srv.recentWork.rate(e.now, rateWindow))
 }
 
-// learnLoadReport updates the miss ratio and the link use from the load report of an edge cache, which may be absent or
-// short.
+// learnLoadReport updates the miss ratio and the link use from the load report of an edge cache. The report may be
+// absent or short.
 func (e *Engine) learnLoadReport(srv *server, report []float64) {
 	if srv.role != roleEdgeCache {
 		return
--- a/routing/events.go
+++ b/routing/events.go
@@ -11,10 +11,10 @@
 	EventRequest                               // a client's request: RequestID and all fields marked "request"
 	EventFirstByte                             // a streamed response began: RequestID, Attempt, Server, ResponseTime
 	EventOutcome                               // an attempt has ended: RequestID and all fields marked "outcome"
-	EventAborted                               // the client needs no answer any more: RequestID
+	EventAborted                               // the client needs no response any more: RequestID
 	EventTimer                                 // a timer has fired: TimerToken
 	EventProbed                                // a health check has ended: Outcome, Server, ResponseTime, LoadReport
-	EventPurge                                 // copies are invalid: Object ("": its group), PurgeGroup, PurgeAge
+	EventPurge                                 // a purge: Object ("": all of PurgeGroup), PurgeGroup, PurgeAge
 	EventSubset                                // a subset of servers: Subset and all fields marked "subset"
 	EventOriginFillBounds                      // bounds on fills: MaxPotentialOriginFills, MaxConfirmedOriginFills
 	EventParentOverloaded                      // routers of other sites report a parent as overloaded: Server
@@ -45,7 +45,7 @@
 	Class          string         // request: by name
 	Tenant         string         // request: by name; "": none
 	Object         string         // request, and of EventPurge
-	Server         string         // outcome: that of the attempt
+	Server         string         // outcome: the server of the attempt
 	UpdateMode     UpdateMode     // of EventEndpoints
 	Outcome        AttemptOutcome // outcome
 	Chunk          int64          // request: index of the object's chunk, from 0
@@ -58,11 +58,11 @@
 	UpstreamWait   int64          // outcome: how long Server waited for the fill's first byte or its failure
 	PurgeAge       int64          // of EventPurge: time since the purge was issued
 	MinVersionTime int64          // request: copies that left the origin before this time are invalid; 0: no bound
-	MaxAge         int64          // request: replaces the maximum age of a copy that the class allows, if greater
-	TimerToken     int64          // of EventTimer: that of ActionSetTimer
+	MaxAge         int64          // request: raises the maximum age of a copy, if greater than that of the class
+	TimerToken     int64          // of EventTimer: the token of its ActionSetTimer
 	IsWrite        bool           // request: it is a write; the engine does not use this field
 	IsClientRetry  bool           // request: the client retries an earlier request
-	IsFinal        bool           // outcome: no attempt may follow, as the request has its answer or needs none
+	IsFinal        bool           // outcome: no attempt may follow: the request has its response or needs none
 	Endpoints      []Endpoint     // of EventEndpoints
 	LoadReport     []float64      // outcome: by LoadReporting.Fields; often absent
 
@@ -71,8 +71,8 @@
 	// that no EventSubset has defined is empty. (Subset: request, subset; OverflowSubset: request)
 	Subset, OverflowSubset int
 	// ParentSubset is the number of the set of parents that are preferred for a request's fills. Other parents are
-	// used only if none of these is available. 0: no preference. A subset that no EventSubset has defined is empty:
-	// its fills go to the origin. (request)
+	// used only if none of these is available. 0: no preference. If no EventSubset has defined the subset, it is
+	// empty, and fills go to the origin. (request)
 	ParentSubset int
 	// AccountingGroup is the group that is charged for the load of a subset's requests on the servers that all groups
 	// share, which are the parents and the origin. Each group has its own circuit breakers there. CapacityShare is the
@@ -119,7 +119,7 @@
 const (
 	EndpointHealthy  EndpointStatus = "healthy"
 	EndpointDraining EndpointStatus = "cordoned"     // completes its requests and must not get new ones
-	EndpointRemoved  EndpointStatus = "deregistered" // only among changes
+	EndpointRemoved  EndpointStatus = "deregistered" // occurs only with UpdateChanges
 )
 
 // AttemptOutcome is how an attempt ended. The values are those of the wire protocol.
@@ -147,11 +147,11 @@
 	return true
 }
 
-// CacheStatus is how an edge cache obtained a response, or the reason why it has none, as reported by the cache. The
+// CacheStatus is how an edge cache obtained a response, or why it gave none, as reported by the cache. The
 // values are those of the wire protocol.
 type CacheStatus int
 
-// The cache statuses. SourceRejected and those after it are reasons for a missing response.
+// The cache statuses. SourceRejected and the statuses after it say why a cache gave no response.
 const (
 	CacheStatusUnknown CacheStatus = iota
 	CacheHit                       // found at the edge cache
@@ -179,5 +179,5 @@
 // IsFilled reports whether the response came through the source: from its own copy or from the origin.
 func (s CacheStatus) IsFilled() bool { return s == FilledFromSource || s == FilledFromOrigin }
 
-// IsFailure reports whether the status is a reason for a missing response.
+// IsFailure reports whether the status says why the cache gave no response.
 func (s CacheStatus) IsFailure() bool { return s >= SourceRejected }
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -9,10 +9,11 @@
 	clockMargin = 1_000
 )
 
-// maxAge returns the maximum age of a copy for a request, in microseconds; 0: no limit. It is the freshness lifetime
-// minus jitter or, for an attempt that accepts any cached copy, the lifetime plus its grace period, but at least the
-// request's MaxAge. For a class without a freshness lifetime there is no such limit, and MaxAge has no effect. In both
-// cases the result never exceeds the time since a purge or the request's MinVersionTime, as given by timeSinceChange.
+// maxAge returns the maximum age of a copy for a request, in microseconds; 0: no limit. If the class has a freshness
+// lifetime, the limit is this lifetime minus jitter. For an attempt that accepts any cached copy, it is instead the
+// lifetime plus the stale grace period. A greater MaxAge of the request raises either limit. If the class has no
+// freshness lifetime, there is no such limit, and MaxAge has no effect. With or without a freshness lifetime, the
+// result never exceeds the time since a purge or the request's MinVersionTime, as given by timeSinceChange.
 func (e *Engine) maxAge(req *request) (limit int64) {
 	if fresh := valueAt(e.settings.Hierarchy.FreshnessLifetime, req.class); fresh > 0 {
 		limit = fresh - int64(freshnessJitter*e.rng.Float64()*float64(fresh))
--- a/routing/handover.go
+++ b/routing/handover.go
@@ -143,7 +143,9 @@
 		}
 	}
 	e.originFills.restore(&state.OriginFills)
-	e.startedAt = beforeAnyStart // the work that was sent to cold servers before is known
+	// ColdSends includes the work that was sent to cold servers before this process started. knownHistoryShare must
+	// therefore be 1, unlike after a start without learned state.
+	e.startedAt = beforeAnyStart
 	for _, class := range state.Classes {
 		if i, known := e.classIndexes[class.Name]; known {
 			e.meanSendTime[i] = class.MeanSendTime
@@ -221,8 +223,9 @@
 	return nil
 }
 
-// problem describes the first value that could eject a server for too long or put an index out of range, starting with
-// the name of its field in the stored file, or of a group of fields. It returns "" if there is no such value.
+// problem returns a description of the first implausible value, or "" if there is none. Such a value could, for
+// example, eject a server for too long or put an index out of range. The description starts with the name, as in the
+// stored file, of the field or of a group of fields.
 func (s *ServerState) problem(now int64) string {
 	sums := []float64{s.ConcurrencyLimit, s.AnswerCount, s.RecentAnswers.Sum, s.RecentWork.Sum}
 	switch {
@@ -238,7 +241,7 @@
 	latest := max(s.LimitReducedAt, s.ColdDrawAt, s.RecentAnswers.UpdatedAt, s.RecentWork.UpdatedAt)
 	for _, send := range s.ColdSends {
 		latest = max(latest, send.SentAt)
-		if math.IsNaN(send.Work) || math.Abs(send.Work) > maxLearnedValue { // negative: canceled work
+		if math.IsNaN(send.Work) || math.Abs(send.Work) > maxLearnedValue { // negative Work cancels earlier work
 			return fmt.Sprintf("Spent: Work %v is out of range", send.Work)
 		}
 	}
--- a/routing/idempotency.go
+++ b/routing/idempotency.go
@@ -4,8 +4,8 @@
 	// deduplicationWindowShare is the fraction of a class's DeduplicationWindow within which a request with an
 	// idempotency key is retried.
 	deduplicationWindowShare = 0.9
-	// retryAfterObjectives is the minimum Retry-After of a rejection, in latency objectives. Even the maximum, twice
-	// that, is short enough that the response to a client's retry can still have its full weight.
+	// retryAfterObjectives is the minimum Retry-After of a rejection, in latency objectives. The maximum is twice
+	// the minimum. After either, the response to a client's retry can still have its full weight.
 	retryAfterObjectives = 0.12
 )
 
@@ -24,8 +24,9 @@
 	return min(window-(e.now-req.firstRunAt), untilDeadline)
 }
 
-// isInDeduplicationScope reports whether a request may be repeated at a server: the server drops repeats of an earlier
-// attempt that may have run, or no deduplication is needed.
+// isInDeduplicationScope reports whether deduplication allows a request to be sent to a server. It does in three cases:
+// no server may have run the request, the class is IdempotentRead, or the server drops repeats of the first attempt
+// that may have run.
 func (e *Engine) isInDeduplicationScope(req *request, srv *server) bool {
 	class := &e.settings.Classes[req.class]
 	first := req.firstRunServer
--- a/routing/invariants_test.go
+++ b/routing/invariants_test.go
@@ -52,7 +52,7 @@
 		all = append(all, settings.classSettings(i))
 	}
 	var classes []classSettings
-	first := rng.IntN(2 * len(all)) // index of the first class, which may be the only one
+	first := rng.IntN(2 * len(all)) // index, modulo len(all), of the first class; it may be the only class
 	kinds := []Idempotency{IdempotentRead, IdempotentKey, NotIdempotent}
 	idempotency := []Idempotency{"", IdempotentRead, IdempotentKey, "mixed"}[rng.IntN(4)]
 	for i := range []int{1, len(all), 12}[rng.IntN(3)] {
@@ -276,7 +276,7 @@
 
 // closeRequest checks a final answer and closes its request.
 func (r *randomRun) closeRequest(req *openRequest, action Action) {
-	if r.now > req.deadline+10*ms || req.inFlight { // a step every 10 ms
+	if r.now > req.deadline+10*ms || req.inFlight { // steps are 10 ms apart
 		r.t.Fatalf("seed %d: final answer after the deadline or with an attempt in flight: %+v", r.seed, action)
 	}
 	delete(r.open, action.RequestID)
--- a/routing/lost_responses.go
+++ b/routing/lost_responses.go
@@ -1,18 +1,24 @@
 package routing
 
 // Constants for the detection of attempts whose response will not arrive. A server is unresponsive if it answers no
-// request. A response is lost if only one attempt gets none while its edge cache answers others.
+// request. A response is lost if its attempt gets none while the edge cache answers other attempts.
 const (
-	unresponsiveMinAnswersDue = 8    // responses due without any received: unresponsive; by chance under 1 in 1000
-	unresponsiveMaxObjectives = 4    // latency objectives without a response: unresponsive, however few were due
-	unresponsiveCheckInterval = 0.5  // latency objectives between checks
-	minObjectiveDeadlineShare = 0.05 // lower bound on the objective in check intervals, as a fraction of the deadline
+	// unresponsiveMinAnswersDue is the number of responses that must be due, with none received, for a server to be
+	// unresponsive. By chance this happens with a probability of less than 1 in 1000.
+	unresponsiveMinAnswersDue = 8
+	// unresponsiveMaxObjectives is the time without a response, in latency objectives, after which a server is
+	// unresponsive, however few responses were due.
+	unresponsiveMaxObjectives = 4
+	unresponsiveCheckInterval = 0.5  // time between checks, in latency objectives
+	minObjectiveDeadlineShare = 0.05 // minimum latency objective for check intervals, as a fraction of the deadline
 
-	initialTailMultiple    = 4.0  // initial percentile estimate, as a multiple of the usual response time
-	lostTailMultiple       = 1.5  // multiple of the percentile estimate after which a first response is lost
-	lostMinAnswers         = 3    // responses of its edge cache since then; with fewer, other attempts may be affected
+	initialTailMultiple = 4.0 // initial percentile estimate, as a multiple of the usual response time
+	lostTailMultiple    = 1.5 // multiple of the percentile estimate after which a first attempt's response is lost
+	// lostMinAnswers is the number of responses that the edge cache must have given since an attempt was sent, for the
+	// response to that attempt to be lost. With fewer, other attempts may be affected too.
+	lostMinAnswers         = 3
 	cancelBudgetPerRequest = 0.03 // fraction of requests whose attempt may be canceled as lost, to bound retries
-	maxCancelBudget        = 5    // requests
+	maxCancelBudget        = 5    // maximum of the cancel budget, in requests
 )
 
 // watchAttempt sets the timer for the next check of the attempt in flight.
@@ -22,7 +28,7 @@
 	class := &e.settings.Classes[req.class]
 	objective := max(float64(class.LatencyObjective), minObjectiveDeadlineShare*float64(class.Deadline))
 	delay := unresponsiveCheckInterval * objective
-	if req.attempts == 1 { // a first attempt may be lost before its server is unresponsive
+	if req.attempts == 1 { // its response may be lost before its server is unresponsive
 		untilLost := e.lostAfter(req) - float64(e.now-req.current.sentAt)
 		if untilLost > 0 {
 			delay = min(delay, untilLost)
@@ -64,8 +70,9 @@
 	e.emit(Action{Kind: ActionCancel, RequestID: req.RequestID, Attempt: req.attempts - 1})
 }
 
-// isLost reports whether the response to a request's first attempt is probably lost: it is later than almost all recent
-// responses, while its edge cache has answered other requests.
+// isLost reports whether a request's first attempt may be canceled because its response is probably lost: the response
+// is later than almost all recent ones, while the edge cache has answered other requests. It returns false without
+// cancel budget, for a class other than IdempotentRead, and for a fill while fills from the origin are late.
 func (e *Engine) isLost(req *request) bool {
 	watched := &req.current
 	elapsed := float64(e.now - watched.sentAt)
@@ -78,7 +85,8 @@
 		watched.server.answerCount-watched.serverAnswersBefore >= lostMinAnswers
 }
 
-// lostAfter returns the time, in microseconds, after which the response to a first attempt is considered lost.
+// lostAfter returns the time since a first attempt was sent, in microseconds, after which its response is considered
+// lost.
 func (e *Engine) lostAfter(req *request) float64 {
 	return lostTailMultiple * e.tailMultiple[req.class] * e.usualResponseTime(req)
 }
--- a/routing/lost_responses_test.go
+++ b/routing/lost_responses_test.go
@@ -30,9 +30,9 @@
 	return token
 }
 
-// An attempt whose response is lost must be canceled once it is later than almost all others, or it uses up the time of
-// its request. A retry then usually finds the object at the same cache. Without responses to other requests, as under
-// overload, or without cancel budget, the attempt is not canceled.
+// An attempt whose response is lost must be canceled once the response is later than almost all others. Otherwise the
+// attempt uses up the time of its request. A retry usually finds the object at the same cache. Without responses to
+// other requests, as under overload, or without cancel budget, the attempt is not canceled.
 func TestLostResponseIsCanceled(t *testing.T) {
 	for _, tc := range []struct {
 		others int
--- a/routing/origin_fills.go
+++ b/routing/origin_fills.go
@@ -10,7 +10,7 @@
 	maxOriginFills = 1000
 
 	minOriginFills          = 1   // minimum limit, in fills in flight, needed to detect a recovery
-	originFillsGrowthFactor = 1.1 // growth of the limit at a timely response
+	originFillsGrowthFactor = 1.1 // factor by which a timely response raises the limit
 	originFillsGrowthStep   = 0.5 // additional growth, in fills: the limit recovers from 1 within a few responses
 )
 
@@ -21,9 +21,9 @@
 	e.originFills.concurrencyLimit = min(e.originFills.concurrencyLimit, e.maxPotentialOriginFills)
 }
 
-// mayFillFromOrigin reports whether a request's fill may go to the origin: within the learned limit on fills that may
-// reach it, and within the bounds set by EventOriginFillBounds. If fills known to reach the origin are bounded, a fill
-// is admitted only after a parent has reported that it has no copy.
+// mayFillFromOrigin reports whether a request's fill may go to the origin. The fill must be within the learned limit on
+// fills that may reach the origin, and within the bounds set by EventOriginFillBounds. If fills known to reach the
+// origin are bounded, a fill is admitted only after a parent has reported that it has no copy.
 func (e *Engine) mayFillFromOrigin(req *request) bool {
 	if !req.isMissConfirmed {
 		hasCapacity := e.hasCapacity(req, &e.originFills)
@@ -45,7 +45,7 @@
 	return float64(e.confirmedOriginFills)+e.rng.Float64() < limit
 }
 
-// isOriginTimeout reports whether an attempt timed out whose fill is known to reach the origin. The origin is then
+// isOriginTimeout reports whether an attempt timed out and its fill is known to reach the origin. The origin is then
 // considered the cause.
 func isOriginTimeout(req *request, ended *attempt, ev *Event) bool {
 	return ended.mayReachOrigin && req.isMissConfirmed && ev.Outcome == OutcomeTimedOut
@@ -75,7 +75,8 @@
 		return
 	}
 	if e.now-fills.limitReducedAt > int64(e.meanSendTime[req.class]) {
-		// The reduction starts from the number in flight: from the initial limit, dozens of reductions could be needed.
+		// The reduction starts from the fills in flight. From the initial limit, it could take dozens of reductions to
+		// have an effect.
 		used := min(fills.concurrencyLimit, float64(fills.inFlight+1))
 		fills.concurrencyLimit = max(used*min(target/wait, limitDecreaseFactor), minOriginFills)
 		fills.limitReducedAt = e.now
--- a/routing/origin_fills_test.go
+++ b/routing/origin_fills_test.go
@@ -15,7 +15,7 @@
 	return settings
 }
 
-// raiseLimits raises the concurrency limits of all servers, so that only the limit on origin fills has an effect.
+// raiseLimits raises the concurrency limits of all servers. Then only the limit on origin fills has an effect.
 func (engine *testEngine) raiseLimits() {
 	for _, srv := range engine.servers {
 		srv.concurrencyLimit = 1000
@@ -33,8 +33,8 @@
 }
 
 // Most fills in flight are hits at the parent and never reach the origin, but count against the limit on fills that may
-// reach it. A miss that a cached-only fill has confirmed is counted separately. Otherwise the limit is always reached,
-// and misses are rejected while the origin is idle.
+// reach it. A fill after a miss that a cached-only fill has confirmed is counted separately. Otherwise the limit is
+// always reached, and misses are rejected while the origin is idle.
 func TestConfirmedMissIsFetchedFromOrigin(t *testing.T) {
 	engine := newTestEngine(t, distantOriginSettings(), 2, 1)
 	engine.raiseLimits()
@@ -71,7 +71,7 @@
 	}
 }
 
-// After a confirmed miss, a copy within its stale grace period is tried before an origin fill, if the class has one.
+// After a confirmed miss, a copy within its stale grace period is tried before a fill from the origin.
 func TestConfirmedMissTriesCachedCopyFirst(t *testing.T) {
 	engine := newTestEngine(t, distantOriginSettings(), 2, 1)
 	engine.originFills.concurrencyLimit = 0.01
@@ -174,7 +174,7 @@
 				inFlight++
 				break
 			}
-			// A cached-only fill, or an attempt for any cached copy, that finds no copy.
+			// This is a cached-only fill or an attempt for any cached copy. It finds no copy.
 			action = engine.stepOne(outcomeEvent(action, attempt, OutcomeMiss, SourceMissed))
 		}
 	}
@@ -182,8 +182,8 @@
 }
 
 // MaxPotentialOriginFills bounds all fills that may reach the origin, including confirmed ones, which are counted
-// separately. If confirmed fills did not count, many requests for new objects could cause twice the bound of fills at
-// the origin and slow it down for all cells.
+// separately. If confirmed fills did not count, many requests for new objects could cause twice as many fills as the
+// bound, and slow down the origin for all cells.
 func TestConfirmedFillsCountTowardsBoundOnAllFills(t *testing.T) {
 	engine := newOriginLimitEngine(t, 8)
 	if inFlight := engine.requestNewObjects(1, 100, "l"); inFlight < 6 || inFlight > 8 {
@@ -191,7 +191,8 @@
 	}
 }
 
-// One group uses the whole bound with confirmed fills. The share of the other group must still be available to it.
+// One group uses the whole origin limit with confirmed fills. The share of the other group must still be available to
+// it.
 func TestConfirmedFillsLeaveOtherGroupsTheirShare(t *testing.T) {
 	engine := newOriginLimitEngine(t, 8)
 	engine.requestNewObjects(1, 100, "l")
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -1,7 +1,7 @@
 package routing
 
-// maxUnexplainedErrors is the number of edge caches that give an error without a reason after which the request itself
-// is considered faulty.
+// maxUnexplainedErrors is the number of edge caches that must return an error without a reason for the request itself
+// to be considered faulty.
 const maxUnexplainedErrors = 2
 
 // attemptEnded processes the outcome of an attempt: it adjusts limits and circuit breakers, and then retries the
@@ -48,8 +48,8 @@
 	decisionFail                        // no retry: the request itself is at fault
 )
 
-// prepareRetry decides whether another attempt follows a failed one. It stores in the request where the attempt may go:
-// to the same edge cache with another source or for any cached copy, or to another edge cache.
+// prepareRetry decides whether another attempt follows a failed one. It stores in the request where the retry may go.
+// This is the same edge cache with another source, the same edge cache for any cached copy, or another server.
 func (e *Engine) prepareRetry(req *request, ended *attempt, ev *Event, charged *server) retryDecision {
 	switch {
 	case len(req.unexplainedErrorCaches) >= maxUnexplainedErrors:
@@ -72,9 +72,9 @@
 	return decisionRetry
 }
 
-// decideAfterCachedCopy decides what follows a failed attempt for any cached copy: another attempt, with a source. The
-// request is rejected if no source has failed or reported a miss, and either this was not its first attempt or
-// isAnyParentFull is set.
+// decideAfterCachedCopy decides what follows a failed attempt that accepted any cached copy. Normally this is a retry
+// that may fill from a source. If no source has failed or reported a miss, the request is rejected instead in two
+// cases: the failed attempt was not the first, or isAnyParentFull is set.
 func (e *Engine) decideAfterCachedCopy(req *request, ended *attempt, ev *Event) retryDecision {
 	req.isCachedCopyOnly = false
 	req.cachedCopyMissed = true
@@ -96,8 +96,8 @@
 	return isCachedOnly && ev.CacheStatus == SourceMissed && !req.isMissConfirmed
 }
 
-// hasFillFailed reports whether the fill, and not the edge cache, is the cause of a failure, so that the same cache may
-// be tried again.
+// hasFillFailed reports whether the fill, and not the edge cache, is the cause of a failure. The same cache may then be
+// tried again.
 func (e *Engine) hasFillFailed(ended *attempt, ev *Event, charged *server) bool {
 	if !ended.isFill || ended.server.role != roleEdgeCache {
 		return false
--- a/routing/purges.go
+++ b/routing/purges.go
@@ -33,7 +33,7 @@
 func (h *purgeHeap) Pop() any {
 	last := len(*h) - 1
 	purge := (*h)[last]
-	(*h)[last] = datedPurge{} // so that its strings can be garbage-collected
+	(*h)[last] = datedPurge{} // releases its strings for garbage collection
 	*h = (*h)[:last]
 	return purge
 }
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -123,7 +123,7 @@
 	})
 }
 
-// Purges are deleted after their retention, so that memory does not grow: at most those within the retention are kept.
+// Purges must be deleted after their retention. Otherwise memory grows. Only those within the retention are kept.
 func TestPurgesAreDeletedAfterRetention(t *testing.T) {
 	engine, err := NewEngine(testSettings(), 1)
 	if err != nil {
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Rendezvous hashing (highest random weight): the servers are ordered by a hash of the key and their name, so that all
-// routers use the same order, and the removal of a server moves only its own keys. Ordering hundreds of servers costs
+// Rendezvous hashing (highest random weight) orders the servers by a hash of the key and the server's name. All routers
+// therefore use the same order, and the removal of a server moves only its own keys. Ordering hundreds of servers costs
 // more than the rest of a decision. A rendezvousRanking therefore precomputes everything that does not depend on the
-// key, and returns the servers one by one, since more than the first two are rarely needed. The order is the same as
-// that of sorting all servers by score; a test compares the two.
+// key. It returns the servers one by one, since more than the first two are rarely needed. The order is the same as if
+// all servers were sorted by score; a test compares the two.
 
 // The constants of FNV-1a with 64 bits.
 const (
@@ -28,7 +28,7 @@
 	// maxReturnedUnsorted is the number of servers that next finds without sorting the list. For any further server,
 	// sorting costs less.
 	maxReturnedUnsorted = 6
-	// boundMargin keeps a lower bound below its score despite rounding errors.
+	// boundMargin is a factor that keeps lower bounds below the scores despite rounding errors.
 	boundMargin = 1 - 1e-9
 )
 
@@ -48,13 +48,13 @@
 
 	// For the current key.
 	hashes        []uint64   // by server; among equal weights the greatest hash is first in the order
-	bestIndex     int        // index of the first server by lower bound
-	secondIndex   int        // index of the second server by lower bound; -1: there is none
-	nextBounds    [2]float64 // with weights: the lower bounds of the second and the third server
+	bestIndex     int        // index of the server with the lowest bound
+	secondIndex   int        // index of the server with the second lowest bound; -1: there is none
+	nextBounds    [2]float64 // with weights: the second and the third lowest bound
 	sorted        []int32    // the whole order; empty until it is needed
 	returnedCount int        // number of servers that next has returned
 	lastIndex     int        // index of the last server returned
-	lastScore     float64    // its score, with weights
+	lastScore     float64    // with weights: the score of the last server returned
 }
 
 // newRendezvousRanking returns a ranking of a list of servers. The list, names and weights must not change afterwards.
@@ -204,8 +204,8 @@
 	k.nextBounds = [2]float64{second, third}
 }
 
-// lowerBound returns a lower bound on a server's score, the distance of its hash from the greatest possible hash
-// multiplied by boundFactor, as -log(u) is never less than 1-u.
+// lowerBound returns a lower bound on a server's score: the distance of its hash from the greatest possible hash,
+// multiplied by boundFactor. This is a lower bound because -log(u) is never less than 1-u.
 func lowerBound(hash uint64, boundFactor float64) float64 {
 	return float64(int64(1<<hashBits-1-hash)) * boundFactor
 }
@@ -286,8 +286,9 @@
 	return found
 }
 
-// bestOfBounds returns the next server by score among the two with the lowest bounds, with its score. In most cases no
-// other server needs a logarithm. found is -1 if both are already returned or precede the last score.
+// bestOfBounds considers only the two servers with the lowest bounds. It returns the index and the score of the one
+// that is next by score. Usually the bounds exclude all other servers, and no other logarithm is computed. found is -1
+// if neither has a score above lastScore.
 func (k *rendezvousRanking) bestOfBounds() (found int, least float64) {
 	found, least = -1, math.Inf(1)
 	for _, i := range [...]int{k.bestIndex, k.secondIndex} {
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -16,11 +16,11 @@
 	chunkKey        string // object and chunk number: the unit of caching and filling
 	deadline        int64
 	expectedWork    float64 // mean sending time of its class at its arrival, in microseconds
-	isOverQuota     bool    // its tenant exceeds its quota
+	isOverQuota     bool    // its tenant was over its quota when the request arrived
 
 	// Attempts.
 	attempts          int // sent so far
-	maxAttempts       int // the limit at the request's arrival
+	maxAttempts       int // Permissions.MaxAttempts at the request's arrival
 	inFlight          bool
 	isResponseStarted bool    // the response has begun to stream to the client
 	current           attempt // the attempt in flight, or the last one
@@ -31,14 +31,14 @@
 
 	// For the next attempt.
 	retryCache             *server   // the edge cache whose fill failed and which is tried again
-	isCachedCopyOnly       bool      // the attempt accepts any cached copy, without a fill
+	isCachedCopyOnly       bool      // the next attempt accepts any cached copy, without a fill
 	triedCachedCopy        bool      // an attempt for any cached copy has been sent
 	cachedCopyMissed       bool      // the last attempt was for any cached copy, and failed
 	isMissConfirmed        bool      // a source reported that it has no copy: the next fill reaches the origin
-	isAnyParentFull        bool      // at the last selection a parent was full or cold, or there was none
+	isAnyParentFull        bool      // as returned by the last call of selectParent
 	failedCaches           []*server // edge caches at which this request failed
-	failedSources          []*server // sources at which it failed
-	unexplainedErrorCaches []*server // caches that gave an error without a reason; charged when another cache serves it
+	failedSources          []*server // sources at which this request failed
+	unexplainedErrorCaches []*server // gave an error without a reason; charged once another cache serves the request
 }
 
 // attempt is one attempt of a request.
@@ -57,7 +57,7 @@
 	serverAnswersBefore float64 // answerCount of server when the attempt was sent
 	sourceAnswersBefore float64 // answerCount of source when the attempt was sent
 
-	foundUnresponsive bool // its server or source was found unresponsive; canceled only if that is permitted
+	foundUnresponsive bool // its server or source was unresponsive; the attempt is canceled only if permitted
 	isCanceledAsLost  bool // canceled because other requests got their responses in the meantime
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// closeRequest removes a request that is answered or needs no answer.
+// closeRequest removes a request that has its final answer or needs none.
 func (e *Engine) closeRequest(id string) {
 	e.releaseAttempt(e.requests[id])
 	delete(e.requests, id)
@@ -197,7 +197,8 @@
 	req.inFlight = false
 	last := &req.current
 	e.addInFlight(last.server, req.accountingGroup, -1)
-	for _, breaker := range last.trials { // if it ended without an outcome, another attempt may be the trial
+	// The trials are over even if the attempt ended without an outcome. The next attempt may be the trial.
+	for _, breaker := range last.trials {
 		breaker.isTrialInFlight = false
 	}
 	if last.isFill {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -5,10 +5,11 @@
 const (
 	// hotObjectShare is the fraction of an average cache's requests above which an object is hot.
 	hotObjectShare = 0.25
-	// maxUncacheableAttempts limits the attempts of an uncacheable request. Rejections arrive without delay, so that
-	// its retries would follow each other immediately.
+	// maxUncacheableAttempts limits the attempts of an uncacheable request. Rejections arrive without delay,
+	// and the retries after them follow each other immediately.
 	maxUncacheableAttempts = 3
-	// retentionRank is the rank of all copies. As all have the same, the least recently used one is evicted first.
+	// retentionRank is the rank of all copies. As all have the same rank, the least recently used copy is evicted
+	// first.
 	retentionRank = 1
 )
 
@@ -52,9 +53,10 @@
 	return valueAt(e.settings.Hierarchy.Uncacheable, req.class)
 }
 
-// cacheForAttempt returns the edge cache of the next attempt: the one whose fill failed, otherwise one of the request's
-// subset or, if none is available, of its overflow subset. If it returns nil, isFull reports whether a cache of the
-// subset was skipped only because of its concurrency limit.
+// cacheForAttempt returns the edge cache of the next attempt. If a fill failed and its edge cache is still eligible,
+// this cache is returned. Otherwise it is a cache of the request's subset or, if none is available there, of the
+// overflow subset. If no cache is returned, isFull reports whether a cache of the request's subset was skipped only
+// because of its concurrency limit.
 func (e *Engine) cacheForAttempt(req *request) (cache *server, isFull bool) {
 	if req.retryCache != nil && e.isEligible(req, req.retryCache) {
 		return req.retryCache, false
@@ -136,8 +138,10 @@
 	if source != nil {
 		return source, flags
 	}
-	// The origin gets fills, within its limit, if all parents are full or cold, or if they are ejected and no cached
-	// copy was found.
+	// No parent can be used. The origin gets the fill, within its limit, in each of these cases:
+	//   - a parent was full or cold, or there are no preferred parents
+	//   - a source has failed for this request
+	//   - the first attempt accepted any cached copy, and found none
 	mayBypassParents := isAnyParentFull || len(req.failedSources) > 0 || req.triedCachedCopy && req.attempts == 1
 	if mayBypassParents && !isOriginUnavailable && e.hasCapacity(req, e.origin) &&
 		!slices.Contains(req.failedSources, e.origin) {
@@ -151,9 +155,10 @@
 	return e.origin != nil && !e.origin.breakerFor(req.accountingGroup).isOpen(e.now)
 }
 
-// selectParent selects a parent with capacity for a request, first from its parent subset, then from all parents.
-// isAnyParentFull, which is also stored in the request, reports whether a parent was at its concurrency limit or cold
-// budget, or there was no parent to prefer.
+// selectParent selects a parent with capacity for a request. The preferred parents are the usable parents of its parent
+// subset or, without a parent subset, all usable parents. If there are preferred parents but none has capacity, a
+// parent outside the subset may be selected. isAnyParentFull, which is also stored in the request, reports whether a
+// parent was at its concurrency limit or cold budget, or there are no preferred parents.
 func (e *Engine) selectParent(req *request) (selected *server, isAnyParentFull bool) {
 	preferred := e.parentRanking
 	if req.ParentSubset != 0 {
@@ -171,7 +176,7 @@
 }
 
 // firstParentWithCapacity selects the first usable parent in the rendezvous order of a request's object. isAnyFull
-// reports whether a parent before it was at its concurrency limit or cold budget.
+// reports whether a parent earlier in this order was at its concurrency limit or cold budget.
 func (e *Engine) firstParentWithCapacity(req *request, ranking *rendezvousRanking) (selected *server, isAnyFull bool) {
 	ranking.setKey(req.Object)
 	for srv := ranking.next(); srv != nil; srv = ranking.next() {
@@ -186,8 +191,9 @@
 	return nil, isAnyFull
 }
 
-// rejectOrFetchDirect handles a request for which no edge cache is available. The request is sent directly to the
-// source if the deployment allows that, no cache was full and the request has no subset. Otherwise it is rejected.
+// rejectOrFetchDirect handles a request for which no edge cache is available. The request is sent directly to its
+// source if there is one, the deployment and the deduplication scope allow that, no cache was full and the request has
+// no subset. Otherwise the request is rejected, or fails if a retry by the client is not safe.
 func (e *Engine) rejectOrFetchDirect(req *request, isFull bool) {
 	source, flags := e.selectFillSource(req)
 	mayFetchDirect := e.settings.Hierarchy.AllowsDirectFetch && e.origin != nil && req.Subset == 0
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -154,7 +154,7 @@
 }
 
 // Fills of a full parent go to the next parent first, and to the origin only if all parents are full. If hundreds of
-// routers sent them to the origin directly, they would overload it and delay uncacheable requests.
+// routers sent these fills to the origin directly, the origin would be overloaded, and uncacheable requests delayed.
 func TestFullParentFallsBackToNextParentThenOrigin(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 2)
 	first := engine.request("small", "x").Source
@@ -171,7 +171,7 @@
 	}
 }
 
-// If all parents are ejected or drained, a miss is filled from the origin after no cached copy was found. Otherwise
+// If all parents are ejected or drained, a miss is filled from the origin once no cached copy was found. Otherwise
 // misses are rejected for the cool-down of ten seconds while the origin is idle.
 func TestMissIsFilledFromOriginWhileParentsAreEjected(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -8,21 +8,22 @@
 // Settings is the configuration of one router, set at its start and replaced at each change. The JSON tags are the
 // names in the wire protocol. All times are in microseconds.
 type Settings struct {
-	Classes       []Class        `json:"Classes"`
-	Discovery     DiscoveryMode  `json:"Discovery"`
-	Hierarchy     CacheHierarchy `json:"Extra"`
-	Guarantees    Guarantees     `json:"Guarantees"`
-	Kinds         []string       `json:"Kinds"` // of servers; Hierarchy holds the indexes of parents and the origin
-	Permissions   Permissions    `json:"Permissions"`
-	Penalties     Penalties      `json:"Prices"`
-	LoadReporting LoadReporting  `json:"Report"`
-	FleetSize     int            `json:"Siblings"` // number of routers that share the servers
-	Tenants       []Tenant       `json:"Tenants"`
-	WeightSource  WeightSource   `json:"WeightSource"`
-	Zone          string         `json:"Zone"` // of this router, and of its edge caches unless a subset lists others
-	Zones         []string       `json:"Zones"`
-
-	// OverQuotaWeightFactor is the priority weight of a request above its tenant's quota, as a fraction of its class's.
+	Classes    []Class        `json:"Classes"`
+	Discovery  DiscoveryMode  `json:"Discovery"`
+	Hierarchy  CacheHierarchy `json:"Extra"`
+	Guarantees Guarantees     `json:"Guarantees"`
+	// Kinds holds the kinds of servers. Hierarchy holds the indexes of two of them: the parents and the origin.
+	Kinds         []string      `json:"Kinds"`
+	Permissions   Permissions   `json:"Permissions"`
+	Penalties     Penalties     `json:"Prices"`
+	LoadReporting LoadReporting `json:"Report"`
+	FleetSize     int           `json:"Siblings"` // number of routers that share the servers
+	Tenants       []Tenant      `json:"Tenants"`
+	WeightSource  WeightSource  `json:"WeightSource"`
+	Zone          string        `json:"Zone"` // of this router, and of its edge caches unless a subset lists others
+	Zones         []string      `json:"Zones"`
+
+	// OverQuotaWeightFactor is the priority weight of a request above its tenant's quota, as a fraction of the class's.
 	OverQuotaWeightFactor float64 `json:"OverShareWorth"`
 }
 
@@ -46,38 +47,44 @@
 // CacheHierarchy describes the edge caches, parents and origin. Slices are indexed by class or, if the name contains
 // Zone, by zone. Missing elements count as zero.
 type CacheHierarchy struct {
-	FreshnessLifetime     []int64              `json:"FreshFor"`   // 0: copies don't age
-	StaleGracePeriod      []int64              `json:"GraceFor"`   // extra age at which a copy may still be served
-	PurgeGracePeriod      int64                `json:"HeedWithin"` // time within which a purge must take effect
-	OriginKind            int                  `json:"MasterKind"` // index in Settings.Kinds
-	Chunked               []bool               `json:"MultiPart"`  // clients request an object's chunks one by one
-	PeerSources           PeerSources          `json:"Neighbours"`
-	CacheStatusReporting  CacheStatusReporting `json:"NotesGiven"`
-	ResponseKBPerSecond   float64              `json:"PaceKbPerS"`    // maximum rate at which one response is sent
-	ParentInitialCapacity float64              `json:"ParentFloor"`   // minimum fraction that a parent starts with
-	ParentWarmUpTime      int64                `json:"ParentWarmsIn"` // from a parent's start to its full capacity
-	Uncacheable           []bool               `json:"PassOn"`        // requests run at the origin and leave no copy
-	PurgePropagationTime  int64                `json:"PurgeTakes"`    // from a purge until no cache holds an older copy
-	RoutersByZone         []int                `json:"SeatsByZone"`
-	CollapsesFills        bool                 `json:"SharesFills"`  // a request may wait for a fill in progress
-	ParentKind            int                  `json:"ShieldKind"`   // index in Settings.Kinds; -1: no parents
-	StaleWeightFactor     []float64            `json:"StaleEarns"`   // fraction of the weight for a stale response
-	AllowsDirectFetch     bool                 `json:"Straight"`     // parents and the origin accept attempts directly
-	TransitPenalty        float64              `json:"TransitPrice"` // as in Penalties; the engine does not use it
+	FreshnessLifetime []int64 `json:"FreshFor"` // 0: copies don't age
+	// StaleGracePeriod is the time after the freshness lifetime in which a copy may still be served.
+	StaleGracePeriod     []int64              `json:"GraceFor"`
+	PurgeGracePeriod     int64                `json:"HeedWithin"` // time within which a purge must take effect
+	OriginKind           int                  `json:"MasterKind"` // index in Settings.Kinds
+	Chunked              []bool               `json:"MultiPart"`  // clients request an object's chunks one by one
+	PeerSources          PeerSources          `json:"Neighbours"`
+	CacheStatusReporting CacheStatusReporting `json:"NotesGiven"`
+	ResponseKBPerSecond  float64              `json:"PaceKbPerS"` // maximum rate at which one response is sent
+	// ParentInitialCapacity is the fraction of its full capacity that a parent has at its start, at least.
+	ParentInitialCapacity float64   `json:"ParentFloor"`
+	ParentWarmUpTime      int64     `json:"ParentWarmsIn"` // from a parent's start to its full capacity
+	Uncacheable           []bool    `json:"PassOn"`        // requests run at the origin and leave no copy
+	PurgePropagationTime  int64     `json:"PurgeTakes"`    // from a purge until no cache holds an older copy
+	RoutersByZone         []int     `json:"SeatsByZone"`
+	CollapsesFills        bool      `json:"SharesFills"`  // a request may wait for a fill in progress
+	ParentKind            int       `json:"ShieldKind"`   // index in Settings.Kinds; -1: no parents
+	StaleWeightFactor     []float64 `json:"StaleEarns"`   // fraction of the weight for a stale response
+	AllowsDirectFetch     bool      `json:"Straight"`     // parents and the origin accept attempts directly
+	TransitPenalty        float64   `json:"TransitPrice"` // as in Penalties; the engine does not use it
 	// ParentOverloadMultiple replaces Guarantees.OverloadMultiple for parents.
 	ParentOverloadMultiple float64   `json:"UpperFallMultiple"`
-	ZoneLinkKBPerSecond    []float64 `json:"ZoneLinkKbPerS"` // of the link into each zone; 0: unknown
+	ZoneLinkKBPerSecond    []float64 `json:"ZoneLinkKbPerS"` // capacity of the link into each zone; 0: unknown
 }
 
 // Guarantees holds the limits that every router must observe.
 type Guarantees struct {
-	MaxResubscribeDelay int64   `json:"AskWithin"`         // time within which a lost subscription must be renewed
-	WarmUpTime          int64   `json:"Cold"`              // from a server's start to its full capacity
-	InitialCapacity     float64 `json:"ColdFrom"`          // minimum fraction of capacity that a server starts with
-	OverloadWindow      int64   `json:"Fall"`              // a server that is overloaded for this long fails
-	AnswerGracePeriod   int64   `json:"GraceToAnswer"`     // after the client's deadline; an answer still counts
-	DrainGracePeriod    int64   `json:"StopSendingWithin"` // after it a draining server must get no more requests
-	OverloadMultiple    float64 `json:"TipMultiple"`       // of its present capacity; above it a server is overloaded
+	MaxResubscribeDelay int64 `json:"AskWithin"` // time within which a lost subscription must be renewed
+	WarmUpTime          int64 `json:"Cold"`      // from a server's start to its full capacity
+	// InitialCapacity is the fraction of its full capacity that a server has at its start, at least.
+	InitialCapacity float64 `json:"ColdFrom"`
+	OverloadWindow  int64   `json:"Fall"` // a server that is overloaded for this long fails
+	// AnswerGracePeriod is the time after the client's deadline within which a response still counts.
+	AnswerGracePeriod int64 `json:"GraceToAnswer"`
+	// DrainGracePeriod is the time after which a draining server must get no more requests.
+	DrainGracePeriod int64 `json:"StopSendingWithin"`
+	// OverloadMultiple is the multiple of a server's present capacity above which the server is overloaded.
+	OverloadMultiple float64 `json:"TipMultiple"`
 }
 
 // Permissions holds the actions that the deployment allows a router, and their limits.
@@ -297,10 +304,10 @@
 }
 
 // UpdateSettings applies new settings to all requests that arrive from now on. Open requests keep the settings of their
-// class and their maximum number of attempts: the table of classes holds the new classes first, followed by each old
-// class that an open request still uses. Learned values of a class are carried over to the new class of the same name.
-// Zone, Zones, Kinds, OriginKind and ParentKind keep their initial values. If the settings are invalid, the error is a
-// *SettingsError and nothing changes.
+// class and their maximum number of attempts. For this, the table of classes holds the new classes, followed by each
+// old class that an open request still uses. Learned values of a class are carried over to the new class of the same
+// name. Zone, Zones, Kinds, OriginKind and ParentKind keep their initial values. If the settings are invalid, the error
+// is a *SettingsError and nothing changes.
 func (e *Engine) UpdateSettings(settings Settings) error {
 	settings.Zone = e.settings.Zone
 	settings.Zones = e.settings.Zones
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// coldBudgetShare is the fraction of a cold server's budget that is used, as the work per request varies and estimates
-// are imprecise.
+// coldBudgetShare is the fraction of a cold server's budget that is used. It is less than 1, because the work per
+// request varies and estimates are imprecise.
 const coldBudgetShare = 0.6
 
 // coldSend is work that was sent to a cold server.
@@ -32,9 +32,9 @@
 	return e.now-srv.startedAt < warmUpTime+e.settings.Guarantees.OverloadWindow
 }
 
-// fitsColdBudget reports whether a server may be sent the given work now. This is so if the server is warm, or if this
-// work and the work that this router sent it in the last OverloadWindow are within the router's share of the capacity
-// that the server had at the start of that window.
+// fitsColdBudget reports whether a server may be sent the given work now. A warm server always may. For a cold server,
+// the sum of this work and the work that this router sent it in the last OverloadWindow must be within coldBudget,
+// which depends on the capacity that the server had at the start of that window.
 func (e *Engine) fitsColdBudget(srv *server, work float64) bool {
 	if !e.isCold(srv) {
 		return true
@@ -50,7 +50,7 @@
 		sent += s.work
 	}
 	// The share of one router among hundreds is less than a request. The random draw admits a first request at only
-	// some of the routers, so that the sum stays within the budget.
+	// some of the routers. The sum over all routers then stays within the budget.
 	if sent <= 0 {
 		work *= srv.coldDraw
 	}
@@ -73,7 +73,7 @@
 }
 
 // knownHistoryShare returns the fraction of the last OverloadWindow for which this process knows what this router sent
-// to a server. The previous process may have sent the whole budget just before it ended.
+// to a server. The router's previous process may have sent the whole budget just before it ended.
 func (e *Engine) knownHistoryShare(srv *server) float64 {
 	if srv.startedAt >= e.startedAt {
 		return 1
@@ -82,7 +82,8 @@
 	return min(known/float64(max(e.settings.Guarantees.OverloadWindow, 1)), 1)
 }
 
-// recordColdSend counts work sent to a server if the server is cold. Negative work cancels work that never reached it.
+// recordColdSend counts work sent to a server if the server is cold. Negative work cancels work that never reached the
+// server.
 func (e *Engine) recordColdSend(srv *server, work float64) {
 	if e.isCold(srv) {
 		srv.coldSends = append(srv.coldSends, coldSend{e.now, work})
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -155,7 +155,7 @@
 }
 
 // checkBudget reports an error if there are no requests, or for the first window with more requests than its budget.
-// The budget is computed for the start of the window, with a tolerance for random variation.
+// The budget is computed from the cache's capacity at the start of the window, plus a tolerance for random variation.
 func (f coldFleet) checkBudget(t *testing.T, name string, sent []int64) {
 	t.Helper()
 	if len(sent) == 0 {
--- a/routing/subsets.go
+++ b/routing/subsets.go
@@ -73,8 +73,8 @@
 	recentPeak decayingSum // recent maximum of inFlight; decays over reservationDecay
 }
 
-// reserved returns the capacity that is kept free for the group, in requests: the part of its recent use, up to a
-// bound, that it does not use at present.
+// reserved returns the capacity that is kept free for the group, in requests: its recent peak, but at most bound, less
+// its requests in flight.
 func (u *groupUsage) reserved(now int64, bound float64) float64 {
 	used := min(u.recentPeak.valueAt(now, reservationDecay), bound)
 	return max(used-float64(u.inFlight), 0)
--- a/routing/subsets_test.go
+++ b/routing/subsets_test.go
@@ -7,6 +7,7 @@
 )
 
 // newSubsetEngine returns an engine with two subsets of two edge caches, each with its own accounting group.
+// The second subset also names c9, which is not in the endpoint list.
 func newSubsetEngine(t *testing.T, shares ...float64) *testEngine {
 	engine := newTestEngine(t, testSettings(), 4, 2)
 	for i, names := range [][]string{{"c0", "c1"}, {"c3", "c2", "c9"}} {
@@ -103,7 +104,7 @@
 		action := engine.requestIn(1, "small", fmt.Sprint("bad", i))
 		for attempt := 0; action.Kind == ActionSend; attempt++ {
 			outcome := OutcomeError
-			if action.Source == action.Server { // any cached copy
+			if action.Source == action.Server { // an attempt for any cached copy
 				outcome = OutcomeMiss
 			}
 			action = engine.stepOne(outcomeEvent(action, attempt, outcome, OriginFailed))
@@ -185,8 +186,8 @@
 	}
 }
 
-// Fills go to the parents of the request's parent subset, in the order of the object. They go to other parents if none
-// of the subset is available, and to the origin if the subset is empty.
+// Fills go to the parents of the request's parent subset, in the object's rendezvous order. They go to other parents if
+// no parent of the subset is available, and to the origin if the subset is empty.
 func TestFillsPreferTheParentSubset(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 4)
 	engine.step(Event{Kind: EventSubset, Subset: 50, SubsetServers: []string{"p0", "p2"}})
--- a/routing/wire_compat_test.go
+++ b/routing/wire_compat_test.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// The learned state must keep its stored field names, so that a process of another release can read it.
+// The learned state must keep its stored field names. Otherwise a process of another release cannot read it.
 func TestLearnedStateKeepsStoredNames(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/beliefs.json", "", LearnedState{
 		TakenAt: 1,
