--- a/routing/circuit_breaker_test.go
+++ b/routing/circuit_breaker_test.go
@@ -85,7 +85,7 @@
 
 // Requests for nonexistent objects fail at every cache. If such failures were charged at once, the retries would open
 // the breakers of all caches. An error without a reason is charged only after another cache has served the same
-// request. A second such error ends the request.
+// request. A second error without a reason, at another cache, ends the request.
 func TestUnexplainedErrorIsChargedAfterOtherCacheServes(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
 	for i := range 10 {
@@ -136,8 +136,8 @@
 	}
 }
 
-// Time-outs of clients that give up before a response is due must not open breakers. Otherwise they eject all caches
-// and parents, and all requests are rejected for the cool-down of ten seconds.
+// Time-outs of clients that give up before a response is due must not open breakers. Otherwise such time-outs eject
+// all caches and parents, and all requests are rejected for the cool-down of ten seconds.
 func TestShortClientTimeoutsDoNotEjectServers(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	cache, parent := engine.servers["c0"], engine.servers["p0"]
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -42,7 +42,7 @@
 		if others {
 			engine.step(outcomeEvent(engine.request("small", "other"), 0, OutcomeServed, FilledFromSource))
 		}
-		cache.concurrencyLimit, parent.concurrencyLimit = 2, 2 // in use
+		cache.concurrencyLimit, parent.concurrencyLimit = 2, 2 // so low that the limits are in use
 		engine.now += 3 * sec
 		engine.step(outcomeEvent(lost, 0, OutcomeTimedOut, CacheStatusUnknown))
 		isCacheReduced, isParentReduced := cache.concurrencyLimit < 2, parent.concurrencyLimit < 2
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// A request's MinVersionTime limits the age of its copy, also if any cached copy is accepted. Its MaxAge may exceed the
-// limit of its class. A purge has precedence over both.
+// A request's MinVersionTime limits the age of its copy, also if any cached copy is accepted. Its MaxAge raises the
+// limit of its class. After a purge, the age is limited regardless of both.
 func TestRequestLimitsMaxAge(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 1)
 	engine.now += 1000 * sec
--- a/routing/invariants_test.go
+++ b/routing/invariants_test.go
@@ -99,12 +99,12 @@
 	engine    *Engine
 
 	now           int64
-	queue         []Event // of the next step
+	queue         []Event // events of the next step
 	delayed       []delayedEvent
 	endpoints     []Endpoint
 	isUnavailable map[string]bool         // servers that must not get requests
-	open          map[string]*openRequest // by id
-	purgedAt      map[string]int64        // by object
+	open          map[string]*openRequest // open requests by id
+	purgedAt      map[string]int64        // time of the last purge by object
 	actions       []Action                // all actions of the run
 }
 
@@ -170,7 +170,7 @@
 		r.isUnavailable[endpoint.Server] = endpoint.Status != EndpointHealthy
 		r.queueFirst(Event{Kind: EventEndpoints, UpdateMode: UpdateChanges, Endpoints: []Endpoint{endpoint}})
 	}
-	if r.rng.IntN(50) == 0 { // also for servers that are unknown or not parents
+	if r.rng.IntN(50) == 0 { // the server may be unknown or not a parent
 		reported := []string{"p0", "p1", "c0", "o", "nobody"}[r.rng.IntN(5)]
 		r.queue = append(r.queue, Event{Kind: EventParentOverloaded, Server: reported})
 	}
--- a/routing/lost_responses_test.go
+++ b/routing/lost_responses_test.go
@@ -9,7 +9,7 @@
 func TestAttemptAtUnresponsiveCacheIsCanceled(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 1)
 	token := engine.requestWithTimer(requestEvent("q", "small", "x"))
-	engine.now += 2900 * ms // more than four latency objectives of a mean small request
+	engine.now += 2900 * ms // more than four latency objectives of a request of class small
 	action := engine.stepOne(Event{Kind: EventTimer, TimerToken: token})
 	if action.Kind != ActionCancel || action.RequestID != "q" {
 		t.Fatalf("without any response: %+v, want a cancellation", action)
--- a/routing/overload_reports_test.go
+++ b/routing/overload_reports_test.go
@@ -6,15 +6,16 @@
 	"testing"
 )
 
-// A late fill causes an overload report for the parent, at most once per sending time. Edge caches are not reported, as
-// other sites do not use them.
+// A late fill causes an overload report for the parent, at most once per mean sending time. Edge caches are not
+// reported, as other sites do not use them.
 func TestOverloadedParentIsReported(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	late := func(status CacheStatus) {
 		engine.servers["c0"].concurrencyLimit, engine.servers["p0"].concurrencyLimit = 9, 9
 		ev := outcomeEvent(engine.stepOne(largeRequest(9*sec)), 0, OutcomeServed, status)
 		ev.ResponseTime = 8 * sec
-		engine.servers["c0"].concurrencyLimit, engine.servers["p0"].concurrencyLimit = 1.5, 1.5 // in use
+		// The limits are now so low that they are in use.
+		engine.servers["c0"].concurrencyLimit, engine.servers["p0"].concurrencyLimit = 1.5, 1.5
 		engine.step(ev)
 	}
 	late(CacheHit)
@@ -35,7 +36,7 @@
 
 // In a fleet of hundreds of routers, a parent that waits for the origin is not overloaded, and a timed-out fill is not
 // reported. If both were reported, the parents' limits would fall while many caches are empty, and requests would be
-// rejected. With few routers the wait counts.
+// rejected. With few routers the wait for the origin counts as overload.
 func TestWaitForOriginIsNotReportedAsOverload(t *testing.T) {
 	for _, tc := range []struct {
 		routers               int
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -123,7 +123,8 @@
 	})
 }
 
-// Purges must be deleted after their retention. Otherwise memory grows. Only those within the retention are kept.
+// Purges must be deleted after their retention. Otherwise memory grows without bound. At most the
+// purges within the retention may be kept.
 func TestPurgesAreDeletedAfterRetention(t *testing.T) {
 	engine, err := NewEngine(testSettings(), 1)
 	if err != nil {
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Changed settings apply to new requests only: an open request keeps its number of attempts and the settings of its
+// Changed settings apply to new requests only. An open request keeps its number of attempts and the settings of its
 // class. A removed class is unknown to new requests. A class of the same name may have another idempotency.
 func TestUpdatedSettingsApplyToNewRequestsOnly(t *testing.T) {
 	engine := engineWithOpenRequest(t)
@@ -166,7 +166,7 @@
 	if err := engine.UpdateSettings(updated); err != nil {
 		t.Fatal(err)
 	}
-	if len(engine.settings.Classes) != 2 { // no request is open
+	if len(engine.settings.Classes) != 2 { // no request is open that uses an old class
 		t.Errorf("%d classes kept, want 2", len(engine.settings.Classes))
 	}
 	if class := engine.settings.Classes[engine.classIndexes["price"]]; class.Idempotency != NotIdempotent {
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -86,14 +86,15 @@
 // coldFleet is a fleet of routers while one of four caches is cold. All requests are answered immediately.
 type coldFleet struct {
 	routers   int
-	weight    float64                    // of each cache
-	interval  int64                      // between two requests to one router
-	meanKB    float64                    // of objects
-	size      func(u, z float64) float64 // of an object, from a uniform and a normal random number
-	restarted float64                    // fraction of the routers that restart at restartAt after the cold start
+	weight    float64                    // weight of each cache
+	interval  int64                      // time between two requests to one router
+	meanKB    float64                    // mean size of objects
+	size      func(u, z float64) float64 // size of an object in KB, from a uniform and a normal random number
+	restarted float64                    // fraction of the routers that restart
 }
 
-// restartAt is within the first OverloadWindow, when most of the budget has been used.
+// restartAt is the time from the cold cache's start to the restart of routers. It is within the first OverloadWindow.
+// Most of the budget has then been used.
 const restartAt = 1500 * ms
 
 // settings returns the settings of the fleet's routers.
--- a/routing/subsets_test.go
+++ b/routing/subsets_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// If one accounting group uses up the parents' limits, the share of the other must still be available to it.
+// If one accounting group uses up the parents' limits, the other group's share must still be available to it.
 func TestGroupKeepsItsShareOfLimit(t *testing.T) {
 	engine := newSubsetEngine(t, 0.25, 0.25)
 	parents := engine.parents
