--- a/routing/invariants_test.go
+++ b/routing/invariants_test.go
@@ -52,7 +52,7 @@
 		all = append(all, settings.classSettings(i))
 	}
 	var classes []classSettings
-	first := rng.IntN(2 * len(all)) // index of the first class, which may be the only one
+	first := rng.IntN(2 * len(all)) // index, modulo len(all), of the first class; it may be the only class
 	kinds := []Idempotency{IdempotentRead, IdempotentKey, NotIdempotent}
 	idempotency := []Idempotency{"", IdempotentRead, IdempotentKey, "mixed"}[rng.IntN(4)]
 	for i := range []int{1, len(all), 12}[rng.IntN(3)] {
@@ -99,12 +99,12 @@
 	engine    *Engine
 
 	now           int64
-	queue         []Event // of the next step
+	queue         []Event // events of the next step
 	delayed       []delayedEvent
 	endpoints     []Endpoint
 	isUnavailable map[string]bool         // servers that must not get requests
-	open          map[string]*openRequest // by id
-	purgedAt      map[string]int64        // by object
+	open          map[string]*openRequest // open requests by id
+	purgedAt      map[string]int64        // time of the last purge by object
 	actions       []Action                // all actions of the run
 }
 
@@ -170,7 +170,7 @@
 		r.isUnavailable[endpoint.Server] = endpoint.Status != EndpointHealthy
 		r.queueFirst(Event{Kind: EventEndpoints, UpdateMode: UpdateChanges, Endpoints: []Endpoint{endpoint}})
 	}
-	if r.rng.IntN(50) == 0 { // also for servers that are unknown or not parents
+	if r.rng.IntN(50) == 0 { // the server may be unknown or not a parent
 		reported := []string{"p0", "p1", "c0", "o", "nobody"}[r.rng.IntN(5)]
 		r.queue = append(r.queue, Event{Kind: EventParentOverloaded, Server: reported})
 	}
@@ -276,7 +276,7 @@
 
 // closeRequest checks a final answer and closes its request.
 func (r *randomRun) closeRequest(req *openRequest, action Action) {
-	if r.now > req.deadline+10*ms || req.inFlight { // a step every 10 ms
+	if r.now > req.deadline+10*ms || req.inFlight { // steps are 10 ms apart
 		r.t.Fatalf("seed %d: final answer after the deadline or with an attempt in flight: %+v", r.seed, action)
 	}
 	delete(r.open, action.RequestID)
--- a/routing/lost_responses_test.go
+++ b/routing/lost_responses_test.go
@@ -9,7 +9,7 @@
 func TestAttemptAtUnresponsiveCacheIsCanceled(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 2, 1)
 	token := engine.requestWithTimer(requestEvent("q", "small", "x"))
-	engine.now += 2900 * ms // more than four latency objectives of a mean small request
+	engine.now += 2900 * ms // more than four latency objectives of a request of class small
 	action := engine.stepOne(Event{Kind: EventTimer, TimerToken: token})
 	if action.Kind != ActionCancel || action.RequestID != "q" {
 		t.Fatalf("without any response: %+v, want a cancellation", action)
@@ -30,9 +30,9 @@
 	return token
 }
 
-// An attempt whose response is lost must be canceled once it is later than almost all others, or it uses up the time of
-// its request. A retry then usually finds the object at the same cache. Without responses to other requests, as under
-// overload, or without cancel budget, the attempt is not canceled.
+// An attempt whose response is lost must be canceled once the response is later than almost all others. Otherwise the
+// attempt uses up the time of its request. A retry usually finds the object at the same cache. Without responses to
+// other requests, as under overload, or without cancel budget, the attempt is not canceled.
 func TestLostResponseIsCanceled(t *testing.T) {
 	for _, tc := range []struct {
 		others int
