--- a/core/hierarchy/allocation.go
+++ b/core/hierarchy/allocation.go
@@ -8,8 +8,8 @@
 	Direct      []float64   // by site: sent to the origin directly
 	Rejected    []float64   // by site: fills for which there is no capacity
 	OriginLoad  float64     // rate that the origin serves, for direct fills and for misses of groups
-	OriginPrice float64     // cost in ms that one more KB of origin capacity would save; 0 if there is capacity left
-	Cost        float64     // sum of KB/s times round-trip time in ms, including rejections
+	OriginPrice float64     // cost in ms saved per additional KB of origin capacity; 0 if there is capacity left
+	Cost        float64     // sum of KB/s times round-trip time in ms; a rejected KB costs Problem.RejectionCost
 }
 
 // newAllocation returns an allocation in which all rates are 0.
@@ -51,7 +51,7 @@
 	}
 }
 
-// scaleGroup multiplies the rates sent to a group by a fraction, and rejects the rest.
+// scaleGroup multiplies the rates sent to a group by fraction, and adds the rest of each site's rate to its Rejected.
 func (a *Allocation) scaleGroup(group int, fraction float64) {
 	for site := range a.ToGroup {
 		a.Rejected[site] += a.ToGroup[site][group] * (1 - fraction)
@@ -60,7 +60,7 @@
 	}
 }
 
-// interpolate returns the weighted average fraction*a + (1-fraction)*b. Both allocations are for the same problem.
+// interpolate returns the weighted average fraction*a + (1-fraction)*b. Both allocations must be for the same problem.
 func interpolate(a, b *Allocation, fraction float64) *Allocation {
 	between := func(x, y float64) float64 { return fraction*x + (1-fraction)*y }
 	mixed := newAllocation(len(a.ToGroup), len(a.ToGroup[0]))
--- a/core/hierarchy/baselines_test.go
+++ b/core/hierarchy/baselines_test.go
@@ -28,8 +28,8 @@
 }
 
 // Bounded is consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018). No group gets more than
-// maxLoadFactor times the mean load, weighted by capacity. The excess goes to the next groups, within their capacity
-// and that of the links.
+// maxLoadFactor times the mean load, weighted by capacity. The excess goes to the next groups, within the capacity of
+// these groups and of the links to them.
 func (p *Problem) Bounded(maxLoadFactor float64) *Allocation {
 	return p.baseline(allGroups, maxLoadFactor)
 }
@@ -84,8 +84,8 @@
 	return allocation
 }
 
-// boundedCapacity returns the groups' capacities, limited to maxLoadFactor times their part of the demand. The part is
-// proportional to the capacity. maxLoadFactor 0 means no limit.
+// boundedCapacity returns the groups' capacities. Each is limited to maxLoadFactor times the group's part of the total
+// demand, which is proportional to the group's capacity. maxLoadFactor 0 means no limit.
 func (p *Problem) boundedCapacity(maxLoadFactor float64) []float64 {
 	limits := slices.Clone(p.Capacity)
 	demand, capacity := 0.0, 0.0
--- a/core/hierarchy/compile.go
+++ b/core/hierarchy/compile.go
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// computeLevels computes the level of each node and its shortest round trip to the origin, starting at the origin. It
-// returns an error if a site has no route to the origin.
+// computeLevels computes, for each node, its level and the shortest round trip to the origin. It visits each node after
+// its parents. It returns an error if a site has no route to the origin.
 func (g *Graph) computeLevels() error {
 	g.levels = make([]int, g.order.Len())
 	g.originRTT = make([]float64, g.order.Len())
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// computeSalts computes the hashes of the names of the groups and the origin, which Route.Pick uses.
+// computeSalts computes the hashes of the names of the groups and of the origin. Route.Pick uses them as salts.
 func (g *Graph) computeSalts() {
 	for _, group := range g.topology.ParentGroups {
 		g.salts = append(g.salts, xxhash.Sum64String(group.Name))
--- a/core/hierarchy/doc.go
+++ b/core/hierarchy/doc.go
@@ -8,8 +8,8 @@
 //     capacity of a group, a link or the origin. Fills for which no capacity remains are rejected. [FillPlan.Route]
 //     returns the part of the plan for one site.
 //   - [Graph.Forward], [Graph.ForwardByPeer], [ParseLoop] and [LoopDetector] prevent or detect fills that loop while
-//     nodes have different topologies. A fill forwarded by Forward visits no node twice, whatever topologies the nodes
-//     have.
+//     nodes have different topologies. A fill that every node forwards with Forward visits no node twice, whatever
+//     topologies the nodes have.
 //
 // The package does no I/O and reads no clock. Rates are KB/s, times are milliseconds, fractions are from 0 to 1.
 package hierarchy
--- a/core/hierarchy/example_test.go
+++ b/core/hierarchy/example_test.go
@@ -6,8 +6,8 @@
 	"spantack/core/hierarchy"
 )
 
-// A site fills from two groups of parent caches. When one group is lost, the other one serves as many fills as its link
-// has capacity for.
+// A site fills from two groups of parent caches. When one group is lost, the other group serves as many fills as the
+// link to it has capacity for. The site rejects the rest.
 func Example() {
 	graph, err := hierarchy.Compile(&hierarchy.Topology{
 		Version: 1,
--- a/core/hierarchy/fill_plan.go
+++ b/core/hierarchy/fill_plan.go
@@ -9,17 +9,17 @@
 const RejectionCostMillis = 10_000
 
 // originCostMillis is the cost of a KB from the origin in addition to its round trip. It applies even while the origin
-// has free capacity. Without it a miss would be cheap, and a plan would prefer a group with a shorter link to the
-// object's home. Several groups would then cache the same objects.
+// has free capacity. Without this cost a miss would be cheap, and a plan would choose the group with the shortest link
+// rather than the object's home group. Several groups would then cache the same objects.
 const originCostMillis = 150.0
 
 const (
 	coldMissRatio    = 1.0 // miss ratio of a cold group
-	offHomeMissRatio = 1.0 // miss ratio for objects whose home is another group
+	offHomeMissRatio = 1.0 // miss ratio of a group for objects whose home is another group
 )
 
 // maxPlanRounds is the maximum number of times that a plan is recomputed because groups would overload their parents or
-// the links to them.
+// the links to these parents.
 const maxPlanRounds = 8
 
 // GroupStatus is the current state of a parent group, as derived from the endpoint list.
@@ -39,11 +39,11 @@
 type FillPlan struct {
 	Graph      *Graph
 	Allocation *Allocation
-	// Problem is the problem that Allocation solves. The capacity of a group in it is reduced if the group's parents, or
-	// the links to them, would be overloaded otherwise.
+	// Problem is the problem that Allocation solves. Its capacity of a group is less than the actual one if the group's
+	// parents, or the links to these parents, would be overloaded otherwise.
 	Problem *Problem
-	// ChildDemandKBPerS is the rate of requests that each parent group gets from other groups, by its index in the
-	// topology.
+	// ChildDemandKBPerS is, by group, the rate of requests that the group gets from other groups. Groups are indexed as
+	// in the topology.
 	ChildDemandKBPerS []float64
 }
 
@@ -52,7 +52,7 @@
 // Each group distributes its misses evenly over its parents. Therefore the plan sends less to a group if one of its
 // parents, or the link to one, would exceed its capacity.
 //
-// The error wraps ErrProblem. It names the group if its status is invalid.
+// The error wraps ErrProblem. If the status of a group is invalid, the error names the group.
 func (g *Graph) PlanFills(statuses map[string]GroupStatus) (*FillPlan, error) {
 	return g.planFills(statuses, maxPlanRounds)
 }
@@ -82,8 +82,8 @@
 	}
 }
 
-// fillPlanner holds the state that the rounds of a plan share. Groups and targets are numbered by their index in the
-// topology. The origin is the target after the last group.
+// fillPlanner holds the state that the rounds of a plan share. Groups are numbered by their index in the topology.
+// Targets are the groups, with the same numbers, followed by the origin.
 type fillPlanner struct {
 	graph    *Graph
 	problem  *Problem
@@ -98,8 +98,9 @@
 // groupLoad is the load that an allocation puts on the groups, by group.
 type groupLoad struct {
 	sent []float64 // KB/s from sites
-	// missWeight is the origin load per KB of this load, divided by the origin load per KB for objects whose home is the
-	// group. It is above 1 if the group gets requests for objects with another home, since these miss more often.
+	// missWeight is a ratio of origin loads per KB sent to the group: the average over all objects in sent, divided by
+	// the value for objects whose home is the group. It is above 1 if the group gets requests for objects with another
+	// home, since these miss more often.
 	missWeight []float64
 }
 
@@ -139,8 +140,8 @@
 	return nil
 }
 
-// isUsableParent reports whether fills can be sent to a node: to the origin, or to a group that has capacity and a
-// route to the origin.
+// isUsableParent reports whether fills can be sent to a node. The node must be the origin, or a group that has both
+// capacity and a route to the origin.
 func (p *fillPlanner) isUsableParent(node int) bool {
 	if node == p.graph.originNode() {
 		return true
@@ -149,8 +150,8 @@
 	return group >= 0 && p.graph.levels[node] != noRoute && p.problem.Capacity[group] > 0
 }
 
-// computeForwardFractions computes forwardFraction and the problem's OriginFraction, starting at the origin. It sets
-// the capacity of a group without a usable parent to 0.
+// computeForwardFractions computes forwardFraction and the problem's OriginFraction. It visits each group after its
+// parents. It sets the capacity of a group without a usable parent to 0.
 func (p *fillPlanner) computeForwardFractions(statuses map[string]GroupStatus) {
 	groups := p.groups()
 	p.parents = make([][]int, groups)
@@ -171,8 +172,8 @@
 	}
 }
 
-// computeGroupForwardFractions computes the parents, missPerParent and forwardFraction of one group, or sets its
-// capacity to 0 if it has no usable parent. The forwardFraction of its parents must be computed before.
+// computeGroupForwardFractions computes the parents, missPerParent and forwardFraction of one group. If the group has
+// no usable parent, its capacity is set to 0 instead. The forwardFraction of the parents must have been computed.
 func (p *fillPlanner) computeGroupForwardFractions(group int, statuses map[string]GroupStatus) {
 	var parents []int
 	for _, parent := range p.graph.order.Successors(p.node(group)) {
@@ -232,7 +233,7 @@
 
 // setHomeFields sets the fields of the problem that concern homes: HomeFraction, OffHomeOriginFraction and OriginRTT. A
 // group's HomeFraction is proportional to its capacity, and 0 if no site has a link to the group. Route.Pick uses these
-// fractions as weights of the rendezvous hashing, so that each group is the home of this fraction of all objects.
+// fractions as weights of the rendezvous hashing. Each group is therefore the home of this fraction of all objects.
 func (p *Problem) setHomeFields(g *Graph) {
 	p.OffHomeOriginFraction = offHomeMissRatio
 	p.HomeFraction = make([]float64, len(p.Capacity))
@@ -276,7 +277,8 @@
 	return load
 }
 
-// childDemand returns, by group, the KB/s that other groups request from it if each group serves the rate in served.
+// childDemand returns, by group, the KB/s that other groups request from the group. served is, by group, the rate of
+// the sites' fills that the group serves.
 func (p *fillPlanner) childDemand(load groupLoad, served []float64) []float64 {
 	demand := make([]float64, p.groups())
 	for child := range served {
@@ -287,8 +289,8 @@
 	return demand
 }
 
-// overloadScales returns, by group, the fraction of its load for which its parents and its links to them have
-// capacity. It returns nil if this fraction is 1 for every group.
+// overloadScales returns, by group, the fraction of the group's load for which its parents, and the links to these
+// parents, have capacity. It returns nil if this fraction is 1 for every group.
 func (p *fillPlanner) overloadScales(load groupLoad, childDemand []float64) []float64 {
 	scales := make([]float64, p.groups())
 	isOverloaded := false
@@ -302,7 +304,7 @@
 	return scales
 }
 
-// parentScale returns the fraction of a group's load for which all groups that its misses reach have capacity.
+// parentScale returns the fraction of a group's load at which every group reached by its misses has enough capacity.
 func (p *fillPlanner) parentScale(group int, load groupLoad, childDemand []float64) float64 {
 	scale := 1.0
 	for parent, demand := range childDemand {
@@ -325,7 +327,8 @@
 	return scale
 }
 
-// lowerCapacity reduces the capacity of the groups whose scale is below 1 to the load that their parents can serve.
+// lowerCapacity reduces the capacity of each group whose scale is below 1. The new capacity is the load whose misses
+// the group's parents, and the links to them, can carry.
 func (p *fillPlanner) lowerCapacity(load groupLoad, scales []float64) {
 	for group, scale := range scales {
 		if scale != 1 {
@@ -338,7 +341,8 @@
 	return &FillPlan{Graph: p.graph, Allocation: a, Problem: p.problem, ChildDemandKBPerS: childDemand}
 }
 
-// scaledPlan returns a plan in which the load that exceeds the capacity of the groups' parents is rejected.
+// scaledPlan returns a plan that rejects the load for which the groups' parents, or the links to these parents, have no
+// capacity.
 func (p *fillPlanner) scaledPlan(a *Allocation, load groupLoad, scales []float64) *FillPlan {
 	for group, scale := range scales {
 		if scale != 1 {
--- a/core/hierarchy/fill_plan_test.go
+++ b/core/hierarchy/fill_plan_test.go
@@ -47,9 +47,9 @@
 func almostEqual(got, want float64) bool { return math.Abs(got-want) <= 0.01 }
 
 // Guards against plans that route fills wrongly while a group fails and returns. With all groups available, every site
-// must fill objects from their homes. If a group is lost, its sites must use the other one within the capacity of the
-// links, and then the origin directly. A group that returns cold must get at most its capacity, and its load must not
-// decrease while it warms.
+// must fill objects from their homes. If a group is lost, its sites must use the other group within the capacity of the
+// links. Fills beyond that capacity must go to the origin directly. A group that returns cold must get at most its
+// capacity, and its load must not decrease while it warms.
 func TestFillPlanAdaptsToAvailableCapacity(t *testing.T) {
 	topology := sampleTopology()
 	topology.Links = append(topology.Links, Link{"d3", "north", 300, 30})
@@ -96,8 +96,8 @@
 	}
 }
 
-// Guards against a plan that overloads the origin or the last group when all other groups are lost, and when the last
-// one is lost too.
+// Guards against a plan that overloads the origin or the last available group. First all groups but one are lost, then
+// the last group is lost too.
 func TestFillPlanWithLastGroupKeepsOriginWithinCapacity(t *testing.T) {
 	topology := sampleTopology()
 	topology.Origin.CapacityKBPerS = 200
--- a/core/hierarchy/flow_network.go
+++ b/core/hierarchy/flow_network.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// flowNetwork computes a minimum-cost flow from sites to parent groups, directly to the origin, or to rejection, within
-// the capacities of arcs and groups. This is a transportation problem, solved by successive shortest paths with
-// potentials (Ahuja, Magnanti and Orlin, "Network Flows", section 9.7). Amounts are integers, so that the algorithm
-// terminates and gives the same result on every machine.
+// flowNetwork computes a minimum-cost flow within the capacities of arcs and groups. Each unit of a site's demand goes
+// to a parent group, goes directly to the origin, or is rejected. This is a transportation problem, solved by
+// successive shortest paths with potentials (Ahuja, Magnanti and Orlin, "Network Flows", section 9.7). Amounts are
+// integers. Therefore the algorithm terminates and gives the same result on every machine.
 //
 // Nodes of the search are numbered: sites, then groups. The search runs in the residual network. A path goes forward,
 // from a site to a group, over arcs with residual capacity. It goes backward, from a group to a site, over arcs with
@@ -18,7 +18,7 @@
 	capacity      []int64   // by group
 	arcs          [][]arc   // by site, to groups
 	direct        []arc     // by site, to the origin; capacity 0 if there is none
-	groupCost     []float64 // by group: cost per unit, in addition to the cost of the arc
+	groupCost     []float64 // by group: cost per unit sent to the group, in addition to the cost of the arc
 	rejectionCost float64   // cost per rejected unit
 
 	sent          []int64    // by group: total flow to it
@@ -27,8 +27,8 @@
 	// State of the search, by node.
 	potential     []float64
 	dist          []float64
-	viaArc        []int32 // arc over which the node was reached: its index among the site's arcs
-	previous      []int32 // node from which it was reached
+	viaArc        []int32 // arc over which the search reached the node: the arc's index among its site's arcs
+	previous      []int32 // node from which the search reached the node
 	settled       []bool
 	sinkPotential float64 // potential of the common sink of all paths
 	heap          []heapItem
@@ -65,7 +65,7 @@
 }
 
 // solve assigns all demand. It returns, by site, the units sent directly to the origin and the units rejected. The
-// units sent to groups are the flow of the arcs. It must be called only once.
+// units sent to groups are in the flow fields of arcs. solve must be called only once.
 func (f *flowNetwork) solve() (direct, rejected []int64) {
 	f.prepare()
 	direct = make([]int64, len(f.demand))
@@ -117,8 +117,9 @@
 	return direct.hasCapacity() && direct.cost <= f.rejectionCost
 }
 
-// endCapacity returns the residual capacity at the end of a path: of the group, or of the site's direct link. It
-// returns amount if the units of the path are rejected.
+// endCapacity returns the residual capacity at the end of a path. For a path that ends at a group, that is the residual
+// capacity of the group. For a path that ends at a site with a usable direct link, it is that of the link. If the units
+// of the path are rejected, endCapacity returns amount.
 func (f *flowNetwork) endCapacity(end int, endsAtSite bool, amount int64) int64 {
 	if endsAtSite {
 		if f.usesDirectLink(end) {
@@ -158,8 +159,9 @@
 func (f *flowNetwork) isGroup(node int32) bool { return int(node) >= len(f.demand) }
 
 // search finds the cheapest path for one more unit of a site, with Dijkstra's algorithm. The path ends at a group with
-// residual capacity, or at a site whose unit is then sent directly to the origin or rejected. The search uses reduced
-// costs, which are not negative: the cost plus the potential of the start minus the potential of the end of an arc.
+// residual capacity, or at a site. In the second case a unit of that site is sent directly to the origin or rejected.
+// The reduced cost of an arc is its cost, plus the potential of its start, minus the potential of its end. The search
+// uses reduced costs because they are never negative.
 func (f *flowNetwork) search(start int) (end int, endsAtSite bool) {
 	sites := len(f.demand)
 	for node := range f.dist {
@@ -244,8 +246,8 @@
 	}
 }
 
-// heapItem is a node to visit, in a binary heap ordered by distance. The result depends on the order in which nodes of
-// equal distance are popped, so changes of push and pop must preserve this order.
+// heapItem is a node to visit, in a binary heap ordered by distance. The result of solve depends on the order in which
+// nodes of equal distance are popped. Changes to push and pop must preserve this order.
 type heapItem struct {
 	dist float64
 	node int32
--- a/core/hierarchy/forwarding.go
+++ b/core/hierarchy/forwarding.go
@@ -10,7 +10,7 @@
 // FillPath is sent with a fill from node to node, if the protocol has a field for it.
 type FillPath struct {
 	Visited []string // nodes that the fill has passed, starting with the site
-	NoRoute []string // nodes that rejected the fill with ErrNoRoute, and the nodes that these have tried
+	NoRoute []string // nodes that rejected the fill with ErrNoRoute, and the nodes that each of them has tried
 }
 
 // MaxHops is the maximum number of nodes in Visited and NoRoute of a FillPath together. Actual hierarchies have far
@@ -24,13 +24,13 @@
 func (g *Graph) StartFill(site string) FillPath { return FillPath{Visited: []string{site}} }
 
 // Forward returns the parents to which a node may forward a fill with the given path, and the path to send with it.
-// Nodes may have different topologies, so a node can receive a fill from one of its own parents. Therefore only
-// parents that the fill has not passed, and that are not in NoRoute, are returned.
+// Nodes may have different topologies, so a node can receive a fill from one of its own parents. Therefore Forward
+// leaves out the parents that the fill has passed and the parents in NoRoute.
 //
 // The error wraps ErrCycle if the fill has passed this node before. It wraps ErrNoRoute if no parent remains or the
-// path has MaxHops nodes. A node that gets ErrNoRoute from a parent adds this parent, and all nodes that the parent
-// has tried, to NoRoute, and tries the next parent. Unlike ForwardByPeer, Forward does not compare levels: the path
-// alone prevents loops, and a comparison would reject fills that can still reach the origin.
+// path has MaxHops nodes. A node that gets ErrNoRoute from a parent must add this parent, and all nodes that the parent
+// has tried, to NoRoute, and then try the next parent. Unlike ForwardByPeer, Forward does not compare levels, because
+// the path alone prevents loops. A comparison would reject fills that can still reach the origin.
 func (g *Graph) Forward(node string, path FillPath) (parents []string, next FillPath, err error) {
 	if slices.Contains(path.Visited, node) {
 		return nil, FillPath{}, fmt.Errorf("fill in a %w: %s > %s", ErrCycle, strings.Join(path.Visited, " > "), node)
@@ -50,12 +50,13 @@
 	return parents, next, nil
 }
 
-// ForwardByPeer returns the parents to which a node may forward a fill without a path, based on the peer that sent it.
-// If the peer's level is not greater than the node's, the two have different topologies. Then only the origin is
-// returned, or an error that wraps ErrNoRoute if the origin is not a parent of the node.
+// ForwardByPeer returns the parents to which a node may forward a fill that carries no path. The choice depends on the
+// peer that sent the fill. If the peer's level is greater than the node's, all parents of the node are returned.
+// Otherwise the peer and the node have different topologies. In this case only the origin is returned, or an error that
+// wraps ErrNoRoute if the origin is not a parent of the node.
 //
-// This prevents every loop, unless the node to which the fill would return has changed its topology since it first
-// forwarded the fill. A LoopDetector detects the remaining loops when they occur.
+// This rule permits only one kind of loop: a fill may return to a node that has changed its topology since it first
+// forwarded the fill. A LoopDetector detects such a loop when it occurs.
 func (g *Graph) ForwardByPeer(node, peer string) (parents []string, err error) {
 	isPeerBelow := g.Level(peer) > g.Level(node)
 	for _, parent := range g.Parents(node) {
--- a/core/hierarchy/forwarding_test.go
+++ b/core/hierarchy/forwarding_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Guards against a fill that loops because nodes have different topologies, each of them valid. A fill forwarded by
-// Forward must visit no node twice, and must end.
+// Guards against a fill that loops because nodes have different topologies, each of them valid. A fill that every node
+// forwards with Forward must visit no node twice, and must end.
 func TestForwardVisitsNoNodeTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
--- a/core/hierarchy/graph.go
+++ b/core/hierarchy/graph.go
@@ -17,7 +17,7 @@
 	// levels holds each node's level, or noRoute. The level of the origin is 0. The level of any other node is one more
 	// than the highest level of its parents.
 	levels    []int
-	originRTT []float64      // by node: shortest round trip to the origin, ms, at most RejectionCostMillis
+	originRTT []float64      // by node: round trip of its shortest route to the origin, ms, at most RejectionCostMillis
 	linkIndex map[[2]int]int // index of a link in the topology, by its two nodes
 	salts     []uint64       // hashes of the names of the groups, then of the origin
 }
@@ -26,8 +26,8 @@
 func (g *Graph) Topology() *Topology { return g.topology }
 
 // Level returns the level of the node with the given name. The level of the origin is 0. The level of any other node is
-// one more than the highest level of its parents. Level returns -1 for an unknown node and for one without a route to
-// the origin.
+// one more than the highest level of its parents. Level returns -1 for an unknown node and for a node without a route
+// to the origin.
 func (g *Graph) Level(name string) int {
 	if node, known := g.nodeIndex[name]; known {
 		return g.levels[node]
@@ -35,7 +35,7 @@
 	return noRoute
 }
 
-// Parents returns the names of the nodes that a node may fill from, in the document's order. Nodes without a route to
+// Parents returns the names of the nodes that a node may fill from, in the document's order. Parents without a route to
 // the origin are left out.
 func (g *Graph) Parents(name string) []string {
 	node, known := g.nodeIndex[name]
--- a/core/hierarchy/loop_detector.go
+++ b/core/hierarchy/loop_detector.go
@@ -4,8 +4,8 @@
 // fills that the node has sent to its parents. If a parent requests an object that this node is filling from that
 // parent, the fill has looped. Times are in milliseconds of any clock. It is not safe for concurrent use.
 type LoopDetector struct {
-	RetentionMillis float64 // after this time a fill that has not ended is removed
-	MaxOutstanding  int     // maximum number of recorded fills; further ones are only counted as Untracked
+	RetentionMillis float64 // a fill that has not ended is removed this long after it was sent
+	MaxOutstanding  int     // maximum number of recorded fills; further fills are only counted in Untracked
 
 	outstanding map[outstandingFill]float64 // time at which each fill was sent
 	lastExpiry  float64                     // time at which expired fills were last removed
@@ -35,8 +35,8 @@
 	delete(d.outstanding, outstandingFill{parent, key})
 }
 
-// Detect reports whether a request from a peer is a loop, and counts it. It is a loop if this node has an outstanding
-// fill of the same object from that peer.
+// Detect reports whether a request from a peer is a looped fill, and counts looped fills in LoopsDetected. The request
+// is a looped fill if this node has an outstanding fill of the same object from that peer.
 func (d *LoopDetector) Detect(now float64, peer, key string) bool {
 	d.expire(now)
 	sentAt, isOutstanding := d.outstanding[outstandingFill{peer, key}]
@@ -47,7 +47,8 @@
 	return false
 }
 
-// expire removes fills older than RetentionMillis. It checks them at most once per RetentionMillis.
+// expire removes fills that were sent RetentionMillis ago or earlier. It does nothing if the last removal was less than
+// RetentionMillis ago.
 func (d *LoopDetector) expire(now float64) {
 	if now-d.lastExpiry < d.RetentionMillis {
 		return
--- a/core/hierarchy/loop_header.go
+++ b/core/hierarchy/loop_header.go
@@ -16,10 +16,10 @@
 // ErrLoopHeader is wrapped by every error of ParseLoop.
 var ErrLoopHeader = errors.New("CDN-Loop")
 
-// ParseLoop parses the values of CDN-Loop headers (RFC 8586). They are lists of ids, each a host with an optional port
-// or a pseudonym. Parameters are validated but not returned. The error wraps ErrLoopHeader if a value violates the
-// grammar, if all values together exceed 4096 bytes, or if an id exceeds 255 bytes. A request with such a header must
-// be treated as a loop.
+// ParseLoop parses the values of CDN-Loop headers (RFC 8586). Each value is a list of ids. An id is a pseudonym, or a
+// host with an optional port. Parameters are validated but not returned. The error wraps ErrLoopHeader if a value
+// violates the grammar, if all values together exceed 4096 bytes, or if an id exceeds 255 bytes. The caller must treat
+// a request for which ParseLoop returns an error as a loop.
 func ParseLoop(values []string) (ids []string, err error) {
 	size := 0
 	for _, value := range values {
@@ -47,7 +47,8 @@
 	return slices.ContainsFunc(ids, func(id string) bool { return strings.EqualFold(id, node) })
 }
 
-// parseLoopItem parses one element, an id with its parameters, and returns what follows the comma after it.
+// parseLoopItem parses the list element at the start of s: an id with its parameters. rest is the part of s after the
+// comma that ends the element.
 func parseLoopItem(s string) (id, rest string, err error) {
 	s = trimLeadingSpace(s)
 	end := 0
--- a/core/hierarchy/loop_header_test.go
+++ b/core/hierarchy/loop_header_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against a crash on arbitrary values, and against ids that are parsed differently after they are formatted
-// again.
+// Guards against a crash on arbitrary values. Also guards against parsed ids that are different after they are
+// formatted and parsed again.
 func FuzzLoopHeader(f *testing.F) {
 	f.Add("foo123.foocdn.example, barcdn.example; trace=\"abcdef\"")
 	f.Add("a;x=\"\\\"\",b")
--- a/core/hierarchy/optimal.go
+++ b/core/hierarchy/optimal.go
@@ -12,11 +12,11 @@
 // Optimal returns the allocation with the minimum cost: the optimum of the linear program, except for rounding to
 // units. The error comes from Check.
 //
-// Without the limit on the origin's capacity, the problem is a minimum-cost flow, which flowNetwork solves exactly.
-// The limit is replaced by a price per KB from the origin, which is added to the costs (Lagrangian relaxation, exact
-// for linear programs). The search maintains two allocations, one above the limit and one within it. The next price is
-// the price at which both have the same cost. If no allocation is cheaper at this price, the optimum is the weighted
-// average of the two that exactly uses the origin's capacity.
+// Without the limit on the origin's capacity, the problem is a minimum-cost flow, and flowNetwork solves it exactly.
+// Optimal therefore replaces the limit by a price per KB from the origin and adds this price to the costs (Lagrangian
+// relaxation, exact for linear programs). The search maintains two allocations, one above the limit and one within it.
+// The next price is the price at which both have the same cost. If no allocation is cheaper at this price, the optimum
+// is the weighted average of the two allocations whose origin load is exactly the origin's capacity.
 func (p *Problem) Optimal() (*Allocation, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -121,9 +121,9 @@
 	return a
 }
 
-// addPrice adds the price of the origin load per unit to the costs. A group's cost increases by the price of the origin
-// load of an object at its home. The cost of an off-home arc increases by the price of the additional origin load. The
-// cost of a direct link increases by the full price.
+// addPrice adds the price of the origin load to the costs per unit. The cost of a group increases by price times the
+// origin fraction for objects whose home is the group. The cost of an off-home arc increases by price times the
+// difference between the off-home origin fraction and that fraction. The cost of a direct link increases by price.
 func (p *Problem) addPrice(f *flowNetwork, price float64) {
 	for group := range f.groupCost {
 		f.groupCost[group] = price * p.OriginFraction[group]
--- a/core/hierarchy/optimal_test.go
+++ b/core/hierarchy/optimal_test.go
@@ -63,7 +63,7 @@
 // variable is a flow in the linear program.
 type variable struct {
 	site, group int  // group may also be toOrigin or rejected
-	offHome     bool // for objects with another home than group
+	offHome     bool // whether the flow is for objects whose home is not group
 }
 
 // variables returns the flows of a problem and the cost per unit of each.
@@ -102,7 +102,7 @@
 	return 0
 }
 
-// inequalities returns the upper bounds of a problem: for each bound a row with the factors of the variables.
+// inequalities returns the upper bounds of a problem. For each bound, rows has a row with the factors of the variables.
 func inequalities(p *Problem, vars []variable) (rows [][]float64, bounds []float64) {
 	add := func(bound float64, factor func(v variable) float64) {
 		row := make([]float64, len(vars))
@@ -212,8 +212,8 @@
 	return map[string]*Allocation{"hashed": p.Hashed(), "nearest": p.Nearest(), "bounded": p.Bounded(1.25)}
 }
 
-// Guards against an allocation that violates a bound, that costs more or less than the optimum of the linear program
-// except for rounding, or that costs more than that of a simple policy.
+// Guards against three faults of an allocation: it violates a bound, its cost differs from the optimum of the linear
+// program by more than rounding, or it costs more than the allocation of a simple policy.
 func TestOptimalMatchesLinearProgram(t *testing.T) {
 	bindingCount := 0
 	for seed := range uint64(60) {
--- a/core/hierarchy/problem.go
+++ b/core/hierarchy/problem.go
@@ -20,17 +20,18 @@
 	OriginCapacity float64     // rate that the origin can serve
 
 	// HomeFraction is, by group, the fraction of all objects that have the group as their home. The home follows from
-	// the object's hash and is the same for all sites, so that the group caches an object once for all sites that
-	// request it there. nil: objects have no home.
+	// the object's hash and is the same for all sites. Therefore the home group caches an object once for all sites that
+	// request it there. nil means that objects have no home.
 	HomeFraction []float64
-	// OffHomeOriginFraction is the fraction of requests at a group other than the object's home that the origin must
-	// serve. The group's OriginFraction applies if it is greater.
+	// OffHomeOriginFraction concerns requests to a group that is not the home of the object. It is the fraction of these
+	// requests that the origin must serve. If the group's OriginFraction is greater, that fraction applies instead.
 	OffHomeOriginFraction float64
-	// OriginRTT is, by group, the additional round-trip time of a miss. nil means 0 for all groups.
+	// OriginRTT is, by group, the additional round-trip time of a request that the origin must serve. nil means 0 for all
+	// groups.
 	OriginRTT []float64
 	// RejectionCost is the cost of a rejected KB, expressed as a round-trip time in ms. It must be greater than every
-	// actual round-trip time, but Check also accepts an equal one. If it were lower than all of them, the cheapest
-	// allocation would reject everything.
+	// actual round-trip time, although Check also accepts a round-trip time equal to it. If RejectionCost were lower than
+	// all round-trip times, the cheapest allocation would reject everything.
 	RejectionCost float64
 }
 
@@ -121,7 +122,7 @@
 	return fmt.Errorf("%w: %s[%d]: %v, must be 0 to %v", ErrProblem, field, i, value, limit)
 }
 
-// originRTT returns the additional round-trip time in ms of a miss at a group.
+// originRTT returns the additional round-trip time, in ms, of a request to a group that the origin must serve.
 func (p *Problem) originRTT(group int) float64 {
 	if p.OriginRTT == nil {
 		return 0
@@ -129,8 +130,8 @@
 	return p.OriginRTT[group]
 }
 
-// offHomeOriginFraction returns the fraction of a group's requests for objects with another home that the origin must
-// serve.
+// offHomeOriginFraction returns, of the requests to a group for objects with another home, the fraction that the origin
+// must serve.
 func (p *Problem) offHomeOriginFraction(group int) float64 {
 	return max(p.OriginFraction[group], p.OffHomeOriginFraction)
 }
--- a/core/hierarchy/route.go
+++ b/core/hierarchy/route.go
@@ -6,16 +6,18 @@
 )
 
 // Route assigns the fills of one site to targets. Targets are the parent groups by their index in the topology,
-// followed by the origin. Each object has a home group, which is the same for all sites. The site fills a fraction of
-// each home's objects there, and distributes the other objects over all targets.
+// followed by the origin. Each object has a home group, which is the same for all sites. For each group, the site fills
+// a fraction of the objects with this home from the group itself. It distributes the other objects over all targets.
 type Route struct {
-	// Salts are, by target, inputs of the hash. They depend only on the targets' names, so that adding or removing a
+	// Salts are, by target, inputs of the hash. They depend only on the targets' names. Therefore adding or removing a
 	// target does not move objects between other targets.
-	Salts            []uint64
-	HomeFraction     []float64 // by group: fraction of all objects with this home, the same for all sites
-	AtHomeFraction   []float64 // by group: fraction of the objects with this home that the site fills there
-	OffHomeFraction  []float64 // by target: fraction of the remaining objects; if the sum is below 1, the rest is rejected
-	RejectedFraction float64   // fraction of the site's fills that no target has capacity for
+	Salts          []uint64
+	HomeFraction   []float64 // by group: fraction of all objects whose home is the group, the same for all sites
+	AtHomeFraction []float64 // by group: fraction of the objects whose home is the group that the site fills from it
+	// OffHomeFraction is, by target, the fraction of the objects that the site does not fill from their home. If the sum
+	// over all targets is below 1, the rest of these objects is rejected.
+	OffHomeFraction  []float64
+	RejectedFraction float64 // fraction of the site's fills for which no target has capacity
 }
 
 // Route returns the route of the site with the given name. The route of an unknown site rejects all fills.
@@ -53,7 +55,8 @@
 	return r
 }
 
-// Fractions returns, by target, the fraction of the site's objects that are filled there, as their home or not.
+// Fractions returns, by target, the fraction of the site's objects that the site fills from the target. It includes
+// both the objects whose home is the target and other objects.
 func (r *Route) Fractions() []float64 {
 	fractions := slices.Clone(r.OffHomeFraction)
 	offHome := 1.0
@@ -69,19 +72,18 @@
 	return fractions
 }
 
-// Seeds of independent hashes: whether an object is filled at its home, whether it is rejected, and which other target
-// it is filled from.
+// Seeds of independent hashes, one for each decision about an object.
 const (
-	homeSeed    = 0x5851f42d4c957f2d
-	rejectSeed  = 0x14057b7ef767814f
-	offHomeSeed = 0x2545f4914f6cdd1d
+	homeSeed    = 0x5851f42d4c957f2d // whether the object is filled from its home
+	rejectSeed  = 0x14057b7ef767814f // whether an object that is not filled from its home is rejected
+	offHomeSeed = 0x2545f4914f6cdd1d // which target an object is filled from, if not from its home
 )
 
 // noTarget is returned instead of a target if the fill of an object is rejected.
 const noTarget = -1
 
-// Pick returns the target for the fill of an object by the hash of its name, or -1 if it is rejected. An object always
-// gets the same target from the same route.
+// Pick returns the target for the fill of an object, or -1 if the fill is rejected. hash is the hash of the object's
+// name. Pick always returns the same target for the same route and hash.
 func (r *Route) Pick(hash uint64) int {
 	home := weightedRendezvous(hash, r.HomeFraction, r.Salts)
 	if home != noTarget && hashFraction(hash, homeSeed) < r.AtHomeFraction[home] {
@@ -106,9 +108,9 @@
 }
 
 // weightedRendezvous returns the target for an object by its hash, or noTarget if no target has a fraction above 0.
-// Each target gets its fraction of all objects. When fractions change, as few objects as possible change their target.
-// If one fraction changes relative to the others, objects move only to or from its target (weighted rendezvous hashing:
-// Schindelhauer and Schomaker, 2005).
+// The fractions need not add up to 1. Each target gets objects in proportion to its fraction. When fractions change, as
+// few objects as possible change their target. If one fraction changes relative to the others, objects move only to or
+// from the target of that fraction (weighted rendezvous hashing: Schindelhauer and Schomaker, 2005).
 func weightedRendezvous(hash uint64, fractions []float64, salts []uint64) int {
 	best, target := math.Inf(1), noTarget
 	for i, fraction := range fractions {
--- a/core/hierarchy/route_test.go
+++ b/core/hierarchy/route_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against objects that change their target between calls, and against targets that get another fraction of the
-// objects than the route states.
+// Guards against objects that change their target between calls. Also guards against targets whose fraction of the
+// objects differs from the fraction in the route.
 func TestRoutePicksTargetsByFraction(t *testing.T) {
 	r := Route{
 		Salts:            []uint64{1, 2, 3},
--- a/core/hierarchy/topological_order.go
+++ b/core/hierarchy/topological_order.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// TopologicalOrder maintains a topological order of a directed graph while edges are added and removed: every edge
-// leads from an earlier node to a later one. An edge that would close a cycle is rejected, and the cycle is returned.
-// The time to add an edge depends on the number of nodes that lie between its ends in the order and are connected to
-// them, not on the size of the graph (Pearce and Kelly, "A dynamic topological sort algorithm for directed acyclic
-// graphs", 2006).
+// TopologicalOrder maintains a topological order of a directed graph while edges are added and removed. In this order
+// every edge leads from an earlier node to a later one. An edge that would close a cycle is rejected, and the cycle is
+// returned. The time to add an edge does not depend on the size of the graph. It depends on the number of nodes that
+// lie between the ends of the edge in the order and are connected to them (Pearce and Kelly, "A dynamic topological
+// sort algorithm for directed acyclic graphs", 2006).
 //
 // The zero value is an empty graph. It is not safe for concurrent use.
 type TopologicalOrder struct {
@@ -54,8 +54,9 @@
 	return slices.Contains(o.successors[from], int32(to))
 }
 
-// AddEdge adds an edge and returns nil. If the edge would close a cycle, the graph does not change, and AddEdge returns
-// the nodes of the cycle, starting and ending with from. Adding an existing edge has no effect.
+// AddEdge adds an edge from node from to node to, and returns nil. If the edge would close a cycle, the graph does not
+// change, and AddEdge returns the nodes of the cycle, starting and ending with node from. Adding an existing edge has
+// no effect.
 func (o *TopologicalOrder) AddEdge(from, to int) (cycle []int) {
 	if from == to {
 		return []int{from, to}
@@ -97,8 +98,8 @@
 	return true
 }
 
-// searchForward finds the nodes at positions up to maxPosition that are reachable from start. If it reaches goal, it
-// returns false immediately, and keeps the search state for cyclePath.
+// searchForward stores in reachedForward the nodes at positions up to maxPosition that are reachable from start, and
+// returns true. If it reaches goal, it returns false immediately, and leaves the search state as it is for cyclePath.
 func (o *TopologicalOrder) searchForward(start, goal, maxPosition int32) bool {
 	o.reachedForward = o.reachedForward[:0]
 	o.stack = append(o.stack[:0], start)
@@ -121,7 +122,8 @@
 	return true
 }
 
-// searchBackward finds the nodes at positions from minPosition on from which start is reachable.
+// searchBackward stores in reachedBackward the nodes from which start is reachable, limited to positions of minPosition
+// or more.
 func (o *TopologicalOrder) searchBackward(start, minPosition int32) {
 	o.reachedBackward = o.reachedBackward[:0]
 	o.stack = append(o.stack[:0], start)
@@ -152,8 +154,8 @@
 	}
 }
 
-// cyclePath returns the cycle found by a forward search that started at to and reached from. It resets the search
-// state.
+// cyclePath returns the cycle that an edge from node from to node to would close. The preceding searchForward must have
+// started at node to and reached node from. cyclePath resets the search state.
 func (o *TopologicalOrder) cyclePath(from, to int) []int {
 	var path []int
 	for node := int32(from); ; node = o.discoveredBy[node] {
--- a/core/hierarchy/topological_order_test.go
+++ b/core/hierarchy/topological_order_test.go
@@ -42,7 +42,7 @@
 	return false
 }
 
-// checkCycle fails the test if cycle is not a cycle that an edge from a to b would close.
+// checkCycle fails the test unless cycle is a cycle that an edge from a to b would close.
 func checkCycle(t *rapid.T, o *TopologicalOrder, a, b int, cycle []int) {
 	if len(cycle) < 2 || cycle[0] != a || cycle[1] != b || cycle[len(cycle)-1] != a {
 		t.Fatalf("cycle %v for edge %d > %d", cycle, a, b)
@@ -116,7 +116,7 @@
 const (
 	benchNodes = 10_000
 	benchEdges = 100_000
-	benchKept  = 30_000 // maximum number of edges: after it, each new edge replaces the oldest
+	benchKept  = 30_000 // maximum number of edges; once it is reached, each new edge replaces the oldest
 )
 
 func BenchmarkTopologicalOrder(b *testing.B) {
--- a/core/hierarchy/topology.go
+++ b/core/hierarchy/topology.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Topology is the document that lists the nodes and which node may fill from which. Routers with the same document
+// Topology is the document that lists the nodes and the links over which they may fill. Routers with the same document
 // compile the same graph.
 type Topology struct {
 	Version      int64         `json:"version" jsonschema:"minimum=0" jsonschema_description:"number of this document; a later one is greater"`
@@ -52,7 +52,7 @@
 	MaxLinks = 200_000
 )
 
-// defaultMissRatio is the miss ratio of a warm group that has none in the document.
+// defaultMissRatio is the miss ratio of a warm group for which the document states no miss ratio.
 const defaultMissRatio = 0.35
 
 // missRatio returns the miss ratio of the group while it is warm.
