--- a/core/originlimit/algorithm.go
+++ b/core/originlimit/algorithm.go
@@ -10,7 +10,8 @@
 	// Fixed always sets the limit to the router's share.
 	Fixed ControlAlgorithm = iota
 	// AIMD (additive increase, multiplicative decrease) multiplies the limit by decreaseFactor after a round of fills that
-	// was slow or had a failure, and adds one after any other round that used the limit (Chiu and Jain, 1989).
+	// was slow or had a failure. It adds 1 after any other round if the limit was used (Chiu and Jain, 1989; see
+	// round.isLimitUsed).
 	AIMD
 	// Gradient multiplies the limit by the ratio of the baseline to the current latency, and adds the square root of the
 	// limit to allow for a queue.
@@ -36,18 +37,19 @@
 
 // Constants of the algorithms.
 const (
-	// slowRatio is the ratio of a round's mean latency to the baseline above which the round is slow. AIMD and Delay
-	// compare with the measured baseline (round.baseline). Limit itself compares with Config.BaselineMs.
+	// A round is slow if the ratio of its mean latency to the baseline is above slowRatio. AIMD and Delay compare the
+	// latency with the measured baseline (round.baseline). Limit.update and Limit.isRoundOver use Config.BaselineMs as the
+	// baseline instead.
 	slowRatio = 1.6
 
-	// decreaseFactor multiplies the limit after a slow or failed round under AIMD, and a limit above the share after a
-	// slow round under any algorithm but Fixed.
+	// AIMD multiplies the limit by decreaseFactor after a slow or failed round. Under every algorithm except Fixed, a
+	// limit above the share is multiplied by decreaseFactor after a slow round, but not to below the share.
 	decreaseFactor = 0.7
 
 	// Gradient.
 	queueTolerance    = 1.3 // ratio of latency to baseline up to which no queue is assumed
 	minGradient       = 0.5 // minimum factor in one round
-	gradientSmoothing = 0.2 // fraction of the computed change that is applied
+	gradientSmoothing = 0.2 // fraction of the computed change of the limit that is applied in one round
 
 	// Delay.
 	proportionalGain = 0.25 // relative change of the limit if the latency differs from the set point by one baseline
@@ -59,10 +61,10 @@
 type round struct {
 	mean      float64 // mean latency
 	baseline  float64 // estimated latency without overload: the lowest recent mean latency, see updateBaseline
-	anyFailed bool
+	anyFailed bool    // whether a fill of the round failed
 	// isLimitUsed is true if the fills completed in the round and the requests in flight at its end are together at least
-	// half the limit. Otherwise the limit does not increase, because the round does not show whether the origin can serve
-	// a greater one.
+	// half the limit. If it is false, the limit does not increase, because the round does not show whether the origin can
+	// serve more requests.
 	isLimitUsed bool
 }
 
--- a/core/originlimit/config.go
+++ b/core/originlimit/config.go
@@ -1,11 +1,11 @@
 // Package originlimit limits the number of requests that a router may have in flight at the origin. Routers exchange no
 // messages for this and send no probe requests.
 //
-// Guarantee: all routers together never have more than Burst times MaxInFlight requests in flight at the origin. For
-// this, the limit of each router never exceeds Burst times its share. A limit that is not a whole number is rounded up
-// or down at random, see Limit.Allows. The fraction Reserve of each router's limit is available only to uncacheable
-// requests. Within these bounds a control algorithm adjusts each router's limit to the latencies and failures of the
-// router's own fills.
+// Guarantee: all routers together never have more than Burst times MaxInFlight requests in flight at the origin. This
+// holds because the limit of each router never exceeds Burst times its share. A limit that is not a whole number is
+// rounded up or down at random, see Limit.Allows. The fraction Reserve of each router's limit is available only to
+// uncacheable requests. Within these bounds a control algorithm adjusts each router's limit to the latencies and
+// failures of the router's own fills.
 //
 // The package does no I/O and reads no clock. Times are in milliseconds.
 package originlimit
--- a/core/originlimit/limit.go
+++ b/core/originlimit/limit.go
@@ -4,16 +4,16 @@
 
 const (
 	// The baseline is the lowest mean latency of a round in the current and the previous window. A window lasts
-	// baselineWindowMs. Older rounds are dropped so that the limit does not stay low if the origin has become slower for
-	// a reason other than its load.
+	// baselineWindowMs. Older rounds are dropped. Otherwise the limit would stay low when the origin has become slower
+	// for a reason other than its load.
 	baselineWindowMs = 4000
 	// maxBaseline is the maximum baseline, in multiples of BaselineMs. It keeps the latency of a queue from becoming the
 	// baseline.
 	maxBaseline = 6.0
-	// failurePenalty is the minimum latency that a failed fill is counted with, in multiples of BaselineMs.
+	// A failed fill with a latency below failurePenalty counts as if it had this latency, in multiples of BaselineMs.
 	failurePenalty = 4.0
-	// A limit is at least minShareFraction times the router's share, and at least minLimit requests in flight. The lower
-	// bound is never above the share.
+	// The lower bound of a limit is the greater of minShareFraction times the router's share and minLimit requests in
+	// flight. If the share is less than that, the lower bound is the share.
 	minShareFraction = 0.05
 	minLimit         = 0.25
 )
@@ -25,7 +25,7 @@
 	algorithm ControlAlgorithm
 	share     float64 // an equal part of MaxInFlight for each router
 	current   float64 // not always a whole number: Allows rounds it at random
-	inFlight  int
+	inFlight  int     // requests in flight at the origin
 
 	// The current round: fills that completed since the last update. Latencies are in multiples of BaselineMs.
 	completed  int
@@ -33,9 +33,9 @@
 	anyFailed  bool
 
 	previousMean   float64    // mean latency of the previous round
-	updatedAt      float64    // ms
-	windowMinimums [2]float64 // lowest mean latency of a round in the current window and in the previous one
-	windowStart    float64    // ms
+	updatedAt      float64    // time of the last update, ms
+	windowMinimums [2]float64 // lowest mean latency of a round in the current window and in the previous window
+	windowStart    float64    // start of the current window, ms
 }
 
 // New returns a limit that starts at the router's share, or an error that wraps ErrInvalid.
@@ -57,7 +57,7 @@
 	}, nil
 }
 
-// Current returns the current limit. It is not always a whole number, and is below 1 if the router's share is.
+// Current returns the current limit. The limit is not always a whole number, and can be below 1.
 func (l *Limit) Current() float64 { return l.current }
 
 // InFlight returns the number of requests in flight at the origin.
@@ -67,9 +67,9 @@
 func (l *Limit) SetInFlight(inFlight int) { l.inFlight = inFlight }
 
 // Allows reports whether one more request may be sent to the origin. A fill may use the limit minus the reserve. An
-// uncacheable request may use the whole limit; mayUseReserve is true for it. random is a random number from 0 to 1, by
-// which the limit is rounded up or down: with a limit of 2.3, a third request is allowed in 30% of all calls. Over all
-// routers, this makes small shares exact on average.
+// uncacheable request may use the whole limit; mayUseReserve is true for it. random is a random number from 0 to 1. It
+// decides whether the limit is rounded up or down. For example, with a limit of 2.3, a third request is allowed in 30%
+// of all calls. The rounding makes small shares exact on average over all routers.
 func (l *Limit) Allows(mayUseReserve bool, random float64) bool {
 	limit := l.current
 	if !mayUseReserve {
@@ -86,8 +86,8 @@
 func (l *Limit) Acquire() { l.inFlight++ }
 
 // Complete records the end of a request: its latency in ms, without the transfer time of its bytes, and whether it
-// failed. A fill that was cancelled because no request waits for it counts as failed if the time limit of the attempt
-// was exceeded. Otherwise call Ignore instead.
+// failed. For a fill that was cancelled because no request waits for it, there are two cases. If the fill had exceeded
+// the time limit of the attempt, it counts as failed. If not, call Ignore instead of Complete.
 func (l *Limit) Complete(now, latencyMs float64, failed bool) {
 	l.Ignore()
 	latency := max(latencyMs, 0) / l.config.BaselineMs
@@ -105,8 +105,9 @@
 // Ignore records the end of a request whose outcome does not depend on the state of the origin.
 func (l *Limit) Ignore() { l.inFlight = max(l.inFlight-1, 0) }
 
-// isRoundOver reports whether as many fills have completed as the limit allows in flight, or whether the round has
-// lasted as long as a slow fill takes.
+// isRoundOver reports whether the round has ended. A round ends when as many fills have completed as the limit allows
+// in flight, at least 1. It also ends when it has lasted slowRatio times the mean latency of the previous round, at
+// least slowRatio times BaselineMs.
 func (l *Limit) isRoundOver(now float64) bool {
 	maxDuration := slowRatio * l.config.BaselineMs * max(l.previousMean, 1)
 	return float64(l.completed) >= max(l.current, 1) || now-l.updatedAt >= maxDuration
@@ -156,8 +157,8 @@
 	return min(max(min(l.windowMinimums[0], l.windowMinimums[1]), 1), maxBaseline)
 }
 
-// minimum returns the lower bound of the limit. Without it a router might stop sending requests to the origin, and
-// could not detect that the origin has recovered.
+// minimum returns the lower bound of the limit. Without this bound a router might stop sending requests to the origin.
+// It could then not detect that the origin has recovered.
 func (l *Limit) minimum() float64 {
 	return min(l.share, max(minShareFraction*l.share, minLimit))
 }
--- a/core/originlimit/limit_test.go
+++ b/core/originlimit/limit_test.go
@@ -80,8 +80,9 @@
 }
 
 // Guards against a limit that does not adapt to the origin. While fills are fast, it must rise to Burst times the
-// share. When they become slow, it must be back at the share within ten rounds. If they stay slow, it must remain near
-// the share. While fills fail, it must not exceed the share, and after the failures it must recover.
+// share. When fills become slow, the limit must be back at the share within ten rounds. If fills stay slow, the limit
+// must remain near the share. While fills fail, the limit must not exceed the share. After the failures it must
+// recover.
 func TestLimitAdaptsToOriginLatency(t *testing.T) {
 	for _, algorithm := range []ControlAlgorithm{AIMD, Gradient, Delay} {
 		l, now := newLimit(t, algorithm), 0.0
@@ -103,8 +104,8 @@
 	}
 }
 
-// Guards against shares below one that are rounded to 0 or 1: with a share of 0.25 a request must be allowed in a
-// quarter of all calls.
+// Guards against shares below 1 that are always rounded to 0 or always to 1. With a share of 0.25, a request must be
+// allowed in a quarter of all calls.
 func TestFractionalShareIsExactOnAverage(t *testing.T) {
 	config := sampleConfig()
 	config.MaxInFlight = 16
