--- a/core/endpoints/ejections.go
+++ b/core/endpoints/ejections.go
@@ -7,7 +7,8 @@
 )
 
 // SetEjected replaces the set of servers that the fleet's verdicts have ejected, and returns the effective endpoints
-// that change, ordered by server. A server that is not listed is ejected as soon as it is listed.
+// that change, ordered by server. For a server that is not listed, the ejection takes effect as soon as the server is
+// listed.
 func (l *List) SetEjected(ids []string) []routing.Endpoint {
 	ejected := setOf(ids)
 	if maps.Equal(ejected, l.ejected) {
--- a/core/endpoints/ejections_test.go
+++ b/core/endpoints/ejections_test.go
@@ -6,8 +6,8 @@
 	"spantack/routing"
 )
 
-// Guards against an ejection that ends an operator's exclusion, or the reverse, and against ejections that are handed
-// to the replacing process. An ejected server is draining.
+// Guards against an ejection that ends an operator's exclusion, and against an exclusion that ends an ejection. Also
+// guards against ejections that are passed on to the process that replaces this one. An ejected server is draining.
 func TestEjectionsAndExclusionsAreIndependent(t *testing.T) {
 	l := New()
 	l.Update(true, []routing.Endpoint{
--- a/core/endpoints/exclusions.go
+++ b/core/endpoints/exclusions.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// MaxExclusions is the maximum number of excluded servers. Without it, IDs of removed servers could accumulate
-	// without bound.
+	// MaxExclusions is the maximum number of excluded servers. Without this bound, the IDs of removed servers could
+	// accumulate indefinitely.
 	MaxExclusions = 1024
 	// maxIDLength is the maximum length in bytes of a server ID passed to ReplaceExclusions.
 	maxIDLength = 64
@@ -25,8 +25,9 @@
 	ErrInvalidID = errors.New("invalid server ID")
 )
 
-// Exclude excludes a listed server and returns its effective endpoint, or nil if it is already excluded. It returns
-// ErrUnknownServer for a server that is not listed, and ErrTooManyExclusions if MaxExclusions servers are excluded.
+// Exclude excludes a listed server and returns its effective endpoint. It returns nil if the server is already
+// excluded. Otherwise it returns ErrUnknownServer if the server is not listed, and ErrTooManyExclusions if
+// MaxExclusions servers are excluded.
 func (l *List) Exclude(id string) ([]routing.Endpoint, error) {
 	endpoint, isListed := l.announced[id]
 	switch {
@@ -41,8 +42,9 @@
 	return []routing.Endpoint{l.effective(endpoint)}, nil
 }
 
-// Reinstate ends the exclusion of a server, regardless of how often it was excluded, and returns its effective endpoint
-// if it is listed and was excluded. It returns ErrUnknownServer for a server that is neither listed nor excluded.
+// Reinstate ends the exclusion of a server, regardless of how often the server was excluded. It returns the effective
+// endpoint of a server that was excluded and is listed, and nil for a server that was only one of the two. It returns
+// ErrUnknownServer for a server that was neither excluded nor is listed.
 func (l *List) Reinstate(id string) ([]routing.Endpoint, error) {
 	endpoint, isListed := l.announced[id]
 	wasExcluded := l.excluded[id]
@@ -60,8 +62,8 @@
 func (l *List) Exclusions() []string { return sortedKeys(l.excluded) }
 
 // ReplaceExclusions replaces the set of excluded servers and returns the effective endpoints that change, ordered by
-// server. If there are more than MaxExclusions IDs, or an ID is empty or too long, the set does not change and the
-// error wraps ErrTooManyExclusions or ErrInvalidID.
+// server. If it returns an error, the set does not change. The error wraps ErrTooManyExclusions if there are more than
+// MaxExclusions IDs, and ErrInvalidID if an ID is empty or longer than 64 bytes.
 func (l *List) ReplaceExclusions(ids []string) ([]routing.Endpoint, error) {
 	if len(ids) > MaxExclusions {
 		return nil, fmt.Errorf("%d ids: %w", len(ids), ErrTooManyExclusions)
--- a/core/endpoints/exclusions_test.go
+++ b/core/endpoints/exclusions_test.go
@@ -8,8 +8,8 @@
 	"spantack/routing"
 )
 
-// Guards against an exclusion that ends when the server drains, is removed, restarts or is in a new complete list, and
-// against a second exclusion that needs a second reinstatement.
+// Guards against an exclusion that ends when the server drains, is removed, restarts or is in a new complete list. Also
+// guards against a server that needs two reinstatements after it was excluded twice.
 func TestExclusionSurvivesAnnouncements(t *testing.T) {
 	l := New()
 	l.Update(true, []routing.Endpoint{endpoint("a", routing.EndpointHealthy), endpoint("b", routing.EndpointHealthy)})
--- a/core/endpoints/list.go
+++ b/core/endpoints/list.go
@@ -2,9 +2,9 @@
 // servers that operators have excluded and the servers that the fleet's verdicts have ejected.
 //
 // If a healthy server is excluded or ejected, package routing receives it with the status draining. Such a server gets
-// no new requests and is not used as a source of new fills until it is reinstated, whatever the discovery service
-// announces in the meantime. Exclusions are handed to the process that replaces this one (Exclusions,
-// ReplaceExclusions). Ejections are not: each process determines its own.
+// no new requests and is not used as a source of new fills until its exclusion or ejection ends, whatever the discovery
+// service announces in the meantime. Exclusions are passed on to the process that replaces this one (Exclusions,
+// ReplaceExclusions). Ejections are not passed on, because each process determines its own.
 package endpoints
 
 import (
@@ -30,8 +30,8 @@
 	}
 }
 
-// Update applies announced endpoints to the list and returns their effective endpoints, in the same order. With
-// isSnapshot they are the complete list.
+// Update applies announced endpoints to the list and returns their effective endpoints, in the same order. If
+// isSnapshot is true, the announced endpoints replace the list.
 func (l *List) Update(isSnapshot bool, announced []routing.Endpoint) []routing.Endpoint {
 	if isSnapshot {
 		clear(l.announced)
@@ -48,8 +48,8 @@
 	return effective
 }
 
-// effective returns an announced endpoint as package routing receives it: draining if it is healthy, and excluded or
-// ejected.
+// effective returns an announced endpoint as package routing receives it. A healthy endpoint that is excluded or
+// ejected becomes draining. All other endpoints are unchanged.
 func (l *List) effective(endpoint routing.Endpoint) routing.Endpoint {
 	isWithheld := l.excluded[endpoint.Server] || l.ejected[endpoint.Server]
 	if isWithheld && endpoint.Status == routing.EndpointHealthy {
@@ -70,7 +70,8 @@
 }
 
 // Count returns the number of announced endpoints that match, and how many of these are excluded or contained in
-// ejected. The caller passes the servers that its own circuit breakers eject. Ejections set by SetEjected do not count.
+// ejected. In ejected the caller passes the servers that its own circuit breakers have ejected. Ejections set by
+// SetEjected do not count.
 func (l *List) Count(matches func(routing.Endpoint) bool, ejected []string) (listed, unavailable int) {
 	for server, endpoint := range l.announced {
 		if !matches(endpoint) {
--- a/core/endpoints/list_test.go
+++ b/core/endpoints/list_test.go
@@ -27,7 +27,7 @@
 type listModel struct {
 	announced map[string]routing.EndpointStatus
 	excluded  map[string]bool
-	effective map[string]routing.EndpointStatus // as last returned for package routing
+	effective map[string]routing.EndpointStatus // by server: status last returned for package routing
 }
 
 func (m *listModel) apply(endpoints []routing.Endpoint) {
@@ -49,8 +49,8 @@
 }
 
 // Guards against routing holding a status that does not follow from the list and the exclusions. Random sequences of
-// announcements, exclusions and reinstatements are compared with the model. They include replacement of the whole set,
-// as after a handover.
+// announcements, exclusions and reinstatements are compared with the model. The sequences also replace the whole set of
+// exclusions, as happens after a handover.
 func TestEffectiveStatusesMatchListAndExclusions(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
