--- a/core/backoff/schedule.go
+++ b/core/backoff/schedule.go
@@ -9,14 +9,15 @@
 // slots and capture", ACM SIGCOMM Computer Communication Review 5(2), 1975) with slots assigned by rank.
 //
 // Bound: if all routers lost the service at the same time, they make at most FleetSize x d / Period + 1 attempts
-// within any time d while the service is unavailable. If they lost it at different times, this holds on average.
-// Without slots, 300 routers would make 1,200 attempts per second, in four bursts.
+// within any time d while the service is unavailable. If they lost the service at different times, the bound holds on
+// average. Without slots, 300 routers would make 1,200 attempts per second, in four bursts.
 //
-// A router makes its first attempt within one Period of the loss. After a failed attempt, it makes the next one in its
-// first slot that starts at least minRetryGap after the failure, usually one Period after the failed one. An event
-// that the service sends is therefore delayed by at most one Period plus the duration of an attempt.
+// A router makes its first attempt within one Period of the loss. After a failed attempt, it makes the next attempt in
+// its first slot that starts at least minRetryGap after the failure. This is usually one Period after the failed
+// attempt. Once the service is available again, an event that it sends is therefore delayed by at most one Period plus
+// the duration of an attempt.
 type Schedule struct {
-	Rank      int // of this router, from 0
+	Rank      int // rank of this router, from 0
 	FleetSize int // number of routers; 0: only this router
 }
 
@@ -27,9 +28,9 @@
 // Times in microseconds.
 const (
 	second      = 1_000_000
-	minPeriod   = 200_000 // limits each router of a small fleet to five attempts per second
-	maxPeriod   = 500_000 // limits the time until a router reconnects
-	minRetryGap = 20_000  // between a failed attempt and the next one; a slot that starts earlier is skipped
+	minPeriod   = 200_000 // minimum of Period; limits each router of a small fleet to five attempts per second
+	maxPeriod   = 500_000 // maximum of Period; limits the time until a router reconnects
+	minRetryGap = 20_000  // minimum time from a failure to the next attempt; a slot that starts earlier is skipped
 )
 
 // Period returns the time in microseconds in which each router makes one attempt.
--- a/core/backoff/schedule_test.go
+++ b/core/backoff/schedule_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Guards against attempts that exceed the documented rate, and against a router that waits longer than a period. Fleets
-// of random size lose the service at the same time, and each attempt fails after a random duration. Routers that all
-// make their attempts at the start of the period exceed the rate.
+// Guards against attempts that exceed the documented rate, and against a router that waits longer than a period. All
+// routers of a fleet of random size lose the service at the same time, and each attempt fails after a random duration.
+// The rate would be exceeded if all routers made their attempts at the start of the period.
 func TestScheduleExceedsNoRateOrDelayBound(t *testing.T) {
 	const longestAttempt = 30_000
 	rng := rand.New(rand.NewPCG(1, 2))
