--- a/core/gossip/datagram.go
+++ b/core/gossip/datagram.go
@@ -19,7 +19,7 @@
 	MaxServersPerDatagram = (MaxDatagramSize - headerSize) / serverSize
 
 	datagramVersion = 1
-	kindOverload    = 1 // core/fleet uses other kinds
+	kindOverload    = 1 // kind of the only message of this package; core/fleet uses other kinds
 	headerSize      = 14
 	serverSize      = 4
 )
@@ -29,10 +29,10 @@
 
 // Message is the content of a datagram: a report of overloaded servers.
 type Message struct {
-	Rank, Site  int // of the sender
-	Incarnation uint32
+	Rank, Site  int      // rank and site of the sender
+	Incarnation uint32   // incarnation of the sender
 	Sequence    uint32   // increases by one for each datagram of an incarnation
-	Overloaded  []uint32 // servers, by the number in their ID
+	Overloaded  []uint32 // numbers in the IDs of the overloaded servers
 }
 
 // Append appends the encoded datagram to buffer and returns the extended buffer. Servers beyond the first
--- a/core/gossip/fleet_test.go
+++ b/core/gossip/fleet_test.go
@@ -10,11 +10,11 @@
 // 30% of all datagrams are lost. The others arrive after 1 to 23 ms.
 type simulatedFleet struct {
 	rng           *rand.Rand
-	isPartitioned bool // into two halves that exchange no datagrams
+	isPartitioned bool // whether the fleet is split into two halves that exchange no datagrams
 	nodes         []*Node
 	notifiedAt    []int64 // by rank: time in us when the router learned from others of the overload; 0: not yet
 	inFlight      []delivery
-	sent          int // datagrams
+	sent          int // number of datagrams sent
 }
 
 type delivery struct {
@@ -51,7 +51,7 @@
 	f.inFlight = remaining
 }
 
-// reportOverload reports the server as overloaded at the router from, and sends the datagram that it returns, if any.
+// reportOverload reports the server as overloaded at a router, and sends the datagram that the router returns, if any.
 func (f *simulatedFleet) reportOverload(now int64, from int) {
 	datagram := f.nodes[from].ReportOverload(now, testServer)
 	if datagram == nil {
--- a/core/gossip/node.go
+++ b/core/gossip/node.go
@@ -5,7 +5,7 @@
 // Bounds that hold for any input:
 //   - A datagram has at most MaxDatagramSize bytes.
 //   - A router sends at most sendBurst datagrams at once, and on average one per sendInterval.
-//   - A router stores reports of at most maxTrackedServers servers, and one entry for each router of the fleet.
+//   - A router stores reports of at most maxTrackedServers servers, and one replay window for each router of the fleet.
 //   - Reports expire after reportLifetime. A router that receives nothing from its peers relies on its own
 //     observations.
 package gossip
@@ -17,11 +17,11 @@
 )
 
 const (
-	// quorum is the number of sites that must report a server before it counts as overloaded. If a site's link is
+	// quorum is the number of sites that must report a server for the server to count as overloaded. If a site's link is
 	// saturated, all servers that the site fills from look overloaded there. The report of a second site excludes this
 	// cause. A greater quorum would be reached later, while the load grows.
 	quorum = 2
-	// minFleetSize is the smallest fleet that uses gossip. In a smaller one, each router sends a server enough requests
+	// minFleetSize is the smallest fleet that uses gossip. In a smaller fleet, each router sends a server enough requests
 	// to detect overload by itself.
 	minFleetSize = 16
 	// maxTrackedServers is the maximum number of servers whose reports are stored.
@@ -33,11 +33,11 @@
 
 // Times in microseconds.
 const (
-	reportLifetime = 1_000_000 // after which a report expires
+	reportLifetime = 1_000_000 // a report expires this long after its receipt
 	// repeatInterval is the minimum time between two reports that a router sends of the same server. It is also the
-	// minimum time between a quorum for a server and the router's next report of it.
+	// minimum time from the quorum for a server to the router's next report of that server.
 	repeatInterval = 250_000
-	sendInterval   = 100_000 // between datagrams of a router, on average
+	sendInterval   = 100_000 // average time between datagrams of a router while it sends as many as allowed
 	sendBurst      = 8       // datagrams that a router may send at once
 )
 
@@ -46,8 +46,8 @@
 	// ErrUnknownSender is wrapped by errors for a sender whose rank or site is outside the configured fleet, or whose
 	// rank does not match its address.
 	ErrUnknownSender = errors.New("not a router of this fleet")
-	// ErrStale is wrapped by errors for a datagram that was already received, is of an earlier incarnation, or is older
-	// than the replay window.
+	// ErrStale is wrapped by errors for a datagram that was already received, is of an earlier incarnation of its sender,
+	// or is older than the replay window.
 	ErrStale = errors.New("old or repeated datagram")
 )
 
@@ -56,9 +56,9 @@
 
 // Options configures a Node.
 type Options struct {
-	Rank        int    // of this router, from 0
+	Rank        int    // rank of this router, from 0
 	FleetSize   int    // number of routers in the configured fleet
-	Site        int    // of this router, from 0
+	Site        int    // site of this router, from 0
 	Sites       int    // number of sites in the configured fleet
 	Incarnation uint32 // increases with each start of this router, for example its start time as Unix seconds
 }
@@ -81,8 +81,8 @@
 
 // Counts holds the counters of a Node since its start.
 type Counts struct {
-	Sent, Received, Dropped int64 // datagrams
-	OverloadsFound          int64 // how often received reports made a server count as overloaded
+	Sent, Received, Dropped int64 // numbers of datagrams
+	OverloadsFound          int64 // how often received reports reached the quorum for a server
 }
 
 // serverReports holds the overload reports about one server. Times are in microseconds.
@@ -97,7 +97,7 @@
 	Counts Counts
 
 	options       Options
-	sequence      uint32 // of the latest datagram sent
+	sequence      uint32 // sequence number of the latest datagram sent
 	rateLimit     TokenBucket
 	replayWindows map[int]ReplayWindow // by rank
 	servers       map[uint32]*serverReports
@@ -124,9 +124,11 @@
 }
 
 // ReportOverload records that this router found a server overloaded, and returns the datagram to send to all other
-// routers. It returns nil if there is nothing to send: the node is not enabled, the ID is invalid, too many servers are
-// tracked, the rate limit is exceeded, or within the last repeatInterval this router sent a report of the server or the
-// quorum was reached.
+// routers. It returns nil if there is nothing to send:
+//   - The node is not enabled, the ID is invalid, or too many servers are tracked. Then nothing is recorded either.
+//   - Within the last repeatInterval, this router sent a report of the server, or received reports reached the quorum
+//     for it.
+//   - The rate limit is exceeded.
 func (n *Node) ReportOverload(now int64, serverID string) []byte {
 	server, ok := ParseServerID(serverID)
 	if !ok || !n.IsEnabled() {
@@ -160,10 +162,10 @@
 	return m.Append(make([]byte, 0, headerSize+serverSize))
 }
 
-// Receive processes a datagram, and calls onOverloaded for each server for which it completes the quorum. rank is the
-// sender's rank according to its address. The error wraps ErrMalformed, ErrUnknownSender or ErrStale; the datagram then
-// has no effect except on Counts.Dropped. This router's own datagrams, which arrive if it sends to a broadcast address,
-// are ignored.
+// Receive processes a datagram, and calls onOverloaded for each server for which the datagram completes the quorum.
+// rank is the sender's rank according to its address. An error wraps ErrMalformed, ErrUnknownSender or ErrStale. A
+// datagram with an error has no effect except on Counts.Dropped. This router's own datagrams are ignored. They arrive
+// if the router sends to a broadcast address.
 func (n *Node) Receive(now int64, rank int, datagram []byte, onOverloaded func(serverID string)) error {
 	if rank == n.options.Rank {
 		return nil
@@ -204,7 +206,8 @@
 	return nil
 }
 
-// countSites returns the number of sites with an unexpired report since the quorum was last reached.
+// countSites returns the number of sites whose latest report has not expired and arrived after the quorum was last
+// reached.
 func (r *serverReports) countSites(now int64) (sites int) {
 	for _, at := range r.reportedAt {
 		if at > r.overloadedAt && now-at <= reportLifetime {
@@ -214,8 +217,8 @@
 	return sites
 }
 
-// reportsOf returns the reports about a server, and starts to track it if necessary. It returns nil if
-// maxTrackedServers others have unexpired reports.
+// reportsOf returns the reports about a server, and starts to track the server if necessary. It returns nil if the
+// server is not tracked and maxTrackedServers other servers have unexpired reports.
 func (n *Node) reportsOf(now int64, server uint32) *serverReports {
 	if tracked := n.servers[server]; tracked != nil {
 		return tracked
@@ -235,7 +238,7 @@
 	return added
 }
 
-// expireReports removes expired reports, and the servers without any other report.
+// expireReports removes expired reports, and then the servers that have no reports left.
 func (n *Node) expireReports(now int64) {
 	maps.DeleteFunc(n.servers, func(_ uint32, reports *serverReports) bool {
 		maps.DeleteFunc(reports.reportedAt, func(_ int, at int64) bool { return now-at > reportLifetime })
--- a/core/gossip/node_test.go
+++ b/core/gossip/node_test.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// Guards against a quorum that ignores the overload found by this router, which counts as a report of its site.
+// Guards against a quorum that ignores the overload found by this router. That overload must count as a report of the
+// router's own site.
 func TestOwnReportCountsTowardsQuorum(t *testing.T) {
 	n, found := newTestNode(t, 0, 0), 0
 	if n.ReportOverload(second, testServer) == nil {
@@ -99,7 +100,7 @@
 	if n.ReportOverload(second+300*millisecond, testServer) == nil {
 		t.Error("not sent again after 300 ms")
 	}
-	for rank := 10; rank < 13; rank++ { // enough sites have reported it
+	for rank := 10; rank < 13; rank++ { // reports of three sites, more than the quorum
 		if err := n.Receive(3*second, rank, overloadReport(rank, rank, 1, 1, testServer), ignore); err != nil {
 			t.Fatal(err)
 		}
@@ -109,8 +110,8 @@
 	}
 }
 
-// Guards against reports in a fleet that is too small for them. With two sites both would have to report a server. With
-// few routers, each router detects overload fast enough by itself.
+// Guards against reports in a fleet that is too small for them. With only two sites, both would have to report a
+// server. With few routers, each router detects overload fast enough by itself.
 func TestSmallFleetSendsNoReports(t *testing.T) {
 	for _, options := range []Options{{FleetSize: 100, Sites: 2}, {FleetSize: 15, Sites: 15}} {
 		n, err := New(options)
--- a/core/gossip/replay_window.go
+++ b/core/gossip/replay_window.go
@@ -1,13 +1,14 @@
 package gossip
 
-// windowSize is the number of sequence numbers, up to the greatest one received, that a ReplayWindow tracks.
+// windowSize is the number of sequence numbers that a ReplayWindow tracks. The last of them is the greatest one
+// received.
 const windowSize = 64
 
 // ReplayWindow rejects repeated and old datagrams of one router, and accepts datagrams that arrive out of order within
 // the window.
 type ReplayWindow struct {
-	incarnation uint32 // the greatest received
-	sequence    uint32 // the greatest received of that incarnation
+	incarnation uint32 // greatest incarnation received
+	sequence    uint32 // greatest sequence number received of that incarnation
 	received    uint64 // bit i is set if sequence-i was received
 }
 
--- a/core/gossip/token_bucket.go
+++ b/core/gossip/token_bucket.go
@@ -2,10 +2,10 @@
 
 // TokenBucket is a rate limiter. It starts full.
 type TokenBucket struct {
-	interval   float64 // us per added token
+	interval   float64 // time in which one token is added, us
 	burst      float64 // maximum number of tokens
 	tokens     float64
-	refilledAt int64 // us
+	refilledAt int64 // time of the last call of Take, us
 }
 
 // NewTokenBucket returns a full bucket of burst tokens that gains one token per interval, in microseconds.
