--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -9,17 +9,17 @@
 	Source         string             // id of the server from which a miss is filled; empty: none
 	Timeout        float64            // how long the router waits for the result
 	RetentionRank  int                // rank that determines how long the server keeps the copy, 1 to 3; 0: none is kept
-	MaxAge         float64            // greatest age of the copy; 0: the fresh time of the class
+	MaxAge         float64            // maximum age of the copy; 0: the fresh time of the class
 	FetchFlags     routing.FetchFlags // how the server fetches the copy from Source
-	SendWithin     float64            // latest time to send the attempt, counted from Send; 0: no limit of its own
-	HasSideEffects bool               // running it twice is harmful: another attempt's response must not end it
+	SendWithin     float64            // time after the call of Send within which it must be sent; 0: no limit of its own
+	HasSideEffects bool               // it must not run twice; the response to another attempt must not end it
 }
 
 // AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Outcome     routing.AttemptOutcome
 	CacheStatus routing.CacheStatus // how the server got the copy, or why it has none
-	SourceWait  float64             // milliseconds that the server waited for Source; UpstreamWait of the module's event
+	SourceWait  float64             // milliseconds that the server waited for Source; the module's UpstreamWait
 	Body        []byte
 	NotModified bool    // the client's own copy is current: no body
 	LoadReport  string  // the server's load report as received, "NAME:VALUE;NAME:VALUE"; empty: none
--- a/internal/router/client_departure_test.go
+++ b/internal/router/client_departure_test.go
@@ -52,8 +52,8 @@
 	return open
 }
 
-// A connection reset of an attempt that was canceled because its client left must not count as a failure of the
-// cache. The test has enough of them to open the circuit breaker; new requests must still go to the same cache.
+// A connection reset of an attempt that was canceled because its client left must not count as a failure of the cache.
+// The test causes enough such resets to open the circuit breaker. New requests must still go to the same cache.
 func TestResetsAfterClientDepartureDoNotOpenBreaker(t *testing.T) {
 	for _, cache := range []string{"box-1", "box-2"} {
 		t.Run(cache, func(t *testing.T) {
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -104,7 +104,7 @@
 }
 
 // CacheCounts returns the number of listed edge caches, including those of other sites, and how many of them are
-// excluded by operators or have an open circuit breaker in this router: these get no requests from it.
+// excluded by operators or have an open circuit breaker in this router. This router sends no requests to those.
 func (r *Router) CacheCounts() (listed, unavailable int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/event_order_test.go
+++ b/internal/router/event_order_test.go
@@ -8,8 +8,8 @@
 )
 
 // repetitions is the number of runs of each pair of events. Hooks of the upstream create both events inside Send or
-// Cancel, or before the request arrives, so that Serve has handled neither. Without a defined precedence, select picks
-// one at random, so each pair runs often enough that a random choice fails the test.
+// Cancel, or before the request arrives. Serve has handled neither event by then. Without a defined precedence, select
+// picks one at random, so each pair runs often enough that a random choice fails the test.
 const repetitions = 24
 
 // hookedUpstream is an upstream that calls functions of the test inside Send and Cancel.
--- a/internal/router/exclusions.go
+++ b/internal/router/exclusions.go
@@ -52,7 +52,7 @@
 	r.applyEndpointsLocked(changed)
 }
 
-// applyEndpointsLocked passes endpoints that operators or the fleet changed to the module. r.mu is held.
+// applyEndpointsLocked passes to the module the endpoints that operators or the fleet changed. r.mu is held.
 func (r *Router) applyEndpointsLocked(changed []routing.Endpoint) {
 	if len(changed) > 0 {
 		r.stepLocked(routing.Event{Kind: routing.EventEndpoints, UpdateMode: routing.UpdateChanges, Endpoints: changed})
--- a/internal/router/features.go
+++ b/internal/router/features.go
@@ -21,8 +21,8 @@
 }
 
 // ApplyFeatures applies features, which are in effect when it returns. Every request sees either all of them or none.
-// If the rollout or the origin limit is invalid, that one is not applied, the other features are, and the error says
-// why.
+// If the rollout or the origin limit is invalid, it is not applied, and the error gives the reason. The other features
+// are applied.
 func (r *Router) ApplyFeatures(f Features) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,15 +36,15 @@
 }
 
 // PlanOnTick makes Tick compute the fill plans of topologies with many parent groups. Otherwise such a plan is computed
-// while an event of the module waits. The caller must then call Tick regularly. PlanOnTick must be called before the
-// first request.
+// while an event is processed, which delays the event. The caller must then call Tick regularly. PlanOnTick must be
+// called before the first request.
 func (r *Router) PlanOnTick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.admission.PlansInBackground = true
 }
 
-// Tick advances migrations and the rollout, which requests also do, so that they advance without traffic too. If a fill
+// Tick advances migrations and the rollout. Requests advance them too; Tick does so when there is no traffic. If a fill
 // plan of PlanOnTick is due, Tick computes it without holding the lock.
 func (r *Router) Tick() {
 	r.mu.Lock()
@@ -76,8 +76,8 @@
 	return r.admission.RolloutStatus()
 }
 
-// MigrationStatus returns the progress of this site's migrations, and the version of their document, which is 0
-// without one.
+// MigrationStatus returns the progress of this site's migrations, and the version of the migration document; the
+// version is 0 without a document.
 func (r *Router) MigrationStatus() (statuses []cells.MigrationStatus, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -37,7 +37,7 @@
 	t         testing.TB
 	clock     *clock.Clock
 	upstream  *fakeUpstream
-	cancel    context.CancelFunc // ends the context of the last startRequest: its client leaves
+	cancel    context.CancelFunc // ends the context of the last startRequest, as if its client left
 	responses chan Response      // to requests of startRequest
 }
 
--- a/internal/router/load_report.go
+++ b/internal/router/load_report.go
@@ -7,7 +7,7 @@
 	"spantack/routing"
 )
 
-// settingsFieldNames maps the servers' names for the fields of a load report to those of the settings.
+// settingsFieldNames maps the servers' names of load report fields to the settings' names of the same fields.
 var settingsFieldNames = map[string]string{
 	"inflight":   "busy_reqs",
 	"queue":      "pending",
--- a/internal/router/load_report_test.go
+++ b/internal/router/load_report_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A report gives all values, in the order of the settings' fields and under either name of a field, or none at all.
+// parseLoadReport must return either all values, in the order of the settings' fields, or none. It must accept both
+// names of a field.
 func TestParseLoadReport(t *testing.T) {
 	fields := []string{"cpu_share", "x1"}
 	for report, want := range map[string][]float64{
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -38,7 +38,7 @@
 	mu           sync.Mutex
 	admission    *cells.Admission
 	endpoints    *endpoints.List
-	lastStepAt   int64                          // microseconds; the module's time must not go backwards
+	lastStepAt   int64                          // time of the module's last step in microseconds; never decreases
 	mailboxes    map[string]chan routing.Action // of open requests, by request id; each is owned by Serve
 	loadFields   []string                       // fields of load reports, in the module's order
 	keyedClasses map[string]bool                // classes whose requests must carry an idempotency key
@@ -120,7 +120,7 @@
 	case routing.ActionSend, routing.ActionReject, routing.ActionFail, routing.ActionCancel:
 		select {
 		case r.mailboxes[action.RequestID] <- action:
-		default: // no such request is open, or its mailbox is full; Serve fails an open one when it is overdue
+		default: // no such request is open, or its mailbox is full; Serve fails an open request when it is overdue
 			r.Counters.Faults.Add(1)
 		}
 	case routing.ActionSetTimer:
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -9,8 +9,8 @@
 
 // Time margins of a request, in milliseconds.
 const (
-	// replyMarginShare of the client's timeout, but at least minReplyMargin and at most maxReplyMargin, is reserved for
-	// the network round trip to the client and for delays on a busy core.
+	// replyMarginShare is the fraction of the client's timeout that is reserved for the network round trip to the
+	// client and for delays on a busy core. The reserved time is at least minReplyMargin and at most maxReplyMargin.
 	replyMarginShare = 0.1
 	minReplyMargin   = 5
 	maxReplyMargin   = 25
@@ -62,8 +62,8 @@
 // must not be served:
 //
 //   - if an open request has the same id, since the response of one could go to the other;
-//   - if the class requires an idempotency key and the request has none, because the front end read it before the
-//     settings were reloaded: servers could not deduplicate a retry of it.
+//   - if the class requires an idempotency key and the request has none, since servers could not deduplicate a retry.
+//     This occurs if the front end read the request before the settings were reloaded.
 func (r *Router) register(s *requestState) bool {
 	q := s.request
 	r.mu.Lock()
@@ -118,7 +118,7 @@
 	action     routing.Action // the module's next action
 	hasAction  bool
 	isTimedOut bool // the attempt in flight has timed out
-	isOverdue  bool // the deadline passed overdueAfter ago, and the module has not ended the request
+	isOverdue  bool // overdueAfter has passed since the deadline, and the module has not ended the request
 }
 
 // sentAttempt is the attempt of a requestState that is in flight.
@@ -288,7 +288,7 @@
 	s.router.step(routing.Event{Kind: routing.EventAborted, RequestID: s.request.ID})
 }
 
-// reportOverdue counts and logs that the module did not end the request in time.
+// reportOverdue counts and logs a request that the module did not end in time.
 func (s *requestState) reportOverdue() {
 	s.router.Counters.Overdue.Add(1)
 	s.router.log.Error().Str("request", s.request.ID).Msg("decision module did not end the request by its deadline")
--- a/internal/router/watch_event.go
+++ b/internal/router/watch_event.go
@@ -14,7 +14,7 @@
 	Cell      int64
 	Status    routing.EndpointStatus
 	Weight    float64
-	StartedAt float64 // Unix milliseconds; 0: long ago
+	StartedAt float64 // time when the server started, in Unix milliseconds; 0: long ago
 }
 
 // Purge invalidates the copies of objects that were made before a given time.
