--- a/internal/resp/attempt.go
+++ b/internal/resp/attempt.go
@@ -17,12 +17,14 @@
 	queuedAt float64 // when it was queued on its connection
 
 	conn         *conn // nil until it is assigned to a connection
-	writeStarted bool  // the writer has started it: only from then on can a response be its own
+	writeStarted bool  // the writer has started to write it; earlier responses can't belong to it
 	fullyWritten bool  // all of it was passed to the socket
-	endOffset    int64 // its end in the bytes written to its connection; valid once fullyWritten
+	endOffset    int64 // offset of its end among the bytes written to conn; valid if fullyWritten
 
-	ambiguous     bool                  // an earlier attempt with its id ended on conn: a response may be for that one
-	delayedResult *router.AttemptResult // of an ambiguous attempt: delivered once its DROP is written; nil: none
+	// ambiguous is set if an earlier attempt with the same id ended on conn. A response may then belong to the earlier
+	// attempt.
+	ambiguous     bool
+	delayedResult *router.AttemptResult // result to deliver once the DROP of an ambiguous attempt is written; nil: none
 
 	finished bool
 	result   chan router.AttemptResult // has a capacity of one, so that finish never blocks
@@ -43,17 +45,17 @@
 // the next attempt may go to any server:
 //
 //   - An attempt that the writer has not started is removed: the server never receives any of it.
-//   - For any other attempt, Cancel waits until the DROP is written. It closes the connection if nothing was received
-//     on it since the attempt was queued: its machine may be cut off and never read the DROP. When a connection is
-//     closed, the server cancels all attempts on it.
-//   - A DROP that can't be written soon, because the write before it is stuck, has no effect at the server. The
-//     connection is then closed if another attempt may follow, or if the attempt itself is stuck, since it must not
-//     arrive after it was canceled.
+//   - For any other attempt, Cancel waits until the DROP is written. When a connection is closed, the server cancels
+//     all attempts on it.
+//   - A connection is silent if nothing was received on it since the attempt was queued. Its machine may be cut off and
+//     never read the DROP, so Cancel closes the connection if another attempt may follow. If no attempt can follow,
+//     Cancel closes it only if the attempt was queued more than maxSilence ago and no other attempt is in flight on it,
+//     since a client that leaves early is not a sign of a fault of the server.
+//   - If the DROP can't be written soon, because the write before it is stuck, it has no effect at the server. Cancel
+//     then closes the connection if another attempt may follow. It also does so if the write of the attempt itself is
+//     stuck, since the attempt must not arrive after it was canceled.
 //   - An attempt that is still in the socket's send queue, because its server does not read, is discarded together with
 //     the connection.
-//
-// If no attempt can follow, such a silent connection is closed only if the attempt was queued more than maxSilence ago
-// and no other attempt is in flight on it: a client that leaves early is not a sign of a fault of the server.
 func (a *pendingAttempt) Cancel(mayRetry bool) {
 	canceledAt, dropWritten, isInFlight := a.withdraw()
 	if !isInFlight {
@@ -79,8 +81,8 @@
 	}
 }
 
-// withdraw marks the attempt as finished, and queues its DROP if the server may have received part of it. Then
-// isInFlight is true, and dropWritten is closed once the DROP is written.
+// withdraw marks the attempt as finished. If the server may have received part of the attempt, isInFlight is true:
+// withdraw has queued the DROP, and dropWritten is closed once it is written.
 func (a *pendingAttempt) withdraw() (canceledAt float64, dropWritten chan struct{}, isInFlight bool) {
 	a.pools.mu.Lock()
 	defer a.pools.mu.Unlock()
@@ -116,9 +118,9 @@
 }
 
 // mustCloseForSilence reports whether a connection must be closed after one of its attempts was canceled, because no
-// response has been received on it since that attempt was queued. If a retry may follow, that alone is enough.
-// Otherwise the attempt must have waited for more than maxSilence, with no other attempt in flight on the connection.
-// Pools.mu is held.
+// response has been received on it since that attempt was queued. If no retry may follow, two more conditions must
+// hold: the attempt has waited for more than maxSilence, and no other attempt is in flight on the connection. Pools.mu
+// is held.
 func (c *conn) mustCloseForSilence(canceled *pendingAttempt, canceledAt float64, mayRetry bool) bool {
 	if c.lastResponseAt >= canceled.queuedAt {
 		return false
@@ -128,8 +130,8 @@
 
 // remainingSendTime returns the time within which the attempt may still be sent, in milliseconds: negative if it is too
 // late, +Inf without a bound. MaxSendDelay bounds it because the server may have been drained or its copies purged
-// since it was chosen. SendWithin bounds it because of side effects: a repeat must not be sent once servers no longer
-// deduplicate it. Pools.mu is held.
+// after it was chosen for the attempt. SendWithin bounds it because of side effects: a repeat must not be sent once
+// servers no longer deduplicate it. Pools.mu is held.
 func (a *pendingAttempt) remainingSendTime() float64 {
 	limit := math.Inf(1)
 	for _, bound := range []float64{a.pools.options.MaxSendDelay, a.attempt.SendWithin} {
--- a/internal/resp/codec_test.go
+++ b/internal/resp/codec_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// The GET of an attempt must have all fields in order, and none for what the attempt does not set.
+// The GET of an attempt must have all fields in order, and no field for a value that the attempt does not set.
 func TestGetHasFieldsInOrder(t *testing.T) {
 	request := &router.Request{ID: "9b1f", Class: "catalogue", Object: "7f3a", Chunk: 2, IdempotencyKey: "5c0f",
 		ClientETag: "4be0", Body: []byte("ask")}
@@ -122,8 +122,8 @@
 	if got != want {
 		t.Errorf("got  %q\nwant %q", got, want)
 	}
-	// An age limit of 0 would mean the class's own, so a limit below one millisecond becomes 1. Without a limit, the field
-	// is omitted.
+	// An age limit of 0 would mean the class's own limit, so a limit below one millisecond becomes 1. Without a limit,
+	// the field is omitted.
 	bare := string(appendGet(nil, router.Attempt{Request: &router.Request{ID: "a"}}))
 	if strings.Contains(bare, "agelim") {
 		t.Errorf("agelim although the attempt has no MaxAge: %q", bare)
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -65,8 +65,8 @@
 	c.idleTimer.Stop()
 }
 
-// queueDrop queues drop as the DROP of a request id: it sets the encoded text, the caller the other fields. If the
-// queue is full, it closes the connection instead. Pools.mu is held.
+// queueDrop queues the command drop as the DROP of a request id. It sets the encoded text; the caller sets the other
+// fields. If the queue is full, it closes the connection instead. Pools.mu is held.
 func (c *conn) queueDrop(id string, drop command) {
 	c.recordID(c.droppedAt, id)
 	drop.encoded = appendDrop(nil, id)
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -65,7 +65,8 @@
 	if n := pools.openConns(); n != 0 {
 		t.Errorf("%d connections open, want 0: the attempt is not canceled", n)
 	}
-	// Its write had started when the connection was closed, so the pool does not know how much of it was sent.
+	// The write of the stuck attempt had started when the connection was closed, so the pool does not know how much was
+	// sent.
 	wantOutcome(t, stuck, routing.OutcomeConnectionReset)
 }
 
@@ -97,7 +98,7 @@
 	send(pools, "left").Cancel(false)
 	send(pools, "stays")
 	discard := make([]byte, len(stuckBody))
-	for bodyIsNext := false; !bodyIsNext; { // the stuck command; its body is too long for ReadArray
+	for bodyIsNext := false; !bodyIsNext; { // skips the stuck command, whose body is too long for ReadArray
 		line, err := conn.in.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
@@ -122,7 +123,7 @@
 	stuck, behind := newAttempt(pools, "stuck"), newAttempt(pools, "behind")
 	stuck.attempt.Body = stuckBody
 	pools.mu.Lock()
-	// Under one lock, or the connection may be closed before the second is queued.
+	// Both are queued under one lock; otherwise the connection may be closed before the second is queued.
 	for _, next := range []*pendingAttempt{stuck, behind} {
 		pools.servers["s-1"].conns[0].enqueue(next)
 	}
@@ -132,7 +133,7 @@
 	}
 	wantOutcome(t, stuck, routing.OutcomeConnectionRefused)
 	wantOutcome(t, behind, routing.OutcomeConnectionRefused)
-	wantOutcome(t, pending, routing.OutcomeConnectionReset) // it was sent in full
+	wantOutcome(t, pending, routing.OutcomeConnectionReset) // the first attempt was sent in full
 }
 
 // The server closes an idle connection while an attempt is about to be sent on it: the attempt must end as refused,
@@ -198,7 +199,7 @@
 	conn.expect("GET a")
 	conn.respond("a", "MISS", "-", "")
 	wantOutcome(t, pending, routing.OutcomeMiss)
-	next := send(pools, "b") // stands for a third attempt: the DROP of the second must be written before it
+	next := send(pools, "b") // acts as a third attempt: the DROP of the second must be written before it
 	conn.expect("DROP a", "GET b")
 	conn.respond("b", "MISS", "-", "")
 	wantOutcome(t, next, routing.OutcomeMiss)
@@ -251,8 +252,8 @@
 	}
 }
 
-// The connection is established after the client left: its request must not be sent, and the connection is used for the
-// next one.
+// The connection is established after the client left: its request must not be sent, and the connection must be used
+// for the next request.
 func TestConnectionDialedForDepartedClientIsReused(t *testing.T) {
 	server := listen(t)
 	pools := newSharedPools(t, server.addr(), 0)
@@ -279,7 +280,7 @@
 			server := listen(t)
 			pools, fake := newPools(t, server.addr())
 			pools.SetMaxSendDelay(limits.maxSendDelay)
-			fake.Advance(200) // since its server was chosen
+			fake.Advance(200) // 200 ms pass after the attempt's server was chosen
 			pending, _, conn := dialLocked(pools, server)
 			pending.attempt.SendWithin = limits.sendWithin
 			pools.mu.Unlock()
@@ -305,10 +306,10 @@
 	conn.respond("a", "BUSY", "-", "")
 	wantOutcome(t, pending, routing.OutcomeRejected)
 	pending = sendWithSideEffects()
-	second := server.accept() // it must not use the same connection
+	second := server.accept() // the second attempt must not use the same connection
 	second.expect("GET a")
 	conn.respond("a", "BUSY", "-", "")
-	crossed := send(pools, "b") // once it has its response, the second BUSY has been read
+	crossed := send(pools, "b") // its response is read after the second BUSY
 	conn.expect("GET b")
 	conn.respond("b", "MISS", "-", "")
 	wantOutcome(t, crossed, routing.OutcomeMiss)
--- a/internal/resp/pools.go
+++ b/internal/resp/pools.go
@@ -26,21 +26,24 @@
 
 // Bounds of connections to servers; times are milliseconds.
 const (
-	idleCloseShare    = 0.8     // of IdleTimeout; a close by the server could cross an attempt, so the pool closes first
-	writeTimeout      = 2000    // for one command
-	minWriteTimeout   = 20      // lower bound of the write timeout, also for an attempt with less time left to be sent
-	queueCapacity     = 64      // commands that wait to be written on one connection
-	dropWriteTimeout  = 20      // how long Cancel waits until its DROP is written
-	dropRetention     = 2000    // of ids in droppedAt and unservedAt; the next attempt of a request starts sooner
-	maxSilence        = 250     // after it without a response, a connection is closed when its only attempt is canceled
-	stallTimeout      = 1000    // between two bytes of a response
+	// idleCloseShare is the fraction of IdleTimeout after which the pool closes an idle connection. It does so before the
+	// server, since a close by the server could cross an attempt.
+	idleCloseShare   = 0.8
+	writeTimeout     = 2000 // limit for writing one command
+	minWriteTimeout  = 20   // lower bound of the write timeout, also for an attempt with less time left to be sent
+	queueCapacity    = 64   // commands that wait to be written on one connection
+	dropWriteTimeout = 20   // how long Cancel waits until its DROP is written
+	dropRetention    = 2000 // time to keep ids in droppedAt and unservedAt; a request's next attempt starts sooner
+	// maxSilence is the time without a response after which a connection is closed if its only attempt is canceled.
+	maxSilence        = 250
+	stallTimeout      = 1000    // maximum time between two bytes of a response
 	readBufferSize    = 4 << 10 // bytes
 	maxConnsPerServer = 24      // connections to one server before attempts share them
 )
 
 // Pools holds the connections to all servers. It implements router.Upstream, and is safe for concurrent use. A server
-// is identified by its id together with its address: addresses are reused, and attempts in flight at the old machine
-// must not be mixed up with those at the new one.
+// is identified by its id together with its address: addresses are reused, and an attempt in flight at the old machine
+// must not be mistaken for one at the new machine.
 type Pools struct {
 	clock *clock.Clock
 	log   zerolog.Logger
@@ -59,8 +62,8 @@
 
 // timeouts bound the time of writes to servers, in milliseconds. Tests increase them.
 type timeouts struct {
-	write float64 // of one command
-	drop  float64 // of the wait in Cancel until its DROP is written
+	write float64 // limit for writing one command
+	drop  float64 // limit for the wait in Cancel until its DROP is written
 }
 
 // NewPools returns pools without servers. All connections are closed when ctx ends.
@@ -120,7 +123,7 @@
 }
 
 // Send implements router.Upstream. An attempt ends as OutcomeSkipped, with nothing sent, if no connection has room for
-// it or if its server has left the endpoint list since it was chosen.
+// it or if its server has left the endpoint list since the server was chosen.
 func (p *Pools) Send(attempt router.Attempt) router.PendingAttempt {
 	pending := &pendingAttempt{
 		pools:    p,
--- a/internal/resp/pools_test.go
+++ b/internal/resp/pools_test.go
@@ -126,7 +126,7 @@
 }
 
 // Responses are matched to their attempts in any order. New connections are opened up to MaxConns before one is shared.
-// No connection carries more than MaxStreams attempts: another attempt ends as skipped.
+// No connection carries more than MaxStreams attempts: a further attempt ends as skipped.
 func TestConnectionLimitsAndResponseMatching(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
@@ -157,7 +157,7 @@
 }
 
 // The next attempt of a request must follow the DROP of the previous one on the same connection, so that the server
-// never has two of them at once.
+// never has two attempts of the request at once.
 func TestRetryFollowsDropOnSameConnection(t *testing.T) {
 	server := listen(t)
 	pools, _ := newPools(t, server.addr())
@@ -321,7 +321,7 @@
 	go conn.read()
 	server := &fakeConn{t, remote, bufio.NewReader(remote)}
 	server.respond("a", "OK", "-", "ahead")
-	server.respond("b", "OK", "-", "unknown") // read only after the response before has been handled
+	server.respond("b", "OK", "-", "unknown") // read only after the previous response was handled
 	go conn.write()
 	server.expect("GET a")
 	server.respond("a", "OK", "-", "true")
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -41,7 +41,7 @@
 func (c *conn) readResponse(in *bufio.Reader) (id string, result router.AttemptResult, err error) {
 	c.netConn.SetReadDeadline(time.Time{})
 	_, err = in.Peek(1)
-	c.netConn.SetReadDeadline(clock.Deadline(stallTimeout)) // Peek reads nothing if the byte is buffered
+	c.netConn.SetReadDeadline(clock.Deadline(stallTimeout)) // if Peek found the byte in the buffer, no deadline is set yet
 	if err != nil {
 		return "", result, err
 	}
@@ -99,7 +99,7 @@
 	}
 	delete(c.attempts, id)
 	a.finish(result)
-	if a.ambiguous { // the request is served, by whichever attempt: the result need not wait for the DROP
+	if a.ambiguous { // either attempt has served the request, so the result need not wait for the DROP
 		c.queueDrop(id, command{})
 	}
 }
--- a/internal/resp/sendqueue.go
+++ b/internal/resp/sendqueue.go
@@ -39,8 +39,8 @@
 }
 
 // waitUntilSent waits up to timeout milliseconds until no byte of an attempt is left in the send queue. It returns
-// false if some are still there: if the server read again later, it would receive the attempt in full, however long ago
-// the client left. For an attempt that was not written to the socket in full it returns true at once.
+// false if some are left: a server that reads again later would then receive the attempt in full, however long ago the
+// client left. For an attempt that was not written to the socket in full it returns true at once.
 func (c *conn) waitUntilSent(a *pendingAttempt, timeout float64) bool {
 	pools := c.pools()
 	startedAt := time.Now()
--- a/internal/resp/serverpool.go
+++ b/internal/resp/serverpool.go
@@ -35,14 +35,15 @@
 	}
 }
 
-// pick returns the best connection for an attempt. If it is nil, mayDial reports whether to dial a new one. An idle
-// connection is preferred, since a large body blocks all responses behind it. Connections are shared once
-// maxConnsPerServer or Options.MaxConns is reached.
+// pick returns the best connection for an attempt. If there is none, best is nil, and mayDial reports whether to dial a
+// new connection. An idle connection is preferred, since a large body blocks all responses behind it. Connections are
+// shared once maxConnsPerServer or Options.MaxConns is reached.
 //
 // After an attempt was canceled, the next attempt of its request uses the connection on which the DROP was queued;
-// while that connection is full, it gets none. The server must read the DROP first, or two attempts would be in flight
-// at once. An attempt with side effects avoids connections on which another attempt of its request ended unserved: that
-// response may arrive a second time and be taken for this attempt's own, as if this attempt had never run.
+// while that connection is full, the next attempt gets no connection. The server must read the DROP first, or two
+// attempts would be in flight at once. An attempt with side effects avoids connections on which another attempt of its
+// request ended unserved. The response to that other attempt may arrive a second time. If it were mistaken for the
+// response to this attempt, this attempt would count as not run.
 //
 // A connection whose queue is at least half full gets no other attempts, so that DROPs can still be queued: a full
 // queue closes the connection (see queueDrop). Pools.mu is held.
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -70,7 +70,7 @@
 		return 0, false
 	}
 	a.writeStarted = true
-	delete(c.droppedAt, id) // its DROP was queued before, so it has been written
+	delete(c.droppedAt, id) // the DROP was queued before this attempt, so it has been written
 	return min(max(timeLeft, minWriteTimeout), pools.timeouts.write), true
 }
 
@@ -111,7 +111,7 @@
 }
 
 // writeCommand writes a command to the socket. If the socket accepts it in parts, writeCommand checks before each part
-// after the first whether the command's client has left: the server must not receive the rest of the request then.
+// after the first whether the command's client has left. If so, the server must not receive the rest of the request.
 func (c *conn) writeCommand(next command) error {
 	socket, ok := c.netConn.(syscall.Conn)
 	if !ok || next.attempt == nil {
