--- a/internal/handover/exclusions.go
+++ b/internal/handover/exclusions.go
@@ -52,9 +52,9 @@
 }
 
 // ChangeExcluded makes one change to the excluded servers under the lock that the processes share: it adopts the
-// servers that the other process wrote, calls change, and writes the servers that excluded then returns. A nil StateDir
-// only calls change. The error wraps EWOULDBLOCK if another process holds the lock for longer than lockTimeout, for
-// example because it was stopped during a change.
+// servers that the other process wrote, calls change, and writes the servers that excluded returns after the change. A
+// nil StateDir only calls change. The error wraps EWOULDBLOCK if another process holds the lock for longer than
+// lockTimeout, for example because it was stopped during a change.
 func (d *StateDir) ChangeExcluded(adopt func(ids []string) error, change func() error, excluded func() []string) error {
 	if d == nil {
 		return change()
@@ -92,8 +92,8 @@
 	}
 }
 
-// adoptIfChanged adopts the excluded servers if their file has changed since it had the file info adopted. It returns
-// the file info of the file that was adopted last; nil: none yet.
+// adoptIfChanged adopts the excluded servers if the info of their file differs from adopted. It returns the file info
+// of the file that was adopted last; nil: none yet.
 func (d *StateDir) adoptIfChanged(adopted fs.FileInfo, adopt func(ids []string) error) fs.FileInfo {
 	current, err := os.Stat(filepath.Join(d.dir, excludedFile))
 	if err != nil || adopted != nil && os.SameFile(adopted, current) && current.ModTime() == adopted.ModTime() {
@@ -105,7 +105,7 @@
 	}
 	defer unlock()
 	d.AdoptExcluded(adopt)
-	return current // read before the lock was taken: a later write is noticed at the next tick
+	return current // read before the lock was taken, so a later write is noticed at the next tick
 }
 
 // lockWithin takes the exclusive lock, and retries for timeout milliseconds while another process holds it.
--- a/internal/handover/exclusions_test.go
+++ b/internal/handover/exclusions_test.go
@@ -182,7 +182,7 @@
 	if err := os.Remove(filepath.Join(dir, excludedFile)); err != nil {
 		t.Fatal(err)
 	}
-	if err := next.exclude("b"); err != nil { // the loss of the file must undo nothing
+	if err := next.exclude("b"); err != nil { // the loss of the file must not undo any exclusion
 		t.Fatal(err)
 	}
 	if got := next.excluded(); len(got) != changes+1 {
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 )
 
-// maxFileBytes is the maximum size of a file that readFile accepts. This program must write no larger ones; writeFile
-// does not check the size.
+// maxFileBytes is the maximum size of a file that readFile accepts. The files that this program writes must not be
+// larger; writeFile does not check the size.
 const maxFileBytes = 256 << 10
 
 // writeFile writes v as JSON and replaces the file atomically, so that no reader sees part of it.
--- a/internal/handover/serving_test.go
+++ b/internal/handover/serving_test.go
@@ -28,7 +28,7 @@
 			if old.IsReplaced() {
 				t.Error("replaced by itself")
 			}
-			staged, err := next.writeTemp(servingFile, 1) // its claim is written but not renamed yet
+			staged, err := next.writeTemp(servingFile, 1) // the claim is written, but its file is not renamed yet
 			if err != nil || old.IsReplaced() {
 				t.Errorf("replaced by an unpublished claim, error %v", err)
 			}
