--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -20,7 +20,8 @@
 )
 
 func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait")) // it sleeps before it closes
+	// closeWriteAndWait sleeps before it closes a connection, so it may outlast the tests.
+	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
 // fakeRouter records the calls that reach it.
