--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -52,9 +52,9 @@
 	return len(line), nil
 }
 
-// Close waits up to closeTimeout until the queued lines are written. Later lines are dropped: once the queue has been
-// written, they are lost without a report. Until then, lines that are passed to Write may still be written. Close must
-// be called only once.
+// Close waits up to closeTimeout until the queued lines are written. Lines that are passed to Write before the queue is
+// empty may still be written. Lines that are passed to it later are lost without a report. Close must be called only
+// once.
 func (w *Writer) Close() {
 	close(w.quit)
 	timeout := time.NewTimer(closeTimeout)
