--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -20,5 +20,5 @@
 	return true
 }
 
-// Record counts a line that was logged without Allow at now, in Unix milliseconds.
+// Record notes that a line was logged at now, in Unix milliseconds, without a call of Allow.
 func (l *Limiter) Record(now float64) { l.loggedAt = now }
