--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -33,8 +33,8 @@
 // processStart is the zero point of Monotonic.
 var processStart = time.Now()
 
-// Monotonic returns the time since the start of the process in milliseconds, which is not affected by changes of the
-// system's clock. It is used for intervals that other processes rely on. With a fake clock it returns Now.
+// Monotonic returns the time since the start of the process in milliseconds. Changes of the system's clock do not
+// affect it. It is used for intervals that other processes rely on. With a fake clock it returns Now.
 func (c *Clock) Monotonic() float64 {
 	if c.fake != nil {
 		return c.fake.read()
