--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -22,11 +22,11 @@
 	budgetBurst           = 1000   // period whose unused budget may be saved up and used at once
 	maxQueuedJobs         = 64     // jobs that wait to run
 	maxAttempts           = 3      // attempts of one job
-	attemptTimeout        = 10_000 // after which a job that has not ended counts as failed
+	attemptTimeout        = 10_000 // time after which a job that has not ended counts as failed
 	initialBackoff        = 500    // before the second attempt of a job
 	maxBackoff            = 30_000
 	agingInterval         = 2000 // waiting time after which a job rises by one priority level
-	minWait               = 1    // between two checks of the queue while no job can run
+	minWait               = 1    // time between two checks of the queue while no job can run
 )
 
 // Runner queues and runs jobs. It is created by New.
@@ -86,8 +86,8 @@
 }
 
 // Every runs a job repeatedly until ctx ends. It queues the first run at once, and each further run interval
-// milliseconds after the last one has ended. A run is skipped if the queue has no room for it, or if Submit fails for
-// another reason: the job is submitted again after interval. The job is not run again once it has failed in all
+// milliseconds after the last one has ended. If Submit fails, for example because the queue has no room, the run is
+// skipped, and the job is submitted again after interval. The job is not run again once it has failed in all
 // maxAttempts attempts, or once a full queue has abandoned it for a job of a higher priority.
 func (r *Runner) Every(ctx context.Context, id string, interval float64, priority scheduler.Priority, run func()) {
 	var submit func()
