--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -18,9 +18,9 @@
 var addressCount atomic.Uint32
 
 // FreeAddress returns an address on which no process listens. It differs from the addresses of all earlier calls in
-// this process, until the ports are used up, and from those of every other process, because the host part is derived
-// from the process id. To listen on port 0 and close that listener would guarantee neither, since the system soon
-// reuses the port.
+// this process until the ports are used up. It also differs from the addresses in every other process, because the host
+// part is derived from the process id. Listening on port 0 and closing that listener would guarantee neither, since the
+// system soon reuses the port.
 func FreeAddress() string {
 	pid := os.Getpid()
 	port := firstPort + (addressCount.Add(1)-1)%(endPort-firstPort)
