--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// CountRejected counts a request that the front end rejected before Serve because its queue was full.
+// CountRejected counts a request that the front end rejected before Serve, because the front end was at its capacity or
+// draining.
 func (r *Router) CountRejected(class string) { r.countClassOutcome(class, Rejected) }
 
 // CountersByClass returns the counters of all classes, ordered by name.
