--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -23,7 +23,7 @@
 	maxQueuedJobs         = 64     // jobs that wait to run
 	maxAttempts           = 3      // attempts of one job
 	attemptTimeout        = 10_000 // time after which a job that has not ended counts as failed
-	initialBackoff        = 500    // before the second attempt of a job
+	initialBackoff        = 500    // wait before the second attempt of a job
 	maxBackoff            = 30_000
 	agingInterval         = 2000 // waiting time after which a job rises by one priority level
 	minWait               = 1    // time between two checks of the queue while no job can run
