--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// CountRejected counts a request that the front end rejected before Serve because its queue was full.
+// CountRejected counts a request that the front end rejected before Serve, because the front end was at its capacity or
+// draining.
 func (r *Router) CountRejected(class string) { r.countClassOutcome(class, Rejected) }
 
 // CountersByClass returns the counters of all classes, ordered by name.
@@ -104,7 +105,7 @@
 }
 
 // CacheCounts returns the number of listed edge caches, including those of other sites, and how many of them are
-// excluded by operators or have an open circuit breaker in this router: these get no requests from it.
+// excluded by operators or have an open circuit breaker in this router. This router sends no requests to those.
 func (r *Router) CacheCounts() (listed, unavailable int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
