--- a/internal/msgpackrpc/capacity.go
+++ b/internal/msgpackrpc/capacity.go
@@ -41,9 +41,9 @@
 	return selected
 }
 
-// evictionRank orders connections for eviction, lowest rank first: connections without a message after
-// newConnGracePeriod, then the others by idle time, longest first. The rank is infinite, which prevents eviction, while
-// a response is pending.
+// evictionRank orders connections for eviction, lowest rank first. The connection that has been idle for longest has
+// the lowest rank. A connection without a message counts as idle for firstMessageTimeout longer, once it is older than
+// newConnGracePeriod. While a response is pending, the rank is infinite, which prevents eviction.
 func (c *conn) evictionRank() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -83,7 +83,7 @@
 		return r, r.err
 	case <-ctx.Done():
 		c.forget(id)
-		_, _ = c.conn.Write(appendCancel(nil, id)) // a failed connection cancels the request anyway
+		_, _ = c.conn.Write(appendCancel(nil, id)) // if this fails, the router cancels the request anyway
 		return result{}, ctx.Err()
 	}
 }
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -25,7 +25,7 @@
 	unsentResponses   int                     // queued or about to be queued, and not yet written
 	inMessage         bool                    // the reader is reading a message
 	awaitsLastMessage bool                    // the connection is to close; the reader waits for a message in transit
-	woken             bool                    // wake was called since awaitMessage last cleared this
+	woken             bool                    // wake was called since awaitMessage last cleared this field
 	receivedAny       bool                    // a complete message has been received
 	// idleSince is the time in Unix milliseconds when the connection was accepted, or when a message last arrived or a
 	// response was last queued or written.
@@ -121,8 +121,8 @@
 
 // awaitMessage sets the read deadline for the start of the next message. If the connection is to close and no request
 // is open, closesAfterWait is true and the deadline is short: it only allows for messages already in transit. If wake
-// was called in the meantime, awaitMessage keeps the expired deadline that wake set, so that the read fails immediately
-// and the reader calls awaitMessage again.
+// is called while awaitMessage runs, awaitMessage keeps the expired deadline that wake set. The read then fails
+// immediately, and the reader calls awaitMessage again.
 func (c *conn) awaitMessage() (closesAfterWait bool) {
 	c.mu.Lock()
 	c.inMessage = false
--- a/internal/msgpackrpc/departed.go
+++ b/internal/msgpackrpc/departed.go
@@ -25,10 +25,10 @@
 	socketClosed // closed, half-closed or reset by the client
 )
 
-// clientDeparted reports whether the client of a request has disconnected or canceled the request. It also detects this
-// before the connection's reader has run: on a router that is short of CPU time, the response of a server and the end
-// of the client's stream may both be readable before any goroutine reads them, so they may be read in either order. ctx
-// is the context of the request. The call may block for some milliseconds.
+// clientDeparted reports whether the client of a request has disconnected or canceled the request. It detects a
+// departure even before the connection's reader has run. On a router that is short of CPU time, the response of a
+// server and the end of the client's stream may both be readable before any goroutine reads them. They are then read in
+// either order. ctx is the context of the request. The call may block for some milliseconds.
 func (c *conn) clientDeparted(ctx context.Context) bool {
 	for range maxSocketPeeks {
 		if ctx.Err() != nil {
--- a/internal/msgpackrpc/drain.go
+++ b/internal/msgpackrpc/drain.go
@@ -54,8 +54,8 @@
 }
 
 // closeRemaining closes connections at the end of ShutdownTimeout. A connection with a pending response stays open for
-// up to ShutdownGracePeriod longer. Handlers may respond as late as just before ShutdownTimeout. If the process then
-// gets CPU time late, they respond after it, and those responses must still be delivered.
+// up to ShutdownGracePeriod longer. A handler that would respond just before ShutdownTimeout may respond after
+// ShutdownTimeout if the process gets CPU time late. That response must still be delivered.
 func (s *Server) closeRemaining(open []*conn) {
 	s.mu.Lock()
 	graceEnd := s.drainingSince + s.ShutdownTimeout + s.ShutdownGracePeriod
@@ -79,7 +79,8 @@
 // connections returns the open connections in no particular order. s.mu is held.
 func (s *Server) connections() []*conn { return slices.Collect(maps.Keys(s.conns)) }
 
-// closesConnections reports whether connections without open requests are to be closed, that is while draining.
+// closesConnections reports whether connections without open requests are to be closed, which is the case while the
+// server drains.
 func (s *Server) closesConnections() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,8 +88,8 @@
 }
 
 // rejectsRequests reports whether the server has been draining for at least rejectAfter, after which requests are
-// rejected. Otherwise clients that always have a request open could keep their connections from closing. 4 s after
-// Drain, no connection may have an open request that arrived in the last 2 s.
+// rejected. Without rejections, clients that always have a request open could keep their connections from closing. 4 s
+// after Drain, no connection may have an open request that arrived in the last 2 s.
 func (s *Server) rejectsRequests() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/msgpackrpc/handler.go
+++ b/internal/msgpackrpc/handler.go
@@ -93,7 +93,8 @@
 	return nil, nil, nil
 }
 
-// serveRequest runs the handler of a request and queues its response, unless the request was canceled.
+// serveRequest runs the handler of a request and queues its response. It queues none if the request was canceled or the
+// outcome is NoResponse.
 func (c *conn) serveRequest(ctx context.Context, id uint64, open *openRequest, request router.Request) {
 	response := c.server.handle(ctx, request)
 	c.addUnsentResponses(1) // prevents eviction of the connection before the response is queued
--- a/internal/msgpackrpc/interleavings_test.go
+++ b/internal/msgpackrpc/interleavings_test.go
@@ -13,11 +13,11 @@
 	"spantack/internal/testwait"
 )
 
-// Race conditions on a client's connection. The client delays its messages, and the handler its response, until the
-// server has reached the state under test.
+// The tests of this file cover race conditions on a client's connection. The client delays its messages, and the
+// handler its response, until the server has reached the state under test.
 
-// If Drain or a shutdown starts between a reader's check whether its connection is to close and its wait for the next
-// message, the connection must still close promptly, and not stay open for the idle timeout.
+// Drain or a shutdown may start after a reader has checked whether its connection is to close, and before the reader
+// waits for the next message. The connection must still close promptly; it must not stay open for the idle timeout.
 func TestDrainBetweenCheckAndWaitClosesConnection(t *testing.T) {
 	for name, drain := range map[string]func(*testClient){
 		"drain": func(c *testClient) { c.Drain() },
@@ -171,7 +171,7 @@
 			client.Conn.(*net.TCPConn).SetLinger(0)
 		}
 		client.Close()
-		testwait.Receive(t, accepted, "the connection to be accepted") // before that there is no connection to end
+		testwait.Receive(t, accepted, "the connection to be accepted") // otherwise there may be no connection to end yet
 		testwait.Until(t, "the end of the connection and of its request", func() bool {
 			select {
 			case call := <-client.handlerCalls:
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -89,14 +89,14 @@
 	err    error // *fieldError of the first invalid field
 }
 
-// fail records that a field is invalid, if no earlier one is.
+// fail records that a field is invalid, unless an invalid field is recorded already.
 func (f *requestFields) fail(name string) {
 	if f.err == nil {
 		f.err = &fieldError{field: name}
 	}
 }
 
-// token returns a field that is forwarded unchanged, or "" if an optional one is absent.
+// token returns a field that is forwarded unchanged, or "" if the field is optional and absent.
 func (f *requestFields) token(name string, isRequired bool) string {
 	v, isPresent := f.values[name]
 	s, isString := v.(string)
@@ -109,7 +109,7 @@
 	return s
 }
 
-// hexID returns a field that is an id, or "" if an optional one is absent.
+// hexID returns a field that is an id, or "" if the field is optional and absent.
 func (f *requestFields) hexID(name string, isRequired bool) string {
 	s := f.token(name, isRequired)
 	if s != "" && !isHexID(s) {
@@ -118,7 +118,7 @@
 	return s
 }
 
-// number returns a number from minimum to maximum, or 0 if an optional one is absent.
+// number returns a number from minimum to maximum, or 0 if the field is optional and absent.
 func (f *requestFields) number(name string, isRequired bool, minimum, maximum float64) float64 {
 	v, isPresent := f.values[name]
 	if !isPresent && !isRequired {
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -24,13 +24,15 @@
 	connQuotaDivisor   = 8                   // the quota of a connection is MaxQueuedBytes divided by this
 	readBufferSize     = 4 << 10             // bytes
 
-	firstMessageTimeout = 2_000  // for the first message; clients send one as soon as they connect
-	newConnGracePeriod  = 100    // before a new connection is preferred for eviction; its first message may be in transit
-	idleTimeout         = 6_000  // clients close idle connections after 4 s; the server closes those that they left open
-	messageTimeout      = 2_000  // for the rest of a message after its first byte
-	writeTimeout        = 10_000 // for one response; a client that does not read it is treated as disconnected
-	lingerTimeout       = 250    // for bytes that the client sent before it received the close
-	acceptRetryDelay    = 20     // after a failed accept
+	firstMessageTimeout = 2_000 // for the first message; clients send one as soon as they connect
+	// newConnGracePeriod is the age at which a connection without a message begins to be preferred for eviction. Until
+	// then, its first message may be in transit.
+	newConnGracePeriod = 100
+	idleTimeout        = 6_000  // clients close idle connections after 4 s; the server closes the ones left open
+	messageTimeout     = 2_000  // for the rest of a message after its first byte
+	writeTimeout       = 10_000 // for one response; a client that does not read it is treated as disconnected
+	lingerTimeout      = 250    // for bytes that the client sent before it received the close
+	acceptRetryDelay   = 20     // after a failed accept
 
 	drainTimeout          = 50    // for a message in transit on a connection that is to close
 	rejectAfter           = 1_500 // from the start of draining; see rejectsRequests
@@ -47,7 +49,7 @@
 	// Handle serves one request. Each call runs in its own goroutine. Its context ends when the client disconnects or
 	// cancels the request.
 	Handle func(context.Context, router.Request) router.Response
-	// IsReady returns the response to health requests.
+	// IsReady reports whether the router is ready for requests; health requests return its result.
 	IsReady func() bool
 	// KeyRequired maps each class to whether its requests must have an idempotency key. UpdateClasses replaces it.
 	KeyRequired map[string]bool
@@ -55,12 +57,13 @@
 	OnRejected func(class string)
 
 	MaxConns       int
-	MaxQueuedBytes int64 // of open requests and unwritten responses on all connections
+	MaxQueuedBytes int64 // limit for open requests and unwritten responses on all connections
 
 	// Limits of the shutdown in milliseconds. Until ShutdownTimeout, open requests delay the end of Serve. After it, a
-	// connection stays open while it has an open request, or an unwritten response and activity within the last
-	// ResponseReadTimeout, so that its client can still read a response that was queued late. All remaining connections
-	// are closed ShutdownGracePeriod after ShutdownTimeout.
+	// connection stays open while it has an open request. It also stays open while it has an unwritten response and,
+	// within the last ResponseReadTimeout, a message arrived or a response was queued or written. Its client can thus
+	// still read a response that was queued late. All remaining connections are closed ShutdownGracePeriod after
+	// ShutdownTimeout.
 	ShutdownTimeout     float64
 	ResponseReadTimeout float64
 	ShutdownGracePeriod float64
@@ -82,8 +85,8 @@
 }
 
 // Serve accepts connections until ctx ends, then closes each connection once it has no open requests, and returns when
-// all are closed. Requests that arrive more than rejectAfter after the end of ctx, on connections that are still open
-// because they have an open request, are rejected, since the end of the shutdown would abort them.
+// all connections are closed. A connection with an open request still accepts further requests. Those that arrive more
+// than rejectAfter after the end of ctx are rejected, since the end of the shutdown would abort them.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	s.mu.Lock() // Drain may be called before Serve
 	s.conns = map[*conn]bool{}
--- a/internal/msgpackrpc/server_test.go
+++ b/internal/msgpackrpc/server_test.go
@@ -148,7 +148,7 @@
 }
 
 // While an operator drains the server, open requests must get their responses before the connection closes, and a
-// client that keeps its connection busy must be rejected after rejectAfter. Rejoin must end this.
+// client that keeps its connection busy must be rejected after rejectAfter. Rejoin must end the drain.
 func TestDrainAndRejoin(t *testing.T) {
 	fake := clock.NewFake(1_764_576_000_000)
 	rejected := make(chan string, 1)
@@ -223,7 +223,7 @@
 
 // At MaxConns, an idle connection must be evicted for a new one, whether or not its client ever sent a request. A
 // connection with a pending response must not be evicted. Otherwise idle clients can hold all connections, and requests
-// of other clients are never accepted: 9,000 requests on a day with high connection churn.
+// of other clients are never accepted. This affected 9,000 requests on a day with high connection churn.
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	client := startServer(t) // MaxConns is 2
 	client.sendRequest(1, "page", "0000000000000001")
--- a/internal/msgpackrpc/wire_compat_test.go
+++ b/internal/msgpackrpc/wire_compat_test.go
@@ -18,11 +18,11 @@
 	"spantack/internal/testfixture"
 )
 
-// wireFixture holds one recorded message per line, in the format that clients use. They depend on these bytes, so the
-// lines must not be changed to match the program.
+// wireFixture holds one recorded message per line, in the format that clients use. Clients depend on these bytes, so
+// the lines must not be changed to match the program.
 const wireFixture = "testdata/wire_compat.txt"
 
-// wantBytes compares written bytes with the line of the fixture.
+// wantBytes compares written bytes with the named line of the fixture.
 func wantBytes(t *testing.T, name, got string) {
 	t.Helper()
 	if want := testfixture.QuotedLines(t, wireFixture)[name]; got != want || want == "" {
