--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -20,11 +20,11 @@
 )
 
 // Times in milliseconds. A purge or drain that the service sends while the stream is lost must take effect at the
-// latest 2 s after the stream broke, or 4 s after it became silent. The new connection must be open before that.
+// latest 2 s after the stream broke, or 4 s after it became silent. A new connection must be open before these limits.
 const (
-	silenceTimeout = 2500 // without a frame; the service sends one per second
+	silenceTimeout = 2500 // maximum time without a frame; the service sends one per second
 	dialTimeout    = 500
-	minStableTime  = 1000 // a connection of at least this duration is a success: its loss starts a new outage
+	minStableTime  = 1000 // the loss of a connection that lasted at least this long starts a new outage
 )
 
 // errAddressChanged is the cause with which SetAddress cancels the context of a connection.
