--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -33,7 +33,7 @@
 // Transport sends and receives the datagrams of this router. Its exported fields are set before Init.
 type Transport struct {
 	Gossip           *gossip.Node
-	ListenAddress    string                // on which datagrams are received
+	ListenAddress    string                // address on which datagrams are received
 	PeerAddresses    []netip.AddrPort      // of all routers, by rank
 	BroadcastAddress netip.AddrPort        // reaches all routers
 	OnOverloaded     func(serverID string) // called for each server that other routers report as overloaded
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -291,7 +291,8 @@
 	}
 	previous.Close()
 	m := gossip.Message{Rank: 1, Site: 1, Overloaded: []uint32{7}}
-	for transport.Counts().Received == 0 { // until the transport has opened its socket; each datagram is new
+	// Send until the transport has opened its socket. Each datagram has a new sequence number.
+	for transport.Counts().Received == 0 {
 		now.Advance(reopenInterval)
 		m.Sequence++
 		peer.WriteToUDPAddrPort(m.Append(nil), addressOf(previous))
