--- a/core/hierarchy/baselines_test.go
+++ b/core/hierarchy/baselines_test.go
@@ -34,8 +34,8 @@
 	return p.baseline(allGroups, maxLoadFactor)
 }
 
-// baseline returns the allocation of a simple policy. groupsOf returns the groups of a site, or nil for all groups.
-// maxLoadFactor 0 means no bound on the load.
+// baseline returns the allocation of a simple policy. groupsOf returns the groups that a site may use, or nil for all
+// groups to which the site has a link. maxLoadFactor 0 means no bound on the load.
 func (p *Problem) baseline(groupsOf func(site int) []int, maxLoadFactor float64) *Allocation {
 	allocation := p.rejectAll()
 	sent := make([]float64, len(p.Capacity))
@@ -44,7 +44,7 @@
 	if maxLoadFactor > 0 {
 		rounds = len(p.Capacity)
 	}
-	for range rounds { // the excess of one round goes to groups with free capacity in the next
+	for range rounds { // fills that exceed a capacity in one round go to groups with free capacity in the next round
 		for site := range p.Demand {
 			groups := groupsOf(site)
 			if groups == nil {
--- a/core/hierarchy/fill_plan_test.go
+++ b/core/hierarchy/fill_plan_test.go
@@ -65,7 +65,7 @@
 	delete(statuses, "south")
 	lost := checkedPlan(t, g, statuses)
 	r = lost.Route("d2")
-	if r.HomeFraction[1] > 0 || !almostEqual(r.RejectedFraction, 3.0/8) { // its link to north carries 500 of 800 KB/s
+	if r.HomeFraction[1] > 0 || !almostEqual(r.RejectedFraction, 3.0/8) { // 500 of 800 KB/s fit on d2's link to north
 		t.Errorf("route of d2 without south: %+v", r)
 	}
 	r = lost.Route("d3")
