--- a/core/backoff/schedule.go
+++ b/core/backoff/schedule.go
@@ -8,8 +8,8 @@
 // Each router has its own slot in the period. This is slotted access (L. Roberts, "ALOHA packet system with and without
 // slots and capture", ACM SIGCOMM Computer Communication Review 5(2), 1975) with slots assigned by rank.
 //
-// Bound: if all routers lost the service at the same time, they make at most FleetSize x d / Period + 1 attempts
-// within any time d while the service is unavailable. If they lost the service at different times, the bound holds on
+// Bound: if all routers lost the service at the same time, they make at most FleetSize x d / Period + 1 attempts in any
+// interval of length d while the service is unavailable. If they lost it at different times, the bound holds on
 // average. Without slots, 300 routers would make 1,200 attempts per second, in four bursts.
 //
 // A router makes its first attempt within one Period of the loss. After a failed attempt, it makes the next attempt in
--- a/core/backoff/schedule_test.go
+++ b/core/backoff/schedule_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkRate fails the test if more attempts than bound are made within any time d, in microseconds.
+// checkRate fails the test if more attempts than bound are made in any interval of d microseconds.
 func checkRate(t *testing.T, attempts []int64, d, bound int64) {
 	t.Helper()
 	first := 0
