--- a/core/originlimit/algorithm.go
+++ b/core/originlimit/algorithm.go
@@ -38,8 +38,7 @@
 // Constants of the algorithms.
 const (
 	// A round is slow if the ratio of its mean latency to the baseline is above slowRatio. AIMD and Delay compare the
-	// latency with the measured baseline (round.baseline). Limit.update and Limit.isRoundOver use Config.BaselineMs as the
-	// baseline instead.
+	// latency with the measured baseline (round.baseline). Limit.update compares it with Config.BaselineMs instead.
 	slowRatio = 1.6
 
 	// AIMD multiplies the limit by decreaseFactor after a slow or failed round. Under every algorithm except Fixed, a
--- a/core/originlimit/document.go
+++ b/core/originlimit/document.go
@@ -10,8 +10,8 @@
 	Reserve     float64 `json:"reserve,omitempty" jsonschema_description:"fraction of each router's limit that only uncacheable requests may use: 0 or more, under 1"`
 	Burst       float64 `json:"burst,omitempty" jsonschema_description:"maximum limit of a router while fills are not slow, in multiples of its share: 1 to 100"`
 	BaselineMs  float64 `json:"usualMs,omitempty" jsonschema_description:"time to first byte of a fill from the head office when it is not overloaded, ms"`
-	// AbandonedFetchMs is how long a parent cache may continue a fill from the origin after the last request that waits
-	// for the fill has ended: 0 to 600,000 ms.
+	// AbandonedFetchMs is how long a parent cache may continue a fill from the origin while no request waits for the
+	// fill: 0 to 600,000 ms.
 	AbandonedFetchMs float64 `json:"lingerMs,omitempty" jsonschema_description:"how long an area cache may continue a fetch that no request waits for, ms"`
 }
 
