--- a/core/lease/avoid_list.go
+++ b/core/lease/avoid_list.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// AvoidList maps each rank that is not eligible as a holder, because it did not answer, to the time (us) at which it
-// becomes eligible again.
+// AvoidList has the ranks that are not eligible as a holder because they did not respond. It maps each of them to the
+// time (us) at which the rank becomes eligible again.
 type AvoidList map[int]int64
 
 // Contains reports whether a rank is on the list.
--- a/core/lease/bound_test.go
+++ b/core/lease/bound_test.go
@@ -117,13 +117,13 @@
 	}
 }
 
-// Guards against a lease that a lessee still uses when the holder has granted it to others. The lifetime of a lease
-// must count from when its request was sent, even if the grant is delayed, and the lease must expire at the lessee
-// before it does at a holder with a faster clock.
+// Guards against a lease that a lessee still uses after the holder has granted the same amount to others. The lessee
+// must count the lifetime of a lease from the time at which it sent the request, even if the grant is delayed. The
+// lease must expire at the lessee before it does at a holder with a faster clock.
 func TestLeaseExpiresAtLesseeBeforeHolder(t *testing.T) {
 	const (
 		term  = second
-		delay = second / 2 // of the grant
+		delay = second / 2 // time from the request to the arrival of the grant
 	)
 	l := newLessee(0)
 	l.holder = 3
@@ -148,8 +148,8 @@
 	}
 }
 
-// singleElector returns a node that is elected as the only elector, in a fleet of eight routers without groups, and the
-// current time (us).
+// singleElector returns a node that is elected as the holder of a fleet of eight routers without groups, because it is
+// the only elector. It also returns the current time (us).
 func singleElector(t *testing.T) (n *Node, now int64) {
 	t.Helper()
 	n, err := New(0, Options{
@@ -170,7 +170,8 @@
 }
 
 // Guards against granting the lease of a restarted lessee a second time. The lessee has no record of what it granted
-// from that lease, so the holder must count the lease of the previous incarnation besides that of the new one.
+// from that lease. The holder must therefore count the lease of the previous incarnation in addition to the lease of
+// the new one.
 func TestLeaseOfPreviousIncarnationStaysCounted(t *testing.T) {
 	n, now := singleElector(t)
 	granted := map[uint32]float64{} // amount of the latest grant, by incarnation
--- a/core/lease/election.go
+++ b/core/lease/election.go
@@ -5,21 +5,21 @@
 	// voteLifetime is how long a vote is valid. It is longer than a lease from the fleet's holder, so that the holder
 	// can grant leases without interruption.
 	voteLifetime = 7_000_000
-	voteInterval = 1_000_000 // between two votes of an elector
+	voteInterval = 1_000_000 // time between two votes of an elector
 
-	// voteDriftMargin is subtracted from the lifetime of a vote at the candidate, so that the vote expires there before
-	// it expires at the voter for any clock drift up to maxClockDrift.
+	// voteDriftMargin is subtracted from the lifetime of a vote at the candidate. With any clock drift up to
+	// maxClockDrift, the vote therefore expires at the candidate before it expires at the voter.
 	voteDriftMargin = voteLifetime * maxClockDrift * 2
 
 	// electionTimeout is how long an elector votes for a candidate that is not elected. After that it lets its vote
 	// expire, so that the electors can agree on another candidate.
 	electionTimeout        = 4_000_000
-	avoidCandidateDuration = 6_000_000 // for a candidate that does not answer
+	avoidCandidateDuration = 6_000_000 // how long a candidate that does not respond is avoided
 )
 
 const (
 	// maxUnansweredVotes is the number of unanswered messages in a row after which further messages carry no vote and
-	// only request a timestamp, so that the vote of an elector expires soon if its candidate is lost.
+	// only request a timestamp. The vote of an elector therefore expires soon if its candidate is lost.
 	maxUnansweredVotes = 2
 	// maxUnansweredBeforeAvoid is how many messages in a row may stay unanswered before the candidate is avoided.
 	maxUnansweredBeforeAvoid = 8
@@ -27,19 +27,19 @@
 
 // elector is the state of a router as an elector of the holder of the fleet.
 type elector struct {
-	// The candidate for which it votes.
-	candidate            int    // NoRank: none yet
-	candidateSince       int64  // time at which it was chosen or last known to be elected
-	candidateIncarnation uint32 // as of its last answer; votes are for it; 0: no answer yet
-	candidateTimestamp   uint32 // in the candidate's last answer; 0: none
-	voteExpiresAt        int64  // by the clock of this router
-	unansweredVotes      int    // messages to the candidate, with or without a vote, in a row
+	// The candidate for which the elector votes.
+	candidate            int    // rank of the candidate; NoRank: none yet
+	candidateSince       int64  // time at which the candidate was chosen or last known to be elected
+	candidateIncarnation uint32 // incarnation in the candidate's last response, for which votes count; 0: no response yet
+	candidateTimestamp   uint32 // timestamp in the candidate's last response; 0: none
+	voteExpiresAt        int64  // time at which the latest vote expires by the clock of this router
+	unansweredVotes      int    // unanswered messages in a row to the candidate, with or without a vote
 	nextVoteAt           int64
-	avoided              AvoidList // candidates that do not answer
+	avoided              AvoidList // candidates that do not respond
 
 	// The router that last announced that it is elected.
-	electedHolder int // NoRank: none
-	announcedAt   int64
+	electedHolder int   // rank of that router; NoRank: none
+	announcedAt   int64 // time at which its latest announcement was recorded
 }
 
 func newElector() *elector {
@@ -52,10 +52,12 @@
 	e.announcedAt = now
 }
 
-// chooseCandidate returns the router to vote for, NoRank if no vote may be cast at present. While a vote is valid, it
-// returns the candidate of that vote, or NoRank if the candidate does not answer or was not elected within
-// electionTimeout. It never returns another router before the vote has expired. After that it returns the router that
-// has announced that it is elected or, if there is none, the elector with the greatest hash. It skips avoided routers.
+// chooseCandidate returns the router to vote for, NoRank if no vote may be cast at present.
+//
+// While a vote is valid, it returns the candidate of that vote, or NoRank if the candidate does not respond or was not
+// elected within electionTimeout. It returns no other router before the vote has expired. Once no vote is valid, it
+// returns the router that has announced that it is elected. If there is none, it returns the elector with the greatest
+// hash. It skips avoided routers in both cases.
 //
 // The choice depends only on messages that this router has received itself, not on which routers are considered up.
 // After a partition has healed, electors therefore need not wait until they consider one another up.
@@ -84,8 +86,9 @@
 	return chosen
 }
 
-// reviewCandidate adds the candidate to the avoid list if it does not answer. If the candidate has announced within
-// electionTimeout that it is elected, reviewCandidate sets candidateSince to the time of that announcement.
+// reviewCandidate adds the candidate to the avoid list if the candidate does not respond. If the candidate has
+// announced within the last electionTimeout that it is elected, reviewCandidate sets candidateSince to the time of that
+// announcement.
 func (e *elector) reviewCandidate(now int64) {
 	if e.unansweredVotes >= maxUnansweredBeforeAvoid && !e.avoided.Contains(e.candidate) {
 		e.avoided[e.candidate] = now + avoidCandidateDuration
@@ -106,7 +109,7 @@
 
 // receivedVotes has the votes that a router has received as a candidate.
 type receivedVotes struct {
-	voteExpiresAt map[int]int64 // by rank of the elector, in the time of this router's clock
+	voteExpiresAt map[int]int64 // by rank of the elector: time at which its vote expires, by the clock of this router
 }
 
 // electedUntil returns the time (us) until which votes of more than half of the electors for this router are valid, 0
@@ -135,15 +138,16 @@
 // isElected reports whether this router is elected as the holder of the fleet.
 func (n *Node) isElected(now int64) bool { return n.electedUntil(now) > now }
 
-// timestamp returns the time since this process started in units of TermUnit. It wraps around after 49 days, which is
-// harmless, because only differences of timestamps are used.
+// timestamp returns the time since this process started in units of TermUnit. The timestamp wraps around after 49 days.
+// This has no effect, because only differences of timestamps are used.
 func (n *Node) timestamp(now int64) uint32 { return uint32((now - n.startedAt) / TermUnit) }
 
 // mayVote reports whether all votes of the previous incarnation of this router have certainly expired. This process has
-// no record of them.
+// no record of those votes.
 func (n *Node) mayVote(now int64) bool { return now-n.startedAt >= voteLifetime+voteDriftMargin }
 
-// castVote votes for the candidate of this elector. If this router is itself elected, it announces that first.
+// castVote votes for the candidate of this elector. If this router is itself elected, castVote first announces this to
+// the other electors.
 func (n *Node) castVote(now int64) {
 	if n.isElected(now) {
 		n.elector.recordElected(now, n.options.Rank)
@@ -160,7 +164,8 @@
 	}
 }
 
-// voteForSelf records the vote of this elector for itself, unless its vote for another incarnation is still valid.
+// voteForSelf records the vote of this elector for itself. It does nothing if this elector may not vote yet, or if a
+// vote for another incarnation is still valid.
 func (n *Node) voteForSelf(now int64) {
 	e := n.elector
 	if !n.mayVote(now) || e.candidateIncarnation != n.options.Incarnation && now < e.voteExpiresAt {
@@ -171,9 +176,9 @@
 	n.receivedVotes.record(n.options.Rank, e.voteExpiresAt)
 }
 
-// voteFor sends the vote of this elector to another router. If this elector may not vote, has no timestamp of the
-// candidate to echo, or has sent maxUnansweredVotes messages without an answer, the message carries no vote and just
-// requests a timestamp.
+// voteFor sends the vote of this elector to another router. In three cases the message carries no vote and only
+// requests a timestamp: this elector may not vote yet, it has no timestamp of the candidate to echo, or
+// maxUnansweredVotes messages to the candidate are unanswered.
 func (n *Node) voteFor(now int64, candidate int) {
 	e := n.elector
 	m := Message{Kind: KindVote}
@@ -188,8 +193,8 @@
 	n.send(candidate, m)
 }
 
-// announceElected informs all other electors that this router is elected. Electors that were partitioned learn it from
-// this message and can name this router to lessees that send them requests.
+// announceElected informs all other electors that this router is elected. Electors that were partitioned learn this
+// from the announcement. They can then name this router to lessees that send them requests.
 func (n *Node) announceElected(now int64) {
 	for _, rank := range n.options.Topology.Electors {
 		if rank != n.options.Rank {
@@ -198,9 +203,9 @@
 	}
 }
 
-// handleVote records a vote for this router and answers with a timestamp for the next vote. The lifetime of a vote
-// counts from the timestamp that it echoes. The timestamp is older than the vote, so the vote expires here before it
-// does at the voter.
+// handleVote records a vote for this router and responds with a timestamp for the next vote. The lifetime of a vote
+// counts from the timestamp that the vote echoes. The timestamp is older than the vote, so the vote expires here before
+// it does at the voter.
 func (n *Node) handleVote(now int64, from int, m *Message) {
 	age := int64(n.timestamp(now)-m.Timestamp) * TermUnit
 	isForThisProcess := m.CandidateIncarnation == n.options.Incarnation && m.Timestamp != 0
@@ -209,7 +214,7 @@
 	}
 	timestamp := n.timestamp(now)
 	if timestamp == 0 {
-		return // 0 means no timestamp; the next vote is answered
+		return // a timestamp of 0 would mean no timestamp, so only the next vote is answered
 	}
 	n.send(from, Message{Kind: KindVoteAck, Timestamp: timestamp, IsElected: n.isElected(now)})
 }
@@ -231,7 +236,7 @@
 			return
 		}
 		if m.Incarnation == e.candidateIncarnation && m.Timestamp-e.candidateTimestamp > 1<<31 {
-			return // older than the recorded timestamp: messages were reordered
+			return // the message is older than the recorded timestamp, because messages were reordered
 		}
 	}
 	e.candidateIncarnation = m.Incarnation
--- a/core/lease/election_test.go
+++ b/core/lease/election_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against a delayed vote that is valid for too long: its lifetime must count from the candidate's timestamp that
-// it echoes, not from its arrival.
+// Guards against a delayed vote that is valid for too long. The lifetime of a vote must count from the candidate's
+// timestamp that the vote echoes, not from the arrival of the vote.
 func TestVoteLifetimeCountsFromTimestamp(t *testing.T) {
 	n, err := New(0, Options{
 		Incarnation: 1,
@@ -28,8 +28,8 @@
 	}
 }
 
-// Guards against two elected holders: an elector must not vote for a second candidate before its vote for the first has
-// expired, even if the first does not answer.
+// Guards against two elected holders. An elector must not vote for a second candidate before its vote for the first one
+// has expired, even if the first one does not respond.
 func TestElectorDoesNotVoteForTwoCandidates(t *testing.T) {
 	e := newElector()
 	electors := []int{0, 1, 2}
--- a/core/lease/holder.go
+++ b/core/lease/holder.go
@@ -9,22 +9,22 @@
 
 // Times in microseconds.
 const (
-	demandLifetime    = 4_000_000 // of the demand in a request
+	demandLifetime    = 4_000_000 // how long the demand in a request counts
 	fairShareInterval = 100_000   // minimum time between two computations of fair shares
 )
 
 const (
-	// shorterLeaseFactor is a ratio of amounts. A grant from an older lease, which ends sooner, is preferred only if it
-	// is more than this many times as large as the grant from the current lease.
+	// shorterLeaseFactor is a ratio of amounts. A grant from an older lease ends sooner. It is preferred only if its
+	// amount is more than shorterLeaseFactor times the amount of a grant from the current lease.
 	shorterLeaseFactor = 4.0 / 3
 
-	// maxAccounts bounds the accounts of a holder, one for each process. It is meant to be several times the number of
-	// ranks in the largest group below the groups that lease from the holder of the fleet. Topology.Validate does not
-	// check that. A holder grants no leases to further processes.
+	// maxAccounts is the maximum number of accounts of a holder, one for each process. A holder grants no leases to
+	// further processes. maxAccounts is meant to be several times the number of ranks in the largest group below the
+	// groups that lease from the holder of the fleet. Topology.Validate does not check this.
 	maxAccounts = 4096
 
-	// maxLeases is the number of leases of one lessee that are recorded separately. At no level does a lease last
-	// longer than seven of its renew intervals. If more than maxLeases are unexpired, RecordLease merges two.
+	// maxLeases is the number of leases of one lessee that are recorded separately. At every level a lease lasts at most
+	// seven renew intervals of that level. If more than maxLeases leases are unexpired, RecordLease merges two.
 	maxLeases = 8
 )
 
@@ -44,7 +44,7 @@
 type account struct {
 	demand   demand
 	demandAt int64            // time of the last request
-	leases   [maxLeases]Lease // times by the holder's clock; a lease that has not expired may be in use
+	leases   [maxLeases]Lease // granted leases, with times by the holder's clock; unexpired ones may be in use
 }
 
 // hasRecentRequest reports whether the lessee has sent a request within the last demandLifetime.
@@ -55,7 +55,7 @@
 type holder struct {
 	accounts map[lesseeKey]*account
 
-	// Fair shares, per unit of weight: per router that a lessee requests for.
+	// Fair shares per unit of weight. The weight of a lessee's request is the number of routers that it requests for.
 	sharesComputedAt int64
 	fairShare        float64 // upper bound if demand exceeds capacity
 	surplusShare     float64 // added to each grant if capacity exceeds demand
@@ -63,7 +63,8 @@
 
 func newHolder() *holder { return &holder{accounts: map[lesseeKey]*account{}} }
 
-// demand returns the sum of the demands of all lessees with a recent request. Its weight is 0 if there is none.
+// demand returns the sum of the demands of all lessees with a recent request. The weight of the sum is 0 if there is no
+// such lessee.
 func (h *holder) demand(now int64) (sum demand) {
 	for _, a := range h.accounts {
 		if a.hasRecentRequest(now) {
@@ -122,10 +123,11 @@
 	})
 }
 
-// fitGrant chooses the best source for a grant of a fair amount. It returns the term (us) that the source allows, and
-// the amount that remains of it after others, the leases of the other lessees, up to fair. It takes the first source
-// that lasts for minLeaseTerm, which usually is the current lease, and another one only if that allows more than
-// shorterLeaseFactor times as much. The term is 0 if no source lasts for minLeaseTerm.
+// fitGrant chooses the best source for a grant of a fair amount. It returns the term (us) that the source allows, at
+// most lifetime. The returned amount is the amount of the source minus others, the sum of the leases of the other
+// lessees. It is at most fair. Sources that do not last for minLeaseTerm are skipped. The first remaining source is
+// usually the current lease. A later one is chosen only if it allows more than shorterLeaseFactor times the amount of
+// the source chosen before. The term is 0 if no source lasts for minLeaseTerm.
 func fitGrant(now int64, fair, others float64, sources []Lease, lifetime int64) (amount float64, term int64) {
 	for _, source := range sources {
 		untilExpiry := int64(float64(source.ExpiresAt-now) / (1 + maxClockDrift))
@@ -142,7 +144,7 @@
 	return amount, term
 }
 
-// outstandingToOthers returns an upper bound on what all lessees except one may have in use.
+// outstandingToOthers returns an upper bound on the amount that all lessees except one may have in use together.
 func (h *holder) outstandingToOthers(now int64, key lesseeKey) (sum float64) {
 	for other, a := range h.accounts {
 		if other != key {
@@ -154,7 +156,7 @@
 
 // computeFairShares divides a capacity by weighted max-min fairness. If the capacity covers the total demand, each
 // lessee gets its demand and a part of the surplus. Otherwise each lessee gets at most fairShare per unit of its
-// weight. That is the largest share that the capacity allows.
+// weight. fairShare is then the largest share that the capacity allows.
 func (h *holder) computeFairShares(now int64, capacity float64) {
 	if h.sharesComputedAt != 0 && now-h.sharesComputedAt < fairShareInterval {
 		return
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -9,9 +9,9 @@
 	ExpiresAt int64 // us
 }
 
-// Outstanding returns the largest amount among the leases that have not expired, 0 if all have. It bounds what their
-// lessee may have in use from now on: a lessee uses one lease at a time, and what it grants to others adds up to no
-// more than its largest lease.
+// Outstanding returns the largest amount among the leases that have not expired, 0 if all have expired. The lessee of
+// these leases never has more than this amount in use from now on. A lessee uses one lease at a time, and the leases
+// that it grants to others add up to no more than its largest lease.
 func Outstanding(now int64, leases []Lease) (amount float64) {
 	for _, l := range leases {
 		if now < l.ExpiresAt {
@@ -21,9 +21,9 @@
 	return amount
 }
 
-// RecordLease replaces the lease that expires first with added. If that lease has not expired yet, the two are merged:
-// the result has the larger amount and the later expiry, so Outstanding is never below an unexpired amount that was
-// recorded.
+// RecordLease replaces the lease that expires first with added. If the replaced lease has not expired yet, the two are
+// merged into a lease with the larger amount and the later expiry. Outstanding is therefore never below the amount of a
+// recorded lease that has not expired.
 func RecordLease(now int64, leases []Lease, added Lease) {
 	earliest := &leases[0]
 	for i := range leases {
--- a/core/lease/leasing.go
+++ b/core/lease/leasing.go
@@ -43,8 +43,8 @@
 
 func (n *Node) isUpOrSelf(rank int) bool { return rank == n.options.Rank || n.IsUp(rank) }
 
-// demandOf returns the demand of a lessee: at level 0 the demand of this router beyond its floor, at other levels the
-// demand of all lessees of the group that this router holds.
+// demandOf returns the demand of a lessee. At level 0 that is the demand of this router beyond its floor. At any other
+// level it is the demand of all lessees of the group that this router holds.
 func (n *Node) demandOf(now int64, l *lessee) demand {
 	if l.level == 0 {
 		return demand{max(n.demand-n.floor(), 0), 1}
@@ -52,12 +52,12 @@
 	return n.holders[l.level].demand(now)
 }
 
-// handleRequest answers a request that was sent to this router as the holder of a group.
+// handleRequest responds to a request that was sent to this router as the holder of a group.
 func (n *Node) handleRequest(now int64, from int, m *Message) {
 	n.send(from, n.grant(now, from, m))
 }
 
-// grant returns the answer to a request. Its term is 0 if no lease is granted.
+// grant returns the response to a request. The term of the response is 0 if no lease is granted.
 func (n *Node) grant(now int64, from int, m *Message) Message {
 	key := lesseeKey{from, m.Incarnation}
 	wanted := demand{m.Amount, m.Weight}
@@ -77,8 +77,9 @@
 	}
 }
 
-// sources returns what this router, as the holder of a group, may grant leases from, the current one first: its own
-// leases or, at the level of the fleet, the pool until electedUntil, when the votes for this router expire.
+// sources returns the leases from which this router may grant others as the holder of a group of a level. Below the
+// level of the fleet, these are the leases of this router, the current one first. At the level of the fleet, the only
+// source is the pool, until the votes for this router expire at electedUntil.
 func (n *Node) sources(now int64, level int) []Lease {
 	if level < n.options.Topology.fleetLevel() {
 		return n.lessees[level].sources(now)
@@ -86,8 +87,9 @@
 	return []Lease{{n.options.Limit.pool(), n.electedUntil(now)}}
 }
 
-// knownHolder returns the router that this router, as an elector, knows to be elected as the holder of the fleet. It
-// returns NoRank at all other levels, and if it knows of none.
+// knownHolder returns, at the level of the fleet, the router that this router knows to be elected. It returns NoRank if
+// this router is not an elector or has recorded no elected router within the last hintLifetime. It also returns NoRank
+// at all other levels.
 func (n *Node) knownHolder(now int64, level int) int {
 	if level < n.options.Topology.fleetLevel() || n.elector == nil {
 		return NoRank
--- a/core/lease/lessee.go
+++ b/core/lease/lessee.go
@@ -1,19 +1,20 @@
 package lease
 
-// Times in microseconds. Upper levels renew less often and have longer leases, so that the leases below fit into them.
+// Times in microseconds. Upper levels renew less often and have longer leases than the levels below. A lease must
+// expire before the lease from which it was granted.
 const (
-	leaseLifetime = 1_500_000 // maximum at level 0; each level above adds the same again
-	minLeaseTerm  = 100_000   // shorter leases are not granted
-	renewInterval = 400_000   // between two requests of a router, plus a random part of up to a quarter
-	hintLifetime  = 5_000_000 // of a hint about the holder from another router
+	leaseLifetime = 1_500_000 // maximum term of a lease at level 0; each level above adds the same again
+	minLeaseTerm  = 100_000   // minimum term of a lease; shorter leases are not granted
+	renewInterval = 400_000   // time between two requests at level 0, plus a random part of up to a quarter
+	hintLifetime  = 5_000_000 // how long a hint about the holder from another router is valid
 
 	// renewIntervalPerLevel is added to renewInterval for each level above 0. Lease lifetimes grow faster by level than
 	// renew intervals, so a lease on which more routers depend tolerates more lost requests before it expires.
 	renewIntervalPerLevel = 200_000
 
-	maxUnansweredRequests = 8          // in a row, before a holder is avoided
-	avoidDuration         = 12_000_000 // for a holder that does not answer
-	maxPendingRequests    = 8          // requests whose grants are still accepted
+	maxUnansweredRequests = 8          // number of unanswered requests in a row after which a holder is avoided
+	avoidDuration         = 12_000_000 // how long a holder that does not respond is avoided
+	maxPendingRequests    = 8          // maximum number of requests whose grants are still accepted
 )
 
 // maxClockDrift is the maximum difference between the rates of two clocks, as a fraction.
@@ -33,19 +34,19 @@
 
 // lessee is the state of a router as a lessee at one level. It requests leases from the holder of the group above it.
 type lessee struct {
-	level int // of the user of the leases. 0: this router itself; above 0: the group of that level that it holds
+	level int // 0: the leases are for this router itself; above 0: for the group of that level that this router holds
 
 	// The holder.
-	holder       int // receives the requests; NoRank: none chosen yet
-	hintedHolder int // that another router named as the holder; NoRank: none
-	hintedAt     int64
-	avoided      AvoidList // holders that do not answer
+	holder       int       // rank of the router that receives the requests; NoRank: none chosen yet
+	hintedHolder int       // rank that another router named as the holder; NoRank: none
+	hintedAt     int64     // time of the latest such hint
+	avoided      AvoidList // holders that do not respond
 
 	// Requests.
 	requests            [maxPendingRequests]request // indexed by number, modulo the length
-	lastRequest         uint32                      // number of the latest
-	lastAnsweredRequest uint32                      // number of the latest that was answered
-	unansweredRequests  int                         // in a row
+	lastRequest         uint32                      // number of the latest request
+	lastAnsweredRequest uint32                      // number of the latest request that was answered
+	unansweredRequests  int                         // number of unanswered requests in a row
 	nextRequestAt       int64
 
 	// Leases, with times by the clock of this router.
@@ -65,9 +66,9 @@
 	return l.lease.Amount
 }
 
-// sources returns the leases from which a holder may grant others: the latest, then the older ones that are larger and
-// have not expired. When the lease of a holder shrinks, the older ones let it reduce all leases below it evenly. With
-// the latest alone, the first lessee to renew would bear the whole reduction.
+// sources returns the leases from which a holder may grant others: the latest lease, then the older leases that are
+// larger and have not expired. When the lease of a holder shrinks, the older leases let the holder reduce all leases
+// below it evenly. With only the latest lease, the first lessee to renew would bear the whole reduction.
 func (l *lessee) sources(now int64) []Lease {
 	all := []Lease{l.lease}
 	for _, older := range l.olderLeases {
@@ -81,17 +82,19 @@
 // holderChoice has the inputs from which a lessee chooses its holder.
 type holderChoice struct {
 	candidates []int
-	isElected  bool                  // the holder is elected from the candidates
+	isElected  bool                  // whether the holder is elected from the candidates
 	isUp       func(rank int) bool   // called only if the holder is not elected
 	hash       func(rank int) uint64 // the candidate with the greatest hash is preferred
 }
 
-// chooseHolder returns the router from which to request leases, NoRank if there is none. It is the candidate with the
-// greatest hash among those that are up and not avoided. Members of a group that agree on which candidates are usable
-// therefore choose the same holder.
+// chooseHolder returns the router from which to request leases, NoRank if there is none.
 //
-// If the holder is elected, it does not matter whether a router is considered up, only whether it answers. The lessee
-// stays with its holder while its lease lasts. After that it prefers the holder that another router has named.
+// If the holder is not elected, chooseHolder returns the candidate with the greatest hash among the candidates that are
+// up and not avoided. Members of a group that agree on which candidates are usable therefore choose the same holder.
+//
+// If the holder is elected, only avoided routers are unusable, whether or not they are considered up. chooseHolder
+// returns the current holder while the lease lasts. After that it returns the router that another router has named as
+// the holder or, without a valid hint, the candidate with the greatest hash.
 func (l *lessee) chooseHolder(now int64, choice holderChoice) int {
 	l.avoided.Expire(now)
 	if l.holder != NoRank && l.unansweredRequests >= maxUnansweredRequests {
@@ -135,8 +138,8 @@
 	return l.lastRequest
 }
 
-// handleGrant handles the answer to a request. It ignores an answer that does not come from the current holder, that is
-// older than the latest one, or whose request is no longer recorded.
+// handleGrant handles the response to a request. It ignores a response in three cases: the sender is not the current
+// holder, the same or a later request has already been answered, or the request is no longer recorded.
 func (l *lessee) handleGrant(now int64, from int, m *Message) {
 	answered := l.requests[m.RequestNumber%maxPendingRequests]
 	isKnown := m.RequestNumber != 0 && answered.number == m.RequestNumber
@@ -152,13 +155,14 @@
 		return
 	}
 	l.olderLeases[m.RequestNumber%maxLeases] = l.lease
-	// The term counts from when the request was sent, which was before the grant, and is reduced by the clock drift.
-	// The lease therefore expires here before it does at the holder.
+	// The term is reduced by the clock drift. It counts from the time at which the request was sent, and that time is
+	// before the grant. For both reasons the lease expires here before it does at the holder.
 	l.lease = Lease{m.Amount, answered.sentAt + m.Term - int64(float64(m.Term)*maxClockDrift)}
 }
 
-// recordHolderHint records the holder that another router has named. If it differs from the previous hint, the next
-// request is sent at once. Otherwise the request waits until it is due, because two routers may name each other.
+// recordHolderHint records the holder that another router has named. If this holder differs from the previously named
+// one, the next request is sent at once. Otherwise the next request is sent when it is due, because two routers may
+// name each other.
 func (l *lessee) recordHolderHint(now int64, rank int) {
 	if rank != l.hintedHolder {
 		l.nextRequestAt = now
--- a/core/lease/lessee_test.go
+++ b/core/lease/lessee_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against grants that replace a newer lease: a grant that is older than the latest one, or whose request was
-// never sent, must be ignored.
+// Guards against grants that replace a newer lease. A grant must be ignored if it is older than the latest grant, or if
+// its request was never sent.
 func TestStaleGrantsAreIgnored(t *testing.T) {
 	l := newLessee(0)
 	l.holder = 3
@@ -22,7 +22,8 @@
 	}
 }
 
-// Guards against granting from an older, larger lease that has expired, and against not granting from it before.
+// Guards against granting from an older, larger lease that has expired. Also guards against not granting from that
+// lease while it is valid.
 func TestOlderLeaseIsSourceUntilExpiry(t *testing.T) {
 	l := newLessee(1)
 	l.holder = 3
--- a/core/lease/message.go
+++ b/core/lease/message.go
@@ -9,12 +9,13 @@
 const (
 	// KindRequest requests a lease from a holder.
 	KindRequest MessageKind = iota + 1
-	// KindGrant answers a KindRequest. Its Term is 0 if no lease is granted.
+	// KindGrant is the response to a KindRequest. Its Term is 0 if no lease is granted.
 	KindGrant
 	// KindVote carries the vote of an elector for the holder of the fleet. With a Timestamp of 0 it carries no vote and
 	// only requests the timestamp that the next vote must echo.
 	KindVote
-	// KindVoteAck answers a KindVote with the timestamp that the next vote must echo, or announces an elected holder.
+	// KindVoteAck is the response to a KindVote, with the timestamp that the next vote must echo. It also announces an
+	// elected holder.
 	KindVoteAck
 
 	kindEnd // the first value that is not a kind
@@ -40,12 +41,12 @@
 	Amount float64
 	// Weight is the number of routers for which a lease is requested.
 	Weight int
-	// Term is how long (us) a lease lasts, counted from when its request was sent.
+	// Term is how long (us) a lease lasts. The lessee counts the term from the time at which it sent the request.
 	Term int64
 	// RequestNumber is the number of a request, counted from 1 by its sender. The grant echoes it.
 	RequestNumber uint32
-	// KnownHolder is, in a grant at the level of the fleet, the router that the sender knows to be elected. It is
-	// NoRank at all other levels, and if the sender knows of none.
+	// KnownHolder is, in a grant at the level of the fleet, the router that the sender knows to be elected, NoRank if the
+	// sender knows of none. At all other levels KnownHolder is NoRank.
 	KnownHolder int
 
 	// Timestamp is, in a vote ack, the time since the candidate's process started, in units of TermUnit. The next vote for
@@ -59,8 +60,8 @@
 
 // Granularity on the wire.
 const (
-	AmountUnit = 1.0 / 1024 // of amounts
-	TermUnit   = 1000       // us, of terms and timestamps
+	AmountUnit = 1.0 / 1024 // unit of amounts
+	TermUnit   = 1000       // unit of terms and timestamps, us
 )
 
 // NoRank is the value of a rank that refers to no router.
--- a/core/lease/node.go
+++ b/core/lease/node.go
@@ -8,10 +8,12 @@
 
 // RecoveryTime (us) is the time after the loss of a holder, a group or a part of the fleet until 80% of the pool is
 // leased again. In this time the lessees of a lost holder avoid it or consider it down, the votes for it expire, and
-// the holders of each level request and receive new leases. Tests check this time at three levels with 10% message
-// loss, for routers that know which routers are up: in the 10 s after it, the mean sum of all quotas, floors included,
-// must be at least 85% of a limit with a pool of 75%. If routers learn from one another which are up, the time starts
-// when they have learned it.
+// the holders of each level request and receive new leases. If routers learn from one another which routers are up,
+// RecoveryTime starts when they have learned it.
+//
+// Tests check RecoveryTime at three levels with 10% message loss. In these tests every router knows which routers are
+// up. In the 10 s after RecoveryTime, the sum of all quotas must average at least 85% of the limit. With a pool of 75%
+// of the limit, 85% are the floors, which are 25% of the limit, and leases of 80% of the pool, which are 60%.
 const RecoveryTime = 30_000_000
 
 // tickInterval (us) is the time between two calls of Tick.
@@ -25,19 +27,19 @@
 
 // Options are the parameters of a Node.
 type Options struct {
-	Rank        int    // of this router, from 0
-	Incarnation uint32 // greater at each start of this router
-	Seed        uint64 // of random numbers
+	Rank        int    // rank of this router, from 0
+	Incarnation uint32 // must be greater at each start of this router
+	Seed        uint64 // seed of the random numbers
 	Topology    Topology
 	Limit       Limit
 }
 
 // Counts are the counters of a Node since its start.
 type Counts struct {
-	Sent          int64 // messages
+	Sent          int64 // number of messages sent
 	LeasesGranted int64
 	VotesSent     int64
-	Dropped       int64 // received messages that are not valid for this router
+	Dropped       int64 // number of received messages that are not valid for this router
 }
 
 // Node is the state of one router for one limit. It is not safe for concurrent use. The callbacks must be set before
@@ -47,8 +49,8 @@
 
 	// Send sends a message to a router.
 	Send func(to int, m Message)
-	// IsUp reports whether a router is considered up. Wrong answers can leave parts of the pool unused, but the limit
-	// is never exceeded.
+	// IsUp reports whether a router is considered up. If it returns a wrong value, parts of the pool can stay unused, but
+	// the limit is never exceeded.
 	IsUp func(rank int) bool
 	// OnHolderChange is called when this router chooses another router as the holder of its group at the given level.
 	// The parameter holder is NoRank if this router knows none.
@@ -57,8 +59,8 @@
 	options   Options
 	rng       *rand.Rand
 	startedAt int64
-	demand    float64 // amount that this router could use
-	inUse     int
+	demand    float64   // amount that this router could use
+	inUse     int       // units acquired and not released
 	lessees   []*lessee // by level, from 0 to the level below the fleet
 	holders   []*holder // by level, from 1 to the level of the fleet; [0] is nil
 	elector   *elector  // nil: this router is not an elector
@@ -137,8 +139,8 @@
 	n.Send(to, m)
 }
 
-// Receive handles a message from another router and sends the answer, if any. It drops and counts messages that are not
-// valid for this router.
+// Receive handles a message from another router and sends the response, if any. It drops and counts messages that are
+// not valid for this router.
 func (n *Node) Receive(now int64, from int, m Message) {
 	if !n.accepts(from, &m) {
 		n.Counts.Dropped++
@@ -156,7 +158,8 @@
 	}
 }
 
-// accepts reports whether a message is valid: its values are in range, and its sender may send it to this router.
+// accepts reports whether a message is valid. The values of a valid message are in range, and its sender may send it to
+// this router.
 func (n *Node) accepts(from int, m *Message) bool {
 	topology := &n.options.Topology
 	if from < 0 || from >= topology.Routers || from == n.options.Rank {
--- a/core/lease/node_test.go
+++ b/core/lease/node_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Guards against invalid messages that change the state of a node: messages with values out of range, or from a sender
-// that may not send them to this router, must be dropped and counted.
+// Guards against invalid messages that change the state of a node. A message must be dropped and counted if a value is
+// out of range, or if its sender may not send it to this router.
 func TestInvalidMessagesAreDropped(t *testing.T) {
 	w := newWorld(t, 8, testTopology, Limit{Max: 128})
 	w.run(w.now+RecoveryTime, nil)
--- a/core/lease/quota.go
+++ b/core/lease/quota.go
@@ -3,9 +3,9 @@
 // floor returns how much this router may have in use without a lease.
 func (n *Node) floor() float64 { return n.options.Limit.floor(n.options.Topology.Routers) }
 
-// Quota returns how much of the limit this router may have in use at present: its floor plus its lease. Routers that
-// use a quota below 1 as the probability of using a unit keep the limit only on average. TryAcquire always keeps the
-// limit.
+// Quota returns how much of the limit this router may have in use at present: its floor plus its lease. If routers use
+// a quota below 1 as the probability of using a unit, the limit holds only on average. With TryAcquire the limit always
+// holds.
 func (n *Node) Quota(now int64) float64 {
 	return n.floor() + n.lessees[0].available(now+n.options.Limit.ExpiryMargin)
 }
@@ -13,7 +13,7 @@
 // SetDemand sets how much of the limit this router could use at present, its floor included.
 func (n *Node) SetDemand(amount float64) { n.demand = amount }
 
-// TryAcquire acquires one unit of the limit and reports whether it did. It fails if the quota is used up.
+// TryAcquire acquires one unit of the limit and returns true. It returns false if the quota is used up.
 func (n *Node) TryAcquire(now int64) bool {
 	if float64(n.inUse+1) > n.Quota(now) {
 		return false
@@ -36,8 +36,9 @@
 	return n.lessees[0].holder
 }
 
-// HeldLevels returns the levels of the groups that this router holds at present. It holds a group if lessees request
-// leases from it and it has a lease to grant them from or, at the level of the fleet, is elected.
+// HeldLevels returns the levels of the groups that this router holds at present. To hold a group, the router must have
+// received a recent request from a lessee of the group. It must also have an unexpired lease from which it can grant
+// leases. At the level of the fleet, it must be elected instead.
 func (n *Node) HeldLevels(now int64) (levels []int) {
 	for level := 1; level < len(n.holders); level++ {
 		if n.sources(now, level)[0].ExpiresAt > now && n.holders[level].hasDemand(now) {
--- a/core/lease/recovery_test.go
+++ b/core/lease/recovery_test.go
@@ -9,7 +9,8 @@
 var testTopology = Topology{Routers: 64, GroupSizes: []int{4, 16}, Electors: []int{1, 18, 35, 52, 61}}
 
 // Guards against a pool that stays unused after a start or after the loss of a holder. One holder of each level is
-// lost, from the smallest groups to the fleet, with 10% message loss. The pool must be leased RecoveryTime after each.
+// lost, from the smallest groups to the fleet, with 10% message loss. The pool must be leased again RecoveryTime after
+// each loss.
 func TestPoolRecoversAfterHolderLoss(t *testing.T) {
 	limit := Limit{Max: 128, FloorFraction: 0.25}
 	for seed := range uint64(6) {
@@ -36,9 +37,9 @@
 }
 
 // Guards against leases that stay valid in an isolated region, and against a pool that is not usable in the majority
-// partition. Two of four regions are isolated from all others for RecoveryTime and 70 s. The partition with three of
-// the five electors must have the pool, and the isolated regions only their floors once their leases have expired.
-// After the partitions have healed, all routers must have the pool again.
+// partition. Two of four regions are isolated from all others for RecoveryTime plus 70 s. The partition with three of
+// the five electors must have the pool. The isolated regions must have only their floors once their leases have
+// expired. After the partitions have healed, all routers must have the pool again.
 func TestIsolatedRegionsKeepOnlyFloors(t *testing.T) {
 	limit := Limit{Max: 128, FloorFraction: 0.25}
 	floors := limit.Max * limit.FloorFraction
@@ -69,8 +70,8 @@
 	}
 }
 
-// Guards against a pool that stays unused when 70% of the routers restart at once and eight ranks join that did not run
-// before. The other routers do not restart.
+// Guards against a pool that stays unused when 70% of the routers restart at once and eight routers join at ranks that
+// were unused until then. The other routers do not restart.
 func TestPoolRecoversAfterMassRestartAndJoin(t *testing.T) {
 	limit := Limit{Max: 128, FloorFraction: 0.25}
 	w := newWorld(t, 5, testTopology, limit)
@@ -115,8 +116,8 @@
 }
 
 // Guards against a message rate of a router that grows with the size of the fleet. A router exchanges messages only
-// with the holders of its groups and with its lessees, so its rate may grow by at most 60% in a fleet of eight times
-// the size. The larger fleet has one more level, and one router may hold a group of each level.
+// with the holders of its groups and with its lessees. Its rate may therefore grow by at most 60% in a fleet of eight
+// times the size. The larger fleet has one more level, and one router may hold a group of each level.
 func TestMessageRateDoesNotGrowWithFleetSize(t *testing.T) {
 	greatestRate := func(topology Topology) float64 { // messages a second
 		w := newWorld(t, 7, topology, Limit{Max: 1000})
--- a/core/lease/topology.go
+++ b/core/lease/topology.go
@@ -10,8 +10,8 @@
 	// Routers is the maximum number of routers: ranks are 0 to Routers-1. A rank without a router only leaves its
 	// floor unused.
 	Routers int `json:"routers" jsonschema_description:"maximum number of routers; ranks are below it. The floor of a rank is reserved even if no router has that rank"`
-	// GroupSizes has, for each level below the fleet, the number of ranks in a group. The smallest comes first, and
-	// each is a multiple of the one before it.
+	// GroupSizes has, for each level below the fleet, the number of ranks in a group. The smallest size comes first, and
+	// each size is a multiple of the previous size.
 	GroupSizes []int `json:"groups" jsonschema_description:"number of ranks in a group, one value for each level below the fleet. The smallest comes first, and each is a multiple of the one before it"`
 	// Electors are the ranks of the electors, an odd number. A majority of them elects one of them as the holder of
 	// the fleet.
@@ -20,7 +20,7 @@
 
 const (
 	maxRouters  = 1 << 16 // ranks are 16-bit numbers on the wire
-	maxLevels   = 4       // levels of groups, including the level of the whole fleet
+	maxLevels   = 4       // maximum number of levels of groups, including the level of the whole fleet
 	maxElectors = 15
 )
 
@@ -77,8 +77,8 @@
 	return a/size == b/size
 }
 
-// holderCandidates returns the ranks that may hold the group of a level to which a router belongs: the members of the
-// group or, at the level of the fleet, the electors.
+// holderCandidates returns the ranks that may hold the group to which a router belongs at a level. Below the level of
+// the fleet, these are the members of the group. At the level of the fleet, they are the electors.
 func (t *Topology) holderCandidates(level, rank int) []int {
 	if level >= t.fleetLevel() {
 		return t.Electors
--- a/core/lease/wire_compat_test.go
+++ b/core/lease/wire_compat_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Guards against values that routers of commit e67ffc3 do not understand. This package does not encode messages:
-// core/fleet does, and its fixtures have recorded messages. This package only defines the units of numbers, the number
-// of each kind and the rank that refers to no router.
+// Guards against values that routers of commit e67ffc3 do not understand. The package core/fleet encodes the messages,
+// and its fixtures have recorded messages. This package only defines the units of amounts and terms, the number of each
+// message kind, and the rank that refers to no router.
 func TestWireCompat(t *testing.T) {
 	for name, c := range map[string]struct{ got, want any }{
 		"request":            {KindRequest, MessageKind(1)},
--- a/core/lease/world_test.go
+++ b/core/lease/world_test.go
@@ -17,13 +17,13 @@
 	options   Options
 	processes []*process
 	events    eventQueue
-	sequence  int // of the latest event
+	sequence  int // number of the latest event
 
 	loss        float64         // fraction of messages that are lost
 	late        float64         // fraction of messages that are delayed by up to 3 s more
 	partition   []int           // by rank; no messages pass between different partitions
 	oneWay      map[[2]int]bool // pairs of sender and receiver whose messages are lost
-	wrongStates float64         // fraction of wrong answers of IsUp
+	wrongStates float64         // fraction of calls of IsUp that return a wrong value
 }
 
 type process struct {
@@ -33,7 +33,7 @@
 	clockRate   float64
 	clockOffset int64
 	starts      uint32
-	traffic     int // messages sent and received
+	traffic     int // number of messages sent and received
 }
 
 // event is the delivery of a message or, if message is nil, a tick.
