--- a/core/lease/election.go
+++ b/core/lease/election.go
@@ -30,7 +30,7 @@
 	// The candidate for which the elector votes.
 	candidate            int    // rank of the candidate; NoRank: none yet
 	candidateSince       int64  // time at which the candidate was chosen or last known to be elected
-	candidateIncarnation uint32 // incarnation in the candidate's last response, for which votes count; 0: no response yet
+	candidateIncarnation uint32 // incarnation in the candidate's last response; votes are for it; 0: none yet
 	candidateTimestamp   uint32 // timestamp in the candidate's last response; 0: none
 	voteExpiresAt        int64  // time at which the latest vote expires by the clock of this router
 	unansweredVotes      int    // unanswered messages in a row to the candidate, with or without a vote
