--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// BenchmarkTick measures one call of Tick. The metric %core is the share of one CPU core that one call every 50 ms
-// uses, and heap-B/router is the heap of a node divided by the number of routers.
+// BenchmarkTick measures one call of Tick. The metric %core is the share of one CPU core that is used by one call of
+// Tick every 50 ms. The metric heap-B/router is the heap of a node divided by the number of routers.
 func BenchmarkTick(b *testing.B) {
 	for _, routers := range scaleSizes {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
--- a/core/fleet/datagram.go
+++ b/core/fleet/datagram.go
@@ -17,7 +17,7 @@
 // The bodies, by message kind:
 //
 //	ping            target:2 token:4 limit:1 holder:2      a probe, with the known holder of a limit; 65535: none
-//	ack             target:2 token:4 limit:1 holder:2      the answer to a ping
+//	ack             target:2 token:4 limit:1 holder:2      the response to a ping
 //	indirect ping   target:2 token:4 limit:1 holder:2      a request to the receiver to probe the target
 //	lease request   limit:1 amount:4 timestamp:4 candidate incarnation:4  the demand, and a vote unless timestamp is 0
 //	lease grant     limit:1 amount:4 term:4 timestamp:4 request sequence:4
@@ -32,16 +32,16 @@
 //
 //	rank:2 incarnation:4 refutations:2 state:1
 const (
-	// MaxDatagramSize is the maximum size of a datagram in bytes, a limit of the platform on which routers run. The
-	// package never creates a longer datagram.
+	// MaxDatagramSize is the maximum size of a datagram in bytes. It is a limit of the platform on which routers run.
+	// The package never creates a longer datagram.
 	MaxDatagramSize = 256
 	// DatagramKind is the datagram kind in the header that distinguishes datagrams of this package from datagrams of
 	// core/gossip.
 	DatagramKind = 2
 
 	datagramVersion = 1
-	headerSize      = 15 // bytes, the message kind included
-	updateSize      = 9  // bytes
+	headerSize      = 15 // size in bytes of the header, the message kind included
+	updateSize      = 9  // size in bytes of an update
 )
 
 // wireNoRank is the encoding of lease.NoRank on the wire.
@@ -111,29 +111,29 @@
 
 // message is a decoded datagram. Its kind determines which fields are used.
 type message struct {
-	rank, site  int // of the sender
-	incarnation uint32
+	rank, site  int    // rank and site of the sender
+	incarnation uint32 // incarnation of the sender
 	sequence    uint32 // number of the datagram within the incarnation
 	kind        messageKind
 
-	target int    // of a probe
-	token  uint32 // of a probe, echoed by its ack
+	target int    // in a probe or ack: rank of the probed router
+	token  uint32 // in a probe: number of the probe, echoed by its ack
 
 	limit  int // index of the limit that the message is about
-	holder int // of that limit, as the sender of a probe or ack knows it; lease.NoRank: none
+	holder int // in a probe or ack: holder of that limit as the sender knows it; lease.NoRank: none
 
-	amount               float64 // requested or granted
-	term                 int64   // us, of a grant
-	timestamp            uint32  // of the holder, in a grant; the next vote echoes it
+	amount               float64 // requested or granted amount
+	term                 int64   // in a grant: term of the lease, us
+	timestamp            uint32  // in a grant: timestamp of the holder; in a request: the timestamp that its vote echoes
 	candidateIncarnation uint32  // in a vote: the incarnation that sent the timestamp
-	requestSequence      uint32  // in a grant: the sequence of its request
+	requestSequence      uint32  // in a grant: the sequence number of its request
 
-	server    uint32
-	condition Condition
+	server    uint32    // in a health report: number of the server
+	condition Condition // in a health report: condition of the server
 
-	lease lease.Message // in a message of core/lease
+	lease lease.Message // content of a message of core/lease
 
-	updates []update
+	updates []update // updates that follow the body
 }
 
 // append appends the encoding of m to buffer, with as many of its updates as fit.
@@ -183,8 +183,8 @@
 	return buffer
 }
 
-// unitsRoundedDown returns the amount of a lease as a number of units of lease.AmountUnit. It is rounded down, so that
-// the sum of leases stays within the pool.
+// unitsRoundedDown returns the amount of a lease as a number of units of lease.AmountUnit. The number is rounded down.
+// Otherwise the sum of leases could exceed the pool.
 func unitsRoundedDown(amount float64) uint32 {
 	return clampUnits(math.Floor(amount / lease.AmountUnit))
 }
@@ -210,7 +210,7 @@
 	return lease.NoRank
 }
 
-// parse decodes a datagram into m and reuses the slice of its updates. Its error wraps ErrMalformed.
+// parse decodes a datagram into m and reuses the slice m.updates. Its error wraps ErrMalformed.
 func (m *message) parse(datagram []byte) error {
 	switch {
 	case len(datagram) < headerSize || len(datagram) > MaxDatagramSize:
--- a/core/fleet/dissemination.go
+++ b/core/fleet/dissemination.go
@@ -8,7 +8,7 @@
 // retransmitFactor, multiplied by logFleetSize, is the number of times that an update is sent.
 const retransmitFactor = 3
 
-// queueUpdate queues the update about a member, so that the next datagrams include it.
+// queueUpdate queues the update about a member. The next datagrams that carry updates include it.
 func (n *Node) queueUpdate(m *member) {
 	if m.transmissions == 0 {
 		n.pendingUpdates = append(n.pendingUpdates, m.rank)
@@ -20,8 +20,8 @@
 func (n *Node) logFleetSize() int { return bits.Len(uint(n.options.FleetSize)) }
 
 // selectUpdates returns the updates to send with a message, as many as fit, and counts them as sent. Broadcasts and
-// messages of core/lease include none: a holder sends many of these, and probes already carry the updates. The next
-// call reuses the slice.
+// messages of core/lease include no updates, because probes already carry them, and a holder sends many messages of
+// core/lease. The next call reuses the returned slice.
 func (n *Node) selectUpdates(to int, kind messageKind) []update {
 	updates := n.updatesToSend[:0]
 	if to != Broadcast && !kind.isTreeMessage() {
@@ -31,7 +31,7 @@
 		room := (MaxDatagramSize - headerSize - kind.bodySize()) / updateSize
 		updates = n.appendPending(updates, room)
 	}
-	if len(n.pendingUpdates) > 1 { // the next datagram starts with another update
+	if len(n.pendingUpdates) > 1 { // rotate, so that the next datagram starts with another update
 		n.pendingUpdates = append(n.pendingUpdates[1:], n.pendingUpdates[0])
 	}
 	n.updatesToSend = updates
--- a/core/fleet/ejection.go
+++ b/core/fleet/ejection.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// ejectionQuorum is the number of sites that must report a server. One site is not enough: if its link is broken
-	// or full, all servers behind the link seem to fail.
+	// ejectionQuorum is the number of sites that must report a server for the server to be ejected. One site is not
+	// enough, because all servers behind a broken or full link of that site seem to fail.
 	ejectionQuorum = 2
-	// serversPerEjection limits ejections: at most one of every serversPerEjection servers that can replace one another
-	// is ejected, so that some of them remain. Of two servers, one can be ejected.
+	// serversPerEjection limits ejections. Of the servers that can replace one another, at most one in serversPerEjection
+	// is ejected. If there are only two such servers, one of them can be ejected.
 	serversPerEjection = 3
 )
 
@@ -20,14 +20,16 @@
 	sites  int
 }
 
-// bySites compares verdicts. The server that more sites report comes first, then the one with the lower number.
+// bySites compares verdicts. The server that more sites report comes first. Of two servers that equally many sites
+// report, the server with the lower number comes first.
 func bySites(a, b verdict) int {
 	return cmp.Or(cmp.Compare(b.sites, a.sites), cmp.Compare(a.server, b.server))
 }
 
 // Ejected returns the servers on which a verdict is in force. The parameter all must list all servers that can replace
-// one another. The result is the same at all routers that have received the same reports and answers. It has at most
-// len(all)/serversPerEjection servers or, if that is 0 and there are at least two servers, at most one.
+// one another. The result is the same at all routers that have received the same reports and the same successful
+// responses. It has at most len(all)/serversPerEjection servers. If that number is 0 and all has at least two servers,
+// the result has at most one server.
 func (h *HealthReports) Ejected(now int64, condition Condition, all []uint32) []uint32 {
 	var verdicts []verdict
 	for _, server := range all {
@@ -44,8 +46,8 @@
 	return ejected
 }
 
-// countReportingSites returns the number of sites with a report that has not expired and that was received after the
-// latest successful answer of the server to this router.
+// countReportingSites returns the number of sites that report the condition of a server. A report counts if it has not
+// expired and was received after the latest successful response of the server to this router.
 func (h *HealthReports) countReportingSites(now int64, key reportKey) (sites int) {
 	for _, at := range h.reports[key] {
 		if now-at < reportLifetime && at > h.succeededAt[key.server] {
--- a/core/fleet/ejection_test.go
+++ b/core/fleet/ejection_test.go
@@ -25,9 +25,10 @@
 	w.processes[rank].node.ReportCondition(w.localTime(rank), server, Failing)
 }
 
-// Guards against verdicts that are wrong, late or too long, in a fleet of 300 routers with 30% loss. One site that
-// reports all servers as failing must eject none, and two sites at most one of three. A verdict must reach 99% of the
-// routers within 2.5 s of the observations at two sites, and end when no router observes the failure any more.
+// Guards against verdicts that are wrong, late or too long, in a fleet of 300 routers with 30% datagram loss. If only
+// one site reports all servers as failing, no server must be ejected. If two sites do, at most one in three servers
+// may be ejected. A verdict must reach 99% of the routers within 2.5 s of the observations at two sites, and end when
+// no router observes the failure any more.
 func TestVerdictNeedsTwoSitesReachesFleetAndExpires(t *testing.T) {
 	all := []uint32{11, 12, 13, 14, 15, 16, 17}
 	for seed := range uint64(5) {
@@ -53,7 +54,7 @@
 		if count := w.countEjecting(13, all); count < 297 {
 			t.Errorf("seed %d: %d of 300 routers eject a failing server after 2.5 s, want at least 297", seed, count)
 		}
-		if rank := 7; len(w.ejected(rank, all)) == 1 { // its own evidence has priority
+		if rank := 7; len(w.ejected(rank, all)) == 1 { // the router's own evidence has priority over reports
 			w.processes[rank].node.ReportSuccess(w.localTime(rank), 13)
 			if len(w.ejected(rank, all)) != 0 {
 				t.Errorf("seed %d: a router ejects a server that has just answered it successfully", seed)
@@ -72,9 +73,10 @@
 	}
 }
 
-// Guards against verdicts that lapse at a router while two routers of two sites still report the server: that router
-// would send requests to the dead server again. The fleet has 16 routers and 30% loss. Lapses do not count in the
-// first four seconds, in which all routers receive the verdict. At most one lapse in 2,000 router-seconds is allowed.
+// Guards against verdicts that lapse at a router while two routers of two sites still report the server. The router
+// would then send requests to the dead server again. The fleet has 16 routers and 30% datagram loss. Lapses in the
+// first four seconds do not count, because in this time the routers receive the verdict. At most one lapse in 2,000
+// router-seconds is allowed.
 func TestVerdictDoesNotLapse(t *testing.T) {
 	const (
 		seeds      = 60
@@ -93,7 +95,7 @@
 		startedAt := w.now
 		ejects := make([]bool, routers)
 		for w.now < startedAt+duration {
-			for _, rank := range []int{0, 1} { // of two sites
+			for _, rank := range []int{0, 1} { // two routers of different sites
 				w.reportFailing(rank, server)
 			}
 			w.run(w.now+step, nil)
--- a/core/fleet/example_test.go
+++ b/core/fleet/example_test.go
@@ -108,7 +108,7 @@
 	// in use: 9
 }
 
-// A router that dies is suspected by the routers that probe it, and declared dead when it does not refute the
+// A router that dies is suspected by the routers that probe it. It is declared dead because it does not refute the
 // suspicion.
 func ExampleNode_IsUp() {
 	w, err := newNetwork(6)
@@ -127,7 +127,8 @@
 	// 5 are up, router 5: false
 }
 
-// Routers of two sites report a failing server. All routers eject it, including those that have sent it no request.
+// Routers of two sites report a failing server. All routers eject the server, including those that have sent it no
+// request.
 func ExampleNode_Ejected() {
 	w, err := newNetwork(4)
 	if err != nil {
@@ -137,8 +138,8 @@
 	servers := []uint32{0xa1, 0xa2, 0xa3}
 	now := int64(0)
 	for range 10 {
-		w.nodes[0].ReportCondition(now, 0xa2, fleet.Failing) // of one site
-		w.nodes[1].ReportCondition(now, 0xa2, fleet.Failing) // of the other
+		w.nodes[0].ReportCondition(now, 0xa2, fleet.Failing) // a router of one site
+		w.nodes[1].ReportCondition(now, 0xa2, fleet.Failing) // a router of the other site
 		now = w.run(now, 200_000, all)
 	}
 	fmt.Printf("%#x\n", w.nodes[3].Ejected(now, fleet.Failing, servers))
--- a/core/fleet/health_reports.go
+++ b/core/fleet/health_reports.go
@@ -16,9 +16,9 @@
 
 // The conditions.
 const (
-	// Failing means that the server returns errors or does not answer.
+	// Failing means that the server returns errors or does not respond.
 	Failing Condition = iota + 1
-	// Overloaded means that the server answers late or rejects requests.
+	// Overloaded means that the server responds late or rejects requests.
 	Overloaded
 
 	conditionEnd // the first value that is not a condition
@@ -39,29 +39,29 @@
 
 // Times in microseconds. In a fleet of 300 routers with 30% datagram loss, a verdict that two sites support reaches 99%
 // of the routers within 2.5 s of the observation at the second site. A test checks this for observations that start at
-// both sites at once. A router sends reports as long as its observation lasts. A verdict ends at most reportLifetime
-// after the time from which only one site still reports.
+// both sites at once. A router sends reports as long as its observation lasts. Once fewer than two sites still report a
+// server, the verdict on it ends within reportLifetime.
 //
-// Only a few of the routers that observe a condition of a server report it. A round is the time from one decision of a
-// router whether to report its observation to the next. In each round the router waits for a random time before it
-// reports, and it sends no report if more than ejectionQuorum other sites have reported the same in that round. The
-// density of the waits grows exponentially towards the end of the round, so the number of reports that are sent before
-// they suppress the others grows only with the logarithm of the number of routers: J. Nonnenmacher, E. W. Biersack,
-// "Scalable feedback for large groups", IEEE/ACM Transactions on Networking 7(3), 1999.
+// Only a few of the routers that observe a condition of a server report it. A router decides once per round whether to
+// report its observation. In each round the router first waits for a random time. After that time it sends a report,
+// unless more than ejectionQuorum other sites have reported the same in that round. Short waits are rare, because the
+// density of the waits grows exponentially towards the longest wait. The number of reports that are sent before they
+// suppress the others therefore grows only with the logarithm of the number of routers: J. Nonnenmacher,
+// E. W. Biersack, "Scalable feedback for large groups", IEEE/ACM Transactions on Networking 7(3), 1999.
 const (
 	maxInitialRoundDelay = 250_000   // longest wait in the initial rounds, while few others report
 	initialRounds        = 6         // number of initial rounds
 	maxRoundDelay        = 500_000   // longest wait in all other rounds
-	observationLifetime  = 500_000   // of an observation that is not repeated
-	reportLifetime       = 4_500_000 // of a received report
-	reportInterval       = 100_000   // in which a token bucket permits one more report of this router
-	reportBurst          = 8         // size of that bucket: maximum number of reports sent at once
+	observationLifetime  = 500_000   // an observation that is not repeated expires after this time
+	reportLifetime       = 4_500_000 // a report expires this long after its receipt
+	reportInterval       = 100_000   // time in which the rate limit of this router permits one more report
+	reportBurst          = 8         // maximum number of reports that this router sends at once
 )
 
 // Bounds of the stored state.
 const (
-	maxObservations = 128  // entries of HealthReports.observed
-	maxReports      = 1024 // entries of HealthReports.reports, and of HealthReports.succeededAt
+	maxObservations = 128  // maximum number of entries of HealthReports.observed
+	maxReports      = 1024 // maximum number of entries of HealthReports.reports, and of HealthReports.succeededAt
 )
 
 // reportKey identifies a server and a condition.
@@ -70,7 +70,8 @@
 	condition Condition
 }
 
-// byServer compares keys, so that reports are sent in the same order in every run.
+// byServer compares keys by server, then by condition. With this order, reports are sent in the same order in every
+// run.
 func byServer(a, b reportKey) int {
 	return cmp.Or(cmp.Compare(a.server, b.server), cmp.Compare(a.condition, b.condition))
 }
@@ -78,27 +79,27 @@
 // observation is the state of a condition that this router itself observes.
 type observation struct {
 	observedAt     int64 // time of the latest observation
-	roundStartedAt int64
-	reportDueAt    int64
-	rounds         int // number of rounds that have ended, with or without a report
+	roundStartedAt int64 // time at which the current round started
+	reportDueAt    int64 // time at which the router decides whether to report
+	rounds         int   // number of rounds that have ended, with or without a report
 }
 
 // HealthReports stores the observations of one router and the reports of all sites, and decides when the router sends a
-// report. It uses the configured number of routers, not which of them are up. It is not safe for concurrent use.
+// report. It uses the configured number of routers, whether or not they are up. It is not safe for concurrent use.
 type HealthReports struct {
-	site      int // of this router
-	fleetSize int
+	site      int // site of this router
+	fleetSize int // configured number of routers
 	rng       *rand.Rand
 	broadcast func(server uint32, condition Condition) // sends a report to all members
 
 	observed    map[reportKey]*observation
 	reports     map[reportKey]map[int]int64 // time of the latest report, by site
-	succeededAt map[uint32]int64            // time of the latest successful answer to this router, by server
-	rateLimit   gossip.TokenBucket          // of reports sent
+	succeededAt map[uint32]int64            // time of the latest successful response to this router, by server
+	rateLimit   gossip.TokenBucket          // limits the reports that this router sends
 }
 
-// NewHealthReports returns empty health reports for a router of the given site in a fleet of fleetSize routers. They
-// call broadcast to send a report to all other routers.
+// NewHealthReports returns a HealthReports without observations and reports, for a router of the given site in a fleet
+// of fleetSize routers. It calls broadcast to send a report to all other routers.
 func NewHealthReports(
 	site, fleetSize int, rng *rand.Rand, broadcast func(server uint32, condition Condition),
 ) *HealthReports {
@@ -132,8 +133,8 @@
 	h.reportIfDue(now, key, seen)
 }
 
-// ReportSuccess records that a server has just answered a request of this router successfully. At this router, that
-// overrides earlier reports of all sites about the server and ends the router's own observations of it.
+// ReportSuccess records that a server has just responded successfully to a request of this router. At this router, the
+// success overrides earlier reports of all sites about the server and ends the router's own observations of the server.
 func (h *HealthReports) ReportSuccess(now int64, server uint32) {
 	if len(h.succeededAt) < maxReports || h.succeededAt[server] != 0 {
 		h.succeededAt[server] = now
@@ -180,7 +181,7 @@
 	bySite[site] = now
 }
 
-// expire removes expired reports and successful answers.
+// expire removes reports and successful responses that were received reportLifetime ago or earlier.
 func (h *HealthReports) expire(now int64) {
 	isExpired := func(at int64) bool { return now-at >= reportLifetime }
 	maps.DeleteFunc(h.reports, func(_ reportKey, bySite map[int]int64) bool {
@@ -190,9 +191,9 @@
 	maps.DeleteFunc(h.succeededAt, func(_ uint32, at int64) bool { return isExpired(at) })
 }
 
-// reportIfDue ends the round of an observation if its report is due, and starts the next round. It sends the report to
-// all members unless more than ejectionQuorum other sites have reported the same in this round. If the rate limit does
-// not permit the report, the round does not end and the report stays due.
+// reportIfDue does nothing if the report of an observation is not due. Otherwise it ends the round and starts the next
+// one. It sends the report to all members unless more than ejectionQuorum other sites have reported the same in this
+// round. If the rate limit does not permit a report that must be sent, the round does not end and the report stays due.
 func (h *HealthReports) reportIfDue(now int64, key reportKey, seen *observation) {
 	if now < seen.reportDueAt {
 		return
@@ -219,8 +220,8 @@
 	seen.reportDueAt = now + int64(h.drawDelay()*float64(longest))
 }
 
-// drawDelay returns a random wait as a fraction of the longest wait. Its density grows exponentially. The rate,
-// ln(fleetSize) + 1, is the optimal one for the size of the fleet (Nonnenmacher and Biersack).
+// drawDelay returns a random wait as a fraction of the longest wait. The density of the wait grows exponentially. Its
+// growth rate, ln(fleetSize) + 1, is optimal for the size of the fleet (Nonnenmacher and Biersack).
 func (h *HealthReports) drawDelay() float64 {
 	rate := math.Log(float64(h.fleetSize)) + 1
 	return math.Log1p(h.rng.Float64()*math.Expm1(rate)) / rate
@@ -241,7 +242,7 @@
 	n.healthReports.ReportCondition(now, server, condition)
 }
 
-// ReportSuccess records that a server has just answered a request of this router successfully. See HealthReports.
+// ReportSuccess records that a server has just responded successfully to a request of this router. See HealthReports.
 func (n *Node) ReportSuccess(now int64, server uint32) { n.healthReports.ReportSuccess(now, server) }
 
 // broadcastHealthReport sends a report to all members.
--- a/core/fleet/lease_messages.go
+++ b/core/fleet/lease_messages.go
@@ -54,7 +54,8 @@
 	return buffer
 }
 
-// parseLeaseBody decodes a body that appendLeaseBody encoded. It does not check the values: core/lease does.
+// parseLeaseBody decodes a body that appendLeaseBody encoded. It does not check the values, because core/lease checks
+// them.
 func (m *message) parseLeaseBody(data []byte) {
 	order := binary.BigEndian
 	m.limit = int(data[0])
--- a/core/fleet/lease_tree_test.go
+++ b/core/fleet/lease_tree_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("seed %d: quotas of %.2f with every site isolated, want the floors, 24", seed, sum)
 		}
 		clear(w.partition)
-		w.run(w.now+20*second, check) // until all are considered up again, as in TestMembershipRecoversAfterFaults
+		w.run(w.now+20*second, check) // until all routers are considered up again, as in TestMembershipRecoversAfterFaults
 		checkQuotas("after the partitions have healed")
 		for rank := range w.processes {
 			if w.status(rank).IsHolder && w.rng.IntN(2) == 0 {
@@ -78,9 +78,9 @@
 	}
 }
 
-// Guards against messages of a lease tree that affect a router without one, and the reverse. While LeaseTree is being
-// introduced or removed, a fleet has routers with a lease tree and routers with a single holder. Each must ignore
-// messages about limits from the other.
+// Guards against messages of a lease tree that affect a router without a lease tree, and against messages of a single
+// holder that affect a router with a lease tree. A fleet has both kinds of routers while LeaseTree is being introduced
+// or removed. Each kind must ignore messages about limits from the other.
 func TestTreeAndSingleHolderIgnoreEachOther(t *testing.T) {
 	limit := Limit{Name: "fills", Max: 24, FloorFraction: 1}
 	newNode := func(rank int, tree *lease.Topology) *Node {
@@ -113,7 +113,8 @@
 	}
 }
 
-// Guards against membership updates in the datagrams of a tree: a holder sends many of these, so they must be short.
+// Guards against membership updates in the datagrams of a tree. These datagrams must be short, because a holder sends
+// many of them.
 func TestTreeDatagramsHaveNoUpdates(t *testing.T) {
 	w := newTreeWorld(t, 9, Limit{Name: "fills", Max: 72})
 	longest := 0
--- a/core/fleet/limit_holder.go
+++ b/core/fleet/limit_holder.go
@@ -9,19 +9,19 @@
 // Times in microseconds.
 const (
 	recountInterval = 100_000   // minimum time between two counts of votes and demands
-	demandLifetime  = 3_000_000 // of the demand in a request
+	demandLifetime  = 3_000_000 // how long the demand in a request counts
 )
 
-// maxLeases is the number of leases of one lessee that are recorded separately. A lessee sends a request in each
-// renewInterval, and a lease lasts less than four of these.
+// maxLeases is the number of leases of one lessee that are recorded separately. A lessee sends at most one request per
+// renewInterval, and a lease lasts less than four renew intervals.
 const maxLeases = 5
 
 // account is the record that the holder of a limit has of a router. Times are by the holder's clock.
 type account struct {
 	voteExpiresAt int64
 	demand        float64
-	demandAt      int64                  // 0: never
-	leases        [maxLeases]lease.Lease // those that have not expired may be in use
+	demandAt      int64                  // time of the last request; 0: none
+	leases        [maxLeases]lease.Lease // granted leases; unexpired ones may be in use
 }
 
 // grantToSelf records the vote of this router for itself as the holder and grants itself a lease for its demand.
@@ -41,8 +41,8 @@
 	}
 }
 
-// handleRequest records the vote and the demand in a request and answers it. If this router is not the holder, the vote
-// may elect it.
+// handleRequest records the vote and the demand in a request and responds to the request. If this router is not elected
+// as the holder yet, the vote may elect it.
 func (l *limitState) handleRequest(now int64, m *message) {
 	from := &l.accounts[m.rank]
 	l.recordVote(now, from, m)
@@ -51,7 +51,7 @@
 	amount, term := l.grant(now, m.rank)
 	timestamp := l.timestamp(now)
 	if timestamp == 0 {
-		return // 0 means no timestamp; the next request is answered
+		return // a timestamp of 0 would mean no timestamp, so only the next request is answered
 	}
 	l.node.send(m.rank, &message{
 		kind:            leaseGrantMessage,
@@ -63,9 +63,9 @@
 	})
 }
 
-// recordVote records the vote in a request, if there is one and it is for this incarnation. The lifetime of the vote
-// counts from the timestamp that it echoes. The timestamp is older than the vote, so the vote expires here before it
-// does at the voter.
+// recordVote records the vote in a request, if the request has a vote for this incarnation. The lifetime of the vote
+// counts from the timestamp that the vote echoes. The timestamp is older than the vote, so the vote expires here before
+// it does at the voter.
 func (l *limitState) recordVote(now int64, voter *account, m *message) {
 	if m.candidateIncarnation != l.node.options.Incarnation || m.timestamp == 0 {
 		return
@@ -77,8 +77,8 @@
 	}
 }
 
-// grant grants a lessee a lease from the pool. The term (us) is at most leaseLifetime and does not extend beyond
-// electedUntil, when the votes for this router expire. It is 0 if no lease is granted.
+// grant grants a lessee a lease from the pool. The term (us) is at most leaseLifetime, and ends no later than
+// electedUntil, when the votes for this router expire. The term is 0 if no lease is granted.
 func (l *limitState) grant(now int64, rank int) (amount float64, term int64) {
 	l.countVotesAndDemand(now)
 	term = min(leaseLifetime, l.electedUntil-now)
--- a/core/fleet/limit_lessee.go
+++ b/core/fleet/limit_lessee.go
@@ -3,21 +3,21 @@
 import "spantack/core/lease"
 
 const (
-	hintLifetime = 2_000_000 // us, of a hint about the holder from another router
+	hintLifetime = 2_000_000 // how long a hint about the holder from another router is valid, us
 
-	maxUnansweredRequests = 4          // in a row, before a router is avoided as the holder
-	avoidDuration         = 12_000_000 // us, for a router that does not answer
-	maxPendingRequests    = 8          // requests whose grants are still accepted
+	maxUnansweredRequests = 4          // number of unanswered requests in a row after which a holder is avoided
+	avoidDuration         = 12_000_000 // how long a router that does not respond is avoided as the holder, us
+	maxPendingRequests    = 8          // maximum number of requests whose grants are still accepted
 )
 
 // request is the record of a lease request that was sent.
 type request struct {
-	sequence uint32 // of its datagram
-	sentAt   int64  // 0: no request
+	sequence uint32 // sequence number of the datagram with the request
+	sentAt   int64  // time at which the request was sent; 0: no request
 }
 
-// currentHolder returns the holder if it has granted this router a lease within the last leaseLifetime, otherwise
-// lease.NoRank.
+// currentHolder returns the chosen holder if it has granted this router a lease within the last leaseLifetime,
+// otherwise lease.NoRank.
 func (l *limitState) currentHolder(now int64) int {
 	if l.grantedAt != 0 && now-l.grantedAt < leaseLifetime {
 		return l.holder
@@ -35,11 +35,11 @@
 	l.hintedAt = now
 }
 
-// isEligible reports whether a router may be chosen as the holder: it is considered up and not avoided.
+// isEligible reports whether a router is considered up and is not avoided.
 func (l *limitState) isEligible(rank int) bool { return l.node.IsUp(rank) && !l.avoided.Contains(rank) }
 
-// preferredHolder returns the eligible router with the greatest hash. It is the same at all routers that agree on which
-// routers are eligible.
+// preferredHolder returns the eligible router with the greatest hash. The result is the same at all routers that agree
+// on which routers are eligible.
 func (l *limitState) preferredHolder() int {
 	preferred, greatest := l.node.options.Rank, uint64(0)
 	for rank := range l.node.members {
@@ -51,11 +51,12 @@
 }
 
 // chooseHolder returns the router that gets the vote and the next request of this router. A holder that grants leases
-// is retained. Otherwise the router that others name as the holder is chosen or, without a valid hint, the preferred
-// one. chooseHolder returns lease.NoRank until the vote for a holder that is not retained has expired.
+// is retained. Otherwise chooseHolder returns the router that others name as the holder or, without a valid hint, the
+// preferred holder. If the vote for a holder that is not retained has not expired yet, chooseHolder returns
+// lease.NoRank.
 func (l *limitState) chooseHolder(now int64) int {
 	l.avoided.Expire(now)
-	// This detects a lost holder sooner than the membership does.
+	// Unanswered requests reveal a lost holder sooner than the membership does.
 	if l.unansweredRequests >= maxUnansweredRequests && l.holder != lease.NoRank {
 		l.avoided[l.holder] = now + avoidDuration
 		l.unansweredRequests = 0
@@ -79,8 +80,9 @@
 	return target
 }
 
-// retainsHolder reports whether the current holder is kept rather than replaced by target: it is up, and it either is
-// target or is eligible and grants leases to this router.
+// retainsHolder reports whether the chosen holder is retained instead of being replaced by target. A holder that is
+// down is never retained. A holder that is up is retained if it is target. It is also retained if it is eligible and
+// grants leases to this router.
 func (l *limitState) retainsHolder(now int64, target int) bool {
 	if l.holder == lease.NoRank || !l.node.IsUp(l.holder) {
 		return false
@@ -108,7 +110,8 @@
 	l.unansweredRequests++
 }
 
-// handleGrant handles the answer of the holder to a request: a lease, or a term of 0 if none was granted.
+// handleGrant handles the response of the holder to a request. The response has a lease, or a term of 0 if no lease was
+// granted.
 func (l *limitState) handleGrant(now int64, m *message) {
 	if m.rank != l.holder {
 		return
@@ -127,8 +130,8 @@
 	l.lastAnsweredRequest = m.requestSequence
 	if m.term >= minLeaseTerm && m.term <= leaseLifetime {
 		l.grantedAt = now
-		// The term counts from when the request was sent, which was before the grant, and is reduced by the clock
-		// drift. The lease therefore expires here before it does at the holder.
+		// The term is reduced by the clock drift. It counts from the time at which the request was sent, and that time
+		// is before the grant. For both reasons the lease expires here before it does at the holder.
 		l.lease = lease.Lease{
 			Amount:    m.amount,
 			ExpiresAt: sentAt + m.term - int64(float64(m.term)*maxClockDrift),
--- a/core/fleet/limits.go
+++ b/core/fleet/limits.go
@@ -6,16 +6,19 @@
 )
 
 const (
-	maxLimits     = 8   // of a fleet; must not exceed 256, because the index of a limit is one byte on the wire
-	maxLimitValue = 1e6 // on the wire, amounts are 32-bit numbers in units of lease.AmountUnit
+	// maxLimits is the maximum number of limits of a fleet. It must not exceed 256, because the index of a limit is one
+	// byte on the wire.
+	maxLimits = 8
+	// maxLimitValue bounds Limit.Max. On the wire, amounts are 32-bit numbers in units of lease.AmountUnit.
+	maxLimitValue = 1e6
 )
 
 // RecoveryTime (us) is the time until leases of a pool are granted again after its holder has died or was partitioned
-// from the others, provided that more than half of all routers are in one partition. In this time the holder is
-// declared dead, the votes for it expire, and two requests are answered: the first answer has the timestamp that a vote
-// must echo, and the second request carries the vote. A test checks this time for 15 routers with 10% datagram loss: in
-// the 2 s after it, at least 60% of the pool must be leased on average. Fleets of 300 routers can need up to 18 s after
-// a partition has healed.
+// from the others. It applies if more than half of all routers are in one partition. In this time the holder is
+// declared dead, the votes for it expire, and two requests are answered. The response to the first request has the
+// timestamp that a vote must echo, and the second request carries the vote. A test checks RecoveryTime for 15 routers
+// with 10% datagram loss. In the 2 s after RecoveryTime, at least 60% of the pool must be leased on average. Fleets of
+// 300 routers can need up to 18 s after a partition has healed.
 const RecoveryTime = 10_000_000
 
 // Limit is an upper bound on the sum of the units that all routers have in use.
@@ -51,8 +54,9 @@
 // LimitName returns the name of the limit with the given index in Options.Limits.
 func (n *Node) LimitName(limit int) string { return n.options.Limits[limit].Name }
 
-// Quota returns how much of a limit this router may have in use at present: its floor plus its lease. Routers that use
-// a quota below 1 as the probability of using a unit keep the limit only on average. TryAcquire always keeps the limit.
+// Quota returns how much of a limit this router may have in use at present: its floor plus its lease. If routers use a
+// quota below 1 as the probability of using a unit, the limit holds only on average. With TryAcquire the limit always
+// holds.
 func (n *Node) Quota(now int64, limit int) float64 {
 	if n.leaseTrees != nil {
 		return n.leaseTrees[limit].Quota(now)
@@ -69,7 +73,7 @@
 	n.limits[limit].demand = amount
 }
 
-// TryAcquire acquires one unit of a limit and reports whether it did. It fails if the quota is used up.
+// TryAcquire acquires one unit of a limit and returns true. It returns false if the quota is used up.
 func (n *Node) TryAcquire(now int64, limit int) bool {
 	if n.leaseTrees != nil {
 		return n.leaseTrees[limit].TryAcquire(now)
@@ -91,9 +95,9 @@
 	Name       string  `json:"Name"`
 	Quota      float64 `json:"Share"`
 	InUse      int     `json:"InUse"`
-	Holder     int     `json:"Holder"`           // that has granted the lease of this router; lease.NoRank: no lease
-	IsHolder   bool    `json:"Holds"`            // this router holds the limit or, in a tree, a group
-	HeldLevels []int   `json:"Levels,omitempty"` // of the groups of a tree that this router holds; 1: smallest
+	Holder     int     `json:"Holder"`           // router that has granted the lease of this router; lease.NoRank: none
+	IsHolder   bool    `json:"Holds"`            // whether this router holds the limit or, in a tree, a group
+	HeldLevels []int   `json:"Levels,omitempty"` // levels of the groups that this router holds in a tree; 1: smallest
 }
 
 // LimitStatuses returns the status of each limit, in the order of Options.Limits.
--- a/core/fleet/limits_test.go
+++ b/core/fleet/limits_test.go
@@ -41,9 +41,10 @@
 	}
 }
 
-// Guards against violations of the guarantee of the package: under random faults, the sum of all floors and leases must
-// never exceed the limit. This covers the check of the expiry of a lease, the wait before the first vote, and the check
-// of the incarnation in a vote: without any one of them, the test fails within 200 seeds. With -short it runs only 40.
+// Guards against violations of the guarantee of the package. Under random faults, the sum of all floors and leases must
+// never exceed the limit. The test covers the check of the expiry of a lease, the wait before the first vote, and the
+// check of the incarnation in a vote. If one of these three is missing, the test fails within 200 seeds. With -short
+// the test runs only 40 seeds.
 func TestQuotasNeverExceedLimit(t *testing.T) {
 	seeds := uint64(400)
 	if testing.Short() {
@@ -83,8 +84,9 @@
 }
 
 // Guards against two holders when voters restart. The preferred holder is down at first, so another router becomes the
-// holder. That one is partitioned while its leases are in use, and at the same time all others restart without a record
-// of their votes. They must not elect the preferred one before the leases of the first holder have expired.
+// holder. This first holder is partitioned while its leases are in use, and at the same time all other routers restart
+// without a record of their votes. They must not elect the preferred holder before the leases of the first holder have
+// expired.
 func TestRestartedVotersWaitBeforeVoting(t *testing.T) {
 	for seed := range uint64(20) {
 		limit := Limit{Name: "fills", Max: 40, FloorFraction: 0.25}
@@ -117,10 +119,11 @@
 	}
 }
 
-// Guards against a delayed vote that is valid for too long: its lifetime must count from the timestamp that it echoes.
+// Guards against a delayed vote that is valid for too long. The lifetime of a vote must count from the timestamp that
+// the vote echoes.
 func TestVoteLifetimeCountsFromTimestamp(t *testing.T) {
 	for name, test := range map[string]struct {
-		age        int64 // us, of the timestamp in the vote
+		age        int64 // age of the timestamp in the vote, us
 		wantsGrant bool
 	}{
 		"young": {second, true},
@@ -153,9 +156,10 @@
 	}
 }
 
-// Guards against a pool that stays unused after a holder is lost. While the fleet has three partitions, the one with
-// more than half of the routers must have leased at least 60% of the pool, and the others must have only their floors.
-// A holder that dies or is partitioned must be replaced within RecoveryTime, also if it dies when the partitions heal.
+// Guards against a pool that stays unused after a holder is lost. While the fleet has three partitions, the partition
+// with more than half of the routers must have leased at least 60% of the pool. The other partitions must have only
+// their floors. A holder that dies or is partitioned must be replaced within RecoveryTime, also if it dies when the
+// partitions heal.
 func TestPoolRecoversAfterHolderLoss(t *testing.T) {
 	const routers = 15
 	for seed := range uint64(12) {
@@ -216,8 +220,8 @@
 	}
 }
 
-// Guards against two holders: a router must not vote for a second holder before its vote for the first has expired,
-// even if the first does not answer.
+// Guards against two holders. A router must not vote for a second holder before its vote for the first holder has
+// expired, even if the first holder does not respond.
 func TestLesseeDoesNotVoteForTwoHolders(t *testing.T) {
 	n, err := New(0, Options{FleetSize: 3, Sites: 1, Incarnation: 1, Limits: []Limit{{Name: "a", Max: 9}}})
 	if err != nil {
--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -5,8 +5,8 @@
 // memberState is the state of a router as known to another router. The values are part of the wire format.
 type memberState byte
 
-// The states, in ascending order of severity. Only a dead member counts as down: routers have observed that it does not
-// answer. Unknown and suspect members count as up.
+// The states, in ascending order of severity. Only a dead member counts as down, because routers have observed that it
+// does not respond. Unknown and suspect members count as up.
 const (
 	stateUnknown memberState = iota
 	stateAlive
@@ -46,23 +46,24 @@
 type member struct {
 	update // latest known state, which is also sent to others
 
-	replayWindow   gossip.ReplayWindow // of its datagrams
+	replayWindow   gossip.ReplayWindow // replay window for datagrams from the member
 	lastReceivedAt int64               // time of the latest datagram from the member itself; 0: none
 	transmissions  int                 // number of times that the update must still be sent
 
-	// While suspect.
-	suspectedAt     int64
-	suspicionEndsAt int64                 // time at which it is declared dead
-	confirmedBy     [maxConfirmations]int // ranks of the members that suspect it
+	// State while the member is suspect.
+	suspectedAt     int64                 // time at which the suspicion started
+	suspicionEndsAt int64                 // time at which the member is declared dead
+	confirmedBy     [maxConfirmations]int // ranks of the members that suspect the member
 	confirmations   int                   // number of entries of confirmedBy in use
 
-	// needsSuspicionNotice reports that the member is suspected, or that others consider it suspect or dead although
-	// this router receives datagrams from it. The datagrams to the member then include a suspicion, so that the member
-	// can refute it.
+	// needsSuspicionNotice is true if this router suspects the member. It is also true if others consider the member
+	// suspect or dead although this router receives datagrams from it. While it is true, the datagrams to the member
+	// include an update that the member is suspect. The member can then refute that update.
 	needsSuspicionNotice bool
 }
 
-// noReporter is the reporter of an update that a member is dead because its suspicion ended at this router.
+// noReporter is the reporter of an update that follows from the end of a suspicion at this router. Such an update
+// declares the suspected member dead.
 const noReporter = -1
 
 // IsUp reports whether a router has not been declared dead.
@@ -80,7 +81,8 @@
 	return live
 }
 
-// recordReceived records the arrival of a datagram from a member itself, which is the latest evidence that it is alive.
+// recordReceived records the arrival of a datagram from a member itself. This datagram is the latest evidence that the
+// member is alive.
 func (n *Node) recordReceived(now int64, m *member, incarnation uint32) {
 	m.lastReceivedAt = now
 	switch {
@@ -96,8 +98,8 @@
 	}
 }
 
-// applyUpdate applies a membership update that a member sent, or that follows from a probe or a suspicion of this
-// router.
+// applyUpdate applies a membership update. The update was sent by the member reporter, or follows from a probe or the
+// end of a suspicion at this router.
 func (n *Node) applyUpdate(now int64, u update, reporter int) {
 	m := &n.members[u.rank]
 	switch {
@@ -112,7 +114,8 @@
 	}
 }
 
-// applyAlive applies an update that a member is alive: it has started, or has refuted that it is suspect or dead.
+// applyAlive applies an update that a member is alive. Such an update is sent after the member has started or has
+// refuted that it is suspect or dead.
 func (n *Node) applyAlive(m *member, u update) {
 	if u.supersedes(m.update) {
 		m.replaceUpdate(u)
@@ -120,8 +123,8 @@
 	}
 }
 
-// refute refutes an update that this router is suspect or dead, if it is about the current incarnation and has not been
-// refuted yet.
+// refute refutes an update that this router is suspect or dead, if the update is about the current incarnation and has
+// not been refuted yet.
 func (n *Node) refute(self *member, u update) {
 	isCurrent := u.incarnation == self.incarnation && u.refutations >= self.refutations
 	if u.state < stateSuspect || !isCurrent {
@@ -154,8 +157,9 @@
 	}
 }
 
-// acceptsFailureUpdate reports whether an update that a member is suspect or dead replaces its known state. If evidence
-// of this router contradicts the update, the member is notified instead.
+// acceptsFailureUpdate reports whether an update that a member is suspect or dead replaces the member's known state. If
+// evidence of this router contradicts the update, acceptsFailureUpdate returns false and the next datagrams notify the
+// member.
 func (n *Node) acceptsFailureUpdate(now int64, m *member, u update, reporter int) bool {
 	if !u.supersedes(m.update) {
 		return false
@@ -167,9 +171,9 @@
 	return true
 }
 
-// contradicts reports whether an update that a member is suspect or dead is to be rejected, because this router has
-// received a datagram from the member within the last probeInterval. It returns false if the update is about another
-// incarnation than the known one, or follows from a probe of this router.
+// contradicts reports whether evidence of this router contradicts an update that a member is suspect or dead. The
+// evidence is a datagram from the member within the last probeInterval. contradicts returns false if the update is
+// about another incarnation than the known one, or if the update follows from a probe of this router.
 func (n *Node) contradicts(now int64, m *member, u update, reporter int) bool {
 	isRecent := m.lastReceivedAt != 0 && now-m.lastReceivedAt < probeInterval
 	return isRecent && u.incarnation == m.incarnation && reporter != n.options.Rank
--- a/core/fleet/membership_test.go
+++ b/core/fleet/membership_test.go
@@ -12,7 +12,7 @@
 	for rank := range dead {
 		w.kill(rank)
 	}
-	// Each router probes one member at a time and waits for the timeouts of each dead one.
+	// Each router probes one member at a time, and waits for the timeouts of a probe whose target is dead.
 	w.run(w.now+40*second, nil)
 	for rank := dead; rank < routers; rank++ {
 		if live := w.liveCount(rank); live != routers-dead {
@@ -30,9 +30,9 @@
 	}
 }
 
-// Guards against members that stay dead after a fault: two halves of a fleet that were partitioned must find each other
-// again. A process that was paused for three seconds, and one whose datagrams do not reach some of the other routers,
-// must not be considered dead afterwards.
+// Guards against members that are considered dead after a fault has ended. Two halves of a fleet that were partitioned
+// must find each other again. A process that was paused for three seconds must not be considered dead afterwards. The
+// same holds for a process whose datagrams do not reach some of the other routers.
 func TestMembershipRecoversAfterFaults(t *testing.T) {
 	const routers = 20
 	w := newWorld(t, 5, routers)
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -10,15 +10,16 @@
 )
 
 // Broadcast is the value of a rank that refers to all other members. Node.Send must deliver a datagram with this rank
-// to each of them.
+// to each other member.
 const Broadcast = -1
 
 // Times in microseconds.
 const (
-	tickInterval = 50_000 // between two calls of Tick, and the greatest delay until an overdue ack is detected
+	// tickInterval is the time between two calls of Tick. It is also the maximum delay until an overdue ack is detected.
+	tickInterval = 50_000
 
 	// pauseThreshold is the longest normal time without a call of Tick or Receive. Tick handles a longer time as a
-	// pause, in which the process was stopped or had no CPU time.
+	// pause of the process. During a pause the process was stopped or had no CPU time.
 	pauseThreshold = 500_000
 )
 
@@ -28,12 +29,12 @@
 // Options are the parameters of a Node. FleetSize, Sites, Limits and LeaseTree must be the same at all routers of a
 // fleet.
 type Options struct {
-	Rank        int    // of this router, from 0
+	Rank        int    // rank of this router, from 0
 	FleetSize   int    // configured number of routers
-	Site        int    // of this router, from 0
+	Site        int    // site of this router, from 0
 	Sites       int    // configured number of sites
-	Incarnation uint32 // greater at each start of this router
-	Seed        uint64 // of random numbers
+	Incarnation uint32 // must be greater at each start of this router
+	Seed        uint64 // seed of the random numbers
 	Limits      []Limit
 	// LeaseTree is the topology of the tree of leases for the limits (package lease). If it is nil, each limit has one
 	// holder for the whole fleet.
@@ -42,11 +43,11 @@
 
 // Counts are the counters of a Node since its start.
 type Counts struct {
-	Sent, Received, Dropped int64 // datagrams
-	Suspected               int64 // members that this router suspected after its own probes
-	DeclaredDead            int64 // members that this router declared dead because their suspicion ended
-	LeasesGranted           int64 // for limits with a single holder; lease trees are not counted
-	VotesSent               int64 // for limits with a single holder; lease trees are not counted
+	Sent, Received, Dropped int64 // numbers of datagrams
+	Suspected               int64 // how often this router suspected a member after its own probe
+	DeclaredDead            int64 // how often this router declared a member dead because the suspicion of it ended
+	LeasesGranted           int64 // leases granted for limits with a single holder; lease trees are not counted
+	VotesSent               int64 // votes sent for limits with a single holder; lease trees are not counted
 }
 
 // Node is the state of one router in the fleet. It is not safe for concurrent use. The callbacks must be set before the
@@ -57,27 +58,27 @@
 	// Send sends a datagram to a rank or to Broadcast. It must not retain the bytes.
 	Send func(rank int, datagram []byte)
 	// OnHolderChange is called when this router chooses another router as the holder of its group at the given level, in
-	// the tree of a limit. The parameter holder is lease.NoRank if this router knows none. It is called only if the
-	// limits use a tree of leases.
+	// the tree of a limit. The parameter holder is lease.NoRank if this router knows none. OnHolderChange is called only
+	// if the limits use a tree of leases.
 	OnHolderChange func(limit, level, holder int)
 
 	options      Options
 	rng          *rand.Rand
 	startedAt    int64
 	lastCalledAt int64  // time of the latest call of Tick or Receive; 0: none
-	sequence     uint32 // of the latest datagram sent
+	sequence     uint32 // sequence number of the latest datagram sent
 
 	// Membership.
 	members        []member // by rank
 	pendingUpdates []int    // ranks of the members whose updates must still be sent
-	healthScore    int      // 0: healthy; grows when answers are missed (the local health multiplier of Lifeguard)
+	healthScore    int      // 0: healthy; grows when acks are missed (the local health multiplier of Lifeguard)
 
 	// Probing.
 	probeOrder     []int // ranks of the other members, shuffled in each round
 	probeIndex     int   // index in probeOrder of the next target
 	nextProbeAt    int64
 	currentProbe   probe
-	token          uint32 // of the latest probe
+	token          uint32 // token of the latest probe
 	indirectProbes map[uint32]indirectProbe
 
 	// Limits, in the order of Options.Limits. At most one of the two slices has entries.
@@ -182,9 +183,10 @@
 	return now + tickInterval
 }
 
-// Receive handles a datagram from the router with the given rank and sends the answer, if any. The caller derives the
-// rank from the sender's address. The error wraps ErrMalformed, ErrUnknownSender or ErrStale, and the datagram then has
-// no effect. Receive ignores datagrams of this router itself, which can arrive through a broadcast address.
+// Receive handles a datagram from the router with the given rank and sends the response, if any. The caller derives the
+// rank from the sender's address. An error wraps ErrMalformed, ErrUnknownSender or ErrStale. A datagram with an error
+// has no effect on the state of the fleet, and is counted in Counts.Dropped. Receive ignores datagrams of this router
+// itself. They can arrive through a broadcast address.
 func (n *Node) Receive(now int64, rank int, datagram []byte) error {
 	if rank == n.options.Rank {
 		return nil
--- a/core/fleet/probing.go
+++ b/core/fleet/probing.go
@@ -2,22 +2,24 @@
 
 import "spantack/core/lease"
 
-// Times in microseconds. With these values, nearly all routers of a fleet of 300 declare a router that dies dead within
-// 7 s. In that time each router is probed by at least one other.
+// Times in microseconds. With these values, when a router of a fleet of 300 dies, nearly all other routers declare it
+// dead within 7 s. In that time each router is probed by at least one other router.
 const (
-	probeInterval = 500_000 // between two probes, plus a random part of up to a fifth
-	probeTimeout  = 150_000 // for the ack of a direct probe, multiplied by 1 + health score
+	probeInterval = 500_000 // time between two probes, plus a random part of up to a fifth
 
+	// probeTimeout, multiplied by 1 + health score, is the time from a direct probe until indirect probes of its target
+	// are requested if no ack has arrived.
+	probeTimeout = 150_000
 	// indirectTimeout, multiplied by 1 + health score, is the time from a direct probe until its target is suspected if
-	// no ack of the direct probe or of an indirect one has arrived.
+	// no ack of the direct probe or of an indirect probe has arrived.
 	indirectTimeout       = 350_000
-	indirectProbeLifetime = 2_000_000 // after which a probe on behalf of another member is forgotten
+	indirectProbeLifetime = 2_000_000 // time after which a probe on behalf of another member is removed
 )
 
 const (
 	indirectProbeCount = 3  // maximum number of requests to other members to probe a target that does not answer
-	maxIndirectProbes  = 64 // pending probes for other members
-	maxHealthScore     = 7  // bounds the timeouts of a router that misses answers
+	maxIndirectProbes  = 64 // maximum number of pending probes on behalf of other members
+	maxHealthScore     = 7  // maximum health score; bounds the timeouts of a router that misses acks
 
 	// deadProbeFraction, multiplied by the fraction of members that are declared dead, is the probability that a probe
 	// goes to a dead member. These probes let members find each other after a partition has healed.
@@ -26,10 +28,10 @@
 
 // probe is a probe of this router that is in progress.
 type probe struct {
-	target     int // lease.NoRank: no probe is in progress
+	target     int // rank of the probed member; lease.NoRank: no probe is in progress
 	token      uint32
 	sentAt     int64
-	isIndirect bool // other members were also requested to probe the target
+	isIndirect bool // whether other members were also requested to probe the target
 }
 
 // noProbe is the value of a probe when none is in progress.
@@ -37,8 +39,8 @@
 
 // indirectProbe is a probe on behalf of another member.
 type indirectProbe struct {
-	requester      int
-	requesterToken uint32
+	requester      int    // rank of the member that requested the probe
+	requesterToken uint32 // token of the requester's own probe
 	sentAt         int64
 }
 
@@ -98,7 +100,7 @@
 		return
 	}
 	n.token++
-	if !probeDead { // a dead member need not answer; if it does, its ack shows that it is alive
+	if !probeDead { // no ack is expected from a dead member; if one arrives, it shows that the member is alive
 		n.currentProbe = probe{target: target, token: n.token, sentAt: now}
 	}
 	n.sendProbeMessage(target, pingMessage, target, n.token)
@@ -121,7 +123,7 @@
 }
 
 // sendProbeMessage sends a ping, an ack or an indirect ping. The message includes the holder of one of the limits, as
-// this router knows it. Which limit that is depends on the sequence number of the latest datagram.
+// this router knows it. The sequence number of the latest datagram determines the limit.
 func (n *Node) sendProbeMessage(to int, kind messageKind, target int, token uint32) {
 	m := message{kind: kind, target: target, token: token, holder: lease.NoRank}
 	if len(n.limits) > 0 {
@@ -131,7 +133,7 @@
 	n.send(to, &m)
 }
 
-// handlePing answers a probe of this router.
+// handlePing responds to a probe of this router by another member.
 func (n *Node) handlePing(m *message) {
 	n.sendProbeMessage(m.rank, ackMessage, n.options.Rank, m.token)
 }
@@ -168,8 +170,8 @@
 	}
 }
 
-// handlePause compensates for a pause (us) of this process. Answers may be missing because of the pause, not because
-// other members have failed, so the probe in progress is dropped and suspicions are extended.
+// handlePause compensates for a pause (us) of this process. Acks may be missing because of the pause, not because other
+// members have failed. Therefore the probe in progress is dropped and suspicions are extended.
 func (n *Node) handlePause(pause int64) {
 	n.currentProbe.target = lease.NoRank
 	n.raiseHealthScore()
--- a/core/fleet/wire_compat_test.go
+++ b/core/fleet/wire_compat_test.go
@@ -10,7 +10,8 @@
 )
 
 // wireFixture has one line for each recorded message, with the bytes that the program wrote at commit e67ffc3. Routers
-// of that version read these bytes, so the lines must not be changed to match a later program.
+// of that version must be able to read the datagrams of later versions. The lines must therefore not be changed to
+// match a later program.
 const wireFixture = "testdata/wire_compat.txt"
 
 func TestWireCompat(t *testing.T) {
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -19,13 +19,13 @@
 	options   Options
 	processes []*process
 	events    eventQueue
-	sent      int // datagrams
+	sent      int // number of datagrams sent
 
 	loss       float64         // fraction of datagrams that are lost
 	late       float64         // fraction of datagrams that are delayed by up to 3 s more
 	partition  []int           // by rank; no datagrams pass between different partitions
 	oneWay     map[[2]int]bool // pairs of sender and receiver whose datagrams are lost
-	extraDelay map[int]int64   // us, of datagrams to a rank
+	extraDelay map[int]int64   // by rank of the receiver: additional delay of datagrams, us
 }
 
 type process struct {
@@ -208,8 +208,8 @@
 // liveCount returns the number of routers that a router considers up.
 func (w *world) liveCount(rank int) int { return w.processes[rank].node.LiveCount() }
 
-// selfDeclaredHolder returns the last rank whose own status shows that it holds the first limit, lease.NoRank if there
-// is none.
+// selfDeclaredHolder returns the highest rank whose own status shows that it holds the first limit, lease.NoRank if
+// there is none.
 func (w *world) selfDeclaredHolder() int {
 	holder := lease.NoRank
 	for rank := range w.processes {
