--- a/core/fleet/limits_test.go
+++ b/core/fleet/limits_test.go
@@ -14,7 +14,7 @@
 	routers := len(w.processes)
 	switch rank := w.rng.IntN(routers); w.rng.IntN(10) {
 	case 0:
-		for i := range w.partition { // any number of partitions
+		for i := range w.partition { // puts each router into one of up to four partitions
 			w.partition[i] = w.rng.IntN(1 + w.rng.IntN(4))
 		}
 	case 1:
--- a/core/fleet/probing.go
+++ b/core/fleet/probing.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	indirectProbeCount = 3  // maximum number of requests to other members to probe a target that does not answer
+	indirectProbeCount = 3  // maximum number of requests to other members to probe a target that does not respond
 	maxIndirectProbes  = 64 // maximum number of pending probes on behalf of other members
 	maxHealthScore     = 7  // maximum health score; bounds the timeouts of a router that misses acks
 
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -22,7 +22,7 @@
 	sent      int // number of datagrams sent
 
 	loss       float64         // fraction of datagrams that are lost
-	late       float64         // fraction of datagrams that are delayed by up to 3 s more
+	late       float64         // fraction of datagrams with an additional delay of up to 3 s
 	partition  []int           // by rank; no datagrams pass between different partitions
 	oneWay     map[[2]int]bool // pairs of sender and receiver whose datagrams are lost
 	extraDelay map[int]int64   // by rank of the receiver: additional delay of datagrams, us
