--- a/core/lease/bound_test.go
+++ b/core/lease/bound_test.go
@@ -22,7 +22,7 @@
 	rank := w.rng.IntN(routers)
 	switch w.rng.IntN(11) {
 	case 0:
-		for i := range w.partition { // any number of partitions
+		for i := range w.partition { // puts each router into one of up to four partitions
 			w.partition[i] = w.rng.IntN(1 + w.rng.IntN(4))
 		}
 	case 1:
@@ -75,7 +75,7 @@
 	}
 }
 
-// Guards against violations of the guarantee of the package: under random faults, the sum of the quotas of all routers
+// Guards against violations of the guarantee of the package. Under random faults, the sum of the quotas of all routers
 // must never exceed the limit.
 func TestQuotasNeverExceedLimit(t *testing.T) {
 	seeds := uint64(300)
--- a/core/lease/world_test.go
+++ b/core/lease/world_test.go
@@ -20,7 +20,7 @@
 	sequence  int // number of the latest event
 
 	loss        float64         // fraction of messages that are lost
-	late        float64         // fraction of messages that are delayed by up to 3 s more
+	late        float64         // fraction of messages with an additional delay of up to 3 s
 	partition   []int           // by rank; no messages pass between different partitions
 	oneWay      map[[2]int]bool // pairs of sender and receiver whose messages are lost
 	wrongStates float64         // fraction of calls of IsUp that return a wrong value
