--- a/emulator/arrivals.go
+++ b/emulator/arrivals.go
@@ -23,8 +23,8 @@
 	return fromSeconds(w.arrivalRandom[site].ExpFloat64() / perSecond)
 }
 
-// handleArrival starts a client at a site and schedules the next arrival there, until stopAt. If there are migrated
-// tenants, it also records the utilization of each cell and the progress of the migrations, at most once every
+// handleArrival starts a client at a site and schedules the next arrival there, until stopAt. If MigratedTenants is not
+// empty, it also records the utilization of each cell and the progress of the migrations, at most once every
 // sampleInterval.
 func (w *World) handleArrival(site int) {
 	if w.now >= w.nextSampleAt && len(w.config.MigratedTenants) > 0 {
@@ -174,12 +174,12 @@
 	return c.meanKB * math.Exp(c.sigma*normal-c.sigma*c.sigma/2)
 }
 
-// hugeFloodChunks is the number of chunks, from the first on, of which a FloodHuge requests a random one for each
-// video that it draws.
+// hugeFloodChunks is the number of chunks, counted from the first chunk of a video, among which FloodHuge chooses. For
+// each video that it draws, it requests one of them at random.
 const hugeFloodChunks = 15
 
-// startFloodRequest starts an operation of the flood at a random site and schedules the next one. It stops at the end
-// of the flood or at stopAt.
+// startFloodRequest starts an operation of the flood at a random site and schedules the next one. It does nothing once
+// the flood has ended or stopAt is reached.
 func (w *World) startFloodRequest() {
 	flood := w.config.Flood
 	end := fromSeconds(flood.StartSeconds + flood.DurationSeconds)
--- a/emulator/attempts.go
+++ b/emulator/attempts.go
@@ -10,9 +10,9 @@
 	requestGeneration uint32
 	server            int32
 	source            int32 // server to fill from if server has no copy; -1: none
-	site              int32 // of the router
+	site              int32 // site of the router
 	cachedOnly        bool  // the source may serve only a cached copy and must not fetch
-	maxAge            int64 // of a copy that may be served; 0: any
+	maxAge            int64 // maximum age of a copy that may be served; 0: any
 	sentAt            int64
 	fillStartedAt     int64 // when server sent the fill request to source; 0: not yet
 
@@ -42,8 +42,8 @@
 }
 
 // sendAttempt sends an attempt to the server of an action and schedules its timeout. It counts a violation if the
-// request already has an attempt in flight, or if the router knew for longer than drainGracePeriod that the server is
-// draining.
+// request already has an attempt in flight. It also counts one if the router received the drain notice of the server
+// more than drainGracePeriod ago.
 func (w *World) sendAttempt(requestID int32, action routing.Action) {
 	request := &w.requests[requestID]
 	if request.attempt >= 0 {
@@ -86,8 +86,8 @@
 	w.push(event{time: w.now + delay, kind: kind, target: id, generation: w.attempts[id].generation})
 }
 
-// arriveAtServer handles the arrival of an attempt at its server, which answers it, fills first, rejects it or ends it
-// with an error.
+// arriveAtServer handles the arrival of an attempt at its server. The server responds, fills first, rejects the attempt
+// or ends it with an error.
 func (w *World) arriveAtServer(id int32) {
 	attempt := &w.attempts[id]
 	server := &w.servers[attempt.server]
@@ -122,9 +122,9 @@
 	w.answerFromCache(id, server, operation)
 }
 
-// serverFailure returns the outcome if a server fails an operation at once, because its tenant is poisoned or its
-// object is a harmful new object of the release. Replaced objects that are harmful fail later, in completeIfDelivered.
-// If fails is false, the server handles the operation normally.
+// serverFailure reports whether a server fails an operation at once, and with which outcome. It does so if the
+// operation's tenant is poisoned or its object is a harmful new object of the release. Replaced objects that are
+// harmful fail later, in completeIfDelivered. If fails is false, the server handles the operation normally.
 func (w *World) serverFailure(
 	server *simulatedServer, operation *clientOperation,
 ) (outcome routing.AttemptOutcome, status routing.CacheStatus, fails bool) {
@@ -151,8 +151,8 @@
 	w.sendFrom(id, origin)
 }
 
-// answerFromCache looks up an attempt's chunk at an edge cache or a parent. The server then answers with a copy, fills,
-// rejects the attempt, or reports a miss if the attempt has no source.
+// answerFromCache looks up an attempt's chunk at an edge cache or a parent. The server then responds with a
+// copy, fills, rejects the attempt, or reports a miss if the attempt has no source.
 func (w *World) answerFromCache(id int32, server *simulatedServer, operation *clientOperation) {
 	attempt := &w.attempts[id]
 	producedAt, isHit := server.store.get(w.chunkKey(id), w.minProducedAt(attempt, attempt.server))
--- a/emulator/capacity.go
+++ b/emulator/capacity.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Capacities of links and servers, derived from the load of a run without faults or floods (the normal load).
+// Capacities of links and servers. They are derived from the normal load, the load of a run without faults or floods.
 
 // originFillRatio is the fraction of the sites' fills that reach the origin under normal load.
 const originFillRatio = 0.35
--- a/emulator/cell_gauges.go
+++ b/emulator/cell_gauges.go
@@ -63,7 +63,7 @@
 	return int(server.cell)
 }
 
-// assignCells assigns a site's edge caches to cells in the same way as the routers.
+// assignCells assigns a site's edge caches to cells in the same way as the routers do, and marks them with version.
 func (w *World) assignCells(site, version int) {
 	var names []string
 	byName := map[string]*simulatedServer{}
@@ -82,8 +82,9 @@
 	}
 }
 
-// sampleCells samples the utilization of each cell: the responses in progress at its caches, including responses that
-// wait for a fill, divided by the number that the caches can send concurrently at their current warm-up state.
+// sampleCells samples the utilization of each cell. This is the number of responses in progress at the cell's caches,
+// including responses that wait for a fill, divided by the number that the caches can send concurrently at their
+// current warm-up state.
 func (w *World) sampleCells() {
 	if w.cellGauges == nil {
 		return
@@ -111,7 +112,8 @@
 	}
 }
 
-// cacheCapacity returns the fraction of its full capacity that an edge cache has now, which rises while it warms up.
+// cacheCapacity returns the current capacity of an edge cache as a fraction of its full capacity. The fraction rises
+// while the cache warms up.
 func (w *World) cacheCapacity(server *simulatedServer) float64 {
 	age := w.now - server.startedAt
 	if server.startedAt == 0 || age >= int64(cacheWarmUpTime) {
--- a/emulator/cell_plan.go
+++ b/emulator/cell_plan.go
@@ -44,8 +44,8 @@
 	return spec, proposal.CellByTenant
 }
 
-// cellBudget returns the budget that all cells share: requests, uncacheable requests and site fills for one site, the
-// capacities of the parents and the origin for all sites, and open requests for one router.
+// cellBudget returns the budget that all cells share. Requests, uncacheable requests and site fills are for one site.
+// The capacities of the parents and the origin are for all sites. Open requests are for one router.
 func (c *Config) cellBudget() cells.Budget {
 	return cells.Budget{
 		RequestsPerSecond:    budgetFraction * 1e6 / max(c.RouterCPUMicros, 1) * float64(c.RoutersPerSite),
--- a/emulator/clients.go
+++ b/emulator/clients.go
@@ -23,28 +23,28 @@
 }
 
 // clientRequest is one request of an operation, sent to one router. Its slot in World.requests is freed when the client
-// receives an answer, times out or loses the connection.
+// receives a response, times out or loses the connection.
 type clientRequest struct {
 	generation       uint32
 	operation        int32
 	router           int32
 	routerGeneration uint32
 	routerRequestID  string // ID of the request in events of the router: generation and index in hexadecimal
-	deadline         int64  // by which the router must answer
+	deadline         int64  // time by which the router must respond
 
-	attempt           int32 // in flight; -1: none
+	attempt           int32 // attempt in flight; -1: none
 	attemptNumber     int32 // number of the last attempt; -1: none yet
 	attemptsAtServers int
 
-	retryAfter int64 // of a rejection; 0: the answer is not a rejection
-	answered   bool
-	served     bool // the answer is a served response
-	closed     bool // the client no longer waits
+	retryAfter int64 // Retry-After time of a rejection; 0: not rejected
+	answered   bool  // the router has responded, also with a rejection or a failure
+	served     bool  // the response contains the chunk
+	closed     bool  // the client no longer waits
 }
 
 // Retry behaviour of clients.
 const (
-	maxClientRequests         = 3          // for one operation
+	maxClientRequests         = 3          // maximum number of requests for one operation
 	noRetryPercent            = 25         // percentage of clients that give up, drawn after each unsuccessful request
 	honoursRetryAfterPercent  = 55         // percentage of retrying clients that honour Retry-After
 	minClientBackoffMillis    = 50         // minimum time before a retry
@@ -55,8 +55,8 @@
 // releaseSelectionSalt is the hash salt that selects the objects of a release.
 const releaseSelectionSalt = 0x4e1ea5e
 
-// startOperation starts an operation, which is counted if the warm-up is over. If sizeKB is 0, it is set to
-// chunkSizeKB.
+// startOperation starts an operation. The operation is counted if the warm-up is over. If its sizeKB is 0, it is set to
+// the result of chunkSizeKB.
 func (w *World) startOperation(operation clientOperation) {
 	if operation.sizeKB == 0 {
 		operation.sizeKB = chunkSizeKB(operation.key, operation.chunk, int(operation.class))
@@ -154,7 +154,7 @@
 	w.freeRequests = append(w.freeRequests, requestID)
 }
 
-// answerClient delivers an answer to the client, which may retry if the request was rejected or failed.
+// answerClient delivers a response to the client. The client may retry if the request was rejected or failed.
 func (w *World) answerClient(requestID int32) {
 	request := w.requests[requestID]
 	w.freeRequest(requestID)
@@ -173,9 +173,9 @@
 }
 
 // retryOperation schedules another request for an operation, or ends the operation as unserved. A client sends at most
-// maxClientRequests requests; after each unsuccessful one noRetryPercent of the clients give up. Of the retries,
-// honoursRetryAfterPercent wait for retryAfter if it is longer than their backoff. From retriesAfterStop after stopAt
-// on, no client schedules a retry.
+// maxClientRequests requests. After each unsuccessful request, noRetryPercent of the clients give up. Of the retries,
+// honoursRetryAfterPercent wait for retryAfter if it is longer than their backoff. No client schedules a retry when
+// retriesAfterStop have passed since stopAt.
 func (w *World) retryOperation(id int32, retryAfter int64) {
 	operation := &w.operations[id]
 	draw := hashMix(operation.key ^ uint64(operation.startedAt) ^ uint64(operation.requests)<<50)
@@ -192,9 +192,9 @@
 	w.push(event{time: w.now + backoff, kind: eventClientRetry, target: id})
 }
 
-// clientTimeout closes the connection of a client whose deadline has passed. A request that a running router has
-// received but not answered by then counts as unanswered. The abort is reported to this router, which then must not
-// answer.
+// clientTimeout closes the connection of a client whose deadline has passed. If a running router has received the
+// request but has not responded, the request counts as unanswered. The router is then notified that the client has
+// aborted the request, and must not respond any more.
 func (w *World) clientTimeout(requestID int32) {
 	request := w.requests[requestID]
 	router := &w.routers[request.router]
--- a/emulator/config.go
+++ b/emulator/config.go
@@ -28,25 +28,25 @@
 	Objects         int `json:"objects"`  // number of objects of each tenant
 	StreamsPerCache int `json:"channels"` // concurrent responses of an edge cache at full rate
 
-	RequestsPerSecond float64 `json:"rateS"`      // of all sites together
+	RequestsPerSecond float64 `json:"rateS"`      // rate of all sites together
 	TenantSkew        float64 `json:"tenantSkew"` // Zipf exponent of the tenants' shares
 	ObjectSkew        float64 `json:"objectSkew"` // Zipf exponent of the popularity of a tenant's objects
 	OneTimeFraction   float64 `json:"onceShare"`  // fraction of requests for objects requested only once
 
 	PopularityDriftSeconds float64 `json:"driftS"` // time in which the popularity ranking shifts by one object
-	CacheRetentionSeconds  float64 `json:"keepS"`  // edge cache size, as the time to send that much at full rate
-
-	SiteLinkCapacityFactor  float64 `json:"linkRoom"`          // of the link into a site
-	RemoteHubCapacityFactor float64 `json:"farRoom,omitempty"` // of the link from a remote hub to a site; 0: unlimited
-	ParentCapacityFactor    float64 `json:"parentRoom"`        // of all parents together
-	OriginCapacityFactor    float64 `json:"originRoom"`        // of the origin
-	MissRatio               float64 `json:"missShare"`         // assumed miss ratio of edge caches, for the capacities
-	// RouterCPUMicros is the CPU time of a router for one request. A request that admission rejects costs a quarter of
-	// it.
+	CacheRetentionSeconds  float64 `json:"keepS"`  // size of an edge cache, as its sending time at full rate
+
+	SiteLinkCapacityFactor  float64 `json:"linkRoom"`          // capacity factor of the link into a site
+	RemoteHubCapacityFactor float64 `json:"farRoom,omitempty"` // the same for the link from a remote hub; 0: unlimited
+	ParentCapacityFactor    float64 `json:"parentRoom"`        // the same for all parents together
+	OriginCapacityFactor    float64 `json:"originRoom"`        // the same for the origin
+	MissRatio               float64 `json:"missShare"`         // miss ratio of edge caches that the capacities assume
+	// RouterCPUMicros is the CPU time of a router for one request, in microseconds. A request that admission rejects
+	// costs a quarter of this time.
 	RouterCPUMicros float64 `json:"routerUs"`
 
-	WarmUpSeconds   float64 `json:"warmS"` // not counted
-	DurationSeconds float64 `json:"dayS"`  // counted; follows the warm-up
+	WarmUpSeconds   float64 `json:"warmS"` // duration of the warm-up, which is not counted
+	DurationSeconds float64 `json:"dayS"`  // duration of the counted time, which follows the warm-up
 
 	Cells *cells.Spec `json:"cells,omitempty"` // nil: no cells
 	// CellByTenant is the cell index of each tenant, for the counts by cell in Result. It may be set without Cells, to
@@ -71,8 +71,8 @@
 
 	Changes         []Change `json:"-"` // ordered by time
 	MigratedTenants []int    `json:"-"` // tenants that Result.Migrated counts
-	// MigrationEndSeconds is the earliest possible end of the last shift in the first document, without the settle
-	// time. With MigrateAtOnce it is the time of the change.
+	// MigrationEndSeconds is the earliest time at which the last shift of the first document can end. The settle time
+	// is not included. With MigrateAtOnce it is the time of the change.
 	MigrationEndSeconds float64 `json:"-"`
 	// MaxClockSkewMillis is the maximum offset, in either direction, of the clock by which a router reads the times in
 	// documents.
@@ -113,7 +113,7 @@
 // The kinds of poison. The empty string means none.
 const (
 	poisonNone    PoisonKind = ""
-	PoisonError   PoisonKind = "err"    // edge caches answer with an error
+	PoisonError   PoisonKind = "err"    // edge caches respond with an error
 	PoisonGarbled PoisonKind = "spoilt" // responses of edge caches can't be parsed
 	PoisonOrigin  PoisonKind = "root"   // the origin fails
 )
@@ -160,7 +160,7 @@
 type Fault struct {
 	Kind      FaultKind `json:"kind"`
 	Site      int       `json:"depot"` // -1: every site
-	Index     int       `json:"which"` // of the router, cache, parent or hub
+	Index     int       `json:"which"` // index of the router, cache, parent or hub
 	AtSeconds float64   `json:"atS"`
 	// DurationSeconds is how long the fault lasts; for a deploy, the time over which the replacements are spread.
 	DurationSeconds float64 `json:"forS"`
@@ -204,10 +204,11 @@
 // TenantPrefix returns the prefix of the names of a tenant's objects.
 func TenantPrefix(tenant int) string { return fmt.Sprintf("%04x", tenant) }
 
-// OriginLimitDocument returns an origin limit document as operators who know the origin would write it: a fill takes
-// two round trips under normal load, and a parent continues an abandoned fetch for longer than any client waits.
-// BaselineMs is four times the time that a request needs without load to the origin through a hub and back, with the
-// origin's service time. If ignoresAbandoned is set, abandoned fetches count as ended at once.
+// OriginLimitDocument returns an origin limit document as operators who know the origin would write it. It assumes that
+// a fill takes two round trips under normal load, and that a parent continues an abandoned fetch for longer than any
+// client waits. BaselineMs is four times the duration of a request without load, from a site through a hub to the
+// origin and back, including the origin's service time. If ignoresAbandoned is set, abandoned fetches count as ended at
+// once.
 func (c *Config) OriginLimitDocument(algorithm string, ignoresAbandoned bool) *originlimit.Document {
 	doc := &originlimit.Document{
 		Algorithm:        algorithm,
--- a/emulator/deployment.go
+++ b/emulator/deployment.go
@@ -77,8 +77,8 @@
 	return configuredOr(c.deployment().StaleGraceSeconds, second, defaultStaleGracePeriod)
 }
 
-// latencyObjectiveMs returns the latency within which a response of a class has its full weight, in milliseconds,
-// without the addition for its size.
+// latencyObjectiveMs returns the latency objective of a class in milliseconds, without the addition for the size of a
+// response. A response within its objective has its full weight.
 func (c *Config) latencyObjectiveMs(class int) float64 {
 	if objective := c.deployment().LatencyObjectiveMillis; class == classCatalogue && objective != 0 {
 		return objective
--- a/emulator/deployment_test.go
+++ b/emulator/deployment_test.go
@@ -30,7 +30,7 @@
 }
 
 // Guards against responses from purged copies. Half of all groups are purged while a router is down and the origin is
-// slow. The router that restarts missed the notice and must not serve purged copies either.
+// slow. That router misses the notice and must not serve purged copies after its restart either.
 func TestPurgedCopiesAreNotServed(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runWorld(t, customDeploymentConfig(seed)) })
@@ -45,9 +45,9 @@
 	})
 }
 
-// Guards against lost or late requests in a deployment where routers may use only edge caches. Reports reach the origin
-// through a cache, which does not store them, and nothing goes directly to parents or the origin. Without faults nearly
-// all requests are served in time although the origin is far away.
+// Guards against lost or late requests in a deployment where routers may use only edge caches. Routers send nothing
+// directly to parents or the origin. Reports reach the origin through an edge cache, which does not store them. Without
+// faults nearly all requests are served in time although the origin is far away.
 func TestCachesOnlyDeploymentServesInTime(t *testing.T) {
 	cfg := customDeploymentConfig(2)
 	cfg.Faults = nil
--- a/emulator/documents.go
+++ b/emulator/documents.go
@@ -69,8 +69,8 @@
 }
 
 // applyPastChanges applies the changes up to now at a router that has just started. The router has the documents but
-// has lost the progress of its migrations. After a restart, later changes are scheduled for its new generation; at the
-// start of the run, scheduleChanges does this.
+// has lost the progress of its migrations. After a restart, applyPastChanges also schedules the later changes for the
+// new generation of the router. At the start of the run, scheduleChanges schedules them instead.
 func (w *World) applyPastChanges(id int32) {
 	router := &w.routers[id]
 	router.appliedChanges = 0
--- a/emulator/faults.go
+++ b/emulator/faults.go
@@ -7,8 +7,8 @@
 	"spantack/routing"
 )
 
-// Values of an eventFault. For a deploy the value is instead a step number, with two steps for each cache: drain and
-// replace.
+// Values of an eventFault. They do not apply to a deploy: its value is a step number, with two steps for each cache.
+// The first step drains the cache, the second replaces it.
 const (
 	faultBegins = 0
 	faultEnds   = 1
@@ -16,7 +16,7 @@
 
 // Delays in faults.
 const (
-	frontendStartDelay = second // until the frontend sends clients to a restarted router
+	frontendStartDelay = second // from the restart of a router until the frontend sends clients to it
 	deployDrainTime    = second // between the drain notice of a cache and its shutdown
 )
 
--- a/emulator/fetches.go
+++ b/emulator/fetches.go
@@ -26,8 +26,8 @@
 	return attempt.generation == ref.generation && attempt.fetch == fetchID
 }
 
-// joinFetch makes an attempt wait at a parent for a chunk from the origin. It starts a fetch if there is none that the
-// attempt can use.
+// joinFetch makes an attempt wait at a parent for a chunk from the origin. It starts a fetch if the attempt can use
+// none of those in flight.
 func (w *World) joinFetch(parent, id int32) {
 	attempt := &w.attempts[id]
 	key := w.chunkKey(id)
@@ -72,8 +72,8 @@
 	return id
 }
 
-// startFetchAtOrigin handles the arrival of a fetch at the origin, which starts to send or fails. The parent forwards
-// the data to the waiting attempts while it receives it.
+// startFetchAtOrigin handles the arrival of a fetch at the origin. The origin starts to send, or the fetch fails. The
+// parent forwards the data to the waiting attempts while it still receives data.
 func (w *World) startFetchAtOrigin(fetchID int32) {
 	fetch := &w.fetches[fetchID]
 	if w.poisonKind(fetch.tenant) == PoisonOrigin {
@@ -105,7 +105,7 @@
 	w.finishFetch(fetchID, w.completeIfDelivered)
 }
 
-// finishFetch ends a fetch, frees its slot in World.fetches and calls notify for each attempt that waits for it.
+// finishFetch ends a fetch, calls notify for each attempt that waits for it and frees its slot in World.fetches.
 func (w *World) finishFetch(fetchID int32, notify func(id int32)) {
 	fetch := &w.fetches[fetchID]
 	fetch.generation++
--- a/emulator/fetches_test.go
+++ b/emulator/fetches_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Guards against abandoned fetches that continue although parents cancel them, and against transfers that a canceled
-// fetch leaves on the origin's link. A brownout of the origin makes clients time out. Without cancellation at least
-// half of the fetches are abandoned.
+// Guards against abandoned fetches that continue although parents are configured to cancel them, and against transfers
+// that a canceled fetch leaves on the origin's link. A brownout of the origin makes clients time out. Without
+// cancellation at least half of the fetches in flight are abandoned.
 func TestAbandonedFetchesAreCanceled(t *testing.T) {
 	for _, cancels := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancels ", cancels), func(t *testing.T) {
--- a/emulator/fills.go
+++ b/emulator/fills.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// minProducedAt returns the earliest production time that a copy at a server may have to serve an attempt, given the
-// purges that have reached the server and the maximum age.
+// minProducedAt returns the earliest production time of copies at a server that may serve an attempt. The server has
+// purged earlier copies, or they are older than the attempt's maximum age.
 func (w *World) minProducedAt(attempt *serverAttempt, server int32) int64 {
 	earliest := int64(math.MinInt64)
 	if len(w.purges) > 0 {
--- a/emulator/fleetlimits.go
+++ b/emulator/fleetlimits.go
@@ -8,24 +8,25 @@
 )
 
 // FleetLimitTrial is a trial of a limit that a fleet of routers shares. The demand shifts between the routers, the
-// network between them loses datagrams and is partitioned, and routers fail. The trial does not use World, so that it
-// compares the sharing methods without other influences.
+// network between them loses datagrams and is partitioned, and routers fail. The trial does not use World. This keeps
+// other influences out of the comparison of the sharing methods.
 type FleetLimitTrial struct {
 	Routers            int     `json:"routers"`
 	Limit              float64 `json:"limit"`
-	FloorFraction      float64 `json:"floor"`  // of the limit, with MethodFleet
+	FloorFraction      float64 `json:"floor"`  // fraction of Limit split evenly without leases, with MethodFleet
 	Demand             float64 `json:"demand"` // total demand of all routers, as a multiple of Limit
 	DemandSkew         float64 `json:"skew"`   // Zipf exponent of the demand by router
 	DemandShiftSeconds float64 `json:"movesS"` // interval at which the demands are reassigned among the routers
-	LossRatio          float64 `json:"loss"`   // of datagrams
-	WarmUpSeconds      float64 `json:"warmS"`  // not counted
-	DurationSeconds    float64 `json:"dayS"`   // warm-up included
+	LossRatio          float64 `json:"loss"`   // fraction of datagrams that are lost
+	WarmUpSeconds      float64 `json:"warmS"`  // duration of the warm-up, which is not counted
+	DurationSeconds    float64 `json:"dayS"`   // duration of the trial, warm-up included
 
 	Method string `json:"way,omitempty"` // one of the methods below
 
-	// At PartitionSeconds, for PartitionDurationSeconds, the network is split into Partitions parts. If there are
-	// two parts, one has three fifths of the routers; if there are more, they are of equal size. FailedFraction of the
-	// routers fail at the same time. They restart without state when the partition ends.
+	// The partition starts at PartitionSeconds and lasts PartitionDurationSeconds. It splits the network into
+	// Partitions parts. If there are two parts, one has three fifths of the routers. If there are more, they are of
+	// equal size. When the partition starts, FailedFraction of the routers fail. When it ends, they restart without
+	// state.
 	Partitions               int     `json:"parts,omitempty"`
 	PartitionSeconds         float64 `json:"cutS,omitempty"`
 	PartitionDurationSeconds float64 `json:"cutForS,omitempty"`
@@ -35,9 +36,9 @@
 // Methods of sharing a limit among routers.
 const (
 	MethodEven   = "even"   // equal quotas
-	MethodGossip = "gossip" // by demand, as known from gossip
-	MethodLease  = "keeper" // by demand, granted without network delay by one lease holder in each part of the network
-	MethodFleet  = "fleet"  // core/fleet
+	MethodGossip = "gossip" // quotas by demand, as known from gossip
+	MethodLease  = "keeper" // quotas by demand, from a lease holder without network delay (one per partition)
+	MethodFleet  = "fleet"  // quotas granted by core/fleet
 )
 
 // Validate returns an error for the first field that is out of range. The error contains the field's name in experiment
@@ -61,15 +62,15 @@
 // FleetLimitResult is the result of a trial, measured after the warm-up.
 type FleetLimitResult struct {
 	MaxGranted       float64 // maximum sum of the quotas, as a multiple of Limit
-	OverLimitSeconds float64 // time in which more than the limit was used
-	// Utilization is the mean over time of the usage, at most Limit, divided by the smaller of Limit and the demand of
-	// the running routers.
+	OverLimitSeconds float64 // time in which the usage was above Limit
+	// Utilization is the mean over time of a ratio: the usage, capped at Limit, divided by the demand of the running
+	// routers, also capped at Limit.
 	Utilization          float64
-	PartitionUtilization float64 // the same while the fleet is partitioned or some routers have failed
-	BytesPerSecond       float64 // of datagrams sent, per router
-	// RecoverySeconds is the time from the end of the partition to the start of the first period of recoveredFor in
-	// which the utilization stays at least recoveredUtilization. It is DurationSeconds if there is none, and 0 without
-	// a partition.
+	PartitionUtilization float64 // Utilization between the start and the end of the partition
+	BytesPerSecond       float64 // bytes of datagrams sent, per router
+	// RecoverySeconds is the time from the end of the partition until the utilization is high again. It ends at the
+	// start of the first period of length recoveredFor in which the utilization is always at least
+	// recoveredUtilization. RecoverySeconds is DurationSeconds if there is no such period, and 0 without a partition.
 	RecoverySeconds float64
 }
 
@@ -93,7 +94,7 @@
 	random *rand.Rand
 	now    int64
 
-	nodes        []*fleet.Node // of MethodFleet; nil: the router has failed
+	nodes        []*fleet.Node // nodes of MethodFleet; nil: the router has failed, or another method is used
 	incarnations []uint32
 	alive        []bool
 	partition    []int
@@ -214,7 +215,7 @@
 	shiftedAt := int64(0)
 	usage := fleetUsage{world: w, healAt: healAt, recoveringSince: never}
 	if w.PartitionDurationSeconds > 0 {
-		w.result.RecoverySeconds = w.DurationSeconds // until the recovery is detected
+		w.result.RecoverySeconds = w.DurationSeconds // stays so unless a recovery is detected
 	}
 	for w.now = 0; w.now < fromSeconds(w.DurationSeconds); w.now += trialTick {
 		if phase == beforePartition && w.now >= partitionAt {
@@ -271,7 +272,7 @@
 	ticks           float64
 	partitionTicks  float64
 	healAt          int64
-	recoveringSince int64 // start of the current period with a high enough utilization; never: it is too low
+	recoveringSince int64 // start of the current period with at least recoveredUtilization; never: not in such a period
 }
 
 // count adds the quotas and the usage of one tick to the result.
--- a/emulator/fleetlimits_methods.go
+++ b/emulator/fleetlimits_methods.go
@@ -15,7 +15,7 @@
 const (
 	gossipInterval = 200 * millisecond
 	gossipFanout   = 3          // datagrams that a router sends in each interval
-	gossipLifetime = 2 * second // after which a received demand is ignored
+	gossipLifetime = 2 * second // age from which on a known demand is ignored
 	gossipBytes    = 40         // size of a datagram
 
 	leaseInterval = 500 * millisecond
@@ -68,7 +68,7 @@
 	}
 }
 
-// send sends a datagram, unless it is lost or the receiver is in another partition.
+// send sends a datagram, unless it is lost or the receiver is in another part of the partitioned network.
 func (w *fleetLimitWorld) send(from, to int, payload []byte) {
 	w.bytesSent += float64(len(payload))
 	if w.random.Float64() < w.LossRatio || w.partition[from] != w.partition[to] {
@@ -89,7 +89,7 @@
 	for len(w.inFlight) > 0 && w.inFlight[0].deliverAt <= w.now {
 		d := heap.Pop(&w.inFlight).(fleetDatagram)
 		if node := w.nodes[d.receiver]; node != nil {
-			// An error is expected for a datagram that arrives too late, after later ones of the sender.
+			// An error is expected if later datagrams of the sender have arrived before this one.
 			_ = node.Receive(w.nodeTime(d.deliverAt), d.sender, d.payload)
 		}
 	}
@@ -105,9 +105,9 @@
 	}
 }
 
-// gossipQuotas sets quotas by distributed rate limiting: each router sends its own demand and the demands that it knows
-// to some others, and uses its share of the total demand that it knows (B. Raghavan and others, "Cloud control with
-// distributed rate limiting", 2007).
+// gossipQuotas sets quotas by distributed rate limiting (B. Raghavan and others, "Cloud control with distributed rate
+// limiting", 2007). Each router sends its own demand, and the demands that it knows of others, to some other routers.
+// The router's quota is the limit times its own demand divided by the total demand that it knows.
 func (w *fleetLimitWorld) gossipQuotas() {
 	for i := range w.quotas {
 		if !w.alive[i] {
@@ -150,8 +150,8 @@
 	return sum
 }
 
-// leaseQuotas sets quotas every leaseInterval, as if a lease holder in each partition granted the whole limit there, by
-// demand and without network delay. Real leases that need no majority can do no better.
+// leaseQuotas sets quotas every leaseInterval, as if each part of a partitioned network had a lease holder that grants
+// the whole limit there, by demand and without network delay. Real leases that need no majority can do no better.
 func (w *fleetLimitWorld) leaseQuotas() {
 	if w.now%leaseInterval != 0 {
 		return
--- a/emulator/gossip.go
+++ b/emulator/gossip.go
@@ -9,12 +9,13 @@
 	"spantack/routing"
 )
 
-// Gossip makes routers report overloaded parents to each other (core/gossip), in datagrams that are delayed or lost.
+// Gossip makes routers report overloaded parents to each other (core/gossip). Each datagram is delayed and may be lost.
 type Gossip struct {
-	LossRatio float64 `json:"loss"` // of datagrams, 0 to 1
+	LossRatio float64 `json:"loss"` // fraction of datagrams that are lost, 0 to 1
 }
 
-// HotObject is a new object that a fraction of the video sessions requests for some time. Initially no cache has it.
+// HotObject is a new video object. For some time, a fraction of the video sessions that start request it. At the
+// start of this time, no cache has a copy.
 type HotObject struct {
 	StartSeconds    float64 `json:"atS"`
 	DurationSeconds float64 `json:"forS"`
@@ -35,7 +36,7 @@
 
 // gossipState is the gossip state of a world.
 type gossipState struct {
-	nodes         []*gossip.Node // by router, replaced at each start; nil: not started yet
+	nodes         []*gossip.Node // indexed by router, replaced when it starts; nil: not started yet
 	random        *rand.Rand
 	datagrams     []datagram
 	freeDatagrams []int32
@@ -159,7 +160,7 @@
 	return from, payload
 }
 
-// drawHotObject returns whether a video session that starts now requests the hot object.
+// drawHotObject decides at random whether a video session that starts now requests the hot object.
 func (w *World) drawHotObject(rng *rand.Rand) bool {
 	hot := w.config.HotObject
 	if hot == nil {
--- a/emulator/gossip_test.go
+++ b/emulator/gossip_test.go
@@ -3,7 +3,8 @@
 import "testing"
 
 // Guards against gossip that is not sent, that is sent when it is not configured, or that makes runs nondeterministic.
-// A new popular object overloads its parent, one router restarts meanwhile, and in some runs most datagrams are lost.
+// A new popular object overloads its parent, and one router restarts meanwhile. In some runs 60% of the datagrams are
+// lost.
 func TestGossipIsSentOnlyIfConfiguredAndDeterministic(t *testing.T) {
 	run := func(gossip *Gossip) Result {
 		cfg := smallConfig(3)
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -1,11 +1,11 @@
 package emulator
 
 // link shares its capacity evenly among its transfers, with at most maxRate for each. All active transfers have the
-// same rate, so one number gives the progress of all of them: progressKB, the KB that a transfer would have received if
-// it had been active since the link was last idle.
+// same rate, so progressKB gives the progress of all of them. It is the amount in KB that a transfer would have
+// received if it had been active since the link was last idle.
 type link struct {
 	capacity   float64 // KB per microsecond
-	maxRate    float64 // of one transfer, KB per microsecond
+	maxRate    float64 // maximum rate of one transfer, KB per microsecond
 	knee       float64 // number of active transfers above which the capacity falls; 0: never
 	progressKB float64
 	updatedAt  int64
@@ -22,8 +22,8 @@
 	segment    segment
 }
 
-// overKneeSlowdown sets how much the capacity falls above the knee: at twice the knee it is divided by
-// 1+overKneeSlowdown.
+// overKneeSlowdown sets how much the capacity falls above the knee. If twice as many transfers as the knee are active,
+// the capacity is divided by 1+overKneeSlowdown.
 const overKneeSlowdown = 0.5
 
 // rate returns the rate of each active transfer in KB per microsecond.
@@ -90,7 +90,8 @@
 	return first
 }
 
-// nextEnd returns when the first transfer ends if no transfer is added or removed before, or 0 if there is none.
+// nextEnd returns the time at which the next transfer ends if no transfer is added or removed until then. It returns 0
+// if there is no transfer.
 func (l *link) nextEnd() int64 {
 	if l.active == 0 || len(l.transfers) == 0 {
 		return 0
--- a/emulator/migration.go
+++ b/emulator/migration.go
@@ -11,18 +11,19 @@
 // MigrationStyle is the way in which the tenants of a MigrationSpec change their cells.
 type MigrationStyle string
 
-// The styles of migrations. CapacityLimiter and Pacer are those of core/migration.
+// The styles of migrations. CapacityLimiter and Pacer are types of core/migration.
 const (
 	MigrateNone     MigrationStyle = "none"     // no tenant migrates
 	MigratePaced    MigrationStyle = "paced"    // all concurrently, each limited by CapacityLimiter and Pacer
 	MigrateRamp     MigrationStyle = "ramp"     // all concurrently, at a fixed rate without these limits
 	MigratePlanned  MigrationStyle = "planned"  // as planned by core/migration/schedule
-	MigrateOneByOne MigrationStyle = "oneByOne" // each starts when the one before has ended
+	MigrateOneByOne MigrationStyle = "oneByOne" // each starts at the earliest end of the previous shift
 	MigrateAtOnce   MigrationStyle = "atOnce"   // the cell assignment changes at once, without migrations
 )
 
-// MigrationSpec describes the migrations of an experiment: either TenantCount tenants, chosen at random by the seed,
-// each to another cell, or all tenants of DrainCell to the TargetCells cells that follow it in Config.Cells.
+// MigrationSpec describes the migrations of an experiment. If DrainCell is set, all its tenants migrate to the
+// TargetCells cells that follow it in Config.Cells. Otherwise TenantCount tenants migrate, each to another cell; the
+// tenants and cells are chosen at random by the seed.
 type MigrationSpec struct {
 	Style          MigrationStyle `json:"style"`
 	TenantCount    int            `json:"count,omitempty"`
@@ -47,8 +48,8 @@
 	rollbackLeadMillis  = 3000 // time from the document of a rollback to its start
 )
 
-// PlanMigrations adds the specified migrations to Changes. It sets MigratedTenants also for MigrateNone. It returns an
-// error if the style is unknown or the migrations cannot be planned.
+// PlanMigrations adds the specified migrations to Changes and sets MigratedTenants. For MigrateNone it only sets
+// MigratedTenants. It returns an error if the style is unknown or the migrations cannot be planned.
 func (c *Config) PlanMigrations(spec *MigrationSpec) error {
 	tenants, requests := c.migrationRequests(spec)
 	c.MigratedTenants = tenants
@@ -182,8 +183,8 @@
 	return targets
 }
 
-// drawnTenantCount is the number of tenants, those with the highest load, from which migrating tenants are chosen.
-// Tenants with little load have no measurable effect.
+// drawnTenantCount is the number of tenants among which migrating tenants are chosen. These are the tenants with the
+// highest load. Tenants with little load have no measurable effect.
 const drawnTenantCount = 400
 
 // migrationDrawFactor separates the random choices of different seeds.
@@ -228,8 +229,8 @@
 	return request
 }
 
-// expectedFillFraction is the fill rate that the planner expects, as a fraction of the fill rate that capacities are
-// sized for.
+// expectedFillFraction is the fill rate that the planner expects, as a fraction of fillKBPerSecond, from which the
+// capacities of links and servers are derived.
 const expectedFillFraction = 0.8
 
 // scheduleConstraints returns the constraints for the planner: the spare capacities of the world's cells under normal
--- a/emulator/migration_test.go
+++ b/emulator/migration_test.go
@@ -12,8 +12,8 @@
 // migratingTenants is the number of tenants that migrate in a migrationConfig.
 const migratingTenants = 12
 
-// migrationConfig returns a small world in which tenants migrate from second 6 on, with a clock skew of up to a second
-// between routers and documents.
+// migrationConfig returns the configuration of a small world in which tenants migrate from second 6 on. The clocks by
+// which routers read documents are off by up to a second.
 func migrationConfig(t testing.TB, seed uint64, spec MigrationSpec, faults ...Fault) Config {
 	t.Helper()
 	cfg := smallConfig(seed)
@@ -40,9 +40,9 @@
 	return cfg
 }
 
-// runMigrations runs a world and checks the result and the final state: no violation, no unfinished operation, no
-// unanswered request, no warming server above its bound, and each tenant in one cell, the same at all routers. This is
-// the new cell, or the old one if the migrations were rolled back.
+// runMigrations runs a world and checks the result and the final state. There must be no violation, no unfinished
+// operation, no unanswered request and no warming server above its bound. At all routers, each migrating tenant must be
+// in its new cell, or in its old cell if the migrations were rolled back.
 func runMigrations(t *testing.T, cfg Config, isRolledBack bool) Result {
 	t.Helper()
 	w := newWorld(t, cfg)
@@ -140,8 +140,8 @@
 	}
 }
 
-// Guards against a migration that makes a flood worse for others. A tenant floods while it migrates; tenants that do
-// not migrate must lose no more than by the same flood without a migration.
+// Guards against a migration that makes a flood worse for others. A tenant floods while it migrates. The timely ratio
+// of the tenants that do not migrate must be at least 98% of the ratio with the same flood and no migration.
 func TestMigrationDoesNotWorsenFlood(t *testing.T) {
 	timelyRatio := func(style MigrationStyle) float64 {
 		cfg := migrationConfig(t, 4, MigrationSpec{Style: style})
@@ -162,8 +162,9 @@
 	}
 }
 
-// Guards against tenants that end in two cells when routers temporarily have different documents. Two versions follow
-// within half a second while a reload takes up to 2 s: one rolls the migrations back, the next one continues them.
+// Guards against tenants that end up in two cells when routers temporarily have different documents. Two newer versions
+// of the document arrive half a second apart, while a reload takes up to 2 s. Version 2 rolls the migrations back.
+// Version 3 continues them.
 func TestConcurrentMigrationDocumentsConverge(t *testing.T) {
 	cfg := migrationConfig(t, 5, MigrationSpec{})
 	first := cfg.Changes[0].Migrations
--- a/emulator/model.go
+++ b/emulator/model.go
@@ -29,9 +29,10 @@
 // chunkInterval is the time between two requests of a video session.
 const chunkInterval = 590 * millisecond
 
-// Warm-up of servers: the capacity rises linearly from the initial fraction to the full capacity. A warming server
-// crashes if the responses requested from it within overloadWindow exceed its overload multiple times what it can send
-// in that time at its current capacity. It restarts after overloadRestartDelay.
+// Warm-up of servers. The capacity rises linearly from the initial fraction to the full capacity. A warming server has
+// a bound for the responses that are requested from it within overloadWindow: what it can send in that time at its
+// current capacity, times its overload multiple. It crashes if the bound is exceeded, and restarts after
+// overloadRestartDelay.
 const (
 	cacheInitialCapacity   = 0.32
 	cacheWarmUpTime        = 11 * second
@@ -43,21 +44,21 @@
 	overloadRestartDelay   = 3 * second
 )
 
-// Delays until notices take effect.
+// Delays until notices and changes take effect. Names with max are upper bounds of random delays.
 const (
-	drainGracePeriod       = 500 * millisecond  // a router may still send to a server this long after the drain notice
-	frontendDetectionDelay = 2 * second         // the frontend sends clients to a crashed router for this long
-	maxEndpointUpdateDelay = 1200 * millisecond // until a router receives an update of the endpoint list
-	maxReloadDelay         = 2 * second         // until a router has applied a changed document
+	drainGracePeriod       = 500 * millisecond  // after a drain notice, routers may still send to the server
+	frontendDetectionDelay = 2 * second         // after a crash, the frontend still sends clients to the router
+	maxEndpointUpdateDelay = 1200 * millisecond // after an update of the endpoint list, until a router has it
+	maxReloadDelay         = 2 * second         // after a change of a document, until a router has applied it
 )
 
-// Times that routers and servers take to receive and apply a purge. An attempt that is sent more than purgeCheckDelay
-// after the notice must not be answered from a purged copy. This is longer than the grace period in the routers'
-// settings (PurgeGracePeriod).
+// Times that routers and servers take to receive and apply a purge. An attempt that a router sends more than
+// purgeCheckDelay after the notice must not return a purged copy. purgeCheckDelay is longer than the grace period in
+// the routers' settings (PurgeGracePeriod).
 const (
 	maxPurgeNoticeDelay  = 400 * millisecond
 	purgeCheckDelay      = 500 * millisecond
-	purgePropagationTime = 6 * second // until every server has dropped its copies
+	purgePropagationTime = 6 * second // time from the purge until every server has dropped its copies
 )
 
 // loadReportInterval is the interval between samples for the load reports of caches.
@@ -74,15 +75,15 @@
 // classModel contains the model parameters of a request class. Sizes are log-normally distributed with mean meanKB.
 type classModel struct {
 	name                string
-	share               float64 // of requests
+	share               float64 // fraction of all requests
 	meanKB              float64
-	sigma               float64 // of the log-normal distribution of sizes
-	minChunks           int     // of an object
-	maxChunks           int
+	sigma               float64 // sigma of the log-normal distribution of sizes
+	minChunks           int     // minimum number of chunks of an object
+	maxChunks           int     // maximum number of chunks of an object
 	latencyObjectiveMs  float64
-	deadlineMs          float64 // after which the client times out
-	objectiveSizeFactor float64 // the time to send at full rate, times this, is added to the objective
-	weight              float64 // of a response within its latency objective
+	deadlineMs          float64 // time after which the client times out
+	objectiveSizeFactor float64 // the sending time at full rate, times this factor, is added to the objective
+	weight              float64 // weight of a response within its latency objective
 	lateWeightFactor    float64 // fraction of weight that a late response still has
 }
 
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// removeTransfer removes one transfer from a link before its end. Its heap entry is discarded later, when isWanted
-// returns false for it.
+// removeTransfer removes a transfer from a link before the transfer has ended. Its heap entry stays until it is at the
+// top of the heap, where isWanted returns false for the entry and it is discarded.
 func (w *World) removeTransfer(linkID int32) {
 	l := &w.links[linkID]
 	l.advance(w.now)
@@ -85,8 +85,8 @@
 	return attempt.generation == t.generation && attempt.links[t.segment] >= 0
 }
 
-// endTolerance is the number of KB before its end at which a transfer counts as ended. It absorbs the rounding errors
-// of many additions.
+// endTolerance is the amount in KB that an ended transfer may still lack. It absorbs the rounding errors of many
+// additions.
 const endTolerance = 1e-9
 
 // advanceLink updates a link's progress and ends the transfers that are complete.
@@ -135,8 +135,8 @@
 	w.completeIfDelivered(t.owner)
 }
 
-// completeIfDelivered ends an attempt as served, or as an error for a harmful object, if all its transfers have ended
-// and it waits for no fetch.
+// completeIfDelivered ends an attempt if all its transfers have ended and it waits for no fetch. The outcome is an
+// error for a harmful new version of an object of the release, otherwise the attempt is served.
 func (w *World) completeIfDelivered(id int32) {
 	attempt := &w.attempts[id]
 	if attempt.activeTransfers > 0 || attempt.fetch >= 0 {
--- a/emulator/new.go
+++ b/emulator/new.go
@@ -11,7 +11,8 @@
 	"spantack/core/hierarchy"
 )
 
-// Random number streams, one for each purpose, so that a change in the use of one does not affect the others.
+// Random number streams. Each purpose has its own, because otherwise a change in the use of one would affect the
+// others.
 const (
 	floodStream   = 0xf100d
 	miscStream    = 0x3153
@@ -116,7 +117,7 @@
 	sum = 0
 	for i := range classModels {
 		class := &classModels[i]
-		sum += class.share / class.meanChunks() // a session requests several chunks, so sessions arrive less often
+		sum += class.share / class.meanChunks() // share is by requests; a session sends one for each of its chunks
 		w.classCumulativeWeight[i] = sum
 	}
 }
@@ -139,8 +140,8 @@
 	})
 }
 
-// parentRetentionSeconds sets the size of parent caches: it is the time in which a parent that sends at full rate sends
-// everything that it can store.
+// parentRetentionSeconds is the size of a parent's store, as the time in which the parent sends that amount at full
+// rate.
 const parentRetentionSeconds = 27
 
 func (w *World) addParents() {
--- a/emulator/originlimit.go
+++ b/emulator/originlimit.go
@@ -7,21 +7,21 @@
 )
 
 // OriginLimitTrial is a trial of limits on the fills that reach the origin. It models clients, routers, and an origin
-// that slows down when more than Knee fills are in flight. The trial does not use World, so that it compares the
-// control algorithms without other influences.
+// that slows down when more than Knee fills are in flight. The trial does not use World. This keeps other influences
+// out of the comparison of the control algorithms.
 type OriginLimitTrial struct {
 	Routers         int     `json:"routers"`
 	FillsPerSecond  float64 `json:"rateS"` // operations that all clients together start per second
-	OriginPerSecond float64 `json:"capS"`  // fills that the origin can answer per second
+	OriginPerSecond float64 `json:"capS"`  // fills that the origin can complete per second
 	Knee            float64 `json:"knee"`
-	// SlowdownFactor sets how much the origin slows down above the knee: with twice Knee fills in flight its throughput
-	// is divided by 1+SlowdownFactor.
+	// SlowdownFactor sets how much the origin slows down above the knee. With twice Knee fills in flight, the origin's
+	// throughput is divided by 1+SlowdownFactor.
 	SlowdownFactor       float64 `json:"slows"`
 	ClientTimeoutSeconds float64 `json:"allowS"`
-	MaxAttempts          int     `json:"tries"`   // of a client for one operation, including the first
+	MaxAttempts          int     `json:"tries"`   // maximum attempts of a client for one operation, including the first
 	ReportFraction       float64 `json:"reports"` // fraction of operations that are reports, which use Reserve
-	DurationSeconds      float64 `json:"dayS"`    // warm-up included
-	WarmUpSeconds        float64 `json:"warmS"`   // not counted
+	DurationSeconds      float64 `json:"dayS"`    // duration of the trial, warm-up included
+	WarmUpSeconds        float64 `json:"warmS"`   // duration of the warm-up, which is not counted
 
 	Algorithm string  `json:"law"` // one of core/originlimit, or "none"
 	Reserve   float64 `json:"reserve"`
@@ -64,29 +64,29 @@
 // operations that started in the period.
 type OriginLimitResult struct {
 	Operations    int64
-	Served        int64 // operations with an attempt that was answered in time
+	Served        int64 // operations with an attempt that got its response in time
 	Sent          int64 // fills sent to the origin
 	Rejected      int64 // attempts rejected by a limit
 	Reports       int64 // operations that are reports
 	ReportsServed int64
 
 	MaxInFlight     float64 // maximum number of fills in flight, as a multiple of Knee
-	OverloadSeconds float64 // time with more than overloadFactor times the knee in flight
+	OverloadSeconds float64 // time with more than overloadFactor times Knee fills in flight
 	// SettleSeconds is the time from the start of the brownout to the end of the last overload within it.
 	SettleSeconds float64
-	// RecoverySeconds is the time from the end of the brownout to the start of the first resultWindowSeconds in which
-	// the served ratio is at least recoveredFactor times ServedBefore. If there is none, it is the time to the end of
-	// the last second whose operations all have an outcome.
+	// RecoverySeconds is the time from the end of the brownout to the start of the first period of resultWindowSeconds
+	// in which the served ratio is at least recoveredFactor times ServedBefore. If there is no such period, it is the
+	// time to the end of the last second in which the first attempt of each operation has an outcome.
 	RecoverySeconds float64
-	ServedBefore    float64 // ratio, before the brownout
-	ServedDuring    float64 // ratio, in the brownout without its first five seconds
-	ServedAtEnd     float64 // ratio, in the last five seconds whose operations all have an outcome
+	ServedBefore    float64 // served ratio before the brownout
+	ServedDuring    float64 // served ratio in the brownout without its first five seconds
+	ServedAtEnd     float64 // served ratio in the five seconds up to the same last second as in RecoverySeconds
 }
 
 // Thresholds from which the result is computed.
 const (
-	overloadFactor      = 1.1  // relative to the knee
-	recoveredFactor     = 0.99 // relative to the ratio served before
+	overloadFactor      = 1.1  // relative to Knee
+	recoveredFactor     = 0.99 // relative to ServedBefore
 	resultWindowSeconds = 5
 )
 
@@ -164,7 +164,8 @@
 		}
 	}
 	lastOverload := w.summarizeInFlight(warmUp)
-	last := int(w.DurationSeconds) - int(w.ClientTimeoutSeconds) - 1 // later operations may have no outcome yet
+	// The first attempt of an operation that starts after last may have no outcome.
+	last := int(w.DurationSeconds) - int(w.ClientTimeoutSeconds) - 1
 	r.ServedAtEnd = w.servedRatio(last-resultWindowSeconds, last)
 	if w.BrownoutDurationSeconds <= 0 {
 		return
@@ -202,8 +203,8 @@
 	return lastOverload
 }
 
-// servedRatio returns the fraction served of the operations that started from second first up to, not including, second
-// end.
+// servedRatio returns the served fraction of the operations that started from second first up to, but not including,
+// second end. It is 0 if there are none.
 func (w *originLimitWorld) servedRatio(first, end int) float64 {
 	served, all := int64(0), int64(0)
 	for i := max(first, 0); i < min(end, len(w.servedBySecond)); i++ {
--- a/emulator/originlimit_test.go
+++ b/emulator/originlimit_test.go
@@ -25,9 +25,9 @@
 }
 
 // Guards against an origin that stays overloaded after it lost 70% of its capacity for 20 s. Without a limit, retries
-// of clients prevent its recovery. With each control algorithm it recovers within three seconds, and at most 3.1 times
-// the knee are in flight, with a Burst of 3. The fixed limit, which ignores response times, must not serve more before
-// the brownout than the gradient.
+// of clients prevent its recovery. With each control algorithm it recovers within three seconds. The fills in flight
+// are at most 3.1 times the knee, with a Burst of 3. Before the brownout, the fixed limit, which ignores response
+// times, must not serve more than the gradient.
 func TestOriginLimitRecoversFromBrownout(t *testing.T) {
 	results := map[string]*OriginLimitResult{}
 	for _, algorithm := range []string{"none", "fixed", "aimd", "gradient", "delay"} {
@@ -63,8 +63,8 @@
 }
 
 // Guards against limits that do not grow when other routers fail. Half of the routers fail while the origin works
-// normally; the others must take over their share. Also checks that the same seed gives the same result and that
-// invalid settings are rejected.
+// normally. The other routers must take over the share of the failed ones. Also checks that the same seed gives the
+// same result and that invalid settings are rejected.
 func TestOriginLimitGrowsAfterRouterFailures(t *testing.T) {
 	trial := limitTrial("gradient")
 	trial.BrownoutDurationSeconds = 0
--- a/emulator/originlimit_world.go
+++ b/emulator/originlimit_world.go
@@ -14,7 +14,7 @@
 
 // trialFill is a fill in flight. The origin shares its throughput evenly among the fills in flight.
 type trialFill struct {
-	endWork   float64 // value of workDone at which it ends
+	endWork   float64 // value of workDone at which the fill ends
 	id        int64   // starts at 1
 	router    int
 	sentAt    int64
@@ -42,11 +42,11 @@
 	failureAt int64
 
 	operations []trialOperation
-	arrivalAt  int64 // of the next operation
+	arrivalAt  int64 // arrival time of the next operation
 	fills      fillHeap
 	fillsByID  map[int64]*trialFill
 	lastFillID int64
-	workDone   float64 // work that a fill in flight since the start of the trial would have received; a fill needs 1
+	workDone   float64 // work that a fill would have received if in flight since the start of the trial; a fill needs 1
 
 	result             OriginLimitResult
 	servedBySecond     []int64 // served operations, by the second in which they started
@@ -63,7 +63,7 @@
 const (
 	stepArrival  trialStep = iota // an operation starts
 	stepEvent                     // a retry or a timeout
-	stepFillEnd                   // the origin has answered a fill
+	stepFillEnd                   // the origin has completed a fill
 	stepCapacity                  // the origin's capacity changes
 	stepFailure                   // routers fail
 )
@@ -126,7 +126,8 @@
 	return never
 }
 
-// nextFillEnd returns when the first fill in flight ends if no other step comes before, or never if there is none.
+// nextFillEnd returns the time at which the next fill will end if no other event happens first, or never if no fill is
+// in flight.
 func (w *originLimitWorld) nextFillEnd() int64 {
 	if len(w.fills) == 0 {
 		return never
@@ -249,8 +250,8 @@
 	}
 }
 
-// endFill ends a fill that was removed from the heap because it was answered or dropped. The client of a dropped fill
-// may retry, and the work that the origin has done for it is lost.
+// endFill ends a fill that the caller has removed from the heap. If isDropped is false, the origin has completed the
+// fill. If it is true, the client may retry, and the work that the origin has done for the fill is lost.
 func (w *originLimitWorld) endFill(fill *trialFill, isDropped bool) {
 	delete(w.fillsByID, fill.id)
 	if limit := w.limits[fill.router]; limit != nil && !w.failed[fill.router] {
--- a/emulator/prefill.go
+++ b/emulator/prefill.go
@@ -6,12 +6,12 @@
 	"strconv"
 )
 
-// prefill fills each store as a long preceding run would have: with the most requested chunks, each at the server that
-// hashing selects for it, until the stores are full. Without it, the warm-up would have to last until the stores are
-// full before anything could be measured.
+// prefill brings the stores to the state that they would have after a long run. It stores the most requested chunks,
+// each at the server that hashing selects for the chunk, until the stores are full. Without prefill, the warm-up would
+// have to last until the stores are full.
 func (w *World) prefill() {
 	p := prefiller{world: w, cachesBySite: make([][]int32, w.config.Sites)}
-	siteCapacityKB := 0.0 // of the edge caches of a site; the same for all sites
+	siteCapacityKB := 0.0 // capacity of the edge caches of a site; the same for all sites
 	for _, id := range w.cachesBySite[0] {
 		siteCapacityKB += w.servers[id].store.capacityKB
 	}
@@ -29,7 +29,7 @@
 		}
 		p.addObject(object)
 	}
-	for _, c := range slices.Backward(p.chunks) { // so that the most popular chunks are the most recently used
+	for _, c := range slices.Backward(p.chunks) { // as a result, the most popular chunks are the most recently used
 		w.servers[c.server].store.put(c.key, c.sizeKB, c.producedAt)
 	}
 }
@@ -37,7 +37,7 @@
 // repeatedObject is an object that clients can request more than once, unlike a oneTimeObject.
 type repeatedObject struct {
 	tenant, class, rank int32
-	rate                float64 // fraction of all requests that goes to each of its chunks
+	rate                float64 // requests for each of its chunks, as a fraction of all requests
 }
 
 // repeatedObjects returns all objects except those that are requested only once, in descending order of request rate.
@@ -63,12 +63,12 @@
 	return all
 }
 
-// prefiller places chunks until the stores are full. Parents store the chunks for which the sites have no capacity
-// left, as parents receive requests only for chunks that edge caches miss.
+// prefiller places chunks until the stores are full. Parents store only the chunks for which the sites have no
+// capacity left, because parents receive requests only for chunks that edge caches miss.
 type prefiller struct {
 	world              *World
-	siteRemainingKB    []float64 // by site
-	parentsRemainingKB float64
+	siteRemainingKB    []float64 // remaining capacity of the edge caches, by site
+	parentsRemainingKB float64   // remaining capacity of all parents together
 	parents            []int32
 	cachesBySite       [][]int32 // edge caches that the tenant of the current object may use
 	chunks             []prefilledChunk
@@ -89,10 +89,10 @@
 	object := objectName(tenant, key)
 	p.findCaches(tenant)
 	producedAt := int64(0)
-	if class == classCatalogue { // at most 80% of the freshness lifetime ago
+	if class == classCatalogue { // the copy is produced at most 80% of the freshness lifetime before the start
 		producedAt = -int64(hashMix(key) % uint64(w.config.freshnessLifetime()*8/10))
 	}
-	var parents []int32 // the same for all chunks
+	var parents []int32 // the parents of the object, the same for all its chunks
 	for chunk := range int32(classModels[class].maxChunks) {
 		placed := prefilledChunk{
 			key:        chunkKey(key, chunk),
@@ -123,7 +123,8 @@
 	p.chunks = append(p.chunks, chunk)
 }
 
-// findCaches sets cachesBySite to the edge caches that a tenant may use: those of its cells, or all if there are none.
+// findCaches sets cachesBySite to the edge caches that a tenant may use. These are the caches to which the tenant's
+// requests go under the cell assignment, or all caches of the site if there is no assignment.
 func (p *prefiller) findCaches(tenant int) {
 	w := p.world
 	for site := range p.cachesBySite {
@@ -173,8 +174,8 @@
 	return hash * fnvPrime
 }
 
-// rendezvousFirst returns the server that rendezvous hashing with equal weights ranks first, with the same hash as
-// package routing. ids must not be empty.
+// rendezvousFirst returns the server that rendezvous hashing ranks first if all weights are equal. It uses the same
+// hash as package routing. ids must not be empty.
 func (w *World) rendezvousFirst(ids []int32, prefix uint64) int32 {
 	best, highest := ids[0], uint64(0)
 	for _, id := range ids {
--- a/emulator/purge.go
+++ b/emulator/purge.go
@@ -16,7 +16,8 @@
 // includes reports whether a group is purged.
 func (p *purge) includes(group int64) bool { return hashFraction(uint64(group)^p.salt) < p.fraction }
 
-// purgeDeadline is the time from which a router may no longer answer from copies that a purge made invalid.
+// purgeDeadline is the time from which a router may no longer send attempts that are served from copies that a purge
+// made invalid.
 type purgeDeadline struct {
 	purge int32
 	from  int64
@@ -30,8 +31,8 @@
 	return int64(operation.tenant % releasePurgeGroup)
 }
 
-// startPurge purges a fraction of all groups. Each running router receives the notice within maxPurgeNoticeDelay, and
-// each server drops its copies within purgePropagationTime.
+// startPurge purges the fault's fraction of all groups. Each running router receives the notice within
+// maxPurgeNoticeDelay, and each server drops its copies within purgePropagationTime.
 func (w *World) startPurge(fault Fault) {
 	w.purges = append(w.purges, purge{startedAt: w.now, fraction: fault.Fraction, salt: w.config.Seed ^ uint64(w.now)})
 	for r := range w.routers {
@@ -70,8 +71,8 @@
 	}
 }
 
-// purgedBefore returns the production time before which a server no longer has copies of a group, because of the purges
-// that it has applied so far.
+// purgedBefore returns the time of the latest purge of a group that a server has applied so far. The server has no
+// copies of the group that were produced earlier. If it has applied no purge of the group, the result is math.MinInt64.
 func (w *World) purgedBefore(server int32, group int64) int64 {
 	latest := int64(math.MinInt64)
 	for i := range w.purges {
@@ -84,8 +85,8 @@
 	return latest
 }
 
-// checkPurges counts a violation if a response came from a purged copy although the deadline of the router for that
-// purge had passed when it sent the attempt.
+// checkPurges counts a violation if a response came from a purged copy and the router sent the attempt after its
+// deadline for that purge.
 func (w *World) checkPurges(attempt *serverAttempt) {
 	request := &w.requests[attempt.request]
 	group := purgeGroup(&w.operations[request.operation])
--- a/emulator/queue.go
+++ b/emulator/queue.go
@@ -17,7 +17,7 @@
 	eventAttemptTimeout                  // target, generation: attempt
 	eventLinkDue                         // a transfer may have ended; target: link
 	eventFetchAtOrigin                   // target, generation: fetch
-	eventAnswer                          // the answer reaches the client; target, generation: request
+	eventAnswer                          // the response reaches the client; target, generation: request
 	eventClientTimeout                   // target, generation: request
 	eventClientRetry                     // target: operation
 	eventEndpointUpdate                  // target, generation: router; value: length of the list of changes
--- a/emulator/queue_test.go
+++ b/emulator/queue_test.go
@@ -12,7 +12,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var q eventQueue
 		last := event{time: -1}
-		for _, delay := range rapid.SliceOf(rapid.Int64Range(-1, 50)).Draw(t, "steps") { // -1: pop, else: push
+		for _, delay := range rapid.SliceOf(rapid.Int64Range(-1, 50)).Draw(t, "steps") { // -1: pop; otherwise push
 			if delay >= 0 {
 				q.push(event{time: delay + max(last.time, 0)})
 			} else if len(q.heap) > 0 {
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -18,17 +18,18 @@
 	Events         int64            `json:"events"`
 	Attempts       int64            `json:"attempts"`
 	Requests       int64            `json:"requests"` // more than one for an operation that the client retries
-	Unanswered     int64            `json:"overdue"`  // requests without an answer when the client timed out
+	Unanswered     int64            `json:"overdue"`  // requests without a response when the client timed out
 	LostWithRouter int64            `json:"lost"`     // requests lost because their router crashed
-	Admission      cells.Stats      `json:"gate"`     // sum over the routers, of each since its last start
-	// Unfinished counts operations neither served nor ended as unserved, without the warm-up and the noisy tenant.
+	Admission      cells.Stats      `json:"gate"`     // sum over the routers; each router counts since its last start
+	// Unfinished counts operations that had not ended, served or unserved, at the end of the run. It does not include
+	// the warm-up and the noisy tenant.
 	Unfinished int64 `json:"unended"`
 
 	// Edge caches and the origin.
 	Hits     int64   `json:"hits"`
 	Lookups  int64   `json:"looks"`
 	FillKB   float64 `json:"fillKb"`
-	OriginKB float64 `json:"originKb"` // sent by the origin
+	OriginKB float64 `json:"originKb"` // amount sent by the origin, in KB
 	// MaxOriginLoad is the maximum load of the origin in one second, as a fraction of its capacity.
 	// OriginOverloadSeconds is the number of seconds in which the load exceeded the capacity.
 	MaxOriginLoad         float64 `json:"originMost"`
@@ -38,9 +39,9 @@
 	P50Millis [classCount]float64 `json:"p50Ms"`
 	P99Millis [classCount]float64 `json:"p99Ms"`
 
-	// MaxWarmUpLoad is the maximum load of a warming server, as a fraction of its bound. MaxWarmUpLoadPerRouter is the
-	// maximum load that one router caused, without its largest request, as a fraction of the router's share of the
-	// bound. Both include the warm-up of the run.
+	// MaxWarmUpLoad is the maximum load of a warming server, as a fraction of the server's bound.
+	// MaxWarmUpLoadPerRouter is the maximum load that one router caused at a warming server, without the router's
+	// largest request, as a fraction of the router's share of the bound. Both include the warm-up of the run.
 	MaxWarmUpLoad          float64 `json:"coldMost"`
 	MaxWarmUpLoadPerRouter float64 `json:"coldShare"`
 	// MaxCellFill is the maximum amount that a cell's caches filled within gaugeWindow, as a fraction of what the
@@ -49,36 +50,37 @@
 	// MaxCellUtilization is the highest mean utilization of a cell at a site in any gaugeWindow: the responses in
 	// progress at its caches, divided by the number that they can send concurrently. It is 0 without migrated tenants.
 	MaxCellUtilization float64 `json:"cellBusy"`
-	// MaxMigrationSpread is the largest difference between two routers of a site in a migration's share of objects.
+	// MaxMigrationSpread is the largest difference between two routers of a site in the share of objects that a
+	// migration has shifted.
 	MaxMigrationSpread float64 `json:"spread"`
 	// MigratedAtSeconds is the time of the last sample in which a router had not yet shifted all objects of the
 	// migrated tenants to their new cells.
 	MigratedAtSeconds float64 `json:"doneS"`
 
 	// Results of the release.
-	RoutersStopped   int     `json:"stopped"`  // routers that stopped it
-	StoppedAtSeconds float64 `json:"stoppedS"` // when the first router stopped it
-	RoutersPassed    int     `json:"passed"`   // routers at which it passed in all rings
-	// Responses with objects that the release replaces: ReleaseAnswers in cells that have the release; PendingAnswers
-	// in cells that do not have it yet, of which EarlyAnswers were of the new version; RolledBackAnswers after the
-	// rollback.
+	RoutersStopped   int     `json:"stopped"`  // routers that stopped the release
+	StoppedAtSeconds float64 `json:"stoppedS"` // time at which the first router stopped it, or 0 if none did
+	RoutersPassed    int     `json:"passed"`   // routers at which the release passed in all rings
+	// Responses with objects that the release replaces. ReleaseAnswers counts those in cells that have the release, and
+	// PendingAnswers those in cells that do not have it yet. EarlyAnswers counts the pending responses that had the new
+	// version. RolledBackAnswers counts the responses after the rollback.
 	ReleaseAnswers    int64 `json:"renewed"`
 	PendingAnswers    int64 `json:"held"`
 	EarlyAnswers      int64 `json:"early"`
 	RolledBackAnswers int64 `json:"restored"`
 
 	// Gossip of routers.
-	Datagrams     int64 `json:"words"`     // reports sent; one to several routers counts once
+	Datagrams     int64 `json:"words"`     // reports sent; a report to several routers counts once
 	DatagramBytes int64 `json:"wordBytes"` // bytes delivered, counted for each receiver
 
-	// LargestServedRatio is, by class, the served ratio of the largest operations (see largestFraction), divided by the
-	// served ratio of all.
-	// NextLargestServedRatio is the same for the next largest fifth.
+	// LargestServedRatio is, by class, the served ratio of the largest operations (see largestFraction) divided by the
+	// served ratio of all operations. NextLargestServedRatio is the same for the next largest (see
+	// nextLargestFraction).
 	LargestServedRatio     [classCount]float64 `json:"largest"`
 	NextLargestServedRatio [classCount]float64 `json:"next"`
 
-	// SharedCacheFraction is the fraction, by weight, of the other tenants' look-ups that went to edge caches that the
-	// noisy tenant also used.
+	// SharedCacheFraction counts the other tenants' look-ups at edge caches that the noisy tenant also used, as a
+	// fraction, by weight, of all their look-ups at edge caches.
 	SharedCacheFraction float64 `json:"touched"`
 
 	countFrom int64 // end of the warm-up
@@ -94,7 +96,7 @@
 
 	originKBPerSecond float64
 	originSecond      int64   // the current second
-	originSecondKB    float64 // requested from the origin in it
+	originSecondKB    float64 // amount requested from the origin in the current second
 }
 
 func newResult(cfg *Config) Result {
@@ -127,8 +129,8 @@
 	return r
 }
 
-// WatchTenant counts a tenant as the noisy one in a run without a flood or poison, so that the result can be compared
-// with runs in which the tenant is noisy.
+// WatchTenant counts a tenant as the noisy one in a run without a flood or poison. The result can then be compared with
+// runs in which the tenant is noisy.
 func (w *World) WatchTenant(tenant int) { w.result.watchTenant(tenant) }
 
 func (r *Result) watchTenant(tenant int) {
@@ -286,8 +288,8 @@
 	}
 }
 
-// sharedCacheFraction returns Result.SharedCacheFraction. It adds in the order of the servers, as the order of
-// additions affects the rounding and results must be deterministic.
+// sharedCacheFraction returns Result.SharedCacheFraction. The order of additions affects the rounding. It adds in the
+// order of the servers to keep results deterministic.
 func (w *World) sharedCacheFraction() float64 {
 	all, shared := 0.0, 0.0
 	for i := range w.servers {
--- a/emulator/rollout.go
+++ b/emulator/rollout.go
@@ -21,10 +21,10 @@
 	return r.RollbackSeconds == 0 || producedAt < fromSeconds(r.RollbackSeconds)
 }
 
-// checkRelease counts a response with a replaced object by the time at which its attempt was sent. A response with the
-// old version is a violation once the router has opened the cell for the release. One with the new version is a
-// violation from Rollout.RollbackAt on, by the router's clock. Responses of the new version in cells that do not have
-// the release yet are counted as early.
+// checkRelease counts a response with a replaced object by the time at which its attempt was sent. From
+// Rollout.RollbackAt on, by the router's clock, the new version is a violation. Before RollbackAt, the check depends on
+// whether the router had opened the cell for the release. If it had, the old version is a violation. If it had not, the
+// new version counts as early.
 func (w *World) checkRelease(attempt *serverAttempt) {
 	request := &w.requests[attempt.request]
 	release := w.config.Release
@@ -81,7 +81,8 @@
 	}
 }
 
-// recordRelease records when a router first opened a cell for the release, or removes the record if it is closed.
+// recordRelease records when a router opened a cell for the release, unless it has recorded that already. If the cell
+// is closed, it removes the record.
 func (r *simulatedRouter) recordRelease(cell int, isClosed bool, now int64) {
 	if isClosed {
 		delete(r.releaseOpenedAt, cell)
@@ -95,8 +96,8 @@
 	}
 }
 
-// countRolloutVerdicts counts at the end of the run the routers that stopped the release and those at which it passed
-// in all rings.
+// countRolloutVerdicts counts the routers that have stopped the release and those at which the release has passed in
+// all rings. It is called at the end of the run.
 func (w *World) countRolloutVerdicts() {
 	for i := range w.routers {
 		status := w.routers[i].module.RolloutStatus()
--- a/emulator/rollout_test.go
+++ b/emulator/rollout_test.go
@@ -9,7 +9,8 @@
 // Guards against responses of the wrong version during a release that replaces objects, while a router crashes, clocks
 // differ and caches are replaced. A cell that has the release must not respond with the old version, a cell without it
 // must mostly respond with the old version, and after the rollback no cell may respond with the new version. A router
-// that stops the release itself may respond with the new version until RollbackAt.
+// may stop the release on its own verdict, before the rollback in the document. It may then still respond with the new
+// version until RollbackAt.
 func TestReleaseVersionsDuringFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		harmful    float64
--- a/emulator/routers.go
+++ b/emulator/routers.go
@@ -15,20 +15,21 @@
 	running    bool
 	inFrontend bool   // the frontend sends clients to it
 	generation uint32 // incremented when it crashes
-	freeAt     int64  // when its only CPU core is free for the next request
+	freeAt     int64  // time at which its only CPU core is free for the next request
 	random     *rand.Rand
 
 	endpointVersion  int   // number of changes of the endpoint list that it has applied
-	endpointUpdateAt int64 // when it receives the last endpoint update in flight
+	endpointUpdateAt int64 // time at which it receives the last endpoint update in flight
 
 	buckets         map[int32]*tokenBucket // rate limits, by tenant
-	clockOffset     int64                  // offset of its clock for documents
+	clockOffset     int64                  // offset of the clock by which it reads the times in documents
 	appliedChanges  int                    // number of Config.Changes applied
-	releaseOpenedAt map[int]int64          // when it first reported the release as open, by cell
-	purgeDeadlines  []purgeDeadline        // of all purges that it was notified of
+	releaseOpenedAt map[int]int64          // time at which it opened the release, by open cell
+	purgeDeadlines  []purgeDeadline        // deadlines of all purges that it was notified of
 }
 
-// startRouter starts a router that has only the documents, the endpoint list and the recent purges.
+// startRouter starts a router without learned state. It has only the documents, the endpoint list and the recent
+// purges.
 func (w *World) startRouter(id int32) error {
 	router := &w.routers[id]
 	module, err := cells.NewAdmission(w.config.routerSettings(router.site), int64(router.random.Uint64()>>1))
@@ -101,7 +102,8 @@
 // waitedForCore is the value of an eventAtRouter for a request that has waited for the router's core.
 const waitedForCore = 1
 
-// rejectionCostFraction is the CPU time of a router for a rejected request, as a fraction of the time for any other.
+// rejectionCostFraction is the CPU time of a router for a rejected request, as a fraction of the time for a request
+// that is not rejected.
 const rejectionCostFraction = 0.25
 
 // releaseUnusedCPUTime subtracts the CPU time that a rejected request did not use from the time reserved for it.
@@ -109,8 +111,8 @@
 	router.freeAt -= int64(w.config.RouterCPUMicros * (1 - rejectionCostFraction))
 }
 
-// arriveAtRouter handles the arrival of a request, which waits until the router's core is free and is then passed to
-// the module. A request that exceeds its tenant's rate limit is rejected and never reaches the module.
+// arriveAtRouter handles the arrival of a request. The request waits until the router's core is free and is then passed
+// to the module. A request that exceeds its tenant's rate limit is rejected and never reaches the module.
 func (w *World) arriveAtRouter(e *event) {
 	request := &w.requests[e.target]
 	router := &w.routers[request.router]
@@ -148,8 +150,8 @@
 	}
 }
 
-// routerDeadline returns the time by which a router must answer a request that arrives now. A tenth of the client's
-// deadline, but at least 5 ms and at most 25 ms, is reserved for the way back.
+// routerDeadline returns the time by which a router must respond to a request that arrives now. A tenth of the client's
+// deadline, but at least 5 ms and at most 25 ms, is reserved for the way back to the client.
 func (w *World) routerDeadline(operation *clientOperation) int64 {
 	deadline := classModels[operation.class].deadlineMs
 	reserve := min(max(0.1*deadline, 5), 25)
@@ -181,7 +183,8 @@
 	minBucketTokens = 3          // minimum depth
 )
 
-// withinRateLimit takes a token from the tenant's rate limit at the router. It returns false if there is none.
+// withinRateLimit takes a token from the tenant's rate limit at the router. It returns false if no token is
+// left.
 func (w *World) withinRateLimit(router *simulatedRouter, operation *clientOperation) bool {
 	rate := w.rateLimits[operation.tenant]
 	depth := max(rate*float64(bucketDepth), minBucketTokens)
@@ -229,8 +232,9 @@
 	}
 }
 
-// answerRequest schedules the delivery of the answer to a request: the response of an attempt (routing.ActionSend), a
-// rejection or a failure. It counts a violation if the request already has an answer or still has an attempt in flight.
+// answerRequest schedules the delivery of a response to the client: the response of an attempt (routing.ActionSend), a
+// rejection or a failure. It counts a violation if the request already has a response or still has an attempt in
+// flight.
 func (w *World) answerRequest(requestID int32, action routing.Action) {
 	request := &w.requests[requestID]
 	if request.answered {
--- a/emulator/served_by_size.go
+++ b/emulator/served_by_size.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Served ratios by size show whether routers prefer to reject the large objects of a class, which they must not.
+// Served ratios by size show whether routers prefer to reject the large objects of a class. They must not do so.
 
 const (
-	largestFraction     = 0.1 // fraction of a class's operations that are its largest
-	nextLargestFraction = 0.2 // fraction that are the next largest
+	largestFraction     = 0.1 // fraction of a class's operations that count as its largest
+	nextLargestFraction = 0.2 // fraction of a class's operations that count as the next largest
 
 	// A class with fewer operations than smallClassOperations uses a larger fraction, to reduce the random variation.
 	smallClassOperations      = 400
@@ -47,8 +47,8 @@
 	return servedRatio(bySize[:nextFrom]) / all, servedRatio(bySize[nextFrom:nextTo]) / all
 }
 
-// servedRatio returns the fraction of operations that were served, or 1 for an empty list, so that an empty list does
-// not indicate a bias.
+// servedRatio returns the fraction of operations that were served. It returns 1 for an empty list, because an empty
+// list is no sign of a bias.
 func servedRatio(operations []endedOperation) float64 {
 	if len(operations) == 0 {
 		return 1
--- a/emulator/served_by_size_test.go
+++ b/emulator/served_by_size_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against wrong served ratios by size: with all operations served, with some of the largest or of the next
-// largest unserved, and with so few operations that a quarter count as the largest.
+// Guards against wrong served ratios by size. The cases are: all operations served, some of the largest or of the next
+// largest unserved, none served, and so few operations that a quarter of them count as the largest.
 func TestServedRatiosBySize(t *testing.T) {
 	for name, c := range map[string]struct {
 		operations                 int
--- a/emulator/servers.go
+++ b/emulator/servers.go
@@ -35,7 +35,7 @@
 	status    routing.EndpointStatus
 
 	streams   float64 // concurrent responses that it can send at full rate
-	maxActive int     // maximum of active
+	maxActive int     // maximum number of responses in progress
 	active    int     // responses in progress
 	fills     int     // fills of an edge cache in progress
 	link      int32   // link that it sends over
@@ -48,7 +48,7 @@
 
 	drainNoticeAt map[int32]int64 // time of the drain notice, by router
 
-	cell        int32 // according to the endpoint list of cellVersion; -1: none
+	cell        int32 // cell according to the endpoint list of cellVersion; -1: none
 	cellVersion int
 }
 
@@ -71,7 +71,7 @@
 	return id
 }
 
-// nameHashFactor spreads the numbers in server names, as the placement of objects hashes the names.
+// nameHashFactor spreads the numbers in server names over 32 bits. Routers place objects by hashes of the names.
 const nameHashFactor = 2654435761
 
 func parentName(i int) string { return fmt.Sprintf("p-%08x", uint32(i+1)*nameHashFactor) }
@@ -156,7 +156,7 @@
 	return endpoint
 }
 
-// killServer crashes a server. Its store is emptied, and the attempts at it and the fills from it fail.
+// killServer crashes a server. The attempts at the server and the fills from it fail, and its store is emptied.
 func (w *World) killServer(id int32) {
 	server := &w.servers[id]
 	server.running = false
--- a/emulator/store.go
+++ b/emulator/store.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// get returns when the copy of a chunk was produced and marks it as the most recently used. A copy that was produced
-// before minProducedAt counts as absent.
+// get returns when the copy of a chunk was produced and marks the copy as the most recently used. A copy that was
+// produced before minProducedAt counts as absent.
 func (c *lru) get(key uint64, minProducedAt int64) (producedAt int64, found bool) {
 	i, found := c.index[key]
 	if !found || c.entries[i].producedAt < minProducedAt {
@@ -63,8 +63,8 @@
 	return c.entries[i].producedAt, true
 }
 
-// put stores a chunk as the most recently used one. If a copy exists, the later production time is kept. A chunk larger
-// than the capacity is not stored.
+// put stores a chunk as the most recently used one. If a copy exists, the later of the two production times is kept. A
+// chunk larger than the capacity is not stored.
 func (c *lru) put(key uint64, sizeKB float64, producedAt int64) {
 	if sizeKB > c.capacityKB {
 		return
--- a/emulator/tally.go
+++ b/emulator/tally.go
@@ -1,14 +1,15 @@
 package emulator
 
-// Tally counts the operations of a set of tenants, cells or classes. Weights are sums of class weights.
+// Tally counts the operations of a set of tenants, cells or classes. Weights are sums of class weights. An operation is
+// served in time if its latency, measured from its first request, is within the latency objective.
 type Tally struct {
 	Operations    int64   `json:"asked"`
-	OfferedWeight float64 `json:"offered"` // of all operations
-	TimelyWeight  float64 `json:"timely"`  // of operations served within the objective, counted from the first request
-	EarnedWeight  float64 `json:"earned"`  // including the reduced weight of late responses
+	OfferedWeight float64 `json:"offered"` // weight of all operations
+	TimelyWeight  float64 `json:"timely"`  // weight of operations served in time
+	EarnedWeight  float64 `json:"earned"`  // TimelyWeight plus the reduced weight of late responses
 	Served        int64   `json:"served"`
-	Rejected      int64   `json:"refused"` // requests; each request of an operation counts
-	Failed        int64   `json:"failed"`  // requests, counted in the same way
+	Rejected      int64   `json:"refused"` // rejected requests; an operation can have several
+	Failed        int64   `json:"failed"`  // failed requests; an operation can have several
 	Unserved      int64   `json:"lost"`    // operations that were never served
 }
 
--- a/emulator/topology.go
+++ b/emulator/topology.go
@@ -8,8 +8,8 @@
 	"spantack/core/hierarchy"
 )
 
-// TopologyTrial is a trial of random topologies. For a third of them it also checks that an added loop is rejected.
-// Each topology is then changed several times, while fills pass through nodes that do not all have the latest version.
+// TopologyTrial is a trial of random topologies. For a third of the topologies it also checks that an added loop is
+// rejected. It then changes each topology several times and runs fills while some nodes still have an older version.
 type TopologyTrial struct {
 	Topologies      int `json:"shapes"`
 	MaxParentGroups int `json:"areas"`
@@ -44,12 +44,12 @@
 // FillOutcomes counts the outcomes of the fills under one guard against loops.
 type FillOutcomes struct {
 	Served   int64 // fills that reached the origin
-	Stuck    int64 // fills that found no route or exceeded maxVisits
+	Stuck    int64 // fills that found no route or reached maxVisits
 	Revisits int64 // fills that visited a node twice
 	Hops     int64
 }
 
-// Guards against loops that the trial compares.
+// Guards against loops. The trial compares these guards.
 const (
 	guardNone = "plain" // each node forwards by its own topology
 	guardPeer = "asker" // a node also knows which node it received the fill from
@@ -58,10 +58,10 @@
 
 var loopGuards = []string{guardNone, guardPeer, guardPath}
 
-// maxVisits is the number of visited nodes after which a fill in a loop ends.
+// maxVisits is the number of visits to nodes after which a fill ends as stuck.
 const maxVisits = 64
 
-// loopEvery is the number of topologies of which one gets an added loop.
+// loopEvery is the number of topologies per added loop: the first of every loopEvery topologies gets one.
 const loopEvery = 3
 
 // Run executes the trial. The same seed gives the same result.
@@ -89,7 +89,7 @@
 	if withLoop {
 		result.countLoop(addLoop(rng, topology))
 	}
-	graphs := map[string]*hierarchy.Graph{} // the version that each node has
+	graphs := map[string]*hierarchy.Graph{} // the topology version that each node has, by node name
 	for version := 1; version <= t.Changes+1; version++ {
 		if version > 1 {
 			topology = changeTopology(rng, topology, groups)
@@ -101,7 +101,7 @@
 			result.ValidRejected++
 			return
 		}
-		// A node receives this version with probability 1/2, or always if it has none yet. The others keep theirs.
+		// A node without a version receives this one. Any other node receives it with probability 1/2.
 		for _, node := range nodeNames(topology) {
 			if graphs[node] == nil || rng.IntN(2) == 0 {
 				graphs[node] = graph
@@ -109,7 +109,7 @@
 		}
 		for range t.FillsPerChange {
 			site := siteName(rng.IntN(sites))
-			draws := rng.Uint64() // the same for each guard
+			draws := rng.Uint64() // seed for the random choices of the fill, the same for each guard
 			result.Fills++
 			for _, guard := range loopGuards {
 				rng := rand.New(rand.NewPCG(draws, 1))
@@ -119,7 +119,8 @@
 	}
 }
 
-// countLoop counts whether the loop of a topology is detected and named.
+// countLoop compiles a topology that has a loop. It counts the loop as accepted if there is no error, and as
+// misreported if the error does not name a loop of the topology.
 func (r *TopologyTrialResult) countLoop(topology *hierarchy.Topology) {
 	r.WithLoop++
 	_, err := hierarchy.Compile(topology)
@@ -165,7 +166,7 @@
 }
 
 // reachesOrigin forwards the fill from a node to one of the given next nodes, and recursively towards the origin. It
-// returns false if the fill does not arrive.
+// reports whether the fill reaches the origin.
 func (f *fillRun) reachesOrigin(node string, nodes []string, path hierarchy.FillPath) bool {
 	for len(nodes) > 0 && len(path.Visited) < maxVisits {
 		i := f.rng.IntN(len(nodes))
@@ -192,7 +193,8 @@
 	return false
 }
 
-// forward returns the nodes to which a node may forward the fill that it received from another node, and the new path.
+// forward returns the nodes to which node may forward a fill that it received from the node from. It also returns the
+// path of the fill including node.
 func (f *fillRun) forward(
 	from, node string, path hierarchy.FillPath,
 ) (parents []string, next hierarchy.FillPath, err error) {
--- a/emulator/topology_config.go
+++ b/emulator/topology_config.go
@@ -6,8 +6,9 @@
 	"spantack/core/hierarchy"
 )
 
-// Styles of a world's topology document. With TopologyNearest and TopologyDirect, no capacity limits the fills: the
-// document gives the origin unboundedKBPerSecond and each site a peak fill rate of only minimalFillKBPerSecond.
+// Styles of a world's topology document. With TopologyNearest and TopologyDirect, the fills are not limited by
+// capacities, because the document gives the origin unboundedKBPerSecond and each site a peak fill rate of only
+// minimalFillKBPerSecond.
 const (
 	TopologyPlanned = "planned" // all links, with the capacities and fill rates of the world
 	TopologyNearest = "nearest" // links from each site to all hubs: sites fill from the nearest available hub
@@ -25,8 +26,8 @@
 
 func hubName(hub int) string { return fmt.Sprintf("hub-%d", hub) }
 
-// BuildTopology returns the topology document of a world with hubs as operators would write it, in one of the styles
-// above. It returns an error if the world has no hubs.
+// BuildTopology returns the topology document of a world in one of the styles above, as operators would write it. It
+// returns an error if the world has no hubs.
 func (c *Config) BuildTopology(style string) (*hierarchy.Topology, error) {
 	if c.Hubs < 1 {
 		return nil, fmt.Errorf("shape: hubs: %d is less than 1", c.Hubs)
--- a/emulator/topology_random.go
+++ b/emulator/topology_random.go
@@ -8,8 +8,8 @@
 	"spantack/core/hierarchy"
 )
 
-// Capacities in random topologies, and the peak fill rate of each site. The fills stay below the capacities: the peak
-// fills of up to nine sites are below the capacity of one link.
+// Capacities in random topologies, and the peak fill rate of each site. One link carries the peak fills of nine sites
+// with capacity to spare.
 const (
 	randomOriginKBPerSecond = 1e4
 	randomLinkKBPerSecond   = 1000
@@ -50,8 +50,8 @@
 	return hierarchy.Link{From: from, To: to, CapacityKBPerS: randomLinkKBPerSecond}
 }
 
-// randomLinks orders the parent groups at random and returns random links that lead only to earlier groups or to the
-// origin, so that there are no loops.
+// randomLinks orders the parent groups at random and returns random links. Links of groups lead only to earlier groups
+// or to the origin, so there are no loops.
 func randomLinks(rng *rand.Rand, groups, sites int) (links []hierarchy.Link) {
 	order := rng.Perm(groups)
 	for i, group := range order {
@@ -70,8 +70,9 @@
 	return links
 }
 
-// changeTopology returns a copy of a topology with a random change that keeps it valid: all links are replaced, all
-// links of one parent group are replaced by one to the origin, or one link is removed if its node has another.
+// changeTopology returns a copy of a topology with one of three random changes, each of which keeps it valid. Either
+// all links are replaced, or all links from one parent group are replaced by one to the origin, or one link is removed.
+// In the third case nothing changes if the link is the only one from its node.
 func changeTopology(rng *rand.Rand, t *hierarchy.Topology, groups int) *hierarchy.Topology {
 	next := *t
 	next.Links = slices.Clone(t.Links)
@@ -101,8 +102,8 @@
 	return links
 }
 
-// addLoop returns a copy of a topology with an additional link that closes a loop: from a parent group that is
-// reachable from a random group, back to that group.
+// addLoop returns a copy of a topology with an additional link that closes a loop. The link leads back to a random
+// parent group, from that group or from one that is reachable from it.
 func addLoop(rng *rand.Rand, t *hierarchy.Topology) *hierarchy.Topology {
 	next := *t
 	next.Version = 1
--- a/emulator/validate.go
+++ b/emulator/validate.go
@@ -20,7 +20,7 @@
 	return fmt.Errorf("%s%s: %v is outside the range %v to %v", path, b.field, b.value, b.min, b.max)
 }
 
-// checkBounds returns the error of the first field that is out of range, with path before the field's name.
+// checkBounds returns an error for the first field that is out of range. The error has path before the field's name.
 func checkBounds(path string, all []bounds) error {
 	for _, b := range all {
 		if err := b.check(path); err != nil {
--- a/emulator/warm_up.go
+++ b/emulator/warm_up.go
@@ -35,9 +35,9 @@
 	s.recentKB += work.sizeKB
 }
 
-// recordWarmUpLoad updates MaxWarmUpLoad, the load of a server as a fraction of its bound, and MaxWarmUpLoadPerRouter,
-// the load from this router without its largest request, as a fraction of its share of the bound. All routers have
-// equal shares of the bound.
+// recordWarmUpLoad updates two maxima. MaxWarmUpLoad is the load of a server as a fraction of maxKB, the server's
+// bound. MaxWarmUpLoadPerRouter is the load from this router, without the router's largest request, as a fraction of
+// the router's share of the bound. All routers have equal shares of the bound.
 func (w *World) recordWarmUpLoad(server *simulatedServer, router int32, maxKB float64) {
 	w.result.MaxWarmUpLoad = max(w.result.MaxWarmUpLoad, server.recentKB/maxKB)
 	routers := float64(w.config.RoutersPerSite)
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -21,7 +21,7 @@
 
 	// Documents.
 	assignment         *cells.Assignment   // nil: no cells
-	assignmentByChange []*cells.Assignment // by index in Config.Changes; nil: unchanged
+	assignmentByChange []*cells.Assignment // indexed like Config.Changes; nil: unchanged
 	topology           *hierarchy.Graph    // nil: none
 
 	// Servers and routers.
@@ -41,8 +41,8 @@
 	endpointChanges []routing.Endpoint
 	changedServers  []int32 // index of the server of each change
 
-	// Operations, requests, attempts and fetches in flight, each with the free slots of its list, and other state of
-	// the run.
+	// Operations, requests, attempts and fetches in flight, each with the list of its free slots, followed by other
+	// state of the run.
 	operations     []clientOperation
 	freeOperations []int32
 	requests       []clientRequest
@@ -63,7 +63,7 @@
 	// Distributions of client requests, all cumulative, and names of objects.
 	tenantCDF             []float64
 	objectCDF             []float64
-	classCumulativeWeight [classCount]float64 // of operations and sessions; the last value is not 1
+	classCumulativeWeight [classCount]float64 // weights of operations and sessions; the last value is not 1
 	objectNames           map[uint64]string
 	oneTimeObjects        uint64
 
@@ -75,7 +75,7 @@
 	linkReports  []linkReport // by site
 }
 
-// completionTime is how long a world continues to run after stopAt, so that operations can end.
+// completionTime is how long a world continues to run after stopAt. In this time, operations in flight can end.
 const completionTime = 8 * second
 
 // Run executes the simulation to its end and returns the result. It must be called only once for a world.
--- a/emulator/world_test.go
+++ b/emulator/world_test.go
@@ -100,8 +100,8 @@
 	return routing.Action{Kind: routing.ActionSend, Server: server, Timeout: second}
 }
 
-// Guards against checks for violations that detect nothing: causes violations on purpose and expects each to be counted
-// once.
+// Guards against checks for violations that detect nothing. The test causes violations on purpose and expects each to
+// be counted once.
 func TestViolationsAreCounted(t *testing.T) {
 	w := newWorld(t, smallConfig(1))
 	id := w.addCache(0, 1)
