--- a/cmd/spanctl/cells.go
+++ b/cmd/spanctl/cells.go
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// printMigrations prints a tenant's migrations at the site, and with --object the migrated share above which the
-// object uses the new cell.
+// printMigrations prints a tenant's migrations at the site. With --object it also prints, for each migration, the
+// migrated share above which the object uses the new cell.
 func (c *cellsExplainCmd) printMigrations(out io.Writer, document *migration.Document, tenant string) {
 	for i := range document.Migrations {
 		m := &document.Migrations[i]
--- a/cmd/spanctl/demand.go
+++ b/cmd/spanctl/demand.go
@@ -10,11 +10,11 @@
 	"spantack/core/cells"
 )
 
-// Indexes of the loads in a tenant's demand, all per second.
+// Indexes of the loads in a tenant's demand. All loads are per second.
 const (
 	loadRequests = iota
-	loadKB       // of responses
-	loadFillKB   // of responses that are filled
+	loadKB       // KB of responses
+	loadFillKB   // KB of responses that are filled
 )
 
 // maxLoad is the exclusive upper bound of a load or priority weight.
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// readDemand reads the demand in one file: a JSON list, or a router's log, of which the last record 'demand' is used.
+// readDemand reads the demand in one file, which is a JSON list or a router's log. In a log it uses the last record
+// 'demand'.
 func readDemand(file string) ([]cells.TenantDemand, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/spanctl/document.go
+++ b/cmd/spanctl/document.go
@@ -15,9 +15,9 @@
 	"spantack/internal/features"
 )
 
-// documentFlags are the arguments of the commands that change migrations or a rollout, and of those that print them.
-// Commands that make a change read the features file and write a document in the same folder, which the features file
-// imports as a section. A document is checked as a whole before it is written, and the write is atomic.
+// documentFlags are the arguments of the commands that change or print migrations or a rollout. Commands that make a
+// change read the features file and write a document in the same folder, which the features file imports as a section.
+// A document is checked as a whole before it is written, and the write is atomic.
 type documentFlags struct {
 	File   string  `name:"file" arg:"" help:"The features file. It must import the section that the command changes: moves: import 'moves.json', or stage: import 'stage.json'."`
 	DryRun bool    `name:"dry-run" help:"Print what would change and write nothing."`
@@ -47,7 +47,8 @@
 	document string // file name
 	version  int64
 	content  any
-	// isImportedBy reports whether a features file, loaded after the write, has the section as it was written.
+	// isImportedBy reports whether a features file has the section as it was written. It is called with the file as
+	// loaded after the write.
 	isImportedBy func(*features.File) bool
 }
 
@@ -64,7 +65,7 @@
 }
 
 // write replaces a section's document. If the features file can't be loaded afterwards, or does not import the section
-// from it, write restores the old document and returns an error.
+// from the document, write restores the old document and returns an error.
 func (d *documentFlags) write(out io.Writer, s section) error {
 	text, err := json.MarshalIndent(s.content, "", "  ")
 	if err != nil {
--- a/cmd/spanctl/drain.go
+++ b/cmd/spanctl/drain.go
@@ -31,9 +31,9 @@
 	spec        *cells.Spec
 	now         float64
 	demand      []cells.TenantDemand
-	cellOf      map[string]string  // by tenant, at the site
-	usedKBPerS  map[string]float64 // by cell: KB/s that its tenants request
-	fillKBPerS  map[string]float64 // by cell: KB/s that are filled for its tenants
+	cellOf      map[string]string  // the tenant's cell at the site, by tenant
+	usedKBPerS  map[string]float64 // KB/s that the cell's tenants request, by cell
+	fillKBPerS  map[string]float64 // KB/s that are filled for the cell's tenants, by cell
 	constraints schedule.Constraints
 	requests    map[string]schedule.Request // by tenant
 }
@@ -103,8 +103,8 @@
 	return d, nil
 }
 
-// setConstraints sets the constraints of the schedule: the capacity of cells, and for fills, that the current demand
-// leaves free.
+// setConstraints sets the constraints of the schedule: the capacity of each cell, the part of it that the current
+// demand uses, and the fill capacity that the current demand leaves free in each cell and at the site.
 func (d *cellDrain) setConstraints() error {
 	siteFill := 0.0
 	for _, tenant := range d.demand {
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// chooseTargets returns a scheduling request for each of the cell's tenants with demand. The target of each is the cell
-// with the most capacity left after the requests before it.
+// chooseTargets returns a scheduling request for each of the cell's tenants with demand. The target of each request is
+// the cell with the most capacity left after all earlier requests in the list.
 func (d *cellDrain) chooseTargets() []schedule.Request {
 	arriving := map[string]float64{} // KB/s by cell
 	left := func(cell string) float64 {
@@ -167,7 +167,8 @@
 	return requests
 }
 
-// addIdleTenants schedules the cell's tenants without demand after the others, to the first target. They need no fills.
+// addIdleTenants schedules the cell's tenants without demand after the others, to the first target. Tenants without
+// demand need no fills.
 func (d *cellDrain) addIdleTenants(planned *schedule.Schedule) {
 	for _, tenant := range d.spec.Tenants {
 		_, hasDemand := d.requests[tenant.Name]
--- a/cmd/spanctl/drain_test.go
+++ b/cmd/spanctl/drain_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Guards against a drain that does not migrate all tenants of a cell, that gives no reason for a tenant for which the
-// target has no capacity, or that does not print the time, its lower bound or the use of limits.
+// Guards against a drain that does not migrate all tenants of a cell. Also guards against output without the reason why
+// a tenant is not migrated when the target has no capacity for it, without the duration or its lower bound, or without
+// the use of limits.
 func TestCellsDrain(t *testing.T) {
 	writeFile := newFileWriter(t)
 	file := writeFeatures(writeFile, "a")
--- a/cmd/spanctl/migrate.go
+++ b/cmd/spanctl/migrate.go
@@ -86,8 +86,8 @@
 	return slices.DeleteFunc(all, func(m migration.Migration) bool { return m.Tenant == tenant && hasEnded(&m, now) })
 }
 
-// requestFor returns the scheduling request for a migration, by tenant. It reads the tenant's demand from files; the
-// map is empty if they have none.
+// requestFor returns the scheduling request for a migration, by tenant. It reads the tenant's demand from files. The
+// map is empty if the files have no demand of this tenant.
 func requestFor(m *migration.Migration, files []string) (map[string]schedule.Request, error) {
 	requests := map[string]schedule.Request{}
 	demand, err := gatherDemand(files)
@@ -106,15 +106,15 @@
 	return requests, nil
 }
 
-// newRequest returns a request for the scheduler. The amount that the new cell has to fill is estimated as what the
-// tenant requests in schedule.WorkingSetSeconds.
+// newRequest returns a request for the scheduler. The number of KB that the new cell has to fill is estimated as the
+// number of KB that the tenant requests within schedule.WorkingSetSeconds.
 func newRequest(tenant, from, to string, kbPerS float64) schedule.Request {
 	return schedule.Request{
 		Tenant: tenant, From: from, To: to, DemandKBPerS: kbPerS, FillKB: kbPerS * schedule.WorkingSetSeconds,
 	}
 }
 
-// printCellLoads prints the change of each cell's load by migrations, as far as the tenants' demand is known.
+// printCellLoads prints the change of each cell's load by migrations. Tenants whose demand is unknown are left out.
 func printCellLoads(
 	out io.Writer, spec *cells.Spec, migrations []migration.Migration, requests map[string]schedule.Request,
 ) {
--- a/cmd/spanctl/migration.go
+++ b/cmd/spanctl/migration.go
@@ -10,8 +10,8 @@
 	"spantack/internal/features"
 )
 
-// loadMigrations loads the features file and returns it with a copy of its migrations, which is empty if migrations are
-// off.
+// loadMigrations loads the features file and returns it with a copy of its migrations. The copy is empty if migrations
+// are off.
 func (d *documentFlags) loadMigrations() (*features.File, *migration.Document, error) {
 	f, err := d.load()
 	if err != nil {
@@ -57,8 +57,9 @@
 	return phase == migration.Done || phase == migration.RolledBack
 }
 
-// printMigration prints a migration's phase, the lowest and the highest share that may have migrated by now, and its
-// times.
+// printMigration prints a migration's phase. Unless the migration has ended, it also prints the times of the migration
+// and the lowest and the highest share that may have migrated by now. While a migration is being rolled back, it prints
+// only the highest share and the end.
 func printMigration(out io.Writer, m *migration.Migration, now float64) {
 	phase := m.Phase(now)
 	fmt.Fprintf(out, "%s in %s: %s to %s, %s", m.Tenant, m.Site, m.From, m.To, phase)
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// readProgress returns the routers' progress by tenant, and prints the names of the logs in which the
-// migrations have another version.
+// readProgress returns the routers' progress by tenant, and prints the names of the logs that have another version of
+// the migrations than the given one.
 func (c *migrationListCmd) readProgress(out io.Writer, version int64) (map[string]progress, error) {
 	byTenant := map[string]progress{}
 	for _, file := range c.Status {
--- a/cmd/spanctl/migration_change.go
+++ b/cmd/spanctl/migration_change.go
@@ -21,8 +21,9 @@
 // way at that time.
 type changeFunc func(m *migration.Migration, now float64) bool
 
-// changeEach changes the selected migrations and saves them. If a migration can't be changed, it returns an error for
-// named tenants, and skips the migration with --all. participle names the change in errors, such as "paused".
+// changeEach changes the selected migrations and saves them. If the migration of a named tenant can't be changed, it
+// returns an error. With --all it skips migrations that can't be changed. participle names the change in errors, such
+// as "paused".
 func (c *migrationSelection) changeEach(out io.Writer, participle string, change changeFunc) error {
 	f, document, err := c.loadMigrations()
 	if err != nil {
@@ -99,8 +100,8 @@
 
 type migrationFinalizeCmd struct{ documentFlags }
 
-// Run removes the migrations that have ended from the document. While the features file assigns the tenant to another
-// cell than the final one, it keeps the migration and prints the cell to set.
+// Run removes the migrations that have ended from the document. It keeps such a migration while the features file
+// assigns the tenant to another cell than the final one, and prints the cell to set.
 func (c *migrationFinalizeCmd) Run(out io.Writer) error {
 	f, document, err := c.loadMigrations()
 	if err != nil {
--- a/cmd/spanctl/rollout.go
+++ b/cmd/spanctl/rollout.go
@@ -111,7 +111,7 @@
 		OnStop:          c.AfterRollback,
 	}
 	if c.Replaces {
-		planned.Since = now + millis(c.StartDelay) // copies made before are of the old version
+		planned.Since = now + millis(c.StartDelay) // copies made before Since are of the old version
 	}
 	if len(c.Families) > 0 {
 		planned.FamilyRange = c.Families
@@ -129,18 +129,18 @@
 	return planned
 }
 
-// printDetectionTimes prints the mean time in which one router detects harm in the first ring, for several factors by
-// which failures become more likely.
+// printDetectionTimes prints the mean time in which one router detects a degradation in the first ring. It prints the
+// time for several degradations, which differ in the factor by which failures become more likely.
 func (c *rolloutStartCmd) printDetectionTimes(out io.Writer, planned *rollout.Rollout, allCells int) {
 	parameters := planned.TestParameters()
 	ringCells, all := float64(len(planned.Rings[0].Cells)), float64(allCells)
-	for _, harm := range []float64{1.5, 2, 3, 5} {
-		events := parameters.ExpectedEvents(harm, ringCells/all, 1)
-		eventsPerS := c.RequestRate * c.BaselineErrorRatio * (ringCells*harm + all - ringCells)
+	for _, factor := range []float64{1.5, 2, 3, 5} {
+		events := parameters.ExpectedEvents(factor, ringCells/all, 1)
+		eventsPerS := c.RequestRate * c.BaselineErrorRatio * (ringCells*factor + all - ringCells)
 		if seconds := events / eventsPerS; !math.IsInf(seconds, 0) {
 			fmt.Fprintf(out,
 				"failures %.1f times as likely: one router detects this after about %s on average, if there are no bursts\n",
-				harm, formatDuration(1000*seconds))
+				factor, formatDuration(1000*seconds))
 		}
 	}
 }
--- a/cmd/spanctl/rollout_status.go
+++ b/cmd/spanctl/rollout_status.go
@@ -20,11 +20,12 @@
 // ringSummary sums up the status of a ring at all routers.
 type ringSummary struct {
 	routersByState map[string]int
-	evidence       []float64 // by metric: log likelihood ratio for harm
+	evidence       []float64 // log likelihood ratio for a degradation, by metric
 }
 
 // Run prints the states and the evidence of each ring. Routers see different requests, so their log likelihood ratios
-// are added. If several metrics or rings show harm, the last line names only the last of them.
+// are added. If several metrics or rings show a degradation, the last line of the output names only the last ring and
+// metric.
 func (c *rolloutStatusCmd) Run(out io.Writer) error {
 	_, active, err := c.loadRollout()
 	if err != nil {
@@ -36,7 +37,7 @@
 	}
 	metrics := rollout.MetricNames()
 	threshold := math.Log(float64(len(metrics)) / active.TestParameters().Alpha)
-	harm := ""
+	degradation := ""
 	for i, ring := range rings {
 		fmt.Fprintf(out, "ring %d, %s:", i, strings.Join(active.Rings[i].Cells, ","))
 		for _, state := range slices.Sorted(maps.Keys(ring.routersByState)) {
@@ -45,13 +46,13 @@
 		for m, evidence := range ring.evidence {
 			fmt.Fprintf(out, "; %s %.1f of %.1f", metrics[m], evidence, threshold)
 			if evidence >= threshold {
-				harm = fmt.Sprintf("harm in ring %d, by %s", i, metrics[m])
+				degradation = fmt.Sprintf("harm in ring %d, by %s", i, metrics[m])
 			}
 		}
 		fmt.Fprintln(out)
 	}
-	if harm != "" {
-		fmt.Fprintf(out, "%s: run spanctl rollout stop %s\n", harm, c.File)
+	if degradation != "" {
+		fmt.Fprintf(out, "%s: run spanctl rollout stop %s\n", degradation, c.File)
 	}
 	return nil
 }
--- a/cmd/spanctl/rollout_test.go
+++ b/cmd/spanctl/rollout_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against commands that accept an invalid rollout, a second start or a second stop, and against a status that
-// does not add the evidence of routers: together they must show harm that no router has found alone.
+// does not add the evidence of routers: together they must show a degradation that no router has found alone.
 func TestCommandsOnRollouts(t *testing.T) {
 	writeFile := newFileWriter(t)
 	file := writeFile("f.jsonnet", withSection(cellsFile("1", "a"), "stage", "stage.json"))
--- a/cmd/spanctl/router_test.go
+++ b/cmd/spanctl/router_test.go
@@ -12,12 +12,13 @@
 	"spantack/internal/testwait"
 )
 
-// Guards against calls that skip routers after one that fails, and against errors without the router and the reason.
+// Guards against a command that calls no further routers after a call has failed. Also guards against errors that do
+// not name the router and the reason.
 func TestRouterCalls(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 2)
-	// router starts a management server that knows one server. It returns its address, and a count of the calls to
-	// exclude and include that server.
+	// router starts a management server that knows one server. It returns the address of the management server, and a
+	// count of the calls to exclude and include the known server.
 	router := func(knownServer string) (string, *atomic.Int64) {
 		calls, ready := &atomic.Int64{}, &atomic.Bool{}
 		ready.Store(true)
--- a/cmd/spanctl/topology_test.go
+++ b/cmd/spanctl/topology_test.go
@@ -14,8 +14,8 @@
     { from: 'north', to: 'head', kbPerS: 3000, ms: 20 }, { from: 'south', to: 'head', kbPerS: 3000, ms: 20 },
   ] } }`
 
-// Guards against wrong levels, missed changes, and fills beyond the capacity of a parent group or the origin, and
-// against a topology with a cycle that is accepted.
+// Guards against wrong levels, missed changes, and fills beyond the capacity of a parent group or the origin. Also
+// guards against accepting a topology that has a cycle.
 func TestCommandsOnTopologies(t *testing.T) {
 	writeFile := newFileWriter(t)
 	one := writeFile("one.jsonnet", topologyText)
--- a/cmd/spanctl/wire_compat_test.go
+++ b/cmd/spanctl/wire_compat_test.go
@@ -14,8 +14,8 @@
 	testfixture.CommandLines(t, "testdata/commandlines.txt", "spanctl", new(cli))
 }
 
-// Guards against documents of migrations and rollouts that differ from those that the previous release wrote for the
-// same command lines.
+// Guards against documents of migrations and rollouts that differ from the documents that the previous release wrote
+// for the same command lines.
 func TestDocumentsAreWrittenUnchanged(t *testing.T) {
 	source, err := os.ReadFile("testdata/f.jsonnet")
 	if err != nil {
