--- a/cmd/spanlab/experiment.go
+++ b/cmd/spanlab/experiment.go
@@ -37,8 +37,8 @@
 	Set   []string `name:"set" help:"A setting of the experiment to change, as path=value; can be repeated." sep:"none"`
 }
 
-// Run runs the experiment with each seed, writes the outcomes if a folder is given, and prints their RESULT lines. It
-// returns errCheckFailed if a claim does not hold.
+// Run runs the experiment with each seed, writes the outcomes if a folder is given, and prints the RESULT line of each
+// outcome. It returns errCheckFailed if a claim does not hold.
 func (c *runCmd) Run() error {
 	if c.Seeds == 0 || c.Seed > math.MaxInt64 || c.Seeds > maxSeeds {
 		return fmt.Errorf("--seed %d --seeds %d: must be 0 to 2^63-1 and 1 to %d", c.Seed, c.Seeds, maxSeeds)
@@ -83,7 +83,7 @@
 	return outcomes, nil
 }
 
-// compareCmd compares two files result.json.
+// compareCmd compares two result.json files.
 type compareCmd struct {
 	ResultA string `name:"a" arg:"" type:"existingfile" help:"File result.json of the first run."`
 	ResultB string `name:"b" arg:"" type:"existingfile" help:"File result.json of the second run."`
@@ -102,7 +102,7 @@
 	return lab.Compare(os.Stdout, a, b)
 }
 
-// readResult reads a file result.json. It returns an error if the file has no outcome.
+// readResult reads a result.json file. It returns an error if the file has no outcome.
 func readResult(file string) (outcomes []*lab.Outcome, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/spanlab/main.go
+++ b/cmd/spanlab/main.go
@@ -22,7 +22,7 @@
 )
 
 // errCheckFailed is returned by a command that has run without an error, but found a claim or a bound that does not
-// hold, or a budget that is exceeded. The command has printed which.
+// hold, or a budget that is exceeded. The command has already printed what failed.
 var errCheckFailed = errors.New("a claim or bound does not hold, or a budget is exceeded")
 
 // gcPercent makes the garbage collector run less often, at the cost of memory: the emulator allocates many
--- a/cmd/spanlab/progress.go
+++ b/cmd/spanlab/progress.go
@@ -15,7 +15,7 @@
 )
 
 // progress is a progress bar. It draws nothing if the standard error output is not a terminal. Drawing errors are
-// ignored, so that they can't stop a run.
+// ignored, because they must not stop a run.
 type progress struct{ bar *progressbar.ProgressBar }
 
 // newProgress returns a bar with a number of steps, drawn on the standard error output.
@@ -31,7 +31,7 @@
 		progressbar.OptionClearOnFinish())}
 }
 
-// show draws the number of steps done, and updates the number of all steps.
+// show draws the number of steps done, and updates the total number of steps.
 func (p *progress) show(done, all int) {
 	if p.bar != nil {
 		p.bar.ChangeMax(all)
--- a/cmd/spanlab/scale.go
+++ b/cmd/spanlab/scale.go
@@ -41,8 +41,8 @@
 	scaleGCPercent = 100
 )
 
-// Run runs the test at each size, writes the results if a folder is given, and prints their RESULT lines. It returns
-// errCheckFailed if a router exceeds its budget.
+// Run runs the test at each size, writes the results if a folder is given, and prints the RESULT line of each result.
+// It returns errCheckFailed if a router exceeds its budget.
 func (c *scaleRunCmd) Run() error {
 	test, err := scale.FindTest(c.Name)
 	if err != nil {
@@ -100,7 +100,7 @@
 	Results string `name:"results" default:"docs/results/scale" type:"existingdir" help:"Folder with the results of all scale tests."`
 }
 
-// Run replaces the marked numbers on the page with those of stored results.
+// Run replaces the marked numbers on the page with the numbers of stored results.
 func (c *scalePageCmd) Run() error {
 	set, err := scale.ReadResultSet(c.Results)
 	if err != nil {
