--- a/cmd/spantack/busy_core_test.go
+++ b/cmd/spantack/busy_core_test.go
@@ -10,8 +10,8 @@
 	"unsafe"
 )
 
-// spinnerCount is the number of programs with a busy loop that share a core with the router. They exit after
-// spinnerLifetime, in seconds.
+// spinnerCount is the number of programs with a busy loop that share a core with the router. spinnerLifetime is the
+// time after which these programs exit, in seconds.
 const (
 	spinnerCount    = 2
 	spinnerLifetime = "4"
--- a/cmd/spantack/client_departure_test.go
+++ b/cmd/spantack/client_departure_test.go
@@ -17,8 +17,8 @@
 	"spantack/internal/testwait"
 )
 
-// Guards against a retry for a client that has left: in one of several ways, while its request is at a cache that then
-// closes the connection.
+// Guards against a retry for a client that has left. The client leaves in one of several ways while its request is at a
+// cache. The cache then closes the connection.
 func TestNoRetryAfterClientLeaves(t *testing.T) {
 	t.Parallel()
 	ways := map[string]func(*net.TCPConn){
@@ -35,18 +35,19 @@
 	}
 }
 
-// errEndedEarly is returned if the process exits after SIGTERM before all clients have left. They need
-// about 20 ms, and the process runs for 3 s, so that this happens only on a very slow machine.
+// errEndedEarly is returned if the process exits after SIGTERM before all clients have left. This happens only on a
+// very slow machine, since the clients need about 20 ms and the process runs for 3 s.
 var errEndedEarly = errors.New("the process exited before all clients had left")
 
-// leaveDuringAttempts runs TestNoRetryAfterClientLeaves with one process, and one client after the other. Deadlines are
-// long, so that no request times out on a slow machine. Failures that a slow machine may cause are returned as errors.
+// leaveDuringAttempts runs TestNoRetryAfterClientLeaves with one process, and one client after the other. Long
+// deadlines keep requests from timing out on a slow machine. Failures that a slow machine may cause are returned as
+// errors.
 func leaveDuringAttempts(t *testing.T, ways map[string]func(*net.TCPConn), isShuttingDown bool) error {
 	p, configPipe := launch(t, true)
 	io.WriteString(configPipe, withLongDeadlines(p.text))
 	configPipe.Close()
 	remaining := p.connectReady()
-	// This request stays open, so that the process and the connection stay until it has its response.
+	// The process and the connection stay until this request has its response.
 	askWithTimeout(remaining, 2, "00000000000000ff", longTimeout)
 	p.await("GET 00000000000000ff")
 	clients := map[string]*net.TCPConn{}
@@ -75,7 +76,7 @@
 		// A request sent before the router has noticed the closed connection would go out on it, and three such failures
 		// open the cache's circuit breaker.
 		p.closeFromCache(left)
-		// Nothing was sent for the client that left before this request, and after the process has exited nothing can
+		// The router must still send this request. Requests are counted after the process has exited, when no retry can
 		// follow.
 		askWithTimeout(remaining, 2+n, other, longTimeout)
 		if !p.awaitAny("GET " + other) {
@@ -123,10 +124,11 @@
 	awaitOutstanding(t, adminAddr, 0)
 	up := make(chan net.Conn, 32)
 	go p.serveCache(&announcingListener{open(), up})
-	// This is the connection for the first request, established by a repeated SYN; no other connection is being dialed.
+	// This is the connection for the first request, established by a retransmitted SYN; no other connection is being
+	// dialed.
 	late := testwait.Receive(t, up, "the late connection")
-	remaining := p.connectReady() // not earlier: a connection without a message is soon closed
-	// Until a request uses the late connection, which the router may notice only after a moment.
+	remaining := p.connectReady() // not earlier: the router soon closes a connection without a message
+	// Send requests until one uses the late connection. The router may notice this connection only after a moment.
 	for i := range 6 {
 		ref := fmt.Sprintf("00000000000000b%x", i)
 		askWithTimeout(remaining, 2+i, ref, longTimeout)
--- a/cmd/spantack/departures_run_test.go
+++ b/cmd/spantack/departures_run_test.go
@@ -32,7 +32,7 @@
 }
 
 const (
-	longDeadline   = 10 * time.Second // far longer than a run, so that no request times out
+	longDeadline   = 10 * time.Second // far longer than a run: no request may time out
 	remainingCount = 2                // clients that do not leave
 )
 
@@ -64,7 +64,7 @@
 	return p
 }
 
-// holdAttempt lets an attempt end only once attemptsMayEnd is closed. Attempts that began before then end with
+// holdAttempt lets an attempt end only once attemptsMayEnd is closed. Attempts that began before it was closed end with
 // ERR, BUSY or a malformed response.
 func (p *departure) holdAttempt(attempt caches.Request) caches.Fault {
 	select {
@@ -100,9 +100,9 @@
 	return hasAttempts
 }
 
-// leave lets the departing clients leave. It holds the fork lock, so that other tests start no program meanwhile: a
-// child between fork and exec has copies of this process's connections, and a close would have no effect until the
-// child has closed them too.
+// leave lets the departing clients leave. Meanwhile it holds the fork lock, to keep other tests from starting programs.
+// Between fork and exec a child has copies of this process's connections. A close would have no effect until the child
+// has closed its copies too.
 func (p *departure) leave() {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
@@ -139,8 +139,8 @@
 	}
 }
 
-// awaitRemainingAttempt waits for an attempt of a remaining client, and reports whether one arrived. It shows that
-// attempts can begin from this stage.
+// awaitRemainingAttempt waits for an attempt of a remaining client, and reports whether one arrived. Such an attempt
+// shows that attempts can begin from this stage.
 func (p *departure) awaitRemainingAttempt(since time.Time) bool {
 	return pollUntil(func() bool {
 		return slices.ContainsFunc(p.requests.Requests(), func(attempt caches.Request) bool {
--- a/cmd/spantack/departures_setup_test.go
+++ b/cmd/spantack/departures_setup_test.go
@@ -46,8 +46,8 @@
 	return false
 }
 
-// connectAll opens all connections and at once makes a health call on each: the router closes connections that send
-// nothing for long. It returns false unless the router is ready on all.
+// connectAll opens all connections and at once makes a health call on each, because the router closes connections on
+// which it receives nothing for long. It returns false unless the router reports on each connection that it is ready.
 func (p *departure) connectAll() bool {
 	perWay := p.stage.clientsPerWay
 	if perWay == 0 {
--- a/cmd/spantack/departures_test.go
+++ b/cmd/spantack/departures_test.go
@@ -10,9 +10,9 @@
 )
 
 // A client that cancels its request or closes its connection has left. An attempt of its request is late if it begins
-// more than departedGrace after that; maxLate late attempts are allowed in a run. The test compares the time at which
-// the client's cancel or close was done with the time at which the kernel received the whole attempt, from the caches'
-// request log.
+// more than departedGrace after the client has left; maxLate late attempts are allowed in a run. The test compares two
+// times: when the client's cancel or close was done, and when the kernel received the whole attempt. The second time is
+// in the caches' request log.
 const (
 	departedGrace = 100 * time.Millisecond
 	maxLate       = 2
@@ -81,17 +81,17 @@
 type requestStage struct {
 	name             string
 	clientsPerWay    int  // clients for each departureWay; 0 means 3
-	caches           int  // 0 means 3
-	descriptors      int  // 0 means enough for all
+	caches           int  // number of caches; 0 means 3
+	descriptors      int  // the router's limit on descriptors; 0 means enough for all clients
 	bodySize         int  // bytes in the body of a request
 	sendsOnLeaving   bool // departing clients send their requests only when they leave
 	holdsAttempts    bool // first attempts are at the caches; when the test lets them end, a retry follows
 	dialsLate        bool // connections to the caches are not established yet
 	pausesCaches     bool // the caches read nothing
-	blockingCommands int  // commands sent before these requests, each too long for the socket buffers
+	blockingCommands int  // commands sent before the clients' requests, each too long for the socket buffers
 	runsBusy         bool // also run on a busy core
-	// isInKernel means that attempts are in the kernel's send buffer, so that a suspended router can't withdraw them. A
-	// running router gets time to do so.
+	// isInKernel means that attempts are in the kernel's send buffer. A suspended router can't withdraw these attempts.
+	// A running router gets time to withdraw them.
 	isInKernel bool
 }
 
--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -25,7 +25,7 @@
 type deploymentOptions struct {
 	caches      int
 	sockets     int           // the router's limit on descriptors
-	deadline    time.Duration // of the class
+	deadline    time.Duration // deadline of the class
 	discovery   string        // address of the discovery service; empty if there is none
 	cache       func(number int, opt *caches.Options)
 	injectFault func(caches.Request) caches.Fault
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -20,11 +20,13 @@
 
 const (
 	// maxRewatchTime bounds the time from the return of the discovery service until the router watches it again. It is
-	// well above the router's retry interval of at most 500 ms, and below the 6 s after which idle clients that have
-	// made a call are closed. Time in which the machine was short of CPUs does not count, here and for maxTimeToServe.
+	// well above the router's retry interval of at most 500 ms, and below the 6 s after which the router closes
+	// connections of idle clients that have made a call. Time in which the machine was short of CPUs does not count,
+	// here and for maxTimeToServe.
 	maxRewatchTime = 3 * time.Second
-	// maxTimeToServe bounds the time from the new watch, or from the end of the outage if none is needed, until a
-	// request has been served and one has reached the cache that was added during the outage.
+	// maxTimeToServe bounds the time until a request has been served and one has reached the cache that was added
+	// during the outage. The time starts at the new watch. If no new watch is needed, it starts at the end of the
+	// outage.
 	maxTimeToServe = 5 * time.Second
 	// reconnectDelay is the time after which an idle client connects again when its connection was closed.
 	reconnectDelay = 500 * time.Millisecond
@@ -35,13 +37,13 @@
 	name                  string
 	modeDuring, modeAfter discovery.Mode
 	duration              time.Duration // how long the outage goes on after the idle clients have connected
-	descriptorLimits      []int         // of the router, one run each
+	descriptorLimits      []int         // limits of the router, one run with each
 	// firstFrameDelay is the delay of the first frame after the return of the discovery service.
 	firstFrameDelay time.Duration
 }
 
-// needsNewWatch reports whether the router has to watch again after the outage. A mute service leaves its connection
-// open, so that no new watch is needed.
+// needsNewWatch reports whether the router has to watch again after the outage. A mute service keeps connections open.
+// Therefore no new watch is needed after its outage.
 func (o *outage) needsNewWatch() bool { return o.modeDuring == discovery.Down }
 
 var outages = []outage{
@@ -230,8 +232,8 @@
 }
 
 // initialBytes are what idle clients send: nothing, half a message, a whole one, or one and a part of the next. The
-// repetition sets the proportions: half of the clients send one whole message. They send nothing more until the router
-// closes the connection.
+// repetition sets the proportions: half of the clients send one whole message. No client sends more until the router
+// closes its connection.
 var initialBytes = []string{"", "\x94\x00\x02\xa4pa", wholeMessage, wholeMessage + "\x94", wholeMessage, wholeMessage}
 
 const wholeMessage = "\x94\x00\x01\xa6health\x91\x80"
--- a/cmd/spantack/gossip.go
+++ b/cmd/spantack/gossip.go
@@ -22,8 +22,8 @@
 // originFillLimit is the index of the only fleet limit: fills from the origin.
 const originFillLimit = 0
 
-// wireGossip starts gossip with other routers if the flag --peers, fleet limits or verdicts need it, and the
-// configuration enables it. Without gossip the router gets an equal share of the fleet limit, if there is one.
+// wireGossip creates the gossip transport if the configuration enables gossip, and the flag --peers, fleet limits or
+// verdicts need it. If there is a fleet limit but no gossip, the router gets an equal share of the limit.
 func (p *process) wireGossip() error {
 	c := p.config.Load()
 	fleetLimits := p.features.FleetLimits()
--- a/cmd/spantack/harness_test.go
+++ b/cmd/spantack/harness_test.go
@@ -63,7 +63,7 @@
 	cmd    *exec.Cmd
 	listen string // address for clients
 	config string // path of the configuration
-	text   string // of the configuration
+	text   string // text of the configuration
 	log    *logBuffer
 
 	mu sync.Mutex
--- a/cmd/spantack/limits.go
+++ b/cmd/spantack/limits.go
@@ -9,14 +9,14 @@
 
 // Fractions of the memory limit, and the memory that a client connection counts as.
 const (
-	// heapShare is the limit for Go's heap; the rest is for stacks, buffers and the kernel.
+	// heapShare bounds Go's heap. The rest of the memory is for stacks, buffers and the kernel.
 	heapShare = 0.7
-	// requestQueueShare is the limit for open requests, and for responses that clients have not read yet.
+	// requestQueueShare bounds the memory of open requests and of responses that clients have not read yet.
 	requestQueueShare = 0.25
-	// responseBodyShare is the limit for responses being received from servers, at most one on each connection.
+	// responseBodyShare bounds the memory of responses being received from servers, at most one on each connection.
 	responseBodyShare = 0.35
-	// extraClientShare is the limit for client connections beyond the part of the descriptors that clients can always
-	// use. Each counts as bytesPerClient.
+	// extraClientShare bounds the memory of client connections beyond those that clients can always have
+	// (clientDescriptorDivisor). Each connection counts as bytesPerClient.
 	extraClientShare = 0.15
 	// bytesPerClient is the memory that a client connection counts as, in bytes.
 	bytesPerClient = 32 << 10
@@ -29,8 +29,8 @@
 	clientDescriptorDivisor = 3
 	// reservedDescriptors are for the listener, the discovery service, logs and connections being closed.
 	reservedDescriptors = 48
-	// minServerConns is the minimum number of connections to servers, whatever the limits: without a connection a
-	// router would reject all requests. These connections may use reservedDescriptors.
+	// minServerConns is the minimum number of connections to servers, whatever the limits. Without a connection to a
+	// server a router would reject all requests. These connections may use reservedDescriptors.
 	minServerConns = 8
 )
 
@@ -42,8 +42,8 @@
 }
 
 // newLimits returns the limits of this process according to the configuration, and sets the limit on Go's heap. A
-// process that inherits its listener gets half, even while it runs alone: during a replacement a second process runs,
-// and the limits of the configuration are for both together.
+// process that inherits its listener gets half of the configured limits, even while it runs alone. The limits of the
+// configuration are for two processes together, since a second one runs during a replacement.
 func newLimits(c *config.Config, inheritsListener bool) processLimits {
 	memory := c.MemoryMB * (1 << 20)
 	descriptors := c.MaxSockets
--- a/cmd/spantack/log_reader_test.go
+++ b/cmd/spantack/log_reader_test.go
@@ -38,7 +38,7 @@
 	for range 3 {
 		bad := p.connect()
 		io.WriteString(bad, "\xc1")
-		io.Copy(io.Discard, bad) // until it is closed
+		io.Copy(io.Discard, bad) // until the router closes the connection
 		p.signal(syscall.SIGUSR1)
 	}
 	ask(nc, 2, "0000000000000002")
--- a/cmd/spantack/reload.go
+++ b/cmd/spantack/reload.go
@@ -26,8 +26,8 @@
 }
 
 // reloadConfig loads the configuration and applies it. An invalid configuration changes nothing. The address of the
-// discovery service and the settings change in the running router. The limits, the seed, the zone and the
-// connection options change only at a restart.
+// discovery service, the settings and the maximum send delay change in the running router. The limits on memory and
+// descriptors, the seed, the zone and the other connection options change only at a restart.
 func (p *process) reloadConfig() {
 	old := p.config.Load()
 	c, err := p.loadConfig()
@@ -62,11 +62,11 @@
 		c.IdleTimeout != old.IdleTimeout || c.MaxStreams != old.MaxStreams || c.Settings.Zone != old.Settings.Zone
 }
 
-// keepRestartFields returns a copy of configuration c with the old values of limits and connection options, which a
+// keepRestartFields returns a copy of configuration c with the old values of the limits and connection options that a
 // running process can't change.
 func keepRestartFields(old, c *config.Config) *config.Config {
 	effective := *c
-	effective.InitialEvents = nil // used only at start: the watch has delivered newer events since then
+	effective.InitialEvents = nil // used only at start; the watch has delivered newer events since the start
 	effective.MemoryMB = old.MemoryMB
 	effective.MaxSockets = old.MaxSockets
 	effective.DialTimeout = old.DialTimeout
@@ -89,7 +89,7 @@
 		return
 	}
 	if err := p.router.ApplyFeatures(enabled); err != nil {
-		// Not expected, since the file has been checked. Other features of the file have been applied, so that it
+		// Not expected, since the file has been checked. The other features of the file have been applied, so the file
 		// still becomes the current one.
 		p.log.Error().Err(err).Msg("new features can't be used")
 	}
--- a/cmd/spantack/serve.go
+++ b/cmd/spantack/serve.go
@@ -15,7 +15,7 @@
 // serve runs all components until the server for clients has stopped. The last request then has its response, and
 // serve calls endServing.
 func (p *process) serve(serving context.Context, endServing func()) error {
-	accepting, stopAccepting := context.WithCancel(serving) // canceled acceptFor (shutdownPlan) after SIGTERM or SIGINT
+	accepting, stopAccepting := context.WithCancel(serving) // canceled shutdownPlan.acceptFor after SIGTERM or SIGINT
 	defer stopAccepting()
 	group, ctx := errgroup.WithContext(serving)
 	if p.gossip != nil {
@@ -45,7 +45,7 @@
 }
 
 // serveAdmin serves management calls, and shares the excluded servers with the other process of this router. It records
-// in the state directory that this process serves: from then on the other process counts as replaced.
+// in the state directory that this process serves. From then on the other process counts as replaced.
 func (p *process) serveAdmin(ctx context.Context, group *errgroup.Group) {
 	if err := p.state.ClaimServing(); err != nil {
 		p.log.Warn().Err(err).Msg("can't record in the state directory that this process serves")
--- a/cmd/spantack/shutdown.go
+++ b/cmd/spantack/shutdown.go
@@ -7,24 +7,25 @@
 const (
 	maxHonouredDeadline = 3000
 	killGrace           = 700
-	// acceptAfterSignal is how long new connections and requests are still accepted after SIGTERM.
+	// acceptAfterSignal is the time after SIGTERM in which new connections and requests are still accepted. It is
+	// shorter if planShutdown schedules the final responses earlier, and 0 if another process has replaced this one.
 	acceptAfterSignal = 800
-	// finalResponseLead is how long before a possible SIGKILL open requests get their final responses. It leaves time
-	// to exit before SIGKILL.
+	// finalResponseLead is the time between the final responses to open requests and a possible SIGKILL. It leaves time
+	// to exit before SIGKILL. It is shorter with short deadlines, see planShutdown.
 	finalResponseLead = 500
 	// maxResponseReadTime bounds the time that clients have to read the final responses. If the longest
 	// deadline of a class is below twice this time, they have half of that deadline instead.
 	maxResponseReadTime = 150
-	// exitMargin is how long before a possible SIGKILL the process has exited, whatever the deadlines.
+	// exitMargin is the minimum time between the exit of the process and a possible SIGKILL, whatever the deadlines.
 	exitMargin = 50
 )
 
-// shutdownPlan holds the times of a shutdown, in milliseconds. The process has exited exitMargin before a possible
+// shutdownPlan holds the times of a shutdown, in milliseconds. The process exits at least exitMargin before a possible
 // SIGKILL.
 type shutdownPlan struct {
 	acceptFor   float64 // from the signal until new connections and requests are no longer accepted
 	respondBy   float64 // from the signal until open requests get their final responses
-	clientsRead float64 // time that clients then have to read them
+	clientsRead float64 // time that clients have to read the final responses
 	slack       float64 // how much later than planned the process may exit, for instance on a busy machine
 }
 
@@ -57,8 +58,8 @@
 	p.isStopping.Store(true)
 	plan := planShutdown(p.config.Load().MaxDeadline)
 	if p.inheritsListener && p.state.IsReplaced() {
-		// The other process accepts new requests. This process might exit before it could respond
-		// to them.
+		// The process that replaced this one accepts new requests. This one accepts none, since it might exit before it
+		// could respond to them.
 		plan.acceptFor = 0
 	}
 	p.log.Info().Bool("replaced", plan.acceptFor == 0).Msg("stopping")
--- a/cmd/spantack/shutdown_test.go
+++ b/cmd/spantack/shutdown_test.go
@@ -34,8 +34,8 @@
 }
 
 // Guards against requests without a response, or a process that exits later than the time at which SIGKILL may follow,
-// when servers hang during a shutdown. Also guards against further signals, and a reload of a half-written
-// configuration, that disturb the shutdown.
+// when servers hang during a shutdown. Also guards against a shutdown that is disturbed by further signals, or by a
+// reload of a half-written configuration.
 func TestShutdownRespondsWhenServersHang(t *testing.T) {
 	t.Parallel()
 	testwait.RetryIfStarved(t, func() error { return terminateWithHungServers(t) })
--- a/cmd/spantack/signals.go
+++ b/cmd/spantack/signals.go
@@ -11,7 +11,7 @@
 // waits for them are kept. SIGUSR1 is handled by logCountersOnSignal.
 type processSignals struct {
 	terminate context.Context // done at SIGTERM or SIGINT
-	hangUp    chan os.Signal  // holds one SIGHUP: further ones before it is handled would cause the same reload
+	hangUp    chan os.Signal  // holds one SIGHUP; others that arrive before it is handled need no reload of their own
 	release   func()          // restores the default handling of SIGHUP, SIGTERM and SIGINT
 }
 
--- a/cmd/spantack/take_over_test.go
+++ b/cmd/spantack/take_over_test.go
@@ -21,7 +21,7 @@
 	for _, tc := range []struct {
 		name       string
 		next       func(*replacementTest) // starts the new process, and ends it; nil if there is none
-		isReplaced bool                   // what the old process logs
+		isReplaced bool                   // whether the old process logs that it has been replaced
 	}{
 		{"none", nil, false},
 		{"serves", func(r *replacementTest) { r.start("next") }, true},
--- a/cmd/spantack/wire.go
+++ b/cmd/spantack/wire.go
@@ -7,7 +7,8 @@
 )
 
 // wire loads the router's initial state, marks the process as started, and creates the watcher of the discovery
-// service, the gossip transport and the background runner. The last two are created only if they are needed.
+// service, the gossip transport and the background runner. The gossip transport and the background runner are created
+// only if they are needed.
 func (p *process) wire() error {
 	c := p.config.Load()
 	p.state.AdoptExcluded(p.router.SetExcluded)
@@ -40,8 +41,8 @@
 	return err
 }
 
-// restoreLearnedState restores the learned state of the process that this one replaces, if there is one. Without it a
-// router starts with low limits and does not know which servers fail.
+// restoreLearnedState restores the learned state of the process that this one replaces, if there is one. Without
+// learned state a router starts with low limits and does not know which servers fail.
 func (p *process) restoreLearnedState() {
 	learned, found, err := p.state.LoadLearnedState()
 	if err == nil && found {
--- a/cmd/spantack/wire_compat_test.go
+++ b/cmd/spantack/wire_compat_test.go
@@ -15,8 +15,8 @@
 	"spantack/routing"
 )
 
-// Guards against a change of the metrics, which dashboards read by name. testdata/figures.txt is the output of
-// the program at commit e67ffc3. It must never be changed to match a later one.
+// Guards against a change of the metrics, which dashboards read by name. testdata/figures.txt is the output of the
+// program at commit e67ffc3. It must never be changed to match a later commit.
 func TestMetricsAreUnchanged(t *testing.T) {
 	text, err := os.ReadFile("testdata/figures.txt")
 	if err != nil {
@@ -79,7 +79,7 @@
 			names := quoted.FindAllStringSubmatch(first, -1)
 			for _, name := range names {
 				full := name[1]
-				if strings.HasPrefix(full, ".") { // stands for the row's first name with its last part replaced
+				if strings.HasPrefix(full, ".") { // a suffix: replaces the last part of the row's first name
 					full = names[0][1][:strings.LastIndex(names[0][1], ".")] + full
 				}
 				named = append(named, strings.Replace(full, "CLASS", "page", 1))
