--- a/lab/process/admin_test.go
+++ b/lab/process/admin_test.go
@@ -119,8 +119,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// On a busy machine, a request sent before the call to include may reach a router after it. So requests that
-		// arrive after includedAt are not counted as errors.
+		// On a busy machine, a request that was sent before the cache was included may reach a router afterwards.
+		// Requests that arrive after includedAt are therefore not counted as errors.
 		switch {
 		case number >= firstExcluded && request.ArrivedAt.Before(includedAt):
 			between++
--- a/lab/process/cells_test.go
+++ b/lab/process/cells_test.go
@@ -100,8 +100,8 @@
 	after := cellsFeatures(t, 2, "two", "one")
 	d := startDeployment(t, Options{Routers: 2, EdgeCaches: 4, ResponseDelay: time.Millisecond, Features: before})
 	// maxInFlight is less than half of a router's initial concurrency limit of 10 at a cache. So the caches of a cell
-	// are never full, and no late response reduces their limits. Without this bound, on a busy machine, more requests
-	// could be in flight than the limit allows, and routers would correctly reject them.
+	// are never full, and no late response reduces their limits. Without maxInFlight, on a busy machine, more requests
+	// than the limit could be in flight, and routers would correctly reject the excess.
 	const maxInFlight = 4
 	load := func(seed uint64, requests int) Load {
 		return Load{Seed: seed, Requests: requests, Interval: time.Millisecond, ConnsPerRouter: 2,
--- a/lab/process/coldcaches_test.go
+++ b/lab/process/coldcaches_test.go
@@ -15,8 +15,8 @@
 	initialShare      float64       // capacity at the start, as a fraction of the full capacity
 	slowStart         time.Duration // duration of the slow start
 	overloadMultiple  float64       // load that a cache tolerates, as a multiple of its current capacity
-	overloadWindow    time.Duration // duration for which it tolerates that load
-	requestsPerWindow float64       // that a warm cache serves in overloadWindow
+	overloadWindow    time.Duration // duration for which a cache tolerates that load
+	requestsPerWindow float64       // requests that a warm cache serves in overloadWindow
 }
 
 // newColdBudget returns the budget that the settings define, for requests of a mean size.
@@ -177,7 +177,7 @@
 	sent := make(chan Tally, 1)
 	clients := burstClients(d)
 	go func() { sent <- test.load.send(t, clients) }()
-	time.Sleep(300 * time.Millisecond) // so that the burst has begun
+	time.Sleep(300 * time.Millisecond) // wait until the burst has begun
 	startedAt := map[string]time.Time{}
 	for i := range coldCaches {
 		before := time.Now()
--- a/lab/process/demo.go
+++ b/lab/process/demo.go
@@ -65,8 +65,8 @@
 	return float64(tally.Latency.ValueAtQuantile(percent)) / 1000
 }
 
-// countHits counts, by class, the requests that reached servers (lookups), and those of them for an object and chunk
-// that the same server was asked for before (hits).
+// countHits counts lookups and hits by class. Every request that reached a server is a lookup. It is also a hit if an
+// earlier request to the same server was for the same object and chunk.
 func countHits(requests []cache.Request) (lookups, hits map[string]int) {
 	lookups = map[string]int{}
 	hits = map[string]int{}
--- a/lab/process/deployment.go
+++ b/lab/process/deployment.go
@@ -40,7 +40,7 @@
 	// HasAdminAPI gives each router an address for the admin API, and a listening socket that later processes of the
 	// router inherit.
 	HasAdminAPI bool
-	// HasGossip connects the routers by Deployment.Mesh, over which they exchange datagrams.
+	// HasGossip makes routers exchange datagrams, through Deployment.Mesh.
 	HasGossip bool
 	// GossipSeed is the seed of random datagram faults.
 	GossipSeed uint64
--- a/lab/process/load.go
+++ b/lab/process/load.go
@@ -25,8 +25,8 @@
 	objectKB = 20
 	// clientTimeoutMillis is how long a client waits for a response.
 	clientTimeoutMillis = 3000
-	// loadStream is the second half of the seed of a load's random numbers, which keeps them independent of other
-	// random numbers with the same seed.
+	// loadStream is the second half of the seed of a load's random numbers. It makes them independent of other random
+	// numbers that use the same Load.Seed.
 	loadStream = 0x10ad
 )
 
@@ -37,9 +37,11 @@
 	Interval time.Duration // between two requests, over all routers
 	// ConnsPerRouter is the number of connections to each router. Each request is sent on a random connection.
 	ConnsPerRouter int
-	// MaxInFlight bounds the requests in flight. At the bound, the next request waits for a response. 0 means no bound.
+	// MaxInFlight bounds the requests in flight. At the bound, the next request is sent when one in flight ends. 0
+	// means no bound.
 	MaxInFlight int
-	// Families is the number of object families. Each belongs to one tenant.
+	// Families is the number of object families. A family is a group of objects with the same name prefix, and belongs
+	// to one tenant.
 	Families         int
 	ObjectsPerFamily int
 	// FloodFamily gets the fraction FloodFactor/(1+FloodFactor) of the requests. The other requests are spread evenly
@@ -51,8 +53,8 @@
 	// OnResponse, if not nil, is called with the number of requests that have ended. Calls come from several
 	// goroutines, one at a time.
 	OnResponse func(done int)
-	// Reconnects makes a client open a new connection when one was closed, and resend, once, a request that was in
-	// flight when its connection closed, as clients of the platform do.
+	// Reconnects makes a client open a new connection when its connection was closed. A request that was in flight on
+	// the closed connection is resent once. Clients of the platform do the same.
 	Reconnects bool
 }
 
@@ -73,7 +75,7 @@
 }
 
 // RunLoad sends the load and waits for all responses. The requests and their order depend on the seed only, but their
-// timing is not reproducible. When ctx ends, it stops early and returns the result so far with the error of ctx.
+// timing is not reproducible. When ctx ends, RunLoad stops early and returns the result so far with the error of ctx.
 func (d *Deployment) RunLoad(ctx context.Context, load Load) (*LoadResult, error) {
 	run := &loadRun{load: load, rng: rand.New(rand.NewPCG(load.Seed, loadStream)), result: newLoadResult(load.Families)}
 	defer run.close()
--- a/lab/process/readiness_test.go
+++ b/lab/process/readiness_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// endpointsDocument returns the endpoint list in the form that the configuration has. A router uses it from its start
-// until the discovery service responds.
+// endpointsDocument returns the endpoint list in the format of the configuration. A router uses this list from its
+// start until the discovery service responds.
 func endpointsDocument(d *Deployment) map[string]any {
 	settings := Settings(d.options.Routers)
 	zones := settings["Zones"].([]string)
@@ -136,7 +136,7 @@
 }
 
 // checkRoutersForward sends each router requests until one is served, and checks by the request log that each router
-// forwarded one. So a router that reported ready without knowing any server fails the test.
+// forwarded one. A router that reported ready without knowing any server fails the test.
 func checkRoutersForward(t *testing.T, d *Deployment, round int) {
 	t.Helper()
 	rankByRequest := map[string]int{}
--- a/lab/process/rollout_test.go
+++ b/lab/process/rollout_test.go
@@ -132,9 +132,9 @@
 	return true
 }
 
-// Objects are replaced under the same names on two routers, from the opening of the ring until the rollback in the
-// document. Every attempt for these objects, at every server, states the maximum age of copies that is allowed in its
-// cell at that time, and no request is rejected.
+// Two routers apply a release that replaces objects under the same names, from the time when its ring opens until the
+// document's RollbackAt. Every attempt for these objects, at every server, states the maximum age of copies that is
+// allowed at that time in the cell of the object's tenant. No request is rejected.
 func TestObjectReplacementLimitsCopyAge(t *testing.T) {
 	const oldCopyMaxAge = 3_600_000 // ms
 	since := float64(time.Now().UnixMilli()) + 5000
--- a/lab/process/router.go
+++ b/lab/process/router.go
@@ -21,7 +21,7 @@
 	readyTimeout = 10 * time.Second
 	// readyPollInterval is the time between two health checks of waitUntilReady.
 	readyPollInterval = 20 * time.Millisecond
-	// readyDialTimeoutMillis is the dial timeout of such a health check.
+	// readyDialTimeoutMillis is the dial timeout of a health check of waitUntilReady.
 	readyDialTimeoutMillis = 200
 	// stopTimeout is how long a router may take to exit after SIGTERM.
 	stopTimeout = 6 * time.Second
@@ -39,7 +39,7 @@
 	exited       chan struct{} // closed when the process has exited
 	exitErr      error         // result of the process; set before exited is closed
 	restartCount int           // number of earlier processes of this router
-	listener     *os.File      // listening socket that its processes inherit; nil: they open one
+	listener     *os.File      // listening socket that the router's processes inherit; nil: each opens its own
 }
 
 // Build compiles the router binary into a folder and returns its path. It needs the Go tool chain, and a working
@@ -53,8 +53,8 @@
 	return binary, nil
 }
 
-// startRouter starts a process of the router of the given rank. previous is the earlier process, whose address and
-// configuration the new one uses; nil: there is none, and the router gets a new address and configuration.
+// startRouter starts a process of the router of the given rank. The new process uses the address and configuration of
+// previous, the router's earlier process. If previous is nil, the router gets a new address and configuration.
 func (d *Deployment) startRouter(rank int, previous *Router) (*Router, error) {
 	r := &Router{exited: make(chan struct{})}
 	if previous != nil {
@@ -175,7 +175,8 @@
 // Signal sends a signal to the router's process.
 func (r *Router) Signal(s syscall.Signal) error { return r.cmd.Process.Signal(s) }
 
-// Freeze stops a router's process for a duration, as on a machine without free CPU, and then resumes it.
+// Freeze stops a router's process for a duration, and then resumes it. Like a process on a machine without free CPU, it
+// does nothing in the meantime.
 func (r *Router) Freeze(duration time.Duration) error {
 	if err := r.Signal(syscall.SIGSTOP); err != nil {
 		return err
--- a/lab/process/servers.go
+++ b/lab/process/servers.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// cacheWeight is the weight of each server in the endpoint list. It states how many responses a server sends
+	// cacheWeight is the weight of each server in the endpoint list: the number of responses that a server sends
 	// concurrently.
 	cacheWeight = 4
 	// upstreamDelayFactor is the delay of parents and the origin, divided by the delay of an edge cache.
--- a/lab/process/topology_test.go
+++ b/lab/process/topology_test.go
@@ -11,8 +11,8 @@
 	"spantack/internal/features"
 )
 
-// topologyWithParents returns a topology of the site, the origin and the parents with the given indexes, each of which
-// is a parent group.
+// topologyWithParents returns a topology of the site, the origin and the parents with the given indexes. Each parent is
+// a parent group.
 func topologyWithParents(version int64, parents ...int) *hierarchy.Topology {
 	topology := &hierarchy.Topology{
 		Version: version,
@@ -77,8 +77,8 @@
 	return sources
 }
 
-// onlySource checks that all fills of an object named the same parent, one of the given ones, and returns the parents
-// by object.
+// onlySource checks that all fills of an object were sent to the same parent, and that it is one of the given parents.
+// It returns the parents by object.
 func (f fillSources) onlySource(t *testing.T, parents ...int) map[string]string {
 	t.Helper()
 	parentOf := map[string]string{}
@@ -95,9 +95,9 @@
 }
 
 // Two routers with three parents reload their topology on SIGHUP. Both routers fill an object from the same parent. A
-// topology with a cycle is rejected and changes nothing. A valid one moves only those fills to another parent whose
-// hash requires it. When a parent dies but stays in the endpoint list, fills go to others. Every request gets one
-// correct response.
+// topology with a cycle is rejected and changes nothing. A valid one moves a fill to another parent only if the hash of
+// its object requires it. When a parent dies but stays in the endpoint list, fills go to the other parents. Every
+// request gets one correct response.
 func TestTopologyReloadMovesOnlyRequiredFills(t *testing.T) {
 	d := startDeployment(t, Options{
 		Routers:       2,
@@ -142,8 +142,8 @@
 	checkNoOverlaps(t, d)
 }
 
-// checkDeadParentAvoided checks that at most 10% of the objects had a fill that named the dead parent, the last one.
-// Some do, because routers probe it.
+// checkDeadParentAvoided checks that at most 10% of the objects had a fill that was sent to the dead parent, the last
+// of the parents. Some objects have such a fill, because routers probe the dead parent.
 func checkDeadParentAvoided(t *testing.T, sources fillSources) {
 	t.Helper()
 	misdirected := 0
