--- a/lab/scenario/leases.go
+++ b/lab/scenario/leases.go
@@ -19,11 +19,11 @@
 	holderTimeout = 20 * time.Second
 	// holderPollInterval is the time between two polls of all routers during that search.
 	holderPollInterval = 200 * time.Millisecond
-	// logTime is the time that a router gets to log its counters.
+	// logTime is how long reportedLimit waits for a router to log its counters.
 	logTime = 100 * time.Millisecond
 	// fleetLevel is the level of the fleet in a lease tree with one level of groups.
 	fleetLevel = 2
-	// unknownHolder is used instead of a rank if the lease holder is not known.
+	// unknownHolder stands for the rank of a lease holder that is not known.
 	unknownHolder = -1
 )
 
--- a/lab/scenario/player.go
+++ b/lab/scenario/player.go
@@ -38,7 +38,7 @@
 	result     *Result
 	startedAt  time.Time
 	killed     []int      // ranks of the killed routers
-	unfrozen   chan error // receives the result when a frozen router resumes; nil: none is frozen
+	unfrozen   chan error // receives the error of Router.Freeze when a frozen router resumes; nil: none is frozen
 }
 
 // Run runs the scenario. The error is a failure of the deployment; unmet conditions of steps are in the result.
--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -13,13 +13,13 @@
 type StepResult struct {
 	Step           string  `json:"step"`
 	MaxInFlight    int     `json:"most"`            // maximum of fills in flight at the origin
-	Bound          int     `json:"bound"`           // on the fills in flight, as it applied at the end of the step
+	Bound          int     `json:"bound"`           // bound on the fills in flight at the end of the step
 	Fills          int     `json:"fills"`           // fills that reached the origin
-	TookSeconds    float64 `json:"tookS"`           // until the condition that ends the step held; otherwise its duration
+	TookSeconds    float64 `json:"tookS"`           // time until the step ended early; its DurationSeconds if it did not
 	UnmetCondition string  `json:"fault,omitempty"` // first unmet condition; empty: none
-	// FailedParentFills is the number of fills that named the dead parent after the settle time.
+	// FailedParentFills is the number of fills that were sent to the failed parent after the settle time.
 	FailedParentFills int `json:"named,omitempty"`
-	MaxDials          int `json:"tries,omitempty"` // of the discovery service, within any dialWindow
+	MaxDials          int `json:"tries,omitempty"` // maximum of dials of the discovery service in any dialWindow
 	DialBound         int `json:"triesMay,omitempty"`
 }
 
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,6 +1,6 @@
 // Package scenario injects scripted faults into a fleet of router processes on loopback, and checks that it keeps its
-// bounds. Results are based on the requests that reached the stand-ins and on the responses that clients got. Reports
-// of the routers themselves are used only to choose the targets of faults.
+// bounds. Results are based on the requests that reached the stand-ins and on the responses that clients got. What the
+// routers themselves report is used only to choose the targets of faults.
 package scenario
 
 import (
@@ -25,7 +25,7 @@
 type Conditions struct {
 	LossRate      float64 `json:"loss,omitempty"`     // fraction of the datagrams, 0 to 1
 	DuplicateRate float64 `json:"double,omitempty"`   // fraction of the datagrams, 0 to 1
-	DelayMillis   float64 `json:"delayMs,omitempty"`  // of each datagram
+	DelayMillis   float64 `json:"delayMs,omitempty"`  // delay of each datagram
 	JitterMillis  float64 `json:"jitterMs,omitempty"` // random additional delay, which reorders datagrams
 
 	// The numbers of partitions: of consecutive ranks, and of interleaved ranks. 0 or 1 means that the network is not
@@ -88,7 +88,7 @@
 	FreezeSeconds  float64     `json:"freezeS,omitempty"`
 
 	DurationSeconds float64 `json:"forS"`              // above 0, at most maxStepSeconds
-	SettleSeconds   float64 `json:"settleS,omitempty"` // after which IsLimitedToFloors and MaxFailedParentFills must hold
+	SettleSeconds   float64 `json:"settleS,omitempty"` // time until IsLimitedToFloors and MaxFailedParentFills must hold
 
 	// MustExceedFloors requires that the fills in flight exceed the sum of the floors by a quarter. The step ends when
 	// they do.
@@ -97,14 +97,14 @@
 	MustFill          bool `json:"fills,omitempty"`  // fills must reach the origin
 
 	KillsParent bool `json:"lose,omitempty"` // kills the first parent and leaves it in the endpoint list
-	// MaxFailedParentFills is the maximum of fills that name the dead parent as their source after SettleSeconds; nil:
+	// MaxFailedParentFills is the maximum number of fills that are sent to the dead parent after SettleSeconds; nil:
 	// not checked.
 	MaxFailedParentFills *int `json:"named,omitempty"`
 	LimitSlack           int  `json:"slack,omitempty"` // fills allowed in flight beyond the limit
 
 	Discovery     DiscoveryFault `json:"board,omitempty"`
 	ChecksDials   bool           `json:"tries,omitempty"`   // dials of the discovery service must stay within their bound
-	MustReconnect bool           `json:"allBack,omitempty"` // all running routers must be connected, which ends the step
+	MustReconnect bool           `json:"allBack,omitempty"` // all running routers must be connected; this ends the step
 }
 
 // Scenario is the content of one file: a deployment, a load and a sequence of steps.
@@ -119,7 +119,7 @@
 	HasVerdicts bool `json:"verdicts,omitempty"`
 	GroupSize   int  `json:"group,omitempty"` // routers per group of the lease tree; 0: no tree
 
-	CacheDelayMillis      float64    `json:"delayMs"` // of an edge cache; parents and the origin are slower
+	CacheDelayMillis      float64    `json:"delayMs"` // response delay of an edge cache; parents and the origin are slower
 	RequestIntervalMillis float64    `json:"everyMs"` // between two requests, over all routers
 	Conditions            Conditions `json:"conditions"`
 	Steps                 []Step     `json:"steps"`
--- a/lab/scenario/step.go
+++ b/lab/scenario/step.go
@@ -85,8 +85,8 @@
 	return run
 }
 
-// sample reads the request log once, resets connections and applies or removes partitions when they are due, and ends
-// the step when the condition that it waits for holds.
+// sample reads the request log once and checks the fills in flight. It resets connections and applies or removes
+// partitions when these are due. It ends the step when the condition that the step waits for holds.
 func (run *stepRun) sample() error {
 	if run.step.Discovery == discoveryResets && time.Since(run.resetAt) >= resetInterval {
 		run.resetAt = time.Now()
@@ -104,7 +104,7 @@
 	return run.flipPartitions()
 }
 
-// end ends the step early because the condition that it waits for holds.
+// end ends the step before its duration has passed. It is called when the condition that the step waits for holds.
 func (run *stepRun) end() {
 	run.hasEnded = true
 	run.result.TookSeconds = run.elapsed()
@@ -189,8 +189,8 @@
 	return ""
 }
 
-// failedParentFills returns the times, since the start of the step, of the fills that named the first parent after the
-// settle time; none if the step sets no bound on them.
+// failedParentFills returns the arrival times, since the start of the step, of the fills that were sent to the killed
+// parent after the settle time. It returns nil if the step sets no bound on their number.
 func (run *stepRun) failedParentFills() (times []string) {
 	if run.step.MaxFailedParentFills == nil {
 		return nil
--- a/lab/scenario/wire_compat_test.go
+++ b/lab/scenario/wire_compat_test.go
@@ -6,7 +6,7 @@
 	"spantack/internal/testfixture"
 )
 
-// The form of result.json, as spanlab scenario run writes it, does not change. Every field is set.
+// The format of result.json, as spanlab scenario run writes it, does not change. Every field is set.
 func TestStoredResultRoundTrip(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/result.json", " ", Result{
 		Scenario: "s1",
@@ -48,7 +48,7 @@
 	})
 }
 
-// The form of a scenario file does not change. Every field is set.
+// The format of a scenario file does not change. Every field is set.
 func TestStoredScenarioRoundTrip(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/scenario.json", " ", Scenario{
 		Title:                 "s2",
