--- a/lab/configure.go
+++ b/lab/configure.go
@@ -56,9 +56,9 @@
 	return err
 }
 
-// addCells sets the cells of an arm, and what needs cells: the release of the day and the migrations of the arm. In an
-// arm without cells, tenants are still assigned to the cells of the first arm, by name, that has cells. So the figures
-// of the arms are comparable.
+// addCells sets the cells of an arm, the release of the day and the migrations of the arm. Releases and migrations need
+// cells. An arm without cells only uses the tenant assignment of another arm: the one with cells whose name sorts
+// first. This makes the figures of all arms comparable.
 func (e *Experiment) addCells(cfg *emulator.Config, size string, arm Arm, day Day) error {
 	cellCount := arm.Cells.forSize(size)
 	plannedCellCount := cellCount
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -17,14 +17,14 @@
 	Title string                     `json:"title"`
 	Sizes map[string]emulator.Config `json:"sizes"`
 
-	// Trials by size, used instead of a world: of topologies, of limits at the origin, and of a limit shared by a
-	// fleet.
+	// Trials by size, used instead of a world. They compare topologies, limits at the origin, or methods of sharing a
+	// limit in a fleet.
 	TopologyTrials    map[string]emulator.TopologyTrial    `json:"shapes,omitempty"`
 	OriginLimitTrials map[string]emulator.OriginLimitTrial `json:"shield,omitempty"`
 	FleetLimitTrials  map[string]emulator.FleetLimitTrial  `json:"tier,omitempty"`
 
-	// WatchedTenant is the tenant that causes the flood or poison on some days. On the other days its requests are
-	// counted separately too, so that the days can be compared. Below 0: none.
+	// WatchedTenant is the tenant that causes the flood or poison on some days. Its requests are counted separately on
+	// the other days too. This makes the days comparable. Below 0: none.
 	WatchedTenant int            `json:"watch"`
 	Arms          map[string]Arm `json:"arms"`
 	Days          map[string]Day `json:"days"`
@@ -54,7 +54,7 @@
 	ForgetsAbandonedFills bool                               `json:"forget,omitempty"`
 	TopologyStyle         string                             `json:"shape,omitempty"`
 	Migrations            map[string]*emulator.MigrationSpec `json:"trip,omitempty"` // by size
-	Gossip                *emulator.Gossip                   `json:"talk,omitempty"` // about overloaded parents
+	Gossip                *emulator.Gossip                   `json:"talk,omitempty"` // datagrams about overloaded parents
 	Deployment            *emulator.Deployment               `json:"site,omitempty"` // replaces the world's deployment
 }
 
@@ -102,7 +102,7 @@
 	ExtraLossRatio           float64 `json:"loss,omitempty"` // of datagrams, added to the loss ratio of the world
 
 	FailureSeconds float64           `json:"deadAtS,omitempty"`
-	Release        *emulator.Release `json:"release,omitempty"` // a new version of objects
+	Release        *emulator.Release `json:"release,omitempty"` // release of a new version of objects
 	// Worlds is the number of worlds, each with its own seed, that emulate the day. 0 means one.
 	Worlds    CountBySize         `json:"worlds,omitempty"`
 	HotObject *emulator.HotObject `json:"hot,omitempty"` // a new object in high demand
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -129,7 +129,8 @@
 	opensAtSeconds := cfg.Release.Rollout.Rings[0].OpensAt / 1000
 	stopped, passed := 0.0, 0.0 // counts of worlds
 	violations := 0.0
-	// from the opening of the first ring to the stop, summed over the worlds in which a router stopped the release
+	// seconds from the opening of the first ring to the stop, summed over the worlds in which a router stopped the
+	// release
 	stopSeconds := 0.0
 	var answers, pending, early, rolledBack int64
 	for i := range worlds {
@@ -150,7 +151,7 @@
 	if cfg.Release.ReplacesObjects {
 		r.Figures["renewed"] = float64(answers)
 		r.Figures["restored"] = float64(rolledBack)
-		r.Figures["early"] = roundFigure(ratio(early, pending)) // of responses in cells without the release
+		r.Figures["early"] = roundFigure(ratio(early, pending)) // fraction of responses in cells without the release
 	}
 	count := float64(len(worlds))
 	r.Figures["worlds"] = count
--- a/lab/run.go
+++ b/lab/run.go
@@ -11,8 +11,8 @@
 	"spantack/emulator"
 )
 
-// worldSeedFactor separates the seeds of days with several worlds: world i of a day has the seed worldSeedFactor times
-// the experiment's seed, plus i.
+// worldSeedFactor separates the seeds of worlds on days with several worlds. World i of a day has the seed
+// worldSeedFactor * (seed of the experiment) + i.
 const worldSeedFactor = 1_000_003
 
 // Run runs all arms on all days concurrently. progress, if not nil, is called from one goroutine after each world.
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// worldSeed returns the seed of a world of a run. On days with several worlds it depends on the experiment's seed and
-// the number of the world, but not on the arm or day, so that days with different releases have the same worlds. On
-// other days it is the experiment's seed.
+// worldSeed returns the seed of a world of a run. On days with one world it is the experiment's seed. On days with
+// several worlds it depends on the experiment's seed and the number of the world, but not on the arm or day. As a
+// result, days with different releases have the same worlds.
 func (set *worldSet) worldSeed(run, world int) uint64 {
 	if len(set.results[run]) == 1 {
 		return set.seed
--- a/lab/statistics.go
+++ b/lab/statistics.go
@@ -44,8 +44,8 @@
 	return difference
 }
 
-// String returns the mean and the half-width. It returns an empty string if the mean is NaN, as for a figure that the
-// run does not have.
+// String returns the mean and, unless it is 0, the half-width. It returns an empty string if the mean is NaN, which is
+// the case for a figure that the run does not have.
 func (i Interval) String() string {
 	if math.IsNaN(i.Mean) {
 		return ""
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("%.4g ± %.2g", i.Mean, i.HalfWidth)
 }
 
-// figureOfSeeds returns the values of a figure in the outcomes that have it.
+// figureOfSeeds returns the value of a figure for each seed whose outcome has it.
 func figureOfSeeds(outcomes []*Outcome, name string) (values []float64) {
 	for _, outcome := range outcomes {
 		if value, err := outcome.Figure(name); err == nil {
--- a/lab/wire_compat_test.go
+++ b/lab/wire_compat_test.go
@@ -10,7 +10,7 @@
 	"spantack/internal/testfixture"
 )
 
-// The form of result.json, as spanlab run writes it, does not change. Every field is set.
+// The format of result.json, as spanlab run writes it, does not change. Every field is set.
 func TestStoredOutcomesRoundTrip(t *testing.T) {
 	testfixture.ReadAndWrite(t, "testdata/outcomes.json", " ", []*Outcome{
 		{
@@ -122,7 +122,7 @@
 	}
 }
 
-// The form of an experiment file does not change. Every field is set, including those of the emulator's worlds.
+// The format of an experiment file does not change. Every field is set, including those of the emulator's worlds.
 func TestStoredExperimentRoundTrip(t *testing.T) {
 	e := testfixture.ReadBack[Experiment](t, "testdata/experiment.json", " ")
 	world := e.Sizes["s3"]
