--- a/lab/scenario/cold-start.jsonnet
+++ b/lab/scenario/cold-start.jsonnet
@@ -1,7 +1,7 @@
 // The discovery service fails for all routers at once, in four ways one after the other: it refuses connections, it
 // resets each connection, it stops responding on open connections, and it is down while 70% of the routers are killed
-// and restarted. The relay in front of the service counts the dials within any 100 ms, and the open connections, which
-// show whether all routers have reconnected.
+// and restarted. The relay in front of the service counts the dials within any 100 ms. It also counts the open
+// connections, whose number shows whether all routers have reconnected.
 {
   title: 'All routers lose the discovery service at once',
   asks: 0,
--- a/lab/scenario/fleet-limits.jsonnet
+++ b/lab/scenario/fleet-limits.jsonnet
@@ -3,7 +3,7 @@
 local fair = { loss: 0.17, double: 0.1, delayMs: 1, jitterMs: 20 };
 {
   title: 'A limit at the origin while the network fails',
-  asks: 3,  // per router
+  asks: 3,  // origin fills in flight per router
   // Fraction of the limit: one fill per router, a whole number, so that the sum of the floors is an exact bound.
   floor: 1 / 3,
   delayMs: 70,  // delay of an edge cache; parents and the origin take three times as long
--- a/lab/scenario/fleet-tree.jsonnet
+++ b/lab/scenario/fleet-tree.jsonnet
@@ -1,10 +1,10 @@
 // The limit of fleet-limits, shared by a lease tree: four groups of routers, each with a lease holder that leases from
-// the lease holder of the fleet. The groups are cut off from one another, and the lease holder of a group, and later
-// that of the fleet, is killed and restarted without state.
+// the lease holder of the fleet. The groups are cut off from one another. The lease holder of a group is killed and
+// restarted without state, and later the lease holder of the fleet.
 local fair = { loss: 0.05, double: 0.1, delayMs: 1, jitterMs: 20 };
 {
   title: 'A limit at the origin by a lease tree',
-  asks: 3,  // per router
+  asks: 3,  // origin fills in flight per router
   // Fraction of the limit: one fill per router, a whole number, so that the sum of the floors is an exact bound.
   floor: 1 / 3,
   group: 4,
