--- a/lab/process/admin_test.go
+++ b/lab/process/admin_test.go
@@ -334,8 +334,9 @@
 }
 
 // healthOnNewConnection returns the result of a health check on a new connection. A router that has been draining for
-// some time closes a connection whose first message does not arrive within a millisecond, which a busy machine can
-// exceed. A check that crosses such a close is repeated on another connection, as clients do.
+// some time closes a connection whose first message does not arrive within a millisecond. On a busy machine the message
+// can take longer. If the connection is closed during the check, the check is repeated on another connection, as
+// clients do.
 func healthOnNewConnection(t *testing.T, r *Router) (isReady bool, err error) {
 	t.Helper()
 	waitUntil(t, "a health check to be answered on a new connection", func() bool {
--- a/lab/process/coldcaches_test.go
+++ b/lab/process/coldcaches_test.go
@@ -34,8 +34,8 @@
 }
 
 // maxRequests returns the maximum of requests that a cache may get in an overload window that begins when the cache has
-// the given age. It is the budget at the beginning of the window, where it is lowest, plus a margin of two standard
-// deviations for chance.
+// the given age. The result is the budget at the beginning of the window, where the budget is lowest, plus a margin for
+// chance: two standard deviations and two requests.
 func (b coldBudget) maxRequests(age time.Duration) int {
 	capacity := min(b.initialShare+(1-b.initialShare)*max(age.Seconds(), 0)/b.slowStart.Seconds(), 1)
 	requests := b.overloadMultiple * capacity * b.requestsPerWindow
@@ -149,8 +149,8 @@
 
 // Two of eight caches are replaced by cold ones during a burst that would overload a cold cache. The requests that
 // reach them from all processes in any overload window, by the caches' request logs, stay within the budget of the
-// settings, with a margin for chance. This also holds if objects take two or six times as long to send as the settings
-// of their class suggest, which routers can only learn from responses.
+// settings, with a margin for chance. The same holds if objects take two or six times as long to send as the settings
+// of their class suggest. Routers can learn this only from responses.
 func TestColdCachesStayWithinBudget(t *testing.T) {
 	twiceAsSlow := burst{requests: 1400, objects: 600, interval: 3 * time.Millisecond, minKB: 100, maxKB: 700}
 	sixTimesAsSlow := burst{requests: 1400, objects: 600, interval: 3 * time.Millisecond, minKB: 60, maxKB: 2340}
--- a/lab/process/deployment.go
+++ b/lab/process/deployment.go
@@ -20,7 +20,7 @@
 // Options describes a deployment. Only Routers is required.
 type Options struct {
 	Routers int
-	// Sites is the number of sites, over which edge caches and routers are distributed round-robin. 0 means 1.
+	// Sites is the number of sites. Edge caches and routers are distributed over them round-robin. 0 means 1.
 	Sites      int
 	EdgeCaches int
 	// Parents is the number of parents, which all sites share. 0 means 1.
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// Stop stops all processes and servers and removes the files of the deployment. Routers get SIGTERM, and are killed if
-// they do not exit within stopTimeout, which is an error.
+// Stop stops all processes and servers and removes the files of the deployment. Routers get SIGTERM. A router that
+// does not exit within stopTimeout is killed, and Stop returns an error.
 func (d *Deployment) Stop() error {
 	var errs []error
 	for _, r := range d.Routers {
--- a/lab/process/gossip.go
+++ b/lab/process/gossip.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			return err
 		}
-		defer conn.Close() // stays open until all addresses are chosen, so that they differ
+		defer conn.Close() // open until all addresses are chosen, which makes them differ
 		d.gossipAddrs = append(d.gossipAddrs, netip.MustParseAddrPort(conn.LocalAddr().String()))
 	}
 	d.Mesh, err = link.NewMesh(d.options.GossipSeed, slices.Clone(d.gossipAddrs))
--- a/lab/process/migration_test.go
+++ b/lab/process/migration_test.go
@@ -17,7 +17,7 @@
 // moverFamily is the prefix of the object names of the tenant "mover".
 const moverFamily = "00"
 
-// moverCells defines three cells. The tenant "mover", which is migrated, is in the first of them.
+// moverCells defines three cells. The tenant "mover" is migrated; it starts in the first cell.
 var moverCells = cells.Spec{
 	Version: 1,
 	Scheme:  cells.SchemeFixed,
--- a/lab/process/readiness_test.go
+++ b/lab/process/readiness_test.go
@@ -38,7 +38,7 @@
 		}
 		t.Cleanup(func() {
 			cancel()
-			_ = loop.Wait() // it was killed, so that Wait returns an error
+			_ = loop.Wait() // returns an error, because the loop was killed
 		})
 	}
 }
@@ -96,8 +96,8 @@
 	return client.Ready(ctx)
 }
 
-// restartRouters kills count routers, those with the lowest ranks, restarts them all at once, and returns the sorted
-// times until they were ready.
+// restartRouters kills the count routers with the lowest ranks and restarts all of them at the same time. It returns
+// the sorted times until they were ready.
 func restartRouters(t *testing.T, d *Deployment, count int) (times []time.Duration) {
 	t.Helper()
 	for _, r := range d.Routers[:count] {
--- a/lab/process/settings.go
+++ b/lab/process/settings.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// Classes are the names of the request classes in Settings: video in chunks, whose copies do not expire; catalogue
-// objects, whose copies expire; and uncacheable reports with idempotency keys.
+// Classes are the names of the request classes in Settings. Videos are requested in chunks, and their copies do not
+// expire. Copies of catalogue objects expire. Reports are uncacheable and have idempotency keys.
 var Classes = []string{classVideo, classCatalogue, classReport}
 
 // Names of the request classes.
@@ -126,7 +126,7 @@
 	return filepath.Join(d.dir, routerName(rank)+".json")
 }
 
-// Configure writes the configuration of the router of the given rank in the form that the platform uses. The router
+// Configure writes the configuration of the router of the given rank in the format that the platform uses. The router
 // reads it at its start and on SIGHUP. edit, if not nil, can change the document before it is written.
 func (d *Deployment) Configure(rank int, edit func(doc map[string]any)) error {
 	doc := map[string]any{
--- a/lab/process/tally.go
+++ b/lab/process/tally.go
@@ -73,7 +73,7 @@
 	default:
 		t.Served++
 		if t.Latency != nil {
-			_ = t.Latency.RecordValue(latency.Microseconds()) // fails for a latency above maxLatencyMicros, which is omitted
+			_ = t.Latency.RecordValue(latency.Microseconds()) // fails above maxLatencyMicros; such latencies are omitted
 		}
 	}
 }
