--- a/lab/scenario/player.go
+++ b/lab/scenario/player.go
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// load returns an endless load of requests for random objects. The objects are almost always different, so that almost
-// every request needs a fill.
+// load returns an endless load of requests for random objects. The objects are almost always different. Therefore
+// almost every request needs a fill.
 func (p *player) load() process.Load {
 	return process.Load{
 		Seed:             p.options.Seed,
--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -45,8 +45,8 @@
 	inFlightCurve, boundCurve plotter.XYs // fills in flight at the origin and their bound, over seconds since the start
 }
 
-// Failures returns a line for the first unmet condition of each step, and one if the totals are wrong; none if the
-// scenario passed.
+// Failures returns one line for each step with an unmet condition, which describes the first unmet condition. If the
+// totals are wrong, it adds a line for them. It returns nil if the scenario passed.
 func (r *Result) Failures() (all []string) {
 	for _, step := range r.Steps {
 		if step.UnmetCondition != "" {
