--- a/lab/claims_test.go
+++ b/lab/claims_test.go
@@ -84,8 +84,8 @@
 	return result.Value > listed*(1+shortfallMargin)
 }
 
-// readFailingClaims reads the list of failing claims. It checks that each entry has a known experiment, a seed that is
-// run and a cause, and that none is listed twice.
+// readFailingClaims reads the list of failing claims. It checks that each entry has a known experiment, a seed that the
+// test runs and a cause, and that no claim is listed twice for the same experiment and seed.
 func readFailingClaims(t *testing.T) (listed []failingClaim) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "short_claims.json"))
@@ -146,8 +146,8 @@
 }
 
 // Every experiment passes its claims at size small with both seeds. Claims listed in short_claims.json may fail, but
-// not be worse than listed by more than shortfallMargin. A listed claim that passes again fails the test, so that the
-// list stays up to date.
+// not be worse than listed by more than shortfallMargin. A listed claim that passes again fails the test. This keeps
+// the list up to date.
 func TestEveryExperimentPassesItsClaims(t *testing.T) {
 	listed := readFailingClaims(t)
 	binary := buildSpanlab(t)
--- a/lab/configure.go
+++ b/lab/configure.go
@@ -39,7 +39,8 @@
 	cfg.HotObject = day.HotObject
 }
 
-// addArm sets the settings of an arm, except its cells and migrations, which addCells sets, and the fields for trials.
+// addArm sets the settings of an arm. It does not set the cells and migrations, which addCells sets, or the fields for
+// trials.
 func addArm(cfg *emulator.Config, arm Arm) (err error) {
 	cfg.RateLimitFactor = arm.RateLimitFactor
 	cfg.CancelsAbandonedFetches = arm.CancelsAbandonedFetches
