--- a/lab/scale/datagram.go
+++ b/lab/scale/datagram.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// Offsets in bytes in a datagram of core/fleet, whose format is described at the top of its datagram.go.
-// TestOffsetsMatchFleetCodec compares them with the real codec.
+// Offsets in bytes in a datagram of core/fleet. The format is described at the top of datagram.go in core/fleet.
+// TestOffsetsMatchFleetCodec compares the offsets with the real codec.
 const (
 	rankOffset      = 2
 	siteOffset      = 4
--- a/lab/scale/decisions.go
+++ b/lab/scale/decisions.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// endpointUpdateDelay is the time in seconds from a loss of servers to their removal from the endpoint list. The
-	// delay is at most half of the phase.
+	// endpointUpdateDelay is the time in seconds from a loss of servers to their removal from the endpoint list. In
+	// short phases the delay is shorter: at most half of the phase.
 	endpointUpdateDelay = 2
 
-	responseTime   = 20_000 // of all servers, in microseconds
+	responseTime   = 20_000 // response time of every server, in microseconds
 	responseSizeKB = 50
 )
 
@@ -40,7 +40,7 @@
 	result         *Result
 }
 
-// start replaces the engine with one that has no state but the endpoint list.
+// start replaces the engine with a new one, whose only state is the endpoint list.
 func (d *decisionRun) start() error {
 	engine, err := newEngine(d.options)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return d.clock.now() - startedAt
 }
 
-// runRequest simulates one request to its end. Each attempt is answered, and each timer fires, at once in virtual time.
+// runRequest simulates one request to its end. Responses arrive and timers fire without delay in virtual time.
 func (d *decisionRun) runRequest() {
 	d.requests++
 	events := []routing.Event{{
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -20,10 +20,10 @@
 
 // Durations in the discovery test.
 const (
-	discoveryOutage    = 30 * second  // during which the service, or the part that a router uses, is unreachable
-	regionsOutage      = 120 * second // the same for regions that are partitioned from the service
+	discoveryOutage    = 30 * second  // outage of the service, or of the part of it that a router uses
+	regionsOutage      = 120 * second // partition of regions from the service
 	failedDialTime     = 30_000       // microseconds until an attempt to connect fails during an outage
-	recoverySeconds    = 10           // after an outage; part of the same phase
+	recoverySeconds    = 10           // seconds after an outage that belong to its phase
 	steadyStateSeconds = 60
 )
 
@@ -123,10 +123,11 @@
 type discoveryCost struct {
 	phase                 Phase
 	attemptsInWorstSecond int     // maximum of attempts to connect to the service in one second
-	reconnectBytes        float64 // of all affected routers when they reconnect, without the updates that they missed
+	reconnectBytes        float64 // bytes of all affected routers when they reconnect, without missed updates
 }
 
-// cost returns the cost of the phase: the worst figures are those of an affected router, the mean is over all routers.
+// cost returns the cost of the phase. The worst figures are the figures of one affected router. The mean is over all
+// routers.
 func (p discoveryPhase) cost(o Options, clock threadCPUClock) discoveryCost {
 	startedAt := clock.now()
 	maxPerSecond, maxPerRouter := 0, 0
--- a/lab/scale/discovery_test.go
+++ b/lab/scale/discovery_test.go
@@ -11,7 +11,7 @@
 
 // Guards against frame sizes in the discovery and purges tests that differ from those of standin/discovery.
 func TestFrameSizes(t *testing.T) {
-	const lengthSize = 4 // size in bytes of the length field, whose value excludes its own size
+	const lengthSize = 4 // size in bytes of the length field; the value of the field does not include it
 	service, err := discovery.Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/lab/scale/engine.go
+++ b/lab/scale/engine.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// Multipliers that spread small numbers over all bits of a name.
+// Multipliers of a multiplicative hash. It spreads successive numbers over all hex digits of a name.
 const (
 	objectMultiplier = 0x9e3779b97f4a7c15
 	serverMultiplier = 2654435761
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -13,9 +13,9 @@
 	discoveryServiceMachines = 49
 
 	secondsPerDay            = 24 * 60 * 60
-	purgesPerSecond          = 240                        // of the whole fleet
-	endpointChangesPerSecond = 18_000.0 / secondsPerDay   // of the whole fleet
-	peakRequestsPerSecond    = 7_900_000.0 / FleetRouters // of one router
+	purgesPerSecond          = 240                        // for the whole fleet
+	endpointChangesPerSecond = 18_000.0 / secondsPerDay   // for the whole fleet
+	peakRequestsPerSecond    = 7_900_000.0 / FleetRouters // for one router
 )
 
 // DefaultSizes are the numbers of routers that a test runs with by default.
--- a/lab/scale/fleetrun.go
+++ b/lab/scale/fleetrun.go
@@ -34,7 +34,7 @@
 	steadyState int64
 	fault       int64
 	partition   int64
-	settle      int64 // after the end of a fault; part of a measured phase only after a partition
+	settle      int64 // time after a fault has ended; measured only after a partition
 }
 
 var (
@@ -150,9 +150,9 @@
 	meanCPU /= float64(len(running))
 	phase, index := newPhase(scenario, seconds, traffics)
 	busiest := running[index]
-	// Only one router of the fleet is the busiest; the other routers cost the mean of the other simulated processes.
-	// When routers request a lease from several holders, for instance when most have just started, the holders
-	// are too large a part of a sample, and this mean is too high.
+	// Only one router of the fleet is the busiest. Every other router is counted with the mean of the other simulated
+	// processes. This mean is too high when routers request a lease from several holders, for instance when most have
+	// just started: the fraction of holders is larger in the sample than in the fleet.
 	busiestBytes := float64(busiest.traffic.bytes)
 	routers := float64(w.routers)
 	othersMean := (total - busiestBytes) / float64(len(running)-1)
@@ -162,7 +162,7 @@
 	return phase
 }
 
-// affectedRanks returns the ranks of the routers that a scenario stops; for ProcessLost it is processLostRank.
+// affectedRanks returns the ranks of the routers that a scenario stops. For ProcessLost this is only processLostRank.
 func (f *fleetRun) affectedRanks(scenario Scenario, processLostRank int) []int {
 	w := f.world
 	last := w.processes[len(w.processes)-1]
@@ -182,10 +182,12 @@
 	return nil
 }
 
-// stopAndRestart simulates a fault that stops routers, and starts them again. For ProcessLost it adds a metric: without
-// limits, the fraction of the processes that have detected the loss; with limits, the time until most had a lease
-// holder again. The fraction is usually below 1: for minutes after a cold start, nodes still pass on updates about it,
-// and the update about the loss waits in the same queue.
+// stopAndRestart simulates a fault that stops routers, and starts them again. For ProcessLost it adds a metric. In a
+// world without limits, this is the fraction of the processes that have detected the loss. In a world with limits, it
+// is the time until most processes have a lease holder again.
+//
+// The fraction is usually below 1. For minutes after a cold start, nodes still pass on updates about the start, and the
+// update about the loss waits in the same queue.
 func (f *fleetRun) stopAndRestart(scenario Scenario, processLostRank int) error {
 	ranks := f.affectedRanks(scenario, processLostRank)
 	f.world.stop(ranks)
@@ -208,8 +210,9 @@
 // maxLeaseRecoverySeconds is the maximum time from the loss of a holder until the wait for a new one ends.
 const maxLeaseRecoverySeconds = 30
 
-// awaitNewLeaseHolder simulates until more than half of the processes have a new holder after the loss of the previous
-// one, or maxLeaseRecoverySeconds have passed. It adds the time since the loss to the result.
+// awaitNewLeaseHolder simulates until more than half of the processes have a new holder, or until
+// maxLeaseRecoverySeconds have passed since the loss of the previous holder. It adds the time since the loss to the
+// result.
 func (f *fleetRun) awaitNewLeaseHolder() error {
 	const step = second / 2
 	took := f.seconds.fault * second
--- a/lab/scale/leases.go
+++ b/lab/scale/leases.go
@@ -71,8 +71,8 @@
 	message  lease.Message
 }
 
-// leaseWorld simulates the leases of a fleet, with every router in full. Routers know at once which others are up; the
-// membership test measures how they detect that.
+// leaseWorld simulates the leases of a fleet, with every router in full. Routers know without delay which other routers
+// are up. How they detect failed routers is measured by the membership test.
 type leaseWorld struct {
 	rng           *rand.Rand
 	seed          uint64
@@ -82,7 +82,7 @@
 	routers       []*leaseRouter // by rank
 	calendar      calendar[leaseDelivery]
 	isPartitioned bool  // messages pass only within regions
-	err           error // of a failed start of a node; the simulation then stops
+	err           error // error of a failed start of a node; the simulation then stops
 }
 
 func newLeaseWorld(o Options) *leaseWorld {
@@ -241,8 +241,9 @@
 // addUsedFraction adds the current usedFraction to the result as a metric.
 func (r *leaseRun) addUsedFraction(metric string) { r.result.addMetric(metric, r.world.usedFraction()) }
 
-// stopAndRestart simulates the loss of routers. It waits until the limit has recovered, for at most lease.RecoveryTime
-// after the loss, adds the used fraction to the result, starts the lost routers again and lets the fleet settle.
+// stopAndRestart simulates the loss of routers. It waits until the limit has recovered, but at most until
+// lease.RecoveryTime after the loss. It then adds the used fraction to the result, starts the lost routers again and
+// lets the fleet settle.
 func (r *leaseRun) stopAndRestart(scenario Scenario, ranks []int, metric string) error {
 	w := r.world
 	before := w.usedFraction()
@@ -266,8 +267,8 @@
 	return r.advance(leaseSettleSeconds * second)
 }
 
-// partitionRegions simulates a partition between all regions and the recovery from it. It adds the used fraction at the
-// end of both to the result.
+// partitionRegions simulates a partition between all regions and the recovery from it. It adds two used fractions to
+// the result: at the end of the partition, and at the end of the recovery.
 func (r *leaseRun) partitionRegions() error {
 	r.world.isPartitioned = true
 	if err := r.runPhase(RegionsPartitioned, leasePartitionSeconds); err != nil {
--- a/lab/scale/meter.go
+++ b/lab/scale/meter.go
@@ -57,7 +57,7 @@
 	return threadCPUClock{}, runtime.UnlockOSThread
 }
 
-// now returns the CPU time so far, or 0 on a system without this clock; all CPU figures are then 0.
+// now returns the CPU time so far. On a system without this clock it returns 0, and all CPU figures are 0.
 func (threadCPUClock) now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
--- a/lab/scale/purges.go
+++ b/lab/scale/purges.go
@@ -6,7 +6,7 @@
 const (
 	purgeSteadyStateSeconds = 30
 	purgePartitionSeconds   = 120
-	purgeCatchUpSeconds     = 10 // after the partition; part of the same phase
+	purgeCatchUpSeconds     = 10 // seconds after the partition that belong to its phase
 	purgeRestartSeconds     = 20
 	purgePhaseCount         = 3
 )
@@ -28,7 +28,7 @@
 }
 
 // receive makes the router receive count purges, one per interval. Each purges the copies of an object that are at
-// least age old. Interval and age are in microseconds. It returns the CPU time in seconds.
+// least age old. Interval and age are in microseconds. receive returns the CPU time in seconds.
 func (r *purgeRun) receive(count int, interval, age int64) float64 {
 	startedAt := r.clock.now()
 	for range count {
--- a/lab/scale/result.go
+++ b/lab/scale/result.go
@@ -17,13 +17,16 @@
 	PeakBytes float64 `json:"PeakBytes"`
 	// WorstDatagramsPerSecond is the maximum of any process.
 	WorstDatagramsPerSecond float64 `json:"WorstDatagramsPerSecond"`
-	// CPUPercent is CPU usage in percent of one core. In the decisions and purges tests it is that of the simulated
-	// router. In the membership and limits tests it is that of the process with the most bytes, or the mean of all
-	// running processes if that is greater. In the leases and verdicts tests it is the mean of all routers, in the
-	// discovery test the mean of the affected routers. It is the only figure that is not determined by the seed.
+	// CPUPercent is CPU usage in percent of one core. It is the only figure that the seed does not determine. Its
+	// meaning depends on the test:
+	//   - decisions and purges: usage of the simulated router
+	//   - membership and limits: usage of the process with the most bytes, or the mean of all running processes,
+	//     whichever is greater
+	//   - leases and verdicts: mean of all routers
+	//   - discovery: mean of the affected routers
 	CPUPercent float64 `json:"CPUPercent"`
-	// MemoryKB is the size of a process's state in the mechanism under test: of the process with the most bytes or, in
-	// the verdicts test, of router 0. In the discovery test it is 0.
+	// MemoryKB is the size of a process's state in the mechanism under test. The process is the one with the most
+	// bytes, in the verdicts test router 0. In the discovery test MemoryKB is 0.
 	MemoryKB float64 `json:"MemoryKB"`
 }
 
@@ -38,8 +41,8 @@
 	Test    string `json:"Test"`
 	Routers int    `json:"Routers"`
 	Seed    uint64 `json:"Seed"`
-	// SimulatedProcesses is the number of processes that are simulated in full. If it is less than Routers, each process
-	// represents several routers.
+	// SimulatedProcesses is the number of processes that are simulated in full. If it is less than Routers, each
+	// process represents several routers.
 	SimulatedProcesses int      `json:"Simulated"`
 	Phases             []Phase  `json:"Phases"`
 	Metrics            []Metric `json:"Figures"`
@@ -49,8 +52,8 @@
 	r.Metrics = append(r.Metrics, Metric{name, value})
 }
 
-// Worst returns the maximum of each figure of the worst process over all phases. Its scenario is that of the phase with
-// the most bytes per second, or of the last such phase.
+// Worst returns the maximum of each figure of the worst process over all phases. The returned scenario is the scenario
+// of the phase with the most bytes per second. If several phases have the most, it is the scenario of the last of them.
 func (r *Result) Worst() (worst Phase) {
 	for _, phase := range r.Phases {
 		if phase.WorstBytesPerSecond >= worst.WorstBytesPerSecond {
--- a/lab/scale/resultset.go
+++ b/lab/scale/resultset.go
@@ -41,8 +41,8 @@
 	"memory_factor": func(p Phase) float64 { return p.MemoryKB / RouterBudget.MemoryKB },
 }
 
-// statePerRouter is the name, in paths, of this figure: the size in bytes of a process's state (Phase.MemoryKB),
-// divided by the number of routers.
+// statePerRouter is a name in paths. Its figure is the size in bytes of a process's state (Phase.MemoryKB) divided by
+// the number of routers.
 const statePerRouter = "state_per_router"
 
 // figure returns a figure of a result. A cost is the maximum over the phases of a scenario, or over all phases if
@@ -111,17 +111,18 @@
 	return law, nil
 }
 
-// Values of SIZE in a path that select the fit over all sizes.
+// Values of SIZE in a path (see Value). They select a parameter of the power law fitted over all sizes, instead of the
+// result at one size.
 const (
 	sizeSlope = "slope" // the exponent
 	sizeError = "error" // the maximum relative error, in percent
 )
 
 // Value returns the figure at a path: TEST/SIZE/NAME or TEST/SIZE/PHASE/NAME. SIZE is a number of routers. PHASE is the
-// name of a scenario. NAME is that of a cost (see costByName), state_per_router or a metric. Without PHASE, the value
-// of a cost is the maximum over all phases. With "slope" as SIZE, Value returns the exponent of the power law fitted
-// over all sizes, with "error" the maximum relative error of that fit in percent. For several paths separated by " + "
-// it returns the sum.
+// name of a scenario. NAME is the name of a cost (see costByName), state_per_router, or the name of a metric. Without
+// PHASE, the value of a cost is the maximum over all phases. If SIZE is "slope", Value returns the exponent of the
+// power law fitted over all sizes. If SIZE is "error", it returns the maximum relative error of that fit in percent. If
+// path consists of several paths separated by " + ", Value returns the sum of their figures.
 func (s ResultSet) Value(path string) (sum float64, err error) {
 	for term := range strings.SplitSeq(path, " + ") {
 		value, err := s.lookup(term)
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -11,8 +11,8 @@
 // Numbers of processes to simulate, small enough to keep tests short with the race detector.
 const (
 	fewProcesses = 60
-	// fewestProcesses is a smaller sample, for tests that do not depend on the number of simulated processes. What a
-	// lease holder receives, for example, does not depend on it.
+	// fewestProcesses is a smaller sample, for tests that do not depend on the number of simulated processes. For
+	// example, the traffic that a lease holder receives does not depend on this number.
 	fewestProcesses = 30
 )
 
--- a/lab/scale/verdicts.go
+++ b/lab/scale/verdicts.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// broadcast sends a report of a server to all other routers. It counts as one sent datagram.
+// broadcast sends a report of a server to all other routers. The sender counts it as one datagram.
 func (w *reportWorld) broadcast(from int, server uint32) {
 	sender := w.routers[from]
 	sender.traffic.add(w.now, reportSize)
@@ -181,9 +181,10 @@
 	return ranks
 }
 
-// runVerdicts measures health reports without membership. After a steady state without reports, all routers observe the
-// same server failing, from the same moment until the end of the test: first without another fault, then with packet
-// loss, the loss of a region, a partition of regions and a mass restart, one after another.
+// runVerdicts measures health reports without membership. The test begins with a steady state without reports. Then all
+// routers observe the same server failing, from the same moment until the end of the test. The first phase with the
+// failing server has no other fault. Each of the following phases has one further fault: packet loss, the loss of
+// a region, a partition of regions, or a mass restart.
 func runVerdicts(o Options) (*Result, error) {
 	clock, release := lockThreadCPUClock()
 	defer release()
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -30,15 +30,16 @@
 // world is a fleet of core/fleet nodes in virtual time.
 //
 // If it simulates fewer processes than there are routers, process i represents all ranks r with r mod processes = i.
-// Its node is configured for a fleet of all routers. The process receives datagrams for each of its ranks and replies
-// from the rank that was addressed. Datagrams that are not replies come from one of its ranks at random. As only the
-// simulated processes send, each process sends and receives as much as one router.
+// The node of the process is configured for a fleet of all routers. The process receives datagrams for each of its
+// ranks and replies from the addressed rank. Datagrams that are not replies come from one of its ranks at random. Only
+// the simulated processes send. As a result, each process sends and receives as much as one router.
 //
-// All routers send lease requests to one router. Such a request is delivered once for each rank that its sender
-// represents, so that the receiver gets as many as if all routers were simulated. A health report is broadcast and
-// delivered once to each other process. The random waits before reports depend on the configured number of routers. The
-// number of reports that are sent before the others are suppressed does not depend on how many of these routers are
-// simulated (see core/fleet). The scale tests that use this world send no health reports.
+// All routers send lease requests to one router. A lease request is delivered once for each rank that its sender
+// represents. The receiver thus gets as many requests as if all routers were simulated.
+//
+// A health report is broadcast, and delivered once to each other process. The random waits before reports depend on the
+// configured number of routers. Some reports are sent before the others are suppressed. Their number does not depend on
+// how many routers are simulated (see core/fleet). The scale tests that use this world send no health reports.
 //
 // The ranks of one process have the same incarnation. They stop and start together, except when ProcessLost or RackLost
 // stops only some of them.
@@ -64,14 +65,14 @@
 	index       int
 	primary     int // the rank of its node
 	node        *fleet.Node
-	incarnation uint32 // of the node, which a restart replaces
+	incarnation uint32 // incarnation of the node; a restart creates a new node
 	region      int
 	zone        int
 
 	replyingAs     int    // the addressed rank while the node handles a datagram; otherwise -1
 	suspectedRanks []int  // its ranks that other nodes suspected most recently, the oldest suspicion first
 	nextSuspect    int    // nextSuspect % len(suspectedRanks) is the index of the next suspicion to refute
-	refuted        uint16 // value of this field in the last membership update that its node sent about itself
+	refuted        uint16 // value of refuted in the last membership update that the node sent about itself
 
 	traffic traffic
 	cpu     time.Duration
@@ -83,7 +84,7 @@
 	from, to    int // ranks
 	datagram    []byte
 	incarnation uint32 // for a tick: the process's incarnation when the tick was scheduled
-	forAllRanks bool   // deliver it once for each rank that the sender's process represents
+	forAllRanks bool   // the datagram is delivered once for each rank that the sender's process represents
 }
 
 func newWorld(o Options, clock threadCPUClock, processes int, limits ...fleet.Limit) (*world, error) {
@@ -162,8 +163,8 @@
 	w.calendar.add(e.at, e)
 }
 
-// pickSenderRank returns a random rank of p that is not lost. If the receiver is also a rank of p, it returns neither
-// that rank nor p's primary rank, because the node ignores datagrams from itself.
+// pickSenderRank returns a random rank of p that is not lost. If the receiver is also a rank of p, the result is
+// neither the receiver nor p's primary rank, because the node ignores datagrams from itself.
 func (w *world) pickSenderRank(p *process, to int) int {
 	if !w.isSampled() {
 		return p.primary
@@ -220,8 +221,8 @@
 	w.schedule(e)
 }
 
-// rewriteSender changes the sender of a datagram of p's node to another rank that p represents. A membership update
-// about the node becomes one about a suspected rank of p, if there is one.
+// rewriteSender changes the sender of a datagram of p's node to another rank that p represents. If p has suspected
+// ranks, a membership update about the node becomes an update about one of them.
 func (w *world) rewriteSender(p *process, rank int, datagram []byte) {
 	setSender(datagram, rank, w.siteOf(rank))
 	if operationOf(datagram) == opAck && targetOf(datagram) == p.primary {
@@ -373,8 +374,8 @@
 	return float64(matching) / float64(len(running))
 }
 
-// majorityLeaseHolder returns the rank that most processes consider the holder of the first limit. It returns fallback
-// if no rank is the holder for more processes than fallback.
+// majorityLeaseHolder returns the rank that the largest number of processes consider the holder of the first limit. If
+// no rank has more processes than fallback, it returns fallback.
 func (w *world) majorityLeaseHolder(fallback int) int {
 	counts := make([]int, w.routers)
 	best := fallback
