--- a/standin/cache/conn.go
+++ b/standin/cache/conn.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// maxOpenRequests is the maximum number of open requests of one connection; further ones are answered BUSY.
+	// maxOpenRequests is the maximum number of open requests of one connection. The response to further requests is
+	// BUSY.
 	maxOpenRequests = 64
 
 	// maxAnsweredAttempts is the maximum number of answered attempts that a connection remembers for a late DROP. When
-	// it is reached, all are removed.
+	// an attempt would exceed it, all remembered attempts are removed first.
 	maxAnsweredAttempts = 4096
 )
 
@@ -38,8 +39,8 @@
 	writeMu sync.Mutex // held for the length of a write
 
 	mu       sync.Mutex             // guards the fields below
-	open     map[string]openAttempt // by id, unique among the open requests of a connection; nil after cancelAll
-	answered map[string]*attempt    // by id, answered attempts for which a DROP may still be read
+	open     map[string]openAttempt // by request id, which is unique among open requests; nil after cancelAll
+	answered map[string]*attempt    // by request id: answered attempts for which a DROP may still be read
 }
 
 // openAttempt is an attempt that is not answered yet.
@@ -92,7 +93,8 @@
 	return true
 }
 
-// get starts to serve a request in its own goroutine, or responds BUSY if the connection has too many open ones.
+// get starts to serve a request in its own goroutine, or responds BUSY if the connection has maxOpenRequests open
+// requests.
 func (c *conn) get(request Request) {
 	cancelled := make(chan struct{})
 	if !c.begin(request, cancelled) {
@@ -163,7 +165,8 @@
 	c.open = nil
 }
 
-// send sends a response. With FaultNoReply it sends nothing, with FaultMalformed invalid bytes instead.
+// send sends a response. With FaultNoReply it sends nothing. With FaultMalformed it sends invalid bytes instead of the
+// response, and closes the connection.
 func (c *conn) send(response [][]byte, fault Fault) {
 	switch fault {
 	case FaultNoReply:
--- a/standin/cache/request.go
+++ b/standin/cache/request.go
@@ -16,7 +16,7 @@
 	FillFrom     string    // name of the server to fill a miss from; empty: a miss is not filled
 	CachedOnly   bool      // the server to fill from must use a cached copy, not the origin
 	MaxAgeMillis int64     // maximum age of an acceptable copy; 0: no limit. The server does not enforce it.
-	ArrivedAt    time.Time // when the kernel received its last bytes
+	ArrivedAt    time.Time // when the kernel received the last bytes of the request
 }
 
 // parseRequest parses the parts of a command GET ID FIELDS BODY. Fields are NAME=VALUE, separated by commas. Unknown
--- a/standin/cache/requestlog.go
+++ b/standin/cache/requestlog.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// RequestLog records the requests that the servers of one deployment received. From these it derives overlapping
-// attempts of one request and the number of concurrent fills from the origin. It is safe for concurrent use.
+// RequestLog records the requests that the servers of one deployment received, and the fills from the origin. From
+// these records it derives overlapping attempts of one request and the number of concurrent fills from the origin. It
+// is safe for concurrent use.
 type RequestLog struct {
 	mu                  sync.Mutex // guards the fields below
 	requests            []Request
@@ -28,9 +29,9 @@
 )
 
 // attempt is the time from the arrival of a GET until the server stopped working on it. Arrival times come from the
-// kernel, so the order in which this process reads its connections on a busy machine has no influence. The kernel gives
-// no time for the close of a connection; the time when this process noticed it is used. An attempt that is
-// answered ends just before its response is written.
+// kernel. Therefore the order in which this process reads its connections on a busy machine has no influence on them.
+// The kernel gives no time for the close of a connection. The time when this process detects the close is used instead.
+// An attempt that is answered ends just before its response is written.
 type attempt struct {
 	server     string
 	clientAddr string
@@ -136,8 +137,8 @@
 	return a
 }
 
-// end records when and why an attempt ended. If it is called several times, the earliest end counts: a DROP that
-// arrived before the response was sent may be read after it.
+// end records when and why an attempt ended. It may be called several times for one attempt, and the earliest time
+// counts. This happens if a DROP arrives before the response is sent, but is read afterwards.
 func (l *RequestLog) end(a *attempt, at time.Time, reason endReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/cache/requestlog_test.go
+++ b/standin/cache/requestlog_test.go
@@ -16,7 +16,8 @@
 	dropCommand = "*2\r\n$4\r\nDROP\r\n$1\r\na\r\n"
 )
 
-// startHangingServer starts an origin that leaves each GET open. It still answers PING, and BUSY to further requests.
+// startHangingServer starts an origin that leaves each GET open. It still answers PING, and responds BUSY to requests
+// beyond its limit.
 func startHangingServer(t *testing.T, id uint32, log *RequestLog) *Server {
 	t.Helper()
 	s, err := Listen(Options{ID: id, IsOrigin: true, Delay: time.Hour, RequestLog: log})
@@ -81,7 +82,7 @@
 
 // Guards against overlaps that are derived from the order in which commands are read instead of the order in which
 // they arrive. Both commands wait for the log's lock, and either may get it first. A GET that arrives after the DROP of
-// the previous attempt does not overlap it; one that arrives before the DROP does.
+// the previous attempt does not overlap it. A GET that arrives before this DROP overlaps that attempt.
 func TestOverlapsUseArrivalTimes(t *testing.T) {
 	keepArrivalTimesOn(t)
 	for name, dropFirst := range map[string]bool{"DROP, then GET": true, "GET, then DROP": false} {
@@ -93,9 +94,10 @@
 	}
 }
 
-// keepArrivalTimesOn returns once the kernel records times of arrival, and has it do so until the test ends. The kernel
-// starts some time after the first socket of the machine asks for them and stops after the last one is closed.
-// arrivalReader uses the time of the read for bytes that arrive in between.
+// keepArrivalTimesOn waits until the kernel records arrival times, and keeps this enabled until the test ends. The
+// kernel starts some time after the first socket of the machine enables receive timestamps. It stops after the last
+// such socket is closed. For bytes that arrive while the kernel records no times, arrivalReader uses the time of the
+// read.
 func keepArrivalTimesOn(t *testing.T) {
 	t.Helper()
 	listener := testwait.Listen(t)
--- a/standin/cache/response.go
+++ b/standin/cache/response.go
@@ -58,9 +58,10 @@
 	delay     time.Duration // added by the server to fill from
 }
 
-// respond returns the parts of the response to a request, and FaultNone. If a fault replaces the response, it returns
-// no response and that fault. ERR and BUSY are responses. Before it returns, respond waits for the server's delay and
-// that of the server to fill from. When the request is cancelled it returns FaultNoReply at once.
+// respond returns the parts of the response to a request, and FaultNone. ERR and BUSY are responses too. If a fault
+// replaces the response, respond returns no parts and that fault. Before it returns, it waits for the delay of the
+// server and, in case of a fill, for the delay of the server to fill from. When the request is cancelled, respond
+// returns FaultNoReply immediately.
 func (s *Server) respond(request Request, cancelled <-chan struct{}) ([][]byte, Fault) {
 	fault := FaultNone
 	if s.options.InjectFault != nil {
@@ -90,7 +91,7 @@
 	}
 }
 
-// sleep waits for d and returns true. When cancelled is closed before that, it returns false at once.
+// sleep waits for d and returns true. If cancelled is closed during the wait, it returns false immediately.
 func sleep(d time.Duration, cancelled <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -102,8 +103,8 @@
 	}
 }
 
-// fetch looks up the copy for a request. If the server has none it fills it from the server that the request names,
-// unless a fault is injected.
+// fetch looks up the copy for a request. If the server has no copy, fetch fills it from the server that the request
+// names, unless a fault is injected.
 func (s *Server) fetch(request Request, fault Fault) fetchResult {
 	createdAt, found := s.lookup(request)
 	if found || fault != FaultNone || request.FillFrom == "" || s.options.FindServer == nil {
@@ -118,8 +119,8 @@
 	return result
 }
 
-// fill returns a copy for another server. If this server has none it fetches it from the origin, unless the request
-// has CachedOnly set.
+// fill returns a copy for another server. If this server has no copy, fill fetches one from the origin, unless the
+// request has CachedOnly set.
 func (s *Server) fill(request Request) fetchResult {
 	createdAt, found := s.lookup(request)
 	switch {
--- a/standin/cache/server.go
+++ b/standin/cache/server.go
@@ -25,7 +25,8 @@
 	Listener net.Listener
 	// IsOrigin makes the server the origin, which has a fresh copy of every object.
 	IsOrigin bool
-	// Delay is the time from the arrival of a request to its response, without the delay of a fill.
+	// Delay is the time from the arrival of a request to its response. A fill adds the Delay of the server to fill
+	// from.
 	Delay time.Duration
 	// FindServer returns the server with a name, to fill a miss from, or nil if there is none. A nil function means
 	// that misses are not filled. It is called from several goroutines at once.
@@ -85,8 +86,8 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() netip.AddrPort { return netip.MustParseAddrPort(s.listener.Addr().String()) }
 
-// Close stops the server like a killed process, closing all connections without waiting for open requests to be
-// answered. It returns when all goroutines of the server have ended. It may be called several times.
+// Close stops the server like a killed process: it closes all connections without waiting for the responses to open
+// requests. It returns when all goroutines of the server have ended. It may be called several times.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
--- a/standin/cache/socket.go
+++ b/standin/cache/socket.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// Sizes in bytes for connections with small buffers. With them, the buffers of both sides together take less than
-// 32 KB of unread data, so that the write of a longer command blocks until the server reads.
+// Sizes in bytes for connections with small buffers. With these sizes, the buffers of both sides together hold less
+// than 32 KB of unread data. As a result, the write of a command of 32 KB or more blocks until the server reads.
 const (
 	smallReceiveBuffer = 1 << 10
 	smallSegment       = 536
@@ -33,7 +33,7 @@
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// setSocketOptions sets options in order. It stops at the first one that the system rejects and returns that error.
+// setSocketOptions sets options in order. It stops at the first option that the system rejects and returns the error.
 func setSocketOptions(rawConn syscall.RawConn, options ...socketOption) error {
 	var setError error
 	err := rawConn.Control(func(fd uintptr) {
--- a/standin/discovery/frame.go
+++ b/standin/discovery/frame.go
@@ -18,7 +18,7 @@
 
 // Sizes in bytes.
 const (
-	frameHeaderSize   = 9 // number (8) and kind (1), after the length field, whose value excludes its own size
+	frameHeaderSize   = 9 // number (8) and kind (1), after the length field; the length excludes that field
 	lastEventSize     = 8 // the first bytes from a router: the number of the last event that it has
 	endpointFlagsSize = 2 // always 0
 )
--- a/standin/discovery/mode.go
+++ b/standin/discovery/mode.go
@@ -23,8 +23,9 @@
 // SlowFirstFrameDelay is the delay of the first frame of a connection in mode Slow. Later frames are not delayed.
 const SlowFirstFrameDelay = 1500 * time.Millisecond
 
-// SetMode changes how the service treats connections. Mute also applies to open ones, Slow only to new ones; Down
-// closes all. It returns an error if the service cannot listen again after Down, and the service then stays down.
+// SetMode changes how the service treats connections. Mute applies to new and open connections. Slow applies only to
+// new ones. Down closes all connections. SetMode returns an error if the service cannot listen again after Down; the
+// service then stays down.
 func (s *Service) SetMode(mode Mode) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/discovery/service.go
+++ b/standin/discovery/service.go
@@ -30,8 +30,8 @@
 	changed  chan struct{}     // closed, and replaced, when an event is added
 }
 
-// Listen starts a discovery service on a loopback address that nothing else uses: a port of 127.0.0.1 might be taken
-// by another connection while the service is down. The caller stops it with Close.
+// Listen starts a discovery service on a loopback address that nothing else uses. It does not use 127.0.0.1, because
+// another connection might take the port while the service is down. The caller stops the service with Close.
 func Listen() (*Service, error) {
 	listener, err := net.Listen("tcp", loopback.FreeAddress())
 	if err != nil {
@@ -88,7 +88,7 @@
 	s.add(kindPurgeObject, binary.BigEndian.AppendUint64(payload, uint64(beforeMillis)))
 }
 
-// add appends an event and wakes up all connections.
+// add appends an event and notifies the goroutines of all connections.
 func (s *Service) add(kind frameKind, payload []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,8 +152,8 @@
 	}
 }
 
-// watch sends all events with numbers greater than lastSent, each further event when it is published, and heartbeats in
-// between. It returns when the service or the connection is closed.
+// watch sends all events with numbers greater than lastSent. It then sends each further event when it is published, and
+// heartbeats in between. It returns when the service or the connection is closed.
 func (s *Service) watch(conn net.Conn, lastSent int) {
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
@@ -178,9 +178,9 @@
 	}
 }
 
-// eventsAfter returns the frames of all events with numbers greater than lastSent, the number of the last of them, and
-// a channel that is closed when another event is added. Without such events, and in mode Mute, it returns no frames,
-// and lastSent as the last number.
+// eventsAfter returns the frames of all events with numbers greater than lastSent, the number of the last of these
+// events, and a channel that is closed when another event is added. If there are no such events, or in mode Mute, it
+// returns no frames and lastSent as the number.
 func (s *Service) eventsAfter(lastSent int) (events []byte, last int, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/discovery/service_test.go
+++ b/standin/discovery/service_test.go
@@ -60,7 +60,7 @@
 	expect(t, conn, heartbeat)
 }
 
-// expect reads the next frame, which must be want.
+// expect reads the next frame and fails the test unless it equals want.
 func expect(t *testing.T, conn io.Reader, want string) {
 	t.Helper()
 	if got := readFrame(t, conn, len(want)); got != want {
--- a/standin/link/mesh.go
+++ b/standin/link/mesh.go
@@ -13,8 +13,8 @@
 
 // Conditions are the faults that a Mesh injects. The zero value injects none.
 type Conditions struct {
-	LossRate        float64 // fraction of the datagrams, 0 to 1
-	DuplicateRate   float64 // fraction of the datagrams that are not lost, 0 to 1
+	LossRate        float64 // lost fraction of the datagrams, 0 to 1
+	DuplicateRate   float64 // duplicated fraction of the datagrams that are not lost, 0 to 1
 	Delay           time.Duration
 	Jitter          time.Duration // upper bound of a random additional delay, which can reorder datagrams
 	PartitionByRank []int         // by rank: datagrams pass only within a partition; nil: all routers share one
@@ -40,13 +40,13 @@
 	MaxBytes  int // payload size of the longest datagram
 }
 
-// Mesh relays datagrams between the routers of a fleet. It has one address for each rank, under which the other routers
-// know that router. A datagram to that address is forwarded to the router, from the mesh address of the sender's rank.
-// It is safe for concurrent use.
+// Mesh relays datagrams between the routers of a fleet. It has one address for each rank. The other routers use this
+// mesh address instead of the router's own address. A datagram to a mesh address is forwarded to the router of that
+// rank, from the mesh address of the sender's rank. Mesh is safe for concurrent use.
 type Mesh struct {
 	sockets     []*net.UDPConn // by rank
 	broadcast   *net.UDPConn
-	listenAddrs []netip.AddrPort       // by rank: the router's own address, to receive and to send
+	listenAddrs []netip.AddrPort       // by rank: the router's own address, from which it also sends
 	rankByAddr  map[netip.AddrPort]int // inverse of listenAddrs
 	goroutines  sync.WaitGroup         // the relays, and the timers of delayed datagrams
 
@@ -58,7 +58,8 @@
 }
 
 const (
-	// readBufferSize is larger than the payload that a router may send, so that Counts.MaxBytes shows a longer one.
+	// readBufferSize is the size in bytes of the read buffer. It is larger than the payload that a router may send.
+	// Otherwise a longer payload would be truncated, and Counts.MaxBytes would not show it.
 	readBufferSize = 1500
 
 	// rngStream separates the mesh's random numbers from others with the same seed.
--- a/standin/link/mesh_test.go
+++ b/standin/link/mesh_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// expect reads the next datagram of a router, which must be text and come from fromAddr.
+// expect reads the next datagram of a router. It fails the test unless the payload equals text and the datagram comes
+// from fromAddr.
 func (m *meshRouters) expect(t *testing.T, rank int, fromAddr, text string) {
 	t.Helper()
 	buffer := make([]byte, 100)
--- a/standin/link/relay.go
+++ b/standin/link/relay.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// RelayConditions are the faults that a Relay injects. The zero value forwards everything at once.
+// RelayConditions are the faults that a Relay injects. The zero value forwards everything without delay.
 type RelayConditions struct {
 	Resets      bool          // resets open connections, and new ones when they are accepted
 	Blackholes  bool          // reads bytes and discards them, as if the other machine were unreachable
-	Delay       time.Duration // of each read, in each direction
+	Delay       time.Duration // delay of the bytes of each read, in each direction
 	KBPerSecond float64       // bandwidth of each connection in each direction, 1 KB = 1000 bytes; 0: no limit
 }
 
@@ -34,7 +34,7 @@
 	directionCount
 )
 
-// copyBufferSize is the maximum number of bytes that a relay reads at once.
+// copyBufferSize is the maximum number of bytes that a relay gets from one read.
 const copyBufferSize = 16 << 10
 
 // Relay is a TCP proxy between clients and one server: it opens one connection to the server for each connection from a
@@ -87,8 +87,8 @@
 	return slices.Clone(r.dials), len(r.conns) / 2, r.bytesByDirection[toServer], r.bytesByDirection[toClient]
 }
 
-// MaxDialsWithin returns the maximum number of client connections within any interval of length span. The interval
-// excludes its end. It ignores the first skip connections.
+// MaxDialsWithin returns the maximum number of client connections that were accepted within any interval of length
+// span. The interval excludes its end. The first skip connections are not counted.
 func (r *Relay) MaxDialsWithin(skip int, span time.Duration) (maxDials int) {
 	dials, _, _, _ := r.Counts()
 	dials = dials[skip:]
@@ -162,7 +162,7 @@
 	}
 }
 
-// unregister closes and removes a pair of connections, with a reset if the conditions have Resets set. It is called
+// unregister closes and removes a pair of connections. It resets them if the conditions have Resets set. It is called
 // once for each direction.
 func (r *Relay) unregister(one, other net.Conn) {
 	closeConn := func(conn net.Conn) { conn.Close() }
