--- a/lab/scale/fleetrun_test.go
+++ b/lab/scale/fleetrun_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// meanBytes returns the mean bytes per second of all processes over all phases. It averages over phases because a new
-// holder is found at a random time, which can be in different phases.
+// meanBytes returns the mean bytes per second of all processes over all phases. It averages over phases because the
+// phase in which a new holder is found is random.
 func meanBytes(r *Result) float64 {
 	bytes, seconds := 0.0, 0.0
 	for _, phase := range r.Phases {
--- a/lab/scale/verdicts_test.go
+++ b/lab/scale/verdicts_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 // Guards against health reports whose rate grows with the number of routers that observe a server failing at the same
-// moment. Random waits suppress redundant reports. Without them the rate grows with the fleet: a router in a fleet of
-// 1,000 receives 1.9 times as many reports as one in a fleet of 300. All routers are simulated, and all of them must
-// eject the server.
+// moment. Random waits suppress redundant reports. Without these waits the rate grows with the fleet: a router in a
+// fleet of 1,000 receives 1.9 times as many reports as one in a fleet of 300. All routers are simulated, and all of
+// them must eject the server.
 func TestReportRateIndependentOfFleetSize(t *testing.T) {
 	small := run(t, "verdicts", Options{Routers: 300, Seed: 5})
 	middle := run(t, "verdicts", Options{Routers: 1_000, Seed: 5})
