--- a/standin/cache/arrivalreader.go
+++ b/standin/cache/arrivalreader.go
@@ -14,7 +14,7 @@
 const controlBufferSize = 128
 
 // arrivalReader reads a connection and records when the kernel received the bytes. The arrival time of a request then
-// does not depend on when this process reads it, which on a busy machine can be late. If a read returns the bytes of
+// does not depend on when this process reads it. On a busy machine this can be late. If a read returns the bytes of
 // several segments, lastArrival is the arrival time of the last segment. Only one goroutine may call Read; hasUnread
 // may be called from others.
 type arrivalReader struct {
--- a/standin/cache/request.go
+++ b/standin/cache/request.go
@@ -13,7 +13,7 @@
 	Class        string
 	Object       string
 	Chunk        string
-	FillFrom     string    // name of the server to fill a miss from; empty: a miss is not filled
+	FillFrom     string    // name of the server to fill a miss from; empty: misses are not filled
 	CachedOnly   bool      // the server to fill from must use a cached copy, not the origin
 	MaxAgeMillis int64     // maximum age of an acceptable copy; 0: no limit. The server does not enforce it.
 	ArrivedAt    time.Time // when the kernel received the last bytes of the request
--- a/standin/cache/requestlog.go
+++ b/standin/cache/requestlog.go
@@ -45,7 +45,7 @@
 
 func (a *attempt) isInFlight() bool { return a.endedAt.IsZero() }
 
-// endsAfter returns whether an attempt is in flight or ended later than other, which must not be in flight.
+// endsAfter returns whether a is in flight or ended later than other. The attempt other must not be in flight.
 func (a *attempt) endsAfter(other *attempt) bool {
 	return a.isInFlight() || a.endedAt.After(other.endedAt)
 }
--- a/standin/cache/server.go
+++ b/standin/cache/server.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// register adds a connection, or closes it if the server was closed meanwhile. The connection counts as accepted in
-// both cases.
+// register adds a connection, or closes it if the server was closed after accepting it. The connection counts as
+// accepted in both cases.
 func (s *Server) register(netConn net.Conn, reader *arrivalReader) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/discovery/service.go
+++ b/standin/discovery/service.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// register adds a connection, and closes it if the service went down meanwhile.
+// register adds a connection. If the service went down after it accepted the connection, register closes it.
 func (s *Service) register(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/link/relay.go
+++ b/standin/link/relay.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// register adds a pair of connections, and resets it if the conditions have changed to Resets meanwhile.
+// register adds a pair of connections. If Resets has been set since the client was accepted, it resets both.
 func (r *Relay) register(client, server net.Conn) {
 	r.mu.Lock()
 	r.conns[client] = true
