--- a/core/cells/migration_test.go
+++ b/core/cells/migration_test.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// After a rollback, all objects must be in the old cell within MinShift, the time of the ramp. A router that starts
-// during a migration must continue at the share that the document requires.
+// A rollback must return all objects to the old cell within MinShift, the shortest time in which all objects move. A
+// router that starts during a migration must continue at the share that the document requires.
 func TestRollbackReturnsObjectsAndStartedRouterContinues(t *testing.T) {
 	client := newMigrationClient(t, twoCells(), normalTenantMigration())
 	client.now = 25 * sec
--- a/core/cells/origin_limit.go
+++ b/core/cells/origin_limit.go
@@ -10,7 +10,7 @@
 const (
 	initialOriginFraction = 0.15 // initial estimate of the fraction of fill attempts that reach the origin
 	originFractionStep    = 0.01 // weight of a new sample in the estimate of that fraction
-	minOriginFraction     = 0.02 // lower bound on the fraction used, as a surge of new objects can't be predicted
+	minOriginFraction     = 0.02 // used if the estimate is lower, since a surge of new objects can't be predicted
 	minSentChange         = 0.05 // a changed limit is sent to the engine if its relative change exceeds this
 	minSentLimit          = 0.01 // minimum limit sent to the engine, as 0 means no limit
 	maxAbandoned          = 4096 // maximum number of abandoned fetches tracked; meant to be far above any limit
--- a/core/cells/parents.go
+++ b/core/cells/parents.go
@@ -91,7 +91,7 @@
 
 func (p *parentSelection) setTopology(now int64, graph *hierarchy.Graph) {
 	if graph != nil && p.graph != nil && reflect.DeepEqual(graph.Topology(), p.graph.Topology()) {
-		return // keep the health of its groups
+		return // unchanged: keep the health of the topology's groups
 	}
 	for group := range p.serversByGroup {
 		p.defineSubset(now, firstParentSubset+group, nil)
@@ -208,7 +208,8 @@
 func (p *parentSelection) applyPlan(plan *hierarchy.FillPlan, err error) {
 	p.planErr = err
 	if err != nil {
-		// Not expected with capacities from the endpoint list. Parents are then selected as if there were no topology.
+		// An error is not expected, because the capacities come from the endpoint list. After an error, parents are
+		// selected as if there were no topology.
 		p.route = hierarchy.Route{}
 	} else {
 		p.route = plan.Route(p.settings.Zone)
--- a/core/fleet/doc.go
+++ b/core/fleet/doc.go
@@ -25,8 +25,9 @@
 //     lease if it takes longer than Limit.ExpiryMargin. Work that is still in progress when its lease expires can make
 //     the amount in use exceed the limit until the work ends.
 //   - While the fleet is partitioned, each router has its floor. The partition with more than half of all routers also
-//     has the pool. In fleets of 15 routers, it has the pool within RecoveryTime. Fleets of 300 routers can need up to
-//     18 s after a partition has healed. When the holder dies, the pool is available again within the same times. Once
+//     has the pool. In fleets of 15 routers, the pool is available there within RecoveryTime after the fleet was
+//     partitioned. In fleets of 300 routers, it can take up to 18 s after a partition has healed. When the holder dies,
+//     the pool is available again within RecoveryTime in fleets of 15 routers, and within 18 s in fleets of 300. Once
 //     the pool is available, at least 60% of it is leased at any time (tests check the mean over 2 s). The rest can be
 //     unused while a router that joins waits until leases of others expire or shrink. If half of the routers or more
 //     are down, only the floors are available.
--- a/core/fleet/membership.go
+++ b/core/fleet/membership.go
@@ -62,8 +62,8 @@
 	needsSuspicionNotice bool
 }
 
-// noReporter is the reporter of an update that follows from the end of a suspicion at this router. Such an update
-// declares the suspected member dead.
+// noReporter is the reporter of the update with which this router declares a member dead when its suspicion of the
+// member ends.
 const noReporter = -1
 
 // IsUp reports whether a router has not been declared dead.
@@ -98,8 +98,8 @@
 	}
 }
 
-// applyUpdate applies a membership update. The update was sent by the member reporter, or follows from a probe or the
-// end of a suspicion at this router.
+// applyUpdate applies a membership update. The reporter is the rank of the member that sent the update. It is this
+// router's own rank after a failed probe, and noReporter when this router's suspicion of a member ends.
 func (n *Node) applyUpdate(now int64, u update, reporter int) {
 	m := &n.members[u.rank]
 	switch {
--- a/core/fleet/probing.go
+++ b/core/fleet/probing.go
@@ -5,7 +5,7 @@
 // Times in microseconds. With these values, when a router of a fleet of 300 dies, nearly all other routers declare it
 // dead within 7 s. In that time each router is probed by at least one other router.
 const (
-	probeInterval = 500_000 // time between two probes, plus a random part of up to a fifth
+	probeInterval = 500_000 // time between two probes, plus a random jitter of up to 20%
 
 	// probeTimeout, multiplied by 1 + health score, is the time from a direct probe until indirect probes of its target
 	// are requested if no ack has arrived.
--- a/core/hierarchy/fill_plan.go
+++ b/core/hierarchy/fill_plan.go
@@ -327,8 +327,8 @@
 	return scale
 }
 
-// lowerCapacity reduces the capacity of each group whose scale is below 1. The new capacity is the load whose misses
-// the group's parents, and the links to them, can carry.
+// lowerCapacity reduces the capacity of each group whose scale is below 1. The new capacity is the group's load times
+// its scale. The parents of the group and the links to them can carry the misses of that load.
 func (p *fillPlanner) lowerCapacity(load groupLoad, scales []float64) {
 	for group, scale := range scales {
 		if scale != 1 {
--- a/core/hierarchy/flow_network.go
+++ b/core/hierarchy/flow_network.go
@@ -110,16 +110,16 @@
 	}
 }
 
-// usesDirectLink reports whether the unit of a path that ends at a site is sent over the site's direct link to the
-// origin. Otherwise the unit is rejected.
+// usesDirectLink reports whether the flow of an augmenting path that ends at a site is sent over the site's direct link
+// to the origin. Otherwise this flow is rejected.
 func (f *flowNetwork) usesDirectLink(site int) bool {
 	direct := &f.direct[site]
 	return direct.hasCapacity() && direct.cost <= f.rejectionCost
 }
 
-// endCapacity returns the residual capacity at the end of a path. For a path that ends at a group, that is the residual
-// capacity of the group. For a path that ends at a site with a usable direct link, it is that of the link. If the units
-// of the path are rejected, endCapacity returns amount.
+// endCapacity returns the residual capacity at the end of an augmenting path: the residual capacity of the group at
+// which the path ends, or of the direct link that usesDirectLink selects. If the flow of the path is rejected,
+// endCapacity returns amount.
 func (f *flowNetwork) endCapacity(end int, endsAtSite bool, amount int64) int64 {
 	if endsAtSite {
 		if f.usesDirectLink(end) {
--- a/core/lease/message.go
+++ b/core/lease/message.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// MessageKind distinguishes the messages between routers. core/fleet encodes it as a message kind of its own.
+// MessageKind distinguishes the messages between routers. core/fleet has a separate datagram kind for each kind.
 type MessageKind byte
 
 // The kinds of messages.
--- a/core/lease/node.go
+++ b/core/lease/node.go
@@ -12,8 +12,8 @@
 // RecoveryTime starts when they have learned it.
 //
 // Tests check RecoveryTime at three levels with 10% message loss. In these tests every router knows which routers are
-// up. In the 10 s after RecoveryTime, the sum of all quotas must average at least 85% of the limit. With a pool of 75%
-// of the limit, 85% are the floors, which are 25% of the limit, and leases of 80% of the pool, which are 60%.
+// up. In the 10 s after RecoveryTime, the sum of all quotas must average at least 85% of the limit. The floors are 25%
+// of the limit and the pool is 75%, so 80% of the pool is 60% of the limit, and 25% + 60% = 85%.
 const RecoveryTime = 30_000_000
 
 // tickInterval (us) is the time between two calls of Tick.
--- a/core/lease/world_test.go
+++ b/core/lease/world_test.go
@@ -133,7 +133,8 @@
 	}
 }
 
-// run advances the time to until and calls check, unless it is nil, after each event.
+// run handles all events up to the given time and then sets the time to it. If check is not nil, it is called after
+// each event.
 func (w *world) run(until int64, check func()) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
@@ -163,7 +164,8 @@
 	}
 }
 
-// quotas returns the sum of the quotas of the running processes that match, all of them if matches is nil.
+// quotas returns the sum of the quotas of the running processes for which matches returns true. If matches is nil, it
+// returns the sum for all running processes.
 func (w *world) quotas(matches func(rank int) bool) (sum float64) {
 	for rank, p := range w.processes {
 		if p.isRunning && w.now >= p.pausedUntil && (matches == nil || matches(rank)) {
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -25,10 +25,10 @@
 	// according to its recent use decays.
 	reservationDecay = 1_000_000
 
-	// These fractions define when a response is late. A response of known size is late if it takes longer than its
-	// sending time plus lateObjectiveShare of the rest of its objective. A response of unknown size is late if it takes
-	// longer than lateObjectiveShareUnsized of its whole objective. The second fraction is greater, since large
-	// chunks take long to send.
+	// These fractions define when a response is late. A response of known size is late if it takes longer than
+	// t + lateObjectiveShare * (objective - t), where t is its sending time. A response of unknown size is late if it
+	// takes longer than lateObjectiveShareUnsized * objective. The second fraction is greater, since large chunks take
+	// long to send.
 	lateObjectiveShare        = 0.5
 	lateObjectiveShareUnsized = 0.8
 
@@ -98,8 +98,8 @@
 	return float64(srv.inFlight)+reserved+draw < limit
 }
 
-// adjustLimits adjusts the concurrency limits of the servers that an attempt used: up after a timely response, down
-// after a late response or a rejection.
+// adjustLimits adjusts the concurrency limits of the servers that an attempt used. A response that is on time raises
+// them. A late response or a rejection reduces them.
 func (e *Engine) adjustLimits(req *request, ended *attempt, ev *Event) {
 	target := e.lateTarget(req)
 	wasFillRejected := e.wasFillRejected(ended, ev)
@@ -211,9 +211,9 @@
 	}
 }
 
-// limitGrowth returns the growth, in requests, of a limit at a timely response, after the first reduction of the limit.
-// It is smaller if more routers share the server. It is also smaller for a smaller response, since small responses are
-// on time even under load.
+// limitGrowth returns by how many requests a response that is on time raises a limit that has been reduced before. The
+// growth is smaller if more routers share the server. It is also smaller for a smaller response, since small responses
+// are on time even under load.
 func (e *Engine) limitGrowth(req *request, srv *server) float64 {
 	return limitGrowthPerRound * e.sendTime(req) / slices.Max(e.meanSendTime) / (srv.concurrencyLimit * srv.routers)
 }
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -322,10 +322,10 @@
 	}
 }
 
-// Each request must be compared only once with the limits of parents and origin, by a random draw. Hundreds of routers,
-// each with capacity for less than one request, then stay within the sum of their limits. A second draw, after a
-// request found no capacity and then no cached copy, would give the request two chances, and the fills would exceed the
-// limit.
+// A limit below one request admits a request with a probability. For the limits of parents and origin, the random
+// number for this must be drawn only once per request. Hundreds of routers, each with capacity for less than one
+// request, then stay within the sum of their limits. A second draw, after a request found no capacity and then no
+// cached copy, would give the request two chances, and the fills would exceed the limit.
 func TestLimitsAreDrawnOncePerRequest(t *testing.T) {
 	const requests = 2000
 	engine := newTestEngine(t, testSettings(), 3, 1)
--- a/routing/handover_test.go
+++ b/routing/handover_test.go
@@ -85,7 +85,7 @@
 }
 
 // The learned state of a process, restored from JSON, is in effect in its replacement: the failing cache stays ejected,
-// the work sent to the cold cache counts, and limits are kept.
+// the record of the work sent to the cold cache is restored, and limits are kept.
 func TestLearnedStateIsHandedOver(t *testing.T) {
 	for seed := range uint64(20) {
 		old, list, now := engineWithHistory(t, seed)
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -126,8 +126,7 @@
 	})
 }
 
-// isHot reports whether an object gets more than hotObjectShare of the recent requests that an average cache gets, if
-// the requests are distributed over the given number of caches.
+// isHot reports whether an object's share of the recent requests, times the number of caches, exceeds hotObjectShare.
 func (e *Engine) isHot(object string, caches int) bool {
 	counted := max(e.recentRequestCount, recentRequestWindow/8)
 	return float64(e.recentRequests[object]*caches) > hotObjectShare*float64(counted)
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -56,7 +56,7 @@
 	PeerSources          PeerSources          `json:"Neighbours"`
 	CacheStatusReporting CacheStatusReporting `json:"NotesGiven"`
 	ResponseKBPerSecond  float64              `json:"PaceKbPerS"` // maximum rate at which one response is sent
-	// ParentInitialCapacity is the fraction of its full capacity that a parent has at its start, at least.
+	// ParentInitialCapacity is the minimum capacity of a parent at its start, as a fraction of its full capacity.
 	ParentInitialCapacity float64   `json:"ParentFloor"`
 	ParentWarmUpTime      int64     `json:"ParentWarmsIn"` // from a parent's start to its full capacity
 	Uncacheable           []bool    `json:"PassOn"`        // requests run at the origin and leave no copy
@@ -76,9 +76,9 @@
 type Guarantees struct {
 	MaxResubscribeDelay int64 `json:"AskWithin"` // time within which a lost subscription must be renewed
 	WarmUpTime          int64 `json:"Cold"`      // from a server's start to its full capacity
-	// InitialCapacity is the fraction of its full capacity that a server has at its start, at least.
+	// InitialCapacity is the minimum capacity of a server at its start, as a fraction of its full capacity.
 	InitialCapacity float64 `json:"ColdFrom"`
-	OverloadWindow  int64   `json:"Fall"` // a server that is overloaded for this long fails
+	OverloadWindow  int64   `json:"Fall"` // duration of an overload after which a server fails
 	// AnswerGracePeriod is the time after the client's deadline within which a response still counts.
 	AnswerGracePeriod int64 `json:"GraceToAnswer"`
 	// DrainGracePeriod is the time after which a draining server must get no more requests.
