--- a/core/migration/capacity.go
+++ b/core/migration/capacity.go
@@ -25,8 +25,8 @@
 	return c.InitialCapacity + (1-c.InitialCapacity)*float64(max(age, 0))/float64(c.WarmUp)
 }
 
-// Capacity returns the total capacity of the servers at now, in KB/s, and its ratio to their total capacity after the
-// warm-up. Both are 0 if there are no servers.
+// Capacity returns the total capacity of the servers at now, in KB/s, and that capacity as a fraction of the capacity
+// that the same servers have when all are warm. Both are 0 if there are no servers.
 func (c *CapacityModel) Capacity(now int64, servers []Server) (kbPerS, warmFraction float64) {
 	warmKBPerS := 0.0
 	for _, s := range servers {
--- a/core/migration/capacity_limiter.go
+++ b/core/migration/capacity_limiter.go
@@ -45,8 +45,8 @@
 // NewCapacityLimiter returns a limiter that admits nothing until SetCapacity is called.
 func NewCapacityLimiter() CapacityLimiter { return CapacityLimiter{FillCost: initialFillCost} }
 
-// SetCapacity sets this router's part of the cell's capacity from now on, in KB/s: of its caches for sends, and for
-// fills. A fillKBPerS of math.Inf(1) means that fills are not limited.
+// SetCapacity sets this router's part of the cell's capacity from now on: sendKBPerS for what the caches send, and
+// fillKBPerS for fills. A fillKBPerS of math.Inf(1) means that fills are not limited.
 func (l *CapacityLimiter) SetCapacity(now int64, sendKBPerS, fillKBPerS float64) {
 	l.refill(now)
 	l.sendKBPerS = sendKBPerS
--- a/core/migration/capacity_limiter_test.go
+++ b/core/migration/capacity_limiter_test.go
@@ -70,8 +70,8 @@
 	})
 }
 
-// greatestWindow returns the maximum KB of cost and of fills that were admitted in any window of length span. Windows
-// that end before the load of resident tenants is fully observed do not count.
+// greatestWindow returns the maximum cost and the maximum fills, both in KB, that were admitted in any window of length
+// span. Windows that end before the load of resident tenants is fully observed do not count.
 func greatestWindow(all []admittedRequest, span int64) (greatest, greatestFills float64) {
 	const observedBy = 8_000_000
 	first, kb, fillKB := 0, 0.0, 0.0
--- a/core/migration/schedule/schedule_test.go
+++ b/core/migration/schedule/schedule_test.go
@@ -90,7 +90,7 @@
 	return requests
 }
 
-// checkLimits fails the test if the migrations together exceed a limit at a time.
+// checkLimits fails the test if the migrations together exceed a limit at the time at.
 func checkLimits(t *rapid.T, s *Schedule, c *Constraints, requestOf map[string]Request, at float64) {
 	fills, load, allFills := map[string]float64{}, map[string]float64{}, 0.0
 	for _, m := range s.Migrations {
--- a/core/migration/share.go
+++ b/core/migration/share.go
@@ -10,8 +10,8 @@
 // are from 0 to hotPositionRange.
 const hotPositionRange = 0.1
 
-// MaxShare returns the maximum share of the tenant's objects, in the order of Position, that may be in the new cell at
-// now.
+// MaxShare returns the maximum share of the tenant's objects that may be in the new cell at now. Objects move to the
+// new cell in the order of Position.
 func (m *Migration) MaxShare(now float64) float64 { return m.scheduledShare(now, m.MinShift) }
 
 // MinShare returns the minimum share that must be in the new cell at now. A router that starts during a migration
--- a/core/scheduler/budget_test.go
+++ b/core/scheduler/budget_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Guards against attempts that start without a budget while foreground work is late, and against a budget that is not
-// restored afterwards.
+// Guards against attempts that start while foreground work is late and the budget fraction is 0, apart from the burst,
+// and against a budget that stays unavailable after the fraction is raised again.
 func TestBudgetFractionLimitsAttempts(t *testing.T) {
 	s := newScheduler(t, sampleConfig())
 	s.SetBudgetFraction(sec, 0)
--- a/core/scheduler/wheel.go
+++ b/core/scheduler/wheel.go
@@ -107,8 +107,8 @@
 	w.count--
 }
 
-// place puts a timer into the slot for its due time, but not before the tick earliest. It uses the lowest possible
-// level.
+// place puts a timer into the slot for its due time, or for tick number earliest if that is later. It uses the lowest
+// possible level.
 func (w *Wheel) place(i int32, earliest int64) {
 	t := &w.timers[i]
 	// Round up to the next tick, so that the timer does not fire early.
--- a/internal/archtest/outer_names_test.go
+++ b/internal/archtest/outer_names_test.go
@@ -32,7 +32,7 @@
 func TestOuterNamesAreKept(t *testing.T) {
 	textsOfFolder := map[string][]string{}
 	names := readOuterNames(t)
-	if len(names) < 1000 { // the page is cut short or not parsed correctly
+	if len(names) < 1000 { // the file is truncated or not parsed correctly
 		t.Fatalf("%s: %d names, want at least 1000", outerNamesPage, len(names))
 	}
 	for _, name := range names {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -34,7 +34,8 @@
 var processStart = time.Now()
 
 // Monotonic returns the time since the start of the process in milliseconds. Changes of the system's clock do not
-// affect it. It is used for intervals that other processes rely on. With a fake clock it returns Now.
+// affect it. Use it for durations that must be right even if the system's clock is set, such as those that other
+// processes rely on. With a fake clock it returns Now.
 func (c *Clock) Monotonic() float64 {
 	if c.fake != nil {
 		return c.fake.read()
--- a/internal/config/replace.go
+++ b/internal/config/replace.go
@@ -11,7 +11,7 @@
 const maxKeyDepth = 4
 
 // objectKeys maps the path of each object in a file to its sorted keys. All objects of a list have the same path, such
-// as settings.Classes[], which maps to the keys that every one of them has.
+// as settings.Classes[]. That path maps to the keys that all objects of the list have.
 type objectKeys map[string][]string
 
 // collectKeys returns the keys of a file's objects, down to maxKeyDepth levels. Events are left out, because each kind
--- a/internal/discovery/interleavings_test.go
+++ b/internal/discovery/interleavings_test.go
@@ -28,10 +28,10 @@
 	return testwait.AcceptHello(t, listener, string(binary.BigEndian.AppendUint64(nil, last)), "a watcher")
 }
 
-// If the stream stops before or within a frame, or sends bytes too slowly, an update on the next connection must be
-// applied within 4 s of the start of the silence, even if the router has the last retry slot of a fleet of 300. Routers
-// must comply with the update from then on. If the next connection is silent too, the limit is 7 s from the start of
-// the first silence: after that time, routers must comply with every update.
+// A connection is silent if its stream stops before or within a frame, or sends bytes too slowly. An update on the next
+// connection must be applied within 4 s after the silence began, even by the router with the last retry slot of a fleet
+// of 300. Routers must comply with the update from then on. If the next connection is silent too, the limit is 7 s
+// after the first silence began. From then on, routers must comply with every update.
 func TestSilentStreamIsReplacedInTime(t *testing.T) {
 	event := appendFrame(nil, 42, kindUpdate, []byte(record))
 	const (
--- a/internal/handover/exclusions.go
+++ b/internal/handover/exclusions.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// adoptIfChanged adopts the excluded servers if the info of their file differs from adopted. It returns the file info
-// of the file that was adopted last; nil: none yet.
+// adoptIfChanged adopts the excluded servers if their file was replaced or modified since the last adoption. The
+// parameter adopted describes the file at that time; nil: none yet. The result is the new value of adopted.
 func (d *StateDir) adoptIfChanged(adopted fs.FileInfo, adopt func(ids []string) error) fs.FileInfo {
 	current, err := os.Stat(filepath.Join(d.dir, excludedFile))
 	if err != nil || adopted != nil && os.SameFile(adopted, current) && current.ModTime() == adopted.ModTime() {
@@ -120,8 +120,8 @@
 	return unlock, err
 }
 
-// lock takes the lock on the excluded servers in a mode of flock. With LOCK_NB the error wraps EWOULDBLOCK while
-// another process holds the lock.
+// lock takes the lock on the excluded servers with flock. mode is the operation of flock, such as LOCK_EX. With LOCK_NB
+// the error wraps EWOULDBLOCK while another process holds the lock.
 func (d *StateDir) lock(mode int) (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(d.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -41,8 +41,8 @@
 // Error codes in responses.
 const (
 	errorRejected = "Full" // the request was not accepted; it is safe to retry after fieldRetryAfter
-	// errorFailed is the code for a failed request. The response has fieldReason if this server found the cause, and
-	// not the request handler: an unknown method, an invalid request, or too many unwritten responses.
+	// errorFailed is the code for a failed request. The response has fieldReason if the method is unknown, the request
+	// is invalid, or too many responses are unwritten. It has none if the request handler failed the request.
 	errorFailed = "Error"
 )
 
--- a/internal/resp/attempt.go
+++ b/internal/resp/attempt.go
@@ -41,21 +41,22 @@
 // Done implements router.PendingAttempt.
 func (a *pendingAttempt) Done() <-chan router.AttemptResult { return a.result }
 
-// Cancel implements router.PendingAttempt. It enforces the rule that a request has only one attempt in flight, since
-// the next attempt may go to any server:
+// Cancel implements router.PendingAttempt. If mayRetry is true, another attempt may follow, at any server. A request
+// must have only one attempt in flight, so Cancel ends this one:
 //
-//   - An attempt that the writer has not started is removed: the server never receives any of it.
-//   - For any other attempt, Cancel waits until the DROP is written. When a connection is closed, the server cancels
-//     all attempts on it.
-//   - A connection is silent if nothing was received on it since the attempt was queued. Its machine may be cut off and
-//     never read the DROP, so Cancel closes the connection if another attempt may follow. If no attempt can follow,
-//     Cancel closes it only if the attempt was queued more than maxSilence ago and no other attempt is in flight on it,
-//     since a client that leaves early is not a sign of a fault of the server.
-//   - If the DROP can't be written soon, because the write before it is stuck, it has no effect at the server. Cancel
-//     then closes the connection if another attempt may follow. It also does so if the write of the attempt itself is
-//     stuck, since the attempt must not arrive after it was canceled.
-//   - An attempt that is still in the socket's send queue, because its server does not read, is discarded together with
-//     the connection.
+//   - The writer has not started the attempt: Cancel removes it. The server never receives any of it.
+//   - The writer has started the attempt: Cancel waits until the DROP is written. If the connection is closed instead,
+//     the server cancels all attempts on it.
+//   - The DROP can't be written soon, because the write before it is stuck: the DROP has no effect at the server.
+//     Cancel closes the connection if mayRetry is true, or if the write of the attempt itself is stuck. In the latter
+//     case the attempt could otherwise arrive after it was canceled.
+//   - The attempt is still in the socket's send queue, because its server does not read: Cancel closes the connection
+//     and discards the attempt.
+//   - The connection is silent, which means that nothing was received on it since the attempt was queued, and mayRetry
+//     is true: Cancel closes the connection. The server's machine may be cut off and never read the DROP.
+//   - The connection is silent and mayRetry is false: Cancel closes the connection only if the attempt was queued more
+//     than maxSilence ago and no other attempt is in flight on it. A client that leaves early is not a sign of a fault
+//     of the server.
 func (a *pendingAttempt) Cancel(mayRetry bool) {
 	canceledAt, dropWritten, isInFlight := a.withdraw()
 	if !isInFlight {
--- a/internal/resp/interleavings_test.go
+++ b/internal/resp/interleavings_test.go
@@ -199,7 +199,7 @@
 	conn.expect("GET a")
 	conn.respond("a", "MISS", "-", "")
 	wantOutcome(t, pending, routing.OutcomeMiss)
-	next := send(pools, "b") // acts as a third attempt: the DROP of the second must be written before it
+	next := send(pools, "b") // stands for a third attempt: the DROP of the second must be written before it
 	conn.expect("DROP a", "GET b")
 	conn.respond("b", "MISS", "-", "")
 	wantOutcome(t, next, routing.OutcomeMiss)
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -310,7 +310,7 @@
 	}
 }
 
-// isReady reports whether c has a value ready, which it receives, or is closed.
+// isReady reports whether c has a value ready or is closed. If a value is ready, isReady receives it.
 func isReady(c <-chan struct{}) bool {
 	select {
 	case <-c:
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -9,7 +9,7 @@
 // fields are the name=value pairs of a line, separated by spaces.
 type fields struct {
 	text     string
-	lastName string // the value of this field extends to the end of the line; empty if there is no such field
+	lastName string // name of the field whose value extends to the end of the line; empty: none
 }
 
 // forEach calls set for each pair, in order, until the first error. The error names the field.
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -20,9 +20,9 @@
 	Instance string
 	IsStart  bool
 	IsStop   bool
-	Settings *routing.Settings // for a start; shared by messages with equal text: do not modify
-	Seed     int64             // for a start
-	Event    routing.Event     // for an event
+	Settings *routing.Settings // set in a start message; shared by messages with equal text: do not modify
+	Seed     int64             // set in a start message
+	Event    routing.Event     // set in an event message
 }
 
 // Batch holds all messages of one simulated time.
