--- a/cmd/spanctl/demand.go
+++ b/cmd/spanctl/demand.go
@@ -14,7 +14,7 @@
 const (
 	loadRequests = iota
 	loadKB       // KB of responses
-	loadFillKB   // KB of responses that are filled
+	loadFillKB   // KB of responses that need a fill
 )
 
 // maxLoad is the exclusive upper bound of a load or priority weight.
--- a/cmd/spantack/deployment_test.go
+++ b/cmd/spantack/deployment_test.go
@@ -104,7 +104,7 @@
 }
 
 // answersReady makes a health call on a new connection, and reports whether the router is ready. It returns false if
-// the router closes the connection without a response: it closes silent connections, and on a slow machine the call may
+// the router closes the connection without a response: it closes idle connections, and on a slow machine the call may
 // come too late. A response other than ready fails the test.
 func (d *deployment) answersReady() bool {
 	d.t.Helper()
--- a/cmd/spantack/descriptors_test.go
+++ b/cmd/spantack/descriptors_test.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// maxRewatchTime bounds the time from the return of the discovery service until the router watches it again. It is
-	// well above the router's retry interval of at most 500 ms, and below the 6 s after which the router closes
-	// connections of idle clients that have made a call. Time in which the machine was short of CPUs does not count,
-	// here and for maxTimeToServe.
+	// maxRewatchTime bounds the time from the end of the outage until the router watches the discovery service again.
+	// It is well above the router's retry interval of at most 500 ms, and below the 6 s after which the router closes
+	// connections of idle clients that have made a call. For this limit and for maxTimeToServe, time in which the
+	// machine is short of CPUs is not counted.
 	maxRewatchTime = 3 * time.Second
 	// maxTimeToServe bounds the time until a request has been served and one has reached the cache that was added
 	// during the outage. The time starts at the new watch. If no new watch is needed, it starts at the end of the
@@ -51,7 +51,8 @@
 		name: "down", modeDuring: discovery.Down, modeAfter: discovery.Serving, duration: time.Second,
 		descriptorLimits: []int{64, 128, 256, 512, 1024},
 	},
-	// The duration is long enough for the router to close the silent connection and open others.
+	// The duration is long enough for the router to close the connection to the discovery service, on which nothing
+	// arrives any more, and to open others.
 	{
 		name: "mute", modeDuring: discovery.Mute, modeAfter: discovery.Serving, duration: 4 * time.Second,
 		descriptorLimits: []int{64, 256, 1024},
--- a/cmd/spantack/gossip.go
+++ b/cmd/spantack/gossip.go
@@ -22,8 +22,9 @@
 // originFillLimit is the index of the only fleet limit: fills from the origin.
 const originFillLimit = 0
 
-// wireGossip creates the gossip transport if the configuration enables gossip, and the flag --peers, fleet limits or
-// verdicts need it. If there is a fleet limit but no gossip, the router gets an equal share of the limit.
+// wireGossip creates the gossip transport if the configuration enables gossip and at least one of these needs it: the
+// flag --peers, fleet limits or verdicts. If there is a fleet limit but no gossip, the router gets an equal share of
+// the limit.
 func (p *process) wireGossip() error {
 	c := p.config.Load()
 	fleetLimits := p.features.FleetLimits()
--- a/cmd/spantack/limits.go
+++ b/cmd/spantack/limits.go
@@ -13,7 +13,8 @@
 	heapShare = 0.7
 	// requestQueueShare bounds the memory of open requests and of responses that clients have not read yet.
 	requestQueueShare = 0.25
-	// responseBodyShare bounds the memory of responses being received from servers, at most one on each connection.
+	// responseBodyShare bounds the memory of responses that are being received from servers. Each connection receives
+	// at most one response at a time.
 	responseBodyShare = 0.35
 	// extraClientShare bounds the memory of client connections beyond those that clients can always have
 	// (clientDescriptorDivisor). Each connection counts as bytesPerClient.
--- a/cmd/spantack/limits_test.go
+++ b/cmd/spantack/limits_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Guards against limits under which a router has no connections to servers or from clients, or more connections than
-// descriptors. Some cases are halved limits, as during a replacement.
+// descriptors. Some cases have half the limits, as when two processes run during a replacement.
 func TestDivideDescriptors(t *testing.T) {
 	for _, tc := range []struct {
 		descriptors      int
--- a/cmd/spantack/shutdown.go
+++ b/cmd/spantack/shutdown.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Times of the shutdown, in milliseconds. SIGKILL may follow SIGTERM after the longest deadline of a class, capped at
-// maxHonouredDeadline, plus killGrace.
+// Times of the shutdown, in milliseconds. SIGKILL may follow SIGTERM after killGrace plus the longest deadline of a
+// class (at most maxHonouredDeadline).
 const (
 	maxHonouredDeadline = 3000
 	killGrace           = 700
--- a/emulator/attempts.go
+++ b/emulator/attempts.go
@@ -23,8 +23,8 @@
 	upstreamWait int64
 	producedAt   int64 // when the origin sent the served copy
 
-	links           [attemptSegments]int32 // links that its data is on, by segment; -1: none
-	activeTransfers int                    // number of links that its data is on
+	links           [attemptSegments]int32 // links that transfer its data, by segment; -1: none
+	activeTransfers int                    // number of links that transfer its data
 	fetch           int32                  // fetch from the origin that it waits for at a parent; -1: none
 
 	atServer        bool // it has arrived at server and has not ended
--- a/emulator/fleetlimits_methods.go
+++ b/emulator/fleetlimits_methods.go
@@ -15,7 +15,7 @@
 const (
 	gossipInterval = 200 * millisecond
 	gossipFanout   = 3          // datagrams that a router sends in each interval
-	gossipLifetime = 2 * second // age from which on a known demand is ignored
+	gossipLifetime = 2 * second // age at which a received demand expires
 	gossipBytes    = 40         // size of a datagram
 
 	leaseInterval = 500 * millisecond
--- a/emulator/fleetlimits_test.go
+++ b/emulator/fleetlimits_test.go
@@ -3,8 +3,9 @@
 import "testing"
 
 // Guards against a fleet that exceeds its limit while the network is split into five partitions, or that does not use
-// the limit again after the partition ends. The methods gossip and lease need no majority and exceed the limit. This
-// shows that the trial detects an exceeded limit. The same seed must give the same result.
+// the limit again after the partition ends. The methods gossip and lease need no majority and are expected to exceed
+// the limit, which shows that the trial detects an exceeded limit. The other methods must stay within it. The same seed
+// must give the same result.
 func TestFleetLimitHoldsDuringPartitions(t *testing.T) {
 	base := FleetLimitTrial{
 		Routers:                  20,
--- a/emulator/model.go
+++ b/emulator/model.go
@@ -84,7 +84,7 @@
 	deadlineMs          float64 // time after which the client times out
 	objectiveSizeFactor float64 // the sending time at full rate, times this factor, is added to the objective
 	weight              float64 // weight of a response within its latency objective
-	lateWeightFactor    float64 // fraction of weight that a late response still has
+	lateWeightFactor    float64 // weight of a late response, as a fraction of weight
 }
 
 var classModels = [classCount]classModel{
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// removeTransfer removes a transfer from a link before the transfer has ended. Its heap entry stays until it is at the
-// top of the heap, where isWanted returns false for the entry and it is discarded.
+// removeTransfer removes a transfer from a link before the transfer has ended. Its heap entry is removed lazily: when
+// it is at the top of the heap, it is discarded because isWanted returns false for it.
 func (w *World) removeTransfer(linkID int32) {
 	l := &w.links[linkID]
 	l.advance(w.now)
--- a/emulator/topology_test.go
+++ b/emulator/topology_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // Guards against loops that are accepted or misreported, valid topologies that are rejected, and fills that visit a
-// node twice although they carry their path. Without a guard many fills visit a node twice. This shows that the trial
-// detects such fills.
+// node twice although the fill request lists the visited nodes (guard "path"). With the guard "plain", which is none,
+// many fills visit a node twice. This shows that the trial detects such fills.
 func TestTopologyLoopsAreDetected(t *testing.T) {
 	trial := TopologyTrial{Topologies: 150, MaxParentGroups: 16, MaxSites: 4, Changes: 5, FillsPerChange: 10}
 	r, err := trial.Run(21)
--- a/emulator/warm_up.go
+++ b/emulator/warm_up.go
@@ -36,8 +36,9 @@
 }
 
 // recordWarmUpLoad updates two maxima. MaxWarmUpLoad is the load of a server as a fraction of maxKB, the server's
-// bound. MaxWarmUpLoadPerRouter is the load from this router, without the router's largest request, as a fraction of
-// the router's share of the bound. All routers have equal shares of the bound.
+// bound. MaxWarmUpLoadPerRouter is the load from this router, less its largest request, divided by the router's share
+// of the bound. This share is maxKB divided by the number of routers of all sites for a parent, else of one
+// site.
 func (w *World) recordWarmUpLoad(server *simulatedServer, router int32, maxKB float64) {
 	w.result.MaxWarmUpLoad = max(w.result.MaxWarmUpLoad, server.recentKB/maxKB)
 	routers := float64(w.config.RoutersPerSite)
--- a/lab/charts.go
+++ b/lab/charts.go
@@ -43,7 +43,7 @@
 	return p.Save(secondsChartWidth, chartHeight, file)
 }
 
-// bySecond returns one point per value, with its index, the second of the day, as X.
+// bySecond returns one point per value. X is the value's index, which is the second of the day.
 func bySecond(values []float64) plotter.XYs {
 	points := make(plotter.XYs, len(values))
 	for second, value := range values {
@@ -52,7 +52,7 @@
 	return points
 }
 
-// saveArmsChart draws a bar chart of the chart's figure, averaged over the outcomes. Bars are grouped by arm, and each
+// saveArmsChart draws a bar chart of the mean of e.Chart.Figure over the outcomes. Bars are grouped by arm, and each
 // day has its own colour.
 func (e *Experiment) saveArmsChart(file string, outcomes []*Outcome) error {
 	p := plot.New()
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -126,7 +126,7 @@
 	reconnectBytes        float64 // bytes of all affected routers when they reconnect, without missed updates
 }
 
-// cost returns the cost of the phase. The worst figures are the figures of one affected router. The mean is over all
+// cost returns the cost of the phase. The worst-case figures are those of an affected router. The mean is over all
 // routers.
 func (p discoveryPhase) cost(o Options, clock threadCPUClock) discoveryCost {
 	startedAt := clock.now()
--- a/lab/scale/fleetrun.go
+++ b/lab/scale/fleetrun.go
@@ -150,8 +150,8 @@
 	meanCPU /= float64(len(running))
 	phase, index := newPhase(scenario, seconds, traffics)
 	busiest := running[index]
-	// Only one router of the fleet is the busiest. Every other router is counted with the mean of the other simulated
-	// processes. This mean is too high when routers request a lease from several holders, for instance when most have
+	// Only one router of the fleet is the busiest. For every other router, the mean of the other simulated processes is
+	// used. This mean is too high when routers request a lease from several holders, for instance when most have
 	// just started: the fraction of holders is larger in the sample than in the fleet.
 	busiestBytes := float64(busiest.traffic.bytes)
 	routers := float64(w.routers)
@@ -207,7 +207,7 @@
 	return f.advance(f.seconds.settle)
 }
 
-// maxLeaseRecoverySeconds is the maximum time from the loss of a holder until the wait for a new one ends.
+// maxLeaseRecoverySeconds is the timeout of the wait for a new lease holder, counted from the loss of the previous one.
 const maxLeaseRecoverySeconds = 30
 
 // awaitNewLeaseHolder simulates until more than half of the processes have a new holder, or until
--- a/lab/scale/fleetrun_test.go
+++ b/lab/scale/fleetrun_test.go
@@ -24,7 +24,7 @@
 
 // Guards against sampled results that differ from results with all routers simulated. The cost of a process must be the
 // same in both. Some difference is tolerated: updates reach all processes sooner if fewer processes are simulated.
-// Therefore a sample has passed on more updates shortly after a cold start.
+// Therefore the processes of a sample have forwarded more updates shortly after a cold start.
 func TestSampleMatchesFullSimulation(t *testing.T) {
 	const tolerance = 0.2
 	for _, name := range []string{"membership", "limits"} {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -103,7 +103,7 @@
 	LimitSlack           int  `json:"slack,omitempty"` // fills allowed in flight beyond the limit
 
 	Discovery     DiscoveryFault `json:"board,omitempty"`
-	ChecksDials   bool           `json:"tries,omitempty"`   // dials of the discovery service must stay within their bound
+	ChecksDials   bool           `json:"tries,omitempty"`   // dials to the discovery service must stay within a bound
 	MustReconnect bool           `json:"allBack,omitempty"` // all running routers must be connected; this ends the step
 }
 
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -16,7 +16,7 @@
 
 // The fleet scenarios pass with 16 router processes, by the request log of the stand-ins. Steps that wait for recovery
 // end as soon as it happens, so their duration is only a time limit. fleet-verdicts fails if routers do not use
-// verdicts, because several fills then name the dead parent after the settle time. cold-start is not run here:
+// verdicts, because several fills are then sent to the dead parent after the settle time. cold-start is not run here:
 // TestDiscoveryDialRateIsBounded of lab/process tests dials while the discovery service is down.
 func TestFleetScenariosPass(t *testing.T) {
 	for _, name := range []string{"fleet-limits", "fleet-verdicts", "fleet-tree"} {
