--- a/core/backoff/schedule_test.go
+++ b/core/backoff/schedule_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Guards against attempts that exceed the documented rate, and against a router that waits longer than a period. Fleets
-// of random size lose the service at the same time, and each attempt fails after a random duration. Routers that all
-// make their attempts at the start of the period exceed the rate.
+// Guards against attempts that exceed the documented rate, and against a router that waits longer than a period. All
+// routers of a fleet of random size lose the service at the same time, and each attempt fails after a random duration.
+// The rate would be exceeded if all routers made their attempts at the start of the period.
 func TestScheduleExceedsNoRateOrDelayBound(t *testing.T) {
 	const longestAttempt = 30_000
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkRate fails the test if more attempts than bound are made within any time d, in microseconds.
+// checkRate fails the test if more attempts than bound are made in any interval of d microseconds.
 func checkRate(t *testing.T, attempts []int64, d, bound int64) {
 	t.Helper()
 	first := 0
--- a/core/hierarchy/baselines_test.go
+++ b/core/hierarchy/baselines_test.go
@@ -28,14 +28,14 @@
 }
 
 // Bounded is consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018). No group gets more than
-// maxLoadFactor times the mean load, weighted by capacity. The excess goes to the next groups, within their capacity
-// and that of the links.
+// maxLoadFactor times the mean load, weighted by capacity. The excess goes to the next groups, within the capacity of
+// these groups and of the links to them.
 func (p *Problem) Bounded(maxLoadFactor float64) *Allocation {
 	return p.baseline(allGroups, maxLoadFactor)
 }
 
-// baseline returns the allocation of a simple policy. groupsOf returns the groups of a site, or nil for all groups.
-// maxLoadFactor 0 means no bound on the load.
+// baseline returns the allocation of a simple policy. groupsOf returns the groups that a site may use, or nil for all
+// groups to which the site has a link. maxLoadFactor 0 means no bound on the load.
 func (p *Problem) baseline(groupsOf func(site int) []int, maxLoadFactor float64) *Allocation {
 	allocation := p.rejectAll()
 	sent := make([]float64, len(p.Capacity))
@@ -44,7 +44,7 @@
 	if maxLoadFactor > 0 {
 		rounds = len(p.Capacity)
 	}
-	for range rounds { // the excess of one round goes to groups with free capacity in the next
+	for range rounds { // fills that exceed a capacity in one round go to groups with free capacity in the next round
 		for site := range p.Demand {
 			groups := groupsOf(site)
 			if groups == nil {
@@ -84,8 +84,8 @@
 	return allocation
 }
 
-// boundedCapacity returns the groups' capacities, limited to maxLoadFactor times their part of the demand. The part is
-// proportional to the capacity. maxLoadFactor 0 means no limit.
+// boundedCapacity returns the groups' capacities. Each is limited to maxLoadFactor times the group's part of the total
+// demand, which is proportional to the group's capacity. maxLoadFactor 0 means no limit.
 func (p *Problem) boundedCapacity(maxLoadFactor float64) []float64 {
 	limits := slices.Clone(p.Capacity)
 	demand, capacity := 0.0, 0.0
--- a/core/lease/world_test.go
+++ b/core/lease/world_test.go
@@ -17,13 +17,13 @@
 	options   Options
 	processes []*process
 	events    eventQueue
-	sequence  int // of the latest event
+	sequence  int // number of the latest event
 
 	loss        float64         // fraction of messages that are lost
-	late        float64         // fraction of messages that are delayed by up to 3 s more
+	late        float64         // fraction of messages with an additional delay of up to 3 s
 	partition   []int           // by rank; no messages pass between different partitions
 	oneWay      map[[2]int]bool // pairs of sender and receiver whose messages are lost
-	wrongStates float64         // fraction of wrong answers of IsUp
+	wrongStates float64         // fraction of calls of IsUp that return a wrong value
 }
 
 type process struct {
@@ -33,7 +33,7 @@
 	clockRate   float64
 	clockOffset int64
 	starts      uint32
-	traffic     int // messages sent and received
+	traffic     int // number of messages sent and received
 }
 
 // event is the delivery of a message or, if message is nil, a tick.
@@ -133,7 +133,8 @@
 	}
 }
 
-// run advances the time to until and calls check, unless it is nil, after each event.
+// run handles all events up to the given time and then sets the time to it. If check is not nil, it is called after
+// each event.
 func (w *world) run(until int64, check func()) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
@@ -163,7 +164,8 @@
 	}
 }
 
-// quotas returns the sum of the quotas of the running processes that match, all of them if matches is nil.
+// quotas returns the sum of the quotas of the running processes for which matches returns true. If matches is nil, it
+// returns the sum for all running processes.
 func (w *world) quotas(matches func(rank int) bool) (sum float64) {
 	for rank, p := range w.processes {
 		if p.isRunning && w.now >= p.pausedUntil && (matches == nil || matches(rank)) {
--- a/core/migration/capacity_limiter.go
+++ b/core/migration/capacity_limiter.go
@@ -24,9 +24,9 @@
 // that its fills pass, minus the load of the cell's resident tenants.
 //
 // Guarantee: in any t seconds it admits at most (usableFraction * capacity - resident load) * (t + burstSeconds), plus
-// one request. The resident load is the observed moving average; the bound assumes that it and the capacity are
-// constant during the t seconds. Each router is given its part of the capacity, so that all routers together stay
-// within the cell's capacity.
+// one request. The resident load is the observed moving average. The bound assumes that the resident load and the
+// capacity are constant during the t seconds. Each router is given its part of the capacity. For this reason all
+// routers together stay within the cell's capacity.
 //
 // It is not safe for concurrent use. Times are in microseconds.
 type CapacityLimiter struct {
@@ -34,19 +34,19 @@
 
 	sendKBPerS float64 // this router's part of the capacity of the caches
 	fillKBPerS float64 // this router's part of the capacity for fills; math.Inf(1): unlimited
-	sendTokens float64 // KB; negative after a request that cost more than was left
+	sendTokens float64 // KB; negative after a request that cost more than the tokens that were left
 	fillTokens float64 // KB
 	refilledAt int64
 
-	residentSends decayingRate // KB, including fills at FillCost
+	residentSends decayingRate // KB of sends, plus KB of fills multiplied by FillCost
 	residentFills decayingRate // KB
 }
 
 // NewCapacityLimiter returns a limiter that admits nothing until SetCapacity is called.
 func NewCapacityLimiter() CapacityLimiter { return CapacityLimiter{FillCost: initialFillCost} }
 
-// SetCapacity sets this router's part of the cell's capacity from now on, in KB/s: of its caches for sends, and for
-// fills. A fillKBPerS of math.Inf(1) means that fills are not limited.
+// SetCapacity sets this router's part of the cell's capacity from now on: sendKBPerS for what the caches send, and
+// fillKBPerS for fills. A fillKBPerS of math.Inf(1) means that fills are not limited.
 func (l *CapacityLimiter) SetCapacity(now int64, sendKBPerS, fillKBPerS float64) {
 	l.refill(now)
 	l.sendKBPerS = sendKBPerS
--- a/core/scheduler/wheel.go
+++ b/core/scheduler/wheel.go
@@ -107,8 +107,8 @@
 	w.count--
 }
 
-// place puts a timer into the slot for its due time, but not before the tick earliest. It uses the lowest possible
-// level.
+// place puts a timer into the slot for its due time, or for tick number earliest if that is later. It uses the lowest
+// possible level.
 func (w *Wheel) place(i int32, earliest int64) {
 	t := &w.timers[i]
 	// Round up to the next tick, so that the timer does not fire early.
@@ -180,7 +180,7 @@
 }
 
 // Next returns a time before which no timer fires, in microseconds; math.MaxInt64 if there are no timers. At that time
-// a slot may only cascade, without a timer that fires.
+// a slot may cascade without any timer firing.
 func (w *Wheel) Next() int64 {
 	if tick := w.nextTick(); tick != math.MaxInt64 {
 		return tick * w.tick
--- a/internal/archtest/outer_names_test.go
+++ b/internal/archtest/outer_names_test.go
@@ -18,8 +18,8 @@
 	outerNamesPage = "docs/outer-names.txt"
 )
 
-// outerName is an external name, which is used outside the process: by clients, servers, peers, files, command lines
-// or readers of logs.
+// outerName is a name that is used outside the process: by clients, servers, peers, files, command lines or readers of
+// logs.
 type outerName struct {
 	name    string
 	heading string
@@ -32,7 +32,7 @@
 func TestOuterNamesAreKept(t *testing.T) {
 	textsOfFolder := map[string][]string{}
 	names := readOuterNames(t)
-	if len(names) < 1000 { // the page is cut short or not parsed correctly
+	if len(names) < 1000 { // the file is truncated or not parsed correctly
 		t.Fatalf("%s: %d names, want at least 1000", outerNamesPage, len(names))
 	}
 	for _, name := range names {
--- a/internal/handover/exclusions.go
+++ b/internal/handover/exclusions.go
@@ -52,9 +52,9 @@
 }
 
 // ChangeExcluded makes one change to the excluded servers under the lock that the processes share: it adopts the
-// servers that the other process wrote, calls change, and writes the servers that excluded then returns. A nil StateDir
-// only calls change. The error wraps EWOULDBLOCK if another process holds the lock for longer than lockTimeout, for
-// example because it was stopped during a change.
+// servers that the other process wrote, calls change, and writes the servers that excluded returns after the change. A
+// nil StateDir only calls change. The error wraps EWOULDBLOCK if another process holds the lock for longer than
+// lockTimeout, for example because it was stopped during a change.
 func (d *StateDir) ChangeExcluded(adopt func(ids []string) error, change func() error, excluded func() []string) error {
 	if d == nil {
 		return change()
@@ -92,8 +92,8 @@
 	}
 }
 
-// adoptIfChanged adopts the excluded servers if their file has changed since it had the file info adopted. It returns
-// the file info of the file that was adopted last; nil: none yet.
+// adoptIfChanged adopts the excluded servers if their file was replaced or modified since the last adoption. The
+// parameter adopted describes the file at that time; nil: none yet. The result is the new value of adopted.
 func (d *StateDir) adoptIfChanged(adopted fs.FileInfo, adopt func(ids []string) error) fs.FileInfo {
 	current, err := os.Stat(filepath.Join(d.dir, excludedFile))
 	if err != nil || adopted != nil && os.SameFile(adopted, current) && current.ModTime() == adopted.ModTime() {
@@ -105,7 +105,7 @@
 	}
 	defer unlock()
 	d.AdoptExcluded(adopt)
-	return current // read before the lock was taken: a later write is noticed at the next tick
+	return current // read before the lock was taken, so a later write is noticed at the next tick
 }
 
 // lockWithin takes the exclusive lock, and retries for timeout milliseconds while another process holds it.
@@ -120,8 +120,8 @@
 	return unlock, err
 }
 
-// lock takes the lock on the excluded servers in a mode of flock. With LOCK_NB the error wraps EWOULDBLOCK while
-// another process holds the lock.
+// lock takes the lock on the excluded servers with flock. mode is the operation of flock, such as LOCK_EX. With LOCK_NB
+// the error wraps EWOULDBLOCK while another process holds the lock.
 func (d *StateDir) lock(mode int) (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(d.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/lab/configure.go
+++ b/lab/configure.go
@@ -39,7 +39,8 @@
 	cfg.HotObject = day.HotObject
 }
 
-// addArm sets the settings of an arm, except its cells and migrations, which addCells sets, and the fields for trials.
+// addArm sets the settings of an arm. It does not set the cells and migrations, which addCells sets, or the fields for
+// trials.
 func addArm(cfg *emulator.Config, arm Arm) (err error) {
 	cfg.RateLimitFactor = arm.RateLimitFactor
 	cfg.CancelsAbandonedFetches = arm.CancelsAbandonedFetches
@@ -56,9 +57,9 @@
 	return err
 }
 
-// addCells sets the cells of an arm, and what needs cells: the release of the day and the migrations of the arm. In an
-// arm without cells, tenants are still assigned to the cells of the first arm, by name, that has cells. So the figures
-// of the arms are comparable.
+// addCells sets the cells of an arm, the release of the day and the migrations of the arm. Releases and migrations need
+// cells. An arm without cells only uses the tenant assignment of another arm: the one with cells whose name sorts
+// first. This makes the figures of all arms comparable.
 func (e *Experiment) addCells(cfg *emulator.Config, size string, arm Arm, day Day) error {
 	cellCount := arm.Cells.forSize(size)
 	plannedCellCount := cellCount
--- a/lab/process/readiness_test.go
+++ b/lab/process/readiness_test.go
@@ -38,13 +38,13 @@
 		}
 		t.Cleanup(func() {
 			cancel()
-			_ = loop.Wait() // it was killed, so that Wait returns an error
+			_ = loop.Wait() // returns an error, because the loop was killed
 		})
 	}
 }
 
-// endpointsDocument returns the endpoint list in the form that the configuration has. A router uses it from its start
-// until the discovery service responds.
+// endpointsDocument returns the endpoint list in the format of the configuration. A router uses this list from its
+// start until the discovery service responds.
 func endpointsDocument(d *Deployment) map[string]any {
 	settings := Settings(d.options.Routers)
 	zones := settings["Zones"].([]string)
@@ -96,8 +96,8 @@
 	return client.Ready(ctx)
 }
 
-// restartRouters kills count routers, those with the lowest ranks, restarts them all at once, and returns the sorted
-// times until they were ready.
+// restartRouters kills the count routers with the lowest ranks and restarts all of them at the same time. It returns
+// the sorted times until they were ready.
 func restartRouters(t *testing.T, d *Deployment, count int) (times []time.Duration) {
 	t.Helper()
 	for _, r := range d.Routers[:count] {
@@ -136,7 +136,7 @@
 }
 
 // checkRoutersForward sends each router requests until one is served, and checks by the request log that each router
-// forwarded one. So a router that reported ready without knowing any server fails the test.
+// forwarded one. A router that reported ready without knowing any server fails the test.
 func checkRoutersForward(t *testing.T, d *Deployment, round int) {
 	t.Helper()
 	rankByRequest := map[string]int{}
--- a/lab/scale/fleetrun_test.go
+++ b/lab/scale/fleetrun_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// Guards against sampled results that differ from those with all routers simulated: the cost of a process must be the
-// same. Some difference is tolerated: updates reach all processes sooner if there are fewer of them, so shortly after a
-// cold start a sample has passed on more updates.
+// Guards against sampled results that differ from results with all routers simulated. The cost of a process must be the
+// same in both. Some difference is tolerated: updates reach all processes sooner if fewer processes are simulated.
+// Therefore the processes of a sample have forwarded more updates shortly after a cold start.
 func TestSampleMatchesFullSimulation(t *testing.T) {
 	const tolerance = 0.2
 	for _, name := range []string{"membership", "limits"} {
@@ -43,8 +43,8 @@
 	}
 }
 
-// meanBytes returns the mean bytes per second of all processes over all phases. It averages over phases because a new
-// holder is found at a random time, which can be in different phases.
+// meanBytes returns the mean bytes per second of all processes over all phases. It averages over phases because the
+// phase in which a new holder is found is random.
 func meanBytes(r *Result) float64 {
 	bytes, seconds := 0.0, 0.0
 	for _, phase := range r.Phases {
--- a/lab/scenario/player.go
+++ b/lab/scenario/player.go
@@ -38,7 +38,7 @@
 	result     *Result
 	startedAt  time.Time
 	killed     []int      // ranks of the killed routers
-	unfrozen   chan error // receives the result when a frozen router resumes; nil: none is frozen
+	unfrozen   chan error // receives the error of Router.Freeze when a frozen router resumes; nil: none is frozen
 }
 
 // Run runs the scenario. The error is a failure of the deployment; unmet conditions of steps are in the result.
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// load returns an endless load of requests for random objects. The objects are almost always different, so that almost
-// every request needs a fill.
+// load returns an endless load of requests for random objects. The objects are almost always different. Therefore
+// almost every request needs a fill.
 func (p *player) load() process.Load {
 	return process.Load{
 		Seed:             p.options.Seed,
--- a/routing/circuit_breaker_test.go
+++ b/routing/circuit_breaker_test.go
@@ -31,7 +31,7 @@
 	}
 	engine.now += breakerCoolDown * 2
 	action = engine.request("small", "y3")
-	// The client of the trial gives up: the next request is the trial.
+	// The client of the trial gives up. The next request must become the trial.
 	engine.step(Event{Kind: EventAborted, RequestID: action.RequestID})
 	if action = engine.request("small", "y4"); action.Source != "p0" {
 		t.Errorf("no new trial after an aborted one: source %q", action.Source)
@@ -85,7 +85,7 @@
 
 // Requests for nonexistent objects fail at every cache. If such failures were charged at once, the retries would open
 // the breakers of all caches. An error without a reason is charged only after another cache has served the same
-// request. A second such error ends the request.
+// request. A second error without a reason, at another cache, ends the request.
 func TestUnexplainedErrorIsChargedAfterOtherCacheServes(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 3, 1)
 	for i := range 10 {
@@ -136,8 +136,8 @@
 	}
 }
 
-// Time-outs of clients that give up before a response is due must not open breakers. Otherwise they eject all caches
-// and parents, and all requests are rejected for the cool-down of ten seconds.
+// Time-outs of clients that give up before a response is due must not open breakers. Otherwise such time-outs eject
+// all caches and parents, and all requests are rejected for the cool-down of ten seconds.
 func TestShortClientTimeoutsDoNotEjectServers(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), 1, 1)
 	cache, parent := engine.servers["c0"], engine.servers["p0"]
