--- a/standin/cache/requestlog_test.go
+++ b/standin/cache/requestlog_test.go
@@ -103,7 +103,6 @@
 	listener := testwait.Listen(t)
 	sender := testwait.Dial(t, listener.Addr().String())
 	accepted := testwait.Accept(t, listener, "the connection that keeps arrival times on")
-	t.Cleanup(func() { accepted.Close() })
 	reader, err := newArrivalReader(accepted.(*net.TCPConn), &gate{}, t.Context().Done())
 	if err != nil {
 		t.Fatal(err)
